--- a/sageturn/__main__.py
+++ b/sageturn/__main__.py
@@ -11,9 +11,9 @@
 
 import uvloop
 
-from sageturn import config
+from sageturn.config import loader
 from sageturn.relay import SIGNALS, Relay
-from sageturn.store.log import Damaged
+from sageturn.store.log import LogCorruptedError
 
 
 def main() -> int:
@@ -23,14 +23,14 @@
     parser.add_argument("--operator", metavar="FILE", help="an operator's file, such as deploy/xmpp.json")
     options = parser.parse_args()
     try:
-        settled = config.load(operator_file=options.operator)
-    except config.ConfigError as error:
+        settled = loader.load(operator_file=options.operator)
+    except loader.ConfigError as error:
         print(f"sageturn: {error}", file=sys.stderr)
         return 2
     logging.basicConfig(level=settled.log_level, format="%(asctime)s %(levelname)s %(name)s: %(message)s")
     try:
-        relay = Relay(settled, partial(config.load, None, options.operator))
-    except (OSError, Damaged) as error:
+        relay = Relay(settled, partial(loader.load, None, options.operator))
+    except (OSError, LogCorruptedError) as error:
         print(f"sageturn: {error}", file=sys.stderr)
         return 2
     gc.freeze()  # what was made at the start stays: collections need not walk it again and again
--- a/sageturn/cli/link.py
+++ b/sageturn/cli/link.py
@@ -12,8 +12,8 @@
 import typer
 
 from sageturn.net.discovery import parse_address
-from sageturn.store.frames import read_secret
-from sageturn.store.spread.member import connected
+from sageturn.store.channel import read_secret
+from sageturn.store.replication.member import connected
 from sageturn.store.store import Store
 
 T = TypeVar("T")
--- a/sageturn/cli/override.py
+++ b/sageturn/cli/override.py
@@ -25,21 +25,21 @@
 
 from sageturn.cli.link import NOT_THERE, REFUSED, USAGE, AsJson, Connect, Reach, SecretFile, fail
 from sageturn.cli.times import instant, parse_until, span
-from sageturn.interface import Server
+from sageturn.decision import Endpoint
 from sageturn.overrides.model import Override, fold
 from sageturn.overrides.ops import (
     KINDS,
     PREFIX,
-    BadOp,
-    Body,
-    Op,
+    InvalidOperationError,
+    OverrideOperation,
+    OverridePayload,
     Selector,
     new_id,
     new_nonce,
-    read_op,
+    parse_operation,
     sign,
 )
-from sageturn.overrides.resolve import Floors, Resolver
+from sageturn.overrides.resolve import OverrideResolver, SafetyLimits
 from sageturn.store.store import Store
 
 app = typer.Typer(no_args_is_help=True, help="Overrides by operators, each with an expiry.")
@@ -60,11 +60,11 @@
 
     def __init__(self, store: Store, now_ms: float) -> None:
         self.store, self.now_ms = store, now_ms
-        self.ops: dict[str, list[Op]] = {}
+        self.ops: dict[str, list[OverrideOperation]] = {}
         for key in store.keys(PREFIX):
             try:
-                op = read_op(key, store.get(key), None)
-            except BadOp:
+                op = parse_operation(key, store.get(key), None)
+            except InvalidOperationError:
                 continue  # the relays say that they refuse it
             self.ops.setdefault(op.override, []).append(op)
         self.states: dict[str, dict[str, Any]] = {}
@@ -80,11 +80,11 @@
             if found is not None:
                 self.overrides[override_id] = found
 
-    def hosts(self) -> dict[str, Server]:
-        found: dict[str, Server] = {}
+    def hosts(self) -> dict[str, Endpoint]:
+        found: dict[str, Endpoint] = {}
         for state in self.states.values():
             for name, (zone, kind, cell, listed, share, started_ms) in state.get("hosts", {}).items():
-                found[name] = Server(name, listed, zone, cell, started_ms, share, kind)
+                found[name] = Endpoint(name, listed, zone, cell, started_ms, share, kind)
         return found
 
     def statuses(self, override: Override) -> dict[str, str]:
@@ -105,9 +105,9 @@
         soon = override.until_ms - self.now_ms < SOON_MS
         return "about to end" if status == "in force" and soon else status
 
-    def resolver(self) -> Resolver:
-        floors = [Floors(*state["floors"]) for state in self.states.values()]
-        resolver = Resolver(floors[0] if floors else Floors())
+    def resolver(self) -> OverrideResolver:
+        floors = [SafetyLimits(*state["floors"]) for state in self.states.values()]
+        resolver = OverrideResolver(floors[0] if floors else SafetyLimits())
         resolver.listed(self.hosts().values(), True)
         for override in sorted(self.overrides.values(), key=lambda o: o.order):
             if not override.revoked and not override.lapsed(self.now_ms):
@@ -136,7 +136,7 @@
     }
 
 
-def does(body: Body) -> str:
+def does(body: OverridePayload) -> str:
     """In a few words."""
     at = f"{body.selector.what} {body.selector.value}" if body.selector else ""
     if body.this_start_ms:
@@ -174,12 +174,12 @@
 class Said:
     """What the relays made of a word: by node, what each says of the override now, or why it refuses it."""
 
-    op: Op
+    op: OverrideOperation
     relays: dict[str, str]
     refused: str = ""
 
 
-async def say(store: Store, op: Op, key: Ed25519PrivateKey) -> Said:
+async def say(store: Store, op: OverrideOperation, key: Ed25519PrivateKey) -> Said:
     """Put a word into the store, and wait until every relay that tells of itself has taken it.
 
     Those that have not answered in time are left out. A word that any of them refuses is taken back, or it
@@ -263,7 +263,7 @@
             if known is None:
                 fail(NOT_THERE, f"{host}: no relay lists it, so its start is not known")
             start_ms = known.started_at_ms
-        op = Op(
+        op = OverrideOperation(
             new_id(does_what),
             "set",
             1,
@@ -271,7 +271,7 @@
             operator,
             f"{why} (forced: {force})" if force else why,
             parse_until(until, at_ms),
-            Body(
+            OverridePayload(
                 does_what,
                 Selector(*named[0]) if named else None,
                 move_off,
@@ -298,15 +298,15 @@
     answer(Reach(connect, secret_file).act(go), as_json)
 
 
-def check(op: Op, key: Ed25519PrivateKey) -> None:
+def check(op: OverrideOperation, key: Ed25519PrivateKey) -> None:
     """The same reading as the relays'."""
     try:
-        read_op(op.key, sign(op, key), None)
-    except BadOp as error:
+        parse_operation(op.key, sign(op, key), None)
+    except InvalidOperationError as error:
         fail(USAGE, str(error))
 
 
-def guard(seen: Seen, op: Op) -> None:
+def guard(seen: Seen, op: OverrideOperation) -> None:
     override = fold([op], float("inf"))
     assert override is not None
     resolver = seen.resolver()
@@ -362,7 +362,9 @@
         if known.revoked:
             fail(REFUSED, f"{override_id}: was revoked by {known.revoked_by}, and stays so")
         until_ms = parse_until(until, at_ms) if until else 0.0
-        op = Op(override_id, word, known.revision + 1, at_ms, operator, why, until_ms, nonce=new_nonce())
+        op = OverrideOperation(
+            override_id, word, known.revision + 1, at_ms, operator, why, until_ms, nonce=new_nonce()
+        )
         check(op, key)
         return await say(store, op, key)
 
@@ -463,20 +465,20 @@
 
     async def go(store: Store) -> dict[str, Any]:
         seen = Seen(store, now())
-        server = seen.hosts().get(host)
+        endpoint = seen.hosts().get(host)
         resolver = seen.resolver()
         touching = []
         for override in sorted(resolver.overrides.values(), key=lambda o: o.order):
             selector = override.body.selector
             about = host in override.body.hosts or selector == Selector("host", host)
-            if about or (selector and server and selector.covers(server)):
+            if about or (selector and endpoint and selector.covers(endpoint)):
                 row = told(override, seen.status(override), seen.now_ms)
                 touching.append({**row, "guard": resolver.suspended.get(override.id, "")})
         effect = resolver.effect(host)
         return {
             "host": host,
-            "listed": server.state if server else "not listed",
-            "state": "out of service" if effect.out else server.state if server else "not listed",
+            "listed": endpoint.state if endpoint else "not listed",
+            "state": "out of service" if effect.out else endpoint.state if endpoint else "not listed",
             "factor": effect.factor,
             "held": effect.hold,
             "cleared": effect.move_off,
--- a/sageturn/cli/store.py
+++ b/sageturn/cli/store.py
@@ -12,9 +12,9 @@
 import typer
 
 from sageturn.cli.link import NOT_THERE, REFUSED, USAGE, Reach, fail
-from sageturn.fronts.xmpp.accounts import PREFIX, make_record
-from sageturn.store.log import Damaged
-from sageturn.store.records import BadRecord
+from sageturn.frontends.xmpp.accounts import PREFIX, make_record
+from sageturn.store.log import LogCorruptedError
+from sageturn.store.records import InvalidRecordError
 from sageturn.store.store import Store
 
 app = typer.Typer(no_args_is_help=True, help="What a daemon's store holds.")
@@ -40,7 +40,7 @@
                 return action(store)
             finally:
                 store.close()
-        except (OSError, BadRecord, Damaged) as error:
+        except (OSError, InvalidRecordError, LogCorruptedError) as error:
             fail(REFUSED, str(error))
 
 
--- a/sageturn/sections.py
+++ b/sageturn/config/fields.py
@@ -13,7 +13,7 @@
     """The text names the faulty key."""
 
 
-class Section:
+class ConfigSection:
     """An object of a configuration file; every fault names the path to its key."""
 
     def __init__(self, values: Any, where: str, nulls: bool = False) -> None:
@@ -64,13 +64,13 @@
             raise ConfigError(f"{self.path(key)}: must be one of {', '.join(words)}")
         return value
 
-    def sections(self, key: str, default: list[Any] | None = None) -> list[Section]:
+    def sections(self, key: str, default: list[Any] | None = None) -> list[ConfigSection]:
         """The objects of a list."""
         items = enumerate(self.get(key, list, default))
-        return [Section(value, f"{self.path(key)}[{k}]", self._nulls) for k, value in items]
+        return [ConfigSection(value, f"{self.path(key)}[{k}]", self._nulls) for k, value in items]
 
-    def section(self, key: str) -> Section:
-        return Section(self._values.get(key, {}), self.path(key), self._nulls)
+    def section(self, key: str) -> ConfigSection:
+        return ConfigSection(self._values.get(key, {}), self.path(key), self._nulls)
 
     def only(self, *keys: str) -> None:
         """A mistyped key in an operator's file must not be passed over in silence."""
--- a/sageturn/config.py
+++ b/sageturn/config/loader.py
@@ -12,21 +12,21 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from sageturn import interface as api
-from sageturn.core.messages import Listed
+from sageturn import decision
+from sageturn.config.fields import ConfigError as ConfigError
+from sageturn.config.fields import ConfigSection
+from sageturn.config.settings import read_settings
+from sageturn.core.messages import EndpointListUpdate
 from sageturn.flows.exporter import FlowOptions
-from sageturn.fronts.xmpp.options import EndpointOptions, XmppOptions
-from sageturn.net.admission import Limits
-from sageturn.net.discovery import BadList, parse_address, read_listed
-from sageturn.sections import ConfigError as ConfigError
-from sageturn.sections import Section
-from sageturn.settings import read_settings
-from sageturn.store.frames import read_secret
+from sageturn.frontends.xmpp.options import EndpointOptions, XmppOptions
+from sageturn.net.admission import ProcessLimits
+from sageturn.net.discovery import InvalidEndpointListError, parse_address, parse_endpoint_list
+from sageturn.store.channel import read_secret
 
 if TYPE_CHECKING:  # off on the platform, and then not even read in
     from sageturn.overrides.options import OverrideOptions
     from sageturn.rebalance.options import RebalanceOptions
-    from sageturn.store.spread.options import SpreadOptions
+    from sageturn.store.replication.options import ReplicationOptions
 
 Address = tuple[str, int]
 
@@ -38,16 +38,16 @@
         raise ConfigError(f"{where}: {error}") from None
 
 
-def _address(section: Section, key: str) -> Address:
+def _address(section: ConfigSection, key: str) -> Address:
     return read_address(section.path(key), section.get(key, str))
 
 
 @dataclass(frozen=True, slots=True)
-class Operator:
+class OperatorConfig:
     """What an operator's file turns on; all of it is off on the platform."""
 
     store_path: Path | None = None
-    replication: SpreadOptions | None = None
+    replication: ReplicationOptions | None = None
     xmpp: XmppOptions | None = None
     flows: FlowOptions | None = None
     rebalance: RebalanceOptions | None = None
@@ -55,19 +55,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Config:
+class RelayConfig:
     name: str
     listen: Address
     discovery: Address
     filed_discovery: str  # as the file had it, whatever the environment said
     seed: int
-    limits: Limits
-    settings: api.Settings
-    known: Listed
+    limits: ProcessLimits
+    settings: decision.Settings
+    known: EndpointListUpdate
     log_level: str = "INFO"
-    operator: Operator = field(default_factory=Operator)
+    operator: OperatorConfig = field(default_factory=OperatorConfig)
 
-    def needs_restart(self, new: Config) -> list[str]:
+    def needs_restart(self, new: RelayConfig) -> list[str]:
         """The keys in which ``new`` differs and that a running relay keeps as they were."""
         ours, theirs = self.operator, new.operator
         pairs = {
@@ -93,8 +93,10 @@
 
 
 def load(
-    environ: Mapping[str, str] | None = None, operator_file: str | None = None, before: Config | None = None
-) -> Config:
+    environ: Mapping[str, str] | None = None,
+    operator_file: str | None = None,
+    before: RelayConfig | None = None,
+) -> RelayConfig:
     """The environment names the file and may stand in for its first keys; the file holds the rest.
 
     Read again while the relay runs, the file may name another discovery than ``before``. That then goes
@@ -103,7 +105,7 @@
     env = os.environ if environ is None else environ
     if not env.get("GW_CONFIG"):
         raise ConfigError("GW_CONFIG: is missing")
-    top = Section(read_json(env["GW_CONFIG"], "GW_CONFIG"), "")
+    top = ConfigSection(read_json(env["GW_CONFIG"], "GW_CONFIG"), "")
 
     def either(variable: str, key: str) -> tuple[str, str]:
         value = env.get(variable)
@@ -117,13 +119,13 @@
         discovery = before.discovery
     else:
         discovery = read_address("discovery", filed)
-    config = Config(
+    config = RelayConfig(
         name=either("GW_NAME", "name")[1],
         listen=read_address(*either("GW_LISTEN", "listen")),
         discovery=discovery,
         filed_discovery=filed,
         seed=_seed(top),
-        limits=Limits(
+        limits=ProcessLimits(
             sockets=int(limits.number("sockets", 1024, least=32)),
             memory_mb=limits.number("memory_mb", 192.0, least=1),
         ),
@@ -139,15 +141,15 @@
 # ---------------------------------------------------------------- the operator's file
 
 
-def read_operator(file: Path, settings: api.Settings) -> Operator:
+def read_operator(file: Path, settings: decision.Settings) -> OperatorConfig:
     """Paths in it are taken from where the file lies; its classes and tenants are those of the settings."""
-    top = Section(read_json(str(file), "operator"), "operator")
+    top = ConfigSection(read_json(str(file), "operator"), "operator")
     top.only("store", "xmpp", "flows", "rebalance", "overrides")
     store = top.section("store")
     if store.has("interval_s"):
         raise ConfigError(f"{store.path('interval_s')}: is gone, as changes go out at once; take it out")
     store.only("path", "listen", "peers", "secret_file", "region", "zone", "octets_per_s", "horizon_s")
-    return Operator(
+    return OperatorConfig(
         store_path=file.parent / store.get("path", str) if store.has("path") else None,
         replication=_replication(store, file.parent) if store.has("listen") else None,
         xmpp=_xmpp(top.section("xmpp"), file.parent) if top.has("xmpp") else None,
@@ -157,8 +159,8 @@
     )
 
 
-def _replication(store: Section, folder: Path) -> SpreadOptions:
-    from sageturn.store.spread import options
+def _replication(store: ConfigSection, folder: Path) -> ReplicationOptions:
+    from sageturn.store.replication import options
 
     peers = []
     for number, peer in enumerate(store.get("peers", list, [])):
@@ -169,7 +171,7 @@
     listen = _address(store, "listen")
     if listen[0] == "0.0.0.0":
         raise ConfigError(f"{store.path('listen')}: must be an address at which others reach this member")
-    return options.SpreadOptions(
+    return options.ReplicationOptions(
         listen=listen,
         seeds=tuple(peers),
         secret=read_secret(_secret(store, "secret_file", folder)),
@@ -180,7 +182,7 @@
     )
 
 
-def _flows(flows: Section) -> FlowOptions:
+def _flows(flows: ConfigSection) -> FlowOptions:
     flows.only("collector", "domain", "template_s", "queue")
     return FlowOptions(
         collector=_address(flows, "collector"),
@@ -190,7 +192,7 @@
     )
 
 
-def _rebalance(section: Section, settings: api.Settings) -> RebalanceOptions:
+def _rebalance(section: ConfigSection, settings: decision.Settings) -> RebalanceOptions:
     from sageturn.rebalance.options import MODES, RebalanceOptions
 
     usual = RebalanceOptions()
@@ -228,10 +230,10 @@
     )
 
 
-def _overrides(section: Section) -> OverrideOptions:
+def _overrides(section: ConfigSection) -> OverrideOptions:
     from sageturn.overrides.ops import read_public
     from sageturn.overrides.options import OverrideOptions
-    from sageturn.overrides.resolve import Floors
+    from sageturn.overrides.resolve import SafetyLimits
 
     section.only("operators", "longest_s", "floor_all", "floor_zone", "floor_pin")
     operators = {}
@@ -240,17 +242,17 @@
             operators[name] = read_public(text)
         except (ValueError, TypeError) as error:
             raise ConfigError(f"{section.path('operators')}.{name}: no public key: {error}") from None
-    usual = Floors()
+    usual = SafetyLimits()
     floors = {}
     for key, default in (("all", usual.all), ("zone", usual.zone), ("pin", usual.pin)):
         floors[key] = section.number(f"floor_{key}", default)
         if floors[key] > 1.0:
             raise ConfigError(f"{section.path(f'floor_{key}')}: must be from 0 to 1")
     longest_s = section.number("longest_s", OverrideOptions().longest_s, least=1.0)
-    return OverrideOptions(operators, longest_s, Floors(**floors))
+    return OverrideOptions(operators, longest_s, SafetyLimits(**floors))
 
 
-def _names(section: Section, key: str, default: list[str], known: list[str]) -> list[str]:
+def _names(section: ConfigSection, key: str, default: list[str], known: list[str]) -> list[str]:
     names = section.get(key, list, default)
     for number, name in enumerate(names):
         if name not in known:
@@ -261,7 +263,7 @@
 _SPAN = re.compile(r"([01][0-9]|2[0-3]):([0-5][0-9])-([01][0-9]|2[0-3]):([0-5][0-9])")
 
 
-def _quiet_hours(section: Section) -> tuple[tuple[int, int], ...]:
+def _quiet_hours(section: ConfigSection) -> tuple[tuple[int, int], ...]:
     """Minutes of the UTC day, from the first of each span to before the second."""
     spans = []
     for number, text in enumerate(section.get("quiet_hours", list, [])):
@@ -273,7 +275,7 @@
     return tuple(spans)
 
 
-def _xmpp(xmpp: Section, folder: Path) -> XmppOptions:
+def _xmpp(xmpp: ConfigSection, folder: Path) -> XmppOptions:
     xmpp.only("listen", "domain", "certificate", "key", "wait_ms", "negotiate_s", "mute_s", "endpoint")
     tls = None
     if xmpp.has("certificate"):
@@ -300,7 +302,7 @@
     )
 
 
-def _endpoint_tls(endpoint: Section, folder: Path) -> ssl.SSLContext | None:
+def _endpoint_tls(endpoint: ConfigSection, folder: Path) -> ssl.SSLContext | None:
     if not endpoint.get("tls", bool, True):
         return None
     context = _context(endpoint, "ca_file", ssl.PROTOCOL_TLS_CLIENT)
@@ -312,7 +314,7 @@
     return context
 
 
-def _context(section: Section, key: str, protocol: int) -> ssl.SSLContext:
+def _context(section: ConfigSection, key: str, protocol: int) -> ssl.SSLContext:
     with _naming(section, key):
         context = ssl.SSLContext(protocol)
         context.minimum_version = ssl.TLSVersion.TLSv1_2
@@ -320,14 +322,14 @@
 
 
 @contextmanager
-def _naming(section: Section, key: str) -> Iterator[None]:
+def _naming(section: ConfigSection, key: str) -> Iterator[None]:
     try:
         yield
     except OSError as error:  # ssl's own errors are of this kind too
         raise ConfigError(f"{section.path(key)}: {error.strerror or error}") from None
 
 
-def _secret(section: Section, key: str, folder: Path) -> str:
+def _secret(section: ConfigSection, key: str, folder: Path) -> str:
     """Secrets stand in files of their own, so that the operator's file can be shown around."""
     with _naming(section, key):
         text = (folder / section.get(key, str)).read_text(encoding="utf-8").strip()
@@ -339,7 +341,7 @@
 # ---------------------------------------------------------------- GW_CONFIG's parts
 
 
-def _seed(top: Section) -> int:
+def _seed(top: ConfigSection) -> int:
     text = top.get("seed", str)
     try:
         return int(text, 16)
@@ -347,17 +349,17 @@
         raise ConfigError("seed: must be hexadecimal") from None
 
 
-def _settings(top: Section) -> api.Settings:
+def _settings(top: ConfigSection) -> decision.Settings:
     # The settings promise notes of delay, but no front's wire has a word for them.
-    return replace(read_settings(top.get("settings", dict), "settings"), tells_delay=False)
+    return replace(read_settings(top.get("settings", dict), "settings"), reports_delay=False)
 
 
-def _known(top: Section) -> Listed:
+def _known(top: ConfigSection) -> EndpointListUpdate:
     if not top.has("known"):
-        return Listed(0, True)
+        return EndpointListUpdate(0, True)
     try:
-        return read_listed(top.get("known", dict))
-    except (BadList, ValueError) as error:
+        return parse_endpoint_list(top.get("known", dict))
+    except (InvalidEndpointListError, ValueError) as error:
         raise ConfigError(f"known: {error}") from None
 
 
--- a/sageturn/core/module.py
+++ b/sageturn/core/balancer_actor.py
@@ -7,11 +7,11 @@
 from collections.abc import Callable, Iterable, Sequence
 from typing import Protocol
 
-from sageturn import interface as api
+from sageturn import decision
 from sageturn.core.clock import Clock
-from sageturn.core.hosts import HostView, look
-from sageturn.core.messages import Answer, EndCall, Instruction, MoveClient, PlaceCall
-from sageturn.rules import Balancer
+from sageturn.core.endpoint_snapshot import EndpointSnapshot, snapshot_endpoints
+from sageturn.core.messages import CancelAttempt, FinalResponse, Instruction, RedirectClient, StartAttempt
+from sageturn.decision.balancer import Balancer
 
 log = logging.getLogger(__name__)
 
@@ -20,33 +20,35 @@
 SIM_IDS = 1 << 32
 
 
-class Companion(Protocol):
+class BalancerObserver(Protocol):
     """Sees all that passes between the module and its events. It decides nothing, and may never wait."""
 
-    def before(self, now_ms: float, event: api.Event) -> None:
+    def before(self, now_ms: float, event: decision.Event) -> None:
         """May say more in a request, before the module gets it."""
 
-    def after(self, now_ms: float, event: api.Event, actions: Sequence[api.Action]) -> None: ...
+    def after(self, now_ms: float, event: decision.Event, actions: Sequence[decision.Action]) -> None: ...
 
     def moved_by_other(self, now_ms: float, request_id: int) -> None:
         """A stop of the relay moves a connection, unasked by the module."""
 
 
-class ModuleActor:
+class BalancerActor:
     """Turns messages into the module's events, and its actions into messages."""
 
-    def __init__(self, settings: api.Settings, seed: int, clock: Clock, watch: Callable[[], None]) -> None:
+    def __init__(
+        self, settings: decision.Settings, seed: int, clock: Clock, watch: Callable[[], None]
+    ) -> None:
         self.settings = settings
         self.classes = {c.name: c for c in settings.classes}
         self.clock = clock
         self._balancer = Balancer(settings, seed)
         self._watch = watch
-        self._mailbox: asyncio.Queue[api.Event] = asyncio.Queue(MAILBOX)
+        self._mailbox: asyncio.Queue[decision.Event] = asyncio.Queue(MAILBOX)
         self._requests: dict[int, asyncio.Queue[Instruction]] = {}
         self._last_id = 0
         self._timers: set[asyncio.TimerHandle] = set()
         self.placements: list[tuple[int, str]] | None = None  # a test's record of every Send
-        self.companions: list[Companion] = []
+        self.observers: list[BalancerObserver] = []
         self.probe: Callable[[str], None] = lambda endpoint: None  # whoever asks endpoints for their load
 
     # ------------------------------------------------------------ for others
@@ -60,21 +62,21 @@
     def forget(self, request_id: int) -> None:
         self._requests.pop(request_id, None)
 
-    async def tell(self, event: api.Event) -> None:
+    async def post_event(self, event: decision.Event) -> None:
         """Waits while the mailbox is full, so that whoever floods it is held back."""
         await self._mailbox.put(event)
 
     def move(self, request_id: int) -> None:
         """Ask a standing connection's client to come again, as a move of the module's own does."""
-        self._instruct(request_id, MoveClient())
+        self._instruct(request_id, RedirectClient())
 
     def drained(self, request_id: int) -> None:
-        for companion in self.companions:
-            companion.moved_by_other(self.clock.now_ms(), request_id)
+        for observer in self.observers:
+            observer.moved_by_other(self.clock.now_ms(), request_id)
 
-    def look(self, names: Iterable[str] | None = None) -> list[HostView]:
+    def snapshot_endpoints(self, names: Iterable[str] | None = None) -> list[EndpointSnapshot]:
         """The hosts as the module believes them to be; all that are not gone, or those named."""
-        return look(self._balancer, self.clock.now_ms(), names)
+        return snapshot_endpoints(self._balancer, self.clock.now_ms(), names)
 
     # ------------------------------------------------------------ the actor
 
@@ -86,10 +88,10 @@
             for timer in self._timers:
                 timer.cancel()
 
-    def _handle(self, event: api.Event) -> None:
+    def _handle(self, event: decision.Event) -> None:
         now_ms = self.clock.now_ms()
-        for companion in list(self.companions):
-            self._attend(companion, companion.before, now_ms, event)
+        for observer in list(self.observers):
+            self._attend(observer, observer.before, now_ms, event)
         try:
             actions = self._balancer.handle(now_ms, event)
         except Exception:
@@ -97,43 +99,43 @@
             log.exception("the module failed on %s", type(event).__name__)
             owner = getattr(event, "id", None)
             if owner is not None:
-                self._instruct(owner, Answer(refused=False, why="internal"))
+                self._instruct(owner, FinalResponse(refused=False, why="internal"))
             return
-        for companion in list(self.companions):
-            self._attend(companion, companion.after, now_ms, event, actions)
+        for observer in list(self.observers):
+            self._attend(observer, observer.after, now_ms, event, actions)
         for action in actions:
             try:
                 self._act(action)
             except Exception:
                 log.exception("%s could not be done", type(action).__name__)  # the others still can
 
-    def _attend(self, companion: Companion, hear: Callable[..., None], *what: object) -> None:
+    def _attend(self, observer: BalancerObserver, hear: Callable[..., None], *what: object) -> None:
         """A companion that fails is let go: no decision may wait for it, or be lost with it."""
         try:
             hear(*what)
         except Exception:
             log.exception("a companion of the module failed, and is no longer told anything")
-            self.companions.remove(companion)
+            self.observers.remove(observer)
 
-    def _act(self, action: api.Action) -> None:
+    def _act(self, action: decision.Action) -> None:
         match action:
-            case api.Send(request_id, endpoint, timeout_ms):
+            case decision.PlaceRequest(request_id, endpoint, timeout_ms):
                 if self.placements is not None:
                     self.placements.append((request_id, endpoint))
-                self._instruct(request_id, PlaceCall(endpoint, timeout_ms))
-            case api.Refuse(request_id, retry_after_ms):
-                self._instruct(request_id, Answer(refused=True, retry_after_ms=retry_after_ms))
-            case api.Fail(request_id):
-                self._instruct(request_id, Answer(refused=False, why="unavailable"))
-            case api.Cancel(request_id, _):
-                self._instruct(request_id, EndCall())
-            case api.Move(request_id):
-                self._instruct(request_id, MoveClient())
-            case api.SetTimer(delay_ms, mark):
+                self._instruct(request_id, StartAttempt(endpoint, timeout_ms))
+            case decision.RejectRequest(request_id, retry_after_ms):
+                self._instruct(request_id, FinalResponse(refused=True, retry_after_ms=retry_after_ms))
+            case decision.FailRequest(request_id):
+                self._instruct(request_id, FinalResponse(refused=False, why="unavailable"))
+            case decision.AbandonAttempt(request_id, _):
+                self._instruct(request_id, CancelAttempt())
+            case decision.MigrateConnection(request_id):
+                self._instruct(request_id, RedirectClient())
+            case decision.SetTimer(delay_ms, mark):
                 self._set_timer(delay_ms, mark)
-            case api.Watch():
+            case decision.WatchEndpoints():
                 self._watch()
-            case api.Probe(endpoint):
+            case decision.CheckHealth(endpoint):
                 self.probe(endpoint)
 
     def _instruct(self, request_id: int, instruction: Instruction) -> None:
@@ -148,7 +150,7 @@
     def _set_timer(self, delay_ms: float, mark: str) -> None:
         def due() -> None:
             self._timers.discard(handle)
-            self._handle(api.Timer(mark))
+            self._handle(decision.TimerFired(mark))
 
         handle = asyncio.get_running_loop().call_later(delay_ms / 1000.0, due)
         self._timers.add(handle)
--- a/sageturn/core/endings.py
+++ b/sageturn/core/close_reason.py
@@ -4,10 +4,10 @@
 
 from enum import Enum, auto
 
-from sageturn.interface import NEVER_RAN
+from sageturn.decision import NOT_EXECUTED_STATUSES
 
 
-class Ending(Enum):
+class CloseReason(Enum):
     SERVED = auto()  # the endpoint said that it is done
     SENT_AWAY = auto()  # a draining endpoint asked the client to go elsewhere
     ERROR = auto()  # the endpoint answered with an error
@@ -30,33 +30,33 @@
 
 
 _STATUS = {
-    Ending.SERVED: "ok",
-    Ending.SENT_AWAY: "cancelled",
-    Ending.ERROR: "error",
-    Ending.GARBLED: "error",
-    Ending.BUSY: "full",
-    Ending.REFUSED: "connect_failed",
-    Ending.NO_CONNECT: "connect_failed",
-    Ending.CUT_BEFORE_WRITTEN: "connect_failed",
-    Ending.RESET: "reset",
-    Ending.ENDED: "reset",
-    Ending.TIMEOUT: "timeout",
-    Ending.MUTE: "reset",
-    Ending.CANCELLED: "cancelled",
-    Ending.MOVED: "cancelled",
-    Ending.CUT_OFF: "cancelled",
-    Ending.CLIENT_LEFT: "cancelled",
-    Ending.CLIENT_RESET: "cancelled",
-    Ending.CLIENT_FAULT: "cancelled",
-    Ending.NOT_SENT: "moot",
+    CloseReason.SERVED: "ok",
+    CloseReason.SENT_AWAY: "cancelled",
+    CloseReason.ERROR: "error",
+    CloseReason.GARBLED: "error",
+    CloseReason.BUSY: "full",
+    CloseReason.REFUSED: "connect_failed",
+    CloseReason.NO_CONNECT: "connect_failed",
+    CloseReason.CUT_BEFORE_WRITTEN: "connect_failed",
+    CloseReason.RESET: "reset",
+    CloseReason.ENDED: "reset",
+    CloseReason.TIMEOUT: "timeout",
+    CloseReason.MUTE: "reset",
+    CloseReason.CANCELLED: "cancelled",
+    CloseReason.MOVED: "cancelled",
+    CloseReason.CUT_OFF: "cancelled",
+    CloseReason.CLIENT_LEFT: "cancelled",
+    CloseReason.CLIENT_RESET: "cancelled",
+    CloseReason.CLIENT_FAULT: "cancelled",
+    CloseReason.NOT_SENT: "moot",
 }
 
 
-def outcome_status(ending: Ending) -> str:
+def outcome_status(close_reason: CloseReason) -> str:
     """The module's word for an ending; the only place where the two vocabularies meet."""
-    return _STATUS[ending]
+    return _STATUS[close_reason]
 
 
-def may_have_run(ending: Ending) -> bool:
+def may_have_run(close_reason: CloseReason) -> bool:
     """By the module's own word on it, so that core and module cannot come to differ."""
-    return outcome_status(ending) not in NEVER_RAN
+    return outcome_status(close_reason) not in NOT_EXECUTED_STATUSES
--- a/sageturn/core/hosts.py
+++ b/sageturn/core/endpoint_snapshot.py
@@ -5,11 +5,11 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from sageturn.rules import Balancer
+from sageturn.decision.balancer import Balancer
 
 
 @dataclass(frozen=True, slots=True)
-class HostView:
+class EndpointSnapshot:
     """A host as the decision module sees it now. ``size`` has its kind and its warm-up in it."""
 
     name: str
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Marks:
+class OperatorMarks:
     """Hosts that operators have marked: not rebalanced, out of service, and to be cleared of connections."""
 
     held: frozenset[str] = frozenset()
@@ -31,11 +31,13 @@
     cleared: frozenset[str] = frozenset()
 
 
-def look(balancer: Balancer, now_ms: float, names: Iterable[str] | None = None) -> list[HostView]:
+def snapshot_endpoints(
+    balancer: Balancer, now_ms: float, names: Iterable[str] | None = None
+) -> list[EndpointSnapshot]:
     """Every host that is not gone, or those named, in the order in which the module came to know them."""
     views = []
-    warm_ms = balancer.settings.warm_within_ms
-    known = balancer.servers
+    warm_ms = balancer.settings.slow_start_ms
+    known = balancer.endpoints
     for s in known.values() if names is None else [known[n] for n in sorted(names) if n in known]:
         if s.state == "gone":
             continue
@@ -45,6 +47,6 @@
             room = min(room, balancer._cold_ok(now_ms, s))  # its budget is spent one by one
         out = s.state == "ready" and not s.ready
         views.append(
-            HostView(s.name, s.size, s.ready, room, s.zone, s.state == "draining", out, s.started_ms)
+            EndpointSnapshot(s.name, s.size, s.ready, room, s.zone, s.state == "draining", out, s.started_ms)
         )
     return views
--- a/sageturn/core/quiet.py
+++ b/sageturn/core/idle_timeout.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-class Quiet:
+class IdleTimeout:
     """One standing connection. Times are seconds of one clock that never goes back."""
 
     def __init__(self, now_s: float, patience_s: float, every_s: float = 0.0) -> None:
--- a/sageturn/core/messages.py
+++ b/sageturn/core/messages.py
@@ -4,27 +4,29 @@
 
 from dataclasses import dataclass, field
 
-from sageturn.interface import ListFailure, Server
+from sageturn.decision import DiscoveryFailure, Endpoint
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class ClientRequest:
     """What a client asked for, in words that every front can say."""
 
     class_name: str
     tenant: str
     wait_ms: float  # how long the client waits, from the arrival of its request
     group: str = ""
-    hint: float = 0.0
-    standing_at: str = ""  # the endpoint that held this connection before the relay started
+    expected_load: float = 0.0
+    established_endpoint: str = ""  # the endpoint that held this connection before the relay started
     client: str = ""  # its key, the same after a reconnect
     returned: bool = False  # it says that its connection was moved, or broke
     retried: bool = False  # it says that it asks again
-    wire_id: str = ""  # as the client named its request, so that it can be followed from relay to relay
+    client_request_id: str = (
+        ""  # as the client named its request, so that it can be followed from relay to relay
+    )
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class FinalResponse:
     """The final answer to a request that was not served: a fail-fast refusal, or a failure."""
 
     refused: bool
@@ -36,7 +38,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PlaceCall:
+class StartAttempt:
     """Begin the next outbound call."""
 
     endpoint: str
@@ -44,28 +46,28 @@
 
 
 @dataclass(frozen=True, slots=True)
-class EndCall:
+class CancelAttempt:
     """Stop waiting for the outbound call that is out."""
 
 
 @dataclass(frozen=True, slots=True)
-class MoveClient:
+class RedirectClient:
     """End the standing connection politely."""
 
 
-Instruction = PlaceCall | EndCall | MoveClient | Answer
+Instruction = StartAttempt | CancelAttempt | RedirectClient | FinalResponse
 
 
 # ------------------------------------------------------------ to the destination set
 
 
 @dataclass(frozen=True, slots=True)
-class Listed:
+class EndpointListUpdate:
     """One object of discovery: changes since the last, or the whole list."""
 
     version: int
     full: bool
-    servers: list[Server] = field(default_factory=list)
+    endpoints: list[Endpoint] = field(default_factory=list)
     addresses: dict[str, tuple[str, int]] = field(default_factory=dict)
 
 
@@ -74,25 +76,25 @@
     """A watch could not be had, or broke; ``why`` is for the log."""
 
     why: str
-    failure: ListFailure
+    failure: DiscoveryFailure
 
 
 @dataclass(frozen=True, slots=True)
-class WatchSaid:
+class WatchEvent:
     """Word of a watch. One that has been replaced may still have some in the mailbox."""
 
     watch: int
-    said: Listed | WatchFailed
+    said: EndpointListUpdate | WatchFailed
 
 
 @dataclass(frozen=True, slots=True)
-class WatchWanted:
+class WatchRequested:
     """The module asks for changes from here on."""
 
 
 @dataclass(frozen=True, slots=True)
-class SourceMoved:
+class DiscoveryAddressChanged:
     """Discovery is somewhere else now: watch there, from a whole list on."""
 
 
-ListMessage = WatchSaid | WatchWanted | SourceMoved
+RegistryMessage = WatchEvent | WatchRequested | DiscoveryAddressChanged
--- a/sageturn/core/drain.py
+++ b/sageturn/core/shutdown.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from sageturn.core.requests import RequestLife
-from sageturn.interface import RequestClass
+from sageturn.core.request_lifecycle import RequestLifecycle
+from sageturn.decision import RequestClass
 
 log = logging.getLogger(__name__)
 
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StopTimes:
+class ShutdownSchedule:
     """Seconds after the signal. Clients are moved evenly over ``over_s``, not to come again all at once."""
 
     move_from_s: float
@@ -33,16 +33,16 @@
     leave_at_s: float
 
 
-def stop_times(classes: Iterable[RequestClass]) -> StopTimes:
+def shutdown_schedule(classes: Iterable[RequestClass]) -> ShutdownSchedule:
     """As long as the deadlines of all classes allow, and no longer; 3 s where one of them is not told."""
     deadline_s = max((c.give_up_ms or DEADLINE_MOST_S * 1000.0 for c in classes), default=0.0) / 1000.0
     leave_s = min(deadline_s, DEADLINE_MOST_S) + LAST_SIGNAL_S - EARLY_S
     hurry_s = max(leave_s - HURRY_S, leave_s / 2.0)
     from_s = min(MOVE_FROM_S, hurry_s / 2.0)
-    return StopTimes(from_s, (hurry_s - from_s) * MOVE_PART, hurry_s, leave_s)
+    return ShutdownSchedule(from_s, (hurry_s - from_s) * MOVE_PART, hurry_s, leave_s)
 
 
-class EvenPace:
+class EvenPacer:
     """How many of those left are due at each step. Parts of one are carried over, not rounded up:
     with one at each step at the least, a few connections were gone in a fifth of the time that there is.
     """
@@ -57,10 +57,10 @@
         return whole
 
 
-class Doors(Protocol):
+class IngressListener(Protocol):
     """Where clients come in, and are before they have asked for anything."""
 
-    def unasked(self) -> int:
+    def awaiting_request(self) -> int:
         """How many have come that have not asked yet."""
 
     def shut(self) -> None:
@@ -70,50 +70,54 @@
         """Returns once nobody is left inside, or after so long."""
 
 
-class Lives:
+class RequestRegistry:
     """All requests that the relay has, on every front."""
 
-    def __init__(self, times: StopTimes) -> None:
+    def __init__(self, times: ShutdownSchedule) -> None:
         self._times = times
-        self._lives: set[RequestLife] = set()
+        self._request_registry: set[RequestLifecycle] = set()
         self.stopping = self._hurrying = False
 
     def __len__(self) -> int:
-        return len(self._lives)
+        return len(self._request_registry)
 
-    def __iter__(self) -> Iterator[RequestLife]:
-        return iter(self._lives)
+    def __iter__(self) -> Iterator[RequestLifecycle]:
+        return iter(self._request_registry)
 
-    def add(self, life: RequestLife) -> None:
-        self._lives.add(life)
+    def add(self, lifecycle: RequestLifecycle) -> None:
+        self._request_registry.add(lifecycle)
         if self._hurrying:  # it came in the last moment: it is answered, but not placed any more
-            life.leave()
-            life.hurry()
+            lifecycle.leave()
+            lifecycle.force_drain()
 
-    def remove(self, life: RequestLife) -> None:
-        self._lives.discard(life)
+    def remove(self, lifecycle: RequestLifecycle) -> None:
+        self._request_registry.discard(lifecycle)
 
-    async def drain(self, doors: Doors) -> None:
+    async def drain(self, doors: IngressListener) -> None:
         """Returns once nothing is left, or when it is high time to go."""
         self.stopping = True
         times = self._times
         loop = asyncio.get_running_loop()
-        began, pace = loop.time(), EvenPace()
+        began, pace = loop.time(), EvenPacer()
         await asyncio.sleep(times.move_from_s)
         while loop.time() - began < times.hurry_at_s:
-            standing = [life for life in self._lives if life.standing and not life.stop.is_set()]
+            standing = [
+                lifecycle
+                for lifecycle in self._request_registry
+                if lifecycle.is_established and not lifecycle.stop.is_set()
+            ]
             steps_left = max(1.0, (times.move_from_s + times.over_s - (loop.time() - began)) / STEP_S)
-            for life in standing[: pace.due(len(standing), steps_left)]:
-                life.leave()
+            for lifecycle in standing[: pace.due(len(standing), steps_left)]:
+                lifecycle.leave()
             await asyncio.sleep(STEP_S)
-            if not self._lives and not doors.unasked() and loop.time() - began > ACCEPT_S:
+            if not self._request_registry and not doors.awaiting_request() and loop.time() - began > ACCEPT_S:
                 break
         # Whoever has been taken is answered, also who came in this instant; nobody is taken from here on.
         self._hurrying = True
         doors.shut()
-        for life in list(self._lives):
-            life.leave()
-            life.hurry()
+        for lifecycle in list(self._request_registry):
+            lifecycle.leave()
+            lifecycle.force_drain()
         await doors.finish(max(0.1, began + times.leave_at_s - loop.time()))
-        if self._lives:
-            log.error("%d connections were still held at the end", len(self._lives))
+        if self._request_registry:
+            log.error("%d connections were still held at the end", len(self._request_registry))
--- a/sageturn/core/tasks.py
+++ b/sageturn/core/tasks.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 
-async def end_task(task: asyncio.Future[Any] | None) -> None:
+async def cancel_and_wait(task: asyncio.Future[Any] | None) -> None:
     """Cancel and wait: what a task holds may only be used again once it has let go."""
     if task is None:
         return
@@ -17,7 +17,7 @@
         task.exception()
 
 
-async def wait_out(left_s: Callable[[float], float]) -> None:
+async def sleep_until_elapsed(left_s: Callable[[float], float]) -> None:
     """Returns once ``left_s`` of the loop's time is 0 or less; asked again each time that it said is over."""
     loop = asyncio.get_running_loop()
     while (left := left_s(loop.time())) > 0:
--- a/sageturn/rules.py
+++ b/sageturn/decision/balancer.py
@@ -12,16 +12,11 @@
 from typing import Any
 from zlib import crc32
 
-from sageturn.backoff import CallBackoff
-from sageturn.interface import (
-    NEVER_RAN, Action, Cancel, ClientGone, Event, Fail, FirstSign, Inherited, Move, Note, Outcome, Probe,
-    Probed, Refuse, Request, RequestClass, Send, Server, ServerList, SetTimer, Settings, Timer, Watch,
-)  # fmt: skip
-from sageturn.probing import LOOK_MS, Probes
-from sageturn.ramp import UNKNOWN_PER_S, ColdStart, Ramp
-from sageturn.shares import (
-    Bound, KindSpeeds, Place, SetUpWindow, count_trust, quota_bounds, warm_part,
-)  # fmt: skip
+from sageturn.decision import actions, events, quotas
+from sageturn.decision.discovery_backoff import CallBackoff
+from sageturn.decision.health_checks import LOOK_MS, HealthCheckScheduler
+from sageturn.decision.settings import NOT_EXECUTED_STATUSES, RequestClass, Settings
+from sageturn.decision.slow_start import UNKNOWN_PER_S, SlowStartState, SlowStartBudget
 
 LIMIT_START = 8  # pending connections a server is trusted with before it has shown anything
 LIMIT_TOP = 32  # growth stops here, or a long quiet spell would make depth blind
@@ -67,12 +62,13 @@
 RELIEF_PER_S = 8.0  # connections moved off servers beyond that, over all balancers
 
 HELD, PENDING, OPEN = range(3)
+Arrival = events.RequestArrived | events.ConnectionAdopted
 
 
 class _Server:
     """What this balancer knows of one server."""
 
-    def __init__(self, line: Server, odd: float = 0.0) -> None:
+    def __init__(self, line: events.Endpoint, odd: float = 0.0) -> None:
         self.name, self.zone, self.cell = line.name, line.zone, line.cell
         self.hash = crc32(line.name.encode())
         self.kind, self.state = line.kind, line.state
@@ -83,7 +79,7 @@
         self.ready = False  # listed ready and not put out
         self.fails = 0
         self.out_until_ms = 0.0  # above 0: put out; back then, and out again at its next failure
-        self.cold: ColdStart | None = None  # our turns at it while it warms up
+        self.cold: SlowStartState | None = None  # our turns at it while it warms up
         self.sheds, self.shed_ms = 0, 0.0  # resets in a row of connections that stood
         self.spent_until_ms = self.soft_until_ms = 0.0  # till then beyond what it can do; fuller than others
         self.late_until_ms = self.weigh_ms = 0.0
@@ -111,16 +107,16 @@
 class _Request:
     """A request held or a connection open."""
 
-    __slots__ = ("id", "cls", "give_up_ms", "aim_ms", "server", "attempts", "state", "done", "midflow",
-                 "ran_zone", "ran_cell", "ran_ms", "sent_ms", "group", "load", "told", "tenant", "spared_ms",
-                 "allowed", "strict")  # fmt: skip
+    __slots__ = ("id", "cls", "give_up_ms", "objective_ms", "endpoint", "attempts", "state", "done",
+                 "midflow", "ran_zone", "ran_cell", "ran_ms", "sent_ms", "group", "load", "told", "tenant",
+                 "spared_ms", "allowed", "strict")  # fmt: skip
 
-    def __init__(self, e: Request | Inherited, cls: RequestClass, give_up_ms: float, aim_ms: float) -> None:
-        self.id, self.cls, self.give_up_ms, self.aim_ms = e.id, cls, give_up_ms, aim_ms
-        self.group, self.tenant, self.load = e.group, e.tenant, e.hint
+    def __init__(self, e: Arrival, cls: RequestClass, give_up_ms: float, objective_ms: float) -> None:
+        self.id, self.cls, self.give_up_ms, self.objective_ms = e.id, cls, give_up_ms, objective_ms
+        self.group, self.tenant, self.load = e.group, e.tenant, e.expected_load
         self.told = 0.0  # its load, as the server last told it
-        self.midflow = isinstance(e, Request) and e.midflow
-        self.server: _Server | None = None  # of the latest attempt
+        self.midflow = isinstance(e, events.RequestArrived) and e.midflow
+        self.endpoint: _Server | None = None  # of the latest attempt
         self.attempts = 0
         self.state = HELD
         self.allowed: frozenset[str] | None = None  # by an operator's pin; strict: on every attempt
@@ -138,30 +134,31 @@
         self.size, self.share = 1.0, 1.0  # of all ready servers; the mean of theirs by the list
         self.usual = 0.0  # the log of set-up times lately
         self.told = [0.0, 0.0]  # sum and count of the loads told
-        self.speeds = KindSpeeds()
+        self.speeds = quotas.MachineKindSpeeds()
         self.sized = settings.weights in ("nominal", "rough")
         self.classes = {c.name: c for c in settings.classes}
-        aims = [c.message_aim_ms for c in settings.classes if c.message_aim_ms > 0]
+        objectives = [c.message_latency_objective_ms for c in settings.classes]
+        aims = [objective_ms for objective_ms in objectives if objective_ms > 0]
         self.late_ms = min(aims, default=100.0) * LATE_PART
         self.move_ms = min(aims, default=100.0) * MOVE_AIM
-        self.probes = Probes(settings, self.late_ms, self.rng)
-        self.servers: dict[str, _Server] = {}
-        self.own_zone = settings.zone if settings.price_cross_zone else None  # where crossings are priced
+        self.probes = HealthCheckScheduler(settings, self.late_ms, self.rng)
+        self.endpoints: dict[str, _Server] = {}
+        self.own_zone = settings.zone if settings.cross_zone_cost else None  # where crossings are priced
         # All zones that were ever listed, in that order: their relays bring clients, servers or not.
         self.zones = {settings.zone: None}
         self.ready: list[_Server] = []
         self.near: list[_Server] = []  # the ready ones of our zone, where crossings are priced
         self.out: list[_Server] = []
         self.requests: dict[int, _Request] = {}
-        self.ramp = Ramp(settings, self.rng)
+        self.ramp = SlowStartBudget(settings, self.rng)
         self.most, self.odd = float("inf"), self.ramp.rounding(0)
         self.warm_part, self.warm_full = 1.0, False  # of all sizes; used up: the rest is for cold servers
         self.open = 0  # own connections, pending ones too
-        self.sharers: float = settings.balancers  # balancers that share what one server can hold
+        self.sharers: float = settings.relay_count  # balancers that share what one server can hold
         self.first_listed = 0  # the fleet that the quotas are for: those that drain have successors in it
         self.held = {t.name: 0 for t in settings.tenants}  # the same by tenant
         # What a tenant may hold at one balancer before it is beyond its share.
-        self.fill = {t.name: t.quota_connections * OVER / settings.balancers for t in settings.tenants}
+        self.fill = {t.name: t.quota_connections * OVER / settings.relay_count for t in settings.tenants}
         self.group_open: dict[str, int] = {}  # the same by group
         self.ranked: dict[str, list[_Server]] = {}  # by group: servers in the order of its hashes
         self.closed: dict[str, _Server] = {}
@@ -169,29 +166,31 @@
         self.sum_blind = 0  # limits of ready servers on which we hold nothing
         self.watching: bool | None = None  # None: nobody has asked for the list yet
         pushed = settings.discovery == "push"
-        self.calls = CallBackoff(settings.balancers, settings.must_ask_in_ms, self.rng, pushed)
-        self.actions: list[Action] = []
+        self.calls = CallBackoff(settings.relay_count, settings.max_poll_interval_ms, self.rng, pushed)
+        self.actions: list[actions.Action] = []
         self.now_ms = self.review_ms = self.ease_ms = 0.0
         self.handlers: dict[type, Callable[[float, Any], None]] = {
-            Request: self._on_request, FirstSign: self._on_first_sign, Outcome: self._on_outcome,
-            Note: self._on_note, ClientGone: self._on_client_gone, ServerList: self._on_list,
-            Inherited: self._on_inherited, Timer: self._on_timer, Probed: self._on_probed,
+            events.RequestArrived: self._on_request, events.ConnectionEstablished: self._on_first_sign,
+            events.AttemptEnded: self._on_outcome, events.MeasurementReported: self._on_note,
+            events.ClientDisconnected: self._on_client_gone, events.EndpointListEvent: self._on_list,
+            events.ConnectionAdopted: self._on_inherited, events.TimerFired: self._on_timer,
+            events.HealthCheckCompleted: self._on_probed,
         }  # fmt: skip
         # Curve units: an equal part of all allowances, for one tenant at one balancer.
         tenants = max(1, len(settings.tenants))
-        allowance = sum(t.allowance_per_s for t in settings.tenants)
+        setups_per_s = sum(t.allowance_per_s for t in settings.tenants) or UNKNOWN_PER_S
         self.quota = sum(t.quota_connections for t in settings.tenants)
-        fair = (allowance or UNKNOWN_PER_S) / tenants / settings.balancers / 1000.0
+        fair = setups_per_s / tenants / settings.relay_count / 1000.0
         depths = [step / CURVE_STEPS for step in range(CURVE_STEPS + 1)]
         falling = [fair * CURVE_TOP * ((1.0 - depth) / (1.0 - FREE_DEPTH)) for depth in depths]
         self.curve = [f if d >= FREE_DEPTH else float("inf") for d, f in zip(depths, falling, strict=True)]
         self.burst = max(BURST_LEAST, fair * 1000.0 * BURST_S)
-        settle_ms = min(c.aim_ms for c in settings.classes)
-        self.window = SetUpWindow(allowance or UNKNOWN_PER_S, settings.balancers, settle_ms, self.rng)
+        settle_ms = min(c.latency_objective_ms for c in settings.classes)
+        self.window = quotas.SetupWindow(setups_per_s, settings.relay_count, settle_ms, self.rng)
         self.buckets: dict[str, list[float]] = {t.name: [self.burst, 0.0] for t in settings.tenants}
         self.buckets.setdefault("", [self.burst, 0.0])  # tenants that the settings do not name
 
-    def handle(self, now_ms: float, event: Event) -> list[Action]:
+    def handle(self, now_ms: float, event: events.Event) -> list[actions.Action]:
         self.actions, self.now_ms = [], now_ms
         self.handlers[type(event)](now_ms, event)
         return self.actions
@@ -230,12 +229,12 @@
         if r.tenant in self.held:
             self.held[r.tenant] += by
         if self.settings.groups and group:
-            if r.server is not None:
-                here = r.server.groups.get(group, 0) + by
+            if r.endpoint is not None:
+                here = r.endpoint.groups.get(group, 0) + by
                 if here:
-                    r.server.groups[group] = here
+                    r.endpoint.groups[group] = here
                 else:
-                    del r.server.groups[group]
+                    del r.endpoint.groups[group]
             count = self.group_open.get(group, 0) + by
             if count:
                 self.group_open[group] = count
@@ -306,10 +305,10 @@
             return 0.0
         return (1.0 - bucket[0]) / rate if rate > 0 else self.settings.max_retry_after_ms
 
-    def _on_request(self, now_ms: float, e: Request) -> None:
+    def _on_request(self, now_ms: float, e: events.RequestArrived) -> None:
         cls = self.classes.get(e.class_name) or self.settings.classes[0]
-        r = _Request(e, cls, e.give_up_at_ms, min(e.give_up_at_ms, now_ms + cls.aim_ms))
-        r.server, r.spared_ms = self.servers.get(e.moved_off), e.spared_until_ms  # avoided, as one tried is
+        r = _Request(e, cls, e.deadline_ms, min(e.deadline_ms, now_ms + cls.latency_objective_ms))
+        r.endpoint, r.spared_ms = self.endpoints.get(e.moved_off), e.spared_until_ms  # avoided like tried
         r.allowed, r.strict = e.allowed, e.strict
         self._review_closed(now_ms)
         self.requests[e.id] = r
@@ -352,8 +351,8 @@
         # that hold some of it already, or its first ones in other zones.
         if r.group and self.settings.groups:
             ranked, homes = self._ranked(r.group)
-            moved = not r.attempts and r.server is not None  # for balance: to its group, or where room is
-            cold = next((s for s in ranked if s.cold and s is not r.server), None)
+            moved = not r.attempts and r.endpoint is not None  # for balance: to its group, or where room is
+            cold = next((s for s in ranked if s.cold and s is not r.endpoint), None)
             due = cold is not None and self.rng.random() < cold.part * self.open - cold.open
             if due and cold and not cold.full() and self._may_send(now_ms, r, cold):
                 return cold  # its budget is small: what is left unused comes too late to warm it
@@ -366,7 +365,7 @@
                 fits = not scarce or r.group in s.groups or near <= k < near + homes
                 over = 1.0 if moved and r.group not in s.groups else CROWD_OVER
                 fits = fits and not s.full() and not self._crowded(s, over)
-                if fits and s is not r.server and self._may_send(now_ms, r, s):
+                if fits and s is not r.endpoint and self._may_send(now_ms, r, s):
                     if moved:  # the group's newcomers follow it
                         ranked.insert(0, ranked.pop(ranked.index(s)))
                     return s
@@ -380,10 +379,10 @@
         s = self._lighter(now_ms, r, self.ready)
         if s is None:
             # Few may take it (a keyed group, none that is cold or just failed), and chance met none.
-            s = next((s for s in self.ready if s is not r.server and self._may_send(now_ms, r, s)), None)
+            s = next((s for s in self.ready if s is not r.endpoint and self._may_send(now_ms, r, s)), None)
         if s is not None and now_ms < s.spent_until_ms:
             # Chance met two that are spent; with no other left the request fails fast.
-            rest = [t for t in self.ready if now_ms >= t.spent_until_ms and t is not r.server]
+            rest = [t for t in self.ready if now_ms >= t.spent_until_ms and t is not r.endpoint]
             s = min((t for t in rest if self._may_send(now_ms, r, t)), key=self._load, default=None)
         return s
 
@@ -414,7 +413,7 @@
         want = 2
         for k in range(min(len(pool), DRAWS)):
             s = pool[int(self.rng.random() * len(pool))] if len(pool) > 2 else pool[k]
-            if s is best or not self._may_send(now_ms, r, s) or (s is r.server and len(self.ready) > 1):
+            if s is best or not self._may_send(now_ms, r, s) or (s is r.endpoint and len(self.ready) > 1):
                 continue
             load = self._load(s) + (FULL_LOAD if s.full() else 0)
             if best is None or load < best_load or (load == best_load and self.rng.random() < 0.5):
@@ -444,7 +443,8 @@
     def _place(self, now_ms: float, r: _Request) -> None:
         """Send the next attempt, or end the request: it never stays held."""
         left_ms = r.give_up_ms - now_ms
-        if left_ms <= 0 or r.attempts >= self.settings.max_attempts or (r.attempts and now_ms >= r.aim_ms):
+        late = r.attempts and now_ms >= r.objective_ms
+        if left_ms <= 0 or r.attempts >= self.settings.max_attempts or late:
             self._end(r, 0.0)
             return
         wait_ms = 0.0 if r.midflow else self._gate(now_ms)
@@ -458,9 +458,9 @@
         # A time-out leaves room for another try, unless there can be none.
         last = r.attempts + 1 >= self.settings.max_attempts or r.cls.effect == "unsafe"
         timeout_ms = max(left_ms * 0.5, self.settings.connect_timeout_ms)
-        if last or now_ms + timeout_ms >= r.aim_ms:
+        if last or now_ms + timeout_ms >= r.objective_ms:
             timeout_ms = left_ms
-        r.server, r.state, r.sent_ms = s, PENDING, now_ms
+        r.endpoint, r.state, r.sent_ms = s, PENDING, now_ms
         r.attempts += 1
         self._count(s, 1, 1)
         self._count_held(r, 1)
@@ -468,28 +468,29 @@
             self._review(now_ms, s)
         if s.cold:
             self.ramp.use(s.cold)
-        self.actions.append(Send(r.id, s.name, timeout_ms))
+        self.actions.append(actions.PlaceRequest(r.id, s.name, timeout_ms))
 
     def _end(self, r: _Request, retry_after_ms: float) -> None:
         """The final answer: a refusal where the effect rule lets us promise harmlessness."""
-        if r.cls.refusable(r.ran_ms >= 0):
+        if r.cls.is_rejectable(r.ran_ms >= 0):
             top = self.settings.max_retry_after_ms
             advice = min(top, max(RETRY_LEAST_MS, retry_after_ms) * (0.75 + 0.5 * self.rng.random()))
-            self.actions.append(Refuse(r.id, advice if self.settings.retry_after and retry_after_ms else 0.0))
+            told_ms = advice if self.settings.retry_after and retry_after_ms else 0.0
+            self.actions.append(actions.RejectRequest(r.id, told_ms))
         else:
-            self.actions.append(Fail(r.id))
+            self.actions.append(actions.FailRequest(r.id))
         del self.requests[r.id]
 
-    def _on_first_sign(self, now_ms: float, e: FirstSign) -> None:
+    def _on_first_sign(self, now_ms: float, e: events.ConnectionEstablished) -> None:
         r = self.requests.get(e.id)
-        if r is None or r.state != PENDING or e.attempt != r.attempts - 1 or r.server is None:
+        if r is None or r.state != PENDING or e.attempt != r.attempts - 1 or r.endpoint is None:
             return
-        r.state, s = OPEN, r.server
+        r.state, s = OPEN, r.endpoint
         self.window.ended(now_ms, now_ms - r.sent_ms, True)
         if not r.done:
             s.conns[r.id] = r
         self._count(s, -1, 0)
-        self._set_limit(s, s.limit + (now_ms <= r.aim_ms))
+        self._set_limit(s, s.limit + (now_ms <= r.objective_ms))
         s.fresh = False
         s.fails = 0
         if e.took_ms > 0 and s.kind and not s.cold:
@@ -505,11 +506,11 @@
         """Of the logs of its latest set-up times; it fades, or a slow server would never be tried again."""
         return (s.took - self.usual) * exp((s.took_ms - self.now_ms) / LAG_FADE_MS) if s.took else 0.0
 
-    def _on_outcome(self, now_ms: float, e: Outcome) -> None:
+    def _on_outcome(self, now_ms: float, e: events.AttemptEnded) -> None:
         r = self.requests.get(e.id)
-        if r is None or r.state == HELD or e.attempt != r.attempts - 1 or r.server is None:
+        if r is None or r.state == HELD or e.attempt != r.attempts - 1 or r.endpoint is None:
             return
-        s, status, early = r.server, e.status, r.state == PENDING
+        s, status, early = r.endpoint, e.status, r.state == PENDING
         self._hear(now_ms, s, e.report)
         self._count(s, -1 if early else 0, -1)
         self._count_held(r, -1)
@@ -526,7 +527,7 @@
                 self._ill(now_ms, s, 2 if status == "connect_failed" else 1)
             if status == "connect_failed" and self.watching is None and self.settings.discovery == "ask":
                 self.watching = False  # the list of the start is out of date: it is not waited for any longer
-                self.actions.append(SetTimer(self.calls.first_ms(doubted=True), "watch"))
+                self.actions.append(actions.SetTimer(self.calls.first_ms(doubted=True), "watch"))
         elif status == "reset":
             # A server with too much piled up breaks connections, mostly new ones. A balancer that holds
             # none there for long gets no note: this is all it sees.
@@ -538,38 +539,38 @@
         if e.final or r.done:
             del self.requests[r.id]
             return
-        if status not in NEVER_RAN and r.ran_ms < 0:
+        if status not in NOT_EXECUTED_STATUSES and r.ran_ms < 0:
             r.ran_zone, r.ran_cell, r.ran_ms = s.zone, s.cell, r.sent_ms
         if r.cls.effect == "unsafe" and r.ran_ms >= 0:
             self._end(r, 0.0)
         else:
             self._place(now_ms, r)
 
-    def _on_client_gone(self, now_ms: float, e: ClientGone) -> None:
+    def _on_client_gone(self, now_ms: float, e: events.ClientDisconnected) -> None:
         r = self.requests.get(e.id)
         if r is None or r.done:
             return
-        if r.state == OPEN and r.server is not None:
-            self._release(r.server, r)
+        if r.state == OPEN and r.endpoint is not None:
+            self._release(r.endpoint, r)
         elif r.state == PENDING and self.settings.may_cancel:
-            self.actions.append(Cancel(r.id, r.attempts - 1))
+            self.actions.append(actions.AbandonAttempt(r.id, r.attempts - 1))
         r.done = True  # its attempt's outcome is still to come
 
-    def _on_inherited(self, now_ms: float, e: Inherited) -> None:
+    def _on_inherited(self, now_ms: float, e: events.ConnectionAdopted) -> None:
         cls = self.classes.get(e.class_name) or self.settings.classes[0]
-        s = self.servers.get(e.server)
+        s = self.endpoints.get(e.endpoint)
         if s is None:
-            s = self.servers[e.server] = _Server(Server(e.server, "gone"))
+            s = self.endpoints[e.endpoint] = _Server(events.Endpoint(e.endpoint, "gone"))
         r = _Request(e, cls, float("inf"), float("inf"))
-        r.server, r.state, r.attempts, r.sent_ms = s, OPEN, 1, now_ms
+        r.endpoint, r.state, r.attempts, r.sent_ms = s, OPEN, 1, now_ms
         s.conns[e.id] = r
         s.fresh = False
         self.requests[e.id] = r
         self._count(s, 0, 1)
         self._count_held(r, 1)
 
-    def _on_note(self, now_ms: float, e: Note) -> None:
-        s = self.servers.get(e.server)
+    def _on_note(self, now_ms: float, e: events.MeasurementReported) -> None:
+        s = self.endpoints.get(e.endpoint)
         if s is None:
             return
         if e.kind == "load":
@@ -582,7 +583,7 @@
             return
         if e.value > self.late_ms:
             self._strained(now_ms, s, s.open)
-            if e.value > self.move_ms and self.settings.price_move <= MOVE_DEAR:
+            if e.value > self.move_ms and self.settings.migration_cost <= MOVE_DEAR:
                 self._relieve(s)
         elif s.late_until_ms > now_ms:
             s.late_until_ms = now_ms
@@ -594,9 +595,9 @@
 
     def _ease(self, now_ms: float, s: _Server) -> None:
         """It holds more than our share: clients go one by one, at a pace that all balancers share."""
-        over = s.open >= s.most + s.odd + 1.0 and self.settings.price_move <= MOVE_DEAR
+        over = s.open >= s.most + s.odd + 1.0 and self.settings.migration_cost <= MOVE_DEAR
         if over and now_ms >= self.ease_ms:
-            pause_ms = (500.0 + 1000.0 * self.rng.random()) * self.settings.balancers
+            pause_ms = (500.0 + 1000.0 * self.rng.random()) * self.settings.relay_count
             self.ease_ms = now_ms + pause_ms / RELIEF_PER_S
             self._relieve(s, 1)
 
@@ -606,13 +607,13 @@
             return
         s.weigh_ms, fill = now_ms + WEIGH_MS, self._fill(s)
         over = fill * len(self.ready) / (sum(self._fill(t) for t in self.ready) or 1.0)
-        over = 1.0 + (over - 1.0) * min(1.0, 2.0 * count_trust(s.size / self.size * self.open))
+        over = 1.0 + (over - 1.0) * min(1.0, 2.0 * quotas.count_trust(s.size / self.size * self.open))
         if fill > SPENT_AT:
             # Past this the messages of all its clients are late: it is better to serve fewer of them.
             s.spent_until_ms = now_ms + LATE_HOLD_MS
         if fill > FULL_AT and over > FULL_OVER:
             s.soft_until_ms = now_ms + LATE_HOLD_MS
-            if fill > MOVE_AT and over > MOVE_OVER and self.settings.price_move <= MOVE_DEAR:
+            if fill > MOVE_AT and over > MOVE_OVER and self.settings.migration_cost <= MOVE_DEAR:
                 self._relieve(s)
 
     def _fill(self, s: _Server) -> float:
@@ -620,7 +621,7 @@
         the server's size calls for, all of the mean load: a few heavy ones of ours tell nothing of theirs.
         """
         even = s.size / self.size * self.open
-        others = (self.settings.balancers - 1) * (even + count_trust(even) * (s.open - even))
+        others = (self.settings.relay_count - 1) * (even + quotas.count_trust(even) * (s.open - even))
         untold = s.open - s.heard + others + GROUP_COST * len(s.groups)
         return (s.work + untold * self.told[0] / max(1.0, self.told[1])) / (1000.0 * s.size)
 
@@ -635,13 +636,13 @@
         free = [r for r in s.conns.values() if r.spared_ms <= self.now_ms]
         order = sorted(free, key=lambda r: (members[r.group], weigh * r.load))
         # Every balancer is told at once: where many hold one or two each, one each would empty the server.
-        part = min(MOVE_MOST, MOVE_PART + MOVE_MORE * self.settings.balancers)
+        part = min(MOVE_MOST, MOVE_PART + MOVE_MORE * self.settings.relay_count)
         if count is None:
             count = int(len(order) * part + 1.0 / self.sharers + self.rng.random())
         for r in order[:count]:
             r.done = True
             self._release(s, r)
-            self.actions.append(Move(r.id))
+            self.actions.append(actions.MigrateConnection(r.id))
 
     # ------------------------------------------------------------ 6 health and list
 
@@ -654,36 +655,36 @@
                 s.out_until_ms = now_ms + OUT_MS
                 self._relist()
 
-    def _on_list(self, now_ms: float, e: ServerList) -> None:
+    def _on_list(self, now_ms: float, e: events.EndpointListEvent) -> None:
         if e.kind == "failed":
             self.watching = False
-            self.actions.append(SetTimer(self.calls.wait_ms(now_ms, e.failure), "watch"))
+            self.actions.append(actions.SetTimer(self.calls.wait_ms(now_ms, e.failure), "watch"))
             return
         if e.kind == "stale" and self.probes.asks:
-            self.actions.append(SetTimer(LOOK_MS * self.rng.random(), "probe"))
+            self.actions.append(actions.SetTimer(LOOK_MS * self.rng.random(), "probe"))
         if e.kind == "stale" and self.settings.discovery == "ask":
-            self.actions.append(SetTimer(self.calls.first_ms(), "watch"))
+            self.actions.append(actions.SetTimer(self.calls.first_ms(), "watch"))
         elif e.kind != "stale":
             self.watching = True
             self.calls.succeeded()
         if e.kind in ("full", "stale"):
-            named = {line.name for line in e.servers}
-            for s in self.servers.values():
+            named = {line.name for line in e.endpoints}
+            for s in self.endpoints.values():
                 if s.name not in named:
                     s.state = "gone"
-        if not self.first_listed and e.servers:
-            self.first_listed = sum(line.state == "ready" for line in e.servers) or len(e.servers)
+        if not self.first_listed and e.endpoints:
+            self.first_listed = sum(line.state == "ready" for line in e.endpoints) or len(e.endpoints)
             # No more balancers can hold something on one server than it has connections.
             if self.quota:
-                self.sharers = min(self.settings.balancers, max(1.0, self.quota / self.first_listed))
-        self.zones.update((line.zone, None) for line in e.servers)
-        for line in e.servers:
-            known = self.servers.get(line.name)
+                self.sharers = min(self.settings.relay_count, max(1.0, self.quota / self.first_listed))
+        self.zones.update((line.zone, None) for line in e.endpoints)
+        for line in e.endpoints:
+            known = self.endpoints.get(line.name)
             if known is None:
                 odd = self.ramp.rounding(crc32(line.name.encode()))
-                known = self.servers[line.name] = _Server(line, odd)
+                known = self.endpoints[line.name] = _Server(line, odd)
                 if e.kind == "stale":
-                    known.fresh = now_ms - line.started_at_ms < self.settings.warm_within_ms
+                    known.fresh = now_ms - line.started_at_ms < self.settings.slow_start_ms
             elif line.state != "gone":
                 known.zone, known.cell, known.kind = line.zone, line.cell, line.kind
             known.share = (line.share if self.sized else 1.0) * line.factor
@@ -693,20 +694,20 @@
                 known.started_ms, known.fresh, known.fails = line.started_at_ms, True, 0
                 known.room, known.late_until_ms, known.took, known.sheds = float("inf"), 0.0, 0.0, 0
                 known.out_until_ms, known.cold = 0.0, None
-            warm_ms = line.started_at_ms + self.settings.warm_within_ms
+            warm_ms = line.started_at_ms + self.settings.slow_start_ms
             if line.started_at_ms and now_ms < warm_ms and not known.cold:
-                known.cold = ColdStart(now_ms - line.started_at_ms, known.odd)
+                known.cold = SlowStartState(now_ms - line.started_at_ms, known.odd)
         self._relist()
 
     def _relist(self) -> None:
         """Rebuild the ready list and its sums; only list and health changes come here."""
-        for name in [n for n, s in self.servers.items() if s.state == "gone" and not s.open]:
-            s = self.servers.pop(name)
+        for name in [n for n, s in self.endpoints.items() if s.state == "gone" and not s.open]:
+            s = self.endpoints.pop(name)
             s.ready = False
             self._sum(s)
             self.closed.pop(name, None)
         self.ready, self.out, self.ranked = [], [], {}
-        for s in self.servers.values():
+        for s in self.endpoints.values():
             s.ready = s.state == "ready" and not s.out_until_ms
             if s.ready:
                 self.ready.append(s)
@@ -718,50 +719,51 @@
 
     def _share_out(self) -> None:
         """Servers' parts of ours, by size; near ones are due what their zone's balancers bring, one down."""
-        within_ms, cold_from = self.settings.warm_within_ms, self.settings.cold_from
+        within_ms, initial = self.settings.slow_start_ms, self.settings.initial_capacity_ratio
         for s in self.ready:
-            warm = warm_part(self.now_ms - s.started_ms, within_ms, cold_from) if s.started_ms else 1.0
+            warm = quotas.warm_part(self.now_ms - s.started_ms, within_ms, initial) if s.started_ms else 1.0
             s.size = s.share * self.speeds.of.get(s.kind, 1.0) * warm
         self.size = sum(s.size for s in self.ready) or 1.0
         here = sum(s.size for s in self.near)
         zones = len({s.zone for s in self.ready}) or 1
-        ours = min(1.0, max(1.0, self.settings.balancers / zones) / max(1, self.settings.balancers - 1))
+        ours = min(1.0, max(1.0, self.settings.relay_count / zones) / max(1, self.settings.relay_count - 1))
         for s in self.ready:
             s.part = s.size / self.size
         for s in self.near:
             s.part = s.size / max(here, self.size * ours)
         self.share = sum(s.share for s in self.ready) / max(1, len(self.ready))
         self.warm_part = sum(s.size for s in self.ready if not s.cold) / self.size
-        self.most, bounds = float("inf"), [Bound(float("inf"), self.settings.balancers)] * len(self.ready)
+        self.most = float("inf")
+        bounds = [quotas.QuotaBound(self.most, self.settings.relay_count)] * len(self.ready)
         if self.quota and self.first_listed and not self._sees_delay():
-            places = [Place(s.zone, s.size, s.share) for s in self.ready]
-            each, count = self.quota / self.first_listed, self.settings.balancers
-            self.most, bounds = quota_bounds(places, self.zones, self.own_zone, each, count)
+            places = [quotas.EndpointCapacity(s.zone, s.size, s.share) for s in self.ready]
+            each, count = self.quota / self.first_listed, self.settings.relay_count
+            self.most, bounds = quotas.quota_bounds(places, self.zones, self.own_zone, each, count)
         for s, bound in zip(self.ready, bounds, strict=True):
             s.most, s.sharers = bound.most, bound.sharers
 
-    def _on_timer(self, now_ms: float, e: Timer) -> None:
+    def _on_timer(self, now_ms: float, e: events.TimerFired) -> None:
         if e.mark == "watch" and not self.watching:
             self.watching = True  # until that call is told to have failed
-            self.actions.append(Watch())
+            self.actions.append(actions.WatchEndpoints())
         elif e.mark == "probe":
             asked = self.probes.due(now_ms, [s.name for s in self.ready + self.out])
-            self.actions += [*map(Probe, asked), SetTimer(LOOK_MS, "probe")]
+            self.actions += [*map(actions.CheckHealth, asked), actions.SetTimer(LOOK_MS, "probe")]
 
     # ------------------------------------------------------------ 7 load reports
 
     def _sees_delay(self) -> bool:
         """Something tells how long messages take: notes, or load reports as long as they come."""
-        return self.settings.tells_delay or self.probes.seen(self.now_ms)
+        return self.settings.reports_delay or self.probes.seen(self.now_ms)
 
-    def _on_probed(self, now_ms: float, e: Probed) -> None:
+    def _on_probed(self, now_ms: float, e: events.HealthCheckCompleted) -> None:
         if e.status == "refused":
-            self.probes.refused(e.server)
-        elif e.server in self.servers:
-            self._hear(now_ms, self.servers[e.server], e.report)
+            self.probes.refused(e.endpoint)
+        elif e.endpoint in self.endpoints:
+            self._hear(now_ms, self.endpoints[e.endpoint], e.report)
 
     def _hear(self, now_ms: float, s: _Server, report: dict[str, float]) -> None:
-        if not report or self.settings.tells_delay:
+        if not report or self.settings.reports_delay:
             return
         verdict = self.probes.heard(now_ms, s.name, report)
         if verdict.late:
@@ -769,7 +771,7 @@
         elif s.late_until_ms > now_ms:
             s.late_until_ms = now_ms
             self._review(now_ms, s)
-        if verdict.part and self.settings.price_move <= MOVE_DEAR:
+        if verdict.part and self.settings.migration_cost <= MOVE_DEAR:
             self._relieve(s, int(len(s.conns) * verdict.part + self.rng.random()))
 
     # ------------------------------------------------------------ 8 cold starts
@@ -777,10 +779,10 @@
     def _cold_ok(self, now_ms: float, s: _Server) -> bool:
         """Whether it is our turn to send it one: all balancers together stay inside its budget."""
         st, age_ms = self.settings, now_ms - s.started_ms
-        if s.cold is None or age_ms >= st.warm_within_ms:
+        if s.cold is None or age_ms >= st.slow_start_ms:
             s.cold = None
             return True
         # What it holds once it is warm, by the quotas or what we hold.
         listed = max(1, len(self.ready) + len(self.out))
-        size = self.quota / self.first_listed if self.quota else self.open * st.balancers / listed
+        size = self.quota / self.first_listed if self.quota else self.open * st.relay_count / listed
         return self.ramp.due(s.cold, age_ms, size * s.share / (self.share or s.share), s.sharers)
--- a/sageturn/backoff.py
+++ b/sageturn/decision/discovery_backoff.py
@@ -8,17 +8,17 @@
 
 from random import Random
 
-from sageturn.interface import ListFailure
+from sageturn.decision import DiscoveryFailure
 
 NEWS_MS = 6000.0  # what discovery has counts as told by then, once it can be reached
 # Set times of the client. An empty line comes every 2 s, so one that is missing shows by then, with 1.2 s for
 # a busy core; discovery itself fails a call that has waited 3 s, and half a second is for the way.
 CONNECT_MS, ANSWER_MS, SILENCE_MS = 1000.0, 3500.0, 3200.0
 SPENT_MS = {
-    ListFailure.UNREACHED: CONNECT_MS,
-    ListFailure.OVERLOADED: 3000.0,
-    ListFailure.UNANSWERED: ANSWER_MS,
-    ListFailure.SILENT: SILENCE_MS,
+    DiscoveryFailure.UNREACHED: CONNECT_MS,
+    DiscoveryFailure.OVERLOADED: 3000.0,
+    DiscoveryFailure.UNANSWERED: ANSWER_MS,
+    DiscoveryFailure.SILENT: SILENCE_MS,
 }
 # Waits end at least 3.2 s before the news are due: as discovery fails what has waited 3 s, a call that is
 # placed by then is answered in time or not at all.
@@ -41,9 +41,9 @@
 PUSHED_MS = 150.0  # the longest wait where lists are pushed: an agent at hand is asked, and shared by nobody
 
 
-def unserved(waited_ms: float) -> ListFailure:
+def unserved(waited_ms: float) -> DiscoveryFailure:
     """Why a call failed, reset or turned away, that had waited so long for an answer."""
-    return ListFailure.OVERLOADED if waited_ms >= QUEUED_MS else ListFailure.UNREACHED
+    return DiscoveryFailure.OVERLOADED if waited_ms >= QUEUED_MS else DiscoveryFailure.UNREACHED
 
 
 class CallBackoff:
@@ -71,17 +71,17 @@
         """Of a new process. ``doubted``: a call has shown that the list it holds is out of date."""
         return min(self._spread_ms, DOUBTED_MS if doubted else self._spread_ms) * self._rng.random()
 
-    def wait_ms(self, now_ms: float, failure: ListFailure) -> float:
+    def wait_ms(self, now_ms: float, failure: DiscoveryFailure) -> float:
         """After a call, or a watch that stood, has ended so."""
         most_ms = min(self._wait_ms, NEWS_MS - ROOM_MS - SPENT_MS.get(failure, 0.0))
-        if failure in (ListFailure.LOST, ListFailure.SILENT):
+        if failure in (DiscoveryFailure.LOST, DiscoveryFailure.SILENT):
             # All may have lost theirs in one instant, with nothing else wrong. But what ends again and again
             # is no better than a call that failed.
             soon, self._lost_ms = now_ms >= self._lost_ms + self._again_ms, now_ms
             if soon:
                 self._down_until_ms = now_ms + DOWN_MS if self._fits else now_ms
                 return min(self._spread_ms, most_ms) * self._rng.random()
-        elif failure is ListFailure.OVERLOADED:
+        elif failure is DiscoveryFailure.OVERLOADED:
             # Once may be chance, as when discovery goes down over its queue: the news come in time then.
             if now_ms >= self._down_until_ms:
                 if self._overloaded and self._top_ms > self._wait_ms:
--- a/sageturn/probing.py
+++ b/sageturn/decision/health_checks.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from sageturn.interface import Settings
+from sageturn.decision import Settings
 
 # A probe costs a part of the goal, told for one probe a request: of a relay's requests each pays for so much
 # of it, and no more is spent. What is served in the goal's worst ten seconds, where reports save most, weighs
@@ -30,7 +30,7 @@
     part: float
 
 
-class Probes:
+class HealthCheckScheduler:
     """One relay's probes. Times are milliseconds of one clock that never goes back."""
 
     def __init__(self, settings: Settings, late_ms: float, rng: Random) -> None:
@@ -38,10 +38,10 @@
 
         Where lines tell how long messages take, reports would add only their price: nothing is asked there.
         """
-        useful = not settings.tells_delay and bool(CARRIED & set(settings.report_fields))
+        useful = not settings.reports_delay and bool(CARRIED & set(settings.report_fields))
         self.asks = useful and settings.probes and settings.reports != "none"
-        self._paid = SPEND / settings.price_probe if settings.price_probe else float("inf")
-        self._each_ms = max(EACH_MS, HOST_MS * settings.balancers)
+        self._paid = SPEND / settings.health_check_cost if settings.health_check_cost else float("inf")
+        self._each_ms = max(EACH_MS, HOST_MS * settings.relay_count)
         self._late_ms, self._rng = late_ms, rng
         self._credit, self._most = 0.0, 0
         self._due_ms: dict[str, float] = {}  # by server: when it is to be asked next
@@ -56,12 +56,12 @@
         """A request came that is not a client's retry: the price counts those."""
         self._credit = min(float(self._most), self._credit + self._paid)
 
-    def due(self, now_ms: float, servers: Iterable[str]) -> list[str]:
+    def due(self, now_ms: float, endpoints: Iterable[str]) -> list[str]:
         """Of those listed, whom to ask now: the longest waiting first, as far as requests have paid.
 
         Each may be asked once before any has.
         """
-        due_ms = {name: self._due_ms.get(name, now_ms) for name in servers}
+        due_ms = {name: self._due_ms.get(name, now_ms) for name in endpoints}
         self._due_ms = due_ms
         self._ease_ms = {name: at for name, at in self._ease_ms.items() if name in due_ms}
         self._credit += max(0, len(due_ms) - self._most)
@@ -73,15 +73,15 @@
             due_ms[name] = now_ms + self._each_ms * (0.75 + 0.5 * self._rng.random())
         return asked
 
-    def refused(self, server: str) -> None:
+    def refused(self, endpoint: str) -> None:
         """It takes no probes: it is not asked again while it is listed."""
-        self._due_ms[server] = float("inf")
+        self._due_ms[endpoint] = float("inf")
 
-    def heard(self, now_ms: float, server: str, report: Mapping[str, float]) -> Verdict:
+    def heard(self, now_ms: float, endpoint: str, report: Mapping[str, float]) -> Verdict:
         """All relays read the same, and each moves that part of its own: together it is what is over."""
         self._heard_ms = now_ms
         fill = report.get("x0", report.get("cpu", 0.0))
         part = 0.0
-        if fill > OVER and now_ms >= self._ease_ms.get(server, now_ms):
-            part, self._ease_ms[server] = (fill - EVEN) / fill, now_ms + EASE_MS
+        if fill > OVER and now_ms >= self._ease_ms.get(endpoint, now_ms):
+            part, self._ease_ms[endpoint] = (fill - EVEN) / fill, now_ms + EASE_MS
         return Verdict(fill > FULL or report.get("x1", 0.0) * 1000.0 > self._late_ms, part)
--- a/sageturn/shares.py
+++ b/sageturn/decision/quotas.py
@@ -28,7 +28,7 @@
 QUOTA_OVER, QUOTA_LOOSE = 1.1, 2.0  # times the share of a server's part, and so many over all relays
 
 
-class SetUpWindow:
+class SetupWindow:
     """How many set-ups a relay may have out. Grows by one with each in time, halves with each late one."""
 
     def __init__(self, per_s: float, relays: int, settle_ms: float, rng: Random) -> None:
@@ -55,7 +55,7 @@
 
 
 @dataclass(slots=True)
-class Place:
+class EndpointCapacity:
     """A server as the shares see it: what it can do now, and its zone, against the others."""
 
     zone: str
@@ -64,7 +64,7 @@
 
 
 @dataclass(slots=True)
-class Bound:
+class QuotaBound:
     """Connections that one relay may hold at a server, not rounded.
 
     ``sharers``: relays that may hold one there at all, once each has rounded its own.
@@ -75,8 +75,12 @@
 
 
 def quota_bounds(
-    places: Iterable[Place], zones: Iterable[str], own_zone: str | None, per_server: float, relays: int
-) -> tuple[float, list[Bound]]:
+    places: Iterable[EndpointCapacity],
+    zones: Iterable[str],
+    own_zone: str | None,
+    per_server: float,
+    relays: int,
+) -> tuple[float, list[QuotaBound]]:
     """Connections that one relay may hold in all, and at each place. None is rounded.
 
     ``zones``: all from which clients come. ``per_server``: what the quotas stand for at a mean server. A
@@ -98,14 +102,14 @@
     for p in places:
         if own_zone is None:
             most = QUOTA_OVER * p.size / total * whole + loose
-            bounds.append(Bound(most, relays * min(1.0, most)))
+            bounds.append(QuotaBound(most, relays * min(1.0, most)))
             continue
         here = sums[p.zone]
         own = QUOTA_OVER * p.size / max(here, even) * whole + loose
         spare = QUOTA_OVER * max(0.0, here - even) / beyond * p.size / (here or 1.0) * whole
         most = own if p.zone == own_zone else lacking.get(own_zone, 1.0) * spare + loose
         others = sum(min(1.0, lack * spare + loose) for zone, lack in lacking.items() if zone != p.zone)
-        bounds.append(Bound(most, each_zone * (min(1.0, own) + others)))
+        bounds.append(QuotaBound(most, each_zone * (min(1.0, own) + others)))
     return whole + few * full * len(places), bounds
 
 
@@ -120,7 +124,7 @@
 KIND_DOUBT = 8.0  # set-ups of one kind of machine as if seen at the mean of all, before its own count
 
 
-class KindSpeeds:
+class MachineKindSpeeds:
     """A list may call a fast and a slow kind of machine the same size; set-ups tell them apart."""
 
     def __init__(self) -> None:
@@ -138,6 +142,10 @@
         self.of[kind] = exp(mean - (both[1][0] + KIND_DOUBT * mean) / (both[1][1] + KIND_DOUBT))
 
 
-def warm_part(age_ms: float, within_ms: float, cold_from: float) -> float:
+def warm_part(age_ms: float, within_ms: float, initial_capacity_ratio: float) -> float:
     """Part of its size that a server can do so long after its start: it gets there evenly."""
-    return 1.0 if age_ms >= within_ms else cold_from + (1.0 - cold_from) * max(0.0, age_ms) / within_ms
+    return (
+        1.0
+        if age_ms >= within_ms
+        else initial_capacity_ratio + (1.0 - initial_capacity_ratio) * max(0.0, age_ms) / within_ms
+    )
--- a/sageturn/ramp.py
+++ b/sageturn/decision/slow_start.py
@@ -16,8 +16,8 @@
 from math import gcd, sqrt
 from random import Random
 
-from sageturn.interface import Settings
-from sageturn.shares import warm_part
+from sageturn.decision import Settings
+from sageturn.decision.quotas import warm_part
 
 UNKNOWN_PER_S = 10.0  # requests at all relays, where the settings name no allowances
 
@@ -36,7 +36,7 @@
 
 
 @dataclass(slots=True)
-class ColdStart:
+class SlowStartState:
     """One start of a server, as one relay counts it. ``told_ms``: its age when the relay heard of it.
 
     ``rounding``: what rounds the relay's part of what it can hold, from 0 to 1.
@@ -49,18 +49,21 @@
     used: int = 0  # of these, by a call or by waiting for too long
 
 
-class Ramp:
+class SlowStartBudget:
     """One relay's turns at servers that have just started, and its place among the relays."""
 
     def __init__(self, settings: Settings, rng: Random) -> None:
         """Without a number among the relays (``settings.index``), or a wrong one, chance stands in for it."""
-        self._multiple, self._window_ms = settings.fall_multiple, max(1.0, settings.fall_ms)
-        self._within_ms, self._cold_from = max(1.0, settings.warm_within_ms), settings.cold_from
-        self._relays, self._index, self._rng = settings.balancers, settings.index, rng
+        self._multiple, self._window_ms = (
+            settings.cold_overload_multiple,
+            max(1.0, settings.cold_overload_window_ms),
+        )
+        self._within_ms, self._cold_from = max(1.0, settings.slow_start_ms), settings.initial_capacity_ratio
+        self._relays, self._index, self._rng = settings.relay_count, settings.index, rng
         if self._index is not None and self._index >= self._relays:
             self._index = None
         per_s = sum(t.allowance_per_s for t in settings.tenants) or UNKNOWN_PER_S
-        gap_ms = 1000.0 * settings.balancers / per_s  # between two requests at one relay
+        gap_ms = 1000.0 * settings.relay_count / per_s  # between two requests at one relay
         # For a turn not to be lost it should wait so long; the longer it waits, the fewer there can be.
         self._wait_ms = sqrt(gap_ms * self._window_ms)
         relays = self._relays
@@ -91,14 +94,14 @@
         wait_ms = min(self._wait_ms, max(0.25, calls / budget - 1.0) * self._window_ms)
         return calls / (self._window_ms + wait_ms) / max(1.0, sharers), wait_ms
 
-    def _count(self, start: ColdStart, age_ms: float, size: float, sharers: float) -> None:
+    def _count(self, start: SlowStartState, age_ms: float, size: float, sharers: float) -> None:
         """Turns up to that age, in small steps as the pace rises: who asks seldom counts like others."""
         while start.age_ms < age_ms:
             step_ms = min(STEP_MS, age_ms - start.age_ms)
             start.turns += self._pace(start.age_ms + step_ms / 2.0, size, sharers)[0] * step_ms
             start.age_ms += step_ms
 
-    def due(self, start: ColdStart, age_ms: float, size: float, sharers: float) -> bool:
+    def due(self, start: SlowStartState, age_ms: float, size: float, sharers: float) -> bool:
         """Whether a turn of ours is waiting. ``size``: connections that the server holds once it is warm.
 
         ``sharers``: relays among which the turns are shared. Where a server can hold fewer connections than
@@ -116,6 +119,6 @@
         start.used = max(start.used, int(start.turns - pace * wait_ms))
         return int(start.turns) > start.used
 
-    def use(self, start: ColdStart) -> None:
+    def use(self, start: SlowStartState) -> None:
         """A call was sent, by a turn that ``due`` found."""
         start.used += 1
--- a/sageturn/flows/exporter.py
+++ b/sageturn/flows/exporter.py
@@ -9,20 +9,20 @@
 import time
 from dataclasses import dataclass
 
-from sageturn.core.endings import Ending
-from sageturn.core.requests import Record
+from sageturn.core.close_reason import CloseReason
+from sageturn.core.request_lifecycle import ConnectionRecord
 from sageturn.flows import ipfix
 
 log = logging.getLogger(__name__)
 
 FLUSH_S = 0.5
 _REASONS = {
-    Ending.MUTE: ipfix.END_IDLE,
-    Ending.TIMEOUT: ipfix.END_IDLE,
-    Ending.MOVED: ipfix.END_FORCED,
-    Ending.CANCELLED: ipfix.END_FORCED,
-    Ending.BUSY: ipfix.END_RESOURCES,
-    Ending.NOT_SENT: ipfix.END_RESOURCES,
+    CloseReason.MUTE: ipfix.END_IDLE,
+    CloseReason.TIMEOUT: ipfix.END_IDLE,
+    CloseReason.MOVED: ipfix.END_FORCED,
+    CloseReason.CANCELLED: ipfix.END_FORCED,
+    CloseReason.BUSY: ipfix.END_RESOURCES,
+    CloseReason.NOT_SENT: ipfix.END_RESOURCES,
 }
 
 
@@ -34,26 +34,26 @@
     queue: int = 4096
 
 
-def to_flow(record: Record) -> ipfix.Flow:
-    ending = record.ending
-    how = ending.name.lower() if ending is not None else "not_placed"
+def to_flow(record: ConnectionRecord) -> ipfix.Flow:
+    close_reason = record.close_reason
+    how = close_reason.name.lower() if close_reason is not None else "not_placed"
     if record.answer is not None:
         how = "fail_fast" if record.answer.refused else "failed"
-    reason = ipfix.END_DETECTED if ending is None else _REASONS.get(ending, ipfix.END_DETECTED)
+    reason = ipfix.END_DETECTED if close_reason is None else _REASONS.get(close_reason, ipfix.END_DETECTED)
     return ipfix.Flow(
         start_ms=int(record.began_ms),
         end_ms=int(record.ended_ms),
         source=record.client,
         destination=record.endpoint_address,
         reason=reason,
-        octets_up=record.octets_up,
-        octets_down=record.octets_down,
+        bytes_to_endpoint=record.bytes_to_endpoint,
+        bytes_to_client=record.bytes_to_client,
         application=f"{record.front}/{record.ask.class_name}/{how}",
         user=record.ask.tenant,
     )
 
 
-class Exporter:
+class FlowExporter:
     """Never waits for the collector: whoever ends a connection only puts its flow into the queue."""
 
     def __init__(self, options: FlowOptions) -> None:
@@ -67,7 +67,7 @@
         self._told_dropped = -1
         self.dropped = 0
 
-    def ended(self, record: Record) -> None:
+    def ended(self, record: ConnectionRecord) -> None:
         try:
             self._queue.put_nowait(to_flow(record).encode())
         except asyncio.QueueFull:
--- a/sageturn/flows/ipfix.py
+++ b/sageturn/flows/ipfix.py
@@ -42,8 +42,8 @@
     source: tuple[str, int]
     destination: tuple[str, int]
     reason: int
-    octets_up: int
-    octets_down: int
+    bytes_to_endpoint: int
+    bytes_to_client: int
     application: str
     user: str
 
@@ -57,8 +57,8 @@
             self.destination[1],
             TCP,
             self.reason,
-            self.octets_up,
-            self.octets_down,
+            self.bytes_to_endpoint,
+            self.bytes_to_client,
         )
         return fixed + _text(self.application) + _text(self.user)
 
--- a/sageturn/fronts/firstline.py
+++ b/sageturn/frontends/firstline.py
@@ -5,7 +5,7 @@
 import re
 from dataclasses import dataclass
 
-from sageturn.core.messages import Ask
+from sageturn.core.messages import ClientRequest
 
 LINE_MOST = 4096
 _TOKEN = rb"[!-~]{1,64}"
@@ -22,7 +22,7 @@
 @dataclass(frozen=True, slots=True)
 class FirstLine:
     request_id: bytes
-    ask: Ask
+    ask: ClientRequest
     wait_from: int  # where in the buffer the value of d lies
     wait_to: int
     end: int
@@ -57,20 +57,20 @@
     class_name = found.get(b"c", b"").decode()
     if class_name not in classes:
         raise Malformed("c names no class")
-    hint = found.get(b"h", b"")
+    expected_load = found.get(b"h", b"")
     return FirstLine(
         bytes(match[1]),
-        Ask(
+        ClientRequest(
             class_name=class_name,
             tenant=found.get(b"t", b"").decode(),
             wait_ms=float(found[b"d"]),
             group=found.get(b"g", b"").decode(),
-            hint=float(hint) if _NUMBER.fullmatch(hint) else 0.0,
-            standing_at=found.get(b"at", b"").decode(),
+            expected_load=float(expected_load) if _NUMBER.fullmatch(expected_load) else 0.0,
+            established_endpoint=found.get(b"at", b"").decode(),
             client=match[2].decode(),
             returned=found.get(b"again") == b"1",
             retried=found.get(b"r") == b"1",
-            wire_id=match[1].decode(),
+            client_request_id=match[1].decode(),
         ),
         wait[0],
         wait[1],
--- a/sageturn/fronts/platform.py
+++ b/sageturn/frontends/platform.py
@@ -9,16 +9,17 @@
 from contextlib import suppress
 from functools import partial
 
-from sageturn.core.endings import Ending
-from sageturn.core.messages import Answer
-from sageturn.core.quiet import Quiet
-from sageturn.core.requests import RequestLife
-from sageturn.core.shared import Shared
-from sageturn.core.tasks import end_task, wait_out
-from sageturn.fronts.firstline import LINE_MOST, FirstLine, Malformed, parse_first_line
-from sageturn.fronts.ids import RequestIds
-from sageturn.fronts.pump import Broken, LinePump
-from sageturn.net.admission import Newcomer
+from sageturn.core.close_reason import CloseReason
+from sageturn.core.context import RelayContext
+from sageturn.core.idle_timeout import IdleTimeout
+from sageturn.core.messages import FinalResponse
+from sageturn.core.request_lifecycle import RequestLifecycle
+from sageturn.core.tasks import cancel_and_wait, sleep_until_elapsed
+from sageturn.decision.load_reports import TEXT_MOST, read_report
+from sageturn.frontends.firstline import LINE_MOST, FirstLine, Malformed, parse_first_line
+from sageturn.frontends.ids import RequestIds
+from sageturn.frontends.pump import Broken, LinePump
+from sageturn.net.admission import PendingConnection
 from sageturn.net.sockets import (
     CONNECT_ENDINGS,
     LINGER_S,
@@ -31,7 +32,6 @@
     until_seen,
 )
 from sageturn.net.sockets import connect_unreserved as connect
-from sageturn.reports import TEXT_MOST, read_report
 
 log = logging.getLogger(__name__)
 
@@ -49,15 +49,15 @@
 MOVE_S = 0.4  # a stop leaves HURRY_S of core/drain.py for it, and a line may be held back for a second
 
 
-class PlatformFront:
+class PlatformFrontend:
     turn_away = b"BUSY 500\r\n"
 
-    def __init__(self, shared: Shared) -> None:
+    def __init__(self, shared: RelayContext) -> None:
         self._shared = shared
-        self._classes = frozenset(c.name for c in shared.module.settings.classes)
+        self._classes = frozenset(c.name for c in shared.balancer_actor.settings.classes)
         self._ids = RequestIds()
 
-    async def serve(self, sock: socket.socket, newcomer: Newcomer) -> None:
+    async def serve(self, sock: socket.socket, newcomer: PendingConnection) -> None:
         buffer = bytearray(LINE_MOST)
         try:
             async with newcomer.within(FIRST_LINE_S):
@@ -82,7 +82,7 @@
             return  # it went as it came
         newcomer.asked()
         try:
-            await self._shared.run(_Peer(self._shared, sock, buffer, line).life)
+            await self._shared.run(_Peer(self._shared, sock, buffer, line).lifecycle)
         finally:
             self._ids.end(line.request_id)
 
@@ -98,9 +98,9 @@
                 raise Malformed("more than one line")  # a client waits for its answer before it says more
             if buffer[:end] != b"PING\r\n":
                 break
-            if self._shared.lives.stopping:
+            if self._shared.request_registry.stopping:
                 raise Malformed("stopping")
-            await self._shared.destinations.usable.wait()
+            await self._shared.endpoint_registry.usable.wait()
             await asyncio.get_running_loop().sock_sendall(sock, b"PONG\r\n")
         line = parse_first_line(buffer, end, self._classes)
         if not self._ids.take(line.request_id):
@@ -126,102 +126,104 @@
 class _Peer:
     """One client, and its endpoint once it has one: the ``Wire`` of its request."""
 
-    def __init__(self, shared: Shared, sock: socket.socket, buffer: bytearray, line: FirstLine) -> None:
+    def __init__(self, shared: RelayContext, sock: socket.socket, buffer: bytearray, line: FirstLine) -> None:
         self._shared, self._client, self._buffer, self._line = shared, sock, buffer, line
         self._ahead = b""  # what the client sent before it was answered
         self._endpoint: socket.socket | None = None
         self._answer = b""  # the endpoint's first line, and what followed it
         self._last_line = b""
-        self.life = RequestLife(shared.module, self, line.ask)
-        self.life.record.client = sock.getpeername()
+        self.lifecycle = RequestLifecycle(shared.balancer_actor, self, line.ask)
+        self.lifecycle.record.client = sock.getpeername()
         self._loads: asyncio.Queue[float] = asyncio.Queue(16)
 
     # ------------------------------------------------------------ one outbound call
 
-    async def call(self, endpoint: str, patience_ms: float, connect_ms: float) -> Ending | None:
+    async def open_upstream(self, endpoint: str, patience_ms: float, connect_ms: float) -> CloseReason | None:
         loop = asyncio.get_running_loop()
         until = loop.time() + patience_ms / 1000.0
-        address = self._shared.destinations.addresses.get(endpoint)
+        address = self._shared.endpoint_registry.addresses.get(endpoint)
         if address is None:
-            return Ending.NOT_SENT
+            return CloseReason.NOT_SENT
         # What stood there before this relay did goes back there, also while that endpoint drains.
         wanted = None
-        if not self._line.ask.standing_at:
-            wanted = partial(self._shared.destinations.ready, endpoint, address)
-        if (held_back := self.life.held_back(wanted)) is not None:
+        if not self._line.ask.established_endpoint:
+            wanted = partial(self._shared.endpoint_registry.ready, endpoint, address)
+        if (held_back := self.lifecycle.blocking_reason(wanted)) is not None:
             return held_back
         sock = await connect(address, connect_ms / 1000.0)
         if isinstance(sock, Connect):
             return CONNECT_ENDINGS[sock]
-        if (held_back := self.life.before_writing(wanted)) is not None:
+        if (held_back := self.lifecycle.check_before_write(wanted)) is not None:
             sock.close()
             return held_back
         stands = False
         try:
             try:
                 async with asyncio.timeout_at(until):
-                    ending = await self._ask(sock, until)
+                    close_reason = await self._ask(sock, until)
             except TimeoutError:
-                return Ending.TIMEOUT
-            stands = ending is None
-            return ending
+                return CloseReason.TIMEOUT
+            stands = close_reason is None
+            return close_reason
         finally:
             if stands:
                 self._endpoint = sock
-                self.life.record.endpoint_address = address
+                self.lifecycle.record.endpoint_address = address
             else:
                 sock.close()
 
-    async def _ask(self, sock: socket.socket, until: float) -> Ending | None:
+    async def _ask(self, sock: socket.socket, until: float) -> CloseReason | None:
         loop = asyncio.get_running_loop()
         line, view = self._line, memoryview(self._buffer)
         wait = b"%d" % max(1, int((until - loop.time()) * 1000.0))
         try:
-            async with asyncio.timeout_at(min(until, loop.time() + self.life.key_left_ms() / 1000.0)):
+            async with asyncio.timeout_at(
+                min(until, loop.time() + self.lifecycle.key_remaining_ms() / 1000.0)
+            ):
                 await send_gathered(sock, (view[: line.wait_from], wait, view[line.wait_to : line.end]))
         except TimeoutError:
             raise  # its last byte may have been taken in this very instant
         except OSError:
-            return Ending.CUT_BEFORE_WRITTEN
+            return CloseReason.CUT_BEFORE_WRITTEN
         answer = bytearray(LINE_MOST)
         try:
             end, filled = await _read_line(sock, answer)
         except OSError:
-            return Ending.RESET
+            return CloseReason.RESET
         if not end:
-            return Ending.GARBLED if filled == len(answer) else Ending.ENDED
+            return CloseReason.GARBLED if filled == len(answer) else CloseReason.ENDED
         if _UP.fullmatch(answer, 0, end):
             self._answer = bytes(answer[:filled])
             return None
         if not _WORD.fullmatch(answer, 0, filled):
-            return Ending.GARBLED  # spoilt, or more came after it: no proof of anything
-        return self._ending_of(bytes(answer[:end]), _FIRST_WORDS, Ending.GARBLED)
+            return CloseReason.GARBLED  # spoilt, or more came after it: no proof of anything
+        return self._ending_of(bytes(answer[:end]), _FIRST_WORDS, CloseReason.GARBLED)
 
-    def _ending_of(self, line: bytes, words: dict[bytes, Ending], other: Ending) -> Ending:
+    def _ending_of(self, line: bytes, words: dict[bytes, CloseReason], other: CloseReason) -> CloseReason:
         """What a word that ends a call or a connection means; a load report may follow it."""
         word, *rest = line.split(None, 1) or [b""]
-        if word in words and rest and self._shared.module.settings.reports == "answers":
-            fields = self._shared.module.settings.report_fields
-            self.life.record.report = read_report(rest[0], fields, self._shared.dropped)
+        if word in words and rest and self._shared.balancer_actor.settings.reports == "answers":
+            fields = self._shared.balancer_actor.settings.report_fields
+            self.lifecycle.record.report = read_report(rest[0], fields, self._shared.dropped)
         return words.get(word, other)
 
-    async def client_left(self) -> Ending:
-        return await until_seen(self._client, self.look_at_client)
+    async def wait_client_disconnect(self) -> CloseReason:
+        return await until_seen(self._client, self.poll_client)
 
-    def look_at_client(self) -> Ending | None:
+    def poll_client(self) -> CloseReason | None:
         while len(self._ahead) < LINE_MOST:
             try:
                 more = self._client.recv(1024)
             except BlockingIOError:
                 return None
             except OSError:
-                return Ending.CLIENT_RESET
+                return CloseReason.CLIENT_RESET
             if not more:
-                return Ending.CLIENT_LEFT
+                return CloseReason.CLIENT_LEFT
             self._ahead += more
-        return Ending.CLIENT_FAULT
+        return CloseReason.CLIENT_FAULT
 
-    async def answer(self, answer: Answer) -> None:
+    async def send_final_response(self, answer: FinalResponse) -> None:
         if not answer.refused:
             text = f"ERR {answer.why}\r\n".encode()
         elif answer.retry_after_ms >= 1:
@@ -236,89 +238,92 @@
 
     # ------------------------------------------------------------ while it stands
 
-    async def drop(self) -> None:
+    async def close_upstream(self) -> None:
         if self._endpoint is not None:
             reset(self._endpoint)
 
-    async def accept(self) -> None:
+    async def accept_client(self) -> None:
         """The endpoint's UP goes out with all that followed it, as the first lines of the pump."""
 
-    async def stand(self, stop: asyncio.Event) -> Ending:
+    async def relay_traffic(self, stop: asyncio.Event) -> CloseReason:
         endpoint = self._endpoint
         assert endpoint is not None
         down = LinePump(endpoint, self._client, self._from_endpoint, self._answer)
         up = LinePump(self._client, endpoint, self._from_client, self._ahead)
         self._buffer, self._answer, self._ahead = bytearray(), b"", b""
-        self._quiet = Quiet(asyncio.get_running_loop().time(), MUTE_S, LINE_EVERY_S)
+        self._quiet = IdleTimeout(asyncio.get_running_loop().time(), MUTE_S, LINE_EVERY_S)
         downward, upward = asyncio.ensure_future(down.run()), asyncio.ensure_future(up.run())
         stopping = asyncio.ensure_future(stop.wait())
-        muting = asyncio.ensure_future(wait_out(self._quiet.left_s))
+        muting = asyncio.ensure_future(sleep_until_elapsed(self._quiet.left_s))
         noting = asyncio.ensure_future(self._pass_loads())
         try:
             await asyncio.wait((downward, upward, stopping, muting), return_when=asyncio.FIRST_COMPLETED)
-            moved = Ending.MOVED if stopping.done() else Ending.MUTE
+            moved = CloseReason.MOVED if stopping.done() else CloseReason.MUTE
             if not downward.done() and not upward.done() and await self._moved(down, downward, upward, moved):
                 return moved
             if downward.done():
                 return await self._endpoint_ended(downward, upward)
             if upward.done():
                 return await self._client_ended(upward, downward)
-            return Ending.CUT_OFF
+            return CloseReason.CUT_OFF
         finally:
             for task in (downward, upward, stopping, muting, noting):
-                await end_task(task)
-            self.life.record.octets_down, self.life.record.octets_up = down.passed, up.passed
-            self.life.record.quiet_s = asyncio.get_running_loop().time() - self._quiet.heard_s
+                await cancel_and_wait(task)
+            self.lifecycle.record.bytes_to_client, self.lifecycle.record.bytes_to_endpoint = (
+                down.passed,
+                up.passed,
+            )
+            self.lifecycle.record.quiet_s = asyncio.get_running_loop().time() - self._quiet.heard_s
             await asyncio.gather(close_politely(self._client), close_politely(endpoint))
 
     async def _moved(
-        self, down: LinePump, downward: asyncio.Task[None], upward: asyncio.Task[None], why: Ending
+        self, down: LinePump, downward: asyncio.Task[None], upward: asyncio.Task[None], why: CloseReason
     ) -> bool:
         """Tell the client MOVE. One that reads nothing just now is let be until it does, or is itself over,
         unless there is no more time: its endpoint is mute, or the stop of the relay has come to its end.
         """
         putting = asyncio.ensure_future(down.put_last(b"MOVE\r\n"))
-        over = asyncio.ensure_future(self.life.over.wait())
+        over = asyncio.ensure_future(self.lifecycle.over.wait())
         ends = putting, downward, upward
         try:
-            if why is Ending.MOVED:
+            if why is CloseReason.MOVED:
                 await asyncio.wait((*ends, over), return_when=asyncio.FIRST_COMPLETED)
             if not any(task.done() for task in ends):
                 await asyncio.wait(ends, timeout=MOVE_S, return_when=asyncio.FIRST_COMPLETED)
         finally:
-            await end_task(over)
-            await end_task(putting)
+            await cancel_and_wait(over)
+            await cancel_and_wait(putting)
         return not putting.cancelled() and putting.result()
 
-    async def _endpoint_ended(self, downward: asyncio.Task[None], upward: asyncio.Task[None]) -> Ending:
+    async def _endpoint_ended(self, downward: asyncio.Task[None], upward: asyncio.Task[None]) -> CloseReason:
         assert self._endpoint is not None
         error = downward.exception()
         if isinstance(error, Broken):
             if error.source:
                 reset(self._client)
-                return Ending.RESET
+                return CloseReason.RESET
             reset(self._endpoint)
-            return Ending.CLIENT_RESET
+            return CloseReason.CLIENT_RESET
         end_sending(self._client)
         await asyncio.wait((upward,), timeout=LAST_WORD_S)
-        return self._ending_of(self._last_line, _LAST_WORDS, Ending.ENDED)
+        return self._ending_of(self._last_line, _LAST_WORDS, CloseReason.ENDED)
 
-    async def _client_ended(self, upward: asyncio.Task[None], downward: asyncio.Task[None]) -> Ending:
+    async def _client_ended(self, upward: asyncio.Task[None], downward: asyncio.Task[None]) -> CloseReason:
         assert self._endpoint is not None
         error = upward.exception()
         if isinstance(error, Broken):
             if error.source:
                 reset(self._endpoint)
-                return Ending.CLIENT_RESET
+                return CloseReason.CLIENT_RESET
             # Writing failed, so the endpoint has gone; what it said last may still lie unread.
             await asyncio.wait((downward,), timeout=LAST_WORD_S)
             if downward.done():
                 return await self._endpoint_ended(downward, upward)
             reset(self._client)
-            return Ending.RESET
+            return CloseReason.RESET
         end_sending(self._endpoint)
         await asyncio.wait((downward,), timeout=LAST_WORD_S)
-        return Ending.CLIENT_LEFT
+        return CloseReason.CLIENT_LEFT
 
     def _from_endpoint(self, buffer: bytearray, whole: int) -> None:
         self._quiet.heard(asyncio.get_running_loop().time())
@@ -344,16 +349,16 @@
 
     async def _pass_loads(self) -> None:
         while True:
-            await self.life.note_load(await self._loads.get())
+            await self.lifecycle.report_load(await self._loads.get())
 
 
 # Strict: a client is served with nothing but what a live host made for it, and a spoilt line is not that.
 _UP = re.compile(rb"UP [ -~]+\r\n")
 _WORD = re.compile(rb"[A-Z]+( [ -~]*)?\r\n")
 _FIRST_WORDS = {
-    b"BUSY": Ending.BUSY,
-    b"ERR": Ending.ERROR,
-    b"BYE": Ending.SERVED,
-    b"MOVE": Ending.SENT_AWAY,
+    b"BUSY": CloseReason.BUSY,
+    b"ERR": CloseReason.ERROR,
+    b"BYE": CloseReason.SERVED,
+    b"MOVE": CloseReason.SENT_AWAY,
 }
-_LAST_WORDS = {b"BYE": Ending.SERVED, b"MOVE": Ending.SENT_AWAY}
+_LAST_WORDS = {b"BYE": CloseReason.SERVED, b"MOVE": CloseReason.SENT_AWAY}
--- a/sageturn/fronts/xmpp/accept.py
+++ b/sageturn/frontends/xmpp/accept.py
@@ -13,11 +13,11 @@
 
 from scramp import ScramException, ScramMechanism  # type: ignore[import-untyped]
 
-from sageturn.fronts.xmpp.accounts import MECHANISM, Account, Accounts
-from sageturn.fronts.xmpp.channel import Channel, TlsChannel
-from sageturn.fronts.xmpp.errors import StreamFault
-from sageturn.fronts.xmpp.options import XmppOptions
-from sageturn.fronts.xmpp.session import Session
+from sageturn.frontends.xmpp.accounts import MECHANISM, Account, Accounts
+from sageturn.frontends.xmpp.channel import Channel, TlsChannel
+from sageturn.frontends.xmpp.errors import StreamFault
+from sageturn.frontends.xmpp.options import XmppOptions
+from sageturn.frontends.xmpp.session import XmppSession
 
 TLS = "urn:ietf:params:xml:ns:xmpp-tls"
 SASL = "urn:ietf:params:xml:ns:xmpp-sasl"
@@ -51,7 +51,7 @@
 
 
 class Acceptor:
-    def __init__(self, session: Session, options: XmppOptions, accounts: Accounts) -> None:
+    def __init__(self, session: XmppSession, options: XmppOptions, accounts: Accounts) -> None:
         self.session, self._options, self._accounts = session, options, accounts
 
     async def run(self) -> Wish:
@@ -130,12 +130,12 @@
             names.append(name)
             return look_up(name)
 
-        server = ScramMechanism(MECHANISM).make_server(remember)
+        endpoint = ScramMechanism(MECHANISM).make_server(remember)
         try:
-            server.set_client_first(_from_base64(element.text).decode())
-            answer = await self._challenge(server.get_server_first())
-            server.set_client_final(answer)
-            final = server.get_server_final()
+            endpoint.set_client_first(_from_base64(element.text).decode())
+            answer = await self._challenge(endpoint.get_server_first())
+            endpoint.set_client_final(answer)
+            final = endpoint.get_server_final()
         except (ScramException, UnicodeDecodeError):
             raise _SaslFailure("not-authorized") from None
         account = self._accounts.find(names[0])
@@ -168,5 +168,5 @@
         return Wish(account, element.get("id", ""), resource or secrets.token_hex(8))
 
 
-def first_session(sock: socket.socket) -> Session:
-    return Session(Channel(sock))
+def first_session(sock: socket.socket) -> XmppSession:
+    return XmppSession(Channel(sock))
--- a/sageturn/fronts/xmpp/accounts.py
+++ b/sageturn/frontends/xmpp/accounts.py
@@ -32,14 +32,14 @@
 ) -> dict[str, Any]:
     """What the store keeps: the password itself cannot be had back from it."""
     made = ScramMechanism(MECHANISM).make_auth_info(password, iteration_count=iterations)
-    salt, stored, server, count = made
+    salt, stored, endpoint, count = made
     return {
         "class": class_name,
         "tenant": tenant,
         "group": group,
         "salt": salt.hex(),
         "stored_key": stored.hex(),
-        "server_key": server.hex(),
+        "server_key": endpoint.hex(),
         "iterations": count,
     }
 
--- a/sageturn/fronts/xmpp/dial.py
+++ b/sageturn/frontends/xmpp/dial.py
@@ -10,24 +10,24 @@
 
 from scramp import ScramClient, ScramException  # type: ignore[import-untyped]
 
-from sageturn.core.endings import Ending
-from sageturn.fronts.xmpp.accept import BIND, SASL, TLS, Wish
-from sageturn.fronts.xmpp.accounts import MECHANISM
-from sageturn.fronts.xmpp.channel import TlsChannel
-from sageturn.fronts.xmpp.errors import BEFORE, CONDITIONS, STREAMS, StreamFault
-from sageturn.fronts.xmpp.options import EndpointOptions
-from sageturn.fronts.xmpp.session import Session
-from sageturn.fronts.xmpp.stream import Stanza
+from sageturn.core.close_reason import CloseReason
+from sageturn.frontends.xmpp.accept import BIND, SASL, TLS, Wish
+from sageturn.frontends.xmpp.accounts import MECHANISM
+from sageturn.frontends.xmpp.channel import TlsChannel
+from sageturn.frontends.xmpp.errors import BEFORE, CONDITIONS, STREAMS, StreamFault
+from sageturn.frontends.xmpp.options import EndpointOptions
+from sageturn.frontends.xmpp.session import XmppSession
+from sageturn.frontends.xmpp.stream import Stanza
 
-STANZA_ERRORS = {"resource-constraint": Ending.BUSY, "service-unavailable": Ending.BUSY}
+STANZA_ERRORS = {"resource-constraint": CloseReason.BUSY, "service-unavailable": CloseReason.BUSY}
 
 
-class Refusal(Exception):
+class EndpointLoginRejected(Exception):
     """The endpoint did not take the session; ``ending`` is what the core is told."""
 
-    def __init__(self, ending: Ending) -> None:
-        super().__init__(ending.name)
-        self.ending = ending
+    def __init__(self, close_reason: CloseReason) -> None:
+        super().__init__(close_reason.name)
+        self.close_reason = close_reason
 
 
 def stream_condition(element: Element) -> str:
@@ -41,7 +41,11 @@
 
 class Dialer:
     def __init__(
-        self, session: Session, options: EndpointOptions, wish: Wish, ask: Callable[[], Ending | None]
+        self,
+        session: XmppSession,
+        options: EndpointOptions,
+        wish: Wish,
+        ask: Callable[[], CloseReason | None],
     ) -> None:
         """``ask``: asked before the bind is written; an ending if it may not be."""
         self._session, self._options, self._wish, self._ask = session, options, wish, ask
@@ -51,25 +55,27 @@
         try:
             return await self._run()
         except (ssl.SSLError, ScramException, StreamFault):
-            raise Refusal(Ending.GARBLED) from None
+            raise EndpointLoginRejected(CloseReason.GARBLED) from None
 
     async def _run(self) -> str:
         features = await self._header()
         if self._options.tls is not None:
             if features.find(f"{{{TLS}}}starttls") is None:
-                raise Refusal(Ending.ERROR)  # an endpoint that lost its TLS is not spoken to in the clear
+                raise EndpointLoginRejected(
+                    CloseReason.ERROR
+                )  # an endpoint that lost its TLS is not spoken to in the clear
             features = await self._start_tls(self._options.tls)
         resource = await self._authenticate(features)
         self._session.restart()
         await self._header()
         if (held_back := self._ask()) is not None:
-            raise Refusal(held_back)
+            raise EndpointLoginRejected(held_back)
         return await self._bind(resource)
 
     async def _stanza(self) -> Element:
         stanza: Stanza = await self._session.expect_stanza()
         if stanza.element.tag == f"{{{STREAMS}}}error":
-            raise Refusal(BEFORE.get(stream_condition(stanza.element), Ending.ERROR))
+            raise EndpointLoginRejected(BEFORE.get(stream_condition(stanza.element), CloseReason.ERROR))
         return stanza.element
 
     async def _header(self) -> Element:
@@ -77,13 +83,13 @@
         await self._session.expect_open()
         features = await self._stanza()
         if features.tag != f"{{{STREAMS}}}features":
-            raise Refusal(Ending.GARBLED)
+            raise EndpointLoginRejected(CloseReason.GARBLED)
         return features
 
     async def _start_tls(self, context: ssl.SSLContext) -> Element:
         await self._session.send(f"<starttls xmlns='{TLS}'/>".encode())
         if (await self._stanza()).tag != f"{{{TLS}}}proceed":
-            raise Refusal(Ending.ERROR)
+            raise EndpointLoginRejected(CloseReason.ERROR)
         channel = TlsChannel(self._session.channel.sock, context, False, self._options.domain)
         self._session.restart(channel)
         await channel.handshake()
@@ -102,10 +108,10 @@
             text = f"{acts_for}\0{self._options.username}\0{self._options.password}"
             await self._auth("PLAIN", text)
             if (await self._stanza()).tag != f"{{{SASL}}}success":
-                raise Refusal(Ending.ERROR)
+                raise EndpointLoginRejected(CloseReason.ERROR)
             return resource
         if MECHANISM not in offered:
-            raise Refusal(Ending.ERROR)
+            raise EndpointLoginRejected(CloseReason.ERROR)
         client = ScramClient([MECHANISM], self._options.username, self._options.password)
         await self._auth(MECHANISM, client.get_client_first())
         client.set_server_first(await self._said("challenge"))
@@ -121,11 +127,11 @@
     async def _said(self, expected: str) -> str:
         element = await self._stanza()
         if element.tag != f"{{{SASL}}}{expected}":
-            raise Refusal(Ending.ERROR)
+            raise EndpointLoginRejected(CloseReason.ERROR)
         try:
             return base64.b64decode(element.text or "").decode()
         except ValueError:
-            raise Refusal(Ending.GARBLED) from None
+            raise EndpointLoginRejected(CloseReason.GARBLED) from None
 
     async def _bind(self, resource: str) -> str:
         wish = f"<bind xmlns='{BIND}'><resource>{escape(resource)}</resource></bind>"
@@ -136,7 +142,7 @@
             return jid
         error = element.find("{jabber:client}error")
         for child in error if error is not None else ():
-            ending = STANZA_ERRORS.get(child.tag.rpartition("}")[2])
-            if ending is not None:
-                raise Refusal(ending)
-        raise Refusal(Ending.ERROR)
+            close_reason = STANZA_ERRORS.get(child.tag.rpartition("}")[2])
+            if close_reason is not None:
+                raise EndpointLoginRejected(close_reason)
+        raise EndpointLoginRejected(CloseReason.ERROR)
--- a/sageturn/fronts/xmpp/errors.py
+++ b/sageturn/frontends/xmpp/errors.py
@@ -4,8 +4,8 @@
 
 from xml.sax.saxutils import escape
 
-from sageturn.core.endings import Ending
-from sageturn.core.messages import Answer
+from sageturn.core.close_reason import CloseReason
+from sageturn.core.messages import FinalResponse
 
 STREAMS = "http://etherx.jabber.org/streams"
 CONDITIONS = "urn:ietf:params:xml:ns:xmpp-streams"
@@ -26,7 +26,7 @@
     return f"<stream:error><{condition} xmlns='{CONDITIONS}'/>{said}{extra}</stream:error>".encode()
 
 
-def answer_xml(answer: Answer) -> bytes:
+def answer_xml(answer: FinalResponse) -> bytes:
     """A fail-fast refusal tells when to come again; it and a failure are told apart by the condition."""
     if answer.refused and answer.why == "shutdown":
         return error_xml("system-shutdown", "come again", _retry(answer.retry_after_ms))
@@ -49,9 +49,13 @@
 
 
 # An endpoint's stream error: before the session stands, and after.
-BEFORE = {"resource-constraint": Ending.BUSY, "system-shutdown": Ending.BUSY, "see-other-host": Ending.BUSY}
+BEFORE = {
+    "resource-constraint": CloseReason.BUSY,
+    "system-shutdown": CloseReason.BUSY,
+    "see-other-host": CloseReason.BUSY,
+}
 AFTER = {
-    "system-shutdown": Ending.SENT_AWAY,
-    "see-other-host": Ending.SENT_AWAY,
-    "reset": Ending.SENT_AWAY,
+    "system-shutdown": CloseReason.SENT_AWAY,
+    "see-other-host": CloseReason.SENT_AWAY,
+    "reset": CloseReason.SENT_AWAY,
 }
--- a/sageturn/fronts/xmpp/front.py
+++ b/sageturn/frontends/xmpp/front.py
@@ -10,20 +10,20 @@
 from functools import partial
 from xml.sax.saxutils import escape, quoteattr
 
-from sageturn.core.endings import Ending
-from sageturn.core.messages import Answer, Ask
-from sageturn.core.quiet import Quiet
-from sageturn.core.requests import RequestLife
-from sageturn.core.shared import Shared
-from sageturn.core.tasks import end_task, wait_out
-from sageturn.fronts.xmpp.accept import BIND, Acceptor, Wish, first_session
-from sageturn.fronts.xmpp.accounts import Accounts
-from sageturn.fronts.xmpp.dial import Dialer, Refusal, stream_condition
-from sageturn.fronts.xmpp.errors import AFTER, OURS, STREAMS, StreamFault, answer_xml, error_xml, move_xml
-from sageturn.fronts.xmpp.options import XmppOptions
-from sageturn.fronts.xmpp.session import Session
-from sageturn.fronts.xmpp.stream import Closed, Stanza
-from sageturn.net.admission import Newcomer
+from sageturn.core.close_reason import CloseReason
+from sageturn.core.context import RelayContext
+from sageturn.core.idle_timeout import IdleTimeout
+from sageturn.core.messages import ClientRequest, FinalResponse
+from sageturn.core.request_lifecycle import RequestLifecycle
+from sageturn.core.tasks import cancel_and_wait, sleep_until_elapsed
+from sageturn.frontends.xmpp.accept import BIND, Acceptor, Wish, first_session
+from sageturn.frontends.xmpp.accounts import Accounts
+from sageturn.frontends.xmpp.dial import Dialer, EndpointLoginRejected, stream_condition
+from sageturn.frontends.xmpp.errors import AFTER, OURS, STREAMS, StreamFault, answer_xml, error_xml, move_xml
+from sageturn.frontends.xmpp.options import XmppOptions
+from sageturn.frontends.xmpp.session import XmppSession
+from sageturn.frontends.xmpp.stream import Closed, Stanza
+from sageturn.net.admission import PendingConnection
 from sageturn.net.sockets import (
     CONNECT_ENDINGS,
     LINGER_S,
@@ -50,14 +50,14 @@
 )
 
 
-class XmppFront:
+class XmppFrontend:
     turn_away = TURN_AWAY
 
-    def __init__(self, shared: Shared, options: XmppOptions, accounts: Accounts) -> None:
+    def __init__(self, shared: RelayContext, options: XmppOptions, accounts: Accounts) -> None:
         self._shared, self._accounts = shared, accounts
         self.options = options  # replaced when the configuration is read again: for those who come later
 
-    async def serve(self, sock: socket.socket, newcomer: Newcomer) -> None:
+    async def serve(self, sock: socket.socket, newcomer: PendingConnection) -> None:
         options, session = self.options, first_session(sock)
         fault = StreamFault("connection-timeout")
         try:
@@ -77,7 +77,7 @@
         else:
             newcomer.asked()
             peer = _Peer(self._shared, options, session, wish)
-            await self._shared.run(peer.life)
+            await self._shared.run(peer.lifecycle)
             return
         log.info("xmpp: %s", fault)
         with suppress(TimeoutError):
@@ -92,30 +92,30 @@
 class _Peer:
     """One client's stream, and its endpoint's once it has one."""
 
-    def __init__(self, shared: Shared, options: XmppOptions, session: Session, wish: Wish) -> None:
+    def __init__(self, shared: RelayContext, options: XmppOptions, session: XmppSession, wish: Wish) -> None:
         self._shared, self._options, self._client, self._wish = shared, options, session, wish
         account = wish.account
         client = f"{account.name}/{wish.resource}"
-        ask = Ask(account.class_name, account.tenant, options.wait_ms, account.group, client=client)
-        self.life = RequestLife(shared.module, self, ask)
-        self.life.record.client = session.channel.sock.getpeername()
-        self.life.record.front = "xmpp"
-        self._endpoint: Session | None = None
+        ask = ClientRequest(account.class_name, account.tenant, options.wait_ms, account.group, client=client)
+        self.lifecycle = RequestLifecycle(shared.balancer_actor, self, ask)
+        self.lifecycle.record.client = session.channel.sock.getpeername()
+        self.lifecycle.record.front = "xmpp"
+        self._endpoint: XmppSession | None = None
         self._jid = ""
         self._waiting: list[Stanza] = []  # sent by the client before it was answered
-        self._quiet = Quiet(asyncio.get_running_loop().time(), options.mute_s)
+        self._quiet = IdleTimeout(asyncio.get_running_loop().time(), options.mute_s)
         self._down_at_rest = asyncio.Lock()
 
     # ------------------------------------------------------------ one outbound call
 
-    async def call(self, endpoint: str, patience_ms: float, connect_ms: float) -> Ending | None:
+    async def open_upstream(self, endpoint: str, patience_ms: float, connect_ms: float) -> CloseReason | None:
         until = asyncio.get_running_loop().time() + patience_ms / 1000.0
-        listed = self._shared.destinations.addresses.get(endpoint)
+        listed = self._shared.endpoint_registry.addresses.get(endpoint)
         if listed is None:
-            return Ending.NOT_SENT
+            return CloseReason.NOT_SENT
         address = (listed[0], self._options.port) if self._options.port else listed
-        wanted = partial(self._shared.destinations.ready, endpoint, listed)
-        if (held_back := self.life.held_back(wanted)) is not None:
+        wanted = partial(self._shared.endpoint_registry.ready, endpoint, listed)
+        if (held_back := self.lifecycle.blocking_reason(wanted)) is not None:
             return held_back
         sock = await connect(address, connect_ms / 1000.0)
         if isinstance(sock, Connect):
@@ -124,91 +124,96 @@
         stands = False
         try:
             async with asyncio.timeout_at(until):
-                ask = partial(self.life.before_writing, wanted)
+                ask = partial(self.lifecycle.check_before_write, wanted)
                 self._jid = await Dialer(session, self._options.endpoint, self._wish, ask).run()
             stands = True
         except TimeoutError:
-            return Ending.TIMEOUT
-        except Refusal as refusal:
-            return refusal.ending
+            return CloseReason.TIMEOUT
+        except EndpointLoginRejected as refusal:
+            return refusal.close_reason
         except OSError:
             # The placement is the bind: until that was written nothing of the request was sent.
-            return Ending.RESET if self.life.written else Ending.CUT_BEFORE_WRITTEN
+            return CloseReason.RESET if self.lifecycle.written else CloseReason.CUT_BEFORE_WRITTEN
         finally:
             if stands:
                 self._endpoint = session
-                self.life.record.endpoint_address = address
+                self.lifecycle.record.endpoint_address = address
             else:
                 sock.close()
         return None
 
-    async def client_left(self) -> Ending:
-        return await until_seen(self._client.channel.sock, self.look_at_client)
+    async def wait_client_disconnect(self) -> CloseReason:
+        return await until_seen(self._client.channel.sock, self.poll_client)
 
-    def look_at_client(self) -> Ending | None:
+    def poll_client(self) -> CloseReason | None:
         """A client that ends its stream has cancelled its request, though its connection may stay open."""
         pieces = self._client.parser.pieces
         try:
             ended = self._client.take_at_hand()
         except OSError:
-            return Ending.CLIENT_RESET
+            return CloseReason.CLIENT_RESET
         except StreamFault:
-            return Ending.CLIENT_FAULT
+            return CloseReason.CLIENT_FAULT
         while pieces and len(self._waiting) < WAITING_MOST:
             piece = pieces.popleft()
             if isinstance(piece, Closed):
-                return Ending.CLIENT_LEFT
+                return CloseReason.CLIENT_LEFT
             if isinstance(piece, Stanza):
                 self._waiting.append(piece)
         # What lies unread beyond that much, or is half a record of TLS, hides no end of the connection.
         if ended or has_ended(self._client.channel.sock):
-            return Ending.CLIENT_LEFT
-        return Ending.CLIENT_FAULT if len(self._waiting) >= WAITING_MOST else None
+            return CloseReason.CLIENT_LEFT
+        return CloseReason.CLIENT_FAULT if len(self._waiting) >= WAITING_MOST else None
 
-    async def answer(self, answer: Answer) -> None:
+    async def send_final_response(self, answer: FinalResponse) -> None:
         await self._client.end(answer_xml(answer))
         await close_politely(self._client.channel.sock)
 
     # ------------------------------------------------------------ while it stands
 
-    async def drop(self) -> None:
+    async def close_upstream(self) -> None:
         if self._endpoint is not None:
             reset(self._endpoint.channel.sock)
 
-    async def accept(self) -> None:
+    async def accept_client(self) -> None:
         bound = f"<bind xmlns='{BIND}'><jid>{escape(self._jid)}</jid></bind>"
         await self._client.send(f"<iq type='result' id={quoteattr(self._wish.iq_id)}>{bound}</iq>".encode())
 
-    async def stand(self, stop: asyncio.Event) -> Ending:
+    async def relay_traffic(self, stop: asyncio.Event) -> CloseReason:
         endpoint = self._endpoint
         assert endpoint is not None
         downward = asyncio.ensure_future(self._downward(endpoint))
         upward = asyncio.ensure_future(self._upward(endpoint))
         stopping = asyncio.ensure_future(stop.wait())
-        muting = asyncio.ensure_future(wait_out(self._quiet.left_s))
+        muting = asyncio.ensure_future(sleep_until_elapsed(self._quiet.left_s))
         last = b""
         try:
             await asyncio.wait((downward, upward, stopping, muting), return_when=asyncio.FIRST_COMPLETED)
             if downward.done():
-                ending, last = downward.result()
+                close_reason, last = downward.result()
             elif upward.done():
-                ending, last = upward.result()
-                if ending is Ending.CLIENT_LEFT:
+                close_reason, last = upward.result()
+                if close_reason is CloseReason.CLIENT_LEFT:
                     await endpoint.end()
                     await asyncio.wait((downward,), timeout=LAST_WORD_S)
             else:
-                ending, last = Ending.MOVED if stopping.done() else Ending.MUTE, move_xml()
+                close_reason, last = CloseReason.MOVED if stopping.done() else CloseReason.MUTE, move_xml()
                 if not await self._come_to_rest(downward, endpoint):
                     reset(self._client.channel.sock)  # a stanza is stuck half written: no word can follow
         finally:
             for task in (downward, upward, stopping, muting):
-                await end_task(task)
-            self.life.record.octets_up, self.life.record.octets_down = endpoint.sent, self._client.sent
-            self.life.record.quiet_s = asyncio.get_running_loop().time() - self._quiet.heard_s
-        await self._part(endpoint, ending, last)
-        return ending
+                await cancel_and_wait(task)
+            self.lifecycle.record.bytes_to_endpoint, self.lifecycle.record.bytes_to_client = (
+                endpoint.sent,
+                self._client.sent,
+            )
+            self.lifecycle.record.quiet_s = asyncio.get_running_loop().time() - self._quiet.heard_s
+        await self._part(endpoint, close_reason, last)
+        return close_reason
 
-    async def _come_to_rest(self, downward: asyncio.Task[tuple[Ending, bytes]], endpoint: Session) -> bool:
+    async def _come_to_rest(
+        self, downward: asyncio.Task[tuple[CloseReason, bytes]], endpoint: XmppSession
+    ) -> bool:
         """Wait, for a while, until no stanza is half on its way to the client."""
         loop = asyncio.get_running_loop()
         until = loop.time() + REST_S
@@ -220,13 +225,13 @@
                 return await self._down_at_rest.acquire()
         return False
 
-    async def _part(self, endpoint: Session, ending: Ending, last: bytes) -> None:
+    async def _part(self, endpoint: XmppSession, close_reason: CloseReason, last: bytes) -> None:
         client_sock, endpoint_sock = self._client.channel.sock, endpoint.channel.sock
-        if ending is Ending.CLIENT_RESET:
+        if close_reason is CloseReason.CLIENT_RESET:
             reset(endpoint_sock)
             client_sock.close()
             return
-        if ending is Ending.RESET:
+        if close_reason is CloseReason.RESET:
             reset(client_sock)
             endpoint_sock.close()
             return
@@ -235,7 +240,7 @@
                 await asyncio.gather(self._client.end(last), endpoint.end())
         await asyncio.gather(close_politely(client_sock), close_politely(endpoint_sock))
 
-    async def _downward(self, endpoint: Session) -> tuple[Ending, bytes]:
+    async def _downward(self, endpoint: XmppSession) -> tuple[CloseReason, bytes]:
         """From the endpoint to the client; with the ending, the stream error that the client is owed."""
         loop = asyncio.get_running_loop()
         try:
@@ -243,26 +248,28 @@
                 piece = await endpoint.next()
                 self._quiet.heard(loop.time())
                 if piece is None:
-                    return Ending.ENDED, error_xml("remote-connection-failed")
+                    return CloseReason.ENDED, error_xml("remote-connection-failed")
                 if isinstance(piece, Closed):
-                    return Ending.SERVED, b""
+                    return CloseReason.SERVED, b""
                 if not isinstance(piece, Stanza):
                     continue
                 if piece.element.tag == f"{{{STREAMS}}}error":
-                    ending = AFTER.get(stream_condition(piece.element), Ending.ERROR)
-                    return ending, piece.raw
+                    close_reason = AFTER.get(stream_condition(piece.element), CloseReason.ERROR)
+                    return close_reason, piece.raw
                 await self._note_load(piece)
                 async with self._down_at_rest:
                     try:
                         await self._client.send(piece.raw)
                     except OSError:
-                        return Ending.CLIENT_RESET, b""
+                        return CloseReason.CLIENT_RESET, b""
         except OSError:
-            return Ending.RESET, b""
+            return CloseReason.RESET, b""
         except StreamFault:
-            return Ending.GARBLED, error_xml("remote-connection-failed", "the endpoint's stream broke off")
+            return CloseReason.GARBLED, error_xml(
+                "remote-connection-failed", "the endpoint's stream broke off"
+            )
 
-    async def _upward(self, endpoint: Session) -> tuple[Ending, bytes]:
+    async def _upward(self, endpoint: XmppSession) -> tuple[CloseReason, bytes]:
         """From the client to the endpoint; with the ending, the stream error that the client is owed."""
         loop = asyncio.get_running_loop()
         waiting, self._waiting = self._waiting, []
@@ -270,11 +277,11 @@
             try:
                 piece = waiting.pop(0) if waiting else await self._client.next()
             except OSError:
-                return Ending.CLIENT_RESET, b""
+                return CloseReason.CLIENT_RESET, b""
             except StreamFault as fault:
-                return Ending.CLIENT_LEFT, error_xml(fault.condition, fault.text)
+                return CloseReason.CLIENT_LEFT, error_xml(fault.condition, fault.text)
             if piece is None or isinstance(piece, Closed):
-                return Ending.CLIENT_LEFT, b""
+                return CloseReason.CLIENT_LEFT, b""
             if not isinstance(piece, Stanza):
                 continue
             # Only a request for information obliges the endpoint to say something back.
@@ -284,7 +291,7 @@
             try:
                 await endpoint.send(piece.raw)
             except OSError:
-                return Ending.RESET, b""
+                return CloseReason.RESET, b""
 
     async def _note_load(self, stanza: Stanza) -> None:
         for load in stanza.element.findall(f"{{{OURS}}}load"):
@@ -292,4 +299,4 @@
                 value = float(load.text or "")
             except ValueError:
                 continue
-            await self.life.note_load(value)
+            await self.lifecycle.report_load(value)
--- a/sageturn/fronts/xmpp/session.py
+++ b/sageturn/frontends/xmpp/session.py
@@ -6,14 +6,14 @@
 from contextlib import suppress
 from xml.sax.saxutils import quoteattr
 
-from sageturn.fronts.xmpp.channel import Channel
-from sageturn.fronts.xmpp.errors import CLOSE, STREAMS, StreamFault, error_xml
-from sageturn.fronts.xmpp.stream import CLIENT, Closed, Opened, Piece, Stanza, StreamParser
+from sageturn.frontends.xmpp.channel import Channel
+from sageturn.frontends.xmpp.errors import CLOSE, STREAMS, StreamFault, error_xml
+from sageturn.frontends.xmpp.stream import CLIENT, Closed, Opened, Piece, Stanza, StreamParser
 
 AT_ONCE = 65536  # octets; one that floods must not hold the core
 
 
-class Session:
+class XmppSession:
     def __init__(self, channel: Channel) -> None:
         self.channel = channel
         self.parser = StreamParser()
--- a/sageturn/fronts/xmpp/stream.py
+++ b/sageturn/frontends/xmpp/stream.py
@@ -7,7 +7,7 @@
 from xml.etree.ElementTree import Element, TreeBuilder
 from xml.parsers import expat
 
-from sageturn.fronts.xmpp.errors import STREAMS, StreamFault
+from sageturn.frontends.xmpp.errors import STREAMS, StreamFault
 
 STANZA_MOST = 65536
 HEADER_MOST = 4096
--- a/sageturn/lab/host.py
+++ b/sageturn/lab/host.py
@@ -21,9 +21,9 @@
     set_up_ms: float = 12.0
     group_cost: float = 1.5
     usual_load: float = 1.0
-    cold_from: float = 0.12
+    initial_capacity_ratio: float = 0.12
     warm_s: float = 24.0
-    fall_multiple: float = 4.0
+    cold_overload_multiple: float = 4.0
     fall_s: float = 3.0
     draining: bool = False
     fallen: bool = False
@@ -41,7 +41,11 @@
     def warm(self, now_s: float) -> float:
         """The part of its capacity that it can do: it gets there evenly after its start."""
         age = (now_s - self.started_s) / self.warm_s
-        return 1.0 if age >= 1.0 else self.cold_from + (1.0 - self.cold_from) * max(0.0, age)
+        return (
+            1.0
+            if age >= 1.0
+            else self.initial_capacity_ratio + (1.0 - self.initial_capacity_ratio) * max(0.0, age)
+        )
 
     def fill(self, now_s: float) -> float:
         groups = self.group_cost * self.usual_load * len(self._groups)
@@ -81,7 +85,7 @@
             self._taken -= self._intake.popleft()[1]
         if now_s - self.started_s < self.warm_s:
             pace = self.capacity * self.warm(now_s) / self.warm_s
-            bound = self.fall_multiple * pace * self.fall_s
+            bound = self.cold_overload_multiple * pace * self.fall_s
             self.peak_part = max(self.peak_part, self._taken / bound)
             # A few connections more or less are chance, however small the host.
             if count and self._taken > bound + 4.0 * self.usual_load:
--- a/sageturn/lab/overriding.py
+++ b/sageturn/lab/overriding.py
@@ -20,19 +20,19 @@
 from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PrivateKey
 from cryptography.hazmat.primitives.serialization import Encoding, PublicFormat
 
-from sageturn import interface as api
+from sageturn import decision
+from sageturn.core.balancer_actor import BalancerActor
 from sageturn.core.clock import Clock
-from sageturn.core.module import ModuleActor
 from sageturn.lab.loopback import deployed, reserve_port
 from sageturn.lab.rebalancing import show
 from sageturn.lab.spec import Spec
-from sageturn.overrides.actor import Overrides
+from sageturn.overrides.actor import OverrideActor
 from sageturn.overrides.model import fold
-from sageturn.overrides.ops import Body, Op, Selector, new_id, new_nonce, sign
+from sageturn.overrides.ops import OverrideOperation, OverridePayload, Selector, new_id, new_nonce, sign
 from sageturn.overrides.options import OverrideOptions
-from sageturn.overrides.resolve import Floors, Resolver
-from sageturn.store.frames import read_secret
-from sageturn.store.spread.member import connected
+from sageturn.overrides.resolve import OverrideResolver, SafetyLimits
+from sageturn.store.channel import read_secret
+from sageturn.store.replication.member import connected
 from sageturn.store.store import Store
 
 KEY = Ed25519PrivateKey.generate()
@@ -40,10 +40,14 @@
 KNOWN_MS = 500.0  # after it knew, a relay may place nothing there
 
 
-def word(override: str, body: Body | None, revision: int = 1, at_ms: float | None = None) -> Op:
+def word(
+    override: str, body: OverridePayload | None, revision: int = 1, at_ms: float | None = None
+) -> OverrideOperation:
     at_ms = time.time() * 1000.0 if at_ms is None else at_ms
     what, until_ms = ("set", at_ms + HOUR_MS) if body is not None else ("revoke", 0.0)
-    return Op(override, what, revision, at_ms, "lab", "measured", until_ms, body, nonce=new_nonce())
+    return OverrideOperation(
+        override, what, revision, at_ms, "lab", "measured", until_ms, body, nonce=new_nonce()
+    )
 
 
 # ---------------------------------------------------------------- obeying
@@ -73,7 +77,7 @@
             for _ in range(rounds):
                 # One host over and over: it comes back cold each time, and the others have to be warm.
                 host = deployment.hosts[0]
-                op = word(new_id("out"), Body("out", Selector("host", host.model.name)))
+                op = word(new_id("out"), OverridePayload("out", Selector("host", host.model.name)))
                 began_s = time.monotonic()
                 store.put(op.key, sign(op, KEY))
                 await _told_by_all(store, spec.relays, op)
@@ -101,7 +105,7 @@
     }
 
 
-async def _told_by_all(store: Store, relays: int, op: Op) -> None:
+async def _told_by_all(store: Store, relays: int, op: OverrideOperation) -> None:
     async with asyncio.timeout(10.0):
         while True:
             states = [store.get(f"state/r{n}/overrides") for n in range(relays)]
@@ -115,20 +119,22 @@
 
 def _resolution() -> dict[str, Any]:
     rng = np.random.Generator(np.random.PCG64(1))
-    hosts = [api.Server(f"h{k}", "ready", f"z{k % 20}", k % 50, 0.0, 1.0, f"k{k % 4}") for k in range(5000)]
+    hosts = [
+        decision.Endpoint(f"h{k}", "ready", f"z{k % 20}", k % 50, 0.0, 1.0, f"k{k % 4}") for k in range(5000)
+    ]
     overrides = []
     for n in range(500):
         kind = ("out", "weight", "hold")[n % 3]
         wide = n % 50 == 0
         selector = Selector("cell", str(n % 50)) if wide else Selector("host", f"h{int(rng.integers(5000))}")
-        body = Body(kind, selector, factor=0.5 if kind == "weight" else 1.0)
+        body = OverridePayload(kind, selector, factor=0.5 if kind == "weight" else 1.0)
         override = fold([word(f"x{n}", body, 1, n)], 1e12)
         assert override is not None
         overrides.append(override)
     wholes: list[float] = []
     changes: list[float] = []
     for _ in range(10):
-        resolver = Resolver(Floors(0.2, 0.1, 0.0))
+        resolver = OverrideResolver(SafetyLimits(0.2, 0.1, 0.0))
         began = time.perf_counter()
         for override in overrides:
             resolver.put(override)
@@ -160,18 +166,20 @@
     """A request from its arrival to its end in the module's actor, with the companion and without."""
 
     def run(beside: bool) -> float:
-        settings = api.Settings(classes=(api.RequestClass("c", 500.0),), groups=True)
-        module = ModuleActor(settings, 1, Clock(), lambda: None)
+        settings = decision.Settings(classes=(decision.RequestClass("c", 500.0),), groups=True)
+        balancer_actor = BalancerActor(settings, 1, Clock(), lambda: None)
         if beside:
-            Overrides(module, OverrideOptions(), Store("lab"), lambda state: None)
-        module._handle(api.ServerList("full", [api.Server(f"h{k}") for k in range(20)]))
+            OverrideActor(balancer_actor, OverrideOptions(), Store("lab"), lambda state: None)
+        balancer_actor._handle(
+            decision.EndpointListEvent("full", [decision.Endpoint(f"h{k}") for k in range(20)])
+        )
         sent: list[str] = []
-        module._instruct = lambda _, what: sent.append(getattr(what, "endpoint", ""))  # type: ignore
+        balancer_actor._instruct = lambda _, what: sent.append(getattr(what, "endpoint", ""))  # type: ignore
         began = time.perf_counter()
         for n in range(20_000):
-            module._handle(api.Request(n, "c", "t", 1e18, f"g{n % 50}"))
-            module._handle(api.FirstSign(n, 0, sent[-1], 20.0))
-            module._handle(api.Outcome(n, 0, sent[-1], "ok", True))
+            balancer_actor._handle(decision.RequestArrived(n, "c", "t", 1e18, f"g{n % 50}"))
+            balancer_actor._handle(decision.ConnectionEstablished(n, 0, sent[-1], 20.0))
+            balancer_actor._handle(decision.AttemptEnded(n, 0, sent[-1], "ok", True))
         return (time.perf_counter() - began) / 20_000 * 1e6
 
     pairs = [(run(False), run(True)) for _ in range(7)]
--- a/sageturn/lab/policy.py
+++ b/sageturn/lab/policy.py
@@ -9,9 +9,9 @@
 from pathlib import Path
 from types import ModuleType
 
-from sageturn.rules import Balancer
+from sageturn.decision.balancer import Balancer
 
-RULES = "sageturn/rules.py"
+RULES = "sageturn/decision/balancer.py"
 
 
 def read_policy(name: str, root: Path) -> str:
--- a/sageturn/lab/population.py
+++ b/sageturn/lab/population.py
@@ -125,7 +125,7 @@
         took_ms = took_s * 1000.0
         self.seen.set_ups[client.cls].record_value(max(1, round(took_ms)))
         self.seen.counts["set_up"] += 1
-        self.seen.counts[f"late_{cls.name}"] += took_ms > cls.aim_ms
+        self.seen.counts[f"late_{cls.name}"] += took_ms > cls.latency_objective_ms
         self.seen.waited_worth += cls.worth * took_s
 
     def ended(self, connection: _Connection) -> None:
--- a/sageturn/lab/rebalancing.py
+++ b/sageturn/lab/rebalancing.py
@@ -19,15 +19,15 @@
 from rich.console import Console
 from rich.table import Table
 
-from sageturn import interface as api
-from sageturn.core.hosts import HostView
+from sageturn import decision
+from sageturn.core.endpoint_snapshot import EndpointSnapshot
 from sageturn.lab.loopback import Run, deployed
 from sageturn.lab.simrelay import MOVERS
 from sageturn.lab.simulate import simulate
 from sageturn.lab.spec import Spec
 from sageturn.lab.world import Series
 from sageturn.rebalance.options import RebalanceOptions
-from sageturn.rebalance.planner import Planner
+from sageturn.rebalance.planner import RebalancePlanner
 
 BOUND = 1.15  # the fullest host's fill over the mean: balance
 LAST_S = 60  # the end of a run over which the ratio is averaged
@@ -53,7 +53,9 @@
     }
     for cls, seen in zip(spec.classes, set_ups, strict=True):
         late = counts[f"late_{cls.name}"] / max(1, seen.get_total_count())
-        row[f"{cls.name} p50/p99 ms (aim {cls.aim_ms:.0f})"] = f"{percentiles(seen)}, {late:.2%} late"
+        row[f"{cls.name} p50/p99 ms (aim {cls.latency_objective_ms:.0f})"] = (
+            f"{percentiles(seen)}, {late:.2%} late"
+        )
     return row
 
 
@@ -197,15 +199,17 @@
     """A planner with 10,000 connections on 40 hosts, in plan all the while; events as busy as in service."""
     count, hosts, seconds = options.connections, 40, 30
     spec = Spec(hosts=hosts, connections=count)
-    settings = api.Settings(
-        classes=tuple(api.RequestClass(c.name, c.aim_ms) for c in spec.classes), groups=True, balancers=4
+    settings = decision.Settings(
+        classes=tuple(decision.RequestClass(c.name, c.latency_objective_ms) for c in spec.classes),
+        groups=True,
+        relay_count=4,
     )
-    views = [HostView(f"h{k}", 1.0, True, 16) for k in range(hosts)]
+    views = [EndpointSnapshot(f"h{k}", 1.0, True, 16) for k in range(hosts)]
     keys = [(f"key{n}", f"g{n // 12}", f"h{(n // 12) ** 2 % 977 % hosts}") for n in range(count)]
     classes = [c.name for c in spec.classes]
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
-    planner = Planner(settings, RebalanceOptions(mode="on"), 1)
+    planner = RebalancePlanner(settings, RebalanceOptions(mode="on"), 1)
     for n, (key, group, host) in enumerate(keys):
         planner.adopt(0.0, n, host, (classes[n // 12 % 3], "t", group), key, 0.0)
         planner.book.load(n, 1.0 + n % 3)
@@ -219,11 +223,15 @@
         began = time.process_time()
         for _ in range(per_s):  # as many come as go, and each tells its load twice
             key, group, host = keys[number % count]
-            planner.after(now_ms, api.Outcome(number - count, 0, host, "ok", True), ())
-            planner.after(now_ms, api.Request(number, classes[0], "t", now_ms + 900.0, group, client=key), ())
-            planner.after(now_ms, api.FirstSign(number, 0, host, 20.0), ())
+            planner.after(now_ms, decision.AttemptEnded(number - count, 0, host, "ok", True), ())
+            planner.after(
+                now_ms,
+                decision.RequestArrived(number, classes[0], "t", now_ms + 900.0, group, client=key),
+                (),
+            )
+            planner.after(now_ms, decision.ConnectionEstablished(number, 0, host, 20.0), ())
             for _ in range(2):
-                planner.after(now_ms, api.Note(number, 0, host, "load", 2.0), ())
+                planner.after(now_ms, decision.MeasurementReported(number, 0, host, "load", 2.0), ())
             number += 1
         told = time.process_time()
         planner.tick(now_ms, views, 720)
--- a/sageturn/lab/relay.py
+++ b/sageturn/lab/relay.py
@@ -9,7 +9,7 @@
 
 import uvloop
 
-from sageturn import config
+from sageturn.config import loader
 from sageturn.lab.naive import NaiveRebalancer
 from sageturn.relay import Relay
 
@@ -19,7 +19,13 @@
         options = self._config.operator.rebalance
         if options is not None and options.mode == "on" and self.rebalancer is None:
             self._add_rebalancer(
-                NaiveRebalancer(self.module, self.lives, options, self._config.seed, self._tell("rebalance"))
+                NaiveRebalancer(
+                    self.balancer_actor,
+                    self.request_registry,
+                    options,
+                    self._config.seed,
+                    self._tell("rebalance"),
+                )
             )
 
 
@@ -27,7 +33,7 @@
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
     parser = argparse.ArgumentParser(prog="sageturn.lab.relay", description=__doc__)
     parser.add_argument("--operator", metavar="FILE", required=True)
-    settled = config.load(operator_file=parser.parse_args().operator)
+    settled = loader.load(operator_file=parser.parse_args().operator)
     logging.basicConfig(level=settled.log_level, format="%(asctime)s %(levelname)s %(name)s: %(message)s")
     uvloop.run(NaiveRelay(settled).run())
     return 0
--- a/sageturn/lab/report.py
+++ b/sageturn/lab/report.py
@@ -182,7 +182,7 @@
     axes[0].set_ylim(0, 1.02)
     axes[0].legend()
     for k, cls in enumerate(CLASSES):
-        axes[1].hlines(cls.aim_ms, k - 0.1, k + 0.9, color="k")
+        axes[1].hlines(cls.latency_objective_ms, k - 0.1, k + 0.9, color="k")
     places = np.arange(len(CLASSES)) + 0.3
     axes[1].set_xticks(places, [c.name for c in CLASSES], rotation=35, ha="right", fontsize=8)
     axes[1].set_title("set-ups, p99 in ms, and the aim")
--- a/sageturn/lab/scale/costs.py
+++ b/sageturn/lab/scale/costs.py
@@ -20,21 +20,21 @@
 from tempfile import TemporaryDirectory
 from typing import Any
 
-from sageturn import interface as api
-from sageturn.backoff import CallBackoff
+from sageturn import decision
 from sageturn.cli.link import Reach
-from sageturn.core.endings import Ending
-from sageturn.core.messages import Ask
-from sageturn.core.requests import Record as Ended
+from sageturn.core.close_reason import CloseReason
+from sageturn.core.messages import ClientRequest
+from sageturn.core.request_lifecycle import ConnectionRecord as Ended
+from sageturn.decision import DiscoveryFailure
+from sageturn.decision.balancer import Balancer
+from sageturn.decision.discovery_backoff import CallBackoff
 from sageturn.flows.exporter import to_flow
-from sageturn.interface import ListFailure
 from sageturn.lab.scale.digests import DIGEST_MOST, LinkOptions, missing_from
 from sageturn.lab.scale.fit import exponent, fit
 from sageturn.lab.scale.members import Place, make_spreader, preload
-from sageturn.net.admission import Admission, Limits
-from sageturn.net.discovery import read_listed
-from sageturn.rules import Balancer
-from sageturn.store.frames import read_secret
+from sageturn.net.admission import AdmissionController, ProcessLimits
+from sageturn.net.discovery import parse_endpoint_list
+from sageturn.store.channel import read_secret
 from sageturn.store.store import Store
 
 Line = dict[str, Any]
@@ -66,12 +66,12 @@
 def store_memory(keys: int) -> Line:
     """Octets that Python holds for each key of a copy whose records came over a link."""
     text = json.dumps([record.to_json() for record in preload(keys)])
-    from sageturn.store.records import read_record
+    from sageturn.store.records import parse_record
 
     gc.collect()
     tracemalloc.start()
     store = Store("r0001")
-    store.merge(read_record(obj) for obj in json.loads(text))
+    store.merge(parse_record(obj) for obj in json.loads(text))
     gc.collect()
     held, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
@@ -124,10 +124,12 @@
     async def serve() -> None:
         loop = asyncio.get_running_loop()
         # The spread that the command speaks is the program's own.
-        spread = "delta" if find_spec("sageturn.store.spread") else "digest"
+        spread = "delta" if find_spec("sageturn.store.replication") else "digest"
         options = LinkOptions(("127.0.0.1", 0), (), read_secret(SECRET))
         place = Place("r0001", "z0", "g0")
-        spreader = make_spreader(spread, filled(keys), options, Admission(Limits(1024, 1024.0)), place)
+        spreader = make_spreader(
+            spread, filled(keys), options, AdmissionController(ProcessLimits(1024, 1024.0)), place
+        )
         spreader.start()
         ready.set_result(spreader.address)
         await loop.run_in_executor(None, over.wait)
@@ -180,48 +182,50 @@
 
 def list_reading(hosts: int) -> Line:
     text = json.dumps(_list(hosts))
-    return {"octets": len(text), "read_s": least_s(lambda: read_listed(json.loads(text)))}
+    return {"octets": len(text), "read_s": least_s(lambda: parse_endpoint_list(json.loads(text)))}
 
 
 def decisions(hosts: int) -> Line:
     """A request's events at the module: asked, up, ended; and a word of the list on one host."""
-    settings = api.Settings(
-        classes=(api.RequestClass("c", aim_ms=500.0),),
-        tenants=(api.Tenant("t", 1e9, 1e9),),
-        balancers=460,
+    settings = decision.Settings(
+        classes=(decision.RequestClass("c", latency_objective_ms=500.0),),
+        tenants=(decision.Tenant("t", 1e9, 1e9),),
+        relay_count=460,
         discovery="push",
     )
     balancer = Balancer(settings, 1)
-    listed = read_listed(_list(hosts))
-    read_s = least_s(lambda: balancer.handle(0.0, api.ServerList("full", listed.servers)), 1)
+    listed = parse_endpoint_list(_list(hosts))
+    read_s = least_s(lambda: balancer.handle(0.0, decision.EndpointListEvent("full", listed.endpoints)), 1)
     sent = 0
 
     def requests(first: int, count: int) -> None:
         nonlocal sent
         for number in range(first, first + count):
             now_ms = 1000.0 + number * 4.0
-            acts = balancer.handle(now_ms, api.Request(number, "c", "t", give_up_at_ms=now_ms + 2000.0))
-            chosen = next((a.server for a in acts if isinstance(a, api.Send)), None)
+            acts = balancer.handle(
+                now_ms, decision.RequestArrived(number, "c", "t", deadline_ms=now_ms + 2000.0)
+            )
+            chosen = next((a.endpoint for a in acts if isinstance(a, decision.PlaceRequest)), None)
             if chosen is not None:
                 sent += 1
-                balancer.handle(now_ms + 1.0, api.FirstSign(number, 0, chosen))
-                balancer.handle(now_ms + 2.0, api.Outcome(number, 0, chosen, "ok", final=True))
+                balancer.handle(now_ms + 1.0, decision.ConnectionEstablished(number, 0, chosen))
+                balancer.handle(now_ms + 2.0, decision.AttemptEnded(number, 0, chosen, "ok", final=True))
 
     count = 400
     requests(0, count)
     batches = iter(range(1, 100))
     each_s = least_s(lambda: requests(next(batches) * count, count), 3) / count
-    one = [api.Server("h00001", "draining", zone="z1")]
-    change_s = least_s(lambda: balancer.handle(1e6, api.ServerList("changes", one)))
+    one = [decision.Endpoint("h00001", "draining", zone="z1")]
+    change_s = least_s(lambda: balancer.handle(1e6, decision.EndpointListEvent("changes", one)))
     return {"request_s": each_s, "list_s": read_s, "change_s": change_s, "sent": sent / (4 * count)}
 
 
 def flow_record(name_length: int) -> Line:
     """What the flows' collector is fed for one ended connection; class and tenant of that length."""
-    ask = Ask("c" * name_length, "t" * name_length, 2000.0)
+    ask = ClientRequest("c" * name_length, "t" * name_length, 2000.0)
     ended = Ended(ask, 1.0, client=("10.0.0.1", 40000))
     ended.endpoint, ended.endpoint_address, ended.ended_ms = "h", ("10.0.0.2", 8081), 2.0
-    ended.ending = Ending.MOVED
+    ended.close_reason = CloseReason.MOVED
     count = 1000
 
     def encode() -> None:
@@ -252,7 +256,7 @@
         heapq.heappush(events, (due_ms, order, what, relay, call))
 
     for relay, pace in enumerate(paces):
-        at(pace.wait_ms(0.0, ListFailure.SILENT) if lost else pace.first_ms(), "call", relay, 0)
+        at(pace.wait_ms(0.0, DiscoveryFailure.SILENT) if lost else pace.first_ms(), "call", relay, 0)
     free_ms, told, over = 0.0, dict[int, float](), set[int]()
     asked: list[float] = []
     while events and len(told) < relays:
@@ -270,7 +274,7 @@
                 paces[relay].succeeded()
             else:
                 failed += 1
-                at(now_ms + paces[relay].wait_ms(now_ms, ListFailure.OVERLOADED), "call", relay, 0)
+                at(now_ms + paces[relay].wait_ms(now_ms, DiscoveryFailure.OVERLOADED), "call", relay, 0)
     times = sorted(told.values())
     busiest = max(sum(a <= t < a + 1000.0 for t in asked) for a in asked[:relays])
     return {
--- a/sageturn/lab/scale/digests.py
+++ b/sageturn/lab/scale/digests.py
@@ -15,12 +15,12 @@
 from dataclasses import dataclass
 from typing import Any
 
-from sageturn.core.tasks import end_task
-from sageturn.net.admission import Admission, Newcomer
+from sageturn.core.tasks import cancel_and_wait
+from sageturn.net.admission import AdmissionController, PendingConnection
 from sageturn.net.listener import Listener
 from sageturn.net.sockets import Connect, connect, send_gathered
-from sageturn.store.frames import TAG, Link, Refused
-from sageturn.store.records import BadRecord, Record, read_record
+from sageturn.store.channel import TAG, AuthenticatedChannel, HandshakeRejectedError
+from sageturn.store.records import InvalidRecordError, StoreRecord, parse_record
 from sageturn.store.store import Store
 
 log = logging.getLogger(__name__)
@@ -31,7 +31,7 @@
 PUSHES, PART = 256, 200
 DIGEST_MOST = 4 << 20  # octets of a frame
 
-Pushes = asyncio.Queue[list[Record]]
+Pushes = asyncio.Queue[list[StoreRecord]]
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,7 +44,7 @@
     interval_s: float = 2.0
 
 
-class JsonLink(Link):
+class JsonLink(AuthenticatedChannel):
     """Frames of one JSON value each, of up to four megabytes."""
 
     async def send(self, message: Any) -> None:
@@ -57,7 +57,7 @@
     async def receive(self) -> Any:
         payload = await self._read_sized(DIGEST_MOST)
         if not hmac.compare_digest(await self._read(TAG), self._keyed(self._theirs, self._received, payload)):
-            raise Refused("a frame was tampered with")
+            raise HandshakeRejectedError("a frame was tampered with")
         self._received += 1
         return json.loads(payload)
 
@@ -67,7 +67,7 @@
         return hmac.digest(self._key, sized, "sha256")
 
 
-def missing_from(store: Store, digest: dict[str, tuple[int, str]]) -> list[Record]:
+def missing_from(store: Store, digest: dict[str, tuple[int, str]]) -> list[StoreRecord]:
     """What a copy with this digest has not got, or has got an older one of."""
     return [r for k, r in store._records.items() if k not in digest or digest[k] < r.order]
 
@@ -77,7 +77,7 @@
 
     state_every_s = 0.0
 
-    def __init__(self, store: Store, options: LinkOptions, admission: Admission) -> None:
+    def __init__(self, store: Store, options: LinkOptions, admission: AdmissionController) -> None:
         self._store, self._options = store, options
         self._listener = Listener(options.listen, self._accepted, b"", admission)
         self.address = self._listener.address
@@ -96,11 +96,11 @@
 
     async def stop(self) -> None:
         for task in self._tasks:
-            await end_task(task)
+            await cancel_and_wait(task)
         await self._listener.cancel()
         self._store.on_change.remove(self._changed)
 
-    def _changed(self, records: list[Record]) -> None:
+    def _changed(self, records: list[StoreRecord]) -> None:
         for queue in self._queues:
             with suppress(asyncio.QueueFull):
                 queue.put_nowait(records)
@@ -116,10 +116,10 @@
             await asyncio.sleep(wait_s)
             wait_s = min(RETRY_MOST_S, wait_s * 2)
 
-    async def _accepted(self, sock: socket.socket, newcomer: Newcomer) -> None:
+    async def _accepted(self, sock: socket.socket, newcomer: PendingConnection) -> None:
         await self._serve(sock, False, newcomer)
 
-    async def _serve(self, sock: socket.socket, dialled: bool, newcomer: Newcomer | None) -> bool:
+    async def _serve(self, sock: socket.socket, dialled: bool, newcomer: PendingConnection | None) -> bool:
         link = JsonLink(sock, self._options.secret, self._store.node)
         try:
             async with newcomer.within(HANDS_S) if newcomer else asyncio.timeout(HANDS_S):
@@ -139,7 +139,7 @@
             self._queues.discard(queue)
             self.links -= 1
             for way in ways:
-                await end_task(way)
+                await cancel_and_wait(way)
         return True
 
     async def _tell(self, link: JsonLink, queue: Pushes) -> None:
@@ -160,12 +160,12 @@
                 message = await link.receive()
             try:
                 self._take(message, queue)
-            except (BadRecord, KeyError, TypeError, ValueError, AttributeError) as error:
-                raise Refused(f"not understood: {error}") from None
+            except (InvalidRecordError, KeyError, TypeError, ValueError, AttributeError) as error:
+                raise HandshakeRejectedError(f"not understood: {error}") from None
 
     def _take(self, message: Any, queue: Pushes) -> None:
         if "digest" not in message:
-            self._store.merge([read_record(obj) for obj in message["records"]])
+            self._store.merge([parse_record(obj) for obj in message["records"]])
             return
         digest = {str(k): (int(v[0]), str(v[1])) for k, v in message["digest"].items()}
         missing = missing_from(self._store, digest)
--- a/sageturn/lab/scale/lanes.py
+++ b/sageturn/lab/scale/lanes.py
@@ -20,7 +20,7 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from sageturn.core.tasks import end_task
+from sageturn.core.tasks import cancel_and_wait
 
 SEGMENT = 1448
 RTO_LEAST_S = 0.2
@@ -124,7 +124,7 @@
         finally:
             self._sock.close()
             for task in list(self._tasks):
-                await end_task(task)
+                await cancel_and_wait(task)
 
     async def _join(self, near: socket.socket) -> None:
         far = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -143,7 +143,7 @@
             pass
         finally:
             for way in ways:
-                await end_task(way)
+                await cancel_and_wait(way)
             near.close()
             far.close()
 
@@ -189,4 +189,4 @@
                 if pipe.held < HELD_MOST:
                     room.set()
         finally:
-            await end_task(reading)
+            await cancel_and_wait(reading)
--- a/sageturn/lab/scale/members.py
+++ b/sageturn/lab/scale/members.py
@@ -13,17 +13,17 @@
 from random import Random
 from typing import TYPE_CHECKING, Any, Protocol
 
+from sageturn.config.settings import read_settings
+from sageturn.core.balancer_actor import BalancerActor
 from sageturn.core.clock import Clock
-from sageturn.core.destinations import DestinationSet
-from sageturn.core.messages import Listed, WatchFailed
-from sageturn.core.module import ModuleActor
-from sageturn.core.tasks import end_task
+from sageturn.core.endpoint_registry import EndpointRegistry
+from sageturn.core.messages import EndpointListUpdate, WatchFailed
+from sageturn.core.tasks import cancel_and_wait
 from sageturn.lab.scale.counting import owned, owning
 from sageturn.lab.scale.digests import DigestSpread, LinkOptions
-from sageturn.net.admission import Admission, Limits
+from sageturn.net.admission import AdmissionController, ProcessLimits
 from sageturn.net.discovery import DiscoveryClient
-from sageturn.settings import read_settings
-from sageturn.store.records import Record
+from sageturn.store.records import StoreRecord
 from sageturn.store.store import Store
 
 if TYPE_CHECKING:
@@ -53,15 +53,15 @@
     async def stop(self) -> None: ...
 
 
-def _digest(store: Store, options: LinkOptions, admission: Admission, place: Place) -> Spreader:
+def _digest(store: Store, options: LinkOptions, admission: AdmissionController, place: Place) -> Spreader:
     return DigestSpread(store, options, admission)
 
 
-def _delta(store: Store, options: LinkOptions, admission: Admission, place: Place) -> Spreader:
+def _delta(store: Store, options: LinkOptions, admission: AdmissionController, place: Place) -> Spreader:
     """What follows it, where the program has it: not every program that is measured does."""
     try:
-        member = import_module("sageturn.store.spread.member")
-        settled = import_module("sageturn.store.spread.options").SpreadOptions(
+        member = import_module("sageturn.store.replication.member")
+        settled = import_module("sageturn.store.replication.options").SpreadOptions(
             options.listen, options.peers, options.secret, region=place.region, zone=place.zone
         )
     except ImportError:
@@ -70,14 +70,14 @@
     return made
 
 
-SPREADS: dict[str, Callable[[Store, LinkOptions, Admission, Place], Spreader]] = {
+SPREADS: dict[str, Callable[[Store, LinkOptions, AdmissionController, Place], Spreader]] = {
     "digest": _digest,
     "delta": _delta,
 }
 
 
 def make_spreader(
-    spread: str, store: Store, options: LinkOptions, admission: Admission, place: Place
+    spread: str, store: Store, options: LinkOptions, admission: AdmissionController, place: Place
 ) -> Spreader:
     """The one place where a run's key ``spread`` becomes code. Raises ValueError where it is not there."""
     return SPREADS[spread](store, options, admission, place)
@@ -96,15 +96,15 @@
     return Place(job["name"], job["zone"], job["region"])
 
 
-def preload(keys: int) -> list[Record]:
+def preload(keys: int) -> list[StoreRecord]:
     """What stands in every copy from the start: a shard's placement each."""
     return [
-        Record(f"shards/{n:06d}", {"host": f"h{n % 500:04d}", "weight": 1.0}, 1, KEY_NODE)
+        StoreRecord(f"shards/{n:06d}", {"host": f"h{n % 500:04d}", "weight": 1.0}, 1, KEY_NODE)
         for n in range(keys)
     ]
 
 
-def fill(store: Store, records: list[Record]) -> None:
+def fill(store: Store, records: list[StoreRecord]) -> None:
     """As in a fleet that has been running: its copies are known to hold all. Those of a fleet that never was
     one have to agree on that first, and each that comes later takes all anew.
     """
@@ -126,7 +126,7 @@
         self.held, self.again = held, dict[str, float]()
         store.on_change.append(self._changed)
 
-    def _changed(self, records: list[Record]) -> None:
+    def _changed(self, records: list[StoreRecord]) -> None:
         now_s = time.monotonic()
         for record in records:
             if record.key.startswith(CHANGE):
@@ -137,7 +137,7 @@
 class Hollow:
     """Store, links, list, pace and accounting as ``Relay`` puts them together; no listener for clients."""
 
-    def __init__(self, job: dict[str, Any], whole: dict[str, Any], records: list[Record]) -> None:
+    def __init__(self, job: dict[str, Any], whole: dict[str, Any], records: list[StoreRecord]) -> None:
         self.name: str = job["name"]
         self._job, self._whole = job, whole
         self._records = records
@@ -148,7 +148,7 @@
         self.held: dict[str, float] = {}
         self._fresh(records)
 
-    def _fresh(self, records: list[Record]) -> None:
+    def _fresh(self, records: list[StoreRecord]) -> None:
         self.store = Store(self.name)
         if records:
             fill(self.store, records)
@@ -159,35 +159,37 @@
         if wipe:
             self._fresh([])
         job, whole = self._job, self._whole
-        self.admission = Admission(Limits(DESCRIPTORS, MEMORY_MB))
+        self.admission = AdmissionController(ProcessLimits(DESCRIPTORS, MEMORY_MB))
         with owned(job["row"], "store"):
             self.spreader = make_spreader(
                 whole["spread"], self.store, link_options(job, whole), self.admission, place_of(job)
             )
             self.spreader.start()
         with owned(job["row"], "list"):
-            self.module = ModuleActor(
+            self.balancer_actor = BalancerActor(
                 read_settings(job["settings"]),
                 job["seed"],
                 Clock(),
-                lambda: self.destinations.want_watch(),
+                lambda: self.endpoint_registry.want_watch(),
+            )
+            self.endpoint_registry = EndpointRegistry(
+                EndpointListUpdate(0, True), self.balancer_actor.post_event
             )
-            self.destinations = DestinationSet(Listed(0, True), self.module.tell)
             self.discovery = DiscoveryClient(("127.0.0.1", whole["discovery"]), self._hear)
-            self.destinations.watcher = self.discovery
-            runs = [self.module.run(), self.destinations.run()]
+            self.endpoint_registry.watcher = self.discovery
+            runs = [self.balancer_actor.run(), self.endpoint_registry.run()]
             if whole["state_s"]:
                 runs.append(self._tell_state(whole["state_s"]))
             self._tasks = [asyncio.ensure_future(run) for run in runs]
         self.running = True
 
-    async def _hear(self, watch: int, said: Listed | WatchFailed) -> None:
-        if isinstance(said, Listed):
+    async def _hear(self, watch: int, said: EndpointListUpdate | WatchFailed) -> None:
+        if isinstance(said, EndpointListUpdate):
             self.listed_s = time.monotonic()
             self.lists += 1
         else:
             self.lists_failed += 1
-        await self.destinations.hear(watch, said)
+        await self.endpoint_registry.on_watch_event(watch, said)
 
     async def _tell_state(self, every_s: float) -> None:
         """As ``Relay`` does: a relay in service has ended some connections since it last told of itself."""
@@ -212,7 +214,7 @@
         await self.spreader.stop()
         await self.discovery.stop()
         for task in self._tasks:
-            await end_task(task)
+            await cancel_and_wait(task)
 
     def told(self) -> dict[str, Any]:
         return _told(self)
@@ -235,10 +237,10 @@
         self.running, self.listed_s, self.lists, self.lists_failed = True, 0.0, 0, 0
         vars(spreader)["start"] = owning(row, "store", spreader.start)
         relay.discovery.start = owning(row, "list", relay.discovery.start)  # type: ignore[method-assign]
-        hear = relay.destinations.hear
+        hear = relay.endpoint_registry.on_watch_event
 
-        async def heard(watch: int, said: Listed | WatchFailed) -> None:
-            if isinstance(said, Listed):
+        async def heard(watch: int, said: EndpointListUpdate | WatchFailed) -> None:
+            if isinstance(said, EndpointListUpdate):
                 self.listed_s = time.monotonic()
                 self.lists += 1
             else:
--- a/sageturn/lab/scale/play.py
+++ b/sageturn/lab/scale/play.py
@@ -29,7 +29,7 @@
 from sageturn.lab.scale.around import Clients, Hosts, ScaleDiscovery
 from sageturn.lab.scale.counting import Counts
 from sageturn.lab.scale.plan import Fault, ScaleExperiment, Size
-from sageturn.store.frames import read_secret
+from sageturn.store.channel import read_secret
 
 Line = dict[str, Any]
 Held = dict[str, dict[str, float]]
--- a/sageturn/lab/scale/process.py
+++ b/sageturn/lab/scale/process.py
@@ -19,7 +19,7 @@
 from pathlib import Path
 from typing import Any
 
-from sageturn.core.tasks import end_task
+from sageturn.core.tasks import cancel_and_wait
 from sageturn.lab.scale import counting
 from sageturn.lab.scale.lanes import Forwarder, Lane
 from sageturn.lab.scale.members import Hollow, RealMember, fill, preload
@@ -111,12 +111,12 @@
 
 
 async def real(job: Job) -> None:
-    from sageturn import config
+    from sageturn.config import loader
     from sageturn.relay import Relay
 
     bare = _memory(job)
     member = job["members"][0]
-    settled = config.load({"GW_CONFIG": job["config"]}, job["operator"])
+    settled = loader.load({"GW_CONFIG": job["config"]}, job["operator"])
     relay = Relay(settled)
     fill(relay.store, preload(job["whole"]["keys"]))
     seat = RealMember(relay, member, job["whole"])
@@ -143,7 +143,7 @@
         if running is not None:
             os.kill(os.getpid(), signal.SIGTERM)
             await asyncio.wait((running,), timeout=1.0)
-            await end_task(running)
+            await cancel_and_wait(running)
         return True
 
     await _converse({"start": start, "put": put, "seen": seen, "told": told, "end": end})
@@ -176,7 +176,7 @@
 
     async def end(asked: Job) -> Any:
         for task in tasks:
-            await end_task(task)
+            await cancel_and_wait(task)
         return True
 
     await _converse({"change": change, "told": told, "end": end})
--- a/sageturn/lab/simrelay.py
+++ b/sageturn/lab/simrelay.py
@@ -8,15 +8,15 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from sageturn import interface as api
-from sageturn.core.hosts import look
+from sageturn import decision
+from sageturn.config.settings import read_settings
+from sageturn.core.endpoint_snapshot import snapshot_endpoints
 from sageturn.lab.draws import Client, Draws
 from sageturn.lab.naive import NaivePlanner
 from sageturn.lab.policy import load_policy
 from sageturn.lab.spec import Spec, relay_settings
 from sageturn.rebalance.options import RebalanceOptions
-from sageturn.rebalance.planner import Plan, Planner
-from sageturn.settings import read_settings
+from sageturn.rebalance.planner import MigrationPlan, RebalancePlanner
 
 MOVERS = ("off", "naive", "on")
 BUSY_MS = 4.0  # until a host that turns a request away has said so
@@ -45,7 +45,7 @@
     what: str
     hosts: Sequence[str] = ()
     relays: Sequence[int] = ()
-    servers: Sequence[api.Server] = ()
+    endpoints: Sequence[decision.Endpoint] = ()
     part: float = 0.0
     over_s: float = 0.0
     rate: float = 1.0
@@ -82,7 +82,7 @@
         self._policy = load_policy(policy)
         self.settings = read_settings({**relay_settings(spec, number), "discovery": "push"})
         self.balancer = self._policy(self.settings, spec.seed * 100003 + number)
-        kind = {"on": Planner, "naive": NaivePlanner, "off": None}[mover]
+        kind = {"on": RebalancePlanner, "naive": NaivePlanner, "off": None}[mover]
         self.planner = kind(self.settings, options, number) if kind is not None else None
         self.draws = Draws(spec, number + 1)
         self.now_s = 0.0
@@ -93,15 +93,15 @@
         self._tick_s = 0.0
         self._next_arrival_s = self.draws.wait_s(spec.arrivals_per_s / spec.relays)
         self.out = StepResult()
-        self._plan = Plan((), "", "")
+        self._plan = MigrationPlan((), "", "")
         self._rate = self._beyond = 1.0
         self._blind = False
-        self._latest: dict[str, api.Server] = {}
+        self._latest: dict[str, decision.Endpoint] = {}
         self.dead = False
 
     # ------------------------------------------------------------ the module
 
-    def tell(self, event: api.Event) -> None:
+    def tell(self, event: decision.Event) -> None:
         now_ms = self.now_s * 1000.0
         if self.planner is not None:
             self.planner.before(now_ms, event)
@@ -110,32 +110,34 @@
             self.planner.after(now_ms, event, actions)
         for action in actions:
             match action:
-                case api.Send(request_id, host, timeout_ms):
+                case decision.PlaceRequest(request_id, host, timeout_ms):
                     client, _, attempt = self._asked[request_id]
                     self._asked[request_id] = client, host, attempt + 1
                     self._call(request_id, client, host, attempt, timeout_ms)
-                case api.Refuse(request_id, retry_after_ms):
+                case decision.RejectRequest(request_id, retry_after_ms):
                     client = self._asked.pop(request_id)[0]
                     self.out.counts["refused"] += 1
                     self._come_again(client, retry_after_ms / 1000.0)
-                case api.Fail(request_id):
+                case decision.FailRequest(request_id):
                     self._come_again(self._asked.pop(request_id)[0], 0.0)
-                case api.Move(request_id):
+                case decision.MigrateConnection(request_id):
                     if request_id in self._standing:
                         self.out.counts["relieved"] += 1
                         self._move(request_id)
 
-    def listed(self, servers: Sequence[api.Server], kind: str = "full") -> None:
-        self._latest.update({line.name: line for line in servers})
+    def listed(self, endpoints: Sequence[decision.Endpoint], kind: str = "full") -> None:
+        self._latest.update({line.name: line for line in endpoints})
         if not self._blind:
-            self.tell(api.ServerList(kind, list(servers)))
+            self.tell(decision.EndpointListEvent(kind, list(endpoints)))
 
     def stands(self, client: Client, host: str) -> None:
         """It stood before the relay started."""
         self._last_id += 1
         cls = self.spec.classes[client.cls]
         self.tell(
-            api.Inherited(self._last_id, cls.name, client.tenant, host, client.group, client=client.key)
+            decision.ConnectionAdopted(
+                self._last_id, cls.name, client.tenant, host, client.group, client=client.key
+            )
         )
         self.out.wanting.append((client.cls, client.tenant, 1))
         self._begin(self._last_id, client, host, 0)
@@ -144,14 +146,18 @@
         self._standing[request_id] = _Standing(client, host, self.now_s, attempt)
         self.out.joined.append((host, client))
         self._at(self.now_s + client.life_s, 1, request_id)
-        self.tell(api.Note(request_id, attempt, host, "load", client.load * self.spec.unit_us / 1000.0))
+        self.tell(
+            decision.MeasurementReported(
+                request_id, attempt, host, "load", client.load * self.spec.unit_us / 1000.0
+            )
+        )
 
     def _end(self, request_id: int, status: str) -> Client:
         standing = self._standing.pop(request_id)
         self.out.left.append((standing.host, standing.client))
         client = standing.client
         client.life_s -= self.now_s - standing.since_s
-        self.tell(api.Outcome(request_id, standing.attempt, standing.host, status, True))
+        self.tell(decision.AttemptEnded(request_id, standing.attempt, standing.host, status, True))
         return client
 
     def _move(self, request_id: int) -> None:
@@ -214,13 +220,17 @@
             case "rate":
                 self._rate, self._beyond = order.rate, order.beyond
             case "list":
-                self.listed(order.servers, "changes")
+                self.listed(order.endpoints, "changes")
             case "blind":
                 self._blind = True
-                self.tell(api.ServerList("failed", []))
+                self.tell(decision.EndpointListEvent("failed", []))
             case "see":
                 self._blind = False
-                self.tell(api.ServerList("full", [s for s in self._latest.values() if s.state != "gone"]))
+                self.tell(
+                    decision.EndpointListEvent(
+                        "full", [s for s in self._latest.values() if s.state != "gone"]
+                    )
+                )
             case "cut":
                 for host in order.hosts:
                     self.cut(host)
@@ -237,7 +247,7 @@
                     self._die()
             case "revive":
                 if self.dead:
-                    self._revive(order.servers)
+                    self._revive(order.endpoints)
 
     def _die(self) -> None:
         """Its connections die with it, and their clients come again at another relay at once."""
@@ -257,7 +267,7 @@
         self._heap.clear()
         self.dead = True
 
-    def _revive(self, servers: Sequence[api.Server]) -> None:
+    def _revive(self, endpoints: Sequence[decision.Endpoint]) -> None:
         """It starts from nothing, under its own name."""
         self.dead, self._blind = False, False
         self.balancer = self._policy(self.settings, self.spec.seed * 100003 + self.number + 7919)
@@ -265,7 +275,7 @@
             self.planner = type(self.planner)(self.settings, self.planner.options, self.number)
         self._tick_s = float(int(self.now_s) + 1)
         self._next_arrival_s = self.now_s
-        self.listed(servers)
+        self.listed(endpoints)
 
     def _sent_away(self, request_id: int) -> None:
         if request_id in self._standing:
@@ -287,7 +297,7 @@
         give_up_ms = self.now_s * 1000.0 + cls.give_up_ms
         self.out.counts["asked"] += 1
         self.tell(
-            api.Request(
+            decision.RequestArrived(
                 self._last_id,
                 cls.name,
                 client.tenant,
@@ -324,10 +334,10 @@
         if asked is None:
             return
         if status:
-            self.tell(api.Outcome(request_id, attempt, host, status, False))
+            self.tell(decision.AttemptEnded(request_id, attempt, host, status, False))
             return
         client = self._asked.pop(request_id)[0]
-        self.tell(api.FirstSign(request_id, attempt, host, took_ms))
+        self.tell(decision.ConnectionEstablished(request_id, attempt, host, took_ms))
         self.out.set_ups.append((client.cls, (self.now_s - client.since_s) * 1000.0))
         client.since_s, client.tries = 0.0, 0
         self._begin(request_id, client, host, attempt)
@@ -353,7 +363,7 @@
         if self.planner is None:
             return
         now_ms = self.now_s * 1000.0
-        plan = self._plan = self.planner.tick(now_ms, look(self.balancer, now_ms), 720)
+        plan = self._plan = self.planner.tick(now_ms, snapshot_endpoints(self.balancer, now_ms), 720)
         if not plan.moves:
             return
         moved = {move.request_id for move in plan.moves} & self._standing.keys()
--- a/sageturn/lab/spec.py
+++ b/sageturn/lab/spec.py
@@ -15,7 +15,7 @@
     share: float  # of new connections
     load: tuple[float, float]  # drawn evenly between these
     life: tuple[float, float]  # times the usual life, drawn evenly between these
-    aim_ms: float
+    latency_objective_ms: float
     give_up_ms: float
     worth: float  # a second
     grouped: bool = True
@@ -55,9 +55,9 @@
     fast_size: float = 1.4
     group_cost: float = 1.5
     set_up_ms: float = 12.0  # at an idle host
-    cold_from: float = 0.12
+    initial_capacity_ratio: float = 0.12
     warm_s: float = 24.0
-    fall_multiple: float = 4.0
+    cold_overload_multiple: float = 4.0
     fall_s: float = 3.0
     join_s: float = 20.0
     gap_ms: tuple[float, float] = (100.0, 820.0)  # before a client that was moved, cut or refused comes again
@@ -112,7 +112,7 @@
         "classes": [
             {
                 "name": c.name,
-                "aimMs": c.aim_ms,
+                "aimMs": c.latency_objective_ms,
                 "hardLimitMs": c.give_up_ms,
                 "gain": c.worth,
                 "semantics": "safe",
@@ -134,10 +134,10 @@
         "groupSize": spec.relays,
         "guarantees": {
             "fallMs": spec.fall_s * 1000.0,
-            "fallMultiple": spec.fall_multiple,
+            "fallMultiple": spec.cold_overload_multiple,
             "graceToAnswerMs": 16.0,
             "mustAskInMs": 10000.0,
-            "startCapacity": spec.cold_from,
+            "startCapacity": spec.initial_capacity_ratio,
             "stopSendingWithinMs": 500.0,
             "warmWithinMs": spec.warm_s * 1000.0,
         },
--- a/sageturn/lab/spreading.py
+++ b/sageturn/lab/spreading.py
@@ -19,10 +19,10 @@
 import uvloop
 
 from sageturn.lab.rebalancing import show
-from sageturn.net.admission import Admission, Limits
-from sageturn.store.frames import read_secret
-from sageturn.store.spread.member import Node
-from sageturn.store.spread.options import SpreadOptions
+from sageturn.net.admission import AdmissionController, ProcessLimits
+from sageturn.store.channel import read_secret
+from sageturn.store.replication.member import ReplicationMember
+from sageturn.store.replication.options import ReplicationOptions
 from sageturn.store.store import Store
 
 DIGEST_S = 2.0  # how often a digest was sent
@@ -30,9 +30,11 @@
 SECRET = read_secret("lab")
 
 
-def _node(name: str, *seeds: tuple[str, int]) -> Node:
-    options = SpreadOptions(("127.0.0.1", 0), seeds, SECRET, octets_per_s=1e8)
-    node = Node(Store(name), options, Admission(Limits(64, 192.0)), Random(name))
+def _node(name: str, *seeds: tuple[str, int]) -> ReplicationMember:
+    options = ReplicationOptions(("127.0.0.1", 0), seeds, SECRET, octets_per_s=1e8)
+    node = ReplicationMember(
+        Store(name), options, AdmissionController(ProcessLimits(64, 192.0)), Random(name)
+    )
     node.start()
     return node
 
--- a/sageturn/lab/world.py
+++ b/sageturn/lab/world.py
@@ -14,8 +14,8 @@
 import numpy as np
 from hdrh.histogram import HdrHistogram
 
-from sageturn import interface as api
-from sageturn.fronts.platform import BACK_WITHIN_S, MOVE_EARLY_S
+from sageturn import decision
+from sageturn.frontends.platform import BACK_WITHIN_S, MOVE_EARLY_S
 from sageturn.lab.draws import Client, Draws
 from sageturn.lab.host import FULLEST, HostModel
 from sageturn.lab.simrelay import HostNow, Order, StepResult
@@ -72,18 +72,18 @@
             set_up_ms=spec.set_up_ms,
             group_cost=spec.group_cost,
             usual_load=spec.usual_load,
-            cold_from=spec.cold_from,
+            initial_capacity_ratio=spec.initial_capacity_ratio,
             warm_s=spec.warm_s,
-            fall_multiple=spec.fall_multiple,
+            cold_overload_multiple=spec.cold_overload_multiple,
             fall_s=spec.fall_s,
         )
         for k in range(spec.hosts)
     ]
 
 
-def server_line(host: HostModel, state: str = "ready") -> api.Server:
+def server_line(host: HostModel, state: str = "ready") -> decision.Endpoint:
     started_ms = host.started_s * 1000.0 if host.started_s > 0 else 0.0
-    return api.Server(host.name, state, host.zone, 0, started_ms, 1.0, host.kind)
+    return decision.Endpoint(host.name, state, host.zone, 0, started_ms, 1.0, host.kind)
 
 
 def starting_homes(spec: Spec, hosts: list[HostModel], zone: str) -> list[HostModel]:
@@ -111,7 +111,7 @@
         self._picked: dict[int, list[str]] = {}  # by trouble: the hosts that it strikes
         self._dead: dict[str, float] = {}  # by host: until when
         self._silent: dict[str, float] = {}  # since when
-        self._told: list[tuple[float, list[api.Server]]] = []  # what the list will tell, and when
+        self._told: list[tuple[float, list[decision.Endpoint]]] = []  # what the list will tell, and when
         self._store_calls = 0.0  # a second, lately
         self._store_waits_s = 0.0  # work piled up there
         self._returns: dict[int, list[tuple[float, Client]]] = {}
@@ -148,7 +148,7 @@
         if not blind:
             due = [told for told in self._told if told[0] <= self.now_s]
             self._told = [told for told in self._told if told[0] > self.now_s]
-            orders += [Order("list", servers=lines) for _, lines in due]
+            orders += [Order("list", endpoints=lines) for _, lines in due]
         store_ms = self._store(store)
         met = {name: self._met(host, store_ms) for name, host in self.hosts.items()}
         returns, self._returns = self._returns, {}
@@ -246,7 +246,7 @@
                     if n not in zone:
                         zone.append(n)
                         zone.sort()
-                return [Order("revive", servers=self._lines())]
+                return [Order("revive", endpoints=self._lines())]
         return []
 
     def _flap(self, number: int, trouble: Trouble) -> None:
@@ -258,7 +258,7 @@
     def _list(self, hosts: Iterable[HostModel], state: str = "ready", late_s: float = LIST_LATE_S) -> None:
         self._told.append((self.now_s + late_s, [server_line(h, state) for h in hosts]))
 
-    def _lines(self) -> list[api.Server]:
+    def _lines(self) -> list[decision.Endpoint]:
         return [
             server_line(h, "draining" if h.draining else "ready")
             for k, h in enumerate(self.hosts.values())
@@ -311,7 +311,7 @@
             self._wanting[cls, self._members[tenant]] += by
         for cls, took_ms in result.set_ups:
             series.set_ups[cls].record_value(max(1, min(HISTOGRAM[1], round(took_ms))))
-            if took_ms > self.spec.classes[cls].aim_ms:
+            if took_ms > self.spec.classes[cls].latency_objective_ms:
                 series.counts[f"late_{self.spec.classes[cls].name}"] += 1
         series.counts.update(result.counts)
         for due_s, client in result.back:
