--- a/sageturn/net/admission.py
+++ b/sageturn/net/admission.py
@@ -16,14 +16,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Limits:
+class ProcessLimits:
     """What the platform allows this process."""
 
     sockets: int
     memory_mb: float
 
     @property
-    def unasked(self) -> int:
+    def awaiting_request(self) -> int:
         """Connections that have not asked for anything yet."""
         return max(UNASKED_LEAST, min(int(self.sockets * UNASKED_PART), self.held // 2))
 
@@ -33,10 +33,10 @@
         return max(2 * UNASKED_LEAST, int((self.memory_mb - BASE_MB) / CONNECTION_MB))
 
 
-class Newcomer:
+class PendingConnection:
     """One accepted connection. Until it has asked, its time is short and can be cut at any moment."""
 
-    def __init__(self, admission: Admission) -> None:
+    def __init__(self, admission: AdmissionController) -> None:
         self._admission = admission
         self._accepted_s = asyncio.get_running_loop().time()
         self._timeout: asyncio.Timeout | None = None
@@ -59,37 +59,37 @@
         self._admission.settle(self)
 
 
-class Admission:
+class AdmissionController:
     """Counts what all listeners hold. The longest silent make room for the newest."""
 
-    def __init__(self, limits: Limits) -> None:
+    def __init__(self, limits: ProcessLimits) -> None:
         self.limits = limits
         self.held = 0
-        self._unasked: dict[Newcomer, None] = {}  # in the order of arrival
+        self._awaiting_request: dict[PendingConnection, None] = {}  # in the order of arrival
 
     @property
     def full(self) -> bool:
         return self.held >= self.limits.held
 
     @property
-    def unasked(self) -> int:
+    def awaiting_request(self) -> int:
         """Connections that have not asked yet."""
-        return len(self._unasked)
+        return len(self._awaiting_request)
 
-    def enter(self) -> Newcomer:
-        newcomer = Newcomer(self)
+    def enter(self) -> PendingConnection:
+        newcomer = PendingConnection(self)
         self.held += 1
-        self._unasked[newcomer] = None
-        while len(self._unasked) > self.limits.unasked:
+        self._awaiting_request[newcomer] = None
+        while len(self._awaiting_request) > self.limits.awaiting_request:
             self.evict_oldest()
         return newcomer
 
     def evict_oldest(self) -> bool:
         """False if everyone has asked."""
-        oldest = next(iter(self._unasked), None)
+        oldest = next(iter(self._awaiting_request), None)
         if oldest is None:
             return False
-        del self._unasked[oldest]
+        del self._awaiting_request[oldest]
         oldest.evict()
         return True
 
@@ -97,9 +97,9 @@
         while self.evict_oldest():
             pass
 
-    def settle(self, newcomer: Newcomer) -> None:
-        self._unasked.pop(newcomer, None)
+    def settle(self, newcomer: PendingConnection) -> None:
+        self._awaiting_request.pop(newcomer, None)
 
-    def leave(self, newcomer: Newcomer) -> None:
+    def leave(self, newcomer: PendingConnection) -> None:
         self.settle(newcomer)
         self.held -= 1
--- a/sageturn/net/discovery.py
+++ b/sageturn/net/discovery.py
@@ -13,11 +13,11 @@
 
 import httptools
 
-from sageturn.backoff import ANSWER_MS, CONNECT_MS, SILENCE_MS, unserved
-from sageturn.core.messages import Listed, WatchFailed
-from sageturn.core.tasks import end_task
-from sageturn.interface import ListFailure, Server
-from sageturn.net.objects import ObjectCutter
+from sageturn.core.messages import EndpointListUpdate, WatchFailed
+from sageturn.core.tasks import cancel_and_wait
+from sageturn.decision import DiscoveryFailure, Endpoint
+from sageturn.decision.discovery_backoff import ANSWER_MS, CONNECT_MS, SILENCE_MS, unserved
+from sageturn.net.json_stream import ObjectCutter
 from sageturn.net.sockets import Connect, connect
 
 log = logging.getLogger(__name__)
@@ -29,10 +29,10 @@
 OBJECT_MOST = 4 << 20
 
 # What a watch says, and which one it was.
-Report = Callable[[int, Listed | WatchFailed], Awaitable[None]]
+Report = Callable[[int, EndpointListUpdate | WatchFailed], Awaitable[None]]
 
 
-class BadList(ValueError):
+class InvalidEndpointListError(ValueError):
     """An object of discovery that cannot be read; the text names the key."""
 
 
@@ -46,7 +46,7 @@
 def _text(line: dict[str, Any], key: str) -> str:
     value = line.get(key)
     if value is not None and not isinstance(value, str):
-        raise BadList(f"{key}: {value!r}")
+        raise InvalidEndpointListError(f"{key}: {value!r}")
     return value or ""
 
 
@@ -55,7 +55,7 @@
     if value is None:
         return usual
     if isinstance(value, bool) or not isinstance(value, (int, float)) or not 0 <= value < math.inf:
-        raise BadList(f"{key}: {value!r}")
+        raise InvalidEndpointListError(f"{key}: {value!r}")
     return value or usual
 
 
@@ -68,13 +68,13 @@
     return True
 
 
-def _entry(line: dict[str, Any]) -> Server:
+def _entry(line: dict[str, Any]) -> Endpoint:
     state = line["state"]
     if not _text(line, "id"):
-        raise BadList(f"id: {line['id']!r}")
+        raise InvalidEndpointListError(f"id: {line['id']!r}")
     if state not in ("ready", "draining", "gone"):
-        raise BadList(f"state: {state!r}")
-    return Server(
+        raise InvalidEndpointListError(f"state: {state!r}")
+    return Endpoint(
         name=line["id"],
         state=state,
         zone=_text(line, "zone"),
@@ -85,28 +85,28 @@
     )
 
 
-def read_listed(obj: Any) -> Listed:
+def parse_endpoint_list(obj: Any) -> EndpointListUpdate:
     """Read strictly and whole before anything of it is used: half a list believed, or a figure that is none
     and fails whoever reckons with it, would be worse than a failed call. The last word on an entry counts.
     """
     try:
         version, full = obj["version"], obj.get("full")
         if isinstance(version, bool) or not isinstance(version, int):
-            raise BadList(f"version: {version!r}")
+            raise InvalidEndpointListError(f"version: {version!r}")
         if full not in (None, True, False):
-            raise BadList(f"full: {full!r}")
-        servers, addresses = {}, {}
+            raise InvalidEndpointListError(f"full: {full!r}")
+        endpoints, addresses = {}, {}
         for line in obj["servers"]:
-            server = servers[line["id"]] = _entry(line)
+            endpoint = endpoints[line["id"]] = _entry(line)
             if address := _text(line, "addr"):
-                host, port = addresses[server.name] = parse_address(address)
+                host, port = addresses[endpoint.name] = parse_address(address)
                 if not _is_address(host) or not port:
-                    raise BadList(f"addr: {address!r}")
-        return Listed(version, bool(full), list(servers.values()), addresses)
+                    raise InvalidEndpointListError(f"addr: {address!r}")
+        return EndpointListUpdate(version, bool(full), list(endpoints.values()), addresses)
     except KeyError as error:
-        raise BadList(f"missing {error}") from None
+        raise InvalidEndpointListError(f"missing {error}") from None
     except (TypeError, AttributeError, OverflowError) as error:
-        raise BadList(str(error)) from None
+        raise InvalidEndpointListError(str(error)) from None
 
 
 class _Answer:
@@ -159,7 +159,7 @@
 
     async def stop(self) -> None:
         for task in list(self._tasks):
-            await end_task(task)
+            await cancel_and_wait(task)
 
     async def _watch(self, number: int, after_version: int) -> None:
         answer = _Answer()
@@ -168,25 +168,27 @@
         except Exception as error:
             # Whatever it was, a watch that ended untold would leave the relay with an old list for good.
             log.exception("the watch failed")
-            failed = WatchFailed(f"{type(error).__name__}: {error}", ListFailure.UNUSABLE)
+            failed = WatchFailed(f"{type(error).__name__}: {error}", DiscoveryFailure.UNUSABLE)
         await self._report(number, failed)
 
     async def _call(self, answer: _Answer, number: int, after_version: int) -> WatchFailed:
         """One call to its end, which is always a failure."""
         sock = await connect(self._address, CONNECT_S)
         if isinstance(sock, Connect):
-            return WatchFailed(f"connect: {sock.name.lower()}", ListFailure.UNREACHED)
+            return WatchFailed(f"connect: {sock.name.lower()}", DiscoveryFailure.UNREACHED)
         asked_s = self._clock()
         try:
             await self._follow(sock, answer, number, after_version)
         except TimeoutError:
-            return WatchFailed("silent", ListFailure.SILENT if answer.listed else ListFailure.UNANSWERED)
+            return WatchFailed(
+                "silent", DiscoveryFailure.SILENT if answer.listed else DiscoveryFailure.UNANSWERED
+            )
         except (OSError, ValueError, RecursionError, httptools.HttpParserError) as error:
             why = f"{type(error).__name__}: {error.__context__ or error}"
             if answer.listed and not answer.complete:  # one whose answer was complete never was a watch
-                return WatchFailed(why, ListFailure.LOST)
+                return WatchFailed(why, DiscoveryFailure.LOST)
             if answer.good or not isinstance(error, OSError):
-                return WatchFailed(why, ListFailure.UNUSABLE)
+                return WatchFailed(why, DiscoveryFailure.UNUSABLE)
             waited_s = self._clock() - asked_s
             return WatchFailed(f"{why} after {waited_s:.3f} s", unserved(waited_s * 1000.0))
         finally:
@@ -218,7 +220,7 @@
             if answer.headed and not answer.good:
                 raise ConnectionError(f"answered {parser.get_status_code()}")
             for text in answer.objects:
-                news = read_listed(json.loads(text))
+                news = parse_endpoint_list(json.loads(text))
                 if not answer.listed:
                     log.info("watch: version %d after %.3f s", news.version, loop.time() - asked_s)
                 await self._report(number, news)
--- a/sageturn/net/probes.py
+++ b/sageturn/net/health_check_client.py
@@ -9,11 +9,11 @@
 from collections.abc import Awaitable, Callable, Collection, Mapping
 from contextlib import suppress
 
-from sageturn.core.tasks import end_task
-from sageturn.interface import Probed
+from sageturn.core.tasks import cancel_and_wait
+from sageturn.decision import HealthCheckCompleted
+from sageturn.decision.load_reports import TEXT_MOST, read_report
 from sageturn.net.sockets import Connect
 from sageturn.net.sockets import connect_unreserved as connect
-from sageturn.reports import TEXT_MOST, read_report
 
 log = logging.getLogger(__name__)
 
@@ -22,7 +22,7 @@
 LINE_MOST = TEXT_MOST + 64
 
 
-class Prober:
+class HealthCheckClient:
     """One probe at a time at each endpoint. Whatever comes of it is told once; nothing here is fatal."""
 
     def __init__(
@@ -31,7 +31,7 @@
         fields: Collection[str],
         connect_s: float,
         keep_s: float,
-        tell: Callable[[Probed], Awaitable[None]],
+        tell: Callable[[HealthCheckCompleted], Awaitable[None]],
         dropped: Counter[str],
     ) -> None:
         """``fields``: what reports hold. ``keep_s``: how long an endpoint leaves an idle connection open.
@@ -66,7 +66,7 @@
         except OSError as error:
             log.info("probe of %s: %s", endpoint, error)
             status = "error"
-        await self._tell(Probed(endpoint, status, report))
+        await self._tell(HealthCheckCompleted(endpoint, status, report))
 
     async def _converse(self, endpoint: str) -> tuple[str, dict[str, float]]:
         address = self._addresses.get(endpoint)
@@ -111,7 +111,7 @@
 
     async def stop(self) -> None:
         for task in list(self._out.values()):
-            await end_task(task)
+            await cancel_and_wait(task)
         for _, sock in self._kept.values():
             sock.close()
         self._kept.clear()
--- a/sageturn/net/listener.py
+++ b/sageturn/net/listener.py
@@ -9,12 +9,12 @@
 from collections.abc import Awaitable, Callable, Coroutine
 from contextlib import suppress
 
-from sageturn.net.admission import Admission, Newcomer
-from sageturn.net.sockets import RESERVE, SHORT_OF_DESCRIPTORS, bind, close_at_once, prepare
+from sageturn.net.admission import AdmissionController, PendingConnection
+from sageturn.net.sockets import DESCRIPTOR_RESERVE, SHORT_OF_DESCRIPTORS, bind, close_at_once, prepare
 
 log = logging.getLogger(__name__)
 
-Serve = Callable[[socket.socket, Newcomer], Awaitable[None]]
+Serve = Callable[[socket.socket, PendingConnection], Awaitable[None]]
 BACKLOG = 1024
 AT_ONCE = 64  # taken in one turn of the loop, so that those who have been taken get theirs
 CANCEL_S = 0.02
@@ -25,7 +25,7 @@
 
 class Listener:
     def __init__(
-        self, address: tuple[str, int], serve: Serve, turn_away: bytes, admission: Admission
+        self, address: tuple[str, int], serve: Serve, turn_away: bytes, admission: AdmissionController
     ) -> None:
         self._admission = admission
         self._sock = bind(address)
@@ -63,7 +63,7 @@
     def _take(self, most: int) -> bool:
         """Takes those who wait, up to so many; True when that needs a descriptor more than there is."""
         for _ in range(most):
-            if not RESERVE.refill():
+            if not DESCRIPTOR_RESERVE.refill():
                 return True
             try:
                 sock, _ = self._sock.accept()
@@ -82,7 +82,7 @@
 
     def shut(self) -> None:
         """Takes everyone whom this machine has accepted so far, and nobody from then on."""
-        RESERVE.hold(0)  # nothing that it is kept for is begun any more
+        DESCRIPTOR_RESERVE.hold(0)  # nothing that it is kept for is begun any more
         if self._sock.fileno() >= 0 and self._take(BACKLOG):
             for _ in range(BACKLOG):  # one after the other, each on the one descriptor that there is
                 if (sock := self._take_on_spare()) is None:
@@ -96,7 +96,7 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _guard(self, sock: socket.socket, newcomer: Newcomer) -> None:
+    async def _guard(self, sock: socket.socket, newcomer: PendingConnection) -> None:
         try:
             prepare(sock)
             await self._serve(sock, newcomer)
--- a/sageturn/net/sockets.py
+++ b/sageturn/net/sockets.py
@@ -13,7 +13,7 @@
 from contextlib import contextmanager, suppress
 from enum import Enum, auto
 
-from sageturn.core.endings import Ending
+from sageturn.core.close_reason import CloseReason
 
 Buffer = bytes | bytearray | memoryview
 SHORT_OF_DESCRIPTORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
@@ -33,13 +33,13 @@
 
 
 CONNECT_ENDINGS = {
-    Connect.REFUSED: Ending.REFUSED,
-    Connect.NEVER_UP: Ending.NO_CONNECT,
-    Connect.NO_DESCRIPTOR: Ending.NOT_SENT,
+    Connect.REFUSED: CloseReason.REFUSED,
+    Connect.NEVER_UP: CloseReason.NO_CONNECT,
+    Connect.NO_DESCRIPTOR: CloseReason.NOT_SENT,
 }
 
 
-class Reserve:
+class DescriptorReserve:
     """Descriptors that no client can take: held open on nothing, and given up for what must not wait.
 
     Clients who stand or rest may fill all others for as long as they like. Without these the watch would get
@@ -82,15 +82,15 @@
             self.refill()
 
 
-RESERVE = Reserve()  # one for the process, as its table of descriptors is
+DESCRIPTOR_RESERVE = DescriptorReserve()  # one for the process, as its table of descriptors is
 
 
-def bound_descriptors(most: int) -> None:
+def limit_descriptors(most: int) -> None:
     """So that running out shows as an error that the listener knows how to answer."""
     _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if hard == resource.RLIM_INFINITY or hard >= most:
         resource.setrlimit(resource.RLIMIT_NOFILE, (most, hard))
-    RESERVE.hold(RESERVED)
+    DESCRIPTOR_RESERVE.hold(RESERVED)
 
 
 def prepare(sock: socket.socket) -> socket.socket:
@@ -103,14 +103,14 @@
     try:
         return socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     except OSError as error:
-        if not reserved or error.errno not in SHORT_OF_DESCRIPTORS or not RESERVE.give_up():
+        if not reserved or error.errno not in SHORT_OF_DESCRIPTORS or not DESCRIPTOR_RESERVE.give_up():
             raise
         return socket.socket(socket.AF_INET, socket.SOCK_STREAM)
 
 
 async def connect_unreserved(address: tuple[str, int], timeout_s: float) -> socket.socket | Connect:
     """As ``connect``, for a client's sake: what is held in reserve is made good first, and not touched."""
-    return await connect(address, timeout_s, False) if RESERVE.refill() else Connect.NO_DESCRIPTOR
+    return await connect(address, timeout_s, False) if DESCRIPTOR_RESERVE.refill() else Connect.NO_DESCRIPTOR
 
 
 async def connect(
@@ -151,14 +151,14 @@
         sent = 0
 
 
-async def until_seen(sock: socket.socket, look: Callable[[], Ending | None]) -> Ending:
+async def until_seen(sock: socket.socket, look: Callable[[], CloseReason | None]) -> CloseReason:
     """Calls ``look`` at once and whenever ``sock`` has something to read, until it gives an ending.
 
     ``look`` alone reads the socket then, without waiting, and may be called by others as well: what one of
     two readers had read, but not yet been woken to put in its place, would stand behind what the other took.
     """
     loop = asyncio.get_running_loop()
-    seen: asyncio.Future[Ending] = loop.create_future()
+    seen: asyncio.Future[CloseReason] = loop.create_future()
 
     def again() -> None:
         if not seen.done() and (found := look()) is not None:
--- a/sageturn/overrides/actor.py
+++ b/sageturn/overrides/actor.py
@@ -1,4 +1,4 @@
-"""Overrides at work in a relay: between the destination set and the module, and beside its requests."""
+"""OverrideActor at work in a relay: between the destination set and the module, and beside its requests."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 from contextlib import suppress
 from typing import Any, Protocol
 
-from sageturn import interface as api
-from sageturn.core.hosts import Marks
-from sageturn.core.module import ModuleActor
-from sageturn.overrides.board import Board
+from sageturn import decision
+from sageturn.core.balancer_actor import BalancerActor
+from sageturn.core.endpoint_snapshot import OperatorMarks
+from sageturn.overrides.board import OverrideRegistry
 from sageturn.overrides.ops import PREFIX
 from sageturn.overrides.options import OverrideOptions
 from sageturn.overrides.resolve import Pinned
@@ -37,7 +37,7 @@
     return time.time() * 1000.0
 
 
-class Overrides:
+class OverrideActor:
     """Takes the list's events in the module's place, and passes them on as the overrides make them.
 
     ``on_effects`` hears of the hosts that are held, out of service, and to be cleared, when that changes.
@@ -45,20 +45,20 @@
 
     def __init__(
         self,
-        module: ModuleActor,
+        balancer_actor: BalancerActor,
         options: OverrideOptions,
         store: Records,
         tell_state: Callable[[dict[str, Any]], None],
-        on_effects: Callable[[Marks], None] | None = None,
+        on_effects: Callable[[OperatorMarks], None] | None = None,
         now_ms: Callable[[], float] = unix_ms,
     ) -> None:
-        settings = module.settings
-        self.board = Board(options, settings.cold_from, settings.warm_within_ms)
-        self._module, self._tell_state, self._on_effects = module, tell_state, on_effects
+        settings = balancer_actor.settings
+        self.board = OverrideRegistry(options, settings.initial_capacity_ratio, settings.slow_start_ms)
+        self._balancer_actor, self._tell_state, self._on_effects = balancer_actor, tell_state, on_effects
         self._now_ms = now_ms
         self._words: list[tuple[str, Any]] = []
-        self._lines: list[api.Server] = []
-        self.marks = Marks()
+        self._lines: list[decision.Endpoint] = []
+        self.marks = OperatorMarks()
         self._woken = asyncio.Event()
         self._told_s = 0.0
         # What is over by now is never in force here: it is left out before the first host is told.
@@ -67,14 +67,14 @@
 
     # ------------------------------------------------------------ the list
 
-    async def tell(self, event: api.Event) -> None:
+    async def tell(self, event: decision.Event) -> None:
         """In place of the module's own ``tell``, for the destination set."""
-        if isinstance(event, api.ServerList) and event.kind != "failed":
+        if isinstance(event, decision.EndpointListEvent) and event.kind != "failed":
             whole = event.kind in ("full", "stale")
-            lines = self.board.listed(event.servers, whole, self._now_ms())
-            event = api.ServerList(event.kind, lines)
+            lines = self.board.listed(event.endpoints, whole, self._now_ms())
+            event = decision.EndpointListEvent(event.kind, lines)
             self._spread()
-        await self._module.tell(event)
+        await self._balancer_actor.post_event(event)
 
     def out(self, host: str) -> bool:
         """For calls that take long to set up: whether the host may no longer be given work."""
@@ -118,11 +118,11 @@
 
     def _attend(self) -> None:
         """Beside the module only while there is a pin: without one no request passes through here."""
-        beside = self in self._module.companions
+        beside = self in self._balancer_actor.observers
         if self.board.resolver.pins and not beside:
-            self._module.companions.append(self)
+            self._balancer_actor.observers.append(self)
         elif beside and not self.board.resolver.pins:
-            self._module.companions.remove(self)
+            self._balancer_actor.observers.remove(self)
 
     async def _step(self, words: list[tuple[str, Any]]) -> None:
         lines, self._lines = self._lines, []
@@ -132,7 +132,9 @@
         lines += self.board.pass_time(now_ms)
         if lines:
             latest = {line.name: line for line in lines}
-            await self._module.tell(api.ServerList("changes", list(latest.values())))
+            await self._balancer_actor.post_event(
+                decision.EndpointListEvent("changes", list(latest.values()))
+            )
         happened, self.board.happened = self.board.happened, []
         for happening in happened:
             level = logging.WARNING if happening.what in LOUD else logging.INFO
@@ -145,7 +147,7 @@
 
     def _spread(self) -> None:
         effects = self.board.resolver.effects.items()
-        marks = Marks(
+        marks = OperatorMarks(
             frozenset(name for name, effect in effects if effect.hold),
             frozenset(name for name, effect in effects if effect.out),
             frozenset(name for name, effect in effects if effect.move_off),
@@ -157,16 +159,16 @@
 
     # ------------------------------------------------------------ requests
 
-    def before(self, now_ms: float, event: api.Event) -> None:
+    def before(self, now_ms: float, event: decision.Event) -> None:
         """Binds a request to hosts where a pin selects it; the module chooses among them."""
-        if not isinstance(event, api.Request):
+        if not isinstance(event, decision.RequestArrived):
             return
         pinned = self.board.pinned(event.class_name, event.tenant, event.group)
         if pinned is not None:
-            bind(event, pinned, self._module)
+            bind(event, pinned, self._balancer_actor)
 
-    def after(self, now_ms: float, event: api.Event, actions: Sequence[api.Action]) -> None:
-        """Overrides learn nothing from what passes."""
+    def after(self, now_ms: float, event: decision.Event, actions: Sequence[decision.Action]) -> None:
+        """OverrideActor learn nothing from what passes."""
 
     def moved_by_other(self, now_ms: float, request_id: int) -> None:
         """Nor from moves."""
@@ -192,12 +194,12 @@
         return told
 
 
-def bind(event: api.Request, pinned: Pinned, module: ModuleActor) -> None:
+def bind(event: decision.RequestArrived, pinned: Pinned, balancer_actor: BalancerActor) -> None:
     """A strict pin holds on every attempt; a preferred one on the first, where any of its hosts has room."""
     allowed, strict = pinned.strict, pinned.strict is not None
     if pinned.preferred is not None:
         wished = pinned.preferred if allowed is None else pinned.preferred & allowed
-        if any(view.room > 0 for view in module.look(wished)):
+        if any(view.room > 0 for view in balancer_actor.snapshot_endpoints(wished)):
             event.allowed, event.strict = wished, strict
             return
     if strict:
--- a/sageturn/overrides/board.py
+++ b/sageturn/overrides/board.py
@@ -6,12 +6,12 @@
 from dataclasses import dataclass
 from typing import Any
 
-from sageturn.interface import Server
+from sageturn.decision import Endpoint
 from sageturn.overrides.model import Override, fold
-from sageturn.overrides.ops import PREFIX, BadOp, Op, read_op
+from sageturn.overrides.ops import PREFIX, InvalidOperationError, OverrideOperation, parse_operation
 from sageturn.overrides.options import OverrideOptions
-from sageturn.overrides.resolve import Changed, Pinned, Resolver
-from sageturn.overrides.returns import Returns
+from sageturn.overrides.resolve import Changed, OverrideResolver, Pinned
+from sageturn.overrides.returns import RecoveryRamps
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,7 +23,7 @@
     told: str
 
 
-class Board:
+class OverrideRegistry:
     """Times are milliseconds of Unix time, as the system's clock has them now: expiries are instants of it.
 
     A clock that is set back does not bring back what has lapsed: that stays lapsed until a later word extends
@@ -32,20 +32,20 @@
     Calls that change anything return the lines of the hosts that the module has to see anew.
     """
 
-    def __init__(self, options: OverrideOptions, cold_from: float, warm_within_ms: float) -> None:
+    def __init__(self, options: OverrideOptions, initial_capacity_ratio: float, slow_start_ms: float) -> None:
         self.options = options
-        self.resolver = Resolver(options.floors)
-        self.returns = Returns(cold_from, warm_within_ms)
+        self.resolver = OverrideResolver(options.floors)
+        self.returns = RecoveryRamps(initial_capacity_ratio, slow_start_ms)
         self.refused: dict[str, str] = {}  # by key in the store: why
         self.known: dict[str, Override] = {}
         self.happened: list[Happening] = []
-        self._ops: dict[str, dict[str, Op]] = {}  # by override, then by key
+        self._ops: dict[str, dict[str, OverrideOperation]] = {}  # by override, then by key
         self._lapsed: dict[str, int] = {}  # by override: its revision when it lapsed
         self._suspended: dict[str, str] = {}
 
     # ------------------------------------------------------------ words
 
-    def take(self, records: Iterable[tuple[str, Any]], now_ms: float) -> list[Server]:
+    def take(self, records: Iterable[tuple[str, Any]], now_ms: float) -> list[Endpoint]:
         """Records of the store that stand under ``PREFIX``."""
         touched = []
         for key, value in records:
@@ -61,10 +61,10 @@
                     touched.append(override_id)
         return self._turned(self._fold(dict.fromkeys(touched), now_ms), now_ms)
 
-    def _read(self, key: str, value: Any, override_id: str) -> Op | None:
+    def _read(self, key: str, value: Any, override_id: str) -> OverrideOperation | None:
         try:
-            op = read_op(key, value, self.options.operators)
-        except BadOp as error:
+            op = parse_operation(key, value, self.options.operators)
+        except InvalidOperationError as error:
             if self.refused.get(key) != str(error):
                 self.refused[key] = str(error)
                 self._say("refused", override_id, f"{key}: {error}")
@@ -72,7 +72,7 @@
         self.refused.pop(key, None)
         return op
 
-    def set_options(self, options: OverrideOptions, now_ms: float) -> list[Server]:
+    def set_options(self, options: OverrideOptions, now_ms: float) -> list[Endpoint]:
         """New options: whoever is no operator any more is no longer heard, and all is weighed anew."""
         self.options, self.resolver.floors = options, options.floors
         for override_id, ops in self._ops.items():
@@ -123,7 +123,7 @@
 
     # ------------------------------------------------------------ time
 
-    def pass_time(self, now_ms: float) -> list[Server]:
+    def pass_time(self, now_ms: float) -> list[Endpoint]:
         """What has lapsed by now, and hosts whose weight comes back bit by bit."""
         changed: Changed = {}
         for override in [o for o in self.resolver.overrides.values() if o.lapsed(now_ms)]:
@@ -144,26 +144,26 @@
 
     # ------------------------------------------------------------ hosts
 
-    def listed(self, servers: list[Server], whole: bool, now_ms: float) -> list[Server]:
+    def listed(self, endpoints: list[Endpoint], whole: bool, now_ms: float) -> list[Endpoint]:
         """Word of the list as the module is to get it: the same hosts, and others that it has changed."""
-        for server in servers:
-            old = self.resolver.hosts.get(server.name)
-            if old is not None and old.started_at_ms != server.started_at_ms:
-                self.returns.forget(server.name)
+        for endpoint in endpoints:
+            old = self.resolver.hosts.get(endpoint.name)
+            if old is not None and old.started_at_ms != endpoint.started_at_ms:
+                self.returns.forget(endpoint.name)
         before = set(self.resolver.hosts)
-        changed = self.resolver.listed(servers, whole)
+        changed = self.resolver.listed(endpoints, whole)
         for name in before - self.resolver.hosts.keys():
             self.returns.forget(name)
         # A host that is new on the list has no past here: what it meets is no return.
         self._turned({n: e for n, e in changed.items() if n in before}, now_ms)
-        named = {s.name for s in servers}
-        lines = [self.line(s.name, now_ms) if s.name in self.resolver.hosts else s for s in servers]
+        named = {s.name for s in endpoints}
+        lines = [self.line(s.name, now_ms) if s.name in self.resolver.hosts else s for s in endpoints]
         return lines + [self.line(name, now_ms) for name in changed if name not in named]
 
-    def line(self, name: str, now_ms: float) -> Server:
+    def line(self, name: str, now_ms: float) -> Endpoint:
         return self.returns.line(self.resolver.hosts[name], self.resolver.effect(name), now_ms)
 
-    def _turned(self, changed: Changed, now_ms: float) -> list[Server]:
+    def _turned(self, changed: Changed, now_ms: float) -> list[Endpoint]:
         for name, old in changed.items():
             self.returns.turn(name, old, self.resolver.effect(name), now_ms)
         self._tell_suspended()
@@ -193,5 +193,5 @@
             return "suspended"
         return "in force" if self.resolver.matches(override) else "dormant"
 
-    def history(self, override_id: str) -> list[Op]:
+    def history(self, override_id: str) -> list[OverrideOperation]:
         return sorted(self._ops.get(override_id, {}).values(), key=lambda op: op.order)
--- a/sageturn/overrides/model.py
+++ b/sageturn/overrides/model.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from sageturn.overrides.ops import Body, Op
+from sageturn.overrides.ops import OverrideOperation, OverridePayload
 
 
 @dataclass(frozen=True, slots=True)
@@ -13,7 +13,7 @@
     """``until_ms`` is an instant of Unix time, and the first at which it is no longer in force."""
 
     id: str
-    body: Body
+    body: OverridePayload
     set_by: str
     set_ms: float
     why: str
@@ -36,7 +36,7 @@
         return now_ms >= self.until_ms
 
 
-def fold(ops: Iterable[Op], longest_ms: float) -> Override | None:
+def fold(ops: Iterable[OverrideOperation], longest_ms: float) -> Override | None:
     """The override that these words make; None while the word that sets it is not there.
 
     - Of several that set it under one id, the one with the least key counts.
--- a/sageturn/overrides/ops.py
+++ b/sageturn/overrides/ops.py
@@ -19,7 +19,7 @@
 from cryptography.exceptions import InvalidSignature
 from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PrivateKey, Ed25519PublicKey
 
-from sageturn.interface import Server
+from sageturn.decision import Endpoint
 
 PREFIX = "overrides/"
 KINDS = ("out", "weight", "pin", "hold")
@@ -33,7 +33,7 @@
 _NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9_.@-]{0,63}")
 
 
-class BadOp(ValueError):
+class InvalidOperationError(ValueError):
     """No word of an operator's; the text names the field, or says why it is refused."""
 
 
@@ -44,22 +44,22 @@
     what: str  # host, zone, kind or cell
     value: str
 
-    def covers(self, server: Server) -> bool:
-        return self.value == value_of(server, self.what)
+    def covers(self, endpoint: Endpoint) -> bool:
+        return self.value == value_of(endpoint, self.what)
 
 
 SELECTORS = ("host", "zone", "kind", "cell")
 
 
-def value_of(server: Server, what: str) -> str:
+def value_of(endpoint: Endpoint, what: str) -> str:
     """A host's name, zone, kind or cell, as a selector writes it."""
     if what == "host":
-        return server.name
-    return {"zone": server.zone, "kind": server.kind}[what] if what != "cell" else str(server.cell)
+        return endpoint.name
+    return {"zone": endpoint.zone, "kind": endpoint.kind}[what] if what != "cell" else str(endpoint.cell)
 
 
 @dataclass(frozen=True, slots=True)
-class Body:
+class OverridePayload:
     """What an override does. Fields that its kind does not have are empty."""
 
     kind: str
@@ -75,7 +75,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Op:
+class OverrideOperation:
     """One word. ``key`` is where it stands in the store; the signature is the named operator's."""
 
     override: str
@@ -85,7 +85,7 @@
     operator: str
     why: str
     until_ms: float = 0.0  # set and extend
-    body: Body | None = None  # set
+    body: OverridePayload | None = None  # set
     forced: bool = False
     nonce: str = ""
 
@@ -110,7 +110,7 @@
 # ---------------------------------------------------------------- to and from the store
 
 
-def _plain(op: Op) -> dict[str, Any]:
+def _plain(op: OverrideOperation) -> dict[str, Any]:
     found: dict[str, Any] = {
         "override": op.override,
         "word": op.word,
@@ -150,7 +150,7 @@
     return json.dumps(plain, sort_keys=True, separators=(",", ":"), allow_nan=False).encode()
 
 
-def sign(op: Op, key: Ed25519PrivateKey) -> dict[str, Any]:
+def sign(op: OverrideOperation, key: Ed25519PrivateKey) -> dict[str, Any]:
     """The value to be put under ``op.key``."""
     plain = _plain(op)
     return {**plain, "signature": b64encode(key.sign(_bytes_to_sign(plain))).decode()}
@@ -164,71 +164,73 @@
         raise ValueError(str(error)) from None
 
 
-def read_op(key: str, value: Any, operators: Mapping[str, Ed25519PublicKey] | None) -> Op:
-    """Raises BadOp. Nothing in it is believed before the signature of the operator it names has held.
+def parse_operation(
+    key: str, value: Any, operators: Mapping[str, Ed25519PublicKey] | None
+) -> OverrideOperation:
+    """Raises InvalidOperationError. Nothing in it is believed before the signature of its operator has held.
 
     ``operators`` None: only its form is looked at, as a command does that shows what relays have checked.
     """
     if not isinstance(value, dict):
-        raise BadOp("not an object")
+        raise InvalidOperationError("not an object")
     plain = {k: v for k, v in value.items() if k != "signature"}
     op = _read(plain)
     if op.key != key:
-        raise BadOp(f"stands under {key}, and belongs under {op.key}")
+        raise InvalidOperationError(f"stands under {key}, and belongs under {op.key}")
     if _plain(op) != plain:
-        raise BadOp("holds what no word of its kind does")
+        raise InvalidOperationError("holds what no word of its kind does")
     if operators is None:
         return op
     public = operators.get(op.operator)
     if public is None:
-        raise BadOp(f"operator: {op.operator} is not known here")
+        raise InvalidOperationError(f"operator: {op.operator} is not known here")
     try:
         public.verify(b64decode(str(value.get("signature")), validate=True), _bytes_to_sign(plain))
     except (InvalidSignature, Base64Error, ValueError):
-        raise BadOp(f"signature: not {op.operator}'s") from None
+        raise InvalidOperationError(f"signature: not {op.operator}'s") from None
     return op
 
 
 class _Fields:
     def __init__(self, values: Any, where: str) -> None:
         if not isinstance(values, dict):
-            raise BadOp(f"{where or 'op'}: not an object")
+            raise InvalidOperationError(f"{where or 'op'}: not an object")
         self._values, self._where = values, where
 
     def text(self, name: str, pattern: re.Pattern[str] | None = None, default: str | None = None) -> str:
         value = self._values.get(name, default)
         if not isinstance(value, str) or len(value) > TEXT_MOST or (pattern and not pattern.fullmatch(value)):
-            raise BadOp(f"{self._where}{name}")
+            raise InvalidOperationError(f"{self._where}{name}")
         return value
 
     def number(self, name: str, least: float, most: float, default: float | None = None) -> float:
         value = self._values.get(name, default)
         if not isinstance(value, (int, float)) or isinstance(value, bool) or not least <= value <= most:
-            raise BadOp(f"{self._where}{name}")
+            raise InvalidOperationError(f"{self._where}{name}")
         return value
 
     def flag(self, name: str) -> bool:
         value = self._values.get(name, False)
         if not isinstance(value, bool):
-            raise BadOp(f"{self._where}{name}")
+            raise InvalidOperationError(f"{self._where}{name}")
         return value
 
     def get(self, name: str) -> Any:
         return self._values.get(name)
 
 
-def _read(plain: dict[str, Any]) -> Op:
+def _read(plain: dict[str, Any]) -> OverrideOperation:
     fields = _Fields(plain, "")
     word = fields.text("word")
     if word not in WORDS:
-        raise BadOp("word")
+        raise InvalidOperationError("word")
     revision = fields.number("revision", 1, REVISION_MOST)
     if not isinstance(revision, int):
-        raise BadOp("revision")
+        raise InvalidOperationError("revision")
     why = fields.text("why")
     if not why.strip():
-        raise BadOp("why: must say something")
-    return Op(
+        raise InvalidOperationError("why: must say something")
+    return OverrideOperation(
         override=fields.text("override", _ID),
         word=word,
         revision=revision,
@@ -242,22 +244,22 @@
     )
 
 
-def _read_body(value: Any) -> Body:
+def _read_body(value: Any) -> OverridePayload:
     fields = _Fields(value, "body.")
     kind = fields.text("does")
     if kind not in KINDS:
-        raise BadOp("body.does")
+        raise InvalidOperationError("body.does")
     named = [what for what in SELECTORS if fields.get(what) is not None]
     this_start_ms = fields.number("this_start_ms", 0, INSTANT_MOST, 0.0)
     if kind == "pin":
         hosts = fields.get("hosts")
         if not isinstance(hosts, list) or not 0 < len(hosts) <= NAMES_MOST:
-            raise BadOp("body.hosts")
+            raise InvalidOperationError("body.hosts")
         if not all(isinstance(host, str) and 0 < len(host) <= TEXT_MOST for host in hosts):
-            raise BadOp("body.hosts")
+            raise InvalidOperationError("body.hosts")
         if named:
-            raise BadOp(f"body.{named[0]}: a pin names its hosts")
-        return Body(
+            raise InvalidOperationError(f"body.{named[0]}: a pin names its hosts")
+        return OverridePayload(
             kind,
             hosts=tuple(hosts),
             strict=fields.flag("strict"),
@@ -266,14 +268,14 @@
             group_prefix=fields.text("group_prefix", default=""),
         )
     if len(named) != 1:
-        raise BadOp("body: one of host, zone, kind and cell must be named")
+        raise InvalidOperationError("body: one of host, zone, kind and cell must be named")
     selector = Selector(named[0], fields.text(named[0]))
     if this_start_ms and selector.what != "host":
-        raise BadOp("body.this_start_ms: needs a host")
+        raise InvalidOperationError("body.this_start_ms: needs a host")
     factor = fields.number("factor", 0, FACTOR_MOST) if kind == "weight" else 1.0
     if not factor > 0:
-        raise BadOp("body.factor: must be above 0")
-    return Body(
+        raise InvalidOperationError("body.factor: must be above 0")
+    return OverridePayload(
         kind,
         selector,
         move_off=kind == "out" and fields.flag("move_off"),
--- a/sageturn/overrides/options.py
+++ b/sageturn/overrides/options.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from sageturn.overrides.resolve import Floors
+from sageturn.overrides.resolve import SafetyLimits
 
 if TYPE_CHECKING:
     from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PublicKey
@@ -18,4 +18,4 @@
 
     operators: Mapping[str, Ed25519PublicKey] = field(default_factory=dict)
     longest_s: float = 7 * 86400.0  # an override lasts no longer, however often it is extended at a time
-    floors: Floors = field(default_factory=Floors)
+    floors: SafetyLimits = field(default_factory=SafetyLimits)
--- a/sageturn/overrides/resolve.py
+++ b/sageturn/overrides/resolve.py
@@ -19,13 +19,13 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from sageturn.interface import Server
+from sageturn.decision import Endpoint
 from sageturn.overrides.model import Override
 from sageturn.overrides.ops import SELECTORS, value_of
 
 
 @dataclass(frozen=True, slots=True)
-class Floors:
+class SafetyLimits:
     """Parts of the capacity listed ready that overrides have to leave."""
 
     all: float = 0.5
@@ -59,19 +59,19 @@
 Changed = dict[str, Effect]  # the effect on each host before it changed; of two, the earlier is kept
 
 
-class Resolver:
+class OverrideResolver:
     """Kept up change by change. Each call returns the hosts on which the effect has changed."""
 
-    def __init__(self, floors: Floors) -> None:
+    def __init__(self, floors: SafetyLimits) -> None:
         self.floors = floors
-        self.hosts: dict[str, Server] = {}
+        self.hosts: dict[str, Endpoint] = {}
         self.overrides: dict[str, Override] = {}
         self.suspended: dict[str, str] = {}  # by id: why, with figures
         self.effects: dict[str, Effect] = {}  # of the hosts that any override touches
         self._order: list[tuple[float, str]] = []
         # By selector, so that a host's own are found without a look at all of them.
         self._covering: dict[tuple[str, str], dict[str, Override]] = {}
-        self._hosts_by: dict[tuple[str, str], dict[str, Server]] = {}
+        self._hosts_by: dict[tuple[str, str], dict[str, Endpoint]] = {}
         self.pins: dict[str, Override] = {}
         self._keys: dict[str, tuple[tuple[str, str], ...]] = {}  # a host's, under all selectors
         # What the guard has let through: each host's factor, and the capacity left by zone and in all.
@@ -89,7 +89,7 @@
         body = override.body
         if body.kind == "pin":
             return [name for name in body.hosts if name in self.hosts]
-        return [server.name for server in self._covered(override)]
+        return [endpoint.name for endpoint in self._covered(override)]
 
     def next_lapse_ms(self) -> float | None:
         return min((o.until_ms for o in self.overrides.values()), default=None)
@@ -153,29 +153,29 @@
             self._give_back(covered)
         return self._see(covered)
 
-    def listed(self, servers: Iterable[Server], whole: bool) -> Changed:
+    def listed(self, endpoints: Iterable[Endpoint], whole: bool) -> Changed:
         """Word of the list: all of it, or what has changed."""
-        servers = list(servers)
+        endpoints = list(endpoints)
         if whole:
-            named = {s.name for s in servers}
-            servers += [Server(name, "gone") for name in self.hosts if name not in named]
+            named = {s.name for s in endpoints}
+            endpoints += [Endpoint(name, "gone") for name in self.hosts if name not in named]
         touched = set()
-        for server in servers:
-            old = self.hosts.pop(server.name, None)
+        for endpoint in endpoints:
+            old = self.hosts.pop(endpoint.name, None)
             if old is not None:
-                for key in self._keys.pop(server.name):
-                    del self._hosts_by[key][server.name]
+                for key in self._keys.pop(endpoint.name):
+                    del self._hosts_by[key][endpoint.name]
                 self._count(old, -1)
-            if server.state == "gone":
-                self.effects.pop(server.name, None)
-                self._factors.pop(server.name, None)
+            if endpoint.state == "gone":
+                self.effects.pop(endpoint.name, None)
+                self._factors.pop(endpoint.name, None)
             else:
-                self.hosts[server.name] = server
-                keys = self._keys[server.name] = tuple((w, value_of(server, w)) for w in SELECTORS)
+                self.hosts[endpoint.name] = endpoint
+                keys = self._keys[endpoint.name] = tuple((w, value_of(endpoint, w)) for w in SELECTORS)
                 for key in keys:
-                    self._hosts_by.setdefault(key, {})[server.name] = server
-                self._count(server, 1)
-            touched.add(server.name)
+                    self._hosts_by.setdefault(key, {})[endpoint.name] = endpoint
+                self._count(endpoint, 1)
+            touched.add(endpoint.name)
         here = touched & self.hosts.keys()
         if len(here) > len(self.overrides):
             # Most hosts are touched by no override: it is quicker to go by these.
@@ -185,17 +185,17 @@
             changed = self.weigh_all() | changed  # the floors may hold no longer, or hold again
         return changed
 
-    def _count(self, server: Server, by: int) -> None:
-        if server.state != "ready":
+    def _count(self, endpoint: Endpoint, by: int) -> None:
+        if endpoint.state != "ready":
             return
-        for zone in ("", server.zone) if server.zone else ("",):
-            self._total[zone] = self._total.get(zone, 0.0) + by * server.share
-            left = by * server.share * self._factors.get(server.name, 1.0)
+        for zone in ("", endpoint.zone) if endpoint.zone else ("",):
+            self._total[zone] = self._total.get(zone, 0.0) + by * endpoint.share
+            left = by * endpoint.share * self._factors.get(endpoint.name, 1.0)
             self._left[zone] = self._left.get(zone, 0.0) + left
 
     # ------------------------------------------------------------ effects
 
-    def _covered(self, override: Override) -> list[Server]:
+    def _covered(self, override: Override) -> list[Endpoint]:
         selector, start_ms = override.body.selector, override.body.this_start_ms
         if selector is None:
             return []
@@ -208,10 +208,10 @@
         if not self._covering and not self.effects:
             return changed
         for name in names:
-            server = self.hosts.get(name)
-            if server is None:
+            endpoint = self.hosts.get(name)
+            if endpoint is None:
                 continue
-            effect = self._effect_on(server)
+            effect = self._effect_on(endpoint)
             if effect != self.effects.get(name, NONE):
                 changed[name] = self.effects.get(name, NONE)
             if effect is NONE:
@@ -220,16 +220,16 @@
                 self.effects[name] = effect
         return changed
 
-    def _effect_on(self, server: Server) -> Effect:
+    def _effect_on(self, endpoint: Endpoint) -> Effect:
         out = move_off = hold = False
         factor: float | None = None
         by = []
-        for key in self._keys[server.name]:
+        for key in self._keys[endpoint.name]:
             for override_id, override in self._covering.get(key, _NOBODY).items():
                 body = override.body
                 if override_id in self.suspended:
                     continue
-                if body.this_start_ms and body.this_start_ms != server.started_at_ms:
+                if body.this_start_ms and body.this_start_ms != endpoint.started_at_ms:
                     continue
                 by.append(override_id)
                 if body.kind == "out":
@@ -274,13 +274,13 @@
         to = 0.0 if body.kind == "out" else body.factor
         taken: dict[str, float] = {}
         lowered = []
-        for server in self._covered(override):
-            has = self._factors.get(server.name, 1.0)
+        for endpoint in self._covered(override):
+            has = self._factors.get(endpoint.name, 1.0)
             if to < has:
-                lowered.append(server.name)
-                if server.state == "ready":
-                    for zone in ("", server.zone) if server.zone else ("",):
-                        taken[zone] = taken.get(zone, 0.0) + (has - to) * server.share
+                lowered.append(endpoint.name)
+                if endpoint.state == "ready":
+                    for zone in ("", endpoint.zone) if endpoint.zone else ("",):
+                        taken[zone] = taken.get(zone, 0.0) + (has - to) * endpoint.share
         for zone, part in sorted(taken.items()):
             total, left = self._total[zone], self._left[zone] - part
             floor = self.floors.zone if zone else self.floors.all
@@ -309,15 +309,15 @@
     def _give_back(self, names: Iterable[str]) -> None:
         """One was taken off and none is suspended: only its own hosts have more left now."""
         for name in names:
-            server, had = self.hosts[name], self._factors.pop(name, 1.0)
+            endpoint, had = self.hosts[name], self._factors.pop(name, 1.0)
             has = 1.0
             for key in self._keys[name]:
                 for override in self._covering.get(key, _NOBODY).values():
                     start_ms = override.body.this_start_ms
-                    if self._takes(override) and (not start_ms or start_ms == server.started_at_ms):
+                    if self._takes(override) and (not start_ms or start_ms == endpoint.started_at_ms):
                         has = min(has, 0.0 if override.body.kind == "out" else override.body.factor)
             if has < 1.0:
                 self._factors[name] = has
-            if server.state == "ready":
-                for zone in ("", server.zone) if server.zone else ("",):
-                    self._left[zone] += (has - had) * server.share
+            if endpoint.state == "ready":
+                for zone in ("", endpoint.zone) if endpoint.zone else ("",):
+                    self._left[zone] += (has - had) * endpoint.share
--- a/sageturn/overrides/returns.py
+++ b/sageturn/overrides/returns.py
@@ -8,18 +8,18 @@
 
 from dataclasses import replace
 
-from sageturn.interface import Server
+from sageturn.decision import Endpoint
 from sageturn.overrides.resolve import Effect
 
 STEPS = 24  # in which a weight comes back: about a second each
 
 
-class Returns:
-    """``cold_from`` and ``warm_within_ms`` are those of the settings."""
+class RecoveryRamps:
+    """``initial_capacity_ratio`` and ``slow_start_ms`` are those of the settings."""
 
-    def __init__(self, cold_from: float, warm_within_ms: float) -> None:
-        self._warm_ms = max(1.0, warm_within_ms)
-        self._per_ms = (1.0 - cold_from) / self._warm_ms
+    def __init__(self, initial_capacity_ratio: float, slow_start_ms: float) -> None:
+        self._warm_ms = max(1.0, slow_start_ms)
+        self._per_ms = (1.0 - initial_capacity_ratio) / self._warm_ms
         self._back_ms: dict[str, float] = {}  # hosts that were out, and when they came back
         self._rising: dict[str, tuple[float, float, float]] = {}  # from which factor, as of when, to which
 
@@ -47,16 +47,16 @@
         start, since_ms, to = rising
         return min(to, start + max(0.0, now_ms - since_ms) * self._per_ms)
 
-    def line(self, server: Server, effect: Effect, now_ms: float) -> Server:
+    def line(self, endpoint: Endpoint, effect: Effect, now_ms: float) -> Endpoint:
         """The host as the module is to see it. What the list says of a drain or a loss always stands."""
-        state = "draining" if effect.out and server.state == "ready" else server.state
-        back_ms = self._back_ms.get(server.name, 0.0)
+        state = "draining" if effect.out and endpoint.state == "ready" else endpoint.state
+        back_ms = self._back_ms.get(endpoint.name, 0.0)
         if back_ms and now_ms >= back_ms + self._warm_ms:
-            del self._back_ms[server.name]
+            del self._back_ms[endpoint.name]
             back_ms = 0.0
-        started_ms = max(server.started_at_ms, back_ms)
-        factor = self.factor(server.name, effect, now_ms)
-        return replace(server, state=state, started_at_ms=started_ms, factor=factor)
+        started_ms = max(endpoint.started_at_ms, back_ms)
+        factor = self.factor(endpoint.name, effect, now_ms)
+        return replace(endpoint, state=state, started_at_ms=started_ms, factor=factor)
 
     def rising(self, now_ms: float) -> list[str]:
         """Hosts whose weight comes back; those that have it wholly are named for the last time."""
--- a/sageturn/rebalance/balance.py
+++ b/sageturn/rebalance/balance.py
@@ -11,13 +11,13 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from sageturn.core.hosts import HostView
-from sageturn.rebalance.book import Book
-from sageturn.rules import GROUP_COST
+from sageturn.core.endpoint_snapshot import EndpointSnapshot
+from sageturn.decision.balancer import GROUP_COST
+from sageturn.rebalance.book import ConnectionTable
 
 
 @dataclass(frozen=True, slots=True)
-class Fill:
+class EndpointUtilization:
     name: str
     load: float
     due: float  # what it would hold if all were as full as the mean
@@ -30,7 +30,7 @@
 class Balance:
     """Of one set of hosts that are compared with each other."""
 
-    fills: tuple[Fill, ...]
+    fills: tuple[EndpointUtilization, ...]
     trust: float  # how much of our own spread the whole fleet is guessed to have, from 0 to 1
     load: float
 
@@ -44,21 +44,23 @@
 
 
 def weigh(
-    book: Book, hosts: Iterable[HostView], sharers: float, by_zone: bool, grouped: bool
+    book: ConnectionTable, hosts: Iterable[EndpointSnapshot], sharers: float, by_zone: bool, grouped: bool
 ) -> list[Balance]:
     """``sharers``: relays among which the clients of one such set of hosts are spread.
 
     Where crossings of zones are priced, the module keeps to its own zone, and hosts of another zone hold
     less on purpose: hosts are then compared within their zone only.
     """
-    sets: dict[str, list[HostView]] = {}
+    sets: dict[str, list[EndpointSnapshot]] = {}
     for host in hosts:
         if host.ready and host.size > 0:
             sets.setdefault(host.zone if by_zone else "", []).append(host)
     return [_weigh_set(book, members, sharers, grouped) for _, members in sorted(sets.items())]
 
 
-def _weigh_set(book: Book, hosts: list[HostView], sharers: float, grouped: bool) -> Balance:
+def _weigh_set(
+    book: ConnectionTable, hosts: list[EndpointSnapshot], sharers: float, grouped: bool
+) -> Balance:
     mean, cost = book.mean, GROUP_COST if grouped else 0.0
     loads = []
     for host in hosts:
@@ -76,7 +78,7 @@
     # Ours is a part of each host's load itself, and so counts whole; of the others' we expect what is common.
     trust = common + (1.0 - common) / max(1.0, sharers)
     fills = tuple(
-        Fill(h.name, load, due, 1.0 + trust * (load / due - 1.0), h.room, h.size)
+        EndpointUtilization(h.name, load, due, 1.0 + trust * (load / due - 1.0), h.room, h.size)
         for h, load, due in zip(hosts, loads, dues, strict=True)
     )
     return Balance(fills, trust, total)
--- a/sageturn/rebalance/book.py
+++ b/sageturn/rebalance/book.py
@@ -13,12 +13,12 @@
 NOBODY = -1
 
 
-class Part:
+class GroupAllocation:
     """A group's connections at one host; the group "" holds those that have none."""
 
     __slots__ = ("host", "group", "head", "count", "told", "heard")
 
-    def __init__(self, host: Held, group: str) -> None:
+    def __init__(self, host: EndpointTotals, group: str) -> None:
         self.host, self.group = host, group
         self.head = NOBODY
         self.count = 0
@@ -29,14 +29,14 @@
         return self.told + (self.count - self.heard) * mean
 
 
-class Held:
+class EndpointTotals:
     """What this relay holds at one host."""
 
     __slots__ = ("name", "parts", "count", "told", "heard")
 
     def __init__(self, name: str) -> None:
         self.name = name
-        self.parts: dict[str, Part] = {}
+        self.parts: dict[str, GroupAllocation] = {}
         self.count = 0
         self.told, self.heard = 0.0, 0
 
@@ -48,17 +48,17 @@
         return self.told + (self.count - self.heard + group_cost * self.groups) * mean
 
 
-class Book:
+class ConnectionTable:
     def __init__(self) -> None:
-        self.hosts: dict[str, Held] = {}
-        self.straddling: dict[str, list[Part]] = {}  # by group: its parts, at one host or more
+        self.hosts: dict[str, EndpointTotals] = {}
+        self.straddling: dict[str, list[GroupAllocation]] = {}  # by group: its parts, at one host or more
         self.told, self.squares, self.heard = 0.0, 0.0, 0
         self._rows: dict[int, int] = {}
         self._ids, self._clients = array("Q"), array("Q")
         self._since, self._loads = array("f"), array("f")  # seconds since _zero_ms; 0 load: not told
         self._names, self._next, self._before = array("L"), array("l"), array("l")
         self._at = array("L")
-        self._parts: list[Part | None] = []
+        self._parts: list[GroupAllocation | None] = []
         self._free_parts: list[int] = []
         self._part_numbers: dict[tuple[str, str], int] = {}
         self._free: list[int] = []
@@ -147,7 +147,7 @@
         if row is not None:
             self._tell(row, self._part(self._at[row]), max(0.0, value))
 
-    def _tell(self, row: int, part: Part, value: float) -> None:
+    def _tell(self, row: int, part: GroupAllocation, value: float) -> None:
         old = self._loads[row]
         self._loads[row] = value
         value = self._loads[row]  # as the column holds it, so that taking it off again leaves nothing over
@@ -161,7 +161,7 @@
 
     # ------------------------------------------------------------ reading
 
-    def members(self, part: Part) -> Iterator[tuple[int, int, tuple[str, str], float]]:
+    def members(self, part: GroupAllocation) -> Iterator[tuple[int, int, tuple[str, str], float]]:
         """Request id, client, (class, tenant) and the instant in ms since which it stands; newest first."""
         row = part.head
         while row != NOBODY:
@@ -184,7 +184,7 @@
 
     # ------------------------------------------------------------ parts
 
-    def _part(self, number: int) -> Part:
+    def _part(self, number: int) -> GroupAllocation:
         part = self._parts[number]
         assert part is not None
         return part
@@ -195,8 +195,8 @@
             return number
         held = self.hosts.get(host)
         if held is None:
-            held = self.hosts[host] = Held(host)
-        part = Part(held, group)
+            held = self.hosts[host] = EndpointTotals(host)
+        part = GroupAllocation(held, group)
         held.parts[group] = part
         if group:
             self.straddling.setdefault(group, []).append(part)
@@ -209,7 +209,7 @@
         self._part_numbers[(host, group)] = number
         return number
 
-    def _drop(self, number: int, part: Part) -> None:
+    def _drop(self, number: int, part: GroupAllocation) -> None:
         del part.host.parts[part.group]
         if not part.host.count:
             del self.hosts[part.host.name]
--- a/sageturn/rebalance/driver.py
+++ b/sageturn/rebalance/driver.py
@@ -7,44 +7,48 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from sageturn.core.drain import Lives
-from sageturn.core.module import ModuleActor
+from sageturn.core.balancer_actor import BalancerActor
+from sageturn.core.shutdown import RequestRegistry
 from sageturn.rebalance.options import DAY_MIN, RebalanceOptions
-from sageturn.rebalance.planner import Plan, Planner
+from sageturn.rebalance.planner import MigrationPlan, RebalancePlanner
 
 log = logging.getLogger(__name__)
 
 STATE_MS = 5000.0  # how often the state is told, at most
 
 
-class Rebalancer(Planner):
+class Rebalancer(RebalancePlanner):
     """The planner as the module's companion, and the actor that asks for its moves."""
 
     def __init__(
         self,
-        module: ModuleActor,
-        lives: Lives,
+        balancer_actor: BalancerActor,
+        request_registry: RequestRegistry,
         options: RebalanceOptions,
         seed: int,
         tell_state: Callable[[dict[str, object]], None],
     ) -> None:
-        super().__init__(module.settings, options, seed)
-        self._module, self._lives, self._tell_state = module, lives, tell_state
+        super().__init__(balancer_actor.settings, options, seed)
+        self._balancer_actor, self._request_registry, self._tell_state = (
+            balancer_actor,
+            request_registry,
+            tell_state,
+        )
         self._told_ms = 0.0
         self._said: tuple[str, str] = ("", "")
         self._adopt_all()
-        module.companions.append(self)
+        balancer_actor.observers.append(self)
 
     def _adopt_all(self) -> None:
         """It may be turned on while connections stand; what they have told of their loads comes again."""
-        now_ms = self._module.clock.now_ms()
-        for life in self._lives:
-            record, ask = life.record, life.record.ask
+        now_ms = self._balancer_actor.clock.now_ms()
+        for lifecycle in self._request_registry:
+            record, ask = lifecycle.record, lifecycle.record.ask
             about = ask.class_name, ask.tenant, ask.group
-            if life.standing:
-                self.adopt(now_ms, life.id, record.endpoint, about, ask.client, record.began_ms)
+            if lifecycle.is_established:
+                self.adopt(now_ms, lifecycle.id, record.endpoint, about, ask.client, record.began_ms)
             elif record.answer is None:
-                self.expect(now_ms, life.id, about, ask.client)
+                self.expect(now_ms, lifecycle.id, about, ask.client)
 
     async def run(self) -> None:
         while True:
@@ -56,21 +60,23 @@
                 log.exception("rebalancing failed, and is off from now on")
                 self.options = replace(self.options, mode="off")
 
-    def step(self) -> Plan:
+    def step(self) -> MigrationPlan:
         """One tick: plan, ask for the moves, and tell what was done."""
-        now_ms = self._module.clock.now_ms()
+        now_ms = self._balancer_actor.clock.now_ms()
         minute = int(now_ms // 60000.0) % DAY_MIN
-        plan = self.tick(now_ms, self._module.look(), minute, self._lives.stopping)
-        if plan.phase != "dry-run" and self in self._module.companions:
+        plan = self.tick(
+            now_ms, self._balancer_actor.snapshot_endpoints(), minute, self._request_registry.stopping
+        )
+        if plan.phase != "dry-run" and self in self._balancer_actor.observers:
             for move in plan.moves:
-                self._module.move(move.request_id)
+                self._balancer_actor.move(move.request_id)
         self._say(plan)
         if now_ms >= self._told_ms + STATE_MS:
             self._told_ms = now_ms
             self._tell_state(self.state(plan))
         return plan
 
-    def _say(self, plan: Plan) -> None:
+    def _say(self, plan: MigrationPlan) -> None:
         """A line for each decision: what goes and why, or why from now on nothing goes."""
         if plan.moves:
             reasons = dict.fromkeys(move.reason for move in plan.moves)
--- a/sageturn/rebalance/pace.py
+++ b/sageturn/rebalance/pace.py
@@ -50,15 +50,15 @@
         return self._value * exp(min(0.0, self._at_ms - now_ms) / self._tau_ms)
 
 
-class Pace:
+class MigrationRateController:
     """Moves that may be asked for: over any span of ``t`` seconds at most ``burst`` and ``t`` times the top.
 
     Moves by others (the module, a drain) are never held back, only counted: they put the planner in debt.
     """
 
-    def __init__(self, options: RebalanceOptions, balancers: int, rng: Random) -> None:
+    def __init__(self, options: RebalanceOptions, relay_count: int, rng: Random) -> None:
         self.options = options
-        self._balancers, self._rng = balancers, rng
+        self._relay_count, self._rng = relay_count, rng
         self.rate = 0.0  # moves a second
         self.tokens = 0.0
         self.stopped_until_ms = -1.0  # below 0: not started yet
@@ -69,7 +69,7 @@
         """Moves a second at most, of a relay that holds ``own`` connections."""
         top = self.options.part_per_min * own / 60.0
         if self.options.fleet_per_s > 0:
-            top = min(top, self.options.fleet_per_s / self._balancers)
+            top = min(top, self.options.fleet_per_s / self._relay_count)
         return top
 
     def advance(self, now_ms: float, own: int, signs: list[Sign], doing_well: bool) -> None:
--- a/sageturn/rebalance/planner.py
+++ b/sageturn/rebalance/planner.py
@@ -11,15 +11,15 @@
 from dataclasses import dataclass
 from random import Random
 
-from sageturn import interface as api
-from sageturn.core.hosts import HostView, Marks
-from sageturn.rebalance.balance import Balance, Fill, weigh
-from sageturn.rebalance.book import Book
+from sageturn import decision
+from sageturn.core.endpoint_snapshot import EndpointSnapshot, OperatorMarks
+from sageturn.rebalance.balance import Balance, EndpointUtilization, weigh
+from sageturn.rebalance.book import ConnectionTable
 from sageturn.rebalance.clients import Clients, client_number
 from sageturn.rebalance.options import RebalanceOptions
-from sageturn.rebalance.pace import Pace, Sign
-from sageturn.rebalance.signs import Signs
-from sageturn.rebalance.units import PASSING, Block, Sight, Unit, parting, units
+from sageturn.rebalance.pace import MigrationRateController, Sign
+from sageturn.rebalance.signs import OverloadSignals
+from sageturn.rebalance.units import PASSING, Block, MigrationBatch, Sight, parting, units
 
 SIGHT = 2000  # connections looked at in a tick at most
 ROOM_PART = 0.5  # of the set-ups that hosts have room for, moved clients may take this; newcomers need some
@@ -33,19 +33,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Move:
+class Migration:
     request_id: int
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
+class MigrationPlan:
     """``phase`` is one word for what the planner does, ``why`` a line for the operator.
 
     ``dry-run`` is the one phase whose moves are not to be made.
     """
 
-    moves: tuple[Move, ...]
+    moves: tuple[Migration, ...]
     phase: str
     why: str
 
@@ -59,14 +59,14 @@
     returned: bool = False
 
 
-class Planner:
-    def __init__(self, settings: api.Settings, options: RebalanceOptions, seed: int) -> None:
+class RebalancePlanner:
+    def __init__(self, settings: decision.Settings, options: RebalanceOptions, seed: int) -> None:
         self.settings = settings
-        self._aims = {c.name: c.aim_ms for c in settings.classes}
-        self.book = Book()
+        self._aims = {c.name: c.latency_objective_ms for c in settings.classes}
+        self.book = ConnectionTable()
         self.clients = Clients(options)
-        self.pace = Pace(options, settings.balancers, Random(seed))
-        self.signs = Signs(1.0 / settings.balancers)
+        self.pace = MigrationRateController(options, settings.relay_count, Random(seed))
+        self.signs = OverloadSignals(1.0 / settings.relay_count)
         self.balances: list[Balance] = []
         self.blocks: Counter[Block] = Counter()
         self.counts: Counter[str] = Counter()
@@ -78,7 +78,7 @@
         self._rest_until_ms, self._rest = 0.0, ("", "")
         self._late_before = 0  # late returns by the last tick
         self._zones: set[str] = set()
-        self.marks = Marks()
+        self.marks = OperatorMarks()
         self._set_options(options)
 
     # ------------------------------------------------------------ settings
@@ -97,9 +97,9 @@
 
     # ------------------------------------------------------------ events
 
-    def before(self, now_ms: float, event: api.Event) -> None:
+    def before(self, now_ms: float, event: decision.Event) -> None:
         """Says to the module, in the request itself, that its client was moved for balance just now."""
-        if not isinstance(event, api.Request) or not len(self.clients):
+        if not isinstance(event, decision.RequestArrived) or not len(self.clients):
             return  # while nobody was moved there is nothing to say
         client = client_number(event.client)
         moved = self.clients.last_move(client)
@@ -110,31 +110,31 @@
                 if self.marks.held and event.allowed is None:
                     event.allowed = frozenset(self._ratios.keys() - self.marks.held)
 
-    def after(self, now_ms: float, event: api.Event, actions: Sequence[api.Action]) -> None:
+    def after(self, now_ms: float, event: decision.Event, actions: Sequence[decision.Action]) -> None:
         match event:
-            case api.Request():
+            case decision.RequestArrived():
                 self.signs.asked(now_ms)
                 about = event.class_name, event.tenant, event.group
                 self.expect(now_ms, event.id, about, event.client)
                 self._asked[event.id].returned = event.returned
-            case api.Inherited():
+            case decision.ConnectionAdopted():
                 about = event.class_name, event.tenant, event.group
                 age_ms = self._options.least_age_s * 1000.0
-                self.adopt(now_ms, event.id, event.server, about, event.client, now_ms - age_ms)
-            case api.FirstSign():
+                self.adopt(now_ms, event.id, event.endpoint, about, event.client, now_ms - age_ms)
+            case decision.ConnectionEstablished():
                 self._stands(now_ms, event)
-            case api.Outcome():
+            case decision.AttemptEnded():
                 self._ended(now_ms, event)
-            case api.Note(kind="load"):
+            case decision.MeasurementReported(kind="load"):
                 self.book.load(event.id, event.value)
-            case api.ServerList():
+            case decision.EndpointListEvent():
                 self.signs.listed(event.kind == "failed")
         for action in actions:
             match action:
-                case api.Refuse(request_id) | api.Fail(request_id):
+                case decision.RejectRequest(request_id) | decision.FailRequest(request_id):
                     self._asked.pop(request_id, None)
                     self.signs.refused(now_ms)
-                case api.Move(request_id):
+                case decision.MigrateConnection(request_id):
                     self.moved_by_other(now_ms, request_id)
 
     def expect(self, now_ms: float, request_id: int, about: tuple[str, str, str], client: str) -> None:
@@ -168,13 +168,13 @@
         self.clients.move(self.book.client_of(request_id), host, group, now_ms, by_plan)
         self._leaving.add(request_id)
 
-    def _stands(self, now_ms: float, event: api.FirstSign) -> None:
+    def _stands(self, now_ms: float, event: decision.ConnectionEstablished) -> None:
         asked = self._asked.pop(event.id, None)
         if asked is None:
             return
         late = now_ms - asked.at_ms > self._aims.get(asked.pair[0], float("inf"))
         self.signs.set_up(now_ms, late)
-        self.book.add(now_ms, event.id, event.server, asked.group, asked.pair, asked.client)
+        self.book.add(now_ms, event.id, event.endpoint, asked.group, asked.pair, asked.client)
         moved = self.clients.stands(asked.client)
         if moved is None:
             if asked.returned:
@@ -184,12 +184,12 @@
         self.counts["back"] += 1
         if moved.by_plan:
             self.counts["back_late"] += late
-            landed, left = self._ratios.get(event.server, 1.0), self._ratios.get(moved.off, 1.0)
-            good = event.server != moved.off and landed < left - USEFUL_BY
+            landed, left = self._ratios.get(event.endpoint, 1.0), self._ratios.get(moved.off, 1.0)
+            good = event.endpoint != moved.off and landed < left - USEFUL_BY
             self.counts["landed_well" if good else "landed_ill"] += 1
             self.useful += USEFUL_NEW * (good - self.useful)
 
-    def _ended(self, now_ms: float, event: api.Outcome) -> None:
+    def _ended(self, now_ms: float, event: decision.AttemptEnded) -> None:
         if self.book.remove(event.id):
             if event.status == "reset":
                 self.signs.reset(now_ms)
@@ -201,7 +201,9 @@
 
     # ------------------------------------------------------------ a tick
 
-    def tick(self, now_ms: float, hosts: Sequence[HostView], minute: int, stopping: bool = False) -> Plan:
+    def tick(
+        self, now_ms: float, hosts: Sequence[EndpointSnapshot], minute: int, stopping: bool = False
+    ) -> MigrationPlan:
         """``minute`` of the UTC day; ``stopping``: the relay itself is about to leave, and moves everyone."""
         options = self._options
         self.clients.forget(now_ms)
@@ -212,36 +214,36 @@
         self.pace.advance(now_ms, len(self.book), signs, self._doing_well())
         self._weigh(hosts)
         if stopping:
-            return Plan((), "stopping", "the relay leaves and moves everyone itself")
+            return MigrationPlan((), "stopping", "the relay leaves and moves everyone itself")
         cleared = self._clear(now_ms, hosts)
         if cleared is not None:
             return cleared
         if options.mode == "off":
-            return Plan((), "off", "turned off")
+            return MigrationPlan((), "off", "turned off")
         if options.quiet(minute):
-            return Plan((), "quiet", "quiet hours")
+            return MigrationPlan((), "quiet", "quiet hours")
         self._see_active()
         if not self.active:
-            return Plan((), "balanced", self._measure())
+            return MigrationPlan((), "balanced", self._measure())
         if now_ms < self.pace.stopped_until_ms or not self.pace.rate:
             sign = self.pace.sign
             why = f"{sign.name.lower()}: {sign.value}" if sign else "settling after a start"
-            return Plan((), "held", why)
+            return MigrationPlan((), "held", why)
         if now_ms < self._rest_until_ms:
-            return Plan((), *self._rest)
+            return MigrationPlan((), *self._rest)
         if self.useful < USEFUL_LEAST:
             self.useful = 0.5
             return self._take_rest(now_ms, USELESS_MS, "useless", "moved clients land where it is as full")
         return self._plan(now_ms, hosts)
 
-    def _clear(self, now_ms: float, hosts: Sequence[HostView]) -> Plan | None:
+    def _clear(self, now_ms: float, hosts: Sequence[EndpointSnapshot]) -> MigrationPlan | None:
         """Hosts that an operator clears: everyone goes, in whatever mode, at the same pace as any move."""
         full = [self.book.hosts[name] for name in sorted(self.marks.cleared) if name in self.book.hosts]
         if not full or now_ms < self.pace.stopped_until_ms or not self.pace.rate:
             return None
         whole, room = self._room(hosts)
         largest = max(1, min(whole, self._options.burst))
-        moves: list[Move] = []
+        moves: list[Migration] = []
         for held in full:
             reason = f"{held.name} is cleared by an operator"
             for unit in parting(self.book, held, largest, now_ms, self.clients, self._leaving):
@@ -250,9 +252,9 @@
                 room -= len(unit.ids)
                 self._go(now_ms, unit, reason, moves, really=True)
         left = sum(held.count for held in full)
-        return Plan(tuple(moves), "clearing", f"{left} still there") if moves else None
+        return MigrationPlan(tuple(moves), "clearing", f"{left} still there") if moves else None
 
-    def _room(self, hosts: Sequence[HostView]) -> tuple[int, int]:
+    def _room(self, hosts: Sequence[EndpointSnapshot]) -> tuple[int, int]:
         """Set-ups that moved clients may take: in all, and beyond those that are on the way.
 
         Whoever is on the way lands somewhere soon; those who went to other relays count until their time is
@@ -261,24 +263,24 @@
         whole = int(ROOM_PART * sum(h.room for h in hosts if h.ready))
         return whole, whole - len(self.clients.on_way)
 
-    def _take_rest(self, now_ms: float, rest_ms: float, phase: str, why: str) -> Plan:
+    def _take_rest(self, now_ms: float, rest_ms: float, phase: str, why: str) -> MigrationPlan:
         self._rest_until_ms, self._rest = now_ms + rest_ms, (phase, why)
-        return Plan((), phase, why)
+        return MigrationPlan((), phase, why)
 
     def _doing_well(self) -> bool:
         """No late return since the last tick."""
         before, self._late_before = self._late_before, self.counts["back_late"]
         return before == self._late_before
 
-    def _weigh(self, hosts: Sequence[HostView]) -> None:
+    def _weigh(self, hosts: Sequence[EndpointSnapshot]) -> None:
         st = self.settings
         zones = {host.zone for host in hosts if host.ready}
-        by_zone = st.price_cross_zone > 0 and len(zones) > 1
-        sharers = max(1.0, st.balancers / len(zones)) if by_zone else float(st.balancers)
+        by_zone = st.cross_zone_cost > 0 and len(zones) > 1
+        sharers = max(1.0, st.relay_count / len(zones)) if by_zone else float(st.relay_count)
         if zones != self._zones:
             # Clients come back through their zone's relays: alone there, all of them are seen again.
             self._zones = zones
-            self.signs.expect_back(1.0 / max(1.0, st.balancers / max(1, len(zones))))
+            self.signs.expect_back(1.0 / max(1.0, st.relay_count / max(1, len(zones))))
         self.balances = weigh(self.book, hosts, sharers, by_zone, st.groups)
         self._ratios = {fill.name: fill.ratio for balance in self.balances for fill in balance.fills}
 
@@ -296,10 +298,10 @@
 
     # ------------------------------------------------------------ choosing
 
-    def _plan(self, now_ms: float, hosts: Sequence[HostView]) -> Plan:
+    def _plan(self, now_ms: float, hosts: Sequence[EndpointSnapshot]) -> MigrationPlan:
         self.blocks = Counter()
         sight = Sight(SIGHT)
-        moves: list[Move] = []
+        moves: list[Migration] = []
         whole, room = self._room(hosts)
         largest = min(whole, self._options.burst)
         waits = ""
@@ -307,21 +309,21 @@
             waits = self._plan_set(balance, now_ms, sight, room - len(moves), largest, moves) or waits
         if moves:
             if self._options.mode == "dry-run":
-                return Plan(tuple(moves), "dry-run", self._measure())
-            return Plan(tuple(moves), "balancing", self._measure())
+                return MigrationPlan(tuple(moves), "dry-run", self._measure())
+            return MigrationPlan(tuple(moves), "balancing", self._measure())
         if waits:
-            return Plan((), "waiting", waits)
+            return MigrationPlan((), "waiting", waits)
         if not any(block in PASSING for block in self.blocks):
             why = f"{self._measure()}: {self._in_way()}"
             return self._take_rest(now_ms, UNREACHABLE_MS, "unreachable", why)
-        return Plan((), "waiting", self._in_way())
+        return MigrationPlan((), "waiting", self._in_way())
 
     def _in_way(self) -> str:
         told = (f"{count} {block.value}" for block, count in self.blocks.most_common())
         return "; ".join(told) or "no host has room for more"
 
     def _plan_set(
-        self, balance: Balance, now_ms: float, sight: Sight, room: int, largest: int, moves: list[Move]
+        self, balance: Balance, now_ms: float, sight: Sight, room: int, largest: int, moves: list[Migration]
     ) -> str:
         """Adds to ``moves`` what may go now; returns what it waits for, if there is more to be done."""
         stop = self._options.stop - 1.0
@@ -370,13 +372,15 @@
                     break
         return ""
 
-    def _fits(self, donor: Fill, taker: Fill, ratios: dict[str, float]) -> float:
+    def _fits(
+        self, donor: EndpointUtilization, taker: EndpointUtilization, ratios: dict[str, float]
+    ) -> float:
         """The largest load whose move brings the two nearer, and leaves the donor not much under the mean."""
         least = 1.0 - LOW_TIMES * (self._options.stop - 1.0)
         gap = ratios[donor.name] - ratios[taker.name]
         return min(GAP_PART * gap * taker.due, (ratios[donor.name] - least) * donor.due)
 
-    def _may_go(self, unit: Unit, room_left: int) -> str:
+    def _may_go(self, unit: MigrationBatch, room_left: int) -> str:
         count = len(unit.ids)
         if room_left < 0:
             return f"{len(self.clients.on_way)} on the way, no room for {count} more"
@@ -386,8 +390,10 @@
             return f"saves for {unit.what}: {max(0.0, self.pace.tokens):.1f} saved"
         return ""
 
-    def _go(self, now_ms: float, unit: Unit, reason: str, moves: list[Move], really: bool) -> None:
-        moves.extend(Move(request_id, reason) for request_id in unit.ids)
+    def _go(
+        self, now_ms: float, unit: MigrationBatch, reason: str, moves: list[Migration], really: bool
+    ) -> None:
+        moves.extend(Migration(request_id, reason) for request_id in unit.ids)
         if really:
             self.counts["moved"] += len(unit.ids)
             self.counts["units"] += 1
@@ -398,7 +404,7 @@
 
     # ------------------------------------------------------------ for operators
 
-    def state(self, plan: Plan) -> dict[str, object]:
+    def state(self, plan: MigrationPlan) -> dict[str, object]:
         return {
             "mode": self._options.mode,
             "phase": plan.phase,
@@ -418,4 +424,4 @@
         }
 
 
-__all__ = ["HostView", "Move", "Plan", "Planner", "Sign"]
+__all__ = ["EndpointSnapshot", "Migration", "MigrationPlan", "RebalancePlanner", "Sign"]
--- a/sageturn/rebalance/signs.py
+++ b/sageturn/rebalance/signs.py
@@ -5,8 +5,8 @@
 from collections import Counter
 from collections.abc import Iterable
 
-from sageturn.core.hosts import HostView
-from sageturn.rebalance.book import Book
+from sageturn.core.endpoint_snapshot import EndpointSnapshot
+from sageturn.rebalance.book import ConnectionTable
 from sageturn.rebalance.pace import Fading, Sign
 
 RECENT_MS = 5000.0  # what counts as now: a few round trips of a move, from MOVE to the new UP
@@ -23,7 +23,7 @@
 LOST_MS = 8000.0  # clients of a lost host are back by then
 
 
-class Signs:
+class OverloadSignals:
     """``usual_back``: the part of moved clients that come back to this relay, others meet another one."""
 
     def __init__(self, usual_back: float) -> None:
@@ -34,7 +34,7 @@
         self._unreachable = Fading(RECENT_MS)
         self._back, self._not_back = Fading(BACK_TAU_MS), Fading(BACK_TAU_MS)
         self._list_failed = False
-        self._hosts: dict[str, HostView] = {}
+        self._hosts: dict[str, EndpointSnapshot] = {}
         self._draining_ms: dict[str, float] = {}
         self._lost_ms = float("-inf")
 
@@ -78,7 +78,11 @@
     # ------------------------------------------------------------ reading
 
     def read(
-        self, now_ms: float, book: Book, hosts: Iterable[HostView], out: frozenset[str] = frozenset()
+        self,
+        now_ms: float,
+        book: ConnectionTable,
+        hosts: Iterable[EndpointSnapshot],
+        out: frozenset[str] = frozenset(),
     ) -> list[Sign]:
         """Those that there are now; to be called at each tick, with the hosts as they are.
 
@@ -116,7 +120,9 @@
         self.seen.update(sign.name.lower() for sign in found)
         return found
 
-    def _see_hosts(self, now_ms: float, book: Book, hosts: Iterable[HostView], out: frozenset[str]) -> None:
+    def _see_hosts(
+        self, now_ms: float, book: ConnectionTable, hosts: Iterable[EndpointSnapshot], out: frozenset[str]
+    ) -> None:
         now = {host.name: host for host in hosts}
         for name, before in self._hosts.items():
             host = now.get(name)
--- a/sageturn/rebalance/units.py
+++ b/sageturn/rebalance/units.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from sageturn.rebalance.book import Book, Held, Part
+from sageturn.rebalance.book import ConnectionTable, EndpointTotals, GroupAllocation
 from sageturn.rebalance.clients import Clients
 from sageturn.rebalance.options import RebalanceOptions
 
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Unit:
+class MigrationBatch:
     host: str
     group: str
     ids: tuple[int, ...]
@@ -51,8 +51,8 @@
 
 
 def units(
-    book: Book,
-    held: Held,
+    book: ConnectionTable,
+    held: EndpointTotals,
     most_load: float,
     largest: int,
     now_ms: float,
@@ -61,7 +61,7 @@
     leaving: set[int],
     sight: Sight,
     blocks: Counter[Block],
-) -> Iterator[Unit]:
+) -> Iterator[MigrationBatch]:
     """In the order in which they are to go. ``largest``: connections in a unit at most; ``leaving``: ids that
     were asked to move already.
 
@@ -89,7 +89,9 @@
             blocks[block] += 1
         else:
             straddles = len(book.straddling[part.group]) > 1
-            yield Unit(held.name, part.group, tuple(ids), tuple(numbers), part.load(mean), straddles)
+            yield MigrationBatch(
+                held.name, part.group, tuple(ids), tuple(numbers), part.load(mean), straddles
+            )
     alone = held.parts.get("")
     for request_id, client, pair, since_ms in list(book.members(alone)) if alone else ():
         if sight.left <= 0:
@@ -103,12 +105,17 @@
         if block is not None:
             blocks[block] += 1
         else:
-            yield Unit(held.name, "", (request_id,), (client,), load, False)
+            yield MigrationBatch(held.name, "", (request_id,), (client,), load, False)
 
 
 def parting(
-    book: Book, held: Held, largest: int, now_ms: float, clients: Clients, leaving: set[int]
-) -> Iterator[Unit]:
+    book: ConnectionTable,
+    held: EndpointTotals,
+    largest: int,
+    now_ms: float,
+    clients: Clients,
+    leaving: set[int],
+) -> Iterator[MigrationBatch]:
     """All that may leave a host which is to be cleared, group by group, the larger groups in parts.
 
     Whoever was moved lately stays until that time is over; there is no other reason to stay.
@@ -126,10 +133,10 @@
             some = going[at : at + size]
             load = part.load(mean) * len(some) / part.count
             ids, numbers = (tuple(column) for column in zip(*some, strict=True))
-            yield Unit(held.name, group, ids, numbers, load, len(some) < part.count)
+            yield MigrationBatch(held.name, group, ids, numbers, load, len(some) < part.count)
 
 
-def _order(book: Book, part: Part, mean: float) -> tuple[bool, float, str]:
+def _order(book: ConnectionTable, part: GroupAllocation, mean: float) -> tuple[bool, float, str]:
     others = book.straddling[part.group]
     joins = len(others) > 1 and max(others, key=lambda p: (p.count, p.host.name)) is not part
     return not joins, -part.load(mean) / part.count, part.group
--- a/sageturn/relay.py
+++ b/sageturn/relay.py
@@ -11,32 +11,32 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from sageturn.config import Config, ConfigError
+from sageturn.config.loader import ConfigError, RelayConfig
+from sageturn.core.balancer_actor import BalancerActor
 from sageturn.core.clock import Clock
-from sageturn.core.destinations import DestinationSet
-from sageturn.core.drain import Lives, stop_times
-from sageturn.core.hosts import Marks
-from sageturn.core.messages import SourceMoved
-from sageturn.core.module import ModuleActor
-from sageturn.core.requests import Record
-from sageturn.core.shared import Shared
-from sageturn.core.tasks import end_task
-from sageturn.flows.exporter import Exporter
-from sageturn.fronts.platform import PlatformFront
-from sageturn.fronts.xmpp.accounts import Accounts
-from sageturn.fronts.xmpp.front import XmppFront
-from sageturn.net.admission import Admission
+from sageturn.core.context import RelayContext
+from sageturn.core.endpoint_registry import EndpointRegistry
+from sageturn.core.endpoint_snapshot import OperatorMarks
+from sageturn.core.messages import DiscoveryAddressChanged
+from sageturn.core.request_lifecycle import ConnectionRecord
+from sageturn.core.shutdown import RequestRegistry, shutdown_schedule
+from sageturn.core.tasks import cancel_and_wait
+from sageturn.flows.exporter import FlowExporter
+from sageturn.frontends.platform import PlatformFrontend
+from sageturn.frontends.xmpp.accounts import Accounts
+from sageturn.frontends.xmpp.front import XmppFrontend
+from sageturn.net.admission import AdmissionController
 from sageturn.net.discovery import DiscoveryClient
 from sageturn.net.listener import Listener
-from sageturn.net.sockets import RESERVE, bound_descriptors
-from sageturn.store.records import Record as Stored
+from sageturn.net.sockets import DESCRIPTOR_RESERVE, limit_descriptors
+from sageturn.store.records import StoreRecord
 from sageturn.store.store import Store
 
 if TYPE_CHECKING:  # read in once the settings allow it, or an operator's file turns it on
-    from sageturn.net.probes import Prober
-    from sageturn.overrides.actor import Overrides
+    from sageturn.net.health_check_client import HealthCheckClient
+    from sageturn.overrides.actor import OverrideActor
     from sageturn.rebalance.driver import Rebalancer
-    from sageturn.store.spread.member import Node
+    from sageturn.store.replication.member import ReplicationMember
 
 log = logging.getLogger(__name__)
 
@@ -47,37 +47,41 @@
 
 
 class Relay:
-    def __init__(self, config: Config, read_again: Callable[[Config], Config] | None = None) -> None:
+    def __init__(
+        self, config: RelayConfig, read_again: Callable[[RelayConfig], RelayConfig] | None = None
+    ) -> None:
         """``read_again`` reads the configuration anew, given the one in force."""
         self._config, self._read_again = config, read_again
         self._reload = asyncio.Event()
-        self.module = ModuleActor(config.settings, config.seed, Clock(), self._want_watch)
+        self.balancer_actor = BalancerActor(config.settings, config.seed, Clock(), self._want_watch)
         operator = config.operator
         self.store = Store(config.name, operator.store_path)
         self.overrides = self._make_overrides()
-        self.destinations = DestinationSet(
+        self.endpoint_registry = EndpointRegistry(
             config.known,
-            self.overrides.tell if self.overrides else self.module.tell,
+            self.overrides.tell if self.overrides else self.balancer_actor.post_event,
             config.settings.discovery == "push",
         )
         if self.overrides is not None:
-            self.destinations.out = self.overrides.out
-        self.discovery = DiscoveryClient(config.discovery, self.destinations.hear)
-        self.destinations.watcher = self.discovery
-        self.lives = Lives(stop_times(config.settings.classes))
+            self.endpoint_registry.out = self.overrides.out
+        self.discovery = DiscoveryClient(config.discovery, self.endpoint_registry.on_watch_event)
+        self.endpoint_registry.watcher = self.discovery
+        self.request_registry = RequestRegistry(shutdown_schedule(config.settings.classes))
         self._actors: list[asyncio.Future[None]] = []
         self._fallen: asyncio.Queue[BaseException] = asyncio.Queue()  # what has ended an actor
-        self.shared = Shared(self.module, self.destinations, self.lives, self._ended)
-        front = PlatformFront(self.shared)
-        self.admission = Admission(config.limits)
+        self.shared = RelayContext(
+            self.balancer_actor, self.endpoint_registry, self.request_registry, self._ended
+        )
+        front = PlatformFrontend(self.shared)
+        self.admission = AdmissionController(config.limits)
         self.listener = Listener(config.listen, front.serve, front.turn_away, self.admission)
         self.store.on_change.append(self._changed)
         self.replica = self._make_replica()
-        self.exporter = Exporter(operator.flows) if operator.flows else None
+        self.exporter = FlowExporter(operator.flows) if operator.flows else None
         self.xmpp: Listener | None = None
-        self._second: XmppFront | None = None
+        self._second: XmppFrontend | None = None
         if operator.xmpp is not None:
-            self._second = XmppFront(self.shared, operator.xmpp, Accounts(self.store))
+            self._second = XmppFrontend(self.shared, operator.xmpp, Accounts(self.store))
             self.xmpp = Listener(
                 operator.xmpp.listen, self._second.serve, self._second.turn_away, self.admission
             )
@@ -87,9 +91,9 @@
         self._set_log_level()
 
     def _want_watch(self) -> None:
-        self.destinations.want_watch()
+        self.endpoint_registry.want_watch()
 
-    def _changed(self, records: list[Stored]) -> None:
+    def _changed(self, records: list[StoreRecord]) -> None:
         if any(record.key == LOG_LEVEL for record in records):
             self._set_log_level()
 
@@ -99,44 +103,46 @@
         if level in ("DEBUG", "INFO", "WARNING", "ERROR"):
             logging.getLogger().setLevel(level)
 
-    def _make_overrides(self) -> Overrides | None:
+    def _make_overrides(self) -> OverrideActor | None:
         options = self._config.operator.overrides
         if options is None:
             return None
-        from sageturn.overrides.actor import Overrides
+        from sageturn.overrides.actor import OverrideActor
 
-        overrides = Overrides(self.module, options, self.store, self._tell("overrides"), self._mark)
+        overrides = OverrideActor(
+            self.balancer_actor, options, self.store, self._tell("overrides"), self._mark
+        )
         self.store.on_change.append(overrides.changed)
         return overrides
 
-    def _make_replica(self) -> Node | None:
+    def _make_replica(self) -> ReplicationMember | None:
         options = self._config.operator.replication
         if options is None:
             return None
-        from sageturn.store.spread.member import Node
+        from sageturn.store.replication.member import ReplicationMember
 
         # Members of one fleet may share a seed, and must not do the same at the same moment.
         rng = Random(f"{self._config.seed}/{self._config.name}")
-        return Node(self.store, options, self.admission, rng)
+        return ReplicationMember(self.store, options, self.admission, rng)
 
-    def _make_prober(self) -> Prober | None:
+    def _make_prober(self) -> HealthCheckClient | None:
         settings = self._config.settings
         if not settings.probes:
             return None
-        from sageturn.net.probes import Prober
+        from sageturn.net.health_check_client import HealthCheckClient
 
-        prober = Prober(
-            self.destinations.addresses,
+        prober = HealthCheckClient(
+            self.endpoint_registry.addresses,
             settings.report_fields,
             settings.connect_timeout_ms / 1000.0,
             settings.keepalive_ms / 1000.0,
-            self.module.tell,
+            self.balancer_actor.post_event,
             self.shared.dropped,
         )
-        self.module.probe = prober.ask
+        self.balancer_actor.probe = prober.ask
         return prober
 
-    def _mark(self, marks: Marks) -> None:
+    def _mark(self, marks: OperatorMarks) -> None:
         """Operators have marked hosts: clearing one needs a planner, whatever its own mode."""
         if self.rebalancer is not None:
             self.rebalancer.marks = marks
@@ -162,7 +168,9 @@
             from sageturn.rebalance.options import RebalanceOptions
 
             seed, options = self._config.seed, options or RebalanceOptions()
-            self._add_rebalancer(Rebalancer(self.module, self.lives, options, seed, self._tell("rebalance")))
+            self._add_rebalancer(
+                Rebalancer(self.balancer_actor, self.request_registry, options, seed, self._tell("rebalance"))
+            )
 
     def _add_rebalancer(self, rebalancer: Rebalancer) -> None:
         self.rebalancer = rebalancer
@@ -174,7 +182,7 @@
         """What this node has done, where an operator can read it at any replica."""
         tell = self._tell("relay")
         while True:
-            standing = sum(life.standing for life in self.lives)
+            standing = sum(lifecycle.is_established for lifecycle in self.request_registry)
             dropped = self.exporter.dropped if self.exporter else 0
             state = {
                 "standing": standing,
@@ -187,20 +195,20 @@
             tell(state)
             await asyncio.sleep(max(STATE_S, self.replica.state_every_s if self.replica else 0.0))
 
-    def _ended(self, record: Record) -> None:
-        self._counts[record.ending.name.lower() if record.ending else "not_placed"] += 1
+    def _ended(self, record: ConnectionRecord) -> None:
+        self._counts[record.close_reason.name.lower() if record.close_reason else "not_placed"] += 1
         if self.exporter is not None:
             self.exporter.ended(record)
         log.info(
             "%s %s %s to %s after %d calls and %.3f s: %s%s%s",
             record.front,
-            record.ask.wire_id or "-",
+            record.ask.client_request_id or "-",
             record.ask.class_name,
             record.endpoint or "nobody",
-            record.calls,
+            record.attempts,
             (record.ended_ms - record.began_ms) / 1000.0,
-            record.ending.name if record.ending else "not placed",
-            f", quiet for {record.quiet_s:.3f} s" if record.stood else "",
+            record.close_reason.name if record.close_reason else "not placed",
+            f", quiet for {record.quiet_s:.3f} s" if record.was_established else "",
             f", {record.answer}" if record.answer else "",
         )
 
@@ -212,7 +220,7 @@
             if self._read_again is None:
                 continue
             try:
-                with RESERVE.lent():  # clients may hold all other descriptors
+                with DESCRIPTOR_RESERVE.lent():  # clients may hold all other descriptors
                     new = self._read_again(self._config)
             except ConfigError as error:
                 log.error("configuration not taken, the old one stays in force: %s", error)
@@ -223,10 +231,10 @@
                 continue
             await self._switch(new)
 
-    async def _switch(self, new: Config) -> None:
+    async def _switch(self, new: RelayConfig) -> None:
         """Nothing here can fail half way: all of it was checked when it was read."""
         old, self._config = self._config, new
-        bound_descriptors(new.limits.sockets)
+        limit_descriptors(new.limits.sockets)
         self.admission.limits = new.limits
         if self._second is not None and new.operator.xmpp is not None:
             self._second.options = new.operator.xmpp
@@ -235,7 +243,7 @@
             self.overrides.set_options(new.operator.overrides, self.store)
         if new.discovery != old.discovery:
             self.discovery.move(new.discovery)
-            await self.destinations.put(SourceMoved())
+            await self.endpoint_registry.put(DiscoveryAddressChanged())
         kept = old.needs_restart(new)
         log.info("configuration taken%s", f"; kept until a restart: {', '.join(kept)}" if kept else "")
 
@@ -260,11 +268,17 @@
                 raise fallen.result()
             await done
         finally:
-            await end_task(fallen)
-            await end_task(done)
+            await cancel_and_wait(fallen)
+            await cancel_and_wait(done)
 
     def start(self) -> None:
-        runs = [self.module.run, self.destinations.run, self.listener.run, self._tell_state, self._reloads]
+        runs = [
+            self.balancer_actor.run,
+            self.endpoint_registry.run,
+            self.listener.run,
+            self._tell_state,
+            self._reloads,
+        ]
         if self.overrides is not None:
             runs.append(self.overrides.run)
         if self.xmpp is not None:
@@ -287,7 +301,7 @@
         if self.replica is not None:
             await self.replica.stop()
         for actor in self._actors:
-            await end_task(actor)
+            await cancel_and_wait(actor)
         for listener in self._listeners():
             listener.close()
             await listener.cancel()
@@ -300,14 +314,14 @@
             loop.add_signal_handler(number, stopping.set)
         loop.add_signal_handler(signal.SIGHUP, self._reload.set)
         signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)  # those held back since the start come now
-        bound_descriptors(self._config.limits.sockets)
+        limit_descriptors(self._config.limits.sockets)
         # The loop turns before anybody can connect: a front sends clients to a relay that was killed
         # as soon as it listens, and those it keeps waiting for its own start lose that much of their time.
         await asyncio.sleep(START_S)
         if not stopping.is_set():  # else told to go before anybody could come
             self.start()
             await self._while_sound(stopping.wait())
-            await self._while_sound(self.lives.drain(self))
+            await self._while_sound(self.request_registry.drain(self))
         await self.stop()
 
     # ------------------------------------------------------------ its doors, at a planned stop
@@ -315,8 +329,8 @@
     def _listeners(self) -> list[Listener]:
         return [listener for listener in (self.listener, self.xmpp) if listener is not None]
 
-    def unasked(self) -> int:
-        return self.admission.unasked
+    def awaiting_request(self) -> int:
+        return self.admission.awaiting_request
 
     def shut(self) -> None:
         for listener in self._listeners():
--- a/sageturn/simhost.py
+++ b/sageturn/simhost.py
@@ -8,11 +8,11 @@
 
 import orjson
 
-from sageturn import interface as api
-from sageturn.backoff import unserved
-from sageturn.reports import checked
-from sageturn.rules import Balancer
-from sageturn.settings import read_settings, text
+from sageturn import decision
+from sageturn.config.settings import read_settings, text
+from sageturn.decision.balancer import Balancer
+from sageturn.decision.discovery_backoff import unserved
+from sageturn.decision.load_reports import checked
 
 STATUS = {
     "pass": "ok",
@@ -35,11 +35,11 @@
     """What came in cannot be read; the text names what was wrong."""
 
 
-def read_list(e: dict[str, Any]) -> api.ServerList:
-    return api.ServerList(
+def read_list(e: dict[str, Any]) -> decision.EndpointListEvent:
+    return decision.EndpointListEvent(
         LIST_KINDS[e["mode"]],
         [
-            api.Server(
+            decision.Endpoint(
                 name=line["backend"],
                 state=STATES[line["condition"]],
                 zone=text(line.get("dc")),
@@ -53,8 +53,8 @@
     )
 
 
-def read_request(e: dict[str, Any]) -> api.Request:
-    return api.Request(
+def read_request(e: dict[str, Any]) -> decision.RequestArrived:
+    return decision.RequestArrived(
         e["opId"],
         e["cls"],
         text(e.get("party")),
@@ -66,41 +66,43 @@
     )
 
 
-def read_inherited(e: dict[str, Any]) -> api.Inherited:
-    return api.Inherited(
+def read_inherited(e: dict[str, Any]) -> decision.ConnectionAdopted:
+    return decision.ConnectionAdopted(
         e["opId"], e["cls"], text(e.get("party")), e["backend"], text(e.get("room")), e.get("costMs") or 0.0
     )
 
 
-def read_first_sign(e: dict[str, Any]) -> api.FirstSign:
-    return api.FirstSign(e["opId"], e["n"], e["backend"], e.get("timeTakenMs") or 0.0)
+def read_first_sign(e: dict[str, Any]) -> decision.ConnectionEstablished:
+    return decision.ConnectionEstablished(e["opId"], e["n"], e["backend"], e.get("timeTakenMs") or 0.0)
 
 
-def read_outcome(e: dict[str, Any]) -> api.Outcome:
+def read_outcome(e: dict[str, Any]) -> decision.AttemptEnded:
     status = STATUS[e["stateCode"]]
-    return api.Outcome(e["opId"], e["n"], e["backend"], status, e["terminal"], checked(e.get("report")))
+    return decision.AttemptEnded(
+        e["opId"], e["n"], e["backend"], status, e["terminal"], checked(e.get("report"))
+    )
 
 
-def read_probed(e: dict[str, Any]) -> api.Probed:
-    return api.Probed(e["backend"], STATUS[e["stateCode"]], checked(e.get("report")))
+def read_probed(e: dict[str, Any]) -> decision.HealthCheckCompleted:
+    return decision.HealthCheckCompleted(e["backend"], STATUS[e["stateCode"]], checked(e.get("report")))
 
 
-def read_client_gone(e: dict[str, Any]) -> api.ClientGone:
-    return api.ClientGone(e["opId"])
+def read_client_gone(e: dict[str, Any]) -> decision.ClientDisconnected:
+    return decision.ClientDisconnected(e["opId"])
 
 
-def read_timer(e: dict[str, Any]) -> api.Timer:
-    return api.Timer(e["mark"])
+def read_timer(e: dict[str, Any]) -> decision.TimerFired:
+    return decision.TimerFired(e["mark"])
 
 
-def read_note(e: dict[str, Any]) -> api.Note:
+def read_note(e: dict[str, Any]) -> decision.MeasurementReported:
     kind, value = NOTES.get(e["kind"], ""), e["value"]
     if kind == "load":
         value /= 1000.0  # on the wire in microseconds a second, hints are in milliseconds
-    return api.Note(e["opId"], e["n"], e["backend"], kind, value)
+    return decision.MeasurementReported(e["opId"], e["n"], e["backend"], kind, value)
 
 
-READERS: dict[str, Callable[[dict[str, Any]], api.Event]] = {
+READERS: dict[str, Callable[[dict[str, Any]], decision.Event]] = {
     "Inbound": read_request,
     "Started": read_first_sign,
     "Returned": read_outcome,
@@ -114,7 +116,7 @@
 
 
 def _send(a: Any) -> dict[str, Any]:
-    return {"Relay": {"opId": a.id, "backend": a.server, "patienceMs": a.timeout_ms}}
+    return {"Relay": {"opId": a.id, "backend": a.endpoint, "patienceMs": a.timeout_ms}}
 
 
 def _refuse(a: Any) -> dict[str, Any]:
@@ -122,18 +124,18 @@
 
 
 WRITERS: dict[type, Callable[[Any], dict[str, Any]]] = {
-    api.Send: _send,
-    api.Refuse: _refuse,
-    api.Fail: lambda a: {"GiveUp": {"opId": a.id}},
-    api.Cancel: lambda a: {"Abandon": {"opId": a.id, "n": a.attempt}},
-    api.Move: lambda a: {"Transfer": {"opId": a.id}},
-    api.SetTimer: lambda a: {"Sleep": {"offsetMs": a.delay_ms, "mark": a.mark}},
-    api.Probe: lambda a: {"Check": {"backend": a.server}},
-    api.Watch: lambda a: {"Observe": {"active": True}},
+    decision.PlaceRequest: _send,
+    decision.RejectRequest: _refuse,
+    decision.FailRequest: lambda a: {"GiveUp": {"opId": a.id}},
+    decision.AbandonAttempt: lambda a: {"Abandon": {"opId": a.id, "n": a.attempt}},
+    decision.MigrateConnection: lambda a: {"Transfer": {"opId": a.id}},
+    decision.SetTimer: lambda a: {"Sleep": {"offsetMs": a.delay_ms, "mark": a.mark}},
+    decision.CheckHealth: lambda a: {"Check": {"backend": a.endpoint}},
+    decision.WatchEndpoints: lambda a: {"Observe": {"active": True}},
 }
 
 
-class Link:
+class SimulatorLink:
     """The instances of one process; they share nothing but this table."""
 
     def __init__(self) -> None:
@@ -160,11 +162,11 @@
                         if balancer is None:
                             raise WireError(f"{what} for instance {number}, which was never enlisted")
                         event = reader(fields)
-                        if isinstance(event, api.ServerList):
+                        if isinstance(event, decision.EndpointListEvent):
                             self._asked(now_ms, number, event)
                         for action in balancer.handle(now_ms, event):
                             actions.append(WRITERS[type(action)](action))
-                            if isinstance(action, api.Watch):
+                            if isinstance(action, decision.WatchEndpoints):
                                 self.asked[number] = now_ms
                     elif what == "Enlist":
                         balancer = Balancer(read_settings(fields["conf"]), fields["entropy"])
@@ -184,17 +186,19 @@
             raise WireError(f"{what}: {error}") from None
         return orjson.dumps({"groups": groups})
 
-    def _asked(self, now_ms: float, number: int, event: api.ServerList) -> None:
+    def _asked(self, now_ms: float, number: int, event: decision.EndpointListEvent) -> None:
         """The wire does not say how a call failed: how long that took does, and what came before."""
         if event.kind == "stale":
             return
         asked_ms = self.asked.pop(number, None)
         if event.kind == "failed":
-            event.failure = api.ListFailure.LOST if asked_ms is None else unserved(now_ms - asked_ms)
+            event.failure = (
+                decision.DiscoveryFailure.LOST if asked_ms is None else unserved(now_ms - asked_ms)
+            )
 
 
 def main() -> int:
-    link = Link()
+    link = SimulatorLink()
     out = sys.stdout.buffer
     try:
         for line in sys.stdin.buffer:
--- a/sageturn/store/frames.py
+++ b/sageturn/store/channel.py
@@ -24,7 +24,7 @@
 _SIZE = struct.Struct(">I")
 
 
-class Refused(ConnectionError):
+class HandshakeRejectedError(ConnectionError):
     """The other side is no replica of ours, or a frame was tampered with."""
 
 
@@ -32,7 +32,7 @@
     return hmac.digest(key, b"".join(_SIZE.pack(len(p)) + p for p in parts), "sha256")
 
 
-class Link:
+class AuthenticatedChannel:
     """One connection between two replicas, after ``shake_hands``."""
 
     def __init__(self, sock: socket.socket, secret: bytes, node: str) -> None:
@@ -51,9 +51,9 @@
             theirs = json.loads(await self._read_sized(HELLO_MOST))
             self.peer, their_nonce = str(theirs["node"]), bytes.fromhex(theirs["nonce"])
         except (ValueError, KeyError, TypeError):
-            raise Refused("no replica's greeting") from None
+            raise HandshakeRejectedError("no replica's greeting") from None
         if len(their_nonce) != NONCE or their_nonce == nonce or not self.peer:
-            raise Refused("no replica's greeting")
+            raise HandshakeRejectedError("no replica's greeting")
         self._mine, self._theirs = (b"dialled", b"answered") if dialled else (b"answered", b"dialled")
         first, second = (nonce, their_nonce) if dialled else (their_nonce, nonce)
         self._key = _tag(self._secret, b"session", first, second)
@@ -61,7 +61,7 @@
         await asyncio.get_running_loop().sock_sendall(self._sock, proof)
         expected = _tag(self._key, b"proof", self._theirs, self.peer.encode())
         if not hmac.compare_digest(await self._read(TAG), expected):
-            raise Refused("the secrets differ")
+            raise HandshakeRejectedError("the secrets differ")
 
     async def send(self, payload: bytes) -> None:
         async with self._writing:
@@ -73,14 +73,14 @@
         payload = await self._read_sized(FRAME_MOST)
         expected = _tag(self._key, self._theirs, _SIZE.pack(self._received), payload)
         if not hmac.compare_digest(await self._read(TAG), expected):
-            raise Refused("a frame was tampered with")
+            raise HandshakeRejectedError("a frame was tampered with")
         self._received += 1
         return payload
 
     async def _read_sized(self, most: int) -> bytes:
         (size,) = _SIZE.unpack(await self._read(_SIZE.size))
         if size > most:
-            raise Refused("a frame is too large")
+            raise HandshakeRejectedError("a frame is too large")
         return await self._read(size)
 
     async def _read(self, size: int) -> bytes:
--- a/sageturn/store/log.py
+++ b/sageturn/store/log.py
@@ -15,7 +15,7 @@
 from collections.abc import Iterable
 from pathlib import Path
 
-from sageturn.store.records import BadRecord, Record, read_record
+from sageturn.store.records import InvalidRecordError, StoreRecord, parse_record
 
 MAGIC = b"sageturn-store-1\n"
 _HEADER = struct.Struct(">II")
@@ -23,22 +23,22 @@
 _HEAD = _HEADER.size + _CHECK.size
 
 
-class Damaged(Exception):
+class LogCorruptedError(Exception):
     """The log is broken in a place that no interrupted write explains."""
 
 
-def encode(record: Record) -> bytes:
+def encode(record: StoreRecord) -> bytes:
     payload = json.dumps(record.to_json(), separators=(",", ":"), sort_keys=True).encode()
     head = _HEADER.pack(len(payload), zlib.crc32(payload))
     return head + _CHECK.pack(zlib.crc32(head)) + payload
 
 
-def scan(data: bytes) -> tuple[list[Record], int]:
+def scan(data: bytes) -> tuple[list[StoreRecord], int]:
     """The records, and where the sound part ends; what lies past it is a torn tail."""
     if not data.startswith(MAGIC):
         if MAGIC.startswith(data):
             return [], 0
-        raise Damaged("this is no log of the store")
+        raise LogCorruptedError("this is no log of the store")
     records, at = [], len(MAGIC)
     view = memoryview(data)  # a slice of it is no copy: copying the rest for each entry took 3.5 s at 27,000
     while at < len(data):
@@ -47,7 +47,7 @@
             break  # cut short, or the file had grown before its bytes were written
         size, check = _HEADER.unpack(head[: _HEADER.size])
         if _CHECK.unpack(head[_HEADER.size :])[0] != zlib.crc32(head[: _HEADER.size]):
-            raise Damaged(f"header at byte {at}")
+            raise LogCorruptedError(f"header at byte {at}")
         end = at + _HEAD + size
         payload = data[at + _HEAD : end]
         if len(payload) < size:
@@ -55,16 +55,16 @@
         if zlib.crc32(payload) != check:
             if end == len(data):
                 break  # the last entry: its bytes had not all reached the disk
-            raise Damaged(f"entry at byte {at}")
+            raise LogCorruptedError(f"entry at byte {at}")
         try:
-            records.append(read_record(json.loads(payload)))
-        except (BadRecord, ValueError) as error:
-            raise Damaged(f"entry at byte {at}: {error}") from None
+            records.append(parse_record(json.loads(payload)))
+        except (InvalidRecordError, ValueError) as error:
+            raise LogCorruptedError(f"entry at byte {at}: {error}") from None
         at = end
     return records, at
 
 
-class Log:
+class RecordLog:
     """The file of one node."""
 
     def __init__(self, path: Path) -> None:
@@ -80,7 +80,7 @@
         data = path.read_bytes()
         try:
             self.records, sound = scan(data)
-        except Damaged:
+        except LogCorruptedError:
             self._file.close()
             raise
         self.cut_off = len(data) - sound
@@ -90,7 +90,7 @@
         if not sound:
             self._write(MAGIC)
 
-    def append(self, records: Iterable[Record]) -> None:
+    def append(self, records: Iterable[StoreRecord]) -> None:
         """Durable once this returns."""
         self._write(b"".join(map(encode, records)))
 
@@ -101,11 +101,11 @@
         os.fsync(self._file.fileno())
         self.size += len(data)
 
-    def rewrite(self, records: Iterable[Record]) -> None:
+    def rewrite(self, records: Iterable[StoreRecord]) -> None:
         """Replace the log by one of the records that still count, all at once or not at all."""
         fresh = self._path.with_suffix(".new")
         fresh.unlink(missing_ok=True)
-        new = Log(fresh)
+        new = RecordLog(fresh)
         new.append(records)
         os.replace(fresh, self._path)
         folder = os.open(self._path.parent, os.O_RDONLY)
--- a/sageturn/store/records.py
+++ b/sageturn/store/records.py
@@ -13,12 +13,12 @@
 STATE = "state/"
 
 
-class BadRecord(ValueError):
+class InvalidRecordError(ValueError):
     """What was read is no record; the text names the field."""
 
 
 @dataclass(frozen=True, slots=True)
-class Record:
+class StoreRecord:
     key: str
     value: Any  # None: deleted, and kept for a time so that a replica that missed it learns of it
     version: int
@@ -34,36 +34,36 @@
         return obj if self.written_ms is None else {**obj, "written_ms": self.written_ms}
 
 
-def digest_of(record: Record) -> int:
+def digest_of(record: StoreRecord) -> int:
     """64 bits over all that makes a record, for comparing copies without sending them."""
     parts = [record.key, record.value, record.version, record.node, record.written_ms]
     text = json.dumps(parts, separators=(",", ":"), sort_keys=True)
     return int.from_bytes(blake2b(text.encode(), digest_size=8).digest(), "big") or 1
 
 
-def supersedes(new: Record, known: Record | None) -> bool:
+def supersedes(new: StoreRecord, known: StoreRecord | None) -> bool:
     """By (version, node). A wiped node may use a version of its own twice: the digest then decides."""
     if known is None or new.order != known.order:
         return known is None or new.order > known.order
     return new != known and digest_of(new) > digest_of(known)
 
 
-def read_record(obj: Any) -> Record:
+def parse_record(obj: Any) -> StoreRecord:
     if not isinstance(obj, dict):
-        raise BadRecord("not an object")
+        raise InvalidRecordError("not an object")
     key, version, node = obj.get("key"), obj.get("version"), obj.get("node")
     written_ms = obj.get("written_ms")
     if not isinstance(key, str) or not 0 < len(key) <= KEY_MOST:
-        raise BadRecord("key")
+        raise InvalidRecordError("key")
     if not isinstance(version, int) or isinstance(version, bool) or version < 1:
-        raise BadRecord("version")
+        raise InvalidRecordError("version")
     if not isinstance(node, str) or not node:
-        raise BadRecord("node")
+        raise InvalidRecordError("node")
     if written_ms is not None and (type(written_ms) is not int or written_ms < 0):
-        raise BadRecord("written_ms")
+        raise InvalidRecordError("written_ms")
     if not may_write(node, key):
-        raise BadRecord(f"key: {key} is not {node}'s to write")
-    return Record(key, obj.get("value"), version, node, written_ms)
+        raise InvalidRecordError(f"key: {key} is not {node}'s to write")
+    return StoreRecord(key, obj.get("value"), version, node, written_ms)
 
 
 def may_write(node: str, key: str) -> bool:
--- a/sageturn/store/spread/changes.py
+++ b/sageturn/store/replication/changes.py
@@ -12,8 +12,8 @@
 from collections.abc import Iterator
 from hashlib import blake2b
 
-from sageturn.store.records import Record, digest_of
-from sageturn.store.spread.wire import LANES, lane_of
+from sageturn.store.records import StoreRecord, digest_of
+from sageturn.store.replication.wire import LANES, lane_of
 
 FANOUT_BITS = 4
 FANOUT = 1 << FANOUT_BITS
@@ -73,7 +73,7 @@
         return found
 
 
-class Sequence:
+class ChangeLog:
     """Revision -> key, one entry a key; ``source``: the incarnation that a change came from, 0: none."""
 
     def __init__(self) -> None:
@@ -108,13 +108,13 @@
                 yield order[at], *entry
 
 
-class Changes:
+class ChangeLogSet:
     def __init__(self, incarnation: int) -> None:
         self.incarnation = incarnation
-        self.sequences = [Sequence() for _ in LANES]
+        self.sequences = [ChangeLog() for _ in LANES]
         self.trees = [HashTree() for _ in LANES]
 
-    def note(self, record: Record, source: int = 0) -> None:
+    def note(self, record: StoreRecord, source: int = 0) -> None:
         lane = lane_of(record.key)
         self.sequences[lane].put(record.key, source)
         self.trees[lane].set(record.key, digest_of(record))
--- a/sageturn/store/spread/member.py
+++ b/sageturn/store/replication/member.py
@@ -11,17 +11,17 @@
 from contextlib import asynccontextmanager, suppress
 from random import Random
 
-from sageturn.core.tasks import end_task
-from sageturn.net.admission import Admission, Newcomer
+from sageturn.core.tasks import cancel_and_wait
+from sageturn.net.admission import AdmissionController, PendingConnection
 from sageturn.net.listener import Listener
 from sageturn.net.sockets import Connect, connect
-from sageturn.store.frames import Link, Refused
-from sageturn.store.spread.options import SpreadOptions
-from sageturn.store.spread.overlay import Member, Overlay
-from sageturn.store.spread.pace import Backoff
-from sageturn.store.spread.replica import MakeTopology, Place, Replica
-from sageturn.store.spread.session import ORDERLY, SILENT_S, Session
-from sageturn.store.spread.wire import Refusal
+from sageturn.store.channel import AuthenticatedChannel, HandshakeRejectedError
+from sageturn.store.replication.options import ReplicationOptions
+from sageturn.store.replication.overlay import Member, Overlay
+from sageturn.store.replication.pace import Backoff
+from sageturn.store.replication.replica import MakeTopology, Replica, ReplicaLocation
+from sageturn.store.replication.session import ORDERLY, SILENT_S, ReplicationSession
+from sageturn.store.replication.wire import SessionRejected
 from sageturn.store.store import Store
 
 log = logging.getLogger(__name__)
@@ -34,14 +34,14 @@
 STATES_PER_S = 10.0  # of the whole fleet: every state goes to every member, so the more there are the rarer
 
 
-class Node:
+class ReplicationMember:
     """Accepts others' links, dials those that the overlay names, and carries frames between both."""
 
     def __init__(
         self,
         store: Store,
-        options: SpreadOptions,
-        admission: Admission,
+        options: ReplicationOptions,
+        admission: AdmissionController,
         rng: Random,
         make_topology: MakeTopology | None = None,
     ) -> None:
@@ -53,7 +53,7 @@
         def overlay(own: Member) -> Overlay:
             return Overlay(own, options.seeds, rng)
 
-        place = Place(self.address, options.region, options.zone)
+        place = ReplicaLocation(self.address, options.region, options.zone)
         self.replica = Replica(
             store,
             rng,
@@ -94,7 +94,7 @@
 
     async def stop(self) -> None:
         for task in [*self._tasks, *self._dials]:
-            await end_task(task)
+            await cancel_and_wait(task)
         await self._listener.cancel()
         self.replica.close()
 
@@ -126,7 +126,7 @@
         self.replica.topology.unreachable(address, time.monotonic())
         self._due.set()
 
-    async def _accepted(self, sock: socket.socket, newcomer: Newcomer) -> None:
+    async def _accepted(self, sock: socket.socket, newcomer: PendingConnection) -> None:
         await self._links.serve(sock, None, newcomer)
 
 
@@ -146,11 +146,11 @@
         self,
         sock: socket.socket,
         dialled: tuple[str, int] | None,
-        newcomer: Newcomer | None = None,
-        opened: Callable[[Session], None] = lambda session: None,
+        newcomer: PendingConnection | None = None,
+        opened: Callable[[ReplicationSession], None] = lambda session: None,
     ) -> str:
         """Runs a link to its end. Returns why it never came to greetings: the replica is not told of that."""
-        link = Link(sock, self._secret, self._replica.store.node)
+        link = AuthenticatedChannel(sock, self._secret, self._replica.store.node)
         try:
             async with newcomer.within(HANDS_S) if newcomer else asyncio.timeout(HANDS_S):
                 await link.shake_hands(dialled is not None)
@@ -177,13 +177,13 @@
             self._tell_log(session)
         finally:
             self._wakes.discard(wake)
-            await end_task(telling)
-            await end_task(hearing)
+            await cancel_and_wait(telling)
+            await cancel_and_wait(hearing)
             self._replica.over(session, time.monotonic())
         return ""
 
     @staticmethod
-    def _tell_log(session: Session) -> None:
+    def _tell_log(session: ReplicationSession) -> None:
         if session.closing:
             why, text = session.closing_why, session.closing
         else:
@@ -191,7 +191,9 @@
         level = logging.INFO if why == ORDERLY else logging.WARNING
         log.log(level, "store: link to %s: %s", session.peer, text)
 
-    async def _tell(self, link: Link, session: Session, wake: asyncio.Event) -> None:
+    async def _tell(
+        self, link: AuthenticatedChannel, session: ReplicationSession, wake: asyncio.Event
+    ) -> None:
         while True:
             wake.clear()
             now = time.monotonic()
@@ -212,13 +214,15 @@
                 async with asyncio.timeout(SILENT_S):
                     await link.send(payload)
 
-    async def _hear(self, link: Link, session: Session, wake: asyncio.Event) -> None:
+    async def _hear(
+        self, link: AuthenticatedChannel, session: ReplicationSession, wake: asyncio.Event
+    ) -> None:
         while not session.ended:
             try:
                 payload = await link.receive()
                 if not session.closing:
                     session.receive(payload, time.monotonic())
-            except (Refusal, Refused) as error:
+            except (SessionRejected, HandshakeRejectedError) as error:
                 session.close(str(error), session.closing_why)
                 await asyncio.sleep(BYE_S)  # what is to be said of it is being said
                 return
@@ -235,7 +239,7 @@
     store = Store(f"operator-{secrets.token_hex(4)}")
     replica = Replica(store, Random(secrets.token_bytes(8)), time.monotonic())
     links = Links(replica, secret)
-    sessions: list[Session] = []
+    sessions: list[ReplicationSession] = []
     said: list[str] = []
 
     async def keep_linked() -> None:
@@ -251,7 +255,7 @@
                 sessions.clear()
             await asyncio.sleep(backoff.draw())
 
-    async def until(reached: Callable[[Session], bool]) -> None:
+    async def until(reached: Callable[[ReplicationSession], bool]) -> None:
         """The time runs anew with whatever comes."""
         deadline, held = time.monotonic() + wait_s, len(store)
         while not any(reached(session) for session in sessions):
@@ -273,5 +277,5 @@
                 while replica.sessions:
                     await asyncio.sleep(LOOK_S)
     finally:
-        await end_task(running)
+        await cancel_and_wait(running)
         replica.close()
--- a/sageturn/store/spread/options.py
+++ b/sageturn/store/replication/options.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SpreadOptions:
+class ReplicationOptions:
     listen: tuple[str, int]
     seeds: tuple[tuple[str, int], ...]  # any members; the others are learnt from them
     secret: bytes
--- a/sageturn/store/spread/overlay.py
+++ b/sageturn/store/replication/overlay.py
@@ -62,7 +62,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Refusal:
+class LinkRejected:
     reason: str  # FULL, SAME_NAME or SUPERSEDED
     instead: tuple[Member, ...] = ()  # others to turn to
 
@@ -288,17 +288,17 @@
                     suspect.until = 0.0
             self._look_wait = LOOK_S
 
-    def admits(self, member: Member, now: float) -> Refusal | None:
+    def admits(self, member: Member, now: float) -> LinkRejected | None:
         """None to take a link that this member has dialled, else what to answer before it is closed."""
         if member.name == self.own.name:
             if member.incarnation > self.own.incarnation:
                 self.standing = SUPERSEDED
-            return Refusal(SUPERSEDED if member.incarnation < self.own.incarnation else SAME_NAME)
+            return LinkRejected(SUPERSEDED if member.incarnation < self.own.incarnation else SAME_NAME)
         seen = self._members.get(member.name)
         if seen is not None and member.incarnation < seen.incarnation:
-            return Refusal(SUPERSEDED)
+            return LinkRejected(SUPERSEDED)
         accepted = sum(not link.dialled for name, link in self._links.items() if name != member.name)
-        return Refusal(FULL, self._instead(member)) if accepted >= self.in_most else None
+        return LinkRejected(FULL, self._instead(member)) if accepted >= self.in_most else None
 
     def linked(self, name: str, now: float, dialled: Address | None = None) -> None:
         """A link stands; ``dialled`` is the address if it was this side that did."""
@@ -322,14 +322,14 @@
         uplink = self._uplink()
         link = self._links.pop(name)
         self._known.discard(name)
-        hurry = name == uplink or not self._links
+        force_drain = name == uplink or not self._links
         self._up_known, self._port_at = False, None
         member = self._members.get(name)
         if member is not None and not orderly:
             if now - link.since >= CALM_S:
                 self._suspects.pop(member.address, None)
             self._suspect(member.address, now, lost=True)
-        if hurry and self._uplink() is None:
+        if force_drain and self._uplink() is None:
             self._look_wait, self._look_at = LOOK_S, None
             self._orphan_at = now
 
@@ -339,7 +339,7 @@
             self._suspect(address, now)
             self._orphan_at = min(self._orphan_at, now + HEDGE_S / 5)
 
-    def refused(self, address: Address, now: float, refusal: Refusal) -> None:
+    def refused(self, address: Address, now: float, refusal: LinkRejected) -> None:
         """A dial was answered by ``refusal``."""
         self._dialling.pop(address, None)
         if refusal.reason == SUPERSEDED:
--- a/sageturn/store/spread/replica.py
+++ b/sageturn/store/replication/replica.py
@@ -18,13 +18,12 @@
 from random import Random
 from typing import Any, Protocol
 
-from sageturn.store.records import STATE, Record
-from sageturn.store.spread.changes import Changes
-from sageturn.store.spread.options import HORIZON_S, OCTETS_PER_S
-from sageturn.store.spread.overlay import Beacon, Member
-from sageturn.store.spread.overlay import Refusal as Turned
-from sageturn.store.spread.pace import Backoff, Budget
-from sageturn.store.spread.session import (
+from sageturn.store.records import STATE, StoreRecord
+from sageturn.store.replication.changes import ChangeLogSet
+from sageturn.store.replication.options import HORIZON_S, OCTETS_PER_S
+from sageturn.store.replication.overlay import Beacon, LinkRejected, Member
+from sageturn.store.replication.pace import Backoff, Budget
+from sageturn.store.replication.session import (
     AWAY,
     BEAT_S,
     LATER,
@@ -33,10 +32,10 @@
     VERSION,
     Cursor,
     Hello,
-    Session,
+    ReplicationSession,
     old_copies_word,
 )
-from sageturn.store.spread.wire import Refusal, natural
+from sageturn.store.replication.wire import SessionRejected, natural
 from sageturn.store.store import Store
 
 log = logging.getLogger(__name__)
@@ -58,11 +57,11 @@
     @property
     def standing(self) -> str: ...
     def saw(self, members: Iterable[Member]) -> None: ...
-    def admits(self, member: Member, now: float) -> Turned | None: ...
+    def admits(self, member: Member, now: float) -> LinkRejected | None: ...
     def linked(self, name: str, now: float, dialled: Address | None = None) -> None: ...
     def lost(self, name: str, now: float, orderly: bool = False) -> None: ...
     def unreachable(self, address: Address, now: float) -> None: ...
-    def refused(self, address: Address, now: float, refusal: Turned) -> None: ...
+    def refused(self, address: Address, now: float, refusal: LinkRejected) -> None: ...
     def beacon(self, name: str, now: float) -> Beacon: ...
     def heard(self, name: str, beacon: Beacon, now: float) -> None: ...
     def to_dial(self, now: float) -> Sequence[Address]: ...
@@ -74,7 +73,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class ReplicaLocation:
     """Where a member is reached, and where it stands."""
 
     address: Address
@@ -94,7 +93,7 @@
         store: Store,
         rng: Random,
         now: float,
-        place: Place | None = None,
+        place: ReplicaLocation | None = None,
         make_topology: MakeTopology | None = None,
         octets_per_s: float = OCTETS_PER_S,
         horizon_s: float = HORIZON_S,
@@ -103,7 +102,7 @@
         self._rng = rng
         self._make_topology = make_topology
         self.budget = Budget(octets_per_s, now)
-        self.sessions: list[Session] = []
+        self.sessions: list[ReplicationSession] = []
         self.cursors: OrderedDict[int, list[Cursor]] = OrderedDict()
         self.woken: Callable[[], None] = lambda: None  # links may have something to say
         self.due: Callable[[], None] = lambda: None  # ``tick`` is wanted now
@@ -114,7 +113,7 @@
         self.removed: set[str] = set()
         self._tombstones: dict[str, float] = {}
         self._heard_zones: dict[str, float] = {}
-        self._source: Session | None = None
+        self._source: ReplicationSession | None = None
         self._settling_since: float | None = None
         self._tick_at = now
         self._members_changed = True
@@ -131,8 +130,8 @@
         known = self.store.get(self._member_key) or {}
         last = known.get("incarnation", 0) if isinstance(known, dict) else 0
         fresh = int(self.store.wall() * 1000) << 16 | self._rng.getrandbits(16)
-        own = max(last if isinstance(last, int) else 0, getattr(self, "changes", Changes(0)).incarnation)
-        self.changes = Changes(max(fresh, own + ahead))
+        own = max(last if isinstance(last, int) else 0, getattr(self, "changes", ChangeLogSet(0)).incarnation)
+        self.changes = ChangeLogSet(max(fresh, own + ahead))
         self.members.clear()
         self._tombstones.clear()
         self.removed = {key.removeprefix(REMOVED_KEYS) for key in self.store.keys(REMOVED_KEYS)}
@@ -188,7 +187,7 @@
 
     # ------------------------------------------------------------ the store
 
-    def _changed(self, records: list[Record]) -> None:
+    def _changed(self, records: list[StoreRecord]) -> None:
         source = 0
         if self._source is not None and self._source.hello is not None:
             source = self._source.hello.incarnation
@@ -203,7 +202,7 @@
             self.changes.remove(key)
             self._tombstones.pop(key, None)
 
-    def _index(self, record: Record) -> None:
+    def _index(self, record: StoreRecord) -> None:
         key = record.key
         self._tombstones.pop(key, None)
         if record.value is None and record.written_ms is not None:
@@ -239,7 +238,7 @@
         states = f"{STATE}{node}/"
         self.store.forget([record.key for record in self.store.records() if record.key.startswith(states)])
 
-    def take(self, records: Iterable[Record], session: Session) -> int:
+    def take(self, records: Iterable[StoreRecord], session: ReplicationSession) -> int:
         """What a link brought; returns how much of it was news. A fault of the disk is raised."""
         news = [record for record in records if not self._of_no_use(record)]
         self._source = session
@@ -254,25 +253,25 @@
                 self._filled_since = self.store.wall()
         return taken
 
-    def _of_no_use(self, record: Record) -> bool:
+    def _of_no_use(self, record: StoreRecord) -> bool:
         if record.key.startswith(STATE) and record.node in self.removed and record.node != self.store.node:
             return True
         # A deletion past the horizon that is not known here was forgotten here, or deletes nothing.
         return self._expired(record) and self.store.record(record.key) is None
 
-    def _expired(self, record: Record) -> bool:
+    def _expired(self, record: StoreRecord) -> bool:
         if record.value is not None or record.written_ms is None:
             return False
         return self.store.wall() - record.written_ms / 1000.0 > self.horizon_s
 
     # ------------------------------------------------------------ links
 
-    def open(self, peer: str, now: float, dialled: Address | None = None) -> Session:
-        session = Session(self, peer, now, dialled)
+    def open(self, peer: str, now: float, dialled: Address | None = None) -> ReplicationSession:
+        session = ReplicationSession(self, peer, now, dialled)
         self.sessions.append(session)
         return session
 
-    def over(self, session: Session, now: float) -> None:
+    def over(self, session: ReplicationSession, now: float) -> None:
         """The link is gone, whoever ended it. To be called once for each session."""
         if session not in self.sessions:
             return
@@ -295,14 +294,14 @@
             else:
                 self.topology.unreachable(session.dialled, now)
 
-    def admit(self, session: Session, hello: Hello, claimed: bool, now: float) -> None:
+    def admit(self, session: ReplicationSession, hello: Hello, claimed: bool, now: float) -> None:
         """Raises Refusal where the other side's greeting doesn't allow a link."""
         if hello.guest or self.guest:
             return
 
         def refuse(why: str, text: str) -> None:
             session.closing_why = why
-            raise Refusal(text)
+            raise SessionRejected(text)
 
         if hello.node == self.store.node:
             refuse("same name", f"a second copy that calls itself {hello.node}")
@@ -323,7 +322,7 @@
                 session.ended_instead = [_pack_member(member) for member in turned.instead]
                 refuse(turned.reason, f"not here: {turned.reason}")
 
-    def linked(self, session: Session, now: float) -> None:
+    def linked(self, session: ReplicationSession, now: float) -> None:
         """The greetings are exchanged."""
         hello = session.hello
         assert hello is not None
@@ -341,11 +340,11 @@
             self.topology.linked(session.peer, now, session.dialled)
             self.due()
 
-    def _keep_one(self, old: Session, new: Session) -> None:
+    def _keep_one(self, old: ReplicationSession, new: ReplicationSession) -> None:
         """Of two links between two members that of the smaller dialler stays, or of one dialler the newer."""
         assert old.hello is not None and new.hello is not None
 
-        def dialler(session: Session) -> str:
+        def dialler(session: ReplicationSession) -> str:
             return self.store.node if session.dialled is not None else session.peer
 
         if old.hello.incarnation == new.hello.incarnation and dialler(old) < dialler(new):
@@ -353,7 +352,7 @@
         else:
             old.close("a second link", ORDERLY)
 
-    def may_follow(self, session: Session) -> bool:
+    def may_follow(self, session: ReplicationSession) -> bool:
         if session.guest or session.fresh:
             return True
         return not self.fresh and not any(other.fresh for other in self.sessions)
@@ -364,7 +363,7 @@
         if len(self.cursors) > CURSORS_MOST:
             self.cursors.popitem(last=False)
 
-    def make_bye(self, session: Session) -> dict[str, Any]:
+    def make_bye(self, session: ReplicationSession) -> dict[str, Any]:
         word = {"bye": [session.closing_why, session.closing, session.ended_instead]}
         return {**word, "records": old_copies_word()} if session.closing_why == VERSION else word
 
@@ -381,7 +380,7 @@
         since = self._filled_since
         return not self._blank or (since is not None and self.store.wall() - since > self.horizon_s)
 
-    def progressed(self, session: Session, now: float) -> None:
+    def progressed(self, session: ReplicationSession, now: float) -> None:
         at = session.in_step_at()
         if at is None or self.guest or session.guest or not session.fresh:
             return
@@ -420,23 +419,23 @@
     def hear_ages(self, ages: dict[str, Any], now: float) -> None:
         for zone, age in ages.items():
             if not isinstance(age, int | float) or isinstance(age, bool) or not 0.0 <= age < 1e9:
-                raise Refusal("no age")
+                raise SessionRejected("no age")
             known = self._heard_zones.get(zone)
             if known is not None or len(self._heard_zones) < 64:
                 self._heard_zones[zone] = max(now - age, known if known is not None else now - age)
 
-    def beacon(self, session: Session, now: float) -> list[Any] | None:
+    def beacon(self, session: ReplicationSession, now: float) -> list[Any] | None:
         if self.topology is None or session.guest:
             return None
         beacon = self.topology.beacon(session.peer, now)
         return [f"{beacon.rank:x}", beacon.incarnation, beacon.beat, beacon.port, beacon.count]
 
-    def hear_beacon(self, session: Session, beacon: Any, now: float) -> None:
+    def hear_beacon(self, session: ReplicationSession, beacon: Any, now: float) -> None:
         if self.topology is None or beacon is None:
             return
         rank, incarnation, beat, port, count = beacon
         if not isinstance(rank, str) or len(rank) > 32:
-            raise Refusal("no beacon")
+            raise SessionRejected("no beacon")
         word = Beacon(int(rank, 16), natural(incarnation), natural(beat), port is True, natural(count))
         self.topology.heard(session.peer, word, now)
 
@@ -498,7 +497,7 @@
             self.store.forget(old)
 
 
-def read_member(record: Record) -> Member | None:
+def read_member(record: StoreRecord) -> Member | None:
     """None for a word that is no member's, or was taken back."""
     value = record.value
     if record.key != f"{STATE}{record.node}{MEMBER}" or not isinstance(value, dict):
@@ -516,7 +515,7 @@
     return [member.name, *member.address, member.region, member.zone, member.incarnation]
 
 
-def read_turned(session: Session) -> Turned:
+def read_turned(session: ReplicationSession) -> LinkRejected:
     """The other side's refusal; whom it names instead is left out where that cannot be read."""
     instead = []
     for word in session.ended_instead[:64]:
@@ -528,7 +527,7 @@
         except (TypeError, ValueError):
             continue
         instead.append(member)
-    return Turned(session.ended_why, tuple(instead))
+    return LinkRejected(session.ended_why, tuple(instead))
 
 
-__all__ = ["BEAT_S", "Place", "Replica", "Topology"]
+__all__ = ["BEAT_S", "ReplicaLocation", "Replica", "Topology"]
--- a/sageturn/store/spread/session.py
+++ b/sageturn/store/replication/session.py
@@ -12,15 +12,15 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
-from sageturn.store.records import Record, digest_of
-from sageturn.store.spread.changes import DEPTH, FANOUT
-from sageturn.store.spread.wire import (
+from sageturn.store.records import StoreRecord, digest_of
+from sageturn.store.replication.changes import DEPTH, FANOUT
+from sageturn.store.replication.wire import (
     LANES,
     PART_OCTETS,
     PROTOCOL,
     STATES,
     URGENT,
-    Refusal,
+    SessionRejected,
     decode,
     encode,
     lane_of,
@@ -31,7 +31,7 @@
 )
 
 if TYPE_CHECKING:
-    from sageturn.store.spread.replica import Replica
+    from sageturn.store.replication.replica import Replica
 
 BEAT_S = 0.7  # a heartbeat's pace; three lost or late ones end a link
 SILENT_S = 2.0
@@ -92,7 +92,7 @@
     member: tuple[str, int, str, str] | None  # host, port, region, zone
 
 
-class Session:
+class ReplicationSession:
     def __init__(self, replica: Replica, peer: str, now: float, dialled: tuple[str, int] | None) -> None:
         self._replica, self.peer, self.dialled = replica, peer, dialled
         self.opened = self.heard = now
@@ -425,13 +425,13 @@
     def _hear_nodes(self, done: int, answers: list[Any]) -> None:
         asked = self._answered("nodes", done)
         if len(answers) != done:
-            raise Refusal("answers and their count differ")
+            raise SessionRejected("answers and their count differ")
         wanted: list[str] = []
         todo: list[tuple[int, int, int]] = []
         for (lane, depth, index), answer in zip(asked[:done], answers, strict=True):
             if isinstance(answer, list):
                 if len(answer) != FANOUT or depth >= DEPTH:
-                    raise Refusal("no node of the tree")
+                    raise SessionRejected("no node of the tree")
                 mine = self._replica.changes.trees[lane].children(depth, index)
                 for number, (their, own) in enumerate(zip(answer, mine, strict=True)):
                     if natural(their) != own:
@@ -450,17 +450,17 @@
             return known is None or known.order < order
         return digest > digest_of(known)
 
-    def _hear_records(self, done: int, records: list[Record]) -> None:
+    def _hear_records(self, done: int, records: list[StoreRecord]) -> None:
         asked = self._answered("give", done)
         if not {record.key for record in records} <= set(asked[:done]):
-            raise Refusal("a record that nobody asked for")
+            raise SessionRejected("a record that nobody asked for")
         self._asked = None
         self._wanted += asked[done:]
         self._walked += self._replica.take(records, self)
 
     def _answered(self, kind: str, done: int) -> Any:
         if self._asked is None or self._asked_kind != kind or not 1 <= natural(done) <= len(self._asked):
-            raise Refusal("an answer that nobody asked for")
+            raise SessionRejected("an answer that nobody asked for")
         return self._asked
 
     def _walk_goes_on(self, now: float) -> None:
@@ -481,17 +481,19 @@
         self.heard = now
         try:
             self._hear(message, now)
-        except Refusal:
+        except SessionRejected:
             raise
         except (KeyError, TypeError, ValueError, IndexError, AttributeError) as error:
-            raise Refusal(f"not understood: {type(error).__name__} {error}") from None
+            raise SessionRejected(f"not understood: {type(error).__name__} {error}") from None
 
     def _hear(self, message: dict[str, Any], now: float) -> None:
         kind = next(iter(message))
         what = message[kind]
         if kind == "digest":
             self.closing_why = VERSION
-            raise Refusal(f"{self.peer} speaks protocol 1 (whole digests), this copy speaks {PROTOCOL}")
+            raise SessionRejected(
+                f"{self.peer} speaks protocol 1 (whole digests), this copy speaks {PROTOCOL}"
+            )
         if kind == "bye":
             self.ended, self.ended_why = str(what[1])[:500], str(what[0])
             self.ended_instead = list(what[2])
@@ -500,7 +502,7 @@
             self._hear_hello(what, now)
             return
         if self.hello is None:
-            raise Refusal(f"{kind} before any greeting")
+            raise SessionRejected(f"{kind} before any greeting")
         if kind == "follow":
             self._hear_follow(what)
         elif kind == "changes":
@@ -519,15 +521,17 @@
             self._hear_records(done, unpack_records(records))
             self._walk_goes_on(now)
         else:
-            raise Refusal(f"unknown message {str(kind)[:40]!r}")
+            raise SessionRejected(f"unknown message {str(kind)[:40]!r}")
         self._replica.progressed(self, now)
 
     def _hear_hello(self, what: dict[str, Any], now: float) -> None:
         if self.hello is not None:
-            raise Refusal("greeted twice")
+            raise SessionRejected("greeted twice")
         if what["protocol"] != PROTOCOL:
             self.closing_why = VERSION
-            raise Refusal(f"{self.peer} speaks protocol {what['protocol']}, this copy speaks {PROTOCOL}")
+            raise SessionRejected(
+                f"{self.peer} speaks protocol {what['protocol']}, this copy speaks {PROTOCOL}"
+            )
         member = what["member"]
         hello = Hello(
             node=str(what["node"]),
@@ -542,7 +546,7 @@
             member=None if member is None else _read_place(*member),
         )
         if hello.node != self.peer:
-            raise Refusal(f"{self.peer} greets as {hello.node}")
+            raise SessionRejected(f"{self.peer} greets as {hello.node}")
         self._replica.admit(self, hello, self._claimed(), now)
         self.hello, self.fresh = hello, hello.fresh
         self._beat_at = now
@@ -551,17 +555,17 @@
     @staticmethod
     def _lanes(obj: Any) -> tuple[int, ...]:
         if not isinstance(obj, list) or len(obj) != len(LANES):
-            raise Refusal("not so many lanes")
+            raise SessionRejected("not so many lanes")
         return tuple(natural(value) for value in obj)
 
     def _hear_follow(self, what: list[list[int]]) -> None:
         if self._flows is not None:
-            raise Refusal("follows twice")
+            raise SessionRejected("follows twice")
         flows = []
         for lane, (base, until, live) in zip(LANES, what, strict=True):
             head = self._replica.changes.sequences[lane].head
             if not (-1 <= natural(base + 1) - 1 <= natural(until) <= natural(live) <= head):
-                raise Refusal("a cursor that was never given")
+                raise SessionRejected("a cursor that was never given")
             start = until if base < 0 else base
             flows.append([Range(live, live, live, -1), Range(start, start, start, until)])
         self._flows = flows
@@ -569,14 +573,14 @@
     def _hear_changes(self, what: list[Any]) -> None:
         lane, kind, start, end, packed = what
         if not self._followed or lane not in LANES or kind not in (LIVE, BASE):
-            raise Refusal("changes that nobody asked for")
+            raise SessionRejected("changes that nobody asked for")
         cursor = self._held[lane]
         at = cursor.live if kind == LIVE else cursor.base
         if natural(start) != at or natural(end) <= at or (kind == BASE and end > cursor.until):
-            raise Refusal(f"out of order: changes from {start} to {end}, where {at} is next")
+            raise SessionRejected(f"out of order: changes from {start} to {end}, where {at} is next")
         records = unpack_records(packed)
         if any(lane_of(record.key) != lane for record in records):
-            raise Refusal("a record in the wrong lane")
+            raise SessionRejected("a record in the wrong lane")
         self._replica.take(records, self)
         if kind == LIVE:
             cursor.live = end
@@ -586,13 +590,13 @@
 
     def _hear_acks(self, what: list[list[int]]) -> None:
         if self._flows is None:
-            raise Refusal("acknowledged what was never sent")
+            raise SessionRejected("acknowledged what was never sent")
         for (live, base), (base_at, live_at) in zip(self._flows, what, strict=True):
             for flow, at in ((live, live_at), (base, base_at)):
                 if at < 0:
                     continue  # a walk stands in for the base
                 if at > flow.told:
-                    raise Refusal("acknowledged what was never sent")
+                    raise SessionRejected("acknowledged what was never sent")
                 flow.acked = max(flow.acked, at)
         self._flying = [
             (lane, kind, to) for lane, kind, to in self._flying if self._flows[lane][kind].acked < to
@@ -602,7 +606,7 @@
         heads, roots, told, acks, floor, fresh, ages, beacon = what
         heads, roots = self._lanes(heads), self._lanes(roots)
         if not isinstance(ages, dict) or len(ages) > ZONES_MOST:
-            raise Refusal("too many zones")
+            raise SessionRejected("too many zones")
         if acks is not None:
             self._hear_acks(acks)
         self.fresh = fresh is True
@@ -615,7 +619,7 @@
             return
         for cursor, (start, end) in zip(self._held, told, strict=True):
             if start != cursor.live or natural(end) < start:
-                raise Refusal(f"out of order: a beat at {start}, where {cursor.live} is next")
+                raise SessionRejected(f"out of order: a beat at {start}, where {cursor.live} is next")
         for cursor, (_, end) in zip(self._held, told, strict=True):
             cursor.live = end
         if self._pending_beat is None:
@@ -663,15 +667,15 @@
 
     def _hear_question(self, kind: str, what: list[Any]) -> None:
         if self._question is not None:
-            raise Refusal("asked before the answer")
+            raise SessionRejected("asked before the answer")
         if not isinstance(what, list) or not 1 <= len(what) <= max(ASKED_NODES, ASKED_KEYS):
-            raise Refusal("asked for too much, or for nothing")
+            raise SessionRejected("asked for too much, or for nothing")
         if kind == "ask":
             for lane, depth, index in what:
                 if lane not in LANES or not 0 <= natural(depth) <= DEPTH or natural(index) >= FANOUT**depth:
-                    raise Refusal("no node of the tree")
+                    raise SessionRejected("no node of the tree")
         elif not all(isinstance(key, str) for key in what):
-            raise Refusal("no key")
+            raise SessionRejected("no key")
         self._question = kind, what
 
 
--- a/sageturn/store/spread/wire.py
+++ b/sageturn/store/replication/wire.py
@@ -6,7 +6,7 @@
 import zlib
 from typing import Any
 
-from sageturn.store.records import FRAME_MOST, STATE, BadRecord, Record, read_record
+from sageturn.store.records import FRAME_MOST, STATE, InvalidRecordError, StoreRecord, parse_record
 
 PROTOCOL = 2  # 1 was the exchange of whole digests
 URGENT, STATES = 0, 1
@@ -16,7 +16,7 @@
 _PACKED = b"z"
 
 
-class Refusal(ValueError):
+class SessionRejected(ValueError):
     """Why a link is ended; what it said last has changed nothing."""
 
 
@@ -45,36 +45,36 @@
         try:
             plain = unpacker.decompress(payload[1:], FRAME_MOST)
         except zlib.error:
-            raise Refusal("a frame cannot be unpacked") from None
+            raise SessionRejected("a frame cannot be unpacked") from None
         if unpacker.unconsumed_tail or not unpacker.eof:
-            raise Refusal("a frame is too large, or cut short")
+            raise SessionRejected("a frame is too large, or cut short")
     if len(plain) > FRAME_MOST:
-        raise Refusal("a frame is too large")
+        raise SessionRejected("a frame is too large")
     try:
         message = json.loads(plain)
     except (ValueError, RecursionError):
-        raise Refusal("a frame is no JSON") from None
+        raise SessionRejected("a frame is no JSON") from None
     if not isinstance(message, dict) or not message:
-        raise Refusal("a frame is no message")
+        raise SessionRejected("a frame is no message")
     return message
 
 
-def pack_record(record: Record) -> list[Any]:
+def pack_record(record: StoreRecord) -> list[Any]:
     return [record.key, record.value, record.version, record.node, record.written_ms]
 
 
-def unpack_records(obj: Any) -> list[Record]:
+def unpack_records(obj: Any) -> list[StoreRecord]:
     """All of them or none. Raises Refusal."""
     try:
         return [
-            read_record({"key": key, "value": value, "version": version, "node": node, "written_ms": ms})
+            parse_record({"key": key, "value": value, "version": version, "node": node, "written_ms": ms})
             for key, value, version, node, ms in obj
         ]
-    except (BadRecord, TypeError, ValueError) as error:
-        raise Refusal(f"no record: {error}") from None
+    except (InvalidRecordError, TypeError, ValueError) as error:
+        raise SessionRejected(f"no record: {error}") from None
 
 
 def natural(obj: Any, least: int = 0) -> int:
     if not isinstance(obj, int) or isinstance(obj, bool) or obj < least:
-        raise Refusal(f"no count: {str(obj)[:40]}")
+        raise SessionRejected(f"no count: {str(obj)[:40]}")
     return obj
--- a/sageturn/store/store.py
+++ b/sageturn/store/store.py
@@ -11,9 +11,17 @@
 from pathlib import Path
 from typing import Any
 
-from sageturn.store.log import Log
-from sageturn.store.records import KEY_MOST, STATE, VALUE_MOST, BadRecord, Record, may_write, supersedes
-from sageturn.store.standing import Standing, read_standing, write_standing
+from sageturn.store.log import RecordLog
+from sageturn.store.records import (
+    KEY_MOST,
+    STATE,
+    VALUE_MOST,
+    InvalidRecordError,
+    StoreRecord,
+    may_write,
+    supersedes,
+)
+from sageturn.store.replica_state import ReplicaState, read_standing, write_standing
 
 log = logging.getLogger(__name__)
 
@@ -29,13 +37,13 @@
 
     def __init__(self, node: str, path: Path | None = None, wall: Callable[[], float] = time.time) -> None:
         self.node, self.wall = node, wall
-        self._records: dict[str, Record] = {}
+        self._records: dict[str, StoreRecord] = {}
         self._path = path
-        self._log = Log(path) if path is not None else None
+        self._log = RecordLog(path) if path is not None else None
         self._compact_from = COMPACT_FROM
-        self.on_change: list[Callable[[list[Record]], None]] = []
+        self.on_change: list[Callable[[list[StoreRecord]], None]] = []
         self.on_forgotten: list[Callable[[list[str]], None]] = []
-        self.standing = Standing() if path is None else read_standing(self._standing_path(path))
+        self.standing = ReplicaState() if path is None else read_standing(self._standing_path(path))
         self._filed_in_step = self.standing.in_step or 0.0
         if self._log is not None:
             if self._log.cut_off:
@@ -50,11 +58,11 @@
         record = self._records.get(key)
         return None if record is None else record.value
 
-    def record(self, key: str) -> Record | None:
+    def record(self, key: str) -> StoreRecord | None:
         """Also a deleted one, as long as the deletion is remembered."""
         return self._records.get(key)
 
-    def records(self) -> list[Record]:
+    def records(self) -> list[StoreRecord]:
         return list(self._records.values())
 
     def __len__(self) -> int:
@@ -68,22 +76,22 @@
 
     # ------------------------------------------------------------ writing
 
-    def put(self, key: str, value: Any) -> Record:
-        """None deletes. Raises BadRecord for a key that is another node's, and for too large a value."""
+    def put(self, key: str, value: Any) -> StoreRecord:
+        """None deletes. Raises InvalidRecordError for another node's key, and for too large a value."""
         if not key or len(key) > KEY_MOST or not may_write(self.node, key):
-            raise BadRecord(f"key: {key} is not {self.node}'s to write")
+            raise InvalidRecordError(f"key: {key} is not {self.node}'s to write")
         if len(json.dumps(value)) > VALUE_MOST:
-            raise BadRecord(f"value: of {key} is larger than {VALUE_MOST} octets")
+            raise InvalidRecordError(f"value: of {key} is larger than {VALUE_MOST} octets")
         known = self._records.get(key)
         # Above every deletion that was forgotten: another copy may still remember it, and must not win.
         version = known.version + 1 if known else self.standing.floor + 1
-        record = Record(key, value, version, self.node, int(self.wall() * 1000.0))
+        record = StoreRecord(key, value, version, self.node, int(self.wall() * 1000.0))
         self._apply([record])
         return record
 
-    def merge(self, records: Iterable[Record]) -> int:
+    def merge(self, records: Iterable[StoreRecord]) -> int:
         """Take from a replica what is newer; returns how many were."""
-        newer: dict[str, Record] = {}
+        newer: dict[str, StoreRecord] = {}
         for record in records:
             if supersedes(record, newer.get(record.key) or self._records.get(record.key)):
                 newer[record.key] = record
@@ -91,7 +99,7 @@
             self._apply(list(newer.values()))
         return len(newer)
 
-    def _apply(self, records: list[Record]) -> None:
+    def _apply(self, records: list[StoreRecord]) -> None:
         if self._log is not None:
             self._log.append(records)
         for record in records:
@@ -106,7 +114,7 @@
         self._log.rewrite(self._records.values())
         self._compact_from = max(COMPACT_FROM, COMPACT_TIMES * self._log.size)
 
-    def _keep(self, record: Record) -> None:
+    def _keep(self, record: StoreRecord) -> None:
         if supersedes(record, self._records.get(record.key)):
             self._records[record.key] = record
 
@@ -146,7 +154,7 @@
             aside = self._path.with_name(f"{self._path.name}.dropped-{int(self.wall())}")
             shutil.copyfile(self._path, aside)
         floor = max([self.standing.floor] + [self._records[key].version for key in dropped])
-        self._stand(Standing(None, floor))
+        self._stand(ReplicaState(None, floor))
         self._records = kept
         if self._log is not None:
             self._rewrite()
@@ -162,7 +170,7 @@
         else:
             self.standing = replace(self.standing, in_step=at)
 
-    def _stand(self, standing: Standing) -> None:
+    def _stand(self, standing: ReplicaState) -> None:
         self.standing = standing
         if self._path is not None:
             write_standing(self._standing_path(self._path), standing)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -9,14 +9,14 @@
 
 from sageturn import (
     Action,
+    AttemptEnded,
     Balancer,
-    FirstSign,
-    Outcome,
-    Request,
+    ConnectionEstablished,
+    Endpoint,
+    EndpointListEvent,
+    PlaceRequest,
+    RequestArrived,
     RequestClass,
-    Send,
-    Server,
-    ServerList,
     Settings,
     Tenant,
 )
@@ -27,36 +27,36 @@
 
 
 class Relay:
-    def __init__(self, servers: list[Server] | None = None, seed: int = 1, **settings: Any) -> None:
-        settings.setdefault("classes", (RequestClass("c", aim_ms=500),))
+    def __init__(self, endpoints: list[Endpoint] | None = None, seed: int = 1, **settings: Any) -> None:
+        settings.setdefault("classes", (RequestClass("c", latency_objective_ms=500),))
         settings.setdefault("tenants", (Tenant("t", 5.0), Tenant("u", 5.0)))
         self.balancer = Balancer(Settings(**settings), seed)
         self.now = 0.0
         self.ids = 0
         self.sent: dict[int, list[str]] = {}
-        if servers is None:
-            servers = [Server(name) for name in "abcd"]
-        self.listed(servers)
+        if endpoints is None:
+            endpoints = [Endpoint(name) for name in "abcd"]
+        self.listed(endpoints)
 
     def tell(self, event: Any) -> list[Action]:
         actions = self.balancer.handle(self.now, event)
         for action in actions:
-            if isinstance(action, Send):
-                self.sent.setdefault(action.id, []).append(action.server)
+            if isinstance(action, PlaceRequest):
+                self.sent.setdefault(action.id, []).append(action.endpoint)
         return actions
 
-    def listed(self, servers: list[Server], kind: str = "full") -> list[Action]:
-        return self.tell(ServerList(kind, servers))
+    def listed(self, endpoints: list[Endpoint], kind: str = "full") -> list[Action]:
+        return self.tell(EndpointListEvent(kind, endpoints))
 
     def ask(self, tenant: str = "t", cls: str = "c", patience_ms: float = 2000, **more: Any) -> list[Action]:
         self.ids += 1
-        return self.tell(Request(self.ids, cls, tenant, self.now + patience_ms, **more))
+        return self.tell(RequestArrived(self.ids, cls, tenant, self.now + patience_ms, **more))
 
     def stands(self, id: int) -> list[Action]:
-        return self.tell(FirstSign(id, len(self.sent[id]) - 1, self.sent[id][-1]))
+        return self.tell(ConnectionEstablished(id, len(self.sent[id]) - 1, self.sent[id][-1]))
 
     def ends(self, id: int, status: str, final: bool = False) -> list[Action]:
-        return self.tell(Outcome(id, len(self.sent[id]) - 1, self.sent[id][-1], status, final))
+        return self.tell(AttemptEnded(id, len(self.sent[id]) - 1, self.sent[id][-1], status, final))
 
 
 @pytest.fixture
--- a/tests/measure_departures.py
+++ b/tests/measure_departures.py
@@ -41,11 +41,11 @@
 NOTING = """
 import os, sys, time
 from sageturn.__main__ import main
-from sageturn.core.requests import RequestLife
-from sageturn.fronts import platform
-from sageturn.fronts.xmpp import front
+from sageturn.core.request_lifecycle import RequestLifecycle
+from sageturn.frontends import platform
+from sageturn.frontends.xmpp import front
 file = os.open(sys.argv.pop(1), os.O_WRONLY | os.O_APPEND | os.O_CREAT)
-asked = RequestLife.before_writing
+asked = RequestLifecycle.check_before_write
 def noting(connect):
     async def noted(address, timeout_s):
         os.write(file, f"- {time.time()}\\n".encode())
@@ -58,7 +58,7 @@
     return ending
 for each in (platform, front):
     each.connect = noting(each.connect)
-RequestLife.before_writing = noted_asked
+RequestLifecycle.check_before_write = noted_asked
 sys.exit(main())
 """
 
--- a/tests/net_peers.py
+++ b/tests/net_peers.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import Any
 
-from sageturn.config import load
+from sageturn.config.loader import load
 from sageturn.relay import Relay
 
 Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
@@ -49,7 +49,7 @@
         writer.close()
 
 
-class Endpoint:
+class FakeEndpoint:
     """Keeps the first lines that came, and acts by its script."""
 
     def __init__(self, script: Script) -> None:
@@ -124,7 +124,7 @@
 
 
 @asynccontextmanager
-async def served(peer: Endpoint | Discovery) -> AsyncIterator[None]:
+async def served(peer: FakeEndpoint | Discovery) -> AsyncIterator[None]:
     server = await asyncio.start_server(peer.serve, "127.0.0.1", 0)
     peer.address = server.sockets[0].getsockname()[:2]
     try:
@@ -151,7 +151,7 @@
 
 
 async def serve_all(
-    stack: AsyncExitStack, endpoints: Sequence[Endpoint]
+    stack: AsyncExitStack, endpoints: Sequence[FakeEndpoint]
 ) -> tuple[dict[str, tuple[str, int]], Discovery]:
     """The endpoints by name, in the order a, b, c, and a discovery that lists them as version 2."""
     for endpoint in endpoints:
@@ -165,11 +165,11 @@
 @asynccontextmanager
 async def relaying(
     folder: Path, *scripts: Script, operator: dict[str, Any] | None = None, **more: Any
-) -> AsyncIterator[tuple[Relay, list[Endpoint]]]:
+) -> AsyncIterator[tuple[Relay, list[FakeEndpoint]]]:
     """A relay whose list names one endpoint for each script, in the order a, b, c."""
     file = folder / "operator.json"
     file.write_text(json.dumps(operator or {}))
-    endpoints = [Endpoint(script) for script in scripts]
+    endpoints = [FakeEndpoint(script) for script in scripts]
     async with AsyncExitStack() as stack:
         names, discovery = await serve_all(stack, endpoints)
         known = listed(names) if names else None
--- a/tests/rebalance_fleet.py
+++ b/tests/rebalance_fleet.py
@@ -5,23 +5,26 @@
 from typing import Any
 
 from sageturn import (
+    AttemptEnded,
     Balancer,
-    FirstSign,
-    Inherited,
-    Note,
-    Outcome,
-    Request,
+    ConnectionAdopted,
+    ConnectionEstablished,
+    Endpoint,
+    EndpointListEvent,
+    MeasurementReported,
+    PlaceRequest,
+    RequestArrived,
     RequestClass,
-    Send,
-    Server,
-    ServerList,
     Settings,
 )
-from sageturn.core.hosts import look
+from sageturn.core.endpoint_snapshot import snapshot_endpoints
 from sageturn.rebalance.options import RebalanceOptions
-from sageturn.rebalance.planner import Plan, Planner
+from sageturn.rebalance.planner import MigrationPlan, RebalancePlanner
 
-CLASSES = (RequestClass("c", aim_ms=500), RequestClass("guest-checkin", aim_ms=300))
+CLASSES = (
+    RequestClass("c", latency_objective_ms=500),
+    RequestClass("guest-checkin", latency_objective_ms=300),
+)
 
 
 class Fleet:
@@ -33,15 +36,15 @@
         self.settings = Settings(**settings)
         self.options = RebalanceOptions(**{"mode": "on", **(options or {})})
         self.balancer = Balancer(self.settings, 1)
-        self.planner = Planner(self.settings, self.options, 1)
+        self.planner = RebalancePlanner(self.settings, self.options, 1)
         self.now = 1e6
         self.conns: dict[int, tuple[str, str, str, str]] = {}
         self.away: list[tuple[float, str, str, str]] = []  # when they come, client, class, group
         self.moved: list[tuple[float, str, str]] = []  # when, client, why
         self.gap_ms, self.set_up_ms, self.come_back = 300.0, 20.0, True
         self.minute, self.ids = 0, 0
-        self.plan = Plan((), "", "")
-        self.tell(ServerList("full", [Server(name) for name in hosts]))
+        self.plan = MigrationPlan((), "", "")
+        self.tell(EndpointListEvent("full", [Endpoint(name) for name in hosts]))
 
     def tell(self, event: Any) -> list[Any]:
         self.planner.before(self.now, event)
@@ -54,35 +57,37 @@
         for _ in range(count):
             self.ids += 1
             client = f"k{self.ids}"
-            self.tell(Inherited(self.ids, cls, "t", host, group, client=client))
+            self.tell(ConnectionAdopted(self.ids, cls, "t", host, group, client=client))
             self.conns[self.ids] = (client, cls, group, host)
             if load != 1.0:
-                self.tell(Note(self.ids, 0, host, "load", load))
+                self.tell(MeasurementReported(self.ids, 0, host, "load", load))
 
     def comes(self, client: str, cls: str = "c", group: str = "", returned: bool = False) -> str:
         """The host where it stands then, or nothing when it failed fast."""
         self.ids += 1
-        request = Request(self.ids, cls, "t", self.now + 2000.0, group, client=client, returned=returned)
+        request = RequestArrived(
+            self.ids, cls, "t", self.now + 2000.0, group, client=client, returned=returned
+        )
         (action,) = self.tell(request)
-        if not isinstance(action, Send):
+        if not isinstance(action, PlaceRequest):
             return ""
         self.now += self.set_up_ms
-        self.tell(FirstSign(self.ids, 0, action.server, self.set_up_ms))
-        self.conns[self.ids] = (client, cls, group, action.server)
-        return action.server
+        self.tell(ConnectionEstablished(self.ids, 0, action.endpoint, self.set_up_ms))
+        self.conns[self.ids] = (client, cls, group, action.endpoint)
+        return action.endpoint
 
     def ends(self, request_id: int, status: str = "cancelled") -> None:
         host = self.conns.pop(request_id)[3]
-        self.tell(Outcome(request_id, 0, host, status, True))
+        self.tell(AttemptEnded(request_id, 0, host, status, True))
 
-    def step(self, seconds: float = 1.0) -> Plan:
+    def step(self, seconds: float = 1.0) -> MigrationPlan:
         """A tick, the moves that it asks for, and the clients that are due by then."""
         self.now += seconds * 1000.0
         due = [who for who in self.away if who[0] <= self.now]
         self.away = [who for who in self.away if who[0] > self.now]
         for _, client, cls, group in due:
             self.comes(client, cls, group)
-        self.plan = self.planner.tick(self.now, look(self.balancer, self.now), self.minute)
+        self.plan = self.planner.tick(self.now, snapshot_endpoints(self.balancer, self.now), self.minute)
         if self.plan.phase != "dry-run":
             for move in self.plan.moves:
                 client, cls, group, _ = self.conns[move.request_id]
@@ -97,7 +102,7 @@
             self.step()
 
     def held(self) -> dict[str, int]:
-        counts = {name: 0 for name in self.balancer.servers}
+        counts = {name: 0 for name in self.balancer.endpoints}
         for _, _, _, host in self.conns.values():
             counts[host] += 1
         return counts
--- a/tests/spread_fleet.py
+++ b/tests/spread_fleet.py
@@ -7,13 +7,12 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field
 
-from sageturn.store.records import FRAME_MOST, Record, supersedes
-from sageturn.store.spread.overlay import Beacon, Member
-from sageturn.store.spread.overlay import Refusal as Turned
-from sageturn.store.spread.replica import Place, Replica
-from sageturn.store.spread.session import ASKED_KEYS, URGENT_WINDOW, WINDOW, Session
-from sageturn.store.spread.wire import LANES, PART_OCTETS, Refusal, lane_of
-from sageturn.store.standing import Standing
+from sageturn.store.records import FRAME_MOST, StoreRecord, supersedes
+from sageturn.store.replica_state import ReplicaState
+from sageturn.store.replication.overlay import Beacon, LinkRejected, Member
+from sageturn.store.replication.replica import Replica, ReplicaLocation
+from sageturn.store.replication.session import ASKED_KEYS, URGENT_WINDOW, WINDOW, ReplicationSession
+from sageturn.store.replication.wire import LANES, PART_OCTETS, SessionRejected, lane_of
 from sageturn.store.store import Store
 
 QUEUE = 8  # frames that the kernel holds on one side of a link
@@ -25,7 +24,7 @@
     """A link between two copies: per side its session, and the frames on their way to it."""
 
     ends: tuple[str, str]
-    sessions: dict[str, Session]
+    sessions: dict[str, ReplicationSession]
     queues: dict[str, deque[bytes]] = field(default_factory=dict)
     slow: set[str] = field(default_factory=set)  # those that read nothing for now
     octets: int = 0
@@ -50,7 +49,7 @@
         return self.began_wall + self.now
 
     def start(self, name: str, store: Store) -> None:
-        place = Place(("127.0.0.1", 1 + ord(name[0])), "r", name)
+        place = ReplicaLocation(("127.0.0.1", 1 + ord(name[0])), "r", name)
         self.replicas[name] = Replica(
             store,
             random.Random(self.rng.random()),
@@ -66,7 +65,7 @@
 
     # ------------------------------------------------------------ what a schedule does
 
-    def put(self, name: str, key: str, value: object) -> Record:
+    def put(self, name: str, key: str, value: object) -> StoreRecord:
         return self.store(name).put(key, value)
 
     def restart(self, name: str, wiped: bool = False) -> None:
@@ -132,7 +131,7 @@
                     return True
                 try:
                     session.receive(payload, self.now)
-                except Refusal as refusal:
+                except SessionRejected as refusal:
                     wire.refusals.append(str(refusal))
                     session.close(str(refusal), session.closing_why)
                 if session.ended:
@@ -164,7 +163,7 @@
         while wire.queues[name] and not session.ended and not session.closing:
             try:
                 session.receive(wire.queues[name].popleft(), self.now)
-            except Refusal as refusal:
+            except SessionRejected as refusal:
                 wire.refusals.append(str(refusal))
                 break
         self.cut(*wire.ends)
@@ -209,8 +208,8 @@
 
     # ------------------------------------------------------------ what must hold
 
-    def newest(self) -> dict[str, Record]:
-        best: dict[str, Record] = {}
+    def newest(self) -> dict[str, StoreRecord]:
+        best: dict[str, StoreRecord] = {}
         for replica in self.replicas.values():
             for record in replica.store.records():
                 if supersedes(record, best.get(record.key)):
@@ -269,7 +268,7 @@
                             assert forgotten or sound, f"{key} at {revision} was skipped"
 
     @staticmethod
-    def _check_memory(session: Session) -> None:
+    def _check_memory(session: ReplicationSession) -> None:
         assert len(session._flying) <= WINDOW + URGENT_WINDOW
         assert session._question is None or len(session._question[1]) <= ASKED_KEYS
         assert len(session.peer) < 300 and PART_OCTETS <= FRAME_MOST
@@ -282,7 +281,7 @@
     """A fleet that has been in step, linked to a star round its first."""
     fleet = Fleet(names, seed, **more)
     for name in names:
-        fleet.store(name).standing = Standing(fleet.wall(), 0)
+        fleet.store(name).standing = ReplicaState(fleet.wall(), 0)
     for name in names[1:]:
         fleet.link(names[0], name)
     fleet.run(5.0)
@@ -302,7 +301,7 @@
     def saw(self, members: Iterable[Member]) -> None: ...
     def heard(self, name: str, beacon: Beacon, now: float) -> None: ...
 
-    def admits(self, member: Member, now: float) -> Turned | None:
+    def admits(self, member: Member, now: float) -> LinkRejected | None:
         return None
 
     def beacon(self, name: str, now: float) -> Beacon:
@@ -319,7 +318,7 @@
     def unreachable(self, address: tuple[str, int], now: float) -> None:
         self._at[address] = now + self.WAIT_S
 
-    def refused(self, address: tuple[str, int], now: float, refusal: Turned) -> None:
+    def refused(self, address: tuple[str, int], now: float, refusal: LinkRejected) -> None:
         self.unreachable(address, now)
 
     def to_dial(self, now: float) -> list[tuple[str, int]]:
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -10,7 +10,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from sageturn.backoff import (
+from sageturn.decision import DiscoveryFailure
+from sageturn.decision.discovery_backoff import (
     ANSWER_MS,
     CONNECT_MS,
     NEWS_MS,
@@ -20,7 +21,6 @@
     CallBackoff,
     unserved,
 )
-from sageturn.interface import ListFailure
 from sageturn.net import discovery as net
 
 MUST_ASK_MS = 10000.0
@@ -39,14 +39,14 @@
 
 # What the client has waited itself by the time it tells a failure: docs/design/discovery-calls.md.
 SPENT = {
-    ListFailure.UNREACHED: net.CONNECT_S * 1000.0,
-    ListFailure.OVERLOADED: FAIL_MS,
-    ListFailure.UNANSWERED: net.ANSWER_S * 1000.0,
-    ListFailure.UNUSABLE: 0.0,
-    ListFailure.LOST: 0.0,
-    ListFailure.SILENT: net.SILENCE_S * 1000.0,
+    DiscoveryFailure.UNREACHED: net.CONNECT_S * 1000.0,
+    DiscoveryFailure.OVERLOADED: FAIL_MS,
+    DiscoveryFailure.UNANSWERED: net.ANSWER_S * 1000.0,
+    DiscoveryFailure.UNUSABLE: 0.0,
+    DiscoveryFailure.LOST: 0.0,
+    DiscoveryFailure.SILENT: net.SILENCE_S * 1000.0,
 }
-FAILURES = st.sampled_from(list(ListFailure))
+FAILURES = st.sampled_from(list(DiscoveryFailure))
 
 
 def test_the_client_waits_as_the_backoff_reckons() -> None:
@@ -66,19 +66,19 @@
     st.floats(0.0, 20000.0),
 )
 def test_from_any_state_the_set_times_leave_room_for_the_answer(
-    relays: int, must_ask_ms: float, pushed: bool, before: list[ListFailure], gap_ms: float
+    relays: int, must_ask_ms: float, pushed: bool, before: list[DiscoveryFailure], gap_ms: float
 ) -> None:
     # A change counts as told 6 s after discovery had it and could be reached, whatever has failed before. The
     # wait after a failure was 5 s in the mean at once, and up to four times 130 ms for each relay.
-    for failure in ListFailure:
+    for failure in DiscoveryFailure:
         backoff, now = CallBackoff(relays, must_ask_ms, Highest(), pushed), 0.0
         assert backoff.first_ms() + ROOM_MS <= NEWS_MS
         for one in before:
-            if one is not ListFailure.OVERLOADED or relays * SLOW_CALL_MS <= FAIL_MS:
+            if one is not DiscoveryFailure.OVERLOADED or relays * SLOW_CALL_MS <= FAIL_MS:
                 now += gap_ms + backoff.wait_ms(now, one)
         wait_ms = backoff.wait_ms(now, failure)
         assert SPENT[failure] + wait_ms + ROOM_MS <= NEWS_MS
-        if failure not in (ListFailure.UNANSWERED, ListFailure.SILENT, ListFailure.OVERLOADED):
+        if failure not in (DiscoveryFailure.UNANSWERED, DiscoveryFailure.SILENT, DiscoveryFailure.OVERLOADED):
             assert wait_ms + FAIL_MS <= NEWS_MS  # whatever waits then is answered in time, or not at all
 
 
@@ -90,11 +90,11 @@
     assert backoff.first_ms() <= must_ask_ms / 2
     assert backoff.first_ms(doubted=True) <= min(must_ask_ms / 2, 1800.0)
     for _ in range(9):
-        assert backoff.wait_ms(0.0, ListFailure.UNREACHED) <= max(must_ask_ms / 2, 1050.0)
+        assert backoff.wait_ms(0.0, DiscoveryFailure.UNREACHED) <= max(must_ask_ms / 2, 1050.0)
     top_ms = 3.0 * max(1050.0, relays * SLOW_CALL_MS - FAIL_MS)
-    assert max(backoff.wait_ms(0.0, ListFailure.OVERLOADED) for _ in range(30)) <= top_ms
+    assert max(backoff.wait_ms(0.0, DiscoveryFailure.OVERLOADED) for _ in range(30)) <= top_ms
     backoff.succeeded()
-    assert backoff.wait_ms(0.0, ListFailure.OVERLOADED) <= NEWS_MS - ROOM_MS
+    assert backoff.wait_ms(0.0, DiscoveryFailure.OVERLOADED) <= NEWS_MS - ROOM_MS
 
 
 @given(st.integers(1, 1000), st.floats(1000.0, 20000.0), st.booleans(), st.integers(0, 999))
@@ -104,17 +104,17 @@
     # It was taken for a failed call: at 200 relays the next came 2.5 to 7.5 s later, 3.2 s of silence before
     # it, where what a silent watch misses counts as told after 6 s.
     backoff = CallBackoff(relays, must_ask_ms, Random(seed), pushed)
-    for failure, most_ms in ((ListFailure.SILENT, 1800.0), (ListFailure.LOST, 2800.0)):
+    for failure, most_ms in ((DiscoveryFailure.SILENT, 1800.0), (DiscoveryFailure.LOST, 2800.0)):
         for now in (0.0, must_ask_ms + 1.0, must_ask_ms + 2.0):
             assert backoff.wait_ms(now, failure) <= (150.0 if pushed else most_ms)
     if not pushed:  # but one that is over again and again is not hammered
-        assert backoff.wait_ms(must_ask_ms + 3.0, ListFailure.LOST) >= min(350.0, 0.25 * must_ask_ms)
-        assert backoff.wait_ms(must_ask_ms + 4.0, ListFailure.SILENT) >= min(350.0, 0.25 * must_ask_ms)
-    assert not pushed or max(backoff.wait_ms(0.0, f) for f in ListFailure for _ in range(9)) <= 150.0
+        assert backoff.wait_ms(must_ask_ms + 3.0, DiscoveryFailure.LOST) >= min(350.0, 0.25 * must_ask_ms)
+        assert backoff.wait_ms(must_ask_ms + 4.0, DiscoveryFailure.SILENT) >= min(350.0, 0.25 * must_ask_ms)
+    assert not pushed or max(backoff.wait_ms(0.0, f) for f in DiscoveryFailure for _ in range(9)) <= 150.0
 
 
-@pytest.mark.parametrize("failure", list(ListFailure))
-def test_a_lone_relay_does_not_hammer_either(failure: ListFailure) -> None:
+@pytest.mark.parametrize("failure", list(DiscoveryFailure))
+def test_a_lone_relay_does_not_hammer_either(failure: DiscoveryFailure) -> None:
     backoff = CallBackoff(1, MUST_ASK_MS, Random(5))
     backoff.wait_ms(0.0, failure)
     assert min(backoff.wait_ms(1.0, failure) for _ in range(200)) >= 350.0
@@ -122,16 +122,16 @@
 
 def test_only_a_call_that_stood_in_the_queue_slows_those_after_it() -> None:
     backoff = CallBackoff(200, MUST_ASK_MS, Highest())
-    first, second, third = (backoff.wait_ms(0.0, ListFailure.OVERLOADED) for _ in range(3))
+    first, second, third = (backoff.wait_ms(0.0, DiscoveryFailure.OVERLOADED) for _ in range(3))
     assert first < second < third
-    costless = [backoff.wait_ms(0.0, ListFailure.UNREACHED) for _ in range(9)]
+    costless = [backoff.wait_ms(0.0, DiscoveryFailure.UNREACHED) for _ in range(9)]
     assert max(costless) <= 2800.0
-    assert backoff.wait_ms(0.0, ListFailure.OVERLOADED) == first  # that queue is gone by now
-    assert unserved(999.0) is ListFailure.UNREACHED and unserved(FAIL_MS) is ListFailure.OVERLOADED
+    assert backoff.wait_ms(0.0, DiscoveryFailure.OVERLOADED) == first  # that queue is gone by now
+    assert unserved(999.0) is DiscoveryFailure.UNREACHED and unserved(FAIL_MS) is DiscoveryFailure.OVERLOADED
 
 
 def test_relays_whose_watches_end_together_do_not_ask_in_step() -> None:
-    for failure in (ListFailure.SILENT, ListFailure.LOST):
+    for failure in (DiscoveryFailure.SILENT, DiscoveryFailure.LOST):
         waits = sorted(CallBackoff(200, 10000.0, Random(seed)).wait_ms(0.0, failure) for seed in range(200))
         assert max(sum(w <= v < w + 200.0 for v in waits) for w in waits) <= 50
 
@@ -166,9 +166,9 @@
             elif how == "moved":
                 self.at(0.0, "call", k)
             elif how in ("cut", "hung", "silent"):  # its last sign of life came up to 2 s before
-                self.at(SILENCE_MS - 2000.0 * chance.random(), "fail", k, ListFailure.SILENT)
+                self.at(SILENCE_MS - 2000.0 * chance.random(), "fail", k, DiscoveryFailure.SILENT)
             else:
-                self.at(0.0, "fail", k, ListFailure.LOST)
+                self.at(0.0, "fail", k, DiscoveryFailure.LOST)
         self.at(self.back_ms, "back", -1)
         while self.events and len(self.answered) < relays:
             now, _, what, k, more = heapq.heappop(self.events)
@@ -181,7 +181,7 @@
         self.count += 1
         heapq.heappush(self.events, (when, self.count, what, k, more))
 
-    def fail(self, now: float, k: int, failure: ListFailure) -> None:
+    def fail(self, now: float, k: int, failure: DiscoveryFailure) -> None:
         self.at(now + self.paces[k].wait_ms(now, failure), "call", k)
 
     def back(self, now: float, k: int, more: None) -> None:
@@ -195,7 +195,7 @@
             self.at(self.free_ms, "answer", k)
         else:
             self.failed += since >= self.back_ms
-            self.at(max(now, since + FAIL_MS), "fail", k, ListFailure.OVERLOADED)
+            self.at(max(now, since + FAIL_MS), "fail", k, DiscoveryFailure.OVERLOADED)
 
     def answer(self, now: float, k: int, more: None) -> None:
         self.answered[k] = now - self.back_ms
@@ -205,15 +205,15 @@
         if now >= self.back_ms:
             self.queue(now, now, k)
         elif self.how == "cut":
-            self.at(now + CONNECT_MS, "fail", k, ListFailure.UNREACHED)
+            self.at(now + CONNECT_MS, "fail", k, DiscoveryFailure.UNREACHED)
         elif self.how == "hung" and now + FAIL_MS >= self.back_ms:
             self.held.append((now, k))
         elif self.how == "hung":
-            self.at(now + ANSWER_MS, "fail", k, ListFailure.UNANSWERED)
+            self.at(now + ANSWER_MS, "fail", k, DiscoveryFailure.UNANSWERED)
         elif self.how == "waits":
-            self.at(now + DOWN_FAIL_MS, "fail", k, ListFailure.OVERLOADED)
+            self.at(now + DOWN_FAIL_MS, "fail", k, DiscoveryFailure.OVERLOADED)
         else:
-            self.at(now + (20.0 if self.how == "503" else 1.0), "fail", k, ListFailure.UNREACHED)
+            self.at(now + (20.0 if self.how == "503" else 1.0), "fail", k, DiscoveryFailure.UNREACHED)
 
     def peak(self) -> int:
         """The most calls in any second."""
