--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -11,25 +11,25 @@
 import pytest
 
 from sageturn import (
+    AttemptEnded,
     Balancer,
-    FirstSign,
-    Outcome,
-    Refuse,
-    Request,
+    ConnectionEstablished,
+    Endpoint,
+    EndpointListEvent,
+    PlaceRequest,
+    RejectRequest,
+    RequestArrived,
     RequestClass,
-    Send,
-    Server,
-    ServerList,
     Settings,
     Tenant,
 )
+from sageturn.config.fields import ConfigError
+from sageturn.config.settings import read_settings
+from sageturn.decision.slow_start import SlowStartBudget
 from sageturn.lab.spec import Spec, relay_settings
-from sageturn.ramp import Ramp
-from sageturn.sections import ConfigError
-from sageturn.settings import read_settings
 
 WITHIN_MS, WINDOW_MS, COLD_FROM, MULTIPLE = 24_000.0, 3_000.0, 0.2, 4.0
-CLASSES = (RequestClass("one", aim_ms=800.0, give_up_ms=3200.0),)
+CLASSES = (RequestClass("one", latency_objective_ms=800.0, give_up_ms=3200.0),)
 
 
 def windows_over(times: list[float], allowed: Callable[[float], float]) -> list[tuple[int, float]]:
@@ -73,26 +73,26 @@
             settings = Settings(
                 classes=CLASSES,
                 tenants=(Tenant("t", allowance, total),),
-                balancers=relays,
+                relay_count=relays,
                 index=k if numbered else None,
                 zone=zones[k % len(zones)] if zones else "",
-                price_cross_zone=0.02 if zones else 0.0,
+                cross_zone_cost=0.02 if zones else 0.0,
                 max_retry_after_ms=1500.0,
-                fall_multiple=MULTIPLE,
-                fall_ms=WINDOW_MS,
-                cold_from=COLD_FROM,
-                warm_within_ms=WITHIN_MS,
-                tells_delay=False,
+                cold_overload_multiple=MULTIPLE,
+                cold_overload_window_ms=WINDOW_MS,
+                initial_capacity_ratio=COLD_FROM,
+                slow_start_ms=WITHIN_MS,
+                reports_delay=False,
                 weights="rough",
             )
             self.relays.append(Balancer(settings, seed * 1000 + k))
         # Some relays get several times the traffic of others.
         self.traffic = [self.rng.lognormvariate(0.0, 0.7) for _ in range(relays)]
         self.lines = {
-            f"h{k}": Server(f"h{k}", zone=zones[k % len(zones)] if zones else "") for k in range(hosts)
+            f"h{k}": Endpoint(f"h{k}", zone=zones[k % len(zones)] if zones else "") for k in range(hosts)
         }
         for relay in self.relays:
-            relay.handle(0.0, ServerList("full", list(self.lines.values())))
+            relay.handle(0.0, EndpointListEvent("full", list(self.lines.values())))
         self.held: dict[str, dict[int, tuple[Balancer, int]]] = {}  # by request: its relay and attempt
         self.sent: dict[str, list[float]] = {}
         for _ in range(clients):
@@ -114,49 +114,49 @@
         self.tries += 1
         request = self.ids
         relay = self.rng.choices(self.relays, self.traffic)[0]
-        actions = relay.handle(self.now, Request(request, "one", "t", self.now + 3200.0))
+        actions = relay.handle(self.now, RequestArrived(request, "one", "t", self.now + 3200.0))
         self.act(relay, request, 0, actions, tries)
 
     def act(self, relay: Balancer, request: int, attempt: int, actions: list[Any], tries: int) -> None:
         for action in actions:
-            if isinstance(action, Refuse):
+            if isinstance(action, RejectRequest):
                 self.refused += 1
                 own_ms = (30.0, 30.0, 500.0, 1500.0)[min(tries, 3)]
                 wait_ms = action.retry_after_ms if self.rng.random() < 0.4 else own_ms
                 self.at(self.now + wait_ms, lambda: self.client(tries + 1))
-            elif isinstance(action, Send):
-                self.set_up(relay, request, attempt, action.server, tries)
+            elif isinstance(action, PlaceRequest):
+                self.set_up(relay, request, attempt, action.endpoint, tries)
 
-    def set_up(self, relay: Balancer, request: int, attempt: int, server: str, tries: int) -> None:
+    def set_up(self, relay: Balancer, request: int, attempt: int, endpoint: str, tries: int) -> None:
         begun = self.now
-        self.sent.setdefault(server, []).append(self.now)
+        self.sent.setdefault(endpoint, []).append(self.now)
 
         def stands() -> None:
-            relay.handle(self.now, FirstSign(request, attempt, server, self.now - begun))
-            self.held.setdefault(server, {})[request] = (relay, attempt)
+            relay.handle(self.now, ConnectionEstablished(request, attempt, endpoint, self.now - begun))
+            self.held.setdefault(endpoint, {})[request] = (relay, attempt)
 
         def fails() -> None:  # what is sent next counts like the first
-            outcome = Outcome(request, attempt, server, "error", False)
+            outcome = AttemptEnded(request, attempt, endpoint, "error", False)
             self.act(relay, request, attempt + 1, relay.handle(self.now, outcome), tries)
 
         took = 30.0 + 60.0 * self.rng.random()
         self.at(self.now + took, fails if self.rng.random() < 0.05 else stands)
 
-    def leave(self, server: str) -> None:
+    def leave(self, endpoint: str) -> None:
         """A draining host sends its clients away bit by bit."""
-        for request, (relay, attempt) in self.held.pop(server, {}).items():
+        for request, (relay, attempt) in self.held.pop(endpoint, {}).items():
 
             def gone(request: int = request, relay: Balancer = relay, attempt: int = attempt) -> None:
-                relay.handle(self.now, Outcome(request, attempt, server, "cancelled", True))
+                relay.handle(self.now, AttemptEnded(request, attempt, endpoint, "cancelled", True))
                 self.at(self.now + 100.0 + 700.0 * self.rng.random(), self.client)
 
             self.at(self.now + 2000.0 * self.rng.random(), gone)
 
-    def tell(self, lines: list[Server]) -> None:
+    def tell(self, lines: list[Endpoint]) -> None:
         for relay in self.relays:  # each has its own way to the news
             self.at(
                 self.now + 500.0 * self.rng.random(),
-                lambda relay=relay: relay.handle(self.now, ServerList("changes", lines)),  # type: ignore[misc]
+                lambda relay=relay: relay.handle(self.now, EndpointListEvent("changes", lines)),  # type: ignore[misc]
             )
 
     def release(self) -> dict[str, float]:
@@ -168,10 +168,10 @@
             starts[f"n{k}"] = start
 
             def started(k: int = k, start: float = start) -> None:
-                self.tell([Server(f"n{k}", zone=old[k].zone, started_at_ms=start)])
+                self.tell([Endpoint(f"n{k}", zone=old[k].zone, started_at_ms=start)])
 
             def drains(k: int = k) -> None:
-                self.tell([Server(f"h{k}", "draining", zone=old[k].zone)])
+                self.tell([Endpoint(f"h{k}", "draining", zone=old[k].zone)])
                 self.at(self.now + 500.0, lambda: self.leave(f"h{k}"))
 
             self.at(start + 1200.0, started)
@@ -219,16 +219,16 @@
         settings = Settings(
             classes=CLASSES,
             tenants=(Tenant("t", allowance, quota),),
-            balancers=relays,
+            relay_count=relays,
             index=k if numbered else None,
-            fall_multiple=MULTIPLE,
-            fall_ms=WINDOW_MS,
-            cold_from=COLD_FROM,
-            warm_within_ms=WITHIN_MS,
+            cold_overload_multiple=MULTIPLE,
+            cold_overload_window_ms=WINDOW_MS,
+            initial_capacity_ratio=COLD_FROM,
+            slow_start_ms=WITHIN_MS,
         )
         relay = Balancer(settings, seed * 1000 + k)
         told = 800.0 + 1500.0 * rng.random() * (1.0 + 4.0 * (rng.random() < 0.1))
-        relay.handle(told, ServerList("full", [Server("new", started_at_ms=1e-9)]))
+        relay.handle(told, EndpointListEvent("full", [Endpoint("new", started_at_ms=1e-9)]))
         if pattern == "steady":
             times = [told + 200.0 * j for j in range(int((WITHIN_MS - told) / 200.0))]
         elif pattern == "bursts":  # at all relays at once, after quiet times
@@ -242,11 +242,11 @@
                 times.append(times[-1] + rng.expovariate(pace))
         for request, at in enumerate(times):
             if told <= at < WITHIN_MS:
-                for action in relay.handle(at, Request(request, "one", "t", at + 3200.0)):
-                    if isinstance(action, Send):
+                for action in relay.handle(at, RequestArrived(request, "one", "t", at + 3200.0)):
+                    if isinstance(action, PlaceRequest):
                         sent.append(at)
-                        relay.handle(at, FirstSign(request, 0, "new", 1.0))
-                        relay.handle(at, Outcome(request, 0, "new", "ok", True))
+                        relay.handle(at, ConnectionEstablished(request, 0, "new", 1.0))
+                        relay.handle(at, AttemptEnded(request, 0, "new", "ok", True))
     return sorted(sent)
 
 
@@ -271,7 +271,9 @@
 def test_rounded_parts_of_all_relays_add_up_at_each_host() -> None:
     # By chance alone hosts that were meant to hold 33 held 22 to 62.
     for relays in (7, 40, 200, 220):
-        ramps = [Ramp(Settings(CLASSES, balancers=relays, index=k), Random(k)) for k in range(relays)]
+        ramps = [
+            SlowStartBudget(Settings(CLASSES, relay_count=relays, index=k), Random(k)) for k in range(relays)
+        ]
         for host in range(20):
             mark = crc32(f"host-{host}".encode())
             for part in (0.03, 0.17, 0.5, 0.9):
@@ -285,26 +287,30 @@
 def test_connections_on_draining_hosts_leave_room_for_their_clients_at_the_successors(make: Any) -> None:
     # A quarter of what relays held in all stood on hosts that drained, while they refused these very clients.
     tenants = (Tenant("t", 13.0, 160.0),)
-    relay = make([Server("a"), Server("b")], tenants=tenants, balancers=20, tells_delay=False, index=10)
+    relay = make(
+        [Endpoint("a"), Endpoint("b")], tenants=tenants, relay_count=20, reports_delay=False, index=10
+    )
     for _ in range(30):
         relay.now += 2000.0
         relay.ask()
         if relay.ids in relay.sent:
             relay.stands(relay.ids)
     held = relay.balancer.open
-    assert held >= 6 and isinstance(relay.ask()[0], Refuse)
-    relay.listed([Server("a", "draining"), Server("c")], "changes")
+    assert held >= 6 and isinstance(relay.ask()[0], RejectRequest)
+    relay.listed([Endpoint("a", "draining"), Endpoint("c")], "changes")
     relay.now += 100.0
-    assert relay.ask()[0].server == "c"
+    assert relay.ask()[0].endpoint == "c"
 
 
 def test_warm_hosts_are_not_given_what_is_meant_for_cold_ones(make: Any) -> None:
     # Relays filled the warm hosts with what new ones were to hold, so that these were refused it later.
     tenants = (Tenant("t", 13.0, 1600.0),)
-    servers = [Server(f"w{k}") for k in range(4)]
-    relay = make(servers, tenants=tenants, balancers=40, tells_delay=False, index=20, warm_within_ms=24_000.0)
+    endpoints = [Endpoint(f"w{k}") for k in range(4)]
+    relay = make(
+        endpoints, tenants=tenants, relay_count=40, reports_delay=False, index=20, slow_start_ms=24_000.0
+    )
     relay.now = 100_000.0
-    relay.listed([Server(f"n{k}", started_at_ms=88_000.0) for k in range(4)], "changes")
+    relay.listed([Endpoint(f"n{k}", started_at_ms=88_000.0) for k in range(4)], "changes")
     b = relay.balancer
     for _ in range(400):
         relay.now += 5.0
@@ -334,5 +340,5 @@
 
 def test_a_number_beyond_the_group_counts_as_not_told() -> None:
     # Two relays with one number would take the same turns.
-    ramps = [Ramp(Settings(CLASSES, balancers=4, index=9), Random(seed)) for seed in range(9)]
+    ramps = [SlowStartBudget(Settings(CLASSES, relay_count=4, index=9), Random(seed)) for seed in range(9)]
     assert len({ramp.rounding(1) for ramp in ramps}) == 9
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -3,16 +3,16 @@
 from typing import Any
 
 from sageturn import (
-    Cancel,
-    ClientGone,
-    Fail,
-    FirstSign,
-    Move,
-    Note,
-    Refuse,
+    AbandonAttempt,
+    ClientDisconnected,
+    ConnectionEstablished,
+    Endpoint,
+    FailRequest,
+    MeasurementReported,
+    MigrateConnection,
+    PlaceRequest,
+    RejectRequest,
     RequestClass,
-    Send,
-    Server,
     Tenant,
 )
 
@@ -21,22 +21,22 @@
     relay = make()
     for _ in range(7):
         (action,) = relay.ask()
-        assert isinstance(action, Send)
+        assert isinstance(action, PlaceRequest)
 
 
 def test_a_deep_balancer_refuses_the_busy_tenant_and_serves_the_quiet_one(make: Any) -> None:
     relay = make()
     kinds = [type(relay.ask("t")[0]) for _ in range(60)]
-    assert kinds[0] is Send and kinds[-1] is Refuse
-    assert isinstance(relay.ask("u")[0], Send)
+    assert kinds[0] is PlaceRequest and kinds[-1] is RejectRequest
+    assert isinstance(relay.ask("u")[0], PlaceRequest)
 
 
 def test_refusal_carries_advice_only_where_allowed(make: Any) -> None:
     relay = make()
-    refusals = [a for _ in range(60) for a in relay.ask() if isinstance(a, Refuse)]
+    refusals = [a for _ in range(60) for a in relay.ask() if isinstance(a, RejectRequest)]
     assert refusals and all(0 < a.retry_after_ms <= 1000 for a in refusals)
     relay = make(retry_after=False)
-    refusals = [a for _ in range(60) for a in relay.ask() if isinstance(a, Refuse)]
+    refusals = [a for _ in range(60) for a in relay.ask() if isinstance(a, RejectRequest)]
     assert refusals and all(a.retry_after_ms == 0 for a in refusals)
 
 
@@ -44,25 +44,25 @@
     relay = make()
     relay.ask()
     (again,) = relay.ends(1, "connect_failed")
-    assert isinstance(again, Send) and again.server != relay.sent[1][0]
+    assert isinstance(again, PlaceRequest) and again.endpoint != relay.sent[1][0]
 
 
 def test_a_drained_server_gets_nothing(make: Any) -> None:
-    relay = make([Server("a"), Server("b")])
-    relay.listed([Server("a", "draining")], "changes")
+    relay = make([Endpoint("a"), Endpoint("b")])
+    relay.listed([Endpoint("a", "draining")], "changes")
     for _ in range(6):
-        assert relay.ask()[0].server == "b"
+        assert relay.ask()[0].endpoint == "b"
 
 
 def test_no_server_means_an_immediate_answer(make: Any) -> None:
     relay = make([])
-    assert isinstance(relay.ask()[0], Refuse)
+    assert isinstance(relay.ask()[0], RejectRequest)
 
 
 def test_unsafe_that_may_have_run_fails(make: Any) -> None:
     relay = make(classes=(RequestClass("c", 500, effect="unsafe"),))
     relay.ask()
-    assert relay.ends(1, "error") == [Fail(1)]
+    assert relay.ends(1, "error") == [FailRequest(1)]
 
 
 def open_on_each(relay: Any, count: int) -> None:
@@ -72,76 +72,92 @@
 
 
 def test_a_server_noted_late_gets_nothing_until_it_is_noted_well(make: Any) -> None:
-    relay = make([Server("a"), Server("b")])
+    relay = make([Endpoint("a"), Endpoint("b")])
     open_on_each(relay, 8)
     late = next(i for i in range(1, 9) if relay.sent[i] == ["a"])
-    relay.tell(Note(late, 0, "a", "delay", 90.0))
+    relay.tell(MeasurementReported(late, 0, "a", "delay", 90.0))
     for _ in range(4):
-        assert relay.ask()[0].server == "b"
+        assert relay.ask()[0].endpoint == "b"
     relay.now = 5000.0
-    assert {relay.ask()[0].server for _ in range(8)} == {"a", "b"}
+    assert {relay.ask()[0].endpoint for _ in range(8)} == {"a", "b"}
 
 
 def test_all_servers_late_refuses(make: Any) -> None:
-    relay = make([Server("a"), Server("b")])
+    relay = make([Endpoint("a"), Endpoint("b")])
     open_on_each(relay, 8)
     for name in "ab":
-        relay.tell(Note(next(i for i in range(1, 9) if relay.sent[i] == [name]), 0, name, "delay", 90.0))
+        relay.tell(
+            MeasurementReported(
+                next(i for i in range(1, 9) if relay.sent[i] == [name]), 0, name, "delay", 90.0
+            )
+        )
     kinds = [type(relay.ask()[0]) for _ in range(20)]
-    assert kinds[-1] is Refuse
+    assert kinds[-1] is RejectRequest
 
 
 def test_own_zone_first_where_crossing_is_priced_and_spill_when_it_is_full(make: Any) -> None:
-    servers = [Server("a", zone="x"), Server("b", zone="x"), Server("c", zone="y"), Server("d", zone="y")]
+    endpoints = [
+        Endpoint("a", zone="x"),
+        Endpoint("b", zone="x"),
+        Endpoint("c", zone="y"),
+        Endpoint("d", zone="y"),
+    ]
     tenants = (Tenant("t", 20.0), Tenant("u", 20.0))
-    relay = make(servers, zone="x", price_cross_zone=0.1, balancers=4, tenants=tenants)
-    first = [relay.ask(tenant)[0].server for tenant in "tutututututututu"]
+    relay = make(endpoints, zone="x", cross_zone_cost=0.1, relay_count=4, tenants=tenants)
+    first = [relay.ask(tenant)[0].endpoint for tenant in "tutututututututu"]
     assert set(first) == {"a", "b"}
-    assert relay.ask("t")[0].server in "cd"
+    assert relay.ask("t")[0].endpoint in "cd"
 
 
 def test_a_group_stays_on_few_servers_the_same_at_every_balancer(make: Any) -> None:
-    servers = [Server(name) for name in "abcdefghij"]
+    endpoints = [Endpoint(name) for name in "abcdefghij"]
     homes = []
     for seed in (1, 2):
-        relay = make(servers, seed=seed, groups=True)
+        relay = make(endpoints, seed=seed, groups=True)
         for k in range(12):
             relay.ask(group=f"other{k}")
             relay.stands(relay.ids)
         seen = set()
         for _ in range(6):
-            seen.add(relay.ask(group="g")[0].server)
+            seen.add(relay.ask(group="g")[0].endpoint)
             relay.stands(relay.ids)
         homes.append(seen)
     assert len(homes[0] | homes[1]) <= 4
 
 
 def test_a_server_that_stays_late_is_relieved_of_lone_group_members(make: Any) -> None:
-    relay = make([Server(name) for name in "abc"], groups=True)
+    relay = make([Endpoint(name) for name in "abc"], groups=True)
     for k in range(16):
         relay.ask(group="big" if k else "lone")
         relay.stands(relay.ids)
     name = relay.sent[1][0]
-    (move,) = relay.tell(Note(1, 0, name, "delay", 90.0))
-    assert move == Move(1)
-    assert relay.tell(Note(1, 0, name, "delay", 40.0)) == []
+    (move,) = relay.tell(MeasurementReported(1, 0, name, "delay", 90.0))
+    assert move == MigrateConnection(1)
+    assert relay.tell(MeasurementReported(1, 0, name, "delay", 40.0)) == []
 
 
 def test_moves_also_where_all_are_late_but_not_where_moves_are_dear(make: Any) -> None:
     for price, count in ((1.0, 0), (0.02, 1)):
-        relay = make([Server("a"), Server("b")], price_move=price)
+        relay = make([Endpoint("a"), Endpoint("b")], migration_cost=price)
         open_on_each(relay, 8)
         of = {relay.sent[i][0]: i for i in range(1, 9)}
         for name in "ab":
-            assert min(1, len(relay.tell(Note(of[name], 0, name, "delay", 90.0)))) == count
+            assert min(1, len(relay.tell(MeasurementReported(of[name], 0, name, "delay", 90.0)))) == count
 
 
 def test_a_cold_server_gets_our_part_of_its_budget_in_any_window(make: Any) -> None:
     tenants = (Tenant("t", 10.0, quota_connections=100.0),)
-    old = [Server(name) for name in "abc"]
-    relay = make(old, tenants=tenants, balancers=2, fall_ms=1000.0, fall_multiple=3.0, cold_from=0.1)
+    old = [Endpoint(name) for name in "abc"]
+    relay = make(
+        old,
+        tenants=tenants,
+        relay_count=2,
+        cold_overload_window_ms=1000.0,
+        cold_overload_multiple=3.0,
+        initial_capacity_ratio=0.1,
+    )
     relay.now = 50_000.0
-    relay.listed([Server("new", started_at_ms=49_900.0)], "changes")
+    relay.listed([Endpoint("new", started_at_ms=49_900.0)], "changes")
     times = []
     for _ in range(2000):
         relay.now += 3.0
@@ -157,20 +173,20 @@
 
 
 def test_a_group_spills_to_the_next_in_its_own_order(make: Any) -> None:
-    relay = make([Server(name) for name in "abcdefghij"], groups=True, balancers=1)
+    relay = make([Endpoint(name) for name in "abcdefghij"], groups=True, relay_count=1)
     for k in range(90):
         relay.ask(group=f"other{k}")
         relay.stands(relay.ids)
     homes = set()
     for _ in range(6):
-        homes.add(relay.ask(group="g")[0].server)
+        homes.add(relay.ask(group="g")[0].endpoint)
         relay.stands(relay.ids)
     for name in sorted(homes):
         held = next(i for i in relay.sent if relay.sent[i] == [name])
-        relay.tell(Note(held, 0, name, "delay", 90.0))
+        relay.tell(MeasurementReported(held, 0, name, "delay", 90.0))
     spill = set()
     for _ in range(3):
-        spill.add(relay.ask(group="g")[0].server)
+        spill.add(relay.ask(group="g")[0].endpoint)
         relay.stands(relay.ids)
     assert len(spill) == 1 and not spill & homes
 
@@ -179,27 +195,33 @@
     tenants = (Tenant("t", 5.0, quota_connections=5.0), Tenant("u", 5.0, quota_connections=95.0))
     relay = make(tenants=tenants)
     open_on_each(relay, 8)
-    assert isinstance(relay.ask("t")[0], Send)  # shallow: nobody is throttled
+    assert isinstance(relay.ask("t")[0], PlaceRequest)  # shallow: nobody is throttled
     held = next(i for i in range(1, 9) if relay.sent[i] == ["a"])
-    relay.tell(Note(held, 0, "a", "delay", 90.0))
-    relay.tell(Note(next(i for i in range(1, 9) if relay.sent[i] == ["b"]), 0, "b", "delay", 90.0))
-    assert isinstance(relay.ask("t")[0], Refuse)
-    assert isinstance(relay.ask("u")[0], Send)
+    relay.tell(MeasurementReported(held, 0, "a", "delay", 90.0))
+    relay.tell(
+        MeasurementReported(next(i for i in range(1, 9) if relay.sent[i] == ["b"]), 0, "b", "delay", 90.0)
+    )
+    assert isinstance(relay.ask("t")[0], RejectRequest)
+    assert isinstance(relay.ask("u")[0], PlaceRequest)
 
 
 def test_a_server_put_out_comes_back_by_itself_and_is_out_again_at_its_next_failure(make: Any) -> None:
     # One whose trial was lost with its client stayed out for good.
-    relay = make([Server(name) for name in "abcd"], may_cancel=True)
-    servers = relay.balancer.servers
-    while all(s.ready for s in servers.values()):
+    relay = make([Endpoint(name) for name in "abcd"], may_cancel=True)
+    endpoints = relay.balancer.endpoints
+    while all(s.ready for s in endpoints.values()):
         relay.ask()
         relay.ends(relay.ids, "connect_failed")
         relay.ends(relay.ids, "connect_failed", final=True)
-    out = next(s for s in servers.values() if not s.ready)
+    out = next(s for s in endpoints.values() if not s.ready)
     relay.now += 1600.0
     relay.ask()
     # Back for all clients at once, a slow host cost the fleet day half of what it kept.
-    assert out.ready and out.limit == 1 and relay.tell(ClientGone(relay.ids)) == [Cancel(relay.ids, 0)]
+    assert (
+        out.ready
+        and out.limit == 1
+        and relay.tell(ClientDisconnected(relay.ids)) == [AbandonAttempt(relay.ids, 0)]
+    )
     relay.ends(relay.ids, "cancelled", final=True)
     while out.ready:
         relay.ask()
@@ -211,13 +233,13 @@
 def strain(relay: Any, names: str) -> None:
     for name in names:
         held = next(i for i in relay.sent if relay.sent[i][-1] == name)
-        relay.tell(Note(held, 0, name, "delay", 45.0))
+        relay.tell(MeasurementReported(held, 0, name, "delay", 45.0))
 
 
 def test_a_group_gets_no_further_server_while_servers_are_scarce(make: Any) -> None:
     # i571616: under load in every server's ears, spill to any server with room made each pay for each group.
     for late in (1, 4):
-        relay = make([Server(name) for name in "abcdefghij"], groups=True, balancers=1)
+        relay = make([Endpoint(name) for name in "abcdefghij"], groups=True, relay_count=1)
         open_on_each(relay, 60)
         relay.ask(group="g")
         relay.stands(relay.ids)
@@ -227,73 +249,75 @@
         strain(relay, "".join(own) + "".join(n for n in "abcdefghij" if n not in own)[: late - 1])
         (action,) = relay.ask(group="g")
         if late == 1:
-            assert isinstance(action, Send) and action.server not in own
+            assert isinstance(action, PlaceRequest) and action.endpoint not in own
         else:
-            assert isinstance(relay.ask()[0], Send)
-            assert isinstance(action, Refuse) and action.retry_after_ms > 0
-            assert isinstance(relay.ask(group="g", midflow=True)[0], Send)  # it stands already: never cut off
+            assert isinstance(relay.ask()[0], PlaceRequest)
+            assert isinstance(action, RejectRequest) and action.retry_after_ms > 0
+            assert isinstance(
+                relay.ask(group="g", midflow=True)[0], PlaceRequest
+            )  # it stands already: never cut off
             relay.now += 3000.0  # its home is well again before the others are asked
             (action,) = relay.ask(group="g")
-            assert isinstance(action, Send) and action.server in own and first in own
+            assert isinstance(action, PlaceRequest) and action.endpoint in own and first in own
 
 
 def test_a_group_may_go_to_its_first_servers_of_another_zone_while_scarce(make: Any) -> None:
-    servers = [Server(n, zone="x") for n in "abcde"] + [Server(n, zone="y") for n in "fghij"]
-    relay = make(servers, zone="x", price_cross_zone=0.1, groups=True, balancers=1)
+    endpoints = [Endpoint(n, zone="x") for n in "abcde"] + [Endpoint(n, zone="y") for n in "fghij"]
+    relay = make(endpoints, zone="x", cross_zone_cost=0.1, groups=True, relay_count=1)
     open_on_each(relay, 60)
     ranked, homes = relay.balancer._ranked("g")
     strain(relay, "abcde")
     (action,) = relay.ask(group="g")
-    assert isinstance(action, Send) and action.server in [s.name for s in ranked[5 : 5 + homes]]
+    assert isinstance(action, PlaceRequest) and action.endpoint in [s.name for s in ranked[5 : 5 + homes]]
 
 
 def test_the_heaviest_are_moved_first_unless_servers_are_scarce(make: Any) -> None:
     # i0ba860: moving the heaviest while nobody had room sent away what was worth most, and it stayed out.
     for late, heaviest in (("a", True), ("abcd", False)):
-        relay = make([Server(name) for name in "abcd"], balancers=1)
+        relay = make([Endpoint(name) for name in "abcd"], relay_count=1)
         for k in range(40):
-            relay.ask(hint=float(k % 20))
+            relay.ask(expected_load=float(k % 20))
             relay.stands(relay.ids)
         strain(relay, late[1:])
         on_a = [i for i in relay.sent if relay.sent[i] == ["a"]]
-        moves = relay.tell(Note(on_a[0], 0, "a", "delay", 90.0))
+        moves = relay.tell(MeasurementReported(on_a[0], 0, "a", "delay", 90.0))
         order = sorted(on_a, key=lambda i: -((i - 1) % 20))
         wanted = order if heaviest else on_a
-        assert moves and moves == [Move(i) for i in wanted[: len(moves)]]
+        assert moves and moves == [MigrateConnection(i) for i in wanted[: len(moves)]]
 
 
 def test_many_balancers_told_of_one_late_server_do_not_empty_it(make: Any) -> None:
     # A hundred balancers that hold one each all get the note; about a third should go.
     moves = 0
     for seed in range(100):
-        relay = make([Server("a")], seed=seed, balancers=100)
+        relay = make([Endpoint("a")], seed=seed, relay_count=100)
         open_on_each(relay, 1)
-        moves += len(relay.tell(Note(1, 0, "a", "delay", 90.0)))
+        moves += len(relay.tell(MeasurementReported(1, 0, "a", "delay", 90.0)))
     assert 20 <= moves <= 55
 
 
 def test_a_server_that_breaks_a_new_connection_is_left_alone_for_a_while(make: Any) -> None:
     # Servers with too much piled up break the newest; who holds nothing there gets no note.
-    relay = make([Server("a"), Server("b")])
+    relay = make([Endpoint("a"), Endpoint("b")])
     open_on_each(relay, 1)
     broken = relay.sent[1][0]
     relay.ends(1, "reset", final=True)
     for _ in range(6):
-        assert relay.ask("tu"[relay.ids % 2])[0].server != broken
+        assert relay.ask("tu"[relay.ids % 2])[0].endpoint != broken
 
 
 def test_servers_of_which_nothing_is_known_do_not_hide_that_the_known_ones_are_full(make: Any) -> None:
     # A balancer with four connections among a hundred servers: all four late means scarce, not shallow.
-    relay = make([Server(f"s{k}") for k in range(100)], balancers=100, groups=True)
+    relay = make([Endpoint(f"s{k}") for k in range(100)], relay_count=100, groups=True)
     open_on_each(relay, 4)
     for k in range(1, 5):
-        relay.tell(Note(k, 0, relay.sent[k][0], "delay", 45.0))
+        relay.tell(MeasurementReported(k, 0, relay.sent[k][0], "delay", 45.0))
     assert relay.balancer._depth() > 0.5
 
 
 def test_a_group_stays_on_few_servers_though_few_connections_tell_little(make: Any) -> None:
     # Two of a balancer's three connections of one group: chance, not two thirds of all connections.
-    relay = make([Server(f"s{k}") for k in range(100)], balancers=100, groups=True)
+    relay = make([Endpoint(f"s{k}") for k in range(100)], relay_count=100, groups=True)
     for group in ("g", "g", "h"):
         relay.ask(group=group)
         relay.stands(relay.ids)
@@ -304,17 +328,17 @@
     # 85 balancers each sent a server three seconds old their first connection within one second.
     sent = 0
     for seed in range(60):
-        relay = make([], seed=seed, tenants=(Tenant("t", 10.0, quota_connections=100.0),), balancers=60)
+        relay = make([], seed=seed, tenants=(Tenant("t", 10.0, quota_connections=100.0),), relay_count=60)
         relay.now = 50_000.0
-        relay.listed([Server("new", started_at_ms=49_900.0)], "changes")
+        relay.listed([Endpoint("new", started_at_ms=49_900.0)], "changes")
         relay.now += 100.0
-        sent += isinstance(relay.ask()[0], Send)
+        sent += isinstance(relay.ask()[0], PlaceRequest)
     assert sent <= 3
 
 
 def test_groups_share_out_over_servers_evenly(make: Any) -> None:
     # CRC is linear: ranks by it alone made the same few servers early homes of many groups.
-    relay = make([Server(f"backend-{k:x}") for k in range(40)], groups=True)
+    relay = make([Endpoint(f"backend-{k:x}") for k in range(40)], groups=True)
     first: dict[str, int] = {}
     for k in range(400):
         name = relay.balancer._ranked(f"room-{k}")[0][0].name
@@ -323,23 +347,23 @@
 
 
 def test_larger_servers_by_the_list_are_home_to_more_groups_and_win_the_pair(make: Any) -> None:
-    servers = [Server("large", share=4.0), Server("small", share=1.0)]
-    relay = make(servers, groups=True, weights="rough")
+    endpoints = [Endpoint("large", share=4.0), Endpoint("small", share=1.0)]
+    relay = make(endpoints, groups=True, weights="rough")
     homes = [relay.balancer._ranked(f"room-{k}")[0][0].name for k in range(400)]
     assert 280 < homes.count("large") < 360
-    assert [relay.ask(tenant)[0].server for tenant in "tut"] == ["large"] * 3
-    relay = make(servers, weights="live")  # live shares come late and count load that we know better
+    assert [relay.ask(tenant)[0].endpoint for tenant in "tut"] == ["large"] * 3
+    relay = make(endpoints, weights="live")  # live shares come late and count load that we know better
     open_on_each(relay, 10)
     assert {relay.sent[i][0] for i in relay.sent} == {"large", "small"}
 
 
 def test_a_kind_of_machine_with_slower_set_ups_is_taken_to_be_smaller(make: Any) -> None:
-    servers = [Server(f"{kind}{k}", kind=kind) for kind in ("quick", "slow") for k in range(5)]
-    relay = make(servers)
+    endpoints = [Endpoint(f"{kind}{k}", kind=kind) for kind in ("quick", "slow") for k in range(5)]
+    relay = make(endpoints)
     for _ in range(120):
         (send,) = relay.ask("tu"[relay.ids % 2])
-        took = 10.0 if send.server.startswith("quick") else 40.0
-        relay.tell(FirstSign(relay.ids, 0, send.server, took))
+        took = 10.0 if send.endpoint.startswith("quick") else 40.0
+        relay.tell(ConnectionEstablished(relay.ids, 0, send.endpoint, took))
         relay.now += 10.0  # sizes are looked at again every 50 ms
     quick = sum(relay.sent[i][0].startswith("quick") for i in relay.sent)
     assert quick > 75
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -12,10 +12,10 @@
 import pytest
 from net_peers import SETTINGS, ask, first_line, relaying, silent, up
 
-from sageturn.core.endings import Ending
-from sageturn.core.messages import Listed
-from sageturn.fronts import platform
-from sageturn.interface import Server
+from sageturn.core.close_reason import CloseReason
+from sageturn.core.messages import EndpointListUpdate
+from sageturn.decision import Endpoint
+from sageturn.frontends import platform
 from sageturn.relay import Relay
 
 
@@ -29,9 +29,11 @@
 
 
 def nothing_left(relay: Relay) -> bool:
-    balancer = relay.module._balancer
-    idle = all(s.open == s.pending == 0 for s in balancer.servers.values())
-    return not relay.lives and not relay.module._requests and not balancer.requests and idle
+    balancer = relay.balancer_actor._balancer
+    idle = all(s.open == s.pending == 0 for s in balancer.endpoints.values())
+    return (
+        not relay.request_registry and not relay.balancer_actor._requests and not balancer.requests and idle
+    )
 
 
 # ---------------------------------------------------------------- just before the first byte is written
@@ -52,21 +54,21 @@
 
 
 def drained(client: socket.socket, relay: Relay, name: str) -> None:
-    relay.destinations._take(Listed(3, False, [Server(name, "draining")]))
+    relay.endpoint_registry._take(EndpointListUpdate(3, False, [Endpoint(name, "draining")]))
 
 
 def gone(client: socket.socket, relay: Relay, name: str) -> None:
-    relay.destinations._take(Listed(3, False, [Server(name, "gone")]))
+    relay.endpoint_registry._take(EndpointListUpdate(3, False, [Endpoint(name, "gone")]))
 
 
 def moved(client: socket.socket, relay: Relay, name: str) -> None:
-    news = [Server(name, "ready", started_at_ms=1.0)]
-    relay.destinations._take(Listed(3, False, news, {name: ("127.0.0.1", 9)}))
+    news = [Endpoint(name, "ready", started_at_ms=1.0)]
+    relay.endpoint_registry._take(EndpointListUpdate(3, False, news, {name: ("127.0.0.1", 9)}))
 
 
 def hurried(client: socket.socket, relay: Relay, name: str) -> None:
-    for life in relay.lives:
-        life.hurry()
+    for lifecycle in relay.request_registry:
+        lifecycle.force_drain()
 
 
 BEFORE_WRITING = [leave_by_fin, leave_by_reset, leave_with_words, drained, gone, moved, hurried]
@@ -81,7 +83,7 @@
     # not turn between the end and the write here, so only a look at that very moment can see it.
     async def go() -> None:
         async with relaying(tmp_path, up, up) as (relay, endpoints):
-            await until(lambda: relay.destinations.version == 2)
+            await until(lambda: relay.endpoint_registry.version == 2)
             by_port = {e.address[1]: (name, e) for name, e in zip("ab", endpoints, strict=True)}
             connect, calls, at = platform.connect, 0, list[Any]()
 
@@ -113,7 +115,7 @@
             await until(lambda: records and nothing_left(relay))
             assert not any(at[0].lines), end.__name__
             if end.__name__.startswith("leave"):
-                assert records[0].ending in (Ending.CLIENT_LEFT, Ending.CLIENT_RESET)
+                assert records[0].close_reason in (CloseReason.CLIENT_LEFT, CloseReason.CLIENT_RESET)
                 assert calls == attempt and not any(line for e in endpoints for line in e.lines)
 
     story(go())
@@ -138,7 +140,7 @@
     # Every request that a stop hurried heard BUSY, which says that trying again is harmless.
     async def go() -> None:
         async with relaying(tmp_path, silent, settings=deployment(effect, scope)) as (relay, (endpoint,)):
-            await until(lambda: relay.destinations.version == 2)
+            await until(lambda: relay.endpoint_registry.version == 2)
             if not ran:
                 held = asyncio.Event()
 
@@ -152,8 +154,8 @@
                 await until(lambda: endpoint.lines)
             else:
                 await held.wait()
-            for life in relay.lives:
-                life.hurry()
+            for lifecycle in relay.request_registry:
+                lifecycle.force_drain()
             word = await reader.read()
             assert word == (b"BUSY 250\r\n" if refused or not ran else b"ERR shutdown\r\n")
             writer.close()
@@ -211,8 +213,8 @@
         settings = deployment("keyed", scope)
         settings["classes"][0].update(aimMs=9000.0, hardLimitMs=9000.0)
         async with relaying(tmp_path, host, host, settings=settings) as (relay, _):
-            await until(lambda: relay.destinations.version == 2)
-            connect, call, clock = platform.connect, platform._Peer.call, relay.module.clock
+            await until(lambda: relay.endpoint_registry.version == 2)
+            connect, call, clock = platform.connect, platform._Peer.open_upstream, relay.balancer_actor.clock
             now_ms, calls, begun, passed = clock.now_ms, 0, 0, 0.0
             monkeypatch.setattr(clock, "now_ms", lambda: now_ms() + passed)
 
@@ -229,7 +231,7 @@
                 passed = late_ms if begun == 2 else passed
                 return sock
 
-            monkeypatch.setattr(platform._Peer, "call", calls_late)
+            monkeypatch.setattr(platform._Peer, "open_upstream", calls_late)
             monkeypatch.setattr(platform, "connect", comes_up_late)
             reader, writer = await ask(relay.listener.address, first_line(9000))
             heard = await reader.readline()
@@ -252,7 +254,7 @@
         settings = deployment("keyed", "all")
         settings["classes"][0].update(aimMs=9000.0, hardLimitMs=9000.0, keyTtlMs=300.0)
         async with relaying(tmp_path, host, host, settings=settings) as (relay, _):
-            await until(lambda: relay.destinations.version == 2)
+            await until(lambda: relay.endpoint_registry.version == 2)
             send, sent = platform.send_gathered, 0
 
             async def stuck(*args: Any) -> None:
@@ -287,7 +289,7 @@
 
     async def go() -> None:
         async with relaying(tmp_path, up) as (relay, (endpoint,)):
-            relay.module.placements = []
+            relay.balancer_actor.placements = []
 
             def line_comes(sock: socket.socket) -> None:
                 if shut:
@@ -311,7 +313,7 @@
             if ended == "no line":
                 client.sendall(b"GET / HTTP/1.1\r\n")
             elif ended == "evicted":
-                await until(lambda: relay.admission.unasked)
+                await until(lambda: relay.admission.awaiting_request)
                 await asyncio.sleep(0)
                 relay.admission.evict_all()
             heard = await asyncio.to_thread(client.recv, 99)
@@ -329,6 +331,6 @@
             assert not any(mask & (select.POLLERR | select.POLLHUP) for _, mask in poll.poll(0))  # no reset
             client.close()
             await until(lambda: not relay.admission.held)
-            assert relay.module.placements == [] and not endpoint.lines
+            assert relay.balancer_actor.placements == [] and not endpoint.lines
 
     story(go())
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -18,12 +18,12 @@
 from test_xmpp import relaying as relaying_xmpp
 from xmpp_peers import Client, Server
 
-from sageturn.core.endings import Ending
-from sageturn.fronts import platform
-from sageturn.fronts.xmpp import front as xmpp_front
+from sageturn.core.close_reason import CloseReason
+from sageturn.frontends import platform
+from sageturn.frontends.xmpp import front as xmpp_front
 from sageturn.net.sockets import Connect
 
-GONE = (Ending.CLIENT_LEFT, Ending.CLIENT_RESET)
+GONE = (CloseReason.CLIENT_LEFT, CloseReason.CLIENT_RESET)
 
 
 def story(coro: Any) -> None:
@@ -95,7 +95,7 @@
     monkeypatch: pytest.MonkeyPatch, front: Any, attempt: int, act: Callable[[], None]
 ) -> None:
     """Does ``act`` as the n-th call of a wire is begun: the loop does not turn before the call goes on."""
-    call, calls = front._Peer.call, 0
+    call, calls = front._Peer.open_upstream, 0
 
     async def acting(self: Any, *args: Any) -> Any:
         nonlocal calls
@@ -104,7 +104,7 @@
             act()
         return await call(self, *args)
 
-    monkeypatch.setattr(front._Peer, "call", acting)
+    monkeypatch.setattr(front._Peer, "open_upstream", acting)
 
 
 @pytest.mark.parametrize("leave", [fin, end_sending, reset, words_and_fin], ids=lambda leave: leave.__name__)
@@ -115,17 +115,17 @@
     # Only what was written was held back: the connection for it was begun, and took a host's place and time.
     async def go() -> None:
         async with relaying(tmp_path, up, up) as (relay, endpoints):
-            await until(lambda: relay.destinations.version == 2)
+            await until(lambda: relay.endpoint_registry.version == 2)
             begun = Begun(monkeypatch, platform, attempt - 1)
             as_call_begins(monkeypatch, platform, attempt, lambda: leave(client))
             records: list[Any] = []
             monkeypatch.setattr(relay.shared, "ended", records.append)
             client = socket.create_connection(relay.listener.address)
             client.sendall(first_line())
-            await until(lambda: records and not relay.module._balancer.requests)
+            await until(lambda: records and not relay.balancer_actor._balancer.requests)
             client.close()
             assert begun.all == attempt - 1 and not any(e.open for e in endpoints)
-            assert records[0].ending in GONE
+            assert records[0].close_reason in GONE
 
     story(go())
 
@@ -161,17 +161,17 @@
     async def go() -> None:
         with closing(Aside()) as aside:
             async with relaying_xmpp(tmp_path, told, told) as (relay, endpoints):
-                await until(lambda: relay.destinations.version == 2)
+                await until(lambda: relay.endpoint_registry.version == 2)
                 begun = Begun(monkeypatch, xmpp_front, moment == "further")
                 if moment == "bind":
-                    ask_life, at = xmpp_front.RequestLife.before_writing, list[bool]()
+                    ask_life, at = xmpp_front.RequestLifecycle.check_before_write, list[bool]()
 
                     def leaves_first(self: Any, wanted: Any = None) -> Any:
                         aside.do(leave(client))
                         at.append(True)
                         return ask_life(self, wanted)
 
-                    monkeypatch.setattr(xmpp_front.RequestLife, "before_writing", leaves_first)
+                    monkeypatch.setattr(xmpp_front.RequestLifecycle, "check_before_write", leaves_first)
                 else:
                     number = 1 + (moment == "further")
                     as_call_begins(monkeypatch, xmpp_front, number, lambda: aside.do(leave(client)))
@@ -180,9 +180,9 @@
                 client = await aside.does(Client.connect(relay.xmpp.address))
                 await aside.does(client.login(client_tls()))
                 await aside.does(say_wish(client))
-                await until(lambda: records and not relay.module._balancer.requests)
+                await until(lambda: records and not relay.balancer_actor._balancer.requests)
                 await aside.does(connection_end(client))
-                assert records[0].ending in GONE and not records[0].stood
+                assert records[0].close_reason in GONE and not records[0].was_established
                 assert begun.all == (moment != "first")
                 assert sum(len(e.lines) for e in endpoints) == (moment == "bind") and not bound
 
@@ -210,7 +210,7 @@
         tenants = [{"name": "t", "fraction": 1.0, "allowancePerS": 10.0 * CROWD}]
         settings = {**SETTINGS, "accounts": tenants}
         async with relaying(tmp_path, silent, silent, settings=settings) as (relay, endpoints):
-            await until(lambda: relay.destinations.version == 2)
+            await until(lambda: relay.endpoint_registry.version == 2)
             connect, begun, held = platform.connect, 0, asyncio.Event()
 
             async def waits(address: tuple[str, int], timeout_s: float) -> Any:
@@ -228,9 +228,9 @@
             for _, writer in clients:
                 writer.get_extra_info("socket").shutdown(socket.SHUT_RDWR)
             time.sleep(BUSY_S)
-            await until(lambda: len(records) == CROWD and not relay.module._balancer.requests)
+            await until(lambda: len(records) == CROWD and not relay.balancer_actor._balancer.requests)
             assert begun == CROWD and not any(line for e in endpoints for line in e.lines)
-            assert {record.ending for record in records} <= set(GONE)
+            assert {record.close_reason for record in records} <= set(GONE)
             for _, writer in clients:
                 writer.close()
 
@@ -242,7 +242,7 @@
 ) -> None:
     async def go() -> None:
         async with relaying(tmp_path, up, up) as (relay, endpoints):
-            await until(lambda: relay.destinations.version == 2)
+            await until(lambda: relay.endpoint_registry.version == 2)
             begun = Begun(monkeypatch, platform)
             records: list[Any] = []
             monkeypatch.setattr(relay.shared, "ended", records.append)
@@ -251,7 +251,7 @@
                 client.sendall(first_line())
                 client.close()
             time.sleep(BUSY_S)
-            await until(lambda: len(records) == 100 and not relay.module._balancer.requests)
+            await until(lambda: len(records) == 100 and not relay.balancer_actor._balancer.requests)
             assert begun.all == 0 and not any(e.open for e in endpoints)
 
     story(go())
@@ -265,8 +265,8 @@
             loop = asyncio.get_running_loop()
             reader, writer = await ask(relay.listener.address, first_line(3000))
             await until(lambda: endpoint.lines)
-            (life,) = relay.lives
-            wire: Any = life._wire
+            (lifecycle,) = relay.request_registry
+            wire: Any = lifecycle._transport
             seen: asyncio.Future[None] = loop.create_future()
 
             def each_turn() -> None:
@@ -275,7 +275,7 @@
                     wire._client.recv(1, socket.MSG_PEEK)
                 except BlockingIOError:
                     writer.write(b"M 2\r\n")
-                    assert wire.look_at_client() is None
+                    assert wire.poll_client() is None
                     seen.set_result(None)
                 else:
                     loop.call_soon(each_turn)
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -13,14 +13,36 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from net_peers import Endpoint, ask, first_line, listed, relaying, reply, resets, serve_all, up, write_config
+from net_peers import (
+    FakeEndpoint,
+    ask,
+    first_line,
+    listed,
+    relaying,
+    reply,
+    resets,
+    serve_all,
+    up,
+    write_config,
+)
 
-from sageturn import Balancer, FirstSign, Outcome, Probed, Request, Send, Server, ServerList, SetTimer, Timer
-from sageturn.config import ConfigError, load
-from sageturn.core.drain import EvenPace, stop_times
-from sageturn.core.messages import Listed
+from sageturn import (
+    AttemptEnded,
+    Balancer,
+    ConnectionEstablished,
+    Endpoint,
+    EndpointListEvent,
+    HealthCheckCompleted,
+    PlaceRequest,
+    RequestArrived,
+    SetTimer,
+    TimerFired,
+)
+from sageturn.config.loader import ConfigError, load
+from sageturn.config.settings import read_settings
+from sageturn.core.messages import EndpointListUpdate
+from sageturn.core.shutdown import EvenPacer, shutdown_schedule
 from sageturn.relay import Relay
-from sageturn.settings import read_settings
 
 # A third deployment, which nobody runs: three zones, two classes, six attempts, reports with answers too.
 FERRIES: dict[str, Any] = {
@@ -127,7 +149,7 @@
     except ConfigError as error:
         assert str(error).startswith("settings")
     else:
-        Balancer(settings, 1).handle(0.0, ServerList("stale", [Server("a")]))
+        Balancer(settings, 1).handle(0.0, EndpointListEvent("stale", [Endpoint("a")]))
 
 
 # ---------------------------------------------------------------- no name matters
@@ -153,31 +175,35 @@
     """Requests, outcomes and reports by one seed; every action, in order."""
     rng, done = Random(seed), []
     zones = [names[z] for z in ("pier", "quay", "isle")]
-    servers = [Server(f"s{k}", zone=zones[k % 3], share=1.0 + k % 2, kind="ab"[k % 2]) for k in range(9)]
-    events: list[Any] = [ServerList("stale", servers), ServerList("full", servers)]
+    endpoints = [Endpoint(f"s{k}", zone=zones[k % 3], share=1.0 + k % 2, kind="ab"[k % 2]) for k in range(9)]
+    events: list[Any] = [EndpointListEvent("stale", endpoints), EndpointListEvent("full", endpoints)]
     ids, now = 0, 0.0
     while now < 20000.0:
         event = events.pop(0) if events else None
         if event is None and rng.random() < 0.7:
             ids += 1
             names_of = names[rng.choice(("gate", "deck"))], names[rng.choice(("north", "south"))]
-            event = Request(ids, *names_of, now + 900.0, group=f"g{rng.randrange(6)}")
+            event = RequestArrived(ids, *names_of, now + 900.0, group=f"g{rng.randrange(6)}")
         elif event is None:
-            event = Probed(f"s{rng.randrange(9)}", "ok", {"x0": rng.random() * 1.1, "x1": rng.random() / 4})
+            event = HealthCheckCompleted(
+                f"s{rng.randrange(9)}", "ok", {"x0": rng.random() * 1.1, "x1": rng.random() / 4}
+            )
         actions = balancer.handle(now, event)
         done += actions
         for action in actions:
-            if isinstance(action, Send):
+            if isinstance(action, PlaceRequest):
                 attempt = balancer.requests[action.id].attempts - 1
                 status = rng.choice(("up", "up", "up", "error", "full", "reset"))
                 if status == "up":
-                    events.append(FirstSign(action.id, attempt, action.server, 40.0 + 60.0 * rng.random()))
+                    events.append(
+                        ConnectionEstablished(action.id, attempt, action.endpoint, 40.0 + 60.0 * rng.random())
+                    )
                     if rng.random() < 0.5:
-                        events.append(Outcome(action.id, attempt, action.server, "ok", True))
+                        events.append(AttemptEnded(action.id, attempt, action.endpoint, "ok", True))
                 else:
-                    events.append(Outcome(action.id, attempt, action.server, status, False))
+                    events.append(AttemptEnded(action.id, attempt, action.endpoint, status, False))
             elif isinstance(action, SetTimer) and rng.random() < 0.3:
-                events.append(Timer(action.mark))
+                events.append(TimerFired(action.mark))
         now += 20.0 * rng.random()
     return done
 
@@ -199,12 +225,12 @@
         from contextlib import AsyncExitStack
 
         conf = change(FERRIES, "policyLimits.sendCap", attempts)
-        endpoints = [Endpoint(script) for script in (resets,) * 6]
+        endpoints = [FakeEndpoint(script) for script in (resets,) * 6]
         async with AsyncExitStack() as stack:
             names, discovery = await serve_all(stack, endpoints)
             file = write_config(tmp_path, discovery.address, listed(names), settings=conf)
             relay = Relay(load({"GW_CONFIG": str(file)}))
-            relay.module.probe = lambda endpoint: None
+            relay.balancer_actor.probe = lambda endpoint: None
             relay.start()
             stack.push_async_callback(relay.stop)
             line = first_line(900).replace(b"c=c,t=t", b"c=gate,t=north")
@@ -213,7 +239,7 @@
             assert all(e.most_open <= 1 for e in endpoints)
             for endpoint in endpoints:
                 endpoint.script = up
-            relay.module._balancer.buckets["south"][0] = 9.0
+            relay.balancer_actor._balancer.buckets["south"][0] = 9.0
             line = first_line(900).replace(b"c=c,t=t", b"c=deck,t=south")
             reader, writer = await ask(relay.listener.address, line)
             assert await reader.readline() == b"UP r1\r\n"
@@ -242,13 +268,18 @@
     # 500 ms are allowed on one deployment, 250 on the other: the module needs none of them.
     for settings in (FERRIES, change(FERRIES, "guarantees.stopSendingWithinMs", 500.0)):
         balancer = Balancer(read_settings(settings), 3)
-        balancer.handle(0.0, ServerList("full", [Server("a"), Server("b"), Server("c")]))
-        balancer.handle(10.0, ServerList("changes", [Server("a", "draining"), Server("b", "gone")]))
+        balancer.handle(0.0, EndpointListEvent("full", [Endpoint("a"), Endpoint("b"), Endpoint("c")]))
+        balancer.handle(
+            10.0, EndpointListEvent("changes", [Endpoint("a", "draining"), Endpoint("b", "gone")])
+        )
         sent = set()
         for k in range(200):
             now = 10.0 + k
-            for event in (Request(k, "gate", "north", now + 900.0), Outcome(k, 0, "c", "ok", True)):
-                sent |= {a.server for a in balancer.handle(now, event) if isinstance(a, Send)}
+            for event in (
+                RequestArrived(k, "gate", "north", now + 900.0),
+                AttemptEnded(k, 0, "c", "ok", True),
+            ):
+                sent |= {a.endpoint for a in balancer.handle(now, event) if isinstance(a, PlaceRequest)}
         assert sent == {"c"}
 
 
@@ -258,11 +289,11 @@
 ) -> None:
     # A connection may take connectTimeoutMs to come up; its line followed whatever had been told meanwhile.
     async def go() -> None:
-        from sageturn.fronts import platform
+        from sageturn.frontends import platform
 
         async with relaying(tmp_path, up, up) as (relay, endpoints):
             by_port = {e.address[1]: (name, e) for name, e in zip("ab", endpoints, strict=True)}
-            first: list[Endpoint] = []
+            first: list[FakeEndpoint] = []
             connect = platform.connect
 
             async def slowly(address: tuple[str, int], timeout_s: float) -> Any:
@@ -270,13 +301,15 @@
                 if not first:
                     name, endpoint = by_port[address[1]]
                     first.append(endpoint)
-                    drains = [Server(name, "draining")]
-                    await relay.destinations.hear(relay.destinations._watch, Listed(9, False, drains))
-                    while relay.destinations.version != 9:
+                    drains = [Endpoint(name, "draining")]
+                    await relay.endpoint_registry.on_watch_event(
+                        relay.endpoint_registry._watch, EndpointListUpdate(9, False, drains)
+                    )
+                    while relay.endpoint_registry.version != 9:
                         await asyncio.sleep(0)
                 return sock
 
-            while relay.destinations.version != 2:  # discovery's own list has come
+            while relay.endpoint_registry.version != 2:  # discovery's own list has come
                 await asyncio.sleep(0.01)
             monkeypatch.setattr(platform, "connect", slowly)
             more = ",at=a" if resumed else ""
@@ -294,7 +327,7 @@
     # It took 3.4 s everywhere, which only deadlines of 3 s and more allow: the last signal comes 0.7 s after
     # the longest, and what stands then is lost.
     cls = read_settings(FERRIES).classes[0]
-    times = stop_times([replace(cls, give_up_ms=wait_ms) for wait_ms in waits_ms])
+    times = shutdown_schedule([replace(cls, give_up_ms=wait_ms) for wait_ms in waits_ms])
     killed_s = min(3.0, max(waits_ms) / 1000.0) + 0.7
     assert times.leave_at_s <= killed_s - 0.25
     assert 0.0 < times.move_from_s < times.move_from_s + times.over_s < times.hurry_at_s < times.leave_at_s
@@ -302,7 +335,7 @@
 
 def test_a_stop_of_the_first_deployment_keeps_its_times() -> None:
     cls = read_settings(FERRIES).classes[0]
-    times = stop_times([replace(cls, give_up_ms=3200.0)])
+    times = shutdown_schedule([replace(cls, give_up_ms=3200.0)])
     assert times.move_from_s == 0.45 and times.leave_at_s == pytest.approx(3.4)
     assert times.hurry_at_s == pytest.approx(2.9) and times.over_s == pytest.approx(1.8, abs=0.01)
 
@@ -311,7 +344,7 @@
 def test_few_connections_leave_as_evenly_as_many(count: int, steps: int) -> None:
     # Seven stood at a relay of the full fleet, and had all been moved 0.3 s into the 1.8 s for it: one at a
     # step at the least. Their relay was back no sooner, and nobody served them for the time between.
-    pace, left, gone = EvenPace(), count, 0
+    pace, left, gone = EvenPacer(), count, 0
     for step in range(steps):
         due = pace.due(left, float(steps - step))
         left, gone = left - due, gone + due
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -14,7 +14,7 @@
 from net_peers import (
     SETTINGS,
     Discovery,
-    Endpoint,
+    FakeEndpoint,
     Streams,
     ask,
     chunked,
@@ -61,7 +61,7 @@
     # They stood or rested on every descriptor that there was, and the watch got none as discovery returned.
     async def go() -> None:
         async with AsyncExitStack() as stack:
-            old, new = Endpoint(up), Endpoint(up)
+            old, new = FakeEndpoint(up), FakeEndpoint(up)
             await stack.enter_async_context(served(old))
             await stack.enter_async_context(served(new))
             down = socket.socket()  # claimed, and refusing: nobody listens yet
@@ -108,8 +108,8 @@
                     }
                 )
             )
-            server = await asyncio.start_server(discovery.serve, sock=down)
-            stack.callback(server.close)
+            endpoint = await asyncio.start_server(discovery.serve, sock=down)
+            stack.callback(endpoint.close)
             async with asyncio.timeout(TOLD_S):
                 while not discovery.asked:
                     await asyncio.sleep(0.01)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -11,10 +11,10 @@
 import pytest
 from net_peers import Discovery, chunked, listed, served, write_config
 
-from sageturn.config import load
-from sageturn.interface import ListFailure
+from sageturn.config.loader import load
+from sageturn.decision import DiscoveryFailure
 from sageturn.net import discovery as net
-from sageturn.net.discovery import BadList, DiscoveryClient, read_listed
+from sageturn.net.discovery import DiscoveryClient, InvalidEndpointListError, parse_endpoint_list
 from sageturn.net.sockets import Connect, bind
 from sageturn.relay import Relay
 
@@ -36,7 +36,7 @@
             relay.start()
             stack.push_async_callback(relay.stop)
             async with asyncio.timeout(15):
-                while relay.destinations.version != 7:
+                while relay.endpoint_registry.version != 7:
                     await asyncio.sleep(0.01)
             return relay, discovery
 
@@ -50,7 +50,7 @@
     assert len(discovery.asked) == 3
     gaps = [b[0] - a[0] for a, b in zip(discovery.asked, discovery.asked[1:], strict=False)]
     assert all(gap > 0.3 for gap in gaps) and sum(gaps) < 6
-    assert relay.destinations.usable.is_set()
+    assert relay.endpoint_registry.usable.is_set()
 
 
 def test_a_silent_watch_is_given_up(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -68,16 +68,16 @@
 def test_changes_are_merged_and_a_host_left_out_of_a_full_list_is_gone(tmp_path: Path) -> None:
     change = {**listed({"b": HERE}, 6), "full": False}
     relay, _ = run(tmp_path, chunked(change, listed({"c": HERE}, 7)), known=listed({"a": HERE}, 5))
-    assert set(relay.destinations.addresses) == {"a", "b", "c"}  # kept: a call may be on its way there
-    assert relay.destinations._states == {"c": "ready"}
+    assert set(relay.endpoint_registry.addresses) == {"a", "b", "c"}  # kept: a call may be on its way there
+    assert relay.endpoint_registry._states == {"c": "ready"}
 
 
 @pytest.mark.parametrize(
     "bad", [{}, {"servers": [{}], "version": 1}, {"servers": [{"id": "a", "state": "odd"}], "version": 1}, []]
 )
 def test_half_a_list_is_not_believed(bad: Any) -> None:
-    with pytest.raises(BadList):
-        read_listed(bad)
+    with pytest.raises(InvalidEndpointListError):
+        parse_endpoint_list(bad)
 
 
 # ---------------------------------------------------------------- what a call that failed has cost discovery
@@ -101,7 +101,7 @@
         writer.close()
 
 
-def ends(monkeypatch: pytest.MonkeyPatch, answer: bytes, waited_s: float = 0.0) -> ListFailure:
+def ends(monkeypatch: pytest.MonkeyPatch, answer: bytes, waited_s: float = 0.0) -> DiscoveryFailure:
     """How a call ends that is so answered, when its clock says that it has waited so long."""
     monkeypatch.setattr(net, "ANSWER_S", 0.3)
     monkeypatch.setattr(net, "SILENCE_S", 0.3)
@@ -111,7 +111,7 @@
         while True:
             yield 50.0 + waited_s
 
-    async def go() -> ListFailure:
+    async def go() -> DiscoveryFailure:
         failed: asyncio.Queue[net.WatchFailed] = asyncio.Queue()
 
         async def report(_: int, said: Any) -> None:
@@ -134,17 +134,17 @@
     answer: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # All failures were alike: after a minute of refusals 200 relays waited up to 150 s for their next call.
-    assert ends(monkeypatch, answer) is ListFailure.UNREACHED
-    assert ends(monkeypatch, answer, 0.9) is ListFailure.UNREACHED
-    assert ends(monkeypatch, answer, 1.1) is ListFailure.OVERLOADED
-    assert ends(monkeypatch, answer, 3.0) is ListFailure.OVERLOADED
+    assert ends(monkeypatch, answer) is DiscoveryFailure.UNREACHED
+    assert ends(monkeypatch, answer, 0.9) is DiscoveryFailure.UNREACHED
+    assert ends(monkeypatch, answer, 1.1) is DiscoveryFailure.OVERLOADED
+    assert ends(monkeypatch, answer, 3.0) is DiscoveryFailure.OVERLOADED
 
 
 def test_one_that_is_answered_by_silence_is_told_from_one_that_waited_in_vain(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     for answer in (b"~", b"HTTP/1.1 200 OK\r\n~", HALF[:-1] + b"~"):
-        assert ends(monkeypatch, answer, 3.5) is ListFailure.UNANSWERED
+        assert ends(monkeypatch, answer, 3.5) is DiscoveryFailure.UNANSWERED
 
 
 @pytest.mark.parametrize(
@@ -155,14 +155,14 @@
 def test_an_answer_of_which_no_watch_came_is_no_sign_of_a_queue(
     answer: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    assert ends(monkeypatch, answer, 3.0) is ListFailure.UNUSABLE
+    assert ends(monkeypatch, answer, 3.0) is DiscoveryFailure.UNUSABLE
 
 
 def test_a_watch_that_stood_is_lost_or_silent(monkeypatch: pytest.MonkeyPatch) -> None:
-    assert ends(monkeypatch, FULL + b"#", 9.0) is ListFailure.LOST
-    assert ends(monkeypatch, FULL + b"!", 9.0) is ListFailure.LOST
-    assert ends(monkeypatch, FULL + b"zz\r\n#", 9.0) is ListFailure.LOST
-    assert ends(monkeypatch, FULL + b"~", 9.0) is ListFailure.SILENT
+    assert ends(monkeypatch, FULL + b"#", 9.0) is DiscoveryFailure.LOST
+    assert ends(monkeypatch, FULL + b"!", 9.0) is DiscoveryFailure.LOST
+    assert ends(monkeypatch, FULL + b"zz\r\n#", 9.0) is DiscoveryFailure.LOST
+    assert ends(monkeypatch, FULL + b"~", 9.0) is DiscoveryFailure.SILENT
 
 
 @pytest.mark.parametrize("why", [None, *Connect])
@@ -173,7 +173,7 @@
         assert why is not None
         return why
 
-    async def go() -> ListFailure:
+    async def go() -> DiscoveryFailure:
         failed: asyncio.Queue[net.WatchFailed] = asyncio.Queue()
         sock = bind(("127.0.0.1", 0))  # it refuses, as nobody listens
         try:
@@ -184,4 +184,4 @@
 
     if why is not None:
         monkeypatch.setattr(net, "connect", never)
-    assert asyncio.run(go()) is ListFailure.UNREACHED
+    assert asyncio.run(go()) is DiscoveryFailure.UNREACHED
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -13,18 +13,24 @@
 from typing import Any
 
 import pytest
-from net_peers import SETTINGS, Endpoint, first_line, relaying, up
+from net_peers import SETTINGS, FakeEndpoint, first_line, relaying, up
 
-from sageturn.core.drain import StopTimes
-from sageturn.core.messages import Listed
-from sageturn.fronts import platform
-from sageturn.fronts.pump import LinePump
-from sageturn.interface import Server
+from sageturn.core.messages import EndpointListUpdate
+from sageturn.core.shutdown import ShutdownSchedule
+from sageturn.decision import Endpoint
+from sageturn.frontends import platform
+from sageturn.frontends.pump import LinePump
 from sageturn.relay import Relay
 
 
-def deployment(effect: str, scope: str, attempts: int, aim_ms: float) -> dict[str, Any]:
-    cls = {"name": "c", "aimMs": aim_ms, "hardLimitMs": 3000.0, "semantics": effect, "dedupScope": scope}
+def deployment(effect: str, scope: str, attempts: int, latency_objective_ms: float) -> dict[str, Any]:
+    cls = {
+        "name": "c",
+        "aimMs": latency_objective_ms,
+        "hardLimitMs": 3000.0,
+        "semantics": effect,
+        "dedupScope": scope,
+    }
     limits = {**SETTINGS["policyLimits"], "sendCap": attempts, "connectTimeoutMs": 3000.0}
     return {**SETTINGS, "classes": [{**cls, "keyTtlMs": 900.0}], "policyLimits": limits}
 
@@ -39,7 +45,7 @@
 class Scene:
     """A relay between one client and three endpoints that all act alike."""
 
-    def __init__(self, relay: Relay, endpoints: list[Endpoint], wait_ms: int = 3000) -> None:
+    def __init__(self, relay: Relay, endpoints: list[FakeEndpoint], wait_ms: int = 3000) -> None:
         self.relay, self.endpoints, self.line = relay, endpoints, first_line(wait_ms)
         self.client = socket.create_connection(relay.listener.address)
         self.client.setblocking(False)
@@ -113,12 +119,12 @@
 
 async def standing(scene: Scene, monkeypatch: pytest.MonkeyPatch) -> None:
     scene.client.sendall(scene.line)
-    await scene.until(lambda: any(life.standing for life in scene.relay.lives))
+    await scene.until(lambda: any(lifecycle.is_established for lifecycle in scene.relay.request_registry))
 
 
 async def half_a_line(scene: Scene, monkeypatch: pytest.MonkeyPatch) -> None:
     scene.client.sendall(scene.line[:-2])
-    await scene.until(lambda: scene.relay.admission.unasked)
+    await scene.until(lambda: scene.relay.admission.awaiting_request)
 
 
 STAGES = {
@@ -153,17 +159,17 @@
 
 
 async def all_drain(scene: Scene) -> None:
-    drains = [Server(name, "draining") for name in "abc"]
-    await scene.relay.destinations.hear(1, Listed(3, False, drains))
-    await scene.until(lambda: scene.relay.destinations._states["a"] == "draining")
-    if not any(life.standing for life in scene.relay.lives):
+    drains = [Endpoint(name, "draining") for name in "abc"]
+    await scene.relay.endpoint_registry.on_watch_event(1, EndpointListUpdate(3, False, drains))
+    await scene.until(lambda: scene.relay.endpoint_registry._states["a"] == "draining")
+    if not any(lifecycle.is_established for lifecycle in scene.relay.request_registry):
         scene.go_on.set()
 
 
 async def stop(scene: Scene) -> None:
-    scene.relay.lives._times = StopTimes(0.01, 0.02, 0.05, 2.0)
-    await scene.relay.lives.drain(scene.relay)
-    assert not scene.relay.lives
+    scene.relay.request_registry._times = ShutdownSchedule(0.01, 0.02, 0.05, 2.0)
+    await scene.relay.request_registry.drain(scene.relay)
+    assert not scene.relay.request_registry
 
 
 async def time_is_up(scene: Scene) -> None:
@@ -187,7 +193,7 @@
         settings = DEPLOYMENTS[effect]
         monkeypatch.setattr(platform, "FIRST_LINE_S", 0.4)
         async with relaying(tmp_path, *[act(scenes)] * 3, settings=settings) as (relay, endpoints):
-            while relay.destinations.version != 2:
+            while relay.endpoint_registry.version != 2:
                 await asyncio.sleep(0.002)
             descriptors = len(os.listdir("/proc/self/fd"))
             scenes.append(scene := Scene(relay, endpoints, 400 if end is time_is_up else 3000))
@@ -196,14 +202,16 @@
             await end(scene)
             stays = stage.startswith("standing") and end in (all_drain, time_is_up)
             heard = b"" if end in GONE or stays else await scene.rest()
-            assert not stays or all(life.standing for life in relay.lives)
+            assert not stays or all(lifecycle.is_established for lifecycle in relay.request_registry)
             scene.client.close()
             scene.go_on.set()
-            balancer = relay.module._balancer
-            await scene.until(lambda: not relay.lives and not balancer.requests and not relay.admission.held)
+            balancer = relay.balancer_actor._balancer
+            await scene.until(
+                lambda: not relay.request_registry and not balancer.requests and not relay.admission.held
+            )
             await scene.until(lambda: not any(e.open for e in endpoints))
-            assert all(s.open == s.pending == 0 for s in balancer.servers.values())
-            assert relay.module._requests == {}
+            assert all(s.open == s.pending == 0 for s in balancer.endpoints.values())
+            assert relay.balancer_actor._requests == {}
             shut = 2 if end is stop else 0  # the door, and the descriptor kept for want of others
             await scene.until(lambda: len(os.listdir("/proc/self/fd")) <= descriptors - shut)
             sent, most = len(scene.lines), settings["policyLimits"]["sendCap"]
@@ -242,7 +250,7 @@
     # does not turn between the client's coming and the shutting here.
     async def go() -> None:
         async with relaying(tmp_path, up) as (relay, (endpoint,)):
-            relay.lives._times = StopTimes(0.0, 0.0, 0.05, 2.0)
+            relay.request_registry._times = ShutdownSchedule(0.0, 0.0, 0.05, 2.0)
             shut, came = relay.shut, list[socket.socket]()
 
             def comes_and_shut() -> None:
@@ -252,7 +260,7 @@
                 shut()
 
             relay.shut = comes_and_shut  # type: ignore[method-assign]
-            await relay.lives.drain(relay)
+            await relay.request_registry.drain(relay)
             assert not relay.admission.held and not any(endpoint.lines)
             came[0].settimeout(5)
             heard = came[0].recv(99)
@@ -268,11 +276,11 @@
     # It was placed, stood, and was cut off without MOVE: only those who were there had been told to hurry.
     async def go() -> None:
         async with relaying(tmp_path, up) as (relay, (endpoint,)):
-            relay.lives._times = StopTimes(0.0, 0.0, 0.01, 2.0)
+            relay.request_registry._times = ShutdownSchedule(0.0, 0.0, 0.01, 2.0)
             scene = Scene(relay, [endpoint])
             relay.admission.evict_all = lambda: None  # type: ignore[method-assign]
-            draining = asyncio.ensure_future(relay.lives.drain(relay))
-            await scene.until(lambda: relay.admission.unasked and relay.lives._hurrying)
+            draining = asyncio.ensure_future(relay.request_registry.drain(relay))
+            await scene.until(lambda: relay.admission.awaiting_request and relay.request_registry._hurrying)
             scene.client.sendall(first_line())
             assert (await scene.rest()).startswith(b"BUSY")
             await draining
@@ -285,12 +293,12 @@
 def test_a_stop_waits_for_those_who_have_not_yet_asked(tmp_path: Path) -> None:
     async def go() -> None:
         async with relaying(tmp_path, up) as (relay, (endpoint,)):
-            relay.lives._times = StopTimes(0.0, 0.0, 8.0, 9.0)
+            relay.request_registry._times = ShutdownSchedule(0.0, 0.0, 8.0, 9.0)
             scene = Scene(relay, [endpoint])
             line = first_line()
             scene.client.sendall(line[:20])
-            await scene.until(lambda: relay.admission.unasked)
-            draining = asyncio.ensure_future(relay.lives.drain(relay))
+            await scene.until(lambda: relay.admission.awaiting_request)
+            draining = asyncio.ensure_future(relay.request_registry.drain(relay))
             await asyncio.sleep(0.8)  # past the time in which new ones are expected
             assert not draining.done()
             scene.client.sendall(line[20:])
@@ -306,7 +314,7 @@
     async def go() -> None:
         async with relaying(tmp_path, up) as (relay, _):
             scene = Scene(relay, [])
-            await scene.until(lambda: relay.admission.unasked)
+            await scene.until(lambda: relay.admission.awaiting_request)
             await asyncio.sleep(0.01)  # its reading has begun; whether or not, it is answered
             scene.client.sendall(first_line())
             relay.admission.evict_all()
@@ -346,24 +354,24 @@
             relay.shared.ended = ended.append
             scene = Scene(relay, [])
             scene.client.sendall(first_line())
-            await scene.until(lambda: any(life.standing for life in relay.lives))
-            (life,) = relay.lives
+            await scene.until(lambda: any(lifecycle.is_established for lifecycle in relay.request_registry))
+            (lifecycle,) = relay.request_registry
             stuck = 0
             while stuck < 30:  # until for 0.3 s the kernel has had no room for more
                 await asyncio.sleep(0.01)
                 stuck = 0 if not pumps or select.select([], [pumps[0]._target], [], 0)[1] else stuck + 1
-            relay.module.move(life.id)
+            relay.balancer_actor.move(lifecycle.id)
             await asyncio.sleep(0.8)
-            assert life.standing and not ended
+            assert lifecycle.is_established and not ended
             if not reads_on:
-                life.hurry()
+                lifecycle.force_drain()
                 await scene.until(lambda: ended)
-                assert ended[0].ending.name == "CUT_OFF"
+                assert ended[0].close_reason.name == "CUT_OFF"
             else:
                 heard = await scene.rest()
                 assert heard.endswith(b"x\r\nMOVE\r\n") and heard.count(b"MOVE") == 1
                 await scene.until(lambda: ended)
-                assert ended[0].ending.name == "MOVED"
+                assert ended[0].close_reason.name == "MOVED"
             scene.client.close()
 
     asyncio.run(asyncio.wait_for(go(), 15))
@@ -400,7 +408,9 @@
             scene.client.sendall(scene.line)
             assert await scene.rest() == b"ERR internal\r\n"
             scene.client.close()
-            await scene.until(lambda: not relay.lives and not relay.module._balancer.requests)
-            assert all(s.open == s.pending == 0 for s in relay.module._balancer.servers.values())
+            await scene.until(
+                lambda: not relay.request_registry and not relay.balancer_actor._balancer.requests
+            )
+            assert all(s.open == s.pending == 0 for s in relay.balancer_actor._balancer.endpoints.values())
 
     asyncio.run(asyncio.wait_for(go(), 10))
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -8,21 +8,24 @@
 from typing import Any
 
 from sageturn import (
+    AttemptEnded,
     Balancer,
-    FirstSign,
-    Outcome,
-    Refuse,
-    Request,
+    ConnectionEstablished,
+    Endpoint,
+    EndpointListEvent,
+    PlaceRequest,
+    RejectRequest,
+    RequestArrived,
     RequestClass,
-    Send,
-    Server,
-    ServerList,
     Settings,
     Tenant,
 )
 
 STORE_PER_S = 45.0  # set-ups a second that the session store behind all hosts can do, one after another
-CLASSES = (RequestClass("brisk", aim_ms=300.0), RequestClass("slow", aim_ms=800.0))
+CLASSES = (
+    RequestClass("brisk", latency_objective_ms=300.0),
+    RequestClass("slow", latency_objective_ms=800.0),
+)
 PATIENCE_MS = {"brisk": 1200.0, "slow": 3200.0}
 
 
@@ -33,9 +36,9 @@
         settings = Settings(
             classes=CLASSES,
             tenants=(Tenant("t", 13.0),),
-            balancers=relays,
+            relay_count=relays,
             max_retry_after_ms=1500.0,
-            tells_delay=False,
+            reports_delay=False,
             weights="rough",
         )
         self.rng = Random(seed)
@@ -44,7 +47,7 @@
         self.now, self.ids, self.free_ms = 0.0, 0, 0.0
         self.out = self.most_out = self.standing = self.wasted = 0
         for relay in self.relays:
-            relay.handle(0.0, ServerList("full", [Server(f"h{k}") for k in range(hosts)]))
+            relay.handle(0.0, EndpointListEvent("full", [Endpoint(f"h{k}") for k in range(hosts)]))
 
     def at(self, when_ms: float, what: Callable[[], None]) -> None:
         self.ids += 1
@@ -55,19 +58,21 @@
         self.ids += 1
         request, relay = self.ids, self.rng.choice(self.relays)
         give_up_ms = self.now + PATIENCE_MS[cls]
-        self.act(relay, request, relay.handle(self.now, Request(request, cls, "t", give_up_ms)), tries, 0)
+        self.act(
+            relay, request, relay.handle(self.now, RequestArrived(request, cls, "t", give_up_ms)), tries, 0
+        )
 
     def act(self, relay: Balancer, request: int, actions: list[Any], tries: int, attempt: int) -> None:
         for action in actions:
-            if isinstance(action, Refuse):
+            if isinstance(action, RejectRequest):
                 # Four in ten honour the advice; the others come at once, and only later wait for longer.
                 own_ms = (30.0, 30.0, 2000.0)[min(tries, 2)]
                 wait_ms = action.retry_after_ms if self.rng.random() < 0.4 else own_ms
                 self.at(self.now + wait_ms, lambda: self.client(tries + 1))
-            elif isinstance(action, Send):
+            elif isinstance(action, PlaceRequest):
                 self.set_up(relay, request, action, tries, attempt)
 
-    def set_up(self, relay: Balancer, request: int, send: Send, tries: int, attempt: int) -> None:
+    def set_up(self, relay: Balancer, request: int, send: PlaceRequest, tries: int, attempt: int) -> None:
         self.out += 1
         self.most_out = max(self.most_out, self.out)
         self.free_ms = max(self.free_ms, self.now) + 1000.0 / STORE_PER_S
@@ -78,11 +83,13 @@
             self.out -= 1
             if late:  # the store does the work all the same
                 self.wasted += 1
-                outcome = Outcome(request, attempt, send.server, "timeout", False)
+                outcome = AttemptEnded(request, attempt, send.endpoint, "timeout", False)
                 self.act(relay, request, relay.handle(self.now, outcome), tries, attempt + 1)
             else:
                 self.standing += 1
-                relay.handle(self.now, FirstSign(request, attempt, send.server, ready_ms - begun_ms))
+                relay.handle(
+                    self.now, ConnectionEstablished(request, attempt, send.endpoint, ready_ms - begun_ms)
+                )
 
         begun_ms = self.now
         self.at(min(ready_ms, until_ms), over)
--- a/tests/test_flows.py
+++ b/tests/test_flows.py
@@ -5,10 +5,10 @@
 import socket
 import struct
 
-from sageturn.core.endings import Ending
-from sageturn.core.messages import Ask
-from sageturn.core.requests import Record
-from sageturn.flows.exporter import Exporter, FlowOptions
+from sageturn.core.close_reason import CloseReason
+from sageturn.core.messages import ClientRequest
+from sageturn.core.request_lifecycle import ConnectionRecord
+from sageturn.flows.exporter import FlowExporter, FlowOptions
 
 
 class Collector:
@@ -56,18 +56,20 @@
             self.records.append(record)
 
 
-def record(n: int = 0, ending: Ending = Ending.SERVED) -> Record:
-    made = Record(Ask("c", "t" * 300, 1.0), 1000.0 + n, 2500.0, "a", 1, True, ending)
-    made.client, made.endpoint_address, made.octets_up = ("127.0.0.2", 40000), ("127.0.0.3", 8081), 77
+def record(n: int = 0, close_reason: CloseReason = CloseReason.SERVED) -> ConnectionRecord:
+    made = ConnectionRecord(
+        ClientRequest("c", "t" * 300, 1.0), 1000.0 + n, 2500.0, "a", 1, True, close_reason
+    )
+    made.client, made.endpoint_address, made.bytes_to_endpoint = ("127.0.0.2", 40000), ("127.0.0.3", 8081), 77
     return made
 
 
 def test_a_record_for_each_ended_connection_reaches_a_collector() -> None:
     collector = Collector()
-    exporter = Exporter(FlowOptions(collector.sock.getsockname()))
+    exporter = FlowExporter(FlowOptions(collector.sock.getsockname()))
     for n in range(60):  # more than one message holds
         exporter.ended(record(n))
-    exporter.ended(record(60, Ending.MOVED))
+    exporter.ended(record(60, CloseReason.MOVED))
     exporter.flush()
     collector.read()
     flows = [r for r in collector.records if 152 in r]
@@ -81,7 +83,7 @@
 
 def test_templates_are_sent_again_for_a_collector_that_came_late() -> None:
     late = Collector()
-    exporter = Exporter(FlowOptions(late.sock.getsockname(), template_s=0.0))
+    exporter = FlowExporter(FlowOptions(late.sock.getsockname(), template_s=0.0))
     exporter.flush()
     exporter.flush()
     late.read()
@@ -91,7 +93,7 @@
 def test_what_does_not_fit_is_dropped_counted_and_told() -> None:
     # A slow collector must never hold up, or fill the memory of, the relay.
     collector = Collector()
-    exporter = Exporter(FlowOptions(collector.sock.getsockname(), queue=5))
+    exporter = FlowExporter(FlowOptions(collector.sock.getsockname(), queue=5))
     for n in range(9):
         exporter.ended(record(n))
     exporter.flush()
@@ -102,7 +104,7 @@
 
 def test_a_collector_that_is_not_there_costs_records_and_nothing_else() -> None:
     collector = Collector()
-    exporter = Exporter(FlowOptions(collector.sock.getsockname()))
+    exporter = FlowExporter(FlowOptions(collector.sock.getsockname()))
     collector.sock.close()
     for n in range(4):
         exporter.ended(record(n))
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -11,7 +11,7 @@
 import numpy as np
 import pytest
 
-from sageturn import rules
+from sageturn.decision import balancer as rules
 from sageturn.lab.compare import compare, difference
 from sageturn.lab.experiment import BadExperiment, Scenario, Size, read_experiment
 from sageturn.lab.host import HostModel
--- a/tests/test_list.py
+++ b/tests/test_list.py
@@ -11,12 +11,12 @@
 from hypothesis import strategies as st
 from net_peers import Discovery, served
 
-from sageturn.core.destinations import DestinationSet
-from sageturn.core.messages import Listed, SourceMoved, WatchFailed, WatchWanted
-from sageturn.interface import ListFailure, ServerList
+from sageturn.core.endpoint_registry import EndpointRegistry
+from sageturn.core.messages import DiscoveryAddressChanged, EndpointListUpdate, WatchFailed, WatchRequested
+from sageturn.decision import DiscoveryFailure, EndpointListEvent
 from sageturn.net import discovery as net
-from sageturn.net.discovery import BadList, DiscoveryClient, read_listed
-from sageturn.net.objects import NoObject, ObjectCutter
+from sageturn.net.discovery import DiscoveryClient, InvalidEndpointListError, parse_endpoint_list
+from sageturn.net.json_stream import NoObject, ObjectCutter
 
 TEXTS = st.text(st.sampled_from('ab{}[]"\\\n é'), max_size=8)
 VALUES = st.recursive(TEXTS | st.integers(), lambda v: st.lists(v) | st.dictionaries(TEXTS, v), max_leaves=6)
@@ -67,15 +67,15 @@
 )
 def test_an_entry_in_error_is_refused_by_its_key_and_takes_no_half_effect(key: str, bad: Any) -> None:
     # A start told as text was believed, and failed the module half way through the list.
-    with pytest.raises((BadList, ValueError)) as found:
-        read_listed({"version": 3, "full": True, "servers": [entry(id="b"), entry(**{key: bad})]})
+    with pytest.raises((InvalidEndpointListError, ValueError)) as found:
+        parse_endpoint_list({"version": 3, "full": True, "servers": [entry(id="b"), entry(**{key: bad})]})
     assert key in str(found.value) or str(bad) in str(found.value)
 
 
 @pytest.mark.parametrize("top", [{"version": "3"}, {"version": True}, {"full": "no"}, {"servers": None}])
 def test_a_list_in_error_is_refused(top: dict[str, Any]) -> None:
-    with pytest.raises(BadList):
-        read_listed({"version": 3, "full": True, "servers": [entry()], **top})
+    with pytest.raises(InvalidEndpointListError):
+        parse_endpoint_list({"version": 3, "full": True, "servers": [entry()], **top})
 
 
 # ---------------------------------------------------------------- on the wire
@@ -109,7 +109,7 @@
     text = json.dumps({"version": 7, "full": True, "servers": [entry(), entry(id="b")]}, indent=2).encode()
     pieces = [text[k : k + 7] for k in range(0, len(text), 7)]
     (news,) = said(answer(*pieces), count=1, monkeypatch=monkeypatch)
-    assert news.version == 7 and [s.name for s in news.servers] == ["a", "b"]
+    assert news.version == 7 and [s.name for s in news.endpoints] == ["a", "b"]
 
 
 def test_what_came_whole_before_a_fault_is_told(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -117,7 +117,7 @@
     good = json.dumps({"version": 7, "servers": [entry(state="draining")]}).encode()
     for fault in (answer(good + b"\n]") + b"#", answer(good) + b"zz\r\n#"):
         news, failed = said(fault, count=2, monkeypatch=monkeypatch)
-        assert news.servers[0].state == "draining" and isinstance(failed, WatchFailed)
+        assert news.endpoints[0].state == "draining" and isinstance(failed, WatchFailed)
 
 
 @pytest.mark.parametrize("half", [b'{"version":7,\n', b'{"version":7,"servers":[{"id":"a{'])
@@ -132,14 +132,14 @@
 
     monkeypatch.setattr(Discovery, "serve", lambda self, r, w: dribbles(r, w))
     news, failed = said(b"", count=2, monkeypatch=monkeypatch, silence_s=0.3)
-    assert news.version == 6 and failed == WatchFailed("silent", ListFailure.SILENT)
+    assert news.version == 6 and failed == WatchFailed("silent", DiscoveryFailure.SILENT)
 
 
 def test_a_watch_that_ends_by_a_fault_of_the_program_is_told(monkeypatch: pytest.MonkeyPatch) -> None:
     # Such a watch ended unseen, and the relay went by its old list for good.
-    monkeypatch.setattr(net, "read_listed", lambda obj: 1 / 0)
+    monkeypatch.setattr(net, "parse_endpoint_list", lambda obj: 1 / 0)
     (failed,) = said(answer(b"{}"), count=1, monkeypatch=monkeypatch)
-    assert "ZeroDivisionError" in failed.why and failed.failure is ListFailure.UNUSABLE
+    assert "ZeroDivisionError" in failed.why and failed.failure is DiscoveryFailure.UNUSABLE
 
 
 # ---------------------------------------------------------------- words of a watch that was replaced
@@ -156,22 +156,22 @@
 
 def test_words_of_a_replaced_watch_neither_end_the_new_one_nor_set_its_version() -> None:
     async def go() -> None:
-        told: asyncio.Queue[ServerList] = asyncio.Queue()
+        told: asyncio.Queue[EndpointListEvent] = asyncio.Queue()
         here = ("127.0.0.1", 9)
-        known = read_listed({"version": 5, "full": True, "servers": [entry()]})
-        destinations = DestinationSet(known, told.put)  # type: ignore[arg-type]
-        destinations.watcher = watches = Watches()
-        actor = asyncio.ensure_future(destinations.run())
-        await destinations.put(WatchWanted())
-        await destinations.put(SourceMoved())
-        drains = read_listed({"version": 900, "servers": [entry(state="draining")]})
-        await destinations.hear(1, drains)
-        await destinations.hear(1, WatchFailed("ended", ListFailure.LOST))
-        await destinations.put(WatchWanted())
-        await destinations.hear(3, Listed(8, True, [], {}))
+        known = parse_endpoint_list({"version": 5, "full": True, "servers": [entry()]})
+        endpoint_registry = EndpointRegistry(known, told.put)  # type: ignore[arg-type]
+        endpoint_registry.watcher = watches = Watches()
+        actor = asyncio.ensure_future(endpoint_registry.run())
+        await endpoint_registry.put(WatchRequested())
+        await endpoint_registry.put(DiscoveryAddressChanged())
+        drains = parse_endpoint_list({"version": 900, "servers": [entry(state="draining")]})
+        await endpoint_registry.on_watch_event(1, drains)
+        await endpoint_registry.on_watch_event(1, WatchFailed("ended", DiscoveryFailure.LOST))
+        await endpoint_registry.put(WatchRequested())
+        await endpoint_registry.on_watch_event(3, EndpointListUpdate(8, True, [], {}))
         kinds = [(await told.get()).kind for _ in range(3)]
         assert kinds == ["stale", "changes", "full"] and watches.begun == [5, 0, 0]
-        assert not destinations.ready("a", here) and destinations.version == 8
+        assert not endpoint_registry.ready("a", here) and endpoint_registry.version == 8
         actor.cancel()
 
     asyncio.run(asyncio.wait_for(go(), 5))
@@ -181,16 +181,18 @@
 def test_where_lists_are_pushed_a_watch_is_open_from_the_first_turn(pushed: bool) -> None:
     # Nobody asked for one there, so on sockets the relay lived on the list of its start: drains were missed.
     async def go() -> None:
-        told: asyncio.Queue[ServerList] = asyncio.Queue()
-        known = read_listed({"version": 5, "full": True, "servers": [entry()]})
-        destinations = DestinationSet(known, told.put, pushed)  # type: ignore[arg-type]
-        destinations.watcher = watches = Watches()
-        actor = asyncio.ensure_future(destinations.run())
+        told: asyncio.Queue[EndpointListEvent] = asyncio.Queue()
+        known = parse_endpoint_list({"version": 5, "full": True, "servers": [entry()]})
+        endpoint_registry = EndpointRegistry(known, told.put, pushed)  # type: ignore[arg-type]
+        endpoint_registry.watcher = watches = Watches()
+        actor = asyncio.ensure_future(endpoint_registry.run())
         await told.get()
         await asyncio.sleep(0)
         assert watches.begun == ([5] if pushed else [])
-        await destinations.hear(len(watches.begun), WatchFailed("silent", ListFailure.SILENT))
-        assert await told.get() == ServerList("failed", [], ListFailure.SILENT)
+        await endpoint_registry.on_watch_event(
+            len(watches.begun), WatchFailed("silent", DiscoveryFailure.SILENT)
+        )
+        assert await told.get() == EndpointListEvent("failed", [], DiscoveryFailure.SILENT)
         actor.cancel()
 
     asyncio.run(asyncio.wait_for(go(), 5))
--- a/tests/test_overlay.py
+++ b/tests/test_overlay.py
@@ -12,7 +12,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from sageturn.store.spread.overlay import (
+from sageturn.store.replication.overlay import (
     FULL,
     MEMBER,
     REMOVED,
@@ -20,10 +20,10 @@
     SUPERSEDED,
     Address,
     Beacon,
+    LinkRejected,
     Member,
     Overlay,
     Places,
-    Refusal,
     before,
     rank_of,
 )
@@ -200,7 +200,7 @@
             node.overlay.unreachable(address, self.now)
             node.poll()
 
-    def refused(self, node: Node, address: Address, refusal: Refusal) -> None:
+    def refused(self, node: Node, address: Address, refusal: LinkRejected) -> None:
         if node.alive:
             node.overlay.refused(address, self.now, refusal)
             node.poll()
@@ -526,7 +526,7 @@
     newer = Member(own.name, ("10.9.9.9", 1), own.region, own.zone, 2)
     for tell in (
         lambda o: o.saw([newer, other]),
-        lambda o: o.refused(other.address, 0.0, Refusal(SUPERSEDED)),
+        lambda o: o.refused(other.address, 0.0, LinkRejected(SUPERSEDED)),
         lambda o: o.admits(newer, 0.0),
     ):
         overlay = Overlay(own, [other.address], Random(1))
@@ -543,8 +543,8 @@
     own, other, *rest = fleet(60)
     overlay = Overlay(own, [], Random(1), fanout=2)
     overlay.saw([own, Member(other.name, other.address, other.region, other.zone, 5), *rest])
-    assert overlay.admits(other, 0.0) == Refusal(SUPERSEDED)
-    assert overlay.admits(own, 0.0) == Refusal(SAME_NAME)
+    assert overlay.admits(other, 0.0) == LinkRejected(SUPERSEDED)
+    assert overlay.admits(own, 0.0) == LinkRejected(SAME_NAME)
     for member in rest[: 4 * 2]:
         assert overlay.admits(member, 0.0) is None
         overlay.linked(member.name, 0.0)
--- a/tests/test_overrides.py
+++ b/tests/test_overrides.py
@@ -12,30 +12,39 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from sageturn import Server
-from sageturn.overrides.board import Board
+from sageturn import Endpoint
+from sageturn.overrides.board import OverrideRegistry
 from sageturn.overrides.model import fold
-from sageturn.overrides.ops import BadOp, Body, Op, Selector, read_op, sign
+from sageturn.overrides.ops import (
+    InvalidOperationError,
+    OverrideOperation,
+    OverridePayload,
+    Selector,
+    parse_operation,
+    sign,
+)
 from sageturn.overrides.options import OverrideOptions
-from sageturn.overrides.resolve import Floors
+from sageturn.overrides.resolve import SafetyLimits
 
 KEYS = {name: Ed25519PrivateKey.generate() for name in ("lan", "mai")}
 PUBLIC = {name: key.public_key() for name, key in KEYS.items()}
 HOUR = 3_600_000.0
 T0 = 1.8e12
 WARM = 24000.0
-OPEN = Floors(0.0, 0.0, 0.0)
+OPEN = SafetyLimits(0.0, 0.0, 0.0)
 
 
 def options(**more: Any) -> OverrideOptions:
     return OverrideOptions(**{"operators": PUBLIC, "floors": OPEN, **more})
 
 
-def host(name: str, **more: Any) -> Server:
-    return Server(name, **{"zone": "z1" if name < "c" else "z2", "kind": "k", **more})
+def host(name: str, **more: Any) -> Endpoint:
+    return Endpoint(name, **{"zone": "z1" if name < "c" else "z2", "kind": "k", **more})
 
 
-def op(override: str, body: Body | None = None, word: str = "set", **more: Any) -> Op:
+def op(
+    override: str, body: OverridePayload | None = None, word: str = "set", **more: Any
+) -> OverrideOperation:
     defaults = {
         "revision": 1,
         "at_ms": T0,
@@ -46,14 +55,14 @@
     }
     if word == "revoke":
         defaults["until_ms"] = 0.0
-    return Op(override, word, **{**defaults, "body": body, **more})
+    return OverrideOperation(override, word, **{**defaults, "body": body, **more})
 
 
-def out(name: str, **more: Any) -> Body:
-    return Body("out", Selector("host", name), **more)
+def out(name: str, **more: Any) -> OverridePayload:
+    return OverridePayload("out", Selector("host", name), **more)
 
 
-def record(said: Op) -> tuple[str, Any]:
+def record(said: OverrideOperation) -> tuple[str, Any]:
     return said.key, sign(said, KEYS[said.operator])
 
 
@@ -61,21 +70,21 @@
     """A board, and the lines that the module has been told last."""
 
     def __init__(self, names: str = "abcd", **more: Any) -> None:
-        self.board = Board(options(**more), 0.12, WARM)
-        self.now, self.lines = T0, dict[str, Server]()
+        self.board = OverrideRegistry(options(**more), 0.12, WARM)
+        self.now, self.lines = T0, dict[str, Endpoint]()
         self.list([host(n) for n in names])
 
-    def see(self, lines: list[Server]) -> list[Server]:
+    def see(self, lines: list[Endpoint]) -> list[Endpoint]:
         self.lines.update({line.name: line for line in lines})
         return lines
 
-    def list(self, servers: list[Server], whole: bool = True) -> None:
-        self.see(self.board.listed(servers, whole, self.now))
+    def list(self, endpoints: list[Endpoint], whole: bool = True) -> None:
+        self.see(self.board.listed(endpoints, whole, self.now))
 
-    def say(self, *said: Op) -> list[Server]:
+    def say(self, *said: OverrideOperation) -> list[Endpoint]:
         return self.see(self.board.take([record(s) for s in said], self.now))
 
-    def at(self, now: float) -> list[Server]:
+    def at(self, now: float) -> list[Endpoint]:
         self.now = now
         return self.see(self.board.pass_time(now))
 
@@ -100,7 +109,7 @@
 
 def test_a_weight_comes_back_no_faster_than_a_cold_host_warms() -> None:
     desk = Desk()
-    desk.say(op("w1", Body("weight", Selector("zone", "z1"), factor=0.25)))
+    desk.say(op("w1", OverridePayload("weight", Selector("zone", "z1"), factor=0.25)))
     assert {n: line.factor for n, line in desk.lines.items()} == {"a": 0.25, "b": 0.25, "c": 1.0, "d": 1.0}
     seen = [0.25]
     for k in range(60):
@@ -113,7 +122,7 @@
 
 def test_the_host_that_joins_an_overridden_zone_is_covered() -> None:
     desk = Desk()
-    desk.say(op("o1", Body("out", Selector("zone", "z2"))))
+    desk.say(op("o1", OverridePayload("out", Selector("zone", "z2"))))
     desk.list([host("e")], whole=False)
     assert desk.state("e") == "draining"
     desk.list([host(n) for n in "abcdefg"])
@@ -137,7 +146,7 @@
 
 def test_discoverys_word_wins_and_a_lapse_leaves_a_drain_alone() -> None:
     desk = Desk()
-    desk.say(op("o1", out("a")), op("w", Body("weight", Selector("host", "b"), factor=2.0)))
+    desk.say(op("o1", out("a")), op("w", OverridePayload("weight", Selector("host", "b"), factor=2.0)))
     desk.list([host("a", state="draining"), host("b", state="draining")], whole=False)
     desk.at(T0 + 2 * HOUR)
     assert desk.state("a") == desk.state("b") == "draining"
@@ -200,8 +209,8 @@
         desk.board.happened.clear()
         assert desk.see(desk.board.take([(bad_key, bad)], T0)) == []
         assert [h.what for h in desk.board.happened] == ["refused"], bad
-    with pytest.raises(BadOp, match="not known here"):
-        read_op(key, value, {"mai": PUBLIC["mai"]})
+    with pytest.raises(InvalidOperationError, match="not known here"):
+        parse_operation(key, value, {"mai": PUBLIC["mai"]})
     desk.see(desk.board.take([(key, value)], T0))
     assert desk.state("a") == "draining" and desk.board.refused.get(key) is None
     desk.see(desk.board.take([(key, {**value, "until_ms": T0 + 9 * HOUR})], T0))
@@ -214,7 +223,7 @@
     # Two sets, each fine alone; with both only a quarter of zone z1 would be left.
     first, second = op("o1", out("a")), op("o2", out("b"), at_ms=T0 + 1, operator="mai")
     for order in ((first, second), (second, first)):
-        desk = Desk(floors=Floors(0.5, 0.5, 0.0))
+        desk = Desk(floors=SafetyLimits(0.5, 0.5, 0.0))
         for said in order:
             desk.say(said)
         assert desk.state("a") == "draining" and desk.state("b") == "ready"
@@ -223,13 +232,13 @@
         desk.say(op("o1", word="revoke", revision=2))
         assert desk.state("a") == "ready" and desk.state("b") == "draining"
         assert {"suspended", "resumed"} <= {h.what for h in desk.board.happened}
-    forced = Desk(floors=Floors(0.5, 0.5, 0.0))
+    forced = Desk(floors=SafetyLimits(0.5, 0.5, 0.0))
     forced.say(first, replace(second, forced=True))
     assert forced.state("a") == forced.state("b") == "draining"
 
 
 def test_when_hosts_leave_until_too_little_is_left_the_newest_waits() -> None:
-    desk = Desk("abcdef", floors=Floors(0.5, 0.0, 0.0))
+    desk = Desk("abcdef", floors=SafetyLimits(0.5, 0.0, 0.0))
     desk.say(op("o1", out("a")), op("o2", out("b"), at_ms=T0 + 1))
     assert desk.state("a") == desk.state("b") == "draining"
     desk.list([host("e", state="gone"), host("f", state="gone"), host("d", state="gone")], whole=False)
@@ -241,9 +250,9 @@
 def test_pins_select_their_traffic_and_meet() -> None:
     desk = Desk()
     desk.say(
-        op("p1", Body("pin", hosts=("a", "b"), strict=True, class_name="c")),
-        op("p2", Body("pin", hosts=("b", "c"), strict=True, tenant="t")),
-        op("p3", Body("pin", hosts=("d",), group_prefix="tet-")),
+        op("p1", OverridePayload("pin", hosts=("a", "b"), strict=True, class_name="c")),
+        op("p2", OverridePayload("pin", hosts=("b", "c"), strict=True, tenant="t")),
+        op("p3", OverridePayload("pin", hosts=("d",), group_prefix="tet-")),
     )
     pinned = desk.board.pinned
     assert pinned("x", "u", "") is None
@@ -256,20 +265,20 @@
 
 
 def test_a_pin_that_leaves_too_little_is_suspended() -> None:
-    desk = Desk("abcdef", floors=Floors(0.0, 0.0, 0.3))
-    desk.say(op("p1", Body("pin", hosts=("a",), strict=True, class_name="c")))
+    desk = Desk("abcdef", floors=SafetyLimits(0.0, 0.0, 0.3))
+    desk.say(op("p1", OverridePayload("pin", hosts=("a",), strict=True, class_name="c")))
     assert "1.0 of 6.0 to what it pins" in desk.board.resolver.suspended["p1"]
     assert desk.board.pinned("c", "t", "") is None
-    desk.say(op("p2", Body("pin", hosts=("a",), class_name="c"), at_ms=T0 + 1))
+    desk.say(op("p2", OverridePayload("pin", hosts=("a",), class_name="c"), at_ms=T0 + 1))
     assert desk.board.pinned("c", "t", "").preferred == {"a"}  # type: ignore[union-attr]
 
 
 def test_the_smallest_weight_counts_and_out_goes_before_it() -> None:
     desk = Desk()
     desk.say(
-        op("w1", Body("weight", Selector("host", "a"), factor=2.0)),
-        op("w2", Body("weight", Selector("kind", "k"), factor=0.5)),
-        op("h1", Body("hold", Selector("cell", "0"))),
+        op("w1", OverridePayload("weight", Selector("host", "a"), factor=2.0)),
+        op("w2", OverridePayload("weight", Selector("kind", "k"), factor=0.5)),
+        op("h1", OverridePayload("hold", Selector("cell", "0"))),
     )
     assert desk.lines["a"].factor == 0.5 and desk.board.resolver.effect("c").hold
     desk.say(op("o1", out("a")))
@@ -310,12 +319,14 @@
 
 
 @given(WORDS, st.randoms(use_true_random=False))
-def test_words_make_the_same_override_whatever_order_they_come_in(said: list[Op], rng: random.Random) -> None:
+def test_words_make_the_same_override_whatever_order_they_come_in(
+    said: list[OverrideOperation], rng: random.Random
+) -> None:
     # Commutative, idempotent and associative: the sum of a set of words.
     other = said + said[: len(said) // 2]
     rng.shuffle(other)
     assert fold(said, 1e9) == fold(other, 1e9)
-    boards = [Board(options(), 0.12, WARM) for _ in range(2)]
+    boards = [OverrideRegistry(options(), 0.12, WARM) for _ in range(2)]
     for board in boards:
         board.listed([host("a")], True, T0)
     boards[0].take([record(o) for o in said], T0)
@@ -330,9 +341,9 @@
 
     @initialize()
     def start(self) -> None:
-        self.floors = Floors(0.4, 0.3, 0.2)
+        self.floors = SafetyLimits(0.4, 0.3, 0.2)
         self.desk = Desk("abcdef", floors=self.floors)
-        self.said: list[Op] = []
+        self.said: list[OverrideOperation] = []
         self.hosts = {n: host(n) for n in "abcdef"}
 
     @rule(
@@ -345,9 +356,9 @@
     )
     def sets(self, what: str, on: str, by: str, factor: float, length: int, forced: bool) -> None:
         selector = Selector(by, on if by == "host" else self.hosts[on].zone)
-        body = Body(what, selector, factor=factor if what == "weight" else 1.0)
+        body = OverridePayload(what, selector, factor=factor if what == "weight" else 1.0)
         if what == "pin":
-            body = Body("pin", hosts=(on,), strict=forced, class_name="c")
+            body = OverridePayload("pin", hosts=(on,), strict=forced, class_name="c")
         now = self.desk.now
         said = op(f"x{len(self.said)}", body, at_ms=now, until_ms=now + length * 1000.0, forced=forced)
         self.said.append(said)
@@ -375,7 +386,7 @@
     def is_as_if_made_anew(self) -> None:
         if not hasattr(self, "desk"):
             return
-        anew = Board(options(floors=self.floors), 0.12, WARM)
+        anew = OverrideRegistry(options(floors=self.floors), 0.12, WARM)
         anew.listed([h for h in self.hosts.values() if h.state != "gone"], True, self.desk.now)
         anew.take([record(s) for s in self.said], self.desk.now)
         ours, theirs = self.desk.board.resolver, anew.resolver
--- a/tests/test_overrides_relay.py
+++ b/tests/test_overrides_relay.py
@@ -14,7 +14,7 @@
 
 import pytest
 from net_peers import (
-    Endpoint,
+    FakeEndpoint,
     Script,
     ask,
     first_line,
@@ -27,8 +27,8 @@
 from test_overrides import KEYS, op, out, record
 
 from sageturn.cli.times import parse_until, span
-from sageturn.config import ConfigError, load
-from sageturn.overrides.ops import Body, Op, Selector
+from sageturn.config.loader import ConfigError, load
+from sageturn.overrides.ops import OverrideOperation, OverridePayload, Selector
 from sageturn.rebalance.options import RebalanceOptions
 from sageturn.relay import Relay
 
@@ -43,7 +43,7 @@
     return time.time() * 1000.0
 
 
-def said(override: str, body: Body, **more: Any) -> Op:
+def said(override: str, body: OverridePayload, **more: Any) -> OverrideOperation:
     at = now()
     return op(override, body, **{"at_ms": at, "until_ms": at + HOUR, **more})
 
@@ -63,7 +63,7 @@
 @asynccontextmanager
 async def overriding(folder: Path, *scripts: Script, relays: int = 1, **more: Any):  # type: ignore[no-untyped-def]
     """Relays whose stores are linked, and the endpoints that they share, in the order a, b, c."""
-    endpoints = [Endpoint(script) for script in scripts]
+    endpoints = [FakeEndpoint(script) for script in scripts]
     async with AsyncExitStack() as stack:
         names, discovery = await serve_all(stack, endpoints)
         (folder / "secret").write_text("word")
@@ -81,7 +81,7 @@
             stack.push_async_callback(relay.stop)
             made.append(relay)
         for relay in made:
-            while relay.destinations.version != 2:
+            while relay.endpoint_registry.version != 2:
                 await asyncio.sleep(0.01)
         yield made, endpoints
 
@@ -91,7 +91,7 @@
         await asyncio.sleep(0.01)
 
 
-async def placed(relay: Relay, endpoints: list[Endpoint], count: int = 12, more: str = "") -> list[int]:
+async def placed(relay: Relay, endpoints: list[FakeEndpoint], count: int = 12, more: str = "") -> list[int]:
     """How many of ``count`` requests each endpoint was sent."""
     before = [len(e.lines) for e in endpoints]
     for n in range(count):
@@ -108,14 +108,16 @@
             one.store.put(*record(said("o1", out("a"))))
             two.store.put(*record(said("o2", out("b"), operator="mai")))
             for relay in relays:
-                await until(lambda relay=relay: relay.destinations.out("a") and relay.destinations.out("b"))
+                await until(
+                    lambda relay=relay: relay.endpoint_registry.out("a") and relay.endpoint_registry.out("b")
+                )
                 assert (await placed(relay, endpoints))[:2] == [0, 0]
             told = lambda: (one.store.get("state/n1/overrides") or {}).get("words")  # noqa: E731
             await until(lambda: told() == {"o1": 1, "o2": 1})
             two.store.put(*record(said("o1", None, word="revoke", revision=2)))  # type: ignore[arg-type]
-            await until(lambda: not one.destinations.out("a"))
-            at = one.destinations.addresses
-            assert not one.destinations.ready("b", at["b"]) and one.destinations.ready("a", at["a"])
+            await until(lambda: not one.endpoint_registry.out("a"))
+            at = one.endpoint_registry.addresses
+            assert not one.endpoint_registry.ready("b", at["b"]) and one.endpoint_registry.ready("a", at["a"])
 
     story(go())
 
@@ -125,21 +127,21 @@
 ) -> None:
     async def go() -> None:
         async with overriding(tmp_path, up, up, floor_pin=0) as ((relay,), endpoints):
-            pin = said("p1", Body("pin", hosts=("b",), strict=True, tenant="t"))
+            pin = said("p1", OverridePayload("pin", hosts=("b",), strict=True, tenant="t"))
             relay.store.put(*record(pin))
             await until(lambda: relay.overrides.board.known)
             assert await placed(relay, endpoints) == [0, 12]
             relay.store.put(*record(said("o1", out("b"))))
-            await until(lambda: relay.destinations.out("b"))
+            await until(lambda: relay.endpoint_registry.out("b"))
             began = asyncio.get_running_loop().time()
             assert (await reply(relay.listener.address, first_line())).startswith(b"BUSY")
             assert asyncio.get_running_loop().time() - began < 0.2
             relay.store.put(*record(said("p1", None, word="revoke", revision=2)))  # type: ignore[arg-type]
-            relay.store.put(*record(said("p2", Body("pin", hosts=("b",), tenant="t"))))
+            relay.store.put(*record(said("p2", OverridePayload("pin", hosts=("b",), tenant="t"))))
             await until(lambda: relay.overrides.board.known["p1"].revoked)
             assert await placed(relay, endpoints) == [12, 0]
             relay.store.put(*record(said("o1", None, word="revoke", revision=2)))  # type: ignore[arg-type]
-            await until(lambda: not relay.destinations.out("b"))
+            await until(lambda: not relay.endpoint_registry.out("b"))
             assert sum(await placed(relay, endpoints)) == 12  # b is cold again: most go elsewhere for now
 
     story(go())
@@ -149,7 +151,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("sageturn.rebalance.pace.SETTLE_MS", 0.0)
-    monkeypatch.setattr("sageturn.rebalance.pace.Pace.top", lambda self, own: 400.0)
+    monkeypatch.setattr("sageturn.rebalance.pace.MigrationRateController.top", lambda self, own: 400.0)
 
     async def go() -> None:
         async with overriding(tmp_path, up, up) as ((relay,), (a, b)):
@@ -178,7 +180,7 @@
                     relay.store.put(*record(said("o1", out("a"))))
                     relay.store.put(*record(said("o2", out("b"), at_ms=now() - 5000, until_ms=now() - 1)))
                 else:
-                    assert relay.destinations.out("a") and not relay.destinations.out("b")
+                    assert relay.endpoint_registry.out("a") and not relay.endpoint_registry.out("b")
                     assert await placed(relay, endpoints) == [0, 12]
 
     story(go())
@@ -188,19 +190,19 @@
     async def go() -> None:
         async with overriding(tmp_path, up, up) as ((relay,), _):
             relay.store.put(*record(said("o1", out("a"))))
-            await until(lambda: relay.destinations.out("a"))
+            await until(lambda: relay.endpoint_registry.out("a"))
             file = tmp_path / "r0" / "operator.json"
             good = json.loads(file.read_text())
             file.write_text(json.dumps({**good, "overrides": {"operators": {"lan": "short"}}}))
             relay._reload.set()
             await until(lambda: not relay._reload.is_set())
-            assert relay.destinations.out("a")
+            assert relay.endpoint_registry.out("a")
             file.write_text(json.dumps({**good, "overrides": section(operators={"mai": public("mai")})}))
             relay._reload.set()
-            await until(lambda: not relay.destinations.out("a"))
+            await until(lambda: not relay.endpoint_registry.out("a"))
             file.write_text(json.dumps(good))
             relay._reload.set()
-            await until(lambda: relay.destinations.out("a"))
+            await until(lambda: relay.endpoint_registry.out("a"))
 
     story(go())
 
@@ -247,7 +249,7 @@
             set_ = ("set", "out", "--host", "a", "--for", "2h30m", "--why", "disk is failing", "--json")
             made = json.loads(await command(*set_))
             assert made["relays"] == {"n0": "in force", "n1": "in force"}
-            assert all(r.destinations.out("a") for r in relays)
+            assert all(r.endpoint_registry.out("a") for r in relays)
             too_much = await command("set", "out", "--host", "b", "--for", "1h", "--why", "x", fails=1)
             assert "would leave 1.0 of 3.0" in too_much and "--force" in too_much
             (row,) = [r for r in json.loads(await command("list", "--json")) if r["status"] == "in force"]
@@ -256,7 +258,7 @@
             assert "about to end" in await command("list")
             assert "out of service" in await command("explain", "a")
             await command("revoke", made["id"], "--why", "mended")
-            assert not any(r.destinations.out("a") for r in relays)
+            assert not any(r.endpoint_registry.out("a") for r in relays)
             words = [r["word"] for r in json.loads(await command("history", made["id"], "--json"))]
             assert words == ["set", "extend", "revoke"]
             never = "2999-01-01T00:00:00"
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -12,7 +12,7 @@
 import pytest
 from net_peers import ask, first_line, listed, relaying, reply, resets, says, silent, up, write_config
 
-from sageturn.config import load
+from sageturn.config.loader import load
 from sageturn.relay import Relay
 
 
@@ -110,9 +110,9 @@
         async with relaying(tmp_path, up) as (relay, (endpoint,)):
             with socket.socket() as dead:
                 dead.bind(("127.0.0.1", 0))
-                while relay.destinations.version != 2:
+                while relay.endpoint_registry.version != 2:
                     await asyncio.sleep(0.01)
-                relay.destinations.addresses["a"] = dead.getsockname()
+                relay.endpoint_registry.addresses["a"] = dead.getsockname()
                 assert (await reply(relay.listener.address, first_line())).startswith(b"BUSY")
             assert endpoint.lines == []
 
@@ -142,7 +142,7 @@
     async def go() -> None:
         async with relaying(tmp_path, then_reset) as (relay, _):
             ended: asyncio.Queue[str] = asyncio.Queue()
-            relay.shared.ended = lambda record: ended.put_nowait(record.ending.name)  # type: ignore[union-attr]
+            relay.shared.ended = lambda record: ended.put_nowait(record.close_reason.name)  # type: ignore[union-attr]
             reader, writer = await ask(relay.listener.address, first_line())
             assert await reader.readline() == b"UP r\r\n"
             writer.write(b"M 1\r\n")
@@ -176,7 +176,7 @@
 
 def test_a_mute_endpoint_has_its_client_moved(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     # A host that vanishes says nothing: its clients must be moved before 7 s.
-    monkeypatch.setattr("sageturn.fronts.platform.MUTE_S", 0.3)
+    monkeypatch.setattr("sageturn.frontends.platform.MUTE_S", 0.3)
 
     async def deaf(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes) -> None:
         writer.write(b"UP r\r\n")
@@ -203,14 +203,14 @@
         async with relaying(tmp_path, half) as (relay, _):
             reader, writer = await ask(relay.listener.address, first_line())
             await reader.readline()
-            draining = asyncio.ensure_future(relay.lives.drain(relay))
+            draining = asyncio.ensure_future(relay.request_registry.drain(relay))
             await asyncio.sleep(0)
             late = asyncio.ensure_future(reply(relay.listener.address, first_line()))
             assert await reader.read() == b"M 1 whole\r\nMOVE\r\n"
             assert await late == b"UP r\r\n"
             writer.close()
             await draining
-            assert len(relay.lives) == 0
+            assert len(relay.request_registry) == 0
 
     story(go())
 
@@ -219,8 +219,8 @@
     async def go() -> None:
         async with relaying(tmp_path, says(b"UP r\r\nLOAD 1500\r\nLOAD x\r\nBYE\r\n")) as (relay, _):
             told = []
-            handle = relay.module._balancer.handle
-            relay.module._balancer.handle = lambda now, e: (told.append(e), handle(now, e))[1]  # type: ignore[method-assign]
+            handle = relay.balancer_actor._balancer.handle
+            relay.balancer_actor._balancer.handle = lambda now, e: (told.append(e), handle(now, e))[1]  # type: ignore[method-assign]
             reader, writer = await ask(relay.listener.address, first_line())
             assert await reader.read() == b"UP r\r\nLOAD 1500\r\nLOAD x\r\nBYE\r\n"
             writer.close()
@@ -232,7 +232,7 @@
 
 
 def test_faulty_configuration_names_its_key(tmp_path: Path) -> None:
-    from sageturn.config import ConfigError, load
+    from sageturn.config.loader import ConfigError, load
 
     good = {"name": "n", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1", "settings": {}}
     faults = (({"listen": "x"}, "listen"), ({"seed": 5}, "seed"), ({}, "settings.classes: is missing"))
--- a/tests/test_probing.py
+++ b/tests/test_probing.py
@@ -14,23 +14,23 @@
 from hypothesis import strategies as st
 from net_peers import SETTINGS, Script, ask, first_line, relaying, reply, resets, says, silent, up
 
-from sageturn import interface as api
-from sageturn.probing import EACH_MS, HOST_MS, SPEND, Probes
-from sageturn.reports import checked, read_report
+from sageturn import decision
+from sageturn.decision.health_checks import EACH_MS, HOST_MS, SPEND, HealthCheckScheduler
+from sageturn.decision.load_reports import checked, read_report
 
 FIELDS = ("x0", "x1", "cpu")
 PROBED: dict[str, Any] = {
     "probes": True,
     "reports": "probe",
     "report_fields": FIELDS,
-    "price_probe": 0.0025,
-    "tells_delay": False,
+    "health_check_cost": 0.0025,
+    "reports_delay": False,
 }
 
 
-def make_probes(**change: Any) -> Probes:
-    settings = api.Settings(classes=(api.RequestClass("c", 500),), **{**PROBED, **change})
-    return Probes(settings, 80.0, Random(1))
+def make_probes(**change: Any) -> HealthCheckScheduler:
+    settings = decision.Settings(classes=(decision.RequestClass("c", 500),), **{**PROBED, **change})
+    return HealthCheckScheduler(settings, 80.0, Random(1))
 
 
 def story(coro: Any) -> None:
@@ -72,22 +72,22 @@
 
 @given(st.integers(1, 300), st.integers(1, 90), st.floats(0.0001, 0.1), st.integers(0, 40))
 def test_no_more_is_asked_than_is_paid_for_and_than_servers_can_bear(
-    relays: int, servers: int, price: float, requests: int
+    relays: int, endpoints: int, price: float, requests: int
 ) -> None:
-    names = [f"s{k}" for k in range(servers)]
-    probes = make_probes(balancers=relays, price_probe=price)
+    names = [f"s{k}" for k in range(endpoints)]
+    probes = make_probes(relay_count=relays, health_check_cost=price)
     asked: Counter[str] = Counter()
     for look in range(240):  # a minute
         if look < requests:
             probes.paid()
         asked.update(probes.due(250.0 * look, names))
-    assert servers <= asked.total() <= servers + max(1.0, requests * SPEND / price) + 1e-6
+    assert endpoints <= asked.total() <= endpoints + max(1.0, requests * SPEND / price) + 1e-6
     least_ms = 0.75 * max(EACH_MS, HOST_MS * relays)
     assert max(asked.values()) <= 60000.0 / least_ms + 1.0
 
 
 def test_a_server_that_takes_no_probes_is_not_asked_again_while_it_is_listed() -> None:
-    probes = make_probes(price_probe=0.0)
+    probes = make_probes(health_check_cost=0.0)
     assert probes.due(0.0, "ab") == ["a", "b"]
     probes.paid()
     probes.refused("a")
@@ -100,8 +100,8 @@
 # ---------------------------------------------------------------- what the module makes of it
 
 
-def told(relay: Any, server: str, **report: float) -> list[Any]:
-    return relay.tell(api.Probed(server, "ok", report))
+def told(relay: Any, endpoint: str, **report: float) -> list[Any]:
+    return relay.tell(decision.HealthCheckCompleted(endpoint, "ok", report))
 
 
 def fill(relay: Any, count: int) -> None:
@@ -111,55 +111,59 @@
 
 
 def test_probes_are_asked_for_only_where_they_are_allowed_and_tell_something(make: Any) -> None:
-    without = {"probes": False}, {"reports": "none"}, {"report_fields": ("rps",)}, {"tells_delay": True}
+    without = {"probes": False}, {"reports": "none"}, {"report_fields": ("rps",)}, {"reports_delay": True}
     for change in ({}, *without):
         relay = make([], **{**PROBED, **change})
-        actions = relay.tell(api.ServerList("stale", [api.Server("a")]))
-        timers = [a.mark for a in actions if isinstance(a, api.SetTimer)]
+        actions = relay.tell(decision.EndpointListEvent("stale", [decision.Endpoint("a")]))
+        timers = [a.mark for a in actions if isinstance(a, decision.SetTimer)]
         assert timers == ([] if change else ["probe"])
         if not change:
-            assert relay.tell(api.Timer("probe"))[0] == api.Probe("a")
+            assert relay.tell(decision.TimerFired("probe"))[0] == decision.CheckHealth("a")
 
 
 def test_a_server_reported_full_takes_nothing_more_and_one_beyond_it_is_relieved_once(make: Any) -> None:
     # Without reports a host at its limit showed only once it broke connections off.
-    relay = make([api.Server("a"), api.Server("b")], **PROBED, tenants=(api.Tenant("t", 90.0),))
+    relay = make(
+        [decision.Endpoint("a"), decision.Endpoint("b")], **PROBED, tenants=(decision.Tenant("t", 90.0),)
+    )
     fill(relay, 20)
-    there = relay.balancer.servers["a"].open
-    assert told(relay, "a", x0=0.7, x1=0.0) == [] and not relay.balancer.servers["a"].full()
+    there = relay.balancer.endpoints["a"].open
+    assert told(relay, "a", x0=0.7, x1=0.0) == [] and not relay.balancer.endpoints["a"].full()
     told(relay, "a", x0=0.78, x1=0.0)
-    assert relay.balancer.servers["a"].full()
+    assert relay.balancer.endpoints["a"].full()
     moves = told(relay, "a", x0=1.4, x1=0.4)
-    assert len(moves) in (there // 2, there // 2 + 1) and all(isinstance(a, api.Move) for a in moves)
+    assert len(moves) in (there // 2, there // 2 + 1) and all(
+        isinstance(a, decision.MigrateConnection) for a in moves
+    )
     relay.now += 500.0
     assert told(relay, "a", x0=1.4, x1=0.4) == []  # no report tells yet what that did
     for _ in range(60):
         relay.now += 1000.0
         assert told(relay, "a", x0=0.4, x1=0.0) == []
         relay.balancer._review_closed(relay.now)
-    assert not relay.balancer.servers["a"].full()
+    assert not relay.balancer.endpoints["a"].full()
 
 
 def test_reports_in_answers_count_and_probe_failures_put_no_server_out(make: Any) -> None:
-    settings = {**PROBED, "reports": "answers", "tenants": (api.Tenant("t", 90.0),)}
-    relay = make([api.Server("a"), api.Server("b")], **settings)
+    settings = {**PROBED, "reports": "answers", "tenants": (decision.Tenant("t", 90.0),)}
+    relay = make([decision.Endpoint("a"), decision.Endpoint("b")], **settings)
     relay.ask()
     name = relay.sent[1][0]
-    relay.tell(api.Outcome(1, 0, name, "full", False, {"x0": 0.9}))
-    assert relay.balancer.servers[name].full()
+    relay.tell(decision.AttemptEnded(1, 0, name, "full", False, {"x0": 0.9}))
+    assert relay.balancer.endpoints[name].full()
     for status in ("timeout", "connect_failed", "error", "moot") * 5:
-        relay.tell(api.Probed("a", status))
-        relay.tell(api.Probed("zz", status, {"x0": 5.0}))
-    assert relay.balancer.servers["a"].ready
+        relay.tell(decision.HealthCheckCompleted("a", status))
+        relay.tell(decision.HealthCheckCompleted("zz", status, {"x0": 5.0}))
+    assert relay.balancer.endpoints["a"].ready
 
 
 def test_without_reports_for_a_while_the_relays_own_signs_count_again(make: Any) -> None:
-    relay = make([api.Server("a"), api.Server("b")], **PROBED)
+    relay = make([decision.Endpoint("a"), decision.Endpoint("b")], **PROBED)
     assert not relay.balancer._sees_delay()
     told(relay, "a", x0=0.2)
     assert relay.balancer._sees_delay()
     relay.now += 5001.0
-    relay.tell(api.FirstSign(99, 0, "a"))
+    relay.tell(decision.ConnectionEstablished(99, 0, "a"))
     assert not relay.balancer._sees_delay()
 
 
@@ -205,7 +209,7 @@
 def test_a_probe_ends_in_one_outcome_whatever_comes_back(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, words: tuple[bytes, ...], outcomes: list[Any]
 ) -> None:
-    monkeypatch.setattr("sageturn.net.probes.ANSWER_S", 0.3)
+    monkeypatch.setattr("sageturn.net.health_check_client.ANSWER_S", 0.3)
     monkeypatch.setitem(SETTINGS, "policyLimits", {**SETTINGS["policyLimits"], "probes": True})
     monkeypatch.setitem(SETTINGS, "report", {"source": "probe", "fields": list(FIELDS)})
     script, seen = probed_by(*words)
@@ -213,13 +217,13 @@
     async def go() -> None:
         async with relaying(tmp_path, script) as (relay, _):
             assert relay.prober is not None
-            heard: asyncio.Queue[api.Probed] = asyncio.Queue()
+            heard: asyncio.Queue[decision.HealthCheckCompleted] = asyncio.Queue()
             relay.prober._tell = heard.put
-            relay.module.probe = lambda endpoint: None  # the test asks, not the module
+            relay.balancer_actor.probe = lambda endpoint: None  # the test asks, not the module
             for status, report in outcomes:
                 relay.prober.ask("a")
                 relay.prober.ask("a")  # one at a time
-                assert await heard.get() == api.Probed("a", status, report)
+                assert await heard.get() == decision.HealthCheckCompleted("a", status, report)
                 while relay.prober._out:
                     await asyncio.sleep(0)
             assert len(seen) == len(words) and set(seen) == {b"STATS\r\n"} and heard.empty()
@@ -247,14 +251,14 @@
     async def go() -> None:
         async with relaying(tmp_path, says(b"UP r\r\nBYE x0=0.25,util=0.5\r\n")) as (relay, _):
             told: list[Any] = []
-            handle = relay.module._balancer.handle
-            relay.module._balancer.handle = lambda now, e: (told.append(e), handle(now, e))[1]  # type: ignore[method-assign]
+            handle = relay.balancer_actor._balancer.handle
+            relay.balancer_actor._balancer.handle = lambda now, e: (told.append(e), handle(now, e))[1]  # type: ignore[method-assign]
             reader, writer = await ask(relay.listener.address, first_line(more=",r=1"))
             assert await reader.read() == b"UP r\r\nBYE x0=0.25,util=0.5\r\n"
             writer.close()
-            while not any(isinstance(e, api.Outcome) for e in told):
+            while not any(isinstance(e, decision.AttemptEnded) for e in told):
                 await asyncio.sleep(0.01)
-            (ended,) = [e for e in told if isinstance(e, api.Outcome)]
+            (ended,) = [e for e in told if isinstance(e, decision.AttemptEnded)]
             assert (ended.status, ended.report) == ("ok", {"x0": 0.25, "cpu": 0.5})
             assert [e.retried for e in told if hasattr(e, "retried")] == [True]
 
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -13,7 +13,18 @@
 from pathlib import Path
 from typing import Any
 
-from net_peers import Discovery, Endpoint, ask, chunked, first_line, listed, reply, served, up, write_config
+from net_peers import (
+    Discovery,
+    FakeEndpoint,
+    ask,
+    chunked,
+    first_line,
+    listed,
+    reply,
+    served,
+    up,
+    write_config,
+)
 
 Address = tuple[str, int]
 
@@ -29,7 +40,7 @@
     folder: Path, environ: tuple[str, str] | None = None, log: Any = asyncio.subprocess.DEVNULL, **more: Any
 ) -> AsyncIterator[tuple[asyncio.subprocess.Process, Address]]:
     async with AsyncExitStack() as stack:
-        endpoint = Endpoint(up)
+        endpoint = FakeEndpoint(up)
         await stack.enter_async_context(served(endpoint))
         discovery = Discovery(chunked(listed({"a": endpoint.address}, 2)))
         await stack.enter_async_context(served(discovery))
--- a/tests/test_quiet.py
+++ b/tests/test_quiet.py
@@ -11,13 +11,13 @@
 from test_xmpp import Client, Server, client_tls
 from test_xmpp import relaying as relaying_xmpp
 
-from sageturn.core.quiet import Quiet
-from sageturn.fronts.platform import BACK_WITHIN_S, LINE_EVERY_S, MUTE_S
+from sageturn.core.idle_timeout import IdleTimeout
+from sageturn.frontends.platform import BACK_WITHIN_S, LINE_EVERY_S, MUTE_S
 
 LAST = 100.0  # the endpoint's last word
 
 
-def mute_at(quiet: Quiet, asks: list[float]) -> float:
+def mute_at(quiet: IdleTimeout, asks: list[float]) -> float:
     """When the client is moved: the wait is slept out, and asked for again, as ``wait_out`` does."""
     now, asks = LAST, sorted(asks)
     while True:
@@ -33,7 +33,7 @@
 def test_a_client_of_a_silent_endpoint_is_moved_in_time_whatever_its_beat(phase: float, stood: float) -> None:
     # Seen: silent 10 and silent+term 2, a client whose next line came 1.8 s after the endpoint's last word
     # was to be moved 5.0 to 5.25 s after that line, and left after 7 s: its request was lost.
-    quiet = Quiet(LAST - stood, MUTE_S, LINE_EVERY_S)
+    quiet = IdleTimeout(LAST - stood, MUTE_S, LINE_EVERY_S)
     quiet.asked(LAST - stood)
     quiet.heard(LAST)
     moved = mute_at(quiet, [LAST + phase + k * LINE_EVERY_S for k in range(4)])
@@ -41,7 +41,7 @@
 
 
 def test_a_line_gets_its_whole_patience_and_an_idle_endpoint_is_not_mute() -> None:
-    quiet = Quiet(LAST, 3.0, 2.0)
+    quiet = IdleTimeout(LAST, 3.0, 2.0)
     for hour in range(1, 4):
         assert quiet.left_s(LAST + 3600.0 * hour) == 3.0  # nothing was asked
     quiet.asked(LAST + 3600.0)
@@ -101,7 +101,7 @@
                 assert await reader.read() == b"", name  # nothing after the one answer
                 assert 1 <= sum(len(e.lines) for e in endpoints) <= 3, name
             writer.close()
-            while any(e.open for e in endpoints) or len(relay.lives):  # none is left behind
+            while any(e.open for e in endpoints) or len(relay.request_registry):  # none is left behind
                 await asyncio.sleep(0.01)
             assert all(e.most_open <= 1 for e in endpoints)
 
--- a/tests/test_rebalance.py
+++ b/tests/test_rebalance.py
@@ -9,13 +9,13 @@
 from hypothesis import strategies as st
 from rebalance_fleet import Fleet
 
-from sageturn import Note, Outcome, Server, ServerList
-from sageturn.core.hosts import Marks, look
-from sageturn.rebalance.book import Book
+from sageturn import AttemptEnded, Endpoint, EndpointListEvent, MeasurementReported
+from sageturn.core.endpoint_snapshot import OperatorMarks, snapshot_endpoints
+from sageturn.rebalance.book import ConnectionTable
 from sageturn.rebalance.clients import Clients
 from sageturn.rebalance.options import RebalanceOptions
 from sageturn.rebalance.pace import Sign
-from sageturn.rebalance.signs import Signs
+from sageturn.rebalance.signs import OverloadSignals
 
 QUICK = {"part_per_min": 0.5, "least_age_s": 2.0}
 
@@ -92,8 +92,8 @@
         fleet.stands("a", 20, f"g{number}")
     fleet.stands("b", 20, "x")
     fleet.stands("c", 20, "y")
-    for server in fleet.balancer.servers.values():
-        server.limit = 16  # as after some set-ups in time
+    for endpoint in fleet.balancer.endpoints.values():
+        endpoint.limit = 16  # as after some set-ups in time
     waited = 0
     while not fleet.moved:
         waited += fleet.step().phase == "waiting"
@@ -102,11 +102,17 @@
 
 
 def test_a_fresh_host_gets_its_part_within_what_it_can_take() -> None:
-    fleet = Fleet("abcde", {**QUICK, "burst": 8}, warm_within_ms=24000.0, cold_from=0.12, fall_multiple=4.0)
+    fleet = Fleet(
+        "abcde",
+        {**QUICK, "burst": 8},
+        slow_start_ms=24000.0,
+        initial_capacity_ratio=0.12,
+        cold_overload_multiple=4.0,
+    )
     for host in "abcde":
         fleet.stands(host, 60)
-    new = [Server(name) for name in "abcde"] + [Server("f", started_at_ms=fleet.now)]
-    fleet.tell(ServerList("full", new))
+    new = [Endpoint(name) for name in "abcde"] + [Endpoint("f", started_at_ms=fleet.now)]
+    fleet.tell(EndpointListEvent("full", new))
     fall_s, sent = 3.0, []
     began = fleet.now
     for _ in range(300):
@@ -129,8 +135,8 @@
         client, cls, group, _ = fleet.conns[request_id]
         fleet.ends(request_id, "reset")
         fleet.away.append((fleet.now + 500.0, client, cls, group))
-    again = [Server(n, started_at_ms=fleet.now if n == "d" else 0.0) for n in "abcd"]
-    fleet.tell(ServerList("full", again))
+    again = [Endpoint(n, started_at_ms=fleet.now if n == "d" else 0.0) for n in "abcd"]
+    fleet.tell(EndpointListEvent("full", again))
     count, at = len(fleet.moved), fleet.now
     assert fleet.step().phase == "held" and fleet.planner.pace.rate == 0.0
     fleet.run(25)
@@ -148,10 +154,10 @@
         fleet.step()
     fleet.gap_ms = 8000.0
     for name in "bcd":  # no set-up is answered: the limits shrink, and everyone is refused
-        fleet.balancer.servers[name].limit = fleet.balancer.servers[name].pending = 4
-        fleet.balancer._sum(fleet.balancer.servers[name])
-    fleet.balancer.servers["a"].limit = fleet.balancer.servers["a"].pending = 4
-    fleet.balancer._sum(fleet.balancer.servers["a"])
+        fleet.balancer.endpoints[name].limit = fleet.balancer.endpoints[name].pending = 4
+        fleet.balancer._sum(fleet.balancer.endpoints[name])
+    fleet.balancer.endpoints["a"].limit = fleet.balancer.endpoints["a"].pending = 4
+    fleet.balancer._sum(fleet.balancer.endpoints["a"])
     count = len(fleet.moved)
     refused = sum(not fleet.comes(f"new{n}", group="zz") for n in range(12))
     assert refused >= 4
@@ -165,7 +171,7 @@
     fleet.come_back = False
     most = 0
     for _ in range(120):
-        room = sum(view.room for view in look(fleet.balancer, fleet.now))
+        room = sum(view.room for view in snapshot_endpoints(fleet.balancer, fleet.now))
         fleet.step()
         most = max(most, len(fleet.planner.clients.on_way))
         assert most <= room
@@ -185,14 +191,14 @@
     fleet = skewed()
     while not fleet.moved:
         fleet.step()
-    fleet.tell(ServerList("changes", [Server("c", state="draining")]))
+    fleet.tell(EndpointListEvent("changes", [Endpoint("c", state="draining")]))
     count = len(fleet.moved)
     assert fleet.step().phase == "held" and "draining" in fleet.plan.why
-    fleet.tell(ServerList("changes", [Server("c")]))
-    fleet.tell(ServerList("failed", []))
+    fleet.tell(EndpointListEvent("changes", [Endpoint("c")]))
+    fleet.tell(EndpointListEvent("failed", []))
     fleet.run(30)
     assert "list_failed" in fleet.plan.why and len(fleet.moved) == count
-    fleet.tell(ServerList("full", [Server(n) for n in "abcd"]))
+    fleet.tell(EndpointListEvent("full", [Endpoint(n) for n in "abcd"]))
     fleet.run(90)
     assert len(fleet.moved) > count
 
@@ -201,27 +207,27 @@
     fleet = skewed()
     for turn in range(60):
         names = "abcd" if turn % 2 else "abc"
-        fleet.tell(ServerList("full", [Server(n) for n in names]))
+        fleet.tell(EndpointListEvent("full", [Endpoint(n) for n in names]))
         fleet.step()
     assert fleet.moved == []
 
 
 def test_every_host_overfull_moves_nobody() -> None:
     fleet = skewed()
-    for server in fleet.balancer.servers.values():
-        server.spent_until_ms = float("inf")
+    for endpoint in fleet.balancer.endpoints.values():
+        endpoint.spent_until_ms = float("inf")
     fleet.run(60)
     assert fleet.moved == [] and "room" in fleet.plan.why
 
 
 def test_chance_alone_moves_nobody_where_many_relays_share_the_hosts() -> None:
     # Of 50 relays each sees a handful on each host: unequal, though the hosts are equally full.
-    fleet = Fleet("abcdefgh", QUICK, balancers=50, groups=False)
+    fleet = Fleet("abcdefgh", QUICK, relay_count=50, groups=False)
     for host, count in zip("abcdefgh", (2, 7, 4, 6, 3, 5, 1, 4), strict=True):
         fleet.stands(host, count)
     fleet.run(60)
     assert fleet.moved == [] and fleet.plan.phase == "balanced"
-    alone = Fleet("abcdefgh", QUICK, balancers=1, groups=False)
+    alone = Fleet("abcdefgh", QUICK, relay_count=1, groups=False)
     for host, count in zip("abcdefgh", (2, 7, 4, 6, 3, 5, 1, 4), strict=True):
         alone.stands(host, count)
     alone.run(60)
@@ -230,13 +236,13 @@
 
 def test_sizes_and_loads_count_not_connections() -> None:
     fleet = Fleet("ab", QUICK, weights="nominal", groups=False)
-    fleet.tell(ServerList("full", [Server("a", share=3.0), Server("b", share=1.0)]))
+    fleet.tell(EndpointListEvent("full", [Endpoint("a", share=3.0), Endpoint("b", share=1.0)]))
     fleet.stands("a", 30, load=2.0)
     fleet.stands("b", 10, load=2.0)
     fleet.run(60)
     assert fleet.moved == []
     for request_id in fleet.on("b"):
-        fleet.tell(Note(request_id, 0, "b", "load", 6.0))
+        fleet.tell(MeasurementReported(request_id, 0, "b", "load", 6.0))
     fleet.run(90)
     assert fleet.moved and all("b at" in why for _, _, why in fleet.moved)
 
@@ -291,7 +297,7 @@
     for host in {fleet.conns[i][3] for i in landed}:
         fleet.balancer.actions = []
         for _ in range(30):
-            fleet.balancer._relieve(fleet.balancer.servers[host])
+            fleet.balancer._relieve(fleet.balancer.endpoints[host])
         assert not {a.id for a in fleet.balancer.actions} & set(landed)
         assert fleet.balancer.actions
 
@@ -355,12 +361,14 @@
             fleet.planner.moved_by_other(fleet.now, some[number % len(some)])
         elif what == "drain":
             state = ("draining", "ready")[number % 2]
-            fleet.tell(ServerList("changes", [Server("abcd"[number % 4], state=state)]))
+            fleet.tell(EndpointListEvent("changes", [Endpoint("abcd"[number % 4], state=state)]))
         elif what == "list":
             started = {"d": number * 10.0}
-            fleet.tell(ServerList("full", [Server(n, started_at_ms=started.get(n, 0.0)) for n in "abcd"]))
+            fleet.tell(
+                EndpointListEvent("full", [Endpoint(n, started_at_ms=started.get(n, 0.0)) for n in "abcd"])
+            )
         else:
-            fleet.tell(ServerList("failed", []))
+            fleet.tell(EndpointListEvent("failed", []))
         most = max(most, len(fleet.conns))
     top = fleet.planner.pace.top(most)
     times = [t for t, _, _ in fleet.moved]
@@ -391,17 +399,17 @@
 
 def test_an_outcome_for_nobody_is_passed_over() -> None:
     fleet = skewed()
-    fleet.tell(Outcome(99999, 0, "a", "reset", True))
+    fleet.tell(AttemptEnded(99999, 0, "a", "reset", True))
     assert len(fleet.planner.book) == len(fleet.conns)
 
 
 def test_a_held_host_gives_and_takes_nothing() -> None:
     fleet = skewed()
-    fleet.planner.marks = Marks(held=frozenset("a"))
+    fleet.planner.marks = OperatorMarks(held=frozenset("a"))
     fleet.run(90)
     assert not any(why.startswith("a at") for _, _, why in fleet.moved)
     other = skewed()
-    other.planner.marks = Marks(held=frozenset("bc"))
+    other.planner.marks = OperatorMarks(held=frozenset("bc"))
     before = other.held()
     other.run(90)
     assert other.moved and other.held()["d"] > before["d"]
@@ -413,8 +421,8 @@
     fleet.stands("a", 20, "whale")
     fleet.stands("a", 5, cls="guest-checkin")
     fleet.stands("b", 25, "x")
-    fleet.tell(ServerList("changes", [Server("a", state="draining")]))
-    fleet.planner.marks = Marks(out=frozenset("a"), cleared=frozenset("a"))
+    fleet.tell(EndpointListEvent("changes", [Endpoint("a", state="draining")]))
+    fleet.planner.marks = OperatorMarks(out=frozenset("a"), cleared=frozenset("a"))
     fleet.run(150)
     assert fleet.held()["a"] == 0 and len(fleet.moved) == 25
     assert all("cleared by an operator" in why for _, _, why in fleet.moved)
@@ -435,7 +443,7 @@
 
 def test_that_most_come_back_at_other_relays_is_no_harm_where_there_are_many() -> None:
     # With 50 relays one in 50 comes back here; a floor of a tenth took that for an outage, and held the pace.
-    signs, book, now = Signs(1.0 / 50.0), Book(), 0.0
+    signs, book, now = OverloadSignals(1.0 / 50.0), ConnectionTable(), 0.0
     for number in range(2000):
         now += 40.0
         if number % 50 == 0:
--- a/tests/test_rebalance_relay.py
+++ b/tests/test_rebalance_relay.py
@@ -16,9 +16,9 @@
 from test_xmpp import relaying as xmpp_relaying
 from xmpp_peers import Client, echo
 
-from sageturn.config import ConfigError, load, read_operator
-from sageturn.rebalance.planner import Move, Plan
-from sageturn.settings import read_settings
+from sageturn.config.loader import ConfigError, load, read_operator
+from sageturn.config.settings import read_settings
+from sageturn.rebalance.planner import Migration, MigrationPlan
 
 ON: dict[str, Any] = {"rebalance": {"mode": "on", "tick_s": 0.05, "least_age_s": 0, "burst": 4}}
 
@@ -31,7 +31,7 @@
 def hasty(monkeypatch: pytest.MonkeyPatch) -> None:
     """A pace at which a test is over soon."""
     monkeypatch.setattr("sageturn.rebalance.pace.SETTLE_MS", 0.0)
-    monkeypatch.setattr("sageturn.rebalance.pace.Pace.top", lambda self, own: 400.0)
+    monkeypatch.setattr("sageturn.rebalance.pace.MigrationRateController.top", lambda self, own: 400.0)
 
 
 async def until(what) -> None:  # type: ignore[no-untyped-def]
@@ -42,7 +42,7 @@
 def test_a_relay_moves_some_who_stand_at_the_fuller_host(tmp_path: Path, hasty: None) -> None:
     async def go() -> None:
         async with relaying(tmp_path, up, up, operator=ON) as (relay, (a, b)):
-            await until(lambda: relay.destinations.version == 2)
+            await until(lambda: relay.endpoint_registry.version == 2)
 
             async def client(key: str) -> None:
                 line = first_line(more=",at=a", key=key)
@@ -71,7 +71,7 @@
             relay._reload.set()
             await until(lambda: planner.options.mode == "off")
             assert planner.step().phase == "off"
-            relay.lives.stopping = True
+            relay.request_registry.stopping = True
             for task in clients:
                 task.cancel()
 
@@ -92,7 +92,7 @@
             await until(lambda: relay.rebalancer is not None)
             assert relay.rebalancer is not None
             assert len(relay.rebalancer.book) == 3 and relay.rebalancer.book.hosts["a"].parts["g1"].count == 3
-            draining = asyncio.ensure_future(relay.lives.drain(relay))
+            draining = asyncio.ensure_future(relay.request_registry.drain(relay))
             await until(lambda: relay.rebalancer.counts["by_others"] == 3)  # type: ignore[union-attr]
             assert relay.rebalancer.step().phase == "stopping"
             await draining
@@ -108,7 +108,7 @@
         async with relaying(tmp_path, up, operator=ON) as (relay, _):
             monkeypatch.setattr(relay.rebalancer, "after", fails)
             reader, writer = await ask(relay.listener.address, first_line())
-            assert await reader.readline() == b"UP r1\r\n" and relay.module.companions == []
+            assert await reader.readline() == b"UP r1\r\n" and relay.balancer_actor.observers == []
             monkeypatch.setattr(relay.rebalancer, "tick", fails)
             await until(lambda: relay.rebalancer.options.mode == "off")  # type: ignore[union-attr]
             writer.write(b"M 1\r\n")
@@ -129,9 +129,9 @@
             await relay._switch(load({"GW_CONFIG": str(tmp_path / "config.json")}, str(file)))
             planner = relay.rebalancer
             assert planner is not None and len(planner.book) == 1
-            (life,) = relay.lives
-            assert planner.book.client_of(life.id) != 0
-            planner.tick = lambda *_: Plan((Move(life.id, "a test"),), "balancing", "")  # type: ignore[method-assign]
+            (lifecycle,) = relay.request_registry
+            assert planner.book.client_of(lifecycle.id) != 0
+            planner.tick = lambda *_: MigrationPlan((Migration(lifecycle.id, "a test"),), "balancing", "")  # type: ignore[method-assign]
             assert "<move xmlns='urn:sageturn:relay:0'" in await client.rest()
 
     story(go())
@@ -140,7 +140,7 @@
 def test_off_on_the_platform_it_is_not_even_imported(tmp_path: Path) -> None:
     file = write_config(tmp_path, ("127.0.0.1", 1))
     code = (
-        "import sys; from sageturn.__main__ import main; from sageturn import config; "
+        "import sys; from sageturn.__main__ import main; from sageturn.config import loader as config; "
         "from sageturn.relay import Relay; Relay(config.load()); "
         "print([m for m in sys.modules if m.startswith(('sageturn.rebalance', 'sageturn.lab'))])"
     )
--- a/tests/test_rude.py
+++ b/tests/test_rude.py
@@ -9,7 +9,7 @@
 import pytest
 from net_peers import Streams, ask, first_line, relaying, reply, silent, up
 
-from sageturn.net.admission import Limits
+from sageturn.net.admission import ProcessLimits
 
 FLOOD = b"k" * (1 << 20)
 
@@ -48,7 +48,7 @@
     # Nothing bounded them: 2,000 on a day held 330 of 384 descriptors. The oldest go, those who stand stay.
     async def go() -> None:
         async with relaying(tmp_path, up) as (relay, _):
-            relay.admission.limits = Limits(sockets=96, memory_mb=192.0)
+            relay.admission.limits = ProcessLimits(sockets=96, memory_mb=192.0)
             reader, writer = await ask(relay.listener.address, first_line())
             assert await reader.readline() == b"UP r1\r\n"
             crowd = [await ask(relay.listener.address, b"") for _ in range(40)]
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -34,7 +34,7 @@
 from sageturn.lab.scale.play import Play, lane_name, measured, peers_of, play, spans
 from sageturn.lab.scale.report import fit_lines, plot, table
 from sageturn.lab.scale.results import fits, judged, over_all, predict
-from sageturn.net.admission import Admission, Limits
+from sageturn.net.admission import AdmissionController, ProcessLimits
 from sageturn.store.store import Store
 
 SMALL = Windows(settle_s=1.0, idle_s=1.2, changes=6, changes_s=0.4, tail_s=1.5, ready_s=30.0)
@@ -359,10 +359,12 @@
                 writer.write(data)
             writer.close()
 
-        server = await asyncio.start_server(echo, "127.0.0.1", 0)
+        endpoint = await asyncio.start_server(echo, "127.0.0.1", 0)
         front = listening()
         lane = Lane("zone:0-0", 0.001, 0.05)
-        running = asyncio.ensure_future(Forwarder(front, server.sockets[0].getsockname(), lane, seed=5).run())
+        running = asyncio.ensure_future(
+            Forwarder(front, endpoint.sockets[0].getsockname(), lane, seed=5).run()
+        )
         await asyncio.sleep(0)  # it listens from its first turn on
         reader, writer = await asyncio.open_connection(*front.getsockname())
         sent = os.urandom(100_000)
@@ -377,8 +379,8 @@
         running.cancel()
         await asyncio.wait((running,))
         with pytest.raises(OSError):
-            await asyncio.open_connection(*server.sockets[0].getsockname()[:1], port=front_port)
-        server.close()
+            await asyncio.open_connection(*endpoint.sockets[0].getsockname()[:1], port=front_port)
+        endpoint.close()
 
     front_port = listening().getsockname()[1]
     on_loopback(story)
@@ -393,10 +395,12 @@
                 got.append(len(data))
             writer.close()
 
-        server = await asyncio.start_server(swallow, "127.0.0.1", 0)
+        endpoint = await asyncio.start_server(swallow, "127.0.0.1", 0)
         front = listening()
         lane = Lane("between:0-3", 0.01)
-        running = asyncio.ensure_future(Forwarder(front, server.sockets[0].getsockname(), lane, seed=5).run())
+        running = asyncio.ensure_future(
+            Forwarder(front, endpoint.sockets[0].getsockname(), lane, seed=5).run()
+        )
         await asyncio.sleep(0)
         _, writer = await asyncio.open_connection(*front.getsockname())
         lane.set_cut(True)
@@ -413,7 +417,7 @@
             await asyncio.sleep(0.001)
         running.cancel()
         await asyncio.wait((running,))
-        server.close()
+        endpoint.close()
 
     on_loopback(story)
 
@@ -533,14 +537,14 @@
 
         async def stop(self) -> None: ...
 
-    def make(store: Store, options: LinkOptions, admission: Admission, place: Place) -> Other:
+    def make(store: Store, options: LinkOptions, admission: AdmissionController, place: Place) -> Other:
         made.append((store, place))
         return Other()
 
     monkeypatch.setitem(members.SPREADS, "other", make)
     store, place = Store("a"), Place("a", "z0", "g0")
     options = LinkOptions(("127.0.0.1", 0), (), b"")
-    found = make_spreader("other", store, options, Admission(Limits(64, 64.0)), place)
+    found = make_spreader("other", store, options, AdmissionController(ProcessLimits(64, 64.0)), place)
     assert isinstance(found, Other) and made == [(store, place)]
 
 
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -8,14 +8,14 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from sageturn import Move, Note, Refuse, Server, Tenant
-from sageturn.shares import (
+from sageturn import Endpoint, MeasurementReported, MigrateConnection, RejectRequest, Tenant
+from sageturn.decision.quotas import (
     QUOTA_FEW,
     QUOTA_LOOSE,
     QUOTA_OVER,
     QUOTA_PART,
-    Place,
-    SetUpWindow,
+    EndpointCapacity,
+    SetupWindow,
     quota_bounds,
 )
 
@@ -30,7 +30,7 @@
 def test_relays_of_all_zones_together_hold_no_more_than_the_quotas_part(
     drawn: list[tuple[str, float]], each_zone: int, priced: bool
 ) -> None:
-    places = [Place(zone, size, 2.0) for zone, size in drawn]
+    places = [EndpointCapacity(zone, size, 2.0) for zone, size in drawn]
     zones = sorted({p.zone for p in places})
     relays = each_zone * len(zones)
     held, total = [0.0] * len(places), 0.0
@@ -45,7 +45,7 @@
 
 
 def test_bounds_change_smoothly_with_the_number_of_relays() -> None:
-    places = [Place(zone, 2.0, 2.0) for zone in ZONES * 3]
+    places = [EndpointCapacity(zone, 2.0, 2.0) for zone in ZONES * 3]
     whole = [n * quota_bounds(places, ZONES, "w", 50.0, n)[0] for n in range(4, 81)]
     assert all(0.6 < b / a <= 1.0 for a, b in zip(whole, whole[1:], strict=False))
     assert whole[0] > 600.0 * 2 and whole[-1] < 600.0 * 0.7
@@ -55,7 +55,7 @@
 def test_a_window_stays_inside_its_part_and_always_opens_again(
     ends: list[tuple[float, bool]], relays: int
 ) -> None:
-    window, now = SetUpWindow(13.0, relays, 300.0, Random(1)), 0.0
+    window, now = SetupWindow(13.0, relays, 300.0, Random(1)), 0.0
     for took, served in ends:
         now += took
         window.ended(now, took, served)
@@ -70,21 +70,27 @@
 def test_a_host_beyond_its_quotas_part_gets_nothing_more_and_is_relieved_one_by_one(make: Any) -> None:
     # 40 relays put 70 clients on each of four hosts while others warmed up: all messages came late.
     tenants = (Tenant("t", 13.0, 800.0),)
-    servers = [Server(name, share=2.0) for name in "ab"]
-    relay = make(servers, tenants=tenants, balancers=40, tells_delay=False, weights="rough", price_move=0.02)
+    endpoints = [Endpoint(name, share=2.0) for name in "ab"]
+    relay = make(
+        endpoints, tenants=tenants, relay_count=40, reports_delay=False, weights="rough", migration_cost=0.02
+    )
     refused = 0
     for _ in range(60):
         relay.now += 2000.0
         actions = relay.ask()
-        refused += isinstance(actions[0], Refuse)
+        refused += isinstance(actions[0], RejectRequest)
         if relay.ids in relay.sent:
             relay.stands(relay.ids)
     b = relay.balancer
     assert 12 <= b.open <= 16 and refused >= 44  # 0.7 of two hosts' 400, shared by 40
     held = [i for i, sent in relay.sent.items() if sent[-1] == "a"]
-    b.servers["a"].most = 2.0  # most of it has gone to others
+    b.endpoints["a"].most = 2.0  # most of it has gone to others
     moves = []
     for _ in range(200):
         relay.now += 100.0
-        moves += [a for a in relay.tell(Note(held[-1], 0, "a", "load", 0.0)) if isinstance(a, Move)]
+        moves += [
+            a
+            for a in relay.tell(MeasurementReported(held[-1], 0, "a", "load", 0.0))
+            if isinstance(a, MigrateConnection)
+        ]
     assert 2 <= len(moves) <= 8  # at 40 relays about one in five seconds each
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from sageturn.interface import Action, Event, ListFailure, ServerList, SetTimer, Watch
-from sageturn.simhost import Link, WireError
+from sageturn.decision import Action, DiscoveryFailure, EndpointListEvent, Event, SetTimer, WatchEndpoints
+from sageturn.simhost import SimulatorLink, WireError
 
 CONF = {
     "accounts": [{"name": "t", "fraction": 1.0, "allowancePerS": 5.0}],
@@ -50,7 +50,7 @@
 
 
 def test_a_request_is_relayed_and_every_event_is_taken() -> None:
-    link = Link()
+    link = SimulatorLink()
     assert actions(link.answer(enlist())) == []
     (relay,) = actions(link.answer(batch(inbound(1))))
     to = relay["Relay"]["backend"]
@@ -70,7 +70,7 @@
 
 @pytest.mark.parametrize("state", ["fault", "no_room", "too_slow", "no_route", "cut", "undone", "stale_send"])
 def test_every_outcome_leads_to_another_try(state: str) -> None:
-    link = Link()
+    link = SimulatorLink()
     link.answer(enlist())
     (relay,) = actions(link.answer(batch(inbound(1))))
     (again,) = actions(link.answer(batch(returned(1, relay["Relay"]["backend"], state, False))))
@@ -78,7 +78,7 @@
 
 
 def test_a_killed_instance_starts_anew_in_the_same_batch() -> None:
-    link = Link()
+    link = SimulatorLink()
     link.answer(enlist())
     link.answer(batch(inbound(1)))
     both = batch({"Teardown": {}}, {"Enlist": {"entropy": 6, "conf": CONF}}, {"Fleet": LIST}, inbound(2))
@@ -87,7 +87,7 @@
 
 
 def test_instances_share_nothing() -> None:
-    alone, both = Link(), Link()
+    alone, both = SimulatorLink(), SimulatorLink()
     alone.answer(enlist(3))
     for i in (1, 3):
         both.answer(enlist(i))
@@ -110,7 +110,7 @@
     ],
 )
 def test_bad_input_is_named(line: bytes, says: str) -> None:
-    link = Link()
+    link = SimulatorLink()
     link.answer(enlist())
     with pytest.raises(WireError, match=says):
         link.answer(line)
@@ -127,15 +127,15 @@
 
 def test_a_failed_call_is_classed_by_how_long_it_was_out() -> None:
     # The wire says only that it failed. One that waited stood in a queue; a watch that ended was had.
-    link, told = Link(), list[ListFailure]()
+    link, told = SimulatorLink(), list[DiscoveryFailure]()
     link.answer(enlist())
 
     class Asks:
         def handle(self, now_ms: float, event: Event) -> list[Action]:
-            if isinstance(event, ServerList):
+            if isinstance(event, EndpointListEvent):
                 told.append(event.failure)
                 return [SetTimer(1.0, "watch")]
-            return [Watch()]
+            return [WatchEndpoints()]
 
     link.instances[0] = Asks()  # type: ignore[assignment]
     wake, failed = {"Wake": {"mark": "watch"}}, {"Fleet": {"mode": "X", "nodesList": None}}
@@ -144,4 +144,4 @@
         link.answer(batch(event, now=float(now)))
     told.pop()  # of the list
     link.answer(batch(failed, now=9000.0))
-    assert told == [ListFailure.UNREACHED, ListFailure.OVERLOADED, ListFailure.LOST]
+    assert told == [DiscoveryFailure.UNREACHED, DiscoveryFailure.OVERLOADED, DiscoveryFailure.LOST]
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -21,10 +21,17 @@
 from test_xmpp import relaying as relaying_xmpp
 from xmpp_peers import HEADER, Client
 
-from sageturn.core.drain import StopTimes
+from sageturn.core.shutdown import ShutdownSchedule
 from sageturn.net import listener
-from sageturn.net.admission import Limits
-from sageturn.net.sockets import RESERVE, Connect, Reserve, close_politely, connect, connect_unreserved
+from sageturn.net.admission import ProcessLimits
+from sageturn.net.sockets import (
+    DESCRIPTOR_RESERVE,
+    Connect,
+    DescriptorReserve,
+    close_politely,
+    connect,
+    connect_unreserved,
+)
 from sageturn.store.store import Store
 
 
@@ -73,9 +80,9 @@
         async with relaying(tmp_path, script) as (relay, (endpoint,)):
             reader, writer = await ask(relay.listener.address, first_line())
             assert await reader.readline() == b"UP r1\r\n"
-            await until(lambda: seen and relay.destinations.version == 2)
+            await until(lambda: seen and relay.endpoint_registry.version == 2)
             resting = await ask(relay.listener.address, b"")
-            await until(lambda: relay.admission.unasked)
+            await until(lambda: relay.admission.awaiting_request)
             dialled = {endpoint.address, relay.discovery._address}
             found = ours({relay.listener.address}, dialled)
             assert {s.getpeername() for d, s in found if d == "dialled"} == dialled
@@ -127,7 +134,7 @@
 
     async def go() -> None:
         async with relaying(tmp_path, up) as (relay, _):
-            relay.admission.limits = Limits(sockets=96, memory_mb=1.0)
+            relay.admission.limits = ProcessLimits(sockets=96, memory_mb=1.0)
             held: list[Streams] = [await ask(relay.listener.address, first_line()) for _ in range(17)]
             words = [await reader.readline() for reader, _ in held]
             assert words[-1] == b"BUSY 500\r\n" and options and all(options)
@@ -180,7 +187,7 @@
         async with relaying_xmpp(tmp_path, echo) as (relay, _):
             client = await Client.connect(relay.xmpp.address)
             client.say("<?xml version='1.0'?>")
-            await until(lambda: relay.admission.unasked)
+            await until(lambda: relay.admission.awaiting_request)
             await asyncio.sleep(0.01)
             relay.admission.evict_all()
             client.say(HEADER.format("to").removeprefix("<?xml version='1.0'?>") + " " * 2000)
@@ -230,11 +237,11 @@
         left[0] += 1
         os.close(number)
 
-    RESERVE.hold(0)  # relays of tests before in this process have filled it, from the real table
+    DESCRIPTOR_RESERVE.hold(0)  # relays of tests before in this process have filled it, from the real table
     monkeypatch.setattr("sageturn.net.sockets.socket", Instead(socket, socket=new_socket))
     monkeypatch.setattr("sageturn.net.sockets.os", Instead(os, open=open_file, close=close_file))
     yield left
-    RESERVE.hold(0)
+    DESCRIPTOR_RESERVE.hold(0)
 
 
 def test_the_reserve_is_for_what_must_not_wait_and_is_made_good_before_any_client(short: list[int]) -> None:
@@ -242,7 +249,7 @@
         with socket.create_server(("127.0.0.1", 0)) as door:
             address = door.getsockname()
             short[0] = 2
-            RESERVE.hold(2)
+            DESCRIPTOR_RESERVE.hold(2)
             assert short[0] == 0 and await connect_unreserved(address, 1.0) is Connect.NO_DESCRIPTOR
             watch = await connect(address, 1.0)
             assert isinstance(watch, socket.socket)
@@ -261,7 +268,7 @@
 
 
 def test_a_reserve_that_cannot_be_filled_gives_up_nothing(short: list[int]) -> None:
-    reserve = Reserve()
+    reserve = DescriptorReserve()
     reserve.hold(3)
     assert not reserve.give_up() and not reserve.refill()
     with reserve.lent():
@@ -276,7 +283,7 @@
     # They were left there, and reset with the door.
     async def go() -> None:
         async with relaying(tmp_path, silent) as (relay, _):
-            relay.lives._times = StopTimes(0.0, 0.0, 0.05, 2.0)
+            relay.request_registry._times = ShutdownSchedule(0.0, 0.0, 0.05, 2.0)
             shut, came = relay.shut, list[socket.socket]()
             monkeypatch.setattr(relay.listener, "_take", lambda most: True)
 
@@ -287,7 +294,7 @@
                 shut()
 
             monkeypatch.setattr(relay, "shut", comes_and_shut)
-            await relay.lives.drain(relay)
+            await relay.request_registry.drain(relay)
             for client in came:
                 client.settimeout(5)
                 assert client.recv(99) == b"BUSY 500\r\n" and client.recv(99) == b""
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -11,11 +11,11 @@
 from hypothesis import strategies as st
 from spread_fleet import Fleet, settled
 
-from sageturn.store.records import BadRecord, Record, digest_of, read_record, supersedes
-from sageturn.store.spread.changes import DEPTH, FANOUT, Changes, HashTree
-from sageturn.store.spread.pace import Backoff, Budget
-from sageturn.store.spread.session import PART_OCTETS, Session
-from sageturn.store.spread.wire import PROTOCOL, Refusal, decode, encode
+from sageturn.store.records import InvalidRecordError, StoreRecord, digest_of, parse_record, supersedes
+from sageturn.store.replication.changes import DEPTH, FANOUT, ChangeLogSet, HashTree
+from sageturn.store.replication.pace import Backoff, Budget
+from sageturn.store.replication.session import PART_OCTETS, ReplicationSession
+from sageturn.store.replication.wire import PROTOCOL, SessionRejected, decode, encode
 from sageturn.store.store import Store
 
 NAMES = "abcde"
@@ -208,7 +208,7 @@
     # z holds what a and b have deleted and forgotten; e is new, and linked to z before it is to a.
     fleet = settled("ab", 1, horizon_s=60.0)
     fleet.start("z", Store("z", wall=fleet.wall))
-    fleet.store("z").merge([Record("config/gone", 1, 1, "y"), Record("config/kept", 1, 1, "y")])
+    fleet.store("z").merge([StoreRecord("config/gone", 1, 1, "y"), StoreRecord("config/kept", 1, 1, "y")])
     fleet.restart("z")
     fleet.put("a", "config/kept", 2)
     fleet.start("e", Store("e", wall=fleet.wall))
@@ -411,9 +411,9 @@
 
 
 def test_a_sequence_holds_one_entry_a_key_and_costs_no_more_with_more_changes() -> None:
-    changes = Changes(1)
+    changes = ChangeLogSet(1)
     for number in range(5000):
-        changes.note(Record(f"config/{number % 7}", number, number + 1, "a"), source=number % 2)
+        changes.note(StoreRecord(f"config/{number % 7}", number, number + 1, "a"), source=number % 2)
     (urgent, _) = changes.sequences
     assert [key for _, key, _ in urgent.since(0)] == [f"config/{n % 7}" for n in range(4993, 5000)]
     assert [revision for revision, _, _ in urgent.since(4997)] == [4998, 4999, 5000]
@@ -422,7 +422,7 @@
 
 def test_two_records_of_one_version_and_node_are_decided_alike_everywhere() -> None:
     # A node that was wiped counts its versions anew: (version, node) then stands for two different words.
-    one, two = Record("config/x", 1, 1, "a"), Record("config/x", 2, 1, "a")
+    one, two = StoreRecord("config/x", 1, 1, "a"), StoreRecord("config/x", 2, 1, "a")
     assert supersedes(one, two) != supersedes(two, one) and not supersedes(one, one)
     fleet = Fleet("abc", 1)
     fleet.store("a").merge([one])
@@ -445,7 +445,7 @@
 # ---------------------------------------------------------------- what is refused
 
 
-def pair() -> tuple[Fleet, Session]:
+def pair() -> tuple[Fleet, ReplicationSession]:
     fleet = linked(20)
     fleet.run(2.0)
     (wire,) = fleet.wires.values()
@@ -469,7 +469,7 @@
     before = fleet.store("b").records(), [(c.base, c.until, c.live) for c in session._held]
     try:
         session.receive(encode({kind: value}), fleet.now)
-    except Refusal as refusal:
+    except SessionRejected as refusal:
         assert str(refusal)
     else:
         assert kind in ("ack", "ask", "get")  # there are sound ones among these
@@ -482,14 +482,14 @@
     for payload in (octets, b"z" + octets):
         try:
             message = decode(payload)
-        except Refusal:
+        except SessionRejected:
             continue
         assert isinstance(message, dict) and message
 
 
 def test_a_frame_that_unpacks_to_too_much_is_refused_unpacked_no_further() -> None:
     assert len(encode({"x": "a" * 5_000_000})) < 50_000
-    with pytest.raises(Refusal, match="too large"):
+    with pytest.raises(SessionRejected, match="too large"):
         decode(encode({"x": "a" * 5_000_000}))
     assert decode(encode({"x": "a" * 100_000})) == {"x": "a" * 100_000}
 
@@ -515,7 +515,7 @@
 def test_a_frame_out_of_place_is_refused_with_a_reason(message: dict[str, Any], text: str) -> None:
     fleet, session = pair()
     before = fleet.store("b").records()
-    with pytest.raises(Refusal, match=text):
+    with pytest.raises(SessionRejected, match=text):
         session.receive(encode(message), fleet.now)
     assert fleet.store("b").records() == before
     session.close(text)
@@ -526,18 +526,20 @@
     fleet = Fleet("a", 1)
     dialled = fleet.replicas["a"].open("old", fleet.now, ("127.0.0.1", 9))
     greeting = json.loads(dialled.next(fleet.now) or b"")
-    with pytest.raises(BadRecord, match=f"protocol {PROTOCOL}, this copy speaks 1"):
-        read_record(greeting["records"][0])  # as the old one reads it, and what it then logs
+    with pytest.raises(InvalidRecordError, match=f"protocol {PROTOCOL}, this copy speaks 1"):
+        parse_record(greeting["records"][0])  # as the old one reads it, and what it then logs
     accepted = fleet.replicas["a"].open("old", fleet.now)
     assert accepted.next(fleet.now) is None, "who accepts waits for the greeting"
-    with pytest.raises(Refusal, match=f"old speaks protocol 1 .*, this copy speaks {PROTOCOL}") as refusal:
+    with pytest.raises(
+        SessionRejected, match=f"old speaks protocol 1 .*, this copy speaks {PROTOCOL}"
+    ) as refusal:
         accepted.receive(b'{"digest":{"config/x":[1,"old"]}}', fleet.now)
     accepted.close(str(refusal.value), accepted.closing_why)
-    with pytest.raises(BadRecord, match=f"protocol {PROTOCOL}, this copy speaks 1"):
-        read_record(json.loads(accepted.next(fleet.now) or b"")["records"][0])
+    with pytest.raises(InvalidRecordError, match=f"protocol {PROTOCOL}, this copy speaks 1"):
+        parse_record(json.loads(accepted.next(fleet.now) or b"")["records"][0])
     newer = fleet.replicas["a"].open("new", fleet.now)
     greeting["hello"].update(protocol=3, node="new")
-    with pytest.raises(Refusal, match=f"new speaks protocol 3, this copy speaks {PROTOCOL}"):
+    with pytest.raises(SessionRejected, match=f"new speaks protocol 3, this copy speaks {PROTOCOL}"):
         newer.receive(encode(greeting), fleet.now)
 
 
@@ -547,5 +549,5 @@
     for number in range(5):
         fleet.put("a", f"config/large/{number}", rng.randbytes(PART_OCTETS).hex())
     assert fleet.heal(60.0, [("a", "b")])
-    with pytest.raises(BadRecord, match="config/huge"):
+    with pytest.raises(InvalidRecordError, match="config/huge"):
         fleet.put("a", "config/huge", "x" * 300_000)
--- a/tests/test_spread_relay.py
+++ b/tests/test_spread_relay.py
@@ -16,15 +16,15 @@
 import pytest
 from spread_fleet import DialSeeds
 
-from sageturn.config import ConfigError, read_operator
-from sageturn.interface import RequestClass, Settings
-from sageturn.net.admission import Admission, Limits
+from sageturn.config.loader import ConfigError, read_operator
+from sageturn.decision import RequestClass, Settings
+from sageturn.net.admission import AdmissionController, ProcessLimits
 from sageturn.net.sockets import Connect, connect
-from sageturn.store.frames import Link, read_secret
-from sageturn.store.records import BadRecord, read_record
-from sageturn.store.spread.member import Node, connected
-from sageturn.store.spread.options import SpreadOptions
-from sageturn.store.spread.wire import decode, encode
+from sageturn.store.channel import AuthenticatedChannel, read_secret
+from sageturn.store.records import InvalidRecordError, parse_record
+from sageturn.store.replication.member import ReplicationMember, connected
+from sageturn.store.replication.options import ReplicationOptions
+from sageturn.store.replication.wire import decode, encode
 from sageturn.store.store import Store
 
 SECRET = read_secret("one secret")
@@ -44,22 +44,24 @@
     zone: str = "",
     fixed: bool = True,
     rate: float = 13.5e3,
-) -> Node:
+) -> ReplicationMember:
     """``fixed``: it dials just its seeds; else the overlay has the word."""
-    options = SpreadOptions(("127.0.0.1", 0), seeds, SECRET, "r", zone, rate)
+    options = ReplicationOptions(("127.0.0.1", 0), seeds, SECRET, "r", zone, rate)
     topology = partial(DialSeeds, seeds=seeds) if fixed else None
-    made = Node(Store(name, path), options, Admission(Limits(64, 64.0)), Random(name), topology)
+    made = ReplicationMember(
+        Store(name, path), options, AdmissionController(ProcessLimits(64, 64.0)), Random(name), topology
+    )
     made.start()
     return made
 
 
-def store(member: Node) -> Store:
+def store(member: ReplicationMember) -> Store:
     return member.replica.store
 
 
-def play(story: Callable[[list[Node]], Awaitable[None]]) -> None:
+def play(story: Callable[[list[ReplicationMember]], Awaitable[None]]) -> None:
     async def go() -> None:
-        members: list[Node] = []
+        members: list[ReplicationMember] = []
         try:
             await story(members)
         finally:
@@ -69,11 +71,11 @@
     asyncio.run(go())
 
 
-async def linked(address: Address, name: str = "x") -> tuple[Link, socket.socket]:
+async def linked(address: Address, name: str = "x") -> tuple[AuthenticatedChannel, socket.socket]:
     """A link of our own to a member, for saying on it what no member says."""
     sock = await connect(address, 1.0)
     assert not isinstance(sock, Connect)
-    link = Link(sock, SECRET, name)
+    link = AuthenticatedChannel(sock, SECRET, name)
     await link.shake_hands(True)
     return link, sock
 
@@ -95,7 +97,7 @@
     return encode({"hello": {**hello, **more}})
 
 
-async def heard(link: Link, kind: str) -> Any:
+async def heard(link: AuthenticatedChannel, kind: str) -> Any:
     async with asyncio.timeout(10.0):
         while True:
             message = decode(await link.receive())
@@ -104,7 +106,7 @@
 
 
 def test_a_change_made_anywhere_is_everywhere_and_a_killed_hub_is_replaced() -> None:
-    async def story(members: list[Node]) -> None:
+    async def story(members: list[ReplicationMember]) -> None:
         first = node("n0", fixed=False)
         members.append(first)
         members.extend(node(f"n{k}", first.address, fixed=False) for k in range(1, 6))
@@ -125,7 +127,7 @@
 
 def test_a_hub_that_falls_silent_is_found_out_and_replaced() -> None:
     # No reset tells of it: the machine is gone, or a switch is. Only the missing heartbeats show it.
-    async def story(members: list[Node]) -> None:
+    async def story(members: list[ReplicationMember]) -> None:
         first = node("n0", fixed=False)
         members.append(first)
         members.extend(node(f"n{k}", first.address, fixed=False) for k in range(1, 5))
@@ -148,7 +150,7 @@
 
 
 def test_a_follower_that_reads_nothing_holds_up_nobody_and_is_given_up() -> None:
-    async def story(members: list[Node]) -> None:
+    async def story(members: list[ReplicationMember]) -> None:
         hub = node("hub", rate=1e8)
         other = node("other", hub.address)
         members += [hub, other]
@@ -179,7 +181,7 @@
 
 
 def test_a_wiped_copy_gets_back_all_and_its_own_states_are_newer_than_before(tmp_path: Path) -> None:
-    async def story(members: list[Node]) -> None:
+    async def story(members: list[ReplicationMember]) -> None:
         hub = node("hub", path=tmp_path / "hub")
         members.append(hub)
         wiped = node("w", hub.address, path=tmp_path / "w")
@@ -204,7 +206,7 @@
 
 
 def test_a_restart_from_disk_takes_only_what_differs(tmp_path: Path) -> None:
-    async def story(members: list[Node]) -> None:
+    async def story(members: list[ReplicationMember]) -> None:
         hub = node("hub")
         members.append(hub)
         other = node("o", hub.address, path=tmp_path / "o")
@@ -229,12 +231,12 @@
     def old_copys_word(message: dict[str, Any]) -> str:
         """What the program before did with a message that is no digest, and logged."""
         try:
-            [read_record(obj) for obj in message["records"]]
-        except (BadRecord, KeyError) as error:
+            [parse_record(obj) for obj in message["records"]]
+        except (InvalidRecordError, KeyError) as error:
             return f"not understood: {error}"
         return ""
 
-    async def story(members: list[Node]) -> None:
+    async def story(members: list[ReplicationMember]) -> None:
         members.append(node("n0"))
         link, sock = await linked(members[0].address, "old")
         await link.send(b'{"digest":{"config/evil":[1,"old"]}}')
@@ -250,7 +252,7 @@
         async def old() -> None:
             sock, _ = await asyncio.get_running_loop().sock_accept(listening)
             sock.setblocking(False)
-            link = Link(sock, SECRET, "old2")
+            link = AuthenticatedChannel(sock, SECRET, "old2")
             await link.shake_hands(False)
             await link.send(b'{"digest":{}}')
             accepted.set_result(decode(await link.receive()))
@@ -279,7 +281,7 @@
     ],
 )
 def test_a_frame_that_is_wrong_ends_its_link_and_nothing_else(payload: bytes, reason: str) -> None:
-    async def story(members: list[Node]) -> None:
+    async def story(members: list[ReplicationMember]) -> None:
         members.append(node("n0"))
         members.append(node("n1", members[0].address))
         await until(lambda: len(members[0].replica.members) == 2)
@@ -301,7 +303,7 @@
 def test_a_frame_that_was_damaged_on_its_way_ends_its_link(
     harm: str, caplog: pytest.LogCaptureFixture
 ) -> None:
-    async def story(members: list[Node]) -> None:
+    async def story(members: list[ReplicationMember]) -> None:
         members.append(node("n0"))
         link, sock = await linked(members[0].address, "x")
         await link.send(greeting("x"))
@@ -329,7 +331,7 @@
 
 
 def test_a_copy_for_a_moment_has_all_and_what_it_writes_is_there_when_it_ends() -> None:
-    async def story(members: list[Node]) -> None:
+    async def story(members: list[ReplicationMember]) -> None:
         members.append(node("n0"))
         for number in range(3000):
             store(members[0]).put(f"config/{number}", Random(number).randbytes(30).hex())
@@ -366,8 +368,8 @@
             there, here = await asyncio.open_connection(*first.address)
             await asyncio.gather(carry(reader, here), carry(there, writer))
 
-        server = await asyncio.start_server(between, "127.0.0.1", 0)
-        second = node("n1", server.sockets[0].getsockname())
+        endpoint = await asyncio.start_server(between, "127.0.0.1", 0)
+        second = node("n1", endpoint.sockets[0].getsockname())
         await until(lambda: store(first).digest() == store(second).digest())
         await until(lambda: first.replica.sessions[0].delivered and second.replica.sessions[0].delivered)
         octets.clear()
@@ -375,7 +377,7 @@
         each = sum(octets) / len(octets)
         await second.stop()
         await first.stop()
-        server.close()
+        endpoint.close()
         return each
 
     async def go() -> None:
@@ -413,14 +415,14 @@
 def test_where_no_replicas_are_configured_nothing_of_it_is_read_in() -> None:
     code = (
         "import sys, sageturn.__main__, sageturn.relay\n"
-        "assert not [name for name in sys.modules if name.startswith('sageturn.store.spread')]"
+        "assert not [name for name in sys.modules if name.startswith('sageturn.store.replication')]"
     )
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True)
     assert done.returncode == 0, done.stderr
 
 
 def test_a_member_tells_operators_which_zone_is_silent() -> None:
-    async def story(members: list[Node]) -> None:
+    async def story(members: list[ReplicationMember]) -> None:
         members.append(node("n0", zone="a"))
         members.append(node("n1", members[0].address, zone="b"))
         await until(lambda: "r/b" in members[0].replica._heard_zones)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -13,12 +13,12 @@
 from typer.testing import CliRunner, Result
 
 from sageturn.cli.main import app
-from sageturn.net.admission import Admission, Limits
-from sageturn.store.frames import Link, Refused, read_secret
-from sageturn.store.log import Damaged, scan
-from sageturn.store.records import BadRecord, Record
-from sageturn.store.spread.member import Node
-from sageturn.store.spread.options import SpreadOptions
+from sageturn.net.admission import AdmissionController, ProcessLimits
+from sageturn.store.channel import AuthenticatedChannel, HandshakeRejectedError, read_secret
+from sageturn.store.log import LogCorruptedError, scan
+from sageturn.store.records import InvalidRecordError, StoreRecord
+from sageturn.store.replication.member import ReplicationMember
+from sageturn.store.replication.options import ReplicationOptions
 from sageturn.store.store import Store
 
 SECRET = read_secret("one secret")
@@ -61,7 +61,7 @@
     first = whole.index(b'{"key"')
     for at in (0, first - 12, first - 9, first - 1, first + 3):
         (tmp_path / "log").write_bytes(whole[:at] + bytes([whole[at] ^ 0x40]) + whole[at + 1 :])
-        with pytest.raises(Damaged):
+        with pytest.raises(LogCorruptedError):
             Store("n1", tmp_path / "log")
 
 
@@ -75,7 +75,7 @@
             return found
 
     store = Store("n1", tmp_path / "log")
-    store.merge([Record(f"config/{number}", number, 1, "n1") for number in range(300)])
+    store.merge([StoreRecord(f"config/{number}", number, 1, "n1") for number in range(300)])
     store.close()
     data = Counting((tmp_path / "log").read_bytes())
     records, end = scan(data)
@@ -106,7 +106,7 @@
     again = Store("n1", tmp_path / "log", wall=lambda: 2000.0)
     assert (again.standing.in_step, again.standing.floor) == (900.0, 2) and again.record("config/a") is None
     assert again.put("config/a", 2).version == 3
-    again.merge([Record("config/c", 1, 9, "n2", 800_000), Record("state/n1/x", 1, 1, "n1")])
+    again.merge([StoreRecord("config/c", 1, 9, "n2", 800_000), StoreRecord("state/n1/x", 1, 1, "n1")])
     assert again.drop_copied() == 1, "what was written here since, and its own states, are kept"
     again.close()
     (aside,) = tmp_path.glob("log.dropped-*")
@@ -118,7 +118,7 @@
 
 
 def test_the_larger_of_version_and_node_wins_in_any_order() -> None:
-    records = [Record("k", "a", 1, "n1"), Record("k", "b", 2, "n1"), Record("k", "c", 2, "n2")]
+    records = [StoreRecord("k", "a", 1, "n1"), StoreRecord("k", "b", 2, "n1"), StoreRecord("k", "c", 2, "n2")]
     for order in (records, records[::-1], [records[1], records[2], records[0]]):
         store = Store("n3")
         for record in order:
@@ -129,7 +129,7 @@
 def test_state_keys_are_written_by_their_node_alone() -> None:
     store = Store("n1")
     store.put("state/n1/x", 1)
-    with pytest.raises(BadRecord):
+    with pytest.raises(InvalidRecordError):
         store.put("state/n2/x", 1)
 
 
@@ -139,9 +139,15 @@
             await asyncio.sleep(0.01)
 
 
-def replica(store: Store, *peers: tuple[str, int], secret: bytes = SECRET) -> Node:
-    options = SpreadOptions(("127.0.0.1", 0), peers, secret)
-    made = Node(store, options, Admission(Limits(64, 64.0)), Random(1), partial(DialSeeds, seeds=peers))
+def replica(store: Store, *peers: tuple[str, int], secret: bytes = SECRET) -> ReplicationMember:
+    options = ReplicationOptions(("127.0.0.1", 0), peers, secret)
+    made = ReplicationMember(
+        store,
+        options,
+        AdmissionController(ProcessLimits(64, 64.0)),
+        Random(1),
+        partial(DialSeeds, seeds=peers),
+    )
     made.start()
     return made
 
@@ -189,13 +195,13 @@
         one, two = socket.socketpair()
         one.setblocking(False)
         two.setblocking(False)
-        left, right = Link(one, SECRET, "l"), Link(two, SECRET, "r")
+        left, right = AuthenticatedChannel(one, SECRET, "l"), AuthenticatedChannel(two, SECRET, "r")
         await asyncio.gather(left.shake_hands(True), right.shake_hands(False))
         await left.send(b'{"records":[]}')
         assert await right.receive() == b'{"records":[]}'
         left._sent = 0  # the same frame once more, as somebody who recorded it would send it
         await left.send(b'{"records":[]}')
-        with pytest.raises(Refused):
+        with pytest.raises(HandshakeRejectedError):
             await right.receive()
         one.close()
         two.close()
--- a/tests/test_xmpp.py
+++ b/tests/test_xmpp.py
@@ -12,14 +12,14 @@
 import pytest
 import trustme
 from net_peers import SETTINGS as CONF
-from net_peers import Endpoint, ask, first_line, listed, serve_all, write_config
+from net_peers import FakeEndpoint, ask, first_line, listed, serve_all, write_config
 from xmpp_peers import HEADER, Client, Server, echo
 
-from sageturn.config import load
-from sageturn.fronts.xmpp.accounts import PREFIX, make_record
-from sageturn.net.admission import Limits
+from sageturn.config.loader import load
+from sageturn.config.settings import read_settings
+from sageturn.frontends.xmpp.accounts import PREFIX, make_record
+from sageturn.net.admission import ProcessLimits
 from sageturn.relay import Relay
-from sageturn.settings import read_settings
 from sageturn.store.store import Store
 
 SETTINGS = read_settings(CONF)
@@ -70,8 +70,8 @@
 @asynccontextmanager
 async def relaying(
     folder: Path, *acts: Callable[[Server], Awaitable[None]], tls: bool = False, **more: object
-) -> AsyncIterator[tuple[Relay, list[Endpoint]]]:
-    def script(act: Callable[[Server], Awaitable[None]]) -> Endpoint:
+) -> AsyncIterator[tuple[Relay, list[FakeEndpoint]]]:
+    def script(act: Callable[[Server], Awaitable[None]]) -> FakeEndpoint:
         async def play(r: asyncio.StreamReader, w: asyncio.StreamWriter, line: bytes) -> None:
             if line.startswith(b"OPEN"):  # the same host in the platform's words
                 w.write(b"BUSY\r\n" if act is turns_away else b"UP r1\r\n")
@@ -84,7 +84,7 @@
             server.seen = line.decode()
             await act(server)
 
-        class Peeking(Endpoint):
+        class Peeking(FakeEndpoint):
             async def serve(self, r: asyncio.StreamReader, w: asyncio.StreamWriter) -> None:
                 line = await r.read(4096)
                 self.lines.append(line)
@@ -102,7 +102,7 @@
         names, discovery = await serve_all(stack, endpoints)
         file = write_config(folder, discovery.address, listed(names))
         relay = Relay(load({"GW_CONFIG": str(file)}, str(write_operator(folder, tls, **more))))
-        relay.module.placements = []
+        relay.balancer_actor.placements = []
         relay.start()
         stack.push_async_callback(relay.stop)
         yield relay, endpoints
@@ -114,14 +114,14 @@
         async with relaying(tmp_path, lambda s: echo(s, server_tls()), tls=True) as (relay, _):
             client = await Client.connect(relay.xmpp.address)
             await client.login(client_tls())
-            assert relay.module.placements == []
+            assert relay.balancer_actor.placements == []
             assert await client.bind("desk") == "relay@guides.example/desk"
             message = "<message to='x' id=\"q>1\"><body>a &amp; b &lt; c</body><e a='>'/></message>"
             client.say(message[:20])
             await asyncio.sleep(0.02)
             client.say(message[20:])
             assert (await client.hear("<message.*?</message>"))[0] == message  # as it stood on the wire
-            assert len(relay.module.placements) == 1
+            assert len(relay.balancer_actor.placements) == 1
             client.say("</stream:stream>")
             assert (await client.rest()).strip() == "</stream:stream>"
 
@@ -140,7 +140,7 @@
                     async with asyncio.timeout(1):
                         await wrong.login(client_tls(), password="nope", plain=plain)
                 assert "<not-authorized/>" in wrong.seen
-            assert len(relay.module.placements) == 1
+            assert len(relay.balancer_actor.placements) == 1
 
     story(go())
 
@@ -227,13 +227,13 @@
             await client.login(client_tls())
             await client.bind()
             client.say("<presence/>")
-            draining = asyncio.ensure_future(relay.lives.drain(relay))
+            draining = asyncio.ensure_future(relay.request_registry.drain(relay))
             heard = await client.rest()
             assert heard.startswith("<message><body>half and half</body></message><stream:error><reset ")
             assert heard.endswith("</stream:error></stream:stream>")
             client.writer.close()
             await draining
-            assert len(relay.lives) == 0
+            assert len(relay.request_registry) == 0
 
     story(go())
 
@@ -278,7 +278,7 @@
         folder = tmp_path / fronts
         folder.mkdir()
         async with relaying(folder, *acts) as (relay, _):
-            while relay.destinations.version != 2:
+            while relay.endpoint_registry.version != 2:
                 await asyncio.sleep(0.01)
             answers, held = [], list[object]()
             for front in fronts:
@@ -293,7 +293,7 @@
                     reader, writer = await ask(relay.listener.address, first_line())
                     answers.append(ANSWERS[(await reader.readline()).split()[0].decode()])
                     held.append(writer)
-            return relay.module.placements or [], answers
+            return relay.balancer_actor.placements or [], answers
 
     async def compare() -> None:
         line, mixed, stream = await go("pppppppp"), await go("pxpxxpxp"), await go("xxxxxxxx")
@@ -304,7 +304,7 @@
 
 
 def test_a_faulty_operators_file_names_its_key(tmp_path: Path) -> None:
-    from sageturn.config import ConfigError, read_operator
+    from sageturn.config.loader import ConfigError, read_operator
 
     good = json.loads(write_operator(tmp_path, True).read_text())
     for change, key in (
@@ -320,7 +320,7 @@
 
 def test_the_operators_file_that_is_shipped_can_be_read(tmp_path: Path) -> None:
     # It is the only example an operator has: a key renamed in config.py must be renamed there too.
-    from sageturn.config import read_operator
+    from sageturn.config.loader import read_operator
 
     shipped = Path(__file__).parent.parent / "deploy" / "xmpp.json"
     (tmp_path / "deploy").mkdir()
@@ -340,7 +340,7 @@
     # What bad clients do to the platform's front they can do here: the bounds are the listener's, for both.
     async def go() -> None:
         async with relaying(tmp_path, echo) as (relay, _):
-            relay.admission.limits = Limits(sockets=96, memory_mb=192.0)
+            relay.admission.limits = ProcessLimits(sockets=96, memory_mb=192.0)
             began = asyncio.get_running_loop().time()
             half = await Client.connect(relay.xmpp.address)
             half.say("<?xml version='1.0'?><stream:str")
