--- /dev/null
+++ b/experiments/make_compatibility_fixtures.py
@@ -0,0 +1,31 @@
+"""Writes tests/fixtures/ from the program as it stands.
+
+The committed files were made by revision 6e0cdec. Running this again after a change of the program is only
+right where a format changes on purpose; a refactoring must leave every one of these files as it is.
+
+    .venv-dev/bin/python experiments/make_compatibility_fixtures.py [concern ...]
+"""
+
+from __future__ import annotations
+
+import importlib
+import sys
+from pathlib import Path
+
+ROOT = Path(__file__).resolve().parent.parent
+CONCERNS = ("store", "replication", "flows", "fronts", "states", "operators")
+
+
+def main(concerns: list[str]) -> None:
+    sys.path[:0] = [str(ROOT), str(ROOT / "tests")]
+    for concern in concerns or CONCERNS:
+        module = importlib.import_module(f"test_compatibility_{concern}")
+        folder = ROOT / "tests" / "fixtures" / concern
+        folder.mkdir(parents=True, exist_ok=True)
+        for name, data in module.produced().items():
+            (folder / name).write_bytes(data)
+            print(f"{concern}/{name}: {len(data)} bytes")
+
+
+if __name__ == "__main__":
+    main(sys.argv[1:])
--- /dev/null
+++ b/tests/test_compatibility_store.py
@@ -0,0 +1,141 @@
+"""The store's log and the file beside it stay as revision 6e0cdec wrote and read them, byte for byte."""
+
+from __future__ import annotations
+
+import json
+import shutil
+import tempfile
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from sageturn.store.log import Damaged
+from sageturn.store.records import Record
+from sageturn.store.standing import Standing, read_standing, write_standing
+from sageturn.store.store import Store
+
+FIXTURES = Path(__file__).parent / "fixtures" / "store"
+NODE = "node-a"
+START_S = 1_700_000_000.0
+
+ACCOUNT = {
+    "class": "walk-in", "tenant": "tổ-1", "group": "", "salt": "00ff10", "stored_key": "ab" * 32,
+    "server_key": "cd" * 32, "iterations": 16384,
+}  # fmt: skip
+OVERRIDE = {
+    "word": "set", "override": "01-west", "body": {"kind": "weight", "hosts": ["h1", "h2"], "factor": 0.25},
+    "until_ms": 1_700_000_600_000.0, "operator": "linh", "why": "disk \"swap\"\n", "forced": False,
+}  # fmt: skip
+# What is put, in this order, one second apart; None deletes.
+OPERATIONS: list[tuple[str, Any]] = [
+    ("config/accounts/lan", ACCOUNT),
+    ("config/accounts/mai", {**ACCOUNT, "group": "night"}),
+    ("overrides/01-west/0001-linh", OVERRIDE),
+    ("config/log_level", "DEBUG"),
+    ("config/log_level", "INFO"),
+    ("config/accounts/mai", None),
+    ("state/node-a/relay", {"standing": 3, "ended": {"served": 2}, "flows_dropped": 0}),
+    ("notes/nested", {"z": [1, 2.5, -0.0, 1e-9, True, False, None], "a": {"b": {"c": [[], {}, ""]}}}),
+    ("notes/deleted", {"short": "lived"}),
+    ("notes/deleted", None),
+]
+FROM_OTHERS = [
+    {"key": "config/log_level", "value": "WARNING", "version": 3, "node": "node-b", "written_ms": 1},
+    {"key": "config/accounts/mai", "value": "older", "version": 1, "node": "node-b", "written_ms": 2},
+    {"key": "state/node-b/relay", "value": {"standing": 0}, "version": 9, "node": "node-b"},
+]
+
+
+def open_store(path: Path) -> Store:
+    times = iter(range(1000))
+    return Store(NODE, path, lambda: START_S + next(times))
+
+
+def write_operations(path: Path) -> None:
+    store = open_store(path)
+    for key, value in OPERATIONS:
+        store.put(key, value)
+    store.merge([Record(**{"written_ms": None, **record}) for record in FROM_OTHERS])
+    store.forget(["notes/deleted"])
+    store.set_in_step(START_S + 120.5)
+    store.close()
+
+
+def records_of(store: Store) -> list[dict[str, Any]]:
+    return sorted((record.to_json() for record in store.records()), key=lambda record: record["key"])
+
+
+def rewrite(path: Path) -> None:
+    """Compact the log, as happens once it has grown far beyond what its records need."""
+    store = open_store(path)
+    store._rewrite()
+    store.close()
+
+
+def produced() -> dict[str, bytes]:
+    with tempfile.TemporaryDirectory() as folder:
+        path = Path(folder) / "store.log"
+        write_operations(path)
+        files = {"store.log": path.read_bytes()}
+        files["store.log.standing"] = path.with_name("store.log.standing").read_bytes()
+        store = open_store(path)
+        lines = [json.dumps(record, sort_keys=True) + "\n" for record in records_of(store)]
+        store.close()
+        files["records.jsonl"] = "".join(lines).encode()
+        rewrite(path)
+        files["rewritten.log"] = path.read_bytes()
+        unknown = Path(folder) / "unknown"
+        write_standing(unknown, Standing())
+        files["unknown.standing"] = unknown.read_bytes()
+        return files
+
+
+def committed_copy(folder: Path, name: str) -> Path:
+    path = folder / "store.log"
+    shutil.copyfile(FIXTURES / name, path)
+    return path
+
+
+def expected_records() -> list[dict[str, Any]]:
+    return [json.loads(line) for line in (FIXTURES / "records.jsonl").read_text().splitlines()]
+
+
+def test_the_same_operations_write_the_same_bytes() -> None:
+    for name, data in produced().items():
+        assert data == (FIXTURES / name).read_bytes(), name
+
+
+@pytest.mark.parametrize("name", ["store.log", "rewritten.log"])
+def test_a_committed_log_yields_its_records_and_is_left_as_it_is(tmp_path: Path, name: str) -> None:
+    path = committed_copy(tmp_path, name)
+    store = open_store(path)
+    assert records_of(store) == expected_records()
+    store.close()
+    assert path.read_bytes() == (FIXTURES / name).read_bytes()
+
+
+def test_an_opened_log_reads_deletions_and_nested_values(tmp_path: Path) -> None:
+    store = open_store(committed_copy(tmp_path, "store.log"))
+    assert store.get("config/accounts/lan") == ACCOUNT
+    assert store.get("overrides/01-west/0001-linh") == OVERRIDE
+    assert store.get("config/accounts/mai") is None
+    assert store.get("config/log_level") == "WARNING"
+    assert store.get("notes/nested") == dict(OPERATIONS)["notes/nested"]
+    assert "config/accounts/mai" not in store.keys("config/accounts/")
+    store.close()
+
+
+def test_the_file_beside_the_log_is_read() -> None:
+    assert read_standing(FIXTURES / "store.log.standing") == Standing(in_step=1_700_000_120.5, floor=2)
+    assert read_standing(FIXTURES / "unknown.standing") == Standing(in_step=None, floor=0)
+
+
+@pytest.mark.parametrize("at", [0, 17, 21, 25, 40, 200, 900])
+def test_a_flipped_byte_in_the_log_is_refused(tmp_path: Path, at: int) -> None:
+    path = tmp_path / "store.log"
+    data = bytearray((FIXTURES / "store.log").read_bytes())
+    data[at] ^= 1
+    path.write_bytes(data)
+    with pytest.raises(Damaged):
+        open_store(path)
