--- /dev/null
+++ b/tests/test_compatibility_fronts.py
@@ -0,0 +1,515 @@
+"""What each front says to clients and endpoints stays as revision 6e0cdec said it, byte for byte.
+
+``platform.json``, ``xmpp.json`` and ``xmpp-*.transcript`` hold the octets. A transcript has a line for each
+piece: ``>`` what the relay sent, ``<`` what it was sent.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import base64
+import json
+import secrets
+import socket
+import tempfile
+from collections.abc import Awaitable, Callable, Sequence
+from pathlib import Path
+from types import SimpleNamespace
+from typing import Any
+from unittest import mock
+
+import pytest
+from net_peers import Script, ask, relaying, says, silent
+from scramp import ScramClient, ScramMechanism
+from scramp.core import Nonce
+
+from sageturn.core.messages import Answer
+from sageturn.fronts import platform
+from sageturn.fronts.xmpp import accept, dial, front
+from sageturn.fronts.xmpp.accounts import PREFIX, Accounts
+from sageturn.fronts.xmpp.errors import StreamFault, answer_xml, error_xml, move_xml
+from sageturn.fronts.xmpp.options import EndpointOptions, XmppOptions
+from sageturn.fronts.xmpp.session import Session
+from sageturn.fronts.xmpp.stream import StreamParser
+
+FIXTURES = Path(__file__).parent / "fixtures" / "fronts"
+
+
+def bounded(coro: Awaitable[Any]) -> Any:
+    async def within() -> Any:
+        async with asyncio.timeout(10):
+            return await coro
+
+    return asyncio.run(within())
+
+
+def as_json(told: dict[str, bytes]) -> bytes:
+    """Octets as text of Latin-1, which has one character for each."""
+    lines = {name: data.decode("latin-1") for name, data in told.items()}
+    return json.dumps(lines, indent=1, sort_keys=True).encode() + b"\n"
+
+
+def from_json(name: str) -> dict[str, bytes]:
+    told = json.loads((FIXTURES / name).read_bytes())
+    return {key: text.encode("latin-1") for key, text in told.items()}
+
+
+ANSWERS = {
+    "refused": Answer(refused=True),
+    "refused-with-retry": Answer(refused=True, retry_after_ms=1234.5),
+    "refused-with-short-retry": Answer(refused=True, retry_after_ms=0.9),
+    "refused-by-shutdown": Answer(refused=True, retry_after_ms=250.0, why="shutdown"),
+    "failed-by-shutdown": Answer(refused=False, why="shutdown"),
+    "unavailable": Answer(refused=False, why="unavailable"),
+    "internal": Answer(refused=False, why="internal"),
+    "lost": Answer(refused=False, why="lost"),
+    "wait": Answer(refused=False, why="wait for the answer"),
+}
+
+# ---------------------------------------------------------------- the platform's front
+
+FIRST_LINES = {
+    "not-open": b"GET / HTTP/1.1\r\n",
+    "too-few-words": b"OPEN id1\r\n",
+    "binary": b"\x00\xff\xfe\r\n",
+    "no-carriage-return": b"OPEN a b c=c,t=t,d=9\n",
+    "bad-time": b"OPEN a b c=c,t=t,d=x\r\n",
+    "no-time": b"OPEN a b c=c,t=t\r\n",
+    "bad-class": b"OPEN a b c=nope,t=t,d=9\r\n",
+    "no-class": b"OPEN a b t=t,d=9\r\n",
+    "twice": b"OPEN a b c=c,d=9,d=8\r\n",
+    "comma": b"OPEN a b c=c,t=t,d=9,\r\n",
+    "bad-list": b"OPEN a b c=c,,t=t\r\n",
+    "two-lines": b"OPEN a b c=c,t=t,d=9\r\nOPEN",
+    "too-long": b"x" * 4096,
+    "ping-then-bad": b"PING\r\n",
+}
+OPEN = b"OPEN id-1 key-1 c=c,t=t,d=2000,g=x9,extra=y\r\n"
+ENDPOINTS: dict[str, bytes] = {
+    "up-and-bye": b"UP r1 host\r\nM 1 abc\r\nLOAD 2.5\r\nBYE\r\n",
+    "up-and-move": b"UP r1\r\nMOVE\r\n",
+    "up-and-end": b"UP r1\r\nhalf a li",
+    "errors": b"ERR overloaded\r\n",
+    "ends": b"",
+    "garbled": b"up?\r\n",
+}
+
+
+def answer_as_platform(sock: socket.socket, answer: Answer) -> Awaitable[None]:
+    peer = object.__new__(platform._Peer)
+    peer._client = sock
+    return peer.answer(answer)
+
+
+async def first_line_in_vain(address: tuple[str, int]) -> bytes:
+    with mock.patch.object(platform, "FIRST_LINE_S", 0.02):
+        return await talk(address, b"")
+
+
+async def talk(address: tuple[str, int], *lines: bytes) -> bytes:
+    """All that comes back; each further line goes out after something has come."""
+    reader, writer = await ask(address, lines[0])
+    told = b""
+    for line in lines[1:]:
+        told += await reader.readline()
+        writer.write(line)
+    told += await reader.read()
+    writer.close()
+    return told
+
+
+async def told_by(answering: Callable[[socket.socket], Awaitable[None]]) -> bytes:
+    near, far = socket.socketpair()
+    near.setblocking(False)
+    with far:
+        task = asyncio.ensure_future(answering(near))
+        reader, writer = await asyncio.open_connection(sock=far)
+        told = await reader.read()
+        writer.close()
+        await task
+        return told
+
+
+async def platform_answers(folder: Path) -> dict[str, bytes]:
+    told = {"turned-away": platform.PlatformFront.turn_away}
+    for name, answer in ANSWERS.items():
+        told[f"answer.{name}"] = await told_by(lambda sock, a=answer: answer_as_platform(sock, a))
+    async with relaying(folder, silent) as (relay, _):
+        address = relay.listener.address
+        for name, line in FIRST_LINES.items():
+            more = (b"nonsense\r\n",) if line == b"PING\r\n" else ()
+            told[f"first-line.{name}"] = await talk(address, line, *more)
+        told["first-line.late"] = await first_line_in_vain(address)
+    return told
+
+
+async def platform_exchange(folder: Path, endpoint: Script) -> tuple[bytes, bytes]:
+    """What the client was told, and the first line as the endpoint got it, its wait left out."""
+    async with relaying(folder, endpoint) as (relay, (host,)):
+        told = await talk(relay.listener.address, OPEN)
+        before, _, rest = host.lines[0].partition(b"d=")
+        digits, comma, after = rest.partition(b",")
+        assert digits.isdigit() and 0 < int(digits) <= 2000
+        return told, before + b"d=#" + comma + after
+
+
+async def platform_move(folder: Path) -> bytes:
+    """The relay asks a client that stands to come again."""
+
+    async def stands(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes) -> None:
+        writer.write(b"UP r1\r\n")
+        await reader.read()
+
+    async with relaying(folder, stands) as (relay, _):
+        reader, writer = await ask(relay.listener.address, OPEN)
+        told = await reader.readline()
+        (life,) = relay.lives
+        relay.module.move(life.id)
+        told += await reader.read()
+        writer.close()
+        return told
+
+
+async def platform_ids_and_haste(folder: Path) -> dict[str, bytes]:
+    async with relaying(folder, silent) as (relay, _):
+        address = relay.listener.address
+        reader, writer = await ask(address, OPEN)
+        while not len(relay.lives):
+            await asyncio.sleep(0)
+        same_id = await talk(address, OPEN)
+        writer.write(b"M" * 5000)
+        hasty = await reader.read()
+        writer.close()
+        return {"first-line.id-in-use": same_id, "exchange.spoke-before-the-answer": hasty}
+
+
+def in_folder(story: Callable[..., Awaitable[Any]], *words: Any) -> Any:
+    with tempfile.TemporaryDirectory() as folder:
+        return bounded(story(Path(folder), *words))
+
+
+def make_platform() -> dict[str, bytes]:
+    told = in_folder(platform_answers) | in_folder(platform_ids_and_haste)
+    for name, text in ENDPOINTS.items():
+        told[f"exchange.{name}"], told[f"forwarded.{name}"] = in_folder(platform_exchange, says(text))
+    told["exchange.moved"] = in_folder(platform_move)
+    return told
+
+
+# ---------------------------------------------------------------- XMPP: single answers
+
+FAULTS = [
+    ("connection-timeout", ""),
+    ("policy-violation", "too <large> & \"odd\" 'ế'"),
+    ("not-well-formed", "mismatched tag"),
+]
+HEADER = (
+    b"<?xml version='1.0'?><stream:stream xmlns='jabber:client' "
+    b"xmlns:stream='http://etherx.jabber.org/streams' version='1.0' to='guides.example'>"
+)
+BAD_STREAMS = {
+    "not-well-formed": HEADER + b"<a></b>",
+    "unbound-prefix": HEADER + b"<x:a/>",
+    "foreign-prefix": HEADER.replace(b" to=", b" xmlns:q='urn:q' to="),
+    "wrong-namespace": b"<stream xmlns='urn:other'>",
+    "comment": HEADER + b"<!-- c -->",
+    "doctype": b"<!DOCTYPE a>" + HEADER,
+    "instruction": HEADER + b"<?pi x?>",
+    "encoding": b"<?xml version='1.0' encoding='ISO-8859-1'?>",
+    "text-between": HEADER + b"words",
+    "deep": HEADER + b"<a>" * 70,
+    "large": HEADER + b"<a>" + b"x" * 70000,
+    "large-header": b"<stream:stream a='" + b"x" * 5000,
+}
+
+
+def fault_of(stream: bytes) -> bytes:
+    """The stream error by which a client's stream is answered."""
+    parser = StreamParser()
+    try:
+        parser.feed(stream)
+    except StreamFault as fault:
+        return error_xml(fault.condition, fault.text)
+    raise AssertionError("it was taken")
+
+
+def stanzas_of(stream: bytes) -> list[bytes]:
+    parser = StreamParser()
+    for at in range(len(stream)):
+        parser.feed(stream[at : at + 1])
+    return [piece.raw for piece in parser.pieces if hasattr(piece, "raw")]
+
+
+def bound_result(sock: Any, iq_id: str, jid: str) -> Awaitable[None]:
+    peer = object.__new__(front._Peer)
+    peer._client, peer._jid = Session(sock), jid
+    peer._wish = SimpleNamespace(iq_id=iq_id)
+    return peer.accept()
+
+
+def make_xmpp() -> dict[str, bytes]:
+    told = {"turned-away": front.TURN_AWAY, "move": move_xml()}
+    told |= {f"answer.{name}": answer_xml(answer) for name, answer in ANSWERS.items()}
+    told |= {f"fault.{number}": error_xml(*fault) for number, fault in enumerate(FAULTS)}
+    told |= {f"stream.{name}": fault_of(stream) for name, stream in BAD_STREAMS.items()}
+    channel = ScriptedChannel()
+    bounded(bound_result(channel, "b<1>'", "lan@guides.example/a&b"))
+    told["bound"] = channel.sent()
+    return told
+
+
+# ---------------------------------------------------------------- XMPP: conversations
+
+SASL = b"xmlns='urn:ietf:params:xml:ns:xmpp-sasl'"
+SERVER_HEADER = HEADER.replace(b" to=", b" from=")
+ACCOUNT_PASSWORD = "pw"
+SALT = bytes(range(16))
+Line = bytes | Callable[[bytes], bytes]  # sent to the relay; made from what it said last where it has to be
+
+
+class ScriptedChannel:
+    """In place of a socket: hands out the other side's lines in turn, and notes both directions."""
+
+    def __init__(self, *lines: Line, secure: bool = False) -> None:
+        self.secure, self.sock = secure, None
+        self._lines, self._last = list(lines), b""
+        self.pieces: list[tuple[bytes, bytes]] = []
+
+    async def receive(self) -> bytes:
+        if not self._lines:
+            return b""
+        line = self._lines.pop(0)
+        data = line if isinstance(line, bytes) else line(self._last)
+        self.pieces.append((b"<", data))
+        self._last = b""
+        return data
+
+    def at_hand(self) -> bytes | None:
+        return None
+
+    async def send(self, data: bytes) -> None:
+        self._last += data
+        self.pieces.append((b">", data))
+
+    async def finish(self) -> None:
+        pass
+
+    async def handshake(self) -> None:
+        self.secure = True
+
+    def sent(self) -> bytes:
+        return b"".join(data for who, data in self.pieces if who == b">")
+
+    def transcript(self) -> bytes:
+        return b"".join(who + b" " + data + b"\n" for who, data in self.pieces)
+
+
+def account_record() -> dict[str, Any]:
+    made = ScramMechanism("SCRAM-SHA-256").make_auth_info(ACCOUNT_PASSWORD, iteration_count=4096, salt=SALT)
+    salt, stored, server, count = made
+    return {
+        "class": "c", "tenant": "t", "group": "", "salt": salt.hex(), "stored_key": stored.hex(),
+        "server_key": server.hex(), "iterations": count,
+    }  # fmt: skip
+
+
+def fixed_randomness() -> Any:
+    stack = mock.patch.multiple(secrets, token_hex=lambda size=8: "5a" * size)
+    nonces = mock.patch.object(Nonce, "create", lambda: Nonce("relay-nonce"))
+    return stack, nonces
+
+
+async def accept_client(channel: ScriptedChannel, tls: bool) -> str:
+    """A client's stream up to its wish to bind, or the fault that ended it."""
+    endpoint = EndpointOptions("guides.example", "relay", "relay-pw", None)
+    context: Any = object() if tls else None
+    options = XmppOptions(("127.0.0.1", 0), "guides.example", context, 2000.0, endpoint, 0)
+    session = Session(channel)  # type: ignore[arg-type]
+    accounts = Accounts({PREFIX + "lan": account_record()})
+    acceptor = accept.Acceptor(session, options, accounts)
+    with mock.patch.object(accept, "TlsChannel", lambda *words, **more: channel):
+        try:
+            await acceptor.header()
+            wish = await acceptor.run()
+            return f"{wish.account.name} {wish.iq_id} {wish.resource}"
+        except StreamFault as fault:
+            await session.fault(fault, options.domain)
+            return str(fault)
+
+
+async def dial_endpoint(channel: ScriptedChannel, tls: bool) -> str:
+    """The stream to an endpoint up to its bound resource, or how that ended."""
+    context: Any = object() if tls else None
+    options = EndpointOptions("guides.example", "relay", "relay-pw", context)
+    account = Accounts({PREFIX + "lan": account_record()}).find("lan")
+    assert account is not None
+    wish = accept.Wish(account, "b1", "desk<1>")
+    dialer = dial.Dialer(Session(channel), options, wish, lambda: None)  # type: ignore[arg-type]
+    with mock.patch.object(dial, "TlsChannel", lambda *words, **more: channel):
+        try:
+            return await dialer.run()
+        except dial.Refusal as refusal:
+            return refusal.ending.name
+
+
+def coded(text: str) -> bytes:
+    return base64.b64encode(text.encode())
+
+
+def inner(data: bytes) -> str:
+    """The text of the last element that was said, out of its base64."""
+    return base64.b64decode(data.rpartition(b"</")[0].rpartition(b">")[2]).decode()
+
+
+class ScriptedScram:
+    """A client's, and a server's, side of the exchange, with nonces of its own."""
+
+    def __init__(self) -> None:
+        self.client = ScramClient(["SCRAM-SHA-256"], "lan", ACCOUNT_PASSWORD, c_nonce="client-nonce")
+        mechanism = ScramMechanism("SCRAM-SHA-256")
+        info = mechanism.make_auth_info("relay-pw", iteration_count=4096, salt=SALT)
+        self.server = mechanism.make_server(lambda name: info, s_nonce="server-nonce")
+
+    def auth(self, _: bytes) -> bytes:
+        first = coded(self.client.get_client_first())
+        return b"<auth %s mechanism='SCRAM-SHA-256'>%s</auth>" % (SASL, first)
+
+    def response(self, said: bytes) -> bytes:
+        self.client.set_server_first(inner(said))
+        return b"<response %s>%s</response>" % (SASL, coded(self.client.get_client_final()))
+
+    def challenge(self, said: bytes) -> bytes:
+        self.server.set_client_first(inner(said))
+        return b"<challenge %s>%s</challenge>" % (SASL, coded(self.server.get_server_first()))
+
+    def success(self, said: bytes) -> bytes:
+        self.server.set_client_final(inner(said))
+        return b"<success %s>%s</success>" % (SASL, coded(self.server.get_server_final()))
+
+
+STARTTLS = b"<starttls xmlns='urn:ietf:params:xml:ns:xmpp-tls'/>"
+BIND = b"<bind xmlns='urn:ietf:params:xml:ns:xmpp-bind'>%s</bind>"
+BIND_WISH = b"<iq type='set' id='b1'>" + BIND % b"<resource>desk</resource>" + b"</iq>"
+BOUND = b"<iq type='result' id='bind'>" + BIND % b"<jid>lan@guides.example/desk</jid>" + b"</iq>"
+NO_ROOM = b"<iq type='error' id='bind'><error type='wait'><resource-constraint/></error></iq>"
+BUSY_STREAM = error_xml("resource-constraint")
+
+
+def plain(text: str) -> bytes:
+    return b"<auth %s mechanism='PLAIN'>%s</auth>" % (SASL, coded(text))
+
+
+def features(content: bytes) -> bytes:
+    return SERVER_HEADER + b"<stream:features>" + content + b"</stream:features>"
+
+
+def mechanisms(name: bytes) -> bytes:
+    return features(b"<mechanisms %s><mechanism>%s</mechanism></mechanisms>" % (SASL, name))
+
+
+def client_scripts() -> dict[str, tuple[bool, Sequence[Line]]]:
+    """By name: whether TLS is wanted, and what the client says."""
+    scram = ScriptedScram()
+    wrong = plain("\0lan\0wrong")
+    return {
+        "scram": (False, [HEADER, scram.auth, scram.response, HEADER, BIND_WISH]),
+        "plain-over-tls": (True, [HEADER, STARTTLS, HEADER, plain("\0lan\0pw"), HEADER, BIND_WISH]),
+        "no-tls": (True, [HEADER, b"<auth/>"]),
+        "wrong-password": (True, [HEADER, STARTTLS, HEADER, wrong, wrong, wrong]),
+        "sasl-failures": (
+            True,
+            [HEADER, STARTTLS, HEADER, plain("x"), plain("who@else\0lan\0pw"), plain("\0lan\0pw")[:-12]
+             + b"</auth>"],
+        ),
+        "mechanism": (False, [HEADER, plain("\0lan\0pw"), b"<auth %s mechanism='X'>*</auth>" % SASL,
+                              b"<message/>"]),
+        "host": (False, [HEADER.replace(b"guides.example", b"other.example")]),
+        "version": (False, [HEADER.replace(b"version='1.0' to", b"version='0.9' to")]),
+        "bind-first": (False, [HEADER, *(s for s in (ScriptedScram(),) for s in (s.auth, s.response)),
+                               HEADER, b"<message/>"]),
+    }  # fmt: skip
+
+
+def endpoint_scripts() -> dict[str, tuple[bool, Sequence[Line]]]:
+    """By name: whether TLS is wanted, and what the endpoint says."""
+    scram = ScriptedScram()
+    sasl, bind = mechanisms(b"SCRAM-SHA-256"), features(BIND % b"")
+    tls = [features(STARTTLS), b"<proceed xmlns='urn:ietf:params:xml:ns:xmpp-tls'/>", mechanisms(b"PLAIN")]
+    success = b"<success %s/>" % SASL
+    return {
+        "scram": (False, [sasl, scram.challenge, scram.success, bind, BOUND]),
+        "plain-over-tls": (True, [*tls, success, bind, BOUND]),
+        "no-room": (True, [*tls, success, bind, NO_ROOM]),
+        "busy": (False, [SERVER_HEADER + BUSY_STREAM]),
+        "lost-its-tls": (True, [sasl]),
+        "no-mechanism": (False, [mechanisms(b"X")]),
+        "garbled": (False, [SERVER_HEADER + b"</wrong>"]),
+    }
+
+
+def converse(name: str, side: str) -> bytes:
+    scripts, run = (
+        (client_scripts(), accept_client) if side == "client" else (endpoint_scripts(), dial_endpoint)
+    )
+    tls, lines = scripts[name]
+    channel = ScriptedChannel(*lines)
+    hexes, nonces = fixed_randomness()
+    with hexes, nonces:
+        result = bounded(run(channel, tls))
+    return channel.transcript() + b"= " + result.encode() + b"\n"
+
+
+CONVERSATIONS = [("client", name) for name in client_scripts()]
+CONVERSATIONS += [("endpoint", name) for name in endpoint_scripts()]
+
+
+def produced() -> dict[str, bytes]:
+    files = {"platform.json": as_json(make_platform()), "xmpp.json": as_json(make_xmpp())}
+    for side, name in CONVERSATIONS:
+        files[f"xmpp-{side}-{name}.transcript"] = converse(name, side)
+    return files
+
+
+# ---------------------------------------------------------------- tests
+
+
+def recorded_platform(prefix: str) -> dict[str, bytes]:
+    return {key: data for key, data in from_json("platform.json").items() if key.startswith(prefix)}
+
+
+def test_the_platform_answers_first_lines_and_refusals_as_it_did() -> None:
+    told = in_folder(platform_answers)
+    assert told == {key: from_json("platform.json")[key] for key in told}
+    recorded = {*recorded_platform("first-line"), *recorded_platform("answer")} - {"first-line.id-in-use"}
+    assert set(told) == recorded | {"turned-away"}
+
+
+def test_an_id_in_use_and_a_hasty_client_are_answered_as_they_were() -> None:
+    told = in_folder(platform_ids_and_haste)
+    assert told == {key: from_json("platform.json")[key] for key in told}
+
+
+@pytest.mark.parametrize("name", ENDPOINTS)
+def test_what_an_endpoint_says_reaches_the_client_as_it_did(name: str) -> None:
+    recorded = from_json("platform.json")
+    told, forwarded = in_folder(platform_exchange, says(ENDPOINTS[name]))
+    assert told == recorded[f"exchange.{name}"]
+    assert forwarded == recorded[f"forwarded.{name}"]
+
+
+def test_a_client_that_stands_is_told_to_move_as_it_was() -> None:
+    assert in_folder(platform_move) == from_json("platform.json")["exchange.moved"]
+
+
+def test_xmpp_answers_and_stream_errors_are_as_they_were() -> None:
+    assert make_xmpp() == from_json("xmpp.json")
+
+
+@pytest.mark.parametrize(("side", "name"), CONVERSATIONS)
+def test_xmpp_conversations_are_as_they_were(side: str, name: str) -> None:
+    assert converse(name, side) == (FIXTURES / f"xmpp-{side}-{name}.transcript").read_bytes()
+
+
+def test_stanzas_are_passed_on_as_they_stood() -> None:
+    stanzas = [b"<message  to='a'><body>&lt;\xe1\xba\xbf</body></message>", b"<iq id='1' type='get' />"]
+    assert stanzas_of(HEADER + stanzas[0] + b" \n" + stanzas[1]) == stanzas
