--- a/tests/test_compatibility_flows.py
+++ b/tests/test_compatibility_flows.py
@@ -2,8 +2,16 @@
 
 from __future__ import annotations
 
+import os
+import socket
+import time
 from pathlib import Path
+from unittest import mock
 
+from sageturn.core.endings import Ending
+from sageturn.core.messages import Answer, Ask
+from sageturn.core.requests import Record
+from sageturn.flows.exporter import Exporter, FlowOptions, to_flow
 from sageturn.flows.ipfix import Flow, flow_set, loss_set, message, templates
 
 FIXTURES = Path(__file__).parent / "fixtures" / "flows"
@@ -41,13 +49,58 @@
     }
 
 
+def ended_records() -> list[Record]:
+    """One that ended in each of the ways there are, in their order, and those that were answered instead."""
+    answers = [None, Answer(refused=True, why="x"), Answer(refused=False, why="x")]
+    ways = [(ending, None) for ending in Ending] + [(None, answer) for answer in answers]
+    records = []
+    for ending, answer in ways:
+        record = Record(Ask("walk-in", "tổ-1", 2000.0), 1_700_000_000_123.9)
+        record.client, record.endpoint_address = ("127.0.0.1", 40001), ("192.0.2.17", 443)
+        record.ending, record.answer, record.ended_ms = ending, answer, 1_700_000_001_000.0
+        record.octets_up, record.octets_down = 12, 34
+        records.append(record)
+    return records
+
+
+def export(records: list[Record], queue: int) -> list[bytes]:
+    """The datagrams of two flushes; what the queue has no room for is told as lost."""
+    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as collector:
+        collector.bind(("127.0.0.1", 0))
+        collector.setblocking(False)
+        exporter = Exporter(FlowOptions(collector.getsockname(), DOMAIN, queue=queue))
+        with (
+            mock.patch.object(time, "time", lambda: NOW_S + 0.5),
+            mock.patch.object(os, "getpid", lambda: 42),
+        ):
+            for record in records:
+                exporter.ended(record)
+            exporter.flush()
+            exporter.ended(records[0])
+            exporter.flush()
+        exporter._sock.close()
+        datagrams = []
+        while True:
+            try:
+                datagrams.append(collector.recv(65535))
+            except BlockingIOError:
+                return datagrams
+
+
+def hex_lines(parts: list[bytes]) -> bytes:
+    return "".join(part.hex() + "\n" for part in parts).encode()
+
+
 def produced() -> dict[str, bytes]:
-    return {f"{name}.bin": data for name, data in make_messages().items()}
+    files = {f"{name}.bin": data for name, data in make_messages().items()}
+    files["endings.hex"] = hex_lines([to_flow(record).encode() for record in ended_records()])
+    files["exporter.hex"] = hex_lines(export(ended_records(), queue=20))
+    return files
 
 
 def test_messages_are_the_committed_bytes() -> None:
     made = produced()
-    assert set(made) == {path.name for path in FIXTURES.glob("*.bin") if not path.name.startswith("exporter")}
+    assert set(made) == {path.name for path in FIXTURES.iterdir()}
     for name, data in made.items():
         assert data == (FIXTURES / name).read_bytes(), name
 
--- /dev/null
+++ b/tests/test_compatibility_operators.py
@@ -0,0 +1,231 @@
+"""Operators' files, and the relay's own configuration, mean what they meant to revision 6e0cdec.
+
+Each file of ``deploy/`` and of the fixtures decodes to the configuration that is committed beside it. How
+that is told, field by field, stands here, so that a field may be renamed in the program but not in a file.
+"""
+
+from __future__ import annotations
+
+import json
+import shutil
+import ssl
+import tempfile
+from pathlib import Path
+from typing import Any
+
+import pytest
+import trustme
+from net_peers import write_config
+
+from sageturn.config import Config, ConfigError, Operator, load
+
+FIXTURES = Path(__file__).parent / "fixtures" / "operators"
+ROOT = Path(__file__).parent.parent
+DEPLOY = ROOT / "deploy"
+CLASSES = [
+    {"name": "guest-checkin", "aimMs": 300.0, "hardLimitMs": 3000.0, "semantics": "safe"},
+    {"name": "c", "aimMs": 500.0},
+]
+# A key of RFC 8032's first test: 32 octets in base64.
+PUBLIC_KEY = "11qYAYKxCrfVS/7TyWQHOg7hcvPapiMlrwIaaPcHURo="
+SECRETS = {"replica.secret": "a shared secret", "endpoint.password": "relay-pw"}
+# The program's names of what an operator's file says, by the names under which it is told here. A renamed
+# field changes its right side, and nothing else.
+STORE = {
+    "listen": "listen", "peers": "seeds", "region": "region", "zone": "zone", "octets_per_s": "octets_per_s",
+    "horizon_s": "horizon_s",
+}  # fmt: skip
+XMPP = ("listen", "domain", "wait_ms", "port", "negotiate_s", "mute_s")
+ENDPOINT = ("domain", "username", "password")
+FLOWS = ("collector", "domain", "template_s", "queue")
+REBALANCE = (
+    "mode", "start", "stop", "part_per_min", "fleet_per_s", "burst", "least_age_s", "again_s", "again_most_s",
+    "back_within_s", "quiet_hours", "tick_s", "remember",
+)  # fmt: skip
+KEPT = ("keep_classes", "keep_tenants")
+FLOORS = ("all", "zone", "pin")
+CONFIG_FIELDS = ("name", "listen", "discovery", "seed", "log_level")
+LIMITS = ("sockets", "memory_mb")
+SETTINGS = (
+    "balancers", "index", "zone", "discovery", "max_attempts", "may_cancel", "retry_after",
+    "max_retry_after_ms", "connect_timeout_ms", "keepalive_ms", "must_ask_in_ms", "fall_multiple", "fall_ms",
+    "cold_from", "warm_within_ms", "weights", "groups", "price_cross_zone", "price_move", "tells_delay",
+    "probes", "price_probe", "reports", "report_fields",
+)  # fmt: skip
+CLASS = ("name", "aim_ms", "effect", "scope", "key_ttl_ms", "message_aim_ms", "give_up_ms")
+TENANT = ("name", "allowance_per_s", "quota_connections")
+LISTED = ("version", "full", "addresses")
+SERVER = ("name", "state", "zone", "kind", "cell", "share", "factor", "started_at_ms")
+
+
+def fields(obj: Any, names: Any) -> dict[str, Any]:
+    pairs = names.items() if isinstance(names, dict) else zip(names, names, strict=True)
+    return {told: getattr(obj, name) for told, name in pairs}
+
+
+def tell_tls(context: ssl.SSLContext | None) -> dict[str, Any] | None:
+    if context is None:
+        return None
+    return {"least": context.minimum_version.name, "verifies": context.verify_mode.name}
+
+
+def tell_operator(operator: Operator, folder: Path) -> dict[str, Any]:
+    """The decoded file in plain JSON; secrets by what they come to."""
+    told: dict[str, Any] = dict.fromkeys(("path", "store", "xmpp", "flows", "rebalance", "overrides"))
+    if operator.store_path is not None:
+        told["path"] = str(operator.store_path.relative_to(folder))
+    if (store := operator.replication) is not None:
+        told["store"] = fields(store, STORE) | {"secret": store.secret.hex()}
+    if (xmpp := operator.xmpp) is not None:
+        endpoint = fields(xmpp.endpoint, ENDPOINT) | {"tls": tell_tls(xmpp.endpoint.tls)}
+        told["xmpp"] = fields(xmpp, XMPP) | {"tls": tell_tls(xmpp.tls), "endpoint": endpoint}
+    if operator.flows is not None:
+        told["flows"] = fields(operator.flows, FLOWS)
+    if (rebalance := operator.rebalance) is not None:
+        kept = {
+            "keep_classes": sorted(rebalance.keep_classes),
+            "keep_tenants": sorted(rebalance.keep_tenants),
+        }
+        told["rebalance"] = fields(rebalance, REBALANCE) | kept
+    if (overrides := operator.overrides) is not None:
+        keys = {name: key.public_bytes_raw().hex() for name, key in overrides.operators.items()}
+        floors = fields(overrides.floors, FLOORS)
+        told["overrides"] = {"operators": keys, "longest_s": overrides.longest_s, "floors": floors}
+    return json.loads(json.dumps(told))
+
+
+def tell_config(config: Config) -> dict[str, Any]:
+    """The relay's own configuration in plain JSON."""
+    settings, known = config.settings, config.known
+    parts = {
+        "classes": [fields(request_class, CLASS) for request_class in settings.classes],
+        "tenants": [fields(tenant, TENANT) for tenant in settings.tenants],
+    }
+    told = fields(config, CONFIG_FIELDS) | {
+        "limits": fields(config.limits, LIMITS),
+        "settings": fields(settings, SETTINGS) | parts,
+        "known": fields(known, LISTED) | {"servers": [fields(server, SERVER) for server in known.servers]},
+    }
+    return json.loads(json.dumps(told))
+
+
+def read_operator_file(source: Path, folder: Path) -> Operator:
+    """As a relay reads it at its start, with the files that it names beside it."""
+    deploy, var = folder / "deploy", folder / "var"
+    deploy.mkdir()
+    var.mkdir()
+    for name, text in SECRETS.items():
+        (var / name).write_text(text + "\n")
+    authority = trustme.CA(key_type=trustme.KeyType.ECDSA)
+    certificate = authority.issue_cert("guides.example", key_type=trustme.KeyType.ECDSA)
+    certificate.cert_chain_pems[0].write_to_path(var / "xmpp.pem")
+    certificate.private_key_pem.write_to_path(var / "xmpp.key")
+    authority.cert_pem.write_to_path(var / "endpoint-ca.pem")
+    file = Path(shutil.copy(source, deploy))
+    settings = json.loads((FIXTURES / "config.json").read_text())["settings"] | {"classes": CLASSES}
+    config = write_config(folder, ("127.0.0.1", 9), settings=settings)
+    return load({"GW_CONFIG": str(config)}, str(file)).operator
+
+
+def decode(source: Path) -> dict[str, Any]:
+    with tempfile.TemporaryDirectory() as name:
+        folder = Path(name).resolve()
+        return tell_operator(read_operator_file(source, folder), folder / "deploy")
+
+
+def as_bytes(told: dict[str, Any]) -> bytes:
+    return json.dumps(told, indent=1, sort_keys=True).encode() + b"\n"
+
+
+# Files with every key that there is, and with none but those that must be there.
+WHOLE: dict[str, Any] = {
+    "store": {
+        "path": "store.log", "listen": "127.0.0.1:7400", "peers": ["127.0.0.1:7401", "10.0.0.2:7400"],
+        "secret_file": "../var/replica.secret", "region": "north", "zone": "n1", "octets_per_s": 20000,
+        "horizon_s": 7200,
+    },
+    "xmpp": {
+        "listen": "127.0.0.1:5222", "domain": "guides.example", "wait_ms": 1500, "negotiate_s": 2.5,
+        "mute_s": 4.5, "certificate": "../var/xmpp.pem", "key": "../var/xmpp.key",
+        "endpoint": {"domain": "hosts.example", "username": "relay", "tls": False, "port": 5269,
+                     "password_file": "../var/endpoint.password"},
+    },
+    "flows": {"collector": "127.0.0.1:4739", "domain": 7, "template_s": 10, "queue": 64},
+    "rebalance": {
+        "mode": "on", "start": 1.2, "stop": 1.1, "part_per_min": 0.2, "fleet_per_s": 5, "burst": 8,
+        "least_age_s": 1, "again_s": 60, "again_most_s": 120, "back_within_s": 3, "keep_classes": ["c"],
+        "keep_tenants": ["t"], "quiet_hours": ["22:30-05:00", "12:00-12:01"], "tick_s": 0.5, "remember": 16,
+    },
+    "overrides": {"operators": {"lan": PUBLIC_KEY}, "longest_s": 3600, "floor_all": 0.4, "floor_zone": 0.3,
+                  "floor_pin": 0.2},
+}  # fmt: skip
+LEAST: dict[str, Any] = {
+    "store": {"listen": "127.0.0.1:7400", "secret_file": "../var/replica.secret"},
+    "xmpp": {"listen": "127.0.0.1:5222", "domain": "guides.example",
+             "endpoint": {"username": "relay", "password_file": "../var/endpoint.password"}},
+    "flows": {"collector": "127.0.0.1:4739"},
+    "rebalance": {},
+    "overrides": {},
+}  # fmt: skip
+CONFIG: dict[str, Any] = {
+    "name": "n1", "listen": "127.0.0.1:7000", "discovery": "127.0.0.1:7001", "seed": "0aff",
+    "limits": {"sockets": 256, "memory_mb": 64.5},
+    "known": {"version": 3, "full": True, "servers": [
+        {"id": "a", "addr": "127.0.0.1:1", "state": "ready", "zone": "z1", "weight": 2.0},
+        {"id": "b", "addr": "127.0.0.1:2", "state": "draining"},
+    ]},
+    "settings": {
+        "accounts": [{"name": "t", "allowancePerS": 5.0}, {"name": "u"}],
+        "classes": [
+            {"name": "c", "aimMs": 1500.0, "hardLimitMs": 3000.0, "semantics": "keyed", "keyTtlMs": 900.0,
+             "dedupScope": "all"},
+            {"name": "d", "aimMs": 10},
+        ],
+        "groupSize": 3, "me": 1, "zone": "z1", "discovery": "ask", "weightKind": "none",
+        "policyLimits": {"sendCap": 3, "cancel": True, "retryAfter": True, "maxRetryAfterMs": 800.0,
+                         "connectTimeoutMs": 400.0, "keepaliveMs": 5000.0, "probes": True},
+        "guarantees": {"mustAskInMs": 7.0, "fallMultiple": 4.0, "fallMs": 3000.0, "startCapacity": 0.2,
+                       "warmWithinMs": 9000.0},
+        "familyInfo": {"messageAimMs": [50.0], "tenantQuotaConnections": [9.0, 8.0], "groups": True,
+                       "tellsDelay": True},
+        "prices": {"crossZone": 0.5, "moves": 0.25, "probe": 0.125},
+        "report": {"source": "answers", "fields": ["queue", "cpu"]},
+    },
+}  # fmt: skip
+# ``deployed-*.json`` are copies of the files of ``deploy/``, as operators have them.
+FILES = {path.stem: path for path in sorted(FIXTURES.glob("deployed-*.json")) if ".decoded" not in path.name}
+FILES |= {"whole": FIXTURES / "whole.json", "least": FIXTURES / "least.json"}
+
+
+def produced() -> dict[str, bytes]:
+    inputs = {f"{name}.json": as_bytes(told) for name, told in (("whole", WHOLE), ("least", LEAST))}
+    inputs |= {f"deployed-{path.name}": path.read_bytes() for path in sorted(DEPLOY.glob("*.json"))}
+    inputs["config.json"] = as_bytes(CONFIG)
+    for name, data in inputs.items():
+        (FIXTURES / name).write_bytes(data)
+    decoded = {name: as_bytes(decode(FIXTURES / name)) for name in inputs if name != "config.json"}
+    decoded["config.json"] = as_bytes(tell_config(load({"GW_CONFIG": str(FIXTURES / "config.json")})))
+    return inputs | {name.replace(".json", ".decoded.json"): data for name, data in decoded.items()}
+
+
+@pytest.mark.parametrize("name", FILES)
+def test_an_operators_file_means_what_it_meant(name: str) -> None:
+    assert as_bytes(decode(FILES[name])) == (FIXTURES / f"{name}.decoded.json").read_bytes()
+
+
+@pytest.mark.parametrize("path", sorted(DEPLOY.glob("*.json")), ids=lambda path: path.stem)
+def test_a_file_of_deploy_means_what_it_meant(path: Path) -> None:
+    assert as_bytes(decode(path)) == (FIXTURES / f"deployed-{path.stem}.decoded.json").read_bytes()
+
+
+def test_the_relays_configuration_means_what_it_meant() -> None:
+    config = load({"GW_CONFIG": str(FIXTURES / "config.json")})
+    assert as_bytes(tell_config(config)) == (FIXTURES / "config.decoded.json").read_bytes()
+
+
+@pytest.mark.parametrize("section", list(WHOLE))
+def test_a_key_that_is_none_is_refused(tmp_path: Path, section: str) -> None:
+    file = tmp_path / "unknown.json"
+    file.write_text(json.dumps(WHOLE | {section: WHOLE[section] | {"unheard_of": 1}}))
+    with pytest.raises(ConfigError, match="unheard_of"):
+        read_operator_file(file, tmp_path)
