--- /dev/null
+++ b/tests/support/decision_days.py
@@ -0,0 +1,454 @@
+"""A seeded closed-loop simulation of one relay's day: endpoints, clients and discovery around a Balancer.
+
+The simulation answers each action as the world would, and adds faults of its own: drains, restarts, crashes,
+strained endpoints, lost watches. It uses only the public ``handle`` of the module; its chance is one seeded
+generator, and its arithmetic needs no mathematical library, so that the same events come on any platform.
+"""
+
+from __future__ import annotations
+
+from collections import Counter
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from hashlib import sha256
+from heapq import heappop, heappush
+from itertools import count
+from random import Random
+
+from support.decision_codes import EVENT_CODES, canonical_step, decode_action
+from support.decision_variants import Variant
+
+from sageturn import Balancer
+from sageturn import interface as api
+
+PATIENCE_MS = 1500.0
+STRAIN_CHANGE_MS = 4000.0
+NOTE_MS = 1000.0
+RETRIES_MOST, RETRY_PART = 2, 0.5  # of a client that is refused
+WATCH_LIFE_MS = 20_000.0
+START_MS = 50_000.0  # the clock's first instant: some endpoints are then still warming up
+TENANTS = ("red", "red", "red", "green", "blue", "unlisted")
+CLASS_NAMES = ("safe", "safe", "unsafe", "keyed-all", "keyed-zone", "keyed-cell", "unlisted")
+GROUPS = ("", "lobby", "lobby", "lobby", "hall", "g1", "g2", "g3", "g4")
+EARLY_FAILURES = ("error", "full", "connect_failed", "reset", "moot", "cancelled")
+
+
+@dataclass
+class Endpoint:
+    """One server of the fleet, and what is wrong with it just now."""
+
+    name: str
+    zone: str
+    cell: int
+    kind: str
+    share: float
+    started_at_ms: float
+    state: str = "ready"
+    factor: float = 1.0
+    strained: bool = False
+    crashed: bool = False
+    takes_probes: bool = True
+
+
+@dataclass
+class Session:
+    """One request and the connection that may come of it. ``phase``: waiting, pending, open or ended."""
+
+    id: int
+    class_name: str
+    tenant: str
+    group: str
+    phase: str = "waiting"
+    server: str = ""
+    attempt: int = -1
+    retries: int = 0
+    moved: bool = False
+
+
+@dataclass
+class Record:
+    """What a day came to."""
+
+    digest: str = ""
+    events: Counter[str] = field(default_factory=Counter)
+    details: Counter[str] = field(default_factory=Counter)  # events by kind, such as "outcome reset"
+    actions: Counter[str] = field(default_factory=Counter)
+
+
+class Day:
+    """One variant's day. ``run`` plays it and tells its record."""
+
+    def __init__(self, variant: Variant) -> None:
+        self.variant = variant
+        self.random = Random(variant.seed)
+        self.balancer = Balancer(variant.settings, variant.seed)
+        self.now_ms = START_MS
+        self.agenda: list[tuple[float, int, Callable[[], None]]] = []
+        self.order = count()
+        self.ids = count(1)
+        self.names = count(1)
+        self.sessions: dict[int, Session] = {}
+        self.fleet: dict[str, Endpoint] = {}
+        self.watched = False
+        self.record = Record()
+        self.hash = sha256()
+        self.answers: dict[str, Callable[..., None]] = {
+            "send": self._on_send,
+            "refuse": self._on_refuse,
+            "fail": self._on_fail,
+            "cancel": self._on_cancel,
+            "move": self._on_move,
+            "set_timer": self._on_set_timer,
+            "watch": self._on_watch,
+            "probe": self._on_probe,
+        }
+
+    def run(self) -> Record:
+        self._start()
+        while self.record.events.total() < self.variant.events:
+            self.now_ms, _, step = heappop(self.agenda)
+            step()
+        self.record.digest = self.hash.hexdigest()
+        return self.record
+
+    # ---------------------------------------------------------------- clock, chance and the module
+
+    def _later(self, delay_ms: float, step: Callable[[], None]) -> None:
+        heappush(self.agenda, (self.now_ms + delay_ms, next(self.order), step))
+
+    def _around(self, mean_ms: float) -> float:
+        return mean_ms * 2.0 * self.random.random()
+
+    def _happens(self, part: float) -> bool:
+        return self.random.random() < part
+
+    def _tell(self, event: api.Event, detail: str = "") -> None:
+        """Pass the event on and schedule what its actions lead to. ``detail``: of what kind it is, if any."""
+        actions = self.balancer.handle(self.now_ms, event)
+        self.hash.update(canonical_step(self.now_ms, event, actions).encode())
+        event_code = EVENT_CODES[type(event)]
+        self.record.events[event_code] += 1
+        self.record.details[f"{event_code} {detail}"] += 1
+        for action in actions:
+            code, values = decode_action(action)
+            self.record.actions[code] += 1
+            self.answers[code](*values)
+
+    # ---------------------------------------------------------------- the day's start
+
+    def _start(self) -> None:
+        for _ in range(self.variant.endpoints):
+            endpoint = self._add_endpoint()
+            endpoint.started_at_ms = self.random.choice((0.0, 1000.0, START_MS - 3000.0))
+        names = list(self.fleet)
+        self.fleet[names[0]].crashed = True  # the list of the start is out of date
+        for _ in range(5):
+            session = self._new_session()
+            session.phase, session.attempt = "open", 0
+            session.server = self.random.choice(names + ["forgotten"])
+            self._tell(api.Inherited(session.id, session.class_name, session.tenant, session.server,
+                                     session.group, 1.0, f"client{session.id}"))  # fmt: skip
+            self._schedule_end(session)
+        self._start_discovery(names)
+        self._new_client()
+        self._change_fleet()
+        self._change_strain()
+        self._send_notes()
+        self._send_stray_events()
+
+    def _start_discovery(self, names: list[str]) -> None:
+        if self.variant.settings.discovery == "ask":
+            self._publish("stale", names)
+        else:
+            self._publish("full", names)
+            self._later(self._around(WATCH_LIFE_MS), lambda: self._end_watch(api.ListFailure.LOST))
+
+    # ---------------------------------------------------------------- the fleet and its lists
+
+    def _add_endpoint(self) -> Endpoint:
+        number = next(self.names)
+        zones, kinds, shares = self.variant.zones, self.variant.kinds, self.variant.shares
+        endpoint = Endpoint(f"s{number}", zones[number % len(zones)], number % 4, kinds[number % len(kinds)],
+                            shares[number % len(shares)], self.now_ms)  # fmt: skip
+        endpoint.takes_probes = self._happens(0.85)
+        self.fleet[endpoint.name] = endpoint
+        return endpoint
+
+    def _publish(self, kind: str, names: list[str]) -> None:
+        lines = [
+            api.Server(e.name, e.state, e.zone, e.cell, e.started_at_ms, e.share, e.kind, e.factor)
+            for e in map(self.fleet.__getitem__, names)
+        ]
+        self._tell(api.ServerList(kind, lines), kind)
+
+    def _published(self) -> bool:
+        return self.watched or self.variant.settings.discovery == "push"
+
+    def _change_fleet(self) -> None:
+        endpoint = self.random.choice(list(self.fleet.values()))
+        change = self.random.choice((self._drain, self._restart, self._crash, self._reweigh))
+        change(endpoint)
+        if sum(e.state == "ready" for e in self.fleet.values()) < self.variant.endpoints:
+            endpoint = self._add_endpoint()
+            self._announce(endpoint)
+        if self._published() and self._happens(0.1):
+            self._publish("full", [name for name, e in self.fleet.items() if e.state != "gone"])
+        self._later(self._around(self.variant.fleet_change_ms), self._change_fleet)
+
+    def _announce(self, endpoint: Endpoint) -> None:
+        if self._published():
+            self._publish("changes", [endpoint.name])
+
+    def _drain(self, endpoint: Endpoint) -> None:
+        endpoint.state = "draining"
+        self._announce(endpoint)
+        self._later(self._around(2000.0), lambda: self._remove(endpoint))
+
+    def _remove(self, endpoint: Endpoint) -> None:
+        if endpoint.state != "draining" or self.fleet.get(endpoint.name) is not endpoint:
+            return
+        endpoint.state = "gone"
+        self._announce(endpoint)
+        self._break_connections(endpoint)
+        del self.fleet[endpoint.name]
+
+    def _restart(self, endpoint: Endpoint) -> None:
+        self._break_connections(endpoint)
+        endpoint.state, endpoint.crashed, endpoint.started_at_ms = "ready", False, self.now_ms
+        self._announce(endpoint)
+
+    def _crash(self, endpoint: Endpoint) -> None:
+        endpoint.crashed = True
+        self._break_connections(endpoint)
+        self._later(self._around(4000.0), lambda: self._restart_crashed(endpoint))
+
+    def _restart_crashed(self, endpoint: Endpoint) -> None:
+        if endpoint.crashed and endpoint.name in self.fleet:
+            self._restart(endpoint)
+
+    def _reweigh(self, endpoint: Endpoint) -> None:
+        endpoint.factor = self.random.choice((0.5, 1.0, 1.0, 2.0))
+        self._announce(endpoint)
+
+    def _change_strain(self) -> None:
+        for endpoint in self.fleet.values():
+            endpoint.strained = self._happens(self.variant.strained_part)
+        self._later(self._around(STRAIN_CHANGE_MS), self._change_strain)
+
+    def _connections(self, endpoint: Endpoint) -> list[Session]:
+        return [s for s in self.sessions.values() if s.phase == "open" and s.server == endpoint.name]
+
+    def _break_connections(self, endpoint: Endpoint) -> None:
+        for session in self._connections(endpoint):
+            self._later(self._around(30.0), self._outcome_step(session, "reset", True, returns=True))
+
+    # ---------------------------------------------------------------- clients
+
+    def _new_session(self) -> Session:
+        choice = self.random.choice
+        session = Session(next(self.ids), choice(CLASS_NAMES), choice(TENANTS), choice(GROUPS))
+        if self._happens(self.variant.private_group_part):
+            session.group = f"private{session.id}"
+        self.sessions[session.id] = session
+        return session
+
+    def _new_client(self) -> None:
+        self._later(self._around(self.variant.request_gap_ms), self._new_client)
+        self._ask(self._new_session())
+
+    def _ask(self, session: Session, returned: bool = False) -> None:
+        pinned = self._happens(self.variant.pinned_part)
+        allowed = frozenset(self.random.sample(list(self.fleet), 2)) if pinned else None
+        request = api.Request(
+            session.id,
+            session.class_name,
+            session.tenant,
+            self.now_ms + PATIENCE_MS,
+            group=session.group,
+            hint=self.random.choice((0.0, 1.0, 5.0)),
+            midflow=self._happens(0.1),
+            client=f"client{session.id}",
+            returned=returned,
+            retried=session.retries > 0,
+            moved_off=session.server if session.moved else "",
+            spared_until_ms=self.now_ms + 5000.0 if session.moved else 0.0,
+            allowed=allowed,
+            strict=pinned and self._happens(0.5),
+        )
+        session.phase = "waiting"
+        self._tell(request)
+
+    def _come_again(self, session: Session, delay_ms: float, returned: bool) -> None:
+        """The client asks anew, as another request."""
+        again = self._new_session()
+        again.class_name, again.tenant, again.group = session.class_name, session.tenant, session.group
+        again.retries, again.moved, again.server = session.retries, session.moved, session.server
+        self._later(delay_ms, lambda: self._ask(again, returned))
+
+    def _finish(self, session: Session) -> None:
+        session.phase = "ended"
+        self.sessions.pop(session.id, None)
+
+    # ---------------------------------------------------------------- attempts and connections
+
+    def _on_send(self, id: int, server: str, timeout_ms: float) -> None:
+        session = self.sessions[id]
+        session.phase, session.server, session.attempt = "pending", server, session.attempt + 1
+        endpoint = self.fleet.get(server)
+        if endpoint is None or endpoint.crashed:
+            self._later(self._around(10.0), self._outcome_step(session, "connect_failed", False))
+            return
+        took_ms = self._around(400.0 if endpoint.strained else 30.0) * (0.7 if endpoint.kind == "a" else 1.0)
+        if took_ms >= timeout_ms or self._happens(0.01):
+            self._later(timeout_ms, self._outcome_step(session, "timeout", False))
+        elif self._happens(0.3 if endpoint.strained else 0.03):
+            status = self.random.choice(EARLY_FAILURES)
+            self._later(took_ms, self._outcome_step(session, status, self._happens(0.05)))
+        elif self._happens(0.03):
+            self._later(took_ms, self._outcome_step(session, "ok", True))
+        else:
+            self._later(took_ms, self._first_sign_step(session, took_ms))
+        if self._happens(0.03):
+            self._later(self._around(40.0), lambda: self._leave(session))
+
+    def _first_sign_step(self, session: Session, took_ms: float) -> Callable[[], None]:
+        attempt = session.attempt
+
+        def step() -> None:
+            if session.phase != "pending" or session.attempt != attempt:
+                return
+            session.phase = "open"
+            self._schedule_end(session)
+            self._tell(api.FirstSign(session.id, attempt, session.server, took_ms))
+
+        return step
+
+    def _outcome_step(
+        self, session: Session, status: str, final: bool, returns: bool = False
+    ) -> Callable[[], None]:
+        attempt = session.attempt
+
+        def step() -> None:
+            if session.phase not in ("pending", "open") or session.attempt != attempt:
+                return
+            session.phase = "waiting"
+            if final:
+                self._finish(session)
+            if returns:
+                self._come_again(session, self._around(100.0), returned=True)
+            report = self._report(session.server) if self._answers_report() else {}
+            self._tell(api.Outcome(session.id, attempt, session.server, status, final, report), status)
+
+        return step
+
+    def _schedule_end(self, session: Session) -> None:
+        status = self.random.choice(("ok", "ok", "ok", "ok", "ok", "reset", "error"))
+        self._later(self._around(self.variant.session_ms), self._outcome_step(session, status, True))
+        if self._happens(0.1):
+            self._later(self._around(self.variant.session_ms), lambda: self._leave(session))
+
+    def _leave(self, session: Session) -> None:
+        if session.phase in ("pending", "open"):
+            self._later(self._around(20.0), self._outcome_step(session, "ok", True))
+            self._tell(api.ClientGone(session.id))
+
+    def _on_refuse(self, id: int, retry_after_ms: float) -> None:
+        session = self.sessions.get(id)
+        if session is None:
+            return
+        self._finish(session)
+        if session.retries < RETRIES_MOST and self._happens(RETRY_PART):
+            session.retries += 1
+            self._come_again(session, retry_after_ms + self._around(100.0), returned=False)
+
+    def _on_fail(self, id: int) -> None:
+        if id in self.sessions:
+            self._finish(self.sessions[id])
+
+    def _on_cancel(self, id: int, attempt: int) -> None:
+        self._later(1.0, self._outcome_step(self.sessions[id], "cancelled", True))
+
+    def _on_move(self, id: int) -> None:
+        session = self.sessions.get(id)
+        if session is None:  # the word that it ended was the one that made the module move it
+            return
+        session.moved = True
+        self._later(self._around(60.0), self._outcome_step(session, "ok", True, returns=True))
+
+    # ---------------------------------------------------------------- timers, discovery and reports
+
+    def _on_set_timer(self, delay_ms: float, mark: str) -> None:
+        self._later(delay_ms, lambda: self._tell(api.Timer(mark)))
+
+    def _on_watch(self) -> None:
+        if self._happens(0.4):
+            failures = (api.ListFailure.UNREACHED, api.ListFailure.OVERLOADED, api.ListFailure.OVERLOADED,
+                        api.ListFailure.UNANSWERED, api.ListFailure.UNUSABLE)  # fmt: skip
+            failure = self.random.choice(failures)
+            self._later(self._around(800.0), lambda: self._end_watch(failure))
+        else:
+            self._later(self._around(60.0), self._answer_watch)
+
+    def _answer_watch(self) -> None:
+        self.watched = True
+        failure = self.random.choice((api.ListFailure.LOST, api.ListFailure.SILENT))
+        self._later(self._around(WATCH_LIFE_MS), lambda: self._end_watch(failure))
+        self._publish("full", list(self.fleet))
+
+    def _end_watch(self, failure: api.ListFailure) -> None:
+        self.watched = False
+        self._tell(api.ServerList("failed", [], failure), f"failed {failure.name.lower()}")
+
+    def _answers_report(self) -> bool:
+        return self.variant.settings.reports == "answers" and self._happens(0.5)
+
+    def _report(self, server: str) -> dict[str, float]:
+        endpoint = self.fleet.get(server)
+        if endpoint is None:
+            return {}
+        fill = 0.6 + 0.4 * self.random.random() if endpoint.strained else 0.75 * self.random.random()
+        piled_up_s = self._around(0.05 if endpoint.strained else 0.005)
+        values = {"x0": fill, "x1": piled_up_s, "cpu": fill}
+        return {name: values[name] for name in self.variant.settings.report_fields}
+
+    def _on_probe(self, server: str) -> None:
+        endpoint = self.fleet.get(server)
+        self._later(self._around(20.0), lambda: self._answer_probe(server, endpoint))
+
+    def _answer_probe(self, server: str, endpoint: Endpoint | None) -> None:
+        if endpoint is None or endpoint.crashed or self._happens(0.05):
+            self._tell(api.Probed(server, "timeout"), "timeout")
+        elif not endpoint.takes_probes:
+            self._tell(api.Probed(server, "refused"), "refused")
+        else:
+            self._tell(api.Probed(server, "ok", self._report(server)), "ok")
+
+    def _send_notes(self) -> None:
+        """Each second, word on some open connections: their loads, and where it is told, their delays."""
+        self._later(NOTE_MS, self._send_notes)
+        for endpoint in list(self.fleet.values()):
+            for session in self._connections(endpoint):
+                if session.phase == "open" and self._happens(0.25):
+                    self._note(session, endpoint)
+
+    def _note(self, session: Session, endpoint: Endpoint) -> None:
+        if self.variant.settings.tells_delay and self._happens(0.7):
+            kind, value = "delay", self._around(60.0 if endpoint.strained else 8.0)
+        else:
+            mean_load = 1000.0 / self.variant.settings.balancers
+            kind, value = "load", self._around(mean_load * (0.3 if endpoint.strained else 0.08))
+        self._tell(api.Note(session.id, session.attempt, session.server, kind, value), kind)
+
+    def _send_stray_events(self) -> None:
+        """Late word on what has ended or was never known: it must be passed over."""
+        self._later(self._around(3000.0), self._send_stray_events)
+        unknown = next(self.ids)
+        self._tell(api.FirstSign(unknown, 0, "s1", 5.0))
+        self._tell(api.Outcome(unknown, 0, "s1", "ok", True))
+        self._tell(api.ClientGone(unknown))
+        self._tell(api.Note(unknown, 0, "unlisted", "load", 1.0))
+        self._tell(api.Timer("unlisted"))
+
+
+def play_day(variant: Variant) -> Record:
+    return Day(variant).run()
--- /dev/null
+++ b/tests/test_decision_record.py
@@ -0,0 +1,91 @@
+"""The decision module's actions on recorded days, against the hashes of the code that was recorded.
+
+A refactoring must leave every hash as it is. A change of behaviour that is meant replaces them by those that
+the failing tests print, and says why. The interpreter's seed for the hashes of strings differs from run to
+run, so each run also checks that the order of sets does not matter.
+"""
+
+from __future__ import annotations
+
+from collections import Counter
+from dataclasses import fields
+from functools import cache
+from typing import get_args
+
+import pytest
+from support.decision_codes import ACTION_CODES, EVENT_CODES, canonical_step, canonical_value
+from support.decision_days import Record, play_day
+from support.decision_variants import VARIANTS, Variant
+
+from sageturn import interface as api
+
+EVENTS_LEAST = 100_000
+
+DIGESTS = {
+    "lone relay without tenants": "ae83b6f105e2c9273aee3fb708def3045724d4fc3e6d099ac65dc9a0d45e1547",
+    "priced zones, quotas, loads only": "b46e179edb5ec170185e1c5700c9cf361e00cdb562736b8ae158c502741b0a9b",
+    "many relays, rough weights": "f963b8ce94eeb5aa7af4cfba28b04784cc2510011a58fd2ef31df71604dba79a",
+    "probes at a price, groups in zones": "25955649debf1f96340da1b483b8a83a871f5491db16a9e8a5f73f5016047bb5",
+    "groups, delays told, pins": "07e5db6f44a56f29fde5c145728753b67645d102509cf5dbe7d9920b705df537",
+    "scarce servers, dear moves": "394d4af695ed3e4b8d08b36b0cae57f1dac9da0967d72f04388b88fca50bed11",
+    "few relays, loads, cold budgets": "9f43035ba90dfe190f30d432bbe6444c6d48bf7aedcaaee0a83d59e6d88a2822",
+    "probes free, by processor use": "7f7938528256ecf87cf9bd581a1e956931081b90433a5ae2886758c143ac49f5",
+    "many relays, delays told": "ed2e8600cc4ae64b6f46ee2fe36a137d6fb587bed8171a828db77bf4741ee801",
+    "a calm fleet and many small groups": "91d70088674185a7bc19ee356a2c35c001082c0b754ed437a7867bf09e512e47",
+}
+
+OUTCOME_STATUSES = ("ok", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "moot")
+DETAILS = {
+    *(f"outcome {status}" for status in OUTCOME_STATUSES),
+    *(f"list {kind}" for kind in ("stale", "full", "changes")),
+    *(f"list failed {failure.name.lower()}" for failure in api.ListFailure),
+    *(f"note {kind}" for kind in ("load", "delay")),
+    *(f"probed {status}" for status in ("ok", "refused", "timeout")),
+}
+
+
+@cache
+def recorded(variant: Variant) -> Record:
+    return play_day(variant)
+
+
+@pytest.mark.parametrize("variant", VARIANTS, ids=lambda variant: variant.name)
+def test_actions_are_those_of_the_recorded_code(variant: Variant) -> None:
+    assert recorded(variant).digest == DIGESTS[variant.name]
+
+
+def test_each_recorded_site_is_played_once() -> None:
+    assert sorted(variant.name for variant in VARIANTS) == sorted(DIGESTS)
+
+
+def test_every_kind_of_event_and_action_occurs() -> None:
+    events: Counter[str] = Counter()
+    details: Counter[str] = Counter()
+    actions: Counter[str] = Counter()
+    for record in map(recorded, VARIANTS):
+        events += record.events
+        details += record.details
+        actions += record.actions
+    assert events.total() >= EVENTS_LEAST
+    assert set(events) == set(EVENT_CODES.values())
+    assert set(actions) == {code for code, _ in ACTION_CODES.values()}
+    assert set(details) >= DETAILS
+
+
+def test_the_codes_cover_the_interface() -> None:
+    assert set(EVENT_CODES) == set(get_args(api.Event))
+    assert set(ACTION_CODES) == set(get_args(api.Action))
+    assert len(set(EVENT_CODES.values())) == len(EVENT_CODES)
+    for action, (_, names) in ACTION_CODES.items():
+        assert sorted(names) == sorted(field.name for field in fields(action))
+
+
+def test_numbers_are_told_apart_down_to_the_ninth_digit() -> None:
+    assert canonical_value(123.456789) != canonical_value(123.456788)
+    assert canonical_value(123.456789) == canonical_value(123.4567890001)
+
+
+def test_a_step_is_written_by_codes_in_order() -> None:
+    actions: list[api.Action] = [api.Send(7, "a", 250.0), api.Watch(), api.Refuse(8, 100.5)]
+    line = canonical_step(12.5, api.Timer("watch"), actions)
+    assert line == "12.5 timer -> send(7,'a',250) watch() refuse(8,100.5)\n"
