--- a/experiments/make_compatibility_fixtures.py
+++ b/experiments/make_compatibility_fixtures.py
@@ -19,10 +19,10 @@
 def main(concerns: list[str]) -> None:
     sys.path[:0] = [str(ROOT), str(ROOT / "tests")]
     for concern in concerns or CONCERNS:
-        module = importlib.import_module(f"test_compatibility_{concern}")
+        balancer_actor = importlib.import_module(f"test_compatibility_{concern}")
         folder = ROOT / "tests" / "fixtures" / concern
         folder.mkdir(parents=True, exist_ok=True)
-        for name, data in module.produced().items():
+        for name, data in balancer_actor.produced().items():
             (folder / name).write_bytes(data)
             print(f"{concern}/{name}: {len(data)} bytes")
 
--- a/sageturn/lab/scale/members.py
+++ b/sageturn/lab/scale/members.py
@@ -61,12 +61,12 @@
     """What follows it, where the program has it: not every program that is measured does."""
     try:
         member = import_module("sageturn.store.replication.member")
-        settled = import_module("sageturn.store.replication.options").SpreadOptions(
+        settled = import_module("sageturn.store.replication.options").ReplicationOptions(
             options.listen, options.peers, options.secret, region=place.region, zone=place.zone
         )
     except ImportError:
         raise ValueError("spread: delta is not in this program") from None
-    made: Spreader = member.Node(store, settled, admission, Random(f"scale/{place.name}"))
+    made: Spreader = member.ReplicationMember(store, settled, admission, Random(f"scale/{place.name}"))
     return made
 
 
--- a/tests/support/decision_codes.py
+++ b/tests/support/decision_codes.py
@@ -13,36 +13,36 @@
 
 from typing import Any
 
-from sageturn import interface as api
+from sageturn import decision
 
 SIGNIFICANT_DIGITS = 9
 
 EVENT_CODES: dict[type, str] = {
-    api.ServerList: "list",
-    api.Request: "request",
-    api.Inherited: "inherited",
-    api.FirstSign: "first_sign",
-    api.Outcome: "outcome",
-    api.Probed: "probed",
-    api.ClientGone: "client_gone",
-    api.Timer: "timer",
-    api.Note: "note",
+    decision.EndpointListEvent: "list",
+    decision.RequestArrived: "request",
+    decision.ConnectionAdopted: "inherited",
+    decision.ConnectionEstablished: "first_sign",
+    decision.AttemptEnded: "outcome",
+    decision.HealthCheckCompleted: "probed",
+    decision.ClientDisconnected: "client_gone",
+    decision.TimerFired: "timer",
+    decision.MeasurementReported: "note",
 }
 
 # By type of action: its code, and its fields in the order in which they are written.
 ACTION_CODES: dict[type, tuple[str, tuple[str, ...]]] = {
-    api.Send: ("send", ("id", "server", "timeout_ms")),
-    api.Refuse: ("refuse", ("id", "retry_after_ms")),
-    api.Fail: ("fail", ("id",)),
-    api.Cancel: ("cancel", ("id", "attempt")),
-    api.Move: ("move", ("id",)),
-    api.SetTimer: ("set_timer", ("delay_ms", "mark")),
-    api.Watch: ("watch", ()),
-    api.Probe: ("probe", ("server",)),
+    decision.PlaceRequest: ("send", ("id", "endpoint", "timeout_ms")),
+    decision.RejectRequest: ("refuse", ("id", "retry_after_ms")),
+    decision.FailRequest: ("fail", ("id",)),
+    decision.AbandonAttempt: ("cancel", ("id", "attempt")),
+    decision.MigrateConnection: ("move", ("id",)),
+    decision.SetTimer: ("set_timer", ("delay_ms", "mark")),
+    decision.WatchEndpoints: ("watch", ()),
+    decision.CheckHealth: ("probe", ("endpoint",)),
 }
 
 
-def decode_action(action: api.Action) -> tuple[str, tuple[Any, ...]]:
+def decode_action(action: decision.Action) -> tuple[str, tuple[Any, ...]]:
     """The action's code, and its values in their fixed order."""
     code, fields = ACTION_CODES[type(action)]
     return code, tuple(getattr(action, field) for field in fields)
@@ -52,12 +52,12 @@
     return repr(value) if isinstance(value, str) else format(value, f".{SIGNIFICANT_DIGITS}g")
 
 
-def canonical_action(action: api.Action) -> str:
+def canonical_action(action: decision.Action) -> str:
     code, values = decode_action(action)
     return f"{code}({','.join(map(canonical_value, values))})"
 
 
-def canonical_step(now_ms: float, event: api.Event, actions: list[api.Action]) -> str:
+def canonical_step(now_ms: float, event: decision.Event, actions: list[decision.Action]) -> str:
     """One line: when, what kind of event, and all actions in their order."""
     answers = " ".join(map(canonical_action, actions))
     return f"{canonical_value(now_ms)} {EVENT_CODES[type(event)]} -> {answers}\n"
--- a/tests/support/decision_days.py
+++ b/tests/support/decision_days.py
@@ -18,8 +18,7 @@
 from support.decision_codes import EVENT_CODES, canonical_step, decode_action
 from support.decision_variants import Variant
 
-from sageturn import Balancer
-from sageturn import interface as api
+from sageturn import Balancer, decision
 
 PATIENCE_MS = 1500.0
 STRAIN_CHANGE_MS = 4000.0
@@ -122,7 +121,7 @@
     def _happens(self, part: float) -> bool:
         return self.random.random() < part
 
-    def _tell(self, event: api.Event, detail: str = "") -> None:
+    def _tell(self, event: decision.Event, detail: str = "") -> None:
         """Pass the event on and schedule what its actions lead to. ``detail``: of what kind it is, if any."""
         actions = self.balancer.handle(self.now_ms, event)
         self.hash.update(canonical_step(self.now_ms, event, actions).encode())
@@ -146,8 +145,17 @@
             session = self._new_session()
             session.phase, session.attempt = "open", 0
             session.server = self.random.choice(names + ["forgotten"])
-            self._tell(api.Inherited(session.id, session.class_name, session.tenant, session.server,
-                                     session.group, 1.0, f"client{session.id}"))  # fmt: skip
+            self._tell(
+                decision.ConnectionAdopted(
+                    session.id,
+                    session.class_name,
+                    session.tenant,
+                    session.server,
+                    session.group,
+                    1.0,
+                    f"client{session.id}",
+                )
+            )
             self._schedule_end(session)
         self._start_discovery(names)
         self._new_client()
@@ -161,25 +169,31 @@
             self._publish("stale", names)
         else:
             self._publish("full", names)
-            self._later(self._around(WATCH_LIFE_MS), lambda: self._end_watch(api.ListFailure.LOST))
+            self._later(self._around(WATCH_LIFE_MS), lambda: self._end_watch(decision.DiscoveryFailure.LOST))
 
     # ---------------------------------------------------------------- the fleet and its lists
 
     def _add_endpoint(self) -> Endpoint:
         number = next(self.names)
         zones, kinds, shares = self.variant.zones, self.variant.kinds, self.variant.shares
-        endpoint = Endpoint(f"s{number}", zones[number % len(zones)], number % 4, kinds[number % len(kinds)],
-                            shares[number % len(shares)], self.now_ms)  # fmt: skip
+        endpoint = Endpoint(
+            f"s{number}",
+            zones[number % len(zones)],
+            number % 4,
+            kinds[number % len(kinds)],
+            shares[number % len(shares)],
+            self.now_ms,
+        )
         endpoint.takes_probes = self._happens(0.85)
         self.fleet[endpoint.name] = endpoint
         return endpoint
 
     def _publish(self, kind: str, names: list[str]) -> None:
         lines = [
-            api.Server(e.name, e.state, e.zone, e.cell, e.started_at_ms, e.share, e.kind, e.factor)
+            decision.Endpoint(e.name, e.state, e.zone, e.cell, e.started_at_ms, e.share, e.kind, e.factor)
             for e in map(self.fleet.__getitem__, names)
         ]
-        self._tell(api.ServerList(kind, lines), kind)
+        self._tell(decision.EndpointListEvent(kind, lines), kind)
 
     def _published(self) -> bool:
         return self.watched or self.variant.settings.discovery == "push"
@@ -259,13 +273,13 @@
     def _ask(self, session: Session, returned: bool = False) -> None:
         pinned = self._happens(self.variant.pinned_part)
         allowed = frozenset(self.random.sample(list(self.fleet), 2)) if pinned else None
-        request = api.Request(
+        request = decision.RequestArrived(
             session.id,
             session.class_name,
             session.tenant,
             self.now_ms + PATIENCE_MS,
             group=session.group,
-            hint=self.random.choice((0.0, 1.0, 5.0)),
+            expected_load=self.random.choice((0.0, 1.0, 5.0)),
             midflow=self._happens(0.1),
             client=f"client{session.id}",
             returned=returned,
@@ -319,7 +333,7 @@
                 return
             session.phase = "open"
             self._schedule_end(session)
-            self._tell(api.FirstSign(session.id, attempt, session.server, took_ms))
+            self._tell(decision.ConnectionEstablished(session.id, attempt, session.server, took_ms))
 
         return step
 
@@ -337,7 +351,9 @@
             if returns:
                 self._come_again(session, self._around(100.0), returned=True)
             report = self._report(session.server) if self._answers_report() else {}
-            self._tell(api.Outcome(session.id, attempt, session.server, status, final, report), status)
+            self._tell(
+                decision.AttemptEnded(session.id, attempt, session.server, status, final, report), status
+            )
 
         return step
 
@@ -350,7 +366,7 @@
     def _leave(self, session: Session) -> None:
         if session.phase in ("pending", "open"):
             self._later(self._around(20.0), self._outcome_step(session, "ok", True))
-            self._tell(api.ClientGone(session.id))
+            self._tell(decision.ClientDisconnected(session.id))
 
     def _on_refuse(self, id: int, retry_after_ms: float) -> None:
         session = self.sessions.get(id)
@@ -378,12 +394,17 @@
     # ---------------------------------------------------------------- timers, discovery and reports
 
     def _on_set_timer(self, delay_ms: float, mark: str) -> None:
-        self._later(delay_ms, lambda: self._tell(api.Timer(mark)))
+        self._later(delay_ms, lambda: self._tell(decision.TimerFired(mark)))
 
     def _on_watch(self) -> None:
         if self._happens(0.4):
-            failures = (api.ListFailure.UNREACHED, api.ListFailure.OVERLOADED, api.ListFailure.OVERLOADED,
-                        api.ListFailure.UNANSWERED, api.ListFailure.UNUSABLE)  # fmt: skip
+            failures = (
+                decision.DiscoveryFailure.UNREACHED,
+                decision.DiscoveryFailure.OVERLOADED,
+                decision.DiscoveryFailure.OVERLOADED,
+                decision.DiscoveryFailure.UNANSWERED,
+                decision.DiscoveryFailure.UNUSABLE,
+            )
             failure = self.random.choice(failures)
             self._later(self._around(800.0), lambda: self._end_watch(failure))
         else:
@@ -391,13 +412,13 @@
 
     def _answer_watch(self) -> None:
         self.watched = True
-        failure = self.random.choice((api.ListFailure.LOST, api.ListFailure.SILENT))
+        failure = self.random.choice((decision.DiscoveryFailure.LOST, decision.DiscoveryFailure.SILENT))
         self._later(self._around(WATCH_LIFE_MS), lambda: self._end_watch(failure))
         self._publish("full", list(self.fleet))
 
-    def _end_watch(self, failure: api.ListFailure) -> None:
+    def _end_watch(self, failure: decision.DiscoveryFailure) -> None:
         self.watched = False
-        self._tell(api.ServerList("failed", [], failure), f"failed {failure.name.lower()}")
+        self._tell(decision.EndpointListEvent("failed", [], failure), f"failed {failure.name.lower()}")
 
     def _answers_report(self) -> bool:
         return self.variant.settings.reports == "answers" and self._happens(0.5)
@@ -417,11 +438,11 @@
 
     def _answer_probe(self, server: str, endpoint: Endpoint | None) -> None:
         if endpoint is None or endpoint.crashed or self._happens(0.05):
-            self._tell(api.Probed(server, "timeout"), "timeout")
+            self._tell(decision.HealthCheckCompleted(server, "timeout"), "timeout")
         elif not endpoint.takes_probes:
-            self._tell(api.Probed(server, "refused"), "refused")
+            self._tell(decision.HealthCheckCompleted(server, "refused"), "refused")
         else:
-            self._tell(api.Probed(server, "ok", self._report(server)), "ok")
+            self._tell(decision.HealthCheckCompleted(server, "ok", self._report(server)), "ok")
 
     def _send_notes(self) -> None:
         """Each second, word on some open connections: their loads, and where it is told, their delays."""
@@ -432,22 +453,24 @@
                     self._note(session, endpoint)
 
     def _note(self, session: Session, endpoint: Endpoint) -> None:
-        if self.variant.settings.tells_delay and self._happens(0.7):
+        if self.variant.settings.reports_delay and self._happens(0.7):
             kind, value = "delay", self._around(60.0 if endpoint.strained else 8.0)
         else:
-            mean_load = 1000.0 / self.variant.settings.balancers
+            mean_load = 1000.0 / self.variant.settings.relay_count
             kind, value = "load", self._around(mean_load * (0.3 if endpoint.strained else 0.08))
-        self._tell(api.Note(session.id, session.attempt, session.server, kind, value), kind)
+        self._tell(
+            decision.MeasurementReported(session.id, session.attempt, session.server, kind, value), kind
+        )
 
     def _send_stray_events(self) -> None:
         """Late word on what has ended or was never known: it must be passed over."""
         self._later(self._around(3000.0), self._send_stray_events)
         unknown = next(self.ids)
-        self._tell(api.FirstSign(unknown, 0, "s1", 5.0))
-        self._tell(api.Outcome(unknown, 0, "s1", "ok", True))
-        self._tell(api.ClientGone(unknown))
-        self._tell(api.Note(unknown, 0, "unlisted", "load", 1.0))
-        self._tell(api.Timer("unlisted"))
+        self._tell(decision.ConnectionEstablished(unknown, 0, "s1", 5.0))
+        self._tell(decision.AttemptEnded(unknown, 0, "s1", "ok", True))
+        self._tell(decision.ClientDisconnected(unknown))
+        self._tell(decision.MeasurementReported(unknown, 0, "unlisted", "load", 1.0))
+        self._tell(decision.TimerFired("unlisted"))
 
 
 def play_day(variant: Variant) -> Record:
--- a/tests/test_compatibility_flows.py
+++ b/tests/test_compatibility_flows.py
@@ -8,10 +8,10 @@
 from pathlib import Path
 from unittest import mock
 
-from sageturn.core.endings import Ending
-from sageturn.core.messages import Answer, Ask
-from sageturn.core.requests import Record
-from sageturn.flows.exporter import Exporter, FlowOptions, to_flow
+from sageturn.core.close_reason import CloseReason
+from sageturn.core.messages import ClientRequest, FinalResponse
+from sageturn.core.request_lifecycle import ConnectionRecord
+from sageturn.flows.exporter import FlowExporter, FlowOptions, to_flow
 from sageturn.flows.ipfix import Flow, flow_set, loss_set, message, templates
 
 FIXTURES = Path(__file__).parent / "fixtures" / "flows"
@@ -26,8 +26,8 @@
         source=("127.0.0.1", 40001),
         destination=("192.0.2.17", 65535),
         reason=reason,
-        octets_up=octets,
-        octets_down=octets * 3,
+        bytes_to_endpoint=octets,
+        bytes_to_client=octets * 3,
         application=application,
         user=user,
     ).encode()
@@ -49,26 +49,26 @@
     }
 
 
-def ended_records() -> list[Record]:
+def ended_records() -> list[ConnectionRecord]:
     """One that ended in each of the ways there are, in their order, and those that were answered instead."""
-    answers = [None, Answer(refused=True, why="x"), Answer(refused=False, why="x")]
-    ways = [(ending, None) for ending in Ending] + [(None, answer) for answer in answers]
+    answers = [None, FinalResponse(refused=True, why="x"), FinalResponse(refused=False, why="x")]
+    ways = [(close_reason, None) for close_reason in CloseReason] + [(None, answer) for answer in answers]
     records = []
-    for ending, answer in ways:
-        record = Record(Ask("walk-in", "tổ-1", 2000.0), 1_700_000_000_123.9)
+    for close_reason, answer in ways:
+        record = ConnectionRecord(ClientRequest("walk-in", "tổ-1", 2000.0), 1_700_000_000_123.9)
         record.client, record.endpoint_address = ("127.0.0.1", 40001), ("192.0.2.17", 443)
-        record.ending, record.answer, record.ended_ms = ending, answer, 1_700_000_001_000.0
-        record.octets_up, record.octets_down = 12, 34
+        record.close_reason, record.answer, record.ended_ms = close_reason, answer, 1_700_000_001_000.0
+        record.bytes_to_endpoint, record.bytes_to_client = 12, 34
         records.append(record)
     return records
 
 
-def export(records: list[Record], queue: int) -> list[bytes]:
+def export(records: list[ConnectionRecord], queue: int) -> list[bytes]:
     """The datagrams of two flushes; what the queue has no room for is told as lost."""
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as collector:
         collector.bind(("127.0.0.1", 0))
         collector.setblocking(False)
-        exporter = Exporter(FlowOptions(collector.getsockname(), DOMAIN, queue=queue))
+        exporter = FlowExporter(FlowOptions(collector.getsockname(), DOMAIN, queue=queue))
         with (
             mock.patch.object(time, "time", lambda: NOW_S + 0.5),
             mock.patch.object(os, "getpid", lambda: 42),
--- a/tests/test_compatibility_fronts.py
+++ b/tests/test_compatibility_fronts.py
@@ -23,14 +23,14 @@
 from scramp import ScramClient, ScramMechanism
 from scramp.core import Nonce
 
-from sageturn.core.messages import Answer
-from sageturn.fronts import platform
-from sageturn.fronts.xmpp import accept, dial, front
-from sageturn.fronts.xmpp.accounts import PREFIX, Accounts
-from sageturn.fronts.xmpp.errors import StreamFault, answer_xml, error_xml, move_xml
-from sageturn.fronts.xmpp.options import EndpointOptions, XmppOptions
-from sageturn.fronts.xmpp.session import Session
-from sageturn.fronts.xmpp.stream import StreamParser
+from sageturn.core.messages import FinalResponse
+from sageturn.frontends import platform
+from sageturn.frontends.xmpp import accept, dial, front
+from sageturn.frontends.xmpp.accounts import PREFIX, Accounts
+from sageturn.frontends.xmpp.errors import StreamFault, answer_xml, error_xml, move_xml
+from sageturn.frontends.xmpp.options import EndpointOptions, XmppOptions
+from sageturn.frontends.xmpp.session import XmppSession
+from sageturn.frontends.xmpp.stream import StreamParser
 
 FIXTURES = Path(__file__).parent / "fixtures" / "fronts"
 
@@ -55,15 +55,15 @@
 
 
 ANSWERS = {
-    "refused": Answer(refused=True),
-    "refused-with-retry": Answer(refused=True, retry_after_ms=1234.5),
-    "refused-with-short-retry": Answer(refused=True, retry_after_ms=0.9),
-    "refused-by-shutdown": Answer(refused=True, retry_after_ms=250.0, why="shutdown"),
-    "failed-by-shutdown": Answer(refused=False, why="shutdown"),
-    "unavailable": Answer(refused=False, why="unavailable"),
-    "internal": Answer(refused=False, why="internal"),
-    "lost": Answer(refused=False, why="lost"),
-    "wait": Answer(refused=False, why="wait for the answer"),
+    "refused": FinalResponse(refused=True),
+    "refused-with-retry": FinalResponse(refused=True, retry_after_ms=1234.5),
+    "refused-with-short-retry": FinalResponse(refused=True, retry_after_ms=0.9),
+    "refused-by-shutdown": FinalResponse(refused=True, retry_after_ms=250.0, why="shutdown"),
+    "failed-by-shutdown": FinalResponse(refused=False, why="shutdown"),
+    "unavailable": FinalResponse(refused=False, why="unavailable"),
+    "internal": FinalResponse(refused=False, why="internal"),
+    "lost": FinalResponse(refused=False, why="lost"),
+    "wait": FinalResponse(refused=False, why="wait for the answer"),
 }
 
 # ---------------------------------------------------------------- the platform's front
@@ -95,10 +95,10 @@
 }
 
 
-def answer_as_platform(sock: socket.socket, answer: Answer) -> Awaitable[None]:
+def answer_as_platform(sock: socket.socket, answer: FinalResponse) -> Awaitable[None]:
     peer = object.__new__(platform._Peer)
     peer._client = sock
-    return peer.answer(answer)
+    return peer.send_final_response(answer)
 
 
 async def first_line_in_vain(address: tuple[str, int]) -> bytes:
@@ -131,7 +131,7 @@
 
 
 async def platform_answers(folder: Path) -> dict[str, bytes]:
-    told = {"turned-away": platform.PlatformFront.turn_away}
+    told = {"turned-away": platform.PlatformFrontend.turn_away}
     for name, answer in ANSWERS.items():
         told[f"answer.{name}"] = await told_by(lambda sock, a=answer: answer_as_platform(sock, a))
     async with relaying(folder, silent) as (relay, _):
@@ -163,8 +163,8 @@
     async with relaying(folder, stands) as (relay, _):
         reader, writer = await ask(relay.listener.address, OPEN)
         told = await reader.readline()
-        (life,) = relay.lives
-        relay.module.move(life.id)
+        (lifecycle,) = relay.request_registry
+        relay.balancer_actor.move(lifecycle.id)
         told += await reader.read()
         writer.close()
         return told
@@ -174,7 +174,7 @@
     async with relaying(folder, silent) as (relay, _):
         address = relay.listener.address
         reader, writer = await ask(address, OPEN)
-        while not len(relay.lives):
+        while not len(relay.request_registry):
             await asyncio.sleep(0)
         same_id = await talk(address, OPEN)
         writer.write(b"M" * 5000)
@@ -242,9 +242,9 @@
 
 def bound_result(sock: Any, iq_id: str, jid: str) -> Awaitable[None]:
     peer = object.__new__(front._Peer)
-    peer._client, peer._jid = Session(sock), jid
+    peer._client, peer._jid = XmppSession(sock), jid
     peer._wish = SimpleNamespace(iq_id=iq_id)
-    return peer.accept()
+    return peer.accept_client()
 
 
 def make_xmpp() -> dict[str, bytes]:
@@ -306,11 +306,16 @@
 
 def account_record() -> dict[str, Any]:
     made = ScramMechanism("SCRAM-SHA-256").make_auth_info(ACCOUNT_PASSWORD, iteration_count=4096, salt=SALT)
-    salt, stored, server, count = made
+    salt, stored, endpoint, count = made
     return {
-        "class": "c", "tenant": "t", "group": "", "salt": salt.hex(), "stored_key": stored.hex(),
-        "server_key": server.hex(), "iterations": count,
-    }  # fmt: skip
+        "class": "c",
+        "tenant": "t",
+        "group": "",
+        "salt": salt.hex(),
+        "stored_key": stored.hex(),
+        "server_key": endpoint.hex(),
+        "iterations": count,
+    }
 
 
 def fixed_randomness() -> Any:
@@ -324,7 +329,7 @@
     endpoint = EndpointOptions("guides.example", "relay", "relay-pw", None)
     context: Any = object() if tls else None
     options = XmppOptions(("127.0.0.1", 0), "guides.example", context, 2000.0, endpoint, 0)
-    session = Session(channel)  # type: ignore[arg-type]
+    session = XmppSession(channel)  # type: ignore[arg-type]
     accounts = Accounts({PREFIX + "lan": account_record()})
     acceptor = accept.Acceptor(session, options, accounts)
     with mock.patch.object(accept, "TlsChannel", lambda *words, **more: channel):
@@ -344,12 +349,12 @@
     account = Accounts({PREFIX + "lan": account_record()}).find("lan")
     assert account is not None
     wish = accept.Wish(account, "b1", "desk<1>")
-    dialer = dial.Dialer(Session(channel), options, wish, lambda: None)  # type: ignore[arg-type]
+    dialer = dial.Dialer(XmppSession(channel), options, wish, lambda: None)  # type: ignore[arg-type]
     with mock.patch.object(dial, "TlsChannel", lambda *words, **more: channel):
         try:
             return await dialer.run()
-        except dial.Refusal as refusal:
-            return refusal.ending.name
+        except dial.EndpointLoginRejected as refusal:
+            return refusal.close_reason.name
 
 
 def coded(text: str) -> bytes:
@@ -368,7 +373,7 @@
         self.client = ScramClient(["SCRAM-SHA-256"], "lan", ACCOUNT_PASSWORD, c_nonce="client-nonce")
         mechanism = ScramMechanism("SCRAM-SHA-256")
         info = mechanism.make_auth_info("relay-pw", iteration_count=4096, salt=SALT)
-        self.server = mechanism.make_server(lambda name: info, s_nonce="server-nonce")
+        self.endpoint = mechanism.make_server(lambda name: info, s_nonce="server-nonce")
 
     def auth(self, _: bytes) -> bytes:
         first = coded(self.client.get_client_first())
@@ -379,12 +384,12 @@
         return b"<response %s>%s</response>" % (SASL, coded(self.client.get_client_final()))
 
     def challenge(self, said: bytes) -> bytes:
-        self.server.set_client_first(inner(said))
-        return b"<challenge %s>%s</challenge>" % (SASL, coded(self.server.get_server_first()))
+        self.endpoint.set_client_first(inner(said))
+        return b"<challenge %s>%s</challenge>" % (SASL, coded(self.endpoint.get_server_first()))
 
     def success(self, said: bytes) -> bytes:
-        self.server.set_client_final(inner(said))
-        return b"<success %s>%s</success>" % (SASL, coded(self.server.get_server_final()))
+        self.endpoint.set_client_final(inner(said))
+        return b"<success %s>%s</success>" % (SASL, coded(self.endpoint.get_server_final()))
 
 
 STARTTLS = b"<starttls xmlns='urn:ietf:params:xml:ns:xmpp-tls'/>"
@@ -418,16 +423,26 @@
         "wrong-password": (True, [HEADER, STARTTLS, HEADER, wrong, wrong, wrong]),
         "sasl-failures": (
             True,
-            [HEADER, STARTTLS, HEADER, plain("x"), plain("who@else\0lan\0pw"), plain("\0lan\0pw")[:-12]
-             + b"</auth>"],
+            [
+                HEADER,
+                STARTTLS,
+                HEADER,
+                plain("x"),
+                plain("who@else\0lan\0pw"),
+                plain("\0lan\0pw")[:-12] + b"</auth>",
+            ],
+        ),
+        "mechanism": (
+            False,
+            [HEADER, plain("\0lan\0pw"), b"<auth %s mechanism='X'>*</auth>" % SASL, b"<message/>"],
         ),
-        "mechanism": (False, [HEADER, plain("\0lan\0pw"), b"<auth %s mechanism='X'>*</auth>" % SASL,
-                              b"<message/>"]),
         "host": (False, [HEADER.replace(b"guides.example", b"other.example")]),
         "version": (False, [HEADER.replace(b"version='1.0' to", b"version='0.9' to")]),
-        "bind-first": (False, [HEADER, *(s for s in (ScriptedScram(),) for s in (s.auth, s.response)),
-                               HEADER, b"<message/>"]),
-    }  # fmt: skip
+        "bind-first": (
+            False,
+            [HEADER, *(s for s in (ScriptedScram(),) for s in (s.auth, s.response)), HEADER, b"<message/>"],
+        ),
+    }
 
 
 def endpoint_scripts() -> dict[str, tuple[bool, Sequence[Line]]]:
--- a/tests/test_compatibility_operators.py
+++ b/tests/test_compatibility_operators.py
@@ -17,7 +17,7 @@
 import trustme
 from net_peers import write_config
 
-from sageturn.config import Config, ConfigError, Operator, load
+from sageturn.config.loader import ConfigError, OperatorConfig, RelayConfig, load
 
 FIXTURES = Path(__file__).parent / "fixtures" / "operators"
 ROOT = Path(__file__).parent.parent
@@ -32,35 +32,86 @@
 # The program's names of what an operator's file says, by the names under which it is told here. A renamed
 # field changes its right side, and nothing else.
 STORE = {
-    "listen": "listen", "peers": "seeds", "region": "region", "zone": "zone", "octets_per_s": "octets_per_s",
+    "listen": "listen",
+    "peers": "seeds",
+    "region": "region",
+    "zone": "zone",
+    "octets_per_s": "octets_per_s",
     "horizon_s": "horizon_s",
-}  # fmt: skip
+}
 XMPP = ("listen", "domain", "wait_ms", "port", "negotiate_s", "mute_s")
 ENDPOINT = ("domain", "username", "password")
 FLOWS = ("collector", "domain", "template_s", "queue")
 REBALANCE = (
-    "mode", "start", "stop", "part_per_min", "fleet_per_s", "burst", "least_age_s", "again_s", "again_most_s",
-    "back_within_s", "quiet_hours", "tick_s", "remember",
-)  # fmt: skip
+    "mode",
+    "start",
+    "stop",
+    "part_per_min",
+    "fleet_per_s",
+    "burst",
+    "least_age_s",
+    "again_s",
+    "again_most_s",
+    "back_within_s",
+    "quiet_hours",
+    "tick_s",
+    "remember",
+)
 KEPT = ("keep_classes", "keep_tenants")
 FLOORS = ("all", "zone", "pin")
 CONFIG_FIELDS = ("name", "listen", "discovery", "seed", "log_level")
 LIMITS = ("sockets", "memory_mb")
 SETTINGS = (
-    "balancers", "index", "zone", "discovery", "max_attempts", "may_cancel", "retry_after",
-    "max_retry_after_ms", "connect_timeout_ms", "keepalive_ms", "must_ask_in_ms", "fall_multiple", "fall_ms",
-    "cold_from", "warm_within_ms", "weights", "groups", "price_cross_zone", "price_move", "tells_delay",
-    "probes", "price_probe", "reports", "report_fields",
-)  # fmt: skip
+    "balancers",
+    "index",
+    "zone",
+    "discovery",
+    "max_attempts",
+    "may_cancel",
+    "retry_after",
+    "max_retry_after_ms",
+    "connect_timeout_ms",
+    "keepalive_ms",
+    "must_ask_in_ms",
+    "fall_multiple",
+    "fall_ms",
+    "cold_from",
+    "warm_within_ms",
+    "weights",
+    "groups",
+    "price_cross_zone",
+    "price_move",
+    "tells_delay",
+    "probes",
+    "price_probe",
+    "reports",
+    "report_fields",
+)
 CLASS = ("name", "aim_ms", "effect", "scope", "key_ttl_ms", "message_aim_ms", "give_up_ms")
 TENANT = ("name", "allowance_per_s", "quota_connections")
 LISTED = ("version", "full", "addresses")
 SERVER = ("name", "state", "zone", "kind", "cell", "share", "factor", "started_at_ms")
 
+# Names in the fixtures whose field in the program is called otherwise.
+RENAMED = {
+    "balancers": "relay_count",
+    "aim_ms": "latency_objective_ms",
+    "message_aim_ms": "message_latency_objective_ms",
+    "must_ask_in_ms": "max_poll_interval_ms",
+    "fall_multiple": "cold_overload_multiple",
+    "fall_ms": "cold_overload_window_ms",
+    "cold_from": "initial_capacity_ratio",
+    "warm_within_ms": "slow_start_ms",
+    "tells_delay": "reports_delay",
+    "price_cross_zone": "cross_zone_cost",
+    "price_move": "migration_cost",
+    "price_probe": "health_check_cost",
+}
+
 
 def fields(obj: Any, names: Any) -> dict[str, Any]:
     pairs = names.items() if isinstance(names, dict) else zip(names, names, strict=True)
-    return {told: getattr(obj, name) for told, name in pairs}
+    return {told: getattr(obj, RENAMED.get(name, name)) for told, name in pairs}
 
 
 def tell_tls(context: ssl.SSLContext | None) -> dict[str, Any] | None:
@@ -69,7 +120,7 @@
     return {"least": context.minimum_version.name, "verifies": context.verify_mode.name}
 
 
-def tell_operator(operator: Operator, folder: Path) -> dict[str, Any]:
+def tell_operator(operator: OperatorConfig, folder: Path) -> dict[str, Any]:
     """The decoded file in plain JSON; secrets by what they come to."""
     told: dict[str, Any] = dict.fromkeys(("path", "store", "xmpp", "flows", "rebalance", "overrides"))
     if operator.store_path is not None:
@@ -94,7 +145,7 @@
     return json.loads(json.dumps(told))
 
 
-def tell_config(config: Config) -> dict[str, Any]:
+def tell_config(config: RelayConfig) -> dict[str, Any]:
     """The relay's own configuration in plain JSON."""
     settings, known = config.settings, config.known
     parts = {
@@ -104,12 +155,13 @@
     told = fields(config, CONFIG_FIELDS) | {
         "limits": fields(config.limits, LIMITS),
         "settings": fields(settings, SETTINGS) | parts,
-        "known": fields(known, LISTED) | {"servers": [fields(server, SERVER) for server in known.servers]},
+        "known": fields(known, LISTED)
+        | {"servers": [fields(endpoint, SERVER) for endpoint in known.endpoints]},
     }
     return json.loads(json.dumps(told))
 
 
-def read_operator_file(source: Path, folder: Path) -> Operator:
+def read_operator_file(source: Path, folder: Path) -> OperatorConfig:
     """As a relay reads it at its start, with the files that it names beside it."""
     deploy, var = folder / "deploy", folder / "var"
     deploy.mkdir()
@@ -140,58 +192,126 @@
 # Files with every key that there is, and with none but those that must be there.
 WHOLE: dict[str, Any] = {
     "store": {
-        "path": "store.log", "listen": "127.0.0.1:7400", "peers": ["127.0.0.1:7401", "10.0.0.2:7400"],
-        "secret_file": "../var/replica.secret", "region": "north", "zone": "n1", "octets_per_s": 20000,
+        "path": "store.log",
+        "listen": "127.0.0.1:7400",
+        "peers": ["127.0.0.1:7401", "10.0.0.2:7400"],
+        "secret_file": "../var/replica.secret",
+        "region": "north",
+        "zone": "n1",
+        "octets_per_s": 20000,
         "horizon_s": 7200,
     },
     "xmpp": {
-        "listen": "127.0.0.1:5222", "domain": "guides.example", "wait_ms": 1500, "negotiate_s": 2.5,
-        "mute_s": 4.5, "certificate": "../var/xmpp.pem", "key": "../var/xmpp.key",
-        "endpoint": {"domain": "hosts.example", "username": "relay", "tls": False, "port": 5269,
-                     "password_file": "../var/endpoint.password"},
+        "listen": "127.0.0.1:5222",
+        "domain": "guides.example",
+        "wait_ms": 1500,
+        "negotiate_s": 2.5,
+        "mute_s": 4.5,
+        "certificate": "../var/xmpp.pem",
+        "key": "../var/xmpp.key",
+        "endpoint": {
+            "domain": "hosts.example",
+            "username": "relay",
+            "tls": False,
+            "port": 5269,
+            "password_file": "../var/endpoint.password",
+        },
     },
     "flows": {"collector": "127.0.0.1:4739", "domain": 7, "template_s": 10, "queue": 64},
     "rebalance": {
-        "mode": "on", "start": 1.2, "stop": 1.1, "part_per_min": 0.2, "fleet_per_s": 5, "burst": 8,
-        "least_age_s": 1, "again_s": 60, "again_most_s": 120, "back_within_s": 3, "keep_classes": ["c"],
-        "keep_tenants": ["t"], "quiet_hours": ["22:30-05:00", "12:00-12:01"], "tick_s": 0.5, "remember": 16,
+        "mode": "on",
+        "start": 1.2,
+        "stop": 1.1,
+        "part_per_min": 0.2,
+        "fleet_per_s": 5,
+        "burst": 8,
+        "least_age_s": 1,
+        "again_s": 60,
+        "again_most_s": 120,
+        "back_within_s": 3,
+        "keep_classes": ["c"],
+        "keep_tenants": ["t"],
+        "quiet_hours": ["22:30-05:00", "12:00-12:01"],
+        "tick_s": 0.5,
+        "remember": 16,
+    },
+    "overrides": {
+        "operators": {"lan": PUBLIC_KEY},
+        "longest_s": 3600,
+        "floor_all": 0.4,
+        "floor_zone": 0.3,
+        "floor_pin": 0.2,
     },
-    "overrides": {"operators": {"lan": PUBLIC_KEY}, "longest_s": 3600, "floor_all": 0.4, "floor_zone": 0.3,
-                  "floor_pin": 0.2},
-}  # fmt: skip
+}
 LEAST: dict[str, Any] = {
     "store": {"listen": "127.0.0.1:7400", "secret_file": "../var/replica.secret"},
-    "xmpp": {"listen": "127.0.0.1:5222", "domain": "guides.example",
-             "endpoint": {"username": "relay", "password_file": "../var/endpoint.password"}},
+    "xmpp": {
+        "listen": "127.0.0.1:5222",
+        "domain": "guides.example",
+        "endpoint": {"username": "relay", "password_file": "../var/endpoint.password"},
+    },
     "flows": {"collector": "127.0.0.1:4739"},
     "rebalance": {},
     "overrides": {},
-}  # fmt: skip
+}
 CONFIG: dict[str, Any] = {
-    "name": "n1", "listen": "127.0.0.1:7000", "discovery": "127.0.0.1:7001", "seed": "0aff",
+    "name": "n1",
+    "listen": "127.0.0.1:7000",
+    "discovery": "127.0.0.1:7001",
+    "seed": "0aff",
     "limits": {"sockets": 256, "memory_mb": 64.5},
-    "known": {"version": 3, "full": True, "servers": [
-        {"id": "a", "addr": "127.0.0.1:1", "state": "ready", "zone": "z1", "weight": 2.0},
-        {"id": "b", "addr": "127.0.0.1:2", "state": "draining"},
-    ]},
+    "known": {
+        "version": 3,
+        "full": True,
+        "servers": [
+            {"id": "a", "addr": "127.0.0.1:1", "state": "ready", "zone": "z1", "weight": 2.0},
+            {"id": "b", "addr": "127.0.0.1:2", "state": "draining"},
+        ],
+    },
     "settings": {
         "accounts": [{"name": "t", "allowancePerS": 5.0}, {"name": "u"}],
         "classes": [
-            {"name": "c", "aimMs": 1500.0, "hardLimitMs": 3000.0, "semantics": "keyed", "keyTtlMs": 900.0,
-             "dedupScope": "all"},
+            {
+                "name": "c",
+                "aimMs": 1500.0,
+                "hardLimitMs": 3000.0,
+                "semantics": "keyed",
+                "keyTtlMs": 900.0,
+                "dedupScope": "all",
+            },
             {"name": "d", "aimMs": 10},
         ],
-        "groupSize": 3, "me": 1, "zone": "z1", "discovery": "ask", "weightKind": "none",
-        "policyLimits": {"sendCap": 3, "cancel": True, "retryAfter": True, "maxRetryAfterMs": 800.0,
-                         "connectTimeoutMs": 400.0, "keepaliveMs": 5000.0, "probes": True},
-        "guarantees": {"mustAskInMs": 7.0, "fallMultiple": 4.0, "fallMs": 3000.0, "startCapacity": 0.2,
-                       "warmWithinMs": 9000.0},
-        "familyInfo": {"messageAimMs": [50.0], "tenantQuotaConnections": [9.0, 8.0], "groups": True,
-                       "tellsDelay": True},
+        "groupSize": 3,
+        "me": 1,
+        "zone": "z1",
+        "discovery": "ask",
+        "weightKind": "none",
+        "policyLimits": {
+            "sendCap": 3,
+            "cancel": True,
+            "retryAfter": True,
+            "maxRetryAfterMs": 800.0,
+            "connectTimeoutMs": 400.0,
+            "keepaliveMs": 5000.0,
+            "probes": True,
+        },
+        "guarantees": {
+            "mustAskInMs": 7.0,
+            "fallMultiple": 4.0,
+            "fallMs": 3000.0,
+            "startCapacity": 0.2,
+            "warmWithinMs": 9000.0,
+        },
+        "familyInfo": {
+            "messageAimMs": [50.0],
+            "tenantQuotaConnections": [9.0, 8.0],
+            "groups": True,
+            "tellsDelay": True,
+        },
         "prices": {"crossZone": 0.5, "moves": 0.25, "probe": 0.125},
         "report": {"source": "answers", "fields": ["queue", "cpu"]},
     },
-}  # fmt: skip
+}
 # ``deployed-*.json`` are copies of the files of ``deploy/``, as operators have them.
 FILES = {path.stem: path for path in sorted(FIXTURES.glob("deployed-*.json")) if ".decoded" not in path.name}
 FILES |= {"whole": FIXTURES / "whole.json", "least": FIXTURES / "least.json"}
--- a/tests/test_compatibility_replication.py
+++ b/tests/test_compatibility_replication.py
@@ -21,12 +21,12 @@
 
 import pytest
 
-from sageturn.store.frames import Link, Refused, read_secret
-from sageturn.store.records import Record
-from sageturn.store.spread.overlay import Overlay
-from sageturn.store.spread.replica import Place, Replica
-from sageturn.store.spread.session import ORDERLY, Session
-from sageturn.store.spread.wire import Refusal, decode, encode
+from sageturn.store.channel import AuthenticatedChannel, HandshakeRejectedError, read_secret
+from sageturn.store.records import StoreRecord
+from sageturn.store.replication.overlay import Overlay
+from sageturn.store.replication.replica import Replica, ReplicaLocation
+from sageturn.store.replication.session import ORDERLY, ReplicationSession
+from sageturn.store.replication.wire import SessionRejected, decode, encode
 from sageturn.store.store import Store
 
 FIXTURES = Path(__file__).parent / "fixtures" / "replication"
@@ -34,7 +34,10 @@
 STEP_S = 0.05
 STEPS = 80
 CLOSE_AT = 70
-PLACES = {"a": Place(("127.0.0.1", 7400), "north", "n1"), "b": Place(("127.0.0.1", 7401), "south", "s1")}
+PLACES = {
+    "a": ReplicaLocation(("127.0.0.1", 7400), "north", "n1"),
+    "b": ReplicaLocation(("127.0.0.1", 7401), "south", "s1"),
+}
 Frame = tuple[int, str, bytes]  # step, who said it, the payload
 
 # By scenario: what each copy holds at first, and what is written while the link stands.
@@ -75,7 +78,9 @@
         if place is not None:
             self.replica.announce()
         peer = "b" if name == "a" else "a"
-        self.session: Session = self.replica.open(peer, 0.0, None if name == "a" else PLACES["a"].address)
+        self.session: ReplicationSession = self.replica.open(
+            peer, 0.0, None if name == "a" else PLACES["a"].address
+        )
 
     def say(self, step: int) -> Iterator[bytes]:
         self.step = step
@@ -92,7 +97,7 @@
     def hear(self, payload: bytes) -> None:
         try:
             self.session.receive(payload, self.step * STEP_S)
-        except Refusal as refusal:
+        except SessionRejected as refusal:
             self.session.close(str(refusal), self.session.closing_why)
 
     def records(self) -> list[dict[str, Any]]:
@@ -157,8 +162,8 @@
 PAYLOADS = [b'{"ack":[[0,0],[0,0]]}', b"", b"z" * 3000]
 
 
-def link_of(sock: socket.socket, node: str) -> Link:
-    return Link(sock, read_secret(SECRET), node)
+def link_of(sock: socket.socket, node: str) -> AuthenticatedChannel:
+    return AuthenticatedChannel(sock, read_secret(SECRET), node)
 
 
 def pair() -> tuple[socket.socket, socket.socket]:
@@ -172,7 +177,7 @@
     return mock.patch.object(secrets, "token_bytes", side_effect=list(nonces))
 
 
-async def use_link(link: Link, dialled: bool) -> list[bytes]:
+async def use_link(link: AuthenticatedChannel, dialled: bool) -> list[bytes]:
     await link.shake_hands(dialled)
     for payload in PAYLOADS:
         await link.send(payload)
@@ -308,10 +313,10 @@
 def test_a_flipped_byte_on_the_link_is_refused(at: int) -> None:
     octets = bytearray((FIXTURES / "link.answered.bin").read_bytes())
     octets[at] ^= 1
-    with pytest.raises(Refused):
+    with pytest.raises(HandshakeRejectedError):
         bounded(meet_recording(True, bytes(octets)))
 
 
 def test_records_of_before_times_were_written_are_still_understood() -> None:
-    record = Record("config/x", 1, 1, "a", None)
+    record = StoreRecord("config/x", 1, 1, "a", None)
     assert record.to_json() == {"key": "config/x", "value": 1, "version": 1, "node": "a"}
--- a/tests/test_compatibility_states.py
+++ b/tests/test_compatibility_states.py
@@ -20,15 +20,22 @@
 from net_peers import write_config
 from rebalance_fleet import Fleet
 
-from sageturn import RequestClass, Server, ServerList, Settings
-from sageturn.config import load
-from sageturn.core.endings import Ending
-from sageturn.overrides.actor import Overrides
-from sageturn.overrides.ops import BadOp, Body, Op, Selector, read_op, sign
+from sageturn import Endpoint, EndpointListEvent, RequestClass, Settings
+from sageturn.config.loader import load
+from sageturn.core.close_reason import CloseReason
+from sageturn.overrides.actor import OverrideActor
+from sageturn.overrides.ops import (
+    InvalidOperationError,
+    OverrideOperation,
+    OverridePayload,
+    Selector,
+    parse_operation,
+    sign,
+)
 from sageturn.overrides.options import OverrideOptions
-from sageturn.overrides.resolve import Floors
+from sageturn.overrides.resolve import SafetyLimits
 from sageturn.rebalance.options import RebalanceOptions
-from sageturn.rebalance.planner import Plan
+from sageturn.rebalance.planner import MigrationPlan
 from sageturn.rebalance.units import Block
 from sageturn.relay import Relay
 
@@ -55,8 +62,8 @@
     env = {"GW_CONFIG": str(write_config(folder, ("127.0.0.1", 9)))}
     relay = Relay(load(env, str(folder / "operator.json")))
     told = [await tell_once(relay)]
-    for number, ending in enumerate(Ending, 1):
-        relay._counts[ending.name.lower()] += number
+    for number, close_reason in enumerate(CloseReason, 1):
+        relay._counts[close_reason.name.lower()] += number
     relay._counts["not_placed"] += 1
     relay.shared.dropped["queue"] += 2
     if relay.exporter is not None:
@@ -104,7 +111,7 @@
     signs.reset(now_ms)
     signs.unreachable(now_ms)
     signs.not_back(now_ms, 5)
-    fleet.tell(ServerList("changes", [Server("c", state="draining"), Server("d", state="gone")]))
+    fleet.tell(EndpointListEvent("changes", [Endpoint("c", state="draining"), Endpoint("d", state="gone")]))
     signs.listed(failed=True)
 
 
@@ -124,7 +131,7 @@
     told.append(fleet.planner.state(fleet.step()))
     for number, block in enumerate(Block):
         fleet.planner.blocks[block] = number
-    told.append(fleet.planner.state(Plan((), "held", "said here")))
+    told.append(fleet.planner.state(MigrationPlan((), "held", "said here")))
     fleet.planner.options = fleet.options
     for _ in range(40):
         give_signs(fleet)
@@ -135,24 +142,38 @@
 # ---------------------------------------------------------------- overrides
 
 
-def op(override: str, word: str, revision: int, operator: str, body: Body | None = None, **more: Any) -> Op:
+def op(
+    override: str, word: str, revision: int, operator: str, body: OverridePayload | None = None, **more: Any
+) -> OverrideOperation:
     until_ms = 0.0 if word == "revoke" else NOW_MS + HOUR_MS
     said = {"at_ms": NOW_MS + revision, "why": 'tổ "1"', "until_ms": until_ms, "nonce": "0a1b2c3d", **more}
-    return Op(override, word, revision, operator=operator, body=body, **said)
+    return OverrideOperation(override, word, revision, operator=operator, body=body, **said)
 
 
 OPS = [
-    op("o-out", "set", 1, "lan", Body("out", Selector("host", "a"), move_off=True)),
+    op("o-out", "set", 1, "lan", OverridePayload("out", Selector("host", "a"), move_off=True)),
     op("o-out", "extend", 2, "mai", until_ms=NOW_MS + 2 * HOUR_MS),
-    op("o-weight", "set", 1, "lan", Body("weight", Selector("zone", "z1"), factor=0.25), forced=True),
-    op("o-hold", "set", 1, "mai", Body("hold", Selector("kind", "k2"))),
+    op(
+        "o-weight",
+        "set",
+        1,
+        "lan",
+        OverridePayload("weight", Selector("zone", "z1"), factor=0.25),
+        forced=True,
+    ),
+    op("o-hold", "set", 1, "mai", OverridePayload("hold", Selector("kind", "k2"))),
     op("o-hold", "revoke", 2, "lan"),
-    op("o-pin", "set", 1, "lan", Body("pin", hosts=("b", "c"), strict=True, class_name="c", tenant="t",
-                                      group_prefix="g")),
-    op("o-start", "set", 1, "lan", Body("out", Selector("host", "b"), this_start_ms=5.0)),
-    op("o-cell", "set", 1, "mai", Body("out", Selector("cell", "3")), until_ms=NOW_MS + 1.0),
-    op("o-much", "set", 1, "mai", Body("out", Selector("zone", "z2"))),
-]  # fmt: skip
+    op(
+        "o-pin",
+        "set",
+        1,
+        "lan",
+        OverridePayload("pin", hosts=("b", "c"), strict=True, class_name="c", tenant="t", group_prefix="g"),
+    ),
+    op("o-start", "set", 1, "lan", OverridePayload("out", Selector("host", "b"), this_start_ms=5.0)),
+    op("o-cell", "set", 1, "mai", OverridePayload("out", Selector("cell", "3")), until_ms=NOW_MS + 1.0),
+    op("o-much", "set", 1, "mai", OverridePayload("out", Selector("zone", "z2"))),
+]
 
 
 def signed_words() -> list[tuple[str, Any]]:
@@ -161,7 +182,7 @@
 
 def override_options() -> OverrideOptions:
     return OverrideOptions(
-        {name: key.public_key() for name, key in KEYS.items()}, floors=Floors(0.5, 0.0, 0.0)
+        {name: key.public_key() for name, key in KEYS.items()}, floors=SafetyLimits(0.5, 0.0, 0.0)
     )
 
 
@@ -172,22 +193,29 @@
     records = dict(words)
     store: Any = SimpleNamespace(keys=lambda prefix="": sorted(records), get=records.get)
 
-    async def hear(event: Any) -> None:
+    async def discard_event(event: Any) -> None:
         pass
 
     async def go() -> None:
-        module: Any = SimpleNamespace(
-            settings=Settings(classes=(RequestClass("c", aim_ms=500),)), companions=[], tell=hear
+        balancer_actor: Any = SimpleNamespace(
+            settings=Settings(classes=(RequestClass("c", latency_objective_ms=500),)),
+            observers=[],
+            post_event=discard_event,
         )
-        overrides = Overrides(
-            module, override_options(), store, lambda state: told.append(("state/n1/overrides", state)),
+        overrides = OverrideActor(
+            balancer_actor,
+            override_options(),
+            store,
+            lambda state: told.append(("state/n1/overrides", state)),
             now_ms=lambda: clock.now_ms,
-        )  # fmt: skip
-        servers = [
-            Server("a", zone="z1", kind="k1", cell=1), Server("b", zone="z1", kind="k2", started_at_ms=5.0),
-            Server("c", zone="z2", kind="k2", cell=3), Server("d", zone="z2", share=2.0),
-        ]  # fmt: skip
-        overrides.board.listed(servers, True, clock.now_ms)
+        )
+        endpoints = [
+            Endpoint("a", zone="z1", kind="k1", cell=1),
+            Endpoint("b", zone="z1", kind="k2", started_at_ms=5.0),
+            Endpoint("c", zone="z2", kind="k2", cell=3),
+            Endpoint("d", zone="z2", share=2.0),
+        ]
+        overrides.board.listed(endpoints, True, clock.now_ms)
         await overrides.step()
         forged = {**words[0][1], "why": "forged"}
         overrides.changed([SimpleNamespace(key="overrides/o-forged/000001-lan-0a1b2c3d", value=forged)])
@@ -224,13 +252,13 @@
 def test_operators_words_are_signed_as_they_were_and_those_of_before_are_read() -> None:
     assert as_lines(signed_words()) == (FIXTURES / "override-words.jsonl").read_bytes()
     operators = override_options().operators
-    assert [read_op(key, value, operators) for key, value in recorded("override-words.jsonl")] == OPS
+    assert [parse_operation(key, value, operators) for key, value in recorded("override-words.jsonl")] == OPS
 
 
 def test_a_recorded_word_that_was_changed_is_refused() -> None:
     key, value = recorded("override-words.jsonl")[0]
-    with pytest.raises(BadOp, match="signature"):
-        read_op(key, {**value, "until_ms": value["until_ms"] + 1.0}, override_options().operators)
+    with pytest.raises(InvalidOperationError, match="signature"):
+        parse_operation(key, {**value, "until_ms": value["until_ms"] + 1.0}, override_options().operators)
 
 
 def test_overrides_made_of_recorded_words_tell_their_state_as_it_was() -> None:
--- a/tests/test_compatibility_store.py
+++ b/tests/test_compatibility_store.py
@@ -10,9 +10,9 @@
 
 import pytest
 
-from sageturn.store.log import Damaged
-from sageturn.store.records import Record
-from sageturn.store.standing import Standing, read_standing, write_standing
+from sageturn.store.log import LogCorruptedError
+from sageturn.store.records import StoreRecord
+from sageturn.store.replica_state import ReplicaState, read_standing, write_standing
 from sageturn.store.store import Store
 
 FIXTURES = Path(__file__).parent / "fixtures" / "store"
@@ -20,13 +20,23 @@
 START_S = 1_700_000_000.0
 
 ACCOUNT = {
-    "class": "walk-in", "tenant": "tổ-1", "group": "", "salt": "00ff10", "stored_key": "ab" * 32,
-    "server_key": "cd" * 32, "iterations": 16384,
-}  # fmt: skip
+    "class": "walk-in",
+    "tenant": "tổ-1",
+    "group": "",
+    "salt": "00ff10",
+    "stored_key": "ab" * 32,
+    "server_key": "cd" * 32,
+    "iterations": 16384,
+}
 OVERRIDE = {
-    "word": "set", "override": "01-west", "body": {"kind": "weight", "hosts": ["h1", "h2"], "factor": 0.25},
-    "until_ms": 1_700_000_600_000.0, "operator": "linh", "why": "disk \"swap\"\n", "forced": False,
-}  # fmt: skip
+    "word": "set",
+    "override": "01-west",
+    "body": {"kind": "weight", "hosts": ["h1", "h2"], "factor": 0.25},
+    "until_ms": 1_700_000_600_000.0,
+    "operator": "linh",
+    "why": 'disk "swap"\n',
+    "forced": False,
+}
 # What is put, in this order, one second apart; None deletes.
 OPERATIONS: list[tuple[str, Any]] = [
     ("config/accounts/lan", ACCOUNT),
@@ -56,7 +66,7 @@
     store = open_store(path)
     for key, value in OPERATIONS:
         store.put(key, value)
-    store.merge([Record(**{"written_ms": None, **record}) for record in FROM_OTHERS])
+    store.merge([StoreRecord(**{"written_ms": None, **record}) for record in FROM_OTHERS])
     store.forget(["notes/deleted"])
     store.set_in_step(START_S + 120.5)
     store.close()
@@ -86,7 +96,7 @@
         rewrite(path)
         files["rewritten.log"] = path.read_bytes()
         unknown = Path(folder) / "unknown"
-        write_standing(unknown, Standing())
+        write_standing(unknown, ReplicaState())
         files["unknown.standing"] = unknown.read_bytes()
         return files
 
@@ -127,8 +137,8 @@
 
 
 def test_the_file_beside_the_log_is_read() -> None:
-    assert read_standing(FIXTURES / "store.log.standing") == Standing(in_step=1_700_000_120.5, floor=2)
-    assert read_standing(FIXTURES / "unknown.standing") == Standing(in_step=None, floor=0)
+    assert read_standing(FIXTURES / "store.log.standing") == ReplicaState(in_step=1_700_000_120.5, floor=2)
+    assert read_standing(FIXTURES / "unknown.standing") == ReplicaState(in_step=None, floor=0)
 
 
 @pytest.mark.parametrize("at", [0, 17, 21, 25, 40, 200, 900])
@@ -137,5 +147,5 @@
     data = bytearray((FIXTURES / "store.log").read_bytes())
     data[at] ^= 1
     path.write_bytes(data)
-    with pytest.raises(Damaged):
+    with pytest.raises(LogCorruptedError):
         open_store(path)
--- a/tests/test_decision_record.py
+++ b/tests/test_decision_record.py
@@ -17,7 +17,7 @@
 from support.decision_days import Record, play_day
 from support.decision_variants import VARIANTS, Variant
 
-from sageturn import interface as api
+from sageturn import decision
 
 EVENTS_LEAST = 100_000
 
@@ -38,7 +38,7 @@
 DETAILS = {
     *(f"outcome {status}" for status in OUTCOME_STATUSES),
     *(f"list {kind}" for kind in ("stale", "full", "changes")),
-    *(f"list failed {failure.name.lower()}" for failure in api.ListFailure),
+    *(f"list failed {failure.name.lower()}" for failure in decision.DiscoveryFailure),
     *(f"note {kind}" for kind in ("load", "delay")),
     *(f"probed {status}" for status in ("ok", "refused", "timeout")),
 }
@@ -73,8 +73,8 @@
 
 
 def test_the_codes_cover_the_interface() -> None:
-    assert set(EVENT_CODES) == set(get_args(api.Event))
-    assert set(ACTION_CODES) == set(get_args(api.Action))
+    assert set(EVENT_CODES) == set(get_args(decision.Event))
+    assert set(ACTION_CODES) == set(get_args(decision.Action))
     assert len(set(EVENT_CODES.values())) == len(EVENT_CODES)
     for action, (_, names) in ACTION_CODES.items():
         assert sorted(names) == sorted(field.name for field in fields(action))
@@ -86,6 +86,10 @@
 
 
 def test_a_step_is_written_by_codes_in_order() -> None:
-    actions: list[api.Action] = [api.Send(7, "a", 250.0), api.Watch(), api.Refuse(8, 100.5)]
-    line = canonical_step(12.5, api.Timer("watch"), actions)
+    actions: list[decision.Action] = [
+        decision.PlaceRequest(7, "a", 250.0),
+        decision.WatchEndpoints(),
+        decision.RejectRequest(8, 100.5),
+    ]
+    line = canonical_step(12.5, decision.TimerFired("watch"), actions)
     assert line == "12.5 timer -> send(7,'a',250) watch() refuse(8,100.5)\n"
