--- a/experiments/make_compatibility_fixtures.py
+++ b/experiments/make_compatibility_fixtures.py
@@ -14,15 +14,19 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 CONCERNS = ("store", "replication", "flows", "fronts", "states", "operators")
+TEST_FILES = {"fronts": "frontends"}  # where a concern's test file is named otherwise
 
 
 def main(concerns: list[str]) -> None:
-    sys.path[:0] = [str(ROOT), str(ROOT / "tests")]
+    tests = ROOT / "tests"
+    sys.path[:0] = [str(ROOT), str(tests)]
     for concern in concerns or CONCERNS:
-        balancer_actor = importlib.import_module(f"test_compatibility_{concern}")
+        (test_file,) = tests.glob(f"*/test_compatibility_{TEST_FILES.get(concern, concern)}.py")
+        sys.path.insert(0, str(test_file.parent))
+        module = importlib.import_module(test_file.stem)
         folder = ROOT / "tests" / "fixtures" / concern
         folder.mkdir(parents=True, exist_ok=True)
-        for name, data in balancer_actor.produced().items():
+        for name, data in module.produced().items():
             (folder / name).write_bytes(data)
             print(f"{concern}/{name}: {len(data)} bytes")
 
--- a/tests/measure_departures.py
+++ b/experiments/measure_client_disconnects.py
@@ -1,6 +1,6 @@
 """How long after a client's departure the last attempt for it begins: a real relay on a core that is held.
 
-    PYTHONPATH=. python tests/measure_departures.py --rounds 10
+    PYTHONPATH=. python experiments/measure_client_disconnects.py --rounds 10
 
 The relay shares one core with a program that never waits. Hundreds of clients ask at once; every host refuses
 after 5 to 50 ms, so that further attempts are due, until all clients leave within a few milliseconds. What is
@@ -26,11 +26,11 @@
 from pathlib import Path
 from typing import Any
 
-from net_peers import SETTINGS, Discovery, ask, chunked, first_line, listed, served, write_config
-from test_descriptors import ready
+from support.network_fakes import SETTINGS, Discovery, ask, chunked, first_line, listed, served, write_config
+from support.xmpp_fakes import Client, Server
+from test_descriptor_exhaustion import ready
 from test_program import Address, free_port
-from test_xmpp import client_tls, write_operator
-from xmpp_peers import Client, Server
+from test_xmpp_frontend import client_tls, write_operator
 
 CONDITION = "<resource-constraint xmlns='urn:ietf:params:xml:ns:xmpp-streams'/>"
 CLIENTS = {"lines": 300, "xmpp": 60}
--- a/tests/test_compatibility_operators.py
+++ b/tests/config/test_compatibility_operators.py
@@ -15,12 +15,12 @@
 
 import pytest
 import trustme
-from net_peers import write_config
+from support.network_fakes import write_config
 
 from sageturn.config.loader import ConfigError, OperatorConfig, RelayConfig, load
 
-FIXTURES = Path(__file__).parent / "fixtures" / "operators"
-ROOT = Path(__file__).parent.parent
+FIXTURES = Path(__file__).parents[1] / "fixtures" / "operators"
+ROOT = Path(__file__).parents[2]
 DEPLOY = ROOT / "deploy"
 CLASSES = [
     {"name": "guest-checkin", "aimMs": 300.0, "hardLimitMs": 3000.0, "semantics": "safe"},
--- a/tests/test_deployments.py
+++ b/tests/config/test_deployments.py
@@ -13,7 +13,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from net_peers import (
+from support.network_fakes import (
     FakeEndpoint,
     ask,
     first_line,
--- a/tests/test_crossings.py
+++ b/tests/core/test_attempt_races.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 import pytest
-from net_peers import SETTINGS, ask, first_line, relaying, silent, up
+from support.network_fakes import SETTINGS, ask, first_line, relaying, silent, up
 
 from sageturn.core.close_reason import CloseReason
 from sageturn.core.messages import EndpointListUpdate
--- a/tests/test_departures.py
+++ b/tests/core/test_client_disconnects.py
@@ -13,10 +13,10 @@
 from typing import Any
 
 import pytest
-from net_peers import SETTINGS, ask, first_line, relaying, silent, up
-from test_xmpp import client_tls
-from test_xmpp import relaying as relaying_xmpp
-from xmpp_peers import Client, Server
+from support.network_fakes import SETTINGS, ask, first_line, relaying, silent, up
+from support.xmpp_fakes import Client, Server
+from test_xmpp_frontend import client_tls
+from test_xmpp_frontend import relaying as relaying_xmpp
 
 from sageturn.core.close_reason import CloseReason
 from sageturn.frontends import platform
--- a/tests/test_endings.py
+++ b/tests/core/test_close_reasons.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 import pytest
-from net_peers import SETTINGS, FakeEndpoint, first_line, relaying, up
+from support.network_fakes import SETTINGS, FakeEndpoint, first_line, relaying, up
 
 from sageturn.core.messages import EndpointListUpdate
 from sageturn.core.shutdown import ShutdownSchedule
--- a/tests/test_life.py
+++ b/tests/core/test_request_lifecycle.py
@@ -15,7 +15,7 @@
 from sageturn.core.messages import ClientRequest, FinalResponse
 from sageturn.core.request_lifecycle import RequestLifecycle
 
-PACKAGE = Path(__file__).parent.parent / "sageturn"
+PACKAGE = Path(__file__).parents[2] / "sageturn"
 
 
 class Wire:
--- a/tests/test_probing.py
+++ b/tests/decision/test_health_checks.py
@@ -12,7 +12,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from net_peers import SETTINGS, Script, ask, first_line, relaying, reply, resets, says, silent, up
+from support.network_fakes import SETTINGS, Script, ask, first_line, relaying, reply, resets, says, silent, up
 
 from sageturn import decision
 from sageturn.decision.health_checks import EACH_MS, HOST_MS, SPEND, HealthCheckScheduler
--- a/tests/test_size.py
+++ b/tests/decision/test_module_size.py
@@ -2,7 +2,7 @@
 
 from pathlib import Path
 
-MODULE = Path(__file__).parent.parent / "sageturn" / "decision" / "balancer.py"
+MODULE = Path(__file__).parents[2] / "sageturn" / "decision" / "balancer.py"
 
 
 def test_module_is_short_and_narrow() -> None:
--- a/tests/test_compatibility_flows.py
+++ b/tests/flows/test_compatibility_flows.py
@@ -14,7 +14,7 @@
 from sageturn.flows.exporter import FlowExporter, FlowOptions, to_flow
 from sageturn.flows.ipfix import Flow, flow_set, loss_set, message, templates
 
-FIXTURES = Path(__file__).parent / "fixtures" / "flows"
+FIXTURES = Path(__file__).parents[1] / "fixtures" / "flows"
 NOW_S = 1_700_000_000
 DOMAIN = 7
 
--- a/tests/test_compatibility_fronts.py
+++ b/tests/frontends/test_compatibility_frontends.py
@@ -19,9 +19,9 @@
 from unittest import mock
 
 import pytest
-from net_peers import Script, ask, relaying, says, silent
 from scramp import ScramClient, ScramMechanism
 from scramp.core import Nonce
+from support.network_fakes import Script, ask, relaying, says, silent
 
 from sageturn.core.messages import FinalResponse
 from sageturn.frontends import platform
@@ -32,7 +32,7 @@
 from sageturn.frontends.xmpp.session import XmppSession
 from sageturn.frontends.xmpp.stream import StreamParser
 
-FIXTURES = Path(__file__).parent / "fixtures" / "fronts"
+FIXTURES = Path(__file__).parents[1] / "fixtures" / "fronts"
 
 
 def bounded(coro: Awaitable[Any]) -> Any:
--- a/tests/test_quiet.py
+++ b/tests/frontends/test_idle_timeout.py
@@ -7,9 +7,9 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from net_peers import Script, ask, first_line, relaying, reply, resets, silent, up
-from test_xmpp import Client, Server, client_tls
-from test_xmpp import relaying as relaying_xmpp
+from support.network_fakes import Script, ask, first_line, relaying, reply, resets, silent, up
+from test_xmpp_frontend import Client, Server, client_tls
+from test_xmpp_frontend import relaying as relaying_xmpp
 
 from sageturn.core.idle_timeout import IdleTimeout
 from sageturn.frontends.platform import BACK_WITHIN_S, LINE_EVERY_S, MUTE_S
--- a/tests/test_rude.py
+++ b/tests/frontends/test_misbehaving_clients.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 import pytest
-from net_peers import Streams, ask, first_line, relaying, reply, silent, up
+from support.network_fakes import Streams, ask, first_line, relaying, reply, silent, up
 
 from sageturn.net.admission import ProcessLimits
 
--- a/tests/test_platform.py
+++ b/tests/frontends/test_platform_frontend.py
@@ -10,7 +10,18 @@
 from pathlib import Path
 
 import pytest
-from net_peers import ask, first_line, listed, relaying, reply, resets, says, silent, up, write_config
+from support.network_fakes import (
+    ask,
+    first_line,
+    listed,
+    relaying,
+    reply,
+    resets,
+    says,
+    silent,
+    up,
+    write_config,
+)
 
 from sageturn.config.loader import load
 from sageturn.relay import Relay
--- a/tests/test_xmpp.py
+++ b/tests/frontends/test_xmpp_frontend.py
@@ -11,9 +11,9 @@
 
 import pytest
 import trustme
-from net_peers import SETTINGS as CONF
-from net_peers import FakeEndpoint, ask, first_line, listed, serve_all, write_config
-from xmpp_peers import HEADER, Client, Server, echo
+from support.network_fakes import SETTINGS as CONF
+from support.network_fakes import FakeEndpoint, ask, first_line, listed, serve_all, write_config
+from support.xmpp_fakes import HEADER, Client, Server, echo
 
 from sageturn.config.loader import load
 from sageturn.config.settings import read_settings
@@ -322,7 +322,7 @@
     # It is the only example an operator has: a key renamed in config.py must be renamed there too.
     from sageturn.config.loader import read_operator
 
-    shipped = Path(__file__).parent.parent / "deploy" / "xmpp.json"
+    shipped = Path(__file__).parents[2] / "deploy" / "xmpp.json"
     (tmp_path / "deploy").mkdir()
     (tmp_path / "var").mkdir()
     (tmp_path / "deploy" / "xmpp.json").write_text(shipped.read_text())
--- a/tests/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -96,7 +96,7 @@
 
 
 def test_the_experiments_that_lie_here_can_all_be_read() -> None:
-    files = sorted((Path(__file__).parent.parent / "experiments").glob("scale*.toml"))
+    files = sorted((Path(__file__).parents[2] / "experiments").glob("scale*.toml"))
     assert files
     for file in files:
         assert read_scale(file).name == file.stem
--- a/tests/test_descriptors.py
+++ b/tests/net/test_descriptor_exhaustion.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 import pytest
-from net_peers import (
+from support.network_fakes import (
     SETTINGS,
     Discovery,
     FakeEndpoint,
--- a/tests/test_discovery.py
+++ b/tests/net/test_discovery_client.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 import pytest
-from net_peers import Discovery, chunked, listed, served, write_config
+from support.network_fakes import Discovery, chunked, listed, served, write_config
 
 from sageturn.config.loader import load
 from sageturn.decision import DiscoveryFailure
--- a/tests/test_list.py
+++ b/tests/net/test_endpoint_list.py
@@ -9,7 +9,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from net_peers import Discovery, served
+from support.network_fakes import Discovery, served
 
 from sageturn.core.endpoint_registry import EndpointRegistry
 from sageturn.core.messages import DiscoveryAddressChanged, EndpointListUpdate, WatchFailed, WatchRequested
--- a/tests/test_sockets.py
+++ b/tests/net/test_sockets.py
@@ -14,12 +14,12 @@
 from typing import Any
 
 import pytest
-from net_peers import SETTINGS, Streams, ask, first_line, relaying, silent, up
-from test_probing import FIELDS, probed_by
+from support.network_fakes import SETTINGS, Streams, ask, first_line, relaying, silent, up
+from support.xmpp_fakes import HEADER, Client
+from test_health_checks import FIELDS, probed_by
 from test_store import replica
-from test_xmpp import client_tls, echo
-from test_xmpp import relaying as relaying_xmpp
-from xmpp_peers import HEADER, Client
+from test_xmpp_frontend import client_tls, echo
+from test_xmpp_frontend import relaying as relaying_xmpp
 
 from sageturn.core.shutdown import ShutdownSchedule
 from sageturn.net import listener
--- a/tests/test_overrides_relay.py
+++ b/tests/overrides/test_overrides_relay.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 import pytest
-from net_peers import (
+from support.network_fakes import (
     FakeEndpoint,
     Script,
     ask,
--- a/tests/test_rebalance.py
+++ b/tests/rebalance/test_planner.py
@@ -7,7 +7,7 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from rebalance_fleet import Fleet
+from support.rebalance_fleet import Fleet
 
 from sageturn import AttemptEnded, Endpoint, EndpointListEvent, MeasurementReported
 from sageturn.core.endpoint_snapshot import OperatorMarks, snapshot_endpoints
--- a/tests/test_rebalance_relay.py
+++ b/tests/rebalance/test_rebalance_relay.py
@@ -11,10 +11,10 @@
 from typing import Any
 
 import pytest
-from net_peers import SETTINGS, ask, first_line, relaying, up, write_config
-from test_xmpp import client_tls, server_tls
-from test_xmpp import relaying as xmpp_relaying
-from xmpp_peers import Client, echo
+from support.network_fakes import SETTINGS, ask, first_line, relaying, up, write_config
+from support.xmpp_fakes import Client, echo
+from test_xmpp_frontend import client_tls, server_tls
+from test_xmpp_frontend import relaying as xmpp_relaying
 
 from sageturn.config.loader import ConfigError, load, read_operator
 from sageturn.config.settings import read_settings
@@ -174,7 +174,7 @@
 
 
 def test_the_shipped_file_can_be_read_and_is_dry() -> None:
-    shipped = Path(__file__).parent.parent / "deploy" / "rebalance.json"
+    shipped = Path(__file__).parents[2] / "deploy" / "rebalance.json"
     settings = {**SETTINGS, "classes": [{**SETTINGS["classes"][0], "name": "guest-checkin"}]}
     options = read_operator(shipped, read_settings(settings)).rebalance
     assert options is not None and options.mode == "dry-run"
--- a/tests/test_compatibility_states.py
+++ b/tests/relay/test_compatibility_states.py
@@ -17,8 +17,8 @@
 
 import pytest
 from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PrivateKey
-from net_peers import write_config
-from rebalance_fleet import Fleet
+from support.network_fakes import write_config
+from support.rebalance_fleet import Fleet
 
 from sageturn import Endpoint, EndpointListEvent, RequestClass, Settings
 from sageturn.config.loader import load
@@ -39,7 +39,7 @@
 from sageturn.rebalance.units import Block
 from sageturn.relay import Relay
 
-FIXTURES = Path(__file__).parent / "fixtures" / "states"
+FIXTURES = Path(__file__).parents[1] / "fixtures" / "states"
 NOW_MS = 1_700_000_000_000.0
 HOUR_MS = 3_600_000.0
 KEYS = {
--- a/tests/test_program.py
+++ b/tests/relay/test_program.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any
 
-from net_peers import (
+from support.network_fakes import (
     Discovery,
     FakeEndpoint,
     ask,
--- a/tests/test_readme.py
+++ b/tests/relay/test_readme.py
@@ -2,7 +2,7 @@
 
 from pathlib import Path
 
-README = (Path(__file__).parent.parent / "README.md").read_text()
+README = (Path(__file__).parents[2] / "README.md").read_text()
 
 
 def test_examples_run() -> None:
--- a/tests/test_compatibility_replication.py
+++ b/tests/store/test_compatibility_replication.py
@@ -29,7 +29,7 @@
 from sageturn.store.replication.wire import SessionRejected, decode, encode
 from sageturn.store.store import Store
 
-FIXTURES = Path(__file__).parent / "fixtures" / "replication"
+FIXTURES = Path(__file__).parents[1] / "fixtures" / "replication"
 WALL_S = 1_700_000_000.0
 STEP_S = 0.05
 STEPS = 80
--- a/tests/test_compatibility_store.py
+++ b/tests/store/test_compatibility_store.py
@@ -15,7 +15,7 @@
 from sageturn.store.replica_state import ReplicaState, read_standing, write_standing
 from sageturn.store.store import Store
 
-FIXTURES = Path(__file__).parent / "fixtures" / "store"
+FIXTURES = Path(__file__).parents[1] / "fixtures" / "store"
 NODE = "node-a"
 START_S = 1_700_000_000.0
 
--- a/tests/test_spread.py
+++ b/tests/store/test_replication.py
@@ -9,7 +9,7 @@
 import pytest
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
-from spread_fleet import Fleet, settled
+from support.replication_fleet import Fleet, settled
 
 from sageturn.store.records import InvalidRecordError, StoreRecord, digest_of, parse_record, supersedes
 from sageturn.store.replication.changes import DEPTH, FANOUT, ChangeLogSet, HashTree
--- a/tests/test_spread_relay.py
+++ b/tests/store/test_replication_sockets.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 import pytest
-from spread_fleet import DialSeeds
+from support.replication_fleet import DialSeeds
 
 from sageturn.config.loader import ConfigError, read_operator
 from sageturn.decision import RequestClass, Settings
--- a/tests/test_store.py
+++ b/tests/store/test_store.py
@@ -9,7 +9,7 @@
 from random import Random
 
 import pytest
-from spread_fleet import DialSeeds
+from support.replication_fleet import DialSeeds
 from typer.testing import CliRunner, Result
 
 from sageturn.cli.main import app
