--- a/experiments/measure_client_disconnects.py
+++ b/experiments/measure_client_disconnects.py
@@ -53,8 +53,8 @@
     return noted
 def noted_asked(life, wanted=None):
     if (ending := asked(life, wanted)) is None:
-        ask = life.record.ask
-        os.write(file, f"{ask.wire_id or ask.client.split('/')[1]} {time.time()}\\n".encode())
+        ask = life.record.request
+        os.write(file, f"{ask.client_request_id or ask.client.split('/')[1]} {time.time()}\\n".encode())
     return ending
 for each in (platform, front):
     each.connect = noting(each.connect)
--- a/sageturn/core/balancer_actor.py
+++ b/sageturn/core/balancer_actor.py
@@ -23,12 +23,14 @@
 class BalancerObserver(Protocol):
     """Sees all that passes between the module and its events. It decides nothing, and may never wait."""
 
-    def before(self, now_ms: float, event: decision.Event) -> None:
+    def before_event(self, now_ms: float, event: decision.Event) -> None:
         """May say more in a request, before the module gets it."""
 
-    def after(self, now_ms: float, event: decision.Event, actions: Sequence[decision.Action]) -> None: ...
+    def after_event(
+        self, now_ms: float, event: decision.Event, actions: Sequence[decision.Action]
+    ) -> None: ...
 
-    def moved_by_other(self, now_ms: float, request_id: int) -> None:
+    def on_migrated_by_others(self, now_ms: float, request_id: int) -> None:
         """A stop of the relay moves a connection, unasked by the module."""
 
 
@@ -49,7 +51,8 @@
         self._timers: set[asyncio.TimerHandle] = set()
         self.placements: list[tuple[int, str]] | None = None  # a test's record of every Send
         self.observers: list[BalancerObserver] = []
-        self.probe: Callable[[str], None] = lambda endpoint: None  # whoever asks endpoints for their load
+        # Sends a health check to an endpoint; the relay sets it where the settings allow health checks.
+        self.check_endpoint_health: Callable[[str], None] = lambda endpoint: None
 
     # ------------------------------------------------------------ for others
 
@@ -59,20 +62,20 @@
         self._requests[self._last_id] = mailbox
         return self._last_id, mailbox
 
-    def forget(self, request_id: int) -> None:
+    def remove_request(self, request_id: int) -> None:
         self._requests.pop(request_id, None)
 
     async def post_event(self, event: decision.Event) -> None:
         """Waits while the mailbox is full, so that whoever floods it is held back."""
         await self._mailbox.put(event)
 
-    def move(self, request_id: int) -> None:
+    def migrate_connection(self, request_id: int) -> None:
         """Ask a standing connection's client to come again, as a move of the module's own does."""
         self._instruct(request_id, RedirectClient())
 
-    def drained(self, request_id: int) -> None:
+    def notify_migrated_by_shutdown(self, request_id: int) -> None:
         for observer in self.observers:
-            observer.moved_by_other(self.clock.now_ms(), request_id)
+            observer.on_migrated_by_others(self.clock.now_ms(), request_id)
 
     def snapshot_endpoints(self, names: Iterable[str] | None = None) -> list[EndpointSnapshot]:
         """The hosts as the module believes them to be; all that are not gone, or those named."""
@@ -91,7 +94,7 @@
     def _handle(self, event: decision.Event) -> None:
         now_ms = self.clock.now_ms()
         for observer in list(self.observers):
-            self._attend(observer, observer.before, now_ms, event)
+            self._attend(observer, observer.before_event, now_ms, event)
         try:
             actions = self._balancer.handle(now_ms, event)
         except Exception:
@@ -99,10 +102,10 @@
             log.exception("the module failed on %s", type(event).__name__)
             owner = getattr(event, "id", None)
             if owner is not None:
-                self._instruct(owner, FinalResponse(refused=False, why="internal"))
+                self._instruct(owner, FinalResponse(rejected=False, reason="internal"))
             return
         for observer in list(self.observers):
-            self._attend(observer, observer.after, now_ms, event, actions)
+            self._attend(observer, observer.after_event, now_ms, event, actions)
         for action in actions:
             try:
                 self._act(action)
@@ -124,9 +127,9 @@
                     self.placements.append((request_id, endpoint))
                 self._instruct(request_id, StartAttempt(endpoint, timeout_ms))
             case decision.RejectRequest(request_id, retry_after_ms):
-                self._instruct(request_id, FinalResponse(refused=True, retry_after_ms=retry_after_ms))
+                self._instruct(request_id, FinalResponse(rejected=True, retry_after_ms=retry_after_ms))
             case decision.FailRequest(request_id):
-                self._instruct(request_id, FinalResponse(refused=False, why="unavailable"))
+                self._instruct(request_id, FinalResponse(rejected=False, reason="unavailable"))
             case decision.AbandonAttempt(request_id, _):
                 self._instruct(request_id, CancelAttempt())
             case decision.MigrateConnection(request_id):
@@ -136,7 +139,7 @@
             case decision.WatchEndpoints():
                 self._watch()
             case decision.CheckHealth(endpoint):
-                self.probe(endpoint)
+                self.check_endpoint_health(endpoint)
 
     def _instruct(self, request_id: int, instruction: Instruction) -> None:
         mailbox = self._requests.get(request_id)
--- a/sageturn/core/context.py
+++ b/sageturn/core/context.py
@@ -17,12 +17,13 @@
     balancer_actor: BalancerActor
     endpoint_registry: EndpointRegistry
     request_registry: RequestRegistry
-    ended: Callable[[ConnectionRecord], None]
-    dropped: Counter[str] = field(default_factory=Counter)  # values of load reports that could not be used
+    on_connection_closed: Callable[[ConnectionRecord], None]
+    # Values of load reports that could not be used, by the report's field.
+    invalid_report_values: Counter[str] = field(default_factory=Counter)
 
-    async def run(self, lifecycle: RequestLifecycle) -> None:
+    async def run_request(self, lifecycle: RequestLifecycle) -> None:
         self.request_registry.add(lifecycle)
         try:
-            self.ended(await lifecycle.run())
+            self.on_connection_closed(await lifecycle.run())
         finally:
             self.request_registry.remove(lifecycle)
--- a/sageturn/core/endpoint_snapshot.py
+++ b/sageturn/core/endpoint_snapshot.py
@@ -15,10 +15,10 @@
     name: str
     size: float
     ready: bool  # listed ready, and not put out
-    room: int  # set-ups it may be sent before it has answered any: 0 when it is full or closed
+    available_capacity: int  # set-ups it may be sent before it has answered any: 0 when it is full or closed
     zone: str = ""
     draining: bool = False
-    out: bool = False  # listed ready, but put out for failing
+    ejected: bool = False  # listed ready, but put out for failing
     started_ms: float = 0.0
 
 
@@ -26,9 +26,9 @@
 class OperatorMarks:
     """Hosts that operators have marked: not rebalanced, out of service, and to be cleared of connections."""
 
-    held: frozenset[str] = frozenset()
-    out: frozenset[str] = frozenset()
-    cleared: frozenset[str] = frozenset()
+    rebalance_excluded: frozenset[str] = frozenset()
+    out_of_service: frozenset[str] = frozenset()
+    evacuating: frozenset[str] = frozenset()
 
 
 def snapshot_endpoints(
--- a/sageturn/core/idle_timeout.py
+++ b/sageturn/core/idle_timeout.py
@@ -13,17 +13,17 @@
         """
         self._patience_s, self._every_s = patience_s, every_s
         self._asked_s: float | None = None  # when the oldest line without an answer was passed on
-        self.heard_s = now_s  # when the endpoint's latest word came
+        self.last_endpoint_data_s = now_s  # when the endpoint's latest word came
 
-    def asked(self, now_s: float) -> None:
+    def on_request_forwarded(self, now_s: float) -> None:
         if self._asked_s is None:
             self._asked_s = now_s
 
-    def heard(self, now_s: float) -> None:
-        self.heard_s, self._asked_s = now_s, None
+    def on_endpoint_data(self, now_s: float) -> None:
+        self.last_endpoint_data_s, self._asked_s = now_s, None
 
-    def left_s(self, now_s: float) -> float:
+    def remaining_s(self, now_s: float) -> float:
         """How long until the endpoint can be mute at the earliest; 0 or less once it is."""
         if self._asked_s is None:
             return self._patience_s
-        return max(self._asked_s, self.heard_s + self._every_s) + self._patience_s - now_s
+        return max(self._asked_s, self.last_endpoint_data_s + self._every_s) + self._patience_s - now_s
--- a/sageturn/core/messages.py
+++ b/sageturn/core/messages.py
@@ -13,7 +13,7 @@
 
     class_name: str
     tenant: str
-    wait_ms: float  # how long the client waits, from the arrival of its request
+    timeout_ms: float  # how long the client waits, from the arrival of its request
     group: str = ""
     expected_load: float = 0.0
     established_endpoint: str = ""  # the endpoint that held this connection before the relay started
@@ -29,9 +29,9 @@
 class FinalResponse:
     """The final answer to a request that was not served: a fail-fast refusal, or a failure."""
 
-    refused: bool
+    rejected: bool
     retry_after_ms: float = 0.0
-    why: str = ""
+    reason: str = ""
 
 
 # ------------------------------------------------------------ to a request
@@ -42,7 +42,7 @@
     """Begin the next outbound call."""
 
     endpoint: str
-    patience_ms: float
+    timeout_ms: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -73,9 +73,9 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchFailed:
-    """A watch could not be had, or broke; ``why`` is for the log."""
+    """A watch could not be had, or broke; ``reason`` is for the log."""
 
-    why: str
+    reason: str
     failure: DiscoveryFailure
 
 
@@ -83,8 +83,8 @@
 class WatchEvent:
     """Word of a watch. One that has been replaced may still have some in the mailbox."""
 
-    watch: int
-    said: EndpointListUpdate | WatchFailed
+    watch_id: int
+    outcome: EndpointListUpdate | WatchFailed
 
 
 @dataclass(frozen=True, slots=True)
--- a/sageturn/core/request_lifecycle.py
+++ b/sageturn/core/request_lifecycle.py
@@ -68,21 +68,21 @@
 class ConnectionRecord:
     """What is known of a connection when it has ended; flows are exported from it."""
 
-    ask: ClientRequest
-    began_ms: float
+    request: ClientRequest
+    started_ms: float
     ended_ms: float = 0.0
     endpoint: str = ""
     attempts: int = 0
     was_established: bool = False
     close_reason: CloseReason | None = None
-    answer: FinalResponse | None = None
-    front: str = "platform"
-    client: tuple[str, int] = ("0.0.0.0", 0)
+    final_response: FinalResponse | None = None
+    frontend: str = "platform"
+    client_address: tuple[str, int] = ("0.0.0.0", 0)
     endpoint_address: tuple[str, int] = ("0.0.0.0", 0)
     bytes_to_endpoint: int = 0  # passed on to the endpoint while it stood
     bytes_to_client: int = 0
-    report: dict[str, float] = field(default_factory=dict)  # the endpoint's load, with its last answer
-    quiet_s: float = 0.0  # how long nothing had come from the endpoint when it ended, if it stood
+    load_report: dict[str, float] = field(default_factory=dict)  # the endpoint's load, with its last answer
+    endpoint_idle_s: float = 0.0  # how long nothing had come from the endpoint when it ended, if it stood
 
 
 class RequestLifecycle:
@@ -92,12 +92,12 @@
         self._balancer_actor, self._transport = balancer_actor, transport
         self.id, self._mailbox = balancer_actor.new_request()
         self.record = ConnectionRecord(ask, balancer_actor.clock.now_ms())
-        self.stop = asyncio.Event()  # set by a move or a shutdown: the client is to go elsewhere
-        self._give_up_ms = self.record.began_ms + max(0.0, ask.wait_ms - ANSWER_EARLY_MS)
+        self.drain_requested = asyncio.Event()  # set by a move or a shutdown: the client is to go elsewhere
+        self._give_up_ms = self.record.started_ms + max(0.0, ask.timeout_ms - ANSWER_EARLY_MS)
         self._answered = False
-        self.over = asyncio.Event()  # a stop has come to its end: what is still owed is owed at once
+        self.drain_forced = asyncio.Event()  # a stop has come to its end: what is still owed is owed at once
         self._leaving: asyncio.Future[CloseReason] = asyncio.get_running_loop().create_future()
-        self.written = False  # something of the attempt that is out may have been written
+        self.write_started = False  # something of the attempt that is out may have been written
         self._ran_ms: float | None = None  # when the first attempt began that may have run
         self._class = balancer_actor.classes.get(ask.class_name, balancer_actor.settings.classes[0])
 
@@ -106,7 +106,7 @@
         return self.record.was_established and self.record.close_reason is None
 
     async def run(self) -> ConnectionRecord:
-        ask = self.record.ask
+        ask = self.record.request
         self._leaving = asyncio.ensure_future(self._transport.wait_client_disconnect())
         try:
             if ask.established_endpoint:
@@ -134,10 +134,10 @@
             await self._tell_outcome(
                 max(0, self.record.attempts - 1), self.record.endpoint, close_reason, True
             )
-            await self._final(FinalResponse(refused=False, why="internal"))
+            await self._final(FinalResponse(rejected=False, reason="internal"))
         finally:
             await cancel_and_wait(self._leaving)
-            self._balancer_actor.forget(self.id)
+            self._balancer_actor.remove_request(self.id)
             self.record.ended_ms = self._balancer_actor.clock.now_ms()
         return self.record
 
@@ -161,7 +161,7 @@
         """One outbound call to its end; True when the request needs nothing more."""
         attempt = self.record.attempts
         self.record.attempts += 1
-        self.record.endpoint, self.record.report = endpoint, {}
+        self.record.endpoint, self.record.load_report = endpoint, {}
         left_ms = self._give_up_ms - self._balancer_actor.clock.now_ms()
         sent_ms = self._balancer_actor.clock.now_ms()
         connect_ms = self._balancer_actor.settings.connect_timeout_ms
@@ -176,12 +176,12 @@
         self.record.close_reason = close_reason
         if self._ran_ms is None and may_have_run(close_reason):
             self._ran_ms = sent_ms
-        if close_reason in CLIENT_OVER or self.over.is_set():
+        if close_reason in CLIENT_OVER or self.drain_forced.is_set():
             # Nothing more is owed to the module's request, but the outcome of its attempt is.
             await self._balancer_actor.post_event(decision.ClientDisconnected(self.id))
             await self._tell_outcome(attempt, endpoint, close_reason, True)
             if close_reason is CloseReason.CLIENT_FAULT:
-                await self._final(FinalResponse(refused=False, why="wait for the answer"))
+                await self._final(FinalResponse(rejected=False, reason="wait for the answer"))
             elif close_reason not in CLIENT_GONE:
                 await self._final(self._hurried())
             return True
@@ -191,17 +191,17 @@
     async def _tell_outcome(
         self, attempt: int, endpoint: str, close_reason: CloseReason, final: bool
     ) -> None:
-        status, report = outcome_status(close_reason), self.record.report
+        status, report = outcome_status(close_reason), self.record.load_report
         await self._balancer_actor.post_event(
             decision.AttemptEnded(self.id, attempt, endpoint, status, final, report)
         )
 
     def _hurried(self) -> FinalResponse:
         """What a request hears that a stop leaves no more time: a refusal only where that is no lie."""
-        refused = self._class.is_rejectable(self._ran_ms is not None)
-        return FinalResponse(refused, HURRY_RETRY_MS if refused else 0.0, "shutdown")
+        rejected = self._class.is_rejectable(self._ran_ms is not None)
+        return FinalResponse(rejected, HURRY_RETRY_MS if rejected else 0.0, "shutdown")
 
-    def key_remaining_ms(self) -> float:
+    def idempotency_key_remaining_ms(self) -> float:
         """How long a further attempt may still be written: its last byte counts, not when it was decided.
 
         Counted from the same moment as the module's, or a little later, so that the module won't decide on
@@ -220,23 +220,27 @@
             return self._leaving.result()
         if (gone := self._transport.poll_client()) is not None:
             return gone
-        if self.over.is_set() or self.key_remaining_ms() < 0 or (wanted is not None and not wanted()):
+        if (
+            self.drain_forced.is_set()
+            or self.idempotency_key_remaining_ms() < 0
+            or (wanted is not None and not wanted())
+        ):
             return CloseReason.NOT_SENT
         return None
 
     def check_before_write(self, wanted: Callable[[], bool] | None = None) -> CloseReason | None:
         """As ``blocking_reason``; where it gives None, the request may have run from then on."""
         close_reason = self.blocking_reason(wanted)
-        self.written = close_reason is None
+        self.write_started = close_reason is None
         return close_reason
 
     async def _call(self, endpoint: str, patience_ms: float, connect_ms: float) -> CloseReason | None:
-        self.written = False
+        self.write_started = False
         if self._leaving.done():
             return self._leaving.result()
-        if patience_ms <= 0 or self.over.is_set():
+        if patience_ms <= 0 or self.drain_forced.is_set():
             return CloseReason.NOT_SENT
-        over = asyncio.ensure_future(self.over.wait())
+        over = asyncio.ensure_future(self.drain_forced.wait())
         calling = asyncio.ensure_future(
             self._transport.open_upstream(endpoint, patience_ms, min(connect_ms, patience_ms))
         )
@@ -249,7 +253,9 @@
                 calling.cancel()
                 await asyncio.wait((calling,))
         if calling.cancelled():
-            close_reason: CloseReason | None = CloseReason.CANCELLED if self.written else CloseReason.NOT_SENT
+            close_reason: CloseReason | None = (
+                CloseReason.CANCELLED if self.write_started else CloseReason.NOT_SENT
+            )
         else:
             close_reason = calling.result()
         if self._leaving.done():
@@ -258,22 +264,22 @@
             return self._leaving.result()
         return close_reason
 
-    def leave(self) -> None:
+    def begin_drain(self) -> None:
         """The relay is about to stop: the client is moved, if nobody has asked it to go yet."""
-        if not self.stop.is_set():
-            self.stop.set()
+        if not self.drain_requested.is_set():
+            self.drain_requested.set()
             if self.is_established:
-                self._balancer_actor.drained(self.id)
+                self._balancer_actor.notify_migrated_by_shutdown(self.id)
 
     def force_drain(self) -> None:
         """The relay is about to stop: a request not yet served is answered now."""
-        self.over.set()
+        self.drain_forced.set()
 
     async def _final(self, answer: FinalResponse) -> None:
         if self._answered:
             return
         self._answered = True
-        self.record.answer = answer
+        self.record.final_response = answer
         await cancel_and_wait(self._leaving)
         await self._transport.send_final_response(answer)
 
@@ -291,7 +297,7 @@
                 self.record.close_reason = CloseReason.CLIENT_RESET
                 await self._transport.close_upstream()
             else:
-                self.record.close_reason = await self._transport.relay_traffic(self.stop)
+                self.record.close_reason = await self._transport.relay_traffic(self.drain_requested)
         finally:
             moving.cancel()
             close_reason = self.record.close_reason or CloseReason.CLIENT_RESET
@@ -302,7 +308,7 @@
         instruction: Instruction | None = None
         while not isinstance(instruction, RedirectClient):
             instruction = await self._mailbox.get()
-        self.stop.set()
+        self.drain_requested.set()
 
     async def report_load(self, value: float) -> None:
         """What the endpoint says of this connection's load, in microseconds of work a second."""
@@ -314,22 +320,22 @@
 
     async def _resume(self) -> None:
         """All of these come at once, and nowhere else will do: a connect that takes long is no bad sign."""
-        ask = self.record.ask
+        ask = self.record.request
         self.record.endpoint = ask.established_endpoint
         close_reason: CloseReason | None = CloseReason.NOT_SENT
         while self.record.attempts < self._balancer_actor.settings.max_attempts and close_reason in NEVER_RAN:
             self.record.attempts += 1
             left_ms = max(1.0, self._give_up_ms - self._balancer_actor.clock.now_ms())
             close_reason = await self._call(ask.established_endpoint, left_ms, RESUME_CONNECT_MS)
-            if self.over.is_set():
+            if self.drain_forced.is_set():
                 break
         if close_reason is not None:
             self.record.close_reason = close_reason
             if may_have_run(close_reason):
-                self._ran_ms = self.record.began_ms
+                self._ran_ms = self.record.started_ms
             if close_reason not in CLIENT_GONE:
-                lost = FinalResponse(refused=False, why="lost")
-                await self._final(self._hurried() if self.over.is_set() else lost)
+                lost = FinalResponse(rejected=False, reason="lost")
+                await self._final(self._hurried() if self.drain_forced.is_set() else lost)
             return
         await self._balancer_actor.post_event(
             decision.ConnectionAdopted(
--- a/sageturn/core/shutdown.py
+++ b/sageturn/core/shutdown.py
@@ -74,9 +74,9 @@
     """All requests that the relay has, on every front."""
 
     def __init__(self, times: ShutdownSchedule) -> None:
-        self._times = times
+        self.schedule = times
         self._request_registry: set[RequestLifecycle] = set()
-        self.stopping = self._hurrying = False
+        self.is_draining = self.is_drain_forced = False
 
     def __len__(self) -> int:
         return len(self._request_registry)
@@ -86,8 +86,8 @@
 
     def add(self, lifecycle: RequestLifecycle) -> None:
         self._request_registry.add(lifecycle)
-        if self._hurrying:  # it came in the last moment: it is answered, but not placed any more
-            lifecycle.leave()
+        if self.is_drain_forced:  # it came in the last moment: it is answered, but not placed any more
+            lifecycle.begin_drain()
             lifecycle.force_drain()
 
     def remove(self, lifecycle: RequestLifecycle) -> None:
@@ -95,8 +95,8 @@
 
     async def drain(self, doors: IngressListener) -> None:
         """Returns once nothing is left, or when it is high time to go."""
-        self.stopping = True
-        times = self._times
+        self.is_draining = True
+        times = self.schedule
         loop = asyncio.get_running_loop()
         began, pace = loop.time(), EvenPacer()
         await asyncio.sleep(times.move_from_s)
@@ -104,19 +104,19 @@
             standing = [
                 lifecycle
                 for lifecycle in self._request_registry
-                if lifecycle.is_established and not lifecycle.stop.is_set()
+                if lifecycle.is_established and not lifecycle.drain_requested.is_set()
             ]
             steps_left = max(1.0, (times.move_from_s + times.over_s - (loop.time() - began)) / STEP_S)
             for lifecycle in standing[: pace.due(len(standing), steps_left)]:
-                lifecycle.leave()
+                lifecycle.begin_drain()
             await asyncio.sleep(STEP_S)
             if not self._request_registry and not doors.awaiting_request() and loop.time() - began > ACCEPT_S:
                 break
         # Whoever has been taken is answered, also who came in this instant; nobody is taken from here on.
-        self._hurrying = True
+        self.is_drain_forced = True
         doors.shut()
         for lifecycle in list(self._request_registry):
-            lifecycle.leave()
+            lifecycle.begin_drain()
             lifecycle.force_drain()
         await doors.finish(max(0.1, began + times.leave_at_s - loop.time()))
         if self._request_registry:
--- a/sageturn/flows/exporter.py
+++ b/sageturn/flows/exporter.py
@@ -37,19 +37,19 @@
 def to_flow(record: ConnectionRecord) -> ipfix.Flow:
     close_reason = record.close_reason
     how = close_reason.name.lower() if close_reason is not None else "not_placed"
-    if record.answer is not None:
-        how = "fail_fast" if record.answer.refused else "failed"
+    if record.final_response is not None:
+        how = "fail_fast" if record.final_response.rejected else "failed"
     reason = ipfix.END_DETECTED if close_reason is None else _REASONS.get(close_reason, ipfix.END_DETECTED)
     return ipfix.Flow(
-        start_ms=int(record.began_ms),
+        start_ms=int(record.started_ms),
         end_ms=int(record.ended_ms),
-        source=record.client,
+        source=record.client_address,
         destination=record.endpoint_address,
         reason=reason,
         bytes_to_endpoint=record.bytes_to_endpoint,
         bytes_to_client=record.bytes_to_client,
-        application=f"{record.front}/{record.ask.class_name}/{how}",
-        user=record.ask.tenant,
+        application=f"{record.frontend}/{record.request.class_name}/{how}",
+        user=record.request.tenant,
     )
 
 
--- a/sageturn/frontends/firstline.py
+++ b/sageturn/frontends/firstline.py
@@ -63,7 +63,7 @@
         ClientRequest(
             class_name=class_name,
             tenant=found.get(b"t", b"").decode(),
-            wait_ms=float(found[b"d"]),
+            timeout_ms=float(found[b"d"]),
             group=found.get(b"g", b"").decode(),
             expected_load=float(expected_load) if _NUMBER.fullmatch(expected_load) else 0.0,
             established_endpoint=found.get(b"at", b"").decode(),
--- a/sageturn/frontends/platform.py
+++ b/sageturn/frontends/platform.py
@@ -82,7 +82,7 @@
             return  # it went as it came
         newcomer.asked()
         try:
-            await self._shared.run(_Peer(self._shared, sock, buffer, line).lifecycle)
+            await self._shared.run_request(_Peer(self._shared, sock, buffer, line).lifecycle)
         finally:
             self._ids.end(line.request_id)
 
@@ -98,7 +98,7 @@
                 raise Malformed("more than one line")  # a client waits for its answer before it says more
             if buffer[:end] != b"PING\r\n":
                 break
-            if self._shared.request_registry.stopping:
+            if self._shared.request_registry.is_draining:
                 raise Malformed("stopping")
             await self._shared.endpoint_registry.usable.wait()
             await asyncio.get_running_loop().sock_sendall(sock, b"PONG\r\n")
@@ -133,7 +133,7 @@
         self._answer = b""  # the endpoint's first line, and what followed it
         self._last_line = b""
         self.lifecycle = RequestLifecycle(shared.balancer_actor, self, line.ask)
-        self.lifecycle.record.client = sock.getpeername()
+        self.lifecycle.record.client_address = sock.getpeername()
         self._loads: asyncio.Queue[float] = asyncio.Queue(16)
 
     # ------------------------------------------------------------ one outbound call
@@ -178,7 +178,7 @@
         wait = b"%d" % max(1, int((until - loop.time()) * 1000.0))
         try:
             async with asyncio.timeout_at(
-                min(until, loop.time() + self.lifecycle.key_remaining_ms() / 1000.0)
+                min(until, loop.time() + self.lifecycle.idempotency_key_remaining_ms() / 1000.0)
             ):
                 await send_gathered(sock, (view[: line.wait_from], wait, view[line.wait_to : line.end]))
         except TimeoutError:
@@ -204,7 +204,9 @@
         word, *rest = line.split(None, 1) or [b""]
         if word in words and rest and self._shared.balancer_actor.settings.reports == "answers":
             fields = self._shared.balancer_actor.settings.report_fields
-            self.lifecycle.record.report = read_report(rest[0], fields, self._shared.dropped)
+            self.lifecycle.record.load_report = read_report(
+                rest[0], fields, self._shared.invalid_report_values
+            )
         return words.get(word, other)
 
     async def wait_client_disconnect(self) -> CloseReason:
@@ -224,8 +226,8 @@
         return CloseReason.CLIENT_FAULT
 
     async def send_final_response(self, answer: FinalResponse) -> None:
-        if not answer.refused:
-            text = f"ERR {answer.why}\r\n".encode()
+        if not answer.rejected:
+            text = f"ERR {answer.reason}\r\n".encode()
         elif answer.retry_after_ms >= 1:
             text = b"BUSY %d\r\n" % round(answer.retry_after_ms)
         else:
@@ -254,7 +256,7 @@
         self._quiet = IdleTimeout(asyncio.get_running_loop().time(), MUTE_S, LINE_EVERY_S)
         downward, upward = asyncio.ensure_future(down.run()), asyncio.ensure_future(up.run())
         stopping = asyncio.ensure_future(stop.wait())
-        muting = asyncio.ensure_future(sleep_until_elapsed(self._quiet.left_s))
+        muting = asyncio.ensure_future(sleep_until_elapsed(self._quiet.remaining_s))
         noting = asyncio.ensure_future(self._pass_loads())
         try:
             await asyncio.wait((downward, upward, stopping, muting), return_when=asyncio.FIRST_COMPLETED)
@@ -273,7 +275,9 @@
                 down.passed,
                 up.passed,
             )
-            self.lifecycle.record.quiet_s = asyncio.get_running_loop().time() - self._quiet.heard_s
+            self.lifecycle.record.endpoint_idle_s = (
+                asyncio.get_running_loop().time() - self._quiet.last_endpoint_data_s
+            )
             await asyncio.gather(close_politely(self._client), close_politely(endpoint))
 
     async def _moved(
@@ -283,7 +287,7 @@
         unless there is no more time: its endpoint is mute, or the stop of the relay has come to its end.
         """
         putting = asyncio.ensure_future(down.put_last(b"MOVE\r\n"))
-        over = asyncio.ensure_future(self.lifecycle.over.wait())
+        over = asyncio.ensure_future(self.lifecycle.drain_forced.wait())
         ends = putting, downward, upward
         try:
             if why is CloseReason.MOVED:
@@ -326,7 +330,7 @@
         return CloseReason.CLIENT_LEFT
 
     def _from_endpoint(self, buffer: bytearray, whole: int) -> None:
-        self._quiet.heard(asyncio.get_running_loop().time())
+        self._quiet.on_endpoint_data(asyncio.get_running_loop().time())
         at = 0
         while at < whole:
             end = buffer.index(b"\n", at) + 1
@@ -337,7 +341,7 @@
         self._last_line = bytes(buffer[start : min(whole, start + LAST_LINE_MOST)])
 
     def _from_client(self, buffer: bytearray, whole: int) -> None:
-        self._quiet.asked(asyncio.get_running_loop().time())
+        self._quiet.on_request_forwarded(asyncio.get_running_loop().time())
 
     def _note_load(self, text: bytes) -> None:
         try:
--- a/sageturn/frontends/xmpp/errors.py
+++ b/sageturn/frontends/xmpp/errors.py
@@ -28,13 +28,13 @@
 
 def answer_xml(answer: FinalResponse) -> bytes:
     """A fail-fast refusal tells when to come again; it and a failure are told apart by the condition."""
-    if answer.refused and answer.why == "shutdown":
+    if answer.rejected and answer.reason == "shutdown":
         return error_xml("system-shutdown", "come again", _retry(answer.retry_after_ms))
-    if answer.refused:
+    if answer.rejected:
         return error_xml("resource-constraint", "come again later", _retry(answer.retry_after_ms))
-    if answer.why == "wait for the answer":
-        return error_xml("policy-violation", answer.why)
-    if answer.why == "internal":
+    if answer.reason == "wait for the answer":
+        return error_xml("policy-violation", answer.reason)
+    if answer.reason == "internal":
         return error_xml("internal-server-error", "the relay failed")
     return error_xml("remote-connection-failed", "no endpoint could be reached")
 
--- a/sageturn/frontends/xmpp/front.py
+++ b/sageturn/frontends/xmpp/front.py
@@ -77,7 +77,7 @@
         else:
             newcomer.asked()
             peer = _Peer(self._shared, options, session, wish)
-            await self._shared.run(peer.lifecycle)
+            await self._shared.run_request(peer.lifecycle)
             return
         log.info("xmpp: %s", fault)
         with suppress(TimeoutError):
@@ -98,8 +98,8 @@
         client = f"{account.name}/{wish.resource}"
         ask = ClientRequest(account.class_name, account.tenant, options.wait_ms, account.group, client=client)
         self.lifecycle = RequestLifecycle(shared.balancer_actor, self, ask)
-        self.lifecycle.record.client = session.channel.sock.getpeername()
-        self.lifecycle.record.front = "xmpp"
+        self.lifecycle.record.client_address = session.channel.sock.getpeername()
+        self.lifecycle.record.frontend = "xmpp"
         self._endpoint: XmppSession | None = None
         self._jid = ""
         self._waiting: list[Stanza] = []  # sent by the client before it was answered
@@ -133,7 +133,7 @@
             return refusal.close_reason
         except OSError:
             # The placement is the bind: until that was written nothing of the request was sent.
-            return CloseReason.RESET if self.lifecycle.written else CloseReason.CUT_BEFORE_WRITTEN
+            return CloseReason.RESET if self.lifecycle.write_started else CloseReason.CUT_BEFORE_WRITTEN
         finally:
             if stands:
                 self._endpoint = session
@@ -185,7 +185,7 @@
         downward = asyncio.ensure_future(self._downward(endpoint))
         upward = asyncio.ensure_future(self._upward(endpoint))
         stopping = asyncio.ensure_future(stop.wait())
-        muting = asyncio.ensure_future(sleep_until_elapsed(self._quiet.left_s))
+        muting = asyncio.ensure_future(sleep_until_elapsed(self._quiet.remaining_s))
         last = b""
         try:
             await asyncio.wait((downward, upward, stopping, muting), return_when=asyncio.FIRST_COMPLETED)
@@ -207,7 +207,9 @@
                 endpoint.sent,
                 self._client.sent,
             )
-            self.lifecycle.record.quiet_s = asyncio.get_running_loop().time() - self._quiet.heard_s
+            self.lifecycle.record.endpoint_idle_s = (
+                asyncio.get_running_loop().time() - self._quiet.last_endpoint_data_s
+            )
         await self._part(endpoint, close_reason, last)
         return close_reason
 
@@ -246,7 +248,7 @@
         try:
             while True:
                 piece = await endpoint.next()
-                self._quiet.heard(loop.time())
+                self._quiet.on_endpoint_data(loop.time())
                 if piece is None:
                     return CloseReason.ENDED, error_xml("remote-connection-failed")
                 if isinstance(piece, Closed):
@@ -287,7 +289,7 @@
             # Only a request for information obliges the endpoint to say something back.
             asks = piece.element.tag.endswith("}iq") and piece.element.get("type") in ("get", "set")
             if asks:
-                self._quiet.asked(loop.time())
+                self._quiet.on_request_forwarded(loop.time())
             try:
                 await endpoint.send(piece.raw)
             except OSError:
--- a/sageturn/lab/naive.py
+++ b/sageturn/lab/naive.py
@@ -46,7 +46,7 @@
         self._looked_ms = now_ms
         return naive_plan(self, now_ms, hosts)
 
-    def before(self, now_ms: float, event: object) -> None:
+    def before_event(self, now_ms: float, event: object) -> None:
         """It tells the module nothing."""
 
 
--- a/sageturn/lab/rebalancing.py
+++ b/sageturn/lab/rebalancing.py
@@ -223,15 +223,15 @@
         began = time.process_time()
         for _ in range(per_s):  # as many come as go, and each tells its load twice
             key, group, host = keys[number % count]
-            planner.after(now_ms, decision.AttemptEnded(number - count, 0, host, "ok", True), ())
-            planner.after(
+            planner.after_event(now_ms, decision.AttemptEnded(number - count, 0, host, "ok", True), ())
+            planner.after_event(
                 now_ms,
                 decision.RequestArrived(number, classes[0], "t", now_ms + 900.0, group, client=key),
                 (),
             )
-            planner.after(now_ms, decision.ConnectionEstablished(number, 0, host, 20.0), ())
+            planner.after_event(now_ms, decision.ConnectionEstablished(number, 0, host, 20.0), ())
             for _ in range(2):
-                planner.after(now_ms, decision.MeasurementReported(number, 0, host, "load", 2.0), ())
+                planner.after_event(now_ms, decision.MeasurementReported(number, 0, host, "load", 2.0), ())
             number += 1
         told = time.process_time()
         planner.tick(now_ms, views, 720)
--- a/sageturn/lab/relay.py
+++ b/sageturn/lab/relay.py
@@ -16,14 +16,14 @@
 
 class NaiveRelay(Relay):
     def _set_rebalancing(self) -> None:
-        options = self._config.operator.rebalance
+        options = self.config.operator.rebalance
         if options is not None and options.mode == "on" and self.rebalancer is None:
             self._add_rebalancer(
                 NaiveRebalancer(
                     self.balancer_actor,
                     self.request_registry,
                     options,
-                    self._config.seed,
+                    self.config.seed,
                     self._tell("rebalance"),
                 )
             )
--- a/sageturn/lab/scale/costs.py
+++ b/sageturn/lab/scale/costs.py
@@ -223,7 +223,7 @@
 def flow_record(name_length: int) -> Line:
     """What the flows' collector is fed for one ended connection; class and tenant of that length."""
     ask = ClientRequest("c" * name_length, "t" * name_length, 2000.0)
-    ended = Ended(ask, 1.0, client=("10.0.0.1", 40000))
+    ended = Ended(ask, 1.0, client_address=("10.0.0.1", 40000))
     ended.endpoint, ended.endpoint_address, ended.ended_ms = "h", ("10.0.0.2", 8081), 2.0
     ended.close_reason = CloseReason.MOVED
     count = 1000
--- a/sageturn/lab/simrelay.py
+++ b/sageturn/lab/simrelay.py
@@ -104,10 +104,10 @@
     def tell(self, event: decision.Event) -> None:
         now_ms = self.now_s * 1000.0
         if self.planner is not None:
-            self.planner.before(now_ms, event)
+            self.planner.before_event(now_ms, event)
         actions = self.balancer.handle(now_ms, event)
         if self.planner is not None:
-            self.planner.after(now_ms, event, actions)
+            self.planner.after_event(now_ms, event, actions)
         for action in actions:
             match action:
                 case decision.PlaceRequest(request_id, host, timeout_ms):
--- a/sageturn/overrides/actor.py
+++ b/sageturn/overrides/actor.py
@@ -159,7 +159,7 @@
 
     # ------------------------------------------------------------ requests
 
-    def before(self, now_ms: float, event: decision.Event) -> None:
+    def before_event(self, now_ms: float, event: decision.Event) -> None:
         """Binds a request to hosts where a pin selects it; the module chooses among them."""
         if not isinstance(event, decision.RequestArrived):
             return
@@ -167,10 +167,10 @@
         if pinned is not None:
             bind(event, pinned, self._balancer_actor)
 
-    def after(self, now_ms: float, event: decision.Event, actions: Sequence[decision.Action]) -> None:
+    def after_event(self, now_ms: float, event: decision.Event, actions: Sequence[decision.Action]) -> None:
         """OverrideActor learn nothing from what passes."""
 
-    def moved_by_other(self, now_ms: float, request_id: int) -> None:
+    def on_migrated_by_others(self, now_ms: float, request_id: int) -> None:
         """Nor from moves."""
 
     # ------------------------------------------------------------ for operators
@@ -199,7 +199,7 @@
     allowed, strict = pinned.strict, pinned.strict is not None
     if pinned.preferred is not None:
         wished = pinned.preferred if allowed is None else pinned.preferred & allowed
-        if any(view.room > 0 for view in balancer_actor.snapshot_endpoints(wished)):
+        if any(view.available_capacity > 0 for view in balancer_actor.snapshot_endpoints(wished)):
             event.allowed, event.strict = wished, strict
             return
     if strict:
--- a/sageturn/rebalance/balance.py
+++ b/sageturn/rebalance/balance.py
@@ -78,7 +78,7 @@
     # Ours is a part of each host's load itself, and so counts whole; of the others' we expect what is common.
     trust = common + (1.0 - common) / max(1.0, sharers)
     fills = tuple(
-        EndpointUtilization(h.name, load, due, 1.0 + trust * (load / due - 1.0), h.room, h.size)
+        EndpointUtilization(h.name, load, due, 1.0 + trust * (load / due - 1.0), h.available_capacity, h.size)
         for h, load, due in zip(hosts, loads, dues, strict=True)
     )
     return Balance(fills, trust, total)
--- a/sageturn/rebalance/driver.py
+++ b/sageturn/rebalance/driver.py
@@ -43,11 +43,11 @@
         """It may be turned on while connections stand; what they have told of their loads comes again."""
         now_ms = self._balancer_actor.clock.now_ms()
         for lifecycle in self._request_registry:
-            record, ask = lifecycle.record, lifecycle.record.ask
+            record, ask = lifecycle.record, lifecycle.record.request
             about = ask.class_name, ask.tenant, ask.group
             if lifecycle.is_established:
-                self.adopt(now_ms, lifecycle.id, record.endpoint, about, ask.client, record.began_ms)
-            elif record.answer is None:
+                self.adopt(now_ms, lifecycle.id, record.endpoint, about, ask.client, record.started_ms)
+            elif record.final_response is None:
                 self.expect(now_ms, lifecycle.id, about, ask.client)
 
     async def run(self) -> None:
@@ -65,11 +65,11 @@
         now_ms = self._balancer_actor.clock.now_ms()
         minute = int(now_ms // 60000.0) % DAY_MIN
         plan = self.tick(
-            now_ms, self._balancer_actor.snapshot_endpoints(), minute, self._request_registry.stopping
+            now_ms, self._balancer_actor.snapshot_endpoints(), minute, self._request_registry.is_draining
         )
         if plan.phase != "dry-run" and self in self._balancer_actor.observers:
             for move in plan.moves:
-                self._balancer_actor.move(move.request_id)
+                self._balancer_actor.migrate_connection(move.request_id)
         self._say(plan)
         if now_ms >= self._told_ms + STATE_MS:
             self._told_ms = now_ms
--- a/sageturn/rebalance/planner.py
+++ b/sageturn/rebalance/planner.py
@@ -97,7 +97,7 @@
 
     # ------------------------------------------------------------ events
 
-    def before(self, now_ms: float, event: decision.Event) -> None:
+    def before_event(self, now_ms: float, event: decision.Event) -> None:
         """Says to the module, in the request itself, that its client was moved for balance just now."""
         if not isinstance(event, decision.RequestArrived) or not len(self.clients):
             return  # while nobody was moved there is nothing to say
@@ -107,10 +107,10 @@
             event.spared_until_ms = min(moved.until_ms, moved.at_ms + SPARED_MS)
             if client in self.clients.on_way:
                 event.moved_off = moved.off
-                if self.marks.held and event.allowed is None:
-                    event.allowed = frozenset(self._ratios.keys() - self.marks.held)
+                if self.marks.rebalance_excluded and event.allowed is None:
+                    event.allowed = frozenset(self._ratios.keys() - self.marks.rebalance_excluded)
 
-    def after(self, now_ms: float, event: decision.Event, actions: Sequence[decision.Action]) -> None:
+    def after_event(self, now_ms: float, event: decision.Event, actions: Sequence[decision.Action]) -> None:
         match event:
             case decision.RequestArrived():
                 self.signs.asked(now_ms)
@@ -135,7 +135,7 @@
                     self._asked.pop(request_id, None)
                     self.signs.refused(now_ms)
                 case decision.MigrateConnection(request_id):
-                    self.moved_by_other(now_ms, request_id)
+                    self.on_migrated_by_others(now_ms, request_id)
 
     def expect(self, now_ms: float, request_id: int, about: tuple[str, str, str], client: str) -> None:
         """A request that is not answered yet; ``about``: its class, tenant and group."""
@@ -154,7 +154,7 @@
         since_ms = min(now_ms, since_ms)
         self.book.add(since_ms, request_id, host, about[2], about[:2], client_number(client))
 
-    def moved_by_other(self, now_ms: float, request_id: int) -> None:
+    def on_migrated_by_others(self, now_ms: float, request_id: int) -> None:
         """The module or a drain moves a connection: never held back, and paid for from the same budget."""
         if request_id not in self._leaving:
             self.counts["by_others"] += 1
@@ -210,7 +210,7 @@
         lost = self.clients.lost(now_ms)
         self.counts["not_back"] += lost
         self.signs.not_back(now_ms, lost)
-        signs = self.signs.read(now_ms, self.book, hosts, self.marks.out)
+        signs = self.signs.read(now_ms, self.book, hosts, self.marks.out_of_service)
         self.pace.advance(now_ms, len(self.book), signs, self._doing_well())
         self._weigh(hosts)
         if stopping:
@@ -238,7 +238,7 @@
 
     def _clear(self, now_ms: float, hosts: Sequence[EndpointSnapshot]) -> MigrationPlan | None:
         """Hosts that an operator clears: everyone goes, in whatever mode, at the same pace as any move."""
-        full = [self.book.hosts[name] for name in sorted(self.marks.cleared) if name in self.book.hosts]
+        full = [self.book.hosts[name] for name in sorted(self.marks.evacuating) if name in self.book.hosts]
         if not full or now_ms < self.pace.stopped_until_ms or not self.pace.rate:
             return None
         whole, room = self._room(hosts)
@@ -260,7 +260,7 @@
         Whoever is on the way lands somewhere soon; those who went to other relays count until their time is
         up, since what these have asked to move may come here in their place.
         """
-        whole = int(ROOM_PART * sum(h.room for h in hosts if h.ready))
+        whole = int(ROOM_PART * sum(h.available_capacity for h in hosts if h.ready))
         return whole, whole - len(self.clients.on_way)
 
     def _take_rest(self, now_ms: float, rest_ms: float, phase: str, why: str) -> MigrationPlan:
@@ -331,7 +331,7 @@
             return ""
         # Where one is empty, and none much too full, all that are above the mean give a little.
         floor = 1.0 + stop if balance.fullest > 1.0 + stop else 1.0
-        held_back = self.marks.held
+        held_back = self.marks.rebalance_excluded
         takers = [f for f in balance.fills if f.ratio < 1.0 and f.room > 0 and f.name not in held_back]
         if not takers:
             return "no emptier host has room"
--- a/sageturn/rebalance/signs.py
+++ b/sageturn/rebalance/signs.py
@@ -105,7 +105,7 @@
             found.append(Sign.REFUSING)
         if broken >= max(BREAKING_LEAST, BREAKING_PART * own):
             found.append(Sign.BREAKING)
-        if any(host.out for host in self._hosts.values()):
+        if any(host.ejected for host in self._hosts.values()):
             found.append(Sign.PUT_OUT)
         if refused >= REFUSED_LEAST:
             found.append(Sign.REFUSED)
--- a/sageturn/relay.py
+++ b/sageturn/relay.py
@@ -51,8 +51,8 @@
         self, config: RelayConfig, read_again: Callable[[RelayConfig], RelayConfig] | None = None
     ) -> None:
         """``read_again`` reads the configuration anew, given the one in force."""
-        self._config, self._read_again = config, read_again
-        self._reload = asyncio.Event()
+        self.config, self._read_again = config, read_again
+        self.reload_requested = asyncio.Event()
         self.balancer_actor = BalancerActor(config.settings, config.seed, Clock(), self._want_watch)
         operator = config.operator
         self.store = Store(config.name, operator.store_path)
@@ -69,25 +69,25 @@
         self.request_registry = RequestRegistry(shutdown_schedule(config.settings.classes))
         self._actors: list[asyncio.Future[None]] = []
         self._fallen: asyncio.Queue[BaseException] = asyncio.Queue()  # what has ended an actor
-        self.shared = RelayContext(
+        self.context = RelayContext(
             self.balancer_actor, self.endpoint_registry, self.request_registry, self._ended
         )
-        front = PlatformFrontend(self.shared)
+        front = PlatformFrontend(self.context)
         self.admission = AdmissionController(config.limits)
         self.listener = Listener(config.listen, front.serve, front.turn_away, self.admission)
         self.store.on_change.append(self._changed)
-        self.replica = self._make_replica()
-        self.exporter = FlowExporter(operator.flows) if operator.flows else None
-        self.xmpp: Listener | None = None
+        self.replication = self._make_replica()
+        self.flow_exporter = FlowExporter(operator.flows) if operator.flows else None
+        self.xmpp_listener: Listener | None = None
         self._second: XmppFrontend | None = None
         if operator.xmpp is not None:
-            self._second = XmppFrontend(self.shared, operator.xmpp, Accounts(self.store))
-            self.xmpp = Listener(
+            self._second = XmppFrontend(self.context, operator.xmpp, Accounts(self.store))
+            self.xmpp_listener = Listener(
                 operator.xmpp.listen, self._second.serve, self._second.turn_away, self.admission
             )
         self._counts: Counter[str] = Counter()
         self.rebalancer: Rebalancer | None = None
-        self.prober = self._make_prober()
+        self.health_check_client = self._make_prober()
         self._set_log_level()
 
     def _want_watch(self) -> None:
@@ -104,7 +104,7 @@
             logging.getLogger().setLevel(level)
 
     def _make_overrides(self) -> OverrideActor | None:
-        options = self._config.operator.overrides
+        options = self.config.operator.overrides
         if options is None:
             return None
         from sageturn.overrides.actor import OverrideActor
@@ -116,17 +116,17 @@
         return overrides
 
     def _make_replica(self) -> ReplicationMember | None:
-        options = self._config.operator.replication
+        options = self.config.operator.replication
         if options is None:
             return None
         from sageturn.store.replication.member import ReplicationMember
 
         # Members of one fleet may share a seed, and must not do the same at the same moment.
-        rng = Random(f"{self._config.seed}/{self._config.name}")
+        rng = Random(f"{self.config.seed}/{self.config.name}")
         return ReplicationMember(self.store, options, self.admission, rng)
 
     def _make_prober(self) -> HealthCheckClient | None:
-        settings = self._config.settings
+        settings = self.config.settings
         if not settings.probes:
             return None
         from sageturn.net.health_check_client import HealthCheckClient
@@ -137,9 +137,9 @@
             settings.connect_timeout_ms / 1000.0,
             settings.keepalive_ms / 1000.0,
             self.balancer_actor.post_event,
-            self.shared.dropped,
+            self.context.invalid_report_values,
         )
-        self.balancer_actor.probe = prober.ask
+        self.balancer_actor.check_endpoint_health = prober.ask
         return prober
 
     def _mark(self, marks: OperatorMarks) -> None:
@@ -159,7 +159,7 @@
 
     def _set_rebalancing(self) -> None:
         """As the operator's file has it now. Once on it goes on looking, so as to know who was moved."""
-        options = self._config.operator.rebalance
+        options = self.config.operator.rebalance
         if self.rebalancer is not None:
             old = self.rebalancer.options
             self.rebalancer.options = options if options is not None else replace(old, mode="off")
@@ -167,7 +167,7 @@
             from sageturn.rebalance.driver import Rebalancer
             from sageturn.rebalance.options import RebalanceOptions
 
-            seed, options = self._config.seed, options or RebalanceOptions()
+            seed, options = self.config.seed, options or RebalanceOptions()
             self._add_rebalancer(
                 Rebalancer(self.balancer_actor, self.request_registry, options, seed, self._tell("rebalance"))
             )
@@ -183,45 +183,45 @@
         tell = self._tell("relay")
         while True:
             standing = sum(lifecycle.is_established for lifecycle in self.request_registry)
-            dropped = self.exporter.dropped if self.exporter else 0
+            dropped = self.flow_exporter.dropped if self.flow_exporter else 0
             state = {
                 "standing": standing,
                 "ended": dict(self._counts),
                 "flows_dropped": dropped,
-                "reports_dropped": dict(self.shared.dropped),
+                "reports_dropped": dict(self.context.invalid_report_values),
             }
-            if self.replica is not None:
-                state["store"] = self.replica.state()
+            if self.replication is not None:
+                state["store"] = self.replication.state()
             tell(state)
-            await asyncio.sleep(max(STATE_S, self.replica.state_every_s if self.replica else 0.0))
+            await asyncio.sleep(max(STATE_S, self.replication.state_every_s if self.replication else 0.0))
 
     def _ended(self, record: ConnectionRecord) -> None:
         self._counts[record.close_reason.name.lower() if record.close_reason else "not_placed"] += 1
-        if self.exporter is not None:
-            self.exporter.ended(record)
+        if self.flow_exporter is not None:
+            self.flow_exporter.ended(record)
         log.info(
             "%s %s %s to %s after %d calls and %.3f s: %s%s%s",
-            record.front,
-            record.ask.client_request_id or "-",
-            record.ask.class_name,
+            record.frontend,
+            record.request.client_request_id or "-",
+            record.request.class_name,
             record.endpoint or "nobody",
             record.attempts,
-            (record.ended_ms - record.began_ms) / 1000.0,
+            (record.ended_ms - record.started_ms) / 1000.0,
             record.close_reason.name if record.close_reason else "not placed",
-            f", quiet for {record.quiet_s:.3f} s" if record.was_established else "",
-            f", {record.answer}" if record.answer else "",
+            f", quiet for {record.endpoint_idle_s:.3f} s" if record.was_established else "",
+            f", {record.final_response}" if record.final_response else "",
         )
 
     async def _reloads(self) -> None:
         """Signals that come while one is dealt with are dealt with together by the next reading."""
         while True:
-            await self._reload.wait()
-            self._reload.clear()
+            await self.reload_requested.wait()
+            self.reload_requested.clear()
             if self._read_again is None:
                 continue
             try:
                 with DESCRIPTOR_RESERVE.lent():  # clients may hold all other descriptors
-                    new = self._read_again(self._config)
+                    new = self._read_again(self.config)
             except ConfigError as error:
                 log.error("configuration not taken, the old one stays in force: %s", error)
                 continue
@@ -229,11 +229,11 @@
                 # A fault that no check foresaw must not end the relay either.
                 log.exception("configuration not taken, the old one stays in force")
                 continue
-            await self._switch(new)
+            await self.apply_config(new)
 
-    async def _switch(self, new: RelayConfig) -> None:
+    async def apply_config(self, new: RelayConfig) -> None:
         """Nothing here can fail half way: all of it was checked when it was read."""
-        old, self._config = self._config, new
+        old, self.config = self.config, new
         limit_descriptors(new.limits.sockets)
         self.admission.limits = new.limits
         if self._second is not None and new.operator.xmpp is not None:
@@ -281,12 +281,12 @@
         ]
         if self.overrides is not None:
             runs.append(self.overrides.run)
-        if self.xmpp is not None:
-            runs.append(self.xmpp.run)
-        if self.exporter is not None:
-            runs.append(self.exporter.run)
-        if self.replica is not None:
-            self.replica.start()
+        if self.xmpp_listener is not None:
+            runs.append(self.xmpp_listener.run)
+        if self.flow_exporter is not None:
+            runs.append(self.flow_exporter.run)
+        if self.replication is not None:
+            self.replication.start()
         for listener in self._listeners():
             listener.open()
         for run in runs:
@@ -296,10 +296,10 @@
     async def stop(self) -> None:
         """At once: whatever still stands is cut off."""
         await self.discovery.stop()
-        if self.prober is not None:
-            await self.prober.stop()
-        if self.replica is not None:
-            await self.replica.stop()
+        if self.health_check_client is not None:
+            await self.health_check_client.stop()
+        if self.replication is not None:
+            await self.replication.stop()
         for actor in self._actors:
             await cancel_and_wait(actor)
         for listener in self._listeners():
@@ -312,9 +312,9 @@
         stopping = asyncio.Event()
         for number in SIGNALS - {signal.SIGHUP}:
             loop.add_signal_handler(number, stopping.set)
-        loop.add_signal_handler(signal.SIGHUP, self._reload.set)
+        loop.add_signal_handler(signal.SIGHUP, self.reload_requested.set)
         signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)  # those held back since the start come now
-        limit_descriptors(self._config.limits.sockets)
+        limit_descriptors(self.config.limits.sockets)
         # The loop turns before anybody can connect: a front sends clients to a relay that was killed
         # as soon as it listens, and those it keeps waiting for its own start lose that much of their time.
         await asyncio.sleep(START_S)
@@ -327,7 +327,7 @@
     # ------------------------------------------------------------ its doors, at a planned stop
 
     def _listeners(self) -> list[Listener]:
-        return [listener for listener in (self.listener, self.xmpp) if listener is not None]
+        return [listener for listener in (self.listener, self.xmpp_listener) if listener is not None]
 
     def awaiting_request(self) -> int:
         return self.admission.awaiting_request
--- a/tests/config/test_deployments.py
+++ b/tests/config/test_deployments.py
@@ -230,7 +230,7 @@
             names, discovery = await serve_all(stack, endpoints)
             file = write_config(tmp_path, discovery.address, listed(names), settings=conf)
             relay = Relay(load({"GW_CONFIG": str(file)}))
-            relay.balancer_actor.probe = lambda endpoint: None
+            relay.balancer_actor.check_endpoint_health = lambda endpoint: None
             relay.start()
             stack.push_async_callback(relay.stop)
             line = first_line(900).replace(b"c=c,t=t", b"c=gate,t=north")
--- a/tests/core/test_attempt_races.py
+++ b/tests/core/test_attempt_races.py
@@ -101,7 +101,7 @@
 
             monkeypatch.setattr(platform, "connect", comes_up)
             records: list[Any] = []
-            monkeypatch.setattr(relay.shared, "ended", records.append)
+            monkeypatch.setattr(relay.context, "on_connection_closed", records.append)
             client = socket.create_connection(relay.listener.address)
             client.sendall(first_line())
             await until(lambda: at)
--- a/tests/core/test_client_disconnects.py
+++ b/tests/core/test_client_disconnects.py
@@ -119,7 +119,7 @@
             begun = Begun(monkeypatch, platform, attempt - 1)
             as_call_begins(monkeypatch, platform, attempt, lambda: leave(client))
             records: list[Any] = []
-            monkeypatch.setattr(relay.shared, "ended", records.append)
+            monkeypatch.setattr(relay.context, "on_connection_closed", records.append)
             client = socket.create_connection(relay.listener.address)
             client.sendall(first_line())
             await until(lambda: records and not relay.balancer_actor._balancer.requests)
@@ -176,8 +176,8 @@
                     number = 1 + (moment == "further")
                     as_call_begins(monkeypatch, xmpp_front, number, lambda: aside.do(leave(client)))
                 records: list[Any] = []
-                monkeypatch.setattr(relay.shared, "ended", records.append)
-                client = await aside.does(Client.connect(relay.xmpp.address))
+                monkeypatch.setattr(relay.context, "on_connection_closed", records.append)
+                client = await aside.does(Client.connect(relay.xmpp_listener.address))
                 await aside.does(client.login(client_tls()))
                 await aside.does(say_wish(client))
                 await until(lambda: records and not relay.balancer_actor._balancer.requests)
@@ -221,7 +221,7 @@
 
             monkeypatch.setattr(platform, "connect", waits)
             records: list[Any] = []
-            monkeypatch.setattr(relay.shared, "ended", records.append)
+            monkeypatch.setattr(relay.context, "on_connection_closed", records.append)
             clients = [await ask(relay.listener.address, first_line(3000)) for _ in range(CROWD)]
             await until(lambda: begun == CROWD)
             held.set()
@@ -245,7 +245,7 @@
             await until(lambda: relay.endpoint_registry.version == 2)
             begun = Begun(monkeypatch, platform)
             records: list[Any] = []
-            monkeypatch.setattr(relay.shared, "ended", records.append)
+            monkeypatch.setattr(relay.context, "on_connection_closed", records.append)
             for _ in range(100):  # the loop does not turn here
                 client = socket.create_connection(relay.listener.address)
                 client.sendall(first_line())
@@ -295,7 +295,7 @@
     # It was taken for one that had left, and its connection closed without a word.
     async def go() -> None:
         async with relaying_xmpp(tmp_path, lambda server: server.rest()) as (relay, (endpoint,)):
-            client = await Client.connect(relay.xmpp.address)
+            client = await Client.connect(relay.xmpp_listener.address)
             await client.login(client_tls())
             client.wish()
             await until(lambda: endpoint.lines)
--- a/tests/core/test_close_reasons.py
+++ b/tests/core/test_close_reasons.py
@@ -167,7 +167,7 @@
 
 
 async def stop(scene: Scene) -> None:
-    scene.relay.request_registry._times = ShutdownSchedule(0.01, 0.02, 0.05, 2.0)
+    scene.relay.request_registry.schedule = ShutdownSchedule(0.01, 0.02, 0.05, 2.0)
     await scene.relay.request_registry.drain(scene.relay)
     assert not scene.relay.request_registry
 
@@ -250,7 +250,7 @@
     # does not turn between the client's coming and the shutting here.
     async def go() -> None:
         async with relaying(tmp_path, up) as (relay, (endpoint,)):
-            relay.request_registry._times = ShutdownSchedule(0.0, 0.0, 0.05, 2.0)
+            relay.request_registry.schedule = ShutdownSchedule(0.0, 0.0, 0.05, 2.0)
             shut, came = relay.shut, list[socket.socket]()
 
             def comes_and_shut() -> None:
@@ -276,11 +276,13 @@
     # It was placed, stood, and was cut off without MOVE: only those who were there had been told to hurry.
     async def go() -> None:
         async with relaying(tmp_path, up) as (relay, (endpoint,)):
-            relay.request_registry._times = ShutdownSchedule(0.0, 0.0, 0.01, 2.0)
+            relay.request_registry.schedule = ShutdownSchedule(0.0, 0.0, 0.01, 2.0)
             scene = Scene(relay, [endpoint])
             relay.admission.evict_all = lambda: None  # type: ignore[method-assign]
             draining = asyncio.ensure_future(relay.request_registry.drain(relay))
-            await scene.until(lambda: relay.admission.awaiting_request and relay.request_registry._hurrying)
+            await scene.until(
+                lambda: relay.admission.awaiting_request and relay.request_registry.is_drain_forced
+            )
             scene.client.sendall(first_line())
             assert (await scene.rest()).startswith(b"BUSY")
             await draining
@@ -293,7 +295,7 @@
 def test_a_stop_waits_for_those_who_have_not_yet_asked(tmp_path: Path) -> None:
     async def go() -> None:
         async with relaying(tmp_path, up) as (relay, (endpoint,)):
-            relay.request_registry._times = ShutdownSchedule(0.0, 0.0, 8.0, 9.0)
+            relay.request_registry.schedule = ShutdownSchedule(0.0, 0.0, 8.0, 9.0)
             scene = Scene(relay, [endpoint])
             line = first_line()
             scene.client.sendall(line[:20])
@@ -351,7 +353,7 @@
     async def go() -> None:
         async with relaying(tmp_path, floods) as (relay, _):
             ended: list[Any] = []
-            relay.shared.ended = ended.append
+            relay.context.on_connection_closed = ended.append
             scene = Scene(relay, [])
             scene.client.sendall(first_line())
             await scene.until(lambda: any(lifecycle.is_established for lifecycle in relay.request_registry))
@@ -360,7 +362,7 @@
             while stuck < 30:  # until for 0.3 s the kernel has had no room for more
                 await asyncio.sleep(0.01)
                 stuck = 0 if not pumps or select.select([], [pumps[0]._target], [], 0)[1] else stuck + 1
-            relay.balancer_actor.move(lifecycle.id)
+            relay.balancer_actor.migrate_connection(lifecycle.id)
             await asyncio.sleep(0.8)
             assert lifecycle.is_established and not ended
             if not reads_on:
--- a/tests/core/test_request_lifecycle.py
+++ b/tests/core/test_request_lifecycle.py
@@ -55,7 +55,7 @@
         return CloseReason.MOVED
 
     async def send_final_response(self, answer: FinalResponse) -> None:
-        self.did.append("fail-fast" if answer.refused else "failed")
+        self.did.append("fail-fast" if answer.rejected else "failed")
 
 
 def live(*calls: CloseReason | None, leave: bool = False, stop: bool = False):  # type: ignore[no-untyped-def]
@@ -70,7 +70,7 @@
         wire.leave_in_call = leave
         lifecycle = RequestLifecycle(balancer_actor, wire, ClientRequest("c", "", 1000.0))
         if stop:
-            lifecycle.stop.set()
+            lifecycle.drain_requested.set()
         record = await asyncio.wait_for(lifecycle.run(), 5)
         await asyncio.sleep(0.01)
         actor.cancel()
--- a/tests/decision/test_health_checks.py
+++ b/tests/decision/test_health_checks.py
@@ -216,15 +216,16 @@
 
     async def go() -> None:
         async with relaying(tmp_path, script) as (relay, _):
-            assert relay.prober is not None
+            assert relay.health_check_client is not None
             heard: asyncio.Queue[decision.HealthCheckCompleted] = asyncio.Queue()
-            relay.prober._tell = heard.put
-            relay.balancer_actor.probe = lambda endpoint: None  # the test asks, not the module
+            relay.health_check_client._tell = heard.put
+            # The test asks, not the module.
+            relay.balancer_actor.check_endpoint_health = lambda endpoint: None
             for status, report in outcomes:
-                relay.prober.ask("a")
-                relay.prober.ask("a")  # one at a time
+                relay.health_check_client.ask("a")
+                relay.health_check_client.ask("a")  # one at a time
                 assert await heard.get() == decision.HealthCheckCompleted("a", status, report)
-                while relay.prober._out:
+                while relay.health_check_client._out:
                     await asyncio.sleep(0)
             assert len(seen) == len(words) and set(seen) == {b"STATS\r\n"} and heard.empty()
             assert await reply(relay.listener.address, first_line()) == b"UP r1\r\n"
@@ -236,7 +237,7 @@
 def test_a_host_that_never_answers_probes_serves_its_clients(tmp_path: Path, script: Script) -> None:
     async def go() -> None:
         async with relaying(tmp_path, up, script) as (relay, _):
-            assert relay.prober is None  # not allowed by these settings: nothing of it is there
+            assert relay.health_check_client is None  # not allowed by these settings: nothing of it is there
             assert await reply(relay.listener.address, first_line()) == b"UP r1\r\n"
 
     story(go())
--- a/tests/flows/test_compatibility_flows.py
+++ b/tests/flows/test_compatibility_flows.py
@@ -51,13 +51,14 @@
 
 def ended_records() -> list[ConnectionRecord]:
     """One that ended in each of the ways there are, in their order, and those that were answered instead."""
-    answers = [None, FinalResponse(refused=True, why="x"), FinalResponse(refused=False, why="x")]
+    answers = [None, FinalResponse(rejected=True, reason="x"), FinalResponse(rejected=False, reason="x")]
     ways = [(close_reason, None) for close_reason in CloseReason] + [(None, answer) for answer in answers]
     records = []
     for close_reason, answer in ways:
         record = ConnectionRecord(ClientRequest("walk-in", "tổ-1", 2000.0), 1_700_000_000_123.9)
-        record.client, record.endpoint_address = ("127.0.0.1", 40001), ("192.0.2.17", 443)
-        record.close_reason, record.answer, record.ended_ms = close_reason, answer, 1_700_000_001_000.0
+        record.client_address, record.endpoint_address = ("127.0.0.1", 40001), ("192.0.2.17", 443)
+        record.close_reason, record.final_response = close_reason, answer
+        record.ended_ms = 1_700_000_001_000.0
         record.bytes_to_endpoint, record.bytes_to_client = 12, 34
         records.append(record)
     return records
--- a/tests/flows/test_flow_export.py
+++ b/tests/flows/test_flow_export.py
@@ -60,7 +60,8 @@
     made = ConnectionRecord(
         ClientRequest("c", "t" * 300, 1.0), 1000.0 + n, 2500.0, "a", 1, True, close_reason
     )
-    made.client, made.endpoint_address, made.bytes_to_endpoint = ("127.0.0.2", 40000), ("127.0.0.3", 8081), 77
+    made.client_address, made.endpoint_address = ("127.0.0.2", 40000), ("127.0.0.3", 8081)
+    made.bytes_to_endpoint = 77
     return made
 
 
--- a/tests/frontends/test_compatibility_frontends.py
+++ b/tests/frontends/test_compatibility_frontends.py
@@ -55,15 +55,15 @@
 
 
 ANSWERS = {
-    "refused": FinalResponse(refused=True),
-    "refused-with-retry": FinalResponse(refused=True, retry_after_ms=1234.5),
-    "refused-with-short-retry": FinalResponse(refused=True, retry_after_ms=0.9),
-    "refused-by-shutdown": FinalResponse(refused=True, retry_after_ms=250.0, why="shutdown"),
-    "failed-by-shutdown": FinalResponse(refused=False, why="shutdown"),
-    "unavailable": FinalResponse(refused=False, why="unavailable"),
-    "internal": FinalResponse(refused=False, why="internal"),
-    "lost": FinalResponse(refused=False, why="lost"),
-    "wait": FinalResponse(refused=False, why="wait for the answer"),
+    "refused": FinalResponse(rejected=True),
+    "refused-with-retry": FinalResponse(rejected=True, retry_after_ms=1234.5),
+    "refused-with-short-retry": FinalResponse(rejected=True, retry_after_ms=0.9),
+    "refused-by-shutdown": FinalResponse(rejected=True, retry_after_ms=250.0, reason="shutdown"),
+    "failed-by-shutdown": FinalResponse(rejected=False, reason="shutdown"),
+    "unavailable": FinalResponse(rejected=False, reason="unavailable"),
+    "internal": FinalResponse(rejected=False, reason="internal"),
+    "lost": FinalResponse(rejected=False, reason="lost"),
+    "wait": FinalResponse(rejected=False, reason="wait for the answer"),
 }
 
 # ---------------------------------------------------------------- the platform's front
@@ -164,7 +164,7 @@
         reader, writer = await ask(relay.listener.address, OPEN)
         told = await reader.readline()
         (lifecycle,) = relay.request_registry
-        relay.balancer_actor.move(lifecycle.id)
+        relay.balancer_actor.migrate_connection(lifecycle.id)
         told += await reader.read()
         writer.close()
         return told
--- a/tests/frontends/test_idle_timeout.py
+++ b/tests/frontends/test_idle_timeout.py
@@ -21,12 +21,12 @@
     """When the client is moved: the wait is slept out, and asked for again, as ``wait_out`` does."""
     now, asks = LAST, sorted(asks)
     while True:
-        left = quiet.left_s(now)
+        left = quiet.remaining_s(now)
         if left <= 0:
             return now
         now += left
         while asks and asks[0] <= now:
-            quiet.asked(asks.pop(0))
+            quiet.on_request_forwarded(asks.pop(0))
 
 
 @given(st.floats(0.0, LINE_EVERY_S), st.floats(0.0, 5.0))
@@ -34,8 +34,8 @@
     # Seen: silent 10 and silent+term 2, a client whose next line came 1.8 s after the endpoint's last word
     # was to be moved 5.0 to 5.25 s after that line, and left after 7 s: its request was lost.
     quiet = IdleTimeout(LAST - stood, MUTE_S, LINE_EVERY_S)
-    quiet.asked(LAST - stood)
-    quiet.heard(LAST)
+    quiet.on_request_forwarded(LAST - stood)
+    quiet.on_endpoint_data(LAST)
     moved = mute_at(quiet, [LAST + phase + k * LINE_EVERY_S for k in range(4)])
     assert LAST + BACK_WITHIN_S - 1.0 < moved <= LAST + BACK_WITHIN_S - 0.5
 
@@ -43,14 +43,14 @@
 def test_a_line_gets_its_whole_patience_and_an_idle_endpoint_is_not_mute() -> None:
     quiet = IdleTimeout(LAST, 3.0, 2.0)
     for hour in range(1, 4):
-        assert quiet.left_s(LAST + 3600.0 * hour) == 3.0  # nothing was asked
-    quiet.asked(LAST + 3600.0)
-    quiet.asked(LAST + 3602.0)  # the oldest counts
-    assert quiet.left_s(LAST + 3602.5) == 0.5
-    quiet.heard(LAST + 3602.5)
-    assert quiet.left_s(LAST + 3602.5) == 3.0
-    quiet.asked(LAST + 3602.5)
-    assert quiet.left_s(LAST + 3602.5) == 5.0
+        assert quiet.remaining_s(LAST + 3600.0 * hour) == 3.0  # nothing was asked
+    quiet.on_request_forwarded(LAST + 3600.0)
+    quiet.on_request_forwarded(LAST + 3602.0)  # the oldest counts
+    assert quiet.remaining_s(LAST + 3602.5) == 0.5
+    quiet.on_endpoint_data(LAST + 3602.5)
+    assert quiet.remaining_s(LAST + 3602.5) == 3.0
+    quiet.on_request_forwarded(LAST + 3602.5)
+    assert quiet.remaining_s(LAST + 3602.5) == 5.0
 
 
 GOOD = b"UP r1 ab\r\n"
@@ -154,7 +154,7 @@
 def test_an_xmpp_client_of_a_silent_endpoint_gets_one_stanza_in_time(tmp_path: Path, act: Callable) -> None:  # type: ignore[type-arg]
     async def go() -> None:
         async with relaying_xmpp(tmp_path, *[act] * 4, wait_ms=600) as (relay, endpoints):
-            client = await Client.connect(relay.xmpp.address)
+            client = await Client.connect(relay.xmpp_listener.address)
             await client.login(client_tls())
             began = asyncio.get_running_loop().time()
             client.wish()
--- a/tests/frontends/test_platform_frontend.py
+++ b/tests/frontends/test_platform_frontend.py
@@ -153,7 +153,7 @@
     async def go() -> None:
         async with relaying(tmp_path, then_reset) as (relay, _):
             ended: asyncio.Queue[str] = asyncio.Queue()
-            relay.shared.ended = lambda record: ended.put_nowait(record.close_reason.name)  # type: ignore[union-attr]
+            relay.context.on_connection_closed = lambda record: ended.put_nowait(record.close_reason.name)  # type: ignore[union-attr]
             reader, writer = await ask(relay.listener.address, first_line())
             assert await reader.readline() == b"UP r\r\n"
             writer.write(b"M 1\r\n")
--- a/tests/frontends/test_xmpp_frontend.py
+++ b/tests/frontends/test_xmpp_frontend.py
@@ -112,7 +112,7 @@
     # The stream starts three times, for TLS and SASL; only the bind is a request, and it is placed once.
     async def go() -> None:
         async with relaying(tmp_path, lambda s: echo(s, server_tls()), tls=True) as (relay, _):
-            client = await Client.connect(relay.xmpp.address)
+            client = await Client.connect(relay.xmpp_listener.address)
             await client.login(client_tls())
             assert relay.balancer_actor.placements == []
             assert await client.bind("desk") == "relay@guides.example/desk"
@@ -131,11 +131,11 @@
 def test_plain_is_offered_under_tls_and_a_wrong_password_is_no_request(tmp_path: Path) -> None:
     async def go() -> None:
         async with relaying(tmp_path, echo) as (relay, _):
-            client = await Client.connect(relay.xmpp.address)
+            client = await Client.connect(relay.xmpp_listener.address)
             await client.login(client_tls(), plain=True)
             assert (await client.bind()).endswith("lan/desk")
             for plain in (True, False):
-                wrong = await Client.connect(relay.xmpp.address)
+                wrong = await Client.connect(relay.xmpp_listener.address)
                 with pytest.raises((AssertionError, TimeoutError)):
                     async with asyncio.timeout(1):
                         await wrong.login(client_tls(), password="nope", plain=plain)
@@ -166,7 +166,7 @@
 def test_what_must_be_refused_ends_in_its_defined_error(tmp_path: Path, said: str, condition: str) -> None:
     async def go() -> None:
         async with relaying(tmp_path, echo, negotiate_s=0.5) as (relay, (endpoint,)):
-            client = await Client.connect(relay.xmpp.address)
+            client = await Client.connect(relay.xmpp_listener.address)
             client.say(said)
             heard = await client.rest()
             assert f"<{condition} xmlns='urn:ietf:params:xml:ns:xmpp-streams'/>" in heard
@@ -198,7 +198,7 @@
 ) -> None:
     async def go() -> None:
         async with relaying(tmp_path, *[act] * 5, wait_ms=900) as (relay, endpoints):
-            client = await Client.connect(relay.xmpp.address)
+            client = await Client.connect(relay.xmpp_listener.address)
             await client.login(client_tls())
             began = asyncio.get_running_loop().time()
             client.wish()
@@ -223,7 +223,7 @@
 
     async def go() -> None:
         async with relaying(tmp_path, slow_speaker) as (relay, _):
-            client = await Client.connect(relay.xmpp.address)
+            client = await Client.connect(relay.xmpp_listener.address)
             await client.login(client_tls())
             await client.bind()
             client.say("<presence/>")
@@ -246,7 +246,7 @@
 
     async def go() -> None:
         async with relaying(tmp_path, dies) as (relay, _):
-            client = await Client.connect(relay.xmpp.address)
+            client = await Client.connect(relay.xmpp_listener.address)
             await client.login(client_tls())
             await client.bind()
             heard = await client.rest()
@@ -283,7 +283,7 @@
             answers, held = [], list[object]()
             for front in fronts:
                 if front == "x":
-                    client = await Client.connect(relay.xmpp.address)
+                    client = await Client.connect(relay.xmpp_listener.address)
                     await client.login(client_tls())
                     client.wish()
                     found = await client.hear("<jid>|<resource-constraint |<remote-connection-failed ")
@@ -342,11 +342,11 @@
         async with relaying(tmp_path, echo) as (relay, _):
             relay.admission.limits = ProcessLimits(sockets=96, memory_mb=192.0)
             began = asyncio.get_running_loop().time()
-            half = await Client.connect(relay.xmpp.address)
+            half = await Client.connect(relay.xmpp_listener.address)
             half.say("<?xml version='1.0'?><stream:str")
             assert "<connection-timeout " in await half.rest()
             assert asyncio.get_running_loop().time() - began < 2.9
-            crowd = [await Client.connect(relay.xmpp.address) for _ in range(30)]
+            crowd = [await Client.connect(relay.xmpp_listener.address) for _ in range(30)]
             assert "<resource-constraint " in await crowd[0].rest()
             for each in crowd:
                 each.writer.close()
--- a/tests/net/test_sockets.py
+++ b/tests/net/test_sockets.py
@@ -96,10 +96,10 @@
 def test_every_socket_of_the_xmpp_front_sends_small_writes_at_once(tmp_path: Path) -> None:
     async def go() -> None:
         async with relaying_xmpp(tmp_path, echo) as (relay, (endpoint,)):
-            client = await Client.connect(relay.xmpp.address)
+            client = await Client.connect(relay.xmpp_listener.address)
             await client.login(client_tls())
             await client.bind()
-            found = ours({relay.xmpp.address}, {endpoint.address})
+            found = ours({relay.xmpp_listener.address}, {endpoint.address})
             assert len(found) == 2 and all_send_at_once(found, {"accepted", "dialled"})
             client.writer.close()
 
@@ -185,7 +185,7 @@
     # Its connection was closed over what lay unread: the reset could destroy the answer on its way.
     async def go() -> None:
         async with relaying_xmpp(tmp_path, echo) as (relay, _):
-            client = await Client.connect(relay.xmpp.address)
+            client = await Client.connect(relay.xmpp_listener.address)
             client.say("<?xml version='1.0'?>")
             await until(lambda: relay.admission.awaiting_request)
             await asyncio.sleep(0.01)
@@ -283,7 +283,7 @@
     # They were left there, and reset with the door.
     async def go() -> None:
         async with relaying(tmp_path, silent) as (relay, _):
-            relay.request_registry._times = ShutdownSchedule(0.0, 0.0, 0.05, 2.0)
+            relay.request_registry.schedule = ShutdownSchedule(0.0, 0.0, 0.05, 2.0)
             shut, came = relay.shut, list[socket.socket]()
             monkeypatch.setattr(relay.listener, "_take", lambda most: True)
 
--- a/tests/overrides/test_overrides_relay.py
+++ b/tests/overrides/test_overrides_relay.py
@@ -194,14 +194,14 @@
             file = tmp_path / "r0" / "operator.json"
             good = json.loads(file.read_text())
             file.write_text(json.dumps({**good, "overrides": {"operators": {"lan": "short"}}}))
-            relay._reload.set()
-            await until(lambda: not relay._reload.is_set())
+            relay.reload_requested.set()
+            await until(lambda: not relay.reload_requested.is_set())
             assert relay.endpoint_registry.out("a")
             file.write_text(json.dumps({**good, "overrides": section(operators={"mai": public("mai")})}))
-            relay._reload.set()
+            relay.reload_requested.set()
             await until(lambda: not relay.endpoint_registry.out("a"))
             file.write_text(json.dumps(good))
-            relay._reload.set()
+            relay.reload_requested.set()
             await until(lambda: relay.endpoint_registry.out("a"))
 
     story(go())
@@ -243,9 +243,9 @@
                 content = json.loads(file.read_text())
                 content["overrides"]["operators"]["lan"] = public_key
                 file.write_text(json.dumps(content))
-                relay._reload.set()
-            await until(lambda: all("lan" in r._config.operator.overrides.operators for r in relays))
-            await until(lambda: all(not r._reload.is_set() for r in relays))
+                relay.reload_requested.set()
+            await until(lambda: all("lan" in r.config.operator.overrides.operators for r in relays))
+            await until(lambda: all(not r.reload_requested.is_set() for r in relays))
             set_ = ("set", "out", "--host", "a", "--for", "2h30m", "--why", "disk is failing", "--json")
             made = json.loads(await command(*set_))
             assert made["relays"] == {"n0": "in force", "n1": "in force"}
--- a/tests/rebalance/test_planner.py
+++ b/tests/rebalance/test_planner.py
@@ -171,7 +171,7 @@
     fleet.come_back = False
     most = 0
     for _ in range(120):
-        room = sum(view.room for view in snapshot_endpoints(fleet.balancer, fleet.now))
+        room = sum(view.available_capacity for view in snapshot_endpoints(fleet.balancer, fleet.now))
         fleet.step()
         most = max(most, len(fleet.planner.clients.on_way))
         assert most <= room
@@ -279,7 +279,7 @@
     fleet.run(40)
     before = fleet.planner.pace.tokens
     for request_id in fleet.on("b")[:6]:
-        fleet.planner.moved_by_other(fleet.now, request_id)
+        fleet.planner.on_migrated_by_others(fleet.now, request_id)
     assert fleet.planner.pace.tokens == pytest.approx(before - 6)
     gone = {fleet.conns[i][0] for i in fleet.on("b")[:6]}
     fleet.run(120)
@@ -358,7 +358,7 @@
         elif what == "lost":
             fleet.come_back = number % 2 == 0
         elif what == "away" and some:
-            fleet.planner.moved_by_other(fleet.now, some[number % len(some)])
+            fleet.planner.on_migrated_by_others(fleet.now, some[number % len(some)])
         elif what == "drain":
             state = ("draining", "ready")[number % 2]
             fleet.tell(EndpointListEvent("changes", [Endpoint("abcd"[number % 4], state=state)]))
@@ -405,11 +405,11 @@
 
 def test_a_held_host_gives_and_takes_nothing() -> None:
     fleet = skewed()
-    fleet.planner.marks = OperatorMarks(held=frozenset("a"))
+    fleet.planner.marks = OperatorMarks(rebalance_excluded=frozenset("a"))
     fleet.run(90)
     assert not any(why.startswith("a at") for _, _, why in fleet.moved)
     other = skewed()
-    other.planner.marks = OperatorMarks(held=frozenset("bc"))
+    other.planner.marks = OperatorMarks(rebalance_excluded=frozenset("bc"))
     before = other.held()
     other.run(90)
     assert other.moved and other.held()["d"] > before["d"]
@@ -422,7 +422,7 @@
     fleet.stands("a", 5, cls="guest-checkin")
     fleet.stands("b", 25, "x")
     fleet.tell(EndpointListEvent("changes", [Endpoint("a", state="draining")]))
-    fleet.planner.marks = OperatorMarks(out=frozenset("a"), cleared=frozenset("a"))
+    fleet.planner.marks = OperatorMarks(out_of_service=frozenset("a"), evacuating=frozenset("a"))
     fleet.run(150)
     assert fleet.held()["a"] == 0 and len(fleet.moved) == 25
     assert all("cleared by an operator" in why for _, _, why in fleet.moved)
--- a/tests/rebalance/test_rebalance_relay.py
+++ b/tests/rebalance/test_rebalance_relay.py
@@ -64,14 +64,14 @@
             assert state["mode"] == "on" and state["phase"]
             await until(lambda: planner.counts["landed_well"] >= 10)
             (tmp_path / "operator.json").write_text(json.dumps({"rebalance": {"mode": "yes"}}))
-            relay._reload.set()
-            await until(lambda: not relay._reload.is_set())
+            relay.reload_requested.set()
+            await until(lambda: not relay.reload_requested.is_set())
             assert planner.options.mode == "on", "a faulty file leaves what is in force"
             (tmp_path / "operator.json").write_text("{}")
-            relay._reload.set()
+            relay.reload_requested.set()
             await until(lambda: planner.options.mode == "off")
             assert planner.step().phase == "off"
-            relay.request_registry.stopping = True
+            relay.request_registry.is_draining = True
             for task in clients:
                 task.cancel()
 
@@ -88,7 +88,7 @@
             for reader, _ in clients:
                 assert await reader.readline() == b"UP r1\r\n"
             (tmp_path / "operator.json").write_text(json.dumps(ON))
-            relay._reload.set()
+            relay.reload_requested.set()
             await until(lambda: relay.rebalancer is not None)
             assert relay.rebalancer is not None
             assert len(relay.rebalancer.book) == 3 and relay.rebalancer.book.hosts["a"].parts["g1"].count == 3
@@ -106,7 +106,7 @@
 
     async def go() -> None:
         async with relaying(tmp_path, up, operator=ON) as (relay, _):
-            monkeypatch.setattr(relay.rebalancer, "after", fails)
+            monkeypatch.setattr(relay.rebalancer, "after_event", fails)
             reader, writer = await ask(relay.listener.address, first_line())
             assert await reader.readline() == b"UP r1\r\n" and relay.balancer_actor.observers == []
             monkeypatch.setattr(relay.rebalancer, "tick", fails)
@@ -123,10 +123,10 @@
         async with xmpp_relaying(tmp_path, lambda s: echo(s, server_tls()), tls=True) as (relay, _):
             file = tmp_path / "operator.json"
             file.write_text(json.dumps({**json.loads(file.read_text()), **ON}))
-            client = await Client.connect(relay.xmpp.address)
+            client = await Client.connect(relay.xmpp_listener.address)
             await client.login(client_tls())
             await client.bind()
-            await relay._switch(load({"GW_CONFIG": str(tmp_path / "config.json")}, str(file)))
+            await relay.apply_config(load({"GW_CONFIG": str(tmp_path / "config.json")}, str(file)))
             planner = relay.rebalancer
             assert planner is not None and len(planner.book) == 1
             (lifecycle,) = relay.request_registry
--- a/tests/relay/test_compatibility_states.py
+++ b/tests/relay/test_compatibility_states.py
@@ -65,11 +65,11 @@
     for number, close_reason in enumerate(CloseReason, 1):
         relay._counts[close_reason.name.lower()] += number
     relay._counts["not_placed"] += 1
-    relay.shared.dropped["queue"] += 2
-    if relay.exporter is not None:
-        relay.exporter.dropped = 3
-    if relay.replica is not None:
-        relay.replica.replica.hear_ages({"south/s1": 35.0, "south/s2": 1.0}, time.monotonic())
+    relay.context.invalid_report_values["queue"] += 2
+    if relay.flow_exporter is not None:
+        relay.flow_exporter.dropped = 3
+    if relay.replication is not None:
+        relay.replication.replica.hear_ages({"south/s1": 35.0, "south/s2": 1.0}, time.monotonic())
     told.append(await tell_once(relay))
     relay.listener.close()
     return told
--- a/tests/support/rebalance_fleet.py
+++ b/tests/support/rebalance_fleet.py
@@ -47,9 +47,9 @@
         self.tell(EndpointListEvent("full", [Endpoint(name) for name in hosts]))
 
     def tell(self, event: Any) -> list[Any]:
-        self.planner.before(self.now, event)
+        self.planner.before_event(self.now, event)
         actions = self.balancer.handle(self.now, event)
-        self.planner.after(self.now, event, actions)
+        self.planner.after_event(self.now, event, actions)
         return actions
 
     def stands(self, host: str, count: int, group: str = "", cls: str = "c", load: float = 1.0) -> None:
