--- a/sageturn/core/context.py
+++ b/sageturn/core/context.py
@@ -7,9 +7,10 @@
 from dataclasses import dataclass, field
 
 from sageturn.core.balancer_actor import BalancerActor
+from sageturn.core.connection_record import ConnectionRecord
 from sageturn.core.endpoint_registry import EndpointRegistry
-from sageturn.core.request_lifecycle import ConnectionRecord, RequestLifecycle
-from sageturn.core.shutdown import RequestRegistry
+from sageturn.core.request_lifecycle import RequestLifecycle
+from sageturn.core.request_registry import RequestRegistry
 
 
 @dataclass(slots=True)
--- a/sageturn/core/request_lifecycle.py
+++ b/sageturn/core/request_lifecycle.py
@@ -9,12 +9,11 @@
 import logging
 import math
 from collections.abc import Callable
-from dataclasses import dataclass, field
-from typing import Protocol
 
 from sageturn import decision
 from sageturn.core.balancer_actor import BalancerActor
 from sageturn.core.close_reason import CloseReason, may_have_run, outcome_status
+from sageturn.core.connection_record import ConnectionRecord
 from sageturn.core.messages import (
     CancelAttempt,
     ClientRequest,
@@ -23,6 +22,7 @@
     RedirectClient,
     StartAttempt,
 )
+from sageturn.core.proxy_transport import ProxyTransport
 from sageturn.core.tasks import cancel_and_wait
 
 log = logging.getLogger(__name__)
@@ -35,56 +35,6 @@
 ANSWER_EARLY_MS = 15.0  # the last answer has to travel too before the client gives up
 
 
-class ProxyTransport(Protocol):
-    """One client on one front, as the core sees it."""
-
-    async def open_upstream(self, endpoint: str, patience_ms: float, connect_ms: float) -> CloseReason | None:
-        """One outbound call; None when it stands. Cancelled when it is called off: it must then let go.
-
-        Before it connects it asks its lifecycle's ``blocking_reason``, and ``check_before_write`` just
-        before it writes the request's first byte.
-        """
-
-    async def close_upstream(self) -> None:
-        """Let go of a call that stands after all, though nobody is left to stand at its other side."""
-
-    async def accept_client(self) -> None:
-        """Tell the client that it is served, with what the endpoint gave."""
-
-    async def relay_traffic(self, stop: asyncio.Event) -> CloseReason:
-        """Pass both ways until either side ends; move the client once ``stop`` is set."""
-
-    async def send_final_response(self, answer: FinalResponse) -> None:
-        """The one final answer to a request that is not served."""
-
-    async def wait_client_disconnect(self) -> CloseReason:
-        """Returns once the client has gone, or is at fault, while its request is not yet answered."""
-
-    def poll_client(self) -> CloseReason | None:
-        """The same, looked up on the spot: its end may lie unread while others have the core."""
-
-
-@dataclass(slots=True)
-class ConnectionRecord:
-    """What is known of a connection when it has ended; flows are exported from it."""
-
-    request: ClientRequest
-    started_ms: float
-    ended_ms: float = 0.0
-    endpoint: str = ""
-    attempts: int = 0
-    was_established: bool = False
-    close_reason: CloseReason | None = None
-    final_response: FinalResponse | None = None
-    frontend: str = "platform"
-    client_address: tuple[str, int] = ("0.0.0.0", 0)
-    endpoint_address: tuple[str, int] = ("0.0.0.0", 0)
-    bytes_to_endpoint: int = 0  # passed on to the endpoint while it stood
-    bytes_to_client: int = 0
-    load_report: dict[str, float] = field(default_factory=dict)  # the endpoint's load, with its last answer
-    endpoint_idle_s: float = 0.0  # how long nothing had come from the endpoint when it ended, if it stood
-
-
 class RequestLifecycle:
     """Runs one request from its arrival to its end."""
 
--- a/sageturn/flows/exporter.py
+++ b/sageturn/flows/exporter.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from sageturn.core.close_reason import CloseReason
-from sageturn.core.request_lifecycle import ConnectionRecord
+from sageturn.core.connection_record import ConnectionRecord
 from sageturn.flows import ipfix
 
 log = logging.getLogger(__name__)
--- a/sageturn/lab/scale/costs.py
+++ b/sageturn/lab/scale/costs.py
@@ -23,8 +23,8 @@
 from sageturn import decision
 from sageturn.cli.link import Reach
 from sageturn.core.close_reason import CloseReason
+from sageturn.core.connection_record import ConnectionRecord as Ended
 from sageturn.core.messages import ClientRequest
-from sageturn.core.request_lifecycle import ConnectionRecord as Ended
 from sageturn.decision import DiscoveryFailure
 from sageturn.decision.balancer import Balancer
 from sageturn.decision.discovery_backoff import CallBackoff
--- a/sageturn/rebalance/driver.py
+++ b/sageturn/rebalance/driver.py
@@ -8,7 +8,7 @@
 from dataclasses import replace
 
 from sageturn.core.balancer_actor import BalancerActor
-from sageturn.core.shutdown import RequestRegistry
+from sageturn.core.request_registry import RequestRegistry
 from sageturn.rebalance.options import DAY_MIN, RebalanceOptions
 from sageturn.rebalance.planner import MigrationPlan, RebalancePlanner
 
--- a/sageturn/relay.py
+++ b/sageturn/relay.py
@@ -14,12 +14,13 @@
 from sageturn.config.loader import ConfigError, RelayConfig
 from sageturn.core.balancer_actor import BalancerActor
 from sageturn.core.clock import Clock
+from sageturn.core.connection_record import ConnectionRecord
 from sageturn.core.context import RelayContext
 from sageturn.core.endpoint_registry import EndpointRegistry
 from sageturn.core.endpoint_snapshot import OperatorMarks
 from sageturn.core.messages import DiscoveryAddressChanged
-from sageturn.core.request_lifecycle import ConnectionRecord
-from sageturn.core.shutdown import RequestRegistry, shutdown_schedule
+from sageturn.core.request_registry import RequestRegistry
+from sageturn.core.shutdown_schedule import shutdown_schedule
 from sageturn.core.tasks import cancel_and_wait
 from sageturn.flows.exporter import FlowExporter
 from sageturn.frontends.platform import PlatformFrontend
@@ -46,6 +47,25 @@
 SIGNALS = {signal.SIGHUP, signal.SIGTERM, signal.SIGINT}
 
 
+class RelayIngress:
+    """All listeners of the relay, as its graceful shutdown sees them."""
+
+    def __init__(self, listeners: list[Listener], admission: AdmissionController) -> None:
+        self.listeners = listeners
+        self._admission = admission
+
+    def pending_connections(self) -> int:
+        return self._admission.awaiting_request
+
+    def stop_accepting(self) -> None:
+        for listener in self.listeners:
+            listener.shut()
+        self._admission.evict_all()
+
+    async def wait_closed(self, timeout_s: float) -> None:
+        await asyncio.gather(*(listener.finish(timeout_s) for listener in self.listeners))
+
+
 class Relay:
     def __init__(
         self, config: RelayConfig, read_again: Callable[[RelayConfig], RelayConfig] | None = None
@@ -85,6 +105,8 @@
             self.xmpp_listener = Listener(
                 operator.xmpp.listen, self._second.serve, self._second.turn_away, self.admission
             )
+        listeners = [listener for listener in (self.listener, self.xmpp_listener) if listener is not None]
+        self.ingress = RelayIngress(listeners, self.admission)
         self._counts: Counter[str] = Counter()
         self.rebalancer: Rebalancer | None = None
         self.health_check_client = self._make_prober()
@@ -287,7 +309,7 @@
             runs.append(self.flow_exporter.run)
         if self.replication is not None:
             self.replication.start()
-        for listener in self._listeners():
+        for listener in self.ingress.listeners:
             listener.open()
         for run in runs:
             self._own(run())
@@ -302,7 +324,7 @@
             await self.replication.stop()
         for actor in self._actors:
             await cancel_and_wait(actor)
-        for listener in self._listeners():
+        for listener in self.ingress.listeners:
             listener.close()
             await listener.cancel()
         self.store.close()
@@ -321,21 +343,5 @@
         if not stopping.is_set():  # else told to go before anybody could come
             self.start()
             await self._while_sound(stopping.wait())
-            await self._while_sound(self.request_registry.drain(self))
+            await self._while_sound(self.request_registry.drain(self.ingress))
         await self.stop()
-
-    # ------------------------------------------------------------ its doors, at a planned stop
-
-    def _listeners(self) -> list[Listener]:
-        return [listener for listener in (self.listener, self.xmpp_listener) if listener is not None]
-
-    def awaiting_request(self) -> int:
-        return self.admission.awaiting_request
-
-    def shut(self) -> None:
-        for listener in self._listeners():
-            listener.shut()
-        self.admission.evict_all()
-
-    async def finish(self, patience_s: float) -> None:
-        await asyncio.gather(*(listener.finish(patience_s) for listener in self._listeners()))
--- a/tests/config/test_deployments.py
+++ b/tests/config/test_deployments.py
@@ -40,8 +40,9 @@
 )
 from sageturn.config.loader import ConfigError, load
 from sageturn.config.settings import read_settings
+from sageturn.core.even_pacer import EvenPacer
 from sageturn.core.messages import EndpointListUpdate
-from sageturn.core.shutdown import EvenPacer, shutdown_schedule
+from sageturn.core.shutdown_schedule import shutdown_schedule
 from sageturn.relay import Relay
 
 # A third deployment, which nobody runs: three zones, two classes, six attempts, reports with answers too.
--- a/tests/core/test_close_reasons.py
+++ b/tests/core/test_close_reasons.py
@@ -16,7 +16,7 @@
 from support.network_fakes import SETTINGS, FakeEndpoint, first_line, relaying, up
 
 from sageturn.core.messages import EndpointListUpdate
-from sageturn.core.shutdown import ShutdownSchedule
+from sageturn.core.shutdown_schedule import ShutdownSchedule
 from sageturn.decision import Endpoint
 from sageturn.frontends import platform
 from sageturn.frontends.pump import LinePump
@@ -168,7 +168,7 @@
 
 async def stop(scene: Scene) -> None:
     scene.relay.request_registry.schedule = ShutdownSchedule(0.01, 0.02, 0.05, 2.0)
-    await scene.relay.request_registry.drain(scene.relay)
+    await scene.relay.request_registry.drain(scene.relay.ingress)
     assert not scene.relay.request_registry
 
 
@@ -251,7 +251,7 @@
     async def go() -> None:
         async with relaying(tmp_path, up) as (relay, (endpoint,)):
             relay.request_registry.schedule = ShutdownSchedule(0.0, 0.0, 0.05, 2.0)
-            shut, came = relay.shut, list[socket.socket]()
+            shut, came = relay.ingress.stop_accepting, list[socket.socket]()
 
             def comes_and_shut() -> None:
                 client = socket.create_connection(relay.listener.address)
@@ -259,8 +259,8 @@
                 came.append(client)
                 shut()
 
-            relay.shut = comes_and_shut  # type: ignore[method-assign]
-            await relay.request_registry.drain(relay)
+            relay.ingress.stop_accepting = comes_and_shut  # type: ignore[method-assign]
+            await relay.request_registry.drain(relay.ingress)
             assert not relay.admission.held and not any(endpoint.lines)
             came[0].settimeout(5)
             heard = came[0].recv(99)
@@ -279,7 +279,7 @@
             relay.request_registry.schedule = ShutdownSchedule(0.0, 0.0, 0.01, 2.0)
             scene = Scene(relay, [endpoint])
             relay.admission.evict_all = lambda: None  # type: ignore[method-assign]
-            draining = asyncio.ensure_future(relay.request_registry.drain(relay))
+            draining = asyncio.ensure_future(relay.request_registry.drain(relay.ingress))
             await scene.until(
                 lambda: relay.admission.awaiting_request and relay.request_registry.is_drain_forced
             )
@@ -300,7 +300,7 @@
             line = first_line()
             scene.client.sendall(line[:20])
             await scene.until(lambda: relay.admission.awaiting_request)
-            draining = asyncio.ensure_future(relay.request_registry.drain(relay))
+            draining = asyncio.ensure_future(relay.request_registry.drain(relay.ingress))
             await asyncio.sleep(0.8)  # past the time in which new ones are expected
             assert not draining.done()
             scene.client.sendall(line[20:])
--- a/tests/flows/test_compatibility_flows.py
+++ b/tests/flows/test_compatibility_flows.py
@@ -9,8 +9,8 @@
 from unittest import mock
 
 from sageturn.core.close_reason import CloseReason
+from sageturn.core.connection_record import ConnectionRecord
 from sageturn.core.messages import ClientRequest, FinalResponse
-from sageturn.core.request_lifecycle import ConnectionRecord
 from sageturn.flows.exporter import FlowExporter, FlowOptions, to_flow
 from sageturn.flows.ipfix import Flow, flow_set, loss_set, message, templates
 
--- a/tests/flows/test_flow_export.py
+++ b/tests/flows/test_flow_export.py
@@ -6,8 +6,8 @@
 import struct
 
 from sageturn.core.close_reason import CloseReason
+from sageturn.core.connection_record import ConnectionRecord
 from sageturn.core.messages import ClientRequest
-from sageturn.core.request_lifecycle import ConnectionRecord
 from sageturn.flows.exporter import FlowExporter, FlowOptions
 
 
--- a/tests/frontends/test_platform_frontend.py
+++ b/tests/frontends/test_platform_frontend.py
@@ -214,7 +214,7 @@
         async with relaying(tmp_path, half) as (relay, _):
             reader, writer = await ask(relay.listener.address, first_line())
             await reader.readline()
-            draining = asyncio.ensure_future(relay.request_registry.drain(relay))
+            draining = asyncio.ensure_future(relay.request_registry.drain(relay.ingress))
             await asyncio.sleep(0)
             late = asyncio.ensure_future(reply(relay.listener.address, first_line()))
             assert await reader.read() == b"M 1 whole\r\nMOVE\r\n"
--- a/tests/frontends/test_xmpp_frontend.py
+++ b/tests/frontends/test_xmpp_frontend.py
@@ -227,7 +227,7 @@
             await client.login(client_tls())
             await client.bind()
             client.say("<presence/>")
-            draining = asyncio.ensure_future(relay.request_registry.drain(relay))
+            draining = asyncio.ensure_future(relay.request_registry.drain(relay.ingress))
             heard = await client.rest()
             assert heard.startswith("<message><body>half and half</body></message><stream:error><reset ")
             assert heard.endswith("</stream:error></stream:stream>")
--- a/tests/net/test_sockets.py
+++ b/tests/net/test_sockets.py
@@ -21,7 +21,7 @@
 from test_xmpp_frontend import client_tls, echo
 from test_xmpp_frontend import relaying as relaying_xmpp
 
-from sageturn.core.shutdown import ShutdownSchedule
+from sageturn.core.shutdown_schedule import ShutdownSchedule
 from sageturn.net import listener
 from sageturn.net.admission import ProcessLimits
 from sageturn.net.sockets import (
@@ -284,7 +284,7 @@
     async def go() -> None:
         async with relaying(tmp_path, silent) as (relay, _):
             relay.request_registry.schedule = ShutdownSchedule(0.0, 0.0, 0.05, 2.0)
-            shut, came = relay.shut, list[socket.socket]()
+            shut, came = relay.ingress.stop_accepting, list[socket.socket]()
             monkeypatch.setattr(relay.listener, "_take", lambda most: True)
 
             def comes_and_shut() -> None:
@@ -293,8 +293,8 @@
                     came[-1].sendall(said)
                 shut()
 
-            monkeypatch.setattr(relay, "shut", comes_and_shut)
-            await relay.request_registry.drain(relay)
+            monkeypatch.setattr(relay.ingress, "stop_accepting", comes_and_shut)
+            await relay.request_registry.drain(relay.ingress)
             for client in came:
                 client.settimeout(5)
                 assert client.recv(99) == b"BUSY 500\r\n" and client.recv(99) == b""
--- a/tests/rebalance/test_rebalance_relay.py
+++ b/tests/rebalance/test_rebalance_relay.py
@@ -92,7 +92,7 @@
             await until(lambda: relay.rebalancer is not None)
             assert relay.rebalancer is not None
             assert len(relay.rebalancer.book) == 3 and relay.rebalancer.book.hosts["a"].parts["g1"].count == 3
-            draining = asyncio.ensure_future(relay.request_registry.drain(relay))
+            draining = asyncio.ensure_future(relay.request_registry.drain(relay.ingress))
             await until(lambda: relay.rebalancer.counts["by_others"] == 3)  # type: ignore[union-attr]
             assert relay.rebalancer.step().phase == "stopping"
             await draining
