--- a/tests/overrides/test_overrides_relay.py
+++ b/tests/overrides/test_overrides_relay.py
@@ -71,7 +71,7 @@
         for number in range(relays):
             place = folder / f"r{number}"
             place.mkdir(exist_ok=True)
-            peers = ["{}:{}".format(*made[0].replica.address)] if made else []
+            peers = ["{}:{}".format(*made[0].replication.address)] if made else []
             store = {"path": "store", "listen": "127.0.0.1:0", "peers": peers, "secret_file": "../secret"}
             file = place / "operator.json"
             file.write_text(json.dumps({"store": store, "overrides": section(**more)}))
@@ -211,7 +211,7 @@
     async def go() -> None:
         async with overriding(tmp_path, up, up, up, relays=2, floor_all=0.5) as (relays, _):
             common = {
-                "SAGETURN_CONNECT": "{}:{}".format(*relays[0].replica.address),
+                "SAGETURN_CONNECT": "{}:{}".format(*relays[0].replication.address),
                 "SAGETURN_OPERATOR": "lan",
                 "SAGETURN_SECRET_FILE": str(tmp_path / "secret"),
                 "SAGETURN_KEY_FILE": str(tmp_path / "key.pem"),
