--- a/sageturn/lab/relay.py
+++ b/sageturn/lab/relay.py
@@ -11,22 +11,22 @@
 
 from sageturn.config import loader
 from sageturn.lab.naive import NaiveRebalancer
+from sageturn.rebalance.options import RebalanceOptions
 from sageturn.relay import Relay
+from sageturn.relay.operator_control import RebalancingSubsystem
+from sageturn.relay.supervisor import ActorSupervisor
 
 
-class NaiveRelay(Relay):
-    def _set_rebalancing(self) -> None:
-        options = self.config.operator.rebalance
+class NaiveRebalancing(RebalancingSubsystem):
+    """Runs the naive mover where the operator's file has rebalancing on, and never changes its options."""
+
+    def apply_options(self, options: RebalanceOptions | None, actors: ActorSupervisor) -> None:
         if options is not None and options.mode == "on" and self.rebalancer is None:
-            self._add_rebalancer(
-                NaiveRebalancer(
-                    self.balancer_actor,
-                    self.request_registry,
-                    options,
-                    self.config.seed,
-                    self._tell("rebalance"),
-                )
-            )
+            self.run_rebalancer(self.make_rebalancer(NaiveRebalancer, options), actors)
+
+
+class NaiveRelay(Relay):
+    rebalancing_type = NaiveRebalancing
 
 
 def main() -> int:
--- a/sageturn/lab/scale/members.py
+++ b/sageturn/lab/scale/members.py
@@ -229,7 +229,7 @@
             spreader = make_spreader(
                 whole["spread"], relay.store, link_options(job, whole), relay.admission, place_of(job)
             )
-        vars(relay)["replication"] = spreader  # in the place of its own, which the operator's file leaves out
+        relay.replication = spreader  # type: ignore[assignment]  # in the place of its own, which the operator's file leaves out
         self.name: str = relay.store.node
         self.store: Store = relay.store
         self.witness = Witness(self.store, {})
--- /dev/null
+++ b/sageturn/relay/__init__.py
@@ -0,0 +1,5 @@
+"""The relay as a process: its composition, its lifetime, its reloads and what it reports of itself."""
+
+from sageturn.relay.relay import SIGNALS, Relay
+
+__all__ = ["SIGNALS", "Relay"]
--- /dev/null
+++ b/sageturn/relay/closed_connections.py
@@ -0,0 +1,40 @@
+"""What becomes of a connection's record once it has closed: counted, exported as a flow, and logged."""
+
+from __future__ import annotations
+
+import logging
+from collections import Counter
+
+from sageturn.core.connection_record import ConnectionRecord
+from sageturn.flows.exporter import FlowExporter
+
+log = logging.getLogger(__name__)
+
+NOT_PLACED = "not_placed"  # counted for a request that was never given to an endpoint
+
+
+class ClosedConnections:
+    """The only receiver of the records of closed connections."""
+
+    def __init__(self) -> None:
+        self.counts: Counter[str] = Counter()  # by the close reason's name in lower case
+        self.flow_exporter: FlowExporter | None = None
+
+    def on_connection_closed(self, record: ConnectionRecord) -> None:
+        reason = record.close_reason.name.lower() if record.close_reason else NOT_PLACED
+        self.counts[reason] += 1
+        if self.flow_exporter is not None:
+            self.flow_exporter.ended(record)
+        log.info(
+            "connection closed frontend=%s request=%s class=%s endpoint=%s attempts=%d duration_s=%.3f"
+            " reason=%s%s%s",
+            record.frontend,
+            record.request.client_request_id or "-",
+            record.request.class_name,
+            record.endpoint or "-",
+            record.attempts,
+            (record.ended_ms - record.started_ms) / 1000.0,
+            reason,
+            f" endpoint_idle_s={record.endpoint_idle_s:.3f}" if record.was_established else "",
+            f" response={record.final_response}" if record.final_response else "",
+        )
--- /dev/null
+++ b/sageturn/relay/operator_control.py
@@ -0,0 +1,111 @@
+"""Operators' means of control as subsystems: overrides, and the rebalancing of connections.
+
+Both are imported only where an operator's file turns them on.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import replace
+from typing import TYPE_CHECKING
+
+from sageturn.config.loader import RelayConfig
+from sageturn.core.balancer_actor import BalancerActor
+from sageturn.core.endpoint_snapshot import OperatorMarks
+from sageturn.core.request_registry import RequestRegistry
+from sageturn.relay.state_record import state_publisher
+from sageturn.relay.subsystem import Subsystem
+from sageturn.relay.supervisor import ActorSupervisor
+from sageturn.store.store import Store
+
+if TYPE_CHECKING:
+    from sageturn.overrides.actor import OverrideActor
+    from sageturn.rebalance.driver import Rebalancer
+    from sageturn.rebalance.options import RebalanceOptions
+
+
+class OverridesSubsystem(Subsystem):
+    """Operators' overrides; ``actor`` is None where the operator's file has no such section."""
+
+    def __init__(
+        self,
+        config: RelayConfig,
+        balancer_actor: BalancerActor,
+        store: Store,
+        on_marks: Callable[[OperatorMarks], None],
+    ) -> None:
+        self.actor: OverrideActor | None = None
+        self._store = store
+        options = config.operator.overrides
+        if options is not None:
+            from sageturn.overrides.actor import OverrideActor
+
+            publish = state_publisher(store, "overrides")
+            self.actor = OverrideActor(balancer_actor, options, store, publish, on_marks)
+            store.on_change.append(self.actor.changed)
+
+    def start(self, actors: ActorSupervisor) -> None:
+        if self.actor is not None:
+            actors.spawn(self.actor.run())
+
+    async def reload(self, old: RelayConfig, new: RelayConfig) -> None:
+        if self.actor is not None and new.operator.overrides is not None:
+            self.actor.set_options(new.operator.overrides, self._store)
+
+
+class RebalancingSubsystem(Subsystem):
+    """The rebalancer, from when it is first needed on.
+
+    Turned off again it goes on observing, so as to know which connections have been migrated.
+    """
+
+    def __init__(
+        self,
+        config: RelayConfig,
+        balancer_actor: BalancerActor,
+        request_registry: RequestRegistry,
+        store: Store,
+        overrides: OverridesSubsystem,
+    ) -> None:
+        self.rebalancer: Rebalancer | None = None
+        self._config = config
+        self._balancer_actor = balancer_actor
+        self._request_registry = request_registry
+        self._store = store
+        self._overrides = overrides
+        self._actors: ActorSupervisor | None = None
+
+    def start(self, actors: ActorSupervisor) -> None:
+        self._actors = actors
+        self.apply_options(self._config.operator.rebalance, actors)
+
+    async def reload(self, old: RelayConfig, new: RelayConfig) -> None:
+        self._config = new
+        if self._actors is not None:
+            self.apply_options(new.operator.rebalance, self._actors)
+
+    def apply_options(self, options: RebalanceOptions | None, actors: ActorSupervisor) -> None:
+        """As the operator's file has it now. Overrides need a rebalancer, whatever its own mode."""
+        if self.rebalancer is not None:
+            old = self.rebalancer.options
+            self.rebalancer.options = options if options is not None else replace(old, mode="off")
+        elif self._overrides.actor is not None or (options is not None and options.mode != "off"):
+            from sageturn.rebalance.driver import Rebalancer
+            from sageturn.rebalance.options import RebalanceOptions
+
+            self.run_rebalancer(self.make_rebalancer(Rebalancer, options or RebalanceOptions()), actors)
+
+    def make_rebalancer(self, kind: type[Rebalancer], options: RebalanceOptions) -> Rebalancer:
+        publish = state_publisher(self._store, "rebalance")
+        return kind(self._balancer_actor, self._request_registry, options, self._config.seed, publish)
+
+    def run_rebalancer(self, rebalancer: Rebalancer, actors: ActorSupervisor) -> None:
+        self.rebalancer = rebalancer
+        if self._overrides.actor is not None:
+            rebalancer.marks = self._overrides.actor.marks
+        actors.spawn(rebalancer.run())
+
+    def set_marks(self, marks: OperatorMarks) -> None:
+        """Operators have marked endpoints; called by the overrides' actor."""
+        if self.rebalancer is not None:
+            self.rebalancer.marks = marks
--- /dev/null
+++ b/sageturn/relay/relay.py
@@ -0,0 +1,213 @@
+"""The composition root: builds the relay's subsystems, and runs them until a signal."""
+
+from __future__ import annotations
+
+import asyncio
+import signal
+from typing import TYPE_CHECKING
+
+from sageturn.config.loader import RelayConfig
+from sageturn.core.balancer_actor import BalancerActor
+from sageturn.core.clock import Clock
+from sageturn.core.context import RelayContext
+from sageturn.core.endpoint_registry import EndpointRegistry
+from sageturn.core.endpoint_snapshot import OperatorMarks
+from sageturn.core.request_registry import RequestRegistry
+from sageturn.core.shutdown_schedule import shutdown_schedule
+from sageturn.flows.exporter import FlowExporter
+from sageturn.frontends.platform import PlatformFrontend
+from sageturn.net.admission import AdmissionController
+from sageturn.net.discovery import DiscoveryClient
+from sageturn.net.listener import Listener
+from sageturn.net.sockets import limit_descriptors
+from sageturn.relay.closed_connections import ClosedConnections
+from sageturn.relay.ingress import RelayIngress
+from sageturn.relay.operator_control import OverridesSubsystem, RebalancingSubsystem
+from sageturn.relay.reload import ConfigReloader, ReadConfig, log_config_applied
+from sageturn.relay.state_record import RelayState, RelayStateReporter, state_publisher
+from sageturn.relay.stored_log_level import StoredLogLevel
+from sageturn.relay.subsystem import Subsystem
+from sageturn.relay.subsystems import (
+    Actor,
+    DiscoverySubsystem,
+    HealthCheckSubsystem,
+    ReplicationSubsystem,
+    XmppSubsystem,
+)
+from sageturn.relay.supervisor import ActorSupervisor
+from sageturn.store.store import Store
+
+if TYPE_CHECKING:
+    from sageturn.net.health_check_client import HealthCheckClient
+    from sageturn.overrides.actor import OverrideActor
+    from sageturn.rebalance.driver import Rebalancer
+    from sageturn.store.replication.member import ReplicationMember
+
+SIGNALS = {signal.SIGHUP, signal.SIGTERM, signal.SIGINT}
+# The loop turns before anybody can connect: a front proxy sends clients to a relay that was killed as soon as
+# it listens, and those it keeps waiting for its own start lose that much of their time.
+START_DELAY_S = 0.001
+
+
+class Relay:
+    """One relay. Its sockets are bound once it is made; it serves from ``start`` to ``stop``."""
+
+    rebalancing_type = RebalancingSubsystem  # the laboratory puts another in its place
+
+    def __init__(self, config: RelayConfig, read_config: ReadConfig | None = None) -> None:
+        """``read_config`` reads the configuration anew, given the one in force."""
+        self.config = config
+        self._actors = ActorSupervisor()
+        self.balancer_actor = BalancerActor(config.settings, config.seed, Clock(), self._request_watch)
+        self.store = Store(config.name, config.operator.store_path)
+        self._overrides = OverridesSubsystem(config, self.balancer_actor, self.store, self._on_marks)
+        self.endpoint_registry = self._make_endpoint_registry()
+        self.discovery = DiscoveryClient(config.discovery, self.endpoint_registry.on_watch_event)
+        self.endpoint_registry.watcher = self.discovery
+        self.request_registry = RequestRegistry(shutdown_schedule(config.settings.classes))
+        self.closed_connections = ClosedConnections()
+        self.context = RelayContext(
+            self.balancer_actor,
+            self.endpoint_registry,
+            self.request_registry,
+            self.closed_connections.on_connection_closed,
+        )
+        frontend = PlatformFrontend(self.context)
+        self.admission = AdmissionController(config.limits)
+        self.listener = Listener(config.listen, frontend.serve, frontend.turn_away, self.admission)
+        log_level = StoredLogLevel(self.store)
+        self.store.on_change.append(log_level.on_store_change)
+        self._replication = ReplicationSubsystem(config, self.store, self.admission)
+        self.flow_exporter = FlowExporter(config.operator.flows) if config.operator.flows else None
+        self.closed_connections.flow_exporter = self.flow_exporter
+        self._xmpp = XmppSubsystem(config, self.context, self.store, self.admission)
+        listeners = [self.listener] if self._xmpp.listener is None else [self.listener, self._xmpp.listener]
+        self.ingress = RelayIngress(listeners, self.admission)
+        self._rebalancing = self.rebalancing_type(
+            config, self.balancer_actor, self.request_registry, self.store, self._overrides
+        )
+        self._health_checks = HealthCheckSubsystem(config, self.context)
+        self._discovery = DiscoverySubsystem(self.discovery, self.endpoint_registry)
+        self.state_reporter = RelayStateReporter(
+            state_publisher(self.store, "relay"), self._collect_state, self._replication.state_interval_s
+        )
+        self._reloader = ConfigReloader(lambda: self.config, read_config, self.apply_config)
+        self._subsystems = self._list_subsystems()
+        log_level.apply()
+
+    def _make_endpoint_registry(self) -> EndpointRegistry:
+        """Where there are overrides, the list's events pass through them on their way to the balancer."""
+        overrides = self._overrides.actor
+        registry = EndpointRegistry(
+            self.config.known,
+            self.balancer_actor.post_event if overrides is None else overrides.tell,
+            self.config.settings.discovery == "push",
+        )
+        if overrides is not None:
+            registry.out = overrides.out
+        return registry
+
+    def _list_subsystems(self) -> tuple[Subsystem, ...]:
+        """In the order in which they start, and take a new configuration."""
+        subsystems: list[Subsystem] = [
+            self._replication,
+            self.ingress,
+            Actor(self.balancer_actor.run),
+            Actor(self.endpoint_registry.run),
+            Actor(self.listener.run),
+            Actor(self.state_reporter.run),
+            Actor(self._reloader.run),
+            self._overrides,
+            self._xmpp,
+        ]
+        if self.flow_exporter is not None:
+            subsystems.append(Actor(self.flow_exporter.run))
+        return (*subsystems, self._rebalancing, self._health_checks, self._discovery)
+
+    # ------------------------------------------------------------ its parts, where they are turned on
+
+    @property
+    def overrides(self) -> OverrideActor | None:
+        return self._overrides.actor
+
+    @property
+    def rebalancer(self) -> Rebalancer | None:
+        return self._rebalancing.rebalancer
+
+    @property
+    def replication(self) -> ReplicationMember | None:
+        return self._replication.member
+
+    @replication.setter
+    def replication(self, member: ReplicationMember) -> None:
+        """Before the start only: the laboratory measures other ways to replicate."""
+        self._replication.member = member
+
+    @property
+    def health_check_client(self) -> HealthCheckClient | None:
+        return self._health_checks.client
+
+    @property
+    def xmpp_listener(self) -> Listener | None:
+        return self._xmpp.listener
+
+    @property
+    def reload_requested(self) -> asyncio.Event:
+        return self._reloader.requested
+
+    # ------------------------------------------------------------ callbacks between parts
+
+    def _request_watch(self) -> None:
+        self.endpoint_registry.want_watch()
+
+    def _on_marks(self, marks: OperatorMarks) -> None:
+        self._rebalancing.set_marks(marks)
+
+    def _collect_state(self) -> RelayState:
+        return RelayState(
+            established_connections=sum(request.is_established for request in self.request_registry),
+            closed_connections=self.closed_connections.counts,
+            dropped_flows=self.flow_exporter.dropped if self.flow_exporter else 0,
+            invalid_report_values=self.context.invalid_report_values,
+            replication=self._replication.state(),
+        )
+
+    # ------------------------------------------------------------ lifetime
+
+    def start(self) -> None:
+        """Open the listeners and start every subsystem; needs a running loop."""
+        for subsystem in self._subsystems:
+            subsystem.start(self._actors)
+
+    async def apply_config(self, new: RelayConfig) -> None:
+        """Put ``new`` in force. Nothing here can fail half way: all of it was checked when it was read."""
+        old = self.config
+        self.config = new
+        for subsystem in self._subsystems:
+            await subsystem.reload(old, new)
+        log_config_applied(old, new)
+
+    async def stop(self) -> None:
+        """At once: whatever is still established is cut off."""
+        # Those that dial out come first, then the actors, and last what the actors use.
+        for subsystem in (self._discovery, self._health_checks, self._replication):
+            await subsystem.stop()
+        await self._actors.stop()
+        await self.ingress.stop()
+        self.store.close()
+
+    async def run(self) -> None:
+        """Serve until SIGTERM or SIGINT, then drain; SIGHUP has the configuration read anew."""
+        loop = asyncio.get_running_loop()
+        shutdown_requested = asyncio.Event()
+        for number in SIGNALS - {signal.SIGHUP}:
+            loop.add_signal_handler(number, shutdown_requested.set)
+        loop.add_signal_handler(signal.SIGHUP, self.reload_requested.set)
+        signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)  # those held back since the start come now
+        limit_descriptors(self.config.limits.sockets)
+        await asyncio.sleep(START_DELAY_S)
+        if not shutdown_requested.is_set():  # else told to go before anybody could come
+            self.start()
+            await self._actors.wait_unless_failed(shutdown_requested.wait())
+            await self._actors.wait_unless_failed(self.request_registry.drain(self.ingress))
+        await self.stop()
--- /dev/null
+++ b/sageturn/relay/subsystems.py
@@ -0,0 +1,130 @@
+"""The relay's parts as subsystems.
+
+Optional parts are imported only where the settings or an operator's file turn them on.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Coroutine
+from random import Random
+from typing import TYPE_CHECKING
+
+from sageturn.config.loader import RelayConfig
+from sageturn.core.context import RelayContext
+from sageturn.core.endpoint_registry import EndpointRegistry
+from sageturn.core.messages import DiscoveryAddressChanged
+from sageturn.frontends.xmpp.accounts import Accounts
+from sageturn.frontends.xmpp.front import XmppFrontend
+from sageturn.net.admission import AdmissionController
+from sageturn.net.discovery import DiscoveryClient
+from sageturn.net.listener import Listener
+from sageturn.relay.subsystem import Subsystem
+from sageturn.relay.supervisor import ActorSupervisor
+from sageturn.store.store import Store
+
+if TYPE_CHECKING:
+    from sageturn.net.health_check_client import HealthCheckClient
+    from sageturn.store.replication.member import ReplicationMember
+
+
+class Actor(Subsystem):
+    """A part that only runs, from the relay's start to its stop."""
+
+    def __init__(self, run: Callable[[], Coroutine[None, None, None]]) -> None:
+        self._run = run
+
+    def start(self, actors: ActorSupervisor) -> None:
+        actors.spawn(self._run())
+
+
+class XmppSubsystem(Subsystem):
+    """The XMPP frontend and its listener, which ``RelayIngress`` opens and closes."""
+
+    def __init__(
+        self, config: RelayConfig, context: RelayContext, store: Store, admission: AdmissionController
+    ) -> None:
+        self.listener: Listener | None = None
+        self._frontend: XmppFrontend | None = None
+        options = config.operator.xmpp
+        if options is not None:
+            self._frontend = XmppFrontend(context, options, Accounts(store))
+            self.listener = Listener(
+                options.listen, self._frontend.serve, self._frontend.turn_away, admission
+            )
+
+    def start(self, actors: ActorSupervisor) -> None:
+        if self.listener is not None:
+            actors.spawn(self.listener.run())
+
+    async def reload(self, old: RelayConfig, new: RelayConfig) -> None:
+        if self._frontend is not None and new.operator.xmpp is not None:
+            self._frontend.options = new.operator.xmpp
+
+
+class DiscoverySubsystem(Subsystem):
+    """The client that watches discovery for the endpoint registry, which is an actor of its own."""
+
+    def __init__(self, client: DiscoveryClient, endpoint_registry: EndpointRegistry) -> None:
+        self._client = client
+        self._endpoint_registry = endpoint_registry
+
+    async def reload(self, old: RelayConfig, new: RelayConfig) -> None:
+        if new.discovery != old.discovery:
+            self._client.move(new.discovery)
+            await self._endpoint_registry.put(DiscoveryAddressChanged())
+
+    async def stop(self) -> None:
+        await self._client.stop()
+
+
+class ReplicationSubsystem(Subsystem):
+    """This node as a member of the store's replicas; ``member`` is None where there are none."""
+
+    def __init__(self, config: RelayConfig, store: Store, admission: AdmissionController) -> None:
+        self.member: ReplicationMember | None = None
+        options = config.operator.replication
+        if options is not None:
+            from sageturn.store.replication.member import ReplicationMember
+
+            # Members of one fleet may share a seed, and must not do the same at the same moment.
+            rng = Random(f"{config.seed}/{config.name}")
+            self.member = ReplicationMember(store, options, admission, rng)
+
+    def start(self, actors: ActorSupervisor) -> None:
+        if self.member is not None:
+            self.member.start()
+
+    async def stop(self) -> None:
+        if self.member is not None:
+            await self.member.stop()
+
+    def state(self) -> dict[str, object] | None:
+        return None if self.member is None else self.member.state()
+
+    def state_interval_s(self) -> float:
+        """How often this member may publish its state at most, so that all members' together stay few."""
+        return 0.0 if self.member is None else self.member.state_every_s
+
+
+class HealthCheckSubsystem(Subsystem):
+    """Health checks of endpoints; ``client`` is None where the settings don't allow them."""
+
+    def __init__(self, config: RelayConfig, context: RelayContext) -> None:
+        self.client: HealthCheckClient | None = None
+        settings = config.settings
+        if settings.probes:
+            from sageturn.net.health_check_client import HealthCheckClient
+
+            self.client = HealthCheckClient(
+                context.endpoint_registry.addresses,
+                settings.report_fields,
+                settings.connect_timeout_ms / 1000.0,
+                settings.keepalive_ms / 1000.0,
+                context.balancer_actor.post_event,
+                context.invalid_report_values,
+            )
+            context.balancer_actor.check_endpoint_health = self.client.ask
+
+    async def stop(self) -> None:
+        if self.client is not None:
+            await self.client.stop()
--- a/tests/relay/test_compatibility_states.py
+++ b/tests/relay/test_compatibility_states.py
@@ -10,7 +10,6 @@
 import json
 import tempfile
 import time
-from contextlib import suppress
 from pathlib import Path
 from types import SimpleNamespace
 from typing import Any
@@ -61,26 +60,22 @@
     (folder / "operator.json").write_text(json.dumps(operator))
     env = {"GW_CONFIG": str(write_config(folder, ("127.0.0.1", 9)))}
     relay = Relay(load(env, str(folder / "operator.json")))
-    told = [await tell_once(relay)]
+    told = [report(relay)]
     for number, close_reason in enumerate(CloseReason, 1):
-        relay._counts[close_reason.name.lower()] += number
-    relay._counts["not_placed"] += 1
+        relay.closed_connections.counts[close_reason.name.lower()] += number
+    relay.closed_connections.counts["not_placed"] += 1
     relay.context.invalid_report_values["queue"] += 2
     if relay.flow_exporter is not None:
         relay.flow_exporter.dropped = 3
     if relay.replication is not None:
         relay.replication.replica.hear_ages({"south/s1": 35.0, "south/s2": 1.0}, time.monotonic())
-    told.append(await tell_once(relay))
+    told.append(report(relay))
     relay.listener.close()
     return told
 
 
-async def tell_once(relay: Relay) -> tuple[str, Any]:
-    task = asyncio.ensure_future(relay._tell_state())
-    await asyncio.sleep(0)
-    task.cancel()
-    with suppress(asyncio.CancelledError):
-        await task
+def report(relay: Relay) -> tuple[str, Any]:
+    relay.state_reporter.report()
     (key,) = [key for key in relay.store.keys("state/") if key.endswith("/relay")]
     return key, relay.store.get(key)
 
