--- a/sageturn/config/loader.py
+++ b/sageturn/config/loader.py
@@ -177,8 +177,10 @@
         secret=read_secret(_secret(store, "secret_file", folder)),
         region=store.get("region", str, ""),
         zone=store.get("zone", str, ""),
-        octets_per_s=store.number("octets_per_s", options.OCTETS_PER_S, least=options.OCTETS_LEAST),
-        horizon_s=store.number("horizon_s", options.HORIZON_S, least=options.HORIZON_LEAST_S),
+        max_bytes_per_s=store.number(
+            "octets_per_s", options.DEFAULT_MAX_BYTES_PER_S, least=options.MIN_MAX_BYTES_PER_S
+        ),
+        horizon_s=store.number("horizon_s", options.DEFAULT_HORIZON_S, least=options.MIN_HORIZON_S),
     )
 
 
--- a/sageturn/lab/scale/digests.py
+++ b/sageturn/lab/scale/digests.py
@@ -19,7 +19,7 @@
 from sageturn.net.admission import AdmissionController, PendingConnection
 from sageturn.net.listener import Listener
 from sageturn.net.sockets import Connect, connect, send_gathered
-from sageturn.store.channel import TAG, AuthenticatedChannel, HandshakeRejectedError
+from sageturn.store.channel import TAG_BYTES, AuthenticatedChannel, HandshakeRejectedError
 from sageturn.store.records import InvalidRecordError, StoreRecord, parse_record
 from sageturn.store.store import Store
 
@@ -49,16 +49,18 @@
 
     async def send(self, message: Any) -> None:
         payload = json.dumps(message, separators=(",", ":")).encode()
-        async with self._writing:
-            tag = self._keyed(self._mine, self._sent, payload)
-            self._sent += 1
+        async with self._write_lock:
+            tag = self._keyed(self._send_role, self._sent_frames, payload)
+            self._sent_frames += 1
             await send_gathered(self._sock, (len(payload).to_bytes(4, "big"), payload, tag))
 
     async def receive(self) -> Any:
         payload = await self._read_sized(DIGEST_MOST)
-        if not hmac.compare_digest(await self._read(TAG), self._keyed(self._theirs, self._received, payload)):
+        if not hmac.compare_digest(
+            await self._read(TAG_BYTES), self._keyed(self._receive_role, self._received_frames, payload)
+        ):
             raise HandshakeRejectedError("a frame was tampered with")
-        self._received += 1
+        self._received_frames += 1
         return json.loads(payload)
 
     def _keyed(self, way: bytes, number: int, payload: bytes) -> bytes:
@@ -123,7 +125,7 @@
         link = JsonLink(sock, self._options.secret, self._store.node)
         try:
             async with newcomer.within(HANDS_S) if newcomer else asyncio.timeout(HANDS_S):
-                await link.shake_hands(dialled)
+                await link.perform_handshake(dialled)
         except (OSError, TimeoutError) as error:
             log.warning("no link: %s", error or "timed out")
             return False
--- a/sageturn/lab/scale/members.py
+++ b/sageturn/lab/scale/members.py
@@ -109,7 +109,7 @@
     one have to agree on that first, and each that comes later takes all anew.
     """
     store.merge(records)
-    store.set_in_step(store.wall())
+    store.set_last_in_sync(store.wall_clock())
 
 
 def store_hash(store: Store) -> str:
--- a/sageturn/lab/spreading.py
+++ b/sageturn/lab/spreading.py
@@ -31,7 +31,7 @@
 
 
 def _node(name: str, *seeds: tuple[str, int]) -> ReplicationMember:
-    options = ReplicationOptions(("127.0.0.1", 0), seeds, SECRET, octets_per_s=1e8)
+    options = ReplicationOptions(("127.0.0.1", 0), seeds, SECRET, max_bytes_per_s=1e8)
     node = ReplicationMember(
         Store(name), options, AdmissionController(ProcessLimits(64, 192.0)), Random(name)
     )
@@ -66,19 +66,21 @@
     await _until(lambda: one.links and two.links)
     began = time.process_time()
     snapshot_s = await _until(lambda: one.replica.changes.roots == two.replica.changes.roots)
-    snapshot_cpu, snapshot = time.process_time() - began, one.replica.budget.taken
+    snapshot_cpu, snapshot = time.process_time() - began, one.replica.budget.consumed_bytes
     await _until(lambda: all(node.replica.sessions[0].delivered for node in nodes))
-    octets, began = [node.replica.budget.taken for node in nodes], time.process_time()
+    octets, began = [node.replica.budget.consumed_bytes for node in nodes], time.process_time()
     await asyncio.sleep(seconds)
-    idle = [(node.replica.budget.taken - was) / seconds for node, was in zip(nodes, octets, strict=True)]
+    idle = [
+        (node.replica.budget.consumed_bytes - was) / seconds for node, was in zip(nodes, octets, strict=True)
+    ]
     core = (time.process_time() - began) / seconds / 2
     changes = []
     for number in range(20):
-        was = one.replica.budget.taken
+        was = one.replica.budget.consumed_bytes
         one.replica.store.put(f"config/shard/{number}", {"host": "s-0", "epoch": -number})
         key = f"config/shard/{number}"
         await _until(lambda key=key, n=number: (two.replica.store.get(key) or {}).get("epoch") == -n)
-        changes.append(one.replica.budget.taken - was)
+        changes.append(one.replica.budget.consumed_bytes - was)
     old_octets, old_core = _digests(one.replica.store)
     for node in nodes[::-1]:
         await node.stop()
--- a/sageturn/store/channel.py
+++ b/sageturn/store/channel.py
@@ -16,11 +16,11 @@
 import struct
 
 from sageturn.net.sockets import send_gathered
-from sageturn.store.records import FRAME_MOST
+from sageturn.store.records import MAX_FRAME_BYTES
 
-HELLO_MOST = 1024
-NONCE = 32
-TAG = 32
+MAX_HELLO_BYTES = 1024
+NONCE_BYTES = 32
+TAG_BYTES = 32
 _SIZE = struct.Struct(">I")
 
 
@@ -33,48 +33,50 @@
 
 
 class AuthenticatedChannel:
-    """One connection between two replicas, after ``shake_hands``."""
+    """One connection between two replicas, after ``perform_handshake``."""
 
     def __init__(self, sock: socket.socket, secret: bytes, node: str) -> None:
         self._sock, self._secret, self._node = sock, secret, node
         self._key = b""
-        self._sent = self._received = 0
-        self._mine = self._theirs = b""
-        self._writing = asyncio.Lock()
+        self._sent_frames = self._received_frames = 0
+        self._send_role = self._receive_role = b""
+        self._write_lock = asyncio.Lock()
         self.peer = ""
 
-    async def shake_hands(self, dialled: bool) -> None:
-        nonce = secrets.token_bytes(NONCE)
+    async def perform_handshake(self, dialled: bool) -> None:
+        nonce = secrets.token_bytes(NONCE_BYTES)
         hello = json.dumps({"node": self._node, "nonce": nonce.hex()}).encode()
         await send_gathered(self._sock, (_SIZE.pack(len(hello)), hello))
         try:
-            theirs = json.loads(await self._read_sized(HELLO_MOST))
+            theirs = json.loads(await self._read_sized(MAX_HELLO_BYTES))
             self.peer, their_nonce = str(theirs["node"]), bytes.fromhex(theirs["nonce"])
         except (ValueError, KeyError, TypeError):
             raise HandshakeRejectedError("no replica's greeting") from None
-        if len(their_nonce) != NONCE or their_nonce == nonce or not self.peer:
+        if len(their_nonce) != NONCE_BYTES or their_nonce == nonce or not self.peer:
             raise HandshakeRejectedError("no replica's greeting")
-        self._mine, self._theirs = (b"dialled", b"answered") if dialled else (b"answered", b"dialled")
+        self._send_role, self._receive_role = (
+            (b"dialled", b"answered") if dialled else (b"answered", b"dialled")
+        )
         first, second = (nonce, their_nonce) if dialled else (their_nonce, nonce)
         self._key = _tag(self._secret, b"session", first, second)
-        proof = _tag(self._key, b"proof", self._mine, self._node.encode())
+        proof = _tag(self._key, b"proof", self._send_role, self._node.encode())
         await asyncio.get_running_loop().sock_sendall(self._sock, proof)
-        expected = _tag(self._key, b"proof", self._theirs, self.peer.encode())
-        if not hmac.compare_digest(await self._read(TAG), expected):
+        expected = _tag(self._key, b"proof", self._receive_role, self.peer.encode())
+        if not hmac.compare_digest(await self._read(TAG_BYTES), expected):
             raise HandshakeRejectedError("the secrets differ")
 
     async def send(self, payload: bytes) -> None:
-        async with self._writing:
-            tag = _tag(self._key, self._mine, _SIZE.pack(self._sent), payload)
-            self._sent += 1
+        async with self._write_lock:
+            tag = _tag(self._key, self._send_role, _SIZE.pack(self._sent_frames), payload)
+            self._sent_frames += 1
             await send_gathered(self._sock, (_SIZE.pack(len(payload)), payload, tag))
 
     async def receive(self) -> bytes:
-        payload = await self._read_sized(FRAME_MOST)
-        expected = _tag(self._key, self._theirs, _SIZE.pack(self._received), payload)
-        if not hmac.compare_digest(await self._read(TAG), expected):
+        payload = await self._read_sized(MAX_FRAME_BYTES)
+        expected = _tag(self._key, self._receive_role, _SIZE.pack(self._received_frames), payload)
+        if not hmac.compare_digest(await self._read(TAG_BYTES), expected):
             raise HandshakeRejectedError("a frame was tampered with")
-        self._received += 1
+        self._received_frames += 1
         return payload
 
     async def _read_sized(self, most: int) -> bytes:
--- a/sageturn/store/records.py
+++ b/sageturn/store/records.py
@@ -7,10 +7,10 @@
 from hashlib import blake2b
 from typing import Any
 
-KEY_MOST = 256
-VALUE_MOST = 256 << 10  # octets of JSON
-FRAME_MOST = 512 << 10  # octets on a link: any record whole, and room to spare
-STATE = "state/"
+MAX_KEY_LENGTH = 256
+MAX_VALUE_BYTES = 256 << 10  # octets of JSON
+MAX_FRAME_BYTES = 512 << 10  # octets on a link: any record whole, and room to spare
+STATE_PREFIX = "state/"
 
 
 class InvalidRecordError(ValueError):
@@ -34,7 +34,7 @@
         return obj if self.written_ms is None else {**obj, "written_ms": self.written_ms}
 
 
-def digest_of(record: StoreRecord) -> int:
+def record_digest(record: StoreRecord) -> int:
     """64 bits over all that makes a record, for comparing copies without sending them."""
     parts = [record.key, record.value, record.version, record.node, record.written_ms]
     text = json.dumps(parts, separators=(",", ":"), sort_keys=True)
@@ -45,7 +45,7 @@
     """By (version, node). A wiped node may use a version of its own twice: the digest then decides."""
     if known is None or new.order != known.order:
         return known is None or new.order > known.order
-    return new != known and digest_of(new) > digest_of(known)
+    return new != known and record_digest(new) > record_digest(known)
 
 
 def parse_record(obj: Any) -> StoreRecord:
@@ -53,7 +53,7 @@
         raise InvalidRecordError("not an object")
     key, version, node = obj.get("key"), obj.get("version"), obj.get("node")
     written_ms = obj.get("written_ms")
-    if not isinstance(key, str) or not 0 < len(key) <= KEY_MOST:
+    if not isinstance(key, str) or not 0 < len(key) <= MAX_KEY_LENGTH:
         raise InvalidRecordError("key")
     if not isinstance(version, int) or isinstance(version, bool) or version < 1:
         raise InvalidRecordError("version")
@@ -67,4 +67,4 @@
 
 
 def may_write(node: str, key: str) -> bool:
-    return not key.startswith(STATE) or key.startswith(f"{STATE}{node}/")
+    return not key.startswith(STATE_PREFIX) or key.startswith(f"{STATE_PREFIX}{node}/")
--- a/sageturn/store/replica_state.py
+++ b/sageturn/store/replica_state.py
@@ -1,11 +1,11 @@
-"""What a copy has to remember beside its records, in a small file next to the log."""
+"""The small file beside the log: what a replica has to remember apart from its records."""
 
 from __future__ import annotations
 
 import json
 import logging
 import os
-from dataclasses import asdict, dataclass
+from dataclasses import dataclass
 from pathlib import Path
 
 log = logging.getLogger(__name__)
@@ -13,28 +13,39 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaState:
-    in_step: float | None = None  # Unix seconds; None: not known to have ever held all that the others do
-    floor: int = 0  # the largest version among deletions that were forgotten
+    """How far a replica was in sync, and which deletions it has forgotten."""
 
+    last_in_sync: float | None = None  # Unix seconds; None: not known to have ever held all that others do
+    tombstone_floor: int = 0  # the largest version among deletions that were forgotten
 
-def read_standing(path: Path) -> ReplicaState:
-    """One that is missing or damaged counts as unknown, which is the careful reading."""
+
+def _encode(state: ReplicaState) -> str:
+    return json.dumps({"in_step": state.last_in_sync, "floor": state.tombstone_floor})
+
+
+def _decode(text: str) -> ReplicaState:
+    fields = json.loads(text)
+    last_in_sync = fields["in_step"]
+    tombstone_floor = int(fields["floor"])
+    return ReplicaState(None if last_in_sync is None else float(last_in_sync), tombstone_floor)
+
+
+def read_replica_state(path: Path) -> ReplicaState:
+    """Read the file; one that is missing or damaged counts as unknown, which is the careful reading."""
     try:
-        obj = json.loads(path.read_text(encoding="utf-8"))
-        in_step = obj["in_step"]
-        return ReplicaState(None if in_step is None else float(in_step), int(obj["floor"]))
+        return _decode(path.read_text(encoding="utf-8"))
     except FileNotFoundError:
         return ReplicaState()
     except (OSError, ValueError, KeyError, TypeError) as error:
-        log.warning("store: %s: not readable, so this copy counts as long away: %s", path, error)
+        log.warning("replica state unreadable, treated as long out of sync path=%s error=%s", path, error)
         return ReplicaState()
 
 
-def write_standing(path: Path, standing: ReplicaState) -> None:
-    """Whole or not at all, and durable once this returns."""
-    fresh = path.with_name(path.name + ".new")
-    with open(fresh, "w", encoding="utf-8") as file:
-        json.dump(asdict(standing), file)
+def write_replica_state(path: Path, state: ReplicaState) -> None:
+    """Replace the file atomically; durable once this returns."""
+    replacement = path.with_name(path.name + ".new")
+    with open(replacement, "w", encoding="utf-8") as file:
+        file.write(_encode(state))
         file.flush()
         os.fsync(file.fileno())
-    os.replace(fresh, path)
+    os.replace(replacement, path)
--- a/sageturn/store/replication/changes.py
+++ b/sageturn/store/replication/changes.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterator
 from hashlib import blake2b
 
-from sageturn.store.records import StoreRecord, digest_of
+from sageturn.store.records import StoreRecord, record_digest
 from sageturn.store.replication.wire import LANES, lane_of
 
 FANOUT_BITS = 4
@@ -117,7 +117,7 @@
     def note(self, record: StoreRecord, source: int = 0) -> None:
         lane = lane_of(record.key)
         self.sequences[lane].put(record.key, source)
-        self.trees[lane].set(record.key, digest_of(record))
+        self.trees[lane].set(record.key, record_digest(record))
 
     def remove(self, key: str) -> None:
         lane = lane_of(key)
--- /dev/null
+++ b/sageturn/store/replication/close_code.py
@@ -0,0 +1,19 @@
+"""Why a replication session was closed, as its last message names it on the wire."""
+
+from __future__ import annotations
+
+from enum import StrEnum
+
+
+class CloseCode(StrEnum):
+    """Codes that this program sends; a peer of another version may send others.
+
+    A session that the topology rejects carries the reason of its ``LinkRejected`` instead.
+    """
+
+    ORDERLY = "orderly"  # not needed any more
+    REMOVED = "removed"  # one of the two was removed from the cluster
+    AWAY = "away"  # the peer was cut off for longer than deletions are remembered
+    LATER = "later"  # the peer may connect again
+    VERSION = "version"  # the peer speaks another protocol version
+    FAULT = "fault"  # a protocol violation, or a peer that fell silent
--- a/sageturn/store/replication/member.py
+++ b/sageturn/store/replication/member.py
@@ -16,11 +16,15 @@
 from sageturn.net.listener import Listener
 from sageturn.net.sockets import Connect, connect
 from sageturn.store.channel import AuthenticatedChannel, HandshakeRejectedError
+from sageturn.store.replication.backoff import Backoff
+from sageturn.store.replication.close_code import CloseCode
+from sageturn.store.replication.liveness import PEER_TIMEOUT_S
+from sageturn.store.replication.location import ReplicaLocation
 from sageturn.store.replication.options import ReplicationOptions
 from sageturn.store.replication.overlay import Member, Overlay
-from sageturn.store.replication.pace import Backoff
-from sageturn.store.replication.replica import MakeTopology, Replica, ReplicaLocation
-from sageturn.store.replication.session import ORDERLY, SILENT_S, ReplicationSession
+from sageturn.store.replication.replica import Replica
+from sageturn.store.replication.session import ReplicationSession
+from sageturn.store.replication.topology import TopologyFactory
 from sageturn.store.replication.wire import SessionRejected
 from sageturn.store.store import Store
 
@@ -43,7 +47,7 @@
         options: ReplicationOptions,
         admission: AdmissionController,
         rng: Random,
-        make_topology: MakeTopology | None = None,
+        make_topology: TopologyFactory | None = None,
     ) -> None:
         self._options = options
         # Members are few and have to prove who they are: whoever crowds them out is cut off first.
@@ -60,27 +64,27 @@
             time.monotonic(),
             place,
             make_topology or overlay,
-            options.octets_per_s,
+            options.max_bytes_per_s,
             options.horizon_s,
         )
         self._links = Links(self.replica, options.secret)
         self._due = asyncio.Event()
-        self.replica.due = self._due.set
+        self.replica.on_tick_due = self._due.set
         self._tasks: list[asyncio.Task[None]] = []
         self._dials: set[asyncio.Task[None]] = set()
 
     @property
     def links(self) -> int:
-        return sum(1 for session in self.replica.sessions if session.hello is not None)
+        return sum(1 for session in self.replica.sessions if session.peer_hello is not None)
 
     def state(self) -> dict[str, object]:
         """For operators: links, whether this copy is in step, and which zones are silent, for how long.
 
         Steps are coarse, or each look would be a change that has to spread.
         """
-        ages = self.replica.ages(time.monotonic())
+        ages = self.replica.zone_ages(time.monotonic())
         silent = {zone: int(age // 10 * 10) for zone, age in ages.items() if age >= STATED_AFTER_S}
-        return {"links": self.links, "in_step": self.replica.fresh, "silent_s": silent}
+        return {"links": self.links, "in_step": self.replica.recently_in_sync, "silent_s": silent}
 
     @property
     def state_every_s(self) -> float:
@@ -136,7 +140,7 @@
     def __init__(self, replica: Replica, secret: bytes) -> None:
         self._replica, self._secret = replica, secret
         self._wakes: set[asyncio.Event] = set()
-        replica.woken = self._wake
+        replica.on_output_pending = self._wake
 
     def _wake(self) -> None:
         for event in self._wakes:
@@ -153,14 +157,14 @@
         link = AuthenticatedChannel(sock, self._secret, self._replica.store.node)
         try:
             async with newcomer.within(HANDS_S) if newcomer else asyncio.timeout(HANDS_S):
-                await link.shake_hands(dialled is not None)
+                await link.perform_handshake(dialled is not None)
         except (OSError, TimeoutError) as error:
             why = str(error) or "timed out"
             log.warning("store: no link: %s", why)
             return why
         if newcomer is not None:
             newcomer.asked()
-        session = self._replica.open(link.peer, time.monotonic(), dialled)
+        session = self._replica.open_session(link.peer, time.monotonic(), dialled)
         opened(session)
         wake = asyncio.Event()
         self._wakes.add(wake)
@@ -172,23 +176,23 @@
                 fault = task.exception()
                 if fault is not None and not isinstance(fault, OSError):
                     raise fault
-                if fault is not None and not session.closing:
-                    session.ended = session.ended or str(fault) or "it reads nothing"
+                if fault is not None and not session.close_detail:
+                    session.peer_close_detail = session.peer_close_detail or str(fault) or "it reads nothing"
             self._tell_log(session)
         finally:
             self._wakes.discard(wake)
             await cancel_and_wait(telling)
             await cancel_and_wait(hearing)
-            self._replica.over(session, time.monotonic())
+            self._replica.on_session_closed(session, time.monotonic())
         return ""
 
     @staticmethod
     def _tell_log(session: ReplicationSession) -> None:
-        if session.closing:
-            why, text = session.closing_why, session.closing
+        if session.close_detail:
+            why, text = session.close_code, session.close_detail
         else:
-            why, text = session.ended_why, f"ended by it: {session.ended}"
-        level = logging.INFO if why == ORDERLY else logging.WARNING
+            why, text = session.peer_close_code, f"ended by it: {session.peer_close_detail}"
+        level = logging.INFO if why == CloseCode.ORDERLY else logging.WARNING
         log.log(level, "store: link to %s: %s", session.peer, text)
 
     async def _tell(
@@ -197,33 +201,33 @@
         while True:
             wake.clear()
             now = time.monotonic()
-            payload = session.next(now)
+            payload = session.next_payload(now)
             if payload is None:
-                if session.ended:
+                if session.peer_close_detail:
                     return
                 with suppress(TimeoutError):
                     async with asyncio.timeout(max(0.0, session.wake_at(now) - now)):
                         await wake.wait()
-            elif session.told_bye:
+            elif session.sent_bye:
                 with suppress(TimeoutError):
                     async with asyncio.timeout(BYE_S):
                         await link.send(payload)
                 return
             else:
                 # A side that reads nothing is given up as one that says nothing is.
-                async with asyncio.timeout(SILENT_S):
+                async with asyncio.timeout(PEER_TIMEOUT_S):
                     await link.send(payload)
 
     async def _hear(
         self, link: AuthenticatedChannel, session: ReplicationSession, wake: asyncio.Event
     ) -> None:
-        while not session.ended:
+        while not session.peer_close_detail:
             try:
                 payload = await link.receive()
-                if not session.closing:
+                if not session.close_detail:
                     session.receive(payload, time.monotonic())
             except (SessionRejected, HandshakeRejectedError) as error:
-                session.close(str(error), session.closing_why)
+                session.close(str(error), session.close_code)
                 await asyncio.sleep(BYE_S)  # what is to be said of it is being said
                 return
             wake.set()
@@ -251,9 +255,9 @@
                     said.append(await links.serve(sock, peer, opened=sessions.append))
                 finally:
                     sock.close()
-                said.extend(session.ended or session.closing for session in sessions)
+                said.extend(session.peer_close_detail or session.close_detail for session in sessions)
                 sessions.clear()
-            await asyncio.sleep(backoff.draw())
+            await asyncio.sleep(backoff.next_delay_s())
 
     async def until(reached: Callable[[ReplicationSession], bool]) -> None:
         """The time runs anew with whatever comes."""
@@ -271,7 +275,7 @@
         yield store
         await until(lambda session: session.caught_up and session.delivered)
         for session in sessions:
-            session.close("done", ORDERLY)
+            session.close("done", CloseCode.ORDERLY)
         with suppress(TimeoutError):
             async with asyncio.timeout(BYE_S):
                 while replica.sessions:
--- a/sageturn/store/replication/replica.py
+++ b/sageturn/store/replication/replica.py
@@ -1,6 +1,6 @@
 """One copy among others: its store, what changed in it, and all its links. No I/O, no clock of its own.
 
-``now`` is the seconds of a monotonic clock, passed in; ``store.wall`` tells Unix seconds. What is newly
+``now`` is the seconds of a monotonic clock, passed in; ``store.wall_clock`` tells Unix seconds. What is newly
 taken from one link shows in the copy's sequences and so goes out on all others; records have an order, an
 older one never takes a newer one's place, so loops end by themselves.
 
@@ -14,27 +14,24 @@
 import logging
 from collections import OrderedDict
 from collections.abc import Callable, Iterable, Sequence
-from dataclasses import dataclass
 from random import Random
-from typing import Any, Protocol
+from typing import Any
 
-from sageturn.store.records import STATE, StoreRecord
+from sageturn.store.records import STATE_PREFIX, StoreRecord
+from sageturn.store.replication.backoff import Backoff
+from sageturn.store.replication.byte_budget import ByteBudget
 from sageturn.store.replication.changes import ChangeLogSet
-from sageturn.store.replication.options import HORIZON_S, OCTETS_PER_S
+from sageturn.store.replication.close_code import CloseCode
+from sageturn.store.replication.location import ReplicaLocation
+from sageturn.store.replication.options import DEFAULT_HORIZON_S, DEFAULT_MAX_BYTES_PER_S
 from sageturn.store.replication.overlay import Beacon, LinkRejected, Member
-from sageturn.store.replication.pace import Backoff, Budget
 from sageturn.store.replication.session import (
-    AWAY,
-    BEAT_S,
-    LATER,
-    ORDERLY,
-    REMOVED,
-    VERSION,
     Cursor,
     Hello,
     ReplicationSession,
     old_copies_word,
 )
+from sageturn.store.replication.topology import Address, Topology, TopologyFactory
 from sageturn.store.replication.wire import SessionRejected, natural
 from sageturn.store.store import Store
 
@@ -48,41 +45,6 @@
 CURSORS_MOST = 2048
 GHOST_S, GHOST_MOST_S = 10.0, 600.0
 GHOST_AHEAD = 1 << 40  # some hours of the clock: a ghost of one's own may be that far ahead
-Address = tuple[str, int]
-
-
-class Topology(Protocol):
-    """Who links to whom (``overlay.Overlay``)."""
-
-    @property
-    def standing(self) -> str: ...
-    def saw(self, members: Iterable[Member]) -> None: ...
-    def admits(self, member: Member, now: float) -> LinkRejected | None: ...
-    def linked(self, name: str, now: float, dialled: Address | None = None) -> None: ...
-    def lost(self, name: str, now: float, orderly: bool = False) -> None: ...
-    def unreachable(self, address: Address, now: float) -> None: ...
-    def refused(self, address: Address, now: float, refusal: LinkRejected) -> None: ...
-    def beacon(self, name: str, now: float) -> Beacon: ...
-    def heard(self, name: str, beacon: Beacon, now: float) -> None: ...
-    def to_dial(self, now: float) -> Sequence[Address]: ...
-    def to_close(self, now: float) -> Sequence[str]: ...
-    def next_at(self, now: float) -> float: ...
-
-
-MakeTopology = Callable[[Member], Topology]
-
-
-@dataclass(frozen=True, slots=True)
-class ReplicaLocation:
-    """Where a member is reached, and where it stands."""
-
-    address: Address
-    region: str = ""
-    zone: str = ""
-
-    @property
-    def label(self) -> str:
-        return f"{self.region}/{self.zone}"
 
 
 class Replica:
@@ -94,25 +56,27 @@
         rng: Random,
         now: float,
         place: ReplicaLocation | None = None,
-        make_topology: MakeTopology | None = None,
-        octets_per_s: float = OCTETS_PER_S,
-        horizon_s: float = HORIZON_S,
+        make_topology: TopologyFactory | None = None,
+        max_bytes_per_s: float = DEFAULT_MAX_BYTES_PER_S,
+        horizon_s: float = DEFAULT_HORIZON_S,
     ) -> None:
         self.store, self.place, self.horizon_s = store, place, horizon_s
         self._rng = rng
         self._make_topology = make_topology
-        self.budget = Budget(octets_per_s, now)
+        self.budget = ByteBudget(max_bytes_per_s, now)
         self.sessions: list[ReplicationSession] = []
         self.cursors: OrderedDict[int, list[Cursor]] = OrderedDict()
-        self.woken: Callable[[], None] = lambda: None  # links may have something to say
-        self.due: Callable[[], None] = lambda: None  # ``tick`` is wanted now
+        self.on_output_pending: Callable[[], None] = lambda: None  # links may have something to say
+        self.on_tick_due: Callable[[], None] = lambda: None  # ``tick`` is wanted now
         # Nothing of others' here, or only what came from one in step since then (Unix seconds).
-        self._blank = not self.fresh and all(record.node == store.node for record in store.records())
+        self._blank = not self.recently_in_sync and all(
+            record.node == store.node for record in store.records()
+        )
         self._filled_since: float | None = None
         self.members: dict[str, Member] = {}
         self.removed: set[str] = set()
         self._tombstones: dict[str, float] = {}
-        self._heard_zones: dict[str, float] = {}
+        self.zone_last_heard: dict[str, float] = {}
         self._source: ReplicationSession | None = None
         self._settling_since: float | None = None
         self._tick_at = now
@@ -129,7 +93,7 @@
         """A new incarnation: what others remember of an earlier one's sequences does not hold for this."""
         known = self.store.get(self._member_key) or {}
         last = known.get("incarnation", 0) if isinstance(known, dict) else 0
-        fresh = int(self.store.wall() * 1000) << 16 | self._rng.getrandbits(16)
+        fresh = int(self.store.wall_clock() * 1000) << 16 | self._rng.getrandbits(16)
         own = max(last if isinstance(last, int) else 0, getattr(self, "changes", ChangeLogSet(0)).incarnation)
         self.changes = ChangeLogSet(max(fresh, own + ahead))
         self.members.clear()
@@ -148,7 +112,7 @@
 
     def _see_members(self) -> None:
         self._members_changed = True
-        self.due()
+        self.on_tick_due()
 
     def announce(self) -> None:
         """Tells the others where this member is reached."""
@@ -170,7 +134,7 @@
 
     @property
     def _member_key(self) -> str:
-        return f"{STATE}{self.store.node}{MEMBER}"
+        return f"{STATE_PREFIX}{self.store.node}{MEMBER}"
 
     @property
     def guest(self) -> bool:
@@ -189,13 +153,13 @@
 
     def _changed(self, records: list[StoreRecord]) -> None:
         source = 0
-        if self._source is not None and self._source.hello is not None:
-            source = self._source.hello.incarnation
+        if self._source is not None and self._source.peer_hello is not None:
+            source = self._source.peer_hello.incarnation
         for record in records:
             self.changes.note(record, source)
         for record in records:
             self._index(record)
-        self.woken()
+        self.on_output_pending()
 
     def _forgotten(self, keys: list[str]) -> None:
         for key in keys:
@@ -207,7 +171,7 @@
         self._tombstones.pop(key, None)
         if record.value is None and record.written_ms is not None:
             self._tombstones[key] = record.written_ms / 1000.0
-        if key.startswith(STATE) and key.endswith(MEMBER):
+        if key.startswith(STATE_PREFIX) and key.endswith(MEMBER):
             member = read_member(record)
             if member is None:
                 self.members.pop(record.node, None)
@@ -224,18 +188,18 @@
         self.removed.add(node)
         self._see_members()
         if node == self.store.node:
-            if self.store.standing.in_step is not None:
+            if self.store.replica_state.last_in_sync is not None:
                 log.warning("store: this member was removed; it has to start over if it is added again")
-                self.store.set_in_step(None)
+                self.store.set_last_in_sync(None)
             return
         self.members.pop(node, None)
         self._forget_states(node)
         for session in self.sessions:
             if session.peer == node:
-                session.close(f"{node} was removed", REMOVED)
+                session.close(f"{node} was removed", CloseCode.REMOVED)
 
     def _forget_states(self, node: str) -> None:
-        states = f"{STATE}{node}/"
+        states = f"{STATE_PREFIX}{node}/"
         self.store.forget([record.key for record in self.store.records() if record.key.startswith(states)])
 
     def take(self, records: Iterable[StoreRecord], session: ReplicationSession) -> int:
@@ -250,11 +214,15 @@
             if not session.fresh:
                 self._blank = False
             elif self._filled_since is None:
-                self._filled_since = self.store.wall()
+                self._filled_since = self.store.wall_clock()
         return taken
 
     def _of_no_use(self, record: StoreRecord) -> bool:
-        if record.key.startswith(STATE) and record.node in self.removed and record.node != self.store.node:
+        if (
+            record.key.startswith(STATE_PREFIX)
+            and record.node in self.removed
+            and record.node != self.store.node
+        ):
             return True
         # A deletion past the horizon that is not known here was forgotten here, or deletes nothing.
         return self._expired(record) and self.store.record(record.key) is None
@@ -262,34 +230,46 @@
     def _expired(self, record: StoreRecord) -> bool:
         if record.value is not None or record.written_ms is None:
             return False
-        return self.store.wall() - record.written_ms / 1000.0 > self.horizon_s
+        return self.store.wall_clock() - record.written_ms / 1000.0 > self.horizon_s
 
     # ------------------------------------------------------------ links
 
-    def open(self, peer: str, now: float, dialled: Address | None = None) -> ReplicationSession:
+    def open_session(self, peer: str, now: float, dialled: Address | None = None) -> ReplicationSession:
         session = ReplicationSession(self, peer, now, dialled)
         self.sessions.append(session)
         return session
 
-    def over(self, session: ReplicationSession, now: float) -> None:
+    def on_session_closed(self, session: ReplicationSession, now: float) -> None:
         """The link is gone, whoever ended it. To be called once for each session."""
         if session not in self.sessions:
             return
         self.sessions.remove(session)
-        self.due()
-        if session.ended_why == AWAY and self.foreign and not self.fresh and not self.guest:
+        self.on_tick_due()
+        if (
+            session.peer_close_code == CloseCode.AWAY
+            and self.foreign
+            and not self.recently_in_sync
+            and not self.guest
+        ):
             self._start_over()
-        elif session.ended_why == REMOVED and not self.guest and self.store.standing.in_step is not None:
+        elif (
+            session.peer_close_code == CloseCode.REMOVED
+            and not self.guest
+            and self.store.replica_state.last_in_sync is not None
+        ):
             log.warning("store: %s says that this member was removed", session.peer)
-            self.store.set_in_step(None)
+            self.store.set_last_in_sync(None)
         if self.topology is None or session.guest:
             return
-        orderly = ORDERLY in (session.ended_why, session.closing_why if session.closing else "")
-        if session.hello is not None:
-            if not any(other.peer == session.peer and other.hello for other in self.sessions):
+        orderly = CloseCode.ORDERLY in (
+            session.peer_close_code,
+            session.close_code if session.close_detail else "",
+        )
+        if session.peer_hello is not None:
+            if not any(other.peer == session.peer and other.peer_hello for other in self.sessions):
                 self.topology.lost(session.peer, now, orderly)
         elif session.dialled is not None:
-            if session.ended_instead or session.ended_why in ("full", "same name", "superseded"):
+            if session.alternatives or session.peer_close_code in ("full", "same name", "superseded"):
                 self.topology.refused(session.dialled, now, read_turned(session))
             else:
                 self.topology.unreachable(session.dialled, now)
@@ -300,62 +280,65 @@
             return
 
         def refuse(why: str, text: str) -> None:
-            session.closing_why = why
+            session.close_code = why
             raise SessionRejected(text)
 
         if hello.node == self.store.node:
             refuse("same name", f"a second copy that calls itself {hello.node}")
         if hello.node in self.removed:
-            refuse(REMOVED, f"{hello.node} was removed")
+            refuse(CloseCode.REMOVED, f"{hello.node} was removed")
         if hello.fresh and not claimed and self.foreign:
             self._start_over()
-            refuse(LATER, "away for longer than deletions are remembered: starting over")
+            refuse(CloseCode.LATER, "away for longer than deletions are remembered: starting over")
         if claimed and not hello.fresh and hello.foreign:
-            refuse(AWAY, f"{hello.node} was away for longer than deletions are kept: it must start over")
+            refuse(
+                CloseCode.AWAY,
+                f"{hello.node} was away for longer than deletions are kept: it must start over",
+            )
         if not claimed and not hello.fresh and hello.foreign and any(s.fresh for s in self.sessions):
-            refuse(LATER, "being filled by a member that is in step")
+            refuse(CloseCode.LATER, "being filled by a member that is in step")
         if session.dialled is None and self.topology is not None and hello.member is not None:
             host, port, region, zone = hello.member
             member = Member(hello.node, (host, port), region, zone, hello.incarnation)
             turned = self.topology.admits(member, now)
             if turned is not None:
-                session.ended_instead = [_pack_member(member) for member in turned.instead]
+                session.alternatives = [_pack_member(member) for member in turned.instead]
                 refuse(turned.reason, f"not here: {turned.reason}")
 
     def linked(self, session: ReplicationSession, now: float) -> None:
         """The greetings are exchanged."""
-        hello = session.hello
+        hello = session.peer_hello
         assert hello is not None
         if session.guest:
             return
         self.hear_floor(hello.floor)
         for other in list(self.sessions):
-            if other is session or other.hello is None or other.guest:
+            if other is session or other.peer_hello is None or other.guest:
                 continue
             if other.peer == session.peer:
                 self._keep_one(other, session)
-            elif session.fresh and not self.fresh and not other.fresh:
-                other.close("being filled by a member that is in step", LATER)
-        if self.topology is not None and not session.closing:
+            elif session.fresh and not self.recently_in_sync and not other.fresh:
+                other.close("being filled by a member that is in step", CloseCode.LATER)
+        if self.topology is not None and not session.close_detail:
             self.topology.linked(session.peer, now, session.dialled)
-            self.due()
+            self.on_tick_due()
 
     def _keep_one(self, old: ReplicationSession, new: ReplicationSession) -> None:
         """Of two links between two members that of the smaller dialler stays, or of one dialler the newer."""
-        assert old.hello is not None and new.hello is not None
+        assert old.peer_hello is not None and new.peer_hello is not None
 
         def dialler(session: ReplicationSession) -> str:
             return self.store.node if session.dialled is not None else session.peer
 
-        if old.hello.incarnation == new.hello.incarnation and dialler(old) < dialler(new):
-            new.close("a second link", ORDERLY)
+        if old.peer_hello.incarnation == new.peer_hello.incarnation and dialler(old) < dialler(new):
+            new.close("a second link", CloseCode.ORDERLY)
         else:
-            old.close("a second link", ORDERLY)
+            old.close("a second link", CloseCode.ORDERLY)
 
     def may_follow(self, session: ReplicationSession) -> bool:
         if session.guest or session.fresh:
             return True
-        return not self.fresh and not any(other.fresh for other in self.sessions)
+        return not self.recently_in_sync and not any(other.fresh for other in self.sessions)
 
     def remember(self, incarnation: int, cursors: list[Cursor]) -> None:
         self.cursors[incarnation] = cursors
@@ -364,33 +347,33 @@
             self.cursors.popitem(last=False)
 
     def make_bye(self, session: ReplicationSession) -> dict[str, Any]:
-        word = {"bye": [session.closing_why, session.closing, session.ended_instead]}
-        return {**word, "records": old_copies_word()} if session.closing_why == VERSION else word
+        word = {"bye": [session.close_code, session.close_detail, session.alternatives]}
+        return {**word, "records": old_copies_word()} if session.close_code == CloseCode.VERSION else word
 
     # ------------------------------------------------------------ in step
 
     @property
-    def fresh(self) -> bool:
-        in_step = self.store.standing.in_step
-        return in_step is not None and self.store.wall() - in_step <= self.horizon_s
+    def recently_in_sync(self) -> bool:
+        in_step = self.store.replica_state.last_in_sync
+        return in_step is not None and self.store.wall_clock() - in_step <= self.horizon_s
 
     @property
     def foreign(self) -> bool:
         """Whether what it holds of others may have been deleted meanwhile, were it not fresh."""
         since = self._filled_since
-        return not self._blank or (since is not None and self.store.wall() - since > self.horizon_s)
+        return not self._blank or (since is not None and self.store.wall_clock() - since > self.horizon_s)
 
     def progressed(self, session: ReplicationSession, now: float) -> None:
         at = session.in_step_at()
         if at is None or self.guest or session.guest or not session.fresh:
             return
-        was = self.fresh
-        self.store.set_in_step(max(at, self.store.standing.in_step or 0.0))
+        was = self.recently_in_sync
+        self.store.set_last_in_sync(max(at, self.store.replica_state.last_in_sync or 0.0))
         if not was and not self.foreign:
             # Filled by one that is in step; what others still offer may have been deleted meanwhile.
             for other in self.sessions:
-                if not other.fresh and not other.guest and other.hello is not None:
-                    other.close("in step now: greet again", LATER)
+                if not other.fresh and not other.guest and other.peer_hello is not None:
+                    other.close("in step now: greet again", CloseCode.LATER)
         self._blank = False
 
     def _start_over(self) -> None:
@@ -398,7 +381,7 @@
         log.warning("store: away for longer than deletions are kept: %d records dropped", dropped)
         self._blank, self._filled_since = True, None
         for session in self.sessions:
-            session.close("starting over", LATER)
+            session.close("starting over", CloseCode.LATER)
         self._begin()
         if self.place is not None:
             self.announce()
@@ -406,23 +389,25 @@
     # ------------------------------------------------------------ what beats carry
 
     def hear_floor(self, floor: int) -> None:
-        self.store.raise_floor(floor)
+        self.store.raise_tombstone_floor(floor)
 
-    def ages(self, now: float) -> dict[str, float]:
+    def zone_ages(self, now: float) -> dict[str, float]:
         """Seconds since the last word that left each zone, as ``region/zone``; 0 for one's own."""
-        own = self.place.label if self.place is not None else None
+        own = self.place.zone_label if self.place is not None else None
         return {
             zone: 0.0 if zone == own else round(max(0.0, now - at), 1)
-            for zone, at in sorted({**self._heard_zones, **({own: now} if own is not None else {})}.items())
+            for zone, at in sorted(
+                {**self.zone_last_heard, **({own: now} if own is not None else {})}.items()
+            )
         }
 
-    def hear_ages(self, ages: dict[str, Any], now: float) -> None:
+    def merge_zone_ages(self, ages: dict[str, Any], now: float) -> None:
         for zone, age in ages.items():
             if not isinstance(age, int | float) or isinstance(age, bool) or not 0.0 <= age < 1e9:
                 raise SessionRejected("no age")
-            known = self._heard_zones.get(zone)
-            if known is not None or len(self._heard_zones) < 64:
-                self._heard_zones[zone] = max(now - age, known if known is not None else now - age)
+            known = self.zone_last_heard.get(zone)
+            if known is not None or len(self.zone_last_heard) < 64:
+                self.zone_last_heard[zone] = max(now - age, known if known is not None else now - age)
 
     def beacon(self, session: ReplicationSession, now: float) -> list[Any] | None:
         if self.topology is None or session.guest:
@@ -453,29 +438,29 @@
             self._members_changed = False
             self.topology.saw(m for m in self.members.values() if m.name not in self.removed)
         if self.topology.standing == "superseded" and now >= self._ghost_at:
-            self._ghost_at = now + self._ghosts.draw()
+            self._ghost_at = now + self._ghosts.next_delay_s()
             log.warning("store: an earlier word of this member counts as newer: a larger incarnation is told")
             for session in self.sessions:
-                session.close("a new incarnation", LATER)
+                session.close("a new incarnation", CloseCode.LATER)
             self._begin(GHOST_AHEAD)
             self.announce()
             assert self.topology is not None
         for name in self.topology.to_close(now):
             for session in self.sessions:
-                if session.peer == name and session.hello is not None and not session.guest:
-                    session.close("not needed any more", ORDERLY)
+                if session.peer == name and session.peer_hello is not None and not session.guest:
+                    session.close("not needed any more", CloseCode.ORDERLY)
         dial = self.topology.to_dial(now)
         return dial, min(self._tick_at, self.topology.next_at(now))
 
     def _settle(self, now: float) -> None:
         """Where nobody is fresh (a new fleet, or one that was all off for long), those linked agree to be."""
-        links = [s for s in self.sessions if s.hello is not None and not s.guest]
-        if self.fresh or not links or any(s.fresh or not s.caught_up for s in links):
+        links = [s for s in self.sessions if s.peer_hello is not None and not s.guest]
+        if self.recently_in_sync or not links or any(s.fresh or not s.caught_up for s in links):
             self._settling_since = None
         elif self._settling_since is None:
             self._settling_since = now
         elif now - self._settling_since >= SETTLE_S:
-            self.store.set_in_step(self.store.wall())
+            self.store.set_last_in_sync(self.store.wall_clock())
             self._blank = False
 
     def _forget(self, now: float) -> None:
@@ -483,13 +468,13 @@
 
         Those in one that is cut off may hold what was deleted, and count as in step by their own measure.
         """
-        in_step = self.store.standing.in_step
-        wall = self.store.wall()
+        in_step = self.store.replica_state.last_in_sync
+        wall = self.store.wall_clock()
         if in_step is None or wall - in_step > self.horizon_s / 2 or not self._tombstones:
             return
-        own = self.place.label if self.place is not None else ""
+        own = self.place.zone_label if self.place is not None else ""
         zones = {f"{m.region}/{m.zone}" for m in self.members.values() if m.name not in self.removed} - {own}
-        if any(now - self._heard_zones.get(zone, -1e18) > self.horizon_s / 2 for zone in zones):
+        if any(now - self.zone_last_heard.get(zone, -1e18) > self.horizon_s / 2 for zone in zones):
             return
         limit = wall - self.horizon_s * (1.0 + FORGET_MARGIN)
         old = [key for key, at in self._tombstones.items() if at < limit]
@@ -500,7 +485,7 @@
 def read_member(record: StoreRecord) -> Member | None:
     """None for a word that is no member's, or was taken back."""
     value = record.value
-    if record.key != f"{STATE}{record.node}{MEMBER}" or not isinstance(value, dict):
+    if record.key != f"{STATE_PREFIX}{record.node}{MEMBER}" or not isinstance(value, dict):
         return None
     host, _, port = str(value.get("address", "")).rpartition(":")
     incarnation = value.get("incarnation")
@@ -518,7 +503,7 @@
 def read_turned(session: ReplicationSession) -> LinkRejected:
     """The other side's refusal; whom it names instead is left out where that cannot be read."""
     instead = []
-    for word in session.ended_instead[:64]:
+    for word in session.alternatives[:64]:
         try:
             name, host, port, region, zone, incarnation = word
             member = Member(
@@ -527,7 +512,4 @@
         except (TypeError, ValueError):
             continue
         instead.append(member)
-    return LinkRejected(session.ended_why, tuple(instead))
-
-
-__all__ = ["BEAT_S", "ReplicaLocation", "Replica", "Topology"]
+    return LinkRejected(session.peer_close_code, tuple(instead))
--- a/sageturn/store/replication/session.py
+++ b/sageturn/store/replication/session.py
@@ -12,8 +12,10 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
-from sageturn.store.records import StoreRecord, digest_of
+from sageturn.store.records import StoreRecord, record_digest
 from sageturn.store.replication.changes import DEPTH, FANOUT
+from sageturn.store.replication.close_code import CloseCode
+from sageturn.store.replication.liveness import HEARTBEAT_INTERVAL_S, PEER_TIMEOUT_S
 from sageturn.store.replication.wire import (
     LANES,
     PART_OCTETS,
@@ -33,8 +35,6 @@
 if TYPE_CHECKING:
     from sageturn.store.replication.replica import Replica
 
-BEAT_S = 0.7  # a heartbeat's pace; three lost or late ones end a link
-SILENT_S = 2.0
 FRAME_OVERHEAD = 36  # length and keyed hash (frames.py)
 WINDOW, URGENT_WINDOW = 2, 4  # parts on their way
 LEAST_PART = 4096.0  # octets left in the budget below which no part is begun; a part packs to about so many
@@ -51,9 +51,6 @@
 LIVE, BASE = 0, 1
 CAN_WAIT = (URGENT, BASE), (STATES, LIVE), (STATES, BASE)  # in the order in which they go
 
-# Why a link is ended, as its last word names it.
-ORDERLY, REMOVED, AWAY, LATER, VERSION, FAULT = "orderly", "removed", "away", "later", "version", "fault"
-
 
 @dataclass(slots=True)
 class Cursor:
@@ -95,15 +92,15 @@
 class ReplicationSession:
     def __init__(self, replica: Replica, peer: str, now: float, dialled: tuple[str, int] | None) -> None:
         self._replica, self.peer, self.dialled = replica, peer, dialled
-        self.opened = self.heard = now
-        self.hello: Hello | None = None
+        self.opened = self.last_received_at = now
+        self.peer_hello: Hello | None = None
         self.fresh = False  # the peer, as it last said
-        self.closing = ""  # why this side ends it
-        self.closing_why = FAULT
-        self.told_bye = False
-        self.ended = ""  # why the other side ended it
-        self.ended_why = ""
-        self.ended_instead: list[list[Any]] = []
+        self.close_detail = ""  # why this side ends it
+        self.close_code: str = CloseCode.FAULT
+        self.sent_bye = False
+        self.peer_close_detail = ""  # why the other side ended it
+        self.peer_close_code = ""
+        self.alternatives: list[list[Any]] = []
         self._claim: bool | None = None  # what this side says of its own freshness in its greeting
         self._said_hello = self._followed = self._acks_due = False
         self._beat_at = now
@@ -125,18 +122,25 @@
 
     # ------------------------------------------------------------ how it stands
 
+    @property
+    def chunks_in_flight(self) -> int:
+        """Chunks that were sent and are not acknowledged yet."""
+        return len(self._flying)
+
     @property
     def guest(self) -> bool:
         """One side is an operator's copy for a moment: no member, and outside every rule of membership."""
-        return self._replica.guest or (self.hello is not None and self.hello.guest)
+        return self._replica.guest or (self.peer_hello is not None and self.peer_hello.guest)
 
     @property
     def caught_up(self) -> bool:
         """This side has all that the other had when the link came up."""
         return (
-            self.hello is not None
+            self.peer_hello is not None
             and self._followed
-            and all(c.complete and c.live >= h for c, h in zip(self._held, self.hello.heads, strict=True))
+            and all(
+                c.complete and c.live >= h for c, h in zip(self._held, self.peer_hello.heads, strict=True)
+            )
         )
 
     @property
@@ -152,32 +156,32 @@
                     return False
         return True
 
-    def close(self, reason: str, why: str = FAULT) -> None:
-        if not self.closing:
-            self.closing, self.closing_why = reason, why
-            self._replica.woken()
+    def close(self, reason: str, why: str = CloseCode.FAULT) -> None:
+        if not self.close_detail:
+            self.close_detail, self.close_code = reason, why
+            self._replica.on_output_pending()
 
     # ------------------------------------------------------------ what to say
 
-    def next(self, now: float) -> bytes | None:
+    def next_payload(self, now: float) -> bytes | None:
         """What goes out now; None: again at ``wake_at``, after a ``receive``, or when the copy changed."""
-        if self.ended or self.told_bye:
+        if self.peer_close_detail or self.sent_bye:
             return None
-        if not self.closing and now - self.heard >= SILENT_S:
-            self.close(f"silent for {now - self.heard:.1f} s")
-        if self.closing:
-            self.told_bye = True
+        if not self.close_detail and now - self.last_received_at >= PEER_TIMEOUT_S:
+            self.close(f"silent for {now - self.last_received_at:.1f} s")
+        if self.close_detail:
+            self.sent_bye = True
             return self._say(now, self._replica.make_bye(self))
-        if not self._said_hello and (self.dialled is not None or self.hello is not None):
+        if not self._said_hello and (self.dialled is not None or self.peer_hello is not None):
             self._said_hello = True
-            self._beat_at = now + BEAT_S
+            self._beat_at = now + HEARTBEAT_INTERVAL_S
             return self._say(now, self._make_hello(now))
-        if self.hello is None or not self._said_hello:
+        if self.peer_hello is None or not self._said_hello:
             return None
         if not self._followed and self._replica.may_follow(self):
             return self._say(now, self._make_follow())
         if now >= self._beat_at:
-            self._beat_at = now + BEAT_S
+            self._beat_at = now + HEARTBEAT_INTERVAL_S
             return self._say(now, self._make_beat(now))
         if self._acks_due:
             self._acks_due = False
@@ -188,24 +192,24 @@
         return self._say(now, message) if message else None
 
     def wake_at(self, now: float) -> float:
-        """When ``next`` may have something though nothing happens meanwhile."""
-        at = self.heard + SILENT_S
-        if self.hello is not None:
+        """When ``next_payload`` may have something though nothing happens meanwhile."""
+        at = self.last_received_at + PEER_TIMEOUT_S
+        if self.peer_hello is not None:
             at = min(at, self._beat_at)
         if not self.guest:
             budget = self._replica.budget
             if self._has_part(URGENT, LIVE):
-                at = min(at, max(self._live_due(URGENT), budget.when(now, LEAST_PART, urgent=True)))
+                at = min(at, max(self._live_due(URGENT), budget.available_at(now, LEAST_PART, urgent=True)))
             if self._question or self._has_part(URGENT, BASE) or self._has_part(STATES, BASE):
-                at = min(at, budget.when(now, LEAST_PART))
+                at = min(at, budget.available_at(now, LEAST_PART))
             if self._has_part(STATES, LIVE):
-                at = min(at, max(self._live_due(STATES), budget.when(now, LEAST_PART)))
+                at = min(at, max(self._live_due(STATES), budget.available_at(now, LEAST_PART)))
         return at
 
     def _say(self, now: float, message: dict[str, Any]) -> bytes:
         payload = encode(message)
         if not self.guest:
-            self._replica.budget.take(now, len(payload) + FRAME_OVERHEAD)
+            self._replica.budget.consume(now, len(payload) + FRAME_OVERHEAD)
         return payload
 
     def _make_hello(self, now: float) -> dict[str, Any]:
@@ -220,7 +224,7 @@
                 "counts": replica.changes.counts,
                 "fresh": self._claimed(),
                 "foreign": replica.foreign,
-                "floor": replica.store.standing.floor,
+                "floor": replica.store.replica_state.tombstone_floor,
                 "guest": replica.guest,
                 "member": replica.member_word,
             },
@@ -230,13 +234,13 @@
     def _claimed(self) -> bool:
         """Once a link: both sides judge by the greetings, and must come to the same."""
         if self._claim is None:
-            self._claim = self._replica.fresh
+            self._claim = self._replica.recently_in_sync
         return self._claim
 
     def _make_follow(self) -> dict[str, Any]:
-        assert self.hello is not None
+        assert self.peer_hello is not None
         self._followed = True
-        replica, hello = self._replica, self.hello
+        replica, hello = self._replica, self.peer_hello
         known = replica.cursors.get(hello.incarnation)
         for lane in LANES:
             head = hello.heads[lane]
@@ -274,9 +278,9 @@
                 replica.changes.roots,
                 told,
                 self._acks() if self._followed else None,
-                replica.store.standing.floor,
-                replica.fresh,
-                replica.ages(now),
+                replica.store.replica_state.tombstone_floor,
+                replica.recently_in_sync,
+                replica.zone_ages(now),
                 replica.beacon(self, now),
             ]
         }
@@ -296,7 +300,7 @@
         assert self._flows is not None
         flow, end = self._flows[lane][kind], self._end(lane, kind)
         if flow.seen < end:
-            peer = self.hello.incarnation if self.hello is not None else 0
+            peer = self.peer_hello.incarnation if self.peer_hello is not None else 0
             for revision, _, source in self._replica.changes.sequences[lane].since(flow.seen):
                 if revision > end:
                     break
@@ -325,7 +329,7 @@
             return None
         if kind == LIVE and now < self._live_due(lane) and not self.guest:
             return None
-        assert self._flows is not None and self.hello is not None
+        assert self._flows is not None and self.peer_hello is not None
         if not self._may_take(now, lane == URGENT and kind == LIVE):
             return None
         room = PART_OCTETS
@@ -335,7 +339,7 @@
         for revision, key, source in self._replica.changes.sequences[lane].since(flow.seen):
             if revision > end:
                 break
-            if source == self.hello.incarnation:
+            if source == self.peer_hello.incarnation:
                 continue
             record = self._replica.store.record(key)
             assert record is not None, key
@@ -358,7 +362,7 @@
         return self._live_at[lane] - (LIVE_AT_ONCE - 1) * LIVE_S[lane]
 
     def _may_take(self, now: float, urgent: bool = False) -> bool:
-        return self.guest or self._replica.budget.left(now, urgent) >= LEAST_PART
+        return self.guest or self._replica.budget.available_bytes(now, urgent) >= LEAST_PART
 
     # ------------------------------------------------------------ the walk
 
@@ -448,7 +452,7 @@
         known = self._replica.store.record(key)
         if known is None or known.order != order:
             return known is None or known.order < order
-        return digest > digest_of(known)
+        return digest > record_digest(known)
 
     def _hear_records(self, done: int, records: list[StoreRecord]) -> None:
         asked = self._answered("give", done)
@@ -478,7 +482,7 @@
     def receive(self, payload: bytes, now: float) -> None:
         """Raises Refusal, and has then changed nothing of what this frame says."""
         message = decode(payload)
-        self.heard = now
+        self.last_received_at = now
         try:
             self._hear(message, now)
         except SessionRejected:
@@ -490,18 +494,18 @@
         kind = next(iter(message))
         what = message[kind]
         if kind == "digest":
-            self.closing_why = VERSION
+            self.close_code = CloseCode.VERSION
             raise SessionRejected(
                 f"{self.peer} speaks protocol 1 (whole digests), this copy speaks {PROTOCOL}"
             )
         if kind == "bye":
-            self.ended, self.ended_why = str(what[1])[:500], str(what[0])
-            self.ended_instead = list(what[2])
+            self.peer_close_detail, self.peer_close_code = str(what[1])[:500], str(what[0])
+            self.alternatives = list(what[2])
             return
         if kind == "hello":
             self._hear_hello(what, now)
             return
-        if self.hello is None:
+        if self.peer_hello is None:
             raise SessionRejected(f"{kind} before any greeting")
         if kind == "follow":
             self._hear_follow(what)
@@ -525,10 +529,10 @@
         self._replica.progressed(self, now)
 
     def _hear_hello(self, what: dict[str, Any], now: float) -> None:
-        if self.hello is not None:
+        if self.peer_hello is not None:
             raise SessionRejected("greeted twice")
         if what["protocol"] != PROTOCOL:
-            self.closing_why = VERSION
+            self.close_code = CloseCode.VERSION
             raise SessionRejected(
                 f"{self.peer} speaks protocol {what['protocol']}, this copy speaks {PROTOCOL}"
             )
@@ -548,7 +552,7 @@
         if hello.node != self.peer:
             raise SessionRejected(f"{self.peer} greets as {hello.node}")
         self._replica.admit(self, hello, self._claimed(), now)
-        self.hello, self.fresh = hello, hello.fresh
+        self.peer_hello, self.fresh = hello, hello.fresh
         self._beat_at = now
         self._replica.linked(self, now)
 
@@ -613,7 +617,7 @@
         replica = self._replica
         if not self.guest:
             replica.hear_floor(natural(floor))
-            replica.hear_ages(ages, now)
+            replica.merge_zone_ages(ages, now)
             replica.hear_beacon(self, beacon, now)
         if not self._followed or told is None:
             return
@@ -623,7 +627,7 @@
         for cursor, (_, end) in zip(self._held, told, strict=True):
             cursor.live = end
         if self._pending_beat is None:
-            self._pending_beat = list(heads), replica.changes.heads, replica.store.wall()
+            self._pending_beat = list(heads), replica.changes.heads, replica.store.wall_clock()
         for lane in LANES:
             self._compare(lane, heads[lane], roots[lane], now)
 
--- a/sageturn/store/replication/wire.py
+++ b/sageturn/store/replication/wire.py
@@ -6,7 +6,13 @@
 import zlib
 from typing import Any
 
-from sageturn.store.records import FRAME_MOST, STATE, InvalidRecordError, StoreRecord, parse_record
+from sageturn.store.records import (
+    MAX_FRAME_BYTES,
+    STATE_PREFIX,
+    InvalidRecordError,
+    StoreRecord,
+    parse_record,
+)
 
 PROTOCOL = 2  # 1 was the exchange of whole digests
 URGENT, STATES = 0, 1
@@ -22,7 +28,7 @@
 
 def lane_of(key: str) -> int:
     """Nodes tell their states anew all the time; everything else is somebody's decision, and urgent."""
-    return STATES if key.startswith(STATE) else URGENT
+    return STATES if key.startswith(STATE_PREFIX) else URGENT
 
 
 def octets_of(obj: Any) -> int:
@@ -43,12 +49,12 @@
     if payload.startswith(_PACKED):
         unpacker = zlib.decompressobj()
         try:
-            plain = unpacker.decompress(payload[1:], FRAME_MOST)
+            plain = unpacker.decompress(payload[1:], MAX_FRAME_BYTES)
         except zlib.error:
             raise SessionRejected("a frame cannot be unpacked") from None
         if unpacker.unconsumed_tail or not unpacker.eof:
             raise SessionRejected("a frame is too large, or cut short")
-    if len(plain) > FRAME_MOST:
+    if len(plain) > MAX_FRAME_BYTES:
         raise SessionRejected("a frame is too large")
     try:
         message = json.loads(plain)
--- a/sageturn/store/store.py
+++ b/sageturn/store/store.py
@@ -13,38 +13,46 @@
 
 from sageturn.store.log import RecordLog
 from sageturn.store.records import (
-    KEY_MOST,
-    STATE,
-    VALUE_MOST,
+    MAX_KEY_LENGTH,
+    MAX_VALUE_BYTES,
+    STATE_PREFIX,
     InvalidRecordError,
     StoreRecord,
     may_write,
     supersedes,
 )
-from sageturn.store.replica_state import ReplicaState, read_standing, write_standing
+from sageturn.store.replica_state import ReplicaState, read_replica_state, write_replica_state
 
 log = logging.getLogger(__name__)
 
 COMPACT_FROM = 1 << 20  # octets; below this a log is never worth rewriting
 COMPACT_TIMES = 4  # rewritten when it is so many times what its records need
-STANDING_S = 60.0  # how often "in step until now" goes to the disk
+STATE_WRITE_INTERVAL_S = 60.0  # how often "in step until now" goes to the disk
 
 Digest = dict[str, tuple[int, str]]
 
 
 class Store:
-    """``path`` None: memory only, as on the platform, where no disk survives. ``wall`` tells Unix seconds."""
+    """One node's copy of all records; the only writer of its log.
 
-    def __init__(self, node: str, path: Path | None = None, wall: Callable[[], float] = time.time) -> None:
-        self.node, self.wall = node, wall
+    ``path`` None keeps records in memory only, as on the platform, where no disk survives a restart.
+    ``wall_clock`` returns Unix seconds.
+    """
+
+    def __init__(
+        self, node: str, path: Path | None = None, wall_clock: Callable[[], float] = time.time
+    ) -> None:
+        self.node, self.wall_clock = node, wall_clock
         self._records: dict[str, StoreRecord] = {}
         self._path = path
         self._log = RecordLog(path) if path is not None else None
         self._compact_from = COMPACT_FROM
         self.on_change: list[Callable[[list[StoreRecord]], None]] = []
         self.on_forgotten: list[Callable[[list[str]], None]] = []
-        self.standing = ReplicaState() if path is None else read_standing(self._standing_path(path))
-        self._filed_in_step = self.standing.in_step or 0.0
+        self.replica_state = (
+            ReplicaState() if path is None else read_replica_state(self._replica_state_path(path))
+        )
+        self._written_in_sync = self.replica_state.last_in_sync or 0.0
         if self._log is not None:
             if self._log.cut_off:
                 log.warning("store: %d octets of a torn tail were cut off", self._log.cut_off)
@@ -78,14 +86,14 @@
 
     def put(self, key: str, value: Any) -> StoreRecord:
         """None deletes. Raises InvalidRecordError for another node's key, and for too large a value."""
-        if not key or len(key) > KEY_MOST or not may_write(self.node, key):
+        if not key or len(key) > MAX_KEY_LENGTH or not may_write(self.node, key):
             raise InvalidRecordError(f"key: {key} is not {self.node}'s to write")
-        if len(json.dumps(value)) > VALUE_MOST:
-            raise InvalidRecordError(f"value: of {key} is larger than {VALUE_MOST} octets")
+        if len(json.dumps(value)) > MAX_VALUE_BYTES:
+            raise InvalidRecordError(f"value: of {key} is larger than {MAX_VALUE_BYTES} octets")
         known = self._records.get(key)
         # Above every deletion that was forgotten: another copy may still remember it, and must not win.
-        version = known.version + 1 if known else self.standing.floor + 1
-        record = StoreRecord(key, value, version, self.node, int(self.wall() * 1000.0))
+        version = known.version + 1 if known else self.replica_state.tombstone_floor + 1
+        record = StoreRecord(key, value, version, self.node, int(self.wall_clock() * 1000.0))
         self._apply([record])
         return record
 
@@ -127,15 +135,15 @@
         """
         gone = [self._records.pop(key) for key in keys if key in self._records]
         floor = max((record.version for record in gone), default=0)
-        if floor > self.standing.floor:
-            self.raise_floor(floor)
+        if floor > self.replica_state.tombstone_floor:
+            self.raise_tombstone_floor(floor)
         if gone:
             for told in self.on_forgotten:
                 told([record.key for record in gone])
 
-    def raise_floor(self, floor: int) -> None:
-        if floor > self.standing.floor:
-            self._stand(replace(self.standing, floor=floor))
+    def raise_tombstone_floor(self, floor: int) -> None:
+        if floor > self.replica_state.tombstone_floor:
+            self._write_replica_state(replace(self.replica_state, tombstone_floor=floor))
 
     def drop_copied(self) -> int:
         """Away for too long: what others have deleted meanwhile may be here still, so none of it counts.
@@ -143,7 +151,7 @@
         Kept are this node's own states, and what was written here since it was last in step. The log is
         set aside as it was, with ``.dropped-`` and the time at its end, for an operator to look into.
         """
-        since, own = self.standing.in_step, f"{STATE}{self.node}/"
+        since, own = self.replica_state.last_in_sync, f"{STATE_PREFIX}{self.node}/"
         kept = {
             key: record
             for key, record in self._records.items()
@@ -151,10 +159,10 @@
         }
         dropped = [key for key in self._records if key not in kept]
         if self._path is not None:
-            aside = self._path.with_name(f"{self._path.name}.dropped-{int(self.wall())}")
+            aside = self._path.with_name(f"{self._path.name}.dropped-{int(self.wall_clock())}")
             shutil.copyfile(self._path, aside)
-        floor = max([self.standing.floor] + [self._records[key].version for key in dropped])
-        self._stand(ReplicaState(None, floor))
+        floor = max([self.replica_state.tombstone_floor] + [self._records[key].version for key in dropped])
+        self._write_replica_state(ReplicaState(None, floor))
         self._records = kept
         if self._log is not None:
             self._rewrite()
@@ -162,21 +170,21 @@
             told(dropped)
         return len(dropped)
 
-    def set_in_step(self, at: float | None) -> None:
+    def set_last_in_sync(self, at: float | None) -> None:
         """``at``: Unix seconds until which this copy held all that the others did; None: not known."""
-        if at is None or at - self._filed_in_step >= STANDING_S:
-            self._filed_in_step = at or 0.0
-            self._stand(replace(self.standing, in_step=at))
+        if at is None or at - self._written_in_sync >= STATE_WRITE_INTERVAL_S:
+            self._written_in_sync = at or 0.0
+            self._write_replica_state(replace(self.replica_state, last_in_sync=at))
         else:
-            self.standing = replace(self.standing, in_step=at)
+            self.replica_state = replace(self.replica_state, last_in_sync=at)
 
-    def _stand(self, standing: ReplicaState) -> None:
-        self.standing = standing
+    def _write_replica_state(self, standing: ReplicaState) -> None:
+        self.replica_state = standing
         if self._path is not None:
-            write_standing(self._standing_path(self._path), standing)
+            write_replica_state(self._replica_state_path(self._path), standing)
 
     @staticmethod
-    def _standing_path(path: Path) -> Path:
+    def _replica_state_path(path: Path) -> Path:
         return path.with_name(path.name + ".standing")
 
     def close(self) -> None:
--- a/tests/config/test_compatibility_operators.py
+++ b/tests/config/test_compatibility_operators.py
@@ -36,7 +36,7 @@
     "peers": "seeds",
     "region": "region",
     "zone": "zone",
-    "octets_per_s": "octets_per_s",
+    "octets_per_s": "max_bytes_per_s",
     "horizon_s": "horizon_s",
 }
 XMPP = ("listen", "domain", "wait_ms", "port", "negotiate_s", "mute_s")
--- a/tests/relay/test_compatibility_states.py
+++ b/tests/relay/test_compatibility_states.py
@@ -69,7 +69,7 @@
     if relay.exporter is not None:
         relay.exporter.dropped = 3
     if relay.replica is not None:
-        relay.replica.replica.hear_ages({"south/s1": 35.0, "south/s2": 1.0}, time.monotonic())
+        relay.replica.replica.merge_zone_ages({"south/s1": 35.0, "south/s2": 1.0}, time.monotonic())
     told.append(await tell_once(relay))
     relay.listener.close()
     return told
--- a/tests/store/test_compatibility_replication.py
+++ b/tests/store/test_compatibility_replication.py
@@ -23,9 +23,11 @@
 
 from sageturn.store.channel import AuthenticatedChannel, HandshakeRejectedError, read_secret
 from sageturn.store.records import StoreRecord
+from sageturn.store.replication.close_code import CloseCode
+from sageturn.store.replication.location import ReplicaLocation
 from sageturn.store.replication.overlay import Overlay
-from sageturn.store.replication.replica import Replica, ReplicaLocation
-from sageturn.store.replication.session import ORDERLY, ReplicationSession
+from sageturn.store.replication.replica import Replica
+from sageturn.store.replication.session import ReplicationSession
 from sageturn.store.replication.wire import SessionRejected, decode, encode
 from sageturn.store.store import Store
 
@@ -66,7 +68,7 @@
 
     def __init__(self, scenario: str, name: str) -> None:
         self.name, self.scenario, self.step = name, scenario, 0
-        self.store = Store(name, wall=lambda: WALL_S + self.step * STEP_S)
+        self.store = Store(name, wall_clock=lambda: WALL_S + self.step * STEP_S)
         for key, value in HELD[scenario][name]:
             self.store.put(key, value)
         place = None if scenario == "guest" and name == "b" else PLACES[name]
@@ -78,27 +80,27 @@
         if place is not None:
             self.replica.announce()
         peer = "b" if name == "a" else "a"
-        self.session: ReplicationSession = self.replica.open(
+        self.session: ReplicationSession = self.replica.open_session(
             peer, 0.0, None if name == "a" else PLACES["a"].address
         )
 
     def say(self, step: int) -> Iterator[bytes]:
         self.step = step
         if step == CLOSE_AT and self.name == "b":
-            self.session.close("stopping", ORDERLY)
+            self.session.close("stopping", CloseCode.ORDERLY)
         for at, name, key, value in LIVE:
             if (at, name) == (step, self.name) and self.scenario in ("walk", "snapshot"):
                 self.store.put(key, value)
         if step % 20 == 0:
             self.replica.tick(step * STEP_S)
-        while (payload := self.session.next(step * STEP_S)) is not None:
+        while (payload := self.session.next_payload(step * STEP_S)) is not None:
             yield payload
 
     def hear(self, payload: bytes) -> None:
         try:
             self.session.receive(payload, self.step * STEP_S)
         except SessionRejected as refusal:
-            self.session.close(str(refusal), self.session.closing_why)
+            self.session.close(str(refusal), self.session.close_code)
 
     def records(self) -> list[dict[str, Any]]:
         return sorted((record.to_json() for record in self.store.records()), key=lambda r: r["key"])
@@ -178,7 +180,7 @@
 
 
 async def use_link(link: AuthenticatedChannel, dialled: bool) -> list[bytes]:
-    await link.shake_hands(dialled)
+    await link.perform_handshake(dialled)
     for payload in PAYLOADS:
         await link.send(payload)
     return [await link.receive() for _ in PAYLOADS]
--- a/tests/store/test_compatibility_store.py
+++ b/tests/store/test_compatibility_store.py
@@ -12,7 +12,7 @@
 
 from sageturn.store.log import LogCorruptedError
 from sageturn.store.records import StoreRecord
-from sageturn.store.replica_state import ReplicaState, read_standing, write_standing
+from sageturn.store.replica_state import ReplicaState, read_replica_state, write_replica_state
 from sageturn.store.store import Store
 
 FIXTURES = Path(__file__).parents[1] / "fixtures" / "store"
@@ -68,7 +68,7 @@
         store.put(key, value)
     store.merge([StoreRecord(**{"written_ms": None, **record}) for record in FROM_OTHERS])
     store.forget(["notes/deleted"])
-    store.set_in_step(START_S + 120.5)
+    store.set_last_in_sync(START_S + 120.5)
     store.close()
 
 
@@ -96,7 +96,7 @@
         rewrite(path)
         files["rewritten.log"] = path.read_bytes()
         unknown = Path(folder) / "unknown"
-        write_standing(unknown, ReplicaState())
+        write_replica_state(unknown, ReplicaState())
         files["unknown.standing"] = unknown.read_bytes()
         return files
 
@@ -137,8 +137,12 @@
 
 
 def test_the_file_beside_the_log_is_read() -> None:
-    assert read_standing(FIXTURES / "store.log.standing") == ReplicaState(in_step=1_700_000_120.5, floor=2)
-    assert read_standing(FIXTURES / "unknown.standing") == ReplicaState(in_step=None, floor=0)
+    assert read_replica_state(FIXTURES / "store.log.standing") == ReplicaState(
+        last_in_sync=1_700_000_120.5, tombstone_floor=2
+    )
+    assert read_replica_state(FIXTURES / "unknown.standing") == ReplicaState(
+        last_in_sync=None, tombstone_floor=0
+    )
 
 
 @pytest.mark.parametrize("at", [0, 17, 21, 25, 40, 200, 900])
--- a/tests/store/test_replication.py
+++ b/tests/store/test_replication.py
@@ -11,9 +11,10 @@
 from hypothesis import strategies as st
 from support.replication_fleet import Fleet, settled
 
-from sageturn.store.records import InvalidRecordError, StoreRecord, digest_of, parse_record, supersedes
+from sageturn.store.records import InvalidRecordError, StoreRecord, parse_record, record_digest, supersedes
+from sageturn.store.replication.backoff import Backoff
+from sageturn.store.replication.byte_budget import ByteBudget
 from sageturn.store.replication.changes import DEPTH, FANOUT, ChangeLogSet, HashTree
-from sageturn.store.replication.pace import Backoff, Budget
 from sageturn.store.replication.session import PART_OCTETS, ReplicationSession
 from sageturn.store.replication.wire import PROTOCOL, SessionRejected, decode, encode
 from sageturn.store.store import Store
@@ -137,15 +138,15 @@
     fleet = settled("ab", 1, rate=8192.0)
     bulk(fleet, "a", 3000)
     fleet.run(20.0)
-    fleet.start("e", Store("e", wall=fleet.wall))
+    fleet.start("e", Store("e", wall_clock=fleet.wall))
     fleet.put("e", "config/early", 1)
     fleet.link("a", "e")
     fleet.run(1.0)
     session = fleet.wires["a", "e"].sessions["a"]
-    assert session.hello is not None and not session.fresh and not fleet.replicas["e"].fresh
+    assert session.peer_hello is not None and not session.fresh and not fleet.replicas["e"].recently_in_sync
     assert fleet.store("a").get("config/early") is None
     assert fleet.heal(30.0, [("a", "b"), ("a", "e")])
-    assert fleet.store("b").get("config/early") == 1 and fleet.replicas["e"].fresh
+    assert fleet.store("b").get("config/early") == 1 and fleet.replicas["e"].recently_in_sync
 
 
 def test_a_key_written_anew_wins_over_a_deletion_that_others_still_remember() -> None:
@@ -160,7 +161,7 @@
     fleet.put("b", "config/x", None)
     fleet.run(2.0)
     fleet.store("a").forget(["config/x"])
-    fleet.start("c", Store("c", wall=fleet.wall))  # knows of neither, but for a's word
+    fleet.start("c", Store("c", wall_clock=fleet.wall))  # knows of neither, but for a's word
     fleet.link("a", "c")
     fleet.run(0.2)
     fleet.put("c", "config/x", "by c")
@@ -181,9 +182,9 @@
     fleet.put("a", "config/x", None)
     fleet.run(200.0)
     assert fleet.store("c").get("config/x") == 1 and fleet.store("b").record("config/x") is not None
-    ages = fleet.replicas["b"].ages(fleet.now)
+    ages = fleet.replicas["b"].zone_ages(fleet.now)
     assert ages["r/c"] > 190.0 and ages["r/a"] < 2.0 and ages["r/b"] == 0.0
-    assert fleet.replicas["c"].fresh and fleet.replicas["a"].fresh
+    assert fleet.replicas["c"].recently_in_sync and fleet.replicas["a"].recently_in_sync
     links = [("a", "b"), ("a", "c"), ("c", "d")]
     assert fleet.heal(30.0, links)
     assert fleet.store("d").get("config/x") is None
@@ -198,7 +199,7 @@
     fleet.restart("a")
     fleet.heal(links=[("a", "b")])
     fleet.run(70.0)
-    assert fleet.replicas["a"].fresh and fleet.replicas["b"].fresh
+    assert fleet.replicas["a"].recently_in_sync and fleet.replicas["b"].recently_in_sync
     fleet.restart("a", wiped=True)
     assert fleet.heal(links=[("a", "b"), ("b", "c")])
     assert fleet.store("a").get("config/x") == fleet.store("c").get("config/x") == 1
@@ -207,11 +208,11 @@
 def test_a_copy_of_unknown_age_starts_over_and_an_empty_one_between_hands_nothing_on() -> None:
     # z holds what a and b have deleted and forgotten; e is new, and linked to z before it is to a.
     fleet = settled("ab", 1, horizon_s=60.0)
-    fleet.start("z", Store("z", wall=fleet.wall))
+    fleet.start("z", Store("z", wall_clock=fleet.wall))
     fleet.store("z").merge([StoreRecord("config/gone", 1, 1, "y"), StoreRecord("config/kept", 1, 1, "y")])
     fleet.restart("z")
     fleet.put("a", "config/kept", 2)
-    fleet.start("e", Store("e", wall=fleet.wall))
+    fleet.start("e", Store("e", wall_clock=fleet.wall))
     fleet.link("z", "e")
     fleet.run(2.0)
     assert fleet.store("e").get("config/gone") == 1
@@ -344,7 +345,7 @@
 
 def test_several_changes_of_a_key_go_as_one_and_a_slow_follower_holds_up_nobody() -> None:
     fleet = linked(10)
-    fleet.start("c", Store("c", wall=fleet.wall))
+    fleet.start("c", Store("c", wall_clock=fleet.wall))
     assert fleet.heal(10.0, [("a", "b"), ("a", "c")])
     slow = fleet.wires["a", "c"]
     slow.slow.add("c")
@@ -363,15 +364,15 @@
 @SEEDED
 @given(st.lists(st.tuples(st.floats(0, 3), st.integers(0, 20_000), st.booleans()), max_size=60))
 def test_the_budget_holds_over_any_span(steps: list[tuple[float, int, bool]]) -> None:
-    budget, now, taken = Budget(1000.0, 0.0), 0.0, [(0.0, 0)]
+    budget, now, taken = ByteBudget(1000.0, 0.0), 0.0, [(0.0, 0)]
     for wait, octets, urgent in steps:
         now += wait
-        if budget.left(now, urgent) >= octets:
-            budget.take(now, octets)
+        if budget.available_bytes(now, urgent) >= octets:
+            budget.consume(now, octets)
             taken.append((now, octets))
         elif octets <= budget.burst:
-            at = budget.when(now, octets, urgent)
-            assert at >= now and budget.left(at, urgent) >= octets - 1e-3
+            at = budget.available_at(now, octets, urgent)
+            assert at >= now and budget.available_bytes(at, urgent) >= octets - 1e-3
             now = at
     for first in range(len(taken)):
         spent = sum(octets for _, octets in taken[first:])
@@ -380,11 +381,11 @@
 
 def test_waits_double_up_to_a_most_and_differ() -> None:
     backoff = Backoff(1.0, 8.0, random.Random(1))
-    waits = [backoff.draw() for _ in range(6)]
+    waits = [backoff.next_delay_s() for _ in range(6)]
     assert all(most / 2 <= wait <= most for wait, most in zip(waits, [1, 2, 4, 8, 8, 8], strict=True))
     assert len(set(waits)) == 6
     backoff.reset()
-    assert backoff.draw() <= 1.0
+    assert backoff.next_delay_s() <= 1.0
 
 
 # ---------------------------------------------------------------- parts
@@ -428,7 +429,7 @@
     fleet.store("a").merge([one])
     fleet.store("b").merge([two])
     assert fleet.heal()
-    winner = one if digest_of(one) > digest_of(two) else two
+    winner = one if record_digest(one) > record_digest(two) else two
     assert {fleet.store(name).get("config/x") for name in "abc"} == {winner.value}
 
 
@@ -524,20 +525,20 @@
 
 def test_an_old_copy_is_refused_and_both_sides_are_told_both_versions() -> None:
     fleet = Fleet("a", 1)
-    dialled = fleet.replicas["a"].open("old", fleet.now, ("127.0.0.1", 9))
-    greeting = json.loads(dialled.next(fleet.now) or b"")
+    dialled = fleet.replicas["a"].open_session("old", fleet.now, ("127.0.0.1", 9))
+    greeting = json.loads(dialled.next_payload(fleet.now) or b"")
     with pytest.raises(InvalidRecordError, match=f"protocol {PROTOCOL}, this copy speaks 1"):
         parse_record(greeting["records"][0])  # as the old one reads it, and what it then logs
-    accepted = fleet.replicas["a"].open("old", fleet.now)
-    assert accepted.next(fleet.now) is None, "who accepts waits for the greeting"
+    accepted = fleet.replicas["a"].open_session("old", fleet.now)
+    assert accepted.next_payload(fleet.now) is None, "who accepts waits for the greeting"
     with pytest.raises(
         SessionRejected, match=f"old speaks protocol 1 .*, this copy speaks {PROTOCOL}"
     ) as refusal:
         accepted.receive(b'{"digest":{"config/x":[1,"old"]}}', fleet.now)
-    accepted.close(str(refusal.value), accepted.closing_why)
+    accepted.close(str(refusal.value), accepted.close_code)
     with pytest.raises(InvalidRecordError, match=f"protocol {PROTOCOL}, this copy speaks 1"):
-        parse_record(json.loads(accepted.next(fleet.now) or b"")["records"][0])
-    newer = fleet.replicas["a"].open("new", fleet.now)
+        parse_record(json.loads(accepted.next_payload(fleet.now) or b"")["records"][0])
+    newer = fleet.replicas["a"].open_session("new", fleet.now)
     greeting["hello"].update(protocol=3, node="new")
     with pytest.raises(SessionRejected, match=f"new speaks protocol 3, this copy speaks {PROTOCOL}"):
         newer.receive(encode(greeting), fleet.now)
--- a/tests/store/test_replication_sockets.py
+++ b/tests/store/test_replication_sockets.py
@@ -76,7 +76,7 @@
     sock = await connect(address, 1.0)
     assert not isinstance(sock, Connect)
     link = AuthenticatedChannel(sock, SECRET, name)
-    await link.shake_hands(True)
+    await link.perform_handshake(True)
     return link, sock
 
 
@@ -135,7 +135,7 @@
         hub = max(members, key=lambda m: m.links)
         members.remove(hub)
         for session in hub.replica.sessions:
-            session.next = lambda now: None  # type: ignore[method-assign]
+            session.next_payload = lambda now: None  # type: ignore[method-assign]
             session.receive = lambda payload, now: None  # type: ignore[method-assign]
         hub.replica.tick = lambda now: ((), now + 60.0)  # type: ignore[method-assign]
         hub._listener.shut()
@@ -171,7 +171,7 @@
             store(hub).put(f"config/{number}", text)
         await until(lambda: len(store(other).keys("config/")) == 200)
         (session,) = [s for s in hub.replica.sessions if s.peer == "slow"]
-        assert len(session._flying) <= 6, "the rest is not queued for it anywhere"
+        assert session.chunks_in_flight <= 6, "the rest is not queued for it anywhere"
         assert hub.links == 2
         living.cancel()
         await until(lambda: hub.links == 1)
@@ -216,11 +216,11 @@
         await other.stop()
         store(other).close()
         store(hub).put("config/7", "new")
-        taken = hub.replica.budget.taken
+        taken = hub.replica.budget.consumed_bytes
         other = node("o", hub.address, path=tmp_path / "o")
         members.append(other)
         await until(lambda: store(other).get("config/7") == "new")
-        assert hub.replica.budget.taken - taken < 6000
+        assert hub.replica.budget.consumed_bytes - taken < 6000
 
     play(story)
 
@@ -253,7 +253,7 @@
             sock, _ = await asyncio.get_running_loop().sock_accept(listening)
             sock.setblocking(False)
             link = AuthenticatedChannel(sock, SECRET, "old2")
-            await link.shake_hands(False)
+            await link.perform_handshake(False)
             await link.send(b'{"digest":{}}')
             accepted.set_result(decode(await link.receive()))
             sock.close()
@@ -406,7 +406,7 @@
     file.write_text(json.dumps({"store": good}))
     settings = Settings(classes=(RequestClass("c", 500.0),))
     replication = read_operator(file, settings).replication
-    assert replication is not None and replication.zone == "hue" and replication.octets_per_s == 13_500.0
+    assert replication is not None and replication.zone == "hue" and replication.max_bytes_per_s == 13_500.0
     file.write_text(json.dumps({"store": {**good, **change}}))
     with pytest.raises(ConfigError, match=f"operator.store.{key}"):
         read_operator(file, settings)
@@ -425,11 +425,11 @@
     async def story(members: list[ReplicationMember]) -> None:
         members.append(node("n0", zone="a"))
         members.append(node("n1", members[0].address, zone="b"))
-        await until(lambda: "r/b" in members[0].replica._heard_zones)
+        await until(lambda: "r/b" in members[0].replica.zone_last_heard)
         await until(lambda: len(members[0].replica.members) == 2)
         assert members[0].state() == {"links": 1, "in_step": False, "silent_s": {}}
-        members[0].replica._heard_zones["r/b"] -= 47.0
-        members[0].replica._heard_zones["r/c"] = -1e6
+        members[0].replica.zone_last_heard["r/b"] -= 47.0
+        members[0].replica.zone_last_heard["r/c"] = -1e6
         state = members[0].state()["silent_s"]
         assert isinstance(state, dict) and state["r/b"] == 40 and set(state) == {"r/b", "r/c"}
         json.dumps(members[0].state())
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -95,16 +95,19 @@
 
 
 def test_what_was_in_step_and_forgotten_is_known_after_a_restart(tmp_path: Path) -> None:
-    store = Store("n1", tmp_path / "log", wall=lambda: 1000.0)
+    store = Store("n1", tmp_path / "log", wall_clock=lambda: 1000.0)
     store.put("config/a", 1)
     store.put("config/a", None)
-    store.set_in_step(900.0)
+    store.set_last_in_sync(900.0)
     store.forget(["config/a"])
     store.put("config/b", 1)
     store._rewrite()
     store.close()
-    again = Store("n1", tmp_path / "log", wall=lambda: 2000.0)
-    assert (again.standing.in_step, again.standing.floor) == (900.0, 2) and again.record("config/a") is None
+    again = Store("n1", tmp_path / "log", wall_clock=lambda: 2000.0)
+    assert (again.replica_state.last_in_sync, again.replica_state.tombstone_floor) == (
+        900.0,
+        2,
+    ) and again.record("config/a") is None
     assert again.put("config/a", 2).version == 3
     again.merge([StoreRecord("config/c", 1, 9, "n2", 800_000), StoreRecord("state/n1/x", 1, 1, "n1")])
     assert again.drop_copied() == 1, "what was written here since, and its own states, are kept"
@@ -113,7 +116,7 @@
     assert b"config/c" in aside.read_bytes() and b"config/c" not in (tmp_path / "log").read_bytes()
     (tmp_path / "log.standing").write_text("{damaged")
     last = Store("n1", tmp_path / "log")
-    assert last.standing.in_step is None and last.keys() == ["config/a", "config/b", "state/n1/x"]
+    assert last.replica_state.last_in_sync is None and last.keys() == ["config/a", "config/b", "state/n1/x"]
     last.close()
 
 
@@ -196,10 +199,10 @@
         one.setblocking(False)
         two.setblocking(False)
         left, right = AuthenticatedChannel(one, SECRET, "l"), AuthenticatedChannel(two, SECRET, "r")
-        await asyncio.gather(left.shake_hands(True), right.shake_hands(False))
+        await asyncio.gather(left.perform_handshake(True), right.perform_handshake(False))
         await left.send(b'{"records":[]}')
         assert await right.receive() == b'{"records":[]}'
-        left._sent = 0  # the same frame once more, as somebody who recorded it would send it
+        left._sent_frames = 0  # the same frame once more, as somebody who recorded it would send it
         await left.send(b'{"records":[]}')
         with pytest.raises(HandshakeRejectedError):
             await right.receive()
--- a/tests/support/replication_fleet.py
+++ b/tests/support/replication_fleet.py
@@ -7,10 +7,11 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field
 
-from sageturn.store.records import FRAME_MOST, StoreRecord, supersedes
+from sageturn.store.records import MAX_FRAME_BYTES, StoreRecord, supersedes
 from sageturn.store.replica_state import ReplicaState
+from sageturn.store.replication.location import ReplicaLocation
 from sageturn.store.replication.overlay import Beacon, LinkRejected, Member
-from sageturn.store.replication.replica import Replica, ReplicaLocation
+from sageturn.store.replication.replica import Replica
 from sageturn.store.replication.session import ASKED_KEYS, URGENT_WINDOW, WINDOW, ReplicationSession
 from sageturn.store.replication.wire import LANES, PART_OCTETS, SessionRejected, lane_of
 from sageturn.store.store import Store
@@ -43,7 +44,7 @@
         self.refusals: list[str] = []
         self._orders: dict[tuple[str, str], tuple[int, str]] = {}
         for name in names:
-            self.start(name, Store(name, wall=self.wall))
+            self.start(name, Store(name, wall_clock=self.wall))
 
     def wall(self) -> float:
         return self.began_wall + self.now
@@ -55,7 +56,7 @@
             random.Random(self.rng.random()),
             self.now,
             place,
-            octets_per_s=self.rate,
+            max_bytes_per_s=self.rate,
             horizon_s=self.horizon_s,
         )
         self._orders = {at: order for at, order in self._orders.items() if at[0] != name}
@@ -73,18 +74,18 @@
         for ends in [ends for ends in self.wires if name in ends]:
             self.cut(*ends)
         old = self.store(name)
-        new = Store(name, wall=self.wall)
+        new = Store(name, wall_clock=self.wall)
         if not wiped:
             new.merge(old.records())
-            new.standing = old.standing
+            new.replica_state = old.replica_state
         self.start(name, new)
 
     def link(self, one: str, other: str) -> None:
         ends = (one, other)
         if one == other or ends in self.wires or ends[::-1] in self.wires:
             return
-        first = self.replicas[one].open(other, self.now, ("127.0.0.1", 9))
-        second = self.replicas[other].open(one, self.now)
+        first = self.replicas[one].open_session(other, self.now, ("127.0.0.1", 9))
+        second = self.replicas[other].open_session(one, self.now)
         self.wires[ends] = Wire(ends, {one: first, other: second}, {one: deque(), other: deque()})
 
     def cut(self, one: str, other: str) -> None:
@@ -93,7 +94,7 @@
         if wire is not None:
             self.refusals += wire.refusals
             for name, session in wire.sessions.items():
-                self.replicas[name].over(session, self.now)
+                self.replicas[name].on_session_closed(session, self.now)
 
     def again(self, one: str, other: str) -> None:
         """The last frame on its way to ``other`` comes twice, as no sound link lets it."""
@@ -127,32 +128,32 @@
             waiting = waiting or bool(wire.queues[name] and name not in wire.slow)
             if wire.queues[name] and name not in wire.slow and self.rng.random() < 0.6:
                 payload = wire.queues[name].popleft()
-                if session.closing:
+                if session.close_detail:
                     return True
                 try:
                     session.receive(payload, self.now)
                 except SessionRejected as refusal:
                     wire.refusals.append(str(refusal))
-                    session.close(str(refusal), session.closing_why)
-                if session.ended:
+                    session.close(str(refusal), session.close_code)
+                if session.peer_close_detail:
                     self.cut(*wire.ends)
                 return True
             if len(wire.queues[other]) < QUEUE:
-                payload_or_none = session.next(self.now)
+                payload_or_none = session.next_payload(self.now)
                 if payload_or_none is not None:
-                    assert len(payload_or_none) <= FRAME_MOST
+                    assert len(payload_or_none) <= MAX_FRAME_BYTES
                     wire.queues[other].append(payload_or_none)
                     wire.octets += len(payload_or_none)
                     wire.sent[name] = wire.sent.get(name, 0) + len(payload_or_none)
                     wire.frames += 1
-                    if session.closing:
+                    if session.close_detail:
                         # It closes once that is said; the other side may never hear it.
-                        if session.closing.startswith("silent") or wire.slow or self.rng.random() < 0.3:
+                        if session.close_detail.startswith("silent") or wire.slow or self.rng.random() < 0.3:
                             self.cut(*wire.ends)
                         else:
                             self._hear_out(wire, other)
                     return True
-            elif session.wake_at(self.now) <= self.now and self.now - session.heard >= 2.0:
+            elif session.wake_at(self.now) <= self.now and self.now - session.last_received_at >= 2.0:
                 self.cut(*wire.ends)
                 return True
             replica.tick(self.now)
@@ -160,7 +161,7 @@
 
     def _hear_out(self, wire: Wire, name: str) -> None:
         session = wire.sessions[name]
-        while wire.queues[name] and not session.ended and not session.closing:
+        while wire.queues[name] and not session.peer_close_detail and not session.close_detail:
             try:
                 session.receive(wire.queues[name].popleft(), self.now)
             except SessionRejected as refusal:
@@ -247,7 +248,9 @@
     def _check_budget(self, replica: Replica) -> None:
         budget = replica.budget
         passed = self.now - 1000.0
-        assert budget.taken <= budget.rate * passed + budget.burst + budget.debt + CONTROL * (passed + 1)
+        assert budget.consumed_bytes <= budget.rate * passed + budget.burst + budget.debt + CONTROL * (
+            passed + 1
+        )
 
     def _check_cursors(self) -> None:
         """Whoever says how far it is with a copy does hold what that copy had changed up to there."""
@@ -263,15 +266,18 @@
                             record, held = leader.store.record(key), follower.store.record(key)
                             assert record is not None
                             # Deleted there, and the deletion forgotten; or a deletion forgotten.
-                            forgotten = held is None and record.version <= follower.store.standing.floor
+                            forgotten = (
+                                held is None
+                                and record.version <= follower.store.replica_state.tombstone_floor
+                            )
                             sound = held is not None and not supersedes(record, held)
                             assert forgotten or sound, f"{key} at {revision} was skipped"
 
     @staticmethod
     def _check_memory(session: ReplicationSession) -> None:
-        assert len(session._flying) <= WINDOW + URGENT_WINDOW
+        assert session.chunks_in_flight <= WINDOW + URGENT_WINDOW
         assert session._question is None or len(session._question[1]) <= ASKED_KEYS
-        assert len(session.peer) < 300 and PART_OCTETS <= FRAME_MOST
+        assert len(session.peer) < 300 and PART_OCTETS <= MAX_FRAME_BYTES
 
 
 CONTROL = 12_000.0  # greetings, beats and acknowledgements of a member's few links go whatever is left
@@ -281,7 +287,7 @@
     """A fleet that has been in step, linked to a star round its first."""
     fleet = Fleet(names, seed, **more)
     for name in names:
-        fleet.store(name).standing = ReplicaState(fleet.wall(), 0)
+        fleet.store(name).replica_state = ReplicaState(fleet.wall(), 0)
     for name in names[1:]:
         fleet.link(names[0], name)
     fleet.run(5.0)
