--- a/sageturn/lab/scale/digests.py
+++ b/sageturn/lab/scale/digests.py
@@ -75,7 +75,7 @@
 class DigestSpread:
     """A link of its own to each peer, and the others'."""
 
-    state_every_s = 0.0
+    state_report_interval_s = 0.0
 
     def __init__(self, store: Store, options: LinkOptions, admission: AdmissionController) -> None:
         self._store, self._options = store, options
@@ -83,7 +83,7 @@
         self.address = self._listener.address
         self._queues: set[Pushes] = set()
         self._tasks: list[asyncio.Task[None]] = []
-        self.links = 0
+        self.link_count = 0
         store.on_change.append(self._changed)
 
     def state(self) -> dict[str, object]:
@@ -131,13 +131,13 @@
             newcomer.asked()
         queue: Pushes = asyncio.Queue(PUSHES)
         self._queues.add(queue)
-        self.links += 1
+        self.link_count += 1
         ways = [asyncio.ensure_future(way(link, queue)) for way in (self._tell, self._hear)]
         try:
             await asyncio.wait(ways, return_when=asyncio.FIRST_COMPLETED)
         finally:
             self._queues.discard(queue)
-            self.links -= 1
+            self.link_count -= 1
             for way in ways:
                 await cancel_and_wait(way)
         return True
--- a/sageturn/lab/scale/members.py
+++ b/sageturn/lab/scale/members.py
@@ -204,7 +204,7 @@
                 "reports_dropped": {},
             }
             self.store.put(f"state/{self.name}/relay", state)
-            await asyncio.sleep(max(every_s, getattr(self.spreader, "state_every_s", 0.0)))
+            await asyncio.sleep(max(every_s, getattr(self.spreader, "state_report_interval_s", 0.0)))
 
     async def stop(self) -> None:
         """As a process that dies: sockets closed, nobody told."""
@@ -258,7 +258,7 @@
         "hash": store_hash(member.store),
         "records": len(member.store.digest()),
         "running": member.running,
-        "links": getattr(member.spreader, "links", -1),
+        "links": getattr(member.spreader, "link_count", -1),
         "listed_s": member.listed_s,
         "lists": member.lists,
         "lists_failed": member.lists_failed,
--- a/sageturn/lab/spreading.py
+++ b/sageturn/lab/spreading.py
@@ -63,7 +63,7 @@
         one.replica.store.put(f"config/shard/{number}", {"host": f"s-{number % 97}", "epoch": number})
     two = _node("two", one.address)
     nodes = one, two
-    await _until(lambda: one.links and two.links)
+    await _until(lambda: one.link_count and two.link_count)
     began = time.process_time()
     snapshot_s = await _until(lambda: one.replica.changes.roots == two.replica.changes.roots)
     snapshot_cpu, snapshot = time.process_time() - began, one.replica.budget.taken
--- a/sageturn/relay.py
+++ b/sageturn/relay.py
@@ -191,9 +191,9 @@
                 "reports_dropped": dict(self.shared.dropped),
             }
             if self.replica is not None:
-                state["store"] = self.replica.state()
+                state["store"] = self.replica.state_report()
             tell(state)
-            await asyncio.sleep(max(STATE_S, self.replica.state_every_s if self.replica else 0.0))
+            await asyncio.sleep(max(STATE_S, self.replica.state_report_interval_s if self.replica else 0.0))
 
     def _ended(self, record: ConnectionRecord) -> None:
         self._counts[record.close_reason.name.lower() if record.close_reason else "not_placed"] += 1
--- a/sageturn/store/replication/member.py
+++ b/sageturn/store/replication/member.py
@@ -16,8 +16,9 @@
 from sageturn.net.listener import Listener
 from sageturn.net.sockets import Connect, connect
 from sageturn.store.channel import AuthenticatedChannel, HandshakeRejectedError
+from sageturn.store.replication.membership import Member
 from sageturn.store.replication.options import ReplicationOptions
-from sageturn.store.replication.overlay import Member, Overlay
+from sageturn.store.replication.overlay import Overlay
 from sageturn.store.replication.pace import Backoff
 from sageturn.store.replication.replica import MakeTopology, Replica, ReplicaLocation
 from sageturn.store.replication.session import ORDERLY, SILENT_S, ReplicationSession
@@ -70,20 +71,20 @@
         self._dials: set[asyncio.Task[None]] = set()
 
     @property
-    def links(self) -> int:
+    def link_count(self) -> int:
         return sum(1 for session in self.replica.sessions if session.hello is not None)
 
-    def state(self) -> dict[str, object]:
+    def state_report(self) -> dict[str, object]:
         """For operators: links, whether this copy is in step, and which zones are silent, for how long.
 
         Steps are coarse, or each look would be a change that has to spread.
         """
         ages = self.replica.ages(time.monotonic())
         silent = {zone: int(age // 10 * 10) for zone, age in ages.items() if age >= STATED_AFTER_S}
-        return {"links": self.links, "in_step": self.replica.fresh, "silent_s": silent}
+        return {"links": self.link_count, "in_step": self.replica.fresh, "silent_s": silent}
 
     @property
-    def state_every_s(self) -> float:
+    def state_report_interval_s(self) -> float:
         """How often this member may tell its state anew, so that all members' together stay few."""
         return len(self.replica.members) / STATES_PER_S
 
@@ -123,7 +124,7 @@
         except Exception:  # a fault in one link must not end the others
             log.exception("store: a link to %s:%d failed", *address)
         assert self.replica.topology is not None
-        self.replica.topology.unreachable(address, time.monotonic())
+        self.replica.topology.on_dial_failed(address, time.monotonic())
         self._due.set()
 
     async def _accepted(self, sock: socket.socket, newcomer: PendingConnection) -> None:
--- a/sageturn/store/replication/overlay.py
+++ b/sageturn/store/replication/overlay.py
@@ -25,10 +25,14 @@
 from itertools import chain, islice, zip_longest
 from random import Random
 
-Address = tuple[str, int]
-
-MEMBER, SUPERSEDED, REMOVED = "member", "superseded", "removed"  # a member's standing
-FULL, SAME_NAME = "full", "same name"  # reasons of a refusal, as is SUPERSEDED
+from sageturn.store.replication.membership import (
+    Address,
+    LinkRejected,
+    Member,
+    MembershipStatus,
+    RejectReason,
+)
+from sageturn.store.replication.routes import RouteAdvertisement
 
 START_S = 4.0  # a member that knows only seeds waits up to so long, lest a fleet's start fall on them at once
 SPREAD_S = 0.5  # and one that knows the others so long
@@ -52,37 +56,11 @@
 ASK_S, QUIET_S = 1.0, 5.0  # ``next_at`` is never later, nor when nothing is pending
 
 
-@dataclass(frozen=True, slots=True)
-class Member:
-    name: str
-    address: Address
-    region: str
-    zone: str
-    incarnation: int  # of two with one name the larger counts
-
-
-@dataclass(frozen=True, slots=True)
-class LinkRejected:
-    reason: str  # FULL, SAME_NAME or SUPERSEDED
-    instead: tuple[Member, ...] = ()  # others to turn to
-
-
-@dataclass(frozen=True, slots=True)
-class Beacon:
-    """What a link's heartbeat says of the root: the first member of those that are linked together."""
-
-    rank: int  # the root's place in the order of all
-    incarnation: int  # the root's
-    beat: int  # of that incarnation
-    port: bool  # this link is the sender's way to the root; rank and beat are then its own
-    count: int  # members behind this link if it is the sender's way, else all together as the root counts
-
-
 @dataclass(slots=True)
 class _Link:
     since: float
     dialled: bool
-    told: Beacon | None = None
+    told: RouteAdvertisement | None = None
     spare_since: float | None = None  # needed by neither side since
     patience: float = 0.0
 
@@ -220,7 +198,7 @@
             raise ValueError(f"fanout: {fanout} is under 2")
         self.own, self._rng, self.fanout = own, rng, fanout
         self.in_most = 4 * fanout
-        self.standing = MEMBER
+        self.membership_status = MembershipStatus.MEMBER
         self._rank = rank_of(own.region, own.zone, own.name)
         self._seeds = [seed for seed in dict.fromkeys(seeds) if seed != own.address]
         self._members: dict[str, Member] = {}  # the others
@@ -247,16 +225,20 @@
 
     # What is told
 
-    def saw(self, members: Iterable[Member]) -> None:
+    def update_members(self, members: Iterable[Member]) -> None:
         """The whole membership as the store has it now, without those removed."""
         seen = {member.name: member for member in members}
         mine = seen.pop(self.own.name, None)
         if mine is not None:
             self._enlisted = True
             newer = mine.incarnation > self.own.incarnation
-            self.standing = SUPERSEDED if newer or self.standing == SUPERSEDED else MEMBER
-        elif self._enlisted and self.standing == MEMBER:
-            self.standing = REMOVED
+            self.membership_status = (
+                MembershipStatus.SUPERSEDED
+                if newer or self.membership_status == MembershipStatus.SUPERSEDED
+                else MembershipStatus.MEMBER
+            )
+        elif self._enlisted and self.membership_status == MembershipStatus.MEMBER:
+            self.membership_status = MembershipStatus.REMOVED
         for gone in [member for name, member in self._members.items() if name not in seen]:
             self._drop(gone)
         for name, member in seen.items():
@@ -288,19 +270,23 @@
                     suspect.until = 0.0
             self._look_wait = LOOK_S
 
-    def admits(self, member: Member, now: float) -> LinkRejected | None:
+    def check_admission(self, member: Member, now: float) -> LinkRejected | None:
         """None to take a link that this member has dialled, else what to answer before it is closed."""
         if member.name == self.own.name:
             if member.incarnation > self.own.incarnation:
-                self.standing = SUPERSEDED
-            return LinkRejected(SUPERSEDED if member.incarnation < self.own.incarnation else SAME_NAME)
+                self.membership_status = MembershipStatus.SUPERSEDED
+            return LinkRejected(
+                RejectReason.SUPERSEDED
+                if member.incarnation < self.own.incarnation
+                else RejectReason.SAME_NAME
+            )
         seen = self._members.get(member.name)
         if seen is not None and member.incarnation < seen.incarnation:
-            return LinkRejected(SUPERSEDED)
+            return LinkRejected(RejectReason.SUPERSEDED)
         accepted = sum(not link.dialled for name, link in self._links.items() if name != member.name)
-        return LinkRejected(FULL, self._instead(member)) if accepted >= self.in_most else None
+        return LinkRejected(RejectReason.FULL, self._instead(member)) if accepted >= self.in_most else None
 
-    def linked(self, name: str, now: float, dialled: Address | None = None) -> None:
+    def on_link_established(self, name: str, now: float, dialled: Address | None = None) -> None:
         """A link stands; ``dialled`` is the address if it was this side that did."""
         member = self._members.get(name)
         if dialled is None and member is not None and member.address in self._dialling:
@@ -315,74 +301,78 @@
         if member is not None:
             self._known.add(name)
 
-    def lost(self, name: str, now: float, orderly: bool = False) -> None:
+    def on_link_lost(self, name: str, now: float, orderly: bool = False) -> None:
         """A link that stood is over; ``orderly`` if either side closed it on purpose."""
         if name not in self._links:
             return
         uplink = self._uplink()
         link = self._links.pop(name)
         self._known.discard(name)
-        force_drain = name == uplink or not self._links
+        lost_uplink = name == uplink or not self._links
         self._up_known, self._port_at = False, None
         member = self._members.get(name)
         if member is not None and not orderly:
             if now - link.since >= CALM_S:
                 self._suspects.pop(member.address, None)
             self._suspect(member.address, now, lost=True)
-        if force_drain and self._uplink() is None:
+        if lost_uplink and self._uplink() is None:
             self._look_wait, self._look_at = LOOK_S, None
             self._orphan_at = now
 
-    def unreachable(self, address: Address, now: float) -> None:
+    def on_dial_failed(self, address: Address, now: float) -> None:
         """A dial failed."""
         if self._dialling.pop(address, None) is not None:
             self._suspect(address, now)
             self._orphan_at = min(self._orphan_at, now + HEDGE_S / 5)
 
-    def refused(self, address: Address, now: float, refusal: LinkRejected) -> None:
+    def on_dial_rejected(self, address: Address, now: float, refusal: LinkRejected) -> None:
         """A dial was answered by ``refusal``."""
         self._dialling.pop(address, None)
-        if refusal.reason == SUPERSEDED:
-            self.standing = SUPERSEDED
+        if refusal.reason == RejectReason.SUPERSEDED:
+            self.membership_status = MembershipStatus.SUPERSEDED
         suspect = self._suspects.setdefault(address, _Suspect())
         wait = min(BUSY_MOST_S, BUSY_S * 2**suspect.refusals) * self._rng.uniform(0.5, 1.5)
         suspect.refusals, suspect.at, suspect.until = min(suspect.refusals + 1, 10), now, now + wait
-        self._hints = {m.address for m in refusal.instead[:INSTEAD] if m.address != self.own.address}
+        self._hints = {m.address for m in refusal.alternatives[:INSTEAD] if m.address != self.own.address}
         self._orphan_at = min(self._orphan_at, now + HEDGE_S / 5)
 
-    def heard(self, name: str, beacon: Beacon, now: float) -> None:
+    def on_advertisement(self, name: str, advertisement: RouteAdvertisement, now: float) -> None:
         """The other side's word in a heartbeat of the link to ``name``."""
         if (link := self._links.get(name)) is None:
             return
-        link.told = beacon
+        link.told = advertisement
         self._port_at = None
-        beat = (beacon.incarnation, beacon.beat)
-        last = self._beats.get(beacon.rank)
+        beat = (advertisement.root_incarnation, advertisement.sequence)
+        last = self._beats.get(advertisement.root_rank)
         if last is None or beat > last[0]:
             # What goes round in circles after a root's death never has a new beat.
-            self._beats.pop(beacon.rank, None)
-            self._beats[beacon.rank] = beat, now
+            self._beats.pop(advertisement.root_rank, None)
+            self._beats[advertisement.root_rank] = beat, now
             while len(self._beats) > ROOTS:
                 del self._beats[next(iter(self._beats))]
 
     # What is to be done
 
-    def beacon(self, name: str, now: float) -> Beacon:
+    def make_advertisement(self, name: str, now: float) -> RouteAdvertisement:
         """What to say in the next heartbeat of the link to ``name``."""
         port = self._port(now)
         below = 1 + sum(
-            link.told.count
+            link.told.member_count
             for other, link in self._links.items()
-            if link.told is not None and link.told.port and other != port
+            if link.told is not None and link.told.is_root_path and other != port
         )
         told = None if port is None else self._links[port].told
         if told is None or port == name:
-            return Beacon(self._rank, self.own.incarnation, int(now / BEAT_S), port is not None, below)
-        return Beacon(told.rank, told.incarnation, told.beat, False, told.count)
+            return RouteAdvertisement(
+                self._rank, self.own.incarnation, int(now / BEAT_S), port is not None, below
+            )
+        return RouteAdvertisement(
+            told.root_rank, told.root_incarnation, told.sequence, False, told.member_count
+        )
 
-    def to_dial(self, now: float) -> list[Address]:
+    def addresses_to_dial(self, now: float) -> list[Address]:
         """Whom to dial now, each once; every one is answered by linked, unreachable or refused."""
-        if self.standing != MEMBER:
+        if self.membership_status != MembershipStatus.MEMBER:
             return []
         if not self._started:
             self._started = True
@@ -390,7 +380,7 @@
             if not self._members:
                 self._look_at = now + self._rng.uniform(0, START_S)
         for late in [address for address, at in self._dialling.items() if now - at >= DIAL_S]:
-            self.unreachable(late, now)
+            self.on_dial_failed(late, now)
         dials = []
         for choose in (self._rescue, self._upgrade, self._look):
             if (address := choose(now)) is not None:
@@ -398,9 +388,9 @@
                 dials.append(address)
         return dials
 
-    def to_close(self, now: float) -> list[str]:
+    def links_to_close(self, now: float) -> list[str]:
         """Links to end: of no use to either side for a while, or to one that is no member."""
-        if self.standing != MEMBER:
+        if self.membership_status != MembershipStatus.MEMBER:
             return list(self._links)
         uplink, port = self._uplink(), self._port(now)
         closes = []
@@ -417,7 +407,7 @@
                 closes.append(name)
         return closes
 
-    def next_at(self, now: float) -> float:
+    def next_wakeup(self, now: float) -> float:
         """When to ask again at the latest if nothing is told before."""
         times = [at for at in (self._upgrade_at, self._look_at) if at is not None and at > now]
         if self._uplink() is None and self._orphan_at > now:
@@ -530,7 +520,7 @@
         """Members linked together with this one, as far as beacons tell."""
         port = self._port(now)
         told = None if port is None else self._links[port].told
-        return self.beacon("", now).count if told is None else told.count
+        return self.make_advertisement("", now).member_count if told is None else told.member_count
 
     def _uplink(self) -> str | None:
         if not self._up_known:
@@ -552,11 +542,11 @@
     def _root(self, link: _Link, now: float) -> int | None:
         """Whom this link tells of as root, if that one still beats and this is not the other's way to it."""
         told = link.told
-        if told is None or told.port:
+        if told is None or told.is_root_path:
             return None
-        (incarnation, beat), at = self._beats.get(told.rank, ((0, 0), -FRESH_S))
-        late = told.incarnation != incarnation or (beat - told.beat) * BEAT_S > FRESH_S
-        return None if late or now - at > FRESH_S else told.rank
+        (incarnation, beat), at = self._beats.get(told.root_rank, ((0, 0), -FRESH_S))
+        late = told.root_incarnation != incarnation or (beat - told.sequence) * BEAT_S > FRESH_S
+        return None if late or now - at > FRESH_S else told.root_rank
 
     def _port(self, now: float) -> str | None:
         """The link that is the way to the root; None if this is it."""
@@ -574,10 +564,10 @@
         return port
 
     def _spare(self, name: str, link: _Link, uplink: str | None, port: str | None, now: float) -> bool:
-        if name in (uplink, port) or (link.told is not None and link.told.port):
+        if name in (uplink, port) or (link.told is not None and link.told.is_root_path):
             return False
         way = None if port is None else self._links[port]
-        root = self._rank if way is None or way.told is None else way.told.rank
+        root = self._rank if way is None or way.told is None else way.told.root_rank
         return self._root(link, now) == root and (way is None or now - way.since >= STOOD_S)
 
     def _eligible(self, name: str, now: float, root: bool = False) -> bool:
--- a/sageturn/store/replication/replica.py
+++ b/sageturn/store/replication/replica.py
@@ -20,9 +20,10 @@
 
 from sageturn.store.records import STATE, StoreRecord
 from sageturn.store.replication.changes import ChangeLogSet
+from sageturn.store.replication.membership import LinkRejected, Member
 from sageturn.store.replication.options import HORIZON_S, OCTETS_PER_S
-from sageturn.store.replication.overlay import Beacon, LinkRejected, Member
 from sageturn.store.replication.pace import Backoff, Budget
+from sageturn.store.replication.routes import RouteAdvertisement
 from sageturn.store.replication.session import (
     AWAY,
     BEAT_S,
@@ -55,18 +56,18 @@
     """Who links to whom (``overlay.Overlay``)."""
 
     @property
-    def standing(self) -> str: ...
-    def saw(self, members: Iterable[Member]) -> None: ...
-    def admits(self, member: Member, now: float) -> LinkRejected | None: ...
-    def linked(self, name: str, now: float, dialled: Address | None = None) -> None: ...
-    def lost(self, name: str, now: float, orderly: bool = False) -> None: ...
-    def unreachable(self, address: Address, now: float) -> None: ...
-    def refused(self, address: Address, now: float, refusal: LinkRejected) -> None: ...
-    def beacon(self, name: str, now: float) -> Beacon: ...
-    def heard(self, name: str, beacon: Beacon, now: float) -> None: ...
-    def to_dial(self, now: float) -> Sequence[Address]: ...
-    def to_close(self, now: float) -> Sequence[str]: ...
-    def next_at(self, now: float) -> float: ...
+    def membership_status(self) -> str: ...
+    def update_members(self, members: Iterable[Member]) -> None: ...
+    def check_admission(self, member: Member, now: float) -> LinkRejected | None: ...
+    def on_link_established(self, name: str, now: float, dialled: Address | None = None) -> None: ...
+    def on_link_lost(self, name: str, now: float, orderly: bool = False) -> None: ...
+    def on_dial_failed(self, address: Address, now: float) -> None: ...
+    def on_dial_rejected(self, address: Address, now: float, refusal: LinkRejected) -> None: ...
+    def make_advertisement(self, name: str, now: float) -> RouteAdvertisement: ...
+    def on_advertisement(self, name: str, advertisement: RouteAdvertisement, now: float) -> None: ...
+    def addresses_to_dial(self, now: float) -> Sequence[Address]: ...
+    def links_to_close(self, now: float) -> Sequence[str]: ...
+    def next_wakeup(self, now: float) -> float: ...
 
 
 MakeTopology = Callable[[Member], Topology]
@@ -287,12 +288,12 @@
         orderly = ORDERLY in (session.ended_why, session.closing_why if session.closing else "")
         if session.hello is not None:
             if not any(other.peer == session.peer and other.hello for other in self.sessions):
-                self.topology.lost(session.peer, now, orderly)
+                self.topology.on_link_lost(session.peer, now, orderly)
         elif session.dialled is not None:
             if session.ended_instead or session.ended_why in ("full", "same name", "superseded"):
-                self.topology.refused(session.dialled, now, read_turned(session))
+                self.topology.on_dial_rejected(session.dialled, now, read_turned(session))
             else:
-                self.topology.unreachable(session.dialled, now)
+                self.topology.on_dial_failed(session.dialled, now)
 
     def admit(self, session: ReplicationSession, hello: Hello, claimed: bool, now: float) -> None:
         """Raises Refusal where the other side's greeting doesn't allow a link."""
@@ -317,9 +318,9 @@
         if session.dialled is None and self.topology is not None and hello.member is not None:
             host, port, region, zone = hello.member
             member = Member(hello.node, (host, port), region, zone, hello.incarnation)
-            turned = self.topology.admits(member, now)
+            turned = self.topology.check_admission(member, now)
             if turned is not None:
-                session.ended_instead = [_pack_member(member) for member in turned.instead]
+                session.ended_instead = [_pack_member(member) for member in turned.alternatives]
                 refuse(turned.reason, f"not here: {turned.reason}")
 
     def linked(self, session: ReplicationSession, now: float) -> None:
@@ -337,7 +338,7 @@
             elif session.fresh and not self.fresh and not other.fresh:
                 other.close("being filled by a member that is in step", LATER)
         if self.topology is not None and not session.closing:
-            self.topology.linked(session.peer, now, session.dialled)
+            self.topology.on_link_established(session.peer, now, session.dialled)
             self.due()
 
     def _keep_one(self, old: ReplicationSession, new: ReplicationSession) -> None:
@@ -427,8 +428,14 @@
     def beacon(self, session: ReplicationSession, now: float) -> list[Any] | None:
         if self.topology is None or session.guest:
             return None
-        beacon = self.topology.beacon(session.peer, now)
-        return [f"{beacon.rank:x}", beacon.incarnation, beacon.beat, beacon.port, beacon.count]
+        beacon = self.topology.make_advertisement(session.peer, now)
+        return [
+            f"{beacon.root_rank:x}",
+            beacon.root_incarnation,
+            beacon.sequence,
+            beacon.is_root_path,
+            beacon.member_count,
+        ]
 
     def hear_beacon(self, session: ReplicationSession, beacon: Any, now: float) -> None:
         if self.topology is None or beacon is None:
@@ -436,8 +443,10 @@
         rank, incarnation, beat, port, count = beacon
         if not isinstance(rank, str) or len(rank) > 32:
             raise SessionRejected("no beacon")
-        word = Beacon(int(rank, 16), natural(incarnation), natural(beat), port is True, natural(count))
-        self.topology.heard(session.peer, word, now)
+        word = RouteAdvertisement(
+            int(rank, 16), natural(incarnation), natural(beat), port is True, natural(count)
+        )
+        self.topology.on_advertisement(session.peer, word, now)
 
     # ------------------------------------------------------------ time
 
@@ -451,8 +460,8 @@
             return (), self._tick_at
         if self._members_changed:
             self._members_changed = False
-            self.topology.saw(m for m in self.members.values() if m.name not in self.removed)
-        if self.topology.standing == "superseded" and now >= self._ghost_at:
+            self.topology.update_members(m for m in self.members.values() if m.name not in self.removed)
+        if self.topology.membership_status == "superseded" and now >= self._ghost_at:
             self._ghost_at = now + self._ghosts.draw()
             log.warning("store: an earlier word of this member counts as newer: a larger incarnation is told")
             for session in self.sessions:
@@ -460,12 +469,12 @@
             self._begin(GHOST_AHEAD)
             self.announce()
             assert self.topology is not None
-        for name in self.topology.to_close(now):
+        for name in self.topology.links_to_close(now):
             for session in self.sessions:
                 if session.peer == name and session.hello is not None and not session.guest:
                     session.close("not needed any more", ORDERLY)
-        dial = self.topology.to_dial(now)
-        return dial, min(self._tick_at, self.topology.next_at(now))
+        dial = self.topology.addresses_to_dial(now)
+        return dial, min(self._tick_at, self.topology.next_wakeup(now))
 
     def _settle(self, now: float) -> None:
         """Where nobody is fresh (a new fleet, or one that was all off for long), those linked agree to be."""
--- a/tests/net/test_sockets.py
+++ b/tests/net/test_sockets.py
@@ -111,7 +111,7 @@
         one, other = Store("a"), Store("b")
         first = replica(one)
         second = replica(other, first.address)
-        await until(lambda: first.links and second.links)
+        await until(lambda: first.link_count and second.link_count)
         found = ours({first.address}, {first.address})
         assert len(found) == 2 and all_send_at_once(found, {"accepted", "dialled"})
         await second.stop()
--- a/tests/store/test_overlay.py
+++ b/tests/store/test_overlay.py
@@ -12,21 +12,15 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from sageturn.store.replication.overlay import (
-    FULL,
-    MEMBER,
-    REMOVED,
-    SAME_NAME,
-    SUPERSEDED,
+from sageturn.store.replication.membership import (
     Address,
-    Beacon,
     LinkRejected,
     Member,
-    Overlay,
-    Places,
-    before,
-    rank_of,
+    MembershipStatus,
+    RejectReason,
 )
+from sageturn.store.replication.overlay import Overlay, Places, before, rank_of
+from sageturn.store.replication.routes import RouteAdvertisement
 
 SILENT_S = 2.0  # a dead machine or a cut is noticed by silence
 CONNECT_S = 1.0  # and a dial to one fails after
@@ -41,7 +35,7 @@
         self.removed: dict[str, int] = {}  # by name, the incarnation that was removed
         rng = Random(f"{net.seed} {member.name} {member.incarnation}")
         self.overlay = Overlay(member, seeds, rng, net.fanout)
-        self.overlay.saw(self.view.values())
+        self.overlay.update_members(self.view.values())
         self.alive, self.machine_up = True, True
         self.links: dict[str, Link] = {}
         self.news: dict[str, Member] = {}
@@ -51,13 +45,13 @@
         net = self.net
         if not self.alive:
             return
-        for name in self.overlay.to_close(net.now):
+        for name in self.overlay.links_to_close(net.now):
             if link := self.links.get(name):
                 net.closes.append((net.now, self.member.name, name))
                 net.end(link, by=self)
-        for address in self.overlay.to_dial(net.now):
+        for address in self.overlay.addresses_to_dial(net.now):
             net.dial(self, address)
-        at = self.overlay.next_at(net.now)
+        at = self.overlay.next_wakeup(net.now)
         assert at > net.now
         if at < self.poll_at or self.poll_at <= net.now:
             self.poll_at = at
@@ -95,7 +89,7 @@
         if not self.alive:
             return
         news, self.news = self.news, {}
-        self.overlay.saw(self.view.values())
+        self.overlay.update_members(self.view.values())
         for link in list(self.links.values()):
             other = link.other(self)
             self.net.send(self, link, other.take, list(news.values()), dict(self.removed), self)
@@ -197,12 +191,12 @@
 
     def failed(self, node: Node, address: Address) -> None:
         if node.alive:
-            node.overlay.unreachable(address, self.now)
+            node.overlay.on_dial_failed(address, self.now)
             node.poll()
 
     def refused(self, node: Node, address: Address, refusal: LinkRejected) -> None:
         if node.alive:
-            node.overlay.refused(address, self.now, refusal)
+            node.overlay.on_dial_rejected(address, self.now, refusal)
             node.poll()
 
     def arrives(self, node: Node, other: Node, address: Address) -> None:
@@ -215,7 +209,7 @@
             return
         if not node.alive:
             return
-        refusal = other.overlay.admits(node.member, self.now)
+        refusal = other.overlay.check_admission(node.member, self.now)
         if refusal is not None:
             self.refusals.append((self.now, node.member.name, refusal.reason))
             self.at(back, self.refused, node, address, refusal)
@@ -243,7 +237,7 @@
             self.drop(crossed)
         node.links[other.member.name] = link
         link.up[node] = True
-        node.overlay.linked(other.member.name, self.now, address)
+        node.overlay.on_link_established(other.member.name, self.now, address)
         accepted = sum(1 for one in node.links.values() if one.dialler is not node)
         self.most_in = max(self.most_in, accepted)
         self.most_links = max(self.most_links, len(node.links))
@@ -273,13 +267,13 @@
         other = link.other(node)
         if link.broken or not node.alive or node.links.get(other.member.name) is not link:
             return
-        beacon = node.overlay.beacon(other.member.name, self.now)
+        beacon = node.overlay.make_advertisement(other.member.name, self.now)
         self.send(node, link, self.hears, link, other, node.member.name, beacon)
         self.at(self.now + 1.0, self.tell, link, node)
 
-    def hears(self, link: Link, node: Node, name: str, beacon: Beacon) -> None:
+    def hears(self, link: Link, node: Node, name: str, advertisement: RouteAdvertisement) -> None:
         if node.alive and node.links.get(name) is link:
-            node.overlay.heard(name, beacon, self.now)
+            node.overlay.on_advertisement(name, advertisement, self.now)
 
     def end(self, link: Link, by: Node) -> None:
         """One side closes on purpose."""
@@ -298,7 +292,7 @@
         name = link.other(node).member.name
         if node.alive and node.links.get(name) is link:
             del node.links[name]
-            node.overlay.lost(name, self.now, orderly)
+            node.overlay.on_link_lost(name, self.now, orderly)
             node.poll()
 
     # What is seen from outside
@@ -525,77 +519,77 @@
     own, other = fleet(2)
     newer = Member(own.name, ("10.9.9.9", 1), own.region, own.zone, 2)
     for tell in (
-        lambda o: o.saw([newer, other]),
-        lambda o: o.refused(other.address, 0.0, LinkRejected(SUPERSEDED)),
-        lambda o: o.admits(newer, 0.0),
+        lambda o: o.update_members([newer, other]),
+        lambda o: o.on_dial_rejected(other.address, 0.0, LinkRejected(RejectReason.SUPERSEDED)),
+        lambda o: o.check_admission(newer, 0.0),
     ):
         overlay = Overlay(own, [other.address], Random(1))
-        overlay.saw([own, other])
-        overlay.linked(other.name, 0.0)
+        overlay.update_members([own, other])
+        overlay.on_link_established(other.name, 0.0)
         tell(overlay)
-        assert overlay.standing == SUPERSEDED
-        assert overlay.to_dial(99.0) == [] and overlay.to_close(0.0) == [other.name]
-        overlay.saw([own, other])  # an older word changes nothing
-        assert overlay.standing == SUPERSEDED
+        assert overlay.membership_status == MembershipStatus.SUPERSEDED
+        assert overlay.addresses_to_dial(99.0) == [] and overlay.links_to_close(0.0) == [other.name]
+        overlay.update_members([own, other])  # an older word changes nothing
+        assert overlay.membership_status == MembershipStatus.SUPERSEDED
 
 
 def test_who_is_admitted() -> None:
     own, other, *rest = fleet(60)
     overlay = Overlay(own, [], Random(1), fanout=2)
-    overlay.saw([own, Member(other.name, other.address, other.region, other.zone, 5), *rest])
-    assert overlay.admits(other, 0.0) == LinkRejected(SUPERSEDED)
-    assert overlay.admits(own, 0.0) == LinkRejected(SAME_NAME)
+    overlay.update_members([own, Member(other.name, other.address, other.region, other.zone, 5), *rest])
+    assert overlay.check_admission(other, 0.0) == LinkRejected(RejectReason.SUPERSEDED)
+    assert overlay.check_admission(own, 0.0) == LinkRejected(RejectReason.SAME_NAME)
     for member in rest[: 4 * 2]:
-        assert overlay.admits(member, 0.0) is None
-        overlay.linked(member.name, 0.0)
-    refusal = overlay.admits(rest[20], 0.0)
-    assert refusal is not None and refusal.reason == FULL and refusal.instead
-    assert {m.zone for m in refusal.instead} == {rest[20].zone} and rest[20] not in refusal.instead
-    assert overlay.admits(rest[0], 0.0) is None  # the same again takes its own place
-    overlay.lost(rest[0].name, 0.0)
-    assert overlay.admits(rest[20], 0.0) is None
+        assert overlay.check_admission(member, 0.0) is None
+        overlay.on_link_established(member.name, 0.0)
+    refusal = overlay.check_admission(rest[20], 0.0)
+    assert refusal is not None and refusal.reason == RejectReason.FULL and refusal.alternatives
+    assert {m.zone for m in refusal.alternatives} == {rest[20].zone} and rest[20] not in refusal.alternatives
+    assert overlay.check_admission(rest[0], 0.0) is None  # the same again takes its own place
+    overlay.on_link_lost(rest[0].name, 0.0)
+    assert overlay.check_admission(rest[20], 0.0) is None
 
 
 def test_a_removed_member_is_closed_and_a_stranger_in_time() -> None:
     own, other, stranger = fleet(3)
     overlay = Overlay(own, [], Random(1))
-    overlay.saw([own, other])
-    overlay.linked(other.name, 0.0)
-    overlay.linked(stranger.name, 0.0)
-    assert overlay.to_close(1.0) == []
-    overlay.saw([own])
-    assert overlay.to_close(1.0) == [other.name]
-    overlay.lost(other.name, 1.0, orderly=True)
-    assert overlay.to_close(9.0) == [] and overlay.to_close(11.0) == [stranger.name]
-    overlay.saw([])
-    assert overlay.standing == REMOVED and overlay.to_dial(20.0) == []
-    overlay.saw([own])  # it was taken in again
-    assert overlay.standing == MEMBER
+    overlay.update_members([own, other])
+    overlay.on_link_established(other.name, 0.0)
+    overlay.on_link_established(stranger.name, 0.0)
+    assert overlay.links_to_close(1.0) == []
+    overlay.update_members([own])
+    assert overlay.links_to_close(1.0) == [other.name]
+    overlay.on_link_lost(other.name, 1.0, orderly=True)
+    assert overlay.links_to_close(9.0) == [] and overlay.links_to_close(11.0) == [stranger.name]
+    overlay.update_members([])
+    assert overlay.membership_status == MembershipStatus.REMOVED and overlay.addresses_to_dial(20.0) == []
+    overlay.update_members([own])  # it was taken in again
+    assert overlay.membership_status == MembershipStatus.MEMBER
 
 
 def test_a_link_is_closed_only_after_its_replacement_has_stood_and_told_of_the_same_root() -> None:
     *lower, own = order(fleet(12, 1, 1))
     overlay = Overlay(own, [], Random(1))
-    overlay.saw([own, *lower])
+    overlay.update_members([own, *lower])
     view = Places(own, 8)
     for member in lower:
         view.add(member)
     best, other = itertools.islice(view.best(), 2)
     root = rank_of(lower[0].region, lower[0].zone, lower[0].name)
-    overlay.linked(other, 0.0, lower[0].address)
-    overlay.linked(best, 10.0, lower[1].address)
+    overlay.on_link_established(other, 0.0, lower[0].address)
+    overlay.on_link_established(best, 10.0, lower[1].address)
     closed_at, closes = 10.0, []
     while not closes:
         assert closed_at < 40
         closed_at += 0.25
-        overlay.heard(other, Beacon(root, 1, int(closed_at), False, 12), closed_at)
+        overlay.on_advertisement(other, RouteAdvertisement(root, 1, int(closed_at), False, 12), closed_at)
         if closed_at >= 15:  # until then the new link may lead elsewhere
-            overlay.heard(best, Beacon(root, 1, int(closed_at), False, 12), closed_at)
-        closes = overlay.to_close(closed_at)
+            overlay.on_advertisement(best, RouteAdvertisement(root, 1, int(closed_at), False, 12), closed_at)
+        closes = overlay.links_to_close(closed_at)
     assert closes == [other] and 18 <= closed_at <= 22
     # And never while it is the other's way to the root.
-    overlay.heard(other, Beacon(root, 1, 99, True, 3), closed_at)
-    assert overlay.to_close(closed_at) == []
+    overlay.on_advertisement(other, RouteAdvertisement(root, 1, 99, True, 3), closed_at)
+    assert overlay.links_to_close(closed_at) == []
 
 
 # A fleet, simulated
@@ -652,7 +646,7 @@
         if all(other.removed.get(name, 0) < incarnation for other in net.alive()):
             net.restart(node, seeds=seeds)
     net.run_until(settled(net), 45)
-    assert all(node.overlay.standing == MEMBER for node in net.alive())
+    assert all(node.overlay.membership_status == MembershipStatus.MEMBER for node in net.alive())
     net.run(net.now + REST_S)
     assert a_tree(net)(), net.describe()
     # But for a seed that is no member any more, which the root tries now and then.
@@ -786,8 +780,11 @@
     twin = Member(old.name, ("10.8.8.8", 7000), old.region, old.zone, 2)
     net.start(twin, [members[0].address])
     net.run(net.now + 30)
-    assert net.nodes[old.address].overlay.standing == SUPERSEDED
-    assert net.nodes[twin.address].overlay.standing == MEMBER and net.nodes[twin.address].links
+    assert net.nodes[old.address].overlay.membership_status == MembershipStatus.SUPERSEDED
+    assert (
+        net.nodes[twin.address].overlay.membership_status == MembershipStatus.MEMBER
+        and net.nodes[twin.address].links
+    )
     assert not net.nodes[old.address].links
     net.kill(net.nodes[old.address])
     net.run(net.now + REST_S)
@@ -795,8 +792,8 @@
     # And a ghost of the older that comes later learns it at its first dial.
     ghost = net.start(Member(old.name, ("10.8.8.9", 7000), old.region, old.zone, 1), [members[0].address])
     net.run(net.now + 10)
-    assert ghost.overlay.standing == SUPERSEDED and not ghost.links
-    assert net.nodes[twin.address].overlay.standing == MEMBER
+    assert ghost.overlay.membership_status == MembershipStatus.SUPERSEDED and not ghost.links
+    assert net.nodes[twin.address].overlay.membership_status == MembershipStatus.MEMBER
     ghost.alive = False
     assert a_tree(net)()
 
@@ -813,7 +810,7 @@
     assert_at_rest(net)
     back = net.start(gone.member, [members[1].address], gone.view)
     net.run(net.now + 10)
-    assert back.overlay.standing == REMOVED and not back.links
+    assert back.overlay.membership_status == MembershipStatus.REMOVED and not back.links
     assert all(gone.member.name not in node.view for node in net.alive() if node is not back)
     back.alive = False
     assert a_tree(net)()
@@ -829,7 +826,7 @@
     for member in members:
         net.start(member, [members[0].address])
     net.run_until(net.connected, 40)
-    assert FULL in {reason for _, _, reason in net.refusals}
+    assert RejectReason.FULL in {reason for _, _, reason in net.refusals}
     assert net.most_in <= 4 * 2
     net.run(net.now + REST_S)
     assert a_tree(net)()
--- a/tests/store/test_replication_sockets.py
+++ b/tests/store/test_replication_sockets.py
@@ -114,7 +114,7 @@
         store(members[3]).put("config/x", 1)
         await until(lambda: all(store(m).get("config/x") == 1 for m in members))
         # Whoever has most links dies without a word; nobody's file names anyone but n0.
-        hub = max(members, key=lambda m: m.links)
+        hub = max(members, key=lambda m: m.link_count)
         members.remove(hub)
         await hub.stop()
         for number, member in enumerate(members):
@@ -132,7 +132,7 @@
         members.append(first)
         members.extend(node(f"n{k}", first.address, fixed=False) for k in range(1, 5))
         await until(lambda: all(len(m.replica.members) == 5 for m in members))
-        hub = max(members, key=lambda m: m.links)
+        hub = max(members, key=lambda m: m.link_count)
         members.remove(hub)
         for session in hub.replica.sessions:
             session.next = lambda now: None  # type: ignore[method-assign]
@@ -158,7 +158,7 @@
         await link.send(greeting("slow"))
         await heard(link, "hello")
         await link.send(encode({"follow": [[0, 0, 0], [0, 0, 0]]}))
-        await until(lambda: hub.links == 2)
+        await until(lambda: hub.link_count == 2)
 
         async def live_on() -> None:
             while True:
@@ -172,9 +172,9 @@
         await until(lambda: len(store(other).keys("config/")) == 200)
         (session,) = [s for s in hub.replica.sessions if s.peer == "slow"]
         assert len(session._flying) <= 6, "the rest is not queued for it anywhere"
-        assert hub.links == 2
+        assert hub.link_count == 2
         living.cancel()
-        await until(lambda: hub.links == 1)
+        await until(lambda: hub.link_count == 1)
         sock.close()
 
     play(story)
@@ -293,7 +293,7 @@
         why, text, _ = await heard(link, "bye")
         assert why == "fault" and reason in text
         sock.close()
-        await until(lambda: members[0].links == 1)
+        await until(lambda: members[0].link_count == 1)
         assert store(members[0]).digest() == before
 
     play(story)
@@ -321,7 +321,7 @@
         else:
             link._key = b"other"
             await link.send(payload)
-        await until(lambda: members[0].links == 0)
+        await until(lambda: members[0].link_count == 0)
         words = {"oversized": "too large", "half": "ended"}.get(harm, "tampered with")
         assert words in caplog.text
         assert store(members[0]).keys() == ["state/n0/member"]
@@ -341,7 +341,7 @@
             copy.put("config/7", None)
         assert store(members[0]).get("config/x") == 1 and store(members[0]).get("config/7") is None
         assert not [m for m in members[0].replica.members if m.startswith("operator")], "and it is no member"
-        await until(lambda: members[0].links == 0)
+        await until(lambda: members[0].link_count == 0)
         with pytest.raises(TimeoutError, match="the secrets differ"):
             async with connected(members[0].address, read_secret("another"), wait_s=0.5):
                 pass
@@ -427,12 +427,12 @@
         members.append(node("n1", members[0].address, zone="b"))
         await until(lambda: "r/b" in members[0].replica._heard_zones)
         await until(lambda: len(members[0].replica.members) == 2)
-        assert members[0].state() == {"links": 1, "in_step": False, "silent_s": {}}
+        assert members[0].state_report() == {"links": 1, "in_step": False, "silent_s": {}}
         members[0].replica._heard_zones["r/b"] -= 47.0
         members[0].replica._heard_zones["r/c"] = -1e6
-        state = members[0].state()["silent_s"]
+        state = members[0].state_report()["silent_s"]
         assert isinstance(state, dict) and state["r/b"] == 40 and set(state) == {"r/b", "r/c"}
-        json.dumps(members[0].state())
-        assert members[0].state_every_s == 0.2, "460 members would tell theirs every 46 s"
+        json.dumps(members[0].state_report())
+        assert members[0].state_report_interval_s == 0.2, "460 members would tell theirs every 46 s"
 
     play(story)
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -186,7 +186,9 @@
         writer.write(b"\x00\x00\x00\x02{}")
         assert await asyncio.wait_for(reader.read(), 5) is not None  # ended, with nothing of the store
         await until(lambda: "the secrets differ" in caplog.text)
-        assert a.keys() == ["state/a/member"] and ra.links == 0  # its own word of itself, and nothing else
+        assert (
+            a.keys() == ["state/a/member"] and ra.link_count == 0
+        )  # its own word of itself, and nothing else
         await stranger.stop()
         await ra.stop()
 
--- a/tests/support/replication_fleet.py
+++ b/tests/support/replication_fleet.py
@@ -9,8 +9,9 @@
 
 from sageturn.store.records import FRAME_MOST, StoreRecord, supersedes
 from sageturn.store.replica_state import ReplicaState
-from sageturn.store.replication.overlay import Beacon, LinkRejected, Member
+from sageturn.store.replication.membership import LinkRejected, Member
 from sageturn.store.replication.replica import Replica, ReplicaLocation
+from sageturn.store.replication.routes import RouteAdvertisement
 from sageturn.store.replication.session import ASKED_KEYS, URGENT_WINDOW, WINDOW, ReplicationSession
 from sageturn.store.replication.wire import LANES, PART_OCTETS, SessionRejected, lane_of
 from sageturn.store.store import Store
@@ -291,43 +292,43 @@
 class DialSeeds:
     """The simplest topology: every seed, always, and again at once."""
 
-    standing = "member"
+    membership_status = "member"
     WAIT_S = 0.05
 
     def __init__(self, own: Member, seeds: Sequence[tuple[str, int]] = ()) -> None:
         self._at = dict.fromkeys(seeds, 0.0)
         self._dialled: dict[str, tuple[str, int]] = {}
 
-    def saw(self, members: Iterable[Member]) -> None: ...
-    def heard(self, name: str, beacon: Beacon, now: float) -> None: ...
+    def update_members(self, members: Iterable[Member]) -> None: ...
+    def on_advertisement(self, name: str, advertisement: RouteAdvertisement, now: float) -> None: ...
 
-    def admits(self, member: Member, now: float) -> LinkRejected | None:
+    def check_admission(self, member: Member, now: float) -> LinkRejected | None:
         return None
 
-    def beacon(self, name: str, now: float) -> Beacon:
-        return Beacon(0, 0, 0, False, 0)
+    def make_advertisement(self, name: str, now: float) -> RouteAdvertisement:
+        return RouteAdvertisement(0, 0, 0, False, 0)
 
-    def linked(self, name: str, now: float, dialled: tuple[str, int] | None = None) -> None:
+    def on_link_established(self, name: str, now: float, dialled: tuple[str, int] | None = None) -> None:
         if dialled is not None:
             self._dialled[name] = dialled
 
-    def lost(self, name: str, now: float, orderly: bool = False) -> None:
+    def on_link_lost(self, name: str, now: float, orderly: bool = False) -> None:
         if name in self._dialled:
-            self.unreachable(self._dialled.pop(name), now)
+            self.on_dial_failed(self._dialled.pop(name), now)
 
-    def unreachable(self, address: tuple[str, int], now: float) -> None:
+    def on_dial_failed(self, address: tuple[str, int], now: float) -> None:
         self._at[address] = now + self.WAIT_S
 
-    def refused(self, address: tuple[str, int], now: float, refusal: LinkRejected) -> None:
-        self.unreachable(address, now)
+    def on_dial_rejected(self, address: tuple[str, int], now: float, refusal: LinkRejected) -> None:
+        self.on_dial_failed(address, now)
 
-    def to_dial(self, now: float) -> list[tuple[str, int]]:
+    def addresses_to_dial(self, now: float) -> list[tuple[str, int]]:
         due = [address for address, at in self._at.items() if at <= now]
         self._at.update(dict.fromkeys(due, float("inf")))
         return due
 
-    def to_close(self, now: float) -> list[str]:
+    def links_to_close(self, now: float) -> list[str]:
         return []
 
-    def next_at(self, now: float) -> float:
+    def next_wakeup(self, now: float) -> float:
         return min([now + 1.0, *self._at.values()])
