--- a/sageturn/cli/link.py
+++ b/sageturn/cli/link.py
@@ -13,7 +13,7 @@
 
 from sageturn.net.discovery import parse_address
 from sageturn.store.channel import read_secret
-from sageturn.store.replication.member import connected
+from sageturn.store.replication.ephemeral_client import open_ephemeral_client
 from sageturn.store.store import Store
 
 T = TypeVar("T")
@@ -44,7 +44,7 @@
         """With all that the daemon has; what the action writes has reached it when this returns."""
 
         async def go() -> T:
-            async with connected(parse_address(self.connect), secret) as store:
+            async with open_ephemeral_client(parse_address(self.connect), secret) as store:
                 return await action(store)
 
         try:
--- a/sageturn/lab/overriding.py
+++ b/sageturn/lab/overriding.py
@@ -32,7 +32,7 @@
 from sageturn.overrides.options import OverrideOptions
 from sageturn.overrides.resolve import OverrideResolver, SafetyLimits
 from sageturn.store.channel import read_secret
-from sageturn.store.replication.member import connected
+from sageturn.store.replication.ephemeral_client import open_ephemeral_client
 from sageturn.store.store import Store
 
 KEY = Ed25519PrivateKey.generate()
@@ -73,7 +73,7 @@
     async with deployed(spec, "off", {}, more) as deployment:
         playing = asyncio.ensure_future(deployment.play(rounds * 3.0 + 20.0))
         await asyncio.sleep(3.0)
-        async with connected(("127.0.0.1", ports[0]), read_secret("lab"), 10.0) as store:
+        async with open_ephemeral_client(("127.0.0.1", ports[0]), read_secret("lab"), 10.0) as store:
             for _ in range(rounds):
                 # One host over and over: it comes back cold each time, and the others have to be warm.
                 host = deployment.hosts[0]
--- a/sageturn/store/replication/member.py
+++ b/sageturn/store/replication/member.py
@@ -231,7 +231,9 @@
 
 
 @asynccontextmanager
-async def connected(peer: tuple[str, int], secret: bytes, wait_s: float = 5.0) -> AsyncIterator[Store]:
+async def open_ephemeral_client(
+    peer: tuple[str, int], secret: bytes, wait_s: float = 5.0
+) -> AsyncIterator[Store]:
     """A copy for a moment: all that a running daemon has, and what is written to it is there when this ends.
 
     Raises TimeoutError when no daemon answers, or has not taken what was written, within ``wait_s``; a
--- a/tests/store/test_replication_sockets.py
+++ b/tests/store/test_replication_sockets.py
@@ -22,7 +22,8 @@
 from sageturn.net.sockets import Connect, connect
 from sageturn.store.channel import AuthenticatedChannel, read_secret
 from sageturn.store.records import InvalidRecordError, parse_record
-from sageturn.store.replication.member import ReplicationMember, connected
+from sageturn.store.replication.ephemeral_client import open_ephemeral_client
+from sageturn.store.replication.member import ReplicationMember
 from sageturn.store.replication.options import ReplicationOptions
 from sageturn.store.replication.wire import decode, encode
 from sageturn.store.store import Store
@@ -335,7 +336,7 @@
         members.append(node("n0"))
         for number in range(3000):
             store(members[0]).put(f"config/{number}", Random(number).randbytes(30).hex())
-        async with connected(members[0].address, SECRET) as copy:
+        async with open_ephemeral_client(members[0].address, SECRET) as copy:
             assert len(copy.keys("config/")) == 3000
             copy.put("config/x", 1)
             copy.put("config/7", None)
@@ -343,7 +344,7 @@
         assert not [m for m in members[0].replica.members if m.startswith("operator")], "and it is no member"
         await until(lambda: members[0].link_count == 0)
         with pytest.raises(TimeoutError, match="the secrets differ"):
-            async with connected(members[0].address, read_secret("another"), wait_s=0.5):
+            async with open_ephemeral_client(members[0].address, read_secret("another"), wait_s=0.5):
                 pass
 
     play(story)
