--- a/sageturn/store/replication/member.py
+++ b/sageturn/store/replication/member.py
@@ -20,8 +20,9 @@
 from sageturn.store.replication.close_code import CloseCode
 from sageturn.store.replication.liveness import PEER_TIMEOUT_S
 from sageturn.store.replication.location import ReplicaLocation
+from sageturn.store.replication.membership import Member
 from sageturn.store.replication.options import ReplicationOptions
-from sageturn.store.replication.overlay import Member, Overlay
+from sageturn.store.replication.overlay import Overlay
 from sageturn.store.replication.replica import Replica
 from sageturn.store.replication.session import ReplicationSession
 from sageturn.store.replication.topology import TopologyFactory
@@ -74,20 +75,20 @@
         self._dials: set[asyncio.Task[None]] = set()
 
     @property
-    def links(self) -> int:
+    def link_count(self) -> int:
         return sum(1 for session in self.replica.sessions if session.peer_hello is not None)
 
-    def state(self) -> dict[str, object]:
+    def state_report(self) -> dict[str, object]:
         """For operators: links, whether this copy is in step, and which zones are silent, for how long.
 
         Steps are coarse, or each look would be a change that has to spread.
         """
         ages = self.replica.zone_ages(time.monotonic())
         silent = {zone: int(age // 10 * 10) for zone, age in ages.items() if age >= STATED_AFTER_S}
-        return {"links": self.links, "in_step": self.replica.recently_in_sync, "silent_s": silent}
+        return {"links": self.link_count, "in_step": self.replica.recently_in_sync, "silent_s": silent}
 
     @property
-    def state_every_s(self) -> float:
+    def state_report_interval_s(self) -> float:
         """How often this member may tell its state anew, so that all members' together stay few."""
         return len(self.replica.members) / STATES_PER_S
 
@@ -127,7 +128,7 @@
         except Exception:  # a fault in one link must not end the others
             log.exception("store: a link to %s:%d failed", *address)
         assert self.replica.topology is not None
-        self.replica.topology.unreachable(address, time.monotonic())
+        self.replica.topology.on_dial_failed(address, time.monotonic())
         self._due.set()
 
     async def _accepted(self, sock: socket.socket, newcomer: PendingConnection) -> None:
@@ -234,7 +235,9 @@
 
 
 @asynccontextmanager
-async def connected(peer: tuple[str, int], secret: bytes, wait_s: float = 5.0) -> AsyncIterator[Store]:
+async def open_ephemeral_client(
+    peer: tuple[str, int], secret: bytes, wait_s: float = 5.0
+) -> AsyncIterator[Store]:
     """A copy for a moment: all that a running daemon has, and what is written to it is there when this ends.
 
     Raises TimeoutError when no daemon answers, or has not taken what was written, within ``wait_s``; a
--- a/tests/store/test_replication_sockets.py
+++ b/tests/store/test_replication_sockets.py
@@ -22,7 +22,8 @@
 from sageturn.net.sockets import Connect, connect
 from sageturn.store.channel import AuthenticatedChannel, read_secret
 from sageturn.store.records import InvalidRecordError, parse_record
-from sageturn.store.replication.member import ReplicationMember, connected
+from sageturn.store.replication.ephemeral_client import open_ephemeral_client
+from sageturn.store.replication.member import ReplicationMember
 from sageturn.store.replication.options import ReplicationOptions
 from sageturn.store.replication.wire import decode, encode
 from sageturn.store.store import Store
@@ -114,7 +115,7 @@
         store(members[3]).put("config/x", 1)
         await until(lambda: all(store(m).get("config/x") == 1 for m in members))
         # Whoever has most links dies without a word; nobody's file names anyone but n0.
-        hub = max(members, key=lambda m: m.links)
+        hub = max(members, key=lambda m: m.link_count)
         members.remove(hub)
         await hub.stop()
         for number, member in enumerate(members):
@@ -132,7 +133,7 @@
         members.append(first)
         members.extend(node(f"n{k}", first.address, fixed=False) for k in range(1, 5))
         await until(lambda: all(len(m.replica.members) == 5 for m in members))
-        hub = max(members, key=lambda m: m.links)
+        hub = max(members, key=lambda m: m.link_count)
         members.remove(hub)
         for session in hub.replica.sessions:
             session.next_payload = lambda now: None  # type: ignore[method-assign]
@@ -158,7 +159,7 @@
         await link.send(greeting("slow"))
         await heard(link, "hello")
         await link.send(encode({"follow": [[0, 0, 0], [0, 0, 0]]}))
-        await until(lambda: hub.links == 2)
+        await until(lambda: hub.link_count == 2)
 
         async def live_on() -> None:
             while True:
@@ -172,9 +173,9 @@
         await until(lambda: len(store(other).keys("config/")) == 200)
         (session,) = [s for s in hub.replica.sessions if s.peer == "slow"]
         assert session.chunks_in_flight <= 6, "the rest is not queued for it anywhere"
-        assert hub.links == 2
+        assert hub.link_count == 2
         living.cancel()
-        await until(lambda: hub.links == 1)
+        await until(lambda: hub.link_count == 1)
         sock.close()
 
     play(story)
@@ -293,7 +294,7 @@
         why, text, _ = await heard(link, "bye")
         assert why == "fault" and reason in text
         sock.close()
-        await until(lambda: members[0].links == 1)
+        await until(lambda: members[0].link_count == 1)
         assert store(members[0]).digest() == before
 
     play(story)
@@ -321,7 +322,7 @@
         else:
             link._key = b"other"
             await link.send(payload)
-        await until(lambda: members[0].links == 0)
+        await until(lambda: members[0].link_count == 0)
         words = {"oversized": "too large", "half": "ended"}.get(harm, "tampered with")
         assert words in caplog.text
         assert store(members[0]).keys() == ["state/n0/member"]
@@ -335,15 +336,15 @@
         members.append(node("n0"))
         for number in range(3000):
             store(members[0]).put(f"config/{number}", Random(number).randbytes(30).hex())
-        async with connected(members[0].address, SECRET) as copy:
+        async with open_ephemeral_client(members[0].address, SECRET) as copy:
             assert len(copy.keys("config/")) == 3000
             copy.put("config/x", 1)
             copy.put("config/7", None)
         assert store(members[0]).get("config/x") == 1 and store(members[0]).get("config/7") is None
         assert not [m for m in members[0].replica.members if m.startswith("operator")], "and it is no member"
-        await until(lambda: members[0].links == 0)
+        await until(lambda: members[0].link_count == 0)
         with pytest.raises(TimeoutError, match="the secrets differ"):
-            async with connected(members[0].address, read_secret("another"), wait_s=0.5):
+            async with open_ephemeral_client(members[0].address, read_secret("another"), wait_s=0.5):
                 pass
 
     play(story)
@@ -432,7 +433,7 @@
         members[0].replica.zone_last_heard["r/c"] = -1e6
         state = members[0].state()["silent_s"]
         assert isinstance(state, dict) and state["r/b"] == 40 and set(state) == {"r/b", "r/c"}
-        json.dumps(members[0].state())
-        assert members[0].state_every_s == 0.2, "460 members would tell theirs every 46 s"
+        json.dumps(members[0].state_report())
+        assert members[0].state_report_interval_s == 0.2, "460 members would tell theirs every 46 s"
 
     play(story)
