--- a/tests/store/test_replication_sockets.py
+++ b/tests/store/test_replication_sockets.py
@@ -428,10 +428,10 @@
         members.append(node("n1", members[0].address, zone="b"))
         await until(lambda: "r/b" in members[0].replica.zone_last_heard)
         await until(lambda: len(members[0].replica.members) == 2)
-        assert members[0].state() == {"links": 1, "in_step": False, "silent_s": {}}
+        assert members[0].state_report() == {"links": 1, "in_step": False, "silent_s": {}}
         members[0].replica.zone_last_heard["r/b"] -= 47.0
         members[0].replica.zone_last_heard["r/c"] = -1e6
-        state = members[0].state()["silent_s"]
+        state = members[0].state_report()["silent_s"]
         assert isinstance(state, dict) and state["r/b"] == 40 and set(state) == {"r/b", "r/c"}
         json.dumps(members[0].state_report())
         assert members[0].state_report_interval_s == 0.2, "460 members would tell theirs every 46 s"
