--- a/sageturn/__main__.py
+++ b/sageturn/__main__.py
@@ -13,7 +13,7 @@
 
 from sageturn.config import loader
 from sageturn.relay import SIGNALS, Relay
-from sageturn.store.log import LogCorruptedError
+from sageturn.store.errors import LogCorruptedError
 
 
 def main() -> int:
--- a/sageturn/cli/store.py
+++ b/sageturn/cli/store.py
@@ -13,8 +13,7 @@
 
 from sageturn.cli.link import NOT_THERE, REFUSED, USAGE, Reach, fail
 from sageturn.frontends.xmpp.accounts import PREFIX, make_record
-from sageturn.store.log import LogCorruptedError
-from sageturn.store.records import InvalidRecordError
+from sageturn.store.errors import InvalidRecordError, LogCorruptedError
 from sageturn.store.store import Store
 
 app = typer.Typer(no_args_is_help=True, help="What a daemon's store holds.")
--- a/sageturn/lab/scale/digests.py
+++ b/sageturn/lab/scale/digests.py
@@ -19,8 +19,9 @@
 from sageturn.net.admission import AdmissionController, PendingConnection
 from sageturn.net.listener import Listener
 from sageturn.net.sockets import Connect, connect, send_gathered
-from sageturn.store.channel import TAG_BYTES, AuthenticatedChannel, HandshakeRejectedError
-from sageturn.store.records import InvalidRecordError, StoreRecord, parse_record
+from sageturn.store.channel import TAG_BYTES, AuthenticatedChannel
+from sageturn.store.errors import HandshakeRejectedError, InvalidRecordError
+from sageturn.store.records import StoreRecord, parse_record
 from sageturn.store.store import Store
 
 log = logging.getLogger(__name__)
--- a/sageturn/store/channel.py
+++ b/sageturn/store/channel.py
@@ -16,6 +16,7 @@
 import struct
 
 from sageturn.net.sockets import send_gathered
+from sageturn.store.errors import HandshakeRejectedError
 from sageturn.store.records import MAX_FRAME_BYTES
 
 MAX_HELLO_BYTES = 1024
@@ -24,10 +25,6 @@
 _SIZE = struct.Struct(">I")
 
 
-class HandshakeRejectedError(ConnectionError):
-    """The other side is no replica of ours, or a frame was tampered with."""
-
-
 def _tag(key: bytes, *parts: bytes) -> bytes:
     return hmac.digest(key, b"".join(_SIZE.pack(len(p)) + p for p in parts), "sha256")
 
--- a/sageturn/store/log.py
+++ b/sageturn/store/log.py
@@ -15,7 +15,8 @@
 from collections.abc import Iterable
 from pathlib import Path
 
-from sageturn.store.records import InvalidRecordError, StoreRecord, parse_record
+from sageturn.store.errors import InvalidRecordError, LogCorruptedError
+from sageturn.store.records import StoreRecord, parse_record
 
 MAGIC = b"sageturn-store-1\n"
 _HEADER = struct.Struct(">II")
@@ -23,10 +24,6 @@
 _HEAD = _HEADER.size + _CHECK.size
 
 
-class LogCorruptedError(Exception):
-    """The log is broken in a place that no interrupted write explains."""
-
-
 def encode(record: StoreRecord) -> bytes:
     payload = json.dumps(record.to_json(), separators=(",", ":"), sort_keys=True).encode()
     head = _HEADER.pack(len(payload), zlib.crc32(payload))
--- a/sageturn/store/records.py
+++ b/sageturn/store/records.py
@@ -7,16 +7,14 @@
 from hashlib import blake2b
 from typing import Any
 
+from sageturn.store.errors import InvalidRecordError
+
 MAX_KEY_LENGTH = 256
 MAX_VALUE_BYTES = 256 << 10  # octets of JSON
 MAX_FRAME_BYTES = 512 << 10  # octets on a link: any record whole, and room to spare
 STATE_PREFIX = "state/"
 
 
-class InvalidRecordError(ValueError):
-    """What was read is no record; the text names the field."""
-
-
 @dataclass(frozen=True, slots=True)
 class StoreRecord:
     key: str
--- /dev/null
+++ b/sageturn/store/replication/anti_entropy.py
@@ -0,0 +1,226 @@
+"""Anti-entropy: comparing two replicas' Merkle trees, and fetching the records that differ."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+from enum import Enum, auto
+
+from sageturn.store.errors import SessionRejected
+from sageturn.store.records import StoreRecord, record_digest
+from sageturn.store.replication.local_replica import LocalReplica
+from sageturn.store.replication.merkle_tree import DEPTH, FANOUT
+from sageturn.store.replication.messages import (
+    NodeContent,
+    NodeRequest,
+    NodeResponse,
+    RecordRequest,
+    RecordResponse,
+    RecordVersion,
+    TreeNode,
+    record_to_wire,
+)
+from sageturn.store.replication.priority import PriorityClass
+from sageturn.store.replication.send_allowance import MAX_CHUNK_BYTES, SendAllowance
+from sageturn.store.replication.wire import encoded_size
+
+MAX_REQUESTED_NODES = 64
+MAX_REQUESTED_KEYS = 200
+MAX_LISTED_KEYS = 32  # a tree node with no more keys is answered by its keys
+MIN_REPEAT_S = 5.0
+MAX_REPEAT_S = 300.0
+
+
+class _Awaited(Enum):
+    NOTHING = auto()
+    NODES = auto()
+    RECORDS = auto()
+
+
+class AntiEntropySync:
+    """The requesting side: finds what the peer holds that this replica lacks.
+
+    One request is open at a time. Times are seconds of a monotonic clock.
+    """
+
+    def __init__(self, replica: LocalReplica) -> None:
+        self._replica = replica
+        self.rounds = 0  # comparisons that were started
+        self._pending_nodes: list[TreeNode] = []
+        self._pending_keys: list[str] = []
+        self._awaited = _Awaited.NOTHING
+        self._requested_nodes: list[TreeNode] = []
+        self._requested_keys: list[str] = []
+        self._records_applied = 0  # in this round
+        self._repeat_delay_s = MIN_REPEAT_S
+        self._repeat_at = 0.0
+
+    @property
+    def is_active(self) -> bool:
+        """Whether a round is under way."""
+        return bool(self._pending_nodes or self._pending_keys) or self._awaited != _Awaited.NOTHING
+
+    def may_repeat(self, now: float) -> bool:
+        """Whether a round may be started for a difference that replication left."""
+        return now >= self._repeat_at and not self.is_active
+
+    def start(self, priority: PriorityClass) -> None:
+        """Compare the trees of a priority class, from their roots on."""
+        if any(node.priority == priority for node in self._pending_nodes):
+            return
+        self.rounds += 1
+        self._records_applied = 0
+        self._pending_nodes.append(TreeNode(priority, 0, 0))
+
+    def next_request(self) -> NodeRequest | RecordRequest | None:
+        """The next request, which then counts as sent."""
+        if self._awaited != _Awaited.NOTHING:
+            return None
+        if self._pending_keys:
+            self._requested_keys = self._pending_keys[:MAX_REQUESTED_KEYS]
+            self._pending_keys = self._pending_keys[MAX_REQUESTED_KEYS:]
+            self._awaited = _Awaited.RECORDS
+            return RecordRequest(self._requested_keys)
+        if self._pending_nodes:
+            # The nodes found last go first: few are then pending at any time.
+            self._requested_nodes = self._pending_nodes[-MAX_REQUESTED_NODES:]
+            self._pending_nodes = self._pending_nodes[:-MAX_REQUESTED_NODES]
+            self._awaited = _Awaited.NODES
+            return NodeRequest(self._requested_nodes)
+        return None
+
+    def on_nodes(self, response: NodeResponse) -> None:
+        """Raises SessionRejected for a response that does not fit the request."""
+        self._check_response(_Awaited.NODES, len(self._requested_nodes), response.count)
+        answered = self._requested_nodes[: response.count]
+        missing_keys: list[str] = []
+        different_nodes: list[TreeNode] = []
+        for node, content in zip(answered, response.contents, strict=True):
+            if isinstance(content, list):
+                different_nodes += self._different_children(node, content)
+            else:
+                missing_keys += [key for key, version in content.items() if self._lacks(key, version)]
+        self._awaited = _Awaited.NOTHING
+        self._pending_keys += missing_keys
+        self._pending_nodes += self._requested_nodes[response.count :] + different_nodes
+
+    def _different_children(self, node: TreeNode, peer_hashes: list[int]) -> list[TreeNode]:
+        priority, depth, position = node
+        if depth >= DEPTH:
+            raise SessionRejected("no node of the tree")
+        own_hashes = self._replica.changes.trees[priority].children(depth, position)
+        return [
+            TreeNode(priority, depth + 1, position * FANOUT + number)
+            for number, (peer_hash, own_hash) in enumerate(zip(peer_hashes, own_hashes, strict=True))
+            if peer_hash != own_hash
+        ]
+
+    def _lacks(self, key: str, offered: RecordVersion) -> bool:
+        held = self._replica.store.record(key)
+        offered_order = offered.version, offered.node
+        if held is None or held.order != offered_order:
+            return held is None or held.order < offered_order
+        return offered.digest > record_digest(held)
+
+    def check_records(self, response: RecordResponse) -> None:
+        """Raises SessionRejected for a response that does not fit the request."""
+        self._check_response(_Awaited.RECORDS, len(self._requested_keys), response.count)
+        answered = set(self._requested_keys[: response.count])
+        if not {record.key for record in response.records} <= answered:
+            raise SessionRejected("a record that nobody asked for")
+        self._awaited = _Awaited.NOTHING
+        self._pending_keys += self._requested_keys[response.count :]
+
+    def on_records_applied(self, count: int) -> None:
+        """``count`` of the records of a checked response were newer than what the store held."""
+        self._records_applied += count
+
+    def on_finished(self, now: float) -> None:
+        """No request is left: schedule the earliest repetition."""
+        if self._records_applied:
+            self._repeat_delay_s = MIN_REPEAT_S
+        else:
+            # A round that brings nothing is no use again soon: the sides only forget at different times.
+            self._repeat_delay_s = min(MAX_REPEAT_S, self._repeat_delay_s * 2)
+        self._repeat_at = now + self._repeat_delay_s
+
+    def _check_response(self, kind: _Awaited, requested: int, answered: int) -> None:
+        if self._awaited != kind or not 1 <= answered <= requested:
+            raise SessionRejected("an answer that nobody asked for")
+
+
+class AntiEntropyResponder:
+    """The answering side; it holds one request at most."""
+
+    def __init__(self, replica: LocalReplica) -> None:
+        self._replica = replica
+        self._request: NodeRequest | RecordRequest | None = None
+
+    @property
+    def has_request(self) -> bool:
+        """Whether the peer waits for a response."""
+        return self._request is not None
+
+    @property
+    def requested_items(self) -> int:
+        """The size of the open request."""
+        match self._request:
+            case NodeRequest(nodes):
+                return len(nodes)
+            case RecordRequest(keys):
+                return len(keys)
+            case None:
+                return 0
+
+    def on_request(self, request: NodeRequest | RecordRequest) -> None:
+        """Raises SessionRejected for a second request before the first is answered."""
+        if self._request is not None:
+            raise SessionRejected("asked before the answer")
+        self._request = request
+
+    def next_response(self, now: float, allowance: SendAllowance) -> NodeResponse | RecordResponse | None:
+        """As much of the response as fits into one chunk; None if nothing may be sent now."""
+        request = self._request
+        if request is None or not allowance.may_send_chunk(now):
+            return None
+        self._request = None
+        if isinstance(request, NodeRequest):
+            return self._respond_with_nodes(request.nodes)
+        return self._respond_with_records(request.keys)
+
+    def _respond_with_nodes(self, nodes: Sequence[TreeNode]) -> NodeResponse:
+        contents: list[NodeContent] = []
+        remaining_bytes = MAX_CHUNK_BYTES
+        for node in nodes:
+            content = self._content_of(node)
+            size = encoded_size(content)
+            if contents and size > remaining_bytes:
+                break
+            remaining_bytes -= size
+            contents.append(content)
+        return NodeResponse(len(contents), contents)
+
+    def _respond_with_records(self, keys: Sequence[str]) -> RecordResponse:
+        answered = 0
+        records: list[StoreRecord] = []
+        remaining_bytes = MAX_CHUNK_BYTES
+        for key in keys:
+            record = self._replica.store.record(key)
+            size = encoded_size(None if record is None else record_to_wire(record))
+            if answered and size > remaining_bytes:
+                break
+            remaining_bytes -= size
+            answered += 1
+            if record is not None:
+                records.append(record)
+        return RecordResponse(answered, records)
+
+    def _content_of(self, node: TreeNode) -> NodeContent:
+        tree = self._replica.changes.trees[node.priority]
+        if node.depth < DEPTH and tree.count(node.depth, node.position) > MAX_LISTED_KEYS:
+            return tree.children(node.depth, node.position)
+        versions = {}
+        for key, digest in tree.entries(node.depth, node.position).items():
+            record = self._replica.store.record(key)
+            assert record is not None, key
+            versions[key] = RecordVersion(record.version, record.node, digest)
+        return versions
--- a/sageturn/store/replication/location.py
+++ b/sageturn/store/replication/location.py
@@ -4,7 +4,12 @@
 
 from dataclasses import dataclass
 
-from sageturn.store.replication.topology import Address
+from sageturn.store.replication.membership import Address
+
+
+def zone_label(region: str, zone: str) -> str:
+    """The name under which heartbeats carry the age of a zone's last message."""
+    return f"{region}/{zone}"
 
 
 @dataclass(frozen=True, slots=True)
@@ -17,5 +22,5 @@
 
     @property
     def zone_label(self) -> str:
-        """``region/zone``: the name under which heartbeats carry the age of a zone's last message."""
-        return f"{self.region}/{self.zone}"
+        """See the function of that name."""
+        return zone_label(self.region, self.zone)
--- a/sageturn/store/replication/member.py
+++ b/sageturn/store/replication/member.py
@@ -15,7 +15,8 @@
 from sageturn.net.admission import AdmissionController, PendingConnection
 from sageturn.net.listener import Listener
 from sageturn.net.sockets import Connect, connect
-from sageturn.store.channel import AuthenticatedChannel, HandshakeRejectedError
+from sageturn.store.channel import AuthenticatedChannel
+from sageturn.store.errors import HandshakeRejectedError, SessionRejected
 from sageturn.store.replication.backoff import Backoff
 from sageturn.store.replication.close_code import CloseCode
 from sageturn.store.replication.liveness import PEER_TIMEOUT_S
@@ -26,7 +27,6 @@
 from sageturn.store.replication.replica import Replica
 from sageturn.store.replication.session import ReplicationSession
 from sageturn.store.replication.topology import TopologyFactory
-from sageturn.store.replication.wire import SessionRejected
 from sageturn.store.store import Store
 
 log = logging.getLogger(__name__)
--- a/sageturn/store/replication/topology.py
+++ b/sageturn/store/replication/topology.py
@@ -5,11 +5,9 @@
 from collections.abc import Callable, Iterable, Sequence
 from typing import Protocol
 
-from sageturn.store.replication.membership import LinkRejected, Member
+from sageturn.store.replication.membership import Address, LinkRejected, Member
 from sageturn.store.replication.routes import RouteAdvertisement
 
-Address = tuple[str, int]
-
 
 class Topology(Protocol):
     """Who links to whom (``overlay.Overlay``)."""
--- a/sageturn/store/replication/wire.py
+++ b/sageturn/store/replication/wire.py
@@ -1,4 +1,4 @@
-"""What is said on a link, as octets: JSON, packed where that is shorter; bounded both ways."""
+"""Payloads of the replication protocol: one JSON object each, compressed where that is shorter."""
 
 from __future__ import annotations
 
@@ -6,81 +6,56 @@
 import zlib
 from typing import Any
 
-from sageturn.store.records import (
-    MAX_FRAME_BYTES,
-    STATE_PREFIX,
-    InvalidRecordError,
-    StoreRecord,
-    parse_record,
-)
+from sageturn.store.errors import SessionRejected
+from sageturn.store.records import MAX_FRAME_BYTES
 
-PROTOCOL = 2  # 1 was the exchange of whole digests
-URGENT, STATES = 0, 1
-LANES = (URGENT, STATES)
-PART_OCTETS = 16 << 10  # of JSON in a part; one record that is larger goes alone
-PACK_FROM = 400
-_PACKED = b"z"
+PROTOCOL_VERSION = 2  # 1 was the exchange of complete digests
+MIN_COMPRESSED_BYTES = 400
+_COMPRESSED_MARK = b"z"
+_COMPRESSION_LEVEL = 1
 
 
-class SessionRejected(ValueError):
-    """Why a link is ended; what it said last has changed nothing."""
+def _dump(obj: Any) -> str:
+    return json.dumps(obj, separators=(",", ":"))
 
 
-def lane_of(key: str) -> int:
-    """Nodes tell their states anew all the time; everything else is somebody's decision, and urgent."""
-    return STATES if key.startswith(STATE_PREFIX) else URGENT
-
-
-def octets_of(obj: Any) -> int:
-    return len(json.dumps(obj, separators=(",", ":")))
+def encoded_size(obj: Any) -> int:
+    """Bytes that a value takes in a payload before compression."""
+    return len(_dump(obj))
 
 
 def encode(message: dict[str, Any]) -> bytes:
-    plain = json.dumps(message, separators=(",", ":")).encode()
-    if len(plain) < PACK_FROM:
+    """The payload of a message."""
+    plain = _dump(message).encode()
+    if len(plain) < MIN_COMPRESSED_BYTES:
         return plain
-    packed = _PACKED + zlib.compress(plain, 1)
-    return packed if len(packed) < len(plain) else plain
+    compressed = _COMPRESSED_MARK + zlib.compress(plain, _COMPRESSION_LEVEL)
+    return compressed if len(compressed) < len(plain) else plain
 
 
 def decode(payload: bytes) -> dict[str, Any]:
-    """Raises Refusal for what is no message, or would unpack to more than is ever sent."""
-    plain = payload
-    if payload.startswith(_PACKED):
-        unpacker = zlib.decompressobj()
-        try:
-            plain = unpacker.decompress(payload[1:], MAX_FRAME_BYTES)
-        except zlib.error:
-            raise SessionRejected("a frame cannot be unpacked") from None
-        if unpacker.unconsumed_tail or not unpacker.eof:
-            raise SessionRejected("a frame is too large, or cut short")
+    """The message of a payload.
+
+    Raises SessionRejected for what is no message, or would decompress to more than is ever sent.
+    """
+    plain = _decompress(payload) if payload.startswith(_COMPRESSED_MARK) else payload
     if len(plain) > MAX_FRAME_BYTES:
         raise SessionRejected("a frame is too large")
     try:
         message = json.loads(plain)
-    except (ValueError, RecursionError):
-        raise SessionRejected("a frame is no JSON") from None
+    except (ValueError, RecursionError) as error:
+        raise SessionRejected("a frame is no JSON") from error
     if not isinstance(message, dict) or not message:
         raise SessionRejected("a frame is no message")
     return message
 
 
-def pack_record(record: StoreRecord) -> list[Any]:
-    return [record.key, record.value, record.version, record.node, record.written_ms]
-
-
-def unpack_records(obj: Any) -> list[StoreRecord]:
-    """All of them or none. Raises Refusal."""
+def _decompress(payload: bytes) -> bytes:
+    decompressor = zlib.decompressobj()
     try:
-        return [
-            parse_record({"key": key, "value": value, "version": version, "node": node, "written_ms": ms})
-            for key, value, version, node, ms in obj
-        ]
-    except (InvalidRecordError, TypeError, ValueError) as error:
-        raise SessionRejected(f"no record: {error}") from None
-
-
-def natural(obj: Any, least: int = 0) -> int:
-    if not isinstance(obj, int) or isinstance(obj, bool) or obj < least:
-        raise SessionRejected(f"no count: {str(obj)[:40]}")
-    return obj
+        plain = decompressor.decompress(payload[len(_COMPRESSED_MARK) :], MAX_FRAME_BYTES)
+    except zlib.error as error:
+        raise SessionRejected("a frame cannot be unpacked") from error
+    if decompressor.unconsumed_tail or not decompressor.eof:
+        raise SessionRejected("a frame is too large, or cut short")
+    return plain
--- a/sageturn/store/store.py
+++ b/sageturn/store/store.py
@@ -11,12 +11,12 @@
 from pathlib import Path
 from typing import Any
 
+from sageturn.store.errors import InvalidRecordError
 from sageturn.store.log import RecordLog
 from sageturn.store.records import (
     MAX_KEY_LENGTH,
     MAX_VALUE_BYTES,
     STATE_PREFIX,
-    InvalidRecordError,
     StoreRecord,
     may_write,
     supersedes,
--- a/tests/store/test_compatibility_replication.py
+++ b/tests/store/test_compatibility_replication.py
@@ -21,14 +21,15 @@
 
 import pytest
 
-from sageturn.store.channel import AuthenticatedChannel, HandshakeRejectedError, read_secret
+from sageturn.store.channel import AuthenticatedChannel, read_secret
+from sageturn.store.errors import HandshakeRejectedError, SessionRejected
 from sageturn.store.records import StoreRecord
 from sageturn.store.replication.close_code import CloseCode
 from sageturn.store.replication.location import ReplicaLocation
 from sageturn.store.replication.overlay import Overlay
 from sageturn.store.replication.replica import Replica
 from sageturn.store.replication.session import ReplicationSession
-from sageturn.store.replication.wire import SessionRejected, decode, encode
+from sageturn.store.replication.wire import decode, encode
 from sageturn.store.store import Store
 
 FIXTURES = Path(__file__).parents[1] / "fixtures" / "replication"
--- a/tests/store/test_compatibility_store.py
+++ b/tests/store/test_compatibility_store.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from sageturn.store.log import LogCorruptedError
+from sageturn.store.errors import LogCorruptedError
 from sageturn.store.records import StoreRecord
 from sageturn.store.replica_state import ReplicaState, read_replica_state, write_replica_state
 from sageturn.store.store import Store
--- a/tests/store/test_replication.py
+++ b/tests/store/test_replication.py
@@ -11,12 +11,15 @@
 from hypothesis import strategies as st
 from support.replication_fleet import Fleet, settled
 
-from sageturn.store.records import InvalidRecordError, StoreRecord, parse_record, record_digest, supersedes
+from sageturn.store.errors import InvalidRecordError, SessionRejected
+from sageturn.store.records import StoreRecord, parse_record, record_digest, supersedes
 from sageturn.store.replication.backoff import Backoff
 from sageturn.store.replication.byte_budget import ByteBudget
-from sageturn.store.replication.changes import DEPTH, FANOUT, ChangeLogSet, HashTree
-from sageturn.store.replication.session import PART_OCTETS, ReplicationSession
-from sageturn.store.replication.wire import PROTOCOL, SessionRejected, decode, encode
+from sageturn.store.replication.changes import ChangeLogSet
+from sageturn.store.replication.merkle_tree import DEPTH, FANOUT, MerkleTree
+from sageturn.store.replication.send_allowance import MAX_CHUNK_BYTES
+from sageturn.store.replication.session import ReplicationSession
+from sageturn.store.replication.wire import PROTOCOL_VERSION, decode, encode
 from sageturn.store.store import Store
 
 NAMES = "abcde"
@@ -143,7 +146,11 @@
     fleet.link("a", "e")
     fleet.run(1.0)
     session = fleet.wires["a", "e"].sessions["a"]
-    assert session.peer_hello is not None and not session.fresh and not fleet.replicas["e"].recently_in_sync
+    assert (
+        session.peer_hello is not None
+        and not session.peer_recently_in_sync
+        and not fleet.replicas["e"].recently_in_sync
+    )
     assert fleet.store("a").get("config/early") is None
     assert fleet.heal(30.0, [("a", "b"), ("a", "e")])
     assert fleet.store("b").get("config/early") == 1 and fleet.replicas["e"].recently_in_sync
@@ -268,7 +275,7 @@
     octets, frames = wire.octets, wire.frames
     fleet.run(20.0)
     assert wire.frames - frames <= 60 and wire.octets - octets <= 20 * 2 * 250
-    assert not any(session.walks for session in wire.sessions.values())
+    assert not any(session.anti_entropy_rounds for session in wire.sessions.values())
 
 
 def test_a_change_costs_itself_and_a_restart_what_differs_whatever_the_number_of_keys() -> None:
@@ -302,7 +309,7 @@
     for one, other in chain:
         sent, was = fleet.wires[one, other].sent, before[one, other]
         assert sent[one] - was[one] > 4000 and sent[other] - was[other] < 600
-        assert not any(session.walks for session in fleet.wires[one, other].sessions.values())
+        assert not any(session.anti_entropy_rounds for session in fleet.wires[one, other].sessions.values())
 
 
 def test_a_snapshot_is_taken_up_where_the_link_broke() -> None:
@@ -394,12 +401,12 @@
 @SEEDED
 @given(st.lists(st.tuples(st.integers(0, 30), st.one_of(st.none(), st.integers(0, 3)))))
 def test_a_tree_tells_what_is_in_it_whatever_came_before(steps: list[tuple[int, int | None]]) -> None:
-    tree, held = HashTree(), {}
+    tree, held = MerkleTree(), {}
     for number, digest in steps:
         tree.set(f"k{number}", digest or 0)
         held[f"k{number}"] = digest or 0
     held = {key: digest for key, digest in held.items() if digest}
-    fresh = HashTree()
+    fresh = MerkleTree()
     for key in sorted(held, reverse=True):
         fresh.set(key, held[key])
     assert tree.root == fresh.root and tree.count(0, 0) == len(held) and tree.entries(0, 0) == held
@@ -414,11 +421,11 @@
 def test_a_sequence_holds_one_entry_a_key_and_costs_no_more_with_more_changes() -> None:
     changes = ChangeLogSet(1)
     for number in range(5000):
-        changes.note(StoreRecord(f"config/{number % 7}", number, number + 1, "a"), source=number % 2)
-    (urgent, _) = changes.sequences
+        changes.add(StoreRecord(f"config/{number % 7}", number, number + 1, "a"), source=number % 2)
+    (urgent, _) = changes.logs
     assert [key for _, key, _ in urgent.since(0)] == [f"config/{n % 7}" for n in range(4993, 5000)]
     assert [revision for revision, _, _ in urgent.since(4997)] == [4998, 4999, 5000]
-    assert len(urgent._order) < 100 and changes.heads == [5000, 0] and changes.counts == [7, 0]
+    assert urgent.order_length < 100 and changes.heads == [5000, 0] and changes.counts == [7, 0]
 
 
 def test_two_records_of_one_version_and_node_are_decided_alike_everywhere() -> None:
@@ -453,6 +460,10 @@
     return fleet, wire.sessions["b"]
 
 
+def cursors_of(session: ReplicationSession) -> list[tuple[int, int, int]]:
+    return [(cursor.backlog, cursor.backlog_end, cursor.live) for cursor in session.cursors]
+
+
 VALUES = st.recursive(
     st.none() | st.booleans() | st.integers(-(2**70), 2**70) | st.text(max_size=5) | st.floats(0, 9),
     lambda inner: st.lists(inner, max_size=5) | st.dictionaries(st.text(max_size=5), inner, max_size=3),
@@ -467,14 +478,17 @@
 @given(KINDS, VALUES)
 def test_a_frame_that_is_not_understood_is_refused_and_changes_nothing(kind: str, value: Any) -> None:
     fleet, session = pair()
-    before = fleet.store("b").records(), [(c.base, c.until, c.live) for c in session._held]
+    before = fleet.store("b").records(), cursors_of(session)
     try:
         session.receive(encode({kind: value}), fleet.now)
     except SessionRejected as refusal:
         assert str(refusal)
     else:
         assert kind in ("ack", "ask", "get")  # there are sound ones among these
-    assert before == (fleet.store("b").records(), [(c.base, c.until, c.live) for c in session._held])
+    assert before == (
+        fleet.store("b").records(),
+        cursors_of(session),
+    )
 
 
 @settings(SEEDED, max_examples=100)
@@ -527,20 +541,20 @@
     fleet = Fleet("a", 1)
     dialled = fleet.replicas["a"].open_session("old", fleet.now, ("127.0.0.1", 9))
     greeting = json.loads(dialled.next_payload(fleet.now) or b"")
-    with pytest.raises(InvalidRecordError, match=f"protocol {PROTOCOL}, this copy speaks 1"):
+    with pytest.raises(InvalidRecordError, match=f"protocol {PROTOCOL_VERSION}, this copy speaks 1"):
         parse_record(greeting["records"][0])  # as the old one reads it, and what it then logs
     accepted = fleet.replicas["a"].open_session("old", fleet.now)
     assert accepted.next_payload(fleet.now) is None, "who accepts waits for the greeting"
     with pytest.raises(
-        SessionRejected, match=f"old speaks protocol 1 .*, this copy speaks {PROTOCOL}"
+        SessionRejected, match=f"old speaks protocol 1 .*, this copy speaks {PROTOCOL_VERSION}"
     ) as refusal:
         accepted.receive(b'{"digest":{"config/x":[1,"old"]}}', fleet.now)
     accepted.close(str(refusal.value), accepted.close_code)
-    with pytest.raises(InvalidRecordError, match=f"protocol {PROTOCOL}, this copy speaks 1"):
+    with pytest.raises(InvalidRecordError, match=f"protocol {PROTOCOL_VERSION}, this copy speaks 1"):
         parse_record(json.loads(accepted.next_payload(fleet.now) or b"")["records"][0])
     newer = fleet.replicas["a"].open_session("new", fleet.now)
     greeting["hello"].update(protocol=3, node="new")
-    with pytest.raises(SessionRejected, match=f"new speaks protocol 3, this copy speaks {PROTOCOL}"):
+    with pytest.raises(SessionRejected, match=f"new speaks protocol 3, this copy speaks {PROTOCOL_VERSION}"):
         newer.receive(encode(greeting), fleet.now)
 
 
@@ -548,7 +562,7 @@
     fleet = Fleet("ab", 1)
     rng = random.Random(1)
     for number in range(5):
-        fleet.put("a", f"config/large/{number}", rng.randbytes(PART_OCTETS).hex())
+        fleet.put("a", f"config/large/{number}", rng.randbytes(MAX_CHUNK_BYTES).hex())
     assert fleet.heal(60.0, [("a", "b")])
     with pytest.raises(InvalidRecordError, match="config/huge"):
         fleet.put("a", "config/huge", "x" * 300_000)
--- a/tests/store/test_replication_sockets.py
+++ b/tests/store/test_replication_sockets.py
@@ -21,7 +21,8 @@
 from sageturn.net.admission import AdmissionController, ProcessLimits
 from sageturn.net.sockets import Connect, connect
 from sageturn.store.channel import AuthenticatedChannel, read_secret
-from sageturn.store.records import InvalidRecordError, parse_record
+from sageturn.store.errors import InvalidRecordError
+from sageturn.store.records import parse_record
 from sageturn.store.replication.ephemeral_client import open_ephemeral_client
 from sageturn.store.replication.member import ReplicationMember
 from sageturn.store.replication.options import ReplicationOptions
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -14,9 +14,10 @@
 
 from sageturn.cli.main import app
 from sageturn.net.admission import AdmissionController, ProcessLimits
-from sageturn.store.channel import AuthenticatedChannel, HandshakeRejectedError, read_secret
-from sageturn.store.log import LogCorruptedError, scan
-from sageturn.store.records import InvalidRecordError, StoreRecord
+from sageturn.store.channel import AuthenticatedChannel, read_secret
+from sageturn.store.errors import HandshakeRejectedError, InvalidRecordError, LogCorruptedError
+from sageturn.store.log import scan
+from sageturn.store.records import StoreRecord
 from sageturn.store.replication.member import ReplicationMember
 from sageturn.store.replication.options import ReplicationOptions
 from sageturn.store.store import Store
--- a/tests/support/replication_fleet.py
+++ b/tests/support/replication_fleet.py
@@ -7,14 +7,18 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field
 
+from sageturn.store.errors import SessionRejected
 from sageturn.store.records import MAX_FRAME_BYTES, StoreRecord, supersedes
 from sageturn.store.replica_state import ReplicaState
+from sageturn.store.replication.anti_entropy import MAX_REQUESTED_KEYS
+from sageturn.store.replication.chunk_sender import MAX_CHUNKS_IN_FLIGHT, MAX_URGENT_CHUNKS_IN_FLIGHT
 from sageturn.store.replication.location import ReplicaLocation
 from sageturn.store.replication.membership import LinkRejected, Member
+from sageturn.store.replication.priority import PRIORITY_CLASSES, priority_of
 from sageturn.store.replication.replica import Replica
 from sageturn.store.replication.routes import RouteAdvertisement
-from sageturn.store.replication.session import ASKED_KEYS, URGENT_WINDOW, WINDOW, ReplicationSession
-from sageturn.store.replication.wire import LANES, PART_OCTETS, SessionRejected, lane_of
+from sageturn.store.replication.send_allowance import MAX_CHUNK_BYTES
+from sageturn.store.replication.session import ReplicationSession
 from sageturn.store.store import Store
 
 QUEUE = 8  # frames that the kernel holds on one side of a link
@@ -221,7 +225,7 @@
     def check(self) -> None:
         for name, replica in self.replicas.items():
             self._check_orders(name, replica)
-            self._check_sequences(replica)
+            self._check_change_logs(replica)
             self._check_budget(replica)
         self._check_cursors()
         for wire in self.wires.values():
@@ -235,16 +239,16 @@
             self._orders[name, record.key] = record.order
 
     @staticmethod
-    def _check_sequences(replica: Replica) -> None:
+    def _check_change_logs(replica: Replica) -> None:
         """The sequences and trees tell exactly what the store holds."""
-        for lane in LANES:
-            sequence = replica.changes.sequences[lane]
-            entries = list(sequence.since(0))
-            held = {record.key for record in replica.store.records() if lane_of(record.key) == lane}
+        for priority in PRIORITY_CLASSES:
+            change_log = replica.changes.logs[priority]
+            entries = list(change_log.since(0))
+            held = {record.key for record in replica.store.records() if priority_of(record.key) == priority}
             assert {key for _, key, _ in entries} == held and len(entries) == len(held)
             assert [entry[0] for entry in entries] == sorted(entry[0] for entry in entries)
-            assert not entries or entries[-1][0] <= sequence.head
-            assert len(sequence._order) <= 2 * len(held) + 66
+            assert not entries or entries[-1][0] <= change_log.head
+            assert change_log.order_length <= 2 * len(held) + 66
 
     def _check_budget(self, replica: Replica) -> None:
         budget = replica.budget
@@ -257,13 +261,13 @@
         """Whoever says how far it is with a copy does hold what that copy had changed up to there."""
         leaders = {replica.changes.incarnation: replica for replica in self.replicas.values()}
         for follower in self.replicas.values():
-            for incarnation, cursors in follower.cursors.items():
+            for incarnation, cursors in follower.followed_cursors.items():
                 leader = leaders.get(incarnation)
                 if leader is None:
                     continue
-                for lane, cursor in zip(LANES, cursors, strict=True):
-                    for revision, key, _ in leader.changes.sequences[lane].since(0):
-                        if revision <= cursor.base or cursor.until < revision <= cursor.live:
+                for priority, cursor in zip(PRIORITY_CLASSES, cursors, strict=True):
+                    for revision, key, _ in leader.changes.logs[priority].since(0):
+                        if revision <= cursor.backlog or cursor.backlog_end < revision <= cursor.live:
                             record, held = leader.store.record(key), follower.store.record(key)
                             assert record is not None
                             # Deleted there, and the deletion forgotten; or a deletion forgotten.
@@ -276,9 +280,9 @@
 
     @staticmethod
     def _check_memory(session: ReplicationSession) -> None:
-        assert session.chunks_in_flight <= WINDOW + URGENT_WINDOW
-        assert session._question is None or len(session._question[1]) <= ASKED_KEYS
-        assert len(session.peer) < 300 and PART_OCTETS <= MAX_FRAME_BYTES
+        assert session.chunks_in_flight <= MAX_CHUNKS_IN_FLIGHT + MAX_URGENT_CHUNKS_IN_FLIGHT
+        assert session.requested_items <= MAX_REQUESTED_KEYS
+        assert len(session.peer) < 300 and MAX_CHUNK_BYTES <= MAX_FRAME_BYTES
 
 
 CONTROL = 12_000.0  # greetings, beats and acknowledgements of a member's few links go whatever is left
