--- a/sageturn/store/replication/anti_entropy.py
+++ b/sageturn/store/replication/anti_entropy.py
@@ -9,7 +9,9 @@
 from sageturn.store.records import StoreRecord, record_digest
 from sageturn.store.replication.local_replica import LocalReplica
 from sageturn.store.replication.merkle_tree import DEPTH, FANOUT
+from sageturn.store.replication.message_codec import record_to_wire
 from sageturn.store.replication.messages import (
+    MAX_REQUESTED_ITEMS,
     NodeContent,
     NodeRequest,
     NodeResponse,
@@ -17,14 +19,13 @@
     RecordResponse,
     RecordVersion,
     TreeNode,
-    record_to_wire,
 )
 from sageturn.store.replication.priority import PriorityClass
 from sageturn.store.replication.send_allowance import MAX_CHUNK_BYTES, SendAllowance
 from sageturn.store.replication.wire import encoded_size
 
 MAX_REQUESTED_NODES = 64
-MAX_REQUESTED_KEYS = 200
+MAX_REQUESTED_KEYS = MAX_REQUESTED_ITEMS
 MAX_LISTED_KEYS = 32  # a tree node with no more keys is answered by its keys
 MIN_REPEAT_S = 5.0
 MAX_REPEAT_S = 300.0
--- a/sageturn/store/replication/chunk_sender.py
+++ b/sageturn/store/replication/chunk_sender.py
@@ -15,12 +15,12 @@
 from sageturn.store.replication.changes import ChangeLogSet
 from sageturn.store.replication.cursor import ChangeStream
 from sageturn.store.replication.local_replica import LocalReplica
+from sageturn.store.replication.message_codec import record_to_wire
 from sageturn.store.replication.messages import (
     AcknowledgedPosition,
     Chunk,
     FollowPosition,
     SkippedRange,
-    record_to_wire,
 )
 from sageturn.store.replication.priority import PRIORITY_CLASSES, PriorityClass
 from sageturn.store.replication.send_allowance import MAX_CHUNK_BYTES, SendAllowance
--- a/sageturn/store/replication/replica.py
+++ b/sageturn/store/replication/replica.py
@@ -9,7 +9,6 @@
 from __future__ import annotations
 
 import logging
-from collections import OrderedDict
 from collections.abc import Callable, Iterable, Sequence
 from random import Random
 
@@ -19,7 +18,7 @@
 from sageturn.store.replication.byte_budget import ByteBudget
 from sageturn.store.replication.changes import NO_SOURCE, ChangeLogSet
 from sageturn.store.replication.close_code import CloseCode
-from sageturn.store.replication.cursor import Cursor
+from sageturn.store.replication.cursor import CursorCache
 from sageturn.store.replication.location import ReplicaLocation
 from sageturn.store.replication.member_directory import (
     REMOVED_PREFIX,
@@ -31,7 +30,6 @@
 )
 from sageturn.store.replication.membership import (
     Address,
-    LinkRejected,
     Member,
     MembershipStatus,
     RejectReason,
@@ -40,17 +38,16 @@
 from sageturn.store.replication.options import DEFAULT_HORIZON_S, DEFAULT_MAX_BYTES_PER_S
 from sageturn.store.replication.routes import RouteAdvertisement
 from sageturn.store.replication.session import ReplicationSession
+from sageturn.store.replication.session_table import SessionTable
 from sageturn.store.replication.sync_status import SyncStatus
-from sageturn.store.replication.tombstones import TombstoneTracker, deletion_time_s
+from sageturn.store.replication.tombstones import TombstoneTracker
 from sageturn.store.replication.topology import Topology, TopologyFactory
 from sageturn.store.replication.zone_liveness import ZoneLiveness
 from sageturn.store.store import Store
 
 log = logging.getLogger(__name__)
 
-TOMBSTONE_MARGIN = 0.1  # of the horizon: clocks of members differ by less
 MAINTENANCE_INTERVAL_S = 5.0
-MAX_REMEMBERED_CURSORS = 2048  # incarnations of peers
 # Two processes under one name would supersede each other for ever, and each time at once.
 MIN_SUPERSEDE_DELAY_S = 10.0
 MAX_SUPERSEDE_DELAY_S = 600.0
@@ -80,16 +77,16 @@
         self.horizon_s = horizon_s
         self.budget = ByteBudget(max_bytes_per_s, now)
         self.changes = ChangeLogSet(0)
-        self.sessions: list[ReplicationSession] = []
         self.topology: Topology | None = None
         self.on_output_pending: Callable[[], None] = lambda: None
         self.on_tick_due: Callable[[], None] = lambda: None
         self._rng = rng
         self._make_topology = make_topology
-        self._cursors: OrderedDict[int, list[Cursor]] = OrderedDict()
+        self.followed_cursors = CursorCache()
         self._sync_status = SyncStatus(store, horizon_s)
+        self._sessions = SessionTable(store.node, self._sync_status)
         self._directory = MemberDirectory()
-        self._tombstones = TombstoneTracker()
+        self._tombstones = TombstoneTracker(store, horizon_s)
         self._zones = ZoneLiveness(None if location is None else location.zone_label)
         self._applying_session: ReplicationSession | None = None
         self._maintenance_at = now
@@ -112,6 +109,11 @@
         """Whether this is an operator's client for a moment, which is no member."""
         return self.location is None
 
+    @property
+    def sessions(self) -> list[ReplicationSession]:
+        """All sessions, also those that are not established yet."""
+        return self._sessions.sessions
+
     @property
     def members(self) -> dict[str, Member]:
         """All members by name, this one and removed ones included."""
@@ -127,11 +129,6 @@
         """Whether it holds records of others that may have been deleted meanwhile."""
         return self._sync_status.holds_replicated_records
 
-    @property
-    def followed_cursors(self) -> dict[int, list[Cursor]]:
-        """How far each peer's incarnation was followed, least recently used first."""
-        return self._cursors
-
     @property
     def zone_last_heard(self) -> dict[str, float]:
         """When each zone was last heard of."""
@@ -153,7 +150,7 @@
         for record in self.store.records():
             self.changes.add(record)
             self._index(record)
-        self._cursors.clear()
+        self.followed_cursors.clear()
         if self.location is not None:
             if self._make_topology is not None:
                 self.topology = self._make_topology(self._own_member(self.location))
@@ -182,8 +179,7 @@
         dropped = self.store.drop_copied()
         log.warning("replica starts over reason=out_of_sync_beyond_horizon dropped_records=%d", dropped)
         self._sync_status.on_started_over()
-        for session in self.sessions:
-            session.close("starting over", CloseCode.LATER)
+        self._sessions.close_all("starting over", CloseCode.LATER)
         self._begin_incarnation()
         if self.location is not None:
             self.announce()
@@ -230,9 +226,7 @@
             return
         self.members.pop(node, None)
         self._forget_states(node)
-        for session in self.sessions:
-            if session.peer == node:
-                session.close(f"{node} was removed", CloseCode.REMOVED)
+        self._sessions.close_with(node, f"{node} was removed", CloseCode.REMOVED)
 
     def _on_own_removal(self, source: str) -> None:
         """If it is added again, this member has to start over."""
@@ -263,27 +257,7 @@
         is_of_removed = record.node in self._directory.removed and record.node != self.store.node
         if is_of_removed and record.key.startswith(STATE_PREFIX):
             return True
-        # A deletion past the horizon that is not known here was forgotten here, or deletes nothing.
-        return self._is_past_horizon(record) and self.store.record(record.key) is None
-
-    def _is_past_horizon(self, record: StoreRecord) -> bool:
-        deleted_at = deletion_time_s(record)
-        return deleted_at is not None and self.store.wall_clock() - deleted_at > self.horizon_s
-
-    def raise_tombstone_floor(self, floor: int) -> None:
-        """A peer has forgotten deletions up to this version."""
-        self.store.raise_tombstone_floor(floor)
-
-    def cursors_of(self, incarnation: int) -> list[Cursor] | None:
-        """How far a peer's incarnation was followed."""
-        return self._cursors.get(incarnation)
-
-    def remember_cursors(self, incarnation: int, cursors: list[Cursor]) -> None:
-        """Keep the cursors, which go on being updated, for a later session with the same incarnation."""
-        self._cursors[incarnation] = cursors
-        self._cursors.move_to_end(incarnation)
-        if len(self._cursors) > MAX_REMEMBERED_CURSORS:
-            self._cursors.popitem(last=False)
+        return self._tombstones.is_obsolete(record)
 
     # ------------------------------------------------------------ sessions
 
@@ -295,10 +269,6 @@
         self.sessions.append(session)
         return session
 
-    def on_session_closing(self) -> None:
-        """A session has its last message to send."""
-        self.on_output_pending()
-
     def on_session_closed(self, session: ReplicationSession, now: float) -> None:
         """The connection is gone, whoever closed it. To be called once for each session."""
         if session not in self.sessions:
@@ -319,10 +289,10 @@
 
     def _report_to_topology(self, topology: Topology, session: ReplicationSession, now: float) -> None:
         if session.peer_hello is not None:
-            if not any(other.peer == session.peer and other.peer_hello for other in self.sessions):
+            if not self._sessions.is_connected_to(session.peer):
                 topology.on_link_lost(session.peer, now, session.was_closed_orderly)
         elif session.dialed_address is not None:
-            rejection = _rejection_of(session)
+            rejection = None if session.peer_bye is None else session.peer_bye.link_rejection()
             if rejection is not None:
                 topology.on_dial_rejected(session.dialed_address, now, rejection)
             else:
@@ -339,34 +309,18 @@
             raise SessionRejected(f"a second copy that calls itself {hello.node}", RejectReason.SAME_NAME)
         if hello.node in self._directory.removed:
             raise SessionRejected(f"{hello.node} was removed", CloseCode.REMOVED)
-        self._check_sync_claims(hello, claims_sync)
+        if hello.recently_in_sync and not claims_sync and self.holds_replicated_records:
+            self._start_over()
+            text = "away for longer than deletions are remembered: starting over"
+            raise SessionRejected(text, CloseCode.LATER)
+        self._sessions.check_sync_claims(hello, claims_sync)
         if session.dialed_address is None:
             self._check_topology(session, hello, now)
 
-    def _check_sync_claims(self, hello: Hello, claims_sync: bool) -> None:
-        if hello.recently_in_sync:
-            if not claims_sync and self.holds_replicated_records:
-                self._start_over()
-                raise SessionRejected(
-                    "away for longer than deletions are remembered: starting over", CloseCode.LATER
-                )
-            return
-        if not hello.holds_replicated_records:
-            return
-        if claims_sync:
-            text = f"{hello.node} was away for longer than deletions are kept: it must start over"
-            raise SessionRejected(text, CloseCode.AWAY)
-        if self._is_being_filled():
-            raise SessionRejected("being filled by a member that is in step", CloseCode.LATER)
-
-    def _is_being_filled(self) -> bool:
-        return any(session.peer_recently_in_sync for session in self.sessions)
-
     def _check_topology(self, session: ReplicationSession, hello: Hello, now: float) -> None:
-        if self.topology is None or hello.location is None:
+        member = hello.member()
+        if self.topology is None or member is None:
             return
-        location = hello.location
-        member = Member(hello.node, location.address, location.region, location.zone, hello.incarnation)
         rejection = self.topology.check_admission(member, now)
         if rejection is not None:
             session.alternatives = rejection.alternatives
@@ -377,46 +331,15 @@
         assert session.peer_hello is not None
         if session.is_ephemeral:
             return
-        self.raise_tombstone_floor(session.peer_hello.tombstone_floor)
-        for other in self._established_sessions():
-            if other is session:
-                continue
-            if other.peer == session.peer:
-                self._close_duplicate(other, session)
-            elif self._fills_instead_of(session, other):
-                other.close("being filled by a member that is in step", CloseCode.LATER)
+        self.store.raise_tombstone_floor(session.peer_hello.tombstone_floor)
+        self._sessions.close_conflicting(session)
         if self.topology is not None and not session.close_detail:
             self.topology.on_link_established(session.peer, now, session.dialed_address)
             self.on_tick_due()
 
-    def _established_sessions(self) -> list[ReplicationSession]:
-        """The sessions with other members."""
-        return [
-            session
-            for session in self.sessions
-            if session.peer_hello is not None and not session.is_ephemeral
-        ]
-
-    def _fills_instead_of(self, session: ReplicationSession, other: ReplicationSession) -> bool:
-        return session.peer_recently_in_sync and not self.recently_in_sync and not other.peer_recently_in_sync
-
-    def _close_duplicate(self, old: ReplicationSession, new: ReplicationSession) -> None:
-        """Of two sessions with a peer that of the smaller dialing node stays, or of one dialer the newer."""
-        assert old.peer_hello is not None and new.peer_hello is not None
-        is_same_incarnation = old.peer_hello.incarnation == new.peer_hello.incarnation
-        if is_same_incarnation and self._dialing_node(old) < self._dialing_node(new):
-            new.close("a second link", CloseCode.ORDERLY)
-        else:
-            old.close("a second link", CloseCode.ORDERLY)
-
-    def _dialing_node(self, session: ReplicationSession) -> str:
-        return self.store.node if session.dialed_address is not None else session.peer
-
     def may_follow(self, session: ReplicationSession) -> bool:
         """Whether this replica may take records from a session's peer."""
-        if session.is_ephemeral or session.peer_recently_in_sync:
-            return True
-        return not self.recently_in_sync and not self._is_being_filled()
+        return self._sessions.may_follow(session)
 
     def on_session_progress(self, session: ReplicationSession) -> None:
         """Something was received: this replica may be in sync with the peer now."""
@@ -425,9 +348,7 @@
             return
         if self._sync_status.on_in_sync(at):
             # What peers that are not in sync still offer may have been deleted meanwhile.
-            for other in self._established_sessions():
-                if not other.peer_recently_in_sync:
-                    other.close("in step now: greet again", CloseCode.LATER)
+            self._sessions.close_unsynced("in step now: greet again")
 
     # ------------------------------------------------------------ heartbeats
 
@@ -452,7 +373,7 @@
         """What is due: the addresses to dial now, and when to call this again at the latest."""
         if now >= self._maintenance_at:
             self._maintenance_at = now + MAINTENANCE_INTERVAL_S
-            self._sync_status.update_settling(now, self._may_settle())
+            self._sync_status.update_settling(now, self._sessions.may_settle())
             self._forget_tombstones(now)
         if self.topology is None:
             return (), self._maintenance_at
@@ -462,51 +383,25 @@
         if self.topology.membership_status == MembershipStatus.SUPERSEDED and now >= self._supersede_at:
             self._supersede_stale_incarnation(now)
         for name in self.topology.links_to_close(now):
-            for session in self._established_sessions():
-                if session.peer == name:
-                    session.close("not needed any more", CloseCode.ORDERLY)
+            self._sessions.close_established_with(name, "not needed any more", CloseCode.ORDERLY)
         addresses = self.topology.addresses_to_dial(now)
         return addresses, min(self._maintenance_at, self.topology.next_wakeup(now))
 
-    def _supersede_stale_incarnation(self, now: float) -> None:
-        """An earlier advertisement of this member counts as newer: begin a larger incarnation."""
-        self._supersede_at = now + self._supersede_backoff.next_delay_s()
-        log.warning("stale incarnation superseded node=%s", self.store.node)
-        for session in self.sessions:
-            session.close("a new incarnation", CloseCode.LATER)
-        self._begin_incarnation(SUPERSEDE_INCARNATION_STEP)
-        self.announce()
-
-    def _may_settle(self) -> bool:
-        """Whether those connected hold the same, and none of them is recently in sync."""
-        sessions = self._established_sessions()
-        return bool(sessions) and all(
-            session.caught_up and not session.peer_recently_in_sync for session in sessions
-        )
-
     def _forget_tombstones(self, now: float) -> None:
         """Forget deletions past the horizon, but only while every zone is heard of.
 
         Replicas in one that is cut off may hold what was deleted, and count as in sync by their own measure.
         """
-        last_in_sync = self.store.replica_state.last_in_sync
-        wall_clock_s = self.store.wall_clock()
-        max_silence_s = self.horizon_s / 2
-        if last_in_sync is None or wall_clock_s - last_in_sync > max_silence_s or not self._tombstones:
+        if not self._tombstones.may_forget():
             return
-        if self._zones.is_any_silent(self._directory.active_zones(), now, max_silence_s):
-            return
-        expired = self._tombstones.deleted_before(wall_clock_s - self.horizon_s * (1.0 + TOMBSTONE_MARGIN))
-        if expired:
-            self.store.forget(expired)
-
-
-def _rejection_of(session: ReplicationSession) -> LinkRejected | None:
-    """The peer's answer to a connection that its topology doesn't want; None if it was closed otherwise."""
-    bye = session.peer_bye
-    if bye is None:
-        return None
-    is_known_reason = bye.close_code in tuple(RejectReason)
-    if not bye.names_alternatives and not is_known_reason:
-        return None
-    return LinkRejected(bye.close_code, tuple(bye.alternatives))
+        zones = self._directory.active_zones()
+        if not self._zones.is_any_silent(zones, now, limit_s=self.horizon_s / 2):
+            self._tombstones.forget_expired()
+
+    def _supersede_stale_incarnation(self, now: float) -> None:
+        """An earlier advertisement of this member counts as newer: begin a larger incarnation."""
+        self._supersede_at = now + self._supersede_backoff.next_delay_s()
+        log.warning("stale incarnation superseded node=%s", self.store.node)
+        self._sessions.close_all("a new incarnation", CloseCode.LATER)
+        self._begin_incarnation(SUPERSEDE_INCARNATION_STEP)
+        self.announce()
--- a/sageturn/store/replication/session.py
+++ b/sageturn/store/replication/session.py
@@ -10,7 +10,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable
+from collections.abc import Callable, Iterable
 from typing import Protocol
 
 from sageturn.store.errors import SessionRejected
@@ -21,14 +21,18 @@
 from sageturn.store.replication.chunk_sender import DEFERRABLE_STREAMS, URGENT_LIVE, ChunkSender
 from sageturn.store.replication.close_code import CloseCode
 from sageturn.store.replication.convergence import ConvergenceMonitor
-from sageturn.store.replication.cursor import Cursor
+from sageturn.store.replication.cursor import Cursor, CursorCache
 from sageturn.store.replication.liveness import HEARTBEAT_INTERVAL_S, PEER_TIMEOUT_S
 from sageturn.store.replication.local_replica import LocalReplica
 from sageturn.store.replication.location import ReplicaLocation
 from sageturn.store.replication.membership import Address, Member
-from sageturn.store.replication.messages import (
+from sageturn.store.replication.message_codec import (
     KINDS_WITHOUT_HELLO,
     MALFORMED_BODY_ERRORS,
+    decode_message,
+    encode_message,
+)
+from sageturn.store.replication.messages import (
     Acknowledgement,
     Bye,
     Chunk,
@@ -40,8 +44,6 @@
     NodeResponse,
     RecordRequest,
     RecordResponse,
-    decode_message,
-    encode_message,
 )
 from sageturn.store.replication.priority import PRIORITY_CLASSES
 from sageturn.store.replication.routes import RouteAdvertisement
@@ -54,6 +56,8 @@
 
     budget: ByteBudget
     location: ReplicaLocation | None
+    followed_cursors: CursorCache
+    on_output_pending: Callable[[], None]
 
     @property
     def is_ephemeral(self) -> bool: ...
@@ -64,12 +68,8 @@
     def admit(self, session: ReplicationSession, hello: Hello, claims_sync: bool, now: float) -> None: ...
     def on_session_established(self, session: ReplicationSession, now: float) -> None: ...
     def on_session_progress(self, session: ReplicationSession) -> None: ...
-    def on_session_closing(self) -> None: ...
     def may_follow(self, session: ReplicationSession) -> bool: ...
-    def cursors_of(self, incarnation: int) -> list[Cursor] | None: ...
-    def remember_cursors(self, incarnation: int, cursors: list[Cursor]) -> None: ...
     def apply_records(self, records: Iterable[StoreRecord], session: ReplicationSession) -> int: ...
-    def raise_tombstone_floor(self, floor: int) -> None: ...
     def zone_ages(self, now: float) -> dict[str, float]: ...
     def merge_zone_ages(self, ages: dict[str, float], now: float) -> None: ...
     def make_route_for(self, session: ReplicationSession, now: float) -> RouteAdvertisement | None: ...
@@ -156,7 +156,7 @@
         if not self.close_detail:
             self.close_detail = detail
             self.close_code = code
-            self._replica.on_session_closing()
+            self._replica.on_output_pending()
 
     # ------------------------------------------------------------ sending
 
@@ -248,8 +248,10 @@
 
     def _make_follow(self, hello: Hello) -> Follow:
         replica = self._replica
-        follow = self._receiver.follow(hello, replica.changes, replica.cursors_of(hello.incarnation))
-        replica.remember_cursors(hello.incarnation, self._receiver.cursors)
+        follow = self._receiver.follow(
+            hello, replica.changes, replica.followed_cursors.get(hello.incarnation)
+        )
+        replica.followed_cursors.remember(hello.incarnation, self._receiver.cursors)
         for priority in self._receiver.classes_of_unknown_backlog:
             self._anti_entropy.start(priority)
         return follow
@@ -356,7 +358,7 @@
             self._on_acknowledgement(Acknowledgement(heartbeat.acknowledged))
         self.peer_recently_in_sync = heartbeat.recently_in_sync
         if not self.is_ephemeral:
-            self._replica.raise_tombstone_floor(heartbeat.tombstone_floor)
+            self._replica.store.raise_tombstone_floor(heartbeat.tombstone_floor)
             self._replica.merge_zone_ages(heartbeat.zone_ages, now)
             if heartbeat.route is not None:
                 self._replica.on_route(self, heartbeat.route, now)
--- /dev/null
+++ b/sageturn/store/replication/session_table.py
@@ -0,0 +1,110 @@
+"""The sessions of one replica, and the rules that hold between them."""
+
+from __future__ import annotations
+
+from sageturn.store.errors import SessionRejected
+from sageturn.store.replication.close_code import CloseCode
+from sageturn.store.replication.messages import Hello
+from sageturn.store.replication.session import ReplicationSession
+from sageturn.store.replication.sync_status import SyncStatus
+
+_BEING_FILLED = "being filled by a member that is in step"
+
+
+class SessionTable:
+    """All sessions, also those that are not established yet.
+
+    While a replica that is not recently in sync has a session with a peer that is, it takes records from
+    nobody else: what they hold may have been deleted meanwhile.
+    """
+
+    def __init__(self, node: str, sync_status: SyncStatus) -> None:
+        self._node = node
+        self._sync_status = sync_status
+        self.sessions: list[ReplicationSession] = []
+
+    def established(self) -> list[ReplicationSession]:
+        """The sessions with other members."""
+        return [
+            session
+            for session in self.sessions
+            if session.peer_hello is not None and not session.is_ephemeral
+        ]
+
+    def is_connected_to(self, peer: str) -> bool:
+        """Whether there is an established session with a peer."""
+        return any(session.peer == peer and session.peer_hello for session in self.sessions)
+
+    def may_settle(self) -> bool:
+        """Whether those connected hold the same, and none of them is recently in sync."""
+        sessions = self.established()
+        return bool(sessions) and all(
+            session.caught_up and not session.peer_recently_in_sync for session in sessions
+        )
+
+    def may_follow(self, session: ReplicationSession) -> bool:
+        """Whether the replica may take records from a session's peer."""
+        if session.is_ephemeral or session.peer_recently_in_sync:
+            return True
+        return not self._sync_status.recently_in_sync and not self._is_being_filled()
+
+    def check_sync_claims(self, hello: Hello, claims_sync: bool) -> None:
+        """Raises SessionRejected where one side is not recently in sync and may not meet the other yet."""
+        if hello.recently_in_sync or not hello.holds_replicated_records:
+            return
+        if claims_sync:
+            text = f"{hello.node} was away for longer than deletions are kept: it must start over"
+            raise SessionRejected(text, CloseCode.AWAY)
+        if self._is_being_filled():
+            raise SessionRejected(_BEING_FILLED, CloseCode.LATER)
+
+    def _is_being_filled(self) -> bool:
+        return any(session.peer_recently_in_sync for session in self.sessions)
+
+    # ------------------------------------------------------------ closing
+
+    def close_all(self, detail: str, code: CloseCode) -> None:
+        """Close every session."""
+        for session in self.sessions:
+            session.close(detail, code)
+
+    def close_with(self, peer: str, detail: str, code: CloseCode) -> None:
+        """Close every session with a peer, established or not."""
+        for session in self.sessions:
+            if session.peer == peer:
+                session.close(detail, code)
+
+    def close_established_with(self, peer: str, detail: str, code: CloseCode) -> None:
+        """Close the established sessions with a member."""
+        for session in self.established():
+            if session.peer == peer:
+                session.close(detail, code)
+
+    def close_unsynced(self, detail: str) -> None:
+        """Close the sessions with members that are not recently in sync; they may connect again."""
+        for session in self.established():
+            if not session.peer_recently_in_sync:
+                session.close(detail, CloseCode.LATER)
+
+    def close_conflicting(self, new: ReplicationSession) -> None:
+        """Close what a newly established session replaces, or the new one where it is a duplicate."""
+        is_filled_by_new = new.peer_recently_in_sync and not self._sync_status.recently_in_sync
+        for other in self.established():
+            if other is new:
+                continue
+            if other.peer == new.peer:
+                self._close_duplicate(other, new)
+            elif is_filled_by_new and not other.peer_recently_in_sync:
+                other.close(_BEING_FILLED, CloseCode.LATER)
+
+    def _close_duplicate(self, old: ReplicationSession, new: ReplicationSession) -> None:
+        """Of two sessions with a peer that of the smaller dialing node stays, or of one dialer the newer."""
+        assert old.peer_hello is not None and new.peer_hello is not None
+        is_same_incarnation = old.peer_hello.incarnation == new.peer_hello.incarnation
+        if is_same_incarnation and self._dialing_node(old) < self._dialing_node(new):
+            new.close("a second link", CloseCode.ORDERLY)
+        else:
+            old.close("a second link", CloseCode.ORDERLY)
+
+    def _dialing_node(self, session: ReplicationSession) -> str:
+        return self._node if session.dialed_address is not None else session.peer
--- a/sageturn/store/replication/tombstones.py
+++ b/sageturn/store/replication/tombstones.py
@@ -3,6 +3,9 @@
 from __future__ import annotations
 
 from sageturn.store.records import StoreRecord
+from sageturn.store.store import Store
+
+HORIZON_MARGIN = 0.1  # of the horizon: clocks of members differ by less
 
 
 class TombstoneTracker:
@@ -11,16 +14,15 @@
     A deletion without a time, of an earlier program, is never forgotten.
     """
 
-    def __init__(self) -> None:
+    def __init__(self, store: Store, horizon_s: float) -> None:
+        self._store = store
+        self._horizon_s = horizon_s
         self._deleted_at: dict[str, float] = {}
 
-    def __bool__(self) -> bool:
-        return bool(self._deleted_at)
-
     def on_record(self, record: StoreRecord) -> None:
         """The store holds this version of a record now."""
         self._deleted_at.pop(record.key, None)
-        deleted_at = deletion_time_s(record)
+        deleted_at = _deletion_time_s(record)
         if deleted_at is not None:
             self._deleted_at[record.key] = deleted_at
 
@@ -32,12 +34,29 @@
         """Start anew, before the records of a store are gone through again."""
         self._deleted_at.clear()
 
-    def deleted_before(self, limit_s: float) -> list[str]:
-        """The keys that were deleted before a time."""
-        return [key for key, deleted_at in self._deleted_at.items() if deleted_at < limit_s]
-
-
-def deletion_time_s(record: StoreRecord) -> float | None:
+    def is_obsolete(self, record: StoreRecord) -> bool:
+        """Whether this is a deletion past the horizon that was forgotten here, or that deletes nothing."""
+        deleted_at = _deletion_time_s(record)
+        if deleted_at is None or self._store.wall_clock() - deleted_at <= self._horizon_s:
+            return False
+        return self._store.record(record.key) is None
+
+    def may_forget(self) -> bool:
+        """Whether there are deletions, and this replica was in sync lately enough to forget any."""
+        last_in_sync = self._store.replica_state.last_in_sync
+        if last_in_sync is None or not self._deleted_at:
+            return False
+        return self._store.wall_clock() - last_in_sync <= self._horizon_s / 2
+
+    def forget_expired(self) -> None:
+        """Forget the deletions past the horizon."""
+        limit = self._store.wall_clock() - self._horizon_s * (1.0 + HORIZON_MARGIN)
+        expired = [key for key, deleted_at in self._deleted_at.items() if deleted_at < limit]
+        if expired:
+            self._store.forget(expired)
+
+
+def _deletion_time_s(record: StoreRecord) -> float | None:
     """Unix seconds at which a record was deleted; None for one that is not, or whose time is not known."""
     if record.value is not None or record.written_ms is None:
         return None
