--- a/sageturn/store/log.py
+++ b/sageturn/store/log.py
@@ -1,8 +1,8 @@
-"""The append-only log on disk.
+"""The append-only log of records on disk.
 
 Each entry is a header (length and checksum of the payload, and a checksum of the header itself) and a
-payload of JSON. The header's own checksum tells a length that rotted, which would make all that follows
-look like a torn tail, from an entry whose writing was cut short.
+payload of JSON. The header's own checksum tells a corrupted length, which would make all that follows look
+like a torn tail, from an entry whose writing was cut short.
 """
 
 from __future__ import annotations
@@ -14,104 +14,139 @@
 import zlib
 from collections.abc import Iterable
 from pathlib import Path
+from typing import BinaryIO
 
-from sageturn.store.errors import InvalidRecordError, LogCorruptedError
+from sageturn.store.errors import InvalidRecordError, LogCorruptedError, LogInUseError
 from sageturn.store.records import StoreRecord, parse_record
 
 MAGIC = b"sageturn-store-1\n"
-_HEADER = struct.Struct(">II")
-_CHECK = struct.Struct(">I")
-_HEAD = _HEADER.size + _CHECK.size
+_HEADER = struct.Struct(">II")  # payload length, payload checksum
+_HEADER_CHECKSUM = struct.Struct(">I")
+_FULL_HEADER_BYTES = _HEADER.size + _HEADER_CHECKSUM.size
 
 
 def encode(record: StoreRecord) -> bytes:
+    """One entry of the log."""
     payload = json.dumps(record.to_json(), separators=(",", ":"), sort_keys=True).encode()
-    head = _HEADER.pack(len(payload), zlib.crc32(payload))
-    return head + _CHECK.pack(zlib.crc32(head)) + payload
+    header = _HEADER.pack(len(payload), zlib.crc32(payload))
+    return header + _HEADER_CHECKSUM.pack(zlib.crc32(header)) + payload
 
 
 def scan(data: bytes) -> tuple[list[StoreRecord], int]:
-    """The records, and where the sound part ends; what lies past it is a torn tail."""
+    """The records of a log's bytes, and where its intact part ends; what lies past that is a torn tail.
+
+    Raises LogCorruptedError for damage that no interrupted write explains.
+    """
     if not data.startswith(MAGIC):
         if MAGIC.startswith(data):
             return [], 0
         raise LogCorruptedError("this is no log of the store")
-    records, at = [], len(MAGIC)
+    records = []
+    offset = len(MAGIC)
     view = memoryview(data)  # a slice of it is no copy: copying the rest for each entry took 3.5 s at 27,000
-    while at < len(data):
-        head = data[at : at + _HEAD]
-        if len(head) < _HEAD or not any(view[at:]):
+    while offset < len(data):
+        header = data[offset : offset + _FULL_HEADER_BYTES]
+        if len(header) < _FULL_HEADER_BYTES or not any(view[offset:]):
             break  # cut short, or the file had grown before its bytes were written
-        size, check = _HEADER.unpack(head[: _HEADER.size])
-        if _CHECK.unpack(head[_HEADER.size :])[0] != zlib.crc32(head[: _HEADER.size]):
-            raise LogCorruptedError(f"header at byte {at}")
-        end = at + _HEAD + size
-        payload = data[at + _HEAD : end]
+        size, checksum = _parse_header(header, offset)
+        start = offset + _FULL_HEADER_BYTES
+        end = start + size
+        payload = data[start:end]
         if len(payload) < size:
             break
-        if zlib.crc32(payload) != check:
+        if zlib.crc32(payload) != checksum:
             if end == len(data):
                 break  # the last entry: its bytes had not all reached the disk
-            raise LogCorruptedError(f"entry at byte {at}")
-        try:
-            records.append(parse_record(json.loads(payload)))
-        except (InvalidRecordError, ValueError) as error:
-            raise LogCorruptedError(f"entry at byte {at}: {error}") from None
-        at = end
-    return records, at
+            raise LogCorruptedError(f"entry at byte {offset}")
+        records.append(_parse_payload(payload, offset))
+        offset = end
+    return records, offset
+
+
+def _parse_header(header: bytes, offset: int) -> tuple[int, int]:
+    """The payload's length and checksum."""
+    lengths = header[: _HEADER.size]
+    (header_checksum,) = _HEADER_CHECKSUM.unpack(header[_HEADER.size :])
+    if header_checksum != zlib.crc32(lengths):
+        raise LogCorruptedError(f"header at byte {offset}")
+    size, checksum = _HEADER.unpack(lengths)
+    return size, checksum
+
+
+def _parse_payload(payload: bytes, offset: int) -> StoreRecord:
+    try:
+        return parse_record(json.loads(payload))
+    except (InvalidRecordError, ValueError) as error:
+        raise LogCorruptedError(f"entry at byte {offset}: {error}") from error
 
 
 class RecordLog:
-    """The file of one node."""
+    """The log file of one node, open for this process alone.
+
+    Raises LogInUseError where another process has it open, and LogCorruptedError.
+    """
 
     def __init__(self, path: Path) -> None:
         self._path = path
         path.parent.mkdir(parents=True, exist_ok=True)
-        self._file = open(path, "r+b" if path.exists() else "w+b", buffering=0)  # noqa: SIM115
-        try:
-            # Two writers would tear each other's entries.
-            fcntl.flock(self._file, fcntl.LOCK_EX | fcntl.LOCK_NB)
-        except OSError:
-            self._file.close()
-            raise BlockingIOError(f"{path}: another process has it open") from None
+        self._file = _open_locked(path)
         data = path.read_bytes()
         try:
-            self.records, sound = scan(data)
+            self.records, intact_bytes = scan(data)
         except LogCorruptedError:
             self._file.close()
             raise
-        self.cut_off = len(data) - sound
-        self._file.truncate(sound)
-        self._file.seek(sound)
-        self.size = sound
-        if not sound:
+        self.torn_bytes = len(data) - intact_bytes
+        self._file.truncate(intact_bytes)
+        self._file.seek(intact_bytes)
+        self.size = intact_bytes
+        if not intact_bytes:
             self._write(MAGIC)
 
     def append(self, records: Iterable[StoreRecord]) -> None:
-        """Durable once this returns."""
+        """Add records; durable once this returns."""
         self._write(b"".join(map(encode, records)))
 
     def _write(self, data: bytes) -> None:
         view = memoryview(data)
         while view:
-            view = view[self._file.write(view) :]
+            written = self._file.write(view)
+            view = view[written:]
         os.fsync(self._file.fileno())
         self.size += len(data)
 
     def rewrite(self, records: Iterable[StoreRecord]) -> None:
-        """Replace the log by one of the records that still count, all at once or not at all."""
-        fresh = self._path.with_suffix(".new")
-        fresh.unlink(missing_ok=True)
-        new = RecordLog(fresh)
-        new.append(records)
-        os.replace(fresh, self._path)
-        folder = os.open(self._path.parent, os.O_RDONLY)
-        try:
-            os.fsync(folder)
-        finally:
-            os.close(folder)
+        """Replace the log atomically by one of these records only."""
+        replacement_path = self._path.with_suffix(".new")
+        replacement_path.unlink(missing_ok=True)
+        replacement = RecordLog(replacement_path)
+        replacement.append(records)
+        os.replace(replacement_path, self._path)
+        _sync_directory(self._path.parent)
         self._file.close()
-        self._file, self.size = new._file, new.size
+        self._file = replacement._file
+        self.size = replacement.size
 
     def close(self) -> None:
+        """Release the file."""
         self._file.close()
+
+
+def _open_locked(path: Path) -> BinaryIO:
+    """Open the file for this process alone: two writers would tear each other's entries."""
+    file = open(path, "r+b" if path.exists() else "w+b", buffering=0)  # noqa: SIM115
+    try:
+        fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
+    except OSError as error:
+        file.close()
+        raise LogInUseError(f"{path}: another process has it open") from error
+    return file
+
+
+def _sync_directory(path: Path) -> None:
+    """Make a replaced directory entry durable."""
+    directory = os.open(path, os.O_RDONLY)
+    try:
+        os.fsync(directory)
+    finally:
+        os.close(directory)
--- a/sageturn/store/records.py
+++ b/sageturn/store/records.py
@@ -1,4 +1,4 @@
-"""Records and their order."""
+"""Records, their order, and what makes one valid."""
 
 from __future__ import annotations
 
@@ -10,13 +10,16 @@
 from sageturn.store.errors import InvalidRecordError
 
 MAX_KEY_LENGTH = 256
-MAX_VALUE_BYTES = 256 << 10  # octets of JSON
-MAX_FRAME_BYTES = 512 << 10  # octets on a link: any record whole, and room to spare
+MAX_VALUE_BYTES = 256 << 10  # of JSON
+MAX_FRAME_BYTES = 512 << 10  # on a connection: any single record fits, with a margin
 STATE_PREFIX = "state/"
+_DIGEST_BYTES = 8
 
 
 @dataclass(frozen=True, slots=True)
 class StoreRecord:
+    """One version of a record."""
+
     key: str
     value: Any  # None: deleted, and kept for a time so that a replica that missed it learns of it
     version: int
@@ -25,31 +28,42 @@
 
     @property
     def order(self) -> tuple[int, str]:
+        """Of two versions of a record the one of the larger order wins."""
         return self.version, self.node
 
     def to_json(self) -> dict[str, Any]:
+        """The object that stands in the log; ``parse_record`` reads it."""
         obj = {"key": self.key, "value": self.value, "version": self.version, "node": self.node}
         return obj if self.written_ms is None else {**obj, "written_ms": self.written_ms}
 
 
 def record_digest(record: StoreRecord) -> int:
-    """64 bits over all that makes a record, for comparing copies without sending them."""
+    """64 bits, never 0, over all that makes a record, for comparing replicas without sending records."""
     parts = [record.key, record.value, record.version, record.node, record.written_ms]
     text = json.dumps(parts, separators=(",", ":"), sort_keys=True)
-    return int.from_bytes(blake2b(text.encode(), digest_size=8).digest(), "big") or 1
+    digest = blake2b(text.encode(), digest_size=_DIGEST_BYTES).digest()
+    return int.from_bytes(digest, "big") or 1
 
 
 def supersedes(new: StoreRecord, known: StoreRecord | None) -> bool:
-    """By (version, node). A wiped node may use a version of its own twice: the digest then decides."""
-    if known is None or new.order != known.order:
-        return known is None or new.order > known.order
+    """Whether a version replaces a known one: by its order.
+
+    A wiped node may use a version of its own twice: the digest then decides.
+    """
+    if known is None:
+        return True
+    if new.order != known.order:
+        return new.order > known.order
     return new != known and record_digest(new) > record_digest(known)
 
 
 def parse_record(obj: Any) -> StoreRecord:
+    """The record of a decoded JSON object. Raises InvalidRecordError."""
     if not isinstance(obj, dict):
         raise InvalidRecordError("not an object")
-    key, version, node = obj.get("key"), obj.get("version"), obj.get("node")
+    key = obj.get("key")
+    version = obj.get("version")
+    node = obj.get("node")
     written_ms = obj.get("written_ms")
     if not isinstance(key, str) or not 0 < len(key) <= MAX_KEY_LENGTH:
         raise InvalidRecordError("key")
@@ -65,4 +79,5 @@
 
 
 def may_write(node: str, key: str) -> bool:
+    """Whether a key may be written by a node: a node's states only by itself, all other keys by any."""
     return not key.startswith(STATE_PREFIX) or key.startswith(f"{STATE_PREFIX}{node}/")
--- a/sageturn/store/replication/__init__.py
+++ b/sageturn/store/replication/__init__.py
@@ -1,5 +1,6 @@
-"""How changes of the store spread: pure parts, and ``member.py``, the one that has sockets and a clock.
+"""Replication of the store between members: pure modules, and ``member.py``, which has sockets and a clock.
 
-``changes.py`` knows what changed since when, ``session.py`` speaks over one link, ``replica.py`` is one
-copy with all its links, ``overlay.py`` says whom to link to. Why so: ``docs/design/spread.md``.
+``changes`` records what changed since when, ``session`` speaks the protocol over one connection
+(``messages``, ``message_codec``, ``wire``), ``replica`` is one replica with all its sessions, and
+``overlay`` decides which members connect. The design and its reasons: ``docs/design/spread.md``.
 """
--- a/tests/store/test_compatibility_store.py
+++ b/tests/store/test_compatibility_store.py
@@ -79,7 +79,7 @@
 def rewrite(path: Path) -> None:
     """Compact the log, as happens once it has grown far beyond what its records need."""
     store = open_store(path)
-    store._rewrite()
+    store.compact()
     store.close()
 
 
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -84,8 +84,7 @@
 
 
 def test_a_grown_log_is_rewritten_to_what_counts(tmp_path: Path) -> None:
-    store = Store("n1", tmp_path / "log")
-    store._compact_from = 2000
+    store = Store("n1", tmp_path / "log", min_compaction_bytes=2000)
     for number in range(100):
         store.put("config/a", number)
     store.put("config/b", 1)
@@ -102,7 +101,7 @@
     store.set_last_in_sync(900.0)
     store.forget(["config/a"])
     store.put("config/b", 1)
-    store._rewrite()
+    store.compact()
     store.close()
     again = Store("n1", tmp_path / "log", wall_clock=lambda: 2000.0)
     assert (again.replica_state.last_in_sync, again.replica_state.tombstone_floor) == (
