--- a/sageturn/store/channel.py
+++ b/sageturn/store/channel.py
@@ -16,7 +16,8 @@
 import struct
 
 from sageturn.net.sockets import send_gathered
-from sageturn.store.errors import ChannelClosedError, HandshakeRejectedError
+from sageturn.store.errors import ChannelClosedError
+from sageturn.store.errors import HandshakeRejectedError as HandshakeRejectedError
 from sageturn.store.records import MAX_FRAME_BYTES
 
 MAX_HELLO_BYTES = 1024
--- a/sageturn/store/replication/session.py
+++ b/sageturn/store/replication/session.py
@@ -192,12 +192,8 @@
         if self.close_detail:
             self.sent_bye = True
             return Bye(self.close_code, self.close_detail, self.alternatives)
-        if not self._sent_hello and (self.dialed_address is not None or self.peer_hello is not None):
-            self._sent_hello = True
-            self._next_heartbeat_at = now + HEARTBEAT_INTERVAL_S
-            return self._make_hello()
         if self.peer_hello is None or not self._sent_hello:
-            return None
+            return self._next_hello(now)
         if not self._receiver.is_following and self._replica.may_follow(self):
             return self._make_follow(self.peer_hello)
         if now >= self._next_heartbeat_at:
@@ -208,6 +204,15 @@
             return Acknowledgement(self._receiver.acknowledged_positions())
         return self._next_bulk_message(now)
 
+    def _next_hello(self, now: float) -> Hello | None:
+        """The dialing side sends the first hello, the accepting side answers."""
+        is_turn_of_peer = self.dialed_address is None and self.peer_hello is None
+        if self._sent_hello or is_turn_of_peer:
+            return None
+        self._sent_hello = True
+        self._next_heartbeat_at = now + HEARTBEAT_INTERVAL_S
+        return self._make_hello()
+
     def _check_peer_timeout(self, now: float) -> None:
         silent_s = now - self.last_received_at
         if not self.close_detail and silent_s >= PEER_TIMEOUT_S:
