--- /dev/null
+++ b/sageturn/store/replication/link_pruning.py
@@ -0,0 +1,52 @@
+"""Which links are closed because neither side needs them. No I/O, no clock."""
+
+from __future__ import annotations
+
+from sageturn.store.replication.link_table import Link
+from sageturn.store.replication.membership import MembershipStatus
+from sageturn.store.replication.overlay_state import OverlayState
+
+REPLACEMENT_SETTLE_S = 3.0  # a link is only replaced by one that has been up for so long
+UNKNOWN_PEER_GRACE_S = 10.0  # a link to somebody who is in no member table is closed after so long
+
+
+class LinkPruner:
+    """Finds the links to close. Of a link between two members only the side that dialled it closes it."""
+
+    def __init__(self, state: OverlayState) -> None:
+        self._state = state
+
+    def links_to_close(self, now: float) -> list[str]:
+        """Names of the members to whom the links should be closed now."""
+        state = self._state
+        if state.members.status != MembershipStatus.MEMBER:
+            return state.links.names()
+        return [name for name, link in state.links.items() if self._should_close(name, link, now)]
+
+    def _should_close(self, name: str, link: Link, now: float) -> bool:
+        state = self._state
+        if state.members.get(name) is None:
+            was_removed = state.links.is_confirmed(name)
+            return was_removed or now - link.established_at >= UNKNOWN_PEER_GRACE_S
+        if not link.is_dialled or not self._is_redundant(name, link, now):
+            link.redundant_since = None
+            return False
+        if link.redundant_since is None:
+            link.redundant_since = now
+            # By chance, so that two links that are redundant only because of each other don't go together.
+            link.redundancy_grace_s = state.rng.uniform(REPLACEMENT_SETTLE_S, 2 * REPLACEMENT_SETTLE_S)
+            return False
+        return now - link.redundant_since >= link.redundancy_grace_s
+
+    def _is_redundant(self, name: str, link: Link, now: float) -> bool:
+        """Whether neither side needs the link, and both follow the same root without it."""
+        links = self._state.links
+        routes = self._state.routes
+        root_path = routes.root_path(now)
+        if name in (links.uplink(), root_path):
+            return False
+        if link.advertisement is not None and link.advertisement.is_root_path:
+            return False
+        if routes.advertised_root(link, now) != routes.current_root(now):
+            return False
+        return root_path is None or now - links[root_path].established_at >= REPLACEMENT_SETTLE_S
--- /dev/null
+++ b/sageturn/store/replication/member_table.py
@@ -0,0 +1,85 @@
+"""The table of members, kept up to date from this member's replica of the store. No I/O, no clock."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from dataclasses import dataclass, field
+
+from sageturn.store.replication.membership import Address, Member, MembershipStatus
+from sageturn.store.replication.tree_order import ParentCandidates
+
+
+@dataclass(slots=True)
+class MembershipChanges:
+    """What an update of the table changed."""
+
+    removed: list[Member] = field(default_factory=list)
+    updated: list[Member] = field(default_factory=list)  # new, restarted or moved
+    started: list[Member] = field(default_factory=list)  # of these the new ones and the larger incarnations
+
+    def __bool__(self) -> bool:
+        return bool(self.removed or self.updated)
+
+
+class MemberTable:
+    """All other members, and whether this process still counts as one."""
+
+    def __init__(self, own: Member, fanout: int) -> None:
+        self.own = own
+        self.status = MembershipStatus.MEMBER
+        self.others: dict[str, Member] = {}
+        self.names_by_address: dict[Address, str] = {}
+        self.parent_candidates = ParentCandidates(own, fanout)
+        self._listed = False  # an update has held this member
+
+    def __len__(self) -> int:
+        return len(self.others) + 1
+
+    def get(self, name: str) -> Member | None:
+        return self.others.get(name)
+
+    def update(self, members: Iterable[Member]) -> MembershipChanges:
+        """Takes the whole membership as the store has it now, without the members that were removed."""
+        listed = {member.name: member for member in members}
+        self._update_status(listed.pop(self.own.name, None))
+        changes = MembershipChanges()
+        changes.removed = [member for name, member in self.others.items() if name not in listed]
+        for member in changes.removed:
+            self._remove(member)
+        for member in listed.values():
+            self._put(member, changes)
+        return changes
+
+    def supersede(self) -> None:
+        """Somebody has met a larger incarnation of this member."""
+        self.status = MembershipStatus.SUPERSEDED
+
+    def _update_status(self, own: Member | None) -> None:
+        if own is None:
+            if self._listed and self.status == MembershipStatus.MEMBER:
+                self.status = MembershipStatus.REMOVED
+            return
+        self._listed = True
+        if own.incarnation > self.own.incarnation:
+            self.status = MembershipStatus.SUPERSEDED
+        elif self.status != MembershipStatus.SUPERSEDED:
+            self.status = MembershipStatus.MEMBER
+
+    def _put(self, member: Member, changes: MembershipChanges) -> None:
+        known = self.others.get(member.name)
+        if known == member:
+            return
+        if known is not None:
+            self._remove(known)
+        self.others[member.name] = member
+        self.names_by_address[member.address] = member.name
+        self.parent_candidates.add(member)
+        changes.updated.append(member)
+        if known is None or known.incarnation < member.incarnation:
+            changes.started.append(member)
+
+    def _remove(self, member: Member) -> None:
+        del self.others[member.name]
+        self.parent_candidates.remove(member)
+        if self.names_by_address.get(member.address) == member.name:
+            del self.names_by_address[member.address]
--- /dev/null
+++ b/sageturn/store/replication/root_discovery.py
@@ -0,0 +1,158 @@
+"""Which member is dialled to find members that are linked together under another root. No I/O, no clock.
+
+After a partition, or with links that work for some pairs only, two groups of members can each have a root of
+their own. A root that counts fewer members than are known dials others with a growing backoff; members that
+are no root do so rarely, for the case that the root can reach none of them.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+
+from sageturn.store.replication.membership import Address
+from sageturn.store.replication.overlay_state import POLL_INTERVAL_S, OverlayState
+from sageturn.store.replication.route_table import ROOT_HEARTBEAT_TTL_S
+
+INITIAL_INTERVAL_S = 0.25  # between a root's dials; doubles with each
+MAX_INTERVAL_S = 10.0
+MAX_ISOLATED_INTERVAL_S = 2.0  # for a root without any link
+NON_ROOT_INTERVAL_S = 10.0  # the mean interval of a member that is no root,
+NON_ROOT_INTERVAL_PER_MEMBER_S = 6.0  # and what each known member adds, so that all together stay few
+
+
+class RootDiscovery:
+    """Dials members, seeds and suggested alternatives in turn while others may have another root."""
+
+    def __init__(self, state: OverlayState) -> None:
+        self._state = state
+        self._interval_s = INITIAL_INTERVAL_S  # a root's
+        self._next_dial_at: float | None = None
+        self._scheduled_as_root = True
+        self._dial_count = 0
+        self._last_dialled_at: dict[Address, float] = {}
+
+    def schedule(self, at: float) -> None:
+        """The next dial comes at this time."""
+        self._next_dial_at = at
+
+    def on_member_started(self) -> None:
+        """A new member, or a new incarnation of one, is worth a dial soon."""
+        self._interval_s = INITIAL_INTERVAL_S
+
+    def on_uplink_lost(self) -> None:
+        """This member may have become a root."""
+        self._interval_s = INITIAL_INTERVAL_S
+        self._next_dial_at = None
+
+    def next_dial_at(self, now: float) -> float | None:
+        """When the next dial is due, if that is later than now; None where none is."""
+        at = self._next_dial_at
+        return at if at is not None and at > now else None
+
+    def choose(self, now: float) -> Address | None:
+        """The address to dial now, if any."""
+        if not self._is_needed(now):
+            self._next_dial_at = None
+            return None
+        is_root = not self._state.has_uplink
+        if is_root != self._scheduled_as_root:
+            self._scheduled_as_root = is_root
+            self._next_dial_at = None
+        if self._next_dial_at is None:
+            self._next_dial_at = self._first_dial_at(is_root, now)
+        if now < self._next_dial_at:
+            return None
+        self._next_dial_at = now + self._take_interval_s(is_root)
+        self._dial_count += 1
+        return self._choose_target(is_root, now)
+
+    def _is_needed(self, now: float) -> bool:
+        state = self._state
+        unknown_seeds = state.dials.unknown_seeds
+        if not len(state.links):
+            return len(state.members) > 1 or bool(unknown_seeds or state.dials.alternatives)
+        is_connected_to_root = state.routes.root_path(now) is not None
+        if state.has_uplink:
+            return is_connected_to_root and not self._counts_all_members(now)
+        if is_connected_to_root:
+            return next(state.members.parent_candidates.by_preference(), None) is not None
+        return not self._counts_all_members(now) or bool(unknown_seeds)
+
+    def _counts_all_members(self, now: float) -> bool:
+        return self._state.routes.member_count(now) >= len(self._state.members)
+
+    def _first_dial_at(self, is_root: bool, now: float) -> float:
+        state = self._state
+        if not is_root:
+            return now + ROOT_HEARTBEAT_TTL_S + self._non_root_interval_s()
+        # The members before it in the global order are tried first, by the search for an uplink.
+        search_under_way = bool(state.dials.in_progress) or state.dials.next_untried(now) is not None
+        delay_s = 2 * POLL_INTERVAL_S if search_under_way else self._interval_s
+        return now + state.rng.uniform(0.5, 1) * delay_s
+
+    def _take_interval_s(self, is_root: bool) -> float:
+        """The time to the next dial; a root's interval grows."""
+        if not is_root:
+            return self._non_root_interval_s()
+        interval_s = self._interval_s
+        max_interval_s = MAX_INTERVAL_S if len(self._state.links) else MAX_ISOLATED_INTERVAL_S
+        self._interval_s = min(max_interval_s, interval_s * 2)
+        return interval_s * self._state.rng.uniform(0.75, 1.25)
+
+    def _non_root_interval_s(self) -> float:
+        mean_s = NON_ROOT_INTERVAL_S + NON_ROOT_INTERVAL_PER_MEMBER_S * len(self._state.members)
+        return self._state.rng.expovariate(1 / mean_s)
+
+    def _choose_target(self, is_root: bool, now: float) -> Address | None:
+        state = self._state
+        predecessors = self._dialable_predecessors(is_root, now)
+        others = self._dialable_unknown(is_root, now)
+        if len(state.links) and self._counts_all_members(now):
+            # Only for an uplink, or for seeds at which no member lives.
+            is_connected_to_root = state.routes.root_path(now) is not None
+            return self._least_recently_dialled(predecessors if is_connected_to_root else others, now)
+        if predecessors and self._dial_count % 2:
+            return self._least_recently_dialled(predecessors, now)
+        if not others or state.rng.random() < 0.5:
+            others = self._dialable_members(is_root, now) or others
+        if not others and not len(state.links):
+            # Without any link, and all have failed just now.
+            others = self._not_being_dialled()
+        return self._least_recently_dialled(others, now)
+
+    def _dialable_predecessors(self, is_root: bool, now: float) -> list[Address]:
+        state = self._state
+        names = state.members.parent_candidates.by_preference()
+        eligible = [name for name in names if state.dials.may_dial_member(name, now, is_root)]
+        return [state.members.others[name].address for name in eligible]
+
+    def _dialable_members(self, is_root: bool, now: float) -> list[Address]:
+        state = self._state
+        return [
+            member.address
+            for member in state.members.others.values()
+            if state.dials.may_dial_member(member.name, now, is_root)
+        ]
+
+    def _dialable_unknown(self, is_root: bool, now: float) -> list[Address]:
+        dials = self._state.dials
+        addresses = [*dials.unknown_seeds, *dials.alternatives]
+        return [address for address in addresses if dials.may_dial(address, now, is_root)]
+
+    def _not_being_dialled(self) -> list[Address]:
+        dials = self._state.dials
+        known = self._state.members.names_by_address
+        addresses = [*known, *dials.unknown_seeds, *dials.alternatives]
+        return [address for address in addresses if not dials.is_in_progress(address)]
+
+    def _least_recently_dialled(self, addresses: Sequence[Address], now: float) -> Address | None:
+        """So that all have their turn; by chance among those that were never dialled."""
+        if not addresses:
+            return None
+        oldest = min(self._last_dialled_at.get(address, 0.0) for address in addresses)
+        waiting = [address for address in addresses if self._last_dialled_at.get(address, 0.0) == oldest]
+        chosen = self._state.rng.choice(waiting)
+        if len(self._last_dialled_at) > self._state.dials.max_tracked_addresses:
+            self._last_dialled_at.clear()
+        self._last_dialled_at[chosen] = now
+        return chosen
--- /dev/null
+++ b/sageturn/store/replication/route_table.py
@@ -0,0 +1,128 @@
+"""Which link leads to the root, as the route advertisements on the links tell. No I/O, no clock."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from sageturn.store.replication.link_table import Link, LinkTable
+from sageturn.store.replication.membership import Member
+from sageturn.store.replication.routes import RouteAdvertisement
+from sageturn.store.replication.tree_order import rank_of_member
+
+ROOT_HEARTBEAT_INTERVAL_S = 1.0
+ROOT_HEARTBEAT_TTL_S = 5.0  # a root without a newer heartbeat for so long counts as dead
+MAX_REMEMBERED_ROOTS = 64
+
+
+@dataclass(frozen=True, slots=True)
+class _RootHeartbeat:
+    incarnation: int
+    sequence: int
+    received_at: float
+
+
+class RouteTable:
+    """The latest heartbeat of each root, and the link over which the current root is reached."""
+
+    def __init__(self, own: Member, links: LinkTable) -> None:
+        self._own = own
+        self._own_rank = rank_of_member(own)
+        self._links = links
+        self._heartbeats: dict[int, _RootHeartbeat] = {}  # by the root's rank, the latest changed last
+        self._root_path: str | None = None
+        self._root_path_at: float | None = None  # the time for which it was found
+
+    def invalidate(self) -> None:
+        """Links or members changed: the path to the root has to be found anew."""
+        self._root_path_at = None
+
+    def record(self, link: Link, advertisement: RouteAdvertisement, now: float) -> None:
+        """Takes what the other side of a link advertised."""
+        link.advertisement = advertisement
+        self.invalidate()
+        rank = advertisement.root_rank
+        latest = self._heartbeats.get(rank)
+        number = (advertisement.root_incarnation, advertisement.sequence)
+        # What circulates after a root's death never has a new number, and so expires.
+        if latest is None or number > (latest.incarnation, latest.sequence):
+            self._heartbeats.pop(rank, None)
+            self._heartbeats[rank] = _RootHeartbeat(*number, now)
+            while len(self._heartbeats) > MAX_REMEMBERED_ROOTS:
+                del self._heartbeats[next(iter(self._heartbeats))]
+
+    def root_path(self, now: float) -> str | None:
+        """The member over whose link the root is reached; None if this member is the root."""
+        if self._root_path_at != now:
+            self._root_path = self._find_root_path(now)
+            self._root_path_at = now
+        return self._root_path
+
+    def current_root(self, now: float) -> int:
+        """The rank of the root that this member follows."""
+        advertisement = self._root_path_advertisement(now)
+        return self._own_rank if advertisement is None else advertisement.root_rank
+
+    def advertised_root(self, link: Link, now: float) -> int | None:
+        """The rank of a live root that the other side reaches without this member."""
+        advertisement = link.advertisement
+        if advertisement is None or advertisement.is_root_path:
+            return None
+        latest = self._heartbeats.get(advertisement.root_rank)
+        if latest is None or advertisement.root_incarnation != latest.incarnation:
+            return None
+        if (latest.sequence - advertisement.sequence) * ROOT_HEARTBEAT_INTERVAL_S > ROOT_HEARTBEAT_TTL_S:
+            return None
+        if now - latest.received_at > ROOT_HEARTBEAT_TTL_S:
+            return None
+        return advertisement.root_rank
+
+    def make_advertisement(self, name: str, now: float) -> RouteAdvertisement:
+        """What to say in the next heartbeat on the link to ``name``."""
+        root_path = self.root_path(now)
+        from_root = self._root_path_advertisement(now)
+        if from_root is None or root_path == name:
+            return RouteAdvertisement(
+                root_rank=self._own_rank,
+                root_incarnation=self._own.incarnation,
+                sequence=int(now / ROOT_HEARTBEAT_INTERVAL_S),
+                is_root_path=root_path is not None,
+                member_count=self._count_subtree(root_path),
+            )
+        return RouteAdvertisement(
+            root_rank=from_root.root_rank,
+            root_incarnation=from_root.root_incarnation,
+            sequence=from_root.sequence,
+            is_root_path=False,
+            member_count=from_root.member_count,
+        )
+
+    def member_count(self, now: float) -> int:
+        """Members linked together with this one, as far as the advertisements tell."""
+        from_root = self._root_path_advertisement(now)
+        return self._count_subtree(self.root_path(now)) if from_root is None else from_root.member_count
+
+    def _root_path_advertisement(self, now: float) -> RouteAdvertisement | None:
+        root_path = self.root_path(now)
+        return None if root_path is None else self._links[root_path].advertisement
+
+    def _count_subtree(self, root_path: str | None) -> int:
+        """This member and those that reach the root over it."""
+        return 1 + sum(
+            link.advertisement.member_count
+            for name, link in self._links.items()
+            if link.advertisement is not None and link.advertisement.is_root_path and name != root_path
+        )
+
+    def _find_root_path(self, now: float) -> str | None:
+        best_rank = self._own_rank
+        best_name: str | None = None
+        uplink = self._links.uplink()
+        for name, link in self._links.items():
+            rank = self.advertised_root(link, now)
+            if rank is None:
+                continue
+            uplink_wins_tie = rank == best_rank and best_name is not None and name == uplink
+            if rank < best_rank or uplink_wins_tie:
+                best_rank = rank
+                best_name = name
+        return best_name
--- a/sageturn/store/replication/routes.py
+++ b/sageturn/store/replication/routes.py
@@ -1,4 +1,9 @@
-"""Route advertisements: how linked members learn who their common root is, and how many they are. No I/O."""
+"""Route advertisements: how linked members learn who their common root is, and how many they are. No I/O.
+
+The root is the first member, in the global order, of those linked together. It numbers its heartbeats; they
+go on over all links, as in the spanning tree protocol (IEEE 802.1D), and the links over which they came count
+the members behind them back to the root. A root that counts too few looks for the others.
+"""
 
 from __future__ import annotations
 
--- /dev/null
+++ b/sageturn/store/replication/tree_order.py
@@ -0,0 +1,171 @@
+"""The global order of members, and whom a member prefers as its parent in the tree. No I/O, no clock.
+
+Every member has a position in one order: a hash of its region, its zone and its name. It links to one member
+before it, its *uplink*, so links can't form a cycle. The position doesn't depend on who is known, so members
+whose views differ still agree about which of two comes first.
+"""
+
+from __future__ import annotations
+
+from bisect import insort
+from collections.abc import Iterator, Sequence
+from enum import IntEnum
+from functools import lru_cache
+from hashlib import blake2b
+from itertools import chain, islice, zip_longest
+
+from sageturn.store.replication.membership import Member
+
+SEARCH_HEAD_SIZE = 4  # so many of a farther scope are dialled before the rest of a nearer one
+MAX_SEARCH_CANDIDATES = 48
+CACHED_RANKS = 1 << 16
+CACHED_WEIGHTS = 1 << 17
+
+
+class Scope(IntEnum):
+    """How near a member is; a nearer scope is preferred."""
+
+    ZONE = 0
+    REGION = 1  # another zone of the own region
+    GLOBAL = 2  # another region
+
+
+def _hash64(*parts: str) -> int:
+    return int.from_bytes(blake2b("\0".join(parts).encode(), digest_size=8).digest(), "big")
+
+
+@lru_cache(maxsize=CACHED_RANKS)
+def rank_of(region: str, zone: str = "", name: str = "") -> int:
+    """The position in the global order, 128 bits: the region's, the zone's in it, the member's in that."""
+    region_bits = _hash64(region) >> 32
+    zone_bits = _hash64(region, zone) >> 32
+    return region_bits << 96 | zone_bits << 64 | _hash64(region, zone, name)
+
+
+def rank_of_member(member: Member) -> int:
+    """The member's position in the global order."""
+    return rank_of(member.region, member.zone, member.name)
+
+
+@lru_cache(maxsize=CACHED_WEIGHTS)
+def _rendezvous_weight(own: str, other: str) -> int:
+    return _hash64(own, other)
+
+
+def preferred_predecessors(ordered: Sequence[str], index: int, fanout: int) -> list[str]:
+    """All names before ``ordered[index]``, in the order in which that one prefers them as its parent.
+
+    The order is cut into levels of 1, fanout, fanout squared and so on. First come the names of the level
+    above, then of the levels above that, then those before it on its own level. Within a level they are
+    sorted by rendezvous hashing, so a member more or less moves few children, and those of a dead hub spread
+    over its level.
+    """
+    level_starts = [0]
+    while (start := level_starts[-1] * fanout + 1) <= index:
+        level_starts.append(start)
+    levels_above = [
+        (level_starts[level - 1], level_starts[level]) for level in range(len(level_starts) - 1, 0, -1)
+    ]
+    own = ordered[index]
+    preferred: list[str] = []
+    for first, end in [*levels_above, (level_starts[-1], index)]:
+        preferred += sorted(ordered[first:end], key=lambda other: _rendezvous_weight(own, other))
+    return preferred
+
+
+def _interleave(lists: Sequence[Sequence[str]]) -> list[str]:
+    """The first of each list, then the second of each and so on."""
+    return [name for names in zip_longest(*lists) for name in names if name is not None]
+
+
+class ParentCandidates:
+    """The members before this one in the global order, by scope and preference."""
+
+    def __init__(self, own: Member, fanout: int) -> None:
+        self._own = own
+        self._fanout = fanout
+        self._rank = rank_of_member(own)
+        self._zones: dict[str, dict[str, list[tuple[int, str]]]] = {}  # by region and zone, in order
+        self._preferences: dict[Scope, dict[str, int]] = {}
+        self.add(own)
+
+    def add(self, member: Member) -> None:
+        zone = self._zones.setdefault(member.region, {}).setdefault(member.zone, [])
+        insort(zone, (rank_of_member(member), member.name))
+        self._invalidate(member)
+
+    def remove(self, member: Member) -> None:
+        zones = self._zones[member.region]
+        zones[member.zone].remove((rank_of_member(member), member.name))
+        if not zones[member.zone]:
+            del zones[member.zone]
+        if not zones:
+            del self._zones[member.region]
+        self._invalidate(member)
+
+    def scope_of(self, member: Member) -> Scope | None:
+        """How near a member is that comes before this one; None for one that comes after."""
+        if rank_of_member(member) >= self._rank:
+            return None
+        return self._distance(member)
+
+    def preferences(self, scope: Scope) -> dict[str, int]:
+        """Names of the scope, the most preferred first, each with its place in that order."""
+        known = self._preferences.get(scope)
+        if known is None:
+            names = self._names_by_preference(scope)
+            known = {name: place for place, name in enumerate(names)}
+            self._preferences[scope] = known
+        return known
+
+    def by_preference(self, nearer_than: int = len(Scope)) -> Iterator[str]:
+        """Names of all scopes nearer than the given one, by preference."""
+        return chain.from_iterable(self.preferences(scope) for scope in Scope if scope < nearer_than)
+
+    def search_order(self) -> Iterator[str]:
+        """In the order in which a member without uplink dials them: some of each scope, then the rest.
+
+        A whole zone may be dead, so the nearest scope is not gone through to its end first.
+        """
+        heads = {Scope.ZONE: self._fanout, Scope.REGION: SEARCH_HEAD_SIZE, Scope.GLOBAL: SEARCH_HEAD_SIZE}
+        parts = [islice(self.preferences(scope), head) for scope, head in heads.items()]
+        parts += [islice(self.preferences(scope), head, None) for scope, head in heads.items()]
+        return islice(chain.from_iterable(parts), MAX_SEARCH_CANDIDATES)
+
+    def _distance(self, member: Member) -> Scope:
+        if member.region != self._own.region:
+            return Scope.GLOBAL
+        return Scope.ZONE if member.zone == self._own.zone else Scope.REGION
+
+    def _invalidate(self, member: Member) -> None:
+        self._preferences.pop(self._distance(member), None)
+
+    def _names_by_preference(self, scope: Scope) -> list[str]:
+        if scope is Scope.ZONE:
+            return self._preferred_in_zone()
+        if scope is Scope.REGION:
+            return self._preferred_in_region()
+        return self._preferred_elsewhere()
+
+    def _preferred_in_zone(self) -> list[str]:
+        names = self._names(self._own.region, self._own.zone)
+        return preferred_predecessors(names, names.index(self._own.name), self._fanout)
+
+    def _preferred_in_region(self) -> list[str]:
+        zones = self._ordered_zones(self._own.region)
+        preferred = preferred_predecessors(zones, zones.index(self._own.zone), self._fanout)
+        return _interleave([self._names(self._own.region, zone) for zone in preferred])
+
+    def _preferred_elsewhere(self) -> list[str]:
+        regions = sorted(self._zones, key=rank_of)
+        preferred = preferred_predecessors(regions, regions.index(self._own.region), self._fanout)
+        return _interleave([self._names_of_region(region) for region in preferred])
+
+    def _names_of_region(self, region: str) -> list[str]:
+        return _interleave([self._names(region, zone) for zone in self._ordered_zones(region)])
+
+    def _ordered_zones(self, region: str) -> list[str]:
+        return sorted(self._zones[region], key=lambda zone: rank_of(region, zone))
+
+    def _names(self, region: str, zone: str) -> list[str]:
+        return [name for _, name in self._zones[region][zone]]
--- a/tests/store/test_overlay.py
+++ b/tests/store/test_overlay.py
@@ -19,8 +19,9 @@
     MembershipStatus,
     RejectReason,
 )
-from sageturn.store.replication.overlay import Overlay, Places, before, rank_of
+from sageturn.store.replication.overlay import Overlay
 from sageturn.store.replication.routes import RouteAdvertisement
+from sageturn.store.replication.tree_order import ParentCandidates, preferred_predecessors, rank_of_member
 
 SILENT_S = 2.0  # a dead machine or a cut is noticed by silence
 CONNECT_S = 1.0  # and a dial to one fails after
@@ -383,7 +384,7 @@
 
 
 def order(members: Iterable[Member]) -> list[Member]:
-    return sorted(members, key=lambda m: rank_of(m.region, m.zone, m.name))
+    return sorted(members, key=lambda m: rank_of_member(m))
 
 
 def zones_of(members: Iterable[Member]) -> tuple[int, int]:
@@ -426,7 +427,7 @@
 def test_all_before_one_are_preferred_in_some_order_and_the_level_above_first(names, fanout, data):  # type: ignore[no-untyped-def]
     ordered = sorted(names)
     index = data.draw(st.integers(0, len(ordered) - 1))
-    chosen = before(ordered, index, fanout)
+    chosen = preferred_predecessors(ordered, index, fanout)
     assert sorted(chosen) == ordered[:index]
     if index:
         level = next(at for at in itertools.count() if index < (fanout ** (at + 1) - 1) // (fanout - 1))
@@ -453,16 +454,16 @@
     links = []
     for own in members:
         others = [m for m in members if m is not own]
-        view = Places(own, 8)
+        view = ParentCandidates(own, 8)
         for member in rng.sample(others, len(others)):
             view.add(member)
         for member in rng.sample(others, len(others) // 3):  # seen, removed and seen again
             view.remove(member)
             view.add(member)
-        best = list(view.best())
+        best = list(view.by_preference())
         lower = {m.name for m in order(members)[: order(members).index(own)]}
         assert set(best) == lower and len(best) == len(lower)
-        assert set(view.tries()) <= lower and (not lower or next(view.tries()) == best[0])
+        assert set(view.search_order()) <= lower and (not lower or next(view.search_order()) == best[0])
         if best:
             links.append((own, next(m for m in members if m.name == best[0])))
     # Each has one link to one before it, so there are no circles, and one of all has none: a tree.
@@ -478,11 +479,11 @@
     members = fleet(count, regions, zones)
     carried: Counter[str] = Counter()
     for own in members:
-        view = Places(own, 8)
+        view = ParentCandidates(own, 8)
         for member in members:
             if member is not own:
                 view.add(member)
-        if (best := next(view.best(), None)) is not None:
+        if (best := next(view.by_preference(), None)) is not None:
             carried[best] += 1
     assert max(carried.values()) <= 4 * 8
 
@@ -502,7 +503,7 @@
             for one in members
         ]
 
-    ours = moved(lambda names, at: before(names, at, 8)[0])
+    ours = moved(lambda names, at: preferred_predecessors(names, at, 8)[0])
     heap = moved(lambda names, at: names[(at - 1) // 8])
     assert sum(ours) * 3 < sum(heap) and max(ours) * 3 < max(heap)
 
@@ -571,11 +572,11 @@
     *lower, own = order(fleet(12, 1, 1))
     overlay = Overlay(own, [], Random(1))
     overlay.update_members([own, *lower])
-    view = Places(own, 8)
+    view = ParentCandidates(own, 8)
     for member in lower:
         view.add(member)
-    best, other = itertools.islice(view.best(), 2)
-    root = rank_of(lower[0].region, lower[0].zone, lower[0].name)
+    best, other = itertools.islice(view.by_preference(), 2)
+    root = rank_of_member(lower[0])
     overlay.on_link_established(other, 0.0, lower[0].address)
     overlay.on_link_established(best, 10.0, lower[1].address)
     closed_at, closes = 10.0, []
