--- /dev/null
+++ b/tests/support/overlay_simulation.py
@@ -0,0 +1,434 @@
+"""A simulated network of members: links with latency, kills, restarts, partitions. It has its own clock.
+
+Nothing in it knows how the overlay decides; it only carries out what each member's overlay says.
+"""
+
+from __future__ import annotations
+
+import heapq
+import itertools
+from collections import defaultdict
+from collections.abc import Callable, Iterable
+from random import Random
+
+from sageturn.store.replication.membership import Address, LinkRejected, Member
+from sageturn.store.replication.overlay import Overlay
+from sageturn.store.replication.routes import RouteAdvertisement
+from sageturn.store.replication.tree_order import rank_of_member
+
+PEER_TIMEOUT_S = 2.0  # a dead machine or a partition is noticed by silence
+CONNECT_TIMEOUT_S = 1.0  # a dial to a dead machine fails after
+HEARTBEAT_INTERVAL_S = 1.0
+BATCH_INTERVAL_S = 0.2  # membership changes are gathered for so long before they go on
+LATENCY_S = 0.0005  # within a zone
+ZONE_LATENCY_S = 0.002  # between zones of a region
+REGION_LATENCY_S = 0.040
+
+
+class SimulatedMember:
+    """One process of a member: its view of the membership, its links and its overlay."""
+
+    def __init__(
+        self, network: SimulatedNetwork, member: Member, view: dict[str, Member], seeds: list[Address]
+    ) -> None:
+        self.network = network
+        self.member = member
+        self.view = {**view, member.name: member}
+        self.seeds = seeds
+        self.removed: dict[str, int] = {}  # by name, the incarnation that was removed
+        rng = Random(f"{network.seed} {member.name} {member.incarnation}")
+        self.overlay = Overlay(member, seeds, rng, network.fanout)
+        self.overlay.update_members(self.view.values())
+        self.is_running = True
+        self.machine_is_up = True
+        self.links: dict[str, SimulatedLink] = {}
+        self._unsent: dict[str, Member] = {}
+        self._poll_at = float("inf")
+
+    def poll(self) -> None:
+        """Carries out what the overlay decides, and comes again when it says."""
+        network = self.network
+        if not self.is_running:
+            return
+        for name in self.overlay.links_to_close(network.now):
+            if link := self.links.get(name):
+                network.closes.append((network.now, self.member.name, name))
+                network.close_link(link, by=self)
+        for address in self.overlay.addresses_to_dial(network.now):
+            network.dial(self, address)
+        at = self.overlay.next_wakeup(network.now)
+        assert at > network.now
+        if at < self._poll_at or self._poll_at <= network.now:
+            self._poll_at = at
+            network.schedule(at, self._poll_if_due, at)
+
+    def _poll_if_due(self, at: float) -> None:
+        if at == self._poll_at:
+            self.poll()
+
+    def receive_members(self, members: Iterable[Member], removed: dict[str, int]) -> None:
+        """Records arrive; what is new goes on to the others, and the overlay gets the whole membership."""
+        if not self.is_running:
+            return
+        updated = [member for member in members if self._is_news(member)]
+        newly_removed = {
+            name: incarnation
+            for name, incarnation in removed.items()
+            if self.removed.get(name, -1) < incarnation
+        }
+        if not updated and not newly_removed:
+            return
+        for member in updated:
+            self.view[member.name] = member
+        self.removed.update(newly_removed)
+        for name, incarnation in newly_removed.items():
+            if name in self.view and self.view[name].incarnation <= incarnation:
+                del self.view[name]
+        if not self._unsent:
+            self.network.schedule(self.network.now + BATCH_INTERVAL_S, self._send_members)
+        self._unsent.update({member.name: member for member in updated})
+        self._unsent.setdefault("", self.member)
+
+    def _is_news(self, member: Member) -> bool:
+        if self.removed.get(member.name, -1) >= member.incarnation:
+            return False
+        return member.name not in self.view or self.view[member.name].incarnation < member.incarnation
+
+    def _send_members(self) -> None:
+        if not self.is_running:
+            return
+        unsent = list(self._unsent.values())
+        self._unsent = {}
+        self.overlay.update_members(self.view.values())
+        for link in list(self.links.values()):
+            other = link.other(self)
+            self.network.send(link, other.receive_members, unsent, dict(self.removed))
+        self.poll()
+
+
+class SimulatedLink:
+    """A connection between two members, established on each side at its own time."""
+
+    def __init__(self, one: SimulatedMember, other: SimulatedMember, dialler: SimulatedMember) -> None:
+        self.ends = (one, other)
+        self.dialler = dialler
+        self.is_established = {one: False, other: False}
+        self.is_broken = False
+
+    def other(self, process: SimulatedMember) -> SimulatedMember:
+        return self.ends[1] if process is self.ends[0] else self.ends[0]
+
+
+class SimulatedNetwork:
+    """The members, the links between them, and a record of what happened."""
+
+    def __init__(self, seed: int, fanout: int = 8) -> None:
+        self.seed = seed
+        self.fanout = fanout
+        self.now = 0.0
+        self.processes: dict[Address, SimulatedMember] = {}
+        self.links: dict[SimulatedLink, None] = {}  # in order, so that a seed gives one run
+        self.dials: list[tuple[float, str, Address]] = []
+        self.closes: list[tuple[float, str, str]] = []
+        self.rejections: list[tuple[float, str, str]] = []
+        self.max_accepted_links = 0
+        self.max_links = 0
+        self._rng = Random(seed)
+        self._is_partitioned: Callable[[Member, Member], bool] = lambda one, other: False
+        self._events: list[tuple[float, int, Callable[..., None], tuple[object, ...]]] = []
+        self._event_numbers = itertools.count()
+
+    # The clock
+
+    def schedule(self, at: float, action: Callable[..., None], *args: object) -> None:
+        heapq.heappush(self._events, (at, next(self._event_numbers), action, args))
+
+    def run(self, until: float) -> None:
+        while self._events and self._events[0][0] <= until:
+            self.now, _, action, args = heapq.heappop(self._events)
+            action(*args)
+        self.now = until
+
+    def wait_until(self, condition: Callable[[], bool], within_s: float, step_s: float = 0.1) -> float:
+        """Returns after how many seconds the condition holds; fails the test where it takes too long."""
+        start = self.now
+        while not condition():
+            assert self.now - start < within_s, f"not within {within_s} s: {self.describe()}"
+            self.run(self.now + step_s)
+        return self.now - start
+
+    # Members
+
+    def start(
+        self, member: Member, seeds: Iterable[Address] = (), view: dict[str, Member] | None = None
+    ) -> SimulatedMember:
+        process = SimulatedMember(self, member, view or {}, list(seeds))
+        self.processes[member.address] = process
+        process.poll()
+        return process
+
+    def kill(self, process: SimulatedMember, machine: bool = True) -> None:
+        """The process ends; if its machine dies too, the others notice only the silence."""
+        process.is_running = False
+        process.machine_is_up = not machine
+        for link in list(process.links.values()):
+            self._break_link(link, PEER_TIMEOUT_S if machine else self._latency(*link.ends))
+
+    def restart(
+        self, process: SimulatedMember, keeps_store: bool = True, seeds: Iterable[Address] = ()
+    ) -> SimulatedMember:
+        old = process.member
+        member = Member(old.name, old.address, old.region, old.zone, old.incarnation + 1)
+        if not keeps_store:
+            return self.start(member, seeds)
+        started = self.start(member, seeds, process.view)
+        started.removed = dict(process.removed)
+        return started
+
+    def partition(self, is_partitioned: Callable[[Member, Member], bool]) -> None:
+        """From now on pairs of members for which this holds don't reach each other."""
+        self._is_partitioned = is_partitioned
+        for link in list(self.links):
+            if is_partitioned(link.ends[0].member, link.ends[1].member):
+                self._break_link(link, PEER_TIMEOUT_S)
+
+    def heal(self) -> None:
+        self.partition(lambda one, other: False)
+
+    # Dials
+
+    def dial(self, dialler: SimulatedMember, address: Address) -> None:
+        self.dials.append((self.now, dialler.member.name, address))
+        target = self.processes.get(address)
+        if target is None or not self._can_reach(dialler, target):
+            self.schedule(self.now + CONNECT_TIMEOUT_S, self._fail_dial, dialler, address)
+        elif target is dialler:
+            self._fail_dial(dialler, address)
+        else:
+            at = self.now + self._latency(dialler, target)
+            self.schedule(at, self._on_dial_arrived, dialler, target, address)
+
+    def _can_reach(self, one: SimulatedMember, other: SimulatedMember) -> bool:
+        return other.machine_is_up and not self._is_partitioned(one.member, other.member)
+
+    def _fail_dial(self, dialler: SimulatedMember, address: Address) -> None:
+        if dialler.is_running:
+            dialler.overlay.on_dial_failed(address, self.now)
+            dialler.poll()
+
+    def _reject_dial(self, dialler: SimulatedMember, address: Address, rejection: LinkRejected) -> None:
+        if dialler.is_running:
+            dialler.overlay.on_dial_rejected(address, self.now, rejection)
+            dialler.poll()
+
+    def _on_dial_arrived(self, dialler: SimulatedMember, target: SimulatedMember, address: Address) -> None:
+        answer_at = self.now + self._latency(dialler, target)
+        if not self._can_reach(dialler, target):
+            self.schedule(self.now + CONNECT_TIMEOUT_S, self._fail_dial, dialler, address)
+            return
+        if not target.is_running:
+            self.schedule(answer_at, self._fail_dial, dialler, address)
+            return
+        if not dialler.is_running:
+            return
+        rejection = target.overlay.check_admission(dialler.member, self.now)
+        if rejection is not None:
+            self.rejections.append((self.now, dialler.member.name, rejection.reason))
+            self.schedule(answer_at, self._reject_dial, dialler, address, rejection)
+            target.poll()
+            return
+        existing = target.links.get(dialler.member.name)
+        if existing is not None:
+            dialled_by_smaller = existing.dialler.member.name < dialler.member.name
+            if existing.other(target) is dialler and dialled_by_smaller:
+                self.schedule(answer_at, self._fail_dial, dialler, address)  # both dialled: the other's stays
+                return
+            self._discard(existing)
+        link = SimulatedLink(dialler, target, dialler)
+        self.links[link] = None
+        self._establish(link, target, None)
+        self.schedule(answer_at, self._establish, link, dialler, address)
+
+    # Links
+
+    def _latency(self, one: SimulatedMember, other: SimulatedMember) -> float:
+        if one.member.region != other.member.region:
+            base_s = REGION_LATENCY_S
+        elif one.member.zone != other.member.zone:
+            base_s = ZONE_LATENCY_S
+        else:
+            base_s = LATENCY_S
+        return base_s * self._rng.uniform(1, 1.5)
+
+    def _establish(self, link: SimulatedLink, process: SimulatedMember, dialled: Address | None) -> None:
+        """On one side; ``dialled`` is the address if it is the dialler's."""
+        if not process.is_running or (link.is_broken and dialled is None):
+            return
+        other = link.other(process)
+        if link.is_broken or process.member.name == other.member.name:
+            assert dialled is not None
+            self._fail_dial(process, dialled)
+            return
+        existing = process.links.get(other.member.name)
+        if existing is not None and existing is not link:
+            self._discard(existing)
+        process.links[other.member.name] = link
+        link.is_established[process] = True
+        process.overlay.on_link_established(other.member.name, self.now, dialled)
+        accepted = sum(1 for one in process.links.values() if one.dialler is not process)
+        self.max_accepted_links = max(self.max_accepted_links, accepted)
+        self.max_links = max(self.max_links, len(process.links))
+        self.send(link, other.receive_members, list(process.view.values()), dict(process.removed))
+        self._send_heartbeat(link, process)
+        process.poll()
+
+    def _discard(self, link: SimulatedLink) -> None:
+        """Drops one of two links between a pair of members; no overlay is notified."""
+        link.is_broken = True
+        self.links.pop(link, None)
+        for process in link.ends:
+            other = link.other(process)
+            if process.links.get(other.member.name) is link:
+                del process.links[other.member.name]
+
+    def send(self, link: SimulatedLink, deliver: Callable[..., None], *args: object) -> None:
+        if not link.is_broken:
+            self.schedule(self.now + self._latency(*link.ends), self._deliver, link, deliver, args)
+
+    def _deliver(self, link: SimulatedLink, deliver: Callable[..., None], args: tuple[object, ...]) -> None:
+        if not link.is_broken:
+            deliver(*args)
+
+    def _send_heartbeat(self, link: SimulatedLink, process: SimulatedMember) -> None:
+        other = link.other(process)
+        if link.is_broken or not process.is_running or process.links.get(other.member.name) is not link:
+            return
+        advertisement = process.overlay.make_advertisement(other.member.name, self.now)
+        self.send(link, self._on_heartbeat, link, other, process.member.name, advertisement)
+        self.schedule(self.now + HEARTBEAT_INTERVAL_S, self._send_heartbeat, link, process)
+
+    def _on_heartbeat(
+        self, link: SimulatedLink, process: SimulatedMember, sender: str, advertisement: RouteAdvertisement
+    ) -> None:
+        if process.is_running and process.links.get(sender) is link:
+            process.overlay.on_advertisement(sender, advertisement, self.now)
+
+    def close_link(self, link: SimulatedLink, by: SimulatedMember) -> None:
+        """One side closes on purpose."""
+        link.is_broken = True
+        self.links.pop(link, None)
+        self._on_link_lost(link, by, True)
+        at = self.now + self._latency(*link.ends)
+        self.schedule(at, self._on_link_lost, link, link.other(by), True)
+
+    def _break_link(self, link: SimulatedLink, noticed_after_s: float) -> None:
+        link.is_broken = True
+        self.links.pop(link, None)
+        for process in link.ends:
+            self.schedule(self.now + noticed_after_s, self._on_link_lost, link, process, False)
+
+    def _on_link_lost(self, link: SimulatedLink, process: SimulatedMember, orderly: bool) -> None:
+        name = link.other(process).member.name
+        if process.is_running and process.links.get(name) is link:
+            del process.links[name]
+            process.overlay.on_link_lost(name, self.now, orderly)
+            process.poll()
+
+    # Views from outside
+
+    def running(self) -> list[SimulatedMember]:
+        return [process for process in self.processes.values() if process.is_running]
+
+    def linked_groups(self) -> list[set[str]]:
+        """The names of members that are linked together, directly or over others."""
+        neighbours: dict[str, set[str]] = {process.member.name: set() for process in self.running()}
+        for link in self.links:
+            if all(link.is_established.values()):
+                self._join(neighbours, *link.ends)
+        return _connected_components(neighbours)
+
+    def reachable_groups(self) -> list[set[str]]:
+        """The names of members that could be linked: one knows of the other, and the network lets it."""
+        neighbours: dict[str, set[str]] = {process.member.name: set() for process in self.running()}
+        for one, other in itertools.combinations(self.running(), 2):
+            if (_knows(one, other) or _knows(other, one)) and not self._is_partitioned(
+                one.member, other.member
+            ):
+                self._join(neighbours, one, other)
+        return _connected_components(neighbours)
+
+    @staticmethod
+    def _join(neighbours: dict[str, set[str]], one: SimulatedMember, other: SimulatedMember) -> None:
+        neighbours[one.member.name].add(other.member.name)
+        neighbours[other.member.name].add(one.member.name)
+
+    def is_connected(self, groups: int = 1) -> bool:
+        return len(self.linked_groups()) == groups
+
+    def crossings(self) -> tuple[int, int]:
+        """Links between zones, and of these those between regions."""
+        pairs = [(link.ends[0].member, link.ends[1].member) for link in self.links]
+        return (
+            sum((one.region, one.zone) != (other.region, other.zone) for one, other in pairs),
+            sum(one.region != other.region for one, other in pairs),
+        )
+
+    def max_dials_per_second(self, since: float = 0.0) -> int:
+        """The most dials that any member got within any one second."""
+        times_by_target: dict[Address, list[float]] = defaultdict(list)
+        for at, _, address in self.dials:
+            if at >= since:
+                times_by_target[address].append(at)
+        busiest = 0
+        for times in times_by_target.values():
+            first = 0
+            for last, at in enumerate(times):
+                while times[first] <= at - 1.0:
+                    first += 1
+                busiest = max(busiest, last - first + 1)
+        return busiest
+
+    def describe(self) -> str:
+        groups = self.linked_groups()
+        sizes = [len(group) for group in groups][:20]
+        return f"seed {self.seed}, {self.now:.1f} s: {len(groups)} groups of {sizes}"
+
+
+def _knows(one: SimulatedMember, other: SimulatedMember) -> bool:
+    return other.member.name in one.view or other.member.address in one.seeds
+
+
+def _connected_components(neighbours: dict[str, set[str]]) -> list[set[str]]:
+    unvisited = set(neighbours)
+    components = []
+    while unvisited:
+        component: set[str] = set()
+        pending = [min(unvisited)]
+        while pending:
+            name = pending.pop()
+            if name not in component:
+                component.add(name)
+                pending += neighbours[name] - component
+        unvisited -= component
+        components.append(component)
+    return sorted(components, key=min)
+
+
+def make_members(count: int, regions: int = 2, zones: int = 5) -> list[Member]:
+    """Members spread over the zones in turn, and the zones over the regions."""
+    members = []
+    for number in range(count):
+        zone = number % zones
+        address = (f"10.{zone}.{number >> 8}.{number & 255}", 7000)
+        members.append(Member(f"m{number:04}", address, f"r{zone % regions}", f"z{zone}", 1))
+    return members
+
+
+def in_global_order(members: Iterable[Member]) -> list[Member]:
+    return sorted(members, key=rank_of_member)
+
+
+def tree_crossings(members: Iterable[Member]) -> tuple[int, int]:
+    """How many links of a tree lie between zones, and how many between regions: one less than there are."""
+    zones = {(member.region, member.zone) for member in members}
+    return len(zones) - 1, len({region for region, _ in zones}) - 1
