--- a/sageturn/decision/balancer.py
+++ b/sageturn/decision/balancer.py
@@ -13,7 +13,7 @@
 from zlib import crc32
 
 from sageturn.decision import actions, events, quotas
-from sageturn.decision.discovery_backoff import CallBackoff
+from sageturn.decision.discovery_backoff import DiscoveryBackoff
 from sageturn.decision.health_checks import LOOK_MS, HealthCheckScheduler
 from sageturn.decision.settings import NOT_EXECUTED_STATUSES, RequestClass, Settings
 from sageturn.decision.slow_start import UNKNOWN_PER_S, SlowStartState, SlowStartBudget
@@ -166,7 +166,7 @@
         self.sum_blind = 0  # limits of ready servers on which we hold nothing
         self.watching: bool | None = None  # None: nobody has asked for the list yet
         pushed = settings.discovery == "push"
-        self.calls = CallBackoff(settings.relay_count, settings.max_poll_interval_ms, self.rng, pushed)
+        self.calls = DiscoveryBackoff(settings.relay_count, settings.max_poll_interval_ms, self.rng, pushed)
         self.actions: list[actions.Action] = []
         self.now_ms = self.review_ms = self.ease_ms = 0.0
         self.handlers: dict[type, Callable[[float, Any], None]] = {
@@ -527,7 +527,7 @@
                 self._ill(now_ms, s, 2 if status == "connect_failed" else 1)
             if status == "connect_failed" and self.watching is None and self.settings.discovery == "ask":
                 self.watching = False  # the list of the start is out of date: it is not waited for any longer
-                self.actions.append(actions.SetTimer(self.calls.first_ms(doubted=True), "watch"))
+                self.actions.append(actions.SetTimer(self.calls.first_call_delay_ms(stale=True), "watch"))
         elif status == "reset":
             # A server with too much piled up breaks connections, mostly new ones. A balancer that holds
             # none there for long gets no note: this is all it sees.
@@ -658,15 +658,15 @@
     def _on_list(self, now_ms: float, e: events.EndpointListEvent) -> None:
         if e.kind == "failed":
             self.watching = False
-            self.actions.append(actions.SetTimer(self.calls.wait_ms(now_ms, e.failure), "watch"))
+            self.actions.append(actions.SetTimer(self.calls.retry_delay_ms(now_ms, e.failure), "watch"))
             return
         if e.kind == "stale" and self.probes.asks:
             self.actions.append(actions.SetTimer(LOOK_MS * self.rng.random(), "probe"))
         if e.kind == "stale" and self.settings.discovery == "ask":
-            self.actions.append(actions.SetTimer(self.calls.first_ms(), "watch"))
+            self.actions.append(actions.SetTimer(self.calls.first_call_delay_ms(), "watch"))
         elif e.kind != "stale":
             self.watching = True
-            self.calls.succeeded()
+            self.calls.on_success()
         if e.kind in ("full", "stale"):
             named = {line.name for line in e.endpoints}
             for s in self.endpoints.values():
--- a/sageturn/lab/scale/costs.py
+++ b/sageturn/lab/scale/costs.py
@@ -27,7 +27,7 @@
 from sageturn.core.request_lifecycle import ConnectionRecord as Ended
 from sageturn.decision import DiscoveryFailure
 from sageturn.decision.balancer import Balancer
-from sageturn.decision.discovery_backoff import CallBackoff
+from sageturn.decision.discovery_backoff import DiscoveryBackoff
 from sageturn.flows.exporter import to_flow
 from sageturn.lab.scale.digests import DIGEST_MOST, LinkOptions, missing_from
 from sageturn.lab.scale.fit import exponent, fit
@@ -246,7 +246,7 @@
     """
     import heapq
 
-    paces = [CallBackoff(relays, 10_000.0, Random(seed * 10_000 + k)) for k in range(relays)]
+    paces = [DiscoveryBackoff(relays, 10_000.0, Random(seed * 10_000 + k)) for k in range(relays)]
     events: list[tuple[float, int, str, int, int]] = []
     order = calls = failed = 0
 
@@ -256,7 +256,12 @@
         heapq.heappush(events, (due_ms, order, what, relay, call))
 
     for relay, pace in enumerate(paces):
-        at(pace.wait_ms(0.0, DiscoveryFailure.SILENT) if lost else pace.first_ms(), "call", relay, 0)
+        at(
+            pace.retry_delay_ms(0.0, DiscoveryFailure.SILENT) if lost else pace.first_call_delay_ms(),
+            "call",
+            relay,
+            0,
+        )
     free_ms, told, over = 0.0, dict[int, float](), set[int]()
     asked: list[float] = []
     while events and len(told) < relays:
@@ -271,10 +276,15 @@
             over.add(call)
             if what == "answered":
                 told[relay] = now_ms
-                paces[relay].succeeded()
+                paces[relay].on_success()
             else:
                 failed += 1
-                at(now_ms + paces[relay].wait_ms(now_ms, DiscoveryFailure.OVERLOADED), "call", relay, 0)
+                at(
+                    now_ms + paces[relay].retry_delay_ms(now_ms, DiscoveryFailure.OVERLOADED),
+                    "call",
+                    relay,
+                    0,
+                )
     times = sorted(told.values())
     busiest = max(sum(a <= t < a + 1000.0 for t in asked) for a in asked[:relays])
     return {
--- a/sageturn/net/discovery.py
+++ b/sageturn/net/discovery.py
@@ -16,16 +16,21 @@
 from sageturn.core.messages import EndpointListUpdate, WatchFailed
 from sageturn.core.tasks import cancel_and_wait
 from sageturn.decision import DiscoveryFailure, Endpoint
-from sageturn.decision.discovery_backoff import ANSWER_MS, CONNECT_MS, SILENCE_MS, unserved
+from sageturn.decision.discovery_backoff import (
+    CONNECT_TIMEOUT_MS,
+    IDLE_TIMEOUT_MS,
+    RESPONSE_TIMEOUT_MS,
+    classify_rejection,
+)
 from sageturn.net.json_stream import ObjectCutter
 from sageturn.net.sockets import Connect, connect
 
 log = logging.getLogger(__name__)
 
-CONNECT_S = CONNECT_MS / 1000.0
-ANSWER_S = ANSWER_MS / 1000.0
+CONNECT_TIMEOUT_S = CONNECT_TIMEOUT_MS / 1000.0
+RESPONSE_TIMEOUT_S = RESPONSE_TIMEOUT_MS / 1000.0
 # Only what is whole is a sign of life: half an object, or white space inside of one, tells nothing.
-SILENCE_S = SILENCE_MS / 1000.0
+IDLE_TIMEOUT_S = IDLE_TIMEOUT_MS / 1000.0
 OBJECT_MOST = 4 << 20
 
 # What a watch says, and which one it was.
@@ -173,7 +178,7 @@
 
     async def _call(self, answer: _Answer, number: int, after_version: int) -> WatchFailed:
         """One call to its end, which is always a failure."""
-        sock = await connect(self._address, CONNECT_S)
+        sock = await connect(self._address, CONNECT_TIMEOUT_S)
         if isinstance(sock, Connect):
             return WatchFailed(f"connect: {sock.name.lower()}", DiscoveryFailure.UNREACHED)
         asked_s = self._clock()
@@ -190,7 +195,7 @@
             if answer.good or not isinstance(error, OSError):
                 return WatchFailed(why, DiscoveryFailure.UNUSABLE)
             waited_s = self._clock() - asked_s
-            return WatchFailed(f"{why} after {waited_s:.3f} s", unserved(waited_s * 1000.0))
+            return WatchFailed(f"{why} after {waited_s:.3f} s", classify_rejection(waited_s * 1000.0))
         finally:
             sock.close()
 
@@ -205,7 +210,7 @@
         buffer = bytearray(65536)
         view = memoryview(buffer)
         asked_s = loop.time()
-        until = asked_s + ANSWER_S
+        until = asked_s + RESPONSE_TIMEOUT_S
         while True:
             async with asyncio.timeout_at(until):
                 size = await loop.sock_recv_into(sock, buffer)
@@ -229,7 +234,7 @@
             if fault is not None:
                 raise fault
             if answer.listed and answer.alive:
-                until = loop.time() + SILENCE_S
+                until = loop.time() + IDLE_TIMEOUT_S
             answer.alive = False
             if answer.complete:
                 raise ConnectionError("the answer was complete")
--- a/sageturn/simhost.py
+++ b/sageturn/simhost.py
@@ -11,7 +11,7 @@
 from sageturn import decision
 from sageturn.config.settings import read_settings, text
 from sageturn.decision.balancer import Balancer
-from sageturn.decision.discovery_backoff import unserved
+from sageturn.decision.discovery_backoff import classify_rejection
 from sageturn.decision.load_reports import checked
 
 STATUS = {
@@ -193,7 +193,7 @@
         asked_ms = self.asked.pop(number, None)
         if event.kind == "failed":
             event.failure = (
-                decision.DiscoveryFailure.LOST if asked_ms is None else unserved(now_ms - asked_ms)
+                decision.DiscoveryFailure.LOST if asked_ms is None else classify_rejection(now_ms - asked_ms)
             )
 
 
--- a/tests/decision/test_discovery_backoff.py
+++ b/tests/decision/test_discovery_backoff.py
@@ -12,14 +12,14 @@
 
 from sageturn.decision import DiscoveryFailure
 from sageturn.decision.discovery_backoff import (
-    ANSWER_MS,
-    CONNECT_MS,
-    NEWS_MS,
-    ROOM_MS,
-    SILENCE_MS,
+    CONNECT_TIMEOUT_MS,
+    ENDPOINT_LIST_DEADLINE_MS,
+    IDLE_TIMEOUT_MS,
+    MIN_RESPONSE_TIME_MS,
+    RESPONSE_TIMEOUT_MS,
     SLOW_CALL_MS,
-    CallBackoff,
-    unserved,
+    DiscoveryBackoff,
+    classify_rejection,
 )
 from sageturn.net import discovery as net
 
@@ -39,23 +39,25 @@
 
 # What the client has waited itself by the time it tells a failure: docs/design/discovery-calls.md.
 SPENT = {
-    DiscoveryFailure.UNREACHED: net.CONNECT_S * 1000.0,
+    DiscoveryFailure.UNREACHED: net.CONNECT_TIMEOUT_S * 1000.0,
     DiscoveryFailure.OVERLOADED: FAIL_MS,
-    DiscoveryFailure.UNANSWERED: net.ANSWER_S * 1000.0,
+    DiscoveryFailure.UNANSWERED: net.RESPONSE_TIMEOUT_S * 1000.0,
     DiscoveryFailure.UNUSABLE: 0.0,
     DiscoveryFailure.LOST: 0.0,
-    DiscoveryFailure.SILENT: net.SILENCE_S * 1000.0,
+    DiscoveryFailure.SILENT: net.IDLE_TIMEOUT_S * 1000.0,
 }
 FAILURES = st.sampled_from(list(DiscoveryFailure))
 
 
 def test_the_client_waits_as_the_backoff_reckons() -> None:
-    assert (net.CONNECT_S, net.ANSWER_S, net.SILENCE_S) == (
-        CONNECT_MS / 1000.0,
-        ANSWER_MS / 1000.0,
-        SILENCE_MS / 1000.0,
+    assert (net.CONNECT_TIMEOUT_S, net.RESPONSE_TIMEOUT_S, net.IDLE_TIMEOUT_S) == (
+        CONNECT_TIMEOUT_MS / 1000.0,
+        RESPONSE_TIMEOUT_MS / 1000.0,
+        IDLE_TIMEOUT_MS / 1000.0,
     )
-    assert net.ANSWER_S * 1000.0 > FAIL_MS  # so that a call which discovery fails is told from a mute one
+    assert (
+        net.RESPONSE_TIMEOUT_S * 1000.0 > FAIL_MS
+    )  # so that a call which discovery fails is told from a mute one
 
 
 @given(
@@ -71,30 +73,35 @@
     # A change counts as told 6 s after discovery had it and could be reached, whatever has failed before. The
     # wait after a failure was 5 s in the mean at once, and up to four times 130 ms for each relay.
     for failure in DiscoveryFailure:
-        backoff, now = CallBackoff(relays, must_ask_ms, Highest(), pushed), 0.0
-        assert backoff.first_ms() + ROOM_MS <= NEWS_MS
+        backoff, now = DiscoveryBackoff(relays, must_ask_ms, Highest(), pushed), 0.0
+        assert backoff.first_call_delay_ms() + MIN_RESPONSE_TIME_MS <= ENDPOINT_LIST_DEADLINE_MS
         for one in before:
             if one is not DiscoveryFailure.OVERLOADED or relays * SLOW_CALL_MS <= FAIL_MS:
-                now += gap_ms + backoff.wait_ms(now, one)
-        wait_ms = backoff.wait_ms(now, failure)
-        assert SPENT[failure] + wait_ms + ROOM_MS <= NEWS_MS
+                now += gap_ms + backoff.retry_delay_ms(now, one)
+        wait_ms = backoff.retry_delay_ms(now, failure)
+        assert SPENT[failure] + wait_ms + MIN_RESPONSE_TIME_MS <= ENDPOINT_LIST_DEADLINE_MS
         if failure not in (DiscoveryFailure.UNANSWERED, DiscoveryFailure.SILENT, DiscoveryFailure.OVERLOADED):
-            assert wait_ms + FAIL_MS <= NEWS_MS  # whatever waits then is answered in time, or not at all
+            assert (
+                wait_ms + FAIL_MS <= ENDPOINT_LIST_DEADLINE_MS
+            )  # whatever waits then is answered in time, or not at all
 
 
 @given(st.integers(1, 1000), st.floats(1000.0, 20000.0), st.integers(0, 999))
 def test_every_relay_has_asked_in_time_for_a_second_try(relays: int, must_ask_ms: float, seed: int) -> None:
     # 200 relays spread their first calls over 26 s. Hosts that were gone for 10 s counted as told meanwhile,
     # and 80 requests went to them.
-    backoff = CallBackoff(relays, must_ask_ms, Random(seed))
-    assert backoff.first_ms() <= must_ask_ms / 2
-    assert backoff.first_ms(doubted=True) <= min(must_ask_ms / 2, 1800.0)
+    backoff = DiscoveryBackoff(relays, must_ask_ms, Random(seed))
+    assert backoff.first_call_delay_ms() <= must_ask_ms / 2
+    assert backoff.first_call_delay_ms(stale=True) <= min(must_ask_ms / 2, 1800.0)
     for _ in range(9):
-        assert backoff.wait_ms(0.0, DiscoveryFailure.UNREACHED) <= max(must_ask_ms / 2, 1050.0)
+        assert backoff.retry_delay_ms(0.0, DiscoveryFailure.UNREACHED) <= max(must_ask_ms / 2, 1050.0)
     top_ms = 3.0 * max(1050.0, relays * SLOW_CALL_MS - FAIL_MS)
-    assert max(backoff.wait_ms(0.0, DiscoveryFailure.OVERLOADED) for _ in range(30)) <= top_ms
-    backoff.succeeded()
-    assert backoff.wait_ms(0.0, DiscoveryFailure.OVERLOADED) <= NEWS_MS - ROOM_MS
+    assert max(backoff.retry_delay_ms(0.0, DiscoveryFailure.OVERLOADED) for _ in range(30)) <= top_ms
+    backoff.on_success()
+    assert (
+        backoff.retry_delay_ms(0.0, DiscoveryFailure.OVERLOADED)
+        <= ENDPOINT_LIST_DEADLINE_MS - MIN_RESPONSE_TIME_MS
+    )
 
 
 @given(st.integers(1, 1000), st.floats(1000.0, 20000.0), st.booleans(), st.integers(0, 999))
@@ -103,36 +110,47 @@
 ) -> None:
     # It was taken for a failed call: at 200 relays the next came 2.5 to 7.5 s later, 3.2 s of silence before
     # it, where what a silent watch misses counts as told after 6 s.
-    backoff = CallBackoff(relays, must_ask_ms, Random(seed), pushed)
+    backoff = DiscoveryBackoff(relays, must_ask_ms, Random(seed), pushed)
     for failure, most_ms in ((DiscoveryFailure.SILENT, 1800.0), (DiscoveryFailure.LOST, 2800.0)):
         for now in (0.0, must_ask_ms + 1.0, must_ask_ms + 2.0):
-            assert backoff.wait_ms(now, failure) <= (150.0 if pushed else most_ms)
+            assert backoff.retry_delay_ms(now, failure) <= (150.0 if pushed else most_ms)
     if not pushed:  # but one that is over again and again is not hammered
-        assert backoff.wait_ms(must_ask_ms + 3.0, DiscoveryFailure.LOST) >= min(350.0, 0.25 * must_ask_ms)
-        assert backoff.wait_ms(must_ask_ms + 4.0, DiscoveryFailure.SILENT) >= min(350.0, 0.25 * must_ask_ms)
-    assert not pushed or max(backoff.wait_ms(0.0, f) for f in DiscoveryFailure for _ in range(9)) <= 150.0
+        assert backoff.retry_delay_ms(must_ask_ms + 3.0, DiscoveryFailure.LOST) >= min(
+            350.0, 0.25 * must_ask_ms
+        )
+        assert backoff.retry_delay_ms(must_ask_ms + 4.0, DiscoveryFailure.SILENT) >= min(
+            350.0, 0.25 * must_ask_ms
+        )
+    assert (
+        not pushed or max(backoff.retry_delay_ms(0.0, f) for f in DiscoveryFailure for _ in range(9)) <= 150.0
+    )
 
 
 @pytest.mark.parametrize("failure", list(DiscoveryFailure))
 def test_a_lone_relay_does_not_hammer_either(failure: DiscoveryFailure) -> None:
-    backoff = CallBackoff(1, MUST_ASK_MS, Random(5))
-    backoff.wait_ms(0.0, failure)
-    assert min(backoff.wait_ms(1.0, failure) for _ in range(200)) >= 350.0
+    backoff = DiscoveryBackoff(1, MUST_ASK_MS, Random(5))
+    backoff.retry_delay_ms(0.0, failure)
+    assert min(backoff.retry_delay_ms(1.0, failure) for _ in range(200)) >= 350.0
 
 
 def test_only_a_call_that_stood_in_the_queue_slows_those_after_it() -> None:
-    backoff = CallBackoff(200, MUST_ASK_MS, Highest())
-    first, second, third = (backoff.wait_ms(0.0, DiscoveryFailure.OVERLOADED) for _ in range(3))
+    backoff = DiscoveryBackoff(200, MUST_ASK_MS, Highest())
+    first, second, third = (backoff.retry_delay_ms(0.0, DiscoveryFailure.OVERLOADED) for _ in range(3))
     assert first < second < third
-    costless = [backoff.wait_ms(0.0, DiscoveryFailure.UNREACHED) for _ in range(9)]
+    costless = [backoff.retry_delay_ms(0.0, DiscoveryFailure.UNREACHED) for _ in range(9)]
     assert max(costless) <= 2800.0
-    assert backoff.wait_ms(0.0, DiscoveryFailure.OVERLOADED) == first  # that queue is gone by now
-    assert unserved(999.0) is DiscoveryFailure.UNREACHED and unserved(FAIL_MS) is DiscoveryFailure.OVERLOADED
+    assert backoff.retry_delay_ms(0.0, DiscoveryFailure.OVERLOADED) == first  # that queue is gone by now
+    assert (
+        classify_rejection(999.0) is DiscoveryFailure.UNREACHED
+        and classify_rejection(FAIL_MS) is DiscoveryFailure.OVERLOADED
+    )
 
 
 def test_relays_whose_watches_end_together_do_not_ask_in_step() -> None:
     for failure in (DiscoveryFailure.SILENT, DiscoveryFailure.LOST):
-        waits = sorted(CallBackoff(200, 10000.0, Random(seed)).wait_ms(0.0, failure) for seed in range(200))
+        waits = sorted(
+            DiscoveryBackoff(200, 10000.0, Random(seed)).retry_delay_ms(0.0, failure) for seed in range(200)
+        )
         assert max(sum(w <= v < w + 200.0 for v in waits) for w in waits) <= 50
 
 
@@ -151,7 +169,7 @@
         moved there as one, or see their watches fall silent as one.
         """
         chance = Random(f"{seed} {relays} {how}")
-        self.paces = [CallBackoff(relays, MUST_ASK_MS, Random(seed * 1009 + k)) for k in range(relays)]
+        self.paces = [DiscoveryBackoff(relays, MUST_ASK_MS, Random(seed * 1009 + k)) for k in range(relays)]
         self.cost_ms, self.how = cost_ms, how
         self.back_ms = 0.0 if how in ("starts", "moved", "silent") else down_ms
         self.free_ms = self.back_ms
@@ -162,11 +180,11 @@
         self.held: list[tuple[float, int]] = []
         for k, pace in enumerate(self.paces):
             if how == "starts":
-                self.at(pace.first_ms(), "call", k)
+                self.at(pace.first_call_delay_ms(), "call", k)
             elif how == "moved":
                 self.at(0.0, "call", k)
             elif how in ("cut", "hung", "silent"):  # its last sign of life came up to 2 s before
-                self.at(SILENCE_MS - 2000.0 * chance.random(), "fail", k, DiscoveryFailure.SILENT)
+                self.at(IDLE_TIMEOUT_MS - 2000.0 * chance.random(), "fail", k, DiscoveryFailure.SILENT)
             else:
                 self.at(0.0, "fail", k, DiscoveryFailure.LOST)
         self.at(self.back_ms, "back", -1)
@@ -175,14 +193,14 @@
             assert now < self.back_ms + 1800000.0, "discovery answers nobody any more"
             getattr(self, what)(now, k, more)
         self.last_ms = max(self.answered.values())
-        self.late = sum(after > NEWS_MS for after in self.answered.values())
+        self.late = sum(after > ENDPOINT_LIST_DEADLINE_MS for after in self.answered.values())
 
     def at(self, when: float, what: str, k: int, more: Any = None) -> None:
         self.count += 1
         heapq.heappush(self.events, (when, self.count, what, k, more))
 
     def fail(self, now: float, k: int, failure: DiscoveryFailure) -> None:
-        self.at(now + self.paces[k].wait_ms(now, failure), "call", k)
+        self.at(now + self.paces[k].retry_delay_ms(now, failure), "call", k)
 
     def back(self, now: float, k: int, more: None) -> None:
         for since, one in self.held:
@@ -205,11 +223,11 @@
         if now >= self.back_ms:
             self.queue(now, now, k)
         elif self.how == "cut":
-            self.at(now + CONNECT_MS, "fail", k, DiscoveryFailure.UNREACHED)
+            self.at(now + CONNECT_TIMEOUT_MS, "fail", k, DiscoveryFailure.UNREACHED)
         elif self.how == "hung" and now + FAIL_MS >= self.back_ms:
             self.held.append((now, k))
         elif self.how == "hung":
-            self.at(now + ANSWER_MS, "fail", k, DiscoveryFailure.UNANSWERED)
+            self.at(now + RESPONSE_TIMEOUT_MS, "fail", k, DiscoveryFailure.UNANSWERED)
         elif self.how == "waits":
             self.at(now + DOWN_FAIL_MS, "fail", k, DiscoveryFailure.OVERLOADED)
         else:
@@ -243,7 +261,7 @@
     for down_ms in DOWN:
         for seed in range(2):
             fleet = Fleet(relays, cost_ms, down_ms, how, seed)
-            assert fleet.last_ms <= NEWS_MS and not fleet.failed
+            assert fleet.last_ms <= ENDPOINT_LIST_DEADLINE_MS and not fleet.failed
             assert fleet.peak() <= 10 + 0.75 * relays
 
 
@@ -256,7 +274,7 @@
     assert relays * cost_ms <= 2000
     for down_ms in DOWN:
         for seed in range(3):
-            assert Fleet(relays, cost_ms, down_ms, how, seed).last_ms <= NEWS_MS
+            assert Fleet(relays, cost_ms, down_ms, how, seed).last_ms <= ENDPOINT_LIST_DEADLINE_MS
 
 
 @pytest.mark.parametrize("relays, cost_ms", [(2, 13), (8, 43), (30, 43), (100, 43), (200, 13), (200, 21)])
@@ -266,7 +284,7 @@
     # On a herd day it did: 200 relays doubled their waits, and had their lists up to 16 s after the return.
     for down_ms in DOWN:
         for seed in range(3):
-            assert Fleet(relays, cost_ms, down_ms, "waits", seed).last_ms <= NEWS_MS
+            assert Fleet(relays, cost_ms, down_ms, "waits", seed).last_ms <= ENDPOINT_LIST_DEADLINE_MS
 
 
 @pytest.mark.parametrize("how", [*AT_ONCE, "hung", "waits"])
--- a/tests/net/test_discovery_client.py
+++ b/tests/net/test_discovery_client.py
@@ -55,7 +55,7 @@
 
 def test_a_silent_watch_is_given_up(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     # A machine that vanished holds the connection open; what it has to tell counts as told after 6 s.
-    monkeypatch.setattr("sageturn.net.discovery.SILENCE_S", 0.2)
+    monkeypatch.setattr("sageturn.net.discovery.IDLE_TIMEOUT_S", 0.2)
     _, discovery = run(tmp_path, chunked(listed({"a": HERE}, 6)), FULL)
     assert discovery.asked[1][1] == b"GET /v1/endpoints?stream=1&index=6 HTTP/1.1"
 
@@ -103,8 +103,8 @@
 
 def ends(monkeypatch: pytest.MonkeyPatch, answer: bytes, waited_s: float = 0.0) -> DiscoveryFailure:
     """How a call ends that is so answered, when its clock says that it has waited so long."""
-    monkeypatch.setattr(net, "ANSWER_S", 0.3)
-    monkeypatch.setattr(net, "SILENCE_S", 0.3)
+    monkeypatch.setattr(net, "RESPONSE_TIMEOUT_S", 0.3)
+    monkeypatch.setattr(net, "IDLE_TIMEOUT_S", 0.3)
 
     def readings() -> Iterator[float]:
         yield 50.0
--- a/tests/net/test_endpoint_list.py
+++ b/tests/net/test_endpoint_list.py
@@ -88,8 +88,8 @@
 
 def said(*answers: bytes, count: int, monkeypatch: pytest.MonkeyPatch, silence_s: float = 9.0) -> list[Any]:
     """The first words of a watch, one call only."""
-    monkeypatch.setattr(net, "ANSWER_S", silence_s)
-    monkeypatch.setattr(net, "SILENCE_S", silence_s)
+    monkeypatch.setattr(net, "RESPONSE_TIMEOUT_S", silence_s)
+    monkeypatch.setattr(net, "IDLE_TIMEOUT_S", silence_s)
 
     async def go() -> list[Any]:
         words: asyncio.Queue[Any] = asyncio.Queue()
