--- a/sageturn/core/endpoint_registry.py
+++ b/sageturn/core/endpoint_registry.py
@@ -1,4 +1,4 @@
-"""The destination set: the list's actor. It keeps addresses, and passes on what the list says."""
+"""The actor that holds the endpoint list: addresses and states, and the control of the discovery watch."""
 
 from __future__ import annotations
 
@@ -19,100 +19,121 @@
 
 log = logging.getLogger(__name__)
 
-MAILBOX = 64
+MAX_QUEUED_MESSAGES = 64
+WATCH_REQUEST_RETRY_S = 0.5
 
 
 class DiscoveryWatcher(Protocol):
-    """Whatever can hold a watch on the list open; it reports into the destination set's mailbox."""
+    """Holds a watch on the endpoint list open, and reports to ``EndpointRegistry.on_watch_event``."""
 
     def start(self, after_version: int) -> int:
-        """Begin a watch in place of the one before; returns the number under which it reports."""
+        """Begin a watch in place of the previous one; returns the number under which it reports."""
 
 
 class EndpointRegistry:
+    """The endpoint list of one relay, as last known, and the control of the watch that keeps it current."""
+
     def __init__(
         self,
         known: EndpointListUpdate,
-        tell: Callable[[decision.Event], Awaitable[None]],
+        post_event: Callable[[decision.Event], Awaitable[None]],
         pushed: bool = False,
     ) -> None:
-        """``pushed``: changes come unasked for. On sockets a watch brings them, open at once."""
-        self._mailbox: asyncio.Queue[RegistryMessage] = asyncio.Queue(MAILBOX)
-        self._tell = tell
-        self._known, self._pushed = known, pushed
+        """Start from the list ``known``; ``post_event`` takes what the balancer is to be notified of.
+
+        ``pushed``: changes come without a request. On sockets a watch brings them, opened at once.
+        """
+        self._mailbox: asyncio.Queue[RegistryMessage] = asyncio.Queue(MAX_QUEUED_MESSAGES)
+        self._post_event = post_event
+        self._known = known
+        self._pushed = pushed
         self.version = known.version
         self.addresses = dict(known.addresses)
-        self._states = {s.name: s.state for s in known.endpoints}
-        self.usable = asyncio.Event()
-        self.out: Callable[[str], bool] = lambda endpoint: False  # whether an operator took it out of service
+        self.states = {endpoint.name: endpoint.state for endpoint in known.endpoints}
+        self.has_ready_endpoint = asyncio.Event()
+        # Whether an operator has taken an endpoint out of service; replaced where overrides are on.
+        self.is_out_of_service: Callable[[str], bool] = lambda endpoint: False
         self.watcher: DiscoveryWatcher | None = None
-        self._watch = 0  # the number of the one that is open, or was opened last
+        self.watch_number = 0  # of the watch that is open, or was opened last
 
-    async def put(self, message: RegistryMessage) -> None:
+    async def post_message(self, message: RegistryMessage) -> None:
         await self._mailbox.put(message)
 
-    async def on_watch_event(self, watch: int, said: EndpointListUpdate | WatchFailed) -> None:
-        await self._mailbox.put(WatchEvent(watch, said))
+    async def on_watch_event(self, watch_number: int, event: EndpointListUpdate | WatchFailed) -> None:
+        await self._mailbox.put(WatchEvent(watch_number, event))
 
-    def ready(self, endpoint: str, address: tuple[str, int]) -> bool:
-        """For a call that takes long to set up: whether the endpoint may still be given work there.
+    def is_ready_at(self, endpoint: str, address: tuple[str, int]) -> bool:
+        """Whether an attempt that takes long to connect may still send its request to ``endpoint``.
 
         One that was gone and is back under its id may be another process by now, at another address.
         """
-        here = self.addresses.get(endpoint) == address and self._states.get(endpoint) == "ready"
-        return here and not self.out(endpoint)
+        is_listed = self.addresses.get(endpoint) == address and self.states.get(endpoint) == "ready"
+        return is_listed and not self.is_out_of_service(endpoint)
 
-    def want_watch(self) -> None:
-        """Called by the module's actor, which must never wait for this one."""
+    def request_watch(self) -> None:
+        """Called by the balancer's actor, which must never wait for this one."""
         try:
             self._mailbox.put_nowait(WatchRequested())
         except asyncio.QueueFull:
-            log.error("the list's mailbox is full; the watch is asked for a little later")
-            asyncio.get_running_loop().call_later(0.5, self.want_watch)
+            log.error("endpoint registry mailbox full retry_s=%.1f", WATCH_REQUEST_RETRY_S)
+            asyncio.get_running_loop().call_later(WATCH_REQUEST_RETRY_S, self.request_watch)
 
     async def run(self) -> None:
-        self._see_usable()
-        await self._tell(decision.EndpointListEvent("stale", self._known.endpoints))
+        """Handle messages until cancelled; the balancer is given the known list first."""
+        self._update_readiness()
+        await self._post_event(decision.EndpointListEvent("stale", self._known.endpoints))
         if self._pushed:
-            self._start()
+            self._start_watch()
         while True:
             match await self._mailbox.get():
                 case WatchRequested():
-                    self._start()
+                    self._start_watch()
                 case DiscoveryAddressChanged():
-                    # Its versions need not go on from those of the old one: only a whole list is sure to
-                    # tell all. What is known stays in use until it has come.
+                    # Its versions need not continue those of the old one: only a full list is sure to have
+                    # all. What is known stays in use until that has come.
                     self.version = 0
-                    self._start()
-                case WatchEvent(watch, WatchFailed(why, failure)):
-                    # That one which was replaced has failed is no news, and must not end the new one.
-                    replaced = "" if watch == self._watch else " (replaced)"
-                    log.info("watch: %s, %s%s", failure.name.lower(), why, replaced)
-                    if watch == self._watch:
-                        await self._tell(decision.EndpointListEvent("failed", [], failure))
-                case WatchEvent(watch, EndpointListUpdate() as news):
-                    # What a replaced one had still told is known from then on, but where the next call
-                    # goes on from is the new one's to say: its source may count otherwise.
-                    if watch == self._watch:
-                        self.version = news.version
-                    self._take(news)
-                    await self._tell(
-                        decision.EndpointListEvent("full" if news.full else "changes", news.endpoints)
-                    )
-
-    def _start(self) -> None:
+                    self._start_watch()
+                case WatchEvent(watch_number, WatchFailed() as failed):
+                    await self._on_watch_failed(watch_number, failed)
+                case WatchEvent(watch_number, EndpointListUpdate() as update):
+                    await self._on_update(watch_number, update)
+
+    def apply_update(self, update: EndpointListUpdate) -> None:
+        """Take over addresses and states from ``update``; the balancer is not notified here."""
+        # Addresses of those gone are kept: an attempt may be placed in the moment before the balancer knows.
+        self.addresses.update(update.addresses)
+        if update.full:
+            self.states.clear()
+        self.states.update({endpoint.name: endpoint.state for endpoint in update.endpoints})
+        self._update_readiness()
+
+    async def _on_watch_failed(self, watch_number: int, failed: WatchFailed) -> None:
+        # The failure of a watch that was replaced is expected, and must not end the new one.
+        is_replaced = watch_number != self.watch_number
+        log.info(
+            "discovery watch failed failure=%s replaced=%s reason=%s",
+            failed.failure.name.lower(),
+            str(is_replaced).lower(),
+            failed.reason,
+        )
+        if not is_replaced:
+            await self._post_event(decision.EndpointListEvent("failed", [], failed.failure))
+
+    async def _on_update(self, watch_number: int, update: EndpointListUpdate) -> None:
+        # What a replaced watch had still reported is known from then on. But the version from which the next
+        # watch continues is set by the new one alone: its source may count otherwise.
+        if watch_number == self.watch_number:
+            self.version = update.version
+        self.apply_update(update)
+        await self._post_event(
+            decision.EndpointListEvent("full" if update.full else "changes", update.endpoints)
+        )
+
+    def _start_watch(self) -> None:
         if self.watcher is not None:
-            self._watch = self.watcher.start(self.version)
-
-    def _take(self, news: EndpointListUpdate) -> None:
-        # Addresses of those gone are kept: a call may be placed in the moment before the module hears.
-        self.addresses.update(news.addresses)
-        if news.full:
-            self._states.clear()
-        self._states.update({s.name: s.state for s in news.endpoints})
-        self._see_usable()
-
-    def _see_usable(self) -> None:
-        """A relay is of use to clients once there is anywhere to place them."""
-        if "ready" in self._states.values():
-            self.usable.set()
+            self.watch_number = self.watcher.start(self.version)
+
+    def _update_readiness(self) -> None:
+        """A relay is of use to clients once there is any endpoint that takes their requests."""
+        if "ready" in self.states.values():
+            self.has_ready_endpoint.set()
--- a/sageturn/core/messages.py
+++ b/sageturn/core/messages.py
@@ -73,18 +73,18 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchFailed:
-    """A watch could not be had, or broke; ``why`` is for the log."""
+    """A watch could not be established, or broke; ``reason`` is for the log."""
 
-    why: str
+    reason: str
     failure: DiscoveryFailure
 
 
 @dataclass(frozen=True, slots=True)
 class WatchEvent:
-    """Word of a watch. One that has been replaced may still have some in the mailbox."""
+    """What a watch reports. One that has been replaced may still have events in the mailbox."""
 
-    watch: int
-    said: EndpointListUpdate | WatchFailed
+    watch_number: int
+    event: EndpointListUpdate | WatchFailed
 
 
 @dataclass(frozen=True, slots=True)
--- a/sageturn/frontends/platform.py
+++ b/sageturn/frontends/platform.py
@@ -100,7 +100,7 @@
                 break
             if self._shared.request_registry.stopping:
                 raise Malformed("stopping")
-            await self._shared.endpoint_registry.usable.wait()
+            await self._shared.endpoint_registry.has_ready_endpoint.wait()
             await asyncio.get_running_loop().sock_sendall(sock, b"PONG\r\n")
         line = parse_first_line(buffer, end, self._classes)
         if not self._ids.take(line.request_id):
@@ -147,7 +147,7 @@
         # What stood there before this relay did goes back there, also while that endpoint drains.
         wanted = None
         if not self._line.ask.established_endpoint:
-            wanted = partial(self._shared.endpoint_registry.ready, endpoint, address)
+            wanted = partial(self._shared.endpoint_registry.is_ready_at, endpoint, address)
         if (held_back := self.lifecycle.blocking_reason(wanted)) is not None:
             return held_back
         sock = await connect(address, connect_ms / 1000.0)
--- a/sageturn/frontends/xmpp/front.py
+++ b/sageturn/frontends/xmpp/front.py
@@ -114,7 +114,7 @@
         if listed is None:
             return CloseReason.NOT_SENT
         address = (listed[0], self._options.port) if self._options.port else listed
-        wanted = partial(self._shared.endpoint_registry.ready, endpoint, listed)
+        wanted = partial(self._shared.endpoint_registry.is_ready_at, endpoint, listed)
         if (held_back := self.lifecycle.blocking_reason(wanted)) is not None:
             return held_back
         sock = await connect(address, connect_ms / 1000.0)
--- a/sageturn/lab/scale/members.py
+++ b/sageturn/lab/scale/members.py
@@ -170,7 +170,7 @@
                 read_settings(job["settings"]),
                 job["seed"],
                 Clock(),
-                lambda: self.endpoint_registry.want_watch(),
+                lambda: self.endpoint_registry.request_watch(),
             )
             self.endpoint_registry = EndpointRegistry(
                 EndpointListUpdate(0, True), self.balancer_actor.post_event
@@ -247,7 +247,7 @@
                 self.lists_failed += 1
             await hear(watch, said)
 
-        relay.discovery._report = heard
+        relay.discovery.on_event = heard
 
     def told(self) -> dict[str, Any]:
         return _told(self)
--- a/sageturn/net/discovery.py
+++ b/sageturn/net/discovery.py
@@ -145,7 +145,7 @@
         self, address: tuple[str, int], report: Report, clock: Callable[[], float] = time.monotonic
     ) -> None:
         """``clock``: in seconds, for how long a call had waited when it failed."""
-        self._address, self._report, self._clock = address, report, clock
+        self._address, self.on_event, self._clock = address, report, clock
         self._tasks: set[asyncio.Task[None]] = set()  # one watch, and those that are just letting go
         self._count = 0
 
@@ -158,7 +158,7 @@
         task.add_done_callback(self._tasks.discard)
         return self._count
 
-    def move(self, address: tuple[str, int]) -> None:
+    def set_address(self, address: tuple[str, int]) -> None:
         """Where to watch from now on; the watch that is open stays until the next ``start``."""
         self._address = address
 
@@ -174,7 +174,7 @@
             # Whatever it was, a watch that ended untold would leave the relay with an old list for good.
             log.exception("the watch failed")
             failed = WatchFailed(f"{type(error).__name__}: {error}", DiscoveryFailure.UNUSABLE)
-        await self._report(number, failed)
+        await self.on_event(number, failed)
 
     async def _call(self, answer: _Answer, number: int, after_version: int) -> WatchFailed:
         """One call to its end, which is always a failure."""
@@ -228,7 +228,7 @@
                 news = parse_endpoint_list(json.loads(text))
                 if not answer.listed:
                     log.info("watch: version %d after %.3f s", news.version, loop.time() - asked_s)
-                await self._report(number, news)
+                await self.on_event(number, news)
                 answer.listed = True
             answer.objects.clear()
             if fault is not None:
--- a/sageturn/relay.py
+++ b/sageturn/relay.py
@@ -63,7 +63,7 @@
             config.settings.discovery == "push",
         )
         if self.overrides is not None:
-            self.endpoint_registry.out = self.overrides.out
+            self.endpoint_registry.is_out_of_service = self.overrides.out
         self.discovery = DiscoveryClient(config.discovery, self.endpoint_registry.on_watch_event)
         self.endpoint_registry.watcher = self.discovery
         self.request_registry = RequestRegistry(shutdown_schedule(config.settings.classes))
@@ -91,7 +91,7 @@
         self._set_log_level()
 
     def _want_watch(self) -> None:
-        self.endpoint_registry.want_watch()
+        self.endpoint_registry.request_watch()
 
     def _changed(self, records: list[StoreRecord]) -> None:
         if any(record.key == LOG_LEVEL for record in records):
@@ -242,8 +242,8 @@
         if self.overrides is not None and new.operator.overrides is not None:
             self.overrides.set_options(new.operator.overrides, self.store)
         if new.discovery != old.discovery:
-            self.discovery.move(new.discovery)
-            await self.endpoint_registry.put(DiscoveryAddressChanged())
+            self.discovery.set_address(new.discovery)
+            await self.endpoint_registry.post_message(DiscoveryAddressChanged())
         kept = old.needs_restart(new)
         log.info("configuration taken%s", f"; kept until a restart: {', '.join(kept)}" if kept else "")
 
--- a/tests/config/test_deployments.py
+++ b/tests/config/test_deployments.py
@@ -303,7 +303,7 @@
                     first.append(endpoint)
                     drains = [Endpoint(name, "draining")]
                     await relay.endpoint_registry.on_watch_event(
-                        relay.endpoint_registry._watch, EndpointListUpdate(9, False, drains)
+                        relay.endpoint_registry.watch_number, EndpointListUpdate(9, False, drains)
                     )
                     while relay.endpoint_registry.version != 9:
                         await asyncio.sleep(0)
--- a/tests/core/test_attempt_races.py
+++ b/tests/core/test_attempt_races.py
@@ -54,16 +54,16 @@
 
 
 def drained(client: socket.socket, relay: Relay, name: str) -> None:
-    relay.endpoint_registry._take(EndpointListUpdate(3, False, [Endpoint(name, "draining")]))
+    relay.endpoint_registry.apply_update(EndpointListUpdate(3, False, [Endpoint(name, "draining")]))
 
 
 def gone(client: socket.socket, relay: Relay, name: str) -> None:
-    relay.endpoint_registry._take(EndpointListUpdate(3, False, [Endpoint(name, "gone")]))
+    relay.endpoint_registry.apply_update(EndpointListUpdate(3, False, [Endpoint(name, "gone")]))
 
 
 def moved(client: socket.socket, relay: Relay, name: str) -> None:
     news = [Endpoint(name, "ready", started_at_ms=1.0)]
-    relay.endpoint_registry._take(EndpointListUpdate(3, False, news, {name: ("127.0.0.1", 9)}))
+    relay.endpoint_registry.apply_update(EndpointListUpdate(3, False, news, {name: ("127.0.0.1", 9)}))
 
 
 def hurried(client: socket.socket, relay: Relay, name: str) -> None:
--- a/tests/core/test_close_reasons.py
+++ b/tests/core/test_close_reasons.py
@@ -161,7 +161,7 @@
 async def all_drain(scene: Scene) -> None:
     drains = [Endpoint(name, "draining") for name in "abc"]
     await scene.relay.endpoint_registry.on_watch_event(1, EndpointListUpdate(3, False, drains))
-    await scene.until(lambda: scene.relay.endpoint_registry._states["a"] == "draining")
+    await scene.until(lambda: scene.relay.endpoint_registry.states["a"] == "draining")
     if not any(lifecycle.is_established for lifecycle in scene.relay.request_registry):
         scene.go_on.set()
 
--- a/tests/net/test_discovery_client.py
+++ b/tests/net/test_discovery_client.py
@@ -50,7 +50,7 @@
     assert len(discovery.asked) == 3
     gaps = [b[0] - a[0] for a, b in zip(discovery.asked, discovery.asked[1:], strict=False)]
     assert all(gap > 0.3 for gap in gaps) and sum(gaps) < 6
-    assert relay.endpoint_registry.usable.is_set()
+    assert relay.endpoint_registry.has_ready_endpoint.is_set()
 
 
 def test_a_silent_watch_is_given_up(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -69,7 +69,7 @@
     change = {**listed({"b": HERE}, 6), "full": False}
     relay, _ = run(tmp_path, chunked(change, listed({"c": HERE}, 7)), known=listed({"a": HERE}, 5))
     assert set(relay.endpoint_registry.addresses) == {"a", "b", "c"}  # kept: a call may be on its way there
-    assert relay.endpoint_registry._states == {"c": "ready"}
+    assert relay.endpoint_registry.states == {"c": "ready"}
 
 
 @pytest.mark.parametrize(
--- a/tests/net/test_endpoint_list.py
+++ b/tests/net/test_endpoint_list.py
@@ -139,7 +139,7 @@
     # Such a watch ended unseen, and the relay went by its old list for good.
     monkeypatch.setattr(net, "parse_endpoint_list", lambda obj: 1 / 0)
     (failed,) = said(answer(b"{}"), count=1, monkeypatch=monkeypatch)
-    assert "ZeroDivisionError" in failed.why and failed.failure is DiscoveryFailure.UNUSABLE
+    assert "ZeroDivisionError" in failed.reason and failed.failure is DiscoveryFailure.UNUSABLE
 
 
 # ---------------------------------------------------------------- words of a watch that was replaced
@@ -162,16 +162,16 @@
         endpoint_registry = EndpointRegistry(known, told.put)  # type: ignore[arg-type]
         endpoint_registry.watcher = watches = Watches()
         actor = asyncio.ensure_future(endpoint_registry.run())
-        await endpoint_registry.put(WatchRequested())
-        await endpoint_registry.put(DiscoveryAddressChanged())
+        await endpoint_registry.post_message(WatchRequested())
+        await endpoint_registry.post_message(DiscoveryAddressChanged())
         drains = parse_endpoint_list({"version": 900, "servers": [entry(state="draining")]})
         await endpoint_registry.on_watch_event(1, drains)
         await endpoint_registry.on_watch_event(1, WatchFailed("ended", DiscoveryFailure.LOST))
-        await endpoint_registry.put(WatchRequested())
+        await endpoint_registry.post_message(WatchRequested())
         await endpoint_registry.on_watch_event(3, EndpointListUpdate(8, True, [], {}))
         kinds = [(await told.get()).kind for _ in range(3)]
         assert kinds == ["stale", "changes", "full"] and watches.begun == [5, 0, 0]
-        assert not endpoint_registry.ready("a", here) and endpoint_registry.version == 8
+        assert not endpoint_registry.is_ready_at("a", here) and endpoint_registry.version == 8
         actor.cancel()
 
     asyncio.run(asyncio.wait_for(go(), 5))
--- a/tests/overrides/test_overrides_relay.py
+++ b/tests/overrides/test_overrides_relay.py
@@ -109,15 +109,20 @@
             two.store.put(*record(said("o2", out("b"), operator="mai")))
             for relay in relays:
                 await until(
-                    lambda relay=relay: relay.endpoint_registry.out("a") and relay.endpoint_registry.out("b")
+                    lambda relay=relay: (
+                        relay.endpoint_registry.is_out_of_service("a")
+                        and relay.endpoint_registry.is_out_of_service("b")
+                    )
                 )
                 assert (await placed(relay, endpoints))[:2] == [0, 0]
             told = lambda: (one.store.get("state/n1/overrides") or {}).get("words")  # noqa: E731
             await until(lambda: told() == {"o1": 1, "o2": 1})
             two.store.put(*record(said("o1", None, word="revoke", revision=2)))  # type: ignore[arg-type]
-            await until(lambda: not one.endpoint_registry.out("a"))
+            await until(lambda: not one.endpoint_registry.is_out_of_service("a"))
             at = one.endpoint_registry.addresses
-            assert not one.endpoint_registry.ready("b", at["b"]) and one.endpoint_registry.ready("a", at["a"])
+            assert not one.endpoint_registry.is_ready_at("b", at["b"]) and one.endpoint_registry.is_ready_at(
+                "a", at["a"]
+            )
 
     story(go())
 
@@ -132,7 +137,7 @@
             await until(lambda: relay.overrides.board.known)
             assert await placed(relay, endpoints) == [0, 12]
             relay.store.put(*record(said("o1", out("b"))))
-            await until(lambda: relay.endpoint_registry.out("b"))
+            await until(lambda: relay.endpoint_registry.is_out_of_service("b"))
             began = asyncio.get_running_loop().time()
             assert (await reply(relay.listener.address, first_line())).startswith(b"BUSY")
             assert asyncio.get_running_loop().time() - began < 0.2
@@ -141,7 +146,7 @@
             await until(lambda: relay.overrides.board.known["p1"].revoked)
             assert await placed(relay, endpoints) == [12, 0]
             relay.store.put(*record(said("o1", None, word="revoke", revision=2)))  # type: ignore[arg-type]
-            await until(lambda: not relay.endpoint_registry.out("b"))
+            await until(lambda: not relay.endpoint_registry.is_out_of_service("b"))
             assert sum(await placed(relay, endpoints)) == 12  # b is cold again: most go elsewhere for now
 
     story(go())
@@ -180,7 +185,9 @@
                     relay.store.put(*record(said("o1", out("a"))))
                     relay.store.put(*record(said("o2", out("b"), at_ms=now() - 5000, until_ms=now() - 1)))
                 else:
-                    assert relay.endpoint_registry.out("a") and not relay.endpoint_registry.out("b")
+                    assert relay.endpoint_registry.is_out_of_service(
+                        "a"
+                    ) and not relay.endpoint_registry.is_out_of_service("b")
                     assert await placed(relay, endpoints) == [0, 12]
 
     story(go())
@@ -190,19 +197,19 @@
     async def go() -> None:
         async with overriding(tmp_path, up, up) as ((relay,), _):
             relay.store.put(*record(said("o1", out("a"))))
-            await until(lambda: relay.endpoint_registry.out("a"))
+            await until(lambda: relay.endpoint_registry.is_out_of_service("a"))
             file = tmp_path / "r0" / "operator.json"
             good = json.loads(file.read_text())
             file.write_text(json.dumps({**good, "overrides": {"operators": {"lan": "short"}}}))
             relay._reload.set()
             await until(lambda: not relay._reload.is_set())
-            assert relay.endpoint_registry.out("a")
+            assert relay.endpoint_registry.is_out_of_service("a")
             file.write_text(json.dumps({**good, "overrides": section(operators={"mai": public("mai")})}))
             relay._reload.set()
-            await until(lambda: not relay.endpoint_registry.out("a"))
+            await until(lambda: not relay.endpoint_registry.is_out_of_service("a"))
             file.write_text(json.dumps(good))
             relay._reload.set()
-            await until(lambda: relay.endpoint_registry.out("a"))
+            await until(lambda: relay.endpoint_registry.is_out_of_service("a"))
 
     story(go())
 
@@ -249,7 +256,7 @@
             set_ = ("set", "out", "--host", "a", "--for", "2h30m", "--why", "disk is failing", "--json")
             made = json.loads(await command(*set_))
             assert made["relays"] == {"n0": "in force", "n1": "in force"}
-            assert all(r.endpoint_registry.out("a") for r in relays)
+            assert all(r.endpoint_registry.is_out_of_service("a") for r in relays)
             too_much = await command("set", "out", "--host", "b", "--for", "1h", "--why", "x", fails=1)
             assert "would leave 1.0 of 3.0" in too_much and "--force" in too_much
             (row,) = [r for r in json.loads(await command("list", "--json")) if r["status"] == "in force"]
@@ -258,7 +265,7 @@
             assert "about to end" in await command("list")
             assert "out of service" in await command("explain", "a")
             await command("revoke", made["id"], "--why", "mended")
-            assert not any(r.endpoint_registry.out("a") for r in relays)
+            assert not any(r.endpoint_registry.is_out_of_service("a") for r in relays)
             words = [r["word"] for r in json.loads(await command("history", made["id"], "--json"))]
             assert words == ["set", "extend", "revoke"]
             never = "2999-01-01T00:00:00"
