--- a/sageturn/cli/link.py
+++ b/sageturn/cli/link.py
@@ -11,7 +11,7 @@
 
 import typer
 
-from sageturn.net.discovery import parse_address
+from sageturn.net.addresses import parse_address
 from sageturn.store.channel import read_secret
 from sageturn.store.replication.member import connected
 from sageturn.store.store import Store
--- a/sageturn/config/loader.py
+++ b/sageturn/config/loader.py
@@ -19,8 +19,10 @@
 from sageturn.core.messages import EndpointListUpdate
 from sageturn.flows.exporter import FlowOptions
 from sageturn.frontends.xmpp.options import EndpointOptions, XmppOptions
+from sageturn.net.addresses import parse_address
 from sageturn.net.admission import ProcessLimits
-from sageturn.net.discovery import InvalidEndpointListError, parse_address, parse_endpoint_list
+from sageturn.net.endpoint_list import parse_endpoint_list
+from sageturn.net.errors import InvalidEndpointListError
 from sageturn.store.channel import read_secret
 
 if TYPE_CHECKING:  # off on the platform, and then not even read in
--- a/sageturn/lab/scale/costs.py
+++ b/sageturn/lab/scale/costs.py
@@ -33,7 +33,7 @@
 from sageturn.lab.scale.fit import exponent, fit
 from sageturn.lab.scale.members import Place, make_spreader, preload
 from sageturn.net.admission import AdmissionController, ProcessLimits
-from sageturn.net.discovery import parse_endpoint_list
+from sageturn.net.endpoint_list import parse_endpoint_list
 from sageturn.store.channel import read_secret
 from sageturn.store.store import Store
 
--- /dev/null
+++ b/sageturn/net/addresses.py
@@ -0,0 +1,27 @@
+"""Addresses as configurations, commands and discovery write them."""
+
+from __future__ import annotations
+
+import socket
+
+from sageturn.net.errors import InvalidAddressError
+
+Address = tuple[str, int]
+PORT_COUNT = 65536
+
+
+def parse_address(text: str) -> Address:
+    """Read ``HOST:PORT``; raises InvalidAddressError. The host is not looked up, and may be a name."""
+    host, _, port = text.rpartition(":")
+    if not host or not port.isdigit() or not 0 <= int(port) < PORT_COUNT:
+        raise InvalidAddressError(f"{text!r} is not HOST:PORT")
+    return host, int(port)
+
+
+def is_ipv4(host: str) -> bool:
+    """Whether ``host`` is an IPv4 address and not a name."""
+    try:
+        socket.inet_pton(socket.AF_INET, host)
+    except OSError:
+        return False
+    return True
--- a/sageturn/net/json_stream.py
+++ b/sageturn/net/json_stream.py
@@ -1,59 +1,57 @@
-"""Cuts a stream of JSON objects into whole ones, however it comes in pieces and wherever lines end in it."""
+"""Splits a stream of JSON objects into complete ones, wherever it is cut and whatever white space it has."""
 
 from __future__ import annotations
 
 import re
 from collections.abc import Iterator
 
-_WHITE = re.compile(rb"[ \t\r\n]*")
-# Up to the next brace outside of strings. Possessive: of a string that is not yet whole nothing is passed
-# over, so the match ends before its quote, with no brace.
-_BRACE = re.compile(rb'(?:[^{}"]++|"(?:[^"\\]++|\\.)*+")*+([{}])?', re.DOTALL)
+from sageturn.net.errors import InvalidJsonStreamError
 
+_WHITE_SPACE = re.compile(rb"[ \t\r\n]*")
+# Up to the next brace outside of strings. Possessive: a string that is not yet complete is not skipped even
+# in part, so the match ends before its quote, with no brace.
+_NEXT_BRACE = re.compile(rb'(?:[^{}"]++|"(?:[^"\\]++|\\.)*+")*+([{}])?', re.DOTALL)
 
-class NoObject(ValueError):
-    """What came can be no object, or is too long for one."""
 
+class JsonObjectSplitter:
+    """Looks only at braces and strings; whether an object is valid JSON is for its decoder to find out."""
 
-class ObjectCutter:
-    """Looks only at braces and strings; whether an object is good JSON is for its reader to say."""
-
-    def __init__(self, most: int) -> None:
-        """``most``: octets that one object may have."""
-        self._most = most
-        self._held = bytearray()  # begins with an object, or is empty
-        self._seen = self._depth = 0  # in what is held: how much was looked at, and braces open there
+    def __init__(self, max_object_bytes: int) -> None:
+        self._max_object_bytes = max_object_bytes
+        self._buffer = bytearray()  # begins with an object, or is empty
+        self._scanned_bytes = 0  # of the buffer
+        self._depth = 0  # braces open at the end of what was scanned
 
     @property
-    def within(self) -> bool:
-        """Whether an object has begun and is not yet whole."""
-        return bool(self._held)
+    def is_inside_object(self) -> bool:
+        """Whether an object has begun and is not yet complete."""
+        return bool(self._buffer)
 
     def feed(self, data: bytes) -> Iterator[bytes]:
-        """Those that are whole by now, one by one: the ones before a fault have come all the same."""
-        self._held += data
+        """Yield the objects that ``data`` completes, one by one: those before an error are yielded too."""
+        self._buffer += data
         while True:
-            if not self._depth and not self._begin():
+            if not self._depth and not self._skip_to_object():
                 break
-            match = _BRACE.match(self._held, self._seen)
-            assert match is not None  # it matches nothing at all, too
-            self._seen = match.end()
+            match = _NEXT_BRACE.match(self._buffer, self._scanned_bytes)
+            assert match is not None  # it matches the empty text too
+            self._scanned_bytes = match.end()
             if match[1] is None:
                 break
             self._depth += 1 if match[1] == b"{" else -1
             if not self._depth:
-                text = bytes(self._held[: self._seen])
-                del self._held[: self._seen]
-                self._seen = 0
+                text = bytes(self._buffer[: self._scanned_bytes])
+                del self._buffer[: self._scanned_bytes]
+                self._scanned_bytes = 0
                 yield text
-        if len(self._held) > self._most:
-            raise NoObject("object too long")
-
-    def _begin(self) -> bool:
-        """Whether anything but white space is held; between objects nothing else may stand."""
-        white = _WHITE.match(self._held)
-        assert white is not None  # it matches nothing at all, too
-        del self._held[: white.end()]
-        if self._held and self._held[0] != ord("{"):
-            raise NoObject("no object")
-        return bool(self._held)
+        if len(self._buffer) > self._max_object_bytes:
+            raise InvalidJsonStreamError(f"object longer than {self._max_object_bytes} bytes")
+
+    def _skip_to_object(self) -> bool:
+        """Drop white space; True where an object begins. Between objects nothing else may stand."""
+        white_space = _WHITE_SPACE.match(self._buffer)
+        assert white_space is not None  # it matches the empty text too
+        del self._buffer[: white_space.end()]
+        if self._buffer and self._buffer[0] != ord("{"):
+            raise InvalidJsonStreamError(f"expected an object, found {bytes(self._buffer[:1])!r}")
+        return bool(self._buffer)
--- a/tests/decision/test_discovery_backoff.py
+++ b/tests/decision/test_discovery_backoff.py
@@ -21,7 +21,7 @@
     DiscoveryBackoff,
     classify_rejection,
 )
-from sageturn.net import discovery as net
+from sageturn.net import discovery_watch
 
 MUST_ASK_MS = 10000.0
 FAIL_MS = 3000.0  # discovery fails a call that has waited so long, and works on it all the same
@@ -39,24 +39,28 @@
 
 # What the client has waited itself by the time it tells a failure: docs/design/discovery-calls.md.
 SPENT = {
-    DiscoveryFailure.UNREACHED: net.CONNECT_TIMEOUT_S * 1000.0,
+    DiscoveryFailure.UNREACHED: discovery_watch.CONNECT_TIMEOUT_S * 1000.0,
     DiscoveryFailure.OVERLOADED: FAIL_MS,
-    DiscoveryFailure.UNANSWERED: net.RESPONSE_TIMEOUT_S * 1000.0,
+    DiscoveryFailure.UNANSWERED: discovery_watch.RESPONSE_TIMEOUT_S * 1000.0,
     DiscoveryFailure.UNUSABLE: 0.0,
     DiscoveryFailure.LOST: 0.0,
-    DiscoveryFailure.SILENT: net.IDLE_TIMEOUT_S * 1000.0,
+    DiscoveryFailure.SILENT: discovery_watch.IDLE_TIMEOUT_S * 1000.0,
 }
 FAILURES = st.sampled_from(list(DiscoveryFailure))
 
 
 def test_the_client_waits_as_the_backoff_reckons() -> None:
-    assert (net.CONNECT_TIMEOUT_S, net.RESPONSE_TIMEOUT_S, net.IDLE_TIMEOUT_S) == (
+    assert (
+        discovery_watch.CONNECT_TIMEOUT_S,
+        discovery_watch.RESPONSE_TIMEOUT_S,
+        discovery_watch.IDLE_TIMEOUT_S,
+    ) == (
         CONNECT_TIMEOUT_MS / 1000.0,
         RESPONSE_TIMEOUT_MS / 1000.0,
         IDLE_TIMEOUT_MS / 1000.0,
     )
     assert (
-        net.RESPONSE_TIMEOUT_S * 1000.0 > FAIL_MS
+        discovery_watch.RESPONSE_TIMEOUT_S * 1000.0 > FAIL_MS
     )  # so that a call which discovery fails is told from a mute one
 
 
--- a/tests/net/test_discovery_client.py
+++ b/tests/net/test_discovery_client.py
@@ -12,9 +12,12 @@
 from support.network_fakes import Discovery, chunked, listed, served, write_config
 
 from sageturn.config.loader import load
+from sageturn.core.messages import WatchFailed
 from sageturn.decision import DiscoveryFailure
-from sageturn.net import discovery as net
-from sageturn.net.discovery import DiscoveryClient, InvalidEndpointListError, parse_endpoint_list
+from sageturn.net import discovery_watch
+from sageturn.net.discovery import DiscoveryClient
+from sageturn.net.endpoint_list import parse_endpoint_list
+from sageturn.net.errors import InvalidEndpointListError
 from sageturn.net.sockets import Connect, bind
 from sageturn.relay import Relay
 
@@ -55,7 +58,7 @@
 
 def test_a_silent_watch_is_given_up(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     # A machine that vanished holds the connection open; what it has to tell counts as told after 6 s.
-    monkeypatch.setattr("sageturn.net.discovery.IDLE_TIMEOUT_S", 0.2)
+    monkeypatch.setattr("sageturn.net.discovery_watch.IDLE_TIMEOUT_S", 0.2)
     _, discovery = run(tmp_path, chunked(listed({"a": HERE}, 6)), FULL)
     assert discovery.asked[1][1] == b"GET /v1/endpoints?stream=1&index=6 HTTP/1.1"
 
@@ -103,8 +106,8 @@
 
 def ends(monkeypatch: pytest.MonkeyPatch, answer: bytes, waited_s: float = 0.0) -> DiscoveryFailure:
     """How a call ends that is so answered, when its clock says that it has waited so long."""
-    monkeypatch.setattr(net, "RESPONSE_TIMEOUT_S", 0.3)
-    monkeypatch.setattr(net, "IDLE_TIMEOUT_S", 0.3)
+    monkeypatch.setattr(discovery_watch, "RESPONSE_TIMEOUT_S", 0.3)
+    monkeypatch.setattr(discovery_watch, "IDLE_TIMEOUT_S", 0.3)
 
     def readings() -> Iterator[float]:
         yield 50.0
@@ -112,10 +115,10 @@
             yield 50.0 + waited_s
 
     async def go() -> DiscoveryFailure:
-        failed: asyncio.Queue[net.WatchFailed] = asyncio.Queue()
+        failed: asyncio.Queue[WatchFailed] = asyncio.Queue()
 
         async def report(_: int, said: Any) -> None:
-            if isinstance(said, net.WatchFailed):
+            if isinstance(said, WatchFailed):
                 await failed.put(said)
 
         peer = Peer(answer)
@@ -174,7 +177,7 @@
         return why
 
     async def go() -> DiscoveryFailure:
-        failed: asyncio.Queue[net.WatchFailed] = asyncio.Queue()
+        failed: asyncio.Queue[WatchFailed] = asyncio.Queue()
         sock = bind(("127.0.0.1", 0))  # it refuses, as nobody listens
         try:
             DiscoveryClient(sock.getsockname(), lambda _, said: failed.put(said)).start(0)  # type: ignore[arg-type]
@@ -183,5 +186,5 @@
             sock.close()
 
     if why is not None:
-        monkeypatch.setattr(net, "connect", never)
+        monkeypatch.setattr(discovery_watch, "connect", never)
     assert asyncio.run(go()) is DiscoveryFailure.UNREACHED
--- a/tests/net/test_endpoint_list.py
+++ b/tests/net/test_endpoint_list.py
@@ -14,9 +14,11 @@
 from sageturn.core.endpoint_registry import EndpointRegistry
 from sageturn.core.messages import DiscoveryAddressChanged, EndpointListUpdate, WatchFailed, WatchRequested
 from sageturn.decision import DiscoveryFailure, EndpointListEvent
-from sageturn.net import discovery as net
-from sageturn.net.discovery import DiscoveryClient, InvalidEndpointListError, parse_endpoint_list
-from sageturn.net.json_stream import NoObject, ObjectCutter
+from sageturn.net import discovery_watch
+from sageturn.net.discovery import DiscoveryClient
+from sageturn.net.endpoint_list import parse_endpoint_list
+from sageturn.net.errors import InvalidEndpointListError, InvalidJsonStreamError
+from sageturn.net.json_stream import JsonObjectSplitter
 
 TEXTS = st.text(st.sampled_from('ab{}[]"\\\n é'), max_size=8)
 VALUES = st.recursive(TEXTS | st.integers(), lambda v: st.lists(v) | st.dictionaries(TEXTS, v), max_leaves=6)
@@ -30,16 +32,16 @@
     # Each line was taken for a whole object: an indented list failed the watch, call after call.
     text = b"".join(b"\r\n" + json.dumps(o, indent=i, ensure_ascii=False).encode() for o, i in objects)
     cuts = sorted(data.draw(st.lists(st.integers(0, len(text)), max_size=12)))
-    cutter, found = ObjectCutter(1 << 20), []
+    splitter, found = JsonObjectSplitter(1 << 20), []
     for start, end in zip([0, *cuts], [*cuts, len(text)], strict=True):
-        found += cutter.feed(text[start:end])
-    assert [json.loads(t) for t in found] == [o for o, _ in objects] and not cutter.within
+        found += splitter.feed(text[start:end])
+    assert [json.loads(t) for t in found] == [o for o, _ in objects] and not splitter.is_inside_object
 
 
 @pytest.mark.parametrize("text", [b"[", b"null", b"}", b'{"a":1},', b'"{}"', b"{" + b" " * 200])
 def test_what_can_be_no_object_is_refused_at_once(text: bytes) -> None:
-    with pytest.raises(NoObject):
-        list(ObjectCutter(100).feed(text))
+    with pytest.raises(InvalidJsonStreamError):
+        list(JsonObjectSplitter(100).feed(text))
 
 
 def entry(**more: Any) -> dict[str, Any]:
@@ -88,8 +90,8 @@
 
 def said(*answers: bytes, count: int, monkeypatch: pytest.MonkeyPatch, silence_s: float = 9.0) -> list[Any]:
     """The first words of a watch, one call only."""
-    monkeypatch.setattr(net, "RESPONSE_TIMEOUT_S", silence_s)
-    monkeypatch.setattr(net, "IDLE_TIMEOUT_S", silence_s)
+    monkeypatch.setattr(discovery_watch, "RESPONSE_TIMEOUT_S", silence_s)
+    monkeypatch.setattr(discovery_watch, "IDLE_TIMEOUT_S", silence_s)
 
     async def go() -> list[Any]:
         words: asyncio.Queue[Any] = asyncio.Queue()
@@ -137,7 +139,7 @@
 
 def test_a_watch_that_ends_by_a_fault_of_the_program_is_told(monkeypatch: pytest.MonkeyPatch) -> None:
     # Such a watch ended unseen, and the relay went by its old list for good.
-    monkeypatch.setattr(net, "parse_endpoint_list", lambda obj: 1 / 0)
+    monkeypatch.setattr(discovery_watch, "parse_endpoint_list", lambda obj: 1 / 0)
     (failed,) = said(answer(b"{}"), count=1, monkeypatch=monkeypatch)
     assert "ZeroDivisionError" in failed.reason and failed.failure is DiscoveryFailure.UNUSABLE
 
