--- a/sageturn/__main__.py
+++ b/sageturn/__main__.py
@@ -11,7 +11,8 @@
 
 import uvloop
 
-from sageturn.config import loader
+from sageturn.config.errors import ConfigError
+from sageturn.config.loader import load
 from sageturn.relay import SIGNALS, Relay
 from sageturn.store.log import LogCorruptedError
 
@@ -23,13 +24,13 @@
     parser.add_argument("--operator", metavar="FILE", help="an operator's file, such as deploy/xmpp.json")
     options = parser.parse_args()
     try:
-        settled = loader.load(operator_file=options.operator)
-    except loader.ConfigError as error:
+        settled = load(operator_file=options.operator)
+    except ConfigError as error:
         print(f"sageturn: {error}", file=sys.stderr)
         return 2
     logging.basicConfig(level=settled.log_level, format="%(asctime)s %(levelname)s %(name)s: %(message)s")
     try:
-        relay = Relay(settled, partial(loader.load, None, options.operator))
+        relay = Relay(settled, partial(load, None, options.operator))
     except (OSError, LogCorruptedError) as error:
         print(f"sageturn: {error}", file=sys.stderr)
         return 2
--- /dev/null
+++ b/sageturn/config/operator.py
@@ -0,0 +1,200 @@
+"""The operator's file, decoded section by section; what it does not name is off, as it is on the platform."""
+
+from __future__ import annotations
+
+import re
+from dataclasses import dataclass
+from pathlib import Path
+from typing import TYPE_CHECKING
+
+from sageturn import decision
+from sageturn.config.errors import ConfigError
+from sageturn.config.fields import ConfigSection
+from sageturn.config.files import read_json_file, read_secret_file
+from sageturn.config.tls import read_endpoint_context, read_server_context
+from sageturn.flows.exporter import FlowOptions
+from sageturn.frontends.xmpp.options import EndpointOptions, XmppOptions
+from sageturn.store.channel import read_secret
+
+if TYPE_CHECKING:  # these subsystems are imported only where their section is on
+    from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PublicKey
+
+    from sageturn.overrides.options import OverrideOptions
+    from sageturn.rebalance.options import RebalanceOptions
+    from sageturn.store.replication.options import ReplicationOptions
+
+ANY_ADDRESS = "0.0.0.0"
+MINUTES_PER_HOUR = 60
+_TIME_SPAN = re.compile(r"([01][0-9]|2[0-3]):([0-5][0-9])-([01][0-9]|2[0-3]):([0-5][0-9])")
+
+
+@dataclass(frozen=True, slots=True)
+class OperatorConfig:
+    """The subsystems that an operator's file turns on; None for each that is off."""
+
+    store_path: Path | None = None
+    replication: ReplicationOptions | None = None
+    xmpp: XmppOptions | None = None
+    flows: FlowOptions | None = None
+    rebalance: RebalanceOptions | None = None
+    overrides: OverrideOptions | None = None
+
+
+def read_operator_file(file: Path, settings: decision.Settings) -> OperatorConfig:
+    """Raises ConfigError. Paths in the file are relative to its folder.
+
+    ``settings`` name the classes and tenants that the file may refer to.
+    """
+    top = ConfigSection(read_json_file(str(file), "operator"), "operator")
+    top.reject_unknown_keys("store", "xmpp", "flows", "rebalance", "overrides")
+    folder = file.parent
+    store = top.section("store")
+    _check_store(store)
+    return OperatorConfig(
+        store_path=folder / store.text("path") if store.contains("path") else None,
+        replication=_read_replication(store, folder) if store.contains("listen") else None,
+        xmpp=_read_xmpp(top.section("xmpp"), folder) if top.contains("xmpp") else None,
+        flows=_read_flows(top.section("flows")) if top.contains("flows") else None,
+        rebalance=_read_rebalance(top.section("rebalance"), settings) if top.contains("rebalance") else None,
+        overrides=_read_overrides(top.section("overrides")) if top.contains("overrides") else None,
+    )
+
+
+def _check_store(store: ConfigSection) -> None:
+    if store.contains("interval_s"):
+        raise ConfigError(store.path("interval_s"), "is gone, as changes go out at once; take it out")
+    store.reject_unknown_keys(
+        "path", "listen", "peers", "secret_file", "region", "zone", "octets_per_s", "horizon_s"
+    )
+
+
+def _read_replication(store: ConfigSection, folder: Path) -> ReplicationOptions:
+    from sageturn.store.replication import options
+
+    seeds = tuple(store.addresses("peers"))
+    listen = store.address("listen")
+    if listen[0] == ANY_ADDRESS:
+        raise ConfigError(store.path("listen"), "must be an address at which others reach this member")
+    return options.ReplicationOptions(
+        listen=listen,
+        seeds=seeds,
+        secret=read_secret(read_secret_file(store, "secret_file", folder)),
+        region=store.text("region", ""),
+        zone=store.text("zone", ""),
+        octets_per_s=store.number("octets_per_s", options.OCTETS_PER_S, minimum=options.OCTETS_LEAST),
+        horizon_s=store.number("horizon_s", options.HORIZON_S, minimum=options.HORIZON_LEAST_S),
+    )
+
+
+def _read_flows(flows: ConfigSection) -> FlowOptions:
+    flows.reject_unknown_keys("collector", "domain", "template_s", "queue")
+    return FlowOptions(
+        collector=flows.address("collector"),
+        domain=flows.truncated_integer("domain", 1),
+        template_s=flows.number("template_s", 30.0, minimum=1.0),
+        queue=flows.truncated_integer("queue", 4096, minimum=1),
+    )
+
+
+def _read_xmpp(xmpp: ConfigSection, folder: Path) -> XmppOptions:
+    xmpp.reject_unknown_keys(
+        "listen", "domain", "certificate", "key", "wait_ms", "negotiate_s", "mute_s", "endpoint"
+    )
+    server_context = read_server_context(xmpp, folder)
+    endpoint = xmpp.section("endpoint")
+    endpoint.reject_unknown_keys("domain", "username", "password_file", "tls", "ca_file", "port")
+    return XmppOptions(
+        listen=xmpp.address("listen"),
+        domain=xmpp.text("domain"),
+        tls=server_context,
+        wait_ms=xmpp.number("wait_ms", 3000.0, minimum=1.0),
+        endpoint=EndpointOptions(
+            domain=endpoint.text("domain", xmpp.text("domain")),
+            username=endpoint.text("username"),
+            password=read_secret_file(endpoint, "password_file", folder),
+            tls=read_endpoint_context(endpoint, folder),
+        ),
+        port=endpoint.truncated_integer("port", 0),
+        negotiate_s=xmpp.number("negotiate_s", 3.0, minimum=0.1),
+        mute_s=xmpp.number("mute_s", 5.0, minimum=0.1),
+    )
+
+
+def _read_rebalance(section: ConfigSection, settings: decision.Settings) -> RebalanceOptions:
+    from sageturn.rebalance.options import MODES, RebalanceOptions
+
+    defaults = RebalanceOptions()
+    section.reject_unknown_keys(*RebalanceOptions.__dataclass_fields__)
+    mode = section.one_of("mode", MODES, defaults.mode)
+    start = section.number("start", defaults.start, minimum=1.01)
+    stop = section.number("stop", defaults.stop, minimum=1.0)
+    if stop >= start:
+        raise ConfigError(section.path("stop"), f"must be under {section.path('start')}")
+    again_s = section.number("again_s", defaults.again_s, minimum=1.0)
+    again_most_s = section.number("again_most_s", max(again_s, defaults.again_most_s))
+    if again_most_s < again_s:
+        raise ConfigError(section.path("again_most_s"), f"must not be under {section.path('again_s')}")
+    class_names = [request_class.name for request_class in settings.classes]
+    tenant_names = [tenant.name for tenant in settings.tenants]
+    default_classes = [name for name in defaults.keep_classes if name in class_names]
+    return RebalanceOptions(
+        mode=mode,
+        start=start,
+        stop=stop,
+        part_per_min=section.ratio("part_per_min", defaults.part_per_min),
+        fleet_per_s=section.number("fleet_per_s", defaults.fleet_per_s),
+        burst=section.truncated_integer("burst", defaults.burst, minimum=1),
+        least_age_s=section.number("least_age_s", defaults.least_age_s),
+        again_s=again_s,
+        again_most_s=again_most_s,
+        back_within_s=section.number("back_within_s", defaults.back_within_s, minimum=0.1),
+        keep_classes=frozenset(section.names("keep_classes", class_names, default_classes)),
+        keep_tenants=frozenset(section.names("keep_tenants", tenant_names, [])),
+        quiet_hours=_read_quiet_hours(section),
+        tick_s=section.number("tick_s", defaults.tick_s, minimum=0.05),
+        remember=section.truncated_integer("remember", defaults.remember, minimum=1),
+    )
+
+
+def _read_quiet_hours(section: ConfigSection) -> tuple[tuple[int, int], ...]:
+    """Spans in minutes of the UTC day, each from its first minute to before its second."""
+    spans = []
+    for index, text in enumerate(section.list_of_any("quiet_hours", [])):
+        match = _TIME_SPAN.fullmatch(text) if isinstance(text, str) else None
+        if match is None or match[0][:5] == match[0][6:]:
+            path = f"{section.path('quiet_hours')}[{index}]"
+            raise ConfigError(path, "must be a span such as 22:00-05:30")
+        begin_hour, begin_minute, end_hour, end_minute = (int(group) for group in match.groups())
+        begin = begin_hour * MINUTES_PER_HOUR + begin_minute
+        end = end_hour * MINUTES_PER_HOUR + end_minute
+        spans.append((begin, end))
+    return tuple(spans)
+
+
+def _read_overrides(section: ConfigSection) -> OverrideOptions:
+    from sageturn.overrides.options import OverrideOptions
+    from sageturn.overrides.resolve import SafetyLimits
+
+    section.reject_unknown_keys("operators", "longest_s", "floor_all", "floor_zone", "floor_pin")
+    operators = _read_public_keys(section)
+    defaults = SafetyLimits()
+    floors = SafetyLimits(
+        all=section.ratio("floor_all", defaults.all),
+        zone=section.ratio("floor_zone", defaults.zone),
+        pin=section.ratio("floor_pin", defaults.pin),
+    )
+    longest_s = section.number("longest_s", OverrideOptions().longest_s, minimum=1.0)
+    return OverrideOptions(operators, longest_s, floors)
+
+
+def _read_public_keys(section: ConfigSection) -> dict[str, Ed25519PublicKey]:
+    """The operators' keys, by the operators' names."""
+    from sageturn.overrides.ops import read_public
+
+    keys = {}
+    for name, text in section.dict_of_any("operators", {}).items():
+        try:
+            keys[name] = read_public(text)
+        except (ValueError, TypeError) as error:
+            raise ConfigError(f"{section.path('operators')}.{name}", f"no public key: {error}") from error
+    return keys
--- /dev/null
+++ b/sageturn/config/platform.py
@@ -0,0 +1,131 @@
+"""The platform's configuration: the file that ``GW_CONFIG`` names, with environment variables before it."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from dataclasses import dataclass, field, replace
+
+from sageturn import decision
+from sageturn.config.errors import ConfigError
+from sageturn.config.fields import ConfigSection, decode_address
+from sageturn.config.files import read_json_file
+from sageturn.config.operator import OperatorConfig
+from sageturn.config.settings import read_settings
+from sageturn.core.messages import EndpointListUpdate
+from sageturn.net.addresses import Address
+from sageturn.net.admission import ProcessLimits
+from sageturn.net.endpoint_list import parse_endpoint_list
+
+LOG_LEVELS = ("DEBUG", "INFO", "WARNING", "ERROR")
+
+
+@dataclass(frozen=True, slots=True)
+class RelayConfig:
+    """All that a relay is configured with."""
+
+    name: str
+    listen: Address
+    discovery: Address
+    configured_discovery: str  # as the file has it, whatever the environment says; "" where it has none
+    seed: int
+    limits: ProcessLimits
+    settings: decision.Settings
+    known_endpoints: EndpointListUpdate
+    log_level: str = "INFO"
+    operator: OperatorConfig = field(default_factory=OperatorConfig)
+
+    def keys_needing_restart(self, new: RelayConfig) -> list[str]:
+        """The keys in which ``new`` differs, and whose old values a running relay keeps."""
+        old_operator = self.operator
+        new_operator = new.operator
+        old_xmpp_listen = old_operator.xmpp and old_operator.xmpp.listen
+        new_xmpp_listen = new_operator.xmpp and new_operator.xmpp.listen
+        values = {
+            "name": (self.name, new.name),
+            "listen": (self.listen, new.listen),
+            "settings": (self.settings, new.settings),
+            "operator.store.path": (old_operator.store_path, new_operator.store_path),
+            "operator.store": (old_operator.replication, new_operator.replication),
+            "operator.flows": (old_operator.flows, new_operator.flows),
+            "operator.overrides": (old_operator.overrides is None, new_operator.overrides is None),
+            "operator.xmpp.listen": (old_xmpp_listen, new_xmpp_listen),
+        }
+        return [key for key, (old_value, new_value) in values.items() if old_value != new_value]
+
+
+def read_platform_config(environ: Mapping[str, str], previous: RelayConfig | None = None) -> RelayConfig:
+    """Raises ConfigError. ``previous`` is the configuration in force, where it is read again."""
+    if not environ.get("GW_CONFIG"):
+        raise ConfigError("GW_CONFIG", "is missing")
+    top = ConfigSection(read_json_file(environ["GW_CONFIG"], "GW_CONFIG"), "")
+    limits = top.section("limits")
+    configured_discovery = top.text("discovery", "")
+    return RelayConfig(
+        discovery=_read_discovery(top, environ, configured_discovery, previous),
+        configured_discovery=configured_discovery,
+        name=_read_text(top, environ, "name", "GW_NAME"),
+        listen=_read_address(top, environ, "listen", "GW_LISTEN"),
+        seed=_read_seed(top),
+        limits=ProcessLimits(
+            sockets=limits.truncated_integer("sockets", 1024, minimum=32),
+            memory_mb=limits.number("memory_mb", 192.0, minimum=1),
+        ),
+        settings=_read_settings(top),
+        known_endpoints=_read_known_endpoints(top),
+        log_level=_read_log_level(environ),
+    )
+
+
+def _read_text(top: ConfigSection, environ: Mapping[str, str], key: str, variable: str) -> str:
+    """The variable's text, or the key's where the variable is not set or empty."""
+    return environ.get(variable) or top.text(key)
+
+
+def _read_address(top: ConfigSection, environ: Mapping[str, str], key: str, variable: str) -> Address:
+    text = environ.get(variable)
+    return decode_address(variable, text) if text else top.address(key)
+
+
+def _read_discovery(
+    top: ConfigSection, environ: Mapping[str, str], configured: str, previous: RelayConfig | None
+) -> Address:
+    """At a start the environment's address, or the file's.
+
+    Where the file is read again and names another address than before, that one: it goes before the
+    environment, which nobody can change in a running process.
+    """
+    if previous is None:
+        return _read_address(top, environ, "discovery", "GW_DISCOVERY")
+    if configured == previous.configured_discovery:
+        return previous.discovery
+    return decode_address("discovery", configured)
+
+
+def _read_seed(top: ConfigSection) -> int:
+    text = top.text("seed")
+    try:
+        return int(text, 16)
+    except ValueError as error:
+        raise ConfigError("seed", "must be hexadecimal") from error
+
+
+def _read_settings(top: ConfigSection) -> decision.Settings:
+    settings = read_settings(top.dict_of_any("settings"), "settings")
+    # The settings promise notes of delay, but no frontend's protocol can carry them.
+    return replace(settings, reports_delay=False)
+
+
+def _read_known_endpoints(top: ConfigSection) -> EndpointListUpdate:
+    if not top.contains("known"):
+        return EndpointListUpdate(0, True)
+    try:
+        return parse_endpoint_list(top.dict_of_any("known"))
+    except ValueError as error:  # InvalidEndpointListError and InvalidAddressError
+        raise ConfigError("known", str(error)) from error
+
+
+def _read_log_level(environ: Mapping[str, str]) -> str:
+    level = environ.get("SAGETURN_LOG", "INFO").upper()
+    if level not in LOG_LEVELS:
+        raise ConfigError("SAGETURN_LOG", "must be DEBUG, INFO, WARNING or ERROR")
+    return level
--- /dev/null
+++ b/sageturn/config/tls.py
@@ -0,0 +1,41 @@
+"""TLS contexts, from the keys of the operator's file that name certificates."""
+
+from __future__ import annotations
+
+import ssl
+from pathlib import Path
+
+from sageturn.config.fields import ConfigSection
+from sageturn.config.files import file_errors_named
+
+
+def read_server_context(xmpp: ConfigSection, folder: Path) -> ssl.SSLContext | None:
+    """For clients; None where no certificate is configured."""
+    if not xmpp.contains("certificate"):
+        return None
+    context = _new_context(xmpp, "certificate", ssl.PROTOCOL_TLS_SERVER)
+    with file_errors_named(xmpp, "certificate"):
+        certificate = folder / xmpp.text("certificate")
+        key = folder / xmpp.text("key")
+        context.load_cert_chain(str(certificate), str(key))
+    return context
+
+
+def read_endpoint_context(endpoint: ConfigSection, folder: Path) -> ssl.SSLContext | None:
+    """For connections to endpoints; None where they are configured to go without TLS."""
+    if not endpoint.flag("tls", True):
+        return None
+    context = _new_context(endpoint, "ca_file", ssl.PROTOCOL_TLS_CLIENT)
+    with file_errors_named(endpoint, "ca_file"):
+        if endpoint.contains("ca_file"):
+            context.load_verify_locations(str(folder / endpoint.text("ca_file")))
+        else:
+            context.load_default_certs()
+    return context
+
+
+def _new_context(section: ConfigSection, key: str, protocol: int) -> ssl.SSLContext:
+    with file_errors_named(section, key):
+        context = ssl.SSLContext(protocol)
+        context.minimum_version = ssl.TLSVersion.TLSv1_2
+        return context
--- a/sageturn/lab/relay.py
+++ b/sageturn/lab/relay.py
@@ -9,7 +9,7 @@
 
 import uvloop
 
-from sageturn.config import loader
+from sageturn.config.loader import load
 from sageturn.lab.naive import NaiveRebalancer
 from sageturn.relay import Relay
 
@@ -33,7 +33,7 @@
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
     parser = argparse.ArgumentParser(prog="sageturn.lab.relay", description=__doc__)
     parser.add_argument("--operator", metavar="FILE", required=True)
-    settled = loader.load(operator_file=parser.parse_args().operator)
+    settled = load(operator_file=parser.parse_args().operator)
     logging.basicConfig(level=settled.log_level, format="%(asctime)s %(levelname)s %(name)s: %(message)s")
     uvloop.run(NaiveRelay(settled).run())
     return 0
--- a/sageturn/lab/scale/process.py
+++ b/sageturn/lab/scale/process.py
@@ -111,12 +111,12 @@
 
 
 async def real(job: Job) -> None:
-    from sageturn.config import loader
+    from sageturn.config.loader import load
     from sageturn.relay import Relay
 
     bare = _memory(job)
     member = job["members"][0]
-    settled = loader.load({"GW_CONFIG": job["config"]}, job["operator"])
+    settled = load({"GW_CONFIG": job["config"]}, job["operator"])
     relay = Relay(settled)
     fill(relay.store, preload(job["whole"]["keys"]))
     seat = RealMember(relay, member, job["whole"])
--- a/sageturn/relay.py
+++ b/sageturn/relay.py
@@ -11,7 +11,8 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from sageturn.config.loader import ConfigError, RelayConfig
+from sageturn.config.errors import ConfigError
+from sageturn.config.platform import RelayConfig
 from sageturn.core.balancer_actor import BalancerActor
 from sageturn.core.clock import Clock
 from sageturn.core.context import RelayContext
@@ -58,7 +59,7 @@
         self.store = Store(config.name, operator.store_path)
         self.overrides = self._make_overrides()
         self.endpoint_registry = EndpointRegistry(
-            config.known,
+            config.known_endpoints,
             self.overrides.tell if self.overrides else self.balancer_actor.post_event,
             config.settings.discovery == "push",
         )
@@ -244,7 +245,7 @@
         if new.discovery != old.discovery:
             self.discovery.set_address(new.discovery)
             await self.endpoint_registry.post_message(DiscoveryAddressChanged())
-        kept = old.needs_restart(new)
+        kept = old.keys_needing_restart(new)
         log.info("configuration taken%s", f"; kept until a restart: {', '.join(kept)}" if kept else "")
 
     def _own(self, running: Coroutine[None, None, None]) -> None:
--- a/sageturn/simhost.py
+++ b/sageturn/simhost.py
@@ -9,7 +9,7 @@
 import orjson
 
 from sageturn import decision
-from sageturn.config.settings import read_settings, text
+from sageturn.config.settings import read_settings, text_or_empty
 from sageturn.decision.balancer import Balancer
 from sageturn.decision.discovery_backoff import classify_rejection
 from sageturn.decision.load_reports import checked
@@ -42,11 +42,11 @@
             decision.Endpoint(
                 name=line["backend"],
                 state=STATES[line["condition"]],
-                zone=text(line.get("dc")),
+                zone=text_or_empty(line.get("dc")),
                 cell=line.get("cohort") or 0,
                 started_at_ms=line.get("readyAtMs") or 0.0,
                 share=line.get("share") or 1.0,
-                kind=text(line.get("kind")),
+                kind=text_or_empty(line.get("kind")),
             )
             for line in e["nodesList"] or ()
         ],
@@ -57,9 +57,9 @@
     return decision.RequestArrived(
         e["opId"],
         e["cls"],
-        text(e.get("party")),
+        text_or_empty(e.get("party")),
         e["giveUpAtMs"],
-        text(e.get("room")),
+        text_or_empty(e.get("room")),
         e.get("costMs") or 0.0,
         bool(e.get("midflow")),
         retried=bool(e.get("isRetry")),
@@ -68,7 +68,12 @@
 
 def read_inherited(e: dict[str, Any]) -> decision.ConnectionAdopted:
     return decision.ConnectionAdopted(
-        e["opId"], e["cls"], text(e.get("party")), e["backend"], text(e.get("room")), e.get("costMs") or 0.0
+        e["opId"],
+        e["cls"],
+        text_or_empty(e.get("party")),
+        e["backend"],
+        text_or_empty(e.get("room")),
+        e.get("costMs") or 0.0,
     )
 
 
--- a/tests/config/test_compatibility_operators.py
+++ b/tests/config/test_compatibility_operators.py
@@ -17,7 +17,10 @@
 import trustme
 from support.network_fakes import write_config
 
-from sageturn.config.loader import ConfigError, OperatorConfig, RelayConfig, load
+from sageturn.config.errors import ConfigError
+from sageturn.config.loader import load
+from sageturn.config.operator import OperatorConfig
+from sageturn.config.platform import RelayConfig
 
 FIXTURES = Path(__file__).parents[1] / "fixtures" / "operators"
 ROOT = Path(__file__).parents[2]
@@ -147,7 +150,7 @@
 
 def tell_config(config: RelayConfig) -> dict[str, Any]:
     """The relay's own configuration in plain JSON."""
-    settings, known = config.settings, config.known
+    settings, known = config.settings, config.known_endpoints
     parts = {
         "classes": [fields(request_class, CLASS) for request_class in settings.classes],
         "tenants": [fields(tenant, TENANT) for tenant in settings.tenants],
--- a/tests/config/test_deployments.py
+++ b/tests/config/test_deployments.py
@@ -38,7 +38,8 @@
     SetTimer,
     TimerFired,
 )
-from sageturn.config.loader import ConfigError, load
+from sageturn.config.errors import ConfigError
+from sageturn.config.loader import load
 from sageturn.config.settings import read_settings
 from sageturn.core.messages import EndpointListUpdate
 from sageturn.core.shutdown import EvenPacer, shutdown_schedule
@@ -256,9 +257,9 @@
     content = json.loads(file.read_text())
     file.write_text(json.dumps({**content, "settings": change(FERRIES, "prices.probe", "dear")}))
     with pytest.raises(ConfigError, match="settings.prices.probe"):
-        load(env, before=before)
+        load(env, previous=before)
     file.write_text(json.dumps({**content, "settings": change(FERRIES, "policyLimits.probes", False)}))
-    assert before.needs_restart(load(env, before=before)) == ["settings"]
+    assert before.keys_needing_restart(load(env, previous=before)) == ["settings"]
 
 
 # ---------------------------------------------------------------- drains
--- a/tests/decision/test_slow_start.py
+++ b/tests/decision/test_slow_start.py
@@ -23,7 +23,7 @@
     Settings,
     Tenant,
 )
-from sageturn.config.fields import ConfigError
+from sageturn.config.errors import ConfigError
 from sageturn.config.settings import read_settings
 from sageturn.decision.slow_start import SlowStartBudget
 from sageturn.lab.spec import Spec, relay_settings
--- a/tests/frontends/test_platform_frontend.py
+++ b/tests/frontends/test_platform_frontend.py
@@ -243,7 +243,8 @@
 
 
 def test_faulty_configuration_names_its_key(tmp_path: Path) -> None:
-    from sageturn.config.loader import ConfigError, load
+    from sageturn.config.errors import ConfigError
+    from sageturn.config.loader import load
 
     good = {"name": "n", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1", "settings": {}}
     faults = (({"listen": "x"}, "listen"), ({"seed": 5}, "seed"), ({}, "settings.classes: is missing"))
--- a/tests/frontends/test_xmpp_frontend.py
+++ b/tests/frontends/test_xmpp_frontend.py
@@ -304,7 +304,8 @@
 
 
 def test_a_faulty_operators_file_names_its_key(tmp_path: Path) -> None:
-    from sageturn.config.loader import ConfigError, read_operator
+    from sageturn.config.errors import ConfigError
+    from sageturn.config.operator import read_operator_file
 
     good = json.loads(write_operator(tmp_path, True).read_text())
     for change, key in (
@@ -315,12 +316,12 @@
     ):
         (tmp_path / "bad.json").write_text(json.dumps({"xmpp": {**good["xmpp"], **change}}))
         with pytest.raises(ConfigError, match=key):
-            read_operator(tmp_path / "bad.json", SETTINGS)
+            read_operator_file(tmp_path / "bad.json", SETTINGS)
 
 
 def test_the_operators_file_that_is_shipped_can_be_read(tmp_path: Path) -> None:
     # It is the only example an operator has: a key renamed in config.py must be renamed there too.
-    from sageturn.config.loader import read_operator
+    from sageturn.config.operator import read_operator_file
 
     shipped = Path(__file__).parents[2] / "deploy" / "xmpp.json"
     (tmp_path / "deploy").mkdir()
@@ -331,7 +332,7 @@
     CA.cert_pem.write_to_path(tmp_path / "var" / "endpoint-ca.pem")
     for name in ("replica.secret", "endpoint.password"):
         (tmp_path / "var" / name).write_text("word\n")
-    operator = read_operator(tmp_path / "deploy" / "xmpp.json", SETTINGS)
+    operator = read_operator_file(tmp_path / "deploy" / "xmpp.json", SETTINGS)
     assert operator.xmpp and operator.flows and operator.replication and operator.store_path
     assert operator.xmpp.tls is not None and operator.xmpp.endpoint.tls is not None
 
--- a/tests/overrides/test_overrides_relay.py
+++ b/tests/overrides/test_overrides_relay.py
@@ -27,7 +27,8 @@
 from test_overrides import KEYS, op, out, record
 
 from sageturn.cli.times import parse_until, span
-from sageturn.config.loader import ConfigError, load
+from sageturn.config.errors import ConfigError
+from sageturn.config.loader import load
 from sageturn.overrides.ops import OverrideOperation, OverridePayload, Selector
 from sageturn.rebalance.options import RebalanceOptions
 from sageturn.relay import Relay
--- a/tests/rebalance/test_rebalance_relay.py
+++ b/tests/rebalance/test_rebalance_relay.py
@@ -16,7 +16,9 @@
 from test_xmpp_frontend import client_tls, server_tls
 from test_xmpp_frontend import relaying as xmpp_relaying
 
-from sageturn.config.loader import ConfigError, load, read_operator
+from sageturn.config.errors import ConfigError
+from sageturn.config.loader import load
+from sageturn.config.operator import read_operator_file
 from sageturn.config.settings import read_settings
 from sageturn.rebalance.planner import Migration, MigrationPlan
 
@@ -176,6 +178,6 @@
 def test_the_shipped_file_can_be_read_and_is_dry() -> None:
     shipped = Path(__file__).parents[2] / "deploy" / "rebalance.json"
     settings = {**SETTINGS, "classes": [{**SETTINGS["classes"][0], "name": "guest-checkin"}]}
-    options = read_operator(shipped, read_settings(settings)).rebalance
+    options = read_operator_file(shipped, read_settings(settings)).rebalance
     assert options is not None and options.mode == "dry-run"
     assert options.quiet(23 * 60) and not options.quiet(12 * 60)
--- a/tests/store/test_replication_sockets.py
+++ b/tests/store/test_replication_sockets.py
@@ -16,7 +16,8 @@
 import pytest
 from support.replication_fleet import DialSeeds
 
-from sageturn.config.loader import ConfigError, read_operator
+from sageturn.config.errors import ConfigError
+from sageturn.config.operator import read_operator_file
 from sageturn.decision import RequestClass, Settings
 from sageturn.net.admission import AdmissionController, ProcessLimits
 from sageturn.net.sockets import Connect, connect
@@ -405,11 +406,11 @@
     file = tmp_path / "operator.json"
     file.write_text(json.dumps({"store": good}))
     settings = Settings(classes=(RequestClass("c", 500.0),))
-    replication = read_operator(file, settings).replication
+    replication = read_operator_file(file, settings).replication
     assert replication is not None and replication.zone == "hue" and replication.octets_per_s == 13_500.0
     file.write_text(json.dumps({"store": {**good, **change}}))
     with pytest.raises(ConfigError, match=f"operator.store.{key}"):
-        read_operator(file, settings)
+        read_operator_file(file, settings)
 
 
 def test_where_no_replicas_are_configured_nothing_of_it_is_read_in() -> None:
