--- a/tests/net/test_descriptor_exhaustion.py
+++ b/tests/net/test_descriptor_exhaustion.py
@@ -25,7 +25,7 @@
     up,
     write_config,
 )
-from test_program import Address, free_port
+from support.ports import Address, free_port
 
 DESCRIPTORS = 56
 SILENT = 60
--- a/tests/net/test_discovery_client.py
+++ b/tests/net/test_discovery_client.py
@@ -1,10 +1,11 @@
-"""Stories on discovery's wire: 503, resets, silence, half lines; a watch is asked for again each time."""
+"""The watch on discovery over loopback: 503, resets, silence, cut-off lists; each is restarted."""
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Iterator
 from contextlib import AsyncExitStack
+from itertools import pairwise
 from pathlib import Path
 from typing import Any
 
@@ -21,15 +22,17 @@
 from sageturn.net.sockets import Connect, bind
 from sageturn.relay import Relay
 
-HERE = ("127.0.0.1", 9)
-FULL = chunked(listed({"a": HERE}, 7))
-BUSY = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
-HALF = FULL[: len(FULL) // 2] + b"#"
-CLOSED = chunked(listed({"a": HERE}, 6)) + b"0\r\n\r\n#"
+ADDRESS = ("127.0.0.1", 9)
+FULL_LIST = chunked(listed({"a": ADDRESS}, 7))
+UNAVAILABLE = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
+HALF_LIST = FULL_LIST[: len(FULL_LIST) // 2] + b"#"
+COMPLETE_RESPONSE = chunked(listed({"a": ADDRESS}, 6)) + b"0\r\n\r\n#"
 
 
-def run(folder: Path, *answers: bytes, known: dict[str, Any] | None = None) -> tuple[Relay, Discovery]:
-    """Until version 7 has come, by whatever way."""
+def run_until_version_7(
+    folder: Path, *answers: bytes, known: dict[str, Any] | None = None
+) -> tuple[Relay, Discovery]:
+    """A relay that has received version 7 of the list, in whatever way, and its discovery."""
 
     async def go() -> tuple[Relay, Discovery]:
         async with AsyncExitStack() as stack:
@@ -46,50 +49,59 @@
     return asyncio.run(go())
 
 
-@pytest.mark.parametrize("trouble", [BUSY, b"", HALF, CLOSED, b"nonsense\r\n\r\n#", b"HTTP/1.1 200 OK\r\n#"])
-def test_a_watch_that_fails_is_asked_for_again_with_a_pause(tmp_path: Path, trouble: bytes) -> None:
-    # Each of these is normal there; none may end the relay, and a broken call must not be hammered.
-    relay, discovery = run(tmp_path, trouble, trouble, FULL)
+@pytest.mark.parametrize(
+    "failure", [UNAVAILABLE, b"", HALF_LIST, COMPLETE_RESPONSE, b"nonsense\r\n\r\n#", b"HTTP/1.1 200 OK\r\n#"]
+)
+def test_failed_watch_is_retried_after_a_delay(tmp_path: Path, failure: bytes) -> None:
+    # Each of these is normal on the platform: none may end the relay, and discovery must not be hammered.
+    relay, discovery = run_until_version_7(tmp_path, failure, failure, FULL_LIST)
     assert len(discovery.asked) == 3
-    gaps = [b[0] - a[0] for a, b in zip(discovery.asked, discovery.asked[1:], strict=False)]
-    assert all(gap > 0.3 for gap in gaps) and sum(gaps) < 6
+    called_at_s = [when for when, _ in discovery.asked]
+    gaps_s = [later - earlier for earlier, later in pairwise(called_at_s)]
+    assert all(gap_s > 0.3 for gap_s in gaps_s) and sum(gaps_s) < 6
     assert relay.endpoint_registry.has_ready_endpoint.is_set()
 
 
-def test_a_silent_watch_is_given_up(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    # A machine that vanished holds the connection open; what it has to tell counts as told after 6 s.
+def test_silent_watch_is_given_up(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    # Of a machine that vanished the connection stays open, and its changes count as known after 6 s.
     monkeypatch.setattr("sageturn.net.discovery_watch.IDLE_TIMEOUT_S", 0.2)
-    _, discovery = run(tmp_path, chunked(listed({"a": HERE}, 6)), FULL)
+    _, discovery = run_until_version_7(tmp_path, chunked(listed({"a": ADDRESS}, 6)), FULL_LIST)
     assert discovery.asked[1][1] == b"GET /v1/endpoints?stream=1&index=6 HTTP/1.1"
 
 
-def test_a_watch_starts_from_the_version_known(tmp_path: Path) -> None:
-    _, discovery = run(tmp_path, FULL, known=listed({"a": HERE}, 5))
+def test_watch_starts_after_the_known_version(tmp_path: Path) -> None:
+    _, discovery = run_until_version_7(tmp_path, FULL_LIST, known=listed({"a": ADDRESS}, 5))
     assert discovery.asked[0][1] == b"GET /v1/endpoints?stream=1&index=5 HTTP/1.1"
 
 
-def test_changes_are_merged_and_a_host_left_out_of_a_full_list_is_gone(tmp_path: Path) -> None:
-    change = {**listed({"b": HERE}, 6), "full": False}
-    relay, _ = run(tmp_path, chunked(change, listed({"c": HERE}, 7)), known=listed({"a": HERE}, 5))
-    assert set(relay.endpoint_registry.addresses) == {"a", "b", "c"}  # kept: a call may be on its way there
+def test_changes_are_merged_and_an_endpoint_missing_from_a_full_list_is_gone(tmp_path: Path) -> None:
+    change = {**listed({"b": ADDRESS}, 6), "full": False}
+    relay, _ = run_until_version_7(
+        tmp_path, chunked(change, listed({"c": ADDRESS}, 7)), known=listed({"a": ADDRESS}, 5)
+    )
+    assert set(relay.endpoint_registry.addresses) == {
+        "a",
+        "b",
+        "c",
+    }  # kept: an attempt may be on its way there
     assert relay.endpoint_registry.states == {"c": "ready"}
 
 
 @pytest.mark.parametrize(
     "bad", [{}, {"servers": [{}], "version": 1}, {"servers": [{"id": "a", "state": "odd"}], "version": 1}, []]
 )
-def test_half_a_list_is_not_believed(bad: Any) -> None:
+def test_invalid_list_is_refused(bad: Any) -> None:
     with pytest.raises(InvalidEndpointListError):
         parse_endpoint_list(bad)
 
 
-# ---------------------------------------------------------------- what a call that failed has cost discovery
+# ---------------------------------------------------------------- how a failed call is classified
 
-RESET = b""  # stands for no answer, and a reset
+RESET = b""  # no response, and a reset
 
 
-class Peer(Discovery):
-    """Answers one call; a reset, where it says nothing or what it says ends with "!"."""
+class OneCallDiscovery(Discovery):
+    """Answers one call: ``~`` at the end keeps the connection open, ``!`` or an empty answer resets it."""
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
@@ -99,13 +111,13 @@
         if answer.endswith(b"~"):
             await reader.read()
         elif answer == RESET or answer.endswith(b"!"):
-            await asyncio.sleep(0.05)  # so that what was said is read before the reset destroys it
+            await asyncio.sleep(0.05)  # so that the answer is read before the reset discards it
             writer.transport.abort()
         writer.close()
 
 
-def ends(monkeypatch: pytest.MonkeyPatch, answer: bytes, waited_s: float = 0.0) -> DiscoveryFailure:
-    """How a call ends that is so answered, when its clock says that it has waited so long."""
+def failure_of(monkeypatch: pytest.MonkeyPatch, answer: bytes, waited_s: float = 0.0) -> DiscoveryFailure:
+    """How a call with this answer fails, when its clock says that it has waited so long."""
     monkeypatch.setattr(discovery_watch, "RESPONSE_TIMEOUT_S", 0.3)
     monkeypatch.setattr(discovery_watch, "IDLE_TIMEOUT_S", 0.3)
 
@@ -117,13 +129,13 @@
     async def go() -> DiscoveryFailure:
         failed: asyncio.Queue[WatchFailed] = asyncio.Queue()
 
-        async def report(_: int, said: Any) -> None:
-            if isinstance(said, WatchFailed):
-                await failed.put(said)
+        async def on_event(_: int, event: Any) -> None:
+            if isinstance(event, WatchFailed):
+                await failed.put(event)
 
-        peer = Peer(answer)
-        async with served(peer):
-            client = DiscoveryClient(peer.address, report, readings().__next__)
+        discovery = OneCallDiscovery(answer)
+        async with served(discovery):
+            client = DiscoveryClient(discovery.address, on_event, readings().__next__)
             client.start(0)
             return (await asyncio.wait_for(failed.get(), 5)).failure
 
@@ -131,60 +143,64 @@
 
 
 @pytest.mark.parametrize(
-    "answer", [RESET, BUSY + b"#", BUSY + b"~", b"#"], ids=["reset", "503", "left open", "end"]
+    "answer", [RESET, UNAVAILABLE + b"#", UNAVAILABLE + b"~", b"#"], ids=["reset", "503", "left open", "end"]
 )
-def test_what_is_turned_away_at_once_cost_nothing_and_what_waited_did(
+def test_rejected_call_counts_as_overloaded_only_if_it_waited(
     answer: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # All failures were alike: after a minute of refusals 200 relays waited up to 150 s for their next call.
-    assert ends(monkeypatch, answer) is DiscoveryFailure.UNREACHED
-    assert ends(monkeypatch, answer, 0.9) is DiscoveryFailure.UNREACHED
-    assert ends(monkeypatch, answer, 1.1) is DiscoveryFailure.OVERLOADED
-    assert ends(monkeypatch, answer, 3.0) is DiscoveryFailure.OVERLOADED
+    # When all failures were alike, 200 relays waited up to 150 s for their next call after a minute down.
+    assert failure_of(monkeypatch, answer) is DiscoveryFailure.UNREACHED
+    assert failure_of(monkeypatch, answer, 0.9) is DiscoveryFailure.UNREACHED
+    assert failure_of(monkeypatch, answer, 1.1) is DiscoveryFailure.OVERLOADED
+    assert failure_of(monkeypatch, answer, 3.0) is DiscoveryFailure.OVERLOADED
 
 
-def test_one_that_is_answered_by_silence_is_told_from_one_that_waited_in_vain(
+def test_call_without_a_response_is_unanswered(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    for answer in (b"~", b"HTTP/1.1 200 OK\r\n~", HALF[:-1] + b"~"):
-        assert ends(monkeypatch, answer, 3.5) is DiscoveryFailure.UNANSWERED
+    for answer in (b"~", b"HTTP/1.1 200 OK\r\n~", HALF_LIST[:-1] + b"~"):
+        assert failure_of(monkeypatch, answer, 3.5) is DiscoveryFailure.UNANSWERED
 
 
 @pytest.mark.parametrize(
     "answer",
-    [HALF, HALF[:-1] + b"!", CLOSED, b"nonsense\r\n\r\n#", chunked({"version": 1, "servers": [{}]}) + b"~"],
+    [
+        HALF_LIST,
+        HALF_LIST[:-1] + b"!",
+        COMPLETE_RESPONSE,
+        b"nonsense\r\n\r\n#",
+        chunked({"version": 1, "servers": [{}]}) + b"~",
+    ],
     ids=["cut", "reset", "complete", "nonsense", "bad list"],
 )
-def test_an_answer_of_which_no_watch_came_is_no_sign_of_a_queue(
-    answer: bytes, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    assert ends(monkeypatch, answer, 3.0) is DiscoveryFailure.UNUSABLE
+def test_response_that_is_no_watch_is_unusable(answer: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
+    assert failure_of(monkeypatch, answer, 3.0) is DiscoveryFailure.UNUSABLE
 
 
-def test_a_watch_that_stood_is_lost_or_silent(monkeypatch: pytest.MonkeyPatch) -> None:
-    assert ends(monkeypatch, FULL + b"#", 9.0) is DiscoveryFailure.LOST
-    assert ends(monkeypatch, FULL + b"!", 9.0) is DiscoveryFailure.LOST
-    assert ends(monkeypatch, FULL + b"zz\r\n#", 9.0) is DiscoveryFailure.LOST
-    assert ends(monkeypatch, FULL + b"~", 9.0) is DiscoveryFailure.SILENT
+def test_established_watch_is_lost_or_silent(monkeypatch: pytest.MonkeyPatch) -> None:
+    assert failure_of(monkeypatch, FULL_LIST + b"#", 9.0) is DiscoveryFailure.LOST
+    assert failure_of(monkeypatch, FULL_LIST + b"!", 9.0) is DiscoveryFailure.LOST
+    assert failure_of(monkeypatch, FULL_LIST + b"zz\r\n#", 9.0) is DiscoveryFailure.LOST
+    assert failure_of(monkeypatch, FULL_LIST + b"~", 9.0) is DiscoveryFailure.SILENT
 
 
-@pytest.mark.parametrize("why", [None, *Connect])
-def test_a_call_that_never_connects_costs_discovery_nothing(
-    why: Connect | None, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("connect_failure", [None, *Connect])
+def test_call_that_cannot_connect_is_unreached(
+    connect_failure: Connect | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def never(address: tuple[str, int], timeout_s: float) -> Connect:
-        assert why is not None
-        return why
+    async def fail_to_connect(address: tuple[str, int], timeout_s: float) -> Connect:
+        assert connect_failure is not None
+        return connect_failure
 
     async def go() -> DiscoveryFailure:
         failed: asyncio.Queue[WatchFailed] = asyncio.Queue()
-        sock = bind(("127.0.0.1", 0))  # it refuses, as nobody listens
+        sock = bind(("127.0.0.1", 0))  # it refuses connections, as nobody listens
         try:
-            DiscoveryClient(sock.getsockname(), lambda _, said: failed.put(said)).start(0)  # type: ignore[arg-type]
+            DiscoveryClient(sock.getsockname(), lambda _, event: failed.put(event)).start(0)  # type: ignore[arg-type]
             return (await asyncio.wait_for(failed.get(), 5)).failure
         finally:
             sock.close()
 
-    if why is not None:
-        monkeypatch.setattr(discovery_watch, "connect", never)
+    if connect_failure is not None:
+        monkeypatch.setattr(discovery_watch, "connect", fail_to_connect)
     assert asyncio.run(go()) is DiscoveryFailure.UNREACHED
--- a/tests/net/test_endpoint_list.py
+++ b/tests/net/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""The list as it comes: in any pieces, indented, spoilt half way; and words of watches that were replaced."""
+"""The endpoint list as it arrives: in any pieces, indented, invalid half way; events of replaced watches."""
 
 from __future__ import annotations
 
@@ -26,10 +26,10 @@
 
 
 @given(st.lists(st.tuples(OBJECTS, st.sampled_from([None, 1, 4])), max_size=5), st.data())
-def test_objects_come_out_whole_however_they_are_cut_and_indented(
+def test_objects_are_split_however_the_stream_is_cut_and_indented(
     objects: list[Any], data: st.DataObject
 ) -> None:
-    # Each line was taken for a whole object: an indented list failed the watch, call after call.
+    # When each line was taken for an object, an indented list failed the watch, call after call.
     text = b"".join(b"\r\n" + json.dumps(o, indent=i, ensure_ascii=False).encode() for o, i in objects)
     cuts = sorted(data.draw(st.lists(st.integers(0, len(text)), max_size=12)))
     splitter, found = JsonObjectSplitter(1 << 20), []
@@ -39,7 +39,7 @@
 
 
 @pytest.mark.parametrize("text", [b"[", b"null", b"}", b'{"a":1},', b'"{}"', b"{" + b" " * 200])
-def test_what_can_be_no_object_is_refused_at_once(text: bytes) -> None:
+def test_stream_of_anything_but_objects_is_refused(text: bytes) -> None:
     with pytest.raises(InvalidJsonStreamError):
         list(JsonObjectSplitter(100).feed(text))
 
@@ -67,15 +67,15 @@
         ("state", None),
     ],
 )
-def test_an_entry_in_error_is_refused_by_its_key_and_takes_no_half_effect(key: str, bad: Any) -> None:
-    # A start told as text was believed, and failed the module half way through the list.
+def test_invalid_entry_is_refused_by_its_key_and_with_it_the_list(key: str, bad: Any) -> None:
+    # A start time that was a text was once taken over, and failed the balancer half way through the list.
     with pytest.raises((InvalidEndpointListError, ValueError)) as found:
         parse_endpoint_list({"version": 3, "full": True, "servers": [entry(id="b"), entry(**{key: bad})]})
     assert key in str(found.value) or str(bad) in str(found.value)
 
 
 @pytest.mark.parametrize("top", [{"version": "3"}, {"version": True}, {"full": "no"}, {"servers": None}])
-def test_a_list_in_error_is_refused(top: dict[str, Any]) -> None:
+def test_invalid_list_is_refused(top: dict[str, Any]) -> None:
     with pytest.raises(InvalidEndpointListError):
         parse_endpoint_list({"version": 3, "full": True, "servers": [entry()], **top})
 
@@ -83,118 +83,122 @@
 # ---------------------------------------------------------------- on the wire
 
 
-def answer(*pieces: bytes) -> bytes:
+def chunked_response(*pieces: bytes) -> bytes:
     head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
     return head + b"".join(b"%x\r\n%s\r\n" % (len(p), p) for p in pieces)
 
 
-def said(*answers: bytes, count: int, monkeypatch: pytest.MonkeyPatch, silence_s: float = 9.0) -> list[Any]:
-    """The first words of a watch, one call only."""
-    monkeypatch.setattr(discovery_watch, "RESPONSE_TIMEOUT_S", silence_s)
-    monkeypatch.setattr(discovery_watch, "IDLE_TIMEOUT_S", silence_s)
+def watch_events(
+    *answers: bytes, count: int, monkeypatch: pytest.MonkeyPatch, timeout_s: float = 9.0
+) -> list[Any]:
+    """The first ``count`` events of one watch."""
+    monkeypatch.setattr(discovery_watch, "RESPONSE_TIMEOUT_S", timeout_s)
+    monkeypatch.setattr(discovery_watch, "IDLE_TIMEOUT_S", timeout_s)
 
     async def go() -> list[Any]:
-        words: asyncio.Queue[Any] = asyncio.Queue()
-        peer = Discovery(*answers)
-        async with served(peer):
-            client = DiscoveryClient(peer.address, lambda _, word: words.put(word))
+        events: asyncio.Queue[Any] = asyncio.Queue()
+        discovery = Discovery(*answers)
+        async with served(discovery):
+            client = DiscoveryClient(discovery.address, lambda _, event: events.put(event))
             client.start(0)
             try:
-                return [await asyncio.wait_for(words.get(), 5) for _ in range(count)]
+                return [await asyncio.wait_for(events.get(), 5) for _ in range(count)]
             finally:
                 await client.stop()
 
     return asyncio.run(go())
 
 
-def test_an_indented_list_is_read_in_whatever_chunks_it_comes(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_indented_list_is_read_in_whatever_chunks_it_comes(monkeypatch: pytest.MonkeyPatch) -> None:
     text = json.dumps({"version": 7, "full": True, "servers": [entry(), entry(id="b")]}, indent=2).encode()
     pieces = [text[k : k + 7] for k in range(0, len(text), 7)]
-    (news,) = said(answer(*pieces), count=1, monkeypatch=monkeypatch)
-    assert news.version == 7 and [s.name for s in news.endpoints] == ["a", "b"]
+    (update,) = watch_events(chunked_response(*pieces), count=1, monkeypatch=monkeypatch)
+    assert update.version == 7 and [s.name for s in update.endpoints] == ["a", "b"]
 
 
-def test_what_came_whole_before_a_fault_is_told(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Discovery has written it, so it counts as told, whatever follows in the same read.
+def test_objects_complete_before_an_error_are_reported(monkeypatch: pytest.MonkeyPatch) -> None:
+    # Discovery has sent them, so they count as known, whatever follows in the same read.
     good = json.dumps({"version": 7, "servers": [entry(state="draining")]}).encode()
-    for fault in (answer(good + b"\n]") + b"#", answer(good) + b"zz\r\n#"):
-        news, failed = said(fault, count=2, monkeypatch=monkeypatch)
-        assert news.endpoints[0].state == "draining" and isinstance(failed, WatchFailed)
+    for response in (chunked_response(good + b"\n]") + b"#", chunked_response(good) + b"zz\r\n#"):
+        update, failed = watch_events(response, count=2, monkeypatch=monkeypatch)
+        assert update.endpoints[0].state == "draining" and isinstance(failed, WatchFailed)
 
 
 @pytest.mark.parametrize("half", [b'{"version":7,\n', b'{"version":7,"servers":[{"id":"a{'])
-def test_half_an_object_is_no_sign_of_life(half: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
-    async def dribbles(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+def test_incomplete_object_is_no_sign_of_life(half: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
+    async def serve_slowly(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
-        writer.write(answer(b'{"version":6,"servers":[]}\n', half))
+        writer.write(chunked_response(b'{"version":6,"servers":[]}\n', half))
         while not reader.at_eof():
             writer.write(b"1\r\n\n\r\n")
             await asyncio.sleep(0.02)
         writer.close()
 
-    monkeypatch.setattr(Discovery, "serve", lambda self, r, w: dribbles(r, w))
-    news, failed = said(b"", count=2, monkeypatch=monkeypatch, silence_s=0.3)
-    assert news.version == 6 and failed == WatchFailed("silent", DiscoveryFailure.SILENT)
+    monkeypatch.setattr(Discovery, "serve", lambda self, reader, writer: serve_slowly(reader, writer))
+    update, failed = watch_events(b"", count=2, monkeypatch=monkeypatch, timeout_s=0.3)
+    assert update.version == 6 and failed == WatchFailed("silent", DiscoveryFailure.SILENT)
 
 
-def test_a_watch_that_ends_by_a_fault_of_the_program_is_told(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Such a watch ended unseen, and the relay went by its old list for good.
+def test_watch_that_crashes_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
+    # Such a watch once ended unseen, and the relay kept its old list for good.
     monkeypatch.setattr(discovery_watch, "parse_endpoint_list", lambda obj: 1 / 0)
-    (failed,) = said(answer(b"{}"), count=1, monkeypatch=monkeypatch)
+    (failed,) = watch_events(chunked_response(b"{}"), count=1, monkeypatch=monkeypatch)
     assert "ZeroDivisionError" in failed.reason and failed.failure is DiscoveryFailure.UNUSABLE
 
 
-# ---------------------------------------------------------------- words of a watch that was replaced
+# ---------------------------------------------------------------- the registry and replaced watches
 
 
-class Watches:
+class RecordingWatcher:
+    """Keeps the versions after which watches were started."""
+
     def __init__(self) -> None:
-        self.begun: list[int] = []
+        self.started_after: list[int] = []
 
     def start(self, after_version: int) -> int:
-        self.begun.append(after_version)
-        return len(self.begun)
+        self.started_after.append(after_version)
+        return len(self.started_after)
 
 
-def test_words_of_a_replaced_watch_neither_end_the_new_one_nor_set_its_version() -> None:
+def test_events_of_a_replaced_watch_neither_end_the_new_one_nor_set_its_version() -> None:
     async def go() -> None:
-        told: asyncio.Queue[EndpointListEvent] = asyncio.Queue()
-        here = ("127.0.0.1", 9)
+        events: asyncio.Queue[EndpointListEvent] = asyncio.Queue()
+        address = ("127.0.0.1", 9)
         known = parse_endpoint_list({"version": 5, "full": True, "servers": [entry()]})
-        endpoint_registry = EndpointRegistry(known, told.put)  # type: ignore[arg-type]
-        endpoint_registry.watcher = watches = Watches()
+        endpoint_registry = EndpointRegistry(known, events.put)  # type: ignore[arg-type]
+        endpoint_registry.watcher = watcher = RecordingWatcher()
         actor = asyncio.ensure_future(endpoint_registry.run())
         await endpoint_registry.post_message(WatchRequested())
         await endpoint_registry.post_message(DiscoveryAddressChanged())
-        drains = parse_endpoint_list({"version": 900, "servers": [entry(state="draining")]})
-        await endpoint_registry.on_watch_event(1, drains)
+        draining = parse_endpoint_list({"version": 900, "servers": [entry(state="draining")]})
+        await endpoint_registry.on_watch_event(1, draining)
         await endpoint_registry.on_watch_event(1, WatchFailed("ended", DiscoveryFailure.LOST))
         await endpoint_registry.post_message(WatchRequested())
         await endpoint_registry.on_watch_event(3, EndpointListUpdate(8, True, [], {}))
-        kinds = [(await told.get()).kind for _ in range(3)]
-        assert kinds == ["stale", "changes", "full"] and watches.begun == [5, 0, 0]
-        assert not endpoint_registry.is_ready_at("a", here) and endpoint_registry.version == 8
+        kinds = [(await events.get()).kind for _ in range(3)]
+        assert kinds == ["stale", "changes", "full"] and watcher.started_after == [5, 0, 0]
+        assert not endpoint_registry.is_ready_at("a", address) and endpoint_registry.version == 8
         actor.cancel()
 
     asyncio.run(asyncio.wait_for(go(), 5))
 
 
 @pytest.mark.parametrize("pushed", [True, False])
-def test_where_lists_are_pushed_a_watch_is_open_from_the_first_turn(pushed: bool) -> None:
-    # Nobody asked for one there, so on sockets the relay lived on the list of its start: drains were missed.
+def test_watch_is_started_at_once_where_lists_are_pushed(pushed: bool) -> None:
+    # The balancer requests none there, so on sockets a relay kept the list of its start and missed drains.
     async def go() -> None:
-        told: asyncio.Queue[EndpointListEvent] = asyncio.Queue()
+        events: asyncio.Queue[EndpointListEvent] = asyncio.Queue()
         known = parse_endpoint_list({"version": 5, "full": True, "servers": [entry()]})
-        endpoint_registry = EndpointRegistry(known, told.put, pushed)  # type: ignore[arg-type]
-        endpoint_registry.watcher = watches = Watches()
+        endpoint_registry = EndpointRegistry(known, events.put, pushed)  # type: ignore[arg-type]
+        endpoint_registry.watcher = watcher = RecordingWatcher()
         actor = asyncio.ensure_future(endpoint_registry.run())
-        await told.get()
+        await events.get()
         await asyncio.sleep(0)
-        assert watches.begun == ([5] if pushed else [])
+        assert watcher.started_after == ([5] if pushed else [])
         await endpoint_registry.on_watch_event(
-            len(watches.begun), WatchFailed("silent", DiscoveryFailure.SILENT)
+            len(watcher.started_after), WatchFailed("silent", DiscoveryFailure.SILENT)
         )
-        assert await told.get() == EndpointListEvent("failed", [], DiscoveryFailure.SILENT)
+        assert await events.get() == EndpointListEvent("failed", [], DiscoveryFailure.SILENT)
         actor.cancel()
 
     asyncio.run(asyncio.wait_for(go(), 5))
--- a/tests/relay/test_program.py
+++ b/tests/relay/test_program.py
@@ -6,7 +6,6 @@
 import json
 import os
 import signal
-import socket
 import sys
 from collections.abc import AsyncIterator
 from contextlib import AsyncExitStack, asynccontextmanager
@@ -25,14 +24,7 @@
     up,
     write_config,
 )
-
-Address = tuple[str, int]
-
-
-def free_port() -> int:
-    with socket.socket() as probe:
-        probe.bind(("127.0.0.1", 0))
-        return int(probe.getsockname()[1])
+from support.ports import Address, free_port
 
 
 @asynccontextmanager
