--- a/tests/relay/test_program.py
+++ b/tests/relay/test_program.py
@@ -1,4 +1,4 @@
-"""The real program, started as the platform starts it, and spoken to over sockets."""
+"""The program in a process of its own, started as the platform starts it, and used over sockets."""
 
 from __future__ import annotations
 
@@ -28,8 +28,11 @@
 
 
 @asynccontextmanager
-async def program(
-    folder: Path, environ: tuple[str, str] | None = None, log: Any = asyncio.subprocess.DEVNULL, **more: Any
+async def running_program(
+    folder: Path,
+    variable_and_key: tuple[str, str] | None = None,
+    log: Any = asyncio.subprocess.DEVNULL,
+    **more: Any,
 ) -> AsyncIterator[tuple[asyncio.subprocess.Process, Address]]:
     async with AsyncExitStack() as stack:
         endpoint = FakeEndpoint(up)
@@ -39,9 +42,12 @@
         address = ("127.0.0.1", free_port())
         known = listed({"a": endpoint.address})
         file = write_config(folder, discovery.address, known, listen=f"{address[0]}:{address[1]}", **more)
-        also = {environ[0]: json.loads(file.read_text())[environ[1]]} if environ else {}
+        environ = {**os.environ, "GW_CONFIG": str(file)}
+        if variable_and_key is not None:
+            variable, key = variable_and_key
+            environ[variable] = json.loads(file.read_text())[key]
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "sageturn", env={**os.environ, "GW_CONFIG": str(file), **also}, stderr=log
+            sys.executable, "-m", "sageturn", env=environ, stderr=log
         )
         try:
             async with asyncio.timeout(10):
@@ -58,14 +64,14 @@
             await process.wait()
 
 
-def test_sigterm_answers_all_moves_all_and_ends_well(tmp_path: Path) -> None:
-    # What is still held when SIGKILL comes, 3.7 s after SIGTERM at the earliest, is lost.
+def test_sigterm_answers_and_migrates_all_clients_and_exits_with_0(tmp_path: Path) -> None:
+    # Connections that remain when SIGKILL comes, 3.7 s after SIGTERM at the earliest, are lost.
     async def go() -> None:
-        async with program(tmp_path) as (process, address):
+        async with running_program(tmp_path) as (process, address):
             clients = [await ask(address, first_line()) for _ in range(10)]
             for reader, _ in clients:
                 assert await reader.readline() == b"UP r1\r\n"
-            began = asyncio.get_running_loop().time()
+            began_s = asyncio.get_running_loop().time()
             process.send_signal(signal.SIGTERM)
             await asyncio.sleep(0.2)
             assert await reply(address, first_line()) == b"UP r1\r\n"  # new ones keep coming for a while
@@ -73,18 +79,18 @@
                 assert await asyncio.wait_for(reader.read(), 4) == b"MOVE\r\n"
                 writer.close()
             assert await process.wait() == 0
-            assert asyncio.get_running_loop().time() - began < 3.6
+            assert asyncio.get_running_loop().time() - began_s < 3.6
 
     asyncio.run(asyncio.wait_for(go(), 30))
 
 
-def test_out_of_descriptors_everyone_is_still_answered(tmp_path: Path) -> None:
-    # A client left in the backlog has been taken by the machine, and would be lost.
+def test_every_client_is_answered_when_descriptors_run_out(tmp_path: Path) -> None:
+    # A client left in the backlog has been accepted by the system, and would be lost.
     async def go() -> None:
-        async with program(tmp_path, limits={"sockets": 40}) as (process, address):
+        async with running_program(tmp_path, limits={"sockets": 40}) as (process, address):
             clients = [await ask(address, first_line(3000)) for _ in range(60)]
-            words = [(await asyncio.wait_for(r.readline(), 5))[:4] for r, _ in clients]
-            assert set(words) == {b"UP r", b"BUSY"} and process.returncode is None
+            answers = [(await asyncio.wait_for(reader.readline(), 5))[:4] for reader, _ in clients]
+            assert set(answers) == {b"UP r", b"BUSY"} and process.returncode is None
             for _, writer in clients:
                 writer.close()
             async with asyncio.timeout(5):
@@ -94,7 +100,9 @@
     asyncio.run(asyncio.wait_for(go(), 30))
 
 
-def start(folder: Path, change: dict[str, Any]) -> tuple[int, str]:
+def run_to_its_end(folder: Path, change: dict[str, Any]) -> tuple[int, str]:
+    """The exit code and what was written to stderr, with these keys of the configuration changed."""
+
     async def go() -> tuple[int, str]:
         file = write_config(folder, ("127.0.0.1", 1), **change)
         process = await asyncio.create_subprocess_exec(
@@ -104,31 +112,32 @@
             env={**os.environ, "GW_CONFIG": str(file)},
             stderr=asyncio.subprocess.PIPE,
         )
-        _, said = await asyncio.wait_for(process.communicate(), 10)
-        return process.returncode or 0, said.decode()
+        _, errors = await asyncio.wait_for(process.communicate(), 10)
+        return process.returncode or 0, errors.decode()
 
     return asyncio.run(go())
 
 
-def test_a_faulty_configuration_ends_the_program_and_names_its_key(tmp_path: Path) -> None:
+def test_invalid_configuration_ends_the_program_and_names_its_key(tmp_path: Path) -> None:
     known = {"version": 1, "servers": [{"id": "a"}]}
     faults = (({"listen": "nowhere"}, "listen"), ({"known": known}, "known"), ({"seed": 1}, "seed"))
     for change, key in faults:
-        code, said = start(tmp_path, change)
-        assert code == 2 and said.startswith(f"sageturn: {key}") and said.count("\n") == 1
+        code, errors = run_to_its_end(tmp_path, change)
+        assert code == 2
+        assert errors.startswith(f"sageturn: {key}") and errors.count("\n") == 1
     assert json.loads((tmp_path / "config.json").read_text())["seed"] == 1
 
 
-def test_sighup_moves_the_watch_and_a_faulty_file_changes_nothing(tmp_path: Path) -> None:
+def test_sighup_moves_the_watch_and_an_invalid_file_changes_nothing(tmp_path: Path) -> None:
     # SIGHUP used to end the program (exit 129) and every connection with it. The environment names the old
-    # discovery, as the platform's does: it must not hide what the file says since.
+    # discovery, as the platform's does: it must not hide the file's new one.
     async def go() -> None:
         async with AsyncExitStack() as stack:
             moved = Discovery(chunked(listed({"a": ("127.0.0.1", 9)}, 3)))
             await stack.enter_async_context(served(moved))
             log = stack.enter_context((tmp_path / "log").open("w+"))
             process, address = await stack.enter_async_context(
-                program(tmp_path, environ=("GW_DISCOVERY", "discovery"), log=log)
+                running_program(tmp_path, variable_and_key=("GW_DISCOVERY", "discovery"), log=log)
             )
             file = tmp_path / "config.json"
             good = json.loads(file.read_text())
@@ -140,7 +149,7 @@
             process.send_signal(signal.SIGHUP)
             while "limits.sockets" not in (tmp_path / "log").read_text():
                 await asyncio.sleep(0.01)
-            assert moved.asked == []  # checked whole before anything is switched
+            assert moved.asked == []  # all of it is checked before anything is applied
 
             file.write_text(json.dumps(new))
             for _ in range(5):
@@ -153,14 +162,14 @@
             process.send_signal(signal.SIGHUP)
             assert await reader.read() == b"MOVE\r\n" and await process.wait() == 0
             writer.close()
-            said = (tmp_path / "log").read_text()
-            assert said.count(" ERROR ") == 1 and said.count("limits.sockets") == 1
+            log_text = (tmp_path / "log").read_text()
+            assert log_text.count(" ERROR ") == 1 and log_text.count("limits.sockets") == 1
 
     asyncio.run(asyncio.wait_for(go(), 30))
 
 
-def test_a_relay_told_to_go_before_it_listens_ends_well_and_takes_nobody(tmp_path: Path) -> None:
-    # The signal ended it as a fault does. It is pending here before the program has begun.
+def test_sigterm_before_the_relay_listens_exits_with_0(tmp_path: Path) -> None:
+    # The signal once ended it with an error. It is pending here before the program has begun.
     async def go() -> None:
         file = write_config(tmp_path, ("127.0.0.1", 1), listed({}))
         code = (
--- a/tests/relay/test_readiness.py
+++ b/tests/relay/test_readiness.py
@@ -13,16 +13,18 @@
 
 
 @pytest.mark.parametrize("state", STATES)
-@pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGKILL], ids=lambda number: number.name)
-def test_a_restarted_relay_that_has_a_list_is_ready_in_time_whatever_discovery_does(
-    state: str, number: signal.Signals
+@pytest.mark.parametrize(
+    "end_signal", [signal.SIGTERM, signal.SIGKILL], ids=lambda end_signal: end_signal.name
+)
+def test_restarted_relay_with_a_known_list_is_ready_in_time_in_any_state_of_discovery(
+    state: str, end_signal: signal.Signals
 ) -> None:
-    took = asyncio.run(asyncio.wait_for(measure(Case(state, number, "ask", True), STARTS), 60))
-    assert len(took) == STARTS and max(took) < BOUND_S
+    took_s = asyncio.run(asyncio.wait_for(measure(Case(state, end_signal, "ask", True), STARTS), 60))
+    assert len(took_s) == STARTS and max(took_s) < BOUND_S
 
 
-def test_a_relay_that_is_not_ready_counts_as_late() -> None:
-    # Nobody has a list to give it: the measurement has to show that, and not pass it over.
+def test_relay_that_is_not_ready_counts_as_late() -> None:
+    # Nobody has a list to give it: the measurement has to show that, and not leave it out.
     async def go() -> list[float]:
         waiting = asyncio.ensure_future(first_pong(("127.0.0.1", 9)))
         await asyncio.sleep(0.05)
