--- a/sageturn/relay.py
+++ b/sageturn/relay.py
@@ -11,7 +11,8 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from sageturn.config.loader import ConfigError, RelayConfig
+from sageturn.config.errors import ConfigError
+from sageturn.config.platform import RelayConfig
 from sageturn.core.balancer_actor import BalancerActor
 from sageturn.core.clock import Clock
 from sageturn.core.context import RelayContext
@@ -58,12 +59,12 @@
         self.store = Store(config.name, operator.store_path)
         self.overrides = self._make_overrides()
         self.endpoint_registry = EndpointRegistry(
-            config.known,
+            config.known_endpoints,
             self.overrides.tell if self.overrides else self.balancer_actor.post_event,
             config.settings.discovery == "push",
         )
         if self.overrides is not None:
-            self.endpoint_registry.out = self.overrides.out
+            self.endpoint_registry.is_out_of_service = self.overrides.out
         self.discovery = DiscoveryClient(config.discovery, self.endpoint_registry.on_watch_event)
         self.endpoint_registry.watcher = self.discovery
         self.request_registry = RequestRegistry(shutdown_schedule(config.settings.classes))
@@ -91,7 +92,7 @@
         self._set_log_level()
 
     def _want_watch(self) -> None:
-        self.endpoint_registry.want_watch()
+        self.endpoint_registry.request_watch()
 
     def _changed(self, records: list[StoreRecord]) -> None:
         if any(record.key == LOG_LEVEL for record in records):
@@ -242,9 +243,9 @@
         if self.overrides is not None and new.operator.overrides is not None:
             self.overrides.set_options(new.operator.overrides, self.store)
         if new.discovery != old.discovery:
-            self.discovery.move(new.discovery)
-            await self.endpoint_registry.put(DiscoveryAddressChanged())
-        kept = old.needs_restart(new)
+            self.discovery.set_address(new.discovery)
+            await self.endpoint_registry.post_message(DiscoveryAddressChanged())
+        kept = old.keys_needing_restart(new)
         log.info("configuration taken%s", f"; kept until a restart: {', '.join(kept)}" if kept else "")
 
     def _own(self, running: Coroutine[None, None, None]) -> None:
