--- a/tests/overrides/test_overrides_relay.py
+++ b/tests/overrides/test_overrides_relay.py
@@ -72,7 +72,7 @@
         for number in range(relays):
             place = folder / f"r{number}"
             place.mkdir(exist_ok=True)
-            peers = ["{}:{}".format(*made[0].replica.address)] if made else []
+            peers = ["{}:{}".format(*made[0].replication.address)] if made else []
             store = {"path": "store", "listen": "127.0.0.1:0", "peers": peers, "secret_file": "../secret"}
             file = place / "operator.json"
             file.write_text(json.dumps({"store": store, "overrides": section(**more)}))
@@ -202,14 +202,14 @@
             file = tmp_path / "r0" / "operator.json"
             good = json.loads(file.read_text())
             file.write_text(json.dumps({**good, "overrides": {"operators": {"lan": "short"}}}))
-            relay._reload.set()
-            await until(lambda: not relay._reload.is_set())
+            relay.reload_requested.set()
+            await until(lambda: not relay.reload_requested.is_set())
             assert relay.endpoint_registry.is_out_of_service("a")
             file.write_text(json.dumps({**good, "overrides": section(operators={"mai": public("mai")})}))
-            relay._reload.set()
+            relay.reload_requested.set()
             await until(lambda: not relay.endpoint_registry.is_out_of_service("a"))
             file.write_text(json.dumps(good))
-            relay._reload.set()
+            relay.reload_requested.set()
             await until(lambda: relay.endpoint_registry.is_out_of_service("a"))
 
     story(go())
@@ -219,7 +219,7 @@
     async def go() -> None:
         async with overriding(tmp_path, up, up, up, relays=2, floor_all=0.5) as (relays, _):
             common = {
-                "SAGETURN_CONNECT": "{}:{}".format(*relays[0].replica.address),
+                "SAGETURN_CONNECT": "{}:{}".format(*relays[0].replication.address),
                 "SAGETURN_OPERATOR": "lan",
                 "SAGETURN_SECRET_FILE": str(tmp_path / "secret"),
                 "SAGETURN_KEY_FILE": str(tmp_path / "key.pem"),
@@ -251,9 +251,9 @@
                 content = json.loads(file.read_text())
                 content["overrides"]["operators"]["lan"] = public_key
                 file.write_text(json.dumps(content))
-                relay._reload.set()
-            await until(lambda: all("lan" in r._config.operator.overrides.operators for r in relays))
-            await until(lambda: all(not r._reload.is_set() for r in relays))
+                relay.reload_requested.set()
+            await until(lambda: all("lan" in r.config.operator.overrides.operators for r in relays))
+            await until(lambda: all(not r.reload_requested.is_set() for r in relays))
             set_ = ("set", "out", "--host", "a", "--for", "2h30m", "--why", "disk is failing", "--json")
             made = json.loads(await command(*set_))
             assert made["relays"] == {"n0": "in force", "n1": "in force"}
