--- a/sageturn/frontends/platform.py
+++ b/sageturn/frontends/platform.py
@@ -15,7 +15,7 @@
 from sageturn.core.messages import FinalResponse
 from sageturn.core.request_lifecycle import RequestLifecycle
 from sageturn.core.tasks import cancel_and_wait, sleep_until_elapsed
-from sageturn.decision.load_reports import TEXT_MOST, read_report
+from sageturn.decision.load_reports import MAX_REPORT_BYTES, read_report
 from sageturn.frontends.firstline import LINE_MOST, FirstLine, Malformed, parse_first_line
 from sageturn.frontends.ids import RequestIds
 from sageturn.frontends.pump import Broken, LinePump
@@ -44,7 +44,7 @@
 BACK_WITHIN_S = 7.0
 MOVE_EARLY_S = 0.6  # MOVE has to be put in and to travel, on a core that others may hold for a while
 MUTE_S = BACK_WITHIN_S - LINE_EVERY_S - MOVE_EARLY_S  # how long a line may be left unanswered
-LAST_LINE_MOST = TEXT_MOST + 16  # a word and a load report
+LAST_LINE_MOST = MAX_REPORT_BYTES + 16  # a word and a load report
 LAST_WORD_S = 0.5  # what an ended side may still have coming from the other
 MOVE_S = 0.4  # a stop leaves HURRY_S of core/drain.py for it, and a line may be held back for a second
 
--- a/sageturn/net/health_check_client.py
+++ b/sageturn/net/health_check_client.py
@@ -11,7 +11,7 @@
 
 from sageturn.core.tasks import cancel_and_wait
 from sageturn.decision import HealthCheckCompleted
-from sageturn.decision.load_reports import TEXT_MOST, read_report
+from sageturn.decision.load_reports import MAX_REPORT_BYTES, read_report
 from sageturn.net.sockets import Connect
 from sageturn.net.sockets import connect_unreserved as connect
 
@@ -19,7 +19,7 @@
 
 ASK = b"STATS\r\n"
 ANSWER_S = 1.0  # by then the endpoint is due to be asked anew
-LINE_MOST = TEXT_MOST + 64
+LINE_MOST = MAX_REPORT_BYTES + 64
 
 
 class HealthCheckClient:
