--- a/sageturn/core/endpoint_snapshot.py
+++ b/sageturn/core/endpoint_snapshot.py
@@ -41,12 +41,22 @@
     for s in known.values() if names is None else [known[n] for n in sorted(names) if n in known]:
         if s.state == "gone":
             continue
-        shut = s.closed or now_ms < s.spent_until_ms or not s.ready or s.beyond()
-        room = 0 if shut else max(0, s.limit - s.pending)
-        if s.cold and now_ms < s.started_ms + warm_ms:
-            room = min(room, balancer._cold_ok(now_ms, s))  # its budget is spent one by one
+        shut = s.closed or now_ms < s.saturated_until_ms or not s.ready or s.is_at_quota()
+        room = 0 if shut else max(0, s.concurrency_limit - s.in_flight)
+        if s.slow_start and now_ms < s.started_at_ms + warm_ms:
+            turn = balancer.fleet.has_slow_start_turn(now_ms, s)
+            room = min(room, turn)  # its budget is spent one by one
         out = s.state == "ready" and not s.ready
         views.append(
-            EndpointSnapshot(s.name, s.size, s.ready, room, s.zone, s.state == "draining", out, s.started_ms)
+            EndpointSnapshot(
+                s.name,
+                s.effective_weight,
+                s.ready,
+                room,
+                s.zone,
+                s.state == "draining",
+                out,
+                s.started_at_ms,
+            )
         )
     return views
--- /dev/null
+++ b/sageturn/decision/admission.py
@@ -0,0 +1,64 @@
+"""Admission: throttling of tenants by load, and how many set-ups this relay may start."""
+
+from __future__ import annotations
+
+from random import Random
+
+from sageturn.decision import quotas
+from sageturn.decision.fleet import SCARCE_DEPTH, Fleet
+from sageturn.decision.settings import Settings
+from sageturn.decision.token_bucket import TokenBucket
+
+CURVE_STEPS = 64  # cells of the throttling curve's table
+MAX_REFILL_SHARES = 4.0  # refill at depth 0 of the falling curve, in fair shares of the tenants' allowances
+BURST_S = 2.0  # a bucket holds what one fair share brings in this time,
+MIN_BURST_TOKENS = 2.0  # and always a pair, so that both tabs of a lone tenant open
+TENANT_QUOTA_RATIO = 1.2  # times its quota's part of one relay: what a tenant may hold before it is throttled
+QUOTA_RETRY_AFTER_MS = 1000.0  # where no endpoint has room by the quotas
+
+
+class AdmissionControl:
+    """A token bucket for each tenant, which refills the more slowly the deeper the fleet is loaded."""
+
+    def __init__(self, settings: Settings, rng: Random, fleet: Fleet) -> None:
+        self._fleet = fleet
+        self._max_retry_after_ms = settings.max_retry_after_ms
+        relay_count = settings.relay_count
+        tenants = settings.tenants
+        allowance_per_s = settings.total_allowance_per_s()
+        # One tenant's equal part of all allowances, at one relay.
+        fair_per_ms = allowance_per_s / max(1, len(tenants)) / relay_count / 1000.0
+        self._refill_per_ms = [float("inf")] * (CURVE_STEPS + 1)  # by depth
+        for step in range(CURVE_STEPS + 1):
+            depth = step / CURVE_STEPS
+            if depth >= SCARCE_DEPTH:
+                fall = (1.0 - depth) / (1.0 - SCARCE_DEPTH)
+                self._refill_per_ms[step] = fair_per_ms * MAX_REFILL_SHARES * fall
+        self._burst = max(MIN_BURST_TOKENS, fair_per_ms * 1000.0 * BURST_S)
+        self.buckets = {tenant.name: TokenBucket(self._burst) for tenant in tenants}
+        self.buckets.setdefault("", TokenBucket(self._burst))  # for tenants that the settings do not name
+        ratio = TENANT_QUOTA_RATIO
+        self._max_connections = {t.name: t.quota_connections * ratio / relay_count for t in tenants}
+        settle_ms = min(request_class.latency_objective_ms for request_class in settings.classes)
+        self.setup_window = quotas.SetupWindow(allowance_per_s, relay_count, settle_ms, rng)
+
+    def take_token(self, now_ms: float, tenant: str) -> float:
+        """0 when the tenant's bucket had a token, else after how many milliseconds it has one."""
+        rate = self._refill_per_ms[int(self._fleet.depth() * CURVE_STEPS)]
+        bucket = self.buckets.get(tenant) or self.buckets[""]
+        bucket.refill(now_ms, rate, self._burst)
+        # Tokens count set-ups, but what a flooding tenant already holds is what loads the endpoints.
+        max_connections = self._max_connections.get(tenant, 0.0)
+        if rate != float("inf") and 0 < max_connections < self._fleet.tenant_counts[tenant]:
+            bucket.tokens = 0.0
+        if bucket.try_take():
+            return 0.0
+        return bucket.wait_ms(rate) if rate > 0 else self._max_retry_after_ms
+
+    def setup_wait_ms(self, now_ms: float) -> float:
+        """0 when another set-up may start, else after how many milliseconds to come again."""
+        fleet = self._fleet
+        # Connections on endpoints that drain do not count: their clients find room elsewhere.
+        if fleet.totals.open_count + 1 > fleet.max_connections + fleet.rounding_offset:
+            return QUOTA_RETRY_AFTER_MS
+        return self.setup_window.wait_ms(now_ms)
--- /dev/null
+++ b/sageturn/decision/endpoint_watch.py
@@ -0,0 +1,49 @@
+"""When the balancer asks discovery for the endpoint list, and again after a failure.
+
+``discovery_backoff`` sets the times; here is what has been asked, and what came of it.
+"""
+
+from __future__ import annotations
+
+from random import Random
+
+from sageturn.decision import actions, events
+from sageturn.decision.discovery_backoff import CallBackoff
+from sageturn.decision.settings import Settings
+
+TIMER_MARK = "watch"
+
+
+class EndpointWatch:
+    """One relay's calls to discovery. Each method returns the actions that it calls for."""
+
+    def __init__(self, settings: Settings, rng: Random) -> None:
+        is_pushed = settings.discovery == "push"
+        self._must_ask = settings.discovery == "ask"
+        self._backoff = CallBackoff(settings.relay_count, settings.max_poll_interval_ms, rng, is_pushed)
+        self._is_watching: bool | None = None  # None: the list has not been asked for yet
+
+    def on_list(self, now_ms: float, event: events.EndpointListEvent) -> list[actions.Action]:
+        """A list came, or the call for it has failed, or the watch on it is over."""
+        if event.kind == "failed":
+            self._is_watching = False
+            return [actions.SetTimer(self._backoff.wait_ms(now_ms, event.failure), TIMER_MARK)]
+        if event.kind != "stale":
+            self._is_watching = True
+            self._backoff.succeeded()
+            return []
+        return [actions.SetTimer(self._backoff.first_ms(), TIMER_MARK)] if self._must_ask else []
+
+    def on_connect_failed(self) -> list[actions.Action]:
+        """The list of the start is out of date: the first call does not wait its turn any longer."""
+        if self._is_watching is not None or not self._must_ask:
+            return []
+        self._is_watching = False
+        return [actions.SetTimer(self._backoff.first_ms(doubted=True), TIMER_MARK)]
+
+    def on_timer(self) -> list[actions.Action]:
+        """A timer is due, which may have been set before a call that is still out."""
+        if self._is_watching:
+            return []
+        self._is_watching = True  # until that call is reported to have failed
+        return [actions.WatchEndpoints()]
--- a/sageturn/decision/settings.py
+++ b/sageturn/decision/settings.py
@@ -13,6 +13,7 @@
 DISCOVERY = ("push", "ask")
 WEIGHTS = ("none", "nominal", "rough", "live")
 REPORTS = ("none", "probe", "answers")
+DEFAULT_ALLOWANCE_PER_S = 10.0  # where no tenant has an allowance
 NOT_EXECUTED_STATUSES = ("full", "connect_failed", "moot")  # outcomes that prove the attempt did nothing
 
 
@@ -92,6 +93,15 @@
     reports: str = "none"  # what load reports come with: nothing, probes, or answers as well
     report_fields: tuple[str, ...] = ()  # the values that they hold
 
+    def total_allowance_per_s(self) -> float:
+        """Requests that all tenants together may send to all relays."""
+        return sum(tenant.allowance_per_s for tenant in self.tenants) or DEFAULT_ALLOWANCE_PER_S
+
+    def shortest_message_objective_ms(self, default_ms: float) -> float:
+        """Of the classes that have an objective for messages; the default where none has."""
+        objectives = (each.message_latency_objective_ms for each in self.classes)
+        return min((objective_ms for objective_ms in objectives if objective_ms > 0), default=default_ms)
+
     def __post_init__(self) -> None:
         _require(len(self.classes) > 0, "classes", "at least one is needed")
         _require(self.relay_count >= 1, "relay_count", "must be 1 or more")
--- a/sageturn/rebalance/balance.py
+++ b/sageturn/rebalance/balance.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 
 from sageturn.core.endpoint_snapshot import EndpointSnapshot
-from sageturn.decision.balancer import GROUP_COST
+from sageturn.decision.overload import GROUP_COST
 from sageturn.rebalance.book import ConnectionTable
 
 
--- a/tests/config/test_deployments.py
+++ b/tests/config/test_deployments.py
@@ -239,7 +239,7 @@
             assert all(e.most_open <= 1 for e in endpoints)
             for endpoint in endpoints:
                 endpoint.script = up
-            relay.balancer_actor._balancer.buckets["south"][0] = 9.0
+            relay.balancer_actor._balancer.admission.buckets["south"].tokens = 9.0
             line = first_line(900).replace(b"c=c,t=t", b"c=deck,t=south")
             reader, writer = await ask(relay.listener.address, line)
             assert await reader.readline() == b"UP r1\r\n"
--- a/tests/core/test_attempt_races.py
+++ b/tests/core/test_attempt_races.py
@@ -30,7 +30,7 @@
 
 def nothing_left(relay: Relay) -> bool:
     balancer = relay.balancer_actor._balancer
-    idle = all(s.open == s.pending == 0 for s in balancer.endpoints.values())
+    idle = all(s.open_count == s.in_flight == 0 for s in balancer.endpoints.values())
     return (
         not relay.request_registry and not relay.balancer_actor._requests and not balancer.requests and idle
     )
--- a/tests/core/test_close_reasons.py
+++ b/tests/core/test_close_reasons.py
@@ -210,7 +210,7 @@
                 lambda: not relay.request_registry and not balancer.requests and not relay.admission.held
             )
             await scene.until(lambda: not any(e.open for e in endpoints))
-            assert all(s.open == s.pending == 0 for s in balancer.endpoints.values())
+            assert all(s.open_count == s.in_flight == 0 for s in balancer.endpoints.values())
             assert relay.balancer_actor._requests == {}
             shut = 2 if end is stop else 0  # the door, and the descriptor kept for want of others
             await scene.until(lambda: len(os.listdir("/proc/self/fd")) <= descriptors - shut)
@@ -411,6 +411,8 @@
             await scene.until(
                 lambda: not relay.request_registry and not relay.balancer_actor._balancer.requests
             )
-            assert all(s.open == s.pending == 0 for s in relay.balancer_actor._balancer.endpoints.values())
+            assert all(
+                s.open_count == s.in_flight == 0 for s in relay.balancer_actor._balancer.endpoints.values()
+            )
 
     asyncio.run(asyncio.wait_for(go(), 10))
--- a/tests/core/test_request_lifecycle.py
+++ b/tests/core/test_request_lifecycle.py
@@ -75,7 +75,9 @@
         await asyncio.sleep(0.01)
         actor.cancel()
         balancer = balancer_actor._balancer
-        assert balancer.requests == {} and all(s.open == s.pending == 0 for s in balancer.endpoints.values())
+        assert balancer.requests == {} and all(
+            s.open_count == s.in_flight == 0 for s in balancer.endpoints.values()
+        )
         return wire.did, record
 
     return asyncio.run(go())
--- a/tests/decision/test_balancer.py
+++ b/tests/decision/test_balancer.py
@@ -219,7 +219,7 @@
     # Back for all clients at once, a slow host cost the fleet day half of what it kept.
     assert (
         out.ready
-        and out.limit == 1
+        and out.concurrency_limit == 1
         and relay.tell(ClientDisconnected(relay.ids)) == [AbandonAttempt(relay.ids, 0)]
     )
     relay.ends(relay.ids, "cancelled", final=True)
@@ -244,7 +244,7 @@
         relay.ask(group="g")
         relay.stands(relay.ids)
         first = relay.sent[relay.ids][0]
-        ranked, homes = relay.balancer._ranked("g")
+        ranked, homes = relay.balancer.placement.rank_group("g")
         own = [s.name for s in ranked[:homes]]
         strain(relay, "".join(own) + "".join(n for n in "abcdefghij" if n not in own)[: late - 1])
         (action,) = relay.ask(group="g")
@@ -265,7 +265,7 @@
     endpoints = [Endpoint(n, zone="x") for n in "abcde"] + [Endpoint(n, zone="y") for n in "fghij"]
     relay = make(endpoints, zone="x", cross_zone_cost=0.1, groups=True, relay_count=1)
     open_on_each(relay, 60)
-    ranked, homes = relay.balancer._ranked("g")
+    ranked, homes = relay.balancer.placement.rank_group("g")
     strain(relay, "abcde")
     (action,) = relay.ask(group="g")
     assert isinstance(action, PlaceRequest) and action.endpoint in [s.name for s in ranked[5 : 5 + homes]]
@@ -312,7 +312,7 @@
     open_on_each(relay, 4)
     for k in range(1, 5):
         relay.tell(MeasurementReported(k, 0, relay.sent[k][0], "delay", 45.0))
-    assert relay.balancer._depth() > 0.5
+    assert relay.balancer.fleet.depth() > 0.5
 
 
 def test_a_group_stays_on_few_servers_though_few_connections_tell_little(make: Any) -> None:
@@ -321,7 +321,10 @@
     for group in ("g", "g", "h"):
         relay.ask(group=group)
         relay.stands(relay.ids)
-    assert relay.balancer._ranked("g")[1] < 30 and relay.balancer._ranked("new")[1] <= 3
+    assert (
+        relay.balancer.placement.rank_group("g")[1] < 30
+        and relay.balancer.placement.rank_group("new")[1] <= 3
+    )
 
 
 def test_the_first_sends_of_many_balancers_to_a_cold_server_are_spread(make: Any) -> None:
@@ -341,7 +344,7 @@
     relay = make([Endpoint(f"backend-{k:x}") for k in range(40)], groups=True)
     first: dict[str, int] = {}
     for k in range(400):
-        name = relay.balancer._ranked(f"room-{k}")[0][0].name
+        name = relay.balancer.placement.rank_group(f"room-{k}")[0][0].name
         first[name] = first.get(name, 0) + 1
     assert max(first.values()) <= 30
 
@@ -349,7 +352,7 @@
 def test_larger_servers_by_the_list_are_home_to_more_groups_and_win_the_pair(make: Any) -> None:
     endpoints = [Endpoint("large", share=4.0), Endpoint("small", share=1.0)]
     relay = make(endpoints, groups=True, weights="rough")
-    homes = [relay.balancer._ranked(f"room-{k}")[0][0].name for k in range(400)]
+    homes = [relay.balancer.placement.rank_group(f"room-{k}")[0][0].name for k in range(400)]
     assert 280 < homes.count("large") < 360
     assert [relay.ask(tenant)[0].endpoint for tenant in "tut"] == ["large"] * 3
     relay = make(endpoints, weights="live")  # live shares come late and count load that we know better
--- a/tests/decision/test_balancer_edge_cases.py
+++ b/tests/decision/test_balancer_edge_cases.py
@@ -76,13 +76,13 @@
     endpoint = relay.balancer.endpoints["a"]
     relay.ask()
     relay.ends(1, status)
-    assert endpoint.limit == 4
+    assert endpoint.concurrency_limit == 4
     relay = make([Endpoint("a")])
     endpoint = relay.balancer.endpoints["a"]
     relay.ask()
     relay.now += 501.0
     relay.stands(1)
-    assert endpoint.limit == 8
+    assert endpoint.concurrency_limit == 8
 
 
 def test_groups_and_zones_draw_connections_only_up_to_a_bound(make: Any) -> None:
@@ -106,7 +106,7 @@
     for k in [k for k, sent in relay.sent.items() if sent == ["a"]]:
         relay.ends(k, "reset", True)
     endpoint = relay.balancer.endpoints["a"]
-    assert endpoint.room <= 1.0 and endpoint.full()
+    assert endpoint.capacity <= 1.0 and endpoint.is_full()
 
 
 def test_a_retry_never_goes_to_the_server_that_failed(make: Any) -> None:
@@ -197,15 +197,15 @@
         for _ in range(3):
             if relay.ids in relay.balancer.requests:
                 relay.ends(relay.ids, "connect_failed")
-    assert len(relay.balancer.ready) >= 2
-    (out,) = relay.balancer.out
+    assert len(relay.balancer.fleet.ready) >= 2
+    (out,) = relay.balancer.fleet.ejected
     relay.listed([Endpoint(out.name, started_at_ms=relay.now)], "changes")
-    assert not relay.balancer.out
+    assert not relay.balancer.fleet.ejected
 
 
 def test_the_list_is_watched_at_start_and_again_after_each_failure(make: Any) -> None:
     relay = make([], discovery="ask", max_poll_interval_ms=9000.0)
-    relay.balancer.watching = False  # as at a start
+    relay.balancer = Balancer(relay.balancer.settings, 1)  # to which no list has come
     (first,) = relay.listed([Endpoint("a")], "stale")
     assert isinstance(first, SetTimer) and first.delay_ms <= 130.0
     assert relay.tell(TimerFired(first.mark)) == [WatchEndpoints()]
@@ -284,7 +284,7 @@
     relay.listed([Endpoint("a", started_at_ms=50.0)], "changes")
     for i in range(1, 6):
         relay.ends(i, "reset", final=True)
-    assert relay.balancer.open == 0 and relay.balancer.sum_pending == 0
+    assert relay.balancer.fleet.open_count == 0 and relay.balancer.fleet.totals.in_flight == 0
 
 
 def test_state_stays_bounded_over_a_long_run(make: Any) -> None:
@@ -296,8 +296,8 @@
         if relay.ids in relay.sent:
             relay.ends(relay.ids, "ok", final=True)
     b = relay.balancer
-    assert not b.requests and not b.group_open and not b.ranked
-    assert len(b.endpoints) <= 10 and len(b.buckets) <= 3
+    assert not b.requests and not b.fleet.group_counts and not b.fleet.rankings
+    assert len(b.endpoints) <= 10 and len(b.admission.buckets) <= 3
 
 
 def test_many_zones_one_balancer_no_tenants(make: Any) -> None:
@@ -361,13 +361,13 @@
         for name in late:
             held = next(i for i in relay.sent if relay.sent[i] == [name])
             relay.tell(MeasurementReported(held, 0, name, "delay", 40.0))
-        before = relay.balancer.endpoints["a"].room
+        before = relay.balancer.endpoints["a"].capacity
         relay.now = 2400.0  # closed for 2.5 s, noted well before that
         held = next(i for i in relay.sent if relay.sent[i] == ["a"])
         relay.tell(MeasurementReported(held, 0, "a", "delay", 5.0))
         relay.now = 3400.0
-        relay.balancer._review(relay.now, relay.balancer.endpoints["a"])
-        gained.append(relay.balancer.endpoints["a"].room - before)
+        relay.balancer.overload.reevaluate(relay.now, relay.balancer.endpoints["a"])
+        gained.append(relay.balancer.endpoints["a"].capacity - before)
     assert gained[0] == gained[2] and gained[1] < gained[0] / 2
 
 
@@ -383,7 +383,7 @@
     for k in range(1200):
         relay.ask(group=f"h{k}")  # most are refused: their groups never hold anything
     b = relay.balancer
-    assert len(b.endpoints) <= 2 and len(b.ranked) <= 500
+    assert len(b.endpoints) <= 2 and len(b.fleet.rankings) <= 500
 
 
 def test_where_no_delays_are_told_loads_speak_against_and_relieve_a_server(make: Any) -> None:
@@ -404,8 +404,8 @@
     assert moved and all(isinstance(a, MigrateConnection) for a in moved)
     # Heavier, not closed: closed on such signs, four of five hosts sent all that came to the fifth.
     a, b = (relay.balancer.endpoints[name] for name in "ab")
-    assert relay.now < a.soft_until_ms and b.soft_until_ms == 0 and not a.full()
-    assert relay.balancer._load(a) > relay.balancer._load(b)
+    assert relay.now < a.deprioritized_until_ms and b.deprioritized_until_ms == 0 and not a.is_full()
+    assert relay.balancer.placement.load_score(a) > relay.balancer.placement.load_score(b)
     assert [
         a
         for i in list(told.sent)
@@ -425,10 +425,11 @@
         for i in slow:
             relay.tell(ConnectionEstablished(relay.ids - 3 + i, 0, "a", 210.0))
         a, b = (relay.balancer.endpoints[name] for name in "ab")
-        assert slow and relay.balancer._crowded(a) is closed and not relay.balancer._crowded(b)
-        assert not a.full()  # it fades: a server that was slow is tried again
-        relay.balancer.now_ms += 20_000.0
-        assert not relay.balancer._crowded(a)
+        placement = relay.balancer.placement
+        assert slow and placement.is_crowded(a) is closed and not placement.is_crowded(b)
+        assert not a.is_full()  # it fades: a server that was slow is tried again
+        relay.balancer.fleet.now_ms += 20_000.0
+        assert not placement.is_crowded(a)
 
 
 def test_a_store_that_slows_all_set_ups_speaks_against_no_server(make: Any) -> None:
@@ -438,7 +439,7 @@
         relay.ask()
         relay.tell(ConnectionEstablished(relay.ids, 0, relay.sent[relay.ids][-1], took))
         relay.now += 20.0
-    assert not any(relay.balancer._lag(s) > 0.4 for s in relay.balancer.ready)
+    assert not any(relay.balancer.overload.setup_lag(s) > 0.4 for s in relay.balancer.fleet.ready)
 
 
 def test_with_every_server_beyond_what_it_carries_a_request_fails_fast(make: Any) -> None:
@@ -450,8 +451,8 @@
     for i, sent in relay.sent.items():
         relay.now += 1100.0
         relay.tell(MeasurementReported(i, 0, sent[-1], "load", 400.0))
-    for s in relay.balancer.ready:
-        relay.balancer._weigh(relay.now + 1100.0, s)
+    for s in relay.balancer.fleet.ready:
+        relay.balancer.overload.check_utilization(relay.now + 1100.0, s)
     relay.now += 1101.0
     (refusal,) = relay.ask()
     assert isinstance(refusal, RejectRequest) and refusal.retry_after_ms > 0
@@ -471,7 +472,7 @@
             relay.stands(relay.ids)
         relay.now += 100.0
     new = relay.balancer.endpoints["new"]
-    assert 0.2 < new.size < 0.35 and new.part < 0.12
+    assert 0.2 < new.effective_weight < 0.35 and new.connection_share < 0.12
 
 
 def test_hosts_that_drain_do_not_count_to_the_fleet_that_the_quotas_are_meant_for(make: Any) -> None:
@@ -483,8 +484,9 @@
         make(some, tenants=tenants, relay_count=40, reports_delay=False).balancer
         for some in (lines, lines[:8])
     )
-    assert with_drains.first_listed == 8 and with_drains.most == without.most
-    assert make([Endpoint("d", "draining")]).balancer.first_listed == 1
+    assert with_drains.fleet.first_listed_count == 8
+    assert with_drains.fleet.max_connections == without.fleet.max_connections
+    assert make([Endpoint("d", "draining")]).balancer.fleet.first_listed_count == 1
 
 
 def test_a_refused_call_tells_that_the_list_of_the_start_is_out_of_date(make: Any) -> None:
--- a/tests/decision/test_balancer_properties.py
+++ b/tests/decision/test_balancer_properties.py
@@ -28,6 +28,7 @@
     Tenant,
     TimerFired,
 )
+from sageturn.decision.state import FleetTotals
 
 CLASSES = (
     RequestClass("safe", 300),
@@ -209,9 +210,9 @@
         world.end(i, "ok")
     world.tell(EndpointListEvent("full", []))
     b = world.balancer
-    assert not b.requests and not b.group_open and not b.endpoints and not b.closed
-    assert b.open == 0 and b.sum_pending == b.sum_limits == b.sum_blind == b.sum_open == 0
-    assert all(count == 0 for count in b.held.values())
+    assert not b.requests and not b.fleet.group_counts and not b.endpoints and not b.fleet.closed
+    assert b.fleet.open_count == 0 and b.fleet.totals == FleetTotals()
+    assert all(count == 0 for count in b.fleet.tenant_counts.values())
 
 
 def play(steps: list[tuple[int, int, int]], seed: int, prefix: str) -> list[Any]:
--- a/tests/decision/test_health_checks.py
+++ b/tests/decision/test_health_checks.py
@@ -15,7 +15,12 @@
 from support.network_fakes import SETTINGS, Script, ask, first_line, relaying, reply, resets, says, silent, up
 
 from sageturn import decision
-from sageturn.decision.health_checks import EACH_MS, HOST_MS, SPEND, HealthCheckScheduler
+from sageturn.decision.health_checks import (
+    CHECK_INTERVAL_MS,
+    MIN_FLEET_INTERVAL_MS,
+    SPEND_RATIO,
+    HealthCheckScheduler,
+)
 from sageturn.decision.load_reports import checked, read_report
 
 FIELDS = ("x0", "x1", "cpu")
@@ -28,7 +33,7 @@
 }
 
 
-def make_probes(**change: Any) -> HealthCheckScheduler:
+def make_checks(**change: Any) -> HealthCheckScheduler:
     settings = decision.Settings(classes=(decision.RequestClass("c", 500),), **{**PROBED, **change})
     return HealthCheckScheduler(settings, 80.0, Random(1))
 
@@ -75,26 +80,26 @@
     relays: int, endpoints: int, price: float, requests: int
 ) -> None:
     names = [f"s{k}" for k in range(endpoints)]
-    probes = make_probes(relay_count=relays, health_check_cost=price)
+    checks = make_checks(relay_count=relays, health_check_cost=price)
     asked: Counter[str] = Counter()
     for look in range(240):  # a minute
         if look < requests:
-            probes.paid()
-        asked.update(probes.due(250.0 * look, names))
-    assert endpoints <= asked.total() <= endpoints + max(1.0, requests * SPEND / price) + 1e-6
-    least_ms = 0.75 * max(EACH_MS, HOST_MS * relays)
+            checks.record_request()
+        asked.update(checks.take_due(250.0 * look, names))
+    assert endpoints <= asked.total() <= endpoints + max(1.0, requests * SPEND_RATIO / price) + 1e-6
+    least_ms = 0.75 * max(CHECK_INTERVAL_MS, MIN_FLEET_INTERVAL_MS * relays)
     assert max(asked.values()) <= 60000.0 / least_ms + 1.0
 
 
 def test_a_server_that_takes_no_probes_is_not_asked_again_while_it_is_listed() -> None:
-    probes = make_probes(health_check_cost=0.0)
-    assert probes.due(0.0, "ab") == ["a", "b"]
-    probes.paid()
-    probes.refused("a")
-    assert probes.due(5000.0, "ab") == ["b"]
-    assert probes.due(10000.0, "b") == ["b"]  # a has left the list, and is another when it comes again
-    probes.paid()
-    assert sorted(probes.due(15000.0, "ab")) == ["a", "b"]
+    checks = make_checks(health_check_cost=0.0)
+    assert checks.take_due(0.0, "ab") == ["a", "b"]
+    checks.record_request()
+    checks.exclude_endpoint("a")
+    assert checks.take_due(5000.0, "ab") == ["b"]
+    assert checks.take_due(10000.0, "b") == ["b"]  # a has left the list, and is another when it comes again
+    checks.record_request()
+    assert sorted(checks.take_due(15000.0, "ab")) == ["a", "b"]
 
 
 # ---------------------------------------------------------------- what the module makes of it
@@ -127,10 +132,10 @@
         [decision.Endpoint("a"), decision.Endpoint("b")], **PROBED, tenants=(decision.Tenant("t", 90.0),)
     )
     fill(relay, 20)
-    there = relay.balancer.endpoints["a"].open
-    assert told(relay, "a", x0=0.7, x1=0.0) == [] and not relay.balancer.endpoints["a"].full()
+    there = relay.balancer.endpoints["a"].open_count
+    assert told(relay, "a", x0=0.7, x1=0.0) == [] and not relay.balancer.endpoints["a"].is_full()
     told(relay, "a", x0=0.78, x1=0.0)
-    assert relay.balancer.endpoints["a"].full()
+    assert relay.balancer.endpoints["a"].is_full()
     moves = told(relay, "a", x0=1.4, x1=0.4)
     assert len(moves) in (there // 2, there // 2 + 1) and all(
         isinstance(a, decision.MigrateConnection) for a in moves
@@ -140,8 +145,8 @@
     for _ in range(60):
         relay.now += 1000.0
         assert told(relay, "a", x0=0.4, x1=0.0) == []
-        relay.balancer._review_closed(relay.now)
-    assert not relay.balancer.endpoints["a"].full()
+        relay.balancer.reevaluate_endpoints(relay.now)
+    assert not relay.balancer.endpoints["a"].is_full()
 
 
 def test_reports_in_answers_count_and_probe_failures_put_no_server_out(make: Any) -> None:
@@ -150,7 +155,7 @@
     relay.ask()
     name = relay.sent[1][0]
     relay.tell(decision.AttemptEnded(1, 0, name, "full", False, {"x0": 0.9}))
-    assert relay.balancer.endpoints[name].full()
+    assert relay.balancer.endpoints[name].is_full()
     for status in ("timeout", "connect_failed", "error", "moot") * 5:
         relay.tell(decision.HealthCheckCompleted("a", status))
         relay.tell(decision.HealthCheckCompleted("zz", status, {"x0": 5.0}))
@@ -159,12 +164,12 @@
 
 def test_without_reports_for_a_while_the_relays_own_signs_count_again(make: Any) -> None:
     relay = make([decision.Endpoint("a"), decision.Endpoint("b")], **PROBED)
-    assert not relay.balancer._sees_delay()
+    assert not relay.balancer.fleet.measures_delay()
     told(relay, "a", x0=0.2)
-    assert relay.balancer._sees_delay()
+    assert relay.balancer.fleet.measures_delay()
     relay.now += 5001.0
     relay.tell(decision.ConnectionEstablished(99, 0, "a"))
-    assert not relay.balancer._sees_delay()
+    assert not relay.balancer.fleet.measures_delay()
 
 
 # ---------------------------------------------------------------- on sockets
--- a/tests/decision/test_quotas.py
+++ b/tests/decision/test_quotas.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from dataclasses import dataclass
 from random import Random
 from typing import Any
 
@@ -10,11 +11,10 @@
 
 from sageturn import Endpoint, MeasurementReported, MigrateConnection, RejectRequest, Tenant
 from sageturn.decision.quotas import (
-    QUOTA_FEW,
-    QUOTA_LOOSE,
-    QUOTA_OVER,
-    QUOTA_PART,
-    EndpointCapacity,
+    ENDPOINT_QUOTA_RATIO,
+    FEW_RELAYS_SLACK,
+    FLEET_SLACK_CONNECTIONS,
+    QUOTA_UTILIZATION,
     SetupWindow,
     quota_bounds,
 )
@@ -22,6 +22,13 @@
 ZONES = "wxyz"
 
 
+@dataclass
+class Place:
+    zone: str
+    effective_weight: float
+    nominal_weight: float
+
+
 @given(
     st.lists(st.tuples(st.sampled_from(ZONES), st.floats(0.1, 4.0)), min_size=1, max_size=60),
     st.integers(1, 10),
@@ -30,22 +37,31 @@
 def test_relays_of_all_zones_together_hold_no_more_than_the_quotas_part(
     drawn: list[tuple[str, float]], each_zone: int, priced: bool
 ) -> None:
-    places = [EndpointCapacity(zone, size, 2.0) for zone, size in drawn]
+    places = [Place(zone, size, 2.0) for zone, size in drawn]
     zones = sorted({p.zone for p in places})
     relays = each_zone * len(zones)
     held, total = [0.0] * len(places), 0.0
     for zone in zones:
         most, bounds = quota_bounds(places, zones, zone if priced else None, 50.0, relays)
-        held = [h + each_zone * b.most for h, b in zip(held, bounds, strict=True)]
+        held = [h + each_zone * b.max_connections for h, b in zip(held, bounds, strict=True)]
         total += each_zone * most
-    few = 50.0 * QUOTA_FEW / relays**2
+    few = 50.0 * FEW_RELAYS_SLACK / relays**2
     for place, h in zip(places, held, strict=True):
-        assert h <= QUOTA_OVER * QUOTA_PART * 50.0 * place.size / 2.0 + few + QUOTA_LOOSE + 1e-6
-    assert total <= QUOTA_PART * 50.0 * sum(p.size for p in places) / 2.0 + few * len(places) + 1e-6
+        assert (
+            h
+            <= ENDPOINT_QUOTA_RATIO * QUOTA_UTILIZATION * 50.0 * place.effective_weight / 2.0
+            + few
+            + FLEET_SLACK_CONNECTIONS
+            + 1e-6
+        )
+    assert (
+        total
+        <= QUOTA_UTILIZATION * 50.0 * sum(p.effective_weight for p in places) / 2.0 + few * len(places) + 1e-6
+    )
 
 
 def test_bounds_change_smoothly_with_the_number_of_relays() -> None:
-    places = [EndpointCapacity(zone, 2.0, 2.0) for zone in ZONES * 3]
+    places = [Place(zone, 2.0, 2.0) for zone in ZONES * 3]
     whole = [n * quota_bounds(places, ZONES, "w", 50.0, n)[0] for n in range(4, 81)]
     assert all(0.6 < b / a <= 1.0 for a, b in zip(whole, whole[1:], strict=False))
     assert whole[0] > 600.0 * 2 and whole[-1] < 600.0 * 0.7
@@ -58,12 +74,13 @@
     window, now = SetupWindow(13.0, relays, 300.0, Random(1)), 0.0
     for took, served in ends:
         now += took
-        window.ended(now, took, served)
+        window.begin_setup()
+        window.end_setup(now, took, served)
         assert 0.25 <= window.size <= max(1.0, 39.0 / relays)
         assert window.wait_ms(now) <= 1500.0 * 1.25
-        window.out = 1  # there is never room for a second one unless the part allows it
+        window.in_flight = 1  # there is never room for a second one unless the part allows it
         assert window.wait_ms(now) > 0 or window.size > 1.0
-        window.out = 0
+        window.in_flight = 0
     assert window.wait_ms(now + 1500.0 * 1.25) == 0
 
 
@@ -82,9 +99,9 @@
         if relay.ids in relay.sent:
             relay.stands(relay.ids)
     b = relay.balancer
-    assert 12 <= b.open <= 16 and refused >= 44  # 0.7 of two hosts' 400, shared by 40
+    assert 12 <= b.fleet.open_count <= 16 and refused >= 44  # 0.7 of two hosts' 400, shared by 40
     held = [i for i, sent in relay.sent.items() if sent[-1] == "a"]
-    b.endpoints["a"].most = 2.0  # most of it has gone to others
+    b.endpoints["a"].max_connections = 2.0  # most of it has gone to others
     moves = []
     for _ in range(200):
         relay.now += 100.0
--- a/tests/decision/test_slow_start.py
+++ b/tests/decision/test_slow_start.py
@@ -277,10 +277,10 @@
         for host in range(20):
             mark = crc32(f"host-{host}".encode())
             for part in (0.03, 0.17, 0.5, 0.9):
-                held = sum(ramp.rounding(mark) > 1.0 - part for ramp in ramps)
+                held = sum(ramp.rounding_offset(mark) > 1.0 - part for ramp in ramps)
                 assert abs(held - part * relays) <= 1.0
                 zone = ramps[host % 4 :: 4] if relays % 4 == 0 else ramps
-                near = sum(ramp.rounding(mark) > 1.0 - part for ramp in zone)
+                near = sum(ramp.rounding_offset(mark) > 1.0 - part for ramp in zone)
                 assert abs(near - part * len(zone)) <= 1.5
 
 
@@ -295,7 +295,7 @@
         relay.ask()
         if relay.ids in relay.sent:
             relay.stands(relay.ids)
-    held = relay.balancer.open
+    held = relay.balancer.fleet.open_count
     assert held >= 6 and isinstance(relay.ask()[0], RejectRequest)
     relay.listed([Endpoint("a", "draining"), Endpoint("c")], "changes")
     relay.now += 100.0
@@ -317,10 +317,11 @@
         relay.ask()
         if relay.ids in relay.sent:
             relay.stands(relay.ids)
-    warm = sum(s.open for s in b.ready if not s.cold)
-    cold = sum(s.open for s in b.ready if s.cold)
-    part = sum(s.size for s in b.ready if not s.cold) / sum(s.size for s in b.ready)
-    assert part < 0.7 and warm <= b.most * part + 1.0
+    warm = sum(s.open_count for s in b.fleet.ready if not s.slow_start)
+    cold = sum(s.open_count for s in b.fleet.ready if s.slow_start)
+    part = sum(s.effective_weight for s in b.fleet.ready if not s.slow_start)
+    part /= sum(s.effective_weight for s in b.fleet.ready)
+    assert part < 0.7 and warm <= b.fleet.max_connections * part + 1.0
     assert cold >= 3
 
 
@@ -341,4 +342,4 @@
 def test_a_number_beyond_the_group_counts_as_not_told() -> None:
     # Two relays with one number would take the same turns.
     ramps = [SlowStartBudget(Settings(CLASSES, relay_count=4, index=9), Random(seed)) for seed in range(9)]
-    assert len({ramp.rounding(1) for ramp in ramps}) == 9
+    assert len({ramp.rounding_offset(1) for ramp in ramps}) == 9
--- a/tests/rebalance/test_planner.py
+++ b/tests/rebalance/test_planner.py
@@ -93,7 +93,7 @@
     fleet.stands("b", 20, "x")
     fleet.stands("c", 20, "y")
     for endpoint in fleet.balancer.endpoints.values():
-        endpoint.limit = 16  # as after some set-ups in time
+        endpoint.concurrency_limit = 16  # as after some set-ups in time
     waited = 0
     while not fleet.moved:
         waited += fleet.step().phase == "waiting"
@@ -154,10 +154,12 @@
         fleet.step()
     fleet.gap_ms = 8000.0
     for name in "bcd":  # no set-up is answered: the limits shrink, and everyone is refused
-        fleet.balancer.endpoints[name].limit = fleet.balancer.endpoints[name].pending = 4
-        fleet.balancer._sum(fleet.balancer.endpoints[name])
-    fleet.balancer.endpoints["a"].limit = fleet.balancer.endpoints["a"].pending = 4
-    fleet.balancer._sum(fleet.balancer.endpoints["a"])
+        endpoint = fleet.balancer.endpoints[name]
+        endpoint.concurrency_limit = endpoint.in_flight = 4
+        fleet.balancer.fleet.update_totals(endpoint)
+    endpoint = fleet.balancer.endpoints["a"]
+    endpoint.concurrency_limit = endpoint.in_flight = 4
+    fleet.balancer.fleet.update_totals(endpoint)
     count = len(fleet.moved)
     refused = sum(not fleet.comes(f"new{n}", group="zz") for n in range(12))
     assert refused >= 4
@@ -215,7 +217,7 @@
 def test_every_host_overfull_moves_nobody() -> None:
     fleet = skewed()
     for endpoint in fleet.balancer.endpoints.values():
-        endpoint.spent_until_ms = float("inf")
+        endpoint.saturated_until_ms = float("inf")
     fleet.run(60)
     assert fleet.moved == [] and "room" in fleet.plan.why
 
@@ -295,11 +297,11 @@
     landed = [i for i, conn in fleet.conns.items() if conn[0] in clients]
     assert landed
     for host in {fleet.conns[i][3] for i in landed}:
-        fleet.balancer.actions = []
+        migrations = []
         for _ in range(30):
-            fleet.balancer._relieve(fleet.balancer.endpoints[host])
-        assert not {a.id for a in fleet.balancer.actions} & set(landed)
-        assert fleet.balancer.actions
+            migrations += fleet.balancer.overload.relieve(fleet.balancer.endpoints[host])
+        assert not {migration.id for migration in migrations} & set(landed)
+        assert migrations
 
 
 def test_the_state_tells_what_and_why() -> None:
