--- a/sageturn/lab/policy.py
+++ b/sageturn/lab/policy.py
@@ -1,4 +1,4 @@
-"""A decision module from elsewhere: another file, or another revision of this repository."""
+"""A decision module from elsewhere: other files, or another revision of this repository."""
 
 from __future__ import annotations
 
@@ -9,37 +9,85 @@
 from pathlib import Path
 from types import ModuleType
 
+from sageturn import decision
 from sageturn.decision.balancer import Balancer
 
-RULES = "sageturn/decision/balancer.py"
+# The files that decide, each after those that it imports: ``policy`` of deploy/balancer.toml.
+POLICY_MODULES = ("fleet", "admission", "overload", "placement", "balancer")
+FILE_MARK = "# ---- policy file: "  # begins the text of each file in the text of a policy
 
 
 def read_policy(name: str, root: Path) -> str:
-    """The text of a policy: empty for the present one, a file's path, or ``git:REVISION``.
+    """The text of a policy: empty for the present one, a path, or ``git:REVISION``.
 
-    Raises ValueError with what is wrong. The text goes along with a run, so that it can be repeated.
+    A path names one file, or a folder with some of them; the others are the present ones. Raises ValueError
+    with what is wrong. The text goes along with a run, so that it can be repeated.
     """
     if not name:
         return ""
-    if not name.startswith("git:"):
-        try:
-            return (root / name).read_text(encoding="utf-8")
-        except OSError as error:
-            raise ValueError(f"{name}: {error.strerror}") from None
-    wanted = f"{name.removeprefix('git:')}:{RULES}"
+    if name.startswith("git:"):
+        revision = name.removeprefix("git:")
+        return _join({module: _show(name, revision, module, root) for module in POLICY_MODULES})
+    path = root / name
+    try:
+        if path.is_dir():
+            return _join(_read_folder(path))
+        module = path.stem if path.stem in POLICY_MODULES else "balancer"
+        return _join({module: path.read_text(encoding="utf-8")})
+    except OSError as error:
+        raise ValueError(f"{name}: {error.strerror}") from None
+
+
+def _read_folder(folder: Path) -> dict[str, str]:
+    files = {module: folder / f"{module}.py" for module in POLICY_MODULES}
+    sources = {module: file.read_text(encoding="utf-8") for module, file in files.items() if file.exists()}
+    if not sources:
+        raise ValueError(f"{folder}: holds none of the files {', '.join(POLICY_MODULES)} (.py)")
+    return sources
+
+
+def _show(name: str, revision: str, module: str, root: Path) -> str:
+    wanted = f"{revision}:sageturn/decision/{module}.py"
     shown = subprocess.run(["git", "show", wanted], cwd=root, capture_output=True, text=True, check=False)
     if shown.returncode:
         raise ValueError(f"{name}: {shown.stderr.strip()}")
     return shown.stdout
 
 
+def _join(sources: dict[str, str]) -> str:
+    return "".join(f"{FILE_MARK}{module}\n{source}" for module, source in sources.items())
+
+
+def _split(text: str) -> dict[str, str]:
+    """The sources in a policy's text, by module; all of a text without marks is the balancer's."""
+    if not text.startswith(FILE_MARK):
+        return {"balancer": text}
+    sources: dict[str, str] = {}
+    for part in text.split(FILE_MARK)[1:]:
+        module, _, source = part.partition("\n")
+        sources[module] = source
+    return sources
+
+
 @cache
 def load_policy(text: str) -> type[Balancer]:
     """The ``Balancer`` of such a text, in the present one's place; its interface is the same."""
     if not text:
         return Balancer
-    module = ModuleType(f"sageturn_policy_{blake2b(text.encode(), digest_size=6).hexdigest()}")
-    sys.modules[module.__name__] = module
-    exec(compile(text, module.__name__, "exec"), module.__dict__)
+    sources = _split(text)
+    package = f"sageturn_policy_{blake2b(text.encode(), digest_size=6).hexdigest()}"
+    present: dict[str, ModuleType] = {}
+    try:
+        for name in POLICY_MODULES:
+            # Modules that follow import this one in the present one's place, until all are loaded.
+            replaced = f"{decision.__name__}.{name}"
+            present[replaced] = sys.modules[replaced]
+            source = sources.get(name) or Path(str(present[replaced].__file__)).read_text(encoding="utf-8")
+            module = ModuleType(f"{package}.{name}")
+            sys.modules[module.__name__] = module
+            exec(compile(source, module.__name__, "exec"), module.__dict__)
+            sys.modules[replaced] = module
+    finally:
+        sys.modules.update(present)
     found: type[Balancer] = module.__dict__["Balancer"]
     return found
--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -3,6 +3,8 @@
 from __future__ import annotations
 
 import asyncio
+import sys
+import tomllib
 from dataclasses import replace
 from math import exp
 from pathlib import Path
@@ -11,12 +13,12 @@
 import numpy as np
 import pytest
 
-from sageturn.decision import balancer as rules
+from sageturn.decision import balancer, fleet
 from sageturn.lab.compare import compare, difference
 from sageturn.lab.experiment import BadExperiment, Scenario, Size, read_experiment
 from sageturn.lab.host import HostModel
 from sageturn.lab.loopback import deployed
-from sageturn.lab.policy import load_policy, read_policy
+from sageturn.lab.policy import POLICY_MODULES, load_policy, read_policy
 from sageturn.lab.report import markdown, page
 from sageturn.lab.runs import Line, Results
 from sageturn.lab.runs import run as run_experiment
@@ -218,14 +220,36 @@
 
 
 def test_a_policy_from_a_file_is_played(tmp_path: Path) -> None:
-    text = Path(rules.__file__).read_text().replace("LIMIT_START = 8", "LIMIT_START = 1")
-    (tmp_path / "other.py").write_text(text)
+    text = Path(balancer.__file__).read_text()
+    other_text = text.replace("MIN_RETRY_AFTER_MS = 100.0", "MIN_RETRY_AFTER_MS = 200.0")
+    assert other_text != text
+    (tmp_path / "other.py").write_text(other_text)
     other = load_policy(read_policy("other.py", tmp_path))
-    assert other is not rules.Balancer and other.handle is not rules.Balancer.handle
+    assert other is not balancer.Balancer and other.handle is not balancer.Balancer.handle
+    assert other.handle.__globals__["MIN_RETRY_AFTER_MS"] == 200.0
     with pytest.raises(ValueError, match="gone.py"):
         read_policy("gone.py", tmp_path)
 
 
+def test_a_policy_may_replace_any_of_the_files_that_decide(tmp_path: Path) -> None:
+    text = Path(fleet.__file__).read_text()
+    (tmp_path / "policy").mkdir()
+    (tmp_path / "policy" / "fleet.py").write_text(text.replace("EJECTION_MS = 1500.0", "EJECTION_MS = 9.0"))
+    other = load_policy(read_policy("policy", tmp_path))
+    used = other.handle.__globals__["Fleet"]
+    (tmp_path / "empty").mkdir()
+    with pytest.raises(ValueError, match="holds none of"):
+        read_policy("empty", tmp_path)
+    assert used is not fleet.Fleet and used.record_failure.__globals__["EJECTION_MS"] == 9.0
+    assert fleet.EJECTION_MS == 1500.0 and sys.modules["sageturn.decision.fleet"] is fleet
+
+
+def test_the_files_of_a_policy_are_those_of_the_deployment() -> None:
+    root = Path(__file__).parents[2]
+    policy = tomllib.loads((root / "deploy" / "balancer.toml").read_text())["policy"]
+    assert sorted(policy) == sorted(f"sageturn/decision/{module}.py" for module in POLICY_MODULES)
+
+
 def test_a_sweep_finds_where_it_breaks_and_a_hunt_makes_days_small() -> None:
     points = [Point(v, 1.0 - v) for v in (0.0, 0.4, 0.8)]
     at = breaks_at(points, 0.5, lambda v: 1.0 - v)
