--- a/sageturn/frontends/platform.py
+++ b/sageturn/frontends/platform.py
@@ -15,7 +15,7 @@
 from sageturn.core.messages import FinalResponse
 from sageturn.core.request_lifecycle import RequestLifecycle
 from sageturn.core.tasks import cancel_and_wait, sleep_until_elapsed
-from sageturn.decision.load_reports import TEXT_MOST, read_report
+from sageturn.decision.load_reports import MAX_REPORT_BYTES, read_report
 from sageturn.frontends.firstline import LINE_MOST, FirstLine, Malformed, parse_first_line
 from sageturn.frontends.ids import RequestIds
 from sageturn.frontends.pump import Broken, LinePump
@@ -44,7 +44,7 @@
 BACK_WITHIN_S = 7.0
 MOVE_EARLY_S = 0.6  # MOVE has to be put in and to travel, on a core that others may hold for a while
 MUTE_S = BACK_WITHIN_S - LINE_EVERY_S - MOVE_EARLY_S  # how long a line may be left unanswered
-LAST_LINE_MOST = TEXT_MOST + 16  # a word and a load report
+LAST_LINE_MOST = MAX_REPORT_BYTES + 16  # a word and a load report
 LAST_WORD_S = 0.5  # what an ended side may still have coming from the other
 MOVE_S = 0.4  # a stop leaves HURRY_S of core/drain.py for it, and a line may be held back for a second
 
@@ -100,7 +100,7 @@
                 break
             if self._shared.request_registry.is_draining:
                 raise Malformed("stopping")
-            await self._shared.endpoint_registry.usable.wait()
+            await self._shared.endpoint_registry.has_ready_endpoint.wait()
             await asyncio.get_running_loop().sock_sendall(sock, b"PONG\r\n")
         line = parse_first_line(buffer, end, self._classes)
         if not self._ids.take(line.request_id):
@@ -147,7 +147,7 @@
         # What stood there before this relay did goes back there, also while that endpoint drains.
         wanted = None
         if not self._line.ask.established_endpoint:
-            wanted = partial(self._shared.endpoint_registry.ready, endpoint, address)
+            wanted = partial(self._shared.endpoint_registry.is_ready_at, endpoint, address)
         if (held_back := self.lifecycle.blocking_reason(wanted)) is not None:
             return held_back
         sock = await connect(address, connect_ms / 1000.0)
--- a/sageturn/lab/scale/members.py
+++ b/sageturn/lab/scale/members.py
@@ -109,7 +109,7 @@
     one have to agree on that first, and each that comes later takes all anew.
     """
     store.merge(records)
-    store.set_in_step(store.wall())
+    store.set_last_in_sync(store.wall_clock())
 
 
 def store_hash(store: Store) -> str:
@@ -170,7 +170,7 @@
                 read_settings(job["settings"]),
                 job["seed"],
                 Clock(),
-                lambda: self.endpoint_registry.want_watch(),
+                lambda: self.endpoint_registry.request_watch(),
             )
             self.endpoint_registry = EndpointRegistry(
                 EndpointListUpdate(0, True), self.balancer_actor.post_event
@@ -204,7 +204,7 @@
                 "reports_dropped": {},
             }
             self.store.put(f"state/{self.name}/relay", state)
-            await asyncio.sleep(max(every_s, getattr(self.spreader, "state_every_s", 0.0)))
+            await asyncio.sleep(max(every_s, getattr(self.spreader, "state_report_interval_s", 0.0)))
 
     async def stop(self) -> None:
         """As a process that dies: sockets closed, nobody told."""
@@ -247,7 +247,7 @@
                 self.lists_failed += 1
             await hear(watch, said)
 
-        relay.discovery._report = heard
+        relay.discovery.on_event = heard
 
     def told(self) -> dict[str, Any]:
         return _told(self)
@@ -258,7 +258,7 @@
         "hash": store_hash(member.store),
         "records": len(member.store.digest()),
         "running": member.running,
-        "links": getattr(member.spreader, "links", -1),
+        "links": getattr(member.spreader, "link_count", -1),
         "listed_s": member.listed_s,
         "lists": member.lists,
         "lists_failed": member.lists_failed,
--- a/sageturn/relay/ingress.py
+++ b/sageturn/relay/ingress.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Sequence
 
-from sageturn.config.loader import RelayConfig
+from sageturn.config.platform import RelayConfig
 from sageturn.net.admission import AdmissionController
 from sageturn.net.listener import Listener
 from sageturn.net.sockets import limit_descriptors
--- a/sageturn/relay/operator_control.py
+++ b/sageturn/relay/operator_control.py
@@ -9,7 +9,7 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING
 
-from sageturn.config.loader import RelayConfig
+from sageturn.config.platform import RelayConfig
 from sageturn.core.balancer_actor import BalancerActor
 from sageturn.core.endpoint_snapshot import OperatorMarks
 from sageturn.core.request_registry import RequestRegistry
--- a/sageturn/relay/relay.py
+++ b/sageturn/relay/relay.py
@@ -6,7 +6,7 @@
 import signal
 from typing import TYPE_CHECKING
 
-from sageturn.config.loader import RelayConfig
+from sageturn.config.platform import RelayConfig
 from sageturn.core.balancer_actor import BalancerActor
 from sageturn.core.clock import Clock
 from sageturn.core.context import RelayContext
@@ -99,12 +99,12 @@
         """Where there are overrides, the list's events pass through them on their way to the balancer."""
         overrides = self._overrides.actor
         registry = EndpointRegistry(
-            self.config.known,
+            self.config.known_endpoints,
             self.balancer_actor.post_event if overrides is None else overrides.tell,
             self.config.settings.discovery == "push",
         )
         if overrides is not None:
-            registry.out = overrides.out
+            registry.is_out_of_service = overrides.out
         return registry
 
     def _list_subsystems(self) -> tuple[Subsystem, ...]:
@@ -158,7 +158,7 @@
     # ------------------------------------------------------------ callbacks between parts
 
     def _request_watch(self) -> None:
-        self.endpoint_registry.want_watch()
+        self.endpoint_registry.request_watch()
 
     def _on_marks(self, marks: OperatorMarks) -> None:
         self._rebalancing.set_marks(marks)
--- a/sageturn/relay/reload.py
+++ b/sageturn/relay/reload.py
@@ -6,7 +6,8 @@
 import logging
 from collections.abc import Awaitable, Callable
 
-from sageturn.config.loader import ConfigError, RelayConfig
+from sageturn.config.errors import ConfigError
+from sageturn.config.platform import RelayConfig
 from sageturn.net.sockets import DESCRIPTOR_RESERVE
 
 log = logging.getLogger(__name__)
@@ -54,7 +55,7 @@
 
 def log_config_applied(old: RelayConfig, new: RelayConfig) -> None:
     """Names the keys that differ and that a running relay keeps as they were."""
-    kept = old.needs_restart(new)
+    kept = old.keys_needing_restart(new)
     if kept:
         log.info("configuration applied needs_restart=%s", ",".join(kept))
     else:
--- a/sageturn/relay/subsystem.py
+++ b/sageturn/relay/subsystem.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from sageturn.config.loader import RelayConfig
+from sageturn.config.platform import RelayConfig
 from sageturn.relay.supervisor import ActorSupervisor
 
 
--- a/sageturn/relay/subsystems.py
+++ b/sageturn/relay/subsystems.py
@@ -9,7 +9,7 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from sageturn.config.loader import RelayConfig
+from sageturn.config.platform import RelayConfig
 from sageturn.core.context import RelayContext
 from sageturn.core.endpoint_registry import EndpointRegistry
 from sageturn.core.messages import DiscoveryAddressChanged
@@ -70,8 +70,8 @@
 
     async def reload(self, old: RelayConfig, new: RelayConfig) -> None:
         if new.discovery != old.discovery:
-            self._client.move(new.discovery)
-            await self._endpoint_registry.put(DiscoveryAddressChanged())
+            self._client.set_address(new.discovery)
+            await self._endpoint_registry.post_message(DiscoveryAddressChanged())
 
     async def stop(self) -> None:
         await self._client.stop()
@@ -99,11 +99,11 @@
             await self.member.stop()
 
     def state(self) -> dict[str, object] | None:
-        return None if self.member is None else self.member.state()
+        return None if self.member is None else self.member.state_report()
 
     def state_interval_s(self) -> float:
         """How often this member may publish its state at most, so that all members' together stay few."""
-        return 0.0 if self.member is None else self.member.state_every_s
+        return 0.0 if self.member is None else self.member.state_report_interval_s
 
 
 class HealthCheckSubsystem(Subsystem):
--- a/tests/config/test_deployments.py
+++ b/tests/config/test_deployments.py
@@ -38,7 +38,8 @@
     SetTimer,
     TimerFired,
 )
-from sageturn.config.loader import ConfigError, load
+from sageturn.config.errors import ConfigError
+from sageturn.config.loader import load
 from sageturn.config.settings import read_settings
 from sageturn.core.even_pacer import EvenPacer
 from sageturn.core.messages import EndpointListUpdate
@@ -240,7 +241,7 @@
             assert all(e.most_open <= 1 for e in endpoints)
             for endpoint in endpoints:
                 endpoint.script = up
-            relay.balancer_actor._balancer.buckets["south"][0] = 9.0
+            relay.balancer_actor._balancer.admission.buckets["south"].tokens = 9.0
             line = first_line(900).replace(b"c=c,t=t", b"c=deck,t=south")
             reader, writer = await ask(relay.listener.address, line)
             assert await reader.readline() == b"UP r1\r\n"
@@ -257,9 +258,9 @@
     content = json.loads(file.read_text())
     file.write_text(json.dumps({**content, "settings": change(FERRIES, "prices.probe", "dear")}))
     with pytest.raises(ConfigError, match="settings.prices.probe"):
-        load(env, before=before)
+        load(env, previous=before)
     file.write_text(json.dumps({**content, "settings": change(FERRIES, "policyLimits.probes", False)}))
-    assert before.needs_restart(load(env, before=before)) == ["settings"]
+    assert before.keys_needing_restart(load(env, previous=before)) == ["settings"]
 
 
 # ---------------------------------------------------------------- drains
@@ -304,7 +305,7 @@
                     first.append(endpoint)
                     drains = [Endpoint(name, "draining")]
                     await relay.endpoint_registry.on_watch_event(
-                        relay.endpoint_registry._watch, EndpointListUpdate(9, False, drains)
+                        relay.endpoint_registry.watch_number, EndpointListUpdate(9, False, drains)
                     )
                     while relay.endpoint_registry.version != 9:
                         await asyncio.sleep(0)
--- a/tests/store/test_replication_sockets.py
+++ b/tests/store/test_replication_sockets.py
@@ -16,13 +16,16 @@
 import pytest
 from support.replication_fleet import DialSeeds
 
-from sageturn.config.loader import ConfigError, read_operator
+from sageturn.config.errors import ConfigError
+from sageturn.config.operator import read_operator_file
 from sageturn.decision import RequestClass, Settings
 from sageturn.net.admission import AdmissionController, ProcessLimits
 from sageturn.net.sockets import Connect, connect
 from sageturn.store.channel import AuthenticatedChannel, read_secret
-from sageturn.store.records import InvalidRecordError, parse_record
-from sageturn.store.replication.member import ReplicationMember, connected
+from sageturn.store.errors import InvalidRecordError
+from sageturn.store.records import parse_record
+from sageturn.store.replication.ephemeral_client import open_ephemeral_client
+from sageturn.store.replication.member import ReplicationMember
 from sageturn.store.replication.options import ReplicationOptions
 from sageturn.store.replication.wire import decode, encode
 from sageturn.store.store import Store
@@ -76,7 +79,7 @@
     sock = await connect(address, 1.0)
     assert not isinstance(sock, Connect)
     link = AuthenticatedChannel(sock, SECRET, name)
-    await link.shake_hands(True)
+    await link.perform_handshake(True)
     return link, sock
 
 
@@ -114,7 +117,7 @@
         store(members[3]).put("config/x", 1)
         await until(lambda: all(store(m).get("config/x") == 1 for m in members))
         # Whoever has most links dies without a word; nobody's file names anyone but n0.
-        hub = max(members, key=lambda m: m.links)
+        hub = max(members, key=lambda m: m.link_count)
         members.remove(hub)
         await hub.stop()
         for number, member in enumerate(members):
@@ -132,10 +135,10 @@
         members.append(first)
         members.extend(node(f"n{k}", first.address, fixed=False) for k in range(1, 5))
         await until(lambda: all(len(m.replica.members) == 5 for m in members))
-        hub = max(members, key=lambda m: m.links)
+        hub = max(members, key=lambda m: m.link_count)
         members.remove(hub)
         for session in hub.replica.sessions:
-            session.next = lambda now: None  # type: ignore[method-assign]
+            session.next_payload = lambda now: None  # type: ignore[method-assign]
             session.receive = lambda payload, now: None  # type: ignore[method-assign]
         hub.replica.tick = lambda now: ((), now + 60.0)  # type: ignore[method-assign]
         hub._listener.shut()
@@ -158,7 +161,7 @@
         await link.send(greeting("slow"))
         await heard(link, "hello")
         await link.send(encode({"follow": [[0, 0, 0], [0, 0, 0]]}))
-        await until(lambda: hub.links == 2)
+        await until(lambda: hub.link_count == 2)
 
         async def live_on() -> None:
             while True:
@@ -171,10 +174,10 @@
             store(hub).put(f"config/{number}", text)
         await until(lambda: len(store(other).keys("config/")) == 200)
         (session,) = [s for s in hub.replica.sessions if s.peer == "slow"]
-        assert len(session._flying) <= 6, "the rest is not queued for it anywhere"
-        assert hub.links == 2
+        assert session.chunks_in_flight <= 6, "the rest is not queued for it anywhere"
+        assert hub.link_count == 2
         living.cancel()
-        await until(lambda: hub.links == 1)
+        await until(lambda: hub.link_count == 1)
         sock.close()
 
     play(story)
@@ -216,11 +219,11 @@
         await other.stop()
         store(other).close()
         store(hub).put("config/7", "new")
-        taken = hub.replica.budget.taken
+        taken = hub.replica.budget.consumed_bytes
         other = node("o", hub.address, path=tmp_path / "o")
         members.append(other)
         await until(lambda: store(other).get("config/7") == "new")
-        assert hub.replica.budget.taken - taken < 6000
+        assert hub.replica.budget.consumed_bytes - taken < 6000
 
     play(story)
 
@@ -253,7 +256,7 @@
             sock, _ = await asyncio.get_running_loop().sock_accept(listening)
             sock.setblocking(False)
             link = AuthenticatedChannel(sock, SECRET, "old2")
-            await link.shake_hands(False)
+            await link.perform_handshake(False)
             await link.send(b'{"digest":{}}')
             accepted.set_result(decode(await link.receive()))
             sock.close()
@@ -293,7 +296,7 @@
         why, text, _ = await heard(link, "bye")
         assert why == "fault" and reason in text
         sock.close()
-        await until(lambda: members[0].links == 1)
+        await until(lambda: members[0].link_count == 1)
         assert store(members[0]).digest() == before
 
     play(story)
@@ -321,7 +324,7 @@
         else:
             link._key = b"other"
             await link.send(payload)
-        await until(lambda: members[0].links == 0)
+        await until(lambda: members[0].link_count == 0)
         words = {"oversized": "too large", "half": "ended"}.get(harm, "tampered with")
         assert words in caplog.text
         assert store(members[0]).keys() == ["state/n0/member"]
@@ -335,15 +338,15 @@
         members.append(node("n0"))
         for number in range(3000):
             store(members[0]).put(f"config/{number}", Random(number).randbytes(30).hex())
-        async with connected(members[0].address, SECRET) as copy:
+        async with open_ephemeral_client(members[0].address, SECRET) as copy:
             assert len(copy.keys("config/")) == 3000
             copy.put("config/x", 1)
             copy.put("config/7", None)
         assert store(members[0]).get("config/x") == 1 and store(members[0]).get("config/7") is None
         assert not [m for m in members[0].replica.members if m.startswith("operator")], "and it is no member"
-        await until(lambda: members[0].links == 0)
+        await until(lambda: members[0].link_count == 0)
         with pytest.raises(TimeoutError, match="the secrets differ"):
-            async with connected(members[0].address, read_secret("another"), wait_s=0.5):
+            async with open_ephemeral_client(members[0].address, read_secret("another"), wait_s=0.5):
                 pass
 
     play(story)
@@ -405,11 +408,11 @@
     file = tmp_path / "operator.json"
     file.write_text(json.dumps({"store": good}))
     settings = Settings(classes=(RequestClass("c", 500.0),))
-    replication = read_operator(file, settings).replication
-    assert replication is not None and replication.zone == "hue" and replication.octets_per_s == 13_500.0
+    replication = read_operator_file(file, settings).replication
+    assert replication is not None and replication.zone == "hue" and replication.max_bytes_per_s == 13_500.0
     file.write_text(json.dumps({"store": {**good, **change}}))
     with pytest.raises(ConfigError, match=f"operator.store.{key}"):
-        read_operator(file, settings)
+        read_operator_file(file, settings)
 
 
 def test_where_no_replicas_are_configured_nothing_of_it_is_read_in() -> None:
@@ -425,14 +428,14 @@
     async def story(members: list[ReplicationMember]) -> None:
         members.append(node("n0", zone="a"))
         members.append(node("n1", members[0].address, zone="b"))
-        await until(lambda: "r/b" in members[0].replica._heard_zones)
+        await until(lambda: "r/b" in members[0].replica.zone_last_heard)
         await until(lambda: len(members[0].replica.members) == 2)
-        assert members[0].state() == {"links": 1, "in_step": False, "silent_s": {}}
-        members[0].replica._heard_zones["r/b"] -= 47.0
-        members[0].replica._heard_zones["r/c"] = -1e6
-        state = members[0].state()["silent_s"]
+        assert members[0].state_report() == {"links": 1, "in_step": False, "silent_s": {}}
+        members[0].replica.zone_last_heard["r/b"] -= 47.0
+        members[0].replica.zone_last_heard["r/c"] = -1e6
+        state = members[0].state_report()["silent_s"]
         assert isinstance(state, dict) and state["r/b"] == 40 and set(state) == {"r/b", "r/c"}
-        json.dumps(members[0].state())
-        assert members[0].state_every_s == 0.2, "460 members would tell theirs every 46 s"
+        json.dumps(members[0].state_report())
+        assert members[0].state_report_interval_s == 0.2, "460 members would tell theirs every 46 s"
 
     play(story)
