--- a/sageturn/core/close_reason.py
+++ b/sageturn/core/close_reason.py
@@ -1,4 +1,4 @@
-"""Every way in which a connection to an endpoint can end, and what the module is told of each."""
+"""Every way in which a connection to an endpoint can end, and the status the balancer is given for it."""
 
 from __future__ import annotations
 
@@ -8,28 +8,37 @@
 
 
 class CloseReason(Enum):
+    """Why a connection closed. The names in lower case are keys of the state record ``state/NODE/relay``."""
+
     SERVED = auto()  # the endpoint said that it is done
     SENT_AWAY = auto()  # a draining endpoint asked the client to go elsewhere
     ERROR = auto()  # the endpoint answered with an error
-    GARBLED = auto()  # the endpoint answered with something that is no answer
-    BUSY = auto()  # the endpoint turned the request away unseen
-    REFUSED = auto()  # nobody listens there
-    NO_CONNECT = auto()  # the connection never came up
-    CUT_BEFORE_WRITTEN = auto()  # it broke before the request was wholly written
+    GARBLED = auto()  # the endpoint's answer could not be parsed
+    BUSY = auto()  # the endpoint rejected the request without executing it
+    REFUSED = auto()  # connection refused: nobody listens there
+    NO_CONNECT = auto()  # the connection was never established
+    CUT_BEFORE_WRITTEN = auto()  # it broke before the request was written completely
     RESET = auto()  # it broke after that
-    ENDED = auto()  # it was closed without a word after that
-    TIMEOUT = auto()  # nothing came while the relay waited
-    MUTE = auto()  # a standing connection brings nothing back
-    CANCELLED = auto()  # the module called the attempt off
-    MOVED = auto()  # the module, or a shutdown, sent the client elsewhere
-    CUT_OFF = auto()  # it was to be moved, but took no word of it while there was time
+    ENDED = auto()  # the endpoint closed it after that, without an answer
+    TIMEOUT = auto()  # the endpoint did not answer in time
+    MUTE = auto()  # idle timeout: the endpoint of an established connection sends nothing any more
+    CANCELLED = auto()  # the balancer abandoned the attempt
+    MOVED = auto()  # the client was migrated, by the balancer or a shutdown
+    CUT_OFF = auto()  # it was to be migrated, but did not take the notice in time
     CLIENT_LEFT = auto()  # the client closed in order
     CLIENT_RESET = auto()  # the client's connection broke
     CLIENT_FAULT = auto()  # the client did not wait for its answer, and sent more than it may
-    NOT_SENT = auto()  # the relay could not even begin (no address, no descriptor, or its endpoint drains)
+    NOT_SENT = auto()  # the attempt could not begin: no address, no descriptor, or the endpoint drains
+
 
+# The client is gone: it can't be answered any more.
+CLIENT_DISCONNECTED = (CloseReason.CLIENT_LEFT, CloseReason.CLIENT_RESET)
+# No further attempt is made for the client.
+CLIENT_FINISHED = (*CLIENT_DISCONNECTED, CloseReason.CLIENT_FAULT)
+# The endpoint can't have had the complete request, so that the attempt may be repeated at once.
+SURELY_NOT_WRITTEN = (CloseReason.NO_CONNECT, CloseReason.CUT_BEFORE_WRITTEN, CloseReason.NOT_SENT)
 
-_STATUS = {
+_STATUS_BY_REASON = {
     CloseReason.SERVED: "ok",
     CloseReason.SENT_AWAY: "cancelled",
     CloseReason.ERROR: "error",
@@ -53,10 +62,10 @@
 
 
 def outcome_status(close_reason: CloseReason) -> str:
-    """The module's word for an ending; the only place where the two vocabularies meet."""
-    return _STATUS[close_reason]
+    """The balancer's status for a close reason; the only place where the two vocabularies meet."""
+    return _STATUS_BY_REASON[close_reason]
 
 
 def may_have_run(close_reason: CloseReason) -> bool:
-    """By the module's own word on it, so that core and module cannot come to differ."""
+    """Whether the endpoint may have executed the request, by the balancer's own list of statuses."""
     return outcome_status(close_reason) not in NOT_EXECUTED_STATUSES
--- a/sageturn/core/request_lifecycle.py
+++ b/sageturn/core/request_lifecycle.py
@@ -1,6 +1,6 @@
-"""The life of one request: at most so many outbound calls, never two at once, one final answer.
+"""One client request from its arrival to its end: attempts that never overlap, and one final response.
 
-A front supplies a ``ProxyTransport`` for each client; everything that must hold on every wire is here.
+A frontend supplies a ``ProxyTransport`` for each client; whatever must hold for every protocol is here.
 """
 
 from __future__ import annotations
@@ -12,7 +12,14 @@
 
 from sageturn import decision
 from sageturn.core.balancer_actor import BalancerActor
-from sageturn.core.close_reason import CloseReason, may_have_run, outcome_status
+from sageturn.core.close_reason import (
+    CLIENT_DISCONNECTED,
+    CLIENT_FINISHED,
+    SURELY_NOT_WRITTEN,
+    CloseReason,
+    may_have_run,
+    outcome_status,
+)
 from sageturn.core.connection_record import ConnectionRecord
 from sageturn.core.messages import (
     CancelAttempt,
@@ -27,277 +34,321 @@
 
 log = logging.getLogger(__name__)
 
-CLIENT_GONE = (CloseReason.CLIENT_LEFT, CloseReason.CLIENT_RESET)
-CLIENT_OVER = (*CLIENT_GONE, CloseReason.CLIENT_FAULT)
-HURRY_RETRY_MS = 250.0  # by then the front sends the client to another relay
-NEVER_RAN = (CloseReason.NO_CONNECT, CloseReason.CUT_BEFORE_WRITTEN, CloseReason.NOT_SENT)
-RESUME_CONNECT_MS = 5000.0
-ANSWER_EARLY_MS = 15.0  # the last answer has to travel too before the client gives up
+FORCED_DRAIN_RETRY_AFTER_MS = 250.0  # by then the front proxy sends the client to another relay
+ADOPTION_CONNECT_TIMEOUT_MS = 5000.0
+RESPONSE_MARGIN_MS = 15.0  # the final response has to travel too before the client gives up
 
 
 class RequestLifecycle:
-    """Runs one request from its arrival to its end."""
+    """Runs one request from its arrival to its end. Attempts never overlap, and nobody is answered twice."""
 
-    def __init__(self, balancer_actor: BalancerActor, transport: ProxyTransport, ask: ClientRequest) -> None:
-        self._balancer_actor, self._transport = balancer_actor, transport
+    def __init__(
+        self, balancer_actor: BalancerActor, transport: ProxyTransport, request: ClientRequest
+    ) -> None:
+        self.transport = transport
+        self._balancer_actor = balancer_actor
         self.id, self._mailbox = balancer_actor.new_request()
-        self.record = ConnectionRecord(ask, balancer_actor.clock.now_ms())
-        self.drain_requested = asyncio.Event()  # set by a move or a shutdown: the client is to go elsewhere
-        self._give_up_ms = self.record.started_ms + max(0.0, ask.timeout_ms - ANSWER_EARLY_MS)
-        self._answered = False
-        self.drain_forced = asyncio.Event()  # a stop has come to its end: what is still owed is owed at once
-        self._leaving: asyncio.Future[CloseReason] = asyncio.get_running_loop().create_future()
-        self.write_started = False  # something of the attempt that is out may have been written
-        self._ran_ms: float | None = None  # when the first attempt began that may have run
-        self._class = balancer_actor.classes.get(ask.class_name, balancer_actor.settings.classes[0])
+        self.record = ConnectionRecord(request, balancer_actor.clock.now_ms())
+        # Set by a migration or a shutdown: the client of an established connection is to go elsewhere.
+        self.drain_requested = asyncio.Event()
+        # Set when a shutdown has run out of time: what is still owed is owed at once.
+        self.drain_forced = asyncio.Event()
+        self.write_started = False  # something of the attempt in flight may have been written
+        self._deadline_ms = self.record.started_ms + max(0.0, request.timeout_ms - RESPONSE_MARGIN_MS)
+        self._is_answered = False
+        self._client_disconnect: asyncio.Future[CloseReason] = asyncio.get_running_loop().create_future()
+        self._first_execution_ms: float | None = (
+            None  # start of the first attempt that may have been executed
+        )
+        self._class = balancer_actor.classes.get(request.class_name, balancer_actor.settings.classes[0])
 
     @property
     def is_established(self) -> bool:
         return self.record.was_established and self.record.close_reason is None
 
     async def run(self) -> ConnectionRecord:
-        ask = self.record.request
-        self._leaving = asyncio.ensure_future(self._transport.wait_client_disconnect())
+        """Returns the record once the connection has closed, or the request has been answered."""
+        self._client_disconnect = asyncio.ensure_future(self.transport.wait_client_disconnect())
         try:
-            if ask.established_endpoint:
-                await self._resume()
+            if self.record.request.established_endpoint:
+                await self._adopt()
             else:
-                await self._balancer_actor.post_event(
-                    decision.RequestArrived(
-                        self.id,
-                        ask.class_name,
-                        ask.tenant,
-                        self._give_up_ms,
-                        ask.group,
-                        ask.expected_load,
-                        client=ask.client,
-                        returned=ask.returned,
-                        retried=ask.retried,
-                    )
-                )
-                await self._place()
+                await self._balancer_actor.post_event(self._arrival())
+                await self._follow_instructions()
         except Exception:
-            # No fault of this program may leave a client without its answer, or the module with a ghost.
-            log.exception("request %s failed", ask.client_request_id or self.id)
-            await self._balancer_actor.post_event(decision.ClientDisconnected(self.id))
-            close_reason = self.record.close_reason or CloseReason.CANCELLED
-            await self._tell_outcome(
-                max(0, self.record.attempts - 1), self.record.endpoint, close_reason, True
-            )
-            await self._final(FinalResponse(rejected=False, reason="internal"))
+            await self._fail_internally()
         finally:
-            await cancel_and_wait(self._leaving)
+            await cancel_and_wait(self._client_disconnect)
             self._balancer_actor.remove_request(self.id)
             self.record.ended_ms = self._balancer_actor.clock.now_ms()
         return self.record
 
-    # ------------------------------------------------------------ until it stands or is answered
+    def _arrival(self) -> decision.RequestArrived:
+        request = self.record.request
+        return decision.RequestArrived(
+            self.id,
+            request.class_name,
+            request.tenant,
+            self._deadline_ms,
+            request.group,
+            request.expected_load,
+            client=request.client,
+            returned=request.returned,
+            retried=request.retried,
+        )
+
+    async def _fail_internally(self) -> None:
+        """No fault of this program may leave a client unanswered, or the balancer with a stale request."""
+        log.exception("request failed request=%s", self.record.request.client_request_id or self.id)
+        await self._balancer_actor.post_event(decision.ClientDisconnected(self.id))
+        close_reason = self.record.close_reason or CloseReason.CANCELLED
+        attempt = max(0, self.record.attempts - 1)
+        await self._post_outcome(attempt, self.record.endpoint, close_reason, final=True)
+        await self._send_final_response(FinalResponse(rejected=False, reason="internal"))
+
+    # ------------------------------------------------------------ until it is established or answered
 
-    async def _place(self) -> None:
+    async def _follow_instructions(self) -> None:
         while True:
-            # The module answers each event at once and never holds a request, so a client that leaves
-            # now is dealt with a moment later, when there is a call of its own to close.
+            # The balancer answers each event at once and never holds a request, so a client that disconnects
+            # now is dealt with a moment later, when there is an attempt of its own to close.
             match await self._mailbox.get():
-                case StartAttempt(endpoint, patience_ms):
-                    if await self._attempt(endpoint, patience_ms):
+                case StartAttempt(endpoint, timeout_ms):
+                    if await self._attempt(endpoint, timeout_ms):
                         return
-                case FinalResponse() as answer:
-                    await self._final(answer)
+                case FinalResponse() as response:
+                    await self._send_final_response(response)
                     return
                 case CancelAttempt() | RedirectClient():
-                    pass  # word on a call that has ended meanwhile
+                    pass  # meant for an attempt that has ended meanwhile
 
-    async def _attempt(self, endpoint: str, patience_ms: float) -> bool:
-        """One outbound call to its end; True when the request needs nothing more."""
+    async def _attempt(self, endpoint: str, timeout_ms: float) -> bool:
+        """One attempt to its end; True when the request needs nothing more."""
         attempt = self.record.attempts
         self.record.attempts += 1
-        self.record.endpoint, self.record.load_report = endpoint, {}
-        left_ms = self._give_up_ms - self._balancer_actor.clock.now_ms()
-        sent_ms = self._balancer_actor.clock.now_ms()
-        connect_ms = self._balancer_actor.settings.connect_timeout_ms
-        close_reason = await self._call(endpoint, min(patience_ms or left_ms, left_ms), connect_ms)
+        self.record.endpoint = endpoint
+        self.record.load_report = {}
+        clock = self._balancer_actor.clock
+        remaining_ms = self._deadline_ms - clock.now_ms()
+        started_ms = clock.now_ms()
+        connect_timeout_ms = self._balancer_actor.settings.connect_timeout_ms
+        close_reason = await self._open_upstream(
+            endpoint, min(timeout_ms or remaining_ms, remaining_ms), connect_timeout_ms
+        )
         if close_reason is None:
-            took_ms = self._balancer_actor.clock.now_ms() - sent_ms
+            took_ms = clock.now_ms() - started_ms
             await self._balancer_actor.post_event(
                 decision.ConnectionEstablished(self.id, attempt, endpoint, took_ms)
             )
-            await self._stand(attempt, endpoint)
+            await self._proxy(attempt, endpoint)
             return True
         self.record.close_reason = close_reason
-        if self._ran_ms is None and may_have_run(close_reason):
-            self._ran_ms = sent_ms
-        if close_reason in CLIENT_OVER or self.drain_forced.is_set():
-            # Nothing more is owed to the module's request, but the outcome of its attempt is.
-            await self._balancer_actor.post_event(decision.ClientDisconnected(self.id))
-            await self._tell_outcome(attempt, endpoint, close_reason, True)
-            if close_reason is CloseReason.CLIENT_FAULT:
-                await self._final(FinalResponse(rejected=False, reason="wait for the answer"))
-            elif close_reason not in CLIENT_GONE:
-                await self._final(self._hurried())
+        if self._first_execution_ms is None and may_have_run(close_reason):
+            self._first_execution_ms = started_ms
+        if close_reason in CLIENT_FINISHED or self.drain_forced.is_set():
+            await self._abort(attempt, endpoint, close_reason)
             return True
-        await self._tell_outcome(attempt, endpoint, close_reason, False)
+        await self._post_outcome(attempt, endpoint, close_reason, final=False)
         return False
 
-    async def _tell_outcome(
-        self, attempt: int, endpoint: str, close_reason: CloseReason, final: bool
+    async def _abort(self, attempt: int, endpoint: str, close_reason: CloseReason) -> None:
+        """Nothing more is owed to the balancer's request, but the outcome of its attempt is."""
+        await self._balancer_actor.post_event(decision.ClientDisconnected(self.id))
+        await self._post_outcome(attempt, endpoint, close_reason, final=True)
+        if close_reason is CloseReason.CLIENT_FAULT:
+            await self._send_final_response(FinalResponse(rejected=False, reason="wait for the answer"))
+        elif close_reason not in CLIENT_DISCONNECTED:
+            await self._send_final_response(self._forced_drain_response())
+
+    async def _post_outcome(
+        self, attempt: int, endpoint: str, close_reason: CloseReason, *, final: bool
     ) -> None:
-        status, report = outcome_status(close_reason), self.record.load_report
+        status = outcome_status(close_reason)
         await self._balancer_actor.post_event(
-            decision.AttemptEnded(self.id, attempt, endpoint, status, final, report)
+            decision.AttemptEnded(self.id, attempt, endpoint, status, final, self.record.load_report)
         )
 
-    def _hurried(self) -> FinalResponse:
-        """What a request hears that a stop leaves no more time: a refusal only where that is no lie."""
-        rejected = self._class.is_rejectable(self._ran_ms is not None)
-        return FinalResponse(rejected, HURRY_RETRY_MS if rejected else 0.0, "shutdown")
+    def _forced_drain_response(self) -> FinalResponse:
+        """For a request that a shutdown leaves no more time: a rejection says that a retry is harmless."""
+        rejected = self._class.is_rejectable(self._first_execution_ms is not None)
+        return FinalResponse(rejected, FORCED_DRAIN_RETRY_AFTER_MS if rejected else 0.0, "shutdown")
+
+    async def _send_final_response(self, response: FinalResponse) -> None:
+        if self._is_answered:
+            return
+        self._is_answered = True
+        self.record.final_response = response
+        await cancel_and_wait(self._client_disconnect)
+        await self.transport.send_final_response(response)
+
+    # ------------------------------------------------------------ whether an attempt may go on
 
     def idempotency_key_remaining_ms(self) -> float:
         """How long a further attempt may still be written: its last byte counts, not when it was decided.
 
-        Counted from the same moment as the module's, or a little later, so that the module won't decide on
-        another attempt once this says that it is too late for one.
+        Counted from the same moment as the balancer's, or a little later, so that the balancer won't decide
+        on another attempt once this says that it is too late for one.
         """
-        if self._ran_ms is None or self._class.effect != "keyed":
+        if self._first_execution_ms is None or self._class.effect != "keyed":
             return math.inf
-        return self._ran_ms + self._class.key_ttl_ms - self._balancer_actor.clock.now_ms()
+        return self._first_execution_ms + self._class.key_ttl_ms - self._balancer_actor.clock.now_ms()
+
+    def blocking_reason(self, is_endpoint_usable: Callable[[], bool] | None = None) -> CloseReason | None:
+        """Why nothing may be begun for the request at this very moment, or None.
 
-    def blocking_reason(self, wanted: Callable[[], bool] | None = None) -> CloseReason | None:
-        """Why nothing may be begun for the request at this very moment, or None. For as long as a connection
-        comes up, or other work has the core, its client may have gone, a stop come to its end, its key's time
-        run out, or ``wanted`` turned false: whether its endpoint may still be given it.
+        While a connection comes up, or other work has the core, the client may have gone, a shutdown run out
+        of time, the idempotency key expired, or ``is_endpoint_usable`` turned false.
         """
-        if self._leaving.done():
-            return self._leaving.result()
-        if (gone := self._transport.poll_client()) is not None:
-            return gone
-        if (
-            self.drain_forced.is_set()
-            or self.idempotency_key_remaining_ms() < 0
-            or (wanted is not None and not wanted())
-        ):
+        if self._client_disconnect.done():
+            return self._client_disconnect.result()
+        if (disconnected := self.transport.poll_client()) is not None:
+            return disconnected
+        if self.drain_forced.is_set() or self.idempotency_key_remaining_ms() < 0:
+            return CloseReason.NOT_SENT
+        if is_endpoint_usable is not None and not is_endpoint_usable():
             return CloseReason.NOT_SENT
         return None
 
-    def check_before_write(self, wanted: Callable[[], bool] | None = None) -> CloseReason | None:
-        """As ``blocking_reason``; where it gives None, the request may have run from then on."""
-        close_reason = self.blocking_reason(wanted)
+    def check_before_write(self, is_endpoint_usable: Callable[[], bool] | None = None) -> CloseReason | None:
+        """As ``blocking_reason``; where it gives None, the request may have been executed from then on."""
+        close_reason = self.blocking_reason(is_endpoint_usable)
         self.write_started = close_reason is None
         return close_reason
 
-    async def _call(self, endpoint: str, patience_ms: float, connect_ms: float) -> CloseReason | None:
+    # ------------------------------------------------------------ one attempt's connection
+
+    async def _open_upstream(
+        self, endpoint: str, timeout_ms: float, connect_timeout_ms: float
+    ) -> CloseReason | None:
+        """Open the endpoint's connection; None once it is established and the client still there."""
         self.write_started = False
-        if self._leaving.done():
-            return self._leaving.result()
-        if patience_ms <= 0 or self.drain_forced.is_set():
+        if self._client_disconnect.done():
+            return self._client_disconnect.result()
+        if timeout_ms <= 0 or self.drain_forced.is_set():
             return CloseReason.NOT_SENT
-        over = asyncio.ensure_future(self.drain_forced.wait())
-        calling = asyncio.ensure_future(
-            self._transport.open_upstream(endpoint, patience_ms, min(connect_ms, patience_ms))
+        close_reason = await self._open_unless_aborted(
+            endpoint, timeout_ms, min(connect_timeout_ms, timeout_ms)
         )
-        try:
-            await asyncio.wait((calling, self._leaving, over), return_when=asyncio.FIRST_COMPLETED)
-        finally:
-            over.cancel()
-            if not calling.done():
-                # Never two at once: the next step waits until this call's connection is closed.
-                calling.cancel()
-                await asyncio.wait((calling,))
-        if calling.cancelled():
-            close_reason: CloseReason | None = (
-                CloseReason.CANCELLED if self.write_started else CloseReason.NOT_SENT
-            )
-        else:
-            close_reason = calling.result()
-        if self._leaving.done():
+        if self._client_disconnect.done():
             if close_reason is None:
-                await self._transport.close_upstream()
-            return self._leaving.result()
+                await self.transport.close_upstream()
+            return self._client_disconnect.result()
         return close_reason
 
+    async def _open_unless_aborted(
+        self, endpoint: str, timeout_ms: float, connect_timeout_ms: float
+    ) -> CloseReason | None:
+        """Cancel the attempt as soon as the client disconnects or the drain is forced."""
+        drain_forced = asyncio.ensure_future(self.drain_forced.wait())
+        opening = asyncio.ensure_future(
+            self.transport.open_upstream(endpoint, timeout_ms, connect_timeout_ms)
+        )
+        try:
+            await asyncio.wait(
+                (opening, self._client_disconnect, drain_forced), return_when=asyncio.FIRST_COMPLETED
+            )
+        finally:
+            drain_forced.cancel()
+            if not opening.done():
+                # Never two at once: the next step waits until this attempt's connection is closed.
+                opening.cancel()
+                await asyncio.wait((opening,))
+        if opening.cancelled():
+            return CloseReason.CANCELLED if self.write_started else CloseReason.NOT_SENT
+        return opening.result()
+
+    # ------------------------------------------------------------ while it is established
+
     def begin_drain(self) -> None:
-        """The relay is about to stop: the client is moved, if nobody has asked it to go yet."""
+        """The relay is about to stop: the client is migrated, unless that has been asked for already."""
         if not self.drain_requested.is_set():
             self.drain_requested.set()
             if self.is_established:
                 self._balancer_actor.notify_migrated_by_shutdown(self.id)
 
     def force_drain(self) -> None:
-        """The relay is about to stop: a request not yet served is answered now."""
+        """The relay is about to stop: a request that isn't served yet is answered now."""
         self.drain_forced.set()
 
-    async def _final(self, answer: FinalResponse) -> None:
-        if self._answered:
-            return
-        self._answered = True
-        self.record.final_response = answer
-        await cancel_and_wait(self._leaving)
-        await self._transport.send_final_response(answer)
-
-    # ------------------------------------------------------------ while it stands
-
-    async def _stand(self, attempt: int, endpoint: str) -> None:
-        await cancel_and_wait(self._leaving)
-        self._answered = True
-        self.record.was_established, self.record.close_reason = True, None
-        moving = asyncio.ensure_future(self._await_move())
+    async def _proxy(self, attempt: int, endpoint: str) -> None:
+        await cancel_and_wait(self._client_disconnect)
+        self._is_answered = True
+        self.record.was_established = True
+        self.record.close_reason = None
+        redirect = asyncio.ensure_future(self._await_redirect())
         try:
             try:
-                await self._transport.accept_client()
+                await self.transport.accept_client()
             except OSError:
                 self.record.close_reason = CloseReason.CLIENT_RESET
-                await self._transport.close_upstream()
+                await self.transport.close_upstream()
             else:
-                self.record.close_reason = await self._transport.relay_traffic(self.drain_requested)
+                self.record.close_reason = await self.transport.relay_traffic(self.drain_requested)
         finally:
-            moving.cancel()
+            redirect.cancel()
             close_reason = self.record.close_reason or CloseReason.CLIENT_RESET
             self.record.close_reason = close_reason
-            await self._tell_outcome(attempt, endpoint, close_reason, True)
+            await self._post_outcome(attempt, endpoint, close_reason, final=True)
 
-    async def _await_move(self) -> None:
+    async def _await_redirect(self) -> None:
         instruction: Instruction | None = None
         while not isinstance(instruction, RedirectClient):
             instruction = await self._mailbox.get()
         self.drain_requested.set()
 
     async def report_load(self, value: float) -> None:
-        """What the endpoint says of this connection's load, in microseconds of work a second."""
+        """What the endpoint reports of this connection's load, in microseconds of work a second."""
         attempt = max(0, self.record.attempts - 1)
-        note = decision.MeasurementReported(self.id, attempt, self.record.endpoint, "load", value / 1000.0)
-        await self._balancer_actor.post_event(note)
+        measurement = decision.MeasurementReported(
+            self.id, attempt, self.record.endpoint, "load", value / 1000.0
+        )
+        await self._balancer_actor.post_event(measurement)
 
-    # ------------------------------------------------------------ stood before this relay did
+    # ------------------------------------------------------------ established before this relay started
 
-    async def _resume(self) -> None:
-        """All of these come at once, and nowhere else will do: a connect that takes long is no bad sign."""
-        ask = self.record.request
-        self.record.endpoint = ask.established_endpoint
-        close_reason: CloseReason | None = CloseReason.NOT_SENT
-        while self.record.attempts < self._balancer_actor.settings.max_attempts and close_reason in NEVER_RAN:
-            self.record.attempts += 1
-            left_ms = max(1.0, self._give_up_ms - self._balancer_actor.clock.now_ms())
-            close_reason = await self._call(ask.established_endpoint, left_ms, RESUME_CONNECT_MS)
-            if self.drain_forced.is_set():
-                break
+    async def _adopt(self) -> None:
+        """Reconnect to the endpoint that held the connection; no other will do.
+
+        All of these come at once after a restart, so a connect that takes long is no sign of a fault.
+        """
+        request = self.record.request
+        self.record.endpoint = request.established_endpoint
+        close_reason = await self._reconnect(request.established_endpoint)
         if close_reason is not None:
-            self.record.close_reason = close_reason
-            if may_have_run(close_reason):
-                self._ran_ms = self.record.started_ms
-            if close_reason not in CLIENT_GONE:
-                lost = FinalResponse(rejected=False, reason="lost")
-                await self._final(self._hurried() if self.drain_forced.is_set() else lost)
+            await self._fail_adoption(close_reason)
             return
         await self._balancer_actor.post_event(
             decision.ConnectionAdopted(
                 self.id,
-                ask.class_name,
-                ask.tenant,
-                ask.established_endpoint,
-                ask.group,
-                ask.expected_load,
-                ask.client,
+                request.class_name,
+                request.tenant,
+                request.established_endpoint,
+                request.group,
+                request.expected_load,
+                request.client,
             )
         )
-        await self._stand(
-            0, ask.established_endpoint
-        )  # to the module it is the first, however often it was called
+        # To the balancer it is attempt 0, however many there were.
+        await self._proxy(0, request.established_endpoint)
+
+    async def _reconnect(self, endpoint: str) -> CloseReason | None:
+        close_reason: CloseReason | None = CloseReason.NOT_SENT
+        max_attempts = self._balancer_actor.settings.max_attempts
+        while self.record.attempts < max_attempts and close_reason in SURELY_NOT_WRITTEN:
+            self.record.attempts += 1
+            remaining_ms = max(1.0, self._deadline_ms - self._balancer_actor.clock.now_ms())
+            close_reason = await self._open_upstream(endpoint, remaining_ms, ADOPTION_CONNECT_TIMEOUT_MS)
+            if self.drain_forced.is_set():
+                break
+        return close_reason
+
+    async def _fail_adoption(self, close_reason: CloseReason) -> None:
+        self.record.close_reason = close_reason
+        if may_have_run(close_reason):
+            self._first_execution_ms = self.record.started_ms
+        if close_reason in CLIENT_DISCONNECTED:
+            return
+        if self.drain_forced.is_set():
+            await self._send_final_response(self._forced_drain_response())
+        else:
+            await self._send_final_response(FinalResponse(rejected=False, reason="lost"))
--- a/tests/core/test_client_disconnects.py
+++ b/tests/core/test_client_disconnects.py
@@ -266,7 +266,7 @@
             reader, writer = await ask(relay.listener.address, first_line(3000))
             await until(lambda: endpoint.lines)
             (lifecycle,) = relay.request_registry
-            wire: Any = lifecycle._transport
+            wire: Any = lifecycle.transport
             seen: asyncio.Future[None] = loop.create_future()
 
             def each_turn() -> None:
