--- a/sageturn/__main__.py
+++ b/sageturn/__main__.py
@@ -18,23 +18,23 @@
 
 
 def main() -> int:
-    # Their usual effect is to end the process at once. Held back until the relay can do what they ask for.
+    # Their default action ends the process at once. Blocked until the relay has its handlers.
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
     parser = argparse.ArgumentParser(prog="sageturn", description="A relay for long-lived connections.")
     parser.add_argument("--operator", metavar="FILE", help="an operator's file, such as deploy/xmpp.json")
     options = parser.parse_args()
     try:
-        settled = load(operator_file=options.operator)
+        config = load(operator_file=options.operator)
     except ConfigError as error:
         print(f"sageturn: {error}", file=sys.stderr)
         return 2
-    logging.basicConfig(level=settled.log_level, format="%(asctime)s %(levelname)s %(name)s: %(message)s")
+    logging.basicConfig(level=config.log_level, format="%(asctime)s %(levelname)s %(name)s: %(message)s")
     try:
-        relay = Relay(settled, partial(load, None, options.operator))
+        relay = Relay(config, partial(load, None, options.operator))
     except (OSError, LogCorruptedError) as error:
         print(f"sageturn: {error}", file=sys.stderr)
         return 2
-    gc.freeze()  # what was made at the start stays: collections need not walk it again and again
+    gc.freeze()  # objects made at the start live on: collections need not traverse them again and again
     uvloop.run(relay.run())
     return 0
 
--- a/sageturn/core/__init__.py
+++ b/sageturn/core/__init__.py
@@ -1,1 +1,1 @@
-"""What the relay does, whatever wire its clients speak: no socket, no HTTP and no XML in here."""
+"""What the relay does whatever protocol its clients speak: nothing here knows sockets, HTTP or XML."""
--- a/sageturn/core/balancer_actor.py
+++ b/sageturn/core/balancer_actor.py
@@ -1,4 +1,4 @@
-"""The module's actor: the only caller of ``Balancer``. It owns its clock, its timers and its ids."""
+"""The only caller of ``Balancer``: owns its clock, its timers and the requests' ids."""
 
 from __future__ import annotations
 
@@ -15,50 +15,50 @@
 
 log = logging.getLogger(__name__)
 
-MAILBOX = 4096  # events waiting; far more than all connections can have out at once
-REQUEST_MAILBOX = 8  # an answer, a call and a move are all that can be due together
-SIM_IDS = 1 << 32
+MAX_QUEUED_EVENTS = 4096  # far more than all connections can have in flight at once
+MAX_QUEUED_INSTRUCTIONS = 8  # a response, an attempt and a redirect are all that can be due together
+REQUEST_ID_COUNT = 1 << 32  # as many as the simulator's protocol has
 
 
 class BalancerObserver(Protocol):
-    """Sees all that passes between the module and its events. It decides nothing, and may never wait."""
+    """Sees every event of the balancer and its actions. It decides nothing, and may never block."""
 
     def before_event(self, now_ms: float, event: decision.Event) -> None:
-        """May say more in a request, before the module gets it."""
+        """May fill in fields of a request's event, before the balancer gets it."""
 
-    def after_event(
-        self, now_ms: float, event: decision.Event, actions: Sequence[decision.Action]
-    ) -> None: ...
+    def after_event(self, now_ms: float, event: decision.Event, actions: Sequence[decision.Action]) -> None:
+        """The balancer has decided; its actions are about to be carried out."""
 
     def on_migrated_by_others(self, now_ms: float, request_id: int) -> None:
-        """A stop of the relay moves a connection, unasked by the module."""
+        """A graceful shutdown migrates a connection, which the balancer has not asked for."""
 
 
 class BalancerActor:
-    """Turns messages into the module's events, and its actions into messages."""
+    """Feeds the balancer with events one by one, and turns its actions into instructions to requests."""
 
     def __init__(
-        self, settings: decision.Settings, seed: int, clock: Clock, watch: Callable[[], None]
+        self, settings: decision.Settings, seed: int, clock: Clock, request_watch: Callable[[], None]
     ) -> None:
         self.settings = settings
-        self.classes = {c.name: c for c in settings.classes}
+        self.classes = {cls.name: cls for cls in settings.classes}
         self.clock = clock
         self._balancer = Balancer(settings, seed)
-        self._watch = watch
-        self._mailbox: asyncio.Queue[decision.Event] = asyncio.Queue(MAILBOX)
+        self._request_watch = request_watch
+        self._mailbox: asyncio.Queue[decision.Event] = asyncio.Queue(MAX_QUEUED_EVENTS)
         self._requests: dict[int, asyncio.Queue[Instruction]] = {}
         self._last_id = 0
         self._timers: set[asyncio.TimerHandle] = set()
-        self.placements: list[tuple[int, str]] | None = None  # a test's record of every Send
+        self.placements: list[tuple[int, str]] | None = None  # tests record every placement here
         self.observers: list[BalancerObserver] = []
         # Sends a health check to an endpoint; the relay sets it where the settings allow health checks.
         self.check_endpoint_health: Callable[[str], None] = lambda endpoint: None
 
-    # ------------------------------------------------------------ for others
+    # ------------------------------------------------------------ for requests and other parts
 
     def new_request(self) -> tuple[int, asyncio.Queue[Instruction]]:
-        self._last_id = (self._last_id + 1) % SIM_IDS
-        mailbox: asyncio.Queue[Instruction] = asyncio.Queue(REQUEST_MAILBOX)
+        """A new request's id, and the mailbox by which it gets its instructions until ``remove_request``."""
+        self._last_id = (self._last_id + 1) % REQUEST_ID_COUNT
+        mailbox: asyncio.Queue[Instruction] = asyncio.Queue(MAX_QUEUED_INSTRUCTIONS)
         self._requests[self._last_id] = mailbox
         return self._last_id, mailbox
 
@@ -66,24 +66,26 @@
         self._requests.pop(request_id, None)
 
     async def post_event(self, event: decision.Event) -> None:
-        """Waits while the mailbox is full, so that whoever floods it is held back."""
+        """Waits while the mailbox is full: backpressure on whoever floods it."""
         await self._mailbox.put(event)
 
     def migrate_connection(self, request_id: int) -> None:
-        """Ask a standing connection's client to come again, as a move of the module's own does."""
+        """Have an established connection's client reconnect, as a migration of the balancer's own does."""
         self._instruct(request_id, RedirectClient())
 
     def notify_migrated_by_shutdown(self, request_id: int) -> None:
+        """Called by a request whose client a graceful shutdown sends elsewhere."""
         for observer in self.observers:
             observer.on_migrated_by_others(self.clock.now_ms(), request_id)
 
     def snapshot_endpoints(self, names: Iterable[str] | None = None) -> list[EndpointSnapshot]:
-        """The hosts as the module believes them to be; all that are not gone, or those named."""
+        """The endpoints as the balancer sees them now: all that are not gone, or those named."""
         return snapshot_endpoints(self._balancer, self.clock.now_ms(), names)
 
     # ------------------------------------------------------------ the actor
 
     async def run(self) -> None:
+        """Handle events until cancelled."""
         try:
             while True:
                 self._handle(await self._mailbox.get())
@@ -94,30 +96,35 @@
     def _handle(self, event: decision.Event) -> None:
         now_ms = self.clock.now_ms()
         for observer in list(self.observers):
-            self._attend(observer, observer.before_event, now_ms, event)
+            self._notify(observer, observer.before_event, now_ms, event)
         try:
             actions = self._balancer.handle(now_ms, event)
         except Exception:
-            # One event that the module cannot take must not cost all the others their connections.
-            log.exception("the module failed on %s", type(event).__name__)
-            owner = getattr(event, "id", None)
-            if owner is not None:
-                self._instruct(owner, FinalResponse(rejected=False, reason="internal"))
+            self._fail_event(event)
             return
         for observer in list(self.observers):
-            self._attend(observer, observer.after_event, now_ms, event, actions)
+            self._notify(observer, observer.after_event, now_ms, event, actions)
         for action in actions:
             try:
                 self._act(action)
             except Exception:
-                log.exception("%s could not be done", type(action).__name__)  # the others still can
-
-    def _attend(self, observer: BalancerObserver, hear: Callable[..., None], *what: object) -> None:
-        """A companion that fails is let go: no decision may wait for it, or be lost with it."""
+                log.exception(
+                    "action failed action=%s", type(action).__name__
+                )  # the others still can be done
+
+    def _fail_event(self, event: decision.Event) -> None:
+        """One event that the balancer fails on must not cost all other requests their connections."""
+        log.exception("balancer failed event=%s", type(event).__name__)
+        request_id = getattr(event, "id", None)
+        if request_id is not None:
+            self._instruct(request_id, FinalResponse(rejected=False, reason="internal"))
+
+    def _notify(self, observer: BalancerObserver, callback: Callable[..., None], *arguments: object) -> None:
+        """An observer that fails is removed: no decision may wait for it, or be lost with it."""
         try:
-            hear(*what)
+            callback(*arguments)
         except Exception:
-            log.exception("a companion of the module failed, and is no longer told anything")
+            log.exception("observer failed and was removed observer=%s", type(observer).__name__)
             self.observers.remove(observer)
 
     def _act(self, action: decision.Action) -> None:
@@ -137,23 +144,23 @@
             case decision.SetTimer(delay_ms, mark):
                 self._set_timer(delay_ms, mark)
             case decision.WatchEndpoints():
-                self._watch()
+                self._request_watch()
             case decision.CheckHealth(endpoint):
                 self.check_endpoint_health(endpoint)
 
     def _instruct(self, request_id: int, instruction: Instruction) -> None:
         mailbox = self._requests.get(request_id)
         if mailbox is None:
-            return  # the connection ended while the module still thought it stood
+            return  # the connection closed before the balancer was told
         try:
             mailbox.put_nowait(instruction)
         except asyncio.QueueFull:
-            log.error("request %d left its mailbox unread; %r is lost", request_id, instruction)
+            log.error("instruction lost, mailbox full request_id=%d instruction=%r", request_id, instruction)
 
     def _set_timer(self, delay_ms: float, mark: str) -> None:
-        def due() -> None:
+        def on_timer() -> None:
             self._timers.discard(handle)
             self._handle(decision.TimerFired(mark))
 
-        handle = asyncio.get_running_loop().call_later(delay_ms / 1000.0, due)
+        handle = asyncio.get_running_loop().call_later(delay_ms / 1000.0, on_timer)
         self._timers.add(handle)
--- a/sageturn/core/clock.py
+++ b/sageturn/core/clock.py
@@ -1,4 +1,4 @@
-"""One clock for all that the decision module sees."""
+"""The one clock of everything that the balancer sees."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 class Clock:
     """Unix time in milliseconds that never goes back.
 
-    Discovery tells starts in Unix time, so the module's clock has to share that zero; deadlines must
-    survive a step of the system's clock, so only the start is read from it.
+    Discovery gives start times in Unix time, so the balancer's clock has to share that epoch; deadlines must
+    survive a step of the system's clock, so the epoch's offset is read once.
     """
 
     def __init__(self) -> None:
-        self._zero_ms = time.time() * 1000.0 - time.monotonic() * 1000.0
+        self._offset_ms = time.time() * 1000.0 - time.monotonic() * 1000.0
 
     def now_ms(self) -> float:
-        return self._zero_ms + time.monotonic() * 1000.0
+        return self._offset_ms + time.monotonic() * 1000.0
--- a/sageturn/core/connection_record.py
+++ b/sageturn/core/connection_record.py
@@ -10,12 +10,12 @@
 
 @dataclass(slots=True)
 class ConnectionRecord:
-    """What is known of a connection when it has ended; flows are exported from it."""
+    """Filled in by the request's lifecycle and its frontend. Times are Unix time in milliseconds."""
 
     request: ClientRequest
     started_ms: float
     ended_ms: float = 0.0
-    endpoint: str = ""
+    endpoint: str = ""  # of the latest attempt
     attempts: int = 0
     was_established: bool = False
     close_reason: CloseReason | None = None
@@ -23,7 +23,7 @@
     frontend: str = "platform"
     client_address: tuple[str, int] = ("0.0.0.0", 0)
     endpoint_address: tuple[str, int] = ("0.0.0.0", 0)
-    bytes_to_endpoint: int = 0  # passed on to the endpoint while it stood
+    bytes_to_endpoint: int = 0  # forwarded while it was established
     bytes_to_client: int = 0
-    load_report: dict[str, float] = field(default_factory=dict)  # the endpoint's load, with its last answer
-    endpoint_idle_s: float = 0.0  # how long nothing had come from the endpoint when it ended, if it stood
+    load_report: dict[str, float] = field(default_factory=dict)  # the endpoint's load, with its latest answer
+    endpoint_idle_s: float = 0.0  # since the endpoint's latest data, when an established connection closed
--- a/sageturn/core/context.py
+++ b/sageturn/core/context.py
@@ -1,4 +1,4 @@
-"""What every connection of every front needs of the core."""
+"""What every client connection needs of the core, whichever frontend it came by."""
 
 from __future__ import annotations
 
@@ -15,14 +15,17 @@
 
 @dataclass(slots=True)
 class RelayContext:
+    """Shared by all frontends and connections of one relay."""
+
     balancer_actor: BalancerActor
     endpoint_registry: EndpointRegistry
     request_registry: RequestRegistry
     on_connection_closed: Callable[[ConnectionRecord], None]
-    # Values of load reports that could not be used, by the report's field.
+    # How many values of load reports could not be used, by the report's field.
     invalid_report_values: Counter[str] = field(default_factory=Counter)
 
     async def run_request(self, lifecycle: RequestLifecycle) -> None:
+        """Run a request to its end, registered for a graceful shutdown, and hand on its record."""
         self.request_registry.add(lifecycle)
         try:
             self.on_connection_closed(await lifecycle.run())
--- a/sageturn/core/endpoint_snapshot.py
+++ b/sageturn/core/endpoint_snapshot.py
@@ -1,4 +1,4 @@
-"""The hosts as the decision module believes them to be, for those who plan around its decisions."""
+"""The endpoints as the balancer sees them, for those who plan around its decisions."""
 
 from __future__ import annotations
 
@@ -6,57 +6,67 @@
 from dataclasses import dataclass
 
 from sageturn.decision.balancer import Balancer
+from sageturn.decision.state import EndpointState
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointSnapshot:
-    """A host as the decision module sees it now. ``size`` has its kind and its warm-up in it."""
+    """One endpoint as the balancer sees it now. ``size`` includes its weight and its slow start."""
 
     name: str
     size: float
-    ready: bool  # listed ready, and not put out
-    available_capacity: int  # set-ups it may be sent before it has answered any: 0 when it is full or closed
+    ready: bool  # listed ready, and not ejected
+    available_capacity: int  # attempts it may be sent before it has answered any: 0 when it is full or closed
     zone: str = ""
     draining: bool = False
-    ejected: bool = False  # listed ready, but put out for failing
+    ejected: bool = False  # listed ready, but ejected for failing
     started_ms: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class OperatorMarks:
-    """Hosts that operators have marked: not rebalanced, out of service, and to be cleared of connections."""
+    """The names of endpoints that operators have marked."""
 
     rebalance_excluded: frozenset[str] = frozenset()
     out_of_service: frozenset[str] = frozenset()
-    evacuating: frozenset[str] = frozenset()
+    evacuating: frozenset[str] = frozenset()  # all their connections are to be migrated
 
 
 def snapshot_endpoints(
     balancer: Balancer, now_ms: float, names: Iterable[str] | None = None
 ) -> list[EndpointSnapshot]:
-    """Every host that is not gone, or those named, in the order in which the module came to know them."""
-    views = []
-    warm_ms = balancer.settings.slow_start_ms
+    """Every endpoint that is not gone, in the order in which the balancer came to know them.
+
+    With ``names`` only those, in the order of their names.
+    """
     known = balancer.endpoints
-    for s in known.values() if names is None else [known[n] for n in sorted(names) if n in known]:
-        if s.state == "gone":
-            continue
-        shut = s.closed or now_ms < s.saturated_until_ms or not s.ready or s.is_at_quota()
-        room = 0 if shut else max(0, s.concurrency_limit - s.in_flight)
-        if s.slow_start and now_ms < s.started_at_ms + warm_ms:
-            turn = balancer.fleet.has_slow_start_turn(now_ms, s)
-            room = min(room, turn)  # its budget is spent one by one
-        out = s.state == "ready" and not s.ready
-        views.append(
-            EndpointSnapshot(
-                s.name,
-                s.effective_weight,
-                s.ready,
-                room,
-                s.zone,
-                s.state == "draining",
-                out,
-                s.started_at_ms,
-            )
-        )
-    return views
+    if names is None:
+        chosen = list(known.values())
+    else:
+        chosen = [known[name] for name in sorted(names) if name in known]
+    return [_snapshot(balancer, now_ms, endpoint) for endpoint in chosen if endpoint.state != "gone"]
+
+
+def _snapshot(balancer: Balancer, now_ms: float, endpoint: EndpointState) -> EndpointSnapshot:
+    return EndpointSnapshot(
+        name=endpoint.name,
+        size=endpoint.effective_weight,
+        ready=endpoint.ready,
+        available_capacity=_available_capacity(balancer, now_ms, endpoint),
+        zone=endpoint.zone,
+        draining=endpoint.state == "draining",
+        ejected=endpoint.state == "ready" and not endpoint.ready,
+        started_ms=endpoint.started_at_ms,
+    )
+
+
+def _available_capacity(balancer: Balancer, now_ms: float, endpoint: EndpointState) -> int:
+    is_saturated = now_ms < endpoint.saturated_until_ms
+    if endpoint.closed or is_saturated or not endpoint.ready or endpoint.is_at_quota():
+        capacity = 0
+    else:
+        capacity = max(0, endpoint.concurrency_limit - endpoint.in_flight)
+    if endpoint.slow_start and now_ms < endpoint.started_at_ms + balancer.settings.slow_start_ms:
+        # The budget of a slow start is spent one attempt at a time.
+        return min(capacity, int(balancer.fleet.has_slow_start_turn(now_ms, endpoint)))
+    return capacity
--- a/sageturn/core/idle_timeout.py
+++ b/sageturn/core/idle_timeout.py
@@ -1,29 +1,34 @@
-"""Whether a standing connection's endpoint has vanished, told by what passes on it. Pure: times come in."""
+"""The idle timeout of an established connection's endpoint. Pure: times come in as arguments."""
 
 from __future__ import annotations
 
 
 class IdleTimeout:
-    """One standing connection. Times are seconds of one clock that never goes back."""
+    """One established connection. Times are seconds of one monotonic clock."""
 
-    def __init__(self, now_s: float, patience_s: float, every_s: float = 0.0) -> None:
-        """``patience_s``: how long the endpoint may leave a line unanswered. ``every_s``: where the wire's
-        clients send a line this often, one that comes sooner after the endpoint's last word may wait so
-        much longer: then all are let go equally long after that word, whatever the client's own beat.
+    def __init__(self, now_s: float, timeout_s: float, line_interval_s: float = 0.0) -> None:
+        """``timeout_s``: how long the endpoint may leave a forwarded line unanswered.
+
+        ``line_interval_s``: where clients of the protocol send a line this often, one that comes sooner after
+        the endpoint's latest data may wait that much longer. All connections of an endpoint that vanished
+        then end equally long after its latest data, whatever the phase of each client.
         """
-        self._patience_s, self._every_s = patience_s, every_s
-        self._asked_s: float | None = None  # when the oldest line without an answer was passed on
-        self.last_endpoint_data_s = now_s  # when the endpoint's latest word came
+        self._timeout_s = timeout_s
+        self._line_interval_s = line_interval_s
+        self._unanswered_since_s: float | None = None  # when the oldest unanswered line was forwarded
+        self.last_endpoint_data_s = now_s
 
     def on_request_forwarded(self, now_s: float) -> None:
-        if self._asked_s is None:
-            self._asked_s = now_s
+        if self._unanswered_since_s is None:
+            self._unanswered_since_s = now_s
 
     def on_endpoint_data(self, now_s: float) -> None:
-        self.last_endpoint_data_s, self._asked_s = now_s, None
+        self.last_endpoint_data_s = now_s
+        self._unanswered_since_s = None
 
     def remaining_s(self, now_s: float) -> float:
-        """How long until the endpoint can be mute at the earliest; 0 or less once it is."""
-        if self._asked_s is None:
-            return self._patience_s
-        return max(self._asked_s, self.last_endpoint_data_s + self._every_s) + self._patience_s - now_s
+        """How long until the timeout can expire at the earliest; 0 or less once it has."""
+        if self._unanswered_since_s is None:
+            return self._timeout_s
+        earliest_s = self.last_endpoint_data_s + self._line_interval_s
+        return max(self._unanswered_since_s, earliest_s) + self._timeout_s - now_s
--- a/sageturn/core/messages.py
+++ b/sageturn/core/messages.py
@@ -1,4 +1,4 @@
-"""What actors put into each other's mailboxes."""
+"""The messages that actors and requests send each other."""
 
 from __future__ import annotations
 
@@ -9,37 +9,36 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientRequest:
-    """What a client asked for, in words that every front can say."""
+    """What a client asked for, in terms that every frontend can express."""
 
     class_name: str
     tenant: str
     timeout_ms: float  # how long the client waits, from the arrival of its request
     group: str = ""
     expected_load: float = 0.0
-    established_endpoint: str = ""  # the endpoint that held this connection before the relay started
-    client: str = ""  # its key, the same after a reconnect
-    returned: bool = False  # it says that its connection was moved, or broke
-    retried: bool = False  # it says that it asks again
-    client_request_id: str = (
-        ""  # as the client named its request, so that it can be followed from relay to relay
-    )
+    established_endpoint: str = ""  # the endpoint of this connection before the relay was restarted
+    client: str = ""  # the client's key, the same after a reconnect
+    returned: bool = False  # the client says that its connection was migrated, or broke
+    retried: bool = False  # the client says that this is a retry
+    # As the client named its request, so that it can be followed from relay to relay.
+    client_request_id: str = ""
 
 
 @dataclass(frozen=True, slots=True)
 class FinalResponse:
-    """The final answer to a request that was not served: a fail-fast refusal, or a failure."""
+    """The one final answer to a request that is not served: a fail-fast rejection, or a failure."""
 
     rejected: bool
     retry_after_ms: float = 0.0
     reason: str = ""
 
 
-# ------------------------------------------------------------ to a request
+# ------------------------------------------------------------ instructions to a request
 
 
 @dataclass(frozen=True, slots=True)
 class StartAttempt:
-    """Begin the next outbound call."""
+    """Begin the next attempt, at this endpoint; a timeout of 0 stands for the client's own."""
 
     endpoint: str
     timeout_ms: float
@@ -47,23 +46,23 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Stop waiting for the outbound call that is out."""
+    """Abandon the attempt in flight."""
 
 
 @dataclass(frozen=True, slots=True)
 class RedirectClient:
-    """End the standing connection politely."""
+    """Migrate the established connection: have its client reconnect elsewhere."""
 
 
 Instruction = StartAttempt | CancelAttempt | RedirectClient | FinalResponse
 
 
-# ------------------------------------------------------------ to the destination set
+# ------------------------------------------------------------ to the endpoint registry
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointListUpdate:
-    """One object of discovery: changes since the last, or the whole list."""
+    """One object of discovery: the changes since the last, or with ``full`` the complete list."""
 
     version: int
     full: bool
@@ -89,12 +88,12 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchRequested:
-    """The module asks for changes from here on."""
+    """The balancer asks for changes from here on."""
 
 
 @dataclass(frozen=True, slots=True)
 class DiscoveryAddressChanged:
-    """Discovery is somewhere else now: watch there, from a whole list on."""
+    """Discovery has another address now: watch there, from a complete list on."""
 
 
 RegistryMessage = WatchEvent | WatchRequested | DiscoveryAddressChanged
--- a/sageturn/core/request_registry.py
+++ b/sageturn/core/request_registry.py
@@ -13,30 +13,32 @@
 
 log = logging.getLogger(__name__)
 
-ACCEPT_S = 0.6  # new connections keep coming for 0.2 to 0.4 s after the signal
-STEP_S = 0.05
+ACCEPT_AFTER_SIGNAL_S = 0.6  # new connections keep coming for 0.2 to 0.4 s after the signal
+DRAIN_STEP_S = 0.05
+MIN_CLOSE_TIMEOUT_S = 0.1
 
 
 class Ingress(Protocol):
-    """Where clients come in, and are before they have asked for anything."""
+    """The relay's listeners, and the accepted connections that have sent no request yet."""
 
     def pending_connections(self) -> int:
-        """How many have come that have not asked yet."""
+        """How many accepted connections have sent no request yet."""
 
     def stop_accepting(self) -> None:
-        """Take whoever has come, and nobody more; who has not asked by now is answered at once."""
+        """Accept those in the backlog and nobody more; pending connections are answered at once."""
 
     async def wait_closed(self, timeout_s: float) -> None:
-        """Returns once nobody is left inside, or after so long."""
+        """Returns once all connections are closed, or after the timeout."""
 
 
 class RequestRegistry:
-    """All requests that the relay has, on every front."""
+    """All requests that the relay has, of every frontend."""
 
-    def __init__(self, times: ShutdownSchedule) -> None:
-        self.schedule = times
+    def __init__(self, schedule: ShutdownSchedule) -> None:
+        self.schedule = schedule
+        self.is_draining = False
+        self.is_drain_forced = False
         self._requests: set[RequestLifecycle] = set()
-        self.is_draining = self.is_drain_forced = False
 
     def __len__(self) -> int:
         return len(self._requests)
@@ -46,7 +48,7 @@
 
     def add(self, lifecycle: RequestLifecycle) -> None:
         self._requests.add(lifecycle)
-        if self.is_drain_forced:  # it came in the last moment: it is answered, but not placed any more
+        if self.is_drain_forced:  # it came at the last moment: it is answered, but not placed any more
             lifecycle.begin_drain()
             lifecycle.force_drain()
 
@@ -54,30 +56,47 @@
         self._requests.discard(lifecycle)
 
     async def drain(self, ingress: Ingress) -> None:
-        """Returns once nothing is left, or when it is high time to go."""
+        """Graceful shutdown. Returns once no request is left, or when the schedule's time is over."""
         self.is_draining = True
-        times = self.schedule
+        schedule = self.schedule
         loop = asyncio.get_running_loop()
-        began, pace = loop.time(), EvenPacer()
-        await asyncio.sleep(times.move_from_s)
-        while loop.time() - began < times.hurry_at_s:
-            standing = [
-                lifecycle
-                for lifecycle in self._requests
-                if lifecycle.is_established and not lifecycle.drain_requested.is_set()
-            ]
-            steps_left = max(1.0, (times.move_from_s + times.over_s - (loop.time() - began)) / STEP_S)
-            for lifecycle in standing[: pace.due(len(standing), steps_left)]:
+        started_s = loop.time()
+        await asyncio.sleep(schedule.move_from_s)
+        await self._migrate_established(ingress, schedule, started_s)
+        self._force_drain(ingress)
+        deadline_s = started_s + schedule.leave_at_s
+        await ingress.wait_closed(max(MIN_CLOSE_TIMEOUT_S, deadline_s - loop.time()))
+        if self._requests:
+            log.error("graceful shutdown incomplete connections=%d", len(self._requests))
+
+    async def _migrate_established(
+        self, ingress: Ingress, schedule: ShutdownSchedule, started_s: float
+    ) -> None:
+        """Ask the clients of established connections to go elsewhere, evenly over the schedule's time."""
+        loop = asyncio.get_running_loop()
+        pacer = EvenPacer()
+        migrated_at_s = schedule.move_from_s + schedule.over_s
+        while loop.time() - started_s < schedule.hurry_at_s:
+            established = self._established_undrained()
+            steps_left = max(1.0, (migrated_at_s - (loop.time() - started_s)) / DRAIN_STEP_S)
+            for lifecycle in established[: pacer.due(len(established), steps_left)]:
                 lifecycle.begin_drain()
-            await asyncio.sleep(STEP_S)
-            if not self._requests and not ingress.pending_connections() and loop.time() - began > ACCEPT_S:
+            await asyncio.sleep(DRAIN_STEP_S)
+            is_empty = not self._requests and not ingress.pending_connections()
+            if is_empty and loop.time() - started_s > ACCEPT_AFTER_SIGNAL_S:
                 break
-        # Whoever has been taken is answered, also who came in this instant; nobody is taken from here on.
+
+    def _established_undrained(self) -> list[RequestLifecycle]:
+        return [
+            lifecycle
+            for lifecycle in self._requests
+            if lifecycle.is_established and not lifecycle.drain_requested.is_set()
+        ]
+
+    def _force_drain(self, ingress: Ingress) -> None:
+        """Everyone accepted is answered, also who came in this instant; nobody is accepted from here on."""
         self.is_drain_forced = True
         ingress.stop_accepting()
         for lifecycle in list(self._requests):
             lifecycle.begin_drain()
             lifecycle.force_drain()
-        await ingress.wait_closed(max(0.1, began + times.leave_at_s - loop.time()))
-        if self._requests:
-            log.error("%d connections were still held at the end", len(self._requests))
--- a/sageturn/core/shutdown_schedule.py
+++ b/sageturn/core/shutdown_schedule.py
@@ -1,4 +1,4 @@
-"""When the steps of a graceful shutdown are due, so that all is over before the last signal comes."""
+"""When the steps of a graceful shutdown are due, so that it is over before the process is killed."""
 
 from __future__ import annotations
 
@@ -7,28 +7,32 @@
 
 from sageturn.decision import RequestClass
 
-MOVE_FROM_S = 0.45
-# The last signal comes no sooner than so long after the longest deadline, which counts as 3 s at the most.
-LAST_SIGNAL_S, DEADLINE_MOST_S = 0.7, 3.0
-EARLY_S = 0.3  # everything has ended so long before it,
-HURRY_S = 0.5  # and whoever is left is answered and moved at once so long before that
-MOVE_PART = 0.735  # of the time until then clients are moved: moved ones may need a second try elsewhere
+# SIGKILL comes no sooner than this after the longest deadline of a request, which counts up to the maximum.
+KILL_AFTER_DEADLINE_S = 0.7
+MAX_DEADLINE_S = 3.0
+EXIT_BEFORE_KILL_S = 0.3
+FORCED_DRAIN_S = 0.5  # left between the forced drain and the exit
+MIGRATION_START_S = 0.45
+# The share of the time until the forced drain in which clients are migrated: they may need a retry elsewhere.
+MIGRATION_TIME_RATIO = 0.735
 
 
 @dataclass(frozen=True, slots=True)
 class ShutdownSchedule:
-    """Seconds after the signal. Clients are moved evenly over ``over_s``, not to come again all at once."""
+    """Seconds after the signal, but for ``over_s``, which is a length."""
 
-    move_from_s: float
-    over_s: float
-    hurry_at_s: float
-    leave_at_s: float
+    move_from_s: float  # when the migration of established connections begins,
+    over_s: float  # and how long it takes: evenly, so that clients don't reconnect all at once
+    hurry_at_s: float  # when the drain is forced
+    leave_at_s: float  # when the process exits
 
 
 def shutdown_schedule(classes: Iterable[RequestClass]) -> ShutdownSchedule:
-    """As long as the deadlines of all classes allow, and no longer; 3 s where one of them is not told."""
-    deadline_s = max((c.give_up_ms or DEADLINE_MOST_S * 1000.0 for c in classes), default=0.0) / 1000.0
-    leave_s = min(deadline_s, DEADLINE_MOST_S) + LAST_SIGNAL_S - EARLY_S
-    hurry_s = max(leave_s - HURRY_S, leave_s / 2.0)
-    from_s = min(MOVE_FROM_S, hurry_s / 2.0)
-    return ShutdownSchedule(from_s, (hurry_s - from_s) * MOVE_PART, hurry_s, leave_s)
+    """As long as the deadlines of all classes allow; a class without one counts with the maximum."""
+    deadlines_ms = (cls.give_up_ms or MAX_DEADLINE_S * 1000.0 for cls in classes)
+    deadline_s = max(deadlines_ms, default=0.0) / 1000.0
+    exit_s = min(deadline_s, MAX_DEADLINE_S) + KILL_AFTER_DEADLINE_S - EXIT_BEFORE_KILL_S
+    forced_s = max(exit_s - FORCED_DRAIN_S, exit_s / 2.0)
+    migration_start_s = min(MIGRATION_START_S, forced_s / 2.0)
+    migration_s = (forced_s - migration_start_s) * MIGRATION_TIME_RATIO
+    return ShutdownSchedule(migration_start_s, migration_s, forced_s, exit_s)
--- a/sageturn/core/tasks.py
+++ b/sageturn/core/tasks.py
@@ -1,4 +1,4 @@
-"""Ending tasks for certain, and waiting for a time that may move on meanwhile."""
+"""Cancelling tasks reliably, and waiting for a deadline that may move meanwhile."""
 
 from __future__ import annotations
 
@@ -8,7 +8,10 @@
 
 
 async def cancel_and_wait(task: asyncio.Future[Any] | None) -> None:
-    """Cancel and wait: what a task holds may only be used again once it has let go."""
+    """Cancel and wait until the task has ended: what it holds may only be used again after that.
+
+    Its error, if it has one, is taken note of and dropped.
+    """
     if task is None:
         return
     task.cancel()
@@ -17,8 +20,8 @@
         task.exception()
 
 
-async def sleep_until_elapsed(left_s: Callable[[float], float]) -> None:
-    """Returns once ``left_s`` of the loop's time is 0 or less; asked again each time that it said is over."""
+async def sleep_until_elapsed(remaining_s: Callable[[float], float]) -> None:
+    """Returns once ``remaining_s``, given the loop's time, is 0 or less; asked again after each sleep."""
     loop = asyncio.get_running_loop()
-    while (left := left_s(loop.time())) > 0:
-        await asyncio.sleep(left)
+    while (remaining := remaining_s(loop.time())) > 0:
+        await asyncio.sleep(remaining)
