--- a/sageturn/__main__.py
+++ b/sageturn/__main__.py
@@ -14,7 +14,7 @@
 from sageturn.config.errors import ConfigError
 from sageturn.config.loader import load
 from sageturn.relay import SIGNALS, Relay
-from sageturn.store.log import LogCorruptedError
+from sageturn.store.errors import LogCorruptedError
 
 
 def main() -> int:
--- a/sageturn/config/operator.py
+++ b/sageturn/config/operator.py
@@ -81,8 +81,10 @@
         secret=read_secret(read_secret_file(store, "secret_file", folder)),
         region=store.text("region", ""),
         zone=store.text("zone", ""),
-        octets_per_s=store.number("octets_per_s", options.OCTETS_PER_S, minimum=options.OCTETS_LEAST),
-        horizon_s=store.number("horizon_s", options.HORIZON_S, minimum=options.HORIZON_LEAST_S),
+        max_bytes_per_s=store.number(
+            "octets_per_s", options.DEFAULT_MAX_BYTES_PER_S, minimum=options.MIN_MAX_BYTES_PER_S
+        ),
+        horizon_s=store.number("horizon_s", options.DEFAULT_HORIZON_S, minimum=options.MIN_HORIZON_S),
     )
 
 
--- a/sageturn/lab/scale/costs.py
+++ b/sageturn/lab/scale/costs.py
@@ -23,8 +23,8 @@
 from sageturn import decision
 from sageturn.cli.link import Reach
 from sageturn.core.close_reason import CloseReason
+from sageturn.core.connection_record import ConnectionRecord as Ended
 from sageturn.core.messages import ClientRequest
-from sageturn.core.request_lifecycle import ConnectionRecord as Ended
 from sageturn.decision import DiscoveryFailure
 from sageturn.decision.balancer import Balancer
 from sageturn.decision.discovery_backoff import DiscoveryBackoff
@@ -223,7 +223,7 @@
 def flow_record(name_length: int) -> Line:
     """What the flows' collector is fed for one ended connection; class and tenant of that length."""
     ask = ClientRequest("c" * name_length, "t" * name_length, 2000.0)
-    ended = Ended(ask, 1.0, client=("10.0.0.1", 40000))
+    ended = Ended(ask, 1.0, client_address=("10.0.0.1", 40000))
     ended.endpoint, ended.endpoint_address, ended.ended_ms = "h", ("10.0.0.2", 8081), 2.0
     ended.close_reason = CloseReason.MOVED
     count = 1000
--- a/tests/config/test_deployments.py
+++ b/tests/config/test_deployments.py
@@ -41,8 +41,9 @@
 from sageturn.config.errors import ConfigError
 from sageturn.config.loader import load
 from sageturn.config.settings import read_settings
+from sageturn.core.even_pacer import EvenPacer
 from sageturn.core.messages import EndpointListUpdate
-from sageturn.core.shutdown import EvenPacer, shutdown_schedule
+from sageturn.core.shutdown_schedule import shutdown_schedule
 from sageturn.relay import Relay
 
 # A third deployment, which nobody runs: three zones, two classes, six attempts, reports with answers too.
@@ -231,7 +232,7 @@
             names, discovery = await serve_all(stack, endpoints)
             file = write_config(tmp_path, discovery.address, listed(names), settings=conf)
             relay = Relay(load({"GW_CONFIG": str(file)}))
-            relay.balancer_actor.probe = lambda endpoint: None
+            relay.balancer_actor.check_endpoint_health = lambda endpoint: None
             relay.start()
             stack.push_async_callback(relay.stop)
             line = first_line(900).replace(b"c=c,t=t", b"c=gate,t=north")
--- a/tests/net/test_sockets.py
+++ b/tests/net/test_sockets.py
@@ -21,7 +21,7 @@
 from test_xmpp_frontend import client_tls, echo
 from test_xmpp_frontend import relaying as relaying_xmpp
 
-from sageturn.core.shutdown import ShutdownSchedule
+from sageturn.core.shutdown_schedule import ShutdownSchedule
 from sageturn.net import listener
 from sageturn.net.admission import ProcessLimits
 from sageturn.net.sockets import (
@@ -96,10 +96,10 @@
 def test_every_socket_of_the_xmpp_front_sends_small_writes_at_once(tmp_path: Path) -> None:
     async def go() -> None:
         async with relaying_xmpp(tmp_path, echo) as (relay, (endpoint,)):
-            client = await Client.connect(relay.xmpp.address)
+            client = await Client.connect(relay.xmpp_listener.address)
             await client.login(client_tls())
             await client.bind()
-            found = ours({relay.xmpp.address}, {endpoint.address})
+            found = ours({relay.xmpp_listener.address}, {endpoint.address})
             assert len(found) == 2 and all_send_at_once(found, {"accepted", "dialled"})
             client.writer.close()
 
@@ -111,7 +111,7 @@
         one, other = Store("a"), Store("b")
         first = replica(one)
         second = replica(other, first.address)
-        await until(lambda: first.links and second.links)
+        await until(lambda: first.link_count and second.link_count)
         found = ours({first.address}, {first.address})
         assert len(found) == 2 and all_send_at_once(found, {"accepted", "dialled"})
         await second.stop()
@@ -185,7 +185,7 @@
     # Its connection was closed over what lay unread: the reset could destroy the answer on its way.
     async def go() -> None:
         async with relaying_xmpp(tmp_path, echo) as (relay, _):
-            client = await Client.connect(relay.xmpp.address)
+            client = await Client.connect(relay.xmpp_listener.address)
             client.say("<?xml version='1.0'?>")
             await until(lambda: relay.admission.awaiting_request)
             await asyncio.sleep(0.01)
@@ -283,8 +283,8 @@
     # They were left there, and reset with the door.
     async def go() -> None:
         async with relaying(tmp_path, silent) as (relay, _):
-            relay.request_registry._times = ShutdownSchedule(0.0, 0.0, 0.05, 2.0)
-            shut, came = relay.shut, list[socket.socket]()
+            relay.request_registry.schedule = ShutdownSchedule(0.0, 0.0, 0.05, 2.0)
+            shut, came = relay.ingress.stop_accepting, list[socket.socket]()
             monkeypatch.setattr(relay.listener, "_take", lambda most: True)
 
             def comes_and_shut() -> None:
@@ -293,8 +293,8 @@
                     came[-1].sendall(said)
                 shut()
 
-            monkeypatch.setattr(relay, "shut", comes_and_shut)
-            await relay.request_registry.drain(relay)
+            monkeypatch.setattr(relay.ingress, "stop_accepting", comes_and_shut)
+            await relay.request_registry.drain(relay.ingress)
             for client in came:
                 client.settimeout(5)
                 assert client.recv(99) == b"BUSY 500\r\n" and client.recv(99) == b""
--- a/tests/support/replication_fleet.py
+++ b/tests/support/replication_fleet.py
@@ -7,12 +7,18 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field
 
-from sageturn.store.records import FRAME_MOST, StoreRecord, supersedes
+from sageturn.store.errors import SessionRejected
+from sageturn.store.records import MAX_FRAME_BYTES, StoreRecord, supersedes
 from sageturn.store.replica_state import ReplicaState
-from sageturn.store.replication.overlay import Beacon, LinkRejected, Member
-from sageturn.store.replication.replica import Replica, ReplicaLocation
-from sageturn.store.replication.session import ASKED_KEYS, URGENT_WINDOW, WINDOW, ReplicationSession
-from sageturn.store.replication.wire import LANES, PART_OCTETS, SessionRejected, lane_of
+from sageturn.store.replication.anti_entropy import MAX_REQUESTED_KEYS
+from sageturn.store.replication.chunk_sender import MAX_CHUNKS_IN_FLIGHT, MAX_URGENT_CHUNKS_IN_FLIGHT
+from sageturn.store.replication.location import ReplicaLocation
+from sageturn.store.replication.membership import LinkRejected, Member
+from sageturn.store.replication.priority import PRIORITY_CLASSES, priority_of
+from sageturn.store.replication.replica import Replica
+from sageturn.store.replication.routes import RouteAdvertisement
+from sageturn.store.replication.send_allowance import MAX_CHUNK_BYTES
+from sageturn.store.replication.session import ReplicationSession
 from sageturn.store.store import Store
 
 QUEUE = 8  # frames that the kernel holds on one side of a link
@@ -43,7 +49,7 @@
         self.refusals: list[str] = []
         self._orders: dict[tuple[str, str], tuple[int, str]] = {}
         for name in names:
-            self.start(name, Store(name, wall=self.wall))
+            self.start(name, Store(name, wall_clock=self.wall))
 
     def wall(self) -> float:
         return self.began_wall + self.now
@@ -55,7 +61,7 @@
             random.Random(self.rng.random()),
             self.now,
             place,
-            octets_per_s=self.rate,
+            max_bytes_per_s=self.rate,
             horizon_s=self.horizon_s,
         )
         self._orders = {at: order for at, order in self._orders.items() if at[0] != name}
@@ -73,18 +79,18 @@
         for ends in [ends for ends in self.wires if name in ends]:
             self.cut(*ends)
         old = self.store(name)
-        new = Store(name, wall=self.wall)
+        new = Store(name, wall_clock=self.wall)
         if not wiped:
             new.merge(old.records())
-            new.standing = old.standing
+            new.replica_state = old.replica_state
         self.start(name, new)
 
     def link(self, one: str, other: str) -> None:
         ends = (one, other)
         if one == other or ends in self.wires or ends[::-1] in self.wires:
             return
-        first = self.replicas[one].open(other, self.now, ("127.0.0.1", 9))
-        second = self.replicas[other].open(one, self.now)
+        first = self.replicas[one].open_session(other, self.now, ("127.0.0.1", 9))
+        second = self.replicas[other].open_session(one, self.now)
         self.wires[ends] = Wire(ends, {one: first, other: second}, {one: deque(), other: deque()})
 
     def cut(self, one: str, other: str) -> None:
@@ -93,7 +99,7 @@
         if wire is not None:
             self.refusals += wire.refusals
             for name, session in wire.sessions.items():
-                self.replicas[name].over(session, self.now)
+                self.replicas[name].on_session_closed(session, self.now)
 
     def again(self, one: str, other: str) -> None:
         """The last frame on its way to ``other`` comes twice, as no sound link lets it."""
@@ -127,32 +133,32 @@
             waiting = waiting or bool(wire.queues[name] and name not in wire.slow)
             if wire.queues[name] and name not in wire.slow and self.rng.random() < 0.6:
                 payload = wire.queues[name].popleft()
-                if session.closing:
+                if session.close_detail:
                     return True
                 try:
                     session.receive(payload, self.now)
                 except SessionRejected as refusal:
                     wire.refusals.append(str(refusal))
-                    session.close(str(refusal), session.closing_why)
-                if session.ended:
+                    session.close(str(refusal), session.close_code)
+                if session.peer_close_detail:
                     self.cut(*wire.ends)
                 return True
             if len(wire.queues[other]) < QUEUE:
-                payload_or_none = session.next(self.now)
+                payload_or_none = session.next_payload(self.now)
                 if payload_or_none is not None:
-                    assert len(payload_or_none) <= FRAME_MOST
+                    assert len(payload_or_none) <= MAX_FRAME_BYTES
                     wire.queues[other].append(payload_or_none)
                     wire.octets += len(payload_or_none)
                     wire.sent[name] = wire.sent.get(name, 0) + len(payload_or_none)
                     wire.frames += 1
-                    if session.closing:
+                    if session.close_detail:
                         # It closes once that is said; the other side may never hear it.
-                        if session.closing.startswith("silent") or wire.slow or self.rng.random() < 0.3:
+                        if session.close_detail.startswith("silent") or wire.slow or self.rng.random() < 0.3:
                             self.cut(*wire.ends)
                         else:
                             self._hear_out(wire, other)
                     return True
-            elif session.wake_at(self.now) <= self.now and self.now - session.heard >= 2.0:
+            elif session.wake_at(self.now) <= self.now and self.now - session.last_received_at >= 2.0:
                 self.cut(*wire.ends)
                 return True
             replica.tick(self.now)
@@ -160,7 +166,7 @@
 
     def _hear_out(self, wire: Wire, name: str) -> None:
         session = wire.sessions[name]
-        while wire.queues[name] and not session.ended and not session.closing:
+        while wire.queues[name] and not session.peer_close_detail and not session.close_detail:
             try:
                 session.receive(wire.queues[name].popleft(), self.now)
             except SessionRejected as refusal:
@@ -219,7 +225,7 @@
     def check(self) -> None:
         for name, replica in self.replicas.items():
             self._check_orders(name, replica)
-            self._check_sequences(replica)
+            self._check_change_logs(replica)
             self._check_budget(replica)
         self._check_cursors()
         for wire in self.wires.values():
@@ -233,45 +239,50 @@
             self._orders[name, record.key] = record.order
 
     @staticmethod
-    def _check_sequences(replica: Replica) -> None:
+    def _check_change_logs(replica: Replica) -> None:
         """The sequences and trees tell exactly what the store holds."""
-        for lane in LANES:
-            sequence = replica.changes.sequences[lane]
-            entries = list(sequence.since(0))
-            held = {record.key for record in replica.store.records() if lane_of(record.key) == lane}
+        for priority in PRIORITY_CLASSES:
+            change_log = replica.changes.logs[priority]
+            entries = list(change_log.since(0))
+            held = {record.key for record in replica.store.records() if priority_of(record.key) == priority}
             assert {key for _, key, _ in entries} == held and len(entries) == len(held)
             assert [entry[0] for entry in entries] == sorted(entry[0] for entry in entries)
-            assert not entries or entries[-1][0] <= sequence.head
-            assert len(sequence._order) <= 2 * len(held) + 66
+            assert not entries or entries[-1][0] <= change_log.head
+            assert change_log.order_length <= 2 * len(held) + 66
 
     def _check_budget(self, replica: Replica) -> None:
         budget = replica.budget
         passed = self.now - 1000.0
-        assert budget.taken <= budget.rate * passed + budget.burst + budget.debt + CONTROL * (passed + 1)
+        assert budget.consumed_bytes <= budget.rate * passed + budget.burst + budget.debt + CONTROL * (
+            passed + 1
+        )
 
     def _check_cursors(self) -> None:
         """Whoever says how far it is with a copy does hold what that copy had changed up to there."""
         leaders = {replica.changes.incarnation: replica for replica in self.replicas.values()}
         for follower in self.replicas.values():
-            for incarnation, cursors in follower.cursors.items():
+            for incarnation, cursors in follower.followed_cursors.items():
                 leader = leaders.get(incarnation)
                 if leader is None:
                     continue
-                for lane, cursor in zip(LANES, cursors, strict=True):
-                    for revision, key, _ in leader.changes.sequences[lane].since(0):
-                        if revision <= cursor.base or cursor.until < revision <= cursor.live:
+                for priority, cursor in zip(PRIORITY_CLASSES, cursors, strict=True):
+                    for revision, key, _ in leader.changes.logs[priority].since(0):
+                        if revision <= cursor.backlog or cursor.backlog_end < revision <= cursor.live:
                             record, held = leader.store.record(key), follower.store.record(key)
                             assert record is not None
                             # Deleted there, and the deletion forgotten; or a deletion forgotten.
-                            forgotten = held is None and record.version <= follower.store.standing.floor
+                            forgotten = (
+                                held is None
+                                and record.version <= follower.store.replica_state.tombstone_floor
+                            )
                             sound = held is not None and not supersedes(record, held)
                             assert forgotten or sound, f"{key} at {revision} was skipped"
 
     @staticmethod
     def _check_memory(session: ReplicationSession) -> None:
-        assert len(session._flying) <= WINDOW + URGENT_WINDOW
-        assert session._question is None or len(session._question[1]) <= ASKED_KEYS
-        assert len(session.peer) < 300 and PART_OCTETS <= FRAME_MOST
+        assert session.chunks_in_flight <= MAX_CHUNKS_IN_FLIGHT + MAX_URGENT_CHUNKS_IN_FLIGHT
+        assert session.requested_items <= MAX_REQUESTED_KEYS
+        assert len(session.peer) < 300 and MAX_CHUNK_BYTES <= MAX_FRAME_BYTES
 
 
 CONTROL = 12_000.0  # greetings, beats and acknowledgements of a member's few links go whatever is left
@@ -281,7 +292,7 @@
     """A fleet that has been in step, linked to a star round its first."""
     fleet = Fleet(names, seed, **more)
     for name in names:
-        fleet.store(name).standing = ReplicaState(fleet.wall(), 0)
+        fleet.store(name).replica_state = ReplicaState(fleet.wall(), 0)
     for name in names[1:]:
         fleet.link(names[0], name)
     fleet.run(5.0)
@@ -291,43 +302,43 @@
 class DialSeeds:
     """The simplest topology: every seed, always, and again at once."""
 
-    standing = "member"
+    membership_status = "member"
     WAIT_S = 0.05
 
     def __init__(self, own: Member, seeds: Sequence[tuple[str, int]] = ()) -> None:
         self._at = dict.fromkeys(seeds, 0.0)
         self._dialled: dict[str, tuple[str, int]] = {}
 
-    def saw(self, members: Iterable[Member]) -> None: ...
-    def heard(self, name: str, beacon: Beacon, now: float) -> None: ...
+    def update_members(self, members: Iterable[Member]) -> None: ...
+    def on_advertisement(self, name: str, advertisement: RouteAdvertisement, now: float) -> None: ...
 
-    def admits(self, member: Member, now: float) -> LinkRejected | None:
+    def check_admission(self, member: Member, now: float) -> LinkRejected | None:
         return None
 
-    def beacon(self, name: str, now: float) -> Beacon:
-        return Beacon(0, 0, 0, False, 0)
+    def make_advertisement(self, name: str, now: float) -> RouteAdvertisement:
+        return RouteAdvertisement(0, 0, 0, False, 0)
 
-    def linked(self, name: str, now: float, dialled: tuple[str, int] | None = None) -> None:
+    def on_link_established(self, name: str, now: float, dialled: tuple[str, int] | None = None) -> None:
         if dialled is not None:
             self._dialled[name] = dialled
 
-    def lost(self, name: str, now: float, orderly: bool = False) -> None:
+    def on_link_lost(self, name: str, now: float, orderly: bool = False) -> None:
         if name in self._dialled:
-            self.unreachable(self._dialled.pop(name), now)
+            self.on_dial_failed(self._dialled.pop(name), now)
 
-    def unreachable(self, address: tuple[str, int], now: float) -> None:
+    def on_dial_failed(self, address: tuple[str, int], now: float) -> None:
         self._at[address] = now + self.WAIT_S
 
-    def refused(self, address: tuple[str, int], now: float, refusal: LinkRejected) -> None:
-        self.unreachable(address, now)
+    def on_dial_rejected(self, address: tuple[str, int], now: float, refusal: LinkRejected) -> None:
+        self.on_dial_failed(address, now)
 
-    def to_dial(self, now: float) -> list[tuple[str, int]]:
+    def addresses_to_dial(self, now: float) -> list[tuple[str, int]]:
         due = [address for address, at in self._at.items() if at <= now]
         self._at.update(dict.fromkeys(due, float("inf")))
         return due
 
-    def to_close(self, now: float) -> list[str]:
+    def links_to_close(self, now: float) -> list[str]:
         return []
 
-    def next_at(self, now: float) -> float:
+    def next_wakeup(self, now: float) -> float:
         return min([now + 1.0, *self._at.values()])
