--- a/sageturn/net/discovery_watch.py
+++ b/sageturn/net/discovery_watch.py
@@ -55,7 +55,7 @@
         self.has_headers = True
 
     def on_body(self, body: bytes) -> None:
-        """Collect the objects that ``body`` completes; raises InvalidJsonStreamError after those before it."""
+        """Collect the objects that ``body`` completes. Those before an InvalidJsonStreamError are kept."""
         for text in self._splitter.feed(body):
             self.objects.append(text)
             self.is_alive = True
