--- a/tests/config/test_compatibility_operators.py
+++ b/tests/config/test_compatibility_operators.py
@@ -1,7 +1,8 @@
 """Operators' files, and the relay's own configuration, mean what they meant to revision 6e0cdec.
 
-Each file of ``deploy/`` and of the fixtures decodes to the configuration that is committed beside it. How
-that is told, field by field, stands here, so that a field may be renamed in the program but not in a file.
+Each file of ``deploy/`` and of the fixtures decodes to the configuration that is committed beside it. The
+names of fields in the committed files are mapped here to those in the program, so that a field may be renamed
+in the program but not in a file.
 """
 
 from __future__ import annotations
@@ -29,11 +30,11 @@
     {"name": "guest-checkin", "aimMs": 300.0, "hardLimitMs": 3000.0, "semantics": "safe"},
     {"name": "c", "aimMs": 500.0},
 ]
-# A key of RFC 8032's first test: 32 octets in base64.
+# A key of RFC 8032's first test: 32 bytes in base64.
 PUBLIC_KEY = "11qYAYKxCrfVS/7TyWQHOg7hcvPapiMlrwIaaPcHURo="
 SECRETS = {"replica.secret": "a shared secret", "endpoint.password": "relay-pw"}
-# The program's names of what an operator's file says, by the names under which it is told here. A renamed
-# field changes its right side, and nothing else.
+# The program's names of replication's fields, by those in the fixtures. A renamed field changes its right
+# side, and nothing else.
 STORE = {
     "listen": "listen",
     "peers": "seeds",
@@ -112,60 +113,63 @@
 }
 
 
-def fields(obj: Any, names: Any) -> dict[str, Any]:
+def encode_fields(obj: Any, names: Any) -> dict[str, Any]:
+    """The fields of ``obj`` by their names in the fixtures."""
     pairs = names.items() if isinstance(names, dict) else zip(names, names, strict=True)
-    return {told: getattr(obj, RENAMED.get(name, name)) for told, name in pairs}
+    return {
+        fixture_name: getattr(obj, RENAMED.get(field_name, field_name)) for fixture_name, field_name in pairs
+    }
 
 
-def tell_tls(context: ssl.SSLContext | None) -> dict[str, Any] | None:
+def encode_tls(context: ssl.SSLContext | None) -> dict[str, Any] | None:
     if context is None:
         return None
     return {"least": context.minimum_version.name, "verifies": context.verify_mode.name}
 
 
-def tell_operator(operator: OperatorConfig, folder: Path) -> dict[str, Any]:
+def encode_operator(operator: OperatorConfig, folder: Path) -> dict[str, Any]:
     """The decoded file in plain JSON; secrets by what they come to."""
-    told: dict[str, Any] = dict.fromkeys(("path", "store", "xmpp", "flows", "rebalance", "overrides"))
+    encoded: dict[str, Any] = dict.fromkeys(("path", "store", "xmpp", "flows", "rebalance", "overrides"))
     if operator.store_path is not None:
-        told["path"] = str(operator.store_path.relative_to(folder))
+        encoded["path"] = str(operator.store_path.relative_to(folder))
     if (store := operator.replication) is not None:
-        told["store"] = fields(store, STORE) | {"secret": store.secret.hex()}
+        encoded["store"] = encode_fields(store, STORE) | {"secret": store.secret.hex()}
     if (xmpp := operator.xmpp) is not None:
-        endpoint = fields(xmpp.endpoint, ENDPOINT) | {"tls": tell_tls(xmpp.endpoint.tls)}
-        told["xmpp"] = fields(xmpp, XMPP) | {"tls": tell_tls(xmpp.tls), "endpoint": endpoint}
+        endpoint = encode_fields(xmpp.endpoint, ENDPOINT) | {"tls": encode_tls(xmpp.endpoint.tls)}
+        encoded["xmpp"] = encode_fields(xmpp, XMPP) | {"tls": encode_tls(xmpp.tls), "endpoint": endpoint}
     if operator.flows is not None:
-        told["flows"] = fields(operator.flows, FLOWS)
+        encoded["flows"] = encode_fields(operator.flows, FLOWS)
     if (rebalance := operator.rebalance) is not None:
         kept = {
             "keep_classes": sorted(rebalance.keep_classes),
             "keep_tenants": sorted(rebalance.keep_tenants),
         }
-        told["rebalance"] = fields(rebalance, REBALANCE) | kept
+        encoded["rebalance"] = encode_fields(rebalance, REBALANCE) | kept
     if (overrides := operator.overrides) is not None:
         keys = {name: key.public_bytes_raw().hex() for name, key in overrides.operators.items()}
-        floors = fields(overrides.floors, FLOORS)
-        told["overrides"] = {"operators": keys, "longest_s": overrides.longest_s, "floors": floors}
-    return json.loads(json.dumps(told))
+        floors = encode_fields(overrides.floors, FLOORS)
+        encoded["overrides"] = {"operators": keys, "longest_s": overrides.longest_s, "floors": floors}
+    return json.loads(json.dumps(encoded))
 
 
-def tell_config(config: RelayConfig) -> dict[str, Any]:
+def encode_config(config: RelayConfig) -> dict[str, Any]:
     """The relay's own configuration in plain JSON."""
     settings, known = config.settings, config.known_endpoints
     parts = {
-        "classes": [fields(request_class, CLASS) for request_class in settings.classes],
-        "tenants": [fields(tenant, TENANT) for tenant in settings.tenants],
+        "classes": [encode_fields(request_class, CLASS) for request_class in settings.classes],
+        "tenants": [encode_fields(tenant, TENANT) for tenant in settings.tenants],
     }
-    told = fields(config, CONFIG_FIELDS) | {
-        "limits": fields(config.limits, LIMITS),
-        "settings": fields(settings, SETTINGS) | parts,
-        "known": fields(known, LISTED)
-        | {"servers": [fields(endpoint, SERVER) for endpoint in known.endpoints]},
+    encoded = encode_fields(config, CONFIG_FIELDS) | {
+        "limits": encode_fields(config.limits, LIMITS),
+        "settings": encode_fields(settings, SETTINGS) | parts,
+        "known": encode_fields(known, LISTED)
+        | {"servers": [encode_fields(endpoint, SERVER) for endpoint in known.endpoints]},
     }
-    return json.loads(json.dumps(told))
+    return json.loads(json.dumps(encoded))
 
 
 def read_operator_file(source: Path, folder: Path) -> OperatorConfig:
-    """As a relay reads it at its start, with the files that it names beside it."""
+    """Read the file as a relay does at its start, with the files that it names beside it."""
     deploy, var = folder / "deploy", folder / "var"
     deploy.mkdir()
     var.mkdir()
@@ -185,15 +189,15 @@
 def decode(source: Path) -> dict[str, Any]:
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name).resolve()
-        return tell_operator(read_operator_file(source, folder), folder / "deploy")
+        return encode_operator(read_operator_file(source, folder), folder / "deploy")
 
 
-def as_bytes(told: dict[str, Any]) -> bytes:
-    return json.dumps(told, indent=1, sort_keys=True).encode() + b"\n"
+def to_json_bytes(decoded: dict[str, Any]) -> bytes:
+    return json.dumps(decoded, indent=1, sort_keys=True).encode() + b"\n"
 
 
-# Files with every key that there is, and with none but those that must be there.
-WHOLE: dict[str, Any] = {
+# Files with every key that there is, and with none but the required ones.
+ALL_KEYS: dict[str, Any] = {
     "store": {
         "path": "store.log",
         "listen": "127.0.0.1:7400",
@@ -246,7 +250,7 @@
         "floor_pin": 0.2,
     },
 }
-LEAST: dict[str, Any] = {
+REQUIRED_KEYS: dict[str, Any] = {
     "store": {"listen": "127.0.0.1:7400", "secret_file": "../var/replica.secret"},
     "xmpp": {
         "listen": "127.0.0.1:5222",
@@ -321,34 +325,37 @@
 
 
 def produced() -> dict[str, bytes]:
-    inputs = {f"{name}.json": as_bytes(told) for name, told in (("whole", WHOLE), ("least", LEAST))}
+    inputs = {
+        f"{name}.json": to_json_bytes(content)
+        for name, content in (("whole", ALL_KEYS), ("least", REQUIRED_KEYS))
+    }
     inputs |= {f"deployed-{path.name}": path.read_bytes() for path in sorted(DEPLOY.glob("*.json"))}
-    inputs["config.json"] = as_bytes(CONFIG)
+    inputs["config.json"] = to_json_bytes(CONFIG)
     for name, data in inputs.items():
         (FIXTURES / name).write_bytes(data)
-    decoded = {name: as_bytes(decode(FIXTURES / name)) for name in inputs if name != "config.json"}
-    decoded["config.json"] = as_bytes(tell_config(load({"GW_CONFIG": str(FIXTURES / "config.json")})))
+    decoded = {name: to_json_bytes(decode(FIXTURES / name)) for name in inputs if name != "config.json"}
+    decoded["config.json"] = to_json_bytes(encode_config(load({"GW_CONFIG": str(FIXTURES / "config.json")})))
     return inputs | {name.replace(".json", ".decoded.json"): data for name, data in decoded.items()}
 
 
 @pytest.mark.parametrize("name", FILES)
-def test_an_operators_file_means_what_it_meant(name: str) -> None:
-    assert as_bytes(decode(FILES[name])) == (FIXTURES / f"{name}.decoded.json").read_bytes()
+def test_operator_file_decodes_as_before(name: str) -> None:
+    assert to_json_bytes(decode(FILES[name])) == (FIXTURES / f"{name}.decoded.json").read_bytes()
 
 
 @pytest.mark.parametrize("path", sorted(DEPLOY.glob("*.json")), ids=lambda path: path.stem)
-def test_a_file_of_deploy_means_what_it_meant(path: Path) -> None:
-    assert as_bytes(decode(path)) == (FIXTURES / f"deployed-{path.stem}.decoded.json").read_bytes()
+def test_shipped_operator_file_decodes_as_before(path: Path) -> None:
+    assert to_json_bytes(decode(path)) == (FIXTURES / f"deployed-{path.stem}.decoded.json").read_bytes()
 
 
-def test_the_relays_configuration_means_what_it_meant() -> None:
+def test_relay_configuration_decodes_as_before() -> None:
     config = load({"GW_CONFIG": str(FIXTURES / "config.json")})
-    assert as_bytes(tell_config(config)) == (FIXTURES / "config.decoded.json").read_bytes()
+    assert to_json_bytes(encode_config(config)) == (FIXTURES / "config.decoded.json").read_bytes()
 
 
-@pytest.mark.parametrize("section", list(WHOLE))
-def test_a_key_that_is_none_is_refused(tmp_path: Path, section: str) -> None:
+@pytest.mark.parametrize("section", list(ALL_KEYS))
+def test_unknown_key_is_refused(tmp_path: Path, section: str) -> None:
     file = tmp_path / "unknown.json"
-    file.write_text(json.dumps(WHOLE | {section: WHOLE[section] | {"unheard_of": 1}}))
+    file.write_text(json.dumps(ALL_KEYS | {section: ALL_KEYS[section] | {"unheard_of": 1}}))
     with pytest.raises(ConfigError, match="unheard_of"):
         read_operator_file(file, tmp_path)
