--- a/tests/store/test_replication.py
+++ b/tests/store/test_replication.py
@@ -1,4 +1,4 @@
-"""The spread of the store's changes: its pure parts by properties, and fleets in simulated time."""
+"""Replication of the store: properties of its pure modules, and clusters in simulated time."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import pytest
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
-from support.replication_fleet import Fleet, settled
+from support.replication_fleet import SimulatedCluster, cluster_in_sync
 
 from sageturn.store.errors import InvalidRecordError, SessionRejected
 from sageturn.store.records import StoreRecord, parse_record, record_digest, supersedes
@@ -27,57 +27,61 @@
 Schedule = list[tuple[Any, ...]]
 
 names = st.sampled_from(NAMES)
-STEP = st.one_of(
+SCHEDULE_STEP = st.one_of(
     st.tuples(st.just("put"), names, st.sampled_from(KEYS), st.integers(0, 9)),
     st.tuples(st.just("delete"), names, st.sampled_from(KEYS)),
     st.tuples(st.just("state"), names, st.integers(0, 9)),
     st.tuples(st.just("bulk"), names, st.integers(1, 60)),
-    st.tuples(st.just("link"), names, names),
-    st.tuples(st.just("link"), names, names),
-    st.tuples(st.just("cut"), names, names),
-    st.tuples(st.just("slow"), names, names),
-    st.tuples(st.just("again"), names, names),
-    st.tuples(st.just("swap"), names, names),
+    st.tuples(st.just("connect"), names, names),
+    st.tuples(st.just("connect"), names, names),
+    st.tuples(st.just("disconnect"), names, names),
+    st.tuples(st.just("stop_reading"), names, names),
+    st.tuples(st.just("repeat_last_frame"), names, names),
+    st.tuples(st.just("swap_last_frames"), names, names),
     st.tuples(st.just("restart"), names, st.booleans()),
     st.tuples(st.just("run"), st.floats(0.0, 2.0)),
-    st.tuples(st.just("turns"), st.integers(1, 40)),
+    st.tuples(st.just("steps"), st.integers(1, 40)),
 )
 
 
-def play(fleet: Fleet, step: tuple[Any, ...]) -> None:
+def apply_step(cluster: SimulatedCluster, step: tuple[Any, ...]) -> None:
     what, *words = step
     if what == "delete":
-        fleet.put(words[0], words[1], None)
+        cluster.put(words[0], words[1], None)
     elif what == "state":
-        fleet.put(words[0], f"state/{words[0]}/x", words[1])
+        cluster.put(words[0], f"state/{words[0]}/x", words[1])
     elif what == "bulk":
         for number in range(words[1]):
-            fleet.put(words[0], f"config/bulk/{number}", [words[1]] * 20)
-    elif what == "turns":
+            cluster.put(words[0], f"config/bulk/{number}", [words[1]] * 20)
+    elif what == "steps":
         for _ in range(words[0]):
-            fleet.turn()
+            cluster.step()
     else:
-        getattr(fleet, what)(*words)
+        getattr(cluster, what)(*words)
 
 
 SEEDED = settings(max_examples=200, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck))
 
 
 @SEEDED
-@given(st.integers(0, 2**32), st.sampled_from([8192.0, 27_000.0]), st.lists(STEP, min_size=1, max_size=25))
-def test_whatever_the_schedule_nothing_older_wins_nothing_is_skipped_and_all_end_equal(
+@given(
+    st.integers(0, 2**32),
+    st.sampled_from([8192.0, 27_000.0]),
+    st.lists(SCHEDULE_STEP, min_size=1, max_size=25),
+)
+def test_under_any_schedule_no_older_version_wins_nothing_is_skipped_and_all_replicas_converge(
     seed: int, rate: float, schedule: Schedule
 ) -> None:
-    fleet = Fleet(NAMES, seed, rate)
+    cluster = SimulatedCluster(NAMES, seed, rate)
     for step in schedule:
-        play(fleet, step)
-        fleet.check()
-    before = fleet.newest()
-    assert fleet.heal()
-    fleet.check()
+        apply_step(cluster, step)
+        cluster.check()
+    before = cluster.newest()
+    assert cluster.converge()
+    cluster.check()
     # Nothing that anybody held when the links came up is lost, and nothing else wins.
-    assert fleet.newest() == before
-    assert not [text for text in fleet.refusals if text.startswith(("not understood", "unknown"))]
+    assert cluster.newest() == before
+    assert not [text for text in cluster.rejections if text.startswith(("not understood", "unknown"))]
 
 
 @settings(SEEDED, max_examples=60)
@@ -88,305 +92,313 @@
     st.sets(st.integers(0, 9)),
     st.sets(st.integers(0, 9)),
 )
-def test_who_was_away_longer_than_deletions_are_kept_brings_none_back_and_loses_no_word_of_its_own(
+def test_a_replica_away_beyond_the_horizon_restores_no_deletion_and_loses_no_write_of_its_own(
     seed: int, away_s: float, running: bool, deleted: set[int], written: set[int]
 ) -> None:
-    fleet = settled("abcd", seed, horizon_s=60.0)
+    cluster = cluster_in_sync("abcd", seed, horizon_s=60.0)
     for number in range(10):
-        fleet.put("d", f"config/{number}", "old")
-        fleet.put("b", f"config/b{number}", "old")
-    fleet.run(3.0)
-    assert fleet.equal()
-    fleet.cut("a", "d")
+        cluster.put("d", f"config/{number}", "old")
+        cluster.put("b", f"config/b{number}", "old")
+    cluster.run(3.0)
+    assert cluster.equal()
+    cluster.disconnect("a", "d")
     for number in deleted:
-        fleet.put("c", f"config/{number}", None)
-        fleet.put("c", f"config/b{number}", None)
+        cluster.put("c", f"config/{number}", None)
+        cluster.put("c", f"config/b{number}", None)
     for number in written:
-        fleet.put("d", f"config/new/{number}", number)
-    fleet.run(away_s)
-    fleet.check()
+        cluster.put("d", f"config/new/{number}", number)
+    cluster.run(away_s)
+    cluster.check()
     if away_s > 70.0:
-        assert not any(fleet.store("a").record(f"config/{n}") for n in deleted), "deletions are forgotten"
+        assert not any(cluster.store("a").record(f"config/{n}") for n in deleted), "deletions are forgotten"
     if not running:
-        fleet.restart("d")
+        cluster.restart("d")
     star = [("a", name) for name in "bcd"]
-    assert fleet.heal(60.0, star)
-    fleet.check()
+    assert cluster.converge(60.0, star)
+    cluster.check()
     for name in "abcd":
-        store = fleet.store(name)
+        store = cluster.store(name)
         assert not [n for n in deleted if store.get(f"config/{n}") or store.get(f"config/b{n}")]
         assert all(store.get(f"config/{n}") == "old" for n in set(range(10)) - deleted)
         assert all(store.get(f"config/new/{n}") == n for n in written)
     # And a key that was deleted and forgotten can be written anew, above all that anyone may remember.
     for number in deleted:
-        fleet.put("d", f"config/{number}", "again")
-    assert fleet.heal(30.0, star)
-    assert all(fleet.store("b").get(f"config/{n}") == "again" for n in deleted)
+        cluster.put("d", f"config/{number}", "again")
+    assert cluster.converge(30.0, star)
+    assert all(cluster.store("b").get(f"config/{n}") == "again" for n in deleted)
 
 
-def test_what_was_written_but_not_yet_taken_by_anybody_survives_a_long_absence() -> None:
+def test_a_write_that_no_peer_has_received_survives_a_long_absence() -> None:
     # All that the others had was here when it was written, but they had not got this: that is not in step.
-    fleet = settled("abc", 1, horizon_s=60.0)
-    fleet.slow("b", "a")
-    fleet.put("b", "config/x", 1)
-    fleet.run(1.6)
-    assert fleet.store("a").get("config/x") is None and ("a", "b") in fleet.wires
-    fleet.cut("a", "b")
-    fleet.run(200.0)
-    assert fleet.heal(30.0, [("a", "b"), ("a", "c")])
-    assert fleet.store("c").get("config/x") == 1
-
-
-def test_one_that_is_in_step_takes_nothing_from_one_that_is_being_filled() -> None:
-    fleet = settled("ab", 1, rate=8192.0)
-    bulk(fleet, "a", 3000)
-    fleet.run(20.0)
-    fleet.start("e", Store("e", wall_clock=fleet.wall))
-    fleet.put("e", "config/early", 1)
-    fleet.link("a", "e")
-    fleet.run(1.0)
-    session = fleet.wires["a", "e"].sessions["a"]
+    cluster = cluster_in_sync("abc", 1, horizon_s=60.0)
+    cluster.stop_reading("b", "a")
+    cluster.put("b", "config/x", 1)
+    cluster.run(1.6)
+    assert cluster.store("a").get("config/x") is None and ("a", "b") in cluster.connections
+    cluster.disconnect("a", "b")
+    cluster.run(200.0)
+    assert cluster.converge(30.0, [("a", "b"), ("a", "c")])
+    assert cluster.store("c").get("config/x") == 1
+
+
+def test_a_replica_in_sync_takes_nothing_from_one_that_is_being_filled() -> None:
+    cluster = cluster_in_sync("ab", 1, rate=8192.0)
+    bulk(cluster, "a", 3000)
+    cluster.run(20.0)
+    cluster.start("e", Store("e", wall_clock=cluster.wall))
+    cluster.put("e", "config/early", 1)
+    cluster.connect("a", "e")
+    cluster.run(1.0)
+    session = cluster.connections["a", "e"].sessions["a"]
     assert (
         session.peer_hello is not None
         and not session.peer_recently_in_sync
-        and not fleet.replicas["e"].recently_in_sync
+        and not cluster.replicas["e"].recently_in_sync
     )
-    assert fleet.store("a").get("config/early") is None
-    assert fleet.heal(30.0, [("a", "b"), ("a", "e")])
-    assert fleet.store("b").get("config/early") == 1 and fleet.replicas["e"].recently_in_sync
-
-
-def test_a_key_written_anew_wins_over_a_deletion_that_others_still_remember() -> None:
-    fleet = settled("ab", 1)
-    fleet.put("b", "config/x", 1)
-    fleet.put("b", "config/x", None)
-    fleet.run(2.0)
-    fleet.store("a").forget(["config/x"])  # its clock is ahead of b's
-    fleet.put("a", "config/x", "anew")
-    fleet.run(2.0)
-    assert fleet.store("b").get("config/x") == "anew"
-    fleet.put("b", "config/x", None)
-    fleet.run(2.0)
-    fleet.store("a").forget(["config/x"])
-    fleet.start("c", Store("c", wall_clock=fleet.wall))  # knows of neither, but for a's word
-    fleet.link("a", "c")
-    fleet.run(0.2)
-    fleet.put("c", "config/x", "by c")
-    assert fleet.heal(10.0, [("a", "b"), ("a", "c")])
-    assert fleet.store("b").get("config/x") == "by c"
+    assert cluster.store("a").get("config/early") is None
+    assert cluster.converge(30.0, [("a", "b"), ("a", "e")])
+    assert cluster.store("b").get("config/early") == 1 and cluster.replicas["e"].recently_in_sync
+
+
+def test_a_new_write_wins_over_a_deletion_that_others_still_remember() -> None:
+    cluster = cluster_in_sync("ab", 1)
+    cluster.put("b", "config/x", 1)
+    cluster.put("b", "config/x", None)
+    cluster.run(2.0)
+    cluster.store("a").forget(["config/x"])  # its clock is ahead of b's
+    cluster.put("a", "config/x", "anew")
+    cluster.run(2.0)
+    assert cluster.store("b").get("config/x") == "anew"
+    cluster.put("b", "config/x", None)
+    cluster.run(2.0)
+    cluster.store("a").forget(["config/x"])
+    cluster.start("c", Store("c", wall_clock=cluster.wall))  # knows of neither, but for a's word
+    cluster.connect("a", "c")
+    cluster.run(0.2)
+    cluster.put("c", "config/x", "by c")
+    assert cluster.converge(10.0, [("a", "b"), ("a", "c")])
+    assert cluster.store("b").get("config/x") == "by c"
 
 
 def test_while_a_zone_is_cut_off_no_deletion_is_forgotten() -> None:
     # Those in it stay in step with each other, so by their own measure they were never away.
-    fleet = settled("abcd", 1, horizon_s=60.0)
+    cluster = cluster_in_sync("abcd", 1, horizon_s=60.0)
     for name in "abcd":
-        fleet.replicas[name].announce()
-    fleet.put("a", "config/x", 1)
-    fleet.run(3.0)
-    fleet.cut("a", "c")
-    fleet.cut("a", "d")
-    fleet.link("c", "d")
-    fleet.put("a", "config/x", None)
-    fleet.run(200.0)
-    assert fleet.store("c").get("config/x") == 1 and fleet.store("b").record("config/x") is not None
-    ages = fleet.replicas["b"].zone_ages(fleet.now)
+        cluster.replicas[name].announce()
+    cluster.put("a", "config/x", 1)
+    cluster.run(3.0)
+    cluster.disconnect("a", "c")
+    cluster.disconnect("a", "d")
+    cluster.connect("c", "d")
+    cluster.put("a", "config/x", None)
+    cluster.run(200.0)
+    assert cluster.store("c").get("config/x") == 1 and cluster.store("b").record("config/x") is not None
+    ages = cluster.replicas["b"].zone_ages(cluster.now)
     assert ages["r/c"] > 190.0 and ages["r/a"] < 2.0 and ages["r/b"] == 0.0
-    assert fleet.replicas["c"].recently_in_sync and fleet.replicas["a"].recently_in_sync
+    assert cluster.replicas["c"].recently_in_sync and cluster.replicas["a"].recently_in_sync
     links = [("a", "b"), ("a", "c"), ("c", "d")]
-    assert fleet.heal(30.0, links)
-    assert fleet.store("d").get("config/x") is None
-    fleet.run(100.0)
-    assert all(fleet.store(name).record("config/x") is None for name in "abcd"), "healed, they forget"
-    assert fleet.equal()
-
-
-def test_a_new_fleet_agrees_after_a_while_and_an_empty_copy_never_makes_others_drop_theirs() -> None:
-    fleet = Fleet("abc", 1)
-    fleet.put("a", "config/x", 1)
-    fleet.restart("a")
-    fleet.heal(links=[("a", "b")])
-    fleet.run(70.0)
-    assert fleet.replicas["a"].recently_in_sync and fleet.replicas["b"].recently_in_sync
-    fleet.restart("a", wiped=True)
-    assert fleet.heal(links=[("a", "b"), ("b", "c")])
-    assert fleet.store("a").get("config/x") == fleet.store("c").get("config/x") == 1
-
-
-def test_a_copy_of_unknown_age_starts_over_and_an_empty_one_between_hands_nothing_on() -> None:
+    assert cluster.converge(30.0, links)
+    assert cluster.store("d").get("config/x") is None
+    cluster.run(100.0)
+    assert all(cluster.store(name).record("config/x") is None for name in "abcd"), "healed, they forget"
+    assert cluster.equal()
+
+
+def test_a_new_cluster_settles_and_an_empty_replica_never_makes_others_drop_records() -> None:
+    cluster = SimulatedCluster("abc", 1)
+    cluster.put("a", "config/x", 1)
+    cluster.restart("a")
+    cluster.converge(links=[("a", "b")])
+    cluster.run(70.0)
+    assert cluster.replicas["a"].recently_in_sync and cluster.replicas["b"].recently_in_sync
+    cluster.restart("a", wiped=True)
+    assert cluster.converge(links=[("a", "b"), ("b", "c")])
+    assert cluster.store("a").get("config/x") == cluster.store("c").get("config/x") == 1
+
+
+def test_a_replica_of_unknown_age_starts_over_and_an_empty_one_between_passes_nothing_on() -> None:
     # z holds what a and b have deleted and forgotten; e is new, and linked to z before it is to a.
-    fleet = settled("ab", 1, horizon_s=60.0)
-    fleet.start("z", Store("z", wall_clock=fleet.wall))
-    fleet.store("z").merge([StoreRecord("config/gone", 1, 1, "y"), StoreRecord("config/kept", 1, 1, "y")])
-    fleet.restart("z")
-    fleet.put("a", "config/kept", 2)
-    fleet.start("e", Store("e", wall_clock=fleet.wall))
-    fleet.link("z", "e")
-    fleet.run(2.0)
-    assert fleet.store("e").get("config/gone") == 1
-    assert fleet.heal(60.0, [("a", "b"), ("z", "e"), ("e", "a")])
-    assert [fleet.store(n).get("config/gone") for n in "abez"] == [None] * 4
-    assert [fleet.store(n).get("config/kept") for n in "abez"] == [2] * 4
-
-
-def test_a_member_that_was_removed_is_refused_and_comes_as_new_once_it_is_added_again() -> None:
-    fleet = settled("abc", 1)
-    fleet.put("c", "state/c/x", 1)
-    fleet.put("a", "config/x", 1)
-    fleet.run(2.0)
-    fleet.put("a", "config/removed/c", {"why": "sold"})
-    fleet.run(2.0)
-    assert all(fleet.store(name).get("state/c/x") is None for name in "ab")
-    assert ("a", "c") not in fleet.wires and fleet.equal_among("ab")
-    fleet.put("a", "config/x", None)
-    fleet.put("c", "config/harm", 1)
-    fleet.restart("c")
+    cluster = cluster_in_sync("ab", 1, horizon_s=60.0)
+    cluster.start("z", Store("z", wall_clock=cluster.wall))
+    cluster.store("z").merge([StoreRecord("config/gone", 1, 1, "y"), StoreRecord("config/kept", 1, 1, "y")])
+    cluster.restart("z")
+    cluster.put("a", "config/kept", 2)
+    cluster.start("e", Store("e", wall_clock=cluster.wall))
+    cluster.connect("z", "e")
+    cluster.run(2.0)
+    assert cluster.store("e").get("config/gone") == 1
+    assert cluster.converge(60.0, [("a", "b"), ("z", "e"), ("e", "a")])
+    assert [cluster.store(n).get("config/gone") for n in "abez"] == [None] * 4
+    assert [cluster.store(n).get("config/kept") for n in "abez"] == [2] * 4
+
+
+def test_a_removed_member_is_rejected_and_starts_over_once_it_is_added_again() -> None:
+    cluster = cluster_in_sync("abc", 1)
+    cluster.put("c", "state/c/x", 1)
+    cluster.put("a", "config/x", 1)
+    cluster.run(2.0)
+    cluster.put("a", "config/removed/c", {"why": "sold"})
+    cluster.run(2.0)
+    assert all(cluster.store(name).get("state/c/x") is None for name in "ab")
+    assert ("a", "c") not in cluster.connections and cluster.equal_among("ab")
+    cluster.put("a", "config/x", None)
+    cluster.put("c", "config/harm", 1)
+    cluster.restart("c")
     for _ in range(3):
-        fleet.link("c", "b")
-        fleet.run(2.0)
-    assert fleet.store("b").get("config/harm") is None and ("c", "b") not in fleet.wires
-    assert any("c was removed" in text for text in fleet.refusals)
-    fleet.put("b", "config/removed/c", None)
-    assert fleet.heal(60.0, [("a", "b"), ("b", "c")])
-    assert fleet.store("a").get("config/harm") is None and fleet.store("c").get("config/x") is None
-    assert fleet.store("a").get("state/c/x") == 1, "its own states count again"
+        cluster.connect("c", "b")
+        cluster.run(2.0)
+    assert cluster.store("b").get("config/harm") is None and ("c", "b") not in cluster.connections
+    assert any("c was removed" in text for text in cluster.rejections)
+    cluster.put("b", "config/removed/c", None)
+    assert cluster.converge(60.0, [("a", "b"), ("b", "c")])
+    assert cluster.store("a").get("config/harm") is None and cluster.store("c").get("config/x") is None
+    assert cluster.store("a").get("state/c/x") == 1, "its own states count again"
 
 
 # ---------------------------------------------------------------- what it costs
 
 
-def bulk(fleet: Fleet, name: str, keys: int) -> None:
+def bulk(cluster: SimulatedCluster, name: str, keys: int) -> None:
     for number in range(keys):
-        fleet.put(name, f"config/shard/{number}", {"host": f"s-{number % 97}", "epoch": number})
+        cluster.put(name, f"config/shard/{number}", {"host": f"s-{number % 97}", "epoch": number})
 
 
-def linked(keys: int, seed: int = 1) -> Fleet:
-    fleet = Fleet("ab", seed)
-    bulk(fleet, "a", keys)
-    assert fleet.heal(120.0, [("a", "b")])
-    return fleet
+def linked(keys: int, seed: int = 1) -> SimulatedCluster:
+    cluster = SimulatedCluster("ab", seed)
+    bulk(cluster, "a", keys)
+    assert cluster.converge(120.0, [("a", "b")])
+    return cluster
 
 
 @pytest.mark.parametrize("keys", [10, 3000])
-def test_an_idle_link_costs_the_same_whatever_the_number_of_keys(keys: int) -> None:
-    # The exchange of digests cost 15 octets a key a second for each side.
-    fleet = linked(keys)
-    fleet.run(5.0)
-    (wire,) = fleet.wires.values()
-    octets, frames = wire.octets, wire.frames
-    fleet.run(20.0)
-    assert wire.frames - frames <= 60 and wire.octets - octets <= 20 * 2 * 250
-    assert not any(session.anti_entropy_rounds for session in wire.sessions.values())
+def test_an_idle_session_costs_the_same_whatever_the_number_of_keys(keys: int) -> None:
+    # The exchange of digests cost 15 bytes a key a second for each side.
+    cluster = linked(keys)
+    cluster.run(5.0)
+    (connection,) = cluster.connections.values()
+    sent_bytes, frames = connection.sent_bytes, connection.frames
+    cluster.run(20.0)
+    assert connection.frames - frames <= 60 and connection.sent_bytes - sent_bytes <= 20 * 2 * 250
+    assert not any(session.anti_entropy_rounds for session in connection.sessions.values())
 
 
 def test_a_change_costs_itself_and_a_restart_what_differs_whatever_the_number_of_keys() -> None:
-    fleet = linked(3000)
-    (wire,) = fleet.wires.values()
-    fleet.run(2.0)
-    octets = wire.octets
-    fleet.put("a", "config/shard/7", {"host": "s-1"})
-    while not fleet.equal():
-        assert fleet.turn() or fleet.run(0.01)
-    assert wire.octets - octets < 1500
-    fleet.restart("b")
-    fleet.put("b", "config/shard/9", {"host": "s-2"})
-    fleet.put("a", "config/shard/8", {"host": "s-2"})
-    assert fleet.heal(5.0, [("a", "b")])
-    (wire,) = fleet.wires.values()
-    assert wire.octets < 12_000 and wire.frames < 60
-    assert fleet.store("a").get("config/shard/9") == fleet.store("b").get("config/shard/8") == {"host": "s-2"}
-
-
-def test_a_change_goes_on_over_every_link_at_once_and_not_back() -> None:
-    fleet = Fleet("abcd", 1)
+    cluster = linked(3000)
+    (connection,) = cluster.connections.values()
+    cluster.run(2.0)
+    sent_bytes = connection.sent_bytes
+    cluster.put("a", "config/shard/7", {"host": "s-1"})
+    while not cluster.equal():
+        assert cluster.step() or cluster.run(0.01)
+    assert connection.sent_bytes - sent_bytes < 1500
+    cluster.restart("b")
+    cluster.put("b", "config/shard/9", {"host": "s-2"})
+    cluster.put("a", "config/shard/8", {"host": "s-2"})
+    assert cluster.converge(5.0, [("a", "b")])
+    (connection,) = cluster.connections.values()
+    assert connection.sent_bytes < 12_000 and connection.frames < 60
+    assert (
+        cluster.store("a").get("config/shard/9")
+        == cluster.store("b").get("config/shard/8")
+        == {"host": "s-2"}
+    )
+
+
+def test_a_change_is_forwarded_over_every_session_at_once_and_not_sent_back() -> None:
+    cluster = SimulatedCluster("abcd", 1)
     chain = [("a", "b"), ("b", "c"), ("c", "d")]
-    assert fleet.heal(10.0, chain)
-    fleet.run(2.0)
-    before = {ends: dict(fleet.wires[ends].sent) for ends in chain}
+    assert cluster.converge(10.0, chain)
+    cluster.run(2.0)
+    before = {ends: dict(cluster.connections[ends].sent_bytes_by) for ends in chain}
     for number in range(100):
-        fleet.put("a", f"config/{number}", random.Random(number).randbytes(30).hex())
-    fleet.run(0.3)
-    assert fleet.equal(), "before any repair could have begun"
+        cluster.put("a", f"config/{number}", random.Random(number).randbytes(30).hex())
+    cluster.run(0.3)
+    assert cluster.equal(), "before any repair could have begun"
     for one, other in chain:
-        sent, was = fleet.wires[one, other].sent, before[one, other]
+        sent, was = cluster.connections[one, other].sent_bytes_by, before[one, other]
         assert sent[one] - was[one] > 4000 and sent[other] - was[other] < 600
-        assert not any(session.anti_entropy_rounds for session in fleet.wires[one, other].sessions.values())
+        assert not any(
+            session.anti_entropy_rounds for session in cluster.connections[one, other].sessions.values()
+        )
 
 
-def test_a_snapshot_is_taken_up_where_the_link_broke() -> None:
+def test_a_snapshot_is_resumed_where_the_connection_broke() -> None:
     whole = linked(3000)
-    (wire,) = whole.wires.values()
-    once = wire.octets
-    fleet = Fleet("ab", 2)
-    bulk(fleet, "a", 3000)
-    octets, cuts = 0, 0
-    while not fleet.equal():
-        fleet.link("a", "b")
-        (wire,) = fleet.wires.values()
-        fleet.run(3.0, most=20)
-        fleet.check()
-        octets += wire.octets
-        cuts += 1
-        assert cuts < 40, "begun anew each time it would never end"
-        fleet.cut("a", "b")
+    (connection,) = whole.connections.values()
+    once = connection.sent_bytes
+    cluster = SimulatedCluster("ab", 2)
+    bulk(cluster, "a", 3000)
+    sent_bytes, disconnects = 0, 0
+    while not cluster.equal():
+        cluster.connect("a", "b")
+        (connection,) = cluster.connections.values()
+        cluster.run(3.0, max_steps=20)
+        cluster.check()
+        sent_bytes += connection.sent_bytes
+        disconnects += 1
+        assert disconnects < 40, "begun anew each time it would never end"
+        cluster.disconnect("a", "b")
     # A window of parts may be lost with each link.
-    assert cuts > 4 and octets < once + cuts * 4000
+    assert disconnects > 4 and sent_bytes < once + disconnects * 4000
 
 
-def test_what_is_urgent_goes_ahead_of_a_snapshot_and_within_the_budget() -> None:
-    fleet = Fleet("abc", 1, rate=8192.0)
+def test_an_urgent_change_goes_ahead_of_a_snapshot_and_within_the_budget() -> None:
+    cluster = SimulatedCluster("abc", 1, rate=8192.0)
     rng = random.Random(1)
     for number in range(2000):  # that does not pack well
-        fleet.put("a", f"config/shard/{number}", rng.randbytes(60).hex())
-    fleet.link("a", "b")
-    fleet.run(4.0)
-    assert not fleet.equal_among("ab")
-    fleet.put("a", "config/urgent", 1)
-    began = fleet.now
-    while fleet.store("b").get("config/urgent") is None:
-        fleet.run(0.05)
-    assert fleet.now - began < 0.5 and not fleet.equal_among("ab"), "while the snapshot goes on"
-    fleet.check()
-    assert fleet.heal(120.0, [("a", "b"), ("b", "c")])
-    fleet.check()
-
-
-def test_several_changes_of_a_key_go_as_one_and_a_slow_follower_holds_up_nobody() -> None:
-    fleet = linked(10)
-    fleet.start("c", Store("c", wall_clock=fleet.wall))
-    assert fleet.heal(10.0, [("a", "b"), ("a", "c")])
-    slow = fleet.wires["a", "c"]
-    slow.slow.add("c")
-    octets = slow.octets
+        cluster.put("a", f"config/shard/{number}", rng.randbytes(60).hex())
+    cluster.connect("a", "b")
+    cluster.run(4.0)
+    assert not cluster.equal_among("ab")
+    cluster.put("a", "config/urgent", 1)
+    began = cluster.now
+    while cluster.store("b").get("config/urgent") is None:
+        cluster.run(0.05)
+    assert cluster.now - began < 0.5 and not cluster.equal_among("ab"), "while the snapshot goes on"
+    cluster.check()
+    assert cluster.converge(120.0, [("a", "b"), ("b", "c")])
+    cluster.check()
+
+
+def test_several_changes_of_a_key_are_sent_as_one_and_a_slow_follower_delays_nobody() -> None:
+    cluster = linked(10)
+    cluster.start("c", Store("c", wall_clock=cluster.wall))
+    assert cluster.converge(10.0, [("a", "b"), ("a", "c")])
+    slow = cluster.connections["a", "c"]
+    slow.not_reading.add("c")
+    sent_bytes = slow.sent_bytes
     for number in range(500):
-        fleet.put("a", "config/x", number)
-        fleet.turn()
-    fleet.run(0.5)
-    fleet.check()
-    assert fleet.store("b").get("config/x") == 499 and fleet.store("c").get("config/x") is None
-    assert slow.octets - octets < 3000, "what it has not read is not repeated, and what is older is gone"
-    slow.slow.clear()
-    assert fleet.heal(5.0, [("a", "b"), ("a", "c")])
+        cluster.put("a", "config/x", number)
+        cluster.step()
+    cluster.run(0.5)
+    cluster.check()
+    assert cluster.store("b").get("config/x") == 499 and cluster.store("c").get("config/x") is None
+    assert slow.sent_bytes - sent_bytes < 3000, (
+        "what it has not read is not repeated, and what is older is gone"
+    )
+    slow.not_reading.clear()
+    assert cluster.converge(5.0, [("a", "b"), ("a", "c")])
 
 
 @SEEDED
 @given(st.lists(st.tuples(st.floats(0, 3), st.integers(0, 20_000), st.booleans()), max_size=60))
 def test_the_budget_holds_over_any_span(steps: list[tuple[float, int, bool]]) -> None:
     budget, now, taken = ByteBudget(1000.0, 0.0), 0.0, [(0.0, 0)]
-    for wait, octets, urgent in steps:
+    for wait, size, urgent in steps:
         now += wait
-        if budget.available_bytes(now, urgent) >= octets:
-            budget.consume(now, octets)
-            taken.append((now, octets))
-        elif octets <= budget.burst:
-            at = budget.available_at(now, octets, urgent)
-            assert at >= now and budget.available_bytes(at, urgent) >= octets - 1e-3
+        if budget.available_bytes(now, urgent) >= size:
+            budget.consume(now, size)
+            taken.append((now, size))
+        elif size <= budget.burst:
+            at = budget.available_at(now, size, urgent)
+            assert at >= now and budget.available_bytes(at, urgent) >= size - 1e-3
             now = at
     for first in range(len(taken)):
-        spent = sum(octets for _, octets in taken[first:])
+        spent = sum(size for _, size in taken[first:])
         assert spent <= 1000.0 * (now - taken[first][0]) + budget.burst + budget.debt + 1e-3
 
 
-def test_waits_double_up_to_a_most_and_differ() -> None:
+def test_backoff_delays_double_up_to_the_maximum_and_differ() -> None:
     backoff = Backoff(1.0, 8.0, random.Random(1))
     waits = [backoff.next_delay_s() for _ in range(6)]
     assert all(most / 2 <= wait <= most for wait, most in zip(waits, [1, 2, 4, 8, 8, 8], strict=True))
@@ -395,12 +407,12 @@
     assert backoff.next_delay_s() <= 1.0
 
 
-# ---------------------------------------------------------------- parts
+# ---------------------------------------------------------------- data structures
 
 
 @SEEDED
 @given(st.lists(st.tuples(st.integers(0, 30), st.one_of(st.none(), st.integers(0, 3)))))
-def test_a_tree_tells_what_is_in_it_whatever_came_before(steps: list[tuple[int, int | None]]) -> None:
+def test_a_merkle_tree_depends_on_its_content_alone(steps: list[tuple[int, int | None]]) -> None:
     tree, held = MerkleTree(), {}
     for number, digest in steps:
         tree.set(f"k{number}", digest or 0)
@@ -418,7 +430,7 @@
             assert xor == tree.hash(depth, index)
 
 
-def test_a_sequence_holds_one_entry_a_key_and_costs_no_more_with_more_changes() -> None:
+def test_a_change_log_holds_one_entry_a_key_and_grows_no_further_with_more_changes() -> None:
     changes = ChangeLogSet(1)
     for number in range(5000):
         changes.add(StoreRecord(f"config/{number % 7}", number, number + 1, "a"), source=number % 2)
@@ -432,32 +444,32 @@
     # A node that was wiped counts its versions anew: (version, node) then stands for two different words.
     one, two = StoreRecord("config/x", 1, 1, "a"), StoreRecord("config/x", 2, 1, "a")
     assert supersedes(one, two) != supersedes(two, one) and not supersedes(one, one)
-    fleet = Fleet("abc", 1)
-    fleet.store("a").merge([one])
-    fleet.store("b").merge([two])
-    assert fleet.heal()
+    cluster = SimulatedCluster("abc", 1)
+    cluster.store("a").merge([one])
+    cluster.store("b").merge([two])
+    assert cluster.converge()
     winner = one if record_digest(one) > record_digest(two) else two
-    assert {fleet.store(name).get("config/x") for name in "abc"} == {winner.value}
+    assert {cluster.store(name).get("config/x") for name in "abc"} == {winner.value}
 
 
-def test_what_was_lost_against_all_rules_is_found_by_the_trees() -> None:
-    fleet = linked(200)
-    fleet.run(2.0)
-    store = fleet.store("b")
+def test_a_record_lost_by_a_fault_is_restored_by_anti_entropy() -> None:
+    cluster = linked(200)
+    cluster.run(2.0)
+    store = cluster.store("b")
     store._records.pop("config/shard/7")  # as a fault of ours or of the memory would
-    fleet.replicas["b"].changes.remove("config/shard/7")
-    fleet.run(10.0)
-    assert fleet.equal() and store.get("config/shard/7") is not None
+    cluster.replicas["b"].changes.remove("config/shard/7")
+    cluster.run(10.0)
+    assert cluster.equal() and store.get("config/shard/7") is not None
 
 
-# ---------------------------------------------------------------- what is refused
+# ---------------------------------------------------------------- what is rejected
 
 
-def pair() -> tuple[Fleet, ReplicationSession]:
-    fleet = linked(20)
-    fleet.run(2.0)
-    (wire,) = fleet.wires.values()
-    return fleet, wire.sessions["b"]
+def pair() -> tuple[SimulatedCluster, ReplicationSession]:
+    cluster = linked(20)
+    cluster.run(2.0)
+    (connection,) = cluster.connections.values()
+    return cluster, connection.sessions["b"]
 
 
 def cursors_of(session: ReplicationSession) -> list[tuple[int, int, int]]:
@@ -476,25 +488,25 @@
 
 @settings(SEEDED, max_examples=400)
 @given(KINDS, VALUES)
-def test_a_frame_that_is_not_understood_is_refused_and_changes_nothing(kind: str, value: Any) -> None:
-    fleet, session = pair()
-    before = fleet.store("b").records(), cursors_of(session)
+def test_a_malformed_frame_is_rejected_and_changes_nothing(kind: str, value: Any) -> None:
+    cluster, session = pair()
+    before = cluster.store("b").records(), cursors_of(session)
     try:
-        session.receive(encode({kind: value}), fleet.now)
-    except SessionRejected as refusal:
-        assert str(refusal)
+        session.receive(encode({kind: value}), cluster.now)
+    except SessionRejected as rejection:
+        assert str(rejection)
     else:
         assert kind in ("ack", "ask", "get")  # there are sound ones among these
     assert before == (
-        fleet.store("b").records(),
+        cluster.store("b").records(),
         cursors_of(session),
     )
 
 
 @settings(SEEDED, max_examples=100)
 @given(st.binary(max_size=60))
-def test_octets_that_are_no_frame_are_refused(octets: bytes) -> None:
-    for payload in (octets, b"z" + octets):
+def test_bytes_that_are_no_frame_are_rejected(data: bytes) -> None:
+    for payload in (data, b"z" + data):
         try:
             message = decode(payload)
         except SessionRejected:
@@ -502,7 +514,7 @@
         assert isinstance(message, dict) and message
 
 
-def test_a_frame_that_unpacks_to_too_much_is_refused_unpacked_no_further() -> None:
+def test_a_frame_that_decompresses_to_too_much_is_rejected_and_decompressed_no_further() -> None:
     assert len(encode({"x": "a" * 5_000_000})) < 50_000
     with pytest.raises(SessionRejected, match="too large"):
         decode(encode({"x": "a" * 5_000_000}))
@@ -527,42 +539,42 @@
         ({"nonsense": 1}, "unknown message"),
     ],
 )
-def test_a_frame_out_of_place_is_refused_with_a_reason(message: dict[str, Any], text: str) -> None:
-    fleet, session = pair()
-    before = fleet.store("b").records()
+def test_a_frame_out_of_place_is_rejected_with_a_reason(message: dict[str, Any], text: str) -> None:
+    cluster, session = pair()
+    before = cluster.store("b").records()
     with pytest.raises(SessionRejected, match=text):
-        session.receive(encode(message), fleet.now)
-    assert fleet.store("b").records() == before
+        session.receive(encode(message), cluster.now)
+    assert cluster.store("b").records() == before
     session.close(text)
-    assert not fleet.heal(0.1) or fleet.heal(5.0)
+    assert not cluster.converge(0.1) or cluster.converge(5.0)
 
 
-def test_an_old_copy_is_refused_and_both_sides_are_told_both_versions() -> None:
-    fleet = Fleet("a", 1)
-    dialled = fleet.replicas["a"].open_session("old", fleet.now, ("127.0.0.1", 9))
-    greeting = json.loads(dialled.next_payload(fleet.now) or b"")
+def test_a_replica_of_protocol_1_is_rejected_and_both_sides_are_told_both_versions() -> None:
+    cluster = SimulatedCluster("a", 1)
+    dialled = cluster.replicas["a"].open_session("old", cluster.now, ("127.0.0.1", 9))
+    greeting = json.loads(dialled.next_payload(cluster.now) or b"")
     with pytest.raises(InvalidRecordError, match=f"protocol {PROTOCOL_VERSION}, this copy speaks 1"):
         parse_record(greeting["records"][0])  # as the old one reads it, and what it then logs
-    accepted = fleet.replicas["a"].open_session("old", fleet.now)
-    assert accepted.next_payload(fleet.now) is None, "who accepts waits for the greeting"
+    accepted = cluster.replicas["a"].open_session("old", cluster.now)
+    assert accepted.next_payload(cluster.now) is None, "who accepts waits for the greeting"
     with pytest.raises(
         SessionRejected, match=f"old speaks protocol 1 .*, this copy speaks {PROTOCOL_VERSION}"
-    ) as refusal:
-        accepted.receive(b'{"digest":{"config/x":[1,"old"]}}', fleet.now)
-    accepted.close(str(refusal.value), accepted.close_code)
+    ) as rejection:
+        accepted.receive(b'{"digest":{"config/x":[1,"old"]}}', cluster.now)
+    accepted.close(str(rejection.value), accepted.close_code)
     with pytest.raises(InvalidRecordError, match=f"protocol {PROTOCOL_VERSION}, this copy speaks 1"):
-        parse_record(json.loads(accepted.next_payload(fleet.now) or b"")["records"][0])
-    newer = fleet.replicas["a"].open_session("new", fleet.now)
+        parse_record(json.loads(accepted.next_payload(cluster.now) or b"")["records"][0])
+    newer = cluster.replicas["a"].open_session("new", cluster.now)
     greeting["hello"].update(protocol=3, node="new")
     with pytest.raises(SessionRejected, match=f"new speaks protocol 3, this copy speaks {PROTOCOL_VERSION}"):
-        newer.receive(encode(greeting), fleet.now)
+        newer.receive(encode(greeting), cluster.now)
 
 
-def test_a_record_that_fills_a_part_goes_alone_and_one_that_is_larger_is_no_record(tmp_path: Any) -> None:
-    fleet = Fleet("ab", 1)
+def test_a_record_that_fills_a_chunk_is_sent_alone_and_one_that_is_larger_is_invalid(tmp_path: Any) -> None:
+    cluster = SimulatedCluster("ab", 1)
     rng = random.Random(1)
     for number in range(5):
-        fleet.put("a", f"config/large/{number}", rng.randbytes(MAX_CHUNK_BYTES).hex())
-    assert fleet.heal(60.0, [("a", "b")])
+        cluster.put("a", f"config/large/{number}", rng.randbytes(MAX_CHUNK_BYTES).hex())
+    assert cluster.converge(60.0, [("a", "b")])
     with pytest.raises(InvalidRecordError, match="config/huge"):
-        fleet.put("a", "config/huge", "x" * 300_000)
+        cluster.put("a", "config/huge", "x" * 300_000)
--- a/tests/support/replication_fleet.py
+++ b/tests/support/replication_fleet.py
@@ -1,4 +1,4 @@
-"""Copies of the store in simulated time, linked as a schedule says, with what must hold after each step."""
+"""Replicas of the store in simulated time, with the invariants that hold after each step of a schedule."""
 
 from __future__ import annotations
 
@@ -12,6 +12,7 @@
 from sageturn.store.replica_state import ReplicaState
 from sageturn.store.replication.anti_entropy import MAX_REQUESTED_KEYS
 from sageturn.store.replication.chunk_sender import MAX_CHUNKS_IN_FLIGHT, MAX_URGENT_CHUNKS_IN_FLIGHT
+from sageturn.store.replication.liveness import PEER_TIMEOUT_S
 from sageturn.store.replication.location import ReplicaLocation
 from sageturn.store.replication.membership import LinkRejected, Member
 from sageturn.store.replication.priority import PRIORITY_CLASSES, priority_of
@@ -21,32 +22,45 @@
 from sageturn.store.replication.session import ReplicationSession
 from sageturn.store.store import Store
 
-QUEUE = 8  # frames that the kernel holds on one side of a link
-DAY = 86400.0
+MAX_QUEUED_FRAMES = 8  # on one side of a connection, as in the kernel's buffers
+DAY_S = 86400.0
 
 
 @dataclass
-class Wire:
-    """A link between two copies: per side its session, and the frames on their way to it."""
+class SimulatedConnection:
+    """A connection between two replicas: per side its session, and the frames on their way to it."""
 
     ends: tuple[str, str]
     sessions: dict[str, ReplicationSession]
     queues: dict[str, deque[bytes]] = field(default_factory=dict)
-    slow: set[str] = field(default_factory=set)  # those that read nothing for now
-    octets: int = 0
-    sent: dict[str, int] = field(default_factory=dict)  # octets by who said them
+    not_reading: set[str] = field(default_factory=set)  # the sides that read nothing for now
+    sent_bytes: int = 0
+    sent_bytes_by: dict[str, int] = field(default_factory=dict)
     frames: int = 0
-    refusals: list[str] = field(default_factory=list)
+    rejections: list[str] = field(default_factory=list)
 
+    def peer_of(self, name: str) -> str:
+        return self.ends[0] if name == self.ends[1] else self.ends[1]
 
-class Fleet:
-    def __init__(self, names: str, seed: int, rate: float = 27_000.0, horizon_s: float = 7 * DAY) -> None:
+    def record_sent(self, sender: str, payload: bytes) -> None:
+        self.queues[self.peer_of(sender)].append(payload)
+        self.sent_bytes += len(payload)
+        self.sent_bytes_by[sender] = self.sent_bytes_by.get(sender, 0) + len(payload)
+        self.frames += 1
+
+
+class SimulatedCluster:
+    """Replicas in simulated time, whose connections follow a schedule."""
+
+    def __init__(self, names: str, seed: int, rate: float = 27_000.0, horizon_s: float = 7 * DAY_S) -> None:
         self.rng = random.Random(seed)
-        self.now, self.began_wall = 1000.0, 1_800_000_000.0
-        self.rate, self.horizon_s = rate, horizon_s
+        self.now = 1000.0
+        self.began_wall = 1_800_000_000.0
+        self.rate = rate
+        self.horizon_s = horizon_s
         self.replicas: dict[str, Replica] = {}
-        self.wires: dict[tuple[str, str], Wire] = {}
-        self.refusals: list[str] = []
+        self.connections: dict[tuple[str, str], SimulatedConnection] = {}
+        self.rejections: list[str] = []
         self._orders: dict[tuple[str, str], tuple[int, str]] = {}
         for name in names:
             self.start(name, Store(name, wall_clock=self.wall))
@@ -76,8 +90,8 @@
 
     def restart(self, name: str, wiped: bool = False) -> None:
         """With what its disk had, or with nothing."""
-        for ends in [ends for ends in self.wires if name in ends]:
-            self.cut(*ends)
+        for ends in [ends for ends in self.connections if name in ends]:
+            self.disconnect(*ends)
         old = self.store(name)
         new = Store(name, wall_clock=self.wall)
         if not wiped:
@@ -85,126 +99,149 @@
             new.replica_state = old.replica_state
         self.start(name, new)
 
-    def link(self, one: str, other: str) -> None:
+    def connect(self, one: str, other: str) -> None:
         ends = (one, other)
-        if one == other or ends in self.wires or ends[::-1] in self.wires:
+        if one == other or ends in self.connections or ends[::-1] in self.connections:
             return
         first = self.replicas[one].open_session(other, self.now, ("127.0.0.1", 9))
         second = self.replicas[other].open_session(one, self.now)
-        self.wires[ends] = Wire(ends, {one: first, other: second}, {one: deque(), other: deque()})
+        self.connections[ends] = SimulatedConnection(
+            ends, {one: first, other: second}, {one: deque(), other: deque()}
+        )
 
-    def cut(self, one: str, other: str) -> None:
+    def disconnect(self, one: str, other: str) -> None:
         """Whatever is on its way is lost."""
-        wire = self.wires.pop((one, other), None) or self.wires.pop((other, one), None)
-        if wire is not None:
-            self.refusals += wire.refusals
-            for name, session in wire.sessions.items():
+        connection = self.connections.pop((one, other), None) or self.connections.pop((other, one), None)
+        if connection is not None:
+            self.rejections += connection.rejections
+            for name, session in connection.sessions.items():
                 self.replicas[name].on_session_closed(session, self.now)
 
-    def again(self, one: str, other: str) -> None:
-        """The last frame on its way to ``other`` comes twice, as no sound link lets it."""
-        wire = self.wires.get((one, other)) or self.wires.get((other, one))
-        if wire is not None and wire.queues[other]:
-            wire.queues[other].append(wire.queues[other][-1])
+    def repeat_last_frame(self, one: str, other: str) -> None:
+        """The last frame on its way to ``other`` comes twice, which no authenticated channel allows."""
+        connection = self.connections.get((one, other)) or self.connections.get((other, one))
+        if connection is not None and connection.queues[other]:
+            connection.queues[other].append(connection.queues[other][-1])
 
-    def swap(self, one: str, other: str) -> None:
-        """The last two frames to ``other`` change places, as no sound link lets them."""
-        wire = self.wires.get((one, other)) or self.wires.get((other, one))
-        if wire is not None and len(wire.queues[other]) >= 2:
-            last = wire.queues[other].pop()
-            wire.queues[other].insert(len(wire.queues[other]) - 1, last)
+    def swap_last_frames(self, one: str, other: str) -> None:
+        """The last two frames to ``other`` change places, which no authenticated channel allows."""
+        connection = self.connections.get((one, other)) or self.connections.get((other, one))
+        if connection is not None and len(connection.queues[other]) >= 2:
+            last = connection.queues[other].pop()
+            connection.queues[other].insert(len(connection.queues[other]) - 1, last)
 
-    def slow(self, one: str, other: str) -> None:
+    def stop_reading(self, one: str, other: str) -> None:
         """``other`` reads nothing from ``one`` any more."""
-        wire = self.wires.get((one, other)) or self.wires.get((other, one))
-        if wire is not None:
-            wire.slow.add(other)
-
-    def turn(self) -> bool:
-        """One side of one link says or hears one frame; False if nobody has anything to say or hear."""
-        moves = [(wire, name) for wire in self.wires.values() for name in wire.ends]
-        self.rng.shuffle(moves)
-        waiting = False
-        for wire, name in moves:
-            if (wire.ends[0], wire.ends[1]) not in self.wires:
+        connection = self.connections.get((one, other)) or self.connections.get((other, one))
+        if connection is not None:
+            connection.not_reading.add(other)
+
+    def step(self) -> bool:
+        """One side of one connection sends or receives one frame; False if nobody has anything to do."""
+        sides = [(connection, name) for connection in self.connections.values() for name in connection.ends]
+        self.rng.shuffle(sides)
+        has_waiting_frames = False
+        for connection, name in sides:
+            if connection.ends not in self.connections:
                 continue
-            other = wire.ends[0] if name == wire.ends[1] else wire.ends[1]
-            session, replica = wire.sessions[name], self.replicas[name]
-            waiting = waiting or bool(wire.queues[name] and name not in wire.slow)
-            if wire.queues[name] and name not in wire.slow and self.rng.random() < 0.6:
-                payload = wire.queues[name].popleft()
-                if session.close_detail:
-                    return True
-                try:
-                    session.receive(payload, self.now)
-                except SessionRejected as refusal:
-                    wire.refusals.append(str(refusal))
-                    session.close(str(refusal), session.close_code)
-                if session.peer_close_detail:
-                    self.cut(*wire.ends)
+            can_receive = bool(connection.queues[name] and name not in connection.not_reading)
+            has_waiting_frames = has_waiting_frames or can_receive
+            if can_receive and self.rng.random() < 0.6:
+                self._receive_frame(connection, name)
                 return True
-            if len(wire.queues[other]) < QUEUE:
-                payload_or_none = session.next_payload(self.now)
-                if payload_or_none is not None:
-                    assert len(payload_or_none) <= MAX_FRAME_BYTES
-                    wire.queues[other].append(payload_or_none)
-                    wire.octets += len(payload_or_none)
-                    wire.sent[name] = wire.sent.get(name, 0) + len(payload_or_none)
-                    wire.frames += 1
-                    if session.close_detail:
-                        # It closes once that is said; the other side may never hear it.
-                        if session.close_detail.startswith("silent") or wire.slow or self.rng.random() < 0.3:
-                            self.cut(*wire.ends)
-                        else:
-                            self._hear_out(wire, other)
-                    return True
-            elif session.wake_at(self.now) <= self.now and self.now - session.last_received_at >= 2.0:
-                self.cut(*wire.ends)
+            if self._send_frame(connection, name):
                 return True
-            replica.tick(self.now)
-        return waiting
+            self.replicas[name].tick(self.now)
+        return has_waiting_frames
 
-    def _hear_out(self, wire: Wire, name: str) -> None:
-        session = wire.sessions[name]
-        while wire.queues[name] and not session.peer_close_detail and not session.close_detail:
+    def _receive_frame(self, connection: SimulatedConnection, name: str) -> None:
+        session = connection.sessions[name]
+        payload = connection.queues[name].popleft()
+        if session.close_detail:
+            return
+        try:
+            session.receive(payload, self.now)
+        except SessionRejected as rejection:
+            connection.rejections.append(str(rejection))
+            session.close(str(rejection), session.close_code)
+        if session.peer_close_detail:
+            self.disconnect(*connection.ends)
+
+    def _send_frame(self, connection: SimulatedConnection, name: str) -> bool:
+        """Whether a frame was sent, or the connection given up because the peer reads nothing."""
+        session = connection.sessions[name]
+        other = connection.peer_of(name)
+        if len(connection.queues[other]) >= MAX_QUEUED_FRAMES:
+            is_silent = self.now - session.last_received_at >= PEER_TIMEOUT_S
+            is_given_up = session.wake_at(self.now) <= self.now and is_silent
+            if is_given_up:
+                self.disconnect(*connection.ends)
+            return is_given_up
+        payload = session.next_payload(self.now)
+        if payload is None:
+            return False
+        assert len(payload) <= MAX_FRAME_BYTES
+        connection.record_sent(name, payload)
+        if session.close_detail:
+            self._finish(connection, session, other)
+        return True
+
+    def _finish(self, connection: SimulatedConnection, session: ReplicationSession, other: str) -> None:
+        """A side closes once it has sent its last frame; the other side may never receive that."""
+        is_silent = session.close_detail.startswith("silent")
+        if is_silent or connection.not_reading or self.rng.random() < 0.3:
+            self.disconnect(*connection.ends)
+        else:
+            self._deliver_remaining(connection, other)
+
+    def _deliver_remaining(self, connection: SimulatedConnection, name: str) -> None:
+        session = connection.sessions[name]
+        while connection.queues[name] and not session.peer_close_detail and not session.close_detail:
             try:
-                session.receive(wire.queues[name].popleft(), self.now)
-            except SessionRejected as refusal:
-                wire.refusals.append(str(refusal))
+                session.receive(connection.queues[name].popleft(), self.now)
+            except SessionRejected as rejection:
+                connection.rejections.append(str(rejection))
                 break
-        self.cut(*wire.ends)
-
-    def run(self, seconds: float, most: int = 1_000_000) -> int:
-        """Turns until so much time has passed; returns how many it took."""
-        until, turns = self.now + seconds, 0
-        while turns < most:
-            turns += 1
-            if not self.turn():
+        self.disconnect(*connection.ends)
+
+    def run(self, seconds: float, max_steps: int = 1_000_000) -> int:
+        """Steps until so much time has passed; returns how many it took."""
+        until = self.now + seconds
+        steps = 0
+        while steps < max_steps:
+            steps += 1
+            if not self.step():
                 if self.now >= until:
                     break
-                sessions = [session for wire in self.wires.values() for session in wire.sessions.values()]
+                sessions = [
+                    session
+                    for connection in self.connections.values()
+                    for session in connection.sessions.values()
+                ]
                 wakes = [session.wake_at(self.now) for session in sessions]
                 self.now = min(until, max(self.now + 0.01, min(wakes, default=until)), self.now + 2.0)
-        return turns
+        return steps
 
-    def heal(self, seconds: float = 60.0, links: list[tuple[str, str]] | None = None) -> bool:
-        """Links all (a ring, if not said), again whenever one is lost; True once all hold the same."""
+    def converge(self, seconds: float = 60.0, links: list[tuple[str, str]] | None = None) -> bool:
+        """Connect all (to a ring by default), also after a loss; True once all hold the same."""
         names = sorted(self.replicas)
         ring = links or list(zip(names, names[1:] + names[:1], strict=True))
         until = self.now + seconds
         while self.now < until:
-            for wire in self.wires.values():
-                wire.slow.clear()
+            for connection in self.connections.values():
+                connection.not_reading.clear()
             for ends in ring:
-                self.link(*ends)
+                self.connect(*ends)
             self.run(0.5)
-            if self.equal() and all(self._at_rest(wire) for wire in self.wires.values()):
+            if self.equal() and all(
+                self._is_caught_up(connection) for connection in self.connections.values()
+            ):
                 return True
         return False
 
     @staticmethod
-    def _at_rest(wire: Wire) -> bool:
-        return all(session.caught_up for session in wire.sessions.values())
+    def _is_caught_up(connection: SimulatedConnection) -> bool:
+        return all(session.caught_up for session in connection.sessions.values())
 
     def equal(self) -> bool:
         return self.equal_among(self.replicas)
@@ -228,19 +265,19 @@
             self._check_change_logs(replica)
             self._check_budget(replica)
         self._check_cursors()
-        for wire in self.wires.values():
-            for session in wire.sessions.values():
+        for connection in self.connections.values():
+            for session in connection.sessions.values():
                 self._check_memory(session)
 
     def _check_orders(self, name: str, replica: Replica) -> None:
         for record in replica.store.records():
             last = self._orders.get((name, record.key))
-            assert last is None or last <= record.order, "an older word took a newer one's place"
+            assert last is None or last <= record.order, "an older version replaced a newer one"
             self._orders[name, record.key] = record.order
 
     @staticmethod
     def _check_change_logs(replica: Replica) -> None:
-        """The sequences and trees tell exactly what the store holds."""
+        """The change logs and trees have exactly what the store holds."""
         for priority in PRIORITY_CLASSES:
             change_log = replica.changes.logs[priority]
             entries = list(change_log.since(0))
@@ -288,15 +325,15 @@
 CONTROL = 12_000.0  # greetings, beats and acknowledgements of a member's few links go whatever is left
 
 
-def settled(names: str, seed: int, **more: float) -> Fleet:
-    """A fleet that has been in step, linked to a star round its first."""
-    fleet = Fleet(names, seed, **more)
+def cluster_in_sync(names: str, seed: int, **more: float) -> SimulatedCluster:
+    """A cluster that has been in step, linked to a star round its first."""
+    cluster = SimulatedCluster(names, seed, **more)
     for name in names:
-        fleet.store(name).replica_state = ReplicaState(fleet.wall(), 0)
+        cluster.store(name).replica_state = ReplicaState(cluster.wall(), 0)
     for name in names[1:]:
-        fleet.link(names[0], name)
-    fleet.run(5.0)
-    return fleet
+        cluster.connect(names[0], name)
+    cluster.run(5.0)
+    return cluster
 
 
 class DialSeeds:
@@ -329,7 +366,7 @@
     def on_dial_failed(self, address: tuple[str, int], now: float) -> None:
         self._at[address] = now + self.WAIT_S
 
-    def on_dial_rejected(self, address: tuple[str, int], now: float, refusal: LinkRejected) -> None:
+    def on_dial_rejected(self, address: tuple[str, int], now: float, rejection: LinkRejected) -> None:
         self.on_dial_failed(address, now)
 
     def addresses_to_dial(self, now: float) -> list[tuple[str, int]]:
