--- a/tests/core/test_close_reasons.py
+++ b/tests/core/test_close_reasons.py
@@ -16,7 +16,7 @@
 from support.network_fakes import SETTINGS, FakeEndpoint, first_line, relaying, up
 
 from sageturn.core.messages import EndpointListUpdate
-from sageturn.core.shutdown import ShutdownSchedule
+from sageturn.core.shutdown_schedule import ShutdownSchedule
 from sageturn.decision import Endpoint
 from sageturn.frontends import platform
 from sageturn.frontends.pump import LinePump
@@ -161,14 +161,14 @@
 async def all_drain(scene: Scene) -> None:
     drains = [Endpoint(name, "draining") for name in "abc"]
     await scene.relay.endpoint_registry.on_watch_event(1, EndpointListUpdate(3, False, drains))
-    await scene.until(lambda: scene.relay.endpoint_registry._states["a"] == "draining")
+    await scene.until(lambda: scene.relay.endpoint_registry.states["a"] == "draining")
     if not any(lifecycle.is_established for lifecycle in scene.relay.request_registry):
         scene.go_on.set()
 
 
 async def stop(scene: Scene) -> None:
-    scene.relay.request_registry._times = ShutdownSchedule(0.01, 0.02, 0.05, 2.0)
-    await scene.relay.request_registry.drain(scene.relay)
+    scene.relay.request_registry.schedule = ShutdownSchedule(0.01, 0.02, 0.05, 2.0)
+    await scene.relay.request_registry.drain(scene.relay.ingress)
     assert not scene.relay.request_registry
 
 
@@ -210,7 +210,7 @@
                 lambda: not relay.request_registry and not balancer.requests and not relay.admission.held
             )
             await scene.until(lambda: not any(e.open for e in endpoints))
-            assert all(s.open == s.pending == 0 for s in balancer.endpoints.values())
+            assert all(s.open_count == s.in_flight == 0 for s in balancer.endpoints.values())
             assert relay.balancer_actor._requests == {}
             shut = 2 if end is stop else 0  # the door, and the descriptor kept for want of others
             await scene.until(lambda: len(os.listdir("/proc/self/fd")) <= descriptors - shut)
@@ -250,8 +250,8 @@
     # does not turn between the client's coming and the shutting here.
     async def go() -> None:
         async with relaying(tmp_path, up) as (relay, (endpoint,)):
-            relay.request_registry._times = ShutdownSchedule(0.0, 0.0, 0.05, 2.0)
-            shut, came = relay.shut, list[socket.socket]()
+            relay.request_registry.schedule = ShutdownSchedule(0.0, 0.0, 0.05, 2.0)
+            shut, came = relay.ingress.stop_accepting, list[socket.socket]()
 
             def comes_and_shut() -> None:
                 client = socket.create_connection(relay.listener.address)
@@ -259,8 +259,8 @@
                 came.append(client)
                 shut()
 
-            relay.shut = comes_and_shut  # type: ignore[method-assign]
-            await relay.request_registry.drain(relay)
+            relay.ingress.stop_accepting = comes_and_shut  # type: ignore[method-assign]
+            await relay.request_registry.drain(relay.ingress)
             assert not relay.admission.held and not any(endpoint.lines)
             came[0].settimeout(5)
             heard = came[0].recv(99)
@@ -276,11 +276,13 @@
     # It was placed, stood, and was cut off without MOVE: only those who were there had been told to hurry.
     async def go() -> None:
         async with relaying(tmp_path, up) as (relay, (endpoint,)):
-            relay.request_registry._times = ShutdownSchedule(0.0, 0.0, 0.01, 2.0)
+            relay.request_registry.schedule = ShutdownSchedule(0.0, 0.0, 0.01, 2.0)
             scene = Scene(relay, [endpoint])
             relay.admission.evict_all = lambda: None  # type: ignore[method-assign]
-            draining = asyncio.ensure_future(relay.request_registry.drain(relay))
-            await scene.until(lambda: relay.admission.awaiting_request and relay.request_registry._hurrying)
+            draining = asyncio.ensure_future(relay.request_registry.drain(relay.ingress))
+            await scene.until(
+                lambda: relay.admission.awaiting_request and relay.request_registry.is_drain_forced
+            )
             scene.client.sendall(first_line())
             assert (await scene.rest()).startswith(b"BUSY")
             await draining
@@ -293,12 +295,12 @@
 def test_a_stop_waits_for_those_who_have_not_yet_asked(tmp_path: Path) -> None:
     async def go() -> None:
         async with relaying(tmp_path, up) as (relay, (endpoint,)):
-            relay.request_registry._times = ShutdownSchedule(0.0, 0.0, 8.0, 9.0)
+            relay.request_registry.schedule = ShutdownSchedule(0.0, 0.0, 8.0, 9.0)
             scene = Scene(relay, [endpoint])
             line = first_line()
             scene.client.sendall(line[:20])
             await scene.until(lambda: relay.admission.awaiting_request)
-            draining = asyncio.ensure_future(relay.request_registry.drain(relay))
+            draining = asyncio.ensure_future(relay.request_registry.drain(relay.ingress))
             await asyncio.sleep(0.8)  # past the time in which new ones are expected
             assert not draining.done()
             scene.client.sendall(line[20:])
@@ -351,7 +353,7 @@
     async def go() -> None:
         async with relaying(tmp_path, floods) as (relay, _):
             ended: list[Any] = []
-            relay.shared.ended = ended.append
+            relay.context.on_connection_closed = ended.append
             scene = Scene(relay, [])
             scene.client.sendall(first_line())
             await scene.until(lambda: any(lifecycle.is_established for lifecycle in relay.request_registry))
@@ -360,7 +362,7 @@
             while stuck < 30:  # until for 0.3 s the kernel has had no room for more
                 await asyncio.sleep(0.01)
                 stuck = 0 if not pumps or select.select([], [pumps[0]._target], [], 0)[1] else stuck + 1
-            relay.balancer_actor.move(lifecycle.id)
+            relay.balancer_actor.migrate_connection(lifecycle.id)
             await asyncio.sleep(0.8)
             assert lifecycle.is_established and not ended
             if not reads_on:
@@ -411,6 +413,8 @@
             await scene.until(
                 lambda: not relay.request_registry and not relay.balancer_actor._balancer.requests
             )
-            assert all(s.open == s.pending == 0 for s in relay.balancer_actor._balancer.endpoints.values())
+            assert all(
+                s.open_count == s.in_flight == 0 for s in relay.balancer_actor._balancer.endpoints.values()
+            )
 
     asyncio.run(asyncio.wait_for(go(), 10))
--- a/tests/rebalance/test_planner.py
+++ b/tests/rebalance/test_planner.py
@@ -93,7 +93,7 @@
     fleet.stands("b", 20, "x")
     fleet.stands("c", 20, "y")
     for endpoint in fleet.balancer.endpoints.values():
-        endpoint.limit = 16  # as after some set-ups in time
+        endpoint.concurrency_limit = 16  # as after some set-ups in time
     waited = 0
     while not fleet.moved:
         waited += fleet.step().phase == "waiting"
@@ -154,10 +154,12 @@
         fleet.step()
     fleet.gap_ms = 8000.0
     for name in "bcd":  # no set-up is answered: the limits shrink, and everyone is refused
-        fleet.balancer.endpoints[name].limit = fleet.balancer.endpoints[name].pending = 4
-        fleet.balancer._sum(fleet.balancer.endpoints[name])
-    fleet.balancer.endpoints["a"].limit = fleet.balancer.endpoints["a"].pending = 4
-    fleet.balancer._sum(fleet.balancer.endpoints["a"])
+        endpoint = fleet.balancer.endpoints[name]
+        endpoint.concurrency_limit = endpoint.in_flight = 4
+        fleet.balancer.fleet.update_totals(endpoint)
+    endpoint = fleet.balancer.endpoints["a"]
+    endpoint.concurrency_limit = endpoint.in_flight = 4
+    fleet.balancer.fleet.update_totals(endpoint)
     count = len(fleet.moved)
     refused = sum(not fleet.comes(f"new{n}", group="zz") for n in range(12))
     assert refused >= 4
@@ -171,7 +173,7 @@
     fleet.come_back = False
     most = 0
     for _ in range(120):
-        room = sum(view.room for view in snapshot_endpoints(fleet.balancer, fleet.now))
+        room = sum(view.available_capacity for view in snapshot_endpoints(fleet.balancer, fleet.now))
         fleet.step()
         most = max(most, len(fleet.planner.clients.on_way))
         assert most <= room
@@ -215,7 +217,7 @@
 def test_every_host_overfull_moves_nobody() -> None:
     fleet = skewed()
     for endpoint in fleet.balancer.endpoints.values():
-        endpoint.spent_until_ms = float("inf")
+        endpoint.saturated_until_ms = float("inf")
     fleet.run(60)
     assert fleet.moved == [] and "room" in fleet.plan.why
 
@@ -279,7 +281,7 @@
     fleet.run(40)
     before = fleet.planner.pace.tokens
     for request_id in fleet.on("b")[:6]:
-        fleet.planner.moved_by_other(fleet.now, request_id)
+        fleet.planner.on_migrated_by_others(fleet.now, request_id)
     assert fleet.planner.pace.tokens == pytest.approx(before - 6)
     gone = {fleet.conns[i][0] for i in fleet.on("b")[:6]}
     fleet.run(120)
@@ -295,11 +297,11 @@
     landed = [i for i, conn in fleet.conns.items() if conn[0] in clients]
     assert landed
     for host in {fleet.conns[i][3] for i in landed}:
-        fleet.balancer.actions = []
+        migrations = []
         for _ in range(30):
-            fleet.balancer._relieve(fleet.balancer.endpoints[host])
-        assert not {a.id for a in fleet.balancer.actions} & set(landed)
-        assert fleet.balancer.actions
+            migrations += fleet.balancer.overload.relieve(fleet.balancer.endpoints[host])
+        assert not {migration.id for migration in migrations} & set(landed)
+        assert migrations
 
 
 def test_the_state_tells_what_and_why() -> None:
@@ -358,7 +360,7 @@
         elif what == "lost":
             fleet.come_back = number % 2 == 0
         elif what == "away" and some:
-            fleet.planner.moved_by_other(fleet.now, some[number % len(some)])
+            fleet.planner.on_migrated_by_others(fleet.now, some[number % len(some)])
         elif what == "drain":
             state = ("draining", "ready")[number % 2]
             fleet.tell(EndpointListEvent("changes", [Endpoint("abcd"[number % 4], state=state)]))
@@ -405,11 +407,11 @@
 
 def test_a_held_host_gives_and_takes_nothing() -> None:
     fleet = skewed()
-    fleet.planner.marks = OperatorMarks(held=frozenset("a"))
+    fleet.planner.marks = OperatorMarks(rebalance_excluded=frozenset("a"))
     fleet.run(90)
     assert not any(why.startswith("a at") for _, _, why in fleet.moved)
     other = skewed()
-    other.planner.marks = OperatorMarks(held=frozenset("bc"))
+    other.planner.marks = OperatorMarks(rebalance_excluded=frozenset("bc"))
     before = other.held()
     other.run(90)
     assert other.moved and other.held()["d"] > before["d"]
@@ -422,7 +424,7 @@
     fleet.stands("a", 5, cls="guest-checkin")
     fleet.stands("b", 25, "x")
     fleet.tell(EndpointListEvent("changes", [Endpoint("a", state="draining")]))
-    fleet.planner.marks = OperatorMarks(out=frozenset("a"), cleared=frozenset("a"))
+    fleet.planner.marks = OperatorMarks(out_of_service=frozenset("a"), evacuating=frozenset("a"))
     fleet.run(150)
     assert fleet.held()["a"] == 0 and len(fleet.moved) == 25
     assert all("cleared by an operator" in why for _, _, why in fleet.moved)
