--- a/sageturn/store/channel.py
+++ b/sageturn/store/channel.py
@@ -16,8 +16,7 @@
 import struct
 
 from sageturn.net.sockets import send_gathered
-from sageturn.store.errors import ChannelClosedError
-from sageturn.store.errors import HandshakeRejectedError as HandshakeRejectedError
+from sageturn.store.errors import ChannelClosedError, HandshakeRejectedError
 from sageturn.store.records import MAX_FRAME_BYTES
 
 MAX_HELLO_BYTES = 1024
@@ -53,15 +52,18 @@
         self._received_frames = 0
         self._write_lock = asyncio.Lock()
 
-    async def perform_handshake(self, dialled: bool) -> None:
-        """Prove to hold the secret, and check that the peer does."""
+    async def perform_handshake(self, is_dialer: bool) -> None:
+        """Prove to hold the secret, and check that the peer does.
+
+        ``is_dialer``: this side opened the connection.
+        """
         nonce = secrets.token_bytes(NONCE_BYTES)
         hello = json.dumps({"node": self._node, "nonce": nonce.hex()}).encode()
         await send_gathered(self._sock, (_SIZE.pack(len(hello)), hello))
         self.peer, peer_nonce = _decode_hello(await self._read_sized(MAX_HELLO_BYTES))
         if len(peer_nonce) != NONCE_BYTES or peer_nonce == nonce or not self.peer:
             raise HandshakeRejectedError("no replica's greeting")
-        if dialled:
+        if is_dialer:
             self._send_role, self._receive_role = _DIALER_ROLE, _ACCEPTOR_ROLE
             self._key = _tag(self._secret, b"session", nonce, peer_nonce)
         else:
