--- a/sageturn/store/replication/ephemeral_client.py
+++ b/sageturn/store/replication/ephemeral_client.py
@@ -1,7 +1,107 @@
-"""An ephemeral client: a short-lived replica of the store, as a command-line tool needs it."""
+"""An ephemeral client: a short-lived replica of the store, as a command-line tool needs it.
+
+It is no member: it takes all that a member holds, sends what is written to it, and is gone.
+"""
 
 from __future__ import annotations
 
-from sageturn.store.replication.member import open_ephemeral_client
+import asyncio
+import secrets
+import time
+from collections.abc import AsyncIterator, Callable
+from contextlib import asynccontextmanager, suppress
+from random import Random
+
+from sageturn.core.tasks import cancel_and_wait
+from sageturn.net.sockets import Connect, connect
+from sageturn.store.replication.backoff import Backoff
+from sageturn.store.replication.close_code import CloseCode
+from sageturn.store.replication.link_dialer import CONNECT_TIMEOUT_S
+from sageturn.store.replication.link_runner import LinkNotEstablishedError, LinkRunner
+from sageturn.store.replication.membership import Address
+from sageturn.store.replication.replica import Replica
+from sageturn.store.replication.session import ReplicationSession
+from sageturn.store.replication.session_driver import CLOSE_TIMEOUT_S
+from sageturn.store.store import Store
+
+PROGRESS_POLL_INTERVAL_S = 0.005
+MIN_RECONNECT_BACKOFF_S = 0.1
+MAX_RECONNECT_BACKOFF_S = 1.0
+DEFAULT_TIMEOUT_S = 5.0
+
+
+@asynccontextmanager
+async def open_ephemeral_client(
+    peer: Address, secret: bytes, timeout_s: float = DEFAULT_TIMEOUT_S
+) -> AsyncIterator[Store]:
+    """A store that holds all that a running member has; what is written to it has arrived when this ends.
+
+    Raises TimeoutError when no member answers, or has not taken what was written, within ``timeout_s``; while
+    records still arrive it waits on. The error's text has the member's reasons.
+    """
+    client = _EphemeralClient(peer, secret, timeout_s)
+    connecting = asyncio.ensure_future(client.keep_connected())
+    try:
+        await client.wait_until(lambda session: session.caught_up)
+        yield client.store
+        await client.wait_until(lambda session: session.caught_up and session.delivered)
+        await client.disconnect()
+    finally:
+        await cancel_and_wait(connecting)
+        client.close()
+
+
+class _EphemeralClient:
+    def __init__(self, peer: Address, secret: bytes, timeout_s: float) -> None:
+        self.store = Store(f"operator-{secrets.token_hex(4)}")
+        self._peer = peer
+        self._timeout_s = timeout_s
+        self._replica = Replica(self.store, _random(), time.monotonic())
+        self._link_runner = LinkRunner(self._replica, secret)
+        self._sessions: list[ReplicationSession] = []
+        self._failures: list[str] = []
+
+    async def keep_connected(self) -> None:
+        """Connects again with a backoff whenever the link ends; runs until it is cancelled."""
+        backoff = Backoff(MIN_RECONNECT_BACKOFF_S, MAX_RECONNECT_BACKOFF_S, _random())
+        while True:
+            sock = await connect(self._peer, CONNECT_TIMEOUT_S)
+            if not isinstance(sock, Connect):
+                try:
+                    await self._link_runner.run(sock, self._peer, on_session=self._sessions.append)
+                except LinkNotEstablishedError as error:
+                    self._failures.append(str(error))
+                finally:
+                    sock.close()
+                for session in self._sessions:
+                    self._failures.append(session.peer_close_detail or session.close_detail)
+                self._sessions.clear()
+            await asyncio.sleep(backoff.next_delay_s())
+
+    async def wait_until(self, condition: Callable[[ReplicationSession], bool]) -> None:
+        """Until it holds for the session. Raises TimeoutError once nothing has arrived for the timeout."""
+        deadline = time.monotonic() + self._timeout_s
+        record_count = len(self.store)
+        while not any(condition(session) for session in self._sessions):
+            if time.monotonic() >= deadline:
+                raise TimeoutError("; ".join(dict.fromkeys(filter(None, self._failures))))
+            await asyncio.sleep(PROGRESS_POLL_INTERVAL_S)
+            if len(self.store) != record_count:
+                deadline = time.monotonic() + self._timeout_s
+                record_count = len(self.store)
+
+    async def disconnect(self) -> None:
+        """Closes the session, and waits a moment for that to be sent."""
+        for session in self._sessions:
+            session.close("done", CloseCode.ORDERLY)
+        with suppress(TimeoutError):
+            async with asyncio.timeout(CLOSE_TIMEOUT_S):
+                while self._replica.sessions:
+                    await asyncio.sleep(PROGRESS_POLL_INTERVAL_S)
+
+    def close(self) -> None:
+        self._replica.close()
+
 
-__all__ = ["open_ephemeral_client"]
+def _random() -> Random:
+    return Random(secrets.token_bytes(8))
--- /dev/null
+++ b/sageturn/store/replication/link_dialer.py
@@ -0,0 +1,70 @@
+"""Dials the members that the topology names, when it names them."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import socket
+import time
+from contextlib import suppress
+
+from sageturn.core.tasks import cancel_and_wait
+from sageturn.net.sockets import Connect, connect
+from sageturn.store.replication.link_runner import LinkNotEstablishedError, LinkRunner
+from sageturn.store.replication.membership import Address
+from sageturn.store.replication.replica import Replica
+
+log = logging.getLogger(__name__)
+
+# A member that doesn't answer for so long is passed over: another may still be linked in time.
+CONNECT_TIMEOUT_S = 1.0
+
+
+class LinkDialer:
+    """Drives the replica's timers, and runs a task for each link that this side dials."""
+
+    def __init__(self, replica: Replica, link_runner: LinkRunner) -> None:
+        self._replica = replica
+        self._link_runner = link_runner
+        self._tick_due = asyncio.Event()
+        self._dials: set[asyncio.Task[None]] = set()
+        replica.on_tick_due = self._tick_due.set
+
+    async def run(self) -> None:
+        """Runs until it is cancelled; the dials under way then go on until ``cancel_dials``."""
+        while True:
+            self._tick_due.clear()
+            now = time.monotonic()
+            addresses, next_tick_at = self._replica.tick(now)
+            for address in addresses:
+                task = asyncio.ensure_future(self._dial(address))
+                self._dials.add(task)
+                task.add_done_callback(self._dials.discard)
+            with suppress(TimeoutError):
+                async with asyncio.timeout(max(0.0, next_tick_at - now)):
+                    await self._tick_due.wait()
+
+    async def cancel_dials(self) -> None:
+        """Ends the dials under way, and the links that this side has dialed."""
+        for task in list(self._dials):
+            await cancel_and_wait(task)
+
+    async def _dial(self, address: Address) -> None:
+        try:
+            sock = await connect(address, CONNECT_TIMEOUT_S)
+            if not isinstance(sock, Connect):
+                await self._run_link(sock, address)
+                return  # the replica has been notified of its end
+        except LinkNotEstablishedError:
+            pass  # logged where it was raised
+        except Exception:  # a fault in one link must not end the others
+            log.exception("replication link failed peer_address=%s:%d", *address)
+        assert self._replica.topology is not None
+        self._replica.topology.on_dial_failed(address, time.monotonic())
+        self._tick_due.set()
+
+    async def _run_link(self, sock: socket.socket, address: Address) -> None:
+        try:
+            await self._link_runner.run(sock, address)
+        finally:
+            sock.close()
--- /dev/null
+++ b/sageturn/store/replication/session_driver.py
@@ -0,0 +1,106 @@
+"""Carries a session's frames over its authenticated channel, and logs why the session ended."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import time
+from contextlib import suppress
+
+from sageturn.core.tasks import cancel_and_wait
+from sageturn.store.channel import AuthenticatedChannel
+from sageturn.store.errors import HandshakeRejectedError, SessionRejected
+from sageturn.store.replication.close_code import CloseCode
+from sageturn.store.replication.liveness import PEER_TIMEOUT_S
+from sageturn.store.replication.session import ReplicationSession
+
+log = logging.getLogger(__name__)
+
+CLOSE_TIMEOUT_S = 0.5  # for the last message, which says why this side closes
+
+
+class SessionDriver:
+    """Sends what one session has to say and hands it what arrives.
+
+    ``output_pending`` is set by the owner whenever the session may have something new to send.
+    """
+
+    def __init__(
+        self, channel: AuthenticatedChannel, session: ReplicationSession, output_pending: asyncio.Event
+    ) -> None:
+        self._channel = channel
+        self._session = session
+        self._output_pending = output_pending
+
+    async def run(self) -> None:
+        """Returns once either side has ended the session. A fault that is none of the network's is raised."""
+        sender = asyncio.ensure_future(self._send())
+        receiver = asyncio.ensure_future(self._receive())
+        try:
+            done, _ = await asyncio.wait((sender, receiver), return_when=asyncio.FIRST_COMPLETED)
+            for task in done:
+                self._take_failure(task.exception())
+            self._log_end()
+        finally:
+            await cancel_and_wait(sender)
+            await cancel_and_wait(receiver)
+
+    def _take_failure(self, failure: BaseException | None) -> None:
+        if failure is None:
+            return
+        if not isinstance(failure, OSError):
+            raise failure
+        session = self._session
+        if not session.close_detail:
+            session.peer_close_detail = session.peer_close_detail or str(failure) or "it reads nothing"
+
+    def _log_end(self) -> None:
+        session = self._session
+        is_local = bool(session.close_detail)
+        code = session.close_code if is_local else session.peer_close_code
+        log.log(
+            logging.INFO if code == CloseCode.ORDERLY else logging.WARNING,
+            "replication link closed peer=%s closed_by=%s code=%s detail=%s",
+            session.peer,
+            "self" if is_local else "peer",
+            code or "none",
+            session.close_detail or session.peer_close_detail,
+        )
+
+    async def _send(self) -> None:
+        session = self._session
+        while True:
+            self._output_pending.clear()
+            now = time.monotonic()
+            payload = session.next_payload(now)
+            if payload is None:
+                if session.peer_close_detail:
+                    return
+                await self._wait_for_output(session.wake_at(now) - now)
+            elif session.sent_bye:
+                with suppress(TimeoutError):
+                    async with asyncio.timeout(CLOSE_TIMEOUT_S):
+                        await self._channel.send(payload)
+                return
+            else:
+                # A peer that reads nothing counts as gone, like one that sends nothing.
+                async with asyncio.timeout(PEER_TIMEOUT_S):
+                    await self._channel.send(payload)
+
+    async def _wait_for_output(self, at_most_s: float) -> None:
+        with suppress(TimeoutError):
+            async with asyncio.timeout(max(0.0, at_most_s)):
+                await self._output_pending.wait()
+
+    async def _receive(self) -> None:
+        session = self._session
+        while not session.peer_close_detail:
+            try:
+                payload = await self._channel.receive()
+                if not session.close_detail:
+                    session.receive(payload, time.monotonic())
+            except (SessionRejected, HandshakeRejectedError) as error:
+                session.close(str(error), session.close_code)
+                await asyncio.sleep(CLOSE_TIMEOUT_S)  # the sender meanwhile sends the reason
+                return
+            self._output_pending.set()
--- a/tests/store/test_replication_sockets.py
+++ b/tests/store/test_replication_sockets.py
@@ -141,7 +141,7 @@
             session.next_payload = lambda now: None  # type: ignore[method-assign]
             session.receive = lambda payload, now: None  # type: ignore[method-assign]
         hub.replica.tick = lambda now: ((), now + 60.0)  # type: ignore[method-assign]
-        hub._listener.shut()
+        hub.listener.shut()
         began = asyncio.get_running_loop().time()
         writer = members[0]
         store(writer).put("config/x", 1)
@@ -346,7 +346,7 @@
         assert not [m for m in members[0].replica.members if m.startswith("operator")], "and it is no member"
         await until(lambda: members[0].link_count == 0)
         with pytest.raises(TimeoutError, match="the secrets differ"):
-            async with open_ephemeral_client(members[0].address, read_secret("another"), wait_s=0.5):
+            async with open_ephemeral_client(members[0].address, read_secret("another"), timeout_s=0.5):
                 pass
 
     play(story)
