--- a/sageturn/store/replication/dial_table.py
+++ b/sageturn/store/replication/dial_table.py
@@ -1,4 +1,4 @@
-"""The dials under way, and which addresses may be dialled. No I/O, no clock."""
+"""The dials under way, and which addresses may be dialed. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class DialTable:
-    """Who can be dialled: seeds, members, and the alternatives that a rejection named."""
+    """Who can be dialed: seeds, members, and the alternatives that a rejection named."""
 
     def __init__(
         self, seeds: Sequence[Address], members: MemberTable, links: LinkTable, suspicions: SuspicionTable
@@ -75,7 +75,7 @@
         return backoff_over and not self.is_in_progress(address)
 
     def may_dial_member(self, name: str, now: float, urgent: bool = False) -> bool:
-        """Whether the member is not linked and may be dialled."""
+        """Whether the member is not linked and may be dialed."""
         return name not in self._links and self.may_dial(self._members.others[name].address, now, urgent)
 
     def next_untried(self, now: float) -> Address | None:
--- a/sageturn/store/replication/link_pruning.py
+++ b/sageturn/store/replication/link_pruning.py
@@ -11,7 +11,7 @@
 
 
 class LinkPruner:
-    """Finds the links to close. Of a link between two members only the side that dialled it closes it."""
+    """Finds the links to close. Of a link between two members only the side that dialed it closes it."""
 
     def __init__(self, state: OverlayState) -> None:
         self._state = state
@@ -28,7 +28,7 @@
         if state.members.get(name) is None:
             was_removed = state.links.is_confirmed(name)
             return was_removed or now - link.established_at >= UNKNOWN_PEER_GRACE_S
-        if not link.is_dialled or not self._is_redundant(name, link, now):
+        if not link.is_dialed or not self._is_redundant(name, link, now):
             link.redundant_since = None
             return False
         if link.redundant_since is None:
--- a/sageturn/store/replication/link_table.py
+++ b/sageturn/store/replication/link_table.py
@@ -14,7 +14,7 @@
     """One established link."""
 
     established_at: float
-    is_dialled: bool  # by this side
+    is_dialed: bool  # by this side
     advertisement: RouteAdvertisement | None = None  # the other side's last
     redundant_since: float | None = None  # neither side has needed it since
     redundancy_grace_s: float = 0.0  # how long it stays after that
@@ -65,8 +65,8 @@
         return name in self._confirmed
 
     def count_accepted(self, ignoring: str) -> int:
-        """Links that the other side dialled, not counting the one to ``ignoring``."""
-        return sum(not link.is_dialled for name, link in self._links.items() if name != ignoring)
+        """Links that the other side dialed, not counting the one to ``ignoring``."""
+        return sum(not link.is_dialed for name, link in self._links.items() if name != ignoring)
 
     @property
     def any_redundant(self) -> bool:
--- a/sageturn/store/replication/membership.py
+++ b/sageturn/store/replication/membership.py
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """One member of the group, and where it can be dialled."""
+    """One member of the group, and where it can be dialed."""
 
     name: str
     address: Address
--- a/sageturn/store/replication/overlay.py
+++ b/sageturn/store/replication/overlay.py
@@ -83,16 +83,16 @@
             state.suspicions.on_member_started(member.address)
             self._discovery.on_member_started()
 
-    def on_link_established(self, name: str, now: float, dialled: Address | None = None) -> None:
-        """A link to ``name`` is up; ``dialled`` is the address if this side dialled it."""
+    def on_link_established(self, name: str, now: float, dialed: Address | None = None) -> None:
+        """A link to ``name`` is up; ``dialed`` is the address if this side dialed it."""
         state = self._state
         member = state.members.get(name)
-        if dialled is None and member is not None and state.dials.is_in_progress(member.address):
-            dialled = member.address
-        if dialled is not None:
-            state.dials.finish(dialled)
-            state.suspicions.on_dial_succeeded(dialled, now)
-        state.links.add(name, Link(established_at=now, is_dialled=dialled is not None))
+        if dialed is None and member is not None and state.dials.is_in_progress(member.address):
+            dialed = member.address
+        if dialed is not None:
+            state.dials.finish(dialed)
+            state.suspicions.on_dial_succeeded(dialed, now)
+        state.links.add(name, Link(established_at=now, is_dialed=dialed is not None))
         state.invalidate_routes()
         state.dials.clear_alternatives()
         if member is not None:
@@ -140,7 +140,7 @@
     # Decisions
 
     def check_admission(self, member: Member, now: float) -> LinkRejected | None:
-        """None to accept a link that this member has dialled, else the answer before it is closed."""
+        """None to accept a link that this member has dialed, else the answer before it is closed."""
         if member.name == self._own.name:
             return self._reject_own_name(member)
         known = self._state.members.get(member.name)
--- a/sageturn/store/replication/root_discovery.py
+++ b/sageturn/store/replication/root_discovery.py
@@ -1,4 +1,4 @@
-"""Which member is dialled to find members that are linked together under another root. No I/O, no clock.
+"""Which member is dialed to find members that are linked together under another root. No I/O, no clock.
 
 After a partition, or with links that work for some pairs only, two groups of members can each have a root of
 their own. A root that counts fewer members than are known dials others with a growing backoff; members that
@@ -29,7 +29,7 @@
         self._next_dial_at: float | None = None
         self._scheduled_as_root = True
         self._dial_count = 0
-        self._last_dialled_at: dict[Address, float] = {}
+        self._last_dialed_at: dict[Address, float] = {}
 
     def schedule(self, at: float) -> None:
         """The next dial comes at this time."""
@@ -110,15 +110,15 @@
         if len(state.links) and self._counts_all_members(now):
             # Only for an uplink, or for seeds at which no member lives.
             is_connected_to_root = state.routes.root_path(now) is not None
-            return self._least_recently_dialled(predecessors if is_connected_to_root else others, now)
+            return self._least_recently_dialed(predecessors if is_connected_to_root else others, now)
         if predecessors and self._dial_count % 2:
-            return self._least_recently_dialled(predecessors, now)
+            return self._least_recently_dialed(predecessors, now)
         if not others or state.rng.random() < 0.5:
             others = self._dialable_members(is_root, now) or others
         if not others and not len(state.links):
             # Without any link, and all have failed just now.
-            others = self._not_being_dialled()
-        return self._least_recently_dialled(others, now)
+            others = self._not_being_dialed()
+        return self._least_recently_dialed(others, now)
 
     def _dialable_predecessors(self, is_root: bool, now: float) -> list[Address]:
         state = self._state
@@ -139,20 +139,20 @@
         addresses = [*dials.unknown_seeds, *dials.alternatives]
         return [address for address in addresses if dials.may_dial(address, now, is_root)]
 
-    def _not_being_dialled(self) -> list[Address]:
+    def _not_being_dialed(self) -> list[Address]:
         dials = self._state.dials
         known = self._state.members.names_by_address
         addresses = [*known, *dials.unknown_seeds, *dials.alternatives]
         return [address for address in addresses if not dials.is_in_progress(address)]
 
-    def _least_recently_dialled(self, addresses: Sequence[Address], now: float) -> Address | None:
-        """So that all have their turn; by chance among those that were never dialled."""
+    def _least_recently_dialed(self, addresses: Sequence[Address], now: float) -> Address | None:
+        """So that all have their turn; by chance among those that were never dialed."""
         if not addresses:
             return None
-        oldest = min(self._last_dialled_at.get(address, 0.0) for address in addresses)
-        waiting = [address for address in addresses if self._last_dialled_at.get(address, 0.0) == oldest]
+        oldest = min(self._last_dialed_at.get(address, 0.0) for address in addresses)
+        waiting = [address for address in addresses if self._last_dialed_at.get(address, 0.0) == oldest]
         chosen = self._state.rng.choice(waiting)
-        if len(self._last_dialled_at) > self._state.dials.max_tracked_addresses:
-            self._last_dialled_at.clear()
-        self._last_dialled_at[chosen] = now
+        if len(self._last_dialed_at) > self._state.dials.max_tracked_addresses:
+            self._last_dialed_at.clear()
+        self._last_dialed_at[chosen] = now
         return chosen
--- a/sageturn/store/replication/suspicion.py
+++ b/sageturn/store/replication/suspicion.py
@@ -1,6 +1,6 @@
 """Suspected members: addresses that could not be reached, whose links were lost, or that rejected a link.
 
-Each failure lengthens the backoff before the address is dialled again. A link that is lost again and again
+Each failure lengthens the backoff before the address is dialed again. A link that is lost again and again
 (flapping) has a backoff of its own, which a restart of the member doesn't end. No I/O, no clock.
 """
 
@@ -70,7 +70,7 @@
         suspect.retry_at = now + backoff_s * self._rng.uniform(0.5, 1.5)
 
     def on_dial_succeeded(self, address: Address, now: float) -> None:
-        """The address may be dialled again at once. Its failures count until a link has proved stable."""
+        """The address may be dialed again at once. Its failures count until a link has proved stable."""
         if (suspect := self._suspects.get(address)) is not None:
             suspect.retry_at = now
             suspect.rejections = 0
--- a/sageturn/store/replication/tree_order.py
+++ b/sageturn/store/replication/tree_order.py
@@ -16,7 +16,7 @@
 
 from sageturn.store.replication.membership import Member
 
-SEARCH_HEAD_SIZE = 4  # so many of a farther scope are dialled before the rest of a nearer one
+SEARCH_HEAD_SIZE = 4  # so many of a farther scope are dialed before the rest of a nearer one
 MAX_SEARCH_CANDIDATES = 48
 CACHED_RANKS = 1 << 16
 CACHED_WEIGHTS = 1 << 17
--- a/sageturn/store/replication/uplink_selection.py
+++ b/sageturn/store/replication/uplink_selection.py
@@ -1,4 +1,4 @@
-"""Which member is dialled to get an uplink, or a better one. No I/O, no clock."""
+"""Which member is dialed to get an uplink, or a better one. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from sageturn.store.replication.overlay_state import POLL_INTERVAL_S, OverlayState
 from sageturn.store.replication.tree_order import Scope
 
-UPLINK_DIAL_INTERVAL_S = 0.25  # without an uplink another member is dialled after so long
+UPLINK_DIAL_INTERVAL_S = 0.25  # without an uplink another member is dialed after so long
 RETRY_DELAY_S = UPLINK_DIAL_INTERVAL_S / 5  # or so long after a dial has failed
 MAX_CONCURRENT_DIALS = 4
 UPGRADE_INTERVAL_S = 5.0
@@ -78,7 +78,7 @@
         return self._state.members.others[_first_or_any(better, rng)].address
 
     def _better_uplinks(self, now: float) -> list[str]:
-        """Members that may be dialled and would be a better uplink, by preference."""
+        """Members that may be dialed and would be a better uplink, by preference."""
         state = self._state
         candidates = state.members.parent_candidates
         uplink = state.links.uplink()
--- a/tests/store/test_overlay.py
+++ b/tests/store/test_overlay.py
@@ -28,7 +28,7 @@
     overlay.on_dial_rejected(other.address, 0.0, LinkRejected(RejectReason.SUPERSEDED))
 
 
-def learn_from_dialler(overlay: Overlay, newer: Member, other: Member) -> None:
+def learn_from_dialer(overlay: Overlay, newer: Member, other: Member) -> None:
     overlay.check_admission(newer, 0.0)
 
 
@@ -38,7 +38,7 @@
     ways: tuple[Callable[[Overlay, Member, Member], None], ...] = (
         learn_from_store,
         learn_from_rejection,
-        learn_from_dialler,
+        learn_from_dialer,
     )
     for learn in ways:
         overlay = Overlay(own, [other.address], Random(1))
--- a/tests/store/test_overlay_network.py
+++ b/tests/store/test_overlay_network.py
@@ -16,7 +16,7 @@
 
 from sageturn.store.replication.membership import Address, Member, MembershipStatus, RejectReason
 
-SETTLE_S = 130.0  # so long after the last fault nothing is dialled or closed any more
+SETTLE_S = 130.0  # so long after the last fault nothing is dialed or closed any more
 
 FLEET_SIZE = 460  # in 2 regions and 5 zones
 SEED_COUNT = 6
--- a/tests/support/overlay_simulation.py
+++ b/tests/support/overlay_simulation.py
@@ -109,9 +109,9 @@
 class SimulatedLink:
     """A connection between two members, established on each side at its own time."""
 
-    def __init__(self, one: SimulatedMember, other: SimulatedMember, dialler: SimulatedMember) -> None:
+    def __init__(self, one: SimulatedMember, other: SimulatedMember, dialer: SimulatedMember) -> None:
         self.ends = (one, other)
-        self.dialler = dialler
+        self.dialer = dialer
         self.is_established = {one: False, other: False}
         self.is_broken = False
 
@@ -197,57 +197,57 @@
 
     # Dials
 
-    def dial(self, dialler: SimulatedMember, address: Address) -> None:
-        self.dials.append((self.now, dialler.member.name, address))
+    def dial(self, dialer: SimulatedMember, address: Address) -> None:
+        self.dials.append((self.now, dialer.member.name, address))
         target = self.processes.get(address)
-        if target is None or not self._can_reach(dialler, target):
-            self.schedule(self.now + CONNECT_TIMEOUT_S, self._fail_dial, dialler, address)
-        elif target is dialler:
-            self._fail_dial(dialler, address)
+        if target is None or not self._can_reach(dialer, target):
+            self.schedule(self.now + CONNECT_TIMEOUT_S, self._fail_dial, dialer, address)
+        elif target is dialer:
+            self._fail_dial(dialer, address)
         else:
-            at = self.now + self._latency(dialler, target)
-            self.schedule(at, self._on_dial_arrived, dialler, target, address)
+            at = self.now + self._latency(dialer, target)
+            self.schedule(at, self._on_dial_arrived, dialer, target, address)
 
     def _can_reach(self, one: SimulatedMember, other: SimulatedMember) -> bool:
         return other.machine_is_up and not self._is_partitioned(one.member, other.member)
 
-    def _fail_dial(self, dialler: SimulatedMember, address: Address) -> None:
-        if dialler.is_running:
-            dialler.overlay.on_dial_failed(address, self.now)
-            dialler.poll()
+    def _fail_dial(self, dialer: SimulatedMember, address: Address) -> None:
+        if dialer.is_running:
+            dialer.overlay.on_dial_failed(address, self.now)
+            dialer.poll()
 
-    def _reject_dial(self, dialler: SimulatedMember, address: Address, rejection: LinkRejected) -> None:
-        if dialler.is_running:
-            dialler.overlay.on_dial_rejected(address, self.now, rejection)
-            dialler.poll()
+    def _reject_dial(self, dialer: SimulatedMember, address: Address, rejection: LinkRejected) -> None:
+        if dialer.is_running:
+            dialer.overlay.on_dial_rejected(address, self.now, rejection)
+            dialer.poll()
 
-    def _on_dial_arrived(self, dialler: SimulatedMember, target: SimulatedMember, address: Address) -> None:
-        answer_at = self.now + self._latency(dialler, target)
-        if not self._can_reach(dialler, target):
-            self.schedule(self.now + CONNECT_TIMEOUT_S, self._fail_dial, dialler, address)
+    def _on_dial_arrived(self, dialer: SimulatedMember, target: SimulatedMember, address: Address) -> None:
+        answer_at = self.now + self._latency(dialer, target)
+        if not self._can_reach(dialer, target):
+            self.schedule(self.now + CONNECT_TIMEOUT_S, self._fail_dial, dialer, address)
             return
         if not target.is_running:
-            self.schedule(answer_at, self._fail_dial, dialler, address)
+            self.schedule(answer_at, self._fail_dial, dialer, address)
             return
-        if not dialler.is_running:
+        if not dialer.is_running:
             return
-        rejection = target.overlay.check_admission(dialler.member, self.now)
+        rejection = target.overlay.check_admission(dialer.member, self.now)
         if rejection is not None:
-            self.rejections.append((self.now, dialler.member.name, rejection.reason))
-            self.schedule(answer_at, self._reject_dial, dialler, address, rejection)
+            self.rejections.append((self.now, dialer.member.name, rejection.reason))
+            self.schedule(answer_at, self._reject_dial, dialer, address, rejection)
             target.poll()
             return
-        existing = target.links.get(dialler.member.name)
+        existing = target.links.get(dialer.member.name)
         if existing is not None:
-            dialled_by_smaller = existing.dialler.member.name < dialler.member.name
-            if existing.other(target) is dialler and dialled_by_smaller:
-                self.schedule(answer_at, self._fail_dial, dialler, address)  # both dialled: the other's stays
+            dialed_by_smaller = existing.dialer.member.name < dialer.member.name
+            if existing.other(target) is dialer and dialed_by_smaller:
+                self.schedule(answer_at, self._fail_dial, dialer, address)  # both dialed: the other's stays
                 return
             self._discard(existing)
-        link = SimulatedLink(dialler, target, dialler)
+        link = SimulatedLink(dialer, target, dialer)
         self.links[link] = None
         self._establish(link, target, None)
-        self.schedule(answer_at, self._establish, link, dialler, address)
+        self.schedule(answer_at, self._establish, link, dialer, address)
 
     # Links
 
@@ -260,22 +260,22 @@
             base_s = LATENCY_S
         return base_s * self._rng.uniform(1, 1.5)
 
-    def _establish(self, link: SimulatedLink, process: SimulatedMember, dialled: Address | None) -> None:
-        """On one side; ``dialled`` is the address if it is the dialler's."""
-        if not process.is_running or (link.is_broken and dialled is None):
+    def _establish(self, link: SimulatedLink, process: SimulatedMember, dialed: Address | None) -> None:
+        """On one side; ``dialed`` is the address if it is the dialer's."""
+        if not process.is_running or (link.is_broken and dialed is None):
             return
         other = link.other(process)
         if link.is_broken or process.member.name == other.member.name:
-            assert dialled is not None
-            self._fail_dial(process, dialled)
+            assert dialed is not None
+            self._fail_dial(process, dialed)
             return
         existing = process.links.get(other.member.name)
         if existing is not None and existing is not link:
             self._discard(existing)
         process.links[other.member.name] = link
         link.is_established[process] = True
-        process.overlay.on_link_established(other.member.name, self.now, dialled)
-        accepted = sum(1 for one in process.links.values() if one.dialler is not process)
+        process.overlay.on_link_established(other.member.name, self.now, dialed)
+        accepted = sum(1 for one in process.links.values() if one.dialer is not process)
         self.max_accepted_links = max(self.max_accepted_links, accepted)
         self.max_links = max(self.max_links, len(process.links))
         self.send(link, other.receive_members, list(process.view.values()), dict(process.removed))
