--- a/sageturn/store/replication/ephemeral_client.py
+++ b/sageturn/store/replication/ephemeral_client.py
@@ -16,8 +16,9 @@
 from sageturn.net.sockets import Connect, connect
 from sageturn.store.replication.backoff import Backoff
 from sageturn.store.replication.close_code import CloseCode
+from sageturn.store.replication.errors import LinkNotEstablishedError
 from sageturn.store.replication.link_dialer import CONNECT_TIMEOUT_S
-from sageturn.store.replication.link_runner import LinkNotEstablishedError, LinkRunner
+from sageturn.store.replication.link_runner import LinkRunner
 from sageturn.store.replication.membership import Address
 from sageturn.store.replication.replica import Replica
 from sageturn.store.replication.session import ReplicationSession
--- a/sageturn/store/replication/link_dialer.py
+++ b/sageturn/store/replication/link_dialer.py
@@ -10,7 +10,8 @@
 
 from sageturn.core.tasks import cancel_and_wait
 from sageturn.net.sockets import Connect, connect
-from sageturn.store.replication.link_runner import LinkNotEstablishedError, LinkRunner
+from sageturn.store.replication.errors import LinkNotEstablishedError
+from sageturn.store.replication.link_runner import LinkRunner
 from sageturn.store.replication.membership import Address
 from sageturn.store.replication.replica import Replica
 
--- a/sageturn/store/replication/link_runner.py
+++ b/sageturn/store/replication/link_runner.py
@@ -10,7 +10,7 @@
 
 from sageturn.net.admission import PendingConnection
 from sageturn.store.channel import AuthenticatedChannel
-from sageturn.store.errors import StoreError
+from sageturn.store.replication.errors import LinkNotEstablishedError
 from sageturn.store.replication.membership import Address
 from sageturn.store.replication.replica import Replica
 from sageturn.store.replication.session import ReplicationSession
@@ -21,10 +21,6 @@
 HANDSHAKE_TIMEOUT_S = 1.5
 
 
-class LinkNotEstablishedError(StoreError, ConnectionError):
-    """The handshake failed; the replica knows nothing of the link."""
-
-
 class LinkRunner:
     """The running links of one replica."""
 
--- a/sageturn/store/replication/member.py
+++ b/sageturn/store/replication/member.py
@@ -15,8 +15,9 @@
 from sageturn.core.tasks import cancel_and_wait
 from sageturn.net.admission import AdmissionController, PendingConnection
 from sageturn.net.listener import Listener
+from sageturn.store.replication.errors import LinkNotEstablishedError
 from sageturn.store.replication.link_dialer import LinkDialer
-from sageturn.store.replication.link_runner import LinkNotEstablishedError, LinkRunner
+from sageturn.store.replication.link_runner import LinkRunner
 from sageturn.store.replication.location import ReplicaLocation
 from sageturn.store.replication.membership import Member
 from sageturn.store.replication.options import ReplicationOptions
--- a/sageturn/store/replication/overlay.py
+++ b/sageturn/store/replication/overlay.py
@@ -19,6 +19,7 @@
 from random import Random
 
 from sageturn.store.replication.dial_table import MAX_ALTERNATIVES
+from sageturn.store.replication.errors import InvalidFanoutError
 from sageturn.store.replication.link_pruning import LinkPruner
 from sageturn.store.replication.link_table import Link
 from sageturn.store.replication.membership import (
@@ -44,14 +45,15 @@
 class Overlay:
     """One member's part of the overlay: takes what happened, and says whom to dial and which links to close.
 
-    ``fanout`` is how many links a hub accepts on average. Raises ValueError for a fanout under 2.
+    ``fanout`` is how many links a hub accepts on average. Raises InvalidFanoutError for a fanout
+    under 2.
     """
 
     def __init__(
         self, own: Member, seeds: Sequence[Address], rng: Random, fanout: int = DEFAULT_FANOUT
     ) -> None:
         if fanout < MIN_FANOUT:
-            raise ValueError(f"fanout: {fanout} is under {MIN_FANOUT}")
+            raise InvalidFanoutError(f"fanout: {fanout} is under {MIN_FANOUT}")
         self._own = own
         self._rng = rng
         self._max_accepted_links = MAX_ACCEPTED_LINKS_PER_FANOUT * fanout
--- a/tests/store/test_overlay.py
+++ b/tests/store/test_overlay.py
@@ -9,6 +9,7 @@
 import pytest
 from support.overlay_simulation import in_global_order, make_members
 
+from sageturn.store.replication.errors import InvalidFanoutError
 from sageturn.store.replication.membership import LinkRejected, Member, MembershipStatus, RejectReason
 from sageturn.store.replication.overlay import Overlay
 from sageturn.store.replication.routes import RouteAdvertisement
@@ -16,7 +17,7 @@
 
 
 def test_a_fanout_of_one_is_rejected() -> None:
-    with pytest.raises(ValueError, match="fanout"):
+    with pytest.raises(InvalidFanoutError, match="fanout: 1 is under 2"):
         Overlay(make_members(1)[0], [], Random(1), fanout=1)
 
 
