--- /dev/null
+++ b/sageturn/cli/exit_codes.py
@@ -0,0 +1,24 @@
+"""The exit codes of all commands, and the way a command ends with one."""
+
+from __future__ import annotations
+
+import sys
+from enum import IntEnum
+from typing import NoReturn
+
+import typer
+
+
+class ExitCode(IntEnum):
+    """As documented for operators; 0 is success."""
+
+    REFUSED = 1
+    USAGE = 2
+    UNREACHABLE = 3  # no daemon answered in time
+    NOT_FOUND = 4
+
+
+def fail(code: ExitCode, message: str) -> NoReturn:
+    """End the command: the message goes to standard error."""
+    print(f"sageturn: {message}", file=sys.stderr)
+    raise typer.Exit(int(code))
--- a/sageturn/cli/lab.py
+++ b/sageturn/cli/lab.py
@@ -13,7 +13,8 @@
 from rich.progress import Progress
 from rich.table import Table
 
-from sageturn.cli.link import NOT_THERE, REFUSED, USAGE, AsJson, fail
+from sageturn.cli.exit_codes import ExitCode, fail
+from sageturn.cli.options import AsJson
 from sageturn.lab.compare import compare as compare_variants
 from sageturn.lab.experiment import BadExperiment, Experiment, Scenario, Variant, read_experiment
 from sageturn.lab.policy import read_policy
@@ -36,13 +37,13 @@
     try:
         return read_experiment(file)
     except BadExperiment as error:
-        fail(USAGE, str(error))
+        fail(ExitCode.USAGE, str(error))
 
 
 def _results(file: Path) -> Results:
     results = Results(file)
     if not results.runs:
-        fail(NOT_THERE, f"{file}: no results")
+        fail(ExitCode.NOT_FOUND, f"{file}: no results")
     return results
 
 
@@ -50,14 +51,14 @@
     for variant in experiment.variants:
         if not name or variant.name == name:
             return variant
-    fail(NOT_THERE, f"{name}: the experiment has no such variant")
+    fail(ExitCode.NOT_FOUND, f"{name}: the experiment has no such variant")
 
 
 def _scenario(experiment: Experiment, name: str) -> Scenario:
     for scenario in experiment.scenarios:
         if not name or scenario.name == name:
             return scenario
-    fail(NOT_THERE, f"{name}: the experiment has no such scenario")
+    fail(ExitCode.NOT_FOUND, f"{name}: the experiment has no such scenario")
 
 
 def _show(rows: list[list[str]], title: str = "") -> None:
@@ -85,7 +86,7 @@
         try:
             results = run_experiment(experiment, out, Path.cwd(), processes, tell)
         except ValueError as error:
-            fail(USAGE, str(error))
+            fail(ExitCode.USAGE, str(error))
     print(f"{len(results.runs)} runs in {out}")
 
 
@@ -96,7 +97,7 @@
     try:
         gaps = compare_variants(found, first, second, metric)
     except (ValueError, KeyError) as error:
-        fail(NOT_THERE, str(error))
+        fail(ExitCode.NOT_FOUND, str(error))
     if as_json:
         fields = [f for f in type(gaps[0]).__slots__]
         print(json.dumps([{f: getattr(g, f) for f in fields} for g in gaps]))
@@ -130,7 +131,7 @@
         policy = read_policy(tried.policy, Path.cwd())
         points = sweep_values(day, tried, policy, experiment.seeds, knob, numbers, metric, processes)
     except ValueError as error:
-        fail(USAGE, str(error))
+        fail(ExitCode.USAGE, str(error))
 
     def at(value: float) -> float:
         again = sweep_values(day, tried, policy, experiment.seeds, knob, [value], metric, 1)
@@ -192,7 +193,7 @@
     """Play one run again from its results alone, and say whether it came out the same."""
     found = _results(results)
     if not 1 <= number <= len(found.runs):
-        fail(NOT_THERE, f"{number}: there are {len(found.runs)} runs")
+        fail(ExitCode.NOT_FOUND, f"{number}: there are {len(found.runs)} runs")
     kept = found.runs[number - 1]
     experiment: Experiment = msgspec.convert(found.head["experiment"], Experiment)
     variant = _variant(experiment, kept["variant"])
@@ -217,7 +218,7 @@
     chosen = [name for name in only.split(",") if name]
     for name in chosen:
         if name not in (*PARTS, "list_calls"):
-            fail(USAGE, f"only: {name} must be one of {', '.join(PARTS)}, list_calls")
+            fail(ExitCode.USAGE, f"only: {name} must be one of {', '.join(PARTS)}, list_calls")
     marked = {"revision": revision(Path.cwd()), "load": round(os.getloadavg()[0], 2)}
     with out.open("a", encoding="utf-8") as lines:
         for line in run_costs(chosen):
@@ -242,13 +243,13 @@
         experiment = read_scale(file)
         results = run_scale(experiment, out, Path.cwd(), lambda text: print(text, flush=True), only)
     except (BadExperiment, ValueError) as error:
-        fail(USAGE, str(error))
+        fail(ExitCode.USAGE, str(error))
     except KeyboardInterrupt:
-        fail(REFUSED, f"interrupted; {out} has what was played whole")
+        fail(ExitCode.REFUSED, f"interrupted; {out} has what was played whole")
     _show(made.table(results), experiment.name)
     for line in made.fit_lines(results):
         print(line)
     if plot is not None:
         made.plot(results, plot)
     if any("failed" in line for line in results.runs):
-        raise typer.Exit(REFUSED)
+        raise typer.Exit(int(ExitCode.REFUSED))
--- /dev/null
+++ b/sageturn/cli/override_explanation.py
@@ -0,0 +1,92 @@
+"""Explains how overrides make relays treat an endpoint as they do."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import Any
+
+from sageturn.cli.override_output import OverrideSummary, describe_payload, summarize
+from sageturn.cli.override_view import OverrideView
+from sageturn.decision import Endpoint
+from sageturn.overrides.operations import OverridePayload, Selector, SelectorAttribute
+from sageturn.overrides.resolver import OverrideEffect
+
+NOT_LISTED = "not listed"
+
+
+@dataclass(frozen=True, slots=True)
+class InvolvedOverride:
+    """An override that concerns the endpoint; ``suspended_because`` is empty unless it is suspended."""
+
+    summary: OverrideSummary
+    suspended_because: str
+
+
+@dataclass(frozen=True, slots=True)
+class EndpointExplanation:
+    """The state that discovery reports, the effect of all overrides, and each of these."""
+
+    endpoint: str
+    listed_state: str
+    effect: OverrideEffect
+    overrides: list[InvolvedOverride]
+
+    @property
+    def effective_state(self) -> str:
+        return "out of service" if self.effect.out_of_service else self.listed_state
+
+    def to_json(self) -> dict[str, Any]:
+        return {
+            "host": self.endpoint,
+            "listed": self.listed_state,
+            "state": self.effective_state,
+            "factor": self.effect.factor,
+            "held": self.effect.held,
+            "cleared": self.effect.migrate_connections,
+            "overrides": [
+                {**involved.summary.to_json(), "guard": involved.suspended_because}
+                for involved in self.overrides
+            ],
+        }
+
+
+def explain_endpoint(view: OverrideView, name: str) -> EndpointExplanation:
+    """Resolve the overrides in force, and collect those that concern the endpoint."""
+    endpoint = view.endpoints().get(name)
+    resolver = view.make_resolver()
+    involved = [
+        InvolvedOverride(summarize(view, override), resolver.suspended.get(override.id, ""))
+        for override in sorted(resolver.overrides.values(), key=lambda override: override.sort_key)
+        if _concerns(override.payload, name, endpoint)
+    ]
+    listed_state = endpoint.state if endpoint else NOT_LISTED
+    return EndpointExplanation(name, listed_state, resolver.effect(name), involved)
+
+
+def _concerns(payload: OverridePayload, name: str, endpoint: Endpoint | None) -> bool:
+    """Whether an override names the endpoint or selects it, be it listed or not."""
+    if name in payload.endpoints or payload.selector == Selector(SelectorAttribute.ENDPOINT, name):
+        return True
+    return payload.selector is not None and endpoint is not None and payload.selector.matches(endpoint)
+
+
+def print_explanation(explanation: EndpointExplanation) -> None:
+    effect = explanation.effect
+    print(
+        f"{explanation.endpoint}: {explanation.effective_state} "
+        f"(the list says {explanation.listed_state}), weight {effect.factor:g}"
+    )
+    if effect.held:
+        print("  held: no rebalancing off or onto it")
+    if effect.migrate_connections:
+        print("  its standing connections are moved off")
+    for involved in explanation.overrides:
+        summary = involved.summary
+        override = summary.override
+        does = describe_payload(override.payload)
+        print(f"  {override.id}: {does}; {summary.status}, ends in {summary.remaining}")
+        print(f"    by {override.created_by}: {override.reason}")
+        if involved.suspended_because:
+            print(f"    suspended by the guard: {involved.suspended_because}")
+    if not explanation.overrides:
+        print("  no override touches it")
--- /dev/null
+++ b/sageturn/cli/override_output.py
@@ -0,0 +1,151 @@
+"""What the override commands print: summaries, tables and JSON."""
+
+from __future__ import annotations
+
+import json
+import os
+from collections.abc import Iterable
+from dataclasses import dataclass
+from typing import Any
+
+from rich.console import Console
+from rich.table import Table
+
+from sageturn.cli.exit_codes import ExitCode, fail
+from sageturn.cli.override_view import OverrideView
+from sageturn.cli.override_writes import SubmissionResult
+from sageturn.cli.times import format_duration, format_instant
+from sageturn.overrides.model import Override
+from sageturn.overrides.operations import OverrideKind, OverrideOperation, OverridePayload
+
+UNATTENDED_WIDTH = 200  # columns of a table that goes to a file or a pipe
+
+
+@dataclass(frozen=True, slots=True)
+class OverrideSummary:
+    """One override as the commands show it."""
+
+    override: Override
+    status: str
+    remaining: str
+
+    def to_json(self) -> dict[str, Any]:
+        override = self.override
+        return {
+            "id": override.id,
+            "does": describe_payload(override.payload),
+            "status": self.status,
+            "set_by": override.created_by,
+            "set": format_instant(override.created_at_ms),
+            "until": format_instant(override.expires_at_ms),
+            "until_by": override.expiry_set_by,
+            "left": self.remaining,
+            "why": override.reason,
+            "forced": override.forced,
+            "revision": override.revision,
+        }
+
+
+def summarize(view: OverrideView, override: Override) -> OverrideSummary:
+    remaining = format_duration(override.expires_at_ms - view.now_ms)
+    return OverrideSummary(override, view.status(override), remaining)
+
+
+def describe_payload(payload: OverridePayload) -> str:
+    """What an override does, in a few words."""
+    if payload.kind is OverrideKind.PIN:
+        return _describe_pin(payload)
+    target = f"{payload.selector.attribute} {payload.selector.value}" if payload.selector else ""
+    if payload.process_started_at_ms:
+        target += f" (started {format_instant(payload.process_started_at_ms)} only)"
+    if payload.kind is OverrideKind.OUT_OF_SERVICE:
+        cleared = ", cleared" if payload.migrate_connections else ""
+        return f"out of service{cleared}: {target}"
+    if payload.kind is OverrideKind.WEIGHT:
+        return f"weight {payload.factor:g}: {target}"
+    return f"hold: {target}"
+
+
+def _describe_pin(payload: OverridePayload) -> str:
+    selectors = (
+        ("class", payload.class_name),
+        ("tenant", payload.tenant),
+        ("group", payload.group_prefix),
+    )
+    traffic = " ".join(f"{name} {value}" for name, value in selectors if value) or "all traffic"
+    strength = "strict" if payload.strict else "preferred"
+    return f"{strength} pin of {traffic} to {', '.join(payload.endpoints)}"
+
+
+def print_json(value: Any) -> None:
+    print(json.dumps(value, ensure_ascii=False))
+
+
+def print_submission(result: SubmissionResult, as_json: bool) -> None:
+    """Print the relays' answers; the command ends with a failure if one rejects the operation."""
+    if result.rejection:
+        fail(ExitCode.REFUSED, result.rejection)
+    operation = result.operation
+    if as_json:
+        print_json(
+            {
+                "id": operation.override_id,
+                "revision": operation.revision,
+                "relays": result.status_by_relay,
+            }
+        )
+        return
+    print(operation.override_id)
+    for node, status in sorted(result.status_by_relay.items()):
+        print(f"  {node}: {status}")
+
+
+def print_list(summaries: Iterable[OverrideSummary]) -> None:
+    table = Table("id", "does", "status", "ends in", "until", "by", "why", box=None)
+    for summary in summaries:
+        override = summary.override
+        table.add_row(
+            override.id,
+            describe_payload(override.payload),
+            summary.status + (" (forced)" if override.forced else ""),
+            summary.remaining,
+            format_instant(override.expires_at_ms),
+            override.created_by,
+            override.reason,
+        )
+    _print_table(table)
+
+
+def history_rows(view: OverrideView, override_id: str) -> list[dict[str, Any]]:
+    """One row for each operation on an override, and one for its expiry."""
+    operations = sorted(view.operations.get(override_id, []), key=lambda operation: operation.sort_key)
+    rows = [_history_row(view, operation) for operation in operations]
+    override = view.overrides.get(override_id)
+    if override is not None and view.has_expired(override):
+        expired_at = format_instant(override.expires_at_ms)
+        expiry = {"revision": override.revision, "word": "lapse", "at": expired_at}
+        rows.append({**dict.fromkeys(rows[0], ""), **expiry})
+    return rows
+
+
+def _history_row(view: OverrideView, operation: OverrideOperation) -> dict[str, Any]:
+    return {
+        "revision": operation.revision,
+        "word": operation.type.value,
+        "at": format_instant(operation.created_at_ms),
+        "operator": operation.operator,
+        "until": format_instant(operation.expires_at_ms) if operation.expires_at_ms else "",
+        "why": operation.reason,
+        "refused": view.rejected_records.get(operation.key, ""),
+    }
+
+
+def print_history(rows: list[dict[str, Any]]) -> None:
+    table = Table(*rows[0], box=None)
+    for row in rows:
+        table.add_row(*(str(value) for value in row.values()))
+    _print_table(table)
+
+
+def _print_table(table: Table) -> None:
+    Console(width=None if os.isatty(1) else UNATTENDED_WIDTH).print(table)
--- /dev/null
+++ b/sageturn/cli/override_view.py
@@ -0,0 +1,121 @@
+"""What a store holds of overrides: the operations, and the state that each relay reports."""
+
+from __future__ import annotations
+
+import time
+
+from sageturn.cli.exit_codes import ExitCode, fail
+from sageturn.decision import Endpoint
+from sageturn.overrides.errors import InvalidOperationError
+from sageturn.overrides.model import Override, fold_operations
+from sageturn.overrides.operations import KEY_PREFIX, OverrideOperation
+from sageturn.overrides.options import SafetyLimits
+from sageturn.overrides.registry import OverrideStatus
+from sageturn.overrides.relay_state import RelayOverrideState, decode_relay_state
+from sageturn.overrides.resolver import OverrideResolver
+from sageturn.overrides.signing import parse_operation
+from sageturn.store.store import Store
+
+STATE_PREFIX = "state/"
+EXPIRES_SOON_MS = 15 * 60_000.0  # an override that expires within this is shown as about to end
+UNKNOWN_STATUS = "unknown"  # of a relay that does not have the override yet
+
+
+def unix_time_ms() -> float:
+    return time.time() * 1000.0
+
+
+def read_relay_states(store: Store) -> dict[str, RelayOverrideState]:
+    """By node, what each relay reports of its overrides."""
+    states = {}
+    for key in store.keys(STATE_PREFIX):
+        node, _, name = key.removeprefix(STATE_PREFIX).partition("/")
+        if name == "overrides":
+            states[node] = decode_relay_state(store.get(key))
+    return states
+
+
+def _read_operations(store: Store) -> dict[str, list[OverrideOperation]]:
+    """By override, the operations of the store. Their signatures are verified by the relays."""
+    operations: dict[str, list[OverrideOperation]] = {}
+    for key in store.keys(KEY_PREFIX):
+        try:
+            operation = parse_operation(key, store.get(key), None)
+        except InvalidOperationError:
+            continue  # the relays report that they reject it
+        operations.setdefault(operation.override_id, []).append(operation)
+    return operations
+
+
+class OverrideView:
+    """All overrides as of one instant, from one copy of the store."""
+
+    def __init__(self, store: Store, now_ms: float) -> None:
+        self.now_ms = now_ms
+        self.operations = _read_operations(store)
+        self.states = read_relay_states(store)
+        self.rejected_records = {
+            key: reason for state in self.states.values() for key, reason in state.rejected_records.items()
+        }
+        self.overrides = self._fold_accepted()
+
+    def _fold_accepted(self) -> dict[str, Override]:
+        durations_s = [state.max_duration_s for state in self.states.values()]
+        max_duration_ms = max(durations_s, default=float("inf")) * 1000.0
+        overrides = {}
+        for override_id, operations in self.operations.items():
+            accepted = [operation for operation in operations if operation.key not in self.rejected_records]
+            override = fold_operations(accepted, max_duration_ms)
+            if override is not None:
+                overrides[override_id] = override
+        return overrides
+
+    def get_override(self, override_id: str) -> Override:
+        """The override of this id; without one the command ends."""
+        if override_id not in self.overrides:
+            fail(ExitCode.NOT_FOUND, f"{override_id}: there is no such override")
+        return self.overrides[override_id]
+
+    def endpoints(self) -> dict[str, Endpoint]:
+        """All endpoints that any relay reports, by name."""
+        return {
+            name: endpoint for state in self.states.values() for name, endpoint in state.endpoints.items()
+        }
+
+    def shortest_max_duration_ms(self) -> float:
+        """How long an override may last at every relay."""
+        durations_s = [state.max_duration_s for state in self.states.values()]
+        return min(durations_s, default=float("inf")) * 1000.0
+
+    def status_by_relay(self, override: Override) -> dict[str, str]:
+        """By node, the status that each relay reports."""
+        return {node: state.statuses.get(override.id, UNKNOWN_STATUS) for node, state in self.states.items()}
+
+    def has_expired(self, override: Override) -> bool:
+        return not override.is_revoked and override.has_expired(self.now_ms)
+
+    def status(self, override: Override) -> str:
+        """One status for all relays, or that of each where they differ."""
+        if override.is_revoked:
+            return OverrideStatus.REVOKED.value
+        if self.has_expired(override):
+            return OverrideStatus.EXPIRED.value
+        by_relay = self.status_by_relay(override)
+        distinct = set(by_relay.values())
+        if not distinct:
+            return "no relay tells"
+        if len(distinct) > 1:
+            return ", ".join(f"{node}: {status}" for node, status in sorted(by_relay.items()))
+        status = distinct.pop()
+        expires_soon = override.expires_at_ms - self.now_ms < EXPIRES_SOON_MS
+        return "about to end" if status == OverrideStatus.IN_FORCE and expires_soon else status
+
+    def make_resolver(self) -> OverrideResolver:
+        """The overrides in force, resolved as a relay with the first relay's limits does it."""
+        limits = [state.safety_limits for state in self.states.values()]
+        resolver = OverrideResolver(limits[0] if limits else SafetyLimits())
+        resolver.apply_endpoint_list(self.endpoints().values(), True)
+        for override in sorted(self.overrides.values(), key=lambda override: override.sort_key):
+            if not override.is_revoked and not override.has_expired(self.now_ms):
+                resolver.add(override)
+        return resolver
--- /dev/null
+++ b/sageturn/cli/override_writes.py
@@ -0,0 +1,171 @@
+"""How commands write operations: the operator's key, the checks before, and the answers of the relays."""
+
+from __future__ import annotations
+
+import asyncio
+import os
+from base64 import b64encode
+from dataclasses import dataclass, field
+from pathlib import Path
+
+from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PrivateKey
+from cryptography.hazmat.primitives.serialization import (
+    Encoding,
+    NoEncryption,
+    PrivateFormat,
+    PublicFormat,
+    load_pem_private_key,
+)
+
+from sageturn.cli.connection import DaemonConnection
+from sageturn.cli.exit_codes import ExitCode, fail
+from sageturn.cli.override_view import UNKNOWN_STATUS, OverrideView, read_relay_states, unix_time_ms
+from sageturn.cli.times import format_duration, parse_expiry
+from sageturn.overrides.errors import InvalidOperationError
+from sageturn.overrides.model import fold_operations
+from sageturn.overrides.operations import OperationType, OverrideOperation, new_nonce
+from sageturn.overrides.signing import parse_operation, sign_operation
+from sageturn.store.store import Store
+
+ANSWER_TIMEOUT_S = 5.0  # how long a command waits until every relay reports the operation
+POLL_INTERVAL_S = 0.02
+PRIVATE_FILE_MODE = 0o600
+
+
+# ---------------------------------------------------------------- keys
+
+
+def load_private_key(file: Path) -> Ed25519PrivateKey:
+    """Read an operator's key; the command ends if it cannot be read."""
+    try:
+        key = load_pem_private_key(file.read_bytes(), password=None)
+    except (OSError, ValueError, TypeError) as error:
+        fail(ExitCode.USAGE, f"{file}: {error}")
+    if not isinstance(key, Ed25519PrivateKey):
+        fail(ExitCode.USAGE, f"{file}: no Ed25519 key")
+    return key
+
+
+def create_private_key(file: Path) -> str:
+    """Write a new key to a file that does not exist yet, and return the public key in base64."""
+    key = Ed25519PrivateKey.generate()
+    pem = key.private_bytes(Encoding.PEM, PrivateFormat.PKCS8, NoEncryption())
+    try:
+        # Nobody else may read it, not even for a moment; and an existing file is not overwritten.
+        descriptor = os.open(file, os.O_WRONLY | os.O_CREAT | os.O_EXCL, PRIVATE_FILE_MODE)
+        with os.fdopen(descriptor, "wb") as output:
+            output.write(pem)
+    except OSError as error:
+        fail(ExitCode.USAGE, f"{file}: {error.strerror}")
+    return b64encode(key.public_key().public_bytes(Encoding.Raw, PublicFormat.Raw)).decode()
+
+
+# ---------------------------------------------------------------- checks before writing
+
+
+def check_form(operation: OverrideOperation, key: Ed25519PrivateKey) -> None:
+    """Decode the record as the relays will; the command ends if it is invalid."""
+    try:
+        parse_operation(operation.key, sign_operation(operation, key), None)
+    except InvalidOperationError as error:
+        fail(ExitCode.USAGE, str(error))
+
+
+def check_duration(view: OverrideView, operation: OverrideOperation) -> None:
+    """End the command if any relay would shorten the override."""
+    max_duration_ms = view.shortest_max_duration_ms()
+    if operation.expires_at_ms - operation.created_at_ms > max_duration_ms:
+        fail(ExitCode.REFUSED, f"--for: no override lasts longer than {format_duration(max_duration_ms)}")
+
+
+def check_safety_limits(view: OverrideView, operation: OverrideOperation) -> None:
+    """End the command if the safety limits would suspend the override."""
+    override = fold_operations([operation], float("inf"))
+    assert override is not None
+    resolver = view.make_resolver()
+    resolver.add(override)
+    violation = resolver.suspended.get(operation.override_id)
+    if violation:
+        fail(ExitCode.REFUSED, f"{violation}; --force REASON sets it all the same")
+
+
+# ---------------------------------------------------------------- writing
+
+
+@dataclass
+class SubmissionResult:
+    """By node, the status that each relay reports of the override; or why one rejects the operation."""
+
+    operation: OverrideOperation
+    status_by_relay: dict[str, str] = field(default_factory=dict)
+    rejection: str = ""
+
+
+async def submit(store: Store, operation: OverrideOperation, key: Ed25519PrivateKey) -> SubmissionResult:
+    """Write an operation, and wait until every relay that reports its state has applied it.
+
+    Relays that have not answered in time are left out. An operation that any of them rejects is deleted:
+    otherwise it would take effect on the day on which the daemons are given other operator keys.
+    """
+    relay_count = len(read_relay_states(store))
+    store.put(operation.key, sign_operation(operation, key))
+    loop = asyncio.get_running_loop()
+    deadline_s = loop.time() + ANSWER_TIMEOUT_S
+    result = SubmissionResult(operation)
+    while loop.time() < deadline_s and len(result.status_by_relay) < relay_count:
+        await asyncio.sleep(POLL_INTERVAL_S)
+        _collect_answers(store, result)
+        if result.rejection:
+            store.put(operation.key, None)
+            break
+    return result
+
+
+@dataclass(frozen=True, slots=True)
+class OverrideUpdate:
+    """An extension or revocation that an operator has asked for; ``expiry`` as written, empty if revoked."""
+
+    override_id: str
+    type: OperationType
+    operator: str
+    reason: str
+    expiry: str = ""
+
+    def submit(self, connection: DaemonConnection, key_file: Path) -> SubmissionResult:
+        """Check the update against the store, and write it."""
+        key = load_private_key(key_file)
+        now_ms = unix_time_ms()
+
+        async def check_and_submit(store: Store) -> SubmissionResult:
+            override = OverrideView(store, now_ms).get_override(self.override_id)
+            if override.is_revoked:
+                revoked_by = override.revoked_by
+                fail(ExitCode.REFUSED, f"{self.override_id}: was revoked by {revoked_by}, and stays so")
+            operation = self._make_operation(override.revision + 1, now_ms)
+            check_form(operation, key)
+            return await submit(store, operation, key)
+
+        return connection.run(check_and_submit)
+
+    def _make_operation(self, revision: int, now_ms: float) -> OverrideOperation:
+        return OverrideOperation(
+            self.override_id,
+            self.type,
+            revision,
+            now_ms,
+            self.operator,
+            self.reason,
+            parse_expiry(self.expiry, now_ms) if self.expiry else 0.0,
+            nonce=new_nonce(),
+        )
+
+
+def _collect_answers(store: Store, result: SubmissionResult) -> None:
+    operation = result.operation
+    for node, state in read_relay_states(store).items():
+        reason = state.rejected_records.get(operation.key)
+        if reason is not None:
+            result.rejection = f"{node} refuses it: {reason}"
+            return
+        if state.revisions.get(operation.override_id) == operation.revision:
+            result.status_by_relay[node] = state.statuses.get(operation.override_id, UNKNOWN_STATUS)
--- a/sageturn/cli/store.py
+++ b/sageturn/cli/store.py
@@ -1,4 +1,7 @@
-"""``sageturn store``: what a store holds, by a running daemon or in the log of one that is not running."""
+"""``sageturn store``: reads and writes the store of a running daemon, or the log of a stopped one.
+
+The docstrings of the commands and the ``help`` texts are what operators read in the command's help.
+"""
 
 from __future__ import annotations
 
@@ -6,99 +9,128 @@
 import json
 import sys
 from collections.abc import Callable
+from dataclasses import dataclass
 from pathlib import Path
-from typing import Annotated, TypeVar
+from typing import Annotated, Protocol, TypeVar
 
 import typer
 
-from sageturn.cli.link import NOT_THERE, REFUSED, USAGE, Reach, fail
+from sageturn.cli.connection import DaemonConnection
+from sageturn.cli.exit_codes import ExitCode, fail
 from sageturn.frontends.xmpp.accounts import PREFIX, make_record
 from sageturn.store.log import LogCorruptedError
 from sageturn.store.records import InvalidRecordError
 from sageturn.store.store import Store
 
 app = typer.Typer(no_args_is_help=True, help="What a daemon's store holds.")
-T = TypeVar("T")
-Key = Annotated[str, typer.Argument()]
+Result = TypeVar("Result")
+KeyArgument = Annotated[str, typer.Argument()]
 
 
-class Where:
-    def __init__(self, path: Path | None, reach: Reach | None, node: str) -> None:
-        self._path, self._reach, self._node = path, reach, node
+class StoreAccess(Protocol):
+    """Opens a store for one action."""
 
-    def act(self, action: Callable[[Store], T]) -> T:
-        try:
-            if self._reach is not None:
+    def run(self, action: Callable[[Store], Result]) -> Result: ...
+
+
+@dataclass(frozen=True, slots=True)
+class LocalStoreAccess:
+    """Opens the log of a daemon that is not running; writes are made under the name of ``node``."""
 
-                async def go(store: Store) -> T:
-                    return action(store)
+    path: Path
+    node: str
 
-                return self._reach.act(go)
-            assert self._path is not None
-            store = Store(self._node, self._path)
+    def run(self, action: Callable[[Store], Result]) -> Result:
+        try:
+            store = Store(self.node, self.path)
             try:
                 return action(store)
             finally:
                 store.close()
         except (OSError, InvalidRecordError, LogCorruptedError) as error:
-            fail(REFUSED, str(error))
+            fail(ExitCode.REFUSED, str(error))
+
+
+@dataclass(frozen=True, slots=True)
+class RemoteStoreAccess:
+    """Synchronizes a copy of a running daemon's store for the time of the action."""
+
+    connection: DaemonConnection
+
+    def run(self, action: Callable[[Store], Result]) -> Result:
+        async def run_action(store: Store) -> Result:
+            return action(store)
+
+        try:
+            return self.connection.run(run_action)
+        except (OSError, InvalidRecordError, LogCorruptedError) as error:
+            fail(ExitCode.REFUSED, str(error))
+
+
+def _access(context: typer.Context) -> StoreAccess:
+    access: StoreAccess = context.obj
+    return access
 
 
 @app.callback()
-def where(
-    ctx: typer.Context,
+def select_store(
+    context: typer.Context,
     path: Annotated[Path | None, typer.Option(help="The log of a daemon that is not running.")] = None,
     connect: Annotated[str, typer.Option(envvar="SAGETURN_CONNECT", help="A running daemon's store.")] = "",
     secret_file: Annotated[Path | None, typer.Option(envvar="SAGETURN_SECRET_FILE")] = None,
     node: Annotated[str, typer.Option(help="The name to write as, with --path.")] = "operator",
 ) -> None:
     """With --path the log is opened directly; with --connect this is a copy for a moment."""
-    if path is None and (not connect or secret_file is None):
-        fail(USAGE, "--path, or --connect and --secret-file, are needed")
-    reach = Reach(connect, secret_file) if path is None and secret_file is not None else None
-    ctx.obj = Where(path, reach, node)
+    if path is not None:
+        context.obj = LocalStoreAccess(path, node)
+    elif connect and secret_file is not None:
+        context.obj = RemoteStoreAccess(DaemonConnection(connect, secret_file))
+    else:
+        fail(ExitCode.USAGE, "--path, or --connect and --secret-file, are needed")
 
 
-@app.command()
-def keys(ctx: typer.Context, prefix: Annotated[str, typer.Argument()] = "") -> None:
+@app.command("keys")
+def list_keys(context: typer.Context, prefix: Annotated[str, typer.Argument()] = "") -> None:
     """The keys that begin so."""
-    print("\n".join(ctx.obj.act(lambda store: store.keys(prefix))))
+    print("\n".join(_access(context).run(lambda store: store.keys(prefix))))
 
 
-@app.command()
-def get(ctx: typer.Context, key: Key) -> None:
+@app.command("get")
+def get_value(context: typer.Context, key: KeyArgument) -> None:
     """A value, as JSON."""
-    value = ctx.obj.act(lambda store: store.get(key))
+    value = _access(context).run(lambda store: store.get(key))
     if value is None:
-        fail(NOT_THERE, f"{key}: not there")
+        fail(ExitCode.NOT_FOUND, f"{key}: not there")
     print(json.dumps(value))
 
 
-@app.command()
-def put(ctx: typer.Context, key: Key, value: Annotated[str, typer.Argument(help="JSON")]) -> None:
+@app.command("put")
+def put_value(
+    context: typer.Context, key: KeyArgument, value: Annotated[str, typer.Argument(help="JSON")]
+) -> None:
     """Set a value."""
     try:
-        parsed = json.loads(value)
+        decoded = json.loads(value)
     except ValueError as error:
-        fail(USAGE, f"value: not JSON: {error}")
-    ctx.obj.act(lambda store: store.put(key, parsed))
+        fail(ExitCode.USAGE, f"value: not JSON: {error}")
+    _access(context).run(lambda store: store.put(key, decoded))
 
 
-@app.command()
-def delete(ctx: typer.Context, key: Key) -> None:
+@app.command("delete")
+def delete_value(context: typer.Context, key: KeyArgument) -> None:
     """Take a value out."""
-    ctx.obj.act(lambda store: store.put(key, None))
+    _access(context).run(lambda store: store.put(key, None))
 
 
-@app.command()
-def account(
-    ctx: typer.Context,
-    name: Key,
-    cls: Annotated[str, typer.Option("--class", help="The class of its requests.")],
+@app.command("account")
+def create_account(
+    context: typer.Context,
+    name: KeyArgument,
+    class_name: Annotated[str, typer.Option("--class", help="The class of its requests.")],
     tenant: Annotated[str, typer.Option()],
     group: Annotated[str, typer.Option()] = "",
 ) -> None:
     """Make an XMPP account; the password is read from standard input."""
     password = getpass.getpass() if sys.stdin.isatty() else sys.stdin.readline().rstrip("\n")
-    record = make_record(password, cls, tenant, group)
-    ctx.obj.act(lambda store: store.put(PREFIX + name, record))
+    record = make_record(password, class_name, tenant, group)
+    _access(context).run(lambda store: store.put(PREFIX + name, record))
--- a/sageturn/cli/times.py
+++ b/sageturn/cli/times.py
@@ -1,47 +1,59 @@
-"""Spans and instants as people write them."""
+"""Durations and instants as operators write and read them."""
 
 from __future__ import annotations
 
 import re
 from datetime import UTC, datetime
 
-_SPAN = re.compile(r"(?:(\d+)d)?(?:(\d+)h)?(?:(\d+)m)?(?:(\d+)s)?")
+_DURATION = re.compile(r"(?:(\d+)d)?(?:(\d+)h)?(?:(\d+)m)?(?:(\d+)s)?")
+_UNIT_NAMES = "dhms"
 _UNITS_MS = (86_400_000, 3_600_000, 60_000, 1_000)
+_SHOWN_UNITS = 2
 
 
-def parse_until(text: str, now_ms: float) -> float:
-    """Unix time in milliseconds, of ``2h30m`` from now, or of an instant with a zone (RFC 3339, section 5.6).
+class InvalidTimeError(ValueError):
+    """A text is neither a duration nor an instant in the future."""
 
-    Raises ValueError. An instant without a zone is refused: it means another moment at each desk.
+
+def parse_expiry(text: str, now_ms: float) -> float:
+    """Unix time in milliseconds of ``2h30m`` from now, or of an instant with a zone (RFC 3339, section 5.6).
+
+    Raises InvalidTimeError. An instant without a zone is rejected: it differs from desk to desk.
     """
-    match = _SPAN.fullmatch(text.strip())
-    if match and any(match.groups()):
-        span_ms = sum(int(n) * unit for n, unit in zip(match.groups(), _UNITS_MS, strict=True) if n)
-        if span_ms <= 0:
-            raise ValueError(f"{text!r} is no time to come")
-        return now_ms + span_ms
+    duration = _DURATION.fullmatch(text.strip())
+    if duration and any(duration.groups()):
+        return now_ms + _duration_ms(text, duration)
     try:
         instant = datetime.fromisoformat(text.strip())
-    except ValueError:
-        raise ValueError(f"{text!r} is neither a span such as 2h30m nor an instant") from None
+    except ValueError as error:
+        raise InvalidTimeError(f"{text!r} is neither a span such as 2h30m nor an instant") from error
     if instant.tzinfo is None:
-        raise ValueError(f"{text!r} has no zone, such as +07:00 or Z")
-    until_ms = instant.timestamp() * 1000.0
-    if until_ms <= now_ms:
-        raise ValueError(f"{text!r} has passed")
-    return until_ms
+        raise InvalidTimeError(f"{text!r} has no zone, such as +07:00 or Z")
+    expiry_ms = instant.timestamp() * 1000.0
+    if expiry_ms <= now_ms:
+        raise InvalidTimeError(f"{text!r} has passed")
+    return expiry_ms
+
+
+def _duration_ms(text: str, duration: re.Match[str]) -> int:
+    counts = zip(duration.groups(), _UNITS_MS, strict=True)
+    duration_ms = sum(int(count) * unit_ms for count, unit_ms in counts if count)
+    if duration_ms <= 0:
+        raise InvalidTimeError(f"{text!r} is no time to come")
+    return duration_ms
 
 
-def instant(at_ms: float) -> str:
-    return datetime.fromtimestamp(at_ms / 1000.0, UTC).strftime("%Y-%m-%d %H:%M:%SZ")
+def format_instant(unix_ms: float) -> str:
+    """Unix time as ``2026-12-02 05:30:00Z``."""
+    return datetime.fromtimestamp(unix_ms / 1000.0, UTC).strftime("%Y-%m-%d %H:%M:%SZ")
 
 
-def span(ms: float) -> str:
+def format_duration(duration_ms: float) -> str:
     """``1d 2h``, ``2h 30m``, ``45s``: the two largest units."""
     parts = []
-    left = max(0, round(ms))
-    for unit, name in zip(_UNITS_MS, "dhms", strict=True):
-        if left >= unit:
-            parts.append(f"{left // unit}{name}")
-            left %= unit
-    return " ".join(parts[:2]) or "0s"
+    rest_ms = max(0, round(duration_ms))
+    for unit_ms, name in zip(_UNITS_MS, _UNIT_NAMES, strict=True):
+        if rest_ms >= unit_ms:
+            parts.append(f"{rest_ms // unit_ms}{name}")
+            rest_ms %= unit_ms
+    return " ".join(parts[:_SHOWN_UNITS]) or "0s"
--- a/sageturn/config/loader.py
+++ b/sageturn/config/loader.py
@@ -231,25 +231,28 @@
 
 
 def _overrides(section: ConfigSection) -> OverrideOptions:
-    from sageturn.overrides.ops import read_public
-    from sageturn.overrides.options import OverrideOptions
-    from sageturn.overrides.resolve import SafetyLimits
+    from sageturn.overrides.options import OverrideOptions, SafetyLimits
+    from sageturn.overrides.signing import parse_public_key
 
     section.only("operators", "longest_s", "floor_all", "floor_zone", "floor_pin")
     operators = {}
     for name, text in section.get("operators", dict, {}).items():
         try:
-            operators[name] = read_public(text)
+            operators[name] = parse_public_key(text)
         except (ValueError, TypeError) as error:
             raise ConfigError(f"{section.path('operators')}.{name}: no public key: {error}") from None
     usual = SafetyLimits()
     floors = {}
-    for key, default in (("all", usual.all), ("zone", usual.zone), ("pin", usual.pin)):
+    for key, default in (
+        ("all", usual.min_total_ratio),
+        ("zone", usual.min_zone_ratio),
+        ("pin", usual.min_pin_ratio),
+    ):
         floors[key] = section.number(f"floor_{key}", default)
         if floors[key] > 1.0:
             raise ConfigError(f"{section.path(f'floor_{key}')}: must be from 0 to 1")
-    longest_s = section.number("longest_s", OverrideOptions().longest_s, least=1.0)
-    return OverrideOptions(operators, longest_s, SafetyLimits(**floors))
+    longest_s = section.number("longest_s", OverrideOptions().max_duration_s, least=1.0)
+    return OverrideOptions(operators, longest_s, SafetyLimits(floors["all"], floors["zone"], floors["pin"]))
 
 
 def _names(section: ConfigSection, key: str, default: list[str], known: list[str]) -> list[str]:
--- a/sageturn/lab/overriding.py
+++ b/sageturn/lab/overriding.py
@@ -27,10 +27,20 @@
 from sageturn.lab.rebalancing import show
 from sageturn.lab.spec import Spec
 from sageturn.overrides.actor import OverrideActor
-from sageturn.overrides.model import fold
-from sageturn.overrides.ops import OverrideOperation, OverridePayload, Selector, new_id, new_nonce, sign
-from sageturn.overrides.options import OverrideOptions
-from sageturn.overrides.resolve import OverrideResolver, SafetyLimits
+from sageturn.overrides.model import fold_operations
+from sageturn.overrides.operations import (
+    OperationType,
+    OverrideKind,
+    OverrideOperation,
+    OverridePayload,
+    Selector,
+    SelectorAttribute,
+    new_nonce,
+    new_override_id,
+)
+from sageturn.overrides.options import OverrideOptions, SafetyLimits
+from sageturn.overrides.resolver import OverrideResolver
+from sageturn.overrides.signing import sign_operation
 from sageturn.store.channel import read_secret
 from sageturn.store.replication.member import connected
 from sageturn.store.store import Store
@@ -44,7 +54,7 @@
     override: str, body: OverridePayload | None, revision: int = 1, at_ms: float | None = None
 ) -> OverrideOperation:
     at_ms = time.time() * 1000.0 if at_ms is None else at_ms
-    what, until_ms = ("set", at_ms + HOUR_MS) if body is not None else ("revoke", 0.0)
+    what, until_ms = (OperationType.SET, at_ms + HOUR_MS) if body is not None else (OperationType.REVOKE, 0.0)
     return OverrideOperation(
         override, what, revision, at_ms, "lab", "measured", until_ms, body, nonce=new_nonce()
     )
@@ -77,9 +87,14 @@
             for _ in range(rounds):
                 # One host over and over: it comes back cold each time, and the others have to be warm.
                 host = deployment.hosts[0]
-                op = word(new_id("out"), OverridePayload("out", Selector("host", host.model.name)))
+                op = word(
+                    new_override_id("out"),
+                    OverridePayload(
+                        OverrideKind.OUT_OF_SERVICE, Selector(SelectorAttribute.ENDPOINT, host.model.name)
+                    ),
+                )
                 began_s = time.monotonic()
-                store.put(op.key, sign(op, KEY))
+                store.put(op.key, sign_operation(op, KEY))
                 await _told_by_all(store, spec.relays, op)
                 known_s = time.monotonic()
                 took.append((known_s - began_s) * 1000.0)
@@ -87,8 +102,8 @@
                 # The state comes back later than the relay knew: what counts is counted too strictly here.
                 placed_late += sum(at > known_s + KNOWN_MS / 1000.0 for at in host.opened)
                 placed += sum(at > began_s for d in deployment.hosts for at in d.opened)
-                op = word(op.override, None, 2)
-                store.put(op.key, sign(op, KEY))
+                op = word(op.override_id, None, 2)
+                store.put(op.key, sign_operation(op, KEY))
                 await _told_by_all(store, spec.relays, op)
         playing.cancel()
         await asyncio.wait((playing,))
@@ -109,7 +124,7 @@
     async with asyncio.timeout(10.0):
         while True:
             states = [store.get(f"state/r{n}/overrides") for n in range(relays)]
-            if all(state and state["words"].get(op.override) == op.revision for state in states):
+            if all(state and state["words"].get(op.override_id) == op.revision for state in states):
                 return
             await asyncio.sleep(0.001)
 
@@ -124,11 +139,15 @@
     ]
     overrides = []
     for n in range(500):
-        kind = ("out", "weight", "hold")[n % 3]
+        kind = (OverrideKind.OUT_OF_SERVICE, OverrideKind.WEIGHT, OverrideKind.HOLD)[n % 3]
         wide = n % 50 == 0
-        selector = Selector("cell", str(n % 50)) if wide else Selector("host", f"h{int(rng.integers(5000))}")
-        body = OverridePayload(kind, selector, factor=0.5 if kind == "weight" else 1.0)
-        override = fold([word(f"x{n}", body, 1, n)], 1e12)
+        selector = (
+            Selector(SelectorAttribute.CELL, str(n % 50))
+            if wide
+            else Selector(SelectorAttribute.ENDPOINT, f"h{int(rng.integers(5000))}")
+        )
+        body = OverridePayload(kind, selector, factor=0.5 if kind is OverrideKind.WEIGHT else 1.0)
+        override = fold_operations([word(f"x{n}", body, 1, n)], 1e12)
         assert override is not None
         overrides.append(override)
     wholes: list[float] = []
@@ -137,17 +156,17 @@
         resolver = OverrideResolver(SafetyLimits(0.2, 0.1, 0.0))
         began = time.perf_counter()
         for override in overrides:
-            resolver.put(override)
-        resolver.listed(hosts, True)
+            resolver.add(override)
+        resolver.apply_endpoint_list(hosts, True)
         wholes.append((time.perf_counter() - began) * 1000.0)
         for override in overrides[::7]:
             # One lapses, and another of its like is set: the newest, as what is set now always is.
-            newer = replace(override, id=f"{override.id}-again", set_ms=1000.0 + len(changes))
+            newer = replace(override, id=f"{override.id}-again", created_at_ms=1000.0 + len(changes))
             began = time.perf_counter()
-            resolver.drop(override.id)
+            resolver.remove(override.id)
             changes.append((time.perf_counter() - began) * 1000.0)
             began = time.perf_counter()
-            resolver.put(newer)
+            resolver.add(newer)
             changes.append((time.perf_counter() - began) * 1000.0)
     return {
         "hosts": len(hosts),
--- a/sageturn/lab/scale/costs.py
+++ b/sageturn/lab/scale/costs.py
@@ -21,7 +21,7 @@
 from typing import Any
 
 from sageturn import decision
-from sageturn.cli.link import Reach
+from sageturn.cli.connection import DaemonConnection
 from sageturn.core.close_reason import CloseReason
 from sageturn.core.messages import ClientRequest
 from sageturn.core.request_lifecycle import ConnectionRecord as Ended
@@ -143,7 +143,7 @@
             secret.write_text(SECRET, encoding="utf-8")
             host, port = ready.result(60.0)
             began_s = time.perf_counter()
-            there_s, kept = Reach(f"{host}:{port}", secret).act(_look)
+            there_s, kept = DaemonConnection(f"{host}:{port}", secret).run(_look)
             done_s = time.perf_counter()
             return {"copied_s": there_s - began_s, "done_s": done_s - began_s, "kept": kept}
     finally:
--- a/sageturn/overrides/__init__.py
+++ b/sageturn/overrides/__init__.py
@@ -1,4 +1,4 @@
-"""Overrides by operators, each with an expiry: hosts out of service, weights, pins and holds.
+"""Operator overrides, each with an expiry: endpoints out of service, weights, sticky routing and holds.
 
-``ops``, ``model``, ``resolve`` and ``returns`` do no I/O and hold no clock; ``actor`` joins them to a relay.
+Only ``actor`` does I/O and reads a clock; it connects the other modules, which are pure, to a relay.
 """
--- a/sageturn/overrides/actor.py
+++ b/sageturn/overrides/actor.py
@@ -1,4 +1,4 @@
-"""OverrideActor at work in a relay: between the destination set and the module, and beside its requests."""
+"""Runs a relay's overrides: between the endpoint list and the balancer, and beside its requests."""
 
 from __future__ import annotations
 
@@ -12,195 +12,199 @@
 from sageturn import decision
 from sageturn.core.balancer_actor import BalancerActor
 from sageturn.core.endpoint_snapshot import OperatorMarks
-from sageturn.overrides.board import OverrideRegistry
-from sageturn.overrides.ops import PREFIX
+from sageturn.overrides.audit import AuditAction, AuditEvent
+from sageturn.overrides.operations import KEY_PREFIX
 from sageturn.overrides.options import OverrideOptions
-from sageturn.overrides.resolve import Pinned
+from sageturn.overrides.registry import OverrideRegistry
+from sageturn.overrides.relay_state import encode_relay_state
+from sageturn.overrides.sticky_routing import apply_sticky_routing
 
 log = logging.getLogger(__name__)
 
-LOOK_S = 0.5  # the clock may be set at any time, and nothing tells when it is
-STATE_S = 2.0
-LOUD = frozenset({"refused", "suspended"})
-HOSTS_TOLD = 1000  # hosts in the state that other nodes can read; a larger fleet tells its sums only
+MAX_WAIT_S = 0.5  # the system's clock may be set at any time, and nothing notifies of it
+STATE_REPORT_INTERVAL_S = 2.0
+WARNING_ACTIONS = frozenset({AuditAction.REJECTED, AuditAction.SUSPENDED})
 
 
-class Records(Protocol):
-    """The store, as far as overrides need it."""
+class RecordStore(Protocol):
+    """The part of the store that overrides read."""
 
     def keys(self, prefix: str = "") -> list[str]: ...
 
     def get(self, key: str) -> Any: ...
 
 
-def unix_ms() -> float:
+class StoreRecord(Protocol):
+    """A changed record of the store; a value of None is a deletion."""
+
+    @property
+    def key(self) -> str: ...
+
+    @property
+    def value(self) -> Any: ...
+
+
+def unix_time_ms() -> float:
     return time.time() * 1000.0
 
 
+def _read_records(store: RecordStore) -> list[tuple[str, Any]]:
+    return [(key, store.get(key)) for key in store.keys(KEY_PREFIX)]
+
+
 class OverrideActor:
-    """Takes the list's events in the module's place, and passes them on as the overrides make them.
+    """Receives the endpoint list's events in the balancer's place, and forwards them as overrides make them.
 
-    ``on_effects`` hears of the hosts that are held, out of service, and to be cleared, when that changes.
+    ``report_state`` gets the relay's state record; ``on_marks_changed`` is notified when the sets of held,
+    out-of-service and cleared endpoints change.
     """
 
     def __init__(
         self,
         balancer_actor: BalancerActor,
         options: OverrideOptions,
-        store: Records,
-        tell_state: Callable[[dict[str, Any]], None],
-        on_effects: Callable[[OperatorMarks], None] | None = None,
-        now_ms: Callable[[], float] = unix_ms,
+        store: RecordStore,
+        report_state: Callable[[dict[str, Any]], None],
+        on_marks_changed: Callable[[OperatorMarks], None] | None = None,
+        now_ms: Callable[[], float] = unix_time_ms,
     ) -> None:
         settings = balancer_actor.settings
-        self.board = OverrideRegistry(options, settings.initial_capacity_ratio, settings.slow_start_ms)
-        self._balancer_actor, self._tell_state, self._on_effects = balancer_actor, tell_state, on_effects
-        self._now_ms = now_ms
-        self._words: list[tuple[str, Any]] = []
-        self._lines: list[decision.Endpoint] = []
+        self.registry = OverrideRegistry(options, settings.initial_capacity_ratio, settings.slow_start_ms)
         self.marks = OperatorMarks()
-        self._woken = asyncio.Event()
-        self._told_s = 0.0
-        # What is over by now is never in force here: it is left out before the first host is told.
-        self.board.take([(key, store.get(key)) for key in store.keys(PREFIX)], now_ms())
-        self._attend()
-
-    # ------------------------------------------------------------ the list
-
-    async def tell(self, event: decision.Event) -> None:
-        """In place of the module's own ``tell``, for the destination set."""
+        self._balancer_actor = balancer_actor
+        self._report_state = report_state
+        self._on_marks_changed = on_marks_changed
+        self._now_ms = now_ms
+        self._pending_records: list[tuple[str, Any]] = []
+        self._pending_endpoints: list[decision.Endpoint] = []
+        self._wake_up = asyncio.Event()
+        self._state_reported_s = 0.0
+        # What has expired by now never takes effect here: it is left out before the first endpoint is listed.
+        self.registry.apply_records(_read_records(store), now_ms())
+        self._update_observer()
+
+    # ------------------------------------------------------------ endpoint list
+
+    async def post_event(self, event: decision.Event) -> None:
+        """Stands in for the balancer actor's own ``post_event`` at the endpoint registry."""
         if isinstance(event, decision.EndpointListEvent) and event.kind != "failed":
-            whole = event.kind in ("full", "stale")
-            lines = self.board.listed(event.endpoints, whole, self._now_ms())
-            event = decision.EndpointListEvent(event.kind, lines)
-            self._spread()
+            is_full = event.kind in ("full", "stale")
+            endpoints = self.registry.apply_endpoint_list(event.endpoints, is_full, self._now_ms())
+            event = decision.EndpointListEvent(event.kind, endpoints)
+            self._update_marks()
         await self._balancer_actor.post_event(event)
 
-    def out(self, host: str) -> bool:
-        """For calls that take long to set up: whether the host may no longer be given work."""
-        return self.board.resolver.effect(host).out
+    def is_out_of_service(self, endpoint: str) -> bool:
+        """For connections that are set up slowly: whether the endpoint may no longer be given work."""
+        return self.registry.resolver.effect(endpoint).out_of_service
 
-    # ------------------------------------------------------------ the store
+    # ------------------------------------------------------------ store
 
-    def changed(self, records: Sequence[Any]) -> None:
-        """Called by the store for every change; acted on by the actor."""
-        mine = [(r.key, r.value) for r in records if r.key.startswith(PREFIX)]
-        if mine:
-            self._words += mine
-            self._woken.set()
+    def on_store_change(self, records: Sequence[StoreRecord]) -> None:
+        """Called by the store for every change; the actor's next step applies it."""
+        changed = [(record.key, record.value) for record in records if record.key.startswith(KEY_PREFIX)]
+        if changed:
+            self._pending_records += changed
+            self._wake_up.set()
 
-    def set_options(self, options: OverrideOptions, store: Records) -> None:
-        """On SIGHUP. Words that were refused may be an operator's now."""
-        self._lines = self.board.set_options(options, self._now_ms())
-        self._words += [(key, store.get(key)) for key in store.keys(PREFIX)]
-        self._woken.set()
+    def set_options(self, options: OverrideOptions, store: RecordStore) -> None:
+        """Called after a reload. Records that were rejected may be of a known operator now."""
+        self._pending_endpoints = self.registry.set_options(options, self._now_ms())
+        self._pending_records += _read_records(store)
+        self._wake_up.set()
 
-    # ------------------------------------------------------------ the actor
+    # ------------------------------------------------------------ actor
 
     async def run(self) -> None:
         while True:
             await self.step()
             now_ms = self._now_ms()
-            due_ms = self.board.next_ms(now_ms)
-            wait_s = LOOK_S if due_ms is None else min(LOOK_S, max(0.0, (due_ms - now_ms) / 1000.0))
+            due_ms = self.registry.next_change_ms(now_ms)
+            wait_s = MAX_WAIT_S
+            if due_ms is not None:
+                wait_s = min(MAX_WAIT_S, max(0.0, (due_ms - now_ms) / 1000.0))
             with suppress(TimeoutError):
                 async with asyncio.timeout(wait_s):
-                    await self._woken.wait()
+                    await self._wake_up.wait()
 
     async def step(self) -> None:
-        """Take what has come, let lapse what is over, and tell the module what that changes."""
-        self._woken.clear()
-        words, self._words = self._words, []
+        """Apply pending changes, expire what is over, and post to the balancer what that changes."""
+        self._wake_up.clear()
+        records = self._pending_records
+        self._pending_records = []
         try:
-            await self._step(words)
+            await self._apply_pending(records)
         finally:
-            self._attend()
+            self._update_observer()
 
-    def _attend(self) -> None:
-        """Beside the module only while there is a pin: without one no request passes through here."""
-        beside = self in self._balancer_actor.observers
-        if self.board.resolver.pins and not beside:
+    def _update_observer(self) -> None:
+        """Observe the balancer only while there is a pin: without one no request is looked at here."""
+        is_observing = self in self._balancer_actor.observers
+        has_pins = bool(self.registry.resolver.pins)
+        if has_pins and not is_observing:
             self._balancer_actor.observers.append(self)
-        elif beside and not self.board.resolver.pins:
+        elif is_observing and not has_pins:
             self._balancer_actor.observers.remove(self)
 
-    async def _step(self, words: list[tuple[str, Any]]) -> None:
-        lines, self._lines = self._lines, []
+    async def _apply_pending(self, records: list[tuple[str, Any]]) -> None:
+        endpoints = self._pending_endpoints
+        self._pending_endpoints = []
         now_ms = self._now_ms()
-        if words:
-            lines += self.board.take(words, now_ms)
-        lines += self.board.pass_time(now_ms)
-        if lines:
-            latest = {line.name: line for line in lines}
-            await self._balancer_actor.post_event(
-                decision.EndpointListEvent("changes", list(latest.values()))
-            )
-        happened, self.board.happened = self.board.happened, []
-        for happening in happened:
-            level = logging.WARNING if happening.what in LOUD else logging.INFO
-            log.log(level, "%s %s: %s", happening.override, happening.what, happening.told)
-        if lines or happened:
-            self._spread()
-        if happened or now_ms / 1000.0 >= self._told_s + STATE_S or now_ms / 1000.0 < self._told_s:
-            self._told_s = now_ms / 1000.0
-            self._tell_state(self.state(now_ms))
-
-    def _spread(self) -> None:
-        effects = self.board.resolver.effects.items()
+        if records:
+            endpoints += self.registry.apply_records(records, now_ms)
+        endpoints += self.registry.advance_time(now_ms)
+        if endpoints:
+            latest = {endpoint.name: endpoint for endpoint in endpoints}
+            event = decision.EndpointListEvent("changes", list(latest.values()))
+            await self._balancer_actor.post_event(event)
+        audit_events = self.registry.take_audit_events()
+        _log_audit_events(audit_events)
+        if endpoints or audit_events:
+            self._update_marks()
+        if audit_events or self._is_report_due(now_ms / 1000.0):
+            self._state_reported_s = now_ms / 1000.0
+            self._report_state(self.state(now_ms))
+
+    def _is_report_due(self, now_s: float) -> bool:
+        """Also when the clock was set back."""
+        return now_s >= self._state_reported_s + STATE_REPORT_INTERVAL_S or now_s < self._state_reported_s
+
+    def _update_marks(self) -> None:
+        effects = self.registry.resolver.effects.items()
         marks = OperatorMarks(
-            frozenset(name for name, effect in effects if effect.hold),
-            frozenset(name for name, effect in effects if effect.out),
-            frozenset(name for name, effect in effects if effect.move_off),
+            frozenset(name for name, effect in effects if effect.held),
+            frozenset(name for name, effect in effects if effect.out_of_service),
+            frozenset(name for name, effect in effects if effect.migrate_connections),
         )
         if marks != self.marks:
             self.marks = marks
-            if self._on_effects is not None:
-                self._on_effects(marks)
+            if self._on_marks_changed is not None:
+                self._on_marks_changed(marks)
 
-    # ------------------------------------------------------------ requests
+    # ------------------------------------------------------------ BalancerObserver
 
     def before(self, now_ms: float, event: decision.Event) -> None:
-        """Binds a request to hosts where a pin selects it; the module chooses among them."""
+        """Bind a request that a pin selects."""
         if not isinstance(event, decision.RequestArrived):
             return
-        pinned = self.board.pinned(event.class_name, event.tenant, event.group)
-        if pinned is not None:
-            bind(event, pinned, self._balancer_actor)
+        route = self.registry.sticky_route(event.class_name, event.tenant, event.group)
+        if route is not None:
+            apply_sticky_routing(event, route, self._balancer_actor)
 
     def after(self, now_ms: float, event: decision.Event, actions: Sequence[decision.Action]) -> None:
-        """OverrideActor learn nothing from what passes."""
+        """Part of the observer's interface; overrides do not depend on the balancer's decisions."""
 
     def moved_by_other(self, now_ms: float, request_id: int) -> None:
-        """Nor from moves."""
+        """Part of the observer's interface; overrides do not depend on migrations."""
 
-    # ------------------------------------------------------------ for operators
+    # ------------------------------------------------------------ operators
 
     def state(self, now_ms: float) -> dict[str, Any]:
-        board, resolver = self.board, self.board.resolver
-        hosts = resolver.hosts
-        told: dict[str, Any] = {
-            "overrides": {i: board.status(o, now_ms) for i, o in sorted(board.known.items())},
-            "words": {i: o.revision for i, o in sorted(board.known.items())},
-            "suspended": dict(sorted(resolver.suspended.items())),
-            "refused": dict(sorted(board.refused.items())),
-            "hosts_listed": len(hosts),
-            "floors": [board.options.floors.all, board.options.floors.zone, board.options.floors.pin],
-            "longest_s": board.options.longest_s,
-        }
-        if len(hosts) <= HOSTS_TOLD:
-            told["hosts"] = {
-                s.name: [s.zone, s.kind, s.cell, s.state, s.share, s.started_at_ms] for s in hosts.values()
-            }
-        return told
-
-
-def bind(event: decision.RequestArrived, pinned: Pinned, balancer_actor: BalancerActor) -> None:
-    """A strict pin holds on every attempt; a preferred one on the first, where any of its hosts has room."""
-    allowed, strict = pinned.strict, pinned.strict is not None
-    if pinned.preferred is not None:
-        wished = pinned.preferred if allowed is None else pinned.preferred & allowed
-        if any(view.room > 0 for view in balancer_actor.snapshot_endpoints(wished)):
-            event.allowed, event.strict = wished, strict
-            return
-    if strict:
-        event.allowed, event.strict = allowed, True
+        """The value of the relay's state record."""
+        return encode_relay_state(self.registry, now_ms)
+
+
+def _log_audit_events(events: Sequence[AuditEvent]) -> None:
+    for event in events:
+        level = logging.WARNING if event.action in WARNING_ACTIONS else logging.INFO
+        log.log(level, "override %s id=%s detail=%r", event.action.value, event.override_id, event.detail)
--- a/sageturn/overrides/model.py
+++ b/sageturn/overrides/model.py
@@ -1,68 +1,71 @@
-"""Overrides, as the sum of the words said of them."""
+"""An override as the result of all operations on it."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from sageturn.overrides.ops import OverrideOperation, OverridePayload
+from sageturn.overrides.operations import OperationType, OverrideOperation, OverridePayload
 
 
 @dataclass(frozen=True, slots=True)
 class Override:
-    """``until_ms`` is an instant of Unix time, and the first at which it is no longer in force."""
+    """Instants are milliseconds of Unix time; at ``expires_at_ms`` it is no longer in force."""
 
     id: str
-    body: OverridePayload
-    set_by: str
-    set_ms: float
-    why: str
-    until_ms: float
-    until_by: str  # who said so last
-    revision: int  # of the last word that counts
+    payload: OverridePayload
+    created_by: str
+    created_at_ms: float
+    reason: str
+    expires_at_ms: float
+    expiry_set_by: str  # the operator of the operation that gives the expiry
+    revision: int  # the highest of its operations
     revoked_by: str = ""
     forced: bool = False
 
     @property
-    def revoked(self) -> bool:
+    def is_revoked(self) -> bool:
         return bool(self.revoked_by)
 
     @property
-    def order(self) -> tuple[float, str]:
-        """In which the guard weighs them: whoever was first stands, on every relay alike."""
-        return self.set_ms, self.id
+    def sort_key(self) -> tuple[float, str]:
+        """The order in which the safety limits admit overrides: the oldest first, on every relay alike."""
+        return self.created_at_ms, self.id
 
-    def lapsed(self, now_ms: float) -> bool:
-        return now_ms >= self.until_ms
+    def has_expired(self, now_ms: float) -> bool:
+        return now_ms >= self.expires_at_ms
 
 
-def fold(ops: Iterable[OverrideOperation], longest_ms: float) -> Override | None:
-    """The override that these words make; None while the word that sets it is not there.
+def fold_operations(operations: Iterable[OverrideOperation], max_duration_ms: float) -> Override | None:
+    """The override that these operations make; None while the one that sets it is missing.
 
-    - Of several that set it under one id, the one with the least key counts.
-    - The end is what the last word (by revision, time, key) that tells one says, and no later than
-      ``longest_ms`` after that word was said.
-    - Once revoked it stays so, whatever else was said: an extension made on the other side of a split must
-      not bring back what somebody has ended.
+    - Of several that set it under one id, the one with the smallest key counts.
+    - The expiry is that of the last set or extend operation (by revision, time, key), but no later than
+      ``max_duration_ms`` after that operation was created.
+    - Once revoked it stays revoked: an extension written on the other side of a network partition must not
+      bring back what an operator has ended.
     """
-    words = list(ops)
-    first = min((op for op in words if op.word == "set"), key=lambda op: op.key, default=None)
-    if first is None or first.body is None:
+    known = list(operations)
+    settings = [operation for operation in known if operation.type is OperationType.SET]
+    first = min(settings, key=lambda operation: operation.key, default=None)
+    if first is None or first.payload is None:
         return None
-    # An extension counts from what it extends on; one for another setting under the same id does too.
-    telling = [op for op in words if op.word == "extend" or op is first]
-    last = max(telling, key=lambda op: op.order)
-    revokes = [op for op in words if op.word == "revoke"]
-    revoke = min(revokes, key=lambda op: op.order, default=None)
+    # Another set operation under the same id does not count; an extension of it does.
+    with_expiry = [
+        operation for operation in known if operation.type is OperationType.EXTEND or operation is first
+    ]
+    last = max(with_expiry, key=lambda operation: operation.sort_key)
+    revocations = [operation for operation in known if operation.type is OperationType.REVOKE]
+    revocation = min(revocations, key=lambda operation: operation.sort_key, default=None)
     return Override(
-        id=first.override,
-        body=first.body,
-        set_by=first.operator,
-        set_ms=first.at_ms,
-        why=first.why,
-        until_ms=min(last.until_ms, last.at_ms + longest_ms),
-        until_by=last.operator,
-        revision=max(op.revision for op in words),
-        revoked_by=revoke.operator if revoke else "",
+        id=first.override_id,
+        payload=first.payload,
+        created_by=first.operator,
+        created_at_ms=first.created_at_ms,
+        reason=first.reason,
+        expires_at_ms=min(last.expires_at_ms, last.created_at_ms + max_duration_ms),
+        expiry_set_by=last.operator,
+        revision=max(operation.revision for operation in known),
+        revoked_by=revocation.operator if revocation else "",
         forced=first.forced,
     )
--- a/sageturn/overrides/options.py
+++ b/sageturn/overrides/options.py
@@ -1,4 +1,4 @@
-"""What an operator's file says of overrides."""
+"""The ``overrides`` section of the operator's file, decoded."""
 
 from __future__ import annotations
 
@@ -6,16 +6,25 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from sageturn.overrides.resolve import SafetyLimits
-
 if TYPE_CHECKING:
     from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PublicKey
 
+DEFAULT_MAX_DURATION_S = 7 * 86400.0
+
+
+@dataclass(frozen=True, slots=True)
+class SafetyLimits:
+    """Minimum ratios of the capacity listed as ready that overrides must leave available, each 0 to 1."""
+
+    min_total_ratio: float = 0.5
+    min_zone_ratio: float = 0.34
+    min_pin_ratio: float = 0.1  # of the total: what a strict pin leaves to the traffic it selects
+
 
 @dataclass(frozen=True, slots=True)
 class OverrideOptions:
-    """``operators``: by name, the public key with which each signs."""
+    """``operators`` has the public key of each operator by name."""
 
     operators: Mapping[str, Ed25519PublicKey] = field(default_factory=dict)
-    longest_s: float = 7 * 86400.0  # an override lasts no longer, however often it is extended at a time
-    floors: SafetyLimits = field(default_factory=SafetyLimits)
+    max_duration_s: float = DEFAULT_MAX_DURATION_S  # counted anew from each extension
+    safety_limits: SafetyLimits = field(default_factory=SafetyLimits)
--- /dev/null
+++ b/sageturn/overrides/recovery_ramp.py
@@ -0,0 +1,92 @@
+"""How endpoints return once an override on them has ended: no faster than in slow start.
+
+An endpoint that was out of service is shown to the balancer as one that has just started, so that its slow
+start applies. One whose weight was reduced regains it as evenly as an endpoint in slow start its capacity.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, replace
+
+from sageturn.decision import Endpoint
+from sageturn.overrides.resolver import OverrideEffect
+
+RAMP_STEPS = 24  # in which a weight is regained: about a second each
+
+
+@dataclass(frozen=True, slots=True)
+class WeightRamp:
+    """A weight factor that grows from one value to another; the pace is the same for all."""
+
+    start_factor: float
+    started_at_ms: float
+    target_factor: float
+
+
+class RecoveryRamps:
+    """``initial_capacity_ratio`` and ``slow_start_ms`` are those of the balancer's settings."""
+
+    def __init__(self, initial_capacity_ratio: float, slow_start_ms: float) -> None:
+        self._slow_start_ms = max(1.0, slow_start_ms)
+        self._growth_per_ms = (1.0 - initial_capacity_ratio) / self._slow_start_ms
+        self._returned_at_ms: dict[str, float] = {}  # endpoints that were out of service
+        self._weight_ramps: dict[str, WeightRamp] = {}
+
+    def on_effect_changed(
+        self, endpoint: str, previous: OverrideEffect, current: OverrideEffect, now_ms: float
+    ) -> None:
+        """Start or cancel the endpoint's ramps after the effect of overrides on it has changed."""
+        if previous.out_of_service and not current.out_of_service:
+            self._returned_at_ms[endpoint] = now_ms
+        elif current.out_of_service:
+            self._returned_at_ms.pop(endpoint, None)
+        factor = self.current_factor(endpoint, previous, now_ms)
+        if current.factor > factor and not previous.out_of_service:
+            self._weight_ramps[endpoint] = WeightRamp(factor, now_ms, current.factor)
+        else:
+            self._weight_ramps.pop(endpoint, None)
+
+    def forget(self, endpoint: str) -> None:
+        """It has left the list or restarted: it is in slow start by itself when it returns."""
+        self._returned_at_ms.pop(endpoint, None)
+        self._weight_ramps.pop(endpoint, None)
+
+    def current_factor(self, endpoint: str, effect: OverrideEffect, now_ms: float) -> float:
+        """The weight factor that applies now, on its way to that of the effect."""
+        ramp = self._weight_ramps.get(endpoint)
+        if ramp is None:
+            return effect.factor
+        elapsed_ms = max(0.0, now_ms - ramp.started_at_ms)
+        return min(ramp.target_factor, ramp.start_factor + elapsed_ms * self._growth_per_ms)
+
+    def apply(self, endpoint: Endpoint, effect: OverrideEffect, now_ms: float) -> Endpoint:
+        """The endpoint as the balancer is to see it. A drain or loss reported by discovery always holds."""
+        is_drained = effect.out_of_service and endpoint.state == "ready"
+        return replace(
+            endpoint,
+            state="draining" if is_drained else endpoint.state,
+            started_at_ms=max(endpoint.started_at_ms, self._slow_start_began_ms(endpoint.name, now_ms)),
+            factor=self.current_factor(endpoint.name, effect, now_ms),
+        )
+
+    def _slow_start_began_ms(self, endpoint: str, now_ms: float) -> float:
+        """When an endpoint that was out of service returned; 0 once its slow start is over."""
+        returned_at_ms = self._returned_at_ms.get(endpoint, 0.0)
+        if returned_at_ms and now_ms >= returned_at_ms + self._slow_start_ms:
+            del self._returned_at_ms[endpoint]
+            return 0.0
+        return returned_at_ms
+
+    def advance(self, now_ms: float) -> list[str]:
+        """The endpoints whose weight grows, including, for the last time, those that have regained it."""
+        endpoints = list(self._weight_ramps)
+        for endpoint in endpoints:
+            ramp = self._weight_ramps[endpoint]
+            elapsed_ms = now_ms - ramp.started_at_ms
+            if ramp.start_factor + elapsed_ms * self._growth_per_ms >= ramp.target_factor:
+                del self._weight_ramps[endpoint]
+        return endpoints
+
+    def next_step_ms(self, now_ms: float) -> float | None:
+        """When weights are to be raised next; None if none grows."""
+        return now_ms + self._slow_start_ms / RAMP_STEPS if self._weight_ramps else None
--- /dev/null
+++ b/sageturn/overrides/relay_state.py
@@ -0,0 +1,76 @@
+"""The state record ``state/NODE/overrides``, in which a relay reports its overrides to operators."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import Any
+
+from sageturn.decision import Endpoint
+from sageturn.overrides.options import SafetyLimits
+from sageturn.overrides.registry import OverrideRegistry
+
+MAX_REPORTED_ENDPOINTS = 1000  # a relay of a larger fleet reports only how many there are
+
+
+@dataclass(frozen=True, slots=True)
+class RelayOverrideState:
+    """What one relay reports; each mapping is by override id unless said otherwise."""
+
+    statuses: dict[str, str]
+    revisions: dict[str, int]
+    suspended: dict[str, str]  # why
+    rejected_records: dict[str, str]  # by store key: why
+    endpoints: dict[str, Endpoint]  # by name, as discovery reports them
+    safety_limits: SafetyLimits
+    max_duration_s: float
+
+
+def encode_relay_state(registry: OverrideRegistry, now_ms: float) -> dict[str, Any]:
+    """The record's value, in JSON's types."""
+    resolver = registry.resolver
+    limits = registry.options.safety_limits
+    endpoints = resolver.endpoints
+    overrides = sorted(registry.overrides.items())
+    encoded: dict[str, Any] = {
+        "overrides": {
+            override_id: registry.status(override, now_ms).value for override_id, override in overrides
+        },
+        "words": {override_id: override.revision for override_id, override in overrides},
+        "suspended": dict(sorted(resolver.suspended.items())),
+        "refused": dict(sorted(registry.rejected_records.items())),
+        "hosts_listed": len(endpoints),
+        "floors": [limits.min_total_ratio, limits.min_zone_ratio, limits.min_pin_ratio],
+        "longest_s": registry.options.max_duration_s,
+    }
+    if len(endpoints) <= MAX_REPORTED_ENDPOINTS:
+        encoded["hosts"] = {endpoint.name: _encode_endpoint(endpoint) for endpoint in endpoints.values()}
+    return encoded
+
+
+def _encode_endpoint(endpoint: Endpoint) -> list[Any]:
+    return [
+        endpoint.zone,
+        endpoint.kind,
+        endpoint.cell,
+        endpoint.state,
+        endpoint.share,
+        endpoint.started_at_ms,
+    ]
+
+
+def decode_relay_state(encoded: dict[str, Any]) -> RelayOverrideState:
+    """Read a record that a relay has written."""
+    return RelayOverrideState(
+        statuses=encoded["overrides"],
+        revisions=encoded.get("words", {}),
+        suspended=encoded["suspended"],
+        rejected_records=encoded["refused"],
+        endpoints={name: _decode_endpoint(name, values) for name, values in encoded.get("hosts", {}).items()},
+        safety_limits=SafetyLimits(*encoded["floors"]),
+        max_duration_s=encoded["longest_s"],
+    )
+
+
+def _decode_endpoint(name: str, values: list[Any]) -> Endpoint:
+    zone, kind, cell, state, share, started_at_ms = values
+    return Endpoint(name, state, zone, cell, started_at_ms, share, kind)
--- /dev/null
+++ b/sageturn/overrides/signing.py
@@ -0,0 +1,70 @@
+"""Signs the records of operations, and accepts only those that their operator has signed (Ed25519)."""
+
+from __future__ import annotations
+
+import json
+from base64 import b64decode, b64encode
+from binascii import Error as Base64Error
+from collections.abc import Mapping
+from typing import Any
+
+from cryptography.exceptions import InvalidSignature
+from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PrivateKey, Ed25519PublicKey
+
+from sageturn.overrides.errors import InvalidOperationError, InvalidPublicKeyError
+from sageturn.overrides.operation_codec import decode_operation, encode_operation
+from sageturn.overrides.operations import OverrideOperation
+
+
+def sign_operation(operation: OverrideOperation, key: Ed25519PrivateKey) -> dict[str, Any]:
+    """The record to be stored under ``operation.key``."""
+    encoded = encode_operation(operation)
+    signature = key.sign(_bytes_to_sign(encoded))
+    return {**encoded, "signature": b64encode(signature).decode()}
+
+
+def parse_operation(
+    key: str, record: Any, operators: Mapping[str, Ed25519PublicKey] | None
+) -> OverrideOperation:
+    """Decode the record under ``key`` and verify its operator's signature. Raises InvalidOperationError.
+
+    With ``operators`` None only its form is checked: the commands show what relays have verified.
+    """
+    if not isinstance(record, dict):
+        raise InvalidOperationError("not an object")
+    encoded = {name: value for name, value in record.items() if name != "signature"}
+    operation = decode_operation(encoded)
+    if operation.key != key:
+        raise InvalidOperationError(f"stands under {key}, and belongs under {operation.key}")
+    if encode_operation(operation) != encoded:
+        raise InvalidOperationError("holds what no word of its kind does")
+    if operators is not None:
+        _verify_signature(operation.operator, operators, record.get("signature"), encoded)
+    return operation
+
+
+def parse_public_key(text: str) -> Ed25519PublicKey:
+    """Read 32 bytes in base64 (RFC 8032, section 5.1.5). Raises InvalidPublicKeyError."""
+    try:
+        return Ed25519PublicKey.from_public_bytes(b64decode(text, validate=True))
+    except ValueError as error:
+        raise InvalidPublicKeyError(str(error)) from error
+
+
+def _verify_signature(
+    operator: str,
+    operators: Mapping[str, Ed25519PublicKey],
+    signature: Any,
+    encoded: Mapping[str, Any],
+) -> None:
+    public_key = operators.get(operator)
+    if public_key is None:
+        raise InvalidOperationError(f"operator: {operator} is not known here")
+    try:
+        public_key.verify(b64decode(str(signature), validate=True), _bytes_to_sign(encoded))
+    except (InvalidSignature, Base64Error, ValueError) as error:
+        raise InvalidOperationError(f"signature: not {operator}'s") from error
+
+
+def _bytes_to_sign(encoded: Mapping[str, Any]) -> bytes:
+    return json.dumps(encoded, sort_keys=True, separators=(",", ":"), allow_nan=False).encode()
--- a/sageturn/relay.py
+++ b/sageturn/relay.py
@@ -59,11 +59,11 @@
         self.overrides = self._make_overrides()
         self.endpoint_registry = EndpointRegistry(
             config.known,
-            self.overrides.tell if self.overrides else self.balancer_actor.post_event,
+            self.overrides.post_event if self.overrides else self.balancer_actor.post_event,
             config.settings.discovery == "push",
         )
         if self.overrides is not None:
-            self.endpoint_registry.out = self.overrides.out
+            self.endpoint_registry.out = self.overrides.is_out_of_service
         self.discovery = DiscoveryClient(config.discovery, self.endpoint_registry.on_watch_event)
         self.endpoint_registry.watcher = self.discovery
         self.request_registry = RequestRegistry(shutdown_schedule(config.settings.classes))
@@ -112,7 +112,7 @@
         overrides = OverrideActor(
             self.balancer_actor, options, self.store, self._tell("overrides"), self._mark
         )
-        self.store.on_change.append(overrides.changed)
+        self.store.on_change.append(overrides.on_store_change)
         return overrides
 
     def _make_replica(self) -> ReplicationMember | None:
--- a/tests/config/test_compatibility_operators.py
+++ b/tests/config/test_compatibility_operators.py
@@ -58,7 +58,7 @@
     "remember",
 )
 KEPT = ("keep_classes", "keep_tenants")
-FLOORS = ("all", "zone", "pin")
+FLOORS = {"all": "min_total_ratio", "zone": "min_zone_ratio", "pin": "min_pin_ratio"}
 CONFIG_FIELDS = ("name", "listen", "discovery", "seed", "log_level")
 LIMITS = ("sockets", "memory_mb")
 SETTINGS = (
@@ -140,8 +140,8 @@
         told["rebalance"] = fields(rebalance, REBALANCE) | kept
     if (overrides := operator.overrides) is not None:
         keys = {name: key.public_bytes_raw().hex() for name, key in overrides.operators.items()}
-        floors = fields(overrides.floors, FLOORS)
-        told["overrides"] = {"operators": keys, "longest_s": overrides.longest_s, "floors": floors}
+        floors = fields(overrides.safety_limits, FLOORS)
+        told["overrides"] = {"operators": keys, "longest_s": overrides.max_duration_s, "floors": floors}
     return json.loads(json.dumps(told))
 
 
--- a/tests/overrides/test_overrides_relay.py
+++ b/tests/overrides/test_overrides_relay.py
@@ -24,31 +24,41 @@
     up,
     write_config,
 )
-from test_overrides import KEYS, op, out, record
+from test_overrides import KEYS, make_operation, out_of_service, signed_record
 
-from sageturn.cli.times import parse_until, span
+from sageturn.cli.times import InvalidTimeError, format_duration, parse_expiry
 from sageturn.config.loader import ConfigError, load
-from sageturn.overrides.ops import OverrideOperation, OverridePayload, Selector
+from sageturn.overrides.operations import (
+    OperationType,
+    OverrideKind,
+    OverrideOperation,
+    OverridePayload,
+    Selector,
+    SelectorAttribute,
+)
 from sageturn.rebalance.options import RebalanceOptions
 from sageturn.relay import Relay
 
-HOUR = 3_600_000.0
+HOUR_MS = 3_600_000.0
+TEST_TIMEOUT_S = 40
 
 
-def story(coro):  # type: ignore[no-untyped-def]
-    return asyncio.run(asyncio.wait_for(coro, 40))
+def run_within_limit(coroutine):  # type: ignore[no-untyped-def]
+    return asyncio.run(asyncio.wait_for(coroutine, TEST_TIMEOUT_S))
 
 
-def now() -> float:
+def unix_time_ms() -> float:
     return time.time() * 1000.0
 
 
-def said(override: str, body: OverridePayload, **more: Any) -> OverrideOperation:
-    at = now()
-    return op(override, body, **{"at_ms": at, "until_ms": at + HOUR, **more})
+def operation_now(override_id: str, payload: OverridePayload | None = None, **more: Any) -> OverrideOperation:
+    now_ms = unix_time_ms()
+    return make_operation(
+        override_id, payload, **{"created_at_ms": now_ms, "expires_at_ms": now_ms + HOUR_MS, **more}
+    )
 
 
-def public(name: str) -> str:
+def public_key_of(name: str) -> str:
     from base64 import b64encode
 
     from cryptography.hazmat.primitives.serialization import Encoding, PublicFormat
@@ -56,12 +66,17 @@
     return b64encode(KEYS[name].public_key().public_bytes(Encoding.Raw, PublicFormat.Raw)).decode()
 
 
-def section(**more: Any) -> dict[str, Any]:
-    return {"operators": {name: public(name) for name in KEYS}, "floor_all": 0, "floor_zone": 0, **more}
+def overrides_section(**more: Any) -> dict[str, Any]:
+    return {
+        "operators": {name: public_key_of(name) for name in KEYS},
+        "floor_all": 0,
+        "floor_zone": 0,
+        **more,
+    }
 
 
 @asynccontextmanager
-async def overriding(folder: Path, *scripts: Script, relays: int = 1, **more: Any):  # type: ignore[no-untyped-def]
+async def relays_with_overrides(folder: Path, *scripts: Script, relays: int = 1, **more: Any):  # type: ignore[no-untyped-def]
     """Relays whose stores are linked, and the endpoints that they share, in the order a, b, c."""
     endpoints = [FakeEndpoint(script) for script in scripts]
     async with AsyncExitStack() as stack:
@@ -74,7 +89,7 @@
             peers = ["{}:{}".format(*made[0].replica.address)] if made else []
             store = {"path": "store", "listen": "127.0.0.1:0", "peers": peers, "secret_file": "../secret"}
             file = place / "operator.json"
-            file.write_text(json.dumps({"store": store, "overrides": section(**more)}))
+            file.write_text(json.dumps({"store": store, "overrides": overrides_section(**more)}))
             env = {"GW_CONFIG": str(write_config(place, discovery.address, listed(names), name=f"n{number}"))}
             relay = Relay(load(env, str(file)), partial(load, env, str(file)))
             relay.start()
@@ -86,12 +101,14 @@
         yield made, endpoints
 
 
-async def until(what) -> None:  # type: ignore[no-untyped-def]
-    while not what():
+async def wait_until(condition) -> None:  # type: ignore[no-untyped-def]
+    while not condition():
         await asyncio.sleep(0.01)
 
 
-async def placed(relay: Relay, endpoints: list[FakeEndpoint], count: int = 12, more: str = "") -> list[int]:
+async def count_placed(
+    relay: Relay, endpoints: list[FakeEndpoint], count: int = 12, more: str = ""
+) -> list[int]:
     """How many of ``count`` requests each endpoint was sent."""
     before = [len(e.lines) for e in endpoints]
     for n in range(count):
@@ -103,48 +120,62 @@
 
 def test_every_relay_obeys_and_a_split_loses_nothing(tmp_path: Path) -> None:
     async def go() -> None:
-        async with overriding(tmp_path, up, up, up, relays=2) as (relays, endpoints):
+        async with relays_with_overrides(tmp_path, up, up, up, relays=2) as (relays, endpoints):
             one, two = relays
-            one.store.put(*record(said("o1", out("a"))))
-            two.store.put(*record(said("o2", out("b"), operator="mai")))
+            one.store.put(*signed_record(operation_now("o1", out_of_service("a"))))
+            two.store.put(*signed_record(operation_now("o2", out_of_service("b"), operator="mai")))
             for relay in relays:
-                await until(
+                await wait_until(
                     lambda relay=relay: relay.endpoint_registry.out("a") and relay.endpoint_registry.out("b")
                 )
-                assert (await placed(relay, endpoints))[:2] == [0, 0]
+                assert (await count_placed(relay, endpoints))[:2] == [0, 0]
             told = lambda: (one.store.get("state/n1/overrides") or {}).get("words")  # noqa: E731
-            await until(lambda: told() == {"o1": 1, "o2": 1})
-            two.store.put(*record(said("o1", None, word="revoke", revision=2)))  # type: ignore[arg-type]
-            await until(lambda: not one.endpoint_registry.out("a"))
+            await wait_until(lambda: told() == {"o1": 1, "o2": 1})
+            two.store.put(
+                *signed_record(operation_now("o1", operation_type=OperationType.REVOKE, revision=2))
+            )
+            await wait_until(lambda: not one.endpoint_registry.out("a"))
             at = one.endpoint_registry.addresses
             assert not one.endpoint_registry.ready("b", at["b"]) and one.endpoint_registry.ready("a", at["a"])
 
-    story(go())
+    run_within_limit(go())
 
 
 def test_a_strict_pin_without_its_host_fails_fast_and_a_preferred_one_goes_elsewhere(
     tmp_path: Path,
 ) -> None:
     async def go() -> None:
-        async with overriding(tmp_path, up, up, floor_pin=0) as ((relay,), endpoints):
-            pin = said("p1", OverridePayload("pin", hosts=("b",), strict=True, tenant="t"))
-            relay.store.put(*record(pin))
-            await until(lambda: relay.overrides.board.known)
-            assert await placed(relay, endpoints) == [0, 12]
-            relay.store.put(*record(said("o1", out("b"))))
-            await until(lambda: relay.endpoint_registry.out("b"))
+        async with relays_with_overrides(tmp_path, up, up, floor_pin=0) as ((relay,), endpoints):
+            pin = operation_now(
+                "p1", OverridePayload(OverrideKind.PIN, endpoints=("b",), strict=True, tenant="t")
+            )
+            relay.store.put(*signed_record(pin))
+            await wait_until(lambda: relay.overrides.registry.overrides)
+            assert await count_placed(relay, endpoints) == [0, 12]
+            relay.store.put(*signed_record(operation_now("o1", out_of_service("b"))))
+            await wait_until(lambda: relay.endpoint_registry.out("b"))
             began = asyncio.get_running_loop().time()
             assert (await reply(relay.listener.address, first_line())).startswith(b"BUSY")
             assert asyncio.get_running_loop().time() - began < 0.2
-            relay.store.put(*record(said("p1", None, word="revoke", revision=2)))  # type: ignore[arg-type]
-            relay.store.put(*record(said("p2", OverridePayload("pin", hosts=("b",), tenant="t"))))
-            await until(lambda: relay.overrides.board.known["p1"].revoked)
-            assert await placed(relay, endpoints) == [12, 0]
-            relay.store.put(*record(said("o1", None, word="revoke", revision=2)))  # type: ignore[arg-type]
-            await until(lambda: not relay.endpoint_registry.out("b"))
-            assert sum(await placed(relay, endpoints)) == 12  # b is cold again: most go elsewhere for now
+            relay.store.put(
+                *signed_record(operation_now("p1", operation_type=OperationType.REVOKE, revision=2))
+            )
+            relay.store.put(
+                *signed_record(
+                    operation_now("p2", OverridePayload(OverrideKind.PIN, endpoints=("b",), tenant="t"))
+                )
+            )
+            await wait_until(lambda: relay.overrides.registry.overrides["p1"].is_revoked)
+            assert await count_placed(relay, endpoints) == [12, 0]
+            relay.store.put(
+                *signed_record(operation_now("o1", operation_type=OperationType.REVOKE, revision=2))
+            )
+            await wait_until(lambda: not relay.endpoint_registry.out("b"))
+            assert (
+                sum(await count_placed(relay, endpoints)) == 12
+            )  # b is cold again: most go elsewhere for now
 
-    story(go())
+    run_within_limit(go())
 
 
 def test_a_host_that_is_cleared_is_emptied_at_the_planners_pace(
@@ -154,62 +185,75 @@
     monkeypatch.setattr("sageturn.rebalance.pace.MigrationRateController.top", lambda self, own: 400.0)
 
     async def go() -> None:
-        async with overriding(tmp_path, up, up) as ((relay,), (a, b)):
+        async with relays_with_overrides(tmp_path, up, up) as ((relay,), (a, b)):
             relay.rebalancer.options = RebalanceOptions(tick_s=0.05, back_within_s=0.1)
             clients = [
                 await ask(relay.listener.address, first_line(more=",at=a", key=f"k{n}")) for n in range(6)
             ]
             for reader, _ in clients:
                 assert await reader.readline() == b"UP r1\r\n"
-            relay.store.put(*record(said("o1", out("a", move_off=True))))
+            relay.store.put(
+                *signed_record(operation_now("o1", out_of_service("a", migrate_connections=True)))
+            )
             for reader, writer in clients:
                 assert await reader.read() == b"MOVE\r\n"
                 writer.close()
             assert relay.rebalancer.options.mode == "off" and relay.rebalancer.counts["moved"] == 6
 
-    story(go())
+    run_within_limit(go())
 
 
 def test_a_relay_killed_before_it_acted_obeys_from_its_first_moment_on(tmp_path: Path) -> None:
     async def go() -> None:
         for turn in range(2):
-            async with overriding(tmp_path, up, up) as ((relay,), endpoints):
+            async with relays_with_overrides(tmp_path, up, up) as ((relay,), endpoints):
                 if turn == 0:
                     # It never hears of them: killed between the write and its effect.
-                    relay.store.on_change.remove(relay.overrides.changed)
-                    relay.store.put(*record(said("o1", out("a"))))
-                    relay.store.put(*record(said("o2", out("b"), at_ms=now() - 5000, until_ms=now() - 1)))
+                    relay.store.on_change.remove(relay.overrides.on_store_change)
+                    relay.store.put(*signed_record(operation_now("o1", out_of_service("a"))))
+                    relay.store.put(
+                        *signed_record(
+                            operation_now(
+                                "o2",
+                                out_of_service("b"),
+                                created_at_ms=unix_time_ms() - 5000,
+                                expires_at_ms=unix_time_ms() - 1,
+                            )
+                        )
+                    )
                 else:
                     assert relay.endpoint_registry.out("a") and not relay.endpoint_registry.out("b")
-                    assert await placed(relay, endpoints) == [0, 12]
+                    assert await count_placed(relay, endpoints) == [0, 12]
 
-    story(go())
+    run_within_limit(go())
 
 
 def test_sighup_takes_an_operators_key_away_and_a_faulty_one_changes_nothing(tmp_path: Path) -> None:
     async def go() -> None:
-        async with overriding(tmp_path, up, up) as ((relay,), _):
-            relay.store.put(*record(said("o1", out("a"))))
-            await until(lambda: relay.endpoint_registry.out("a"))
+        async with relays_with_overrides(tmp_path, up, up) as ((relay,), _):
+            relay.store.put(*signed_record(operation_now("o1", out_of_service("a"))))
+            await wait_until(lambda: relay.endpoint_registry.out("a"))
             file = tmp_path / "r0" / "operator.json"
             good = json.loads(file.read_text())
             file.write_text(json.dumps({**good, "overrides": {"operators": {"lan": "short"}}}))
             relay._reload.set()
-            await until(lambda: not relay._reload.is_set())
+            await wait_until(lambda: not relay._reload.is_set())
             assert relay.endpoint_registry.out("a")
-            file.write_text(json.dumps({**good, "overrides": section(operators={"mai": public("mai")})}))
+            file.write_text(
+                json.dumps({**good, "overrides": overrides_section(operators={"mai": public_key_of("mai")})})
+            )
             relay._reload.set()
-            await until(lambda: not relay.endpoint_registry.out("a"))
+            await wait_until(lambda: not relay.endpoint_registry.out("a"))
             file.write_text(json.dumps(good))
             relay._reload.set()
-            await until(lambda: relay.endpoint_registry.out("a"))
+            await wait_until(lambda: relay.endpoint_registry.out("a"))
 
-    story(go())
+    run_within_limit(go())
 
 
 def test_the_command_sets_shows_extends_and_revokes(tmp_path: Path) -> None:
     async def go() -> None:
-        async with overriding(tmp_path, up, up, up, relays=2, floor_all=0.5) as (relays, _):
+        async with relays_with_overrides(tmp_path, up, up, up, relays=2, floor_all=0.5) as (relays, _):
             common = {
                 "SAGETURN_CONNECT": "{}:{}".format(*relays[0].replica.address),
                 "SAGETURN_OPERATOR": "lan",
@@ -235,7 +279,7 @@
             nobody = asyncio.ensure_future(command("list", fails=3, SAGETURN_CONNECT="127.0.0.1:1"))
             public_key = (await command("key", str(tmp_path / "key.pem"))).strip()
             assert (tmp_path / "key.pem").stat().st_mode & 0o77 == 0
-            await until(lambda: all(r.store.get("state/n1/overrides") for r in relays))
+            await wait_until(lambda: all(r.store.get("state/n1/overrides") for r in relays))
             refused = await command("set", "out", "--host", "a", "--for", "2h30m", "--why", "disk", fails=1)
             assert "refuses it: signature" in refused, "the name is checked, not taken on trust"
             for number, relay in enumerate(relays):
@@ -244,8 +288,8 @@
                 content["overrides"]["operators"]["lan"] = public_key
                 file.write_text(json.dumps(content))
                 relay._reload.set()
-            await until(lambda: all("lan" in r._config.operator.overrides.operators for r in relays))
-            await until(lambda: all(not r._reload.is_set() for r in relays))
+            await wait_until(lambda: all("lan" in r._config.operator.overrides.operators for r in relays))
+            await wait_until(lambda: all(not r._reload.is_set() for r in relays))
             set_ = ("set", "out", "--host", "a", "--for", "2h30m", "--why", "disk is failing", "--json")
             made = json.loads(await command(*set_))
             assert made["relays"] == {"n0": "in force", "n1": "in force"}
@@ -269,7 +313,7 @@
             )
             assert "no such override" in unknown and "has no zone" in zoneless
 
-    story(go())
+    run_within_limit(go())
 
 
 @pytest.mark.parametrize(
@@ -290,9 +334,13 @@
 
 
 def test_times_as_people_write_them() -> None:
-    assert parse_until("2h30m", 0.0) == 2.5 * HOUR and parse_until("1d", 0.0) == 24 * HOUR
-    assert parse_until("1970-01-01T08:00:00+07:00", 0.0) == HOUR
+    assert parse_expiry("2h30m", 0.0) == 2.5 * HOUR_MS and parse_expiry("1d", 0.0) == 24 * HOUR_MS
+    assert parse_expiry("1970-01-01T08:00:00+07:00", 0.0) == HOUR_MS
     for bad in ("", "soon", "0s", "-1h", "1970-01-01T00:00:00Z", "2999-01-01T00:00:00"):
-        with pytest.raises(ValueError):
-            parse_until(bad, 1.0)
-    assert span(2.5 * HOUR) == "2h 30m" and span(0) == "0s" and Selector("host", "a").what == "host"
+        with pytest.raises(InvalidTimeError):
+            parse_expiry(bad, 1.0)
+    assert (
+        format_duration(2.5 * HOUR_MS) == "2h 30m"
+        and format_duration(0) == "0s"
+        and Selector(SelectorAttribute.ENDPOINT, "a").attribute == "host"
+    )
--- a/tests/relay/test_compatibility_states.py
+++ b/tests/relay/test_compatibility_states.py
@@ -24,16 +24,17 @@
 from sageturn.config.loader import load
 from sageturn.core.close_reason import CloseReason
 from sageturn.overrides.actor import OverrideActor
-from sageturn.overrides.ops import (
-    InvalidOperationError,
+from sageturn.overrides.errors import InvalidOperationError
+from sageturn.overrides.operations import (
+    OperationType,
+    OverrideKind,
     OverrideOperation,
     OverridePayload,
     Selector,
-    parse_operation,
-    sign,
+    SelectorAttribute,
 )
-from sageturn.overrides.options import OverrideOptions
-from sageturn.overrides.resolve import SafetyLimits
+from sageturn.overrides.options import OverrideOptions, SafetyLimits
+from sageturn.overrides.signing import parse_operation, sign_operation
 from sageturn.rebalance.options import RebalanceOptions
 from sageturn.rebalance.planner import MigrationPlan
 from sageturn.rebalance.units import Block
@@ -146,43 +147,80 @@
     override: str, word: str, revision: int, operator: str, body: OverridePayload | None = None, **more: Any
 ) -> OverrideOperation:
     until_ms = 0.0 if word == "revoke" else NOW_MS + HOUR_MS
-    said = {"at_ms": NOW_MS + revision, "why": 'tổ "1"', "until_ms": until_ms, "nonce": "0a1b2c3d", **more}
-    return OverrideOperation(override, word, revision, operator=operator, body=body, **said)
+    said = {
+        "created_at_ms": NOW_MS + revision,
+        "reason": 'tổ "1"',
+        "expires_at_ms": until_ms,
+        "nonce": "0a1b2c3d",
+        **more,
+    }
+    return OverrideOperation(override, OperationType(word), revision, operator=operator, payload=body, **said)
 
 
 OPS = [
-    op("o-out", "set", 1, "lan", OverridePayload("out", Selector("host", "a"), move_off=True)),
-    op("o-out", "extend", 2, "mai", until_ms=NOW_MS + 2 * HOUR_MS),
+    op(
+        "o-out",
+        "set",
+        1,
+        "lan",
+        OverridePayload(
+            OverrideKind.OUT_OF_SERVICE, Selector(SelectorAttribute.ENDPOINT, "a"), migrate_connections=True
+        ),
+    ),
+    op("o-out", "extend", 2, "mai", expires_at_ms=NOW_MS + 2 * HOUR_MS),
     op(
         "o-weight",
         "set",
         1,
         "lan",
-        OverridePayload("weight", Selector("zone", "z1"), factor=0.25),
+        OverridePayload(OverrideKind.WEIGHT, Selector(SelectorAttribute.ZONE, "z1"), factor=0.25),
         forced=True,
     ),
-    op("o-hold", "set", 1, "mai", OverridePayload("hold", Selector("kind", "k2"))),
+    op("o-hold", "set", 1, "mai", OverridePayload(OverrideKind.HOLD, Selector(SelectorAttribute.KIND, "k2"))),
     op("o-hold", "revoke", 2, "lan"),
     op(
         "o-pin",
         "set",
         1,
         "lan",
-        OverridePayload("pin", hosts=("b", "c"), strict=True, class_name="c", tenant="t", group_prefix="g"),
+        OverridePayload(
+            OverrideKind.PIN, endpoints=("b", "c"), strict=True, class_name="c", tenant="t", group_prefix="g"
+        ),
+    ),
+    op(
+        "o-start",
+        "set",
+        1,
+        "lan",
+        OverridePayload(
+            OverrideKind.OUT_OF_SERVICE, Selector(SelectorAttribute.ENDPOINT, "b"), process_started_at_ms=5.0
+        ),
+    ),
+    op(
+        "o-cell",
+        "set",
+        1,
+        "mai",
+        OverridePayload(OverrideKind.OUT_OF_SERVICE, Selector(SelectorAttribute.CELL, "3")),
+        expires_at_ms=NOW_MS + 1.0,
+    ),
+    op(
+        "o-much",
+        "set",
+        1,
+        "mai",
+        OverridePayload(OverrideKind.OUT_OF_SERVICE, Selector(SelectorAttribute.ZONE, "z2")),
     ),
-    op("o-start", "set", 1, "lan", OverridePayload("out", Selector("host", "b"), this_start_ms=5.0)),
-    op("o-cell", "set", 1, "mai", OverridePayload("out", Selector("cell", "3")), until_ms=NOW_MS + 1.0),
-    op("o-much", "set", 1, "mai", OverridePayload("out", Selector("zone", "z2"))),
 ]
 
 
 def signed_words() -> list[tuple[str, Any]]:
-    return [(said.key, sign(said, KEYS[said.operator])) for said in OPS]
+    return [(said.key, sign_operation(said, KEYS[said.operator])) for said in OPS]
 
 
 def override_options() -> OverrideOptions:
     return OverrideOptions(
-        {name: key.public_key() for name, key in KEYS.items()}, floors=SafetyLimits(0.5, 0.0, 0.0)
+        {name: key.public_key() for name, key in KEYS.items()}, safety_limits=SafetyLimits(0.5, 0.0, 0.0)
     )
 
 
@@ -215,10 +253,12 @@
             Endpoint("c", zone="z2", kind="k2", cell=3),
             Endpoint("d", zone="z2", share=2.0),
         ]
-        overrides.board.listed(endpoints, True, clock.now_ms)
+        overrides.registry.apply_endpoint_list(endpoints, True, clock.now_ms)
         await overrides.step()
         forged = {**words[0][1], "why": "forged"}
-        overrides.changed([SimpleNamespace(key="overrides/o-forged/000001-lan-0a1b2c3d", value=forged)])
+        overrides.on_store_change(
+            [SimpleNamespace(key="overrides/o-forged/000001-lan-0a1b2c3d", value=forged)]
+        )
         await overrides.step()
         clock.now_ms = NOW_MS + 3 * HOUR_MS
         await overrides.step()
