--- a/sageturn/cli/override.py
+++ b/sageturn/cli/override.py
@@ -23,27 +23,15 @@
     print_submission,
     summarize,
 )
+from sageturn.cli.override_requests import NewOverride, OverrideUpdate
 from sageturn.cli.override_view import OverrideView, unix_time_ms
-from sageturn.cli.override_writes import (
-    OverrideUpdate,
-    SubmissionResult,
-    check_duration,
-    check_form,
-    check_safety_limits,
-    create_private_key,
-    load_private_key,
-    submit,
-)
-from sageturn.cli.times import parse_expiry
+from sageturn.cli.override_writes import create_private_key, load_private_key
 from sageturn.overrides.operations import (
     OperationType,
     OverrideKind,
-    OverrideOperation,
     OverridePayload,
     Selector,
     SelectorAttribute,
-    new_nonce,
-    new_override_id,
 )
 from sageturn.overrides.registry import OverrideStatus
 from sageturn.store.store import Store
@@ -66,7 +54,7 @@
 
 
 @app.command("set")
-def set_override(  # one parameter for each option of the command
+def set_override(  # longer than other functions: one parameter for each option of the command
     kind: Annotated[str, typer.Argument(metavar="KIND", help="out, weight, pin or hold.")],
     reason: ReasonOption,
     expiry: ExpiryOption,
@@ -94,54 +82,32 @@
     sageturn override set out --host s-5be2a07c --for 2h30m --why "disk is failing" --move-off
     """
     override_kind = _parse_kind(kind)
-    selector = _parse_selector(
-        override_kind,
-        {
-            SelectorAttribute.ENDPOINT: endpoint,
-            SelectorAttribute.ZONE: zone,
-            SelectorAttribute.KIND: machine_kind,
-            SelectorAttribute.CELL: cell,
-        },
-        pinned_endpoints=to,
-    )
+    attributes = {
+        SelectorAttribute.ENDPOINT: endpoint,
+        SelectorAttribute.ZONE: zone,
+        SelectorAttribute.KIND: machine_kind,
+        SelectorAttribute.CELL: cell,
+    }
+    selector = _parse_selector(override_kind, attributes, pinned_endpoints=to)
     if this_start and not endpoint:
         fail(ExitCode.USAGE, "--this-start needs --host")
     key = load_private_key(key_file)
-    now_ms = unix_time_ms()
     if override_kind is OverrideKind.WEIGHT and not factor:
         fail(ExitCode.USAGE, "--factor is needed")
-
-    async def check_and_submit(store: Store) -> SubmissionResult:
-        view = OverrideView(store, now_ms)
-        operation = OverrideOperation(
-            override_id=new_override_id(override_kind),
-            type=OperationType.SET,
-            revision=1,
-            created_at_ms=now_ms,
-            operator=operator,
-            reason=f"{reason} (forced: {force})" if force else reason,
-            payload=OverridePayload(
-                override_kind,
-                selector,
-                migrate_connections=move_off,
-                factor=factor or 1.0,
-                endpoints=tuple(to or ()),
-                strict=strict,
-                class_name=class_name,
-                tenant=tenant,
-                group_prefix=group,
-                process_started_at_ms=_process_started_at_ms(view, endpoint) if this_start else 0.0,
-            ),
-            expires_at_ms=parse_expiry(expiry, now_ms),
-            forced=bool(force),
-            nonce=new_nonce(),
-        )
-        check_form(operation, key)
-        check_duration(view, operation)
-        check_safety_limits(view, operation)
-        return await submit(store, operation, key)
-
-    print_submission(DaemonConnection(connect, secret_file).run(check_and_submit), as_json)
+    payload = OverridePayload(
+        override_kind,
+        selector,
+        migrate_connections=move_off,
+        factor=factor or 1.0,
+        endpoints=tuple(to or ()),
+        strict=strict,
+        class_name=class_name,
+        tenant=tenant,
+        group_prefix=group,
+    )
+    running_endpoint = endpoint if this_start else ""
+    override = NewOverride(payload, operator, reason, expiry, force, running_endpoint)
+    print_submission(override.submit(DaemonConnection(connect, secret_file), key), as_json)
 
 
 def _parse_kind(text: str) -> OverrideKind:
@@ -165,13 +131,6 @@
     return given[0]
 
 
-def _process_started_at_ms(view: OverrideView, endpoint: str) -> float:
-    listed = view.endpoints().get(endpoint)
-    if listed is None:
-        fail(ExitCode.NOT_FOUND, f"{endpoint}: no relay lists it, so its start is not known")
-    return listed.started_at_ms
-
-
 @app.command()
 def extend(
     override_id: str,
@@ -184,8 +143,9 @@
     as_json: AsJson = False,
 ) -> None:
     """Give an override another end, later or sooner."""
+    key = load_private_key(key_file)
     update = OverrideUpdate(override_id, OperationType.EXTEND, operator, reason, expiry)
-    print_submission(update.submit(DaemonConnection(connect, secret_file), key_file), as_json)
+    print_submission(update.submit(DaemonConnection(connect, secret_file), key), as_json)
 
 
 @app.command()
@@ -199,8 +159,9 @@
     as_json: AsJson = False,
 ) -> None:
     """End an override now, for good."""
+    key = load_private_key(key_file)
     update = OverrideUpdate(override_id, OperationType.REVOKE, operator, reason)
-    print_submission(update.submit(DaemonConnection(connect, secret_file), key_file), as_json)
+    print_submission(update.submit(DaemonConnection(connect, secret_file), key), as_json)
 
 
 # ---------------------------------------------------------------- reading
--- /dev/null
+++ b/sageturn/cli/override_requests.py
@@ -0,0 +1,122 @@
+"""The changes that an operator asks for: each is checked against the store and written as an operation."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, replace
+
+from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PrivateKey
+
+from sageturn.cli.connection import DaemonConnection
+from sageturn.cli.exit_codes import ExitCode, fail
+from sageturn.cli.override_view import OverrideView, unix_time_ms
+from sageturn.cli.override_writes import (
+    SubmissionResult,
+    check_duration,
+    check_form,
+    check_safety_limits,
+    submit,
+)
+from sageturn.cli.times import parse_expiry
+from sageturn.decision import Endpoint
+from sageturn.overrides.operations import (
+    OperationType,
+    OverrideOperation,
+    OverridePayload,
+    new_nonce,
+    new_override_id,
+)
+from sageturn.store.store import Store
+
+
+@dataclass(frozen=True, slots=True)
+class NewOverride:
+    """An override to be set. ``expiry`` is as the operator wrote it."""
+
+    payload: OverridePayload
+    operator: str
+    reason: str
+    expiry: str
+    forced_because: str = ""  # why the safety limits are not to suspend it
+    running_endpoint: str = ""  # restricts it to the process that runs now under this name
+
+    def submit(self, connection: DaemonConnection, key: Ed25519PrivateKey) -> SubmissionResult:
+        """Check the override against the limits of the relays, and write it."""
+        now_ms = unix_time_ms()
+
+        async def check_and_submit(store: Store) -> SubmissionResult:
+            view = OverrideView(store, now_ms)
+            operation = self._make_operation(view)
+            check_form(operation, key)
+            check_duration(view, operation)
+            check_safety_limits(view, operation)
+            return await submit(store, operation, key)
+
+        return connection.run(check_and_submit)
+
+    def _make_operation(self, view: OverrideView) -> OverrideOperation:
+        payload = self.payload
+        if self.running_endpoint:
+            started_at_ms = self._listed_endpoint(view).started_at_ms
+            payload = replace(payload, process_started_at_ms=started_at_ms)
+        reason = self.reason
+        if self.forced_because:
+            reason = f"{reason} (forced: {self.forced_because})"
+        return OverrideOperation(
+            new_override_id(payload.kind),
+            OperationType.SET,
+            1,
+            view.now_ms,
+            self.operator,
+            reason,
+            parse_expiry(self.expiry, view.now_ms),
+            payload,
+            bool(self.forced_because),
+            new_nonce(),
+        )
+
+    def _listed_endpoint(self, view: OverrideView) -> Endpoint:
+        endpoint = view.endpoints().get(self.running_endpoint)
+        if endpoint is None:
+            fail(
+                ExitCode.NOT_FOUND,
+                f"{self.running_endpoint}: no relay lists it, so its start is not known",
+            )
+        return endpoint
+
+
+@dataclass(frozen=True, slots=True)
+class OverrideUpdate:
+    """An extension or revocation; ``expiry`` is as the operator wrote it, and empty for a revocation."""
+
+    override_id: str
+    type: OperationType
+    operator: str
+    reason: str
+    expiry: str = ""
+
+    def submit(self, connection: DaemonConnection, key: Ed25519PrivateKey) -> SubmissionResult:
+        """Check that the override can be updated, and write the update."""
+        now_ms = unix_time_ms()
+
+        async def check_and_submit(store: Store) -> SubmissionResult:
+            override = OverrideView(store, now_ms).get_override(self.override_id)
+            if override.is_revoked:
+                revoked_by = override.revoked_by
+                fail(ExitCode.REFUSED, f"{self.override_id}: was revoked by {revoked_by}, and stays so")
+            operation = self._make_operation(override.revision + 1, now_ms)
+            check_form(operation, key)
+            return await submit(store, operation, key)
+
+        return connection.run(check_and_submit)
+
+    def _make_operation(self, revision: int, now_ms: float) -> OverrideOperation:
+        return OverrideOperation(
+            self.override_id,
+            self.type,
+            revision,
+            now_ms,
+            self.operator,
+            self.reason,
+            parse_expiry(self.expiry, now_ms) if self.expiry else 0.0,
+            nonce=new_nonce(),
+        )
--- a/sageturn/cli/override_writes.py
+++ b/sageturn/cli/override_writes.py
@@ -17,13 +17,12 @@
     load_pem_private_key,
 )
 
-from sageturn.cli.connection import DaemonConnection
 from sageturn.cli.exit_codes import ExitCode, fail
-from sageturn.cli.override_view import UNKNOWN_STATUS, OverrideView, read_relay_states, unix_time_ms
-from sageturn.cli.times import format_duration, parse_expiry
+from sageturn.cli.override_view import UNKNOWN_STATUS, OverrideView, read_relay_states
+from sageturn.cli.times import format_duration
 from sageturn.overrides.errors import InvalidOperationError
 from sageturn.overrides.model import fold_operations
-from sageturn.overrides.operations import OperationType, OverrideOperation, new_nonce
+from sageturn.overrides.operations import OverrideOperation
 from sageturn.overrides.signing import parse_operation, sign_operation
 from sageturn.store.store import Store
 
@@ -121,45 +120,6 @@
     return result
 
 
-@dataclass(frozen=True, slots=True)
-class OverrideUpdate:
-    """An extension or revocation that an operator has asked for; ``expiry`` as written, empty if revoked."""
-
-    override_id: str
-    type: OperationType
-    operator: str
-    reason: str
-    expiry: str = ""
-
-    def submit(self, connection: DaemonConnection, key_file: Path) -> SubmissionResult:
-        """Check the update against the store, and write it."""
-        key = load_private_key(key_file)
-        now_ms = unix_time_ms()
-
-        async def check_and_submit(store: Store) -> SubmissionResult:
-            override = OverrideView(store, now_ms).get_override(self.override_id)
-            if override.is_revoked:
-                revoked_by = override.revoked_by
-                fail(ExitCode.REFUSED, f"{self.override_id}: was revoked by {revoked_by}, and stays so")
-            operation = self._make_operation(override.revision + 1, now_ms)
-            check_form(operation, key)
-            return await submit(store, operation, key)
-
-        return connection.run(check_and_submit)
-
-    def _make_operation(self, revision: int, now_ms: float) -> OverrideOperation:
-        return OverrideOperation(
-            self.override_id,
-            self.type,
-            revision,
-            now_ms,
-            self.operator,
-            self.reason,
-            parse_expiry(self.expiry, now_ms) if self.expiry else 0.0,
-            nonce=new_nonce(),
-        )
-
-
 def _collect_answers(store: Store, result: SubmissionResult) -> None:
     operation = result.operation
     for node, state in read_relay_states(store).items():
