--- a/sageturn/overrides/endpoint_index.py
+++ b/sageturn/overrides/endpoint_index.py
@@ -6,7 +6,7 @@
 
 from sageturn.decision import Endpoint
 from sageturn.overrides.model import Override
-from sageturn.overrides.operations import Selector, SelectorAttribute, attribute_value
+from sageturn.overrides.operations import Selector, selectors_matching
 
 
 class EndpointIndex:
@@ -19,9 +19,7 @@
 
     def add(self, endpoint: Endpoint) -> None:
         """Add an endpoint that is not in the index."""
-        selectors = tuple(
-            Selector(attribute, attribute_value(endpoint, attribute)) for attribute in SelectorAttribute
-        )
+        selectors = selectors_matching(endpoint)
         self.endpoints[endpoint.name] = endpoint
         self._selectors_by_name[endpoint.name] = selectors
         for selector in selectors:
--- a/sageturn/overrides/operations.py
+++ b/sageturn/overrides/operations.py
@@ -55,20 +55,17 @@
     value: str
 
     def matches(self, endpoint: Endpoint) -> bool:
-        return self.value == attribute_value(endpoint, self.attribute)
-
-
-def attribute_value(endpoint: Endpoint, attribute: SelectorAttribute) -> str:
-    """The endpoint's name, zone, kind or cell, as a selector writes it."""
-    match attribute:
-        case SelectorAttribute.ENDPOINT:
-            return endpoint.name
-        case SelectorAttribute.ZONE:
-            return endpoint.zone
-        case SelectorAttribute.KIND:
-            return endpoint.kind
-        case SelectorAttribute.CELL:
-            return str(endpoint.cell)
+        return self in selectors_matching(endpoint)
+
+
+def selectors_matching(endpoint: Endpoint) -> tuple[Selector, ...]:
+    """All selectors that match an endpoint: one for each attribute."""
+    return (
+        Selector(SelectorAttribute.ENDPOINT, endpoint.name),
+        Selector(SelectorAttribute.ZONE, endpoint.zone),
+        Selector(SelectorAttribute.KIND, endpoint.kind),
+        Selector(SelectorAttribute.CELL, str(endpoint.cell)),
+    )
 
 
 @dataclass(frozen=True, slots=True)
