--- a/tests/overrides/test_overrides.py
+++ b/tests/overrides/test_overrides.py
@@ -1,4 +1,4 @@
-"""Overrides on a clock of the test's own: each kind takes effect and lapses, and what may go wrong."""
+"""Overrides on a clock of the test's own: each kind takes effect and expires, and faults are contained."""
 
 from __future__ import annotations
 
@@ -7,10 +7,21 @@
 from typing import Any
 
 import pytest
-from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PrivateKey
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
+from support.override_records import (
+    HOUR_MS,
+    PUBLIC_KEYS,
+    START_MS,
+    make_extension,
+    make_operation,
+    make_revocation,
+    out_of_service,
+    pin,
+    signed_record,
+    weight,
+)
 
 from sageturn import Endpoint
 from sageturn.overrides.audit import AuditAction
@@ -26,57 +37,26 @@
 )
 from sageturn.overrides.options import OverrideOptions, SafetyLimits
 from sageturn.overrides.registry import OverrideRegistry
-from sageturn.overrides.signing import parse_operation, sign_operation
+from sageturn.overrides.relay_state import RelayOverrideState, decode_relay_state, encode_relay_state
+from sageturn.overrides.signing import parse_operation
 
-KEYS = {name: Ed25519PrivateKey.generate() for name in ("lan", "mai")}
-PUBLIC = {name: key.public_key() for name, key in KEYS.items()}
-HOUR_MS = 3_600_000.0
-START_MS = 1.8e12
 SLOW_START_MS = 24000.0
 NO_LIMITS = SafetyLimits(0.0, 0.0, 0.0)
 
 
-def make_options(**more: Any) -> OverrideOptions:
-    return OverrideOptions(**{"operators": PUBLIC, "safety_limits": NO_LIMITS, **more})
-
-
-def endpoint(name: str, **more: Any) -> Endpoint:
-    return Endpoint(name, **{"zone": "z1" if name < "c" else "z2", "kind": "k", **more})
-
-
-def make_operation(
-    override_id: str,
-    payload: OverridePayload | None = None,
-    operation_type: OperationType = OperationType.SET,
-    **more: Any,
-) -> OverrideOperation:
-    defaults = {
-        "revision": 1,
-        "created_at_ms": START_MS,
-        "operator": "lan",
-        "reason": "test",
-        "expires_at_ms": START_MS + HOUR_MS,
-        "nonce": "0" * 8,
-    }
-    if operation_type is OperationType.REVOKE:
-        defaults["expires_at_ms"] = 0.0
-    return OverrideOperation(override_id, operation_type, **{**defaults, "payload": payload, **more})
+def make_options(**fields: Any) -> OverrideOptions:
+    return OverrideOptions(**{"operators": PUBLIC_KEYS, "safety_limits": NO_LIMITS, **fields})
 
 
-def out_of_service(name: str, **more: Any) -> OverridePayload:
-    return OverridePayload(OverrideKind.OUT_OF_SERVICE, Selector(SelectorAttribute.ENDPOINT, name), **more)
-
-
-def signed_record(operation: OverrideOperation) -> tuple[str, Any]:
-    """The store key and value of an operation."""
-    return operation.key, sign_operation(operation, KEYS[operation.operator])
+def endpoint(name: str, **fields: Any) -> Endpoint:
+    return Endpoint(name, **{"zone": "z1" if name < "c" else "z2", "kind": "k", **fields})
 
 
 class RegistryDriver:
     """Drives a registry on a clock of its own, and keeps the endpoints as the balancer sees them."""
 
-    def __init__(self, names: str = "abcd", **more: Any) -> None:
-        self.registry = OverrideRegistry(make_options(**more), 0.12, SLOW_START_MS)
+    def __init__(self, names: str = "abcd", **options: Any) -> None:
+        self.registry = OverrideRegistry(make_options(**options), 0.12, SLOW_START_MS)
         self.now_ms = START_MS
         self.endpoints: dict[str, Endpoint] = {}
         self.apply_list([endpoint(n) for n in names])
@@ -104,11 +84,11 @@
         return self.registry.status(self.registry.overrides[override_id], self.now_ms)
 
 
-def test_out_of_service_takes_effect_and_lapses_at_its_instant() -> None:
+def test_out_of_service_takes_effect_and_expires_at_its_instant() -> None:
     driver = RegistryDriver()
     assert [
-        line.name
-        for line in driver.apply(make_operation("o1", out_of_service("a", migrate_connections=True)))
+        changed.name
+        for changed in driver.apply(make_operation("o1", out_of_service("a", migrate_connections=True)))
     ] == ["a"]
     assert driver.state("a") == "draining" and driver.registry.resolver.effect("a").migrate_connections
     assert driver.advance_to(START_MS + HOUR_MS - 1) == [] and driver.state("a") == "draining"
@@ -116,19 +96,15 @@
     driver.advance_to(START_MS + HOUR_MS)
     assert driver.state("a") == "ready" and driver.status("o1") == "lapsed"
     assert driver.endpoints["a"].started_at_ms == START_MS + HOUR_MS, (
-        "it comes back as a host that has just started"
+        "it returns as an endpoint that has just started"
     )
     assert [event.action for event in driver.registry.audit_events] == [AuditAction.SET, AuditAction.EXPIRED]
 
 
-def test_a_weight_comes_back_no_faster_than_a_cold_host_warms() -> None:
+def test_a_weight_is_regained_no_faster_than_in_slow_start() -> None:
     driver = RegistryDriver()
-    driver.apply(
-        make_operation(
-            "w1", OverridePayload(OverrideKind.WEIGHT, Selector(SelectorAttribute.ZONE, "z1"), factor=0.25)
-        )
-    )
-    assert {n: line.factor for n, line in driver.endpoints.items()} == {
+    driver.apply(make_operation("w1", weight(SelectorAttribute.ZONE, "z1", 0.25)))
+    assert {name: seen.factor for name, seen in driver.endpoints.items()} == {
         "a": 0.25,
         "b": 0.25,
         "c": 1.0,
@@ -143,7 +119,7 @@
     assert seen[-1] == 1.0 and seen == sorted(seen) and driver.registry.next_change_ms(driver.now_ms) is None
 
 
-def test_the_host_that_joins_an_overridden_zone_is_covered() -> None:
+def test_an_endpoint_that_joins_an_overridden_zone_is_selected() -> None:
     driver = RegistryDriver()
     driver.apply(
         make_operation(
@@ -158,7 +134,7 @@
     assert not [n for n in "abcdefg" if driver.state(n) == "draining"]
 
 
-def test_a_host_that_leaves_and_returns_under_its_name_is_still_meant() -> None:
+def test_an_endpoint_that_returns_under_its_name_is_selected_again() -> None:
     driver = RegistryDriver()
     driver.apply(
         make_operation("o1", out_of_service("a")),
@@ -174,13 +150,11 @@
     assert driver.state("b") == "ready" and driver.endpoints["b"].started_at_ms == 9.0
 
 
-def test_discoverys_word_wins_and_a_lapse_leaves_a_drain_alone() -> None:
+def test_discovery_takes_precedence_and_an_expiry_does_not_end_its_drain() -> None:
     driver = RegistryDriver()
     driver.apply(
         make_operation("o1", out_of_service("a")),
-        make_operation(
-            "w", OverridePayload(OverrideKind.WEIGHT, Selector(SelectorAttribute.ENDPOINT, "b"), factor=2.0)
-        ),
+        make_operation("w", weight(SelectorAttribute.ENDPOINT, "b", 2.0)),
     )
     driver.apply_list([endpoint("a", state="draining"), endpoint("b", state="draining")], is_full=False)
     driver.advance_to(START_MS + 2 * HOUR_MS)
@@ -189,14 +163,14 @@
     assert driver.state("a") == "gone" and "a" not in driver.registry.resolver.endpoints
 
 
-def test_one_that_ran_out_while_the_relay_was_down_never_takes_effect() -> None:
+def test_an_override_that_expired_while_the_relay_was_down_never_takes_effect() -> None:
     driver = RegistryDriver()
     driver.now_ms = START_MS + HOUR_MS + 1
     assert driver.apply(make_operation("o1", out_of_service("a"))) == [] and driver.state("a") == "ready"
     assert driver.registry.audit_events == [] and driver.status("o1") == "lapsed"
 
 
-def test_a_clock_set_back_brings_nothing_back_and_one_set_forward_ends_what_is_over() -> None:
+def test_a_clock_set_back_revives_nothing_and_one_set_forward_expires_at_once() -> None:
     driver = RegistryDriver()
     driver.apply(
         make_operation("o1", out_of_service("a")),
@@ -207,24 +181,19 @@
     assert (
         driver.state("a") == "ready" and driver.status("o1") == "lapsed" and driver.state("b") == "draining"
     )
-    driver.apply(
-        make_operation(
-            "o1", operation_type=OperationType.EXTEND, revision=2, expires_at_ms=START_MS + 2 * HOUR_MS
-        )
-    )
-    assert driver.state("a") == "draining", "a later word counts"
+    driver.apply(make_extension("o1", revision=2, expires_at_ms=START_MS + 2 * HOUR_MS))
+    assert driver.state("a") == "draining", "a later operation counts"
     driver.advance_to(START_MS + 4 * HOUR_MS)
     assert driver.state("a") == driver.state("b") == "ready"
 
 
-def test_extension_and_revocation_and_the_longest_time() -> None:
+def test_extension_revocation_and_maximum_duration() -> None:
     driver = RegistryDriver(max_duration_s=7200.0)
     driver.apply(make_operation("o1", out_of_service("a"), expires_at_ms=START_MS + 100 * HOUR_MS))
     assert driver.registry.overrides["o1"].expires_at_ms == START_MS + 2 * HOUR_MS
     driver.apply(
-        make_operation(
+        make_extension(
             "o1",
-            operation_type=OperationType.EXTEND,
             revision=2,
             created_at_ms=START_MS + HOUR_MS,
             expires_at_ms=START_MS + 2.5 * HOUR_MS,
@@ -234,23 +203,18 @@
     assert driver.registry.overrides["o1"].expiry_set_by == "mai"
     driver.advance_to(START_MS + 2 * HOUR_MS)
     assert driver.state("a") == "draining"
-    driver.apply(
-        make_operation(
-            "o1", operation_type=OperationType.REVOKE, revision=3, created_at_ms=START_MS + 2 * HOUR_MS
-        )
-    )
+    driver.apply(make_revocation("o1", revision=3, created_at_ms=START_MS + 2 * HOUR_MS))
     assert driver.state("a") == "ready" and driver.status("o1") == "revoked"
     driver.apply(
-        make_operation(
+        make_extension(
             "o1",
-            operation_type=OperationType.EXTEND,
             revision=9,
             created_at_ms=START_MS + 2 * HOUR_MS,
             expires_at_ms=START_MS + 3 * HOUR_MS,
             nonce="1" * 8,
         )
     )
-    assert driver.status("o1") == "revoked", "an extension from the other side of a split brings nothing back"
+    assert driver.status("o1") == "revoked", "an extension from the other side of a split revives nothing"
     assert [operation.type for operation in driver.registry.history("o1")] == [
         OperationType.SET,
         OperationType.EXTEND,
@@ -259,7 +223,7 @@
     ]
 
 
-def test_a_record_tampered_with_is_refused_and_so_is_a_stranger() -> None:
+def test_tampered_records_and_unknown_operators_are_rejected() -> None:
     good = make_operation("o1", out_of_service("a"))
     key, value = signed_record(good)
     driver = RegistryDriver()
@@ -281,31 +245,29 @@
         assert driver.observe(driver.registry.apply_records([(bad_key, bad)], START_MS)) == []
         assert [event.action for event in driver.registry.audit_events] == [AuditAction.REJECTED], bad
     with pytest.raises(InvalidOperationError, match="not known here"):
-        parse_operation(key, value, {"mai": PUBLIC["mai"]})
+        parse_operation(key, value, {"mai": PUBLIC_KEYS["mai"]})
     driver.observe(driver.registry.apply_records([(key, value)], START_MS))
     assert driver.state("a") == "draining" and driver.registry.rejected_records.get(key) is None
     driver.observe(
         driver.registry.apply_records([(key, {**value, "until_ms": START_MS + 9 * HOUR_MS})], START_MS)
     )
-    assert driver.registry.overrides["o1"].expires_at_ms == START_MS + HOUR_MS, "no word is ever changed"
-    driver.observe(driver.registry.set_options(make_options(operators={"mai": PUBLIC["mai"]}), START_MS))
+    assert driver.registry.overrides["o1"].expires_at_ms == START_MS + HOUR_MS, "operations are immutable"
+    driver.observe(driver.registry.set_options(make_options(operators={"mai": PUBLIC_KEYS["mai"]}), START_MS))
     assert driver.state("a") == "ready" and key in driver.registry.rejected_records
 
 
-def test_the_guard_suspends_what_is_too_much_together_and_in_what_order_it_came_does_not_matter() -> None:
+def test_safety_limits_suspend_the_later_override_in_whatever_order_they_arrive() -> None:
     # Two sets, each fine alone; with both only a quarter of zone z1 would be left.
-    first, second = (
-        make_operation("o1", out_of_service("a")),
-        make_operation("o2", out_of_service("b"), created_at_ms=START_MS + 1, operator="mai"),
-    )
+    first = make_operation("o1", out_of_service("a"))
+    second = make_operation("o2", out_of_service("b"), created_at_ms=START_MS + 1, operator="mai")
     for order in ((first, second), (second, first)):
         driver = RegistryDriver(safety_limits=SafetyLimits(0.5, 0.5, 0.0))
-        for said in order:
-            driver.apply(said)
+        for operation in order:
+            driver.apply(operation)
         assert driver.state("a") == "draining" and driver.state("b") == "ready"
         assert "0.0 of 2.0 in zone z1" in driver.registry.resolver.suspended["o2"]
         assert driver.status("o2") == "suspended"
-        driver.apply(make_operation("o1", operation_type=OperationType.REVOKE, revision=2))
+        driver.apply(make_revocation("o1", revision=2))
         assert driver.state("a") == "ready" and driver.state("b") == "draining"
         assert {AuditAction.SUSPENDED, AuditAction.RESUMED} <= {
             event.action for event in driver.registry.audit_events
@@ -315,7 +277,7 @@
     assert forced.state("a") == forced.state("b") == "draining"
 
 
-def test_when_hosts_leave_until_too_little_is_left_the_newest_waits() -> None:
+def test_the_newest_override_is_suspended_when_endpoints_leave() -> None:
     driver = RegistryDriver("abcdef", safety_limits=SafetyLimits(0.5, 0.0, 0.0))
     driver.apply(
         make_operation("o1", out_of_service("a")),
@@ -330,16 +292,12 @@
     assert driver.state("b") == "draining"
 
 
-def test_pins_select_their_traffic_and_meet() -> None:
+def test_pins_select_their_traffic_and_intersect() -> None:
     driver = RegistryDriver()
     driver.apply(
-        make_operation(
-            "p1", OverridePayload(OverrideKind.PIN, endpoints=("a", "b"), strict=True, class_name="c")
-        ),
-        make_operation(
-            "p2", OverridePayload(OverrideKind.PIN, endpoints=("b", "c"), strict=True, tenant="t")
-        ),
-        make_operation("p3", OverridePayload(OverrideKind.PIN, endpoints=("d",), group_prefix="tet-")),
+        make_operation("p1", pin("a", "b", strict=True, class_name="c")),
+        make_operation("p2", pin("b", "c", strict=True, tenant="t")),
+        make_operation("p3", pin("d", group_prefix="tet-")),
     )
     sticky_route = driver.registry.sticky_route
     assert sticky_route("x", "u", "") is None
@@ -353,30 +311,24 @@
 
 def test_a_pin_that_leaves_too_little_is_suspended() -> None:
     driver = RegistryDriver("abcdef", safety_limits=SafetyLimits(0.0, 0.0, 0.3))
-    driver.apply(
-        make_operation("p1", OverridePayload(OverrideKind.PIN, endpoints=("a",), strict=True, class_name="c"))
-    )
+    driver.apply(make_operation("p1", pin("a", strict=True, class_name="c")))
     assert "1.0 of 6.0 to what it pins" in driver.registry.resolver.suspended["p1"]
     assert driver.registry.sticky_route("c", "t", "") is None
     driver.apply(
         make_operation(
             "p2",
-            OverridePayload(OverrideKind.PIN, endpoints=("a",), class_name="c"),
+            pin("a", class_name="c"),
             created_at_ms=START_MS + 1,
         )
     )
     assert driver.registry.sticky_route("c", "t", "").preferred == {"a"}  # type: ignore[union-attr]
 
 
-def test_the_smallest_weight_counts_and_out_goes_before_it() -> None:
+def test_the_smallest_weight_applies_and_out_of_service_takes_precedence() -> None:
     driver = RegistryDriver()
     driver.apply(
-        make_operation(
-            "w1", OverridePayload(OverrideKind.WEIGHT, Selector(SelectorAttribute.ENDPOINT, "a"), factor=2.0)
-        ),
-        make_operation(
-            "w2", OverridePayload(OverrideKind.WEIGHT, Selector(SelectorAttribute.KIND, "k"), factor=0.5)
-        ),
+        make_operation("w1", weight(SelectorAttribute.ENDPOINT, "a", 2.0)),
+        make_operation("w2", weight(SelectorAttribute.KIND, "k", 0.5)),
         make_operation("h1", OverridePayload(OverrideKind.HOLD, Selector(SelectorAttribute.CELL, "0"))),
     )
     assert driver.endpoints["a"].factor == 0.5 and driver.registry.resolver.effect("c").held
@@ -389,7 +341,26 @@
     )
 
 
-def test_a_thousand_overrides_that_lapse_in_one_instant() -> None:
+def test_the_state_record_is_decoded_as_the_relay_reports_it() -> None:
+    driver = RegistryDriver(safety_limits=SafetyLimits(0.5, 0.4, 0.3), max_duration_s=7200.0)
+    driver.apply(
+        make_operation("o1", out_of_service("a")),
+        make_operation("o2", out_of_service("b"), created_at_ms=START_MS + 1),
+    )
+    driver.registry.apply_records([("overrides/o3/000001-lan-00000000", 5)], START_MS)
+    state = decode_relay_state(encode_relay_state(driver.registry, START_MS))
+    assert state == RelayOverrideState(
+        statuses={"o1": "in force", "o2": "suspended"},
+        revisions={"o1": 1, "o2": 1},
+        suspended={"o2": "would leave 0.0 of 2.0 in zone z1, under its floor of 40%"},
+        rejected_records={"overrides/o3/000001-lan-00000000": "not an object"},
+        endpoints={name: endpoint(name) for name in "abcd"},
+        safety_limits=SafetyLimits(0.5, 0.4, 0.3),
+        max_duration_s=7200.0,
+    )
+
+
+def test_a_thousand_overrides_expire_in_one_instant() -> None:
     driver = RegistryDriver("")
     driver.apply_list([endpoint(f"h{k}") for k in range(1000)])
     driver.apply(*(make_operation(f"o{k}", out_of_service(f"h{k}")) for k in range(1000)))
@@ -427,19 +398,19 @@
 
 
 @given(OPERATIONS, st.randoms(use_true_random=False))
-def test_words_make_the_same_override_whatever_order_they_come_in(
-    said: list[OverrideOperation], rng: random.Random
+def test_operations_fold_to_the_same_override_in_any_order(
+    operations: list[OverrideOperation], rng: random.Random
 ) -> None:
-    # Commutative, idempotent and associative: the sum of a set of words.
-    other = said + said[: len(said) // 2]
-    rng.shuffle(other)
-    assert fold_operations(said, 1e9) == fold_operations(other, 1e9)
+    # Commutative, idempotent and associative: the fold of a set.
+    shuffled = operations + operations[: len(operations) // 2]
+    rng.shuffle(shuffled)
+    assert fold_operations(operations, 1e9) == fold_operations(shuffled, 1e9)
     registries = [OverrideRegistry(make_options(), 0.12, SLOW_START_MS) for _ in range(2)]
     for registry in registries:
         registry.apply_endpoint_list([endpoint("a")], True, START_MS)
-    registries[0].apply_records([signed_record(o) for o in said], START_MS)
-    for word in other:
-        registries[1].apply_records([signed_record(word)], START_MS)
+    registries[0].apply_records([signed_record(operation) for operation in operations], START_MS)
+    for operation in shuffled:
+        registries[1].apply_records([signed_record(operation)], START_MS)
     assert registries[0].overrides == registries[1].overrides
     assert (
         registries[0].effective_endpoint("a", START_MS).state
@@ -496,9 +467,8 @@
     def revoke(self, index: int) -> None:
         if self.operations:
             revoked = self.operations[index % len(self.operations)]
-            operation = make_operation(
+            operation = make_revocation(
                 revoked.override_id,
-                operation_type=OperationType.REVOKE,
                 revision=2,
                 created_at_ms=self.driver.now_ms,
             )
--- a/tests/overrides/test_overrides_relay.py
+++ b/tests/overrides/test_overrides_relay.py
@@ -24,13 +24,19 @@
     up,
     write_config,
 )
-from test_overrides import KEYS, make_operation, out_of_service, signed_record
+from support.override_records import (
+    HOUR_MS,
+    KEYS,
+    make_operation,
+    out_of_service,
+    pin,
+    signed_record,
+)
 
 from sageturn.cli.times import InvalidTimeError, format_duration, parse_expiry
 from sageturn.config.loader import ConfigError, load
 from sageturn.overrides.operations import (
     OperationType,
-    OverrideKind,
     OverrideOperation,
     OverridePayload,
     Selector,
@@ -39,7 +45,6 @@
 from sageturn.rebalance.options import RebalanceOptions
 from sageturn.relay import Relay
 
-HOUR_MS = 3_600_000.0
 TEST_TIMEOUT_S = 40
 
 
@@ -51,10 +56,12 @@
     return time.time() * 1000.0
 
 
-def operation_now(override_id: str, payload: OverridePayload | None = None, **more: Any) -> OverrideOperation:
+def operation_now(
+    override_id: str, payload: OverridePayload | None = None, **fields: Any
+) -> OverrideOperation:
     now_ms = unix_time_ms()
     return make_operation(
-        override_id, payload, **{"created_at_ms": now_ms, "expires_at_ms": now_ms + HOUR_MS, **more}
+        override_id, payload, **{"created_at_ms": now_ms, "expires_at_ms": now_ms + HOUR_MS, **fields}
     )
 
 
@@ -66,17 +73,17 @@
     return b64encode(KEYS[name].public_key().public_bytes(Encoding.Raw, PublicFormat.Raw)).decode()
 
 
-def overrides_section(**more: Any) -> dict[str, Any]:
+def overrides_section(**values: Any) -> dict[str, Any]:
     return {
         "operators": {name: public_key_of(name) for name in KEYS},
         "floor_all": 0,
         "floor_zone": 0,
-        **more,
+        **values,
     }
 
 
 @asynccontextmanager
-async def relays_with_overrides(folder: Path, *scripts: Script, relays: int = 1, **more: Any):  # type: ignore[no-untyped-def]
+async def relays_with_overrides(folder: Path, *scripts: Script, relays: int = 1, **overrides: Any):  # type: ignore[no-untyped-def]
     """Relays whose stores are linked, and the endpoints that they share, in the order a, b, c."""
     endpoints = [FakeEndpoint(script) for script in scripts]
     async with AsyncExitStack() as stack:
@@ -89,7 +96,7 @@
             peers = ["{}:{}".format(*made[0].replica.address)] if made else []
             store = {"path": "store", "listen": "127.0.0.1:0", "peers": peers, "secret_file": "../secret"}
             file = place / "operator.json"
-            file.write_text(json.dumps({"store": store, "overrides": overrides_section(**more)}))
+            file.write_text(json.dumps({"store": store, "overrides": overrides_section(**overrides)}))
             env = {"GW_CONFIG": str(write_config(place, discovery.address, listed(names), name=f"n{number}"))}
             relay = Relay(load(env, str(file)), partial(load, env, str(file)))
             relay.start()
@@ -118,7 +125,7 @@
     return [len(e.lines) - was for e, was in zip(endpoints, before, strict=True)]
 
 
-def test_every_relay_obeys_and_a_split_loses_nothing(tmp_path: Path) -> None:
+def test_every_relay_applies_operations_from_all_relays(tmp_path: Path) -> None:
     async def go() -> None:
         async with relays_with_overrides(tmp_path, up, up, up, relays=2) as (relays, endpoints):
             one, two = relays
@@ -129,8 +136,8 @@
                     lambda relay=relay: relay.endpoint_registry.out("a") and relay.endpoint_registry.out("b")
                 )
                 assert (await count_placed(relay, endpoints))[:2] == [0, 0]
-            told = lambda: (one.store.get("state/n1/overrides") or {}).get("words")  # noqa: E731
-            await wait_until(lambda: told() == {"o1": 1, "o2": 1})
+            reported = lambda: (one.store.get("state/n1/overrides") or {}).get("words")  # noqa: E731
+            await wait_until(lambda: reported() == {"o1": 1, "o2": 1})
             two.store.put(
                 *signed_record(operation_now("o1", operation_type=OperationType.REVOKE, revision=2))
             )
@@ -141,15 +148,13 @@
     run_within_limit(go())
 
 
-def test_a_strict_pin_without_its_host_fails_fast_and_a_preferred_one_goes_elsewhere(
+def test_a_strict_pin_without_its_endpoint_fails_fast_and_a_preferred_one_goes_elsewhere(
     tmp_path: Path,
 ) -> None:
     async def go() -> None:
         async with relays_with_overrides(tmp_path, up, up, floor_pin=0) as ((relay,), endpoints):
-            pin = operation_now(
-                "p1", OverridePayload(OverrideKind.PIN, endpoints=("b",), strict=True, tenant="t")
-            )
-            relay.store.put(*signed_record(pin))
+            pinned = operation_now("p1", pin("b", strict=True, tenant="t"))
+            relay.store.put(*signed_record(pinned))
             await wait_until(lambda: relay.overrides.registry.overrides)
             assert await count_placed(relay, endpoints) == [0, 12]
             relay.store.put(*signed_record(operation_now("o1", out_of_service("b"))))
@@ -160,11 +165,7 @@
             relay.store.put(
                 *signed_record(operation_now("p1", operation_type=OperationType.REVOKE, revision=2))
             )
-            relay.store.put(
-                *signed_record(
-                    operation_now("p2", OverridePayload(OverrideKind.PIN, endpoints=("b",), tenant="t"))
-                )
-            )
+            relay.store.put(*signed_record(operation_now("p2", pin("b", tenant="t"))))
             await wait_until(lambda: relay.overrides.registry.overrides["p1"].is_revoked)
             assert await count_placed(relay, endpoints) == [12, 0]
             relay.store.put(
@@ -178,7 +179,7 @@
     run_within_limit(go())
 
 
-def test_a_host_that_is_cleared_is_emptied_at_the_planners_pace(
+def test_connections_are_migrated_off_a_cleared_endpoint_by_the_planner(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("sageturn.rebalance.pace.SETTLE_MS", 0.0)
@@ -203,7 +204,7 @@
     run_within_limit(go())
 
 
-def test_a_relay_killed_before_it_acted_obeys_from_its_first_moment_on(tmp_path: Path) -> None:
+def test_a_relay_killed_before_it_acted_applies_overrides_from_its_start(tmp_path: Path) -> None:
     async def go() -> None:
         for turn in range(2):
             async with relays_with_overrides(tmp_path, up, up) as ((relay,), endpoints):
@@ -261,26 +262,28 @@
                 "SAGETURN_KEY_FILE": str(tmp_path / "key.pem"),
             }
 
-            async def command(*words: str, fails: int = 0, **env: str) -> str:
+            async def run_command(*arguments: str, exit_code: int = 0, **env: str) -> str:
                 process = await asyncio.create_subprocess_exec(
                     sys.executable,
                     "-m",
                     "sageturn.cli.main",
                     "override",
-                    *words,
+                    *arguments,
                     stdout=-1,
                     stderr=-1,
                     env={**os.environ, **common, **env},
                 )
-                told, wrong = await process.communicate()
-                assert process.returncode == fails, (words, told, wrong)
-                return (told if not fails else wrong).decode()
+                output, errors = await process.communicate()
+                assert process.returncode == exit_code, (arguments, output, errors)
+                return (errors if exit_code else output).decode()
 
-            nobody = asyncio.ensure_future(command("list", fails=3, SAGETURN_CONNECT="127.0.0.1:1"))
-            public_key = (await command("key", str(tmp_path / "key.pem"))).strip()
+            nobody = asyncio.ensure_future(run_command("list", exit_code=3, SAGETURN_CONNECT="127.0.0.1:1"))
+            public_key = (await run_command("key", str(tmp_path / "key.pem"))).strip()
             assert (tmp_path / "key.pem").stat().st_mode & 0o77 == 0
             await wait_until(lambda: all(r.store.get("state/n1/overrides") for r in relays))
-            refused = await command("set", "out", "--host", "a", "--for", "2h30m", "--why", "disk", fails=1)
+            refused = await run_command(
+                "set", "out", "--host", "a", "--for", "2h30m", "--why", "disk", exit_code=1
+            )
             assert "refuses it: signature" in refused, "the name is checked, not taken on trust"
             for number, relay in enumerate(relays):
                 file = tmp_path / f"r{number}" / "operator.json"
@@ -291,24 +294,26 @@
             await wait_until(lambda: all("lan" in r._config.operator.overrides.operators for r in relays))
             await wait_until(lambda: all(not r._reload.is_set() for r in relays))
             set_ = ("set", "out", "--host", "a", "--for", "2h30m", "--why", "disk is failing", "--json")
-            made = json.loads(await command(*set_))
+            made = json.loads(await run_command(*set_))
             assert made["relays"] == {"n0": "in force", "n1": "in force"}
             assert all(r.endpoint_registry.out("a") for r in relays)
-            too_much = await command("set", "out", "--host", "b", "--for", "1h", "--why", "x", fails=1)
+            too_much = await run_command(
+                "set", "out", "--host", "b", "--for", "1h", "--why", "x", exit_code=1
+            )
             assert "would leave 1.0 of 3.0" in too_much and "--force" in too_much
-            (row,) = [r for r in json.loads(await command("list", "--json")) if r["status"] == "in force"]
+            (row,) = [r for r in json.loads(await run_command("list", "--json")) if r["status"] == "in force"]
             assert row["set_by"] == "lan" and row["left"].startswith("2h") and row["why"] == "disk is failing"
-            await command("extend", made["id"], "--for", "10m", "--why", "sooner")
-            assert "about to end" in await command("list")
-            assert "out of service" in await command("explain", "a")
-            await command("revoke", made["id"], "--why", "mended")
+            await run_command("extend", made["id"], "--for", "10m", "--why", "sooner")
+            assert "about to end" in await run_command("list")
+            assert "out of service" in await run_command("explain", "a")
+            await run_command("revoke", made["id"], "--why", "mended")
             assert not any(r.endpoint_registry.out("a") for r in relays)
-            words = [r["word"] for r in json.loads(await command("history", made["id"], "--json"))]
-            assert words == ["set", "extend", "revoke"]
+            history = [r["word"] for r in json.loads(await run_command("history", made["id"], "--json"))]
+            assert history == ["set", "extend", "revoke"]
             never = "2999-01-01T00:00:00"
             unknown, zoneless, _ = await asyncio.gather(
-                command("show", "out-nope", fails=4),
-                command("set", "hold", "--host", "a", "--until", never, "--why", "x", fails=2),
+                run_command("show", "out-nope", exit_code=4),
+                run_command("set", "hold", "--host", "a", "--until", never, "--why", "x", exit_code=2),
                 nobody,
             )
             assert "no such override" in unknown and "has no zone" in zoneless
@@ -326,14 +331,14 @@
         ({"longest_s": 0}, "longest_s"),
     ],
 )
-def test_faults_in_its_section_name_their_key(tmp_path: Path, change: dict[str, Any], key: str) -> None:
+def test_errors_in_the_section_name_their_key(tmp_path: Path, change: dict[str, Any], key: str) -> None:
     (tmp_path / "operator.json").write_text(json.dumps({"overrides": change}))
     file = write_config(tmp_path, ("127.0.0.1", 1))
     with pytest.raises(ConfigError, match=f"operator.overrides.{key}"):
         load({"GW_CONFIG": str(file)}, str(tmp_path / "operator.json"))
 
 
-def test_times_as_people_write_them() -> None:
+def test_durations_and_instants_are_parsed_and_formatted() -> None:
     assert parse_expiry("2h30m", 0.0) == 2.5 * HOUR_MS and parse_expiry("1d", 0.0) == 24 * HOUR_MS
     assert parse_expiry("1970-01-01T08:00:00+07:00", 0.0) == HOUR_MS
     for bad in ("", "soon", "0s", "-1h", "1970-01-01T00:00:00Z", "2999-01-01T00:00:00"):
