--- a/sageturn/cli/connection.py
+++ b/sageturn/cli/connection.py
@@ -9,9 +9,9 @@
 from typing import TypeVar
 
 from sageturn.cli.exit_codes import ExitCode, fail
-from sageturn.net.discovery import parse_address
+from sageturn.net.addresses import parse_address
 from sageturn.store.channel import read_secret
-from sageturn.store.replication.member import connected
+from sageturn.store.replication.ephemeral_client import open_ephemeral_client
 from sageturn.store.store import Store
 
 Result = TypeVar("Result")
@@ -32,7 +32,7 @@
         secret = self._read_secret()
 
         async def run_connected() -> Result:
-            async with connected(parse_address(self.address), secret) as store:
+            async with open_ephemeral_client(parse_address(self.address), secret) as store:
                 return await action(store)
 
         try:
--- a/sageturn/cli/store.py
+++ b/sageturn/cli/store.py
@@ -18,8 +18,7 @@
 from sageturn.cli.connection import DaemonConnection
 from sageturn.cli.exit_codes import ExitCode, fail
 from sageturn.frontends.xmpp.accounts import PREFIX, make_record
-from sageturn.store.log import LogCorruptedError
-from sageturn.store.records import InvalidRecordError
+from sageturn.store.errors import InvalidRecordError, LogCorruptedError
 from sageturn.store.store import Store
 
 app = typer.Typer(no_args_is_help=True, help="What a daemon's store holds.")
--- a/sageturn/lab/scale/digests.py
+++ b/sageturn/lab/scale/digests.py
@@ -19,8 +19,9 @@
 from sageturn.net.admission import AdmissionController, PendingConnection
 from sageturn.net.listener import Listener
 from sageturn.net.sockets import Connect, connect, send_gathered
-from sageturn.store.channel import TAG, AuthenticatedChannel, HandshakeRejectedError
-from sageturn.store.records import InvalidRecordError, StoreRecord, parse_record
+from sageturn.store.channel import TAG_BYTES, AuthenticatedChannel
+from sageturn.store.errors import HandshakeRejectedError, InvalidRecordError
+from sageturn.store.records import StoreRecord, parse_record
 from sageturn.store.store import Store
 
 log = logging.getLogger(__name__)
@@ -49,16 +50,18 @@
 
     async def send(self, message: Any) -> None:
         payload = json.dumps(message, separators=(",", ":")).encode()
-        async with self._writing:
-            tag = self._keyed(self._mine, self._sent, payload)
-            self._sent += 1
+        async with self._write_lock:
+            tag = self._keyed(self._send_role, self._sent_frames, payload)
+            self._sent_frames += 1
             await send_gathered(self._sock, (len(payload).to_bytes(4, "big"), payload, tag))
 
     async def receive(self) -> Any:
         payload = await self._read_sized(DIGEST_MOST)
-        if not hmac.compare_digest(await self._read(TAG), self._keyed(self._theirs, self._received, payload)):
+        if not hmac.compare_digest(
+            await self._read(TAG_BYTES), self._keyed(self._receive_role, self._received_frames, payload)
+        ):
             raise HandshakeRejectedError("a frame was tampered with")
-        self._received += 1
+        self._received_frames += 1
         return json.loads(payload)
 
     def _keyed(self, way: bytes, number: int, payload: bytes) -> bytes:
@@ -75,7 +78,7 @@
 class DigestSpread:
     """A link of its own to each peer, and the others'."""
 
-    state_every_s = 0.0
+    state_report_interval_s = 0.0
 
     def __init__(self, store: Store, options: LinkOptions, admission: AdmissionController) -> None:
         self._store, self._options = store, options
@@ -83,7 +86,7 @@
         self.address = self._listener.address
         self._queues: set[Pushes] = set()
         self._tasks: list[asyncio.Task[None]] = []
-        self.links = 0
+        self.link_count = 0
         store.on_change.append(self._changed)
 
     def state(self) -> dict[str, object]:
@@ -123,7 +126,7 @@
         link = JsonLink(sock, self._options.secret, self._store.node)
         try:
             async with newcomer.within(HANDS_S) if newcomer else asyncio.timeout(HANDS_S):
-                await link.shake_hands(dialled)
+                await link.perform_handshake(dialled)
         except (OSError, TimeoutError) as error:
             log.warning("no link: %s", error or "timed out")
             return False
@@ -131,13 +134,13 @@
             newcomer.asked()
         queue: Pushes = asyncio.Queue(PUSHES)
         self._queues.add(queue)
-        self.links += 1
+        self.link_count += 1
         ways = [asyncio.ensure_future(way(link, queue)) for way in (self._tell, self._hear)]
         try:
             await asyncio.wait(ways, return_when=asyncio.FIRST_COMPLETED)
         finally:
             self._queues.discard(queue)
-            self.links -= 1
+            self.link_count -= 1
             for way in ways:
                 await cancel_and_wait(way)
         return True
--- a/sageturn/overrides/actor.py
+++ b/sageturn/overrides/actor.py
@@ -183,7 +183,7 @@
 
     # ------------------------------------------------------------ BalancerObserver
 
-    def before(self, now_ms: float, event: decision.Event) -> None:
+    def before_event(self, now_ms: float, event: decision.Event) -> None:
         """Bind a request that a pin selects."""
         if not isinstance(event, decision.RequestArrived):
             return
@@ -191,10 +191,10 @@
         if route is not None:
             apply_sticky_routing(event, route, self._balancer_actor)
 
-    def after(self, now_ms: float, event: decision.Event, actions: Sequence[decision.Action]) -> None:
+    def after_event(self, now_ms: float, event: decision.Event, actions: Sequence[decision.Action]) -> None:
         """Part of the observer's interface; overrides do not depend on the balancer's decisions."""
 
-    def moved_by_other(self, now_ms: float, request_id: int) -> None:
+    def on_migrated_by_others(self, now_ms: float, request_id: int) -> None:
         """Part of the observer's interface; overrides do not depend on migrations."""
 
     # ------------------------------------------------------------ operators
--- a/sageturn/overrides/sticky_routing.py
+++ b/sageturn/overrides/sticky_routing.py
@@ -17,7 +17,7 @@
     is_strict = route.required is not None
     if route.preferred is not None:
         preferred = route.preferred if route.required is None else route.preferred & route.required
-        if any(snapshot.room > 0 for snapshot in balancer_actor.snapshot_endpoints(preferred)):
+        if any(snapshot.available_capacity > 0 for snapshot in balancer_actor.snapshot_endpoints(preferred)):
             event.allowed = preferred
             event.strict = is_strict
             return
--- a/tests/core/test_request_lifecycle.py
+++ b/tests/core/test_request_lifecycle.py
@@ -55,7 +55,7 @@
         return CloseReason.MOVED
 
     async def send_final_response(self, answer: FinalResponse) -> None:
-        self.did.append("fail-fast" if answer.refused else "failed")
+        self.did.append("fail-fast" if answer.rejected else "failed")
 
 
 def live(*calls: CloseReason | None, leave: bool = False, stop: bool = False):  # type: ignore[no-untyped-def]
@@ -70,12 +70,14 @@
         wire.leave_in_call = leave
         lifecycle = RequestLifecycle(balancer_actor, wire, ClientRequest("c", "", 1000.0))
         if stop:
-            lifecycle.stop.set()
+            lifecycle.drain_requested.set()
         record = await asyncio.wait_for(lifecycle.run(), 5)
         await asyncio.sleep(0.01)
         actor.cancel()
         balancer = balancer_actor._balancer
-        assert balancer.requests == {} and all(s.open == s.pending == 0 for s in balancer.endpoints.values())
+        assert balancer.requests == {} and all(
+            s.open_count == s.in_flight == 0 for s in balancer.endpoints.values()
+        )
         return wire.did, record
 
     return asyncio.run(go())
--- a/tests/overrides/test_overrides_relay.py
+++ b/tests/overrides/test_overrides_relay.py
@@ -34,7 +34,8 @@
 )
 
 from sageturn.cli.times import InvalidTimeError, format_duration, parse_expiry
-from sageturn.config.loader import ConfigError, load
+from sageturn.config.errors import ConfigError
+from sageturn.config.loader import load
 from sageturn.overrides.operations import (
     OperationType,
     OverrideOperation,
@@ -93,7 +94,7 @@
         for number in range(relays):
             place = folder / f"r{number}"
             place.mkdir(exist_ok=True)
-            peers = ["{}:{}".format(*made[0].replica.address)] if made else []
+            peers = ["{}:{}".format(*made[0].replication.address)] if made else []
             store = {"path": "store", "listen": "127.0.0.1:0", "peers": peers, "secret_file": "../secret"}
             file = place / "operator.json"
             file.write_text(json.dumps({"store": store, "overrides": overrides_section(**overrides)}))
@@ -133,7 +134,10 @@
             two.store.put(*signed_record(operation_now("o2", out_of_service("b"), operator="mai")))
             for relay in relays:
                 await wait_until(
-                    lambda relay=relay: relay.endpoint_registry.out("a") and relay.endpoint_registry.out("b")
+                    lambda relay=relay: (
+                        relay.endpoint_registry.is_out_of_service("a")
+                        and relay.endpoint_registry.is_out_of_service("b")
+                    )
                 )
                 assert (await count_placed(relay, endpoints))[:2] == [0, 0]
             reported = lambda: (one.store.get("state/n1/overrides") or {}).get("words")  # noqa: E731
@@ -141,9 +145,11 @@
             two.store.put(
                 *signed_record(operation_now("o1", operation_type=OperationType.REVOKE, revision=2))
             )
-            await wait_until(lambda: not one.endpoint_registry.out("a"))
+            await wait_until(lambda: not one.endpoint_registry.is_out_of_service("a"))
             at = one.endpoint_registry.addresses
-            assert not one.endpoint_registry.ready("b", at["b"]) and one.endpoint_registry.ready("a", at["a"])
+            assert not one.endpoint_registry.is_ready_at("b", at["b"]) and one.endpoint_registry.is_ready_at(
+                "a", at["a"]
+            )
 
     run_within_limit(go())
 
@@ -158,7 +164,7 @@
             await wait_until(lambda: relay.overrides.registry.overrides)
             assert await count_placed(relay, endpoints) == [0, 12]
             relay.store.put(*signed_record(operation_now("o1", out_of_service("b"))))
-            await wait_until(lambda: relay.endpoint_registry.out("b"))
+            await wait_until(lambda: relay.endpoint_registry.is_out_of_service("b"))
             began = asyncio.get_running_loop().time()
             assert (await reply(relay.listener.address, first_line())).startswith(b"BUSY")
             assert asyncio.get_running_loop().time() - began < 0.2
@@ -171,7 +177,7 @@
             relay.store.put(
                 *signed_record(operation_now("o1", operation_type=OperationType.REVOKE, revision=2))
             )
-            await wait_until(lambda: not relay.endpoint_registry.out("b"))
+            await wait_until(lambda: not relay.endpoint_registry.is_out_of_service("b"))
             assert (
                 sum(await count_placed(relay, endpoints)) == 12
             )  # b is cold again: most go elsewhere for now
@@ -223,7 +229,9 @@
                         )
                     )
                 else:
-                    assert relay.endpoint_registry.out("a") and not relay.endpoint_registry.out("b")
+                    assert relay.endpoint_registry.is_out_of_service(
+                        "a"
+                    ) and not relay.endpoint_registry.is_out_of_service("b")
                     assert await count_placed(relay, endpoints) == [0, 12]
 
     run_within_limit(go())
@@ -233,21 +241,21 @@
     async def go() -> None:
         async with relays_with_overrides(tmp_path, up, up) as ((relay,), _):
             relay.store.put(*signed_record(operation_now("o1", out_of_service("a"))))
-            await wait_until(lambda: relay.endpoint_registry.out("a"))
+            await wait_until(lambda: relay.endpoint_registry.is_out_of_service("a"))
             file = tmp_path / "r0" / "operator.json"
             good = json.loads(file.read_text())
             file.write_text(json.dumps({**good, "overrides": {"operators": {"lan": "short"}}}))
-            relay._reload.set()
-            await wait_until(lambda: not relay._reload.is_set())
-            assert relay.endpoint_registry.out("a")
+            relay.reload_requested.set()
+            await wait_until(lambda: not relay.reload_requested.is_set())
+            assert relay.endpoint_registry.is_out_of_service("a")
             file.write_text(
                 json.dumps({**good, "overrides": overrides_section(operators={"mai": public_key_of("mai")})})
             )
-            relay._reload.set()
-            await wait_until(lambda: not relay.endpoint_registry.out("a"))
+            relay.reload_requested.set()
+            await wait_until(lambda: not relay.endpoint_registry.is_out_of_service("a"))
             file.write_text(json.dumps(good))
-            relay._reload.set()
-            await wait_until(lambda: relay.endpoint_registry.out("a"))
+            relay.reload_requested.set()
+            await wait_until(lambda: relay.endpoint_registry.is_out_of_service("a"))
 
     run_within_limit(go())
 
@@ -256,7 +264,7 @@
     async def go() -> None:
         async with relays_with_overrides(tmp_path, up, up, up, relays=2, floor_all=0.5) as (relays, _):
             common = {
-                "SAGETURN_CONNECT": "{}:{}".format(*relays[0].replica.address),
+                "SAGETURN_CONNECT": "{}:{}".format(*relays[0].replication.address),
                 "SAGETURN_OPERATOR": "lan",
                 "SAGETURN_SECRET_FILE": str(tmp_path / "secret"),
                 "SAGETURN_KEY_FILE": str(tmp_path / "key.pem"),
@@ -290,13 +298,13 @@
                 content = json.loads(file.read_text())
                 content["overrides"]["operators"]["lan"] = public_key
                 file.write_text(json.dumps(content))
-                relay._reload.set()
-            await wait_until(lambda: all("lan" in r._config.operator.overrides.operators for r in relays))
-            await wait_until(lambda: all(not r._reload.is_set() for r in relays))
+                relay.reload_requested.set()
+            await wait_until(lambda: all("lan" in r.config.operator.overrides.operators for r in relays))
+            await wait_until(lambda: all(not r.reload_requested.is_set() for r in relays))
             set_ = ("set", "out", "--host", "a", "--for", "2h30m", "--why", "disk is failing", "--json")
             made = json.loads(await run_command(*set_))
             assert made["relays"] == {"n0": "in force", "n1": "in force"}
-            assert all(r.endpoint_registry.out("a") for r in relays)
+            assert all(r.endpoint_registry.is_out_of_service("a") for r in relays)
             too_much = await run_command(
                 "set", "out", "--host", "b", "--for", "1h", "--why", "x", exit_code=1
             )
@@ -307,7 +315,7 @@
             assert "about to end" in await run_command("list")
             assert "out of service" in await run_command("explain", "a")
             await run_command("revoke", made["id"], "--why", "mended")
-            assert not any(r.endpoint_registry.out("a") for r in relays)
+            assert not any(r.endpoint_registry.is_out_of_service("a") for r in relays)
             history = [r["word"] for r in json.loads(await run_command("history", made["id"], "--json"))]
             assert history == ["set", "extend", "revoke"]
             never = "2999-01-01T00:00:00"
