--- a/tests/config/test_compatibility_operators.py
+++ b/tests/config/test_compatibility_operators.py
@@ -62,7 +62,7 @@
     "remember",
 )
 KEPT = ("keep_classes", "keep_tenants")
-FLOORS = ("all", "zone", "pin")
+FLOORS = {"all": "min_total_ratio", "zone": "min_zone_ratio", "pin": "min_pin_ratio"}
 CONFIG_FIELDS = ("name", "listen", "discovery", "seed", "log_level")
 LIMITS = ("sockets", "memory_mb")
 SETTINGS = (
@@ -147,8 +147,8 @@
         encoded["rebalance"] = encode_fields(rebalance, REBALANCE) | kept
     if (overrides := operator.overrides) is not None:
         keys = {name: key.public_bytes_raw().hex() for name, key in overrides.operators.items()}
-        floors = encode_fields(overrides.floors, FLOORS)
-        encoded["overrides"] = {"operators": keys, "longest_s": overrides.longest_s, "floors": floors}
+        floors = encode_fields(overrides.safety_limits, FLOORS)
+        encoded["overrides"] = {"operators": keys, "longest_s": overrides.max_duration_s, "floors": floors}
     return json.loads(json.dumps(encoded))
 
 
