--- a/sageturn/lab/naive.py
+++ b/sageturn/lab/naive.py
@@ -17,7 +17,7 @@
 def naive_plan(planner: RebalancePlanner, now_ms: float, hosts: Sequence[EndpointSnapshot]) -> MigrationPlan:
     """The newest connections of the host with the highest load, down to the mean of all hosts."""
     ready = [host for host in hosts if host.ready]
-    book, mean = planner.book, planner.book.mean
+    book, mean = planner.connections, planner.connections.mean
     loads = {h.name: book.hosts[h.name].load(mean, 0.0) if h.name in book.hosts else 0.0 for h in ready}
     size = sum(h.size for h in ready)
     moves: list[Migration] = []
--- a/sageturn/lab/rebalancing.py
+++ b/sageturn/lab/rebalancing.py
@@ -212,10 +212,10 @@
     planner = RebalancePlanner(settings, RebalanceOptions(mode="on"), 1)
     for n, (key, group, host) in enumerate(keys):
         planner.adopt(0.0, n, host, (classes[n // 12 % 3], "t", group), key, 0.0)
-        planner.book.load(n, 1.0 + n % 3)
+        planner.connections.load(n, 1.0 + n % 3)
     held = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
-    planner.pace.stopped_until_ms = 0.0
+    planner.rate_controller.stopped_until_ms = 0.0
     now_ms, number, ticks, events = 1000.0, count, 0.0, 0.0
     per_s = round(spec.arrivals_per_s)
     worst = 0.0
--- a/sageturn/lab/simrelay.py
+++ b/sageturn/lab/simrelay.py
@@ -16,7 +16,7 @@
 from sageturn.lab.policy import load_policy
 from sageturn.lab.spec import Spec, relay_settings
 from sageturn.rebalance.options import RebalanceOptions
-from sageturn.rebalance.planner import MigrationPlan, RebalancePlanner
+from sageturn.rebalance.planner import NO_PLAN, RebalancePlanner
 
 MOVERS = ("off", "naive", "on")
 BUSY_MS = 4.0  # until a host that turns a request away has said so
@@ -93,7 +93,7 @@
         self._tick_s = 0.0
         self._next_arrival_s = self.draws.wait_s(spec.arrivals_per_s / spec.relays)
         self.out = StepResult()
-        self._plan = MigrationPlan((), "", "")
+        self._plan = NO_PLAN
         self._rate = self._beyond = 1.0
         self._blind = False
         self._latest: dict[str, decision.Endpoint] = {}
@@ -357,16 +357,16 @@
     def state(self) -> dict[str, object]:
         if self.planner is None:
             return {}
-        return self.planner.state(self._plan)
+        return self.planner.encode_state(self._plan)
 
     def _tick(self) -> None:
         if self.planner is None:
             return
         now_ms = self.now_s * 1000.0
         plan = self._plan = self.planner.tick(now_ms, snapshot_endpoints(self.balancer, now_ms), 720)
-        if not plan.moves:
+        if not plan.migrations:
             return
-        moved = {move.request_id for move in plan.moves} & self._standing.keys()
+        moved = {move.request_id for move in plan.migrations} & self._standing.keys()
         self._audit(moved)
         for request_id in sorted(moved):
             self.out.counts["moved"] += 1
--- a/sageturn/rebalance/units.py
+++ b/sageturn/rebalance/batches.py
@@ -7,12 +7,12 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from sageturn.rebalance.book import ConnectionTable, EndpointTotals, GroupAllocation
-from sageturn.rebalance.clients import Clients
+from sageturn.rebalance.connection_table import ConnectionTable, EndpointTotals, GroupAllocation
+from sageturn.rebalance.migration_history import MigrationHistory
 from sageturn.rebalance.options import RebalanceOptions
 
 
-class Block(Enum):
+class BlockReason(Enum):
     """Why something stays where it is."""
 
     TOO_LARGE = "larger than the imbalance, than a burst, or than what hosts have room for"
@@ -23,7 +23,7 @@
 
 
 # These pass with time; when nothing but the others is in the way, balance cannot be reached.
-PASSING = frozenset({Block.YOUNG, Block.MOVED_LATELY, Block.UNSEEN})
+PASSING = frozenset({BlockReason.YOUNG, BlockReason.MOVED_LATELY, BlockReason.UNSEEN})
 
 
 @dataclass(frozen=True, slots=True)
@@ -57,10 +57,10 @@
     largest: int,
     now_ms: float,
     options: RebalanceOptions,
-    clients: Clients,
+    clients: MigrationHistory,
     leaving: set[int],
     sight: Sight,
-    blocks: Counter[Block],
+    blocks: Counter[BlockReason],
 ) -> Iterator[MigrationBatch]:
     """In the order in which they are to go. ``largest``: connections in a unit at most; ``leaving``: ids that
     were asked to move already.
@@ -71,14 +71,14 @@
     mean = book.mean
     for part in sorted((p for p in held.parts.values() if p.group), key=lambda p: _order(book, p, mean)):
         if part.count > largest or part.load(mean) > most_load:
-            blocks[Block.TOO_LARGE] += 1
+            blocks[BlockReason.TOO_LARGE] += 1
             continue
         if sight.left < part.count:
-            blocks[Block.UNSEEN] += 1
+            blocks[BlockReason.UNSEEN] += 1
             continue
         sight.left -= part.count
         ids, numbers = [], []
-        block: Block | None = None
+        block: BlockReason | None = None
         for request_id, client, pair, since_ms in book.members(part):
             block = _blocked(request_id, client, pair, since_ms, now_ms, options, clients, leaving)
             if block is not None:
@@ -95,13 +95,13 @@
     alone = held.parts.get("")
     for request_id, client, pair, since_ms in list(book.members(alone)) if alone else ():
         if sight.left <= 0:
-            blocks[Block.UNSEEN] += 1
+            blocks[BlockReason.UNSEEN] += 1
             return
         sight.left -= 1
         block = _blocked(request_id, client, pair, since_ms, now_ms, options, clients, leaving)
         load = book.load_of(request_id)
         if block is None and load > most_load:
-            block = Block.TOO_LARGE
+            block = BlockReason.TOO_LARGE
         if block is not None:
             blocks[block] += 1
         else:
@@ -113,7 +113,7 @@
     held: EndpointTotals,
     largest: int,
     now_ms: float,
-    clients: Clients,
+    clients: MigrationHistory,
     leaving: set[int],
 ) -> Iterator[MigrationBatch]:
     """All that may leave a host which is to be cleared, group by group, the larger groups in parts.
@@ -149,13 +149,13 @@
     since_ms: float,
     now_ms: float,
     options: RebalanceOptions,
-    clients: Clients,
+    clients: MigrationHistory,
     leaving: set[int],
-) -> Block | None:
+) -> BlockReason | None:
     if pair[0] in options.keep_classes or pair[1] in options.keep_tenants:
-        return Block.KEPT
+        return BlockReason.KEPT
     if request_id in leaving or not clients.settled(client, now_ms):
-        return Block.MOVED_LATELY
+        return BlockReason.MOVED_LATELY
     if now_ms < since_ms + options.least_age_s * 1000.0:
-        return Block.YOUNG
+        return BlockReason.YOUNG
     return None
--- a/sageturn/rebalance/driver.py
+++ b/sageturn/rebalance/driver.py
@@ -68,20 +68,20 @@
             now_ms, self._balancer_actor.snapshot_endpoints(), minute, self._request_registry.stopping
         )
         if plan.phase != "dry-run" and self in self._balancer_actor.observers:
-            for move in plan.moves:
+            for move in plan.migrations:
                 self._balancer_actor.move(move.request_id)
         self._say(plan)
         if now_ms >= self._told_ms + STATE_MS:
             self._told_ms = now_ms
-            self._tell_state(self.state(plan))
+            self._tell_state(self.encode_state(plan))
         return plan
 
     def _say(self, plan: MigrationPlan) -> None:
         """A line for each decision: what goes and why, or why from now on nothing goes."""
-        if plan.moves:
-            reasons = dict.fromkeys(move.reason for move in plan.moves)
+        if plan.migrations:
+            reasons = dict.fromkeys(move.reason for move in plan.migrations)
             asked = "would ask" if plan.phase == "dry-run" else "asks"
-            log.info("%s %d to come again: %s", asked, len(plan.moves), "; ".join(reasons))
+            log.info("%s %d to come again: %s", asked, len(plan.migrations), "; ".join(reasons))
         elif plan.phase != self._said[0] or plan.phase == "held" and plan.why != self._said[1]:
             log.info("%s: %s", plan.phase, plan.why)
         self._said = plan.phase, plan.why
--- a/sageturn/rebalance/clients.py
+++ b/sageturn/rebalance/migration_history.py
@@ -23,7 +23,7 @@
     by_plan: bool
 
 
-class Clients:
+class MigrationHistory:
     """Bounded, and nobody is forgotten early: where there is no room for another, nobody is moved."""
 
     def __init__(self, options: RebalanceOptions) -> None:
--- a/sageturn/rebalance/signs.py
+++ b/sageturn/rebalance/overload_signals.py
@@ -6,8 +6,8 @@
 from collections.abc import Iterable
 
 from sageturn.core.endpoint_snapshot import EndpointSnapshot
-from sageturn.rebalance.book import ConnectionTable
-from sageturn.rebalance.pace import Fading, Sign
+from sageturn.rebalance.connection_table import ConnectionTable
+from sageturn.rebalance.rate_controller import Fading, OverloadSignal
 
 RECENT_MS = 5000.0  # what counts as now: a few round trips of a move, from MOVE to the new UP
 LATE_LEAST, LATE_PART = 2.0, 0.1  # late set-ups that count, and as a part of all
@@ -23,11 +23,11 @@
 LOST_MS = 8000.0  # clients of a lost host are back by then
 
 
-class OverloadSignals:
+class OverloadDetector:
     """``usual_back``: the part of moved clients that come back to this relay, others meet another one."""
 
     def __init__(self, usual_back: float) -> None:
-        self.expect_back(usual_back)
+        self.set_expected_return_ratio(usual_back)
         self.seen: Counter[str] = Counter()  # ticks at which each sign was there
         self._asked, self._set_up, self._late = Fading(RECENT_MS), Fading(RECENT_MS), Fading(RECENT_MS)
         self._refused, self._reset = Fading(RECENT_MS), Fading(RECENT_MS)
@@ -38,7 +38,7 @@
         self._draining_ms: dict[str, float] = {}
         self._lost_ms = float("-inf")
 
-    def expect_back(self, part: float) -> None:
+    def set_expected_return_ratio(self, part: float) -> None:
         """Where there are so many relays that this part of the moved come back here, if it goes by chance."""
         self.usual_back = part
         # Bounded below: were it to fall with every outage, the last would not be seen.
@@ -46,44 +46,44 @@
 
     # ------------------------------------------------------------ events
 
-    def asked(self, now_ms: float) -> None:
+    def record_request(self, now_ms: float) -> None:
         self._asked.add(now_ms)
 
-    def set_up(self, now_ms: float, late: bool) -> None:
+    def record_established(self, now_ms: float, late: bool) -> None:
         self._set_up.add(now_ms)
         if late:
             self._late.add(now_ms)
 
-    def refused(self, now_ms: float) -> None:
+    def record_rejection(self, now_ms: float) -> None:
         self._refused.add(now_ms)
 
-    def reset(self, now_ms: float) -> None:
+    def record_reset(self, now_ms: float) -> None:
         self._reset.add(now_ms)
 
-    def unreachable(self, now_ms: float) -> None:
+    def record_connect_failure(self, now_ms: float) -> None:
         self._unreachable.add(now_ms)
 
-    def listed(self, failed: bool) -> None:
+    def record_endpoint_list(self, failed: bool) -> None:
         self._list_failed = failed
 
-    def back(self, now_ms: float) -> None:
+    def record_return(self, now_ms: float) -> None:
         self._back.add(now_ms)
         self.usual_back += USUAL_NEW * (1.0 - self.usual_back)
 
-    def not_back(self, now_ms: float, clients: int) -> None:
+    def record_missing(self, now_ms: float, clients: int) -> None:
         if clients:
             self._not_back.add(now_ms, clients)
             self.usual_back = max(self._least_back, self.usual_back * (1.0 - USUAL_NEW) ** clients)
 
     # ------------------------------------------------------------ reading
 
-    def read(
+    def evaluate(
         self,
         now_ms: float,
         book: ConnectionTable,
         hosts: Iterable[EndpointSnapshot],
         out: frozenset[str] = frozenset(),
-    ) -> list[Sign]:
+    ) -> list[OverloadSignal]:
         """Those that there are now; to be called at each tick, with the hosts as they are.
 
         ``out``: hosts that an operator has taken out of service, which look like draining ones.
@@ -96,27 +96,27 @@
         back, awaited = self._back.at(now_ms), self._back.at(now_ms) + self._not_back.at(now_ms)
         late = self._late.at(now_ms)
         if self._list_failed:
-            found.append(Sign.LIST_FAILED)
+            found.append(OverloadSignal.LIST_FAILED)
         if now_ms < self._lost_ms + LOST_MS:
-            found.append(Sign.LOST)
+            found.append(OverloadSignal.LOST)
         if any(now_ms < since + DRAIN_MOST_MS for since in self._draining_ms.values()):
-            found.append(Sign.DRAINING)
+            found.append(OverloadSignal.DRAINING)
         if refused >= REFUSING_LEAST and refused >= REFUSING_PART * asked:
-            found.append(Sign.REFUSING)
+            found.append(OverloadSignal.REFUSING)
         if broken >= max(BREAKING_LEAST, BREAKING_PART * own):
-            found.append(Sign.BREAKING)
+            found.append(OverloadSignal.BREAKING)
         if any(host.out for host in self._hosts.values()):
-            found.append(Sign.PUT_OUT)
+            found.append(OverloadSignal.PUT_OUT)
         if refused >= REFUSED_LEAST:
-            found.append(Sign.REFUSED)
+            found.append(OverloadSignal.REFUSED)
         if broken >= max(RESET_LEAST, RESET_PART * own):
-            found.append(Sign.RESET)
+            found.append(OverloadSignal.RESET)
         if self._unreachable.at(now_ms) >= UNREACHABLE_LEAST:
-            found.append(Sign.UNREACHABLE)
+            found.append(OverloadSignal.UNREACHABLE)
         if late >= LATE_LEAST and late >= LATE_PART * self._set_up.at(now_ms):
-            found.append(Sign.LATE)
+            found.append(OverloadSignal.LATE)
         if awaited * self.usual_back >= BACK_LEAST and back < BACK_PART * self.usual_back * awaited:
-            found.append(Sign.NOT_BACK)
+            found.append(OverloadSignal.NOT_BACK)
         self.seen.update(sign.name.lower() for sign in found)
         return found
 
--- a/sageturn/rebalance/planner.py
+++ b/sageturn/rebalance/planner.py
@@ -13,13 +13,13 @@
 
 from sageturn import decision
 from sageturn.core.endpoint_snapshot import EndpointSnapshot, OperatorMarks
-from sageturn.rebalance.balance import Balance, EndpointUtilization, weigh
-from sageturn.rebalance.book import ConnectionTable
-from sageturn.rebalance.clients import Clients, client_number
+from sageturn.rebalance.batches import PASSING, BlockReason, MigrationBatch, Sight, parting, units
+from sageturn.rebalance.connection_table import ConnectionTable
+from sageturn.rebalance.migration_history import MigrationHistory, client_number
 from sageturn.rebalance.options import RebalanceOptions
-from sageturn.rebalance.pace import MigrationRateController, Sign
-from sageturn.rebalance.signs import OverloadSignals
-from sageturn.rebalance.units import PASSING, Block, MigrationBatch, Sight, parting, units
+from sageturn.rebalance.overload_signals import OverloadDetector
+from sageturn.rebalance.rate_controller import MigrationRateController, OverloadSignal
+from sageturn.rebalance.utilization import Balance, EndpointUtilization, weigh
 
 SIGHT = 2000  # connections looked at in a tick at most
 ROOM_PART = 0.5  # of the set-ups that hosts have room for, moved clients may take this; newcomers need some
@@ -45,7 +45,7 @@
     ``dry-run`` is the one phase whose moves are not to be made.
     """
 
-    moves: tuple[Migration, ...]
+    migrations: tuple[Migration, ...]
     phase: str
     why: str
 
@@ -59,16 +59,19 @@
     returned: bool = False
 
 
+NO_PLAN = MigrationPlan((), "", "")  # before the first tick
+
+
 class RebalancePlanner:
     def __init__(self, settings: decision.Settings, options: RebalanceOptions, seed: int) -> None:
         self.settings = settings
         self._aims = {c.name: c.latency_objective_ms for c in settings.classes}
-        self.book = ConnectionTable()
-        self.clients = Clients(options)
-        self.pace = MigrationRateController(options, settings.relay_count, Random(seed))
-        self.signs = OverloadSignals(1.0 / settings.relay_count)
+        self.connections = ConnectionTable()
+        self.history = MigrationHistory(options)
+        self.rate_controller = MigrationRateController(options, settings.relay_count, Random(seed))
+        self.overload_detector = OverloadDetector(1.0 / settings.relay_count)
         self.balances: list[Balance] = []
-        self.blocks: Counter[Block] = Counter()
+        self.block_counts: Counter[BlockReason] = Counter()
         self.counts: Counter[str] = Counter()
         self.useful = 1.0
         self.active = False
@@ -93,19 +96,19 @@
         self._rest_until_ms = 0.0  # what could not be done may be possible now
 
     def _set_options(self, options: RebalanceOptions) -> None:
-        self._options = self.clients.options = self.pace.options = options
+        self._options = self.history.options = self.rate_controller.options = options
 
     # ------------------------------------------------------------ events
 
     def before(self, now_ms: float, event: decision.Event) -> None:
         """Says to the module, in the request itself, that its client was moved for balance just now."""
-        if not isinstance(event, decision.RequestArrived) or not len(self.clients):
+        if not isinstance(event, decision.RequestArrived) or not len(self.history):
             return  # while nobody was moved there is nothing to say
         client = client_number(event.client)
-        moved = self.clients.last_move(client)
+        moved = self.history.last_move(client)
         if moved is not None and moved.by_plan:
             event.spared_until_ms = min(moved.until_ms, moved.at_ms + SPARED_MS)
-            if client in self.clients.on_way:
+            if client in self.history.on_way:
                 event.moved_off = moved.off
                 if self.marks.held and event.allowed is None:
                     event.allowed = frozenset(self._ratios.keys() - self.marks.held)
@@ -113,7 +116,7 @@
     def after(self, now_ms: float, event: decision.Event, actions: Sequence[decision.Action]) -> None:
         match event:
             case decision.RequestArrived():
-                self.signs.asked(now_ms)
+                self.overload_detector.record_request(now_ms)
                 about = event.class_name, event.tenant, event.group
                 self.expect(now_ms, event.id, about, event.client)
                 self._asked[event.id].returned = event.returned
@@ -126,14 +129,14 @@
             case decision.AttemptEnded():
                 self._ended(now_ms, event)
             case decision.MeasurementReported(kind="load"):
-                self.book.load(event.id, event.value)
+                self.connections.load(event.id, event.value)
             case decision.EndpointListEvent():
-                self.signs.listed(event.kind == "failed")
+                self.overload_detector.record_endpoint_list(event.kind == "failed")
         for action in actions:
             match action:
                 case decision.RejectRequest(request_id) | decision.FailRequest(request_id):
                     self._asked.pop(request_id, None)
-                    self.signs.refused(now_ms)
+                    self.overload_detector.record_rejection(now_ms)
                 case decision.MigrateConnection(request_id):
                     self.moved_by_other(now_ms, request_id)
 
@@ -152,20 +155,20 @@
     ) -> None:
         """A connection that stood before the planner, or the relay, was there."""
         since_ms = min(now_ms, since_ms)
-        self.book.add(since_ms, request_id, host, about[2], about[:2], client_number(client))
+        self.connections.add(since_ms, request_id, host, about[2], about[:2], client_number(client))
 
     def moved_by_other(self, now_ms: float, request_id: int) -> None:
         """The module or a drain moves a connection: never held back, and paid for from the same budget."""
         if request_id not in self._leaving:
             self.counts["by_others"] += 1
-            self.pace.charge(1)
+            self.rate_controller.charge(1)
             self._leave(now_ms, request_id, by_plan=False)
 
     def _leave(self, now_ms: float, request_id: int, by_plan: bool) -> None:
-        if request_id not in self.book:
+        if request_id not in self.connections:
             return
-        host, group = self.book.place_of(request_id)
-        self.clients.move(self.book.client_of(request_id), host, group, now_ms, by_plan)
+        host, group = self.connections.place_of(request_id)
+        self.history.move(self.connections.client_of(request_id), host, group, now_ms, by_plan)
         self._leaving.add(request_id)
 
     def _stands(self, now_ms: float, event: decision.ConnectionEstablished) -> None:
@@ -173,14 +176,14 @@
         if asked is None:
             return
         late = now_ms - asked.at_ms > self._aims.get(asked.pair[0], float("inf"))
-        self.signs.set_up(now_ms, late)
-        self.book.add(now_ms, event.id, event.endpoint, asked.group, asked.pair, asked.client)
-        moved = self.clients.stands(asked.client)
+        self.overload_detector.record_established(now_ms, late)
+        self.connections.add(now_ms, event.id, event.endpoint, asked.group, asked.pair, asked.client)
+        moved = self.history.stands(asked.client)
         if moved is None:
             if asked.returned:
-                self.clients.returned(asked.client, now_ms)
+                self.history.returned(asked.client, now_ms)
             return
-        self.signs.back(now_ms)
+        self.overload_detector.record_return(now_ms)
         self.counts["back"] += 1
         if moved.by_plan:
             self.counts["back_late"] += late
@@ -190,11 +193,11 @@
             self.useful += USEFUL_NEW * (good - self.useful)
 
     def _ended(self, now_ms: float, event: decision.AttemptEnded) -> None:
-        if self.book.remove(event.id):
+        if self.connections.remove(event.id):
             if event.status == "reset":
-                self.signs.reset(now_ms)
+                self.overload_detector.record_reset(now_ms)
         elif event.status in ("connect_failed", "timeout"):
-            self.signs.unreachable(now_ms)
+            self.overload_detector.record_connect_failure(now_ms)
         self._leaving.discard(event.id)
         if event.final:
             self._asked.pop(event.id, None)
@@ -206,12 +209,12 @@
     ) -> MigrationPlan:
         """``minute`` of the UTC day; ``stopping``: the relay itself is about to leave, and moves everyone."""
         options = self._options
-        self.clients.forget(now_ms)
-        lost = self.clients.lost(now_ms)
+        self.history.forget(now_ms)
+        lost = self.history.lost(now_ms)
         self.counts["not_back"] += lost
-        self.signs.not_back(now_ms, lost)
-        signs = self.signs.read(now_ms, self.book, hosts, self.marks.out)
-        self.pace.advance(now_ms, len(self.book), signs, self._doing_well())
+        self.overload_detector.record_missing(now_ms, lost)
+        signs = self.overload_detector.evaluate(now_ms, self.connections, hosts, self.marks.out)
+        self.rate_controller.advance(now_ms, len(self.connections), signs, self._doing_well())
         self._weigh(hosts)
         if stopping:
             return MigrationPlan((), "stopping", "the relay leaves and moves everyone itself")
@@ -225,8 +228,8 @@
         self._see_active()
         if not self.active:
             return MigrationPlan((), "balanced", self._measure())
-        if now_ms < self.pace.stopped_until_ms or not self.pace.rate:
-            sign = self.pace.sign
+        if now_ms < self.rate_controller.stopped_until_ms or not self.rate_controller.rate:
+            sign = self.rate_controller.sign
             why = f"{sign.name.lower()}: {sign.value}" if sign else "settling after a start"
             return MigrationPlan((), "held", why)
         if now_ms < self._rest_until_ms:
@@ -238,15 +241,19 @@
 
     def _clear(self, now_ms: float, hosts: Sequence[EndpointSnapshot]) -> MigrationPlan | None:
         """Hosts that an operator clears: everyone goes, in whatever mode, at the same pace as any move."""
-        full = [self.book.hosts[name] for name in sorted(self.marks.cleared) if name in self.book.hosts]
-        if not full or now_ms < self.pace.stopped_until_ms or not self.pace.rate:
+        full = [
+            self.connections.hosts[name]
+            for name in sorted(self.marks.cleared)
+            if name in self.connections.hosts
+        ]
+        if not full or now_ms < self.rate_controller.stopped_until_ms or not self.rate_controller.rate:
             return None
         whole, room = self._room(hosts)
         largest = max(1, min(whole, self._options.burst))
         moves: list[Migration] = []
         for held in full:
             reason = f"{held.name} is cleared by an operator"
-            for unit in parting(self.book, held, largest, now_ms, self.clients, self._leaving):
+            for unit in parting(self.connections, held, largest, now_ms, self.history, self._leaving):
                 if self._may_go(unit, room - len(unit.ids)):
                     break
                 room -= len(unit.ids)
@@ -261,7 +268,7 @@
         up, since what these have asked to move may come here in their place.
         """
         whole = int(ROOM_PART * sum(h.room for h in hosts if h.ready))
-        return whole, whole - len(self.clients.on_way)
+        return whole, whole - len(self.history.on_way)
 
     def _take_rest(self, now_ms: float, rest_ms: float, phase: str, why: str) -> MigrationPlan:
         self._rest_until_ms, self._rest = now_ms + rest_ms, (phase, why)
@@ -280,8 +287,10 @@
         if zones != self._zones:
             # Clients come back through their zone's relays: alone there, all of them are seen again.
             self._zones = zones
-            self.signs.expect_back(1.0 / max(1.0, st.relay_count / max(1, len(zones))))
-        self.balances = weigh(self.book, hosts, sharers, by_zone, st.groups)
+            self.overload_detector.set_expected_return_ratio(
+                1.0 / max(1.0, st.relay_count / max(1, len(zones)))
+            )
+        self.balances = weigh(self.connections, hosts, sharers, by_zone, st.groups)
         self._ratios = {fill.name: fill.ratio for balance in self.balances for fill in balance.fills}
 
     def _see_active(self) -> None:
@@ -299,7 +308,7 @@
     # ------------------------------------------------------------ choosing
 
     def _plan(self, now_ms: float, hosts: Sequence[EndpointSnapshot]) -> MigrationPlan:
-        self.blocks = Counter()
+        self.block_counts = Counter()
         sight = Sight(SIGHT)
         moves: list[Migration] = []
         whole, room = self._room(hosts)
@@ -313,13 +322,13 @@
             return MigrationPlan(tuple(moves), "balancing", self._measure())
         if waits:
             return MigrationPlan((), "waiting", waits)
-        if not any(block in PASSING for block in self.blocks):
+        if not any(block in PASSING for block in self.block_counts):
             why = f"{self._measure()}: {self._in_way()}"
             return self._take_rest(now_ms, UNREACHABLE_MS, "unreachable", why)
         return MigrationPlan((), "waiting", self._in_way())
 
     def _in_way(self) -> str:
-        told = (f"{count} {block.value}" for block, count in self.blocks.most_common())
+        told = (f"{count} {block.value}" for block, count in self.block_counts.most_common())
         return "; ".join(told) or "no host has room for more"
 
     def _plan_set(
@@ -339,22 +348,22 @@
         for donor in sorted(balance.fills, key=lambda f: (-f.ratio, f.name)):
             if donor.ratio <= floor:
                 break
-            held = self.book.hosts.get(donor.name)
+            held = self.connections.hosts.get(donor.name)
             if held is None or donor.name in held_back:
                 continue
             taker = min(takers, key=lambda f: (ratios[f.name], f.name))
             most = self._fits(donor, taker, ratios)
             found = units(
-                self.book,
+                self.connections,
                 held,
                 most,
                 largest,
                 now_ms,
                 self._options,
-                self.clients,
+                self.history,
                 self._leaving,
                 sight,
-                self.blocks,
+                self.block_counts,
             )
             for unit in found:
                 if unit.load > self._fits(donor, taker, ratios):
@@ -383,11 +392,11 @@
     def _may_go(self, unit: MigrationBatch, room_left: int) -> str:
         count = len(unit.ids)
         if room_left < 0:
-            return f"{len(self.clients.on_way)} on the way, no room for {count} more"
-        if not self.clients.room_for(count):
+            return f"{len(self.history.on_way)} on the way, no room for {count} more"
+        if not self.history.room_for(count):
             return "as many moved clients remembered as there is room for"
-        if not self.pace.take(count):
-            return f"saves for {unit.what}: {max(0.0, self.pace.tokens):.1f} saved"
+        if not self.rate_controller.take(count):
+            return f"saves for {unit.what}: {max(0.0, self.rate_controller.tokens):.1f} saved"
         return ""
 
     def _go(
@@ -404,7 +413,7 @@
 
     # ------------------------------------------------------------ for operators
 
-    def state(self, plan: MigrationPlan) -> dict[str, object]:
+    def encode_state(self, plan: MigrationPlan) -> dict[str, object]:
         return {
             "mode": self._options.mode,
             "phase": plan.phase,
@@ -412,16 +421,16 @@
             "fullest": round(max((b.fullest for b in self.balances), default=1.0), 3),
             "emptiest": round(min((b.emptiest for b in self.balances), default=1.0), 3),
             "trust": round(max((b.trust for b in self.balances), default=0.0), 2),
-            "per_s": round(self.pace.rate, 3),
-            "top_per_s": round(self.pace.top(len(self.book)), 3),
-            "saved": round(self.pace.tokens, 1),
-            "on_way": len(self.clients.on_way),
-            "remembered": len(self.clients),
+            "per_s": round(self.rate_controller.rate, 3),
+            "top_per_s": round(self.rate_controller.max_rate(len(self.connections)), 3),
+            "saved": round(self.rate_controller.tokens, 1),
+            "on_way": len(self.history.on_way),
+            "remembered": len(self.history),
             "useful": round(self.useful, 2),
             "counts": dict(sorted(self.counts.items())),
-            "signs": dict(sorted(self.signs.seen.items())),
-            "in_the_way": {block.name.lower(): count for block, count in self.blocks.items()},
+            "signs": dict(sorted(self.overload_detector.seen.items())),
+            "in_the_way": {block.name.lower(): count for block, count in self.block_counts.items()},
         }
 
 
-__all__ = ["EndpointSnapshot", "Migration", "MigrationPlan", "RebalancePlanner", "Sign"]
+__all__ = ["EndpointSnapshot", "Migration", "MigrationPlan", "RebalancePlanner", "OverloadSignal"]
--- a/sageturn/rebalance/pace.py
+++ b/sageturn/rebalance/rate_controller.py
@@ -11,11 +11,13 @@
 START_PART = 8.0  # a pace starts at the top's part of this, also after each stop
 RISE_MS, RISE_PART = 5000.0, 16.0  # and rises by this part of the top so often while moved clients do well
 HALVE_MS = 5000.0  # a sign that stays halves again so often: what was moved since has to show first
-SETTLE_MS = 20000.0  # after a start, and after an outage's last sign: its clients come back over such a time
+SETTLING_TIME_MS = (
+    20000.0  # after a start, and after an outage's last sign: its clients come back over such a time
+)
 LEAST_PART = 64.0  # a pace under the top's part of this is no pace: it waits until the signs are gone
 
 
-class Sign(Enum):
+class OverloadSignal(Enum):
     """What speaks against moving more just now, with the reason why it counts."""
 
     LATE = "set-ups take longer than their class wants: moved clients would add to them"
@@ -32,7 +34,15 @@
 
 
 # No move at all while one of these is seen, and a slow start after it.
-STOPS = frozenset({Sign.LIST_FAILED, Sign.DRAINING, Sign.LOST, Sign.REFUSING, Sign.BREAKING})
+STOPS = frozenset(
+    {
+        OverloadSignal.LIST_FAILED,
+        OverloadSignal.DRAINING,
+        OverloadSignal.LOST,
+        OverloadSignal.REFUSING,
+        OverloadSignal.BREAKING,
+    }
+)
 
 
 class Fading:
@@ -62,21 +72,21 @@
         self.rate = 0.0  # moves a second
         self.tokens = 0.0
         self.stopped_until_ms = -1.0  # below 0: not started yet
-        self.sign: Sign | None = None  # the last one seen, until the pace has risen again
+        self.sign: OverloadSignal | None = None  # the last one seen, until the pace has risen again
         self._at_ms = self._risen_ms = self._halved_ms = 0.0
 
-    def top(self, own: int) -> float:
+    def max_rate(self, own: int) -> float:
         """Moves a second at most, of a relay that holds ``own`` connections."""
         top = self.options.part_per_min * own / 60.0
         if self.options.fleet_per_s > 0:
             top = min(top, self.options.fleet_per_s / self._relay_count)
         return top
 
-    def advance(self, now_ms: float, own: int, signs: list[Sign], doing_well: bool) -> None:
+    def advance(self, now_ms: float, own: int, signs: list[OverloadSignal], doing_well: bool) -> None:
         """To be called at each tick. ``doing_well``: moved clients stand again in time, or none are due."""
         if self.stopped_until_ms < 0:
             self._stop(now_ms)
-        top = self.top(own)
+        top = self.max_rate(own)
         if now_ms >= self.stopped_until_ms:
             since_ms = now_ms - max(self._at_ms, self.stopped_until_ms)
             if not self.rate and not signs:
@@ -102,7 +112,7 @@
 
     def _stop(self, now_ms: float) -> None:
         self.rate, self.tokens = 0.0, min(0.0, self.tokens)
-        self.stopped_until_ms = now_ms + SETTLE_MS
+        self.stopped_until_ms = now_ms + SETTLING_TIME_MS
 
     def take(self, moves: int) -> bool:
         if self.tokens < moves:
--- a/sageturn/rebalance/balance.py
+++ b/sageturn/rebalance/utilization.py
@@ -13,7 +13,7 @@
 
 from sageturn.core.endpoint_snapshot import EndpointSnapshot
 from sageturn.decision.balancer import GROUP_COST
-from sageturn.rebalance.book import ConnectionTable
+from sageturn.rebalance.connection_table import ConnectionTable
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/overrides/test_overrides_relay.py
+++ b/tests/overrides/test_overrides_relay.py
@@ -150,8 +150,10 @@
 def test_a_host_that_is_cleared_is_emptied_at_the_planners_pace(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("sageturn.rebalance.pace.SETTLE_MS", 0.0)
-    monkeypatch.setattr("sageturn.rebalance.pace.MigrationRateController.top", lambda self, own: 400.0)
+    monkeypatch.setattr("sageturn.rebalance.rate_controller.SETTLING_TIME_MS", 0.0)
+    monkeypatch.setattr(
+        "sageturn.rebalance.rate_controller.MigrationRateController.max_rate", lambda self, own: 400.0
+    )
 
     async def go() -> None:
         async with overriding(tmp_path, up, up) as ((relay,), (a, b)):
--- a/tests/rebalance/test_planner.py
+++ b/tests/rebalance/test_planner.py
@@ -11,11 +11,11 @@
 
 from sageturn import AttemptEnded, Endpoint, EndpointListEvent, MeasurementReported
 from sageturn.core.endpoint_snapshot import OperatorMarks, snapshot_endpoints
-from sageturn.rebalance.book import ConnectionTable
-from sageturn.rebalance.clients import Clients
+from sageturn.rebalance.connection_table import ConnectionTable
+from sageturn.rebalance.migration_history import MigrationHistory
 from sageturn.rebalance.options import RebalanceOptions
-from sageturn.rebalance.pace import Sign
-from sageturn.rebalance.signs import OverloadSignals
+from sageturn.rebalance.overload_signals import OverloadDetector
+from sageturn.rebalance.rate_controller import OverloadSignal
 
 QUICK = {"part_per_min": 0.5, "least_age_s": 2.0}
 
@@ -38,12 +38,12 @@
             homes.setdefault(group, set()).add(host)
         before = {i: conn for i, conn in fleet.conns.items()}
         plan = fleet.step()
-        gone = Counter(before[m.request_id][2] for m in plan.moves)
+        gone = Counter(before[m.request_id][2] for m in plan.migrations)
         for group, count in gone.items():
-            here = {before[m.request_id][3] for m in plan.moves if before[m.request_id][2] == group}
+            here = {before[m.request_id][3] for m in plan.migrations if before[m.request_id][2] == group}
             assert len(here) == 1
             assert count == sum(conn[2] == group and conn[3] in here for conn in before.values())
-        first = first or (fleet.now if plan.moves else None)
+        first = first or (fleet.now if plan.migrations else None)
     assert fleet.fullest <= 1.15 and fleet.plan.phase == "balanced"
     assert first is not None and first >= 1e6 + 20000.0, "a relay that has just started waits"
     assert len(fleet.moved) <= 60 and all(why for _, _, why in fleet.moved)
@@ -138,14 +138,14 @@
     again = [Endpoint(n, started_at_ms=fleet.now if n == "d" else 0.0) for n in "abcd"]
     fleet.tell(EndpointListEvent("full", again))
     count, at = len(fleet.moved), fleet.now
-    assert fleet.step().phase == "held" and fleet.planner.pace.rate == 0.0
+    assert fleet.step().phase == "held" and fleet.planner.rate_controller.rate == 0.0
     fleet.run(25)
     assert len(fleet.moved) == count
     while len(fleet.moved) == count:
         fleet.step()
         assert fleet.now < at + 240000.0
-    top = fleet.planner.pace.top(len(fleet.conns))
-    assert fleet.planner.pace.rate <= top / 2
+    top = fleet.planner.rate_controller.max_rate(len(fleet.conns))
+    assert fleet.planner.rate_controller.rate <= top / 2
 
 
 def test_reconnects_in_an_outage_stop_it_and_those_on_the_way_are_counted() -> None:
@@ -163,7 +163,7 @@
     assert refused >= 4
     fleet.run(12)
     assert len(fleet.moved) == count and fleet.plan.phase == "held"
-    assert len(fleet.planner.clients.on_way) == 0 or fleet.now < 1e6 + 1e5
+    assert len(fleet.planner.history.on_way) == 0 or fleet.now < 1e6 + 1e5
 
 
 def test_never_more_on_the_way_than_there_is_room_for() -> None:
@@ -173,7 +173,7 @@
     for _ in range(120):
         room = sum(view.room for view in snapshot_endpoints(fleet.balancer, fleet.now))
         fleet.step()
-        most = max(most, len(fleet.planner.clients.on_way))
+        most = max(most, len(fleet.planner.history.on_way))
         assert most <= room
     assert most > 0
 
@@ -183,7 +183,7 @@
     missing.come_back = False
     usual.run(200)
     missing.run(200)
-    assert missing.planner.signs.seen["not_back"] > 0
+    assert missing.planner.overload_detector.seen["not_back"] > 0
     assert len(missing.moved) < len(usual.moved)
 
 
@@ -256,7 +256,7 @@
     fleet.run(60)
     assert len(fleet.moved) == count and fleet.plan.phase == "off"
     fleet.planner.options = RebalanceOptions(**{**QUICK, "mode": "dry-run"})
-    planned = sum(len(fleet.step().moves) for _ in range(60))
+    planned = sum(len(fleet.step().migrations) for _ in range(60))
     assert planned > 0 and len(fleet.moved) == count
     assert fleet.planner.counts["would_move"] == planned
 
@@ -277,10 +277,10 @@
 def test_one_budget_for_the_module_a_drain_and_the_plan() -> None:
     fleet = skewed()
     fleet.run(40)
-    before = fleet.planner.pace.tokens
+    before = fleet.planner.rate_controller.tokens
     for request_id in fleet.on("b")[:6]:
         fleet.planner.moved_by_other(fleet.now, request_id)
-    assert fleet.planner.pace.tokens == pytest.approx(before - 6)
+    assert fleet.planner.rate_controller.tokens == pytest.approx(before - 6)
     gone = {fleet.conns[i][0] for i in fleet.on("b")[:6]}
     fleet.run(120)
     assert not gone & {client for _, client, _ in fleet.moved}
@@ -305,14 +305,14 @@
 def test_the_state_tells_what_and_why() -> None:
     fleet = skewed()
     fleet.run(60)
-    state = fleet.planner.state(fleet.plan)
+    state = fleet.planner.encode_state(fleet.plan)
     assert state["mode"] == "on" and state["counts"]["moved"] == len(fleet.moved)  # type: ignore[index]
     assert state["phase"] == fleet.plan.phase and state["why"]
 
 
 def test_the_book_is_true_after_any_course_of_events() -> None:
     fleet = skewed()
-    book = fleet.planner.book
+    book = fleet.planner.connections
     for request_id in list(fleet.conns)[::3]:
         fleet.ends(request_id, "ok")
     fleet.stands("a", 7, "a0")
@@ -370,7 +370,7 @@
         else:
             fleet.tell(EndpointListEvent("failed", []))
         most = max(most, len(fleet.conns))
-    top = fleet.planner.pace.top(most)
+    top = fleet.planner.rate_controller.max_rate(most)
     times = [t for t, _, _ in fleet.moved]
     for i, begin in enumerate(times):
         for j in range(i, len(times)):
@@ -385,7 +385,7 @@
 
 @given(st.lists(st.tuples(st.integers(1, 12), st.floats(0, 30)), max_size=60))
 def test_a_full_memory_forgets_nobody_whose_time_is_not_over(moves: list[tuple[int, float]]) -> None:
-    clients = Clients(RebalanceOptions(remember=4, again_s=50.0))
+    clients = MigrationHistory(RebalanceOptions(remember=4, again_s=50.0))
     now, last = 0.0, dict[int, float]()
     for client, gap_s in moves:
         now += gap_s * 1000.0
@@ -400,7 +400,7 @@
 def test_an_outcome_for_nobody_is_passed_over() -> None:
     fleet = skewed()
     fleet.tell(AttemptEnded(99999, 0, "a", "reset", True))
-    assert len(fleet.planner.book) == len(fleet.conns)
+    assert len(fleet.planner.connections) == len(fleet.conns)
 
 
 def test_a_held_host_gives_and_takes_nothing() -> None:
@@ -443,15 +443,15 @@
 
 def test_that_most_come_back_at_other_relays_is_no_harm_where_there_are_many() -> None:
     # With 50 relays one in 50 comes back here; a floor of a tenth took that for an outage, and held the pace.
-    signs, book, now = OverloadSignals(1.0 / 50.0), ConnectionTable(), 0.0
+    signs, book, now = OverloadDetector(1.0 / 50.0), ConnectionTable(), 0.0
     for number in range(2000):
         now += 40.0
         if number % 50 == 0:
-            signs.back(now)
+            signs.record_return(now)
         else:
-            signs.not_back(now, 1)
-        assert Sign.NOT_BACK not in signs.read(now, book, ())
+            signs.record_missing(now, 1)
+        assert OverloadSignal.NOT_BACK not in signs.evaluate(now, book, ())
     for _ in range(1000):
         now += 40.0
-        signs.not_back(now, 1)
-    assert Sign.NOT_BACK in signs.read(now, book, ()), "none at all is harm"
+        signs.record_missing(now, 1)
+    assert OverloadSignal.NOT_BACK in signs.evaluate(now, book, ()), "none at all is harm"
--- a/tests/rebalance/test_rebalance_relay.py
+++ b/tests/rebalance/test_rebalance_relay.py
@@ -30,8 +30,10 @@
 @pytest.fixture
 def hasty(monkeypatch: pytest.MonkeyPatch) -> None:
     """A pace at which a test is over soon."""
-    monkeypatch.setattr("sageturn.rebalance.pace.SETTLE_MS", 0.0)
-    monkeypatch.setattr("sageturn.rebalance.pace.MigrationRateController.top", lambda self, own: 400.0)
+    monkeypatch.setattr("sageturn.rebalance.rate_controller.SETTLING_TIME_MS", 0.0)
+    monkeypatch.setattr(
+        "sageturn.rebalance.rate_controller.MigrationRateController.max_rate", lambda self, own: 400.0
+    )
 
 
 async def until(what) -> None:  # type: ignore[no-untyped-def]
@@ -91,7 +93,10 @@
             relay._reload.set()
             await until(lambda: relay.rebalancer is not None)
             assert relay.rebalancer is not None
-            assert len(relay.rebalancer.book) == 3 and relay.rebalancer.book.hosts["a"].parts["g1"].count == 3
+            assert (
+                len(relay.rebalancer.connections) == 3
+                and relay.rebalancer.connections.hosts["a"].parts["g1"].count == 3
+            )
             draining = asyncio.ensure_future(relay.request_registry.drain(relay))
             await until(lambda: relay.rebalancer.counts["by_others"] == 3)  # type: ignore[union-attr]
             assert relay.rebalancer.step().phase == "stopping"
@@ -128,9 +133,9 @@
             await client.bind()
             await relay._switch(load({"GW_CONFIG": str(tmp_path / "config.json")}, str(file)))
             planner = relay.rebalancer
-            assert planner is not None and len(planner.book) == 1
+            assert planner is not None and len(planner.connections) == 1
             (lifecycle,) = relay.request_registry
-            assert planner.book.client_of(lifecycle.id) != 0
+            assert planner.connections.client_of(lifecycle.id) != 0
             planner.tick = lambda *_: MigrationPlan((Migration(lifecycle.id, "a test"),), "balancing", "")  # type: ignore[method-assign]
             assert "<move xmlns='urn:sageturn:relay:0'" in await client.rest()
 
--- a/tests/relay/test_compatibility_states.py
+++ b/tests/relay/test_compatibility_states.py
@@ -34,9 +34,9 @@
 )
 from sageturn.overrides.options import OverrideOptions
 from sageturn.overrides.resolve import SafetyLimits
+from sageturn.rebalance.batches import BlockReason
 from sageturn.rebalance.options import RebalanceOptions
 from sageturn.rebalance.planner import MigrationPlan
-from sageturn.rebalance.units import Block
 from sageturn.relay import Relay
 
 FIXTURES = Path(__file__).parents[1] / "fixtures" / "states"
@@ -104,15 +104,15 @@
 
 def give_signs(fleet: Fleet) -> None:
     """What speaks against moving more: refusals, resets, failed calls, clients that stay away, losses."""
-    signs, now_ms = fleet.planner.signs, fleet.now
-    signs.asked(now_ms)
-    signs.set_up(now_ms, late=True)
-    signs.refused(now_ms)
-    signs.reset(now_ms)
-    signs.unreachable(now_ms)
-    signs.not_back(now_ms, 5)
+    signs, now_ms = fleet.planner.overload_detector, fleet.now
+    signs.record_request(now_ms)
+    signs.record_established(now_ms, late=True)
+    signs.record_rejection(now_ms)
+    signs.record_reset(now_ms)
+    signs.record_connect_failure(now_ms)
+    signs.record_missing(now_ms, 5)
     fleet.tell(EndpointListEvent("changes", [Endpoint("c", state="draining"), Endpoint("d", state="gone")]))
-    signs.listed(failed=True)
+    signs.record_endpoint_list(failed=True)
 
 
 def make_rebalance_states() -> bytes:
@@ -124,18 +124,18 @@
             fleet.stands(host, 5, f"{host}{number}")
     for seconds in (1, 29, 15, 200):
         fleet.run(seconds)
-        told.append(fleet.planner.state(fleet.plan))
+        told.append(fleet.planner.encode_state(fleet.plan))
     fleet.planner.options = RebalanceOptions(mode="dry-run")
-    told.append(fleet.planner.state(fleet.step()))
+    told.append(fleet.planner.encode_state(fleet.step()))
     fleet.planner.options = RebalanceOptions(mode="off")
-    told.append(fleet.planner.state(fleet.step()))
-    for number, block in enumerate(Block):
-        fleet.planner.blocks[block] = number
-    told.append(fleet.planner.state(MigrationPlan((), "held", "said here")))
+    told.append(fleet.planner.encode_state(fleet.step()))
+    for number, block in enumerate(BlockReason):
+        fleet.planner.block_counts[block] = number
+    told.append(fleet.planner.encode_state(MigrationPlan((), "held", "said here")))
     fleet.planner.options = fleet.options
     for _ in range(40):
         give_signs(fleet)
-    told.append(fleet.planner.state(fleet.step()))
+    told.append(fleet.planner.encode_state(fleet.step()))
     return as_lines([("state/n1/rebalance", state) for state in told])
 
 
--- a/tests/support/rebalance_fleet.py
+++ b/tests/support/rebalance_fleet.py
@@ -19,7 +19,7 @@
 )
 from sageturn.core.endpoint_snapshot import snapshot_endpoints
 from sageturn.rebalance.options import RebalanceOptions
-from sageturn.rebalance.planner import MigrationPlan, RebalancePlanner
+from sageturn.rebalance.planner import NO_PLAN, MigrationPlan, RebalancePlanner
 
 CLASSES = (
     RequestClass("c", latency_objective_ms=500),
@@ -43,7 +43,7 @@
         self.moved: list[tuple[float, str, str]] = []  # when, client, why
         self.gap_ms, self.set_up_ms, self.come_back = 300.0, 20.0, True
         self.minute, self.ids = 0, 0
-        self.plan = MigrationPlan((), "", "")
+        self.plan = NO_PLAN
         self.tell(EndpointListEvent("full", [Endpoint(name) for name in hosts]))
 
     def tell(self, event: Any) -> list[Any]:
@@ -89,7 +89,7 @@
             self.comes(client, cls, group)
         self.plan = self.planner.tick(self.now, snapshot_endpoints(self.balancer, self.now), self.minute)
         if self.plan.phase != "dry-run":
-            for move in self.plan.moves:
+            for move in self.plan.migrations:
                 client, cls, group, _ = self.conns[move.request_id]
                 self.moved.append((self.now, client, move.reason))
                 self.ends(move.request_id)
