--- a/sageturn/lab/naive.py
+++ b/sageturn/lab/naive.py
@@ -1,54 +1,71 @@
-"""What a user would write in an afternoon: the fullest host sends all that it has too much at once.
+"""A baseline policy: the fullest endpoint sends away all that it has in excess, at once.
 
-It stands beside the planner in measurements, and nowhere else.
+What a user would write in an afternoon. It is measured beside the planner, and used nowhere else.
 """
 
 from __future__ import annotations
 
-from collections.abc import Sequence
+from collections.abc import Iterator, Sequence
 
 from sageturn.core.endpoint_snapshot import EndpointSnapshot
+from sageturn.rebalance.connection_table import ConnectionTable
 from sageturn.rebalance.driver import Rebalancer
-from sageturn.rebalance.planner import Migration, MigrationPlan, RebalancePlanner
-
-EVERY_MS = 10000.0  # a new look so often
-
-
-def naive_plan(planner: RebalancePlanner, now_ms: float, hosts: Sequence[EndpointSnapshot]) -> MigrationPlan:
-    """The newest connections of the host with the highest load, down to the mean of all hosts."""
-    ready = [host for host in hosts if host.ready]
-    book, mean = planner.connections, planner.connections.mean
-    loads = {h.name: book.hosts[h.name].load(mean, 0.0) if h.name in book.hosts else 0.0 for h in ready}
-    size = sum(h.size for h in ready)
-    moves: list[Migration] = []
-    if loads and size > 0:
-        fullest = max(ready, key=lambda h: (loads[h.name] / h.size, h.name))
-        excess = loads[fullest.name] - sum(loads.values()) * fullest.size / size
-        held = book.hosts.get(fullest.name)
-        for part in held.parts.values() if held else ():
-            for request_id, *_ in book.members(part):
-                load = book.load_of(request_id)
-                if excess < load:
-                    return MigrationPlan(tuple(moves), "balancing", "")
-                excess -= load
-                moves.append(Migration(request_id, f"{fullest.name} is the fullest"))
-    return MigrationPlan(tuple(moves), "balancing", "")
+from sageturn.rebalance.plan import Migration, MigrationPlan, PlanPhase
+from sageturn.rebalance.planner import RebalancePlanner
+
+PLAN_INTERVAL_MS = 10000.0
+
+
+def naive_plan(
+    planner: RebalancePlanner, now_ms: float, endpoints: Sequence[EndpointSnapshot]
+) -> MigrationPlan:
+    """The newest connections of the endpoint with the highest load, down to the mean of all endpoints."""
+    migrations = tuple(_excess_migrations(planner.connections, endpoints))
+    return MigrationPlan(migrations, PlanPhase.BALANCING, "")
+
+
+def _excess_migrations(
+    connections: ConnectionTable, endpoints: Sequence[EndpointSnapshot]
+) -> Iterator[Migration]:
+    ready = [endpoint for endpoint in endpoints if endpoint.ready]
+    loads = {endpoint.name: _load(connections, endpoint.name) for endpoint in ready}
+    total_size = sum(endpoint.size for endpoint in ready)
+    if not loads or total_size <= 0:
+        return
+    fullest = max(ready, key=lambda endpoint: (loads[endpoint.name] / endpoint.size, endpoint.name))
+    excess = loads[fullest.name] - sum(loads.values()) * fullest.size / total_size
+    totals = connections.endpoints.get(fullest.name)
+    for allocation in totals.groups.values() if totals is not None else ():
+        for connection in connections.members(allocation):
+            load = connections.load_of(connection.request_id)
+            if excess < load:
+                return
+            excess -= load
+            yield Migration(connection.request_id, f"{fullest.name} is the fullest")
+
+
+def _load(connections: ConnectionTable, name: str) -> float:
+    totals = connections.endpoints.get(name)
+    return totals.load(connections.mean_load, group_cost=0.0) if totals is not None else 0.0
 
 
 class NaivePlanner(RebalancePlanner):
-    _looked_ms = 0.0
+    """The baseline in the planner's place."""
+
+    _planned_ms = 0.0
 
     def tick(
-        self, now_ms: float, hosts: Sequence[EndpointSnapshot], minute: int, stopping: bool = False
+        self, now_ms: float, endpoints: Sequence[EndpointSnapshot], minute: int, stopping: bool = False
     ) -> MigrationPlan:
-        if now_ms < self._looked_ms + EVERY_MS:
-            return MigrationPlan((), "waiting", "")
-        self._looked_ms = now_ms
-        return naive_plan(self, now_ms, hosts)
+        """Plan every ``PLAN_INTERVAL_MS``; quiet hours and signals are ignored."""
+        if now_ms < self._planned_ms + PLAN_INTERVAL_MS:
+            return MigrationPlan((), PlanPhase.WAITING, "")
+        self._planned_ms = now_ms
+        return naive_plan(self, now_ms, endpoints)
 
     def before(self, now_ms: float, event: object) -> None:
-        """It tells the module nothing."""
+        """The balancer is told nothing of migrations."""
 
 
 class NaiveRebalancer(NaivePlanner, Rebalancer):
-    """The same in a relay."""
+    """The baseline in a relay."""
--- a/sageturn/lab/rebalancing.py
+++ b/sageturn/lab/rebalancing.py
@@ -26,6 +26,7 @@
 from sageturn.lab.simulate import simulate
 from sageturn.lab.spec import Spec
 from sageturn.lab.world import Series
+from sageturn.rebalance.connection_table import ConnectionLabels
 from sageturn.rebalance.options import RebalanceOptions
 from sageturn.rebalance.planner import RebalancePlanner
 
@@ -211,8 +212,9 @@
     before = tracemalloc.get_traced_memory()[0]
     planner = RebalancePlanner(settings, RebalanceOptions(mode="on"), 1)
     for n, (key, group, host) in enumerate(keys):
-        planner.adopt(0.0, n, host, (classes[n // 12 % 3], "t", group), key, 0.0)
-        planner.connections.load(n, 1.0 + n % 3)
+        labels = ConnectionLabels(classes[n // 12 % 3], "t", group)
+        planner.adopt(0.0, n, host, labels, key, 0.0)
+        planner.connections.set_load(n, 1.0 + n % 3)
     held = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
     planner.rate_controller.stopped_until_ms = 0.0
--- a/sageturn/lab/simrelay.py
+++ b/sageturn/lab/simrelay.py
@@ -16,7 +16,8 @@
 from sageturn.lab.policy import load_policy
 from sageturn.lab.spec import Spec, relay_settings
 from sageturn.rebalance.options import RebalanceOptions
-from sageturn.rebalance.planner import NO_PLAN, RebalancePlanner
+from sageturn.rebalance.plan import NO_PLAN
+from sageturn.rebalance.planner import RebalancePlanner
 
 MOVERS = ("off", "naive", "on")
 BUSY_MS = 4.0  # until a host that turns a request away has said so
--- a/sageturn/rebalance/__init__.py
+++ b/sageturn/rebalance/__init__.py
@@ -1,4 +1,5 @@
-"""Slow rebalancing of standing connections: who is asked to come again, when, and why.
+"""Slow rebalancing of established connections: which clients are asked to reconnect, when, and why.
 
-``planner`` and its neighbours do no I/O and hold no clock; ``driver`` joins them to the relay.
+``driver`` connects the package to the relay. All else does no I/O and has no clock: ``planner`` decides at
+each tick, from what ``event_tracker`` has observed of the balancer.
 """
--- /dev/null
+++ b/sageturn/rebalance/allocations.py
@@ -0,0 +1,116 @@
+"""Counts and loads of this relay's connections, summed per endpoint and per group at an endpoint."""
+
+from __future__ import annotations
+
+
+class LoadTotals:
+    """A number of connections and the load that some of them have reported, in work per second."""
+
+    __slots__ = ("connection_count", "reported_load", "reporting_count")
+
+    def __init__(self) -> None:
+        self.connection_count = 0
+        self.reported_load = 0.0
+        self.reporting_count = 0  # connections whose load is in ``reported_load``
+
+    def change_load(self, load_change: float, reporting_change: int) -> None:
+        """Add to the reported load and to the number of those that report; both may be negative."""
+        self.reported_load += load_change
+        self.reporting_count += reporting_change
+        if not self.reporting_count:
+            self.reported_load = 0.0  # drops what rounding has left over
+
+
+class GroupAllocation(LoadTotals):
+    """A group's connections at one endpoint; the group "" holds those that have none."""
+
+    __slots__ = ("endpoint", "group", "first_row")
+
+    def __init__(self, endpoint: EndpointTotals, group: str, first_row: int) -> None:
+        super().__init__()
+        self.endpoint = endpoint
+        self.group = group
+        self.first_row = first_row  # start of the list of its rows in the connection table
+
+    def load(self, mean_load: float) -> float:
+        """Its load; a connection that has not reported counts as ``mean_load``."""
+        return self.reported_load + (self.connection_count - self.reporting_count) * mean_load
+
+
+class EndpointTotals(LoadTotals):
+    """This relay's connections at one endpoint."""
+
+    __slots__ = ("name", "groups")
+
+    def __init__(self, name: str) -> None:
+        super().__init__()
+        self.name = name
+        self.groups: dict[str, GroupAllocation] = {}
+
+    @property
+    def group_count(self) -> int:
+        """Groups proper, without the connections that have none."""
+        return len(self.groups) - ("" in self.groups)
+
+    def load(self, mean_load: float, group_cost: float) -> float:
+        """Its load; each group adds ``group_cost`` mean loads to those of its connections."""
+        unreported = self.connection_count - self.reporting_count + group_cost * self.group_count
+        return self.reported_load + unreported * mean_load
+
+
+class AllocationIndex:
+    """The allocations that exist, each under a small number that is reused once it is empty."""
+
+    def __init__(self, no_row: int) -> None:
+        self.endpoints: dict[str, EndpointTotals] = {}
+        self.by_group: dict[str, list[GroupAllocation]] = {}  # without the group ""
+        self._no_row = no_row
+        self._allocations: list[GroupAllocation | None] = []
+        self._numbers: dict[tuple[str, str], int] = {}  # by endpoint and group
+        self._free_numbers: list[int] = []
+
+    def __getitem__(self, number: int) -> GroupAllocation:
+        allocation = self._allocations[number]
+        assert allocation is not None
+        return allocation
+
+    def number_of(self, endpoint: str, group: str) -> int:
+        """The number of the allocation of ``group`` at ``endpoint``, which is made if there is none."""
+        number = self._numbers.get((endpoint, group))
+        if number is None:
+            number = self._numbers[(endpoint, group)] = self._store(self._create(endpoint, group))
+        return number
+
+    def discard(self, number: int) -> None:
+        """Forget an allocation that has become empty."""
+        allocation = self[number]
+        endpoint = allocation.endpoint
+        del endpoint.groups[allocation.group]
+        if not endpoint.connection_count:
+            del self.endpoints[endpoint.name]
+        if allocation.group:
+            siblings = self.by_group[allocation.group]
+            siblings.remove(allocation)
+            if not siblings:
+                del self.by_group[allocation.group]
+        del self._numbers[(endpoint.name, allocation.group)]
+        self._allocations[number] = None
+        self._free_numbers.append(number)
+
+    def _create(self, endpoint: str, group: str) -> GroupAllocation:
+        totals = self.endpoints.get(endpoint)
+        if totals is None:
+            totals = self.endpoints[endpoint] = EndpointTotals(endpoint)
+        allocation = GroupAllocation(totals, group, self._no_row)
+        totals.groups[group] = allocation
+        if group:
+            self.by_group.setdefault(group, []).append(allocation)
+        return allocation
+
+    def _store(self, allocation: GroupAllocation) -> int:
+        if self._free_numbers:
+            number = self._free_numbers.pop()
+            self._allocations[number] = allocation
+            return number
+        self._allocations.append(allocation)
+        return len(self._allocations) - 1
--- a/sageturn/rebalance/batches.py
+++ b/sageturn/rebalance/batches.py
@@ -1,4 +1,4 @@
-"""What may be moved off a host in one go: a whole group, or one connection that has no group."""
+"""What may be migrated off an endpoint at once: a whole group, or one connection that has no group."""
 
 from __future__ import annotations
 
@@ -7,13 +7,17 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from sageturn.rebalance.connection_table import ConnectionTable, EndpointTotals, GroupAllocation
+from sageturn.rebalance.allocations import EndpointTotals, GroupAllocation
+from sageturn.rebalance.connection_table import ConnectionRow, ConnectionTable
 from sageturn.rebalance.migration_history import MigrationHistory
 from sageturn.rebalance.options import RebalanceOptions
 
 
 class BlockReason(Enum):
-    """Why something stays where it is."""
+    """Why a group or connection is not migrated.
+
+    The names in lower case and the texts appear in the stored state and in explanations to operators.
+    """
 
     TOO_LARGE = "larger than the imbalance, than a burst, or than what hosts have room for"
     KEPT = "holds a class or a member that the operator keeps in place"
@@ -22,140 +26,172 @@
     UNSEEN = "not looked at in this tick"
 
 
-# These pass with time; when nothing but the others is in the way, balance cannot be reached.
-PASSING = frozenset({BlockReason.YOUNG, BlockReason.MOVED_LATELY, BlockReason.UNSEEN})
+# These pass with time; when all that is blocked is blocked by others, balance cannot be reached.
+TEMPORARY_BLOCK_REASONS = frozenset({BlockReason.YOUNG, BlockReason.MOVED_LATELY, BlockReason.UNSEEN})
 
 
 @dataclass(frozen=True, slots=True)
 class MigrationBatch:
-    host: str
-    group: str
-    ids: tuple[int, ...]
-    clients: tuple[int, ...]
+    """Connections of one endpoint and one group that are migrated together."""
+
+    request_ids: tuple[int, ...]
     load: float
-    straddles: bool  # more of the group is elsewhere at this relay
+    grouped: bool
+    is_partial: bool  # the group has more connections at this relay
 
     @property
-    def what(self) -> str:
-        if not self.group:
+    def description(self) -> str:
+        """For explanations to the operator."""
+        if not self.grouped:
             return "one connection without a group"
-        part = "the smaller part of a group" if self.straddles else "a whole group"
-        return f"{part}, {len(self.ids)} connections"
+        extent = "the smaller part of a group" if self.is_partial else "a whole group"
+        return f"{extent}, {len(self.request_ids)} connections"
 
 
-class Sight:
-    """How many connections may still be looked at: a tick's work is bounded, however large the book."""
+class InspectionBudget:
+    """How many connections may still be looked at: bounds a tick's work, however many there are."""
 
-    def __init__(self, most: int) -> None:
-        self.left = most
+    def __init__(self, connections: int) -> None:
+        self.remaining = connections
 
+    def try_spend(self, connections: int) -> bool:
+        """Take so many from the budget; False, and nothing taken, where it has fewer."""
+        if self.remaining < connections:
+            return False
+        self.remaining -= connections
+        return True
 
-def units(
-    book: ConnectionTable,
-    held: EndpointTotals,
-    most_load: float,
-    largest: int,
-    now_ms: float,
-    options: RebalanceOptions,
-    clients: MigrationHistory,
-    leaving: set[int],
-    sight: Sight,
-    blocks: Counter[BlockReason],
-) -> Iterator[MigrationBatch]:
-    """In the order in which they are to go. ``largest``: connections in a unit at most; ``leaving``: ids that
-    were asked to move already.
 
-    First the smaller parts of groups that straddle hosts, since each host pays a group's cost; then whole
-    groups, the heaviest connections first, so that few clients are disturbed; last those without a group.
-    """
-    mean = book.mean
-    for part in sorted((p for p in held.parts.values() if p.group), key=lambda p: _order(book, p, mean)):
-        if part.count > largest or part.load(mean) > most_load:
-            blocks[BlockReason.TOO_LARGE] += 1
-            continue
-        if sight.left < part.count:
-            blocks[BlockReason.UNSEEN] += 1
-            continue
-        sight.left -= part.count
-        ids, numbers = [], []
-        block: BlockReason | None = None
-        for request_id, client, pair, since_ms in book.members(part):
-            block = _blocked(request_id, client, pair, since_ms, now_ms, options, clients, leaving)
-            if block is not None:
-                break
-            ids.append(request_id)
-            numbers.append(client)
-        if block is not None:
-            blocks[block] += 1
-        else:
-            straddles = len(book.straddling[part.group]) > 1
-            yield MigrationBatch(
-                held.name, part.group, tuple(ids), tuple(numbers), part.load(mean), straddles
-            )
-    alone = held.parts.get("")
-    for request_id, client, pair, since_ms in list(book.members(alone)) if alone else ():
-        if sight.left <= 0:
-            blocks[BlockReason.UNSEEN] += 1
-            return
-        sight.left -= 1
-        block = _blocked(request_id, client, pair, since_ms, now_ms, options, clients, leaving)
-        load = book.load_of(request_id)
-        if block is None and load > most_load:
-            block = BlockReason.TOO_LARGE
-        if block is not None:
-            blocks[block] += 1
-        else:
-            yield MigrationBatch(held.name, "", (request_id,), (client,), load, False)
-
-
-def parting(
-    book: ConnectionTable,
-    held: EndpointTotals,
-    largest: int,
-    now_ms: float,
-    clients: MigrationHistory,
-    leaving: set[int],
+@dataclass(frozen=True, slots=True)
+class EligibilityRules:
+    """Which connections may be migrated at one instant."""
+
+    now_ms: float
+    options: RebalanceOptions
+    history: MigrationHistory
+    migrating: set[int]  # request ids that were asked to reconnect already
+
+    def was_migrated_recently(self, connection: ConnectionRow) -> bool:
+        """Whether its client was migrated not long ago, or is being migrated."""
+        if connection.request_id in self.migrating:
+            return True
+        return not self.history.may_migrate(connection.client, self.now_ms)
+
+    def block_reason(self, connection: ConnectionRow) -> BlockReason | None:
+        """Why a connection may not be migrated; None when it may."""
+        if (
+            connection.class_name in self.options.keep_classes
+            or connection.tenant in self.options.keep_tenants
+        ):
+            return BlockReason.KEPT
+        if self.was_migrated_recently(connection):
+            return BlockReason.MOVED_LATELY
+        if self.now_ms < connection.established_ms + self.options.least_age_s * 1000.0:
+            return BlockReason.YOUNG
+        return None
+
+
+class BatchFinder:
+    """Finds batches for one tick, and counts in ``block_counts`` what is blocked and why."""
+
+    def __init__(
+        self,
+        connections: ConnectionTable,
+        rules: EligibilityRules,
+        max_batch_connections: int,
+        budget: InspectionBudget,
+    ) -> None:
+        self.block_counts: Counter[BlockReason] = Counter()
+        self._connections = connections
+        self._rules = rules
+        self._max_batch_connections = max_batch_connections
+        self._budget = budget
+
+    def find(self, endpoint: EndpointTotals, max_load: float) -> Iterator[MigrationBatch]:
+        """An endpoint's batches of at most ``max_load`` each, in the order in which they are to go.
+
+        First the smaller parts of groups that are spread over endpoints, since each endpoint pays a group's
+        cost; then whole groups, those with the heaviest connections first, so that few clients are
+        disturbed; last the connections without a group.
+        """
+        mean_load = self._connections.mean_load
+        yield from self._group_batches(endpoint, max_load, mean_load)
+        ungrouped = endpoint.groups.get("")
+        if ungrouped is not None:
+            yield from self._single_batches(ungrouped, max_load)
+
+    def _group_batches(
+        self, endpoint: EndpointTotals, max_load: float, mean_load: float
+    ) -> Iterator[MigrationBatch]:
+        groups = [allocation for allocation in endpoint.groups.values() if allocation.group]
+        for allocation in sorted(groups, key=lambda allocation: self._rank(allocation, mean_load)):
+            load = allocation.load(mean_load)
+            request_ids: list[int] = []
+            block_reason = self._inspect_group(allocation, load, max_load, request_ids)
+            if block_reason is not None:
+                self.block_counts[block_reason] += 1
+                continue
+            is_partial = len(self._connections.allocations_by_group[allocation.group]) > 1
+            yield MigrationBatch(tuple(request_ids), load, grouped=True, is_partial=is_partial)
+
+    def _inspect_group(
+        self, allocation: GroupAllocation, load: float, max_load: float, request_ids: list[int]
+    ) -> BlockReason | None:
+        """Collect a group's members at an endpoint, up to the first that may not be migrated."""
+        if allocation.connection_count > self._max_batch_connections or load > max_load:
+            return BlockReason.TOO_LARGE
+        if not self._budget.try_spend(allocation.connection_count):
+            return BlockReason.UNSEEN
+        for connection in self._connections.members(allocation):
+            block_reason = self._rules.block_reason(connection)
+            if block_reason is not None:
+                return block_reason
+            request_ids.append(connection.request_id)
+        return None
+
+    def _single_batches(self, ungrouped: GroupAllocation, max_load: float) -> Iterator[MigrationBatch]:
+        for connection in list(self._connections.members(ungrouped)):
+            if not self._budget.try_spend(1):
+                self.block_counts[BlockReason.UNSEEN] += 1
+                return
+            load = self._connections.load_of(connection.request_id)
+            block_reason = self._rules.block_reason(connection)
+            if block_reason is None and load > max_load:
+                block_reason = BlockReason.TOO_LARGE
+            if block_reason is not None:
+                self.block_counts[block_reason] += 1
+                continue
+            yield MigrationBatch((connection.request_id,), load, grouped=False, is_partial=False)
+
+    def _rank(self, allocation: GroupAllocation, mean_load: float) -> tuple[bool, float, str]:
+        siblings = self._connections.allocations_by_group[allocation.group]
+        largest = max(siblings, key=lambda sibling: (sibling.connection_count, sibling.endpoint.name))
+        is_smaller_part = len(siblings) > 1 and largest is not allocation
+        mean_member_load = allocation.load(mean_load) / allocation.connection_count
+        return not is_smaller_part, -mean_member_load, allocation.group
+
+
+def evacuation_batches(
+    connections: ConnectionTable,
+    endpoint: EndpointTotals,
+    rules: EligibilityRules,
+    max_batch_connections: int,
 ) -> Iterator[MigrationBatch]:
-    """All that may leave a host which is to be cleared, group by group, the larger groups in parts.
+    """All that may leave an endpoint that is cleared, group by group, the larger groups in parts.
 
-    Whoever was moved lately stays until that time is over; there is no other reason to stay.
+    Clients that were migrated recently stay until that time is over; there is no other reason to stay.
     """
-    mean = book.mean
-    for group in sorted(held.parts):
-        part = held.parts[group]
-        going = [
-            (request_id, client)
-            for request_id, client, *_ in book.members(part)
-            if request_id not in leaving and clients.settled(client, now_ms)
+    mean_load = connections.mean_load
+    for group in sorted(endpoint.groups):
+        allocation = endpoint.groups[group]
+        request_ids = [
+            connection.request_id
+            for connection in connections.members(allocation)
+            if not rules.was_migrated_recently(connection)
         ]
-        size = 1 if not group else largest
-        for at in range(0, len(going), size):
-            some = going[at : at + size]
-            load = part.load(mean) * len(some) / part.count
-            ids, numbers = (tuple(column) for column in zip(*some, strict=True))
-            yield MigrationBatch(held.name, group, ids, numbers, load, len(some) < part.count)
-
-
-def _order(book: ConnectionTable, part: GroupAllocation, mean: float) -> tuple[bool, float, str]:
-    others = book.straddling[part.group]
-    joins = len(others) > 1 and max(others, key=lambda p: (p.count, p.host.name)) is not part
-    return not joins, -part.load(mean) / part.count, part.group
-
-
-def _blocked(
-    request_id: int,
-    client: int,
-    pair: tuple[str, str],
-    since_ms: float,
-    now_ms: float,
-    options: RebalanceOptions,
-    clients: MigrationHistory,
-    leaving: set[int],
-) -> BlockReason | None:
-    if pair[0] in options.keep_classes or pair[1] in options.keep_tenants:
-        return BlockReason.KEPT
-    if request_id in leaving or not clients.settled(client, now_ms):
-        return BlockReason.MOVED_LATELY
-    if now_ms < since_ms + options.least_age_s * 1000.0:
-        return BlockReason.YOUNG
-    return None
+        batch_size = max_batch_connections if group else 1
+        for start in range(0, len(request_ids), batch_size):
+            batch_ids = tuple(request_ids[start : start + batch_size])
+            load = allocation.load(mean_load) * len(batch_ids) / allocation.connection_count
+            is_partial = len(batch_ids) < allocation.connection_count
+            yield MigrationBatch(batch_ids, load, grouped=bool(group), is_partial=is_partial)
--- a/sageturn/rebalance/connection_table.py
+++ b/sageturn/rebalance/connection_table.py
@@ -1,71 +1,60 @@
-"""The relay's own standing connections by host and group, kept up from events.
+"""This relay's established connections by endpoint and group, maintained from the balancer's events.
 
-A connection is a row of columns, not an object: at 10,000 of them an object with its numbers would cost
-three times as much. The rows of one group at one host form a linked list, so that a group's members are
-found without looking at anyone else.
+A connection is a row over several arrays, not an object: at 10,000 connections objects with their numbers
+would take three times the memory. The rows of one group at one endpoint form a doubly linked list, so that a
+group's members are found without looking at any other connection.
 """
 
 from __future__ import annotations
 
 from array import array
 from collections.abc import Iterator
+from typing import NamedTuple
 
-NOBODY = -1
+from sageturn.rebalance.allocations import AllocationIndex, EndpointTotals, GroupAllocation, LoadTotals
 
+NO_ROW = -1
 
-class GroupAllocation:
-    """A group's connections at one host; the group "" holds those that have none."""
 
-    __slots__ = ("host", "group", "head", "count", "told", "heard")
+class ConnectionLabels(NamedTuple):
+    """What a request says of itself that matters to rebalancing."""
 
-    def __init__(self, host: EndpointTotals, group: str) -> None:
-        self.host, self.group = host, group
-        self.head = NOBODY
-        self.count = 0
-        self.told, self.heard = 0.0, 0  # loads told, and by how many
+    class_name: str
+    tenant: str
+    group: str
 
-    def load(self, mean: float) -> float:
-        """Work a second; who has told nothing yet counts at the mean."""
-        return self.told + (self.count - self.heard) * mean
 
+class ConnectionRow(NamedTuple):
+    """A connection as the table returns it. ``client`` is the hash of the client's key, 0 for none."""
 
-class EndpointTotals:
-    """What this relay holds at one host."""
-
-    __slots__ = ("name", "parts", "count", "told", "heard")
-
-    def __init__(self, name: str) -> None:
-        self.name = name
-        self.parts: dict[str, GroupAllocation] = {}
-        self.count = 0
-        self.told, self.heard = 0.0, 0
-
-    @property
-    def groups(self) -> int:
-        return len(self.parts) - ("" in self.parts)
-
-    def load(self, mean: float, group_cost: float) -> float:
-        return self.told + (self.count - self.heard + group_cost * self.groups) * mean
+    request_id: int
+    client: int
+    class_name: str
+    tenant: str
+    established_ms: float
 
 
 class ConnectionTable:
+    """The connections and the sums over them. Loads are in work per second, as endpoints report them."""
+
     def __init__(self) -> None:
-        self.hosts: dict[str, EndpointTotals] = {}
-        self.straddling: dict[str, list[GroupAllocation]] = {}  # by group: its parts, at one host or more
-        self.told, self.squares, self.heard = 0.0, 0.0, 0
-        self._rows: dict[int, int] = {}
-        self._ids, self._clients = array("Q"), array("Q")
-        self._since, self._loads = array("f"), array("f")  # seconds since _zero_ms; 0 load: not told
-        self._names, self._next, self._before = array("L"), array("l"), array("l")
-        self._at = array("L")
-        self._parts: list[GroupAllocation | None] = []
-        self._free_parts: list[int] = []
-        self._part_numbers: dict[tuple[str, str], int] = {}
-        self._free: list[int] = []
-        # Class and tenant of a row are one small number: there are few pairs, and many rows.
-        self._pairs: list[tuple[str, str]] = []
-        self._pair_numbers: dict[tuple[str, str], int] = {}
-        self._zero_ms = 0.0
+        self.totals = LoadTotals()
+        self._squared_loads = 0.0  # sum over the reporting connections
+        self._allocations = AllocationIndex(NO_ROW)
+        self._rows: dict[int, int] = {}  # by request id
+        self._free_rows: list[int] = []
+        self._start_ms = 0.0  # what the column of instants counts from
+        self._class_tenant_pairs: list[tuple[str, str]] = []
+        self._class_tenant_numbers: dict[tuple[str, str], int] = {}
+        # The columns.
+        self._ids = array("Q")
+        self._clients = array("Q")
+        self._established_s = array("f")
+        self._loads = array("f")  # 0: not reported
+        self._class_tenants = array("L")  # there are few pairs, and many rows
+        self._allocation_numbers = array("L")
+        self._next_rows = array("l")
+        self._previous_rows = array("l")
 
     def __len__(self) -> int:
         return len(self._rows)
@@ -74,150 +63,152 @@
         return request_id in self._rows
 
     @property
-    def mean(self) -> float:
-        """Load of a usual connection; 1 where nothing is told, so that loads are counts."""
-        return self.told / self.heard if self.heard and self.told > 0 else 1.0
+    def endpoints(self) -> dict[str, EndpointTotals]:
+        """The totals of each endpoint that has connections, by name."""
+        return self._allocations.endpoints
 
     @property
-    def weight_of_one(self) -> float:
-        """Sum of squared loads over their sum: what one connection, drawn by load, weighs."""
-        return self.squares / self.told if self.told > 0 else 1.0
+    def allocations_by_group(self) -> dict[str, list[GroupAllocation]]:
+        """Each group's allocations, one per endpoint where it has connections."""
+        return self._allocations.by_group
 
-    # ------------------------------------------------------------ events
+    @property
+    def mean_load(self) -> float:
+        """Mean reported load of a connection; 1 where none is reported, so that loads are counts."""
+        totals = self.totals
+        if totals.reporting_count and totals.reported_load > 0:
+            return totals.reported_load / totals.reporting_count
+        return 1.0
+
+    @property
+    def size_biased_mean_load(self) -> float:
+        """Expected load of a connection that is drawn with a chance proportional to its load."""
+        reported_load = self.totals.reported_load
+        return self._squared_loads / reported_load if reported_load > 0 else 1.0
+
+    # ------------------------------------------------------------ changes
 
     def add(
-        self, now_ms: float, request_id: int, host: str, group: str, pair: tuple[str, str], client: int
+        self, established_ms: float, request_id: int, endpoint: str, labels: ConnectionLabels, client: int
     ) -> None:
+        """Add a connection whose load is not known yet; it replaces one with the same id."""
         if request_id in self._rows:
             self.remove(request_id)
-        if not self._zero_ms:
-            self._zero_ms = now_ms
-        number = self._pair_numbers.get(pair)
-        if number is None:
-            number = self._pair_numbers[pair] = len(self._pairs)
-            self._pairs.append(pair)
-        at = self._part_number(host, group)
-        part = self._part(at)
-        since = (now_ms - self._zero_ms) / 1000.0
-        if self._free:
-            row = self._free.pop()
-            self._ids[row], self._clients[row], self._names[row] = request_id, client, number
-            self._since[row], self._loads[row], self._at[row] = since, 0.0, at
-            self._next[row], self._before[row] = part.head, NOBODY
-        else:
-            row = len(self._ids)
-            self._ids.append(request_id)
-            self._clients.append(client)
-            self._names.append(number)
-            self._since.append(since)
-            self._loads.append(0.0)
-            self._at.append(at)
-            self._next.append(part.head)
-            self._before.append(NOBODY)
-        if part.head != NOBODY:
-            self._before[part.head] = row
-        part.head = row
-        part.count += 1
-        part.host.count += 1
+        if not self._start_ms:
+            self._start_ms = established_ms
+        row = self._allocate_row()
+        self._ids[row] = request_id
+        self._clients[row] = client
+        self._established_s[row] = (established_ms - self._start_ms) / 1000.0
+        self._loads[row] = 0.0
+        self._class_tenants[row] = self._class_tenant_number(labels)
+        number = self._allocations.number_of(endpoint, labels.group)
+        self._allocation_numbers[row] = number
+        self._link(row, self._allocations[number])
         self._rows[request_id] = row
 
     def remove(self, request_id: int) -> bool:
+        """Remove a connection; False when there is none with this id."""
         row = self._rows.pop(request_id, None)
         if row is None:
             return False
-        at = self._at[row]
-        part = self._part(at)
-        self._tell(row, part, 0.0)
-        after, before = self._next[row], self._before[row]
-        if after != NOBODY:
-            self._before[after] = before
-        if before != NOBODY:
-            self._next[before] = after
-        else:
-            part.head = after
-        part.count -= 1
-        part.host.count -= 1
-        self._free.append(row)
-        if not part.count:
-            self._drop(at, part)
+        number = self._allocation_numbers[row]
+        allocation = self._allocations[number]
+        self._set_row_load(row, allocation, 0.0)
+        self._unlink(row, allocation)
+        self._free_rows.append(row)
+        if not allocation.connection_count:
+            self._allocations.discard(number)
         return True
 
-    def load(self, request_id: int, value: float) -> None:
+    def set_load(self, request_id: int, load: float) -> None:
+        """Record a reported load; connections that are not in the table are ignored."""
         row = self._rows.get(request_id)
         if row is not None:
-            self._tell(row, self._part(self._at[row]), max(0.0, value))
+            allocation = self._allocations[self._allocation_numbers[row]]
+            self._set_row_load(row, allocation, max(0.0, load))
 
-    def _tell(self, row: int, part: GroupAllocation, value: float) -> None:
-        old = self._loads[row]
-        self._loads[row] = value
-        value = self._loads[row]  # as the column holds it, so that taking it off again leaves nothing over
-        heard = (value > 0) - (old > 0)
-        for holder in (part, part.host, self):
-            holder.told += value - old
-            holder.heard += heard
-            if not holder.heard:
-                holder.told = 0.0
-        self.squares = self.squares + value * value - old * old if self.heard else 0.0
-
-    # ------------------------------------------------------------ reading
-
-    def members(self, part: GroupAllocation) -> Iterator[tuple[int, int, tuple[str, str], float]]:
-        """Request id, client, (class, tenant) and the instant in ms since which it stands; newest first."""
-        row = part.head
-        while row != NOBODY:
-            since_ms = self._zero_ms + self._since[row] * 1000.0
-            yield self._ids[row], self._clients[row], self._pairs[self._names[row]], since_ms
-            row = self._next[row]
+    # ------------------------------------------------------------ queries
+
+    def members(self, allocation: GroupAllocation) -> Iterator[ConnectionRow]:
+        """The connections of a group at an endpoint, the newest first."""
+        row = allocation.first_row
+        while row != NO_ROW:
+            class_name, tenant = self._class_tenant_pairs[self._class_tenants[row]]
+            established_ms = self._start_ms + self._established_s[row] * 1000.0
+            yield ConnectionRow(self._ids[row], self._clients[row], class_name, tenant, established_ms)
+            row = self._next_rows[row]
 
     def load_of(self, request_id: int) -> float:
-        return self._loads[self._rows[request_id]] or self.mean
+        """A connection's load, or the mean where it has not been reported."""
+        return self._loads[self._rows[request_id]] or self.mean_load
 
-    def place_of(self, request_id: int) -> tuple[str, str]:
-        """Its host and its group."""
-        part = self._part(self._at[self._rows[request_id]])
-        return part.host.name, part.group
+    def endpoint_of(self, request_id: int) -> str:
+        """The endpoint of a connection that is in the table."""
+        number = self._allocation_numbers[self._rows[request_id]]
+        return self._allocations[number].endpoint.name
 
     def client_of(self, request_id: int) -> int:
-        """0 when it does not stand, or has no key."""
+        """The hash of a connection's client key; 0 when it has none, or is not in the table."""
         row = self._rows.get(request_id)
         return 0 if row is None else self._clients[row]
 
-    # ------------------------------------------------------------ parts
-
-    def _part(self, number: int) -> GroupAllocation:
-        part = self._parts[number]
-        assert part is not None
-        return part
-
-    def _part_number(self, host: str, group: str) -> int:
-        number = self._part_numbers.get((host, group))
-        if number is not None:
-            return number
-        held = self.hosts.get(host)
-        if held is None:
-            held = self.hosts[host] = EndpointTotals(host)
-        part = GroupAllocation(held, group)
-        held.parts[group] = part
-        if group:
-            self.straddling.setdefault(group, []).append(part)
-        if self._free_parts:
-            number = self._free_parts.pop()
-            self._parts[number] = part
-        else:
-            number = len(self._parts)
-            self._parts.append(part)
-        self._part_numbers[(host, group)] = number
+    # ------------------------------------------------------------ rows
+
+    def _allocate_row(self) -> int:
+        if self._free_rows:
+            return self._free_rows.pop()
+        self._ids.append(0)
+        self._clients.append(0)
+        self._established_s.append(0.0)
+        self._loads.append(0.0)
+        self._class_tenants.append(0)
+        self._allocation_numbers.append(0)
+        self._next_rows.append(NO_ROW)
+        self._previous_rows.append(NO_ROW)
+        return len(self._ids) - 1
+
+    def _class_tenant_number(self, labels: ConnectionLabels) -> int:
+        pair = labels.class_name, labels.tenant
+        number = self._class_tenant_numbers.get(pair)
+        if number is None:
+            number = self._class_tenant_numbers[pair] = len(self._class_tenant_pairs)
+            self._class_tenant_pairs.append(pair)
         return number
 
-    def _drop(self, number: int, part: GroupAllocation) -> None:
-        del part.host.parts[part.group]
-        if not part.host.count:
-            del self.hosts[part.host.name]
-        if part.group:
-            parts = self.straddling[part.group]
-            parts.remove(part)
-            if not parts:
-                del self.straddling[part.group]
-        del self._part_numbers[(part.host.name, part.group)]
-        self._parts[number] = None
-        self._free_parts.append(number)
+    def _link(self, row: int, allocation: GroupAllocation) -> None:
+        """Insert a row at the head of its allocation's list."""
+        following = allocation.first_row
+        self._next_rows[row] = following
+        self._previous_rows[row] = NO_ROW
+        if following != NO_ROW:
+            self._previous_rows[following] = row
+        allocation.first_row = row
+        allocation.connection_count += 1
+        allocation.endpoint.connection_count += 1
+        self.totals.connection_count += 1
+
+    def _unlink(self, row: int, allocation: GroupAllocation) -> None:
+        following = self._next_rows[row]
+        previous = self._previous_rows[row]
+        if following != NO_ROW:
+            self._previous_rows[following] = previous
+        if previous != NO_ROW:
+            self._next_rows[previous] = following
+        else:
+            allocation.first_row = following
+        allocation.connection_count -= 1
+        allocation.endpoint.connection_count -= 1
+        self.totals.connection_count -= 1
+
+    def _set_row_load(self, row: int, allocation: GroupAllocation, load: float) -> None:
+        old = self._loads[row]
+        self._loads[row] = load
+        new = self._loads[row]  # as the column rounds it, so that subtracting it later leaves nothing over
+        reporting_change = (new > 0) - (old > 0)
+        for totals in (allocation, allocation.endpoint, self.totals):
+            totals.change_load(new - old, reporting_change)
+        if self.totals.reporting_count:
+            self._squared_loads = self._squared_loads + new * new - old * old
+        else:
+            self._squared_loads = 0.0
--- a/sageturn/rebalance/driver.py
+++ b/sageturn/rebalance/driver.py
@@ -1,4 +1,4 @@
-"""Joins the planner to the relay: events in as they pass, a tick now and then, moves out."""
+"""Connects the planner to the relay: observes the balancer, ticks the planner, carries its plans out."""
 
 from __future__ import annotations
 
@@ -9,16 +9,22 @@
 
 from sageturn.core.balancer_actor import BalancerActor
 from sageturn.core.shutdown import RequestRegistry
-from sageturn.rebalance.options import DAY_MIN, RebalanceOptions
-from sageturn.rebalance.planner import MigrationPlan, RebalancePlanner
+from sageturn.rebalance.connection_table import ConnectionLabels
+from sageturn.rebalance.options import MINUTES_PER_DAY, RebalanceOptions
+from sageturn.rebalance.plan import NO_PLAN, MigrationPlan, PlanPhase
+from sageturn.rebalance.planner import RebalancePlanner
 
 log = logging.getLogger(__name__)
 
-STATE_MS = 5000.0  # how often the state is told, at most
+STATE_INTERVAL_MS = 5000.0  # between two publications of the state at least
 
 
 class Rebalancer(RebalancePlanner):
-    """The planner as the module's companion, and the actor that asks for its moves."""
+    """The planner as an observer of the balancer, and the task that asks clients to reconnect.
+
+    The relay creates it, sets ``options`` and ``marks``, and runs ``run`` as a task. ``publish_state`` is
+    called with the encoded state.
+    """
 
     def __init__(
         self,
@@ -26,62 +32,67 @@
         request_registry: RequestRegistry,
         options: RebalanceOptions,
         seed: int,
-        tell_state: Callable[[dict[str, object]], None],
+        publish_state: Callable[[dict[str, object]], None],
     ) -> None:
         super().__init__(balancer_actor.settings, options, seed)
-        self._balancer_actor, self._request_registry, self._tell_state = (
-            balancer_actor,
-            request_registry,
-            tell_state,
-        )
-        self._told_ms = 0.0
-        self._said: tuple[str, str] = ("", "")
-        self._adopt_all()
+        self._balancer_actor = balancer_actor
+        self._request_registry = request_registry
+        self._publish_state = publish_state
+        self._published_ms = 0.0
+        self._previous_plan = NO_PLAN
+        self._adopt_existing_requests()
         balancer_actor.observers.append(self)
 
-    def _adopt_all(self) -> None:
-        """It may be turned on while connections stand; what they have told of their loads comes again."""
+    def _adopt_existing_requests(self) -> None:
+        """It may be turned on while there are connections; their loads are known once reported again."""
         now_ms = self._balancer_actor.clock.now_ms()
         for lifecycle in self._request_registry:
-            record, ask = lifecycle.record, lifecycle.record.ask
-            about = ask.class_name, ask.tenant, ask.group
+            record = lifecycle.record
+            ask = record.ask
+            labels = ConnectionLabels(ask.class_name, ask.tenant, ask.group)
             if lifecycle.is_established:
-                self.adopt(now_ms, lifecycle.id, record.endpoint, about, ask.client, record.began_ms)
+                self.adopt(now_ms, lifecycle.id, record.endpoint, labels, ask.client, record.began_ms)
             elif record.answer is None:
-                self.expect(now_ms, lifecycle.id, about, ask.client)
+                self.expect(now_ms, lifecycle.id, labels, ask.client)
 
     async def run(self) -> None:
+        """Tick until cancelled. A failure turns rebalancing off and leaves the relay alone."""
         while True:
             await asyncio.sleep(self.options.tick_s)
             try:
                 self.step()
             except Exception:
-                # A fault in here must cost no client anything: the relay goes on, and moves nobody.
-                log.exception("rebalancing failed, and is off from now on")
+                log.exception("rebalance failed mode=off")
                 self.options = replace(self.options, mode="off")
 
     def step(self) -> MigrationPlan:
-        """One tick: plan, ask for the moves, and tell what was done."""
+        """One tick: plan, ask clients to reconnect, log and publish."""
         now_ms = self._balancer_actor.clock.now_ms()
-        minute = int(now_ms // 60000.0) % DAY_MIN
-        plan = self.tick(
-            now_ms, self._balancer_actor.snapshot_endpoints(), minute, self._request_registry.stopping
-        )
-        if plan.phase != "dry-run" and self in self._balancer_actor.observers:
-            for move in plan.migrations:
-                self._balancer_actor.move(move.request_id)
-        self._say(plan)
-        if now_ms >= self._told_ms + STATE_MS:
-            self._told_ms = now_ms
-            self._tell_state(self.encode_state(plan))
+        minute = int(now_ms // 60000.0) % MINUTES_PER_DAY
+        endpoints = self._balancer_actor.snapshot_endpoints()
+        plan = self.tick(now_ms, endpoints, minute, self._request_registry.stopping)
+        if plan.phase != PlanPhase.DRY_RUN and self in self._balancer_actor.observers:
+            for migration in plan.migrations:
+                self._balancer_actor.move(migration.request_id)
+        self._log_plan(plan)
+        if now_ms >= self._published_ms + STATE_INTERVAL_MS:
+            self._published_ms = now_ms
+            self._publish_state(self.encode_state(plan))
         return plan
 
-    def _say(self, plan: MigrationPlan) -> None:
-        """A line for each decision: what goes and why, or why from now on nothing goes."""
+    def _log_plan(self, plan: MigrationPlan) -> None:
+        """A line for each decision: what is migrated and why, or why from now on nothing is."""
+        previous = self._previous_plan
+        self._previous_plan = plan
         if plan.migrations:
-            reasons = dict.fromkeys(move.reason for move in plan.migrations)
-            asked = "would ask" if plan.phase == "dry-run" else "asks"
-            log.info("%s %d to come again: %s", asked, len(plan.migrations), "; ".join(reasons))
-        elif plan.phase != self._said[0] or plan.phase == "held" and plan.why != self._said[1]:
-            log.info("%s: %s", plan.phase, plan.why)
-        self._said = plan.phase, plan.why
+            reasons = "; ".join(dict.fromkeys(migration.reason for migration in plan.migrations))
+            log.info(
+                "rebalance migrations phase=%s count=%d reasons=%s",
+                plan.phase.value,
+                len(plan.migrations),
+                reasons,
+            )
+        elif plan.phase != previous.phase or (
+            plan.phase == PlanPhase.HELD and plan.explanation != previous.explanation
+        ):
+            log.info("rebalance phase changed phase=%s reason=%s", plan.phase.value, plan.explanation)
--- /dev/null
+++ b/sageturn/rebalance/event_tracker.py
@@ -0,0 +1,149 @@
+"""Follows the balancer's events and actions: who is connected, who was migrated, how set-ups go."""
+
+from __future__ import annotations
+
+from collections import Counter
+from dataclasses import dataclass
+
+from sageturn import decision
+from sageturn.rebalance.connection_table import ConnectionLabels, ConnectionTable
+from sageturn.rebalance.landing_score import LandingScore, is_useful_landing
+from sageturn.rebalance.migration_history import MigrationHistory, MigrationRecord, client_hash
+from sageturn.rebalance.options import RebalanceOptions
+from sageturn.rebalance.overload_detector import OverloadDetector
+
+
+@dataclass(slots=True)
+class PendingRequest:
+    """A request that has not been answered yet."""
+
+    arrived_ms: float
+    labels: ConnectionLabels
+    client: int  # hash of the client's key
+    reports_migration: bool = False  # the client says that it was migrated or disconnected
+
+
+class EventTracker:
+    """The planner's knowledge of this relay's connections, and counters of what has happened.
+
+    ``ratios``: each endpoint's utilization over the mean, as of the last tick; the planner sets it.
+    """
+
+    def __init__(self, settings: decision.Settings, options: RebalanceOptions) -> None:
+        self.connections = ConnectionTable()
+        self.history = MigrationHistory(options)
+        self.overload_detector = OverloadDetector(1.0 / settings.relay_count)
+        self.landing_score = LandingScore()
+        self.counts: Counter[str] = Counter()  # by the names in the stored state
+        self.ratios: dict[str, float] = {}
+        self.migrating: set[int] = set()  # request ids that were asked to reconnect
+        self._options = options
+        self._latency_objectives_ms = {c.name: c.latency_objective_ms for c in settings.classes}
+        self._pending: dict[int, PendingRequest] = {}
+
+    def set_options(self, options: RebalanceOptions) -> None:
+        """The operator's settings have changed."""
+        self._options = options
+        self.history.options = options
+
+    # ------------------------------------------------------------ the balancer's events and actions
+
+    def on_event(self, now_ms: float, event: decision.Event) -> None:
+        """An event that the balancer has handled. Adopted connections count as old enough to migrate."""
+        match event:
+            case decision.RequestArrived():
+                self._on_request_arrived(now_ms, event)
+            case decision.ConnectionAdopted():
+                labels = ConnectionLabels(event.class_name, event.tenant, event.group)
+                established_ms = now_ms - self._options.least_age_s * 1000.0
+                self.adopt(now_ms, event.id, event.endpoint, labels, event.client, established_ms)
+            case decision.ConnectionEstablished():
+                self._on_connection_established(now_ms, event)
+            case decision.AttemptEnded():
+                self._on_attempt_ended(now_ms, event)
+            case decision.MeasurementReported(kind="load"):
+                self.connections.set_load(event.id, event.value)
+            case decision.EndpointListEvent():
+                self.overload_detector.record_endpoint_list(event.kind == "failed")
+
+    def on_request_rejected(self, now_ms: float, request_id: int) -> None:
+        """The balancer has rejected or failed a request."""
+        self._pending.pop(request_id, None)
+        self.overload_detector.record_rejection(now_ms)
+
+    def expect(self, now_ms: float, request_id: int, labels: ConnectionLabels, client_key: str) -> None:
+        """Note a request that is not answered yet."""
+        self._pending[request_id] = PendingRequest(now_ms, labels, client_hash(client_key))
+
+    def adopt(
+        self,
+        now_ms: float,
+        request_id: int,
+        endpoint: str,
+        labels: ConnectionLabels,
+        client_key: str,
+        established_ms: float,
+    ) -> None:
+        """Add a connection that was established before the planner, or the relay, was started."""
+        established_ms = min(now_ms, established_ms)
+        self.connections.add(established_ms, request_id, endpoint, labels, client_hash(client_key))
+
+    def begin_migration(self, now_ms: float, request_id: int, by_planner: bool) -> None:
+        """A connection's client is asked to reconnect."""
+        if request_id not in self.connections:
+            return
+        client = self.connections.client_of(request_id)
+        source_endpoint = self.connections.endpoint_of(request_id)
+        self.history.record_migration(client, source_endpoint, now_ms, by_planner)
+        self.migrating.add(request_id)
+
+    def expire_in_flight(self, now_ms: float) -> None:
+        """Account for migrated clients that have not come back in time. To be called once a tick."""
+        self.history.prune(now_ms)
+        missing = self.history.expire_in_flight(now_ms)
+        self.counts["not_back"] += missing
+        self.overload_detector.record_missing(now_ms, missing)
+
+    # ------------------------------------------------------------ events by type
+
+    def _on_request_arrived(self, now_ms: float, event: decision.RequestArrived) -> None:
+        self.overload_detector.record_request(now_ms)
+        labels = ConnectionLabels(event.class_name, event.tenant, event.group)
+        self.expect(now_ms, event.id, labels, event.client)
+        self._pending[event.id].reports_migration = event.returned
+
+    def _on_connection_established(self, now_ms: float, event: decision.ConnectionEstablished) -> None:
+        request = self._pending.pop(event.id, None)
+        if request is None:
+            return
+        objective_ms = self._latency_objectives_ms.get(request.labels.class_name, float("inf"))
+        late = now_ms - request.arrived_ms > objective_ms
+        self.overload_detector.record_established(now_ms, late)
+        self.connections.add(now_ms, event.id, event.endpoint, request.labels, request.client)
+        migration = self.history.record_return(request.client)
+        if migration is not None:
+            self._on_client_returned(now_ms, migration, event.endpoint, late)
+        elif request.reports_migration:
+            self.history.record_reported_migration(request.client, now_ms)
+
+    def _on_client_returned(
+        self, now_ms: float, migration: MigrationRecord, endpoint: str, late: bool
+    ) -> None:
+        self.overload_detector.record_return(now_ms)
+        self.counts["back"] += 1
+        if not migration.by_planner:
+            return
+        self.counts["back_late"] += late
+        useful = is_useful_landing(migration.source_endpoint, endpoint, self.ratios)
+        self.counts["landed_well" if useful else "landed_ill"] += 1
+        self.landing_score.record(useful)
+
+    def _on_attempt_ended(self, now_ms: float, event: decision.AttemptEnded) -> None:
+        if self.connections.remove(event.id):
+            if event.status == "reset":
+                self.overload_detector.record_reset(now_ms)
+        elif event.status in ("connect_failed", "timeout"):
+            self.overload_detector.record_connect_failure(now_ms)
+        self.migrating.discard(event.id)
+        if event.final:
+            self._pending.pop(event.id, None)
--- a/sageturn/rebalance/migration_history.py
+++ b/sageturn/rebalance/migration_history.py
@@ -1,4 +1,4 @@
-"""Which clients were moved, when and off which host; who of them is still on the way."""
+"""Which clients were migrated, when and off which endpoint, and which of them have not reconnected yet."""
 
 from __future__ import annotations
 
@@ -7,85 +7,122 @@
 
 from sageturn.rebalance.options import RebalanceOptions
 
+NO_CLIENT = 0  # stands for a connection without a client key
+CLIENT_HASH_BYTES = 8
+MAX_BACKOFF_DOUBLINGS = 20
 
-def client_number(key: str) -> int:
-    """64 bits for a client's key; 0 for none. Two that share one are at worst both left alone."""
-    return int.from_bytes(blake2b(key.encode(), digest_size=8).digest(), "big") or 1 if key else 0
 
+def client_hash(key: str) -> int:
+    """A 64-bit hash of a client's key; ``NO_CLIENT`` for an empty one.
 
-@dataclass(slots=True)
-class Moved:
-    at_ms: float
-    off: str  # the host that it was moved off
-    group: str
-    times: int
-    until_ms: float  # not to be moved again before
-    by_plan: bool
+    Two clients that share a hash are at worst both left alone.
+    """
+    if not key:
+        return NO_CLIENT
+    digest = blake2b(key.encode(), digest_size=CLIENT_HASH_BYTES).digest()
+    return int.from_bytes(digest, "big") or 1
+
+
+@dataclass(frozen=True, slots=True)
+class MigrationRecord:
+    """A client's last migration."""
+
+    migrated_ms: float
+    source_endpoint: str
+    migration_count: int  # recent migrations of this client, this one included
+    excluded_until_ms: float  # not to be migrated again before
+    by_planner: bool
 
 
 class MigrationHistory:
-    """Bounded, and nobody is forgotten early: where there is no room for another, nobody is moved."""
+    """Remembers migrated clients, ``remember`` of them at most.
+
+    Nobody is forgotten early: where there is no capacity for another, the planner migrates nobody.
+    """
 
     def __init__(self, options: RebalanceOptions) -> None:
         self.options = options
-        self._moved: dict[int, Moved] = {}  # in the order of their last moves
-        self.on_way: dict[int, float] = {}  # until when each is awaited, in that order too
+        self._records: dict[int, MigrationRecord] = {}  # in the order of the migrations
+        self._return_deadlines_ms: dict[int, float] = {}  # of clients that are awaited, in the same order
 
     def __len__(self) -> int:
-        return len(self._moved)
-
-    def settled(self, client: int, now_ms: float) -> bool:
-        """Whether a client may be moved. One without a key cannot be known again, and is left alone."""
-        moved = self._moved.get(client)
-        return client != 0 and (moved is None or now_ms >= moved.until_ms)
-
-    def room_for(self, more: int) -> bool:
-        return len(self._moved) + more <= self.options.remember
-
-    def move(self, client: int, off: str, group: str, now_ms: float, by_plan: bool) -> None:
-        if not client:
+        return len(self._records)
+
+    @property
+    def in_flight_count(self) -> int:
+        """Migrated clients that are still awaited."""
+        return len(self._return_deadlines_ms)
+
+    def is_in_flight(self, client: int) -> bool:
+        """Whether a client was migrated and is still awaited."""
+        return client in self._return_deadlines_ms
+
+    def may_migrate(self, client: int, now_ms: float) -> bool:
+        """Whether a client may be migrated. One without a key can't be recognised later: it may not."""
+        if client == NO_CLIENT:
+            return False
+        record = self._records.get(client)
+        return record is None or now_ms >= record.excluded_until_ms
+
+    def has_capacity_for(self, clients: int) -> bool:
+        """Whether so many more clients can be remembered."""
+        return len(self._records) + clients <= self.options.remember
+
+    def last_migration(self, client: int) -> MigrationRecord | None:
+        """A client's last migration, if it is remembered."""
+        return self._records.get(client)
+
+    def record_migration(self, client: int, source_endpoint: str, now_ms: float, by_planner: bool) -> None:
+        """A client is asked to reconnect, by the planner or by others."""
+        if client == NO_CLIENT:
             return
-        before = self._moved.pop(client, None)
-        long_ms = self.options.again_most_s * 1000.0
-        times = before.times + 1 if before and now_ms < before.at_ms + long_ms else 1
-        wait_s = min(self.options.again_most_s, self.options.again_s * 2.0 ** min(times - 1, 20))
-        while len(self._moved) >= self.options.remember:
-            del self._moved[next(iter(self._moved))]  # only for moves by others, which are never held back
-        self._moved[client] = Moved(now_ms, off, group, times, now_ms + wait_s * 1000.0, by_plan)
-        self.on_way.pop(client, None)
-        self.on_way[client] = now_ms + self.options.back_within_s * 1000.0
-
-    def returned(self, client: int, now_ms: float) -> None:
-        """One that says it was moved or broken off, perhaps at another relay, which this one is not told of.
-
-        It is left alone like one that this relay moved. For want of room it may go unremembered.
+        count = self._next_migration_count(self._records.pop(client, None), now_ms)
+        backoff_s = self.options.again_s * 2.0 ** min(count - 1, MAX_BACKOFF_DOUBLINGS)
+        excluded_until_ms = now_ms + min(self.options.again_most_s, backoff_s) * 1000.0
+        while len(self._records) >= self.options.remember:
+            del self._records[next(iter(self._records))]  # only for migrations by others: never held back
+        self._records[client] = MigrationRecord(now_ms, source_endpoint, count, excluded_until_ms, by_planner)
+        self._return_deadlines_ms.pop(client, None)  # to the end of the order
+        self._return_deadlines_ms[client] = now_ms + self.options.back_within_s * 1000.0
+
+    def record_reported_migration(self, client: int, now_ms: float) -> None:
+        """A client says that it was migrated or disconnected, perhaps by another relay.
+
+        It is left alone like one that this relay migrated. For want of capacity it may go unremembered.
         """
-        if client and client not in self._moved and self.room_for(1):
-            until_ms = now_ms + self.options.again_s * 1000.0
-            self._moved[client] = Moved(now_ms, "", "", 1, until_ms, False)
-
-    def last_move(self, client: int) -> Moved | None:
-        return self._moved.get(client)
+        if client == NO_CLIENT or client in self._records or not self.has_capacity_for(1):
+            return
+        excluded_until_ms = now_ms + self.options.again_s * 1000.0
+        self._records[client] = MigrationRecord(now_ms, "", 1, excluded_until_ms, False)
 
-    def stands(self, client: int) -> Moved | None:
-        """It stands again: what is known of its move, if it was awaited."""
-        return self._moved.get(client) if self.on_way.pop(client, None) is not None else None
+    def record_return(self, client: int) -> MigrationRecord | None:
+        """A client is established: its migration, if it was awaited."""
+        if self._return_deadlines_ms.pop(client, None) is None:
+            return None
+        return self._records.get(client)
 
-    def lost(self, now_ms: float) -> int:
+    def expire_in_flight(self, now_ms: float) -> int:
         """How many have not come back in time; they are no longer awaited."""
-        late = []
-        for client, until_ms in self.on_way.items():
-            if until_ms > now_ms:
+        overdue = []
+        for client, deadline_ms in self._return_deadlines_ms.items():
+            if deadline_ms > now_ms:
                 break
-            late.append(client)
-        for client in late:
-            del self.on_way[client]
-        return len(late)
-
-    def forget(self, now_ms: float) -> None:
-        """Those whose time is over, once there are many; how often they were moved is forgotten with them."""
-        if len(self._moved) < self.options.remember // 2:
+            overdue.append(client)
+        for client in overdue:
+            del self._return_deadlines_ms[client]
+        return len(overdue)
+
+    def prune(self, now_ms: float) -> None:
+        """Once half full, forget clients that may be migrated again, and how often they were migrated."""
+        if len(self._records) < self.options.remember // 2:
             return
-        for client in [c for c, moved in self._moved.items() if now_ms >= moved.until_ms]:
-            del self._moved[client]
-            self.on_way.pop(client, None)
+        expired = [c for c, record in self._records.items() if now_ms >= record.excluded_until_ms]
+        for client in expired:
+            del self._records[client]
+            self._return_deadlines_ms.pop(client, None)
+
+    def _next_migration_count(self, previous: MigrationRecord | None, now_ms: float) -> int:
+        max_exclusion_ms = self.options.again_most_s * 1000.0
+        if previous is not None and now_ms < previous.migrated_ms + max_exclusion_ms:
+            return previous.migration_count + 1
+        return 1
--- /dev/null
+++ b/sageturn/rebalance/migration_round.py
@@ -0,0 +1,84 @@
+"""The migrations of one tick, within the fleet's capacity, the rate and the history's capacity."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+from dataclasses import dataclass
+
+from sageturn.core.endpoint_snapshot import EndpointSnapshot
+from sageturn.rebalance.batches import MigrationBatch
+from sageturn.rebalance.event_tracker import EventTracker
+from sageturn.rebalance.plan import Migration
+from sageturn.rebalance.rate_controller import MigrationRateController
+
+# Part of the set-ups that endpoints have capacity for; new clients need the rest.
+MAX_MIGRATION_CAPACITY_RATIO = 0.5
+
+
+@dataclass(frozen=True, slots=True)
+class MigrationCapacity:
+    """Set-ups that migrated clients may take.
+
+    A client in flight arrives somewhere soon. Those that went to other relays count until they are no longer
+    awaited, since clients that other relays have migrated may arrive here in their place.
+    """
+
+    total: int
+    available: int  # beyond those in flight
+
+    @classmethod
+    def of(cls, endpoints: Sequence[EndpointSnapshot], in_flight_count: int) -> MigrationCapacity:
+        """The capacity that the endpoints have now."""
+        setups = sum(endpoint.room for endpoint in endpoints if endpoint.ready)
+        total = int(MAX_MIGRATION_CAPACITY_RATIO * setups)
+        return cls(total, total - in_flight_count)
+
+
+class MigrationRound:
+    """Collects a tick's migrations. A dry run takes tokens, but begins no migration."""
+
+    def __init__(
+        self,
+        tracker: EventTracker,
+        rate_controller: MigrationRateController,
+        now_ms: float,
+        available_capacity: int,
+        dry_run: bool,
+    ) -> None:
+        self.migrations: list[Migration] = []
+        self._tracker = tracker
+        self._rate_controller = rate_controller
+        self._now_ms = now_ms
+        self._available_capacity = available_capacity
+        self._dry_run = dry_run
+
+    def try_add(self, batch: MigrationBatch, reason: str) -> str | None:
+        """Add a batch if it may go now; otherwise return what it has to wait for."""
+        waiting_for = self._acquire(batch)
+        if waiting_for is None:
+            self._add(batch, reason)
+        return waiting_for
+
+    def _acquire(self, batch: MigrationBatch) -> str | None:
+        count = len(batch.request_ids)
+        history = self._tracker.history
+        if self._available_capacity < count:
+            return f"{history.in_flight_count} on the way, no room for {count} more"
+        if not history.has_capacity_for(count):
+            return "as many moved clients remembered as there is room for"
+        if not self._rate_controller.try_acquire(count):
+            return f"saves for {batch.description}: {max(0.0, self._rate_controller.tokens):.1f} saved"
+        return None
+
+    def _add(self, batch: MigrationBatch, reason: str) -> None:
+        count = len(batch.request_ids)
+        self._available_capacity -= count
+        self.migrations.extend(Migration(request_id, reason) for request_id in batch.request_ids)
+        counts = self._tracker.counts
+        if self._dry_run:
+            counts["would_move"] += count
+            return
+        counts["moved"] += count
+        counts["units"] += 1
+        for request_id in batch.request_ids:
+            self._tracker.begin_migration(self._now_ms, request_id, by_planner=True)
--- /dev/null
+++ b/sageturn/rebalance/overload_detector.py
@@ -0,0 +1,194 @@
+"""Derives overload signals from the events that pass through this relay."""
+
+from __future__ import annotations
+
+from collections import Counter
+from collections.abc import Iterable
+
+from sageturn.core.endpoint_snapshot import EndpointSnapshot
+from sageturn.rebalance.connection_table import ConnectionTable
+from sageturn.rebalance.decaying_counter import DecayingCounter
+from sageturn.rebalance.overload_signals import OverloadSignal
+
+# Long enough for a few round trips of a migration, from the request to reconnect to the new connection.
+EVENT_TIME_CONSTANT_MS = 5000.0
+# Migrations are rare, so their outcomes are counted over a longer time.
+RETURN_TIME_CONSTANT_MS = 20000.0
+
+MIN_LATE_SETUPS = 2.0
+MIN_LATE_SETUP_RATIO = 0.1  # of all set-ups
+MIN_REJECTIONS = 0.5  # a single recent one is a signal
+MIN_OUTAGE_REJECTIONS = 3.0
+MIN_OUTAGE_REJECTION_RATIO = 0.2  # of all requests
+MIN_RESETS = 1.5
+MIN_RESET_RATIO = 0.005  # of established connections
+MIN_OUTAGE_RESETS = 4.0
+MIN_OUTAGE_RESET_RATIO = 0.03  # of established connections
+MIN_CONNECT_FAILURES = 1.5  # a single failure may be an endpoint's regular end
+MIN_EXPECTED_RETURNS = 4.0  # fewer expected clients say nothing
+MIN_RETURN_RATIO = 0.5  # of the returns expected
+RETURN_RATIO_GAIN = 0.02  # weight of one client in the learned return ratio
+MIN_LEARNED_RETURN_SHARE = 0.5  # the learned ratio never falls under this part of its initial value
+
+MAX_DRAIN_SIGNAL_MS = 60000.0  # an endpoint that drains for longer releases its clients slowly enough
+ENDPOINT_LOSS_SIGNAL_MS = 8000.0  # clients of a lost endpoint have reconnected by then
+
+
+class OverloadDetector:
+    """Counts events with decay and reports which signals hold.
+
+    ``expected_return_ratio`` is the part of migrated clients that reconnect to this relay; the others reach
+    another relay. It is learned from the returns that are seen.
+    """
+
+    def __init__(self, expected_return_ratio: float) -> None:
+        self.set_expected_return_ratio(expected_return_ratio)
+        self.seen: Counter[str] = Counter()  # evaluations in which each signal held, by its stored name
+        self._requests = DecayingCounter(EVENT_TIME_CONSTANT_MS)
+        self._setups = DecayingCounter(EVENT_TIME_CONSTANT_MS)
+        self._late_setups = DecayingCounter(EVENT_TIME_CONSTANT_MS)
+        self._rejections = DecayingCounter(EVENT_TIME_CONSTANT_MS)
+        self._resets = DecayingCounter(EVENT_TIME_CONSTANT_MS)
+        self._connect_failures = DecayingCounter(EVENT_TIME_CONSTANT_MS)
+        self._returns = DecayingCounter(RETURN_TIME_CONSTANT_MS)
+        self._missing = DecayingCounter(RETURN_TIME_CONSTANT_MS)
+        self._endpoint_list_failed = False
+        self._endpoints: dict[str, EndpointSnapshot] = {}
+        self._draining_since_ms: dict[str, float] = {}
+        self._endpoint_lost_ms = float("-inf")
+
+    def set_expected_return_ratio(self, ratio: float) -> None:
+        """Restart learning from ``ratio``: what chance gives for the number of relays there are."""
+        self.expected_return_ratio = ratio
+        # Bounded below: were it to fall with every outage, the next one would go unnoticed.
+        self._min_return_ratio = ratio * MIN_LEARNED_RETURN_SHARE
+
+    # ------------------------------------------------------------ events
+
+    def record_request(self, now_ms: float) -> None:
+        """A client has asked for a connection."""
+        self._requests.add(now_ms)
+
+    def record_established(self, now_ms: float, late: bool) -> None:
+        """A connection was set up; ``late``: beyond its class's latency objective."""
+        self._setups.add(now_ms)
+        if late:
+            self._late_setups.add(now_ms)
+
+    def record_rejection(self, now_ms: float) -> None:
+        """A request was rejected or has failed."""
+        self._rejections.add(now_ms)
+
+    def record_reset(self, now_ms: float) -> None:
+        """An endpoint broke an established connection."""
+        self._resets.add(now_ms)
+
+    def record_connect_failure(self, now_ms: float) -> None:
+        """An attempt to connect to an endpoint failed or timed out."""
+        self._connect_failures.add(now_ms)
+
+    def record_endpoint_list(self, failed: bool) -> None:
+        """The endpoint list was updated, or its watch has failed."""
+        self._endpoint_list_failed = failed
+
+    def record_return(self, now_ms: float) -> None:
+        """A migrated client has reconnected to this relay."""
+        self._returns.add(now_ms)
+        self.expected_return_ratio += RETURN_RATIO_GAIN * (1.0 - self.expected_return_ratio)
+
+    def record_missing(self, now_ms: float, clients: int) -> None:
+        """So many migrated clients have not reconnected to this relay in time."""
+        if not clients:
+            return
+        self._missing.add(now_ms, clients)
+        learned = self.expected_return_ratio * (1.0 - RETURN_RATIO_GAIN) ** clients
+        self.expected_return_ratio = max(self._min_return_ratio, learned)
+
+    # ------------------------------------------------------------ evaluation
+
+    def evaluate(
+        self,
+        now_ms: float,
+        connections: ConnectionTable,
+        endpoints: Iterable[EndpointSnapshot],
+        out_of_service: frozenset[str] = frozenset(),
+    ) -> list[OverloadSignal]:
+        """The signals that hold now, in their order of precedence. To be called once a tick.
+
+        ``out_of_service`` names endpoints that an operator has removed: they look like draining ones, but
+        are no signal.
+        """
+        self._observe_endpoints(now_ms, connections, endpoints, out_of_service)
+        conditions = (
+            (OverloadSignal.LIST_FAILED, self._endpoint_list_failed),
+            (OverloadSignal.LOST, now_ms < self._endpoint_lost_ms + ENDPOINT_LOSS_SIGNAL_MS),
+            (OverloadSignal.DRAINING, self._is_draining(now_ms)),
+            (OverloadSignal.REFUSING, self._is_rejecting_many(now_ms)),
+            (
+                OverloadSignal.BREAKING,
+                self._has_resets(now_ms, connections, MIN_OUTAGE_RESETS, MIN_OUTAGE_RESET_RATIO),
+            ),
+            (OverloadSignal.PUT_OUT, any(endpoint.out for endpoint in self._endpoints.values())),
+            (OverloadSignal.REFUSED, self._rejections.value_at(now_ms) >= MIN_REJECTIONS),
+            (OverloadSignal.RESET, self._has_resets(now_ms, connections, MIN_RESETS, MIN_RESET_RATIO)),
+            (OverloadSignal.UNREACHABLE, self._connect_failures.value_at(now_ms) >= MIN_CONNECT_FAILURES),
+            (OverloadSignal.LATE, self._has_late_setups(now_ms)),
+            (OverloadSignal.NOT_BACK, self._are_returns_missing(now_ms)),
+        )
+        signals = [signal for signal, holds in conditions if holds]
+        self.seen.update(signal.name.lower() for signal in signals)
+        return signals
+
+    def _is_draining(self, now_ms: float) -> bool:
+        return any(now_ms < since_ms + MAX_DRAIN_SIGNAL_MS for since_ms in self._draining_since_ms.values())
+
+    def _is_rejecting_many(self, now_ms: float) -> bool:
+        rejections = self._rejections.value_at(now_ms)
+        requests = self._requests.value_at(now_ms)
+        return rejections >= MIN_OUTAGE_REJECTIONS and rejections >= MIN_OUTAGE_REJECTION_RATIO * requests
+
+    def _has_resets(
+        self, now_ms: float, connections: ConnectionTable, min_resets: float, min_ratio: float
+    ) -> bool:
+        established = max(1, len(connections))
+        return self._resets.value_at(now_ms) >= max(min_resets, min_ratio * established)
+
+    def _has_late_setups(self, now_ms: float) -> bool:
+        late = self._late_setups.value_at(now_ms)
+        return late >= MIN_LATE_SETUPS and late >= MIN_LATE_SETUP_RATIO * self._setups.value_at(now_ms)
+
+    def _are_returns_missing(self, now_ms: float) -> bool:
+        returned = self._returns.value_at(now_ms)
+        awaited = returned + self._missing.value_at(now_ms)
+        if awaited * self.expected_return_ratio < MIN_EXPECTED_RETURNS:
+            return False
+        return returned < MIN_RETURN_RATIO * self.expected_return_ratio * awaited
+
+    # ------------------------------------------------------------ endpoints
+
+    def _observe_endpoints(
+        self,
+        now_ms: float,
+        connections: ConnectionTable,
+        endpoints: Iterable[EndpointSnapshot],
+        out_of_service: frozenset[str],
+    ) -> None:
+        current = {endpoint.name: endpoint for endpoint in endpoints}
+        if any(self._is_lost(previous, current) for previous in self._endpoints.values()):
+            self._endpoint_lost_ms = now_ms
+        for name, endpoint in current.items():
+            if endpoint.draining and name in connections.endpoints and name not in out_of_service:
+                self._draining_since_ms.setdefault(name, now_ms)
+            else:
+                self._draining_since_ms.pop(name, None)
+        for name in [name for name in self._draining_since_ms if name not in current]:
+            del self._draining_since_ms[name]
+        self._endpoints = current
+
+    @staticmethod
+    def _is_lost(previous: EndpointSnapshot, current: dict[str, EndpointSnapshot]) -> bool:
+        """Whether an endpoint has gone without draining, or has restarted."""
+        endpoint = current.get(previous.name)
+        if endpoint is None:
+            return not previous.draining
+        return endpoint.started_ms != previous.started_ms
--- a/sageturn/rebalance/planner.py
+++ b/sageturn/rebalance/planner.py
@@ -1,436 +1,304 @@
-"""Who is asked to come again. Where they land stays with the decision module.
+"""Decides which clients are asked to reconnect. Where they land is decided by the balancer.
 
-No I/O and no clock: the module's own events and actions go in as they pass, the hosts as the module sees
-them at each tick; moves come out, each with its reason. The same input gives the same moves.
+No I/O and no clock: the balancer's own events and actions are passed in, and at each tick the endpoints as
+the balancer sees them. The result is a plan; the same input gives the same plan.
 """
 
 from __future__ import annotations
 
 from collections import Counter
 from collections.abc import Sequence
-from dataclasses import dataclass
 from random import Random
 
 from sageturn import decision
 from sageturn.core.endpoint_snapshot import EndpointSnapshot, OperatorMarks
-from sageturn.rebalance.batches import PASSING, BlockReason, MigrationBatch, Sight, parting, units
-from sageturn.rebalance.connection_table import ConnectionTable
-from sageturn.rebalance.migration_history import MigrationHistory, client_number
+from sageturn.rebalance.batches import (
+    TEMPORARY_BLOCK_REASONS,
+    BatchFinder,
+    BlockReason,
+    EligibilityRules,
+    InspectionBudget,
+    evacuation_batches,
+)
+from sageturn.rebalance.connection_table import ConnectionLabels, ConnectionTable
+from sageturn.rebalance.event_tracker import EventTracker
+from sageturn.rebalance.migration_history import MigrationHistory, client_hash
+from sageturn.rebalance.migration_round import MigrationCapacity, MigrationRound
 from sageturn.rebalance.options import RebalanceOptions
-from sageturn.rebalance.overload_signals import OverloadDetector
-from sageturn.rebalance.rate_controller import MigrationRateController, OverloadSignal
-from sageturn.rebalance.utilization import Balance, EndpointUtilization, weigh
+from sageturn.rebalance.overload_detector import OverloadDetector
+from sageturn.rebalance.plan import NO_PLAN, MigrationPlan, PlanPhase
+from sageturn.rebalance.pool_balancer import PoolBalancer, is_imbalanced
+from sageturn.rebalance.rate_controller import MigrationRateController
+from sageturn.rebalance.state import RebalanceState, encode_state
+from sageturn.rebalance.utilization import PoolUtilization, estimate_utilization, max_ratio, min_ratio
 
-SIGHT = 2000  # connections looked at in a tick at most
-ROOM_PART = 0.5  # of the set-ups that hosts have room for, moved clients may take this; newcomers need some
-LOW_TIMES = 2.0  # a host may be this much further under the mean than over it before planning starts
-UNREACHABLE_MS = 30000.0  # what cannot be balanced now is looked at again then
-USEFUL_NEW, USEFUL_LEAST = 0.05, 0.2  # weight of one landing; under this part of useful ones moving stops
-USELESS_MS = 60000.0
-USEFUL_BY = 0.02  # a landing is useful where the host was this much less full, in means
-SPARED_MS = 60000.0  # so long the module leaves alone whom the planner has moved
-GAP_PART = 0.75  # of the gap between two hosts goes in one unit: more would only turn it round
+MAX_INSPECTED_CONNECTIONS = 2000  # per tick
+UNREACHABLE_PAUSE_MS = 30000.0  # what can't be balanced now is looked at again after this
+USELESS_PAUSE_MS = 60000.0
+BALANCER_EXEMPTION_MS = 60000.0  # so long the balancer does not migrate a client again that the planner has
 
 
-@dataclass(frozen=True, slots=True)
-class Migration:
-    request_id: int
-    reason: str
-
-
-@dataclass(frozen=True, slots=True)
-class MigrationPlan:
-    """``phase`` is one word for what the planner does, ``why`` a line for the operator.
+class RebalancePlanner:
+    """Plans migrations at each tick, from what it observes of the balancer in between.
 
-    ``dry-run`` is the one phase whose moves are not to be made.
+    It is a ``BalancerObserver``: the balancer's actor calls ``before``, ``after`` and ``moved_by_other``.
     """
 
-    migrations: tuple[Migration, ...]
-    phase: str
-    why: str
-
-
-@dataclass(slots=True)
-class _Asked:
-    at_ms: float
-    pair: tuple[str, str]
-    group: str
-    client: int
-    returned: bool = False
-
-
-NO_PLAN = MigrationPlan((), "", "")  # before the first tick
-
-
-class RebalancePlanner:
     def __init__(self, settings: decision.Settings, options: RebalanceOptions, seed: int) -> None:
         self.settings = settings
-        self._aims = {c.name: c.latency_objective_ms for c in settings.classes}
-        self.connections = ConnectionTable()
-        self.history = MigrationHistory(options)
+        self.tracker = EventTracker(settings, options)
         self.rate_controller = MigrationRateController(options, settings.relay_count, Random(seed))
-        self.overload_detector = OverloadDetector(1.0 / settings.relay_count)
-        self.balances: list[Balance] = []
+        self.marks = OperatorMarks()
         self.block_counts: Counter[BlockReason] = Counter()
-        self.counts: Counter[str] = Counter()
-        self.useful = 1.0
-        self.active = False
-        self._asked: dict[int, _Asked] = {}
-        self._leaving: set[int] = set()
-        self._ratios: dict[str, float] = {}
-        self._rest_until_ms, self._rest = 0.0, ("", "")
-        self._late_before = 0  # late returns by the last tick
+        self._options = options
+        self._pools: list[PoolUtilization] = []
         self._zones: set[str] = set()
-        self.marks = OperatorMarks()
-        self._set_options(options)
-
-    # ------------------------------------------------------------ settings
+        self._is_balancing = False
+        self._late_returns = 0  # as of the last tick
+        self._paused_until_ms = 0.0
+        self._pause_plan = NO_PLAN
 
     @property
     def options(self) -> RebalanceOptions:
+        """The operator's settings; new ones apply from the next tick on."""
         return self._options
 
     @options.setter
     def options(self, options: RebalanceOptions) -> None:
-        self._set_options(options)
-        self._rest_until_ms = 0.0  # what could not be done may be possible now
+        self._options = options
+        self.tracker.set_options(options)
+        self.rate_controller.options = options
+        self._paused_until_ms = 0.0  # what could not be done may be possible now
 
-    def _set_options(self, options: RebalanceOptions) -> None:
-        self._options = self.history.options = self.rate_controller.options = options
+    @property
+    def connections(self) -> ConnectionTable:
+        """This relay's connections."""
+        return self.tracker.connections
+
+    @property
+    def history(self) -> MigrationHistory:
+        """Who was migrated."""
+        return self.tracker.history
+
+    @property
+    def overload_detector(self) -> OverloadDetector:
+        """What speaks against migrating."""
+        return self.tracker.overload_detector
+
+    @property
+    def counts(self) -> Counter[str]:
+        """What was done since the start, by the names in the stored state."""
+        return self.tracker.counts
 
     # ------------------------------------------------------------ events
 
     def before(self, now_ms: float, event: decision.Event) -> None:
-        """Says to the module, in the request itself, that its client was moved for balance just now."""
+        """Tell the balancer, in the request itself, that its client was migrated recently."""
         if not isinstance(event, decision.RequestArrived) or not len(self.history):
-            return  # while nobody was moved there is nothing to say
-        client = client_number(event.client)
-        moved = self.history.last_move(client)
-        if moved is not None and moved.by_plan:
-            event.spared_until_ms = min(moved.until_ms, moved.at_ms + SPARED_MS)
-            if client in self.history.on_way:
-                event.moved_off = moved.off
-                if self.marks.held and event.allowed is None:
-                    event.allowed = frozenset(self._ratios.keys() - self.marks.held)
+            return
+        client = client_hash(event.client)
+        migration = self.history.last_migration(client)
+        if migration is None or not migration.by_planner:
+            return
+        event.spared_until_ms = min(
+            migration.excluded_until_ms, migration.migrated_ms + BALANCER_EXEMPTION_MS
+        )
+        if self.history.is_in_flight(client):
+            event.moved_off = migration.source_endpoint
+            if self.marks.held and event.allowed is None:
+                event.allowed = frozenset(self.tracker.ratios.keys() - self.marks.held)
 
     def after(self, now_ms: float, event: decision.Event, actions: Sequence[decision.Action]) -> None:
-        match event:
-            case decision.RequestArrived():
-                self.overload_detector.record_request(now_ms)
-                about = event.class_name, event.tenant, event.group
-                self.expect(now_ms, event.id, about, event.client)
-                self._asked[event.id].returned = event.returned
-            case decision.ConnectionAdopted():
-                about = event.class_name, event.tenant, event.group
-                age_ms = self._options.least_age_s * 1000.0
-                self.adopt(now_ms, event.id, event.endpoint, about, event.client, now_ms - age_ms)
-            case decision.ConnectionEstablished():
-                self._stands(now_ms, event)
-            case decision.AttemptEnded():
-                self._ended(now_ms, event)
-            case decision.MeasurementReported(kind="load"):
-                self.connections.load(event.id, event.value)
-            case decision.EndpointListEvent():
-                self.overload_detector.record_endpoint_list(event.kind == "failed")
+        """Take note of an event that the balancer has handled, and of what it has decided."""
+        self.tracker.on_event(now_ms, event)
         for action in actions:
             match action:
                 case decision.RejectRequest(request_id) | decision.FailRequest(request_id):
-                    self._asked.pop(request_id, None)
-                    self.overload_detector.record_rejection(now_ms)
+                    self.tracker.on_request_rejected(now_ms, request_id)
                 case decision.MigrateConnection(request_id):
                     self.moved_by_other(now_ms, request_id)
 
-    def expect(self, now_ms: float, request_id: int, about: tuple[str, str, str], client: str) -> None:
-        """A request that is not answered yet; ``about``: its class, tenant and group."""
-        self._asked[request_id] = _Asked(now_ms, about[:2], about[2], client_number(client))
+    def moved_by_other(self, now_ms: float, request_id: int) -> None:
+        """The balancer or a drain migrates a connection: never delayed, but charged to the same budget."""
+        if request_id not in self.tracker.migrating:
+            self.counts["by_others"] += 1
+            self.rate_controller.charge(1)
+            self.tracker.begin_migration(now_ms, request_id, by_planner=False)
+
+    def expect(self, now_ms: float, request_id: int, labels: ConnectionLabels, client_key: str) -> None:
+        """Note a request that arrived before the planner was started."""
+        self.tracker.expect(now_ms, request_id, labels, client_key)
 
     def adopt(
         self,
         now_ms: float,
         request_id: int,
-        host: str,
-        about: tuple[str, str, str],
-        client: str,
-        since_ms: float,
+        endpoint: str,
+        labels: ConnectionLabels,
+        client_key: str,
+        established_ms: float,
     ) -> None:
-        """A connection that stood before the planner, or the relay, was there."""
-        since_ms = min(now_ms, since_ms)
-        self.connections.add(since_ms, request_id, host, about[2], about[:2], client_number(client))
-
-    def moved_by_other(self, now_ms: float, request_id: int) -> None:
-        """The module or a drain moves a connection: never held back, and paid for from the same budget."""
-        if request_id not in self._leaving:
-            self.counts["by_others"] += 1
-            self.rate_controller.charge(1)
-            self._leave(now_ms, request_id, by_plan=False)
-
-    def _leave(self, now_ms: float, request_id: int, by_plan: bool) -> None:
-        if request_id not in self.connections:
-            return
-        host, group = self.connections.place_of(request_id)
-        self.history.move(self.connections.client_of(request_id), host, group, now_ms, by_plan)
-        self._leaving.add(request_id)
-
-    def _stands(self, now_ms: float, event: decision.ConnectionEstablished) -> None:
-        asked = self._asked.pop(event.id, None)
-        if asked is None:
-            return
-        late = now_ms - asked.at_ms > self._aims.get(asked.pair[0], float("inf"))
-        self.overload_detector.record_established(now_ms, late)
-        self.connections.add(now_ms, event.id, event.endpoint, asked.group, asked.pair, asked.client)
-        moved = self.history.stands(asked.client)
-        if moved is None:
-            if asked.returned:
-                self.history.returned(asked.client, now_ms)
-            return
-        self.overload_detector.record_return(now_ms)
-        self.counts["back"] += 1
-        if moved.by_plan:
-            self.counts["back_late"] += late
-            landed, left = self._ratios.get(event.endpoint, 1.0), self._ratios.get(moved.off, 1.0)
-            good = event.endpoint != moved.off and landed < left - USEFUL_BY
-            self.counts["landed_well" if good else "landed_ill"] += 1
-            self.useful += USEFUL_NEW * (good - self.useful)
-
-    def _ended(self, now_ms: float, event: decision.AttemptEnded) -> None:
-        if self.connections.remove(event.id):
-            if event.status == "reset":
-                self.overload_detector.record_reset(now_ms)
-        elif event.status in ("connect_failed", "timeout"):
-            self.overload_detector.record_connect_failure(now_ms)
-        self._leaving.discard(event.id)
-        if event.final:
-            self._asked.pop(event.id, None)
+        """Add a connection that was established before the planner was started."""
+        self.tracker.adopt(now_ms, request_id, endpoint, labels, client_key, established_ms)
 
     # ------------------------------------------------------------ a tick
 
     def tick(
-        self, now_ms: float, hosts: Sequence[EndpointSnapshot], minute: int, stopping: bool = False
+        self, now_ms: float, endpoints: Sequence[EndpointSnapshot], minute: int, stopping: bool = False
     ) -> MigrationPlan:
-        """``minute`` of the UTC day; ``stopping``: the relay itself is about to leave, and moves everyone."""
-        options = self._options
-        self.history.forget(now_ms)
-        lost = self.history.lost(now_ms)
-        self.counts["not_back"] += lost
-        self.overload_detector.record_missing(now_ms, lost)
-        signs = self.overload_detector.evaluate(now_ms, self.connections, hosts, self.marks.out)
-        self.rate_controller.advance(now_ms, len(self.connections), signs, self._doing_well())
-        self._weigh(hosts)
-        if stopping:
-            return MigrationPlan((), "stopping", "the relay leaves and moves everyone itself")
-        cleared = self._clear(now_ms, hosts)
-        if cleared is not None:
-            return cleared
-        if options.mode == "off":
-            return MigrationPlan((), "off", "turned off")
-        if options.quiet(minute):
-            return MigrationPlan((), "quiet", "quiet hours")
-        self._see_active()
-        if not self.active:
-            return MigrationPlan((), "balanced", self._measure())
-        if now_ms < self.rate_controller.stopped_until_ms or not self.rate_controller.rate:
-            sign = self.rate_controller.sign
-            why = f"{sign.name.lower()}: {sign.value}" if sign else "settling after a start"
-            return MigrationPlan((), "held", why)
-        if now_ms < self._rest_until_ms:
-            return MigrationPlan((), *self._rest)
-        if self.useful < USEFUL_LEAST:
-            self.useful = 0.5
-            return self._take_rest(now_ms, USELESS_MS, "useless", "moved clients land where it is as full")
-        return self._plan(now_ms, hosts)
-
-    def _clear(self, now_ms: float, hosts: Sequence[EndpointSnapshot]) -> MigrationPlan | None:
-        """Hosts that an operator clears: everyone goes, in whatever mode, at the same pace as any move."""
-        full = [
-            self.connections.hosts[name]
-            for name in sorted(self.marks.cleared)
-            if name in self.connections.hosts
-        ]
-        if not full or now_ms < self.rate_controller.stopped_until_ms or not self.rate_controller.rate:
-            return None
-        whole, room = self._room(hosts)
-        largest = max(1, min(whole, self._options.burst))
-        moves: list[Migration] = []
-        for held in full:
-            reason = f"{held.name} is cleared by an operator"
-            for unit in parting(self.connections, held, largest, now_ms, self.history, self._leaving):
-                if self._may_go(unit, room - len(unit.ids)):
-                    break
-                room -= len(unit.ids)
-                self._go(now_ms, unit, reason, moves, really=True)
-        left = sum(held.count for held in full)
-        return MigrationPlan(tuple(moves), "clearing", f"{left} still there") if moves else None
-
-    def _room(self, hosts: Sequence[EndpointSnapshot]) -> tuple[int, int]:
-        """Set-ups that moved clients may take: in all, and beyond those that are on the way.
+        """Decide what is migrated now.
 
-        Whoever is on the way lands somewhere soon; those who went to other relays count until their time is
-        up, since what these have asked to move may come here in their place.
+        ``minute``: of the UTC day; ``stopping``: the relay itself shuts down, and migrates everyone.
         """
-        whole = int(ROOM_PART * sum(h.room for h in hosts if h.ready))
-        return whole, whole - len(self.history.on_way)
-
-    def _take_rest(self, now_ms: float, rest_ms: float, phase: str, why: str) -> MigrationPlan:
-        self._rest_until_ms, self._rest = now_ms + rest_ms, (phase, why)
-        return MigrationPlan((), phase, why)
-
-    def _doing_well(self) -> bool:
-        """No late return since the last tick."""
-        before, self._late_before = self._late_before, self.counts["back_late"]
-        return before == self._late_before
-
-    def _weigh(self, hosts: Sequence[EndpointSnapshot]) -> None:
-        st = self.settings
-        zones = {host.zone for host in hosts if host.ready}
-        by_zone = st.cross_zone_cost > 0 and len(zones) > 1
-        sharers = max(1.0, st.relay_count / len(zones)) if by_zone else float(st.relay_count)
+        self._update_rate(now_ms, endpoints)
+        self._update_utilization(endpoints)
+        if stopping:
+            return MigrationPlan((), PlanPhase.STOPPING, "the relay leaves and moves everyone itself")
+        clearing = self._plan_clearing(now_ms, endpoints)
+        if clearing is not None:
+            return clearing
+        return self._plan_nothing(now_ms, minute) or self._plan_balancing(now_ms, endpoints)
+
+    def _update_rate(self, now_ms: float, endpoints: Sequence[EndpointSnapshot]) -> None:
+        self.tracker.expire_in_flight(now_ms)
+        signals = self.overload_detector.evaluate(now_ms, self.connections, endpoints, self.marks.out)
+        late_returns = self.counts["back_late"]
+        doing_well = late_returns == self._late_returns
+        self._late_returns = late_returns
+        self.rate_controller.update(now_ms, len(self.connections), signals, doing_well)
+
+    def _update_utilization(self, endpoints: Sequence[EndpointSnapshot]) -> None:
+        relay_count = self.settings.relay_count
+        zones = {endpoint.zone for endpoint in endpoints if endpoint.ready}
+        relays_per_zone = max(1.0, relay_count / max(1, len(zones)))
+        by_zone = self.settings.cross_zone_cost > 0 and len(zones) > 1
         if zones != self._zones:
-            # Clients come back through their zone's relays: alone there, all of them are seen again.
+            # Clients return through their zone's relays: a relay that is alone there sees all of them again.
             self._zones = zones
-            self.overload_detector.set_expected_return_ratio(
-                1.0 / max(1.0, st.relay_count / max(1, len(zones)))
-            )
-        self.balances = weigh(self.connections, hosts, sharers, by_zone, st.groups)
-        self._ratios = {fill.name: fill.ratio for balance in self.balances for fill in balance.fills}
-
-    def _see_active(self) -> None:
-        """Starts above one bound and stops under a lower one, or chance would turn it on and off."""
-        bound = (self._options.stop if self.active else self._options.start) - 1.0
-        self.active = any(
-            b.fullest > 1.0 + bound or b.emptiest < 1.0 - LOW_TIMES * bound for b in self.balances
+            self.overload_detector.set_expected_return_ratio(1.0 / relays_per_zone)
+        relays_per_pool = relays_per_zone if by_zone else float(relay_count)
+        self._pools = estimate_utilization(
+            self.connections, endpoints, relays_per_pool, by_zone, self.settings.groups
         )
+        self.tracker.ratios = {
+            endpoint.name: endpoint.ratio for pool in self._pools for endpoint in pool.endpoints
+        }
 
-    def _measure(self) -> str:
-        fullest = max((b.fullest for b in self.balances), default=1.0)
-        emptiest = min((b.emptiest for b in self.balances), default=1.0)
-        return f"fullest {fullest:.2f} and emptiest {emptiest:.2f} of the mean"
-
-    # ------------------------------------------------------------ choosing
-
-    def _plan(self, now_ms: float, hosts: Sequence[EndpointSnapshot]) -> MigrationPlan:
-        self.block_counts = Counter()
-        sight = Sight(SIGHT)
-        moves: list[Migration] = []
-        whole, room = self._room(hosts)
-        largest = min(whole, self._options.burst)
-        waits = ""
-        for balance in sorted(self.balances, key=lambda b: -b.fullest):
-            waits = self._plan_set(balance, now_ms, sight, room - len(moves), largest, moves) or waits
-        if moves:
-            if self._options.mode == "dry-run":
-                return MigrationPlan(tuple(moves), "dry-run", self._measure())
-            return MigrationPlan(tuple(moves), "balancing", self._measure())
-        if waits:
-            return MigrationPlan((), "waiting", waits)
-        if not any(block in PASSING for block in self.block_counts):
-            why = f"{self._measure()}: {self._in_way()}"
-            return self._take_rest(now_ms, UNREACHABLE_MS, "unreachable", why)
-        return MigrationPlan((), "waiting", self._in_way())
-
-    def _in_way(self) -> str:
-        told = (f"{count} {block.value}" for block, count in self.block_counts.most_common())
-        return "; ".join(told) or "no host has room for more"
-
-    def _plan_set(
-        self, balance: Balance, now_ms: float, sight: Sight, room: int, largest: int, moves: list[Migration]
-    ) -> str:
-        """Adds to ``moves`` what may go now; returns what it waits for, if there is more to be done."""
-        stop = self._options.stop - 1.0
-        if balance.fullest <= 1.0 + stop and balance.emptiest >= 1.0 - LOW_TIMES * stop:
-            return ""
-        # Where one is empty, and none much too full, all that are above the mean give a little.
-        floor = 1.0 + stop if balance.fullest > 1.0 + stop else 1.0
-        held_back = self.marks.held
-        takers = [f for f in balance.fills if f.ratio < 1.0 and f.room > 0 and f.name not in held_back]
-        if not takers:
-            return "no emptier host has room"
-        ratios = {f.name: f.ratio for f in balance.fills}
-        for donor in sorted(balance.fills, key=lambda f: (-f.ratio, f.name)):
-            if donor.ratio <= floor:
-                break
-            held = self.connections.hosts.get(donor.name)
-            if held is None or donor.name in held_back:
-                continue
-            taker = min(takers, key=lambda f: (ratios[f.name], f.name))
-            most = self._fits(donor, taker, ratios)
-            found = units(
-                self.connections,
-                held,
-                most,
-                largest,
-                now_ms,
-                self._options,
-                self.history,
-                self._leaving,
-                sight,
-                self.block_counts,
-            )
-            for unit in found:
-                if unit.load > self._fits(donor, taker, ratios):
-                    continue  # it would have fitted before the others of this tick
-                waits = self._may_go(unit, room - len(unit.ids))
-                if waits:
-                    return waits
-                room -= len(unit.ids)
-                ratios[donor.name] -= unit.load / donor.due
-                ratios[taker.name] += unit.load / taker.due
-                reason = f"{donor.name} at {donor.ratio:.2f} of the mean: {unit.what}"
-                self._go(now_ms, unit, reason, moves, really=self._options.mode == "on")
-                taker = min(takers, key=lambda f: (ratios[f.name], f.name))
-                if ratios[donor.name] <= floor:
+    def _plan_clearing(self, now_ms: float, endpoints: Sequence[EndpointSnapshot]) -> MigrationPlan | None:
+        """Empty endpoints that an operator clears: in whatever mode, at the same rate as any migration."""
+        own_totals = self.connections.endpoints
+        cleared = [own_totals[name] for name in sorted(self.marks.cleared) if name in own_totals]
+        if not cleared or self.rate_controller.is_stopped(now_ms):
+            return None
+        capacity = MigrationCapacity.of(endpoints, self.history.in_flight_count)
+        max_batch_connections = max(1, min(capacity.total, self._options.burst))
+        migration_round = self._new_round(now_ms, capacity, dry_run=False)
+        rules = self._eligibility_rules(now_ms)
+        for endpoint in cleared:
+            reason = f"{endpoint.name} is cleared by an operator"
+            for batch in evacuation_batches(self.connections, endpoint, rules, max_batch_connections):
+                if migration_round.try_add(batch, reason) is not None:
                     break
-        return ""
-
-    def _fits(
-        self, donor: EndpointUtilization, taker: EndpointUtilization, ratios: dict[str, float]
-    ) -> float:
-        """The largest load whose move brings the two nearer, and leaves the donor not much under the mean."""
-        least = 1.0 - LOW_TIMES * (self._options.stop - 1.0)
-        gap = ratios[donor.name] - ratios[taker.name]
-        return min(GAP_PART * gap * taker.due, (ratios[donor.name] - least) * donor.due)
-
-    def _may_go(self, unit: MigrationBatch, room_left: int) -> str:
-        count = len(unit.ids)
-        if room_left < 0:
-            return f"{len(self.history.on_way)} on the way, no room for {count} more"
-        if not self.history.room_for(count):
-            return "as many moved clients remembered as there is room for"
-        if not self.rate_controller.take(count):
-            return f"saves for {unit.what}: {max(0.0, self.rate_controller.tokens):.1f} saved"
-        return ""
-
-    def _go(
-        self, now_ms: float, unit: MigrationBatch, reason: str, moves: list[Migration], really: bool
-    ) -> None:
-        moves.extend(Migration(request_id, reason) for request_id in unit.ids)
-        if really:
-            self.counts["moved"] += len(unit.ids)
-            self.counts["units"] += 1
-            for request_id in unit.ids:
-                self._leave(now_ms, request_id, by_plan=True)
-        else:
-            self.counts["would_move"] += len(unit.ids)
+        if not migration_round.migrations:
+            return None
+        remaining = sum(endpoint.connection_count for endpoint in cleared)
+        migrations = tuple(migration_round.migrations)
+        return MigrationPlan(migrations, PlanPhase.CLEARING, f"{remaining} still there")
+
+    def _plan_nothing(self, now_ms: float, minute: int) -> MigrationPlan | None:
+        """A plan without migrations, where there is a reason for one."""
+        if self._options.mode == "off":
+            return MigrationPlan((), PlanPhase.OFF, "turned off")
+        if self._options.is_quiet_at(minute):
+            return MigrationPlan((), PlanPhase.QUIET, "quiet hours")
+        if not self._update_is_balancing():
+            return MigrationPlan((), PlanPhase.BALANCED, self._describe_ratios())
+        if self.rate_controller.is_stopped(now_ms):
+            return MigrationPlan((), PlanPhase.HELD, self._describe_stop())
+        if now_ms < self._paused_until_ms:
+            return self._pause_plan
+        if self.tracker.landing_score.is_too_low:
+            self.tracker.landing_score.resume()
+            explanation = "moved clients land where it is as full"
+            return self._pause(now_ms + USELESS_PAUSE_MS, PlanPhase.USELESS, explanation)
+        return None
+
+    def _plan_balancing(self, now_ms: float, endpoints: Sequence[EndpointSnapshot]) -> MigrationPlan:
+        dry_run = self._options.mode != "on"
+        capacity = MigrationCapacity.of(endpoints, self.history.in_flight_count)
+        migration_round = self._new_round(now_ms, capacity, dry_run)
+        batch_finder = BatchFinder(
+            self.connections,
+            self._eligibility_rules(now_ms),
+            min(capacity.total, self._options.burst),
+            InspectionBudget(MAX_INSPECTED_CONNECTIONS),
+        )
+        self.block_counts = batch_finder.block_counts
+        waiting_for = ""
+        for pool in sorted(self._pools, key=lambda pool: -pool.max_ratio):
+            balancer = PoolBalancer(pool, self._options, self.marks.held, batch_finder, migration_round)
+            waiting_for = balancer.plan(self.connections.endpoints) or waiting_for
+        if migration_round.migrations:
+            phase = PlanPhase.DRY_RUN if dry_run else PlanPhase.BALANCING
+            return MigrationPlan(tuple(migration_round.migrations), phase, self._describe_ratios())
+        if waiting_for:
+            return MigrationPlan((), PlanPhase.WAITING, waiting_for)
+        if TEMPORARY_BLOCK_REASONS.isdisjoint(self.block_counts):
+            explanation = f"{self._describe_ratios()}: {self._describe_blocks()}"
+            return self._pause(now_ms + UNREACHABLE_PAUSE_MS, PlanPhase.UNREACHABLE, explanation)
+        return MigrationPlan((), PlanPhase.WAITING, self._describe_blocks())
+
+    def _update_is_balancing(self) -> bool:
+        """Start above one bound and stop under a lower one, or chance would turn it on and off."""
+        bound = self._options.stop if self._is_balancing else self._options.start
+        self._is_balancing = any(is_imbalanced(pool, bound - 1.0) for pool in self._pools)
+        return self._is_balancing
+
+    def _pause(self, until_ms: float, phase: PlanPhase, explanation: str) -> MigrationPlan:
+        self._paused_until_ms = until_ms
+        self._pause_plan = MigrationPlan((), phase, explanation)
+        return self._pause_plan
+
+    def _new_round(self, now_ms: float, capacity: MigrationCapacity, dry_run: bool) -> MigrationRound:
+        return MigrationRound(self.tracker, self.rate_controller, now_ms, capacity.available, dry_run)
+
+    def _eligibility_rules(self, now_ms: float) -> EligibilityRules:
+        return EligibilityRules(now_ms, self._options, self.history, self.tracker.migrating)
 
     # ------------------------------------------------------------ for operators
 
+    def state(self, plan: MigrationPlan) -> RebalanceState:
+        """The planner's state after a tick with this plan."""
+        controller = self.rate_controller
+        return RebalanceState(
+            mode=self._options.mode,
+            phase=plan.phase,
+            explanation=plan.explanation,
+            max_ratio=max_ratio(self._pools),
+            min_ratio=min_ratio(self._pools),
+            confidence=max((pool.confidence for pool in self._pools), default=0.0),
+            rate_per_s=controller.rate,
+            max_rate_per_s=controller.max_rate(len(self.connections)),
+            tokens=controller.tokens,
+            in_flight_count=self.history.in_flight_count,
+            remembered_clients=len(self.history),
+            landing_score=self.tracker.landing_score.value,
+            counts=self.counts,
+            signal_counts=self.overload_detector.seen,
+            block_counts=self.block_counts,
+        )
+
     def encode_state(self, plan: MigrationPlan) -> dict[str, object]:
-        return {
-            "mode": self._options.mode,
-            "phase": plan.phase,
-            "why": plan.why,
-            "fullest": round(max((b.fullest for b in self.balances), default=1.0), 3),
-            "emptiest": round(min((b.emptiest for b in self.balances), default=1.0), 3),
-            "trust": round(max((b.trust for b in self.balances), default=0.0), 2),
-            "per_s": round(self.rate_controller.rate, 3),
-            "top_per_s": round(self.rate_controller.max_rate(len(self.connections)), 3),
-            "saved": round(self.rate_controller.tokens, 1),
-            "on_way": len(self.history.on_way),
-            "remembered": len(self.history),
-            "useful": round(self.useful, 2),
-            "counts": dict(sorted(self.counts.items())),
-            "signs": dict(sorted(self.overload_detector.seen.items())),
-            "in_the_way": {block.name.lower(): count for block, count in self.block_counts.items()},
-        }
+        """The state after a tick with this plan, as it is stored in ``state/NODE/rebalance``."""
+        return encode_state(self.state(plan))
+
+    def _describe_ratios(self) -> str:
+        return f"fullest {max_ratio(self._pools):.2f} and emptiest {min_ratio(self._pools):.2f} of the mean"
 
+    def _describe_stop(self) -> str:
+        signal = self.rate_controller.last_signal
+        return f"{signal.name.lower()}: {signal.value}" if signal else "settling after a start"
 
-__all__ = ["EndpointSnapshot", "Migration", "MigrationPlan", "RebalancePlanner", "OverloadSignal"]
+    def _describe_blocks(self) -> str:
+        descriptions = (f"{count} {reason.value}" for reason, count in self.block_counts.most_common())
+        return "; ".join(descriptions) or "no host has room for more"
--- /dev/null
+++ b/sageturn/rebalance/state.py
@@ -0,0 +1,51 @@
+"""The planner's state as operators read it, and its encoding in the record ``state/NODE/rebalance``."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from dataclasses import dataclass
+
+from sageturn.rebalance.batches import BlockReason
+from sageturn.rebalance.plan import PlanPhase
+
+
+@dataclass(frozen=True, slots=True)
+class RebalanceState:
+    """What the planner knows and does, after a tick. Ratios are against the mean utilization."""
+
+    mode: str
+    phase: PlanPhase
+    explanation: str
+    max_ratio: float
+    min_ratio: float
+    confidence: float  # see ``PoolUtilization.confidence``
+    rate_per_s: float
+    max_rate_per_s: float
+    tokens: float
+    in_flight_count: int
+    remembered_clients: int
+    landing_score: float
+    counts: Mapping[str, int]  # since the start
+    signal_counts: Mapping[str, int]  # ticks at which each overload signal held
+    block_counts: Mapping[BlockReason, int]  # as of the last tick that looked for batches
+
+
+def encode_state(state: RebalanceState) -> dict[str, object]:
+    """The stored record. Its keys and their order are read by operators and by other replicas."""
+    return {
+        "mode": state.mode,
+        "phase": state.phase.value,
+        "why": state.explanation,
+        "fullest": round(state.max_ratio, 3),
+        "emptiest": round(state.min_ratio, 3),
+        "trust": round(state.confidence, 2),
+        "per_s": round(state.rate_per_s, 3),
+        "top_per_s": round(state.max_rate_per_s, 3),
+        "saved": round(state.tokens, 1),
+        "on_way": state.in_flight_count,
+        "remembered": state.remembered_clients,
+        "useful": round(state.landing_score, 2),
+        "counts": dict(sorted(state.counts.items())),
+        "signs": dict(sorted(state.signal_counts.items())),
+        "in_the_way": {reason.name.lower(): count for reason, count in state.block_counts.items()},
+    }
--- a/sageturn/rebalance/utilization.py
+++ b/sageturn/rebalance/utilization.py
@@ -1,9 +1,9 @@
-"""How far the fleet is from balance, as far as one relay can tell.
+"""How evenly the fleet is utilized, as far as one relay can tell.
 
-A host's fill is its load over its size. The measure is the fullest host's fill over the mean of those it is
-compared with. A relay sees only its own connections, a sample of each host's: with few of them chance alone
-makes hosts look unequal. What the other relays hold there is therefore guessed by what is left of the spread
-once that which chance explains is taken off (empirical Bayes, as in the James-Stein estimator).
+An endpoint's utilization is its load over its size, measured against the mean of the endpoints it is compared
+with. A relay sees only its own connections, a sample of each endpoint's: with few of them chance alone makes
+endpoints look unequal. What the other relays have there is therefore estimated by what is left of the spread
+once that which chance explains is subtracted (empirical Bayes, as in the James-Stein estimator).
 """
 
 from __future__ import annotations
@@ -18,67 +18,104 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointUtilization:
+    """One endpoint against the others of its pool."""
+
     name: str
-    load: float
-    due: float  # what it would hold if all were as full as the mean
-    ratio: float  # its fill over the mean, by estimate
-    room: int
-    size: float
+    load: float  # this relay's, in work per second
+    fair_load: float  # this relay's, if all endpoints were utilized like the mean
+    ratio: float  # estimated utilization over the mean
+    capacity: int  # set-ups that it may be sent now
 
 
 @dataclass(frozen=True, slots=True)
-class Balance:
-    """Of one set of hosts that are compared with each other."""
+class PoolUtilization:
+    """A set of endpoints that are compared with each other."""
 
-    fills: tuple[EndpointUtilization, ...]
-    trust: float  # how much of our own spread the whole fleet is guessed to have, from 0 to 1
-    load: float
+    endpoints: tuple[EndpointUtilization, ...]
+    confidence: float  # how much of this relay's spread the whole fleet is estimated to have, from 0 to 1
 
     @property
-    def fullest(self) -> float:
-        return max((f.ratio for f in self.fills), default=1.0)
+    def max_ratio(self) -> float:
+        """The fullest endpoint's utilization over the mean."""
+        return max((endpoint.ratio for endpoint in self.endpoints), default=1.0)
 
     @property
-    def emptiest(self) -> float:
-        return min((f.ratio for f in self.fills), default=1.0)
+    def min_ratio(self) -> float:
+        """The emptiest endpoint's utilization over the mean."""
+        return min((endpoint.ratio for endpoint in self.endpoints), default=1.0)
+
+
+def max_ratio(pools: Iterable[PoolUtilization]) -> float:
+    """The fullest endpoint's ratio over all pools."""
+    return max((pool.max_ratio for pool in pools), default=1.0)
 
 
-def weigh(
-    book: ConnectionTable, hosts: Iterable[EndpointSnapshot], sharers: float, by_zone: bool, grouped: bool
-) -> list[Balance]:
-    """``sharers``: relays among which the clients of one such set of hosts are spread.
+def min_ratio(pools: Iterable[PoolUtilization]) -> float:
+    """The emptiest endpoint's ratio over all pools."""
+    return min((pool.min_ratio for pool in pools), default=1.0)
 
-    Where crossings of zones are priced, the module keeps to its own zone, and hosts of another zone hold
-    less on purpose: hosts are then compared within their zone only.
+
+def estimate_utilization(
+    connections: ConnectionTable,
+    endpoints: Iterable[EndpointSnapshot],
+    relays_per_pool: float,
+    by_zone: bool,
+    grouped: bool,
+) -> list[PoolUtilization]:
+    """One pool of all endpoints, or one per zone.
+
+    ``relays_per_pool``: relays among which the clients of one pool are spread. ``by_zone`` is for fleets
+    where crossing zones has a cost: there the balancer keeps to its own zone, and endpoints of another zone
+    have less load on purpose. ``grouped``: each group adds a cost of its own at each endpoint.
     """
-    sets: dict[str, list[EndpointSnapshot]] = {}
-    for host in hosts:
-        if host.ready and host.size > 0:
-            sets.setdefault(host.zone if by_zone else "", []).append(host)
-    return [_weigh_set(book, members, sharers, grouped) for _, members in sorted(sets.items())]
-
-
-def _weigh_set(
-    book: ConnectionTable, hosts: list[EndpointSnapshot], sharers: float, grouped: bool
-) -> Balance:
-    mean, cost = book.mean, GROUP_COST if grouped else 0.0
-    loads = []
-    for host in hosts:
-        held = book.hosts.get(host.name)
-        loads.append(held.load(mean, cost) if held is not None else 0.0)
-    total, size = sum(loads), sum(h.size for h in hosts)
-    if total <= 0 or len(hosts) < 2:
-        return Balance((), 0.0, total)
-    dues = [total * h.size / size for h in hosts]
-    spread = sum((load - due) ** 2 / due for load, due in zip(loads, dues, strict=True))
-    # Each of a host's connections is ours with the chance of one in ``sharers``: the variance of our load
-    # there is what one weighs, times what is due, less the part of the fleet that we see whole.
-    chance = (len(hosts) - 1) * book.weight_of_one * max(0.0, 1.0 - 1.0 / max(1.0, sharers))
-    common = max(0.0, 1.0 - chance / spread) if spread > 0 else 0.0
-    # Ours is a part of each host's load itself, and so counts whole; of the others' we expect what is common.
-    trust = common + (1.0 - common) / max(1.0, sharers)
-    fills = tuple(
-        EndpointUtilization(h.name, load, due, 1.0 + trust * (load / due - 1.0), h.room, h.size)
-        for h, load, due in zip(hosts, loads, dues, strict=True)
+    members_by_zone: dict[str, list[EndpointSnapshot]] = {}
+    for endpoint in endpoints:
+        if endpoint.ready and endpoint.size > 0:
+            members_by_zone.setdefault(endpoint.zone if by_zone else "", []).append(endpoint)
+    group_cost = GROUP_COST if grouped else 0.0
+    return [
+        _estimate_pool(connections, members, max(1.0, relays_per_pool), group_cost)
+        for _, members in sorted(members_by_zone.items())
+    ]
+
+
+def _estimate_pool(
+    connections: ConnectionTable, endpoints: list[EndpointSnapshot], relay_count: float, group_cost: float
+) -> PoolUtilization:
+    loads = [_own_load(connections, endpoint.name, group_cost) for endpoint in endpoints]
+    total_load = sum(loads)
+    total_size = sum(endpoint.size for endpoint in endpoints)
+    if total_load <= 0 or len(endpoints) < 2:
+        return PoolUtilization((), 0.0)
+    fair_loads = [total_load * endpoint.size / total_size for endpoint in endpoints]
+    confidence = _confidence(connections, loads, fair_loads, relay_count)
+    utilizations = tuple(
+        EndpointUtilization(
+            endpoint.name, load, fair_load, 1.0 + confidence * (load / fair_load - 1.0), endpoint.room
+        )
+        for endpoint, load, fair_load in zip(endpoints, loads, fair_loads, strict=True)
     )
-    return Balance(fills, trust, total)
+    return PoolUtilization(utilizations, confidence)
+
+
+def _own_load(connections: ConnectionTable, name: str, group_cost: float) -> float:
+    totals = connections.endpoints.get(name)
+    return totals.load(connections.mean_load, group_cost) if totals is not None else 0.0
+
+
+def _confidence(
+    connections: ConnectionTable, loads: list[float], fair_loads: list[float], relay_count: float
+) -> float:
+    """The part of this relay's spread that is expected of the whole fleet.
+
+    Each connection of an endpoint is this relay's with a chance of one in ``relay_count``: the variance of
+    its load there is one connection's weight times the fair load, less the part of the fleet that it sees
+    itself.
+    """
+    spread = sum((load - fair) ** 2 / fair for load, fair in zip(loads, fair_loads, strict=True))
+    unseen_share = max(0.0, 1.0 - 1.0 / relay_count)
+    chance_spread = (len(loads) - 1) * connections.size_biased_mean_load * unseen_share
+    common = max(0.0, 1.0 - chance_spread / spread) if spread > 0 else 0.0
+    # This relay's load is itself a part of the endpoint's, and counts in full; of the others' load there the
+    # common part is expected.
+    return common + (1.0 - common) / relay_count
--- a/tests/rebalance/test_planner.py
+++ b/tests/rebalance/test_planner.py
@@ -1,107 +1,93 @@
-"""The rebalancing planner beside the real decision module: the failures it exists to handle."""
+"""The rebalancing planner beside the real balancer: what it migrates, and what stops it."""
 
 from __future__ import annotations
 
 from collections import Counter
 
 import pytest
-from hypothesis import given, settings
-from hypothesis import strategies as st
-from support.rebalance_fleet import Fleet
+from support.rebalance_fleet import QUICK, START_MS, Fleet, Reconnect, uneven_fleet
 
 from sageturn import AttemptEnded, Endpoint, EndpointListEvent, MeasurementReported
 from sageturn.core.endpoint_snapshot import OperatorMarks, snapshot_endpoints
-from sageturn.rebalance.connection_table import ConnectionTable
-from sageturn.rebalance.migration_history import MigrationHistory
 from sageturn.rebalance.options import RebalanceOptions
-from sageturn.rebalance.overload_signals import OverloadDetector
-from sageturn.rebalance.rate_controller import OverloadSignal
 
-QUICK = {"part_per_min": 0.5, "least_age_s": 2.0}
 
-
-def skewed(options: dict[str, object] | None = None, **more: object) -> Fleet:
-    fleet = Fleet("abcd", {**QUICK, **(options or {})}, **more)
-    for host, groups in (("a", 14), ("b", 6), ("c", 6), ("d", 6)):
-        for number in range(groups):
-            fleet.stands(host, 5, f"{host}{number}")
-    return fleet
-
-
-def test_it_balances_slowly_by_whole_groups_and_then_stops() -> None:
-    fleet = skewed()
-    assert fleet.fullest > 1.7
-    first = None
+def test_whole_groups_are_migrated_slowly_until_balanced() -> None:
+    fleet = uneven_fleet()
+    assert fleet.max_ratio > 1.7
+    first_ms = None
     for _ in range(240):
-        homes: dict[str, set[str]] = {}
-        for _, _, group, host in fleet.conns.values():
-            homes.setdefault(group, set()).add(host)
-        before = {i: conn for i, conn in fleet.conns.items()}
+        before = dict(fleet.connections)
         plan = fleet.step()
-        gone = Counter(before[m.request_id][2] for m in plan.migrations)
-        for group, count in gone.items():
-            here = {before[m.request_id][3] for m in plan.migrations if before[m.request_id][2] == group}
-            assert len(here) == 1
-            assert count == sum(conn[2] == group and conn[3] in here for conn in before.values())
-        first = first or (fleet.now if plan.migrations else None)
-    assert fleet.fullest <= 1.15 and fleet.plan.phase == "balanced"
-    assert first is not None and first >= 1e6 + 20000.0, "a relay that has just started waits"
-    assert len(fleet.moved) <= 60 and all(why for _, _, why in fleet.moved)
-    assert all("whole group" in why or "smaller part" in why for _, _, why in fleet.moved)
-    held = len(fleet.moved)
+        leaving = [before[migration.request_id] for migration in plan.migrations]
+        for group, count in Counter(connection.group for connection in leaving).items():
+            (source,) = {connection.endpoint for connection in leaving if connection.group == group}
+            members = [c for c in before.values() if c.group == group and c.endpoint == source]
+            assert count == len(members)
+        first_ms = first_ms or (fleet.now_ms if plan.migrations else None)
+    assert fleet.max_ratio <= 1.15 and fleet.plan.phase == "balanced"
+    assert first_ms is not None and first_ms >= START_MS + 20000.0, "a relay that has just started waits"
+    reasons = [migrated.reason for migrated in fleet.migrated]
+    assert len(reasons) <= 60 and all(reasons)
+    assert all("whole group" in reason or "smaller part" in reason for reason in reasons)
     fleet.run(120)
-    assert len(fleet.moved) == held, "balanced, it moves nobody"
+    assert len(fleet.migrated) == len(reasons), "balanced, it migrates nobody"
 
 
-def test_the_parts_of_a_straddling_group_go_first() -> None:
-    fleet = skewed()
-    fleet.stands("a", 2, "b1")
-    while not fleet.moved:
-        fleet.step()
-    assert "smaller part" in fleet.moved[0][2]
-    assert {conn[3] for conn in fleet.conns.values() if conn[2] == "b1"} == {"b"}
+def test_smaller_parts_of_a_spread_group_go_first() -> None:
+    fleet = uneven_fleet()
+    fleet.add_connections("a", 2, "b1")
+
+    def endpoints_of_group() -> set[str]:
+        return {c.endpoint for c in fleet.connections.values() if c.group == "b1"}
+
+    fleet.run_until_migrated()
+    assert "smaller part" in fleet.migrated[0].reason
+    assert endpoints_of_group() == {"b"}
     fleet.run(2)
-    assert {conn[3] for conn in fleet.conns.values() if conn[2] == "b1"} == {"b"}, "and joins the rest"
+    assert endpoints_of_group() == {"b"}, "and joins the rest"
 
 
-def test_guest_checkin_stays_unless_the_operator_says_otherwise() -> None:
-    def one(keep: frozenset[str]) -> Fleet:
-        fleet = Fleet("ab", {**QUICK, "keep_classes": keep})
-        fleet.stands("a", 40, cls="guest-checkin")
-        fleet.stands("b", 5)
+def test_excluded_classes_stay() -> None:
+    def run_fleet(keep_classes: frozenset[str]) -> Fleet:
+        fleet = Fleet("ab", {**QUICK, "keep_classes": keep_classes})
+        fleet.add_connections("a", 40, class_name="guest-checkin")
+        fleet.add_connections("b", 5)
         fleet.run(90)
         return fleet
 
-    kept = one(frozenset({"guest-checkin"}))
-    assert kept.moved == [] and kept.plan.phase == "unreachable" and "keeps in place" in kept.plan.why
-    assert one(frozenset()).moved
+    kept = run_fleet(frozenset({"guest-checkin"}))
+    assert kept.migrated == [] and kept.plan.phase == "unreachable"
+    assert "keeps in place" in kept.plan.explanation
+    assert run_fleet(frozenset()).migrated
 
 
-def test_a_group_larger_than_the_imbalance_is_recognised_and_left() -> None:
+def test_a_group_larger_than_the_imbalance_stays() -> None:
     fleet = Fleet("abc", {**QUICK, "burst": 200})
-    fleet.stands("a", 100, "whale")
-    fleet.stands("b", 10, "x")
-    fleet.stands("c", 10, "y")
+    fleet.add_connections("a", 100, "whale")
+    fleet.add_connections("b", 10, "x")
+    fleet.add_connections("c", 10, "y")
     fleet.run(60)
-    assert fleet.moved == [] and fleet.plan.phase == "unreachable"
+    assert fleet.migrated == [] and fleet.plan.phase == "unreachable"
 
 
-def test_a_group_larger_than_many_ticks_budget_is_saved_for_and_goes_whole() -> None:
+def test_tokens_are_saved_for_a_large_group_which_goes_at_once() -> None:
     fleet = Fleet("abc", {"part_per_min": 0.25, "burst": 32})
     for number in range(4):
-        fleet.stands("a", 20, f"g{number}")
-    fleet.stands("b", 20, "x")
-    fleet.stands("c", 20, "y")
+        fleet.add_connections("a", 20, f"g{number}")
+    fleet.add_connections("b", 20, "x")
+    fleet.add_connections("c", 20, "y")
     for endpoint in fleet.balancer.endpoints.values():
         endpoint.limit = 16  # as after some set-ups in time
     waited = 0
-    while not fleet.moved:
+    while not fleet.migrated:
         waited += fleet.step().phase == "waiting"
-        assert fleet.now < 1e6 + 300000.0
-    assert waited > 10 and len(fleet.moved) == 20 and len({t for t, _, _ in fleet.moved}) == 1
+        assert fleet.now_ms < START_MS + 300000.0
+    assert waited > 10 and len(fleet.migrated) == 20
+    assert len({migrated.at_ms for migrated in fleet.migrated}) == 1
 
 
-def test_a_fresh_host_gets_its_part_within_what_it_can_take() -> None:
+def test_a_new_endpoint_receives_its_part_within_its_slow_start() -> None:
     fleet = Fleet(
         "abcde",
         {**QUICK, "burst": 8},
@@ -109,349 +95,246 @@
         initial_capacity_ratio=0.12,
         cold_overload_multiple=4.0,
     )
-    for host in "abcde":
-        fleet.stands(host, 60)
-    new = [Endpoint(name) for name in "abcde"] + [Endpoint("f", started_at_ms=fleet.now)]
-    fleet.tell(EndpointListEvent("full", new))
-    fall_s, sent = 3.0, []
-    began = fleet.now
+    for endpoint in "abcde":
+        fleet.add_connections(endpoint, 60)
+    new = [Endpoint(name) for name in "abcde"] + [Endpoint("f", started_at_ms=fleet.now_ms)]
+    fleet.handle(EndpointListEvent("full", new))
+    window_ms = 3000.0  # over which the intake is bounded
+    intake = []
+    start_ms = fleet.now_ms
     for _ in range(300):
-        before = set(fleet.on("f"))
-        fleet.step()
-        sent.append((fleet.now, len(set(fleet.on("f")) - before)))
-    full = 300 / 6
-    for end, _ in sent:
-        age = min(1.0, (end - began) / 24000.0)
-        bound = 4.0 * (0.12 + 0.88 * age) * full / 24.0 * fall_s
-        assert sum(n for t, n in sent if end - fall_s * 1000 < t <= end) <= bound + 1
-    assert fleet.held()["f"] >= 0.7 * full
-
-
-def test_a_restart_under_its_name_stops_it_and_it_starts_again_slowly() -> None:
-    fleet = skewed()
-    while not fleet.moved:
+        before = set(fleet.ids_at("f"))
         fleet.step()
-    for request_id in fleet.on("d"):
-        client, cls, group, _ = fleet.conns[request_id]
-        fleet.ends(request_id, "reset")
-        fleet.away.append((fleet.now + 500.0, client, cls, group))
-    again = [Endpoint(n, started_at_ms=fleet.now if n == "d" else 0.0) for n in "abcd"]
-    fleet.tell(EndpointListEvent("full", again))
-    count, at = len(fleet.moved), fleet.now
+        intake.append((fleet.now_ms, len(set(fleet.ids_at("f")) - before)))
+    fair_count = 300 / 6
+    for end_ms, _ in intake:
+        warmth = min(1.0, (end_ms - start_ms) / 24000.0)
+        bound = 4.0 * (0.12 + 0.88 * warmth) * fair_count / 24.0 * window_ms / 1000.0
+        assert sum(n for at_ms, n in intake if end_ms - window_ms < at_ms <= end_ms) <= bound + 1
+    assert fleet.connection_counts()["f"] >= 0.7 * fair_count
+
+
+def test_an_endpoint_restart_stops_migration_which_resumes_slowly() -> None:
+    fleet = uneven_fleet()
+    fleet.run_until_migrated()
+    for request_id in fleet.ids_at("d"):
+        connection = fleet.connections[request_id]
+        fleet.end_connection(request_id, "reset")
+        fleet.reconnects.append(
+            Reconnect(fleet.now_ms + 500.0, connection.client, connection.class_name, connection.group)
+        )
+    restarted = [Endpoint(n, started_at_ms=fleet.now_ms if n == "d" else 0.0) for n in "abcd"]
+    fleet.handle(EndpointListEvent("full", restarted))
+    count = len(fleet.migrated)
+    restarted_ms = fleet.now_ms
     assert fleet.step().phase == "held" and fleet.planner.rate_controller.rate == 0.0
     fleet.run(25)
-    assert len(fleet.moved) == count
-    while len(fleet.moved) == count:
+    assert len(fleet.migrated) == count
+    while len(fleet.migrated) == count:
         fleet.step()
-        assert fleet.now < at + 240000.0
-    top = fleet.planner.rate_controller.max_rate(len(fleet.conns))
-    assert fleet.planner.rate_controller.rate <= top / 2
+        assert fleet.now_ms < restarted_ms + 240000.0
+    max_rate = fleet.planner.rate_controller.max_rate(len(fleet.connections))
+    assert fleet.planner.rate_controller.rate <= max_rate / 2
 
 
-def test_reconnects_in_an_outage_stop_it_and_those_on_the_way_are_counted() -> None:
-    fleet = skewed()
-    while not fleet.moved:
-        fleet.step()
-    fleet.gap_ms = 8000.0
-    for name in "bcd":  # no set-up is answered: the limits shrink, and everyone is refused
+def test_an_outage_stops_migration_and_clients_in_flight_are_counted() -> None:
+    fleet = uneven_fleet()
+    fleet.run_until_migrated()
+    fleet.reconnect_delay_ms = 8000.0
+    for name in "bcd":  # no set-up is answered: the limits shrink, and everyone is rejected
         fleet.balancer.endpoints[name].limit = fleet.balancer.endpoints[name].pending = 4
         fleet.balancer._sum(fleet.balancer.endpoints[name])
     fleet.balancer.endpoints["a"].limit = fleet.balancer.endpoints["a"].pending = 4
     fleet.balancer._sum(fleet.balancer.endpoints["a"])
-    count = len(fleet.moved)
-    refused = sum(not fleet.comes(f"new{n}", group="zz") for n in range(12))
-    assert refused >= 4
+    count = len(fleet.migrated)
+    rejected = sum(not fleet.connect_client(f"new{n}", group="zz") for n in range(12))
+    assert rejected >= 4
     fleet.run(12)
-    assert len(fleet.moved) == count and fleet.plan.phase == "held"
-    assert len(fleet.planner.history.on_way) == 0 or fleet.now < 1e6 + 1e5
+    assert len(fleet.migrated) == count and fleet.plan.phase == "held"
+    assert fleet.planner.history.in_flight_count == 0 or fleet.now_ms < START_MS + 1e5
 
 
-def test_never_more_on_the_way_than_there_is_room_for() -> None:
-    fleet = skewed({"part_per_min": 1.0, "burst": 100, "back_within_s": 30.0})
-    fleet.come_back = False
-    most = 0
+def test_clients_in_flight_never_exceed_capacity() -> None:
+    fleet = uneven_fleet({"part_per_min": 1.0, "burst": 100, "back_within_s": 30.0})
+    fleet.clients_return = False
+    max_in_flight = 0
     for _ in range(120):
-        room = sum(view.room for view in snapshot_endpoints(fleet.balancer, fleet.now))
+        capacity = sum(endpoint.room for endpoint in snapshot_endpoints(fleet.balancer, fleet.now_ms))
         fleet.step()
-        most = max(most, len(fleet.planner.history.on_way))
-        assert most <= room
-    assert most > 0
+        max_in_flight = max(max_in_flight, fleet.planner.history.in_flight_count)
+        assert max_in_flight <= capacity
+    assert max_in_flight > 0
 
 
-def test_clients_that_never_come_back_slow_it_down() -> None:
-    usual, missing = skewed(), skewed()
-    missing.come_back = False
+def test_clients_that_do_not_return_slow_migration_down() -> None:
+    usual = uneven_fleet()
+    missing = uneven_fleet()
+    missing.clients_return = False
     usual.run(200)
     missing.run(200)
     assert missing.planner.overload_detector.seen["not_back"] > 0
-    assert len(missing.moved) < len(usual.moved)
+    assert len(missing.migrated) < len(usual.migrated)
 
 
-def test_a_drain_mid_plan_holds_it_and_word_of_a_failed_watch_too() -> None:
-    fleet = skewed()
-    while not fleet.moved:
-        fleet.step()
-    fleet.tell(EndpointListEvent("changes", [Endpoint("c", state="draining")]))
-    count = len(fleet.moved)
-    assert fleet.step().phase == "held" and "draining" in fleet.plan.why
-    fleet.tell(EndpointListEvent("changes", [Endpoint("c")]))
-    fleet.tell(EndpointListEvent("failed", []))
+def test_a_drain_or_a_failed_watch_stops_migration() -> None:
+    fleet = uneven_fleet()
+    fleet.run_until_migrated()
+    fleet.handle(EndpointListEvent("changes", [Endpoint("c", state="draining")]))
+    count = len(fleet.migrated)
+    assert fleet.step().phase == "held" and "draining" in fleet.plan.explanation
+    fleet.handle(EndpointListEvent("changes", [Endpoint("c")]))
+    fleet.handle(EndpointListEvent("failed", []))
     fleet.run(30)
-    assert "list_failed" in fleet.plan.why and len(fleet.moved) == count
-    fleet.tell(EndpointListEvent("full", [Endpoint(n) for n in "abcd"]))
+    assert "list_failed" in fleet.plan.explanation and len(fleet.migrated) == count
+    fleet.handle(EndpointListEvent("full", [Endpoint(n) for n in "abcd"]))
     fleet.run(90)
-    assert len(fleet.moved) > count
+    assert len(fleet.migrated) > count
 
 
-def test_a_flapping_list_keeps_it_still() -> None:
-    fleet = skewed()
+def test_a_flapping_endpoint_list_prevents_migration() -> None:
+    fleet = uneven_fleet()
     for turn in range(60):
         names = "abcd" if turn % 2 else "abc"
-        fleet.tell(EndpointListEvent("full", [Endpoint(n) for n in names]))
+        fleet.handle(EndpointListEvent("full", [Endpoint(n) for n in names]))
         fleet.step()
-    assert fleet.moved == []
+    assert fleet.migrated == []
 
 
-def test_every_host_overfull_moves_nobody() -> None:
-    fleet = skewed()
+def test_nobody_is_migrated_while_every_endpoint_is_full() -> None:
+    fleet = uneven_fleet()
     for endpoint in fleet.balancer.endpoints.values():
         endpoint.spent_until_ms = float("inf")
     fleet.run(60)
-    assert fleet.moved == [] and "room" in fleet.plan.why
+    assert fleet.migrated == [] and "room" in fleet.plan.explanation
 
 
-def test_chance_alone_moves_nobody_where_many_relays_share_the_hosts() -> None:
-    # Of 50 relays each sees a handful on each host: unequal, though the hosts are equally full.
+def test_chance_imbalance_is_ignored_where_many_relays_share_the_endpoints() -> None:
+    # Of 50 relays each sees a handful on each endpoint: unequal, though the endpoints are equally full.
     fleet = Fleet("abcdefgh", QUICK, relay_count=50, groups=False)
-    for host, count in zip("abcdefgh", (2, 7, 4, 6, 3, 5, 1, 4), strict=True):
-        fleet.stands(host, count)
+    for endpoint, count in zip("abcdefgh", (2, 7, 4, 6, 3, 5, 1, 4), strict=True):
+        fleet.add_connections(endpoint, count)
     fleet.run(60)
-    assert fleet.moved == [] and fleet.plan.phase == "balanced"
+    assert fleet.migrated == [] and fleet.plan.phase == "balanced"
     alone = Fleet("abcdefgh", QUICK, relay_count=1, groups=False)
-    for host, count in zip("abcdefgh", (2, 7, 4, 6, 3, 5, 1, 4), strict=True):
-        alone.stands(host, count)
+    for endpoint, count in zip("abcdefgh", (2, 7, 4, 6, 3, 5, 1, 4), strict=True):
+        alone.add_connections(endpoint, count)
     alone.run(60)
-    assert alone.moved
+    assert alone.migrated
 
 
-def test_sizes_and_loads_count_not_connections() -> None:
+def test_sizes_and_loads_count_rather_than_connections() -> None:
     fleet = Fleet("ab", QUICK, weights="nominal", groups=False)
-    fleet.tell(EndpointListEvent("full", [Endpoint("a", share=3.0), Endpoint("b", share=1.0)]))
-    fleet.stands("a", 30, load=2.0)
-    fleet.stands("b", 10, load=2.0)
+    fleet.handle(EndpointListEvent("full", [Endpoint("a", share=3.0), Endpoint("b", share=1.0)]))
+    fleet.add_connections("a", 30, load=2.0)
+    fleet.add_connections("b", 10, load=2.0)
     fleet.run(60)
-    assert fleet.moved == []
-    for request_id in fleet.on("b"):
-        fleet.tell(MeasurementReported(request_id, 0, "b", "load", 6.0))
+    assert fleet.migrated == []
+    for request_id in fleet.ids_at("b"):
+        fleet.handle(MeasurementReported(request_id, 0, "b", "load", 6.0))
     fleet.run(90)
-    assert fleet.moved and all("b at" in why for _, _, why in fleet.moved)
+    assert fleet.migrated and all("b at" in migrated.reason for migrated in fleet.migrated)
 
 
-def test_turned_off_mid_burst_it_asks_nobody_more_and_dry_run_moves_nobody() -> None:
-    fleet = skewed()
-    while not fleet.moved:
-        fleet.step()
-    count = len(fleet.moved)
+def test_neither_off_nor_dry_run_migrates_anyone() -> None:
+    fleet = uneven_fleet()
+    fleet.run_until_migrated()
+    count = len(fleet.migrated)
     fleet.planner.options = RebalanceOptions(**{**QUICK, "mode": "off"})
     fleet.run(60)
-    assert len(fleet.moved) == count and fleet.plan.phase == "off"
+    assert len(fleet.migrated) == count and fleet.plan.phase == "off"
     fleet.planner.options = RebalanceOptions(**{**QUICK, "mode": "dry-run"})
     planned = sum(len(fleet.step().migrations) for _ in range(60))
-    assert planned > 0 and len(fleet.moved) == count
+    assert planned > 0 and len(fleet.migrated) == count
     assert fleet.planner.counts["would_move"] == planned
 
 
-def test_quiet_hours_and_exclusions_are_kept() -> None:
-    fleet = skewed({"quiet_hours": ((22 * 60, 6 * 60),)})
+def test_quiet_hours_and_exclusions_are_respected() -> None:
+    fleet = uneven_fleet({"quiet_hours": ((22 * 60, 6 * 60),)})
     fleet.minute = 23 * 60
     fleet.run(60)
-    assert fleet.moved == [] and fleet.plan.phase == "quiet"
+    assert fleet.migrated == [] and fleet.plan.phase == "quiet"
     fleet.minute = 6 * 60
     fleet.run(60)
-    assert fleet.moved
-    kept = skewed({"keep_tenants": frozenset({"t"})})
+    assert fleet.migrated
+    kept = uneven_fleet({"keep_tenants": frozenset({"t"})})
     kept.run(60)
-    assert kept.moved == []
+    assert kept.migrated == []
 
 
-def test_one_budget_for_the_module_a_drain_and_the_plan() -> None:
-    fleet = skewed()
+def test_migrations_by_others_are_charged_to_the_same_budget() -> None:
+    fleet = uneven_fleet()
     fleet.run(40)
     before = fleet.planner.rate_controller.tokens
-    for request_id in fleet.on("b")[:6]:
-        fleet.planner.moved_by_other(fleet.now, request_id)
+    for request_id in fleet.ids_at("b")[:6]:
+        fleet.planner.moved_by_other(fleet.now_ms, request_id)
     assert fleet.planner.rate_controller.tokens == pytest.approx(before - 6)
-    gone = {fleet.conns[i][0] for i in fleet.on("b")[:6]}
+    others = {fleet.connections[i].client for i in fleet.ids_at("b")[:6]}
     fleet.run(120)
-    assert not gone & {client for _, client, _ in fleet.moved}
+    assert not others & {migrated.client for migrated in fleet.migrated}
 
 
-def test_the_module_leaves_alone_whom_the_planner_has_just_moved() -> None:
-    fleet = skewed()
-    while not fleet.moved:
-        fleet.step()
-    clients = {client for _, client, _ in fleet.moved}
+def test_the_balancer_exempts_clients_that_the_planner_has_just_migrated() -> None:
+    fleet = uneven_fleet()
+    fleet.run_until_migrated()
+    clients = {migrated.client for migrated in fleet.migrated}
     fleet.step()
-    landed = [i for i, conn in fleet.conns.items() if conn[0] in clients]
+    landed = [i for i, connection in fleet.connections.items() if connection.client in clients]
     assert landed
-    for host in {fleet.conns[i][3] for i in landed}:
+    for endpoint in {fleet.connections[i].endpoint for i in landed}:
         fleet.balancer.actions = []
         for _ in range(30):
-            fleet.balancer._relieve(fleet.balancer.endpoints[host])
+            fleet.balancer._relieve(fleet.balancer.endpoints[endpoint])
         assert not {a.id for a in fleet.balancer.actions} & set(landed)
         assert fleet.balancer.actions
 
 
-def test_the_state_tells_what_and_why() -> None:
-    fleet = skewed()
+def test_the_state_says_what_is_done_and_why() -> None:
+    fleet = uneven_fleet()
     fleet.run(60)
     state = fleet.planner.encode_state(fleet.plan)
-    assert state["mode"] == "on" and state["counts"]["moved"] == len(fleet.moved)  # type: ignore[index]
+    assert state["mode"] == "on" and state["counts"]["moved"] == len(fleet.migrated)  # type: ignore[index]
     assert state["phase"] == fleet.plan.phase and state["why"]
 
 
-def test_the_book_is_true_after_any_course_of_events() -> None:
-    fleet = skewed()
-    book = fleet.planner.connections
-    for request_id in list(fleet.conns)[::3]:
-        fleet.ends(request_id, "ok")
-    fleet.stands("a", 7, "a0")
-    ids = {i for held in book.hosts.values() for p in held.parts.values() for i, *_ in book.members(p)}
-    assert ids == set(fleet.conns) and len(book) == len(ids)
-    for name, held in book.hosts.items():
-        assert held.count == fleet.held()[name]
-    for request_id in list(fleet.conns):
-        fleet.ends(request_id, "ok")
-    assert not book.hosts and not book.straddling and len(book) == 0 and book.told == 0.0
-
-
-CALLS = st.lists(
-    st.tuples(
-        st.sampled_from(["step"] * 3 + ["new", "end", "reset", "lost", "away", "drain", "list", "fail"]),
-        st.integers(0, 999),
-    ),
-    min_size=20,
-    max_size=150,
-)
-
-
-@settings(max_examples=60, deadline=None)
-@given(calls=CALLS, seed=st.integers(0, 5), burst=st.integers(1, 20))
-def test_whatever_happens_the_bounds_hold(calls: list[tuple[str, int]], seed: int, burst: int) -> None:
-    # The budget over any span, no client twice within its time, guest-checkin never, a reason for each.
-    again_s = 60.0
-    fleet = Fleet("abcd", {"part_per_min": 1.0, "burst": burst, "again_s": again_s, "least_age_s": 0.0})
-    for number in range(30):
-        cls = "guest-checkin" if number % 5 == 0 else "c"
-        group = f"g{number % 9}" if number % 3 else ""
-        fleet.stands("ab"[number % 2] if number < 20 else "cd"[number % 2], 3, group, cls)
-    fleet.run(20)  # it has settled, and may move from here on
-    most = len(fleet.conns)
-    for what, number in calls:
-        some = list(fleet.conns)
-        if what == "step":
-            fleet.step()
-        elif what == "new":
-            fleet.comes(f"n{number % 50}", group=f"g{number % 9}")
-        elif what in ("end", "reset") and some:
-            fleet.ends(some[number % len(some)], "reset" if what == "reset" else "ok")
-        elif what == "lost":
-            fleet.come_back = number % 2 == 0
-        elif what == "away" and some:
-            fleet.planner.moved_by_other(fleet.now, some[number % len(some)])
-        elif what == "drain":
-            state = ("draining", "ready")[number % 2]
-            fleet.tell(EndpointListEvent("changes", [Endpoint("abcd"[number % 4], state=state)]))
-        elif what == "list":
-            started = {"d": number * 10.0}
-            fleet.tell(
-                EndpointListEvent("full", [Endpoint(n, started_at_ms=started.get(n, 0.0)) for n in "abcd"])
-            )
-        else:
-            fleet.tell(EndpointListEvent("failed", []))
-        most = max(most, len(fleet.conns))
-    top = fleet.planner.rate_controller.max_rate(most)
-    times = [t for t, _, _ in fleet.moved]
-    for i, begin in enumerate(times):
-        for j in range(i, len(times)):
-            assert j - i + 1 <= burst + top * (times[j] - begin) / 1000.0 + 1e-6
-    last: dict[str, float] = {}
-    for at, client, why in fleet.moved:
-        assert at - last.get(client, -1e12) >= again_s * 1000.0 and why
-        last[client] = at
-    kept = {c for c, cls, _, _ in fleet.conns.values() if cls == "guest-checkin"}
-    assert not kept & set(last)
-
-
-@given(st.lists(st.tuples(st.integers(1, 12), st.floats(0, 30)), max_size=60))
-def test_a_full_memory_forgets_nobody_whose_time_is_not_over(moves: list[tuple[int, float]]) -> None:
-    clients = MigrationHistory(RebalanceOptions(remember=4, again_s=50.0))
-    now, last = 0.0, dict[int, float]()
-    for client, gap_s in moves:
-        now += gap_s * 1000.0
-        clients.forget(now)
-        if clients.settled(client, now) and clients.room_for(1):
-            assert now - last.get(client, -1e9) >= 50000.0
-            clients.move(client, "a", "", now, True)
-            last[client] = now
-        assert len(clients) <= 4
-
-
-def test_an_outcome_for_nobody_is_passed_over() -> None:
-    fleet = skewed()
-    fleet.tell(AttemptEnded(99999, 0, "a", "reset", True))
-    assert len(fleet.planner.connections) == len(fleet.conns)
-
-
-def test_a_held_host_gives_and_takes_nothing() -> None:
-    fleet = skewed()
+def test_an_outcome_of_an_unknown_request_is_ignored() -> None:
+    fleet = uneven_fleet()
+    fleet.handle(AttemptEnded(99999, 0, "a", "reset", True))
+    assert len(fleet.planner.connections) == len(fleet.connections)
+
+
+def test_an_excluded_endpoint_neither_gives_nor_receives() -> None:
+    fleet = uneven_fleet()
     fleet.planner.marks = OperatorMarks(held=frozenset("a"))
     fleet.run(90)
-    assert not any(why.startswith("a at") for _, _, why in fleet.moved)
-    other = skewed()
+    assert not any(migrated.reason.startswith("a at") for migrated in fleet.migrated)
+    other = uneven_fleet()
     other.planner.marks = OperatorMarks(held=frozenset("bc"))
-    before = other.held()
+    before = other.connection_counts()
     other.run(90)
-    assert other.moved and other.held()["d"] > before["d"]
-    assert (other.held()["b"], other.held()["c"]) == (before["b"], before["c"])
+    assert other.migrated and other.connection_counts()["d"] > before["d"]
+    assert (other.connection_counts()["b"], other.connection_counts()["c"]) == (before["b"], before["c"])
 
 
-def test_a_cleared_host_is_emptied_whoever_is_on_it_and_a_large_group_in_parts() -> None:
+def test_a_cleared_endpoint_is_emptied_and_a_large_group_leaves_in_parts() -> None:
     fleet = Fleet("abcd", {"mode": "off", "part_per_min": 1.0, "burst": 6})
-    fleet.stands("a", 20, "whale")
-    fleet.stands("a", 5, cls="guest-checkin")
-    fleet.stands("b", 25, "x")
-    fleet.tell(EndpointListEvent("changes", [Endpoint("a", state="draining")]))
+    fleet.add_connections("a", 20, "whale")
+    fleet.add_connections("a", 5, class_name="guest-checkin")
+    fleet.add_connections("b", 25, "x")
+    fleet.handle(EndpointListEvent("changes", [Endpoint("a", state="draining")]))
     fleet.planner.marks = OperatorMarks(out=frozenset("a"), cleared=frozenset("a"))
     fleet.run(150)
-    assert fleet.held()["a"] == 0 and len(fleet.moved) == 25
-    assert all("cleared by an operator" in why for _, _, why in fleet.moved)
+    assert fleet.connection_counts()["a"] == 0 and len(fleet.migrated) == 25
+    assert all("cleared by an operator" in migrated.reason for migrated in fleet.migrated)
 
 
-def test_one_that_another_relay_may_have_moved_is_left_alone() -> None:
+def test_a_client_that_another_relay_may_have_migrated_is_left_alone() -> None:
     fleet = Fleet("ab", {**QUICK, "again_s": 100.0}, groups=False)
-    fleet.stands("b", 4)
+    fleet.add_connections("b", 4)
     for number in range(30):
-        fleet.comes(f"back{number}", returned=True)
-    for request_id in fleet.on("b"):
-        fleet.ends(request_id)
+        fleet.connect_client(f"back{number}", returned=True)
+    for request_id in fleet.ids_at("b"):
+        fleet.end_connection(request_id)
     fleet.run(80)
-    assert fleet.moved == [] and fleet.plan.phase in ("waiting", "balanced")
+    assert fleet.migrated == [] and fleet.plan.phase in ("waiting", "balanced")
     fleet.run(120)
-    assert fleet.moved, "their time is over"
-
-
-def test_that_most_come_back_at_other_relays_is_no_harm_where_there_are_many() -> None:
-    # With 50 relays one in 50 comes back here; a floor of a tenth took that for an outage, and held the pace.
-    signs, book, now = OverloadDetector(1.0 / 50.0), ConnectionTable(), 0.0
-    for number in range(2000):
-        now += 40.0
-        if number % 50 == 0:
-            signs.record_return(now)
-        else:
-            signs.record_missing(now, 1)
-        assert OverloadSignal.NOT_BACK not in signs.evaluate(now, book, ())
-    for _ in range(1000):
-        now += 40.0
-        signs.record_missing(now, 1)
-    assert OverloadSignal.NOT_BACK in signs.evaluate(now, book, ()), "none at all is harm"
+    assert fleet.migrated, "their time is over"
--- a/tests/rebalance/test_rebalance_relay.py
+++ b/tests/rebalance/test_rebalance_relay.py
@@ -18,7 +18,7 @@
 
 from sageturn.config.loader import ConfigError, load, read_operator
 from sageturn.config.settings import read_settings
-from sageturn.rebalance.planner import Migration, MigrationPlan
+from sageturn.rebalance.plan import Migration, MigrationPlan, PlanPhase
 
 ON: dict[str, Any] = {"rebalance": {"mode": "on", "tick_s": 0.05, "least_age_s": 0, "burst": 4}}
 
@@ -95,7 +95,7 @@
             assert relay.rebalancer is not None
             assert (
                 len(relay.rebalancer.connections) == 3
-                and relay.rebalancer.connections.hosts["a"].parts["g1"].count == 3
+                and relay.rebalancer.connections.endpoints["a"].groups["g1"].connection_count == 3
             )
             draining = asyncio.ensure_future(relay.request_registry.drain(relay))
             await until(lambda: relay.rebalancer.counts["by_others"] == 3)  # type: ignore[union-attr]
@@ -136,7 +136,9 @@
             assert planner is not None and len(planner.connections) == 1
             (lifecycle,) = relay.request_registry
             assert planner.connections.client_of(lifecycle.id) != 0
-            planner.tick = lambda *_: MigrationPlan((Migration(lifecycle.id, "a test"),), "balancing", "")  # type: ignore[method-assign]
+            planner.tick = lambda *_: MigrationPlan(
+                (Migration(lifecycle.id, "a test"),), PlanPhase.BALANCING, ""
+            )  # type: ignore[method-assign]
             assert "<move xmlns='urn:sageturn:relay:0'" in await client.rest()
 
     story(go())
@@ -183,4 +185,4 @@
     settings = {**SETTINGS, "classes": [{**SETTINGS["classes"][0], "name": "guest-checkin"}]}
     options = read_operator(shipped, read_settings(settings)).rebalance
     assert options is not None and options.mode == "dry-run"
-    assert options.quiet(23 * 60) and not options.quiet(12 * 60)
+    assert options.is_quiet_at(23 * 60) and not options.is_quiet_at(12 * 60)
--- a/tests/relay/test_compatibility_states.py
+++ b/tests/relay/test_compatibility_states.py
@@ -36,7 +36,7 @@
 from sageturn.overrides.resolve import SafetyLimits
 from sageturn.rebalance.batches import BlockReason
 from sageturn.rebalance.options import RebalanceOptions
-from sageturn.rebalance.planner import MigrationPlan
+from sageturn.rebalance.plan import MigrationPlan, PlanPhase
 from sageturn.relay import Relay
 
 FIXTURES = Path(__file__).parents[1] / "fixtures" / "states"
@@ -102,17 +102,18 @@
 # ---------------------------------------------------------------- state/NODE/rebalance
 
 
-def give_signs(fleet: Fleet) -> None:
+def record_overload(fleet: Fleet) -> None:
     """What speaks against moving more: refusals, resets, failed calls, clients that stay away, losses."""
-    signs, now_ms = fleet.planner.overload_detector, fleet.now
-    signs.record_request(now_ms)
-    signs.record_established(now_ms, late=True)
-    signs.record_rejection(now_ms)
-    signs.record_reset(now_ms)
-    signs.record_connect_failure(now_ms)
-    signs.record_missing(now_ms, 5)
-    fleet.tell(EndpointListEvent("changes", [Endpoint("c", state="draining"), Endpoint("d", state="gone")]))
-    signs.record_endpoint_list(failed=True)
+    detector = fleet.planner.overload_detector
+    now_ms = fleet.now_ms
+    detector.record_request(now_ms)
+    detector.record_established(now_ms, late=True)
+    detector.record_rejection(now_ms)
+    detector.record_reset(now_ms)
+    detector.record_connect_failure(now_ms)
+    detector.record_missing(now_ms, 5)
+    fleet.handle(EndpointListEvent("changes", [Endpoint("c", state="draining"), Endpoint("d", state="gone")]))
+    detector.record_endpoint_list(failed=True)
 
 
 def make_rebalance_states() -> bytes:
@@ -121,7 +122,7 @@
     fleet = Fleet("abcd", {"part_per_min": 0.5, "least_age_s": 2.0})
     for host, groups in (("a", 14), ("b", 6), ("c", 6), ("d", 6)):
         for number in range(groups):
-            fleet.stands(host, 5, f"{host}{number}")
+            fleet.add_connections(host, 5, f"{host}{number}")
     for seconds in (1, 29, 15, 200):
         fleet.run(seconds)
         told.append(fleet.planner.encode_state(fleet.plan))
@@ -131,10 +132,10 @@
     told.append(fleet.planner.encode_state(fleet.step()))
     for number, block in enumerate(BlockReason):
         fleet.planner.block_counts[block] = number
-    told.append(fleet.planner.encode_state(MigrationPlan((), "held", "said here")))
+    told.append(fleet.planner.encode_state(MigrationPlan((), PlanPhase.HELD, "said here")))
     fleet.planner.options = fleet.options
     for _ in range(40):
-        give_signs(fleet)
+        record_overload(fleet)
     told.append(fleet.planner.encode_state(fleet.step()))
     return as_lines([("state/n1/rebalance", state) for state in told])
 
--- a/tests/support/rebalance_fleet.py
+++ b/tests/support/rebalance_fleet.py
@@ -1,8 +1,8 @@
-"""A planner beside the real decision module on a clock of the test's own, and clients that come again."""
+"""A planner beside the real balancer on a clock of the test's own, and clients that reconnect."""
 
 from __future__ import annotations
 
-from typing import Any
+from typing import Any, NamedTuple
 
 from sageturn import (
     AttemptEnded,
@@ -19,98 +19,157 @@
 )
 from sageturn.core.endpoint_snapshot import snapshot_endpoints
 from sageturn.rebalance.options import RebalanceOptions
-from sageturn.rebalance.planner import NO_PLAN, MigrationPlan, RebalancePlanner
+from sageturn.rebalance.plan import NO_PLAN, MigrationPlan, PlanPhase
+from sageturn.rebalance.planner import RebalancePlanner
 
 CLASSES = (
     RequestClass("c", latency_objective_ms=500),
     RequestClass("guest-checkin", latency_objective_ms=300),
 )
+START_MS = 1e6
+QUICK = {"part_per_min": 0.5, "least_age_s": 2.0}  # options under which a test is over soon
+
+
+class FleetConnection(NamedTuple):
+    """An established connection of the fleet."""
+
+    client: str
+    class_name: str
+    group: str
+    endpoint: str
+
+
+class Reconnect(NamedTuple):
+    """A migrated client, and when it reconnects."""
+
+    due_ms: float
+    client: str
+    class_name: str
+    group: str
+
+
+class MigratedClient(NamedTuple):
+    """A migration that was carried out."""
+
+    at_ms: float
+    client: str
+    reason: str
 
 
 class Fleet:
-    """``conns``: id to (client, class, group, host) of all that stand."""
+    """A relay's balancer and planner, its endpoints and its clients."""
 
-    def __init__(self, hosts: str = "abcd", options: dict[str, Any] | None = None, **settings: Any) -> None:
+    def __init__(
+        self, endpoints: str = "abcd", options: dict[str, Any] | None = None, **settings: Any
+    ) -> None:
         settings.setdefault("classes", CLASSES)
         settings.setdefault("groups", True)
         self.settings = Settings(**settings)
         self.options = RebalanceOptions(**{"mode": "on", **(options or {})})
         self.balancer = Balancer(self.settings, 1)
         self.planner = RebalancePlanner(self.settings, self.options, 1)
-        self.now = 1e6
-        self.conns: dict[int, tuple[str, str, str, str]] = {}
-        self.away: list[tuple[float, str, str, str]] = []  # when they come, client, class, group
-        self.moved: list[tuple[float, str, str]] = []  # when, client, why
-        self.gap_ms, self.set_up_ms, self.come_back = 300.0, 20.0, True
-        self.minute, self.ids = 0, 0
+        self.now_ms = START_MS
+        self.connections: dict[int, FleetConnection] = {}  # by request id
+        self.reconnects: list[Reconnect] = []
+        self.migrated: list[MigratedClient] = []
+        self.reconnect_delay_ms = 300.0
+        self.setup_time_ms = 20.0
+        self.clients_return = True
+        self.minute = 0  # of the UTC day
+        self.last_id = 0
         self.plan = NO_PLAN
-        self.tell(EndpointListEvent("full", [Endpoint(name) for name in hosts]))
+        self.handle(EndpointListEvent("full", [Endpoint(name) for name in endpoints]))
 
-    def tell(self, event: Any) -> list[Any]:
-        self.planner.before(self.now, event)
-        actions = self.balancer.handle(self.now, event)
-        self.planner.after(self.now, event, actions)
+    def handle(self, event: Any) -> list[Any]:
+        self.planner.before(self.now_ms, event)
+        actions = self.balancer.handle(self.now_ms, event)
+        self.planner.after(self.now_ms, event, actions)
         return actions
 
-    def stands(self, host: str, count: int, group: str = "", cls: str = "c", load: float = 1.0) -> None:
-        """Connections that stood for a while; their keys are fresh."""
+    def add_connections(
+        self, endpoint: str, count: int, group: str = "", class_name: str = "c", load: float = 1.0
+    ) -> None:
+        """Connections that were established a while ago; each client's key is new."""
         for _ in range(count):
-            self.ids += 1
-            client = f"k{self.ids}"
-            self.tell(ConnectionAdopted(self.ids, cls, "t", host, group, client=client))
-            self.conns[self.ids] = (client, cls, group, host)
+            self.last_id += 1
+            client = f"k{self.last_id}"
+            self.handle(ConnectionAdopted(self.last_id, class_name, "t", endpoint, group, client=client))
+            self.connections[self.last_id] = FleetConnection(client, class_name, group, endpoint)
             if load != 1.0:
-                self.tell(MeasurementReported(self.ids, 0, host, "load", load))
+                self.handle(MeasurementReported(self.last_id, 0, endpoint, "load", load))
 
-    def comes(self, client: str, cls: str = "c", group: str = "", returned: bool = False) -> str:
-        """The host where it stands then, or nothing when it failed fast."""
-        self.ids += 1
+    def connect_client(
+        self, client: str, class_name: str = "c", group: str = "", returned: bool = False
+    ) -> str:
+        """The endpoint where it is established, or nothing when it was rejected."""
+        self.last_id += 1
         request = RequestArrived(
-            self.ids, cls, "t", self.now + 2000.0, group, client=client, returned=returned
+            self.last_id, class_name, "t", self.now_ms + 2000.0, group, client=client, returned=returned
         )
-        (action,) = self.tell(request)
+        (action,) = self.handle(request)
         if not isinstance(action, PlaceRequest):
             return ""
-        self.now += self.set_up_ms
-        self.tell(ConnectionEstablished(self.ids, 0, action.endpoint, self.set_up_ms))
-        self.conns[self.ids] = (client, cls, group, action.endpoint)
+        self.now_ms += self.setup_time_ms
+        self.handle(ConnectionEstablished(self.last_id, 0, action.endpoint, self.setup_time_ms))
+        self.connections[self.last_id] = FleetConnection(client, class_name, group, action.endpoint)
         return action.endpoint
 
-    def ends(self, request_id: int, status: str = "cancelled") -> None:
-        host = self.conns.pop(request_id)[3]
-        self.tell(AttemptEnded(request_id, 0, host, status, True))
+    def end_connection(self, request_id: int, status: str = "cancelled") -> None:
+        endpoint = self.connections.pop(request_id).endpoint
+        self.handle(AttemptEnded(request_id, 0, endpoint, status, True))
 
     def step(self, seconds: float = 1.0) -> MigrationPlan:
-        """A tick, the moves that it asks for, and the clients that are due by then."""
-        self.now += seconds * 1000.0
-        due = [who for who in self.away if who[0] <= self.now]
-        self.away = [who for who in self.away if who[0] > self.now]
-        for _, client, cls, group in due:
-            self.comes(client, cls, group)
-        self.plan = self.planner.tick(self.now, snapshot_endpoints(self.balancer, self.now), self.minute)
-        if self.plan.phase != "dry-run":
-            for move in self.plan.migrations:
-                client, cls, group, _ = self.conns[move.request_id]
-                self.moved.append((self.now, client, move.reason))
-                self.ends(move.request_id)
-                if self.come_back:
-                    self.away.append((self.now + self.gap_ms, client, cls, group))
+        """A tick, the migrations that it asks for, and the clients that are due to reconnect by then."""
+        self.now_ms += seconds * 1000.0
+        due = [reconnect for reconnect in self.reconnects if reconnect.due_ms <= self.now_ms]
+        self.reconnects = [reconnect for reconnect in self.reconnects if reconnect.due_ms > self.now_ms]
+        for reconnect in due:
+            self.connect_client(reconnect.client, reconnect.class_name, reconnect.group)
+        self.plan = self.planner.tick(
+            self.now_ms, snapshot_endpoints(self.balancer, self.now_ms), self.minute
+        )
+        if self.plan.phase != PlanPhase.DRY_RUN:
+            for migration in self.plan.migrations:
+                self._migrate(migration.request_id, migration.reason)
         return self.plan
 
+    def _migrate(self, request_id: int, reason: str) -> None:
+        client, class_name, group, _ = self.connections[request_id]
+        self.migrated.append(MigratedClient(self.now_ms, client, reason))
+        self.end_connection(request_id)
+        if self.clients_return:
+            due_ms = self.now_ms + self.reconnect_delay_ms
+            self.reconnects.append(Reconnect(due_ms, client, class_name, group))
+
     def run(self, seconds: int) -> None:
         for _ in range(seconds):
             self.step()
 
-    def held(self) -> dict[str, int]:
+    def run_until_migrated(self) -> None:
+        """Up to the first tick that migrates anyone."""
+        while not self.migrated:
+            self.step()
+
+    def connection_counts(self) -> dict[str, int]:
         counts = {name: 0 for name in self.balancer.endpoints}
-        for _, _, _, host in self.conns.values():
-            counts[host] += 1
+        for connection in self.connections.values():
+            counts[connection.endpoint] += 1
         return counts
 
-    def on(self, host: str) -> list[int]:
-        return [i for i, conn in self.conns.items() if conn[3] == host]
+    def ids_at(self, endpoint: str) -> list[int]:
+        return [i for i, connection in self.connections.items() if connection.endpoint == endpoint]
 
     @property
-    def fullest(self) -> float:
-        counts = self.held()
+    def max_ratio(self) -> float:
+        """The fullest endpoint's connections over the mean."""
+        counts = self.connection_counts()
         return max(counts.values()) * len(counts) / sum(counts.values())
+
+
+def uneven_fleet(options: dict[str, object] | None = None, **settings: object) -> Fleet:
+    """160 connections in groups of five, 70 of them at endpoint a, and 30 at each of the others."""
+    fleet = Fleet("abcd", {**QUICK, **(options or {})}, **settings)
+    for endpoint, group_count in (("a", 14), ("b", 6), ("c", 6), ("d", 6)):
+        for number in range(group_count):
+            fleet.add_connections(endpoint, 5, f"{endpoint}{number}")
+    return fleet
