--- a/sageturn/rebalance/allocations.py
+++ b/sageturn/rebalance/allocations.py
@@ -112,5 +112,6 @@
             number = self._free_numbers.pop()
             self._allocations[number] = allocation
             return number
+        number = len(self._allocations)
         self._allocations.append(allocation)
-        return len(self._allocations) - 1
+        return number
--- a/sageturn/rebalance/connection_table.py
+++ b/sageturn/rebalance/connection_table.py
@@ -158,6 +158,7 @@
     def _allocate_row(self) -> int:
         if self._free_rows:
             return self._free_rows.pop()
+        row = len(self._ids)
         self._ids.append(0)
         self._clients.append(0)
         self._established_s.append(0.0)
@@ -166,7 +167,7 @@
         self._allocation_numbers.append(0)
         self._next_rows.append(NO_ROW)
         self._previous_rows.append(NO_ROW)
-        return len(self._ids) - 1
+        return row
 
     def _class_tenant_number(self, labels: ConnectionLabels) -> int:
         pair = labels.class_name, labels.tenant
