--- a/sageturn/flows/exporter.py
+++ b/sageturn/flows/exporter.py
@@ -1,4 +1,4 @@
-"""Sends a flow for each ended connection to a collector over UDP; what it cannot keep up with is counted."""
+"""Exports a flow for each ended connection to a collector over UDP; flows it has to drop are counted."""
 
 from __future__ import annotations
 
@@ -12,103 +12,145 @@
 from sageturn.core.close_reason import CloseReason
 from sageturn.core.request_lifecycle import ConnectionRecord
 from sageturn.flows import ipfix
+from sageturn.flows.ipfix import FlowEndReason
 
 log = logging.getLogger(__name__)
 
-FLUSH_S = 0.5
-_REASONS = {
-    CloseReason.MUTE: ipfix.END_IDLE,
-    CloseReason.TIMEOUT: ipfix.END_IDLE,
-    CloseReason.MOVED: ipfix.END_FORCED,
-    CloseReason.CANCELLED: ipfix.END_FORCED,
-    CloseReason.BUSY: ipfix.END_RESOURCES,
-    CloseReason.NOT_SENT: ipfix.END_RESOURCES,
+FLUSH_INTERVAL_S = 0.5
+
+# All other reasons, and requests that were not placed, count as END_OF_FLOW_DETECTED.
+_END_REASONS = {
+    CloseReason.MUTE: FlowEndReason.IDLE_TIMEOUT,
+    CloseReason.TIMEOUT: FlowEndReason.IDLE_TIMEOUT,
+    CloseReason.MOVED: FlowEndReason.FORCED_END,
+    CloseReason.CANCELLED: FlowEndReason.FORCED_END,
+    CloseReason.BUSY: FlowEndReason.LACK_OF_RESOURCES,
+    CloseReason.NOT_SENT: FlowEndReason.LACK_OF_RESOURCES,
 }
 
 
 @dataclass(frozen=True, slots=True)
 class FlowOptions:
+    """The section ``flows`` of the operator's file; the field names are its keys."""
+
     collector: tuple[str, int]
-    domain: int = 1
-    template_s: float = 30.0
-    queue: int = 4096
+    domain: int = 1  # the observation domain
+    template_s: float = 30.0  # between two transmissions of the templates
+    queue: int = 4096  # flows that wait at most
 
 
 def to_flow(record: ConnectionRecord) -> ipfix.Flow:
-    close_reason = record.close_reason
-    how = close_reason.name.lower() if close_reason is not None else "not_placed"
-    if record.answer is not None:
-        how = "fail_fast" if record.answer.refused else "failed"
-    reason = ipfix.END_DETECTED if close_reason is None else _REASONS.get(close_reason, ipfix.END_DETECTED)
+    """The flow of an ended connection, or of a request that got no connection."""
     return ipfix.Flow(
         start_ms=int(record.began_ms),
         end_ms=int(record.ended_ms),
         source=record.client,
         destination=record.endpoint_address,
-        reason=reason,
+        end_reason=_end_reason(record),
         bytes_to_endpoint=record.bytes_to_endpoint,
         bytes_to_client=record.bytes_to_client,
-        application=f"{record.front}/{record.ask.class_name}/{how}",
+        application=f"{record.front}/{record.ask.class_name}/{_outcome(record)}",
         user=record.ask.tenant,
     )
 
 
+def _end_reason(record: ConnectionRecord) -> FlowEndReason:
+    if record.close_reason is None:
+        return FlowEndReason.END_OF_FLOW_DETECTED
+    return _END_REASONS.get(record.close_reason, FlowEndReason.END_OF_FLOW_DETECTED)
+
+
+def _outcome(record: ConnectionRecord) -> str:
+    """How it ended, in the words that collectors see."""
+    if record.answer is not None:
+        return "fail_fast" if record.answer.refused else "failed"
+    if record.close_reason is not None:
+        return record.close_reason.name.lower()
+    return "not_placed"
+
+
 class FlowExporter:
-    """Never waits for the collector: whoever ends a connection only puts its flow into the queue."""
+    """Queues flows and sends them from a task of its own: whoever ends a connection never waits."""
 
     def __init__(self, options: FlowOptions) -> None:
+        self.dropped = 0  # flows that were not sent
         self._options = options
         self._queue: asyncio.Queue[bytes] = asyncio.Queue(options.queue)
-        self._sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        self._sock.setblocking(False)
-        self._sock.connect(options.collector)
+        self._socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        self._socket.setblocking(False)
+        self._socket.connect(options.collector)
         self._sequence = 0
-        self._templates_s = float("-inf")
-        self._told_dropped = -1
-        self.dropped = 0
+        self._templates_sent_s = float("-inf")
+        self._reported_dropped = -1  # -1: not reported yet
 
-    def ended(self, record: ConnectionRecord) -> None:
+    def export(self, record: ConnectionRecord) -> None:
+        """Queue the flow of an ended connection; it is dropped where the queue is full."""
         try:
             self._queue.put_nowait(to_flow(record).encode())
         except asyncio.QueueFull:
             self.dropped += 1
 
     async def run(self) -> None:
+        """Send the queued flows until cancelled."""
         try:
             while True:
-                await asyncio.sleep(FLUSH_S)
+                await asyncio.sleep(FLUSH_INTERVAL_S)
                 self.flush()
         finally:
             self.flush()
-            self._sock.close()
+            self.close()
 
     def flush(self) -> None:
-        """UDP loses messages, so templates and the count of drops are said again and again."""
-        now_s = time.monotonic()
-        if now_s - self._templates_s >= self._options.template_s:
-            if not self._send(ipfix.templates(), 0):
-                return
-            self._templates_s = now_s
-            self._told_dropped = -1
+        """Send all that is queued.
+
+        UDP loses messages, so the templates and the number of dropped flows are sent again and again.
+        """
+        if not self._send_due_templates():
+            return
         while not self._queue.empty():
-            records: list[bytes] = []
-            room = ipfix.ROOM
-            while not self._queue.empty() and room >= 512:
-                records.append(self._queue.get_nowait())
-                room -= len(records[-1])
-            if not self._send(ipfix.flow_set(records), len(records)):
-                self.dropped += len(records)
+            flows = self._next_flows()
+            if not self._send(ipfix.encode_flow_set(flows), len(flows)):
+                self.dropped += len(flows)
                 break
-        if self.dropped != self._told_dropped and self._send(ipfix.loss_set(os.getpid(), self.dropped), 1):
-            self._told_dropped = self.dropped
+        if self.dropped != self._reported_dropped:
+            self._send_dropped()
+
+    def close(self) -> None:
+        """Close the socket; nothing can be sent afterwards."""
+        self._socket.close()
+
+    def _send_due_templates(self) -> bool:
+        """False where the templates are due and could not be sent."""
+        now_s = time.monotonic()
+        if now_s - self._templates_sent_s < self._options.template_s:
+            return True
+        if not self._send(ipfix.encode_templates(), 0):
+            return False
+        self._templates_sent_s = now_s
+        self._reported_dropped = -1
+        return True
 
-    def _send(self, sets: bytes, records: int) -> bool:
-        data = ipfix.message(sets, int(time.time()), self._sequence, self._options.domain)
+    def _send_dropped(self) -> None:
+        if self._send(ipfix.encode_loss_set(os.getpid(), self.dropped), 1):
+            self._reported_dropped = self.dropped
+
+    def _next_flows(self) -> list[bytes]:
+        """Take as many flows from the queue as one message holds."""
+        flows: list[bytes] = []
+        remaining_bytes = ipfix.MAX_RECORDS_BYTES
+        while not self._queue.empty() and remaining_bytes >= ipfix.MAX_FLOW_BYTES:
+            flow = self._queue.get_nowait()
+            flows.append(flow)
+            remaining_bytes -= len(flow)
+        return flows
+
+    def _send(self, sets: bytes, record_count: int) -> bool:
+        message = ipfix.encode_message(sets, int(time.time()), self._sequence, self._options.domain)
         try:
-            self._sock.send(data)
+            self._socket.send(message)
         except OSError as error:
-            # Nobody listens there, or the buffer is full: the next messages will do better.
-            log.info("flows: %s", error)
+            # Nobody listens there, or the buffer is full: the next messages may be sent.
+            log.info("flow export failed collector=%s:%d failure=%s", *self._options.collector, error)
             return False
-        self._sequence += records
+        self._sequence += record_count
         return True
--- a/sageturn/flows/ipfix.py
+++ b/sageturn/flows/ipfix.py
@@ -1,97 +1,141 @@
-"""IPFIX messages (RFC 7011); information elements by their numbers in IANA's registry."""
+"""Encodes IPFIX messages (RFC 7011); information elements by their numbers in IANA's registry."""
 
 from __future__ import annotations
 
 import socket
 import struct
 from dataclasses import dataclass
+from enum import IntEnum
+from typing import NamedTuple
 
 VERSION = 10
-TEMPLATE_SET, OPTIONS_SET = 2, 3
-FLOW_TEMPLATE, LOSS_TEMPLATE = 256, 257
-VARIABLE = 0xFFFF
-MESSAGE_MOST = 1400  # stays whole on any path that UDP may take
-_HEADER = struct.Struct(">HHIII")
-_SET = struct.Struct(">HH")
+MAX_MESSAGE_BYTES = 1400  # not fragmented on any path that UDP may take
+MAX_TEXT_BYTES = 200
+MAX_FLOW_BYTES = 512  # no encoded flow is larger
+VARIABLE_LENGTH = 0xFFFF
+TCP = 6
+
+TEMPLATE_SET_ID = 2
+OPTIONS_TEMPLATE_SET_ID = 3
+FLOW_TEMPLATE_ID = 256
+LOSS_TEMPLATE_ID = 257
+
+_MESSAGE_HEADER = struct.Struct(">HHIII")
+_SET_HEADER = struct.Struct(">HH")
+_TEMPLATE_HEADER = struct.Struct(">HH")
+_OPTIONS_TEMPLATE_HEADER = struct.Struct(">HHH")
+_TEMPLATE_FIELD = struct.Struct(">HH")
 _FLOW = struct.Struct(">QQ4s4sHHBBQQ")
+_LOSS = struct.Struct(">IQ")
+
+MAX_RECORDS_BYTES = MAX_MESSAGE_BYTES - _MESSAGE_HEADER.size - _SET_HEADER.size  # of a message with one set
+
+
+class FlowEndReason(IntEnum):
+    """Values of the element flowEndReason."""
+
+    IDLE_TIMEOUT = 1
+    END_OF_FLOW_DETECTED = 3
+    FORCED_END = 4
+    LACK_OF_RESOURCES = 5
+
+
+class TemplateField(NamedTuple):
+    """An information element and its length in bytes."""
+
+    element_id: int
+    length: int
+
 
-# (information element, length)
 FLOW_FIELDS = (
-    (152, 8),  # flowStartMilliseconds
-    (153, 8),  # flowEndMilliseconds
-    (8, 4),  # sourceIPv4Address
-    (12, 4),  # destinationIPv4Address
-    (7, 2),  # sourceTransportPort
-    (11, 2),  # destinationTransportPort
-    (4, 1),  # protocolIdentifier
-    (136, 1),  # flowEndReason
-    (231, 8),  # initiatorOctets
-    (232, 8),  # responderOctets
-    (96, VARIABLE),  # applicationName: the front, class and ending
-    (371, VARIABLE),  # userName: the tenant
+    TemplateField(152, 8),  # flowStartMilliseconds
+    TemplateField(153, 8),  # flowEndMilliseconds
+    TemplateField(8, 4),  # sourceIPv4Address
+    TemplateField(12, 4),  # destinationIPv4Address
+    TemplateField(7, 2),  # sourceTransportPort
+    TemplateField(11, 2),  # destinationTransportPort
+    TemplateField(4, 1),  # protocolIdentifier
+    TemplateField(136, 1),  # flowEndReason
+    TemplateField(231, 8),  # initiatorOctets
+    TemplateField(232, 8),  # responderOctets
+    TemplateField(96, VARIABLE_LENGTH),  # applicationName: frontend, class and close reason
+    TemplateField(371, VARIABLE_LENGTH),  # userName: the tenant
 )
-LOSS_FIELDS = ((144, 4), (166, 8))  # exportingProcessId (the scope), notSentFlowTotalCount
-END_IDLE, END_DETECTED, END_FORCED, END_RESOURCES = 1, 3, 4, 5
-TCP = 6
+LOSS_SCOPE_FIELDS = (TemplateField(144, 4),)  # exportingProcessId
+LOSS_FIELDS = (TemplateField(166, 8),)  # notSentFlowTotalCount
 
 
 @dataclass(frozen=True, slots=True)
 class Flow:
+    """A connection that has ended. Instants are in milliseconds since the epoch."""
+
     start_ms: int
     end_ms: int
     source: tuple[str, int]
     destination: tuple[str, int]
-    reason: int
+    end_reason: FlowEndReason
     bytes_to_endpoint: int
     bytes_to_client: int
     application: str
     user: str
 
     def encode(self) -> bytes:
+        """The data record, in the order of ``FLOW_FIELDS``."""
+        source_address, source_port = self.source
+        destination_address, destination_port = self.destination
         fixed = _FLOW.pack(
             self.start_ms,
             self.end_ms,
-            socket.inet_aton(self.source[0]),
-            socket.inet_aton(self.destination[0]),
-            self.source[1],
-            self.destination[1],
+            socket.inet_aton(source_address),
+            socket.inet_aton(destination_address),
+            source_port,
+            destination_port,
             TCP,
-            self.reason,
+            self.end_reason,
             self.bytes_to_endpoint,
             self.bytes_to_client,
         )
-        return fixed + _text(self.application) + _text(self.user)
+        return fixed + _encode_text(self.application) + _encode_text(self.user)
 
 
-def _text(value: str) -> bytes:
-    """A field of variable length; a cut never leaves half a character."""
-    data = value.encode()[:200].decode(errors="ignore").encode()
-    return bytes([len(data)]) + data
+def encode_templates() -> bytes:
+    """The sets that tell a collector how flows and losses are encoded."""
+    flow_template = _TEMPLATE_HEADER.pack(FLOW_TEMPLATE_ID, len(FLOW_FIELDS)) + _encode_fields(FLOW_FIELDS)
+    loss_fields = LOSS_SCOPE_FIELDS + LOSS_FIELDS
+    loss_header = _OPTIONS_TEMPLATE_HEADER.pack(LOSS_TEMPLATE_ID, len(loss_fields), len(LOSS_SCOPE_FIELDS))
+    loss_template = loss_header + _encode_fields(loss_fields)
+    return _encode_set(TEMPLATE_SET_ID, flow_template) + _encode_set(OPTIONS_TEMPLATE_SET_ID, loss_template)
 
 
-def _set(number: int, body: bytes) -> bytes:
-    return _SET.pack(number, _SET.size + len(body)) + body
+def encode_flow_set(flows: list[bytes]) -> bytes:
+    """A set of encoded flows, of ``MAX_RECORDS_BYTES`` together at most."""
+    return _encode_set(FLOW_TEMPLATE_ID, b"".join(flows))
 
 
-def templates() -> bytes:
-    fields = b"".join(struct.pack(">HH", *f) for f in FLOW_FIELDS)
-    flow = struct.pack(">HH", FLOW_TEMPLATE, len(FLOW_FIELDS)) + fields
-    fields = b"".join(struct.pack(">HH", *f) for f in LOSS_FIELDS)
-    loss = struct.pack(">HHH", LOSS_TEMPLATE, len(LOSS_FIELDS), 1) + fields
-    return _set(TEMPLATE_SET, flow) + _set(OPTIONS_SET, loss)
+def encode_loss_set(process_id: int, dropped_flows: int) -> bytes:
+    """A set with the number of flows that were not exported."""
+    return _encode_set(LOSS_TEMPLATE_ID, _LOSS.pack(process_id, dropped_flows))
 
 
-def flow_set(records: list[bytes]) -> bytes:
-    return _set(FLOW_TEMPLATE, b"".join(records))
+def encode_message(sets: bytes, now_s: int, sequence: int, domain: int) -> bytes:
+    """A message of encoded sets.
 
+    ``sequence``: how many data records this exporter had sent before, modulo 2^32; ``domain``: the
+    observation domain.
+    """
+    length = _MESSAGE_HEADER.size + len(sets)
+    return _MESSAGE_HEADER.pack(VERSION, length, now_s, sequence & 0xFFFFFFFF, domain) + sets
 
-def loss_set(process_id: int, dropped: int) -> bytes:
-    return _set(LOSS_TEMPLATE, struct.pack(">IQ", process_id, dropped))
 
+def _encode_fields(fields: tuple[TemplateField, ...]) -> bytes:
+    return b"".join(_TEMPLATE_FIELD.pack(field.element_id, field.length) for field in fields)
 
-def message(sets: bytes, now_s: int, sequence: int, domain: int) -> bytes:
-    """``sequence``: how many data records this exporter had sent before, modulo 2^32."""
-    return _HEADER.pack(VERSION, _HEADER.size + len(sets), now_s, sequence & 0xFFFFFFFF, domain) + sets
 
+def _encode_set(set_id: int, body: bytes) -> bytes:
+    return _SET_HEADER.pack(set_id, _SET_HEADER.size + len(body)) + body
 
-ROOM = MESSAGE_MOST - _HEADER.size - _SET.size
+
+def _encode_text(value: str) -> bytes:
+    """A field of variable length, truncated between characters."""
+    data = value.encode()[:MAX_TEXT_BYTES].decode(errors="ignore").encode()
+    return bytes([len(data)]) + data
--- a/sageturn/relay.py
+++ b/sageturn/relay.py
@@ -198,7 +198,7 @@
     def _ended(self, record: ConnectionRecord) -> None:
         self._counts[record.close_reason.name.lower() if record.close_reason else "not_placed"] += 1
         if self.exporter is not None:
-            self.exporter.ended(record)
+            self.exporter.export(record)
         log.info(
             "%s %s %s to %s after %d calls and %.3f s: %s%s%s",
             record.front,
--- a/tests/flows/test_compatibility_flows.py
+++ b/tests/flows/test_compatibility_flows.py
@@ -12,22 +12,29 @@
 from sageturn.core.messages import ClientRequest, FinalResponse
 from sageturn.core.request_lifecycle import ConnectionRecord
 from sageturn.flows.exporter import FlowExporter, FlowOptions, to_flow
-from sageturn.flows.ipfix import Flow, flow_set, loss_set, message, templates
+from sageturn.flows.ipfix import (
+    Flow,
+    FlowEndReason,
+    encode_flow_set,
+    encode_loss_set,
+    encode_message,
+    encode_templates,
+)
 
 FIXTURES = Path(__file__).parents[1] / "fixtures" / "flows"
 NOW_S = 1_700_000_000
 DOMAIN = 7
 
 
-def make_flow(reason: int, application: str, user: str, octets: int) -> bytes:
+def make_flow(end_reason: int, application: str, user: str, byte_count: int) -> bytes:
     return Flow(
         start_ms=1_700_000_000_123,
         end_ms=1_700_000_009_456,
         source=("127.0.0.1", 40001),
         destination=("192.0.2.17", 65535),
-        reason=reason,
-        bytes_to_endpoint=octets,
-        bytes_to_client=octets * 3,
+        end_reason=FlowEndReason(end_reason),
+        bytes_to_endpoint=byte_count,
+        bytes_to_client=byte_count * 3,
         application=application,
         user=user,
     ).encode()
@@ -41,30 +48,37 @@
         make_flow(5, "ế" * 100, "u" * 300, 2**62),
     ]
     return {
-        "templates": message(templates(), NOW_S, 0, DOMAIN),
-        "flows": message(flow_set(flows), NOW_S, 3, DOMAIN),
-        "templates-and-flow": message(templates() + flow_set(flows[:1]), NOW_S, 2**32 - 1, 2**32 - 1),
-        "sequence-wraps": message(flow_set(flows[:1]), NOW_S, 2**32 + 5, DOMAIN),
-        "loss": message(loss_set(4242, 2**40 + 1), NOW_S, 9, DOMAIN),
+        "templates": encode_message(encode_templates(), NOW_S, 0, DOMAIN),
+        "flows": encode_message(encode_flow_set(flows), NOW_S, 3, DOMAIN),
+        "templates-and-flow": encode_message(
+            encode_templates() + encode_flow_set(flows[:1]), NOW_S, 2**32 - 1, 2**32 - 1
+        ),
+        "sequence-wraps": encode_message(encode_flow_set(flows[:1]), NOW_S, 2**32 + 5, DOMAIN),
+        "loss": encode_message(encode_loss_set(4242, 2**40 + 1), NOW_S, 9, DOMAIN),
     }
 
 
 def ended_records() -> list[ConnectionRecord]:
-    """One that ended in each of the ways there are, in their order, and those that were answered instead."""
+    """One for each close reason, in their order, and those that were answered instead."""
     answers = [None, FinalResponse(refused=True, why="x"), FinalResponse(refused=False, why="x")]
-    ways = [(close_reason, None) for close_reason in CloseReason] + [(None, answer) for answer in answers]
+    outcomes = [(close_reason, None) for close_reason in CloseReason]
+    outcomes += [(None, answer) for answer in answers]
     records = []
-    for close_reason, answer in ways:
+    for close_reason, answer in outcomes:
         record = ConnectionRecord(ClientRequest("walk-in", "tổ-1", 2000.0), 1_700_000_000_123.9)
-        record.client, record.endpoint_address = ("127.0.0.1", 40001), ("192.0.2.17", 443)
-        record.close_reason, record.answer, record.ended_ms = close_reason, answer, 1_700_000_001_000.0
-        record.bytes_to_endpoint, record.bytes_to_client = 12, 34
+        record.client = ("127.0.0.1", 40001)
+        record.endpoint_address = ("192.0.2.17", 443)
+        record.close_reason = close_reason
+        record.answer = answer
+        record.ended_ms = 1_700_000_001_000.0
+        record.bytes_to_endpoint = 12
+        record.bytes_to_client = 34
         records.append(record)
     return records
 
 
 def export(records: list[ConnectionRecord], queue: int) -> list[bytes]:
-    """The datagrams of two flushes; what the queue has no room for is told as lost."""
+    """The datagrams of two flushes; what the queue has no capacity for is reported as lost."""
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as collector:
         collector.bind(("127.0.0.1", 0))
         collector.setblocking(False)
@@ -74,11 +88,11 @@
             mock.patch.object(os, "getpid", lambda: 42),
         ):
             for record in records:
-                exporter.ended(record)
+                exporter.export(record)
             exporter.flush()
-            exporter.ended(records[0])
+            exporter.export(records[0])
             exporter.flush()
-        exporter._sock.close()
+        exporter.close()
         datagrams = []
         while True:
             try:
@@ -105,7 +119,7 @@
         assert data == (FIXTURES / name).read_bytes(), name
 
 
-def test_the_committed_messages_tell_their_own_length() -> None:
+def test_the_committed_messages_state_their_own_length() -> None:
     for path in FIXTURES.glob("*.bin"):
         data = path.read_bytes()
         assert int.from_bytes(data[2:4], "big") == len(data) <= 1400, path.name
--- a/tests/flows/test_flow_export.py
+++ b/tests/flows/test_flow_export.py
@@ -1,4 +1,4 @@
-"""Flow export, read back by a collector written from RFC 7011."""
+"""Flow export, decoded by a collector written from RFC 7011."""
 
 from __future__ import annotations
 
@@ -12,64 +12,73 @@
 
 
 class Collector:
-    """Knows no template but those that it was sent."""
+    """Decodes records by the templates that it was sent, and knows no others."""
 
     def __init__(self) -> None:
-        self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        self.sock.bind(("127.0.0.1", 0))
-        self.sock.settimeout(0.2)
+        self.socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        self.socket.bind(("127.0.0.1", 0))
+        self.socket.settimeout(0.2)
         self.templates: dict[int, list[tuple[int, int]]] = {}
         self.records: list[dict[int, bytes]] = []
         self.sequences: list[int] = []
-        self.seen_templates = 0
+        self.template_count = 0
 
     def read(self) -> None:
         while True:
             try:
-                data = self.sock.recv(65535)
+                data = self.socket.recv(65535)
             except TimeoutError:
                 return
             version, length, _, sequence, _ = struct.unpack(">HHIII", data[:16])
             assert version == 10 and length == len(data) <= 1400
             self.sequences.append(sequence)
-            at = 16
-            while at < length:
-                number, size = struct.unpack(">HH", data[at : at + 4])
-                self._set(number, data[at + 4 : at + size])
-                at += size
-
-    def _set(self, number: int, body: bytes) -> None:
-        if number in (2, 3):
-            self.seen_templates += 1
-            template, count = struct.unpack(">HH", body[:4])
-            at = 4 + 2 * (number == 3)
-            fields = [struct.unpack(">HH", body[at + 4 * k : at + 4 * k + 4]) for k in range(count)]
-            self.templates[template] = [(a, b) for a, b in fields]
-            return
-        at = 0
-        while at < len(body):
+            offset = 16
+            while offset < length:
+                set_id, size = struct.unpack(">HH", data[offset : offset + 4])
+                self._read_set(set_id, data[offset + 4 : offset + size])
+                offset += size
+
+    def _read_set(self, set_id: int, body: bytes) -> None:
+        if set_id in (2, 3):
+            self._read_template(set_id, body)
+        else:
+            self._read_records(set_id, body)
+
+    def _read_template(self, set_id: int, body: bytes) -> None:
+        self.template_count += 1
+        template_id, count = struct.unpack(">HH", body[:4])
+        offset = 6 if set_id == 3 else 4
+        fields = struct.iter_unpack(">HH", body[offset : offset + 4 * count])
+        self.templates[template_id] = [(element, size) for element, size in fields]
+
+    def _read_records(self, template_id: int, body: bytes) -> None:
+        offset = 0
+        while offset < len(body):
             record = {}
-            for element, size in self.templates[number]:
+            for element, size in self.templates[template_id]:
                 if size == 0xFFFF:
-                    size, at = body[at], at + 1
-                record[element], at = body[at : at + size], at + size
+                    size = body[offset]
+                    offset += 1
+                record[element] = body[offset : offset + size]
+                offset += size
             self.records.append(record)
 
 
-def record(n: int = 0, close_reason: CloseReason = CloseReason.SERVED) -> ConnectionRecord:
-    made = ConnectionRecord(
-        ClientRequest("c", "t" * 300, 1.0), 1000.0 + n, 2500.0, "a", 1, True, close_reason
-    )
-    made.client, made.endpoint_address, made.bytes_to_endpoint = ("127.0.0.2", 40000), ("127.0.0.3", 8081), 77
-    return made
+def make_record(number: int = 0, close_reason: CloseReason = CloseReason.SERVED) -> ConnectionRecord:
+    request = ClientRequest("c", "t" * 300, 1.0)
+    record = ConnectionRecord(request, 1000.0 + number, 2500.0, "a", 1, True, close_reason)
+    record.client = ("127.0.0.2", 40000)
+    record.endpoint_address = ("127.0.0.3", 8081)
+    record.bytes_to_endpoint = 77
+    return record
 
 
 def test_a_record_for_each_ended_connection_reaches_a_collector() -> None:
     collector = Collector()
-    exporter = FlowExporter(FlowOptions(collector.sock.getsockname()))
+    exporter = FlowExporter(FlowOptions(collector.socket.getsockname()))
     for n in range(60):  # more than one message holds
-        exporter.ended(record(n))
-    exporter.ended(record(60, CloseReason.MOVED))
+        exporter.export(make_record(n))
+    exporter.export(make_record(60, CloseReason.MOVED))
     exporter.flush()
     collector.read()
     flows = [r for r in collector.records if 152 in r]
@@ -81,32 +90,32 @@
     assert collector.sequences[0] == 0 and collector.sequences[-1] == 61
 
 
-def test_templates_are_sent_again_for_a_collector_that_came_late() -> None:
+def test_templates_are_sent_again_for_a_late_collector() -> None:
     late = Collector()
-    exporter = FlowExporter(FlowOptions(late.sock.getsockname(), template_s=0.0))
+    exporter = FlowExporter(FlowOptions(late.socket.getsockname(), template_s=0.0))
     exporter.flush()
     exporter.flush()
     late.read()
-    assert late.seen_templates == 4 and set(late.templates) == {256, 257}
+    assert late.template_count == 4 and set(late.templates) == {256, 257}
 
 
-def test_what_does_not_fit_is_dropped_counted_and_told() -> None:
+def test_flows_beyond_the_queue_are_dropped_and_reported() -> None:
     # A slow collector must never hold up, or fill the memory of, the relay.
     collector = Collector()
-    exporter = FlowExporter(FlowOptions(collector.sock.getsockname(), queue=5))
+    exporter = FlowExporter(FlowOptions(collector.socket.getsockname(), queue=5))
     for n in range(9):
-        exporter.ended(record(n))
+        exporter.export(make_record(n))
     exporter.flush()
     collector.read()
     assert exporter.dropped == 4
     assert [int.from_bytes(r[166]) for r in collector.records if 166 in r] == [4]
 
 
-def test_a_collector_that_is_not_there_costs_records_and_nothing_else() -> None:
+def test_an_absent_collector_costs_flows_and_nothing_else() -> None:
     collector = Collector()
-    exporter = FlowExporter(FlowOptions(collector.sock.getsockname()))
-    collector.sock.close()
+    exporter = FlowExporter(FlowOptions(collector.socket.getsockname()))
+    collector.socket.close()
     for n in range(4):
-        exporter.ended(record(n))
+        exporter.export(make_record(n))
         exporter.flush()
     assert exporter.dropped >= 1
