--- a/sageturn/lab/rebalancing.py
+++ b/sageturn/lab/rebalancing.py
@@ -213,7 +213,7 @@
     planner = RebalancePlanner(settings, RebalanceOptions(mode="on"), 1)
     for n, (key, group, host) in enumerate(keys):
         labels = ConnectionLabels(classes[n // 12 % 3], "t", group)
-        planner.adopt(0.0, n, host, labels, key, 0.0)
+        planner.tracker.adopt(0.0, n, host, labels, key, 0.0)
         planner.connections.set_load(n, 1.0 + n % 3)
     held = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
--- a/sageturn/rebalance/batches.py
+++ b/sageturn/rebalance/batches.py
@@ -126,28 +126,28 @@
         groups = [allocation for allocation in endpoint.groups.values() if allocation.group]
         for allocation in sorted(groups, key=lambda allocation: self._rank(allocation, mean_load)):
             load = allocation.load(mean_load)
-            request_ids: list[int] = []
-            block_reason = self._inspect_group(allocation, load, max_load, request_ids)
-            if block_reason is not None:
-                self.block_counts[block_reason] += 1
+            request_ids = self._eligible_members(allocation, load, max_load)
+            if isinstance(request_ids, BlockReason):
+                self.block_counts[request_ids] += 1
                 continue
             is_partial = len(self._connections.allocations_by_group[allocation.group]) > 1
-            yield MigrationBatch(tuple(request_ids), load, grouped=True, is_partial=is_partial)
+            yield MigrationBatch(request_ids, load, grouped=True, is_partial=is_partial)
 
-    def _inspect_group(
-        self, allocation: GroupAllocation, load: float, max_load: float, request_ids: list[int]
-    ) -> BlockReason | None:
-        """Collect a group's members at an endpoint, up to the first that may not be migrated."""
+    def _eligible_members(
+        self, allocation: GroupAllocation, load: float, max_load: float
+    ) -> tuple[int, ...] | BlockReason:
+        """All of a group's members at an endpoint, or why they may not be migrated together."""
         if allocation.connection_count > self._max_batch_connections or load > max_load:
             return BlockReason.TOO_LARGE
         if not self._budget.try_spend(allocation.connection_count):
             return BlockReason.UNSEEN
+        request_ids = []
         for connection in self._connections.members(allocation):
             block_reason = self._rules.block_reason(connection)
             if block_reason is not None:
                 return block_reason
             request_ids.append(connection.request_id)
-        return None
+        return tuple(request_ids)
 
     def _single_batches(self, ungrouped: GroupAllocation, max_load: float) -> Iterator[MigrationBatch]:
         for connection in list(self._connections.members(ungrouped)):
--- a/sageturn/rebalance/driver.py
+++ b/sageturn/rebalance/driver.py
@@ -51,9 +51,9 @@
             ask = record.ask
             labels = ConnectionLabels(ask.class_name, ask.tenant, ask.group)
             if lifecycle.is_established:
-                self.adopt(now_ms, lifecycle.id, record.endpoint, labels, ask.client, record.began_ms)
+                self.tracker.adopt(now_ms, lifecycle.id, record.endpoint, labels, ask.client, record.began_ms)
             elif record.answer is None:
-                self.expect(now_ms, lifecycle.id, labels, ask.client)
+                self.tracker.expect(now_ms, lifecycle.id, labels, ask.client)
 
     async def run(self) -> None:
         """Tick until cancelled. A failure turns rebalancing off and leaves the relay alone."""
--- a/sageturn/rebalance/planner.py
+++ b/sageturn/rebalance/planner.py
@@ -20,7 +20,7 @@
     InspectionBudget,
     evacuation_batches,
 )
-from sageturn.rebalance.connection_table import ConnectionLabels, ConnectionTable
+from sageturn.rebalance.connection_table import ConnectionTable
 from sageturn.rebalance.event_tracker import EventTracker
 from sageturn.rebalance.migration_history import MigrationHistory, client_hash
 from sageturn.rebalance.migration_round import MigrationCapacity, MigrationRound
@@ -125,22 +125,6 @@
             self.rate_controller.charge(1)
             self.tracker.begin_migration(now_ms, request_id, by_planner=False)
 
-    def expect(self, now_ms: float, request_id: int, labels: ConnectionLabels, client_key: str) -> None:
-        """Note a request that arrived before the planner was started."""
-        self.tracker.expect(now_ms, request_id, labels, client_key)
-
-    def adopt(
-        self,
-        now_ms: float,
-        request_id: int,
-        endpoint: str,
-        labels: ConnectionLabels,
-        client_key: str,
-        established_ms: float,
-    ) -> None:
-        """Add a connection that was established before the planner was started."""
-        self.tracker.adopt(now_ms, request_id, endpoint, labels, client_key, established_ms)
-
     # ------------------------------------------------------------ a tick
 
     def tick(
