--- a/sageturn/lab/demo.py
+++ b/sageturn/lab/demo.py
@@ -16,7 +16,7 @@
 from rich.text import Text
 
 from sageturn.lab.loopback import Deployment, Run, Sample, deployed
-from sageturn.lab.rebalancing import loopback_row
+from sageturn.lab.result_table import loopback_row
 from sageturn.lab.spec import Spec
 
 SPEC = Spec(relays=1, hosts=6, early=4, connections=400, life_s=300.0, join_s=8.0, room=2.5)
--- a/sageturn/lab/overriding.py
+++ b/sageturn/lab/overriding.py
@@ -24,7 +24,7 @@
 from sageturn.core.balancer_actor import BalancerActor
 from sageturn.core.clock import Clock
 from sageturn.lab.loopback import deployed, reserve_port
-from sageturn.lab.rebalancing import show
+from sageturn.lab.result_table import print_table
 from sageturn.lab.spec import Spec
 from sageturn.overrides.actor import OverrideActor
 from sageturn.overrides.model import fold
@@ -205,7 +205,7 @@
         if options.what == "resolution"
         else _cost()
     )
-    show(f"overrides: {options.what}", {"": row}, options.json)
+    print_table(f"overrides: {options.what}", {"": row}, options.json)
 
 
 if __name__ == "__main__":
--- a/sageturn/lab/spreading.py
+++ b/sageturn/lab/spreading.py
@@ -18,7 +18,7 @@
 
 import uvloop
 
-from sageturn.lab.rebalancing import show
+from sageturn.lab.result_table import print_table
 from sageturn.net.admission import AdmissionController, ProcessLimits
 from sageturn.store.channel import read_secret
 from sageturn.store.replication.member import ReplicationMember
@@ -103,7 +103,7 @@
         for keys in map(int, options.keys.split(","))
     }
     for name, row in rows.items():
-        show(f"spread: {name}", {"": row}, options.json)
+        print_table(f"spread: {name}", {"": row}, options.json)
 
 
 if __name__ == "__main__":
