--- a/tests/rebalance/test_planner.py
+++ b/tests/rebalance/test_planner.py
@@ -338,3 +338,19 @@
     assert fleet.migrated == [] and fleet.plan.phase in ("waiting", "balanced")
     fleet.run(120)
     assert fleet.migrated, "their time is over"
+
+
+def test_useless_landings_pause_migration_for_a_while() -> None:
+    fleet = uneven_fleet()
+    fleet.run_until_migrated()
+    fleet.step()
+    assert not fleet.reconnects, "all have landed"
+    for _ in range(40):
+        fleet.planner.tracker.landing_score.record(useful=False)
+    fleet.step()
+    count = len(fleet.migrated)
+    assert fleet.plan.phase == "useless" and "as full" in fleet.plan.explanation
+    fleet.run(50)
+    assert fleet.plan.phase == "useless" and len(fleet.migrated) == count
+    fleet.run(60)
+    assert len(fleet.migrated) > count
--- a/tests/rebalance/test_rebalance_relay.py
+++ b/tests/rebalance/test_rebalance_relay.py
@@ -1,4 +1,4 @@
-"""Rebalancing in a real relay, on both fronts: turned on, turned off, and not there at all."""
+"""Rebalancing in a real relay, on both frontends: turned on, turned off, and not loaded at all."""
 
 from __future__ import annotations
 
@@ -7,6 +7,7 @@
 import os
 import subprocess
 import sys
+from collections.abc import Callable, Coroutine
 from pathlib import Path
 from typing import Any
 
@@ -20,67 +21,67 @@
 from sageturn.config.settings import read_settings
 from sageturn.rebalance.plan import Migration, MigrationPlan, PlanPhase
 
-ON: dict[str, Any] = {"rebalance": {"mode": "on", "tick_s": 0.05, "least_age_s": 0, "burst": 4}}
+REBALANCE_ON: dict[str, Any] = {"rebalance": {"mode": "on", "tick_s": 0.05, "least_age_s": 0, "burst": 4}}
 
 
-def story(coro):  # type: ignore[no-untyped-def]
-    return asyncio.run(asyncio.wait_for(coro, 30))
+def run_with_timeout(scenario: Coroutine[Any, Any, None]) -> None:
+    asyncio.run(asyncio.wait_for(scenario, 30))
 
 
 @pytest.fixture
-def hasty(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A pace at which a test is over soon."""
+def fast_rate(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A rate at which a test is over soon."""
     monkeypatch.setattr("sageturn.rebalance.rate_controller.SETTLING_TIME_MS", 0.0)
     monkeypatch.setattr(
         "sageturn.rebalance.rate_controller.MigrationRateController.max_rate", lambda self, own: 400.0
     )
 
 
-async def until(what) -> None:  # type: ignore[no-untyped-def]
-    while not what():
+async def wait_until(condition: Callable[[], Any]) -> None:
+    while not condition():
         await asyncio.sleep(0.01)
 
 
-def test_a_relay_moves_some_who_stand_at_the_fuller_host(tmp_path: Path, hasty: None) -> None:
+def test_a_relay_migrates_clients_off_the_fuller_endpoint(tmp_path: Path, fast_rate: None) -> None:
     async def go() -> None:
-        async with relaying(tmp_path, up, up, operator=ON) as (relay, (a, b)):
-            await until(lambda: relay.endpoint_registry.version == 2)
+        async with relaying(tmp_path, up, up, operator=REBALANCE_ON) as (relay, (a, b)):
+            await wait_until(lambda: relay.endpoint_registry.version == 2)
 
             async def client(key: str) -> None:
                 line = first_line(more=",at=a", key=key)
                 while True:
                     reader, writer = await ask(relay.listener.address, line)
                     assert await reader.readline() == b"UP r1\r\n"
-                    said = await reader.read()
+                    response = await reader.read()
                     writer.close()
-                    if said != b"MOVE\r\n":
+                    if response != b"MOVE\r\n":
                         return
-                    line = first_line(key=key)  # it comes again, as the same client
+                    line = first_line(key=key)  # it reconnects, as the same client
 
             clients = [asyncio.ensure_future(client(f"key{n}")) for n in range(24)]
-            await until(lambda: a.open <= 14 and b.open >= 10)
+            await wait_until(lambda: a.open <= 14 and b.open >= 10)
             planner = relay.rebalancer
             assert planner is not None
-            await until(lambda: relay.store.get("state/n1/rebalance"))
+            await wait_until(lambda: relay.store.get("state/n1/rebalance"))
             state = relay.store.get("state/n1/rebalance")
             assert state["mode"] == "on" and state["phase"]
-            await until(lambda: planner.counts["landed_well"] >= 10)
+            await wait_until(lambda: planner.counts["landed_well"] >= 10)
             (tmp_path / "operator.json").write_text(json.dumps({"rebalance": {"mode": "yes"}}))
             relay._reload.set()
-            await until(lambda: not relay._reload.is_set())
+            await wait_until(lambda: not relay._reload.is_set())
             assert planner.options.mode == "on", "a faulty file leaves what is in force"
             (tmp_path / "operator.json").write_text("{}")
             relay._reload.set()
-            await until(lambda: planner.options.mode == "off")
+            await wait_until(lambda: planner.options.mode == "off")
             assert planner.step().phase == "off"
             relay.request_registry.stopping = True
             for task in clients:
                 task.cancel()
 
-    story(go())
+    run_with_timeout(go())
 
 
-def test_turned_on_by_sighup_it_knows_who_stands_already(tmp_path: Path) -> None:
+def test_turned_on_by_sighup_it_knows_the_established_connections(tmp_path: Path) -> None:
     async def go() -> None:
         async with relaying(tmp_path, up) as (relay, _):
             assert relay.rebalancer is None
@@ -89,45 +90,45 @@
             ]
             for reader, _ in clients:
                 assert await reader.readline() == b"UP r1\r\n"
-            (tmp_path / "operator.json").write_text(json.dumps(ON))
+            (tmp_path / "operator.json").write_text(json.dumps(REBALANCE_ON))
             relay._reload.set()
-            await until(lambda: relay.rebalancer is not None)
+            await wait_until(lambda: relay.rebalancer is not None)
             assert relay.rebalancer is not None
             assert (
                 len(relay.rebalancer.connections) == 3
                 and relay.rebalancer.connections.endpoints["a"].groups["g1"].connection_count == 3
             )
             draining = asyncio.ensure_future(relay.request_registry.drain(relay))
-            await until(lambda: relay.rebalancer.counts["by_others"] == 3)  # type: ignore[union-attr]
+            await wait_until(lambda: relay.rebalancer.counts["by_others"] == 3)  # type: ignore[union-attr]
             assert relay.rebalancer.step().phase == "stopping"
             await draining
 
-    story(go())
+    run_with_timeout(go())
 
 
-def test_a_planner_that_fails_costs_nobody_anything(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_failing_planner_leaves_clients_alone(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     def fails(*_: object) -> None:
         raise RuntimeError
 
     async def go() -> None:
-        async with relaying(tmp_path, up, operator=ON) as (relay, _):
+        async with relaying(tmp_path, up, operator=REBALANCE_ON) as (relay, _):
             monkeypatch.setattr(relay.rebalancer, "after", fails)
             reader, writer = await ask(relay.listener.address, first_line())
             assert await reader.readline() == b"UP r1\r\n" and relay.balancer_actor.observers == []
             monkeypatch.setattr(relay.rebalancer, "tick", fails)
-            await until(lambda: relay.rebalancer.options.mode == "off")  # type: ignore[union-attr]
+            await wait_until(lambda: relay.rebalancer.options.mode == "off")  # type: ignore[union-attr]
             writer.write(b"M 1\r\n")
             assert await reader.readline() == b"M 1\r\n"
             writer.close()
 
-    story(go())
+    run_with_timeout(go())
 
 
-def test_an_xmpp_client_is_asked_by_its_own_words(tmp_path: Path) -> None:
+def test_an_xmpp_client_is_asked_in_its_own_protocol(tmp_path: Path) -> None:
     async def go() -> None:
         async with xmpp_relaying(tmp_path, lambda s: echo(s, server_tls()), tls=True) as (relay, _):
             file = tmp_path / "operator.json"
-            file.write_text(json.dumps({**json.loads(file.read_text()), **ON}))
+            file.write_text(json.dumps({**json.loads(file.read_text()), **REBALANCE_ON}))
             client = await Client.connect(relay.xmpp.address)
             await client.login(client_tls())
             await client.bind()
@@ -141,10 +142,10 @@
             )  # type: ignore[method-assign]
             assert "<move xmlns='urn:sageturn:relay:0'" in await client.rest()
 
-    story(go())
+    run_with_timeout(go())
 
 
-def test_off_on_the_platform_it_is_not_even_imported(tmp_path: Path) -> None:
+def test_it_is_not_imported_while_it_is_off(tmp_path: Path) -> None:
     file = write_config(tmp_path, ("127.0.0.1", 1))
     code = (
         "import sys; from sageturn.__main__ import main; from sageturn.config import loader as config; "
@@ -152,8 +153,8 @@
         "print([m for m in sys.modules if m.startswith(('sageturn.rebalance', 'sageturn.lab'))])"
     )
     env = {**os.environ, "GW_CONFIG": str(file)}
-    said = subprocess.run([sys.executable, "-c", code], env=env, capture_output=True, text=True, check=True)
-    assert said.stdout.strip() == "[]"
+    result = subprocess.run([sys.executable, "-c", code], env=env, capture_output=True, text=True, check=True)
+    assert result.stdout.strip() == "[]"
 
 
 @pytest.mark.parametrize(
@@ -173,14 +174,14 @@
         ({"start": "high"}, "start"),
     ],
 )
-def test_faults_in_its_section_name_their_key(tmp_path: Path, change: dict[str, Any], key: str) -> None:
+def test_errors_in_its_section_name_their_key(tmp_path: Path, change: dict[str, Any], key: str) -> None:
     (tmp_path / "operator.json").write_text(json.dumps({"rebalance": change}))
     file = write_config(tmp_path, ("127.0.0.1", 1))
     with pytest.raises(ConfigError, match=f"operator.rebalance.{key}"):
         load({"GW_CONFIG": str(file)}, str(tmp_path / "operator.json"))
 
 
-def test_the_shipped_file_can_be_read_and_is_dry() -> None:
+def test_the_shipped_file_is_valid_and_a_dry_run() -> None:
     shipped = Path(__file__).parents[2] / "deploy" / "rebalance.json"
     settings = {**SETTINGS, "classes": [{**SETTINGS["classes"][0], "name": "guest-checkin"}]}
     options = read_operator(shipped, read_settings(settings)).rebalance
