--- a/sageturn/flows/exporter.py
+++ b/sageturn/flows/exporter.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from sageturn.core.close_reason import CloseReason
-from sageturn.core.request_lifecycle import ConnectionRecord
+from sageturn.core.connection_record import ConnectionRecord
 from sageturn.flows import ipfix
 from sageturn.flows.ipfix import FlowEndReason
 
@@ -42,15 +42,15 @@
 def to_flow(record: ConnectionRecord) -> ipfix.Flow:
     """The flow of an ended connection, or of a request that got no connection."""
     return ipfix.Flow(
-        start_ms=int(record.began_ms),
+        start_ms=int(record.started_ms),
         end_ms=int(record.ended_ms),
-        source=record.client,
+        source=record.client_address,
         destination=record.endpoint_address,
         end_reason=_end_reason(record),
         bytes_to_endpoint=record.bytes_to_endpoint,
         bytes_to_client=record.bytes_to_client,
-        application=f"{record.front}/{record.ask.class_name}/{_outcome(record)}",
-        user=record.ask.tenant,
+        application=f"{record.frontend}/{record.request.class_name}/{_outcome(record)}",
+        user=record.request.tenant,
     )
 
 
@@ -62,8 +62,8 @@
 
 def _outcome(record: ConnectionRecord) -> str:
     """How it ended, in the words that collectors see."""
-    if record.answer is not None:
-        return "fail_fast" if record.answer.refused else "failed"
+    if record.final_response is not None:
+        return "fail_fast" if record.final_response.rejected else "failed"
     if record.close_reason is not None:
         return record.close_reason.name.lower()
     return "not_placed"
--- a/sageturn/lab/naive.py
+++ b/sageturn/lab/naive.py
@@ -63,8 +63,8 @@
         self._planned_ms = now_ms
         return naive_plan(self, now_ms, endpoints)
 
-    def before(self, now_ms: float, event: object) -> None:
-        """The balancer is told nothing of migrations."""
+    def before_event(self, now_ms: float, event: object) -> None:
+        """The balancer is not informed of migrations."""
 
 
 class NaiveRebalancer(NaivePlanner, Rebalancer):
--- a/sageturn/lab/planner_cost.py
+++ b/sageturn/lab/planner_cost.py
@@ -68,7 +68,7 @@
         for _ in range(DURATION_S):
             began_s = time.process_time()
             for event in self._events_of_a_second(now_ms):
-                self.planner.after(now_ms, event, ())
+                self.planner.after_event(now_ms, event, ())
             events_done_s = time.process_time()
             self.planner.tick(now_ms, self._endpoints, MINUTE_OF_DAY)
             tick_s = time.process_time() - events_done_s
--- a/sageturn/rebalance/driver.py
+++ b/sageturn/rebalance/driver.py
@@ -8,7 +8,7 @@
 from dataclasses import replace
 
 from sageturn.core.balancer_actor import BalancerActor
-from sageturn.core.shutdown import RequestRegistry
+from sageturn.core.request_registry import RequestRegistry
 from sageturn.rebalance.connection_table import ConnectionLabels
 from sageturn.rebalance.options import MINUTES_PER_DAY, RebalanceOptions
 from sageturn.rebalance.plan import NO_PLAN, MigrationPlan, PlanPhase
@@ -48,12 +48,14 @@
         now_ms = self._balancer_actor.clock.now_ms()
         for lifecycle in self._request_registry:
             record = lifecycle.record
-            ask = record.ask
-            labels = ConnectionLabels(ask.class_name, ask.tenant, ask.group)
+            request = record.request
+            labels = ConnectionLabels(request.class_name, request.tenant, request.group)
             if lifecycle.is_established:
-                self.tracker.adopt(now_ms, lifecycle.id, record.endpoint, labels, ask.client, record.began_ms)
-            elif record.answer is None:
-                self.tracker.expect(now_ms, lifecycle.id, labels, ask.client)
+                self.tracker.adopt(
+                    now_ms, lifecycle.id, record.endpoint, labels, request.client, record.started_ms
+                )
+            elif record.final_response is None:
+                self.tracker.expect(now_ms, lifecycle.id, labels, request.client)
 
     async def run(self) -> None:
         """Tick until cancelled. A failure turns rebalancing off and leaves the relay alone."""
@@ -70,10 +72,10 @@
         now_ms = self._balancer_actor.clock.now_ms()
         minute = int(now_ms // 60000.0) % MINUTES_PER_DAY
         endpoints = self._balancer_actor.snapshot_endpoints()
-        plan = self.tick(now_ms, endpoints, minute, self._request_registry.stopping)
+        plan = self.tick(now_ms, endpoints, minute, self._request_registry.is_draining)
         if plan.phase != PlanPhase.DRY_RUN and self in self._balancer_actor.observers:
             for migration in plan.migrations:
-                self._balancer_actor.move(migration.request_id)
+                self._balancer_actor.migrate_connection(migration.request_id)
         self._log_plan(plan)
         if now_ms >= self._published_ms + STATE_INTERVAL_MS:
             self._published_ms = now_ms
--- a/sageturn/rebalance/migration_round.py
+++ b/sageturn/rebalance/migration_round.py
@@ -29,7 +29,7 @@
     @classmethod
     def of(cls, endpoints: Sequence[EndpointSnapshot], in_flight_count: int) -> MigrationCapacity:
         """The capacity that the endpoints have now."""
-        setups = sum(endpoint.room for endpoint in endpoints if endpoint.ready)
+        setups = sum(endpoint.available_capacity for endpoint in endpoints if endpoint.ready)
         total = int(MAX_MIGRATION_CAPACITY_RATIO * setups)
         return cls(total, total - in_flight_count)
 
--- a/sageturn/rebalance/overload_detector.py
+++ b/sageturn/rebalance/overload_detector.py
@@ -128,7 +128,7 @@
                 OverloadSignal.BREAKING,
                 self._has_resets(now_ms, connections, MIN_OUTAGE_RESETS, MIN_OUTAGE_RESET_RATIO),
             ),
-            (OverloadSignal.PUT_OUT, any(endpoint.out for endpoint in self._endpoints.values())),
+            (OverloadSignal.PUT_OUT, any(endpoint.ejected for endpoint in self._endpoints.values())),
             (OverloadSignal.REFUSED, self._rejections.value_at(now_ms) >= MIN_REJECTIONS),
             (OverloadSignal.RESET, self._has_resets(now_ms, connections, MIN_RESETS, MIN_RESET_RATIO)),
             (OverloadSignal.UNREACHABLE, self._connect_failures.value_at(now_ms) >= MIN_CONNECT_FAILURES),
--- a/sageturn/rebalance/planner.py
+++ b/sageturn/rebalance/planner.py
@@ -41,7 +41,8 @@
 class RebalancePlanner:
     """Plans migrations at each tick, from what it observes of the balancer in between.
 
-    It is a ``BalancerObserver``: the balancer's actor calls ``before``, ``after`` and ``moved_by_other``.
+    It is a ``BalancerObserver``: the balancer's actor calls ``before_event``, ``after_event`` and
+    ``on_migrated_by_others``.
     """
 
     def __init__(self, settings: decision.Settings, options: RebalanceOptions, seed: int) -> None:
@@ -92,7 +93,7 @@
 
     # ------------------------------------------------------------ events
 
-    def before(self, now_ms: float, event: decision.Event) -> None:
+    def before_event(self, now_ms: float, event: decision.Event) -> None:
         """Tell the balancer, in the request itself, that its client was migrated recently."""
         if not isinstance(event, decision.RequestArrived) or not len(self.history):
             return
@@ -105,10 +106,10 @@
         )
         if self.history.is_in_flight(client):
             event.moved_off = migration.source_endpoint
-            if self.marks.held and event.allowed is None:
-                event.allowed = frozenset(self.tracker.ratios.keys() - self.marks.held)
+            if self.marks.rebalance_excluded and event.allowed is None:
+                event.allowed = frozenset(self.tracker.ratios.keys() - self.marks.rebalance_excluded)
 
-    def after(self, now_ms: float, event: decision.Event, actions: Sequence[decision.Action]) -> None:
+    def after_event(self, now_ms: float, event: decision.Event, actions: Sequence[decision.Action]) -> None:
         """Take note of an event that the balancer has handled, and of what it has decided."""
         self.tracker.on_event(now_ms, event)
         for action in actions:
@@ -116,9 +117,9 @@
                 case decision.RejectRequest(request_id) | decision.FailRequest(request_id):
                     self.tracker.on_request_rejected(now_ms, request_id)
                 case decision.MigrateConnection(request_id):
-                    self.moved_by_other(now_ms, request_id)
+                    self.on_migrated_by_others(now_ms, request_id)
 
-    def moved_by_other(self, now_ms: float, request_id: int) -> None:
+    def on_migrated_by_others(self, now_ms: float, request_id: int) -> None:
         """The balancer or a drain migrates a connection: never delayed, but charged to the same budget."""
         if request_id not in self.tracker.migrating:
             self.counts["by_others"] += 1
@@ -145,7 +146,9 @@
 
     def _update_rate(self, now_ms: float, endpoints: Sequence[EndpointSnapshot]) -> None:
         self.tracker.expire_in_flight(now_ms)
-        signals = self.overload_detector.evaluate(now_ms, self.connections, endpoints, self.marks.out)
+        signals = self.overload_detector.evaluate(
+            now_ms, self.connections, endpoints, self.marks.out_of_service
+        )
         late_returns = self.counts["back_late"]
         doing_well = late_returns == self._late_returns
         self._late_returns = late_returns
@@ -171,7 +174,7 @@
     def _plan_clearing(self, now_ms: float, endpoints: Sequence[EndpointSnapshot]) -> MigrationPlan | None:
         """Empty endpoints that an operator clears: in whatever mode, at the same rate as any migration."""
         own_totals = self.connections.endpoints
-        cleared = [own_totals[name] for name in sorted(self.marks.cleared) if name in own_totals]
+        cleared = [own_totals[name] for name in sorted(self.marks.evacuating) if name in own_totals]
         if not cleared or self.rate_controller.is_stopped(now_ms):
             return None
         capacity = MigrationCapacity.of(endpoints, self.history.in_flight_count)
@@ -220,7 +223,9 @@
         self.block_counts = batch_finder.block_counts
         waiting_for = ""
         for pool in sorted(self._pools, key=lambda pool: -pool.max_ratio):
-            balancer = PoolBalancer(pool, self._options, self.marks.held, batch_finder, migration_round)
+            balancer = PoolBalancer(
+                pool, self._options, self.marks.rebalance_excluded, batch_finder, migration_round
+            )
             waiting_for = balancer.plan(self.connections.endpoints) or waiting_for
         if migration_round.migrations:
             phase = PlanPhase.DRY_RUN if dry_run else PlanPhase.BALANCING
--- a/sageturn/rebalance/utilization.py
+++ b/sageturn/rebalance/utilization.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 
 from sageturn.core.endpoint_snapshot import EndpointSnapshot
-from sageturn.decision.balancer import GROUP_COST
+from sageturn.decision.overload import GROUP_COST
 from sageturn.rebalance.connection_table import ConnectionTable
 
 
@@ -91,7 +91,11 @@
     confidence = _confidence(connections, loads, fair_loads, relay_count)
     utilizations = tuple(
         EndpointUtilization(
-            endpoint.name, load, fair_load, 1.0 + confidence * (load / fair_load - 1.0), endpoint.room
+            endpoint.name,
+            load,
+            fair_load,
+            1.0 + confidence * (load / fair_load - 1.0),
+            endpoint.available_capacity,
         )
         for endpoint, load, fair_load in zip(endpoints, loads, fair_loads, strict=True)
     )
--- a/tests/core/test_attempt_races.py
+++ b/tests/core/test_attempt_races.py
@@ -30,7 +30,7 @@
 
 def nothing_left(relay: Relay) -> bool:
     balancer = relay.balancer_actor._balancer
-    idle = all(s.open == s.pending == 0 for s in balancer.endpoints.values())
+    idle = all(s.open_count == s.in_flight == 0 for s in balancer.endpoints.values())
     return (
         not relay.request_registry and not relay.balancer_actor._requests and not balancer.requests and idle
     )
@@ -54,16 +54,16 @@
 
 
 def drained(client: socket.socket, relay: Relay, name: str) -> None:
-    relay.endpoint_registry._take(EndpointListUpdate(3, False, [Endpoint(name, "draining")]))
+    relay.endpoint_registry.apply_update(EndpointListUpdate(3, False, [Endpoint(name, "draining")]))
 
 
 def gone(client: socket.socket, relay: Relay, name: str) -> None:
-    relay.endpoint_registry._take(EndpointListUpdate(3, False, [Endpoint(name, "gone")]))
+    relay.endpoint_registry.apply_update(EndpointListUpdate(3, False, [Endpoint(name, "gone")]))
 
 
 def moved(client: socket.socket, relay: Relay, name: str) -> None:
     news = [Endpoint(name, "ready", started_at_ms=1.0)]
-    relay.endpoint_registry._take(EndpointListUpdate(3, False, news, {name: ("127.0.0.1", 9)}))
+    relay.endpoint_registry.apply_update(EndpointListUpdate(3, False, news, {name: ("127.0.0.1", 9)}))
 
 
 def hurried(client: socket.socket, relay: Relay, name: str) -> None:
@@ -101,7 +101,7 @@
 
             monkeypatch.setattr(platform, "connect", comes_up)
             records: list[Any] = []
-            monkeypatch.setattr(relay.shared, "ended", records.append)
+            monkeypatch.setattr(relay.context, "on_connection_closed", records.append)
             client = socket.create_connection(relay.listener.address)
             client.sendall(first_line())
             await until(lambda: at)
--- a/tests/flows/test_compatibility_flows.py
+++ b/tests/flows/test_compatibility_flows.py
@@ -9,8 +9,8 @@
 from unittest import mock
 
 from sageturn.core.close_reason import CloseReason
+from sageturn.core.connection_record import ConnectionRecord
 from sageturn.core.messages import ClientRequest, FinalResponse
-from sageturn.core.request_lifecycle import ConnectionRecord
 from sageturn.flows.exporter import FlowExporter, FlowOptions, to_flow
 from sageturn.flows.ipfix import (
     Flow,
@@ -60,16 +60,16 @@
 
 def ended_records() -> list[ConnectionRecord]:
     """One for each close reason, in their order, and those that were answered instead."""
-    answers = [None, FinalResponse(refused=True, why="x"), FinalResponse(refused=False, why="x")]
+    answers = [None, FinalResponse(rejected=True, reason="x"), FinalResponse(rejected=False, reason="x")]
     outcomes = [(close_reason, None) for close_reason in CloseReason]
     outcomes += [(None, answer) for answer in answers]
     records = []
     for close_reason, answer in outcomes:
         record = ConnectionRecord(ClientRequest("walk-in", "tổ-1", 2000.0), 1_700_000_000_123.9)
-        record.client = ("127.0.0.1", 40001)
+        record.client_address = ("127.0.0.1", 40001)
         record.endpoint_address = ("192.0.2.17", 443)
         record.close_reason = close_reason
-        record.answer = answer
+        record.final_response = answer
         record.ended_ms = 1_700_000_001_000.0
         record.bytes_to_endpoint = 12
         record.bytes_to_client = 34
--- a/tests/flows/test_flow_export.py
+++ b/tests/flows/test_flow_export.py
@@ -6,8 +6,8 @@
 import struct
 
 from sageturn.core.close_reason import CloseReason
+from sageturn.core.connection_record import ConnectionRecord
 from sageturn.core.messages import ClientRequest
-from sageturn.core.request_lifecycle import ConnectionRecord
 from sageturn.flows.exporter import FlowExporter, FlowOptions
 
 
@@ -67,7 +67,7 @@
 def make_record(number: int = 0, close_reason: CloseReason = CloseReason.SERVED) -> ConnectionRecord:
     request = ClientRequest("c", "t" * 300, 1.0)
     record = ConnectionRecord(request, 1000.0 + number, 2500.0, "a", 1, True, close_reason)
-    record.client = ("127.0.0.2", 40000)
+    record.client_address = ("127.0.0.2", 40000)
     record.endpoint_address = ("127.0.0.3", 8081)
     record.bytes_to_endpoint = 77
     return record
--- a/tests/overrides/test_overrides_relay.py
+++ b/tests/overrides/test_overrides_relay.py
@@ -27,7 +27,8 @@
 from test_overrides import KEYS, op, out, record
 
 from sageturn.cli.times import parse_until, span
-from sageturn.config.loader import ConfigError, load
+from sageturn.config.errors import ConfigError
+from sageturn.config.loader import load
 from sageturn.overrides.ops import OverrideOperation, OverridePayload, Selector
 from sageturn.rebalance.options import RebalanceOptions
 from sageturn.relay import Relay
@@ -71,7 +72,7 @@
         for number in range(relays):
             place = folder / f"r{number}"
             place.mkdir(exist_ok=True)
-            peers = ["{}:{}".format(*made[0].replica.address)] if made else []
+            peers = ["{}:{}".format(*made[0].replication.address)] if made else []
             store = {"path": "store", "listen": "127.0.0.1:0", "peers": peers, "secret_file": "../secret"}
             file = place / "operator.json"
             file.write_text(json.dumps({"store": store, "overrides": section(**more)}))
@@ -109,15 +110,20 @@
             two.store.put(*record(said("o2", out("b"), operator="mai")))
             for relay in relays:
                 await until(
-                    lambda relay=relay: relay.endpoint_registry.out("a") and relay.endpoint_registry.out("b")
+                    lambda relay=relay: (
+                        relay.endpoint_registry.is_out_of_service("a")
+                        and relay.endpoint_registry.is_out_of_service("b")
+                    )
                 )
                 assert (await placed(relay, endpoints))[:2] == [0, 0]
             told = lambda: (one.store.get("state/n1/overrides") or {}).get("words")  # noqa: E731
             await until(lambda: told() == {"o1": 1, "o2": 1})
             two.store.put(*record(said("o1", None, word="revoke", revision=2)))  # type: ignore[arg-type]
-            await until(lambda: not one.endpoint_registry.out("a"))
+            await until(lambda: not one.endpoint_registry.is_out_of_service("a"))
             at = one.endpoint_registry.addresses
-            assert not one.endpoint_registry.ready("b", at["b"]) and one.endpoint_registry.ready("a", at["a"])
+            assert not one.endpoint_registry.is_ready_at("b", at["b"]) and one.endpoint_registry.is_ready_at(
+                "a", at["a"]
+            )
 
     story(go())
 
@@ -132,7 +138,7 @@
             await until(lambda: relay.overrides.board.known)
             assert await placed(relay, endpoints) == [0, 12]
             relay.store.put(*record(said("o1", out("b"))))
-            await until(lambda: relay.endpoint_registry.out("b"))
+            await until(lambda: relay.endpoint_registry.is_out_of_service("b"))
             began = asyncio.get_running_loop().time()
             assert (await reply(relay.listener.address, first_line())).startswith(b"BUSY")
             assert asyncio.get_running_loop().time() - began < 0.2
@@ -141,7 +147,7 @@
             await until(lambda: relay.overrides.board.known["p1"].revoked)
             assert await placed(relay, endpoints) == [12, 0]
             relay.store.put(*record(said("o1", None, word="revoke", revision=2)))  # type: ignore[arg-type]
-            await until(lambda: not relay.endpoint_registry.out("b"))
+            await until(lambda: not relay.endpoint_registry.is_out_of_service("b"))
             assert sum(await placed(relay, endpoints)) == 12  # b is cold again: most go elsewhere for now
 
     story(go())
@@ -182,7 +188,9 @@
                     relay.store.put(*record(said("o1", out("a"))))
                     relay.store.put(*record(said("o2", out("b"), at_ms=now() - 5000, until_ms=now() - 1)))
                 else:
-                    assert relay.endpoint_registry.out("a") and not relay.endpoint_registry.out("b")
+                    assert relay.endpoint_registry.is_out_of_service(
+                        "a"
+                    ) and not relay.endpoint_registry.is_out_of_service("b")
                     assert await placed(relay, endpoints) == [0, 12]
 
     story(go())
@@ -192,19 +200,19 @@
     async def go() -> None:
         async with overriding(tmp_path, up, up) as ((relay,), _):
             relay.store.put(*record(said("o1", out("a"))))
-            await until(lambda: relay.endpoint_registry.out("a"))
+            await until(lambda: relay.endpoint_registry.is_out_of_service("a"))
             file = tmp_path / "r0" / "operator.json"
             good = json.loads(file.read_text())
             file.write_text(json.dumps({**good, "overrides": {"operators": {"lan": "short"}}}))
-            relay._reload.set()
-            await until(lambda: not relay._reload.is_set())
-            assert relay.endpoint_registry.out("a")
+            relay.reload_requested.set()
+            await until(lambda: not relay.reload_requested.is_set())
+            assert relay.endpoint_registry.is_out_of_service("a")
             file.write_text(json.dumps({**good, "overrides": section(operators={"mai": public("mai")})}))
-            relay._reload.set()
-            await until(lambda: not relay.endpoint_registry.out("a"))
+            relay.reload_requested.set()
+            await until(lambda: not relay.endpoint_registry.is_out_of_service("a"))
             file.write_text(json.dumps(good))
-            relay._reload.set()
-            await until(lambda: relay.endpoint_registry.out("a"))
+            relay.reload_requested.set()
+            await until(lambda: relay.endpoint_registry.is_out_of_service("a"))
 
     story(go())
 
@@ -213,7 +221,7 @@
     async def go() -> None:
         async with overriding(tmp_path, up, up, up, relays=2, floor_all=0.5) as (relays, _):
             common = {
-                "SAGETURN_CONNECT": "{}:{}".format(*relays[0].replica.address),
+                "SAGETURN_CONNECT": "{}:{}".format(*relays[0].replication.address),
                 "SAGETURN_OPERATOR": "lan",
                 "SAGETURN_SECRET_FILE": str(tmp_path / "secret"),
                 "SAGETURN_KEY_FILE": str(tmp_path / "key.pem"),
@@ -245,13 +253,13 @@
                 content = json.loads(file.read_text())
                 content["overrides"]["operators"]["lan"] = public_key
                 file.write_text(json.dumps(content))
-                relay._reload.set()
-            await until(lambda: all("lan" in r._config.operator.overrides.operators for r in relays))
-            await until(lambda: all(not r._reload.is_set() for r in relays))
+                relay.reload_requested.set()
+            await until(lambda: all("lan" in r.config.operator.overrides.operators for r in relays))
+            await until(lambda: all(not r.reload_requested.is_set() for r in relays))
             set_ = ("set", "out", "--host", "a", "--for", "2h30m", "--why", "disk is failing", "--json")
             made = json.loads(await command(*set_))
             assert made["relays"] == {"n0": "in force", "n1": "in force"}
-            assert all(r.endpoint_registry.out("a") for r in relays)
+            assert all(r.endpoint_registry.is_out_of_service("a") for r in relays)
             too_much = await command("set", "out", "--host", "b", "--for", "1h", "--why", "x", fails=1)
             assert "would leave 1.0 of 3.0" in too_much and "--force" in too_much
             (row,) = [r for r in json.loads(await command("list", "--json")) if r["status"] == "in force"]
@@ -260,7 +268,7 @@
             assert "about to end" in await command("list")
             assert "out of service" in await command("explain", "a")
             await command("revoke", made["id"], "--why", "mended")
-            assert not any(r.endpoint_registry.out("a") for r in relays)
+            assert not any(r.endpoint_registry.is_out_of_service("a") for r in relays)
             words = [r["word"] for r in json.loads(await command("history", made["id"], "--json"))]
             assert words == ["set", "extend", "revoke"]
             never = "2999-01-01T00:00:00"
--- a/tests/rebalance/test_planner.py
+++ b/tests/rebalance/test_planner.py
@@ -78,7 +78,7 @@
     fleet.add_connections("b", 20, "x")
     fleet.add_connections("c", 20, "y")
     for endpoint in fleet.balancer.endpoints.values():
-        endpoint.limit = 16  # as after some set-ups in time
+        endpoint.concurrency_limit = 16  # as after some set-ups in time
     waited = 0
     while not fleet.migrated:
         waited += fleet.step().phase == "waiting"
@@ -141,11 +141,10 @@
     fleet = uneven_fleet()
     fleet.run_until_migrated()
     fleet.reconnect_delay_ms = 8000.0
-    for name in "bcd":  # no set-up is answered: the limits shrink, and everyone is rejected
-        fleet.balancer.endpoints[name].limit = fleet.balancer.endpoints[name].pending = 4
-        fleet.balancer._sum(fleet.balancer.endpoints[name])
-    fleet.balancer.endpoints["a"].limit = fleet.balancer.endpoints["a"].pending = 4
-    fleet.balancer._sum(fleet.balancer.endpoints["a"])
+    for endpoint in fleet.balancer.endpoints.values():  # no set-up is answered, and everyone is rejected
+        endpoint.concurrency_limit = 4
+        endpoint.in_flight = 4
+        fleet.balancer.fleet.update_totals(endpoint)
     count = len(fleet.migrated)
     rejected = sum(not fleet.connect_client(f"new{n}", group="zz") for n in range(12))
     assert rejected >= 4
@@ -159,7 +158,9 @@
     fleet.clients_return = False
     max_in_flight = 0
     for _ in range(120):
-        capacity = sum(endpoint.room for endpoint in snapshot_endpoints(fleet.balancer, fleet.now_ms))
+        capacity = sum(
+            endpoint.available_capacity for endpoint in snapshot_endpoints(fleet.balancer, fleet.now_ms)
+        )
         fleet.step()
         max_in_flight = max(max_in_flight, fleet.planner.history.in_flight_count)
         assert max_in_flight <= capacity
@@ -203,7 +204,7 @@
 def test_nobody_is_migrated_while_every_endpoint_is_full() -> None:
     fleet = uneven_fleet()
     for endpoint in fleet.balancer.endpoints.values():
-        endpoint.spent_until_ms = float("inf")
+        endpoint.saturated_until_ms = float("inf")
     fleet.run(60)
     assert fleet.migrated == [] and "room" in fleet.plan.explanation
 
@@ -266,7 +267,7 @@
     fleet.run(40)
     before = fleet.planner.rate_controller.tokens
     for request_id in fleet.ids_at("b")[:6]:
-        fleet.planner.moved_by_other(fleet.now_ms, request_id)
+        fleet.planner.on_migrated_by_others(fleet.now_ms, request_id)
     assert fleet.planner.rate_controller.tokens == pytest.approx(before - 6)
     others = {fleet.connections[i].client for i in fleet.ids_at("b")[:6]}
     fleet.run(120)
@@ -281,11 +282,11 @@
     landed = [i for i, connection in fleet.connections.items() if connection.client in clients]
     assert landed
     for endpoint in {fleet.connections[i].endpoint for i in landed}:
-        fleet.balancer.actions = []
+        migrations = []
         for _ in range(30):
-            fleet.balancer._relieve(fleet.balancer.endpoints[endpoint])
-        assert not {a.id for a in fleet.balancer.actions} & set(landed)
-        assert fleet.balancer.actions
+            migrations += fleet.balancer.overload.relieve(fleet.balancer.endpoints[endpoint])
+        assert not {migration.id for migration in migrations} & set(landed)
+        assert migrations
 
 
 def test_the_state_says_what_is_done_and_why() -> None:
@@ -304,11 +305,11 @@
 
 def test_an_excluded_endpoint_neither_gives_nor_receives() -> None:
     fleet = uneven_fleet()
-    fleet.planner.marks = OperatorMarks(held=frozenset("a"))
+    fleet.planner.marks = OperatorMarks(rebalance_excluded=frozenset("a"))
     fleet.run(90)
     assert not any(migrated.reason.startswith("a at") for migrated in fleet.migrated)
     other = uneven_fleet()
-    other.planner.marks = OperatorMarks(held=frozenset("bc"))
+    other.planner.marks = OperatorMarks(rebalance_excluded=frozenset("bc"))
     before = other.connection_counts()
     other.run(90)
     assert other.migrated and other.connection_counts()["d"] > before["d"]
@@ -321,7 +322,7 @@
     fleet.add_connections("a", 5, class_name="guest-checkin")
     fleet.add_connections("b", 25, "x")
     fleet.handle(EndpointListEvent("changes", [Endpoint("a", state="draining")]))
-    fleet.planner.marks = OperatorMarks(out=frozenset("a"), cleared=frozenset("a"))
+    fleet.planner.marks = OperatorMarks(out_of_service=frozenset("a"), evacuating=frozenset("a"))
     fleet.run(150)
     assert fleet.connection_counts()["a"] == 0 and len(fleet.migrated) == 25
     assert all("cleared by an operator" in migrated.reason for migrated in fleet.migrated)
--- a/tests/rebalance/test_planner_properties.py
+++ b/tests/rebalance/test_planner_properties.py
@@ -46,7 +46,7 @@
         case "reset" if ids:
             fleet.end_connection(ids[number % len(ids)], "reset")
         case "migrate_by_other" if ids:
-            fleet.planner.moved_by_other(fleet.now_ms, ids[number % len(ids)])
+            fleet.planner.on_migrated_by_others(fleet.now_ms, ids[number % len(ids)])
         case "toggle_return":
             fleet.clients_return = number % 2 == 0
         case "drain":
--- a/tests/rebalance/test_rebalance_relay.py
+++ b/tests/rebalance/test_rebalance_relay.py
@@ -17,7 +17,9 @@
 from test_xmpp_frontend import client_tls, server_tls
 from test_xmpp_frontend import relaying as xmpp_relaying
 
-from sageturn.config.loader import ConfigError, load, read_operator
+from sageturn.config.errors import ConfigError
+from sageturn.config.loader import load
+from sageturn.config.operator import read_operator_file
 from sageturn.config.settings import read_settings
 from sageturn.rebalance.plan import Migration, MigrationPlan, PlanPhase
 
@@ -67,14 +69,14 @@
             assert state["mode"] == "on" and state["phase"]
             await wait_until(lambda: planner.counts["landed_well"] >= 10)
             (tmp_path / "operator.json").write_text(json.dumps({"rebalance": {"mode": "yes"}}))
-            relay._reload.set()
-            await wait_until(lambda: not relay._reload.is_set())
+            relay.reload_requested.set()
+            await wait_until(lambda: not relay.reload_requested.is_set())
             assert planner.options.mode == "on", "a faulty file leaves what is in force"
             (tmp_path / "operator.json").write_text("{}")
-            relay._reload.set()
+            relay.reload_requested.set()
             await wait_until(lambda: planner.options.mode == "off")
             assert planner.step().phase == "off"
-            relay.request_registry.stopping = True
+            relay.request_registry.is_draining = True
             for task in clients:
                 task.cancel()
 
@@ -91,14 +93,14 @@
             for reader, _ in clients:
                 assert await reader.readline() == b"UP r1\r\n"
             (tmp_path / "operator.json").write_text(json.dumps(REBALANCE_ON))
-            relay._reload.set()
+            relay.reload_requested.set()
             await wait_until(lambda: relay.rebalancer is not None)
             assert relay.rebalancer is not None
             assert (
                 len(relay.rebalancer.connections) == 3
                 and relay.rebalancer.connections.endpoints["a"].groups["g1"].connection_count == 3
             )
-            draining = asyncio.ensure_future(relay.request_registry.drain(relay))
+            draining = asyncio.ensure_future(relay.request_registry.drain(relay.ingress))
             await wait_until(lambda: relay.rebalancer.counts["by_others"] == 3)  # type: ignore[union-attr]
             assert relay.rebalancer.step().phase == "stopping"
             await draining
@@ -112,7 +114,7 @@
 
     async def go() -> None:
         async with relaying(tmp_path, up, operator=REBALANCE_ON) as (relay, _):
-            monkeypatch.setattr(relay.rebalancer, "after", fails)
+            monkeypatch.setattr(relay.rebalancer, "after_event", fails)
             reader, writer = await ask(relay.listener.address, first_line())
             assert await reader.readline() == b"UP r1\r\n" and relay.balancer_actor.observers == []
             monkeypatch.setattr(relay.rebalancer, "tick", fails)
@@ -129,10 +131,10 @@
         async with xmpp_relaying(tmp_path, lambda s: echo(s, server_tls()), tls=True) as (relay, _):
             file = tmp_path / "operator.json"
             file.write_text(json.dumps({**json.loads(file.read_text()), **REBALANCE_ON}))
-            client = await Client.connect(relay.xmpp.address)
+            client = await Client.connect(relay.xmpp_listener.address)
             await client.login(client_tls())
             await client.bind()
-            await relay._switch(load({"GW_CONFIG": str(tmp_path / "config.json")}, str(file)))
+            await relay.apply_config(load({"GW_CONFIG": str(tmp_path / "config.json")}, str(file)))
             planner = relay.rebalancer
             assert planner is not None and len(planner.connections) == 1
             (lifecycle,) = relay.request_registry
@@ -184,6 +186,6 @@
 def test_the_shipped_file_is_valid_and_a_dry_run() -> None:
     shipped = Path(__file__).parents[2] / "deploy" / "rebalance.json"
     settings = {**SETTINGS, "classes": [{**SETTINGS["classes"][0], "name": "guest-checkin"}]}
-    options = read_operator(shipped, read_settings(settings)).rebalance
+    options = read_operator_file(shipped, read_settings(settings)).rebalance
     assert options is not None and options.mode == "dry-run"
     assert options.is_quiet_at(23 * 60) and not options.is_quiet_at(12 * 60)
--- a/tests/support/rebalance_fleet.py
+++ b/tests/support/rebalance_fleet.py
@@ -81,9 +81,9 @@
         self.handle(EndpointListEvent("full", [Endpoint(name) for name in endpoints]))
 
     def handle(self, event: Any) -> list[Any]:
-        self.planner.before(self.now_ms, event)
+        self.planner.before_event(self.now_ms, event)
         actions = self.balancer.handle(self.now_ms, event)
-        self.planner.after(self.now_ms, event, actions)
+        self.planner.after_event(self.now_ms, event, actions)
         return actions
 
     def add_connections(
