--- a/sageturn/decision/actions.py
+++ b/sageturn/decision/actions.py
@@ -1,4 +1,7 @@
-"""The actions that a balancer returns, for its driver to carry out in order."""
+"""The actions that a balancer returns, for its driver to carry out in order.
+
+Times are milliseconds and end in ``_ms``. ``id`` is the request's, as in the events.
+"""
 
 from __future__ import annotations
 
@@ -7,7 +10,7 @@
 
 @dataclass(slots=True)
 class PlaceRequest:
-    """Start the next attempt of a request; it times out after ``timeout_ms``."""
+    """Start the next attempt of a request; it times out after ``timeout_ms`` unless it is established."""
 
     id: int
     endpoint: str
@@ -16,7 +19,7 @@
 
 @dataclass(slots=True)
 class RejectRequest:
-    """Final answer: refused, trying again is harmless. 0 gives no advice on when."""
+    """Final answer: rejected, a retry is harmless. A ``retry_after_ms`` of 0 gives no advice on when."""
 
     id: int
     retry_after_ms: float = 0.0
@@ -24,14 +27,14 @@
 
 @dataclass(slots=True)
 class FailRequest:
-    """Final answer: failed, nothing is promised."""
+    """Final answer: failed. It may have been executed, so nothing is promised about a retry."""
 
     id: int
 
 
 @dataclass(slots=True)
 class AbandonAttempt:
-    """Stop waiting for one attempt."""
+    """Stop waiting for one attempt, whose client has left."""
 
     id: int
     attempt: int
@@ -39,14 +42,14 @@
 
 @dataclass(slots=True)
 class MigrateConnection:
-    """End an open connection politely; its client comes again."""
+    """Ask the client of an established connection to reconnect; its connection ends then."""
 
     id: int
 
 
 @dataclass(slots=True)
 class SetTimer:
-    """Ask for a Timer event."""
+    """Ask for an event ``TimerFired`` with this mark after ``delay_ms``."""
 
     delay_ms: float
     mark: str
@@ -54,12 +57,12 @@
 
 @dataclass(slots=True)
 class WatchEndpoints:
-    """Subscribe to changes of the list."""
+    """Call discovery for the endpoint list and its changes; ``EndpointListEvent`` says what came of it."""
 
 
 @dataclass(slots=True)
 class CheckHealth:
-    """Ask a server for its load report."""
+    """Ask an endpoint for its load report; ``HealthCheckCompleted`` says what came of it."""
 
     endpoint: str
 
--- a/sageturn/decision/events.py
+++ b/sageturn/decision/events.py
@@ -1,7 +1,8 @@
-"""The events that a balancer is given, one at a time.
+"""The events that a balancer is given, one at a time: by the relay's core, or by a simulator's adapter.
 
 Times are milliseconds and end in ``_ms``. An instant (``now_ms``, ``deadline_ms``) is read from one clock
-that never goes back; its zero does not matter.
+that never goes back; its zero does not matter. Loads are in milliseconds of work a second. A request keeps
+its ``id`` over all its attempts, which are numbered from 0; events of earlier attempts are ignored.
 """
 
 from __future__ import annotations
@@ -12,15 +13,15 @@
 
 @dataclass(slots=True)
 class Endpoint:
-    """One line of a list. ``state`` is ready, draining or gone; a new start moves ``started_at_ms``."""
+    """One line of the endpoint list. ``state`` is ready, draining or gone."""
 
     name: str
     state: str = "ready"
     zone: str = ""
     cell: int = 0
-    started_at_ms: float = 0.0
+    started_at_ms: float = 0.0  # 0 where it is not known; another one means another process
     share: float = 1.0  # weight against the others, in any one unit
-    kind: str = ""  # of machine: servers of one kind are taken to be equally fast
+    kind: str = ""  # of machine: endpoints of one kind are taken to be equally fast
     factor: float = 1.0  # by which an operator makes it count for more or less than its size
 
 
@@ -37,8 +38,11 @@
 
 @dataclass(slots=True)
 class EndpointListEvent:
-    """``kind``: stale (the list last held, at a start), full, changes, or failed: asking for changes has, or
-    the watch on them is over; ``failure`` tells which."""
+    """The endpoint list, or changes of it, or the end of the call for it.
+
+    ``kind``: stale (the list that the relay held before it was restarted), full (the whole list), changes, or
+    failed: the call for the list, or the watch that it became, has ended as ``failure`` says.
+    """
 
     kind: str
     endpoints: list[Endpoint]
@@ -47,10 +51,11 @@
 
 @dataclass(slots=True)
 class RequestArrived:
-    """A client wants a connection. ``hint`` is its expected load in any one unit, 0 where unknown.
+    """A client wants a connection by ``deadline_ms``. Exactly one final answer is owed to it.
 
-    ``client`` is the same after a reconnect. Where it was moved for balance just now, ``moved_off`` names the
-    server it was moved off, and ``spared_until_ms`` says how long it should not be moved again.
+    ``expected_load`` is 0 where it is unknown. ``client`` is the same after a reconnect. Where its connection
+    was migrated just now, ``moved_off`` names the endpoint that it was migrated off, and until
+    ``spared_until_ms`` it should not be migrated again.
     """
 
     id: int
@@ -59,19 +64,19 @@
     deadline_ms: float
     group: str = ""
     expected_load: float = 0.0
-    midflow: bool = False
+    midflow: bool = False  # an established connection is taken over: it is not throttled
     client: str = ""
-    returned: bool = False  # it says that its connection was moved, or broke
-    retried: bool = False  # it says that it asks again
+    returned: bool = False  # it says that its connection was migrated, or broke
+    retried: bool = False  # it says that this is a retry
     moved_off: str = ""
     spared_until_ms: float = 0.0
-    allowed: frozenset[str] | None = None  # servers that an operator binds it to,
+    allowed: frozenset[str] | None = None  # endpoints that an operator binds it to,
     strict: bool = False  # on every attempt, or (False) only on the first
 
 
 @dataclass(slots=True)
 class ConnectionAdopted:
-    """A connection that stood at ``server`` before this balancer started; attempt 0 is taken."""
+    """A connection that was established before this balancer started, by its attempt 0."""
 
     id: int
     class_name: str
@@ -84,7 +89,7 @@
 
 @dataclass(slots=True)
 class ConnectionEstablished:
-    """The connection stands, ``took_ms`` after it was sent (0: not measured)."""
+    """An attempt was established, ``took_ms`` after it was sent (0: not measured)."""
 
     id: int
     attempt: int
@@ -94,9 +99,10 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """An attempt ended: ok, error, full, timeout, connect_failed, reset, cancelled or moot.
+    """An attempt ended, before it was established or after.
 
-    ``final`` tells that the request has ended too; without it an answer is still owed.
+    ``status``: ok, error, full, timeout, connect_failed, reset, cancelled or moot. ``final``: the request has
+    ended as well; without it an answer is still owed.
     """
 
     id: int
@@ -104,14 +110,17 @@
     endpoint: str
     status: str
     final: bool
-    report: dict[str, float] = field(default_factory=dict)  # the server's, where answers hold one
+    report: dict[str, float] = field(
+        default_factory=dict
+    )  # the endpoint's load report, where answers hold one
 
 
 @dataclass(slots=True)
 class HealthCheckCompleted:
-    """A probe ended: ok, refused (the server takes none), or any other status where no answer came.
+    """A health check ended, by an action ``CheckHealth``.
 
-    ``report`` is empty where none came that can be used.
+    ``status``: ok, refused (the endpoint takes none), or any other one where no answer came. ``report`` is
+    empty where none came that can be used.
     """
 
     endpoint: str
@@ -121,21 +130,21 @@
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """The client left; nothing more is owed."""
+    """The client has left: nothing more is owed to it. ``AttemptEnded`` of its attempt still follows."""
 
     id: int
 
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer set by this balancer is due."""
+    """A timer is due that an action ``SetTimer`` with this mark has set."""
 
     mark: str
 
 
 @dataclass(slots=True)
 class MeasurementReported:
-    """Word on an open connection. ``kind``: load (its load now) or delay (a message there, in ms)."""
+    """A measurement on an established connection. ``kind``: load, or delay (of a message)."""
 
     id: int
     attempt: int
