--- a/sageturn/relay/closed_connections.py
+++ b/sageturn/relay/closed_connections.py
@@ -24,7 +24,7 @@
         reason = record.close_reason.name.lower() if record.close_reason else NOT_PLACED
         self.counts[reason] += 1
         if self.flow_exporter is not None:
-            self.flow_exporter.ended(record)
+            self.flow_exporter.export(record)
         log.info(
             "connection closed frontend=%s request=%s class=%s endpoint=%s attempts=%d duration_s=%.3f"
             " reason=%s%s%s",
--- a/sageturn/relay/operator_control.py
+++ b/sageturn/relay/operator_control.py
@@ -42,7 +42,7 @@
 
             publish = state_publisher(store, "overrides")
             self.actor = OverrideActor(balancer_actor, options, store, publish, on_marks)
-            store.on_change.append(self.actor.changed)
+            store.on_change.append(self.actor.on_store_change)
 
     def start(self, actors: ActorSupervisor) -> None:
         if self.actor is not None:
--- a/sageturn/relay/relay.py
+++ b/sageturn/relay/relay.py
@@ -100,11 +100,11 @@
         overrides = self._overrides.actor
         registry = EndpointRegistry(
             self.config.known_endpoints,
-            self.balancer_actor.post_event if overrides is None else overrides.tell,
+            self.balancer_actor.post_event if overrides is None else overrides.post_event,
             self.config.settings.discovery == "push",
         )
         if overrides is not None:
-            registry.is_out_of_service = overrides.out
+            registry.is_out_of_service = overrides.is_out_of_service
         return registry
 
     def _list_subsystems(self) -> tuple[Subsystem, ...]:
--- a/tests/store/test_overlay.py
+++ b/tests/store/test_overlay.py
@@ -9,6 +9,7 @@
 import pytest
 from support.overlay_simulation import in_global_order, make_members
 
+from sageturn.store.replication.errors import InvalidFanoutError
 from sageturn.store.replication.membership import LinkRejected, Member, MembershipStatus, RejectReason
 from sageturn.store.replication.overlay import Overlay
 from sageturn.store.replication.routes import RouteAdvertisement
@@ -16,7 +17,7 @@
 
 
 def test_a_fanout_of_one_is_rejected() -> None:
-    with pytest.raises(ValueError, match="fanout"):
+    with pytest.raises(InvalidFanoutError, match="fanout: 1 is under 2"):
         Overlay(make_members(1)[0], [], Random(1), fanout=1)
 
 
@@ -28,7 +29,7 @@
     overlay.on_dial_rejected(other.address, 0.0, LinkRejected(RejectReason.SUPERSEDED))
 
 
-def learn_from_dialler(overlay: Overlay, newer: Member, other: Member) -> None:
+def learn_from_dialer(overlay: Overlay, newer: Member, other: Member) -> None:
     overlay.check_admission(newer, 0.0)
 
 
@@ -38,7 +39,7 @@
     ways: tuple[Callable[[Overlay, Member, Member], None], ...] = (
         learn_from_store,
         learn_from_rejection,
-        learn_from_dialler,
+        learn_from_dialer,
     )
     for learn in ways:
         overlay = Overlay(own, [other.address], Random(1))
