--- a/experiments/measure_client_disconnects.py
+++ b/experiments/measure_client_disconnects.py
@@ -57,7 +57,7 @@
         os.write(file, f"{ask.wire_id or ask.client.split('/')[1]} {time.time()}\\n".encode())
     return ending
 for each in (platform, front):
-    each.connect = noting(each.connect)
+    each.connect_unreserved = noting(each.connect_unreserved)
 RequestLifecycle.check_before_write = noted_asked
 sys.exit(main())
 """
--- a/sageturn/frontends/platform.py
+++ b/sageturn/frontends/platform.py
@@ -21,17 +21,17 @@
 from sageturn.frontends.pump import Broken, LinePump
 from sageturn.net.admission import PendingConnection
 from sageturn.net.sockets import (
-    CONNECT_ENDINGS,
+    CLOSE_REASON_OF_CONNECT_FAILURE,
     LINGER_S,
-    Connect,
-    close_at_once,
-    close_politely,
-    end_sending,
-    reset,
+    ConnectFailure,
+    close_gracefully,
+    close_with_reset,
+    connect_unreserved,
+    send_and_close,
     send_gathered,
-    until_seen,
+    shutdown_write,
+    wait_for_close_reason,
 )
-from sageturn.net.sockets import connect_unreserved as connect
 
 log = logging.getLogger(__name__)
 
@@ -50,37 +50,37 @@
 
 
 class PlatformFrontend:
-    turn_away = b"BUSY 500\r\n"
+    rejection = b"BUSY 500\r\n"
 
     def __init__(self, shared: RelayContext) -> None:
         self._shared = shared
         self._classes = frozenset(c.name for c in shared.balancer_actor.settings.classes)
         self._ids = RequestIds()
 
-    async def serve(self, sock: socket.socket, newcomer: PendingConnection) -> None:
+    async def serve(self, sock: socket.socket, pending: PendingConnection) -> None:
         buffer = bytearray(LINE_MOST)
         try:
-            async with newcomer.within(FIRST_LINE_S):
+            async with pending.time_limit(FIRST_LINE_S):
                 line = await self._first_line(sock, buffer)
         except TimeoutError:
             # Its line may have become whole in this very instant: taken it has been, so it is answered.
-            if newcomer.evicted:
-                close_at_once(sock, self.turn_away)  # its descriptor is wanted
+            if pending.evicted:
+                send_and_close(sock, self.rejection)  # its descriptor is wanted
             else:
                 with suppress(OSError):
                     sock.send(b"ERR no first line in time\r\n")
-                await close_politely(sock)
+                await close_gracefully(sock)
             return
         except Malformed as error:
             log.info("first line: %s", error)
             with suppress(TimeoutError):
-                async with newcomer.within(FIRST_LINE_S + LINGER_S):
+                async with pending.time_limit(FIRST_LINE_S + LINGER_S):
                     await asyncio.get_running_loop().sock_sendall(sock, f"ERR {error}\r\n".encode())
-                    await close_politely(sock)
+                    await close_gracefully(sock)
             return
         if line is None:
             return  # it went as it came
-        newcomer.asked()
+        pending.mark_active()
         try:
             await self._shared.run(_Peer(self._shared, sock, buffer, line).lifecycle)
         finally:
@@ -150,9 +150,9 @@
             wanted = partial(self._shared.endpoint_registry.ready, endpoint, address)
         if (held_back := self.lifecycle.blocking_reason(wanted)) is not None:
             return held_back
-        sock = await connect(address, connect_ms / 1000.0)
-        if isinstance(sock, Connect):
-            return CONNECT_ENDINGS[sock]
+        sock = await connect_unreserved(address, connect_ms / 1000.0)
+        if isinstance(sock, ConnectFailure):
+            return CLOSE_REASON_OF_CONNECT_FAILURE[sock]
         if (held_back := self.lifecycle.check_before_write(wanted)) is not None:
             sock.close()
             return held_back
@@ -208,7 +208,7 @@
         return words.get(word, other)
 
     async def wait_client_disconnect(self) -> CloseReason:
-        return await until_seen(self._client, self.poll_client)
+        return await wait_for_close_reason(self._client, self.poll_client)
 
     def poll_client(self) -> CloseReason | None:
         while len(self._ahead) < LINE_MOST:
@@ -234,13 +234,13 @@
             await asyncio.get_running_loop().sock_sendall(self._client, text)
         except OSError:
             return  # the client is gone; there is nobody to answer
-        await close_politely(self._client)
+        await close_gracefully(self._client)
 
     # ------------------------------------------------------------ while it stands
 
     async def close_upstream(self) -> None:
         if self._endpoint is not None:
-            reset(self._endpoint)
+            close_with_reset(self._endpoint)
 
     async def accept_client(self) -> None:
         """The endpoint's UP goes out with all that followed it, as the first lines of the pump."""
@@ -274,7 +274,7 @@
                 up.passed,
             )
             self.lifecycle.record.quiet_s = asyncio.get_running_loop().time() - self._quiet.heard_s
-            await asyncio.gather(close_politely(self._client), close_politely(endpoint))
+            await asyncio.gather(close_gracefully(self._client), close_gracefully(endpoint))
 
     async def _moved(
         self, down: LinePump, downward: asyncio.Task[None], upward: asyncio.Task[None], why: CloseReason
@@ -300,11 +300,11 @@
         error = downward.exception()
         if isinstance(error, Broken):
             if error.source:
-                reset(self._client)
+                close_with_reset(self._client)
                 return CloseReason.RESET
-            reset(self._endpoint)
+            close_with_reset(self._endpoint)
             return CloseReason.CLIENT_RESET
-        end_sending(self._client)
+        shutdown_write(self._client)
         await asyncio.wait((upward,), timeout=LAST_WORD_S)
         return self._ending_of(self._last_line, _LAST_WORDS, CloseReason.ENDED)
 
@@ -313,15 +313,15 @@
         error = upward.exception()
         if isinstance(error, Broken):
             if error.source:
-                reset(self._endpoint)
+                close_with_reset(self._endpoint)
                 return CloseReason.CLIENT_RESET
             # Writing failed, so the endpoint has gone; what it said last may still lie unread.
             await asyncio.wait((downward,), timeout=LAST_WORD_S)
             if downward.done():
                 return await self._endpoint_ended(downward, upward)
-            reset(self._client)
+            close_with_reset(self._client)
             return CloseReason.RESET
-        end_sending(self._endpoint)
+        shutdown_write(self._endpoint)
         await asyncio.wait((downward,), timeout=LAST_WORD_S)
         return CloseReason.CLIENT_LEFT
 
--- a/sageturn/frontends/xmpp/front.py
+++ b/sageturn/frontends/xmpp/front.py
@@ -25,16 +25,16 @@
 from sageturn.frontends.xmpp.stream import Closed, Stanza
 from sageturn.net.admission import PendingConnection
 from sageturn.net.sockets import (
-    CONNECT_ENDINGS,
+    CLOSE_REASON_OF_CONNECT_FAILURE,
     LINGER_S,
-    Connect,
-    close_at_once,
-    close_politely,
-    has_ended,
-    reset,
-    until_seen,
+    ConnectFailure,
+    close_gracefully,
+    close_with_reset,
+    connect_unreserved,
+    is_closed_by_peer,
+    send_and_close,
+    wait_for_close_reason,
 )
-from sageturn.net.sockets import connect_unreserved as connect
 
 log = logging.getLogger(__name__)
 
@@ -42,7 +42,7 @@
 REST_S = 0.7  # a stanza that is on the wire when its client must go has this long to end
 LAST_WORD_S = 0.5
 WAITING_MOST = 16  # stanzas that a client may send before it is answered
-TURN_AWAY = (
+REJECTION = (
     b"<?xml version='1.0'?>"
     + f"<stream:stream xmlns='jabber:client' xmlns:stream='{STREAMS}' version='1.0'>".encode()
     + error_xml("resource-constraint", "no room")
@@ -51,31 +51,31 @@
 
 
 class XmppFrontend:
-    turn_away = TURN_AWAY
+    rejection = REJECTION
 
     def __init__(self, shared: RelayContext, options: XmppOptions, accounts: Accounts) -> None:
         self._shared, self._accounts = shared, accounts
         self.options = options  # replaced when the configuration is read again: for those who come later
 
-    async def serve(self, sock: socket.socket, newcomer: PendingConnection) -> None:
+    async def serve(self, sock: socket.socket, pending: PendingConnection) -> None:
         options, session = self.options, first_session(sock)
         fault = StreamFault("connection-timeout")
         try:
             acceptor = Acceptor(session, options, self._accounts)
-            async with newcomer.within(min(HEADER_S, options.negotiate_s)):
+            async with pending.time_limit(min(HEADER_S, options.negotiate_s)):
                 await acceptor.header()
-            async with newcomer.within(options.negotiate_s):
+            async with pending.time_limit(options.negotiate_s):
                 wish = await acceptor.run()
         except StreamFault as found:
             fault = found
         except TimeoutError:
-            if newcomer.evicted:
+            if pending.evicted:
                 fault = StreamFault("resource-constraint")
         except (OSError, ssl.SSLError) as error:
             log.info("xmpp: %s", error)
             return
         else:
-            newcomer.asked()
+            pending.mark_active()
             peer = _Peer(self._shared, options, session, wish)
             await self._shared.run(peer.lifecycle)
             return
@@ -83,10 +83,10 @@
         with suppress(TimeoutError):
             async with asyncio.timeout(LINGER_S):
                 await session.fault(fault, options.domain)
-            if newcomer.evicted:
-                close_at_once(sock, b"")  # its descriptor is wanted
+            if pending.evicted:
+                send_and_close(sock, b"")  # its descriptor is wanted
             else:
-                await close_politely(sock)
+                await close_gracefully(sock)
 
 
 class _Peer:
@@ -117,9 +117,9 @@
         wanted = partial(self._shared.endpoint_registry.ready, endpoint, listed)
         if (held_back := self.lifecycle.blocking_reason(wanted)) is not None:
             return held_back
-        sock = await connect(address, connect_ms / 1000.0)
-        if isinstance(sock, Connect):
-            return CONNECT_ENDINGS[sock]
+        sock = await connect_unreserved(address, connect_ms / 1000.0)
+        if isinstance(sock, ConnectFailure):
+            return CLOSE_REASON_OF_CONNECT_FAILURE[sock]
         session = first_session(sock)
         stands = False
         try:
@@ -143,7 +143,7 @@
         return None
 
     async def wait_client_disconnect(self) -> CloseReason:
-        return await until_seen(self._client.channel.sock, self.poll_client)
+        return await wait_for_close_reason(self._client.channel.sock, self.poll_client)
 
     def poll_client(self) -> CloseReason | None:
         """A client that ends its stream has cancelled its request, though its connection may stay open."""
@@ -161,19 +161,19 @@
             if isinstance(piece, Stanza):
                 self._waiting.append(piece)
         # What lies unread beyond that much, or is half a record of TLS, hides no end of the connection.
-        if ended or has_ended(self._client.channel.sock):
+        if ended or is_closed_by_peer(self._client.channel.sock):
             return CloseReason.CLIENT_LEFT
         return CloseReason.CLIENT_FAULT if len(self._waiting) >= WAITING_MOST else None
 
     async def send_final_response(self, answer: FinalResponse) -> None:
         await self._client.end(answer_xml(answer))
-        await close_politely(self._client.channel.sock)
+        await close_gracefully(self._client.channel.sock)
 
     # ------------------------------------------------------------ while it stands
 
     async def close_upstream(self) -> None:
         if self._endpoint is not None:
-            reset(self._endpoint.channel.sock)
+            close_with_reset(self._endpoint.channel.sock)
 
     async def accept_client(self) -> None:
         bound = f"<bind xmlns='{BIND}'><jid>{escape(self._jid)}</jid></bind>"
@@ -199,7 +199,8 @@
             else:
                 close_reason, last = CloseReason.MOVED if stopping.done() else CloseReason.MUTE, move_xml()
                 if not await self._come_to_rest(downward, endpoint):
-                    reset(self._client.channel.sock)  # a stanza is stuck half written: no word can follow
+                    # A stanza is stuck half written: nothing can follow it.
+                    close_with_reset(self._client.channel.sock)
         finally:
             for task in (downward, upward, stopping, muting):
                 await cancel_and_wait(task)
@@ -228,17 +229,17 @@
     async def _part(self, endpoint: XmppSession, close_reason: CloseReason, last: bytes) -> None:
         client_sock, endpoint_sock = self._client.channel.sock, endpoint.channel.sock
         if close_reason is CloseReason.CLIENT_RESET:
-            reset(endpoint_sock)
+            close_with_reset(endpoint_sock)
             client_sock.close()
             return
         if close_reason is CloseReason.RESET:
-            reset(client_sock)
+            close_with_reset(client_sock)
             endpoint_sock.close()
             return
         with suppress(TimeoutError):
             async with asyncio.timeout(LAST_WORD_S):
                 await asyncio.gather(self._client.end(last), endpoint.end())
-        await asyncio.gather(close_politely(client_sock), close_politely(endpoint_sock))
+        await asyncio.gather(close_gracefully(client_sock), close_gracefully(endpoint_sock))
 
     async def _downward(self, endpoint: XmppSession) -> tuple[CloseReason, bytes]:
         """From the endpoint to the client; with the ending, the stream error that the client is owed."""
--- a/sageturn/lab/scale/digests.py
+++ b/sageturn/lab/scale/digests.py
@@ -18,7 +18,7 @@
 from sageturn.core.tasks import cancel_and_wait
 from sageturn.net.admission import AdmissionController, PendingConnection
 from sageturn.net.listener import Listener
-from sageturn.net.sockets import Connect, connect, send_gathered
+from sageturn.net.sockets import ConnectFailure, connect, send_gathered
 from sageturn.store.channel import TAG, AuthenticatedChannel, HandshakeRejectedError
 from sageturn.store.records import InvalidRecordError, StoreRecord, parse_record
 from sageturn.store.store import Store
@@ -90,14 +90,14 @@
         return {}
 
     def start(self) -> None:
-        self._listener.open()
+        self._listener.start_listening()
         self._tasks = [asyncio.ensure_future(self._listener.run())]
         self._tasks += [asyncio.ensure_future(self._dial(peer)) for peer in self._options.peers]
 
     async def stop(self) -> None:
         for task in self._tasks:
             await cancel_and_wait(task)
-        await self._listener.cancel()
+        await self._listener.cancel_connections()
         self._store.on_change.remove(self._changed)
 
     def _changed(self, records: list[StoreRecord]) -> None:
@@ -109,26 +109,26 @@
         wait_s = RETRY_S
         while True:
             sock = await connect(peer, CONNECT_S)
-            if not isinstance(sock, Connect):
+            if not isinstance(sock, ConnectFailure):
                 with sock:
                     if await self._serve(sock, True, None):
                         wait_s = RETRY_S
             await asyncio.sleep(wait_s)
             wait_s = min(RETRY_MOST_S, wait_s * 2)
 
-    async def _accepted(self, sock: socket.socket, newcomer: PendingConnection) -> None:
-        await self._serve(sock, False, newcomer)
+    async def _accepted(self, sock: socket.socket, pending: PendingConnection) -> None:
+        await self._serve(sock, False, pending)
 
-    async def _serve(self, sock: socket.socket, dialled: bool, newcomer: PendingConnection | None) -> bool:
+    async def _serve(self, sock: socket.socket, dialled: bool, pending: PendingConnection | None) -> bool:
         link = JsonLink(sock, self._options.secret, self._store.node)
         try:
-            async with newcomer.within(HANDS_S) if newcomer else asyncio.timeout(HANDS_S):
+            async with pending.time_limit(HANDS_S) if pending else asyncio.timeout(HANDS_S):
                 await link.shake_hands(dialled)
         except (OSError, TimeoutError) as error:
             log.warning("no link: %s", error or "timed out")
             return False
-        if newcomer is not None:
-            newcomer.asked()
+        if pending is not None:
+            pending.mark_active()
         queue: Pushes = asyncio.Queue(PUSHES)
         self._queues.add(queue)
         self.links += 1
--- a/sageturn/net/admission.py
+++ b/sageturn/net/admission.py
@@ -42,7 +42,7 @@
         self._timeout: asyncio.Timeout | None = None
         self.evicted = False
 
-    def within(self, seconds: float) -> asyncio.Timeout:
+    def time_limit(self, seconds: float) -> asyncio.Timeout:
         """To be entered around each wait for the client; ``seconds`` count from its acceptance."""
         until = 0.0 if self.evicted else self._accepted_s + seconds
         self._timeout = asyncio.timeout_at(until)
@@ -54,9 +54,9 @@
             with suppress(RuntimeError):  # its time was just over anyway, or nothing is waited for
                 self._timeout.reschedule(0.0)
 
-    def asked(self) -> None:
+    def mark_active(self) -> None:
         """It has made a request that can be used: from here on it is a client, and stays."""
-        self._admission.settle(self)
+        self._admission.mark_active(self)
 
 
 class AdmissionController:
@@ -68,7 +68,7 @@
         self._awaiting_request: dict[PendingConnection, None] = {}  # in the order of arrival
 
     @property
-    def full(self) -> bool:
+    def is_full(self) -> bool:
         return self.held >= self.limits.held
 
     @property
@@ -76,15 +76,15 @@
         """Connections that have not asked yet."""
         return len(self._awaiting_request)
 
-    def enter(self) -> PendingConnection:
-        newcomer = PendingConnection(self)
+    def admit(self) -> PendingConnection:
+        pending = PendingConnection(self)
         self.held += 1
-        self._awaiting_request[newcomer] = None
+        self._awaiting_request[pending] = None
         while len(self._awaiting_request) > self.limits.awaiting_request:
-            self.evict_oldest()
-        return newcomer
+            self.evict_oldest_pending()
+        return pending
 
-    def evict_oldest(self) -> bool:
+    def evict_oldest_pending(self) -> bool:
         """False if everyone has asked."""
         oldest = next(iter(self._awaiting_request), None)
         if oldest is None:
@@ -93,13 +93,13 @@
         oldest.evict()
         return True
 
-    def evict_all(self) -> None:
-        while self.evict_oldest():
+    def evict_all_pending(self) -> None:
+        while self.evict_oldest_pending():
             pass
 
-    def settle(self, newcomer: PendingConnection) -> None:
-        self._awaiting_request.pop(newcomer, None)
+    def mark_active(self, pending: PendingConnection) -> None:
+        self._awaiting_request.pop(pending, None)
 
-    def leave(self, newcomer: PendingConnection) -> None:
-        self.settle(newcomer)
+    def release(self, pending: PendingConnection) -> None:
+        self.mark_active(pending)
         self.held -= 1
--- a/sageturn/net/discovery.py
+++ b/sageturn/net/discovery.py
@@ -18,7 +18,7 @@
 from sageturn.decision import DiscoveryFailure, Endpoint
 from sageturn.decision.discovery_backoff import ANSWER_MS, CONNECT_MS, SILENCE_MS, unserved
 from sageturn.net.json_stream import ObjectCutter
-from sageturn.net.sockets import Connect, connect
+from sageturn.net.sockets import ConnectFailure, connect
 
 log = logging.getLogger(__name__)
 
@@ -174,7 +174,7 @@
     async def _call(self, answer: _Answer, number: int, after_version: int) -> WatchFailed:
         """One call to its end, which is always a failure."""
         sock = await connect(self._address, CONNECT_S)
-        if isinstance(sock, Connect):
+        if isinstance(sock, ConnectFailure):
             return WatchFailed(f"connect: {sock.name.lower()}", DiscoveryFailure.UNREACHED)
         asked_s = self._clock()
         try:
--- a/sageturn/net/health_check_client.py
+++ b/sageturn/net/health_check_client.py
@@ -12,8 +12,7 @@
 from sageturn.core.tasks import cancel_and_wait
 from sageturn.decision import HealthCheckCompleted
 from sageturn.decision.load_reports import TEXT_MOST, read_report
-from sageturn.net.sockets import Connect
-from sageturn.net.sockets import connect_unreserved as connect
+from sageturn.net.sockets import ConnectFailure, connect_unreserved
 
 log = logging.getLogger(__name__)
 
@@ -78,8 +77,8 @@
             with suppress(OSError):  # closed as idle, or the endpoint has started anew: that is no answer yet
                 line = await self._exchange(endpoint, kept[1])
         if not line:
-            sock = await connect(address, self._connect_s)
-            if isinstance(sock, Connect):
+            sock = await connect_unreserved(address, self._connect_s)
+            if isinstance(sock, ConnectFailure):
                 return "connect_failed", {}
             line = await self._exchange(endpoint, sock)
         word, _, rest = line.partition(b" ")
--- a/sageturn/net/listener.py
+++ b/sageturn/net/listener.py
@@ -10,7 +10,13 @@
 from contextlib import suppress
 
 from sageturn.net.admission import AdmissionController, PendingConnection
-from sageturn.net.sockets import DESCRIPTOR_RESERVE, SHORT_OF_DESCRIPTORS, bind, close_at_once, prepare
+from sageturn.net.sockets import (
+    DESCRIPTOR_RESERVE,
+    OUT_OF_DESCRIPTORS_ERRNOS,
+    bind_socket,
+    configure_socket,
+    send_and_close,
+)
 
 log = logging.getLogger(__name__)
 
@@ -25,18 +31,18 @@
 
 class Listener:
     def __init__(
-        self, address: tuple[str, int], serve: Serve, turn_away: bytes, admission: AdmissionController
+        self, address: tuple[str, int], serve: Serve, rejection: bytes, admission: AdmissionController
     ) -> None:
         self._admission = admission
-        self._sock = bind(address)
+        self._sock = bind_socket(address)
         self.address: tuple[str, int] = self._sock.getsockname()
-        self._serve, self._turn_away = serve, turn_away
+        self._serve, self._rejection = serve, rejection
         self._tasks: set[asyncio.Task[None]] = set()
         # Given up for a moment to take, answer and close a client when there is no other descriptor:
         # left in the backlog it would have been taken by this machine and never answered.
         self._spare: int | None = os.open(os.devnull, os.O_RDONLY)
 
-    def open(self) -> None:
+    def start_listening(self) -> None:
         """From here on connections are taken, so whatever they wait for now comes out of their time."""
         self._sock.listen(BACKLOG)
 
@@ -70,24 +76,24 @@
             except (BlockingIOError, InterruptedError):
                 return False
             except OSError as error:
-                if error.errno in SHORT_OF_DESCRIPTORS:
+                if error.errno in OUT_OF_DESCRIPTORS_ERRNOS:
                     return True
                 log.warning("accept: %s", error)  # the client was gone before it was taken
                 continue
-            if self._admission.full and not self._admission.evict_oldest():
-                self._own(self._turn_away_one(sock))
+            if self._admission.is_full and not self._admission.evict_oldest_pending():
+                self._own(self._reject(sock))
             else:
-                self._own(self._guard(sock, self._admission.enter()))
+                self._own(self._guard(sock, self._admission.admit()))
         return False
 
-    def shut(self) -> None:
+    def stop_accepting(self) -> None:
         """Takes everyone whom this machine has accepted so far, and nobody from then on."""
-        DESCRIPTOR_RESERVE.hold(0)  # nothing that it is kept for is begun any more
+        DESCRIPTOR_RESERVE.resize(0)  # nothing that it is kept for is begun any more
         if self._sock.fileno() >= 0 and self._take(BACKLOG):
             for _ in range(BACKLOG):  # one after the other, each on the one descriptor that there is
                 if (sock := self._take_on_spare()) is None:
                     break
-                close_at_once(sock, self._turn_away)
+                send_and_close(sock, self._rejection)
                 self._renew_spare()
         self.close()
 
@@ -96,21 +102,21 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _guard(self, sock: socket.socket, newcomer: PendingConnection) -> None:
+    async def _guard(self, sock: socket.socket, pending: PendingConnection) -> None:
         try:
-            prepare(sock)
-            await self._serve(sock, newcomer)
+            configure_socket(sock)
+            await self._serve(sock, pending)
         except OSError as error:
             log.info("connection: %s", error)
         except Exception:
             log.exception("a connection failed")
         finally:
             sock.close()
-            self._admission.leave(newcomer)
+            self._admission.release(pending)
 
     async def _make_room(self) -> None:
         """No descriptor is left: the silent give theirs up first; with none, the newest is answered."""
-        if sum(self._admission.evict_oldest() for _ in range(SHORT_EVICT)):
+        if sum(self._admission.evict_oldest_pending() for _ in range(SHORT_EVICT)):
             await asyncio.sleep(SHORT_PAUSE_S)
         else:
             await self._answer_short()
@@ -120,7 +126,7 @@
         if sock is None:
             await asyncio.sleep(SHORT_PAUSE_S)
         else:
-            await self._turn_away_one(sock)
+            await self._reject(sock)
         self._renew_spare()
 
     def _take_on_spare(self) -> socket.socket | None:
@@ -128,7 +134,7 @@
             os.close(self._spare)
             self._spare = None
         try:
-            return prepare(self._sock.accept()[0])
+            return configure_socket(self._sock.accept()[0])
         except OSError:
             return None
 
@@ -137,21 +143,21 @@
             with suppress(OSError):
                 self._spare = os.open(os.devnull, os.O_RDONLY)
 
-    async def _turn_away_one(self, sock: socket.socket) -> None:
+    async def _reject(self, sock: socket.socket) -> None:
         """Its first bytes are read before the answer: closed over unread ones, the answer would be lost."""
         try:
-            prepare(sock)
+            configure_socket(sock)
             with suppress(OSError, TimeoutError):
                 async with asyncio.timeout(SHORT_READ_S):
                     await asyncio.get_running_loop().sock_recv_into(sock, bytearray(8192))
         finally:
-            close_at_once(sock, self._turn_away)
+            send_and_close(sock, self._rejection)
 
-    async def finish(self, patience_s: float) -> None:
+    async def wait_until_idle(self, patience_s: float) -> None:
         if self._tasks:
             await asyncio.wait(self._tasks, timeout=patience_s)
 
-    async def cancel(self) -> None:
+    async def cancel_connections(self) -> None:
         """One that is cut off while it ends politely is cut off there, too: nothing is waited for now."""
         while self._tasks:
             for task in self._tasks:
--- a/sageturn/net/sockets.py
+++ b/sageturn/net/sockets.py
@@ -16,15 +16,15 @@
 from sageturn.core.close_reason import CloseReason
 
 Buffer = bytes | bytearray | memoryview
-SHORT_OF_DESCRIPTORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
+OUT_OF_DESCRIPTORS_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 LINGER_S = 0.5  # how long a closed connection's other side is awaited
 LINGER_MOST = 65536  # and how much it may still send; more comes only from one that floods
 FLOOD_S = 0.1  # it has the answer by then: it reads what it is sent
 # The watch and the one that takes its place, a link between stores, and the configuration's file.
-RESERVED = 4
+RESERVED_DESCRIPTORS = 4
 
 
-class Connect(Enum):
+class ConnectFailure(Enum):
     """Why a connection did not come up."""
 
     REFUSED = auto()
@@ -32,10 +32,10 @@
     NO_DESCRIPTOR = auto()
 
 
-CONNECT_ENDINGS = {
-    Connect.REFUSED: CloseReason.REFUSED,
-    Connect.NEVER_UP: CloseReason.NO_CONNECT,
-    Connect.NO_DESCRIPTOR: CloseReason.NOT_SENT,
+CLOSE_REASON_OF_CONNECT_FAILURE = {
+    ConnectFailure.REFUSED: CloseReason.REFUSED,
+    ConnectFailure.NEVER_UP: CloseReason.NO_CONNECT,
+    ConnectFailure.NO_DESCRIPTOR: CloseReason.NOT_SENT,
 }
 
 
@@ -50,7 +50,7 @@
         self._held: list[int] = []
         self._size = 0
 
-    def hold(self, size: int) -> None:
+    def resize(self, size: int) -> None:
         self._size = size
         while len(self._held) > size:
             os.close(self._held.pop())
@@ -65,7 +65,7 @@
                 return False
         return True
 
-    def give_up(self) -> bool:
+    def release_one(self) -> bool:
         """One is free from here on, until the next await. False if there is none left to give up."""
         if not self._held:
             return False
@@ -73,9 +73,9 @@
         return True
 
     @contextmanager
-    def lent(self) -> Iterator[None]:
+    def borrow(self) -> Iterator[None]:
         """For a file that is read and closed again in one turn of the loop."""
-        self.give_up()
+        self.release_one()
         try:
             yield
         finally:
@@ -85,15 +85,15 @@
 DESCRIPTOR_RESERVE = DescriptorReserve()  # one for the process, as its table of descriptors is
 
 
-def limit_descriptors(most: int) -> None:
+def set_descriptor_limit(most: int) -> None:
     """So that running out shows as an error that the listener knows how to answer."""
     _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if hard == resource.RLIM_INFINITY or hard >= most:
         resource.setrlimit(resource.RLIMIT_NOFILE, (most, hard))
-    DESCRIPTOR_RESERVE.hold(RESERVED)
+    DESCRIPTOR_RESERVE.resize(RESERVED_DESCRIPTORS)
 
 
-def prepare(sock: socket.socket) -> socket.socket:
+def configure_socket(sock: socket.socket) -> socket.socket:
     sock.setblocking(False)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     return sock
@@ -103,32 +103,39 @@
     try:
         return socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     except OSError as error:
-        if not reserved or error.errno not in SHORT_OF_DESCRIPTORS or not DESCRIPTOR_RESERVE.give_up():
+        if (
+            not reserved
+            or error.errno not in OUT_OF_DESCRIPTORS_ERRNOS
+            or not DESCRIPTOR_RESERVE.release_one()
+        ):
             raise
         return socket.socket(socket.AF_INET, socket.SOCK_STREAM)
 
 
-async def connect_unreserved(address: tuple[str, int], timeout_s: float) -> socket.socket | Connect:
+async def connect_unreserved(address: tuple[str, int], timeout_s: float) -> socket.socket | ConnectFailure:
     """As ``connect``, for a client's sake: what is held in reserve is made good first, and not touched."""
-    return await connect(address, timeout_s, False) if DESCRIPTOR_RESERVE.refill() else Connect.NO_DESCRIPTOR
+    if not DESCRIPTOR_RESERVE.refill():
+        return ConnectFailure.NO_DESCRIPTOR
+    return await connect(address, timeout_s, False)
 
 
 async def connect(
     address: tuple[str, int], timeout_s: float, reserved: bool = True
-) -> socket.socket | Connect:
+) -> socket.socket | ConnectFailure:
     try:
-        sock = prepare(_new_socket(reserved))
+        sock = configure_socket(_new_socket(reserved))
     except OSError as error:
-        return Connect.NO_DESCRIPTOR if error.errno in SHORT_OF_DESCRIPTORS else Connect.REFUSED
+        out_of_descriptors = error.errno in OUT_OF_DESCRIPTORS_ERRNOS
+        return ConnectFailure.NO_DESCRIPTOR if out_of_descriptors else ConnectFailure.REFUSED
     try:
         async with asyncio.timeout(timeout_s):
             await asyncio.get_running_loop().sock_connect(sock, address)
     except TimeoutError:
         sock.close()
-        return Connect.NEVER_UP
+        return ConnectFailure.NEVER_UP
     except OSError:
         sock.close()
-        return Connect.REFUSED
+        return ConnectFailure.REFUSED
     except BaseException:
         sock.close()
         raise
@@ -151,7 +158,7 @@
         sent = 0
 
 
-async def until_seen(sock: socket.socket, look: Callable[[], CloseReason | None]) -> CloseReason:
+async def wait_for_close_reason(sock: socket.socket, look: Callable[[], CloseReason | None]) -> CloseReason:
     """Calls ``look`` at once and whenever ``sock`` has something to read, until it gives an ending.
 
     ``look`` alone reads the socket then, without waiting, and may be called by others as well: what one of
@@ -173,7 +180,7 @@
             loop.remove_reader(sock)
 
 
-def has_ended(sock: socket.socket) -> bool:
+def is_closed_by_peer(sock: socket.socket) -> bool:
     """Whether the other side has ended or reset it, though what it said before may still lie unread."""
     ends = select.POLLRDHUP | select.POLLHUP | select.POLLERR
     poll = select.poll()
@@ -181,19 +188,19 @@
     return any(mask & ends for _, mask in poll.poll(0))
 
 
-def end_sending(sock: socket.socket) -> None:
+def shutdown_write(sock: socket.socket) -> None:
     with suppress(OSError):  # the other side has reset it: there is nobody left to tell
         sock.shutdown(socket.SHUT_WR)
 
 
-def reset(sock: socket.socket) -> None:
+def close_with_reset(sock: socket.socket) -> None:
     """Close with a reset, as the other side of the relay was reset."""
     with suppress(OSError):
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     sock.close()
 
 
-def close_at_once(sock: socket.socket, text: bytes) -> None:
+def send_and_close(sock: socket.socket, text: bytes) -> None:
     """Say one last thing, and close over nothing unread: a reset for that could destroy it on its way."""
     with suppress(OSError):
         sock.send(text)
@@ -209,7 +216,7 @@
     sock.close()
 
 
-async def close_politely(sock: socket.socket) -> None:
+async def close_gracefully(sock: socket.socket) -> None:
     """End with FIN, and wait a little for the other's.
 
     Closing at once while bytes of the other side lie unread would make the kernel send a reset, which
@@ -218,7 +225,7 @@
     """
     if sock.fileno() < 0:
         return  # it was reset
-    end_sending(sock)
+    shutdown_write(sock)
     loop = asyncio.get_running_loop()
     waste = bytearray(2048)
     try:
@@ -233,7 +240,7 @@
         _close_over_nothing(sock)  # also when it is cut off while it waits
 
 
-def bind(address: tuple[str, int]) -> socket.socket:
+def bind_socket(address: tuple[str, int]) -> socket.socket:
     """Claims the address, and refuses connections to it until ``listen`` is called."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
--- a/sageturn/relay.py
+++ b/sageturn/relay.py
@@ -28,7 +28,7 @@
 from sageturn.net.admission import AdmissionController
 from sageturn.net.discovery import DiscoveryClient
 from sageturn.net.listener import Listener
-from sageturn.net.sockets import DESCRIPTOR_RESERVE, limit_descriptors
+from sageturn.net.sockets import DESCRIPTOR_RESERVE, set_descriptor_limit
 from sageturn.store.records import StoreRecord
 from sageturn.store.store import Store
 
@@ -74,7 +74,7 @@
         )
         front = PlatformFrontend(self.shared)
         self.admission = AdmissionController(config.limits)
-        self.listener = Listener(config.listen, front.serve, front.turn_away, self.admission)
+        self.listener = Listener(config.listen, front.serve, front.rejection, self.admission)
         self.store.on_change.append(self._changed)
         self.replica = self._make_replica()
         self.exporter = FlowExporter(operator.flows) if operator.flows else None
@@ -83,7 +83,7 @@
         if operator.xmpp is not None:
             self._second = XmppFrontend(self.shared, operator.xmpp, Accounts(self.store))
             self.xmpp = Listener(
-                operator.xmpp.listen, self._second.serve, self._second.turn_away, self.admission
+                operator.xmpp.listen, self._second.serve, self._second.rejection, self.admission
             )
         self._counts: Counter[str] = Counter()
         self.rebalancer: Rebalancer | None = None
@@ -220,7 +220,7 @@
             if self._read_again is None:
                 continue
             try:
-                with DESCRIPTOR_RESERVE.lent():  # clients may hold all other descriptors
+                with DESCRIPTOR_RESERVE.borrow():  # clients may hold all other descriptors
                     new = self._read_again(self._config)
             except ConfigError as error:
                 log.error("configuration not taken, the old one stays in force: %s", error)
@@ -234,7 +234,7 @@
     async def _switch(self, new: RelayConfig) -> None:
         """Nothing here can fail half way: all of it was checked when it was read."""
         old, self._config = self._config, new
-        limit_descriptors(new.limits.sockets)
+        set_descriptor_limit(new.limits.sockets)
         self.admission.limits = new.limits
         if self._second is not None and new.operator.xmpp is not None:
             self._second.options = new.operator.xmpp
@@ -288,7 +288,7 @@
         if self.replica is not None:
             self.replica.start()
         for listener in self._listeners():
-            listener.open()
+            listener.start_listening()
         for run in runs:
             self._own(run())
         self._set_rebalancing()
@@ -304,7 +304,7 @@
             await cancel_and_wait(actor)
         for listener in self._listeners():
             listener.close()
-            await listener.cancel()
+            await listener.cancel_connections()
         self.store.close()
 
     async def run(self) -> None:
@@ -314,7 +314,7 @@
             loop.add_signal_handler(number, stopping.set)
         loop.add_signal_handler(signal.SIGHUP, self._reload.set)
         signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)  # those held back since the start come now
-        limit_descriptors(self._config.limits.sockets)
+        set_descriptor_limit(self._config.limits.sockets)
         # The loop turns before anybody can connect: a front sends clients to a relay that was killed
         # as soon as it listens, and those it keeps waiting for its own start lose that much of their time.
         await asyncio.sleep(START_S)
@@ -334,8 +334,8 @@
 
     def shut(self) -> None:
         for listener in self._listeners():
-            listener.shut()
-        self.admission.evict_all()
+            listener.stop_accepting()
+        self.admission.evict_all_pending()
 
     async def finish(self, patience_s: float) -> None:
-        await asyncio.gather(*(listener.finish(patience_s) for listener in self._listeners()))
+        await asyncio.gather(*(listener.wait_until_idle(patience_s) for listener in self._listeners()))
--- a/sageturn/store/replication/member.py
+++ b/sageturn/store/replication/member.py
@@ -14,7 +14,7 @@
 from sageturn.core.tasks import cancel_and_wait
 from sageturn.net.admission import AdmissionController, PendingConnection
 from sageturn.net.listener import Listener
-from sageturn.net.sockets import Connect, connect
+from sageturn.net.sockets import ConnectFailure, connect
 from sageturn.store.channel import AuthenticatedChannel, HandshakeRejectedError
 from sageturn.store.replication.options import ReplicationOptions
 from sageturn.store.replication.overlay import Member, Overlay
@@ -88,14 +88,14 @@
         return len(self.replica.members) / STATES_PER_S
 
     def start(self) -> None:
-        self._listener.open()
+        self._listener.start_listening()
         self.replica.announce()
         self._tasks = [asyncio.ensure_future(self._listener.run()), asyncio.ensure_future(self._keep())]
 
     async def stop(self) -> None:
         for task in [*self._tasks, *self._dials]:
             await cancel_and_wait(task)
-        await self._listener.cancel()
+        await self._listener.cancel_connections()
         self.replica.close()
 
     async def _keep(self) -> None:
@@ -114,7 +114,7 @@
     async def _dial(self, address: tuple[str, int]) -> None:
         try:
             sock = await connect(address, CONNECT_S)
-            if not isinstance(sock, Connect):
+            if not isinstance(sock, ConnectFailure):
                 try:
                     if not await self._links.serve(sock, address):
                         return
@@ -126,8 +126,8 @@
         self.replica.topology.unreachable(address, time.monotonic())
         self._due.set()
 
-    async def _accepted(self, sock: socket.socket, newcomer: PendingConnection) -> None:
-        await self._links.serve(sock, None, newcomer)
+    async def _accepted(self, sock: socket.socket, pending: PendingConnection) -> None:
+        await self._links.serve(sock, None, pending)
 
 
 class Links:
@@ -146,20 +146,20 @@
         self,
         sock: socket.socket,
         dialled: tuple[str, int] | None,
-        newcomer: PendingConnection | None = None,
+        pending: PendingConnection | None = None,
         opened: Callable[[ReplicationSession], None] = lambda session: None,
     ) -> str:
         """Runs a link to its end. Returns why it never came to greetings: the replica is not told of that."""
         link = AuthenticatedChannel(sock, self._secret, self._replica.store.node)
         try:
-            async with newcomer.within(HANDS_S) if newcomer else asyncio.timeout(HANDS_S):
+            async with pending.time_limit(HANDS_S) if pending else asyncio.timeout(HANDS_S):
                 await link.shake_hands(dialled is not None)
         except (OSError, TimeoutError) as error:
             why = str(error) or "timed out"
             log.warning("store: no link: %s", why)
             return why
-        if newcomer is not None:
-            newcomer.asked()
+        if pending is not None:
+            pending.mark_active()
         session = self._replica.open(link.peer, time.monotonic(), dialled)
         opened(session)
         wake = asyncio.Event()
@@ -246,7 +246,7 @@
         backoff = Backoff(0.1, 1.0, Random(secrets.token_bytes(8)))
         while True:
             sock = await connect(peer, CONNECT_S)
-            if not isinstance(sock, Connect):
+            if not isinstance(sock, ConnectFailure):
                 try:
                     said.append(await links.serve(sock, peer, opened=sessions.append))
                 finally:
--- a/tests/core/test_client_disconnects.py
+++ b/tests/core/test_client_disconnects.py
@@ -21,7 +21,7 @@
 from sageturn.core.close_reason import CloseReason
 from sageturn.frontends import platform
 from sageturn.frontends.xmpp import front as xmpp_front
-from sageturn.net.sockets import Connect
+from sageturn.net.sockets import ConnectFailure
 
 GONE = (CloseReason.CLIENT_LEFT, CloseReason.CLIENT_RESET)
 
@@ -83,12 +83,14 @@
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, front: Any, failing: int = 0) -> None:
         self.all = 0
-        self._connect, self._failing = front.connect, failing
-        monkeypatch.setattr(front, "connect", self._begin)
+        self._connect, self._failing = front.connect_unreserved, failing
+        monkeypatch.setattr(front, "connect_unreserved", self._begin)
 
     async def _begin(self, address: tuple[str, int], timeout_s: float) -> Any:
         self.all += 1
-        return Connect.NEVER_UP if self.all <= self._failing else await self._connect(address, timeout_s)
+        if self.all <= self._failing:
+            return ConnectFailure.NEVER_UP
+        return await self._connect(address, timeout_s)
 
 
 def as_call_begins(
@@ -211,15 +213,15 @@
         settings = {**SETTINGS, "accounts": tenants}
         async with relaying(tmp_path, silent, silent, settings=settings) as (relay, endpoints):
             await until(lambda: relay.endpoint_registry.version == 2)
-            connect, begun, held = platform.connect, 0, asyncio.Event()
+            connect, begun, held = platform.connect_unreserved, 0, asyncio.Event()
 
             async def waits(address: tuple[str, int], timeout_s: float) -> Any:
                 nonlocal begun
                 begun += 1
                 await held.wait()
-                return await connect(address, timeout_s) if comes_up else Connect.NEVER_UP
+                return await connect(address, timeout_s) if comes_up else ConnectFailure.NEVER_UP
 
-            monkeypatch.setattr(platform, "connect", waits)
+            monkeypatch.setattr(platform, "connect_unreserved", waits)
             records: list[Any] = []
             monkeypatch.setattr(relay.shared, "ended", records.append)
             clients = [await ask(relay.listener.address, first_line(3000)) for _ in range(CROWD)]
--- a/tests/core/test_close_reasons.py
+++ b/tests/core/test_close_reasons.py
@@ -97,17 +97,17 @@
 
 
 async def connecting(scene: Scene, monkeypatch: pytest.MonkeyPatch) -> None:
-    connect, begun = platform.connect, asyncio.Event()
+    connect, begun = platform.connect_unreserved, asyncio.Event()
 
     async def slowly(address: tuple[str, int], timeout_s: float) -> Any:
         begun.set()
         try:
             await asyncio.wait_for(scene.go_on.wait(), timeout_s)
         except TimeoutError:
-            return platform.Connect.NEVER_UP
+            return platform.ConnectFailure.NEVER_UP
         return await connect(address, timeout_s)
 
-    monkeypatch.setattr(platform, "connect", slowly)
+    monkeypatch.setattr(platform, "connect_unreserved", slowly)
     scene.client.sendall(scene.line)
     await begun.wait()
 
@@ -278,7 +278,7 @@
         async with relaying(tmp_path, up) as (relay, (endpoint,)):
             relay.request_registry._times = ShutdownSchedule(0.0, 0.0, 0.01, 2.0)
             scene = Scene(relay, [endpoint])
-            relay.admission.evict_all = lambda: None  # type: ignore[method-assign]
+            relay.admission.evict_all_pending = lambda: None  # type: ignore[method-assign]
             draining = asyncio.ensure_future(relay.request_registry.drain(relay))
             await scene.until(lambda: relay.admission.awaiting_request and relay.request_registry._hurrying)
             scene.client.sendall(first_line())
@@ -317,7 +317,7 @@
             await scene.until(lambda: relay.admission.awaiting_request)
             await asyncio.sleep(0.01)  # its reading has begun; whether or not, it is answered
             scene.client.sendall(first_line())
-            relay.admission.evict_all()
+            relay.admission.evict_all_pending()
             assert await scene.rest() == b"BUSY 500\r\n"
             scene.client.close()
 
@@ -403,7 +403,7 @@
             async def fails(address: tuple[str, int], timeout_s: float) -> Any:
                 raise ValueError("unforeseen")
 
-            monkeypatch.setattr(platform, "connect", fails)
+            monkeypatch.setattr(platform, "connect_unreserved", fails)
             scene = Scene(relay, [])
             scene.client.sendall(scene.line)
             assert await scene.rest() == b"ERR internal\r\n"
--- a/tests/frontends/test_compatibility_frontends.py
+++ b/tests/frontends/test_compatibility_frontends.py
@@ -131,7 +131,7 @@
 
 
 async def platform_answers(folder: Path) -> dict[str, bytes]:
-    told = {"turned-away": platform.PlatformFrontend.turn_away}
+    told = {"turned-away": platform.PlatformFrontend.rejection}
     for name, answer in ANSWERS.items():
         told[f"answer.{name}"] = await told_by(lambda sock, a=answer: answer_as_platform(sock, a))
     async with relaying(folder, silent) as (relay, _):
@@ -248,7 +248,7 @@
 
 
 def make_xmpp() -> dict[str, bytes]:
-    told = {"turned-away": front.TURN_AWAY, "move": move_xml()}
+    told = {"turned-away": front.REJECTION, "move": move_xml()}
     told |= {f"answer.{name}": answer_xml(answer) for name, answer in ANSWERS.items()}
     told |= {f"fault.{number}": error_xml(*fault) for number, fault in enumerate(FAULTS)}
     told |= {f"stream.{name}": fault_of(stream) for name, stream in BAD_STREAMS.items()}
--- a/tests/net/test_discovery_client.py
+++ b/tests/net/test_discovery_client.py
@@ -15,7 +15,7 @@
 from sageturn.decision import DiscoveryFailure
 from sageturn.net import discovery as net
 from sageturn.net.discovery import DiscoveryClient, InvalidEndpointListError, parse_endpoint_list
-from sageturn.net.sockets import Connect, bind
+from sageturn.net.sockets import ConnectFailure, bind_socket
 from sageturn.relay import Relay
 
 HERE = ("127.0.0.1", 9)
@@ -165,17 +165,17 @@
     assert ends(monkeypatch, FULL + b"~", 9.0) is DiscoveryFailure.SILENT
 
 
-@pytest.mark.parametrize("why", [None, *Connect])
+@pytest.mark.parametrize("why", [None, *ConnectFailure])
 def test_a_call_that_never_connects_costs_discovery_nothing(
-    why: Connect | None, monkeypatch: pytest.MonkeyPatch
+    why: ConnectFailure | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def never(address: tuple[str, int], timeout_s: float) -> Connect:
+    async def never(address: tuple[str, int], timeout_s: float) -> ConnectFailure:
         assert why is not None
         return why
 
     async def go() -> DiscoveryFailure:
         failed: asyncio.Queue[net.WatchFailed] = asyncio.Queue()
-        sock = bind(("127.0.0.1", 0))  # it refuses, as nobody listens
+        sock = bind_socket(("127.0.0.1", 0))  # it refuses, as nobody listens
         try:
             DiscoveryClient(sock.getsockname(), lambda _, said: failed.put(said)).start(0)  # type: ignore[arg-type]
             return (await asyncio.wait_for(failed.get(), 5)).failure
--- a/tests/net/test_sockets.py
+++ b/tests/net/test_sockets.py
@@ -26,9 +26,9 @@
 from sageturn.net.admission import ProcessLimits
 from sageturn.net.sockets import (
     DESCRIPTOR_RESERVE,
-    Connect,
+    ConnectFailure,
     DescriptorReserve,
-    close_politely,
+    close_gracefully,
     connect,
     connect_unreserved,
 )
@@ -124,13 +124,13 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     options: list[int] = []
-    close_at_once = listener.close_at_once
+    send_and_close = listener.send_and_close
 
     def looks(sock: socket.socket, text: bytes) -> None:
         options.append(sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY))
-        close_at_once(sock, text)
+        send_and_close(sock, text)
 
-    monkeypatch.setattr(listener, "close_at_once", looks)
+    monkeypatch.setattr(listener, "send_and_close", looks)
 
     async def go() -> None:
         async with relaying(tmp_path, up) as (relay, _):
@@ -167,7 +167,7 @@
 
     async def go() -> None:
         relays.send(b"ERR why\r\n")
-        closing = asyncio.ensure_future(close_politely(relays))
+        closing = asyncio.ensure_future(close_gracefully(relays))
         await asyncio.sleep(0)
         client.sendall(b"M 1\r\n")  # the loop does not turn between its coming and the end
         closing.cancel()
@@ -189,7 +189,7 @@
             client.say("<?xml version='1.0'?>")
             await until(lambda: relay.admission.awaiting_request)
             await asyncio.sleep(0.01)
-            relay.admission.evict_all()
+            relay.admission.evict_all_pending()
             client.say(HEADER.format("to").removeprefix("<?xml version='1.0'?>") + " " * 2000)
             heard = await client.rest()
             assert "<resource-constraint " in heard and not heard.endswith("[reset]")
@@ -237,11 +237,11 @@
         left[0] += 1
         os.close(number)
 
-    DESCRIPTOR_RESERVE.hold(0)  # relays of tests before in this process have filled it, from the real table
+    DESCRIPTOR_RESERVE.resize(0)  # relays of tests before in this process have filled it, from the real table
     monkeypatch.setattr("sageturn.net.sockets.socket", Instead(socket, socket=new_socket))
     monkeypatch.setattr("sageturn.net.sockets.os", Instead(os, open=open_file, close=close_file))
     yield left
-    DESCRIPTOR_RESERVE.hold(0)
+    DESCRIPTOR_RESERVE.resize(0)
 
 
 def test_the_reserve_is_for_what_must_not_wait_and_is_made_good_before_any_client(short: list[int]) -> None:
@@ -249,12 +249,12 @@
         with socket.create_server(("127.0.0.1", 0)) as door:
             address = door.getsockname()
             short[0] = 2
-            DESCRIPTOR_RESERVE.hold(2)
-            assert short[0] == 0 and await connect_unreserved(address, 1.0) is Connect.NO_DESCRIPTOR
+            DESCRIPTOR_RESERVE.resize(2)
+            assert short[0] == 0 and await connect_unreserved(address, 1.0) is ConnectFailure.NO_DESCRIPTOR
             watch = await connect(address, 1.0)
             assert isinstance(watch, socket.socket)
             short[0] += 1  # one that is let go of is not a client's while the reserve is not whole
-            assert await connect_unreserved(address, 1.0) is Connect.NO_DESCRIPTOR
+            assert await connect_unreserved(address, 1.0) is ConnectFailure.NO_DESCRIPTOR
             assert short[0] == 0
             again = await connect(address, 1.0)
             assert isinstance(again, socket.socket)
@@ -269,11 +269,11 @@
 
 def test_a_reserve_that_cannot_be_filled_gives_up_nothing(short: list[int]) -> None:
     reserve = DescriptorReserve()
-    reserve.hold(3)
-    assert not reserve.give_up() and not reserve.refill()
-    with reserve.lent():
+    reserve.resize(3)
+    assert not reserve.release_one() and not reserve.refill()
+    with reserve.borrow():
         short[0] += 1
-    assert short[0] == 0 and reserve.give_up() and not reserve.give_up()
+    assert short[0] == 0 and reserve.release_one() and not reserve.release_one()
 
 
 @pytest.mark.parametrize("said", [first_line(), b""])
--- a/tests/store/test_replication_sockets.py
+++ b/tests/store/test_replication_sockets.py
@@ -19,7 +19,7 @@
 from sageturn.config.loader import ConfigError, read_operator
 from sageturn.decision import RequestClass, Settings
 from sageturn.net.admission import AdmissionController, ProcessLimits
-from sageturn.net.sockets import Connect, connect
+from sageturn.net.sockets import ConnectFailure, connect
 from sageturn.store.channel import AuthenticatedChannel, read_secret
 from sageturn.store.records import InvalidRecordError, parse_record
 from sageturn.store.replication.member import ReplicationMember, connected
@@ -74,7 +74,7 @@
 async def linked(address: Address, name: str = "x") -> tuple[AuthenticatedChannel, socket.socket]:
     """A link of our own to a member, for saying on it what no member says."""
     sock = await connect(address, 1.0)
-    assert not isinstance(sock, Connect)
+    assert not isinstance(sock, ConnectFailure)
     link = AuthenticatedChannel(sock, SECRET, name)
     await link.shake_hands(True)
     return link, sock
@@ -138,7 +138,7 @@
             session.next = lambda now: None  # type: ignore[method-assign]
             session.receive = lambda payload, now: None  # type: ignore[method-assign]
         hub.replica.tick = lambda now: ((), now + 60.0)  # type: ignore[method-assign]
-        hub._listener.shut()
+        hub._listener.stop_accepting()
         began = asyncio.get_running_loop().time()
         writer = members[0]
         store(writer).put("config/x", 1)
