--- a/experiments/measure_client_disconnects.py
+++ b/experiments/measure_client_disconnects.py
@@ -42,8 +42,8 @@
 import os, sys, time
 from sageturn.__main__ import main
 from sageturn.core.request_lifecycle import RequestLifecycle
-from sageturn.frontends import platform
-from sageturn.frontends.xmpp import front
+from sageturn.frontends.platform import connection as platform_connection
+from sageturn.frontends.xmpp import connection as xmpp_connection
 file = os.open(sys.argv.pop(1), os.O_WRONLY | os.O_APPEND | os.O_CREAT)
 asked = RequestLifecycle.check_before_write
 def noting(connect):
@@ -56,7 +56,7 @@
         ask = life.record.ask
         os.write(file, f"{ask.wire_id or ask.client.split('/')[1]} {time.time()}\\n".encode())
     return ending
-for each in (platform, front):
+for each in (platform_connection, xmpp_connection):
     each.connect_unreserved = noting(each.connect_unreserved)
 RequestLifecycle.check_before_write = noted_asked
 sys.exit(main())
--- a/sageturn/frontends/__init__.py
+++ b/sageturn/frontends/__init__.py
@@ -1,1 +1,1 @@
-"""Fronts: each turns one wire into the core's messages and back, and decides nothing."""
+"""Frontends: each translates one client protocol to and from the core's messages and decides nothing."""
--- /dev/null
+++ b/sageturn/frontends/platform/__init__.py
@@ -0,0 +1,1 @@
+"""The platform's frontend: lines of text over TCP."""
--- /dev/null
+++ b/sageturn/frontends/platform/frontend.py
@@ -0,0 +1,99 @@
+"""Reads the request of each client that connects, and hands it to the core."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import socket
+from contextlib import suppress
+
+from sageturn.core.context import RelayContext
+from sageturn.frontends.platform.connection import PlatformConnection
+from sageturn.frontends.platform.errors import InvalidRequestLineError
+from sageturn.frontends.platform.line_reader import MAX_LINE_BYTES, read_line
+from sageturn.frontends.platform.request_ids import RequestIds
+from sageturn.frontends.platform.request_line import RequestLine, parse_request_line
+from sageturn.frontends.platform.timing import REQUEST_LINE_TIMEOUT_S
+from sageturn.net.admission import PendingConnection
+from sageturn.net.sockets import LINGER_S, close_gracefully, send_and_close
+
+log = logging.getLogger(__name__)
+
+PING = b"PING\r\n"
+PONG = b"PONG\r\n"
+
+
+class PlatformFrontend:
+    """Serves clients that speak the platform's line protocol."""
+
+    rejection = b"BUSY 500\r\n"
+
+    def __init__(self, shared: RelayContext) -> None:
+        self._shared = shared
+        self._classes = frozenset(c.name for c in shared.balancer_actor.settings.classes)
+        self._ids = RequestIds()
+
+    async def serve(self, sock: socket.socket, pending: PendingConnection) -> None:
+        """Serve one client until its connection has ended. The listener calls it, and closes ``sock``."""
+        buffer = bytearray(MAX_LINE_BYTES)
+        try:
+            async with pending.time_limit(REQUEST_LINE_TIMEOUT_S):
+                request_line = await self._read_request(sock, buffer)
+        except TimeoutError:
+            await self._answer_late(sock, pending)
+            return
+        except InvalidRequestLineError as error:
+            await self._answer_invalid(sock, pending, error)
+            return
+        if request_line is None:
+            return
+        pending.mark_active()
+        try:
+            connection = PlatformConnection(self._shared, sock, buffer, request_line)
+            await self._shared.run(connection.lifecycle)
+        finally:
+            self._ids.release(request_line.request_id)
+
+    async def _answer_late(self, sock: socket.socket, pending: PendingConnection) -> None:
+        """Its line may have become complete in this instant: it was accepted, so it is answered."""
+        if pending.evicted:
+            send_and_close(sock, self.rejection)  # its descriptor is wanted
+            return
+        with suppress(OSError):
+            sock.send(b"ERR no first line in time\r\n")
+        await close_gracefully(sock)
+
+    async def _answer_invalid(
+        self, sock: socket.socket, pending: PendingConnection, error: InvalidRequestLineError
+    ) -> None:
+        log.info("request line rejected reason=%s", error)
+        with suppress(TimeoutError):
+            async with pending.time_limit(REQUEST_LINE_TIMEOUT_S + LINGER_S):
+                await asyncio.get_running_loop().sock_sendall(sock, f"ERR {error}\r\n".encode())
+                await close_gracefully(sock)
+
+    async def _read_request(self, sock: socket.socket, buffer: bytearray) -> RequestLine | None:
+        """Return the request, after any number of PINGs; None if the client left without sending one."""
+        while True:
+            end, filled = await read_line(sock, buffer)
+            if not end:
+                if filled:
+                    raise InvalidRequestLineError("no first line")
+                return None
+            if filled > end:
+                # A client waits for its answer before it sends more.
+                raise InvalidRequestLineError("more than one line")
+            if buffer[:end] != PING:
+                break
+            await self._answer_ping(sock)
+        request_line = parse_request_line(buffer, end, self._classes)
+        if not self._ids.claim(request_line.request_id):
+            raise InvalidRequestLineError("the id is in use")
+        return request_line
+
+    async def _answer_ping(self, sock: socket.socket) -> None:
+        """A client that asks whether the relay is usable is answered once it is."""
+        if self._shared.request_registry.stopping:
+            raise InvalidRequestLineError("stopping")
+        await self._shared.endpoint_registry.usable.wait()
+        await asyncio.get_running_loop().sock_sendall(sock, PONG)
--- /dev/null
+++ b/sageturn/frontends/platform/load_reporter.py
@@ -0,0 +1,40 @@
+"""Passes on what an endpoint reports of its load between its lines."""
+
+from __future__ import annotations
+
+import asyncio
+
+from sageturn.core.request_lifecycle import RequestLifecycle
+
+LOAD_PREFIX = b"LOAD "
+MAX_QUEUED_REPORTS = 16
+
+
+class LoadReporter:
+    """Hands the values of LOAD lines to the core without holding up the lines themselves."""
+
+    def __init__(self, lifecycle: RequestLifecycle) -> None:
+        self._lifecycle = lifecycle
+        self._loads: asyncio.Queue[float] = asyncio.Queue(MAX_QUEUED_REPORTS)
+
+    def on_lines(self, buffer: bytearray, end: int) -> None:
+        """``buffer`` holds complete lines up to ``end``."""
+        start = 0
+        while start < end:
+            line_end = buffer.index(b"\n", start) + 1
+            if buffer.startswith(LOAD_PREFIX, start):
+                self._queue(bytes(buffer[start + len(LOAD_PREFIX) : line_end]))
+            start = line_end
+
+    def _queue(self, text: bytes) -> None:
+        try:
+            value = float(text)
+        except ValueError:
+            return
+        if not self._loads.full():  # else a later value stands for those that were not passed on
+            self._loads.put_nowait(value)
+
+    async def run(self) -> None:
+        """Pass on what is queued, until cancelled."""
+        while True:
+            await self._lifecycle.report_load(await self._loads.get())
--- /dev/null
+++ b/sageturn/frontends/platform/relaying.py
@@ -0,0 +1,143 @@
+"""An established connection: forwards lines both ways, and closes both sides when either has ended."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+
+from sageturn.core.close_reason import CloseReason
+from sageturn.core.idle_timeout import IdleTimeout
+from sageturn.core.request_lifecycle import RequestLifecycle
+from sageturn.core.tasks import cancel_and_wait, sleep_until_elapsed
+from sageturn.frontends.platform.endpoint_reply import MAX_LAST_LINE_BYTES, EndpointReplyParser
+from sageturn.frontends.platform.errors import ForwardingError
+from sageturn.frontends.platform.line_forwarder import LineForwarder
+from sageturn.frontends.platform.load_reporter import LoadReporter
+from sageturn.frontends.platform.timing import (
+    CLIENT_LINE_INTERVAL_S,
+    IDLE_TIMEOUT_S,
+    LAST_LINE_TIMEOUT_S,
+    MOVE_TIMEOUT_S,
+)
+from sageturn.net.sockets import close_gracefully, close_with_reset, shutdown_write
+
+MOVE = b"MOVE\r\n"
+
+Forwarding = asyncio.Task[None]
+
+
+class LineRelay:
+    """Both directions between one client and its endpoint."""
+
+    def __init__(
+        self,
+        client: socket.socket,
+        endpoint: socket.socket,
+        lifecycle: RequestLifecycle,
+        replies: EndpointReplyParser,
+        endpoint_input: bytes,
+        client_input: bytes,
+    ) -> None:
+        """``endpoint_input`` and ``client_input`` were read before and are forwarded first."""
+        self._client = client
+        self._endpoint = endpoint
+        self._lifecycle = lifecycle
+        self._replies = replies
+        self._to_client = LineForwarder(endpoint, client, self._on_endpoint_lines, endpoint_input)
+        self._to_endpoint = LineForwarder(client, endpoint, self._on_client_lines, client_input)
+        self._idle_timeout = IdleTimeout(
+            asyncio.get_running_loop().time(), IDLE_TIMEOUT_S, CLIENT_LINE_INTERVAL_S
+        )
+        self._load_reporter = LoadReporter(lifecycle)
+        self._last_line = b""
+
+    async def run(self, stop: asyncio.Event) -> CloseReason:
+        """Return why the connection was closed, once both of its sockets are."""
+        downstream = asyncio.ensure_future(self._to_client.run())
+        upstream = asyncio.ensure_future(self._to_endpoint.run())
+        stopping = asyncio.ensure_future(stop.wait())
+        idle = asyncio.ensure_future(sleep_until_elapsed(self._idle_timeout.left_s))
+        reporting = asyncio.ensure_future(self._load_reporter.run())
+        try:
+            await asyncio.wait((downstream, upstream, stopping, idle), return_when=asyncio.FIRST_COMPLETED)
+            migration_reason = CloseReason.MOVED if stopping.done() else CloseReason.MUTE
+            return await self._end(downstream, upstream, migration_reason)
+        finally:
+            for task in (downstream, upstream, stopping, idle, reporting):
+                await cancel_and_wait(task)
+            self._record_totals()
+            await asyncio.gather(close_gracefully(self._client), close_gracefully(self._endpoint))
+
+    async def _end(
+        self, downstream: Forwarding, upstream: Forwarding, migration_reason: CloseReason
+    ) -> CloseReason:
+        both_open = not downstream.done() and not upstream.done()
+        if both_open and await self._send_move(downstream, upstream, migration_reason):
+            return migration_reason
+        if downstream.done():
+            return await self._on_endpoint_ended(downstream, upstream)
+        if upstream.done():
+            return await self._on_client_ended(upstream, downstream)
+        return CloseReason.CUT_OFF
+
+    def _record_totals(self) -> None:
+        record = self._lifecycle.record
+        record.bytes_to_client = self._to_client.forwarded_bytes
+        record.bytes_to_endpoint = self._to_endpoint.forwarded_bytes
+        record.quiet_s = asyncio.get_running_loop().time() - self._idle_timeout.heard_s
+
+    async def _send_move(self, downstream: Forwarding, upstream: Forwarding, reason: CloseReason) -> bool:
+        """Ask the client to connect anew; False if it could not be asked.
+
+        A client that reads nothing just now is left alone until it does or its connection has ended,
+        unless there is no more time: its endpoint is silent, or the relay's shutdown has come to its end.
+        """
+        sending = asyncio.ensure_future(self._to_client.send_last(MOVE))
+        out_of_time = asyncio.ensure_future(self._lifecycle.over.wait())
+        ends = (sending, downstream, upstream)
+        try:
+            if reason is CloseReason.MOVED:
+                await asyncio.wait((*ends, out_of_time), return_when=asyncio.FIRST_COMPLETED)
+            if not any(task.done() for task in ends):
+                await asyncio.wait(ends, timeout=MOVE_TIMEOUT_S, return_when=asyncio.FIRST_COMPLETED)
+        finally:
+            await cancel_and_wait(out_of_time)
+            await cancel_and_wait(sending)
+        return not sending.cancelled() and sending.result()
+
+    async def _on_endpoint_ended(self, downstream: Forwarding, upstream: Forwarding) -> CloseReason:
+        error = downstream.exception()
+        if isinstance(error, ForwardingError):
+            if error.source_failed:
+                close_with_reset(self._client)
+                return CloseReason.RESET
+            close_with_reset(self._endpoint)
+            return CloseReason.CLIENT_RESET
+        shutdown_write(self._client)
+        await asyncio.wait((upstream,), timeout=LAST_LINE_TIMEOUT_S)
+        return self._replies.last_line(self._last_line)
+
+    async def _on_client_ended(self, upstream: Forwarding, downstream: Forwarding) -> CloseReason:
+        error = upstream.exception()
+        if isinstance(error, ForwardingError):
+            if error.source_failed:
+                close_with_reset(self._endpoint)
+                return CloseReason.CLIENT_RESET
+            # Writing failed, so the endpoint is gone; its last lines may still lie unread.
+            await asyncio.wait((downstream,), timeout=LAST_LINE_TIMEOUT_S)
+            if downstream.done():
+                return await self._on_endpoint_ended(downstream, upstream)
+            close_with_reset(self._client)
+            return CloseReason.RESET
+        shutdown_write(self._endpoint)
+        await asyncio.wait((downstream,), timeout=LAST_LINE_TIMEOUT_S)
+        return CloseReason.CLIENT_LEFT
+
+    def _on_endpoint_lines(self, buffer: bytearray, end: int) -> None:
+        self._idle_timeout.heard(asyncio.get_running_loop().time())
+        self._load_reporter.on_lines(buffer, end)
+        start = buffer.rfind(b"\n", 0, end - 1) + 1
+        self._last_line = bytes(buffer[start : min(end, start + MAX_LAST_LINE_BYTES)])
+
+    def _on_client_lines(self, buffer: bytearray, end: int) -> None:
+        self._idle_timeout.asked(asyncio.get_running_loop().time())
--- /dev/null
+++ b/sageturn/frontends/platform/request_line.py
@@ -0,0 +1,83 @@
+"""The request line: the first line that a client sends, parsed where it lies in the receive buffer."""
+
+from __future__ import annotations
+
+import re
+from dataclasses import dataclass
+
+from sageturn.core.messages import ClientRequest
+from sageturn.frontends.platform.errors import InvalidRequestLineError
+
+_TOKEN = rb"[!-~]{1,64}"
+_OPEN = re.compile(rb"OPEN (" + _TOKEN + rb") (" + _TOKEN + rb") ([!-~]+)\r\n")
+_FIELD = re.compile(rb"([A-Za-z0-9_]{1,32})=([!-+\--~]*)")
+_INTEGER = re.compile(rb"[0-9]{1,9}")
+_NUMBER = re.compile(rb"[0-9]{1,12}(\.[0-9]{1,12})?")
+_COMMA = ord(",")
+
+
+@dataclass(frozen=True, slots=True)
+class RequestLine:
+    """A parsed request line.
+
+    The value of its field ``d``, how long the client waits, lies in the receive buffer from ``wait_start``
+    to ``wait_end``; the line ends at ``end``, its CRLF included.
+    """
+
+    request_id: bytes
+    request: ClientRequest
+    wait_start: int
+    wait_end: int
+    end: int
+
+
+def parse_request_line(buffer: bytearray, end: int, classes: frozenset[str]) -> RequestLine:
+    """Parse the line that ends at ``end`` in ``buffer``, its CRLF included.
+
+    Strict, because an endpoint must not be sent what no client sent in this form. Raises
+    InvalidRequestLineError.
+    """
+    match = _OPEN.fullmatch(buffer, 0, end)
+    if match is None:
+        raise InvalidRequestLineError("not an OPEN line")
+    fields, wait_start, wait_end = _parse_fields(buffer, *match.span(3))
+    if not _INTEGER.fullmatch(fields.get(b"d", b"")):
+        raise InvalidRequestLineError("d is not a time")
+    class_name = fields.get(b"c", b"").decode()
+    if class_name not in classes:
+        raise InvalidRequestLineError("c names no class")
+    expected_load = fields.get(b"h", b"")
+    request = ClientRequest(
+        class_name=class_name,
+        tenant=fields.get(b"t", b"").decode(),
+        wait_ms=float(fields[b"d"]),
+        group=fields.get(b"g", b"").decode(),
+        expected_load=float(expected_load) if _NUMBER.fullmatch(expected_load) else 0.0,
+        established_endpoint=fields.get(b"at", b"").decode(),
+        client=match[2].decode(),
+        returned=fields.get(b"again") == b"1",
+        retried=fields.get(b"r") == b"1",
+        client_request_id=match[1].decode(),
+    )
+    return RequestLine(bytes(match[1]), request, wait_start, wait_end, end)
+
+
+def _parse_fields(buffer: bytearray, start: int, end: int) -> tuple[dict[bytes, bytes], int, int]:
+    """Return the fields from ``start`` to ``end`` by name, and where the value of ``d`` lies."""
+    fields: dict[bytes, bytes] = {}
+    wait_start = wait_end = 0
+    position = start
+    while position <= end:
+        field = _FIELD.match(buffer, position, end)
+        if field is None or (field.end() < end and buffer[field.end()] != _COMMA):
+            raise InvalidRequestLineError("not a list of names with values")
+        name = field[1]
+        if name in fields:
+            raise InvalidRequestLineError("a name stands twice")
+        fields[name] = field[2]
+        if name == b"d":
+            wait_start, wait_end = field.span(2)
+        position = field.end() + 1
+        if position == end:
+            raise InvalidRequestLineError("the list ends in a comma")
+    return fields, wait_start, wait_end
--- a/sageturn/frontends/xmpp/accounts.py
+++ b/sageturn/frontends/xmpp/accounts.py
@@ -1,79 +1,98 @@
-"""Who may connect: salted credentials and the place in the settings, kept in the store."""
+"""Who may connect: salted credentials and the request class of each account, kept in the store."""
 
 from __future__ import annotations
 
 import hmac
-from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Any, Protocol
+from typing import Any, NamedTuple, Protocol
 
 from scramp import ScramMechanism  # type: ignore[import-untyped]
 
-ITERATIONS = 16384
+DEFAULT_ITERATIONS = 16384
 MECHANISM = "SCRAM-SHA-256"
-PREFIX = "config/accounts/"
+PREFIX = "config/accounts/"  # of the accounts' keys in the store
 
 
 class Reader(Protocol):
-    def get(self, key: str) -> Any: ...
+    """The part of the store that accounts are read from."""
+
+    def get(self, key: str) -> Any:
+        """The value of ``key``; None if there is none."""
+
+
+class Credentials(NamedTuple):
+    """What SCRAM keeps in place of a password, in the order that its library expects."""
+
+    salt: bytes
+    stored_key: bytes
+    server_key: bytes
+    iterations: int
 
 
 @dataclass(frozen=True, slots=True)
 class Account:
+    """An account, and what is asked for by a client that logs in with it."""
+
     name: str
     class_name: str
     tenant: str
     group: str
-    credentials: tuple[bytes, bytes, bytes, int]  # salt, stored key, server key, iterations
+    credentials: Credentials
 
 
 def make_record(
-    password: str, class_name: str, tenant: str, group: str = "", iterations: int = ITERATIONS
+    password: str, class_name: str, tenant: str, group: str = "", iterations: int = DEFAULT_ITERATIONS
 ) -> dict[str, Any]:
-    """What the store keeps: the password itself cannot be had back from it."""
-    made = ScramMechanism(MECHANISM).make_auth_info(password, iteration_count=iterations)
-    salt, stored, endpoint, count = made
+    """Encode an account as the store keeps it: the password cannot be recovered from it."""
+    auth_info = ScramMechanism(MECHANISM).make_auth_info(password, iteration_count=iterations)
+    credentials = Credentials(*auth_info)
     return {
         "class": class_name,
         "tenant": tenant,
         "group": group,
-        "salt": salt.hex(),
-        "stored_key": stored.hex(),
-        "server_key": endpoint.hex(),
-        "iterations": count,
+        "salt": credentials.salt.hex(),
+        "stored_key": credentials.stored_key.hex(),
+        "server_key": credentials.server_key.hex(),
+        "iterations": credentials.iterations,
     }
 
 
+def _decode_record(name: str, record: dict[str, Any]) -> Account:
+    credentials = Credentials(
+        salt=bytes.fromhex(record["salt"]),
+        stored_key=bytes.fromhex(record["stored_key"]),
+        server_key=bytes.fromhex(record["server_key"]),
+        iterations=int(record["iterations"]),
+    )
+    return Account(name, record["class"], record["tenant"], record.get("group", ""), credentials)
+
+
 class Accounts:
+    """The accounts in the store, as they are at the moment of each call."""
+
     def __init__(self, store: Reader) -> None:
         self._store = store
 
     def find(self, name: str) -> Account | None:
+        """None if there is no such account."""
         record = self._store.get(PREFIX + name)
-        if not isinstance(record, dict):
+        return _decode_record(name, record) if isinstance(record, dict) else None
+
+    def check_password(self, name: str, password: str) -> Account | None:
+        """The account if the password is right. Slow: to be called from a thread."""
+        account = self.find(name)
+        if account is None:
             return None
-        keys = tuple(bytes.fromhex(record[k]) for k in ("salt", "stored_key", "server_key"))
-        return Account(
-            name,
-            record["class"],
-            record["tenant"],
-            record.get("group", ""),
-            (keys[0], keys[1], keys[2], int(record["iterations"])),
+        credentials = account.credentials
+        auth_info = ScramMechanism(MECHANISM).make_auth_info(
+            password, iteration_count=credentials.iterations, salt=credentials.salt
         )
+        stored_key = Credentials(*auth_info).stored_key
+        return account if hmac.compare_digest(stored_key, credentials.stored_key) else None
 
-    def check_plain(self, name: str, password: str) -> Account | None:
+    def credentials_of(self, name: str) -> Credentials:
+        """What the SCRAM library looks up; KeyError if there is no such account."""
         account = self.find(name)
         if account is None:
-            return None
-        salt, stored, _, count = account.credentials
-        _, again, _, _ = ScramMechanism(MECHANISM).make_auth_info(password, iteration_count=count, salt=salt)
-        return account if hmac.compare_digest(again, stored) else None
-
-    def scram_lookup(self) -> Callable[[str], tuple[bytes, bytes, bytes, int]]:
-        def look_up(name: str) -> tuple[bytes, bytes, bytes, int]:
-            account = self.find(name)
-            if account is None:
-                raise KeyError(name)
-            return account.credentials
-
-        return look_up
+            raise KeyError(name)
+        return account.credentials
--- /dev/null
+++ b/sageturn/frontends/xmpp/client_login.py
@@ -0,0 +1,171 @@
+"""The relay as an XMPP server: a client's stream from its header to its bind request."""
+
+from __future__ import annotations
+
+import asyncio
+import base64
+import binascii
+import secrets
+import ssl
+from dataclasses import dataclass
+from xml.etree.ElementTree import Element
+
+from scramp import ScramException, ScramMechanism  # type: ignore[import-untyped]
+
+from sageturn.frontends.xmpp.accounts import MECHANISM, Account, Accounts, Credentials
+from sageturn.frontends.xmpp.channel import TlsChannel
+from sageturn.frontends.xmpp.errors import SaslError, StreamError
+from sageturn.frontends.xmpp.namespaces import BIND_NS, CLIENT_NS, SASL_NS, TLS_NS
+from sageturn.frontends.xmpp.options import XmppOptions
+from sageturn.frontends.xmpp.session import XmppSession
+
+MAX_LOGIN_ATTEMPTS = 3
+MAX_RESOURCE_BYTES = 1023
+
+
+@dataclass(frozen=True, slots=True)
+class BindRequest:
+    """An authenticated client that asks for a resource: the request that the core places."""
+
+    account: Account
+    iq_id: str
+    resource: str
+
+
+class ClientLogin:
+    """Negotiates TLS, authenticates the client, and reads its bind request.
+
+    Raises StreamError if the client breaks the protocol or may not connect, OSError if its connection fails.
+    """
+
+    def __init__(self, session: XmppSession, options: XmppOptions, accounts: Accounts) -> None:
+        self._session = session
+        self._options = options
+        self._accounts = accounts
+
+    async def exchange_headers(self) -> None:
+        """Read the client's stream header and send the relay's own."""
+        attributes = (await self._session.expect_header()).attributes
+        await self._session.send_header(**{"from": self._options.domain, "id": secrets.token_hex(8)})
+        if attributes.get("to") != self._options.domain:
+            raise StreamError("host-unknown")
+        if attributes.get("version", "0").split(".")[0] != "1":
+            raise StreamError("unsupported-version")
+
+    async def run(self) -> BindRequest:
+        """Go on after the first exchange of headers, up to the bind request."""
+        if self._options.tls is not None:
+            await self._start_tls(self._options.tls)
+            await self.exchange_headers()
+        account = await self._authenticate()
+        self._session.restart()
+        await self.exchange_headers()
+        await self._session.send(f"<stream:features><bind xmlns='{BIND_NS}'/></stream:features>".encode())
+        return await self._read_bind_request(account)
+
+    async def _start_tls(self, context: ssl.SSLContext) -> None:
+        offer = f"<stream:features><starttls xmlns='{TLS_NS}'><required/></starttls></stream:features>"
+        await self._session.send(offer.encode())
+        if (await self._session.expect_stanza()).element.tag != f"{{{TLS_NS}}}starttls":
+            raise StreamError("policy-violation", "TLS first")
+        await self._session.send(f"<proceed xmlns='{TLS_NS}'/>".encode())
+        channel = TlsChannel(self._session.channel.sock, context, server_side=True)
+        self._session.restart(channel)
+        await channel.handshake()
+
+    # ------------------------------------------------------------ SASL
+
+    async def _authenticate(self) -> Account:
+        mechanisms = [MECHANISM, "PLAIN"] if self._session.channel.is_encrypted else [MECHANISM]
+        offered = "".join(f"<mechanism>{name}</mechanism>" for name in mechanisms)
+        features = f"<stream:features><mechanisms xmlns='{SASL_NS}'>{offered}</mechanisms></stream:features>"
+        await self._session.send(features.encode())
+        for _ in range(MAX_LOGIN_ATTEMPTS):
+            element = (await self._session.expect_stanza()).element
+            if element.tag != f"{{{SASL_NS}}}auth":
+                raise StreamError("not-authorized")
+            try:
+                return await self._attempt_login(element, mechanisms)
+            except SaslError as error:
+                await self._session.send(f"<failure xmlns='{SASL_NS}'><{error}/></failure>".encode())
+        raise StreamError("policy-violation", "too many attempts")
+
+    async def _attempt_login(self, auth: Element, mechanisms: list[str]) -> Account:
+        mechanism = auth.get("mechanism", "")
+        if mechanism not in mechanisms:
+            raise SaslError("invalid-mechanism")
+        if mechanism == "PLAIN":
+            return await self._log_in_plain(auth)
+        return await self._log_in_scram(auth)
+
+    async def _log_in_plain(self, auth: Element) -> Account:
+        parts = _decode_base64(auth.text).split(b"\0")
+        if len(parts) != 3:
+            raise SaslError("malformed-request")
+        try:
+            authorization_id, name, password = (part.decode() for part in parts)
+        except UnicodeDecodeError as error:
+            raise SaslError("malformed-request") from error
+        if authorization_id and authorization_id != f"{name}@{self._options.domain}":
+            raise SaslError("invalid-authzid")
+        # The many rounds of the hash would hold up every other connection.
+        account = await asyncio.to_thread(self._accounts.check_password, name, password)
+        if account is None:
+            raise SaslError("not-authorized")
+        await self._session.send(f"<success xmlns='{SASL_NS}'/>".encode())
+        return account
+
+    async def _log_in_scram(self, auth: Element) -> Account:
+        names: list[str] = []
+
+        def look_up(name: str) -> Credentials:
+            names.append(name)
+            return self._accounts.credentials_of(name)
+
+        server = ScramMechanism(MECHANISM).make_server(look_up)
+        try:
+            server.set_client_first(_decode_base64(auth.text).decode())
+            response = await self._challenge(server.get_server_first())
+            server.set_client_final(response)
+            final = server.get_server_final()
+        except (ScramException, UnicodeDecodeError) as error:
+            raise SaslError("not-authorized") from error
+        account = self._accounts.find(names[0])
+        if account is None:
+            raise SaslError("not-authorized")
+        encoded = base64.b64encode(final.encode()).decode()
+        await self._session.send(f"<success xmlns='{SASL_NS}'>{encoded}</success>".encode())
+        return account
+
+    async def _challenge(self, text: str) -> str:
+        encoded = base64.b64encode(text.encode()).decode()
+        await self._session.send(f"<challenge xmlns='{SASL_NS}'>{encoded}</challenge>".encode())
+        element = (await self._session.expect_stanza()).element
+        if element.tag == f"{{{SASL_NS}}}abort":
+            raise SaslError("aborted")
+        if element.tag != f"{{{SASL_NS}}}response":
+            raise StreamError("not-authorized")
+        return _decode_base64(element.text).decode()
+
+    # ------------------------------------------------------------ bind
+
+    async def _read_bind_request(self, account: Account) -> BindRequest:
+        element = (await self._session.expect_stanza()).element
+        bind = element.find(f"{{{BIND_NS}}}bind")
+        if element.tag != f"{{{CLIENT_NS}}}iq" or element.get("type") != "set" or bind is None:
+            raise StreamError("not-authorized", "bind first")
+        resource = (bind.findtext(f"{{{BIND_NS}}}resource") or "").strip()
+        if not element.get("id") or len(resource.encode()) > MAX_RESOURCE_BYTES:
+            raise StreamError("bad-format")
+        return BindRequest(account, element.get("id", ""), resource or secrets.token_hex(8))
+
+
+def _decode_base64(text: str | None) -> bytes:
+    """RFC 6120 writes no data as a lone =."""
+    stripped = (text or "").strip()
+    if stripped in ("", "="):
+        return b""
+    try:
+        return base64.b64decode(stripped, validate=True)
+    except binascii.Error as error:
+        raise SaslError("incorrect-encoding") from error
--- /dev/null
+++ b/sageturn/frontends/xmpp/endpoint_login.py
@@ -0,0 +1,150 @@
+"""The relay as an XMPP client: a stream to an endpoint, up to its bound resource."""
+
+from __future__ import annotations
+
+import base64
+import ssl
+from collections.abc import Callable
+from xml.etree.ElementTree import Element
+from xml.sax.saxutils import escape
+
+from scramp import ScramClient, ScramException  # type: ignore[import-untyped]
+
+from sageturn.core.close_reason import CloseReason
+from sageturn.frontends.xmpp.accounts import MECHANISM
+from sageturn.frontends.xmpp.channel import TlsChannel
+from sageturn.frontends.xmpp.client_login import BindRequest
+from sageturn.frontends.xmpp.errors import (
+    CLOSE_REASONS_BEFORE_BIND,
+    EndpointLoginRejectedError,
+    StreamError,
+    stream_error_condition,
+)
+from sageturn.frontends.xmpp.namespaces import BIND_NS, CLIENT_NS, SASL_NS, STREAMS_NS, TLS_NS
+from sageturn.frontends.xmpp.options import EndpointOptions
+from sageturn.frontends.xmpp.session import XmppSession
+
+_STANZA_ERRORS = {"resource-constraint": CloseReason.BUSY, "service-unavailable": CloseReason.BUSY}
+
+
+class EndpointLogin:
+    """Logs in at an endpoint on behalf of a client, and binds the client's resource there."""
+
+    def __init__(
+        self,
+        session: XmppSession,
+        options: EndpointOptions,
+        bind_request: BindRequest,
+        check_before_write: Callable[[], CloseReason | None],
+    ) -> None:
+        """``check_before_write`` is called just before the bind is written, and may forbid it."""
+        self._session = session
+        self._options = options
+        self._bind_request = bind_request
+        self._check_before_write = check_before_write
+
+    async def run(self) -> str:
+        """Return the JID that the endpoint bound.
+
+        Raises EndpointLoginRejectedError, or OSError if the connection fails.
+        """
+        try:
+            return await self._log_in()
+        except (ssl.SSLError, ScramException, StreamError) as error:
+            raise EndpointLoginRejectedError(CloseReason.GARBLED) from error
+
+    async def _log_in(self) -> str:
+        features = await self._exchange_headers()
+        if self._options.tls is not None:
+            if features.find(f"{{{TLS_NS}}}starttls") is None:
+                # No endpoint that has lost its TLS is sent anything unencrypted.
+                raise EndpointLoginRejectedError(CloseReason.ERROR)
+            features = await self._start_tls(self._options.tls)
+        resource = await self._authenticate(features)
+        self._session.restart()
+        await self._exchange_headers()
+        if (close_reason := self._check_before_write()) is not None:
+            raise EndpointLoginRejectedError(close_reason)
+        return await self._bind(resource)
+
+    async def _read_stanza(self) -> Element:
+        element = (await self._session.expect_stanza()).element
+        if element.tag == f"{{{STREAMS_NS}}}error":
+            condition = stream_error_condition(element)
+            raise EndpointLoginRejectedError(CLOSE_REASONS_BEFORE_BIND.get(condition, CloseReason.ERROR))
+        return element
+
+    async def _exchange_headers(self) -> Element:
+        """Return the features that the endpoint offers."""
+        await self._session.send_header(to=self._options.domain)
+        await self._session.expect_header()
+        features = await self._read_stanza()
+        if features.tag != f"{{{STREAMS_NS}}}features":
+            raise EndpointLoginRejectedError(CloseReason.GARBLED)
+        return features
+
+    async def _start_tls(self, context: ssl.SSLContext) -> Element:
+        await self._session.send(f"<starttls xmlns='{TLS_NS}'/>".encode())
+        if (await self._read_stanza()).tag != f"{{{TLS_NS}}}proceed":
+            raise EndpointLoginRejectedError(CloseReason.ERROR)
+        channel = TlsChannel(self._session.channel.sock, context, False, self._options.domain)
+        self._session.restart(channel)
+        await channel.handshake()
+        return await self._exchange_headers()
+
+    async def _authenticate(self, features: Element) -> str:
+        """Log in for the client where the endpoint lets the relay do so, else with an account of its own.
+
+        Returns the resource to bind. PLAIN carries an identity to act for; the SCRAM library does not, so
+        there the resource names the client. A password is only sent unencrypted under TLS.
+        """
+        mechanisms = {element.text for element in features.iter(f"{{{SASL_NS}}}mechanism")}
+        if "PLAIN" in mechanisms and self._session.channel.is_encrypted:
+            await self._log_in_plain()
+            return self._bind_request.resource
+        if MECHANISM not in mechanisms:
+            raise EndpointLoginRejectedError(CloseReason.ERROR)
+        await self._log_in_scram()
+        return f"{self._bind_request.account.name}/{self._bind_request.resource}"
+
+    async def _log_in_plain(self) -> None:
+        acts_for = f"{self._bind_request.account.name}@{self._options.domain}"
+        await self._send_auth("PLAIN", f"{acts_for}\0{self._options.username}\0{self._options.password}")
+        if (await self._read_stanza()).tag != f"{{{SASL_NS}}}success":
+            raise EndpointLoginRejectedError(CloseReason.ERROR)
+
+    async def _log_in_scram(self) -> None:
+        client = ScramClient([MECHANISM], self._options.username, self._options.password)
+        await self._send_auth(MECHANISM, client.get_client_first())
+        client.set_server_first(await self._read_sasl_text("challenge"))
+        encoded = base64.b64encode(client.get_client_final().encode()).decode()
+        await self._session.send(f"<response xmlns='{SASL_NS}'>{encoded}</response>".encode())
+        client.set_server_final(await self._read_sasl_text("success"))
+
+    async def _send_auth(self, mechanism: str, text: str) -> None:
+        encoded = base64.b64encode(text.encode()).decode()
+        auth = f"<auth xmlns='{SASL_NS}' mechanism='{mechanism}'>{encoded}</auth>"
+        await self._session.send(auth.encode())
+
+    async def _read_sasl_text(self, expected_tag: str) -> str:
+        element = await self._read_stanza()
+        if element.tag != f"{{{SASL_NS}}}{expected_tag}":
+            raise EndpointLoginRejectedError(CloseReason.ERROR)
+        try:
+            return base64.b64decode(element.text or "").decode()
+        except ValueError as error:
+            raise EndpointLoginRejectedError(CloseReason.GARBLED) from error
+
+    async def _bind(self, resource: str) -> str:
+        bind = f"<bind xmlns='{BIND_NS}'><resource>{escape(resource)}</resource></bind>"
+        await self._session.send(f"<iq type='set' id='bind'>{bind}</iq>".encode())
+        element = await self._read_stanza()
+        jid = element.findtext(f"{{{BIND_NS}}}bind/{{{BIND_NS}}}jid")
+        if element.get("type") == "result" and jid:
+            return jid
+        error = element.find(f"{{{CLIENT_NS}}}error")
+        for child in error if error is not None else ():
+            close_reason = _STANZA_ERRORS.get(child.tag.rpartition("}")[2])
+            if close_reason is not None:
+                raise EndpointLoginRejectedError(close_reason)
+        raise EndpointLoginRejectedError(CloseReason.ERROR)
--- a/sageturn/frontends/xmpp/errors.py
+++ b/sageturn/frontends/xmpp/errors.py
@@ -1,60 +1,88 @@
-"""Every refusal and failure as a defined stream error (RFC 6120, 4.9.3), and what an endpoint's mean."""
+"""Stream errors (RFC 6120, 4.9.3): those that the relay raises and sends, and what an endpoint's mean."""
 
 from __future__ import annotations
 
+from xml.etree.ElementTree import Element
 from xml.sax.saxutils import escape
 
 from sageturn.core.close_reason import CloseReason
 from sageturn.core.messages import FinalResponse
+from sageturn.frontends.errors import FrontendError
+from sageturn.frontends.xmpp.namespaces import RELAY_NS, STREAM_ERRORS_NS
 
-STREAMS = "http://etherx.jabber.org/streams"
-CONDITIONS = "urn:ietf:params:xml:ns:xmpp-streams"
-OURS = "urn:sageturn:relay:0"
-CLOSE = b"</stream:stream>"
 
-
-class StreamFault(Exception):
+class StreamError(FrontendError):
     """The stream cannot go on; ``condition`` is the defined condition that says why."""
 
     def __init__(self, condition: str, text: str = "") -> None:
         super().__init__(f"{condition}: {text}" if text else condition)
-        self.condition, self.text = condition, text
+        self.condition = condition
+        self.text = text
+
+
+class SaslError(FrontendError):
+    """A login attempt failed; the text is the defined condition (RFC 6120, 6.5)."""
+
+
+class EndpointLoginRejectedError(FrontendError):
+    """The endpoint did not accept the session; ``close_reason`` is what the core is told."""
+
+    def __init__(self, close_reason: CloseReason) -> None:
+        super().__init__(close_reason.name)
+        self.close_reason = close_reason
+
+
+def encode_stream_error(condition: str, text: str = "", extra: str = "") -> bytes:
+    """``extra``: an element of an application's own namespace."""
+    described = f"<text xmlns='{STREAM_ERRORS_NS}' xml:lang='en'>{escape(text)}</text>" if text else ""
+    error = f"<{condition} xmlns='{STREAM_ERRORS_NS}'/>{described}{extra}"
+    return f"<stream:error>{error}</stream:error>".encode()
+
 
+def encode_final_response(response: FinalResponse) -> bytes:
+    """The stream error for a request that has failed for good.
 
-def error_xml(condition: str, text: str = "", extra: str = "") -> bytes:
-    said = f"<text xmlns='{CONDITIONS}' xml:lang='en'>{escape(text)}</text>" if text else ""
-    return f"<stream:error><{condition} xmlns='{CONDITIONS}'/>{said}{extra}</stream:error>".encode()
+    Its condition tells a client that was rejected, and when to retry, from one whose request has failed.
+    """
+    retry = _encode_retry_after(response.retry_after_ms)
+    if response.refused and response.why == "shutdown":
+        return encode_stream_error("system-shutdown", "come again", retry)
+    if response.refused:
+        return encode_stream_error("resource-constraint", "come again later", retry)
+    if response.why == "wait for the answer":
+        return encode_stream_error("policy-violation", response.why)
+    if response.why == "internal":
+        return encode_stream_error("internal-server-error", "the relay failed")
+    return encode_stream_error("remote-connection-failed", "no endpoint could be reached")
 
 
-def answer_xml(answer: FinalResponse) -> bytes:
-    """A fail-fast refusal tells when to come again; it and a failure are told apart by the condition."""
-    if answer.refused and answer.why == "shutdown":
-        return error_xml("system-shutdown", "come again", _retry(answer.retry_after_ms))
-    if answer.refused:
-        return error_xml("resource-constraint", "come again later", _retry(answer.retry_after_ms))
-    if answer.why == "wait for the answer":
-        return error_xml("policy-violation", answer.why)
-    if answer.why == "internal":
-        return error_xml("internal-server-error", "the relay failed")
-    return error_xml("remote-connection-failed", "no endpoint could be reached")
+def _encode_retry_after(retry_after_ms: float) -> str:
+    if retry_after_ms < 1:
+        return ""
+    return f"<retry xmlns='{RELAY_NS}' after-ms='{round(retry_after_ms)}'/>"
 
 
-def _retry(after_ms: float) -> str:
-    return f"<retry xmlns='{OURS}' after-ms='{round(after_ms)}'/>" if after_ms >= 1 else ""
+def encode_move() -> bytes:
+    """Asks a client to connect anew at once: nothing is wrong with its session, which is migrated."""
+    return encode_stream_error("reset", "come again", f"<move xmlns='{RELAY_NS}'/>")
 
 
-def move_xml() -> bytes:
-    """The client is to come again at once: the session was sound, only its place is given up."""
-    return error_xml("reset", "come again", f"<move xmlns='{OURS}'/>")
+def stream_error_condition(element: Element) -> str:
+    """The defined condition of a stream error that was received."""
+    for child in element:
+        namespace, _, name = child.tag[1:].rpartition("}")
+        if namespace == STREAM_ERRORS_NS and name != "text":
+            return name
+    return "undefined-condition"
 
 
-# An endpoint's stream error: before the session stands, and after.
-BEFORE = {
+# What an endpoint's stream error means before the session is established, and after.
+CLOSE_REASONS_BEFORE_BIND = {
     "resource-constraint": CloseReason.BUSY,
     "system-shutdown": CloseReason.BUSY,
     "see-other-host": CloseReason.BUSY,
 }
-AFTER = {
+CLOSE_REASONS_AFTER_BIND = {
     "system-shutdown": CloseReason.SENT_AWAY,
     "see-other-host": CloseReason.SENT_AWAY,
     "reset": CloseReason.SENT_AWAY,
--- /dev/null
+++ b/sageturn/frontends/xmpp/frontend.py
@@ -0,0 +1,83 @@
+"""Logs in each XMPP client that connects, and hands its bind request to the core."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import socket
+import ssl
+from contextlib import suppress
+
+from sageturn.core.context import RelayContext
+from sageturn.frontends.xmpp.accounts import Accounts
+from sageturn.frontends.xmpp.channel import Channel
+from sageturn.frontends.xmpp.client_login import ClientLogin
+from sageturn.frontends.xmpp.connection import XmppConnection
+from sageturn.frontends.xmpp.errors import StreamError, encode_stream_error
+from sageturn.frontends.xmpp.namespaces import CLIENT_NS, STREAMS_NS
+from sageturn.frontends.xmpp.options import XmppOptions
+from sageturn.frontends.xmpp.session import STREAM_CLOSE, XmppSession
+from sageturn.net.admission import PendingConnection
+from sageturn.net.sockets import LINGER_S, close_gracefully, send_and_close
+
+log = logging.getLogger(__name__)
+
+# Until the first stream's header is complete: as on the platform's frontend, silent clients are cut off soon.
+HEADER_TIMEOUT_S = 2.0
+REJECTION = (
+    b"<?xml version='1.0'?>"
+    + f"<stream:stream xmlns='{CLIENT_NS}' xmlns:stream='{STREAMS_NS}' version='1.0'>".encode()
+    + encode_stream_error("resource-constraint", "no room")
+    + STREAM_CLOSE
+)
+
+
+class XmppFrontend:
+    """Serves clients that speak XMPP."""
+
+    rejection = REJECTION
+
+    def __init__(self, shared: RelayContext, options: XmppOptions, accounts: Accounts) -> None:
+        self._shared = shared
+        self._accounts = accounts
+        # Replaced when the configuration is read again; clients that are served already keep the old ones.
+        self.options = options
+
+    async def serve(self, sock: socket.socket, pending: PendingConnection) -> None:
+        """Serve one client until its connection has ended. The listener calls it, and closes ``sock``."""
+        options = self.options
+        session = XmppSession(Channel(sock))
+        error = StreamError("connection-timeout")
+        try:
+            login = ClientLogin(session, options, self._accounts)
+            async with pending.time_limit(min(HEADER_TIMEOUT_S, options.negotiate_s)):
+                await login.exchange_headers()
+            async with pending.time_limit(options.negotiate_s):
+                bind_request = await login.run()
+        except StreamError as found:
+            error = found
+        except TimeoutError:
+            if pending.evicted:
+                error = StreamError("resource-constraint")
+        except (OSError, ssl.SSLError) as broken:
+            log.info("xmpp login failed reason=%s", broken)
+            return
+        else:
+            pending.mark_active()
+            connection = XmppConnection(self._shared, options, session, bind_request)
+            await self._shared.run(connection.lifecycle)
+            return
+        log.info("xmpp client rejected reason=%s", error)
+        await self._reject(session, error, options.domain, pending)
+
+    async def _reject(
+        self, session: XmppSession, error: StreamError, domain: str, pending: PendingConnection
+    ) -> None:
+        sock = session.channel.sock
+        with suppress(TimeoutError):
+            async with asyncio.timeout(LINGER_S):
+                await session.close_with_error(error, domain)
+            if pending.evicted:
+                send_and_close(sock, b"")  # its descriptor is wanted
+            else:
+                await close_gracefully(sock)
--- /dev/null
+++ b/sageturn/frontends/xmpp/relaying.py
@@ -0,0 +1,193 @@
+"""An established session: forwards stanzas both ways, and closes both streams when either has ended."""
+
+from __future__ import annotations
+
+import asyncio
+from collections import deque
+from collections.abc import Iterable
+from contextlib import suppress
+from dataclasses import dataclass
+
+from sageturn.core.close_reason import CloseReason
+from sageturn.core.idle_timeout import IdleTimeout
+from sageturn.core.request_lifecycle import RequestLifecycle
+from sageturn.core.tasks import cancel_and_wait, sleep_until_elapsed
+from sageturn.frontends.xmpp.errors import (
+    CLOSE_REASONS_AFTER_BIND,
+    StreamError,
+    encode_move,
+    encode_stream_error,
+    stream_error_condition,
+)
+from sageturn.frontends.xmpp.namespaces import RELAY_NS, STREAMS_NS
+from sageturn.frontends.xmpp.session import XmppSession
+from sageturn.frontends.xmpp.stream_parser import Stanza, StreamClosed
+from sageturn.net.sockets import close_gracefully, close_with_reset
+
+# How long a stanza that is being received may take to be complete when its client is to be migrated.
+STANZA_BOUNDARY_TIMEOUT_S = 0.7
+STANZA_BOUNDARY_POLL_S = 0.01
+MIN_LOCK_TIMEOUT_S = 0.05
+CLOSE_TIMEOUT_S = 0.5  # how long the other side is still read, and how long closing both streams may take
+
+
+@dataclass(frozen=True, slots=True)
+class StreamEnd:
+    """Why one direction has ended; ``error``: the stream error that the client is owed, if any."""
+
+    close_reason: CloseReason
+    error: bytes = b""
+
+
+Forwarding = asyncio.Task[StreamEnd]
+
+
+class StanzaRelay:
+    """Both directions between one client and its endpoint."""
+
+    def __init__(
+        self,
+        client: XmppSession,
+        endpoint: XmppSession,
+        lifecycle: RequestLifecycle,
+        idle_timeout: IdleTimeout,
+        early_stanzas: Iterable[Stanza],
+    ) -> None:
+        """``early_stanzas`` were received from the client before, and are forwarded first."""
+        self._client = client
+        self._endpoint = endpoint
+        self._lifecycle = lifecycle
+        self._idle_timeout = idle_timeout
+        self._early_stanzas = deque(early_stanzas)
+        self._client_write_lock = asyncio.Lock()
+
+    async def run(self, stop: asyncio.Event) -> CloseReason:
+        """Return why the session was closed, once both of its sockets are."""
+        downstream = asyncio.ensure_future(self._forward_to_client())
+        upstream = asyncio.ensure_future(self._forward_to_endpoint())
+        stopping = asyncio.ensure_future(stop.wait())
+        idle = asyncio.ensure_future(sleep_until_elapsed(self._idle_timeout.left_s))
+        try:
+            await asyncio.wait((downstream, upstream, stopping, idle), return_when=asyncio.FIRST_COMPLETED)
+            migration_reason = CloseReason.MOVED if stopping.done() else CloseReason.MUTE
+            end = await self._end(downstream, upstream, migration_reason)
+        finally:
+            for task in (downstream, upstream, stopping, idle):
+                await cancel_and_wait(task)
+            self._record_totals()
+        await self._close(end)
+        return end.close_reason
+
+    async def _end(
+        self, downstream: Forwarding, upstream: Forwarding, migration_reason: CloseReason
+    ) -> StreamEnd:
+        if downstream.done():
+            return downstream.result()
+        if upstream.done():
+            end = upstream.result()
+            if end.close_reason is CloseReason.CLIENT_LEFT:
+                await self._endpoint.close()
+                await asyncio.wait((downstream,), timeout=CLOSE_TIMEOUT_S)
+            return end
+        if not await self._reach_stanza_boundary(downstream):
+            # A stanza is stuck half written: nothing can follow it.
+            close_with_reset(self._client.channel.sock)
+        return StreamEnd(migration_reason, encode_move())
+
+    def _record_totals(self) -> None:
+        record = self._lifecycle.record
+        record.bytes_to_endpoint = self._endpoint.sent_bytes
+        record.bytes_to_client = self._client.sent_bytes
+        record.quiet_s = asyncio.get_running_loop().time() - self._idle_timeout.heard_s
+
+    async def _reach_stanza_boundary(self, downstream: Forwarding) -> bool:
+        """Wait, for a while, until no stanza is half on its way to the client; False if one still is."""
+        loop = asyncio.get_running_loop()
+        deadline_s = loop.time() + STANZA_BOUNDARY_TIMEOUT_S
+        while self._endpoint.parser.is_mid_stanza and not downstream.done() and loop.time() < deadline_s:
+            await asyncio.sleep(STANZA_BOUNDARY_POLL_S)
+        # The lock is kept from here on: what the endpoint sends now comes too late for this client.
+        with suppress(TimeoutError):
+            async with asyncio.timeout(max(MIN_LOCK_TIMEOUT_S, deadline_s - loop.time())):
+                return await self._client_write_lock.acquire()
+        return False
+
+    async def _close(self, end: StreamEnd) -> None:
+        client = self._client.channel.sock
+        endpoint = self._endpoint.channel.sock
+        if end.close_reason is CloseReason.CLIENT_RESET:
+            close_with_reset(endpoint)
+            client.close()
+            return
+        if end.close_reason is CloseReason.RESET:
+            close_with_reset(client)
+            endpoint.close()
+            return
+        with suppress(TimeoutError):
+            async with asyncio.timeout(CLOSE_TIMEOUT_S):
+                await asyncio.gather(self._client.close(end.error), self._endpoint.close())
+        await asyncio.gather(close_gracefully(client), close_gracefully(endpoint))
+
+    async def _forward_to_client(self) -> StreamEnd:
+        loop = asyncio.get_running_loop()
+        try:
+            while True:
+                event = await self._endpoint.next_event()
+                self._idle_timeout.heard(loop.time())
+                if event is None:
+                    return StreamEnd(CloseReason.ENDED, encode_stream_error("remote-connection-failed"))
+                if isinstance(event, StreamClosed):
+                    return StreamEnd(CloseReason.SERVED)
+                if not isinstance(event, Stanza):
+                    continue
+                if event.element.tag == f"{{{STREAMS_NS}}}error":
+                    condition = stream_error_condition(event.element)
+                    close_reason = CLOSE_REASONS_AFTER_BIND.get(condition, CloseReason.ERROR)
+                    return StreamEnd(close_reason, event.raw)
+                await self._report_loads(event)
+                async with self._client_write_lock:
+                    try:
+                        await self._client.send(event.raw)
+                    except OSError:
+                        return StreamEnd(CloseReason.CLIENT_RESET)
+        except OSError:
+            return StreamEnd(CloseReason.RESET)
+        except StreamError:
+            error = encode_stream_error("remote-connection-failed", "the endpoint's stream broke off")
+            return StreamEnd(CloseReason.GARBLED, error)
+
+    async def _forward_to_endpoint(self) -> StreamEnd:
+        loop = asyncio.get_running_loop()
+        while True:
+            try:
+                event = (
+                    self._early_stanzas.popleft() if self._early_stanzas else await self._client.next_event()
+                )
+            except OSError:
+                return StreamEnd(CloseReason.CLIENT_RESET)
+            except StreamError as error:
+                return StreamEnd(CloseReason.CLIENT_LEFT, encode_stream_error(error.condition, error.text))
+            if event is None or isinstance(event, StreamClosed):
+                return StreamEnd(CloseReason.CLIENT_LEFT)
+            if not isinstance(event, Stanza):
+                continue
+            if _requires_response(event):
+                self._idle_timeout.asked(loop.time())
+            try:
+                await self._endpoint.send(event.raw)
+            except OSError:
+                return StreamEnd(CloseReason.RESET)
+
+    async def _report_loads(self, stanza: Stanza) -> None:
+        for load in stanza.element.findall(f"{{{RELAY_NS}}}load"):
+            try:
+                value = float(load.text or "")
+            except ValueError:
+                continue
+            await self._lifecycle.report_load(value)
+
+
+def _requires_response(stanza: Stanza) -> bool:
+    """Only an info/query request obliges the endpoint to send something back."""
+    element = stanza.element
+    return element.tag.endswith("}iq") and element.get("type") in ("get", "set")
--- a/sageturn/lab/world.py
+++ b/sageturn/lab/world.py
@@ -15,7 +15,7 @@
 from hdrh.histogram import HdrHistogram
 
 from sageturn import decision
-from sageturn.frontends.platform import BACK_WITHIN_S, MOVE_EARLY_S
+from sageturn.frontends.platform.timing import MAX_CLIENT_SILENCE_S, MIGRATION_MARGIN_S
 from sageturn.lab.draws import Client, Draws
 from sageturn.lab.host import FULLEST, HostModel
 from sageturn.lab.simrelay import HostNow, Order, StepResult
@@ -25,7 +25,8 @@
 HISTOGRAM = (1, 120_000, 3)  # milliseconds, with three digits
 MESSAGE_MS = 6.0  # at an idle host of the usual size
 LIST_LATE_S = 2.0  # discovery is so late
-MUTE_S = BACK_WITHIN_S - MOVE_EARLY_S  # a relay that hears nothing back moves its client after so long
+# A relay that hears nothing back moves its client after so long.
+MUTE_S = MAX_CLIENT_SILENCE_S - MIGRATION_MARGIN_S
 FLAP_S = 2.0
 STORE_MS = 6.0  # a call to the session store that has nothing else to do
 
--- a/sageturn/relay.py
+++ b/sageturn/relay.py
@@ -22,9 +22,9 @@
 from sageturn.core.shutdown import RequestRegistry, shutdown_schedule
 from sageturn.core.tasks import cancel_and_wait
 from sageturn.flows.exporter import FlowExporter
-from sageturn.frontends.platform import PlatformFrontend
+from sageturn.frontends.platform.frontend import PlatformFrontend
 from sageturn.frontends.xmpp.accounts import Accounts
-from sageturn.frontends.xmpp.front import XmppFrontend
+from sageturn.frontends.xmpp.frontend import XmppFrontend
 from sageturn.net.admission import AdmissionController
 from sageturn.net.discovery import DiscoveryClient
 from sageturn.net.listener import Listener
--- a/tests/config/test_deployments.py
+++ b/tests/config/test_deployments.py
@@ -289,12 +289,12 @@
 ) -> None:
     # A connection may take connectTimeoutMs to come up; its line followed whatever had been told meanwhile.
     async def go() -> None:
-        from sageturn.frontends import platform
+        from sageturn.frontends.platform import connection as platform_connection
 
         async with relaying(tmp_path, up, up) as (relay, endpoints):
             by_port = {e.address[1]: (name, e) for name, e in zip("ab", endpoints, strict=True)}
             first: list[FakeEndpoint] = []
-            connect = platform.connect_unreserved
+            connect = platform_connection.connect_unreserved
 
             async def slowly(address: tuple[str, int], timeout_s: float) -> Any:
                 sock = await connect(address, timeout_s)
@@ -311,7 +311,7 @@
 
             while relay.endpoint_registry.version != 2:  # discovery's own list has come
                 await asyncio.sleep(0.01)
-            monkeypatch.setattr(platform, "connect_unreserved", slowly)
+            monkeypatch.setattr(platform_connection, "connect_unreserved", slowly)
             more = ",at=a" if resumed else ""
             assert await reply(relay.listener.address, first_line(more=more)) == b"UP r1\r\n"
             assert len([line for line in first[0].lines if line]) == (1 if resumed else 0)
--- a/tests/core/test_attempt_races.py
+++ b/tests/core/test_attempt_races.py
@@ -15,7 +15,8 @@
 from sageturn.core.close_reason import CloseReason
 from sageturn.core.messages import EndpointListUpdate
 from sageturn.decision import Endpoint
-from sageturn.frontends import platform
+from sageturn.frontends.platform import connection as platform_connection
+from sageturn.frontends.platform import frontend as platform_frontend
 from sageturn.relay import Relay
 
 
@@ -85,13 +86,13 @@
         async with relaying(tmp_path, up, up) as (relay, endpoints):
             await until(lambda: relay.endpoint_registry.version == 2)
             by_port = {e.address[1]: (name, e) for name, e in zip("ab", endpoints, strict=True)}
-            connect, calls, at = platform.connect_unreserved, 0, list[Any]()
+            connect, calls, at = platform_connection.connect_unreserved, 0, list[Any]()
 
             async def comes_up(address: tuple[str, int], timeout_s: float) -> Any:
                 nonlocal calls
                 calls += 1
                 if calls < attempt:
-                    return platform.ConnectFailure.NEVER_UP
+                    return platform_connection.ConnectFailure.NEVER_UP
                 sock = await connect(address, timeout_s)
                 if not at:
                     name, endpoint = by_port[address[1]]
@@ -99,7 +100,7 @@
                     end(client, relay, name)
                 return sock
 
-            monkeypatch.setattr(platform, "connect_unreserved", comes_up)
+            monkeypatch.setattr(platform_connection, "connect_unreserved", comes_up)
             records: list[Any] = []
             monkeypatch.setattr(relay.shared, "ended", records.append)
             client = socket.create_connection(relay.listener.address)
@@ -148,7 +149,7 @@
                     held.set()
                     await asyncio.sleep(3600)
 
-                monkeypatch.setattr(platform, "connect_unreserved", never_up)
+                monkeypatch.setattr(platform_connection, "connect_unreserved", never_up)
             reader, writer = await ask(relay.listener.address, first_line())
             if ran:
                 await until(lambda: endpoint.lines)
@@ -214,7 +215,8 @@
         settings["classes"][0].update(aimMs=9000.0, hardLimitMs=9000.0)
         async with relaying(tmp_path, host, host, settings=settings) as (relay, _):
             await until(lambda: relay.endpoint_registry.version == 2)
-            connect, call = platform.connect_unreserved, platform._Peer.open_upstream
+            connect = platform_connection.connect_unreserved
+            call = platform_connection.PlatformConnection.open_upstream
             clock = relay.balancer_actor.clock
             now_ms, calls, begun, passed = clock.now_ms, 0, 0, 0.0
             monkeypatch.setattr(clock, "now_ms", lambda: now_ms() + passed)
@@ -232,8 +234,8 @@
                 passed = late_ms if begun == 2 else passed
                 return sock
 
-            monkeypatch.setattr(platform._Peer, "open_upstream", calls_late)
-            monkeypatch.setattr(platform, "connect_unreserved", comes_up_late)
+            monkeypatch.setattr(platform_connection.PlatformConnection, "open_upstream", calls_late)
+            monkeypatch.setattr(platform_connection, "connect_unreserved", comes_up_late)
             reader, writer = await ask(relay.listener.address, first_line(9000))
             heard = await reader.readline()
             in_time = late_ms < KEY_MS
@@ -256,7 +258,7 @@
         settings["classes"][0].update(aimMs=9000.0, hardLimitMs=9000.0, keyTtlMs=300.0)
         async with relaying(tmp_path, host, host, settings=settings) as (relay, _):
             await until(lambda: relay.endpoint_registry.version == 2)
-            send, sent = platform.send_gathered, 0
+            send, sent = platform_connection.send_gathered, 0
 
             async def stuck(*args: Any) -> None:
                 nonlocal sent
@@ -265,7 +267,7 @@
                     await asyncio.sleep(3600)
                 await send(*args)
 
-            monkeypatch.setattr(platform, "send_gathered", stuck)
+            monkeypatch.setattr(platform_connection, "send_gathered", stuck)
             reader, writer = await ask(relay.listener.address, first_line(9000))
             async with asyncio.timeout(4):  # and not the client's 9 s
                 assert (await reader.readline()).startswith(b"BUSY")
@@ -285,8 +287,8 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, ended: str, shut: bool
 ) -> None:
     # What is read behind a shutdown and sent on is lost, and a close over it would reset the answer's way.
-    monkeypatch.setattr(platform, "FIRST_LINE_S", 0.1 if ended == "out of time" else 5.0)
-    politely, at_once = platform.close_gracefully, platform.send_and_close
+    monkeypatch.setattr(platform_frontend, "REQUEST_LINE_TIMEOUT_S", 0.1 if ended == "out of time" else 5.0)
+    politely, at_once = platform_frontend.close_gracefully, platform_frontend.send_and_close
 
     async def go() -> None:
         async with relaying(tmp_path, up) as (relay, (endpoint,)):
@@ -307,8 +309,8 @@
                 line_comes(sock)
                 at_once(sock, b"" if shut else text)
 
-            monkeypatch.setattr(platform, "close_gracefully", ends_politely)
-            monkeypatch.setattr(platform, "send_and_close", ends_at_once)
+            monkeypatch.setattr(platform_frontend, "close_gracefully", ends_politely)
+            monkeypatch.setattr(platform_frontend, "send_and_close", ends_at_once)
             client = socket.create_connection(relay.listener.address)
             client.settimeout(5)
             if ended == "no line":
--- a/tests/core/test_client_disconnects.py
+++ b/tests/core/test_client_disconnects.py
@@ -19,8 +19,10 @@
 from test_xmpp_frontend import relaying as relaying_xmpp
 
 from sageturn.core.close_reason import CloseReason
-from sageturn.frontends import platform
-from sageturn.frontends.xmpp import front as xmpp_front
+from sageturn.frontends.platform import connection as platform_connection
+from sageturn.frontends.platform.connection import PlatformConnection
+from sageturn.frontends.xmpp import connection as xmpp_connection
+from sageturn.frontends.xmpp.connection import XmppConnection
 from sageturn.net.sockets import ConnectFailure
 
 GONE = (CloseReason.CLIENT_LEFT, CloseReason.CLIENT_RESET)
@@ -81,10 +83,10 @@
 class Begun:
     """Counts connections that are begun, and lets the first ones fail."""
 
-    def __init__(self, monkeypatch: pytest.MonkeyPatch, front: Any, failing: int = 0) -> None:
+    def __init__(self, monkeypatch: pytest.MonkeyPatch, connection_module: Any, failing: int = 0) -> None:
         self.all = 0
-        self._connect, self._failing = front.connect_unreserved, failing
-        monkeypatch.setattr(front, "connect_unreserved", self._begin)
+        self._connect, self._failing = connection_module.connect_unreserved, failing
+        monkeypatch.setattr(connection_module, "connect_unreserved", self._begin)
 
     async def _begin(self, address: tuple[str, int], timeout_s: float) -> Any:
         self.all += 1
@@ -94,10 +96,10 @@
 
 
 def as_call_begins(
-    monkeypatch: pytest.MonkeyPatch, front: Any, attempt: int, act: Callable[[], None]
+    monkeypatch: pytest.MonkeyPatch, connection_class: Any, attempt: int, act: Callable[[], None]
 ) -> None:
     """Does ``act`` as the n-th call of a wire is begun: the loop does not turn before the call goes on."""
-    call, calls = front._Peer.open_upstream, 0
+    call, calls = connection_class.open_upstream, 0
 
     async def acting(self: Any, *args: Any) -> Any:
         nonlocal calls
@@ -106,7 +108,7 @@
             act()
         return await call(self, *args)
 
-    monkeypatch.setattr(front._Peer, "open_upstream", acting)
+    monkeypatch.setattr(connection_class, "open_upstream", acting)
 
 
 @pytest.mark.parametrize("leave", [fin, end_sending, reset, words_and_fin], ids=lambda leave: leave.__name__)
@@ -118,8 +120,8 @@
     async def go() -> None:
         async with relaying(tmp_path, up, up) as (relay, endpoints):
             await until(lambda: relay.endpoint_registry.version == 2)
-            begun = Begun(monkeypatch, platform, attempt - 1)
-            as_call_begins(monkeypatch, platform, attempt, lambda: leave(client))
+            begun = Begun(monkeypatch, platform_connection, attempt - 1)
+            as_call_begins(monkeypatch, PlatformConnection, attempt, lambda: leave(client))
             records: list[Any] = []
             monkeypatch.setattr(relay.shared, "ended", records.append)
             client = socket.create_connection(relay.listener.address)
@@ -164,19 +166,19 @@
         with closing(Aside()) as aside:
             async with relaying_xmpp(tmp_path, told, told) as (relay, endpoints):
                 await until(lambda: relay.endpoint_registry.version == 2)
-                begun = Begun(monkeypatch, xmpp_front, moment == "further")
+                begun = Begun(monkeypatch, xmpp_connection, moment == "further")
                 if moment == "bind":
-                    ask_life, at = xmpp_front.RequestLifecycle.check_before_write, list[bool]()
+                    ask_life, at = xmpp_connection.RequestLifecycle.check_before_write, list[bool]()
 
                     def leaves_first(self: Any, wanted: Any = None) -> Any:
                         aside.do(leave(client))
                         at.append(True)
                         return ask_life(self, wanted)
 
-                    monkeypatch.setattr(xmpp_front.RequestLifecycle, "check_before_write", leaves_first)
+                    monkeypatch.setattr(xmpp_connection.RequestLifecycle, "check_before_write", leaves_first)
                 else:
                     number = 1 + (moment == "further")
-                    as_call_begins(monkeypatch, xmpp_front, number, lambda: aside.do(leave(client)))
+                    as_call_begins(monkeypatch, XmppConnection, number, lambda: aside.do(leave(client)))
                 records: list[Any] = []
                 monkeypatch.setattr(relay.shared, "ended", records.append)
                 client = await aside.does(Client.connect(relay.xmpp.address))
@@ -213,7 +215,7 @@
         settings = {**SETTINGS, "accounts": tenants}
         async with relaying(tmp_path, silent, silent, settings=settings) as (relay, endpoints):
             await until(lambda: relay.endpoint_registry.version == 2)
-            connect, begun, held = platform.connect_unreserved, 0, asyncio.Event()
+            connect, begun, held = platform_connection.connect_unreserved, 0, asyncio.Event()
 
             async def waits(address: tuple[str, int], timeout_s: float) -> Any:
                 nonlocal begun
@@ -221,7 +223,7 @@
                 await held.wait()
                 return await connect(address, timeout_s) if comes_up else ConnectFailure.NEVER_UP
 
-            monkeypatch.setattr(platform, "connect_unreserved", waits)
+            monkeypatch.setattr(platform_connection, "connect_unreserved", waits)
             records: list[Any] = []
             monkeypatch.setattr(relay.shared, "ended", records.append)
             clients = [await ask(relay.listener.address, first_line(3000)) for _ in range(CROWD)]
@@ -245,7 +247,7 @@
     async def go() -> None:
         async with relaying(tmp_path, up, up) as (relay, endpoints):
             await until(lambda: relay.endpoint_registry.version == 2)
-            begun = Begun(monkeypatch, platform)
+            begun = Begun(monkeypatch, platform_connection)
             records: list[Any] = []
             monkeypatch.setattr(relay.shared, "ended", records.append)
             for _ in range(100):  # the loop does not turn here
@@ -274,7 +276,7 @@
             def each_turn() -> None:
                 # Queued a turn before whatever the poll of this turn wakes, so it runs in between.
                 try:
-                    wire._client.recv(1, socket.MSG_PEEK)
+                    wire.client.recv(1, socket.MSG_PEEK)
                 except BlockingIOError:
                     writer.write(b"M 2\r\n")
                     assert wire.poll_client() is None
@@ -287,7 +289,7 @@
             await seen
             await asyncio.sleep(0)
             await asyncio.sleep(0)
-            assert wire._ahead == b"M 1\r\nM 2\r\n"
+            assert wire.early_input == b"M 1\r\nM 2\r\n"
             writer.close()
 
     story(go())
--- a/tests/core/test_close_reasons.py
+++ b/tests/core/test_close_reasons.py
@@ -18,8 +18,10 @@
 from sageturn.core.messages import EndpointListUpdate
 from sageturn.core.shutdown import ShutdownSchedule
 from sageturn.decision import Endpoint
-from sageturn.frontends import platform
-from sageturn.frontends.pump import LinePump
+from sageturn.frontends.platform import connection as platform_connection
+from sageturn.frontends.platform import frontend as platform_frontend
+from sageturn.frontends.platform import relaying as platform_relaying
+from sageturn.frontends.platform.line_forwarder import LineForwarder
 from sageturn.relay import Relay
 
 
@@ -97,17 +99,17 @@
 
 
 async def connecting(scene: Scene, monkeypatch: pytest.MonkeyPatch) -> None:
-    connect, begun = platform.connect_unreserved, asyncio.Event()
+    connect, begun = platform_connection.connect_unreserved, asyncio.Event()
 
     async def slowly(address: tuple[str, int], timeout_s: float) -> Any:
         begun.set()
         try:
             await asyncio.wait_for(scene.go_on.wait(), timeout_s)
         except TimeoutError:
-            return platform.ConnectFailure.NEVER_UP
+            return platform_connection.ConnectFailure.NEVER_UP
         return await connect(address, timeout_s)
 
-    monkeypatch.setattr(platform, "connect_unreserved", slowly)
+    monkeypatch.setattr(platform_connection, "connect_unreserved", slowly)
     scene.client.sendall(scene.line)
     await begun.wait()
 
@@ -191,7 +193,7 @@
         reach, act = STAGES[stage]
         scenes: list[Scene] = []
         settings = DEPLOYMENTS[effect]
-        monkeypatch.setattr(platform, "FIRST_LINE_S", 0.4)
+        monkeypatch.setattr(platform_frontend, "REQUEST_LINE_TIMEOUT_S", 0.4)
         async with relaying(tmp_path, *[act(scenes)] * 3, settings=settings) as (relay, endpoints):
             while relay.endpoint_registry.version != 2:
                 await asyncio.sleep(0.002)
@@ -339,14 +341,14 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, reads_on: bool
 ) -> None:
     # It was given up after 0.7 s and the client cut off without a word, though its live host still answered.
-    pumps: list[LinePump] = []
+    forwarders: list[LineForwarder] = []
 
-    class Seen(LinePump):
+    class Seen(LineForwarder):
         def __init__(self, *args: Any) -> None:
             super().__init__(*args)
-            pumps.append(self)
+            forwarders.append(self)
 
-    monkeypatch.setattr(platform, "LinePump", Seen)
+    monkeypatch.setattr(platform_relaying, "LineForwarder", Seen)
 
     async def go() -> None:
         async with relaying(tmp_path, floods) as (relay, _):
@@ -359,7 +361,8 @@
             stuck = 0
             while stuck < 30:  # until for 0.3 s the kernel has had no room for more
                 await asyncio.sleep(0.01)
-                stuck = 0 if not pumps or select.select([], [pumps[0]._target], [], 0)[1] else stuck + 1
+                writable = not forwarders or select.select([], [forwarders[0].target], [], 0)[1]
+                stuck = 0 if writable else stuck + 1
             relay.balancer_actor.move(lifecycle.id)
             await asyncio.sleep(0.8)
             assert lifecycle.is_established and not ended
@@ -403,7 +406,7 @@
             async def fails(address: tuple[str, int], timeout_s: float) -> Any:
                 raise ValueError("unforeseen")
 
-            monkeypatch.setattr(platform, "connect_unreserved", fails)
+            monkeypatch.setattr(platform_connection, "connect_unreserved", fails)
             scene = Scene(relay, [])
             scene.client.sendall(scene.line)
             assert await scene.rest() == b"ERR internal\r\n"
--- a/tests/frontends/test_compatibility_frontends.py
+++ b/tests/frontends/test_compatibility_frontends.py
@@ -14,7 +14,6 @@
 import tempfile
 from collections.abc import Awaitable, Callable, Sequence
 from pathlib import Path
-from types import SimpleNamespace
 from typing import Any
 from unittest import mock
 
@@ -24,13 +23,22 @@
 from support.network_fakes import Script, ask, relaying, says, silent
 
 from sageturn.core.messages import FinalResponse
-from sageturn.frontends import platform
-from sageturn.frontends.xmpp import accept, dial, front
+from sageturn.frontends.platform import frontend as platform_frontend
+from sageturn.frontends.platform.connection import send_final_response
+from sageturn.frontends.xmpp import client_login, endpoint_login
 from sageturn.frontends.xmpp.accounts import PREFIX, Accounts
-from sageturn.frontends.xmpp.errors import StreamFault, answer_xml, error_xml, move_xml
+from sageturn.frontends.xmpp.connection import encode_bind_result
+from sageturn.frontends.xmpp.errors import (
+    EndpointLoginRejectedError,
+    StreamError,
+    encode_final_response,
+    encode_move,
+    encode_stream_error,
+)
+from sageturn.frontends.xmpp.frontend import REJECTION
 from sageturn.frontends.xmpp.options import EndpointOptions, XmppOptions
 from sageturn.frontends.xmpp.session import XmppSession
-from sageturn.frontends.xmpp.stream import StreamParser
+from sageturn.frontends.xmpp.stream_parser import StreamParser
 
 FIXTURES = Path(__file__).parents[1] / "fixtures" / "fronts"
 
@@ -95,14 +103,8 @@
 }
 
 
-def answer_as_platform(sock: socket.socket, answer: FinalResponse) -> Awaitable[None]:
-    peer = object.__new__(platform._Peer)
-    peer._client = sock
-    return peer.send_final_response(answer)
-
-
 async def first_line_in_vain(address: tuple[str, int]) -> bytes:
-    with mock.patch.object(platform, "FIRST_LINE_S", 0.02):
+    with mock.patch.object(platform_frontend, "REQUEST_LINE_TIMEOUT_S", 0.02):
         return await talk(address, b"")
 
 
@@ -131,9 +133,9 @@
 
 
 async def platform_answers(folder: Path) -> dict[str, bytes]:
-    told = {"turned-away": platform.PlatformFrontend.rejection}
+    told = {"turned-away": platform_frontend.PlatformFrontend.rejection}
     for name, answer in ANSWERS.items():
-        told[f"answer.{name}"] = await told_by(lambda sock, a=answer: answer_as_platform(sock, a))
+        told[f"answer.{name}"] = await told_by(lambda sock, a=answer: send_final_response(sock, a))
     async with relaying(folder, silent) as (relay, _):
         address = relay.listener.address
         for name, line in FIRST_LINES.items():
@@ -228,8 +230,8 @@
     parser = StreamParser()
     try:
         parser.feed(stream)
-    except StreamFault as fault:
-        return error_xml(fault.condition, fault.text)
+    except StreamError as fault:
+        return encode_stream_error(fault.condition, fault.text)
     raise AssertionError("it was taken")
 
 
@@ -237,20 +239,17 @@
     parser = StreamParser()
     for at in range(len(stream)):
         parser.feed(stream[at : at + 1])
-    return [piece.raw for piece in parser.pieces if hasattr(piece, "raw")]
+    return [piece.raw for piece in parser.events if hasattr(piece, "raw")]
 
 
 def bound_result(sock: Any, iq_id: str, jid: str) -> Awaitable[None]:
-    peer = object.__new__(front._Peer)
-    peer._client, peer._jid = XmppSession(sock), jid
-    peer._wish = SimpleNamespace(iq_id=iq_id)
-    return peer.accept_client()
+    return XmppSession(sock).send(encode_bind_result(iq_id, jid))
 
 
 def make_xmpp() -> dict[str, bytes]:
-    told = {"turned-away": front.REJECTION, "move": move_xml()}
-    told |= {f"answer.{name}": answer_xml(answer) for name, answer in ANSWERS.items()}
-    told |= {f"fault.{number}": error_xml(*fault) for number, fault in enumerate(FAULTS)}
+    told = {"turned-away": REJECTION, "move": encode_move()}
+    told |= {f"answer.{name}": encode_final_response(answer) for name, answer in ANSWERS.items()}
+    told |= {f"fault.{number}": encode_stream_error(*fault) for number, fault in enumerate(FAULTS)}
     told |= {f"stream.{name}": fault_of(stream) for name, stream in BAD_STREAMS.items()}
     channel = ScriptedChannel()
     bounded(bound_result(channel, "b<1>'", "lan@guides.example/a&b"))
@@ -271,7 +270,7 @@
     """In place of a socket: hands out the other side's lines in turn, and notes both directions."""
 
     def __init__(self, *lines: Line, secure: bool = False) -> None:
-        self.secure, self.sock = secure, None
+        self.is_encrypted, self.sock = secure, None
         self._lines, self._last = list(lines), b""
         self.pieces: list[tuple[bytes, bytes]] = []
 
@@ -284,18 +283,18 @@
         self._last = b""
         return data
 
-    def at_hand(self) -> bytes | None:
+    def receive_available(self) -> bytes | None:
         return None
 
     async def send(self, data: bytes) -> None:
         self._last += data
         self.pieces.append((b">", data))
 
-    async def finish(self) -> None:
+    async def send_close(self) -> None:
         pass
 
     async def handshake(self) -> None:
-        self.secure = True
+        self.is_encrypted = True
 
     def sent(self) -> bytes:
         return b"".join(data for who, data in self.pieces if who == b">")
@@ -331,14 +330,14 @@
     options = XmppOptions(("127.0.0.1", 0), "guides.example", context, 2000.0, endpoint, 0)
     session = XmppSession(channel)  # type: ignore[arg-type]
     accounts = Accounts({PREFIX + "lan": account_record()})
-    acceptor = accept.Acceptor(session, options, accounts)
-    with mock.patch.object(accept, "TlsChannel", lambda *words, **more: channel):
+    login = client_login.ClientLogin(session, options, accounts)
+    with mock.patch.object(client_login, "TlsChannel", lambda *words, **more: channel):
         try:
-            await acceptor.header()
-            wish = await acceptor.run()
-            return f"{wish.account.name} {wish.iq_id} {wish.resource}"
-        except StreamFault as fault:
-            await session.fault(fault, options.domain)
+            await login.exchange_headers()
+            request = await login.run()
+            return f"{request.account.name} {request.iq_id} {request.resource}"
+        except StreamError as fault:
+            await session.close_with_error(fault, options.domain)
             return str(fault)
 
 
@@ -348,12 +347,13 @@
     options = EndpointOptions("guides.example", "relay", "relay-pw", context)
     account = Accounts({PREFIX + "lan": account_record()}).find("lan")
     assert account is not None
-    wish = accept.Wish(account, "b1", "desk<1>")
-    dialer = dial.Dialer(XmppSession(channel), options, wish, lambda: None)  # type: ignore[arg-type]
-    with mock.patch.object(dial, "TlsChannel", lambda *words, **more: channel):
+    request = client_login.BindRequest(account, "b1", "desk<1>")
+    session = XmppSession(channel)  # type: ignore[arg-type]
+    login = endpoint_login.EndpointLogin(session, options, request, lambda: None)
+    with mock.patch.object(endpoint_login, "TlsChannel", lambda *words, **more: channel):
         try:
-            return await dialer.run()
-        except dial.EndpointLoginRejected as refusal:
+            return await login.run()
+        except EndpointLoginRejectedError as refusal:
             return refusal.close_reason.name
 
 
@@ -397,7 +397,7 @@
 BIND_WISH = b"<iq type='set' id='b1'>" + BIND % b"<resource>desk</resource>" + b"</iq>"
 BOUND = b"<iq type='result' id='bind'>" + BIND % b"<jid>lan@guides.example/desk</jid>" + b"</iq>"
 NO_ROOM = b"<iq type='error' id='bind'><error type='wait'><resource-constraint/></error></iq>"
-BUSY_STREAM = error_xml("resource-constraint")
+BUSY_STREAM = encode_stream_error("resource-constraint")
 
 
 def plain(text: str) -> bytes:
--- a/tests/frontends/test_idle_timeout.py
+++ b/tests/frontends/test_idle_timeout.py
@@ -12,7 +12,11 @@
 from test_xmpp_frontend import relaying as relaying_xmpp
 
 from sageturn.core.idle_timeout import IdleTimeout
-from sageturn.frontends.platform import BACK_WITHIN_S, LINE_EVERY_S, MUTE_S
+from sageturn.frontends.platform.timing import (
+    CLIENT_LINE_INTERVAL_S,
+    IDLE_TIMEOUT_S,
+    MAX_CLIENT_SILENCE_S,
+)
 
 LAST = 100.0  # the endpoint's last word
 
@@ -29,15 +33,15 @@
             quiet.asked(asks.pop(0))
 
 
-@given(st.floats(0.0, LINE_EVERY_S), st.floats(0.0, 5.0))
+@given(st.floats(0.0, CLIENT_LINE_INTERVAL_S), st.floats(0.0, 5.0))
 def test_a_client_of_a_silent_endpoint_is_moved_in_time_whatever_its_beat(phase: float, stood: float) -> None:
     # Seen: silent 10 and silent+term 2, a client whose next line came 1.8 s after the endpoint's last word
     # was to be moved 5.0 to 5.25 s after that line, and left after 7 s: its request was lost.
-    quiet = IdleTimeout(LAST - stood, MUTE_S, LINE_EVERY_S)
+    quiet = IdleTimeout(LAST - stood, IDLE_TIMEOUT_S, CLIENT_LINE_INTERVAL_S)
     quiet.asked(LAST - stood)
     quiet.heard(LAST)
-    moved = mute_at(quiet, [LAST + phase + k * LINE_EVERY_S for k in range(4)])
-    assert LAST + BACK_WITHIN_S - 1.0 < moved <= LAST + BACK_WITHIN_S - 0.5
+    moved = mute_at(quiet, [LAST + phase + k * CLIENT_LINE_INTERVAL_S for k in range(4)])
+    assert LAST + MAX_CLIENT_SILENCE_S - 1.0 < moved <= LAST + MAX_CLIENT_SILENCE_S - 0.5
 
 
 def test_a_line_gets_its_whole_patience_and_an_idle_endpoint_is_not_mute() -> None:
--- a/tests/frontends/test_platform_frontend.py
+++ b/tests/frontends/test_platform_frontend.py
@@ -187,7 +187,7 @@
 
 def test_a_mute_endpoint_has_its_client_moved(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     # A host that vanishes says nothing: its clients must be moved before 7 s.
-    monkeypatch.setattr("sageturn.frontends.platform.MUTE_S", 0.3)
+    monkeypatch.setattr("sageturn.frontends.platform.relaying.IDLE_TIMEOUT_S", 0.3)
 
     async def deaf(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes) -> None:
         writer.write(b"UP r\r\n")
