--- a/experiments/measure_client_disconnects.py
+++ b/experiments/measure_client_disconnects.py
@@ -1,6 +1,6 @@
 """How long after a client's departure the last attempt for it begins: a real relay on a core that is held.
 
-    PYTHONPATH=. python experiments/measure_client_disconnects.py --rounds 10
+    PYTHONPATH=.:tests python experiments/measure_client_disconnects.py --rounds 10
 
 The relay shares one core with a program that never waits. Hundreds of clients ask at once; every host refuses
 after 5 to 50 ms, so that further attempts are due, until all clients leave within a few milliseconds. What is
@@ -26,11 +26,21 @@
 from pathlib import Path
 from typing import Any
 
-from support.network_fakes import SETTINGS, Discovery, ask, chunked, first_line, listed, served, write_config
+from support.network_fakes import (
+    SETTINGS,
+    Address,
+    Discovery,
+    ask,
+    chunked,
+    first_line,
+    free_port,
+    listed,
+    served,
+    until_ready,
+    write_config,
+)
 from support.xmpp_fakes import Client, Server
-from test_descriptor_exhaustion import ready
-from test_program import Address, free_port
-from test_xmpp_frontend import client_tls, write_operator
+from support.xmpp_relay import client_tls, write_operator
 
 CONDITION = "<resource-constraint xmlns='urn:ietf:params:xml:ns:xmpp-streams'/>"
 CLIENTS = {"lines": 300, "xmpp": 60}
@@ -54,7 +64,7 @@
 def noted_asked(life, wanted=None):
     if (ending := asked(life, wanted)) is None:
         ask = life.record.ask
-        os.write(file, f"{ask.wire_id or ask.client.split('/')[1]} {time.time()}\\n".encode())
+        os.write(file, f"{ask.client_request_id or ask.client.split('/')[1]} {time.time()}\\n".encode())
     return ending
 for each in (platform_connection, xmpp_connection):
     each.connect_unreserved = noting(each.connect_unreserved)
@@ -200,7 +210,7 @@
         for each in (process, other):
             stack.callback(each.kill)
             os.sched_setaffinity(each.pid, {max(os.sched_getaffinity(0))})
-        await ready(lines)
+        await until_ready(lines)
         waiting: list[Client] = []
         come = on_lines(lines) if front == "lines" else on_streams(streams, waiting)
         results = []
--- a/tests/core/test_client_disconnects.py
+++ b/tests/core/test_client_disconnects.py
@@ -15,8 +15,7 @@
 import pytest
 from support.network_fakes import SETTINGS, ask, first_line, relaying, silent, up
 from support.xmpp_fakes import Client, Server
-from test_xmpp_frontend import client_tls
-from test_xmpp_frontend import relaying as relaying_xmpp
+from support.xmpp_relay import client_tls, relaying_xmpp
 
 from sageturn.core.close_reason import CloseReason
 from sageturn.frontends.platform import connection as platform_connection
--- a/tests/decision/test_health_checks.py
+++ b/tests/decision/test_health_checks.py
@@ -12,13 +12,13 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
+from support.load_reports import FIELDS, probed_by
 from support.network_fakes import SETTINGS, Script, ask, first_line, relaying, reply, resets, says, silent, up
 
 from sageturn import decision
 from sageturn.decision.health_checks import EACH_MS, HOST_MS, SPEND, HealthCheckScheduler
 from sageturn.decision.load_reports import checked, read_report
 
-FIELDS = ("x0", "x1", "cpu")
 PROBED: dict[str, Any] = {
     "probes": True,
     "reports": "probe",
@@ -170,29 +170,6 @@
 # ---------------------------------------------------------------- on sockets
 
 
-def probed_by(*words: bytes) -> tuple[Script, list[bytes]]:
-    """A host that answers each STATS on a connection by the next of ``words``; clients stand there."""
-    seen: list[bytes] = []
-    left = list(words)
-
-    async def script(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes) -> None:
-        if line.startswith(b"OPEN"):
-            await up(reader, writer, line)
-            return
-        while line:
-            seen.append(line)
-            word = left.pop(0) if left else b"PONG x0=0.1\r\n"
-            if not word:
-                writer.transport.abort()
-                return
-            for part in word.split(b"|"):
-                writer.write(part)
-                await asyncio.sleep(0.02)
-            line = await reader.readline()
-
-    return script, seen
-
-
 @pytest.mark.parametrize(
     ("words", "outcomes"),
     [
--- a/tests/frontends/test_idle_timeout.py
+++ b/tests/frontends/test_idle_timeout.py
@@ -8,8 +8,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 from support.network_fakes import Script, ask, first_line, relaying, reply, resets, silent, up
-from test_xmpp_frontend import Client, Server, client_tls
-from test_xmpp_frontend import relaying as relaying_xmpp
+from support.xmpp_fakes import Client, Server
+from support.xmpp_relay import client_tls, relaying_xmpp
 
 from sageturn.core.idle_timeout import IdleTimeout
 from sageturn.frontends.platform.timing import (
--- a/tests/frontends/test_xmpp_frontend.py
+++ b/tests/frontends/test_xmpp_frontend.py
@@ -4,114 +4,29 @@
 
 import asyncio
 import json
-import ssl
-from collections.abc import AsyncIterator, Awaitable, Callable
-from contextlib import AsyncExitStack, asynccontextmanager
+from collections.abc import Awaitable, Callable
 from pathlib import Path
 
 import pytest
-import trustme
 from support.network_fakes import SETTINGS as CONF
-from support.network_fakes import FakeEndpoint, ask, first_line, listed, serve_all, write_config
-from support.xmpp_fakes import HEADER, Client, Server, echo
+from support.network_fakes import ask, first_line
+from support.xmpp_fakes import HEADER, Client, Server, echo, turns_away
+from support.xmpp_relay import CA, CERT, client_tls, relaying_xmpp, server_tls, write_operator
 
-from sageturn.config.loader import load
 from sageturn.config.settings import read_settings
-from sageturn.frontends.xmpp.accounts import PREFIX, make_record
 from sageturn.net.admission import ProcessLimits
-from sageturn.relay import Relay
-from sageturn.store.store import Store
 
 SETTINGS = read_settings(CONF)
-CA = trustme.CA()
-CERT = CA.issue_cert("guides.example")
-
-
-def client_tls() -> ssl.SSLContext:
-    context = ssl.create_default_context()
-    CA.configure_trust(context)
-    return context
-
-
-def server_tls() -> ssl.SSLContext:
-    context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
-    CERT.configure_cert(context)
-    return context
 
 
 def story(coro):  # type: ignore[no-untyped-def]
     return asyncio.run(asyncio.wait_for(coro, 30))
 
 
-def write_operator(folder: Path, endpoint_tls: bool, **more: object) -> Path:
-    (folder / "pw").write_text("relay-pw\n")
-    CERT.cert_chain_pems[0].write_to_path(folder / "cert.pem")
-    CERT.private_key_pem.write_to_path(folder / "key.pem")
-    CA.cert_pem.write_to_path(folder / "ca.pem")
-    endpoint = {"username": "relay", "password_file": "pw", "tls": endpoint_tls, "ca_file": "ca.pem"}
-    xmpp = {
-        "listen": "127.0.0.1:0",
-        "domain": "guides.example",
-        "certificate": "cert.pem",
-        "key": "key.pem",
-        "wait_ms": 2000,
-        "endpoint": endpoint,
-        **more,
-    }
-    store = Store("n1", folder / "store")
-    for name in ("lan", "mai"):
-        store.put(PREFIX + name, make_record("pw", "c", "t", iterations=4096))
-    store.close()
-    file = folder / "operator.json"
-    file.write_text(json.dumps({"xmpp": xmpp, "store": {"path": "store"}}))
-    return file
-
-
-@asynccontextmanager
-async def relaying(
-    folder: Path, *acts: Callable[[Server], Awaitable[None]], tls: bool = False, **more: object
-) -> AsyncIterator[tuple[Relay, list[FakeEndpoint]]]:
-    def script(act: Callable[[Server], Awaitable[None]]) -> FakeEndpoint:
-        async def play(r: asyncio.StreamReader, w: asyncio.StreamWriter, line: bytes) -> None:
-            if line.startswith(b"OPEN"):  # the same host in the platform's words
-                w.write(b"BUSY\r\n" if act is turns_away else b"UP r1\r\n")
-                if act is turns_away:
-                    return
-                while said := await r.readline():
-                    w.write(said)
-                return
-            server = Server(r, w)
-            server.seen = line.decode()
-            await act(server)
-
-        class Peeking(FakeEndpoint):
-            async def serve(self, r: asyncio.StreamReader, w: asyncio.StreamWriter) -> None:
-                line = await r.read(4096)
-                self.lines.append(line)
-                try:
-                    await self.script(r, w, line)
-                except (OSError, AssertionError):
-                    pass
-                finally:
-                    w.close()
-
-        return Peeking(play)
-
-    endpoints = [script(act) for act in acts]
-    async with AsyncExitStack() as stack:
-        names, discovery = await serve_all(stack, endpoints)
-        file = write_config(folder, discovery.address, listed(names))
-        relay = Relay(load({"GW_CONFIG": str(file)}, str(write_operator(folder, tls, **more))))
-        relay.balancer_actor.placements = []
-        relay.start()
-        stack.push_async_callback(relay.stop)
-        yield relay, endpoints
-
-
 def test_a_session_stands_over_tls_and_a_restarted_stream_is_one_request(tmp_path: Path) -> None:
     # The stream starts three times, for TLS and SASL; only the bind is a request, and it is placed once.
     async def go() -> None:
-        async with relaying(tmp_path, lambda s: echo(s, server_tls()), tls=True) as (relay, _):
+        async with relaying_xmpp(tmp_path, lambda s: echo(s, server_tls()), tls=True) as (relay, _):
             client = await Client.connect(relay.xmpp.address)
             await client.login(client_tls())
             assert relay.balancer_actor.placements == []
@@ -130,7 +45,7 @@
 
 def test_plain_is_offered_under_tls_and_a_wrong_password_is_no_request(tmp_path: Path) -> None:
     async def go() -> None:
-        async with relaying(tmp_path, echo) as (relay, _):
+        async with relaying_xmpp(tmp_path, echo) as (relay, _):
             client = await Client.connect(relay.xmpp.address)
             await client.login(client_tls(), plain=True)
             assert (await client.bind()).endswith("lan/desk")
@@ -165,7 +80,7 @@
 )
 def test_what_must_be_refused_ends_in_its_defined_error(tmp_path: Path, said: str, condition: str) -> None:
     async def go() -> None:
-        async with relaying(tmp_path, echo, negotiate_s=0.5) as (relay, (endpoint,)):
+        async with relaying_xmpp(tmp_path, echo, negotiate_s=0.5) as (relay, (endpoint,)):
             client = await Client.connect(relay.xmpp.address)
             client.say(said)
             heard = await client.rest()
@@ -176,13 +91,6 @@
     story(go())
 
 
-async def turns_away(server: Server) -> None:
-    await server.accept()
-    server.say(
-        "<stream:error><resource-constraint xmlns='urn:ietf:params:xml:ns:xmpp-streams'/></stream:error>"
-    )
-
-
 async def breaks(server: Server) -> None:
     await server.accept()
     server.writer.transport.abort()
@@ -197,7 +105,7 @@
     tmp_path: Path, act: Callable[[Server], Awaitable[None]]
 ) -> None:
     async def go() -> None:
-        async with relaying(tmp_path, *[act] * 5, wait_ms=900) as (relay, endpoints):
+        async with relaying_xmpp(tmp_path, *[act] * 5, wait_ms=900) as (relay, endpoints):
             client = await Client.connect(relay.xmpp.address)
             await client.login(client_tls())
             began = asyncio.get_running_loop().time()
@@ -222,7 +130,7 @@
         await server.rest()
 
     async def go() -> None:
-        async with relaying(tmp_path, slow_speaker) as (relay, _):
+        async with relaying_xmpp(tmp_path, slow_speaker) as (relay, _):
             client = await Client.connect(relay.xmpp.address)
             await client.login(client_tls())
             await client.bind()
@@ -245,7 +153,7 @@
         await server.writer.drain()
 
     async def go() -> None:
-        async with relaying(tmp_path, dies) as (relay, _):
+        async with relaying_xmpp(tmp_path, dies) as (relay, _):
             client = await Client.connect(relay.xmpp.address)
             await client.login(client_tls())
             await client.bind()
@@ -277,7 +185,7 @@
     async def go(fronts: str) -> tuple[list[tuple[int, str]], list[str]]:
         folder = tmp_path / fronts
         folder.mkdir()
-        async with relaying(folder, *acts) as (relay, _):
+        async with relaying_xmpp(folder, *acts) as (relay, _):
             while relay.endpoint_registry.version != 2:
                 await asyncio.sleep(0.01)
             answers, held = [], list[object]()
@@ -339,7 +247,7 @@
 def test_silent_and_half_spoken_clients_are_cut_off_soon_and_make_room(tmp_path: Path) -> None:
     # What bad clients do to the platform's front they can do here: the bounds are the listener's, for both.
     async def go() -> None:
-        async with relaying(tmp_path, echo) as (relay, _):
+        async with relaying_xmpp(tmp_path, echo) as (relay, _):
             relay.admission.limits = ProcessLimits(sockets=96, memory_mb=192.0)
             began = asyncio.get_running_loop().time()
             half = await Client.connect(relay.xmpp.address)
--- a/tests/net/test_descriptor_exhaustion.py
+++ b/tests/net/test_descriptor_exhaustion.py
@@ -19,13 +19,14 @@
     ask,
     chunked,
     first_line,
+    free_port,
     listed,
     reply,
     served,
+    until_ready,
     up,
     write_config,
 )
-from test_program import Address, free_port
 
 DESCRIPTORS = 56
 SILENT = 60
@@ -36,15 +37,6 @@
 )
 
 
-async def ready(address: Address) -> None:
-    while True:
-        try:
-            assert await reply(address, b"PING\r\n") == b"PONG\r\n"
-            return
-        except ConnectionRefusedError:
-            await asyncio.sleep(0.02)
-
-
 async def heard(streams: Streams) -> bytes:
     """All that a client is told; a reset shows as one."""
     reader, writer = streams
@@ -83,7 +75,7 @@
                 stderr=asyncio.subprocess.DEVNULL,
             )
             stack.callback(lambda: process.returncode is None and process.kill())
-            await ready(address)
+            await until_ready(address)
 
             standing: list[Streams] = []
             refused = 0
--- a/tests/net/test_sockets.py
+++ b/tests/net/test_sockets.py
@@ -14,12 +14,11 @@
 from typing import Any
 
 import pytest
+from support.load_reports import FIELDS, probed_by
 from support.network_fakes import SETTINGS, Streams, ask, first_line, relaying, silent, up
-from support.xmpp_fakes import HEADER, Client
-from test_health_checks import FIELDS, probed_by
-from test_store import replica
-from test_xmpp_frontend import client_tls, echo
-from test_xmpp_frontend import relaying as relaying_xmpp
+from support.replication_member import replica
+from support.xmpp_fakes import HEADER, Client, echo
+from support.xmpp_relay import client_tls, relaying_xmpp
 
 from sageturn.core.shutdown import ShutdownSchedule
 from sageturn.net import listener
--- a/tests/rebalance/test_rebalance_relay.py
+++ b/tests/rebalance/test_rebalance_relay.py
@@ -13,8 +13,7 @@
 import pytest
 from support.network_fakes import SETTINGS, ask, first_line, relaying, up, write_config
 from support.xmpp_fakes import Client, echo
-from test_xmpp_frontend import client_tls, server_tls
-from test_xmpp_frontend import relaying as xmpp_relaying
+from support.xmpp_relay import client_tls, relaying_xmpp, server_tls
 
 from sageturn.config.loader import ConfigError, load, read_operator
 from sageturn.config.settings import read_settings
@@ -120,7 +119,7 @@
 
 def test_an_xmpp_client_is_asked_by_its_own_words(tmp_path: Path) -> None:
     async def go() -> None:
-        async with xmpp_relaying(tmp_path, lambda s: echo(s, server_tls()), tls=True) as (relay, _):
+        async with relaying_xmpp(tmp_path, lambda s: echo(s, server_tls()), tls=True) as (relay, _):
             file = tmp_path / "operator.json"
             file.write_text(json.dumps({**json.loads(file.read_text()), **ON}))
             client = await Client.connect(relay.xmpp.address)
--- a/tests/relay/test_program.py
+++ b/tests/relay/test_program.py
@@ -6,7 +6,6 @@
 import json
 import os
 import signal
-import socket
 import sys
 from collections.abc import AsyncIterator
 from contextlib import AsyncExitStack, asynccontextmanager
@@ -14,26 +13,21 @@
 from typing import Any
 
 from support.network_fakes import (
+    Address,
     Discovery,
     FakeEndpoint,
     ask,
     chunked,
     first_line,
+    free_port,
     listed,
     reply,
     served,
+    until_ready,
     up,
     write_config,
 )
 
-Address = tuple[str, int]
-
-
-def free_port() -> int:
-    with socket.socket() as probe:
-        probe.bind(("127.0.0.1", 0))
-        return int(probe.getsockname()[1])
-
 
 @asynccontextmanager
 async def program(
@@ -53,12 +47,7 @@
         )
         try:
             async with asyncio.timeout(10):
-                while True:
-                    try:
-                        assert await reply(address, b"PING\r\n") == b"PONG\r\n"
-                        break
-                    except ConnectionRefusedError:
-                        await asyncio.sleep(0.02)
+                await until_ready(address)
             yield process, address
         finally:
             if process.returncode is None:
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -4,25 +4,18 @@
 
 import asyncio
 import json
-from functools import partial
 from pathlib import Path
-from random import Random
 
 import pytest
-from support.replication_fleet import DialSeeds
+from support.replication_member import SECRET, replica
 from typer.testing import CliRunner, Result
 
 from sageturn.cli.main import app
-from sageturn.net.admission import AdmissionController, ProcessLimits
 from sageturn.store.channel import AuthenticatedChannel, HandshakeRejectedError, read_secret
 from sageturn.store.log import LogCorruptedError, scan
 from sageturn.store.records import InvalidRecordError, StoreRecord
-from sageturn.store.replication.member import ReplicationMember
-from sageturn.store.replication.options import ReplicationOptions
 from sageturn.store.store import Store
 
-SECRET = read_secret("one secret")
-
 
 def filled(path: Path) -> bytes:
     store = Store("n1", path)
@@ -139,19 +132,6 @@
             await asyncio.sleep(0.01)
 
 
-def replica(store: Store, *peers: tuple[str, int], secret: bytes = SECRET) -> ReplicationMember:
-    options = ReplicationOptions(("127.0.0.1", 0), peers, secret)
-    made = ReplicationMember(
-        store,
-        options,
-        AdmissionController(ProcessLimits(64, 64.0)),
-        Random(1),
-        partial(DialSeeds, seeds=peers),
-    )
-    made.start()
-    return made
-
-
 def test_replicas_converge_after_a_partition_and_pass_records_on() -> None:
     # b and c write while apart, one key on both sides; a chain of links is enough for all to agree.
     async def go() -> None:
--- a/tests/support/network_fakes.py
+++ b/tests/support/network_fakes.py
@@ -5,6 +5,7 @@
 import asyncio
 import itertools
 import json
+import socket
 import time
 from collections.abc import AsyncIterator, Awaitable, Callable, Sequence
 from contextlib import AsyncExitStack, asynccontextmanager
@@ -15,6 +16,7 @@
 from sageturn.config.loader import load
 from sageturn.relay import Relay
 
+Address = tuple[str, int]
 Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 Script = Callable[[asyncio.StreamReader, asyncio.StreamWriter, bytes], Awaitable[None]]
 
@@ -49,6 +51,23 @@
         writer.close()
 
 
+async def until_ready(address: Address) -> None:
+    """Return once the relay at ``address`` accepts connections; fail if it answers a PING otherwise."""
+    while True:
+        try:
+            assert await reply(address, b"PING\r\n") == b"PONG\r\n"
+            return
+        except ConnectionRefusedError:
+            await asyncio.sleep(0.02)
+
+
+def free_port() -> int:
+    """A port at which nobody listens just now."""
+    with socket.socket() as probe:
+        probe.bind(("127.0.0.1", 0))
+        return int(probe.getsockname()[1])
+
+
 class FakeEndpoint:
     """Keeps the first lines that came, and acts by its script."""
 
--- /dev/null
+++ b/tests/support/replication_member.py
@@ -0,0 +1,30 @@
+"""A running member of the replicated store, on sockets of its own."""
+
+from __future__ import annotations
+
+from functools import partial
+from random import Random
+
+from support.replication_fleet import DialSeeds
+
+from sageturn.net.admission import AdmissionController, ProcessLimits
+from sageturn.store.channel import read_secret
+from sageturn.store.replication.member import ReplicationMember
+from sageturn.store.replication.options import ReplicationOptions
+from sageturn.store.store import Store
+
+SECRET = read_secret("one secret")
+
+
+def replica(store: Store, *peers: tuple[str, int], secret: bytes = SECRET) -> ReplicationMember:
+    """Dials ``peers`` and nobody else; to be stopped by the caller."""
+    options = ReplicationOptions(("127.0.0.1", 0), peers, secret)
+    made = ReplicationMember(
+        store,
+        options,
+        AdmissionController(ProcessLimits(64, 64.0)),
+        Random(1),
+        partial(DialSeeds, seeds=peers),
+    )
+    made.start()
+    return made
--- a/tests/support/xmpp_fakes.py
+++ b/tests/support/xmpp_fakes.py
@@ -149,3 +149,10 @@
             server.say("</stream:stream>")
             return
         server.say(message[0])
+
+
+async def turns_away(server: Server) -> None:
+    await server.accept()
+    server.say(
+        "<stream:error><resource-constraint xmlns='urn:ietf:params:xml:ns:xmpp-streams'/></stream:error>"
+    )
--- /dev/null
+++ b/tests/support/xmpp_relay.py
@@ -0,0 +1,99 @@
+"""A relay with both frontends between scripted XMPP clients and servers, and its certificates."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import ssl
+from collections.abc import AsyncIterator
+from contextlib import AsyncExitStack, asynccontextmanager
+from pathlib import Path
+
+import trustme
+from support.network_fakes import FakeEndpoint, listed, serve_all, write_config
+from support.xmpp_fakes import Act, Server, turns_away
+
+from sageturn.config.loader import load
+from sageturn.frontends.xmpp.accounts import PREFIX, make_record
+from sageturn.relay import Relay
+from sageturn.store.store import Store
+
+CA = trustme.CA()
+CERT = CA.issue_cert("guides.example")
+
+
+def client_tls() -> ssl.SSLContext:
+    context = ssl.create_default_context()
+    CA.configure_trust(context)
+    return context
+
+
+def server_tls() -> ssl.SSLContext:
+    context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
+    CERT.configure_cert(context)
+    return context
+
+
+def write_operator(folder: Path, endpoint_tls: bool, **more: object) -> Path:
+    (folder / "pw").write_text("relay-pw\n")
+    CERT.cert_chain_pems[0].write_to_path(folder / "cert.pem")
+    CERT.private_key_pem.write_to_path(folder / "key.pem")
+    CA.cert_pem.write_to_path(folder / "ca.pem")
+    endpoint = {"username": "relay", "password_file": "pw", "tls": endpoint_tls, "ca_file": "ca.pem"}
+    xmpp = {
+        "listen": "127.0.0.1:0",
+        "domain": "guides.example",
+        "certificate": "cert.pem",
+        "key": "key.pem",
+        "wait_ms": 2000,
+        "endpoint": endpoint,
+        **more,
+    }
+    store = Store("n1", folder / "store")
+    for name in ("lan", "mai"):
+        store.put(PREFIX + name, make_record("pw", "c", "t", iterations=4096))
+    store.close()
+    file = folder / "operator.json"
+    file.write_text(json.dumps({"xmpp": xmpp, "store": {"path": "store"}}))
+    return file
+
+
+@asynccontextmanager
+async def relaying_xmpp(
+    folder: Path, *acts: Act, tls: bool = False, **more: object
+) -> AsyncIterator[tuple[Relay, list[FakeEndpoint]]]:
+    def script(act: Act) -> FakeEndpoint:
+        async def play(r: asyncio.StreamReader, w: asyncio.StreamWriter, line: bytes) -> None:
+            if line.startswith(b"OPEN"):  # the same host in the platform's words
+                w.write(b"BUSY\r\n" if act is turns_away else b"UP r1\r\n")
+                if act is turns_away:
+                    return
+                while said := await r.readline():
+                    w.write(said)
+                return
+            server = Server(r, w)
+            server.seen = line.decode()
+            await act(server)
+
+        class Peeking(FakeEndpoint):
+            async def serve(self, r: asyncio.StreamReader, w: asyncio.StreamWriter) -> None:
+                line = await r.read(4096)
+                self.lines.append(line)
+                try:
+                    await self.script(r, w, line)
+                except (OSError, AssertionError):
+                    pass
+                finally:
+                    w.close()
+
+        return Peeking(play)
+
+    endpoints = [script(act) for act in acts]
+    async with AsyncExitStack() as stack:
+        names, discovery = await serve_all(stack, endpoints)
+        file = write_config(folder, discovery.address, listed(names))
+        relay = Relay(load({"GW_CONFIG": str(file)}, str(write_operator(folder, tls, **more))))
+        relay.balancer_actor.placements = []
+        relay.start()
+        stack.push_async_callback(relay.stop)
+        yield relay, endpoints
