--- a/sageturn/net/listener.py
+++ b/sageturn/net/listener.py
@@ -10,13 +10,8 @@
 from contextlib import suppress
 
 from sageturn.net.admission import AdmissionController, PendingConnection
-from sageturn.net.sockets import (
-    DESCRIPTOR_RESERVE,
-    OUT_OF_DESCRIPTORS_ERRNOS,
-    bind_socket,
-    configure_socket,
-    send_and_close,
-)
+from sageturn.net.descriptors import DESCRIPTOR_RESERVE, OUT_OF_DESCRIPTORS_ERRNOS
+from sageturn.net.sockets import bind_socket, configure_socket, send_and_close
 
 log = logging.getLogger(__name__)
 
--- a/sageturn/net/sockets.py
+++ b/sageturn/net/sockets.py
@@ -3,25 +3,20 @@
 from __future__ import annotations
 
 import asyncio
-import errno
-import os
-import resource
 import select
 import socket
 import struct
-from collections.abc import Callable, Iterator, Sequence
-from contextlib import contextmanager, suppress
+from collections.abc import Callable, Sequence
+from contextlib import suppress
 from enum import Enum, auto
 
 from sageturn.core.close_reason import CloseReason
+from sageturn.net.descriptors import DESCRIPTOR_RESERVE, OUT_OF_DESCRIPTORS_ERRNOS
 
 Buffer = bytes | bytearray | memoryview
-OUT_OF_DESCRIPTORS_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 LINGER_S = 0.5  # how long a closed connection's other side is awaited
 LINGER_MOST = 65536  # and how much it may still send; more comes only from one that floods
 FLOOD_S = 0.1  # it has the answer by then: it reads what it is sent
-# The watch and the one that takes its place, a link between stores, and the configuration's file.
-RESERVED_DESCRIPTORS = 4
 
 
 class ConnectFailure(Enum):
@@ -39,60 +34,6 @@
 }
 
 
-class DescriptorReserve:
-    """Descriptors that no client can take: held open on nothing, and given up for what must not wait.
-
-    Clients who stand or rest may fill all others for as long as they like. Without these the watch would get
-    none, and the relay would go on with an old list.
-    """
-
-    def __init__(self) -> None:
-        self._held: list[int] = []
-        self._size = 0
-
-    def resize(self, size: int) -> None:
-        self._size = size
-        while len(self._held) > size:
-            os.close(self._held.pop())
-        self.refill()
-
-    def refill(self) -> bool:
-        """Asked before a client takes a descriptor: False while one that was given up is not made good."""
-        while len(self._held) < self._size:
-            try:
-                self._held.append(os.open(os.devnull, os.O_RDONLY))
-            except OSError:
-                return False
-        return True
-
-    def release_one(self) -> bool:
-        """One is free from here on, until the next await. False if there is none left to give up."""
-        if not self._held:
-            return False
-        os.close(self._held.pop())
-        return True
-
-    @contextmanager
-    def borrow(self) -> Iterator[None]:
-        """For a file that is read and closed again in one turn of the loop."""
-        self.release_one()
-        try:
-            yield
-        finally:
-            self.refill()
-
-
-DESCRIPTOR_RESERVE = DescriptorReserve()  # one for the process, as its table of descriptors is
-
-
-def set_descriptor_limit(most: int) -> None:
-    """So that running out shows as an error that the listener knows how to answer."""
-    _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    if hard == resource.RLIM_INFINITY or hard >= most:
-        resource.setrlimit(resource.RLIMIT_NOFILE, (most, hard))
-    DESCRIPTOR_RESERVE.resize(RESERVED_DESCRIPTORS)
-
-
 def configure_socket(sock: socket.socket) -> socket.socket:
     sock.setblocking(False)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
--- a/sageturn/relay.py
+++ b/sageturn/relay.py
@@ -26,9 +26,9 @@
 from sageturn.frontends.xmpp.accounts import Accounts
 from sageturn.frontends.xmpp.frontend import XmppFrontend
 from sageturn.net.admission import AdmissionController
+from sageturn.net.descriptors import DESCRIPTOR_RESERVE, set_descriptor_limit
 from sageturn.net.discovery import DiscoveryClient
 from sageturn.net.listener import Listener
-from sageturn.net.sockets import DESCRIPTOR_RESERVE, set_descriptor_limit
 from sageturn.store.records import StoreRecord
 from sageturn.store.store import Store
 
--- a/tests/net/test_sockets.py
+++ b/tests/net/test_sockets.py
@@ -23,10 +23,9 @@
 from sageturn.core.shutdown import ShutdownSchedule
 from sageturn.net import listener
 from sageturn.net.admission import ProcessLimits
+from sageturn.net.descriptors import DESCRIPTOR_RESERVE, DescriptorReserve
 from sageturn.net.sockets import (
-    DESCRIPTOR_RESERVE,
     ConnectFailure,
-    DescriptorReserve,
     close_gracefully,
     connect,
     connect_unreserved,
@@ -238,7 +237,7 @@
 
     DESCRIPTOR_RESERVE.resize(0)  # relays of tests before in this process have filled it, from the real table
     monkeypatch.setattr("sageturn.net.sockets.socket", Instead(socket, socket=new_socket))
-    monkeypatch.setattr("sageturn.net.sockets.os", Instead(os, open=open_file, close=close_file))
+    monkeypatch.setattr("sageturn.net.descriptors.os", Instead(os, open=open_file, close=close_file))
     yield left
     DESCRIPTOR_RESERVE.resize(0)
 
