--- a/sageturn/frontends/platform/connection.py
+++ b/sageturn/frontends/platform/connection.py
@@ -15,11 +15,10 @@
 from sageturn.frontends.platform.line_reader import MAX_LINE_BYTES, read_line
 from sageturn.frontends.platform.relaying import LineRelay
 from sageturn.frontends.platform.request_line import RequestLine
+from sageturn.net.closing import close_gracefully, close_with_reset
 from sageturn.net.sockets import (
     CLOSE_REASON_OF_CONNECT_FAILURE,
     ConnectFailure,
-    close_gracefully,
-    close_with_reset,
     connect_unreserved,
     send_gathered,
     wait_for_close_reason,
--- a/sageturn/frontends/platform/frontend.py
+++ b/sageturn/frontends/platform/frontend.py
@@ -15,7 +15,7 @@
 from sageturn.frontends.platform.request_line import RequestLine, parse_request_line
 from sageturn.frontends.platform.timing import REQUEST_LINE_TIMEOUT_S
 from sageturn.net.admission import PendingConnection
-from sageturn.net.sockets import LINGER_S, close_gracefully, send_and_close
+from sageturn.net.closing import LINGER_S, close_gracefully, send_and_close
 
 log = logging.getLogger(__name__)
 
--- a/sageturn/frontends/platform/relaying.py
+++ b/sageturn/frontends/platform/relaying.py
@@ -19,7 +19,7 @@
     LAST_LINE_TIMEOUT_S,
     MOVE_TIMEOUT_S,
 )
-from sageturn.net.sockets import close_gracefully, close_with_reset, shutdown_write
+from sageturn.net.closing import close_gracefully, close_with_reset, shutdown_write
 
 MOVE = b"MOVE\r\n"
 
--- a/sageturn/frontends/xmpp/connection.py
+++ b/sageturn/frontends/xmpp/connection.py
@@ -20,11 +20,10 @@
 from sageturn.frontends.xmpp.relaying import StanzaRelay
 from sageturn.frontends.xmpp.session import XmppSession
 from sageturn.frontends.xmpp.stream_parser import Stanza, StreamClosed
+from sageturn.net.closing import close_gracefully, close_with_reset
 from sageturn.net.sockets import (
     CLOSE_REASON_OF_CONNECT_FAILURE,
     ConnectFailure,
-    close_gracefully,
-    close_with_reset,
     connect_unreserved,
     is_closed_by_peer,
     wait_for_close_reason,
--- a/sageturn/frontends/xmpp/frontend.py
+++ b/sageturn/frontends/xmpp/frontend.py
@@ -18,7 +18,7 @@
 from sageturn.frontends.xmpp.options import XmppOptions
 from sageturn.frontends.xmpp.session import STREAM_CLOSE, XmppSession
 from sageturn.net.admission import PendingConnection
-from sageturn.net.sockets import LINGER_S, close_gracefully, send_and_close
+from sageturn.net.closing import LINGER_S, close_gracefully, send_and_close
 
 log = logging.getLogger(__name__)
 
--- a/sageturn/frontends/xmpp/relaying.py
+++ b/sageturn/frontends/xmpp/relaying.py
@@ -22,7 +22,7 @@
 from sageturn.frontends.xmpp.namespaces import RELAY_NS, STREAMS_NS
 from sageturn.frontends.xmpp.session import XmppSession
 from sageturn.frontends.xmpp.stream_parser import Stanza, StreamClosed
-from sageturn.net.sockets import close_gracefully, close_with_reset
+from sageturn.net.closing import close_gracefully, close_with_reset
 
 # How long a stanza that is being received may take to be complete when its client is to be migrated.
 STANZA_BOUNDARY_TIMEOUT_S = 0.7
--- a/sageturn/net/__init__.py
+++ b/sageturn/net/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets: helpers, the listener and discovery's client."""
+"""Sockets: connecting and closing, admission control, the listener, and the clients of other services."""
--- a/sageturn/net/admission.py
+++ b/sageturn/net/admission.py
@@ -1,4 +1,8 @@
-"""Who may hold a descriptor: bounds on connections that have not asked yet, shared by all listeners."""
+"""Admission control: how many connections all listeners hold, and which give way to new ones.
+
+A connection that has sent no request yet is pending. Pending ones are bounded on their own, and the oldest
+of them is evicted for a new one.
+"""
 
 from __future__ import annotations
 
@@ -6,35 +10,37 @@
 from contextlib import suppress
 from dataclasses import dataclass
 
-# What a relay was seen to use: 23 MB once it runs, and 45 KB more for each standing connection.
-BASE_MB = 26.0
-CONNECTION_MB = 48.0 / 1024.0
-# Of the descriptors, the part for those who have not asked. Usual clients need two thirds (two for each
-# request), and half of what is left over is for closing sockets, discovery, files and the log.
-UNASKED_PART = 1.0 / 6.0
-UNASKED_LEAST = 8
+# What a relay was measured to use: 23 MB once it runs, and 45 KB more for each established connection.
+BASE_MEMORY_MB = 26.0
+CONNECTION_MEMORY_MB = 48.0 / 1024.0
+# The share of the descriptors that pending connections may take. Usual clients need two thirds (two for each
+# request), and half of the rest is for sockets that are being closed, discovery, files and the log.
+PENDING_DESCRIPTOR_SHARE = 1.0 / 6.0
+MIN_PENDING_CONNECTIONS = 8
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessLimits:
-    """What the platform allows this process."""
+    """What the platform allows this process: descriptors (``sockets``) and memory."""
 
     sockets: int
     memory_mb: float
 
     @property
-    def awaiting_request(self) -> int:
-        """Connections that have not asked for anything yet."""
-        return max(UNASKED_LEAST, min(int(self.sockets * UNASKED_PART), self.held // 2))
+    def max_pending(self) -> int:
+        """Connections that have sent no request yet."""
+        by_descriptors = int(self.sockets * PENDING_DESCRIPTOR_SHARE)
+        return max(MIN_PENDING_CONNECTIONS, min(by_descriptors, self.max_connections // 2))
 
     @property
-    def held(self) -> int:
-        """Connections from clients, whatever their state; endpoints' come on top in ``CONNECTION_MB``."""
-        return max(2 * UNASKED_LEAST, int((self.memory_mb - BASE_MB) / CONNECTION_MB))
+    def max_connections(self) -> int:
+        """Connections from clients, pending or not; ``CONNECTION_MEMORY_MB`` counts their endpoints' in."""
+        by_memory = int((self.memory_mb - BASE_MEMORY_MB) / CONNECTION_MEMORY_MB)
+        return max(2 * MIN_PENDING_CONNECTIONS, by_memory)
 
 
 class PendingConnection:
-    """One accepted connection. Until it has asked, its time is short and can be cut at any moment."""
+    """One accepted connection. Until it has sent its request, its time is short and it may be evicted."""
 
     def __init__(self, admission: AdmissionController) -> None:
         self._admission = admission
@@ -43,63 +49,73 @@
         self.evicted = False
 
     def time_limit(self, seconds: float) -> asyncio.Timeout:
-        """To be entered around each wait for the client; ``seconds`` count from its acceptance."""
-        until = 0.0 if self.evicted else self._accepted_s + seconds
-        self._timeout = asyncio.timeout_at(until)
+        """To be entered around each wait for the client; ``seconds`` count from its acceptance.
+
+        An eviction ends the wait at once, with TimeoutError as well.
+        """
+        deadline_s = 0.0 if self.evicted else self._accepted_s + seconds
+        self._timeout = asyncio.timeout_at(deadline_s)
         return self._timeout
 
     def evict(self) -> None:
+        """End what the connection waits for. Called by the admission controller."""
         self.evicted = True
         if self._timeout is not None:
             with suppress(RuntimeError):  # its time was just over anyway, or nothing is waited for
                 self._timeout.reschedule(0.0)
 
     def mark_active(self) -> None:
-        """It has made a request that can be used: from here on it is a client, and stays."""
+        """It has sent a valid request: it is not evicted any more."""
         self._admission.mark_active(self)
 
 
 class AdmissionController:
-    """Counts what all listeners hold. The longest silent make room for the newest."""
+    """Counts the connections of all listeners of this process."""
 
     def __init__(self, limits: ProcessLimits) -> None:
+        """``limits`` may be replaced while it runs."""
         self.limits = limits
-        self.held = 0
-        self._awaiting_request: dict[PendingConnection, None] = {}  # in the order of arrival
+        self.connection_count = 0
+        self._pending: dict[PendingConnection, None] = {}  # oldest first
 
     @property
     def is_full(self) -> bool:
-        return self.held >= self.limits.held
+        """Whether a new connection is only admitted in the place of another."""
+        return self.connection_count >= self.limits.max_connections
 
     @property
     def awaiting_request(self) -> int:
-        """Connections that have not asked yet."""
-        return len(self._awaiting_request)
+        """How many connections have sent no request yet."""
+        return len(self._pending)
 
     def admit(self) -> PendingConnection:
-        pending = PendingConnection(self)
-        self.held += 1
-        self._awaiting_request[pending] = None
-        while len(self._awaiting_request) > self.limits.awaiting_request:
+        """Count a new connection, evicting the oldest pending ones if there are too many."""
+        connection = PendingConnection(self)
+        self.connection_count += 1
+        self._pending[connection] = None
+        while len(self._pending) > self.limits.max_pending:
             self.evict_oldest_pending()
-        return pending
+        return connection
 
     def evict_oldest_pending(self) -> bool:
-        """False if everyone has asked."""
-        oldest = next(iter(self._awaiting_request), None)
+        """False if no connection is pending."""
+        oldest = next(iter(self._pending), None)
         if oldest is None:
             return False
-        del self._awaiting_request[oldest]
+        del self._pending[oldest]
         oldest.evict()
         return True
 
     def evict_all_pending(self) -> None:
+        """Called when the relay shuts down."""
         while self.evict_oldest_pending():
             pass
 
-    def mark_active(self, pending: PendingConnection) -> None:
-        self._awaiting_request.pop(pending, None)
+    def mark_active(self, connection: PendingConnection) -> None:
+        """Its client has sent a valid request."""
+        self._pending.pop(connection, None)
 
-    def release(self, pending: PendingConnection) -> None:
-        self.mark_active(pending)
-        self.held -= 1
+    def release(self, connection: PendingConnection) -> None:
+        """Its socket has been closed."""
+        self.mark_active(connection)
+        self.connection_count -= 1
--- a/sageturn/net/health_check_client.py
+++ b/sageturn/net/health_check_client.py
@@ -1,4 +1,7 @@
-"""Asks endpoints for load reports over connections that it keeps; read in only where probes are allowed."""
+"""Requests load reports from endpoints over connections that it keeps open.
+
+Imported only where the deployment allows health checks.
+"""
 
 from __future__ import annotations
 
@@ -8,6 +11,7 @@
 from collections import Counter
 from collections.abc import Awaitable, Callable, Collection, Mapping
 from contextlib import suppress
+from dataclasses import dataclass, field
 
 from sageturn.core.tasks import cancel_and_wait
 from sageturn.decision import HealthCheckCompleted
@@ -16,13 +20,27 @@
 
 log = logging.getLogger(__name__)
 
-ASK = b"STATS\r\n"
-ANSWER_S = 1.0  # by then the endpoint is due to be asked anew
-LINE_MOST = TEXT_MOST + 64
+REQUEST = b"STATS\r\n"
+RESPONSE_TIMEOUT_S = 1.0  # by then the endpoint is due to be checked anew
+MAX_RESPONSE_BYTES = TEXT_MOST + 64
+
+
+@dataclass(frozen=True, slots=True)
+class _Outcome:
+    """``status`` is one of those that ``HealthCheckCompleted`` takes; ``report`` holds values by field."""
+
+    status: str
+    report: dict[str, float] = field(default_factory=dict)
+
+
+@dataclass(frozen=True, slots=True)
+class _IdleConnection:
+    sock: socket.socket
+    last_used_s: float
 
 
 class HealthCheckClient:
-    """One probe at a time at each endpoint. Whatever comes of it is told once; nothing here is fatal."""
+    """Checks each endpoint once at a time. Each outcome is notified once; no failure here is fatal."""
 
     def __init__(
         self,
@@ -30,87 +48,103 @@
         fields: Collection[str],
         connect_s: float,
         keep_s: float,
-        tell: Callable[[HealthCheckCompleted], Awaitable[None]],
+        on_completed: Callable[[HealthCheckCompleted], Awaitable[None]],
         dropped: Counter[str],
     ) -> None:
         """``fields``: what reports hold. ``keep_s``: how long an endpoint leaves an idle connection open.
-        ``dropped`` counts values of reports that could not be used, by why.
+        ``dropped`` counts values of reports that could not be used, by the reason.
         """
-        self._addresses, self._fields, self._tell = addresses, fields, tell
-        self._connect_s, self._keep_s, self._dropped = connect_s, keep_s, dropped
-        self._kept: dict[str, tuple[float, socket.socket]] = {}  # with when it was last used
-        self._out: dict[str, asyncio.Task[None]] = {}
-
-    def ask(self, endpoint: str) -> None:
-        """Called by the module's actor, which must never wait: one that has not yet answered is not asked."""
-        if endpoint in self._out:
+        self._addresses = addresses
+        self._fields = fields
+        self._connect_timeout_s = connect_s
+        self._keep_s = keep_s
+        self.on_completed = on_completed
+        self._dropped = dropped
+        self._idle: dict[str, _IdleConnection] = {}
+        self._checks: dict[str, asyncio.Task[None]] = {}
+
+    def start_check(self, endpoint: str) -> None:
+        """Begin a check, unless one is under way. Called by the balancer's actor, which must never wait."""
+        if endpoint in self._checks:
             return
-        self._forget_idle()
-        task = self._out[endpoint] = asyncio.ensure_future(self._probe(endpoint))
-        task.add_done_callback(lambda _: self._out.pop(endpoint, None))
+        self._close_idle()
+        task = asyncio.ensure_future(self._check(endpoint))
+        self._checks[endpoint] = task
+        task.add_done_callback(lambda _: self._checks.pop(endpoint, None))
+
+    @property
+    def checks_under_way(self) -> int:
+        """How many endpoints are being checked."""
+        return len(self._checks)
 
-    def _forget_idle(self) -> None:
-        """Also those to endpoints that have left the list: nobody asks them any more."""
+    def _close_idle(self) -> None:
+        """Also those to endpoints that have left the list: they are not checked any more."""
         oldest_s = asyncio.get_running_loop().time() - self._keep_s / 2.0
-        for endpoint in [name for name, (used_s, _) in self._kept.items() if used_s < oldest_s]:
-            self._kept.pop(endpoint)[1].close()
+        expired = [name for name, idle in self._idle.items() if idle.last_used_s < oldest_s]
+        for endpoint in expired:
+            self._idle.pop(endpoint).sock.close()
 
-    async def _probe(self, endpoint: str) -> None:
-        status, report = "timeout", dict[str, float]()
+    async def _check(self, endpoint: str) -> None:
+        outcome = _Outcome("timeout")
         try:
-            async with asyncio.timeout(self._connect_s + ANSWER_S):
-                status, report = await self._converse(endpoint)
+            async with asyncio.timeout(self._connect_timeout_s + RESPONSE_TIMEOUT_S):
+                outcome = await self._request_report(endpoint)
         except TimeoutError:
             pass
         except OSError as error:
-            log.info("probe of %s: %s", endpoint, error)
-            status = "error"
-        await self._tell(HealthCheckCompleted(endpoint, status, report))
+            log.info("health check failed endpoint=%s reason=%s", endpoint, error)
+            outcome = _Outcome("error")
+        await self.on_completed(HealthCheckCompleted(endpoint, outcome.status, outcome.report))
 
-    async def _converse(self, endpoint: str) -> tuple[str, dict[str, float]]:
+    async def _request_report(self, endpoint: str) -> _Outcome:
         address = self._addresses.get(endpoint)
         if address is None:
-            return "moot", {}
-        line = b""
-        kept = self._kept.pop(endpoint, None)
-        if kept is not None:
-            with suppress(OSError):  # closed as idle, or the endpoint has started anew: that is no answer yet
-                line = await self._exchange(endpoint, kept[1])
-        if not line:
-            sock = await connect_unreserved(address, self._connect_s)
+            return _Outcome("moot")
+        response = b""
+        idle = self._idle.pop(endpoint, None)
+        if idle is not None:
+            with suppress(OSError):  # closed as idle, or the endpoint has restarted: that is no answer yet
+                response = await self._exchange(endpoint, idle.sock)
+        if not response:
+            sock = await connect_unreserved(address, self._connect_timeout_s)
             if isinstance(sock, ConnectFailure):
-                return "connect_failed", {}
-            line = await self._exchange(endpoint, sock)
-        word, _, rest = line.partition(b" ")
+                return _Outcome("connect_failed")
+            response = await self._exchange(endpoint, sock)
+        word, _, rest = response.partition(b" ")
         if word == b"NO":
-            return "refused", {}
+            return _Outcome("refused")
         if word != b"PONG":
-            return "error", {}
-        return "ok", read_report(rest, self._fields, self._dropped)
+            return _Outcome("error")
+        return _Outcome("ok", read_report(rest, self._fields, self._dropped))
 
     async def _exchange(self, endpoint: str, sock: socket.socket) -> bytes:
-        """One answer without its CRLF; b"" for none, half a line or one too long: then the end is closed."""
+        """Return one line without its CRLF, and keep the connection.
+
+        b"" for none, an incomplete one or one too long: then the connection is closed.
+        """
         loop = asyncio.get_running_loop()
-        line, buffer = bytearray(), bytearray(LINE_MOST)
-        whole = False
+        line = bytearray()
+        buffer = bytearray(MAX_RESPONSE_BYTES)
+        complete = False
         try:
-            await loop.sock_sendall(sock, ASK)
-            while len(line) < LINE_MOST and not line.endswith(b"\n"):
+            await loop.sock_sendall(sock, REQUEST)
+            while len(line) < MAX_RESPONSE_BYTES and not line.endswith(b"\n"):
                 size = await loop.sock_recv_into(sock, buffer)
                 if not size:
                     return b""
                 line += buffer[:size]
-            whole = line.endswith(b"\r\n") and line.count(b"\n") == 1
+            complete = line.endswith(b"\r\n") and line.count(b"\n") == 1
         finally:
-            if whole and not line.startswith(b"NO"):
-                self._kept[endpoint] = loop.time(), sock
+            if complete and not line.startswith(b"NO"):
+                self._idle[endpoint] = _IdleConnection(sock, loop.time())
             else:
                 sock.close()
-        return bytes(line[:-2]) if whole else b""
+        return bytes(line[:-2]) if complete else b""
 
     async def stop(self) -> None:
-        for task in list(self._out.values()):
+        """Cancel all checks and close all connections."""
+        for task in list(self._checks.values()):
             await cancel_and_wait(task)
-        for _, sock in self._kept.values():
-            sock.close()
-        self._kept.clear()
+        for idle in self._idle.values():
+            idle.sock.close()
+        self._idle.clear()
--- a/sageturn/net/listener.py
+++ b/sageturn/net/listener.py
@@ -1,4 +1,4 @@
-"""Accepts clients and gives each to its front; goes on when descriptors run out."""
+"""Accepts connections and hands each to its frontend; goes on when descriptors run out."""
 
 from __future__ import annotations
 
@@ -10,60 +10,73 @@
 from contextlib import suppress
 
 from sageturn.net.admission import AdmissionController, PendingConnection
+from sageturn.net.closing import send_and_close
 from sageturn.net.descriptors import DESCRIPTOR_RESERVE, OUT_OF_DESCRIPTORS_ERRNOS
-from sageturn.net.sockets import bind_socket, configure_socket, send_and_close
+from sageturn.net.sockets import bind_socket, configure_socket
 
 log = logging.getLogger(__name__)
 
-Serve = Callable[[socket.socket, PendingConnection], Awaitable[None]]
+ConnectionHandler = Callable[[socket.socket, PendingConnection], Awaitable[None]]
+
 BACKLOG = 1024
-AT_ONCE = 64  # taken in one turn of the loop, so that those who have been taken get theirs
-CANCEL_S = 0.02
-SHORT_PAUSE_S = 0.02
-SHORT_READ_S = 0.03  # a usual client's first line comes with its connection; nobody else is waited for
-SHORT_EVICT = 8  # silent ones cut off at a time when descriptors have run out
+MAX_ACCEPTS_PER_TURN = 64  # in one turn of the loop, so that those who have been accepted get theirs
+CANCEL_RETRY_S = 0.02
+OUT_OF_DESCRIPTORS_PAUSE_S = 0.02
+OUT_OF_DESCRIPTORS_EVICTIONS = 8  # pending connections that are evicted at a time
+# A usual client's first line comes with its connection; no other is waited for before it is rejected.
+REJECT_READ_TIMEOUT_S = 0.03
+REJECT_READ_BYTES = 8192
 
 
 class Listener:
+    """One listening socket and the connections that were accepted on it."""
+
     def __init__(
-        self, address: tuple[str, int], serve: Serve, rejection: bytes, admission: AdmissionController
+        self,
+        address: tuple[str, int],
+        handler: ConnectionHandler,
+        rejection: bytes,
+        admission: AdmissionController,
     ) -> None:
+        """Bind ``address``; raises OSError. ``rejection`` is sent to a client that is not admitted."""
         self._admission = admission
         self._sock = bind_socket(address)
         self.address: tuple[str, int] = self._sock.getsockname()
-        self._serve, self._rejection = serve, rejection
+        self._handler = handler
+        self._rejection = rejection
         self._tasks: set[asyncio.Task[None]] = set()
-        # Given up for a moment to take, answer and close a client when there is no other descriptor:
-        # left in the backlog it would have been taken by this machine and never answered.
-        self._spare: int | None = os.open(os.devnull, os.O_RDONLY)
+        # Closed for a moment to accept, answer and close a client when there is no other descriptor:
+        # in the backlog it would count as connected, and never be answered.
+        self._fallback_descriptor: int | None = os.open(os.devnull, os.O_RDONLY)
 
     def start_listening(self) -> None:
-        """From here on connections are taken, so whatever they wait for now comes out of their time."""
+        """From here on connections are queued, so whatever they wait for comes out of their time."""
         self._sock.listen(BACKLOG)
 
     async def run(self) -> None:
+        """Accept connections until cancelled."""
         try:
             while True:
-                await self._knocked()
-                if self._take(AT_ONCE):
-                    await self._make_room()
+                await self._wait_readable()
+                if self._accept(MAX_ACCEPTS_PER_TURN):
+                    await self._free_descriptors()
         finally:
             self.close()
 
-    async def _knocked(self) -> None:
-        """Returns once somebody waits. Nobody is taken here, so ending it loses nobody."""
+    async def _wait_readable(self) -> None:
+        """Return once somebody waits. Nobody is accepted here, so cancelling it loses nobody."""
         loop = asyncio.get_running_loop()
-        knock = asyncio.Event()
-        loop.add_reader(self._sock, knock.set)
+        readable = asyncio.Event()
+        loop.add_reader(self._sock, readable.set)
         try:
-            await knock.wait()
+            await readable.wait()
         finally:
             if self._sock.fileno() >= 0:
                 loop.remove_reader(self._sock)
 
-    def _take(self, most: int) -> bool:
-        """Takes those who wait, up to so many; True when that needs a descriptor more than there is."""
-        for _ in range(most):
+    def _accept(self, max_connections: int) -> bool:
+        """Accept those who wait, up to a number; True if that needs a descriptor more than there is."""
+        for _ in range(max_connections):
             if not DESCRIPTOR_RESERVE.refill():
                 return True
             try:
@@ -73,96 +86,100 @@
             except OSError as error:
                 if error.errno in OUT_OF_DESCRIPTORS_ERRNOS:
                     return True
-                log.warning("accept: %s", error)  # the client was gone before it was taken
+                log.warning("accept failed reason=%s", error)  # the client was gone before it was accepted
                 continue
             if self._admission.is_full and not self._admission.evict_oldest_pending():
-                self._own(self._reject(sock))
+                self._start_task(self._reject(sock))
             else:
-                self._own(self._guard(sock, self._admission.admit()))
+                self._start_task(self._handle(sock, self._admission.admit()))
         return False
 
     def stop_accepting(self) -> None:
-        """Takes everyone whom this machine has accepted so far, and nobody from then on."""
+        """Accept everyone whom the kernel has queued so far, and nobody from then on."""
         DESCRIPTOR_RESERVE.resize(0)  # nothing that it is kept for is begun any more
-        if self._sock.fileno() >= 0 and self._take(BACKLOG):
+        if self._sock.fileno() >= 0 and self._accept(BACKLOG):
             for _ in range(BACKLOG):  # one after the other, each on the one descriptor that there is
-                if (sock := self._take_on_spare()) is None:
+                if (sock := self._accept_on_fallback()) is None:
                     break
                 send_and_close(sock, self._rejection)
-                self._renew_spare()
+                self._reopen_fallback()
         self.close()
 
-    def _own(self, serving: Coroutine[None, None, None]) -> None:
-        task = asyncio.ensure_future(serving)
+    def _start_task(self, coroutine: Coroutine[None, None, None]) -> None:
+        task = asyncio.ensure_future(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _guard(self, sock: socket.socket, pending: PendingConnection) -> None:
+    async def _handle(self, sock: socket.socket, connection: PendingConnection) -> None:
         try:
             configure_socket(sock)
-            await self._serve(sock, pending)
+            await self._handler(sock, connection)
         except OSError as error:
-            log.info("connection: %s", error)
+            log.info("connection failed reason=%s", error)
         except Exception:
-            log.exception("a connection failed")
+            log.exception("connection handler failed")
         finally:
             sock.close()
-            self._admission.release(pending)
+            self._admission.release(connection)
 
-    async def _make_room(self) -> None:
-        """No descriptor is left: the silent give theirs up first; with none, the newest is answered."""
-        if sum(self._admission.evict_oldest_pending() for _ in range(SHORT_EVICT)):
-            await asyncio.sleep(SHORT_PAUSE_S)
+    async def _free_descriptors(self) -> None:
+        """No descriptor is left: pending connections give way; if there are none, the newest is rejected."""
+        if sum(self._admission.evict_oldest_pending() for _ in range(OUT_OF_DESCRIPTORS_EVICTIONS)):
+            await asyncio.sleep(OUT_OF_DESCRIPTORS_PAUSE_S)
         else:
-            await self._answer_short()
+            await self._reject_next()
 
-    async def _answer_short(self) -> None:
-        sock = self._take_on_spare()
+    async def _reject_next(self) -> None:
+        sock = self._accept_on_fallback()
         if sock is None:
-            await asyncio.sleep(SHORT_PAUSE_S)
+            await asyncio.sleep(OUT_OF_DESCRIPTORS_PAUSE_S)
         else:
             await self._reject(sock)
-        self._renew_spare()
+        self._reopen_fallback()
 
-    def _take_on_spare(self) -> socket.socket | None:
-        if self._spare is not None:
-            os.close(self._spare)
-            self._spare = None
+    def _accept_on_fallback(self) -> socket.socket | None:
+        self._close_fallback()
         try:
             return configure_socket(self._sock.accept()[0])
         except OSError:
             return None
 
-    def _renew_spare(self) -> None:
-        if self._spare is None:
+    def _reopen_fallback(self) -> None:
+        if self._fallback_descriptor is None:
             with suppress(OSError):
-                self._spare = os.open(os.devnull, os.O_RDONLY)
+                self._fallback_descriptor = os.open(os.devnull, os.O_RDONLY)
+
+    def _close_fallback(self) -> None:
+        if self._fallback_descriptor is not None:
+            os.close(self._fallback_descriptor)
+            self._fallback_descriptor = None
 
     async def _reject(self, sock: socket.socket) -> None:
-        """Its first bytes are read before the answer: closed over unread ones, the answer would be lost."""
+        """The client's first bytes are read before the answer: what lies unread would destroy it."""
         try:
             configure_socket(sock)
             with suppress(OSError, TimeoutError):
-                async with asyncio.timeout(SHORT_READ_S):
-                    await asyncio.get_running_loop().sock_recv_into(sock, bytearray(8192))
+                async with asyncio.timeout(REJECT_READ_TIMEOUT_S):
+                    buffer = bytearray(REJECT_READ_BYTES)
+                    await asyncio.get_running_loop().sock_recv_into(sock, buffer)
         finally:
             send_and_close(sock, self._rejection)
 
-    async def wait_until_idle(self, patience_s: float) -> None:
+    async def wait_until_idle(self, timeout_s: float) -> None:
+        """Return once all connections have ended, or after ``timeout_s``."""
         if self._tasks:
-            await asyncio.wait(self._tasks, timeout=patience_s)
+            await asyncio.wait(self._tasks, timeout=timeout_s)
 
     async def cancel_connections(self) -> None:
-        """One that is cut off while it ends politely is cut off there, too: nothing is waited for now."""
+        """End all connections. One that is lingering after its close is cancelled there as well."""
         while self._tasks:
             for task in self._tasks:
                 task.cancel()
-            await asyncio.wait(self._tasks, timeout=CANCEL_S)
+            await asyncio.wait(self._tasks, timeout=CANCEL_RETRY_S)
 
     def close(self) -> None:
+        """Stop listening; connections that were accepted go on."""
         if self._sock.fileno() >= 0:
             asyncio.get_running_loop().remove_reader(self._sock)
             self._sock.close()
-        if self._spare is not None:
-            os.close(self._spare)
-            self._spare = None
+        self._close_fallback()
--- a/sageturn/net/sockets.py
+++ b/sageturn/net/sockets.py
@@ -1,29 +1,27 @@
-"""Non-blocking sockets on asyncio's own calls, with what those leave out."""
+"""Non-blocking sockets on asyncio's own calls: connecting, writing, and noticing that a peer has left.
+
+All addresses are IPv4 addresses with a port; there are no names to look up.
+"""
 
 from __future__ import annotations
 
 import asyncio
 import select
 import socket
-import struct
 from collections.abc import Callable, Sequence
-from contextlib import suppress
 from enum import Enum, auto
 
 from sageturn.core.close_reason import CloseReason
 from sageturn.net.descriptors import DESCRIPTOR_RESERVE, OUT_OF_DESCRIPTORS_ERRNOS
 
 Buffer = bytes | bytearray | memoryview
-LINGER_S = 0.5  # how long a closed connection's other side is awaited
-LINGER_MOST = 65536  # and how much it may still send; more comes only from one that floods
-FLOOD_S = 0.1  # it has the answer by then: it reads what it is sent
 
 
 class ConnectFailure(Enum):
-    """Why a connection did not come up."""
+    """Why a connection did not come up. The names go out lower-cased, as reasons of a failed watch."""
 
     REFUSED = auto()
-    NEVER_UP = auto()
+    NEVER_UP = auto()  # within the time limit
     NO_DESCRIPTOR = auto()
 
 
@@ -35,36 +33,46 @@
 
 
 def configure_socket(sock: socket.socket) -> socket.socket:
+    """Set what every connection has: no blocking calls, and small writes sent at once."""
     sock.setblocking(False)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     return sock
 
 
-def _new_socket(reserved: bool) -> socket.socket:
+def bind_socket(address: tuple[str, int]) -> socket.socket:
+    """Reserve ``address``; connections to it are refused until ``listen`` is called. Raises OSError."""
+    sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+    try:
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # accepted sockets inherit it
+        sock.bind(address)
+        sock.setblocking(False)
+    except BaseException:
+        sock.close()
+        raise
+    return sock
+
+
+def _create_socket(use_reserve: bool) -> socket.socket:
     try:
         return socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     except OSError as error:
-        if (
-            not reserved
-            or error.errno not in OUT_OF_DESCRIPTORS_ERRNOS
-            or not DESCRIPTOR_RESERVE.release_one()
-        ):
+        if not use_reserve or error.errno not in OUT_OF_DESCRIPTORS_ERRNOS:
+            raise
+        if not DESCRIPTOR_RESERVE.release_one():
             raise
         return socket.socket(socket.AF_INET, socket.SOCK_STREAM)
 
 
-async def connect_unreserved(address: tuple[str, int], timeout_s: float) -> socket.socket | ConnectFailure:
-    """As ``connect``, for a client's sake: what is held in reserve is made good first, and not touched."""
-    if not DESCRIPTOR_RESERVE.refill():
-        return ConnectFailure.NO_DESCRIPTOR
-    return await connect(address, timeout_s, False)
-
-
 async def connect(
-    address: tuple[str, int], timeout_s: float, reserved: bool = True
+    address: tuple[str, int], timeout_s: float, use_reserve: bool = True
 ) -> socket.socket | ConnectFailure:
+    """Connect within ``timeout_s``, on a descriptor of the reserve if there is no other.
+
+    For the relay's own connections, which must come up however many clients there are.
+    """
     try:
-        sock = configure_socket(_new_socket(reserved))
+        sock = configure_socket(_create_socket(use_reserve))
     except OSError as error:
         out_of_descriptors = error.errno in OUT_OF_DESCRIPTORS_ERRNOS
         return ConnectFailure.NO_DESCRIPTOR if out_of_descriptors else ConnectFailure.REFUSED
@@ -83,8 +91,18 @@
     return sock
 
 
+async def connect_unreserved(address: tuple[str, int], timeout_s: float) -> socket.socket | ConnectFailure:
+    """As ``connect``, on behalf of a client: the descriptor reserve is refilled first, and never used."""
+    if not DESCRIPTOR_RESERVE.refill():
+        return ConnectFailure.NO_DESCRIPTOR
+    return await connect(address, timeout_s, use_reserve=False)
+
+
 async def send_gathered(sock: socket.socket, parts: Sequence[Buffer]) -> None:
-    """One gathered write; what the kernel did not take at once follows part by part."""
+    """Send all ``parts`` with one system call; what the kernel does not take at once follows part by part.
+
+    Raises OSError if the connection fails.
+    """
     try:
         sent = sock.sendmsg(parts)
     except (BlockingIOError, InterruptedError):
@@ -99,97 +117,32 @@
         sent = 0
 
 
-async def wait_for_close_reason(sock: socket.socket, look: Callable[[], CloseReason | None]) -> CloseReason:
-    """Calls ``look`` at once and whenever ``sock`` has something to read, until it gives an ending.
+async def wait_for_close_reason(sock: socket.socket, poll: Callable[[], CloseReason | None]) -> CloseReason:
+    """Call ``poll`` at once and whenever ``sock`` is readable, until it returns a reason.
 
-    ``look`` alone reads the socket then, without waiting, and may be called by others as well: what one of
-    two readers had read, but not yet been woken to put in its place, would stand behind what the other took.
+    ``poll`` alone reads the socket meanwhile, without waiting, and may be called by others as well. Two
+    readers could swap the order of the bytes: what one has read, but not yet been woken to store, would be
+    stored after what the other has read since.
     """
     loop = asyncio.get_running_loop()
-    seen: asyncio.Future[CloseReason] = loop.create_future()
+    close_reason: asyncio.Future[CloseReason] = loop.create_future()
 
-    def again() -> None:
-        if not seen.done() and (found := look()) is not None:
-            seen.set_result(found)
+    def on_readable() -> None:
+        if not close_reason.done() and (found := poll()) is not None:
+            close_reason.set_result(found)
 
-    again()
-    loop.add_reader(sock, again)
+    on_readable()
+    loop.add_reader(sock, on_readable)
     try:
-        return await seen
+        return await close_reason
     finally:
         if sock.fileno() >= 0:
             loop.remove_reader(sock)
 
 
 def is_closed_by_peer(sock: socket.socket) -> bool:
-    """Whether the other side has ended or reset it, though what it said before may still lie unread."""
-    ends = select.POLLRDHUP | select.POLLHUP | select.POLLERR
+    """Whether the peer has sent its FIN or a reset, though what it sent before may still lie unread."""
+    closed = select.POLLRDHUP | select.POLLHUP | select.POLLERR
     poll = select.poll()
-    poll.register(sock, ends)
-    return any(mask & ends for _, mask in poll.poll(0))
-
-
-def shutdown_write(sock: socket.socket) -> None:
-    with suppress(OSError):  # the other side has reset it: there is nobody left to tell
-        sock.shutdown(socket.SHUT_WR)
-
-
-def close_with_reset(sock: socket.socket) -> None:
-    """Close with a reset, as the other side of the relay was reset."""
-    with suppress(OSError):
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-    sock.close()
-
-
-def send_and_close(sock: socket.socket, text: bytes) -> None:
-    """Say one last thing, and close over nothing unread: a reset for that could destroy it on its way."""
-    with suppress(OSError):
-        sock.send(text)
-        sock.shutdown(socket.SHUT_WR)
-    _close_over_nothing(sock)
-
-
-def _close_over_nothing(sock: socket.socket) -> None:
-    with suppress(OSError):
-        left = LINGER_MOST
-        while left > 0 and (size := len(sock.recv(8192))):
-            left -= size
-    sock.close()
-
-
-async def close_gracefully(sock: socket.socket) -> None:
-    """End with FIN, and wait a little for the other's.
-
-    Closing at once while bytes of the other side lie unread would make the kernel send a reset, which
-    can destroy the last line on its way. One that floods is not read on: that would cost the others the
-    relay's core, and its own full window holds it up while the answer travels.
-    """
-    if sock.fileno() < 0:
-        return  # it was reset
-    shutdown_write(sock)
-    loop = asyncio.get_running_loop()
-    waste = bytearray(2048)
-    try:
-        with suppress(OSError, TimeoutError):
-            async with asyncio.timeout(LINGER_S):
-                left = LINGER_MOST
-                while left > 0 and (size := await loop.sock_recv_into(sock, waste)):
-                    left -= size
-                if left <= 0:
-                    await asyncio.sleep(FLOOD_S)
-    finally:
-        _close_over_nothing(sock)  # also when it is cut off while it waits
-
-
-def bind_socket(address: tuple[str, int]) -> socket.socket:
-    """Claims the address, and refuses connections to it until ``listen`` is called."""
-    sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-    try:
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # whoever is accepted has it from here
-        sock.bind(address)
-        sock.setblocking(False)
-    except BaseException:
-        sock.close()
-        raise
-    return sock
+    poll.register(sock, closed)
+    return any(mask & closed for _, mask in poll.poll(0))
--- a/sageturn/relay.py
+++ b/sageturn/relay.py
@@ -139,7 +139,7 @@
             self.balancer_actor.post_event,
             self.shared.dropped,
         )
-        self.balancer_actor.probe = prober.ask
+        self.balancer_actor.probe = prober.start_check
         return prober
 
     def _mark(self, marks: OperatorMarks) -> None:
--- a/tests/core/test_attempt_races.py
+++ b/tests/core/test_attempt_races.py
@@ -333,7 +333,7 @@
             poll.register(client, select.POLLIN)
             assert not any(mask & (select.POLLERR | select.POLLHUP) for _, mask in poll.poll(0))  # no reset
             client.close()
-            await until(lambda: not relay.admission.held)
+            await until(lambda: not relay.admission.connection_count)
             assert relay.balancer_actor.placements == [] and not endpoint.lines
 
     story(go())
--- a/tests/core/test_close_reasons.py
+++ b/tests/core/test_close_reasons.py
@@ -209,7 +209,11 @@
             scene.go_on.set()
             balancer = relay.balancer_actor._balancer
             await scene.until(
-                lambda: not relay.request_registry and not balancer.requests and not relay.admission.held
+                lambda: (
+                    not relay.request_registry
+                    and not balancer.requests
+                    and not relay.admission.connection_count
+                )
             )
             await scene.until(lambda: not any(e.open for e in endpoints))
             assert all(s.open == s.pending == 0 for s in balancer.endpoints.values())
@@ -263,7 +267,7 @@
 
             relay.shut = comes_and_shut  # type: ignore[method-assign]
             await relay.request_registry.drain(relay)
-            assert not relay.admission.held and not any(endpoint.lines)
+            assert not relay.admission.connection_count and not any(endpoint.lines)
             came[0].settimeout(5)
             heard = came[0].recv(99)
             assert heard.startswith((b"BUSY", b"ERR")) and came[0].recv(99) == b""
--- a/tests/decision/test_health_checks.py
+++ b/tests/decision/test_health_checks.py
@@ -186,7 +186,7 @@
 def test_a_probe_ends_in_one_outcome_whatever_comes_back(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, words: tuple[bytes, ...], outcomes: list[Any]
 ) -> None:
-    monkeypatch.setattr("sageturn.net.health_check_client.ANSWER_S", 0.3)
+    monkeypatch.setattr("sageturn.net.health_check_client.RESPONSE_TIMEOUT_S", 0.3)
     monkeypatch.setitem(SETTINGS, "policyLimits", {**SETTINGS["policyLimits"], "probes": True})
     monkeypatch.setitem(SETTINGS, "report", {"source": "probe", "fields": list(FIELDS)})
     script, seen = probed_by(*words)
@@ -195,13 +195,13 @@
         async with relaying(tmp_path, script) as (relay, _):
             assert relay.prober is not None
             heard: asyncio.Queue[decision.HealthCheckCompleted] = asyncio.Queue()
-            relay.prober._tell = heard.put
+            relay.prober.on_completed = heard.put
             relay.balancer_actor.probe = lambda endpoint: None  # the test asks, not the module
             for status, report in outcomes:
-                relay.prober.ask("a")
-                relay.prober.ask("a")  # one at a time
+                relay.prober.start_check("a")
+                relay.prober.start_check("a")  # one at a time
                 assert await heard.get() == decision.HealthCheckCompleted("a", status, report)
-                while relay.prober._out:
+                while relay.prober.checks_under_way:
                     await asyncio.sleep(0)
             assert len(seen) == len(words) and set(seen) == {b"STATS\r\n"} and heard.empty()
             assert await reply(relay.listener.address, first_line()) == b"UP r1\r\n"
--- a/tests/frontends/test_misbehaving_clients.py
+++ b/tests/frontends/test_misbehaving_clients.py
@@ -53,7 +53,7 @@
             assert await reader.readline() == b"UP r1\r\n"
             crowd = [await ask(relay.listener.address, b"") for _ in range(40)]
             assert await reply(relay.listener.address, first_line()) == b"UP r1\r\n"
-            assert relay.admission.held <= 2 + 16
+            assert relay.admission.connection_count <= 2 + 16
             assert await word(crowd[0]) == b"BUSY"
             writer.write(b"M 1\r\n")
             assert await reader.readline() == b"M 1\r\n"
--- a/tests/net/test_sockets.py
+++ b/tests/net/test_sockets.py
@@ -23,13 +23,9 @@
 from sageturn.core.shutdown import ShutdownSchedule
 from sageturn.net import listener
 from sageturn.net.admission import ProcessLimits
+from sageturn.net.closing import close_gracefully
 from sageturn.net.descriptors import DESCRIPTOR_RESERVE, DescriptorReserve
-from sageturn.net.sockets import (
-    ConnectFailure,
-    close_gracefully,
-    connect,
-    connect_unreserved,
-)
+from sageturn.net.sockets import ConnectFailure, connect, connect_unreserved
 from sageturn.store.store import Store
 
 
@@ -283,7 +279,7 @@
         async with relaying(tmp_path, silent) as (relay, _):
             relay.request_registry._times = ShutdownSchedule(0.0, 0.0, 0.05, 2.0)
             shut, came = relay.shut, list[socket.socket]()
-            monkeypatch.setattr(relay.listener, "_take", lambda most: True)
+            monkeypatch.setattr(relay.listener, "_accept", lambda most: True)
 
             def comes_and_shut() -> None:
                 for _ in range(3):
