--- a/experiments/measure_client_disconnects.py
+++ b/experiments/measure_client_disconnects.py
@@ -28,17 +28,16 @@
 
 from support.network_fakes import (
     SETTINGS,
-    Address,
     Discovery,
     ask,
     chunked,
     first_line,
-    free_port,
     listed,
     served,
     until_ready,
     write_config,
 )
+from support.ports import Address, free_port
 from support.xmpp_fakes import Client, Server
 from support.xmpp_relay import client_tls, write_operator
 
@@ -63,7 +62,7 @@
     return noted
 def noted_asked(life, wanted=None):
     if (ending := asked(life, wanted)) is None:
-        ask = life.record.ask
+        ask = life.record.request
         os.write(file, f"{ask.client_request_id or ask.client.split('/')[1]} {time.time()}\\n".encode())
     return ending
 for each in (platform_connection, xmpp_connection):
--- a/sageturn/core/context.py
+++ b/sageturn/core/context.py
@@ -7,9 +7,10 @@
 from dataclasses import dataclass, field
 
 from sageturn.core.balancer_actor import BalancerActor
+from sageturn.core.connection_record import ConnectionRecord
 from sageturn.core.endpoint_registry import EndpointRegistry
-from sageturn.core.request_lifecycle import ConnectionRecord, RequestLifecycle
-from sageturn.core.shutdown import RequestRegistry
+from sageturn.core.request_lifecycle import RequestLifecycle
+from sageturn.core.request_registry import RequestRegistry
 
 
 @dataclass(slots=True)
@@ -17,12 +18,13 @@
     balancer_actor: BalancerActor
     endpoint_registry: EndpointRegistry
     request_registry: RequestRegistry
-    ended: Callable[[ConnectionRecord], None]
-    dropped: Counter[str] = field(default_factory=Counter)  # values of load reports that could not be used
+    on_connection_closed: Callable[[ConnectionRecord], None]
+    # Values of load reports that could not be used, by the report's field.
+    invalid_report_values: Counter[str] = field(default_factory=Counter)
 
-    async def run(self, lifecycle: RequestLifecycle) -> None:
+    async def run_request(self, lifecycle: RequestLifecycle) -> None:
         self.request_registry.add(lifecycle)
         try:
-            self.ended(await lifecycle.run())
+            self.on_connection_closed(await lifecycle.run())
         finally:
             self.request_registry.remove(lifecycle)
--- a/sageturn/frontends/platform/connection.py
+++ b/sageturn/frontends/platform/connection.py
@@ -29,8 +29,8 @@
 
 def encode_final_response(response: FinalResponse) -> bytes:
     """The line that a client is sent when its request has failed for good."""
-    if not response.refused:
-        return f"ERR {response.why}\r\n".encode()
+    if not response.rejected:
+        return f"ERR {response.reason}\r\n".encode()
     if response.retry_after_ms >= 1:
         return b"BUSY %d\r\n" % round(response.retry_after_ms)
     return b"BUSY\r\n"
@@ -60,7 +60,7 @@
         self._endpoint: socket.socket | None = None
         self._reply = b""  # the endpoint's first line, and what followed it
         self.lifecycle = RequestLifecycle(shared.balancer_actor, self, request_line.request)
-        self.lifecycle.record.client = client.getpeername()
+        self.lifecycle.record.client_address = client.getpeername()
         self._replies = EndpointReplyParser(shared, self.lifecycle.record)
 
     # ------------------------------------------------------------ an attempt
@@ -74,7 +74,7 @@
         is_wanted: Callable[[], bool] | None = None
         # A connection that was established before this relay goes back to its endpoint, also if that drains.
         if not self._request_line.request.established_endpoint:
-            is_wanted = partial(self._shared.endpoint_registry.ready, endpoint, address)
+            is_wanted = partial(self._shared.endpoint_registry.is_ready_at, endpoint, address)
         if (close_reason := self.lifecycle.blocking_reason(is_wanted)) is not None:
             return close_reason
         sock = await connect_unreserved(address, connect_ms / 1000.0)
@@ -109,7 +109,7 @@
         request_line = self._request_line
         line = memoryview(self._buffer)
         time_left = b"%d" % max(1, int((deadline_s - loop.time()) * 1000.0))
-        key_expires_s = loop.time() + self.lifecycle.key_remaining_ms() / 1000.0
+        key_expires_s = loop.time() + self.lifecycle.idempotency_key_remaining_ms() / 1000.0
         try:
             async with asyncio.timeout_at(min(deadline_s, key_expires_s)):
                 parts = (
--- a/sageturn/frontends/platform/endpoint_reply.py
+++ b/sageturn/frontends/platform/endpoint_reply.py
@@ -5,8 +5,8 @@
 import re
 
 from sageturn.core.close_reason import CloseReason
+from sageturn.core.connection_record import ConnectionRecord
 from sageturn.core.context import RelayContext
-from sageturn.core.request_lifecycle import ConnectionRecord
 from sageturn.decision.load_reports import TEXT_MOST, read_report
 
 MAX_LAST_LINE_BYTES = TEXT_MOST + 16  # a word and a load report
@@ -46,5 +46,7 @@
         word, *rest = line.split(None, 1) or [b""]
         settings = self._shared.balancer_actor.settings
         if word in words and rest and settings.reports == "answers":
-            self._record.report = read_report(rest[0], settings.report_fields, self._shared.dropped)
+            self._record.load_report = read_report(
+                rest[0], settings.report_fields, self._shared.invalid_report_values
+            )
         return words.get(word, other)
--- a/sageturn/frontends/platform/frontend.py
+++ b/sageturn/frontends/platform/frontend.py
@@ -50,7 +50,7 @@
         pending.mark_active()
         try:
             connection = PlatformConnection(self._shared, sock, buffer, request_line)
-            await self._shared.run(connection.lifecycle)
+            await self._shared.run_request(connection.lifecycle)
         finally:
             self._ids.release(request_line.request_id)
 
@@ -93,7 +93,7 @@
 
     async def _answer_ping(self, sock: socket.socket) -> None:
         """A client that asks whether the relay is usable is answered once it is."""
-        if self._shared.request_registry.stopping:
+        if self._shared.request_registry.is_draining:
             raise InvalidRequestLineError("stopping")
-        await self._shared.endpoint_registry.usable.wait()
+        await self._shared.endpoint_registry.has_ready_endpoint.wait()
         await asyncio.get_running_loop().sock_sendall(sock, PONG)
--- a/sageturn/frontends/platform/relaying.py
+++ b/sageturn/frontends/platform/relaying.py
@@ -56,7 +56,7 @@
         downstream = asyncio.ensure_future(self._to_client.run())
         upstream = asyncio.ensure_future(self._to_endpoint.run())
         stopping = asyncio.ensure_future(stop.wait())
-        idle = asyncio.ensure_future(sleep_until_elapsed(self._idle_timeout.left_s))
+        idle = asyncio.ensure_future(sleep_until_elapsed(self._idle_timeout.remaining_s))
         reporting = asyncio.ensure_future(self._load_reporter.run())
         try:
             await asyncio.wait((downstream, upstream, stopping, idle), return_when=asyncio.FIRST_COMPLETED)
@@ -84,7 +84,7 @@
         record = self._lifecycle.record
         record.bytes_to_client = self._to_client.forwarded_bytes
         record.bytes_to_endpoint = self._to_endpoint.forwarded_bytes
-        record.quiet_s = asyncio.get_running_loop().time() - self._idle_timeout.heard_s
+        record.endpoint_idle_s = asyncio.get_running_loop().time() - self._idle_timeout.last_endpoint_data_s
 
     async def _send_move(self, downstream: Forwarding, upstream: Forwarding, reason: CloseReason) -> bool:
         """Ask the client to connect anew; False if it could not be asked.
@@ -93,7 +93,7 @@
         unless there is no more time: its endpoint is silent, or the relay's shutdown has come to its end.
         """
         sending = asyncio.ensure_future(self._to_client.send_last(MOVE))
-        out_of_time = asyncio.ensure_future(self._lifecycle.over.wait())
+        out_of_time = asyncio.ensure_future(self._lifecycle.drain_forced.wait())
         ends = (sending, downstream, upstream)
         try:
             if reason is CloseReason.MOVED:
@@ -134,10 +134,10 @@
         return CloseReason.CLIENT_LEFT
 
     def _on_endpoint_lines(self, buffer: bytearray, end: int) -> None:
-        self._idle_timeout.heard(asyncio.get_running_loop().time())
+        self._idle_timeout.on_endpoint_data(asyncio.get_running_loop().time())
         self._load_reporter.on_lines(buffer, end)
         start = buffer.rfind(b"\n", 0, end - 1) + 1
         self._last_line = bytes(buffer[start : min(end, start + MAX_LAST_LINE_BYTES)])
 
     def _on_client_lines(self, buffer: bytearray, end: int) -> None:
-        self._idle_timeout.asked(asyncio.get_running_loop().time())
+        self._idle_timeout.on_request_forwarded(asyncio.get_running_loop().time())
--- a/sageturn/frontends/platform/request_line.py
+++ b/sageturn/frontends/platform/request_line.py
@@ -50,7 +50,7 @@
     request = ClientRequest(
         class_name=class_name,
         tenant=fields.get(b"t", b"").decode(),
-        wait_ms=float(fields[b"d"]),
+        timeout_ms=float(fields[b"d"]),
         group=fields.get(b"g", b"").decode(),
         expected_load=float(expected_load) if _NUMBER.fullmatch(expected_load) else 0.0,
         established_endpoint=fields.get(b"at", b"").decode(),
--- a/sageturn/frontends/xmpp/connection.py
+++ b/sageturn/frontends/xmpp/connection.py
@@ -57,8 +57,8 @@
             client=f"{account.name}/{bind_request.resource}",
         )
         self.lifecycle = RequestLifecycle(shared.balancer_actor, self, request)
-        self.lifecycle.record.client = client.channel.sock.getpeername()
-        self.lifecycle.record.front = "xmpp"
+        self.lifecycle.record.client_address = client.channel.sock.getpeername()
+        self.lifecycle.record.frontend = "xmpp"
         self._endpoint: XmppSession | None = None
         self._jid = ""
         self._early_stanzas: list[Stanza] = []  # sent by the client before it was answered
@@ -75,7 +75,7 @@
         address = listed_address
         if self._options.port:
             address = (listed_address[0], self._options.port)
-        is_wanted = partial(self._shared.endpoint_registry.ready, endpoint, listed_address)
+        is_wanted = partial(self._shared.endpoint_registry.is_ready_at, endpoint, listed_address)
         if (close_reason := self.lifecycle.blocking_reason(is_wanted)) is not None:
             return close_reason
         sock = await connect_unreserved(address, connect_ms / 1000.0)
@@ -106,7 +106,7 @@
             return rejected.close_reason
         except OSError:
             # The request is the bind: until that was written nothing of the request was sent.
-            return CloseReason.RESET if self.lifecycle.written else CloseReason.CUT_BEFORE_WRITTEN
+            return CloseReason.RESET if self.lifecycle.write_started else CloseReason.CUT_BEFORE_WRITTEN
         return None
 
     # ------------------------------------------------------------ the client, until it is answered
--- a/sageturn/frontends/xmpp/errors.py
+++ b/sageturn/frontends/xmpp/errors.py
@@ -45,13 +45,13 @@
     Its condition tells a client that was rejected, and when to retry, from one whose request has failed.
     """
     retry = _encode_retry_after(response.retry_after_ms)
-    if response.refused and response.why == "shutdown":
+    if response.rejected and response.reason == "shutdown":
         return encode_stream_error("system-shutdown", "come again", retry)
-    if response.refused:
+    if response.rejected:
         return encode_stream_error("resource-constraint", "come again later", retry)
-    if response.why == "wait for the answer":
-        return encode_stream_error("policy-violation", response.why)
-    if response.why == "internal":
+    if response.reason == "wait for the answer":
+        return encode_stream_error("policy-violation", response.reason)
+    if response.reason == "internal":
         return encode_stream_error("internal-server-error", "the relay failed")
     return encode_stream_error("remote-connection-failed", "no endpoint could be reached")
 
--- a/sageturn/frontends/xmpp/frontend.py
+++ b/sageturn/frontends/xmpp/frontend.py
@@ -65,7 +65,7 @@
         else:
             pending.mark_active()
             connection = XmppConnection(self._shared, options, session, bind_request)
-            await self._shared.run(connection.lifecycle)
+            await self._shared.run_request(connection.lifecycle)
             return
         log.info("xmpp client rejected reason=%s", error)
         await self._reject(session, error, options.domain, pending)
--- a/sageturn/frontends/xmpp/relaying.py
+++ b/sageturn/frontends/xmpp/relaying.py
@@ -66,7 +66,7 @@
         downstream = asyncio.ensure_future(self._forward_to_client())
         upstream = asyncio.ensure_future(self._forward_to_endpoint())
         stopping = asyncio.ensure_future(stop.wait())
-        idle = asyncio.ensure_future(sleep_until_elapsed(self._idle_timeout.left_s))
+        idle = asyncio.ensure_future(sleep_until_elapsed(self._idle_timeout.remaining_s))
         try:
             await asyncio.wait((downstream, upstream, stopping, idle), return_when=asyncio.FIRST_COMPLETED)
             migration_reason = CloseReason.MOVED if stopping.done() else CloseReason.MUTE
@@ -98,7 +98,7 @@
         record = self._lifecycle.record
         record.bytes_to_endpoint = self._endpoint.sent_bytes
         record.bytes_to_client = self._client.sent_bytes
-        record.quiet_s = asyncio.get_running_loop().time() - self._idle_timeout.heard_s
+        record.endpoint_idle_s = asyncio.get_running_loop().time() - self._idle_timeout.last_endpoint_data_s
 
     async def _reach_stanza_boundary(self, downstream: Forwarding) -> bool:
         """Wait, for a while, until no stanza is half on its way to the client; False if one still is."""
@@ -133,7 +133,7 @@
         try:
             while True:
                 event = await self._endpoint.next_event()
-                self._idle_timeout.heard(loop.time())
+                self._idle_timeout.on_endpoint_data(loop.time())
                 if event is None:
                     return StreamEnd(CloseReason.ENDED, encode_stream_error("remote-connection-failed"))
                 if isinstance(event, StreamClosed):
@@ -172,7 +172,7 @@
             if not isinstance(event, Stanza):
                 continue
             if _requires_response(event):
-                self._idle_timeout.asked(loop.time())
+                self._idle_timeout.on_request_forwarded(loop.time())
             try:
                 await self._endpoint.send(event.raw)
             except OSError:
--- a/tests/core/test_attempt_races.py
+++ b/tests/core/test_attempt_races.py
@@ -55,16 +55,16 @@
 
 
 def drained(client: socket.socket, relay: Relay, name: str) -> None:
-    relay.endpoint_registry._take(EndpointListUpdate(3, False, [Endpoint(name, "draining")]))
+    relay.endpoint_registry.apply_update(EndpointListUpdate(3, False, [Endpoint(name, "draining")]))
 
 
 def gone(client: socket.socket, relay: Relay, name: str) -> None:
-    relay.endpoint_registry._take(EndpointListUpdate(3, False, [Endpoint(name, "gone")]))
+    relay.endpoint_registry.apply_update(EndpointListUpdate(3, False, [Endpoint(name, "gone")]))
 
 
 def moved(client: socket.socket, relay: Relay, name: str) -> None:
     news = [Endpoint(name, "ready", started_at_ms=1.0)]
-    relay.endpoint_registry._take(EndpointListUpdate(3, False, news, {name: ("127.0.0.1", 9)}))
+    relay.endpoint_registry.apply_update(EndpointListUpdate(3, False, news, {name: ("127.0.0.1", 9)}))
 
 
 def hurried(client: socket.socket, relay: Relay, name: str) -> None:
@@ -102,7 +102,7 @@
 
             monkeypatch.setattr(platform_connection, "connect_unreserved", comes_up)
             records: list[Any] = []
-            monkeypatch.setattr(relay.shared, "ended", records.append)
+            monkeypatch.setattr(relay.context, "on_connection_closed", records.append)
             client = socket.create_connection(relay.listener.address)
             client.sendall(first_line())
             await until(lambda: at)
--- a/tests/frontends/test_platform_frontend.py
+++ b/tests/frontends/test_platform_frontend.py
@@ -153,7 +153,7 @@
     async def go() -> None:
         async with relaying(tmp_path, then_reset) as (relay, _):
             ended: asyncio.Queue[str] = asyncio.Queue()
-            relay.shared.ended = lambda record: ended.put_nowait(record.close_reason.name)  # type: ignore[union-attr]
+            relay.context.on_connection_closed = lambda record: ended.put_nowait(record.close_reason.name)  # type: ignore[union-attr]
             reader, writer = await ask(relay.listener.address, first_line())
             assert await reader.readline() == b"UP r\r\n"
             writer.write(b"M 1\r\n")
@@ -214,7 +214,7 @@
         async with relaying(tmp_path, half) as (relay, _):
             reader, writer = await ask(relay.listener.address, first_line())
             await reader.readline()
-            draining = asyncio.ensure_future(relay.request_registry.drain(relay))
+            draining = asyncio.ensure_future(relay.request_registry.drain(relay.ingress))
             await asyncio.sleep(0)
             late = asyncio.ensure_future(reply(relay.listener.address, first_line()))
             assert await reader.read() == b"M 1 whole\r\nMOVE\r\n"
@@ -243,7 +243,8 @@
 
 
 def test_faulty_configuration_names_its_key(tmp_path: Path) -> None:
-    from sageturn.config.loader import ConfigError, load
+    from sageturn.config.errors import ConfigError
+    from sageturn.config.loader import load
 
     good = {"name": "n", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1", "settings": {}}
     faults = (({"listen": "x"}, "listen"), ({"seed": 5}, "seed"), ({}, "settings.classes: is missing"))
--- a/tests/frontends/test_xmpp_frontend.py
+++ b/tests/frontends/test_xmpp_frontend.py
@@ -27,7 +27,7 @@
     # The stream starts three times, for TLS and SASL; only the bind is a request, and it is placed once.
     async def go() -> None:
         async with relaying_xmpp(tmp_path, lambda s: echo(s, server_tls()), tls=True) as (relay, _):
-            client = await Client.connect(relay.xmpp.address)
+            client = await Client.connect(relay.xmpp_listener.address)
             await client.login(client_tls())
             assert relay.balancer_actor.placements == []
             assert await client.bind("desk") == "relay@guides.example/desk"
@@ -46,11 +46,11 @@
 def test_plain_is_offered_under_tls_and_a_wrong_password_is_no_request(tmp_path: Path) -> None:
     async def go() -> None:
         async with relaying_xmpp(tmp_path, echo) as (relay, _):
-            client = await Client.connect(relay.xmpp.address)
+            client = await Client.connect(relay.xmpp_listener.address)
             await client.login(client_tls(), plain=True)
             assert (await client.bind()).endswith("lan/desk")
             for plain in (True, False):
-                wrong = await Client.connect(relay.xmpp.address)
+                wrong = await Client.connect(relay.xmpp_listener.address)
                 with pytest.raises((AssertionError, TimeoutError)):
                     async with asyncio.timeout(1):
                         await wrong.login(client_tls(), password="nope", plain=plain)
@@ -81,7 +81,7 @@
 def test_what_must_be_refused_ends_in_its_defined_error(tmp_path: Path, said: str, condition: str) -> None:
     async def go() -> None:
         async with relaying_xmpp(tmp_path, echo, negotiate_s=0.5) as (relay, (endpoint,)):
-            client = await Client.connect(relay.xmpp.address)
+            client = await Client.connect(relay.xmpp_listener.address)
             client.say(said)
             heard = await client.rest()
             assert f"<{condition} xmlns='urn:ietf:params:xml:ns:xmpp-streams'/>" in heard
@@ -106,7 +106,7 @@
 ) -> None:
     async def go() -> None:
         async with relaying_xmpp(tmp_path, *[act] * 5, wait_ms=900) as (relay, endpoints):
-            client = await Client.connect(relay.xmpp.address)
+            client = await Client.connect(relay.xmpp_listener.address)
             await client.login(client_tls())
             began = asyncio.get_running_loop().time()
             client.wish()
@@ -131,11 +131,11 @@
 
     async def go() -> None:
         async with relaying_xmpp(tmp_path, slow_speaker) as (relay, _):
-            client = await Client.connect(relay.xmpp.address)
+            client = await Client.connect(relay.xmpp_listener.address)
             await client.login(client_tls())
             await client.bind()
             client.say("<presence/>")
-            draining = asyncio.ensure_future(relay.request_registry.drain(relay))
+            draining = asyncio.ensure_future(relay.request_registry.drain(relay.ingress))
             heard = await client.rest()
             assert heard.startswith("<message><body>half and half</body></message><stream:error><reset ")
             assert heard.endswith("</stream:error></stream:stream>")
@@ -154,7 +154,7 @@
 
     async def go() -> None:
         async with relaying_xmpp(tmp_path, dies) as (relay, _):
-            client = await Client.connect(relay.xmpp.address)
+            client = await Client.connect(relay.xmpp_listener.address)
             await client.login(client_tls())
             await client.bind()
             heard = await client.rest()
@@ -191,7 +191,7 @@
             answers, held = [], list[object]()
             for front in fronts:
                 if front == "x":
-                    client = await Client.connect(relay.xmpp.address)
+                    client = await Client.connect(relay.xmpp_listener.address)
                     await client.login(client_tls())
                     client.wish()
                     found = await client.hear("<jid>|<resource-constraint |<remote-connection-failed ")
@@ -212,7 +212,8 @@
 
 
 def test_a_faulty_operators_file_names_its_key(tmp_path: Path) -> None:
-    from sageturn.config.loader import ConfigError, read_operator
+    from sageturn.config.errors import ConfigError
+    from sageturn.config.operator import read_operator_file
 
     good = json.loads(write_operator(tmp_path, True).read_text())
     for change, key in (
@@ -223,12 +224,12 @@
     ):
         (tmp_path / "bad.json").write_text(json.dumps({"xmpp": {**good["xmpp"], **change}}))
         with pytest.raises(ConfigError, match=key):
-            read_operator(tmp_path / "bad.json", SETTINGS)
+            read_operator_file(tmp_path / "bad.json", SETTINGS)
 
 
 def test_the_operators_file_that_is_shipped_can_be_read(tmp_path: Path) -> None:
     # It is the only example an operator has: a key renamed in config.py must be renamed there too.
-    from sageturn.config.loader import read_operator
+    from sageturn.config.operator import read_operator_file
 
     shipped = Path(__file__).parents[2] / "deploy" / "xmpp.json"
     (tmp_path / "deploy").mkdir()
@@ -239,7 +240,7 @@
     CA.cert_pem.write_to_path(tmp_path / "var" / "endpoint-ca.pem")
     for name in ("replica.secret", "endpoint.password"):
         (tmp_path / "var" / name).write_text("word\n")
-    operator = read_operator(tmp_path / "deploy" / "xmpp.json", SETTINGS)
+    operator = read_operator_file(tmp_path / "deploy" / "xmpp.json", SETTINGS)
     assert operator.xmpp and operator.flows and operator.replication and operator.store_path
     assert operator.xmpp.tls is not None and operator.xmpp.endpoint.tls is not None
 
@@ -250,11 +251,11 @@
         async with relaying_xmpp(tmp_path, echo) as (relay, _):
             relay.admission.limits = ProcessLimits(sockets=96, memory_mb=192.0)
             began = asyncio.get_running_loop().time()
-            half = await Client.connect(relay.xmpp.address)
+            half = await Client.connect(relay.xmpp_listener.address)
             half.say("<?xml version='1.0'?><stream:str")
             assert "<connection-timeout " in await half.rest()
             assert asyncio.get_running_loop().time() - began < 2.9
-            crowd = [await Client.connect(relay.xmpp.address) for _ in range(30)]
+            crowd = [await Client.connect(relay.xmpp_listener.address) for _ in range(30)]
             assert "<resource-constraint " in await crowd[0].rest()
             for each in crowd:
                 each.writer.close()
--- a/tests/net/test_descriptor_exhaustion.py
+++ b/tests/net/test_descriptor_exhaustion.py
@@ -19,7 +19,6 @@
     ask,
     chunked,
     first_line,
-    free_port,
     listed,
     reply,
     served,
@@ -27,6 +26,7 @@
     up,
     write_config,
 )
+from support.ports import free_port
 
 DESCRIPTORS = 56
 SILENT = 60
--- a/tests/support/network_fakes.py
+++ b/tests/support/network_fakes.py
@@ -5,7 +5,6 @@
 import asyncio
 import itertools
 import json
-import socket
 import time
 from collections.abc import AsyncIterator, Awaitable, Callable, Sequence
 from contextlib import AsyncExitStack, asynccontextmanager
@@ -13,10 +12,11 @@
 from pathlib import Path
 from typing import Any
 
+from support.ports import Address
+
 from sageturn.config.loader import load
 from sageturn.relay import Relay
 
-Address = tuple[str, int]
 Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 Script = Callable[[asyncio.StreamReader, asyncio.StreamWriter, bytes], Awaitable[None]]
 
@@ -61,13 +61,6 @@
             await asyncio.sleep(0.02)
 
 
-def free_port() -> int:
-    """A port at which nobody listens just now."""
-    with socket.socket() as probe:
-        probe.bind(("127.0.0.1", 0))
-        return int(probe.getsockname()[1])
-
-
 class FakeEndpoint:
     """Keeps the first lines that came, and acts by its script."""
 
