--- a/sageturn/net/discovery_watch.py
+++ b/sageturn/net/discovery_watch.py
@@ -27,7 +27,7 @@
 from sageturn.net.endpoint_list import parse_endpoint_list
 from sageturn.net.errors import WatchClosedError
 from sageturn.net.json_stream import JsonObjectSplitter
-from sageturn.net.sockets import Connect, connect
+from sageturn.net.sockets import ConnectFailure, connect
 
 log = logging.getLogger(__name__)
 
@@ -90,7 +90,7 @@
     async def run(self) -> WatchFailed:
         """Make the call and report its updates; returns how it ended. Raises only faults of the program."""
         sock = await connect(self._address, CONNECT_TIMEOUT_S)
-        if isinstance(sock, Connect):
+        if isinstance(sock, ConnectFailure):
             return WatchFailed(f"connect: {sock.name.lower()}", DiscoveryFailure.UNREACHED)
         called_at_s = self._clock()
         try:
--- a/sageturn/relay/ingress.py
+++ b/sageturn/relay/ingress.py
@@ -7,8 +7,8 @@
 
 from sageturn.config.platform import RelayConfig
 from sageturn.net.admission import AdmissionController
+from sageturn.net.descriptors import set_descriptor_limit
 from sageturn.net.listener import Listener
-from sageturn.net.sockets import limit_descriptors
 from sageturn.relay.subsystem import Subsystem
 from sageturn.relay.supervisor import ActorSupervisor
 
@@ -22,24 +22,24 @@
 
     def start(self, actors: ActorSupervisor) -> None:
         for listener in self._listeners:
-            listener.open()
+            listener.start_listening()
 
     async def reload(self, old: RelayConfig, new: RelayConfig) -> None:
-        limit_descriptors(new.limits.sockets)
+        set_descriptor_limit(new.limits.sockets)
         self._admission.limits = new.limits
 
     async def stop(self) -> None:
         for listener in self._listeners:
             listener.close()
-            await listener.cancel()
+            await listener.cancel_connections()
 
     def pending_connections(self) -> int:
         return self._admission.awaiting_request
 
     def stop_accepting(self) -> None:
         for listener in self._listeners:
-            listener.shut()
-        self._admission.evict_all()
+            listener.stop_accepting()
+        self._admission.evict_all_pending()
 
     async def wait_closed(self, timeout_s: float) -> None:
-        await asyncio.gather(*(listener.finish(timeout_s) for listener in self._listeners))
+        await asyncio.gather(*(listener.wait_until_idle(timeout_s) for listener in self._listeners))
