--- a/sageturn/relay/relay.py
+++ b/sageturn/relay/relay.py
@@ -15,11 +15,11 @@
 from sageturn.core.request_registry import RequestRegistry
 from sageturn.core.shutdown_schedule import shutdown_schedule
 from sageturn.flows.exporter import FlowExporter
-from sageturn.frontends.platform import PlatformFrontend
+from sageturn.frontends.platform.frontend import PlatformFrontend
 from sageturn.net.admission import AdmissionController
+from sageturn.net.descriptors import set_descriptor_limit
 from sageturn.net.discovery import DiscoveryClient
 from sageturn.net.listener import Listener
-from sageturn.net.sockets import limit_descriptors
 from sageturn.relay.closed_connections import ClosedConnections
 from sageturn.relay.ingress import RelayIngress
 from sageturn.relay.operator_control import OverridesSubsystem, RebalancingSubsystem
@@ -74,7 +74,7 @@
         )
         frontend = PlatformFrontend(self.context)
         self.admission = AdmissionController(config.limits)
-        self.listener = Listener(config.listen, frontend.serve, frontend.turn_away, self.admission)
+        self.listener = Listener(config.listen, frontend.serve, frontend.rejection, self.admission)
         log_level = StoredLogLevel(self.store)
         self.store.on_change.append(log_level.on_store_change)
         self._replication = ReplicationSubsystem(config, self.store, self.admission)
@@ -204,7 +204,7 @@
             loop.add_signal_handler(number, shutdown_requested.set)
         loop.add_signal_handler(signal.SIGHUP, self.reload_requested.set)
         signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)  # those held back since the start come now
-        limit_descriptors(self.config.limits.sockets)
+        set_descriptor_limit(self.config.limits.sockets)
         await asyncio.sleep(START_DELAY_S)
         if not shutdown_requested.is_set():  # else told to go before anybody could come
             self.start()
--- a/sageturn/store/replication/ephemeral_client.py
+++ b/sageturn/store/replication/ephemeral_client.py
@@ -13,7 +13,7 @@
 from random import Random
 
 from sageturn.core.tasks import cancel_and_wait
-from sageturn.net.sockets import Connect, connect
+from sageturn.net.sockets import ConnectFailure, connect
 from sageturn.store.replication.backoff import Backoff
 from sageturn.store.replication.close_code import CloseCode
 from sageturn.store.replication.errors import LinkNotEstablishedError
@@ -67,7 +67,7 @@
         backoff = Backoff(MIN_RECONNECT_BACKOFF_S, MAX_RECONNECT_BACKOFF_S, _random())
         while True:
             sock = await connect(self._peer, CONNECT_TIMEOUT_S)
-            if not isinstance(sock, Connect):
+            if not isinstance(sock, ConnectFailure):
                 try:
                     await self._link_runner.run(sock, self._peer, on_session=self._sessions.append)
                 except LinkNotEstablishedError as error:
--- a/tests/config/test_deployments.py
+++ b/tests/config/test_deployments.py
@@ -172,12 +172,12 @@
 ) -> None:
     # A connection may take connectTimeoutMs; its request line once followed whatever was known by then.
     async def go() -> None:
-        from sageturn.frontends import platform
+        from sageturn.frontends.platform import connection as platform_connection
 
         async with relaying(tmp_path, up, up) as (relay, endpoints):
             by_port = {e.address[1]: (name, e) for name, e in zip("ab", endpoints, strict=True)}
             first: list[FakeEndpoint] = []
-            connect = platform.connect
+            connect = platform_connection.connect_unreserved
 
             async def connect_while_draining(address: tuple[str, int], timeout_s: float) -> Any:
                 sock = await connect(address, timeout_s)
@@ -194,7 +194,7 @@
 
             while relay.endpoint_registry.version != 2:  # discovery's own list has come
                 await asyncio.sleep(0.01)
-            monkeypatch.setattr(platform, "connect", connect_while_draining)
+            monkeypatch.setattr(platform_connection, "connect_unreserved", connect_while_draining)
             more = ",at=a" if resumed else ""
             assert await reply(relay.listener.address, first_line(more=more)) == b"UP r1\r\n"
             assert len([line for line in first[0].lines if line]) == (1 if resumed else 0)
