--- a/sageturn/core/balancer_actor.py
+++ b/sageturn/core/balancer_actor.py
@@ -55,6 +55,16 @@
 
     # ------------------------------------------------------------ for requests and other parts
 
+    @property
+    def balancer(self) -> Balancer:
+        """For tests and measurements, which may look at its state; only the actor calls it."""
+        return self._balancer
+
+    @property
+    def request_count(self) -> int:
+        """How many requests have a mailbox now."""
+        return len(self._requests)
+
     def new_request(self) -> tuple[int, asyncio.Queue[Instruction]]:
         """A new request's id, and the mailbox by which it gets its instructions until ``remove_request``."""
         self._last_id = (self._last_id + 1) % REQUEST_ID_COUNT
--- a/tests/core/test_attempt_races.py
+++ b/tests/core/test_attempt_races.py
@@ -11,6 +11,7 @@
 
 import pytest
 from support.network_fakes import SETTINGS, ask, first_line, relaying, silent, up
+from support.relay_checks import is_idle, run_within, until
 
 from sageturn.core.close_reason import CloseReason
 from sageturn.core.messages import EndpointListUpdate
@@ -19,22 +20,7 @@
 from sageturn.frontends.platform import frontend as platform_frontend
 from sageturn.relay import Relay
 
-
-def story(coro: Any) -> None:
-    asyncio.run(asyncio.wait_for(coro, 20))
-
-
-async def until(true: Any) -> None:
-    while not true():
-        await asyncio.sleep(0.005)
-
-
-def nothing_left(relay: Relay) -> bool:
-    balancer = relay.balancer_actor._balancer
-    idle = all(s.open_count == s.in_flight == 0 for s in balancer.endpoints.values())
-    return (
-        not relay.request_registry and not relay.balancer_actor._requests and not balancer.requests and idle
-    )
+TIMEOUT_S = 20.0
 
 
 # ---------------------------------------------------------------- just before the first byte is written
@@ -113,13 +99,13 @@
             elif end is hurried:
                 assert (await asyncio.to_thread(client.recv, 99)) == b"BUSY 250\r\n"
                 client.close()
-            await until(lambda: records and nothing_left(relay))
+            await until(lambda: records and is_idle(relay))
             assert not any(at[0].lines), end.__name__
             if end.__name__.startswith("leave"):
                 assert records[0].close_reason in (CloseReason.CLIENT_LEFT, CloseReason.CLIENT_RESET)
                 assert calls == attempt and not any(line for e in endpoints for line in e.lines)
 
-    story(go())
+    run_within(TIMEOUT_S, go())
 
 
 # ---------------------------------------------------------------- a stop, and what may have run
@@ -160,9 +146,9 @@
             word = await reader.read()
             assert word == (b"BUSY 250\r\n" if refused or not ran else b"ERR shutdown\r\n")
             writer.close()
-            await until(lambda: nothing_left(relay))
+            await until(lambda: is_idle(relay))
 
-    story(go())
+    run_within(TIMEOUT_S, go())
 
 
 @pytest.mark.parametrize("text", [b"BUSY\n", b"BUSY \xff\r\n", b"BUSY\r\nUP r1\r\n", b"BUSYX\r\n", b"BUSY"])
@@ -178,9 +164,9 @@
             assert (await reader.read()).startswith(b"ERR")
             assert sum(len(e.lines) for e in endpoints) == 1
             writer.close()
-            await until(lambda: nothing_left(relay))
+            await until(lambda: is_idle(relay))
 
-    story(go())
+    run_within(TIMEOUT_S, go())
 
 
 # ---------------------------------------------------------------- the key's time, up to the last byte
@@ -244,9 +230,9 @@
             # Nor does the module decide on a third, which the same look would hold back again.
             assert calls == 2 and begun == (2 if in_time or moment == "came up" else 1)
             writer.close()
-            await until(lambda: nothing_left(relay))
+            await until(lambda: is_idle(relay))
 
-    story(go())
+    run_within(TIMEOUT_S, go())
 
 
 def test_a_write_that_the_kernel_does_not_take_ends_with_the_keys_time(
@@ -273,9 +259,9 @@
                 assert (await reader.readline()).startswith(b"BUSY")
             assert sent == 2 and len(host.lines) == 1
             writer.close()
-            await until(lambda: nothing_left(relay))
+            await until(lambda: is_idle(relay))
 
-    story(go())
+    run_within(TIMEOUT_S, go())
 
 
 # ---------------------------------------------------------------- a request on a resting connection
@@ -336,4 +322,4 @@
             await until(lambda: not relay.admission.connection_count)
             assert relay.balancer_actor.placements == [] and not endpoint.lines
 
-    story(go())
+    run_within(TIMEOUT_S, go())
--- a/tests/core/test_client_disconnects.py
+++ b/tests/core/test_client_disconnects.py
@@ -14,6 +14,7 @@
 
 import pytest
 from support.network_fakes import SETTINGS, ask, first_line, relaying, silent, up
+from support.relay_checks import run_within, until
 from support.xmpp_fakes import Client, Server
 from support.xmpp_relay import client_tls, relaying_xmpp
 
@@ -27,13 +28,7 @@
 GONE = (CloseReason.CLIENT_LEFT, CloseReason.CLIENT_RESET)
 
 
-def story(coro: Any) -> None:
-    asyncio.run(asyncio.wait_for(coro, 30))
-
-
-async def until(true: Callable[[], Any]) -> None:
-    while not true():
-        await asyncio.sleep(0.002)
+TIMEOUT_S = 30.0
 
 
 class Aside:
@@ -125,12 +120,12 @@
             monkeypatch.setattr(relay.context, "on_connection_closed", records.append)
             client = socket.create_connection(relay.listener.address)
             client.sendall(first_line())
-            await until(lambda: records and not relay.balancer_actor._balancer.requests)
+            await until(lambda: records and not relay.balancer_actor.balancer.requests)
             client.close()
             assert begun.all == attempt - 1 and not any(e.open for e in endpoints)
             assert records[0].close_reason in GONE
 
-    story(go())
+    run_within(TIMEOUT_S, go())
 
 
 async def stream_end(client: Client) -> None:
@@ -183,13 +178,13 @@
                 client = await aside.does(Client.connect(relay.xmpp_listener.address))
                 await aside.does(client.login(client_tls()))
                 await aside.does(say_wish(client))
-                await until(lambda: records and not relay.balancer_actor._balancer.requests)
+                await until(lambda: records and not relay.balancer_actor.balancer.requests)
                 await aside.does(connection_end(client))
                 assert records[0].close_reason in GONE and not records[0].was_established
                 assert begun.all == (moment != "first")
                 assert sum(len(e.lines) for e in endpoints) == (moment == "bind") and not bound
 
-    story(go())
+    run_within(TIMEOUT_S, go())
 
 
 async def say_wish(client: Client) -> None:
@@ -231,13 +226,13 @@
             for _, writer in clients:
                 writer.get_extra_info("socket").shutdown(socket.SHUT_RDWR)
             time.sleep(BUSY_S)
-            await until(lambda: len(records) == CROWD and not relay.balancer_actor._balancer.requests)
+            await until(lambda: len(records) == CROWD and not relay.balancer_actor.balancer.requests)
             assert begun == CROWD and not any(line for e in endpoints for line in e.lines)
             assert {record.close_reason for record in records} <= set(GONE)
             for _, writer in clients:
                 writer.close()
 
-    story(go())
+    run_within(TIMEOUT_S, go())
 
 
 def test_those_who_left_while_they_lay_in_the_backlog_cost_no_attempt(
@@ -254,10 +249,10 @@
                 client.sendall(first_line())
                 client.close()
             time.sleep(BUSY_S)
-            await until(lambda: len(records) == 100 and not relay.balancer_actor._balancer.requests)
+            await until(lambda: len(records) == 100 and not relay.balancer_actor.balancer.requests)
             assert begun.all == 0 and not any(e.open for e in endpoints)
 
-    story(go())
+    run_within(TIMEOUT_S, go())
 
 
 def test_words_read_in_two_places_stay_in_their_order(tmp_path: Path) -> None:
@@ -291,7 +286,7 @@
             assert wire.early_input == b"M 1\r\nM 2\r\n"
             writer.close()
 
-    story(go())
+    run_within(TIMEOUT_S, go())
 
 
 def test_an_xmpp_client_that_breaks_its_stream_while_it_waits_hears_why(tmp_path: Path) -> None:
@@ -306,4 +301,4 @@
             assert "<policy-violation " in await client.rest()
             client.writer.close()
 
-    story(go())
+    run_within(TIMEOUT_S, go())
--- a/tests/core/test_close_reasons.py
+++ b/tests/core/test_close_reasons.py
@@ -8,12 +8,12 @@
 import select
 import socket
 import struct
-from collections.abc import Callable
 from pathlib import Path
 from typing import Any
 
 import pytest
 from support.network_fakes import SETTINGS, FakeEndpoint, first_line, relaying, up
+from support.relay_checks import is_balancer_idle, is_idle, run_within, until
 
 from sageturn.core.messages import EndpointListUpdate
 from sageturn.core.shutdown_schedule import ShutdownSchedule
@@ -58,10 +58,6 @@
     def lines(self) -> list[bytes]:
         return [line for e in self.endpoints for line in e.lines if line]
 
-    async def until(self, true: Callable[[], Any]) -> None:
-        while not true():
-            await asyncio.sleep(0.002)
-
     async def rest(self) -> bytes:
         """All that the client still hears; b"reset" at the end of it if it was reset."""
         loop, heard = asyncio.get_running_loop(), b""
@@ -116,17 +112,17 @@
 
 async def written(scene: Scene, monkeypatch: pytest.MonkeyPatch) -> None:
     scene.client.sendall(scene.line)
-    await scene.until(lambda: scene.lines)
+    await until(lambda: scene.lines)
 
 
 async def standing(scene: Scene, monkeypatch: pytest.MonkeyPatch) -> None:
     scene.client.sendall(scene.line)
-    await scene.until(lambda: any(lifecycle.is_established for lifecycle in scene.relay.request_registry))
+    await until(lambda: any(lifecycle.is_established for lifecycle in scene.relay.request_registry))
 
 
 async def half_a_line(scene: Scene, monkeypatch: pytest.MonkeyPatch) -> None:
     scene.client.sendall(scene.line[:-2])
-    await scene.until(lambda: scene.relay.admission.awaiting_request)
+    await until(lambda: scene.relay.admission.awaiting_request)
 
 
 STAGES = {
@@ -163,7 +159,7 @@
 async def all_drain(scene: Scene) -> None:
     drains = [Endpoint(name, "draining") for name in "abc"]
     await scene.relay.endpoint_registry.on_watch_event(1, EndpointListUpdate(3, False, drains))
-    await scene.until(lambda: scene.relay.endpoint_registry.states["a"] == "draining")
+    await until(lambda: scene.relay.endpoint_registry.states["a"] == "draining")
     if not any(lifecycle.is_established for lifecycle in scene.relay.request_registry):
         scene.go_on.set()
 
@@ -207,19 +203,18 @@
             assert not stays or all(lifecycle.is_established for lifecycle in relay.request_registry)
             scene.client.close()
             scene.go_on.set()
-            balancer = relay.balancer_actor._balancer
-            await scene.until(
+            balancer = relay.balancer_actor.balancer
+            await until(
                 lambda: (
                     not relay.request_registry
                     and not balancer.requests
                     and not relay.admission.connection_count
                 )
             )
-            await scene.until(lambda: not any(e.open for e in endpoints))
-            assert all(s.open_count == s.in_flight == 0 for s in balancer.endpoints.values())
-            assert relay.balancer_actor._requests == {}
+            await until(lambda: not any(e.open for e in endpoints))
+            assert is_idle(relay)
             shut = 2 if end is stop else 0  # the door, and the descriptor kept for want of others
-            await scene.until(lambda: len(os.listdir("/proc/self/fd")) <= descriptors - shut)
+            await until(lambda: len(os.listdir("/proc/self/fd")) <= descriptors - shut)
             sent, most = len(scene.lines), settings["policyLimits"]["sendCap"]
             assert sent <= most and sum(e.most_open for e in endpoints) <= max(1, sent)
             if end in GONE or end in (all_drain, stop):
@@ -227,7 +222,7 @@
             if end not in GONE and not stays:
                 check(stage, end, effect, heard, before)
 
-    asyncio.run(asyncio.wait_for(go(), 15))
+    run_within(15.0, go())
 
 
 def check(stage: str, end: Any, effect: str, heard: bytes, ran: int) -> None:
@@ -275,7 +270,7 @@
             with pytest.raises(ConnectionRefusedError):
                 socket.create_connection(relay.listener.address)
 
-    asyncio.run(asyncio.wait_for(go(), 10))
+    run_within(10.0, go())
 
 
 def test_a_request_that_comes_after_the_last_moment_is_answered_and_not_placed(tmp_path: Path) -> None:
@@ -286,16 +281,14 @@
             scene = Scene(relay, [endpoint])
             relay.admission.evict_all_pending = lambda: None  # type: ignore[method-assign]
             draining = asyncio.ensure_future(relay.request_registry.drain(relay.ingress))
-            await scene.until(
-                lambda: relay.admission.awaiting_request and relay.request_registry.is_drain_forced
-            )
+            await until(lambda: relay.admission.awaiting_request and relay.request_registry.is_drain_forced)
             scene.client.sendall(first_line())
             assert (await scene.rest()).startswith(b"BUSY")
             await draining
             assert not any(endpoint.lines)
             scene.client.close()
 
-    asyncio.run(asyncio.wait_for(go(), 10))
+    run_within(10.0, go())
 
 
 def test_a_stop_waits_for_those_who_have_not_yet_asked(tmp_path: Path) -> None:
@@ -305,7 +298,7 @@
             scene = Scene(relay, [endpoint])
             line = first_line()
             scene.client.sendall(line[:20])
-            await scene.until(lambda: relay.admission.awaiting_request)
+            await until(lambda: relay.admission.awaiting_request)
             draining = asyncio.ensure_future(relay.request_registry.drain(relay.ingress))
             await asyncio.sleep(0.8)  # past the time in which new ones are expected
             assert not draining.done()
@@ -314,7 +307,7 @@
             await draining
             scene.client.close()
 
-    asyncio.run(asyncio.wait_for(go(), 10))
+    run_within(10.0, go())
 
 
 def test_one_evicted_as_its_line_becomes_whole_hears_its_answer(tmp_path: Path) -> None:
@@ -322,14 +315,14 @@
     async def go() -> None:
         async with relaying(tmp_path, up) as (relay, _):
             scene = Scene(relay, [])
-            await scene.until(lambda: relay.admission.awaiting_request)
+            await until(lambda: relay.admission.awaiting_request)
             await asyncio.sleep(0.01)  # its reading has begun; whether or not, it is answered
             scene.client.sendall(first_line())
             relay.admission.evict_all_pending()
             assert await scene.rest() == b"BUSY 500\r\n"
             scene.client.close()
 
-    asyncio.run(asyncio.wait_for(go(), 10))
+    run_within(10.0, go())
 
 
 # ---------------------------------------------------------------- a MOVE that finds no room
@@ -362,7 +355,7 @@
             relay.context.on_connection_closed = ended.append
             scene = Scene(relay, [])
             scene.client.sendall(first_line())
-            await scene.until(lambda: any(lifecycle.is_established for lifecycle in relay.request_registry))
+            await until(lambda: any(lifecycle.is_established for lifecycle in relay.request_registry))
             (lifecycle,) = relay.request_registry
             stuck = 0
             while stuck < 30:  # until for 0.3 s the kernel has had no room for more
@@ -374,16 +367,16 @@
             assert lifecycle.is_established and not ended
             if not reads_on:
                 lifecycle.force_drain()
-                await scene.until(lambda: ended)
+                await until(lambda: ended)
                 assert ended[0].close_reason.name == "CUT_OFF"
             else:
                 heard = await scene.rest()
                 assert heard.endswith(b"x\r\nMOVE\r\n") and heard.count(b"MOVE") == 1
-                await scene.until(lambda: ended)
+                await until(lambda: ended)
                 assert ended[0].close_reason.name == "MOVED"
             scene.client.close()
 
-    asyncio.run(asyncio.wait_for(go(), 15))
+    run_within(15.0, go())
 
 
 def test_one_that_is_being_resumed_hears_of_a_stop_that_it_may_try_again(
@@ -399,7 +392,7 @@
             assert (await scene.rest()).startswith(b"BUSY") and not any(endpoint.lines)
             scene.client.close()
 
-    asyncio.run(asyncio.wait_for(go(), 10))
+    run_within(10.0, go())
 
 
 def test_a_fault_of_the_program_still_ends_in_an_answer_and_leaves_no_ghost(
@@ -417,11 +410,7 @@
             scene.client.sendall(scene.line)
             assert await scene.rest() == b"ERR internal\r\n"
             scene.client.close()
-            await scene.until(
-                lambda: not relay.request_registry and not relay.balancer_actor._balancer.requests
-            )
-            assert all(
-                s.open_count == s.in_flight == 0 for s in relay.balancer_actor._balancer.endpoints.values()
-            )
+            await until(lambda: not relay.request_registry and not relay.balancer_actor.balancer.requests)
+            assert is_balancer_idle(relay.balancer_actor)
 
-    asyncio.run(asyncio.wait_for(go(), 10))
+    run_within(10.0, go())
--- a/tests/core/test_request_lifecycle.py
+++ b/tests/core/test_request_lifecycle.py
@@ -1,4 +1,4 @@
-"""A request's life against a scripted wire: what must hold on every front."""
+"""A request's lifecycle against a scripted transport: what must hold for every frontend."""
 
 from __future__ import annotations
 
@@ -7,101 +7,108 @@
 from pathlib import Path
 
 import pytest
+from support.relay_checks import is_balancer_idle
 
 from sageturn import Endpoint, EndpointListEvent, RequestClass, Settings
 from sageturn.core.balancer_actor import BalancerActor
 from sageturn.core.clock import Clock
 from sageturn.core.close_reason import CloseReason, outcome_status
+from sageturn.core.connection_record import ConnectionRecord
 from sageturn.core.messages import ClientRequest, FinalResponse
 from sageturn.core.request_lifecycle import RequestLifecycle
 
 PACKAGE = Path(__file__).parents[2] / "sageturn"
 
 
-class Wire:
-    """Each call takes the next of ``calls``; ``left`` is set when the client goes."""
+class ScriptedTransport:
+    """Each attempt takes the next of ``attempts``: why it failed, or None where it is established."""
 
-    def __init__(self, *calls: CloseReason | None) -> None:
-        self.calls, self.did = list(calls), list[str]()
-        self.left = asyncio.Event()
-        self.leave_in_call = False
-        self.out = 0
+    def __init__(self, *attempts: CloseReason | None) -> None:
+        self.attempts = list(attempts)
+        self.calls: list[str] = []
+        self.client_disconnected = asyncio.Event()
+        self.disconnects_during_attempt = False
+        self.attempts_in_flight = 0
 
-    async def open_upstream(self, endpoint: str, patience_ms: float, connect_ms: float) -> CloseReason | None:
-        self.out += 1
-        assert self.out == 1 and patience_ms > 0
-        self.did.append("call")
-        if self.leave_in_call:
-            self.left.set()
-        self.out -= 1
-        return self.calls.pop(0)
+    async def open_upstream(
+        self, endpoint: str, timeout_ms: float, connect_timeout_ms: float
+    ) -> CloseReason | None:
+        self.attempts_in_flight += 1
+        assert self.attempts_in_flight == 1 and timeout_ms > 0
+        self.calls.append("open upstream")
+        if self.disconnects_during_attempt:
+            self.client_disconnected.set()
+        self.attempts_in_flight -= 1
+        return self.attempts.pop(0)
 
     async def wait_client_disconnect(self) -> CloseReason:
-        await self.left.wait()
+        await self.client_disconnected.wait()
         return CloseReason.CLIENT_LEFT
 
     def poll_client(self) -> CloseReason | None:
-        return CloseReason.CLIENT_LEFT if self.left.is_set() else None
+        return CloseReason.CLIENT_LEFT if self.client_disconnected.is_set() else None
 
     async def close_upstream(self) -> None:
-        self.did.append("drop")
+        self.calls.append("close upstream")
 
     async def accept_client(self) -> None:
-        self.did.append("accept")
+        self.calls.append("accept")
 
-    async def relay_traffic(self, stop: asyncio.Event) -> CloseReason:
-        self.did.append("stand")
-        await stop.wait()
+    async def relay_traffic(self, drain_requested: asyncio.Event) -> CloseReason:
+        self.calls.append("relay traffic")
+        await drain_requested.wait()
         return CloseReason.MOVED
 
-    async def send_final_response(self, answer: FinalResponse) -> None:
-        self.did.append("fail-fast" if answer.rejected else "failed")
+    async def send_final_response(self, response: FinalResponse) -> None:
+        self.calls.append("reject" if response.rejected else "fail")
 
 
-def live(*calls: CloseReason | None, leave: bool = False, stop: bool = False):  # type: ignore[no-untyped-def]
-    async def go():  # type: ignore[no-untyped-def]
+def run_lifecycle(transport: ScriptedTransport, drain: bool = False) -> ConnectionRecord:
+    """One request against a balancer with four endpoints, which must be left idle."""
+
+    async def run() -> ConnectionRecord:
         settings = Settings(classes=(RequestClass("c", latency_objective_ms=900),), may_cancel=True)
         balancer_actor = BalancerActor(settings, 1, Clock(), lambda: None)
         actor = asyncio.ensure_future(balancer_actor.run())
-        await balancer_actor.post_event(
-            EndpointListEvent("full", [Endpoint("a"), Endpoint("b"), Endpoint("c"), Endpoint("d")])
-        )
-        wire = Wire(*calls)
-        wire.leave_in_call = leave
-        lifecycle = RequestLifecycle(balancer_actor, wire, ClientRequest("c", "", 1000.0))
-        if stop:
+        await balancer_actor.post_event(EndpointListEvent("full", [Endpoint(name) for name in "abcd"]))
+        lifecycle = RequestLifecycle(balancer_actor, transport, ClientRequest("c", "", 1000.0))
+        if drain:
             lifecycle.drain_requested.set()
         record = await asyncio.wait_for(lifecycle.run(), 5)
         await asyncio.sleep(0.01)
         actor.cancel()
-        balancer = balancer_actor._balancer
-        assert balancer.requests == {} and all(
-            s.open_count == s.in_flight == 0 for s in balancer.endpoints.values()
-        )
-        return wire.did, record
+        assert is_balancer_idle(balancer_actor)
+        return record
 
-    return asyncio.run(go())
+    return asyncio.run(run())
 
 
 @pytest.mark.parametrize("close_reason", [e for e in CloseReason if not e.name.startswith("CLIENT")])
-def test_no_ending_leads_to_a_fourth_call_or_a_second_answer(close_reason: CloseReason) -> None:
-    did, record = live(*[close_reason] * 4)
-    assert did == ["call", "call", "call", "fail-fast"] and record.attempts == 3
+def test_no_close_reason_leads_to_a_fourth_attempt_or_a_second_response(close_reason: CloseReason) -> None:
+    transport = ScriptedTransport(*[close_reason] * 4)
+    record = run_lifecycle(transport)
+    assert transport.calls == ["open upstream", "open upstream", "open upstream", "reject"]
+    assert record.attempts == 3
 
 
-def test_a_call_that_stands_is_accepted_and_moved_when_told_to() -> None:
-    did, record = live(CloseReason.BUSY, None, stop=True)
-    assert did == ["call", "call", "accept", "stand"] and record.close_reason is CloseReason.MOVED
+def test_an_established_attempt_is_accepted_and_migrated_on_request() -> None:
+    transport = ScriptedTransport(CloseReason.BUSY, None)
+    record = run_lifecycle(transport, drain=True)
+    assert transport.calls == ["open upstream", "open upstream", "accept", "relay traffic"]
+    assert record.close_reason is CloseReason.MOVED
 
 
-def test_a_client_that_leaves_as_its_call_stands_leaves_no_call_behind() -> None:
-    # Both came in one turn of the loop: the call's connection stayed open, with nobody at its other side.
-    did, record = live(None, leave=True)
-    assert did == ["call", "drop"] and record.close_reason is CloseReason.CLIENT_LEFT
+def test_a_client_that_disconnects_as_its_attempt_is_established_leaves_no_connection_open() -> None:
+    # Both came in one turn of the loop: the endpoint's connection stayed open, with no client.
+    transport = ScriptedTransport(None)
+    transport.disconnects_during_attempt = True
+    record = run_lifecycle(transport)
+    assert transport.calls == ["open upstream", "close upstream"]
+    assert record.close_reason is CloseReason.CLIENT_LEFT
 
 
-def test_every_ending_has_an_outcome() -> None:
-    assert {outcome_status(e) for e in CloseReason} == {
+def test_every_close_reason_has_a_status() -> None:
+    assert {outcome_status(reason) for reason in CloseReason} == {
         "ok",
         "error",
         "full",
@@ -113,8 +120,8 @@
     }
 
 
-def test_the_core_knows_no_transport() -> None:
-    # The second front rests on it: what the core imports is where a wire would creep in.
+def test_the_core_imports_no_protocol() -> None:
+    # The second front rests on it: what the core imports is where a protocol would creep in.
     for file in (PACKAGE / "core").glob("*.py"):
         for node in ast.walk(ast.parse(file.read_text())):
             names = [a.name for a in node.names] if isinstance(node, ast.Import) else []
--- /dev/null
+++ b/tests/support/relay_checks.py
@@ -0,0 +1,36 @@
+"""Means of tests that run a whole relay: a time limit, polling, and whether anything is left behind."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable, Coroutine
+from typing import Any
+
+from sageturn.core.balancer_actor import BalancerActor
+from sageturn.relay import Relay
+
+POLL_INTERVAL_S = 0.002
+
+
+def run_within(seconds: float, test: Coroutine[Any, Any, Any]) -> None:
+    asyncio.run(asyncio.wait_for(test, seconds))
+
+
+async def until(condition: Callable[[], Any]) -> None:
+    while not condition():
+        await asyncio.sleep(POLL_INTERVAL_S)
+
+
+def is_balancer_idle(balancer_actor: BalancerActor) -> bool:
+    """No request is known to the balancer, and nothing is in flight or open at any endpoint."""
+    balancer = balancer_actor.balancer
+    endpoints = balancer.endpoints.values()
+    return not balancer.requests and all(
+        endpoint.open_count == endpoint.in_flight == 0 for endpoint in endpoints
+    )
+
+
+def is_idle(relay: Relay) -> bool:
+    """Nothing is left of any request, in the core or the balancer."""
+    actor = relay.balancer_actor
+    return not relay.request_registry and actor.request_count == 0 and is_balancer_idle(actor)
