--- a/sageturn/relay/closed_connections.py
+++ b/sageturn/relay/closed_connections.py
@@ -6,6 +6,7 @@
 from collections import Counter
 
 from sageturn.core.connection_record import ConnectionRecord
+from sageturn.core.messages import FinalResponse
 from sageturn.flows.exporter import FlowExporter
 
 log = logging.getLogger(__name__)
@@ -36,5 +37,13 @@
             (record.ended_ms - record.started_ms) / 1000.0,
             reason,
             f" endpoint_idle_s={record.endpoint_idle_s:.3f}" if record.was_established else "",
-            f" response={record.final_response}" if record.final_response else "",
+            _describe(record.final_response),
         )
+
+
+def _describe(response: FinalResponse | None) -> str:
+    if response is None:
+        return ""
+    kind = "rejected" if response.rejected else "failed"
+    retry_after_ms = f"{response.retry_after_ms:.0f}"
+    return f" response={kind} response_reason={response.reason!r} retry_after_ms={retry_after_ms}"
--- a/sageturn/relay/relay.py
+++ b/sageturn/relay/relay.py
@@ -92,7 +92,7 @@
             state_publisher(self.store, "relay"), self._collect_state, self._replication.state_interval_s
         )
         self._reloader = ConfigReloader(lambda: self.config, read_config, self.apply_config)
-        self._subsystems = self._list_subsystems()
+        self.subsystems = self._list_subsystems()
         log_level.apply()
 
     def _make_endpoint_registry(self) -> EndpointRegistry:
@@ -176,14 +176,14 @@
 
     def start(self) -> None:
         """Open the listeners and start every subsystem; needs a running loop."""
-        for subsystem in self._subsystems:
+        for subsystem in self.subsystems:
             subsystem.start(self._actors)
 
     async def apply_config(self, new: RelayConfig) -> None:
         """Put ``new`` in force. Nothing here can fail half way: all of it was checked when it was read."""
         old = self.config
         self.config = new
-        for subsystem in self._subsystems:
+        for subsystem in self.subsystems:
             await subsystem.reload(old, new)
         log_config_applied(old, new)
 
--- /dev/null
+++ b/tests/relay/test_supervision.py
@@ -0,0 +1,98 @@
+"""The relay's actors under supervision, and the order in which its subsystems take part."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from pathlib import Path
+
+import pytest
+from support.network_fakes import write_config
+
+from sageturn.config.loader import load
+from sageturn.core.connection_record import ConnectionRecord
+from sageturn.core.messages import ClientRequest, FinalResponse
+from sageturn.relay import Relay
+from sageturn.relay.closed_connections import ClosedConnections
+from sageturn.relay.state_record import RelayState, encode_relay_state
+from sageturn.relay.subsystem import Subsystem
+from sageturn.relay.supervisor import ActorSupervisor
+
+
+async def run_forever() -> None:
+    await asyncio.sleep(3600)
+
+
+async def fail() -> None:
+    raise ValueError("an actor failed")
+
+
+def test_a_failed_actor_ends_the_wait_with_its_error() -> None:
+    async def run() -> None:
+        actors = ActorSupervisor()
+        actors.spawn(run_forever())
+        actors.spawn(fail())
+        with pytest.raises(ValueError, match="an actor failed"):
+            await asyncio.wait_for(actors.wait_unless_failed(run_forever()), 5)
+        await actors.stop()
+        assert asyncio.all_tasks() == {asyncio.current_task()}
+
+    asyncio.run(run())
+
+
+def test_a_wait_returns_while_all_actors_run_and_stopping_cancels_them() -> None:
+    async def run() -> None:
+        actors = ActorSupervisor()
+        actors.spawn(run_forever())
+        await asyncio.wait_for(actors.wait_unless_failed(asyncio.sleep(0)), 5)
+        await actors.stop()
+        assert asyncio.all_tasks() == {asyncio.current_task()}
+
+    asyncio.run(run())
+
+
+def test_subsystems_start_and_reload_in_the_listed_order(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    async def run() -> None:
+        relay = Relay(load({"GW_CONFIG": str(write_config(tmp_path, ("127.0.0.1", 9)))}))
+        calls: list[str] = []
+
+        class Recorded(Subsystem):
+            def __init__(self, name: str) -> None:
+                self.name = name
+
+            def start(self, actors: ActorSupervisor) -> None:
+                calls.append(f"start {self.name}")
+
+            async def reload(self, old: object, new: object) -> None:
+                calls.append(f"reload {self.name}")
+
+        monkeypatch.setattr(relay, "subsystems", (Recorded("first"), Recorded("second")))
+        relay.start()
+        await relay.apply_config(relay.config)
+        assert calls == ["start first", "start second", "reload first", "reload second"]
+        await relay.stop()
+
+    asyncio.run(run())
+
+
+def test_the_stored_state_keeps_its_keys() -> None:
+    state = RelayState(2, {"served": 3}, 1, {"queue": 4}, None)
+    alone = {"standing": 2, "ended": {"served": 3}, "flows_dropped": 1, "reports_dropped": {"queue": 4}}
+    assert encode_relay_state(state) == alone
+    replicated = RelayState(2, {"served": 3}, 1, {"queue": 4}, {"links": 1})
+    assert encode_relay_state(replicated) == {**alone, "store": {"links": 1}}
+
+
+def test_a_request_that_was_never_placed_is_counted_and_logged(caplog: pytest.LogCaptureFixture) -> None:
+    closed = ClosedConnections()
+    record = ConnectionRecord(ClientRequest("c", "t", 1000.0), 0.0, 250.0)
+    record.final_response = FinalResponse(rejected=True, retry_after_ms=250.0)
+    with caplog.at_level(logging.INFO):
+        closed.on_connection_closed(record)
+    assert closed.counts == {"not_placed": 1}
+    assert caplog.messages == [
+        "connection closed frontend=platform request=- class=c endpoint=- attempts=0 duration_s=0.250"
+        " reason=not_placed response=rejected response_reason='' retry_after_ms=250"
+    ]
