--- a/sageturn/store/replication/overlay.py
+++ b/sageturn/store/replication/overlay.py
@@ -19,6 +19,7 @@
 from random import Random
 
 from sageturn.store.replication.dial_table import MAX_ALTERNATIVES
+from sageturn.store.replication.errors import InvalidFanoutError
 from sageturn.store.replication.link_pruning import LinkPruner
 from sageturn.store.replication.link_table import Link
 from sageturn.store.replication.membership import (
@@ -44,14 +45,15 @@
 class Overlay:
     """One member's part of the overlay: takes what happened, and says whom to dial and which links to close.
 
-    ``fanout`` is how many links a hub accepts on average. Raises ValueError for a fanout under 2.
+    ``fanout`` is how many links a hub accepts on average. Raises InvalidFanoutError for a fanout
+    under 2.
     """
 
     def __init__(
         self, own: Member, seeds: Sequence[Address], rng: Random, fanout: int = DEFAULT_FANOUT
     ) -> None:
         if fanout < MIN_FANOUT:
-            raise ValueError(f"fanout: {fanout} is under {MIN_FANOUT}")
+            raise InvalidFanoutError(f"fanout: {fanout} is under {MIN_FANOUT}")
         self._own = own
         self._rng = rng
         self._max_accepted_links = MAX_ACCEPTED_LINKS_PER_FANOUT * fanout
@@ -83,16 +85,16 @@
             state.suspicions.on_member_started(member.address)
             self._discovery.on_member_started()
 
-    def on_link_established(self, name: str, now: float, dialled: Address | None = None) -> None:
-        """A link to ``name`` is up; ``dialled`` is the address if this side dialled it."""
+    def on_link_established(self, name: str, now: float, dialed: Address | None = None) -> None:
+        """A link to ``name`` is up; ``dialed`` is the address if this side dialed it."""
         state = self._state
         member = state.members.get(name)
-        if dialled is None and member is not None and state.dials.is_in_progress(member.address):
-            dialled = member.address
-        if dialled is not None:
-            state.dials.finish(dialled)
-            state.suspicions.on_dial_succeeded(dialled, now)
-        state.links.add(name, Link(established_at=now, is_dialled=dialled is not None))
+        if dialed is None and member is not None and state.dials.is_in_progress(member.address):
+            dialed = member.address
+        if dialed is not None:
+            state.dials.finish(dialed)
+            state.suspicions.on_dial_succeeded(dialed, now)
+        state.links.add(name, Link(established_at=now, is_dialed=dialed is not None))
         state.invalidate_routes()
         state.dials.clear_alternatives()
         if member is not None:
@@ -140,7 +142,7 @@
     # Decisions
 
     def check_admission(self, member: Member, now: float) -> LinkRejected | None:
-        """None to accept a link that this member has dialled, else the answer before it is closed."""
+        """None to accept a link that this member has dialed, else the answer before it is closed."""
         if member.name == self._own.name:
             return self._reject_own_name(member)
         known = self._state.members.get(member.name)
--- a/tests/decision/test_health_checks.py
+++ b/tests/decision/test_health_checks.py
@@ -12,6 +12,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
+from support.load_reports import FIELDS, probed_by
 from support.network_fakes import SETTINGS, Script, ask, first_line, relaying, reply, resets, says, silent, up
 
 from sageturn import decision
@@ -23,7 +24,6 @@
 )
 from sageturn.decision.load_reports import checked, read_report
 
-FIELDS = ("x0", "x1", "cpu")
 PROBED: dict[str, Any] = {
     "probes": True,
     "reports": "probe",
@@ -175,29 +175,6 @@
 # ---------------------------------------------------------------- on sockets
 
 
-def probed_by(*words: bytes) -> tuple[Script, list[bytes]]:
-    """A host that answers each STATS on a connection by the next of ``words``; clients stand there."""
-    seen: list[bytes] = []
-    left = list(words)
-
-    async def script(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes) -> None:
-        if line.startswith(b"OPEN"):
-            await up(reader, writer, line)
-            return
-        while line:
-            seen.append(line)
-            word = left.pop(0) if left else b"PONG x0=0.1\r\n"
-            if not word:
-                writer.transport.abort()
-                return
-            for part in word.split(b"|"):
-                writer.write(part)
-                await asyncio.sleep(0.02)
-            line = await reader.readline()
-
-    return script, seen
-
-
 @pytest.mark.parametrize(
     ("words", "outcomes"),
     [
@@ -214,7 +191,7 @@
 def test_a_probe_ends_in_one_outcome_whatever_comes_back(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, words: tuple[bytes, ...], outcomes: list[Any]
 ) -> None:
-    monkeypatch.setattr("sageturn.net.health_check_client.ANSWER_S", 0.3)
+    monkeypatch.setattr("sageturn.net.health_check_client.RESPONSE_TIMEOUT_S", 0.3)
     monkeypatch.setitem(SETTINGS, "policyLimits", {**SETTINGS["policyLimits"], "probes": True})
     monkeypatch.setitem(SETTINGS, "report", {"source": "probe", "fields": list(FIELDS)})
     script, seen = probed_by(*words)
@@ -223,14 +200,14 @@
         async with relaying(tmp_path, script) as (relay, _):
             assert relay.health_check_client is not None
             heard: asyncio.Queue[decision.HealthCheckCompleted] = asyncio.Queue()
-            relay.health_check_client._tell = heard.put
+            relay.health_check_client.on_completed = heard.put
             # The test asks, not the module.
             relay.balancer_actor.check_endpoint_health = lambda endpoint: None
             for status, report in outcomes:
-                relay.health_check_client.ask("a")
-                relay.health_check_client.ask("a")  # one at a time
+                relay.health_check_client.start_check("a")
+                relay.health_check_client.start_check("a")  # one at a time
                 assert await heard.get() == decision.HealthCheckCompleted("a", status, report)
-                while relay.health_check_client._out:
+                while relay.health_check_client.checks_under_way:
                     await asyncio.sleep(0)
             assert len(seen) == len(words) and set(seen) == {b"STATS\r\n"} and heard.empty()
             assert await reply(relay.listener.address, first_line()) == b"UP r1\r\n"
