--- a/sageturn/store/replication/dial_table.py
+++ b/sageturn/store/replication/dial_table.py
@@ -29,6 +29,7 @@
 
     @property
     def in_progress(self) -> int:
+        """How many dials are under way."""
         return len(self._started_at)
 
     @property
@@ -47,15 +48,18 @@
         return sorted(self._alternatives)
 
     def set_alternatives(self, members: Sequence[Member]) -> None:
+        """Takes the members that a rejection named, in place of those of an earlier one."""
         own = self._members.own.address
         self._alternatives = {
             member.address for member in members[:MAX_ALTERNATIVES] if member.address != own
         }
 
     def clear_alternatives(self) -> None:
+        """A link is up: the alternatives are not needed any more."""
         self._alternatives.clear()
 
     def start(self, address: Address, now: float) -> None:
+        """A dial to the address begins; ``finish`` has to follow."""
         self._started_at[address] = now
 
     def finish(self, address: Address) -> bool:
@@ -63,9 +67,11 @@
         return self._started_at.pop(address, None) is not None
 
     def is_in_progress(self, address: Address) -> bool:
+        """Whether a dial to the address is under way."""
         return address in self._started_at
 
     def timed_out(self, now: float) -> list[Address]:
+        """Addresses whose dial has had no answer for too long."""
         return [address for address, at in self._started_at.items() if now - at >= DIAL_TIMEOUT_S]
 
     def may_dial(self, address: Address, now: float, urgent: bool = False) -> bool:
--- a/sageturn/store/replication/ephemeral_client.py
+++ b/sageturn/store/replication/ephemeral_client.py
@@ -101,6 +101,7 @@
                     await asyncio.sleep(PROGRESS_POLL_INTERVAL_S)
 
     def close(self) -> None:
+        """Detaches the replica from its store."""
         self._replica.close()
 
 
--- a/sageturn/store/replication/link_table.py
+++ b/sageturn/store/replication/link_table.py
@@ -40,19 +40,24 @@
         return self._links[name]
 
     def get(self, name: str) -> Link | None:
+        """The link to the member, if there is one."""
         return self._links.get(name)
 
     def items(self) -> ItemsView[str, Link]:
+        """All links with the names of the members at their other ends, the oldest first."""
         return self._links.items()
 
     def names(self) -> list[str]:
+        """The names of all linked members."""
         return list(self._links)
 
     def add(self, name: str, link: Link) -> None:
+        """A link is established; it replaces an earlier one to the same member."""
         self._links[name] = link
         self.invalidate()
 
     def remove(self, name: str) -> Link:
+        """The link to ``name``, which must exist, is over."""
         self._confirmed.discard(name)
         self.invalidate()
         return self._links.pop(name)
@@ -62,6 +67,7 @@
         self._confirmed.add(name)
 
     def is_confirmed(self, name: str) -> bool:
+        """Whether the member has been in the member table while the link stood."""
         return name in self._confirmed
 
     def count_accepted(self, ignoring: str) -> int:
@@ -70,6 +76,7 @@
 
     @property
     def any_redundant(self) -> bool:
+        """Whether a link waits to be closed."""
         return any(link.redundant_since is not None for link in self._links.values())
 
     def invalidate(self) -> None:
--- a/sageturn/store/replication/member_table.py
+++ b/sageturn/store/replication/member_table.py
@@ -36,6 +36,7 @@
         return len(self.others) + 1
 
     def get(self, name: str) -> Member | None:
+        """The member of that name, unless it is this one or unknown."""
         return self.others.get(name)
 
     def update(self, members: Iterable[Member]) -> MembershipChanges:
--- a/sageturn/store/replication/overlay_state.py
+++ b/sageturn/store/replication/overlay_state.py
@@ -29,6 +29,7 @@
 
     @property
     def has_uplink(self) -> bool:
+        """Whether a member before this one in the global order is linked."""
         return self.links.uplink() is not None
 
     def invalidate_routes(self) -> None:
--- a/sageturn/store/replication/suspicion.py
+++ b/sageturn/store/replication/suspicion.py
@@ -35,6 +35,7 @@
 
     @property
     def is_flapping(self) -> bool:
+        """Whether its links were lost so often that a restart gives it no new chance."""
         return self.losses >= FLAP_THRESHOLD
 
 
@@ -83,6 +84,7 @@
                 suspect.retry_at = 0.0
 
     def clear(self, address: Address) -> None:
+        """Forgets all that went wrong with the address."""
         self._suspects.pop(address, None)
 
     def has_failed(self, address: Address) -> bool:
@@ -101,6 +103,7 @@
         return urgent and not suspect.is_flapping and now - suspect.last_event_at >= URGENT_RETRY_S
 
     def drop_expired(self, now: float) -> None:
+        """Drops the suspicions whose last cause is long past, to bound the table."""
         self._suspects = {
             address: suspect
             for address, suspect in self._suspects.items()
--- a/sageturn/store/replication/tree_order.py
+++ b/sageturn/store/replication/tree_order.py
@@ -90,11 +90,13 @@
         self.add(own)
 
     def add(self, member: Member) -> None:
+        """A member is known; its name must not be in the order yet."""
         zone = self._zones.setdefault(member.region, {}).setdefault(member.zone, [])
         insort(zone, (rank_of_member(member), member.name))
         self._invalidate(member)
 
     def remove(self, member: Member) -> None:
+        """A member that was added is not known any more."""
         zones = self._zones[member.region]
         zones[member.zone].remove((rank_of_member(member), member.name))
         if not zones[member.zone]:
