--- a/sageturn/decision/endpoint_table.py
+++ b/sageturn/decision/endpoint_table.py
@@ -45,8 +45,8 @@
         self._initial_concurrency_limit = initial_concurrency_limit
 
     @abstractmethod
-    def counts_as_full(self, endpoint: EndpointState) -> bool:
-        """Whether all of its concurrency limit counts as in flight."""
+    def counts_as_full(self) -> bool:
+        """Whether all of a closed endpoint's concurrency limit counts as in flight."""
 
     @abstractmethod
     def update_weights(self) -> None:
@@ -57,11 +57,20 @@
         in_flight = limit = unknown_limit = open_count = 0
         if endpoint.ready and (endpoint.open_count or endpoint.closed):
             limit = endpoint.concurrency_limit
-            in_flight = limit if self.counts_as_full(endpoint) else min(endpoint.in_flight, limit)
+            is_counted_full = endpoint.closed and self.counts_as_full()
+            in_flight = limit if is_counted_full else min(endpoint.in_flight, limit)
             open_count = endpoint.open_count
         elif endpoint.ready:
             unknown_limit = endpoint.concurrency_limit
-        self.totals.replace_part(endpoint, in_flight, limit, unknown_limit, open_count)
+        totals = self.totals
+        totals.in_flight += in_flight - endpoint.counted_in_flight
+        totals.limits += limit - endpoint.counted_limit
+        totals.unknown_limits += unknown_limit - endpoint.counted_unknown_limit
+        totals.open_count += open_count - endpoint.counted_open
+        endpoint.counted_in_flight = in_flight
+        endpoint.counted_limit = limit
+        endpoint.counted_unknown_limit = unknown_limit
+        endpoint.counted_open = open_count
 
     def quota_per_endpoint(self) -> float:
         """Connections of all relays that the quotas stand for at an endpoint of the first list."""
--- a/sageturn/decision/fleet.py
+++ b/sageturn/decision/fleet.py
@@ -33,9 +33,9 @@
         """Whether anything reports how long messages take: the connections, or recent load reports."""
         return self.settings.reports_delay or self.health_checks.has_recent_reports(self.now_ms)
 
-    def counts_as_full(self, endpoint: EndpointState) -> bool:
-        """Closed by loads alone it does not: then the others have room, and nobody need wait."""
-        return endpoint.closed and self.measures_delay()
+    def counts_as_full(self) -> bool:
+        """A closed endpoint, unless loads alone closed it: then others have room, and nobody need wait."""
+        return self.measures_delay()
 
     def depth(self) -> float:
         """Attempts in flight over concurrency limits, over the ready endpoints; 1 where none is ready."""
--- a/sageturn/decision/overload.py
+++ b/sageturn/decision/overload.py
@@ -124,7 +124,8 @@
             return []
         endpoint.record_load(request, load)
         self._loads.add(load)
-        return [*self._relieve_quota(now_ms, endpoint), *self.check_utilization(now_ms, endpoint)]
+        migrations = self._relieve_quota(now_ms, endpoint)
+        return migrations + self.check_utilization(now_ms, endpoint)
 
     def check_utilization(self, now_ms: float, endpoint: EndpointState) -> Migrations:
         """One that is fuller than the others is overloaded; all of them cannot be."""
@@ -134,8 +135,8 @@
         ready = self._fleet.ready
         utilization = self._utilization(endpoint)
         over_mean = utilization * len(ready) / (sum(map(self._utilization, ready)) or 1.0)
-        confidence = 2.0 * quotas.count_confidence(self._even_count(endpoint))
-        over_mean = 1.0 + (over_mean - 1.0) * min(1.0, confidence)
+        even_count = endpoint.effective_weight / self._fleet.total_weight * self._fleet.open_count
+        over_mean = 1.0 + (over_mean - 1.0) * min(1.0, 2.0 * quotas.count_confidence(even_count))
         if utilization > SATURATED_UTILIZATION:
             # Past this the messages of all its clients are late: it is better to serve fewer of them.
             endpoint.saturated_until_ms = now_ms + OVERLOAD_MS
@@ -145,20 +146,15 @@
         is_relieved = utilization > RELIEF_UTILIZATION and over_mean > RELIEF_OVER_MEAN
         return self.relieve(endpoint) if is_relieved and self._may_migrate else []
 
-    def _even_count(self, endpoint: EndpointState) -> float:
-        """Our connections that it would hold by its weight."""
-        return endpoint.effective_weight / self._fleet.total_weight * self._fleet.open_count
-
     def _utilization(self, endpoint: EndpointState) -> float:
         """Part of its weight that loads take.
 
         Of each other relay it is taken to hold a number between our own and the one that its weight calls
         for, all of mean load: a few heavy connections of ours say nothing about theirs.
         """
-        even_count = self._even_count(endpoint)
+        even_count = endpoint.effective_weight / self._fleet.total_weight * self._fleet.open_count
         confidence = quotas.count_confidence(even_count)
-        per_relay = even_count + confidence * (endpoint.open_count - even_count)
-        others = (self._relay_count - 1) * per_relay
+        others = (self._relay_count - 1) * (even_count + confidence * (endpoint.open_count - even_count))
         unreported = endpoint.open_count - endpoint.reported_count + others
         unreported += GROUP_COST * len(endpoint.group_counts)
         unreported_load = unreported * self._loads.total / max(1.0, self._loads.count)
--- a/sageturn/decision/placement.py
+++ b/sageturn/decision/placement.py
@@ -92,9 +92,9 @@
             if is_scarce and not is_held and not local_count <= rank < local_count + home_count:
                 continue
             crowded_ratio = 1.0 if is_migrated and not is_held else CROWDED_RATIO
-            if not self._has_room(endpoint, crowded_ratio) or endpoint is request.endpoint:
+            if endpoint.is_full() or self.is_crowded(endpoint, crowded_ratio):
                 continue
-            if self._may_send(request, endpoint):
+            if endpoint is not request.endpoint and self._may_send(request, endpoint):
                 if is_migrated:  # the group's newcomers follow it
                     ranked.remove(endpoint)
                     ranked.insert(0, endpoint)
@@ -167,18 +167,17 @@
             return True
         return endpoint.open_count > ratio * endpoint.connection_share * fleet.open_count + CROWDED_SLACK
 
-    def _has_room(self, endpoint: EndpointState, crowded_ratio: float = CROWDED_RATIO) -> bool:
-        return not endpoint.is_full() and not self.is_crowded(endpoint, crowded_ratio)
+    def _has_room(self, endpoint: EndpointState) -> bool:
+        return not endpoint.is_full() and not self.is_crowded(endpoint)
 
     def _may_send(self, request: RequestState, endpoint: EndpointState) -> bool:
         """Bindings, quotas, slow start, and where an idempotent request may be executed again."""
-        now_ms = self._fleet.now_ms
         allowed = request.allowed_endpoints
-        is_bound = request.is_binding_strict or not request.attempts
-        if is_bound and allowed is not None and endpoint.name not in allowed:
+        if allowed is not None and endpoint.name not in allowed and request.is_binding_in_force():
             return False
         if endpoint.is_at_quota() or (self._is_warm_quota_used and not endpoint.slow_start):
             return False
+        now_ms = self._fleet.now_ms
         if endpoint.slow_start and not self._fleet.has_slow_start_turn(now_ms, endpoint):
             return False
         request_class = request.request_class
--- a/sageturn/decision/state.py
+++ b/sageturn/decision/state.py
@@ -138,19 +138,6 @@
     unknown_limits: int = 0  # concurrency limits of endpoints on which this relay holds nothing
     open_count: int = 0
 
-    def replace_part(
-        self, endpoint: EndpointState, in_flight: int, limit: int, unknown_limit: int, open_count: int
-    ) -> None:
-        """Count these for the endpoint, in place of what was counted for it before."""
-        self.in_flight += in_flight - endpoint.counted_in_flight
-        self.limits += limit - endpoint.counted_limit
-        self.unknown_limits += unknown_limit - endpoint.counted_unknown_limit
-        self.open_count += open_count - endpoint.counted_open
-        endpoint.counted_in_flight = in_flight
-        endpoint.counted_limit = limit
-        endpoint.counted_unknown_limit = unknown_limit
-        endpoint.counted_open = open_count
-
 
 @dataclass(slots=True, eq=False)
 class RequestState:
@@ -180,6 +167,10 @@
     executed_cell: int = 0
     executed_at_ms: float = -1.0  # below 0: there is none
 
+    def is_binding_in_force(self) -> bool:
+        """Whether an operator's binding holds for the next attempt."""
+        return self.is_binding_strict or not self.attempts
+
     def endpoint_of(self, attempt: int) -> EndpointState | None:
         """The endpoint of the latest attempt, if that is the one of this number."""
         return self.endpoint if attempt == self.attempts - 1 else None
