--- a/sageturn/config/operator.py
+++ b/sageturn/config/operator.py
@@ -174,29 +174,28 @@
 
 
 def _read_overrides(section: ConfigSection) -> OverrideOptions:
-    from sageturn.overrides.options import OverrideOptions
-    from sageturn.overrides.resolve import SafetyLimits
+    from sageturn.overrides.options import OverrideOptions, SafetyLimits
 
     section.reject_unknown_keys("operators", "longest_s", "floor_all", "floor_zone", "floor_pin")
     operators = _read_public_keys(section)
     defaults = SafetyLimits()
     floors = SafetyLimits(
-        all=section.ratio("floor_all", defaults.all),
-        zone=section.ratio("floor_zone", defaults.zone),
-        pin=section.ratio("floor_pin", defaults.pin),
+        min_total_ratio=section.ratio("floor_all", defaults.min_total_ratio),
+        min_zone_ratio=section.ratio("floor_zone", defaults.min_zone_ratio),
+        min_pin_ratio=section.ratio("floor_pin", defaults.min_pin_ratio),
     )
-    longest_s = section.number("longest_s", OverrideOptions().longest_s, minimum=1.0)
+    longest_s = section.number("longest_s", OverrideOptions().max_duration_s, minimum=1.0)
     return OverrideOptions(operators, longest_s, floors)
 
 
 def _read_public_keys(section: ConfigSection) -> dict[str, Ed25519PublicKey]:
     """The operators' keys, by the operators' names."""
-    from sageturn.overrides.ops import read_public
+    from sageturn.overrides.signing import parse_public_key
 
     keys = {}
     for name, text in section.dict_of_any("operators", {}).items():
         try:
-            keys[name] = read_public(text)
+            keys[name] = parse_public_key(text)
         except (ValueError, TypeError) as error:
             raise ConfigError(f"{section.path('operators')}.{name}", f"no public key: {error}") from error
     return keys
--- /dev/null
+++ b/sageturn/rebalance/rate_controller.py
@@ -0,0 +1,106 @@
+"""How fast clients may be migrated: a token bucket whose rate rises slowly and is halved at a signal."""
+
+from __future__ import annotations
+
+from random import Random
+
+from sageturn.rebalance.options import RebalanceOptions
+from sageturn.rebalance.overload_signals import STOP_SIGNALS, OverloadSignal
+
+INITIAL_RATE_DIVISOR = 8.0  # the rate starts at this part of the maximum, also after each stop
+RATE_STEP_DIVISOR = 16.0  # and rises by this part of the maximum,
+RATE_STEP_INTERVAL_MS = 5000.0  # so often, while migrated clients do well
+RATE_CUT_INTERVAL_MS = 5000.0  # a lasting signal halves the rate again so often: effects have to show first
+# After the start, and after an outage's last signal: the clients of an outage come back over such a time.
+SETTLING_TIME_MS = 20000.0
+MIN_RATE_DIVISOR = 64.0  # at or under this part of the maximum the rate becomes 0 until no signal is left
+
+
+class MigrationRateController:
+    """Grants migrations: over any ``t`` seconds at most ``burst`` and ``t`` times the maximum rate.
+
+    Migrations by others (the balancer, a drain) are never delayed, only charged: they leave a debt.
+    """
+
+    def __init__(self, options: RebalanceOptions, relay_count: int, random: Random) -> None:
+        self.options = options
+        self._relay_count = relay_count
+        self._random = random
+        self.rate = 0.0  # migrations per second
+        self.tokens = 0.0
+        self.stopped_until_ms = -1.0  # below 0: the first update has not been made yet
+        self.last_signal: OverloadSignal | None = None  # until the rate has risen again
+        self._updated_ms = 0.0
+        self._raised_ms = 0.0
+        self._cut_ms = 0.0
+
+    def max_rate(self, connection_count: int) -> float:
+        """Migrations per second at most, for a relay with so many connections."""
+        max_rate = self.options.part_per_min * connection_count / 60.0
+        if self.options.fleet_per_s > 0:
+            max_rate = min(max_rate, self.options.fleet_per_s / self._relay_count)
+        return max_rate
+
+    def is_stopped(self, now_ms: float) -> bool:
+        """Whether nothing may be migrated: just started, after an outage, or a rate cut to nothing."""
+        return now_ms < self.stopped_until_ms or not self.rate
+
+    def update(
+        self, now_ms: float, connection_count: int, signals: list[OverloadSignal], doing_well: bool
+    ) -> None:
+        """Refill the bucket and adjust the rate. To be called once a tick.
+
+        ``doing_well``: migrated clients are established again in time, or none are due.
+        """
+        if self.stopped_until_ms < 0:
+            self._stop(now_ms)
+        max_rate = self.max_rate(connection_count)
+        if now_ms >= self.stopped_until_ms:
+            self._refill(now_ms, max_rate, may_start=not signals)
+        self._updated_ms = now_ms
+        stop_signals = [signal for signal in signals if signal in STOP_SIGNALS]
+        if stop_signals:
+            self.last_signal = stop_signals[0]
+            self._stop(now_ms)
+        elif signals:
+            self.last_signal = signals[0]
+            if now_ms >= self._cut_ms + RATE_CUT_INTERVAL_MS:
+                self._cut_rate(now_ms, max_rate)
+        elif doing_well and now_ms >= max(self._raised_ms, self._cut_ms) + RATE_STEP_INTERVAL_MS:
+            self._raise_rate(now_ms, min(max_rate, self.rate + max_rate / RATE_STEP_DIVISOR))
+
+    def try_acquire(self, migrations: int) -> bool:
+        """Take tokens for so many migrations; False, and nothing taken, where there are too few."""
+        if self.tokens < migrations:
+            return False
+        self.tokens -= migrations
+        return True
+
+    def charge(self, migrations: int) -> None:
+        """Account for migrations by others. A debt is at most a burst, or it would outlast its cause."""
+        self.tokens = max(-float(self.options.burst), self.tokens - migrations)
+
+    def _refill(self, now_ms: float, max_rate: float, may_start: bool) -> None:
+        elapsed_ms = now_ms - max(self._updated_ms, self.stopped_until_ms)
+        if not self.rate and may_start:
+            # Random, or relays that an outage has stopped together would start again together.
+            initial_rate = max_rate / INITIAL_RATE_DIVISOR * (0.5 + 0.5 * self._random.random())
+            self._raise_rate(now_ms, initial_rate)
+        self.rate = min(self.rate, max_rate)
+        self.tokens = min(float(self.options.burst), self.tokens + self.rate * elapsed_ms / 1000.0)
+
+    def _raise_rate(self, now_ms: float, rate: float) -> None:
+        self.rate = rate
+        self._raised_ms = now_ms
+        self.last_signal = None
+
+    def _cut_rate(self, now_ms: float, max_rate: float) -> None:
+        self._cut_ms = now_ms
+        self._raised_ms = now_ms
+        self.rate = self.rate / 2.0 if self.rate > max_rate / MIN_RATE_DIVISOR else 0.0
+        self.tokens = min(self.tokens, self.tokens / 2.0)
+
+    def _stop(self, now_ms: float) -> None:
+        self.rate = 0.0
+        self.tokens = min(0.0, self.tokens)
+        self.stopped_until_ms = now_ms + SETTLING_TIME_MS
--- a/tests/overrides/test_overrides_relay.py
+++ b/tests/overrides/test_overrides_relay.py
@@ -24,32 +24,49 @@
     up,
     write_config,
 )
-from test_overrides import KEYS, op, out, record
+from support.override_records import (
+    HOUR_MS,
+    KEYS,
+    make_operation,
+    out_of_service,
+    pin,
+    signed_record,
+)
 
-from sageturn.cli.times import parse_until, span
+from sageturn.cli.times import InvalidTimeError, format_duration, parse_expiry
 from sageturn.config.errors import ConfigError
 from sageturn.config.loader import load
-from sageturn.overrides.ops import OverrideOperation, OverridePayload, Selector
+from sageturn.overrides.operations import (
+    OperationType,
+    OverrideOperation,
+    OverridePayload,
+    Selector,
+    SelectorAttribute,
+)
 from sageturn.rebalance.options import RebalanceOptions
 from sageturn.relay import Relay
 
-HOUR = 3_600_000.0
+TEST_TIMEOUT_S = 40
 
 
-def story(coro):  # type: ignore[no-untyped-def]
-    return asyncio.run(asyncio.wait_for(coro, 40))
+def run_within_limit(coroutine):  # type: ignore[no-untyped-def]
+    return asyncio.run(asyncio.wait_for(coroutine, TEST_TIMEOUT_S))
 
 
-def now() -> float:
+def unix_time_ms() -> float:
     return time.time() * 1000.0
 
 
-def said(override: str, body: OverridePayload, **more: Any) -> OverrideOperation:
-    at = now()
-    return op(override, body, **{"at_ms": at, "until_ms": at + HOUR, **more})
+def operation_now(
+    override_id: str, payload: OverridePayload | None = None, **fields: Any
+) -> OverrideOperation:
+    now_ms = unix_time_ms()
+    return make_operation(
+        override_id, payload, **{"created_at_ms": now_ms, "expires_at_ms": now_ms + HOUR_MS, **fields}
+    )
 
 
-def public(name: str) -> str:
+def public_key_of(name: str) -> str:
     from base64 import b64encode
 
     from cryptography.hazmat.primitives.serialization import Encoding, PublicFormat
@@ -57,12 +74,17 @@
     return b64encode(KEYS[name].public_key().public_bytes(Encoding.Raw, PublicFormat.Raw)).decode()
 
 
-def section(**more: Any) -> dict[str, Any]:
-    return {"operators": {name: public(name) for name in KEYS}, "floor_all": 0, "floor_zone": 0, **more}
+def overrides_section(**values: Any) -> dict[str, Any]:
+    return {
+        "operators": {name: public_key_of(name) for name in KEYS},
+        "floor_all": 0,
+        "floor_zone": 0,
+        **values,
+    }
 
 
 @asynccontextmanager
-async def overriding(folder: Path, *scripts: Script, relays: int = 1, **more: Any):  # type: ignore[no-untyped-def]
+async def relays_with_overrides(folder: Path, *scripts: Script, relays: int = 1, **overrides: Any):  # type: ignore[no-untyped-def]
     """Relays whose stores are linked, and the endpoints that they share, in the order a, b, c."""
     endpoints = [FakeEndpoint(script) for script in scripts]
     async with AsyncExitStack() as stack:
@@ -75,7 +97,7 @@
             peers = ["{}:{}".format(*made[0].replication.address)] if made else []
             store = {"path": "store", "listen": "127.0.0.1:0", "peers": peers, "secret_file": "../secret"}
             file = place / "operator.json"
-            file.write_text(json.dumps({"store": store, "overrides": section(**more)}))
+            file.write_text(json.dumps({"store": store, "overrides": overrides_section(**overrides)}))
             env = {"GW_CONFIG": str(write_config(place, discovery.address, listed(names), name=f"n{number}"))}
             relay = Relay(load(env, str(file)), partial(load, env, str(file)))
             relay.start()
@@ -87,12 +109,14 @@
         yield made, endpoints
 
 
-async def until(what) -> None:  # type: ignore[no-untyped-def]
-    while not what():
+async def wait_until(condition) -> None:  # type: ignore[no-untyped-def]
+    while not condition():
         await asyncio.sleep(0.01)
 
 
-async def placed(relay: Relay, endpoints: list[FakeEndpoint], count: int = 12, more: str = "") -> list[int]:
+async def count_placed(
+    relay: Relay, endpoints: list[FakeEndpoint], count: int = 12, more: str = ""
+) -> list[int]:
     """How many of ``count`` requests each endpoint was sent."""
     before = [len(e.lines) for e in endpoints]
     for n in range(count):
@@ -102,122 +126,145 @@
     return [len(e.lines) - was for e, was in zip(endpoints, before, strict=True)]
 
 
-def test_every_relay_obeys_and_a_split_loses_nothing(tmp_path: Path) -> None:
+def test_every_relay_applies_operations_from_all_relays(tmp_path: Path) -> None:
     async def go() -> None:
-        async with overriding(tmp_path, up, up, up, relays=2) as (relays, endpoints):
+        async with relays_with_overrides(tmp_path, up, up, up, relays=2) as (relays, endpoints):
             one, two = relays
-            one.store.put(*record(said("o1", out("a"))))
-            two.store.put(*record(said("o2", out("b"), operator="mai")))
+            one.store.put(*signed_record(operation_now("o1", out_of_service("a"))))
+            two.store.put(*signed_record(operation_now("o2", out_of_service("b"), operator="mai")))
             for relay in relays:
-                await until(
+                await wait_until(
                     lambda relay=relay: (
                         relay.endpoint_registry.is_out_of_service("a")
                         and relay.endpoint_registry.is_out_of_service("b")
                     )
                 )
-                assert (await placed(relay, endpoints))[:2] == [0, 0]
-            told = lambda: (one.store.get("state/n1/overrides") or {}).get("words")  # noqa: E731
-            await until(lambda: told() == {"o1": 1, "o2": 1})
-            two.store.put(*record(said("o1", None, word="revoke", revision=2)))  # type: ignore[arg-type]
-            await until(lambda: not one.endpoint_registry.is_out_of_service("a"))
+                assert (await count_placed(relay, endpoints))[:2] == [0, 0]
+            reported = lambda: (one.store.get("state/n1/overrides") or {}).get("words")  # noqa: E731
+            await wait_until(lambda: reported() == {"o1": 1, "o2": 1})
+            two.store.put(
+                *signed_record(operation_now("o1", operation_type=OperationType.REVOKE, revision=2))
+            )
+            await wait_until(lambda: not one.endpoint_registry.is_out_of_service("a"))
             at = one.endpoint_registry.addresses
             assert not one.endpoint_registry.is_ready_at("b", at["b"]) and one.endpoint_registry.is_ready_at(
                 "a", at["a"]
             )
 
-    story(go())
+    run_within_limit(go())
 
 
-def test_a_strict_pin_without_its_host_fails_fast_and_a_preferred_one_goes_elsewhere(
+def test_a_strict_pin_without_its_endpoint_fails_fast_and_a_preferred_one_goes_elsewhere(
     tmp_path: Path,
 ) -> None:
     async def go() -> None:
-        async with overriding(tmp_path, up, up, floor_pin=0) as ((relay,), endpoints):
-            pin = said("p1", OverridePayload("pin", hosts=("b",), strict=True, tenant="t"))
-            relay.store.put(*record(pin))
-            await until(lambda: relay.overrides.board.known)
-            assert await placed(relay, endpoints) == [0, 12]
-            relay.store.put(*record(said("o1", out("b"))))
-            await until(lambda: relay.endpoint_registry.is_out_of_service("b"))
+        async with relays_with_overrides(tmp_path, up, up, floor_pin=0) as ((relay,), endpoints):
+            pinned = operation_now("p1", pin("b", strict=True, tenant="t"))
+            relay.store.put(*signed_record(pinned))
+            await wait_until(lambda: relay.overrides.registry.overrides)
+            assert await count_placed(relay, endpoints) == [0, 12]
+            relay.store.put(*signed_record(operation_now("o1", out_of_service("b"))))
+            await wait_until(lambda: relay.endpoint_registry.is_out_of_service("b"))
             began = asyncio.get_running_loop().time()
             assert (await reply(relay.listener.address, first_line())).startswith(b"BUSY")
             assert asyncio.get_running_loop().time() - began < 0.2
-            relay.store.put(*record(said("p1", None, word="revoke", revision=2)))  # type: ignore[arg-type]
-            relay.store.put(*record(said("p2", OverridePayload("pin", hosts=("b",), tenant="t"))))
-            await until(lambda: relay.overrides.board.known["p1"].revoked)
-            assert await placed(relay, endpoints) == [12, 0]
-            relay.store.put(*record(said("o1", None, word="revoke", revision=2)))  # type: ignore[arg-type]
-            await until(lambda: not relay.endpoint_registry.is_out_of_service("b"))
-            assert sum(await placed(relay, endpoints)) == 12  # b is cold again: most go elsewhere for now
+            relay.store.put(
+                *signed_record(operation_now("p1", operation_type=OperationType.REVOKE, revision=2))
+            )
+            relay.store.put(*signed_record(operation_now("p2", pin("b", tenant="t"))))
+            await wait_until(lambda: relay.overrides.registry.overrides["p1"].is_revoked)
+            assert await count_placed(relay, endpoints) == [12, 0]
+            relay.store.put(
+                *signed_record(operation_now("o1", operation_type=OperationType.REVOKE, revision=2))
+            )
+            await wait_until(lambda: not relay.endpoint_registry.is_out_of_service("b"))
+            assert (
+                sum(await count_placed(relay, endpoints)) == 12
+            )  # b is cold again: most go elsewhere for now
 
-    story(go())
+    run_within_limit(go())
 
 
-def test_a_host_that_is_cleared_is_emptied_at_the_planners_pace(
+def test_connections_are_migrated_off_a_cleared_endpoint_by_the_planner(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("sageturn.rebalance.pace.SETTLE_MS", 0.0)
-    monkeypatch.setattr("sageturn.rebalance.pace.MigrationRateController.top", lambda self, own: 400.0)
+    monkeypatch.setattr("sageturn.rebalance.rate_controller.SETTLING_TIME_MS", 0.0)
+    monkeypatch.setattr(
+        "sageturn.rebalance.rate_controller.MigrationRateController.max_rate", lambda self, own: 400.0
+    )
 
     async def go() -> None:
-        async with overriding(tmp_path, up, up) as ((relay,), (a, b)):
+        async with relays_with_overrides(tmp_path, up, up) as ((relay,), (a, b)):
             relay.rebalancer.options = RebalanceOptions(tick_s=0.05, back_within_s=0.1)
             clients = [
                 await ask(relay.listener.address, first_line(more=",at=a", key=f"k{n}")) for n in range(6)
             ]
             for reader, _ in clients:
                 assert await reader.readline() == b"UP r1\r\n"
-            relay.store.put(*record(said("o1", out("a", move_off=True))))
+            relay.store.put(
+                *signed_record(operation_now("o1", out_of_service("a", migrate_connections=True)))
+            )
             for reader, writer in clients:
                 assert await reader.read() == b"MOVE\r\n"
                 writer.close()
             assert relay.rebalancer.options.mode == "off" and relay.rebalancer.counts["moved"] == 6
 
-    story(go())
+    run_within_limit(go())
 
 
-def test_a_relay_killed_before_it_acted_obeys_from_its_first_moment_on(tmp_path: Path) -> None:
+def test_a_relay_killed_before_it_acted_applies_overrides_from_its_start(tmp_path: Path) -> None:
     async def go() -> None:
         for turn in range(2):
-            async with overriding(tmp_path, up, up) as ((relay,), endpoints):
+            async with relays_with_overrides(tmp_path, up, up) as ((relay,), endpoints):
                 if turn == 0:
                     # It never hears of them: killed between the write and its effect.
-                    relay.store.on_change.remove(relay.overrides.changed)
-                    relay.store.put(*record(said("o1", out("a"))))
-                    relay.store.put(*record(said("o2", out("b"), at_ms=now() - 5000, until_ms=now() - 1)))
+                    relay.store.on_change.remove(relay.overrides.on_store_change)
+                    relay.store.put(*signed_record(operation_now("o1", out_of_service("a"))))
+                    relay.store.put(
+                        *signed_record(
+                            operation_now(
+                                "o2",
+                                out_of_service("b"),
+                                created_at_ms=unix_time_ms() - 5000,
+                                expires_at_ms=unix_time_ms() - 1,
+                            )
+                        )
+                    )
                 else:
                     assert relay.endpoint_registry.is_out_of_service(
                         "a"
                     ) and not relay.endpoint_registry.is_out_of_service("b")
-                    assert await placed(relay, endpoints) == [0, 12]
+                    assert await count_placed(relay, endpoints) == [0, 12]
 
-    story(go())
+    run_within_limit(go())
 
 
 def test_sighup_takes_an_operators_key_away_and_a_faulty_one_changes_nothing(tmp_path: Path) -> None:
     async def go() -> None:
-        async with overriding(tmp_path, up, up) as ((relay,), _):
-            relay.store.put(*record(said("o1", out("a"))))
-            await until(lambda: relay.endpoint_registry.is_out_of_service("a"))
+        async with relays_with_overrides(tmp_path, up, up) as ((relay,), _):
+            relay.store.put(*signed_record(operation_now("o1", out_of_service("a"))))
+            await wait_until(lambda: relay.endpoint_registry.is_out_of_service("a"))
             file = tmp_path / "r0" / "operator.json"
             good = json.loads(file.read_text())
             file.write_text(json.dumps({**good, "overrides": {"operators": {"lan": "short"}}}))
             relay.reload_requested.set()
-            await until(lambda: not relay.reload_requested.is_set())
+            await wait_until(lambda: not relay.reload_requested.is_set())
             assert relay.endpoint_registry.is_out_of_service("a")
-            file.write_text(json.dumps({**good, "overrides": section(operators={"mai": public("mai")})}))
+            file.write_text(
+                json.dumps({**good, "overrides": overrides_section(operators={"mai": public_key_of("mai")})})
+            )
             relay.reload_requested.set()
-            await until(lambda: not relay.endpoint_registry.is_out_of_service("a"))
+            await wait_until(lambda: not relay.endpoint_registry.is_out_of_service("a"))
             file.write_text(json.dumps(good))
             relay.reload_requested.set()
-            await until(lambda: relay.endpoint_registry.is_out_of_service("a"))
+            await wait_until(lambda: relay.endpoint_registry.is_out_of_service("a"))
 
-    story(go())
+    run_within_limit(go())
 
 
 def test_the_command_sets_shows_extends_and_revokes(tmp_path: Path) -> None:
     async def go() -> None:
-        async with overriding(tmp_path, up, up, up, relays=2, floor_all=0.5) as (relays, _):
+        async with relays_with_overrides(tmp_path, up, up, up, relays=2, floor_all=0.5) as (relays, _):
             common = {
                 "SAGETURN_CONNECT": "{}:{}".format(*relays[0].replication.address),
                 "SAGETURN_OPERATOR": "lan",
@@ -225,26 +272,28 @@
                 "SAGETURN_KEY_FILE": str(tmp_path / "key.pem"),
             }
 
-            async def command(*words: str, fails: int = 0, **env: str) -> str:
+            async def run_command(*arguments: str, exit_code: int = 0, **env: str) -> str:
                 process = await asyncio.create_subprocess_exec(
                     sys.executable,
                     "-m",
                     "sageturn.cli.main",
                     "override",
-                    *words,
+                    *arguments,
                     stdout=-1,
                     stderr=-1,
                     env={**os.environ, **common, **env},
                 )
-                told, wrong = await process.communicate()
-                assert process.returncode == fails, (words, told, wrong)
-                return (told if not fails else wrong).decode()
+                output, errors = await process.communicate()
+                assert process.returncode == exit_code, (arguments, output, errors)
+                return (errors if exit_code else output).decode()
 
-            nobody = asyncio.ensure_future(command("list", fails=3, SAGETURN_CONNECT="127.0.0.1:1"))
-            public_key = (await command("key", str(tmp_path / "key.pem"))).strip()
+            nobody = asyncio.ensure_future(run_command("list", exit_code=3, SAGETURN_CONNECT="127.0.0.1:1"))
+            public_key = (await run_command("key", str(tmp_path / "key.pem"))).strip()
             assert (tmp_path / "key.pem").stat().st_mode & 0o77 == 0
-            await until(lambda: all(r.store.get("state/n1/overrides") for r in relays))
-            refused = await command("set", "out", "--host", "a", "--for", "2h30m", "--why", "disk", fails=1)
+            await wait_until(lambda: all(r.store.get("state/n1/overrides") for r in relays))
+            refused = await run_command(
+                "set", "out", "--host", "a", "--for", "2h30m", "--why", "disk", exit_code=1
+            )
             assert "refuses it: signature" in refused, "the name is checked, not taken on trust"
             for number, relay in enumerate(relays):
                 file = tmp_path / f"r{number}" / "operator.json"
@@ -252,32 +301,34 @@
                 content["overrides"]["operators"]["lan"] = public_key
                 file.write_text(json.dumps(content))
                 relay.reload_requested.set()
-            await until(lambda: all("lan" in r.config.operator.overrides.operators for r in relays))
-            await until(lambda: all(not r.reload_requested.is_set() for r in relays))
+            await wait_until(lambda: all("lan" in r.config.operator.overrides.operators for r in relays))
+            await wait_until(lambda: all(not r.reload_requested.is_set() for r in relays))
             set_ = ("set", "out", "--host", "a", "--for", "2h30m", "--why", "disk is failing", "--json")
-            made = json.loads(await command(*set_))
+            made = json.loads(await run_command(*set_))
             assert made["relays"] == {"n0": "in force", "n1": "in force"}
             assert all(r.endpoint_registry.is_out_of_service("a") for r in relays)
-            too_much = await command("set", "out", "--host", "b", "--for", "1h", "--why", "x", fails=1)
+            too_much = await run_command(
+                "set", "out", "--host", "b", "--for", "1h", "--why", "x", exit_code=1
+            )
             assert "would leave 1.0 of 3.0" in too_much and "--force" in too_much
-            (row,) = [r for r in json.loads(await command("list", "--json")) if r["status"] == "in force"]
+            (row,) = [r for r in json.loads(await run_command("list", "--json")) if r["status"] == "in force"]
             assert row["set_by"] == "lan" and row["left"].startswith("2h") and row["why"] == "disk is failing"
-            await command("extend", made["id"], "--for", "10m", "--why", "sooner")
-            assert "about to end" in await command("list")
-            assert "out of service" in await command("explain", "a")
-            await command("revoke", made["id"], "--why", "mended")
+            await run_command("extend", made["id"], "--for", "10m", "--why", "sooner")
+            assert "about to end" in await run_command("list")
+            assert "out of service" in await run_command("explain", "a")
+            await run_command("revoke", made["id"], "--why", "mended")
             assert not any(r.endpoint_registry.is_out_of_service("a") for r in relays)
-            words = [r["word"] for r in json.loads(await command("history", made["id"], "--json"))]
-            assert words == ["set", "extend", "revoke"]
+            history = [r["word"] for r in json.loads(await run_command("history", made["id"], "--json"))]
+            assert history == ["set", "extend", "revoke"]
             never = "2999-01-01T00:00:00"
             unknown, zoneless, _ = await asyncio.gather(
-                command("show", "out-nope", fails=4),
-                command("set", "hold", "--host", "a", "--until", never, "--why", "x", fails=2),
+                run_command("show", "out-nope", exit_code=4),
+                run_command("set", "hold", "--host", "a", "--until", never, "--why", "x", exit_code=2),
                 nobody,
             )
             assert "no such override" in unknown and "has no zone" in zoneless
 
-    story(go())
+    run_within_limit(go())
 
 
 @pytest.mark.parametrize(
@@ -290,17 +341,21 @@
         ({"longest_s": 0}, "longest_s"),
     ],
 )
-def test_faults_in_its_section_name_their_key(tmp_path: Path, change: dict[str, Any], key: str) -> None:
+def test_errors_in_the_section_name_their_key(tmp_path: Path, change: dict[str, Any], key: str) -> None:
     (tmp_path / "operator.json").write_text(json.dumps({"overrides": change}))
     file = write_config(tmp_path, ("127.0.0.1", 1))
     with pytest.raises(ConfigError, match=f"operator.overrides.{key}"):
         load({"GW_CONFIG": str(file)}, str(tmp_path / "operator.json"))
 
 
-def test_times_as_people_write_them() -> None:
-    assert parse_until("2h30m", 0.0) == 2.5 * HOUR and parse_until("1d", 0.0) == 24 * HOUR
-    assert parse_until("1970-01-01T08:00:00+07:00", 0.0) == HOUR
+def test_durations_and_instants_are_parsed_and_formatted() -> None:
+    assert parse_expiry("2h30m", 0.0) == 2.5 * HOUR_MS and parse_expiry("1d", 0.0) == 24 * HOUR_MS
+    assert parse_expiry("1970-01-01T08:00:00+07:00", 0.0) == HOUR_MS
     for bad in ("", "soon", "0s", "-1h", "1970-01-01T00:00:00Z", "2999-01-01T00:00:00"):
-        with pytest.raises(ValueError):
-            parse_until(bad, 1.0)
-    assert span(2.5 * HOUR) == "2h 30m" and span(0) == "0s" and Selector("host", "a").what == "host"
+        with pytest.raises(InvalidTimeError):
+            parse_expiry(bad, 1.0)
+    assert (
+        format_duration(2.5 * HOUR_MS) == "2h 30m"
+        and format_duration(0) == "0s"
+        and Selector(SelectorAttribute.ENDPOINT, "a").attribute == "host"
+    )
