--- a/sageturn/decision/balancer.py
+++ b/sageturn/decision/balancer.py
@@ -56,6 +56,7 @@
         }
 
     def handle(self, now_ms: float, event: events.Event) -> list[actions.Action]:
+        """Called for each event, at the time ``now_ms`` that never goes back."""
         self._actions = []
         self.fleet.now_ms = now_ms
         self._handlers[type(event)](now_ms, event)
--- a/sageturn/decision/endpoint_table.py
+++ b/sageturn/decision/endpoint_table.py
@@ -83,6 +83,7 @@
         return min(self.settings.relay_count, max(1.0, self.quota_per_endpoint()))
 
     def set_closed(self, endpoint: EndpointState, is_closed: bool) -> None:
+        """A closed endpoint is sent nothing, and is kept in ``closed`` to be reevaluated."""
         endpoint.closed = is_closed
         if is_closed:
             self.closed[endpoint.name] = endpoint
--- a/sageturn/decision/fleet.py
+++ b/sageturn/decision/fleet.py
@@ -44,9 +44,11 @@
         return min(1.0, self.totals.in_flight / limits) if limits else 1.0
 
     def is_scarce(self) -> bool:
+        """Whether endpoints have little room left for new connections."""
         return self.depth() >= SCARCE_DEPTH
 
     def set_concurrency_limit(self, endpoint: EndpointState, limit: int) -> None:
+        """Additive increase and multiplicative decrease, within bounds; the caller does the arithmetic."""
         endpoint.concurrency_limit = max(1, min(MAX_CONCURRENCY_LIMIT, limit))
         self.update_totals(endpoint)
 
--- a/sageturn/decision/overload.py
+++ b/sageturn/decision/overload.py
@@ -187,6 +187,7 @@
         return [actions.MigrateConnection(request.id) for request in candidates[:count]]
 
     def record_setup_time(self, now_ms: float, endpoint: EndpointState, took_ms: float) -> None:
+        """Learn the speed of its kind of machine and, where no delay is measured, how slow it is itself."""
         took_log = log(took_ms)
         self._fleet.machine_speeds.learn(endpoint.kind, took_log)
         # Against what was usual just now: a slow store slows down the set-ups at all endpoints alike.
--- a/sageturn/decision/quotas.py
+++ b/sageturn/decision/quotas.py
@@ -101,22 +101,37 @@
     for endpoint in endpoints:
         weights[endpoint.zone] = weights.get(endpoint.zone, 0.0) + endpoint.effective_weight
     total_weight = sum(weights.values()) or 1.0
-    zone_count = max(1, len(weights))
-    even_weight = total_weight / zone_count
     mean_nominal = sum(endpoint.nominal_weight for endpoint in endpoints) / max(1, len(endpoints)) or 1.0
     per_relay = per_endpoint / relay_count
     few_relays_slack = FEW_RELAYS_SLACK / relay_count**2 * per_relay
     quota = QUOTA_UTILIZATION * per_relay * total_weight / mean_nominal
     slack = few_relays_slack + FLEET_SLACK_CONNECTIONS / relay_count
+    if own_zone is not None:
+        bounds = _bounds_by_zone(endpoints, weights, own_zone, quota, slack, relay_count)
+    else:
+        bounds = []
+        for endpoint in endpoints:
+            bound = ENDPOINT_QUOTA_RATIO * endpoint.effective_weight / total_weight * quota + slack
+            bounds.append(QuotaBound(bound, relay_count * min(1.0, bound)))
+    return quota + few_relays_slack * len(endpoints), bounds
+
+
+def _bounds_by_zone(
+    endpoints: Sequence[WeightedEndpoint],
+    weights: dict[str, float],
+    own_zone: str,
+    quota: float,
+    slack: float,
+    relay_count: int,
+) -> list[QuotaBound]:
+    """Bounds where crossing zones costs. ``weights``: of all zones with clients; ``quota``: of one relay."""
+    zone_count = max(1, len(weights))
+    even_weight = (sum(weights.values()) or 1.0) / zone_count
     missing = {zone: max(0.0, 1.0 - weight / even_weight) for zone, weight in weights.items()}
     surplus_sum = sum(max(0.0, weight - even_weight) for weight in weights.values()) or 1.0
     bounds = []
     for endpoint in endpoints:
         weight = endpoint.effective_weight
-        if own_zone is None:
-            bound = ENDPOINT_QUOTA_RATIO * weight / total_weight * quota + slack
-            bounds.append(QuotaBound(bound, relay_count * min(1.0, bound)))
-            continue
         zone_weight = weights[endpoint.zone]
         zone_surplus = max(0.0, zone_weight - even_weight)
         local = ENDPOINT_QUOTA_RATIO * weight / max(zone_weight, even_weight) * quota + slack
@@ -127,7 +142,7 @@
         )
         eligible_relays = relay_count / zone_count * (min(1.0, local) + remote_relays)
         bounds.append(QuotaBound(bound, eligible_relays))
-    return quota + few_relays_slack * len(endpoints), bounds
+    return bounds
 
 
 def count_confidence(even_count: float) -> float:
@@ -146,6 +161,7 @@
     count: float = 0.0
 
     def add(self, value: float) -> None:
+        """Count one more value."""
         self.total += value
         self.count += 1.0
 
--- a/sageturn/decision/settings.py
+++ b/sageturn/decision/settings.py
@@ -16,11 +16,7 @@
 SCOPES = ("all", "zone", "cell")  # endpoints among which an idempotency key is recognized
 DISCOVERY = ("push", "ask")  # an agent keeps the list, or the relay watches it by calls of its own
 WEIGHTS = ("none", "nominal", "rough", "live")
-REPORTS = (
-    "none",
-    "probe",
-    "answers",
-)  # health checks alone give load reports, or answers to requests as well
+REPORTS = ("none", "probe", "answers")  # with what load reports come: health checks, or answers as well
 DEFAULT_ALLOWANCE_PER_S = 10.0  # where no tenant has an allowance
 NOT_EXECUTED_STATUSES = ("full", "connect_failed", "moot")  # of attempts that were certainly not executed
 
--- a/sageturn/decision/state.py
+++ b/sageturn/decision/state.py
@@ -88,9 +88,11 @@
         return now_ms - self.started_at_ms if self.started_at_ms else float("inf")
 
     def is_full(self) -> bool:
+        """Whether it may be sent no further attempt for now."""
         return self.closed or self.in_flight >= self.concurrency_limit
 
     def is_at_capacity(self) -> bool:
+        """Whether it holds as many connections as it has been found able to hold."""
         return self.open_count >= self.capacity - self.capacity_rounding
 
     def is_at_quota(self) -> bool:
@@ -176,6 +178,7 @@
         return self.endpoint if attempt == self.attempts - 1 else None
 
     def begin_attempt(self, endpoint: EndpointState, now_ms: float) -> None:
+        """The next attempt is sent now."""
         self.endpoint = endpoint
         self.state = AttemptState.IN_FLIGHT
         self.sent_ms = now_ms
@@ -189,6 +192,7 @@
             self.executed_at_ms = self.sent_ms
 
     def may_have_executed(self) -> bool:
+        """Whether any of its attempts may have been executed."""
         return self.executed_at_ms >= 0
 
     @classmethod
--- a/tests/decision/test_balancer.py
+++ b/tests/decision/test_balancer.py
@@ -17,21 +17,21 @@
 )
 
 
-def test_a_shallow_balancer_throttles_nobody(make: Any) -> None:
+def test_a_lightly_loaded_relay_throttles_nobody(make: Any) -> None:
     relay = make()
     for _ in range(7):
         (action,) = relay.ask()
         assert isinstance(action, PlaceRequest)
 
 
-def test_a_deep_balancer_refuses_the_busy_tenant_and_serves_the_quiet_one(make: Any) -> None:
+def test_a_loaded_relay_rejects_the_busy_tenant_and_serves_the_other(make: Any) -> None:
     relay = make()
     kinds = [type(relay.ask("t")[0]) for _ in range(60)]
     assert kinds[0] is PlaceRequest and kinds[-1] is RejectRequest
     assert isinstance(relay.ask("u")[0], PlaceRequest)
 
 
-def test_refusal_carries_advice_only_where_allowed(make: Any) -> None:
+def test_a_rejection_says_when_to_retry_only_where_that_is_allowed(make: Any) -> None:
     relay = make()
     refusals = [a for _ in range(60) for a in relay.ask() if isinstance(a, RejectRequest)]
     assert refusals and all(0 < a.retry_after_ms <= 1000 for a in refusals)
@@ -47,19 +47,19 @@
     assert isinstance(again, PlaceRequest) and again.endpoint != relay.sent[1][0]
 
 
-def test_a_drained_server_gets_nothing(make: Any) -> None:
+def test_a_draining_endpoint_is_sent_nothing(make: Any) -> None:
     relay = make([Endpoint("a"), Endpoint("b")])
     relay.listed([Endpoint("a", "draining")], "changes")
     for _ in range(6):
         assert relay.ask()[0].endpoint == "b"
 
 
-def test_no_server_means_an_immediate_answer(make: Any) -> None:
+def test_no_endpoint_means_an_immediate_answer(make: Any) -> None:
     relay = make([])
     assert isinstance(relay.ask()[0], RejectRequest)
 
 
-def test_unsafe_that_may_have_run_fails(make: Any) -> None:
+def test_an_unsafe_request_that_may_have_been_executed_fails(make: Any) -> None:
     relay = make(classes=(RequestClass("c", 500, effect="unsafe"),))
     relay.ask()
     assert relay.ends(1, "error") == [FailRequest(1)]
@@ -71,7 +71,7 @@
         relay.stands(relay.ids)
 
 
-def test_a_server_noted_late_gets_nothing_until_it_is_noted_well(make: Any) -> None:
+def test_an_overloaded_endpoint_is_sent_nothing_until_its_delays_are_short_again(make: Any) -> None:
     relay = make([Endpoint("a"), Endpoint("b")])
     open_on_each(relay, 8)
     late = next(i for i in range(1, 9) if relay.sent[i] == ["a"])
@@ -82,7 +82,7 @@
     assert {relay.ask()[0].endpoint for _ in range(8)} == {"a", "b"}
 
 
-def test_all_servers_late_refuses(make: Any) -> None:
+def test_requests_are_rejected_while_all_endpoints_are_overloaded(make: Any) -> None:
     relay = make([Endpoint("a"), Endpoint("b")])
     open_on_each(relay, 8)
     for name in "ab":
@@ -109,7 +109,7 @@
     assert relay.ask("t")[0].endpoint in "cd"
 
 
-def test_a_group_stays_on_few_servers_the_same_at_every_balancer(make: Any) -> None:
+def test_a_group_stays_on_few_endpoints_the_same_at_every_balancer(make: Any) -> None:
     endpoints = [Endpoint(name) for name in "abcdefghij"]
     homes = []
     for seed in (1, 2):
@@ -125,7 +125,7 @@
     assert len(homes[0] | homes[1]) <= 4
 
 
-def test_a_server_that_stays_late_is_relieved_of_lone_group_members(make: Any) -> None:
+def test_an_endpoint_that_stays_overloaded_is_relieved_of_lone_group_members(make: Any) -> None:
     relay = make([Endpoint(name) for name in "abc"], groups=True)
     for k in range(16):
         relay.ask(group="big" if k else "lone")
@@ -136,7 +136,7 @@
     assert relay.tell(MeasurementReported(1, 0, name, "delay", 40.0)) == []
 
 
-def test_moves_also_where_all_are_late_but_not_where_moves_are_dear(make: Any) -> None:
+def test_clients_are_migrated_also_where_all_are_overloaded_but_not_at_a_high_cost(make: Any) -> None:
     for price, count in ((1.0, 0), (0.02, 1)):
         relay = make([Endpoint("a"), Endpoint("b")], migration_cost=price)
         open_on_each(relay, 8)
@@ -145,7 +145,7 @@
             assert min(1, len(relay.tell(MeasurementReported(of[name], 0, name, "delay", 90.0)))) == count
 
 
-def test_a_cold_server_gets_our_part_of_its_budget_in_any_window(make: Any) -> None:
+def test_an_endpoint_in_slow_start_gets_our_part_of_its_budget_in_any_window(make: Any) -> None:
     tenants = (Tenant("t", 10.0, quota_connections=100.0),)
     old = [Endpoint(name) for name in "abc"]
     relay = make(
@@ -191,7 +191,7 @@
     assert len(spill) == 1 and not spill & homes
 
 
-def test_a_tenant_beyond_its_quota_is_refused_first_when_depth_is_not_shallow(make: Any) -> None:
+def test_a_tenant_beyond_its_quota_is_rejected_first_under_load(make: Any) -> None:
     tenants = (Tenant("t", 5.0, quota_connections=5.0), Tenant("u", 5.0, quota_connections=95.0))
     relay = make(tenants=tenants)
     open_on_each(relay, 8)
@@ -205,7 +205,7 @@
     assert isinstance(relay.ask("u")[0], PlaceRequest)
 
 
-def test_a_server_put_out_comes_back_by_itself_and_is_out_again_at_its_next_failure(make: Any) -> None:
+def test_an_ejected_endpoint_is_readmitted_and_ejected_again_by_its_next_failure(make: Any) -> None:
     # One whose trial was lost with its client stayed out for good.
     relay = make([Endpoint(name) for name in "abcd"], may_cancel=True)
     endpoints = relay.balancer.endpoints
@@ -236,7 +236,7 @@
         relay.tell(MeasurementReported(held, 0, name, "delay", 45.0))
 
 
-def test_a_group_gets_no_further_server_while_servers_are_scarce(make: Any) -> None:
+def test_a_group_gets_no_further_endpoint_while_endpoints_are_scarce(make: Any) -> None:
     # i571616: under load in every server's ears, spill to any server with room made each pay for each group.
     for late in (1, 4):
         relay = make([Endpoint(name) for name in "abcdefghij"], groups=True, relay_count=1)
@@ -261,7 +261,7 @@
             assert isinstance(action, PlaceRequest) and action.endpoint in own and first in own
 
 
-def test_a_group_may_go_to_its_first_servers_of_another_zone_while_scarce(make: Any) -> None:
+def test_a_group_may_go_to_its_first_endpoints_of_another_zone_while_scarce(make: Any) -> None:
     endpoints = [Endpoint(n, zone="x") for n in "abcde"] + [Endpoint(n, zone="y") for n in "fghij"]
     relay = make(endpoints, zone="x", cross_zone_cost=0.1, groups=True, relay_count=1)
     open_on_each(relay, 60)
@@ -271,7 +271,7 @@
     assert isinstance(action, PlaceRequest) and action.endpoint in [s.name for s in ranked[5 : 5 + homes]]
 
 
-def test_the_heaviest_are_moved_first_unless_servers_are_scarce(make: Any) -> None:
+def test_the_heaviest_are_migrated_first_unless_endpoints_are_scarce(make: Any) -> None:
     # i0ba860: moving the heaviest while nobody had room sent away what was worth most, and it stayed out.
     for late, heaviest in (("a", True), ("abcd", False)):
         relay = make([Endpoint(name) for name in "abcd"], relay_count=1)
@@ -286,7 +286,7 @@
         assert moves and moves == [MigrateConnection(i) for i in wanted[: len(moves)]]
 
 
-def test_many_balancers_told_of_one_late_server_do_not_empty_it(make: Any) -> None:
+def test_many_relays_notified_of_one_overloaded_endpoint_do_not_empty_it(make: Any) -> None:
     # A hundred balancers that hold one each all get the note; about a third should go.
     moves = 0
     for seed in range(100):
@@ -296,7 +296,7 @@
     assert 20 <= moves <= 55
 
 
-def test_a_server_that_breaks_a_new_connection_is_left_alone_for_a_while(make: Any) -> None:
+def test_an_endpoint_that_breaks_a_new_connection_is_left_alone_for_a_while(make: Any) -> None:
     # Servers with too much piled up break the newest; who holds nothing there gets no note.
     relay = make([Endpoint("a"), Endpoint("b")])
     open_on_each(relay, 1)
@@ -306,7 +306,7 @@
         assert relay.ask("tu"[relay.ids % 2])[0].endpoint != broken
 
 
-def test_servers_of_which_nothing_is_known_do_not_hide_that_the_known_ones_are_full(make: Any) -> None:
+def test_endpoints_without_connections_do_not_hide_that_the_others_are_full(make: Any) -> None:
     # A balancer with four connections among a hundred servers: all four late means scarce, not shallow.
     relay = make([Endpoint(f"s{k}") for k in range(100)], relay_count=100, groups=True)
     open_on_each(relay, 4)
@@ -315,7 +315,7 @@
     assert relay.balancer.fleet.depth() > 0.5
 
 
-def test_a_group_stays_on_few_servers_though_few_connections_tell_little(make: Any) -> None:
+def test_a_group_stays_on_few_endpoints_though_few_connections_show_little(make: Any) -> None:
     # Two of a balancer's three connections of one group: chance, not two thirds of all connections.
     relay = make([Endpoint(f"s{k}") for k in range(100)], relay_count=100, groups=True)
     for group in ("g", "g", "h"):
@@ -327,7 +327,7 @@
     )
 
 
-def test_the_first_sends_of_many_balancers_to_a_cold_server_are_spread(make: Any) -> None:
+def test_the_first_attempts_of_many_relays_at_an_endpoint_in_slow_start_are_spread(make: Any) -> None:
     # 85 balancers each sent a server three seconds old their first connection within one second.
     sent = 0
     for seed in range(60):
@@ -339,7 +339,7 @@
     assert sent <= 3
 
 
-def test_groups_share_out_over_servers_evenly(make: Any) -> None:
+def test_groups_share_out_over_endpoints_evenly(make: Any) -> None:
     # CRC is linear: ranks by it alone made the same few servers early homes of many groups.
     relay = make([Endpoint(f"backend-{k:x}") for k in range(40)], groups=True)
     first: dict[str, int] = {}
@@ -349,7 +349,7 @@
     assert max(first.values()) <= 30
 
 
-def test_larger_servers_by_the_list_are_home_to_more_groups_and_win_the_pair(make: Any) -> None:
+def test_endpoints_of_more_weight_are_home_to_more_groups_and_win_the_pair(make: Any) -> None:
     endpoints = [Endpoint("large", share=4.0), Endpoint("small", share=1.0)]
     relay = make(endpoints, groups=True, weights="rough")
     homes = [relay.balancer.placement.rank_group(f"room-{k}")[0][0].name for k in range(400)]
--- a/tests/decision/test_balancer_edge_cases.py
+++ b/tests/decision/test_balancer_edge_cases.py
@@ -32,7 +32,7 @@
     return (RequestClass("c", 500, effect="keyed", scope=scope, key_ttl_ms=300),)
 
 
-def test_a_keyed_request_is_sent_again_within_its_window_and_group_only(make: Any) -> None:
+def test_an_idempotent_request_is_retried_only_within_its_keys_scope_and_lifetime(make: Any) -> None:
     endpoints = [
         Endpoint("a", zone="x", cell=1),
         Endpoint("b", zone="x", cell=1),
@@ -55,13 +55,13 @@
     assert isinstance(relay.ends(1, "error")[0], RejectRequest)
 
 
-def test_an_unsafe_request_gets_all_its_time_and_may_go_on_if_it_never_ran(make: Any) -> None:
+def test_an_unsafe_request_gets_all_its_time_and_is_retried_if_it_was_not_executed(make: Any) -> None:
     relay = make(classes=(RequestClass("c", 500, effect="unsafe"),))
     assert relay.ask()[0].timeout_ms == 2000.0
     assert isinstance(relay.ends(1, "full")[0], PlaceRequest)
 
 
-def test_a_safe_time_out_leaves_room_for_another_try(make: Any) -> None:
+def test_the_time_out_of_a_safe_request_leaves_time_for_a_retry(make: Any) -> None:
     aim = (RequestClass("c", latency_objective_ms=1800),)
     assert make(classes=aim).ask()[0].timeout_ms <= 1000.0
     # Past its aim a request is not sent again: cut off at half its time, its work at the server was wasted.
@@ -69,7 +69,9 @@
 
 
 @pytest.mark.parametrize("status", ["error", "timeout", "full", "reset", "connect_failed"])
-def test_failed_set_ups_halve_the_limit_and_late_ones_do_not_raise_it(make: Any, status: str) -> None:
+def test_failed_set_ups_halve_the_concurrency_limit_and_late_ones_do_not_raise_it(
+    make: Any, status: str
+) -> None:
     # With the session store slow, time-outs and errors left the limits at their top: set-ups were sent three
     # times faster than the store took them, and all of them failed for as long as clients came again.
     relay = make([Endpoint("a")])
@@ -97,7 +99,7 @@
     assert 15 <= at.count("a") <= 30 and max(at.count(name) for name in "bcd") <= 20
 
 
-def test_a_server_that_drops_its_connections_is_left_room_for_few(make: Any) -> None:
+def test_an_endpoint_that_resets_connections_has_little_capacity_left(make: Any) -> None:
     # A slowed host dropped all it held; 2.5 s later it was filled again, and dropped them all again.
     relay = make([Endpoint("a"), Endpoint("b")])
     while sum(sent == ["a"] for sent in relay.sent.values()) < 8:
@@ -109,7 +111,7 @@
     assert endpoint.capacity <= 1.0 and endpoint.is_full()
 
 
-def test_a_retry_never_goes_to_the_server_that_failed(make: Any) -> None:
+def test_a_retry_never_goes_to_the_endpoint_that_failed(make: Any) -> None:
     for seed in range(20):
         relay = make([Endpoint(name) for name in "abc"], seed=seed)
         relay.ask()
@@ -145,7 +147,7 @@
     assert isinstance(relay.ask("t")[0], RejectRequest)
 
 
-def test_full_servers_lose_and_full_outcomes_halve_the_limit(make: Any) -> None:
+def test_full_endpoints_lose_and_full_outcomes_halve_the_concurrency_limit(make: Any) -> None:
     relay = make([Endpoint("a"), Endpoint("b")])
     relay.ask()
     full = relay.sent[1][0]
@@ -157,7 +159,7 @@
         assert relay.ask()[0].endpoint != full
 
 
-def test_room_after_lateness_is_less_than_what_was_held(make: Any) -> None:
+def test_capacity_after_an_overload_is_less_than_what_was_held(make: Any) -> None:
     relay = make([Endpoint("a"), Endpoint("b")], migration_cost=1.0)
     for _ in range(20):
         relay.ask()
@@ -169,14 +171,14 @@
         assert relay.ask()[0].endpoint == "b"  # but it held more than the room it has now
 
 
-def test_the_lone_member_of_a_group_is_moved_first(make: Any) -> None:
+def test_the_lone_member_of_a_group_is_migrated_first(make: Any) -> None:
     relay = make([Endpoint("a"), Endpoint("b"), Endpoint("c")], groups=True)
     for k in range(1, 8):
         relay.tell(ConnectionAdopted(k, "c", "t", "a", "lone" if k == 5 else "big"))
     assert relay.tell(MeasurementReported(1, 0, "a", "delay", 90.0))[0] == MigrateConnection(5)
 
 
-def test_a_new_server_counts_at_the_others_mean_until_a_connection_stands(make: Any) -> None:
+def test_a_new_endpoint_counts_at_the_others_mean_until_a_connection_is_established(make: Any) -> None:
     # Of two servers, one holding ten and one new, neither is the lighter: chance decides.
     got = []
     for seed in range(30):
@@ -237,7 +239,7 @@
     assert max(waits(DiscoveryFailure.OVERLOADED)) <= 2000.0  # it may be down since that watch ended
 
 
-def test_no_server_at_all_and_all_gone(make: Any) -> None:
+def test_no_endpoint_at_all_and_all_gone(make: Any) -> None:
     relay = make([])
     assert isinstance(relay.ask()[0], RejectRequest)
     relay.listed([Endpoint("a")], "full")
@@ -248,7 +250,7 @@
     assert not relay.balancer.endpoints
 
 
-def test_all_cold_at_a_restarted_balancer_with_a_flood_of_returning_clients(make: Any) -> None:
+def test_all_in_slow_start_at_a_restarted_relay_with_a_flood_of_returning_clients(make: Any) -> None:
     tenants = (Tenant("t", 5.0, quota_connections=40.0),)
     relay = make(
         [], tenants=tenants, relay_count=3, cold_overload_window_ms=1000.0, initial_capacity_ratio=0.1
@@ -261,7 +263,7 @@
     )  # each of four has budget for a pair at most
 
 
-def test_events_about_what_is_not_held_are_passed_over(make: Any) -> None:
+def test_events_about_unknown_requests_are_ignored(make: Any) -> None:
     relay = make()
     relay.ask()
     for event in (
@@ -277,7 +279,7 @@
         assert relay.tell(event) == []
 
 
-def test_a_server_restarting_with_attempts_out_leaks_nothing(make: Any) -> None:
+def test_an_endpoint_restarting_with_attempts_in_flight_leaks_nothing(make: Any) -> None:
     relay = make([Endpoint("a")], tenants=())
     for _ in range(5):
         relay.ask()
@@ -300,7 +302,7 @@
     assert len(b.endpoints) <= 10 and len(b.admission.buckets) <= 3
 
 
-def test_many_zones_one_balancer_no_tenants(make: Any) -> None:
+def test_many_zones_one_relay_no_tenants(make: Any) -> None:
     endpoints = [Endpoint(f"s{k}", zone=f"z{k}") for k in range(9)]
     relay = make(endpoints, tenants=(), zone="z4", cross_zone_cost=0.2)
     assert relay.ask(tenant="")[0].endpoint == "s4"
@@ -340,7 +342,7 @@
     assert logs[0] == logs[1]
 
 
-def test_one_server_one_balancer_one_tenant_no_cancel(make: Any) -> None:
+def test_one_endpoint_one_relay_one_tenant_no_cancel(make: Any) -> None:
     relay = make([Endpoint("only")], tenants=(Tenant("t", 5.0),), relay_count=1, max_attempts=2)
     assert relay.ask()[0].endpoint == "only"
     assert relay.ends(1, "error")[0].endpoint == "only"  # there is no elsewhere
@@ -350,7 +352,7 @@
     assert relay.ends(2, "ok", final=True) == [] and not relay.balancer.requests
 
 
-def test_room_is_regained_slowly_by_many_balancers_while_servers_are_scarce(make: Any) -> None:
+def test_capacity_is_regained_slowly_by_many_relays_while_endpoints_are_scarce(make: Any) -> None:
     # i0e0ee2: fourteen balancers gave each late server fourteen connections more a second.
     gained = []
     for relay_count, late in ((12, "a"), (12, "abc"), (1, "abc")):
@@ -371,7 +373,7 @@
     assert gained[0] == gained[2] and gained[1] < gained[0] / 2
 
 
-def test_groups_and_servers_that_come_and_go_leave_nothing_behind(make: Any) -> None:
+def test_groups_and_endpoints_that_come_and_go_leave_nothing_behind(make: Any) -> None:
     relay = make([], groups=True)
     for k in range(1200):
         relay.now += 50.0
@@ -386,7 +388,7 @@
     assert len(b.endpoints) <= 2 and len(b.fleet.rankings) <= 500
 
 
-def test_where_no_delays_are_told_loads_speak_against_and_relieve_a_server(make: Any) -> None:
+def test_where_no_delay_is_measured_reported_loads_relieve_an_endpoint(make: Any) -> None:
     # On sockets no note of delay comes: an overloaded server kept its clients, and got more of them.
     relay = make([Endpoint("a"), Endpoint("b")], reports_delay=False, migration_cost=0.02)
     told = make([Endpoint("a"), Endpoint("b")], reports_delay=True, migration_cost=0.02)
@@ -413,7 +415,7 @@
     ] == []
 
 
-def test_where_no_delays_are_told_slow_set_ups_speak_against_a_server(make: Any) -> None:
+def test_where_no_delay_is_measured_slow_set_ups_deprioritize_an_endpoint(make: Any) -> None:
     # A host that was slowed down told nothing: its group's clients were placed there again and again.
     endpoints = [Endpoint(name, kind="k") for name in "ab"]
     for tells, closed in ((False, True), (True, False)):
@@ -432,7 +434,7 @@
         assert not placement.is_crowded(a)
 
 
-def test_a_store_that_slows_all_set_ups_speaks_against_no_server(make: Any) -> None:
+def test_a_store_that_slows_all_set_ups_deprioritizes_no_endpoint(make: Any) -> None:
     # All hosts were closed at once for set-ups that took three times the usual everywhere.
     relay = make([Endpoint(name, kind="k") for name in "ab"], reports_delay=False)
     for took in (30.0,) * 40 + (200.0,) * 40:
@@ -442,7 +444,7 @@
     assert not any(relay.balancer.overload.setup_lag(s) > 0.4 for s in relay.balancer.fleet.ready)
 
 
-def test_with_every_server_beyond_what_it_carries_a_request_fails_fast(make: Any) -> None:
+def test_a_request_fails_fast_while_every_endpoint_is_saturated(make: Any) -> None:
     # With three hosts of five left, all clients were taken in, and nobody's messages came in time.
     relay = make([Endpoint("a"), Endpoint("b")], reports_delay=False)
     for _ in range(8):
@@ -460,7 +462,7 @@
     assert isinstance(relay.ask()[0], PlaceRequest)
 
 
-def test_a_server_that_has_just_started_counts_at_the_part_it_can_do(make: Any) -> None:
+def test_an_endpoint_in_slow_start_counts_at_the_part_it_can_do(make: Any) -> None:
     # Hosts 3 s old held as many connections as warm ones of their size, and served none of them in time.
     endpoints = [Endpoint(name) for name in "abc"] + [Endpoint("new", started_at_ms=99_000.0)]
     relay = make(endpoints[:3], slow_start_ms=24_000.0, initial_capacity_ratio=0.12)
@@ -475,7 +477,7 @@
     assert 0.2 < new.effective_weight < 0.35 and new.connection_share < 0.12
 
 
-def test_hosts_that_drain_do_not_count_to_the_fleet_that_the_quotas_are_meant_for(make: Any) -> None:
+def test_endpoints_that_drain_do_not_count_to_the_fleet_that_the_quotas_are_meant_for(make: Any) -> None:
     # A relay that started during a release counted those that left beside their successors: what each
     # host bears came out a quarter too small, and clients were refused while hosts stood half empty.
     lines = [Endpoint(f"r{k}") for k in range(8)] + [Endpoint(f"d{k}", "draining") for k in range(2)]
@@ -489,7 +491,7 @@
     assert make([Endpoint("d", "draining")]).balancer.fleet.first_listed_count == 1
 
 
-def test_a_refused_call_tells_that_the_list_of_the_start_is_out_of_date(make: Any) -> None:
+def test_a_failed_connect_shows_that_the_list_of_the_start_is_out_of_date(make: Any) -> None:
     # Restarted relays had waited up to half of must_ask for their first call: 160 of 386 calls went to
     # hosts that were gone by then.
     waits = []
--- a/tests/decision/test_health_checks.py
+++ b/tests/decision/test_health_checks.py
@@ -65,7 +65,7 @@
 
 
 @given(st.binary(max_size=700))
-def test_no_octets_make_a_report_that_is_no_number(text: bytes) -> None:
+def test_no_bytes_make_a_report_that_is_no_number(text: bytes) -> None:
     found = read_report(text, FIELDS, Counter())
     assert found.keys() <= set(FIELDS) and all(0.0 <= v <= 3600.0 for v in found.values())
     values = {"x0": math.nan, "x1": True, "cpu": "1", "rps": -1, "active": 3}
@@ -76,7 +76,7 @@
 
 
 @given(st.integers(1, 300), st.integers(1, 90), st.floats(0.0001, 0.1), st.integers(0, 40))
-def test_no_more_is_asked_than_is_paid_for_and_than_servers_can_bear(
+def test_no_more_is_checked_than_is_paid_for_and_than_endpoints_can_bear(
     relays: int, endpoints: int, price: float, requests: int
 ) -> None:
     names = [f"s{k}" for k in range(endpoints)]
@@ -91,7 +91,7 @@
     assert max(asked.values()) <= 60000.0 / least_ms + 1.0
 
 
-def test_a_server_that_takes_no_probes_is_not_asked_again_while_it_is_listed() -> None:
+def test_an_endpoint_that_takes_no_health_checks_is_not_checked_again_while_listed() -> None:
     checks = make_checks(health_check_cost=0.0)
     assert checks.take_due(0.0, "ab") == ["a", "b"]
     checks.record_request()
@@ -115,7 +115,7 @@
         relay.stands(relay.ids)
 
 
-def test_probes_are_asked_for_only_where_they_are_allowed_and_tell_something(make: Any) -> None:
+def test_health_checks_are_made_only_where_they_are_allowed_and_useful(make: Any) -> None:
     without = {"probes": False}, {"reports": "none"}, {"report_fields": ("rps",)}, {"reports_delay": True}
     for change in ({}, *without):
         relay = make([], **{**PROBED, **change})
@@ -126,7 +126,7 @@
             assert relay.tell(decision.TimerFired("probe"))[0] == decision.CheckHealth("a")
 
 
-def test_a_server_reported_full_takes_nothing_more_and_one_beyond_it_is_relieved_once(make: Any) -> None:
+def test_an_endpoint_reported_full_is_sent_nothing_and_one_beyond_it_is_relieved_once(make: Any) -> None:
     # Without reports a host at its limit showed only once it broke connections off.
     relay = make(
         [decision.Endpoint("a"), decision.Endpoint("b")], **PROBED, tenants=(decision.Tenant("t", 90.0),)
@@ -149,7 +149,7 @@
     assert not relay.balancer.endpoints["a"].is_full()
 
 
-def test_reports_in_answers_count_and_probe_failures_put_no_server_out(make: Any) -> None:
+def test_reports_in_answers_count_and_failed_health_checks_eject_no_endpoint(make: Any) -> None:
     settings = {**PROBED, "reports": "answers", "tenants": (decision.Tenant("t", 90.0),)}
     relay = make([decision.Endpoint("a"), decision.Endpoint("b")], **settings)
     relay.ask()
@@ -211,7 +211,7 @@
         ((b"PONG half",), [("timeout", {})]),
     ],
 )
-def test_a_probe_ends_in_one_outcome_whatever_comes_back(
+def test_a_health_check_ends_in_one_outcome_whatever_comes_back(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, words: tuple[bytes, ...], outcomes: list[Any]
 ) -> None:
     monkeypatch.setattr("sageturn.net.health_check_client.ANSWER_S", 0.3)
@@ -239,7 +239,9 @@
 
 
 @pytest.mark.parametrize("script", [silent, resets])
-def test_a_host_that_never_answers_probes_serves_its_clients(tmp_path: Path, script: Script) -> None:
+def test_an_endpoint_that_never_answers_health_checks_serves_its_clients(
+    tmp_path: Path, script: Script
+) -> None:
     async def go() -> None:
         async with relaying(tmp_path, up, script) as (relay, _):
             assert relay.health_check_client is None  # not allowed by these settings: nothing of it is there
@@ -248,7 +250,7 @@
     story(go())
 
 
-def test_a_report_behind_a_last_word_is_no_broken_connection(
+def test_a_report_behind_a_final_response_is_no_broken_connection(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # BYE with a report behind it was taken for the end of a connection that broke.
--- a/tests/decision/test_quotas.py
+++ b/tests/decision/test_quotas.py
@@ -68,7 +68,7 @@
 
 
 @given(st.lists(st.tuples(st.floats(5.0, 3000.0), st.booleans()), max_size=60), st.integers(1, 200))
-def test_a_window_stays_inside_its_part_and_always_opens_again(
+def test_a_set_up_window_stays_inside_its_part_and_always_opens_again(
     ends: list[tuple[float, bool]], relays: int
 ) -> None:
     window, now = SetupWindow(13.0, relays, 300.0, Random(1)), 0.0
@@ -84,7 +84,7 @@
     assert window.wait_ms(now + 1500.0 * 1.25) == 0
 
 
-def test_a_host_beyond_its_quotas_part_gets_nothing_more_and_is_relieved_one_by_one(make: Any) -> None:
+def test_an_endpoint_beyond_its_quota_is_sent_nothing_and_is_relieved_one_by_one(make: Any) -> None:
     # 40 relays put 70 clients on each of four hosts while others warmed up: all messages came late.
     tenants = (Tenant("t", 13.0, 800.0),)
     endpoints = [Endpoint(name, share=2.0) for name in "ab"]
--- a/tests/decision/test_simulator_adapter.py
+++ b/tests/decision/test_simulator_adapter.py
@@ -69,7 +69,7 @@
 
 
 @pytest.mark.parametrize("state", ["fault", "no_room", "too_slow", "no_route", "cut", "undone", "stale_send"])
-def test_every_outcome_leads_to_another_try(state: str) -> None:
+def test_every_outcome_leads_to_a_retry(state: str) -> None:
     link = SimulatorLink()
     link.answer(enlist())
     (relay,) = actions(link.answer(batch(inbound(1))))
--- a/tests/decision/test_slow_start.py
+++ b/tests/decision/test_slow_start.py
@@ -180,7 +180,7 @@
 
 
 @pytest.mark.parametrize(("relays", "hosts", "zones"), [(200, 60, ""), (200, 60, "wxyz"), (40, 30, "wxyz")])
-def test_a_fleet_that_is_replaced_fills_its_new_hosts_and_floods_none(
+def test_a_fleet_that_is_replaced_fills_its_new_endpoints_and_floods_none(
     relays: int, hosts: int, zones: str
 ) -> None:
     # Nine in ten relays could place nobody on a new host, as their parts of it came to no whole connection,
@@ -252,7 +252,7 @@
 
 @pytest.mark.parametrize("pattern", PATTERNS)
 @pytest.mark.parametrize(("numbered", "differ"), [(True, 0.0), (True, 0.1), (False, 0.0)])
-def test_all_relays_together_stay_inside_a_cold_servers_budget(
+def test_all_relays_together_stay_inside_a_slow_start_budget(
     pattern: str, numbered: bool, differ: float
 ) -> None:
     # Each of 200 relays had saved up part of a call when a burst came: 35 calls where 18 were borne.
@@ -268,7 +268,7 @@
     assert not over
 
 
-def test_rounded_parts_of_all_relays_add_up_at_each_host() -> None:
+def test_rounded_parts_of_all_relays_add_up_at_each_endpoint() -> None:
     # By chance alone hosts that were meant to hold 33 held 22 to 62.
     for relays in (7, 40, 200, 220):
         ramps = [
@@ -284,7 +284,7 @@
                 assert abs(near - part * len(zone)) <= 1.5
 
 
-def test_connections_on_draining_hosts_leave_room_for_their_clients_at_the_successors(make: Any) -> None:
+def test_connections_on_draining_endpoints_leave_room_for_their_clients_elsewhere(make: Any) -> None:
     # A quarter of what relays held in all stood on hosts that drained, while they refused these very clients.
     tenants = (Tenant("t", 13.0, 160.0),)
     relay = make(
@@ -302,7 +302,7 @@
     assert relay.ask()[0].endpoint == "c"
 
 
-def test_warm_hosts_are_not_given_what_is_meant_for_cold_ones(make: Any) -> None:
+def test_warm_endpoints_are_not_given_what_is_meant_for_those_in_slow_start(make: Any) -> None:
     # Relays filled the warm hosts with what new ones were to hold, so that these were refused it later.
     tenants = (Tenant("t", 13.0, 1600.0),)
     endpoints = [Endpoint(f"w{k}") for k in range(4)]
@@ -339,7 +339,7 @@
         assert read_settings(conf).index == index
 
 
-def test_a_number_beyond_the_group_counts_as_not_told() -> None:
+def test_a_relay_number_beyond_the_relay_count_is_ignored() -> None:
     # Two relays with one number would take the same turns.
     ramps = [SlowStartBudget(Settings(CLASSES, relay_count=4, index=9), Random(seed)) for seed in range(9)]
     assert len({ramp.rounding_offset(1) for ramp in ramps}) == 9
