--- a/experiments/measure_client_disconnects.py
+++ b/experiments/measure_client_disconnects.py
@@ -1,6 +1,6 @@
 """How long after a client's departure the last attempt for it begins: a real relay on a core that is held.
 
-    PYTHONPATH=. python experiments/measure_client_disconnects.py --rounds 10
+    PYTHONPATH=.:tests python experiments/measure_client_disconnects.py --rounds 10
 
 The relay shares one core with a program that never waits. Hundreds of clients ask at once; every host refuses
 after 5 to 50 ms, so that further attempts are due, until all clients leave within a few milliseconds. What is
@@ -26,11 +26,20 @@
 from pathlib import Path
 from typing import Any
 
-from support.network_fakes import SETTINGS, Discovery, ask, chunked, first_line, listed, served, write_config
+from support.network_fakes import (
+    SETTINGS,
+    Discovery,
+    ask,
+    chunked,
+    first_line,
+    listed,
+    served,
+    until_ready,
+    write_config,
+)
+from support.ports import Address, free_port
 from support.xmpp_fakes import Client, Server
-from test_descriptor_exhaustion import ready
-from test_program import Address, free_port
-from test_xmpp_frontend import client_tls, write_operator
+from support.xmpp_relay import client_tls, write_operator
 
 CONDITION = "<resource-constraint xmlns='urn:ietf:params:xml:ns:xmpp-streams'/>"
 CLIENTS = {"lines": 300, "xmpp": 60}
@@ -42,8 +51,8 @@
 import os, sys, time
 from sageturn.__main__ import main
 from sageturn.core.request_lifecycle import RequestLifecycle
-from sageturn.frontends import platform
-from sageturn.frontends.xmpp import front
+from sageturn.frontends.platform import connection as platform_connection
+from sageturn.frontends.xmpp import connection as xmpp_connection
 file = os.open(sys.argv.pop(1), os.O_WRONLY | os.O_APPEND | os.O_CREAT)
 asked = RequestLifecycle.check_before_write
 def noting(connect):
@@ -56,8 +65,8 @@
         ask = life.record.request
         os.write(file, f"{ask.client_request_id or ask.client.split('/')[1]} {time.time()}\\n".encode())
     return ending
-for each in (platform, front):
-    each.connect = noting(each.connect)
+for each in (platform_connection, xmpp_connection):
+    each.connect_unreserved = noting(each.connect_unreserved)
 RequestLifecycle.check_before_write = noted_asked
 sys.exit(main())
 """
@@ -200,7 +209,7 @@
         for each in (process, other):
             stack.callback(each.kill)
             os.sched_setaffinity(each.pid, {max(os.sched_getaffinity(0))})
-        await ready(lines)
+        await until_ready(lines)
         waiting: list[Client] = []
         come = on_lines(lines) if front == "lines" else on_streams(streams, waiting)
         results = []
--- a/sageturn/net/sockets.py
+++ b/sageturn/net/sockets.py
@@ -1,142 +1,108 @@
-"""Non-blocking sockets on asyncio's own calls, with what those leave out."""
+"""Non-blocking sockets on asyncio's own calls: connecting, writing, and noticing that a peer has left.
+
+All addresses are IPv4 addresses with a port; there are no names to look up.
+"""
 
 from __future__ import annotations
 
 import asyncio
-import errno
-import os
-import resource
 import select
 import socket
-import struct
-from collections.abc import Callable, Iterator, Sequence
-from contextlib import contextmanager, suppress
+from collections.abc import Callable, Sequence
 from enum import Enum, auto
 
 from sageturn.core.close_reason import CloseReason
+from sageturn.net.descriptors import DESCRIPTOR_RESERVE, OUT_OF_DESCRIPTORS_ERRNOS
 
 Buffer = bytes | bytearray | memoryview
-SHORT_OF_DESCRIPTORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
-LINGER_S = 0.5  # how long a closed connection's other side is awaited
-LINGER_MOST = 65536  # and how much it may still send; more comes only from one that floods
-FLOOD_S = 0.1  # it has the answer by then: it reads what it is sent
-# The watch and the one that takes its place, a link between stores, and the configuration's file.
-RESERVED = 4
 
 
-class Connect(Enum):
-    """Why a connection did not come up."""
+class ConnectFailure(Enum):
+    """Why a connection did not come up. The names go out lower-cased, as reasons of a failed watch."""
 
     REFUSED = auto()
-    NEVER_UP = auto()
+    NEVER_UP = auto()  # within the time limit
     NO_DESCRIPTOR = auto()
 
 
-CONNECT_ENDINGS = {
-    Connect.REFUSED: CloseReason.REFUSED,
-    Connect.NEVER_UP: CloseReason.NO_CONNECT,
-    Connect.NO_DESCRIPTOR: CloseReason.NOT_SENT,
+CLOSE_REASON_OF_CONNECT_FAILURE = {
+    ConnectFailure.REFUSED: CloseReason.REFUSED,
+    ConnectFailure.NEVER_UP: CloseReason.NO_CONNECT,
+    ConnectFailure.NO_DESCRIPTOR: CloseReason.NOT_SENT,
 }
 
 
-class DescriptorReserve:
-    """Descriptors that no client can take: held open on nothing, and given up for what must not wait.
-
-    Clients who stand or rest may fill all others for as long as they like. Without these the watch would get
-    none, and the relay would go on with an old list.
-    """
-
-    def __init__(self) -> None:
-        self._held: list[int] = []
-        self._size = 0
-
-    def hold(self, size: int) -> None:
-        self._size = size
-        while len(self._held) > size:
-            os.close(self._held.pop())
-        self.refill()
-
-    def refill(self) -> bool:
-        """Asked before a client takes a descriptor: False while one that was given up is not made good."""
-        while len(self._held) < self._size:
-            try:
-                self._held.append(os.open(os.devnull, os.O_RDONLY))
-            except OSError:
-                return False
-        return True
-
-    def give_up(self) -> bool:
-        """One is free from here on, until the next await. False if there is none left to give up."""
-        if not self._held:
-            return False
-        os.close(self._held.pop())
-        return True
-
-    @contextmanager
-    def lent(self) -> Iterator[None]:
-        """For a file that is read and closed again in one turn of the loop."""
-        self.give_up()
-        try:
-            yield
-        finally:
-            self.refill()
-
-
-DESCRIPTOR_RESERVE = DescriptorReserve()  # one for the process, as its table of descriptors is
-
-
-def limit_descriptors(most: int) -> None:
-    """So that running out shows as an error that the listener knows how to answer."""
-    _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    if hard == resource.RLIM_INFINITY or hard >= most:
-        resource.setrlimit(resource.RLIMIT_NOFILE, (most, hard))
-    DESCRIPTOR_RESERVE.hold(RESERVED)
-
-
-def prepare(sock: socket.socket) -> socket.socket:
+def configure_socket(sock: socket.socket) -> socket.socket:
+    """Set what every connection has: no blocking calls, and small writes sent at once."""
     sock.setblocking(False)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     return sock
 
 
-def _new_socket(reserved: bool) -> socket.socket:
+def bind_socket(address: tuple[str, int]) -> socket.socket:
+    """Reserve ``address``; connections to it are refused until ``listen`` is called. Raises OSError."""
+    sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+    try:
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # accepted sockets inherit it
+        sock.bind(address)
+        sock.setblocking(False)
+    except BaseException:
+        sock.close()
+        raise
+    return sock
+
+
+def _create_socket(use_reserve: bool) -> socket.socket:
     try:
         return socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     except OSError as error:
-        if not reserved or error.errno not in SHORT_OF_DESCRIPTORS or not DESCRIPTOR_RESERVE.give_up():
+        if not use_reserve or error.errno not in OUT_OF_DESCRIPTORS_ERRNOS:
+            raise
+        if not DESCRIPTOR_RESERVE.release_one():
             raise
         return socket.socket(socket.AF_INET, socket.SOCK_STREAM)
 
 
-async def connect_unreserved(address: tuple[str, int], timeout_s: float) -> socket.socket | Connect:
-    """As ``connect``, for a client's sake: what is held in reserve is made good first, and not touched."""
-    return await connect(address, timeout_s, False) if DESCRIPTOR_RESERVE.refill() else Connect.NO_DESCRIPTOR
-
-
 async def connect(
-    address: tuple[str, int], timeout_s: float, reserved: bool = True
-) -> socket.socket | Connect:
+    address: tuple[str, int], timeout_s: float, use_reserve: bool = True
+) -> socket.socket | ConnectFailure:
+    """Connect within ``timeout_s``, on a descriptor of the reserve if there is no other.
+
+    For the relay's own connections, which must come up however many clients there are.
+    """
     try:
-        sock = prepare(_new_socket(reserved))
+        sock = configure_socket(_create_socket(use_reserve))
     except OSError as error:
-        return Connect.NO_DESCRIPTOR if error.errno in SHORT_OF_DESCRIPTORS else Connect.REFUSED
+        out_of_descriptors = error.errno in OUT_OF_DESCRIPTORS_ERRNOS
+        return ConnectFailure.NO_DESCRIPTOR if out_of_descriptors else ConnectFailure.REFUSED
     try:
         async with asyncio.timeout(timeout_s):
             await asyncio.get_running_loop().sock_connect(sock, address)
     except TimeoutError:
         sock.close()
-        return Connect.NEVER_UP
+        return ConnectFailure.NEVER_UP
     except OSError:
         sock.close()
-        return Connect.REFUSED
+        return ConnectFailure.REFUSED
     except BaseException:
         sock.close()
         raise
     return sock
 
 
+async def connect_unreserved(address: tuple[str, int], timeout_s: float) -> socket.socket | ConnectFailure:
+    """As ``connect``, on behalf of a client: the descriptor reserve is refilled first, and never used."""
+    if not DESCRIPTOR_RESERVE.refill():
+        return ConnectFailure.NO_DESCRIPTOR
+    return await connect(address, timeout_s, use_reserve=False)
+
+
 async def send_gathered(sock: socket.socket, parts: Sequence[Buffer]) -> None:
-    """One gathered write; what the kernel did not take at once follows part by part."""
+    """Send all ``parts`` with one system call; what the kernel does not take at once follows part by part.
+
+    Raises OSError if the connection fails.
+    """
     try:
         sent = sock.sendmsg(parts)
     except (BlockingIOError, InterruptedError):
@@ -151,97 +117,32 @@
         sent = 0
 
 
-async def until_seen(sock: socket.socket, look: Callable[[], CloseReason | None]) -> CloseReason:
-    """Calls ``look`` at once and whenever ``sock`` has something to read, until it gives an ending.
+async def wait_for_close_reason(sock: socket.socket, poll: Callable[[], CloseReason | None]) -> CloseReason:
+    """Call ``poll`` at once and whenever ``sock`` is readable, until it returns a reason.
 
-    ``look`` alone reads the socket then, without waiting, and may be called by others as well: what one of
-    two readers had read, but not yet been woken to put in its place, would stand behind what the other took.
+    ``poll`` alone reads the socket meanwhile, without waiting, and may be called by others as well. Two
+    readers could swap the order of the bytes: what one has read, but not yet been woken to store, would be
+    stored after what the other has read since.
     """
     loop = asyncio.get_running_loop()
-    seen: asyncio.Future[CloseReason] = loop.create_future()
+    close_reason: asyncio.Future[CloseReason] = loop.create_future()
 
-    def again() -> None:
-        if not seen.done() and (found := look()) is not None:
-            seen.set_result(found)
+    def on_readable() -> None:
+        if not close_reason.done() and (found := poll()) is not None:
+            close_reason.set_result(found)
 
-    again()
-    loop.add_reader(sock, again)
+    on_readable()
+    loop.add_reader(sock, on_readable)
     try:
-        return await seen
+        return await close_reason
     finally:
         if sock.fileno() >= 0:
             loop.remove_reader(sock)
 
 
-def has_ended(sock: socket.socket) -> bool:
-    """Whether the other side has ended or reset it, though what it said before may still lie unread."""
-    ends = select.POLLRDHUP | select.POLLHUP | select.POLLERR
+def is_closed_by_peer(sock: socket.socket) -> bool:
+    """Whether the peer has sent its FIN or a reset, though what it sent before may still lie unread."""
+    closed = select.POLLRDHUP | select.POLLHUP | select.POLLERR
     poll = select.poll()
-    poll.register(sock, ends)
-    return any(mask & ends for _, mask in poll.poll(0))
-
-
-def end_sending(sock: socket.socket) -> None:
-    with suppress(OSError):  # the other side has reset it: there is nobody left to tell
-        sock.shutdown(socket.SHUT_WR)
-
-
-def reset(sock: socket.socket) -> None:
-    """Close with a reset, as the other side of the relay was reset."""
-    with suppress(OSError):
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-    sock.close()
-
-
-def close_at_once(sock: socket.socket, text: bytes) -> None:
-    """Say one last thing, and close over nothing unread: a reset for that could destroy it on its way."""
-    with suppress(OSError):
-        sock.send(text)
-        sock.shutdown(socket.SHUT_WR)
-    _close_over_nothing(sock)
-
-
-def _close_over_nothing(sock: socket.socket) -> None:
-    with suppress(OSError):
-        left = LINGER_MOST
-        while left > 0 and (size := len(sock.recv(8192))):
-            left -= size
-    sock.close()
-
-
-async def close_politely(sock: socket.socket) -> None:
-    """End with FIN, and wait a little for the other's.
-
-    Closing at once while bytes of the other side lie unread would make the kernel send a reset, which
-    can destroy the last line on its way. One that floods is not read on: that would cost the others the
-    relay's core, and its own full window holds it up while the answer travels.
-    """
-    if sock.fileno() < 0:
-        return  # it was reset
-    end_sending(sock)
-    loop = asyncio.get_running_loop()
-    waste = bytearray(2048)
-    try:
-        with suppress(OSError, TimeoutError):
-            async with asyncio.timeout(LINGER_S):
-                left = LINGER_MOST
-                while left > 0 and (size := await loop.sock_recv_into(sock, waste)):
-                    left -= size
-                if left <= 0:
-                    await asyncio.sleep(FLOOD_S)
-    finally:
-        _close_over_nothing(sock)  # also when it is cut off while it waits
-
-
-def bind(address: tuple[str, int]) -> socket.socket:
-    """Claims the address, and refuses connections to it until ``listen`` is called."""
-    sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-    try:
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # whoever is accepted has it from here
-        sock.bind(address)
-        sock.setblocking(False)
-    except BaseException:
-        sock.close()
-        raise
-    return sock
+    poll.register(sock, closed)
+    return any(mask & closed for _, mask in poll.poll(0))
--- a/sageturn/relay/reload.py
+++ b/sageturn/relay/reload.py
@@ -8,7 +8,7 @@
 
 from sageturn.config.errors import ConfigError
 from sageturn.config.platform import RelayConfig
-from sageturn.net.sockets import DESCRIPTOR_RESERVE
+from sageturn.net.descriptors import DESCRIPTOR_RESERVE
 
 log = logging.getLogger(__name__)
 
@@ -43,7 +43,7 @@
         if self._read_config is None:
             return None
         try:
-            with DESCRIPTOR_RESERVE.lent():  # clients may hold all other descriptors
+            with DESCRIPTOR_RESERVE.borrow():  # clients may hold all other descriptors
                 return self._read_config(self._current())
         except ConfigError as error:
             log.error("configuration rejected, the old one stays in force error=%s", error)
--- a/sageturn/relay/subsystems.py
+++ b/sageturn/relay/subsystems.py
@@ -14,7 +14,7 @@
 from sageturn.core.endpoint_registry import EndpointRegistry
 from sageturn.core.messages import DiscoveryAddressChanged
 from sageturn.frontends.xmpp.accounts import Accounts
-from sageturn.frontends.xmpp.front import XmppFrontend
+from sageturn.frontends.xmpp.frontend import XmppFrontend
 from sageturn.net.admission import AdmissionController
 from sageturn.net.discovery import DiscoveryClient
 from sageturn.net.listener import Listener
@@ -49,7 +49,7 @@
         if options is not None:
             self._frontend = XmppFrontend(context, options, Accounts(store))
             self.listener = Listener(
-                options.listen, self._frontend.serve, self._frontend.turn_away, admission
+                options.listen, self._frontend.serve, self._frontend.rejection, admission
             )
 
     def start(self, actors: ActorSupervisor) -> None:
@@ -123,7 +123,7 @@
                 context.balancer_actor.post_event,
                 context.invalid_report_values,
             )
-            context.balancer_actor.check_endpoint_health = self.client.ask
+            context.balancer_actor.check_endpoint_health = self.client.start_check
 
     async def stop(self) -> None:
         if self.client is not None:
--- a/sageturn/store/replication/link_runner.py
+++ b/sageturn/store/replication/link_runner.py
@@ -58,7 +58,7 @@
     async def _perform_handshake(
         channel: AuthenticatedChannel, is_dialed: bool, pending: PendingConnection | None
     ) -> None:
-        limit = pending.within(HANDSHAKE_TIMEOUT_S) if pending else asyncio.timeout(HANDSHAKE_TIMEOUT_S)
+        limit = pending.time_limit(HANDSHAKE_TIMEOUT_S) if pending else asyncio.timeout(HANDSHAKE_TIMEOUT_S)
         try:
             async with limit:
                 await channel.perform_handshake(is_dialed)
@@ -67,7 +67,7 @@
             log.warning("replication handshake failed dialed=%s detail=%s", is_dialed, detail)
             raise LinkNotEstablishedError(detail) from error
         if pending is not None:
-            pending.asked()
+            pending.mark_active()
 
     def _notify_links(self) -> None:
         for event in self._output_pending:
--- a/tests/net/test_discovery_client.py
+++ b/tests/net/test_discovery_client.py
@@ -19,7 +19,7 @@
 from sageturn.net.discovery import DiscoveryClient
 from sageturn.net.endpoint_list import parse_endpoint_list
 from sageturn.net.errors import InvalidEndpointListError
-from sageturn.net.sockets import Connect, bind
+from sageturn.net.sockets import ConnectFailure, bind_socket
 from sageturn.relay import Relay
 
 ADDRESS = ("127.0.0.1", 9)
@@ -184,17 +184,17 @@
     assert failure_of(monkeypatch, FULL_LIST + b"~", 9.0) is DiscoveryFailure.SILENT
 
 
-@pytest.mark.parametrize("connect_failure", [None, *Connect])
+@pytest.mark.parametrize("connect_failure", [None, *ConnectFailure])
 def test_call_that_cannot_connect_is_unreached(
-    connect_failure: Connect | None, monkeypatch: pytest.MonkeyPatch
+    connect_failure: ConnectFailure | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def fail_to_connect(address: tuple[str, int], timeout_s: float) -> Connect:
+    async def fail_to_connect(address: tuple[str, int], timeout_s: float) -> ConnectFailure:
         assert connect_failure is not None
         return connect_failure
 
     async def go() -> DiscoveryFailure:
         failed: asyncio.Queue[WatchFailed] = asyncio.Queue()
-        sock = bind(("127.0.0.1", 0))  # it refuses connections, as nobody listens
+        sock = bind_socket(("127.0.0.1", 0))  # it refuses connections, as nobody listens
         try:
             DiscoveryClient(sock.getsockname(), lambda _, event: failed.put(event)).start(0)  # type: ignore[arg-type]
             return (await asyncio.wait_for(failed.get(), 5)).failure
--- a/tests/rebalance/test_rebalance_relay.py
+++ b/tests/rebalance/test_rebalance_relay.py
@@ -14,8 +14,7 @@
 import pytest
 from support.network_fakes import SETTINGS, ask, first_line, relaying, up, write_config
 from support.xmpp_fakes import Client, echo
-from test_xmpp_frontend import client_tls, server_tls
-from test_xmpp_frontend import relaying as xmpp_relaying
+from support.xmpp_relay import client_tls, relaying_xmpp, server_tls
 
 from sageturn.config.errors import ConfigError
 from sageturn.config.loader import load
@@ -128,7 +127,7 @@
 
 def test_an_xmpp_client_is_asked_in_its_own_protocol(tmp_path: Path) -> None:
     async def go() -> None:
-        async with xmpp_relaying(tmp_path, lambda s: echo(s, server_tls()), tls=True) as (relay, _):
+        async with relaying_xmpp(tmp_path, lambda s: echo(s, server_tls()), tls=True) as (relay, _):
             file = tmp_path / "operator.json"
             file.write_text(json.dumps({**json.loads(file.read_text()), **REBALANCE_ON}))
             client = await Client.connect(relay.xmpp_listener.address)
--- a/tests/support/network_fakes.py
+++ b/tests/support/network_fakes.py
@@ -12,6 +12,8 @@
 from pathlib import Path
 from typing import Any
 
+from support.ports import Address
+
 from sageturn.config.loader import load
 from sageturn.relay import Relay
 
@@ -49,6 +51,16 @@
         writer.close()
 
 
+async def until_ready(address: Address) -> None:
+    """Return once the relay at ``address`` accepts connections; fail if it answers a PING otherwise."""
+    while True:
+        try:
+            assert await reply(address, b"PING\r\n") == b"PONG\r\n"
+            return
+        except ConnectionRefusedError:
+            await asyncio.sleep(0.02)
+
+
 class FakeEndpoint:
     """Keeps the first lines that came, and acts by its script."""
 
