--- a/tests/decision/test_balancer.py
+++ b/tests/decision/test_balancer.py
@@ -166,7 +166,7 @@
         relay.ends(relay.ids, "ok", final=True)
         if relay.sent[relay.ids] == ["new"]:
             times.append(relay.now)
-    # a quarter of the quota fits a server; it starts at a tenth and warms up in 10 s
+    # a quarter of the quota fits an endpoint; it starts at a tenth and warms up in 10 s
     for start in times:
         share = 3.0 * 25.0 * (0.1 + 0.9 * (start + 1000 - 49_900) / 10_000) / 2
         assert 0 < sum(start <= at < start + 1000 for at in times) <= share
@@ -216,7 +216,7 @@
     out = next(s for s in endpoints.values() if not s.ready)
     relay.now += 1600.0
     relay.ask()
-    # Back for all clients at once, a slow host cost the fleet day half of what it kept.
+    # Back for all clients at once, a slow endpoint cost the fleet day half of what it kept.
     assert (
         out.ready
         and out.concurrency_limit == 1
@@ -237,7 +237,7 @@
 
 
 def test_a_group_gets_no_further_endpoint_while_endpoints_are_scarce(make: Any) -> None:
-    # i571616: under load in every server's ears, spill to any server with room made each pay for each group.
+    # i571616: under load, spill to any endpoint with room made each of them pay for each group.
     for late in (1, 4):
         relay = make([Endpoint(name) for name in "abcdefghij"], groups=True, relay_count=1)
         open_on_each(relay, 60)
@@ -287,7 +287,7 @@
 
 
 def test_many_relays_notified_of_one_overloaded_endpoint_do_not_empty_it(make: Any) -> None:
-    # A hundred balancers that hold one each all get the note; about a third should go.
+    # A hundred relays that hold one each all get the note; about a third should go.
     moves = 0
     for seed in range(100):
         relay = make([Endpoint("a")], seed=seed, relay_count=100)
@@ -297,7 +297,7 @@
 
 
 def test_an_endpoint_that_breaks_a_new_connection_is_left_alone_for_a_while(make: Any) -> None:
-    # Servers with too much piled up break the newest; who holds nothing there gets no note.
+    # Endpoints with too much piled up break the newest; who holds nothing there gets no note.
     relay = make([Endpoint("a"), Endpoint("b")])
     open_on_each(relay, 1)
     broken = relay.sent[1][0]
@@ -307,7 +307,7 @@
 
 
 def test_endpoints_without_connections_do_not_hide_that_the_others_are_full(make: Any) -> None:
-    # A balancer with four connections among a hundred servers: all four late means scarce, not shallow.
+    # A balancer with four connections among a hundred endpoints: all four late means scarce, not shallow.
     relay = make([Endpoint(f"s{k}") for k in range(100)], relay_count=100, groups=True)
     open_on_each(relay, 4)
     for k in range(1, 5):
@@ -328,7 +328,7 @@
 
 
 def test_the_first_attempts_of_many_relays_at_an_endpoint_in_slow_start_are_spread(make: Any) -> None:
-    # 85 balancers each sent a server three seconds old their first connection within one second.
+    # 85 relays each sent an endpoint three seconds old their first connection within one second.
     sent = 0
     for seed in range(60):
         relay = make([], seed=seed, tenants=(Tenant("t", 10.0, quota_connections=100.0),), relay_count=60)
@@ -340,7 +340,7 @@
 
 
 def test_groups_share_out_over_endpoints_evenly(make: Any) -> None:
-    # CRC is linear: ranks by it alone made the same few servers early homes of many groups.
+    # CRC is linear: ranks by it alone made the same few endpoints early homes of many groups.
     relay = make([Endpoint(f"backend-{k:x}") for k in range(40)], groups=True)
     first: dict[str, int] = {}
     for k in range(400):
--- a/tests/decision/test_balancer_edge_cases.py
+++ b/tests/decision/test_balancer_edge_cases.py
@@ -64,7 +64,7 @@
 def test_the_time_out_of_a_safe_request_leaves_time_for_a_retry(make: Any) -> None:
     aim = (RequestClass("c", latency_objective_ms=1800),)
     assert make(classes=aim).ask()[0].timeout_ms <= 1000.0
-    # Past its aim a request is not sent again: cut off at half its time, its work at the server was wasted.
+    # Past its aim a request is not sent again: cut off at half its time, its work at the endpoint was wasted.
     assert make().ask()[0].timeout_ms == 2000.0
 
 
@@ -88,7 +88,7 @@
 
 
 def test_groups_and_zones_draw_connections_only_up_to_a_bound(make: Any) -> None:
-    # A relay that had just started put 64 connections on the one host of its zone, and none on others.
+    # A relay that had just started put 64 connections on the one endpoint of its zone, and none on others.
     endpoints = [Endpoint(name, zone="x" if name == "a" else "y") for name in "abcd"]
     relay = make(endpoints, zone="x", cross_zone_cost=0.1, groups=True, relay_count=2, tenants=())
     for _ in range(40):
@@ -100,7 +100,7 @@
 
 
 def test_an_endpoint_that_resets_connections_has_little_capacity_left(make: Any) -> None:
-    # A slowed host dropped all it held; 2.5 s later it was filled again, and dropped them all again.
+    # A slowed endpoint dropped all it held; 2.5 s later it was filled again, and dropped them all again.
     relay = make([Endpoint("a"), Endpoint("b")])
     while sum(sent == ["a"] for sent in relay.sent.values()) < 8:
         relay.ask()
@@ -179,7 +179,7 @@
 
 
 def test_a_new_endpoint_counts_at_the_others_mean_until_a_connection_is_established(make: Any) -> None:
-    # Of two servers, one holding ten and one new, neither is the lighter: chance decides.
+    # Of two endpoints, one holding ten and one new, neither is the lighter: chance decides.
     got = []
     for seed in range(30):
         relay = make([Endpoint("a")], seed=seed)
@@ -353,7 +353,7 @@
 
 
 def test_capacity_is_regained_slowly_by_many_relays_while_endpoints_are_scarce(make: Any) -> None:
-    # i0e0ee2: fourteen balancers gave each late server fourteen connections more a second.
+    # i0e0ee2: fourteen relays gave each late endpoint fourteen connections more a second.
     gained = []
     for relay_count, late in ((12, "a"), (12, "abc"), (1, "abc")):
         relay = make([Endpoint(name) for name in "abcdefgh"], relay_count=relay_count)
@@ -389,7 +389,7 @@
 
 
 def test_where_no_delay_is_measured_reported_loads_relieve_an_endpoint(make: Any) -> None:
-    # On sockets no note of delay comes: an overloaded server kept its clients, and got more of them.
+    # On sockets no note of delay comes: an overloaded endpoint kept its clients, and got more of them.
     relay = make([Endpoint("a"), Endpoint("b")], reports_delay=False, migration_cost=0.02)
     told = make([Endpoint("a"), Endpoint("b")], reports_delay=True, migration_cost=0.02)
     for r in (relay, told):
@@ -401,10 +401,10 @@
         relay.tell(MeasurementReported(i, 0, sent[-1], "load", 1.0))
     moved = []
     for i in at_a:
-        relay.now += 1100.0  # a server is weighed once a second at most
+        relay.now += 1100.0  # an endpoint is weighed once a second at most
         moved += relay.tell(MeasurementReported(i, 0, "a", "load", 300.0))
     assert moved and all(isinstance(a, MigrateConnection) for a in moved)
-    # Heavier, not closed: closed on such signs, four of five hosts sent all that came to the fifth.
+    # Heavier, not closed: closed on such signs, four of five endpoints sent all that came to the fifth.
     a, b = (relay.balancer.endpoints[name] for name in "ab")
     assert relay.now < a.deprioritized_until_ms and b.deprioritized_until_ms == 0 and not a.is_full()
     assert relay.balancer.placement.load_score(a) > relay.balancer.placement.load_score(b)
@@ -416,7 +416,7 @@
 
 
 def test_where_no_delay_is_measured_slow_set_ups_deprioritize_an_endpoint(make: Any) -> None:
-    # A host that was slowed down told nothing: its group's clients were placed there again and again.
+    # An endpoint that was slowed down told nothing: its group's clients were placed there again and again.
     endpoints = [Endpoint(name, kind="k") for name in "ab"]
     for tells, closed in ((False, True), (True, False)):
         relay = make(endpoints, reports_delay=tells)
@@ -429,13 +429,13 @@
         a, b = (relay.balancer.endpoints[name] for name in "ab")
         placement = relay.balancer.placement
         assert slow and placement.is_crowded(a) is closed and not placement.is_crowded(b)
-        assert not a.is_full()  # it fades: a server that was slow is tried again
+        assert not a.is_full()  # it fades: an endpoint that was slow is tried again
         relay.balancer.fleet.now_ms += 20_000.0
         assert not placement.is_crowded(a)
 
 
 def test_a_store_that_slows_all_set_ups_deprioritizes_no_endpoint(make: Any) -> None:
-    # All hosts were closed at once for set-ups that took three times the usual everywhere.
+    # All endpoints were closed at once for set-ups that took three times the usual everywhere.
     relay = make([Endpoint(name, kind="k") for name in "ab"], reports_delay=False)
     for took in (30.0,) * 40 + (200.0,) * 40:
         relay.ask()
@@ -445,7 +445,7 @@
 
 
 def test_a_request_fails_fast_while_every_endpoint_is_saturated(make: Any) -> None:
-    # With three hosts of five left, all clients were taken in, and nobody's messages came in time.
+    # With three endpoints of five left, all clients were taken in, and nobody's messages came in time.
     relay = make([Endpoint("a"), Endpoint("b")], reports_delay=False)
     for _ in range(8):
         relay.ask()
@@ -463,7 +463,7 @@
 
 
 def test_an_endpoint_in_slow_start_counts_at_the_part_it_can_do(make: Any) -> None:
-    # Hosts 3 s old held as many connections as warm ones of their size, and served none of them in time.
+    # Endpoints 3 s old held as many connections as warm ones of their size, and served none of them in time.
     endpoints = [Endpoint(name) for name in "abc"] + [Endpoint("new", started_at_ms=99_000.0)]
     relay = make(endpoints[:3], slow_start_ms=24_000.0, initial_capacity_ratio=0.12)
     relay.now = 100_000.0
@@ -479,7 +479,7 @@
 
 def test_endpoints_that_drain_do_not_count_to_the_fleet_that_the_quotas_are_meant_for(make: Any) -> None:
     # A relay that started during a release counted those that left beside their successors: what each
-    # host bears came out a quarter too small, and clients were refused while hosts stood half empty.
+    # endpoint bears came out a quarter too small, and clients were refused while endpoints stood half empty.
     lines = [Endpoint(f"r{k}") for k in range(8)] + [Endpoint(f"d{k}", "draining") for k in range(2)]
     tenants = (Tenant("t", 13.0, 800.0),)
     with_drains, without = (
@@ -493,7 +493,7 @@
 
 def test_a_failed_connect_shows_that_the_list_of_the_start_is_out_of_date(make: Any) -> None:
     # Restarted relays had waited up to half of must_ask for their first call: 160 of 386 calls went to
-    # hosts that were gone by then.
+    # endpoints that were gone by then.
     waits = []
     for seed in range(20):
         relay = make([], discovery="ask", max_poll_interval_ms=10000.0, relay_count=200)
--- a/tests/decision/test_balancer_properties.py
+++ b/tests/decision/test_balancer_properties.py
@@ -266,6 +266,6 @@
 @settings(derandomize=True, max_examples=60, deadline=None)
 @given(STEPS, st.integers(0, 9))
 def test_other_names_give_the_same_decisions(steps: list[tuple[int, int, int]], seed: int) -> None:
-    # Servers, zones, classes and tenants under other names. Only a group's home follows from names, by
-    # hash, since that is all that balancers have in common; so groups cost nothing here.
+    # Endpoints, zones, classes and tenants under other names. Only a group's home follows from names, by
+    # hash, since that is all that relays have in common; so groups cost nothing here.
     assert play(steps, seed, "q_") == play(steps, seed, "renamed-")
--- a/tests/decision/test_health_checks.py
+++ b/tests/decision/test_health_checks.py
@@ -127,7 +127,7 @@
 
 
 def test_an_endpoint_reported_full_is_sent_nothing_and_one_beyond_it_is_relieved_once(make: Any) -> None:
-    # Without reports a host at its limit showed only once it broke connections off.
+    # Without reports an endpoint at its limit showed only once it broke connections off.
     relay = make(
         [decision.Endpoint("a"), decision.Endpoint("b")], **PROBED, tenants=(decision.Tenant("t", 90.0),)
     )
--- a/tests/decision/test_quotas.py
+++ b/tests/decision/test_quotas.py
@@ -85,7 +85,7 @@
 
 
 def test_an_endpoint_beyond_its_quota_is_sent_nothing_and_is_relieved_one_by_one(make: Any) -> None:
-    # 40 relays put 70 clients on each of four hosts while others warmed up: all messages came late.
+    # 40 relays put 70 clients on each of four endpoints while others warmed up: all messages came late.
     tenants = (Tenant("t", 13.0, 800.0),)
     endpoints = [Endpoint(name, share=2.0) for name in "ab"]
     relay = make(
@@ -99,7 +99,7 @@
         if relay.ids in relay.sent:
             relay.stands(relay.ids)
     b = relay.balancer
-    assert 12 <= b.fleet.open_count <= 16 and refused >= 44  # 0.7 of two hosts' 400, shared by 40
+    assert 12 <= b.fleet.open_count <= 16 and refused >= 44  # 0.7 of two endpoints' 400, shared by 40
     held = [i for i, sent in relay.sent.items() if sent[-1] == "a"]
     b.endpoints["a"].max_connections = 2.0  # most of it has gone to others
     moves = []
--- a/tests/decision/test_relay_fleet.py
+++ b/tests/decision/test_relay_fleet.py
@@ -21,7 +21,7 @@
     Tenant,
 )
 
-STORE_PER_S = 45.0  # set-ups a second that the session store behind all hosts can do, one after another
+STORE_PER_S = 45.0  # set-ups a second that the session store behind all endpoints can do, one after another
 CLASSES = (
     RequestClass("brisk", latency_objective_ms=300.0),
     RequestClass("slow", latency_objective_ms=800.0),
--- a/tests/decision/test_slow_start.py
+++ b/tests/decision/test_slow_start.py
@@ -183,8 +183,8 @@
 def test_a_fleet_that_is_replaced_fills_its_new_endpoints_and_floods_none(
     relays: int, hosts: int, zones: str
 ) -> None:
-    # Nine in ten relays could place nobody on a new host, as their parts of it came to no whole connection,
-    # and the tenth had to wait for its part of the cold budget like all: 36 hosts held 14 clients 10 s after
+    # Nine in ten relays could place nobody on a new endpoint, as their parts came to no whole connection, and
+    # the tenth had to wait for its part of the budget like all: 36 endpoints held 14 clients 10 s after
     # the release began, and seven in ten tries were refused. Warm ones held up to 39 where 33 were meant.
     each = 40.0
     fleet = Release(relays, hosts, each, 1, zones=zones)
@@ -269,7 +269,7 @@
 
 
 def test_rounded_parts_of_all_relays_add_up_at_each_endpoint() -> None:
-    # By chance alone hosts that were meant to hold 33 held 22 to 62.
+    # By chance alone endpoints that were meant to hold 33 held 22 to 62.
     for relays in (7, 40, 200, 220):
         ramps = [
             SlowStartBudget(Settings(CLASSES, relay_count=relays, index=k), Random(k)) for k in range(relays)
@@ -285,7 +285,7 @@
 
 
 def test_connections_on_draining_endpoints_leave_room_for_their_clients_elsewhere(make: Any) -> None:
-    # A quarter of what relays held in all stood on hosts that drained, while they refused these very clients.
+    # A quarter of what relays held stood on draining endpoints, while they rejected these very clients.
     tenants = (Tenant("t", 13.0, 160.0),)
     relay = make(
         [Endpoint("a"), Endpoint("b")], tenants=tenants, relay_count=20, reports_delay=False, index=10
@@ -303,7 +303,7 @@
 
 
 def test_warm_endpoints_are_not_given_what_is_meant_for_those_in_slow_start(make: Any) -> None:
-    # Relays filled the warm hosts with what new ones were to hold, so that these were refused it later.
+    # Relays filled the warm endpoints with what new ones were to hold, so that these were refused it later.
     tenants = (Tenant("t", 13.0, 1600.0),)
     endpoints = [Endpoint(f"w{k}") for k in range(4)]
     relay = make(
