--- a/sageturn/store/replication/location.py
+++ b/sageturn/store/replication/location.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from sageturn.store.replication.membership import Address
+from sageturn.store.replication.membership import Address, Member
 
 
 def zone_label(region: str, zone: str) -> str:
@@ -24,3 +24,7 @@
     def zone_label(self) -> str:
         """See the function of that name."""
         return zone_label(self.region, self.zone)
+
+    def as_member(self, node: str, incarnation: int) -> Member:
+        """The member of that name at this location."""
+        return Member(node, self.address, self.region, self.zone, incarnation)
--- a/sageturn/store/replication/messages.py
+++ b/sageturn/store/replication/messages.py
@@ -34,10 +34,7 @@
 
     def member(self) -> Member | None:
         """The sender as a member; None for an ephemeral client."""
-        location = self.location
-        if location is None:
-            return None
-        return Member(self.node, location.address, location.region, location.zone, self.incarnation)
+        return None if self.location is None else self.location.as_member(self.node, self.incarnation)
 
 
 class FollowPosition(NamedTuple):
--- a/sageturn/store/replication/replica.py
+++ b/sageturn/store/replication/replica.py
@@ -19,6 +19,7 @@
 from sageturn.store.replication.changes import NO_SOURCE, ChangeLogSet
 from sageturn.store.replication.close_code import CloseCode
 from sageturn.store.replication.cursor import CursorCache
+from sageturn.store.replication.incarnation import next_incarnation
 from sageturn.store.replication.location import ReplicaLocation
 from sageturn.store.replication.member_directory import (
     REMOVED_PREFIX,
@@ -26,7 +27,6 @@
     encode_member,
     is_member_key,
     member_key,
-    stored_incarnation,
 )
 from sageturn.store.replication.membership import (
     Address,
@@ -52,7 +52,6 @@
 MIN_SUPERSEDE_DELAY_S = 10.0
 MAX_SUPERSEDE_DELAY_S = 600.0
 SUPERSEDE_INCARNATION_STEP = 1 << 40  # some hours of the clock: a stale incarnation may be that far ahead
-INCARNATION_RANDOM_BITS = 16
 
 
 class Replica:
@@ -116,7 +115,7 @@
 
     @property
     def members(self) -> dict[str, Member]:
-        """All members by name, this one and removed ones included."""
+        """All members by name, this one included."""
         return self._directory.members
 
     @property
@@ -142,7 +141,8 @@
 
     def _begin_incarnation(self, step: int = 1) -> None:
         """What others remember of an earlier incarnation's change logs does not hold for this one."""
-        self.changes = ChangeLogSet(self._next_incarnation(step))
+        incarnation = next_incarnation(self.store, self._rng, self.changes.incarnation, step)
+        self.changes = ChangeLogSet(incarnation)
         self._tombstones.clear()
         self._directory.reset(self.store)
         for node in self._directory.removed - {self.store.node}:
@@ -153,20 +153,9 @@
         self.followed_cursors.clear()
         if self.location is not None:
             if self._make_topology is not None:
-                self.topology = self._make_topology(self._own_member(self.location))
+                self.topology = self._make_topology(self.location.as_member(self.store.node, incarnation))
             self._on_members_changed()
 
-    def _next_incarnation(self, step: int) -> int:
-        random_bits = self._rng.getrandbits(INCARNATION_RANDOM_BITS)
-        by_clock = int(self.store.wall_clock() * 1000) << INCARNATION_RANDOM_BITS | random_bits
-        previous = max(stored_incarnation(self.store), self.changes.incarnation)
-        return max(by_clock, previous + step)
-
-    def _own_member(self, location: ReplicaLocation) -> Member:
-        return Member(
-            self.store.node, location.address, location.region, location.zone, self.changes.incarnation
-        )
-
     def announce(self) -> None:
         """Tell the others where this member is reached."""
         assert self.location is not None
