--- a/sageturn/store/replication/member_table.py
+++ b/sageturn/store/replication/member_table.py
@@ -68,7 +68,7 @@
 
     def _put(self, member: Member, changes: MembershipChanges) -> None:
         known = self.others.get(member.name)
-        if known == member:
+        if known is member or known == member:  # mostly the same object, which is cheap to see
             return
         if known is not None:
             self._remove(known)
