--- a/sageturn/store/replication/link_dialer.py
+++ b/sageturn/store/replication/link_dialer.py
@@ -9,7 +9,7 @@
 from contextlib import suppress
 
 from sageturn.core.tasks import cancel_and_wait
-from sageturn.net.sockets import Connect, connect
+from sageturn.net.sockets import ConnectFailure, connect
 from sageturn.store.replication.errors import LinkNotEstablishedError
 from sageturn.store.replication.link_runner import LinkRunner
 from sageturn.store.replication.membership import Address
@@ -53,7 +53,7 @@
     async def _dial(self, address: Address) -> None:
         try:
             sock = await connect(address, CONNECT_TIMEOUT_S)
-            if not isinstance(sock, Connect):
+            if not isinstance(sock, ConnectFailure):
                 await self._run_link(sock, address)
                 return  # the replica has been notified of its end
         except LinkNotEstablishedError:
--- a/sageturn/store/replication/member.py
+++ b/sageturn/store/replication/member.py
@@ -83,7 +83,7 @@
 
     def start(self) -> None:
         """Begins to accept and to dial; needs a running event loop."""
-        self.listener.open()
+        self.listener.start_listening()
         self.replica.announce()
         self._tasks = [
             asyncio.ensure_future(self.listener.run()),
@@ -95,7 +95,7 @@
         for task in self._tasks:
             await cancel_and_wait(task)
         await self._dialer.cancel_dials()
-        await self.listener.cancel()
+        await self.listener.cancel_connections()
         self.replica.close()
 
     async def _on_accepted(self, sock: socket.socket, pending: PendingConnection) -> None:
--- a/tests/core/test_close_reasons.py
+++ b/tests/core/test_close_reasons.py
@@ -18,8 +18,10 @@
 from sageturn.core.messages import EndpointListUpdate
 from sageturn.core.shutdown_schedule import ShutdownSchedule
 from sageturn.decision import Endpoint
-from sageturn.frontends import platform
-from sageturn.frontends.pump import LinePump
+from sageturn.frontends.platform import connection as platform_connection
+from sageturn.frontends.platform import frontend as platform_frontend
+from sageturn.frontends.platform import relaying as platform_relaying
+from sageturn.frontends.platform.line_forwarder import LineForwarder
 from sageturn.relay import Relay
 
 
@@ -97,17 +99,17 @@
 
 
 async def connecting(scene: Scene, monkeypatch: pytest.MonkeyPatch) -> None:
-    connect, begun = platform.connect, asyncio.Event()
+    connect, begun = platform_connection.connect_unreserved, asyncio.Event()
 
     async def slowly(address: tuple[str, int], timeout_s: float) -> Any:
         begun.set()
         try:
             await asyncio.wait_for(scene.go_on.wait(), timeout_s)
         except TimeoutError:
-            return platform.Connect.NEVER_UP
+            return platform_connection.ConnectFailure.NEVER_UP
         return await connect(address, timeout_s)
 
-    monkeypatch.setattr(platform, "connect", slowly)
+    monkeypatch.setattr(platform_connection, "connect_unreserved", slowly)
     scene.client.sendall(scene.line)
     await begun.wait()
 
@@ -191,7 +193,7 @@
         reach, act = STAGES[stage]
         scenes: list[Scene] = []
         settings = DEPLOYMENTS[effect]
-        monkeypatch.setattr(platform, "FIRST_LINE_S", 0.4)
+        monkeypatch.setattr(platform_frontend, "REQUEST_LINE_TIMEOUT_S", 0.4)
         async with relaying(tmp_path, *[act(scenes)] * 3, settings=settings) as (relay, endpoints):
             while relay.endpoint_registry.version != 2:
                 await asyncio.sleep(0.002)
@@ -207,7 +209,11 @@
             scene.go_on.set()
             balancer = relay.balancer_actor._balancer
             await scene.until(
-                lambda: not relay.request_registry and not balancer.requests and not relay.admission.held
+                lambda: (
+                    not relay.request_registry
+                    and not balancer.requests
+                    and not relay.admission.connection_count
+                )
             )
             await scene.until(lambda: not any(e.open for e in endpoints))
             assert all(s.open_count == s.in_flight == 0 for s in balancer.endpoints.values())
@@ -261,7 +267,7 @@
 
             relay.ingress.stop_accepting = comes_and_shut  # type: ignore[method-assign]
             await relay.request_registry.drain(relay.ingress)
-            assert not relay.admission.held and not any(endpoint.lines)
+            assert not relay.admission.connection_count and not any(endpoint.lines)
             came[0].settimeout(5)
             heard = came[0].recv(99)
             assert heard.startswith((b"BUSY", b"ERR")) and came[0].recv(99) == b""
@@ -278,7 +284,7 @@
         async with relaying(tmp_path, up) as (relay, (endpoint,)):
             relay.request_registry.schedule = ShutdownSchedule(0.0, 0.0, 0.01, 2.0)
             scene = Scene(relay, [endpoint])
-            relay.admission.evict_all = lambda: None  # type: ignore[method-assign]
+            relay.admission.evict_all_pending = lambda: None  # type: ignore[method-assign]
             draining = asyncio.ensure_future(relay.request_registry.drain(relay.ingress))
             await scene.until(
                 lambda: relay.admission.awaiting_request and relay.request_registry.is_drain_forced
@@ -319,7 +325,7 @@
             await scene.until(lambda: relay.admission.awaiting_request)
             await asyncio.sleep(0.01)  # its reading has begun; whether or not, it is answered
             scene.client.sendall(first_line())
-            relay.admission.evict_all()
+            relay.admission.evict_all_pending()
             assert await scene.rest() == b"BUSY 500\r\n"
             scene.client.close()
 
@@ -341,14 +347,14 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, reads_on: bool
 ) -> None:
     # It was given up after 0.7 s and the client cut off without a word, though its live host still answered.
-    pumps: list[LinePump] = []
+    forwarders: list[LineForwarder] = []
 
-    class Seen(LinePump):
+    class Seen(LineForwarder):
         def __init__(self, *args: Any) -> None:
             super().__init__(*args)
-            pumps.append(self)
+            forwarders.append(self)
 
-    monkeypatch.setattr(platform, "LinePump", Seen)
+    monkeypatch.setattr(platform_relaying, "LineForwarder", Seen)
 
     async def go() -> None:
         async with relaying(tmp_path, floods) as (relay, _):
@@ -361,7 +367,8 @@
             stuck = 0
             while stuck < 30:  # until for 0.3 s the kernel has had no room for more
                 await asyncio.sleep(0.01)
-                stuck = 0 if not pumps or select.select([], [pumps[0]._target], [], 0)[1] else stuck + 1
+                writable = not forwarders or select.select([], [forwarders[0].target], [], 0)[1]
+                stuck = 0 if writable else stuck + 1
             relay.balancer_actor.migrate_connection(lifecycle.id)
             await asyncio.sleep(0.8)
             assert lifecycle.is_established and not ended
@@ -405,7 +412,7 @@
             async def fails(address: tuple[str, int], timeout_s: float) -> Any:
                 raise ValueError("unforeseen")
 
-            monkeypatch.setattr(platform, "connect", fails)
+            monkeypatch.setattr(platform_connection, "connect_unreserved", fails)
             scene = Scene(relay, [])
             scene.client.sendall(scene.line)
             assert await scene.rest() == b"ERR internal\r\n"
--- a/tests/relay/test_compatibility_states.py
+++ b/tests/relay/test_compatibility_states.py
@@ -10,7 +10,6 @@
 import json
 import tempfile
 import time
-from contextlib import suppress
 from pathlib import Path
 from types import SimpleNamespace
 from typing import Any
@@ -24,19 +23,20 @@
 from sageturn.config.loader import load
 from sageturn.core.close_reason import CloseReason
 from sageturn.overrides.actor import OverrideActor
-from sageturn.overrides.ops import (
-    InvalidOperationError,
+from sageturn.overrides.errors import InvalidOperationError
+from sageturn.overrides.operations import (
+    OperationType,
+    OverrideKind,
     OverrideOperation,
     OverridePayload,
     Selector,
-    parse_operation,
-    sign,
+    SelectorAttribute,
 )
-from sageturn.overrides.options import OverrideOptions
-from sageturn.overrides.resolve import SafetyLimits
+from sageturn.overrides.options import OverrideOptions, SafetyLimits
+from sageturn.overrides.signing import parse_operation, sign_operation
+from sageturn.rebalance.batches import BlockReason
 from sageturn.rebalance.options import RebalanceOptions
-from sageturn.rebalance.planner import MigrationPlan
-from sageturn.rebalance.units import Block
+from sageturn.rebalance.plan import MigrationPlan, PlanPhase
 from sageturn.relay import Relay
 
 FIXTURES = Path(__file__).parents[1] / "fixtures" / "states"
@@ -61,26 +61,22 @@
     (folder / "operator.json").write_text(json.dumps(operator))
     env = {"GW_CONFIG": str(write_config(folder, ("127.0.0.1", 9)))}
     relay = Relay(load(env, str(folder / "operator.json")))
-    told = [await tell_once(relay)]
+    told = [report(relay)]
     for number, close_reason in enumerate(CloseReason, 1):
-        relay._counts[close_reason.name.lower()] += number
-    relay._counts["not_placed"] += 1
+        relay.closed_connections.counts[close_reason.name.lower()] += number
+    relay.closed_connections.counts["not_placed"] += 1
     relay.context.invalid_report_values["queue"] += 2
     if relay.flow_exporter is not None:
         relay.flow_exporter.dropped = 3
     if relay.replication is not None:
         relay.replication.replica.merge_zone_ages({"south/s1": 35.0, "south/s2": 1.0}, time.monotonic())
-    told.append(await tell_once(relay))
+    told.append(report(relay))
     relay.listener.close()
     return told
 
 
-async def tell_once(relay: Relay) -> tuple[str, Any]:
-    task = asyncio.ensure_future(relay._tell_state())
-    await asyncio.sleep(0)
-    task.cancel()
-    with suppress(asyncio.CancelledError):
-        await task
+def report(relay: Relay) -> tuple[str, Any]:
+    relay.state_reporter.report()
     (key,) = [key for key in relay.store.keys("state/") if key.endswith("/relay")]
     return key, relay.store.get(key)
 
@@ -102,17 +98,18 @@
 # ---------------------------------------------------------------- state/NODE/rebalance
 
 
-def give_signs(fleet: Fleet) -> None:
+def record_overload(fleet: Fleet) -> None:
     """What speaks against moving more: refusals, resets, failed calls, clients that stay away, losses."""
-    signs, now_ms = fleet.planner.signs, fleet.now
-    signs.asked(now_ms)
-    signs.set_up(now_ms, late=True)
-    signs.refused(now_ms)
-    signs.reset(now_ms)
-    signs.unreachable(now_ms)
-    signs.not_back(now_ms, 5)
-    fleet.tell(EndpointListEvent("changes", [Endpoint("c", state="draining"), Endpoint("d", state="gone")]))
-    signs.listed(failed=True)
+    detector = fleet.planner.overload_detector
+    now_ms = fleet.now_ms
+    detector.record_request(now_ms)
+    detector.record_established(now_ms, late=True)
+    detector.record_rejection(now_ms)
+    detector.record_reset(now_ms)
+    detector.record_connect_failure(now_ms)
+    detector.record_missing(now_ms, 5)
+    fleet.handle(EndpointListEvent("changes", [Endpoint("c", state="draining"), Endpoint("d", state="gone")]))
+    detector.record_endpoint_list(failed=True)
 
 
 def make_rebalance_states() -> bytes:
@@ -121,21 +118,21 @@
     fleet = Fleet("abcd", {"part_per_min": 0.5, "least_age_s": 2.0})
     for host, groups in (("a", 14), ("b", 6), ("c", 6), ("d", 6)):
         for number in range(groups):
-            fleet.stands(host, 5, f"{host}{number}")
+            fleet.add_connections(host, 5, f"{host}{number}")
     for seconds in (1, 29, 15, 200):
         fleet.run(seconds)
-        told.append(fleet.planner.state(fleet.plan))
+        told.append(fleet.planner.encode_state(fleet.plan))
     fleet.planner.options = RebalanceOptions(mode="dry-run")
-    told.append(fleet.planner.state(fleet.step()))
+    told.append(fleet.planner.encode_state(fleet.step()))
     fleet.planner.options = RebalanceOptions(mode="off")
-    told.append(fleet.planner.state(fleet.step()))
-    for number, block in enumerate(Block):
-        fleet.planner.blocks[block] = number
-    told.append(fleet.planner.state(MigrationPlan((), "held", "said here")))
+    told.append(fleet.planner.encode_state(fleet.step()))
+    for number, block in enumerate(BlockReason):
+        fleet.planner.block_counts[block] = number
+    told.append(fleet.planner.encode_state(MigrationPlan((), PlanPhase.HELD, "said here")))
     fleet.planner.options = fleet.options
     for _ in range(40):
-        give_signs(fleet)
-    told.append(fleet.planner.state(fleet.step()))
+        record_overload(fleet)
+    told.append(fleet.planner.encode_state(fleet.step()))
     return as_lines([("state/n1/rebalance", state) for state in told])
 
 
@@ -146,43 +143,80 @@
     override: str, word: str, revision: int, operator: str, body: OverridePayload | None = None, **more: Any
 ) -> OverrideOperation:
     until_ms = 0.0 if word == "revoke" else NOW_MS + HOUR_MS
-    said = {"at_ms": NOW_MS + revision, "why": 'tổ "1"', "until_ms": until_ms, "nonce": "0a1b2c3d", **more}
-    return OverrideOperation(override, word, revision, operator=operator, body=body, **said)
+    said = {
+        "created_at_ms": NOW_MS + revision,
+        "reason": 'tổ "1"',
+        "expires_at_ms": until_ms,
+        "nonce": "0a1b2c3d",
+        **more,
+    }
+    return OverrideOperation(override, OperationType(word), revision, operator=operator, payload=body, **said)
 
 
 OPS = [
-    op("o-out", "set", 1, "lan", OverridePayload("out", Selector("host", "a"), move_off=True)),
-    op("o-out", "extend", 2, "mai", until_ms=NOW_MS + 2 * HOUR_MS),
+    op(
+        "o-out",
+        "set",
+        1,
+        "lan",
+        OverridePayload(
+            OverrideKind.OUT_OF_SERVICE, Selector(SelectorAttribute.ENDPOINT, "a"), migrate_connections=True
+        ),
+    ),
+    op("o-out", "extend", 2, "mai", expires_at_ms=NOW_MS + 2 * HOUR_MS),
     op(
         "o-weight",
         "set",
         1,
         "lan",
-        OverridePayload("weight", Selector("zone", "z1"), factor=0.25),
+        OverridePayload(OverrideKind.WEIGHT, Selector(SelectorAttribute.ZONE, "z1"), factor=0.25),
         forced=True,
     ),
-    op("o-hold", "set", 1, "mai", OverridePayload("hold", Selector("kind", "k2"))),
+    op("o-hold", "set", 1, "mai", OverridePayload(OverrideKind.HOLD, Selector(SelectorAttribute.KIND, "k2"))),
     op("o-hold", "revoke", 2, "lan"),
     op(
         "o-pin",
         "set",
         1,
         "lan",
-        OverridePayload("pin", hosts=("b", "c"), strict=True, class_name="c", tenant="t", group_prefix="g"),
+        OverridePayload(
+            OverrideKind.PIN, endpoints=("b", "c"), strict=True, class_name="c", tenant="t", group_prefix="g"
+        ),
+    ),
+    op(
+        "o-start",
+        "set",
+        1,
+        "lan",
+        OverridePayload(
+            OverrideKind.OUT_OF_SERVICE, Selector(SelectorAttribute.ENDPOINT, "b"), process_started_at_ms=5.0
+        ),
+    ),
+    op(
+        "o-cell",
+        "set",
+        1,
+        "mai",
+        OverridePayload(OverrideKind.OUT_OF_SERVICE, Selector(SelectorAttribute.CELL, "3")),
+        expires_at_ms=NOW_MS + 1.0,
+    ),
+    op(
+        "o-much",
+        "set",
+        1,
+        "mai",
+        OverridePayload(OverrideKind.OUT_OF_SERVICE, Selector(SelectorAttribute.ZONE, "z2")),
     ),
-    op("o-start", "set", 1, "lan", OverridePayload("out", Selector("host", "b"), this_start_ms=5.0)),
-    op("o-cell", "set", 1, "mai", OverridePayload("out", Selector("cell", "3")), until_ms=NOW_MS + 1.0),
-    op("o-much", "set", 1, "mai", OverridePayload("out", Selector("zone", "z2"))),
 ]
 
 
 def signed_words() -> list[tuple[str, Any]]:
-    return [(said.key, sign(said, KEYS[said.operator])) for said in OPS]
+    return [(said.key, sign_operation(said, KEYS[said.operator])) for said in OPS]
 
 
 def override_options() -> OverrideOptions:
     return OverrideOptions(
-        {name: key.public_key() for name, key in KEYS.items()}, floors=SafetyLimits(0.5, 0.0, 0.0)
+        {name: key.public_key() for name, key in KEYS.items()}, safety_limits=SafetyLimits(0.5, 0.0, 0.0)
     )
 
 
@@ -215,10 +249,12 @@
             Endpoint("c", zone="z2", kind="k2", cell=3),
             Endpoint("d", zone="z2", share=2.0),
         ]
-        overrides.board.listed(endpoints, True, clock.now_ms)
+        overrides.registry.apply_endpoint_list(endpoints, True, clock.now_ms)
         await overrides.step()
         forged = {**words[0][1], "why": "forged"}
-        overrides.changed([SimpleNamespace(key="overrides/o-forged/000001-lan-0a1b2c3d", value=forged)])
+        overrides.on_store_change(
+            [SimpleNamespace(key="overrides/o-forged/000001-lan-0a1b2c3d", value=forged)]
+        )
         await overrides.step()
         clock.now_ms = NOW_MS + 3 * HOUR_MS
         await overrides.step()
--- a/tests/relay/test_program.py
+++ b/tests/relay/test_program.py
@@ -21,6 +21,7 @@
     listed,
     reply,
     served,
+    until_ready,
     up,
     write_config,
 )
@@ -51,12 +52,7 @@
         )
         try:
             async with asyncio.timeout(10):
-                while True:
-                    try:
-                        assert await reply(address, b"PING\r\n") == b"PONG\r\n"
-                        break
-                    except ConnectionRefusedError:
-                        await asyncio.sleep(0.02)
+                await until_ready(address)
             yield process, address
         finally:
             if process.returncode is None:
--- a/tests/store/test_replication_sockets.py
+++ b/tests/store/test_replication_sockets.py
@@ -20,7 +20,7 @@
 from sageturn.config.operator import read_operator_file
 from sageturn.decision import RequestClass, Settings
 from sageturn.net.admission import AdmissionController, ProcessLimits
-from sageturn.net.sockets import Connect, connect
+from sageturn.net.sockets import ConnectFailure, connect
 from sageturn.store.channel import AuthenticatedChannel, read_secret
 from sageturn.store.errors import InvalidRecordError
 from sageturn.store.records import parse_record
@@ -77,7 +77,7 @@
 async def open_channel(address: Address, name: str = "x") -> tuple[AuthenticatedChannel, socket.socket]:
     """A connection to a member on which the test sends what no member would."""
     sock = await connect(address, 1.0)
-    assert not isinstance(sock, Connect)
+    assert not isinstance(sock, ConnectFailure)
     link = AuthenticatedChannel(sock, SECRET, name)
     await link.perform_handshake(True)
     return link, sock
@@ -143,7 +143,7 @@
             session.next_payload = lambda now: None  # type: ignore[method-assign]
             session.receive = lambda payload, now: None  # type: ignore[method-assign]
         hub.replica.tick = lambda now: ((), now + 60.0)  # type: ignore[method-assign]
-        hub.listener.shut()
+        hub.listener.stop_accepting()
         began = asyncio.get_running_loop().time()
         writer = members[0]
         store_of(writer).put("config/x", 1)
