--- a/sageturn/cli/lab.py
+++ b/sageturn/cli/lab.py
@@ -1,9 +1,13 @@
-"""``sageturn lab``: experiments, comparisons and searches in simulated time."""
+"""``sageturn lab``: experiments, comparisons and searches in simulated time.
+
+The docstrings of the commands and the ``help`` texts are what users read in the command's help.
+"""
 
 from __future__ import annotations
 
 import json
 import os
+from dataclasses import asdict
 from pathlib import Path
 from typing import Annotated, Any
 
@@ -15,6 +19,7 @@
 
 from sageturn.cli.exit_codes import ExitCode, fail
 from sageturn.cli.options import AsJson
+from sageturn.lab.compare import Difference
 from sageturn.lab.compare import compare as compare_variants
 from sageturn.lab.experiment import BadExperiment, Experiment, Scenario, Variant, read_experiment
 from sageturn.lab.policy import read_policy
@@ -26,184 +31,202 @@
 
 app = typer.Typer(no_args_is_help=True, help="Experiments, comparisons and searches in simulated time.")
 
-File = Annotated[Path, typer.Argument(help="An experiment, in TOML or JSON.")]
-Of = Annotated[Path, typer.Argument(help="Results, as `run` wrote them.")]
-Processes = Annotated[int, typer.Option(help="Runs at once.")]
-Metric = Annotated[str, typer.Option(help="Of each run's metrics.")]
-CORES = max(1, (os.cpu_count() or 2) - 1)
+ExperimentFile = Annotated[Path, typer.Argument(help="An experiment, in TOML or JSON.")]
+ResultsFile = Annotated[Path, typer.Argument(help="Results, as `run` wrote them.")]
+ProcessCount = Annotated[int, typer.Option(help="Runs at once.")]
+MetricName = Annotated[str, typer.Option(help="Of each run's metrics.")]
+DEFAULT_PROCESSES = max(1, (os.cpu_count() or 2) - 1)  # one core stays free
+UNATTENDED_WIDTH = 170  # columns of a table that goes to a file or a pipe
 
 
-def _experiment(file: Path) -> Experiment:
+def _read_experiment(file: Path) -> Experiment:
     try:
         return read_experiment(file)
     except BadExperiment as error:
         fail(ExitCode.USAGE, str(error))
 
 
-def _results(file: Path) -> Results:
+def _read_results(file: Path) -> Results:
     results = Results(file)
     if not results.runs:
         fail(ExitCode.NOT_FOUND, f"{file}: no results")
     return results
 
 
-def _variant(experiment: Experiment, name: str) -> Variant:
+def _find_variant(experiment: Experiment, name: str) -> Variant:
+    """The variant of this name; the first for an empty name."""
     for variant in experiment.variants:
         if not name or variant.name == name:
             return variant
     fail(ExitCode.NOT_FOUND, f"{name}: the experiment has no such variant")
 
 
-def _scenario(experiment: Experiment, name: str) -> Scenario:
+def _find_scenario(experiment: Experiment, name: str) -> Scenario:
+    """The scenario of this name; the first for an empty name."""
     for scenario in experiment.scenarios:
         if not name or scenario.name == name:
             return scenario
     fail(ExitCode.NOT_FOUND, f"{name}: the experiment has no such scenario")
 
 
-def _show(rows: list[list[str]], title: str = "") -> None:
+def _print_table(rows: list[list[str]], title: str = "") -> None:
+    """Print rows of cells; the first has the columns' names."""
     table = Table(*rows[0], title=title or None, box=None)
     for row in rows[1:]:
         table.add_row(*row)
-    Console(width=None if os.isatty(1) else 170).print(table)
+    Console(width=None if os.isatty(1) else UNATTENDED_WIDTH).print(table)
 
 
 @app.command()
 def run(
-    file: File,
+    file: ExperimentFile,
     out: Annotated[Path, typer.Option(help="Where results go; what is there already is not played again.")],
-    processes: Processes = CORES,
+    processes: ProcessCount = DEFAULT_PROCESSES,
 ) -> None:
     """Play an experiment: every scenario, seed and variant."""
-    experiment = _experiment(file)
+    experiment = _read_experiment(file)
     with Progress(console=Console(stderr=True)) as progress:
         task = progress.add_task(experiment.name, total=None)
 
-        def tell(line: Line, number: int, total: int) -> None:
-            told = f"{line['scenario']} {line['variant']} goal {line['metrics']['goal']:.3f}"
-            progress.update(task, completed=number, total=total, description=told)
+        def on_run_finished(line: Line, number: int, total: int) -> None:
+            description = f"{line['scenario']} {line['variant']} goal {line['metrics']['goal']:.3f}"
+            progress.update(task, completed=number, total=total, description=description)
 
         try:
-            results = run_experiment(experiment, out, Path.cwd(), processes, tell)
+            results = run_experiment(experiment, out, Path.cwd(), processes, on_run_finished)
         except ValueError as error:
             fail(ExitCode.USAGE, str(error))
     print(f"{len(results.runs)} runs in {out}")
 
 
 @app.command()
-def compare(results: Of, first: str, second: str, metric: Metric = "goal", as_json: AsJson = False) -> None:
+def compare(
+    results: ResultsFile, first: str, second: str, metric: MetricName = "goal", as_json: AsJson = False
+) -> None:
     """The difference that `second` makes against `first`, on the same days, with its interval."""
-    found = _results(results)
     try:
-        gaps = compare_variants(found, first, second, metric)
+        differences = compare_variants(_read_results(results), first, second, metric)
     except (ValueError, KeyError) as error:
         fail(ExitCode.NOT_FOUND, str(error))
     if as_json:
-        fields = [f for f in type(gaps[0]).__slots__]
-        print(json.dumps([{f: getattr(g, f) for f in fields} for g in gaps]))
+        print(json.dumps([asdict(difference) for difference in differences]))
         return
     rows = [["scenario", "pairs", first, second, "difference", "95% interval", ""]]
-    for g in gaps:
-        settled = "settled" if g.settled else f"{g.more_pairs:g} pairs would settle it"
-        span = f"{g.low:+.4f} to {g.high:+.4f}"
-        values = [f"{g.first:.4f}", f"{g.second:.4f}", f"{g.mean:+.4f}"]
-        rows.append([g.scenario or "all", str(g.pairs), *values, span, settled])
-    _show(rows, metric)
+    rows += [_difference_row(difference) for difference in differences]
+    _print_table(rows, metric)
+
+
+def _difference_row(difference: Difference) -> list[str]:
+    settled = "settled" if difference.settled else f"{difference.more_pairs:g} pairs would settle it"
+    return [
+        difference.scenario or "all",
+        str(difference.pairs),
+        f"{difference.first:.4f}",
+        f"{difference.second:.4f}",
+        f"{difference.mean:+.4f}",
+        f"{difference.low:+.4f} to {difference.high:+.4f}",
+        settled,
+    ]
 
 
 @app.command()
 def sweep(
-    file: File,
+    file: ExperimentFile,
     knob: Annotated[str, typer.Option(help="connections, room, strength, rebalance.KEY, ...")],
     values: Annotated[str, typer.Option(help="Numbers with commas between.")],
     scenario: str = "",
     variant: str = "",
-    metric: Metric = "service",
+    metric: MetricName = "service",
     bound: float = 0.9,
-    processes: Processes = CORES,
+    processes: ProcessCount = DEFAULT_PROCESSES,
     as_json: AsJson = False,
 ) -> None:
     """Where a metric breaks as one knob is turned."""
-    experiment = _experiment(file)
-    day, tried = _scenario(experiment, scenario), _variant(experiment, variant)
+    experiment = _read_experiment(file)
+    played = _find_scenario(experiment, scenario)
+    tried = _find_variant(experiment, variant)
     try:
         numbers = [float(text) for text in values.split(",")]
         policy = read_policy(tried.policy, Path.cwd())
-        points = sweep_values(day, tried, policy, experiment.seeds, knob, numbers, metric, processes)
+        points = sweep_values(played, tried, policy, experiment.seeds, knob, numbers, metric, processes)
     except ValueError as error:
         fail(ExitCode.USAGE, str(error))
 
-    def at(value: float) -> float:
-        again = sweep_values(day, tried, policy, experiment.seeds, knob, [value], metric, 1)
-        return again[0].metric
+    def measure(value: float) -> float:
+        measured = sweep_values(played, tried, policy, experiment.seeds, knob, [value], metric, 1)
+        return measured[0].metric
 
-    where = breaks_at(points, bound, at)
+    crossing = breaks_at(points, bound, measure)
     if as_json:
-        print(json.dumps({"points": [[p.value, p.metric] for p in points], "breaks_at": where}))
+        print(json.dumps({"points": [[p.value, p.metric] for p in points], "breaks_at": crossing}))
         return
-    _show([[knob, metric], *([f"{p.value:g}", f"{p.metric:.4f}"] for p in points)], day.name)
-    if where is None:
+    _print_table([[knob, metric], *([f"{p.value:g}", f"{p.metric:.4f}"] for p in points)], played.name)
+    if crossing is None:
         print(f"{metric} does not cross {bound:g}")
     else:
-        print(f"{metric} crosses {bound:g} at {knob} {where:.4g}")
+        print(f"{metric} crosses {bound:g} at {knob} {crossing:.4g}")
 
 
 @app.command()
 def hunt(
-    file: File,
+    file: ExperimentFile,
     out: Annotated[Path, typer.Option(help="Where the worst day goes, made as small as it goes.")],
     days: int = 40,
     seed: int = 1,
     variant: str = "",
-    metric: Metric = "goal",
-    processes: Processes = CORES,
+    metric: MetricName = "goal",
+    processes: ProcessCount = DEFAULT_PROCESSES,
 ) -> None:
     """Draw days, find those that hurt most, and shrink the worst to a file of its own."""
-    experiment = _experiment(file)
-    tried, day = _variant(experiment, variant), experiment.scenarios[0]
+    experiment = _read_experiment(file)
+    tried = _find_variant(experiment, variant)
+    scenario = experiment.scenarios[0]
     policy = read_policy(tried.policy, Path.cwd())
-    found = hunt_days(day.size, day.seconds, tried, policy, days, seed, metric, processes, print)
+    found = hunt_days(scenario.size, scenario.seconds, tried, policy, days, seed, metric, processes, print)
     loss, worst = found[0]
     why = f"found by hunting {days} days of seed {seed}: loses {loss:.3f} of {metric} against a calm day"
     write_day(out, worst, tried, seed, why)
-    _show([["loss", "day"], *([f"{lost:.3f}", describe(d)] for lost, d in found[:8])])
+    _print_table([["loss", "day"], *([f"{day_loss:.3f}", describe(day)] for day_loss, day in found[:8])])
     print(f"{out}: {describe(worst)}")
 
 
 @app.command()
 def report(
-    results: Of,
+    results: ResultsFile,
     html: Annotated[Path | None, typer.Option(help="Where a page goes.")] = None,
     markdown: Annotated[Path | None, typer.Option(help="Where Markdown goes; else it is printed.")] = None,
 ) -> None:
     """A page with plots, or Markdown."""
-    from sageturn.lab import report as made  # matplotlib takes a second to load
+    from sageturn.lab import report as reports  # matplotlib takes a second to load
 
-    found = _results(results)
+    found = _read_results(results)
     if html is not None:
-        html.write_text(made.page(found), encoding="utf-8")
+        html.write_text(reports.page(found), encoding="utf-8")
     if markdown is not None:
-        markdown.write_text(made.markdown(found), encoding="utf-8")
+        markdown.write_text(reports.markdown(found), encoding="utf-8")
     elif html is None:
-        print(made.markdown(found))
+        print(reports.markdown(found))
 
 
 @app.command()
-def repeat(results: Of, number: Annotated[int, typer.Argument(help="Of the run, from 1.")]) -> None:
+def repeat(results: ResultsFile, number: Annotated[int, typer.Argument(help="Of the run, from 1.")]) -> None:
     """Play one run again from its results alone, and say whether it came out the same."""
-    found = _results(results)
+    found = _read_results(results)
     if not 1 <= number <= len(found.runs):
         fail(ExitCode.NOT_FOUND, f"{number}: there are {len(found.runs)} runs")
-    kept = found.runs[number - 1]
+    recorded = found.runs[number - 1]
     experiment: Experiment = msgspec.convert(found.head["experiment"], Experiment)
-    variant = _variant(experiment, kept["variant"])
-    again = play(
-        _scenario(experiment, kept["scenario"]), kept["seed"], variant, found.head["policies"][variant.name]
+    variant = _find_variant(experiment, recorded["variant"])
+    replayed = play(
+        _find_scenario(experiment, recorded["scenario"]),
+        recorded["seed"],
+        variant,
+        found.head["policies"][variant.name],
     )
-    same: dict[str, Any] = {key: again[key] == kept[key] for key in ("metrics", "counts", "series")}
+    same: dict[str, Any] = {key: replayed[key] == recorded[key] for key in ("metrics", "counts", "series")}
     print(json.dumps(same))
     if not all(same.values()):
-        raise typer.Exit(1)
+        raise typer.Exit(int(ExitCode.REFUSED))
 
 
 @app.command()
@@ -235,7 +258,7 @@
     only: Annotated[str, typer.Option(help="Just this size.")] = "",
 ) -> None:
     """Members beside real relays on loopback: what control costs by members and keys, and in faults."""
-    from sageturn.lab.scale import report as made  # matplotlib takes a second to load
+    from sageturn.lab.scale import report as reports  # matplotlib takes a second to load
     from sageturn.lab.scale.plan import read_scale
     from sageturn.lab.scale.results import run as run_scale
 
@@ -246,10 +269,10 @@
         fail(ExitCode.USAGE, str(error))
     except KeyboardInterrupt:
         fail(ExitCode.REFUSED, f"interrupted; {out} has what was played whole")
-    _show(made.table(results), experiment.name)
-    for line in made.fit_lines(results):
+    _print_table(reports.table(results), experiment.name)
+    for line in reports.fit_lines(results):
         print(line)
     if plot is not None:
-        made.plot(results, plot)
+        reports.plot(results, plot)
     if any("failed" in line for line in results.runs):
         raise typer.Exit(int(ExitCode.REFUSED))
