--- a/sageturn/cli/override.py
+++ b/sageturn/cli/override.py
@@ -24,7 +24,7 @@
     summarize,
 )
 from sageturn.cli.override_requests import NewOverride, OverrideUpdate
-from sageturn.cli.override_view import OverrideView, unix_time_ms
+from sageturn.cli.override_view import OverrideView
 from sageturn.cli.override_writes import create_private_key, load_private_key
 from sageturn.overrides.operations import (
     OperationType,
@@ -34,6 +34,7 @@
     SelectorAttribute,
 )
 from sageturn.overrides.registry import OverrideStatus
+from sageturn.overrides.unix_time import unix_time_ms
 from sageturn.store.store import Store
 
 app = typer.Typer(no_args_is_help=True, help="Overrides by operators, each with an expiry.")
--- a/sageturn/cli/override_explanation.py
+++ b/sageturn/cli/override_explanation.py
@@ -33,9 +33,11 @@
 
     @property
     def effective_state(self) -> str:
+        """The state in which relays treat the endpoint."""
         return "out of service" if self.effect.out_of_service else self.listed_state
 
     def to_json(self) -> dict[str, Any]:
+        """The object that ``--json`` prints."""
         return {
             "host": self.endpoint,
             "listed": self.listed_state,
@@ -71,6 +73,7 @@
 
 
 def print_explanation(explanation: EndpointExplanation) -> None:
+    """Print the explanation as text."""
     effect = explanation.effect
     print(
         f"{explanation.endpoint}: {explanation.effective_state} "
--- a/sageturn/cli/override_output.py
+++ b/sageturn/cli/override_output.py
@@ -30,6 +30,7 @@
     remaining: str
 
     def to_json(self) -> dict[str, Any]:
+        """The object that ``--json`` prints."""
         override = self.override
         return {
             "id": override.id,
@@ -47,6 +48,7 @@
 
 
 def summarize(view: OverrideView, override: Override) -> OverrideSummary:
+    """Collect what every command shows of an override."""
     remaining = format_duration(override.expires_at_ms - view.now_ms)
     return OverrideSummary(override, view.status(override), remaining)
 
@@ -78,6 +80,7 @@
 
 
 def print_json(value: Any) -> None:
+    """Print a value on one line; text is not escaped to ASCII."""
     print(json.dumps(value, ensure_ascii=False))
 
 
@@ -101,6 +104,7 @@
 
 
 def print_list(summaries: Iterable[OverrideSummary]) -> None:
+    """Print a table with a row for each override."""
     table = Table("id", "does", "status", "ends in", "until", "by", "why", box=None)
     for summary in summaries:
         override = summary.override
@@ -141,6 +145,7 @@
 
 
 def print_history(rows: list[dict[str, Any]]) -> None:
+    """Print the rows of ``history_rows``, of which there must be one at least."""
     table = Table(*rows[0], box=None)
     for row in rows:
         table.add_row(*(str(value) for value in row.values()))
--- a/sageturn/cli/override_requests.py
+++ b/sageturn/cli/override_requests.py
@@ -8,7 +8,7 @@
 
 from sageturn.cli.connection import DaemonConnection
 from sageturn.cli.exit_codes import ExitCode, fail
-from sageturn.cli.override_view import OverrideView, unix_time_ms
+from sageturn.cli.override_view import OverrideView
 from sageturn.cli.override_writes import (
     SubmissionResult,
     check_duration,
@@ -25,6 +25,7 @@
     new_nonce,
     new_override_id,
 )
+from sageturn.overrides.unix_time import unix_time_ms
 from sageturn.store.store import Store
 
 
--- a/sageturn/cli/override_view.py
+++ b/sageturn/cli/override_view.py
@@ -2,8 +2,6 @@
 
 from __future__ import annotations
 
-import time
-
 from sageturn.cli.exit_codes import ExitCode, fail
 from sageturn.decision import Endpoint
 from sageturn.overrides.errors import InvalidOperationError
@@ -21,10 +19,6 @@
 UNKNOWN_STATUS = "unknown"  # of a relay that does not have the override yet
 
 
-def unix_time_ms() -> float:
-    return time.time() * 1000.0
-
-
 def read_relay_states(store: Store) -> dict[str, RelayOverrideState]:
     """By node, what each relay reports of its overrides."""
     states = {}
@@ -92,6 +86,7 @@
         return {node: state.statuses.get(override.id, UNKNOWN_STATUS) for node, state in self.states.items()}
 
     def has_expired(self, override: Override) -> bool:
+        """Whether it has ended by its expiry and not by a revocation."""
         return not override.is_revoked and override.has_expired(self.now_ms)
 
     def status(self, override: Override) -> str:
--- a/sageturn/cli/store.py
+++ b/sageturn/cli/store.py
@@ -29,7 +29,8 @@
 class StoreAccess(Protocol):
     """Opens a store for one action."""
 
-    def run(self, action: Callable[[Store], Result]) -> Result: ...
+    def run(self, action: Callable[[Store], Result]) -> Result:
+        """Run the action, and end the command with a message if the store cannot be read or written."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/sageturn/overrides/actor.py
+++ b/sageturn/overrides/actor.py
@@ -4,7 +4,6 @@
 
 import asyncio
 import logging
-import time
 from collections.abc import Callable, Sequence
 from contextlib import suppress
 from typing import Any, Protocol
@@ -18,6 +17,7 @@
 from sageturn.overrides.registry import OverrideRegistry
 from sageturn.overrides.relay_state import encode_relay_state
 from sageturn.overrides.sticky_routing import apply_sticky_routing
+from sageturn.overrides.unix_time import unix_time_ms
 
 log = logging.getLogger(__name__)
 
@@ -29,9 +29,11 @@
 class RecordStore(Protocol):
     """The part of the store that overrides read."""
 
-    def keys(self, prefix: str = "") -> list[str]: ...
+    def keys(self, prefix: str = "") -> list[str]:
+        """All keys that begin with the prefix."""
 
-    def get(self, key: str) -> Any: ...
+    def get(self, key: str) -> Any:
+        """The value under a key; None if there is none."""
 
 
 class StoreRecord(Protocol):
@@ -44,10 +46,6 @@
     def value(self) -> Any: ...
 
 
-def unix_time_ms() -> float:
-    return time.time() * 1000.0
-
-
 def _read_records(store: RecordStore) -> list[tuple[str, Any]]:
     return [(key, store.get(key)) for key in store.keys(KEY_PREFIX)]
 
@@ -55,8 +53,8 @@
 class OverrideActor:
     """Receives the endpoint list's events in the balancer's place, and forwards them as overrides make them.
 
-    ``report_state`` gets the relay's state record; ``on_marks_changed`` is notified when the sets of held,
-    out-of-service and cleared endpoints change.
+    ``report_state`` gets the relay's state record; ``on_marks_changed`` is notified when the sets of
+    endpoints that are excluded from rebalancing, out of service, or being evacuated change.
     """
 
     def __init__(
@@ -116,6 +114,7 @@
     # ------------------------------------------------------------ actor
 
     async def run(self) -> None:
+        """Step whenever the store changes, time passes an expiry, or a ramp has its next step."""
         while True:
             await self.step()
             now_ms = self._now_ms()
@@ -172,9 +171,9 @@
     def _update_marks(self) -> None:
         effects = self.registry.resolver.effects.items()
         marks = OperatorMarks(
-            frozenset(name for name, effect in effects if effect.held),
-            frozenset(name for name, effect in effects if effect.out_of_service),
-            frozenset(name for name, effect in effects if effect.migrate_connections),
+            rebalance_excluded=frozenset(name for name, effect in effects if effect.held),
+            out_of_service=frozenset(name for name, effect in effects if effect.out_of_service),
+            evacuating=frozenset(name for name, effect in effects if effect.migrate_connections),
         )
         if marks != self.marks:
             self.marks = marks
--- a/sageturn/overrides/model.py
+++ b/sageturn/overrides/model.py
@@ -25,6 +25,7 @@
 
     @property
     def is_revoked(self) -> bool:
+        """Whether an operator has ended it before its expiry."""
         return bool(self.revoked_by)
 
     @property
@@ -33,6 +34,7 @@
         return self.created_at_ms, self.id
 
     def has_expired(self, now_ms: float) -> bool:
+        """Whether its expiry has passed, be it revoked or not."""
         return now_ms >= self.expires_at_ms
 
 
--- a/sageturn/overrides/operation_codec.py
+++ b/sageturn/overrides/operation_codec.py
@@ -102,6 +102,7 @@
         self._path_prefix = path_prefix
 
     def text(self, name: str, pattern: re.Pattern[str] | None = None, default: str | None = None) -> str:
+        """A string of at most ``MAX_TEXT_LENGTH`` characters that matches the pattern as a whole."""
         value = self._values.get(name, default)
         if not isinstance(value, str) or len(value) > MAX_TEXT_LENGTH:
             raise self._invalid(name)
@@ -110,6 +111,7 @@
         return value
 
     def number(self, name: str, minimum: float, maximum: float, default: float | None = None) -> float:
+        """A number within both bounds; booleans are no numbers."""
         value = self._values.get(name, default)
         if not isinstance(value, (int, float)) or isinstance(value, bool):
             raise self._invalid(name)
@@ -118,12 +120,14 @@
         return value
 
     def flag(self, name: str) -> bool:
+        """A boolean; false if it is missing."""
         value = self._values.get(name, False)
         if not isinstance(value, bool):
             raise self._invalid(name)
         return value
 
     def get(self, name: str) -> Any:
+        """A value of any type, for the caller to check; None if it is missing."""
         return self._values.get(name)
 
     def _invalid(self, name: str) -> InvalidOperationError:
--- a/sageturn/overrides/operations.py
+++ b/sageturn/overrides/operations.py
@@ -55,6 +55,7 @@
     value: str
 
     def matches(self, endpoint: Endpoint) -> bool:
+        """Whether it selects the endpoint as it is listed now."""
         return self in selectors_matching(endpoint)
 
 
--- a/sageturn/overrides/registry.py
+++ b/sageturn/overrides/registry.py
@@ -192,6 +192,7 @@
         return self.resolver.sticky_route(class_name, tenant, group)
 
     def status(self, override: Override, now_ms: float) -> OverrideStatus:
+        """The status that this relay reports of an override."""
         if override.is_revoked:
             return OverrideStatus.REVOKED
         if override.id not in self.resolver.overrides or override.has_expired(now_ms):
--- a/sageturn/overrides/resolver.py
+++ b/sageturn/overrides/resolver.py
@@ -81,6 +81,7 @@
         return self.guard.suspended
 
     def effect(self, endpoint: str) -> OverrideEffect:
+        """The effect of all overrides on an endpoint, listed or not."""
         return self.effects.get(endpoint, NO_EFFECT)
 
     def matching_endpoints(self, override: Override) -> list[str]:
