--- a/sageturn/decision/fleet.py
+++ b/sageturn/decision/fleet.py
@@ -33,9 +33,9 @@
         """Whether anything reports how long messages take: the connections, or recent load reports."""
         return self.settings.reports_delay or self.health_checks.has_recent_reports(self.now_ms)
 
-    def counts_as_full(self, endpoint: EndpointState) -> bool:
-        """Closed by loads alone it does not: then the others have room, and nobody need wait."""
-        return endpoint.closed and self.measures_delay()
+    def counts_as_full(self) -> bool:
+        """A closed endpoint, unless loads alone closed it: then others have room, and nobody need wait."""
+        return self.measures_delay()
 
     def depth(self) -> float:
         """Attempts in flight over concurrency limits, over the ready endpoints; 1 where none is ready."""
@@ -44,9 +44,11 @@
         return min(1.0, self.totals.in_flight / limits) if limits else 1.0
 
     def is_scarce(self) -> bool:
+        """Whether endpoints have little room left for new connections."""
         return self.depth() >= SCARCE_DEPTH
 
     def set_concurrency_limit(self, endpoint: EndpointState, limit: int) -> None:
+        """Additive increase and multiplicative decrease, within bounds; the caller does the arithmetic."""
         endpoint.concurrency_limit = max(1, min(MAX_CONCURRENCY_LIMIT, limit))
         self.update_totals(endpoint)
 
--- a/sageturn/net/discovery_watch.py
+++ b/sageturn/net/discovery_watch.py
@@ -27,7 +27,7 @@
 from sageturn.net.endpoint_list import parse_endpoint_list
 from sageturn.net.errors import WatchClosedError
 from sageturn.net.json_stream import JsonObjectSplitter
-from sageturn.net.sockets import Connect, connect
+from sageturn.net.sockets import ConnectFailure, connect
 
 log = logging.getLogger(__name__)
 
@@ -51,15 +51,18 @@
         self._splitter = JsonObjectSplitter(MAX_OBJECT_BYTES)
 
     def on_headers_complete(self) -> None:
+        """The status is known from here on."""
         self.has_headers = True
 
     def on_body(self, body: bytes) -> None:
+        """Collect the objects that ``body`` completes. Those before an InvalidJsonStreamError are kept."""
         for text in self._splitter.feed(body):
             self.objects.append(text)
             self.is_alive = True
         self.is_alive = self.is_alive or not self._splitter.is_inside_object
 
     def on_message_complete(self) -> None:
+        """The response has ended, so it never was a watch."""
         self.is_complete = True
 
 
@@ -87,7 +90,7 @@
     async def run(self) -> WatchFailed:
         """Make the call and report its updates; returns how it ended. Raises only faults of the program."""
         sock = await connect(self._address, CONNECT_TIMEOUT_S)
-        if isinstance(sock, Connect):
+        if isinstance(sock, ConnectFailure):
             return WatchFailed(f"connect: {sock.name.lower()}", DiscoveryFailure.UNREACHED)
         called_at_s = self._clock()
         try:
--- a/sageturn/store/replication/link_table.py
+++ b/sageturn/store/replication/link_table.py
@@ -14,7 +14,7 @@
     """One established link."""
 
     established_at: float
-    is_dialled: bool  # by this side
+    is_dialed: bool  # by this side
     advertisement: RouteAdvertisement | None = None  # the other side's last
     redundant_since: float | None = None  # neither side has needed it since
     redundancy_grace_s: float = 0.0  # how long it stays after that
@@ -40,19 +40,24 @@
         return self._links[name]
 
     def get(self, name: str) -> Link | None:
+        """The link to the member, if there is one."""
         return self._links.get(name)
 
     def items(self) -> ItemsView[str, Link]:
+        """All links with the names of the members at their other ends, the oldest first."""
         return self._links.items()
 
     def names(self) -> list[str]:
+        """The names of all linked members."""
         return list(self._links)
 
     def add(self, name: str, link: Link) -> None:
+        """A link is established; it replaces an earlier one to the same member."""
         self._links[name] = link
         self.invalidate()
 
     def remove(self, name: str) -> Link:
+        """The link to ``name``, which must exist, is over."""
         self._confirmed.discard(name)
         self.invalidate()
         return self._links.pop(name)
@@ -62,14 +67,16 @@
         self._confirmed.add(name)
 
     def is_confirmed(self, name: str) -> bool:
+        """Whether the member has been in the member table while the link stood."""
         return name in self._confirmed
 
     def count_accepted(self, ignoring: str) -> int:
-        """Links that the other side dialled, not counting the one to ``ignoring``."""
-        return sum(not link.is_dialled for name, link in self._links.items() if name != ignoring)
+        """Links that the other side dialed, not counting the one to ``ignoring``."""
+        return sum(not link.is_dialed for name, link in self._links.items() if name != ignoring)
 
     @property
     def any_redundant(self) -> bool:
+        """Whether a link waits to be closed."""
         return any(link.redundant_since is not None for link in self._links.values())
 
     def invalidate(self) -> None:
--- a/sageturn/store/replication/suspicion.py
+++ b/sageturn/store/replication/suspicion.py
@@ -1,6 +1,6 @@
 """Suspected members: addresses that could not be reached, whose links were lost, or that rejected a link.
 
-Each failure lengthens the backoff before the address is dialled again. A link that is lost again and again
+Each failure lengthens the backoff before the address is dialed again. A link that is lost again and again
 (flapping) has a backoff of its own, which a restart of the member doesn't end. No I/O, no clock.
 """
 
@@ -35,6 +35,7 @@
 
     @property
     def is_flapping(self) -> bool:
+        """Whether its links were lost so often that a restart gives it no new chance."""
         return self.losses >= FLAP_THRESHOLD
 
 
@@ -70,7 +71,7 @@
         suspect.retry_at = now + backoff_s * self._rng.uniform(0.5, 1.5)
 
     def on_dial_succeeded(self, address: Address, now: float) -> None:
-        """The address may be dialled again at once. Its failures count until a link has proved stable."""
+        """The address may be dialed again at once. Its failures count until a link has proved stable."""
         if (suspect := self._suspects.get(address)) is not None:
             suspect.retry_at = now
             suspect.rejections = 0
@@ -83,6 +84,7 @@
                 suspect.retry_at = 0.0
 
     def clear(self, address: Address) -> None:
+        """Forgets all that went wrong with the address."""
         self._suspects.pop(address, None)
 
     def has_failed(self, address: Address) -> bool:
@@ -101,6 +103,7 @@
         return urgent and not suspect.is_flapping and now - suspect.last_event_at >= URGENT_RETRY_S
 
     def drop_expired(self, now: float) -> None:
+        """Drops the suspicions whose last cause is long past, to bound the table."""
         self._suspects = {
             address: suspect
             for address, suspect in self._suspects.items()
--- a/sageturn/store/replication/tree_order.py
+++ b/sageturn/store/replication/tree_order.py
@@ -16,7 +16,7 @@
 
 from sageturn.store.replication.membership import Member
 
-SEARCH_HEAD_SIZE = 4  # so many of a farther scope are dialled before the rest of a nearer one
+SEARCH_HEAD_SIZE = 4  # so many of a farther scope are dialed before the rest of a nearer one
 MAX_SEARCH_CANDIDATES = 48
 CACHED_RANKS = 1 << 16
 CACHED_WEIGHTS = 1 << 17
@@ -90,11 +90,13 @@
         self.add(own)
 
     def add(self, member: Member) -> None:
+        """A member is known; its name must not be in the order yet."""
         zone = self._zones.setdefault(member.region, {}).setdefault(member.zone, [])
         insort(zone, (rank_of_member(member), member.name))
         self._invalidate(member)
 
     def remove(self, member: Member) -> None:
+        """A member that was added is not known any more."""
         zones = self._zones[member.region]
         zones[member.zone].remove((rank_of_member(member), member.name))
         if not zones[member.zone]:
--- a/tests/net/test_sockets.py
+++ b/tests/net/test_sockets.py
@@ -14,24 +14,18 @@
 from typing import Any
 
 import pytest
+from support.load_reports import FIELDS, probed_by
 from support.network_fakes import SETTINGS, Streams, ask, first_line, relaying, silent, up
-from support.xmpp_fakes import HEADER, Client
-from test_health_checks import FIELDS, probed_by
-from test_store import replica
-from test_xmpp_frontend import client_tls, echo
-from test_xmpp_frontend import relaying as relaying_xmpp
+from support.replication_member import replica
+from support.xmpp_fakes import HEADER, Client, echo
+from support.xmpp_relay import client_tls, relaying_xmpp
 
 from sageturn.core.shutdown_schedule import ShutdownSchedule
 from sageturn.net import listener
 from sageturn.net.admission import ProcessLimits
-from sageturn.net.sockets import (
-    DESCRIPTOR_RESERVE,
-    Connect,
-    DescriptorReserve,
-    close_politely,
-    connect,
-    connect_unreserved,
-)
+from sageturn.net.closing import close_gracefully
+from sageturn.net.descriptors import DESCRIPTOR_RESERVE, DescriptorReserve
+from sageturn.net.sockets import ConnectFailure, connect, connect_unreserved
 from sageturn.store.store import Store
 
 
@@ -124,13 +118,13 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     options: list[int] = []
-    close_at_once = listener.close_at_once
+    send_and_close = listener.send_and_close
 
     def looks(sock: socket.socket, text: bytes) -> None:
         options.append(sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY))
-        close_at_once(sock, text)
+        send_and_close(sock, text)
 
-    monkeypatch.setattr(listener, "close_at_once", looks)
+    monkeypatch.setattr(listener, "send_and_close", looks)
 
     async def go() -> None:
         async with relaying(tmp_path, up) as (relay, _):
@@ -167,7 +161,7 @@
 
     async def go() -> None:
         relays.send(b"ERR why\r\n")
-        closing = asyncio.ensure_future(close_politely(relays))
+        closing = asyncio.ensure_future(close_gracefully(relays))
         await asyncio.sleep(0)
         client.sendall(b"M 1\r\n")  # the loop does not turn between its coming and the end
         closing.cancel()
@@ -189,7 +183,7 @@
             client.say("<?xml version='1.0'?>")
             await until(lambda: relay.admission.awaiting_request)
             await asyncio.sleep(0.01)
-            relay.admission.evict_all()
+            relay.admission.evict_all_pending()
             client.say(HEADER.format("to").removeprefix("<?xml version='1.0'?>") + " " * 2000)
             heard = await client.rest()
             assert "<resource-constraint " in heard and not heard.endswith("[reset]")
@@ -237,11 +231,11 @@
         left[0] += 1
         os.close(number)
 
-    DESCRIPTOR_RESERVE.hold(0)  # relays of tests before in this process have filled it, from the real table
+    DESCRIPTOR_RESERVE.resize(0)  # relays of tests before in this process have filled it, from the real table
     monkeypatch.setattr("sageturn.net.sockets.socket", Instead(socket, socket=new_socket))
-    monkeypatch.setattr("sageturn.net.sockets.os", Instead(os, open=open_file, close=close_file))
+    monkeypatch.setattr("sageturn.net.descriptors.os", Instead(os, open=open_file, close=close_file))
     yield left
-    DESCRIPTOR_RESERVE.hold(0)
+    DESCRIPTOR_RESERVE.resize(0)
 
 
 def test_the_reserve_is_for_what_must_not_wait_and_is_made_good_before_any_client(short: list[int]) -> None:
@@ -249,12 +243,12 @@
         with socket.create_server(("127.0.0.1", 0)) as door:
             address = door.getsockname()
             short[0] = 2
-            DESCRIPTOR_RESERVE.hold(2)
-            assert short[0] == 0 and await connect_unreserved(address, 1.0) is Connect.NO_DESCRIPTOR
+            DESCRIPTOR_RESERVE.resize(2)
+            assert short[0] == 0 and await connect_unreserved(address, 1.0) is ConnectFailure.NO_DESCRIPTOR
             watch = await connect(address, 1.0)
             assert isinstance(watch, socket.socket)
             short[0] += 1  # one that is let go of is not a client's while the reserve is not whole
-            assert await connect_unreserved(address, 1.0) is Connect.NO_DESCRIPTOR
+            assert await connect_unreserved(address, 1.0) is ConnectFailure.NO_DESCRIPTOR
             assert short[0] == 0
             again = await connect(address, 1.0)
             assert isinstance(again, socket.socket)
@@ -269,11 +263,11 @@
 
 def test_a_reserve_that_cannot_be_filled_gives_up_nothing(short: list[int]) -> None:
     reserve = DescriptorReserve()
-    reserve.hold(3)
-    assert not reserve.give_up() and not reserve.refill()
-    with reserve.lent():
+    reserve.resize(3)
+    assert not reserve.release_one() and not reserve.refill()
+    with reserve.borrow():
         short[0] += 1
-    assert short[0] == 0 and reserve.give_up() and not reserve.give_up()
+    assert short[0] == 0 and reserve.release_one() and not reserve.release_one()
 
 
 @pytest.mark.parametrize("said", [first_line(), b""])
@@ -285,7 +279,7 @@
         async with relaying(tmp_path, silent) as (relay, _):
             relay.request_registry.schedule = ShutdownSchedule(0.0, 0.0, 0.05, 2.0)
             shut, came = relay.ingress.stop_accepting, list[socket.socket]()
-            monkeypatch.setattr(relay.listener, "_take", lambda most: True)
+            monkeypatch.setattr(relay.listener, "_accept", lambda most: True)
 
             def comes_and_shut() -> None:
                 for _ in range(3):
--- a/tests/overrides/test_overrides_relay.py
+++ b/tests/overrides/test_overrides_relay.py
@@ -188,8 +188,10 @@
 def test_connections_are_migrated_off_a_cleared_endpoint_by_the_planner(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("sageturn.rebalance.pace.SETTLE_MS", 0.0)
-    monkeypatch.setattr("sageturn.rebalance.pace.MigrationRateController.top", lambda self, own: 400.0)
+    monkeypatch.setattr("sageturn.rebalance.rate_controller.SETTLING_TIME_MS", 0.0)
+    monkeypatch.setattr(
+        "sageturn.rebalance.rate_controller.MigrationRateController.max_rate", lambda self, own: 400.0
+    )
 
     async def go() -> None:
         async with relays_with_overrides(tmp_path, up, up) as ((relay,), (a, b)):
--- a/tests/relay/test_compatibility_states.py
+++ b/tests/relay/test_compatibility_states.py
@@ -10,7 +10,6 @@
 import json
 import tempfile
 import time
-from contextlib import suppress
 from pathlib import Path
 from types import SimpleNamespace
 from typing import Any
@@ -35,9 +34,9 @@
 )
 from sageturn.overrides.options import OverrideOptions, SafetyLimits
 from sageturn.overrides.signing import parse_operation, sign_operation
+from sageturn.rebalance.batches import BlockReason
 from sageturn.rebalance.options import RebalanceOptions
-from sageturn.rebalance.planner import MigrationPlan
-from sageturn.rebalance.units import Block
+from sageturn.rebalance.plan import MigrationPlan, PlanPhase
 from sageturn.relay import Relay
 
 FIXTURES = Path(__file__).parents[1] / "fixtures" / "states"
@@ -62,26 +61,22 @@
     (folder / "operator.json").write_text(json.dumps(operator))
     env = {"GW_CONFIG": str(write_config(folder, ("127.0.0.1", 9)))}
     relay = Relay(load(env, str(folder / "operator.json")))
-    told = [await tell_once(relay)]
+    told = [report(relay)]
     for number, close_reason in enumerate(CloseReason, 1):
-        relay._counts[close_reason.name.lower()] += number
-    relay._counts["not_placed"] += 1
+        relay.closed_connections.counts[close_reason.name.lower()] += number
+    relay.closed_connections.counts["not_placed"] += 1
     relay.context.invalid_report_values["queue"] += 2
     if relay.flow_exporter is not None:
         relay.flow_exporter.dropped = 3
     if relay.replication is not None:
         relay.replication.replica.merge_zone_ages({"south/s1": 35.0, "south/s2": 1.0}, time.monotonic())
-    told.append(await tell_once(relay))
+    told.append(report(relay))
     relay.listener.close()
     return told
 
 
-async def tell_once(relay: Relay) -> tuple[str, Any]:
-    task = asyncio.ensure_future(relay._tell_state())
-    await asyncio.sleep(0)
-    task.cancel()
-    with suppress(asyncio.CancelledError):
-        await task
+def report(relay: Relay) -> tuple[str, Any]:
+    relay.state_reporter.report()
     (key,) = [key for key in relay.store.keys("state/") if key.endswith("/relay")]
     return key, relay.store.get(key)
 
@@ -103,17 +98,18 @@
 # ---------------------------------------------------------------- state/NODE/rebalance
 
 
-def give_signs(fleet: Fleet) -> None:
+def record_overload(fleet: Fleet) -> None:
     """What speaks against moving more: refusals, resets, failed calls, clients that stay away, losses."""
-    signs, now_ms = fleet.planner.signs, fleet.now
-    signs.asked(now_ms)
-    signs.set_up(now_ms, late=True)
-    signs.refused(now_ms)
-    signs.reset(now_ms)
-    signs.unreachable(now_ms)
-    signs.not_back(now_ms, 5)
-    fleet.tell(EndpointListEvent("changes", [Endpoint("c", state="draining"), Endpoint("d", state="gone")]))
-    signs.listed(failed=True)
+    detector = fleet.planner.overload_detector
+    now_ms = fleet.now_ms
+    detector.record_request(now_ms)
+    detector.record_established(now_ms, late=True)
+    detector.record_rejection(now_ms)
+    detector.record_reset(now_ms)
+    detector.record_connect_failure(now_ms)
+    detector.record_missing(now_ms, 5)
+    fleet.handle(EndpointListEvent("changes", [Endpoint("c", state="draining"), Endpoint("d", state="gone")]))
+    detector.record_endpoint_list(failed=True)
 
 
 def make_rebalance_states() -> bytes:
@@ -122,21 +118,21 @@
     fleet = Fleet("abcd", {"part_per_min": 0.5, "least_age_s": 2.0})
     for host, groups in (("a", 14), ("b", 6), ("c", 6), ("d", 6)):
         for number in range(groups):
-            fleet.stands(host, 5, f"{host}{number}")
+            fleet.add_connections(host, 5, f"{host}{number}")
     for seconds in (1, 29, 15, 200):
         fleet.run(seconds)
-        told.append(fleet.planner.state(fleet.plan))
+        told.append(fleet.planner.encode_state(fleet.plan))
     fleet.planner.options = RebalanceOptions(mode="dry-run")
-    told.append(fleet.planner.state(fleet.step()))
+    told.append(fleet.planner.encode_state(fleet.step()))
     fleet.planner.options = RebalanceOptions(mode="off")
-    told.append(fleet.planner.state(fleet.step()))
-    for number, block in enumerate(Block):
-        fleet.planner.blocks[block] = number
-    told.append(fleet.planner.state(MigrationPlan((), "held", "said here")))
+    told.append(fleet.planner.encode_state(fleet.step()))
+    for number, block in enumerate(BlockReason):
+        fleet.planner.block_counts[block] = number
+    told.append(fleet.planner.encode_state(MigrationPlan((), PlanPhase.HELD, "said here")))
     fleet.planner.options = fleet.options
     for _ in range(40):
-        give_signs(fleet)
-    told.append(fleet.planner.state(fleet.step()))
+        record_overload(fleet)
+    told.append(fleet.planner.encode_state(fleet.step()))
     return as_lines([("state/n1/rebalance", state) for state in told])
 
 
