--- a/tests/frontends/test_misbehaving_clients.py
+++ b/tests/frontends/test_misbehaving_clients.py
@@ -1,12 +1,12 @@
-"""Bad clients: each is answered or closed soon, reaches no endpoint, and leaves room for the others."""
+"""Misbehaving clients: each is answered or closed soon, reaches no endpoint, and costs others nothing."""
 
 from __future__ import annotations
 
 import asyncio
 from pathlib import Path
-from typing import Any
 
 import pytest
+from support.event_loop import run_with_timeout
 from support.network_fakes import Streams, ask, first_line, relaying, reply, silent, up
 
 from sageturn.net.admission import ProcessLimits
@@ -14,12 +14,8 @@
 FLOOD = b"k" * (1 << 20)
 
 
-def story(coro: Any) -> None:
-    asyncio.run(asyncio.wait_for(coro, 20))
-
-
-async def word(streams: Streams) -> bytes:
-    """What a bad client is told; b"" for a bare close."""
+async def first_word(streams: Streams) -> bytes:
+    """The first word that a client is sent; b"" if it is closed without one."""
     reader, writer = streams
     try:
         return (await asyncio.wait_for(reader.readline(), 3))[:4].strip()
@@ -30,7 +26,7 @@
 
 
 @pytest.mark.parametrize("said", [b"", b"OPEN id9 k1 c=c", b"PING\r\n", b"PING\r\nOPE"])
-def test_the_silent_and_the_half_spoken_are_answered_in_time(tmp_path: Path, said: bytes) -> None:
+def test_silent_client_and_incomplete_line_are_answered_in_time(tmp_path: Path, said: bytes) -> None:
     # They were waited for 5 s, and again 5 s after each PING, where 3 s from connecting are allowed.
     async def go() -> None:
         async with relaying(tmp_path, up) as (relay, (endpoint,)):
@@ -41,10 +37,10 @@
             assert asyncio.get_running_loop().time() - began < 2.8 and endpoint.lines == []
             writer.close()
 
-    story(go())
+    run_with_timeout(go())
 
 
-def test_hundreds_of_silent_ones_make_room_for_those_who_ask(tmp_path: Path) -> None:
+def test_silent_clients_are_evicted_for_those_with_a_request(tmp_path: Path) -> None:
     # Nothing bounded them: 2,000 on a day held 330 of 384 descriptors. The oldest go, those who stand stay.
     async def go() -> None:
         async with relaying(tmp_path, up) as (relay, _):
@@ -54,16 +50,16 @@
             crowd = [await ask(relay.listener.address, b"") for _ in range(40)]
             assert await reply(relay.listener.address, first_line()) == b"UP r1\r\n"
             assert relay.admission.connection_count <= 2 + 16
-            assert await word(crowd[0]) == b"BUSY"
+            assert await first_word(crowd[0]) == b"BUSY"
             writer.write(b"M 1\r\n")
             assert await reader.readline() == b"M 1\r\n"
             for _, each in [*crowd, (reader, writer)]:
                 each.close()
 
-    story(go())
+    run_with_timeout(go())
 
 
-def test_an_id_in_use_or_used_is_an_error_and_reaches_no_endpoint(tmp_path: Path) -> None:
+def test_reused_request_id_is_an_error_and_reaches_no_endpoint(tmp_path: Path) -> None:
     # 303 of these came to endpoints on one day; their ERR counted against sound hosts, which were left out.
     async def go() -> None:
         async with relaying(tmp_path, up) as (relay, (endpoint,)):
@@ -76,21 +72,21 @@
                 await asyncio.sleep(0.01)
             assert (await reply(relay.listener.address, line)).startswith(b"ERR") and len(endpoint.lines) == 1
 
-    story(go())
+    run_with_timeout(go())
 
 
-def test_many_commands_at_once_are_an_error(tmp_path: Path) -> None:
+def test_several_lines_at_once_are_an_error(tmp_path: Path) -> None:
     # The first was placed, and what came behind it went to its endpoint, which can't use it.
     async def go() -> None:
         async with relaying(tmp_path, up) as (relay, (endpoint,)):
             for lines in (first_line() * 300, first_line() + first_line(), b"PING\r\n" * 300):
-                assert await word(await ask(relay.listener.address, lines)) == b"ERR"
+                assert await first_word(await ask(relay.listener.address, lines)) == b"ERR"
             assert endpoint.lines == []
 
-    story(go())
+    run_with_timeout(go())
 
 
-def test_one_that_floods_hears_its_error_and_is_not_read_on(tmp_path: Path) -> None:
+def test_flooding_client_gets_its_error_and_is_not_read_on(tmp_path: Path) -> None:
     # Read on for half a second at full speed, it took the core that the others need.
     async def go() -> None:
         async with relaying(tmp_path, up) as (relay, _):
@@ -105,22 +101,22 @@
                     sent += len(FLOOD)
 
             flooding = asyncio.ensure_future(flood())
-            assert await word((reader, writer)) == b"ERR"
+            assert await first_word((reader, writer)) == b"ERR"
             await asyncio.wait((flooding,), timeout=3)
             assert flooding.done() and flooding.exception() and sent < 30 * len(FLOOD)
 
-    story(go())
+    run_with_timeout(go())
 
 
-def test_a_client_that_does_not_wait_for_its_answer_is_in_error(tmp_path: Path) -> None:
+def test_client_that_floods_before_its_answer_gets_an_error(tmp_path: Path) -> None:
     async def go() -> None:
         async with relaying(tmp_path, silent) as (relay, (endpoint,)):
             reader, writer = await ask(relay.listener.address, first_line(3000))
             while not endpoint.lines:
                 await asyncio.sleep(0.01)
             writer.write(FLOOD)
-            assert await word((reader, writer)) == b"ERR"
+            assert await first_word((reader, writer)) == b"ERR"
             while endpoint.open:
                 await asyncio.sleep(0.01)
 
-    story(go())
+    run_with_timeout(go())
--- a/tests/frontends/test_platform_frontend.py
+++ b/tests/frontends/test_platform_frontend.py
@@ -1,4 +1,4 @@
-"""Stories on the platform's wire: a relay between scripted clients, endpoints and discovery."""
+"""The platform's frontend: a relay between scripted clients, endpoints and discovery."""
 
 from __future__ import annotations
 
@@ -10,6 +10,7 @@
 from pathlib import Path
 
 import pytest
+from support.event_loop import run_with_timeout
 from support.network_fakes import (
     ask,
     first_line,
@@ -27,11 +28,7 @@
 from sageturn.relay import Relay
 
 
-def story(coro):  # type: ignore[no-untyped-def]
-    return asyncio.run(asyncio.wait_for(coro, 20))
-
-
-def test_a_relay_that_is_starting_takes_nobody(tmp_path: Path) -> None:
+def test_starting_relay_refuses_connections(tmp_path: Path) -> None:
     # Fronts send clients to a killed relay once it listens. Where it was not yet reading, their time was up
     # before the relay believed, and they left unanswered.
     async def go() -> None:
@@ -44,10 +41,10 @@
         writer.close()
         await relay.stop()
 
-    story(go())
+    run_with_timeout(go())
 
 
-def test_a_request_is_served_and_lines_pass_unchanged(tmp_path: Path) -> None:
+def test_request_is_served_and_lines_are_forwarded_unchanged(tmp_path: Path) -> None:
     # Guards the plain path: UP verbatim, the first line unchanged but for d, lines both ways.
     async def go() -> None:
         async with relaying(tmp_path, up) as (relay, (endpoint,)):
@@ -63,7 +60,7 @@
             assert 0 < int(wait) <= 2000
             writer.close()
 
-    story(go())
+    run_with_timeout(go())
 
 
 @pytest.mark.parametrize(
@@ -88,11 +85,11 @@
             assert endpoint.lines == []
             assert await reply(relay.listener.address, first_line()) == b"UP r1\r\n"
 
-    story(go())
+    run_with_timeout(go())
 
 
 @pytest.mark.parametrize("bad", [says(b"BUSY\r\n"), says(b"ERR\r\n"), says(b""), resets, says(b"huh\r\n")])
-def test_at_most_three_calls_never_two_at_once_and_one_answer(tmp_path: Path, bad) -> None:  # type: ignore[no-untyped-def]
+def test_at_most_three_attempts_one_at_a_time_and_one_answer(tmp_path: Path, bad) -> None:  # type: ignore[no-untyped-def]
     # Guards the three-attempt limit and the one final answer, whatever the endpoints do.
     async def go() -> None:
         async with relaying(tmp_path, bad, bad, bad, bad, bad) as (relay, endpoints):
@@ -101,7 +98,7 @@
             assert answer.count(b"\r\n") == 1 and answer.startswith((b"BUSY", b"ERR"))
             assert sum(len(e.lines) for e in endpoints) == 3
 
-    story(go())
+    run_with_timeout(go())
 
 
 def test_a_silent_endpoint_times_out_within_the_clients_wait(tmp_path: Path) -> None:
@@ -112,10 +109,10 @@
             assert (await reply(relay.listener.address, first_line(600))).startswith(b"BUSY")
             assert asyncio.get_running_loop().time() - began < 0.65
 
-    story(go())
+    run_with_timeout(go())
 
 
-def test_a_refused_endpoint_is_told_from_a_reset(tmp_path: Path) -> None:
+def test_refused_connection_is_distinguished_from_a_reset(tmp_path: Path) -> None:
     # Nobody listens at b: the request is placed elsewhere, and that it never ran is known.
     async def go() -> None:
         async with relaying(tmp_path, up) as (relay, (endpoint,)):
@@ -127,21 +124,21 @@
                 assert (await reply(relay.listener.address, first_line())).startswith(b"BUSY")
             assert endpoint.lines == []
 
-    story(go())
+    run_with_timeout(go())
 
 
 @pytest.mark.parametrize(("last", "gets"), [(b"BYE\r\n", b"BYE\r\n"), (b"MOVE\r\n", b"MOVE\r\n"), (b"", b"")])
-def test_the_endpoints_end_is_passed_on_as_a_fin(tmp_path: Path, last: bytes, gets: bytes) -> None:
+def test_endpoint_fin_is_forwarded(tmp_path: Path, last: bytes, gets: bytes) -> None:
     async def go() -> None:
         async with relaying(tmp_path, says(b"UP r\r\n" + last)) as (relay, _):
             reader, writer = await ask(relay.listener.address, first_line())
             assert await reader.read() == b"UP r\r\n" + gets
             writer.close()
 
-    story(go())
+    run_with_timeout(go())
 
 
-def test_a_reset_is_passed_on_as_a_reset_and_told_as_one(tmp_path: Path) -> None:
+def test_reset_is_forwarded_and_recorded(tmp_path: Path) -> None:
     # Closing politely after the reset raised on the closed socket, and the module was told 'cancelled'.
     async def then_reset(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes) -> None:
         writer.write(b"UP r\r\n")
@@ -161,17 +158,17 @@
                 await reader.read()
             assert await ended.get() == "RESET"
 
-    story(go())
+    run_with_timeout(go())
 
 
-def test_a_connection_open_before_the_run_is_resumed_where_it_stood(tmp_path: Path) -> None:
+def test_connection_established_before_the_run_is_resumed_at_its_endpoint(tmp_path: Path) -> None:
     # The first landing lost every one of these to a renamed variable.
     async def go() -> None:
         async with relaying(tmp_path, up, says(b"UP b\r\n")) as (relay, _):
             assert await reply(relay.listener.address, first_line(4294967, ",at=b")) == b"UP b\r\n"
             assert (await reply(relay.listener.address, first_line(900, ",at=zz"))).startswith(b"ERR")
 
-    story(go())
+    run_with_timeout(go())
 
 
 def test_ping_is_answered_once_a_list_is_usable(tmp_path: Path) -> None:
@@ -182,10 +179,10 @@
         async with relaying(tmp_path, up) as (relay, _):
             assert await reply(relay.listener.address, b"PING\r\n") == b"PONG\r\n"
 
-    story(go())
+    run_with_timeout(go())
 
 
-def test_a_mute_endpoint_has_its_client_moved(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_client_of_a_silent_endpoint_is_migrated(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     # A host that vanishes says nothing: its clients must be moved before 7 s.
     monkeypatch.setattr("sageturn.frontends.platform.relaying.IDLE_TIMEOUT_S", 0.3)
 
@@ -201,10 +198,10 @@
             assert await reader.read() == b"MOVE\r\n"
             writer.close()
 
-    story(go())
+    run_with_timeout(go())
 
 
-def test_a_drain_answers_and_moves_everyone_between_two_lines(tmp_path: Path) -> None:
+def test_drain_answers_and_migrates_all_clients_between_two_lines(tmp_path: Path) -> None:
     # A planned stop: nobody may be cut off without MOVE, and no line may be torn by it.
     async def half(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes) -> None:
         writer.write(b"UP r\r\nM 1 whole\r\nM 2 torn")
@@ -223,10 +220,10 @@
             await draining
             assert len(relay.request_registry) == 0
 
-    story(go())
+    run_with_timeout(go())
 
 
-def test_loads_reach_the_module_and_the_client(tmp_path: Path) -> None:
+def test_load_reports_reach_the_balancer_and_the_client(tmp_path: Path) -> None:
     async def go() -> None:
         async with relaying(tmp_path, says(b"UP r\r\nLOAD 1500\r\nLOAD x\r\nBYE\r\n")) as (relay, _):
             told = []
@@ -239,10 +236,10 @@
                 await asyncio.sleep(0.01)
             assert [e.value for e in told if getattr(e, "kind", "") == "load"] == [1.5]
 
-    story(go())
+    run_with_timeout(go())
 
 
-def test_faulty_configuration_names_its_key(tmp_path: Path) -> None:
+def test_invalid_configuration_names_its_key(tmp_path: Path) -> None:
     from sageturn.config.errors import ConfigError
     from sageturn.config.loader import load
 
--- a/tests/frontends/test_xmpp_frontend.py
+++ b/tests/frontends/test_xmpp_frontend.py
@@ -1,4 +1,4 @@
-"""Stories on the XMPP front, and the proof that both fronts decide alike."""
+"""The XMPP frontend, and the proof that both frontends decide alike."""
 
 from __future__ import annotations
 
@@ -8,6 +8,7 @@
 from pathlib import Path
 
 import pytest
+from support.event_loop import run_with_timeout
 from support.network_fakes import SETTINGS as CONF
 from support.network_fakes import ask, first_line
 from support.xmpp_fakes import HEADER, Client, Server, echo, turns_away
@@ -19,11 +20,7 @@
 SETTINGS = read_settings(CONF)
 
 
-def story(coro):  # type: ignore[no-untyped-def]
-    return asyncio.run(asyncio.wait_for(coro, 30))
-
-
-def test_a_session_stands_over_tls_and_a_restarted_stream_is_one_request(tmp_path: Path) -> None:
+def test_session_is_established_over_tls_and_restarted_streams_are_one_request(tmp_path: Path) -> None:
     # The stream starts three times, for TLS and SASL; only the bind is a request, and it is placed once.
     async def go() -> None:
         async with relaying_xmpp(tmp_path, lambda s: echo(s, server_tls()), tls=True) as (relay, _):
@@ -40,7 +37,7 @@
             client.say("</stream:stream>")
             assert (await client.rest()).strip() == "</stream:stream>"
 
-    story(go())
+    run_with_timeout(go(), 30)
 
 
 def test_plain_is_offered_under_tls_and_a_wrong_password_is_no_request(tmp_path: Path) -> None:
@@ -57,7 +54,7 @@
                 assert "<not-authorized/>" in wrong.seen
             assert len(relay.balancer_actor.placements) == 1
 
-    story(go())
+    run_with_timeout(go(), 30)
 
 
 @pytest.mark.parametrize(
@@ -78,7 +75,7 @@
         ("", "connection-timeout"),
     ],
 )
-def test_what_must_be_refused_ends_in_its_defined_error(tmp_path: Path, said: str, condition: str) -> None:
+def test_invalid_stream_ends_with_its_defined_error(tmp_path: Path, said: str, condition: str) -> None:
     async def go() -> None:
         async with relaying_xmpp(tmp_path, echo, negotiate_s=0.5) as (relay, (endpoint,)):
             client = await Client.connect(relay.xmpp_listener.address)
@@ -88,7 +85,7 @@
             assert heard.endswith("</stream:stream>") and "<stream:stream" in heard
             assert endpoint.lines == []
 
-    story(go())
+    run_with_timeout(go(), 30)
 
 
 async def breaks(server: Server) -> None:
@@ -101,7 +98,7 @@
 
 
 @pytest.mark.parametrize("act", [turns_away, breaks, silence])
-def test_three_calls_at_most_and_one_final_answer_with_its_condition(
+def test_at_most_three_attempts_and_one_final_answer_with_its_condition(
     tmp_path: Path, act: Callable[[Server], Awaitable[None]]
 ) -> None:
     async def go() -> None:
@@ -116,7 +113,7 @@
             assert "resource-constraint" in heard
             assert 1 <= sum(len(e.lines) for e in endpoints) <= 3
 
-    story(go())
+    run_with_timeout(go(), 30)
 
 
 def test_a_drain_finishes_the_stanza_on_the_wire_and_ends_the_stream(tmp_path: Path) -> None:
@@ -143,7 +140,7 @@
             await draining
             assert len(relay.request_registry) == 0
 
-    story(go())
+    run_with_timeout(go(), 30)
 
 
 def test_an_endpoint_that_drains_mid_stanza_leaves_a_clean_stream(tmp_path: Path) -> None:
@@ -160,7 +157,7 @@
             heard = await client.rest()
             assert heard.startswith("<stream:error>") and heard.endswith("</stream:stream>")
 
-    story(go())
+    run_with_timeout(go(), 30)
 
 
 ANSWERS = {
@@ -177,7 +174,7 @@
     ("acts", "expected"),
     [([echo, turns_away, echo, echo], {"served"}), ([turns_away] * 4, {"fail-fast"})],
 )
-def test_both_fronts_place_and_answer_alike(
+def test_both_frontends_place_and_answer_alike(
     tmp_path: Path, acts: list[Callable[[Server], Awaitable[None]]], expected: set[str]
 ) -> None:
     # The proof of one core: the same traffic in either protocol, and mixed, gives the same placements
@@ -208,10 +205,10 @@
         assert line == mixed == stream
         assert len(line[0]) >= 8 and set(line[1]) == expected
 
-    story(compare())
+    run_with_timeout(compare(), 30)
 
 
-def test_a_faulty_operators_file_names_its_key(tmp_path: Path) -> None:
+def test_invalid_operator_file_names_its_key(tmp_path: Path) -> None:
     from sageturn.config.errors import ConfigError
     from sageturn.config.operator import read_operator_file
 
@@ -227,7 +224,7 @@
             read_operator_file(tmp_path / "bad.json", SETTINGS)
 
 
-def test_the_operators_file_that_is_shipped_can_be_read(tmp_path: Path) -> None:
+def test_shipped_operator_file_can_be_read(tmp_path: Path) -> None:
     # It is the only example an operator has: a key renamed in config.py must be renamed there too.
     from sageturn.config.operator import read_operator_file
 
@@ -245,7 +242,7 @@
     assert operator.xmpp.tls is not None and operator.xmpp.endpoint.tls is not None
 
 
-def test_silent_and_half_spoken_clients_are_cut_off_soon_and_make_room(tmp_path: Path) -> None:
+def test_silent_clients_and_incomplete_headers_are_closed_soon_and_evicted(tmp_path: Path) -> None:
     # What bad clients do to the platform's front they can do here: the bounds are the listener's, for both.
     async def go() -> None:
         async with relaying_xmpp(tmp_path, echo) as (relay, _):
@@ -260,4 +257,4 @@
             for each in crowd:
                 each.writer.close()
 
-    story(go())
+    run_with_timeout(go(), 30)
--- a/tests/net/test_descriptor_exhaustion.py
+++ b/tests/net/test_descriptor_exhaustion.py
@@ -29,16 +29,16 @@
 from support.ports import free_port
 
 DESCRIPTORS = 56
-SILENT = 60
-TOLD_S = 6.0  # after which discovery's news counts as told
-BOUND = (
+IDLE_CLIENTS = 60
+UPDATE_S = 6.0  # by then the relay has received discovery's list
+PROGRAM_WITH_LIMIT = (
     "import resource, sys; resource.setrlimit(resource.RLIMIT_NOFILE, ({0}, {0}));"
     "from sageturn.__main__ import main; sys.argv = ['sageturn']; sys.exit(main())"
 )
 
 
-async def heard(streams: Streams) -> bytes:
-    """All that a client is told; a reset shows as one."""
+async def all_received(streams: Streams) -> bytes:
+    """All that a client is sent; a reset shows as b"reset"."""
     reader, writer = streams
     try:
         return await asyncio.wait_for(reader.read(), 8)
@@ -49,7 +49,7 @@
 
 
 @pytest.mark.parametrize("lists", ["push", "ask"])
-def test_idle_clients_that_fill_the_descriptors_cost_the_relay_no_news(tmp_path: Path, lists: str) -> None:
+def test_endpoint_list_is_updated_while_idle_clients_hold_the_descriptors(tmp_path: Path, lists: str) -> None:
     # They stood or rested on every descriptor that there was, and the watch got none as discovery returned.
     async def go() -> None:
         async with AsyncExitStack() as stack:
@@ -70,7 +70,7 @@
             process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-c",
-                BOUND.format(DESCRIPTORS),
+                PROGRAM_WITH_LIMIT.format(DESCRIPTORS),
                 env={**os.environ, "GW_CONFIG": str(file)},
                 stderr=asyncio.subprocess.DEVNULL,
             )
@@ -85,7 +85,7 @@
                 assert word.startswith((b"UP", b"BUSY")), word
                 refused += word.startswith(b"BUSY")
                 standing += [streams] if word.startswith(b"UP") else []
-            silent = [await ask(address, b"") for _ in range(SILENT)]
+            silent = [await ask(address, b"") for _ in range(IDLE_CLIENTS)]
             assert len(os.listdir(f"/proc/{process.pid}/fd")) >= DESCRIPTORS - 4 and len(standing) >= 10
 
             down.listen()
@@ -102,7 +102,7 @@
             )
             endpoint = await asyncio.start_server(discovery.serve, sock=down)
             stack.callback(endpoint.close)
-            async with asyncio.timeout(TOLD_S):
+            async with asyncio.timeout(UPDATE_S):
                 while not discovery.asked:
                     await asyncio.sleep(0.01)
                 standing.pop()[1].close()  # leaves room for one, which is to be placed by the news
@@ -110,10 +110,10 @@
                     assert (await reply(address, first_line(3000))).startswith((b"UP", b"BUSY"))
             assert process.returncode is None
 
-            words = [await heard(each) for each in silent]
+            words = [await all_received(each) for each in silent]
             assert all(word.startswith((b"BUSY", b"ERR")) for word in words), words
             process.send_signal(signal.SIGTERM)
-            last = await asyncio.gather(*(heard(each) for each in standing))
+            last = await asyncio.gather(*(all_received(each) for each in standing))
             assert set(last) == {b"MOVE\r\n"} and await process.wait() == 0
 
     asyncio.run(asyncio.wait_for(go(), 60))
--- a/tests/net/test_sockets.py
+++ b/tests/net/test_sockets.py
@@ -1,4 +1,4 @@
-"""Every socket of the relay's, and what a close or a want of descriptors does to it."""
+"""The relay's sockets: their options, how they are closed, and what happens when descriptors run out."""
 
 from __future__ import annotations
 
@@ -14,6 +14,7 @@
 from typing import Any
 
 import pytest
+from support.event_loop import run_with_timeout, until
 from support.load_reports import FIELDS, probed_by
 from support.network_fakes import SETTINGS, Streams, ask, first_line, relaying, silent, up
 from support.replication_member import replica
@@ -28,21 +29,11 @@
 from sageturn.net.sockets import ConnectFailure, connect, connect_unreserved
 from sageturn.store.store import Store
 
+# ---------------------------------------------------------------- TCP_NODELAY
 
-def story(coro: Any) -> None:
-    asyncio.run(asyncio.wait_for(coro, 20))
 
-
-async def until(true: Any) -> None:
-    while not true():
-        await asyncio.sleep(0.005)
-
-
-# ---------------------------------------------------------------- nothing small is held back
-
-
-def ours(accepted_at: set[Any], dialled: set[Any]) -> list[tuple[str, socket.socket]]:
-    """The open connections of the relay's, by their addresses: all of these tests is in one process."""
+def connections_of_relay(accepted_at: set[Any], dialled: set[Any]) -> list[tuple[str, socket.socket]]:
+    """The open connections of the relay, found by their addresses: all of a test is in one process."""
     found = []
     for each in gc.get_objects():
         if type(each) is socket.socket and each.fileno() >= 0 and each.type == socket.SOCK_STREAM:
@@ -57,12 +48,12 @@
     return found
 
 
-def all_send_at_once(found: list[tuple[str, socket.socket]], directions: set[str]) -> bool:
+def all_have_nodelay(found: list[tuple[str, socket.socket]], directions: set[str]) -> bool:
     assert {direction for direction, _ in found} == directions
     return all(s.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY) for _, s in found)
 
 
-def test_every_socket_of_the_platforms_front_sends_small_writes_at_once(
+def test_all_sockets_of_the_platform_frontend_have_nodelay(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Clients, endpoints, discovery's watch, and connections that are kept for probes.
@@ -75,70 +66,68 @@
             reader, writer = await ask(relay.listener.address, first_line())
             assert await reader.readline() == b"UP r1\r\n"
             await until(lambda: seen and relay.endpoint_registry.version == 2)
-            resting = await ask(relay.listener.address, b"")
+            idle = await ask(relay.listener.address, b"")
             await until(lambda: relay.admission.awaiting_request)
             dialled = {endpoint.address, relay.discovery._address}
-            found = ours({relay.listener.address}, dialled)
+            found = connections_of_relay({relay.listener.address}, dialled)
             assert {s.getpeername() for d, s in found if d == "dialled"} == dialled
-            assert len(found) >= 5 and all_send_at_once(found, {"accepted", "dialled"})
-            for each in (writer, resting[1]):
+            assert len(found) >= 5 and all_have_nodelay(found, {"accepted", "dialled"})
+            for each in (writer, idle[1]):
                 each.close()
 
-    story(go())
+    run_with_timeout(go())
 
 
-def test_every_socket_of_the_xmpp_front_sends_small_writes_at_once(tmp_path: Path) -> None:
+def test_all_sockets_of_the_xmpp_frontend_have_nodelay(tmp_path: Path) -> None:
     async def go() -> None:
         async with relaying_xmpp(tmp_path, echo) as (relay, (endpoint,)):
             client = await Client.connect(relay.xmpp_listener.address)
             await client.login(client_tls())
             await client.bind()
-            found = ours({relay.xmpp_listener.address}, {endpoint.address})
-            assert len(found) == 2 and all_send_at_once(found, {"accepted", "dialled"})
+            found = connections_of_relay({relay.xmpp_listener.address}, {endpoint.address})
+            assert len(found) == 2 and all_have_nodelay(found, {"accepted", "dialled"})
             client.writer.close()
 
-    story(go())
+    run_with_timeout(go())
 
 
-def test_every_link_between_stores_sends_small_writes_at_once() -> None:
+def test_all_links_between_stores_have_nodelay() -> None:
     async def go() -> None:
         one, other = Store("a"), Store("b")
         first = replica(one)
         second = replica(other, first.address)
         await until(lambda: first.link_count and second.link_count)
-        found = ours({first.address}, {first.address})
-        assert len(found) == 2 and all_send_at_once(found, {"accepted", "dialled"})
+        found = connections_of_relay({first.address}, {first.address})
+        assert len(found) == 2 and all_have_nodelay(found, {"accepted", "dialled"})
         await second.stop()
         await first.stop()
 
-    story(go())
+    run_with_timeout(go())
 
 
-def test_one_that_is_turned_away_at_the_door_is_sent_its_answer_at_once(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_rejected_connection_has_nodelay(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     options: list[int] = []
     send_and_close = listener.send_and_close
 
-    def looks(sock: socket.socket, text: bytes) -> None:
+    def checking_send_and_close(sock: socket.socket, text: bytes) -> None:
         options.append(sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY))
         send_and_close(sock, text)
 
-    monkeypatch.setattr(listener, "send_and_close", looks)
+    monkeypatch.setattr(listener, "send_and_close", checking_send_and_close)
 
     async def go() -> None:
         async with relaying(tmp_path, up) as (relay, _):
             relay.admission.limits = ProcessLimits(sockets=96, memory_mb=1.0)
             held: list[Streams] = [await ask(relay.listener.address, first_line()) for _ in range(17)]
-            words = [await reader.readline() for reader, _ in held]
-            assert words[-1] == b"BUSY 500\r\n" and options and all(options)
+            answers = [await reader.readline() for reader, _ in held]
+            assert answers[-1] == b"BUSY 500\r\n" and options and all(options)
             for _, writer in held:
                 writer.close()
 
-    story(go())
+    run_with_timeout(go())
 
 
-# ---------------------------------------------------------------- closes over bytes that lie unread
+# ---------------------------------------------------------------- closing while bytes lie unread
 
 
 @pytest.fixture
@@ -146,10 +135,10 @@
     """Both ends of one TCP connection; the first is the relay's."""
     with socket.create_server(("127.0.0.1", 0)) as door:
         client = socket.create_connection(door.getsockname())
-        relays, _ = door.accept()
-    relays.setblocking(False)
-    yield relays, client
-    relays.close()
+        relay_socket, _ = door.accept()
+    relay_socket.setblocking(False)
+    yield relay_socket, client
+    relay_socket.close()
     client.close()
 
 
@@ -157,21 +146,21 @@
     pair: tuple[socket.socket, socket.socket],
 ) -> None:
     # Bytes that came in the moment in which it was cut off made the kernel send a reset.
-    relays, client = pair
+    relay_socket, client = pair
 
     async def go() -> None:
-        relays.send(b"ERR why\r\n")
-        closing = asyncio.ensure_future(close_gracefully(relays))
+        relay_socket.send(b"ERR why\r\n")
+        closing = asyncio.ensure_future(close_gracefully(relay_socket))
         await asyncio.sleep(0)
         client.sendall(b"M 1\r\n")  # the loop does not turn between its coming and the end
         closing.cancel()
         await asyncio.wait((closing,))
 
-    story(go())
+    run_with_timeout(go())
     poll = select.poll()
     poll.register(client, select.POLLIN)
     ((_, mask),) = poll.poll(0)
-    assert relays.fileno() < 0 and not mask & (select.POLLERR | select.POLLHUP)  # as after a reset
+    assert relay_socket.fileno() < 0 and not mask & (select.POLLERR | select.POLLHUP)  # as after a reset
     assert client.recv(99) == b"ERR why\r\n" and client.recv(99) == b""
 
 
@@ -189,14 +178,14 @@
             assert "<resource-constraint " in heard and not heard.endswith("[reset]")
             client.writer.close()
 
-    story(go())
+    run_with_timeout(go())
 
 
 # ---------------------------------------------------------------- descriptors
 
 
-class Instead:
-    """A module some of whose names are others here."""
+class PatchedModule:
+    """A module with some of its names replaced."""
 
     def __init__(self, module: ModuleType, **names: Any) -> None:
         self._module = module
@@ -207,7 +196,7 @@
 
 
 @pytest.fixture
-def short(monkeypatch: pytest.MonkeyPatch) -> Iterator[list[int]]:
+def descriptors_left(monkeypatch: pytest.MonkeyPatch) -> Iterator[list[int]]:
     """A table of descriptors with ``[0]`` of them left, as the relay's dialling and its reserve see it."""
     left = [0]
     files: set[int] = set()
@@ -231,43 +220,44 @@
         left[0] += 1
         os.close(number)
 
-    DESCRIPTOR_RESERVE.resize(0)  # relays of tests before in this process have filled it, from the real table
-    monkeypatch.setattr("sageturn.net.sockets.socket", Instead(socket, socket=new_socket))
-    monkeypatch.setattr("sageturn.net.descriptors.os", Instead(os, open=open_file, close=close_file))
+    DESCRIPTOR_RESERVE.resize(0)  # earlier tests of this process have filled it
+    monkeypatch.setattr("sageturn.net.sockets.socket", PatchedModule(socket, socket=new_socket))
+    monkeypatch.setattr("sageturn.net.descriptors.os", PatchedModule(os, open=open_file, close=close_file))
     yield left
     DESCRIPTOR_RESERVE.resize(0)
 
 
-def test_the_reserve_is_for_what_must_not_wait_and_is_made_good_before_any_client(short: list[int]) -> None:
+def test_descriptor_reserve_is_never_a_clients_and_is_refilled_first(descriptors_left: list[int]) -> None:
     async def go() -> None:
         with socket.create_server(("127.0.0.1", 0)) as door:
             address = door.getsockname()
-            short[0] = 2
+            descriptors_left[0] = 2
             DESCRIPTOR_RESERVE.resize(2)
-            assert short[0] == 0 and await connect_unreserved(address, 1.0) is ConnectFailure.NO_DESCRIPTOR
+            assert descriptors_left[0] == 0
+            assert await connect_unreserved(address, 1.0) is ConnectFailure.NO_DESCRIPTOR
             watch = await connect(address, 1.0)
             assert isinstance(watch, socket.socket)
-            short[0] += 1  # one that is let go of is not a client's while the reserve is not whole
+            descriptors_left[0] += 1  # one that is let go of is not a client's while the reserve is not whole
             assert await connect_unreserved(address, 1.0) is ConnectFailure.NO_DESCRIPTOR
-            assert short[0] == 0
+            assert descriptors_left[0] == 0
             again = await connect(address, 1.0)
             assert isinstance(again, socket.socket)
-            short[0] += 2
+            descriptors_left[0] += 2
             client = await connect_unreserved(address, 1.0)
             assert isinstance(client, socket.socket)
             for each in (watch, again, client):
                 each.close()
 
-    story(go())
+    run_with_timeout(go())
 
 
-def test_a_reserve_that_cannot_be_filled_gives_up_nothing(short: list[int]) -> None:
+def test_reserve_that_cannot_be_filled_releases_nothing(descriptors_left: list[int]) -> None:
     reserve = DescriptorReserve()
     reserve.resize(3)
     assert not reserve.release_one() and not reserve.refill()
     with reserve.borrow():
-        short[0] += 1
-    assert short[0] == 0 and reserve.release_one() and not reserve.release_one()
+        descriptors_left[0] += 1
+    assert descriptors_left[0] == 0 and reserve.release_one() and not reserve.release_one()
 
 
 @pytest.mark.parametrize("said", [first_line(), b""])
@@ -294,4 +284,4 @@
                 assert client.recv(99) == b"BUSY 500\r\n" and client.recv(99) == b""
                 client.close()
 
-    story(go())
+    run_with_timeout(go())
