--- a/tests/core/test_attempt_races.py
+++ b/tests/core/test_attempt_races.py
@@ -1,4 +1,4 @@
-"""Instants in which something ends while more is still owed: each is forced, on loopback sockets."""
+"""Races between an attempt and what ends it: each instant is forced, on loopback sockets."""
 
 from __future__ import annotations
 
@@ -35,35 +35,36 @@
     client.close()
 
 
-def leave_with_words(client: socket.socket, relay: Relay, name: str) -> None:
+def leave_after_sending(client: socket.socket, relay: Relay, name: str) -> None:
     client.sendall(b"M 1\r\n")
     client.close()
 
 
-def drained(client: socket.socket, relay: Relay, name: str) -> None:
+def endpoint_drains(client: socket.socket, relay: Relay, name: str) -> None:
     relay.endpoint_registry.apply_update(EndpointListUpdate(3, False, [Endpoint(name, "draining")]))
 
 
-def gone(client: socket.socket, relay: Relay, name: str) -> None:
+def endpoint_gone(client: socket.socket, relay: Relay, name: str) -> None:
     relay.endpoint_registry.apply_update(EndpointListUpdate(3, False, [Endpoint(name, "gone")]))
 
 
-def moved(client: socket.socket, relay: Relay, name: str) -> None:
+def endpoint_replaced(client: socket.socket, relay: Relay, name: str) -> None:
     news = [Endpoint(name, "ready", started_at_ms=1.0)]
     relay.endpoint_registry.apply_update(EndpointListUpdate(3, False, news, {name: ("127.0.0.1", 9)}))
 
 
-def hurried(client: socket.socket, relay: Relay, name: str) -> None:
+def drain_forced(client: socket.socket, relay: Relay, name: str) -> None:
     for lifecycle in relay.request_registry:
         lifecycle.force_drain()
 
 
-BEFORE_WRITING = [leave_by_fin, leave_by_reset, leave_with_words, drained, gone, moved, hurried]
+ENDPOINT_CHANGES = (endpoint_drains, endpoint_gone, endpoint_replaced)
+BEFORE_WRITING = [leave_by_fin, leave_by_reset, leave_after_sending, *ENDPOINT_CHANGES, drain_forced]
 
 
 @pytest.mark.parametrize("end", BEFORE_WRITING, ids=lambda end: end.__name__)
 @pytest.mark.parametrize("attempt", [1, 2])
-def test_nothing_is_sent_once_its_end_has_come_while_a_connection_came_up(
+def test_nothing_is_written_once_the_request_has_ended_while_its_connection_came_up(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, end: Any, attempt: int
 ) -> None:
     # A client's FIN lay unread while the core was busy, and its line followed it 0.3 s later. The loop does
@@ -92,11 +93,11 @@
             client = socket.create_connection(relay.listener.address)
             client.sendall(first_line())
             await until(lambda: at)
-            if end in (drained, gone, moved):  # it is served all the same, at the other one
+            if end in ENDPOINT_CHANGES:  # it is served all the same, at the other one
                 client.settimeout(5)
                 assert (await asyncio.to_thread(client.recv, 99)) == b"UP r1\r\n"
                 client.close()
-            elif end is hurried:
+            elif end is drain_forced:
                 assert (await asyncio.to_thread(client.recv, 99)) == b"BUSY 250\r\n"
                 client.close()
             await until(lambda: records and is_idle(relay))
@@ -108,7 +109,7 @@
     run_within(TIMEOUT_S, go())
 
 
-# ---------------------------------------------------------------- a stop, and what may have run
+# ---------------------------------------------------------------- what a forced drain rejects
 
 
 def deployment(effect: str, scope: str) -> dict[str, Any]:
@@ -121,10 +122,10 @@
     "effect,scope,refused",
     [("safe", "all", True), ("keyed", "all", True), ("keyed", "zone", False), ("unsafe", "all", False)],
 )
-def test_a_stop_refuses_only_what_cannot_have_run_or_may_be_repeated(
+def test_a_forced_drain_rejects_only_requests_that_were_not_executed_or_are_idempotent(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, effect: str, scope: str, refused: bool, ran: bool
 ) -> None:
-    # Every request that a stop hurried heard BUSY, which says that trying again is harmless.
+    # Every request that a forced drain ended was answered BUSY, which says that a retry is harmless.
     async def go() -> None:
         async with relaying(tmp_path, silent, settings=deployment(effect, scope)) as (relay, (endpoint,)):
             await until(lambda: relay.endpoint_registry.version == 2)
@@ -152,8 +153,10 @@
 
 
 @pytest.mark.parametrize("text", [b"BUSY\n", b"BUSY \xff\r\n", b"BUSY\r\nUP r1\r\n", b"BUSYX\r\n", b"BUSY"])
-def test_a_spoilt_busy_proves_nothing(tmp_path: Path, text: bytes) -> None:
-    # Only a whole BUSY says that it never ran: on any other word an unsafe request is not sent again.
+def test_a_malformed_busy_does_not_prove_that_the_request_was_not_executed(
+    tmp_path: Path, text: bytes
+) -> None:
+    # Only a complete BUSY says that it was not executed: after all else an unsafe request is not retried.
     async def spoilt(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes) -> None:
         writer.write(text)
 
@@ -169,7 +172,7 @@
     run_within(TIMEOUT_S, go())
 
 
-# ---------------------------------------------------------------- the key's time, up to the last byte
+# ---------------------------------------------------------------- when an idempotency key expires
 
 KEY_MS = 5000.0  # of ``deployment``
 
@@ -190,7 +193,7 @@
 @pytest.mark.parametrize("scope,word", [("all", b"BUSY"), ("cell", b"ERR ")])
 @pytest.mark.parametrize("late_ms", [KEY_MS - 500.0, KEY_MS + 1.0])
 @pytest.mark.parametrize("moment", ["decided", "came up"])
-def test_a_further_attempt_is_written_within_the_keys_time_or_not_at_all(
+def test_a_retry_is_written_before_its_idempotency_key_expires_or_not_at_all(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, moment: str, late_ms: float, scope: str, word: bytes
 ) -> None:
     # The module asks for it in time, but a connection may come up 1.5 s later: the line was written whenever
@@ -235,7 +238,7 @@
     run_within(TIMEOUT_S, go())
 
 
-def test_a_write_that_the_kernel_does_not_take_ends_with_the_keys_time(
+def test_a_write_that_blocks_ends_as_its_idempotency_key_expires(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def go() -> None:
@@ -264,15 +267,15 @@
     run_within(TIMEOUT_S, go())
 
 
-# ---------------------------------------------------------------- a request on a resting connection
+# ---------------------------------------------------------------- a request on an idle client connection
 
 
 @pytest.mark.parametrize("shut", [False, True], ids=["just before the shutdown", "just after it"])
 @pytest.mark.parametrize("ended", ["out of time", "evicted", "no line"])
-def test_a_request_that_comes_as_its_resting_connection_is_ended_is_answered_once_and_not_sent_on(
+def test_a_request_that_arrives_as_its_idle_connection_is_closed_is_answered_once_and_not_forwarded(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, ended: str, shut: bool
 ) -> None:
-    # What is read behind a shutdown and sent on is lost, and a close over it would reset the answer's way.
+    # What is read after a shutdown and forwarded is lost, and a close over unread bytes resets the answer.
     monkeypatch.setattr(platform_frontend, "REQUEST_LINE_TIMEOUT_S", 0.1 if ended == "out of time" else 5.0)
     politely, at_once = platform_frontend.close_gracefully, platform_frontend.send_and_close
 
--- a/tests/core/test_close_reasons.py
+++ b/tests/core/test_close_reasons.py
@@ -1,4 +1,4 @@
-"""Every pair of what a request is at and what ends it: one final answer, nothing sent late, nothing left."""
+"""Every pair of a request's stage and what ends it: one final response, nothing late, nothing left."""
 
 from __future__ import annotations
 
@@ -51,8 +51,8 @@
         self.relay, self.endpoints, self.line = relay, endpoints, first_line(wait_ms)
         self.client = socket.create_connection(relay.listener.address)
         self.client.setblocking(False)
-        self.go_on = asyncio.Event()  # lets what was held at its stage go on
-        self.reset_host = False
+        self.resume = asyncio.Event()  # lets what was held at its stage go on
+        self.reset_endpoint = False
 
     @property
     def lines(self) -> list[bytes]:
@@ -69,22 +69,22 @@
         return heard
 
 
-# ---------------------------------------------------------------- stages: what its endpoints do meanwhile
+# ---------------------------------------------------------------- stages: what the endpoints do meanwhile
 
 
-def held(text: bytes) -> Any:
+def holding(text: bytes) -> Any:
     """Says so much, then holds until the end has been made; then resets or ends."""
 
     def script(scene: list[Scene]) -> Any:
         async def act(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes) -> None:
             writer.write(text)
             await writer.drain()
-            ends = asyncio.ensure_future(scene[0].go_on.wait())
+            ends = asyncio.ensure_future(scene[0].resume.wait())
             left = asyncio.ensure_future(reader.read())
             await asyncio.wait((ends, left), return_when=asyncio.FIRST_COMPLETED)
             for task in (ends, left):
                 task.cancel()
-            if scene[0].reset_host:
+            if scene[0].reset_endpoint:
                 linger = struct.pack("ii", 1, 0)
                 writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
                 writer.transport.abort()
@@ -100,7 +100,7 @@
     async def slowly(address: tuple[str, int], timeout_s: float) -> Any:
         begun.set()
         try:
-            await asyncio.wait_for(scene.go_on.wait(), timeout_s)
+            await asyncio.wait_for(scene.resume.wait(), timeout_s)
         except TimeoutError:
             return platform_connection.ConnectFailure.NEVER_UP
         return await connect(address, timeout_s)
@@ -115,30 +115,30 @@
     await until(lambda: scene.lines)
 
 
-async def standing(scene: Scene, monkeypatch: pytest.MonkeyPatch) -> None:
+async def established(scene: Scene, monkeypatch: pytest.MonkeyPatch) -> None:
     scene.client.sendall(scene.line)
     await until(lambda: any(lifecycle.is_established for lifecycle in scene.relay.request_registry))
 
 
-async def half_a_line(scene: Scene, monkeypatch: pytest.MonkeyPatch) -> None:
+async def partial_request_line(scene: Scene, monkeypatch: pytest.MonkeyPatch) -> None:
     scene.client.sendall(scene.line[:-2])
     await until(lambda: scene.relay.admission.awaiting_request)
 
 
 STAGES = {
-    "half a first line": (half_a_line, held(b"")),
-    "connecting": (connecting, held(b"UP r1\r\n")),
-    "written": (written, held(b"")),
-    "UP half read": (written, held(b"UP r")),
-    "standing": (standing, held(b"UP r1\r\n")),
-    "standing, half a line down": (standing, held(b"UP r1\r\nM 1\r\nM 2")),
+    "half a first line": (partial_request_line, holding(b"")),
+    "connecting": (connecting, holding(b"UP r1\r\n")),
+    "written": (written, holding(b"")),
+    "UP half read": (written, holding(b"UP r")),
+    "established": (established, holding(b"UP r1\r\n")),
+    "established, half a line down": (established, holding(b"UP r1\r\nM 1\r\nM 2")),
 }
 
 
 # ---------------------------------------------------------------- what ends it
 
 
-async def client_ends(scene: Scene) -> None:
+async def client_closes(scene: Scene) -> None:
     scene.client.close()
 
 
@@ -147,42 +147,50 @@
     scene.client.close()
 
 
-async def host_ends(scene: Scene) -> None:
-    scene.go_on.set()
+async def endpoint_closes(scene: Scene) -> None:
+    scene.resume.set()
 
 
-async def host_resets(scene: Scene) -> None:
-    scene.reset_host = True
-    scene.go_on.set()
+async def endpoint_resets(scene: Scene) -> None:
+    scene.reset_endpoint = True
+    scene.resume.set()
 
 
-async def all_drain(scene: Scene) -> None:
+async def all_endpoints_drain(scene: Scene) -> None:
     drains = [Endpoint(name, "draining") for name in "abc"]
     await scene.relay.endpoint_registry.on_watch_event(1, EndpointListUpdate(3, False, drains))
     await until(lambda: scene.relay.endpoint_registry.states["a"] == "draining")
     if not any(lifecycle.is_established for lifecycle in scene.relay.request_registry):
-        scene.go_on.set()
+        scene.resume.set()
 
 
-async def stop(scene: Scene) -> None:
+async def graceful_shutdown(scene: Scene) -> None:
     scene.relay.request_registry.schedule = ShutdownSchedule(0.01, 0.02, 0.05, 2.0)
     await scene.relay.request_registry.drain(scene.relay.ingress)
     assert not scene.relay.request_registry
 
 
-async def time_is_up(scene: Scene) -> None:
+async def client_times_out(scene: Scene) -> None:
     await asyncio.sleep(0)
 
 
-ENDS = [client_ends, client_resets, host_ends, host_resets, all_drain, stop, time_is_up]
-GONE = (client_ends, client_resets)
+ENDS = [
+    client_closes,
+    client_resets,
+    endpoint_closes,
+    endpoint_resets,
+    all_endpoints_drain,
+    graceful_shutdown,
+    client_times_out,
+]
+GONE = (client_closes, client_resets)
 
 
 @pytest.mark.parametrize("effect", DEPLOYMENTS)
 @pytest.mark.parametrize(
     "stage,end", list(itertools.product(STAGES, ENDS)), ids=lambda v: v if isinstance(v, str) else v.__name__
 )
-def test_whatever_ends_it_one_answer_and_nothing_late_or_left(
+def test_every_end_at_every_stage_gives_one_response_and_leaves_nothing(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, stage: str, end: Any, effect: str
 ) -> None:
     async def go() -> None:
@@ -194,15 +202,15 @@
             while relay.endpoint_registry.version != 2:
                 await asyncio.sleep(0.002)
             descriptors = len(os.listdir("/proc/self/fd"))
-            scenes.append(scene := Scene(relay, endpoints, 400 if end is time_is_up else 3000))
+            scenes.append(scene := Scene(relay, endpoints, 400 if end is client_times_out else 3000))
             await reach(scene, monkeypatch)
             before = len(scene.lines)
             await end(scene)
-            stays = stage.startswith("standing") and end in (all_drain, time_is_up)
+            stays = stage.startswith("established") and end in (all_endpoints_drain, client_times_out)
             heard = b"" if end in GONE or stays else await scene.rest()
             assert not stays or all(lifecycle.is_established for lifecycle in relay.request_registry)
             scene.client.close()
-            scene.go_on.set()
+            scene.resume.set()
             balancer = relay.balancer_actor.balancer
             await until(
                 lambda: (
@@ -213,11 +221,12 @@
             )
             await until(lambda: not any(e.open for e in endpoints))
             assert is_idle(relay)
-            shut = 2 if end is stop else 0  # the door, and the descriptor kept for want of others
+            # The listener's, and the descriptor that it keeps in reserve.
+            shut = 2 if end is graceful_shutdown else 0
             await until(lambda: len(os.listdir("/proc/self/fd")) <= descriptors - shut)
             sent, most = len(scene.lines), settings["policyLimits"]["sendCap"]
             assert sent <= most and sum(e.most_open for e in endpoints) <= max(1, sent)
-            if end in GONE or end in (all_drain, stop):
+            if end in GONE or end in (all_endpoints_drain, graceful_shutdown):
                 assert len(scene.lines) == before, "sent on after the end was known"
             if end not in GONE and not stays:
                 check(stage, end, effect, heard, before)
@@ -226,13 +235,13 @@
 
 
 def check(stage: str, end: Any, effect: str, heard: bytes, ran: int) -> None:
-    if stage.startswith("standing") or (stage == "connecting" and heard.startswith(b"UP")):
+    if stage.startswith("established") or (stage == "connecting" and heard.startswith(b"UP")):
         lines = heard.removeprefix(b"UP r1\r\n").removeprefix(b"M 1\r\n")
-        if end is stop:
+        if end is graceful_shutdown:
             assert lines == b"MOVE\r\n"  # between two lines: what is half is dropped
-        elif end is host_resets:
+        elif end is endpoint_resets:
             assert lines == b"reset"
-        elif end is host_ends:
+        elif end is endpoint_closes:
             assert lines == (b"M 2" if "half" in stage else b"")
         return
     assert heard.count(b"\r\n") == 1 and heard.startswith((b"BUSY", b"ERR")), heard
@@ -242,11 +251,11 @@
         assert heard.startswith(b"BUSY"), "it never ran: nothing stands against another try"
 
 
-# ---------------------------------------------------------------- at the door
+# ---------------------------------------------------------------- as the listener closes
 
 
 @pytest.mark.parametrize("said", [first_line(), b"PING\r\n", first_line()[:9], b""])
-def test_who_comes_in_the_instant_the_door_is_shut_is_answered(tmp_path: Path, said: bytes) -> None:
+def test_a_client_that_connects_as_the_listener_closes_is_answered(tmp_path: Path, said: bytes) -> None:
     # The listening socket was closed over its backlog: who waited there was reset without a word. The loop
     # does not turn between the client's coming and the shutting here.
     async def go() -> None:
@@ -273,7 +282,7 @@
     run_within(10.0, go())
 
 
-def test_a_request_that_comes_after_the_last_moment_is_answered_and_not_placed(tmp_path: Path) -> None:
+def test_a_request_that_arrives_after_the_forced_drain_is_answered_and_not_placed(tmp_path: Path) -> None:
     # It was placed, stood, and was cut off without MOVE: only those who were there had been told to hurry.
     async def go() -> None:
         async with relaying(tmp_path, up) as (relay, (endpoint,)):
@@ -291,7 +300,7 @@
     run_within(10.0, go())
 
 
-def test_a_stop_waits_for_those_who_have_not_yet_asked(tmp_path: Path) -> None:
+def test_a_graceful_shutdown_waits_for_connections_without_a_request(tmp_path: Path) -> None:
     async def go() -> None:
         async with relaying(tmp_path, up) as (relay, (endpoint,)):
             relay.request_registry.schedule = ShutdownSchedule(0.0, 0.0, 8.0, 9.0)
@@ -310,7 +319,7 @@
     run_within(10.0, go())
 
 
-def test_one_evicted_as_its_line_becomes_whole_hears_its_answer(tmp_path: Path) -> None:
+def test_a_client_evicted_as_its_request_line_completes_is_answered(tmp_path: Path) -> None:
     # Closed over the unread line, the kernel's reset destroyed the answer.
     async def go() -> None:
         async with relaying(tmp_path, up) as (relay, _):
@@ -325,7 +334,7 @@
     run_within(10.0, go())
 
 
-# ---------------------------------------------------------------- a MOVE that finds no room
+# ---------------------------------------------------------------- a MOVE that cannot be written
 
 
 async def floods(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes) -> None:
@@ -336,7 +345,7 @@
 
 
 @pytest.mark.parametrize("reads_on", [True, False])
-def test_a_move_waits_for_a_client_that_reads_nothing_until_there_is_no_more_time(
+def test_a_move_waits_for_a_client_that_does_not_read_until_the_drain_is_forced(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, reads_on: bool
 ) -> None:
     # It was given up after 0.7 s and the client cut off without a word, though its live host still answered.
@@ -379,7 +388,7 @@
     run_within(15.0, go())
 
 
-def test_one_that_is_being_resumed_hears_of_a_stop_that_it_may_try_again(
+def test_a_forced_drain_rejects_a_connection_that_is_being_adopted(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Nothing of it was sent: ERR said that it may have been.
@@ -388,14 +397,14 @@
             scene = Scene(relay, [endpoint])
             scene.line = first_line(40000, ",at=a")
             await connecting(scene, monkeypatch)
-            await stop(scene)
+            await graceful_shutdown(scene)
             assert (await scene.rest()).startswith(b"BUSY") and not any(endpoint.lines)
             scene.client.close()
 
     run_within(10.0, go())
 
 
-def test_a_fault_of_the_program_still_ends_in_an_answer_and_leaves_no_ghost(
+def test_an_internal_error_is_answered_and_leaves_no_request_behind(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # The client's connection was closed without a word, and the module kept the request for good.
