--- a/tests/frontends/test_idle_timeout.py
+++ b/tests/frontends/test_idle_timeout.py
@@ -18,48 +18,50 @@
     MAX_CLIENT_SILENCE_S,
 )
 
-LAST = 100.0  # the endpoint's last word
+LAST_DATA_S = 100.0  # when the endpoint sent its last data
 
 
-def mute_at(quiet: IdleTimeout, asks: list[float]) -> float:
-    """When the client is moved: the wait is slept out, and asked for again, as ``wait_out`` does."""
-    now, asks = LAST, sorted(asks)
+def migrated_at(idle_timeout: IdleTimeout, asks: list[float]) -> float:
+    """When the client is moved: the wait is slept out, and asked for again, as ``sleep_until_elapsed`` does."""
+    now, asks = LAST_DATA_S, sorted(asks)
     while True:
-        left = quiet.remaining_s(now)
+        left = idle_timeout.remaining_s(now)
         if left <= 0:
             return now
         now += left
         while asks and asks[0] <= now:
-            quiet.on_request_forwarded(asks.pop(0))
+            idle_timeout.on_request_forwarded(asks.pop(0))
 
 
 @given(st.floats(0.0, CLIENT_LINE_INTERVAL_S), st.floats(0.0, 5.0))
-def test_a_client_of_a_silent_endpoint_is_moved_in_time_whatever_its_beat(phase: float, stood: float) -> None:
+def test_client_of_a_silent_endpoint_is_migrated_in_time_at_any_phase(
+    phase: float, established_for_s: float
+) -> None:
     # Seen: silent 10 and silent+term 2, a client whose next line came 1.8 s after the endpoint's last word
     # was to be moved 5.0 to 5.25 s after that line, and left after 7 s: its request was lost.
-    quiet = IdleTimeout(LAST - stood, IDLE_TIMEOUT_S, CLIENT_LINE_INTERVAL_S)
-    quiet.on_request_forwarded(LAST - stood)
-    quiet.on_endpoint_data(LAST)
-    moved = mute_at(quiet, [LAST + phase + k * CLIENT_LINE_INTERVAL_S for k in range(4)])
-    assert LAST + MAX_CLIENT_SILENCE_S - 1.0 < moved <= LAST + MAX_CLIENT_SILENCE_S - 0.5
+    idle_timeout = IdleTimeout(LAST_DATA_S - established_for_s, IDLE_TIMEOUT_S, CLIENT_LINE_INTERVAL_S)
+    idle_timeout.on_request_forwarded(LAST_DATA_S - established_for_s)
+    idle_timeout.on_endpoint_data(LAST_DATA_S)
+    moved = migrated_at(idle_timeout, [LAST_DATA_S + phase + k * CLIENT_LINE_INTERVAL_S for k in range(4)])
+    assert LAST_DATA_S + MAX_CLIENT_SILENCE_S - 1.0 < moved <= LAST_DATA_S + MAX_CLIENT_SILENCE_S - 0.5
 
 
-def test_a_line_gets_its_whole_patience_and_an_idle_endpoint_is_not_mute() -> None:
-    quiet = IdleTimeout(LAST, 3.0, 2.0)
+def test_each_line_has_the_full_timeout_and_an_idle_endpoint_is_not_silent() -> None:
+    idle_timeout = IdleTimeout(LAST_DATA_S, 3.0, 2.0)
     for hour in range(1, 4):
-        assert quiet.remaining_s(LAST + 3600.0 * hour) == 3.0  # nothing was asked
-    quiet.on_request_forwarded(LAST + 3600.0)
-    quiet.on_request_forwarded(LAST + 3602.0)  # the oldest counts
-    assert quiet.remaining_s(LAST + 3602.5) == 0.5
-    quiet.on_endpoint_data(LAST + 3602.5)
-    assert quiet.remaining_s(LAST + 3602.5) == 3.0
-    quiet.on_request_forwarded(LAST + 3602.5)
-    assert quiet.remaining_s(LAST + 3602.5) == 5.0
+        assert idle_timeout.remaining_s(LAST_DATA_S + 3600.0 * hour) == 3.0  # nothing was asked
+    idle_timeout.on_request_forwarded(LAST_DATA_S + 3600.0)
+    idle_timeout.on_request_forwarded(LAST_DATA_S + 3602.0)  # the oldest counts
+    assert idle_timeout.remaining_s(LAST_DATA_S + 3602.5) == 0.5
+    idle_timeout.on_endpoint_data(LAST_DATA_S + 3602.5)
+    assert idle_timeout.remaining_s(LAST_DATA_S + 3602.5) == 3.0
+    idle_timeout.on_request_forwarded(LAST_DATA_S + 3602.5)
+    assert idle_timeout.remaining_s(LAST_DATA_S + 3602.5) == 5.0
 
 
 GOOD = b"UP r1 ab\r\n"
-CUTS = (0, 1, 2, 3, 7, len(GOOD) - 1)  # octets of the answer that come before the endpoint's fate
-SPOILT = (
+CUT_POSITIONS = (0, 1, 2, 3, 7, len(GOOD) - 1)  # bytes of the answer that come before the endpoint's fate
+GARBLED_ANSWERS = (
     b"UP\r\n",
     b"UP \r\n",
     b"UP r1\n",
@@ -111,11 +113,13 @@
 
     async def go() -> None:
         plays = []
-        for cut in CUTS:
+        for cut in CUT_POSITIONS:
             for fate in (silent, resets, None):
                 word = fate.__name__ if fate else "ends"
                 plays.append(one(f"{cut}-{word}", says_then(GOOD[:cut], fate), False))
-        plays += [one(f"spoilt-{k}", says_then(text, silent), False) for k, text in enumerate(SPOILT)]
+        plays += [
+            one(f"spoilt-{k}", says_then(text, silent), False) for k, text in enumerate(GARBLED_ANSWERS)
+        ]
         plays.append(one("dribbles", says_then(GOOD, up_after, 0.02), True))
         plays.append(one("too-late", says_then(GOOD, up_after, 0.2), False))
         for k in range(0, len(plays), 8):  # a few at a time: each relay is a loop's work of its own
@@ -129,7 +133,7 @@
 
 
 @pytest.mark.parametrize("wait", [b"", b"d=", b"d=-1", b"d=1e3", b"d=99999999999", b"d=x", b"d=0"])
-def test_a_wait_that_is_no_time_is_answered_and_reaches_no_endpoint(tmp_path: Path, wait: bytes) -> None:
+def test_invalid_time_limit_is_answered_and_reaches_no_endpoint(tmp_path: Path, wait: bytes) -> None:
     async def go() -> None:
         async with relaying(tmp_path, up) as (relay, (endpoint,)):
             line = first_line().replace(b"d=2000", wait).replace(b",\r", b"\r")
@@ -155,7 +159,7 @@
 
 
 @pytest.mark.parametrize("act", [at_once, after_login, half_bound])
-def test_an_xmpp_client_of_a_silent_endpoint_gets_one_stanza_in_time(tmp_path: Path, act: Callable) -> None:  # type: ignore[type-arg]
+def test_xmpp_client_of_a_silent_endpoint_gets_one_stanza_in_time(tmp_path: Path, act: Callable) -> None:  # type: ignore[type-arg]
     async def go() -> None:
         async with relaying_xmpp(tmp_path, *[act] * 4, wait_ms=600) as (relay, endpoints):
             client = await Client.connect(relay.xmpp_listener.address)
