--- a/tests/frontends/test_idle_timeout.py
+++ b/tests/frontends/test_idle_timeout.py
@@ -22,7 +22,7 @@
 
 
 def migrated_at(idle_timeout: IdleTimeout, asks: list[float]) -> float:
-    """When the client is moved: the wait is slept out, and asked for again, as ``sleep_until_elapsed`` does."""
+    """When the client is migrated, if the time limit is waited for as ``sleep_until_elapsed`` does."""
     now, asks = LAST_DATA_S, sorted(asks)
     while True:
         left = idle_timeout.remaining_s(now)
