--- a/tests/repository/test_documentation.py
+++ b/tests/repository/test_documentation.py
@@ -2,8 +2,10 @@
 
 from __future__ import annotations
 
+import ast
 import re
 import subprocess
+from functools import cache
 from pathlib import Path
 
 import pytest
@@ -52,3 +54,30 @@
 def test_named_files_exist(page: Path) -> None:
     names = {name for name in CODE.findall(page.read_text()) if is_named_file(name)}
     assert sorted(name for name in names if not exists(name)) == []
+
+
+LOG_PAGE = ROOT / "docs" / "operators" / "logs.md"
+LOG_EVENT = re.compile(r"`([^`]+)`")
+
+
+def documented_log_events() -> list[str]:
+    """The events in the first column; `override ...` stands for all that begin with its first word."""
+    rows = [line for line in LOG_PAGE.read_text().splitlines() if line.startswith("| `")]
+    return [event.removesuffix(" ...") for row in rows for event in LOG_EVENT.findall(row.split("|")[1])]
+
+
+@cache
+def string_literals() -> frozenset[str]:
+    """All string literals of the program."""
+    trees = [ast.parse(file.read_text()) for file in (ROOT / "sageturn").rglob("*.py")]
+    constants = [node for tree in trees for node in ast.walk(tree) if isinstance(node, ast.Constant)]
+    return frozenset(node.value for node in constants if isinstance(node.value, str))
+
+
+def test_log_page_lists_events() -> None:
+    assert len(documented_log_events()) > 30
+
+
+@pytest.mark.parametrize("event", documented_log_events())
+def test_documented_log_event_is_written_by_the_program(event: str) -> None:
+    assert any(text == event or text.startswith(event + " ") for text in string_literals())
