--- a/sageturn/__main__.py
+++ b/sageturn/__main__.py
@@ -18,6 +18,7 @@
 
 
 def main() -> int:
+    """Run one relay until it is told to stop. Returns the exit code: 2 where it could not start."""
     # Their default action ends the process at once. Blocked until the relay has its handlers.
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
     parser = argparse.ArgumentParser(prog="sageturn", description="A relay for long-lived connections.")
--- a/sageturn/core/balancer_actor.py
+++ b/sageturn/core/balancer_actor.py
@@ -73,6 +73,7 @@
         return self._last_id, mailbox
 
     def remove_request(self, request_id: int) -> None:
+        """Forget the mailbox of a request that has ended; later instructions for it are dropped."""
         self._requests.pop(request_id, None)
 
     async def post_event(self, event: decision.Event) -> None:
--- a/sageturn/core/clock.py
+++ b/sageturn/core/clock.py
@@ -16,4 +16,5 @@
         self._offset_ms = time.time() * 1000.0 - time.monotonic() * 1000.0
 
     def now_ms(self) -> float:
+        """Unix time in milliseconds; it never goes back."""
         return self._offset_ms + time.monotonic() * 1000.0
--- a/sageturn/core/idle_timeout.py
+++ b/sageturn/core/idle_timeout.py
@@ -19,10 +19,12 @@
         self.last_endpoint_data_s = now_s
 
     def on_request_forwarded(self, now_s: float) -> None:
+        """A line of the client was passed on; the oldest unanswered one starts the timeout."""
         if self._unanswered_since_s is None:
             self._unanswered_since_s = now_s
 
     def on_endpoint_data(self, now_s: float) -> None:
+        """Anything came from the endpoint, which answers all lines before it."""
         self.last_endpoint_data_s = now_s
         self._unanswered_since_s = None
 
--- a/sageturn/core/request_lifecycle.py
+++ b/sageturn/core/request_lifecycle.py
@@ -57,13 +57,13 @@
         self._deadline_ms = self.record.started_ms + max(0.0, request.timeout_ms - RESPONSE_MARGIN_MS)
         self._is_answered = False
         self._client_disconnect: asyncio.Future[CloseReason] = asyncio.get_running_loop().create_future()
-        self._first_execution_ms: float | None = (
-            None  # start of the first attempt that may have been executed
-        )
+        # Start of the first attempt that may have been executed.
+        self._first_execution_ms: float | None = None
         self._class = balancer_actor.classes.get(request.class_name, balancer_actor.settings.classes[0])
 
     @property
     def is_established(self) -> bool:
+        """Whether the connection carries traffic at this moment."""
         return self.record.was_established and self.record.close_reason is None
 
     async def run(self) -> ConnectionRecord:
--- a/sageturn/core/request_registry.py
+++ b/sageturn/core/request_registry.py
@@ -47,12 +47,14 @@
         return iter(self._requests)
 
     def add(self, lifecycle: RequestLifecycle) -> None:
+        """Take in a request at its start; called by ``RelayContext``."""
         self._requests.add(lifecycle)
         if self.is_drain_forced:  # it came at the last moment: it is answered, but not placed any more
             lifecycle.begin_drain()
             lifecycle.force_drain()
 
     def remove(self, lifecycle: RequestLifecycle) -> None:
+        """Let go of a request that has ended."""
         self._requests.discard(lifecycle)
 
     async def drain(self, ingress: Ingress) -> None:
--- a/sageturn/frontends/xmpp/channel.py
+++ b/sageturn/frontends/xmpp/channel.py
@@ -75,6 +75,7 @@
                 return
 
     async def receive(self) -> bytes:
+        """Decrypted bytes, as many as are there; empty once the peer has closed."""
         while True:
             try:
                 return self._tls.read(READ_BYTES)
@@ -86,6 +87,7 @@
                 return b""
 
     def receive_available(self) -> bytes | None:
+        """As ``receive``, without waiting: None where nothing has come."""
         while True:
             try:
                 return self._tls.read(READ_BYTES)
@@ -98,10 +100,12 @@
                 return b""
 
     async def send(self, data: bytes) -> None:
+        """Encrypt and send all of ``data``."""
         self._tls.write(data)
         await self._flush()
 
     async def send_close(self) -> None:
+        """Send the close_notify alert."""
         with suppress(ssl.SSLError):  # the other side's close_notify is not awaited
             self._tls.unwrap()
         await self._flush()
--- a/sageturn/relay/closed_connections.py
+++ b/sageturn/relay/closed_connections.py
@@ -22,6 +22,7 @@
         self.flow_exporter: FlowExporter | None = None
 
     def on_connection_closed(self, record: ConnectionRecord) -> None:
+        """Count, export and log the record of a connection that has closed."""
         reason = record.close_reason.name.lower() if record.close_reason else NOT_PLACED
         self.counts[reason] += 1
         if self.flow_exporter is not None:
--- a/sageturn/relay/ingress.py
+++ b/sageturn/relay/ingress.py
@@ -21,25 +21,31 @@
         self._admission = admission
 
     def start(self, actors: ActorSupervisor) -> None:
+        """Open all listeners."""
         for listener in self._listeners:
             listener.start_listening()
 
     async def reload(self, old: RelayConfig, new: RelayConfig) -> None:
+        """Apply the new limits to new connections."""
         set_descriptor_limit(new.limits.sockets)
         self._admission.limits = new.limits
 
     async def stop(self) -> None:
+        """Close the listeners and cut off whoever is still connected."""
         for listener in self._listeners:
             listener.close()
             await listener.cancel_connections()
 
     def pending_connections(self) -> int:
+        """Accepted connections that have made no request yet."""
         return self._admission.awaiting_request
 
     def stop_accepting(self) -> None:
+        """Accept nobody any more, and answer all who have made no request."""
         for listener in self._listeners:
             listener.stop_accepting()
         self._admission.evict_all_pending()
 
     async def wait_closed(self, timeout_s: float) -> None:
+        """Wait until all connections have ended, for ``timeout_s`` seconds at most."""
         await asyncio.gather(*(listener.wait_until_idle(timeout_s) for listener in self._listeners))
--- a/sageturn/relay/operator_control.py
+++ b/sageturn/relay/operator_control.py
@@ -45,10 +45,12 @@
             store.on_change.append(self.actor.on_store_change)
 
     def start(self, actors: ActorSupervisor) -> None:
+        """Start the actor or planner, where it is turned on."""
         if self.actor is not None:
             actors.spawn(self.actor.run())
 
     async def reload(self, old: RelayConfig, new: RelayConfig) -> None:
+        """Apply the options of the new configuration."""
         if self.actor is not None and new.operator.overrides is not None:
             self.actor.set_options(new.operator.overrides, self._store)
 
@@ -76,10 +78,12 @@
         self._actors: ActorSupervisor | None = None
 
     def start(self, actors: ActorSupervisor) -> None:
+        """Start the actor or planner, where it is turned on."""
         self._actors = actors
         self.apply_options(self._config.operator.rebalance, actors)
 
     async def reload(self, old: RelayConfig, new: RelayConfig) -> None:
+        """Apply the options of the new configuration."""
         self._config = new
         if self._actors is not None:
             self.apply_options(new.operator.rebalance, self._actors)
@@ -96,10 +100,12 @@
             self.run_rebalancer(self.make_rebalancer(Rebalancer, options or RebalanceOptions()), actors)
 
     def make_rebalancer(self, kind: type[Rebalancer], options: RebalanceOptions) -> Rebalancer:
+        """Build a rebalancer of this kind; the laboratory passes its own."""
         publish = state_publisher(self._store, "rebalance")
         return kind(self._balancer_actor, self._request_registry, options, self._config.seed, publish)
 
     def run_rebalancer(self, rebalancer: Rebalancer, actors: ActorSupervisor) -> None:
+        """Put the rebalancer in force and run it as an actor."""
         self.rebalancer = rebalancer
         if self._overrides.actor is not None:
             rebalancer.marks = self._overrides.actor.marks
--- a/sageturn/relay/relay.py
+++ b/sageturn/relay/relay.py
@@ -128,14 +128,17 @@
 
     @property
     def overrides(self) -> OverrideActor | None:
+        """The overrides' actor, where the operator's file turns them on."""
         return self._overrides.actor
 
     @property
     def rebalancer(self) -> Rebalancer | None:
+        """The rebalancer, once one was needed."""
         return self._rebalancing.rebalancer
 
     @property
     def replication(self) -> ReplicationMember | None:
+        """This node's replication member, where there are replicas."""
         return self._replication.member
 
     @replication.setter
@@ -145,14 +148,17 @@
 
     @property
     def health_check_client(self) -> HealthCheckClient | None:
+        """The client of health checks, where the settings allow them."""
         return self._health_checks.client
 
     @property
     def xmpp_listener(self) -> Listener | None:
+        """The XMPP frontend's listener, where it is turned on."""
         return self._xmpp.listener
 
     @property
     def reload_requested(self) -> asyncio.Event:
+        """Set by SIGHUP; cleared once the reload has begun."""
         return self._reloader.requested
 
     # ------------------------------------------------------------ callbacks between parts
--- a/sageturn/relay/reload.py
+++ b/sageturn/relay/reload.py
@@ -31,6 +31,7 @@
         self._apply_config = apply_config
 
     async def run(self) -> None:
+        """Reload on each request until cancelled; requests during a reload cause one more."""
         while True:
             await self.requested.wait()
             self.requested.clear()
--- a/sageturn/relay/state_record.py
+++ b/sageturn/relay/state_record.py
@@ -66,6 +66,7 @@
         self._publish(encode_relay_state(self._collect()))
 
     async def run(self) -> None:
+        """Report at the interval until cancelled."""
         while True:
             self.report()
             await asyncio.sleep(max(STATE_INTERVAL_S, self._replication_interval_s()))
--- a/sageturn/relay/stored_log_level.py
+++ b/sageturn/relay/stored_log_level.py
@@ -18,10 +18,12 @@
         self._store = store
 
     def on_store_change(self, records: list[StoreRecord]) -> None:
+        """Called by the store with the records that have changed."""
         if any(record.key == LOG_LEVEL_KEY for record in records):
             self.apply()
 
     def apply(self) -> None:
+        """Set the root logger's level to the stored one."""
         level = self._store.get(LOG_LEVEL_KEY)
         if level in LOG_LEVELS:
             logging.getLogger().setLevel(level)
--- a/sageturn/relay/subsystems.py
+++ b/sageturn/relay/subsystems.py
@@ -34,6 +34,7 @@
         self._run = run
 
     def start(self, actors: ActorSupervisor) -> None:
+        """Start it, where it is turned on."""
         actors.spawn(self._run())
 
 
@@ -53,10 +54,12 @@
             )
 
     def start(self, actors: ActorSupervisor) -> None:
+        """Start it, where it is turned on."""
         if self.listener is not None:
             actors.spawn(self.listener.run())
 
     async def reload(self, old: RelayConfig, new: RelayConfig) -> None:
+        """Apply what may change without a restart."""
         if self._frontend is not None and new.operator.xmpp is not None:
             self._frontend.options = new.operator.xmpp
 
@@ -69,11 +72,13 @@
         self._endpoint_registry = endpoint_registry
 
     async def reload(self, old: RelayConfig, new: RelayConfig) -> None:
+        """Apply what may change without a restart."""
         if new.discovery != old.discovery:
             self._client.set_address(new.discovery)
             await self._endpoint_registry.post_message(DiscoveryAddressChanged())
 
     async def stop(self) -> None:
+        """Stop it, where it runs."""
         await self._client.stop()
 
 
@@ -91,14 +96,17 @@
             self.member = ReplicationMember(store, options, admission, rng)
 
     def start(self, actors: ActorSupervisor) -> None:
+        """Start it, where it is turned on."""
         if self.member is not None:
             self.member.start()
 
     async def stop(self) -> None:
+        """Stop it, where it runs."""
         if self.member is not None:
             await self.member.stop()
 
     def state(self) -> dict[str, object] | None:
+        """The member's part of the state record."""
         return None if self.member is None else self.member.state_report()
 
     def state_interval_s(self) -> float:
@@ -126,5 +134,6 @@
             context.balancer_actor.check_endpoint_health = self.client.start_check
 
     async def stop(self) -> None:
+        """Stop it, where it runs."""
         if self.client is not None:
             await self.client.stop()
