--- a/sageturn/overrides/actor.py
+++ b/sageturn/overrides/actor.py
@@ -18,6 +18,7 @@
 from sageturn.overrides.relay_state import encode_relay_state
 from sageturn.overrides.sticky_routing import apply_sticky_routing
 from sageturn.overrides.unix_time import unix_time_ms
+from sageturn.store.records import StoreRecord
 
 log = logging.getLogger(__name__)
 
@@ -36,16 +37,6 @@
         """The value under a key; None if there is none."""
 
 
-class StoreRecord(Protocol):
-    """A changed record of the store; a value of None is a deletion."""
-
-    @property
-    def key(self) -> str: ...
-
-    @property
-    def value(self) -> Any: ...
-
-
 def _read_records(store: RecordStore) -> list[tuple[str, Any]]:
     return [(key, store.get(key)) for key in store.keys(KEY_PREFIX)]
 
