--- a/sageturn/core/balancer_actor.py
+++ b/sageturn/core/balancer_actor.py
@@ -51,7 +51,7 @@
         self.placements: list[tuple[int, str]] | None = None  # tests record every placement here
         self.observers: list[BalancerObserver] = []
         # Sends a health check to an endpoint; the relay sets it where the settings allow health checks.
-        self.check_endpoint_health: Callable[[str], None] = lambda endpoint: None
+        self.check_endpoint_health: Callable[[str], None] = lambda _: None
 
     # ------------------------------------------------------------ for requests and other parts
 
--- a/sageturn/core/endpoint_registry.py
+++ b/sageturn/core/endpoint_registry.py
@@ -52,7 +52,7 @@
         self.states = {endpoint.name: endpoint.state for endpoint in known.endpoints}
         self.has_ready_endpoint = asyncio.Event()
         # Whether an operator has taken an endpoint out of service; replaced where overrides are on.
-        self.is_out_of_service: Callable[[str], bool] = lambda endpoint: False
+        self.is_out_of_service: Callable[[str], bool] = lambda _: False
         self.watcher: DiscoveryWatcher | None = None
         self.watch_number = 0  # of the watch that is open, or was opened last
 
--- a/sageturn/net/health_check_client.py
+++ b/sageturn/net/health_check_client.py
@@ -51,8 +51,15 @@
         on_completed: Callable[[HealthCheckCompleted], Awaitable[None]],
         dropped: Counter[str],
     ) -> None:
-        """``fields``: what reports hold. ``keep_s``: how long an endpoint leaves an idle connection open.
-        ``dropped`` counts values of reports that could not be used, by the reason.
+        """Prepare the client; nothing is connected before the first check.
+
+        Args:
+            addresses: of all endpoints by name; the registry keeps it up to date.
+            fields: what reports hold, by the settings.
+            connect_s: time to connect, in seconds.
+            keep_s: how long an endpoint leaves an idle connection open, in seconds.
+            on_completed: takes the outcome of each check.
+            dropped: counts values of reports that could not be used, by the reason.
         """
         self._addresses = addresses
         self._fields = fields
--- a/sageturn/rebalance/allocations.py
+++ b/sageturn/rebalance/allocations.py
@@ -24,7 +24,7 @@
 class GroupAllocation(LoadTotals):
     """A group's connections at one endpoint; the group "" holds those that have none."""
 
-    __slots__ = ("endpoint", "group", "first_row")
+    __slots__ = ("endpoint", "first_row", "group")
 
     def __init__(self, endpoint: EndpointTotals, group: str, first_row: int) -> None:
         super().__init__()
@@ -40,7 +40,7 @@
 class EndpointTotals(LoadTotals):
     """This relay's connections at one endpoint."""
 
-    __slots__ = ("name", "groups")
+    __slots__ = ("groups", "name")
 
     def __init__(self, name: str) -> None:
         super().__init__()
--- a/sageturn/rebalance/decaying_counter.py
+++ b/sageturn/rebalance/decaying_counter.py
@@ -8,7 +8,7 @@
 class DecayingCounter:
     """A count that decays exponentially: an event ``time_constant_ms`` ago weighs 1/e of a new one."""
 
-    __slots__ = ("_time_constant_ms", "_value", "_updated_ms")
+    __slots__ = ("_time_constant_ms", "_updated_ms", "_value")
 
     def __init__(self, time_constant_ms: float) -> None:
         self._time_constant_ms = time_constant_ms
--- a/sageturn/store/replication/link_runner.py
+++ b/sageturn/store/replication/link_runner.py
@@ -35,7 +35,7 @@
         sock: socket.socket,
         dialed: Address | None,
         pending: PendingConnection | None = None,
-        on_session: Callable[[ReplicationSession], None] = lambda session: None,
+        on_session: Callable[[ReplicationSession], None] = lambda _: None,
     ) -> None:
         """Runs a link to its end; the replica is then notified of it.
 
