--- a/sageturn/lab/scale/costs.py
+++ b/sageturn/lab/scale/costs.py
@@ -21,7 +21,6 @@
 from typing import Any
 
 from sageturn import decision
-from sageturn.cli.connection import DaemonConnection
 from sageturn.core.close_reason import CloseReason
 from sageturn.core.connection_record import ConnectionRecord as Ended
 from sageturn.core.messages import ClientRequest
@@ -35,6 +34,7 @@
 from sageturn.net.admission import AdmissionController, ProcessLimits
 from sageturn.net.endpoint_list import parse_endpoint_list
 from sageturn.store.channel import read_secret
+from sageturn.store.replication.ephemeral_client import open_ephemeral_client
 from sageturn.store.store import Store
 
 Line = dict[str, Any]
@@ -138,23 +138,23 @@
     thread = threading.Thread(target=asyncio.run, args=(serve(),))
     thread.start()
     try:
-        with TemporaryDirectory(prefix="sageturn-costs-") as folder:
-            secret = Path(folder) / "secret"
-            secret.write_text(SECRET, encoding="utf-8")
-            host, port = ready.result(60.0)
-            began_s = time.perf_counter()
-            there_s, kept = DaemonConnection(f"{host}:{port}", secret).run(_look)
-            done_s = time.perf_counter()
-            return {"copied_s": there_s - began_s, "done_s": done_s - began_s, "kept": kept}
+        address = ready.result(60.0)
+        began_s = time.perf_counter()
+        copied_s, key_count = asyncio.run(_read_and_write(address))
+        done_s = time.perf_counter()
+        return {"copied_s": copied_s - began_s, "done_s": done_s - began_s, "kept": key_count}
     finally:
         over.set()
         thread.join()
 
 
-async def _look(store: Store) -> tuple[float, int]:
-    there_s, kept = time.perf_counter(), len(store.keys("shards/"))
-    store.put("change", 1)
-    return there_s, kept
+async def _read_and_write(address: tuple[str, int]) -> tuple[float, int]:
+    """The moment at which the copy was complete, and how many keys were in it."""
+    async with open_ephemeral_client(address, read_secret(SECRET)) as store:
+        copied_s = time.perf_counter()
+        key_count = len(store.keys("shards/"))
+        store.put("change", 1)
+    return copied_s, key_count
 
 
 # ---------------------------------------------------------------- list, module, flows
