--- /dev/null
+++ b/sageturn/lab/scale/child_process.py
@@ -0,0 +1,148 @@
+"""One child process of a scale run, seen from the run: its lifetime, its pipe and its use of resources."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import os
+import subprocess
+import sys
+from contextlib import suppress
+from pathlib import Path
+from typing import Any
+
+import msgspec
+
+from sageturn.lab.scale.child_protocol import Command, ProcessStatus, Role
+from sageturn.lab.scale.errors import ChildFailedError
+
+MAX_ANSWER_BYTES = 1 << 26
+LOG_TAIL_CHARS = 600
+NANOSECONDS_PER_S = 1e9
+MEMBER_EXIT_TIMEOUT_S = 2.0
+LINK_EXIT_TIMEOUT_S = 0.2  # it has nothing to close in an orderly way
+
+
+class ChildProcess:
+    """A child that runs ``sageturn.lab.scale.process``; it ends when its standard input does.
+
+    ``job`` is written to a job file in ``folder`` at once; the process is started by ``start``.
+    """
+
+    def __init__(self, job: dict[str, Any], folder: Path, number: int) -> None:
+        self.job = job
+        self.role = Role(job["role"])
+        self.member_names: list[str] = [member["name"] for member in job.get("members", [])]
+        self._job_file = folder / f"job{number}.json"
+        self._job_file.write_text(json.dumps(job), encoding="utf-8")
+        self._log_file = folder / f"log{number}"
+        self._child: asyncio.subprocess.Process | None = None
+        self._pipe_lock = asyncio.Lock()
+
+    @property
+    def is_started(self) -> bool:
+        return self._child is not None
+
+    @property
+    def pid(self) -> int:
+        return self._running_child().pid
+
+    # ------------------------------------------------------------ lifetime
+
+    async def start(self) -> None:
+        with self._log_file.open("wb") as log_file:
+            env = {name: value for name, value in os.environ.items() if not name.startswith("GW_")}
+            self._child = await asyncio.create_subprocess_exec(
+                sys.executable,
+                "-m",
+                "sageturn.lab.scale.process",
+                str(self._job_file),
+                stdin=subprocess.PIPE,
+                stdout=subprocess.PIPE,
+                stderr=log_file,
+                env=env,
+                limit=MAX_ANSWER_BYTES,
+            )
+
+    async def wait_until_ready(self) -> None:
+        """Raises ChildFailedError when the process ends before it is ready."""
+        await self._read_answer()
+
+    async def stop(self) -> None:
+        """Close its input, and kill it when it has not ended within the role's timeout."""
+        if self._child is None:
+            return
+        if self._child.stdin is not None:
+            self._child.stdin.close()
+        timeout_s = LINK_EXIT_TIMEOUT_S if self.role is Role.LINKS else MEMBER_EXIT_TIMEOUT_S
+        with suppress(TimeoutError):
+            async with asyncio.timeout(timeout_s):
+                await self._child.wait()
+        if self._child.returncode is None:
+            self._child.kill()
+            await self._child.wait()
+
+    # ------------------------------------------------------------ commands
+
+    async def request(self, command: Command, **arguments: Any) -> Any:
+        """The decoded answer. Raises ChildFailedError when the child ends or answers with an error."""
+        async with self._pipe_lock:
+            stdin = self._running_child().stdin
+            assert stdin is not None
+            stdin.write(json.dumps({"do": command, **arguments}).encode() + b"\n")
+            await stdin.drain()
+            answer = await self._read_answer()
+        if isinstance(answer, dict) and "error" in answer:
+            raise ChildFailedError(f"{self.role} process: {answer['error']}")
+        return answer
+
+    async def status(self) -> ProcessStatus:
+        """Of a process with members."""
+        return msgspec.convert(await self.request(Command.STATUS), ProcessStatus)
+
+    async def _read_answer(self) -> Any:
+        stdout = self._running_child().stdout
+        assert stdout is not None
+        line = await stdout.readline()
+        if not line:
+            tail = self._log_file.read_text(errors="replace")[-LOG_TAIL_CHARS:]
+            raise ChildFailedError(f"{self.role} process ended: {tail}")
+        return json.loads(line)
+
+    def _running_child(self) -> asyncio.subprocess.Process:
+        assert self._child is not None, "the process has not been started"
+        return self._child
+
+    # ------------------------------------------------------------ resources, 0 once the process has ended
+
+    def cpu_s(self) -> float:
+        """Processor time of the main thread since its start; the other one only reads a pipe."""
+        return self._read_schedstat(0)
+
+    def run_queue_s(self) -> float:
+        """Time since its start in which it was ready to run and no core was free."""
+        return self._read_schedstat(1)
+
+    def _read_schedstat(self, field: int) -> float:
+        with suppress(OSError, IndexError):
+            fields = Path(f"/proc/{self.pid}/schedstat").read_text().split()
+            return int(fields[field]) / NANOSECONDS_PER_S
+        return 0.0
+
+    def resident_bytes(self) -> int:
+        with suppress(OSError, IndexError):
+            fields = Path(f"/proc/{self.pid}/statm").read_text().split()
+            return int(fields[1]) * os.sysconf("SC_PAGESIZE")
+        return 0
+
+    def disk_bytes_written(self) -> int:
+        with suppress(OSError):
+            for line in Path(f"/proc/{self.pid}/io").read_text().splitlines():
+                if line.startswith("write_bytes"):
+                    return int(line.split()[1])
+        return 0
+
+    def descriptor_count(self) -> int:
+        with suppress(OSError):
+            return len(os.listdir(f"/proc/{self.pid}/fd"))
+        return 0
--- /dev/null
+++ b/sageturn/lab/scale/environment.py
@@ -0,0 +1,178 @@
+"""The environment of a scale run's members: discovery, a few live hosts, clients of the real relays."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+from contextlib import suppress
+from random import Random
+from typing import Any
+
+from sageturn.lab.host import HostModel
+from sageturn.lab.standins import DiscoverySocket, HostSocket
+
+DISCOVERY_CALL_TIMEOUT_S = 3.0  # after which discovery fails a call
+LINE_INTERVAL_S = 2.0
+RECONNECT_DELAY_S = 0.5
+CLIENT_START_INTERVAL_S = 0.005  # between two clients of one relay
+CLIENT_OPEN_TIMEOUT_S = 3.0
+CLIENT_LINE_TIMEOUT_S = 7.0
+HOST_SOCKET_COUNT = 4  # behind all entries of the list
+HOST_UNIT_US = 1e6
+HOST_KIND = "c2-std"
+
+
+class ScaleDiscovery(DiscoverySocket):
+    """Handles calls one after another, each for ``call_s`` seconds; may be down; counts what it writes."""
+
+    def __init__(self, entries: list[dict[str, Any]], call_s: float) -> None:
+        super().__init__(lambda: entries)
+        self.call_s = call_s
+        self.calls = 0
+        self.failed = 0
+        self.bytes_written = 0
+        self._turn = asyncio.Lock()
+        self._port = 0
+
+    async def start(self) -> None:
+        """After ``stop`` on the same port as before."""
+        self._server = await asyncio.start_server(self._serve, "127.0.0.1", self._port, backlog=1024)
+        self.address = self._server.sockets[0].getsockname()[:2]
+        self._port = self.address[1]
+
+    async def stop(self) -> None:
+        await super().stop()
+        self._watchers.clear()
+
+    def encode_counts(self) -> dict[str, Any]:
+        """For a result line."""
+        return {"calls": self.calls, "failed": self.failed, "octets": self.bytes_written}
+
+    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        self.calls += 1
+        try:
+            async with asyncio.timeout(DISCOVERY_CALL_TIMEOUT_S):
+                async with self._turn:
+                    if self.call_s:
+                        await asyncio.sleep(self.call_s)
+        except TimeoutError:
+            self.failed += 1
+            with suppress(OSError):
+                writer.write(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
+                writer.close()
+            return
+        self.bytes_written += len(json.dumps(self.whole()))
+        await super()._serve(reader, writer)
+
+
+class Hosts:
+    """``count`` entries on the list, behind a few sockets that speak as live hosts do."""
+
+    def __init__(self, count: int, zones: list[str]) -> None:
+        self.count = count
+        self.zones = zones
+        models = [
+            HostModel(f"m{number}", HOST_KIND, 1.0, 1e6, zones[number % len(zones)])
+            for number in range(HOST_SOCKET_COUNT)
+        ]
+        self.sockets = [HostSocket(model, HOST_UNIT_US) for model in models]
+
+    async def start(self) -> None:
+        for host in self.sockets:
+            await host.start()
+
+    async def stop(self) -> None:
+        for host in self.sockets:
+            await host.stop()
+
+    def entries(self) -> list[dict[str, Any]]:
+        """As discovery writes them."""
+        return [self._entry(number) for number in range(self.count)]
+
+    def _entry(self, number: int) -> dict[str, Any]:
+        return {
+            "id": f"h{number:04d}",
+            "addr": "{}:{}".format(*self.sockets[number % HOST_SOCKET_COUNT].address),
+            "zone": self.zones[number % len(self.zones)],
+            "kind": HOST_KIND,
+            "cell": 0,
+            "state": "ready",
+            "weight": 1.0,
+            "started_ms": 0,
+        }
+
+
+class Clients:
+    """Long-lived clients of the real relays: each sends a line every 2 s and awaits its answer."""
+
+    def __init__(self, addresses: list[tuple[str, int]], clients_per_relay: int, seed: int) -> None:
+        self._addresses = addresses
+        self._clients_per_relay = clients_per_relay
+        self._rng = Random(seed)
+        self.opened = 0
+        self.refused = 0
+        self.lines = 0
+        self.broken = 0
+        self.connected = 0
+        self._tasks: list[asyncio.Task[None]] = []
+
+    def start(self) -> None:
+        for address in self._addresses:
+            for number in range(self._clients_per_relay):
+                delay_s = number * CLIENT_START_INTERVAL_S
+                self._tasks.append(asyncio.ensure_future(self._keep_connected(address, delay_s)))
+
+    async def stop(self) -> None:
+        for task in self._tasks:
+            task.cancel()
+        if self._tasks:
+            await asyncio.wait(self._tasks)
+
+    def encode_counts(self) -> dict[str, Any]:
+        """For a result line."""
+        return {
+            "standing": self.connected,
+            "opened": self.opened,
+            "refused": self.refused,
+            "lines": self.lines,
+            "broken": self.broken,
+        }
+
+    async def _keep_connected(self, address: tuple[str, int], delay_s: float) -> None:
+        await asyncio.sleep(delay_s)
+        while True:
+            with suppress(OSError, asyncio.IncompleteReadError, TimeoutError):
+                await self._run_connection(address)
+            await asyncio.sleep(RECONNECT_DELAY_S)
+
+    async def _run_connection(self, address: tuple[str, int]) -> None:
+        """Until it ends."""
+        reader, writer = await asyncio.open_connection(*address)
+        is_up = False
+        try:
+            ident = f"{self._rng.getrandbits(64):016x}"
+            writer.write(f"OPEN {ident} {ident} c=c,t=t,d=2000\r\n".encode())
+            answer = await asyncio.wait_for(reader.readline(), CLIENT_OPEN_TIMEOUT_S)
+            if not answer.startswith(b"UP "):
+                self.refused += 1
+                return
+            is_up = True
+            self.opened += 1
+            self.connected += 1
+            await self._exchange_lines(reader, writer)
+        finally:
+            self.connected -= is_up
+            writer.close()
+
+    async def _exchange_lines(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Until the relay ends the connection; other lines than answers are passed over."""
+        while True:
+            await asyncio.sleep(LINE_INTERVAL_S)
+            writer.write(b"LINE\r\n")
+            while line := await asyncio.wait_for(reader.readline(), CLIENT_LINE_TIMEOUT_S):
+                if line == b"LINE\r\n":
+                    break
+            if not line:
+                self.broken += 1
+                return
+            self.lines += 1
--- /dev/null
+++ b/sageturn/lab/scale/faults.py
@@ -0,0 +1,110 @@
+"""Strikes a running fleet with a fault of the experiment file, and records who was down and when."""
+
+from __future__ import annotations
+
+import asyncio
+import time
+from collections.abc import Sequence
+from random import Random
+from typing import Any
+
+from sageturn.lab.scale.arrivals import Outages
+from sageturn.lab.scale.child_process import ChildProcess
+from sageturn.lab.scale.child_protocol import Command
+from sageturn.lab.scale.environment import ScaleDiscovery
+from sageturn.lab.scale.fleet import BETWEEN_REGIONS, Fleet
+from sageturn.lab.scale.member_group import MemberGroup
+from sageturn.lab.scale.plan import Fault, ScaleExperiment
+
+ALL_LINKS = ""  # every link's name begins so
+
+
+class FaultInjector:
+    """For one phase. ``rng`` is the run's own, so that the same seed strikes the same members."""
+
+    def __init__(
+        self,
+        experiment: ScaleExperiment,
+        fleet: Fleet,
+        rng: Random,
+        members: MemberGroup,
+        link_processes: Sequence[ChildProcess],
+        discovery: ScaleDiscovery,
+    ) -> None:
+        self._experiment = experiment
+        self._fleet = fleet
+        self._rng = rng
+        self._members = members
+        self._link_processes = link_processes
+        self._discovery = discovery
+        self.outages = Outages()
+        self.discovery_returned_s: float | None = None
+
+    async def inject(self, fault: Fault) -> None:
+        """Until the fault is over and all that was down has been started again."""
+        match fault.kind:
+            case "cut":
+                await self._cut_regions(fault)
+            case "loss":
+                await self._lose_segments(fault)
+            case "discovery":
+                await self._stop_discovery(fault)
+            case "restart":
+                await self._restart_in_turn(fault)
+            case _:
+                await self._kill_members(fault)
+
+    async def _cut_regions(self, fault: Fault) -> None:
+        await self._configure_links(BETWEEN_REGIONS, cut=True)
+        await asyncio.sleep(fault.length_s)
+        await self._configure_links(BETWEEN_REGIONS, cut=False)
+
+    async def _lose_segments(self, fault: Fault) -> None:
+        await self._configure_links(ALL_LINKS, loss=fault.part)
+        await asyncio.sleep(fault.length_s)
+        await self._configure_links(ALL_LINKS, loss=self._experiment.lanes.loss)
+
+    async def _stop_discovery(self, fault: Fault) -> None:
+        await self._discovery.stop()
+        await asyncio.sleep(fault.length_s)
+        await self._discovery.start()
+        self.discovery_returned_s = time.monotonic()
+
+    async def _restart_in_turn(self, fault: Fault) -> None:
+        pause_s = fault.length_s / len(self._fleet.names)
+        hollow = self._fleet.hollow_names
+        for name in self._rng.sample(hollow, len(hollow)):
+            await self._stop_members([name])
+            await self._restart_members([name], fault.wipe)
+            await asyncio.sleep(pause_s)
+
+    async def _kill_members(self, fault: Fault) -> None:
+        names = self._choose_targets(fault)
+        await self._stop_members(names)
+        await asyncio.sleep(fault.length_s)
+        await self._restart_members(names, fault.wipe)
+
+    def _choose_targets(self, fault: Fault) -> list[str]:
+        """Hollow members only. The first of them, whom hand-made trees hang from, is among those killed."""
+        hollow = self._fleet.hollow_names
+        if fault.kind == "zone":
+            last_zone = self._experiment.zones - 1
+            return [name for name in hollow if self._fleet.zone_of(name) == last_zone]
+        count = max(1, round(fault.part * len(hollow)))
+        return [hollow[0], *self._rng.sample(hollow[1:], count - 1)]
+
+    async def _stop_members(self, names: Sequence[str]) -> None:
+        self.outages.mark_down(names, time.monotonic())
+        await self._members.stop_members(names)
+
+    async def _restart_members(self, names: Sequence[str], wipe: bool) -> None:
+        await self._members.restart_members(names, wipe)
+        self.outages.mark_up(names, time.monotonic())
+
+    async def _configure_links(self, name_prefix: str, **settings: Any) -> None:
+        await asyncio.gather(
+            *(
+                process.request(Command.CONFIGURE_LINKS, lanes=name_prefix, **settings)
+                for process in self._link_processes
+            )
+        )
--- /dev/null
+++ b/sageturn/lab/scale/fleet.py
@@ -0,0 +1,53 @@
+"""The members of one size: their names, where they are placed, and whom each one dials."""
+
+from __future__ import annotations
+
+from sageturn.lab.scale.plan import ScaleExperiment, Size
+
+BETWEEN_REGIONS = "between"
+WITHIN_REGION = "region"
+WITHIN_ZONE = "zone"
+
+SEED_PEER_COUNT = 2
+
+
+def link_name(experiment: ScaleExperiment, source_zone: int, target_zone: int) -> str:
+    """The link class and both zones, the same in both directions: ``region:0-2``."""
+    low = min(source_zone, target_zone)
+    high = max(source_zone, target_zone)
+    if low == high:
+        link_class = WITHIN_ZONE
+    elif experiment.region(low) == experiment.region(high):
+        link_class = WITHIN_REGION
+    else:
+        link_class = BETWEEN_REGIONS
+    return f"{link_class}:{low}-{high}"
+
+
+def peers_of(size: Size, member: int, zones: int) -> list[int]:
+    """The members that this one dials, as an operator would have configured it."""
+    if size.topology == "mesh":
+        return list(range(member))
+    if size.topology == "tree":
+        return [(member - 1) // size.fanout] if member else []
+    return [other for other in range(min(zones, size.members)) if other != member][:SEED_PEER_COUNT]
+
+
+class Fleet:
+    """Members by name. The first ``size.real`` ones are whole relays, the others hollow members."""
+
+    def __init__(self, experiment: ScaleExperiment, size: Size) -> None:
+        self._experiment = experiment
+        self.names = [f"r{number:04d}" for number in range(size.members)]
+        self.hollow_names = self.names[size.real :]
+        self._real_count = size.real
+        self._numbers = {name: number for number, name in enumerate(self.names)}
+
+    def is_real(self, member: int) -> bool:
+        return member < self._real_count
+
+    def zone_of(self, name: str) -> int:
+        return self._experiment.zone(self._numbers[name])
+
+    def region_of(self, name: str) -> int:
+        return self._experiment.region(self.zone_of(name))
--- /dev/null
+++ b/sageturn/lab/scale/jobs.py
@@ -0,0 +1,225 @@
+"""The job files of a scale run's child processes: link emulation, hollow members and whole relays."""
+
+from __future__ import annotations
+
+import json
+import socket
+from collections.abc import Sequence
+from pathlib import Path
+from random import Random
+from typing import Any
+
+from sageturn.lab.loopback import reserve_port
+from sageturn.lab.scale import counting
+from sageturn.lab.scale.child_process import ChildProcess
+from sageturn.lab.scale.child_protocol import Role
+from sageturn.lab.scale.fleet import (
+    BETWEEN_REGIONS,
+    WITHIN_REGION,
+    WITHIN_ZONE,
+    Fleet,
+    link_name,
+    peers_of,
+)
+from sageturn.lab.scale.plan import ScaleExperiment, Size
+from sageturn.store.channel import read_secret
+
+Address = tuple[str, int]
+Job = dict[str, Any]  # as it is written to a job file
+
+LOOPBACK = "127.0.0.1"
+SECRET = "scale"  # nobody but this run's members is on its ports
+MS_PER_S = 1000.0
+ALLOWANCE_PER_MEMBER_PER_S = 50.0
+
+
+class PortReservations:
+    """Ports that nobody else on this machine is given until ``close``."""
+
+    def __init__(self) -> None:
+        self._sockets: list[socket.socket] = []
+
+    def reserve(self) -> int:
+        sock, port = reserve_port()
+        self._sockets.append(sock)
+        return port
+
+    def close(self) -> None:
+        for sock in self._sockets:
+            sock.close()
+
+
+class JobBuilder:
+    """Makes the child processes of one size, not yet started, with their files in ``folder``.
+
+    Each pair of a dialling zone and a member has a port of its own at the link emulation, by which that
+    knows the link; ``_routes`` maps, for each zone, a member's port to that one.
+    """
+
+    def __init__(
+        self, experiment: ScaleExperiment, size: Size, rng: Random, folder: Path, ports: PortReservations
+    ) -> None:
+        self._experiment = experiment
+        self._size = size
+        self._rng = rng
+        self._folder = folder
+        self._ports = ports
+        self._fleet = Fleet(experiment, size)
+        self._processes: list[ChildProcess] = []
+        self._member_ports: list[int] = []
+        self._routes: list[dict[int, int]] = [{} for _ in range(experiment.zones)]
+        self.relay_addresses: list[Address] = []  # where the whole relays' clients connect
+
+    def build(self, discovery: Address, zone_names: Sequence[str]) -> list[ChildProcess]:
+        """To be called once. ``zone_names`` are those that the members' settings list."""
+        self._member_ports = [self._ports.reserve() for _ in self._fleet.names]
+        self._add_link_jobs()
+        common = self._common_settings(discovery)
+        hollow_by_zone: dict[int, list[Job]] = {}
+        for member in range(self._size.members):
+            zone = self._experiment.zone(member)
+            job = self._member_job(member, zone_names)
+            if self._fleet.is_real(member):
+                self._add_relay_job(job, common, zone, discovery)
+            else:
+                hollow_by_zone.setdefault(zone, []).append(job)
+        for zone, jobs in hollow_by_zone.items():
+            self._add_hollow_jobs(jobs, common, zone)
+        return self._processes
+
+    def _add(self, job: Job) -> None:
+        number = len(self._processes)
+        if job["role"] != Role.LINKS:
+            counts_file = self._folder / f"counts{number}"
+            counting.make(counts_file, len(job["members"]))
+            job["counts"] = str(counts_file)
+        self._processes.append(ChildProcess(job, self._folder, number))
+
+    # ------------------------------------------------------------ link emulation
+
+    def _add_link_jobs(self) -> None:
+        """A process for each zone: all links that lead to its members."""
+        experiment = self._experiment
+        listeners: list[list[Job]] = [[] for _ in range(experiment.zones)]
+        for source_zone in range(experiment.zones):
+            for member, member_port in enumerate(self._member_ports):
+                target_zone = experiment.zone(member)
+                port = self._ports.reserve()
+                self._routes[source_zone][member_port] = port
+                name = link_name(experiment, source_zone, target_zone)
+                listeners[target_zone].append({"port": port, "to": member_port, "lane": name})
+        for zone_listeners in listeners:
+            names = sorted({listener["lane"] for listener in zone_listeners})
+            self._add(
+                {
+                    "role": Role.LINKS,
+                    "lanes": [self._link(name) for name in names],
+                    "listeners": zone_listeners,
+                    "seed": self._rng.getrandbits(32),
+                }
+            )
+
+    def _link(self, name: str) -> Job:
+        links = self._experiment.lanes
+        delays_ms = {
+            WITHIN_ZONE: links.zone_ms,
+            WITHIN_REGION: links.region_ms,
+            BETWEEN_REGIONS: links.between_ms,
+        }
+        link_class = name.split(":")[0]
+        return {"name": name, "delay_s": delays_ms[link_class] / MS_PER_S, "loss": links.loss}
+
+    # ------------------------------------------------------------ members
+
+    def _common_settings(self, discovery: Address) -> Job:
+        """What all members share."""
+        return {
+            "secret": read_secret(SECRET).hex(),
+            "interval_s": self._experiment.interval_s,
+            "spread": self._size.spread,
+            "discovery": discovery[1],
+            "keys": self._size.keys,
+            "state_s": self._size.state_s,
+        }
+
+    def _member_job(self, member: int, zone_names: Sequence[str]) -> Job:
+        experiment = self._experiment
+        zone = experiment.zone(member)
+        peers = peers_of(self._size, member, experiment.zones)
+        return {
+            "name": self._fleet.names[member],
+            "zone": f"z{zone}",
+            "region": f"g{experiment.region(zone)}",
+            "port": self._member_ports[member],
+            "peers": [self._member_ports[peer] for peer in peers],
+            "settings": relay_settings(zone, zone_names, self._size.members),
+            "seed": self._rng.getrandbits(32),
+        }
+
+    def _add_hollow_jobs(self, jobs: Sequence[Job], common: Job, zone: int) -> None:
+        per_process = self._size.per_process
+        for start in range(0, len(jobs), per_process):
+            chunk = jobs[start : start + per_process]
+            self._add(
+                {
+                    "role": Role.HOLLOW,
+                    "members": [{**job, "row": row} for row, job in enumerate(chunk)],
+                    "whole": common,
+                    "routes": self._routes[zone],
+                }
+            )
+
+    def _add_relay_job(self, job: Job, common: Job, zone: int, discovery: Address) -> None:
+        port = self._ports.reserve()
+        self.relay_addresses.append((LOOPBACK, port))
+        config_file, operator_file = self._write_relay_files(job, port, discovery)
+        self._add(
+            {
+                "role": Role.REAL,
+                "members": [{**job, "row": 0}],
+                "whole": common,
+                "routes": self._routes[zone],
+                "config": str(config_file),
+                "operator": str(operator_file),
+            }
+        )
+
+    def _write_relay_files(self, job: Job, port: int, discovery: Address) -> tuple[Path, Path]:
+        folder = self._folder / job["name"]
+        folder.mkdir()
+        config = {
+            "name": job["name"],
+            "listen": f"{LOOPBACK}:{port}",
+            "discovery": "{}:{}".format(*discovery),
+            "seed": f"{job['seed']:x}",
+            "limits": {"sockets": 16384, "memory_mb": 1024},
+            "settings": job["settings"],
+        }
+        # It names no peers: the process makes the relay's links, as it makes those of hollow members.
+        operator = {"store": {"path": "store"}}
+        config_file = folder / "config.json"
+        operator_file = folder / "operator.json"
+        config_file.write_text(json.dumps(config), encoding="utf-8")
+        operator_file.write_text(json.dumps(operator), encoding="utf-8")
+        return config_file, operator_file
+
+
+def relay_settings(zone: int, zone_names: Sequence[str], member_count: int) -> Job:
+    """The settings object of a member, by the keys of a relay's settings file."""
+    allowance_per_s = ALLOWANCE_PER_MEMBER_PER_S * member_count
+    return {
+        "accounts": [{"name": "t", "fraction": 1.0, "allowancePerS": allowance_per_s}],
+        "classes": [{"name": "c", "aimMs": 1500.0, "hardLimitMs": 3000.0, "semantics": "safe"}],
+        "discovery": "ask",
+        "groupSize": member_count,
+        "zone": f"z{zone}",
+        "azs": list(zone_names),
+        "guarantees": {
+            "fallMs": 3000.0,
+            "fallMultiple": 4.0,
+            "startCapacity": 0.2,
+            "warmWithinMs": 9000.0,
+            "mustAskInMs": 10000.0,
+        },
+        "policyLimits": {"sendCap": 3, "retryAfter": True, "cancel": True, "connectTimeoutMs": 400.0},
+    }
--- /dev/null
+++ b/sageturn/lab/scale/member_group.py
@@ -0,0 +1,144 @@
+"""All processes with members, asked together: states, changes, outages, and waiting for readiness."""
+
+from __future__ import annotations
+
+import asyncio
+import time
+from collections import Counter
+from collections.abc import Sequence
+from dataclasses import dataclass
+from typing import Any
+
+import numpy as np
+
+from sageturn.lab.scale.arrivals import ArrivalTimes, encode_durations
+from sageturn.lab.scale.child_process import ChildProcess
+from sageturn.lab.scale.child_protocol import Command, MemberStatus, ProcessStatus, Role
+from sageturn.lab.scale.errors import ReadinessTimeoutError
+
+READINESS_POLL_INTERVAL_S = 0.25
+EQUALITY_POLLS = 12
+EQUALITY_POLLS_PER_INTERVAL = 4
+BYTES_PER_MB = 2**20
+
+
+@dataclass(frozen=True, slots=True)
+class MemberArrivals:
+    """When each member first held each change, and when the copy that it has now did."""
+
+    first: ArrivalTimes
+    present_copy: ArrivalTimes
+
+
+class MemberGroup:
+    """The processes with members. Methods raise ChildFailedError when one of them ends."""
+
+    def __init__(self, processes: Sequence[ChildProcess]) -> None:
+        self.processes = processes
+        self._process_of = {name: process for process in processes for name in process.member_names}
+
+    async def start_all(self) -> None:
+        """One process after another."""
+        for process in self.processes:
+            await process.request(Command.START)
+
+    async def put(self, member: str, key: str, value: Any) -> float:
+        """The moment just before the record was put, on the machine's monotonic clock."""
+        put_s: float = await self._process_of[member].request(
+            Command.PUT, member=member, key=key, value=value
+        )
+        return put_s
+
+    async def stop_members(self, names: Sequence[str]) -> None:
+        await self._request_of_members(names, Command.STOP)
+
+    async def restart_members(self, names: Sequence[str], wipe: bool) -> None:
+        """``wipe``: they come back with an empty copy of the store."""
+        await self._request_of_members(names, Command.START, wipe=wipe)
+
+    async def _request_of_members(self, names: Sequence[str], command: Command, **arguments: Any) -> None:
+        wanted = set(names)
+        chosen = [
+            (process, [name for name in process.member_names if name in wanted]) for process in self.processes
+        ]
+        await asyncio.gather(
+            *(process.request(command, members=part, **arguments) for process, part in chosen if part)
+        )
+
+    async def arrivals(self) -> MemberArrivals:
+        found = MemberArrivals({}, {})
+        answers = await asyncio.gather(*(process.request(Command.ARRIVALS) for process in self.processes))
+        for answer in answers:
+            for name, (first, present_copy) in answer.items():
+                found.first[name] = first
+                found.present_copy[name] = present_copy
+        return found
+
+    # ------------------------------------------------------------ states
+
+    async def process_statuses(self) -> list[ProcessStatus]:
+        return list(await asyncio.gather(*(process.status() for process in self.processes)))
+
+    async def member_statuses(self) -> list[MemberStatus]:
+        return [member for status in await self.process_statuses() for member in status.members.values()]
+
+    async def link_count(self) -> float:
+        """Established links; each has an end at two members."""
+        return count_links(await self.process_statuses())
+
+    async def wait_until_listed(self, since_s: float, timeout_s: float) -> dict[str, Any]:
+        """Durations from ``since_s`` until each member had the list. Raises ReadinessTimeoutError."""
+        began_s = time.monotonic()
+        while True:
+            members = await self.member_statuses()
+            missing = sum(not member.list_count for member in members)
+            if not missing:
+                return encode_durations([member.listed_s - since_s for member in members])
+            if time.monotonic() - began_s > timeout_s:
+                raise ReadinessTimeoutError(
+                    f"{missing} of {len(members)} members have no list after {timeout_s:g} s"
+                )
+            await asyncio.sleep(READINESS_POLL_INTERVAL_S)
+
+    async def wait_until_linked(self, expected: int, timeout_s: float) -> float:
+        """Seconds until so many links were established. Raises ReadinessTimeoutError."""
+        began_s = time.monotonic()
+        while (established := await self.link_count()) < expected:
+            if time.monotonic() - began_s > timeout_s:
+                raise ReadinessTimeoutError(
+                    f"{established:g} of {expected} links stand after {timeout_s:g} s"
+                )
+            await asyncio.sleep(READINESS_POLL_INTERVAL_S)
+        return round(time.monotonic() - began_s, 2)
+
+    async def compare_copies(self, interval_s: float) -> dict[str, Any]:
+        """Whether all copies are the same, for a result line; waits up to three intervals for that."""
+        for _ in range(EQUALITY_POLLS):
+            hashes = Counter(member.store_hash for member in await self.member_statuses())
+            if len(hashes) == 1:
+                break
+            await asyncio.sleep(interval_s / EQUALITY_POLLS_PER_INTERVAL)
+        return {"all": len(hashes) == 1, "kinds": len(hashes), "most": max(hashes.values())}
+
+
+def count_links(statuses: Sequence[ProcessStatus]) -> float:
+    ends = sum(max(0, member.link_count) for status in statuses for member in status.members.values())
+    return ends / 2
+
+
+def encode_memory(processes: Sequence[ChildProcess], statuses: Sequence[ProcessStatus]) -> dict[str, Any]:
+    """Resident memory for a result line, in MB: what a hollow member adds to its process on average, and
+    the whole of each real relay's process.
+    """
+    hollow_mb = []
+    real_mb = []
+    for process, status in zip(processes, statuses, strict=True):
+        if process.role is Role.REAL:
+            real_mb.append(status.memory / BYTES_PER_MB)
+        else:
+            grown = status.memory - status.initial_memory
+            hollow_mb.append(grown / len(process.member_names) / BYTES_PER_MB)
+    return {
+        "hollow_mb_each": round(float(np.mean(hollow_mb)), 3) if hollow_mb else None,
+        "real_mb": [round(memory_mb, 1) for memory_mb in real_mb],
+    }
--- a/sageturn/lab/scale/members.py
+++ b/sageturn/lab/scale/members.py
@@ -29,7 +29,7 @@
 if TYPE_CHECKING:
     from sageturn.relay import Relay
 
-CHANGE = "change/"
+CHANGE_KEY_PREFIX = "change/"
 KEY_NODE = "r0000"
 DESCRIPTORS, MEMORY_MB = 20_000, 4096.0  # the machine's bound is the experiment's, not the admission's
 
@@ -129,7 +129,7 @@
     def _changed(self, records: list[StoreRecord]) -> None:
         now_s = time.monotonic()
         for record in records:
-            if record.key.startswith(CHANGE):
+            if record.key.startswith(CHANGE_KEY_PREFIX):
                 self.held.setdefault(record.key, now_s)
                 self.again.setdefault(record.key, now_s)
 
--- /dev/null
+++ b/sageturn/lab/scale/phases.py
@@ -0,0 +1,139 @@
+"""The measured phases of a run: members at rest, and changes put while a fault strikes or none does."""
+
+from __future__ import annotations
+
+import asyncio
+import time
+from collections.abc import Sequence
+from random import Random
+from typing import Any
+
+from sageturn.lab.scale.arrivals import (
+    NEVER_S,
+    Change,
+    Outages,
+    catch_up_times,
+    encode_durations,
+    propagation_times,
+)
+from sageturn.lab.scale.child_process import ChildProcess
+from sageturn.lab.scale.environment import ScaleDiscovery
+from sageturn.lab.scale.faults import FaultInjector
+from sageturn.lab.scale.fleet import Fleet
+from sageturn.lab.scale.member_group import MemberGroup
+from sageturn.lab.scale.members import CHANGE_KEY_PREFIX
+from sageturn.lab.scale.plan import Fault, ScaleExperiment
+from sageturn.lab.scale.usage import UsageWindow
+
+
+class PhaseRunner:
+    """Runs one phase after another over the same fleet; changes are numbered through all of them."""
+
+    def __init__(
+        self,
+        experiment: ScaleExperiment,
+        fleet: Fleet,
+        rng: Random,
+        processes: Sequence[ChildProcess],
+        discovery: ScaleDiscovery,
+    ) -> None:
+        self._experiment = experiment
+        self._fleet = fleet
+        self._rng = rng
+        self._processes = processes
+        self._link_processes = [process for process in processes if not process.member_names]
+        self.members = MemberGroup([process for process in processes if process.member_names])
+        self._discovery = discovery
+        self._change_count = 0
+
+    async def run_idle(self) -> dict[str, Any]:
+        """A window in which nothing is done: its use of resources."""
+        window = UsageWindow(self._processes)
+        try:
+            await asyncio.sleep(self._experiment.windows.idle_s)
+        finally:
+            window.close()
+        return window.finish()
+
+    async def run_changes(self, fault: Fault | None) -> dict[str, Any]:
+        """A window with changes at seeded moments: its use of resources, and when the changes arrived."""
+        window = UsageWindow(self._processes)
+        try:
+            arrived = await self._run_changes(fault)
+        finally:
+            window.close()
+        return {**window.finish(), "changes": arrived}
+
+    async def _run_changes(self, fault: Fault | None) -> dict[str, Any]:
+        windows = self._experiment.windows
+        length_s = windows.changes_s if fault is None else fault.length_s + fault.after_s
+        offsets_s = sorted(self._rng.uniform(0.0, length_s) for _ in range(windows.changes))
+        injector = self._make_injector()
+        began_s = time.monotonic()
+        injecting = asyncio.ensure_future(injector.inject(fault)) if fault else None
+        try:
+            changes = await self._put_changes(began_s, offsets_s, injector.outages)
+            await _sleep_until(began_s + length_s)
+            if injecting is not None:
+                await injecting
+        finally:
+            if injecting is not None and not injecting.done():
+                injecting.cancel()
+        await asyncio.sleep(windows.tail_s)
+        listed = await self._durations_until_listed(injector.discovery_returned_s)
+        return await self._encode_arrivals(fault, changes, injector.outages, listed)
+
+    def _make_injector(self) -> FaultInjector:
+        return FaultInjector(
+            self._experiment, self._fleet, self._rng, self.members, self._link_processes, self._discovery
+        )
+
+    async def _put_changes(
+        self, began_s: float, offsets_s: Sequence[float], outages: Outages
+    ) -> list[Change]:
+        """Each at a member that is up."""
+        changes = []
+        for offset_s in offsets_s:
+            await _sleep_until(began_s + offset_s)
+            key = f"{CHANGE_KEY_PREFIX}{self._change_count:05d}"
+            self._change_count += 1
+            now_s = time.monotonic()
+            up = [name for name in self._fleet.names if not outages.is_down(name, now_s)]
+            member = up[self._rng.randrange(len(up))]
+            put_s = await self.members.put(member, key, {"n": self._change_count})
+            changes.append(Change(key, member, put_s))
+        return changes
+
+    async def _durations_until_listed(self, since_s: float | None) -> dict[str, Any] | None:
+        """From discovery's return until each member had the list again; None where it was not down."""
+        if since_s is None:
+            return None
+        members = await self.members.member_statuses()
+        return encode_durations(
+            [member.listed_s - since_s if member.listed_s > since_s else NEVER_S for member in members]
+        )
+
+    async def _encode_arrivals(
+        self,
+        fault: Fault | None,
+        changes: Sequence[Change],
+        outages: Outages,
+        listed: dict[str, Any] | None,
+    ) -> dict[str, Any]:
+        """The part ``changes`` of a phase in a result line."""
+        arrivals = await self.members.arrivals()
+        times = propagation_times(changes, arrivals.first, outages, self._fleet)
+        line: dict[str, Any] = {"last": encode_durations(times.everywhere)}
+        if fault is not None and fault.kind == "cut":
+            line["last_on_its_side"] = encode_durations(times.in_own_region)
+        if listed is not None:
+            line["listed"] = listed
+        if outages.returned_s:
+            line["back"] = encode_durations(
+                catch_up_times(changes, arrivals.present_copy, outages.returned_s)
+            )
+        return line
+
+
+async def _sleep_until(moment_s: float) -> None:
+    await asyncio.sleep(max(0.0, moment_s - time.monotonic()))
--- a/sageturn/lab/scale/results.py
+++ b/sageturn/lab/scale/results.py
@@ -17,7 +17,7 @@
 from sageturn.lab.runs import _version as library_version
 from sageturn.lab.scale.fit import SIZES_LEAST, Fit, fit
 from sageturn.lab.scale.plan import ScaleExperiment, Size
-from sageturn.lab.scale.play import play
+from sageturn.lab.scale.scale_run import run_size
 
 Line = dict[str, Any]
 
@@ -163,7 +163,7 @@
 def _play_one(experiment: ScaleExperiment, size: Size, seed: int, say: Callable[[str], None]) -> Line:
     async def go() -> Line:
         loop = asyncio.get_running_loop()
-        playing = asyncio.ensure_future(play(experiment, size, seed, say))
+        playing = asyncio.ensure_future(run_size(experiment, size, seed, say))
         for number in (signal.SIGINT, signal.SIGTERM):
             loop.add_signal_handler(number, playing.cancel)
         try:
--- /dev/null
+++ b/sageturn/lab/scale/scale_run.py
@@ -0,0 +1,229 @@
+"""Runs one size of an experiment under one seed, and measures it."""
+
+from __future__ import annotations
+
+import asyncio
+import os
+import time
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from pathlib import Path
+from random import Random
+from tempfile import TemporaryDirectory
+from typing import Any
+
+from sageturn.lab.scale.child_process import ChildProcess
+from sageturn.lab.scale.environment import Clients, Hosts, ScaleDiscovery
+from sageturn.lab.scale.errors import BoundExceededError, describe_failure
+from sageturn.lab.scale.fleet import Fleet
+from sageturn.lab.scale.jobs import JobBuilder, PortReservations
+from sageturn.lab.scale.member_group import count_links, encode_memory
+from sageturn.lab.scale.phases import PhaseRunner
+from sageturn.lab.scale.plan import ScaleExperiment, Size
+
+BOUNDS_CHECK_INTERVAL_S = 0.5
+CLIENT_POLL_INTERVAL_S = 0.1
+MS_PER_S = 1000.0
+BYTES_PER_MB = 2**20
+BYTES_PER_GB = 2**30
+S_PER_MINUTE = 60.0
+
+Line = dict[str, Any]  # of a result file, by that file's keys
+
+
+@dataclass(slots=True)
+class RunResult:
+    """What one run found; ``listed``, ``memory``, ``phases`` and ``equal`` are parts of the line already."""
+
+    size: Size
+    process_count: int = 0
+    started_s: float = 0.0  # how long it took to start all members
+    linked_s: float | None = None  # until all configured links were up; None where members choose theirs
+    listed: Line = field(default_factory=dict)
+    link_count: float = 0.0
+    memory: Line = field(default_factory=dict)
+    phases: dict[str, Line] = field(default_factory=dict)
+    equal: Line = field(default_factory=dict)
+    discovery: Line = field(default_factory=dict)
+    clients: Line | None = None
+    took_s: float = 0.0
+    load_before: float = 0.0
+    load_after: float = 0.0
+    peak_memory: int = 0  # bytes, of all child processes together
+
+    def to_line(self) -> Line:
+        return {
+            "members": self.size.members,
+            "keys": self.size.keys,
+            "real": self.size.real,
+            "spread": self.size.spread,
+            "topology": self.size.topology,
+            "state_s": self.size.state_s,
+            "clients_each": self.size.clients,
+            "processes": self.process_count,
+            "started_s": round(self.started_s, 2),
+            "linked_s": self.linked_s,
+            "listed": self.listed,
+            "links": self.link_count,
+            "memory": self.memory,
+            "phases": self.phases,
+            "equal": self.equal,
+            "discovery": self.discovery,
+            "clients": self.clients,
+            "took_s": round(self.took_s, 1),
+            "load_before": round(self.load_before, 2),
+            "load_after": round(self.load_after, 2),
+            "memory_peak_mb": round(self.peak_memory / BYTES_PER_MB),
+        }
+
+
+def encode_failed_run(size: Size, error: BaseException) -> Line:
+    """The line of a run that was ended early."""
+    return {
+        "members": size.members,
+        "keys": size.keys,
+        "spread": size.spread,
+        "topology": size.topology,
+        "failed": describe_failure(error),
+    }
+
+
+class ScaleRun:
+    """One size, one seed. All its files, and those of its processes, are in ``folder``."""
+
+    def __init__(self, experiment: ScaleExperiment, size: Size, seed: int, folder: Path) -> None:
+        self._experiment = experiment
+        self._size = size
+        self._seed = seed
+        self._rng = Random(f"{experiment.name}/{size.name}/{seed}")
+        self._fleet = Fleet(experiment, size)
+        self._ports = PortReservations()
+        self._jobs = JobBuilder(experiment, size, self._rng, folder, self._ports)
+        self._hosts = Hosts(experiment.around.hosts, [f"z{zone}" for zone in range(experiment.zones)])
+        self._discovery: ScaleDiscovery | None = None
+        self._processes: list[ChildProcess] = []
+        self._clients: Clients | None = None
+        self._result = RunResult(size)
+
+    async def run(self) -> Line:
+        """The run's result line; whatever happens, no process is left behind.
+
+        Raises ScaleRunError, BoundExceededError among them, and TimeoutError where processes start slowly.
+        """
+        began_s = time.monotonic()
+        self._result.load_before = os.getloadavg()[0]
+        watching = asyncio.ensure_future(self._watch_bounds(began_s))
+        measuring = asyncio.ensure_future(self._measure())
+        try:
+            await asyncio.wait((watching, measuring), return_when=asyncio.FIRST_COMPLETED)
+            if watching.done():
+                watching.result()
+            await measuring
+        finally:
+            for task in (watching, measuring):
+                task.cancel()
+            await asyncio.wait((watching, measuring))
+            await self._tear_down()
+        self._result.took_s = time.monotonic() - began_s
+        self._result.load_after = os.getloadavg()[0]
+        return self._result.to_line()
+
+    async def _watch_bounds(self, began_s: float) -> None:
+        """Runs until it is cancelled. Raises BoundExceededError."""
+        bounds = self._experiment.bounds
+        while True:
+            memory = sum(process.resident_bytes() for process in self._processes if process.is_started)
+            self._result.peak_memory = max(self._result.peak_memory, memory)
+            if memory > bounds.memory_gb * BYTES_PER_GB:
+                raise BoundExceededError(f"memory_gb: {memory / BYTES_PER_GB:.1f} GB in use")
+            if time.monotonic() - began_s > bounds.minutes * S_PER_MINUTE:
+                raise BoundExceededError(f"minutes: over {bounds.minutes:g}")
+            await asyncio.sleep(BOUNDS_CHECK_INTERVAL_S)
+
+    async def _tear_down(self) -> None:
+        if self._clients is not None:
+            await self._clients.stop()
+        await asyncio.gather(*(process.stop() for process in self._processes), return_exceptions=True)
+        if self._discovery is not None:
+            await self._discovery.stop()
+        await self._hosts.stop()
+        self._ports.close()
+
+    # ------------------------------------------------------------ from the start to the last phase
+
+    async def _measure(self) -> None:
+        discovery = await self._start_environment()
+        await self._start_processes(discovery)
+        phases = PhaseRunner(self._experiment, self._fleet, self._rng, self._processes, discovery)
+        await self._start_members(phases)
+        await self._start_clients()
+        await asyncio.sleep(self._experiment.windows.settle_s)
+        await self._run_phases(phases)
+        result = self._result
+        result.equal = await phases.members.compare_copies(self._experiment.interval_s)
+        result.discovery = discovery.encode_counts() | {"hosts": self._hosts.count}
+        result.clients = self._clients.encode_counts() if self._clients is not None else None
+
+    async def _start_environment(self) -> ScaleDiscovery:
+        await self._hosts.start()
+        call_s = self._experiment.around.call_ms / MS_PER_S
+        self._discovery = ScaleDiscovery(self._hosts.entries(), call_s)
+        await self._discovery.start()
+        return self._discovery
+
+    async def _start_processes(self, discovery: ScaleDiscovery) -> None:
+        """Raises TimeoutError when they are not ready in time."""
+        self._processes = self._jobs.build(discovery.address, self._hosts.zones)
+        self._result.process_count = len(self._processes)
+        async with asyncio.timeout(self._experiment.windows.ready_s):
+            for process in self._processes:
+                await process.start()
+            for process in self._processes:
+                await process.wait_until_ready()
+
+    async def _start_members(self, phases: PhaseRunner) -> None:
+        """Until each member has the endpoint list and all configured links are up."""
+        members = phases.members
+        result = self._result
+        timeout_s = self._experiment.windows.ready_s
+        began_s = time.monotonic()
+        await members.start_all()
+        result.started_s = time.monotonic() - began_s
+        result.listed = await members.wait_until_listed(began_s, timeout_s)
+        if self._size.topology != "seeds":  # there members choose their links themselves
+            result.linked_s = await members.wait_until_linked(self._size.links, timeout_s)
+
+    async def _start_clients(self) -> None:
+        """Until all of them are served, or the readiness timeout is over: the line has how many are."""
+        addresses = self._jobs.relay_addresses
+        if not addresses or not self._size.clients:
+            return
+        self._clients = Clients(addresses, self._size.clients, self._seed)
+        self._clients.start()
+        wanted = self._size.clients * len(addresses)
+        began_s = time.monotonic()
+        timeout_s = self._experiment.windows.ready_s
+        while self._clients.connected < wanted and time.monotonic() - began_s < timeout_s:
+            await asyncio.sleep(CLIENT_POLL_INTERVAL_S)
+
+    async def _run_phases(self, phases: PhaseRunner) -> None:
+        result = self._result
+        result.phases["idle"] = await phases.run_idle()
+        statuses = await phases.members.process_statuses()
+        result.link_count = count_links(statuses)
+        result.memory = encode_memory(phases.members.processes, statuses)
+        result.phases["changes"] = await phases.run_changes(None)
+        for number, fault in enumerate(self._size.faults):
+            result.phases[f"{number}:{fault.kind}"] = await phases.run_changes(fault)
+
+
+async def run_size(
+    experiment: ScaleExperiment, size: Size, seed: int, report_progress: Callable[[str], None]
+) -> Line:
+    """A line for the results; where a bound or a failed process ended the run, the line says so."""
+    with TemporaryDirectory(prefix="sageturn-scale-") as folder:
+        report_progress(f"{size.name} seed {seed}: {size.members} members, {size.keys} keys, {size.spread}")
+        try:
+            return await ScaleRun(experiment, size, seed, Path(folder)).run()
+        except (RuntimeError, TimeoutError) as error:
+            return encode_failed_run(size, error)
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -25,15 +25,18 @@
 from sageturn.lab.experiment import BadExperiment
 from sageturn.lab.runs import Results
 from sageturn.lab.scale import costs, counting, members
+from sageturn.lab.scale.arrivals import encode_durations
 from sageturn.lab.scale.counting import CountingSocket, Counts, owned
 from sageturn.lab.scale.digests import LinkOptions
 from sageturn.lab.scale.fit import exponent, fit
+from sageturn.lab.scale.fleet import link_name, peers_of
 from sageturn.lab.scale.lanes import HELD_MOST, RTO_LEAST_S, SEGMENT, Forwarder, Lane, Pipe
 from sageturn.lab.scale.members import Place, Witness, make_spreader, preload, store_hash
 from sageturn.lab.scale.plan import Around, Bounds, Fault, Lanes, ScaleExperiment, Size, Windows, read_scale
-from sageturn.lab.scale.play import Play, lane_name, measured, peers_of, play, spans
 from sageturn.lab.scale.report import fit_lines, plot, table
 from sageturn.lab.scale.results import fits, judged, over_all, predict
+from sageturn.lab.scale.scale_run import ScaleRun, run_size
+from sageturn.lab.scale.usage import encode_usage
 from sageturn.net.admission import AdmissionController, ProcessLimits
 from sageturn.store.store import Store
 
@@ -167,7 +170,7 @@
 def run_line(n: int, keys: int, octets: float, **more: object) -> dict[str, object]:
     used = {"octets": octets, "octets_most": octets, "core": octets / 1e6, "core_busiest": octets / 1e6}
     phase = {"saturated": False, "hollow": used}
-    last = {"last": spans([0.1, 0.2])}
+    last = {"last": encode_durations([0.1, 0.2])}
     return {
         "scenario": f"m{n}",
         "seed": 1,
@@ -321,8 +324,8 @@
 def test_lanes_are_named_by_both_zones_and_lie_in_two_regions() -> None:
     x = ScaleExperiment("x", (Size("a", 10),))
     assert [x.region(z) for z in range(5)] == [0, 0, 0, 1, 1]
-    assert lane_name(x, 2, 0) == lane_name(x, 0, 2) == "region:0-2"
-    assert lane_name(x, 4, 1) == "between:1-4" and lane_name(x, 3, 3) == "zone:3-3"
+    assert link_name(x, 2, 0) == link_name(x, 0, 2) == "region:0-2"
+    assert link_name(x, 4, 1) == "between:1-4" and link_name(x, 3, 3) == "zone:3-3"
 
 
 def test_hand_made_links_join_all_members_and_are_counted_right() -> None:
@@ -487,16 +490,16 @@
 
 def test_processor_time_is_divided_evenly_and_the_busiest_has_its_messages_part() -> None:
     rows = [[counts_of(10, 100), counts_of(30, 300)], [counts_of(40, 400)]]
-    told = measured(["hollow", "real"], rows, [0.4, 0.5], 10.0)
+    told = encode_usage(["hollow", "real"], rows, [0.4, 0.5], 10.0)
     assert told["hollow"]["core"] == pytest.approx(0.02) and told["real"]["core"] == pytest.approx(0.05)
     assert told["hollow"]["core_busiest"] == pytest.approx(0.04 * 30 / 40)
     assert told["hollow"]["octets"] == 20.0 and told["hollow"]["octets_most"] == 30.0
-    assert not told["saturated"] and measured(["real"], rows[1:], [9.0], 10.0)["saturated"]
+    assert not told["saturated"] and encode_usage(["real"], rows[1:], [9.0], 10.0)["saturated"]
 
 
 def test_spans_tell_the_last_ones_and_never_hide_one_that_did_not_come() -> None:
-    assert spans([]) == {"n": 0}
-    told = spans([0.1] * 98 + [5.0, float("inf")])
+    assert encode_durations([]) == {"n": 0}
+    told = encode_durations([0.1] * 98 + [5.0, float("inf")])
     assert (told["p50"], told["p99"], told["worst"]) == (0.1, 5.0, None)
     assert told["over_4s"] == 2 and told["never"] == 1
     assert msgspec.json.decode(msgspec.json.encode(told)) == told
@@ -617,7 +620,7 @@
         around=Around(hosts=8),
     )
     experiment.check()
-    line = asyncio.run(Play(experiment, experiment.sizes[0], 7, tmp_path).run())
+    line = asyncio.run(ScaleRun(experiment, experiment.sizes[0], 7, tmp_path).run())
     assert line["equal"]["all"] and line["links"] == 10
     idle, changes = line["phases"]["idle"], line["phases"]["changes"]
     assert changes["changes"]["last"]["n"] == 6 and changes["changes"]["last"]["never"] == 0
@@ -657,7 +660,7 @@
         lanes=Lanes(between_ms=2.0),
         around=Around(hosts=8),
     )
-    line = asyncio.run(Play(experiment, experiment.sizes[0], 7, tmp_path).run())
+    line = asyncio.run(ScaleRun(experiment, experiment.sizes[0], 7, tmp_path).run())
     phases = line["phases"]
     assert list(phases)[2:] == ["0:kill", "1:cut", "2:loss", "3:zone", "4:restart", "5:discovery"]
     for name, phase in phases.items():
@@ -678,7 +681,7 @@
     tight = ScaleExperiment("x", (Size("a", 3),), windows=SMALL, bounds=Bounds(memory_gb=0.01))
     with pytest.raises(ValueError, match=r"sizes\[0\].keys"):
         tight.check()  # it would be refused when read; here it is begun all the same
-    line = asyncio.run(play(tight, tight.sizes[0], 1, lambda text: None))
+    line = asyncio.run(run_size(tight, tight.sizes[0], 1, lambda text: None))
     assert line["failed"].startswith("Overrun: memory_gb")
     assert left_behind(tmp_path) == [] and list(tmp_path.iterdir()) == []
 
