--- a/sageturn/lab/scale/costs.py
+++ b/sageturn/lab/scale/costs.py
@@ -28,9 +28,9 @@
 from sageturn.decision.balancer import Balancer
 from sageturn.decision.discovery_backoff import DiscoveryBackoff
 from sageturn.flows.exporter import to_flow
-from sageturn.lab.scale.digests import DIGEST_MOST, LinkOptions, missing_from
+from sageturn.lab.scale.digests import MAX_FRAME_BYTES, LinkOptions, missing_from
 from sageturn.lab.scale.fit import exponent, fit
-from sageturn.lab.scale.members import Place, make_spreader, preload
+from sageturn.lab.scale.members import Location, make_replication, preload
 from sageturn.net.admission import AdmissionController, ProcessLimits
 from sageturn.net.endpoint_list import parse_endpoint_list
 from sageturn.store.channel import read_secret
@@ -96,7 +96,7 @@
         "octets": len(text),
         "write_s": least_s(write),
         "compare_s": least_s(compare),
-        "frame_part": len(text) / DIGEST_MOST,
+        "frame_part": len(text) / MAX_FRAME_BYTES,
     }
 
 
@@ -126,9 +126,9 @@
         # The spread that the command speaks is the program's own.
         spread = "delta" if find_spec("sageturn.store.replication") else "digest"
         options = LinkOptions(("127.0.0.1", 0), (), read_secret(SECRET))
-        place = Place("r0001", "z0", "g0")
-        spreader = make_spreader(
-            spread, filled(keys), options, AdmissionController(ProcessLimits(1024, 1024.0)), place
+        location = Location("r0001", "z0", "g0")
+        spreader = make_replication(
+            spread, filled(keys), options, AdmissionController(ProcessLimits(1024, 1024.0)), location
         )
         spreader.start()
         ready.set_result(spreader.address)
--- a/sageturn/lab/scale/digests.py
+++ b/sageturn/lab/scale/digests.py
@@ -1,7 +1,8 @@
-"""The store's spread as it was up to revision 1157f72, kept so that what follows it is measured beside it.
+"""The store's digest replication as it was up to revision 1157f72, kept so that its successor is measured
+beside it.
 
-Each link's ends say their whole digest now and then, and send what the other's lacks; new records go out at
-once, over every link. It stands on the store's frames and records alone, whatever spreads them now.
+Both ends of each link send their whole digest at an interval, and send what the other's lacks; new records
+go out at once, over every link. It uses the store's channel and records alone, whatever replicates them now.
 """
 
 from __future__ import annotations
@@ -26,18 +27,21 @@
 
 log = logging.getLogger(__name__)
 
-CONNECT_S, HANDS_S = 2.0, 3.0
-SILENT_TIMES = 4
-RETRY_S, RETRY_MOST_S = 0.2, 5.0
-PUSHES, PART = 256, 200
-DIGEST_MOST = 4 << 20  # octets of a frame
+CONNECT_TIMEOUT_S = 2.0
+HANDSHAKE_TIMEOUT_S = 3.0
+MAX_SILENT_INTERVALS = 4
+MIN_RECONNECT_BACKOFF_S = 0.2
+MAX_RECONNECT_BACKOFF_S = 5.0
+MAX_QUEUED_BATCHES = 256
+RECORDS_PER_FRAME = 200
+MAX_FRAME_BYTES = 4 << 20
 
-Pushes = asyncio.Queue[list[StoreRecord]]
+RecordQueue = asyncio.Queue[list[StoreRecord]]
 
 
 @dataclass(frozen=True, slots=True)
 class LinkOptions:
-    """Where a member listens, whom it dials, and how often a digest is said."""
+    """Where a member listens, whom it dials, and the interval at which a digest is sent."""
 
     listen: tuple[str, int]
     peers: tuple[tuple[str, int], ...]
@@ -45,135 +49,151 @@
     interval_s: float = 2.0
 
 
-class JsonLink(AuthenticatedChannel):
+class JsonChannel(AuthenticatedChannel):
     """Frames of one JSON value each, of up to four megabytes."""
 
     async def send(self, message: Any) -> None:
         payload = json.dumps(message, separators=(",", ":")).encode()
         async with self._write_lock:
-            tag = self._keyed(self._send_role, self._sent_frames, payload)
+            tag = self._frame_tag(self._send_role, self._sent_frames, payload)
             self._sent_frames += 1
             await send_gathered(self._sock, (len(payload).to_bytes(4, "big"), payload, tag))
 
     async def receive(self) -> Any:
-        payload = await self._read_sized(DIGEST_MOST)
+        """Raises HandshakeRejectedError where a frame's tag does not match."""
+        payload = await self._read_sized(MAX_FRAME_BYTES)
         if not hmac.compare_digest(
-            await self._read(TAG_BYTES), self._keyed(self._receive_role, self._received_frames, payload)
+            await self._read(TAG_BYTES), self._frame_tag(self._receive_role, self._received_frames, payload)
         ):
             raise HandshakeRejectedError("a frame was tampered with")
         self._received_frames += 1
         return json.loads(payload)
 
-    def _keyed(self, way: bytes, number: int, payload: bytes) -> bytes:
-        parts = (way, number.to_bytes(4, "big"), payload)
+    def _frame_tag(self, role: bytes, frame_number: int, payload: bytes) -> bytes:
+        parts = (role, frame_number.to_bytes(4, "big"), payload)
         sized = b"".join(len(part).to_bytes(4, "big") + part for part in parts)
         return hmac.digest(self._key, sized, "sha256")
 
 
 def missing_from(store: Store, digest: dict[str, tuple[int, str]]) -> list[StoreRecord]:
-    """What a copy with this digest has not got, or has got an older one of."""
-    return [r for k, r in store._records.items() if k not in digest or digest[k] < r.order]
+    """The store's records that a copy with this digest lacks, or has in an older version."""
+    return [
+        record for record in store.records() if record.key not in digest or digest[record.key] < record.order
+    ]
 
 
-class DigestSpread:
-    """A link of its own to each peer, and the others'."""
+class DigestReplication:
+    """Links to each peer that is dialled, and those that others dial."""
 
     state_report_interval_s = 0.0
 
     def __init__(self, store: Store, options: LinkOptions, admission: AdmissionController) -> None:
-        self._store, self._options = store, options
-        self._listener = Listener(options.listen, self._accepted, b"", admission)
+        self._store = store
+        self._options = options
+        self._listener = Listener(options.listen, self._on_accepted, b"", admission)
         self.address = self._listener.address
-        self._queues: set[Pushes] = set()
+        self._queues: set[RecordQueue] = set()
         self._tasks: list[asyncio.Task[None]] = []
         self.link_count = 0
-        store.on_change.append(self._changed)
+        store.on_change.append(self._on_change)
 
     def state(self) -> dict[str, object]:
+        """Nothing of this replication is in a relay's state record."""
         return {}
 
     def start(self) -> None:
         self._listener.start_listening()
         self._tasks = [asyncio.ensure_future(self._listener.run())]
-        self._tasks += [asyncio.ensure_future(self._dial(peer)) for peer in self._options.peers]
+        self._tasks += [asyncio.ensure_future(self._keep_connected(peer)) for peer in self._options.peers]
 
     async def stop(self) -> None:
         for task in self._tasks:
             await cancel_and_wait(task)
         await self._listener.cancel_connections()
-        self._store.on_change.remove(self._changed)
+        self._store.on_change.remove(self._on_change)
 
-    def _changed(self, records: list[StoreRecord]) -> None:
+    def _on_change(self, records: list[StoreRecord]) -> None:
         for queue in self._queues:
             with suppress(asyncio.QueueFull):
                 queue.put_nowait(records)
 
-    async def _dial(self, peer: tuple[str, int]) -> None:
-        wait_s = RETRY_S
+    async def _keep_connected(self, peer: tuple[str, int]) -> None:
+        backoff_s = MIN_RECONNECT_BACKOFF_S
         while True:
-            sock = await connect(peer, CONNECT_S)
+            sock = await connect(peer, CONNECT_TIMEOUT_S)
             if not isinstance(sock, ConnectFailure):
                 with sock:
-                    if await self._serve(sock, True, None):
-                        wait_s = RETRY_S
-            await asyncio.sleep(wait_s)
-            wait_s = min(RETRY_MOST_S, wait_s * 2)
+                    if await self._run_link(sock, True, None):
+                        backoff_s = MIN_RECONNECT_BACKOFF_S
+            await asyncio.sleep(backoff_s)
+            backoff_s = min(MAX_RECONNECT_BACKOFF_S, backoff_s * 2)
 
-    async def _accepted(self, sock: socket.socket, pending: PendingConnection) -> None:
-        await self._serve(sock, False, pending)
+    async def _on_accepted(self, sock: socket.socket, pending: PendingConnection) -> None:
+        await self._run_link(sock, False, pending)
 
-    async def _serve(self, sock: socket.socket, dialled: bool, pending: PendingConnection | None) -> bool:
-        link = JsonLink(sock, self._options.secret, self._store.node)
+    async def _run_link(self, sock: socket.socket, dialled: bool, pending: PendingConnection | None) -> bool:
+        """Until the link ends. False when it was not established."""
+        channel = JsonChannel(sock, self._options.secret, self._store.node)
         try:
-            async with pending.time_limit(HANDS_S) if pending else asyncio.timeout(HANDS_S):
-                await link.perform_handshake(dialled)
+            async with (
+                pending.time_limit(HANDSHAKE_TIMEOUT_S) if pending else asyncio.timeout(HANDSHAKE_TIMEOUT_S)
+            ):
+                await channel.perform_handshake(dialled)
         except (OSError, TimeoutError) as error:
-            log.warning("no link: %s", error or "timed out")
+            log.warning("replication link not established reason=%s", error or "timed out")
             return False
         if pending is not None:
             pending.mark_active()
-        queue: Pushes = asyncio.Queue(PUSHES)
+        await self._replicate(channel)
+        return True
+
+    async def _replicate(self, channel: JsonChannel) -> None:
+        queue: RecordQueue = asyncio.Queue(MAX_QUEUED_BATCHES)
         self._queues.add(queue)
         self.link_count += 1
-        ways = [asyncio.ensure_future(way(link, queue)) for way in (self._tell, self._hear)]
+        directions = [
+            asyncio.ensure_future(self._send(channel, queue)),
+            asyncio.ensure_future(self._receive(channel, queue)),
+        ]
         try:
-            await asyncio.wait(ways, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait(directions, return_when=asyncio.FIRST_COMPLETED)
         finally:
             self._queues.discard(queue)
             self.link_count -= 1
-            for way in ways:
-                await cancel_and_wait(way)
-        return True
+            for direction in directions:
+                await cancel_and_wait(direction)
 
-    async def _tell(self, link: JsonLink, queue: Pushes) -> None:
+    async def _send(self, channel: JsonChannel, queue: RecordQueue) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            await link.send({"digest": self._store.digest()})
-            due = loop.time() + self._options.interval_s
+            await channel.send({"digest": self._store.digest()})
+            next_digest_s = loop.time() + self._options.interval_s
             with suppress(TimeoutError):
                 while True:
-                    async with asyncio.timeout_at(due):
+                    async with asyncio.timeout_at(next_digest_s):
                         records = await queue.get()
-                    for at in range(0, len(records), PART):
-                        await link.send({"records": [r.to_json() for r in records[at : at + PART]]})
+                    for start in range(0, len(records), RECORDS_PER_FRAME):
+                        chunk = records[start : start + RECORDS_PER_FRAME]
+                        await channel.send({"records": [record.to_json() for record in chunk]})
 
-    async def _hear(self, link: JsonLink, queue: Pushes) -> None:
+    async def _receive(self, channel: JsonChannel, queue: RecordQueue) -> None:
         while True:
-            async with asyncio.timeout(self._options.interval_s * SILENT_TIMES):
-                message = await link.receive()
+            async with asyncio.timeout(self._options.interval_s * MAX_SILENT_INTERVALS):
+                message = await channel.receive()
             try:
-                self._take(message, queue)
+                self._apply(message, queue)
             except (InvalidRecordError, KeyError, TypeError, ValueError, AttributeError) as error:
                 raise HandshakeRejectedError(f"not understood: {error}") from None
 
-    def _take(self, message: Any, queue: Pushes) -> None:
+    def _apply(self, message: Any, queue: RecordQueue) -> None:
         if "digest" not in message:
             self._store.merge([parse_record(obj) for obj in message["records"]])
             return
-        digest = {str(k): (int(v[0]), str(v[1])) for k, v in message["digest"].items()}
+        digest = {str(key): (int(order[0]), str(order[1])) for key, order in message["digest"].items()}
         missing = missing_from(self._store, digest)
         if missing and not queue.full():
             queue.put_nowait(missing)
-        # It was asked then whether both were in step, which walks all keys once more.
+        # That revision asked here whether both copies were in sync, which walks all keys once more; the
+        # answer is not used, but its cost is part of what is measured.
         mine = self._store.digest()
-        all(k in mine and mine[k] >= order for k, order in digest.items())
+        all(key in mine and mine[key] >= order for key, order in digest.items())
--- a/sageturn/lab/scale/lanes.py
+++ b/sageturn/lab/scale/lanes.py
@@ -1,13 +1,13 @@
-"""The link layer: a TCP forwarder between members that puts in delay, loss and cuts.
+"""Link emulation: a TCP forwarder between members that adds delay, loss and cuts.
 
-Members dial each other at addresses that lead here (``sockets.route``); each pair of a dialling zone and a
-member has a listener of its own, so the forwarder knows which lane a connection is on. TCP runs on both
-sides of it, so nothing is ever lost or out of order: what a network drops shows as time. A segment that
+Members dial each other at addresses that lead here (``counting.RoutingLoop``); each pair of a dialling zone
+and a member has a listener of its own, so the forwarder knows which link a connection is on. TCP runs on
+both sides of it, so nothing is ever lost or out of order: what a network drops shows as time. A segment that
 is lost holds back all that follows it until it is sent again, which a fast retransmission does after a
 round trip where three more segments follow, and a timer does after 200 ms or more, doubling, where not.
-A cut holds everything back and says nothing; after it what was held comes at once (a real TCP's timer may
+A cut holds everything back without an error; after it what was held arrives at once (a real TCP's timer may
 be late by as long as the cut was). The congestion window, and so a loss's cost in throughput, is not
-played.
+emulated.
 """
 
 from __future__ import annotations
@@ -22,103 +22,122 @@
 
 from sageturn.core.tasks import cancel_and_wait
 
-SEGMENT = 1448
-RTO_LEAST_S = 0.2
-FAST_AFTER = 3  # later segments whose arrival tells the sender of a loss
-CHUNK = 65536
-HELD_MOST = 1 << 20  # octets on their way in one direction; then the sender is not read any more
-LATE_S = 0.0005  # a wait shorter than this is not worth a timer
+SEGMENT_BYTES = 1448
+MIN_RETRANSMISSION_TIMEOUT_S = 0.2
+FAST_RETRANSMIT_SEGMENTS = 3  # later segments whose arrival tells the sender of a loss
+MAX_LOSSES_PER_SEGMENT = 8
+READ_CHUNK_BYTES = 65536
+MAX_BUFFERED_BYTES = 1 << 20  # in one direction; above that the sender is not read any more
+TIMER_RESOLUTION_S = 0.0005  # a shorter wait is not worth a timer
+LISTEN_BACKLOG = 1024
 
 
 @dataclass
-class Lane:
-    """What all connections of one class of link have in common. Pure: time and chance are handed in."""
+class EmulatedLink:
+    """What all connections between two zones share. Without I/O: time and chance are handed in."""
 
     name: str
-    delay_s: float
-    loss: float = 0.0
-    cut: bool = False
-    octets: int = 0
-    chunks: int = 0
-    resent: int = 0
+    delay_s: float  # one way
+    loss: float = 0.0  # probability of each segment's loss
+    is_cut: bool = False
+    bytes_forwarded: int = 0
+    chunk_count: int = 0
+    retransmission_count: int = 0
     healed: asyncio.Event = field(default_factory=asyncio.Event)
 
     def __post_init__(self) -> None:
         self.healed.set()
 
-    def set_cut(self, cut: bool) -> None:
-        self.cut = cut
-        (self.healed.clear if cut else self.healed.set)()
-
-    def takes_s(self, octets: int, rng: Random) -> float:
-        """Until the last octet of a chunk is there, and in order."""
-        self.octets += octets
-        self.chunks += 1
-        latest = 0.0
-        if self.loss > 0.0:
-            segments = -(-octets // SEGMENT)
-            for number in range(segments):
-                lost = 0
-                while rng.random() < self.loss and lost < 8:
-                    lost += 1
-                if lost:
-                    self.resent += lost
-                    latest = max(latest, self._recovery_s(lost, segments - 1 - number))
-        return self.delay_s + latest
-
-    def _recovery_s(self, lost: int, following: int) -> float:
+    def set_cut(self, is_cut: bool) -> None:
+        self.is_cut = is_cut
+        if is_cut:
+            self.healed.clear()
+        else:
+            self.healed.set()
+
+    def transit_s(self, byte_count: int, rng: Random) -> float:
+        """Until the last byte of a chunk has arrived, in order."""
+        self.bytes_forwarded += byte_count
+        self.chunk_count += 1
+        return self.delay_s + self._retransmission_delay_s(byte_count, rng)
+
+    def _retransmission_delay_s(self, byte_count: int, rng: Random) -> float:
+        """Until the chunk's slowest segment has been recovered."""
+        slowest_s = 0.0
+        if self.loss <= 0.0:
+            return slowest_s
+        segment_count = -(-byte_count // SEGMENT_BYTES)
+        for segment in range(segment_count):
+            losses = 0
+            while rng.random() < self.loss and losses < MAX_LOSSES_PER_SEGMENT:
+                losses += 1
+            if losses:
+                self.retransmission_count += losses
+                slowest_s = max(slowest_s, self.recovery_s(losses, segment_count - 1 - segment))
+        return slowest_s
+
+    def recovery_s(self, losses: int, following_segments: int) -> float:
+        """What losing a segment so many times in a row costs, with so many segments behind it."""
         round_trip_s = 2.0 * self.delay_s
-        rto_s = max(RTO_LEAST_S, 2.0 * round_trip_s)
-        if following >= FAST_AFTER:
-            return round_trip_s + rto_s * (2.0 ** (lost - 1) - 1.0)
-        return rto_s * (2.0**lost - 1.0)
+        timeout_s = max(MIN_RETRANSMISSION_TIMEOUT_S, 2.0 * round_trip_s)
+        if following_segments >= FAST_RETRANSMIT_SEGMENTS:
+            return round_trip_s + timeout_s * (2.0 ** (losses - 1) - 1.0)
+        return timeout_s * (2.0**losses - 1.0)
 
 
-class Pipe:
+class DelayLine:
     """One direction of one connection: what was read, and when it is due at the other side."""
 
-    def __init__(self, lane: Lane, rng: Random, now_s: Callable[[], float]) -> None:
-        self._lane, self._rng, self._now_s = lane, rng, now_s
-        self._due_s = 0.0
-        self.waiting: deque[tuple[float, bytes]] = deque()
-        self.held = 0
+    def __init__(self, link: EmulatedLink, rng: Random, now_s: Callable[[], float]) -> None:
+        self._link = link
+        self._rng = rng
+        self._now_s = now_s
+        self._last_due_s = 0.0
+        self.waiting: deque[tuple[float, bytes]] = deque()  # with the moment at which each chunk is due
+        self.buffered_bytes = 0
 
     def put(self, data: bytes) -> None:
         """Empty data is the end of the stream."""
-        takes_s = self._lane.takes_s(len(data), self._rng) if data else self._lane.delay_s
-        self._due_s = max(self._due_s, self._now_s() + takes_s)  # a stream: nothing overtakes
-        self.waiting.append((self._due_s, data))
-        self.held += len(data)
+        transit_s = self._link.transit_s(len(data), self._rng) if data else self._link.delay_s
+        # It is a stream: nothing overtakes.
+        self._last_due_s = max(self._last_due_s, self._now_s() + transit_s)
+        self.waiting.append((self._last_due_s, data))
+        self.buffered_bytes += len(data)
 
     def take(self) -> bytes | None:
         """What is due by now; None if nothing is."""
-        if self._lane.cut or not self.waiting or self.waiting[0][0] > self._now_s() + LATE_S:
+        if self._link.is_cut or not self.waiting:
+            return None
+        if self.waiting[0][0] > self._now_s() + TIMER_RESOLUTION_S:
             return None
         _, data = self.waiting.popleft()
-        self.held -= len(data)
+        self.buffered_bytes -= len(data)
         return data
 
     def wait_s(self) -> float:
-        """Until the first is due, while the lane is not cut."""
+        """Until the first chunk is due, while the link is not cut."""
         return max(0.0, self.waiting[0][0] - self._now_s())
 
 
 class Forwarder:
-    """One listener: whoever connects is passed on to ``to`` over ``lane``."""
+    """One listener: each connection is forwarded to ``target`` over ``link``."""
 
-    def __init__(self, sock: socket.socket, to: tuple[str, int], lane: Lane, seed: int) -> None:
-        self._sock, self._to, self.lane = sock, to, lane
+    def __init__(self, sock: socket.socket, target: tuple[str, int], link: EmulatedLink, seed: int) -> None:
+        self._sock = sock
+        self._target = target
+        self._link = link
         self._rng = Random(seed)
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def run(self) -> None:
+        """Runs until it is cancelled; all connections end with it."""
         self._sock.setblocking(False)
-        self._sock.listen(1024)
+        self._sock.listen(LISTEN_BACKLOG)
         loop = asyncio.get_running_loop()
         try:
             while True:
-                near, _ = await loop.sock_accept(self._sock)
-                task = asyncio.ensure_future(self._join(near))
+                client, _ = await loop.sock_accept(self._sock)
+                task = asyncio.ensure_future(self._forward_connection(client))
                 self._tasks.add(task)
                 task.add_done_callback(self._tasks.discard)
         finally:
@@ -126,67 +145,90 @@
             for task in list(self._tasks):
                 await cancel_and_wait(task)
 
-    async def _join(self, near: socket.socket) -> None:
-        far = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        for sock in (near, far):
+    async def _forward_connection(self, client: socket.socket) -> None:
+        upstream = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        for sock in (client, upstream):
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        ways: list[asyncio.Task[None]] = []
+        directions: list[asyncio.Task[None]] = []
         try:
-            # One that connects during a cut is taken by the kernel and hears nothing, as if it never came up.
-            await self.lane.healed.wait()
-            await asyncio.sleep(self.lane.delay_s)
-            await asyncio.get_running_loop().sock_connect(far, self._to)
-            ways = [asyncio.ensure_future(self._pass(a, b)) for a, b in ((near, far), (far, near))]
-            await asyncio.wait(ways, return_when=asyncio.FIRST_EXCEPTION)
+            # One that connects during a cut is accepted by the kernel and gets no answer until it heals.
+            await self._link.healed.wait()
+            await asyncio.sleep(self._link.delay_s)
+            await asyncio.get_running_loop().sock_connect(upstream, self._target)
+            directions = [
+                asyncio.ensure_future(_Direction(source, sink, self._link, self._rng).run())
+                for source, sink in ((client, upstream), (upstream, client))
+            ]
+            await asyncio.wait(directions, return_when=asyncio.FIRST_EXCEPTION)
         except OSError:
             pass
         finally:
-            for way in ways:
-                await cancel_and_wait(way)
-            near.close()
-            far.close()
+            for direction in directions:
+                await cancel_and_wait(direction)
+            client.close()
+            upstream.close()
 
-    async def _pass(self, source: socket.socket, sink: socket.socket) -> None:
-        loop = asyncio.get_running_loop()
-        pipe = Pipe(self.lane, self._rng, loop.time)
-        came, room = asyncio.Event(), asyncio.Event()
-        room.set()
 
-        async def read() -> None:
-            while True:
-                await room.wait()
-                data = await loop.sock_recv(source, CHUNK)
-                pipe.put(data)
-                came.set()
-                if not data:
-                    return
-                if pipe.held >= HELD_MOST:
-                    room.clear()
+class _Direction:
+    """Forwards from one socket to the other until the source's end of stream or a reset."""
 
-        reading = asyncio.ensure_future(read())
+    def __init__(self, source: socket.socket, sink: socket.socket, link: EmulatedLink, rng: Random) -> None:
+        self._source = source
+        self._sink = sink
+        self._link = link
+        self._loop = asyncio.get_running_loop()
+        self._delay_line = DelayLine(link, rng, self._loop.time)
+        self._data_arrived = asyncio.Event()
+        self._may_read = asyncio.Event()
+        self._may_read.set()
+
+    async def run(self) -> None:
+        reading = asyncio.ensure_future(self._read())
         try:
-            while True:
-                while not pipe.waiting:
-                    came.clear()
-                    waiting = asyncio.ensure_future(came.wait())
-                    await asyncio.wait((waiting, reading), return_when=asyncio.FIRST_COMPLETED)
-                    waiting.cancel()
-                    if reading.done() and not pipe.waiting:
-                        reading.result()  # it was reset: the other side hears of it as a reset, too
-                        return
-                await self.lane.healed.wait()
-                if (wait_s := pipe.wait_s()) > LATE_S:
-                    await asyncio.sleep(wait_s)
-                data = pipe.take()
-                if data is None:
-                    continue
-                if not data:
-                    with suppress(OSError):
-                        sink.shutdown(socket.SHUT_WR)
+            while await self._wait_for_data(reading):
+                if await self._write_next():
                     return
-                await loop.sock_sendall(sink, data)
-                if pipe.held < HELD_MOST:
-                    room.set()
         finally:
             await cancel_and_wait(reading)
+
+    async def _read(self) -> None:
+        while True:
+            await self._may_read.wait()
+            data = await self._loop.sock_recv(self._source, READ_CHUNK_BYTES)
+            self._delay_line.put(data)
+            self._data_arrived.set()
+            if not data:
+                return
+            if self._delay_line.buffered_bytes >= MAX_BUFFERED_BYTES:
+                self._may_read.clear()
+
+    async def _wait_for_data(self, reading: asyncio.Task[None]) -> bool:
+        """False when no data will follow. Raises OSError when the source was reset, which resets the sink."""
+        while not self._delay_line.waiting:
+            self._data_arrived.clear()
+            arriving = asyncio.ensure_future(self._data_arrived.wait())
+            await asyncio.wait((arriving, reading), return_when=asyncio.FIRST_COMPLETED)
+            arriving.cancel()
+            if reading.done() and not self._delay_line.waiting:
+                reading.result()
+                return False
+        return True
+
+    async def _write_next(self) -> bool:
+        """Forward the first chunk once it is due. True when that was the end of the stream."""
+        await self._link.healed.wait()
+        wait_s = self._delay_line.wait_s()
+        if wait_s > TIMER_RESOLUTION_S:
+            await asyncio.sleep(wait_s)
+        data = self._delay_line.take()
+        if data is None:
+            return False
+        if not data:
+            with suppress(OSError):
+                self._sink.shutdown(socket.SHUT_WR)
+            return True
+        await self._loop.sock_sendall(self._sink, data)
+        if self._delay_line.buffered_bytes < MAX_BUFFERED_BYTES:
+            self._may_read.set()
+        return False
--- a/sageturn/lab/scale/members.py
+++ b/sageturn/lab/scale/members.py
@@ -7,7 +7,7 @@
 import json
 import time
 import zlib
-from collections.abc import Callable
+from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
 from importlib import import_module
 from random import Random
@@ -19,8 +19,9 @@
 from sageturn.core.endpoint_registry import EndpointRegistry
 from sageturn.core.messages import EndpointListUpdate, WatchFailed
 from sageturn.core.tasks import cancel_and_wait
+from sageturn.lab.scale.child_protocol import MemberStatus
 from sageturn.lab.scale.counting import owned, owning
-from sageturn.lab.scale.digests import DigestSpread, LinkOptions
+from sageturn.lab.scale.digests import DigestReplication, LinkOptions
 from sageturn.net.admission import AdmissionController, ProcessLimits
 from sageturn.net.discovery import DiscoveryClient
 from sageturn.store.records import StoreRecord
@@ -30,20 +31,30 @@
     from sageturn.relay import Relay
 
 CHANGE_KEY_PREFIX = "change/"
-KEY_NODE = "r0000"
-DESCRIPTORS, MEMORY_MB = 20_000, 4096.0  # the machine's bound is the experiment's, not the admission's
+PRELOAD_NODE = "r0000"
+PRELOAD_HOST_COUNT = 500
+LOOPBACK = "127.0.0.1"
+# The machine's bound is the experiment's, not the admission's.
+ADMISSION_LIMITS = ProcessLimits(20_000, 4096.0)
+STATE_CONNECTION_COUNT = 50_000  # what a hollow member's state record says it serves
+STATE_PHASES = 97  # over which members spread their first state record
+
+WatchEvent = EndpointListUpdate | WatchFailed
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
-    """What a member knows of where it stands; today's spread has no use for it."""
+class Location:
+    """A member's name and where it is placed; the digest replication has no use for it."""
 
     name: str
     zone: str
     region: str
 
 
-class Spreader(Protocol):
+# ---------------------------------------------------------------- replication that is measured
+
+
+class Replication(Protocol):
     """Whatever keeps a store's copy and the others' the same."""
 
     address: tuple[str, int]
@@ -53,213 +64,256 @@
     async def stop(self) -> None: ...
 
 
-def _digest(store: Store, options: LinkOptions, admission: AdmissionController, place: Place) -> Spreader:
-    return DigestSpread(store, options, admission)
+def _make_digest_replication(
+    store: Store, options: LinkOptions, admission: AdmissionController, location: Location
+) -> Replication:
+    return DigestReplication(store, options, admission)
 
 
-def _delta(store: Store, options: LinkOptions, admission: AdmissionController, place: Place) -> Spreader:
-    """What follows it, where the program has it: not every program that is measured does."""
+def _make_delta_replication(
+    store: Store, options: LinkOptions, admission: AdmissionController, location: Location
+) -> Replication:
+    """The program's own, where it has one: not every revision that is measured does."""
     try:
         member = import_module("sageturn.store.replication.member")
-        settled = import_module("sageturn.store.replication.options").ReplicationOptions(
-            options.listen, options.peers, options.secret, region=place.region, zone=place.zone
+        replication_options = import_module("sageturn.store.replication.options").ReplicationOptions(
+            options.listen, options.peers, options.secret, region=location.region, zone=location.zone
         )
     except ImportError:
         raise ValueError("spread: delta is not in this program") from None
-    made: Spreader = member.ReplicationMember(store, settled, admission, Random(f"scale/{place.name}"))
+    random = Random(f"scale/{location.name}")
+    made: Replication = member.ReplicationMember(store, replication_options, admission, random)
     return made
 
 
-SPREADS: dict[str, Callable[[Store, LinkOptions, AdmissionController, Place], Spreader]] = {
-    "digest": _digest,
-    "delta": _delta,
+REPLICATIONS: dict[str, Callable[[Store, LinkOptions, AdmissionController, Location], Replication]] = {
+    "digest": _make_digest_replication,
+    "delta": _make_delta_replication,
 }
 
 
-def make_spreader(
-    spread: str, store: Store, options: LinkOptions, admission: AdmissionController, place: Place
-) -> Spreader:
+def make_replication(
+    spread: str, store: Store, options: LinkOptions, admission: AdmissionController, location: Location
+) -> Replication:
     """The one place where a run's key ``spread`` becomes code. Raises ValueError where it is not there."""
-    return SPREADS[spread](store, options, admission, place)
+    return REPLICATIONS[spread](store, options, admission, location)
 
 
-def link_options(job: dict[str, Any], whole: dict[str, Any]) -> LinkOptions:
+def link_options(job: dict[str, Any], common: dict[str, Any]) -> LinkOptions:
+    """From a member's part of a job file, and the part that all members share."""
     return LinkOptions(
-        ("127.0.0.1", job["port"]),
-        tuple(("127.0.0.1", port) for port in job["peers"]),
-        bytes.fromhex(whole["secret"]),
-        whole["interval_s"],
+        (LOOPBACK, job["port"]),
+        tuple((LOOPBACK, port) for port in job["peers"]),
+        bytes.fromhex(common["secret"]),
+        common["interval_s"],
     )
 
 
-def place_of(job: dict[str, Any]) -> Place:
-    return Place(job["name"], job["zone"], job["region"])
+def location_of(job: dict[str, Any]) -> Location:
+    return Location(job["name"], job["zone"], job["region"])
+
+
+# ---------------------------------------------------------------- copies of the store
 
 
 def preload(keys: int) -> list[StoreRecord]:
-    """What stands in every copy from the start: a shard's placement each."""
+    """What every copy holds from the start: a shard's placement for each key."""
     return [
-        StoreRecord(f"shards/{n:06d}", {"host": f"h{n % 500:04d}", "weight": 1.0}, 1, KEY_NODE)
-        for n in range(keys)
+        StoreRecord(
+            f"shards/{number:06d}",
+            {"host": f"h{number % PRELOAD_HOST_COUNT:04d}", "weight": 1.0},
+            1,
+            PRELOAD_NODE,
+        )
+        for number in range(keys)
     ]
 
 
-def fill(store: Store, records: list[StoreRecord]) -> None:
-    """As in a fleet that has been running: its copies are known to hold all. Those of a fleet that never was
-    one have to agree on that first, and each that comes later takes all anew.
+def load_records(store: Store, records: list[StoreRecord]) -> None:
+    """As in a fleet that has been running, whose copies are known to be complete.
+
+    Members of a new fleet would first have to agree on that, and each later one would take all anew.
     """
     store.merge(records)
     store.set_last_in_sync(store.wall_clock())
 
 
 def store_hash(store: Store) -> str:
-    """Equal for equal copies; what each says of itself in ``state/`` included."""
-    text = json.dumps(sorted((k, v[0], v[1]) for k, v in store.digest().items()))
-    return hashlib.sha256(text.encode()).hexdigest()[:16]
+    """Equal for equal copies; what each member writes of itself under ``state/`` included."""
+    orders = sorted((key, order[0], order[1]) for key, order in store.digest().items())
+    return hashlib.sha256(json.dumps(orders).encode()).hexdigest()[:16]
 
 
-class Witness:
-    """When a copy first held each change, on the machine's monotonic clock, which all processes share."""
+class ArrivalRecorder:
+    """When a copy first held each change, on the machine's monotonic clock, which all processes share.
+
+    ``first_s`` is handed in and outlives a wiped copy; ``present_copy_s`` is this copy's own.
+    """
 
-    def __init__(self, store: Store, held: dict[str, float]) -> None:
-        """``held`` outlives a wiped copy; ``again`` is this copy's own."""
-        self.held, self.again = held, dict[str, float]()
-        store.on_change.append(self._changed)
+    def __init__(self, store: Store, first_s: dict[str, float]) -> None:
+        self.first_s = first_s
+        self.present_copy_s: dict[str, float] = {}
+        store.on_change.append(self._on_change)
 
-    def _changed(self, records: list[StoreRecord]) -> None:
+    def _on_change(self, records: list[StoreRecord]) -> None:
         now_s = time.monotonic()
         for record in records:
             if record.key.startswith(CHANGE_KEY_PREFIX):
-                self.held.setdefault(record.key, now_s)
-                self.again.setdefault(record.key, now_s)
+                self.first_s.setdefault(record.key, now_s)
+                self.present_copy_s.setdefault(record.key, now_s)
 
 
-class Hollow:
-    """Store, links, list, pace and accounting as ``Relay`` puts them together; no listener for clients."""
+class WatchMonitor:
+    """Counts a member's endpoint lists and failed watches, and passes each event on."""
 
-    def __init__(self, job: dict[str, Any], whole: dict[str, Any], records: list[StoreRecord]) -> None:
-        self.name: str = job["name"]
-        self._job, self._whole = job, whole
-        self._records = records
+    def __init__(self) -> None:
+        self.listed_s = 0.0  # when the last list arrived, on the monotonic clock
+        self.list_count = 0
+        self.failure_count = 0
+
+    async def forward(
+        self, watch: int, event: WatchEvent, handler: Callable[[int, WatchEvent], Awaitable[None]]
+    ) -> None:
+        if isinstance(event, EndpointListUpdate):
+            self.listed_s = time.monotonic()
+            self.list_count += 1
+        else:
+            self.failure_count += 1
+        await handler(watch, event)
+
+
+# ---------------------------------------------------------------- members
+
+
+class Member:
+    """What hollow and real members have in common, as their process shows it to the run."""
+
+    name: str
+    store: Store
+    arrivals: ArrivalRecorder
+    replication: Replication
+    watch_monitor: WatchMonitor
+    running: bool
+
+    def status(self) -> MemberStatus:
+        return MemberStatus(
+            store_hash(self.store),
+            len(self.store.digest()),
+            self.running,
+            getattr(self.replication, "link_count", -1),
+            self.watch_monitor.listed_s,
+            self.watch_monitor.list_count,
+            self.watch_monitor.failure_count,
+        )
+
+
+class HollowMember(Member):
+    """Store, replication, endpoint list, discovery backoff and accounting as ``Relay`` puts them together,
+    without a listener for clients.
+    """
+
+    def __init__(self, job: dict[str, Any], common: dict[str, Any], records: list[StoreRecord]) -> None:
+        self.name = job["name"]
         self.running = False
-        self.listed_s = 0.0
-        self.lists = self.lists_failed = 0
+        self.watch_monitor = WatchMonitor()
+        self._job = job
+        self._common = common
         self._tasks: list[asyncio.Task[None]] = []
-        self.held: dict[str, float] = {}
-        self._fresh(records)
+        self._first_arrivals_s: dict[str, float] = {}
+        self._make_copy(records)
 
-    def _fresh(self, records: list[StoreRecord]) -> None:
+    def _make_copy(self, records: list[StoreRecord]) -> None:
         self.store = Store(self.name)
         if records:
-            fill(self.store, records)
-        self.witness = Witness(self.store, self.held)
+            load_records(self.store, records)
+        self.arrivals = ArrivalRecorder(self.store, self._first_arrivals_s)
 
     def start(self, wipe: bool = False) -> None:
-        """After ``stop`` as a process that comes again: with its copy as from its disk, or with none."""
+        """After ``stop`` as a process that is started again: with its copy as from its disk, or with none."""
         if wipe:
-            self._fresh([])
-        job, whole = self._job, self._whole
-        self.admission = AdmissionController(ProcessLimits(DESCRIPTORS, MEMORY_MB))
-        with owned(job["row"], "store"):
-            self.spreader = make_spreader(
-                whole["spread"], self.store, link_options(job, whole), self.admission, place_of(job)
-            )
-            self.spreader.start()
-        with owned(job["row"], "list"):
-            self.balancer_actor = BalancerActor(
-                read_settings(job["settings"]),
-                job["seed"],
-                Clock(),
-                lambda: self.endpoint_registry.request_watch(),
-            )
-            self.endpoint_registry = EndpointRegistry(
-                EndpointListUpdate(0, True), self.balancer_actor.post_event
-            )
-            self.discovery = DiscoveryClient(("127.0.0.1", whole["discovery"]), self._hear)
-            self.endpoint_registry.watcher = self.discovery
-            runs = [self.balancer_actor.run(), self.endpoint_registry.run()]
-            if whole["state_s"]:
-                runs.append(self._tell_state(whole["state_s"]))
-            self._tasks = [asyncio.ensure_future(run) for run in runs]
+            self._make_copy([])
+        self.admission = AdmissionController(ADMISSION_LIMITS)
+        with owned(self._job["row"], "store"):
+            self._start_replication()
+        with owned(self._job["row"], "list"):
+            self._start_balancer()
         self.running = True
 
-    async def _hear(self, watch: int, said: EndpointListUpdate | WatchFailed) -> None:
-        if isinstance(said, EndpointListUpdate):
-            self.listed_s = time.monotonic()
-            self.lists += 1
-        else:
-            self.lists_failed += 1
-        await self.endpoint_registry.on_watch_event(watch, said)
-
-    async def _tell_state(self, every_s: float) -> None:
-        """As ``Relay`` does: a relay in service has ended some connections since it last told of itself."""
+    def _start_replication(self) -> None:
+        self.replication = make_replication(
+            self._common["spread"],
+            self.store,
+            link_options(self._job, self._common),
+            self.admission,
+            location_of(self._job),
+        )
+        self.replication.start()
+
+    def _start_balancer(self) -> None:
+        self.balancer_actor = BalancerActor(
+            read_settings(self._job["settings"]),
+            self._job["seed"],
+            Clock(),
+            lambda: self.endpoint_registry.request_watch(),
+        )
+        self.endpoint_registry = EndpointRegistry(EndpointListUpdate(0, True), self.balancer_actor.post_event)
+        self.discovery = DiscoveryClient((LOOPBACK, self._common["discovery"]), self._on_watch_event)
+        self.endpoint_registry.watcher = self.discovery
+        runs = [self.balancer_actor.run(), self.endpoint_registry.run()]
+        if self._common["state_s"]:
+            runs.append(self._write_state(self._common["state_s"]))
+        self._tasks = [asyncio.ensure_future(run) for run in runs]
+
+    async def _on_watch_event(self, watch: int, event: WatchEvent) -> None:
+        await self.watch_monitor.forward(watch, event, self.endpoint_registry.on_watch_event)
+
+    async def _write_state(self, interval_s: float) -> None:
+        """As ``Relay`` does: a relay in service has ended some connections since its last state record."""
         count = 0
-        await asyncio.sleep(every_s * (zlib.crc32(self.name.encode()) % 97) / 97.0)
+        phase = zlib.crc32(self.name.encode()) % STATE_PHASES
+        await asyncio.sleep(interval_s * phase / STATE_PHASES)
         while True:
             count += 1
             state = {
-                "standing": 50_000 + count,
+                "standing": STATE_CONNECTION_COUNT + count,
                 "ended": {"ok": count},
                 "flows_dropped": 0,
                 "reports_dropped": {},
             }
             self.store.put(f"state/{self.name}/relay", state)
-            await asyncio.sleep(max(every_s, getattr(self.spreader, "state_report_interval_s", 0.0)))
+            await asyncio.sleep(max(interval_s, getattr(self.replication, "state_report_interval_s", 0.0)))
 
     async def stop(self) -> None:
-        """As a process that dies: sockets closed, nobody told."""
+        """As a process that dies: sockets closed, nobody notified."""
         if not self.running:
             return
         self.running = False
-        await self.spreader.stop()
+        await self.replication.stop()
         await self.discovery.stop()
         for task in self._tasks:
             await cancel_and_wait(task)
 
-    def told(self) -> dict[str, Any]:
-        return _told(self)
 
+class RealMember(Member):
+    """A whole relay, with the replication that is measured in the place of its own."""
 
-class RealMember:
-    """A whole relay, seen through the same words as a hollow member, and with the spread that is measured."""
-
-    def __init__(self, relay: Relay, job: dict[str, Any], whole: dict[str, Any]) -> None:
+    def __init__(self, relay: Relay, job: dict[str, Any], common: dict[str, Any]) -> None:
+        self.name = relay.store.node
+        self.store = relay.store
+        self.arrivals = ArrivalRecorder(self.store, {})
+        self.watch_monitor = WatchMonitor()
+        self.running = True
         row = job["row"]
         with owned(row, "store"):
-            spreader = make_spreader(
-                whole["spread"], relay.store, link_options(job, whole), relay.admission, place_of(job)
+            self.replication = make_replication(
+                common["spread"], relay.store, link_options(job, common), relay.admission, location_of(job)
             )
-        relay.replication = spreader  # type: ignore[assignment]  # in the place of its own, which the operator's file leaves out
-        self.name: str = relay.store.node
-        self.store: Store = relay.store
-        self.witness = Witness(self.store, {})
-        self.spreader = spreader
-        self.running, self.listed_s, self.lists, self.lists_failed = True, 0.0, 0, 0
-        vars(spreader)["start"] = owning(row, "store", spreader.start)
+        relay.replication = self.replication  # type: ignore[assignment]  # the operator's file configures none
+        vars(self.replication)["start"] = owning(row, "store", self.replication.start)
         relay.discovery.start = owning(row, "list", relay.discovery.start)  # type: ignore[method-assign]
-        hear = relay.endpoint_registry.on_watch_event
-
-        async def heard(watch: int, said: EndpointListUpdate | WatchFailed) -> None:
-            if isinstance(said, EndpointListUpdate):
-                self.listed_s = time.monotonic()
-                self.lists += 1
-            else:
-                self.lists_failed += 1
-            await hear(watch, said)
-
-        relay.discovery.on_event = heard
-
-    def told(self) -> dict[str, Any]:
-        return _told(self)
-
-
-def _told(member: Hollow | RealMember) -> dict[str, Any]:
-    return {
-        "hash": store_hash(member.store),
-        "records": len(member.store.digest()),
-        "running": member.running,
-        "links": getattr(member.spreader, "link_count", -1),
-        "listed_s": member.listed_s,
-        "lists": member.lists,
-        "lists_failed": member.lists_failed,
-    }
+        handler = relay.endpoint_registry.on_watch_event
+
+        async def on_watch_event(watch: int, event: WatchEvent) -> None:
+            await self.watch_monitor.forward(watch, event, handler)
+
+        relay.discovery.on_event = on_watch_event
--- a/sageturn/lab/scale/process.py
+++ b/sageturn/lab/scale/process.py
@@ -1,7 +1,7 @@
-"""One process of a scale run: hollow members, a whole relay, or a part of the link layer.
+"""One child process of a scale run: hollow members, a whole relay, or a part of the link emulation.
 
 Started with the name of a job file. It answers one JSON line on its standard output for each on its
-standard input, and ends when that ends, so it outlives no run, however the run ends.
+standard input (``child_protocol``), and ends when that ends, so it outlives no run, however the run ends.
 """
 
 from __future__ import annotations
@@ -15,186 +15,232 @@
 import sys
 import threading
 import time
-from collections.abc import Awaitable, Callable
+from collections.abc import Awaitable, Callable, Sequence
 from pathlib import Path
-from typing import Any
+from typing import Any, Protocol
+
+import msgspec
 
 from sageturn.core.tasks import cancel_and_wait
 from sageturn.lab.scale import counting
-from sageturn.lab.scale.lanes import Forwarder, Lane
-from sageturn.lab.scale.members import Hollow, RealMember, fill, preload
+from sageturn.lab.scale.child_protocol import Command, ProcessStatus, Role
+from sageturn.lab.scale.lanes import EmulatedLink, Forwarder
+from sageturn.lab.scale.members import HollowMember, Member, RealMember, load_records, preload
 
 Job = dict[str, Any]
-Answer = Callable[[Job], Awaitable[Any]]
+Request = dict[str, Any]
+Handler = Callable[[Request], Awaitable[Any]]
+
+LOOPBACK = "127.0.0.1"
+RELAY_STOP_TIMEOUT_S = 1.0
+
 
+# ---------------------------------------------------------------- the pipe to the run
 
-def _read_lines(loop: asyncio.AbstractEventLoop, lines: asyncio.Queue[str]) -> None:
-    """In a thread: a pipe that ends is told as an empty line."""
+
+def _read_requests(loop: asyncio.AbstractEventLoop, lines: asyncio.Queue[str]) -> None:
+    """Runs in a thread; the end of the input is an empty line."""
     for line in sys.stdin:
         loop.call_soon_threadsafe(lines.put_nowait, line)
     loop.call_soon_threadsafe(lines.put_nowait, "")
 
 
-async def _converse(answers: dict[str, Answer]) -> None:
+async def _serve_requests(handlers: dict[Command, Handler]) -> None:
+    """Until the input ends, or the command END was answered."""
     lines: asyncio.Queue[str] = asyncio.Queue()
-    thread = threading.Thread(target=_read_lines, args=(asyncio.get_running_loop(), lines), daemon=True)
-    thread.start()
-    _say({"ready": os.getpid()})
+    loop = asyncio.get_running_loop()
+    threading.Thread(target=_read_requests, args=(loop, lines), daemon=True).start()
+    _answer({"ready": os.getpid()})
     while line := await lines.get():
-        asked = json.loads(line)
+        request = json.loads(line)
         try:
-            _say(await answers[asked["do"]](asked))
-        except Exception as error:
-            _say({"error": f"{type(error).__name__}: {error}"})
-        if asked["do"] == "end":
+            _answer(await handlers[request["do"]](request))
+        except Exception as error:  # the run reports it, and ends
+            _answer({"error": f"{type(error).__name__}: {error}"})
+        if request["do"] == Command.END:
             return
 
 
-def _say(what: Any) -> None:
-    sys.stdout.write(json.dumps(what) + "\n")
+def _answer(value: Any) -> None:
+    sys.stdout.write(json.dumps(value) + "\n")
     sys.stdout.flush()
 
 
-def _memory(_: Job) -> int:
-    """Resident octets now."""
+def _resident_bytes() -> int:
     pages = int(Path("/proc/self/statm").read_text().split()[1])
     return pages * os.sysconf("SC_PAGESIZE")
 
 
-# ---------------------------------------------------------------- hollow members
+class _ChildRole(Protocol):
+    """What a child process runs, until its input ends."""
 
+    async def serve(self) -> None: ...
 
-async def hollow(job: Job) -> None:
-    gc.collect()
-    bare = _memory(job)
-    records = preload(job["whole"]["keys"])
-    members = {m["name"]: Hollow(m, job["whole"], records) for m in job["members"]}
-    gc.freeze()
 
-    def named(asked: Job) -> list[Hollow]:
-        return [members[name] for name in asked.get("members") or members]
+# ---------------------------------------------------------------- members
 
-    async def start(asked: Job) -> Any:
-        for member in named(asked):
-            if not member.running:
-                member.start(asked.get("wipe", False))
-        return len(members)
 
-    async def stop(asked: Job) -> Any:
-        await asyncio.gather(*(m.stop() for m in named(asked)))
-        return True
-
-    async def put(asked: Job) -> Any:
-        return _put(members[asked["member"]], asked)
+class _MemberProcess:
+    """The commands that hollow members and whole relays answer alike."""
 
-    async def seen(asked: Job) -> Any:
-        return {m.name: [m.witness.held, m.witness.again] for m in members.values()}
+    def __init__(self, initial_memory: int, members: Sequence[Member]) -> None:
+        self._initial_memory = initial_memory
+        self._members = {member.name: member for member in members}
 
-    async def told(asked: Job) -> Any:
-        return {"members": {m.name: m.told() for m in members.values()}, "bare": bare, "memory": _memory({})}
+    def handlers(self) -> dict[Command, Handler]:
+        return {Command.PUT: self._put, Command.ARRIVALS: self._arrivals, Command.STATUS: self._status}
 
-    async def end(asked: Job) -> Any:
-        await stop({})
-        return True
+    async def _put(self, request: Request) -> float:
+        """The moment before the change is made, on the machine's monotonic clock."""
+        now_s = time.monotonic()
+        self._members[request["member"]].store.put(request["key"], request["value"])
+        return now_s
 
-    await _converse({"start": start, "stop": stop, "put": put, "seen": seen, "told": told, "end": end})
+    async def _arrivals(self, _: Request) -> dict[str, Any]:
+        return {
+            name: [member.arrivals.first_s, member.arrivals.present_copy_s]
+            for name, member in self._members.items()
+        }
 
+    async def _status(self, _: Request) -> Any:
+        members = {name: member.status() for name, member in self._members.items()}
+        return msgspec.to_builtins(ProcessStatus(members, self._initial_memory, _resident_bytes()))
 
-def _put(member: Any, asked: Job) -> float:
-    """The moment before the change is made, on the machine's monotonic clock."""
-    now_s = time.monotonic()
-    member.store.put(asked["key"], asked["value"])
-    return now_s
 
+class HollowProcess(_MemberProcess):
+    """Many hollow members."""
 
-# ---------------------------------------------------------------- whole relays
+    def __init__(self, job: Job) -> None:
+        gc.collect()
+        initial_memory = _resident_bytes()
+        records = preload(job["whole"]["keys"])
+        self._hollow = {
+            member["name"]: HollowMember(member, job["whole"], records) for member in job["members"]
+        }
+        gc.freeze()
+        super().__init__(initial_memory, list(self._hollow.values()))
 
+    async def serve(self) -> None:
+        own = {Command.START: self._start, Command.STOP: self._stop, Command.END: self._end}
+        await _serve_requests({**self.handlers(), **own})
 
-async def real(job: Job) -> None:
-    from sageturn.config.loader import load
-    from sageturn.relay import Relay
+    def _chosen(self, request: Request) -> list[HollowMember]:
+        return [self._hollow[name] for name in request.get("members") or self._hollow]
 
-    bare = _memory(job)
-    member = job["members"][0]
-    settled = load({"GW_CONFIG": job["config"]}, job["operator"])
-    relay = Relay(settled)
-    fill(relay.store, preload(job["whole"]["keys"]))
-    seat = RealMember(relay, member, job["whole"])
-    gc.freeze()
-    running: asyncio.Task[None] | None = None
+    async def _start(self, request: Request) -> int:
+        for member in self._chosen(request):
+            if not member.running:
+                member.start(request.get("wipe", False))
+        return len(self._hollow)
 
-    async def start(asked: Job) -> Any:
-        nonlocal running
-        if running is None:
-            with counting.owned(member["row"], "client"):
-                running = asyncio.ensure_future(relay.run())
-        return 1
+    async def _stop(self, request: Request) -> bool:
+        await asyncio.gather(*(member.stop() for member in self._chosen(request)))
+        return True
 
-    async def put(asked: Job) -> Any:
-        return _put(seat, asked)
+    async def _end(self, _: Request) -> bool:
+        return await self._stop({})
 
-    async def seen(asked: Job) -> Any:
-        return {seat.name: [seat.witness.held, seat.witness.again]}
 
-    async def told(asked: Job) -> Any:
-        return {"members": {seat.name: seat.told()}, "bare": bare, "memory": _memory({})}
+class RelayProcess(_MemberProcess):
+    """One whole relay, with the replication that is measured in the place of its own."""
 
-    async def end(asked: Job) -> Any:
-        if running is not None:
-            os.kill(os.getpid(), signal.SIGTERM)
-            await asyncio.wait((running,), timeout=1.0)
-            await cancel_and_wait(running)
-        return True
+    def __init__(self, job: Job) -> None:
+        # Imported here: no other role needs them.
+        from sageturn.config.loader import load
+        from sageturn.relay import Relay
 
-    await _converse({"start": start, "put": put, "seen": seen, "told": told, "end": end})
+        initial_memory = _resident_bytes()
+        self._row = job["members"][0]["row"]
+        self._relay = Relay(load({"GW_CONFIG": job["config"]}, job["operator"]))
+        load_records(self._relay.store, preload(job["whole"]["keys"]))
+        member = RealMember(self._relay, job["members"][0], job["whole"])
+        gc.freeze()
+        self._running: asyncio.Task[None] | None = None
+        super().__init__(initial_memory, [member])
 
+    async def serve(self) -> None:
+        await _serve_requests({**self.handlers(), Command.START: self._start, Command.END: self._end})
 
-# ---------------------------------------------------------------- the link layer
+    async def _start(self, _: Request) -> int:
+        if self._running is None:
+            with counting.owned(self._row, "client"):
+                self._running = asyncio.ensure_future(self._relay.run())
+        return 1
 
+    async def _end(self, _: Request) -> bool:
+        if self._running is not None:
+            os.kill(os.getpid(), signal.SIGTERM)
+            await asyncio.wait((self._running,), timeout=RELAY_STOP_TIMEOUT_S)
+            await cancel_and_wait(self._running)
+        return True
 
-async def lanes(job: Job) -> None:
-    by_name = {d["name"]: Lane(d["name"], d["delay_s"], d["loss"]) for d in job["lanes"]}
-    tasks = []
-    for number, entry in enumerate(job["listeners"]):
-        sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        sock.bind(("127.0.0.1", entry["port"]))
-        forwarder = Forwarder(sock, ("127.0.0.1", entry["to"]), by_name[entry["lane"]], job["seed"] + number)
-        tasks.append(asyncio.ensure_future(forwarder.run()))
 
-    async def change(asked: Job) -> Any:
-        """Cuts, heals or loses on the lanes whose names begin so."""
-        for lane in by_name.values():
-            if lane.name.startswith(asked["lanes"]):
-                lane.set_cut(asked.get("cut", lane.cut))
-                lane.loss = asked.get("loss", lane.loss)
+# ---------------------------------------------------------------- link emulation
+
+
+class LinkProcess:
+    """The links that lead to one zone's members."""
+
+    def __init__(self, job: Job) -> None:
+        self._links = {
+            link["name"]: EmulatedLink(link["name"], link["delay_s"], link["loss"]) for link in job["lanes"]
+        }
+        self._tasks = []
+        for number, listener in enumerate(job["listeners"]):
+            sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+            sock.bind((LOOPBACK, listener["port"]))
+            target = (LOOPBACK, listener["to"])
+            forwarder = Forwarder(sock, target, self._links[listener["lane"]], job["seed"] + number)
+            self._tasks.append(asyncio.ensure_future(forwarder.run()))
+
+    async def serve(self) -> None:
+        await _serve_requests(
+            {Command.CONFIGURE_LINKS: self._configure, Command.STATUS: self._status, Command.END: self._end}
+        )
+
+    async def _configure(self, request: Request) -> bool:
+        """Cuts, heals or sets the loss of the links whose names begin with the request's ``lanes``."""
+        for link in self._links.values():
+            if link.name.startswith(request["lanes"]):
+                link.set_cut(request.get("cut", link.is_cut))
+                link.loss = request.get("loss", link.loss)
         return True
 
-    async def told(asked: Job) -> Any:
-        used = {n: [x.octets, x.chunks, x.resent] for n, x in by_name.items()}
-        return {"lanes": used, "memory": _memory({})}
+    async def _status(self, _: Request) -> dict[str, Any]:
+        used = {
+            name: [link.bytes_forwarded, link.chunk_count, link.retransmission_count]
+            for name, link in self._links.items()
+        }
+        return {"lanes": used, "memory": _resident_bytes()}
 
-    async def end(asked: Job) -> Any:
-        for task in tasks:
+    async def _end(self, _: Request) -> bool:
+        for task in self._tasks:
             await cancel_and_wait(task)
         return True
 
-    await _converse({"change": change, "told": told, "end": end})
+
+PROCESSES: dict[Role, Callable[[Job], _ChildRole]] = {
+    Role.HOLLOW: HollowProcess,
+    Role.REAL: RelayProcess,
+    Role.LINKS: LinkProcess,
+}
 
 
-ROLES = {"hollow": hollow, "real": real, "lanes": lanes}
+async def run_job(job: Job) -> None:
+    await PROCESSES[Role(job["role"])](job).serve()
 
 
 def main() -> int:
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGINT, signal.SIGTERM, signal.SIGHUP})
     job = json.loads(Path(sys.argv[1]).read_text(encoding="utf-8"))
-    if job["role"] != "lanes":
-        routes = {("127.0.0.1", int(port)): ("127.0.0.1", by) for port, by in job["routes"].items()}
+    if job["role"] != Role.LINKS:
+        routes = {(LOOPBACK, int(port)): (LOOPBACK, link_port) for port, link_port in job["routes"].items()}
         counting.install(Path(job["counts"]), routes)
     loop = counting.RoutingLoop()
     asyncio.set_event_loop(loop)
     try:
-        loop.run_until_complete(ROLES[job["role"]](job))
+        loop.run_until_complete(run_job(job))
     finally:
         loop.close()
     return 0
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -30,8 +30,15 @@
 from sageturn.lab.scale.digests import LinkOptions
 from sageturn.lab.scale.fit import exponent, fit
 from sageturn.lab.scale.fleet import link_name, peers_of
-from sageturn.lab.scale.lanes import HELD_MOST, RTO_LEAST_S, SEGMENT, Forwarder, Lane, Pipe
-from sageturn.lab.scale.members import Place, Witness, make_spreader, preload, store_hash
+from sageturn.lab.scale.lanes import (
+    MAX_BUFFERED_BYTES,
+    MIN_RETRANSMISSION_TIMEOUT_S,
+    SEGMENT_BYTES,
+    DelayLine,
+    EmulatedLink,
+    Forwarder,
+)
+from sageturn.lab.scale.members import ArrivalRecorder, Location, make_replication, preload, store_hash
 from sageturn.lab.scale.plan import Around, Bounds, Fault, Lanes, ScaleExperiment, Size, Windows, read_scale
 from sageturn.lab.scale.report import fit_lines, plot, table
 from sageturn.lab.scale.results import fits, judged, over_all, predict
@@ -248,74 +255,76 @@
 # ---------------------------------------------------------------- the link layer, with a clock of its own
 
 
-class Line:
-    """A pipe and its clock."""
+class ClockedLine:
+    """A delay line and its clock."""
 
     def __init__(self, delay_s: float = 0.01, loss: float = 0.0, seed: int = 1) -> None:
         self.now_s = 0.0
-        self.lane = Lane("zone:0-0", delay_s, loss)
-        self.pipe = Pipe(self.lane, Random(seed), lambda: self.now_s)
+        self.link = EmulatedLink("zone:0-0", delay_s, loss)
+        self.delay_line = DelayLine(self.link, Random(seed), lambda: self.now_s)
 
-    def taken(self) -> bytes:
+    def take_all(self) -> bytes:
         found = b""
-        while data := self.pipe.take():
+        while data := self.delay_line.take():
             found += data
         return found
 
 
 def test_what_is_sent_is_there_after_the_delay_and_not_before() -> None:
-    line = Line(delay_s=0.035)
-    line.pipe.put(b"ab")
+    line = ClockedLine(delay_s=0.035)
+    line.delay_line.put(b"ab")
     line.now_s = 0.030
-    assert line.taken() == b"" and line.pipe.wait_s() == pytest.approx(0.005)
+    assert line.take_all() == b"" and line.delay_line.wait_s() == pytest.approx(0.005)
     line.now_s = 0.035
-    assert line.taken() == b"ab" and line.pipe.held == 0
+    assert line.take_all() == b"ab" and line.delay_line.buffered_bytes == 0
 
 
 def test_a_cut_holds_back_what_is_on_its_way_and_gives_it_in_order_after() -> None:
-    line = Line()
-    line.pipe.put(b"1")
-    line.lane.set_cut(True)
-    line.pipe.put(b"2")
+    line = ClockedLine()
+    line.delay_line.put(b"1")
+    line.link.set_cut(True)
+    line.delay_line.put(b"2")
     line.now_s = 60.0
-    assert line.taken() == b"" and not line.lane.healed.is_set()
-    line.lane.set_cut(False)
-    assert line.taken() == b"12" and line.lane.healed.is_set()
+    assert line.take_all() == b"" and not line.link.healed.is_set()
+    line.link.set_cut(False)
+    assert line.take_all() == b"12" and line.link.healed.is_set()
 
 
 def test_a_lost_segment_holds_up_all_that_follows_by_tcps_own_timer() -> None:
-    line = Line(loss=0.5, seed=3)
+    line = ClockedLine(loss=0.5, seed=3)
     due = []
     for number in range(40):
         line.now_s = number * 0.001
-        line.pipe.put(bytes([number]))
-        due.append(line.pipe.waiting[-1][0])
+        line.delay_line.put(bytes([number]))
+        due.append(line.delay_line.waiting[-1][0])
     assert due == sorted(due), "nothing overtakes"
-    assert due[-1] - 0.039 > RTO_LEAST_S and line.lane.resent > 0
+    assert due[-1] - 0.039 > MIN_RETRANSMISSION_TIMEOUT_S and line.link.retransmission_count > 0
     line.now_s = due[-1]
-    assert line.taken() == bytes(range(40)), "nothing is lost for good"
+    assert line.take_all() == bytes(range(40)), "nothing is lost for good"
 
 
 def test_a_loss_with_more_behind_it_costs_a_round_trip_and_at_the_end_the_timer() -> None:
-    lane = Lane("x", 0.035)
-    assert lane._recovery_s(1, 3) == pytest.approx(0.07)
-    assert lane._recovery_s(1, 0) == pytest.approx(RTO_LEAST_S)
-    assert lane._recovery_s(2, 0) == pytest.approx(3 * RTO_LEAST_S), "the timer doubles"
+    link = EmulatedLink("x", 0.035)
+    assert link.recovery_s(1, 3) == pytest.approx(0.07)
+    assert link.recovery_s(1, 0) == pytest.approx(MIN_RETRANSMISSION_TIMEOUT_S)
+    assert link.recovery_s(2, 0) == pytest.approx(3 * MIN_RETRANSMISSION_TIMEOUT_S), "the timer doubles"
 
 
 @given(
-    st.lists(st.binary(min_size=1, max_size=4 * SEGMENT), max_size=12), st.floats(0, 0.4), st.integers(0, 99)
+    st.lists(st.binary(min_size=1, max_size=4 * SEGMENT_BYTES), max_size=12),
+    st.floats(0, 0.4),
+    st.integers(0, 99),
 )
 def test_a_lossy_lane_gives_back_the_stream_as_it_was_and_the_same_for_the_same_seed(
     chunks: list[bytes], loss: float, seed: int
 ) -> None:
     def due() -> list[float]:
-        line = Line(loss=loss, seed=seed)
+        line = ClockedLine(loss=loss, seed=seed)
         for data in chunks:
-            line.pipe.put(data)
-        times = [at_s for at_s, _ in line.pipe.waiting]
+            line.delay_line.put(data)
+        times = [at_s for at_s, _ in line.delay_line.waiting]
         line.now_s = 1e9
-        assert line.taken() == b"".join(chunks)
+        assert line.take_all() == b"".join(chunks)
         return times
 
     assert due() == due() == sorted(due())
@@ -364,18 +373,18 @@
 
         endpoint = await asyncio.start_server(echo, "127.0.0.1", 0)
         front = listening()
-        lane = Lane("zone:0-0", 0.001, 0.05)
+        link = EmulatedLink("zone:0-0", 0.001, 0.05)
         running = asyncio.ensure_future(
-            Forwarder(front, endpoint.sockets[0].getsockname(), lane, seed=5).run()
+            Forwarder(front, endpoint.sockets[0].getsockname(), link, seed=5).run()
         )
         await asyncio.sleep(0)  # it listens from its first turn on
         reader, writer = await asyncio.open_connection(*front.getsockname())
         sent = os.urandom(100_000)
-        lane.set_cut(True)
+        link.set_cut(True)
         writer.write(sent)
-        lane.set_cut(False)
+        link.set_cut(False)
         assert await reader.readexactly(len(sent)) == sent
-        assert lane.octets >= 2 * len(sent) and lane.resent > 0
+        assert link.bytes_forwarded >= 2 * len(sent) and link.retransmission_count > 0
         writer.write_eof()
         assert await reader.read() == b"", "an end is passed on as an end"
         writer.close()
@@ -400,23 +409,23 @@
 
         endpoint = await asyncio.start_server(swallow, "127.0.0.1", 0)
         front = listening()
-        lane = Lane("between:0-3", 0.01)
+        link = EmulatedLink("between:0-3", 0.01)
         running = asyncio.ensure_future(
-            Forwarder(front, endpoint.sockets[0].getsockname(), lane, seed=5).run()
+            Forwarder(front, endpoint.sockets[0].getsockname(), link, seed=5).run()
         )
         await asyncio.sleep(0)
         _, writer = await asyncio.open_connection(*front.getsockname())
-        lane.set_cut(True)
-        writer.write(bytes(20 * HELD_MOST))
-        while lane.octets < HELD_MOST:
+        link.set_cut(True)
+        writer.write(bytes(20 * MAX_BUFFERED_BYTES))
+        while link.bytes_forwarded < MAX_BUFFERED_BYTES:
             await asyncio.sleep(0.001)
         for _ in range(50):
             await asyncio.sleep(0.001)
-        assert lane.octets < HELD_MOST + 2 * 65536, "no more is taken up than may be held"
-        lane.set_cut(False)
+        assert link.bytes_forwarded < MAX_BUFFERED_BYTES + 2 * 65536, "no more is taken up than may be held"
+        link.set_cut(False)
         await writer.drain()
         writer.close()
-        while sum(got) < 20 * HELD_MOST:
+        while sum(got) < 20 * MAX_BUFFERED_BYTES:
             await asyncio.sleep(0.001)
         running.cancel()
         await asyncio.wait((running,))
@@ -511,14 +520,14 @@
 def test_a_wiped_copy_keeps_when_it_first_held_a_change_and_counts_anew() -> None:
     held: dict[str, float] = {}
     first = Store("a")
-    witness = Witness(first, held)
-    first.put("change/1", 1)
+    recorder = ArrivalRecorder(first, held)
+    record = first.put("change/1", 1)
     first.put("other", 1)
     second = Store("a")
-    again = Witness(second, held)
-    second.merge([first._records["change/1"]])
+    again = ArrivalRecorder(second, held)
+    second.merge([record])
     assert list(held) == ["change/1"]
-    assert again.again["change/1"] >= witness.again["change/1"] == held["change/1"]
+    assert again.present_copy_s["change/1"] >= recorder.present_copy_s["change/1"] == held["change/1"]
 
 
 def test_copies_with_the_same_records_have_the_same_hash_and_one_change_tells() -> None:
@@ -540,15 +549,15 @@
 
         async def stop(self) -> None: ...
 
-    def make(store: Store, options: LinkOptions, admission: AdmissionController, place: Place) -> Other:
-        made.append((store, place))
+    def make(store: Store, options: LinkOptions, admission: AdmissionController, location: Location) -> Other:
+        made.append((store, location))
         return Other()
 
-    monkeypatch.setitem(members.SPREADS, "other", make)
-    store, place = Store("a"), Place("a", "z0", "g0")
+    monkeypatch.setitem(members.REPLICATIONS, "other", make)
+    store, location = Store("a"), Location("a", "z0", "g0")
     options = LinkOptions(("127.0.0.1", 0), (), b"")
-    found = make_spreader("other", store, options, AdmissionController(ProcessLimits(64, 64.0)), place)
-    assert isinstance(found, Other) and made == [(store, place)]
+    found = make_replication("other", store, options, AdmissionController(ProcessLimits(64, 64.0)), location)
+    assert isinstance(found, Other) and made == [(store, location)]
 
 
 # ---------------------------------------------------------------- costs of single parts
