--- /dev/null
+++ b/sageturn/lab/scale/cost_measuring.py
@@ -0,0 +1,28 @@
+"""What the cost measurements share: processor time of a call, and stores of a given size."""
+
+from __future__ import annotations
+
+import time
+from collections.abc import Callable
+
+from sageturn.lab.scale.members import preload
+from sageturn.store.store import Store
+
+DEFAULT_REPEATS = 5
+
+
+def min_cpu_s(call: Callable[[], object], repeats: int = DEFAULT_REPEATS) -> float:
+    """Processor time of the fastest of some calls: what else runs on the machine counts for little."""
+    durations_s = []
+    for _ in range(repeats):
+        began_s = time.process_time()
+        call()
+        durations_s.append(time.process_time() - began_s)
+    return min(durations_s)
+
+
+def make_store(keys: int) -> Store:
+    """A copy, in memory, that holds so many preloaded records."""
+    store = Store("r0001")
+    store.merge(preload(keys))
+    return store
--- a/sageturn/lab/scale/errors.py
+++ b/sageturn/lab/scale/errors.py
@@ -1,15 +1,35 @@
-"""Errors of a scale run. Each one ends the run; its text is kept in the run's result line."""
+"""Errors of scale runs. A run's failure is kept, as text, in its result line."""
 
 from __future__ import annotations
 
 from typing import ClassVar
 
 
-class ScaleRunError(RuntimeError):
-    """A run could not be carried through."""
+class ScaleError(Exception):
+    """The base of this package's errors."""
 
-    # How result files name the error, also those of earlier revisions.
-    result_name: ClassVar[str] = "RuntimeError"
+    # How result files name the error, also those of earlier revisions; empty where none ever gets there.
+    result_name: ClassVar[str] = ""
+
+
+class InvalidPlanError(ScaleError, ValueError):
+    """A key of an experiment file has a value that is not allowed; the text begins with the key."""
+
+
+class FitError(ScaleError, ValueError):
+    """The measured sizes determine no fit."""
+
+
+class UnavailableReplicationError(ScaleError, ValueError):
+    """The revision that is measured does not have the experiment's ``spread``."""
+
+    result_name = "ValueError"
+
+
+class ScaleRunError(ScaleError, RuntimeError):
+    """A run could not be completed."""
+
+    result_name = "RuntimeError"
 
 
 class ChildFailedError(ScaleRunError):
@@ -27,6 +47,6 @@
 
 
 def describe_failure(error: BaseException) -> str:
-    """What a result line says of the error under the key ``failed``."""
-    name = error.result_name if isinstance(error, ScaleRunError) else type(error).__name__
-    return f"{name}: {error}"
+    """The error's name and text, for a result line's key ``failed`` and a child's answer."""
+    name = error.result_name if isinstance(error, ScaleError) else ""
+    return f"{name or type(error).__name__}: {error}"
--- a/sageturn/lab/scale/fleet.py
+++ b/sageturn/lab/scale/fleet.py
@@ -17,7 +17,7 @@
     high = max(source_zone, target_zone)
     if low == high:
         link_class = WITHIN_ZONE
-    elif experiment.region(low) == experiment.region(high):
+    elif experiment.region_of(low) == experiment.region_of(high):
         link_class = WITHIN_REGION
     else:
         link_class = BETWEEN_REGIONS
@@ -47,7 +47,7 @@
         return member < self._real_count
 
     def zone_of(self, name: str) -> int:
-        return self._experiment.zone(self._numbers[name])
+        return self._experiment.zone_of(self._numbers[name])
 
     def region_of(self, name: str) -> int:
-        return self._experiment.region(self.zone_of(name))
+        return self._experiment.region_of(self.zone_of(name))
--- a/sageturn/lab/scale/jobs.py
+++ b/sageturn/lab/scale/jobs.py
@@ -77,7 +77,7 @@
         common = self._common_settings(discovery)
         hollow_by_zone: dict[int, list[Job]] = {}
         for member in range(self._size.members):
-            zone = self._experiment.zone(member)
+            zone = self._experiment.zone_of(member)
             job = self._member_job(member, zone_names)
             if self._fleet.is_real(member):
                 self._add_relay_job(job, common, zone, discovery)
@@ -103,7 +103,7 @@
         listeners: list[list[Job]] = [[] for _ in range(experiment.zones)]
         for source_zone in range(experiment.zones):
             for member, member_port in enumerate(self._member_ports):
-                target_zone = experiment.zone(member)
+                target_zone = experiment.zone_of(member)
                 port = self._ports.reserve()
                 self._routes[source_zone][member_port] = port
                 name = link_name(experiment, source_zone, target_zone)
@@ -144,12 +144,12 @@
 
     def _member_job(self, member: int, zone_names: Sequence[str]) -> Job:
         experiment = self._experiment
-        zone = experiment.zone(member)
+        zone = experiment.zone_of(member)
         peers = peers_of(self._size, member, experiment.zones)
         return {
             "name": self._fleet.names[member],
             "zone": f"z{zone}",
-            "region": f"g{experiment.region(zone)}",
+            "region": f"g{experiment.region_of(zone)}",
             "port": self._member_ports[member],
             "peers": [self._member_ports[peer] for peer in peers],
             "settings": relay_settings(zone, zone_names, self._size.members),
--- a/sageturn/lab/scale/members.py
+++ b/sageturn/lab/scale/members.py
@@ -22,6 +22,7 @@
 from sageturn.lab.scale.child_protocol import MemberStatus
 from sageturn.lab.scale.counting import owned, owning
 from sageturn.lab.scale.digests import DigestReplication, LinkOptions
+from sageturn.lab.scale.errors import UnavailableReplicationError
 from sageturn.net.admission import AdmissionController, ProcessLimits
 from sageturn.net.discovery import DiscoveryClient
 from sageturn.store.records import StoreRecord
@@ -79,8 +80,8 @@
         replication_options = import_module("sageturn.store.replication.options").ReplicationOptions(
             options.listen, options.peers, options.secret, region=location.region, zone=location.zone
         )
-    except ImportError:
-        raise ValueError("spread: delta is not in this program") from None
+    except ImportError as error:
+        raise UnavailableReplicationError("spread: delta is not in this program") from error
     random = Random(f"scale/{location.name}")
     made: Replication = member.ReplicationMember(store, replication_options, admission, random)
     return made
@@ -95,7 +96,10 @@
 def make_replication(
     spread: str, store: Store, options: LinkOptions, admission: AdmissionController, location: Location
 ) -> Replication:
-    """The one place where a run's key ``spread`` becomes code. Raises ValueError where it is not there."""
+    """The one place where a run's key ``spread`` becomes code.
+
+    Raises UnavailableReplicationError where this revision does not have it.
+    """
     return REPLICATIONS[spread](store, options, admission, location)
 
 
--- a/sageturn/lab/scale/plan.py
+++ b/sageturn/lab/scale/plan.py
@@ -1,4 +1,7 @@
-"""Experiments of scale as files: how many members and keys, which links and faults, and what it may cost."""
+"""Experiments of scale as files: how many members and keys, which links and faults, and what it may cost.
+
+The classes' field names are the keys of the TOML file.
+"""
 
 from __future__ import annotations
 
@@ -10,53 +13,60 @@
 from msgspec import Meta, Struct
 
 from sageturn.lab.experiment import BadExperiment, Name, Positive
+from sageturn.lab.scale.errors import InvalidPlanError
 
-MEMORY_MOST_GB = 12.0
-PROCESSES_MOST = 300
-MINUTES_MOST = 60.0
-DESCRIPTORS = 16000  # for one process; the system here allows 20,000
-CLIENTS_MOST = 4000  # three descriptors each in the run's own process, where hosts and clients stand
+MAX_MEMORY_GB = 12.0
+MAX_PROCESSES = 300
+MAX_MINUTES = 60.0
+MAX_DESCRIPTORS_PER_PROCESS = 16000  # the system here allows 20,000
+MAX_CLIENTS = 4000  # three descriptors each in the run's own process, which has the hosts and clients
 # What a copy's entry of a preloaded record takes: its place in the dictionary, the record being shared.
-ENTRY_OCTETS = 130
+ENTRY_BYTES = 130
+RELAY_RECORD_BYTES = 500
 # Of one process before any member is in it, seen on Python 3.11 to 3.13.
 PROCESS_MB = 45.0
+BYTES_PER_MB = 2**20
+BYTES_PER_GB = 2**30
+S_PER_MINUTE = 60.0
 
 SPREADS = ("digest", "delta")
 TOPOLOGIES = ("mesh", "tree", "seeds")
-FAULTS = ("kill", "zone", "cut", "loss", "restart", "discovery")
+FAULT_KINDS = ("kill", "zone", "cut", "loss", "restart", "discovery")
 
-Part = Annotated[float, Meta(ge=0, le=1)]
-Delay = Annotated[float, Meta(ge=0, le=1000)]
+Ratio = Annotated[float, Meta(ge=0, le=1)]
+DelayMs = Annotated[float, Meta(ge=0, le=1000)]
+NotNegative = Annotated[float, Meta(ge=0)]
 
 
-class Lanes(Struct, frozen=True, forbid_unknown_fields=True):
-    """One way, in milliseconds, by class of link; ``loss`` is a part of TCP's segments."""
+class LinkProfile(Struct, frozen=True, forbid_unknown_fields=True):
+    """One way, in milliseconds, by class of link; ``loss`` is a ratio of TCP's segments."""
 
-    zone_ms: Delay = 0.25
-    region_ms: Delay = 1.0
-    between_ms: Delay = 35.0
-    loss: Part = 0.0
+    zone_ms: DelayMs = 0.25
+    region_ms: DelayMs = 1.0
+    between_ms: DelayMs = 35.0
+    loss: Ratio = 0.0
 
 
 class Fault(Struct, frozen=True, forbid_unknown_fields=True):
-    """Each is a phase of its own, with changes in its middle.
+    """Each is a phase of its own, in which changes are put.
 
-    ``kill``: ``part`` of the members die, and come back after ``length_s`` (``wipe``: with an empty copy).
-    ``zone``: all members of the last zone do. ``cut``: the regions lose each other. ``loss``: ``part`` of all
-    segments. ``restart``: every member in turn, over ``length_s``. ``discovery``: it is down.
+    ``kill``: ``part`` of the members die, and are started again after ``length_s`` (``wipe``: with an empty
+    copy). ``zone``: all members of the last zone do. ``cut``: the regions lose each other. ``loss``: ``part``
+    of all segments. ``restart``: every member in turn, over ``length_s``. ``discovery``: it is down.
     """
 
     kind: str
     length_s: Positive = 10.0
-    part: Part = 0.05
+    part: Ratio = 0.05
     wipe: bool = False
-    after_s: Annotated[float, Meta(ge=0)] = 8.0
+    after_s: NotNegative = 8.0
 
-    def check(self) -> None:
-        if self.kind not in FAULTS:
-            raise ValueError(f"kind: {self.kind} must be one of {', '.join(FAULTS)}")
+    def validate(self) -> None:
+        """Raises InvalidPlanError."""
+        if self.kind not in FAULT_KINDS:
+            raise InvalidPlanError(f"kind: {self.kind} must be one of {', '.join(FAULT_KINDS)}")
         if self.kind in ("kill", "loss") and not 0 < self.part < 1:
-            raise ValueError("part: must be above 0 and under 1")
+            raise InvalidPlanError("part: must be above 0 and under 1")
 
 
 class Size(Struct, frozen=True, forbid_unknown_fields=True):
@@ -70,14 +80,14 @@
     topology: str = "mesh"
     fanout: Annotated[int, Meta(ge=2)] = 8
     per_process: Annotated[int, Meta(ge=1)] = 24
-    clients: Annotated[int, Meta(ge=0, le=4000)] = 0  # standing at each real relay, a line every 2 s
-    state_s: Annotated[float, Meta(ge=0)] = 0.0  # how often a hollow member tells of itself; 0: never
+    clients: Annotated[int, Meta(ge=0, le=4000)] = 0  # connected to each real relay, a line every 2 s
+    state_s: NotNegative = 0.0  # a hollow member's interval between two state records; 0: it writes none
     faults: tuple[Fault, ...] = ()
-    predict: bool = False  # reckoned from the smaller ones before it is played
+    predict: bool = False  # from the smaller ones, before it is run
 
     @property
-    def links(self) -> int:
-        """That members dial, where these are laid down by hand."""
+    def link_count(self) -> int:
+        """Links that members dial, where these are configured by hand."""
         if self.topology == "mesh":
             return self.members * (self.members - 1) // 2
         return self.members - 1
@@ -95,19 +105,23 @@
 
 
 class Bounds(Struct, frozen=True, forbid_unknown_fields=True):
-    memory_gb: Annotated[float, Meta(gt=0, le=MEMORY_MOST_GB)] = 8.0
-    processes: Annotated[int, Meta(ge=3, le=PROCESSES_MOST)] = 64
-    minutes: Annotated[float, Meta(gt=0, le=MINUTES_MOST)] = 10.0  # for one size and seed
+    """What a run may use; one that would or does use more is refused or ended. Minutes are for each run."""
+
+    memory_gb: Annotated[float, Meta(gt=0, le=MAX_MEMORY_GB)] = 8.0
+    processes: Annotated[int, Meta(ge=3, le=MAX_PROCESSES)] = 64
+    minutes: Annotated[float, Meta(gt=0, le=MAX_MINUTES)] = 10.0
 
 
-class Around(Struct, frozen=True, forbid_unknown_fields=True):
-    """What stands around the relays: live hosts on the list, and how long discovery works on a call."""
+class Environment(Struct, frozen=True, forbid_unknown_fields=True):
+    """Live hosts on the list, and how long discovery works on a call; it handles one after another."""
 
     hosts: Annotated[int, Meta(ge=1, le=5000)] = 90
-    call_ms: Annotated[float, Meta(ge=0)] = 0.0  # discovery works so long on each call, one after another
+    call_ms: NotNegative = 0.0
 
 
 class ScaleExperiment(Struct, frozen=True, forbid_unknown_fields=True):
+    """A whole file: its sizes are run one after another, each under every seed."""
+
     name: Name
     sizes: Annotated[tuple[Size, ...], Meta(min_length=1)]
     why: str = ""
@@ -115,83 +129,104 @@
     regions: Annotated[int, Meta(ge=1, le=8)] = 2
     zones: Annotated[int, Meta(ge=1, le=16)] = 5
     interval_s: Annotated[float, Meta(ge=0.05, le=60)] = 2.0
-    lanes: Lanes = Lanes()
+    lanes: LinkProfile = LinkProfile()
     windows: Windows = Windows()
     bounds: Bounds = Bounds()
-    around: Around = Around()
+    around: Environment = Environment()
 
-    def check(self) -> None:
+    # ------------------------------------------------------------ validation
+
+    def validate(self) -> None:
+        """Raises InvalidPlanError, which names the key."""
         if self.zones < self.regions:
-            raise ValueError("zones: each region has at least one")
+            raise InvalidPlanError("zones: each region has at least one")
         names = [size.name for size in self.sizes]
         for number, size in enumerate(self.sizes):
             try:
                 if size.name in names[:number]:
-                    raise ValueError(f"name: {size.name} is there twice")
-                self._check_size(size)
-            except ValueError as error:
-                raise ValueError(f"sizes[{number}].{error}") from None
-
-    def _check_size(self, size: Size) -> None:
-        for key, value, known in (
-            ("spread", size.spread, SPREADS),
-            ("topology", size.topology, TOPOLOGIES),
-        ):
-            if value not in known:
-                raise ValueError(f"{key}: {value} must be one of {', '.join(known)}")
+                    raise InvalidPlanError(f"name: {size.name} is there twice")
+                self._validate_size(size)
+            except InvalidPlanError as error:
+                raise InvalidPlanError(f"sizes[{number}].{error}") from error
+
+    def _validate_size(self, size: Size) -> None:
+        _validate_choice("spread", size.spread, SPREADS)
+        _validate_choice("topology", size.topology, TOPOLOGIES)
         if size.real > size.members:
-            raise ValueError("real: must not be above members")
-        if size.real * size.clients > CLIENTS_MOST:
-            raise ValueError(f"clients: {CLIENTS_MOST} over all real relays at most")
+            raise InvalidPlanError("real: must not be above members")
+        if size.real * size.clients > MAX_CLIENTS:
+            raise InvalidPlanError(f"clients: {MAX_CLIENTS} over all real relays at most")
         for number, fault in enumerate(size.faults):
             try:
-                fault.check()
-            except ValueError as error:
-                raise ValueError(f"faults[{number}].{error}") from None
-        if (needed := self.processes(size)) > self.bounds.processes:
-            allowed = f"bounds.processes allows {self.bounds.processes}"
-            raise ValueError(f"per_process: {needed} processes are needed, {allowed}")
-        if (gb := self.memory_gb(size)) > self.bounds.memory_gb:
-            allowed = f"bounds.memory_gb allows {self.bounds.memory_gb:g}"
-            raise ValueError(f"keys: {gb:.1f} GB are needed, {allowed}")
-        if (most := self.descriptors(size)) > DESCRIPTORS:
-            raise ValueError(f"members: {most} descriptors in one process, {DESCRIPTORS} at most")
-        if (minutes := self.least_s(size) / 60.0) > self.bounds.minutes:
-            allowed = f"bounds.minutes allows {self.bounds.minutes:g}"
-            raise ValueError(f"faults: the run takes {minutes:.1f} minutes, {allowed}")
-
-    # ------------------------------------------------------------ what it takes
-
-    def zone(self, member: int) -> int:
+                fault.validate()
+            except InvalidPlanError as error:
+                raise InvalidPlanError(f"faults[{number}].{error}") from error
+        self._validate_bounds(size)
+
+    def _validate_bounds(self, size: Size) -> None:
+        bounds = self.bounds
+        processes = self.process_count(size)
+        if processes > bounds.processes:
+            raise InvalidPlanError(
+                f"per_process: {processes} processes are needed, bounds.processes allows {bounds.processes}"
+            )
+        memory_gb = self.estimated_memory_gb(size)
+        if memory_gb > bounds.memory_gb:
+            raise InvalidPlanError(
+                f"keys: {memory_gb:.1f} GB are needed, bounds.memory_gb allows {bounds.memory_gb:g}"
+            )
+        descriptors = self.max_descriptors(size)
+        if descriptors > MAX_DESCRIPTORS_PER_PROCESS:
+            raise InvalidPlanError(
+                f"members: {descriptors} descriptors in one process, {MAX_DESCRIPTORS_PER_PROCESS} at most"
+            )
+        minutes = self.min_duration_s(size) / S_PER_MINUTE
+        if minutes > bounds.minutes:
+            raise InvalidPlanError(
+                f"faults: the run takes {minutes:.1f} minutes, bounds.minutes allows {bounds.minutes:g}"
+            )
+
+    # ------------------------------------------------------------ placement
+
+    def zone_of(self, member: int) -> int:
         return member % self.zones
 
-    def region(self, zone: int) -> int:
+    def region_of(self, zone: int) -> int:
         """The first zones are the first region's: 3 and 2 of five."""
         return zone * self.regions // self.zones
 
-    def lane_processes(self) -> int:
-        return self.zones
+    # ------------------------------------------------------------ what a size needs
 
-    def processes(self, size: Size) -> int:
+    def process_count(self, size: Size) -> int:
+        """Whole relays, processes of hollow members, and one of link emulation for each zone."""
         hollow = size.members - size.real
-        each = [len(range(zone, hollow, self.zones)) for zone in range(self.zones)]
-        return size.real + sum(math.ceil(n / size.per_process) for n in each) + self.lane_processes()
+        hollow_by_zone = [len(range(zone, hollow, self.zones)) for zone in range(self.zones)]
+        hollow_processes = sum(math.ceil(members / size.per_process) for members in hollow_by_zone)
+        return size.real + hollow_processes + self.zones
+
+    def estimated_memory_gb(self, size: Size) -> float:
+        """Before anything is started: processes, copies, and real relays' own records."""
+        process_bytes = self.process_count(size) * PROCESS_MB * BYTES_PER_MB
+        copy_bytes = size.members * size.keys * ENTRY_BYTES
+        relay_bytes = size.real * size.keys * RELAY_RECORD_BYTES
+        return (process_bytes + copy_bytes + relay_bytes) / BYTES_PER_GB
+
+    def max_descriptors(self, size: Size) -> int:
+        """Of the process that needs most: a forwarder has two for each of its links, and its listeners."""
+        forwarder = 2 * size.link_count / self.zones + size.members
+        members = min(size.per_process, size.members)
+        worker = 2 * size.link_count / size.members * members + 3 * size.per_process
+        return int(max(forwarder, worker))
 
-    def memory_gb(self, size: Size) -> float:
-        """Reckoned, before anything is started: processes, copies, and real relays' own records."""
-        octets = self.processes(size) * PROCESS_MB * 2**20 + size.members * size.keys * ENTRY_OCTETS
-        return (octets + size.real * size.keys * 500) / 2**30
+    def min_duration_s(self, size: Size) -> float:
+        windows = self.windows
+        faults_s = sum(fault.length_s + fault.after_s + windows.tail_s for fault in size.faults)
+        return windows.settle_s + windows.idle_s + windows.changes_s + windows.tail_s + faults_s
 
-    def descriptors(self, size: Size) -> int:
-        """Of the process that needs most: a forwarder has two for each of its links, and its listeners."""
-        lanes = 2 * size.links / self.zones + size.members
-        worker = 2 * size.links / size.members * min(size.per_process, size.members)
-        return int(max(lanes, worker + 3 * size.per_process))
 
-    def least_s(self, size: Size) -> float:
-        w = self.windows
-        phases = sum(f.length_s + f.after_s + w.tail_s for f in size.faults)
-        return w.settle_s + w.idle_s + w.changes_s + w.tail_s + phases
+def _validate_choice(key: str, value: str, allowed: tuple[str, ...]) -> None:
+    if value not in allowed:
+        raise InvalidPlanError(f"{key}: {value} must be one of {', '.join(allowed)}")
 
 
 def read_scale(file: Path) -> ScaleExperiment:
@@ -199,10 +234,10 @@
     try:
         data = file.read_bytes()
     except OSError as error:
-        raise BadExperiment(f"{file}: {error.strerror}") from None
+        raise BadExperiment(f"{file}: {error.strerror}") from error
     try:
         experiment = msgspec.toml.decode(data, type=ScaleExperiment)
-        experiment.check()
+        experiment.validate()
     except (msgspec.DecodeError, msgspec.ValidationError, ValueError) as error:
-        raise BadExperiment(f"{file}: {error}") from None
+        raise BadExperiment(f"{file}: {error}") from error
     return experiment
--- a/sageturn/lab/scale/process.py
+++ b/sageturn/lab/scale/process.py
@@ -24,6 +24,7 @@
 from sageturn.core.tasks import cancel_and_wait
 from sageturn.lab.scale import counting
 from sageturn.lab.scale.child_protocol import Command, ProcessStatus, Role
+from sageturn.lab.scale.errors import describe_failure
 from sageturn.lab.scale.lanes import EmulatedLink, Forwarder
 from sageturn.lab.scale.members import HollowMember, Member, RealMember, load_records, preload
 
@@ -56,7 +57,7 @@
         try:
             _answer(await handlers[request["do"]](request))
         except Exception as error:  # the run reports it, and ends
-            _answer({"error": f"{type(error).__name__}: {error}"})
+            _answer({"error": describe_failure(error)})
         if request["do"] == Command.END:
             return
 
--- /dev/null
+++ b/sageturn/lab/scale/relay_costs.py
@@ -0,0 +1,112 @@
+"""What reading the endpoint list, balancing decisions and flow records cost, by their size."""
+
+from __future__ import annotations
+
+import json
+from typing import Any
+
+from sageturn import decision
+from sageturn.core.close_reason import CloseReason
+from sageturn.core.connection_record import ConnectionRecord
+from sageturn.core.messages import ClientRequest
+from sageturn.decision.balancer import Balancer
+from sageturn.flows.exporter import to_flow
+from sageturn.lab.scale.cost_measuring import min_cpu_s
+from sageturn.net.endpoint_list import parse_endpoint_list
+
+Line = dict[str, Any]
+
+REQUESTS_PER_BATCH = 400
+MEASURED_BATCHES = 3
+REQUEST_INTERVAL_MS = 4.0
+REQUEST_TIMEOUT_MS = 2000.0
+RECORDS_PER_REPEAT = 1000
+
+
+def endpoint_list(hosts: int) -> Line:
+    """As discovery writes it."""
+    return {
+        "version": 1,
+        "full": True,
+        "servers": [
+            {
+                "id": f"h{number:05d}",
+                "addr": f"10.0.{number // 256}.{number % 256}:8081",
+                "zone": f"z{number % 5}",
+                "kind": "c2-std",
+                "cell": 0,
+                "state": "ready",
+                "weight": 1.0,
+                "started_ms": 0,
+            }
+            for number in range(hosts)
+        ],
+    }
+
+
+def list_reading(hosts: int) -> Line:
+    text = json.dumps(endpoint_list(hosts))
+    return {"octets": len(text), "read_s": min_cpu_s(lambda: parse_endpoint_list(json.loads(text)))}
+
+
+class _RequestLoad:
+    """Requests one after another at a balancer: each arrives, is connected, and ends well."""
+
+    def __init__(self, balancer: Balancer) -> None:
+        self._balancer = balancer
+        self.request_count = 0
+        self.placed_count = 0
+
+    def run_batch(self) -> None:
+        for _ in range(REQUESTS_PER_BATCH):
+            self._run_request(self.request_count)
+            self.request_count += 1
+
+    def _run_request(self, number: int) -> None:
+        now_ms = 1000.0 + number * REQUEST_INTERVAL_MS
+        arrived = decision.RequestArrived(number, "c", "t", deadline_ms=now_ms + REQUEST_TIMEOUT_MS)
+        actions = self._balancer.handle(now_ms, arrived)
+        endpoint = next((act.endpoint for act in actions if isinstance(act, decision.PlaceRequest)), None)
+        if endpoint is None:
+            return
+        self.placed_count += 1
+        self._balancer.handle(now_ms + 1.0, decision.ConnectionEstablished(number, 0, endpoint))
+        self._balancer.handle(now_ms + 2.0, decision.AttemptEnded(number, 0, endpoint, "ok", final=True))
+
+
+def decisions(hosts: int) -> Line:
+    """A request's three events at the balancer, a full list, and a list's change of one host."""
+    settings = decision.Settings(
+        classes=(decision.RequestClass("c", latency_objective_ms=500.0),),
+        tenants=(decision.Tenant("t", 1e9, 1e9),),
+        relay_count=460,
+        discovery="push",
+    )
+    balancer = Balancer(settings, 1)
+    listed = parse_endpoint_list(endpoint_list(hosts))
+    list_s = min_cpu_s(
+        lambda: balancer.handle(0.0, decision.EndpointListEvent("full", listed.endpoints)), repeats=1
+    )
+    load = _RequestLoad(balancer)
+    load.run_batch()  # the first one warms up
+    request_s = min_cpu_s(load.run_batch, MEASURED_BATCHES) / REQUESTS_PER_BATCH
+    draining = [decision.Endpoint("h00001", "draining", zone="z1")]
+    change_s = min_cpu_s(lambda: balancer.handle(1e6, decision.EndpointListEvent("changes", draining)))
+    placed_ratio = load.placed_count / load.request_count
+    return {"request_s": request_s, "list_s": list_s, "change_s": change_s, "sent": placed_ratio}
+
+
+def flow_record(name_length: int) -> Line:
+    """What is exported for one ended connection whose class and tenant have names of that length."""
+    request = ClientRequest("c" * name_length, "t" * name_length, REQUEST_TIMEOUT_MS)
+    record = ConnectionRecord(request, 1.0, client_address=("10.0.0.1", 40000))
+    record.endpoint = "h"
+    record.endpoint_address = ("10.0.0.2", 8081)
+    record.ended_ms = 2.0
+    record.close_reason = CloseReason.MOVED
+
+    def encode() -> None:
+        for _ in range(RECORDS_PER_REPEAT):
+            to_flow(record).encode()
+
+    return {"octets": len(to_flow(record).encode()), "encode_s": min_cpu_s(encode) / RECORDS_PER_REPEAT}
--- a/sageturn/lab/scale/report.py
+++ b/sageturn/lab/scale/report.py
@@ -12,7 +12,7 @@
 import matplotlib.pyplot as plt  # noqa: E402  (the backend is chosen first: there is no screen)
 
 from sageturn.lab.runs import Results  # noqa: E402
-from sageturn.lab.scale.results import fits, usable, value  # noqa: E402
+from sageturn.lab.scale.predictions import fit_runs, is_usable, metric_value  # noqa: E402
 
 Line = dict[str, Any]
 
@@ -95,15 +95,15 @@
     """Each slope with its interval and how straight it is; and the predictions beside what came."""
     told = []
     for spread in dict.fromkeys(line["spread"] for line in results.runs):
-        for metric, slope in fits(results.runs, spread).items():
+        for metric, slope in fit_runs(results.runs, spread).items():
             parts = [
                 f"{v:.4g} a {t} ({a:.4g} to {b:.4g})"
                 for t, v, a, b in zip(slope.terms, slope.values, slope.low, slope.high, strict=True)
             ]
-            straight = "straight" if slope.straight else "NOT straight"
+            straight = "straight" if slope.is_straight else "NOT straight"
             told.append(
-                f"{spread}: idle {metric} a member = {' + '.join(parts)}; {slope.sizes} sizes, "
-                f"r2 {slope.r2:.4f}, worst residual {slope.worst:.0%}: {straight}"
+                f"{spread}: idle {metric} a member = {' + '.join(parts)}; {slope.size_count} sizes, "
+                f"r2 {slope.r2:.4f}, worst residual {slope.max_residual:.0%}: {straight}"
             )
     for line in results.runs:
         for metric, p in line.get("predicted", {}).items():
@@ -121,7 +121,7 @@
     """Octets, processor time, and time until the last holds a change, by members; a line for each number
     of keys and spread, and the operators' allowance."""
     figure, axes = plt.subplots(1, 3, figsize=(14, 4.2), layout="constrained")
-    sound = [line for line in results.runs if usable(line)]
+    sound = [line for line in results.runs if is_usable(line)]
     sizes = sorted({line["members"] for line in sound})
     series = sorted({(line["spread"], line["keys"]) for line in sound})
     for number, (spread, keys) in enumerate(series):
@@ -130,7 +130,7 @@
         )
         label, mark = f"{spread}, {keys:,} keys", "osd^vx*"[number % 7]
         for axis, metric in ((axes[0], "octets"), (axes[1], "core")):
-            points = [(ln["members"], v) for ln in lines if (v := value(ln, metric))]
+            points = [(ln["members"], v) for ln in lines if (v := metric_value(ln, metric))]
             if points:
                 axis.plot(*zip(*points, strict=True), marker=mark, label=label)
         held = [(ln["members"], ln["phases"]["changes"]["changes"]["last"].get("p99")) for ln in lines]
--- a/sageturn/lab/scale/scale_run.py
+++ b/sageturn/lab/scale/scale_run.py
@@ -191,7 +191,7 @@
         result.started_s = time.monotonic() - began_s
         result.listed = await members.wait_until_listed(began_s, timeout_s)
         if self._size.topology != "seeds":  # there members choose their links themselves
-            result.linked_s = await members.wait_until_linked(self._size.links, timeout_s)
+            result.linked_s = await members.wait_until_linked(self._size.link_count, timeout_s)
 
     async def _start_clients(self) -> None:
         """Until all of them are served, or the readiness timeout is over: the line has how many are."""
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -24,11 +24,13 @@
 from sageturn.cli.main import app
 from sageturn.lab.experiment import BadExperiment
 from sageturn.lab.runs import Results
-from sageturn.lab.scale import costs, counting, members
+from sageturn.lab.scale import costs, counting, members, relay_costs, store_costs
 from sageturn.lab.scale.arrivals import encode_durations
+from sageturn.lab.scale.cost_measuring import make_store
 from sageturn.lab.scale.counting import CountingSocket, Counts, owned
 from sageturn.lab.scale.digests import LinkOptions
-from sageturn.lab.scale.fit import exponent, fit
+from sageturn.lab.scale.errors import FitError, InvalidPlanError
+from sageturn.lab.scale.fit import fit, fit_exponent
 from sageturn.lab.scale.fleet import link_name, peers_of
 from sageturn.lab.scale.lanes import (
     MAX_BUFFERED_BYTES,
@@ -38,10 +40,20 @@
     EmulatedLink,
     Forwarder,
 )
+from sageturn.lab.scale.list_calls import list_calls
 from sageturn.lab.scale.members import ArrivalRecorder, Location, make_replication, preload, store_hash
-from sageturn.lab.scale.plan import Around, Bounds, Fault, Lanes, ScaleExperiment, Size, Windows, read_scale
+from sageturn.lab.scale.plan import (
+    Bounds,
+    Environment,
+    Fault,
+    LinkProfile,
+    ScaleExperiment,
+    Size,
+    Windows,
+    read_scale,
+)
+from sageturn.lab.scale.predictions import fit_runs, judge_predictions, mean_of_members, predict
 from sageturn.lab.scale.report import fit_lines, plot, table
-from sageturn.lab.scale.results import fits, judged, over_all, predict
 from sageturn.lab.scale.scale_run import ScaleRun, run_size
 from sageturn.lab.scale.usage import encode_usage
 from sageturn.net.admission import AdmissionController, ProcessLimits
@@ -118,19 +130,19 @@
 def test_a_straight_line_is_found_and_told_from_a_bent_one() -> None:
     rows = [[1.0, n] for n in (10.0, 20.0, 40.0, 80.0)]
     line = fit(("1", "n"), rows, [5.0 + 3.0 * n for _, n in rows])
-    assert line.values == pytest.approx((5.0, 3.0)) and line.straight and line.r2 == pytest.approx(1.0)
+    assert line.values == pytest.approx((5.0, 3.0)) and line.is_straight and line.r2 == pytest.approx(1.0)
     middle, low, high = line.at([1.0, 160.0])
     assert middle == pytest.approx(485.0) and low == pytest.approx(middle) == high
     bent = fit(("1", "n"), rows, [n * n for _, n in rows])
-    assert not bent.straight and bent.worst > 0.2
+    assert not bent.is_straight and bent.max_residual > 0.2
     assert bent.at([1.0, 160.0])[2] - bent.at([1.0, 160.0])[1] > 1000.0, "what is bent is told with doubt"
 
 
 def test_three_sizes_are_too_few_for_a_slope_however_straight() -> None:
     rows = [[1.0, n] for n in (10.0, 20.0, 40.0)]
-    assert not fit(("1", "n"), rows, [2.0 * n for _, n in rows]).straight
+    assert not fit(("1", "n"), rows, [2.0 * n for _, n in rows]).is_straight
     again = [*rows, rows[0]]
-    assert not fit(("1", "n"), again, [2.0 * n for _, n in again]).straight, "the same size twice is one"
+    assert not fit(("1", "n"), again, [2.0 * n for _, n in again]).is_straight, "the same size twice is one"
 
 
 @pytest.mark.parametrize(
@@ -143,7 +155,7 @@
     ],
 )
 def test_what_tells_no_slope_is_refused(rows: list[list[float]], y: list[float]) -> None:
-    with pytest.raises(ValueError):
+    with pytest.raises(FitError):
         fit(("1", "n"), rows, y)
 
 
@@ -163,15 +175,15 @@
     times = 10.0**scaled
     again = fit(("1", "n"), rows, [v * times for v in y])
     assert again.values[1] == pytest.approx(line.values[1] * times, rel=1e-6)
-    assert again.worst == pytest.approx(line.worst, rel=1e-6, abs=1e-9)
+    assert again.max_residual == pytest.approx(line.max_residual, rel=1e-6, abs=1e-9)
 
 
 def test_an_exponent_tells_a_square_from_a_line() -> None:
     x = [10.0, 20.0, 40.0, 80.0]
-    square = exponent(x, [n * n * (1.0 + 0.01 * (-1) ** k) for k, n in enumerate(x)])
+    square = fit_exponent(x, [n * n * (1.0 + 0.01 * (-1) ** k) for k, n in enumerate(x)])
     assert square.low < 2.0 < square.high and square.low > 1.9
-    with pytest.raises(ValueError):
-        exponent(x[:2], [1.0, 2.0])
+    with pytest.raises(FitError):
+        fit_exponent(x[:2], [1.0, 2.0])
 
 
 def run_line(n: int, keys: int, octets: float, **more: object) -> dict[str, object]:
@@ -202,20 +214,20 @@
     size = Size("m32", 32, keys=100)
     told = predict(lines, size)
     assert told["octets"]["value"] == pytest.approx(31 * (70.0 + 2700.0))
-    assert fits(lines, "digest")["octets"].sizes == 4 and fits(lines, "delta") == {}
-    came = judged(run_line(32, 100, 31 * 2770.0 * 3.0, predicted=told))
+    assert fit_runs(lines, "digest")["octets"].size_count == 4 and fit_runs(lines, "delta") == {}
+    came = judge_predictions(run_line(32, 100, 31 * 2770.0 * 3.0, predicted=told))
     assert came["predicted"]["octets"]["inside"] is False
     assert came["predicted"]["octets"]["ratio"] == pytest.approx(3.0)
-    failed = judged({"failed": "memory_gb", "predicted": predict(lines, size)})
+    failed = judge_predictions({"failed": "memory_gb", "predicted": predict(lines, size)})
     assert failed["predicted"]["octets"].keys() == {"value", "low", "high", "fit"}
     assert predict(lines[:3], size) == {}, "three sizes tell no slope"
 
 
 def test_sizes_that_tell_two_terms_not_apart_are_fitted_with_one() -> None:
     lines = [run_line(n, 100, (n - 1) * 2700.0) for n in (4, 8, 16, 32)]
-    assert fits(lines, "digest")["octets"].terms == ("links",)
+    assert fit_runs(lines, "digest")["octets"].terms == ("links",)
     chatty = [run_line(n, 100, (n - 1) * (2700.0 + 190.0 * n / 5.0), state_s=5.0) for n in (4, 8, 16, 32)]
-    slope = fits(chatty, "digest")["octets"]
+    slope = fit_runs(chatty, "digest")["octets"]
     assert slope.terms == ("links", "links*news") and slope.values == pytest.approx((2700.0, 190.0))
     told = predict(chatty, Size("m64", 64, keys=100, state_s=5.0))
     assert told["octets"]["value"] == pytest.approx(63 * (2700.0 + 190.0 * 64 / 5.0))
@@ -228,14 +240,14 @@
         idle = line["phases"]["idle"]  # type: ignore[index]
         idle["real"] = {"octets": 3700.0, "core": 0.003 + 6e-5 * n}
         lines.append(line)
-    found = fits(lines, "digest")
+    found = fit_runs(lines, "digest")
     assert found["real_core"].values == pytest.approx((0.003, 6e-5))
     assert found["real_mb"].values == pytest.approx((30.0, 0.04))
     assert "octets" not in found, "there is one size of links"
     told = predict(lines, Size("c4000", 2, real=1, clients=4000))
     assert told["real_mb"]["value"] == pytest.approx(190.0)
     assert predict(lines, Size("c0", 2, real=1)) == {}
-    assert over_all(lines[0], "octets") == pytest.approx((2700.0 + 3700.0) / 2.0)
+    assert mean_of_members(lines[0], "octets") == pytest.approx((2700.0 + 3700.0) / 2.0)
 
 
 def test_reports_say_what_failed_what_was_held_up_and_how_straight_a_slope_is(tmp_path: Path) -> None:
@@ -332,7 +344,7 @@
 
 def test_lanes_are_named_by_both_zones_and_lie_in_two_regions() -> None:
     x = ScaleExperiment("x", (Size("a", 10),))
-    assert [x.region(z) for z in range(5)] == [0, 0, 0, 1, 1]
+    assert [x.region_of(z) for z in range(5)] == [0, 0, 0, 1, 1]
     assert link_name(x, 2, 0) == link_name(x, 0, 2) == "region:0-2"
     assert link_name(x, 4, 1) == "between:1-4" and link_name(x, 3, 3) == "zone:3-3"
 
@@ -341,7 +353,7 @@
     for topology in ("mesh", "tree"):
         size = Size("a", 30, topology=topology, fanout=4)
         dialled = [peers_of(size, n, 5) for n in range(30)]
-        assert sum(map(len, dialled)) == size.links
+        assert sum(map(len, dialled)) == size.link_count
         reached = {0}
         for member, peers in enumerate(dialled):
             assert all(peer < member for peer in peers)
@@ -564,24 +576,27 @@
 
 
 def test_each_part_is_measured_at_the_size_it_is_asked_for() -> None:
-    digest = costs.store_digest(30)
-    frame = json.dumps({"digest": costs.filled(30).digest()}, separators=(",", ":"))
+    digest = store_costs.store_digest(30)
+    frame = json.dumps({"digest": make_store(30).digest()}, separators=(",", ":"))
     assert digest["octets"] == len(frame) and digest["frame_part"] == pytest.approx(len(frame) / (4 << 20))
-    assert costs.store_memory(300)["kept"] == 300 and costs.store_memory(300)["octets"] > 300 * 100
-    log = costs.store_log(30)
+    memory = store_costs.store_memory(300)
+    assert memory["kept"] == 300 and memory["octets"] > 300 * 100
+    log = store_costs.store_log(30)
     assert log["octets"] > 30 * 50 and log["put_s"] > 0
-    copied = costs.operator_command(450)  # three frames
+    copied = store_costs.operator_command(450)  # three frames
     assert copied["kept"] == 450 and 0 < copied["copied_s"] <= copied["done_s"]
-    assert costs.list_reading(40)["octets"] > 40 * 100
-    assert costs.decisions(12)["sent"] == 1.0
-    assert costs.flow_record(9)["octets"] - costs.flow_record(8)["octets"] == 2, "class and tenant"
+    assert relay_costs.list_reading(40)["octets"] > 40 * 100
+    assert relay_costs.decisions(12)["sent"] == 1.0
+    assert relay_costs.flow_record(9)["octets"] - relay_costs.flow_record(8)["octets"] == 2, (
+        "class and tenant"
+    )
 
 
 def test_calls_for_the_list_pile_up_where_discovery_is_slower_than_they_come() -> None:
-    quick, slow = costs.list_calls(60, 2.0, True, 1), costs.list_calls(60, 130.0, True, 1)
+    quick, slow = list_calls(60, 2.0, True, 1), list_calls(60, 130.0, True, 1)
     assert quick["failed"] == 0 and quick["calls"] == 60 and quick["last_s"] < 2.0
     assert slow["failed"] > 0 and slow["calls"] == 60 + slow["failed"] and slow["last_s"] > 60 * 0.13
-    assert costs.list_calls(60, 130.0, True, 1) == slow, "the same seed, the same day"
+    assert list_calls(60, 130.0, True, 1) == slow, "the same seed, the same day"
 
 
 def test_a_parts_lines_end_with_its_fits_and_an_unknown_part_is_named(tmp_path: Path) -> None:
@@ -625,10 +640,10 @@
         seeds=(7,),
         interval_s=interval_s,
         windows=SMALL,
-        lanes=Lanes(between_ms=2.0),
-        around=Around(hosts=8),
+        lanes=LinkProfile(between_ms=2.0),
+        around=Environment(hosts=8),
     )
-    experiment.check()
+    experiment.validate()
     line = asyncio.run(ScaleRun(experiment, experiment.sizes[0], 7, tmp_path).run())
     assert line["equal"]["all"] and line["links"] == 10
     idle, changes = line["phases"]["idle"], line["phases"]["changes"]
@@ -666,8 +681,8 @@
         seeds=(7,),
         interval_s=0.5,
         windows=msgspec.structs.replace(SMALL, changes=20),
-        lanes=Lanes(between_ms=2.0),
-        around=Around(hosts=8),
+        lanes=LinkProfile(between_ms=2.0),
+        around=Environment(hosts=8),
     )
     line = asyncio.run(ScaleRun(experiment, experiment.sizes[0], 7, tmp_path).run())
     phases = line["phases"]
@@ -688,8 +703,8 @@
 def test_a_run_over_its_bound_is_ended_and_says_so(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(tempfile, "tempdir", str(tmp_path))
     tight = ScaleExperiment("x", (Size("a", 3),), windows=SMALL, bounds=Bounds(memory_gb=0.01))
-    with pytest.raises(ValueError, match=r"sizes\[0\].keys"):
-        tight.check()  # it would be refused when read; here it is begun all the same
+    with pytest.raises(InvalidPlanError, match=r"sizes\[0\].keys"):
+        tight.validate()  # it would be refused when read; here it is begun all the same
     line = asyncio.run(run_size(tight, tight.sizes[0], 1, lambda text: None))
     assert line["failed"].startswith("Overrun: memory_gb")
     assert left_behind(tmp_path) == [] and list(tmp_path.iterdir()) == []
