--- a/sageturn/lab/scale/counting.py
+++ b/sageturn/lab/scale/counting.py
@@ -1,6 +1,7 @@
-"""Octets and messages counted where they pass the socket, by member and by what the socket is for.
+"""Bytes and messages counted where they pass the socket, by member and by what the socket is for.
 
-The counts lie in a file that the run reads at any moment, without a word to the process that counts.
+The counts lie in a memory-mapped file, which the run reads at any moment without asking the process that
+counts.
 """
 
 from __future__ import annotations
@@ -12,116 +13,134 @@
 from contextvars import ContextVar
 from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
+from typing import Any, Final
 
 import uvloop
 
+Address = tuple[str, int]
+
+# The order of purposes and fields is that of the file's counters.
 PURPOSES = ("store", "list", "client")
 FIELDS = ("in_octets", "out_octets", "in_messages", "out_messages")
-ROW = len(PURPOSES) * len(FIELDS)
-CLIENT = 2
+IN_BYTES, OUT_BYTES, IN_MESSAGES, OUT_MESSAGES = range(len(FIELDS))
+DEFAULT_PURPOSE = PURPOSES.index("client")
+COUNTER_BYTES = 8
+COUNTER_FORMAT: Final = "Q"  # as memoryview.cast names it
+COUNTERS_PER_MEMBER = len(PURPOSES) * len(FIELDS)
+NO_MEMBER = -1
 
-# Whose socket it is, and what for: a task passes both on to those that it begins.
-_row: ContextVar[int] = ContextVar("row", default=-1)
-_purpose: ContextVar[int] = ContextVar("purpose", default=CLIENT)
-_counts: memoryview | None = None
-_routes: dict[tuple[str, int], tuple[str, int]] = {}
+# The owner and purpose of sockets: a task passes both on to those that it starts.
+_member: ContextVar[int] = ContextVar("member", default=NO_MEMBER)
+_purpose: ContextVar[int] = ContextVar("purpose", default=DEFAULT_PURPOSE)
+_counters: memoryview | None = None
+_routes: dict[Address, Address] = {}
 
 
 @dataclass(frozen=True, slots=True)
 class Counts:
-    """Of one member, by purpose: in and out, octets and messages (writes and reads that carried any)."""
+    """Of one member, by purpose and field; a message is a write or read that carried any byte."""
 
     values: dict[str, dict[str, int]]
 
     def since(self, before: Counts) -> Counts:
         return Counts(
-            {p: {f: n - before.values[p][f] for f, n in fields.items()} for p, fields in self.values.items()}
+            {
+                purpose: {field: count - before.values[purpose][field] for field, count in fields.items()}
+                for purpose, fields in self.values.items()
+            }
         )
 
     def sum(self, field: str, *purposes: str) -> int:
-        return sum(self.values[p][field] for p in purposes or PURPOSES)
+        """Over these purposes, or over all if none is given."""
+        return sum(self.values[purpose][field] for purpose in purposes or PURPOSES)
 
 
-def make(file: Path, members: int) -> None:
-    file.write_bytes(bytes(8 * ROW * max(1, members)))
+def create_file(file: Path, members: int) -> None:
+    """All counters at zero."""
+    file.write_bytes(bytes(COUNTER_BYTES * COUNTERS_PER_MEMBER * max(1, members)))
 
 
-def read(file: Path, members: int) -> list[Counts]:
-    flat = memoryview(file.read_bytes()).cast("Q")
+def read_file(file: Path, members: int) -> list[Counts]:
+    counters = memoryview(file.read_bytes()).cast(COUNTER_FORMAT)
     found = []
     for member in range(members):
-        row = iter(flat[member * ROW : (member + 1) * ROW])
-        found.append(Counts({p: {f: next(row) for f in FIELDS} for p in PURPOSES}))
+        start = member * COUNTERS_PER_MEMBER
+        row = iter(counters[start : start + COUNTERS_PER_MEMBER])
+        found.append(Counts({purpose: {field: next(row) for field in FIELDS} for purpose in PURPOSES}))
     return found
 
 
 @contextmanager
 def owned(member: int, purpose: str) -> Iterator[None]:
-    """Sockets that are made in here, and by tasks begun in here, count for this member and purpose."""
-    row, kind = _row.set(member), _purpose.set(PURPOSES.index(purpose))
+    """Sockets that are made in here, and by tasks started in here, count for this member and purpose."""
+    member_token = _member.set(member)
+    purpose_token = _purpose.set(PURPOSES.index(purpose))
     try:
         yield
     finally:
-        _row.reset(row)
-        _purpose.reset(kind)
+        _member.reset(member_token)
+        _purpose.reset(purpose_token)
+
 
+def owning(member: int, purpose: str, function: Callable[..., Any]) -> Callable[..., Any]:
+    """The function, with its calls inside ``owned``."""
 
-def owning(member: int, purpose: str, call: Callable[..., Any]) -> Callable[..., Any]:
-    def called(*arguments: Any, **named: Any) -> Any:
+    def call_owned(*arguments: Any, **keywords: Any) -> Any:
         with owned(member, purpose):
-            return call(*arguments, **named)
+            return function(*arguments, **keywords)
 
-    return called
+    return call_owned
 
 
 class CountingSocket(socket.socket):
     """A socket that counts what the kernel took and gave. ``accept`` makes such ones too, once installed."""
 
-    __slots__ = ("_at",)
+    __slots__ = ("_first_counter",)
 
-    def __init__(self, *arguments: Any, **named: Any) -> None:
-        super().__init__(*arguments, **named)
-        row = _row.get()
-        self._at = -1 if row < 0 else row * ROW + _purpose.get() * len(FIELDS)
+    def __init__(self, *arguments: Any, **keywords: Any) -> None:
+        super().__init__(*arguments, **keywords)
+        member = _member.get()
+        self._first_counter = NO_MEMBER
+        if member != NO_MEMBER:
+            self._first_counter = member * COUNTERS_PER_MEMBER + _purpose.get() * len(FIELDS)
 
-    def _count(self, out: int, octets: int) -> None:
-        if self._at >= 0 and octets and _counts is not None:
-            _counts[self._at + out] += octets
-            _counts[self._at + 2 + out] += 1
+    def _count(self, bytes_field: int, messages_field: int, byte_count: int) -> None:
+        if self._first_counter >= 0 and byte_count and _counters is not None:
+            _counters[self._first_counter + bytes_field] += byte_count
+            _counters[self._first_counter + messages_field] += 1
 
     def send(self, *arguments: Any) -> int:
         sent = super().send(*arguments)
-        self._count(1, sent)
+        self._count(OUT_BYTES, OUT_MESSAGES, sent)
         return sent
 
     def sendmsg(self, *arguments: Any) -> int:
         sent = super().sendmsg(*arguments)
-        self._count(1, sent)
+        self._count(OUT_BYTES, OUT_MESSAGES, sent)
         return sent
 
     def recv(self, *arguments: Any) -> bytes:
         data = super().recv(*arguments)
-        self._count(0, len(data))
+        self._count(IN_BYTES, IN_MESSAGES, len(data))
         return data
 
     def recv_into(self, *arguments: Any) -> int:
         size = super().recv_into(*arguments)
-        self._count(0, size)
+        self._count(IN_BYTES, IN_MESSAGES, size)
         return size
 
 
-def install(file: Path, routes: dict[tuple[str, int], tuple[str, int]]) -> None:
-    """For this whole process, which is a lab's: every socket from now on counts, and dials by ``routes``."""
-    global _counts
+def install(file: Path, routes: dict[Address, Address]) -> None:
+    """For this whole process, which is the lab's: every later socket counts, and connects by ``routes``."""
+    global _counters
     with file.open("r+b") as opened:
-        _counts = memoryview(mmap.mmap(opened.fileno(), 0)).cast("Q")
+        _counters = memoryview(mmap.mmap(opened.fileno(), 0)).cast(COUNTER_FORMAT)
     _routes.update(routes)
     socket.socket = CountingSocket  # type: ignore[misc]
 
 
 class RoutingLoop(uvloop.Loop):
-    """Dials a member at its own address, and is led through the link layer from this process's zone."""
+    """Connects to a member's own address through the link emulation, from this process's zone."""
 
     async def sock_connect(self, sock: socket.socket, address: Any) -> None:
         await super().sock_connect(sock, _routes.get(tuple(address), address))
--- a/sageturn/lab/scale/jobs.py
+++ b/sageturn/lab/scale/jobs.py
@@ -91,7 +91,7 @@
         number = len(self._processes)
         if job["role"] != Role.LINKS:
             counts_file = self._folder / f"counts{number}"
-            counting.make(counts_file, len(job["members"]))
+            counting.create_file(counts_file, len(job["members"]))
             job["counts"] = str(counts_file)
         self._processes.append(ChildProcess(job, self._folder, number))
 
--- a/sageturn/lab/scale/report.py
+++ b/sageturn/lab/scale/report.py
@@ -1,7 +1,8 @@
-"""What a scale run's lines say: tables, fits and a plot."""
+"""What a scale run's lines say: a table, fits and a plot."""
 
 from __future__ import annotations
 
+from collections.abc import Sequence
 from pathlib import Path
 from typing import Any
 
@@ -10,147 +11,154 @@
 matplotlib.use("Agg")
 
 import matplotlib.pyplot as plt  # noqa: E402  (the backend is chosen first: there is no screen)
+from matplotlib.axes import Axes  # noqa: E402
 
 from sageturn.lab.runs import Results  # noqa: E402
 from sageturn.lab.scale.predictions import fit_runs, is_usable, metric_value  # noqa: E402
 
-Line = dict[str, Any]
+Line = dict[str, Any]  # of a result file, by that file's keys
 
 # The operators' allowance for control, for each relay.
-OCTETS_GOAL, CORE_GOAL, HELD_GOAL_S = 27_000.0, 0.03, 4.0
-NEVER_S = 30.0  # where a plot shows what never came
-
-
-def _shown(number: float | None, form: str = ".3g") -> str:
-    return "-" if number is None else format(number, form)
+MAX_BYTES_PER_S = 27_000.0
+MAX_CORE = 0.03
+MAX_PROPAGATION_S = 4.0
+
+UNMEASURED_S = 30.0  # where the plot shows changes that some member never held
+MARKERS = "osd^vx*"
+MAX_FAILURE_CHARS = 60
+
+COLUMNS = (
+    "size",
+    "spread",
+    "seed",
+    "members",
+    "keys",
+    "links",
+    "phase",
+    "KB/s a member",
+    "busiest",
+    "core a member",
+    "busiest",
+    "last held p50",
+    "p99",
+    "worst s",
+    "never",
+    "equal",
+    "",
+)
+LEADING_COLUMNS = 5  # those of every run, also of a failed one
+
+
+# ---------------------------------------------------------------- table
 
 
 def table(results: Results) -> list[list[str]]:
-    """A row for each run and phase."""
-    rows = [
-        [
-            "size",
-            "spread",
-            "seed",
-            "members",
-            "keys",
-            "links",
-            "phase",
-            "KB/s a member",
-            "busiest",
-            "core a member",
-            "busiest",
-            "last held p50",
-            "p99",
-            "worst s",
-            "never",
-            "equal",
-            "",
-        ]
-    ]
+    """The column titles, and a row for each run and phase; a run that failed has one row."""
+    rows = [list(COLUMNS)]
     for line in results.runs:
         if "failed" in line:
-            gaps = ["-"] * 10
-            rows.append(
-                [
-                    line["scenario"],
-                    line["spread"],
-                    str(line["seed"]),
-                    str(line["members"]),
-                    str(line["keys"]),
-                    "-",
-                    *gaps,
-                    line["failed"][:60],
-                ]
-            )
-            continue
-        for name, phase in line["phases"].items():
-            used = phase.get("hollow") or phase.get("real") or {}
-            last = phase.get("changes", {}).get("last", {})
-            rows.append(
-                [
-                    line["scenario"],
-                    line["spread"],
-                    str(line["seed"]),
-                    str(line["members"]),
-                    str(line["keys"]),
-                    f"{line['links']:g}",
-                    name,
-                    _shown(used["octets"] / 1e3),
-                    _shown(used["octets_most"] / 1e3),
-                    _shown(used["core"]),
-                    _shown(used["core_busiest"]),
-                    _shown(last.get("p50")),
-                    _shown(last.get("p99")),
-                    _shown(last.get("worst")),
-                    str(last.get("never", "-")),
-                    "yes" if line["equal"]["all"] else f"{line['equal']['kinds']} kinds",
-                    "saturated" if phase["saturated"] else "",
-                ]
-            )
+            rows.append(_failed_row(line))
+        else:
+            rows.extend(_phase_row(line, name, phase) for name, phase in line["phases"].items())
     return rows
 
 
+def _leading_cells(line: Line) -> list[str]:
+    return [line["scenario"], line["spread"], str(line["seed"]), str(line["members"]), str(line["keys"])]
+
+
+def _failed_row(line: Line) -> list[str]:
+    gaps = ["-"] * (len(COLUMNS) - LEADING_COLUMNS - 1)
+    return [*_leading_cells(line), *gaps, line["failed"][:MAX_FAILURE_CHARS]]
+
+
+def _phase_row(line: Line, name: str, phase: Line) -> list[str]:
+    used = phase.get("hollow") or phase.get("real") or {}
+    propagation = phase.get("changes", {}).get("last", {})
+    return [
+        *_leading_cells(line),
+        f"{line['links']:g}",
+        name,
+        _format_number(used["octets"] / 1e3),
+        _format_number(used["octets_most"] / 1e3),
+        _format_number(used["core"]),
+        _format_number(used["core_busiest"]),
+        _format_number(propagation.get("p50")),
+        _format_number(propagation.get("p99")),
+        _format_number(propagation.get("worst")),
+        str(propagation.get("never", "-")),
+        "yes" if line["equal"]["all"] else f"{line['equal']['kinds']} kinds",
+        "saturated" if phase["saturated"] else "",
+    ]
+
+
+def _format_number(number: float | None) -> str:
+    return "-" if number is None else format(number, ".3g")
+
+
+# ---------------------------------------------------------------- fits
+
+
 def fit_lines(results: Results) -> list[str]:
-    """Each slope with its interval and how straight it is; and the predictions beside what came."""
-    told = []
+    """Each slope with its interval and how straight it is; and the predictions beside what was measured."""
+    return [*_slope_lines(results), *_prediction_lines(results)]
+
+
+def _slope_lines(results: Results) -> list[str]:
+    lines = []
     for spread in dict.fromkeys(line["spread"] for line in results.runs):
         for metric, slope in fit_runs(results.runs, spread).items():
-            parts = [
-                f"{v:.4g} a {t} ({a:.4g} to {b:.4g})"
-                for t, v, a, b in zip(slope.terms, slope.values, slope.low, slope.high, strict=True)
+            terms = [
+                f"{value:.4g} a {term} ({low:.4g} to {high:.4g})"
+                for term, value, low, high in zip(
+                    slope.terms, slope.values, slope.low, slope.high, strict=True
+                )
             ]
-            straight = "straight" if slope.is_straight else "NOT straight"
-            told.append(
-                f"{spread}: idle {metric} a member = {' + '.join(parts)}; {slope.size_count} sizes, "
-                f"r2 {slope.r2:.4f}, worst residual {slope.max_residual:.0%}: {straight}"
+            straightness = "straight" if slope.is_straight else "NOT straight"
+            lines.append(
+                f"{spread}: idle {metric} a member = {' + '.join(terms)}; {slope.size_count} sizes, "
+                f"r2 {slope.r2:.4f}, worst residual {slope.max_residual:.0%}: {straightness}"
             )
+    return lines
+
+
+def _prediction_lines(results: Results) -> list[str]:
+    lines = []
     for line in results.runs:
-        for metric, p in line.get("predicted", {}).items():
-            came = "not played"
-            if "came" in p:
-                came = f"came {p['came']:.4g}, {'inside' if p['inside'] else 'OUTSIDE'}"
-            told.append(
-                f"{line['scenario']} (seed {line['seed']}): {metric} predicted {p['value']:.4g} "
-                f"({p['low']:.4g} to {p['high']:.4g}) before it was played, {came}"
+        for metric, prediction in line.get("predicted", {}).items():
+            outcome = "not played"
+            if "came" in prediction:
+                position = "inside" if prediction["inside"] else "OUTSIDE"
+                outcome = f"came {prediction['came']:.4g}, {position}"
+            lines.append(
+                f"{line['scenario']} (seed {line['seed']}): {metric} predicted {prediction['value']:.4g} "
+                f"({prediction['low']:.4g} to {prediction['high']:.4g}) before it was played, {outcome}"
             )
-    return told
+    return lines
+
+
+# ---------------------------------------------------------------- plot
 
 
 def plot(results: Results, file: Path) -> None:
-    """Octets, processor time, and time until the last holds a change, by members; a line for each number
-    of keys and spread, and the operators' allowance."""
+    """Bytes, processor time, and time until the last member holds a change, by members; a line for each
+    number of keys and spread, and the operators' allowance.
+    """
     figure, axes = plt.subplots(1, 3, figsize=(14, 4.2), layout="constrained")
     sound = [line for line in results.runs if is_usable(line)]
-    sizes = sorted({line["members"] for line in sound})
     series = sorted({(line["spread"], line["keys"]) for line in sound})
     for number, (spread, keys) in enumerate(series):
-        lines = sorted(
-            (ln for ln in sound if (ln["spread"], ln["keys"]) == (spread, keys)), key=lambda ln: ln["members"]
-        )
-        label, mark = f"{spread}, {keys:,} keys", "osd^vx*"[number % 7]
-        for axis, metric in ((axes[0], "octets"), (axes[1], "core")):
-            points = [(ln["members"], v) for ln in lines if (v := metric_value(ln, metric))]
-            if points:
-                axis.plot(*zip(*points, strict=True), marker=mark, label=label)
-        held = [(ln["members"], ln["phases"]["changes"]["changes"]["last"].get("p99")) for ln in lines]
-        came = [(n, p) for n, p in held if p]
-        if came:
-            axes[2].plot(*zip(*came, strict=True), marker=mark, label=label)
-        for members in (n for n, p in held if not p):
-            axes[2].plot([members], [NEVER_S], marker="x", color="r", label=f"not held at the end: {label}")
-    titles = (
-        ("control, octets a second a member, idle", OCTETS_GOAL),
-        ("control, part of a core, idle", CORE_GOAL),
-        ("a change held by the last member, p99, s", HELD_GOAL_S),
-    )
-    for axis, (title, goal) in zip(axes, titles, strict=True):
-        axis.axhline(goal, color="k", linestyle="--", linewidth=1)
-        axis.set(title=title, xscale="log", yscale="log", xlabel="members")
-        axis.set_xticks(sizes, [str(n) for n in sizes], fontsize=7)
-        axis.minorticks_off()
-        if axis.lines[1:]:
-            axis.legend(fontsize=7)
+        lines = [line for line in sound if (line["spread"], line["keys"]) == (spread, keys)]
+        lines.sort(key=lambda line: line["members"])
+        label = f"{spread}, {keys:,} keys"
+        marker = MARKERS[number % len(MARKERS)]
+        _plot_metric(axes[0], lines, "octets", label, marker)
+        _plot_metric(axes[1], lines, "core", label, marker)
+        _plot_propagation(axes[2], lines, label, marker)
+    sizes = sorted({line["members"] for line in sound})
+    _finish_axis(axes[0], "control, octets a second a member, idle", MAX_BYTES_PER_S, sizes)
+    _finish_axis(axes[1], "control, part of a core, idle", MAX_CORE, sizes)
+    _finish_axis(axes[2], "a change held by the last member, p99, s", MAX_PROPAGATION_S, sizes)
     figure.suptitle(
         f"{results.head['experiment']['name']}, revision {results.head['revision']}; measured "
         "points only, nothing extrapolated",
@@ -158,3 +166,29 @@
     )
     figure.savefig(file, dpi=110)
     plt.close(figure)
+
+
+def _plot_metric(axis: Axes, lines: Sequence[Line], metric: str, label: str, marker: str) -> None:
+    points = [(line["members"], value) for line in lines if (value := metric_value(line, metric))]
+    if points:
+        axis.plot(*zip(*points, strict=True), marker=marker, label=label)
+
+
+def _plot_propagation(axis: Axes, lines: Sequence[Line], label: str, marker: str) -> None:
+    p99_by_size = [
+        (line["members"], line["phases"]["changes"]["changes"]["last"].get("p99")) for line in lines
+    ]
+    points = [(members, p99_s) for members, p99_s in p99_by_size if p99_s]
+    if points:
+        axis.plot(*zip(*points, strict=True), marker=marker, label=label)
+    for members in (members for members, p99_s in p99_by_size if not p99_s):
+        axis.plot([members], [UNMEASURED_S], marker="x", color="r", label=f"not held at the end: {label}")
+
+
+def _finish_axis(axis: Axes, title: str, allowance: float, sizes: Sequence[int]) -> None:
+    axis.axhline(allowance, color="k", linestyle="--", linewidth=1)
+    axis.set(title=title, xscale="log", yscale="log", xlabel="members")
+    axis.set_xticks(sizes, [str(members) for members in sizes], fontsize=7)
+    axis.minorticks_off()
+    if axis.lines[1:]:
+        axis.legend(fontsize=7)
--- a/sageturn/lab/scale/usage.py
+++ b/sageturn/lab/scale/usage.py
@@ -69,7 +69,10 @@
         members = [process for process in processes if process.member_names]
         links = [process for process in processes if not process.member_names]
         return cls(
-            [counting.read(Path(process.job["counts"]), len(process.member_names)) for process in members],
+            [
+                counting.read_file(Path(process.job["counts"]), len(process.member_names))
+                for process in members
+            ],
             [process.cpu_s() for process in members],
             [process.cpu_s() for process in links],
             sum(process.run_queue_s() for process in processes),
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -451,9 +451,9 @@
 
 def test_a_counting_socket_says_what_the_kernel_says(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     file = tmp_path / "counts"
-    counting.make(file, 2)
+    counting.create_file(file, 2)
     flat = memoryview(bytearray(file.read_bytes())).cast("Q")
-    monkeypatch.setattr(counting, "_counts", flat)
+    monkeypatch.setattr(counting, "_counters", flat)
     with socket.socket() as listener:
         listener.bind(("127.0.0.1", 0))
         listener.listen()
@@ -473,7 +473,7 @@
         for sock in (ours, other, stray, theirs):
             sock.close()
     file.write_bytes(flat.tobytes())
-    nobody, counts = counting.read(file, 2)
+    nobody, counts = counting.read_file(file, 2)
     assert counts.values["store"] == {
         "in_octets": 1000,
         "out_octets": 6,
@@ -486,7 +486,9 @@
 
 
 def test_tasks_pass_on_whose_socket_it_is(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(counting, "_counts", memoryview(bytearray(8 * counting.ROW)).cast("Q"))
+    monkeypatch.setattr(
+        counting, "_counters", memoryview(bytearray(8 * counting.COUNTERS_PER_MEMBER)).cast("Q")
+    )
 
     async def story() -> None:
         async def dial() -> None:
@@ -499,7 +501,7 @@
         await task
 
     on_loopback(story)
-    counts = counting._counts
+    counts = counting._counters
     assert counts is not None and sorted(counts.tolist())[-2:] == [1, 5]
 
 
