--- a/sageturn/lab/scale/arrivals.py
+++ b/sageturn/lab/scale/arrivals.py
@@ -36,10 +36,12 @@
         self.returned_s: dict[str, float] = {}
 
     def mark_down(self, names: Iterable[str], now_s: float) -> None:
+        """From now until ``mark_up``."""
         for name in names:
             self._intervals.setdefault(name, []).append((now_s, NEVER_S))
 
     def mark_up(self, names: Iterable[str], now_s: float) -> None:
+        """End the outages that ``mark_down`` began."""
         for name in names:
             down_s, _ = self._intervals[name][-1]
             self._intervals[name][-1] = (down_s, now_s)
--- a/sageturn/lab/scale/child_process.py
+++ b/sageturn/lab/scale/child_process.py
@@ -15,10 +15,10 @@
 
 from sageturn.lab.scale.child_protocol import Command, ProcessStatus, Role
 from sageturn.lab.scale.errors import ChildFailedError
+from sageturn.lab.scale.units import NANOSECONDS_PER_S
 
 MAX_ANSWER_BYTES = 1 << 26
 LOG_TAIL_CHARS = 600
-NANOSECONDS_PER_S = 1e9
 MEMBER_EXIT_TIMEOUT_S = 2.0
 LINK_EXIT_TIMEOUT_S = 0.2  # it has nothing to close in an orderly way
 
@@ -50,6 +50,7 @@
     # ------------------------------------------------------------ lifetime
 
     async def start(self) -> None:
+        """Without the caller's GW_ variables, which would configure a relay."""
         with self._log_file.open("wb") as log_file:
             env = {name: value for name, value in os.environ.items() if not name.startswith("GW_")}
             self._child = await asyncio.create_subprocess_exec(
@@ -130,12 +131,14 @@
         return 0.0
 
     def resident_bytes(self) -> int:
+        """Resident memory now."""
         with suppress(OSError, IndexError):
             fields = Path(f"/proc/{self.pid}/statm").read_text().split()
             return int(fields[1]) * os.sysconf("SC_PAGESIZE")
         return 0
 
     def disk_bytes_written(self) -> int:
+        """What it has caused to be written to the disk since its start."""
         with suppress(OSError):
             for line in Path(f"/proc/{self.pid}/io").read_text().splitlines():
                 if line.startswith("write_bytes"):
@@ -143,6 +146,7 @@
         return 0
 
     def descriptor_count(self) -> int:
+        """Open file descriptors now."""
         with suppress(OSError):
             return len(os.listdir(f"/proc/{self.pid}/fd"))
         return 0
--- a/sageturn/lab/scale/counting.py
+++ b/sageturn/lab/scale/counting.py
@@ -43,6 +43,7 @@
     values: dict[str, dict[str, int]]
 
     def since(self, before: Counts) -> Counts:
+        """What was counted from ``before`` to this."""
         return Counts(
             {
                 purpose: {field: count - before.values[purpose][field] for field, count in fields.items()}
@@ -61,6 +62,7 @@
 
 
 def read_file(file: Path, members: int) -> list[Counts]:
+    """The counters as they are now, by member; a process may be counting meanwhile."""
     counters = memoryview(file.read_bytes()).cast(COUNTER_FORMAT)
     found = []
     for member in range(members):
--- a/sageturn/lab/scale/digests.py
+++ b/sageturn/lab/scale/digests.py
@@ -53,6 +53,7 @@
     """Frames of one JSON value each, of up to four megabytes."""
 
     async def send(self, message: Any) -> None:
+        """Raises OSError when the link is gone."""
         payload = json.dumps(message, separators=(",", ":")).encode()
         async with self._write_lock:
             tag = self._frame_tag(self._send_role, self._sent_frames, payload)
@@ -102,11 +103,13 @@
         return {}
 
     def start(self) -> None:
+        """Listen, and dial the peers, until ``stop``."""
         self._listener.start_listening()
         self._tasks = [asyncio.ensure_future(self._listener.run())]
         self._tasks += [asyncio.ensure_future(self._keep_connected(peer)) for peer in self._options.peers]
 
     async def stop(self) -> None:
+        """End all links; it cannot be started again."""
         for task in self._tasks:
             await cancel_and_wait(task)
         await self._listener.cancel_connections()
--- a/sageturn/lab/scale/fit.py
+++ b/sageturn/lab/scale/fit.py
@@ -36,6 +36,7 @@
 
     @property
     def is_straight(self) -> bool:
+        """Whether there are enough sizes and all are near enough to the line to rely on it."""
         return (
             self.size_count >= MIN_SIZES and self.r2 >= MIN_R2 and self.max_residual <= MAX_STRAIGHT_RESIDUAL
         )
--- a/sageturn/lab/scale/fleet.py
+++ b/sageturn/lab/scale/fleet.py
@@ -44,10 +44,13 @@
         self._numbers = {name: number for number, name in enumerate(self.names)}
 
     def is_real(self, member: int) -> bool:
+        """Whether the member of that number is a whole relay."""
         return member < self._real_count
 
     def zone_of(self, name: str) -> int:
+        """The zone's number."""
         return self._experiment.zone_of(self._numbers[name])
 
     def region_of(self, name: str) -> int:
+        """The region's number."""
         return self._experiment.region_of(self.zone_of(name))
--- a/sageturn/lab/scale/lanes.py
+++ b/sageturn/lab/scale/lanes.py
@@ -49,6 +49,7 @@
         self.healed.set()
 
     def set_cut(self, is_cut: bool) -> None:
+        """Hold everything back from now on, or let it pass again."""
         self.is_cut = is_cut
         if is_cut:
             self.healed.clear()
--- a/sageturn/lab/scale/list_calls.py
+++ b/sageturn/lab/scale/list_calls.py
@@ -9,13 +9,15 @@
 
 from sageturn.decision import DiscoveryFailure
 from sageturn.decision.discovery_backoff import DiscoveryBackoff
+from sageturn.lab.scale.units import MS_PER_S
 
 DISCOVERY_CALL_TIMEOUT_MS = 3000.0  # after which discovery fails a call
 POLL_INTERVAL_MS = 10_000.0
-MS_PER_S = 1000.0
 
 
 class _EventKind(Enum):
+    """What happens at an event's moment."""
+
     CALL = auto()
     ANSWER = auto()
     FAILURE = auto()
@@ -49,6 +51,7 @@
         self.failed_calls = 0
 
     def schedule_call(self, due_ms: float, relay: int) -> None:
+        """The relay will call for the list at that moment."""
         self._schedule(due_ms, _EventKind.CALL, relay, 0)
 
     def run(self) -> None:
--- a/sageturn/lab/scale/member_group.py
+++ b/sageturn/lab/scale/member_group.py
@@ -15,11 +15,11 @@
 from sageturn.lab.scale.child_process import ChildProcess
 from sageturn.lab.scale.child_protocol import Command, MemberStatus, ProcessStatus, Role
 from sageturn.lab.scale.errors import ReadinessTimeoutError
+from sageturn.lab.scale.units import BYTES_PER_MB
 
 READINESS_POLL_INTERVAL_S = 0.25
 EQUALITY_POLLS = 12
 EQUALITY_POLLS_PER_INTERVAL = 4
-BYTES_PER_MB = 2**20
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,6 +50,7 @@
         return put_s
 
     async def stop_members(self, names: Sequence[str]) -> None:
+        """As if they died: their connections close, and nobody is notified."""
         await self._request_of_members(names, Command.STOP)
 
     async def restart_members(self, names: Sequence[str], wipe: bool) -> None:
@@ -66,6 +67,7 @@
         )
 
     async def arrivals(self) -> MemberArrivals:
+        """Of all changes so far."""
         found = MemberArrivals({}, {})
         answers = await asyncio.gather(*(process.request(Command.ARRIVALS) for process in self.processes))
         for answer in answers:
@@ -77,9 +79,11 @@
     # ------------------------------------------------------------ states
 
     async def process_statuses(self) -> list[ProcessStatus]:
+        """In the processes' order."""
         return list(await asyncio.gather(*(process.status() for process in self.processes)))
 
     async def member_statuses(self) -> list[MemberStatus]:
+        """Of all members, whichever process they are in."""
         return [member for status in await self.process_statuses() for member in status.members.values()]
 
     async def link_count(self) -> float:
@@ -122,6 +126,7 @@
 
 
 def count_links(statuses: Sequence[ProcessStatus]) -> float:
+    """Half the links' ends; a member that does not count its links adds none."""
     ends = sum(max(0, member.link_count) for status in statuses for member in status.members.values())
     return ends / 2
 
--- a/sageturn/lab/scale/members.py
+++ b/sageturn/lab/scale/members.py
@@ -114,6 +114,7 @@
 
 
 def location_of(job: dict[str, Any]) -> Location:
+    """From a member's part of a job file."""
     return Location(job["name"], job["zone"], job["region"])
 
 
@@ -178,6 +179,7 @@
     async def forward(
         self, watch: int, event: WatchEvent, handler: Callable[[int, WatchEvent], Awaitable[None]]
     ) -> None:
+        """Count the event, then await ``handler`` with it."""
         if isinstance(event, EndpointListUpdate):
             self.listed_s = time.monotonic()
             self.list_count += 1
@@ -200,6 +202,7 @@
     running: bool
 
     def status(self) -> MemberStatus:
+        """As the process answers the command STATUS."""
         return MemberStatus(
             store_hash(self.store),
             len(self.store.digest()),
--- a/sageturn/lab/scale/predictions.py
+++ b/sageturn/lab/scale/predictions.py
@@ -30,10 +30,12 @@
 
     @classmethod
     def of_line(cls, line: Line) -> RunShape:
+        """Of a run that was completed."""
         return cls(line["members"], line["keys"], line["links"], line["state_s"], line["clients_each"])
 
     @classmethod
     def of_size(cls, size: Size) -> RunShape:
+        """Of a run that is planned."""
         return cls(size.members, size.keys, size.link_count, size.state_s, size.clients)
 
     def terms(self) -> dict[str, float]:
@@ -93,6 +95,7 @@
 
 
 def metric_value(line: Line, metric: str) -> float | None:
+    """What a usable line says of one of METRICS; None where its run has no such figure."""
     return METRICS[metric].read(line)
 
 
--- a/sageturn/lab/scale/process.py
+++ b/sageturn/lab/scale/process.py
@@ -89,6 +89,7 @@
         self._members = {member.name: member for member in members}
 
     def handlers(self) -> dict[Command, Handler]:
+        """By command; a role adds its own."""
         return {Command.PUT: self._put, Command.ARRIVALS: self._arrivals, Command.STATUS: self._status}
 
     async def _put(self, request: Request) -> float:
@@ -229,10 +230,12 @@
 
 
 async def run_job(job: Job) -> None:
+    """Serve the run's requests in the job's role until the input ends."""
     await PROCESSES[Role(job["role"])](job).serve()
 
 
 def main() -> int:
+    """Run the job file that the command line names. Signals are the run's matter, and blocked here."""
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGINT, signal.SIGTERM, signal.SIGHUP})
     job = json.loads(Path(sys.argv[1]).read_text(encoding="utf-8"))
     if job["role"] != Role.LINKS:
--- a/sageturn/lab/scale/relay_costs.py
+++ b/sageturn/lab/scale/relay_costs.py
@@ -45,6 +45,7 @@
 
 
 def list_reading(hosts: int) -> Line:
+    """Decoding and checking a full endpoint list."""
     text = json.dumps(endpoint_list(hosts))
     return {"octets": len(text), "read_s": min_cpu_s(lambda: parse_endpoint_list(json.loads(text)))}
 
@@ -58,6 +59,7 @@
         self.placed_count = 0
 
     def run_batch(self) -> None:
+        """The next REQUESTS_PER_BATCH requests."""
         for _ in range(REQUESTS_PER_BATCH):
             self._run_request(self.request_count)
             self.request_count += 1
--- a/sageturn/lab/scale/usage.py
+++ b/sageturn/lab/scale/usage.py
@@ -66,6 +66,7 @@
 
     @classmethod
     def take(cls, processes: Sequence[ChildProcess]) -> UsageSnapshot:
+        """Of all processes now."""
         members = [process for process in processes if process.member_names]
         links = [process for process in processes if not process.member_names]
         return cls(
