--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -1,4 +1,4 @@
-"""Scale runs: their files' errors, fits, the link layer, what is counted, and one small run whole."""
+"""Scale runs: experiment files, fits, link emulation, counting, costs, and small complete runs."""
 
 from __future__ import annotations
 
@@ -24,16 +24,38 @@
 from sageturn.cli.main import app
 from sageturn.lab.experiment import BadExperiment
 from sageturn.lab.runs import Results
-from sageturn.lab.scale import costs, counting, members
+from sageturn.lab.scale import costs, counting, members, relay_costs, store_costs
+from sageturn.lab.scale.arrivals import encode_durations
+from sageturn.lab.scale.cost_measuring import make_store
 from sageturn.lab.scale.counting import CountingSocket, Counts, owned
 from sageturn.lab.scale.digests import LinkOptions
-from sageturn.lab.scale.fit import exponent, fit
-from sageturn.lab.scale.lanes import HELD_MOST, RTO_LEAST_S, SEGMENT, Forwarder, Lane, Pipe
-from sageturn.lab.scale.members import Place, Witness, make_spreader, preload, store_hash
-from sageturn.lab.scale.plan import Around, Bounds, Fault, Lanes, ScaleExperiment, Size, Windows, read_scale
-from sageturn.lab.scale.play import Play, lane_name, measured, peers_of, play, spans
+from sageturn.lab.scale.errors import FitError, InvalidPlanError
+from sageturn.lab.scale.fit import fit, fit_exponent
+from sageturn.lab.scale.fleet import link_name, peers_of
+from sageturn.lab.scale.lanes import (
+    MAX_BUFFERED_BYTES,
+    MIN_RETRANSMISSION_TIMEOUT_S,
+    SEGMENT_BYTES,
+    DelayLine,
+    EmulatedLink,
+    Forwarder,
+)
+from sageturn.lab.scale.list_calls import list_calls
+from sageturn.lab.scale.members import ArrivalRecorder, Location, make_replication, preload, store_hash
+from sageturn.lab.scale.plan import (
+    Bounds,
+    Environment,
+    Fault,
+    LinkProfile,
+    ScaleExperiment,
+    Size,
+    Windows,
+    read_scale,
+)
+from sageturn.lab.scale.predictions import fit_runs, judge_predictions, mean_of_members, predict
 from sageturn.lab.scale.report import fit_lines, plot, table
-from sageturn.lab.scale.results import fits, judged, over_all, predict
+from sageturn.lab.scale.scale_run import ScaleRun, run_size
+from sageturn.lab.scale.usage import encode_usage
 from sageturn.net.admission import AdmissionController, ProcessLimits
 from sageturn.store.store import Store
 
@@ -78,16 +100,16 @@
         ('name = "x"\n[[sizes]]\nname = "a"\nmembers = 9\nreal = 9\nclients = 999', "sizes[0].clients:"),
     ],
 )
-def test_a_fault_in_an_experiment_names_its_file_and_key(tmp_path: Path, text: str, named: str) -> None:
+def test_an_error_in_an_experiment_names_its_file_and_key(tmp_path: Path, text: str, named: str) -> None:
     file = tmp_path / "x.toml"
     file.write_text(text, encoding="utf-8")
     with pytest.raises(BadExperiment) as error:
         read_scale(file)
-    said = str(error.value)
-    assert said.startswith(str(file)) and named in said
+    message = str(error.value)
+    assert message.startswith(str(file)) and named in message
 
 
-def test_a_file_that_is_not_there_and_one_that_is_no_toml_are_told(tmp_path: Path) -> None:
+def test_a_missing_file_and_invalid_toml_are_reported(tmp_path: Path) -> None:
     with pytest.raises(BadExperiment, match="No such file"):
         read_scale(tmp_path / "none.toml")
     (tmp_path / "bad.toml").write_text("name = ")
@@ -95,7 +117,7 @@
         read_scale(tmp_path / "bad.toml")
 
 
-def test_the_experiments_that_lie_here_can_all_be_read() -> None:
+def test_all_committed_experiments_can_be_read() -> None:
     files = sorted((Path(__file__).parents[2] / "experiments").glob("scale*.toml"))
     assert files
     for file in files:
@@ -105,22 +127,22 @@
 # ---------------------------------------------------------------- fits
 
 
-def test_a_straight_line_is_found_and_told_from_a_bent_one() -> None:
+def test_a_straight_line_is_distinguished_from_a_bent_one() -> None:
     rows = [[1.0, n] for n in (10.0, 20.0, 40.0, 80.0)]
     line = fit(("1", "n"), rows, [5.0 + 3.0 * n for _, n in rows])
-    assert line.values == pytest.approx((5.0, 3.0)) and line.straight and line.r2 == pytest.approx(1.0)
+    assert line.values == pytest.approx((5.0, 3.0)) and line.is_straight and line.r2 == pytest.approx(1.0)
     middle, low, high = line.at([1.0, 160.0])
     assert middle == pytest.approx(485.0) and low == pytest.approx(middle) == high
     bent = fit(("1", "n"), rows, [n * n for _, n in rows])
-    assert not bent.straight and bent.worst > 0.2
-    assert bent.at([1.0, 160.0])[2] - bent.at([1.0, 160.0])[1] > 1000.0, "what is bent is told with doubt"
+    assert not bent.is_straight and bent.max_residual > 0.2
+    assert bent.at([1.0, 160.0])[2] - bent.at([1.0, 160.0])[1] > 1000.0, "a bent line has a wide interval"
 
 
 def test_three_sizes_are_too_few_for_a_slope_however_straight() -> None:
     rows = [[1.0, n] for n in (10.0, 20.0, 40.0)]
-    assert not fit(("1", "n"), rows, [2.0 * n for _, n in rows]).straight
+    assert not fit(("1", "n"), rows, [2.0 * n for _, n in rows]).is_straight
     again = [*rows, rows[0]]
-    assert not fit(("1", "n"), again, [2.0 * n for _, n in again]).straight, "the same size twice is one"
+    assert not fit(("1", "n"), again, [2.0 * n for _, n in again]).is_straight, "the same size twice is one"
 
 
 @pytest.mark.parametrize(
@@ -132,8 +154,8 @@
         ([[1.0], [1.0]], [1.0, 2.0]),
     ],
 )
-def test_what_tells_no_slope_is_refused(rows: list[list[float]], y: list[float]) -> None:
-    with pytest.raises(ValueError):
+def test_sizes_that_determine_no_slope_are_refused(rows: list[list[float]], y: list[float]) -> None:
+    with pytest.raises(FitError):
         fit(("1", "n"), rows, y)
 
 
@@ -143,7 +165,7 @@
     st.lists(st.floats(-0.04, 0.04), min_size=6, max_size=6),
     st.integers(0, 5),
 )
-def test_noise_widens_the_interval_and_size_does_not_weigh(
+def test_noise_widens_the_interval_and_magnitude_has_no_weight(
     a: float, b: float, noise: list[float], scaled: int
 ) -> None:
     rows = [[1.0, float(n)] for n in (1, 3, 10, 30, 100, 300)]
@@ -153,21 +175,21 @@
     times = 10.0**scaled
     again = fit(("1", "n"), rows, [v * times for v in y])
     assert again.values[1] == pytest.approx(line.values[1] * times, rel=1e-6)
-    assert again.worst == pytest.approx(line.worst, rel=1e-6, abs=1e-9)
+    assert again.max_residual == pytest.approx(line.max_residual, rel=1e-6, abs=1e-9)
 
 
-def test_an_exponent_tells_a_square_from_a_line() -> None:
+def test_an_exponent_distinguishes_a_square_from_a_line() -> None:
     x = [10.0, 20.0, 40.0, 80.0]
-    square = exponent(x, [n * n * (1.0 + 0.01 * (-1) ** k) for k, n in enumerate(x)])
+    square = fit_exponent(x, [n * n * (1.0 + 0.01 * (-1) ** k) for k, n in enumerate(x)])
     assert square.low < 2.0 < square.high and square.low > 1.9
-    with pytest.raises(ValueError):
-        exponent(x[:2], [1.0, 2.0])
+    with pytest.raises(FitError):
+        fit_exponent(x[:2], [1.0, 2.0])
 
 
 def run_line(n: int, keys: int, octets: float, **more: object) -> dict[str, object]:
     used = {"octets": octets, "octets_most": octets, "core": octets / 1e6, "core_busiest": octets / 1e6}
     phase = {"saturated": False, "hollow": used}
-    last = {"last": spans([0.1, 0.2])}
+    last = {"last": encode_durations([0.1, 0.2])}
     return {
         "scenario": f"m{n}",
         "seed": 1,
@@ -184,51 +206,51 @@
     }
 
 
-def test_a_larger_size_is_predicted_from_those_that_were_sound_and_judged_after() -> None:
+def test_a_larger_size_is_predicted_from_usable_runs_and_compared_after_its_run() -> None:
     lines = [run_line(n, k, (n - 1) * (70.0 + 27.0 * k)) for n, k in ((4, 10), (8, 10), (4, 100), (8, 200))]
     saturated = run_line(16, 1000, 1.0)
     saturated["phases"]["idle"]["saturated"] = True  # type: ignore[index]
     lines += [saturated, {"failed": "minutes", "spread": "digest"}]
     size = Size("m32", 32, keys=100)
-    told = predict(lines, size)
-    assert told["octets"]["value"] == pytest.approx(31 * (70.0 + 2700.0))
-    assert fits(lines, "digest")["octets"].sizes == 4 and fits(lines, "delta") == {}
-    came = judged(run_line(32, 100, 31 * 2770.0 * 3.0, predicted=told))
+    predicted_line = predict(lines, size)
+    assert predicted_line["octets"]["value"] == pytest.approx(31 * (70.0 + 2700.0))
+    assert fit_runs(lines, "digest")["octets"].size_count == 4 and fit_runs(lines, "delta") == {}
+    came = judge_predictions(run_line(32, 100, 31 * 2770.0 * 3.0, predicted=predicted_line))
     assert came["predicted"]["octets"]["inside"] is False
     assert came["predicted"]["octets"]["ratio"] == pytest.approx(3.0)
-    failed = judged({"failed": "memory_gb", "predicted": predict(lines, size)})
+    failed = judge_predictions({"failed": "memory_gb", "predicted": predict(lines, size)})
     assert failed["predicted"]["octets"].keys() == {"value", "low", "high", "fit"}
-    assert predict(lines[:3], size) == {}, "three sizes tell no slope"
+    assert predict(lines[:3], size) == {}, "three sizes determine no slope"
 
 
-def test_sizes_that_tell_two_terms_not_apart_are_fitted_with_one() -> None:
+def test_terms_that_the_sizes_do_not_separate_are_fitted_as_one() -> None:
     lines = [run_line(n, 100, (n - 1) * 2700.0) for n in (4, 8, 16, 32)]
-    assert fits(lines, "digest")["octets"].terms == ("links",)
+    assert fit_runs(lines, "digest")["octets"].terms == ("links",)
     chatty = [run_line(n, 100, (n - 1) * (2700.0 + 190.0 * n / 5.0), state_s=5.0) for n in (4, 8, 16, 32)]
-    slope = fits(chatty, "digest")["octets"]
+    slope = fit_runs(chatty, "digest")["octets"]
     assert slope.terms == ("links", "links*news") and slope.values == pytest.approx((2700.0, 190.0))
-    told = predict(chatty, Size("m64", 64, keys=100, state_s=5.0))
-    assert told["octets"]["value"] == pytest.approx(63 * (2700.0 + 190.0 * 64 / 5.0))
+    predicted = predict(chatty, Size("m64", 64, keys=100, state_s=5.0))
+    assert predicted["octets"]["value"] == pytest.approx(63 * (2700.0 + 190.0 * 64 / 5.0))
 
 
-def test_whole_relays_are_fitted_by_their_clients_and_all_members_by_their_links() -> None:
+def test_real_relays_are_fitted_by_their_clients_and_all_members_by_their_links() -> None:
     lines = []
     for n in (250, 500, 1000, 2000):
         line = run_line(2, 100, 2700.0, real=1, clients_each=n, memory={"real_mb": [30.0 + 0.04 * n]})
         idle = line["phases"]["idle"]  # type: ignore[index]
         idle["real"] = {"octets": 3700.0, "core": 0.003 + 6e-5 * n}
         lines.append(line)
-    found = fits(lines, "digest")
+    found = fit_runs(lines, "digest")
     assert found["real_core"].values == pytest.approx((0.003, 6e-5))
     assert found["real_mb"].values == pytest.approx((30.0, 0.04))
     assert "octets" not in found, "there is one size of links"
-    told = predict(lines, Size("c4000", 2, real=1, clients=4000))
-    assert told["real_mb"]["value"] == pytest.approx(190.0)
+    predicted = predict(lines, Size("c4000", 2, real=1, clients=4000))
+    assert predicted["real_mb"]["value"] == pytest.approx(190.0)
     assert predict(lines, Size("c0", 2, real=1)) == {}
-    assert over_all(lines[0], "octets") == pytest.approx((2700.0 + 3700.0) / 2.0)
+    assert mean_of_members(lines[0], "octets") == pytest.approx((2700.0 + 3700.0) / 2.0)
 
 
-def test_reports_say_what_failed_what_was_held_up_and_how_straight_a_slope_is(tmp_path: Path) -> None:
+def test_reports_show_failures_saturation_and_how_straight_a_slope_is(tmp_path: Path) -> None:
     results = Results(tmp_path / "r.jsonl")
     results.start({"experiment": {"name": "x"}, "policies": {}, "revision": "abc"})
     for n, k in ((4, 10), (8, 10), (4, 100), (8, 200)):
@@ -242,94 +264,96 @@
     assert (tmp_path / "p.png").read_bytes().startswith(b"\x89PNG")
 
 
-# ---------------------------------------------------------------- the link layer, with a clock of its own
+# ---------------------------------------------------------------- link emulation, with a clock of its own
 
 
-class Line:
-    """A pipe and its clock."""
+class ClockedLine:
+    """A delay line and its clock."""
 
     def __init__(self, delay_s: float = 0.01, loss: float = 0.0, seed: int = 1) -> None:
         self.now_s = 0.0
-        self.lane = Lane("zone:0-0", delay_s, loss)
-        self.pipe = Pipe(self.lane, Random(seed), lambda: self.now_s)
+        self.link = EmulatedLink("zone:0-0", delay_s, loss)
+        self.delay_line = DelayLine(self.link, Random(seed), lambda: self.now_s)
 
-    def taken(self) -> bytes:
+    def take_all(self) -> bytes:
         found = b""
-        while data := self.pipe.take():
+        while data := self.delay_line.take():
             found += data
         return found
 
 
-def test_what_is_sent_is_there_after_the_delay_and_not_before() -> None:
-    line = Line(delay_s=0.035)
-    line.pipe.put(b"ab")
+def test_data_arrives_after_the_delay_and_not_before() -> None:
+    line = ClockedLine(delay_s=0.035)
+    line.delay_line.put(b"ab")
     line.now_s = 0.030
-    assert line.taken() == b"" and line.pipe.wait_s() == pytest.approx(0.005)
+    assert line.take_all() == b"" and line.delay_line.wait_s() == pytest.approx(0.005)
     line.now_s = 0.035
-    assert line.taken() == b"ab" and line.pipe.held == 0
+    assert line.take_all() == b"ab" and line.delay_line.buffered_bytes == 0
 
 
-def test_a_cut_holds_back_what_is_on_its_way_and_gives_it_in_order_after() -> None:
-    line = Line()
-    line.pipe.put(b"1")
-    line.lane.set_cut(True)
-    line.pipe.put(b"2")
+def test_a_cut_holds_back_data_in_flight_and_delivers_it_in_order_after() -> None:
+    line = ClockedLine()
+    line.delay_line.put(b"1")
+    line.link.set_cut(True)
+    line.delay_line.put(b"2")
     line.now_s = 60.0
-    assert line.taken() == b"" and not line.lane.healed.is_set()
-    line.lane.set_cut(False)
-    assert line.taken() == b"12" and line.lane.healed.is_set()
+    assert line.take_all() == b"" and not line.link.healed.is_set()
+    line.link.set_cut(False)
+    assert line.take_all() == b"12" and line.link.healed.is_set()
 
 
-def test_a_lost_segment_holds_up_all_that_follows_by_tcps_own_timer() -> None:
-    line = Line(loss=0.5, seed=3)
+def test_a_lost_segment_delays_all_that_follows_by_tcps_own_timer() -> None:
+    line = ClockedLine(loss=0.5, seed=3)
     due = []
     for number in range(40):
         line.now_s = number * 0.001
-        line.pipe.put(bytes([number]))
-        due.append(line.pipe.waiting[-1][0])
+        line.delay_line.put(bytes([number]))
+        due.append(line.delay_line.waiting[-1][0])
     assert due == sorted(due), "nothing overtakes"
-    assert due[-1] - 0.039 > RTO_LEAST_S and line.lane.resent > 0
+    assert due[-1] - 0.039 > MIN_RETRANSMISSION_TIMEOUT_S and line.link.retransmission_count > 0
     line.now_s = due[-1]
-    assert line.taken() == bytes(range(40)), "nothing is lost for good"
+    assert line.take_all() == bytes(range(40)), "nothing is lost for good"
 
 
-def test_a_loss_with_more_behind_it_costs_a_round_trip_and_at_the_end_the_timer() -> None:
-    lane = Lane("x", 0.035)
-    assert lane._recovery_s(1, 3) == pytest.approx(0.07)
-    assert lane._recovery_s(1, 0) == pytest.approx(RTO_LEAST_S)
-    assert lane._recovery_s(2, 0) == pytest.approx(3 * RTO_LEAST_S), "the timer doubles"
+def test_a_loss_costs_a_round_trip_with_segments_behind_it_and_the_timer_without() -> None:
+    link = EmulatedLink("x", 0.035)
+    assert link.recovery_s(1, 3) == pytest.approx(0.07)
+    assert link.recovery_s(1, 0) == pytest.approx(MIN_RETRANSMISSION_TIMEOUT_S)
+    assert link.recovery_s(2, 0) == pytest.approx(3 * MIN_RETRANSMISSION_TIMEOUT_S), "the timer doubles"
 
 
 @given(
-    st.lists(st.binary(min_size=1, max_size=4 * SEGMENT), max_size=12), st.floats(0, 0.4), st.integers(0, 99)
+    st.lists(st.binary(min_size=1, max_size=4 * SEGMENT_BYTES), max_size=12),
+    st.floats(0, 0.4),
+    st.integers(0, 99),
 )
-def test_a_lossy_lane_gives_back_the_stream_as_it_was_and_the_same_for_the_same_seed(
+def test_a_lossy_link_keeps_the_stream_and_is_deterministic_for_a_seed(
     chunks: list[bytes], loss: float, seed: int
 ) -> None:
     def due() -> list[float]:
-        line = Line(loss=loss, seed=seed)
+        line = ClockedLine(loss=loss, seed=seed)
         for data in chunks:
-            line.pipe.put(data)
-        times = [at_s for at_s, _ in line.pipe.waiting]
+            line.delay_line.put(data)
+        times = [at_s for at_s, _ in line.delay_line.waiting]
         line.now_s = 1e9
-        assert line.taken() == b"".join(chunks)
+        assert line.take_all() == b"".join(chunks)
         return times
 
     assert due() == due() == sorted(due())
 
 
-def test_lanes_are_named_by_both_zones_and_lie_in_two_regions() -> None:
+def test_links_are_named_by_both_zones_and_their_class() -> None:
     x = ScaleExperiment("x", (Size("a", 10),))
-    assert [x.region(z) for z in range(5)] == [0, 0, 0, 1, 1]
-    assert lane_name(x, 2, 0) == lane_name(x, 0, 2) == "region:0-2"
-    assert lane_name(x, 4, 1) == "between:1-4" and lane_name(x, 3, 3) == "zone:3-3"
+    assert [x.region_of(z) for z in range(5)] == [0, 0, 0, 1, 1]
+    assert link_name(x, 2, 0) == link_name(x, 0, 2) == "region:0-2"
+    assert link_name(x, 4, 1) == "between:1-4" and link_name(x, 3, 3) == "zone:3-3"
 
 
-def test_hand_made_links_join_all_members_and_are_counted_right() -> None:
+def test_configured_links_connect_all_members_and_are_counted_right() -> None:
     for topology in ("mesh", "tree"):
         size = Size("a", 30, topology=topology, fanout=4)
         dialled = [peers_of(size, n, 5) for n in range(30)]
-        assert sum(map(len, dialled)) == size.links
+        assert sum(map(len, dialled)) == size.link_count
         reached = {0}
         for member, peers in enumerate(dialled):
             assert all(peer < member for peer in peers)
@@ -352,7 +376,7 @@
     asyncio.run(go())
 
 
-def test_a_forwarder_passes_both_ways_through_a_cut_and_ends_what_ended() -> None:
+def test_a_forwarder_forwards_both_ways_through_a_cut_and_passes_on_the_end_of_stream() -> None:
     async def story() -> None:
         async def echo(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while data := await reader.read(65536):
@@ -361,18 +385,18 @@
 
         endpoint = await asyncio.start_server(echo, "127.0.0.1", 0)
         front = listening()
-        lane = Lane("zone:0-0", 0.001, 0.05)
+        link = EmulatedLink("zone:0-0", 0.001, 0.05)
         running = asyncio.ensure_future(
-            Forwarder(front, endpoint.sockets[0].getsockname(), lane, seed=5).run()
+            Forwarder(front, endpoint.sockets[0].getsockname(), link, seed=5).run()
         )
         await asyncio.sleep(0)  # it listens from its first turn on
         reader, writer = await asyncio.open_connection(*front.getsockname())
         sent = os.urandom(100_000)
-        lane.set_cut(True)
+        link.set_cut(True)
         writer.write(sent)
-        lane.set_cut(False)
+        link.set_cut(False)
         assert await reader.readexactly(len(sent)) == sent
-        assert lane.octets >= 2 * len(sent) and lane.resent > 0
+        assert link.bytes_forwarded >= 2 * len(sent) and link.retransmission_count > 0
         writer.write_eof()
         assert await reader.read() == b"", "an end is passed on as an end"
         writer.close()
@@ -386,7 +410,7 @@
     on_loopback(story)
 
 
-def test_a_sender_that_is_faster_than_its_lane_is_held_back() -> None:
+def test_a_sender_that_is_faster_than_its_link_is_held_back() -> None:
     async def story() -> None:
         got: list[int] = []
 
@@ -397,23 +421,23 @@
 
         endpoint = await asyncio.start_server(swallow, "127.0.0.1", 0)
         front = listening()
-        lane = Lane("between:0-3", 0.01)
+        link = EmulatedLink("between:0-3", 0.01)
         running = asyncio.ensure_future(
-            Forwarder(front, endpoint.sockets[0].getsockname(), lane, seed=5).run()
+            Forwarder(front, endpoint.sockets[0].getsockname(), link, seed=5).run()
         )
         await asyncio.sleep(0)
         _, writer = await asyncio.open_connection(*front.getsockname())
-        lane.set_cut(True)
-        writer.write(bytes(20 * HELD_MOST))
-        while lane.octets < HELD_MOST:
+        link.set_cut(True)
+        writer.write(bytes(20 * MAX_BUFFERED_BYTES))
+        while link.bytes_forwarded < MAX_BUFFERED_BYTES:
             await asyncio.sleep(0.001)
         for _ in range(50):
             await asyncio.sleep(0.001)
-        assert lane.octets < HELD_MOST + 2 * 65536, "no more is taken up than may be held"
-        lane.set_cut(False)
+        assert link.bytes_forwarded < MAX_BUFFERED_BYTES + 2 * 65536, "no more is read than may be buffered"
+        link.set_cut(False)
         await writer.drain()
         writer.close()
-        while sum(got) < 20 * HELD_MOST:
+        while sum(got) < 20 * MAX_BUFFERED_BYTES:
             await asyncio.sleep(0.001)
         running.cancel()
         await asyncio.wait((running,))
@@ -425,11 +449,11 @@
 # ---------------------------------------------------------------- what is counted
 
 
-def test_a_counting_socket_says_what_the_kernel_says(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_counting_socket_agrees_with_the_kernel(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     file = tmp_path / "counts"
-    counting.make(file, 2)
+    counting.create_file(file, 2)
     flat = memoryview(bytearray(file.read_bytes())).cast("Q")
-    monkeypatch.setattr(counting, "_counts", flat)
+    monkeypatch.setattr(counting, "_counters", flat)
     with socket.socket() as listener:
         listener.bind(("127.0.0.1", 0))
         listener.listen()
@@ -449,7 +473,7 @@
         for sock in (ours, other, stray, theirs):
             sock.close()
     file.write_bytes(flat.tobytes())
-    nobody, counts = counting.read(file, 2)
+    nobody, counts = counting.read_file(file, 2)
     assert counts.values["store"] == {
         "in_octets": 1000,
         "out_octets": 6,
@@ -461,8 +485,10 @@
     assert counts.since(counts).sum("in_octets") == 0
 
 
-def test_tasks_pass_on_whose_socket_it_is(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(counting, "_counts", memoryview(bytearray(8 * counting.ROW)).cast("Q"))
+def test_tasks_inherit_the_owner_of_their_sockets(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(
+        counting, "_counters", memoryview(bytearray(8 * counting.COUNTERS_PER_MEMBER)).cast("Q")
+    )
 
     async def story() -> None:
         async def dial() -> None:
@@ -475,7 +501,7 @@
         await task
 
     on_loopback(story)
-    counts = counting._counts
+    counts = counting._counters
     assert counts is not None and sorted(counts.tolist())[-2:] == [1, 5]
 
 
@@ -485,40 +511,40 @@
     return Counts({p: dict(store if p == "store" else empty) for p in counting.PURPOSES})
 
 
-def test_processor_time_is_divided_evenly_and_the_busiest_has_its_messages_part() -> None:
+def test_processor_time_is_divided_evenly_and_by_messages_for_the_busiest() -> None:
     rows = [[counts_of(10, 100), counts_of(30, 300)], [counts_of(40, 400)]]
-    told = measured(["hollow", "real"], rows, [0.4, 0.5], 10.0)
-    assert told["hollow"]["core"] == pytest.approx(0.02) and told["real"]["core"] == pytest.approx(0.05)
-    assert told["hollow"]["core_busiest"] == pytest.approx(0.04 * 30 / 40)
-    assert told["hollow"]["octets"] == 20.0 and told["hollow"]["octets_most"] == 30.0
-    assert not told["saturated"] and measured(["real"], rows[1:], [9.0], 10.0)["saturated"]
+    usage = encode_usage(["hollow", "real"], rows, [0.4, 0.5], 10.0)
+    assert usage["hollow"]["core"] == pytest.approx(0.02) and usage["real"]["core"] == pytest.approx(0.05)
+    assert usage["hollow"]["core_busiest"] == pytest.approx(0.04 * 30 / 40)
+    assert usage["hollow"]["octets"] == 20.0 and usage["hollow"]["octets_most"] == 30.0
+    assert not usage["saturated"] and encode_usage(["real"], rows[1:], [9.0], 10.0)["saturated"]
 
 
-def test_spans_tell_the_last_ones_and_never_hide_one_that_did_not_come() -> None:
-    assert spans([]) == {"n": 0}
-    told = spans([0.1] * 98 + [5.0, float("inf")])
-    assert (told["p50"], told["p99"], told["worst"]) == (0.1, 5.0, None)
-    assert told["over_4s"] == 2 and told["never"] == 1
-    assert msgspec.json.decode(msgspec.json.encode(told)) == told
+def test_durations_are_encoded_with_those_that_never_arrived() -> None:
+    assert encode_durations([]) == {"n": 0}
+    encoded = encode_durations([0.1] * 98 + [5.0, float("inf")])
+    assert (encoded["p50"], encoded["p99"], encoded["worst"]) == (0.1, 5.0, None)
+    assert encoded["over_4s"] == 2 and encoded["never"] == 1
+    assert msgspec.json.decode(msgspec.json.encode(encoded)) == encoded
 
 
 # ---------------------------------------------------------------- members
 
 
-def test_a_wiped_copy_keeps_when_it_first_held_a_change_and_counts_anew() -> None:
+def test_a_wiped_copy_keeps_first_arrivals_and_records_its_own_anew() -> None:
     held: dict[str, float] = {}
     first = Store("a")
-    witness = Witness(first, held)
-    first.put("change/1", 1)
+    recorder = ArrivalRecorder(first, held)
+    record = first.put("change/1", 1)
     first.put("other", 1)
     second = Store("a")
-    again = Witness(second, held)
-    second.merge([first._records["change/1"]])
+    again = ArrivalRecorder(second, held)
+    second.merge([record])
     assert list(held) == ["change/1"]
-    assert again.again["change/1"] >= witness.again["change/1"] == held["change/1"]
+    assert again.present_copy_s["change/1"] >= recorder.present_copy_s["change/1"] == held["change/1"]
 
 
-def test_copies_with_the_same_records_have_the_same_hash_and_one_change_tells() -> None:
+def test_copies_with_the_same_records_have_the_same_hash_and_a_change_alters_it() -> None:
     one, two = Store("a"), Store("b")
     one.merge(preload(20))
     two.merge(reversed(preload(20)))
@@ -527,7 +553,7 @@
     assert store_hash(one) != store_hash(two)
 
 
-def test_another_spread_can_be_put_in_by_its_name(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_another_replication_can_be_registered_by_its_name(monkeypatch: pytest.MonkeyPatch) -> None:
     made = []
 
     class Other:
@@ -537,47 +563,50 @@
 
         async def stop(self) -> None: ...
 
-    def make(store: Store, options: LinkOptions, admission: AdmissionController, place: Place) -> Other:
-        made.append((store, place))
+    def make(store: Store, options: LinkOptions, admission: AdmissionController, location: Location) -> Other:
+        made.append((store, location))
         return Other()
 
-    monkeypatch.setitem(members.SPREADS, "other", make)
-    store, place = Store("a"), Place("a", "z0", "g0")
+    monkeypatch.setitem(members.REPLICATIONS, "other", make)
+    store, location = Store("a"), Location("a", "z0", "g0")
     options = LinkOptions(("127.0.0.1", 0), (), b"")
-    found = make_spreader("other", store, options, AdmissionController(ProcessLimits(64, 64.0)), place)
-    assert isinstance(found, Other) and made == [(store, place)]
+    found = make_replication("other", store, options, AdmissionController(ProcessLimits(64, 64.0)), location)
+    assert isinstance(found, Other) and made == [(store, location)]
 
 
 # ---------------------------------------------------------------- costs of single parts
 
 
 def test_each_part_is_measured_at_the_size_it_is_asked_for() -> None:
-    digest = costs.store_digest(30)
-    frame = json.dumps({"digest": costs.filled(30).digest()}, separators=(",", ":"))
+    digest = store_costs.store_digest(30)
+    frame = json.dumps({"digest": make_store(30).digest()}, separators=(",", ":"))
     assert digest["octets"] == len(frame) and digest["frame_part"] == pytest.approx(len(frame) / (4 << 20))
-    assert costs.store_memory(300)["kept"] == 300 and costs.store_memory(300)["octets"] > 300 * 100
-    log = costs.store_log(30)
+    memory = store_costs.store_memory(300)
+    assert memory["kept"] == 300 and memory["octets"] > 300 * 100
+    log = store_costs.store_log(30)
     assert log["octets"] > 30 * 50 and log["put_s"] > 0
-    copied = costs.operator_command(450)  # three frames
+    copied = store_costs.operator_command(450)  # three frames
     assert copied["kept"] == 450 and 0 < copied["copied_s"] <= copied["done_s"]
-    assert costs.list_reading(40)["octets"] > 40 * 100
-    assert costs.decisions(12)["sent"] == 1.0
-    assert costs.flow_record(9)["octets"] - costs.flow_record(8)["octets"] == 2, "class and tenant"
+    assert relay_costs.list_reading(40)["octets"] > 40 * 100
+    assert relay_costs.decisions(12)["sent"] == 1.0
+    assert relay_costs.flow_record(9)["octets"] - relay_costs.flow_record(8)["octets"] == 2, (
+        "class and tenant"
+    )
 
 
-def test_calls_for_the_list_pile_up_where_discovery_is_slower_than_they_come() -> None:
-    quick, slow = costs.list_calls(60, 2.0, True, 1), costs.list_calls(60, 130.0, True, 1)
+def test_calls_for_the_list_queue_up_where_discovery_is_slower_than_they_arrive() -> None:
+    quick, slow = list_calls(60, 2.0, True, 1), list_calls(60, 130.0, True, 1)
     assert quick["failed"] == 0 and quick["calls"] == 60 and quick["last_s"] < 2.0
     assert slow["failed"] > 0 and slow["calls"] == 60 + slow["failed"] and slow["last_s"] > 60 * 0.13
-    assert costs.list_calls(60, 130.0, True, 1) == slow, "the same seed, the same day"
+    assert list_calls(60, 130.0, True, 1) == slow, "the same seed, the same day"
 
 
 def test_a_parts_lines_end_with_its_fits_and_an_unknown_part_is_named(tmp_path: Path) -> None:
     lines = list(costs.run_costs(["flow_record"]))
     assert [line.get("fit") for line in lines] == [None] * 4 + ["octets"]
     assert lines[-1]["straight"] and lines[-1]["values"][1] == pytest.approx(2.0)
-    told = CliRunner().invoke(app, ["lab", "costs", "--out", str(tmp_path / "c"), "--only", "flows"])
-    assert told.exit_code == 2 and "only: flows" in told.stderr
+    refused = CliRunner().invoke(app, ["lab", "costs", "--out", str(tmp_path / "c"), "--only", "flows"])
+    assert refused.exit_code == 2 and "only: flows" in refused.stderr
     kept = CliRunner().invoke(app, ["lab", "costs", "--out", str(tmp_path / "c"), "--only", "flow_record"])
     assert kept.exit_code == 0
     assert [json.loads(x)["part"] for x in (tmp_path / "c").read_text().splitlines()] == ["flow_record"] * 5
@@ -585,11 +614,13 @@
 
 def test_the_command_names_a_faulty_files_key(tmp_path: Path) -> None:
     (tmp_path / "x.toml").write_text('name = "x"\n[[sizes]]\nname = "a"\nmembers = 4\nspread = "gossip"')
-    told = CliRunner().invoke(app, ["lab", "scale", str(tmp_path / "x.toml"), "--out", str(tmp_path / "o")])
-    assert told.exit_code == 2 and "sizes[0].spread" in told.stderr and not (tmp_path / "o").exists()
+    refused = CliRunner().invoke(
+        app, ["lab", "scale", str(tmp_path / "x.toml"), "--out", str(tmp_path / "o")]
+    )
+    assert refused.exit_code == 2 and "sizes[0].spread" in refused.stderr and not (tmp_path / "o").exists()
 
 
-# ---------------------------------------------------------------- whole runs
+# ---------------------------------------------------------------- complete runs
 
 
 def left_behind(folder: Path) -> list[str]:
@@ -605,7 +636,7 @@
     return found
 
 
-def test_a_small_run_holds_every_change_everywhere_and_sends_no_more_than_it_should(tmp_path: Path) -> None:
+def test_a_small_run_delivers_every_change_and_sends_no_more_than_it_should(tmp_path: Path) -> None:
     keys, interval_s = 50, 0.5
     experiment = ScaleExperiment(
         "x",
@@ -613,11 +644,11 @@
         seeds=(7,),
         interval_s=interval_s,
         windows=SMALL,
-        lanes=Lanes(between_ms=2.0),
-        around=Around(hosts=8),
+        lanes=LinkProfile(between_ms=2.0),
+        around=Environment(hosts=8),
     )
-    experiment.check()
-    line = asyncio.run(Play(experiment, experiment.sizes[0], 7, tmp_path).run())
+    experiment.validate()
+    line = asyncio.run(ScaleRun(experiment, experiment.sizes[0], 7, tmp_path).run())
     assert line["equal"]["all"] and line["links"] == 10
     idle, changes = line["phases"]["idle"], line["phases"]["changes"]
     assert changes["changes"]["last"]["n"] == 6 and changes["changes"]["last"]["never"] == 0
@@ -639,7 +670,7 @@
     assert left_behind(tmp_path) == []
 
 
-def test_each_fault_is_struck_and_over_and_all_copies_are_equal_after(tmp_path: Path) -> None:
+def test_each_fault_is_injected_and_all_copies_are_equal_after(tmp_path: Path) -> None:
     faults = (
         Fault("kill", length_s=0.5, part=0.3, wipe=True, after_s=0.5),
         Fault("cut", length_s=1.0, after_s=0.3),
@@ -654,10 +685,10 @@
         seeds=(7,),
         interval_s=0.5,
         windows=msgspec.structs.replace(SMALL, changes=20),
-        lanes=Lanes(between_ms=2.0),
-        around=Around(hosts=8),
+        lanes=LinkProfile(between_ms=2.0),
+        around=Environment(hosts=8),
     )
-    line = asyncio.run(Play(experiment, experiment.sizes[0], 7, tmp_path).run())
+    line = asyncio.run(ScaleRun(experiment, experiment.sizes[0], 7, tmp_path).run())
     phases = line["phases"]
     assert list(phases)[2:] == ["0:kill", "1:cut", "2:loss", "3:zone", "4:restart", "5:discovery"]
     for name, phase in phases.items():
@@ -673,12 +704,12 @@
     assert left_behind(tmp_path) == []
 
 
-def test_a_run_over_its_bound_is_ended_and_says_so(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_run_over_its_bound_is_ended_and_reported(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(tempfile, "tempdir", str(tmp_path))
     tight = ScaleExperiment("x", (Size("a", 3),), windows=SMALL, bounds=Bounds(memory_gb=0.01))
-    with pytest.raises(ValueError, match=r"sizes\[0\].keys"):
-        tight.check()  # it would be refused when read; here it is begun all the same
-    line = asyncio.run(play(tight, tight.sizes[0], 1, lambda text: None))
+    with pytest.raises(InvalidPlanError, match=r"sizes\[0\].keys"):
+        tight.validate()  # it would be refused when read; here it is begun all the same
+    line = asyncio.run(run_size(tight, tight.sizes[0], 1, lambda text: None))
     assert line["failed"].startswith("Overrun: memory_gb")
     assert left_behind(tmp_path) == [] and list(tmp_path.iterdir()) == []
 
@@ -706,6 +737,6 @@
                 continue
         assert len(left_behind(tmp_path)) >= 8, "five parts of the link layer, and three members' processes"
         command.send_signal(signal.SIGINT)
-        _, said = command.communicate(timeout=20)
-    assert command.returncode == 1 and "interrupted" in said
+        _, error_output = command.communicate(timeout=20)
+    assert command.returncode == 1 and "interrupted" in error_output
     assert left_behind(tmp_path) == [] and len((tmp_path / "o").read_text().splitlines()) == 1
