--- a/tests/config/test_compatibility_operators.py
+++ b/tests/config/test_compatibility_operators.py
@@ -11,6 +11,7 @@
 import shutil
 import ssl
 import tempfile
+from collections.abc import Mapping, Sequence
 from pathlib import Path
 from typing import Any
 
@@ -113,9 +114,9 @@
 }
 
 
-def encode_fields(obj: Any, names: Any) -> dict[str, Any]:
+def encode_fields(obj: object, names: Sequence[str] | Mapping[str, str]) -> dict[str, Any]:
     """The fields of ``obj`` by their names in the fixtures."""
-    pairs = names.items() if isinstance(names, dict) else zip(names, names, strict=True)
+    pairs = names.items() if isinstance(names, Mapping) else zip(names, names, strict=True)
     return {
         fixture_name: getattr(obj, RENAMED.get(field_name, field_name)) for fixture_name, field_name in pairs
     }
@@ -149,7 +150,8 @@
         keys = {name: key.public_bytes_raw().hex() for name, key in overrides.operators.items()}
         floors = encode_fields(overrides.safety_limits, FLOORS)
         encoded["overrides"] = {"operators": keys, "longest_s": overrides.max_duration_s, "floors": floors}
-    return json.loads(json.dumps(encoded))
+    decoded: dict[str, Any] = json.loads(json.dumps(encoded))
+    return decoded
 
 
 def encode_config(config: RelayConfig) -> dict[str, Any]:
@@ -165,7 +167,8 @@
         "known": encode_fields(known, LISTED)
         | {"servers": [encode_fields(endpoint, SERVER) for endpoint in known.endpoints]},
     }
-    return json.loads(json.dumps(encoded))
+    decoded: dict[str, Any] = json.loads(json.dumps(encoded))
+    return decoded
 
 
 def read_operator_file(source: Path, folder: Path) -> OperatorConfig:
--- a/tests/config/test_deployments.py
+++ b/tests/config/test_deployments.py
@@ -173,11 +173,12 @@
     # A connection may take connectTimeoutMs; its request line once followed whatever was known by then.
     async def go() -> None:
         from sageturn.frontends.platform import connection as platform_connection
+        from sageturn.net import sockets
 
         async with relaying(tmp_path, up, up) as (relay, endpoints):
             by_port = {e.address[1]: (name, e) for name, e in zip("ab", endpoints, strict=True)}
             first: list[FakeEndpoint] = []
-            connect = platform_connection.connect_unreserved
+            connect = sockets.connect_unreserved
 
             async def connect_while_draining(address: tuple[str, int], timeout_s: float) -> Any:
                 sock = await connect(address, timeout_s)
--- a/tests/config/test_settings.py
+++ b/tests/config/test_settings.py
@@ -17,7 +17,20 @@
 from sageturn.config.loader import load
 from sageturn.config.settings import read_settings
 
-INVALID_VALUES = (None, True, "x", -1, -0.5, 1e12, float("nan"), float("inf"), [], {}, [1], {"a": 1})
+INVALID_VALUES: tuple[object, ...] = (
+    None,
+    True,
+    "x",
+    -1,
+    -0.5,
+    1e12,
+    float("nan"),
+    float("inf"),
+    [],
+    {},
+    [1],
+    {"a": 1},
+)
 
 
 @pytest.mark.parametrize(
--- a/tests/core/test_attempt_races.py
+++ b/tests/core/test_attempt_races.py
@@ -18,6 +18,7 @@
 from sageturn.decision import Endpoint
 from sageturn.frontends.platform import connection as platform_connection
 from sageturn.frontends.platform import frontend as platform_frontend
+from sageturn.net import closing, sockets
 from sageturn.relay import Relay
 
 TIMEOUT_S = 20.0
@@ -73,13 +74,13 @@
         async with relaying(tmp_path, up, up) as (relay, endpoints):
             await until(lambda: relay.endpoint_registry.version == 2)
             by_port = {e.address[1]: (name, e) for name, e in zip("ab", endpoints, strict=True)}
-            connect, calls, at = platform_connection.connect_unreserved, 0, list[Any]()
+            connect, calls, at = sockets.connect_unreserved, 0, list[Any]()
 
             async def comes_up(address: tuple[str, int], timeout_s: float) -> Any:
                 nonlocal calls
                 calls += 1
                 if calls < attempt:
-                    return platform_connection.ConnectFailure.NEVER_UP
+                    return sockets.ConnectFailure.NEVER_UP
                 sock = await connect(address, timeout_s)
                 if not at:
                     name, endpoint = by_port[address[1]]
@@ -204,7 +205,7 @@
         settings["classes"][0].update(aimMs=9000.0, hardLimitMs=9000.0)
         async with relaying(tmp_path, host, host, settings=settings) as (relay, _):
             await until(lambda: relay.endpoint_registry.version == 2)
-            connect = platform_connection.connect_unreserved
+            connect = sockets.connect_unreserved
             call = platform_connection.PlatformConnection.open_upstream
             clock = relay.balancer_actor.clock
             now_ms, calls, begun, passed = clock.now_ms, 0, 0, 0.0
@@ -247,7 +248,7 @@
         settings["classes"][0].update(aimMs=9000.0, hardLimitMs=9000.0, keyTtlMs=300.0)
         async with relaying(tmp_path, host, host, settings=settings) as (relay, _):
             await until(lambda: relay.endpoint_registry.version == 2)
-            send, sent = platform_connection.send_gathered, 0
+            send, sent = sockets.send_gathered, 0
 
             async def stuck(*args: Any) -> None:
                 nonlocal sent
@@ -277,7 +278,7 @@
 ) -> None:
     # What is read after a shutdown and forwarded is lost, and a close over unread bytes resets the answer.
     monkeypatch.setattr(platform_frontend, "REQUEST_LINE_TIMEOUT_S", 0.1 if ended == "out of time" else 5.0)
-    politely, at_once = platform_frontend.close_gracefully, platform_frontend.send_and_close
+    politely, at_once = closing.close_gracefully, closing.send_and_close
 
     async def go() -> None:
         async with relaying(tmp_path, up) as (relay, (endpoint,)):
--- a/tests/core/test_client_disconnects.py
+++ b/tests/core/test_client_disconnects.py
@@ -16,13 +16,15 @@
 from support.network_fakes import SETTINGS, ask, first_line, relaying, silent, up
 from support.relay_checks import run_within, until
 from support.xmpp_fakes import Client, Server
-from support.xmpp_relay import client_tls, relaying_xmpp
+from support.xmpp_relay import client_tls, relaying_xmpp, xmpp_address
 
 from sageturn.core.close_reason import CloseReason
+from sageturn.core.request_lifecycle import RequestLifecycle
 from sageturn.frontends.platform import connection as platform_connection
 from sageturn.frontends.platform.connection import PlatformConnection
 from sageturn.frontends.xmpp import connection as xmpp_connection
 from sageturn.frontends.xmpp.connection import XmppConnection
+from sageturn.net import sockets
 from sageturn.net.sockets import ConnectFailure
 
 GONE = (CloseReason.CLIENT_LEFT, CloseReason.CLIENT_RESET)
@@ -162,20 +164,20 @@
                 await until(lambda: relay.endpoint_registry.version == 2)
                 begun = Begun(monkeypatch, xmpp_connection, moment == "further")
                 if moment == "bind":
-                    ask_life, at = xmpp_connection.RequestLifecycle.check_before_write, list[bool]()
+                    ask_life, at = RequestLifecycle.check_before_write, list[bool]()
 
                     def leaves_first(self: Any, wanted: Any = None) -> Any:
                         aside.do(leave(client))
                         at.append(True)
                         return ask_life(self, wanted)
 
-                    monkeypatch.setattr(xmpp_connection.RequestLifecycle, "check_before_write", leaves_first)
+                    monkeypatch.setattr(RequestLifecycle, "check_before_write", leaves_first)
                 else:
                     number = 1 + (moment == "further")
                     as_call_begins(monkeypatch, XmppConnection, number, lambda: aside.do(leave(client)))
                 records: list[Any] = []
                 monkeypatch.setattr(relay.context, "on_connection_closed", records.append)
-                client = await aside.does(Client.connect(relay.xmpp_listener.address))
+                client = await aside.does(Client.connect(xmpp_address(relay)))
                 await aside.does(client.login(client_tls()))
                 await aside.does(say_wish(client))
                 await until(lambda: records and not relay.balancer_actor.balancer.requests)
@@ -209,7 +211,7 @@
         settings = {**SETTINGS, "accounts": tenants}
         async with relaying(tmp_path, silent, silent, settings=settings) as (relay, endpoints):
             await until(lambda: relay.endpoint_registry.version == 2)
-            connect, begun, held = platform_connection.connect_unreserved, 0, asyncio.Event()
+            connect, begun, held = sockets.connect_unreserved, 0, asyncio.Event()
 
             async def waits(address: tuple[str, int], timeout_s: float) -> Any:
                 nonlocal begun
@@ -292,8 +294,11 @@
 def test_an_xmpp_client_that_breaks_its_stream_while_it_waits_hears_why(tmp_path: Path) -> None:
     # It was taken for one that had left, and its connection closed without a word.
     async def go() -> None:
-        async with relaying_xmpp(tmp_path, lambda server: server.rest()) as (relay, (endpoint,)):
-            client = await Client.connect(relay.xmpp_listener.address)
+        async def read_until_end(server: Server) -> None:
+            await server.rest()
+
+        async with relaying_xmpp(tmp_path, read_until_end) as (relay, (endpoint,)):
+            client = await Client.connect(xmpp_address(relay))
             await client.login(client_tls())
             client.wish()
             await until(lambda: endpoint.lines)
--- a/tests/core/test_close_reasons.py
+++ b/tests/core/test_close_reasons.py
@@ -22,6 +22,7 @@
 from sageturn.frontends.platform import frontend as platform_frontend
 from sageturn.frontends.platform import relaying as platform_relaying
 from sageturn.frontends.platform.line_forwarder import LineForwarder
+from sageturn.net import sockets
 from sageturn.relay import Relay
 
 
@@ -95,14 +96,14 @@
 
 
 async def connecting(scene: Scene, monkeypatch: pytest.MonkeyPatch) -> None:
-    connect, begun = platform_connection.connect_unreserved, asyncio.Event()
+    connect, begun = sockets.connect_unreserved, asyncio.Event()
 
     async def slowly(address: tuple[str, int], timeout_s: float) -> Any:
         begun.set()
         try:
             await asyncio.wait_for(scene.resume.wait(), timeout_s)
         except TimeoutError:
-            return platform_connection.ConnectFailure.NEVER_UP
+            return sockets.ConnectFailure.NEVER_UP
         return await connect(address, timeout_s)
 
     monkeypatch.setattr(platform_connection, "connect_unreserved", slowly)
--- a/tests/decision/test_balancer_properties.py
+++ b/tests/decision/test_balancer_properties.py
@@ -16,6 +16,7 @@
     ConnectionEstablished,
     Endpoint,
     EndpointListEvent,
+    Event,
     FailRequest,
     MeasurementReported,
     MigrateConnection,
@@ -244,7 +245,7 @@
             events.append(RequestArrived(now + 1, cls, tenant, now * 10.0 + 900.0, prefix + "g"))
         else:
             id, attempt, endpoint = sent[pick % len(sent)]
-            events += [
+            choices: list[list[Event]] = [
                 [
                     ConnectionEstablished(id, attempt, endpoint),
                     MeasurementReported(id, attempt, endpoint, "delay", 45.0),
@@ -252,7 +253,8 @@
                 [AttemptEnded(id, attempt, endpoint, "reset", False)],
                 [AttemptEnded(id, attempt, endpoint, "timeout", False), ClientDisconnected(id)],
                 [EndpointListEvent("changes", [line(pick % 6, ("draining", "ready")[arg % 2])])],
-            ][arg % 4]
+            ]
+            events += choices[arg % 4]
         due, events = events, []
         for event in due:
             for a in b.handle(now * 10.0, event):
--- a/tests/decision/test_health_checks.py
+++ b/tests/decision/test_health_checks.py
@@ -14,6 +14,7 @@
 from hypothesis import strategies as st
 from support.load_reports import FIELDS, probed_by
 from support.network_fakes import SETTINGS, Script, ask, first_line, relaying, reply, resets, says, silent, up
+from support.relay_checks import record_balancer_events
 
 from sageturn import decision
 from sageturn.decision.health_checks import (
@@ -106,7 +107,8 @@
 
 
 def told(relay: Any, endpoint: str, **report: float) -> list[Any]:
-    return relay.tell(decision.HealthCheckCompleted(endpoint, "ok", report))
+    actions: list[Any] = relay.tell(decision.HealthCheckCompleted(endpoint, "ok", report))
+    return actions
 
 
 def fill(relay: Any, count: int) -> None:
@@ -235,16 +237,14 @@
 
     async def go() -> None:
         async with relaying(tmp_path, says(b"UP r\r\nBYE x0=0.25,util=0.5\r\n")) as (relay, _):
-            told: list[Any] = []
-            handle = relay.balancer_actor._balancer.handle
-            relay.balancer_actor._balancer.handle = lambda now, e: (told.append(e), handle(now, e))[1]  # type: ignore[method-assign]
+            handled = record_balancer_events(relay, monkeypatch)
             reader, writer = await ask(relay.listener.address, first_line(more=",r=1"))
             assert await reader.read() == b"UP r\r\nBYE x0=0.25,util=0.5\r\n"
             writer.close()
-            while not any(isinstance(e, decision.AttemptEnded) for e in told):
+            while not any(isinstance(e, decision.AttemptEnded) for e in handled):
                 await asyncio.sleep(0.01)
-            (ended,) = [e for e in told if isinstance(e, decision.AttemptEnded)]
+            (ended,) = [e for e in handled if isinstance(e, decision.AttemptEnded)]
             assert (ended.status, ended.report) == ("ok", {"x0": 0.25, "cpu": 0.5})
-            assert [e.retried for e in told if hasattr(e, "retried")] == [True]
+            assert [e.retried for e in handled if hasattr(e, "retried")] == [True]
 
     story(go())
--- a/tests/flows/test_compatibility_flows.py
+++ b/tests/flows/test_compatibility_flows.py
@@ -61,7 +61,8 @@
 def ended_records() -> list[ConnectionRecord]:
     """One for each close reason, in their order, and those that were answered instead."""
     answers = [None, FinalResponse(rejected=True, reason="x"), FinalResponse(rejected=False, reason="x")]
-    outcomes = [(close_reason, None) for close_reason in CloseReason]
+    outcomes: list[tuple[CloseReason | None, FinalResponse | None]] = []
+    outcomes += [(close_reason, None) for close_reason in CloseReason]
     outcomes += [(None, answer) for answer in answers]
     records = []
     for close_reason, answer in outcomes:
--- a/tests/frontends/test_compatibility_frontends.py
+++ b/tests/frontends/test_compatibility_frontends.py
@@ -13,13 +13,14 @@
 import socket
 import tempfile
 from collections.abc import Awaitable, Callable, Sequence
+from functools import partial
 from pathlib import Path
-from typing import Any
+from typing import Any, TypeVar
 from unittest import mock
 
 import pytest
-from scramp import ScramClient, ScramMechanism
-from scramp.core import Nonce
+from scramp import ScramClient, ScramMechanism  # type: ignore[import-untyped]  # it has no stubs
+from scramp.core import Nonce  # type: ignore[import-untyped]  # it has no stubs
 from support.network_fakes import Script, ask, relaying, says, silent
 
 from sageturn.core.messages import FinalResponse
@@ -42,9 +43,11 @@
 
 FIXTURES = Path(__file__).parents[1] / "fixtures" / "fronts"
 
+Result = TypeVar("Result")
 
-def bounded(coro: Awaitable[Any]) -> Any:
-    async def within() -> Any:
+
+def bounded(coro: Awaitable[Result]) -> Result:
+    async def within() -> Result:
         async with asyncio.timeout(10):
             return await coro
 
@@ -135,7 +138,7 @@
 async def platform_answers(folder: Path) -> dict[str, bytes]:
     told = {"turned-away": platform_frontend.PlatformFrontend.rejection}
     for name, answer in ANSWERS.items():
-        told[f"answer.{name}"] = await told_by(lambda sock, a=answer: send_final_response(sock, a))
+        told[f"answer.{name}"] = await told_by(partial(send_final_response, response=answer))
     async with relaying(folder, silent) as (relay, _):
         address = relay.listener.address
         for name, line in FIRST_LINES.items():
@@ -185,7 +188,7 @@
         return {"first-line.id-in-use": same_id, "exchange.spoke-before-the-answer": hasty}
 
 
-def in_folder(story: Callable[..., Awaitable[Any]], *words: Any) -> Any:
+def in_folder(story: Callable[..., Awaitable[Result]], *words: object) -> Result:
     with tempfile.TemporaryDirectory() as folder:
         return bounded(story(Path(folder), *words))
 
@@ -415,6 +418,7 @@
 def client_scripts() -> dict[str, tuple[bool, Sequence[Line]]]:
     """By name: whether TLS is wanted, and what the client says."""
     scram = ScriptedScram()
+    bind_first_scram = ScriptedScram()
     wrong = plain("\0lan\0wrong")
     return {
         "scram": (False, [HEADER, scram.auth, scram.response, HEADER, BIND_WISH]),
@@ -440,7 +444,7 @@
         "version": (False, [HEADER.replace(b"version='1.0' to", b"version='0.9' to")]),
         "bind-first": (
             False,
-            [HEADER, *(s for s in (ScriptedScram(),) for s in (s.auth, s.response)), HEADER, b"<message/>"],
+            [HEADER, bind_first_scram.auth, bind_first_scram.response, HEADER, b"<message/>"],
         ),
     }
 
--- a/tests/frontends/test_idle_timeout.py
+++ b/tests/frontends/test_idle_timeout.py
@@ -1,15 +1,14 @@
 """Endpoints that fall silent, break off or dribble: when clients are moved, and how they are answered."""
 
 import asyncio
-from collections.abc import Callable
 from pathlib import Path
 
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
 from support.network_fakes import Script, ask, first_line, relaying, reply, resets, silent, up
-from support.xmpp_fakes import Client, Server
-from support.xmpp_relay import client_tls, relaying_xmpp
+from support.xmpp_fakes import Act, Client, Server
+from support.xmpp_relay import client_tls, relaying_xmpp, xmpp_address
 
 from sageturn.core.idle_timeout import IdleTimeout
 from sageturn.frontends.platform.timing import (
@@ -159,10 +158,10 @@
 
 
 @pytest.mark.parametrize("act", [at_once, after_login, half_bound])
-def test_xmpp_client_of_a_silent_endpoint_gets_one_stanza_in_time(tmp_path: Path, act: Callable) -> None:  # type: ignore[type-arg]
+def test_xmpp_client_of_a_silent_endpoint_gets_one_stanza_in_time(tmp_path: Path, act: Act) -> None:
     async def go() -> None:
         async with relaying_xmpp(tmp_path, *[act] * 4, wait_ms=600) as (relay, endpoints):
-            client = await Client.connect(relay.xmpp_listener.address)
+            client = await Client.connect(xmpp_address(relay))
             await client.login(client_tls())
             began = asyncio.get_running_loop().time()
             client.wish()
--- a/tests/frontends/test_platform_frontend.py
+++ b/tests/frontends/test_platform_frontend.py
@@ -23,8 +23,10 @@
     up,
     write_config,
 )
+from support.relay_checks import record_balancer_events
 
 from sageturn.config.loader import load
+from sageturn.decision import MeasurementReported
 from sageturn.relay import Relay
 
 
@@ -223,18 +225,19 @@
     run_with_timeout(go())
 
 
-def test_load_reports_reach_the_balancer_and_the_client(tmp_path: Path) -> None:
+def test_load_reports_reach_the_balancer_and_the_client(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     async def go() -> None:
         async with relaying(tmp_path, says(b"UP r\r\nLOAD 1500\r\nLOAD x\r\nBYE\r\n")) as (relay, _):
-            told = []
-            handle = relay.balancer_actor._balancer.handle
-            relay.balancer_actor._balancer.handle = lambda now, e: (told.append(e), handle(now, e))[1]  # type: ignore[method-assign]
+            handled = record_balancer_events(relay, monkeypatch)
             reader, writer = await ask(relay.listener.address, first_line())
             assert await reader.read() == b"UP r\r\nLOAD 1500\r\nLOAD x\r\nBYE\r\n"
             writer.close()
-            while not any(getattr(e, "status", "") == "ok" for e in told):
+            while not any(getattr(e, "status", "") == "ok" for e in handled):
                 await asyncio.sleep(0.01)
-            assert [e.value for e in told if getattr(e, "kind", "") == "load"] == [1.5]
+            reported = [e for e in handled if isinstance(e, MeasurementReported) and e.kind == "load"]
+            assert [e.value for e in reported] == [1.5]
 
     run_with_timeout(go())
 
@@ -244,6 +247,7 @@
     from sageturn.config.loader import load
 
     good = {"name": "n", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1", "settings": {}}
+    faults: tuple[tuple[dict[str, object], str], ...]
     faults = (({"listen": "x"}, "listen"), ({"seed": 5}, "seed"), ({}, "settings.classes: is missing"))
     for change, says_key in faults:
         (tmp_path / "c").write_text(json.dumps({**good, **change}))
--- a/tests/frontends/test_xmpp_frontend.py
+++ b/tests/frontends/test_xmpp_frontend.py
@@ -12,7 +12,7 @@
 from support.network_fakes import SETTINGS as CONF
 from support.network_fakes import ask, first_line
 from support.xmpp_fakes import HEADER, Client, Server, echo, turns_away
-from support.xmpp_relay import CA, CERT, client_tls, relaying_xmpp, server_tls, write_operator
+from support.xmpp_relay import CA, CERT, client_tls, relaying_xmpp, server_tls, write_operator, xmpp_address
 
 from sageturn.config.settings import read_settings
 from sageturn.net.admission import ProcessLimits
@@ -24,7 +24,7 @@
     # The stream starts three times, for TLS and SASL; only the bind is a request, and it is placed once.
     async def go() -> None:
         async with relaying_xmpp(tmp_path, lambda s: echo(s, server_tls()), tls=True) as (relay, _):
-            client = await Client.connect(relay.xmpp_listener.address)
+            client = await Client.connect(xmpp_address(relay))
             await client.login(client_tls())
             assert relay.balancer_actor.placements == []
             assert await client.bind("desk") == "relay@guides.example/desk"
@@ -43,16 +43,16 @@
 def test_plain_is_offered_under_tls_and_a_wrong_password_is_no_request(tmp_path: Path) -> None:
     async def go() -> None:
         async with relaying_xmpp(tmp_path, echo) as (relay, _):
-            client = await Client.connect(relay.xmpp_listener.address)
+            client = await Client.connect(xmpp_address(relay))
             await client.login(client_tls(), plain=True)
             assert (await client.bind()).endswith("lan/desk")
             for plain in (True, False):
-                wrong = await Client.connect(relay.xmpp_listener.address)
+                wrong = await Client.connect(xmpp_address(relay))
                 with pytest.raises((AssertionError, TimeoutError)):
                     async with asyncio.timeout(1):
                         await wrong.login(client_tls(), password="nope", plain=plain)
                 assert "<not-authorized/>" in wrong.seen
-            assert len(relay.balancer_actor.placements) == 1
+            assert len(relay.balancer_actor.placements or ()) == 1
 
     run_with_timeout(go(), 30)
 
@@ -78,7 +78,7 @@
 def test_invalid_stream_ends_with_its_defined_error(tmp_path: Path, said: str, condition: str) -> None:
     async def go() -> None:
         async with relaying_xmpp(tmp_path, echo, negotiate_s=0.5) as (relay, (endpoint,)):
-            client = await Client.connect(relay.xmpp_listener.address)
+            client = await Client.connect(xmpp_address(relay))
             client.say(said)
             heard = await client.rest()
             assert f"<{condition} xmlns='urn:ietf:params:xml:ns:xmpp-streams'/>" in heard
@@ -103,7 +103,7 @@
 ) -> None:
     async def go() -> None:
         async with relaying_xmpp(tmp_path, *[act] * 5, wait_ms=900) as (relay, endpoints):
-            client = await Client.connect(relay.xmpp_listener.address)
+            client = await Client.connect(xmpp_address(relay))
             await client.login(client_tls())
             began = asyncio.get_running_loop().time()
             client.wish()
@@ -128,7 +128,7 @@
 
     async def go() -> None:
         async with relaying_xmpp(tmp_path, slow_speaker) as (relay, _):
-            client = await Client.connect(relay.xmpp_listener.address)
+            client = await Client.connect(xmpp_address(relay))
             await client.login(client_tls())
             await client.bind()
             client.say("<presence/>")
@@ -151,7 +151,7 @@
 
     async def go() -> None:
         async with relaying_xmpp(tmp_path, dies) as (relay, _):
-            client = await Client.connect(relay.xmpp_listener.address)
+            client = await Client.connect(xmpp_address(relay))
             await client.login(client_tls())
             await client.bind()
             heard = await client.rest()
@@ -188,7 +188,7 @@
             answers, held = [], list[object]()
             for front in fronts:
                 if front == "x":
-                    client = await Client.connect(relay.xmpp_listener.address)
+                    client = await Client.connect(xmpp_address(relay))
                     await client.login(client_tls())
                     client.wish()
                     found = await client.hear("<jid>|<resource-constraint |<remote-connection-failed ")
@@ -248,11 +248,11 @@
         async with relaying_xmpp(tmp_path, echo) as (relay, _):
             relay.admission.limits = ProcessLimits(sockets=96, memory_mb=192.0)
             began = asyncio.get_running_loop().time()
-            half = await Client.connect(relay.xmpp_listener.address)
+            half = await Client.connect(xmpp_address(relay))
             half.say("<?xml version='1.0'?><stream:str")
             assert "<connection-timeout " in await half.rest()
             assert asyncio.get_running_loop().time() - began < 2.9
-            crowd = [await Client.connect(relay.xmpp_listener.address) for _ in range(30)]
+            crowd = [await Client.connect(xmpp_address(relay)) for _ in range(30)]
             assert "<resource-constraint " in await crowd[0].rest()
             for each in crowd:
                 each.writer.close()
--- a/tests/net/test_descriptor_exhaustion.py
+++ b/tests/net/test_descriptor_exhaustion.py
@@ -37,6 +37,11 @@
 )
 
 
+def kill_if_running(process: asyncio.subprocess.Process) -> None:
+    if process.returncode is None:
+        process.kill()
+
+
 async def all_received(streams: Streams) -> bytes:
     """All that a client is sent; a reset shows as b"reset"."""
     reader, writer = streams
@@ -74,7 +79,7 @@
                 env={**os.environ, "GW_CONFIG": str(file)},
                 stderr=asyncio.subprocess.DEVNULL,
             )
-            stack.callback(lambda: process.returncode is None and process.kill())
+            stack.callback(kill_if_running, process)
             await until_ready(address)
 
             standing: list[Streams] = []
--- a/tests/net/test_endpoint_list.py
+++ b/tests/net/test_endpoint_list.py
@@ -32,7 +32,8 @@
     # When each line was taken for an object, an indented list failed the watch, call after call.
     text = b"".join(b"\r\n" + json.dumps(o, indent=i, ensure_ascii=False).encode() for o, i in objects)
     cuts = sorted(data.draw(st.lists(st.integers(0, len(text)), max_size=12)))
-    splitter, found = JsonObjectSplitter(1 << 20), []
+    splitter = JsonObjectSplitter(1 << 20)
+    found: list[bytes] = []
     for start, end in zip([0, *cuts], [*cuts, len(text)], strict=True):
         found += splitter.feed(text[start:end])
     assert [json.loads(t) for t in found] == [o for o, _ in objects] and not splitter.is_inside_object
--- a/tests/net/test_sockets.py
+++ b/tests/net/test_sockets.py
@@ -19,12 +19,12 @@
 from support.network_fakes import SETTINGS, Streams, ask, first_line, relaying, silent, up
 from support.replication_member import replica
 from support.xmpp_fakes import HEADER, Client, echo
-from support.xmpp_relay import client_tls, relaying_xmpp
+from support.xmpp_relay import client_tls, relaying_xmpp, xmpp_address
 
 from sageturn.core.shutdown_schedule import ShutdownSchedule
 from sageturn.net import listener
 from sageturn.net.admission import ProcessLimits
-from sageturn.net.closing import close_gracefully
+from sageturn.net.closing import close_gracefully, send_and_close
 from sageturn.net.descriptors import DESCRIPTOR_RESERVE, DescriptorReserve
 from sageturn.net.sockets import ConnectFailure, connect, connect_unreserved
 from sageturn.store.store import Store
@@ -81,10 +81,10 @@
 def test_all_sockets_of_the_xmpp_frontend_have_nodelay(tmp_path: Path) -> None:
     async def go() -> None:
         async with relaying_xmpp(tmp_path, echo) as (relay, (endpoint,)):
-            client = await Client.connect(relay.xmpp_listener.address)
+            client = await Client.connect(xmpp_address(relay))
             await client.login(client_tls())
             await client.bind()
-            found = connections_of_relay({relay.xmpp_listener.address}, {endpoint.address})
+            found = connections_of_relay({xmpp_address(relay)}, {endpoint.address})
             assert len(found) == 2 and all_have_nodelay(found, {"accepted", "dialled"})
             client.writer.close()
 
@@ -107,7 +107,6 @@
 
 def test_rejected_connection_has_nodelay(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     options: list[int] = []
-    send_and_close = listener.send_and_close
 
     def checking_send_and_close(sock: socket.socket, text: bytes) -> None:
         options.append(sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY))
@@ -168,7 +167,7 @@
     # Its connection was closed over what lay unread: the reset could destroy the answer on its way.
     async def go() -> None:
         async with relaying_xmpp(tmp_path, echo) as (relay, _):
-            client = await Client.connect(relay.xmpp_listener.address)
+            client = await Client.connect(xmpp_address(relay))
             client.say("<?xml version='1.0'?>")
             await until(lambda: relay.admission.awaiting_request)
             await asyncio.sleep(0.01)
--- a/tests/rebalance/test_planner.py
+++ b/tests/rebalance/test_planner.py
@@ -3,13 +3,13 @@
 from __future__ import annotations
 
 from collections import Counter
+from dataclasses import replace
 
 import pytest
 from support.rebalance_fleet import QUICK, START_MS, Fleet, Reconnect, uneven_fleet
 
-from sageturn import AttemptEnded, Endpoint, EndpointListEvent, MeasurementReported
+from sageturn import AttemptEnded, Endpoint, EndpointListEvent, MeasurementReported, MigrateConnection
 from sageturn.core.endpoint_snapshot import OperatorMarks, snapshot_endpoints
-from sageturn.rebalance.options import RebalanceOptions
 
 
 def test_whole_groups_are_migrated_slowly_until_balanced() -> None:
@@ -240,10 +240,10 @@
     fleet = uneven_fleet()
     fleet.run_until_migrated()
     count = len(fleet.migrated)
-    fleet.planner.options = RebalanceOptions(**{**QUICK, "mode": "off"})
+    fleet.planner.options = replace(fleet.options, mode="off")
     fleet.run(60)
     assert len(fleet.migrated) == count and fleet.plan.phase == "off"
-    fleet.planner.options = RebalanceOptions(**{**QUICK, "mode": "dry-run"})
+    fleet.planner.options = replace(fleet.options, mode="dry-run")
     planned = sum(len(fleet.step().migrations) for _ in range(60))
     assert planned > 0 and len(fleet.migrated) == count
     assert fleet.planner.counts["would_move"] == planned
@@ -282,11 +282,13 @@
     landed = [i for i, connection in fleet.connections.items() if connection.client in clients]
     assert landed
     for endpoint in {fleet.connections[i].endpoint for i in landed}:
-        migrations = []
+        migrated_ids: set[int] = set()
         for _ in range(30):
-            migrations += fleet.balancer.overload.relieve(fleet.balancer.endpoints[endpoint])
-        assert not {migration.id for migration in migrations} & set(landed)
-        assert migrations
+            for action in fleet.balancer.overload.relieve(fleet.balancer.endpoints[endpoint]):
+                assert isinstance(action, MigrateConnection)
+                migrated_ids.add(action.id)
+        assert not migrated_ids & set(landed)
+        assert migrated_ids
 
 
 def test_the_state_says_what_is_done_and_why() -> None:
--- a/tests/rebalance/test_rebalance_relay.py
+++ b/tests/rebalance/test_rebalance_relay.py
@@ -14,7 +14,7 @@
 import pytest
 from support.network_fakes import SETTINGS, ask, first_line, relaying, up, write_config
 from support.xmpp_fakes import Client, echo
-from support.xmpp_relay import client_tls, relaying_xmpp, server_tls
+from support.xmpp_relay import client_tls, relaying_xmpp, server_tls, xmpp_address
 
 from sageturn.config.errors import ConfigError
 from sageturn.config.loader import load
@@ -100,7 +100,7 @@
                 and relay.rebalancer.connections.endpoints["a"].groups["g1"].connection_count == 3
             )
             draining = asyncio.ensure_future(relay.request_registry.drain(relay.ingress))
-            await wait_until(lambda: relay.rebalancer.counts["by_others"] == 3)  # type: ignore[union-attr]
+            await wait_until(lambda: relay.rebalancer.counts["by_others"] == 3)
             assert relay.rebalancer.step().phase == "stopping"
             await draining
 
@@ -125,12 +125,12 @@
     run_with_timeout(go())
 
 
-def test_an_xmpp_client_is_asked_in_its_own_protocol(tmp_path: Path) -> None:
+def test_an_xmpp_client_is_asked_in_its_own_protocol(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     async def go() -> None:
         async with relaying_xmpp(tmp_path, lambda s: echo(s, server_tls()), tls=True) as (relay, _):
             file = tmp_path / "operator.json"
             file.write_text(json.dumps({**json.loads(file.read_text()), **REBALANCE_ON}))
-            client = await Client.connect(relay.xmpp_listener.address)
+            client = await Client.connect(xmpp_address(relay))
             await client.login(client_tls())
             await client.bind()
             await relay.apply_config(load({"GW_CONFIG": str(tmp_path / "config.json")}, str(file)))
@@ -138,9 +138,8 @@
             assert planner is not None and len(planner.connections) == 1
             (lifecycle,) = relay.request_registry
             assert planner.connections.client_of(lifecycle.id) != 0
-            planner.tick = lambda *_: MigrationPlan(
-                (Migration(lifecycle.id, "a test"),), PlanPhase.BALANCING, ""
-            )  # type: ignore[method-assign]
+            plan = MigrationPlan((Migration(lifecycle.id, "a test"),), PlanPhase.BALANCING, "")
+            monkeypatch.setattr(planner, "tick", lambda *_: plan)
             assert "<move xmlns='urn:sageturn:relay:0'" in await client.rest()
 
     run_with_timeout(go())
--- a/tests/store/test_compatibility_replication.py
+++ b/tests/store/test_compatibility_replication.py
@@ -201,10 +201,11 @@
     carrying = [loop.create_task(carry("dialled", a_far, b_far))]
     carrying.append(loop.create_task(carry("answered", b_far, a_far)))
     with fixed_nonces(*NONCES):
-        received = await asyncio.gather(
+        received_by_dialler, received_by_answerer = await asyncio.gather(
             exchange_payloads(open_channel(a, "a"), True), exchange_payloads(open_channel(b, "b"), False)
         )
-    assert received == [PAYLOADS, PAYLOADS]
+    assert received_by_dialler == PAYLOADS
+    assert received_by_answerer == PAYLOADS
     for task in carrying:
         task.cancel()
         with suppress(asyncio.CancelledError):
--- a/tests/store/test_compatibility_store.py
+++ b/tests/store/test_compatibility_store.py
@@ -51,9 +51,9 @@
     ("notes/deleted", None),
 ]
 FROM_OTHERS = [
-    {"key": "config/log_level", "value": "WARNING", "version": 3, "node": "node-b", "written_ms": 1},
-    {"key": "config/accounts/mai", "value": "older", "version": 1, "node": "node-b", "written_ms": 2},
-    {"key": "state/node-b/relay", "value": {"standing": 0}, "version": 9, "node": "node-b"},
+    StoreRecord("config/log_level", "WARNING", 3, "node-b", written_ms=1),
+    StoreRecord("config/accounts/mai", "older", 1, "node-b", written_ms=2),
+    StoreRecord("state/node-b/relay", {"standing": 0}, 9, "node-b"),
 ]
 
 
@@ -66,7 +66,7 @@
     store = open_store(path)
     for key, value in OPERATIONS:
         store.put(key, value)
-    store.merge([StoreRecord(**{"written_ms": None, **record}) for record in FROM_OTHERS])
+    store.merge(FROM_OTHERS)
     store.forget(["notes/deleted"])
     store.set_last_in_sync(START_S + 120.5)
     store.close()
--- a/tests/store/test_overlay.py
+++ b/tests/store/test_overlay.py
@@ -84,7 +84,8 @@
     overlay.on_link_lost(other.name, 1.0, orderly=True)
     assert overlay.links_to_close(9.0) == [] and overlay.links_to_close(11.0) == [unknown.name]
     overlay.update_members([])
-    assert overlay.membership_status == MembershipStatus.REMOVED and overlay.addresses_to_dial(20.0) == []
+    status_once_removed = overlay.membership_status
+    assert status_once_removed == MembershipStatus.REMOVED and overlay.addresses_to_dial(20.0) == []
     overlay.update_members([own])  # it was added again
     assert overlay.membership_status == MembershipStatus.MEMBER
 
--- a/tests/support/relay_checks.py
+++ b/tests/support/relay_checks.py
@@ -6,7 +6,10 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
+import pytest
+
 from sageturn.core.balancer_actor import BalancerActor
+from sageturn.decision import Action, Event
 from sageturn.relay import Relay
 
 POLL_INTERVAL_S = 0.002
@@ -34,3 +37,17 @@
     """Nothing is left of any request, in the core or the balancer."""
     actor = relay.balancer_actor
     return not relay.request_registry and actor.request_count == 0 and is_balancer_idle(actor)
+
+
+def record_balancer_events(relay: Relay, monkeypatch: pytest.MonkeyPatch) -> list[Event]:
+    """A list to which each event is added just before the relay's balancer handles it."""
+    events: list[Event] = []
+    balancer = relay.balancer_actor.balancer
+    handle = balancer.handle
+
+    def recording_handle(now_ms: float, event: Event) -> list[Action]:
+        events.append(event)
+        return handle(now_ms, event)
+
+    monkeypatch.setattr(balancer, "handle", recording_handle)
+    return events
--- a/tests/support/xmpp_fakes.py
+++ b/tests/support/xmpp_fakes.py
@@ -8,7 +8,7 @@
 import ssl
 from collections.abc import Awaitable, Callable
 
-from scramp import ScramClient, ScramMechanism
+from scramp import ScramClient, ScramMechanism  # type: ignore[import-untyped]  # it has no stubs
 
 HEADER = (
     "<?xml version='1.0'?><stream:stream xmlns='jabber:client' "
--- a/tests/support/xmpp_relay.py
+++ b/tests/support/xmpp_relay.py
@@ -34,6 +34,12 @@
     return context
 
 
+def xmpp_address(relay: Relay) -> tuple[str, int]:
+    """Where the relay's XMPP frontend listens; fails if it has none."""
+    assert relay.xmpp_listener is not None
+    return relay.xmpp_listener.address
+
+
 def write_operator(folder: Path, endpoint_tls: bool, **more: object) -> Path:
     (folder / "pw").write_text("relay-pw\n")
     CERT.cert_chain_pems[0].write_to_path(folder / "cert.pem")
