--- a/tests/relay/test_compatibility_states.py
+++ b/tests/relay/test_compatibility_states.py
@@ -38,6 +38,7 @@
 from sageturn.rebalance.options import RebalanceOptions
 from sageturn.rebalance.plan import MigrationPlan, PlanPhase
 from sageturn.relay import Relay
+from sageturn.store.records import StoreRecord
 
 FIXTURES = Path(__file__).parents[1] / "fixtures" / "states"
 NOW_MS = 1_700_000_000_000.0
@@ -253,7 +254,7 @@
         await overrides.step()
         forged = {**words[0][1], "why": "forged"}
         overrides.on_store_change(
-            [SimpleNamespace(key="overrides/o-forged/000001-lan-0a1b2c3d", value=forged)]
+            [StoreRecord("overrides/o-forged/000001-lan-0a1b2c3d", forged, version=1, node="n1")]
         )
         await overrides.step()
         clock.now_ms = NOW_MS + 3 * HOUR_MS
