--- a/tests/decision/test_balancer.py
+++ b/tests/decision/test_balancer.py
@@ -1,6 +1,6 @@
 """Depth, curve, buckets, placement and attempts, by events in and actions out."""
 
-from typing import Any
+from support.balancer_driver import BalancerDriver
 
 from sageturn import (
     AbandonAttempt,
@@ -17,85 +17,85 @@
 )
 
 
-def test_a_lightly_loaded_relay_throttles_nobody(make: Any) -> None:
-    relay = make()
+def test_a_lightly_loaded_relay_throttles_nobody() -> None:
+    driver = BalancerDriver()
     for _ in range(7):
-        (action,) = relay.ask()
+        (action,) = driver.send_request()
         assert isinstance(action, PlaceRequest)
 
 
-def test_a_loaded_relay_rejects_the_busy_tenant_and_serves_the_other(make: Any) -> None:
-    relay = make()
-    kinds = [type(relay.ask("t")[0]) for _ in range(60)]
+def test_a_loaded_relay_rejects_the_busy_tenant_and_serves_the_other() -> None:
+    driver = BalancerDriver()
+    kinds = [type(driver.send_request("t")[0]) for _ in range(60)]
     assert kinds[0] is PlaceRequest and kinds[-1] is RejectRequest
-    assert isinstance(relay.ask("u")[0], PlaceRequest)
+    assert isinstance(driver.send_request("u")[0], PlaceRequest)
 
 
-def test_a_rejection_says_when_to_retry_only_where_that_is_allowed(make: Any) -> None:
-    relay = make()
-    refusals = [a for _ in range(60) for a in relay.ask() if isinstance(a, RejectRequest)]
+def test_a_rejection_says_when_to_retry_only_where_that_is_allowed() -> None:
+    driver = BalancerDriver()
+    refusals = [a for _ in range(60) for a in driver.send_request() if isinstance(a, RejectRequest)]
     assert refusals and all(0 < a.retry_after_ms <= 1000 for a in refusals)
-    relay = make(retry_after=False)
-    refusals = [a for _ in range(60) for a in relay.ask() if isinstance(a, RejectRequest)]
+    driver = BalancerDriver(retry_after=False)
+    refusals = [a for _ in range(60) for a in driver.send_request() if isinstance(a, RejectRequest)]
     assert refusals and all(a.retry_after_ms == 0 for a in refusals)
 
 
-def test_a_retry_goes_elsewhere(make: Any) -> None:
-    relay = make()
-    relay.ask()
-    (again,) = relay.ends(1, "connect_failed")
-    assert isinstance(again, PlaceRequest) and again.endpoint != relay.sent[1][0]
+def test_a_retry_goes_elsewhere() -> None:
+    driver = BalancerDriver()
+    driver.send_request()
+    (again,) = driver.end_attempt(1, "connect_failed")
+    assert isinstance(again, PlaceRequest) and again.endpoint != driver.attempts[1][0]
 
 
-def test_a_draining_endpoint_is_sent_nothing(make: Any) -> None:
-    relay = make([Endpoint("a"), Endpoint("b")])
-    relay.listed([Endpoint("a", "draining")], "changes")
+def test_a_draining_endpoint_is_sent_nothing() -> None:
+    driver = BalancerDriver([Endpoint("a"), Endpoint("b")])
+    driver.update_endpoints([Endpoint("a", "draining")], "changes")
     for _ in range(6):
-        assert relay.ask()[0].endpoint == "b"
+        assert driver.place_request().endpoint == "b"
 
 
-def test_no_endpoint_means_an_immediate_answer(make: Any) -> None:
-    relay = make([])
-    assert isinstance(relay.ask()[0], RejectRequest)
+def test_no_endpoint_means_an_immediate_answer() -> None:
+    driver = BalancerDriver([])
+    assert isinstance(driver.send_request()[0], RejectRequest)
 
 
-def test_an_unsafe_request_that_may_have_been_executed_fails(make: Any) -> None:
-    relay = make(classes=(RequestClass("c", 500, effect="unsafe"),))
-    relay.ask()
-    assert relay.ends(1, "error") == [FailRequest(1)]
+def test_an_unsafe_request_that_may_have_been_executed_fails() -> None:
+    driver = BalancerDriver(classes=(RequestClass("c", 500, effect="unsafe"),))
+    driver.send_request()
+    assert driver.end_attempt(1, "error") == [FailRequest(1)]
 
 
-def open_on_each(relay: Any, count: int) -> None:
+def open_on_each(driver: BalancerDriver, count: int) -> None:
     for _ in range(count):
-        relay.ask()
-        relay.stands(relay.ids)
+        driver.send_request()
+        driver.establish(driver.last_id)
 
 
-def test_an_overloaded_endpoint_is_sent_nothing_until_its_delays_are_short_again(make: Any) -> None:
-    relay = make([Endpoint("a"), Endpoint("b")])
-    open_on_each(relay, 8)
-    late = next(i for i in range(1, 9) if relay.sent[i] == ["a"])
-    relay.tell(MeasurementReported(late, 0, "a", "delay", 90.0))
+def test_an_overloaded_endpoint_is_sent_nothing_until_its_delays_are_short_again() -> None:
+    driver = BalancerDriver([Endpoint("a"), Endpoint("b")])
+    open_on_each(driver, 8)
+    late = next(i for i in range(1, 9) if driver.attempts[i] == ["a"])
+    driver.handle(MeasurementReported(late, 0, "a", "delay", 90.0))
     for _ in range(4):
-        assert relay.ask()[0].endpoint == "b"
-    relay.now = 5000.0
-    assert {relay.ask()[0].endpoint for _ in range(8)} == {"a", "b"}
+        assert driver.place_request().endpoint == "b"
+    driver.now_ms = 5000.0
+    assert {driver.place_request().endpoint for _ in range(8)} == {"a", "b"}
 
 
-def test_requests_are_rejected_while_all_endpoints_are_overloaded(make: Any) -> None:
-    relay = make([Endpoint("a"), Endpoint("b")])
-    open_on_each(relay, 8)
+def test_requests_are_rejected_while_all_endpoints_are_overloaded() -> None:
+    driver = BalancerDriver([Endpoint("a"), Endpoint("b")])
+    open_on_each(driver, 8)
     for name in "ab":
-        relay.tell(
+        driver.handle(
             MeasurementReported(
-                next(i for i in range(1, 9) if relay.sent[i] == [name]), 0, name, "delay", 90.0
+                next(i for i in range(1, 9) if driver.attempts[i] == [name]), 0, name, "delay", 90.0
             )
         )
-    kinds = [type(relay.ask()[0]) for _ in range(20)]
+    kinds = [type(driver.send_request()[0]) for _ in range(20)]
     assert kinds[-1] is RejectRequest
 
 
-def test_own_zone_first_where_crossing_is_priced_and_spill_when_it_is_full(make: Any) -> None:
+def test_own_zone_first_where_crossing_is_priced_and_spill_when_it_is_full() -> None:
     endpoints = [
         Endpoint("a", zone="x"),
         Endpoint("b", zone="x"),
@@ -103,52 +103,52 @@
         Endpoint("d", zone="y"),
     ]
     tenants = (Tenant("t", 20.0), Tenant("u", 20.0))
-    relay = make(endpoints, zone="x", cross_zone_cost=0.1, relay_count=4, tenants=tenants)
-    first = [relay.ask(tenant)[0].endpoint for tenant in "tutututututututu"]
+    driver = BalancerDriver(endpoints, zone="x", cross_zone_cost=0.1, relay_count=4, tenants=tenants)
+    first = [driver.place_request(tenant).endpoint for tenant in "tutututututututu"]
     assert set(first) == {"a", "b"}
-    assert relay.ask("t")[0].endpoint in "cd"
+    assert driver.place_request("t").endpoint in "cd"
 
 
-def test_a_group_stays_on_few_endpoints_the_same_at_every_balancer(make: Any) -> None:
+def test_a_group_stays_on_few_endpoints_the_same_at_every_balancer() -> None:
     endpoints = [Endpoint(name) for name in "abcdefghij"]
     homes = []
     for seed in (1, 2):
-        relay = make(endpoints, seed=seed, groups=True)
+        driver = BalancerDriver(endpoints, seed=seed, groups=True)
         for k in range(12):
-            relay.ask(group=f"other{k}")
-            relay.stands(relay.ids)
+            driver.send_request(group=f"other{k}")
+            driver.establish(driver.last_id)
         seen = set()
         for _ in range(6):
-            seen.add(relay.ask(group="g")[0].endpoint)
-            relay.stands(relay.ids)
+            seen.add(driver.place_request(group="g").endpoint)
+            driver.establish(driver.last_id)
         homes.append(seen)
     assert len(homes[0] | homes[1]) <= 4
 
 
-def test_an_endpoint_that_stays_overloaded_is_relieved_of_lone_group_members(make: Any) -> None:
-    relay = make([Endpoint(name) for name in "abc"], groups=True)
+def test_an_endpoint_that_stays_overloaded_is_relieved_of_lone_group_members() -> None:
+    driver = BalancerDriver([Endpoint(name) for name in "abc"], groups=True)
     for k in range(16):
-        relay.ask(group="big" if k else "lone")
-        relay.stands(relay.ids)
-    name = relay.sent[1][0]
-    (move,) = relay.tell(MeasurementReported(1, 0, name, "delay", 90.0))
+        driver.send_request(group="big" if k else "lone")
+        driver.establish(driver.last_id)
+    name = driver.attempts[1][0]
+    (move,) = driver.handle(MeasurementReported(1, 0, name, "delay", 90.0))
     assert move == MigrateConnection(1)
-    assert relay.tell(MeasurementReported(1, 0, name, "delay", 40.0)) == []
+    assert driver.handle(MeasurementReported(1, 0, name, "delay", 40.0)) == []
 
 
-def test_clients_are_migrated_also_where_all_are_overloaded_but_not_at_a_high_cost(make: Any) -> None:
+def test_clients_are_migrated_also_where_all_are_overloaded_but_not_at_a_high_cost() -> None:
     for price, count in ((1.0, 0), (0.02, 1)):
-        relay = make([Endpoint("a"), Endpoint("b")], migration_cost=price)
-        open_on_each(relay, 8)
-        of = {relay.sent[i][0]: i for i in range(1, 9)}
+        driver = BalancerDriver([Endpoint("a"), Endpoint("b")], migration_cost=price)
+        open_on_each(driver, 8)
+        of = {driver.attempts[i][0]: i for i in range(1, 9)}
         for name in "ab":
-            assert min(1, len(relay.tell(MeasurementReported(of[name], 0, name, "delay", 90.0)))) == count
+            assert min(1, len(driver.handle(MeasurementReported(of[name], 0, name, "delay", 90.0)))) == count
 
 
-def test_an_endpoint_in_slow_start_gets_our_part_of_its_budget_in_any_window(make: Any) -> None:
+def test_an_endpoint_in_slow_start_gets_our_part_of_its_budget_in_any_window() -> None:
     tenants = (Tenant("t", 10.0, quota_connections=100.0),)
     old = [Endpoint(name) for name in "abc"]
-    relay = make(
+    driver = BalancerDriver(
         old,
         tenants=tenants,
         relay_count=2,
@@ -156,217 +156,224 @@
         cold_overload_multiple=3.0,
         initial_capacity_ratio=0.1,
     )
-    relay.now = 50_000.0
-    relay.listed([Endpoint("new", started_at_ms=49_900.0)], "changes")
+    driver.now_ms = 50_000.0
+    driver.update_endpoints([Endpoint("new", started_at_ms=49_900.0)], "changes")
     times = []
     for _ in range(2000):
-        relay.now += 3.0
-        relay.ask()
-        relay.stands(relay.ids)
-        relay.ends(relay.ids, "ok", final=True)
-        if relay.sent[relay.ids] == ["new"]:
-            times.append(relay.now)
+        driver.now_ms += 3.0
+        driver.send_request()
+        driver.establish(driver.last_id)
+        driver.end_attempt(driver.last_id, "ok", final=True)
+        if driver.attempts[driver.last_id] == ["new"]:
+            times.append(driver.now_ms)
     # a quarter of the quota fits an endpoint; it starts at a tenth and warms up in 10 s
     for start in times:
         share = 3.0 * 25.0 * (0.1 + 0.9 * (start + 1000 - 49_900) / 10_000) / 2
         assert 0 < sum(start <= at < start + 1000 for at in times) <= share
 
 
-def test_a_group_spills_to_the_next_in_its_own_order(make: Any) -> None:
-    relay = make([Endpoint(name) for name in "abcdefghij"], groups=True, relay_count=1)
+def test_a_group_spills_to_the_next_in_its_own_order() -> None:
+    driver = BalancerDriver([Endpoint(name) for name in "abcdefghij"], groups=True, relay_count=1)
     for k in range(90):
-        relay.ask(group=f"other{k}")
-        relay.stands(relay.ids)
+        driver.send_request(group=f"other{k}")
+        driver.establish(driver.last_id)
     homes = set()
     for _ in range(6):
-        homes.add(relay.ask(group="g")[0].endpoint)
-        relay.stands(relay.ids)
+        homes.add(driver.place_request(group="g").endpoint)
+        driver.establish(driver.last_id)
     for name in sorted(homes):
-        held = next(i for i in relay.sent if relay.sent[i] == [name])
-        relay.tell(MeasurementReported(held, 0, name, "delay", 90.0))
+        held = next(i for i in driver.attempts if driver.attempts[i] == [name])
+        driver.handle(MeasurementReported(held, 0, name, "delay", 90.0))
     spill = set()
     for _ in range(3):
-        spill.add(relay.ask(group="g")[0].endpoint)
-        relay.stands(relay.ids)
+        spill.add(driver.place_request(group="g").endpoint)
+        driver.establish(driver.last_id)
     assert len(spill) == 1 and not spill & homes
 
 
-def test_a_tenant_beyond_its_quota_is_rejected_first_under_load(make: Any) -> None:
+def test_a_tenant_beyond_its_quota_is_rejected_first_under_load() -> None:
     tenants = (Tenant("t", 5.0, quota_connections=5.0), Tenant("u", 5.0, quota_connections=95.0))
-    relay = make(tenants=tenants)
-    open_on_each(relay, 8)
-    assert isinstance(relay.ask("t")[0], PlaceRequest)  # shallow: nobody is throttled
-    held = next(i for i in range(1, 9) if relay.sent[i] == ["a"])
-    relay.tell(MeasurementReported(held, 0, "a", "delay", 90.0))
-    relay.tell(
-        MeasurementReported(next(i for i in range(1, 9) if relay.sent[i] == ["b"]), 0, "b", "delay", 90.0)
+    driver = BalancerDriver(tenants=tenants)
+    open_on_each(driver, 8)
+    assert isinstance(driver.send_request("t")[0], PlaceRequest)  # shallow: nobody is throttled
+    held = next(i for i in range(1, 9) if driver.attempts[i] == ["a"])
+    driver.handle(MeasurementReported(held, 0, "a", "delay", 90.0))
+    driver.handle(
+        MeasurementReported(
+            next(i for i in range(1, 9) if driver.attempts[i] == ["b"]), 0, "b", "delay", 90.0
+        )
     )
-    assert isinstance(relay.ask("t")[0], RejectRequest)
-    assert isinstance(relay.ask("u")[0], PlaceRequest)
+    assert isinstance(driver.send_request("t")[0], RejectRequest)
+    assert isinstance(driver.send_request("u")[0], PlaceRequest)
 
 
-def test_an_ejected_endpoint_is_readmitted_and_ejected_again_by_its_next_failure(make: Any) -> None:
+def test_an_ejected_endpoint_is_readmitted_and_ejected_again_by_its_next_failure() -> None:
     # One whose trial was lost with its client stayed out for good.
-    relay = make([Endpoint(name) for name in "abcd"], may_cancel=True)
-    endpoints = relay.balancer.endpoints
+    driver = BalancerDriver([Endpoint(name) for name in "abcd"], may_cancel=True)
+    endpoints = driver.balancer.endpoints
     while all(s.ready for s in endpoints.values()):
-        relay.ask()
-        relay.ends(relay.ids, "connect_failed")
-        relay.ends(relay.ids, "connect_failed", final=True)
+        driver.send_request()
+        driver.end_attempt(driver.last_id, "connect_failed")
+        driver.end_attempt(driver.last_id, "connect_failed", final=True)
     out = next(s for s in endpoints.values() if not s.ready)
-    relay.now += 1600.0
-    relay.ask()
+    driver.now_ms += 1600.0
+    driver.send_request()
     # Back for all clients at once, a slow endpoint cost the fleet day half of what it kept.
     assert (
         out.ready
         and out.concurrency_limit == 1
-        and relay.tell(ClientDisconnected(relay.ids)) == [AbandonAttempt(relay.ids, 0)]
+        and driver.handle(ClientDisconnected(driver.last_id)) == [AbandonAttempt(driver.last_id, 0)]
     )
-    relay.ends(relay.ids, "cancelled", final=True)
+    driver.end_attempt(driver.last_id, "cancelled", final=True)
     while out.ready:
-        relay.ask()
-        failed = relay.sent[relay.ids][0] == out.name
-        relay.ends(relay.ids, "connect_failed" if failed else "ok", final=True)
+        driver.send_request()
+        failed = driver.attempts[driver.last_id][0] == out.name
+        driver.end_attempt(driver.last_id, "connect_failed" if failed else "ok", final=True)
         assert out.ready != failed
 
 
-def strain(relay: Any, names: str) -> None:
+def strain(driver: BalancerDriver, names: str) -> None:
     for name in names:
-        held = next(i for i in relay.sent if relay.sent[i][-1] == name)
-        relay.tell(MeasurementReported(held, 0, name, "delay", 45.0))
+        held = next(i for i in driver.attempts if driver.attempts[i][-1] == name)
+        driver.handle(MeasurementReported(held, 0, name, "delay", 45.0))
 
 
-def test_a_group_gets_no_further_endpoint_while_endpoints_are_scarce(make: Any) -> None:
+def test_a_group_gets_no_further_endpoint_while_endpoints_are_scarce() -> None:
     # i571616: under load, spill to any endpoint with room made each of them pay for each group.
     for late in (1, 4):
-        relay = make([Endpoint(name) for name in "abcdefghij"], groups=True, relay_count=1)
-        open_on_each(relay, 60)
-        relay.ask(group="g")
-        relay.stands(relay.ids)
-        first = relay.sent[relay.ids][0]
-        ranked, homes = relay.balancer.placement.rank_group("g")
+        driver = BalancerDriver([Endpoint(name) for name in "abcdefghij"], groups=True, relay_count=1)
+        open_on_each(driver, 60)
+        driver.send_request(group="g")
+        driver.establish(driver.last_id)
+        first = driver.attempts[driver.last_id][0]
+        ranked, homes = driver.balancer.placement.rank_group("g")
         own = [s.name for s in ranked[:homes]]
-        strain(relay, "".join(own) + "".join(n for n in "abcdefghij" if n not in own)[: late - 1])
-        (action,) = relay.ask(group="g")
+        strain(driver, "".join(own) + "".join(n for n in "abcdefghij" if n not in own)[: late - 1])
+        (action,) = driver.send_request(group="g")
         if late == 1:
             assert isinstance(action, PlaceRequest) and action.endpoint not in own
         else:
-            assert isinstance(relay.ask()[0], PlaceRequest)
+            assert isinstance(driver.send_request()[0], PlaceRequest)
             assert isinstance(action, RejectRequest) and action.retry_after_ms > 0
             assert isinstance(
-                relay.ask(group="g", midflow=True)[0], PlaceRequest
+                driver.send_request(group="g", midflow=True)[0], PlaceRequest
             )  # it stands already: never cut off
-            relay.now += 3000.0  # its home is well again before the others are asked
-            (action,) = relay.ask(group="g")
+            driver.now_ms += 3000.0  # its home is well again before the others are asked
+            (action,) = driver.send_request(group="g")
             assert isinstance(action, PlaceRequest) and action.endpoint in own and first in own
 
 
-def test_a_group_may_go_to_its_first_endpoints_of_another_zone_while_scarce(make: Any) -> None:
+def test_a_group_may_go_to_its_first_endpoints_of_another_zone_while_scarce() -> None:
     endpoints = [Endpoint(n, zone="x") for n in "abcde"] + [Endpoint(n, zone="y") for n in "fghij"]
-    relay = make(endpoints, zone="x", cross_zone_cost=0.1, groups=True, relay_count=1)
-    open_on_each(relay, 60)
-    ranked, homes = relay.balancer.placement.rank_group("g")
-    strain(relay, "abcde")
-    (action,) = relay.ask(group="g")
+    driver = BalancerDriver(endpoints, zone="x", cross_zone_cost=0.1, groups=True, relay_count=1)
+    open_on_each(driver, 60)
+    ranked, homes = driver.balancer.placement.rank_group("g")
+    strain(driver, "abcde")
+    (action,) = driver.send_request(group="g")
     assert isinstance(action, PlaceRequest) and action.endpoint in [s.name for s in ranked[5 : 5 + homes]]
 
 
-def test_the_heaviest_are_migrated_first_unless_endpoints_are_scarce(make: Any) -> None:
+def test_the_heaviest_are_migrated_first_unless_endpoints_are_scarce() -> None:
     # i0ba860: moving the heaviest while nobody had room sent away what was worth most, and it stayed out.
     for late, heaviest in (("a", True), ("abcd", False)):
-        relay = make([Endpoint(name) for name in "abcd"], relay_count=1)
+        driver = BalancerDriver([Endpoint(name) for name in "abcd"], relay_count=1)
         for k in range(40):
-            relay.ask(expected_load=float(k % 20))
-            relay.stands(relay.ids)
-        strain(relay, late[1:])
-        on_a = [i for i in relay.sent if relay.sent[i] == ["a"]]
-        moves = relay.tell(MeasurementReported(on_a[0], 0, "a", "delay", 90.0))
+            driver.send_request(expected_load=float(k % 20))
+            driver.establish(driver.last_id)
+        strain(driver, late[1:])
+        on_a = [i for i in driver.attempts if driver.attempts[i] == ["a"]]
+        moves = driver.handle(MeasurementReported(on_a[0], 0, "a", "delay", 90.0))
         order = sorted(on_a, key=lambda i: -((i - 1) % 20))
         wanted = order if heaviest else on_a
         assert moves and moves == [MigrateConnection(i) for i in wanted[: len(moves)]]
 
 
-def test_many_relays_notified_of_one_overloaded_endpoint_do_not_empty_it(make: Any) -> None:
+def test_many_relays_notified_of_one_overloaded_endpoint_do_not_empty_it() -> None:
     # A hundred relays that hold one each all get the note; about a third should go.
     moves = 0
     for seed in range(100):
-        relay = make([Endpoint("a")], seed=seed, relay_count=100)
-        open_on_each(relay, 1)
-        moves += len(relay.tell(MeasurementReported(1, 0, "a", "delay", 90.0)))
+        driver = BalancerDriver([Endpoint("a")], seed=seed, relay_count=100)
+        open_on_each(driver, 1)
+        moves += len(driver.handle(MeasurementReported(1, 0, "a", "delay", 90.0)))
     assert 20 <= moves <= 55
 
 
-def test_an_endpoint_that_breaks_a_new_connection_is_left_alone_for_a_while(make: Any) -> None:
+def test_an_endpoint_that_breaks_a_new_connection_is_left_alone_for_a_while() -> None:
     # Endpoints with too much piled up break the newest; who holds nothing there gets no note.
-    relay = make([Endpoint("a"), Endpoint("b")])
-    open_on_each(relay, 1)
-    broken = relay.sent[1][0]
-    relay.ends(1, "reset", final=True)
+    driver = BalancerDriver([Endpoint("a"), Endpoint("b")])
+    open_on_each(driver, 1)
+    broken = driver.attempts[1][0]
+    driver.end_attempt(1, "reset", final=True)
     for _ in range(6):
-        assert relay.ask("tu"[relay.ids % 2])[0].endpoint != broken
+        assert driver.place_request("tu"[driver.last_id % 2]).endpoint != broken
 
 
-def test_endpoints_without_connections_do_not_hide_that_the_others_are_full(make: Any) -> None:
+def test_endpoints_without_connections_do_not_hide_that_the_others_are_full() -> None:
     # A balancer with four connections among a hundred endpoints: all four late means scarce, not shallow.
-    relay = make([Endpoint(f"s{k}") for k in range(100)], relay_count=100, groups=True)
-    open_on_each(relay, 4)
+    driver = BalancerDriver([Endpoint(f"s{k}") for k in range(100)], relay_count=100, groups=True)
+    open_on_each(driver, 4)
     for k in range(1, 5):
-        relay.tell(MeasurementReported(k, 0, relay.sent[k][0], "delay", 45.0))
-    assert relay.balancer.fleet.depth() > 0.5
+        driver.handle(MeasurementReported(k, 0, driver.attempts[k][0], "delay", 45.0))
+    assert driver.balancer.fleet.depth() > 0.5
 
 
-def test_a_group_stays_on_few_endpoints_though_few_connections_show_little(make: Any) -> None:
+def test_a_group_stays_on_few_endpoints_though_few_connections_show_little() -> None:
     # Two of a balancer's three connections of one group: chance, not two thirds of all connections.
-    relay = make([Endpoint(f"s{k}") for k in range(100)], relay_count=100, groups=True)
+    driver = BalancerDriver([Endpoint(f"s{k}") for k in range(100)], relay_count=100, groups=True)
     for group in ("g", "g", "h"):
-        relay.ask(group=group)
-        relay.stands(relay.ids)
+        driver.send_request(group=group)
+        driver.establish(driver.last_id)
     assert (
-        relay.balancer.placement.rank_group("g")[1] < 30
-        and relay.balancer.placement.rank_group("new")[1] <= 3
+        driver.balancer.placement.rank_group("g")[1] < 30
+        and driver.balancer.placement.rank_group("new")[1] <= 3
     )
 
 
-def test_the_first_attempts_of_many_relays_at_an_endpoint_in_slow_start_are_spread(make: Any) -> None:
+def test_the_first_attempts_of_many_relays_at_an_endpoint_in_slow_start_are_spread() -> None:
     # 85 relays each sent an endpoint three seconds old their first connection within one second.
     sent = 0
     for seed in range(60):
-        relay = make([], seed=seed, tenants=(Tenant("t", 10.0, quota_connections=100.0),), relay_count=60)
-        relay.now = 50_000.0
-        relay.listed([Endpoint("new", started_at_ms=49_900.0)], "changes")
-        relay.now += 100.0
-        sent += isinstance(relay.ask()[0], PlaceRequest)
+        driver = BalancerDriver(
+            [], seed=seed, tenants=(Tenant("t", 10.0, quota_connections=100.0),), relay_count=60
+        )
+        driver.now_ms = 50_000.0
+        driver.update_endpoints([Endpoint("new", started_at_ms=49_900.0)], "changes")
+        driver.now_ms += 100.0
+        sent += isinstance(driver.send_request()[0], PlaceRequest)
     assert sent <= 3
 
 
-def test_groups_share_out_over_endpoints_evenly(make: Any) -> None:
+def test_groups_share_out_over_endpoints_evenly() -> None:
     # CRC is linear: ranks by it alone made the same few endpoints early homes of many groups.
-    relay = make([Endpoint(f"backend-{k:x}") for k in range(40)], groups=True)
+    driver = BalancerDriver([Endpoint(f"backend-{k:x}") for k in range(40)], groups=True)
     first: dict[str, int] = {}
     for k in range(400):
-        name = relay.balancer.placement.rank_group(f"room-{k}")[0][0].name
+        name = driver.balancer.placement.rank_group(f"room-{k}")[0][0].name
         first[name] = first.get(name, 0) + 1
     assert max(first.values()) <= 30
 
 
-def test_endpoints_of_more_weight_are_home_to_more_groups_and_win_the_pair(make: Any) -> None:
+def test_endpoints_of_more_weight_are_home_to_more_groups_and_win_the_pair() -> None:
     endpoints = [Endpoint("large", share=4.0), Endpoint("small", share=1.0)]
-    relay = make(endpoints, groups=True, weights="rough")
-    homes = [relay.balancer.placement.rank_group(f"room-{k}")[0][0].name for k in range(400)]
+    driver = BalancerDriver(endpoints, groups=True, weights="rough")
+    homes = [driver.balancer.placement.rank_group(f"room-{k}")[0][0].name for k in range(400)]
     assert 280 < homes.count("large") < 360
-    assert [relay.ask(tenant)[0].endpoint for tenant in "tut"] == ["large"] * 3
-    relay = make(endpoints, weights="live")  # live shares come late and count load that we know better
-    open_on_each(relay, 10)
-    assert {relay.sent[i][0] for i in relay.sent} == {"large", "small"}
+    assert [driver.place_request(tenant).endpoint for tenant in "tut"] == ["large"] * 3
+    driver = BalancerDriver(
+        endpoints, weights="live"
+    )  # live shares come late and count load that we know better
+    open_on_each(driver, 10)
+    assert {driver.attempts[i][0] for i in driver.attempts} == {"large", "small"}
 
 
-def test_a_kind_of_machine_with_slower_set_ups_is_taken_to_be_smaller(make: Any) -> None:
+def test_a_kind_of_machine_with_slower_set_ups_is_taken_to_be_smaller() -> None:
     endpoints = [Endpoint(f"{kind}{k}", kind=kind) for kind in ("quick", "slow") for k in range(5)]
-    relay = make(endpoints)
+    driver = BalancerDriver(endpoints)
     for _ in range(120):
-        (send,) = relay.ask("tu"[relay.ids % 2])
-        took = 10.0 if send.endpoint.startswith("quick") else 40.0
-        relay.tell(ConnectionEstablished(relay.ids, 0, send.endpoint, took))
-        relay.now += 10.0  # sizes are looked at again every 50 ms
-    quick = sum(relay.sent[i][0].startswith("quick") for i in relay.sent)
+        (placement,) = driver.send_request("tu"[driver.last_id % 2])
+        assert isinstance(placement, PlaceRequest)
+        took = 10.0 if placement.endpoint.startswith("quick") else 40.0
+        driver.handle(ConnectionEstablished(driver.last_id, 0, placement.endpoint, took))
+        driver.now_ms += 10.0  # sizes are looked at again every 50 ms
+    quick = sum(driver.attempts[i][0].startswith("quick") for i in driver.attempts)
     assert quick > 75
--- a/tests/decision/test_health_checks.py
+++ b/tests/decision/test_health_checks.py
@@ -12,6 +12,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
+from support.balancer_driver import BalancerDriver
 from support.load_reports import FIELDS, probed_by
 from support.network_fakes import SETTINGS, Script, ask, first_line, relaying, reply, resets, says, silent, up
 from support.relay_checks import record_balancer_events
@@ -103,75 +104,75 @@
     assert sorted(checks.take_due(15000.0, "ab")) == ["a", "b"]
 
 
-# ---------------------------------------------------------------- what the module makes of it
+# ---------------------------------------------------------------- what the balancer does with reports
 
 
-def told(relay: Any, endpoint: str, **report: float) -> list[Any]:
-    actions: list[Any] = relay.tell(decision.HealthCheckCompleted(endpoint, "ok", report))
-    return actions
+def report_load(driver: BalancerDriver, endpoint: str, **report: float) -> list[decision.Action]:
+    """A health check of ``endpoint`` came back with ``report``."""
+    return driver.handle(decision.HealthCheckCompleted(endpoint, "ok", report))
 
 
-def fill(relay: Any, count: int) -> None:
+def establish_connections(driver: BalancerDriver, count: int) -> None:
     for _ in range(count):
-        relay.ask()
-        relay.stands(relay.ids)
+        driver.send_request()
+        driver.establish(driver.last_id)
 
 
-def test_health_checks_are_made_only_where_they_are_allowed_and_useful(make: Any) -> None:
+def test_health_checks_are_made_only_where_they_are_allowed_and_useful() -> None:
     without = {"probes": False}, {"reports": "none"}, {"report_fields": ("rps",)}, {"reports_delay": True}
     for change in ({}, *without):
-        relay = make([], **{**PROBED, **change})
-        actions = relay.tell(decision.EndpointListEvent("stale", [decision.Endpoint("a")]))
+        driver = BalancerDriver([], **{**PROBED, **change})
+        actions = driver.handle(decision.EndpointListEvent("stale", [decision.Endpoint("a")]))
         timers = [a.mark for a in actions if isinstance(a, decision.SetTimer)]
         assert timers == ([] if change else ["probe"])
         if not change:
-            assert relay.tell(decision.TimerFired("probe"))[0] == decision.CheckHealth("a")
+            assert driver.handle(decision.TimerFired("probe"))[0] == decision.CheckHealth("a")
 
 
-def test_an_endpoint_reported_full_is_sent_nothing_and_one_beyond_it_is_relieved_once(make: Any) -> None:
+def test_an_endpoint_reported_full_is_sent_nothing_and_one_beyond_it_is_relieved_once() -> None:
     # Without reports an endpoint at its limit showed only once it broke connections off.
-    relay = make(
+    driver = BalancerDriver(
         [decision.Endpoint("a"), decision.Endpoint("b")], **PROBED, tenants=(decision.Tenant("t", 90.0),)
     )
-    fill(relay, 20)
-    there = relay.balancer.endpoints["a"].open_count
-    assert told(relay, "a", x0=0.7, x1=0.0) == [] and not relay.balancer.endpoints["a"].is_full()
-    told(relay, "a", x0=0.78, x1=0.0)
-    assert relay.balancer.endpoints["a"].is_full()
-    moves = told(relay, "a", x0=1.4, x1=0.4)
+    establish_connections(driver, 20)
+    there = driver.balancer.endpoints["a"].open_count
+    assert report_load(driver, "a", x0=0.7, x1=0.0) == [] and not driver.balancer.endpoints["a"].is_full()
+    report_load(driver, "a", x0=0.78, x1=0.0)
+    assert driver.balancer.endpoints["a"].is_full()
+    moves = report_load(driver, "a", x0=1.4, x1=0.4)
     assert len(moves) in (there // 2, there // 2 + 1) and all(
         isinstance(a, decision.MigrateConnection) for a in moves
     )
-    relay.now += 500.0
-    assert told(relay, "a", x0=1.4, x1=0.4) == []  # no report tells yet what that did
+    driver.now_ms += 500.0
+    assert report_load(driver, "a", x0=1.4, x1=0.4) == []  # no report tells yet what that did
     for _ in range(60):
-        relay.now += 1000.0
-        assert told(relay, "a", x0=0.4, x1=0.0) == []
-        relay.balancer.reevaluate_endpoints(relay.now)
-    assert not relay.balancer.endpoints["a"].is_full()
+        driver.now_ms += 1000.0
+        assert report_load(driver, "a", x0=0.4, x1=0.0) == []
+        driver.balancer.reevaluate_endpoints(driver.now_ms)
+    assert not driver.balancer.endpoints["a"].is_full()
 
 
-def test_reports_in_answers_count_and_failed_health_checks_eject_no_endpoint(make: Any) -> None:
+def test_reports_in_answers_count_and_failed_health_checks_eject_no_endpoint() -> None:
     settings = {**PROBED, "reports": "answers", "tenants": (decision.Tenant("t", 90.0),)}
-    relay = make([decision.Endpoint("a"), decision.Endpoint("b")], **settings)
-    relay.ask()
-    name = relay.sent[1][0]
-    relay.tell(decision.AttemptEnded(1, 0, name, "full", False, {"x0": 0.9}))
-    assert relay.balancer.endpoints[name].is_full()
+    driver = BalancerDriver([decision.Endpoint("a"), decision.Endpoint("b")], **settings)
+    driver.send_request()
+    name = driver.attempts[1][0]
+    driver.handle(decision.AttemptEnded(1, 0, name, "full", False, {"x0": 0.9}))
+    assert driver.balancer.endpoints[name].is_full()
     for status in ("timeout", "connect_failed", "error", "moot") * 5:
-        relay.tell(decision.HealthCheckCompleted("a", status))
-        relay.tell(decision.HealthCheckCompleted("zz", status, {"x0": 5.0}))
-    assert relay.balancer.endpoints["a"].ready
-
-
-def test_without_reports_for_a_while_the_relays_own_signs_count_again(make: Any) -> None:
-    relay = make([decision.Endpoint("a"), decision.Endpoint("b")], **PROBED)
-    assert not relay.balancer.fleet.measures_delay()
-    told(relay, "a", x0=0.2)
-    assert relay.balancer.fleet.measures_delay()
-    relay.now += 5001.0
-    relay.tell(decision.ConnectionEstablished(99, 0, "a"))
-    assert not relay.balancer.fleet.measures_delay()
+        driver.handle(decision.HealthCheckCompleted("a", status))
+        driver.handle(decision.HealthCheckCompleted("zz", status, {"x0": 5.0}))
+    assert driver.balancer.endpoints["a"].ready
+
+
+def test_without_reports_for_a_while_the_relays_own_signs_count_again() -> None:
+    driver = BalancerDriver([decision.Endpoint("a"), decision.Endpoint("b")], **PROBED)
+    assert not driver.balancer.fleet.measures_delay()
+    report_load(driver, "a", x0=0.2)
+    assert driver.balancer.fleet.measures_delay()
+    driver.now_ms += 5001.0
+    driver.handle(decision.ConnectionEstablished(99, 0, "a"))
+    assert not driver.balancer.fleet.measures_delay()
 
 
 # ---------------------------------------------------------------- on sockets
--- a/tests/decision/test_quotas.py
+++ b/tests/decision/test_quotas.py
@@ -4,10 +4,10 @@
 
 from dataclasses import dataclass
 from random import Random
-from typing import Any
 
 from hypothesis import given
 from hypothesis import strategies as st
+from support.balancer_driver import BalancerDriver
 
 from sageturn import Endpoint, MeasurementReported, MigrateConnection, RejectRequest, Tenant
 from sageturn.decision.quotas import (
@@ -84,30 +84,30 @@
     assert window.wait_ms(now + 1500.0 * 1.25) == 0
 
 
-def test_an_endpoint_beyond_its_quota_is_sent_nothing_and_is_relieved_one_by_one(make: Any) -> None:
+def test_an_endpoint_beyond_its_quota_is_sent_nothing_and_is_relieved_one_by_one() -> None:
     # 40 relays put 70 clients on each of four endpoints while others warmed up: all messages came late.
     tenants = (Tenant("t", 13.0, 800.0),)
     endpoints = [Endpoint(name, share=2.0) for name in "ab"]
-    relay = make(
+    driver = BalancerDriver(
         endpoints, tenants=tenants, relay_count=40, reports_delay=False, weights="rough", migration_cost=0.02
     )
     refused = 0
     for _ in range(60):
-        relay.now += 2000.0
-        actions = relay.ask()
+        driver.now_ms += 2000.0
+        actions = driver.send_request()
         refused += isinstance(actions[0], RejectRequest)
-        if relay.ids in relay.sent:
-            relay.stands(relay.ids)
-    b = relay.balancer
+        if driver.last_id in driver.attempts:
+            driver.establish(driver.last_id)
+    b = driver.balancer
     assert 12 <= b.fleet.open_count <= 16 and refused >= 44  # 0.7 of two endpoints' 400, shared by 40
-    held = [i for i, sent in relay.sent.items() if sent[-1] == "a"]
+    held = [i for i, sent in driver.attempts.items() if sent[-1] == "a"]
     b.endpoints["a"].max_connections = 2.0  # most of it has gone to others
     moves = []
     for _ in range(200):
-        relay.now += 100.0
+        driver.now_ms += 100.0
         moves += [
             a
-            for a in relay.tell(MeasurementReported(held[-1], 0, "a", "load", 0.0))
+            for a in driver.handle(MeasurementReported(held[-1], 0, "a", "load", 0.0))
             if isinstance(a, MigrateConnection)
         ]
     assert 2 <= len(moves) <= 8  # at 40 relays about one in five seconds each
--- a/tests/decision/test_slow_start.py
+++ b/tests/decision/test_slow_start.py
@@ -9,6 +9,7 @@
 from zlib import crc32
 
 import pytest
+from support.balancer_driver import BalancerDriver
 
 from sageturn import (
     AttemptEnded,
@@ -284,39 +285,39 @@
                 assert abs(near - part * len(zone)) <= 1.5
 
 
-def test_connections_on_draining_endpoints_leave_room_for_their_clients_elsewhere(make: Any) -> None:
+def test_connections_on_draining_endpoints_leave_room_for_their_clients_elsewhere() -> None:
     # A quarter of what relays held stood on draining endpoints, while they rejected these very clients.
     tenants = (Tenant("t", 13.0, 160.0),)
-    relay = make(
+    driver = BalancerDriver(
         [Endpoint("a"), Endpoint("b")], tenants=tenants, relay_count=20, reports_delay=False, index=10
     )
     for _ in range(30):
-        relay.now += 2000.0
-        relay.ask()
-        if relay.ids in relay.sent:
-            relay.stands(relay.ids)
-    held = relay.balancer.fleet.open_count
-    assert held >= 6 and isinstance(relay.ask()[0], RejectRequest)
-    relay.listed([Endpoint("a", "draining"), Endpoint("c")], "changes")
-    relay.now += 100.0
-    assert relay.ask()[0].endpoint == "c"
-
-
-def test_warm_endpoints_are_not_given_what_is_meant_for_those_in_slow_start(make: Any) -> None:
+        driver.now_ms += 2000.0
+        driver.send_request()
+        if driver.last_id in driver.attempts:
+            driver.establish(driver.last_id)
+    held = driver.balancer.fleet.open_count
+    assert held >= 6 and isinstance(driver.send_request()[0], RejectRequest)
+    driver.update_endpoints([Endpoint("a", "draining"), Endpoint("c")], "changes")
+    driver.now_ms += 100.0
+    assert driver.place_request().endpoint == "c"
+
+
+def test_warm_endpoints_are_not_given_what_is_meant_for_those_in_slow_start() -> None:
     # Relays filled the warm endpoints with what new ones were to hold, so that these were refused it later.
     tenants = (Tenant("t", 13.0, 1600.0),)
     endpoints = [Endpoint(f"w{k}") for k in range(4)]
-    relay = make(
+    driver = BalancerDriver(
         endpoints, tenants=tenants, relay_count=40, reports_delay=False, index=20, slow_start_ms=24_000.0
     )
-    relay.now = 100_000.0
-    relay.listed([Endpoint(f"n{k}", started_at_ms=88_000.0) for k in range(4)], "changes")
-    b = relay.balancer
+    driver.now_ms = 100_000.0
+    driver.update_endpoints([Endpoint(f"n{k}", started_at_ms=88_000.0) for k in range(4)], "changes")
+    b = driver.balancer
     for _ in range(400):
-        relay.now += 5.0
-        relay.ask()
-        if relay.ids in relay.sent:
-            relay.stands(relay.ids)
+        driver.now_ms += 5.0
+        driver.send_request()
+        if driver.last_id in driver.attempts:
+            driver.establish(driver.last_id)
     warm = sum(s.open_count for s in b.fleet.ready if not s.slow_start)
     cold = sum(s.open_count for s in b.fleet.ready if s.slow_start)
     part = sum(s.effective_weight for s in b.fleet.ready if not s.slow_start)
