--- a/tests/overrides/test_overrides.py
+++ b/tests/overrides/test_overrides.py
@@ -300,11 +300,17 @@
         make_operation("p3", pin("d", group_prefix="tet-")),
     )
     sticky_route = driver.registry.sticky_route
+
+    def required_endpoints(class_name: str, tenant: str) -> frozenset[str] | None:
+        route = sticky_route(class_name, tenant, "")
+        assert route is not None
+        return route.required
+
     assert sticky_route("x", "u", "") is None
-    assert sticky_route("c", "u", "").required == {"a", "b"}  # type: ignore[union-attr]
-    assert sticky_route("c", "t", "").required == {"b"}  # type: ignore[union-attr]
+    assert required_endpoints("c", "u") == frozenset("ab")
+    assert required_endpoints("c", "t") == frozenset("b")
     both = sticky_route("c", "u", "tet-1")
-    assert both is not None and both.required == {"a", "b"} and both.preferred == {"d"}
+    assert both is not None and both.required == frozenset("ab") and both.preferred == frozenset("d")
     driver.advance_to(START_MS + HOUR_MS)
     assert sticky_route("c", "t", "tet-1") is None
 
@@ -321,7 +327,8 @@
             created_at_ms=START_MS + 1,
         )
     )
-    assert driver.registry.sticky_route("c", "t", "").preferred == {"a"}  # type: ignore[union-attr]
+    route = driver.registry.sticky_route("c", "t", "")
+    assert route is not None and route.preferred == frozenset("a")
 
 
 def test_the_smallest_weight_applies_and_out_of_service_takes_precedence() -> None:
--- a/tests/overrides/test_overrides_relay.py
+++ b/tests/overrides/test_overrides_relay.py
@@ -7,12 +7,14 @@
 import os
 import sys
 import time
+from collections.abc import AsyncIterator, Coroutine, Set
 from contextlib import AsyncExitStack, asynccontextmanager
 from functools import partial
 from pathlib import Path
 from typing import Any
 
 import pytest
+from support.event_loop import run_with_timeout, until
 from support.network_fakes import (
     FakeEndpoint,
     Script,
@@ -36,6 +38,7 @@
 from sageturn.cli.times import InvalidTimeError, format_duration, parse_expiry
 from sageturn.config.errors import ConfigError
 from sageturn.config.loader import load
+from sageturn.overrides.actor import OverrideActor
 from sageturn.overrides.operations import (
     OperationType,
     OverrideOperation,
@@ -49,8 +52,27 @@
 TEST_TIMEOUT_S = 40
 
 
-def run_within_limit(coroutine):  # type: ignore[no-untyped-def]
-    return asyncio.run(asyncio.wait_for(coroutine, TEST_TIMEOUT_S))
+def run_within_limit(test: Coroutine[Any, Any, None]) -> None:
+    run_with_timeout(test, TEST_TIMEOUT_S)
+
+
+def replication_address(relay: Relay) -> str:
+    """Where the relay's replication listens, as in its settings; fails if it has none."""
+    assert relay.replication is not None
+    return "{}:{}".format(*relay.replication.address)
+
+
+def override_actor(relay: Relay) -> OverrideActor:
+    """What applies overrides in ``relay``; fails if it is not configured to."""
+    assert relay.overrides is not None
+    return relay.overrides
+
+
+def operator_names(relay: Relay) -> Set[str]:
+    """Whose overrides ``relay`` is configured to accept."""
+    options = relay.config.operator.overrides
+    assert options is not None
+    return options.operators.keys()
 
 
 def unix_time_ms() -> float:
@@ -84,7 +106,9 @@
 
 
 @asynccontextmanager
-async def relays_with_overrides(folder: Path, *scripts: Script, relays: int = 1, **overrides: Any):  # type: ignore[no-untyped-def]
+async def relays_with_overrides(
+    folder: Path, *scripts: Script, relays: int = 1, **overrides: Any
+) -> AsyncIterator[tuple[list[Relay], list[FakeEndpoint]]]:
     """Relays whose stores are linked, and the endpoints that they share, in the order a, b, c."""
     endpoints = [FakeEndpoint(script) for script in scripts]
     async with AsyncExitStack() as stack:
@@ -94,7 +118,7 @@
         for number in range(relays):
             place = folder / f"r{number}"
             place.mkdir(exist_ok=True)
-            peers = ["{}:{}".format(*made[0].replication.address)] if made else []
+            peers = [replication_address(made[0])] if made else []
             store = {"path": "store", "listen": "127.0.0.1:0", "peers": peers, "secret_file": "../secret"}
             file = place / "operator.json"
             file.write_text(json.dumps({"store": store, "overrides": overrides_section(**overrides)}))
@@ -109,9 +133,10 @@
         yield made, endpoints
 
 
-async def wait_until(condition) -> None:  # type: ignore[no-untyped-def]
-    while not condition():
-        await asyncio.sleep(0.01)
+def reported_revisions(relay: Relay) -> dict[str, int] | None:
+    """The revisions of operations that relay n1 reports to have applied, as ``relay`` has received them."""
+    state: dict[str, Any] = relay.store.get("state/n1/overrides") or {}
+    return state.get("words")
 
 
 async def count_placed(
@@ -133,19 +158,15 @@
             one.store.put(*signed_record(operation_now("o1", out_of_service("a"))))
             two.store.put(*signed_record(operation_now("o2", out_of_service("b"), operator="mai")))
             for relay in relays:
-                await wait_until(
-                    lambda relay=relay: (
-                        relay.endpoint_registry.is_out_of_service("a")
-                        and relay.endpoint_registry.is_out_of_service("b")
-                    )
-                )
+                await until(partial(relay.endpoint_registry.is_out_of_service, "a"))
+                await until(partial(relay.endpoint_registry.is_out_of_service, "b"))
+                assert relay.endpoint_registry.is_out_of_service("a")
                 assert (await count_placed(relay, endpoints))[:2] == [0, 0]
-            reported = lambda: (one.store.get("state/n1/overrides") or {}).get("words")  # noqa: E731
-            await wait_until(lambda: reported() == {"o1": 1, "o2": 1})
+            await until(lambda: reported_revisions(one) == {"o1": 1, "o2": 1})
             two.store.put(
                 *signed_record(operation_now("o1", operation_type=OperationType.REVOKE, revision=2))
             )
-            await wait_until(lambda: not one.endpoint_registry.is_out_of_service("a"))
+            await until(lambda: not one.endpoint_registry.is_out_of_service("a"))
             at = one.endpoint_registry.addresses
             assert not one.endpoint_registry.is_ready_at("b", at["b"]) and one.endpoint_registry.is_ready_at(
                 "a", at["a"]
@@ -161,10 +182,10 @@
         async with relays_with_overrides(tmp_path, up, up, floor_pin=0) as ((relay,), endpoints):
             pinned = operation_now("p1", pin("b", strict=True, tenant="t"))
             relay.store.put(*signed_record(pinned))
-            await wait_until(lambda: relay.overrides.registry.overrides)
+            await until(lambda: override_actor(relay).registry.overrides)
             assert await count_placed(relay, endpoints) == [0, 12]
             relay.store.put(*signed_record(operation_now("o1", out_of_service("b"))))
-            await wait_until(lambda: relay.endpoint_registry.is_out_of_service("b"))
+            await until(lambda: relay.endpoint_registry.is_out_of_service("b"))
             began = asyncio.get_running_loop().time()
             assert (await reply(relay.listener.address, first_line())).startswith(b"BUSY")
             assert asyncio.get_running_loop().time() - began < 0.2
@@ -172,12 +193,12 @@
                 *signed_record(operation_now("p1", operation_type=OperationType.REVOKE, revision=2))
             )
             relay.store.put(*signed_record(operation_now("p2", pin("b", tenant="t"))))
-            await wait_until(lambda: relay.overrides.registry.overrides["p1"].is_revoked)
+            await until(lambda: override_actor(relay).registry.overrides["p1"].is_revoked)
             assert await count_placed(relay, endpoints) == [12, 0]
             relay.store.put(
                 *signed_record(operation_now("o1", operation_type=OperationType.REVOKE, revision=2))
             )
-            await wait_until(lambda: not relay.endpoint_registry.is_out_of_service("b"))
+            await until(lambda: not relay.endpoint_registry.is_out_of_service("b"))
             assert (
                 sum(await count_placed(relay, endpoints)) == 12
             )  # b is cold again: most go elsewhere for now
@@ -195,7 +216,9 @@
 
     async def go() -> None:
         async with relays_with_overrides(tmp_path, up, up) as ((relay,), (a, b)):
-            relay.rebalancer.options = RebalanceOptions(tick_s=0.05, back_within_s=0.1)
+            rebalancer = relay.rebalancer
+            assert rebalancer is not None
+            rebalancer.options = RebalanceOptions(tick_s=0.05, back_within_s=0.1)
             clients = [
                 await ask(relay.listener.address, first_line(more=",at=a", key=f"k{n}")) for n in range(6)
             ]
@@ -207,7 +230,8 @@
             for reader, writer in clients:
                 assert await reader.read() == b"MOVE\r\n"
                 writer.close()
-            assert relay.rebalancer.options.mode == "off" and relay.rebalancer.counts["moved"] == 6
+            assert relay.rebalancer is rebalancer
+            assert rebalancer.options.mode == "off" and rebalancer.counts["moved"] == 6
 
     run_within_limit(go())
 
@@ -218,7 +242,7 @@
             async with relays_with_overrides(tmp_path, up, up) as ((relay,), endpoints):
                 if turn == 0:
                     # It never hears of them: killed between the write and its effect.
-                    relay.store.on_change.remove(relay.overrides.on_store_change)
+                    relay.store.on_change.remove(override_actor(relay).on_store_change)
                     relay.store.put(*signed_record(operation_now("o1", out_of_service("a"))))
                     relay.store.put(
                         *signed_record(
@@ -243,21 +267,21 @@
     async def go() -> None:
         async with relays_with_overrides(tmp_path, up, up) as ((relay,), _):
             relay.store.put(*signed_record(operation_now("o1", out_of_service("a"))))
-            await wait_until(lambda: relay.endpoint_registry.is_out_of_service("a"))
+            await until(lambda: relay.endpoint_registry.is_out_of_service("a"))
             file = tmp_path / "r0" / "operator.json"
             good = json.loads(file.read_text())
             file.write_text(json.dumps({**good, "overrides": {"operators": {"lan": "short"}}}))
             relay.reload_requested.set()
-            await wait_until(lambda: not relay.reload_requested.is_set())
+            await until(lambda: not relay.reload_requested.is_set())
             assert relay.endpoint_registry.is_out_of_service("a")
             file.write_text(
                 json.dumps({**good, "overrides": overrides_section(operators={"mai": public_key_of("mai")})})
             )
             relay.reload_requested.set()
-            await wait_until(lambda: not relay.endpoint_registry.is_out_of_service("a"))
+            await until(lambda: not relay.endpoint_registry.is_out_of_service("a"))
             file.write_text(json.dumps(good))
             relay.reload_requested.set()
-            await wait_until(lambda: relay.endpoint_registry.is_out_of_service("a"))
+            await until(lambda: relay.endpoint_registry.is_out_of_service("a"))
 
     run_within_limit(go())
 
@@ -266,7 +290,7 @@
     async def go() -> None:
         async with relays_with_overrides(tmp_path, up, up, up, relays=2, floor_all=0.5) as (relays, _):
             common = {
-                "SAGETURN_CONNECT": "{}:{}".format(*relays[0].replication.address),
+                "SAGETURN_CONNECT": replication_address(relays[0]),
                 "SAGETURN_OPERATOR": "lan",
                 "SAGETURN_SECRET_FILE": str(tmp_path / "secret"),
                 "SAGETURN_KEY_FILE": str(tmp_path / "key.pem"),
@@ -290,7 +314,7 @@
             nobody = asyncio.ensure_future(run_command("list", exit_code=3, SAGETURN_CONNECT="127.0.0.1:1"))
             public_key = (await run_command("key", str(tmp_path / "key.pem"))).strip()
             assert (tmp_path / "key.pem").stat().st_mode & 0o77 == 0
-            await wait_until(lambda: all(r.store.get("state/n1/overrides") for r in relays))
+            await until(lambda: all(r.store.get("state/n1/overrides") for r in relays))
             refused = await run_command(
                 "set", "out", "--host", "a", "--for", "2h30m", "--why", "disk", exit_code=1
             )
@@ -301,8 +325,8 @@
                 content["overrides"]["operators"]["lan"] = public_key
                 file.write_text(json.dumps(content))
                 relay.reload_requested.set()
-            await wait_until(lambda: all("lan" in r.config.operator.overrides.operators for r in relays))
-            await wait_until(lambda: all(not r.reload_requested.is_set() for r in relays))
+            await until(lambda: all("lan" in operator_names(relay) for relay in relays))
+            await until(lambda: all(not r.reload_requested.is_set() for r in relays))
             set_ = ("set", "out", "--host", "a", "--for", "2h30m", "--why", "disk is failing", "--json")
             made = json.loads(await run_command(*set_))
             assert made["relays"] == {"n0": "in force", "n1": "in force"}
