--- a/experiments/measure_client_disconnects.py
+++ b/experiments/measure_client_disconnects.py
@@ -86,10 +86,10 @@
                 writer.write(b"BUSY\r\n")
             elif said:
                 server = Server(reader, writer)
-                server.seen = said.decode()
+                server.unread = said.decode()
                 await server.accept()
                 await asyncio.sleep(random.uniform(0.005, 0.05))
-                server.say(f"<stream:error>{CONDITION}</stream:error>")
+                server.send(f"<stream:error>{CONDITION}</stream:error>")
             await writer.drain()
         except (OSError, AssertionError, TimeoutError):
             pass
@@ -128,12 +128,12 @@
 def on_streams(address: tuple[str, int], waiting: list[Client]) -> Come:
     async def come(number: int) -> tuple[str, Leave]:
         client, name = waiting.pop(), f"r{number}"
-        client.wish(name)
+        client.send_bind(name)
 
         def leave() -> float:
             left = time.time()
             if number % 2:
-                client.say("</stream:stream>")  # the connection stays open
+                client.send("</stream:stream>")  # the connection stays open
             else:
                 cut(client.writer)
             return left, time.time()
--- a/tests/core/test_client_disconnects.py
+++ b/tests/core/test_client_disconnects.py
@@ -131,7 +131,7 @@
 
 
 async def stream_end(client: Client) -> None:
-    client.say("</stream:stream>")
+    client.send("</stream:stream>")
     await client.writer.drain()
 
 
@@ -140,7 +140,7 @@
 
 
 async def words_and_stream_end(client: Client) -> None:
-    client.say("<message/>" * 3 + "</stream:stream>")
+    client.send("<message/>" * 3 + "</stream:stream>")
     await client.writer.drain()
 
 
@@ -179,7 +179,7 @@
                 monkeypatch.setattr(relay.context, "on_connection_closed", records.append)
                 client = await aside.does(Client.connect(xmpp_address(relay)))
                 await aside.does(client.login(client_tls()))
-                await aside.does(say_wish(client))
+                await aside.does(send_bind(client))
                 await until(lambda: records and not relay.balancer_actor.balancer.requests)
                 await aside.does(connection_end(client))
                 assert records[0].close_reason in GONE and not records[0].was_established
@@ -189,8 +189,8 @@
     run_within(TIMEOUT_S, go())
 
 
-async def say_wish(client: Client) -> None:
-    client.wish()
+async def send_bind(client: Client) -> None:
+    client.send_bind()
     await client.writer.drain()
 
 
@@ -295,15 +295,15 @@
     # It was taken for one that had left, and its connection closed without a word.
     async def go() -> None:
         async def read_until_end(server: Server) -> None:
-            await server.rest()
+            await server.read_rest()
 
         async with relaying_xmpp(tmp_path, read_until_end) as (relay, (endpoint,)):
             client = await Client.connect(xmpp_address(relay))
             await client.login(client_tls())
-            client.wish()
+            client.send_bind()
             await until(lambda: endpoint.lines)
-            client.say("<not <well>")
-            assert "<policy-violation " in await client.rest()
+            client.send("<not <well>")
+            assert "<policy-violation " in await client.read_rest()
             client.writer.close()
 
     run_within(TIMEOUT_S, go())
--- a/tests/frontends/test_idle_timeout.py
+++ b/tests/frontends/test_idle_timeout.py
@@ -153,7 +153,7 @@
 
 async def half_bound(server: Server) -> None:
     await server.accept()
-    server.say("<iq type='result' id='bind'><bind xmlns='urn:ietf:params:xml:ns:xmpp-bind'><jid>rel")
+    server.send("<iq type='result' id='bind'><bind xmlns='urn:ietf:params:xml:ns:xmpp-bind'><jid>rel")
     await server.reader.read()
 
 
@@ -164,8 +164,8 @@
             client = await Client.connect(xmpp_address(relay))
             await client.login(client_tls())
             began = asyncio.get_running_loop().time()
-            client.wish()
-            rest = await client.rest()
+            client.send_bind()
+            rest = await client.read_rest()
             assert asyncio.get_running_loop().time() - began < 0.7
             assert rest.count("<stream:error>") == 1 and "<iq" not in rest, rest
             assert rest.endswith("</stream:error></stream:stream>")
--- a/tests/frontends/test_xmpp_frontend.py
+++ b/tests/frontends/test_xmpp_frontend.py
@@ -11,7 +11,7 @@
 from support.event_loop import run_with_timeout
 from support.network_fakes import SETTINGS as CONF
 from support.network_fakes import ask, first_line
-from support.xmpp_fakes import HEADER, Client, Server, echo, turns_away
+from support.xmpp_fakes import HEADER, Client, Server, echo, rejects
 from support.xmpp_relay import CA, CERT, client_tls, relaying_xmpp, server_tls, write_operator, xmpp_address
 
 from sageturn.config.settings import read_settings
@@ -29,13 +29,13 @@
             assert relay.balancer_actor.placements == []
             assert await client.bind("desk") == "relay@guides.example/desk"
             message = "<message to='x' id=\"q>1\"><body>a &amp; b &lt; c</body><e a='>'/></message>"
-            client.say(message[:20])
+            client.send(message[:20])
             await asyncio.sleep(0.02)
-            client.say(message[20:])
-            assert (await client.hear("<message.*?</message>"))[0] == message  # as it stood on the wire
+            client.send(message[20:])
+            assert (await client.read_until("<message.*?</message>"))[0] == message  # as it stood on the wire
             assert len(relay.balancer_actor.placements) == 1
-            client.say("</stream:stream>")
-            assert (await client.rest()).strip() == "</stream:stream>"
+            client.send("</stream:stream>")
+            assert (await client.read_rest()).strip() == "</stream:stream>"
 
     run_with_timeout(go(), 30)
 
@@ -51,7 +51,7 @@
                 with pytest.raises((AssertionError, TimeoutError)):
                     async with asyncio.timeout(1):
                         await wrong.login(client_tls(), password="nope", plain=plain)
-                assert "<not-authorized/>" in wrong.seen
+                assert "<not-authorized/>" in wrong.unread
             assert len(relay.balancer_actor.placements or ()) == 1
 
     run_with_timeout(go(), 30)
@@ -79,8 +79,8 @@
     async def go() -> None:
         async with relaying_xmpp(tmp_path, echo, negotiate_s=0.5) as (relay, (endpoint,)):
             client = await Client.connect(xmpp_address(relay))
-            client.say(said)
-            heard = await client.rest()
+            client.send(said)
+            heard = await client.read_rest()
             assert f"<{condition} xmlns='urn:ietf:params:xml:ns:xmpp-streams'/>" in heard
             assert heard.endswith("</stream:stream>") and "<stream:stream" in heard
             assert endpoint.lines == []
@@ -94,10 +94,10 @@
 
 
 async def silence(server: Server) -> None:
-    await server.rest()
+    await server.read_rest()
 
 
-@pytest.mark.parametrize("act", [turns_away, breaks, silence])
+@pytest.mark.parametrize("act", [rejects, breaks, silence])
 def test_at_most_three_attempts_and_one_final_answer_with_its_condition(
     tmp_path: Path, act: Callable[[Server], Awaitable[None]]
 ) -> None:
@@ -106,8 +106,8 @@
             client = await Client.connect(xmpp_address(relay))
             await client.login(client_tls())
             began = asyncio.get_running_loop().time()
-            client.wish()
-            heard = await client.rest()
+            client.send_bind()
+            heard = await client.read_rest()
             assert asyncio.get_running_loop().time() - began < 1.6
             assert heard.count("<stream:error>") == 1 and heard.endswith("</stream:stream>")
             assert "resource-constraint" in heard
@@ -120,20 +120,20 @@
     # The stanza is half at the relay when the drain begins: the client must get it whole, or not at all.
     async def slow_speaker(server: Server) -> None:
         server.bound(await server.accept())
-        server.say("<message><body>half")
-        await server.hear("<presence/>")
+        server.send("<message><body>half")
+        await server.read_until("<presence/>")
         await asyncio.sleep(0.6)  # into the drain
-        server.say(" and half</body></message>")
-        await server.rest()
+        server.send(" and half</body></message>")
+        await server.read_rest()
 
     async def go() -> None:
         async with relaying_xmpp(tmp_path, slow_speaker) as (relay, _):
             client = await Client.connect(xmpp_address(relay))
             await client.login(client_tls())
             await client.bind()
-            client.say("<presence/>")
+            client.send("<presence/>")
             draining = asyncio.ensure_future(relay.request_registry.drain(relay.ingress))
-            heard = await client.rest()
+            heard = await client.read_rest()
             assert heard.startswith("<message><body>half and half</body></message><stream:error><reset ")
             assert heard.endswith("</stream:error></stream:stream>")
             client.writer.close()
@@ -146,7 +146,7 @@
 def test_an_endpoint_that_drains_mid_stanza_leaves_a_clean_stream(tmp_path: Path) -> None:
     async def dies(server: Server) -> None:
         server.bound(await server.accept())
-        server.say("<message><body>half")
+        server.send("<message><body>half")
         await server.writer.drain()
 
     async def go() -> None:
@@ -154,7 +154,7 @@
             client = await Client.connect(xmpp_address(relay))
             await client.login(client_tls())
             await client.bind()
-            heard = await client.rest()
+            heard = await client.read_rest()
             assert heard.startswith("<stream:error>") and heard.endswith("</stream:stream>")
 
     run_with_timeout(go(), 30)
@@ -172,7 +172,7 @@
 
 @pytest.mark.parametrize(
     ("acts", "expected"),
-    [([echo, turns_away, echo, echo], {"served"}), ([turns_away] * 4, {"fail-fast"})],
+    [([echo, rejects, echo, echo], {"served"}), ([rejects] * 4, {"fail-fast"})],
 )
 def test_both_frontends_place_and_answer_alike(
     tmp_path: Path, acts: list[Callable[[Server], Awaitable[None]]], expected: set[str]
@@ -190,8 +190,8 @@
                 if front == "x":
                     client = await Client.connect(xmpp_address(relay))
                     await client.login(client_tls())
-                    client.wish()
-                    found = await client.hear("<jid>|<resource-constraint |<remote-connection-failed ")
+                    client.send_bind()
+                    found = await client.read_until("<jid>|<resource-constraint |<remote-connection-failed ")
                     answers.append(ANSWERS[found[0]])
                     held.append(client)
                 else:
@@ -249,11 +249,11 @@
             relay.admission.limits = ProcessLimits(sockets=96, memory_mb=192.0)
             began = asyncio.get_running_loop().time()
             half = await Client.connect(xmpp_address(relay))
-            half.say("<?xml version='1.0'?><stream:str")
-            assert "<connection-timeout " in await half.rest()
+            half.send("<?xml version='1.0'?><stream:str")
+            assert "<connection-timeout " in await half.read_rest()
             assert asyncio.get_running_loop().time() - began < 2.9
             crowd = [await Client.connect(xmpp_address(relay)) for _ in range(30)]
-            assert "<resource-constraint " in await crowd[0].rest()
+            assert "<resource-constraint " in await crowd[0].read_rest()
             for each in crowd:
                 each.writer.close()
 
--- a/tests/net/test_sockets.py
+++ b/tests/net/test_sockets.py
@@ -168,12 +168,12 @@
     async def go() -> None:
         async with relaying_xmpp(tmp_path, echo) as (relay, _):
             client = await Client.connect(xmpp_address(relay))
-            client.say("<?xml version='1.0'?>")
+            client.send("<?xml version='1.0'?>")
             await until(lambda: relay.admission.awaiting_request)
             await asyncio.sleep(0.01)
             relay.admission.evict_all_pending()
-            client.say(HEADER.format("to").removeprefix("<?xml version='1.0'?>") + " " * 2000)
-            heard = await client.rest()
+            client.send(HEADER.format("to").removeprefix("<?xml version='1.0'?>") + " " * 2000)
+            heard = await client.read_rest()
             assert "<resource-constraint " in heard and not heard.endswith("[reset]")
             client.writer.close()
 
--- a/tests/rebalance/test_rebalance_relay.py
+++ b/tests/rebalance/test_rebalance_relay.py
@@ -140,7 +140,7 @@
             assert planner.connections.client_of(lifecycle.id) != 0
             plan = MigrationPlan((Migration(lifecycle.id, "a test"),), PlanPhase.BALANCING, "")
             monkeypatch.setattr(planner, "tick", lambda *_: plan)
-            assert "<move xmlns='urn:sageturn:relay:0'" in await client.rest()
+            assert "<move xmlns='urn:sageturn:relay:0'" in await client.read_rest()
 
     run_with_timeout(go())
 
--- a/tests/support/xmpp_relay.py
+++ b/tests/support/xmpp_relay.py
@@ -11,7 +11,7 @@
 
 import trustme
 from support.network_fakes import FakeEndpoint, listed, serve_all, write_config
-from support.xmpp_fakes import Act, Server, turns_away
+from support.xmpp_fakes import Act, Server, rejects
 
 from sageturn.config.loader import load
 from sageturn.frontends.xmpp.accounts import PREFIX, make_record
@@ -71,14 +71,14 @@
     def script(act: Act) -> FakeEndpoint:
         async def play(r: asyncio.StreamReader, w: asyncio.StreamWriter, line: bytes) -> None:
             if line.startswith(b"OPEN"):  # the same host in the platform's words
-                w.write(b"BUSY\r\n" if act is turns_away else b"UP r1\r\n")
-                if act is turns_away:
+                w.write(b"BUSY\r\n" if act is rejects else b"UP r1\r\n")
+                if act is rejects:
                     return
                 while said := await r.readline():
                     w.write(said)
                 return
             server = Server(r, w)
-            server.seen = line.decode()
+            server.unread = line.decode()
             await act(server)
 
         class Peeking(FakeEndpoint):
