--- a/tests/core/test_client_disconnects.py
+++ b/tests/core/test_client_disconnects.py
@@ -16,13 +16,15 @@
 from support.network_fakes import SETTINGS, ask, first_line, relaying, silent, up
 from support.relay_checks import run_within, until
 from support.xmpp_fakes import Client, Server
-from support.xmpp_relay import client_tls, relaying_xmpp
+from support.xmpp_relay import client_tls, relaying_xmpp, xmpp_address
 
 from sageturn.core.close_reason import CloseReason
+from sageturn.core.request_lifecycle import RequestLifecycle
 from sageturn.frontends.platform import connection as platform_connection
 from sageturn.frontends.platform.connection import PlatformConnection
 from sageturn.frontends.xmpp import connection as xmpp_connection
 from sageturn.frontends.xmpp.connection import XmppConnection
+from sageturn.net import sockets
 from sageturn.net.sockets import ConnectFailure
 
 GONE = (CloseReason.CLIENT_LEFT, CloseReason.CLIENT_RESET)
@@ -129,7 +131,7 @@
 
 
 async def stream_end(client: Client) -> None:
-    client.say("</stream:stream>")
+    client.send("</stream:stream>")
     await client.writer.drain()
 
 
@@ -138,7 +140,7 @@
 
 
 async def words_and_stream_end(client: Client) -> None:
-    client.say("<message/>" * 3 + "</stream:stream>")
+    client.send("<message/>" * 3 + "</stream:stream>")
     await client.writer.drain()
 
 
@@ -162,22 +164,22 @@
                 await until(lambda: relay.endpoint_registry.version == 2)
                 begun = Begun(monkeypatch, xmpp_connection, moment == "further")
                 if moment == "bind":
-                    ask_life, at = xmpp_connection.RequestLifecycle.check_before_write, list[bool]()
+                    ask_life, at = RequestLifecycle.check_before_write, list[bool]()
 
                     def leaves_first(self: Any, wanted: Any = None) -> Any:
                         aside.do(leave(client))
                         at.append(True)
                         return ask_life(self, wanted)
 
-                    monkeypatch.setattr(xmpp_connection.RequestLifecycle, "check_before_write", leaves_first)
+                    monkeypatch.setattr(RequestLifecycle, "check_before_write", leaves_first)
                 else:
                     number = 1 + (moment == "further")
                     as_call_begins(monkeypatch, XmppConnection, number, lambda: aside.do(leave(client)))
                 records: list[Any] = []
                 monkeypatch.setattr(relay.context, "on_connection_closed", records.append)
-                client = await aside.does(Client.connect(relay.xmpp_listener.address))
+                client = await aside.does(Client.connect(xmpp_address(relay)))
                 await aside.does(client.login(client_tls()))
-                await aside.does(say_wish(client))
+                await aside.does(send_bind(client))
                 await until(lambda: records and not relay.balancer_actor.balancer.requests)
                 await aside.does(connection_end(client))
                 assert records[0].close_reason in GONE and not records[0].was_established
@@ -187,8 +189,8 @@
     run_within(TIMEOUT_S, go())
 
 
-async def say_wish(client: Client) -> None:
-    client.wish()
+async def send_bind(client: Client) -> None:
+    client.send_bind()
     await client.writer.drain()
 
 
@@ -209,7 +211,7 @@
         settings = {**SETTINGS, "accounts": tenants}
         async with relaying(tmp_path, silent, silent, settings=settings) as (relay, endpoints):
             await until(lambda: relay.endpoint_registry.version == 2)
-            connect, begun, held = platform_connection.connect_unreserved, 0, asyncio.Event()
+            connect, begun, held = sockets.connect_unreserved, 0, asyncio.Event()
 
             async def waits(address: tuple[str, int], timeout_s: float) -> Any:
                 nonlocal begun
@@ -292,13 +294,16 @@
 def test_an_xmpp_client_that_breaks_its_stream_while_it_waits_hears_why(tmp_path: Path) -> None:
     # It was taken for one that had left, and its connection closed without a word.
     async def go() -> None:
-        async with relaying_xmpp(tmp_path, lambda server: server.rest()) as (relay, (endpoint,)):
-            client = await Client.connect(relay.xmpp_listener.address)
+        async def read_until_end(server: Server) -> None:
+            await server.read_rest()
+
+        async with relaying_xmpp(tmp_path, read_until_end) as (relay, (endpoint,)):
+            client = await Client.connect(xmpp_address(relay))
             await client.login(client_tls())
-            client.wish()
+            client.send_bind()
             await until(lambda: endpoint.lines)
-            client.say("<not <well>")
-            assert "<policy-violation " in await client.rest()
+            client.send("<not <well>")
+            assert "<policy-violation " in await client.read_rest()
             client.writer.close()
 
     run_within(TIMEOUT_S, go())
