--- a/tests/core/test_client_disconnects.py
+++ b/tests/core/test_client_disconnects.py
@@ -33,18 +33,18 @@
 TIMEOUT_S = 30.0
 
 
-class Aside:
-    """A client with a thread and a loop of its own: it can act while the relay's loop stands still."""
+class ClientThread:
+    """A thread and a loop for a client: it can act while the relay's loop is blocked."""
 
     def __init__(self) -> None:
         self._loop = asyncio.new_event_loop()
         self._thread = threading.Thread(target=self._loop.run_forever)
         self._thread.start()
 
-    def do(self, coro: Coroutine[Any, Any, Any]) -> Any:
+    def run_blocking(self, coro: Coroutine[Any, Any, Any]) -> Any:
         return asyncio.run_coroutine_threadsafe(coro, self._loop).result(10)
 
-    async def does(self, coro: Coroutine[Any, Any, Any]) -> Any:
+    async def run(self, coro: Coroutine[Any, Any, Any]) -> Any:
         return await asyncio.wrap_future(asyncio.run_coroutine_threadsafe(coro, self._loop))
 
     def close(self) -> None:
@@ -76,17 +76,18 @@
     client.close()
 
 
-class Begun:
+class ConnectCounter:
     """Counts connections that are begun, and lets the first ones fail."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, connection_module: Any, failing: int = 0) -> None:
-        self.all = 0
-        self._connect, self._failing = connection_module.connect_unreserved, failing
+        self.count = 0
+        self._connect = connection_module.connect_unreserved
+        self._failing = failing
         monkeypatch.setattr(connection_module, "connect_unreserved", self._begin)
 
     async def _begin(self, address: tuple[str, int], timeout_s: float) -> Any:
-        self.all += 1
-        if self.all <= self._failing:
+        self.count += 1
+        if self.count <= self._failing:
             return ConnectFailure.NEVER_UP
         return await self._connect(address, timeout_s)
 
@@ -116,7 +117,7 @@
     async def go() -> None:
         async with relaying(tmp_path, up, up) as (relay, endpoints):
             await until(lambda: relay.endpoint_registry.version == 2)
-            begun = Begun(monkeypatch, platform_connection, attempt - 1)
+            connects = ConnectCounter(monkeypatch, platform_connection, attempt - 1)
             as_call_begins(monkeypatch, PlatformConnection, attempt, lambda: leave(client))
             records: list[Any] = []
             monkeypatch.setattr(relay.context, "on_connection_closed", records.append)
@@ -124,7 +125,7 @@
             client.sendall(first_line())
             await until(lambda: records and not relay.balancer_actor.balancer.requests)
             client.close()
-            assert begun.all == attempt - 1 and not any(e.open for e in endpoints)
+            assert connects.count == attempt - 1 and not any(e.open for e in endpoints)
             assert records[0].close_reason in GONE
 
     run_within(TIMEOUT_S, go())
@@ -159,31 +160,33 @@
         bound.append(await server.accept())
 
     async def go() -> None:
-        with closing(Aside()) as aside:
+        with closing(ClientThread()) as client_thread:
             async with relaying_xmpp(tmp_path, told, told) as (relay, endpoints):
                 await until(lambda: relay.endpoint_registry.version == 2)
-                begun = Begun(monkeypatch, xmpp_connection, moment == "further")
+                connects = ConnectCounter(monkeypatch, xmpp_connection, moment == "further")
                 if moment == "bind":
                     ask_life, at = RequestLifecycle.check_before_write, list[bool]()
 
                     def leaves_first(self: Any, wanted: Any = None) -> Any:
-                        aside.do(leave(client))
+                        client_thread.run_blocking(leave(client))
                         at.append(True)
                         return ask_life(self, wanted)
 
                     monkeypatch.setattr(RequestLifecycle, "check_before_write", leaves_first)
                 else:
                     number = 1 + (moment == "further")
-                    as_call_begins(monkeypatch, XmppConnection, number, lambda: aside.do(leave(client)))
+                    as_call_begins(
+                        monkeypatch, XmppConnection, number, lambda: client_thread.run_blocking(leave(client))
+                    )
                 records: list[Any] = []
                 monkeypatch.setattr(relay.context, "on_connection_closed", records.append)
-                client = await aside.does(Client.connect(xmpp_address(relay)))
-                await aside.does(client.login(client_tls()))
-                await aside.does(send_bind(client))
+                client = await client_thread.run(Client.connect(xmpp_address(relay)))
+                await client_thread.run(client.login(client_tls()))
+                await client_thread.run(send_bind(client))
                 await until(lambda: records and not relay.balancer_actor.balancer.requests)
-                await aside.does(connection_end(client))
+                await client_thread.run(connection_end(client))
                 assert records[0].close_reason in GONE and not records[0].was_established
-                assert begun.all == (moment != "first")
+                assert connects.count == (moment != "first")
                 assert sum(len(e.lines) for e in endpoints) == (moment == "bind") and not bound
 
     run_within(TIMEOUT_S, go())
@@ -243,7 +246,7 @@
     async def go() -> None:
         async with relaying(tmp_path, up, up) as (relay, endpoints):
             await until(lambda: relay.endpoint_registry.version == 2)
-            begun = Begun(monkeypatch, platform_connection)
+            connects = ConnectCounter(monkeypatch, platform_connection)
             records: list[Any] = []
             monkeypatch.setattr(relay.context, "on_connection_closed", records.append)
             for _ in range(100):  # the loop does not turn here
@@ -252,7 +255,7 @@
                 client.close()
             time.sleep(BUSY_S)
             await until(lambda: len(records) == 100 and not relay.balancer_actor.balancer.requests)
-            assert begun.all == 0 and not any(e.open for e in endpoints)
+            assert connects.count == 0 and not any(e.open for e in endpoints)
 
     run_within(TIMEOUT_S, go())
 
--- a/tests/core/test_close_reasons.py
+++ b/tests/core/test_close_reasons.py
@@ -45,11 +45,13 @@
 }
 
 
-class Scene:
+class RelayScenario:
     """A relay between one client and three endpoints that all act alike."""
 
     def __init__(self, relay: Relay, endpoints: list[FakeEndpoint], wait_ms: int = 3000) -> None:
-        self.relay, self.endpoints, self.line = relay, endpoints, first_line(wait_ms)
+        self.relay = relay
+        self.endpoints = endpoints
+        self.line = first_line(wait_ms)
         self.client = socket.create_connection(relay.listener.address)
         self.client.setblocking(False)
         self.resume = asyncio.Event()  # lets what was held at its stage go on
@@ -59,33 +61,33 @@
     def lines(self) -> list[bytes]:
         return [line for e in self.endpoints for line in e.lines if line]
 
-    async def rest(self) -> bytes:
-        """All that the client still hears; b"reset" at the end of it if it was reset."""
-        loop, heard = asyncio.get_running_loop(), b""
+    async def read_rest(self) -> bytes:
+        """All that the client still receives; b"reset" at the end of it if it was reset."""
+        loop, received = asyncio.get_running_loop(), b""
         try:
             while more := await asyncio.wait_for(loop.sock_recv(self.client, 1 << 16), 5):
-                heard += more
+                received += more
         except ConnectionResetError:
-            heard += b"reset"
-        return heard
+            received += b"reset"
+        return received
 
 
 # ---------------------------------------------------------------- stages: what the endpoints do meanwhile
 
 
 def holding(text: bytes) -> Any:
-    """Says so much, then holds until the end has been made; then resets or ends."""
+    """Sends ``text``, then waits for the scenario to end or resume it; then resets or closes."""
 
-    def script(scene: list[Scene]) -> Any:
+    def script(scenario: list[RelayScenario]) -> Any:
         async def act(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes) -> None:
             writer.write(text)
             await writer.drain()
-            ends = asyncio.ensure_future(scene[0].resume.wait())
+            ends = asyncio.ensure_future(scenario[0].resume.wait())
             left = asyncio.ensure_future(reader.read())
             await asyncio.wait((ends, left), return_when=asyncio.FIRST_COMPLETED)
             for task in (ends, left):
                 task.cancel()
-            if scene[0].reset_endpoint:
+            if scenario[0].reset_endpoint:
                 linger = struct.pack("ii", 1, 0)
                 writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
                 writer.transport.abort()
@@ -95,35 +97,35 @@
     return script
 
 
-async def connecting(scene: Scene, monkeypatch: pytest.MonkeyPatch) -> None:
+async def connecting(scenario: RelayScenario, monkeypatch: pytest.MonkeyPatch) -> None:
     connect, begun = sockets.connect_unreserved, asyncio.Event()
 
     async def slowly(address: tuple[str, int], timeout_s: float) -> Any:
         begun.set()
         try:
-            await asyncio.wait_for(scene.resume.wait(), timeout_s)
+            await asyncio.wait_for(scenario.resume.wait(), timeout_s)
         except TimeoutError:
             return sockets.ConnectFailure.NEVER_UP
         return await connect(address, timeout_s)
 
     monkeypatch.setattr(platform_connection, "connect_unreserved", slowly)
-    scene.client.sendall(scene.line)
+    scenario.client.sendall(scenario.line)
     await begun.wait()
 
 
-async def written(scene: Scene, monkeypatch: pytest.MonkeyPatch) -> None:
-    scene.client.sendall(scene.line)
-    await until(lambda: scene.lines)
+async def written(scenario: RelayScenario, monkeypatch: pytest.MonkeyPatch) -> None:
+    scenario.client.sendall(scenario.line)
+    await until(lambda: scenario.lines)
 
 
-async def established(scene: Scene, monkeypatch: pytest.MonkeyPatch) -> None:
-    scene.client.sendall(scene.line)
-    await until(lambda: any(lifecycle.is_established for lifecycle in scene.relay.request_registry))
+async def established(scenario: RelayScenario, monkeypatch: pytest.MonkeyPatch) -> None:
+    scenario.client.sendall(scenario.line)
+    await until(lambda: any(lifecycle.is_established for lifecycle in scenario.relay.request_registry))
 
 
-async def partial_request_line(scene: Scene, monkeypatch: pytest.MonkeyPatch) -> None:
-    scene.client.sendall(scene.line[:-2])
-    await until(lambda: scene.relay.admission.awaiting_request)
+async def partial_request_line(scenario: RelayScenario, monkeypatch: pytest.MonkeyPatch) -> None:
+    scenario.client.sendall(scenario.line[:-2])
+    await until(lambda: scenario.relay.admission.awaiting_request)
 
 
 STAGES = {
@@ -139,39 +141,39 @@
 # ---------------------------------------------------------------- what ends it
 
 
-async def client_closes(scene: Scene) -> None:
-    scene.client.close()
+async def client_closes(scenario: RelayScenario) -> None:
+    scenario.client.close()
 
 
-async def client_resets(scene: Scene) -> None:
-    scene.client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-    scene.client.close()
+async def client_resets(scenario: RelayScenario) -> None:
+    scenario.client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+    scenario.client.close()
 
 
-async def endpoint_closes(scene: Scene) -> None:
-    scene.resume.set()
+async def endpoint_closes(scenario: RelayScenario) -> None:
+    scenario.resume.set()
 
 
-async def endpoint_resets(scene: Scene) -> None:
-    scene.reset_endpoint = True
-    scene.resume.set()
+async def endpoint_resets(scenario: RelayScenario) -> None:
+    scenario.reset_endpoint = True
+    scenario.resume.set()
 
 
-async def all_endpoints_drain(scene: Scene) -> None:
+async def all_endpoints_drain(scenario: RelayScenario) -> None:
     drains = [Endpoint(name, "draining") for name in "abc"]
-    await scene.relay.endpoint_registry.on_watch_event(1, EndpointListUpdate(3, False, drains))
-    await until(lambda: scene.relay.endpoint_registry.states["a"] == "draining")
-    if not any(lifecycle.is_established for lifecycle in scene.relay.request_registry):
-        scene.resume.set()
+    await scenario.relay.endpoint_registry.on_watch_event(1, EndpointListUpdate(3, False, drains))
+    await until(lambda: scenario.relay.endpoint_registry.states["a"] == "draining")
+    if not any(lifecycle.is_established for lifecycle in scenario.relay.request_registry):
+        scenario.resume.set()
 
 
-async def graceful_shutdown(scene: Scene) -> None:
-    scene.relay.request_registry.schedule = ShutdownSchedule(0.01, 0.02, 0.05, 2.0)
-    await scene.relay.request_registry.drain(scene.relay.ingress)
-    assert not scene.relay.request_registry
+async def graceful_shutdown(scenario: RelayScenario) -> None:
+    scenario.relay.request_registry.schedule = ShutdownSchedule(0.01, 0.02, 0.05, 2.0)
+    await scenario.relay.request_registry.drain(scenario.relay.ingress)
+    assert not scenario.relay.request_registry
 
 
-async def client_times_out(scene: Scene) -> None:
+async def client_times_out(scenario: RelayScenario) -> None:
     await asyncio.sleep(0)
 
 
@@ -196,22 +198,24 @@
 ) -> None:
     async def go() -> None:
         reach, act = STAGES[stage]
-        scenes: list[Scene] = []
+        scenarios: list[RelayScenario] = []
         settings = DEPLOYMENTS[effect]
         monkeypatch.setattr(platform_frontend, "REQUEST_LINE_TIMEOUT_S", 0.4)
-        async with relaying(tmp_path, *[act(scenes)] * 3, settings=settings) as (relay, endpoints):
+        async with relaying(tmp_path, *[act(scenarios)] * 3, settings=settings) as (relay, endpoints):
             while relay.endpoint_registry.version != 2:
                 await asyncio.sleep(0.002)
             descriptors = len(os.listdir("/proc/self/fd"))
-            scenes.append(scene := Scene(relay, endpoints, 400 if end is client_times_out else 3000))
-            await reach(scene, monkeypatch)
-            before = len(scene.lines)
-            await end(scene)
+            scenarios.append(
+                scenario := RelayScenario(relay, endpoints, 400 if end is client_times_out else 3000)
+            )
+            await reach(scenario, monkeypatch)
+            before = len(scenario.lines)
+            await end(scenario)
             stays = stage.startswith("established") and end in (all_endpoints_drain, client_times_out)
-            heard = b"" if end in GONE or stays else await scene.rest()
+            received = b"" if end in GONE or stays else await scenario.read_rest()
             assert not stays or all(lifecycle.is_established for lifecycle in relay.request_registry)
-            scene.client.close()
-            scene.resume.set()
+            scenario.client.close()
+            scenario.resume.set()
             balancer = relay.balancer_actor.balancer
             await until(
                 lambda: (
@@ -225,19 +229,19 @@
             # The listener's, and the descriptor that it keeps in reserve.
             shut = 2 if end is graceful_shutdown else 0
             await until(lambda: len(os.listdir("/proc/self/fd")) <= descriptors - shut)
-            sent, most = len(scene.lines), settings["policyLimits"]["sendCap"]
+            sent, most = len(scenario.lines), settings["policyLimits"]["sendCap"]
             assert sent <= most and sum(e.most_open for e in endpoints) <= max(1, sent)
             if end in GONE or end in (all_endpoints_drain, graceful_shutdown):
-                assert len(scene.lines) == before, "sent on after the end was known"
+                assert len(scenario.lines) == before, "sent on after the end was known"
             if end not in GONE and not stays:
-                check(stage, end, effect, heard, before)
+                check(stage, end, effect, received, before)
 
     run_within(15.0, go())
 
 
-def check(stage: str, end: Any, effect: str, heard: bytes, ran: int) -> None:
-    if stage.startswith("established") or (stage == "connecting" and heard.startswith(b"UP")):
-        lines = heard.removeprefix(b"UP r1\r\n").removeprefix(b"M 1\r\n")
+def check(stage: str, end: Any, effect: str, received: bytes, ran: int) -> None:
+    if stage.startswith("established") or (stage == "connecting" and received.startswith(b"UP")):
+        lines = received.removeprefix(b"UP r1\r\n").removeprefix(b"M 1\r\n")
         if end is graceful_shutdown:
             assert lines == b"MOVE\r\n"  # between two lines: what is half is dropped
         elif end is endpoint_resets:
@@ -245,11 +249,11 @@
         elif end is endpoint_closes:
             assert lines == (b"M 2" if "half" in stage else b"")
         return
-    assert heard.count(b"\r\n") == 1 and heard.startswith((b"BUSY", b"ERR")), heard
+    assert received.count(b"\r\n") == 1 and received.startswith((b"BUSY", b"ERR")), received
     if ran and effect != "safe":
-        assert heard.startswith(b"ERR"), "it may have run: trying again may do harm"
+        assert received.startswith(b"ERR"), "it may have run: trying again may do harm"
     if not ran and stage != "half a first line":
-        assert heard.startswith(b"BUSY"), "it never ran: nothing stands against another try"
+        assert received.startswith(b"BUSY"), "it never ran: nothing stands against another try"
 
 
 # ---------------------------------------------------------------- as the listener closes
@@ -274,8 +278,8 @@
             await relay.request_registry.drain(relay.ingress)
             assert not relay.admission.connection_count and not any(endpoint.lines)
             came[0].settimeout(5)
-            heard = came[0].recv(99)
-            assert heard.startswith((b"BUSY", b"ERR")) and came[0].recv(99) == b""
+            received = came[0].recv(99)
+            assert received.startswith((b"BUSY", b"ERR")) and came[0].recv(99) == b""
             came[0].close()
             with pytest.raises(ConnectionRefusedError):
                 socket.create_connection(relay.listener.address)
@@ -288,15 +292,15 @@
     async def go() -> None:
         async with relaying(tmp_path, up) as (relay, (endpoint,)):
             relay.request_registry.schedule = ShutdownSchedule(0.0, 0.0, 0.01, 2.0)
-            scene = Scene(relay, [endpoint])
+            scenario = RelayScenario(relay, [endpoint])
             relay.admission.evict_all_pending = lambda: None  # type: ignore[method-assign]
             draining = asyncio.ensure_future(relay.request_registry.drain(relay.ingress))
             await until(lambda: relay.admission.awaiting_request and relay.request_registry.is_drain_forced)
-            scene.client.sendall(first_line())
-            assert (await scene.rest()).startswith(b"BUSY")
+            scenario.client.sendall(first_line())
+            assert (await scenario.read_rest()).startswith(b"BUSY")
             await draining
             assert not any(endpoint.lines)
-            scene.client.close()
+            scenario.client.close()
 
     run_within(10.0, go())
 
@@ -305,17 +309,17 @@
     async def go() -> None:
         async with relaying(tmp_path, up) as (relay, (endpoint,)):
             relay.request_registry.schedule = ShutdownSchedule(0.0, 0.0, 8.0, 9.0)
-            scene = Scene(relay, [endpoint])
+            scenario = RelayScenario(relay, [endpoint])
             line = first_line()
-            scene.client.sendall(line[:20])
+            scenario.client.sendall(line[:20])
             await until(lambda: relay.admission.awaiting_request)
             draining = asyncio.ensure_future(relay.request_registry.drain(relay.ingress))
             await asyncio.sleep(0.8)  # past the time in which new ones are expected
             assert not draining.done()
-            scene.client.sendall(line[20:])
-            assert await scene.rest() == b"UP r1\r\nMOVE\r\n"
+            scenario.client.sendall(line[20:])
+            assert await scenario.read_rest() == b"UP r1\r\nMOVE\r\n"
             await draining
-            scene.client.close()
+            scenario.client.close()
 
     run_within(10.0, go())
 
@@ -324,13 +328,13 @@
     # Closed over the unread line, the kernel's reset destroyed the answer.
     async def go() -> None:
         async with relaying(tmp_path, up) as (relay, _):
-            scene = Scene(relay, [])
+            scenario = RelayScenario(relay, [])
             await until(lambda: relay.admission.awaiting_request)
             await asyncio.sleep(0.01)  # its reading has begun; whether or not, it is answered
-            scene.client.sendall(first_line())
+            scenario.client.sendall(first_line())
             relay.admission.evict_all_pending()
-            assert await scene.rest() == b"BUSY 500\r\n"
-            scene.client.close()
+            assert await scenario.read_rest() == b"BUSY 500\r\n"
+            scenario.client.close()
 
     run_within(10.0, go())
 
@@ -363,8 +367,8 @@
         async with relaying(tmp_path, floods) as (relay, _):
             ended: list[Any] = []
             relay.context.on_connection_closed = ended.append
-            scene = Scene(relay, [])
-            scene.client.sendall(first_line())
+            scenario = RelayScenario(relay, [])
+            scenario.client.sendall(first_line())
             await until(lambda: any(lifecycle.is_established for lifecycle in relay.request_registry))
             (lifecycle,) = relay.request_registry
             stuck = 0
@@ -380,11 +384,11 @@
                 await until(lambda: ended)
                 assert ended[0].close_reason.name == "CUT_OFF"
             else:
-                heard = await scene.rest()
-                assert heard.endswith(b"x\r\nMOVE\r\n") and heard.count(b"MOVE") == 1
+                received = await scenario.read_rest()
+                assert received.endswith(b"x\r\nMOVE\r\n") and received.count(b"MOVE") == 1
                 await until(lambda: ended)
                 assert ended[0].close_reason.name == "MOVED"
-            scene.client.close()
+            scenario.client.close()
 
     run_within(15.0, go())
 
@@ -395,12 +399,12 @@
     # Nothing of it was sent: ERR said that it may have been.
     async def go() -> None:
         async with relaying(tmp_path, up) as (relay, (endpoint,)):
-            scene = Scene(relay, [endpoint])
-            scene.line = first_line(40000, ",at=a")
-            await connecting(scene, monkeypatch)
-            await graceful_shutdown(scene)
-            assert (await scene.rest()).startswith(b"BUSY") and not any(endpoint.lines)
-            scene.client.close()
+            scenario = RelayScenario(relay, [endpoint])
+            scenario.line = first_line(40000, ",at=a")
+            await connecting(scenario, monkeypatch)
+            await graceful_shutdown(scenario)
+            assert (await scenario.read_rest()).startswith(b"BUSY") and not any(endpoint.lines)
+            scenario.client.close()
 
     run_within(10.0, go())
 
@@ -416,10 +420,10 @@
                 raise ValueError("unforeseen")
 
             monkeypatch.setattr(platform_connection, "connect_unreserved", fails)
-            scene = Scene(relay, [])
-            scene.client.sendall(scene.line)
-            assert await scene.rest() == b"ERR internal\r\n"
-            scene.client.close()
+            scenario = RelayScenario(relay, [])
+            scenario.client.sendall(scenario.line)
+            assert await scenario.read_rest() == b"ERR internal\r\n"
+            scenario.client.close()
             await until(lambda: not relay.request_registry and not relay.balancer_actor.balancer.requests)
             assert is_balancer_idle(relay.balancer_actor)
 
