--- a/tests/config/test_deployments.py
+++ b/tests/config/test_deployments.py
@@ -131,7 +131,7 @@
             line = first_line(900).replace(b"c=c,t=t", b"c=gate,t=north")
             assert (await reply(relay.listener.address, line))[:4] in (b"BUSY", b"ERR ")
             assert sum(len(e.lines) for e in endpoints) == attempts
-            assert all(e.most_open <= 1 for e in endpoints)
+            assert all(e.max_open <= 1 for e in endpoints)
             for endpoint in endpoints:
                 endpoint.script = up
             relay.balancer_actor._balancer.admission.buckets["south"].tokens = 9.0
--- a/tests/core/test_close_reasons.py
+++ b/tests/core/test_close_reasons.py
@@ -230,7 +230,7 @@
             shut = 2 if end is graceful_shutdown else 0
             await until(lambda: len(os.listdir("/proc/self/fd")) <= descriptors - shut)
             sent, most = len(scenario.lines), settings["policyLimits"]["sendCap"]
-            assert sent <= most and sum(e.most_open for e in endpoints) <= max(1, sent)
+            assert sent <= most and sum(e.max_open for e in endpoints) <= max(1, sent)
             if end in GONE or end in (all_endpoints_drain, graceful_shutdown):
                 assert len(scenario.lines) == before, "sent on after the end was known"
             if end not in GONE and not stays:
--- a/tests/decision/test_health_checks.py
+++ b/tests/decision/test_health_checks.py
@@ -14,7 +14,18 @@
 from hypothesis import strategies as st
 from support.balancer_driver import BalancerDriver
 from support.load_reports import FIELDS, probed_by
-from support.network_fakes import SETTINGS, Script, ask, first_line, relaying, reply, resets, says, silent, up
+from support.network_fakes import (
+    SETTINGS,
+    Script,
+    ask,
+    first_line,
+    relaying,
+    reply,
+    resets,
+    responds_with,
+    silent,
+    up,
+)
 from support.relay_checks import record_balancer_events
 
 from sageturn import decision
@@ -237,7 +248,7 @@
     monkeypatch.setitem(SETTINGS, "report", {"source": "answers", "fields": list(FIELDS)})
 
     async def go() -> None:
-        async with relaying(tmp_path, says(b"UP r\r\nBYE x0=0.25,util=0.5\r\n")) as (relay, _):
+        async with relaying(tmp_path, responds_with(b"UP r\r\nBYE x0=0.25,util=0.5\r\n")) as (relay, _):
             handled = record_balancer_events(relay, monkeypatch)
             reader, writer = await ask(relay.listener.address, first_line(more=",r=1"))
             assert await reader.read() == b"UP r\r\nBYE x0=0.25,util=0.5\r\n"
--- a/tests/frontends/test_compatibility_frontends.py
+++ b/tests/frontends/test_compatibility_frontends.py
@@ -21,7 +21,7 @@
 import pytest
 from scramp import ScramClient, ScramMechanism  # type: ignore[import-untyped]  # it has no stubs
 from scramp.core import Nonce  # type: ignore[import-untyped]  # it has no stubs
-from support.network_fakes import Script, ask, relaying, says, silent
+from support.network_fakes import Script, ask, relaying, responds_with, silent
 
 from sageturn.core.messages import FinalResponse
 from sageturn.frontends.platform import frontend as platform_frontend
@@ -196,7 +196,9 @@
 def make_platform() -> dict[str, bytes]:
     told = in_folder(platform_answers) | in_folder(platform_ids_and_haste)
     for name, text in ENDPOINTS.items():
-        told[f"exchange.{name}"], told[f"forwarded.{name}"] = in_folder(platform_exchange, says(text))
+        told[f"exchange.{name}"], told[f"forwarded.{name}"] = in_folder(
+            platform_exchange, responds_with(text)
+        )
     told["exchange.moved"] = in_folder(platform_move)
     return told
 
@@ -511,7 +513,7 @@
 @pytest.mark.parametrize("name", ENDPOINTS)
 def test_what_an_endpoint_says_reaches_the_client_as_it_did(name: str) -> None:
     recorded = from_json("platform.json")
-    told, forwarded = in_folder(platform_exchange, says(ENDPOINTS[name]))
+    told, forwarded = in_folder(platform_exchange, responds_with(ENDPOINTS[name]))
     assert told == recorded[f"exchange.{name}"]
     assert forwarded == recorded[f"forwarded.{name}"]
 
--- a/tests/frontends/test_idle_timeout.py
+++ b/tests/frontends/test_idle_timeout.py
@@ -108,7 +108,7 @@
             writer.close()
             while any(e.open for e in endpoints) or len(relay.request_registry):  # none is left behind
                 await asyncio.sleep(0.01)
-            assert all(e.most_open <= 1 for e in endpoints)
+            assert all(e.max_open <= 1 for e in endpoints)
 
     async def go() -> None:
         plays = []
--- a/tests/frontends/test_platform_frontend.py
+++ b/tests/frontends/test_platform_frontend.py
@@ -12,13 +12,14 @@
 import pytest
 from support.event_loop import run_with_timeout
 from support.network_fakes import (
+    Script,
     ask,
     first_line,
     listed,
     relaying,
     reply,
     resets,
-    says,
+    responds_with,
     silent,
     up,
     write_config,
@@ -90,8 +91,17 @@
     run_with_timeout(go())
 
 
-@pytest.mark.parametrize("bad", [says(b"BUSY\r\n"), says(b"ERR\r\n"), says(b""), resets, says(b"huh\r\n")])
-def test_at_most_three_attempts_one_at_a_time_and_one_answer(tmp_path: Path, bad) -> None:  # type: ignore[no-untyped-def]
+@pytest.mark.parametrize(
+    "bad",
+    [
+        responds_with(b"BUSY\r\n"),
+        responds_with(b"ERR\r\n"),
+        responds_with(b""),
+        resets,
+        responds_with(b"huh\r\n"),
+    ],
+)
+def test_at_most_three_attempts_one_at_a_time_and_one_answer(tmp_path: Path, bad: Script) -> None:
     # Guards the three-attempt limit and the one final answer, whatever the endpoints do.
     async def go() -> None:
         async with relaying(tmp_path, bad, bad, bad, bad, bad) as (relay, endpoints):
@@ -132,7 +142,7 @@
 @pytest.mark.parametrize(("last", "gets"), [(b"BYE\r\n", b"BYE\r\n"), (b"MOVE\r\n", b"MOVE\r\n"), (b"", b"")])
 def test_endpoint_fin_is_forwarded(tmp_path: Path, last: bytes, gets: bytes) -> None:
     async def go() -> None:
-        async with relaying(tmp_path, says(b"UP r\r\n" + last)) as (relay, _):
+        async with relaying(tmp_path, responds_with(b"UP r\r\n" + last)) as (relay, _):
             reader, writer = await ask(relay.listener.address, first_line())
             assert await reader.read() == b"UP r\r\n" + gets
             writer.close()
@@ -166,7 +176,7 @@
 def test_connection_established_before_the_run_is_resumed_at_its_endpoint(tmp_path: Path) -> None:
     # The first landing lost every one of these to a renamed variable.
     async def go() -> None:
-        async with relaying(tmp_path, up, says(b"UP b\r\n")) as (relay, _):
+        async with relaying(tmp_path, up, responds_with(b"UP b\r\n")) as (relay, _):
             assert await reply(relay.listener.address, first_line(4294967, ",at=b")) == b"UP b\r\n"
             assert (await reply(relay.listener.address, first_line(900, ",at=zz"))).startswith(b"ERR")
 
@@ -229,7 +239,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def go() -> None:
-        async with relaying(tmp_path, says(b"UP r\r\nLOAD 1500\r\nLOAD x\r\nBYE\r\n")) as (relay, _):
+        async with relaying(tmp_path, responds_with(b"UP r\r\nLOAD 1500\r\nLOAD x\r\nBYE\r\n")) as (relay, _):
             handled = record_balancer_events(relay, monkeypatch)
             reader, writer = await ask(relay.listener.address, first_line())
             assert await reader.read() == b"UP r\r\nLOAD 1500\r\nLOAD x\r\nBYE\r\n"
--- a/tests/net/test_descriptor_exhaustion.py
+++ b/tests/net/test_descriptor_exhaustion.py
@@ -108,7 +108,7 @@
             endpoint = await asyncio.start_server(discovery.serve, sock=down)
             stack.callback(endpoint.close)
             async with asyncio.timeout(UPDATE_S):
-                while not discovery.asked:
+                while not discovery.requests:
                     await asyncio.sleep(0.01)
                 standing.pop()[1].close()  # leaves room for one, which is to be placed by the news
                 while not any(new.lines):
--- a/tests/net/test_discovery_client.py
+++ b/tests/net/test_discovery_client.py
@@ -55,8 +55,8 @@
 def test_failed_watch_is_retried_after_a_delay(tmp_path: Path, failure: bytes) -> None:
     # Each of these is normal on the platform: none may end the relay, and discovery must not be hammered.
     relay, discovery = run_until_version_7(tmp_path, failure, failure, FULL_LIST)
-    assert len(discovery.asked) == 3
-    called_at_s = [when for when, _ in discovery.asked]
+    assert len(discovery.requests) == 3
+    called_at_s = [when for when, _ in discovery.requests]
     gaps_s = [later - earlier for earlier, later in pairwise(called_at_s)]
     assert all(gap_s > 0.3 for gap_s in gaps_s) and sum(gaps_s) < 6
     assert relay.endpoint_registry.has_ready_endpoint.is_set()
@@ -66,12 +66,12 @@
     # Of a machine that vanished the connection stays open, and its changes count as known after 6 s.
     monkeypatch.setattr("sageturn.net.discovery_watch.IDLE_TIMEOUT_S", 0.2)
     _, discovery = run_until_version_7(tmp_path, chunked(listed({"a": ADDRESS}, 6)), FULL_LIST)
-    assert discovery.asked[1][1] == b"GET /v1/endpoints?stream=1&index=6 HTTP/1.1"
+    assert discovery.requests[1][1] == b"GET /v1/endpoints?stream=1&index=6 HTTP/1.1"
 
 
 def test_watch_starts_after_the_known_version(tmp_path: Path) -> None:
     _, discovery = run_until_version_7(tmp_path, FULL_LIST, known=listed({"a": ADDRESS}, 5))
-    assert discovery.asked[0][1] == b"GET /v1/endpoints?stream=1&index=5 HTTP/1.1"
+    assert discovery.requests[0][1] == b"GET /v1/endpoints?stream=1&index=5 HTTP/1.1"
 
 
 def test_changes_are_merged_and_an_endpoint_missing_from_a_full_list_is_gone(tmp_path: Path) -> None:
--- a/tests/relay/test_program.py
+++ b/tests/relay/test_program.py
@@ -145,12 +145,12 @@
             process.send_signal(signal.SIGHUP)
             while "limits.sockets" not in (tmp_path / "log").read_text():
                 await asyncio.sleep(0.01)
-            assert moved.asked == []  # all of it is checked before anything is applied
+            assert moved.requests == []  # all of it is checked before anything is applied
 
             file.write_text(json.dumps(new))
             for _ in range(5):
                 process.send_signal(signal.SIGHUP)
-            while not moved.asked:
+            while not moved.requests:
                 await asyncio.sleep(0.01)
             writer.write(b"M 1\r\n")
             assert await reader.readline() == b"M 1\r\n" and process.returncode is None
--- a/tests/support/network_fakes.py
+++ b/tests/support/network_fakes.py
@@ -62,17 +62,17 @@
 
 
 class FakeEndpoint:
-    """Keeps the first lines that came, and acts by its script."""
+    """Keeps the first line of each connection, and acts by its script."""
 
     def __init__(self, script: Script) -> None:
         self.script, self.lines = script, list[bytes]()
-        self.open = self.most_open = 0
+        self.open = self.max_open = 0
         self.address = ("127.0.0.1", 0)
         self.up = asyncio.Event()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.open += 1
-        self.most_open = max(self.open, self.most_open)
+        self.max_open = max(self.open, self.max_open)
         try:
             line = await reader.readline()
             self.lines.append(line)
@@ -85,13 +85,13 @@
 
 
 async def up(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes) -> None:
-    """Stands, and says every line back until the client ends."""
+    """Accepts the request, and sends every line back until the client ends."""
     writer.write(b"UP r1\r\n")
-    while said := await reader.readline():
-        writer.write(said)
+    while received := await reader.readline():
+        writer.write(received)
 
 
-def says(text: bytes) -> Script:
+def responds_with(text: bytes) -> Script:
     async def script(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes) -> None:
         writer.write(text)
         await writer.drain()
@@ -111,12 +111,13 @@
     """Answers each watch by the next of its scripted answers, and the last of them for ever after."""
 
     def __init__(self, *answers: bytes) -> None:
-        self.answers, self.asked = list(answers), list[tuple[float, bytes]]()
+        self.answers = list(answers)
+        self.requests: list[tuple[float, bytes]] = []  # when each came, and its first line
         self.address = ("127.0.0.1", 0)
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         call = await reader.readuntil(b"\r\n\r\n")
-        self.asked.append((time.monotonic(), call.split(b"\r\n")[0]))
+        self.requests.append((time.monotonic(), call.split(b"\r\n")[0]))
         answer = self.answers.pop(0) if len(self.answers) > 1 else self.answers[0]
         writer.write(answer)
         if b"chunked" in answer and not answer.endswith(b"#"):
