--- a/sageturn/cli/store.py
+++ b/sageturn/cli/store.py
@@ -41,6 +41,7 @@
     node: str
 
     def run(self, action: Callable[[Store], Result]) -> Result:
+        """Open the store, run ``action`` on it, and let go of it; ends the command where it cannot be had."""
         try:
             store = Store(self.node, self.path)
             try:
@@ -58,6 +59,8 @@
     connection: DaemonConnection
 
     def run(self, action: Callable[[Store], Result]) -> Result:
+        """Open the store, run ``action`` on it, and let go of it; ends the command where it cannot be had."""
+
         async def run_action(store: Store) -> Result:
             return action(store)
 
--- a/sageturn/lab/scale/arrivals.py
+++ b/sageturn/lab/scale/arrivals.py
@@ -48,6 +48,7 @@
             self.returned_s[name] = now_s
 
     def is_down(self, name: str, now_s: float) -> bool:
+        """Whether it is down at this moment."""
         return self.was_down_during(name, now_s, now_s)
 
     def was_down_during(self, name: str, since_s: float, until_s: float) -> bool:
--- a/sageturn/lab/scale/child_process.py
+++ b/sageturn/lab/scale/child_process.py
@@ -41,10 +41,12 @@
 
     @property
     def is_started(self) -> bool:
+        """Whether the child was started, whatever has become of it."""
         return self._child is not None
 
     @property
     def pid(self) -> int:
+        """Its process id; the child must have been started."""
         return self._running_child().pid
 
     # ------------------------------------------------------------ lifetime
--- a/sageturn/lab/scale/digests.py
+++ b/sageturn/lab/scale/digests.py
@@ -1,5 +1,4 @@
-"""The store's digest replication as it was up to revision 1157f72, kept so that its successor is measured
-beside it.
+"""The store's digest replication up to revision 1157f72, kept to measure its successor beside it.
 
 Both ends of each link send their whole digest at an interval, and send what the other's lacks; new records
 go out at once, over every link. It uses the store's channel and records alone, whatever replicates them now.
--- a/sageturn/lab/scale/environment.py
+++ b/sageturn/lab/scale/environment.py
@@ -41,6 +41,7 @@
         self._port = self.address[1]
 
     async def stop(self) -> None:
+        """End all connections."""
         await super().stop()
         self._watchers.clear()
 
@@ -78,10 +79,12 @@
         self.sockets = [HostSocket(model, HOST_UNIT_US) for model in models]
 
     async def start(self) -> None:
+        """Begin to listen, or to connect."""
         for host in self.sockets:
             await host.start()
 
     async def stop(self) -> None:
+        """End all connections."""
         for host in self.sockets:
             await host.stop()
 
@@ -117,12 +120,14 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
+        """Begin to listen, or to connect."""
         for address in self._addresses:
             for number in range(self._clients_per_relay):
                 delay_s = number * CLIENT_START_INTERVAL_S
                 self._tasks.append(asyncio.ensure_future(self._keep_connected(address, delay_s)))
 
     async def stop(self) -> None:
+        """End all connections."""
         for task in self._tasks:
             task.cancel()
         if self._tasks:
--- a/sageturn/lab/scale/jobs.py
+++ b/sageturn/lab/scale/jobs.py
@@ -46,6 +46,7 @@
         return port
 
     def close(self) -> None:
+        """Let go of all reserved ports."""
         for sock in self._sockets:
             sock.close()
 
--- a/sageturn/lab/scale/member_group.py
+++ b/sageturn/lab/scale/member_group.py
@@ -132,8 +132,9 @@
 
 
 def encode_memory(processes: Sequence[ChildProcess], statuses: Sequence[ProcessStatus]) -> dict[str, Any]:
-    """Resident memory for a result line, in MB: what a hollow member adds to its process on average, and
-    the whole of each real relay's process.
+    """Resident memory for a result line, in MB.
+
+    What a hollow member adds to its process on average, and the whole of each real relay's process.
     """
     hollow_mb = []
     real_mb = []
--- a/sageturn/lab/scale/members.py
+++ b/sageturn/lab/scale/members.py
@@ -60,13 +60,15 @@
 
     address: tuple[str, int]
 
-    def start(self) -> None: ...
+    def start(self) -> None:
+        """Begin to accept and to dial."""
 
-    async def stop(self) -> None: ...
+    async def stop(self) -> None:
+        """End all links; the store stays usable."""
 
 
 def _make_digest_replication(
-    store: Store, options: LinkOptions, admission: AdmissionController, location: Location
+    store: Store, options: LinkOptions, admission: AdmissionController, _location: Location
 ) -> Replication:
     return DigestReplication(store, options, admission)
 
@@ -215,8 +217,9 @@
 
 
 class HollowMember(Member):
-    """Store, replication, endpoint list, discovery backoff and accounting as ``Relay`` puts them together,
-    without a listener for clients.
+    """A relay without a listener for clients.
+
+    Store, replication, endpoint list, discovery backoff and accounting are put together as in ``Relay``.
     """
 
     def __init__(self, job: dict[str, Any], common: dict[str, Any], records: list[StoreRecord]) -> None:
--- a/sageturn/lab/scale/plan.py
+++ b/sageturn/lab/scale/plan.py
@@ -141,13 +141,13 @@
         names = [size.name for size in self.sizes]
         for number, size in enumerate(self.sizes):
             try:
-                if size.name in names[:number]:
-                    raise InvalidPlanError(f"name: {size.name} is there twice")
-                self._validate_size(size)
+                self._validate_size(size, names[:number])
             except InvalidPlanError as error:
                 raise InvalidPlanError(f"sizes[{number}].{error}") from error
 
-    def _validate_size(self, size: Size) -> None:
+    def _validate_size(self, size: Size, earlier_names: list[str]) -> None:
+        if size.name in earlier_names:
+            raise InvalidPlanError(f"name: {size.name} is there twice")
         _validate_choice("spread", size.spread, SPREADS)
         _validate_choice("topology", size.topology, TOPOLOGIES)
         if size.real > size.members:
--- a/sageturn/lab/scale/predictions.py
+++ b/sageturn/lab/scale/predictions.py
@@ -123,11 +123,10 @@
 def separable_terms(shapes: list[dict[str, float]], terms: tuple[str, ...]) -> list[str]:
     """The terms that these sizes tell apart: one in constant proportion to the first is left out."""
     first = terms[0]
-    found = [first]
-    for term in terms[1:]:
-        if len({round(shape[term] / shape[first], 9) for shape in shapes}) > 1:
-            found.append(term)
-    return found
+    varying = [
+        term for term in terms[1:] if len({round(shape[term] / shape[first], 9) for shape in shapes}) > 1
+    ]
+    return [first, *varying]
 
 
 def predict(lines: Iterable[Line], size: Size) -> Line:
--- a/sageturn/lab/scale/process.py
+++ b/sageturn/lab/scale/process.py
@@ -123,6 +123,7 @@
         super().__init__(initial_memory, list(self._hollow.values()))
 
     async def serve(self) -> None:
+        """Answer the run's requests until its pipe is closed."""
         own = {Command.START: self._start, Command.STOP: self._stop, Command.END: self._end}
         await _serve_requests({**self.handlers(), **own})
 
@@ -161,6 +162,7 @@
         super().__init__(initial_memory, [member])
 
     async def serve(self) -> None:
+        """Answer the run's requests until its pipe is closed."""
         await _serve_requests({**self.handlers(), Command.START: self._start, Command.END: self._end})
 
     async def _start(self, _: Request) -> int:
@@ -197,6 +199,7 @@
             self._tasks.append(asyncio.ensure_future(forwarder.run()))
 
     async def serve(self) -> None:
+        """Answer the run's requests until its pipe is closed."""
         await _serve_requests(
             {Command.CONFIGURE_LINKS: self._configure, Command.STATUS: self._status, Command.END: self._end}
         )
--- a/sageturn/lab/scale/report.py
+++ b/sageturn/lab/scale/report.py
@@ -10,12 +10,12 @@
 
 matplotlib.use("Agg")
 
-import matplotlib.pyplot as plt  # noqa: E402  (the backend is chosen first: there is no screen)
-from matplotlib.axes import Axes  # noqa: E402
+import matplotlib.pyplot as plt
+from matplotlib.axes import Axes
 
-from sageturn.lab.runs import Results  # noqa: E402
-from sageturn.lab.scale.arrivals import MAX_PROPAGATION_S  # noqa: E402
-from sageturn.lab.scale.predictions import fit_runs, is_usable, metric_value  # noqa: E402
+from sageturn.lab.runs import Results
+from sageturn.lab.scale.arrivals import MAX_PROPAGATION_S
+from sageturn.lab.scale.predictions import fit_runs, is_usable, metric_value
 
 Line = dict[str, Any]  # of a result file, by that file's keys
 
@@ -141,8 +141,9 @@
 
 
 def plot(results: Results, file: Path) -> None:
-    """Bytes, processor time, and time until the last member holds a change, by members; a line for each
-    number of keys and spread, and the operators' allowance.
+    """Plot bytes, processor time, and time until the last member holds a change, by members.
+
+    There is a line for each number of keys and spread, and one for the operators' allowance.
     """
     figure, axes = plt.subplots(1, 3, figsize=(14, 4.2), layout="constrained")
     sound = [line for line in results.runs if is_usable(line)]
--- a/tests/config/test_fields.py
+++ b/tests/config/test_fields.py
@@ -104,5 +104,5 @@
 
 
 def test_a_file_that_is_no_object_is_refused() -> None:
-    with pytest.raises(ConfigError, match="^the top: must be an object$"):
+    with pytest.raises(ConfigError, match=r"^the top: must be an object$"):
         ConfigSection([], "")
--- a/tests/config/test_settings.py
+++ b/tests/config/test_settings.py
@@ -108,7 +108,7 @@
     before = load(env)
     content = json.loads(file.read_text())
     file.write_text(json.dumps({**content, "settings": with_value(FERRY_SETTINGS, "prices.probe", "dear")}))
-    with pytest.raises(ConfigError, match="settings.prices.probe"):
+    with pytest.raises(ConfigError, match=r"settings\.prices\.probe"):
         load(env, previous=before)
     file.write_text(
         json.dumps({**content, "settings": with_value(FERRY_SETTINGS, "policyLimits.probes", False)})
--- a/tests/core/test_attempt_races.py
+++ b/tests/core/test_attempt_races.py
@@ -120,7 +120,7 @@
 
 @pytest.mark.parametrize("ran", [False, True])
 @pytest.mark.parametrize(
-    "effect,scope,refused",
+    ("effect", "scope", "refused"),
     [("safe", "all", True), ("keyed", "all", True), ("keyed", "zone", False), ("unsafe", "all", False)],
 )
 def test_a_forced_drain_rejects_only_requests_that_were_not_executed_or_are_idempotent(
@@ -191,7 +191,7 @@
             await up(reader, writer, line)
 
 
-@pytest.mark.parametrize("scope,word", [("all", b"BUSY"), ("cell", b"ERR ")])
+@pytest.mark.parametrize(("scope", "word"), [("all", b"BUSY"), ("cell", b"ERR ")])
 @pytest.mark.parametrize("late_ms", [KEY_MS - 500.0, KEY_MS + 1.0])
 @pytest.mark.parametrize("moment", ["decided", "came up"])
 def test_a_retry_is_written_before_its_idempotency_key_expires_or_not_at_all(
--- a/tests/core/test_client_disconnects.py
+++ b/tests/core/test_client_disconnects.py
@@ -263,7 +263,7 @@
     async def go() -> None:
         async with relaying(tmp_path, silent) as (relay, (endpoint,)):
             loop = asyncio.get_running_loop()
-            reader, writer = await ask(relay.listener.address, first_line(3000))
+            _reader, writer = await ask(relay.listener.address, first_line(3000))
             await until(lambda: endpoint.lines)
             (lifecycle,) = relay.request_registry
             wire: Any = lifecycle.transport
--- a/tests/core/test_close_reasons.py
+++ b/tests/core/test_close_reasons.py
@@ -189,7 +189,9 @@
 
 @pytest.mark.parametrize("effect", DEPLOYMENTS)
 @pytest.mark.parametrize(
-    "stage,end", list(itertools.product(STAGES, ENDS)), ids=lambda v: v if isinstance(v, str) else v.__name__
+    ("stage", "end"),
+    list(itertools.product(STAGES, ENDS)),
+    ids=lambda v: v if isinstance(v, str) else v.__name__,
 )
 def test_every_end_at_every_stage_gives_one_response_and_leaves_nothing(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, stage: str, end: Any, effect: str
--- a/tests/decision/test_discovery_backoff.py
+++ b/tests/decision/test_discovery_backoff.py
@@ -275,7 +275,7 @@
 
 @pytest.mark.parametrize("outage", FAST_FAILING_OUTAGES)
 @pytest.mark.parametrize(
-    "relay_count, call_ms",
+    ("relay_count", "call_ms"),
     [(count, 13) for count in (2, 3, 8, 20, 40, 100, 200, 346)]
     + [(count, 43) for count in (2, 3, 8, 20, 40, 70, 104)],
 )
@@ -293,7 +293,9 @@
 
 
 @pytest.mark.parametrize("outage", ["hung", "silent", "moved"])
-@pytest.mark.parametrize("relay_count, call_ms", [(2, 13), (20, 13), (150, 13), (2, 43), (20, 43), (46, 43)])
+@pytest.mark.parametrize(
+    ("relay_count", "call_ms"), [(2, 13), (20, 13), (150, 13), (2, 43), (20, 43), (46, 43)]
+)
 def test_all_are_answered_in_time_from_a_late_start_where_their_calls_take_two_seconds(
     outage: str, relay_count: int, call_ms: int
 ) -> None:
@@ -303,7 +305,7 @@
 
 
 @pytest.mark.parametrize(
-    "relay_count, call_ms", [(2, 13), (8, 43), (30, 43), (100, 43), (200, 13), (200, 21)]
+    ("relay_count", "call_ms"), [(2, 13), (8, 43), (30, 43), (100, 43), (200, 13), (200, 21)]
 )
 def test_discovery_that_delays_calls_while_it_is_down_is_not_taken_to_be_overloaded(
     relay_count: int, call_ms: int
@@ -313,7 +315,7 @@
 
 
 @pytest.mark.parametrize("outage", [*FAST_FAILING_OUTAGES, "hung", "delays"])
-@pytest.mark.parametrize("relay_count, call_ms", [(460, 13), (200, 43), (460, 43), (40, 130), (200, 130)])
+@pytest.mark.parametrize(("relay_count", "call_ms"), [(460, 13), (200, 43), (460, 43), (40, 130), (200, 130)])
 def test_where_there_is_no_time_for_all_many_are_early_and_the_last_is_bounded(
     outage: str, relay_count: int, call_ms: int
 ) -> None:
--- a/tests/decision/test_quotas.py
+++ b/tests/decision/test_quotas.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import itertools
 from dataclasses import dataclass
 from random import Random
 
@@ -63,7 +64,7 @@
 def test_bounds_change_smoothly_with_the_number_of_relays() -> None:
     places = [Place(zone, 2.0, 2.0) for zone in ZONES * 3]
     whole = [n * quota_bounds(places, ZONES, "w", 50.0, n)[0] for n in range(4, 81)]
-    assert all(0.6 < b / a <= 1.0 for a, b in zip(whole, whole[1:], strict=False))
+    assert all(0.6 < b / a <= 1.0 for a, b in itertools.pairwise(whole))
     assert whole[0] > 600.0 * 2 and whole[-1] < 600.0 * 0.7
 
 
--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -215,7 +215,7 @@
     assert clear.settled and clear.low < 0.02 < clear.high
     noise = difference("m", "", np.column_stack([base, base + rng.normal(0, 0.05, 40)]))
     assert not noise.settled and noise.more_pairs > 40
-    few = difference("m", "", np.column_stack([base[:3], base[:3] + [0.01, 0.0, 0.02]]))
+    few = difference("m", "", np.column_stack([base[:3], [*base[:3], 0.01, 0.0, 0.02]]))
     assert few.low < 0.0 < few.high, "three days settle little"
 
 
@@ -227,7 +227,7 @@
     other = load_policy(read_policy("other.py", tmp_path))
     assert other is not balancer.Balancer and other.handle is not balancer.Balancer.handle
     assert other.handle.__globals__["MIN_RETRY_AFTER_MS"] == 200.0
-    with pytest.raises(ValueError, match="gone.py"):
+    with pytest.raises(ValueError, match=r"gone.py"):
         read_policy("gone.py", tmp_path)
 
 
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -113,7 +113,7 @@
     with pytest.raises(BadExperiment, match="No such file"):
         read_scale(tmp_path / "none.toml")
     (tmp_path / "bad.toml").write_text("name = ")
-    with pytest.raises(BadExperiment, match="bad.toml"):
+    with pytest.raises(BadExperiment, match=r"bad.toml"):
         read_scale(tmp_path / "bad.toml")
 
 
--- a/tests/net/test_endpoint_list.py
+++ b/tests/net/test_endpoint_list.py
@@ -50,7 +50,7 @@
 
 
 @pytest.mark.parametrize(
-    "key,bad",
+    ("key", "bad"),
     [
         ("started_ms", "soon"),
         ("started_ms", float("nan")),
--- a/tests/overrides/test_overrides_relay.py
+++ b/tests/overrides/test_overrides_relay.py
@@ -215,7 +215,7 @@
     )
 
     async def go() -> None:
-        async with relays_with_overrides(tmp_path, up, up) as ((relay,), (a, b)):
+        async with relays_with_overrides(tmp_path, up, up) as ((relay,), (_a, _b)):
             rebalancer = relay.rebalancer
             assert rebalancer is not None
             rebalancer.options = RebalanceOptions(tick_s=0.05, back_within_s=0.1)
--- a/tests/support/decision_days.py
+++ b/tests/support/decision_days.py
@@ -144,7 +144,7 @@
         for _ in range(5):
             session = self._new_session()
             session.phase, session.attempt = "open", 0
-            session.server = self.random.choice(names + ["forgotten"])
+            session.server = self.random.choice([*names, "forgotten"])
             self._tell(
                 decision.ConnectionAdopted(
                     session.id,
--- a/tests/support/rebalance_fleet.py
+++ b/tests/support/rebalance_fleet.py
@@ -151,7 +151,7 @@
             self.step()
 
     def connection_counts(self) -> dict[str, int]:
-        counts = {name: 0 for name in self.balancer.endpoints}
+        counts = dict.fromkeys(self.balancer.endpoints, 0)
         for connection in self.connections.values():
             counts[connection.endpoint] += 1
         return counts
