--- a/sageturn/lab/population.py
+++ b/sageturn/lab/client_population.py
@@ -12,9 +12,9 @@
 
 from hdrh.histogram import HdrHistogram
 
-from sageturn.lab.draws import Client, Draws
-from sageturn.lab.spec import Spec
-from sageturn.lab.standins import Lines
+from sageturn.lab.fakes import LineProtocol
+from sageturn.lab.fleet_spec import FleetSpec
+from sageturn.lab.sampling import Client, ClientSampler
 
 # uvloop's own clock has whole milliseconds only, so what is measured is read from the system's.
 LINE_S = 2.0  # a client says something so often
@@ -24,7 +24,7 @@
 
 
 @dataclass
-class Seen:
+class ClientObservations:
     """What the clients have seen. ``set_ups`` and ``lines`` by class, in milliseconds and microseconds."""
 
     set_ups: list[HdrHistogram]
@@ -37,9 +37,9 @@
 class Population:
     """``relays``: the addresses that the front spreads connections over."""
 
-    def __init__(self, spec: Spec, relays: list[tuple[str, int]], seen: Seen) -> None:
+    def __init__(self, spec: FleetSpec, relays: list[tuple[str, int]], seen: ClientObservations) -> None:
         self.spec, self.relays, self.seen = spec, relays, seen
-        self.draws = Draws(spec, 0)
+        self.draws = ClientSampler(spec, 0)
         self.standing: dict[_Connection, None] = {}
         self.wanted = 0  # clients that want a connection now, with it or without
         self._ids = count(1)
@@ -161,7 +161,7 @@
             self.seen.counts["left_behind"] += 1
 
 
-class _Connection(Lines):
+class _Connection(LineProtocol):
     def __init__(self, population: Population, client: Client, relay: int, at: str) -> None:
         super().__init__()
         self.population, self.client, self.relay, self._at = population, client, relay, at
--- a/sageturn/lab/demo.py
+++ b/sageturn/lab/demo.py
@@ -15,11 +15,11 @@
 from rich.table import Table
 from rich.text import Text
 
-from sageturn.lab.loopback import Deployment, Run, Sample, deployed
+from sageturn.lab.fleet_spec import FleetSpec
+from sageturn.lab.loopback_runner import Deployment, LoopbackResult, Sample, deployed
 from sageturn.lab.result_table import loopback_row
-from sageturn.lab.spec import Spec
 
-SPEC = Spec(relays=1, hosts=6, early=4, connections=400, life_s=300.0, join_s=8.0, room=2.5)
+SPEC = FleetSpec(relays=1, hosts=6, early=4, connections=400, life_s=300.0, join_s=8.0, room=2.5)
 # A pace at which something is seen within two minutes; an operator's is slower.
 OPTIONS = {"part_per_min": 0.4, "tick_s": 0.5, "least_age_s": 1.0}
 BAR = 40
@@ -47,7 +47,7 @@
     return Group(Text.from_markup(told), hosts)
 
 
-async def play(seconds: float, console: Console) -> Run:
+async def play(seconds: float, console: Console) -> LoopbackResult:
     async with deployed(SPEC, "on", OPTIONS) as deployment:
         if not console.is_terminal:
             return await deployment.play(
--- a/sageturn/lab/host.py
+++ b/sageturn/lab/endpoint_model.py
@@ -5,11 +5,11 @@
 from collections import deque
 from dataclasses import dataclass
 
-FULLEST = 0.97  # of its capacity: set-up times stop growing there, and the host turns new ones away
+MAX_UTILIZATION = 0.97  # of its capacity: set-up times stop growing there, and the host turns new ones away
 
 
 @dataclass(eq=False)
-class HostModel:
+class EndpointModel:
     """Times in seconds on one clock that is handed in; loads in usual connections."""
 
     name: str
@@ -66,12 +66,12 @@
     def set_up_takes_ms(self, now_s: float) -> float:
         """A queue's growth: at half its capacity twice as long as when idle; a fast one is quicker."""
         idle_ms = self.set_up_ms * self.slow / self.size
-        return idle_ms / (1.0 - min(FULLEST, self.fill(now_s))) + self.piled_s * 1000.0
+        return idle_ms / (1.0 - min(MAX_UTILIZATION, self.fill(now_s))) + self.piled_s * 1000.0
 
     def admits(self, now_s: float, load: float) -> bool:
         """One more set-up, counted as sent whether it is taken or not; False when it is turned away."""
         self.take_in(now_s, load)
-        return not (self.fallen or self.draining or self.fill(now_s) >= FULLEST)
+        return not (self.fallen or self.draining or self.fill(now_s) >= MAX_UTILIZATION)
 
     def take_in(self, now_s: float, load: float, count: int = 1) -> None:
         """``count`` set-ups were sent, of so much load together.
--- a/sageturn/lab/world.py
+++ b/sageturn/lab/environment.py
@@ -16,11 +16,11 @@
 
 from sageturn import decision
 from sageturn.frontends.platform.timing import MAX_CLIENT_SILENCE_S, MIGRATION_MARGIN_S
-from sageturn.lab.draws import Client, Draws
-from sageturn.lab.host import FULLEST, HostModel
-from sageturn.lab.simrelay import HostNow, Order, StepResult
-from sageturn.lab.spec import Spec
-from sageturn.lab.troubles import Trouble
+from sageturn.lab.endpoint_model import MAX_UTILIZATION, EndpointModel
+from sageturn.lab.faults import ScheduledFault
+from sageturn.lab.fleet_spec import FleetSpec
+from sageturn.lab.sampling import Client, ClientSampler
+from sageturn.lab.simulated_relay import HostNow, Order, StepResult
 
 HISTOGRAM = (1, 120_000, 3)  # milliseconds, with three digits
 MESSAGE_MS = 6.0  # at an idle host of the usual size
@@ -36,7 +36,7 @@
 
 
 @dataclass
-class Series:
+class SimulationResult:
     """What a run has shown. ``ratio`` and the rows of ``served`` have an entry a second."""
 
     ratio: list[float] = field(default_factory=list)  # the fullest host's fill over the mean
@@ -60,10 +60,10 @@
         return float(np.sum(self.served)) / wanted if wanted > 0 else 0.0
 
 
-def make_hosts(spec: Spec) -> list[HostModel]:
+def make_hosts(spec: FleetSpec) -> list[EndpointModel]:
     """The early ones stand since long ago; the others start when they join."""
     return [
-        HostModel(
+        EndpointModel(
             spec.host_name(k),
             spec.kind(k),
             spec.size(k),
@@ -82,27 +82,27 @@
     ]
 
 
-def server_line(host: HostModel, state: str = "ready") -> decision.Endpoint:
+def server_line(host: EndpointModel, state: str = "ready") -> decision.Endpoint:
     started_ms = host.started_s * 1000.0 if host.started_s > 0 else 0.0
     return decision.Endpoint(host.name, state, host.zone, 0, started_ms, 1.0, host.kind)
 
 
-def starting_homes(spec: Spec, hosts: list[HostModel], zone: str) -> list[HostModel]:
+def starting_homes(spec: FleetSpec, hosts: list[EndpointModel], zone: str) -> list[EndpointModel]:
     """Where those stand who are there at the start: early hosts of a zone, as often as their size wants."""
     early = [h for k, h in enumerate(hosts) if k < spec.early and (len(spec.zones) == 1 or h.zone == zone)]
     least = min(h.size for h in early)
     return [h for h in early for _ in range(round(4 * h.size / least))]
 
 
-class World:
+class SimulatedEnvironment:
     """``step_s``: how much time a step is."""
 
-    def __init__(self, spec: Spec, troubles: Iterable[Trouble], step_s: float) -> None:
+    def __init__(self, spec: FleetSpec, troubles: Iterable[ScheduledFault], step_s: float) -> None:
         self.spec, self.troubles, self.step_s = spec, list(troubles), step_s
         self.hosts = {h.name: h for h in make_hosts(spec)}
         self.now_s = 0.0
-        self.series = Series(set_ups=[histogram() for _ in spec.classes])
-        self.draws = Draws(spec, 0)
+        self.series = SimulationResult(set_ups=[histogram() for _ in spec.classes])
+        self.draws = ClientSampler(spec, 0)
         self._by_zone = {z: [n for n in range(spec.relays) if spec.zone(n) == z] for z in spec.zones}
         self._members = {name: k for k, name in enumerate(spec.members)}
         shape = (len(spec.classes), len(spec.members))
@@ -155,9 +155,9 @@
         returns, self._returns = self._returns, {}
         return met, returns, orders
 
-    def _met(self, host: HostModel, store_ms: float) -> HostNow:
+    def _met(self, host: EndpointModel, store_ms: float) -> HostNow:
         up = not host.fallen and host.name not in self._dead
-        full = host.draining or host.fill(self.now_s) >= FULLEST
+        full = host.draining or host.fill(self.now_s) >= MAX_UTILIZATION
         return HostNow(up, host.set_up_takes_ms(self.now_s) + store_ms, full, host.name in self._silent)
 
     def _store(self, slower: float) -> float:
@@ -166,12 +166,12 @@
             return 0.0
         can = self._store_per_s / slower
         self._store_waits_s = max(0.0, self._store_waits_s + (self._store_calls / can - 1.0) * self.step_s)
-        busy = min(FULLEST, self._store_calls / can)
+        busy = min(MAX_UTILIZATION, self._store_calls / can)
         return STORE_MS * slower / (1.0 - busy) + self._store_waits_s * 1000.0
 
     # ------------------------------------------------------------ troubles
 
-    def _pick(self, number: int, trouble: Trouble) -> list[str]:
+    def _pick(self, number: int, trouble: ScheduledFault) -> list[str]:
         """The hosts that it strikes: drawn for each trouble alone, so that another does not change them."""
         rng = np.random.Generator(np.random.PCG64([self.spec.seed, 7, number]))
         there = [h.name for k, h in enumerate(self.hosts.values()) if k < self.spec.early or self._joined]
@@ -180,7 +180,7 @@
         self._picked[number] = names
         return names
 
-    def _begin(self, number: int, trouble: Trouble) -> list[Order]:
+    def _begin(self, number: int, trouble: ScheduledFault) -> list[Order]:
         match trouble.kind:
             case "slow":
                 for name in self._pick(number, trouble):
@@ -217,7 +217,7 @@
                 return [Order("kill", relays=killed)]
         return []
 
-    def _end(self, number: int, trouble: Trouble) -> list[Order]:
+    def _end(self, number: int, trouble: ScheduledFault) -> list[Order]:
         names = self._picked.get(number, [])
         match trouble.kind:
             case "slow":
@@ -250,13 +250,15 @@
                 return [Order("revive", endpoints=self._lines())]
         return []
 
-    def _flap(self, number: int, trouble: Trouble) -> None:
+    def _flap(self, number: int, trouble: ScheduledFault) -> None:
         turn = (self.now_s - trouble.start_s) / FLAP_S
         if abs(turn - round(turn)) < 1e-9:
             away = round(turn) % 2 == 0
             self._list([self.hosts[n] for n in self._picked[number]], "gone" if away else "ready", late_s=0.0)
 
-    def _list(self, hosts: Iterable[HostModel], state: str = "ready", late_s: float = LIST_LATE_S) -> None:
+    def _list(
+        self, hosts: Iterable[EndpointModel], state: str = "ready", late_s: float = LIST_LATE_S
+    ) -> None:
         self._told.append((self.now_s + late_s, [server_line(h, state) for h in hosts]))
 
     def _lines(self) -> list[decision.Endpoint]:
@@ -288,7 +290,7 @@
         if self.now_s == int(self.now_s):
             self._sample(served)
 
-    def _in_time(self, host: HostModel, now_s: float) -> Any:
+    def _in_time(self, host: EndpointModel, now_s: float) -> Any:
         """By class: the part of the messages that the host answers within the class's aim."""
         fill = host.fill(now_s)
         parts = []
@@ -342,10 +344,7 @@
             there = {h.name for h in alive}
             series.fills.append([h.fill(now_s) if h.name in there else -1.0 for h in self.hosts.values()])
 
-    def finish(self) -> Series:
+    def finish(self) -> SimulationResult:
         self.series.fresh_peak = max((h.peak_part for h in self.hosts.values()), default=0.0)
         self.series.fallen = sum(h.fallen for h in self.hosts.values())
         return self.series
-
-
-__all__ = ["Series", "World", "histogram", "make_hosts", "server_line", "starting_homes"]
--- a/sageturn/lab/experiment.py
+++ b/sageturn/lab/experiment.py
@@ -8,8 +8,8 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from sageturn.lab.spec import Spec
-from sageturn.lab.troubles import Trouble
+from sageturn.lab.faults import ScheduledFault
+from sageturn.lab.fleet_spec import FleetSpec
 from sageturn.rebalance.options import MODES, RebalanceOptions
 
 Positive = Annotated[float, Meta(gt=0)]
@@ -33,11 +33,11 @@
     store_headroom: Annotated[float, Meta(ge=0)] = 1.0
     join_s: float = 20.0
 
-    def spec(self, seed: int) -> Spec:
+    def spec(self, seed: int) -> FleetSpec:
         early = self.hosts if self.early is None else self.early
         if not 2 <= early <= self.hosts:
             raise ValueError("early: must be from 2 to hosts")
-        return Spec(
+        return FleetSpec(
             relays=self.relays,
             hosts=self.hosts,
             early=early,
@@ -52,12 +52,12 @@
 
 
 class Scenario(Struct, frozen=True, forbid_unknown_fields=True):
-    """A day. ``troubles`` as ``sageturn.lab.troubles`` has them."""
+    """A day. ``troubles`` as ``sageturn.lab.faults`` has them."""
 
     name: Name
     size: Size = Size()
     seconds: Positive = 60.0
-    troubles: tuple[Trouble, ...] = ()
+    troubles: tuple[ScheduledFault, ...] = ()
 
 
 class Variant(Struct, frozen=True, forbid_unknown_fields=True):
--- a/sageturn/lab/standins.py
+++ b/sageturn/lab/fakes.py
@@ -11,12 +11,12 @@
 from dataclasses import dataclass, field
 from typing import Any, cast
 
-from sageturn.lab.host import HostModel
+from sageturn.lab.endpoint_model import EndpointModel
 
 WAIT_MOST = 1 << 16  # octets of a line that is not whole
 
 
-class Lines(asyncio.Protocol):
+class LineProtocol(asyncio.Protocol):
     """A connection that is read line by line."""
 
     def __init__(self) -> None:
@@ -58,10 +58,10 @@
     return words[1], words[2], pairs
 
 
-class HostSocket:
+class FakeEndpoint:
     """A live host on a socket of its own. It reads what its model says, and nothing of the relay."""
 
-    def __init__(self, model: HostModel, unit_us: float) -> None:
+    def __init__(self, model: EndpointModel, unit_us: float) -> None:
         self.model, self.unit_us = model, unit_us
         self.address = ("127.0.0.1", 0)
         self.connections: set[_HostConnection] = set()
@@ -101,8 +101,8 @@
             await asyncio.sleep(over_s / max(1, len(leaving)))
 
 
-class _HostConnection(Lines):
-    def __init__(self, host: HostSocket) -> None:
+class _HostConnection(LineProtocol):
+    def __init__(self, host: FakeEndpoint) -> None:
         super().__init__()
         self._host = host
         self._load, self._group = 0.0, ""
@@ -160,7 +160,7 @@
 
 
 @dataclass
-class DiscoverySocket:
+class FakeDiscovery:
     """Tells the list, and each change of it to all who watch."""
 
     entries: Callable[[], list[dict[str, Any]]]
--- a/sageturn/lab/troubles.py
+++ b/sageturn/lab/faults.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 # kind: what ``part`` and ``strength`` mean; "-" where the kind has none
-KINDS = {
+FAULT_KINDS = {
     "slow": ("of the hosts", "times slower"),
     "store": ("-", "times slower: the session store that every set-up calls"),
     "burst": ("-", "times the usual arrivals"),
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Trouble:
+class ScheduledFault:
     """Times in seconds from the day's start."""
 
     kind: str
@@ -31,8 +31,8 @@
     strength: float = 4.0
 
     def __post_init__(self) -> None:
-        if self.kind not in KINDS:
-            raise ValueError(f"kind: {self.kind} must be one of {', '.join(KINDS)}")
+        if self.kind not in FAULT_KINDS:
+            raise ValueError(f"kind: {self.kind} must be one of {', '.join(FAULT_KINDS)}")
         if self.start_s < 0 or self.length_s <= 0:
             raise ValueError("start_s must not be negative, and length_s must be above 0")
         if not 0 < self.part <= 1:
--- a/sageturn/lab/spec.py
+++ b/sageturn/lab/fleet_spec.py
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Spec:
+class FleetSpec:
     """``early``: hosts that stand from the start and hold everyone; the rest join, cold, at ``join_s``."""
 
     relays: int = 4
@@ -100,7 +100,7 @@
         return self.room * self.size(host) * self.connections * self.usual_load / self.hosts
 
 
-def relay_settings(spec: Spec, relay: int) -> dict[str, Any]:
+def relay_settings(spec: FleetSpec, relay: int) -> dict[str, Any]:
     """The settings object of a relay's configuration, in the form that the platform gives it."""
     total = float(spec.connections)
     return {
--- a/sageturn/lab/loopback.py
+++ b/sageturn/lab/loopback_runner.py
@@ -18,11 +18,11 @@
 
 from hdrh.histogram import HdrHistogram
 
-from sageturn.lab.host import HostModel
-from sageturn.lab.population import Population, Seen
-from sageturn.lab.spec import Spec, relay_settings
-from sageturn.lab.standins import DiscoverySocket, HostSocket
-from sageturn.lab.world import histogram, make_hosts, starting_homes
+from sageturn.lab.client_population import ClientObservations, Population
+from sageturn.lab.endpoint_model import EndpointModel
+from sageturn.lab.environment import histogram, make_hosts, starting_homes
+from sageturn.lab.fakes import FakeDiscovery, FakeEndpoint
+from sageturn.lab.fleet_spec import FleetSpec, relay_settings
 from sageturn.store.log import scan
 
 READY_S = 15.0
@@ -39,9 +39,9 @@
 
 
 @dataclass
-class Run:
-    spec: Spec
-    seen: Seen
+class LoopbackResult:
+    spec: FleetSpec
+    seen: ClientObservations
     samples: list[Sample] = field(default_factory=list)
     fresh_peak: float = 0.0
     fallen: int = 0
@@ -63,7 +63,7 @@
 
     def __init__(
         self,
-        spec: Spec,
+        spec: FleetSpec,
         mover: str,
         rebalance: dict[str, Any],
         folder: Path,
@@ -72,12 +72,12 @@
         self.spec, self.mover, self._rebalance, self._folder = spec, mover, rebalance, folder
         self._more = more
         self.models = make_hosts(spec)
-        self.hosts = [HostSocket(model, spec.unit_us) for model in self.models]
+        self.hosts = [FakeEndpoint(model, spec.unit_us) for model in self.models]
         self.listed: set[str] = set()
-        self.discovery = DiscoverySocket(
+        self.discovery = FakeDiscovery(
             lambda: [self.entry(h) for h in self.hosts if h.model.name in self.listed]
         )
-        self.seen = Seen(
+        self.seen = ClientObservations(
             [histogram() for _ in spec.classes], [HdrHistogram(1, 60_000_000, 3) for _ in spec.classes]
         )
         reserved = [reserve_port() for _ in range(spec.relays)]
@@ -89,7 +89,7 @@
 
     # ------------------------------------------------------------ parts
 
-    def entry(self, host: HostSocket, state: str = "ready") -> dict[str, Any]:
+    def entry(self, host: FakeEndpoint, state: str = "ready") -> dict[str, Any]:
         model = host.model
         started = 0
         if model.started_s > 0:
@@ -199,7 +199,7 @@
 
     # ------------------------------------------------------------ looking on
 
-    def alive(self) -> list[HostModel]:
+    def alive(self) -> list[EndpointModel]:
         return [h.model for h in self.hosts if h.model.name in self.listed and not h.model.fallen]
 
     def sample(self) -> Sample:
@@ -215,9 +215,11 @@
             {m.name: m.held() / m.capacity for m in alive},
         )
 
-    async def play(self, seconds: float, look: Callable[[Sample, Deployment], None] | None = None) -> Run:
+    async def play(
+        self, seconds: float, look: Callable[[Sample, Deployment], None] | None = None
+    ) -> LoopbackResult:
         loop = asyncio.get_running_loop()
-        run = Run(self.spec, self.seen)
+        run = LoopbackResult(self.spec, self.seen)
         self._began_s = loop.time()
         arriving = asyncio.ensure_future(self.population.arrivals(self.spec.arrivals_per_s))
         joined, ticks = False, 0
@@ -253,7 +255,7 @@
 
 @asynccontextmanager
 async def deployed(
-    spec: Spec,
+    spec: FleetSpec,
     mover: str,
     rebalance: dict[str, Any],
     more: Callable[[int, Path], dict[str, Any]] | None = None,
--- a/sageturn/lab/overriding.py
+++ b/sageturn/lab/overriding.py
@@ -23,9 +23,9 @@
 from sageturn import decision
 from sageturn.core.balancer_actor import BalancerActor
 from sageturn.core.clock import Clock
-from sageturn.lab.loopback import deployed, reserve_port
+from sageturn.lab.fleet_spec import FleetSpec
+from sageturn.lab.loopback_runner import deployed, reserve_port
 from sageturn.lab.result_table import print_table
-from sageturn.lab.spec import Spec
 from sageturn.overrides.actor import OverrideActor
 from sageturn.overrides.model import fold_operations
 from sageturn.overrides.operations import (
@@ -64,7 +64,7 @@
 
 
 async def _obeying(rounds: int) -> dict[str, Any]:
-    spec = Spec(relays=3, hosts=12, early=12, connections=600, life_s=6.0)
+    spec = FleetSpec(relays=3, hosts=12, early=12, connections=600, life_s=6.0)
     reserved = [reserve_port() for _ in range(spec.relays)]
     ports = [port for _, port in reserved]
     public = b64encode(KEY.public_key().public_bytes(Encoding.Raw, PublicFormat.Raw)).decode()
--- a/sageturn/lab/planner_cost.py
+++ b/sageturn/lab/planner_cost.py
@@ -9,8 +9,8 @@
 
 from sageturn import decision
 from sageturn.core.endpoint_snapshot import EndpointSnapshot
+from sageturn.lab.fleet_spec import FleetSpec
 from sageturn.lab.result_table import Row
-from sageturn.lab.spec import Spec
 from sageturn.rebalance.connection_table import ConnectionLabels
 from sageturn.rebalance.options import RebalanceOptions
 from sageturn.rebalance.planner import RebalancePlanner
@@ -38,7 +38,7 @@
 
     def __init__(self, connection_count: int) -> None:
         self.connection_count = connection_count
-        self.spec = Spec(hosts=ENDPOINT_COUNT, connections=connection_count)
+        self.spec = FleetSpec(hosts=ENDPOINT_COUNT, connections=connection_count)
         self.arrivals_per_s = round(self.spec.arrivals_per_s)
         self.tick_s = 0.0
         self.longest_tick_s = 0.0
--- a/sageturn/lab/readiness.py
+++ b/sageturn/lab/readiness.py
@@ -20,7 +20,7 @@
 from pathlib import Path
 from typing import Any
 
-from sageturn.lab.loopback import READY_S, reserve_port
+from sageturn.lab.loopback_runner import READY_S, reserve_port
 
 BOUND_S = 10.0  # nine in ten are to be ready by then
 RESTING = 20  # connections that the relay holds as it is told to end, or killed
--- a/sageturn/lab/rebalancing.py
+++ b/sageturn/lab/rebalancing.py
@@ -16,13 +16,13 @@
 
 import uvloop
 
-from sageturn.lab.loopback import Run, deployed
+from sageturn.lab.environment import SimulationResult
+from sageturn.lab.fleet_spec import FleetSpec
+from sageturn.lab.loopback_runner import LoopbackResult, deployed
 from sageturn.lab.planner_cost import PlannerCost
 from sageturn.lab.result_table import Row, loopback_row, print_table, simulated_row
-from sageturn.lab.simrelay import MOVERS
-from sageturn.lab.simulate import simulate
-from sageturn.lab.spec import Spec
-from sageturn.lab.world import Series
+from sageturn.lab.simulated_relay import MOVERS
+from sageturn.lab.simulation import simulate
 from sageturn.rebalance.options import RebalanceOptions
 
 LOOPBACK_PROGRESS_INTERVAL_S = 15
@@ -36,13 +36,13 @@
 class LoopbackJob:
     """One policy's run on loopback; it is passed to a process of its own."""
 
-    spec: Spec
+    spec: FleetSpec
     policy: str
     seconds: float
     show_progress: bool
 
 
-async def _run_loopback(job: LoopbackJob) -> Run:
+async def _run_loopback(job: LoopbackJob) -> LoopbackResult:
     async with deployed(job.spec, job.policy, {}) as deployment:
 
         def on_sample(sample: Any, _: Any) -> None:
@@ -60,7 +60,7 @@
 
 def measure_loopback(options: argparse.Namespace) -> None:
     """Run real relays on loopback, each policy in a process of its own, all at once on the same machine."""
-    spec = Spec(connections=options.connections, seed=options.seed)
+    spec = FleetSpec(connections=options.connections, seed=options.seed)
     jobs = [LoopbackJob(spec, policy, options.seconds, not options.quiet) for policy in options.movers]
     with ProcessPoolExecutor(len(jobs)) as pool:
         rows = dict(zip(options.movers, pool.map(_measure_loopback, jobs), strict=True))
@@ -88,13 +88,13 @@
 }
 
 
-def spec_of_size(name: str, seed: int) -> Spec:
+def spec_of_size(name: str, seed: int) -> FleetSpec:
     """The deployment of a size in ``FLEET_SIZES``; from 100 endpoints on a quarter joins later."""
     if name == "small":
-        return Spec(seed=seed)
+        return FleetSpec(seed=seed)
     size = FLEET_SIZES[name]
     # With as many connections their usual churn alone would take the machine's cores: they last longer.
-    return Spec(
+    return FleetSpec(
         relays=size.relays,
         hosts=size.endpoints,
         early=size.endpoints * 3 // 4,
@@ -114,10 +114,10 @@
         print_table(title, rows, options.json)
 
 
-def _measure_simulated(spec: Spec, policy: str, options: argparse.Namespace) -> Row:
+def _measure_simulated(spec: FleetSpec, policy: str, options: argparse.Namespace) -> Row:
     began_s = time.monotonic()
 
-    def on_progress(now_s: float, series: Series) -> None:
+    def on_progress(now_s: float, series: SimulationResult) -> None:
         if not options.quiet and now_s % SIMULATED_PROGRESS_INTERVAL_S == 0:
             progress = f"{policy:6} {now_s:4.0f} s  ratio {series.ratio[-1]:.2f}"
             progress += f"  moved {series.counts['moved']}  after {time.monotonic() - began_s:.0f} s"
--- a/sageturn/lab/report.py
+++ b/sageturn/lab/report.py
@@ -166,7 +166,7 @@
 
 
 def _by_class_and_member(scenario: Line, runs: list[Line]) -> Any:
-    from sageturn.lab.spec import CLASSES, MEMBERS
+    from sageturn.lab.fleet_spec import CLASSES, MEMBERS
 
     names = [c.name for c in CLASSES] + list(MEMBERS)
     figure, axes = plt.subplots(1, 2, figsize=(12, 3.2), layout="constrained", width_ratios=(3, 2))
--- a/sageturn/lab/result_table.py
+++ b/sageturn/lab/result_table.py
@@ -11,9 +11,9 @@
 from rich.console import Console
 from rich.table import Table
 
-from sageturn.lab.loopback import Run
-from sageturn.lab.spec import Spec
-from sageturn.lab.world import Series
+from sageturn.lab.environment import SimulationResult
+from sageturn.lab.fleet_spec import FleetSpec
+from sageturn.lab.loopback_runner import LoopbackResult
 
 BALANCED_RATIO = 1.15  # the fullest endpoint's utilization over the mean that counts as balance
 FINAL_WINDOW_S = 60  # the end of a run over which the ratio is averaged
@@ -29,7 +29,7 @@
     return f"{median:.0f}/{tail:.0f}"
 
 
-def loopback_row(run: Run) -> Row:
+def loopback_row(run: LoopbackResult) -> Row:
     """The figures of a run of real relays on loopback."""
     counts = run.seen.counts
     spec = run.spec
@@ -50,7 +50,7 @@
     }
 
 
-def simulated_row(spec: Spec, series: Series, took_s: float) -> Row:
+def simulated_row(spec: FleetSpec, series: SimulationResult, took_s: float) -> Row:
     """The figures of a simulated run, which took ``took_s`` of real time."""
     counts = series.counts
     return {
@@ -82,7 +82,7 @@
     Console(width=TABLE_WIDTH).print(table)
 
 
-def _common_figures(spec: Spec, ratios: list[float], setup_histograms: list[Any], counts: Any) -> Row:
+def _common_figures(spec: FleetSpec, ratios: list[float], setup_histograms: list[Any], counts: Any) -> Row:
     after_join = [ratio for second, ratio in enumerate(ratios) if second >= spec.join_s]
     balanced_s = next((second for second, ratio in enumerate(after_join) if ratio <= BALANCED_RATIO), None)
     final_ratios = ratios[-FINAL_WINDOW_S:]
--- a/sageturn/lab/runs.py
+++ b/sageturn/lab/runs.py
@@ -17,10 +17,10 @@
 import msgspec
 import numpy as np
 
+from sageturn.lab.environment import SimulationResult
 from sageturn.lab.experiment import Experiment, Scenario, Variant
 from sageturn.lab.policy import read_policy
-from sageturn.lab.simulate import simulate
-from sageturn.lab.world import Series
+from sageturn.lab.simulation import simulate
 
 WINDOW_S = 10  # the worst such span counts, as it does for the operators
 PERCENTILES = (50.0, 90.0, 99.0, 99.9)
@@ -29,7 +29,7 @@
 Line = dict[str, Any]
 
 
-def metrics(scenario: Scenario, series: Series) -> dict[str, float]:
+def metrics(scenario: Scenario, series: SimulationResult) -> dict[str, float]:
     """What a day comes to. All from 0 to 1, but counts for each client's wish, and milliseconds."""
     spec = scenario.size.spec(1)
     classes = len(spec.classes)
@@ -65,7 +65,7 @@
     return {name: round(value, 6) for name, value in found.items()}
 
 
-def _series(series: Series) -> dict[str, Any]:
+def _series(series: SimulationResult) -> dict[str, Any]:
     """What plots are made of, rounded: a run of a minute takes some 20 KB."""
     return {
         "ratio": np.round(series.ratio, 4).tolist(),
@@ -112,11 +112,11 @@
         "policies": policies,
         "revision": revision(root),
         "python": platform.python_version(),
-        "libraries": {name: _version(name) for name in LIBRARIES},
+        "libraries": {name: library_version(name) for name in LIBRARIES},
     }
 
 
-def _version(name: str) -> str:
+def library_version(name: str) -> str:
     try:
         return version(name)
     except PackageNotFoundError:
--- a/sageturn/lab/draws.py
+++ b/sageturn/lab/sampling.py
@@ -6,7 +6,7 @@
 
 import numpy as np
 
-from sageturn.lab.spec import Spec
+from sageturn.lab.fleet_spec import FleetSpec
 
 
 @dataclass(slots=True)
@@ -22,10 +22,10 @@
     since_s: float = 0.0  # when it first asked to be served this time: it waits from then on
 
 
-class Draws:
+class ClientSampler:
     """``part``: of the population, as when each of many relays draws its own."""
 
-    def __init__(self, spec: Spec, stream: int = 0) -> None:
+    def __init__(self, spec: FleetSpec, stream: int = 0) -> None:
         self._spec = spec
         self._rng = np.random.Generator(np.random.PCG64([spec.seed, stream]))
         self._stream, self._made = stream, 0
--- a/sageturn/lab/scale/around.py
+++ b/sageturn/lab/scale/around.py
@@ -8,8 +8,8 @@
 from random import Random
 from typing import Any
 
-from sageturn.lab.host import HostModel
-from sageturn.lab.standins import DiscoverySocket, HostSocket
+from sageturn.lab.endpoint_model import EndpointModel
+from sageturn.lab.fakes import FakeDiscovery, FakeEndpoint
 
 WAITS_S = 3.0  # discovery fails a call that has waited so long
 LINE_S = 2.0
@@ -18,7 +18,7 @@
 HOSTS = 4  # sockets behind all the list's entries
 
 
-class ScaleDiscovery(DiscoverySocket):
+class ScaleDiscovery(FakeDiscovery):
     """Handles calls one after another, each for ``call_s``; may be down; counts what it writes."""
 
     def __init__(self, entries: list[dict[str, Any]], call_s: float) -> None:
@@ -60,8 +60,8 @@
 
     def __init__(self, count: int, zones: list[str]) -> None:
         self.count, self.zones = count, zones
-        models = [HostModel(f"m{n}", "c2-std", 1.0, 1e6, zones[n % len(zones)]) for n in range(HOSTS)]
-        self.sockets = [HostSocket(model, 1e6) for model in models]
+        models = [EndpointModel(f"m{n}", "c2-std", 1.0, 1e6, zones[n % len(zones)]) for n in range(HOSTS)]
+        self.sockets = [FakeEndpoint(model, 1e6) for model in models]
 
     async def start(self) -> None:
         for host in self.sockets:
--- a/sageturn/lab/search.py
+++ b/sageturn/lab/search.py
@@ -14,8 +14,8 @@
 import numpy as np
 
 from sageturn.lab.experiment import Scenario, Size, Variant
+from sageturn.lab.faults import FAULT_KINDS, ScheduledFault
 from sageturn.lab.runs import play
-from sageturn.lab.troubles import KINDS, Trouble
 
 # What a knob of ``sweep`` turns: a field of the size, or of every trouble.
 SIZE_KNOBS = ("connections", "room", "store_headroom", "life_s", "hosts", "relays")
@@ -32,14 +32,14 @@
         size = msgspec.structs.replace(scenario.size, **{knob: round(value) if whole else value})
         return msgspec.structs.replace(scenario, size=size)
     if knob in TROUBLE_KNOBS:
-        troubles = tuple(Trouble(**{**_plain(trouble), knob: value}) for trouble in scenario.troubles)
+        troubles = tuple(ScheduledFault(**{**_plain(trouble), knob: value}) for trouble in scenario.troubles)
         return msgspec.structs.replace(scenario, troubles=troubles)
     if knob.startswith("rebalance."):
         return scenario
     raise ValueError(f"{knob}: must be one of {', '.join((*SIZE_KNOBS, *TROUBLE_KNOBS))} or rebalance.KEY")
 
 
-def _plain(trouble: Trouble) -> dict[str, Any]:
+def _plain(trouble: ScheduledFault) -> dict[str, Any]:
     found: dict[str, Any] = msgspec.to_builtins(trouble)
     return found
 
@@ -107,12 +107,12 @@
     """One to three troubles of any kinds, within what operators have seen."""
     troubles = []
     for _ in range(int(rng.integers(1, 4))):
-        kind = str(rng.choice(list(KINDS)))
+        kind = str(rng.choice(list(FAULT_KINDS)))
         start_s = float(np.round(rng.uniform(5.0, seconds * 0.6), 1))
         length_s = float(np.round(rng.uniform(2.0, min(25.0, seconds - start_s)), 1))
         strength = float(np.round(rng.uniform(1.5, 8.0 if kind in ("slow", "store") else 3.0), 1))
         part = float(np.round(rng.uniform(0.05, 0.5), 2))
-        troubles.append(Trouble(kind, start_s, length_s, part, strength))
+        troubles.append(ScheduledFault(kind, start_s, length_s, part, strength))
     return Scenario(f"hunted-{number}", size, seconds, tuple(troubles))
 
 
@@ -185,7 +185,11 @@
                 continue
             if trouble.strength < 1.2 and "strength" in change:
                 continue
-            troubles = (*day.troubles[:number], Trouble(**{**plain, **change}), *day.troubles[number + 1 :])
+            troubles = (
+                *day.troubles[:number],
+                ScheduledFault(**{**plain, **change}),
+                *day.troubles[number + 1 :],
+            )
             found.append(msgspec.structs.replace(day, troubles=troubles))
     return found
 
--- a/sageturn/lab/simrelay.py
+++ b/sageturn/lab/simulated_relay.py
@@ -11,10 +11,10 @@
 from sageturn import decision
 from sageturn.config.settings import read_settings
 from sageturn.core.endpoint_snapshot import snapshot_endpoints
-from sageturn.lab.draws import Client, Draws
+from sageturn.lab.fleet_spec import FleetSpec, relay_settings
 from sageturn.lab.naive import NaivePlanner
 from sageturn.lab.policy import load_policy
-from sageturn.lab.spec import Spec, relay_settings
+from sageturn.lab.sampling import Client, ClientSampler
 from sageturn.rebalance.options import RebalanceOptions
 from sageturn.rebalance.plan import NO_PLAN
 from sageturn.rebalance.planner import RebalancePlanner
@@ -74,9 +74,9 @@
     attempt: int  # the one that stands, as the module numbers them
 
 
-class SimRelay:
+class SimulatedRelay:
     def __init__(
-        self, spec: Spec, number: int, mover: str, options: RebalanceOptions, policy: str = ""
+        self, spec: FleetSpec, number: int, mover: str, options: RebalanceOptions, policy: str = ""
     ) -> None:
         """``policy``: the text of another decision module; empty for the present one."""
         self.spec, self.number = spec, number
@@ -85,7 +85,7 @@
         self.balancer = self._policy(self.settings, spec.seed * 100003 + number)
         kind = {"on": RebalancePlanner, "naive": NaivePlanner, "off": None}[mover]
         self.planner = kind(self.settings, options, number) if kind is not None else None
-        self.draws = Draws(spec, number + 1)
+        self.draws = ClientSampler(spec, number + 1)
         self.now_s = 0.0
         self._heap: list[tuple[float, int, int, Any]] = []
         self._order = self._last_id = 0
--- a/sageturn/lab/simulate.py
+++ b/sageturn/lab/simulation.py
@@ -12,10 +12,16 @@
 from contextlib import contextmanager
 from multiprocessing.connection import Connection
 
-from sageturn.lab.simrelay import SimRelay, StepResult
-from sageturn.lab.spec import Spec
-from sageturn.lab.troubles import Trouble
-from sageturn.lab.world import Series, World, make_hosts, server_line, starting_homes
+from sageturn.lab.environment import (
+    SimulatedEnvironment,
+    SimulationResult,
+    make_hosts,
+    server_line,
+    starting_homes,
+)
+from sageturn.lab.faults import ScheduledFault
+from sageturn.lab.fleet_spec import FleetSpec
+from sageturn.lab.simulated_relay import SimulatedRelay, StepResult
 from sageturn.rebalance.options import RebalanceOptions
 
 STEP_S = 0.5
@@ -25,9 +31,9 @@
     """Some of the relays, in one process."""
 
     def __init__(
-        self, spec: Spec, numbers: list[int], mover: str, options: RebalanceOptions, policy: str
+        self, spec: FleetSpec, numbers: list[int], mover: str, options: RebalanceOptions, policy: str
     ) -> None:
-        self.relays = {n: SimRelay(spec, n, mover, options, policy) for n in numbers}
+        self.relays = {n: SimulatedRelay(spec, n, mover, options, policy) for n in numbers}
         hosts = make_hosts(spec)
         for n, relay in self.relays.items():
             relay.listed([server_line(h) for h in hosts[: spec.early]])
@@ -56,7 +62,7 @@
 
 
 def _work(
-    pipe: Connection, spec: Spec, numbers: list[int], mover: str, options: RebalanceOptions, policy: str
+    pipe: Connection, spec: FleetSpec, numbers: list[int], mover: str, options: RebalanceOptions, policy: str
 ) -> None:
     share = _Share(spec, numbers, mover, options, policy)
     while (order := pipe.recv()) is not None:
@@ -66,7 +72,7 @@
 
 @contextmanager
 def _workers(
-    spec: Spec, mover: str, options: RebalanceOptions, policy: str, processes: int
+    spec: FleetSpec, mover: str, options: RebalanceOptions, policy: str, processes: int
 ) -> Iterator[list[tuple[Connection, list[int]]]]:
     context = mp.get_context("spawn")
     running, pipes = [], []
@@ -87,17 +93,17 @@
 
 
 def simulate(
-    spec: Spec,
+    spec: FleetSpec,
     mover: str,
     options: RebalanceOptions,
     seconds: float,
     processes: int = 1,
-    progress: Callable[[float, Series], None] | None = None,
-    troubles: Iterable[Trouble] = (),
+    progress: Callable[[float, SimulationResult], None] | None = None,
+    troubles: Iterable[ScheduledFault] = (),
     policy: str = "",
-) -> Series:
+) -> SimulationResult:
     """Plays ``seconds`` of the spec with ``mover`` off, naive or on, and with ``policy``'s text."""
-    world = World(spec, troubles, STEP_S)
+    world = SimulatedEnvironment(spec, troubles, STEP_S)
     if processes <= 1:
         share = _Share(spec, list(range(spec.relays)), mover, options, policy)
         while world.now_s < seconds:
@@ -124,6 +130,6 @@
     return world.finish()
 
 
-def _tell(world: World, progress: Callable[[float, Series], None] | None) -> None:
+def _tell(world: SimulatedEnvironment, progress: Callable[[float, SimulationResult], None] | None) -> None:
     if progress is not None and world.now_s == int(world.now_s):
         progress(world.now_s, world.series)
--- a/tests/decision/test_slow_start.py
+++ b/tests/decision/test_slow_start.py
@@ -26,7 +26,7 @@
 from sageturn.config.errors import ConfigError
 from sageturn.config.settings import read_settings
 from sageturn.decision.slow_start import SlowStartBudget
-from sageturn.lab.spec import Spec, relay_settings
+from sageturn.lab.fleet_spec import FleetSpec, relay_settings
 
 WITHIN_MS, WINDOW_MS, COLD_FROM, MULTIPLE = 24_000.0, 3_000.0, 0.2, 4.0
 CLASSES = (RequestClass("one", latency_objective_ms=800.0, give_up_ms=3200.0),)
@@ -329,7 +329,7 @@
     ("me", "index"), [(7, 7), (None, None), ("absent", None), (-1, "me"), (1.5, "me"), ("x", "me")]
 )
 def test_a_relays_number_is_read_from_the_settings(me: Any, index: Any) -> None:
-    conf = relay_settings(Spec(relays=9), 3) | {"me": me}
+    conf = relay_settings(FleetSpec(relays=9), 3) | {"me": me}
     if me == "absent":
         del conf["me"]
     if index == "me":
--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -15,25 +15,25 @@
 
 from sageturn.decision import balancer, fleet
 from sageturn.lab.compare import compare, difference
+from sageturn.lab.endpoint_model import EndpointModel
+from sageturn.lab.environment import SimulatedEnvironment, SimulationResult
 from sageturn.lab.experiment import BadExperiment, Scenario, Size, read_experiment
-from sageturn.lab.host import HostModel
-from sageturn.lab.loopback import deployed
+from sageturn.lab.faults import FAULT_KINDS, ScheduledFault
+from sageturn.lab.fleet_spec import FleetSpec
+from sageturn.lab.loopback_runner import deployed
 from sageturn.lab.policy import POLICY_MODULES, load_policy, read_policy
 from sageturn.lab.report import markdown, page
 from sageturn.lab.runs import Line, Results
 from sageturn.lab.runs import run as run_experiment
 from sageturn.lab.search import Point, breaks_at, shrink, turned
-from sageturn.lab.simulate import simulate
-from sageturn.lab.spec import Spec
-from sageturn.lab.troubles import KINDS, Trouble
-from sageturn.lab.world import Series, World
+from sageturn.lab.simulation import simulate
 from sageturn.rebalance.options import RebalanceOptions
 
-SMALL = Spec(relays=3, hosts=6, early=4, connections=300, life_s=300.0, join_s=5.0)
+SMALL = FleetSpec(relays=3, hosts=6, early=4, connections=300, life_s=300.0, join_s=5.0)
 
 
-def host(**more: float) -> HostModel:
-    return HostModel("h", "k", 1.0, 100.0, usual_load=1.0, **more)  # type: ignore[arg-type]
+def host(**more: float) -> EndpointModel:
+    return EndpointModel("h", "k", 1.0, 100.0, usual_load=1.0, **more)  # type: ignore[arg-type]
 
 
 def test_a_host_slows_as_it_fills_and_pays_once_for_a_group() -> None:
@@ -63,7 +63,7 @@
     assert not pushed.admits(60.0, 1.0), "it stays down"
 
 
-def run(mover: str, processes: int = 1, seconds: float = 150.0, spec: Spec = SMALL) -> Series:
+def run(mover: str, processes: int = 1, seconds: float = 150.0, spec: FleetSpec = SMALL) -> SimulationResult:
     options = RebalanceOptions(mode="on", part_per_min=0.4)
     return simulate(spec, mover, options, seconds, processes)
 
@@ -85,7 +85,7 @@
 
 def test_real_relays_stand_between_the_stand_ins() -> None:
     async def go() -> None:
-        spec = Spec(relays=2, hosts=3, early=2, connections=60, life_s=20.0, join_s=0.5)
+        spec = FleetSpec(relays=2, hosts=3, early=2, connections=60, life_s=20.0, join_s=0.5)
         async with deployed(spec, "on", {"tick_s": 0.1}) as deployment:
             played = await deployment.play(2.0)
         assert played.syntax == 0 and played.fallen == 0
@@ -99,16 +99,16 @@
 # ---------------------------------------------------------------- days, experiments, comparisons
 
 
-def day(*troubles: Trouble, seconds: float = 40.0, seed: int = 1, **more: object) -> Series:
+def day(*troubles: ScheduledFault, seconds: float = 40.0, seed: int = 1, **more: object) -> SimulationResult:
     size = Size(connections=300, hosts=6, relays=2, room=2.4, **more)  # type: ignore[arg-type]
     spec = size.spec(seed)
     return simulate(spec, "off", RebalanceOptions(), seconds, troubles=troubles)
 
 
-@pytest.mark.parametrize("kind", list(KINDS))
+@pytest.mark.parametrize("kind", list(FAULT_KINDS))
 def test_each_trouble_does_harm_of_its_own_and_is_over(kind: str) -> None:
     calm = day()
-    struck = day(Trouble(kind, 10.0, 8.0, 0.5, 4.0))
+    struck = day(ScheduledFault(kind, 10.0, 8.0, 0.5, 4.0))
     seen = struck.counts
     assert struck.wanted[4] == calm.wanted[4], "nothing is seen of it before it begins"
     if kind == "slow":
@@ -131,7 +131,7 @@
 
 def test_message_times_are_those_of_a_queue() -> None:
     # M/M/1: a message stays longer than t with the chance exp(-(1 - load) t / service time).
-    world = World(replace(Spec(), early=12, join_s=1e9), (), 0.5)
+    world = SimulatedEnvironment(replace(FleetSpec(), early=12, join_s=1e9), (), 0.5)
     some = next(iter(world.hosts.values()))
     some.add(some.capacity / 2.0, "")
     parts = world._in_time(some, 0.0)
@@ -254,8 +254,10 @@
     points = [Point(v, 1.0 - v) for v in (0.0, 0.4, 0.8)]
     at = breaks_at(points, 0.5, lambda v: 1.0 - v)
     assert at == pytest.approx(0.5, abs=0.01) and breaks_at(points, 2.0, lambda v: 0.0) is None
-    guilty = Trouble("slow", 5.0, 16.0, 0.4, 4.0)
-    whole = Scenario("d", Size(), 40.0, (Trouble("burst", 1.0, 5.0), guilty, Trouble("flap", 1.0, 5.0)))
+    guilty = ScheduledFault("slow", 5.0, 16.0, 0.4, 4.0)
+    whole = Scenario(
+        "d", Size(), 40.0, (ScheduledFault("burst", 1.0, 5.0), guilty, ScheduledFault("flap", 1.0, 5.0))
+    )
 
     def loses(day: Scenario) -> float:
         return max((t.length_s / 16.0 for t in day.troubles if t.kind == "slow"), default=0.0)
