--- /dev/null
+++ b/sageturn/lab/client_connection.py
@@ -0,0 +1,143 @@
+"""One connection of a client on a loopback socket: the request, its answer, messages, and the end."""
+
+from __future__ import annotations
+
+import asyncio
+import time
+from typing import Protocol
+
+from sageturn.lab.fakes import LineProtocol
+from sageturn.lab.fleet_spec import FleetSpec
+from sageturn.lab.sampling import Client, ClientSampler
+
+MESSAGE_INTERVAL_S = 2.0
+INITIAL_CONNECTION_TIMEOUT_MS = 30000  # for all connections from before the run, made at once
+MAX_MESSAGE_US = 60_000_000
+
+
+class ConnectionOwner(Protocol):
+    """What a connection needs of its population."""
+
+    spec: FleetSpec
+    sampler: ClientSampler
+
+    def next_request_id(self) -> str:
+        """A new request id."""
+
+    def on_established(self, connection: ClientConnection, setup_s: float) -> None:
+        """The connection is established."""
+
+    def on_closed(self, connection: ClientConnection) -> None:
+        """The connection is closed."""
+
+    def count(self, event: str) -> None:
+        """Count an event under its key."""
+
+    def record_message(self, class_index: int, duration_us: int) -> None:
+        """Record the time of a message to its answer."""
+
+
+class ClientConnection(LineProtocol):
+    """A connection through a relay; ``initial_host`` is its host if it was established before the run."""
+
+    def __init__(self, owner: ConnectionOwner, client: Client, relay: int, initial_host: str) -> None:
+        super().__init__()
+        self.client = client
+        self.relay = relay
+        self.initial_host = initial_host
+        self.host = ""
+        self.closed = asyncio.Event()
+        self.established = False
+        self.migrated = False
+        self.finished = False  # closed by the client itself, at the end of its lifetime
+        self.retry_after_s = 0.0
+        self._owner = owner
+        self._established_s = 0.0
+        self._message_sent_s = 0.0  # 0: no answer is outstanding
+        self._lifetime_timers: list[asyncio.TimerHandle] = []
+        self._message_timer: asyncio.TimerHandle | None = None
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Send the request, and start its timeout."""
+        super().connection_made(transport)
+        class_spec = self._owner.spec.classes[self.client.class_index]
+        timeout_ms = round(class_spec.client_timeout_ms)
+        if self.initial_host:
+            timeout_ms = INITIAL_CONNECTION_TIMEOUT_MS
+        self.write(self._encode_request(class_spec.name, timeout_ms))
+        loop = asyncio.get_running_loop()
+        self._lifetime_timers.append(loop.call_later(timeout_ms / 1000.0, self._on_timeout))
+
+    def _encode_request(self, class_name: str, timeout_ms: int) -> bytes:
+        client = self.client
+        load_us = client.load * self._owner.spec.work_us_per_load
+        values = [f"c={class_name}", f"t={client.tenant}", f"d={timeout_ms}", f"h={load_us:.1f}"]
+        if client.group:
+            values.append(f"g={client.group}")
+        if client.attempts:
+            values.append("again=1")
+        if self.initial_host:
+            values.append(f"at={self.initial_host}")
+        return f"OPEN {self._owner.next_request_id()} {client.key} {','.join(values)}\r\n".encode()
+
+    def _on_timeout(self) -> None:
+        if not self.established:
+            self._owner.count("unanswered")
+            self.abort()
+
+    def on_line(self, line: bytes) -> None:
+        """Handle a line of the relay."""
+        if self.established:
+            self._on_message(line)
+        elif line.startswith(b"UP "):
+            self._on_up(line[3:].decode("ascii", "replace"))
+        else:
+            self._on_rejected(line)
+
+    def _on_message(self, line: bytes) -> None:
+        if line == b"MOVE":
+            self.migrated = True
+        elif line.startswith(b"M ") and self._message_sent_s:
+            duration_us = max(1, round((time.monotonic() - self._message_sent_s) * 1e6))
+            self._owner.record_message(self.client.class_index, min(duration_us, MAX_MESSAGE_US))
+            self._message_sent_s = 0.0
+
+    def _on_up(self, host: str) -> None:
+        loop = asyncio.get_running_loop()
+        self.established = True
+        self.host = host
+        self._established_s = loop.time()
+        self._owner.on_established(self, loop.time() - self.client.waiting_since_s)
+        self._lifetime_timers.append(loop.call_later(max(0.0, self.client.lifetime_s), self._on_finished))
+        first_message_s = self._owner.sampler.uniform(0.0, MESSAGE_INTERVAL_S)
+        self._message_timer = loop.call_later(first_message_s, self._send_message)
+
+    def _on_rejected(self, line: bytes) -> None:
+        self._owner.count("busy" if line.startswith(b"BUSY") else "error")
+        words = line.split()
+        if len(words) > 1 and words[0] == b"BUSY" and words[1].isdigit():
+            self.retry_after_s = int(words[1]) / 1000.0
+
+    def _send_message(self) -> None:
+        """Send a message, unless the last one has no answer yet, and schedule the next."""
+        if not self._message_sent_s:
+            self._message_sent_s = time.monotonic()
+            self.write(b"M 1\r\n")
+        self._message_timer = asyncio.get_running_loop().call_later(MESSAGE_INTERVAL_S, self._send_message)
+
+    def _on_finished(self) -> None:
+        self.finished = True
+        self.close()
+
+    def connection_lost(self, exc: Exception | None) -> None:
+        """Stop all timers, and take the time off the client's lifetime."""
+        for timer in self._lifetime_timers:
+            timer.cancel()
+        if self._message_timer is not None:
+            self._message_timer.cancel()
+        if self.established:
+            self.client.lifetime_s -= asyncio.get_running_loop().time() - self._established_s
+            if self.finished:
+                self.client.lifetime_s = 0.0
+        self._owner.on_closed(self)
+        self.closed.set()
--- a/sageturn/lab/compare.py
+++ b/sageturn/lab/compare.py
@@ -1,4 +1,4 @@
-"""Whether one variant does better than another: differences on the same days, with their intervals."""
+"""Whether one variant does better than another: differences over the same days, with confidence intervals."""
 
 from __future__ import annotations
 
@@ -9,78 +9,104 @@
 import numpy as np
 from scipy import stats
 
-from sageturn.lab.runs import Results
+from sageturn.lab.errors import NoCommonRunsError
+from sageturn.lab.result_file import Results
 
-LEVEL = 0.95
+CONFIDENCE_LEVEL = 0.95
 RESAMPLES = 4000
+MIN_BOOTSTRAP_PAIRS = 8  # with fewer, the bootstrap takes a few days for the whole population
+MIN_PAIRS = 2
 
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """``second`` less ``first`` in one metric, over pairs of runs of the same scenario and seed."""
+    """``second`` less ``first`` in one metric, over pairs of runs of the same scenario and seed.
+
+    ``low`` and ``high`` are the bounds of the confidence interval. ``needed_pairs`` is how many pairs in all
+    would settle a difference of this size, and infinite where there is none.
+    """
 
     metric: str
-    scenario: str  # empty: over all of them
+    scenario: str  # empty: over all scenarios
     pairs: int
     first: float
     second: float
     mean: float
-    low: float  # bounds of the confidence interval
+    low: float
     high: float
-    more_pairs: float  # pairs in all that would settle a difference of this size; inf where there is none
+    needed_pairs: float
 
     @property
     def settled(self) -> bool:
-        """Whether the interval leaves 0 out."""
+        """Whether the confidence interval excludes 0."""
         return self.low > 0.0 or self.high < 0.0
 
 
 def compare(
     results: Results, first: str, second: str, metric: str, by_scenario: bool = True
 ) -> list[Difference]:
-    """Over all scenarios, and then for each; raises ValueError where there is no pair."""
-    ours, theirs = results.values(first, metric), results.values(second, metric)
-    both = sorted(ours.keys() & theirs.keys())
-    if not both:
-        raise ValueError(f"no day was played by both {first} and {second}")
-    # Days of one scenario under other seeds are alike: their mean is one value of the whole.
-    scenarios = sorted({scenario for scenario, _ in both})
-    found = []
-    per_seed: dict[int, list[tuple[float, float]]] = {}
-    for scenario, seed in both:
-        per_seed.setdefault(seed, []).append((ours[(scenario, seed)], theirs[(scenario, seed)]))
-    whole = np.array([np.mean(pairs, axis=0) for _, pairs in sorted(per_seed.items())])
-    found.append(difference(metric, "", whole))
+    """Compare two variants over all scenarios, and then for each. Raises NoCommonRunsError."""
+    first_values = results.values(first, metric)
+    second_values = results.values(second, metric)
+    keys = sorted(first_values.keys() & second_values.keys())
+    if not keys:
+        raise NoCommonRunsError(f"no day was played by both {first} and {second}")
+    differences = [difference(metric, "", _means_by_seed(keys, first_values, second_values))]
     if by_scenario:
-        for scenario in scenarios:
-            days = [(ours[key], theirs[key]) for key in both if key[0] == scenario]
-            found.append(difference(metric, scenario, np.array(days)))
-    return found
+        for scenario in sorted({scenario for scenario, _ in keys}):
+            pairs = [(first_values[key], second_values[key]) for key in keys if key[0] == scenario]
+            differences.append(difference(metric, scenario, np.array(pairs)))
+    return differences
+
+
+def _means_by_seed(
+    keys: list[tuple[str, int]],
+    first_values: dict[tuple[str, int], float],
+    second_values: dict[tuple[str, int], float],
+) -> Any:
+    """A row for each seed: the scenarios of one seed are not independent, and make one pair together."""
+    pairs_by_seed: dict[int, list[tuple[float, float]]] = {}
+    for key in keys:
+        _, seed = key
+        pairs_by_seed.setdefault(seed, []).append((first_values[key], second_values[key]))
+    return np.array([np.mean(pairs, axis=0) for _, pairs in sorted(pairs_by_seed.items())])
 
 
 def difference(metric: str, scenario: str, pairs: Any) -> Difference:
-    """``pairs``: one row for each, with the values of the first variant and of the second."""
+    """The difference over pairs, an array with a row of the first and the second value for each."""
     gaps = pairs[:, 1] - pairs[:, 0]
-    mean, count = float(gaps.mean()), len(gaps)
-    low, high = interval(gaps)
-    spread = float(gaps.std(ddof=1)) if count > 1 else 0.0
-    need: float = inf if mean == 0.0 else ceil((stats.norm.ppf(0.5 + LEVEL / 2.0) * spread / mean) ** 2)
+    mean = float(gaps.mean())
+    count = len(gaps)
+    low, high = confidence_interval(gaps)
     first, second = (float(value) for value in pairs.mean(axis=0))
-    return Difference(metric, scenario, count, first, second, mean, low, high, max(need, 2.0))
+    needed_pairs = max(_needed_pairs(gaps, mean), float(MIN_PAIRS))
+    return Difference(metric, scenario, count, first, second, mean, low, high, needed_pairs)
 
 
-def interval(gaps: Any) -> tuple[float, float]:
-    """Of the mean, by the bias-corrected and accelerated bootstrap; with few values by Student's t, which
-    does not take three days for the whole world.
-    """
-    if len(gaps) < 2:
+def _needed_pairs(gaps: Any, mean: float) -> float:
+    if mean == 0.0:
+        return inf
+    deviation = float(gaps.std(ddof=1)) if len(gaps) > 1 else 0.0
+    quantile = stats.norm.ppf(0.5 + CONFIDENCE_LEVEL / 2.0)
+    needed: float = ceil((quantile * deviation / mean) ** 2)
+    return needed
+
+
+def confidence_interval(gaps: Any) -> tuple[float, float]:
+    """The interval of the mean, by the bias-corrected and accelerated bootstrap or Student's t."""
+    if len(gaps) < MIN_PAIRS:
         return -inf, inf
     if np.ptp(gaps) == 0.0:
         return float(gaps[0]), float(gaps[0])
-    if len(gaps) < 8:
-        low, high = stats.t.interval(LEVEL, len(gaps) - 1, gaps.mean(), stats.sem(gaps))
+    if len(gaps) < MIN_BOOTSTRAP_PAIRS:
+        low, high = stats.t.interval(CONFIDENCE_LEVEL, len(gaps) - 1, gaps.mean(), stats.sem(gaps))
         return float(low), float(high)
-    found = stats.bootstrap(
-        (gaps,), np.mean, confidence_level=LEVEL, n_resamples=RESAMPLES, rng=np.random.default_rng(1)
-    ).confidence_interval
-    return float(found.low), float(found.high)
+    bootstrap = stats.bootstrap(
+        (gaps,),
+        np.mean,
+        confidence_level=CONFIDENCE_LEVEL,
+        n_resamples=RESAMPLES,
+        rng=np.random.default_rng(1),
+    )
+    interval = bootstrap.confidence_interval
+    return float(interval.low), float(interval.high)
--- a/sageturn/lab/demo.py
+++ b/sageturn/lab/demo.py
@@ -1,6 +1,7 @@
-"""One relay between stand-ins on loopback, with live figures in the terminal; nothing to configure.
+"""A demonstration: one relay between fakes on loopback, with live figures in the terminal.
 
-Hosts that are full meet two that have just started: the relay moves whole groups over, slowly.
+It needs no configuration. Full hosts are joined by two that have just started, and the relay migrates whole
+groups to them, slowly.
 """
 
 from __future__ import annotations
@@ -16,58 +17,90 @@
 from rich.text import Text
 
 from sageturn.lab.fleet_spec import FleetSpec
-from sageturn.lab.loopback_runner import Deployment, LoopbackResult, Sample, deployed
+from sageturn.lab.loopback_runner import Deployment, FleetSample, LoopbackResult, deployed
 from sageturn.lab.result_table import loopback_row
 
-SPEC = FleetSpec(relays=1, hosts=6, early=4, connections=400, life_s=300.0, join_s=8.0, room=2.5)
+SPEC = FleetSpec(
+    relays=1,
+    hosts=6,
+    initial_hosts=4,
+    connections=400,
+    mean_lifetime_s=300.0,
+    join_s=8.0,
+    capacity_ratio=2.5,
+)
 # A pace at which something is seen within two minutes; an operator's is slower.
-OPTIONS = {"part_per_min": 0.4, "tick_s": 0.5, "least_age_s": 1.0}
-BAR = 40
+REBALANCE = {"part_per_min": 0.4, "tick_s": 0.5, "least_age_s": 1.0}
+BAR_WIDTH = 40  # characters, at twice the mean utilization
+HIGH_RATIO = 1.15  # of a host's utilization over the mean
+LOW_RATIO = 0.7
+REFRESHES_PER_S = 4
 
 
-def figures(sample: Sample, deployment: Deployment) -> Group:
-    mean = sum(sample.held.values()) / max(1, len(sample.held))
-    hosts = Table("host", "fill", "", "connections", "groups", box=None)
-    for host in deployment.hosts:
-        model = host.model
-        if model.name not in sample.held:
-            hosts.add_row(model.name, "", "not started", "", "")
-            continue
-        fill = sample.held[model.name]
-        style = "red" if fill > 1.15 * mean else "yellow" if fill < 0.7 * mean else "green"
-        bar = Text("█" * min(BAR, round(fill / max(mean, 1e-9) * BAR / 2)), style=style)
-        hosts.add_row(model.name, f"{fill:.0%}", bar, str(model.count), str(model.groups))
-    seen = deployment.seen.counts
-    told = (
-        f"{sample.second:4.0f} s   fullest over mean [bold]{sample.ratio:.2f}[/]   "
-        f"standing {sample.standing}   moved {sample.moved}   "
-        f"guest-checkin moved {seen['checkin_moved']}   refused {seen['busy']}   "
-        f"cut off {seen['cut']}"
+def render(sample: FleetSample, deployment: Deployment) -> Group:
+    """The figures of the fleet, and a bar for each host."""
+    counts = deployment.observations.counts
+    summary = (
+        f"{sample.elapsed_s:4.0f} s   fullest over mean [bold]{sample.imbalance_ratio:.2f}[/]   "
+        f"standing {sample.established}   moved {sample.migrations}   "
+        f"guest-checkin moved {counts['checkin_moved']}   refused {counts['busy']}   "
+        f"cut off {counts['cut']}"
     )
-    return Group(Text.from_markup(told), hosts)
+    return Group(Text.from_markup(summary), _host_table(sample, deployment))
+
+
+def _host_table(sample: FleetSample, deployment: Deployment) -> Table:
+    mean = sum(sample.utilizations.values()) / max(1, len(sample.utilizations))
+    table = Table("host", "fill", "", "connections", "groups", box=None)
+    for model in deployment.models:
+        utilization = sample.utilizations.get(model.name)
+        if utilization is None:
+            table.add_row(model.name, "", "not started", "", "")
+            continue
+        bar = _bar(utilization, mean)
+        table.add_row(
+            model.name, f"{utilization:.0%}", bar, str(model.connection_count), str(model.group_count)
+        )
+    return table
 
 
-async def play(seconds: float, console: Console) -> LoopbackResult:
-    async with deployed(SPEC, "on", OPTIONS) as deployment:
+def _bar(utilization: float, mean: float) -> Text:
+    style = "green"
+    if utilization > HIGH_RATIO * mean:
+        style = "red"
+    elif utilization < LOW_RATIO * mean:
+        style = "yellow"
+    width = round(utilization / max(mean, 1e-9) * BAR_WIDTH / 2)
+    return Text("█" * min(BAR_WIDTH, width), style=style)
+
+
+async def run_demo(seconds: float, console: Console) -> LoopbackResult:
+    """Run the fleet, with a line a second where the output is no terminal."""
+    async with deployed(SPEC, "on", REBALANCE) as deployment:
         if not console.is_terminal:
-            return await deployment.play(
-                seconds, lambda s, _: console.print(f"{s.second:.0f} s ratio {s.ratio:.2f} moved {s.moved}")
+            return await deployment.run(seconds, lambda sample, _: console.print(_line(sample)))
+        with Live(console=console, refresh_per_second=REFRESHES_PER_S) as live:
+            return await deployment.run(
+                seconds, lambda sample, deployment: live.update(render(sample, deployment))
             )
-        with Live(console=console, refresh_per_second=4) as live:
-            return await deployment.play(seconds, lambda s, d: live.update(figures(s, d)))
+
+
+def _line(sample: FleetSample) -> str:
+    return f"{sample.elapsed_s:.0f} s ratio {sample.imbalance_ratio:.2f} moved {sample.migrations}"
 
 
 def main() -> None:
+    """Run the command."""
     parser = argparse.ArgumentParser(prog="sageturn.lab.demo", description=__doc__)
     parser.add_argument("--seconds", type=float, default=120.0)
     options = parser.parse_args()
     console = Console()
     console.print("A relay, 4 full hosts, and 2 that start after 8 s. Ctrl-C ends it.")
     with suppress(KeyboardInterrupt, asyncio.CancelledError):
-        run = uvloop.run(play(options.seconds, console))
+        result = uvloop.run(run_demo(options.seconds, console))
         table = Table("what the clients saw", "")
-        for key, value in loopback_row(run).items():
-            table.add_row(key, str(value))
+        for label, value in loopback_row(result).items():
+            table.add_row(label, str(value))
         console.print(table)
 
 
--- /dev/null
+++ b/sageturn/lab/event_queue.py
@@ -0,0 +1,41 @@
+"""Scheduled calls in simulated time."""
+
+from __future__ import annotations
+
+import heapq
+from collections.abc import Callable
+from typing import Any
+
+NEVER_S = 1e18
+
+Handler = Callable[[Any], None]
+
+
+class EventQueue:
+    """Calls of handlers, each with one argument, by their times; calls due at once keep their order."""
+
+    def __init__(self) -> None:
+        self._entries: list[tuple[float, int, Handler, Any]] = []
+        self._sequence = 0
+
+    def schedule(self, due_s: float, handler: Handler, argument: Any) -> None:
+        """Schedule ``handler(argument)``."""
+        self._sequence += 1
+        heapq.heappush(self._entries, (due_s, self._sequence, handler, argument))
+
+    def next_due_s(self) -> float:
+        """When the next call is due; ``NEVER_S`` if there is none."""
+        return self._entries[0][0] if self._entries else NEVER_S
+
+    def run_next(self) -> None:
+        """Remove the call that is due next, and make it."""
+        _, _, handler, argument = heapq.heappop(self._entries)
+        handler(argument)
+
+    def pending_arguments(self, handler: Handler) -> list[Any]:
+        """The arguments of all scheduled calls of a handler, in no particular but a repeatable order."""
+        return [argument for _, _, scheduled, argument in self._entries if scheduled == handler]
+
+    def clear(self) -> None:
+        """Drop all scheduled calls."""
+        self._entries.clear()
--- a/sageturn/lab/experiment.py
+++ b/sageturn/lab/experiment.py
@@ -1,50 +1,60 @@
-"""Experiments as files: which days, under which seeds, with which variants of the program."""
+"""Experiment files: scenarios to simulate, under which seeds, with which variants of the program.
+
+The keys of a file are the fields' names, or what ``name`` of a field says.
+"""
 
 from __future__ import annotations
 
+from collections.abc import Iterable
 from pathlib import Path
 from typing import Annotated, Any
 
 import msgspec
-from msgspec import Meta, Struct
-
+from msgspec import Meta, Struct, field
+
+from sageturn.lab.errors import (
+    InvalidExperimentError,
+    InvalidSizeError,
+    InvalidVariantError,
+    LabError,
+)
 from sageturn.lab.faults import ScheduledFault
 from sageturn.lab.fleet_spec import FleetSpec
+from sageturn.lab.simulated_relay import MOVERS
 from sageturn.rebalance.options import MODES, RebalanceOptions
 
+MIN_INITIAL_HOSTS = 2
+
 Positive = Annotated[float, Meta(gt=0)]
 Name = Annotated[str, Meta(pattern=r"^[a-z0-9][a-z0-9_.+-]*$")]
 
 
-class BadExperiment(ValueError):
-    """The text names the file and the key."""
-
-
 class Size(Struct, frozen=True, forbid_unknown_fields=True):
-    """A fleet; what is left out is as on a usual day of ``guide-live``."""
+    """The size of a fleet; defaults are a usual day of ``guide-live``. See ``FleetSpec`` for the fields."""
 
     relays: Annotated[int, Meta(ge=1)] = 4
     hosts: Annotated[int, Meta(ge=2)] = 12
-    early: int | None = None  # hosts that are there from the start; all of them, if it is left out
+    initial_hosts: int | None = field(default=None, name="early")  # None: all hosts
     zones: tuple[str, ...] = ("hanoi",)
     connections: Annotated[int, Meta(ge=10)] = 1000
-    life_s: Positive = 90.0
-    room: Positive = 1.6  # what the fleet can carry, times what it is asked for
+    mean_lifetime_s: Positive = field(default=90.0, name="life_s")
+    capacity_ratio: Positive = field(default=1.6, name="room")
     store_headroom: Annotated[float, Meta(ge=0)] = 1.0
     join_s: float = 20.0
 
     def spec(self, seed: int) -> FleetSpec:
-        early = self.hosts if self.early is None else self.early
-        if not 2 <= early <= self.hosts:
-            raise ValueError("early: must be from 2 to hosts")
+        """The fleet of this size. Raises InvalidSizeError."""
+        initial_hosts = self.hosts if self.initial_hosts is None else self.initial_hosts
+        if not MIN_INITIAL_HOSTS <= initial_hosts <= self.hosts:
+            raise InvalidSizeError("early: must be from 2 to hosts")
         return FleetSpec(
             relays=self.relays,
             hosts=self.hosts,
-            early=early,
+            initial_hosts=initial_hosts,
             zones=self.zones,
             connections=self.connections,
-            life_s=self.life_s,
-            room=self.room,
+            mean_lifetime_s=self.mean_lifetime_s,
+            capacity_ratio=self.capacity_ratio,
             store_headroom=self.store_headroom,
             join_s=self.join_s,
             seed=seed,
@@ -52,16 +62,20 @@
 
 
 class Scenario(Struct, frozen=True, forbid_unknown_fields=True):
-    """A day. ``troubles`` as ``sageturn.lab.faults`` has them."""
+    """A simulated day of a fleet, with its faults."""
 
     name: Name
     size: Size = Size()
     seconds: Positive = 60.0
-    troubles: tuple[ScheduledFault, ...] = ()
+    faults: tuple[ScheduledFault, ...] = field(default=(), name="troubles")
 
 
 class Variant(Struct, frozen=True, forbid_unknown_fields=True):
-    """``policy``: empty for the present module, a file, or ``git:REVISION``."""
+    """How the relays decide and rebalance.
+
+    ``policy`` is empty for the present decision module, a path, or ``git:REVISION``; ``mover`` is one of
+    ``MOVERS``, and ``rebalance`` has fields of ``RebalanceOptions``.
+    """
 
     name: Name
     policy: str = ""
@@ -69,19 +83,22 @@
     rebalance: dict[str, Any] = {}
 
     def options(self) -> RebalanceOptions:
-        if self.mover not in ("off", "naive", "on"):
-            raise ValueError("mover: must be off, naive or on")
+        """The options of the planner. Raises InvalidVariantError, or TypeError for a value's type."""
+        if self.mover not in MOVERS:
+            raise InvalidVariantError("mover: must be off, naive or on")
         known = RebalanceOptions.__dataclass_fields__
         for key in self.rebalance:
             if key not in known:
-                raise ValueError(f"rebalance.{key}: is unknown")
+                raise InvalidVariantError(f"rebalance.{key}: is unknown")
         options = RebalanceOptions(**{"mode": "on", **self.rebalance})
         if options.mode not in MODES:
-            raise ValueError("rebalance.mode: must be one of " + ", ".join(MODES))
+            raise InvalidVariantError("rebalance.mode: must be one of " + ", ".join(MODES))
         return options
 
 
 class Experiment(Struct, frozen=True, forbid_unknown_fields=True):
+    """Every scenario is run with every seed and every variant."""
+
     name: Name
     scenarios: Annotated[tuple[Scenario, ...], Meta(min_length=1)]
     variants: Annotated[tuple[Variant, ...], Meta(min_length=1)]
@@ -89,33 +106,39 @@
     why: str = ""
 
     def check(self) -> None:
-        for what, parts in (("scenarios", self.scenarios), ("variants", self.variants)):
-            names = [part.name for part in parts]
-            for number, name in enumerate(names):
-                if name in names[:number]:
-                    raise ValueError(f"{what}[{number}].name: {name} is there twice")
+        """Raise InvalidExperimentError, with the key, for what the types of the fields allow."""
+        _reject_duplicates("scenarios", (scenario.name for scenario in self.scenarios))
+        _reject_duplicates("variants", (variant.name for variant in self.variants))
         for number, scenario in enumerate(self.scenarios):
             try:
                 scenario.size.spec(1)
-            except ValueError as error:
-                raise ValueError(f"scenarios[{number}].size.{error}") from None
+            except LabError as error:
+                raise InvalidExperimentError(f"scenarios[{number}].size.{error}") from error
         for number, variant in enumerate(self.variants):
             try:
                 variant.options()
             except (ValueError, TypeError) as error:
-                raise ValueError(f"variants[{number}].{error}") from None
+                raise InvalidExperimentError(f"variants[{number}].{error}") from error
+
+
+def _reject_duplicates(key: str, names: Iterable[str]) -> None:
+    seen: set[str] = set()
+    for number, name in enumerate(names):
+        if name in seen:
+            raise InvalidExperimentError(f"{key}[{number}].name: {name} is there twice")
+        seen.add(name)
 
 
 def read_experiment(file: Path) -> Experiment:
-    """TOML or JSON, by the file's ending. Raises BadExperiment."""
+    """Read TOML or JSON, by the file's ending. Raises InvalidExperimentError."""
     try:
         data = file.read_bytes()
     except OSError as error:
-        raise BadExperiment(f"{file}: {error.strerror}") from None
+        raise InvalidExperimentError(f"{file}: {error.strerror}") from error
     decode = msgspec.json.decode if file.suffix == ".json" else msgspec.toml.decode
     try:
         experiment = decode(data, type=Experiment)
         experiment.check()
     except (msgspec.DecodeError, msgspec.ValidationError, ValueError) as error:
-        raise BadExperiment(f"{file}: {error}") from None
+        raise InvalidExperimentError(f"{file}: {error}") from error
     return experiment
--- /dev/null
+++ b/sageturn/lab/experiment_runner.py
@@ -0,0 +1,104 @@
+"""Run experiments, over several processes."""
+
+from __future__ import annotations
+
+import json
+import platform
+import time
+from collections.abc import Callable, Iterator
+from concurrent.futures import ProcessPoolExecutor, as_completed
+from dataclasses import dataclass
+from multiprocessing import get_context
+from pathlib import Path
+
+import msgspec
+
+from sageturn.lab.experiment import Experiment, Scenario, Variant
+from sageturn.lab.metrics import encode_series, measure
+from sageturn.lab.policy import read_policy
+from sageturn.lab.result_file import LIBRARIES, Line, Results, library_version, revision
+from sageturn.lab.simulation import simulate
+
+OnRun = Callable[[Line, int, int], None]  # the run's line, its number and how many there are
+
+
+@dataclass(frozen=True, slots=True)
+class Run:
+    """One run of an experiment."""
+
+    scenario: Scenario
+    seed: int
+    variant: Variant
+
+    @property
+    def key(self) -> tuple[str, int, str]:
+        """What tells it from the experiment's other runs."""
+        return self.scenario.name, self.seed, self.variant.name
+
+
+def run_scenario(scenario: Scenario, seed: int, variant: Variant, policy: str, processes: int = 1) -> Line:
+    """Run a scenario once; the same arguments give the same line, but for the time that it took.
+
+    ``policy`` is the text of the variant's decision module.
+    """
+    started_s = time.monotonic()
+    result = simulate(
+        scenario.size.spec(seed),
+        variant.mover,
+        variant.options(),
+        scenario.seconds,
+        processes,
+        faults=scenario.faults,
+        policy=policy,
+    )
+    return {
+        "scenario": scenario.name,
+        "seed": seed,
+        "variant": variant.name,
+        "metrics": measure(scenario.size.spec(1), result),
+        "counts": dict(sorted(result.counts.items())),
+        "series": encode_series(result),
+        "took_s": round(time.monotonic() - started_s, 2),
+    }
+
+
+def run_experiment(experiment: Experiment, file: Path, root: Path, processes: int, on_run: OnRun) -> Results:
+    """Run what is not in the file yet; interrupted at any moment, it continues there the next time."""
+    policies = {variant.name: read_policy(variant.policy, root) for variant in experiment.variants}
+    results = Results(file)
+    results.start(_head(experiment, root, policies))
+    done = results.done()
+    missing = [run for run in _all_runs(experiment) if run.key not in done]
+    with ProcessPoolExecutor(processes, mp_context=get_context("spawn")) as pool:
+        futures = [
+            pool.submit(run_scenario, run.scenario, run.seed, run.variant, policies[run.variant.name])
+            for run in missing
+        ]
+        try:
+            for number, future in enumerate(as_completed(futures), 1):
+                results.add(future.result())
+                on_run(results.runs[-1], number, len(missing))
+        except BaseException:
+            for future in futures:
+                future.cancel()
+            raise
+    return results
+
+
+def _head(experiment: Experiment, root: Path, policies: dict[str, str]) -> Line:
+    """What makes the results: the whole experiment, the policies' texts, the revision and the versions."""
+    return {
+        "experiment": json.loads(msgspec.json.encode(experiment)),
+        "policies": policies,
+        "revision": revision(root),
+        "python": platform.python_version(),
+        "libraries": {name: library_version(name) for name in LIBRARIES},
+    }
+
+
+def _all_runs(experiment: Experiment) -> Iterator[Run]:
+    """Variants of one day next to each other, so that an interrupted experiment has complete pairs."""
+    for seed in experiment.seeds:
+        for scenario in experiment.scenarios:
+            for variant in experiment.variants:
+                yield Run(scenario, seed, variant)
--- a/sageturn/lab/fakes.py
+++ b/sageturn/lab/fakes.py
@@ -1,4 +1,4 @@
-"""Stand-ins on loopback sockets for what lies around a relay: live hosts that speak lines, and discovery."""
+"""Fakes on loopback sockets of what surrounds a relay: live hosts that speak lines, and discovery."""
 
 from __future__ import annotations
 
@@ -13,194 +13,236 @@
 
 from sageturn.lab.endpoint_model import EndpointModel
 
-WAIT_MOST = 1 << 16  # octets of a line that is not whole
+LOOPBACK = "127.0.0.1"
+MAX_LINE_BYTES = 1 << 16
+LISTEN_BACKLOG = 1024
+MAX_RECORDED_REQUESTS = 100_000
+DISCOVERY_HEARTBEAT_S = 2.0
+OPEN_WORD_COUNT = 4
 
 
 class LineProtocol(asyncio.Protocol):
-    """A connection that is read line by line."""
+    """A connection that is read line by line; subclasses implement ``on_line``."""
 
     def __init__(self) -> None:
         self.transport: asyncio.Transport | None = None
-        self._rest = b""
+        self._partial_line = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's own is one in all but its ancestry
+        """Keep the transport."""
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's own has another base class
 
     def data_received(self, data: bytes) -> None:
-        *lines, self._rest = (self._rest + data).split(b"\n")
-        if len(self._rest) > WAIT_MOST:
+        """Split the data into lines; a connection with too long a line is aborted."""
+        *lines, self._partial_line = (self._partial_line + data).split(b"\n")
+        if len(self._partial_line) > MAX_LINE_BYTES:
             self.abort()
         for line in lines:
-            self.line(line.rstrip(b"\r"))
+            self.on_line(line.rstrip(b"\r"))
 
-    def line(self, line: bytes) -> None:
+    def on_line(self, line: bytes) -> None:
+        """Handle a line, without its end."""
         raise NotImplementedError
 
     def write(self, data: bytes) -> None:
+        """Send data, unless the connection is closing."""
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write(data)
 
     def close(self) -> None:
+        """Close the connection once all data is sent."""
         if self.transport is not None:
             self.transport.close()
 
     def abort(self) -> None:
+        """Close the connection at once."""
         if self.transport is not None:
             self.transport.abort()
 
 
-def first_words(line: bytes) -> tuple[str, str, dict[str, str]] | None:
-    """Id, key and values of an OPEN line; None for anything else."""
+@dataclass(frozen=True, slots=True)
+class OpenRequest:
+    """The request line of a client: ``OPEN id key name=value,...``."""
+
+    request_id: str
+    client_key: str
+    values: dict[str, str]
+
+
+def parse_open_request(line: bytes) -> OpenRequest | None:
+    """The request in a line; None if it isn't an OPEN line."""
     words = line.decode("ascii", "replace").split(" ")
-    if len(words) != 4 or words[0] != "OPEN":
+    if len(words) != OPEN_WORD_COUNT or words[0] != "OPEN":
         return None
-    pairs = dict(pair.partition("=")[::2] for pair in words[3].split(","))
-    return words[1], words[2], pairs
+    values = dict(pair.partition("=")[::2] for pair in words[3].split(","))
+    return OpenRequest(words[1], words[2], values)
 
 
 class FakeEndpoint:
-    """A live host on a socket of its own. It reads what its model says, and nothing of the relay."""
-
-    def __init__(self, model: EndpointModel, unit_us: float) -> None:
-        self.model, self.unit_us = model, unit_us
-        self.address = ("127.0.0.1", 0)
-        self.connections: set[_HostConnection] = set()
-        self.opened: deque[float] = deque(maxlen=100_000)  # when each new connection asked for its set-up
-        self.syntax = 0  # first lines that no client sent in this form
+    """A live host on a socket of its own, which behaves as its model says.
+
+    ``setup_requested_s`` has when each new connection asked for its set-up, on the system's monotonic clock,
+    and ``malformed_requests`` counts first lines in a form that no client sends.
+    """
+
+    def __init__(self, model: EndpointModel, work_us_per_load: float) -> None:
+        self.model = model
+        self.work_us_per_load = work_us_per_load
+        self.address = (LOOPBACK, 0)
+        self.connections: set[_EndpointConnection] = set()
+        self.setup_requested_s: deque[float] = deque(maxlen=MAX_RECORDED_REQUESTS)
+        self.malformed_requests = 0
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
+        """Listen on a free port."""
         loop = asyncio.get_running_loop()
-        self._server = await loop.create_server(lambda: _HostConnection(self), "127.0.0.1", 0, backlog=1024)
+        self._server = await loop.create_server(
+            lambda: _EndpointConnection(self), LOOPBACK, 0, backlog=LISTEN_BACKLOG
+        )
         self.address = self._server.sockets[0].getsockname()[:2]
 
     async def stop(self) -> None:
-        if self._server is not None:
-            self._server.close()
-        for connection in list(self.connections):
-            connection.abort()
+        """Stop listening, and abort all connections."""
+        self._abort_all()
 
-    def now_s(self) -> float:
-        return asyncio.get_running_loop().time()
+    def crash(self) -> None:
+        """Behave as a host that was overloaded while it was cold: stop, and never accept anything again."""
+        self.model.crashed = True
+        self._abort_all()
 
-    def fall(self) -> None:
-        """Pushed over: nobody listens any more, and what it held breaks."""
-        self.model.fallen = True
+    async def drain(self, duration_s: float) -> None:
+        """Reject new connections, and close the present ones one after another."""
+        self.model.draining = True
+        closing = list(self.connections)
+        for connection in closing:
+            connection.write(b"MOVE\r\n")
+            connection.close()
+            await asyncio.sleep(duration_s / max(1, len(closing)))
+
+    def _abort_all(self) -> None:
         if self._server is not None:
             self._server.close()
         for connection in list(self.connections):
             connection.abort()
 
-    async def drain(self, over_s: float) -> None:
-        """Nothing new, and those it holds are sent away bit by bit."""
-        self.model.draining = True
-        leaving = list(self.connections)
-        for connection in leaving:
-            connection.write(b"MOVE\r\n")
-            connection.close()
-            await asyncio.sleep(over_s / max(1, len(leaving)))
 
+class _EndpointConnection(LineProtocol):
+    """A connection of a relay: an OPEN line, its answer after the set-up, and then an echo of each line."""
 
-class _HostConnection(LineProtocol):
-    def __init__(self, host: FakeEndpoint) -> None:
+    def __init__(self, endpoint: FakeEndpoint) -> None:
         super().__init__()
-        self._host = host
-        self._load, self._group = 0.0, ""
-        self._up = False
-        self._answer: asyncio.TimerHandle | None = None
+        self._endpoint = endpoint
+        self._load = 0.0
+        self._group = ""
+        self._established = False
+        self._setup_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
-        self._host.connections.add(self)
+        self._endpoint.connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._host.connections.discard(self)
-        if self._answer is not None:
-            self._answer.cancel()
-        if self._up:
-            self._host.model.remove(self._load, self._group)
-
-    def line(self, line: bytes) -> None:
-        if self._up:
+        self._endpoint.connections.discard(self)
+        if self._setup_timer is not None:
+            self._setup_timer.cancel()
+        if self._established:
+            self._endpoint.model.remove_connection(self._load, self._group)
+
+    def on_line(self, line: bytes) -> None:
+        if self._established:
             self.write(line + b"\r\n")
-        elif self._answer is None:
-            self._open(line)
-
-    def _open(self, line: bytes) -> None:
-        host, model = self._host, self._host.model
-        said = first_words(line)
-        if said is None:
-            host.syntax += 1
+        elif self._setup_timer is None:
+            self._on_open(line)
+
+    def _on_open(self, line: bytes) -> None:
+        request = parse_open_request(line)
+        if request is None:
+            self._endpoint.malformed_requests += 1
             self.write(b"SYNTAX\r\n")
             self.close()
             return
-        pairs = said[2]
-        self._load, self._group = float(pairs.get("h", "0")) / host.unit_us, pairs.get("g", "")
-        now_s = host.now_s()
-        if "at" not in pairs:
-            host.opened.append(time.monotonic())
-        if "at" in pairs:  # it stood here before the relay started
-            self._stand()
+        self._load = float(request.values.get("h", "0")) / self._endpoint.work_us_per_load
+        self._group = request.values.get("g", "")
+        if "at" in request.values:  # it was established before the relay started
+            self._establish()
             return
-        taken = model.admits(now_s, self._load)
-        if model.fallen:
-            host.fall()
-        elif not taken:
+        self._endpoint.setup_requested_s.append(time.monotonic())
+        self._start_setup()
+
+    def _start_setup(self) -> None:
+        loop = asyncio.get_running_loop()
+        now_s = loop.time()
+        model = self._endpoint.model
+        admitted = model.admit(now_s, self._load)
+        if model.crashed:
+            self._endpoint.crash()
+        elif not admitted:
             self.write(b"BUSY\r\n")
             self.close()
         else:
-            takes_s = model.set_up_takes_ms(now_s) / 1000.0
-            self._answer = asyncio.get_running_loop().call_later(takes_s, self._stand)
+            self._setup_timer = loop.call_later(model.setup_time_ms(now_s) / 1000.0, self._establish)
 
-    def _stand(self) -> None:
-        self._up = True
-        self._host.model.add(self._load, self._group)
-        load = self._load * self._host.unit_us
-        self.write(b"UP %s\r\nLOAD %d\r\n" % (self._host.model.name.encode(), load))
+    def _establish(self) -> None:
+        self._established = True
+        model = self._endpoint.model
+        model.add_connection(self._load, self._group)
+        load_us = self._load * self._endpoint.work_us_per_load
+        self.write(b"UP %s\r\nLOAD %d\r\n" % (model.name.encode(), load_us))
 
 
 @dataclass
 class FakeDiscovery:
-    """Tells the list, and each change of it to all who watch."""
+    """A discovery service: a full list to each watcher, and then every change; ``entries`` makes the list."""
 
     entries: Callable[[], list[dict[str, Any]]]
-    address: tuple[str, int] = ("127.0.0.1", 0)
+    address: tuple[str, int] = (LOOPBACK, 0)
     version: int = 1
     _watchers: set[asyncio.StreamWriter] = field(default_factory=set)
     _server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
+        """Listen on a free port."""
+        self._server = await asyncio.start_server(self._serve, LOOPBACK, 0)
         self.address = self._server.sockets[0].getsockname()[:2]
 
     async def stop(self) -> None:
+        """Stop listening, and close all watches."""
         if self._server is not None:
             self._server.close()
         for writer in list(self._watchers):
             writer.close()
 
-    def whole(self) -> dict[str, Any]:
+    def full_list(self) -> dict[str, Any]:
+        """The full list in the form of the wire."""
         return {"version": self.version, "full": True, "servers": self.entries()}
 
-    def changed(self, entries: list[dict[str, Any]]) -> None:
-        """Word of these entries goes to all who watch."""
+    def publish(self, entries: list[dict[str, Any]]) -> None:
+        """Send changed entries to all watchers."""
         self.version += 1
-        line = json.dumps({"version": self.version, "full": False, "servers": entries}).encode() + b"\n"
+        event = _encode_event({"version": self.version, "full": False, "servers": entries})
         for writer in list(self._watchers):
-            writer.write(b"%x\r\n%s\r\n" % (len(line), line))
+            writer.write(event)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        with suppress(OSError, asyncio.IncompleteReadError, asyncio.CancelledError):  # it ends with the lab
+        # Watches end with the run, and their errors with them.
+        with suppress(OSError, asyncio.IncompleteReadError, asyncio.CancelledError):
             await reader.readuntil(b"\r\n\r\n")
-            line = json.dumps(self.whole()).encode() + b"\n"
+            event = _encode_event(self.full_list())
             writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-            writer.write(b"%x\r\n%s\r\n" % (len(line), line))
+            writer.write(event)
             self._watchers.add(writer)
             try:
                 while not writer.is_closing():
-                    await asyncio.sleep(2.0)
+                    await asyncio.sleep(DISCOVERY_HEARTBEAT_S)
                     if not writer.is_closing():
                         writer.write(b"1\r\n\n\r\n")
                         await writer.drain()
             finally:
                 self._watchers.discard(writer)
+
+
+def _encode_event(event: dict[str, Any]) -> bytes:
+    """One watch event: a JSON line in an HTTP chunk."""
+    line = json.dumps(event).encode() + b"\n"
+    return b"%x\r\n%s\r\n" % (len(line), line)
--- a/sageturn/lab/fleet_spec.py
+++ b/sageturn/lab/fleet_spec.py
@@ -1,6 +1,7 @@
-"""What a lab's deployment is like: its classes, members, hosts, clients, and the settings relays are given.
+"""The fleet of a lab run: its traffic classes, tenants, hosts and clients, and the settings of its relays.
 
-Loads are in usual connections (1.0 is the mean of a usual one), times in seconds unless named otherwise.
+Loads are in units of the mean connection of the most common class, and times in seconds unless a name says
+otherwise. Hosts and relays are numbered from 0.
 """
 
 from __future__ import annotations
@@ -8,28 +9,44 @@
 from dataclasses import dataclass, field
 from typing import Any
 
+FAST_KIND = "c2-fast"
+STANDARD_KIND = "c2-std"
+TENANT_QUOTA_MULTIPLE = 1.5  # of a tenant's share of the connections
+POLICY_LIMITS = {
+    "sendCap": 3,
+    "retryAfter": True,
+    "maxRetryAfterMs": 1500.0,
+    "cancel": True,
+    "connectTimeoutMs": 250.0,
+    "keepaliveMs": 60000.0,
+}
+
 
 @dataclass(frozen=True, slots=True)
 class ClassSpec:
+    """A traffic class. A pair is a range from which each client's value is sampled evenly."""
+
     name: str
     share: float  # of new connections
-    load: tuple[float, float]  # drawn evenly between these
-    life: tuple[float, float]  # times the usual life, drawn evenly between these
+    load: tuple[float, float]
+    lifetime_factor: tuple[float, float]  # times the fleet's mean lifetime
     latency_objective_ms: float
-    give_up_ms: float
-    worth: float  # a second
-    grouped: bool = True
-    message_ms: float = 100.0  # a message is wanted within this
+    client_timeout_ms: float
+    priority_weight: float  # of a second of service
+    grouped: bool = True  # whether its clients come in groups that want to share a host
+    message_objective_ms: float = 100.0  # a message should be answered within this
 
 
 # The classes of guide-live, as its operators describe them. Desks that check guests in travel with no group.
 CLASSES = (
     ClassSpec("departures", 0.39, (1.0, 1.0), (1.0, 1.0), 800.0, 3200.0, 3.0),
-    ClassSpec("group-position", 0.32, (2.0, 4.0), (0.3, 1.0), 300.0, 1200.0, 3.0, message_ms=60.0),
+    ClassSpec("group-position", 0.32, (2.0, 4.0), (0.3, 1.0), 300.0, 1200.0, 3.0, message_objective_ms=60.0),
     ClassSpec("seat-count", 0.15, (0.2, 0.5), (1.0, 1.0), 500.0, 2000.0, 3.0),
-    ClassSpec("guest-checkin", 0.14, (0.2, 0.5), (1.0, 1.0), 300.0, 1200.0, 5.0, False, message_ms=250.0),
+    ClassSpec(
+        "guest-checkin", 0.14, (0.2, 0.5), (1.0, 1.0), 300.0, 1200.0, 5.0, False, message_objective_ms=250.0
+    ),
 )
-MEMBERS = {
+TENANT_SHARES = {
     "song-xanh": 0.27,
     "lua-viet": 0.23,
     "ha-long-sao": 0.22,
@@ -41,63 +58,78 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetSpec:
-    """``early``: hosts that stand from the start and hold everyone; the rest join, cold, at ``join_s``."""
+    """A fleet and its traffic.
+
+    The first ``initial_hosts`` run from the start and hold all connections; the other hosts start, cold, at
+    ``join_s``.
+    """
 
     relays: int = 4
     hosts: int = 12
-    early: int = 9
+    initial_hosts: int = 9
     zones: tuple[str, ...] = ("hanoi",)
     connections: int = 2000
-    life_s: float = 600.0  # of a usual connection, drawn from an exponential
+    mean_lifetime_s: float = 600.0  # of a connection with a lifetime factor of 1; exponentially distributed
     group_size: tuple[int, int] = (5, 24)
-    room: float = 3.0  # what a host of size 1 can carry, as a multiple of its part when all is in balance
-    fast_part: float = 0.6  # of the hosts are of the faster kind
-    fast_size: float = 1.4
-    group_cost: float = 1.5
-    set_up_ms: float = 12.0  # at an idle host
-    initial_capacity_ratio: float = 0.12
-    warm_s: float = 24.0
-    cold_overload_multiple: float = 4.0
-    fall_s: float = 3.0
+    capacity_ratio: float = 3.0  # a host's capacity over its load in a balanced fleet
+    fast_host_ratio: float = 0.6
+    fast_host_size: float = 1.4  # over a standard host
+    group_cost: float = 1.5  # load of a group at a host, in mean connections
+    idle_setup_ms: float = 12.0  # of a connection, at an idle host
+    initial_capacity_ratio: float = 0.12  # of a host that has just started
+    warm_up_s: float = 24.0
+    cold_overload_multiple: float = 4.0  # times the pace of its warm-up that a cold host survives
+    overload_window_s: float = 3.0  # over which that pace is measured
     join_s: float = 20.0
-    gap_ms: tuple[float, float] = (100.0, 820.0)  # before a client that was moved, cut or refused comes again
-    store_headroom: float = 0.0  # of the session store, times four usual arrivals; 0: there is no store
+    reconnect_delay_ms: tuple[float, float] = (100.0, 820.0)
+    store_headroom: float = 0.0  # session store's capacity over four times the usual arrivals; 0: no store
     seed: int = 1
     classes: tuple[ClassSpec, ...] = CLASSES
-    members: dict[str, float] = field(default_factory=lambda: dict(MEMBERS))
+    tenants: dict[str, float] = field(default_factory=lambda: dict(TENANT_SHARES))
 
     @property
     def arrivals_per_s(self) -> float:
-        mean = sum(c.share * (c.life[0] + c.life[1]) / 2.0 for c in self.classes)
-        return self.connections / (self.life_s * mean)
+        """The arrival rate at which the number of connections stays the same."""
+        mean_factor = sum(
+            class_spec.share * (class_spec.lifetime_factor[0] + class_spec.lifetime_factor[1]) / 2.0
+            for class_spec in self.classes
+        )
+        return self.connections / (self.mean_lifetime_s * mean_factor)
 
     @property
-    def usual_load(self) -> float:
-        return sum(c.share * (c.load[0] + c.load[1]) / 2.0 for c in self.classes)
+    def mean_load(self) -> float:
+        """The mean load of a new connection."""
+        return sum(
+            class_spec.share * (class_spec.load[0] + class_spec.load[1]) / 2.0 for class_spec in self.classes
+        )
 
     @property
-    def unit_us(self) -> float:
-        """Microseconds of work a second that a load of 1 is: the module takes a host's size for its cores."""
-        return 1e6 / (self.room * self.connections * self.usual_load / self.hosts)
+    def work_us_per_load(self) -> float:
+        """Microseconds of work a second for a load of 1; the balancer takes a host's size for its cores."""
+        return 1e6 / (self.capacity_ratio * self.connections * self.mean_load / self.hosts)
 
     def kind(self, host: int) -> str:
-        # The faster kind comes at even distances, so that early and late hosts have their part of it.
-        return "c2-fast" if int((host + 1) * self.fast_part) > int(host * self.fast_part) else "c2-std"
+        """The hardware kind of a host."""
+        # Fast hosts are evenly spaced, so that initial and late hosts have the same ratio of them.
+        is_fast = int((host + 1) * self.fast_host_ratio) > int(host * self.fast_host_ratio)
+        return FAST_KIND if is_fast else STANDARD_KIND
 
     def size(self, host: int) -> float:
-        """Against a usual host; the mean over the fleet is 1."""
-        mean = self.fast_part * self.fast_size + 1.0 - self.fast_part
-        return (self.fast_size if self.kind(host) == "c2-fast" else 1.0) / mean
+        """The size of a host, scaled so that the mean over the fleet is 1."""
+        mean = self.fast_host_ratio * self.fast_host_size + 1.0 - self.fast_host_ratio
+        return (self.fast_host_size if self.kind(host) == FAST_KIND else 1.0) / mean
 
     def zone(self, host_or_relay: int) -> str:
+        """The zone of a host or a relay."""
         return self.zones[host_or_relay % len(self.zones)]
 
     def host_name(self, host: int) -> str:
+        """The name of a host on the endpoint list."""
         return f"h{host:04d}"
 
     def capacity(self, host: int) -> float:
-        """Load that a warm host can carry."""
-        return self.room * self.size(host) * self.connections * self.usual_load / self.hosts
+        """The load that a host can carry when it is warm."""
+        return self.capacity_ratio * self.size(host) * self.connections * self.mean_load / self.hosts
 
 
 def relay_settings(spec: FleetSpec, relay: int) -> dict[str, Any]:
@@ -105,53 +137,53 @@
     total = float(spec.connections)
     return {
         "accounts": [
-            {"name": name, "fraction": part, "allowancePerS": part * spec.arrivals_per_s}
-            for name, part in spec.members.items()
+            {"name": name, "fraction": share, "allowancePerS": share * spec.arrivals_per_s}
+            for name, share in spec.tenants.items()
         ],
         "azs": list(spec.zones),
-        "classes": [
-            {
-                "name": c.name,
-                "aimMs": c.latency_objective_ms,
-                "hardLimitMs": c.give_up_ms,
-                "gain": c.worth,
-                "semantics": "safe",
-                "dedupScope": "all",
-                "keyTtlMs": 5000.0,
-                "stream": True,
-            }
-            for c in spec.classes
-        ],
+        "classes": [_class_settings(class_spec) for class_spec in spec.classes],
         "discovery": "ask",
         "familyInfo": {
             "groups": True,
             "mode": "proxy",
             "tellsLoad": True,
             "tellsDelay": False,
-            "messageAimMs": [c.message_ms for c in spec.classes],
-            "tenantQuotaConnections": [part * total * 1.5 for part in spec.members.values()],
+            "messageAimMs": [c.message_objective_ms for c in spec.classes],
+            "tenantQuotaConnections": [
+                share * total * TENANT_QUOTA_MULTIPLE for share in spec.tenants.values()
+            ],
         },
         "groupSize": spec.relays,
-        "guarantees": {
-            "fallMs": spec.fall_s * 1000.0,
-            "fallMultiple": spec.cold_overload_multiple,
-            "graceToAnswerMs": 16.0,
-            "mustAskInMs": 10000.0,
-            "startCapacity": spec.initial_capacity_ratio,
-            "stopSendingWithinMs": 500.0,
-            "warmWithinMs": spec.warm_s * 1000.0,
-        },
+        "guarantees": _guarantees(spec),
         "me": relay,
-        "models": ["c2-fast", "c2-std"],
-        "policyLimits": {
-            "sendCap": 3,
-            "retryAfter": True,
-            "maxRetryAfterMs": 1500.0,
-            "cancel": True,
-            "connectTimeoutMs": 250.0,
-            "keepaliveMs": 60000.0,
-        },
+        "models": [FAST_KIND, STANDARD_KIND],
+        "policyLimits": dict(POLICY_LIMITS),
         "prices": {"crossZone": 0.018 if len(spec.zones) > 1 else 0.0, "moves": 0.021},
         "weightKind": "rough",
         "zone": spec.zone(relay),
     }
+
+
+def _class_settings(class_spec: ClassSpec) -> dict[str, Any]:
+    return {
+        "name": class_spec.name,
+        "aimMs": class_spec.latency_objective_ms,
+        "hardLimitMs": class_spec.client_timeout_ms,
+        "gain": class_spec.priority_weight,
+        "semantics": "safe",
+        "dedupScope": "all",
+        "keyTtlMs": 5000.0,
+        "stream": True,
+    }
+
+
+def _guarantees(spec: FleetSpec) -> dict[str, Any]:
+    return {
+        "fallMs": spec.overload_window_s * 1000.0,
+        "fallMultiple": spec.cold_overload_multiple,
+        "graceToAnswerMs": 16.0,
+        "mustAskInMs": 10000.0,
+        "startCapacity": spec.initial_capacity_ratio,
+        "stopSendingWithinMs": 500.0,
+        "warmWithinMs": spec.warm_up_s * 1000.0,
+    }
--- a/sageturn/lab/policy.py
+++ b/sageturn/lab/policy.py
@@ -11,6 +11,7 @@
 
 from sageturn import decision
 from sageturn.decision.balancer import Balancer
+from sageturn.lab.errors import PolicyNotFoundError
 
 # The files that decide, each after those that it imports: ``policy`` of deploy/balancer.toml.
 POLICY_MODULES = ("fleet", "admission", "overload", "placement", "balancer")
@@ -20,14 +21,14 @@
 def read_policy(name: str, root: Path) -> str:
     """The text of a policy: empty for the present one, a path, or ``git:REVISION``.
 
-    A path names one file, or a folder with some of them; the others are the present ones. Raises ValueError
-    with what is wrong. The text goes along with a run, so that it can be repeated.
+    A path names one file, or a folder with some of them; the others are the present ones. Raises
+    PolicyNotFoundError. The text goes along with a run, so that it can be repeated.
     """
     if not name:
         return ""
     if name.startswith("git:"):
         revision = name.removeprefix("git:")
-        return _join({module: _show(name, revision, module, root) for module in POLICY_MODULES})
+        return _join({module: _read_revision(name, revision, module, root) for module in POLICY_MODULES})
     path = root / name
     try:
         if path.is_dir():
@@ -35,22 +36,24 @@
         module = path.stem if path.stem in POLICY_MODULES else "balancer"
         return _join({module: path.read_text(encoding="utf-8")})
     except OSError as error:
-        raise ValueError(f"{name}: {error.strerror}") from None
+        raise PolicyNotFoundError(f"{name}: {error.strerror}") from error
 
 
 def _read_folder(folder: Path) -> dict[str, str]:
     files = {module: folder / f"{module}.py" for module in POLICY_MODULES}
     sources = {module: file.read_text(encoding="utf-8") for module, file in files.items() if file.exists()}
     if not sources:
-        raise ValueError(f"{folder}: holds none of the files {', '.join(POLICY_MODULES)} (.py)")
+        raise PolicyNotFoundError(f"{folder}: holds none of the files {', '.join(POLICY_MODULES)} (.py)")
     return sources
 
 
-def _show(name: str, revision: str, module: str, root: Path) -> str:
-    wanted = f"{revision}:sageturn/decision/{module}.py"
-    shown = subprocess.run(["git", "show", wanted], cwd=root, capture_output=True, text=True, check=False)
+def _read_revision(name: str, revision: str, module: str, root: Path) -> str:
+    object_name = f"{revision}:sageturn/decision/{module}.py"
+    shown = subprocess.run(
+        ["git", "show", object_name], cwd=root, capture_output=True, text=True, check=False
+    )
     if shown.returncode:
-        raise ValueError(f"{name}: {shown.stderr.strip()}")
+        raise PolicyNotFoundError(f"{name}: {shown.stderr.strip()}")
     return shown.stdout
 
 
@@ -63,8 +66,8 @@
     if not text.startswith(FILE_MARK):
         return {"balancer": text}
     sources: dict[str, str] = {}
-    for part in text.split(FILE_MARK)[1:]:
-        module, _, source = part.partition("\n")
+    for marked in text.split(FILE_MARK)[1:]:
+        module, _, source = marked.partition("\n")
         sources[module] = source
     return sources
 
@@ -89,5 +92,5 @@
             sys.modules[replaced] = module
     finally:
         sys.modules.update(present)
-    found: type[Balancer] = module.__dict__["Balancer"]
-    return found
+    balancer: type[Balancer] = module.__dict__["Balancer"]
+    return balancer
--- a/sageturn/lab/readiness.py
+++ b/sageturn/lab/readiness.py
@@ -20,7 +20,8 @@
 from pathlib import Path
 from typing import Any
 
-from sageturn.lab.loopback_runner import READY_S, reserve_port
+from sageturn.lab.loopback_relays import READY_TIMEOUT_S
+from sageturn.lab.ports import reserve_port
 
 BOUND_S = 10.0  # nine in ten are to be ready by then
 RESTING = 20  # connections that the relay holds as it is told to end, or killed
@@ -141,7 +142,7 @@
             file = write_config(Path(folder), case, address, source)
             process = await start(file)
             try:
-                async with asyncio.timeout(READY_S):
+                async with asyncio.timeout(READY_TIMEOUT_S):
                     resting = [await first_pong(address) for _ in range(RESTING)]
                 for _ in range(starts):
                     process.send_signal(case.signal)
--- a/sageturn/lab/rebalancing.py
+++ b/sageturn/lab/rebalancing.py
@@ -16,13 +16,13 @@
 
 import uvloop
 
-from sageturn.lab.environment import SimulationResult
 from sageturn.lab.fleet_spec import FleetSpec
 from sageturn.lab.loopback_runner import LoopbackResult, deployed
 from sageturn.lab.planner_cost import PlannerCost
 from sageturn.lab.result_table import Row, loopback_row, print_table, simulated_row
 from sageturn.lab.simulated_relay import MOVERS
 from sageturn.lab.simulation import simulate
+from sageturn.lab.simulation_result import SimulationResult
 from sageturn.rebalance.options import RebalanceOptions
 
 LOOPBACK_PROGRESS_INTERVAL_S = 15
@@ -46,12 +46,12 @@
     async with deployed(job.spec, job.policy, {}) as deployment:
 
         def on_sample(sample: Any, _: Any) -> None:
-            if job.show_progress and round(sample.second) % LOOPBACK_PROGRESS_INTERVAL_S == 0:
-                progress = f"{job.policy:6} {sample.second:4.0f} s  ratio {sample.ratio:.2f}"
-                progress += f"  moved {sample.moved}  standing {sample.standing}"
+            if job.show_progress and round(sample.elapsed_s) % LOOPBACK_PROGRESS_INTERVAL_S == 0:
+                progress = f"{job.policy:6} {sample.elapsed_s:4.0f} s  ratio {sample.imbalance_ratio:.2f}"
+                progress += f"  moved {sample.migrations}  standing {sample.established}"
                 print(progress, file=sys.stderr, flush=True)
 
-        return await deployment.play(job.seconds, on_sample)
+        return await deployment.run(job.seconds, on_sample)
 
 
 def _measure_loopback(job: LoopbackJob) -> Row:
@@ -97,9 +97,9 @@
     return FleetSpec(
         relays=size.relays,
         hosts=size.endpoints,
-        early=size.endpoints * 3 // 4,
+        initial_hosts=size.endpoints * 3 // 4,
         connections=size.connections,
-        life_s=1800.0,
+        mean_lifetime_s=1800.0,
         zones=("hanoi", "hue", "danang", "saigon"),
         seed=seed,
     )
@@ -119,7 +119,7 @@
 
     def on_progress(now_s: float, series: SimulationResult) -> None:
         if not options.quiet and now_s % SIMULATED_PROGRESS_INTERVAL_S == 0:
-            progress = f"{policy:6} {now_s:4.0f} s  ratio {series.ratio[-1]:.2f}"
+            progress = f"{policy:6} {now_s:4.0f} s  ratio {series.imbalance_ratios[-1]:.2f}"
             progress += f"  moved {series.counts['moved']}  after {time.monotonic() - began_s:.0f} s"
             print(progress, file=sys.stderr, flush=True)
 
--- a/sageturn/lab/report.py
+++ b/sageturn/lab/report.py
@@ -1,4 +1,4 @@
-"""Reports of results: one HTML page that needs nothing else, and Markdown."""
+"""Reports of results: one self-contained HTML page, and Markdown."""
 
 from __future__ import annotations
 
@@ -15,10 +15,12 @@
 import matplotlib.pyplot as plt  # noqa: E402  (the backend is chosen first: there is no screen)
 import numpy as np  # noqa: E402
 
-from sageturn.lab.compare import compare  # noqa: E402
-from sageturn.lab.runs import Line, Results  # noqa: E402
+from sageturn.lab.compare import Difference, compare  # noqa: E402
+from sageturn.lab.errors import NoCommonRunsError  # noqa: E402
+from sageturn.lab.fleet_spec import CLASSES, TENANT_SHARES  # noqa: E402
+from sageturn.lab.result_file import Line, Results  # noqa: E402
 
-SHOWN = (
+REPORTED_METRICS = (
     "goal",
     "service",
     "worst_class",
@@ -30,7 +32,7 @@
     "cut",
     "ratio",
 )
-COMPARED = ("goal", "service", "late", "refused", "moved")
+COMPARED_METRICS = ("goal", "service", "late", "refused", "moved")
 STYLE = """body{font:15px/1.5 system-ui,sans-serif;max-width:70rem;margin:2rem auto;padding:0 1rem;color:#222}
 table{border-collapse:collapse;margin:1rem 0}
 td,th{padding:.2rem .7rem;text-align:right;border-bottom:1px solid #ddd}
@@ -39,50 +41,72 @@
 
 def table(results: Results) -> list[list[str]]:
     """A row for each scenario and variant, means over the seeds."""
-    rows = [["scenario", "variant", "seeds", *SHOWN]]
-    ordered = sorted(results.runs, key=_order(results))
+    rows = [["scenario", "variant", "seeds", *REPORTED_METRICS]]
+    ordered = sorted(results.runs, key=_run_order(results))
     keys = dict.fromkeys((run["scenario"], run["variant"]) for run in ordered)
     for scenario, variant in keys:
-        runs = [r for r in results.runs if (r["scenario"], r["variant"]) == (scenario, variant)]
-        means = [float(np.mean([r["metrics"][name] for r in runs])) for name in SHOWN]
+        runs = [run for run in results.runs if (run["scenario"], run["variant"]) == (scenario, variant)]
+        means = [float(np.mean([run["metrics"][name] for run in runs])) for name in REPORTED_METRICS]
         rows.append([scenario, variant, str(len(runs)), *(f"{value:.3f}" for value in means)])
     return rows
 
 
-def _order(results: Results) -> Any:
+def _run_order(results: Results) -> Any:
     experiment = results.head["experiment"]
-    scenarios = [s["name"] for s in experiment["scenarios"]]
-    variants = [v["name"] for v in experiment["variants"]]
+    scenarios = [scenario["name"] for scenario in experiment["scenarios"]]
+    variants = [variant["name"] for variant in experiment["variants"]]
     return lambda run: (scenarios.index(run["scenario"]), variants.index(run["variant"]), run["seed"])
 
 
 def differences(results: Results) -> list[list[str]]:
-    variants = list(dict.fromkeys(v["name"] for v in results.head["experiment"]["variants"]))
+    """A row for each pair of variants and metric that have runs in common."""
+    variants = list(dict.fromkeys(variant["name"] for variant in results.head["experiment"]["variants"]))
     rows = [["metric", "from", "to", "scenario", "pairs", "difference", "95% interval", "settled"]]
     for first, second in combinations(variants, 2):
-        for metric in COMPARED:
+        for metric in COMPARED_METRICS:
             try:
                 found = compare(results, first, second, metric, by_scenario=metric == "goal")
-            except ValueError:
+            except NoCommonRunsError:
                 continue
-            for d in found:
-                settled = "yes" if d.settled else f"no: {d.more_pairs:g} pairs would" if d.mean else "no"
-                span = f"{d.low:+.4f} to {d.high:+.4f}"
-                about = [metric, first, second, d.scenario or "all", str(d.pairs)]
-                rows.append([*about, f"{d.mean:+.4f}", span, settled])
+            rows += [_difference_row(difference, first, second) for difference in found]
     return rows
 
 
+def _difference_row(difference: Difference, first: str, second: str) -> list[str]:
+    if difference.settled:
+        settled = "yes"
+    else:
+        settled = f"no: {difference.needed_pairs:g} pairs would" if difference.mean else "no"
+    return [
+        difference.metric,
+        first,
+        second,
+        difference.scenario or "all",
+        str(difference.pairs),
+        f"{difference.mean:+.4f}",
+        f"{difference.low:+.4f} to {difference.high:+.4f}",
+        settled,
+    ]
+
+
 def markdown(results: Results) -> str:
+    """The report as Markdown."""
     head = results.head
-    parts = [f"# {head['experiment']['name']}", "", head["experiment"].get("why", ""), "", _made_by(head), ""]
+    parts = [
+        f"# {head['experiment']['name']}",
+        "",
+        head["experiment"].get("why", ""),
+        "",
+        _describe_origin(head),
+        "",
+    ]
     for title, rows in (("Means", table(results)), ("Differences", differences(results))):
         if len(rows) > 1:
             parts += [f"## {title}", "", *_markdown_table(rows), ""]
     return "\n".join(parts)
 
 
-def _made_by(head: Line) -> str:
+def _describe_origin(head: Line) -> str:
     libraries = ", ".join(f"{name} {text}" for name, text in head["libraries"].items())
     return f"Made by revision {head['revision']}, Python {head['python']}, {libraries}."
 
@@ -93,13 +117,13 @@
 
 
 def page(results: Results) -> str:
-    """HTML with its plots inside."""
+    """The report as one HTML page, with the plots embedded."""
     head = results.head
     name = html.escape(head["experiment"]["name"])
     parts = [
         f"<!doctype html><html lang=en><meta charset=utf-8><title>{name}</title><style>{STYLE}</style>",
         f"<h1>{name}</h1><p>{html.escape(head['experiment'].get('why', ''))}</p>",
-        f"<p>{html.escape(_made_by(head))}</p>",
+        f"<p>{html.escape(_describe_origin(head))}</p>",
     ]
     for title, rows in (("Means over the seeds", table(results)), ("Differences", differences(results))):
         if len(rows) > 1:
@@ -108,7 +132,7 @@
         runs = [run for run in results.runs if run["scenario"] == scenario["name"]]
         if runs:
             parts.append(f"<h2>{html.escape(scenario['name'])}</h2>")
-            parts += [_picture(figure) for figure in plots(scenario, runs)]
+            parts += [_encode_image(figure) for figure in plots(scenario, runs)]
     return "\n".join(parts) + "</html>\n"
 
 
@@ -119,7 +143,7 @@
     return "<table>" + cells(rows[0], "th") + "".join(cells(row, "td") for row in rows[1:]) + "</table>"
 
 
-def _picture(figure: Any) -> str:
+def _encode_image(figure: Any) -> str:
     out = io.BytesIO()
     figure.savefig(out, format="png", dpi=80)
     plt.close(figure)
@@ -130,20 +154,24 @@
 
 
 def plots(scenario: Line, runs: list[Line]) -> list[Any]:
-    """Of one scenario: what each variant's first seed shows over time, troubles marked."""
+    """The figures of one scenario: each variant's run with the first seed, with the faults marked."""
     seed = min(run["seed"] for run in runs)
-    shown = [run for run in runs if run["seed"] == seed]
-    return [_over_time(scenario, shown), _by_class_and_member(scenario, shown), _heat(scenario, shown)]
+    first_runs = [run for run in runs if run["seed"] == seed]
+    return [
+        _plot_series(scenario, first_runs),
+        _plot_classes_and_tenants(first_runs),
+        _plot_utilizations(scenario, first_runs),
+    ]
 
 
-def _mark(axis: Any, scenario: Line) -> None:
-    for trouble in scenario.get("troubles", []):
-        start = trouble["start_s"]
-        axis.axvspan(start, start + trouble["length_s"], color="0.9", zorder=0)
-        axis.text(start, 1.0, trouble["kind"], transform=axis.get_xaxis_transform(), fontsize=7, va="bottom")
+def _mark_faults(axis: Any, scenario: Line) -> None:
+    for fault in scenario.get("troubles", []):
+        start_s = fault["start_s"]
+        axis.axvspan(start_s, start_s + fault["length_s"], color="0.9", zorder=0)
+        axis.text(start_s, 1.0, fault["kind"], transform=axis.get_xaxis_transform(), fontsize=7, va="bottom")
 
 
-def _over_time(scenario: Line, runs: list[Line]) -> Any:
+def _plot_series(scenario: Line, runs: list[Line]) -> Any:
     figure, axes = plt.subplots(2, 2, figsize=(12, 6), layout="constrained")
     classes = len(runs[0]["series"]["set_ups"])
     for run in runs:
@@ -159,44 +187,42 @@
     for axis, title in zip(axes.flat, titles, strict=True):
         axis.set_title(title)
         axis.set_xlabel("s")
-        _mark(axis, scenario)
+        _mark_faults(axis, scenario)
     axes[0, 0].set_ylim(0, 1.02)
     axes[0, 0].legend()
     return figure
 
 
-def _by_class_and_member(scenario: Line, runs: list[Line]) -> Any:
-    from sageturn.lab.fleet_spec import CLASSES, MEMBERS
-
-    names = [c.name for c in CLASSES] + list(MEMBERS)
+def _plot_classes_and_tenants(runs: list[Line]) -> Any:
+    names = [class_spec.name for class_spec in CLASSES] + list(TENANT_SHARES)
     figure, axes = plt.subplots(1, 2, figsize=(12, 3.2), layout="constrained", width_ratios=(3, 2))
     width = 0.8 / len(runs)
-    for k, run in enumerate(runs):
+    for index, run in enumerate(runs):
         wanted, served = np.array(run["series"]["wanted"]), np.array(run["series"]["served"])
         share = served.sum(axis=0) / np.maximum(wanted.sum(axis=0), 1e-9)
-        axes[0].bar(np.arange(len(names)) + k * width, share, width, label=run["variant"])
-        p99 = [s["99.0"] for s in run["series"]["set_ups"]]
-        axes[1].bar(np.arange(len(CLASSES)) + k * width, p99, width)
+        axes[0].bar(np.arange(len(names)) + index * width, share, width, label=run["variant"])
+        p99 = [setups["99.0"] for setups in run["series"]["set_ups"]]
+        axes[1].bar(np.arange(len(CLASSES)) + index * width, p99, width)
     axes[0].set_xticks(np.arange(len(names)) + 0.4 - width / 2, names, rotation=35, ha="right", fontsize=8)
     axes[0].set_title("service by class and by member")
     axes[0].set_ylim(0, 1.02)
     axes[0].legend()
-    for k, cls in enumerate(CLASSES):
-        axes[1].hlines(cls.latency_objective_ms, k - 0.1, k + 0.9, color="k")
-    places = np.arange(len(CLASSES)) + 0.3
-    axes[1].set_xticks(places, [c.name for c in CLASSES], rotation=35, ha="right", fontsize=8)
+    for index, class_spec in enumerate(CLASSES):
+        axes[1].hlines(class_spec.latency_objective_ms, index - 0.1, index + 0.9, color="k")
+    positions = np.arange(len(CLASSES)) + 0.3
+    axes[1].set_xticks(positions, names[: len(CLASSES)], rotation=35, ha="right", fontsize=8)
     axes[1].set_title("set-ups, p99 in ms, and the aim")
     axes[1].set_yscale("log")
     return figure
 
 
-def _heat(scenario: Line, runs: list[Line]) -> Any:
+def _plot_utilizations(scenario: Line, runs: list[Line]) -> Any:
     figure, axes = plt.subplots(1, len(runs), figsize=(12, 3), layout="constrained", squeeze=False)
     for axis, run in zip(axes[0], runs, strict=True):
-        fills = np.array(run["series"]["fills"]).T
-        shown = np.ma.masked_less(fills, 0.0)
-        extent = (0, scenario["seconds"], 0, len(fills))
-        image = axis.imshow(shown, aspect="auto", origin="lower", vmin=0.0, vmax=1.2, extent=extent)
+        utilizations = np.array(run["series"]["fills"]).T
+        present = np.ma.masked_less(utilizations, 0.0)
+        extent = (0, scenario["seconds"], 0, len(utilizations))
+        image = axis.imshow(present, aspect="auto", origin="lower", vmin=0.0, vmax=1.2, extent=extent)
         axis.set_title(f"fill by host: {run['variant']}")
         axis.set_xlabel("s")
     figure.colorbar(image, ax=axes[0].tolist())
--- a/sageturn/lab/result_table.py
+++ b/sageturn/lab/result_table.py
@@ -11,9 +11,9 @@
 from rich.console import Console
 from rich.table import Table
 
-from sageturn.lab.environment import SimulationResult
 from sageturn.lab.fleet_spec import FleetSpec
 from sageturn.lab.loopback_runner import LoopbackResult
+from sageturn.lab.simulation_result import SimulationResult
 
 BALANCED_RATIO = 1.15  # the fullest endpoint's utilization over the mean that counts as balance
 FINAL_WINDOW_S = 60  # the end of a run over which the ratio is averaged
@@ -31,22 +31,22 @@
 
 def loopback_row(run: LoopbackResult) -> Row:
     """The figures of a run of real relays on loopback."""
-    counts = run.seen.counts
+    counts = run.observations.counts
     spec = run.spec
-    ratios = [sample.ratio for sample in run.samples]
-    seconds = run.samples[-1].second
-    worth = sum(c.share * c.worth for c in spec.classes) * spec.connections * seconds
+    ratios = [sample.imbalance_ratio for sample in run.samples]
+    seconds = run.samples[-1].elapsed_s
+    worth = sum(c.share * c.priority_weight for c in spec.classes) * spec.connections * seconds
     return {
-        **_common_figures(spec, ratios, run.seen.set_ups, counts),
+        **_common_figures(spec, ratios, run.observations.setup_histograms, counts),
         "moves that left some of a group behind": counts["left_behind"],
         "clients moved more than once": counts["moved_again"],
         "refused": counts["busy"],
         "cut off": counts["cut"],
         "unanswered": counts["unanswered"],
-        "worth lost waiting": f"{run.seen.waited_worth / worth:.4%}",
-        "fresh host's peak intake, of its bound": f"{run.fresh_peak:.0%}",
-        "hosts fallen": run.fallen,
-        "CPU of a relay": f"{sum(run.cpu_s) / len(run.cpu_s) / seconds:.1%}",
+        "worth lost waiting": f"{run.observations.weighted_waiting_s / worth:.4%}",
+        "fresh host's peak intake, of its bound": f"{run.peak_intake_ratio:.0%}",
+        "hosts fallen": run.crashed_hosts,
+        "CPU of a relay": f"{sum(run.relay_cpu_s) / len(run.relay_cpu_s) / seconds:.1%}",
     }
 
 
@@ -54,16 +54,16 @@
     """The figures of a simulated run, which took ``took_s`` of real time."""
     counts = series.counts
     return {
-        **_common_figures(spec, series.ratio, series.set_ups, counts),
+        **_common_figures(spec, series.imbalance_ratios, series.setup_histograms, counts),
         "groups moved": counts["groups_moved"],
         "groups split by a move": counts["groups_split"],
         "clients moved more than once": counts["moved_twice"],
         "moved by the module": counts["relieved"],
         "refused": counts["refused"],
         "cut off": counts["cut"],
-        "worth lost waiting": f"{series.waited_worth / series.worth:.4%}",
-        "fresh host's peak intake, of its bound": f"{series.fresh_peak:.0%}",
-        "hosts fallen": series.fallen,
+        "worth lost waiting": f"{series.weighted_waiting_s / series.weighted_wanted_s:.4%}",
+        "fresh host's peak intake, of its bound": f"{series.peak_intake_ratio:.0%}",
+        "hosts fallen": series.crashed_hosts,
         "took s": round(took_s),
     }
 
--- a/sageturn/lab/sampling.py
+++ b/sageturn/lab/sampling.py
@@ -1,4 +1,4 @@
-"""Clients and their groups, drawn from one seed: the same spec gives the same population and arrivals."""
+"""Sample clients, groups and waiting times: the same fleet and seed give the same clients and arrivals."""
 
 from __future__ import annotations
 
@@ -6,68 +6,92 @@
 
 import numpy as np
 
-from sageturn.lab.fleet_spec import FleetSpec
+from sageturn.lab.fleet_spec import ClassSpec, FleetSpec
 
 
 @dataclass(slots=True)
 class Client:
+    """A client of the fleet over all of its connections.
+
+    ``class_index`` is an index into the fleet's classes. ``lifetime_s`` is the time for which it still wants
+    to be connected. ``waiting_since_s`` is when it first asked for the connection that it is waiting for, and
+    0 while it is connected or has not asked yet.
+    """
+
     key: str
-    cls: int  # its place in the spec's classes
+    class_index: int
     tenant: str
     group: str
     load: float
-    life_s: float
-    moves: int = 0
-    tries: int = 0
-    since_s: float = 0.0  # when it first asked to be served this time: it waits from then on
+    lifetime_s: float
+    migrations: int = 0
+    attempts: int = 0
+    waiting_since_s: float = 0.0
 
 
 class ClientSampler:
-    """``part``: of the population, as when each of many relays draws its own."""
+    """Samples clients of a fleet.
+
+    ``stream`` selects an independent random stream of the fleet's seed, as each simulated relay samples
+    its own arrivals. The order of the calls is part of the result: each takes numbers from the same stream.
+    """
 
     def __init__(self, spec: FleetSpec, stream: int = 0) -> None:
         self._spec = spec
         self._rng = np.random.Generator(np.random.PCG64([spec.seed, stream]))
-        self._stream, self._made = stream, 0
-        self._group, self._group_left, self._groups = "", 0, 0
-        self._open: list[tuple[str, str]] = []  # groups that newcomers may join, with their members
-        self._names = list(spec.members)
-        self._parts = np.array(list(spec.members.values()))
-        self._parts = self._parts / self._parts.sum()
-        self._shares = np.array([c.share for c in spec.classes])
-        self._shares = self._shares / self._shares.sum()
+        self._stream = stream
+        self._client_count = 0
+        self._group = ""
+        self._group_tenant = ""
+        self._group_places_left = 0
+        self._group_count = 0
+        self._tenants = list(spec.tenants)
+        tenant_weights = np.array(list(spec.tenants.values()))
+        self._tenant_probabilities = tenant_weights / tenant_weights.sum()
+        class_weights = np.array([class_spec.share for class_spec in spec.classes])
+        self._class_probabilities = class_weights / class_weights.sum()
 
     def uniform(self, low: float, high: float) -> float:
+        """Sample evenly from ``low`` up to ``high``."""
         return float(self._rng.uniform(low, high))
 
-    def below(self, end: int) -> int:
+    def index_below(self, end: int) -> int:
+        """Sample an integer from 0 up to ``end``, without ``end`` itself."""
         return int(self._rng.integers(end))
 
-    def wait_s(self, per_s: float) -> float:
-        """Until the next arrival of an open stream of them."""
-        return float(self._rng.exponential(1.0 / per_s)) if per_s > 0 else float("inf")
+    def interarrival_s(self, arrivals_per_s: float) -> float:
+        """Sample the time to the next arrival of a Poisson process; infinite for a rate of 0."""
+        return float(self._rng.exponential(1.0 / arrivals_per_s)) if arrivals_per_s > 0 else float("inf")
+
+    def reconnect_delay_s(self) -> float:
+        """Sample how long a client waits before it connects again."""
+        return self.uniform(*self._spec.reconnect_delay_ms) / 1000.0
 
     def client(self) -> Client:
-        spec = self._spec
-        number = int(self._rng.choice(len(spec.classes), p=self._shares))
-        cls = spec.classes[number]
-        self._made += 1
-        key = f"{self._stream:x}k{self._made:x}"
-        group, tenant = "", ""
-        if cls.grouped:
-            if not self._group_left:
-                low, high = spec.group_size
-                self._group_left = int(self._rng.integers(low, high + 1))
-                self._groups += 1
-                self._group = f"{self._stream:x}g{self._groups:x}"
-                self._tenant = self._names[int(self._rng.choice(len(self._names), p=self._parts))]
-            self._group_left -= 1
-            group, tenant = self._group, self._tenant
-        else:
-            tenant = self._names[int(self._rng.choice(len(self._names), p=self._parts))]
-        times = self.uniform(*cls.life)
-        life_s = float(self._rng.exponential(spec.life_s * times))
-        return Client(key, number, tenant, group, self.uniform(*cls.load), life_s)
-
-    def gap_s(self) -> float:
-        return self.uniform(*self._spec.gap_ms) / 1000.0
+        """Sample the next client; clients of a group are sampled one after another."""
+        class_index = int(self._rng.choice(len(self._spec.classes), p=self._class_probabilities))
+        class_spec = self._spec.classes[class_index]
+        self._client_count += 1
+        key = f"{self._stream:x}k{self._client_count:x}"
+        group, tenant = self._group_and_tenant(class_spec)
+        lifetime_factor = self.uniform(*class_spec.lifetime_factor)
+        lifetime_s = float(self._rng.exponential(self._spec.mean_lifetime_s * lifetime_factor))
+        return Client(key, class_index, tenant, group, self.uniform(*class_spec.load), lifetime_s)
+
+    def _group_and_tenant(self, class_spec: ClassSpec) -> tuple[str, str]:
+        if not class_spec.grouped:
+            return "", self._tenant()
+        if not self._group_places_left:
+            self._start_group()
+        self._group_places_left -= 1
+        return self._group, self._group_tenant
+
+    def _start_group(self) -> None:
+        smallest, largest = self._spec.group_size
+        self._group_places_left = int(self._rng.integers(smallest, largest + 1))
+        self._group_count += 1
+        self._group = f"{self._stream:x}g{self._group_count:x}"
+        self._group_tenant = self._tenant()
+
+    def _tenant(self) -> str:
+        return self._tenants[int(self._rng.choice(len(self._tenants), p=self._tenant_probabilities))]
--- a/sageturn/lab/scale/around.py
+++ b/sageturn/lab/scale/around.py
@@ -51,7 +51,7 @@
                 writer.write(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
                 writer.close()
             return
-        self.octets += len(json.dumps(self.whole()))
+        self.octets += len(json.dumps(self.full_list()))
         await super()._serve(reader, writer)
 
 
--- a/sageturn/lab/scale/plan.py
+++ b/sageturn/lab/scale/plan.py
@@ -9,7 +9,8 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from sageturn.lab.experiment import BadExperiment, Name, Positive
+from sageturn.lab.errors import InvalidExperimentError
+from sageturn.lab.experiment import Name, Positive
 
 MEMORY_MOST_GB = 12.0
 PROCESSES_MOST = 300
@@ -195,14 +196,14 @@
 
 
 def read_scale(file: Path) -> ScaleExperiment:
-    """TOML. Raises BadExperiment, which names the file and the key."""
+    """TOML. Raises InvalidExperimentError, which names the file and the key."""
     try:
         data = file.read_bytes()
     except OSError as error:
-        raise BadExperiment(f"{file}: {error.strerror}") from None
+        raise InvalidExperimentError(f"{file}: {error.strerror}") from None
     try:
         experiment = msgspec.toml.decode(data, type=ScaleExperiment)
         experiment.check()
     except (msgspec.DecodeError, msgspec.ValidationError, ValueError) as error:
-        raise BadExperiment(f"{file}: {error}") from None
+        raise InvalidExperimentError(f"{file}: {error}") from None
     return experiment
--- a/sageturn/lab/scale/play.py
+++ b/sageturn/lab/scale/play.py
@@ -24,7 +24,7 @@
 
 import numpy as np
 
-from sageturn.lab.loopback_runner import reserve_port
+from sageturn.lab.ports import reserve_port
 from sageturn.lab.scale import counting
 from sageturn.lab.scale.around import Clients, Hosts, ScaleDiscovery
 from sageturn.lab.scale.counting import Counts
--- a/sageturn/lab/scale/report.py
+++ b/sageturn/lab/scale/report.py
@@ -11,7 +11,7 @@
 
 import matplotlib.pyplot as plt  # noqa: E402  (the backend is chosen first: there is no screen)
 
-from sageturn.lab.runs import Results  # noqa: E402
+from sageturn.lab.result_file import Results  # noqa: E402
 from sageturn.lab.scale.results import fits, usable, value  # noqa: E402
 
 Line = dict[str, Any]
--- a/sageturn/lab/scale/results.py
+++ b/sageturn/lab/scale/results.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from sageturn.lab.runs import LIBRARIES, Results, library_version, revision
+from sageturn.lab.result_file import LIBRARIES, Results, library_version, revision
 from sageturn.lab.scale.fit import SIZES_LEAST, Fit, fit
 from sageturn.lab.scale.plan import ScaleExperiment, Size
 from sageturn.lab.scale.play import play
--- /dev/null
+++ b/sageturn/lab/session_store.py
@@ -0,0 +1,32 @@
+"""A model of the session store that each set-up calls."""
+
+from __future__ import annotations
+
+from sageturn.lab.endpoint_model import MAX_UTILIZATION
+from sageturn.lab.fleet_spec import FleetSpec
+
+IDLE_CALL_MS = 6.0
+CALL_RATE_SMOOTHING = 0.5  # weight of the latest step in the call rate
+
+
+class SessionStoreModel:
+    """The time of a call as a function of the call rate; a fleet may be without a store."""
+
+    def __init__(self, spec: FleetSpec) -> None:
+        # In a usual day the store serves a quarter of the calls that it is able to.
+        self._capacity_per_s = 4.0 * spec.arrivals_per_s * spec.store_headroom
+        self._calls_per_s = 0.0
+        self._backlog_s = 0.0
+
+    def record_calls(self, count: int, step_s: float) -> None:
+        """Take in the number of calls in a step."""
+        self._calls_per_s += CALL_RATE_SMOOTHING * (count / step_s - self._calls_per_s)
+
+    def advance(self, slowdown: float, step_s: float) -> float:
+        """Start a step, and return the time of a call in milliseconds; 0 without a store."""
+        if self._capacity_per_s <= 0:
+            return 0.0
+        utilization = self._calls_per_s / (self._capacity_per_s / slowdown)
+        self._backlog_s = max(0.0, self._backlog_s + (utilization - 1.0) * step_s)
+        queueing = 1.0 - min(MAX_UTILIZATION, utilization)
+        return IDLE_CALL_MS * slowdown / queueing + self._backlog_s * 1000.0
--- a/sageturn/lab/simulation.py
+++ b/sageturn/lab/simulation.py
@@ -1,93 +1,151 @@
-"""A fleet in simulated time, spread over processes; the result does not depend on how many there are.
+"""Simulate a fleet over several processes; the result does not depend on their number.
 
-Time goes in steps. Within one, every relay meets the hosts as they were at its start; between two, what all
-relays did is brought together: loads, intake, who fell over, and the clients that come again. Relays have
-random streams of their own and are brought together in their order, so only the spec decides what happens.
+Time advances in steps. Within a step each relay sees the hosts as they were at its start; between two steps
+the environment merges what all relays did: loads, intake, crashes, and the clients that connect again. Relays
+have random streams of their own and are merged in the order of their numbers, so that only the fleet and its
+seed decide what happens.
 """
 
 from __future__ import annotations
 
-import multiprocessing as mp
+import multiprocessing
 from collections.abc import Callable, Iterable, Iterator
 from contextlib import contextmanager
+from dataclasses import dataclass
 from multiprocessing.connection import Connection
+from typing import Protocol
 
-from sageturn.lab.environment import (
-    SimulatedEnvironment,
-    SimulationResult,
-    make_hosts,
-    server_line,
-    starting_homes,
-)
+from sageturn.lab.environment import SimulatedEnvironment
 from sageturn.lab.faults import ScheduledFault
+from sageturn.lab.fleet import InitialPlacement, describe_endpoint, make_hosts
 from sageturn.lab.fleet_spec import FleetSpec
-from sageturn.lab.simulated_relay import SimulatedRelay, StepResult
+from sageturn.lab.simulated_relay import SimulatedRelay
+from sageturn.lab.simulation_result import SimulationResult
+from sageturn.lab.simulation_steps import StepInput, StepResult
 from sageturn.rebalance.options import RebalanceOptions
 
 STEP_S = 0.5
+WORKER_EXIT_TIMEOUT_S = 5.0
 
+OnSecond = Callable[[float, SimulationResult], None]
+StepResults = dict[int, StepResult]
+PlannerStates = dict[int, dict[str, object]]
 
-class _Share:
-    """Some of the relays, in one process."""
 
-    def __init__(
-        self, spec: FleetSpec, numbers: list[int], mover: str, options: RebalanceOptions, policy: str
-    ) -> None:
-        self.relays = {n: SimulatedRelay(spec, n, mover, options, policy) for n in numbers}
+@dataclass(frozen=True, slots=True)
+class RelayVariant:
+    """How the relays of a run rebalance and decide; see ``SimulatedRelay``."""
+
+    mover: str
+    options: RebalanceOptions
+    policy: str
+
+
+class RelayShard:
+    """The relays of one process."""
+
+    def __init__(self, spec: FleetSpec, numbers: list[int], variant: RelayVariant) -> None:
+        self.relays = {
+            number: SimulatedRelay(spec, number, variant.mover, variant.options, variant.policy)
+            for number in numbers
+        }
         hosts = make_hosts(spec)
-        for n, relay in self.relays.items():
-            relay.listed([server_line(h) for h in hosts[: spec.early]])
-            homes = starting_homes(spec, hosts, spec.zone(n))
-            group, home = "", homes[0]
+        initial_endpoints = [describe_endpoint(host) for host in hosts[: spec.initial_hosts]]
+        for number, relay in self.relays.items():
+            relay.update_endpoints(initial_endpoints)
+            placement = InitialPlacement(spec, hosts)
             for _ in range(spec.connections // spec.relays):
-                client = relay.draws.client()
-                if not client.group or client.group != group:
-                    home = homes[relay.draws.below(len(homes))]
-                group = client.group or group
-                relay.stands(client, home.name)
-
-    def step(self, order: tuple) -> dict[int, StepResult]:  # type: ignore[type-arg]
-        until_s, met, returns, orders = order
+                client = relay.sampler.client()
+                relay.adopt_connection(client, placement.place(client, spec.zone(number), relay.sampler))
+
+    def step(self, step_input: StepInput) -> StepResults:
+        """Step all relays."""
         results = {}
-        for n, relay in self.relays.items():
-            for told in orders:
-                relay.obey(told)
-            for due_s, client in returns.get(n, ()):
-                relay.arrive(due_s, client)
-            results[n] = relay.step(until_s, met)
+        for number, relay in self.relays.items():
+            for instruction in step_input.instructions:
+                relay.follow_instruction(instruction)
+            for due_s, client in step_input.reconnects.get(number, ()):
+                relay.schedule_request(due_s, client)
+            results[number] = relay.step(step_input.until_s, step_input.conditions)
         return results
 
-    def states(self) -> dict[int, dict[str, object]]:
-        return {n: relay.state() for n, relay in self.relays.items()}
+    def planner_states(self) -> PlannerStates:
+        """The planners' states by relay."""
+        return {number: relay.planner_state() for number, relay in self.relays.items()}
+
+
+class RelayExecutor(Protocol):
+    """Steps all relays of a fleet."""
+
+    def step(self, step_input: StepInput) -> StepResults:
+        """Step all relays, and return their results."""
+
+    def planner_states(self) -> PlannerStates:
+        """The planners' states; no step follows."""
+
+
+@dataclass(frozen=True, slots=True)
+class _Worker:
+    pipe: Connection
+    relays: list[int]
 
 
-def _work(
-    pipe: Connection, spec: FleetSpec, numbers: list[int], mover: str, options: RebalanceOptions, policy: str
-) -> None:
-    share = _Share(spec, numbers, mover, options, policy)
-    while (order := pipe.recv()) is not None:
-        pipe.send(share.step(order))
-    pipe.send(share.states())
+class WorkerPool:
+    """Steps the relays in several processes, each with a shard of them."""
+
+    def __init__(self, workers: list[_Worker]) -> None:
+        self._workers = workers
+
+    def step(self, step_input: StepInput) -> StepResults:
+        """Step all relays, each process with the reconnects of its own relays."""
+        for worker in self._workers:
+            reconnects = {
+                number: step_input.reconnects[number]
+                for number in worker.relays
+                if number in step_input.reconnects
+            }
+            worker.pipe.send(
+                StepInput(step_input.until_s, step_input.conditions, reconnects, step_input.instructions)
+            )
+        results: StepResults = {}
+        for worker in self._workers:
+            results.update(worker.pipe.recv())
+        return results
+
+    def planner_states(self) -> PlannerStates:
+        """End the processes, which return their planners' states."""
+        for worker in self._workers:
+            worker.pipe.send(None)
+        states: PlannerStates = {}
+        for worker in self._workers:
+            states.update(worker.pipe.recv())
+        return states
+
+
+def _run_worker(pipe: Connection, spec: FleetSpec, numbers: list[int], variant: RelayVariant) -> None:
+    shard = RelayShard(spec, numbers, variant)
+    while (step_input := pipe.recv()) is not None:
+        pipe.send(shard.step(step_input))
+    pipe.send(shard.planner_states())
 
 
 @contextmanager
-def _workers(
-    spec: FleetSpec, mover: str, options: RebalanceOptions, policy: str, processes: int
-) -> Iterator[list[tuple[Connection, list[int]]]]:
-    context = mp.get_context("spawn")
-    running, pipes = [], []
-    for k in range(processes):
-        numbers = list(range(k, spec.relays, processes))
-        ours, theirs = context.Pipe()
-        process = context.Process(target=_work, args=(theirs, spec, numbers, mover, options, policy))
+def _worker_pool(spec: FleetSpec, variant: RelayVariant, process_count: int) -> Iterator[WorkerPool]:
+    context = multiprocessing.get_context("spawn")
+    processes = []
+    workers = []
+    for index in range(process_count):
+        numbers = list(range(index, spec.relays, process_count))
+        pipe, worker_pipe = context.Pipe()
+        process = context.Process(target=_run_worker, args=(worker_pipe, spec, numbers, variant))
         process.start()
-        running.append(process)
-        pipes.append((ours, numbers))
+        processes.append(process)
+        workers.append(_Worker(pipe, numbers))
     try:
-        yield pipes
+        yield WorkerPool(workers)
     finally:
-        for process in running:
-            process.join(5.0)
+        for process in processes:
+            process.join(WORKER_EXIT_TIMEOUT_S)
             if process.is_alive():
                 process.kill()
 
@@ -98,38 +156,30 @@
     options: RebalanceOptions,
     seconds: float,
     processes: int = 1,
-    progress: Callable[[float, SimulationResult], None] | None = None,
-    troubles: Iterable[ScheduledFault] = (),
+    progress: OnSecond | None = None,
+    faults: Iterable[ScheduledFault] = (),
     policy: str = "",
 ) -> SimulationResult:
-    """Plays ``seconds`` of the spec with ``mover`` off, naive or on, and with ``policy``'s text."""
-    world = SimulatedEnvironment(spec, troubles, STEP_S)
+    """Simulate ``seconds`` of a fleet with its scheduled faults.
+
+    ``mover`` is "off", "naive" or "on"; ``policy`` is the text of a decision module, and empty for the
+    present one. ``progress`` is called each simulated second.
+    """
+    environment = SimulatedEnvironment(spec, faults, STEP_S)
+    variant = RelayVariant(mover, options, policy)
     if processes <= 1:
-        share = _Share(spec, list(range(spec.relays)), mover, options, policy)
-        while world.now_s < seconds:
-            met, returns, orders = world.begin()
-            world.end(share.step((world.now_s + STEP_S, met, returns, orders)))
-            _tell(world, progress)
-        world.series.states = share.states()
-        return world.finish()
-    with _workers(spec, mover, options, policy, processes) as pipes:
-        while world.now_s < seconds:
-            met, returns, orders = world.begin()
-            for pipe, numbers in pipes:
-                mine = {n: returns[n] for n in numbers if n in returns}
-                pipe.send((world.now_s + STEP_S, met, mine, orders))
-            results: dict[int, StepResult] = {}
-            for pipe, _ in pipes:
-                results.update(pipe.recv())
-            world.end(results)
-            _tell(world, progress)
-        for pipe, _ in pipes:
-            pipe.send(None)
-        for pipe, _ in pipes:
-            world.series.states.update(pipe.recv())
-    return world.finish()
-
-
-def _tell(world: SimulatedEnvironment, progress: Callable[[float, SimulationResult], None] | None) -> None:
-    if progress is not None and world.now_s == int(world.now_s):
-        progress(world.now_s, world.series)
+        shard = RelayShard(spec, list(range(spec.relays)), variant)
+        return _run(environment, shard, seconds, progress)
+    with _worker_pool(spec, variant, processes) as pool:
+        return _run(environment, pool, seconds, progress)
+
+
+def _run(
+    environment: SimulatedEnvironment, relays: RelayExecutor, seconds: float, on_second: OnSecond | None
+) -> SimulationResult:
+    while environment.now_s < seconds:
+        environment.finish_step(relays.step(environment.start_step()))
+        if on_second is not None and environment.now_s == int(environment.now_s):
+            on_second(environment.now_s, environment.result)
+    environment.result.planner_states = relays.planner_states()
+    return environment.finish()
--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -1,4 +1,4 @@
-"""The lab's own parts: what its hosts do, and that its runs say the same each time."""
+"""The lab's own parts: its model of a host, simulations, experiments, comparisons and searches."""
 
 from __future__ import annotations
 
@@ -16,51 +16,60 @@
 from sageturn.decision import balancer, fleet
 from sageturn.lab.compare import compare, difference
 from sageturn.lab.endpoint_model import EndpointModel
-from sageturn.lab.environment import SimulatedEnvironment, SimulationResult
-from sageturn.lab.experiment import BadExperiment, Scenario, Size, read_experiment
+from sageturn.lab.environment import ratio_answered_in_time
+from sageturn.lab.errors import (
+    InvalidExperimentError,
+    PolicyNotFoundError,
+    ResultsMismatchError,
+    UnknownParameterError,
+)
+from sageturn.lab.experiment import Scenario, Size, read_experiment
+from sageturn.lab.experiment_runner import run_experiment
 from sageturn.lab.faults import FAULT_KINDS, ScheduledFault
+from sageturn.lab.fleet import make_hosts
 from sageturn.lab.fleet_spec import FleetSpec
 from sageturn.lab.loopback_runner import deployed
 from sageturn.lab.policy import POLICY_MODULES, load_policy, read_policy
 from sageturn.lab.report import markdown, page
-from sageturn.lab.runs import Line, Results
-from sageturn.lab.runs import run as run_experiment
-from sageturn.lab.search import Point, breaks_at, shrink, turned
+from sageturn.lab.result_file import Line, Results
+from sageturn.lab.scenario_shrinking import shrink
+from sageturn.lab.search import Point, find_crossing, set_parameter
 from sageturn.lab.simulation import simulate
+from sageturn.lab.simulation_result import SimulationResult
 from sageturn.rebalance.options import RebalanceOptions
 
-SMALL = FleetSpec(relays=3, hosts=6, early=4, connections=300, life_s=300.0, join_s=5.0)
+SMALL = FleetSpec(relays=3, hosts=6, initial_hosts=4, connections=300, mean_lifetime_s=300.0, join_s=5.0)
 
 
-def host(**more: float) -> EndpointModel:
-    return EndpointModel("h", "k", 1.0, 100.0, usual_load=1.0, **more)  # type: ignore[arg-type]
+def make_host(**fields: float) -> EndpointModel:
+    return EndpointModel("h", "k", 1.0, 100.0, mean_load=1.0, **fields)  # type: ignore[arg-type]
 
 
 def test_a_host_slows_as_it_fills_and_pays_once_for_a_group() -> None:
-    full = host()
-    idle_ms = full.set_up_takes_ms(0.0)
+    host = make_host()
+    idle_ms = host.setup_time_ms(0.0)
     for _ in range(40):
-        full.add(1.0, "")
-    assert full.set_up_takes_ms(0.0) > 1.5 * idle_ms
+        host.add_connection(1.0, "")
+    assert host.setup_time_ms(0.0) > 1.5 * idle_ms
     for _ in range(4):
-        full.add(1.0, "g")
-    assert full.held() == 44.0 + 1.5 and full.groups == 1
+        host.add_connection(1.0, "g")
+    assert host.total_load() == 44.0 + 1.5 and host.group_count == 1
     for _ in range(4):
-        full.remove(1.0, "g")
-    assert full.held() == 40.0
+        host.remove_connection(1.0, "g")
+    assert host.total_load() == 40.0
     for _ in range(60):
-        full.add(1.0, "")
-    assert not full.admits(0.0, 1.0) and not full.fallen
+        host.add_connection(1.0, "")
+    assert not host.admit(0.0, 1.0) and not host.crashed
 
 
-def test_a_cold_host_falls_over_when_it_is_sent_too_much_and_only_then() -> None:
+def test_a_cold_host_crashes_when_it_is_sent_too_much_and_only_then() -> None:
     # 100 over 24 s is its pace; at a start of 12% it may be sent four times 0.5 a second, over 3 s.
-    pushed, spared = host(started_s=0.0), host(started_s=0.0)
+    overloaded, spared = make_host(started_s=0.0), make_host(started_s=0.0)
     for k in range(30):
-        pushed.admits(0.1 + k * 0.05, 1.0)
-        spared.admits(0.1 + k * 0.6, 1.0)
-    assert pushed.fallen and not spared.fallen and spared.peak_part < 1.0
-    assert not pushed.admits(60.0, 1.0), "it stays down"
+        overloaded.admit(0.1 + k * 0.05, 1.0)
+        spared.admit(0.1 + k * 0.6, 1.0)
+    assert overloaded.crashed and not spared.crashed and spared.peak_intake_ratio < 1.0
+    assert not overloaded.admit(60.0, 1.0), "it stays down"
 
 
 def run(mover: str, processes: int = 1, seconds: float = 150.0, spec: FleetSpec = SMALL) -> SimulationResult:
@@ -68,30 +77,36 @@
     return simulate(spec, mover, options, seconds, processes)
 
 
-def test_a_simulation_does_not_depend_on_how_many_processes_play_it() -> None:
+def setup_counts(result: SimulationResult) -> list[int]:
+    return [histogram.get_total_count() for histogram in result.setup_histograms]
+
+
+def test_a_simulation_does_not_depend_on_its_number_of_processes() -> None:
     one, three = run("on", 1, 60.0), run("on", 3, 60.0)
-    assert one.ratio == three.ratio and one.counts == three.counts
-    assert [h.get_total_count() for h in one.set_ups] == [h.get_total_count() for h in three.set_ups]
-    assert run("on", 1, 60.0, replace(SMALL, seed=2)).ratio != one.ratio
+    assert one.imbalance_ratios == three.imbalance_ratios and one.counts == three.counts
+    assert setup_counts(one) == setup_counts(three)
+    assert run("on", 1, 60.0, replace(SMALL, seed=2)).imbalance_ratios != one.imbalance_ratios
 
 
 def test_the_planner_balances_a_small_fleet_and_keeps_its_promises() -> None:
     off, on = run("off", 1), run("on", 1)
-    assert sum(on.ratio[-20:]) < sum(off.ratio[-20:]) - 20 * 0.1
+    assert sum(on.imbalance_ratios[-20:]) < sum(off.imbalance_ratios[-20:]) - 20 * 0.1
     assert on.counts["moved"] > 0 and off.counts["moved"] == 0
-    assert on.counts["groups_split"] == on.counts["checkin_moved"] == on.fallen == 0
-    assert on.fresh_peak < 1.0
+    assert on.counts["groups_split"] == on.counts["checkin_moved"] == on.crashed_hosts == 0
+    assert on.peak_intake_ratio < 1.0
 
 
-def test_real_relays_stand_between_the_stand_ins() -> None:
+def test_real_relays_run_between_the_fakes() -> None:
     async def go() -> None:
-        spec = FleetSpec(relays=2, hosts=3, early=2, connections=60, life_s=20.0, join_s=0.5)
+        spec = FleetSpec(relays=2, hosts=3, initial_hosts=2, connections=60, mean_lifetime_s=20.0, join_s=0.5)
         async with deployed(spec, "on", {"tick_s": 0.1}) as deployment:
-            played = await deployment.play(2.0)
-        assert played.syntax == 0 and played.fallen == 0
-        assert played.seen.counts["set_up"] > 0 and played.samples[-1].standing > 30
-        assert played.seen.counts["error"] == played.seen.counts["unanswered"] == 0
-        assert all(state["mode"] == "on" for state in played.states)
+            result = await deployment.run(2.0)
+        counts = result.observations.counts
+        assert result.malformed_requests == 0 and result.crashed_hosts == 0
+        assert counts["set_up"] > 0 and result.samples[-1].established > 30
+        assert counts["error"] == counts["unanswered"] == 0
+        assert len(result.planner_states) == 2
+        assert all(state["mode"] == "on" for state in result.planner_states)
 
     asyncio.run(asyncio.wait_for(go(), 40))
 
@@ -99,47 +114,47 @@
 # ---------------------------------------------------------------- days, experiments, comparisons
 
 
-def day(*troubles: ScheduledFault, seconds: float = 40.0, seed: int = 1, **more: object) -> SimulationResult:
-    size = Size(connections=300, hosts=6, relays=2, room=2.4, **more)  # type: ignore[arg-type]
-    spec = size.spec(seed)
-    return simulate(spec, "off", RebalanceOptions(), seconds, troubles=troubles)
+def simulate_day(*faults: ScheduledFault, seconds: float = 40.0, seed: int = 1) -> SimulationResult:
+    spec = Size(connections=300, hosts=6, relays=2, capacity_ratio=2.4).spec(seed)
+    return simulate(spec, "off", RebalanceOptions(), seconds, faults=faults)
 
 
 @pytest.mark.parametrize("kind", list(FAULT_KINDS))
-def test_each_trouble_does_harm_of_its_own_and_is_over(kind: str) -> None:
-    calm = day()
-    struck = day(ScheduledFault(kind, 10.0, 8.0, 0.5, 4.0))
-    seen = struck.counts
-    assert struck.wanted[4] == calm.wanted[4], "nothing is seen of it before it begins"
+def test_each_fault_does_harm_of_its_own_and_is_over(kind: str) -> None:
+    calm = simulate_day()
+    faulty = simulate_day(ScheduledFault(kind, 10.0, 8.0, 0.5, 4.0))
+    counts = faulty.counts
+    assert faulty.wanted[4] == calm.wanted[4], "nothing is seen of it before it begins"
     if kind == "slow":
-        assert struck.service() < calm.service() - 0.02
+        assert faulty.service() < calm.service() - 0.02
     elif kind == "store":
-        assert sum(seen[f"late_{c}"] for c in ("departures", "guest-checkin")) > 0 or seen["refused"] > 0
+        assert sum(counts[f"late_{c}"] for c in ("departures", "guest-checkin")) > 0 or counts["refused"] > 0
     elif kind in ("burst", "beyond"):
         # Four times the arrivals for a fifth of the day, of all clients or of a member with 27% of them.
-        assert seen["asked"] > calm.counts["asked"] * (1.3 if kind == "burst" else 1.08)
+        assert counts["asked"] > calm.counts["asked"] * (1.3 if kind == "burst" else 1.08)
     elif kind == "reconnect":
-        assert seen["dropped"] > 80
+        assert counts["dropped"] > 80
     elif kind in ("vanish", "restart", "relays"):
-        assert seen["cut"] > 50
+        assert counts["cut"] > 50
     elif kind == "drain":
-        assert seen["cut"] < 50 and struck.fills[-1].count(-1.0) == 3
+        assert counts["cut"] < 50 and faulty.utilizations[-1].count(-1.0) == 3
     else:
-        assert seen["asked"] >= calm.counts["asked"] * 0.9
-    assert sum(struck.wanted[-1]) > 0.7 * sum(struck.wanted[5])
+        assert counts["asked"] >= calm.counts["asked"] * 0.9
+    assert sum(faulty.wanted[-1]) > 0.7 * sum(faulty.wanted[5])
 
 
 def test_message_times_are_those_of_a_queue() -> None:
     # M/M/1: a message stays longer than t with the chance exp(-(1 - load) t / service time).
-    world = SimulatedEnvironment(replace(FleetSpec(), early=12, join_s=1e9), (), 0.5)
-    some = next(iter(world.hosts.values()))
-    some.add(some.capacity / 2.0, "")
-    parts = world._in_time(some, 0.0)
-    cls = world.spec.classes[1]
-    assert parts[1][0] == pytest.approx(1.0 - exp(-0.5 * cls.message_ms / (6.0 / some.size)))
-    some.add(some.capacity, "")
-    some.pile_up(0.5, 0.5)
-    assert some.piled_s == pytest.approx(0.25) and world._in_time(some, 0.5)[1][0] == 0.0
+    spec = FleetSpec(initial_hosts=12, join_s=1e9)
+    host = make_hosts(spec)[0]
+    host.add_connection(host.capacity / 2.0, "")
+    ratios = ratio_answered_in_time(spec.classes, host, 0.0)
+    objective_ms = spec.classes[1].message_objective_ms
+    assert ratios[1][0] == pytest.approx(1.0 - exp(-0.5 * objective_ms / (6.0 / host.size)))
+    host.add_connection(host.capacity, "")
+    host.update_backlog(0.5, 0.5)
+    assert host.backlog_s == pytest.approx(0.25)
+    assert ratio_answered_in_time(spec.classes, host, 0.5)[1][0] == 0.0
 
 
 EXPERIMENT = """
@@ -158,7 +173,7 @@
 """
 
 
-def written(folder: Path, old: str = "", new: str = "") -> Path:
+def write_experiment(folder: Path, old: str = "", new: str = "") -> Path:
     file = folder / "two.toml"
     file.write_text(EXPERIMENT.replace(old, new) if old else EXPERIMENT)
     return file
@@ -180,12 +195,12 @@
     ],
 )
 def test_a_bad_experiment_names_its_key(tmp_path: Path, old: str, new: str, key: str) -> None:
-    with pytest.raises(BadExperiment, match=key):
-        read_experiment(written(tmp_path, old, new))
+    with pytest.raises(InvalidExperimentError, match=key):
+        read_experiment(write_experiment(tmp_path, old, new))
 
 
-def test_an_interrupted_run_leaves_whole_results_and_goes_on(tmp_path: Path) -> None:
-    experiment, out = read_experiment(written(tmp_path)), tmp_path / "out.jsonl"
+def test_an_interrupted_experiment_leaves_complete_results_and_continues(tmp_path: Path) -> None:
+    experiment, out = read_experiment(write_experiment(tmp_path)), tmp_path / "out.jsonl"
 
     def stop(line: Line, number: int, total: int) -> None:
         if number == 2:
@@ -204,7 +219,7 @@
     assert gap.mean == 0.0 and not gap.settled and slow.scenario == "slow"
     assert "| slow | present | 2 |" in markdown(results) and "data:image/png" in page(results)
     other = msgspec.structs.replace(experiment, seeds=(7,))
-    with pytest.raises(ValueError, match="another experiment"):
+    with pytest.raises(ResultsMismatchError, match="another experiment"):
         run_experiment(other, out, tmp_path, 1, lambda *_: None)
 
 
@@ -214,12 +229,12 @@
     clear = difference("m", "", np.column_stack([base, base + 0.02 + rng.normal(0, 0.01, 40)]))
     assert clear.settled and clear.low < 0.02 < clear.high
     noise = difference("m", "", np.column_stack([base, base + rng.normal(0, 0.05, 40)]))
-    assert not noise.settled and noise.more_pairs > 40
+    assert not noise.settled and noise.needed_pairs > 40
     few = difference("m", "", np.column_stack([base[:3], base[:3] + [0.01, 0.0, 0.02]]))
     assert few.low < 0.0 < few.high, "three days settle little"
 
 
-def test_a_policy_from_a_file_is_played(tmp_path: Path) -> None:
+def test_a_policy_is_loaded_from_a_file(tmp_path: Path) -> None:
     text = Path(balancer.__file__).read_text()
     other_text = text.replace("MIN_RETRY_AFTER_MS = 100.0", "MIN_RETRY_AFTER_MS = 200.0")
     assert other_text != text
@@ -227,7 +242,7 @@
     other = load_policy(read_policy("other.py", tmp_path))
     assert other is not balancer.Balancer and other.handle is not balancer.Balancer.handle
     assert other.handle.__globals__["MIN_RETRY_AFTER_MS"] == 200.0
-    with pytest.raises(ValueError, match="gone.py"):
+    with pytest.raises(PolicyNotFoundError, match="gone.py"):
         read_policy("gone.py", tmp_path)
 
 
@@ -238,7 +253,7 @@
     other = load_policy(read_policy("policy", tmp_path))
     used = other.handle.__globals__["Fleet"]
     (tmp_path / "empty").mkdir()
-    with pytest.raises(ValueError, match="holds none of"):
+    with pytest.raises(PolicyNotFoundError, match="holds none of"):
         read_policy("empty", tmp_path)
     assert used is not fleet.Fleet and used.record_failure.__globals__["EJECTION_MS"] == 9.0
     assert fleet.EJECTION_MS == 1500.0 and sys.modules["sageturn.decision.fleet"] is fleet
@@ -250,21 +265,22 @@
     assert sorted(policy) == sorted(f"sageturn/decision/{module}.py" for module in POLICY_MODULES)
 
 
-def test_a_sweep_finds_where_it_breaks_and_a_hunt_makes_days_small() -> None:
+def test_a_sweep_finds_a_crossing_and_a_hunt_shrinks_scenarios() -> None:
     points = [Point(v, 1.0 - v) for v in (0.0, 0.4, 0.8)]
-    at = breaks_at(points, 0.5, lambda v: 1.0 - v)
-    assert at == pytest.approx(0.5, abs=0.01) and breaks_at(points, 2.0, lambda v: 0.0) is None
+    crossing = find_crossing(points, 0.5, lambda v: 1.0 - v)
+    assert crossing == pytest.approx(0.5, abs=0.01)
+    assert find_crossing(points, 2.0, lambda v: 0.0) is None
     guilty = ScheduledFault("slow", 5.0, 16.0, 0.4, 4.0)
     whole = Scenario(
         "d", Size(), 40.0, (ScheduledFault("burst", 1.0, 5.0), guilty, ScheduledFault("flap", 1.0, 5.0))
     )
 
-    def loses(day: Scenario) -> float:
-        return max((t.length_s / 16.0 for t in day.troubles if t.kind == "slow"), default=0.0)
+    def loss_of(day: Scenario) -> float:
+        return max((fault.length_s / 16.0 for fault in day.faults if fault.kind == "slow"), default=0.0)
 
-    small = shrink(whole, loses, 0.5, lambda told: None)
-    (left,) = small.troubles
+    shrunk = shrink(whole, loss_of, 0.5, lambda line: None)
+    (left,) = shrunk.faults
     assert left.kind == "slow" and left.length_s == 8.0 and left.strength < 4.0
-    assert turned(whole, "strength", 2.0).troubles[0].strength == 2.0
-    with pytest.raises(ValueError, match="nonsense"):
-        turned(whole, "nonsense", 1.0)
+    assert set_parameter(whole, "strength", 2.0).faults[0].strength == 2.0
+    with pytest.raises(UnknownParameterError, match="nonsense"):
+        set_parameter(whole, "nonsense", 1.0)
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -22,8 +22,8 @@
 from typer.testing import CliRunner
 
 from sageturn.cli.main import app
-from sageturn.lab.experiment import BadExperiment
-from sageturn.lab.runs import Results
+from sageturn.lab.errors import InvalidExperimentError
+from sageturn.lab.result_file import Results
 from sageturn.lab.scale import costs, counting, members
 from sageturn.lab.scale.counting import CountingSocket, Counts, owned
 from sageturn.lab.scale.digests import LinkOptions
@@ -81,17 +81,17 @@
 def test_a_fault_in_an_experiment_names_its_file_and_key(tmp_path: Path, text: str, named: str) -> None:
     file = tmp_path / "x.toml"
     file.write_text(text, encoding="utf-8")
-    with pytest.raises(BadExperiment) as error:
+    with pytest.raises(InvalidExperimentError) as error:
         read_scale(file)
     said = str(error.value)
     assert said.startswith(str(file)) and named in said
 
 
 def test_a_file_that_is_not_there_and_one_that_is_no_toml_are_told(tmp_path: Path) -> None:
-    with pytest.raises(BadExperiment, match="No such file"):
+    with pytest.raises(InvalidExperimentError, match="No such file"):
         read_scale(tmp_path / "none.toml")
     (tmp_path / "bad.toml").write_text("name = ")
-    with pytest.raises(BadExperiment, match="bad.toml"):
+    with pytest.raises(InvalidExperimentError, match="bad.toml"):
         read_scale(tmp_path / "bad.toml")
 
 
