--- a/sageturn/cli/lab.py
+++ b/sageturn/cli/lab.py
@@ -1,4 +1,7 @@
-"""``sageturn lab``: experiments, comparisons and searches in simulated time."""
+"""``sageturn lab``: experiments, comparisons and searches in simulated time.
+
+The docstrings of the commands and the ``help`` texts are what users read in the command's help.
+"""
 
 from __future__ import annotations
 
@@ -23,7 +26,7 @@
 from sageturn.lab.policy import read_policy
 from sageturn.lab.result_file import Line, Results
 from sageturn.lab.scenario_shrinking import describe
-from sageturn.lab.search import Point, find_crossing, write_scenario
+from sageturn.lab.search import find_crossing, write_scenario
 from sageturn.lab.search import hunt as hunt_scenarios
 from sageturn.lab.search import sweep as sweep_values
 
@@ -31,11 +34,11 @@
 
 ExperimentFile = Annotated[Path, typer.Argument(help="An experiment, in TOML or JSON.")]
 ResultsFile = Annotated[Path, typer.Argument(help="Results, as `run` wrote them.")]
-Processes = Annotated[int, typer.Option(help="Runs at once.")]
-Metric = Annotated[str, typer.Option(help="Of each run's metrics.")]
-DEFAULT_PROCESSES = max(1, (os.cpu_count() or 2) - 1)
-PLAIN_OUTPUT_WIDTH = 170  # characters, where the output is no terminal
-REPORTED_SCENARIOS = 8
+ProcessCount = Annotated[int, typer.Option(help="Runs at once.")]
+MetricName = Annotated[str, typer.Option(help="Of each run's metrics.")]
+DEFAULT_PROCESSES = max(1, (os.cpu_count() or 2) - 1)  # one core stays free
+REPORTED_SCENARIOS = 8  # of a hunt
+UNATTENDED_WIDTH = 170  # columns of a table that goes to a file or a pipe
 
 
 def _read_experiment(file: Path) -> Experiment:
@@ -53,6 +56,7 @@
 
 
 def _find_variant(experiment: Experiment, name: str) -> Variant:
+    """The variant of this name; the first for an empty name."""
     for variant in experiment.variants:
         if not name or variant.name == name:
             return variant
@@ -60,6 +64,7 @@
 
 
 def _find_scenario(experiment: Experiment, name: str) -> Scenario:
+    """The scenario of this name; the first for an empty name."""
     for scenario in experiment.scenarios:
         if not name or scenario.name == name:
             return scenario
@@ -67,29 +72,30 @@
 
 
 def _print_table(rows: list[list[str]], title: str = "") -> None:
+    """Print rows of cells; the first has the columns' names."""
     table = Table(*rows[0], title=title or None, box=None)
     for row in rows[1:]:
         table.add_row(*row)
-    Console(width=None if os.isatty(1) else PLAIN_OUTPUT_WIDTH).print(table)
+    Console(width=None if os.isatty(1) else UNATTENDED_WIDTH).print(table)
 
 
 @app.command()
 def run(
     file: ExperimentFile,
     out: Annotated[Path, typer.Option(help="Where results go; what is there already is not played again.")],
-    processes: Processes = DEFAULT_PROCESSES,
+    processes: ProcessCount = DEFAULT_PROCESSES,
 ) -> None:
     """Play an experiment: every scenario, seed and variant."""
     experiment = _read_experiment(file)
     with Progress(console=Console(stderr=True)) as progress:
         task = progress.add_task(experiment.name, total=None)
 
-        def on_run(line: Line, number: int, total: int) -> None:
+        def on_run_finished(line: Line, number: int, total: int) -> None:
             description = f"{line['scenario']} {line['variant']} goal {line['metrics']['goal']:.3f}"
             progress.update(task, completed=number, total=total, description=description)
 
         try:
-            results = run_experiment(experiment, out, Path.cwd(), processes, on_run)
+            results = run_experiment(experiment, out, Path.cwd(), processes, on_run_finished)
         except ValueError as error:
             fail(ExitCode.USAGE, str(error))
     print(f"{len(results.runs)} runs in {out}")
@@ -97,19 +103,19 @@
 
 @app.command()
 def compare(
-    results: ResultsFile, first: str, second: str, metric: Metric = "goal", as_json: AsJson = False
+    results: ResultsFile, first: str, second: str, metric: MetricName = "goal", as_json: AsJson = False
 ) -> None:
     """The difference that `second` makes against `first`, on the same days, with its interval."""
-    found = _read_results(results)
     try:
-        differences = compare_variants(found, first, second, metric)
+        differences = compare_variants(_read_results(results), first, second, metric)
     except (ValueError, KeyError) as error:
         fail(ExitCode.NOT_FOUND, str(error))
     if as_json:
         print(json.dumps([_encode_difference(difference) for difference in differences]))
         return
-    header = ["scenario", "pairs", first, second, "difference", "95% interval", ""]
-    _print_table([header, *(_difference_row(difference) for difference in differences)], metric)
+    rows = [["scenario", "pairs", first, second, "difference", "95% interval", ""]]
+    rows += [_difference_row(difference) for difference in differences]
+    _print_table(rows, metric)
 
 
 def _encode_difference(difference: Difference) -> dict[str, Any]:
@@ -146,33 +152,31 @@
     values: Annotated[str, typer.Option(help="Numbers with commas between.")],
     scenario: str = "",
     variant: str = "",
-    metric: Metric = "service",
+    metric: MetricName = "service",
     bound: float = 0.9,
-    processes: Processes = DEFAULT_PROCESSES,
+    processes: ProcessCount = DEFAULT_PROCESSES,
     as_json: AsJson = False,
 ) -> None:
     """Where a metric breaks as one knob is turned."""
     experiment = _read_experiment(file)
-    chosen_scenario = _find_scenario(experiment, scenario)
-    chosen_variant = _find_variant(experiment, variant)
+    played = _find_scenario(experiment, scenario)
+    tried = _find_variant(experiment, variant)
     try:
         numbers = [float(text) for text in values.split(",")]
-        policy = read_policy(chosen_variant.policy, Path.cwd())
-
-        def measure(values: list[float], processes: int) -> list[Point]:
-            return sweep_values(
-                chosen_scenario, chosen_variant, policy, experiment.seeds, knob, values, metric, processes
-            )
-
-        points = measure(numbers, processes)
+        policy = read_policy(tried.policy, Path.cwd())
+        points = sweep_values(played, tried, policy, experiment.seeds, knob, numbers, metric, processes)
     except ValueError as error:
         fail(ExitCode.USAGE, str(error))
-    crossing = find_crossing(points, bound, lambda value: measure([value], 1)[0].metric)
+
+    def measure(value: float) -> float:
+        measured = sweep_values(played, tried, policy, experiment.seeds, knob, [value], metric, 1)
+        return measured[0].metric
+
+    crossing = find_crossing(points, bound, measure)
     if as_json:
         print(json.dumps({"points": [[p.value, p.metric] for p in points], "breaks_at": crossing}))
         return
-    rows = [[f"{point.value:g}", f"{point.metric:.4f}"] for point in points]
-    _print_table([[knob, metric], *rows], chosen_scenario.name)
+    _print_table([[knob, metric], *([f"{p.value:g}", f"{p.metric:.4f}"] for p in points)], played.name)
     if crossing is None:
         print(f"{metric} does not cross {bound:g}")
     else:
@@ -186,24 +190,24 @@
     days: int = 40,
     seed: int = 1,
     variant: str = "",
-    metric: Metric = "goal",
-    processes: Processes = DEFAULT_PROCESSES,
+    metric: MetricName = "goal",
+    processes: ProcessCount = DEFAULT_PROCESSES,
 ) -> None:
     """Draw days, find those that hurt most, and shrink the worst to a file of its own."""
     experiment = _read_experiment(file)
-    chosen_variant = _find_variant(experiment, variant)
-    base = experiment.scenarios[0]
-    policy = read_policy(chosen_variant.policy, Path.cwd())
+    tried = _find_variant(experiment, variant)
+    scenario = experiment.scenarios[0]
+    policy = read_policy(tried.policy, Path.cwd())
     found = hunt_scenarios(
-        base.size, base.seconds, chosen_variant, policy, days, seed, metric, processes, print
+        scenario.size, scenario.seconds, tried, policy, days, seed, metric, processes, print
     )
-    worst = found[0]
-    why = f"found by hunting {days} days of seed {seed}: loses {worst.loss:.3f} of {metric}"
-    why += " against a calm day"
-    write_scenario(out, worst.scenario, chosen_variant, seed, why)
+    worst = found[0].scenario
+    loss = found[0].loss
+    why = f"found by hunting {days} days of seed {seed}: loses {loss:.3f} of {metric} against a calm day"
+    write_scenario(out, worst, tried, seed, why)
     rows = [[f"{each.loss:.3f}", describe(each.scenario)] for each in found[:REPORTED_SCENARIOS]]
     _print_table([["loss", "day"], *rows])
-    print(f"{out}: {describe(worst.scenario)}")
+    print(f"{out}: {describe(worst)}")
 
 
 @app.command()
@@ -213,15 +217,15 @@
     markdown: Annotated[Path | None, typer.Option(help="Where Markdown goes; else it is printed.")] = None,
 ) -> None:
     """A page with plots, or Markdown."""
-    from sageturn.lab import report as lab_report  # matplotlib takes a second to load
+    from sageturn.lab import report as reports  # matplotlib takes a second to load
 
     found = _read_results(results)
     if html is not None:
-        html.write_text(lab_report.page(found), encoding="utf-8")
+        html.write_text(reports.page(found), encoding="utf-8")
     if markdown is not None:
-        markdown.write_text(lab_report.markdown(found), encoding="utf-8")
+        markdown.write_text(reports.markdown(found), encoding="utf-8")
     elif html is None:
-        print(lab_report.markdown(found))
+        print(reports.markdown(found))
 
 
 @app.command()
@@ -233,12 +237,16 @@
     recorded = found.runs[number - 1]
     experiment: Experiment = msgspec.convert(found.head["experiment"], Experiment)
     variant = _find_variant(experiment, recorded["variant"])
-    scenario = _find_scenario(experiment, recorded["scenario"])
-    repeated = run_scenario(scenario, recorded["seed"], variant, found.head["policies"][variant.name])
-    same: dict[str, Any] = {key: repeated[key] == recorded[key] for key in ("metrics", "counts", "series")}
+    replayed = run_scenario(
+        _find_scenario(experiment, recorded["scenario"]),
+        recorded["seed"],
+        variant,
+        found.head["policies"][variant.name],
+    )
+    same: dict[str, Any] = {key: replayed[key] == recorded[key] for key in ("metrics", "counts", "series")}
     print(json.dumps(same))
     if not all(same.values()):
-        raise typer.Exit(1)
+        raise typer.Exit(int(ExitCode.REFUSED))
 
 
 @app.command()
@@ -254,10 +262,10 @@
     for name in chosen:
         if name not in (*PARTS, "list_calls"):
             fail(ExitCode.USAGE, f"only: {name} must be one of {', '.join(PARTS)}, list_calls")
-    measured_at = {"revision": revision(Path.cwd()), "load": round(os.getloadavg()[0], 2)}
+    marked = {"revision": revision(Path.cwd()), "load": round(os.getloadavg()[0], 2)}
     with out.open("a", encoding="utf-8") as lines:
         for line in run_costs(chosen):
-            lines.write(json.dumps({**line, **measured_at}) + "\n")
+            lines.write(json.dumps({**line, **marked}) + "\n")
             lines.flush()
             print(json.dumps(line))
 
@@ -270,7 +278,7 @@
     only: Annotated[str, typer.Option(help="Just this size.")] = "",
 ) -> None:
     """Members beside real relays on loopback: what control costs by members and keys, and in faults."""
-    from sageturn.lab.scale import report as scale_report  # matplotlib takes a second to load
+    from sageturn.lab.scale import report as reports  # matplotlib takes a second to load
     from sageturn.lab.scale.plan import read_scale
     from sageturn.lab.scale.results import run as run_scale
 
@@ -281,10 +289,10 @@
         fail(ExitCode.USAGE, str(error))
     except KeyboardInterrupt:
         fail(ExitCode.REFUSED, f"interrupted; {out} has what was played whole")
-    _print_table(scale_report.table(results), experiment.name)
-    for line in scale_report.fit_lines(results):
+    _print_table(reports.table(results), experiment.name)
+    for line in reports.fit_lines(results):
         print(line)
     if plot is not None:
-        scale_report.plot(results, plot)
+        reports.plot(results, plot)
     if any("failed" in line for line in results.runs):
         raise typer.Exit(int(ExitCode.REFUSED))
--- a/sageturn/store/replication/member_table.py
+++ b/sageturn/store/replication/member_table.py
@@ -36,6 +36,7 @@
         return len(self.others) + 1
 
     def get(self, name: str) -> Member | None:
+        """The member of that name, unless it is this one or unknown."""
         return self.others.get(name)
 
     def update(self, members: Iterable[Member]) -> MembershipChanges:
@@ -67,7 +68,7 @@
 
     def _put(self, member: Member, changes: MembershipChanges) -> None:
         known = self.others.get(member.name)
-        if known == member:
+        if known is member or known == member:  # mostly the same object, which is cheap to see
             return
         if known is not None:
             self._remove(known)
