--- a/sageturn/lab/readiness.py
+++ b/sageturn/lab/readiness.py
@@ -16,6 +16,7 @@
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager, suppress
 from dataclasses import dataclass
+from functools import partial
 from itertools import product
 from pathlib import Path
 from typing import Any
@@ -23,10 +24,13 @@
 from sageturn.lab.loopback_relays import READY_TIMEOUT_S
 from sageturn.lab.ports import reserve_port
 
-BOUND_S = 10.0  # nine in ten are to be ready by then
-RESTING = 20  # connections that the relay holds as it is told to end, or killed
-SLOW_S = 2.5  # discovery fails a call itself after 3 s
-PAUSE_S = 0.005
+BOUND_S = 10.0  # nine restarts in ten are to be ready by then
+OPEN_CONNECTIONS = 20  # at the relay when it is stopped
+SLOW_ANSWER_S = 2.5  # discovery fails a call itself after 3 s
+RETRY_INTERVAL_S = 0.005
+BACKLOG_CONNECTIONS = 4  # enough to fill a backlog of 0
+UNUSED_ADDRESS = "127.0.0.1:9"
+ENTRIES = [{"id": "a", "addr": UNUSED_ADDRESS, "state": "ready"}]
 SETTINGS: dict[str, Any] = {
     "accounts": [{"name": "t", "fraction": 1.0, "allowancePerS": 50.0}],
     "classes": [{"name": "c", "aimMs": 1500.0, "hardLimitMs": 3000.0, "semantics": "safe"}],
@@ -40,10 +44,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Case:
-    state: str  # discovery's
+    """A way in which a relay is restarted.
+
+    ``state`` is discovery's, one of ``STATES``; ``lists`` is "push" or "ask"; ``known`` is whether the
+    relay's configuration has the last endpoint list.
+    """
+
+    state: str
     signal: signal.Signals
-    lists: str  # pushed, or asked for
-    known: bool  # whether the relay is given the list that it last had
+    lists: str
+    known: bool
 
     def __str__(self) -> str:
         known = "" if self.known else ", no list known"
@@ -51,65 +61,74 @@
 
 
 def cases() -> list[Case]:
-    """Without a list a relay is of use to nobody until discovery has told it one."""
-    ways = product(STATES, SIGNALS, ("push", "ask"))
-    kept = [Case(state, number, lists, True) for state, number, lists in ways]
-    return kept + [Case(state, signal.SIGKILL, "ask", False) for state in ("up", "slow")]
+    """All cases; a relay that knows no list needs discovery to answer before it can be ready."""
+    combinations = product(STATES, SIGNALS, ("push", "ask"))
+    with_list = [Case(state, stop_signal, lists, True) for state, stop_signal, lists in combinations]
+    return with_list + [Case(state, signal.SIGKILL, "ask", False) for state in ("up", "slow")]
 
 
 @asynccontextmanager
 async def discovery(state: str) -> AsyncIterator[tuple[str, int]]:
-    """A service in one of ``STATES``; its list names one host."""
-    held, port = reserve_port()
-    crowd: list[socket.socket] = []
+    """The address of a discovery service in one of ``STATES``; its list names one host."""
+    reserved, port = reserve_port()
+    unanswered: list[socket.socket] = []
     server: asyncio.Server | None = None
-    body = json.dumps(
-        {"version": 2, "full": True, "servers": [{"id": "a", "addr": "127.0.0.1:9", "state": "ready"}]}
-    )
-
-    async def answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        with suppress(OSError, asyncio.IncompleteReadError):
-            await reader.readuntil(b"\r\n\r\n")
-            await asyncio.sleep(SLOW_S if state == "slow" else 0.0)
-            head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-            writer.write(f"{head}{len(body) + 1:x}\r\n{body}\n\r\n".encode())
-            await reader.read()
-        writer.close()
-
     try:
         if state in ("up", "slow"):
-            server = await asyncio.start_server(answer, sock=held)
+            server = await asyncio.start_server(partial(_answer, state), sock=reserved)
         elif state == "cut off":
-            held.listen(0)  # and a full backlog: whatever comes later is not answered at all
-            for _ in range(4):
-                crowd.append(socket.socket())
-                crowd[-1].setblocking(False)
-                crowd[-1].connect_ex(("127.0.0.1", port))
+            reserved.listen(0)
+            unanswered += _fill_backlog(port)
         yield ("127.0.0.1", port)
     finally:
         if server is not None:
             server.close()
-        for each in (*crowd, held):
+        for each in (*unanswered, reserved):
             each.close()
 
 
-def write_config(folder: Path, case: Case, listen: tuple[str, int], source: tuple[str, int]) -> Path:
-    servers = [{"id": "a", "addr": "127.0.0.1:9", "state": "ready"}]
-    content = {
+async def _answer(state: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    body = json.dumps({"version": 2, "full": True, "servers": ENTRIES})
+    with suppress(OSError, asyncio.IncompleteReadError):
+        await reader.readuntil(b"\r\n\r\n")
+        await asyncio.sleep(SLOW_ANSWER_S if state == "slow" else 0.0)
+        head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+        writer.write(f"{head}{len(body) + 1:x}\r\n{body}\n\r\n".encode())
+        await reader.read()
+    writer.close()
+
+
+def _fill_backlog(port: int) -> list[socket.socket]:
+    """Connections that nobody accepts, after which the kernel doesn't answer further ones at all."""
+    connections = []
+    for _ in range(BACKLOG_CONNECTIONS):
+        connection = socket.socket()
+        connection.setblocking(False)
+        connection.connect_ex(("127.0.0.1", port))
+        connections.append(connection)
+    return connections
+
+
+def write_config(
+    folder: Path, case: Case, listen: tuple[str, int], discovery_address: tuple[str, int]
+) -> Path:
+    """Write the configuration of the relay, and return its file."""
+    config: dict[str, Any] = {
         "name": "r0",
         "listen": "{}:{}".format(*listen),
-        "discovery": "{}:{}".format(*source),
+        "discovery": "{}:{}".format(*discovery_address),
         "seed": "0a",
         "settings": {**SETTINGS, "discovery": case.lists},
-        **({"known": {"version": 1, "full": True, "servers": servers}} if case.known else {}),
     }
+    if case.known:
+        config["known"] = {"version": 1, "full": True, "servers": ENTRIES}
     file = folder / "config.json"
-    file.write_text(json.dumps(content))
+    file.write_text(json.dumps(config))
     return file
 
 
 async def first_pong(address: tuple[str, int]) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-    """Asks again at once, as often as it takes, on new connections: as a front does."""
+    """Send PING on new connections until one is answered, as the platform does, and return that one."""
     while True:
         with suppress(OSError):
             reader, writer = await asyncio.open_connection(*address)
@@ -117,62 +136,71 @@
             if await reader.readline() == b"PONG\r\n":
                 return reader, writer
             writer.close()
-        await asyncio.sleep(PAUSE_S)
+        await asyncio.sleep(RETRY_INTERVAL_S)
 
 
 async def start(file: Path) -> asyncio.subprocess.Process:
-    env = {k: v for k, v in os.environ.items() if not k.startswith("GW_")}
+    """Start a relay with a configuration file."""
+    environment = {name: value for name, value in os.environ.items() if not name.startswith("GW_")}
     return await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
         "sageturn",
-        env={**env, "GW_CONFIG": str(file)},
+        env={**environment, "GW_CONFIG": str(file)},
         stderr=asyncio.subprocess.DEVNULL,
     )
 
 
 async def measure(case: Case, starts: int, bound_s: float = BOUND_S) -> list[float]:
-    """Seconds from each start to the first PONG; ``bound_s`` for one that had not come by then."""
-    loop = asyncio.get_running_loop()
-    held, port = reserve_port()  # nobody else is given it between two of the relay's lives
+    """Seconds from each restart to the first PONG; ``bound_s`` for one that had not come by then."""
+    reserved, port = reserve_port()  # nobody else is given it while the relay is down
     address = ("127.0.0.1", port)
-    took: list[float] = []
     with tempfile.TemporaryDirectory(prefix="sageturn-lab-") as folder:
-        async with discovery(case.state) as source:
-            file = write_config(Path(folder), case, address, source)
+        async with discovery(case.state) as discovery_address:
+            file = write_config(Path(folder), case, address, discovery_address)
+            durations_s = await _measure_restarts(case, file, address, starts, bound_s)
+    reserved.close()
+    return durations_s
+
+
+async def _measure_restarts(
+    case: Case, file: Path, address: tuple[str, int], starts: int, bound_s: float
+) -> list[float]:
+    loop = asyncio.get_running_loop()
+    durations_s: list[float] = []
+    process = await start(file)
+    try:
+        async with asyncio.timeout(READY_TIMEOUT_S):
+            connections = [await first_pong(address) for _ in range(OPEN_CONNECTIONS)]
+        for _ in range(starts):
+            process.send_signal(case.signal)
+            await process.wait()
+            started_s = loop.time()
             process = await start(file)
-            try:
-                async with asyncio.timeout(READY_TIMEOUT_S):
-                    resting = [await first_pong(address) for _ in range(RESTING)]
-                for _ in range(starts):
-                    process.send_signal(case.signal)
-                    await process.wait()
-                    began = loop.time()
-                    process = await start(file)
-                    with suppress(TimeoutError):
-                        async with asyncio.timeout(bound_s):
-                            resting.append(await first_pong(address))
-                    took.append(min(bound_s, loop.time() - began))
-                for _, writer in resting:
-                    writer.close()
-            finally:
-                if process.returncode is None:
-                    process.kill()
-                await process.wait()
-    held.close()
-    return took
-
-
-def row(case: Case, took: list[float]) -> str:
-    took = sorted(took)
-    late = sum(t >= BOUND_S for t in took)
-    return (
-        f"| {case} | {len(took)} | {took[len(took) // 2]:.2f} | {took[(len(took) * 9 - 1) // 10]:.2f} "
-        f"| {took[-1]:.2f} | {late} |"
-    )
+            with suppress(TimeoutError):
+                async with asyncio.timeout(bound_s):
+                    connections.append(await first_pong(address))
+            durations_s.append(min(bound_s, loop.time() - started_s))
+        for _, writer in connections:
+            writer.close()
+    finally:
+        if process.returncode is None:
+            process.kill()
+        await process.wait()
+    return durations_s
+
+
+def row(case: Case, durations_s: list[float]) -> str:
+    """The row of a case in the table."""
+    ordered = sorted(durations_s)
+    median = ordered[len(ordered) // 2]
+    ninth_decile = ordered[(len(ordered) * 9 - 1) // 10]
+    late = sum(duration_s >= BOUND_S for duration_s in ordered)
+    return f"| {case} | {len(ordered)} | {median:.2f} | {ninth_decile:.2f} | {ordered[-1]:.2f} | {late} |"
 
 
-async def run(starts: int) -> None:
+async def print_table(starts: int) -> None:
+    """Measure all cases, and print a Markdown table."""
     print("| restart | starts | median s | nine in ten s | longest s | not ready in 10 s |")
     print("| --- | --- | --- | --- | --- | --- |")
     for case in cases():
@@ -180,9 +208,10 @@
 
 
 def main() -> None:
+    """Run the command."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--starts", type=int, default=10, help="restarts of each case")
-    asyncio.run(run(parser.parse_args().starts))
+    asyncio.run(print_table(parser.parse_args().starts))
 
 
 if __name__ == "__main__":
