--- a/experiments/measure_client_disconnects.py
+++ b/experiments/measure_client_disconnects.py
@@ -1,13 +1,13 @@
-"""How long after a client's departure the last attempt for it begins: a real relay on a core that is held.
+"""How long after a client's departure the last attempt for it begins: a real relay on a busy core.
 
     PYTHONPATH=.:tests python experiments/measure_client_disconnects.py --rounds 10
 
-The relay shares one core with a program that never waits. Hundreds of clients ask at once; every host refuses
-after 5 to 50 ms, so that further attempts are due, until all clients leave within a few milliseconds. What is
-told is, by notes that the relay itself takes: the longest time from a client's departure to an attempt of its
-own, from the beginning and from the end of the system call by which it left, as this program may be held up
-between the two; the time from the last departure to the last connection that was begun (0: none came after);
-and how late this program's own loop was.
+The relay shares one core with a program that never waits. Hundreds of clients ask at once; every host
+rejects after 5 to 50 ms, so that further attempts are due, until all clients leave within a few
+milliseconds. The relay itself records its attempts. The table has the longest time from a client's
+departure to an attempt of its own, from the beginning and from the end of the system call by which it left,
+as this program may be held up between the two; the time from the last departure to the last connection that
+was begun (0: none came after); and how late this program's own loop was.
 """
 
 from __future__ import annotations
@@ -23,8 +23,8 @@
 import time
 from collections.abc import Awaitable, Callable
 from contextlib import AsyncExitStack, suppress
+from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
 
 from support.network_fakes import (
     SETTINGS,
@@ -42,53 +42,63 @@
 from support.xmpp_relay import client_tls, write_operator
 
 CONDITION = "<resource-constraint xmlns='urn:ietf:params:xml:ns:xmpp-streams'/>"
-CLIENTS = {"lines": 300, "xmpp": 60}
+CLIENT_COUNTS = {"lines": 300, "xmpp": 60}
+HOST_COUNT = 4
+LOGINS_AT_ONCE = 6  # their passwords cost the core much
+CLIENT_TIMEOUT_MS = 3000
 SETTLE_S = 1.5  # after a departure, for whatever may still come
+MAX_DEPARTURE_DELAY_S = 0.8
+LOOP_CHECK_INTERVAL_S = 0.001
+CONNECT_MARK = "-"  # in place of a request's name, where the relay begins a connection
+REJECTION_DELAY_RANGE_S = (0.005, 0.05)
+ALLOWANCE_PER_S = 20000.0
 
 
-# The program itself, which notes when it is about to begin a connection, and to write a request.
-NOTING = """
+# The relay, which records when it is about to begin a connection, and to write a request.
+RECORDING_RELAY = """
 import os, sys, time
 from sageturn.__main__ import main
 from sageturn.core.request_lifecycle import RequestLifecycle
 from sageturn.frontends.platform import connection as platform_connection
 from sageturn.frontends.xmpp import connection as xmpp_connection
 file = os.open(sys.argv.pop(1), os.O_WRONLY | os.O_APPEND | os.O_CREAT)
-asked = RequestLifecycle.check_before_write
-def noting(connect):
-    async def noted(address, timeout_s):
+check_before_write = RequestLifecycle.check_before_write
+def record_connects(connect):
+    async def recorded(address, timeout_s):
         os.write(file, f"- {time.time()}\\n".encode())
         return await connect(address, timeout_s)
-    return noted
-def noted_asked(life, wanted=None):
-    if (ending := asked(life, wanted)) is None:
-        ask = life.record.request
-        os.write(file, f"{ask.client_request_id or ask.client.split('/')[1]} {time.time()}\\n".encode())
-    return ending
-for each in (platform_connection, xmpp_connection):
-    each.connect_unreserved = noting(each.connect_unreserved)
-RequestLifecycle.check_before_write = noted_asked
+    return recorded
+def recorded_check(lifecycle, is_endpoint_usable=None):
+    if (close_reason := check_before_write(lifecycle, is_endpoint_usable)) is None:
+        request = lifecycle.record.request
+        name = request.client_request_id or request.client.split('/')[1]
+        os.write(file, f"{name} {time.time()}\\n".encode())
+    return close_reason
+for module in (platform_connection, xmpp_connection):
+    module.connect_unreserved = record_connects(module.connect_unreserved)
+RequestLifecycle.check_before_write = recorded_check
 sys.exit(main())
 """
 
 
-class Host:
-    """Refuses whatever it is asked, a little later."""
+class RejectingHost:
+    """Rejects each request after a short delay."""
 
     def __init__(self) -> None:
         self.address = ("127.0.0.1", 0)
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Reject a request line, or an XMPP session."""
         try:
-            said = await reader.read(4096)
-            if said.startswith(b"OPEN"):
-                await asyncio.sleep(random.uniform(0.005, 0.05))
+            data = await reader.read(4096)
+            if data.startswith(b"OPEN"):
+                await _delay_rejection()
                 writer.write(b"BUSY\r\n")
-            elif said:
+            elif data:
                 server = Server(reader, writer)
-                server.seen = said.decode()
+                server.seen = data.decode()
                 await server.accept()
-                await asyncio.sleep(random.uniform(0.005, 0.05))
+                await _delay_rejection()
                 server.say(f"<stream:error>{CONDITION}</stream:error>")
             await writer.drain()
         except (OSError, AssertionError, TimeoutError):
@@ -97,142 +107,222 @@
             writer.close()
 
 
-Leave = Callable[[], tuple[float, float]]  # when it was begun, and done
-Come = Callable[[int], Awaitable[tuple[str, Leave]]]
+async def _delay_rejection() -> None:
+    await asyncio.sleep(random.uniform(*REJECTION_DELAY_RANGE_S))
+
+
+@dataclass(frozen=True, slots=True)
+class Departure:
+    """When a client began to leave, and when the system call was over; in seconds since the epoch."""
+
+    began_s: float
+    done_s: float
+
+
+@dataclass(frozen=True, slots=True)
+class WaitingClient:
+    """A client whose request waits; the name is that of the request in the relay's records."""
+
+    name: str
+    leave: Callable[[], Departure]
+
+
+Connect = Callable[[int], Awaitable[WaitingClient]]  # a client by its number
 
 
 def cut(writer: asyncio.StreamWriter) -> None:
-    """On the spot: an abort alone would wait for the loop. One that has been answered is over already."""
+    """Shut the socket down at once: an abort alone would wait for the loop."""
     sock = writer.get_extra_info("socket")
     if sock is not None:
-        with suppress(OSError):
+        with suppress(OSError):  # one that has been answered is over already
             sock.shutdown(socket.SHUT_RDWR)
     writer.transport.abort()
 
 
-def on_lines(address: tuple[str, int]) -> Come:
-    async def come(number: int) -> tuple[str, Leave]:
-        line = first_line(3000)
+def connect_with_lines(address: Address) -> Connect:
+    """Clients of the line protocol."""
+
+    async def connect(number: int) -> WaitingClient:
+        line = first_line(CLIENT_TIMEOUT_MS)
         _, writer = await ask(address, line)
 
-        def leave() -> float:
-            left = time.time()
+        def leave() -> Departure:
+            began_s = time.time()
             cut(writer)
-            return left, time.time()
+            return Departure(began_s, time.time())
 
-        return line.split()[1].decode(), leave
+        return WaitingClient(line.split()[1].decode(), leave)
 
-    return come
+    return connect
 
 
-def on_streams(address: tuple[str, int], waiting: list[Client]) -> Come:
-    async def come(number: int) -> tuple[str, Leave]:
-        client, name = waiting.pop(), f"r{number}"
+def connect_with_streams(logged_in: list[Client]) -> Connect:
+    """XMPP clients, each one of those that are logged in."""
+
+    async def connect(number: int) -> WaitingClient:
+        client = logged_in.pop()
+        name = f"r{number}"
         client.wish(name)
 
-        def leave() -> float:
-            left = time.time()
+        def leave() -> Departure:
+            began_s = time.time()
             if number % 2:
                 client.say("</stream:stream>")  # the connection stays open
             else:
                 cut(client.writer)
-            return left, time.time()
+            return Departure(began_s, time.time())
 
-        return name, leave
+        return WaitingClient(name, leave)
 
-    return come
+    return connect
 
 
-async def logged_in(address: Address) -> Client:
+async def log_in(address: Address) -> Client:
+    """An XMPP client that has logged in, and has not asked to be bound."""
     client = await Client.connect(address)
     await client.login(client_tls())
     return client
 
 
-async def own_lag(seconds: float) -> float:
-    """How late this program's own loop was at most: an attempt is noted up to so much after it came."""
-    longest, until = 0.0, time.monotonic() + seconds
-    while (now := time.monotonic()) < until:
-        await asyncio.sleep(0.001)
-        longest = max(longest, time.monotonic() - now - 0.001)
-    return longest
-
-
-async def one_round(
-    come: Come, clients: int, first: int, begun: Path
-) -> tuple[float, float, float, float, int]:
-    os.truncate(begun, 0)
-    # All are there, and none has had all of its attempts, as the first of them leaves.
-    came = await asyncio.gather(*(come(first + k) for k in range(clients)))
-    await asyncio.sleep(random.uniform(0.0, 0.8))
-    left = {name: leave() for name, leave in came}
-    lag = await own_lag(SETTLE_S)
-    noted = [(name, float(at)) for name, at in (line.split() for line in begun.read_text().splitlines())]
-    own = [(at - left[name][0], at - left[name][1]) for name, at in noted if name in left]
-    after = [max((each[k] for each in own), default=0.0) for k in (0, 1)]
-    connected = max((at for name, at in noted if name == "-"), default=0.0)
-    connected -= max(done for _, done in left.values())
-    return max(0.0, after[0]), max(0.0, after[1]), max(0.0, connected), lag, len(own)
-
-
-async def play(front: str, clients: int, rounds: int, folder: Path) -> None:
-    tenants = [{"name": "t", "fraction": 1.0, "allowancePerS": 20000.0}]
-    settings: dict[str, Any] = {**SETTINGS, "accounts": tenants}
+async def measure_loop_lag(seconds: float) -> float:
+    """How late this program's own loop was at most: a record is up to so much later than the event."""
+    longest_s = 0.0
+    until_s = time.monotonic() + seconds
+    while (now_s := time.monotonic()) < until_s:
+        await asyncio.sleep(LOOP_CHECK_INTERVAL_S)
+        longest_s = max(longest_s, time.monotonic() - now_s - LOOP_CHECK_INTERVAL_S)
+    return longest_s
+
+
+@dataclass(frozen=True, slots=True)
+class RoundResult:
+    """The longest times of a round in seconds, as the table has them, and the number of attempts."""
+
+    attempt_since_began_s: float
+    attempt_since_done_s: float
+    last_connection_s: float
+    loop_lag_s: float
+    attempts: int
+
+
+async def run_round(connect: Connect, clients: int, first_number: int, records: Path) -> RoundResult:
+    """Let all clients ask, and then leave while none has had all of its attempts."""
+    os.truncate(records, 0)
+    waiting = await asyncio.gather(*(connect(first_number + index) for index in range(clients)))
+    await asyncio.sleep(random.uniform(0.0, MAX_DEPARTURE_DELAY_S))
+    departures = {client.name: client.leave() for client in waiting}
+    loop_lag_s = await measure_loop_lag(SETTLE_S)
+    recorded = _read_records(records)
+    attempts = [(departures[name], at_s) for name, at_s in recorded if name in departures]
+    connects = [at_s for name, at_s in recorded if name == CONNECT_MARK]
+    last_departure_s = max(departure.done_s for departure in departures.values())
+    return RoundResult(
+        max(0.0, max((at_s - departure.began_s for departure, at_s in attempts), default=0.0)),
+        max(0.0, max((at_s - departure.done_s for departure, at_s in attempts), default=0.0)),
+        max(0.0, max(connects, default=0.0) - last_departure_s),
+        loop_lag_s,
+        len(attempts),
+    )
+
+
+def _read_records(records: Path) -> list[tuple[str, float]]:
+    lines = [line.split() for line in records.read_text().splitlines()]
+    return [(name, float(at_s)) for name, at_s in lines]
+
+
+@dataclass(frozen=True, slots=True)
+class RelayAddresses:
+    """Where the relay listens for each of its frontends."""
+
+    lines: Address
+    xmpp: Address
+
+
+async def measure_frontend(frontend: str, clients: int, rounds: int, folder: Path) -> None:
+    """Run all rounds of a frontend, and print its row."""
+    addresses = RelayAddresses(("127.0.0.1", free_port()), ("127.0.0.1", free_port()))
+    records = folder / "begun"
     async with AsyncExitStack() as stack:
-        hosts = [Host() for _ in range(4)]
-        for host in hosts:
-            await stack.enter_async_context(served(host))  # type: ignore[arg-type]
-        names = {f"h{k}": host.address for k, host in enumerate(hosts)}
-        discovery = Discovery(chunked(listed(names, 2)))
-        await stack.enter_async_context(served(discovery))
-        lines, streams = ("127.0.0.1", free_port()), ("127.0.0.1", free_port())
-        file = write_config(
-            folder,
-            discovery.address,
-            listed(names),
-            listen="{}:{}".format(*lines),
-            settings=settings,
-            limits={"sockets": 8192, "memory_mb": 1024},
-        )
-        operator = write_operator(folder, False, listen="{}:{}".format(*streams), negotiate_s=60.0)
-        more = ("--operator", str(operator))
-        begun = folder / "begun"
-        process = await asyncio.create_subprocess_exec(
-            sys.executable,
-            "-c",
-            NOTING,
-            str(begun),
-            *(more if front == "xmpp" else ()),
-            env={**os.environ, "GW_CONFIG": str(file), "SAGETURN_LOG": "ERROR"},
+        config = await _start_environment(stack, folder, addresses)
+        operator_file = write_operator(
+            folder, False, listen="{}:{}".format(*addresses.xmpp), negotiate_s=60.0
         )
-        other = subprocess.Popen([sys.executable, "-c", "while True: pass"])
-        for each in (process, other):
-            stack.callback(each.kill)
-            os.sched_setaffinity(each.pid, {max(os.sched_getaffinity(0))})
-        await until_ready(lines)
-        waiting: list[Client] = []
-        come = on_lines(lines) if front == "lines" else on_streams(streams, waiting)
+        operator_options = ["--operator", str(operator_file)] if frontend == "xmpp" else []
+        await _start_processes(stack, config, records, operator_options)
+        await until_ready(addresses.lines)
+        logged_in: list[Client] = []
+        if frontend == "lines":
+            connect = connect_with_lines(addresses.lines)
+        else:
+            connect = connect_with_streams(logged_in)
         results = []
         for number in range(rounds):
-            if front == "xmpp":
-                while len(waiting) < clients:  # few at a time: their passwords cost the core much
-                    waiting += await asyncio.gather(*(logged_in(streams) for _ in range(6)))
-            results.append(await one_round(come, clients, number * clients, begun))
-    *times, attempts = zip(*results, strict=True)
-    longest = " | ".join(f"{1000 * max(each):.1f}" for each in times)
-    print(f"| {front} | {rounds} x {clients} | {sum(attempts)} | {longest} |", flush=True)
+            while frontend == "xmpp" and len(logged_in) < clients:
+                logged_in += await asyncio.gather(*(log_in(addresses.xmpp) for _ in range(LOGINS_AT_ONCE)))
+            results.append(await run_round(connect, clients, number * clients, records))
+    _print_row(frontend, clients, results)
+
+
+async def _start_environment(stack: AsyncExitStack, folder: Path, addresses: RelayAddresses) -> Path:
+    """Start the hosts and discovery, and write the relay's configuration."""
+    hosts = [RejectingHost() for _ in range(HOST_COUNT)]
+    for host in hosts:
+        await stack.enter_async_context(served(host))  # type: ignore[arg-type]
+    endpoints = {f"h{number}": host.address for number, host in enumerate(hosts)}
+    discovery = Discovery(chunked(listed(endpoints, 2)))
+    await stack.enter_async_context(served(discovery))
+    tenants = [{"name": "t", "fraction": 1.0, "allowancePerS": ALLOWANCE_PER_S}]
+    return write_config(
+        folder,
+        discovery.address,
+        listed(endpoints),
+        listen="{}:{}".format(*addresses.lines),
+        settings={**SETTINGS, "accounts": tenants},
+        limits={"sockets": 8192, "memory_mb": 1024},
+    )
+
+
+async def _start_processes(
+    stack: AsyncExitStack, config: Path, records: Path, operator_options: list[str]
+) -> None:
+    """Start the relay, and a program that never waits on the same core."""
+    relay = await asyncio.create_subprocess_exec(
+        sys.executable,
+        "-c",
+        RECORDING_RELAY,
+        str(records),
+        *operator_options,
+        env={**os.environ, "GW_CONFIG": str(config), "SAGETURN_LOG": "ERROR"},
+    )
+    busy_program = subprocess.Popen([sys.executable, "-c", "while True: pass"])
+    for process in (relay, busy_program):
+        stack.callback(process.kill)
+        os.sched_setaffinity(process.pid, {max(os.sched_getaffinity(0))})
+
+
+def _print_row(frontend: str, clients: int, results: list[RoundResult]) -> None:
+    longest_s = (
+        max(result.attempt_since_began_s for result in results),
+        max(result.attempt_since_done_s for result in results),
+        max(result.last_connection_s for result in results),
+        max(result.loop_lag_s for result in results),
+    )
+    attempts = sum(result.attempts for result in results)
+    longest = " | ".join(f"{1000 * each_s:.1f}" for each_s in longest_s)
+    print(f"| {frontend} | {len(results)} x {clients} | {attempts} | {longest} |", flush=True)
 
 
 def main() -> None:
+    """Print a Markdown table of the frontends."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--rounds", type=int, default=10)
     parser.add_argument("--fronts", nargs="*", default=["lines", "xmpp"])
     options = parser.parse_args()
     print("| front | clients | attempts | attempt, ms | the same, ms | last connection, ms | own lag, ms |")
     print("| --- | --- | --- | --- | --- | --- | --- |")
-    for front in options.fronts:
+    for frontend in options.fronts:
         with tempfile.TemporaryDirectory() as folder:
-            asyncio.run(play(front, CLIENTS[front], options.rounds, Path(folder)))
+            asyncio.run(measure_frontend(frontend, CLIENT_COUNTS[frontend], options.rounds, Path(folder)))
 
 
 if __name__ == "__main__":
