--- a/sageturn/lab/spreading.py
+++ b/sageturn/lab/spreading.py
@@ -1,10 +1,10 @@
-"""Measures what the store's spread costs on one link, beside the exchange of whole digests before it.
+"""Measures what replication costs on one link, beside the exchange of full digests that came before it.
 
     python -m sageturn.lab.spreading                # 100 to 100,000 keys
 
-Two copies on loopback, in one process: octets are those of the frames, keyed hashes with them, and processor
-time is that of both sides halved. The digests of old are made, packed, read and compared as it was done, each
-2 s on each side, over the same records in the same run.
+Two stores replicate on loopback, in one process: bytes are those of the frames with their authentication
+tags, and processor time is that of both sides halved. The former digests are made, encoded, decoded and
+compared as they were, once every 2 s on each side, over the same records in the same run.
 """
 
 from __future__ import annotations
@@ -13,88 +13,152 @@
 import asyncio
 import json
 import time
+from collections.abc import Callable
+from dataclasses import dataclass
+from functools import partial
 from random import Random
-from typing import Any
 
 import uvloop
 
-from sageturn.lab.result_table import print_table
+from sageturn.lab.result_table import Row, print_table
 from sageturn.net.admission import AdmissionController, ProcessLimits
 from sageturn.store.channel import read_secret
 from sageturn.store.replication.member import ReplicationMember
 from sageturn.store.replication.options import ReplicationOptions
 from sageturn.store.store import Store
 
-DIGEST_S = 2.0  # how often a digest was sent
-DIGEST_TAG = 36
+DIGEST_INTERVAL_S = 2.0
+DIGEST_TAG_BYTES = 36
 SECRET = read_secret("lab")
-
-
-def _node(name: str, *seeds: tuple[str, int]) -> ReplicationMember:
-    options = ReplicationOptions(("127.0.0.1", 0), seeds, SECRET, max_bytes_per_s=1e8)
-    node = ReplicationMember(
-        Store(name), options, AdmissionController(ProcessLimits(64, 192.0)), Random(name)
-    )
-    node.start()
-    return node
-
-
-def _digests(store: Store) -> tuple[float, float]:
-    """Octets a second, and parts of a core, of one side."""
-    began = time.process_time()
+MAX_BYTES_PER_S = 1e8
+LIMITS = ProcessLimits(64, 192.0)
+HOST_COUNT = 97
+CHANGE_COUNT = 20
+POLL_INTERVAL_S = 0.002
+
+
+@dataclass(frozen=True, slots=True)
+class _Cost:
+    """What one side costs."""
+
+    bytes_per_s: float
+    core: float  # of one, from 0 to 1
+
+
+@dataclass(frozen=True, slots=True)
+class _SnapshotCost:
+    """What the first transfer of all records costs both sides together."""
+
+    size_bytes: int
+    duration_s: float
+    cpu_s: float
+
+
+class _Pair:
+    """Two members that replicate; the second starts empty."""
+
+    def __init__(self, key_count: int) -> None:
+        self.first = _start_member("one")
+        for number in range(key_count):
+            self.first.replica.store.put(
+                f"config/shard/{number}", {"host": f"s-{number % HOST_COUNT}", "epoch": number}
+            )
+        self.second = _start_member("two", self.first.address)
+        self.members = (self.first, self.second)
+
+    async def measure_snapshot(self) -> _SnapshotCost:
+        """Wait until the second member has all records."""
+        await _wait_until(lambda: bool(self.first.link_count and self.second.link_count))
+        started_cpu_s = time.process_time()
+        duration_s = await _wait_until(
+            lambda: self.first.replica.changes.roots == self.second.replica.changes.roots
+        )
+        cpu_s = time.process_time() - started_cpu_s
+        return _SnapshotCost(self.first.replica.budget.consumed_bytes, duration_s, cpu_s)
+
+    async def measure_idle(self, seconds: float) -> _Cost:
+        """The mean cost of a side while nothing changes."""
+        await _wait_until(lambda: all(member.replica.sessions[0].delivered for member in self.members))
+        before_bytes = [member.replica.budget.consumed_bytes for member in self.members]
+        started_cpu_s = time.process_time()
+        await asyncio.sleep(seconds)
+        rates = [
+            (member.replica.budget.consumed_bytes - before) / seconds
+            for member, before in zip(self.members, before_bytes, strict=True)
+        ]
+        core = (time.process_time() - started_cpu_s) / seconds / 2
+        return _Cost(sum(rates) / 2, core)
+
+    async def measure_changes(self) -> list[int]:
+        """The bytes that the first member sends for each of some changes."""
+        sizes_bytes = []
+        for number in range(CHANGE_COUNT):
+            key = f"config/shard/{number}"
+            before_bytes = self.first.replica.budget.consumed_bytes
+            self.first.replica.store.put(key, {"host": "s-0", "epoch": -number})
+            await _wait_until(partial(self._has_arrived, key, -number))
+            sizes_bytes.append(self.first.replica.budget.consumed_bytes - before_bytes)
+        return sizes_bytes
+
+    def _has_arrived(self, key: str, epoch: int) -> bool:
+        record = self.second.replica.store.get(key) or {}
+        return record.get("epoch") == epoch
+
+    async def stop(self) -> None:
+        """Stop the second member, and then the first."""
+        for member in reversed(self.members):
+            await member.stop()
+
+
+def _start_member(name: str, *seeds: tuple[str, int]) -> ReplicationMember:
+    options = ReplicationOptions(("127.0.0.1", 0), seeds, SECRET, max_bytes_per_s=MAX_BYTES_PER_S)
+    member = ReplicationMember(Store(name), options, AdmissionController(LIMITS), Random(name))
+    member.start()
+    return member
+
+
+def _measure_digest(store: Store) -> _Cost:
+    """The cost of the former digests on one side: one sent and one compared in each interval."""
+    started_cpu_s = time.process_time()
     payload = json.dumps({"digest": store.digest()}, separators=(",", ":")).encode()
-    digest = {str(k): (int(v[0]), str(v[1])) for k, v in json.loads(payload)["digest"].items()}
+    decoded = json.loads(payload)["digest"]
+    digest = {str(key): (int(order[0]), str(order[1])) for key, order in decoded.items()}
     missing = [r for r in store.records() if r.key not in digest or digest[r.key] < r.order]
-    mine = store.digest()
-    assert not missing and all(k in mine and mine[k] >= order for k, order in digest.items())
-    return (len(payload) + DIGEST_TAG) / DIGEST_S, (time.process_time() - began) / DIGEST_S
+    own = store.digest()
+    assert not missing and all(key in own and own[key] >= order for key, order in digest.items())
+    cpu_s = time.process_time() - started_cpu_s
+    return _Cost((len(payload) + DIGEST_TAG_BYTES) / DIGEST_INTERVAL_S, cpu_s / DIGEST_INTERVAL_S)
 
 
-async def _until(condition: Any) -> float:
-    began = time.monotonic()
+async def _wait_until(condition: Callable[[], bool]) -> float:
+    """Wait until a condition holds, and return how many seconds it took."""
+    started_s = time.monotonic()
     while not condition():
-        await asyncio.sleep(0.002)
-    return time.monotonic() - began
-
-
-async def _measure(keys: int, seconds: float) -> dict[str, Any]:
-    one = _node("one")
-    for number in range(keys):
-        one.replica.store.put(f"config/shard/{number}", {"host": f"s-{number % 97}", "epoch": number})
-    two = _node("two", one.address)
-    nodes = one, two
-    await _until(lambda: one.link_count and two.link_count)
-    began = time.process_time()
-    snapshot_s = await _until(lambda: one.replica.changes.roots == two.replica.changes.roots)
-    snapshot_cpu, snapshot = time.process_time() - began, one.replica.budget.consumed_bytes
-    await _until(lambda: all(node.replica.sessions[0].delivered for node in nodes))
-    octets, began = [node.replica.budget.consumed_bytes for node in nodes], time.process_time()
-    await asyncio.sleep(seconds)
-    idle = [
-        (node.replica.budget.consumed_bytes - was) / seconds for node, was in zip(nodes, octets, strict=True)
-    ]
-    core = (time.process_time() - began) / seconds / 2
-    changes = []
-    for number in range(20):
-        was = one.replica.budget.consumed_bytes
-        one.replica.store.put(f"config/shard/{number}", {"host": "s-0", "epoch": -number})
-        key = f"config/shard/{number}"
-        await _until(lambda key=key, n=number: (two.replica.store.get(key) or {}).get("epoch") == -n)
-        changes.append(one.replica.budget.consumed_bytes - was)
-    old_octets, old_core = _digests(one.replica.store)
-    for node in nodes[::-1]:
-        await node.stop()
+        await asyncio.sleep(POLL_INTERVAL_S)
+    return time.monotonic() - started_s
+
+
+async def _measure(key_count: int, seconds: float) -> Row:
+    pair = _Pair(key_count)
+    snapshot = await pair.measure_snapshot()
+    idle = await pair.measure_idle(seconds)
+    changes_bytes = await pair.measure_changes()
+    digests = _measure_digest(pair.first.replica.store)
+    await pair.stop()
     return {
-        "idle octets/s": round(sum(idle) / 2),
-        "idle core": f"{core:.3%}",
-        "digests octets/s": round(old_octets),
-        "digests core": f"{old_core:.3%}",
-        "a change, octets": sorted(changes)[10],
-        "snapshot": f"{snapshot} octets, {snapshot_s:.2f} s, {snapshot_cpu:.2f} s of a core",
+        "idle octets/s": round(idle.bytes_per_s),
+        "idle core": f"{idle.core:.3%}",
+        "digests octets/s": round(digests.bytes_per_s),
+        "digests core": f"{digests.core:.3%}",
+        "a change, octets": sorted(changes_bytes)[CHANGE_COUNT // 2],
+        "snapshot": (
+            f"{snapshot.size_bytes} octets, {snapshot.duration_s:.2f} s, {snapshot.cpu_s:.2f} s of a core"
+        ),
     }
 
 
 def main() -> None:
+    """Measure each number of keys, and print the figures."""
     parser = argparse.ArgumentParser(prog="sageturn.lab.spreading", description=__doc__)
     parser.add_argument("--keys", default="100,1000,10000,27000,100000")
     parser.add_argument("--seconds", type=float, default=5.0)
