--- /dev/null
+++ b/sageturn/lab/sampling.py
@@ -0,0 +1,97 @@
+"""Sample clients, groups and waiting times: the same fleet and seed give the same clients and arrivals."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+import numpy as np
+
+from sageturn.lab.fleet_spec import ClassSpec, FleetSpec
+
+
+@dataclass(slots=True)
+class Client:
+    """A client of the fleet over all of its connections.
+
+    ``class_index`` is an index into the fleet's classes. ``lifetime_s`` is the time for which it still wants
+    to be connected. ``waiting_since_s`` is when it first asked for the connection that it is waiting for, and
+    0 while it is connected or has not asked yet.
+    """
+
+    key: str
+    class_index: int
+    tenant: str
+    group: str
+    load: float
+    lifetime_s: float
+    migrations: int = 0
+    attempts: int = 0
+    waiting_since_s: float = 0.0
+
+
+class ClientSampler:
+    """Samples clients of a fleet.
+
+    ``stream`` selects an independent random stream of the fleet's seed, as each simulated relay samples
+    its own arrivals. The order of the calls is part of the result: each takes numbers from the same stream.
+    """
+
+    def __init__(self, spec: FleetSpec, stream: int = 0) -> None:
+        self._spec = spec
+        self._rng = np.random.Generator(np.random.PCG64([spec.seed, stream]))
+        self._stream = stream
+        self._client_count = 0
+        self._group = ""
+        self._group_tenant = ""
+        self._group_places_left = 0
+        self._group_count = 0
+        self._tenants = list(spec.tenants)
+        tenant_weights = np.array(list(spec.tenants.values()))
+        self._tenant_probabilities = tenant_weights / tenant_weights.sum()
+        class_weights = np.array([class_spec.share for class_spec in spec.classes])
+        self._class_probabilities = class_weights / class_weights.sum()
+
+    def uniform(self, low: float, high: float) -> float:
+        """Sample evenly from ``low`` up to ``high``."""
+        return float(self._rng.uniform(low, high))
+
+    def index_below(self, end: int) -> int:
+        """Sample an integer from 0 up to ``end``, without ``end`` itself."""
+        return int(self._rng.integers(end))
+
+    def interarrival_s(self, arrivals_per_s: float) -> float:
+        """Sample the time to the next arrival of a Poisson process; infinite for a rate of 0."""
+        return float(self._rng.exponential(1.0 / arrivals_per_s)) if arrivals_per_s > 0 else float("inf")
+
+    def reconnect_delay_s(self) -> float:
+        """Sample how long a client waits before it connects again."""
+        return self.uniform(*self._spec.reconnect_delay_ms) / 1000.0
+
+    def client(self) -> Client:
+        """Sample the next client; clients of a group are sampled one after another."""
+        class_index = int(self._rng.choice(len(self._spec.classes), p=self._class_probabilities))
+        class_spec = self._spec.classes[class_index]
+        self._client_count += 1
+        key = f"{self._stream:x}k{self._client_count:x}"
+        group, tenant = self._group_and_tenant(class_spec)
+        lifetime_factor = self.uniform(*class_spec.lifetime_factor)
+        lifetime_s = float(self._rng.exponential(self._spec.mean_lifetime_s * lifetime_factor))
+        return Client(key, class_index, tenant, group, self.uniform(*class_spec.load), lifetime_s)
+
+    def _group_and_tenant(self, class_spec: ClassSpec) -> tuple[str, str]:
+        if not class_spec.grouped:
+            return "", self._tenant()
+        if not self._group_places_left:
+            self._start_group()
+        self._group_places_left -= 1
+        return self._group, self._group_tenant
+
+    def _start_group(self) -> None:
+        smallest, largest = self._spec.group_size
+        self._group_places_left = int(self._rng.integers(smallest, largest + 1))
+        self._group_count += 1
+        self._group = f"{self._stream:x}g{self._group_count:x}"
+        self._group_tenant = self._tenant()
+
+    def _tenant(self) -> str:
+        return self._tenants[int(self._rng.choice(len(self._tenants), p=self._tenant_probabilities))]
--- a/sageturn/lab/scale/environment.py
+++ b/sageturn/lab/scale/environment.py
@@ -8,8 +8,8 @@
 from random import Random
 from typing import Any
 
-from sageturn.lab.host import HostModel
-from sageturn.lab.standins import DiscoverySocket, HostSocket
+from sageturn.lab.endpoint_model import EndpointModel
+from sageturn.lab.fakes import FakeDiscovery, FakeEndpoint
 
 DISCOVERY_CALL_TIMEOUT_S = 3.0  # after which discovery fails a call
 LINE_INTERVAL_S = 2.0
@@ -22,7 +22,7 @@
 HOST_KIND = "c2-std"
 
 
-class ScaleDiscovery(DiscoverySocket):
+class ScaleDiscovery(FakeDiscovery):
     """Handles calls one after another, each for ``call_s`` seconds; may be down; counts what it writes."""
 
     def __init__(self, entries: list[dict[str, Any]], call_s: float) -> None:
@@ -62,7 +62,7 @@
                 writer.write(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
                 writer.close()
             return
-        self.bytes_written += len(json.dumps(self.whole()))
+        self.bytes_written += len(json.dumps(self.full_list()))
         await super()._serve(reader, writer)
 
 
@@ -73,10 +73,10 @@
         self.count = count
         self.zones = zones
         models = [
-            HostModel(f"m{number}", HOST_KIND, 1.0, 1e6, zones[number % len(zones)])
+            EndpointModel(f"m{number}", HOST_KIND, 1.0, 1e6, zones[number % len(zones)])
             for number in range(HOST_SOCKET_COUNT)
         ]
-        self.sockets = [HostSocket(model, HOST_UNIT_US) for model in models]
+        self.sockets = [FakeEndpoint(model, HOST_UNIT_US) for model in models]
 
     async def start(self) -> None:
         """Begin to listen, or to connect."""
--- a/sageturn/lab/scale/plan.py
+++ b/sageturn/lab/scale/plan.py
@@ -12,7 +12,8 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from sageturn.lab.experiment import BadExperiment, Name, Positive
+from sageturn.lab.errors import InvalidExperimentError
+from sageturn.lab.experiment import Name, Positive
 from sageturn.lab.scale.errors import InvalidPlanError
 from sageturn.lab.scale.units import BYTES_PER_GB, BYTES_PER_MB, S_PER_MINUTE
 
@@ -230,14 +231,14 @@
 
 
 def read_scale(file: Path) -> ScaleExperiment:
-    """TOML. Raises BadExperiment, which names the file and the key."""
+    """TOML. Raises InvalidExperimentError, which names the file and the key."""
     try:
         data = file.read_bytes()
     except OSError as error:
-        raise BadExperiment(f"{file}: {error.strerror}") from error
+        raise InvalidExperimentError(f"{file}: {error.strerror}") from error
     try:
         experiment = msgspec.toml.decode(data, type=ScaleExperiment)
         experiment.validate()
     except (msgspec.DecodeError, msgspec.ValidationError, ValueError) as error:
-        raise BadExperiment(f"{file}: {error}") from error
+        raise InvalidExperimentError(f"{file}: {error}") from error
     return experiment
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -22,8 +22,8 @@
 from typer.testing import CliRunner
 
 from sageturn.cli.main import app
-from sageturn.lab.experiment import BadExperiment
-from sageturn.lab.runs import Results
+from sageturn.lab.errors import InvalidExperimentError
+from sageturn.lab.result_file import Results
 from sageturn.lab.scale import costs, counting, members, relay_costs, store_costs
 from sageturn.lab.scale.arrivals import encode_durations
 from sageturn.lab.scale.cost_measuring import make_store
@@ -103,17 +103,17 @@
 def test_an_error_in_an_experiment_names_its_file_and_key(tmp_path: Path, text: str, named: str) -> None:
     file = tmp_path / "x.toml"
     file.write_text(text, encoding="utf-8")
-    with pytest.raises(BadExperiment) as error:
+    with pytest.raises(InvalidExperimentError) as error:
         read_scale(file)
     message = str(error.value)
     assert message.startswith(str(file)) and named in message
 
 
 def test_a_missing_file_and_invalid_toml_are_reported(tmp_path: Path) -> None:
-    with pytest.raises(BadExperiment, match="No such file"):
+    with pytest.raises(InvalidExperimentError, match="No such file"):
         read_scale(tmp_path / "none.toml")
     (tmp_path / "bad.toml").write_text("name = ")
-    with pytest.raises(BadExperiment, match=r"bad.toml"):
+    with pytest.raises(InvalidExperimentError, match=r"bad.toml"):
         read_scale(tmp_path / "bad.toml")
 
 
