--- a/sageturn/lab/naive.py
+++ b/sageturn/lab/naive.py
@@ -16,9 +16,7 @@
 PLAN_INTERVAL_MS = 10000.0
 
 
-def naive_plan(
-    planner: RebalancePlanner, now_ms: float, endpoints: Sequence[EndpointSnapshot]
-) -> MigrationPlan:
+def naive_plan(planner: RebalancePlanner, endpoints: Sequence[EndpointSnapshot]) -> MigrationPlan:
     """The newest connections of the endpoint with the highest load, down to the mean of all endpoints."""
     migrations = tuple(_excess_migrations(planner.connections, endpoints))
     return MigrationPlan(migrations, PlanPhase.BALANCING, "")
@@ -61,7 +59,7 @@
         if now_ms < self._planned_ms + PLAN_INTERVAL_MS:
             return MigrationPlan((), PlanPhase.WAITING, "")
         self._planned_ms = now_ms
-        return naive_plan(self, now_ms, endpoints)
+        return naive_plan(self, endpoints)
 
     def before_event(self, now_ms: float, event: object) -> None:
         """The balancer is not informed of migrations."""
--- a/sageturn/lab/override_cost.py
+++ b/sageturn/lab/override_cost.py
@@ -38,7 +38,7 @@
     """Microseconds a request takes."""
     balancer_actor = BalancerActor(SETTINGS, 1, Clock(), lambda: None)
     if with_override_actor:
-        OverrideActor(balancer_actor, OverrideOptions(), Store("lab"), lambda state: None)
+        OverrideActor(balancer_actor, OverrideOptions(), Store("lab"), lambda _: None)
     # The actor has no public way to handle an event in place, without its queue; nor one for its actions.
     handle = balancer_actor._handle
     endpoints = [decision.Endpoint(f"h{number}") for number in range(ENDPOINT_COUNT)]
--- a/sageturn/lab/relay.py
+++ b/sageturn/lab/relay.py
@@ -21,15 +21,19 @@
     """Runs the naive mover where the operator's file has rebalancing on, and never changes its options."""
 
     def apply_options(self, options: RebalanceOptions | None, actors: ActorSupervisor) -> None:
+        """Turn the naive mover on; later options are ignored."""
         if options is not None and options.mode == "on" and self.rebalancer is None:
             self.run_rebalancer(self.make_rebalancer(NaiveRebalancer, options), actors)
 
 
 class NaiveRelay(Relay):
+    """A relay whose rebalancing is the naive baseline."""
+
     rebalancing_type = NaiveRebalancing
 
 
 def main() -> int:
+    """Run one such relay until it is told to stop. Returns the exit code."""
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
     parser = argparse.ArgumentParser(prog="sageturn.lab.relay", description=__doc__)
     parser.add_argument("--operator", metavar="FILE", required=True)
--- a/sageturn/lab/report.py
+++ b/sageturn/lab/report.py
@@ -12,13 +12,13 @@
 
 matplotlib.use("Agg")
 
-import matplotlib.pyplot as plt  # noqa: E402  (the backend is chosen first: there is no screen)
-import numpy as np  # noqa: E402
+import matplotlib.pyplot as plt
+import numpy as np
 
-from sageturn.lab.compare import Difference, compare  # noqa: E402
-from sageturn.lab.errors import NoCommonRunsError  # noqa: E402
-from sageturn.lab.fleet_spec import CLASSES, TENANT_SHARES  # noqa: E402
-from sageturn.lab.result_file import Line, Results  # noqa: E402
+from sageturn.lab.compare import Difference, compare
+from sageturn.lab.errors import NoCommonRunsError
+from sageturn.lab.fleet_spec import CLASSES, TENANT_SHARES
+from sageturn.lab.result_file import Line, Results
 
 REPORTED_METRICS = (
     "goal",
--- a/sageturn/lab/search.py
+++ b/sageturn/lab/search.py
@@ -18,6 +18,7 @@
 from sageturn.lab.experiment_runner import run_scenario
 from sageturn.lab.faults import FAULT_KINDS, ScheduledFault
 from sageturn.lab.scenario_shrinking import replace_fault_field, shrink
+import itertools
 
 # Parameters of a sweep: keys of the size, with their fields, keys of every fault, and REBALANCE_PREFIX + key.
 SIZE_PARAMETERS = {
@@ -118,7 +119,7 @@
 
     None where no two neighbouring points lie on both sides of the bound.
     """
-    for low, high in zip(points, points[1:], strict=False):
+    for low, high in itertools.pairwise(points):
         starts_below = low.metric < bound
         if starts_below == (high.metric < bound):
             continue
