--- a/sageturn/lab/search.py
+++ b/sageturn/lab/search.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import itertools
 import json
 from collections.abc import Callable
 from concurrent.futures import ProcessPoolExecutor
@@ -18,7 +19,6 @@
 from sageturn.lab.experiment_runner import run_scenario
 from sageturn.lab.faults import FAULT_KINDS, ScheduledFault
 from sageturn.lab.scenario_shrinking import replace_fault_field, shrink
-import itertools
 
 # Parameters of a sweep: keys of the size, with their fields, keys of every fault, and REBALANCE_PREFIX + key.
 SIZE_PARAMETERS = {
