--- a/sageturn/lab/scale/jobs.py
+++ b/sageturn/lab/scale/jobs.py
@@ -9,7 +9,7 @@
 from random import Random
 from typing import Any
 
-from sageturn.lab.loopback import reserve_port
+from sageturn.lab.ports import reserve_port
 from sageturn.lab.scale import counting
 from sageturn.lab.scale.child_process import ChildProcess
 from sageturn.lab.scale.child_protocol import Role
@@ -46,6 +46,7 @@
         return port
 
     def close(self) -> None:
+        """Let go of all reserved ports."""
         for sock in self._sockets:
             sock.close()
 
