--- a/sageturn/cli/lab.py
+++ b/sageturn/cli/lab.py
@@ -7,7 +7,6 @@
 
 import json
 import os
-from dataclasses import asdict
 from pathlib import Path
 from typing import Annotated, Any
 
@@ -21,12 +20,14 @@
 from sageturn.cli.options import AsJson
 from sageturn.lab.compare import Difference
 from sageturn.lab.compare import compare as compare_variants
-from sageturn.lab.experiment import BadExperiment, Experiment, Scenario, Variant, read_experiment
+from sageturn.lab.errors import InvalidExperimentError
+from sageturn.lab.experiment import Experiment, Scenario, Variant, read_experiment
+from sageturn.lab.experiment_runner import run_experiment, run_scenario
 from sageturn.lab.policy import read_policy
-from sageturn.lab.runs import Line, Results, play
-from sageturn.lab.runs import run as run_experiment
-from sageturn.lab.search import breaks_at, describe, write_day
-from sageturn.lab.search import hunt as hunt_days
+from sageturn.lab.result_file import Line, Results
+from sageturn.lab.scenario_shrinking import describe
+from sageturn.lab.search import find_crossing, write_scenario
+from sageturn.lab.search import hunt as hunt_scenarios
 from sageturn.lab.search import sweep as sweep_values
 
 app = typer.Typer(no_args_is_help=True, help="Experiments, comparisons and searches in simulated time.")
@@ -36,13 +37,14 @@
 ProcessCount = Annotated[int, typer.Option(help="Runs at once.")]
 MetricName = Annotated[str, typer.Option(help="Of each run's metrics.")]
 DEFAULT_PROCESSES = max(1, (os.cpu_count() or 2) - 1)  # one core stays free
+REPORTED_SCENARIOS = 8  # of a hunt
 UNATTENDED_WIDTH = 170  # columns of a table that goes to a file or a pipe
 
 
 def _read_experiment(file: Path) -> Experiment:
     try:
         return read_experiment(file)
-    except BadExperiment as error:
+    except InvalidExperimentError as error:
         fail(ExitCode.USAGE, str(error))
 
 
@@ -109,15 +111,29 @@
     except (ValueError, KeyError) as error:
         fail(ExitCode.NOT_FOUND, str(error))
     if as_json:
-        print(json.dumps([asdict(difference) for difference in differences]))
+        print(json.dumps([_encode_difference(difference) for difference in differences]))
         return
     rows = [["scenario", "pairs", first, second, "difference", "95% interval", ""]]
     rows += [_difference_row(difference) for difference in differences]
     _print_table(rows, metric)
 
 
+def _encode_difference(difference: Difference) -> dict[str, Any]:
+    return {
+        "metric": difference.metric,
+        "scenario": difference.scenario,
+        "pairs": difference.pairs,
+        "first": difference.first,
+        "second": difference.second,
+        "mean": difference.mean,
+        "low": difference.low,
+        "high": difference.high,
+        "more_pairs": difference.needed_pairs,
+    }
+
+
 def _difference_row(difference: Difference) -> list[str]:
-    settled = "settled" if difference.settled else f"{difference.more_pairs:g} pairs would settle it"
+    settled = "settled" if difference.settled else f"{difference.needed_pairs:g} pairs would settle it"
     return [
         difference.scenario or "all",
         str(difference.pairs),
@@ -156,7 +172,7 @@
         measured = sweep_values(played, tried, policy, experiment.seeds, knob, [value], metric, 1)
         return measured[0].metric
 
-    crossing = breaks_at(points, bound, measure)
+    crossing = find_crossing(points, bound, measure)
     if as_json:
         print(json.dumps({"points": [[p.value, p.metric] for p in points], "breaks_at": crossing}))
         return
@@ -182,11 +198,15 @@
     tried = _find_variant(experiment, variant)
     scenario = experiment.scenarios[0]
     policy = read_policy(tried.policy, Path.cwd())
-    found = hunt_days(scenario.size, scenario.seconds, tried, policy, days, seed, metric, processes, print)
-    loss, worst = found[0]
+    found = hunt_scenarios(
+        scenario.size, scenario.seconds, tried, policy, days, seed, metric, processes, print
+    )
+    worst = found[0].scenario
+    loss = found[0].loss
     why = f"found by hunting {days} days of seed {seed}: loses {loss:.3f} of {metric} against a calm day"
-    write_day(out, worst, tried, seed, why)
-    _print_table([["loss", "day"], *([f"{day_loss:.3f}", describe(day)] for day_loss, day in found[:8])])
+    write_scenario(out, worst, tried, seed, why)
+    rows = [[f"{each.loss:.3f}", describe(each.scenario)] for each in found[:REPORTED_SCENARIOS]]
+    _print_table([["loss", "day"], *rows])
     print(f"{out}: {describe(worst)}")
 
 
@@ -217,7 +237,7 @@
     recorded = found.runs[number - 1]
     experiment: Experiment = msgspec.convert(found.head["experiment"], Experiment)
     variant = _find_variant(experiment, recorded["variant"])
-    replayed = play(
+    replayed = run_scenario(
         _find_scenario(experiment, recorded["scenario"]),
         recorded["seed"],
         variant,
@@ -235,7 +255,7 @@
     only: Annotated[str, typer.Option(help="Parts, with commas between; else all.")] = "",
 ) -> None:
     """What single parts of a relay's control cost by their size, with fits: a minute on one core."""
-    from sageturn.lab.runs import revision
+    from sageturn.lab.result_file import revision
     from sageturn.lab.scale.costs import PARTS, run_costs
 
     chosen = [name for name in only.split(",") if name]
@@ -265,7 +285,7 @@
     try:
         experiment = read_scale(file)
         results = run_scale(experiment, out, Path.cwd(), lambda text: print(text, flush=True), only)
-    except (BadExperiment, ValueError) as error:
+    except (InvalidExperimentError, ValueError) as error:
         fail(ExitCode.USAGE, str(error))
     except KeyboardInterrupt:
         fail(ExitCode.REFUSED, f"interrupted; {out} has what was played whole")
--- a/sageturn/lab/scale/plan.py
+++ b/sageturn/lab/scale/plan.py
@@ -12,7 +12,8 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from sageturn.lab.experiment import BadExperiment, Name, Positive
+from sageturn.lab.errors import InvalidExperimentError
+from sageturn.lab.experiment import Name, Positive
 from sageturn.lab.scale.errors import InvalidPlanError
 from sageturn.lab.scale.units import BYTES_PER_GB, BYTES_PER_MB, S_PER_MINUTE
 
@@ -141,13 +142,13 @@
         names = [size.name for size in self.sizes]
         for number, size in enumerate(self.sizes):
             try:
-                if size.name in names[:number]:
-                    raise InvalidPlanError(f"name: {size.name} is there twice")
-                self._validate_size(size)
+                self._validate_size(size, names[:number])
             except InvalidPlanError as error:
                 raise InvalidPlanError(f"sizes[{number}].{error}") from error
 
-    def _validate_size(self, size: Size) -> None:
+    def _validate_size(self, size: Size, earlier_names: list[str]) -> None:
+        if size.name in earlier_names:
+            raise InvalidPlanError(f"name: {size.name} is there twice")
         _validate_choice("spread", size.spread, SPREADS)
         _validate_choice("topology", size.topology, TOPOLOGIES)
         if size.real > size.members:
@@ -230,14 +231,14 @@
 
 
 def read_scale(file: Path) -> ScaleExperiment:
-    """TOML. Raises BadExperiment, which names the file and the key."""
+    """TOML. Raises InvalidExperimentError, which names the file and the key."""
     try:
         data = file.read_bytes()
     except OSError as error:
-        raise BadExperiment(f"{file}: {error.strerror}") from error
+        raise InvalidExperimentError(f"{file}: {error.strerror}") from error
     try:
         experiment = msgspec.toml.decode(data, type=ScaleExperiment)
         experiment.validate()
     except (msgspec.DecodeError, msgspec.ValidationError, ValueError) as error:
-        raise BadExperiment(f"{file}: {error}") from error
+        raise InvalidExperimentError(f"{file}: {error}") from error
     return experiment
--- a/sageturn/lab/scale/results.py
+++ b/sageturn/lab/scale/results.py
@@ -12,8 +12,7 @@
 
 import msgspec
 
-from sageturn.lab.runs import LIBRARIES, Results, revision
-from sageturn.lab.runs import _version as library_version
+from sageturn.lab.result_file import LIBRARIES, Results, library_version, revision
 from sageturn.lab.scale.plan import ScaleExperiment, Size
 from sageturn.lab.scale.predictions import judge_predictions, predict
 from sageturn.lab.scale.scale_run import run_size
