--- a/sageturn/core/request_registry.py
+++ b/sageturn/core/request_registry.py
@@ -63,10 +63,10 @@
         schedule = self.schedule
         loop = asyncio.get_running_loop()
         started_s = loop.time()
-        await asyncio.sleep(schedule.move_from_s)
+        await asyncio.sleep(schedule.migration_start_s)
         await self._migrate_established(ingress, schedule, started_s)
         self._force_drain(ingress)
-        deadline_s = started_s + schedule.leave_at_s
+        deadline_s = started_s + schedule.exit_at_s
         await ingress.wait_closed(max(MIN_CLOSE_TIMEOUT_S, deadline_s - loop.time()))
         if self._requests:
             log.error("graceful shutdown incomplete connections=%d", len(self._requests))
@@ -77,8 +77,8 @@
         """Ask the clients of established connections to go elsewhere, evenly over the schedule's time."""
         loop = asyncio.get_running_loop()
         pacer = EvenPacer()
-        migrated_at_s = schedule.move_from_s + schedule.over_s
-        while loop.time() - started_s < schedule.hurry_at_s:
+        migrated_at_s = schedule.migration_start_s + schedule.migration_duration_s
+        while loop.time() - started_s < schedule.forced_drain_at_s:
             established = self._established_undrained()
             steps_left = max(1.0, (migrated_at_s - (loop.time() - started_s)) / DRAIN_STEP_S)
             for lifecycle in established[: pacer.due(len(established), steps_left)]:
--- a/sageturn/core/shutdown_schedule.py
+++ b/sageturn/core/shutdown_schedule.py
@@ -19,12 +19,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ShutdownSchedule:
-    """Seconds after the signal, but for ``over_s``, which is a length."""
+    """Seconds after the signal, but for ``migration_duration_s``, which is a length."""
 
-    move_from_s: float  # when the migration of established connections begins,
-    over_s: float  # and how long it takes: evenly, so that clients don't reconnect all at once
-    hurry_at_s: float  # when the drain is forced
-    leave_at_s: float  # when the process exits
+    migration_start_s: float  # when the migration of established connections begins,
+    migration_duration_s: float  # and how long it takes: evenly, so that clients don't reconnect all at once
+    forced_drain_at_s: float  # when the drain is forced
+    exit_at_s: float  # when the process exits
 
 
 def shutdown_schedule(classes: Iterable[RequestClass]) -> ShutdownSchedule:
--- a/tests/config/test_deployments.py
+++ b/tests/config/test_deployments.py
@@ -213,15 +213,23 @@
     cls = read_settings(FERRY_SETTINGS).classes[0]
     times = shutdown_schedule([replace(cls, give_up_ms=wait_ms) for wait_ms in waits_ms])
     killed_s = min(3.0, max(waits_ms) / 1000.0) + 0.7
-    assert times.leave_at_s <= killed_s - 0.25
-    assert 0.0 < times.move_from_s < times.move_from_s + times.over_s < times.hurry_at_s < times.leave_at_s
+    assert times.exit_at_s <= killed_s - 0.25
+    assert (
+        0.0
+        < times.migration_start_s
+        < times.migration_start_s + times.migration_duration_s
+        < times.forced_drain_at_s
+        < times.exit_at_s
+    )
 
 
 def test_a_stop_of_the_first_deployment_keeps_its_times() -> None:
     cls = read_settings(FERRY_SETTINGS).classes[0]
     times = shutdown_schedule([replace(cls, give_up_ms=3200.0)])
-    assert times.move_from_s == 0.45 and times.leave_at_s == pytest.approx(3.4)
-    assert times.hurry_at_s == pytest.approx(2.9) and times.over_s == pytest.approx(1.8, abs=0.01)
+    assert times.migration_start_s == 0.45 and times.exit_at_s == pytest.approx(3.4)
+    assert times.forced_drain_at_s == pytest.approx(2.9) and times.migration_duration_s == pytest.approx(
+        1.8, abs=0.01
+    )
 
 
 @given(st.integers(1, 400), st.integers(4, 60))
