--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -4,6 +4,7 @@
 
 import asyncio
 import json
+from collections.abc import Callable
 from pathlib import Path
 
 import pytest
@@ -63,7 +64,7 @@
     class Counting(bytes):
         copied = 0
 
-        def __getitem__(self, at):  # type: ignore[no-untyped-def]
+        def __getitem__(self, at):  # type: ignore[no-untyped-def]  # overloaded in bytes
             found = bytes(self)[at] if isinstance(at, int) else super().__getitem__(at)
             Counting.copied += len(found) if isinstance(found, bytes) else 1
             return found
@@ -129,7 +130,7 @@
         store.put("state/n2/x", 1)
 
 
-async def until(condition) -> None:  # type: ignore[no-untyped-def]
+async def until(condition: Callable[[], object]) -> None:
     async with asyncio.timeout(10):
         while not condition():
             await asyncio.sleep(0.01)
