--- a/tests/frontends/test_platform_frontend.py
+++ b/tests/frontends/test_platform_frontend.py
@@ -27,6 +27,7 @@
 from support.relay_checks import record_balancer_events
 
 from sageturn.config.loader import load
+from sageturn.core.connection_record import ConnectionRecord
 from sageturn.decision import MeasurementReported
 from sageturn.relay import Relay
 
@@ -162,7 +163,12 @@
     async def go() -> None:
         async with relaying(tmp_path, then_reset) as (relay, _):
             ended: asyncio.Queue[str] = asyncio.Queue()
-            relay.context.on_connection_closed = lambda record: ended.put_nowait(record.close_reason.name)  # type: ignore[union-attr]
+
+            def on_connection_closed(record: ConnectionRecord) -> None:
+                assert record.close_reason is not None
+                ended.put_nowait(record.close_reason.name)
+
+            relay.context.on_connection_closed = on_connection_closed
             reader, writer = await ask(relay.listener.address, first_line())
             assert await reader.readline() == b"UP r\r\n"
             writer.write(b"M 1\r\n")
--- a/tests/rebalance/test_planner.py
+++ b/tests/rebalance/test_planner.py
@@ -295,7 +295,9 @@
     fleet = uneven_fleet()
     fleet.run(60)
     state = fleet.planner.encode_state(fleet.plan)
-    assert state["mode"] == "on" and state["counts"]["moved"] == len(fleet.migrated)  # type: ignore[index]
+    counts = state["counts"]
+    assert isinstance(counts, dict)
+    assert state["mode"] == "on" and counts["moved"] == len(fleet.migrated)
     assert state["phase"] == fleet.plan.phase and state["why"]
 
 
--- a/tests/rebalance/test_rebalance_relay.py
+++ b/tests/rebalance/test_rebalance_relay.py
@@ -117,7 +117,9 @@
             reader, writer = await ask(relay.listener.address, first_line())
             assert await reader.readline() == b"UP r1\r\n" and relay.balancer_actor.observers == []
             monkeypatch.setattr(relay.rebalancer, "tick", fails)
-            await wait_until(lambda: relay.rebalancer.options.mode == "off")  # type: ignore[union-attr]
+            rebalancer = relay.rebalancer
+            assert rebalancer is not None
+            await wait_until(lambda: rebalancer.options.mode == "off")
             writer.write(b"M 1\r\n")
             assert await reader.readline() == b"M 1\r\n"
             writer.close()
