--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -403,7 +403,7 @@
         running.cancel()
         await asyncio.wait((running,))
         with pytest.raises(OSError):
-            await asyncio.open_connection(*endpoint.sockets[0].getsockname()[:1], port=front_port)
+            await asyncio.open_connection(endpoint.sockets[0].getsockname()[0], front_port)
         endpoint.close()
 
     front_port = listening().getsockname()[1]
