--- /dev/null
+++ b/sageturn/store/replication/body_fields.py
@@ -0,0 +1,98 @@
+"""Decoding what the bodies of several kinds of messages have in common: numbers, lists,
+acknowledged positions and records.
+
+Decoders raise SessionRejected for an invalid value, and whatever a body of unexpected types raises when it is
+taken apart (``MALFORMED_BODY_ERRORS``).
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterator, Sequence
+from typing import Any, TypeVar
+
+from sageturn.store.errors import InvalidRecordError, SessionRejected
+from sageturn.store.records import StoreRecord, parse_record
+from sageturn.store.replication.messages import AcknowledgedPosition
+from sageturn.store.replication.priority import PRIORITY_CLASSES
+
+MALFORMED_BODY_ERRORS = (KeyError, TypeError, ValueError, IndexError, AttributeError)
+MAX_QUOTED_LENGTH = 40  # of a peer's text in a rejection
+
+_Item = TypeVar("_Item")
+
+
+class LazySequence(Sequence[_Item]):
+    """The items of a body, each decoded when an iteration reaches it."""
+
+    __slots__ = ("_body", "_decode_item")
+
+    def __init__(self, body: Any, decode_item: Callable[[Any], _Item]) -> None:
+        self._body = body
+        self._decode_item = decode_item
+
+    def __iter__(self) -> Iterator[_Item]:
+        for item in self._body:
+            yield self._decode_item(item)
+
+    def __len__(self) -> int:
+        return len(self._body)
+
+    def __getitem__(self, index: Any) -> Any:
+        return list(self)[index]
+
+
+class LazyRecords(Sequence[StoreRecord]):
+    """The records of a chunk, decoded together at their first use: all of them or none."""
+
+    __slots__ = ("_body", "_records")
+
+    def __init__(self, body: Any) -> None:
+        self._body = body
+        self._records: list[StoreRecord] | None = None
+
+    def _decoded(self) -> list[StoreRecord]:
+        if self._records is None:
+            self._records = decode_records(self._body)
+        return self._records
+
+    def __len__(self) -> int:
+        return len(self._decoded())
+
+    def __getitem__(self, index: Any) -> Any:
+        return self._decoded()[index]
+
+
+def decode_records(body: Any) -> list[StoreRecord]:
+    """All records of a list, or none."""
+    try:
+        return [
+            parse_record({"key": key, "value": value, "version": version, "node": node, "written_ms": ms})
+            for key, value, version, node, ms in body
+        ]
+    except (InvalidRecordError, TypeError, ValueError) as error:
+        raise SessionRejected(f"no record: {error}") from error
+
+
+def acknowledged_positions(body: Any) -> Sequence[AcknowledgedPosition]:
+    """What a peer has received; each position is decoded once the one before it was applied."""
+    return LazySequence(body, _decode_acknowledged_position)
+
+
+def _decode_acknowledged_position(body: Any) -> AcknowledgedPosition:
+    # Its range is checked where it is known what was sent.
+    backlog, live = body
+    return AcknowledgedPosition(backlog, live)
+
+
+def by_priority(body: Any) -> tuple[int, ...]:
+    """One number for each priority class."""
+    if not isinstance(body, list) or len(body) != len(PRIORITY_CLASSES):
+        raise SessionRejected("not so many lanes")
+    return tuple(natural(value) for value in body)
+
+
+def natural(value: Any, minimum: int = 0) -> int:
+    """The value itself, if it is a whole number that is large enough."""
+    if not isinstance(value, int) or isinstance(value, bool) or value < minimum:
+        raise SessionRejected(f"no count: {str(value)[:MAX_QUOTED_LENGTH]}")
+    return value
--- /dev/null
+++ b/sageturn/store/replication/heartbeat_codec.py
@@ -0,0 +1,122 @@
+"""The encoder and the decoder of heartbeats; ``message_codec`` has those of all other messages."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator, Sequence
+from dataclasses import dataclass
+from typing import Any
+
+from sageturn.store.errors import SessionRejected
+from sageturn.store.replication.body_fields import LazySequence, acknowledged_positions, by_priority, natural
+from sageturn.store.replication.messages import (
+    MAX_ZONES,
+    Acknowledgement,
+    Heartbeat,
+    OutgoingHeartbeat,
+    SkippedRange,
+)
+from sageturn.store.replication.routes import RouteAdvertisement
+
+MAX_ZONE_AGE_S = 1e9
+MAX_RANK_LENGTH = 32  # hexadecimal digits
+
+
+def heartbeat_to_wire(heartbeat: OutgoingHeartbeat) -> list[Any]:
+    """The body of a heartbeat."""
+    return [
+        heartbeat.heads,
+        heartbeat.roots,
+        heartbeat.skipped,
+        heartbeat.acknowledged,
+        heartbeat.tombstone_floor,
+        heartbeat.recently_in_sync,
+        heartbeat.zone_ages,
+        None if heartbeat.route is None else _route_to_wire(heartbeat.route),
+    ]
+
+
+def _route_to_wire(route: RouteAdvertisement) -> list[Any]:
+    return [
+        f"{route.root_rank:x}",
+        route.root_incarnation,
+        route.sequence,
+        route.is_root_path,
+        route.member_count,
+    ]
+
+
+@dataclass(frozen=True, slots=True)
+class ReceivedHeartbeat(Heartbeat):
+    """A peer's heartbeat. What a method returns is decoded, and so rejected, only when it is called.
+
+    A session applies the parts in the order of these methods, and leaves out those that don't concern it.
+    """
+
+    recently_in_sync: bool
+    raw_acknowledged: Any
+    raw_tombstone_floor: Any
+    raw_zone_ages: dict[str, Any]
+    raw_route: Any
+    raw_skipped: Any
+
+    def acknowledgement(self) -> Acknowledgement | None:
+        """What the peer has received; None if it follows nothing yet."""
+        if self.raw_acknowledged is None:
+            return None
+        return Acknowledgement(acknowledged_positions(self.raw_acknowledged))
+
+    def tombstone_floor(self) -> int:
+        """The peer's tombstone floor."""
+        return natural(self.raw_tombstone_floor)
+
+    def zone_ages(self) -> Iterator[tuple[str, float]]:
+        """Seconds since the last message that left each zone."""
+        for zone, age in self.raw_zone_ages.items():
+            if not isinstance(age, int | float) or isinstance(age, bool) or not 0.0 <= age < MAX_ZONE_AGE_S:
+                raise SessionRejected("no age")
+            yield zone, age
+
+    def route(self) -> RouteAdvertisement | None:
+        """What the peer says of the topology's root."""
+        return None if self.raw_route is None else _decode_route(self.raw_route)
+
+    def skipped(self) -> Sequence[SkippedRange] | None:
+        """Live revisions that hold nothing new for this side; None if the peer sends no changes yet."""
+        return None if self.raw_skipped is None else LazySequence(self.raw_skipped, _decode_skipped_range)
+
+
+def decode_heartbeat(body: Any) -> ReceivedHeartbeat:
+    """Decodes what every session needs of a heartbeat."""
+    heads, roots, skipped, acknowledged, floor, recently_in_sync, zone_ages, route = body
+    decoded_heads = by_priority(heads)
+    decoded_roots = by_priority(roots)
+    if not isinstance(zone_ages, dict) or len(zone_ages) > MAX_ZONES:
+        raise SessionRejected("too many zones")
+    return ReceivedHeartbeat(
+        heads=decoded_heads,
+        roots=decoded_roots,
+        recently_in_sync=recently_in_sync is True,
+        raw_acknowledged=acknowledged,
+        raw_tombstone_floor=floor,
+        raw_zone_ages=zone_ages,
+        raw_route=route,
+        raw_skipped=skipped,
+    )
+
+
+def _decode_route(body: Any) -> RouteAdvertisement:
+    rank, incarnation, sequence, is_root_path, member_count = body
+    if not isinstance(rank, str) or len(rank) > MAX_RANK_LENGTH:
+        raise SessionRejected("no beacon")
+    return RouteAdvertisement(
+        root_rank=int(rank, 16),
+        root_incarnation=natural(incarnation),
+        sequence=natural(sequence),
+        is_root_path=is_root_path is True,
+        member_count=natural(member_count),
+    )
+
+
+def _decode_skipped_range(body: Any) -> SkippedRange:
+    start, end = body
+    return SkippedRange(start, natural(end))
--- a/sageturn/store/replication/message_codec.py
+++ b/sageturn/store/replication/message_codec.py
@@ -2,82 +2,93 @@
 
 On the wire a message is a JSON object with one key, the message's kind, and a list or an object as its
 body. The texts of rejections are sent to the peer, so they are part of the protocol too.
+
+A session checks whether it expects a kind before it decodes the body, and applies some parts of a body
+before it reaches the next ones: those are decoded on demand (``LazySequence``, ``heartbeat_codec``).
+Decoders raise SessionRejected for an invalid body, and ``MALFORMED_BODY_ERRORS`` for one of unexpected types.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from collections.abc import Iterator
+from dataclasses import replace
 from typing import Any
 
-from sageturn.store.errors import InvalidRecordError, SessionRejected
-from sageturn.store.records import StoreRecord, parse_record
+from sageturn.store.errors import SessionRejected
+from sageturn.store.records import StoreRecord
+from sageturn.store.replication.body_fields import (
+    MAX_QUOTED_LENGTH,
+    LazyRecords,
+    LazySequence,
+    acknowledged_positions,
+    by_priority,
+    decode_records,
+    natural,
+)
 from sageturn.store.replication.close_code import CloseCode
 from sageturn.store.replication.cursor import ChangeStream
+from sageturn.store.replication.heartbeat_codec import heartbeat_to_wire
 from sageturn.store.replication.location import ReplicaLocation
 from sageturn.store.replication.membership import Member
 from sageturn.store.replication.merkle_tree import DEPTH, FANOUT
 from sageturn.store.replication.messages import (
     MAX_REQUESTED_ITEMS,
-    MAX_ZONES,
-    AcknowledgedPosition,
     Acknowledgement,
     Bye,
     Chunk,
     Follow,
     FollowPosition,
-    Heartbeat,
     Hello,
-    Message,
+    MessageKind,
     NodeContent,
     NodeRequest,
     NodeResponse,
+    OutgoingHeartbeat,
+    OutgoingMessage,
     RecordRequest,
     RecordResponse,
     RecordVersion,
-    SkippedRange,
     TreeNode,
 )
-from sageturn.store.replication.priority import PRIORITY_CLASSES, PriorityClass
-from sageturn.store.replication.routes import RouteAdvertisement
+from sageturn.store.replication.priority import PRIORITY_CLASSES
 from sageturn.store.replication.wire import PROTOCOL_VERSION, encode
 
-MALFORMED_BODY_ERRORS = (KeyError, TypeError, ValueError, IndexError, AttributeError)
-
-MAX_ZONE_AGE_S = 1e9
 MAX_ALTERNATIVES = 64  # members named in a rejection
 MAX_CLOSE_DETAIL_LENGTH = 500
-MAX_RANK_LENGTH = 32  # hexadecimal digits
-MAX_QUOTED_LENGTH = 40  # of a peer's text in a rejection
+PROTOCOL_WITHOUT_HELLO = "1 (whole digests)"
+
+_PRIORITY_BY_INDEX = list(PRIORITY_CLASSES)
 
 
 # ---------------------------------------------------------------- encoding
 
 
-def encode_message(message: Message) -> bytes:
+def encode_message(message: OutgoingMessage) -> bytes:
     """The payload of a message."""
     return encode(_to_wire(message))
 
 
-def _to_wire(message: Message) -> dict[str, Any]:
+def _to_wire(message: OutgoingMessage) -> dict[str, Any]:
     match message:
         case Hello():
-            return {"hello": _hello_to_wire(message), "records": _version_notice()}
+            return {MessageKind.HELLO: _hello_to_wire(message), "records": _version_notice()}
         case Follow(positions):
-            return {"follow": positions}
+            return {MessageKind.FOLLOW: positions}
         case Chunk(priority, stream, start, end, records):
-            return {"changes": [priority, stream, start, end, [record_to_wire(record) for record in records]]}
+            packed = [record_to_wire(record) for record in records]
+            return {MessageKind.CHUNK: [priority, stream, start, end, packed]}
         case Acknowledgement(positions):
-            return {"ack": positions}
-        case Heartbeat():
-            return {"beat": _heartbeat_to_wire(message)}
+            return {MessageKind.ACKNOWLEDGEMENT: positions}
+        case OutgoingHeartbeat():
+            return {MessageKind.HEARTBEAT: heartbeat_to_wire(message)}
         case NodeRequest(nodes):
-            return {"ask": nodes}
+            return {MessageKind.NODE_REQUEST: nodes}
         case NodeResponse(count, contents):
-            return {"nodes": [count, contents]}
+            return {MessageKind.NODE_RESPONSE: [count, contents]}
         case RecordRequest(keys):
-            return {"get": keys}
+            return {MessageKind.RECORD_REQUEST: keys}
         case RecordResponse(count, records):
-            return {"give": [count, [record_to_wire(record) for record in records]]}
+            return {MessageKind.RECORD_RESPONSE: [count, [record_to_wire(record) for record in records]]}
         case Bye():
             return _bye_to_wire(message)
 
@@ -99,32 +110,9 @@
     }
 
 
-def _heartbeat_to_wire(heartbeat: Heartbeat) -> list[Any]:
-    return [
-        heartbeat.heads,
-        heartbeat.roots,
-        heartbeat.skipped,
-        heartbeat.acknowledged,
-        heartbeat.tombstone_floor,
-        heartbeat.recently_in_sync,
-        heartbeat.zone_ages,
-        None if heartbeat.route is None else _route_to_wire(heartbeat.route),
-    ]
-
-
-def _route_to_wire(route: RouteAdvertisement) -> list[Any]:
-    return [
-        f"{route.root_rank:x}",
-        route.root_incarnation,
-        route.sequence,
-        route.is_root_path,
-        route.member_count,
-    ]
-
-
 def _bye_to_wire(bye: Bye) -> dict[str, Any]:
     alternatives = [_member_to_wire(member) for member in bye.alternatives]
-    message: dict[str, Any] = {"bye": [bye.close_code, bye.detail, alternatives]}
+    message: dict[str, Any] = {MessageKind.BYE: [bye.close_code, bye.detail, alternatives]}
     if bye.close_code == CloseCode.VERSION:
         message["records"] = _version_notice()
     return message
@@ -148,41 +136,49 @@
 # ---------------------------------------------------------------- decoding
 
 
-def decode_message(message: dict[str, Any], peer: str) -> Message:
-    """The message of a decoded payload; ``peer`` is named in rejections.
+class _LazyNodeContents(LazySequence[NodeContent]):
+    """The contents of a node response; their number is checked when an iteration starts."""
 
-    Raises SessionRejected for an unknown kind or an invalid body, and whatever a body of unexpected types
-    raises when it is taken apart (``MALFORMED_BODY_ERRORS``).
-    """
-    kind = next(iter(message))
-    decoder = _DECODERS.get(kind)
-    if decoder is None:
-        raise SessionRejected(f"unknown message {str(kind)[:MAX_QUOTED_LENGTH]!r}")
-    return decoder(message[kind], peer)
+    __slots__ = ("_count",)
 
+    def __init__(self, body: Any, count: int) -> None:
+        super().__init__(body, _decode_node_content)
+        self._count = count
 
-def _decode_digest(_body: Any, peer: str) -> Message:
-    raise _protocol_mismatch(peer, "1 (whole digests)")
+    def __iter__(self) -> Iterator[NodeContent]:
+        if len(self) != self._count:
+            raise SessionRejected("answers and their count differ")
+        yield from super().__iter__()
 
 
-def _protocol_mismatch(peer: str, version: Any) -> SessionRejected:
+def parse_kind(name: str) -> MessageKind:
+    """The kind of that name. Raises SessionRejected if there is none."""
+    try:
+        return MessageKind(name)
+    except ValueError as error:
+        raise SessionRejected(f"unknown message {name[:MAX_QUOTED_LENGTH]!r}") from error
+
+
+def protocol_mismatch(peer: str, version: Any) -> SessionRejected:
+    """The rejection of a peer that speaks another version of the protocol."""
     text = f"{peer} speaks protocol {version}, this copy speaks {PROTOCOL_VERSION}"
     return SessionRejected(text, CloseCode.VERSION)
 
 
-def _decode_hello(body: Any, peer: str) -> Hello:
+def decode_hello(body: Any, peer: str) -> Hello:
+    """The first message of a peer, who is named in the rejection of another protocol version."""
     if body["protocol"] != PROTOCOL_VERSION:
-        raise _protocol_mismatch(peer, body["protocol"])
+        raise protocol_mismatch(peer, body["protocol"])
     location = body["member"]
     return Hello(
         node=str(body["node"]),
-        incarnation=_natural(body["incarnation"], 1),
-        heads=_by_priority(body["heads"]),
-        roots=_by_priority(body["roots"]),
-        counts=_by_priority(body["counts"]),
+        incarnation=natural(body["incarnation"], 1),
+        heads=by_priority(body["heads"]),
+        roots=by_priority(body["roots"]),
+        counts=by_priority(body["counts"]),
         recently_in_sync=body["fresh"] is True,
         holds_replicated_records=body["foreign"] is True,
-        tombstone_floor=_natural(body["floor"]),
+        tombstone_floor=natural(body["floor"]),
         is_ephemeral=body["guest"] is True,
         location=None if location is None else _decode_location(location),
     )
@@ -190,94 +186,55 @@
 
 def _decode_location(body: Any) -> ReplicaLocation:
     host, port, region, zone = body
-    return ReplicaLocation((str(host), _natural(port)), str(region), str(zone))
+    return ReplicaLocation((str(host), natural(port)), str(region), str(zone))
+
 
+def decode_follow(body: Any) -> Follow:
+    """A request for changes; each position is decoded once the one before it was checked."""
+    return Follow(LazySequence(body, _decode_follow_position))
 
-def _decode_follow(body: Any, _peer: str) -> Follow:
-    positions = []
-    for _, (backlog, backlog_end, live) in zip(PRIORITY_CLASSES, body, strict=True):
-        position = FollowPosition(_natural(backlog + 1) - 1, _natural(backlog_end), _natural(live))
-        positions.append(position)
-    return Follow(tuple(positions))
 
+def _decode_follow_position(body: Any) -> FollowPosition:
+    raw_backlog, raw_backlog_end, live = body
+    backlog = natural(raw_backlog + 1) - 1
+    backlog_end = natural(raw_backlog_end)
+    if backlog > backlog_end:
+        raise SessionRejected("a cursor that was never given")
+    return FollowPosition(backlog, backlog_end, natural(live))
 
-def _decode_chunk(body: Any, _peer: str) -> Chunk:
+
+def decode_chunk(body: Any, is_following: bool) -> Chunk:
+    """Changes, which only a side that follows its peer expects; records are decoded at their first use."""
     priority, stream, start, end, records = body
-    if priority not in PRIORITY_CLASSES or stream not in tuple(ChangeStream):
+    if not is_following or priority not in PRIORITY_CLASSES or stream not in tuple(ChangeStream):
         raise SessionRejected("changes that nobody asked for")
     return Chunk(
-        priority=PriorityClass(priority),
+        priority=_PRIORITY_BY_INDEX[priority],
         stream=ChangeStream(stream),
-        start=_natural(start),
-        end=_natural(end),
-        records=_decode_records(records),
+        start=natural(start),
+        end=natural(end),
+        records=LazyRecords(records),
     )
 
 
-def _decode_acknowledgement(body: Any, _peer: str) -> Acknowledgement:
-    return Acknowledgement(_acknowledged_positions(body))
-
+def decode_acknowledgement(body: Any) -> Acknowledgement:
+    """A confirmation; each position is decoded once the one before it was applied."""
+    return Acknowledgement(acknowledged_positions(body))
 
-def _acknowledged_positions(body: Any) -> tuple[AcknowledgedPosition, ...]:
-    # Their range is checked where it is known what was sent.
-    return tuple(
-        AcknowledgedPosition(backlog, live) for _, (backlog, live) in zip(PRIORITY_CLASSES, body, strict=True)
-    )
 
-
-def _decode_heartbeat(body: Any, _peer: str) -> Heartbeat:
-    heads, roots, skipped, acknowledged, floor, recently_in_sync, zone_ages, route = body
-    return Heartbeat(
-        heads=_by_priority(heads),
-        roots=_by_priority(roots),
-        zone_ages=_decode_zone_ages(zone_ages),
-        acknowledged=None if acknowledged is None else _acknowledged_positions(acknowledged),
-        tombstone_floor=_natural(floor),
-        recently_in_sync=recently_in_sync is True,
-        route=None if route is None else _decode_route(route),
-        skipped=None if skipped is None else _decode_skipped(skipped),
-    )
-
-
-def _decode_zone_ages(body: Any) -> dict[str, float]:
-    if not isinstance(body, dict) or len(body) > MAX_ZONES:
-        raise SessionRejected("too many zones")
-    for age in body.values():
-        if not isinstance(age, int | float) or isinstance(age, bool) or not 0.0 <= age < MAX_ZONE_AGE_S:
-            raise SessionRejected("no age")
-    return body
-
-
-def _decode_route(body: Any) -> RouteAdvertisement:
-    rank, incarnation, sequence, is_root_path, member_count = body
-    if not isinstance(rank, str) or len(rank) > MAX_RANK_LENGTH:
-        raise SessionRejected("no beacon")
-    return RouteAdvertisement(
-        root_rank=int(rank, 16),
-        root_incarnation=_natural(incarnation),
-        sequence=_natural(sequence),
-        is_root_path=is_root_path is True,
-        member_count=_natural(member_count),
-    )
-
-
-def _decode_skipped(body: Any) -> tuple[SkippedRange, ...]:
-    return tuple(
-        SkippedRange(start, _natural(end)) for _, (start, end) in zip(PRIORITY_CLASSES, body, strict=True)
-    )
-
-
-def _decode_node_request(body: Any, _peer: str) -> NodeRequest:
+def decode_node_request(body: Any) -> NodeRequest:
+    """A request for Merkle tree nodes."""
     nodes = []
     for priority, depth, position in _requested_items(body):
-        is_known = priority in PRIORITY_CLASSES and 0 <= _natural(depth) <= DEPTH
-        if not is_known or _natural(position) >= FANOUT**depth:
+        is_known = priority in PRIORITY_CLASSES and 0 <= natural(depth) <= DEPTH
+        if not is_known or natural(position) >= FANOUT**depth:
             raise SessionRejected("no node of the tree")
         nodes.append(TreeNode(priority, depth, position))
     return NodeRequest(nodes)
 
 
-def _decode_record_request(body: Any, _peer: str) -> RecordRequest:
+def decode_record_request(body: Any) -> RecordRequest:
+    """A request for records."""
     keys = _requested_items(body)
     if not all(isinstance(key, str) for key in keys):
         raise SessionRejected("no key")
@@ -290,45 +247,42 @@
     return body
 
 
-def _decode_node_response(body: Any, _peer: str) -> NodeResponse:
-    count, contents = body
-    if len(contents) != _natural(count):
-        raise SessionRejected("answers and their count differ")
-    return NodeResponse(count, [_decode_node_content(content) for content in contents])
+def decode_node_response(body: Any) -> NodeResponse:
+    """Merkle tree nodes; each is decoded once the one before it was compared."""
+    raw_count, contents = body
+    count = natural(raw_count)
+    return NodeResponse(count, _LazyNodeContents(contents, count))
 
 
 def _decode_node_content(body: Any) -> NodeContent:
     if isinstance(body, list):
         if len(body) != FANOUT:
             raise SessionRejected("no node of the tree")
-        return [_natural(child) for child in body]
+        return [natural(child) for child in body]
     return {
-        str(key): RecordVersion(_natural(version, 1), str(node), _natural(digest, 1))
+        str(key): RecordVersion(natural(version, 1), str(node), natural(digest, 1))
         for key, (version, node, digest) in body.items()
     }
 
 
-def _decode_record_response(body: Any, _peer: str) -> RecordResponse:
-    count, records = body
-    return RecordResponse(_natural(count), _decode_records(records))
+def decode_record_response(body: Any) -> RecordResponse:
+    """Records that were requested."""
+    count, raw_records = body
+    records = decode_records(raw_records)
+    return RecordResponse(natural(count), records)
 
 
-def _decode_records(body: Any) -> list[StoreRecord]:
-    """All of them or none."""
-    try:
-        return [
-            parse_record({"key": key, "value": value, "version": version, "node": node, "written_ms": ms})
-            for key, value, version, node, ms in body
-        ]
-    except (InvalidRecordError, TypeError, ValueError) as error:
-        raise SessionRejected(f"no record: {error}") from error
+def decode_bye(body: Any) -> Bye:
+    """The last message of a peer, without its alternatives."""
+    detail = str(body[1])[:MAX_CLOSE_DETAIL_LENGTH]
+    return Bye(close_code=str(body[0]), detail=detail)
 
 
-def _decode_bye(body: Any, _peer: str) -> Bye:
+def decode_bye_alternatives(bye: Bye, body: Any) -> Bye:
+    """The bye of that body with the alternatives that it names."""
     alternatives = list(body[2])
-    return Bye(
-        close_code=str(body[0]),
-        detail=str(body[1])[:MAX_CLOSE_DETAIL_LENGTH],
+    return replace(
+        bye,
         alternatives=_decode_alternatives(alternatives[:MAX_ALTERNATIVES]),
         names_alternatives=bool(alternatives),
     )
@@ -347,33 +301,5 @@
 
 def _decode_member(body: Any) -> Member:
     name, host, port, region, zone, incarnation = body
-    address = str(host), _natural(port)
-    return Member(str(name), address, str(region), str(zone), _natural(incarnation))
-
-
-def _by_priority(body: Any) -> tuple[int, ...]:
-    if not isinstance(body, list) or len(body) != len(PRIORITY_CLASSES):
-        raise SessionRejected("not so many lanes")
-    return tuple(_natural(value) for value in body)
-
-
-def _natural(value: Any, minimum: int = 0) -> int:
-    if not isinstance(value, int) or isinstance(value, bool) or value < minimum:
-        raise SessionRejected(f"no count: {str(value)[:MAX_QUOTED_LENGTH]}")
-    return value
-
-
-_DECODERS: dict[str, Callable[[Any, str], Message]] = {
-    "digest": _decode_digest,
-    "hello": _decode_hello,
-    "follow": _decode_follow,
-    "changes": _decode_chunk,
-    "ack": _decode_acknowledgement,
-    "beat": _decode_heartbeat,
-    "ask": _decode_node_request,
-    "nodes": _decode_node_response,
-    "get": _decode_record_request,
-    "give": _decode_record_response,
-    "bye": _decode_bye,
-}
-KINDS_WITHOUT_HELLO = frozenset({"digest", "hello", "bye"})
+    address = str(host), natural(port)
+    return Member(str(name), address, str(region), str(zone), natural(incarnation))
--- a/sageturn/store/replication/messages.py
+++ b/sageturn/store/replication/messages.py
@@ -4,6 +4,7 @@
 
 from collections.abc import Sequence
 from dataclasses import dataclass
+from enum import StrEnum
 from typing import NamedTuple
 
 from sageturn.store.records import StoreRecord
@@ -17,6 +18,25 @@
 MAX_REQUESTED_ITEMS = 200  # tree nodes or keys in one request
 
 
+class MessageKind(StrEnum):
+    """What a message is called on the wire: the first key of its JSON object."""
+
+    DIGEST = "digest"  # of protocol 1; always rejected
+    HELLO = "hello"
+    FOLLOW = "follow"
+    CHUNK = "changes"
+    ACKNOWLEDGEMENT = "ack"
+    HEARTBEAT = "beat"
+    NODE_REQUEST = "ask"
+    NODE_RESPONSE = "nodes"
+    RECORD_REQUEST = "get"
+    RECORD_RESPONSE = "give"
+    BYE = "bye"
+
+
+KINDS_WITHOUT_HELLO = frozenset({MessageKind.DIGEST, MessageKind.HELLO, MessageKind.BYE})
+
+
 @dataclass(frozen=True, slots=True)
 class Hello:
     """The first message of each side. Lists have one entry for each priority class."""
@@ -86,10 +106,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """Sent at a steady pace, also when nothing changes."""
+    """Sent at a steady pace, also when nothing changes. Lists have one entry for each priority class."""
 
     heads: Sequence[int]
     roots: Sequence[int]
+
+
+@dataclass(frozen=True, slots=True)
+class OutgoingHeartbeat(Heartbeat):
+    """A heartbeat of this side; the peer's is a ``message_codec.ReceivedHeartbeat``."""
+
     skipped: Sequence[SkippedRange] | None  # None: the peer follows nothing yet
     acknowledged: Sequence[AcknowledgedPosition] | None  # None: the sender follows nothing yet
     tombstone_floor: int
@@ -164,12 +190,12 @@
         return LinkRejected(self.close_code, tuple(self.alternatives))
 
 
-Message = (
+OutgoingMessage = (
     Hello
     | Follow
     | Chunk
     | Acknowledgement
-    | Heartbeat
+    | OutgoingHeartbeat
     | NodeRequest
     | NodeResponse
     | RecordRequest
--- a/sageturn/store/replication/session.py
+++ b/sageturn/store/replication/session.py
@@ -10,72 +10,38 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Iterable
-from typing import Protocol
+from typing import Any
 
 from sageturn.store.errors import SessionRejected
-from sageturn.store.records import StoreRecord
+from sageturn.store.replication import message_codec
 from sageturn.store.replication.anti_entropy import AntiEntropyResponder, AntiEntropySync
-from sageturn.store.replication.byte_budget import ByteBudget
+from sageturn.store.replication.body_fields import MALFORMED_BODY_ERRORS
 from sageturn.store.replication.chunk_receiver import ChunkReceiver
 from sageturn.store.replication.chunk_sender import DEFERRABLE_STREAMS, URGENT_LIVE, ChunkSender
 from sageturn.store.replication.close_code import CloseCode
 from sageturn.store.replication.convergence import ConvergenceMonitor
-from sageturn.store.replication.cursor import Cursor, CursorCache
+from sageturn.store.replication.cursor import Cursor
+from sageturn.store.replication.heartbeat_codec import ReceivedHeartbeat, decode_heartbeat
 from sageturn.store.replication.liveness import HEARTBEAT_INTERVAL_S, PEER_TIMEOUT_S
-from sageturn.store.replication.local_replica import LocalReplica
-from sageturn.store.replication.location import ReplicaLocation
 from sageturn.store.replication.membership import Address, Member
-from sageturn.store.replication.message_codec import (
-    KINDS_WITHOUT_HELLO,
-    MALFORMED_BODY_ERRORS,
-    decode_message,
-    encode_message,
-)
 from sageturn.store.replication.messages import (
+    KINDS_WITHOUT_HELLO,
     Acknowledgement,
     Bye,
     Chunk,
     Follow,
-    Heartbeat,
     Hello,
-    Message,
-    NodeRequest,
-    NodeResponse,
-    RecordRequest,
+    MessageKind,
+    OutgoingHeartbeat,
+    OutgoingMessage,
     RecordResponse,
 )
 from sageturn.store.replication.priority import PRIORITY_CLASSES
-from sageturn.store.replication.routes import RouteAdvertisement
 from sageturn.store.replication.send_allowance import SendAllowance
+from sageturn.store.replication.session_host import SessionHost
 from sageturn.store.replication.wire import decode
 
 
-class SessionHost(LocalReplica, Protocol):
-    """What a session needs of its replica (``replica.Replica``)."""
-
-    budget: ByteBudget
-    location: ReplicaLocation | None
-    followed_cursors: CursorCache
-    on_output_pending: Callable[[], None]
-
-    @property
-    def is_ephemeral(self) -> bool: ...
-    @property
-    def recently_in_sync(self) -> bool: ...
-    @property
-    def holds_replicated_records(self) -> bool: ...
-    def admit(self, session: ReplicationSession, hello: Hello, claims_sync: bool, now: float) -> None: ...
-    def on_session_established(self, session: ReplicationSession, now: float) -> None: ...
-    def on_session_progress(self, session: ReplicationSession) -> None: ...
-    def may_follow(self, session: ReplicationSession) -> bool: ...
-    def apply_records(self, records: Iterable[StoreRecord], session: ReplicationSession) -> int: ...
-    def zone_ages(self, now: float) -> dict[str, float]: ...
-    def merge_zone_ages(self, ages: dict[str, float], now: float) -> None: ...
-    def make_route_for(self, session: ReplicationSession, now: float) -> RouteAdvertisement | None: ...
-    def on_route(self, session: ReplicationSession, route: RouteAdvertisement, now: float) -> None: ...
-
-
 class ReplicationSession:
     """One side of a session. ``dialed_address`` is None on the side that accepted the connection."""
 
@@ -168,7 +134,7 @@
         message = self._next_message(now)
         if message is None:
             return None
-        payload = encode_message(message)
+        payload = message_codec.encode_message(message)
         self._allowance.record_sent(now, len(payload))
         return payload
 
@@ -185,7 +151,7 @@
                 times.append(chunk_at)
         return min(times)
 
-    def _next_message(self, now: float) -> Message | None:
+    def _next_message(self, now: float) -> OutgoingMessage | None:
         if self.peer_close_detail or self.sent_bye:
             return None
         self._check_peer_timeout(now)
@@ -218,9 +184,9 @@
         if not self.close_detail and silent_s >= PEER_TIMEOUT_S:
             self.close(f"silent for {silent_s:.1f} s")
 
-    def _next_bulk_message(self, now: float) -> Message | None:
+    def _next_bulk_message(self, now: float) -> OutgoingMessage | None:
         """Urgent live changes first, then anti-entropy, then all other changes."""
-        message: Message | None = self._sender.next_chunk(now, URGENT_LIVE) if self._sender else None
+        message: OutgoingMessage | None = self._sender.next_chunk(now, URGENT_LIVE) if self._sender else None
         if message is None:
             message = self._anti_entropy.next_request()
         if message is None:
@@ -261,10 +227,10 @@
             self._anti_entropy.start(priority)
         return follow
 
-    def _make_heartbeat(self, now: float) -> Heartbeat:
+    def _make_heartbeat(self, now: float) -> OutgoingHeartbeat:
         replica = self._replica
         receiver = self._receiver
-        return Heartbeat(
+        return OutgoingHeartbeat(
             heads=replica.changes.heads,
             roots=replica.changes.roots,
             skipped=None if self._sender is None else self._sender.skip_known_changes(),
@@ -283,13 +249,13 @@
         Raises SessionRejected, with nothing of this payload's records applied; ``close_code`` then holds the
         reason, and the caller closes the session with the error's text.
         """
-        body = decode(payload)
+        message = decode(payload)
         self.last_received_at = now
+        kind, body = next(iter(message.items()))
         try:
-            kind = next(iter(body))
             if self.peer_hello is None and kind not in KINDS_WITHOUT_HELLO:
                 raise SessionRejected(f"{kind} before any greeting")
-            self._handle(decode_message(body, self.peer), now)
+            self._handle(message_codec.parse_kind(kind), body, now)
         except SessionRejected as rejection:
             if rejection.close_code != CloseCode.FAULT:
                 self.close_code = rejection.close_code
@@ -297,40 +263,51 @@
         except MALFORMED_BODY_ERRORS as error:
             raise SessionRejected(f"not understood: {type(error).__name__} {error}") from error
 
-    def _handle(self, message: Message, now: float) -> None:
-        match message:
-            case Bye():
-                self._on_bye(message)
-                return
-            case Hello():
-                self._on_hello(message, now)
-                return
-            case Follow():
-                self._on_follow(message)
-            case Chunk():
-                self._on_chunk(message)
-            case Acknowledgement():
-                self._on_acknowledgement(message)
-            case Heartbeat():
-                self._on_heartbeat(message, now)
-            case NodeRequest() | RecordRequest():
-                self._responder.on_request(message)
-            case NodeResponse():
-                self._anti_entropy.on_nodes(message)
+    # A message out of place is rejected as that, and not for what its body holds: the handlers check whether
+    # this side expects the kind before they decode the body.
+
+    def _handle(self, kind: MessageKind, body: Any, now: float) -> None:
+        match kind:
+            case MessageKind.DIGEST:
+                raise message_codec.protocol_mismatch(self.peer, message_codec.PROTOCOL_WITHOUT_HELLO)
+            case MessageKind.BYE:
+                self._on_bye(body)
+            case MessageKind.HELLO:
+                self._on_hello(body, now)
+            case _:
+                self._handle_established(kind, body, now)
+                self._replica.on_session_progress(self)
+
+    def _handle_established(self, kind: MessageKind, body: Any, now: float) -> None:
+        match kind:
+            case MessageKind.FOLLOW:
+                self._on_follow(body)
+            case MessageKind.CHUNK:
+                self._on_chunk(message_codec.decode_chunk(body, self._receiver.is_following))
+            case MessageKind.ACKNOWLEDGEMENT:
+                self._on_acknowledgement(message_codec.decode_acknowledgement(body))
+            case MessageKind.HEARTBEAT:
+                self._on_heartbeat(decode_heartbeat(body), now)
+            case MessageKind.NODE_REQUEST | MessageKind.RECORD_REQUEST:
+                self._on_request(kind, body)
+            case MessageKind.NODE_RESPONSE:
+                self._anti_entropy.on_nodes(message_codec.decode_node_response(body))
                 self._continue_anti_entropy(now)
-            case RecordResponse():
-                self._on_records(message)
+            case MessageKind.RECORD_RESPONSE:
+                self._on_records(message_codec.decode_record_response(body))
                 self._continue_anti_entropy(now)
-        self._replica.on_session_progress(self)
 
-    def _on_bye(self, bye: Bye) -> None:
+    def _on_bye(self, body: Any) -> None:
+        bye = message_codec.decode_bye(body)
         self.peer_close_detail = bye.detail
         self.peer_close_code = bye.close_code
-        self.peer_bye = bye
+        self.peer_bye = bye  # the peer has ended the session, whatever it names as alternatives
+        self.peer_bye = message_codec.decode_bye_alternatives(bye, body)
 
-    def _on_hello(self, hello: Hello, now: float) -> None:
+    def _on_hello(self, body: Any, now: float) -> None:
         if self.peer_hello is not None:
             raise SessionRejected("greeted twice")
+        hello = message_codec.decode_hello(body, self.peer)
         if hello.node != self.peer:
             raise SessionRejected(f"{self.peer} greets as {hello.node}")
         self._replica.admit(self, hello, self._claimed_sync(), now)
@@ -340,12 +317,13 @@
         self._next_heartbeat_at = now
         self._replica.on_session_established(self, now)
 
-    def _on_follow(self, follow: Follow) -> None:
+    def _on_follow(self, body: Any) -> None:
         assert self.peer_hello is not None
         if self._sender is not None:
             raise SessionRejected("follows twice")
+        positions = message_codec.decode_follow(body).positions
         self._sender = ChunkSender(
-            self._replica, self._allowance, self.peer_hello.incarnation, follow.positions, self._opened_at
+            self._replica, self._allowance, self.peer_hello.incarnation, positions, self._opened_at
         )
 
     def _on_chunk(self, chunk: Chunk) -> None:
@@ -358,22 +336,40 @@
             raise SessionRejected("acknowledged what was never sent")
         self._sender.on_acknowledged(acknowledgement.positions)
 
-    def _on_heartbeat(self, heartbeat: Heartbeat, now: float) -> None:
-        if heartbeat.acknowledged is not None:
-            self._on_acknowledgement(Acknowledgement(heartbeat.acknowledged))
+    def _on_request(self, kind: MessageKind, body: Any) -> None:
+        if self._responder.has_request:
+            raise SessionRejected("asked before the answer")
+        if kind == MessageKind.NODE_REQUEST:
+            self._responder.on_request(message_codec.decode_node_request(body))
+        else:
+            self._responder.on_request(message_codec.decode_record_request(body))
+
+    def _on_heartbeat(self, heartbeat: ReceivedHeartbeat, now: float) -> None:
+        """A part is applied before the next one is decoded: a malformed part ends the session there."""
+        acknowledgement = heartbeat.acknowledgement()
+        if acknowledgement is not None:
+            self._on_acknowledgement(acknowledgement)
         self.peer_recently_in_sync = heartbeat.recently_in_sync
         if not self.is_ephemeral:
-            self._replica.store.raise_tombstone_floor(heartbeat.tombstone_floor)
-            self._replica.merge_zone_ages(heartbeat.zone_ages, now)
-            if heartbeat.route is not None:
-                self._replica.on_route(self, heartbeat.route, now)
-        if not self._receiver.is_following or heartbeat.skipped is None:
+            self._on_member_heartbeat(heartbeat, now)
+        skipped = heartbeat.skipped()
+        if not self._receiver.is_following or skipped is None:
             return
-        self._receiver.skip(heartbeat.skipped)
+        self._receiver.skip(skipped)
         self._convergence.on_heartbeat(heartbeat)
         self._repair_divergence(heartbeat, now)
 
-    def _repair_divergence(self, heartbeat: Heartbeat, now: float) -> None:
+    def _on_member_heartbeat(self, heartbeat: ReceivedHeartbeat, now: float) -> None:
+        """What members tell each other of the cluster; an ephemeral client takes no part in it."""
+        replica = self._replica
+        replica.store.raise_tombstone_floor(heartbeat.tombstone_floor())
+        for zone, age in heartbeat.zone_ages():
+            replica.merge_zone_ages({zone: age}, now)
+        route = None if replica.topology is None else heartbeat.route()
+        if route is not None:
+            replica.on_route(self, route, now)
+
+    def _repair_divergence(self, heartbeat: ReceivedHeartbeat, now: float) -> None:
         if self._sender is None:
             return
         for priority in PRIORITY_CLASSES:
