--- a/tests/config/test_deployments.py
+++ b/tests/config/test_deployments.py
@@ -131,7 +131,7 @@
             line = first_line(900).replace(b"c=c,t=t", b"c=gate,t=north")
             assert (await reply(relay.listener.address, line))[:4] in (b"BUSY", b"ERR ")
             assert sum(len(e.lines) for e in endpoints) == attempts
-            assert all(e.most_open <= 1 for e in endpoints)
+            assert all(e.max_open <= 1 for e in endpoints)
             for endpoint in endpoints:
                 endpoint.script = up
             relay.balancer_actor._balancer.admission.buckets["south"].tokens = 9.0
@@ -173,11 +173,12 @@
     # A connection may take connectTimeoutMs; its request line once followed whatever was known by then.
     async def go() -> None:
         from sageturn.frontends.platform import connection as platform_connection
+        from sageturn.net import sockets
 
         async with relaying(tmp_path, up, up) as (relay, endpoints):
             by_port = {e.address[1]: (name, e) for name, e in zip("ab", endpoints, strict=True)}
             first: list[FakeEndpoint] = []
-            connect = platform_connection.connect_unreserved
+            connect = sockets.connect_unreserved
 
             async def connect_while_draining(address: tuple[str, int], timeout_s: float) -> Any:
                 sock = await connect(address, timeout_s)
--- a/tests/core/test_close_reasons.py
+++ b/tests/core/test_close_reasons.py
@@ -1,4 +1,4 @@
-"""Every pair of what a request is at and what ends it: one final answer, nothing sent late, nothing left."""
+"""Every pair of a request's stage and what ends it: one final response, nothing late, nothing left."""
 
 from __future__ import annotations
 
@@ -22,6 +22,7 @@
 from sageturn.frontends.platform import frontend as platform_frontend
 from sageturn.frontends.platform import relaying as platform_relaying
 from sageturn.frontends.platform.line_forwarder import LineForwarder
+from sageturn.net import sockets
 from sageturn.relay import Relay
 
 
@@ -44,47 +45,49 @@
 }
 
 
-class Scene:
+class RelayScenario:
     """A relay between one client and three endpoints that all act alike."""
 
     def __init__(self, relay: Relay, endpoints: list[FakeEndpoint], wait_ms: int = 3000) -> None:
-        self.relay, self.endpoints, self.line = relay, endpoints, first_line(wait_ms)
+        self.relay = relay
+        self.endpoints = endpoints
+        self.line = first_line(wait_ms)
         self.client = socket.create_connection(relay.listener.address)
         self.client.setblocking(False)
-        self.go_on = asyncio.Event()  # lets what was held at its stage go on
-        self.reset_host = False
+        self.resume = asyncio.Event()  # lets what was held at its stage go on
+        self.reset_endpoint = False
 
     @property
     def lines(self) -> list[bytes]:
         return [line for e in self.endpoints for line in e.lines if line]
 
-    async def rest(self) -> bytes:
-        """All that the client still hears; b"reset" at the end of it if it was reset."""
-        loop, heard = asyncio.get_running_loop(), b""
+    async def read_rest(self) -> bytes:
+        """All that the client still receives; b"reset" at the end of it if it was reset."""
+        loop, received = asyncio.get_running_loop(), b""
         try:
             while more := await asyncio.wait_for(loop.sock_recv(self.client, 1 << 16), 5):
-                heard += more
+                received += more
         except ConnectionResetError:
-            heard += b"reset"
-        return heard
+            received += b"reset"
+        return received
 
 
-# ---------------------------------------------------------------- stages: what its endpoints do meanwhile
+# ---------------------------------------------------------------- stages: what the endpoints do meanwhile
 
 
-def held(text: bytes) -> Any:
-    """Says so much, then holds until the end has been made; then resets or ends."""
+def holding(text: bytes) -> Any:
+    """Sends ``text``, then waits for the scenario to end or resume it; then resets or closes."""
 
-    def script(scene: list[Scene]) -> Any:
+    def script(scenario: list[RelayScenario]) -> Any:
         async def act(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes) -> None:
             writer.write(text)
             await writer.drain()
-            ends = asyncio.ensure_future(scene[0].go_on.wait())
+            ends = asyncio.ensure_future(scenario[0].resume.wait())
             left = asyncio.ensure_future(reader.read())
             await asyncio.wait((ends, left), return_when=asyncio.FIRST_COMPLETED)
             for task in (ends, left):
                 task.cancel()
-            if scene[0].reset_host:
+            if scenario[0].reset_endpoint:
                 linger = struct.pack("ii", 1, 0)
                 writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
                 writer.transport.abort()
@@ -94,115 +97,127 @@
     return script
 
 
-async def connecting(scene: Scene, monkeypatch: pytest.MonkeyPatch) -> None:
-    connect, begun = platform_connection.connect_unreserved, asyncio.Event()
+async def connecting(scenario: RelayScenario, monkeypatch: pytest.MonkeyPatch) -> None:
+    connect, begun = sockets.connect_unreserved, asyncio.Event()
 
     async def slowly(address: tuple[str, int], timeout_s: float) -> Any:
         begun.set()
         try:
-            await asyncio.wait_for(scene.go_on.wait(), timeout_s)
+            await asyncio.wait_for(scenario.resume.wait(), timeout_s)
         except TimeoutError:
-            return platform_connection.ConnectFailure.NEVER_UP
+            return sockets.ConnectFailure.NEVER_UP
         return await connect(address, timeout_s)
 
     monkeypatch.setattr(platform_connection, "connect_unreserved", slowly)
-    scene.client.sendall(scene.line)
+    scenario.client.sendall(scenario.line)
     await begun.wait()
 
 
-async def written(scene: Scene, monkeypatch: pytest.MonkeyPatch) -> None:
-    scene.client.sendall(scene.line)
-    await until(lambda: scene.lines)
+async def written(scenario: RelayScenario, monkeypatch: pytest.MonkeyPatch) -> None:
+    scenario.client.sendall(scenario.line)
+    await until(lambda: scenario.lines)
 
 
-async def standing(scene: Scene, monkeypatch: pytest.MonkeyPatch) -> None:
-    scene.client.sendall(scene.line)
-    await until(lambda: any(lifecycle.is_established for lifecycle in scene.relay.request_registry))
+async def established(scenario: RelayScenario, monkeypatch: pytest.MonkeyPatch) -> None:
+    scenario.client.sendall(scenario.line)
+    await until(lambda: any(lifecycle.is_established for lifecycle in scenario.relay.request_registry))
 
 
-async def half_a_line(scene: Scene, monkeypatch: pytest.MonkeyPatch) -> None:
-    scene.client.sendall(scene.line[:-2])
-    await until(lambda: scene.relay.admission.awaiting_request)
+async def partial_request_line(scenario: RelayScenario, monkeypatch: pytest.MonkeyPatch) -> None:
+    scenario.client.sendall(scenario.line[:-2])
+    await until(lambda: scenario.relay.admission.awaiting_request)
 
 
 STAGES = {
-    "half a first line": (half_a_line, held(b"")),
-    "connecting": (connecting, held(b"UP r1\r\n")),
-    "written": (written, held(b"")),
-    "UP half read": (written, held(b"UP r")),
-    "standing": (standing, held(b"UP r1\r\n")),
-    "standing, half a line down": (standing, held(b"UP r1\r\nM 1\r\nM 2")),
+    "half a first line": (partial_request_line, holding(b"")),
+    "connecting": (connecting, holding(b"UP r1\r\n")),
+    "written": (written, holding(b"")),
+    "UP half read": (written, holding(b"UP r")),
+    "established": (established, holding(b"UP r1\r\n")),
+    "established, half a line down": (established, holding(b"UP r1\r\nM 1\r\nM 2")),
 }
 
 
 # ---------------------------------------------------------------- what ends it
 
 
-async def client_ends(scene: Scene) -> None:
-    scene.client.close()
+async def client_closes(scenario: RelayScenario) -> None:
+    scenario.client.close()
 
 
-async def client_resets(scene: Scene) -> None:
-    scene.client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-    scene.client.close()
+async def client_resets(scenario: RelayScenario) -> None:
+    scenario.client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+    scenario.client.close()
 
 
-async def host_ends(scene: Scene) -> None:
-    scene.go_on.set()
+async def endpoint_closes(scenario: RelayScenario) -> None:
+    scenario.resume.set()
 
 
-async def host_resets(scene: Scene) -> None:
-    scene.reset_host = True
-    scene.go_on.set()
+async def endpoint_resets(scenario: RelayScenario) -> None:
+    scenario.reset_endpoint = True
+    scenario.resume.set()
 
 
-async def all_drain(scene: Scene) -> None:
+async def all_endpoints_drain(scenario: RelayScenario) -> None:
     drains = [Endpoint(name, "draining") for name in "abc"]
-    await scene.relay.endpoint_registry.on_watch_event(1, EndpointListUpdate(3, False, drains))
-    await until(lambda: scene.relay.endpoint_registry.states["a"] == "draining")
-    if not any(lifecycle.is_established for lifecycle in scene.relay.request_registry):
-        scene.go_on.set()
+    await scenario.relay.endpoint_registry.on_watch_event(1, EndpointListUpdate(3, False, drains))
+    await until(lambda: scenario.relay.endpoint_registry.states["a"] == "draining")
+    if not any(lifecycle.is_established for lifecycle in scenario.relay.request_registry):
+        scenario.resume.set()
 
 
-async def stop(scene: Scene) -> None:
-    scene.relay.request_registry.schedule = ShutdownSchedule(0.01, 0.02, 0.05, 2.0)
-    await scene.relay.request_registry.drain(scene.relay.ingress)
-    assert not scene.relay.request_registry
+async def graceful_shutdown(scenario: RelayScenario) -> None:
+    scenario.relay.request_registry.schedule = ShutdownSchedule(0.01, 0.02, 0.05, 2.0)
+    await scenario.relay.request_registry.drain(scenario.relay.ingress)
+    assert not scenario.relay.request_registry
 
 
-async def time_is_up(scene: Scene) -> None:
+async def client_times_out(scenario: RelayScenario) -> None:
     await asyncio.sleep(0)
 
 
-ENDS = [client_ends, client_resets, host_ends, host_resets, all_drain, stop, time_is_up]
-GONE = (client_ends, client_resets)
+ENDS = [
+    client_closes,
+    client_resets,
+    endpoint_closes,
+    endpoint_resets,
+    all_endpoints_drain,
+    graceful_shutdown,
+    client_times_out,
+]
+GONE = (client_closes, client_resets)
 
 
 @pytest.mark.parametrize("effect", DEPLOYMENTS)
 @pytest.mark.parametrize(
-    "stage,end", list(itertools.product(STAGES, ENDS)), ids=lambda v: v if isinstance(v, str) else v.__name__
+    ("stage", "end"),
+    list(itertools.product(STAGES, ENDS)),
+    ids=lambda v: v if isinstance(v, str) else v.__name__,
 )
-def test_whatever_ends_it_one_answer_and_nothing_late_or_left(
+def test_every_end_at_every_stage_gives_one_response_and_leaves_nothing(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, stage: str, end: Any, effect: str
 ) -> None:
     async def go() -> None:
         reach, act = STAGES[stage]
-        scenes: list[Scene] = []
+        scenarios: list[RelayScenario] = []
         settings = DEPLOYMENTS[effect]
         monkeypatch.setattr(platform_frontend, "REQUEST_LINE_TIMEOUT_S", 0.4)
-        async with relaying(tmp_path, *[act(scenes)] * 3, settings=settings) as (relay, endpoints):
+        async with relaying(tmp_path, *[act(scenarios)] * 3, settings=settings) as (relay, endpoints):
             while relay.endpoint_registry.version != 2:
                 await asyncio.sleep(0.002)
             descriptors = len(os.listdir("/proc/self/fd"))
-            scenes.append(scene := Scene(relay, endpoints, 400 if end is time_is_up else 3000))
-            await reach(scene, monkeypatch)
-            before = len(scene.lines)
-            await end(scene)
-            stays = stage.startswith("standing") and end in (all_drain, time_is_up)
-            heard = b"" if end in GONE or stays else await scene.rest()
+            scenarios.append(
+                scenario := RelayScenario(relay, endpoints, 400 if end is client_times_out else 3000)
+            )
+            await reach(scenario, monkeypatch)
+            before = len(scenario.lines)
+            await end(scenario)
+            stays = stage.startswith("established") and end in (all_endpoints_drain, client_times_out)
+            received = b"" if end in GONE or stays else await scenario.read_rest()
             assert not stays or all(lifecycle.is_established for lifecycle in relay.request_registry)
-            scene.client.close()
-            scene.go_on.set()
+            scenario.client.close()
+            scenario.resume.set()
             balancer = relay.balancer_actor.balancer
             await until(
                 lambda: (
@@ -213,40 +228,41 @@
             )
             await until(lambda: not any(e.open for e in endpoints))
             assert is_idle(relay)
-            shut = 2 if end is stop else 0  # the door, and the descriptor kept for want of others
+            # The listener's, and the descriptor that it keeps in reserve.
+            shut = 2 if end is graceful_shutdown else 0
             await until(lambda: len(os.listdir("/proc/self/fd")) <= descriptors - shut)
-            sent, most = len(scene.lines), settings["policyLimits"]["sendCap"]
-            assert sent <= most and sum(e.most_open for e in endpoints) <= max(1, sent)
-            if end in GONE or end in (all_drain, stop):
-                assert len(scene.lines) == before, "sent on after the end was known"
+            sent, most = len(scenario.lines), settings["policyLimits"]["sendCap"]
+            assert sent <= most and sum(e.max_open for e in endpoints) <= max(1, sent)
+            if end in GONE or end in (all_endpoints_drain, graceful_shutdown):
+                assert len(scenario.lines) == before, "sent on after the end was known"
             if end not in GONE and not stays:
-                check(stage, end, effect, heard, before)
+                check(stage, end, effect, received, before)
 
     run_within(15.0, go())
 
 
-def check(stage: str, end: Any, effect: str, heard: bytes, ran: int) -> None:
-    if stage.startswith("standing") or (stage == "connecting" and heard.startswith(b"UP")):
-        lines = heard.removeprefix(b"UP r1\r\n").removeprefix(b"M 1\r\n")
-        if end is stop:
+def check(stage: str, end: Any, effect: str, received: bytes, ran: int) -> None:
+    if stage.startswith("established") or (stage == "connecting" and received.startswith(b"UP")):
+        lines = received.removeprefix(b"UP r1\r\n").removeprefix(b"M 1\r\n")
+        if end is graceful_shutdown:
             assert lines == b"MOVE\r\n"  # between two lines: what is half is dropped
-        elif end is host_resets:
+        elif end is endpoint_resets:
             assert lines == b"reset"
-        elif end is host_ends:
+        elif end is endpoint_closes:
             assert lines == (b"M 2" if "half" in stage else b"")
         return
-    assert heard.count(b"\r\n") == 1 and heard.startswith((b"BUSY", b"ERR")), heard
+    assert received.count(b"\r\n") == 1 and received.startswith((b"BUSY", b"ERR")), received
     if ran and effect != "safe":
-        assert heard.startswith(b"ERR"), "it may have run: trying again may do harm"
+        assert received.startswith(b"ERR"), "it may have run: trying again may do harm"
     if not ran and stage != "half a first line":
-        assert heard.startswith(b"BUSY"), "it never ran: nothing stands against another try"
+        assert received.startswith(b"BUSY"), "it never ran: nothing stands against another try"
 
 
-# ---------------------------------------------------------------- at the door
+# ---------------------------------------------------------------- as the listener closes
 
 
 @pytest.mark.parametrize("said", [first_line(), b"PING\r\n", first_line()[:9], b""])
-def test_who_comes_in_the_instant_the_door_is_shut_is_answered(tmp_path: Path, said: bytes) -> None:
+def test_a_client_that_connects_as_the_listener_closes_is_answered(tmp_path: Path, said: bytes) -> None:
     # The listening socket was closed over its backlog: who waited there was reset without a word. The loop
     # does not turn between the client's coming and the shutting here.
     async def go() -> None:
@@ -264,8 +280,8 @@
             await relay.request_registry.drain(relay.ingress)
             assert not relay.admission.connection_count and not any(endpoint.lines)
             came[0].settimeout(5)
-            heard = came[0].recv(99)
-            assert heard.startswith((b"BUSY", b"ERR")) and came[0].recv(99) == b""
+            received = came[0].recv(99)
+            assert received.startswith((b"BUSY", b"ERR")) and came[0].recv(99) == b""
             came[0].close()
             with pytest.raises(ConnectionRefusedError):
                 socket.create_connection(relay.listener.address)
@@ -273,59 +289,59 @@
     run_within(10.0, go())
 
 
-def test_a_request_that_comes_after_the_last_moment_is_answered_and_not_placed(tmp_path: Path) -> None:
+def test_a_request_that_arrives_after_the_forced_drain_is_answered_and_not_placed(tmp_path: Path) -> None:
     # It was placed, stood, and was cut off without MOVE: only those who were there had been told to hurry.
     async def go() -> None:
         async with relaying(tmp_path, up) as (relay, (endpoint,)):
             relay.request_registry.schedule = ShutdownSchedule(0.0, 0.0, 0.01, 2.0)
-            scene = Scene(relay, [endpoint])
+            scenario = RelayScenario(relay, [endpoint])
             relay.admission.evict_all_pending = lambda: None  # type: ignore[method-assign]
             draining = asyncio.ensure_future(relay.request_registry.drain(relay.ingress))
             await until(lambda: relay.admission.awaiting_request and relay.request_registry.is_drain_forced)
-            scene.client.sendall(first_line())
-            assert (await scene.rest()).startswith(b"BUSY")
+            scenario.client.sendall(first_line())
+            assert (await scenario.read_rest()).startswith(b"BUSY")
             await draining
             assert not any(endpoint.lines)
-            scene.client.close()
+            scenario.client.close()
 
     run_within(10.0, go())
 
 
-def test_a_stop_waits_for_those_who_have_not_yet_asked(tmp_path: Path) -> None:
+def test_a_graceful_shutdown_waits_for_connections_without_a_request(tmp_path: Path) -> None:
     async def go() -> None:
         async with relaying(tmp_path, up) as (relay, (endpoint,)):
             relay.request_registry.schedule = ShutdownSchedule(0.0, 0.0, 8.0, 9.0)
-            scene = Scene(relay, [endpoint])
+            scenario = RelayScenario(relay, [endpoint])
             line = first_line()
-            scene.client.sendall(line[:20])
+            scenario.client.sendall(line[:20])
             await until(lambda: relay.admission.awaiting_request)
             draining = asyncio.ensure_future(relay.request_registry.drain(relay.ingress))
             await asyncio.sleep(0.8)  # past the time in which new ones are expected
             assert not draining.done()
-            scene.client.sendall(line[20:])
-            assert await scene.rest() == b"UP r1\r\nMOVE\r\n"
+            scenario.client.sendall(line[20:])
+            assert await scenario.read_rest() == b"UP r1\r\nMOVE\r\n"
             await draining
-            scene.client.close()
+            scenario.client.close()
 
     run_within(10.0, go())
 
 
-def test_one_evicted_as_its_line_becomes_whole_hears_its_answer(tmp_path: Path) -> None:
+def test_a_client_evicted_as_its_request_line_completes_is_answered(tmp_path: Path) -> None:
     # Closed over the unread line, the kernel's reset destroyed the answer.
     async def go() -> None:
         async with relaying(tmp_path, up) as (relay, _):
-            scene = Scene(relay, [])
+            scenario = RelayScenario(relay, [])
             await until(lambda: relay.admission.awaiting_request)
             await asyncio.sleep(0.01)  # its reading has begun; whether or not, it is answered
-            scene.client.sendall(first_line())
+            scenario.client.sendall(first_line())
             relay.admission.evict_all_pending()
-            assert await scene.rest() == b"BUSY 500\r\n"
-            scene.client.close()
+            assert await scenario.read_rest() == b"BUSY 500\r\n"
+            scenario.client.close()
 
     run_within(10.0, go())
 
 
-# ---------------------------------------------------------------- a MOVE that finds no room
+# ---------------------------------------------------------------- a MOVE that cannot be written
 
 
 async def floods(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes) -> None:
@@ -336,7 +352,7 @@
 
 
 @pytest.mark.parametrize("reads_on", [True, False])
-def test_a_move_waits_for_a_client_that_reads_nothing_until_there_is_no_more_time(
+def test_a_move_waits_for_a_client_that_does_not_read_until_the_drain_is_forced(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, reads_on: bool
 ) -> None:
     # It was given up after 0.7 s and the client cut off without a word, though its live host still answered.
@@ -353,8 +369,8 @@
         async with relaying(tmp_path, floods) as (relay, _):
             ended: list[Any] = []
             relay.context.on_connection_closed = ended.append
-            scene = Scene(relay, [])
-            scene.client.sendall(first_line())
+            scenario = RelayScenario(relay, [])
+            scenario.client.sendall(first_line())
             await until(lambda: any(lifecycle.is_established for lifecycle in relay.request_registry))
             (lifecycle,) = relay.request_registry
             stuck = 0
@@ -370,32 +386,32 @@
                 await until(lambda: ended)
                 assert ended[0].close_reason.name == "CUT_OFF"
             else:
-                heard = await scene.rest()
-                assert heard.endswith(b"x\r\nMOVE\r\n") and heard.count(b"MOVE") == 1
+                received = await scenario.read_rest()
+                assert received.endswith(b"x\r\nMOVE\r\n") and received.count(b"MOVE") == 1
                 await until(lambda: ended)
                 assert ended[0].close_reason.name == "MOVED"
-            scene.client.close()
+            scenario.client.close()
 
     run_within(15.0, go())
 
 
-def test_one_that_is_being_resumed_hears_of_a_stop_that_it_may_try_again(
+def test_a_forced_drain_rejects_a_connection_that_is_being_adopted(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Nothing of it was sent: ERR said that it may have been.
     async def go() -> None:
         async with relaying(tmp_path, up) as (relay, (endpoint,)):
-            scene = Scene(relay, [endpoint])
-            scene.line = first_line(40000, ",at=a")
-            await connecting(scene, monkeypatch)
-            await stop(scene)
-            assert (await scene.rest()).startswith(b"BUSY") and not any(endpoint.lines)
-            scene.client.close()
+            scenario = RelayScenario(relay, [endpoint])
+            scenario.line = first_line(40000, ",at=a")
+            await connecting(scenario, monkeypatch)
+            await graceful_shutdown(scenario)
+            assert (await scenario.read_rest()).startswith(b"BUSY") and not any(endpoint.lines)
+            scenario.client.close()
 
     run_within(10.0, go())
 
 
-def test_a_fault_of_the_program_still_ends_in_an_answer_and_leaves_no_ghost(
+def test_an_internal_error_is_answered_and_leaves_no_request_behind(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # The client's connection was closed without a word, and the module kept the request for good.
@@ -406,10 +422,10 @@
                 raise ValueError("unforeseen")
 
             monkeypatch.setattr(platform_connection, "connect_unreserved", fails)
-            scene = Scene(relay, [])
-            scene.client.sendall(scene.line)
-            assert await scene.rest() == b"ERR internal\r\n"
-            scene.client.close()
+            scenario = RelayScenario(relay, [])
+            scenario.client.sendall(scenario.line)
+            assert await scenario.read_rest() == b"ERR internal\r\n"
+            scenario.client.close()
             await until(lambda: not relay.request_registry and not relay.balancer_actor.balancer.requests)
             assert is_balancer_idle(relay.balancer_actor)
 
--- a/tests/frontends/test_platform_frontend.py
+++ b/tests/frontends/test_platform_frontend.py
@@ -12,19 +12,22 @@
 import pytest
 from support.event_loop import run_with_timeout
 from support.network_fakes import (
+    Script,
     ask,
     first_line,
     listed,
     relaying,
     reply,
     resets,
-    says,
+    responds_with,
     silent,
     up,
     write_config,
 )
+from support.relay_checks import record_balancer_events
 
 from sageturn.config.loader import load
+from sageturn.decision import MeasurementReported
 from sageturn.relay import Relay
 
 
@@ -88,8 +91,17 @@
     run_with_timeout(go())
 
 
-@pytest.mark.parametrize("bad", [says(b"BUSY\r\n"), says(b"ERR\r\n"), says(b""), resets, says(b"huh\r\n")])
-def test_at_most_three_attempts_one_at_a_time_and_one_answer(tmp_path: Path, bad) -> None:  # type: ignore[no-untyped-def]
+@pytest.mark.parametrize(
+    "bad",
+    [
+        responds_with(b"BUSY\r\n"),
+        responds_with(b"ERR\r\n"),
+        responds_with(b""),
+        resets,
+        responds_with(b"huh\r\n"),
+    ],
+)
+def test_at_most_three_attempts_one_at_a_time_and_one_answer(tmp_path: Path, bad: Script) -> None:
     # Guards the three-attempt limit and the one final answer, whatever the endpoints do.
     async def go() -> None:
         async with relaying(tmp_path, bad, bad, bad, bad, bad) as (relay, endpoints):
@@ -130,7 +142,7 @@
 @pytest.mark.parametrize(("last", "gets"), [(b"BYE\r\n", b"BYE\r\n"), (b"MOVE\r\n", b"MOVE\r\n"), (b"", b"")])
 def test_endpoint_fin_is_forwarded(tmp_path: Path, last: bytes, gets: bytes) -> None:
     async def go() -> None:
-        async with relaying(tmp_path, says(b"UP r\r\n" + last)) as (relay, _):
+        async with relaying(tmp_path, responds_with(b"UP r\r\n" + last)) as (relay, _):
             reader, writer = await ask(relay.listener.address, first_line())
             assert await reader.read() == b"UP r\r\n" + gets
             writer.close()
@@ -164,7 +176,7 @@
 def test_connection_established_before_the_run_is_resumed_at_its_endpoint(tmp_path: Path) -> None:
     # The first landing lost every one of these to a renamed variable.
     async def go() -> None:
-        async with relaying(tmp_path, up, says(b"UP b\r\n")) as (relay, _):
+        async with relaying(tmp_path, up, responds_with(b"UP b\r\n")) as (relay, _):
             assert await reply(relay.listener.address, first_line(4294967, ",at=b")) == b"UP b\r\n"
             assert (await reply(relay.listener.address, first_line(900, ",at=zz"))).startswith(b"ERR")
 
@@ -223,18 +235,19 @@
     run_with_timeout(go())
 
 
-def test_load_reports_reach_the_balancer_and_the_client(tmp_path: Path) -> None:
+def test_load_reports_reach_the_balancer_and_the_client(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     async def go() -> None:
-        async with relaying(tmp_path, says(b"UP r\r\nLOAD 1500\r\nLOAD x\r\nBYE\r\n")) as (relay, _):
-            told = []
-            handle = relay.balancer_actor._balancer.handle
-            relay.balancer_actor._balancer.handle = lambda now, e: (told.append(e), handle(now, e))[1]  # type: ignore[method-assign]
+        async with relaying(tmp_path, responds_with(b"UP r\r\nLOAD 1500\r\nLOAD x\r\nBYE\r\n")) as (relay, _):
+            handled = record_balancer_events(relay, monkeypatch)
             reader, writer = await ask(relay.listener.address, first_line())
             assert await reader.read() == b"UP r\r\nLOAD 1500\r\nLOAD x\r\nBYE\r\n"
             writer.close()
-            while not any(getattr(e, "status", "") == "ok" for e in told):
+            while not any(getattr(e, "status", "") == "ok" for e in handled):
                 await asyncio.sleep(0.01)
-            assert [e.value for e in told if getattr(e, "kind", "") == "load"] == [1.5]
+            reported = [e for e in handled if isinstance(e, MeasurementReported) and e.kind == "load"]
+            assert [e.value for e in reported] == [1.5]
 
     run_with_timeout(go())
 
@@ -244,6 +257,7 @@
     from sageturn.config.loader import load
 
     good = {"name": "n", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1", "settings": {}}
+    faults: tuple[tuple[dict[str, object], str], ...]
     faults = (({"listen": "x"}, "listen"), ({"seed": 5}, "seed"), ({}, "settings.classes: is missing"))
     for change, says_key in faults:
         (tmp_path / "c").write_text(json.dumps({**good, **change}))
--- a/tests/support/xmpp_relay.py
+++ b/tests/support/xmpp_relay.py
@@ -11,7 +11,7 @@
 
 import trustme
 from support.network_fakes import FakeEndpoint, listed, serve_all, write_config
-from support.xmpp_fakes import Act, Server, turns_away
+from support.xmpp_fakes import Act, Server, rejects
 
 from sageturn.config.loader import load
 from sageturn.frontends.xmpp.accounts import PREFIX, make_record
@@ -34,6 +34,12 @@
     return context
 
 
+def xmpp_address(relay: Relay) -> tuple[str, int]:
+    """Where the relay's XMPP frontend listens; fails if it has none."""
+    assert relay.xmpp_listener is not None
+    return relay.xmpp_listener.address
+
+
 def write_operator(folder: Path, endpoint_tls: bool, **more: object) -> Path:
     (folder / "pw").write_text("relay-pw\n")
     CERT.cert_chain_pems[0].write_to_path(folder / "cert.pem")
@@ -65,14 +71,14 @@
     def script(act: Act) -> FakeEndpoint:
         async def play(r: asyncio.StreamReader, w: asyncio.StreamWriter, line: bytes) -> None:
             if line.startswith(b"OPEN"):  # the same host in the platform's words
-                w.write(b"BUSY\r\n" if act is turns_away else b"UP r1\r\n")
-                if act is turns_away:
+                w.write(b"BUSY\r\n" if act is rejects else b"UP r1\r\n")
+                if act is rejects:
                     return
                 while said := await r.readline():
                     w.write(said)
                 return
             server = Server(r, w)
-            server.seen = line.decode()
+            server.unread = line.decode()
             await act(server)
 
         class Peeking(FakeEndpoint):
