--- a/sageturn/store/errors.py
+++ b/sageturn/store/errors.py
@@ -27,7 +27,7 @@
     """The peer closed the connection."""
 
 
-class SessionRejected(StoreError, ValueError):
+class SessionRejectedError(StoreError, ValueError):
     """A protocol violation, or a peer that may not connect: the session has to be closed.
 
     ``close_code`` is sent to the peer as the reason; the text says what was expected.
--- a/sageturn/store/replication/anti_entropy.py
+++ b/sageturn/store/replication/anti_entropy.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 from enum import Enum, auto
 
-from sageturn.store.errors import SessionRejected
+from sageturn.store.errors import SessionRejectedError
 from sageturn.store.records import StoreRecord, record_digest
 from sageturn.store.replication.local_replica import LocalReplica
 from sageturn.store.replication.merkle_tree import DEPTH, FANOUT
@@ -90,7 +90,7 @@
         return None
 
     def on_nodes(self, response: NodeResponse) -> None:
-        """Raises SessionRejected for a response that does not fit the request."""
+        """Raises SessionRejectedError for a response that does not fit the request."""
         self._check_response(_Awaited.NODES, len(self._requested_nodes), response.count)
         answered = self._requested_nodes[: response.count]
         missing_keys: list[str] = []
@@ -107,7 +107,7 @@
     def _different_children(self, node: TreeNode, peer_hashes: list[int]) -> list[TreeNode]:
         priority, depth, position = node
         if depth >= DEPTH:
-            raise SessionRejected("no node of the tree")
+            raise SessionRejectedError("no node of the tree")
         own_hashes = self._replica.changes.trees[priority].children(depth, position)
         return [
             TreeNode(priority, depth + 1, position * FANOUT + number)
@@ -123,11 +123,11 @@
         return offered.digest > record_digest(held)
 
     def check_records(self, response: RecordResponse) -> None:
-        """Raises SessionRejected for a response that does not fit the request."""
+        """Raises SessionRejectedError for a response that does not fit the request."""
         self._check_response(_Awaited.RECORDS, len(self._requested_keys), response.count)
         answered = set(self._requested_keys[: response.count])
         if not {record.key for record in response.records} <= answered:
-            raise SessionRejected("a record that nobody asked for")
+            raise SessionRejectedError("a record that nobody asked for")
         self._awaited = _Awaited.NOTHING
         self._pending_keys += self._requested_keys[response.count :]
 
@@ -146,7 +146,7 @@
 
     def _check_response(self, kind: _Awaited, requested: int, answered: int) -> None:
         if self._awaited != kind or not 1 <= answered <= requested:
-            raise SessionRejected("an answer that nobody asked for")
+            raise SessionRejectedError("an answer that nobody asked for")
 
 
 class AntiEntropyResponder:
@@ -173,9 +173,9 @@
                 return 0
 
     def on_request(self, request: NodeRequest | RecordRequest) -> None:
-        """Raises SessionRejected for a second request before the first is answered."""
+        """Raises SessionRejectedError for a second request before the first is answered."""
         if self._request is not None:
-            raise SessionRejected("asked before the answer")
+            raise SessionRejectedError("asked before the answer")
         self._request = request
 
     def next_response(self, now: float, allowance: SendAllowance) -> NodeResponse | RecordResponse | None:
--- a/sageturn/store/replication/body_fields.py
+++ b/sageturn/store/replication/body_fields.py
@@ -1,8 +1,7 @@
-"""Decoding what the bodies of several kinds of messages have in common: numbers, lists,
-acknowledged positions and records.
+"""Decoders of what several kinds of messages have in common: numbers, lists, positions and records.
 
-Decoders raise SessionRejected for an invalid value, and whatever a body of unexpected types raises when it is
-taken apart (``MALFORMED_BODY_ERRORS``).
+They raise SessionRejectedError for an invalid value, and whatever a body of unexpected types raises when it
+is taken apart (``MALFORMED_BODY_ERRORS``).
 """
 
 from __future__ import annotations
@@ -10,7 +9,7 @@
 from collections.abc import Callable, Iterator, Sequence
 from typing import Any, TypeVar
 
-from sageturn.store.errors import InvalidRecordError, SessionRejected
+from sageturn.store.errors import InvalidRecordError, SessionRejectedError
 from sageturn.store.records import StoreRecord, parse_record
 from sageturn.store.replication.messages import AcknowledgedPosition
 from sageturn.store.replication.priority import PRIORITY_CLASSES
@@ -70,7 +69,7 @@
             for key, value, version, node, ms in body
         ]
     except (InvalidRecordError, TypeError, ValueError) as error:
-        raise SessionRejected(f"no record: {error}") from error
+        raise SessionRejectedError(f"no record: {error}") from error
 
 
 def acknowledged_positions(body: Any) -> Sequence[AcknowledgedPosition]:
@@ -87,12 +86,12 @@
 def by_priority(body: Any) -> tuple[int, ...]:
     """One number for each priority class."""
     if not isinstance(body, list) or len(body) != len(PRIORITY_CLASSES):
-        raise SessionRejected("not so many lanes")
+        raise SessionRejectedError("not so many lanes")
     return tuple(natural(value) for value in body)
 
 
 def natural(value: Any, minimum: int = 0) -> int:
     """The value itself, if it is a whole number that is large enough."""
     if not isinstance(value, int) or isinstance(value, bool) or value < minimum:
-        raise SessionRejected(f"no count: {str(value)[:MAX_QUOTED_LENGTH]}")
+        raise SessionRejectedError(f"no count: {str(value)[:MAX_QUOTED_LENGTH]}")
     return value
--- a/sageturn/store/replication/chunk_receiver.py
+++ b/sageturn/store/replication/chunk_receiver.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Sequence
 
-from sageturn.store.errors import SessionRejected
+from sageturn.store.errors import SessionRejectedError
 from sageturn.store.replication.changes import ChangeLogSet
 from sageturn.store.replication.cursor import BACKLOG_UNKNOWN, ChangeStream, Cursor
 from sageturn.store.replication.messages import (
@@ -58,19 +58,19 @@
                 cursor.backlog = cursor.backlog_end
 
     def check_chunk(self, chunk: Chunk) -> None:
-        """Raises SessionRejected for a chunk that is not the next one of its stream."""
+        """Raises SessionRejectedError for a chunk that is not the next one of its stream."""
         if not self.is_following:
-            raise SessionRejected("changes that nobody asked for")
+            raise SessionRejectedError("changes that nobody asked for")
         cursor = self.cursors[chunk.priority]
         is_live = chunk.stream == ChangeStream.LIVE
         next_start = cursor.live if is_live else cursor.backlog
         is_past_backlog = not is_live and chunk.end > cursor.backlog_end
         if chunk.start != next_start or chunk.end <= next_start or is_past_backlog:
-            raise SessionRejected(
+            raise SessionRejectedError(
                 f"out of order: changes from {chunk.start} to {chunk.end}, where {next_start} is next"
             )
         if any(priority_of(record.key) != chunk.priority for record in chunk.records):
-            raise SessionRejected("a record in the wrong lane")
+            raise SessionRejectedError("a record in the wrong lane")
 
     def on_chunk_applied(self, chunk: Chunk) -> None:
         """The records of a checked chunk are in the store."""
@@ -82,10 +82,10 @@
         self.has_unacknowledged_chunks = True
 
     def skip(self, skipped: Sequence[SkippedRange]) -> None:
-        """Advance over live revisions that hold nothing new. Raises SessionRejected for a gap."""
+        """Advance over live revisions that hold nothing new. Raises SessionRejectedError for a gap."""
         for cursor, (start, end) in zip(self.cursors, skipped, strict=True):
             if start != cursor.live or end < start:
-                raise SessionRejected(f"out of order: a beat at {start}, where {cursor.live} is next")
+                raise SessionRejectedError(f"out of order: a beat at {start}, where {cursor.live} is next")
         for cursor, (_, end) in zip(self.cursors, skipped, strict=True):
             cursor.live = end
 
--- a/sageturn/store/replication/chunk_sender.py
+++ b/sageturn/store/replication/chunk_sender.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from sageturn.store.errors import SessionRejected
+from sageturn.store.errors import SessionRejectedError
 from sageturn.store.records import StoreRecord
 from sageturn.store.replication.changes import ChangeLogSet
 from sageturn.store.replication.cursor import ChangeStream
@@ -74,7 +74,7 @@
         positions: Sequence[FollowPosition],
         opened_at: float,
     ) -> None:
-        """Raises SessionRejected for a position that this replica never gave."""
+        """Raises SessionRejectedError for a position that this replica never gave."""
         self._replica = replica
         self._allowance = allowance
         self._follower_incarnation = follower_incarnation
@@ -87,7 +87,7 @@
     def _start_streams(self, priority: PriorityClass, follow: FollowPosition) -> None:
         head = self._replica.changes.logs[priority].head
         if not follow.backlog <= follow.backlog_end <= follow.live <= head:
-            raise SessionRejected("a cursor that was never given")
+            raise SessionRejectedError("a cursor that was never given")
         start = follow.backlog_end if follow.backlog < 0 else follow.backlog
         live = SendPosition(follow.live, follow.live, follow.live, NO_END)
         backlog = SendPosition(start, start, start, follow.backlog_end)
@@ -235,7 +235,7 @@
     # ------------------------------------------------------------ acknowledgements
 
     def on_acknowledged(self, positions: Sequence[AcknowledgedPosition]) -> None:
-        """Raises SessionRejected for what was never sent."""
+        """Raises SessionRejectedError for what was never sent."""
         for priority, acknowledged in zip(PRIORITY_CLASSES, positions, strict=True):
             self._acknowledge((priority, ChangeStream.LIVE), acknowledged.live)
             self._acknowledge((priority, ChangeStream.BACKLOG), acknowledged.backlog)
@@ -248,5 +248,5 @@
             return  # the follower uses anti-entropy in place of the backlog
         position = self._positions[stream]
         if revision > position.sent:
-            raise SessionRejected("acknowledged what was never sent")
+            raise SessionRejectedError("acknowledged what was never sent")
         position.acknowledged = max(position.acknowledged, revision)
--- a/sageturn/store/replication/heartbeat_codec.py
+++ b/sageturn/store/replication/heartbeat_codec.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from sageturn.store.errors import SessionRejected
+from sageturn.store.errors import SessionRejectedError
 from sageturn.store.replication.body_fields import LazySequence, acknowledged_positions, by_priority, natural
 from sageturn.store.replication.messages import (
     MAX_ZONES,
@@ -73,7 +73,7 @@
         """Seconds since the last message that left each zone."""
         for zone, age in self.raw_zone_ages.items():
             if not isinstance(age, int | float) or isinstance(age, bool) or not 0.0 <= age < MAX_ZONE_AGE_S:
-                raise SessionRejected("no age")
+                raise SessionRejectedError("no age")
             yield zone, age
 
     def route(self) -> RouteAdvertisement | None:
@@ -91,7 +91,7 @@
     decoded_heads = by_priority(heads)
     decoded_roots = by_priority(roots)
     if not isinstance(zone_ages, dict) or len(zone_ages) > MAX_ZONES:
-        raise SessionRejected("too many zones")
+        raise SessionRejectedError("too many zones")
     return ReceivedHeartbeat(
         heads=decoded_heads,
         roots=decoded_roots,
@@ -107,7 +107,7 @@
 def _decode_route(body: Any) -> RouteAdvertisement:
     rank, incarnation, sequence, is_root_path, member_count = body
     if not isinstance(rank, str) or len(rank) > MAX_RANK_LENGTH:
-        raise SessionRejected("no beacon")
+        raise SessionRejectedError("no beacon")
     return RouteAdvertisement(
         root_rank=int(rank, 16),
         root_incarnation=natural(incarnation),
--- a/sageturn/store/replication/message_codec.py
+++ b/sageturn/store/replication/message_codec.py
@@ -5,7 +5,8 @@
 
 A session checks whether it expects a kind before it decodes the body, and applies some parts of a body
 before it reaches the next ones: those are decoded on demand (``LazySequence``, ``heartbeat_codec``).
-Decoders raise SessionRejected for an invalid body, and ``MALFORMED_BODY_ERRORS`` for one of unexpected types.
+Decoders raise SessionRejectedError for an invalid body, and ``MALFORMED_BODY_ERRORS`` for one of unexpected
+types.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 from dataclasses import replace
 from typing import Any
 
-from sageturn.store.errors import SessionRejected
+from sageturn.store.errors import SessionRejectedError
 from sageturn.store.records import StoreRecord
 from sageturn.store.replication.body_fields import (
     MAX_QUOTED_LENGTH,
@@ -147,22 +148,22 @@
 
     def __iter__(self) -> Iterator[NodeContent]:
         if len(self) != self._count:
-            raise SessionRejected("answers and their count differ")
+            raise SessionRejectedError("answers and their count differ")
         yield from super().__iter__()
 
 
 def parse_kind(name: str) -> MessageKind:
-    """The kind of that name. Raises SessionRejected if there is none."""
+    """The kind of that name. Raises SessionRejectedError if there is none."""
     try:
         return MessageKind(name)
     except ValueError as error:
-        raise SessionRejected(f"unknown message {name[:MAX_QUOTED_LENGTH]!r}") from error
+        raise SessionRejectedError(f"unknown message {name[:MAX_QUOTED_LENGTH]!r}") from error
 
 
-def protocol_mismatch(peer: str, version: Any) -> SessionRejected:
+def protocol_mismatch(peer: str, version: Any) -> SessionRejectedError:
     """The rejection of a peer that speaks another version of the protocol."""
     text = f"{peer} speaks protocol {version}, this copy speaks {PROTOCOL_VERSION}"
-    return SessionRejected(text, CloseCode.VERSION)
+    return SessionRejectedError(text, CloseCode.VERSION)
 
 
 def decode_hello(body: Any, peer: str) -> Hello:
@@ -199,7 +200,7 @@
     backlog = natural(raw_backlog + 1) - 1
     backlog_end = natural(raw_backlog_end)
     if backlog > backlog_end:
-        raise SessionRejected("a cursor that was never given")
+        raise SessionRejectedError("a cursor that was never given")
     return FollowPosition(backlog, backlog_end, natural(live))
 
 
@@ -207,7 +208,7 @@
     """Changes, which only a side that follows its peer expects; records are decoded at their first use."""
     priority, stream, start, end, records = body
     if not is_following or priority not in PRIORITY_CLASSES or stream not in tuple(ChangeStream):
-        raise SessionRejected("changes that nobody asked for")
+        raise SessionRejectedError("changes that nobody asked for")
     return Chunk(
         priority=_PRIORITY_BY_INDEX[priority],
         stream=ChangeStream(stream),
@@ -228,7 +229,7 @@
     for priority, depth, position in _requested_items(body):
         is_known = priority in PRIORITY_CLASSES and 0 <= natural(depth) <= DEPTH
         if not is_known or natural(position) >= FANOUT**depth:
-            raise SessionRejected("no node of the tree")
+            raise SessionRejectedError("no node of the tree")
         nodes.append(TreeNode(priority, depth, position))
     return NodeRequest(nodes)
 
@@ -237,13 +238,13 @@
     """A request for records."""
     keys = _requested_items(body)
     if not all(isinstance(key, str) for key in keys):
-        raise SessionRejected("no key")
+        raise SessionRejectedError("no key")
     return RecordRequest(keys)
 
 
 def _requested_items(body: Any) -> list[Any]:
     if not isinstance(body, list) or not 1 <= len(body) <= MAX_REQUESTED_ITEMS:
-        raise SessionRejected("asked for too much, or for nothing")
+        raise SessionRejectedError("asked for too much, or for nothing")
     return body
 
 
@@ -257,7 +258,7 @@
 def _decode_node_content(body: Any) -> NodeContent:
     if isinstance(body, list):
         if len(body) != FANOUT:
-            raise SessionRejected("no node of the tree")
+            raise SessionRejectedError("no node of the tree")
         return [natural(child) for child in body]
     return {
         str(key): RecordVersion(natural(version, 1), str(node), natural(digest, 1))
--- a/sageturn/store/replication/replica.py
+++ b/sageturn/store/replication/replica.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Iterable, Sequence
 from random import Random
 
-from sageturn.store.errors import SessionRejected
+from sageturn.store.errors import SessionRejectedError
 from sageturn.store.records import STATE_PREFIX, StoreRecord
 from sageturn.store.replication.backoff import Backoff
 from sageturn.store.replication.byte_budget import ByteBudget
@@ -288,20 +288,22 @@
                 topology.on_dial_failed(session.dialed_address, now)
 
     def admit(self, session: ReplicationSession, hello: Hello, claims_sync: bool, now: float) -> None:
-        """Raises SessionRejected where the peer's hello doesn't allow a session.
+        """Raises SessionRejectedError where the peer's hello doesn't allow a session.
 
         ``claims_sync``: what this side says in its own hello of being recently in sync.
         """
         if hello.is_ephemeral or self.is_ephemeral:
             return
         if hello.node == self.store.node:
-            raise SessionRejected(f"a second copy that calls itself {hello.node}", RejectReason.SAME_NAME)
+            raise SessionRejectedError(
+                f"a second copy that calls itself {hello.node}", RejectReason.SAME_NAME
+            )
         if hello.node in self._directory.removed:
-            raise SessionRejected(f"{hello.node} was removed", CloseCode.REMOVED)
+            raise SessionRejectedError(f"{hello.node} was removed", CloseCode.REMOVED)
         if hello.recently_in_sync and not claims_sync and self.holds_replicated_records:
             self._start_over()
             text = "away for longer than deletions are remembered: starting over"
-            raise SessionRejected(text, CloseCode.LATER)
+            raise SessionRejectedError(text, CloseCode.LATER)
         self._sessions.check_sync_claims(hello, claims_sync)
         if session.dialed_address is None:
             self._check_topology(session, hello, now)
@@ -313,7 +315,7 @@
         rejection = self.topology.check_admission(member, now)
         if rejection is not None:
             session.alternatives = rejection.alternatives
-            raise SessionRejected(f"not here: {rejection.reason}", rejection.reason)
+            raise SessionRejectedError(f"not here: {rejection.reason}", rejection.reason)
 
     def on_session_established(self, session: ReplicationSession, now: float) -> None:
         """Both sides' hello messages were accepted."""
--- a/sageturn/store/replication/session.py
+++ b/sageturn/store/replication/session.py
@@ -12,7 +12,7 @@
 
 from typing import Any
 
-from sageturn.store.errors import SessionRejected
+from sageturn.store.errors import SessionRejectedError
 from sageturn.store.replication import message_codec
 from sageturn.store.replication.anti_entropy import AntiEntropyResponder, AntiEntropySync
 from sageturn.store.replication.body_fields import MALFORMED_BODY_ERRORS
@@ -246,22 +246,22 @@
     def receive(self, payload: bytes, now: float) -> None:
         """Handle a payload of the peer.
 
-        Raises SessionRejected, with nothing of this payload's records applied; ``close_code`` then holds the
-        reason, and the caller closes the session with the error's text.
+        Raises SessionRejectedError, with nothing of this payload's records applied; ``close_code`` then holds
+        the reason, and the caller closes the session with the error's text.
         """
         message = decode(payload)
         self.last_received_at = now
         kind, body = next(iter(message.items()))
         try:
             if self.peer_hello is None and kind not in KINDS_WITHOUT_HELLO:
-                raise SessionRejected(f"{kind} before any greeting")
+                raise SessionRejectedError(f"{kind} before any greeting")
             self._handle(message_codec.parse_kind(kind), body, now)
-        except SessionRejected as rejection:
+        except SessionRejectedError as rejection:
             if rejection.close_code != CloseCode.FAULT:
                 self.close_code = rejection.close_code
             raise
         except MALFORMED_BODY_ERRORS as error:
-            raise SessionRejected(f"not understood: {type(error).__name__} {error}") from error
+            raise SessionRejectedError(f"not understood: {type(error).__name__} {error}") from error
 
     # A message out of place is rejected as that, and not for what its body holds: the handlers check whether
     # this side expects the kind before they decode the body.
@@ -306,10 +306,10 @@
 
     def _on_hello(self, body: Any, now: float) -> None:
         if self.peer_hello is not None:
-            raise SessionRejected("greeted twice")
+            raise SessionRejectedError("greeted twice")
         hello = message_codec.decode_hello(body, self.peer)
         if hello.node != self.peer:
-            raise SessionRejected(f"{self.peer} greets as {hello.node}")
+            raise SessionRejectedError(f"{self.peer} greets as {hello.node}")
         self._replica.admit(self, hello, self._claimed_sync(), now)
         self.peer_hello = hello
         self.peer_recently_in_sync = hello.recently_in_sync
@@ -320,7 +320,7 @@
     def _on_follow(self, body: Any) -> None:
         assert self.peer_hello is not None
         if self._sender is not None:
-            raise SessionRejected("follows twice")
+            raise SessionRejectedError("follows twice")
         positions = message_codec.decode_follow(body).positions
         self._sender = ChunkSender(
             self._replica, self._allowance, self.peer_hello.incarnation, positions, self._opened_at
@@ -333,12 +333,12 @@
 
     def _on_acknowledgement(self, acknowledgement: Acknowledgement) -> None:
         if self._sender is None:
-            raise SessionRejected("acknowledged what was never sent")
+            raise SessionRejectedError("acknowledged what was never sent")
         self._sender.on_acknowledged(acknowledgement.positions)
 
     def _on_request(self, kind: MessageKind, body: Any) -> None:
         if self._responder.has_request:
-            raise SessionRejected("asked before the answer")
+            raise SessionRejectedError("asked before the answer")
         if kind == MessageKind.NODE_REQUEST:
             self._responder.on_request(message_codec.decode_node_request(body))
         else:
--- a/sageturn/store/replication/session_driver.py
+++ b/sageturn/store/replication/session_driver.py
@@ -9,7 +9,7 @@
 
 from sageturn.core.tasks import cancel_and_wait
 from sageturn.store.channel import AuthenticatedChannel
-from sageturn.store.errors import HandshakeRejectedError, SessionRejected
+from sageturn.store.errors import HandshakeRejectedError, SessionRejectedError
 from sageturn.store.replication.close_code import CloseCode
 from sageturn.store.replication.liveness import PEER_TIMEOUT_S
 from sageturn.store.replication.session import ReplicationSession
@@ -99,7 +99,7 @@
                 payload = await self._channel.receive()
                 if not session.close_detail:
                     session.receive(payload, time.monotonic())
-            except (SessionRejected, HandshakeRejectedError) as error:
+            except (SessionRejectedError, HandshakeRejectedError) as error:
                 session.close(str(error), session.close_code)
                 await asyncio.sleep(CLOSE_TIMEOUT_S)  # the sender meanwhile sends the reason
                 return
--- a/sageturn/store/replication/session_host.py
+++ b/sageturn/store/replication/session_host.py
@@ -28,17 +28,40 @@
     on_output_pending: Callable[[], None]
 
     @property
-    def is_ephemeral(self) -> bool: ...
+    def is_ephemeral(self) -> bool:
+        """Whether this is an operator's client for a moment, which is no member."""
+
     @property
-    def recently_in_sync(self) -> bool: ...
+    def recently_in_sync(self) -> bool:
+        """Whether this replica was in sync within the horizon."""
+
     @property
-    def holds_replicated_records(self) -> bool: ...
-    def admit(self, session: ReplicationSession, hello: Hello, claims_sync: bool, now: float) -> None: ...
-    def on_session_established(self, session: ReplicationSession, now: float) -> None: ...
-    def on_session_progress(self, session: ReplicationSession) -> None: ...
-    def may_follow(self, session: ReplicationSession) -> bool: ...
-    def apply_records(self, records: Iterable[StoreRecord], session: ReplicationSession) -> int: ...
-    def zone_ages(self, now: float) -> dict[str, float]: ...
-    def merge_zone_ages(self, ages: dict[str, float], now: float) -> None: ...
-    def make_route_for(self, session: ReplicationSession, now: float) -> RouteAdvertisement | None: ...
-    def on_route(self, session: ReplicationSession, route: RouteAdvertisement, now: float) -> None: ...
+    def holds_replicated_records(self) -> bool:
+        """Whether it holds records of others that may have been deleted meanwhile."""
+
+    def admit(self, session: ReplicationSession, hello: Hello, claims_sync: bool, now: float) -> None:
+        """Raises SessionRejectedError where the peer's hello doesn't allow a session."""
+
+    def on_session_established(self, session: ReplicationSession, now: float) -> None:
+        """Both sides' hello messages were accepted."""
+
+    def on_session_progress(self, session: ReplicationSession) -> None:
+        """Something was received: this replica may be in sync with the peer now."""
+
+    def may_follow(self, session: ReplicationSession) -> bool:
+        """Whether this replica may take records from a session's peer."""
+
+    def apply_records(self, records: Iterable[StoreRecord], session: ReplicationSession) -> int:
+        """Take what a session received into the store; returns how many records were newer."""
+
+    def zone_ages(self, now: float) -> dict[str, float]:
+        """Seconds since the last message that left each zone, as ``region/zone``; 0 for one's own."""
+
+    def merge_zone_ages(self, ages: dict[str, float], now: float) -> None:
+        """Take over what a peer knows better of each zone's last message."""
+
+    def make_route_for(self, session: ReplicationSession, now: float) -> RouteAdvertisement | None:
+        """What a heartbeat to a peer says of the topology's root."""
+
+    def on_route(self, session: ReplicationSession, route: RouteAdvertisement, now: float) -> None:
+        """A peer's heartbeat told of the topology's root."""
--- a/sageturn/store/replication/session_table.py
+++ b/sageturn/store/replication/session_table.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from sageturn.store.errors import SessionRejected
+from sageturn.store.errors import SessionRejectedError
 from sageturn.store.replication.close_code import CloseCode
 from sageturn.store.replication.messages import Hello
 from sageturn.store.replication.session import ReplicationSession
@@ -49,14 +49,14 @@
         return not self._sync_status.recently_in_sync and not self._is_being_filled()
 
     def check_sync_claims(self, hello: Hello, claims_sync: bool) -> None:
-        """Raises SessionRejected where one side is not recently in sync and may not meet the other yet."""
+        """Raises SessionRejectedError where a side is not recently in sync and may not meet the other yet."""
         if hello.recently_in_sync or not hello.holds_replicated_records:
             return
         if claims_sync:
             text = f"{hello.node} was away for longer than deletions are kept: it must start over"
-            raise SessionRejected(text, CloseCode.AWAY)
+            raise SessionRejectedError(text, CloseCode.AWAY)
         if self._is_being_filled():
-            raise SessionRejected(_BEING_FILLED, CloseCode.LATER)
+            raise SessionRejectedError(_BEING_FILLED, CloseCode.LATER)
 
     def _is_being_filled(self) -> bool:
         return any(session.peer_recently_in_sync for session in self.sessions)
--- a/sageturn/store/replication/wire.py
+++ b/sageturn/store/replication/wire.py
@@ -6,7 +6,7 @@
 import zlib
 from typing import Any
 
-from sageturn.store.errors import SessionRejected
+from sageturn.store.errors import SessionRejectedError
 from sageturn.store.records import MAX_FRAME_BYTES
 
 PROTOCOL_VERSION = 2  # 1 was the exchange of complete digests
@@ -36,17 +36,17 @@
 def decode(payload: bytes) -> dict[str, Any]:
     """The message of a payload.
 
-    Raises SessionRejected for what is no message, or would decompress to more than is ever sent.
+    Raises SessionRejectedError for what is no message, or would decompress to more than is ever sent.
     """
     plain = _decompress(payload) if payload.startswith(_COMPRESSED_MARK) else payload
     if len(plain) > MAX_FRAME_BYTES:
-        raise SessionRejected("a frame is too large")
+        raise SessionRejectedError("a frame is too large")
     try:
         message = json.loads(plain)
     except (ValueError, RecursionError) as error:
-        raise SessionRejected("a frame is no JSON") from error
+        raise SessionRejectedError("a frame is no JSON") from error
     if not isinstance(message, dict) or not message:
-        raise SessionRejected("a frame is no message")
+        raise SessionRejectedError("a frame is no message")
     return message
 
 
@@ -55,7 +55,7 @@
     try:
         plain = decompressor.decompress(payload[len(_COMPRESSED_MARK) :], MAX_FRAME_BYTES)
     except zlib.error as error:
-        raise SessionRejected("a frame cannot be unpacked") from error
+        raise SessionRejectedError("a frame cannot be unpacked") from error
     if decompressor.unconsumed_tail or not decompressor.eof:
-        raise SessionRejected("a frame is too large, or cut short")
+        raise SessionRejectedError("a frame is too large, or cut short")
     return plain
--- a/tests/store/test_compatibility_replication.py
+++ b/tests/store/test_compatibility_replication.py
@@ -22,7 +22,7 @@
 import pytest
 
 from sageturn.store.channel import AuthenticatedChannel, read_secret
-from sageturn.store.errors import HandshakeRejectedError, SessionRejected
+from sageturn.store.errors import HandshakeRejectedError, SessionRejectedError
 from sageturn.store.records import StoreRecord
 from sageturn.store.replication.close_code import CloseCode
 from sageturn.store.replication.location import ReplicaLocation
@@ -100,7 +100,7 @@
     def receive(self, payload: bytes) -> None:
         try:
             self.session.receive(payload, self.step * STEP_S)
-        except SessionRejected as rejection:
+        except SessionRejectedError as rejection:
             self.session.close(str(rejection), self.session.close_code)
 
     def records(self) -> list[dict[str, Any]]:
--- a/tests/store/test_malformed_frames.py
+++ b/tests/store/test_malformed_frames.py
@@ -9,7 +9,7 @@
 import pytest
 from support.replication_fleet import DialSeeds
 
-from sageturn.store.errors import SessionRejected
+from sageturn.store.errors import SessionRejectedError
 from sageturn.store.replication.close_code import CloseCode
 from sageturn.store.replication.liveness import HEARTBEAT_INTERVAL_S
 from sageturn.store.replication.location import ReplicaLocation
@@ -62,10 +62,10 @@
         assert self.session.chunks_in_flight == 1
         return self.replica.changes.heads[0]
 
-    def receive(self, message: dict[str, Any]) -> SessionRejected | None:
+    def receive(self, message: dict[str, Any]) -> SessionRejectedError | None:
         try:
             self.session.receive(encode(message), self.now)
-        except SessionRejected as rejection:
+        except SessionRejectedError as rejection:
             self.session.close(str(rejection), self.session.close_code)
             return rejection
         return None
--- a/tests/store/test_replication.py
+++ b/tests/store/test_replication.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 from support.replication_fleet import SimulatedCluster, cluster_in_sync
 
-from sageturn.store.errors import InvalidRecordError, SessionRejected
+from sageturn.store.errors import InvalidRecordError, SessionRejectedError
 from sageturn.store.records import StoreRecord, parse_record, record_digest, supersedes
 from sageturn.store.replication.backoff import Backoff
 from sageturn.store.replication.byte_budget import ByteBudget
@@ -493,7 +493,7 @@
     before = cluster.store("b").records(), cursors_of(session)
     try:
         session.receive(encode({kind: value}), cluster.now)
-    except SessionRejected as rejection:
+    except SessionRejectedError as rejection:
         assert str(rejection)
     else:
         assert kind in ("ack", "ask", "get")  # there are sound ones among these
@@ -509,14 +509,14 @@
     for payload in (data, b"z" + data):
         try:
             message = decode(payload)
-        except SessionRejected:
+        except SessionRejectedError:
             continue
         assert isinstance(message, dict) and message
 
 
 def test_a_frame_that_decompresses_to_too_much_is_rejected_and_decompressed_no_further() -> None:
     assert len(encode({"x": "a" * 5_000_000})) < 50_000
-    with pytest.raises(SessionRejected, match="too large"):
+    with pytest.raises(SessionRejectedError, match="too large"):
         decode(encode({"x": "a" * 5_000_000}))
     assert decode(encode({"x": "a" * 100_000})) == {"x": "a" * 100_000}
 
@@ -542,7 +542,7 @@
 def test_a_frame_out_of_place_is_rejected_with_a_reason(message: dict[str, Any], text: str) -> None:
     cluster, session = pair()
     before = cluster.store("b").records()
-    with pytest.raises(SessionRejected, match=text):
+    with pytest.raises(SessionRejectedError, match=text):
         session.receive(encode(message), cluster.now)
     assert cluster.store("b").records() == before
     session.close(text)
@@ -558,7 +558,7 @@
     accepted = cluster.replicas["a"].open_session("old", cluster.now)
     assert accepted.next_payload(cluster.now) is None, "who accepts waits for the greeting"
     with pytest.raises(
-        SessionRejected, match=f"old speaks protocol 1 .*, this copy speaks {PROTOCOL_VERSION}"
+        SessionRejectedError, match=f"old speaks protocol 1 .*, this copy speaks {PROTOCOL_VERSION}"
     ) as rejection:
         accepted.receive(b'{"digest":{"config/x":[1,"old"]}}', cluster.now)
     accepted.close(str(rejection.value), accepted.close_code)
@@ -566,7 +566,9 @@
         parse_record(json.loads(accepted.next_payload(cluster.now) or b"")["records"][0])
     newer = cluster.replicas["a"].open_session("new", cluster.now)
     greeting["hello"].update(protocol=3, node="new")
-    with pytest.raises(SessionRejected, match=f"new speaks protocol 3, this copy speaks {PROTOCOL_VERSION}"):
+    with pytest.raises(
+        SessionRejectedError, match=f"new speaks protocol 3, this copy speaks {PROTOCOL_VERSION}"
+    ):
         newer.receive(encode(greeting), cluster.now)
 
 
--- a/tests/support/replication_fleet.py
+++ b/tests/support/replication_fleet.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field
 
-from sageturn.store.errors import SessionRejected
+from sageturn.store.errors import SessionRejectedError
 from sageturn.store.records import MAX_FRAME_BYTES, StoreRecord, supersedes
 from sageturn.store.replica_state import ReplicaState
 from sageturn.store.replication.anti_entropy import MAX_REQUESTED_KEYS
@@ -161,7 +161,7 @@
             return
         try:
             session.receive(payload, self.now)
-        except SessionRejected as rejection:
+        except SessionRejectedError as rejection:
             connection.rejections.append(str(rejection))
             session.close(str(rejection), session.close_code)
         if session.peer_close_detail:
@@ -199,7 +199,7 @@
         while connection.queues[name] and not session.peer_close_detail and not session.close_detail:
             try:
                 session.receive(connection.queues[name].popleft(), self.now)
-            except SessionRejected as rejection:
+            except SessionRejectedError as rejection:
                 connection.rejections.append(str(rejection))
                 break
         self.disconnect(*connection.ends)
