--- a/sageturn/cli/main.py
+++ b/sageturn/cli/main.py
@@ -2,31 +2,40 @@
 
 from __future__ import annotations
 
+import sys
 from importlib.util import find_spec
 
 import typer
 
 from sageturn.cli import override, store
 
-LAB_DEPENDENCIES = ("hdrh", "msgspec", "numpy", "scipy")
-
-app = typer.Typer(no_args_is_help=True, pretty_exceptions_enable=False, help="A relay, and what runs it.")
-app.add_typer(override.app, name="override")
-app.add_typer(store.app, name="store")
 # The laboratory's dependencies are an extra that an operator's machine need not have.
-if all(find_spec(name) for name in LAB_DEPENDENCIES):
-    from sageturn.cli import lab
-
-    app.add_typer(lab.app, name="lab")
+LAB_DEPENDENCIES = ("hdrh", "msgspec", "numpy", "scipy")
+# Commands that start without the laboratory, whose libraries take seconds to import on a busy machine.
+OPERATOR_COMMANDS = {"override", "store"}
 
 
-@app.callback()
 def _describe_exit_codes() -> None:
     """Exit codes: 0 done, 1 refused, 2 wrong words, 3 no daemon answered, 4 not there."""
 
 
+def build_app(include_lab: bool = True) -> typer.Typer:
+    """The command with its subcommands; ``lab`` only where its dependencies are installed."""
+    app = typer.Typer(no_args_is_help=True, pretty_exceptions_enable=False, help="A relay, and what runs it.")
+    app.callback()(_describe_exit_codes)
+    app.add_typer(override.app, name="override")
+    app.add_typer(store.app, name="store")
+    if include_lab and all(find_spec(name) for name in LAB_DEPENDENCIES):
+        from sageturn.cli import lab
+
+        app.add_typer(lab.app, name="lab")
+    return app
+
+
 def main() -> None:
     """The entry point of the installed command."""
+    command = sys.argv[1] if len(sys.argv) > 1 else ""
+    app = build_app(include_lab=command not in OPERATOR_COMMANDS)
     app()
 
 
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -21,7 +21,7 @@
 from hypothesis import strategies as st
 from typer.testing import CliRunner
 
-from sageturn.cli.main import app
+from sageturn.cli.main import build_app
 from sageturn.lab.errors import InvalidExperimentError
 from sageturn.lab.result_file import Results
 from sageturn.lab.scale import costs, counting, members, relay_costs, store_costs
@@ -605,9 +605,13 @@
     lines = list(costs.run_costs(["flow_record"]))
     assert [line.get("fit") for line in lines] == [None] * 4 + ["octets"]
     assert lines[-1]["straight"] and lines[-1]["values"][1] == pytest.approx(2.0)
-    refused = CliRunner().invoke(app, ["lab", "costs", "--out", str(tmp_path / "c"), "--only", "flows"])
+    refused = CliRunner().invoke(
+        build_app(), ["lab", "costs", "--out", str(tmp_path / "c"), "--only", "flows"]
+    )
     assert refused.exit_code == 2 and "only: flows" in refused.stderr
-    kept = CliRunner().invoke(app, ["lab", "costs", "--out", str(tmp_path / "c"), "--only", "flow_record"])
+    kept = CliRunner().invoke(
+        build_app(), ["lab", "costs", "--out", str(tmp_path / "c"), "--only", "flow_record"]
+    )
     assert kept.exit_code == 0
     assert [json.loads(x)["part"] for x in (tmp_path / "c").read_text().splitlines()] == ["flow_record"] * 5
 
@@ -615,7 +619,7 @@
 def test_the_command_names_a_faulty_files_key(tmp_path: Path) -> None:
     (tmp_path / "x.toml").write_text('name = "x"\n[[sizes]]\nname = "a"\nmembers = 4\nspread = "gossip"')
     refused = CliRunner().invoke(
-        app, ["lab", "scale", str(tmp_path / "x.toml"), "--out", str(tmp_path / "o")]
+        build_app(), ["lab", "scale", str(tmp_path / "x.toml"), "--out", str(tmp_path / "o")]
     )
     assert refused.exit_code == 2 and "sizes[0].spread" in refused.stderr and not (tmp_path / "o").exists()
 
--- a/tests/overrides/test_overrides_relay.py
+++ b/tests/overrides/test_overrides_relay.py
@@ -307,7 +307,12 @@
                     stderr=-1,
                     env={**os.environ, **common, **env},
                 )
-                output, errors = await process.communicate()
+                try:
+                    output, errors = await process.communicate()
+                finally:
+                    if process.returncode is None:
+                        process.kill()
+                        await process.wait()
                 assert process.returncode == exit_code, (arguments, output, errors)
                 return (errors if exit_code else output).decode()
 
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -11,7 +11,7 @@
 from support.replication_member import SECRET, replica
 from typer.testing import CliRunner, Result
 
-from sageturn.cli.main import app
+from sageturn.cli.main import build_app
 from sageturn.store.channel import AuthenticatedChannel, read_secret
 from sageturn.store.errors import HandshakeRejectedError, InvalidRecordError, LogCorruptedError
 from sageturn.store.log import scan
@@ -197,7 +197,7 @@
 
 
 def admin(*words: str, stdin: str = "") -> Result:
-    return CliRunner().invoke(app, ["store", *words], input=stdin)
+    return CliRunner().invoke(build_app(), ["store", *words], input=stdin)
 
 
 def test_an_operator_adds_an_account_offline_and_to_a_running_daemon(tmp_path: Path) -> None:
