--- a/sageturn/decision/state.py
+++ b/sageturn/decision/state.py
@@ -88,9 +88,11 @@
         return now_ms - self.started_at_ms if self.started_at_ms else float("inf")
 
     def is_full(self) -> bool:
+        """Whether it may be sent no further attempt for now."""
         return self.closed or self.in_flight >= self.concurrency_limit
 
     def is_at_capacity(self) -> bool:
+        """Whether it holds as many connections as it has been found able to hold."""
         return self.open_count >= self.capacity - self.capacity_rounding
 
     def is_at_quota(self) -> bool:
@@ -138,19 +140,6 @@
     unknown_limits: int = 0  # concurrency limits of endpoints on which this relay holds nothing
     open_count: int = 0
 
-    def replace_part(
-        self, endpoint: EndpointState, in_flight: int, limit: int, unknown_limit: int, open_count: int
-    ) -> None:
-        """Count these for the endpoint, in place of what was counted for it before."""
-        self.in_flight += in_flight - endpoint.counted_in_flight
-        self.limits += limit - endpoint.counted_limit
-        self.unknown_limits += unknown_limit - endpoint.counted_unknown_limit
-        self.open_count += open_count - endpoint.counted_open
-        endpoint.counted_in_flight = in_flight
-        endpoint.counted_limit = limit
-        endpoint.counted_unknown_limit = unknown_limit
-        endpoint.counted_open = open_count
-
 
 @dataclass(slots=True, eq=False)
 class RequestState:
@@ -180,11 +169,16 @@
     executed_cell: int = 0
     executed_at_ms: float = -1.0  # below 0: there is none
 
+    def is_binding_in_force(self) -> bool:
+        """Whether an operator's binding holds for the next attempt."""
+        return self.is_binding_strict or not self.attempts
+
     def endpoint_of(self, attempt: int) -> EndpointState | None:
         """The endpoint of the latest attempt, if that is the one of this number."""
         return self.endpoint if attempt == self.attempts - 1 else None
 
     def begin_attempt(self, endpoint: EndpointState, now_ms: float) -> None:
+        """The next attempt is sent now."""
         self.endpoint = endpoint
         self.state = AttemptState.IN_FLIGHT
         self.sent_ms = now_ms
@@ -198,6 +192,7 @@
             self.executed_at_ms = self.sent_ms
 
     def may_have_executed(self) -> bool:
+        """Whether any of its attempts may have been executed."""
         return self.executed_at_ms >= 0
 
     @classmethod
--- a/sageturn/relay/relay.py
+++ b/sageturn/relay/relay.py
@@ -92,7 +92,7 @@
             state_publisher(self.store, "relay"), self._collect_state, self._replication.state_interval_s
         )
         self._reloader = ConfigReloader(lambda: self.config, read_config, self.apply_config)
-        self._subsystems = self._list_subsystems()
+        self.subsystems = self._list_subsystems()
         log_level.apply()
 
     def _make_endpoint_registry(self) -> EndpointRegistry:
@@ -128,14 +128,17 @@
 
     @property
     def overrides(self) -> OverrideActor | None:
+        """The overrides' actor, where the operator's file turns them on."""
         return self._overrides.actor
 
     @property
     def rebalancer(self) -> Rebalancer | None:
+        """The rebalancer, once one was needed."""
         return self._rebalancing.rebalancer
 
     @property
     def replication(self) -> ReplicationMember | None:
+        """This node's replication member, where there are replicas."""
         return self._replication.member
 
     @replication.setter
@@ -145,14 +148,17 @@
 
     @property
     def health_check_client(self) -> HealthCheckClient | None:
+        """The client of health checks, where the settings allow them."""
         return self._health_checks.client
 
     @property
     def xmpp_listener(self) -> Listener | None:
+        """The XMPP frontend's listener, where it is turned on."""
         return self._xmpp.listener
 
     @property
     def reload_requested(self) -> asyncio.Event:
+        """Set by SIGHUP; cleared once the reload has begun."""
         return self._reloader.requested
 
     # ------------------------------------------------------------ callbacks between parts
@@ -176,14 +182,14 @@
 
     def start(self) -> None:
         """Open the listeners and start every subsystem; needs a running loop."""
-        for subsystem in self._subsystems:
+        for subsystem in self.subsystems:
             subsystem.start(self._actors)
 
     async def apply_config(self, new: RelayConfig) -> None:
         """Put ``new`` in force. Nothing here can fail half way: all of it was checked when it was read."""
         old = self.config
         self.config = new
-        for subsystem in self._subsystems:
+        for subsystem in self.subsystems:
             await subsystem.reload(old, new)
         log_config_applied(old, new)
 
--- a/tests/core/test_close_reasons.py
+++ b/tests/core/test_close_reasons.py
@@ -1,4 +1,4 @@
-"""Every pair of what a request is at and what ends it: one final answer, nothing sent late, nothing left."""
+"""Every pair of a request's stage and what ends it: one final response, nothing late, nothing left."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 import select
 import socket
 import struct
-from collections.abc import Callable
 from pathlib import Path
 from typing import Any
 
 import pytest
 from support.network_fakes import SETTINGS, FakeEndpoint, first_line, relaying, up
+from support.relay_checks import is_balancer_idle, is_idle, run_within, until
 
 from sageturn.core.messages import EndpointListUpdate
 from sageturn.core.shutdown_schedule import ShutdownSchedule
@@ -51,17 +51,13 @@
         self.relay, self.endpoints, self.line = relay, endpoints, first_line(wait_ms)
         self.client = socket.create_connection(relay.listener.address)
         self.client.setblocking(False)
-        self.go_on = asyncio.Event()  # lets what was held at its stage go on
-        self.reset_host = False
+        self.resume = asyncio.Event()  # lets what was held at its stage go on
+        self.reset_endpoint = False
 
     @property
     def lines(self) -> list[bytes]:
         return [line for e in self.endpoints for line in e.lines if line]
 
-    async def until(self, true: Callable[[], Any]) -> None:
-        while not true():
-            await asyncio.sleep(0.002)
-
     async def rest(self) -> bytes:
         """All that the client still hears; b"reset" at the end of it if it was reset."""
         loop, heard = asyncio.get_running_loop(), b""
@@ -73,22 +69,22 @@
         return heard
 
 
-# ---------------------------------------------------------------- stages: what its endpoints do meanwhile
+# ---------------------------------------------------------------- stages: what the endpoints do meanwhile
 
 
-def held(text: bytes) -> Any:
+def holding(text: bytes) -> Any:
     """Says so much, then holds until the end has been made; then resets or ends."""
 
     def script(scene: list[Scene]) -> Any:
         async def act(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes) -> None:
             writer.write(text)
             await writer.drain()
-            ends = asyncio.ensure_future(scene[0].go_on.wait())
+            ends = asyncio.ensure_future(scene[0].resume.wait())
             left = asyncio.ensure_future(reader.read())
             await asyncio.wait((ends, left), return_when=asyncio.FIRST_COMPLETED)
             for task in (ends, left):
                 task.cancel()
-            if scene[0].reset_host:
+            if scene[0].reset_endpoint:
                 linger = struct.pack("ii", 1, 0)
                 writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
                 writer.transport.abort()
@@ -104,7 +100,7 @@
     async def slowly(address: tuple[str, int], timeout_s: float) -> Any:
         begun.set()
         try:
-            await asyncio.wait_for(scene.go_on.wait(), timeout_s)
+            await asyncio.wait_for(scene.resume.wait(), timeout_s)
         except TimeoutError:
             return platform_connection.ConnectFailure.NEVER_UP
         return await connect(address, timeout_s)
@@ -116,33 +112,33 @@
 
 async def written(scene: Scene, monkeypatch: pytest.MonkeyPatch) -> None:
     scene.client.sendall(scene.line)
-    await scene.until(lambda: scene.lines)
+    await until(lambda: scene.lines)
 
 
-async def standing(scene: Scene, monkeypatch: pytest.MonkeyPatch) -> None:
+async def established(scene: Scene, monkeypatch: pytest.MonkeyPatch) -> None:
     scene.client.sendall(scene.line)
-    await scene.until(lambda: any(lifecycle.is_established for lifecycle in scene.relay.request_registry))
+    await until(lambda: any(lifecycle.is_established for lifecycle in scene.relay.request_registry))
 
 
-async def half_a_line(scene: Scene, monkeypatch: pytest.MonkeyPatch) -> None:
+async def partial_request_line(scene: Scene, monkeypatch: pytest.MonkeyPatch) -> None:
     scene.client.sendall(scene.line[:-2])
-    await scene.until(lambda: scene.relay.admission.awaiting_request)
+    await until(lambda: scene.relay.admission.awaiting_request)
 
 
 STAGES = {
-    "half a first line": (half_a_line, held(b"")),
-    "connecting": (connecting, held(b"UP r1\r\n")),
-    "written": (written, held(b"")),
-    "UP half read": (written, held(b"UP r")),
-    "standing": (standing, held(b"UP r1\r\n")),
-    "standing, half a line down": (standing, held(b"UP r1\r\nM 1\r\nM 2")),
+    "half a first line": (partial_request_line, holding(b"")),
+    "connecting": (connecting, holding(b"UP r1\r\n")),
+    "written": (written, holding(b"")),
+    "UP half read": (written, holding(b"UP r")),
+    "established": (established, holding(b"UP r1\r\n")),
+    "established, half a line down": (established, holding(b"UP r1\r\nM 1\r\nM 2")),
 }
 
 
 # ---------------------------------------------------------------- what ends it
 
 
-async def client_ends(scene: Scene) -> None:
+async def client_closes(scene: Scene) -> None:
     scene.client.close()
 
 
@@ -151,42 +147,50 @@
     scene.client.close()
 
 
-async def host_ends(scene: Scene) -> None:
-    scene.go_on.set()
+async def endpoint_closes(scene: Scene) -> None:
+    scene.resume.set()
 
 
-async def host_resets(scene: Scene) -> None:
-    scene.reset_host = True
-    scene.go_on.set()
+async def endpoint_resets(scene: Scene) -> None:
+    scene.reset_endpoint = True
+    scene.resume.set()
 
 
-async def all_drain(scene: Scene) -> None:
+async def all_endpoints_drain(scene: Scene) -> None:
     drains = [Endpoint(name, "draining") for name in "abc"]
     await scene.relay.endpoint_registry.on_watch_event(1, EndpointListUpdate(3, False, drains))
-    await scene.until(lambda: scene.relay.endpoint_registry.states["a"] == "draining")
+    await until(lambda: scene.relay.endpoint_registry.states["a"] == "draining")
     if not any(lifecycle.is_established for lifecycle in scene.relay.request_registry):
-        scene.go_on.set()
+        scene.resume.set()
 
 
-async def stop(scene: Scene) -> None:
+async def graceful_shutdown(scene: Scene) -> None:
     scene.relay.request_registry.schedule = ShutdownSchedule(0.01, 0.02, 0.05, 2.0)
     await scene.relay.request_registry.drain(scene.relay.ingress)
     assert not scene.relay.request_registry
 
 
-async def time_is_up(scene: Scene) -> None:
+async def client_times_out(scene: Scene) -> None:
     await asyncio.sleep(0)
 
 
-ENDS = [client_ends, client_resets, host_ends, host_resets, all_drain, stop, time_is_up]
-GONE = (client_ends, client_resets)
+ENDS = [
+    client_closes,
+    client_resets,
+    endpoint_closes,
+    endpoint_resets,
+    all_endpoints_drain,
+    graceful_shutdown,
+    client_times_out,
+]
+GONE = (client_closes, client_resets)
 
 
 @pytest.mark.parametrize("effect", DEPLOYMENTS)
 @pytest.mark.parametrize(
     "stage,end", list(itertools.product(STAGES, ENDS)), ids=lambda v: v if isinstance(v, str) else v.__name__
 )
-def test_whatever_ends_it_one_answer_and_nothing_late_or_left(
+def test_every_end_at_every_stage_gives_one_response_and_leaves_nothing(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, stage: str, end: Any, effect: str
 ) -> None:
     async def go() -> None:
@@ -198,46 +202,46 @@
             while relay.endpoint_registry.version != 2:
                 await asyncio.sleep(0.002)
             descriptors = len(os.listdir("/proc/self/fd"))
-            scenes.append(scene := Scene(relay, endpoints, 400 if end is time_is_up else 3000))
+            scenes.append(scene := Scene(relay, endpoints, 400 if end is client_times_out else 3000))
             await reach(scene, monkeypatch)
             before = len(scene.lines)
             await end(scene)
-            stays = stage.startswith("standing") and end in (all_drain, time_is_up)
+            stays = stage.startswith("established") and end in (all_endpoints_drain, client_times_out)
             heard = b"" if end in GONE or stays else await scene.rest()
             assert not stays or all(lifecycle.is_established for lifecycle in relay.request_registry)
             scene.client.close()
-            scene.go_on.set()
-            balancer = relay.balancer_actor._balancer
-            await scene.until(
+            scene.resume.set()
+            balancer = relay.balancer_actor.balancer
+            await until(
                 lambda: (
                     not relay.request_registry
                     and not balancer.requests
                     and not relay.admission.connection_count
                 )
             )
-            await scene.until(lambda: not any(e.open for e in endpoints))
-            assert all(s.open_count == s.in_flight == 0 for s in balancer.endpoints.values())
-            assert relay.balancer_actor._requests == {}
-            shut = 2 if end is stop else 0  # the door, and the descriptor kept for want of others
-            await scene.until(lambda: len(os.listdir("/proc/self/fd")) <= descriptors - shut)
+            await until(lambda: not any(e.open for e in endpoints))
+            assert is_idle(relay)
+            # The listener's, and the descriptor that it keeps in reserve.
+            shut = 2 if end is graceful_shutdown else 0
+            await until(lambda: len(os.listdir("/proc/self/fd")) <= descriptors - shut)
             sent, most = len(scene.lines), settings["policyLimits"]["sendCap"]
             assert sent <= most and sum(e.most_open for e in endpoints) <= max(1, sent)
-            if end in GONE or end in (all_drain, stop):
+            if end in GONE or end in (all_endpoints_drain, graceful_shutdown):
                 assert len(scene.lines) == before, "sent on after the end was known"
             if end not in GONE and not stays:
                 check(stage, end, effect, heard, before)
 
-    asyncio.run(asyncio.wait_for(go(), 15))
+    run_within(15.0, go())
 
 
 def check(stage: str, end: Any, effect: str, heard: bytes, ran: int) -> None:
-    if stage.startswith("standing") or (stage == "connecting" and heard.startswith(b"UP")):
+    if stage.startswith("established") or (stage == "connecting" and heard.startswith(b"UP")):
         lines = heard.removeprefix(b"UP r1\r\n").removeprefix(b"M 1\r\n")
-        if end is stop:
+        if end is graceful_shutdown:
             assert lines == b"MOVE\r\n"  # between two lines: what is half is dropped
-        elif end is host_resets:
+        elif end is endpoint_resets:
             assert lines == b"reset"
-        elif end is host_ends:
+        elif end is endpoint_closes:
             assert lines == (b"M 2" if "half" in stage else b"")
         return
     assert heard.count(b"\r\n") == 1 and heard.startswith((b"BUSY", b"ERR")), heard
@@ -247,11 +251,11 @@
         assert heard.startswith(b"BUSY"), "it never ran: nothing stands against another try"
 
 
-# ---------------------------------------------------------------- at the door
+# ---------------------------------------------------------------- as the listener closes
 
 
 @pytest.mark.parametrize("said", [first_line(), b"PING\r\n", first_line()[:9], b""])
-def test_who_comes_in_the_instant_the_door_is_shut_is_answered(tmp_path: Path, said: bytes) -> None:
+def test_a_client_that_connects_as_the_listener_closes_is_answered(tmp_path: Path, said: bytes) -> None:
     # The listening socket was closed over its backlog: who waited there was reset without a word. The loop
     # does not turn between the client's coming and the shutting here.
     async def go() -> None:
@@ -275,10 +279,10 @@
             with pytest.raises(ConnectionRefusedError):
                 socket.create_connection(relay.listener.address)
 
-    asyncio.run(asyncio.wait_for(go(), 10))
+    run_within(10.0, go())
 
 
-def test_a_request_that_comes_after_the_last_moment_is_answered_and_not_placed(tmp_path: Path) -> None:
+def test_a_request_that_arrives_after_the_forced_drain_is_answered_and_not_placed(tmp_path: Path) -> None:
     # It was placed, stood, and was cut off without MOVE: only those who were there had been told to hurry.
     async def go() -> None:
         async with relaying(tmp_path, up) as (relay, (endpoint,)):
@@ -286,26 +290,24 @@
             scene = Scene(relay, [endpoint])
             relay.admission.evict_all_pending = lambda: None  # type: ignore[method-assign]
             draining = asyncio.ensure_future(relay.request_registry.drain(relay.ingress))
-            await scene.until(
-                lambda: relay.admission.awaiting_request and relay.request_registry.is_drain_forced
-            )
+            await until(lambda: relay.admission.awaiting_request and relay.request_registry.is_drain_forced)
             scene.client.sendall(first_line())
             assert (await scene.rest()).startswith(b"BUSY")
             await draining
             assert not any(endpoint.lines)
             scene.client.close()
 
-    asyncio.run(asyncio.wait_for(go(), 10))
+    run_within(10.0, go())
 
 
-def test_a_stop_waits_for_those_who_have_not_yet_asked(tmp_path: Path) -> None:
+def test_a_graceful_shutdown_waits_for_connections_without_a_request(tmp_path: Path) -> None:
     async def go() -> None:
         async with relaying(tmp_path, up) as (relay, (endpoint,)):
             relay.request_registry.schedule = ShutdownSchedule(0.0, 0.0, 8.0, 9.0)
             scene = Scene(relay, [endpoint])
             line = first_line()
             scene.client.sendall(line[:20])
-            await scene.until(lambda: relay.admission.awaiting_request)
+            await until(lambda: relay.admission.awaiting_request)
             draining = asyncio.ensure_future(relay.request_registry.drain(relay.ingress))
             await asyncio.sleep(0.8)  # past the time in which new ones are expected
             assert not draining.done()
@@ -314,25 +316,25 @@
             await draining
             scene.client.close()
 
-    asyncio.run(asyncio.wait_for(go(), 10))
+    run_within(10.0, go())
 
 
-def test_one_evicted_as_its_line_becomes_whole_hears_its_answer(tmp_path: Path) -> None:
+def test_a_client_evicted_as_its_request_line_completes_is_answered(tmp_path: Path) -> None:
     # Closed over the unread line, the kernel's reset destroyed the answer.
     async def go() -> None:
         async with relaying(tmp_path, up) as (relay, _):
             scene = Scene(relay, [])
-            await scene.until(lambda: relay.admission.awaiting_request)
+            await until(lambda: relay.admission.awaiting_request)
             await asyncio.sleep(0.01)  # its reading has begun; whether or not, it is answered
             scene.client.sendall(first_line())
             relay.admission.evict_all_pending()
             assert await scene.rest() == b"BUSY 500\r\n"
             scene.client.close()
 
-    asyncio.run(asyncio.wait_for(go(), 10))
+    run_within(10.0, go())
 
 
-# ---------------------------------------------------------------- a MOVE that finds no room
+# ---------------------------------------------------------------- a MOVE that cannot be written
 
 
 async def floods(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes) -> None:
@@ -343,7 +345,7 @@
 
 
 @pytest.mark.parametrize("reads_on", [True, False])
-def test_a_move_waits_for_a_client_that_reads_nothing_until_there_is_no_more_time(
+def test_a_move_waits_for_a_client_that_does_not_read_until_the_drain_is_forced(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, reads_on: bool
 ) -> None:
     # It was given up after 0.7 s and the client cut off without a word, though its live host still answered.
@@ -362,7 +364,7 @@
             relay.context.on_connection_closed = ended.append
             scene = Scene(relay, [])
             scene.client.sendall(first_line())
-            await scene.until(lambda: any(lifecycle.is_established for lifecycle in relay.request_registry))
+            await until(lambda: any(lifecycle.is_established for lifecycle in relay.request_registry))
             (lifecycle,) = relay.request_registry
             stuck = 0
             while stuck < 30:  # until for 0.3 s the kernel has had no room for more
@@ -374,19 +376,19 @@
             assert lifecycle.is_established and not ended
             if not reads_on:
                 lifecycle.force_drain()
-                await scene.until(lambda: ended)
+                await until(lambda: ended)
                 assert ended[0].close_reason.name == "CUT_OFF"
             else:
                 heard = await scene.rest()
                 assert heard.endswith(b"x\r\nMOVE\r\n") and heard.count(b"MOVE") == 1
-                await scene.until(lambda: ended)
+                await until(lambda: ended)
                 assert ended[0].close_reason.name == "MOVED"
             scene.client.close()
 
-    asyncio.run(asyncio.wait_for(go(), 15))
+    run_within(15.0, go())
 
 
-def test_one_that_is_being_resumed_hears_of_a_stop_that_it_may_try_again(
+def test_a_forced_drain_rejects_a_connection_that_is_being_adopted(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Nothing of it was sent: ERR said that it may have been.
@@ -395,14 +397,14 @@
             scene = Scene(relay, [endpoint])
             scene.line = first_line(40000, ",at=a")
             await connecting(scene, monkeypatch)
-            await stop(scene)
+            await graceful_shutdown(scene)
             assert (await scene.rest()).startswith(b"BUSY") and not any(endpoint.lines)
             scene.client.close()
 
-    asyncio.run(asyncio.wait_for(go(), 10))
+    run_within(10.0, go())
 
 
-def test_a_fault_of_the_program_still_ends_in_an_answer_and_leaves_no_ghost(
+def test_an_internal_error_is_answered_and_leaves_no_request_behind(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # The client's connection was closed without a word, and the module kept the request for good.
@@ -417,11 +419,7 @@
             scene.client.sendall(scene.line)
             assert await scene.rest() == b"ERR internal\r\n"
             scene.client.close()
-            await scene.until(
-                lambda: not relay.request_registry and not relay.balancer_actor._balancer.requests
-            )
-            assert all(
-                s.open_count == s.in_flight == 0 for s in relay.balancer_actor._balancer.endpoints.values()
-            )
+            await until(lambda: not relay.request_registry and not relay.balancer_actor.balancer.requests)
+            assert is_balancer_idle(relay.balancer_actor)
 
-    asyncio.run(asyncio.wait_for(go(), 10))
+    run_within(10.0, go())
