--- a/tests/core/test_attempt_races.py
+++ b/tests/core/test_attempt_races.py
@@ -10,8 +10,9 @@
 from typing import Any
 
 import pytest
+from support.event_loop import run_with_timeout, until
 from support.network_fakes import SETTINGS, ask, first_line, relaying, silent, up
-from support.relay_checks import is_idle, run_within, until
+from support.relay_checks import is_idle
 
 from sageturn.core.close_reason import CloseReason
 from sageturn.core.messages import EndpointListUpdate
@@ -107,7 +108,7 @@
                 assert records[0].close_reason in (CloseReason.CLIENT_LEFT, CloseReason.CLIENT_RESET)
                 assert calls == attempt and not any(line for e in endpoints for line in e.lines)
 
-    run_within(TIMEOUT_S, go())
+    run_with_timeout(go(), TIMEOUT_S)
 
 
 # ---------------------------------------------------------------- what a forced drain rejects
@@ -150,7 +151,7 @@
             writer.close()
             await until(lambda: is_idle(relay))
 
-    run_within(TIMEOUT_S, go())
+    run_with_timeout(go(), TIMEOUT_S)
 
 
 @pytest.mark.parametrize("text", [b"BUSY\n", b"BUSY \xff\r\n", b"BUSY\r\nUP r1\r\n", b"BUSYX\r\n", b"BUSY"])
@@ -170,7 +171,7 @@
             writer.close()
             await until(lambda: is_idle(relay))
 
-    run_within(TIMEOUT_S, go())
+    run_with_timeout(go(), TIMEOUT_S)
 
 
 # ---------------------------------------------------------------- when an idempotency key expires
@@ -236,7 +237,7 @@
             writer.close()
             await until(lambda: is_idle(relay))
 
-    run_within(TIMEOUT_S, go())
+    run_with_timeout(go(), TIMEOUT_S)
 
 
 def test_a_write_that_blocks_ends_as_its_idempotency_key_expires(
@@ -265,7 +266,7 @@
             writer.close()
             await until(lambda: is_idle(relay))
 
-    run_within(TIMEOUT_S, go())
+    run_with_timeout(go(), TIMEOUT_S)
 
 
 # ---------------------------------------------------------------- a request on an idle client connection
@@ -326,4 +327,4 @@
             await until(lambda: not relay.admission.connection_count)
             assert relay.balancer_actor.placements == [] and not endpoint.lines
 
-    run_within(TIMEOUT_S, go())
+    run_with_timeout(go(), TIMEOUT_S)
--- a/tests/core/test_client_disconnects.py
+++ b/tests/core/test_client_disconnects.py
@@ -13,8 +13,8 @@
 from typing import Any
 
 import pytest
+from support.event_loop import run_with_timeout, until
 from support.network_fakes import SETTINGS, ask, first_line, relaying, silent, up
-from support.relay_checks import run_within, until
 from support.xmpp_fakes import Client, Server
 from support.xmpp_relay import client_tls, relaying_xmpp, xmpp_address
 
@@ -128,7 +128,7 @@
             assert connects.count == attempt - 1 and not any(e.open for e in endpoints)
             assert records[0].close_reason in GONE
 
-    run_within(TIMEOUT_S, go())
+    run_with_timeout(go(), TIMEOUT_S)
 
 
 async def stream_end(client: Client) -> None:
@@ -189,7 +189,7 @@
                 assert connects.count == (moment != "first")
                 assert sum(len(e.lines) for e in endpoints) == (moment == "bind") and not bound
 
-    run_within(TIMEOUT_S, go())
+    run_with_timeout(go(), TIMEOUT_S)
 
 
 async def send_bind(client: Client) -> None:
@@ -237,7 +237,7 @@
             for _, writer in clients:
                 writer.close()
 
-    run_within(TIMEOUT_S, go())
+    run_with_timeout(go(), TIMEOUT_S)
 
 
 def test_those_who_left_while_they_lay_in_the_backlog_cost_no_attempt(
@@ -257,7 +257,7 @@
             await until(lambda: len(records) == 100 and not relay.balancer_actor.balancer.requests)
             assert connects.count == 0 and not any(e.open for e in endpoints)
 
-    run_within(TIMEOUT_S, go())
+    run_with_timeout(go(), TIMEOUT_S)
 
 
 def test_words_read_in_two_places_stay_in_their_order(tmp_path: Path) -> None:
@@ -291,7 +291,7 @@
             assert wire.early_input == b"M 1\r\nM 2\r\n"
             writer.close()
 
-    run_within(TIMEOUT_S, go())
+    run_with_timeout(go(), TIMEOUT_S)
 
 
 def test_an_xmpp_client_that_breaks_its_stream_while_it_waits_hears_why(tmp_path: Path) -> None:
@@ -309,4 +309,4 @@
             assert "<policy-violation " in await client.read_rest()
             client.writer.close()
 
-    run_within(TIMEOUT_S, go())
+    run_with_timeout(go(), TIMEOUT_S)
--- a/tests/core/test_close_reasons.py
+++ b/tests/core/test_close_reasons.py
@@ -12,8 +12,9 @@
 from typing import Any
 
 import pytest
+from support.event_loop import run_with_timeout, until
 from support.network_fakes import SETTINGS, FakeEndpoint, first_line, relaying, up
-from support.relay_checks import is_balancer_idle, is_idle, run_within, until
+from support.relay_checks import is_balancer_idle, is_idle
 
 from sageturn.core.messages import EndpointListUpdate
 from sageturn.core.shutdown_schedule import ShutdownSchedule
@@ -238,7 +239,7 @@
             if end not in GONE and not stays:
                 check(stage, end, effect, received, before)
 
-    run_within(15.0, go())
+    run_with_timeout(go(), 15.0)
 
 
 def check(stage: str, end: Any, effect: str, received: bytes, ran: int) -> None:
@@ -286,7 +287,7 @@
             with pytest.raises(ConnectionRefusedError):
                 socket.create_connection(relay.listener.address)
 
-    run_within(10.0, go())
+    run_with_timeout(go(), 10.0)
 
 
 def test_a_request_that_arrives_after_the_forced_drain_is_answered_and_not_placed(tmp_path: Path) -> None:
@@ -304,7 +305,7 @@
             assert not any(endpoint.lines)
             scenario.client.close()
 
-    run_within(10.0, go())
+    run_with_timeout(go(), 10.0)
 
 
 def test_a_graceful_shutdown_waits_for_connections_without_a_request(tmp_path: Path) -> None:
@@ -323,7 +324,7 @@
             await draining
             scenario.client.close()
 
-    run_within(10.0, go())
+    run_with_timeout(go(), 10.0)
 
 
 def test_a_client_evicted_as_its_request_line_completes_is_answered(tmp_path: Path) -> None:
@@ -338,7 +339,7 @@
             assert await scenario.read_rest() == b"BUSY 500\r\n"
             scenario.client.close()
 
-    run_within(10.0, go())
+    run_with_timeout(go(), 10.0)
 
 
 # ---------------------------------------------------------------- a MOVE that cannot be written
@@ -392,7 +393,7 @@
                 assert ended[0].close_reason.name == "MOVED"
             scenario.client.close()
 
-    run_within(15.0, go())
+    run_with_timeout(go(), 15.0)
 
 
 def test_a_forced_drain_rejects_a_connection_that_is_being_adopted(
@@ -408,7 +409,7 @@
             assert (await scenario.read_rest()).startswith(b"BUSY") and not any(endpoint.lines)
             scenario.client.close()
 
-    run_within(10.0, go())
+    run_with_timeout(go(), 10.0)
 
 
 def test_an_internal_error_is_answered_and_leaves_no_request_behind(
@@ -429,4 +430,4 @@
             await until(lambda: not relay.request_registry and not relay.balancer_actor.balancer.requests)
             assert is_balancer_idle(relay.balancer_actor)
 
-    run_within(10.0, go())
+    run_with_timeout(go(), 10.0)
--- a/tests/rebalance/test_rebalance_relay.py
+++ b/tests/rebalance/test_rebalance_relay.py
@@ -7,11 +7,11 @@
 import os
 import subprocess
 import sys
-from collections.abc import Callable, Coroutine
 from pathlib import Path
 from typing import Any
 
 import pytest
+from support.event_loop import run_with_timeout, until
 from support.network_fakes import SETTINGS, ask, first_line, relaying, up, write_config
 from support.xmpp_fakes import Client, echo
 from support.xmpp_relay import client_tls, relaying_xmpp, server_tls, xmpp_address
@@ -25,8 +25,7 @@
 REBALANCE_ON: dict[str, Any] = {"rebalance": {"mode": "on", "tick_s": 0.05, "least_age_s": 0, "burst": 4}}
 
 
-def run_with_timeout(scenario: Coroutine[Any, Any, None]) -> None:
-    asyncio.run(asyncio.wait_for(scenario, 30))
+SCENARIO_TIMEOUT_S = 30.0
 
 
 @pytest.fixture
@@ -38,15 +37,10 @@
     )
 
 
-async def wait_until(condition: Callable[[], Any]) -> None:
-    while not condition():
-        await asyncio.sleep(0.01)
-
-
 def test_a_relay_migrates_clients_off_the_fuller_endpoint(tmp_path: Path, fast_rate: None) -> None:
     async def go() -> None:
         async with relaying(tmp_path, up, up, operator=REBALANCE_ON) as (relay, (a, b)):
-            await wait_until(lambda: relay.endpoint_registry.version == 2)
+            await until(lambda: relay.endpoint_registry.version == 2)
 
             async def client(key: str) -> None:
                 line = first_line(more=",at=a", key=key)
@@ -60,26 +54,26 @@
                     line = first_line(key=key)  # it reconnects, as the same client
 
             clients = [asyncio.ensure_future(client(f"key{n}")) for n in range(24)]
-            await wait_until(lambda: a.open <= 14 and b.open >= 10)
+            await until(lambda: a.open <= 14 and b.open >= 10)
             planner = relay.rebalancer
             assert planner is not None
-            await wait_until(lambda: relay.store.get("state/n1/rebalance"))
+            await until(lambda: relay.store.get("state/n1/rebalance"))
             state = relay.store.get("state/n1/rebalance")
             assert state["mode"] == "on" and state["phase"]
-            await wait_until(lambda: planner.counts["landed_well"] >= 10)
+            await until(lambda: planner.counts["landed_well"] >= 10)
             (tmp_path / "operator.json").write_text(json.dumps({"rebalance": {"mode": "yes"}}))
             relay.reload_requested.set()
-            await wait_until(lambda: not relay.reload_requested.is_set())
+            await until(lambda: not relay.reload_requested.is_set())
             assert planner.options.mode == "on", "a faulty file leaves what is in force"
             (tmp_path / "operator.json").write_text("{}")
             relay.reload_requested.set()
-            await wait_until(lambda: planner.options.mode == "off")
+            await until(lambda: planner.options.mode == "off")
             assert planner.step().phase == "off"
             relay.request_registry.is_draining = True
             for task in clients:
                 task.cancel()
 
-    run_with_timeout(go())
+    run_with_timeout(go(), SCENARIO_TIMEOUT_S)
 
 
 def test_turned_on_by_sighup_it_knows_the_established_connections(tmp_path: Path) -> None:
@@ -93,18 +87,18 @@
                 assert await reader.readline() == b"UP r1\r\n"
             (tmp_path / "operator.json").write_text(json.dumps(REBALANCE_ON))
             relay.reload_requested.set()
-            await wait_until(lambda: relay.rebalancer is not None)
+            await until(lambda: relay.rebalancer is not None)
             assert relay.rebalancer is not None
             assert (
                 len(relay.rebalancer.connections) == 3
                 and relay.rebalancer.connections.endpoints["a"].groups["g1"].connection_count == 3
             )
             draining = asyncio.ensure_future(relay.request_registry.drain(relay.ingress))
-            await wait_until(lambda: relay.rebalancer.counts["by_others"] == 3)
+            await until(lambda: relay.rebalancer.counts["by_others"] == 3)
             assert relay.rebalancer.step().phase == "stopping"
             await draining
 
-    run_with_timeout(go())
+    run_with_timeout(go(), SCENARIO_TIMEOUT_S)
 
 
 def test_a_failing_planner_leaves_clients_alone(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -119,12 +113,12 @@
             monkeypatch.setattr(relay.rebalancer, "tick", fails)
             rebalancer = relay.rebalancer
             assert rebalancer is not None
-            await wait_until(lambda: rebalancer.options.mode == "off")
+            await until(lambda: rebalancer.options.mode == "off")
             writer.write(b"M 1\r\n")
             assert await reader.readline() == b"M 1\r\n"
             writer.close()
 
-    run_with_timeout(go())
+    run_with_timeout(go(), SCENARIO_TIMEOUT_S)
 
 
 def test_an_xmpp_client_is_asked_in_its_own_protocol(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -144,7 +138,7 @@
             monkeypatch.setattr(planner, "tick", lambda *_: plan)
             assert "<move xmlns='urn:sageturn:relay:0'" in await client.read_rest()
 
-    run_with_timeout(go())
+    run_with_timeout(go(), SCENARIO_TIMEOUT_S)
 
 
 def test_it_is_not_imported_while_it_is_off(tmp_path: Path) -> None:
--- a/tests/support/event_loop.py
+++ b/tests/support/event_loop.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
-POLL_INTERVAL_S = 0.005
+POLL_INTERVAL_S = 0.002
 
 
 def run_with_timeout(coroutine: Coroutine[Any, Any, Any], timeout_s: float = 20.0) -> Any:
--- a/tests/support/relay_checks.py
+++ b/tests/support/relay_checks.py
@@ -2,27 +2,12 @@
 
 from __future__ import annotations
 
-import asyncio
-from collections.abc import Callable, Coroutine
-from typing import Any
-
 import pytest
 
 from sageturn.core.balancer_actor import BalancerActor
 from sageturn.decision import Action, Event
 from sageturn.relay import Relay
 
-POLL_INTERVAL_S = 0.002
-
-
-def run_within(seconds: float, test: Coroutine[Any, Any, Any]) -> None:
-    asyncio.run(asyncio.wait_for(test, seconds))
-
-
-async def until(condition: Callable[[], Any]) -> None:
-    while not condition():
-        await asyncio.sleep(POLL_INTERVAL_S)
-
 
 def is_balancer_idle(balancer_actor: BalancerActor) -> bool:
     """No request is known to the balancer, and nothing is in flight or open at any endpoint."""
