--- a/Makefile
+++ b/Makefile
@@ -18,6 +18,7 @@
 
 lint: build
 	$(BIN)/ruff check sageturn tests
+	$(BIN)/ruff format --check sageturn tests
 	$(BIN)/mypy
 
 KIT := ../given/kit
--- a/sageturn/cli/lab.py
+++ b/sageturn/cli/lab.py
@@ -90,9 +90,7 @@
 
 
 @app.command()
-def compare(
-    results: Of, first: str, second: str, metric: Metric = "goal", as_json: AsJson = False
-) -> None:
+def compare(results: Of, first: str, second: str, metric: Metric = "goal", as_json: AsJson = False) -> None:
     """The difference that `second` makes against `first`, on the same days, with its interval."""
     found = _results(results)
     try:
@@ -117,9 +115,13 @@
     file: File,
     knob: Annotated[str, typer.Option(help="connections, room, strength, rebalance.KEY, ...")],
     values: Annotated[str, typer.Option(help="Numbers with commas between.")],
-    scenario: str = "", variant: str = "", metric: Metric = "service", bound: float = 0.9,
-    processes: Processes = CORES, as_json: AsJson = False,
-) -> None:  # fmt: skip
+    scenario: str = "",
+    variant: str = "",
+    metric: Metric = "service",
+    bound: float = 0.9,
+    processes: Processes = CORES,
+    as_json: AsJson = False,
+) -> None:
     """Where a metric breaks as one knob is turned."""
     experiment = _experiment(file)
     day, tried = _scenario(experiment, scenario), _variant(experiment, variant)
@@ -149,8 +151,12 @@
 def hunt(
     file: File,
     out: Annotated[Path, typer.Option(help="Where the worst day goes, made as small as it goes.")],
-    days: int = 40, seed: int = 1, variant: str = "", metric: Metric = "goal", processes: Processes = CORES,
-) -> None:  # fmt: skip
+    days: int = 40,
+    seed: int = 1,
+    variant: str = "",
+    metric: Metric = "goal",
+    processes: Processes = CORES,
+) -> None:
     """Draw days, find those that hurt most, and shrink the worst to a file of its own."""
     experiment = _experiment(file)
     tried, day = _variant(experiment, variant), experiment.scenarios[0]
--- a/sageturn/cli/override.py
+++ b/sageturn/cli/override.py
@@ -122,11 +122,18 @@
 
 def told(override: Override, status: str, now_ms: float) -> dict[str, Any]:
     return {
-        "id": override.id, "does": does(override.body), "status": status, "set_by": override.set_by,
-        "set": instant(override.set_ms), "until": instant(override.until_ms), "until_by": override.until_by,
-        "left": span(override.until_ms - now_ms), "why": override.why, "forced": override.forced,
+        "id": override.id,
+        "does": does(override.body),
+        "status": status,
+        "set_by": override.set_by,
+        "set": instant(override.set_ms),
+        "until": instant(override.until_ms),
+        "until_by": override.until_by,
+        "left": span(override.until_ms - now_ms),
+        "why": override.why,
+        "forced": override.forced,
         "revision": override.revision,
-    }  # fmt: skip
+    }
 
 
 def does(body: Body) -> str:
@@ -212,7 +219,12 @@
 @app.command("set")
 def set_(
     does_what: Annotated[str, typer.Argument(metavar="KIND", help="out, weight, pin or hold.")],
-    why: Why, until: Until, operator: Operator, key_file: KeyFile, connect: Connect, secret_file: SecretFile,
+    why: Why,
+    until: Until,
+    operator: Operator,
+    key_file: KeyFile,
+    connect: Connect,
+    secret_file: SecretFile,
     host: Annotated[str, typer.Option(help="The host meant.")] = "",
     zone: Annotated[str, typer.Option(help="All hosts of a zone, also those that join it later.")] = "",
     kind: Annotated[str, typer.Option(help="All hosts of a kind of machine.")] = "",
@@ -227,7 +239,7 @@
     this_start: Annotated[bool, typer.Option(help="Only the process of that name that runs now.")] = False,
     force: Annotated[str, typer.Option(help="Set it though the guard refuses; say why.")] = "",
     as_json: AsJson = False,
-) -> None:  # fmt: skip
+) -> None:
     """Set an override.
 
     sageturn override set out --host s-5be2a07c --for 2h30m --why "disk is failing" --move-off
@@ -252,14 +264,28 @@
                 fail(NOT_THERE, f"{host}: no relay lists it, so its start is not known")
             start_ms = known.started_at_ms
         op = Op(
-            new_id(does_what), "set", 1, at_ms, operator,
-            f"{why} (forced: {force})" if force else why, parse_until(until, at_ms),
+            new_id(does_what),
+            "set",
+            1,
+            at_ms,
+            operator,
+            f"{why} (forced: {force})" if force else why,
+            parse_until(until, at_ms),
             Body(
-                does_what, Selector(*named[0]) if named else None, move_off, factor or 1.0,
-                tuple(to or ()), strict, cls, tenant, group, start_ms,
+                does_what,
+                Selector(*named[0]) if named else None,
+                move_off,
+                factor or 1.0,
+                tuple(to or ()),
+                strict,
+                cls,
+                tenant,
+                group,
+                start_ms,
             ),
-            bool(force), new_nonce(),
-        )  # fmt: skip
+            bool(force),
+            new_nonce(),
+        )
         check(op, key)
         longest_s = min((s["longest_s"] for s in seen.states.values()), default=float("inf"))
         if op.until_ms - at_ms > longest_s * 1000.0:
@@ -292,26 +318,43 @@
 
 @app.command()
 def extend(
-    override_id: str, until: Until, why: Why, operator: Operator, key_file: KeyFile, connect: Connect,
-    secret_file: SecretFile, as_json: AsJson = False,
-) -> None:  # fmt: skip
+    override_id: str,
+    until: Until,
+    why: Why,
+    operator: Operator,
+    key_file: KeyFile,
+    connect: Connect,
+    secret_file: SecretFile,
+    as_json: AsJson = False,
+) -> None:
     """Give an override another end, later or sooner."""
     _say_of(override_id, "extend", why, until, operator, key_file, Reach(connect, secret_file), as_json)
 
 
 @app.command()
 def revoke(
-    override_id: str, why: Why, operator: Operator, key_file: KeyFile, connect: Connect,
-    secret_file: SecretFile, as_json: AsJson = False,
-) -> None:  # fmt: skip
+    override_id: str,
+    why: Why,
+    operator: Operator,
+    key_file: KeyFile,
+    connect: Connect,
+    secret_file: SecretFile,
+    as_json: AsJson = False,
+) -> None:
     """End an override now, for good."""
     _say_of(override_id, "revoke", why, "", operator, key_file, Reach(connect, secret_file), as_json)
 
 
 def _say_of(
-    override_id: str, word: str, why: str, until: str, operator: str, key_file: Path, reach: Reach,
+    override_id: str,
+    word: str,
+    why: str,
+    until: str,
+    operator: str,
+    key_file: Path,
+    reach: Reach,
     as_json: bool,
-) -> None:  # fmt: skip
+) -> None:
     key, at_ms = private_key(key_file), now()
 
     async def go(store: Store) -> Said:
@@ -319,9 +362,7 @@
         if known.revoked:
             fail(REFUSED, f"{override_id}: was revoked by {known.revoked_by}, and stays so")
         until_ms = parse_until(until, at_ms) if until else 0.0
-        op = Op(
-            override_id, word, known.revision + 1, at_ms, operator, why, until_ms, nonce=new_nonce()
-        )
+        op = Op(override_id, word, known.revision + 1, at_ms, operator, why, until_ms, nonce=new_nonce())
         check(op, key)
         return await say(store, op, key)
 
@@ -330,9 +371,11 @@
 
 @app.command("list")
 def list_(
-    connect: Connect, secret_file: SecretFile, as_json: AsJson = False,
+    connect: Connect,
+    secret_file: SecretFile,
+    as_json: AsJson = False,
     all_: Annotated[bool, typer.Option("--all", help="Lapsed and revoked ones too.")] = False,
-) -> None:  # fmt: skip
+) -> None:
     """What is in force, dormant, suspended or about to end, and by whom."""
 
     async def go(store: Store) -> list[dict[str, Any]]:
@@ -386,12 +429,16 @@
         words = sorted(seen.ops.get(override_id, []), key=lambda op: op.order)
         rows = [
             {
-                "revision": op.revision, "word": op.word, "at": instant(op.at_ms), "operator": op.operator,
-                "until": instant(op.until_ms) if op.until_ms else "", "why": op.why,
+                "revision": op.revision,
+                "word": op.word,
+                "at": instant(op.at_ms),
+                "operator": op.operator,
+                "until": instant(op.until_ms) if op.until_ms else "",
+                "why": op.why,
                 "refused": refused.get(op.key, ""),
             }
             for op in words
-        ]  # fmt: skip
+        ]
         override = seen.overrides.get(override_id)
         if override is not None and not override.revoked and override.lapsed(seen.now_ms):
             lapsed = {"revision": override.revision, "word": "lapse", "at": instant(override.until_ms)}
@@ -427,10 +474,14 @@
                 touching.append({**row, "guard": resolver.suspended.get(override.id, "")})
         effect = resolver.effect(host)
         return {
-            "host": host, "listed": server.state if server else "not listed",
+            "host": host,
+            "listed": server.state if server else "not listed",
             "state": "out of service" if effect.out else server.state if server else "not listed",
-            "factor": effect.factor, "held": effect.hold, "cleared": effect.move_off, "overrides": touching,
-        }  # fmt: skip
+            "factor": effect.factor,
+            "held": effect.hold,
+            "cleared": effect.move_off,
+            "overrides": touching,
+        }
 
     found = Reach(connect, secret_file).act(go)
     if as_json:
--- a/sageturn/core/requests.py
+++ b/sageturn/core/requests.py
@@ -107,9 +107,16 @@
             else:
                 await self._module.tell(
                     api.Request(
-                        self.id, ask.class_name, ask.tenant, self._give_up_ms, ask.group, ask.hint,
-                        client=ask.client, returned=ask.returned, retried=ask.retried,
-                    )  # fmt: skip
+                        self.id,
+                        ask.class_name,
+                        ask.tenant,
+                        self._give_up_ms,
+                        ask.group,
+                        ask.hint,
+                        client=ask.client,
+                        returned=ask.returned,
+                        retried=ask.retried,
+                    )
                 )
                 await self._place()
         except Exception:
--- a/sageturn/flows/ipfix.py
+++ b/sageturn/flows/ipfix.py
@@ -49,10 +49,17 @@
 
     def encode(self) -> bytes:
         fixed = _FLOW.pack(
-            self.start_ms, self.end_ms,
-            socket.inet_aton(self.source[0]), socket.inet_aton(self.destination[0]),
-            self.source[1], self.destination[1], TCP, self.reason, self.octets_up, self.octets_down,
-        )  # fmt: skip
+            self.start_ms,
+            self.end_ms,
+            socket.inet_aton(self.source[0]),
+            socket.inet_aton(self.destination[0]),
+            self.source[1],
+            self.destination[1],
+            TCP,
+            self.reason,
+            self.octets_up,
+            self.octets_down,
+        )
         return fixed + _text(self.application) + _text(self.user)
 
 
--- a/sageturn/fronts/platform.py
+++ b/sageturn/fronts/platform.py
@@ -255,9 +255,7 @@
         muting = asyncio.ensure_future(wait_out(self._quiet.left_s))
         noting = asyncio.ensure_future(self._pass_loads())
         try:
-            await asyncio.wait(
-                (downward, upward, stopping, muting), return_when=asyncio.FIRST_COMPLETED
-            )
+            await asyncio.wait((downward, upward, stopping, muting), return_when=asyncio.FIRST_COMPLETED)
             moved = Ending.MOVED if stopping.done() else Ending.MUTE
             if not downward.done() and not upward.done() and await self._moved(down, downward, upward, moved):
                 return moved
--- a/sageturn/interface.py
+++ b/sageturn/interface.py
@@ -103,8 +103,17 @@
         _need(self.max_attempts >= 1, "max_attempts", "must be 1 or more")
         _need(0 < self.cold_from <= 1, "cold_from", "must be above 0 and at most 1")
         _need(self.fall_multiple > 0, "fall_multiple", "must be above 0")
-        for name in ("max_retry_after_ms", "connect_timeout_ms", "keepalive_ms", "must_ask_in_ms", "fall_ms",
-                     "warm_within_ms", "price_cross_zone", "price_move", "price_probe"):  # fmt: skip
+        for name in (
+            "max_retry_after_ms",
+            "connect_timeout_ms",
+            "keepalive_ms",
+            "must_ask_in_ms",
+            "fall_ms",
+            "warm_within_ms",
+            "price_cross_zone",
+            "price_move",
+            "price_probe",
+        ):
             _need(getattr(self, name) >= 0, name, "must not be negative")
 
 
--- a/sageturn/lab/experiment.py
+++ b/sageturn/lab/experiment.py
@@ -38,10 +38,17 @@
         if not 2 <= early <= self.hosts:
             raise ValueError("early: must be from 2 to hosts")
         return Spec(
-            relays=self.relays, hosts=self.hosts, early=early, zones=self.zones, connections=self.connections,
-            life_s=self.life_s, room=self.room, store_headroom=self.store_headroom, join_s=self.join_s,
+            relays=self.relays,
+            hosts=self.hosts,
+            early=early,
+            zones=self.zones,
+            connections=self.connections,
+            life_s=self.life_s,
+            room=self.room,
+            store_headroom=self.store_headroom,
+            join_s=self.join_s,
             seed=seed,
-        )  # fmt: skip
+        )
 
 
 class Scenario(Struct, frozen=True, forbid_unknown_fields=True):
--- a/sageturn/lab/loopback.py
+++ b/sageturn/lab/loopback.py
@@ -62,9 +62,13 @@
     """All of it: start, let it run, look on, stop."""
 
     def __init__(
-        self, spec: Spec, mover: str, rebalance: dict[str, Any], folder: Path,
+        self,
+        spec: Spec,
+        mover: str,
+        rebalance: dict[str, Any],
+        folder: Path,
         more: Callable[[int, Path], dict[str, Any]] | None = None,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.spec, self.mover, self._rebalance, self._folder = spec, mover, rebalance, folder
         self._more = more
         self.models = make_hosts(spec)
@@ -91,9 +95,15 @@
         if model.started_s > 0:
             started = round((model.started_s - asyncio.get_running_loop().time() + _unix_s()) * 1000.0)
         return {
-            "id": model.name, "addr": f"{host.address[0]}:{host.address[1]}", "zone": model.zone,
-            "kind": model.kind, "cell": 0, "state": state, "weight": 1.0, "started_ms": started,
-        }  # fmt: skip
+            "id": model.name,
+            "addr": f"{host.address[0]}:{host.address[1]}",
+            "zone": model.zone,
+            "kind": model.kind,
+            "cell": 0,
+            "state": state,
+            "weight": 1.0,
+            "started_ms": started,
+        }
 
     def _write(self, relay: int) -> tuple[Path, Path]:
         folder = self._folder / f"r{relay}"
@@ -101,12 +111,14 @@
         (folder / "config.json").write_text(
             json.dumps(
                 {
-                    "name": f"r{relay}", "listen": "{}:{}".format(*self.addresses[relay]),
+                    "name": f"r{relay}",
+                    "listen": "{}:{}".format(*self.addresses[relay]),
                     "discovery": "{}:{}".format(*self.discovery.address),
                     "seed": f"{self.spec.seed}{relay:02x}",
                     "limits": {"cores": 1.0, "memory_mb": 1024, "sockets": 16384},
-                    "known": self.discovery.whole(), "settings": relay_settings(self.spec, relay),
-                }  # fmt: skip
+                    "known": self.discovery.whole(),
+                    "settings": relay_settings(self.spec, relay),
+                }
             )
         )
         # The program reads its keys strictly: a mover that is off has no section at all.
@@ -127,9 +139,15 @@
             with (file.parent / "log").open("wb") as log:
                 self.processes.append(
                     await asyncio.create_subprocess_exec(
-                        sys.executable, "-m", module, "--operator", str(operator),
-                        env={**env, "GW_CONFIG": str(file)}, stderr=log, stdout=log,
-                    )  # fmt: skip
+                        sys.executable,
+                        "-m",
+                        module,
+                        "--operator",
+                        str(operator),
+                        env={**env, "GW_CONFIG": str(file)},
+                        stderr=log,
+                        stdout=log,
+                    )
                 )
         async with asyncio.timeout(READY_S):
             for address in self.addresses:
@@ -190,9 +208,12 @@
         mean = sum(m.held() for m in alive) / sum(m.capacity for m in alive)
         ratio = max(m.held() / m.capacity for m in alive) / mean if mean > 0 else 1.0
         return Sample(
-            now_s - self._began_s, ratio, len(self.population.standing), self.seen.counts["moved"],
+            now_s - self._began_s,
+            ratio,
+            len(self.population.standing),
+            self.seen.counts["moved"],
             {m.name: m.held() / m.capacity for m in alive},
-        )  # fmt: skip
+        )
 
     async def play(self, seconds: float, look: Callable[[Sample, Deployment], None] | None = None) -> Run:
         loop = asyncio.get_running_loop()
@@ -232,9 +253,11 @@
 
 @asynccontextmanager
 async def deployed(
-    spec: Spec, mover: str, rebalance: dict[str, Any],
+    spec: Spec,
+    mover: str,
+    rebalance: dict[str, Any],
     more: Callable[[int, Path], dict[str, Any]] | None = None,
-) -> AsyncIterator[Deployment]:  # fmt: skip
+) -> AsyncIterator[Deployment]:
     """``more``: further sections of a relay's operator's file, given its number and its folder."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
--- a/sageturn/lab/report.py
+++ b/sageturn/lab/report.py
@@ -19,9 +19,17 @@
 from sageturn.lab.runs import Line, Results  # noqa: E402
 
 SHOWN = (
-    "goal", "service", "worst_class", "worst_member", "worst_window", "late", "refused", "moved", "cut",
+    "goal",
+    "service",
+    "worst_class",
+    "worst_member",
+    "worst_window",
+    "late",
+    "refused",
+    "moved",
+    "cut",
     "ratio",
-)  # fmt: skip
+)
 COMPARED = ("goal", "service", "late", "refused", "moved")
 STYLE = """body{font:15px/1.5 system-ui,sans-serif;max-width:70rem;margin:2rem auto;padding:0 1rem;color:#222}
 table{border-collapse:collapse;margin:1rem 0}
--- a/sageturn/lab/scale/fit.py
+++ b/sageturn/lab/scale/fit.py
@@ -45,10 +45,15 @@
 
     def to_json(self) -> dict[str, object]:
         return {
-            "terms": list(self.terms), "values": list(self.values), "low": list(self.low),
-            "high": list(self.high), "r2": round(self.r2, 5), "worst_residual": round(self.worst, 4),
-            "sizes": self.sizes, "straight": self.straight,
-        }  # fmt: skip
+            "terms": list(self.terms),
+            "values": list(self.values),
+            "low": list(self.low),
+            "high": list(self.high),
+            "r2": round(self.r2, 5),
+            "worst_residual": round(self.worst, 4),
+            "sizes": self.sizes,
+            "straight": self.straight,
+        }
 
 
 def _t(freedom: int) -> float:
@@ -76,10 +81,16 @@
     reach = _t(freedom) * np.sqrt(np.diag(covariance))
     sizes = len({tuple(row) for row in rows})
     return Fit(
-        tuple(terms), tuple(values.tolist()),
-        tuple((values - reach).tolist()), tuple((values + reach).tolist()),
-        r2, float(np.abs(relative).max()), sizes, variance**0.5, tuple(map(tuple, covariance.tolist())),
-    )  # fmt: skip
+        tuple(terms),
+        tuple(values.tolist()),
+        tuple((values - reach).tolist()),
+        tuple((values + reach).tolist()),
+        r2,
+        float(np.abs(relative).max()),
+        sizes,
+        variance**0.5,
+        tuple(map(tuple, covariance.tolist())),
+    )
 
 
 @dataclass(frozen=True, slots=True)
--- a/sageturn/lab/scale/plan.py
+++ b/sageturn/lab/scale/plan.py
@@ -134,8 +134,9 @@
 
     def _check_size(self, size: Size) -> None:
         for key, value, known in (
-            ("spread", size.spread, SPREADS), ("topology", size.topology, TOPOLOGIES),
-        ):  # fmt: skip
+            ("spread", size.spread, SPREADS),
+            ("topology", size.topology, TOPOLOGIES),
+        ):
             if value not in known:
                 raise ValueError(f"{key}: {value} must be one of {', '.join(known)}")
         if size.real > size.members:
--- a/sageturn/lab/simrelay.py
+++ b/sageturn/lab/simrelay.py
@@ -288,9 +288,14 @@
         self.out.counts["asked"] += 1
         self.tell(
             api.Request(
-                self._last_id, cls.name, client.tenant, give_up_ms, client.group, client=client.key,
+                self._last_id,
+                cls.name,
+                client.tenant,
+                give_up_ms,
+                client.group,
+                client=client.key,
                 returned=client.tries > 0,
-            )  # fmt: skip
+            )
         )
 
     def _call(self, request_id: int, client: Client, host: str, attempt: int, timeout_ms: float) -> None:
--- a/sageturn/overrides/ops.py
+++ b/sageturn/overrides/ops.py
@@ -112,9 +112,14 @@
 
 def _plain(op: Op) -> dict[str, Any]:
     found: dict[str, Any] = {
-        "override": op.override, "word": op.word, "revision": op.revision, "at_ms": op.at_ms,
-        "operator": op.operator, "why": op.why, "nonce": op.nonce,
-    }  # fmt: skip
+        "override": op.override,
+        "word": op.word,
+        "revision": op.revision,
+        "at_ms": op.at_ms,
+        "operator": op.operator,
+        "why": op.why,
+        "nonce": op.nonce,
+    }
     if op.word != "revoke":
         found["until_ms"] = op.until_ms
     if op.forced:
@@ -125,10 +130,14 @@
         if body.selector is not None:
             told[body.selector.what] = body.selector.value
         for name, value in (
-            ("move_off", body.move_off), ("hosts", list(body.hosts)), ("strict", body.strict),
-            ("class", body.class_name), ("tenant", body.tenant), ("group_prefix", body.group_prefix),
+            ("move_off", body.move_off),
+            ("hosts", list(body.hosts)),
+            ("strict", body.strict),
+            ("class", body.class_name),
+            ("tenant", body.tenant),
+            ("group_prefix", body.group_prefix),
             ("this_start_ms", body.this_start_ms),
-        ):  # fmt: skip
+        ):
             if value:
                 told[name] = value
         if body.kind == "weight":
@@ -249,10 +258,13 @@
         if named:
             raise BadOp(f"body.{named[0]}: a pin names its hosts")
         return Body(
-            kind, hosts=tuple(hosts), strict=fields.flag("strict"),
-            class_name=fields.text("class", default=""), tenant=fields.text("tenant", default=""),
+            kind,
+            hosts=tuple(hosts),
+            strict=fields.flag("strict"),
+            class_name=fields.text("class", default=""),
+            tenant=fields.text("tenant", default=""),
             group_prefix=fields.text("group_prefix", default=""),
-        )  # fmt: skip
+        )
     if len(named) != 1:
         raise BadOp("body: one of host, zone, kind and cell must be named")
     selector = Selector(named[0], fields.text(named[0]))
@@ -262,6 +274,9 @@
     if not factor > 0:
         raise BadOp("body.factor: must be above 0")
     return Body(
-        kind, selector, move_off=kind == "out" and fields.flag("move_off"), factor=factor,
+        kind,
+        selector,
+        move_off=kind == "out" and fields.flag("move_off"),
+        factor=factor,
         this_start_ms=this_start_ms,
-    )  # fmt: skip
+    )
--- a/sageturn/rebalance/driver.py
+++ b/sageturn/rebalance/driver.py
@@ -79,4 +79,3 @@
         elif plan.phase != self._said[0] or plan.phase == "held" and plan.why != self._said[1]:
             log.info("%s: %s", plan.phase, plan.why)
         self._said = plan.phase, plan.why
-
--- a/sageturn/rebalance/planner.py
+++ b/sageturn/rebalance/planner.py
@@ -142,9 +142,14 @@
         self._asked[request_id] = _Asked(now_ms, about[:2], about[2], client_number(client))
 
     def adopt(
-        self, now_ms: float, request_id: int, host: str, about: tuple[str, str, str], client: str,
+        self,
+        now_ms: float,
+        request_id: int,
+        host: str,
+        about: tuple[str, str, str],
+        client: str,
         since_ms: float,
-    ) -> None:  # fmt: skip
+    ) -> None:
         """A connection that stood before the planner, or the relay, was there."""
         since_ms = min(now_ms, since_ms)
         self.book.add(since_ms, request_id, host, about[2], about[:2], client_number(client))
@@ -338,9 +343,17 @@
             taker = min(takers, key=lambda f: (ratios[f.name], f.name))
             most = self._fits(donor, taker, ratios)
             found = units(
-                self.book, held, most, largest, now_ms, self._options, self.clients, self._leaving, sight,
+                self.book,
+                held,
+                most,
+                largest,
+                now_ms,
+                self._options,
+                self.clients,
+                self._leaving,
+                sight,
                 self.blocks,
-            )  # fmt: skip
+            )
             for unit in found:
                 if unit.load > self._fits(donor, taker, ratios):
                     continue  # it would have fitted before the others of this tick
--- a/sageturn/rebalance/signs.py
+++ b/sageturn/rebalance/signs.py
@@ -116,9 +116,7 @@
         self.seen.update(sign.name.lower() for sign in found)
         return found
 
-    def _see_hosts(
-        self, now_ms: float, book: Book, hosts: Iterable[HostView], out: frozenset[str]
-    ) -> None:
+    def _see_hosts(self, now_ms: float, book: Book, hosts: Iterable[HostView], out: frozenset[str]) -> None:
         now = {host.name: host for host in hosts}
         for name, before in self._hosts.items():
             host = now.get(name)
--- a/sageturn/relay.py
+++ b/sageturn/relay.py
@@ -105,9 +105,7 @@
             return None
         from sageturn.overrides.actor import Overrides
 
-        overrides = Overrides(
-            self.module, options, self.store, self._tell("overrides"), self._mark
-        )
+        overrides = Overrides(self.module, options, self.store, self._tell("overrides"), self._mark)
         self.store.on_change.append(overrides.changed)
         return overrides
 
@@ -128,9 +126,13 @@
         from sageturn.net.probes import Prober
 
         prober = Prober(
-            self.destinations.addresses, settings.report_fields, settings.connect_timeout_ms / 1000.0,
-            settings.keepalive_ms / 1000.0, self.module.tell, self.shared.dropped,
-        )  # fmt: skip
+            self.destinations.addresses,
+            settings.report_fields,
+            settings.connect_timeout_ms / 1000.0,
+            settings.keepalive_ms / 1000.0,
+            self.module.tell,
+            self.shared.dropped,
+        )
         self.module.probe = prober.ask
         return prober
 
@@ -160,9 +162,7 @@
             from sageturn.rebalance.options import RebalanceOptions
 
             seed, options = self._config.seed, options or RebalanceOptions()
-            self._add_rebalancer(
-                Rebalancer(self.module, self.lives, options, seed, self._tell("rebalance"))
-            )
+            self._add_rebalancer(Rebalancer(self.module, self.lives, options, seed, self._tell("rebalance")))
 
     def _add_rebalancer(self, rebalancer: Rebalancer) -> None:
         self.rebalancer = rebalancer
@@ -177,9 +177,11 @@
             standing = sum(life.standing for life in self.lives)
             dropped = self.exporter.dropped if self.exporter else 0
             state = {
-                "standing": standing, "ended": dict(self._counts), "flows_dropped": dropped,
+                "standing": standing,
+                "ended": dict(self._counts),
+                "flows_dropped": dropped,
                 "reports_dropped": dict(self.shared.dropped),
-            }  # fmt: skip
+            }
             if self.replica is not None:
                 state["store"] = self.replica.state()
             tell(state)
@@ -239,6 +241,7 @@
 
     def _own(self, running: Coroutine[None, None, None]) -> None:
         """An actor that ends by itself is a fault, whenever it was begun: it must not go unseen."""
+
         def ended(actor: asyncio.Future[None]) -> None:
             if not actor.cancelled() and (error := actor.exception()) is not None:
                 self._fallen.put_nowait(error)
--- a/sageturn/reports.py
+++ b/sageturn/reports.py
@@ -10,9 +10,13 @@
 
 # A report's values go by two names: the settings' and those of lines of text.
 WORDS = {
-    "inflight": "active", "queue": "waiting", "util": "cpu", "latency_ms": "avg_ms", "qps": "rps",
+    "inflight": "active",
+    "queue": "waiting",
+    "util": "cpu",
+    "latency_ms": "avg_ms",
+    "qps": "rps",
     "eps": "err_rps",
-}  # fmt: skip
+}
 FIELDS = frozenset({"active", "waiting", "cpu", "avg_ms", "rps", "err_rps", "x0", "x1"})
 # More than any server can be: a thousand times what it can do, an hour piled up, ten million requests.
 MOST = {"cpu": 1e3, "x0": 1e3, "x1": 3600.0}
--- a/sageturn/simhost.py
+++ b/sageturn/simhost.py
@@ -15,9 +15,15 @@
 from sageturn.settings import read_settings, text
 
 STATUS = {
-    "pass": "ok", "fault": "error", "no_room": "full", "too_slow": "timeout", "no_route": "connect_failed",
-    "cut": "reset", "undone": "cancelled", "stale_send": "moot",
-}  # fmt: skip
+    "pass": "ok",
+    "fault": "error",
+    "no_room": "full",
+    "too_slow": "timeout",
+    "no_route": "connect_failed",
+    "cut": "reset",
+    "undone": "cancelled",
+    "stale_send": "moot",
+}
 STATES = {"Ready": "ready", "Terminating": "draining", "Gone": "gone"}
 LIST_KINDS = {"D": "changes", "F": "full", "C": "stale", "X": "failed"}
 NOTES = {1: "load", 2: "delay"}
--- a/sageturn/store/spread/member.py
+++ b/sageturn/store/spread/member.py
@@ -38,9 +38,13 @@
     """Accepts others' links, dials those that the overlay names, and carries frames between both."""
 
     def __init__(
-        self, store: Store, options: SpreadOptions, admission: Admission, rng: Random,
+        self,
+        store: Store,
+        options: SpreadOptions,
+        admission: Admission,
+        rng: Random,
         make_topology: MakeTopology | None = None,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self._options = options
         # Members are few and have to prove who they are: whoever crowds them out is cut off first.
         self._listener = Listener(options.listen, self._accepted, b"", admission)
@@ -51,9 +55,14 @@
 
         place = Place(self.address, options.region, options.zone)
         self.replica = Replica(
-            store, rng, time.monotonic(), place, make_topology or overlay, options.octets_per_s,
+            store,
+            rng,
+            time.monotonic(),
+            place,
+            make_topology or overlay,
+            options.octets_per_s,
             options.horizon_s,
-        )  # fmt: skip
+        )
         self._links = Links(self.replica, options.secret)
         self._due = asyncio.Event()
         self.replica.due = self._due.set
@@ -134,9 +143,12 @@
             event.set()
 
     async def serve(
-        self, sock: socket.socket, dialled: tuple[str, int] | None, newcomer: Newcomer | None = None,
+        self,
+        sock: socket.socket,
+        dialled: tuple[str, int] | None,
+        newcomer: Newcomer | None = None,
         opened: Callable[[Session], None] = lambda session: None,
-    ) -> str:  # fmt: skip
+    ) -> str:
         """Runs a link to its end. Returns why it never came to greetings: the replica is not told of that."""
         link = Link(sock, self._secret, self._replica.store.node)
         try:
@@ -214,9 +226,7 @@
 
 
 @asynccontextmanager
-async def connected(
-    peer: tuple[str, int], secret: bytes, wait_s: float = 5.0
-) -> AsyncIterator[Store]:
+async def connected(peer: tuple[str, int], secret: bytes, wait_s: float = 5.0) -> AsyncIterator[Store]:
     """A copy for a moment: all that a running daemon has, and what is written to it is there when this ends.
 
     Raises TimeoutError when no daemon answers, or has not taken what was written, within ``wait_s``; a
--- a/sageturn/store/spread/overlay.py
+++ b/sageturn/store/spread/overlay.py
@@ -103,9 +103,7 @@
 @lru_cache(maxsize=1 << 16)
 def rank_of(region: str, zone: str = "", name: str = "") -> int:
     """The place in the order of all, 128 bits: the region's, the zone's in it, the member's in that."""
-    return (
-        _number(region) >> 32 << 96 | _number(region, zone) >> 32 << 64 | _number(region, zone, name)
-    )
+    return _number(region) >> 32 << 96 | _number(region, zone) >> 32 << 64 | _number(region, zone, name)
 
 
 @lru_cache(maxsize=1 << 17)
--- a/sageturn/store/spread/replica.py
+++ b/sageturn/store/spread/replica.py
@@ -90,10 +90,15 @@
     """``place`` None: an operator's copy for a moment (a guest), which is no member."""
 
     def __init__(
-        self, store: Store, rng: Random, now: float, place: Place | None = None,
-        make_topology: MakeTopology | None = None, octets_per_s: float = OCTETS_PER_S,
+        self,
+        store: Store,
+        rng: Random,
+        now: float,
+        place: Place | None = None,
+        make_topology: MakeTopology | None = None,
+        octets_per_s: float = OCTETS_PER_S,
         horizon_s: float = HORIZON_S,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.store, self.place, self.horizon_s = store, place, horizon_s
         self._rng = rng
         self._make_topology = make_topology
@@ -151,9 +156,11 @@
         assert self.place is not None
         host, port = self.place.address
         word = {
-            "address": f"{host}:{port}", "region": self.place.region, "zone": self.place.zone,
+            "address": f"{host}:{port}",
+            "region": self.place.region,
+            "zone": self.place.zone,
             "incarnation": self.changes.incarnation,
-        }  # fmt: skip
+        }
         if self.store.get(self._member_key) != word:
             self.store.put(self._member_key, word)
 
--- a/sageturn/store/spread/session.py
+++ b/sageturn/store/spread/session.py
@@ -93,9 +93,7 @@
 
 
 class Session:
-    def __init__(
-        self, replica: Replica, peer: str, now: float, dialled: tuple[str, int] | None
-    ) -> None:
+    def __init__(self, replica: Replica, peer: str, now: float, dialled: tuple[str, int] | None) -> None:
         self._replica, self.peer, self.dialled = replica, peer, dialled
         self.opened = self.heard = now
         self.hello: Hello | None = None
@@ -136,9 +134,10 @@
     def caught_up(self) -> bool:
         """This side has all that the other had when the link came up."""
         return (
-            self.hello is not None and self._followed
+            self.hello is not None
+            and self._followed
             and all(c.complete and c.live >= h for c, h in zip(self._held, self.hello.heads, strict=True))
-        )  # fmt: skip
+        )
 
     @property
     def delivered(self) -> bool:
@@ -213,14 +212,20 @@
         replica = self._replica
         return {
             "hello": {
-                "protocol": PROTOCOL, "node": replica.store.node,
-                "incarnation": replica.changes.incarnation, "heads": replica.changes.heads,
-                "roots": replica.changes.roots, "counts": replica.changes.counts,
-                "fresh": self._claimed(), "foreign": replica.foreign, "floor": replica.store.standing.floor,
-                "guest": replica.guest, "member": replica.member_word,
+                "protocol": PROTOCOL,
+                "node": replica.store.node,
+                "incarnation": replica.changes.incarnation,
+                "heads": replica.changes.heads,
+                "roots": replica.changes.roots,
+                "counts": replica.changes.counts,
+                "fresh": self._claimed(),
+                "foreign": replica.foreign,
+                "floor": replica.store.standing.floor,
+                "guest": replica.guest,
+                "member": replica.member_word,
             },
             "records": old_copies_word(),
-        }  # fmt: skip
+        }
 
     def _claimed(self) -> bool:
         """Once a link: both sides judge by the greetings, and must come to the same."""
@@ -265,10 +270,16 @@
                     flow.told = flow.seen
         return {
             "beat": [
-                replica.changes.heads, replica.changes.roots, told, self._acks() if self._followed else None,
-                replica.store.standing.floor, replica.fresh, replica.ages(now), replica.beacon(self, now),
+                replica.changes.heads,
+                replica.changes.roots,
+                told,
+                self._acks() if self._followed else None,
+                replica.store.standing.floor,
+                replica.fresh,
+                replica.ages(now),
+                replica.beacon(self, now),
             ]
-        }  # fmt: skip
+        }
 
     def _acks(self) -> list[list[int]]:
         return [[cursor.base, cursor.live] for cursor in self._held]
@@ -297,8 +308,11 @@
     def _has_part(self, lane: int, kind: int) -> bool:
         if self._flows is None:
             return False
-        flying = sum(1 for flight in self._flying if (flight[0] == URGENT and flight[1] == LIVE) == (
-            lane == URGENT and kind == LIVE))  # fmt: skip
+        flying = sum(
+            1
+            for flight in self._flying
+            if (flight[0] == URGENT and flight[1] == LIVE) == (lane == URGENT and kind == LIVE)
+        )
         if flying >= (URGENT_WINDOW if lane == URGENT and kind == LIVE else WINDOW):
             return False
         self._pass_over(lane, kind)
@@ -456,9 +470,7 @@
             if cursor.base < 0:
                 cursor.base = cursor.until
         # A walk that brings nothing is no use again soon: the sides only forget at different times.
-        self._walk_again = (
-            WALK_AGAIN_S if self._walked else min(WALK_AGAIN_MOST_S, self._walk_again * 2)
-        )
+        self._walk_again = WALK_AGAIN_S if self._walked else min(WALK_AGAIN_MOST_S, self._walk_again * 2)
         self._walk_after = now + self._walk_again
 
     # ------------------------------------------------------------ what is heard
@@ -518,12 +530,17 @@
             raise Refusal(f"{self.peer} speaks protocol {what['protocol']}, this copy speaks {PROTOCOL}")
         member = what["member"]
         hello = Hello(
-            node=str(what["node"]), incarnation=natural(what["incarnation"], 1),
-            heads=self._lanes(what["heads"]), roots=self._lanes(what["roots"]),
-            counts=self._lanes(what["counts"]), fresh=what["fresh"] is True, foreign=what["foreign"] is True,
-            floor=natural(what["floor"]), guest=what["guest"] is True,
+            node=str(what["node"]),
+            incarnation=natural(what["incarnation"], 1),
+            heads=self._lanes(what["heads"]),
+            roots=self._lanes(what["roots"]),
+            counts=self._lanes(what["counts"]),
+            fresh=what["fresh"] is True,
+            foreign=what["foreign"] is True,
+            floor=natural(what["floor"]),
+            guest=what["guest"] is True,
             member=None if member is None else _read_place(*member),
-        )  # fmt: skip
+        )
         if hello.node != self.peer:
             raise Refusal(f"{self.peer} greets as {hello.node}")
         self._replica.admit(self, hello, self._claimed(), now)
@@ -613,9 +630,11 @@
             return
         live, base = self._flows[lane]
         quiet = (
-            cursor.complete and cursor.live == head
-            and live.acked == mine.sequences[lane].head and base.acked >= base.end
-        )  # fmt: skip
+            cursor.complete
+            and cursor.live == head
+            and live.acked == mine.sequences[lane].head
+            and base.acked >= base.end
+        )
         if not quiet or root == mine.trees[lane].root:
             self._unequal[lane] = 0
             return
--- a/sageturn/store/store.py
+++ b/sageturn/store/store.py
@@ -27,9 +27,7 @@
 class Store:
     """``path`` None: memory only, as on the platform, where no disk survives. ``wall`` tells Unix seconds."""
 
-    def __init__(
-        self, node: str, path: Path | None = None, wall: Callable[[], float] = time.time
-    ) -> None:
+    def __init__(self, node: str, path: Path | None = None, wall: Callable[[], float] = time.time) -> None:
         self.node, self.wall = node, wall
         self._records: dict[str, Record] = {}
         self._path = path
@@ -139,9 +137,10 @@
         """
         since, own = self.standing.in_step, f"{STATE}{self.node}/"
         kept = {
-            key: record for key, record in self._records.items()
+            key: record
+            for key, record in self._records.items()
             if key.startswith(own) or (since is not None and (record.written_ms or 0) > since * 1000.0)
-        }  # fmt: skip
+        }
         dropped = [key for key in self._records if key not in kept]
         if self._path is not None:
             aside = self._path.with_name(f"{self._path.name}.dropped-{int(self.wall())}")
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -391,6 +391,7 @@
     # The client's connection was closed without a word, and the module kept the request for good.
     async def go() -> None:
         async with relaying(tmp_path, up) as (relay, _):
+
             async def fails(address: tuple[str, int], timeout_s: float) -> Any:
                 raise ValueError("unforeseen")
 
