--- a/sageturn/frontends/platform/frontend.py
+++ b/sageturn/frontends/platform/frontend.py
@@ -16,7 +16,6 @@
 from sageturn.frontends.platform.timing import REQUEST_LINE_TIMEOUT_S
 from sageturn.net.admission import PendingConnection
 from sageturn.net.closing import LINGER_S, close_gracefully, send_and_close, send_now
-from sageturn.net.sockets import peer_address
 
 log = logging.getLogger(__name__)
 
@@ -49,12 +48,12 @@
         except OSError:
             raise  # its connection has failed: there is nobody left to answer
         except Exception:
-            log.exception("request line could not be read")
+            log.exception("request line could not be read peer=%s:%d", *pending.peer)
             await self._answer_invalid(sock, pending, InvalidRequestLineError("internal"))
             return
         if request_line is None:
             return
-        pending.mark_active()
+        pending.mark_active(request_line.request.client_request_id)
         try:
             connection = PlatformConnection(self._shared, sock, buffer, request_line)
             await self._shared.run_request(connection.lifecycle)
@@ -63,7 +62,7 @@
 
     async def _answer_late(self, sock: socket.socket, pending: PendingConnection) -> None:
         """Its line may have become complete in this instant: it was accepted, so it is answered."""
-        log.debug("pending connection ended client=%s evicted=%s", peer_address(sock), pending.evicted)
+        log.debug("pending connection ended peer=%s:%d evicted=%s", *pending.peer, pending.evicted)
         if pending.evicted:
             send_and_close(sock, self.rejection)  # its descriptor is wanted
             return
@@ -74,7 +73,12 @@
     async def _answer_invalid(
         self, sock: socket.socket, pending: PendingConnection, error: InvalidRequestLineError
     ) -> None:
-        log.info("request line rejected reason=%s", error)
+        log.info(
+            "request line rejected peer=%s:%d listener=%s:%d reason=%s",
+            *pending.peer,
+            *pending.listener,
+            error,
+        )
         with suppress(TimeoutError):
             async with pending.time_limit(REQUEST_LINE_TIMEOUT_S + LINGER_S):
                 await asyncio.get_running_loop().sock_sendall(sock, f"ERR {error}\r\n".encode())
--- a/sageturn/frontends/xmpp/frontend.py
+++ b/sageturn/frontends/xmpp/frontend.py
@@ -60,17 +60,17 @@
             if pending.evicted:
                 error = StreamError("resource-constraint")
         except (OSError, ssl.SSLError) as broken:
-            log.info("xmpp login failed reason=%s", broken)
+            log.info("xmpp login failed peer=%s:%d reason=%s", *pending.peer, broken)
             return
         except Exception:
-            log.exception("xmpp login could not be read")
+            log.exception("xmpp login could not be read peer=%s:%d", *pending.peer)
             error = StreamError("internal-server-error")
         else:
             pending.mark_active()
             connection = XmppConnection(self._shared, options, session, bind_request)
             await self._shared.run_request(connection.lifecycle)
             return
-        log.info("xmpp client rejected reason=%s", error)
+        log.info("xmpp client rejected peer=%s:%d reason=%s", *pending.peer, error)
         await self._reject(session, error, options.domain, pending)
 
     async def _reject(
--- a/sageturn/net/__init__.py
+++ b/sageturn/net/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets: connecting and closing, admission control, the listener, and the clients of other services."""
+"""Sockets, admission control, listeners, and the clients of discovery and of health checks."""
--- a/sageturn/net/addresses.py
+++ b/sageturn/net/addresses.py
@@ -11,7 +11,11 @@
 
 
 def parse_address(text: str) -> Address:
-    """Read ``HOST:PORT``; raises InvalidAddressError. The host is not looked up, and may be a name."""
+    """Parse ``HOST:PORT``. The host may be a name, and is not looked up.
+
+    Raises:
+        InvalidAddressError: ``text`` has another form, or no port from 0 to 65535.
+    """
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 <= int(port) < PORT_COUNT:
         raise InvalidAddressError(f"{text!r} is not HOST:PORT")
@@ -19,7 +23,7 @@
 
 
 def is_ipv4(host: str) -> bool:
-    """Whether ``host`` is an IPv4 address and not a name."""
+    """Return whether ``host`` is an IPv4 address and not a name."""
     try:
         socket.inet_pton(socket.AF_INET, host)
     except OSError:
--- a/sageturn/net/admission.py
+++ b/sageturn/net/admission.py
@@ -1,7 +1,7 @@
-"""Admission control: how many connections all listeners hold, and which give way to new ones.
+"""Admission control: bounds the connections of all listeners, and evicts old ones for new ones.
 
-A connection that has sent no request yet is pending. Pending ones are bounded on their own, and the oldest
-of them is evicted for a new one.
+A connection that has sent no request yet is pending. Pending connections have a bound of their own; beyond
+it, the oldest is evicted for each new one.
 """
 
 from __future__ import annotations
@@ -10,62 +10,70 @@
 from contextlib import suppress
 from dataclasses import dataclass
 
-# What a relay was measured to use: 23 MB once it runs, and 45 KB more for each established connection.
-BASE_MEMORY_MB = 26.0
-CONNECTION_MEMORY_MB = 48.0 / 1024.0
-# The share of the descriptors that pending connections may take. Usual clients need two thirds (two for each
-# request), and half of the rest is for sockets that are being closed, discovery, files and the log.
-PENDING_DESCRIPTOR_SHARE = 1.0 / 6.0
+from sageturn.net.addresses import Address
+
+BASE_MEMORY_MB = 26.0  # of a relay without connections
+CONNECTION_MEMORY_MB = 48.0 / 1024.0  # of an established connection, its endpoint's side included
+PENDING_DESCRIPTOR_RATIO = 1.0 / 6.0  # the others are for requests (two each), closing sockets, files
 MIN_PENDING_CONNECTIONS = 8
+NO_REQUEST_ID = "-"
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessLimits:
-    """What the platform allows this process: descriptors (``sockets``) and memory."""
+    """The descriptors (``sockets``) and the memory, in MB, that the platform allows this process."""
 
     sockets: int
     memory_mb: float
 
     @property
     def max_pending(self) -> int:
-        """Connections that have sent no request yet."""
-        by_descriptors = int(self.sockets * PENDING_DESCRIPTOR_SHARE)
+        """The maximum of connections that have sent no request yet."""
+        by_descriptors = int(self.sockets * PENDING_DESCRIPTOR_RATIO)
         return max(MIN_PENDING_CONNECTIONS, min(by_descriptors, self.max_connections // 2))
 
     @property
     def max_connections(self) -> int:
-        """Connections from clients, pending or not; ``CONNECTION_MEMORY_MB`` counts their endpoints' in."""
+        """The maximum of connections from clients, pending or not."""
         by_memory = int((self.memory_mb - BASE_MEMORY_MB) / CONNECTION_MEMORY_MB)
         return max(2 * MIN_PENDING_CONNECTIONS, by_memory)
 
 
 class PendingConnection:
-    """One accepted connection. Until it has sent its request, its time is short and it may be evicted."""
+    """An accepted connection. Until it has sent a request, its time is limited and it may be evicted."""
 
-    def __init__(self, admission: AdmissionController) -> None:
+    def __init__(self, admission: AdmissionController, peer: Address, listener: Address) -> None:
+        """``peer`` and ``listener`` are the two addresses of the connection, for log lines."""
         self._admission = admission
         self._accepted_s = asyncio.get_running_loop().time()
         self._timeout: asyncio.Timeout | None = None
+        self.peer = peer
+        self.listener = listener
+        self.request_id = NO_REQUEST_ID
         self.evicted = False
 
     def time_limit(self, seconds: float) -> asyncio.Timeout:
-        """To be entered around each wait for the client; ``seconds`` count from its acceptance.
+        """Return the context in which to wait for the client until ``seconds`` after its acceptance.
 
-        An eviction ends the wait at once, with TimeoutError as well.
+        An eviction ends the wait at once. Raises TimeoutError from the context in both cases.
         """
         deadline_s = 0.0 if self.evicted else self._accepted_s + seconds
         self._timeout = asyncio.timeout_at(deadline_s)
         return self._timeout
 
     def evict(self) -> None:
-        """End what the connection waits for. Called by the admission controller."""
+        """End the wait of this connection. Called by the admission controller."""
         self.evicted = True
         if self._timeout is not None:
-            with suppress(RuntimeError):  # its time was just over anyway, or nothing is waited for
+            with suppress(RuntimeError):  # the context has been left, or its time was just over
                 self._timeout.reschedule(0.0)
 
-    def mark_active(self) -> None:
-        """It has sent a valid request: it is not evicted any more."""
+    def mark_active(self, request_id: str = NO_REQUEST_ID) -> None:
+        """Exempt the connection from eviction. Called once it has sent a valid request.
+
+        ``request_id`` is what log lines call ``request``.
+        """
+        self.request_id = request_id
         self._admission.mark_active(self)
 
 
@@ -73,14 +81,14 @@
     """Counts the connections of all listeners of this process."""
 
     def __init__(self, limits: ProcessLimits) -> None:
-        """``limits`` may be replaced while it runs."""
+        """``limits`` may be replaced at any time; they apply to the next connections."""
         self.limits = limits
         self.connection_count = 0
         self._pending: dict[PendingConnection, None] = {}  # oldest first
 
     @property
     def is_full(self) -> bool:
-        """Whether a new connection is only admitted in the place of another."""
+        """Whether a new connection is admitted only in place of another."""
         return self.connection_count >= self.limits.max_connections
 
     @property
@@ -88,9 +96,9 @@
         """How many connections have sent no request yet."""
         return len(self._pending)
 
-    def admit(self) -> PendingConnection:
+    def admit(self, peer: Address, listener: Address) -> PendingConnection:
         """Count a new connection, evicting the oldest pending ones if there are too many."""
-        connection = PendingConnection(self)
+        connection = PendingConnection(self, peer, listener)
         self.connection_count += 1
         self._pending[connection] = None
         while len(self._pending) > self.limits.max_pending:
@@ -98,7 +106,7 @@
         return connection
 
     def evict_oldest_pending(self) -> bool:
-        """False if no connection is pending."""
+        """Evict the connection that has been pending for longest; returns False if none is pending."""
         oldest = next(iter(self._pending), None)
         if oldest is None:
             return False
@@ -107,15 +115,15 @@
         return True
 
     def evict_all_pending(self) -> None:
-        """Called when the relay shuts down."""
+        """Evict all pending connections. Called when the relay shuts down."""
         while self.evict_oldest_pending():
             pass
 
     def mark_active(self, connection: PendingConnection) -> None:
-        """Its client has sent a valid request."""
+        """Stop counting ``connection`` as pending."""
         self._pending.pop(connection, None)
 
     def release(self, connection: PendingConnection) -> None:
-        """Its socket has been closed."""
+        """Stop counting ``connection``. Called once its socket is closed."""
         self.mark_active(connection)
         self.connection_count -= 1
--- a/sageturn/net/closing.py
+++ b/sageturn/net/closing.py
@@ -1,7 +1,7 @@
-"""Closing sockets so that what was sent last arrives.
+"""Closes sockets so that the last bytes that were sent arrive.
 
 If a socket is closed while bytes of the peer lie unread, the kernel sends a reset, which can destroy the last
-line on its way. All calls here read those bytes first, except the one that wants the reset.
+line on its way. All functions here read those bytes first, except ``close_with_reset``.
 """
 
 from __future__ import annotations
@@ -11,11 +11,9 @@
 import struct
 from contextlib import suppress
 
-# For how long the other side of a connection that the relay closes is still read, and how much of it: more
-# comes only from a peer that floods the relay.
-LINGER_S = 0.5
-MAX_LINGER_BYTES = 65536
-FLOOD_PAUSE_S = 0.1  # by then a peer that floods has its answer: it reads what it is sent
+LINGER_S = 0.5  # for which the peer is still read after the relay's FIN
+MAX_LINGER_BYTES = 65536  # more arrives only from a peer that floods the relay
+FLOOD_PAUSE_S = 0.1  # before the close, for the answer to reach a peer that floods the relay
 LINGER_READ_BYTES = 2048
 FINAL_READ_BYTES = 8192
 
@@ -23,30 +21,31 @@
 
 
 def shutdown_write(sock: socket.socket) -> None:
-    """Send a FIN; what the peer sends can still be read."""
+    """Send a FIN; the socket can still be read."""
     with suppress(OSError):  # the peer has reset it: there is nobody left to notify
         sock.shutdown(socket.SHUT_WR)
 
 
 def close_with_reset(sock: socket.socket) -> None:
-    """Close with a reset, as the other side of the relay was reset, or because nothing can follow."""
+    """Close ``sock`` with a reset instead of a FIN; unsent bytes are discarded."""
     with suppress(OSError):
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
     sock.close()
 
 
 def send_now(sock: socket.socket, data: bytes) -> None:
-    """Send all of ``data`` without waiting, however little a single write takes.
+    """Send all of ``data`` without waiting, in as many writes as that takes.
 
-    Raises OSError if the peer is gone, or has no room for it.
+    Raises:
+        OSError: the connection failed, or the kernel's send buffer is full.
     """
-    rest = memoryview(data)
-    while rest:
-        rest = rest[sock.send(rest) :]
+    unsent = memoryview(data)
+    while unsent:
+        unsent = unsent[sock.send(unsent) :]
 
 
 def send_and_close(sock: socket.socket, data: bytes) -> None:
-    """Send ``data`` and close without waiting."""
+    """Send ``data`` and close ``sock`` without waiting; errors of the connection are ignored."""
     with suppress(OSError):
         send_now(sock, data)
         sock.shutdown(socket.SHUT_WR)
@@ -54,13 +53,13 @@
 
 
 async def close_gracefully(sock: socket.socket) -> None:
-    """Send a FIN, and wait a little for the peer's before closing.
+    """Send a FIN, and wait ``LINGER_S`` at most for the peer's before closing ``sock``.
 
-    A peer that floods is not read on: that would take the relay's time from all others, and the peer's own
-    full window holds it up while the answer travels.
+    A peer that floods the relay is read up to ``MAX_LINGER_BYTES`` only: reading more would take time from
+    all other connections.
     """
     if sock.fileno() < 0:
-        return  # it was closed with a reset
+        return  # it has been closed with a reset
     shutdown_write(sock)
     loop = asyncio.get_running_loop()
     discarded = bytearray(LINGER_READ_BYTES)
--- a/sageturn/net/descriptors.py
+++ b/sageturn/net/descriptors.py
@@ -1,4 +1,4 @@
-"""File descriptors: how many this process may open, and a reserve of them for what must not wait."""
+"""Limits the process's file descriptors, and reserves some for calls that must not fail for lack of one."""
 
 from __future__ import annotations
 
@@ -8,17 +8,16 @@
 from collections.abc import Iterator
 from contextlib import contextmanager
 
-# The errors of a system call that had no descriptor, or no memory, for a new one.
+# Raised by system calls that find no descriptor, or no memory for one.
 OUT_OF_DESCRIPTORS_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
-# The watch and the one that takes its place, a link between stores, and the configuration's file.
-RESERVED_DESCRIPTORS = 4
+RESERVED_DESCRIPTORS = 4  # the watch, its replacement, a link between replicas, the configuration's file
 
 
 class DescriptorReserve:
-    """Descriptors that no client can take: held open on nothing, and released for what must not wait.
+    """Holds descriptors open on ``/dev/null``, and releases them for calls that must not fail.
 
-    Clients may fill all others for as long as they like. Without these the watch of the endpoint list
-    would get none, and the relay would go on with an old list.
+    Clients may hold all other descriptors for as long as they like. Without the reserve the watch of the
+    endpoint list would get none, and the relay would go on with an old list.
     """
 
     def __init__(self) -> None:
@@ -26,14 +25,17 @@
         self._size = 0
 
     def resize(self, size: int) -> None:
-        """Keep ``size`` descriptors from now on, as far as there are so many."""
+        """Hold ``size`` descriptors from now on, or fewer where the process has no more."""
         self._size = size
         while len(self._descriptors) > size:
             os.close(self._descriptors.pop())
         self.refill()
 
     def refill(self) -> bool:
-        """Called before a client takes a descriptor: False while one that was released is not replaced."""
+        """Replace the descriptors that were released; returns False while one of them cannot be.
+
+        Called before a client is given a descriptor.
+        """
         while len(self._descriptors) < self._size:
             try:
                 self._descriptors.append(os.open(os.devnull, os.O_RDONLY))
@@ -42,7 +44,7 @@
         return True
 
     def release_one(self) -> bool:
-        """One is free from here on, until the next await. False if there is none left to release."""
+        """Free one descriptor for use before the next await; returns False if the reserve is empty."""
         if not self._descriptors:
             return False
         os.close(self._descriptors.pop())
@@ -50,7 +52,7 @@
 
     @contextmanager
     def borrow(self) -> Iterator[None]:
-        """For a file that is read and closed again without an await."""
+        """Free one descriptor for a file that is opened and closed in this context, without an await."""
         self.release_one()
         try:
             yield
@@ -58,11 +60,14 @@
             self.refill()
 
 
-DESCRIPTOR_RESERVE = DescriptorReserve()  # one for the process, as its table of descriptors is
+DESCRIPTOR_RESERVE = DescriptorReserve()  # one for the process, as is its descriptor table
 
 
 def set_descriptor_limit(max_descriptors: int) -> None:
-    """Let running out show as an error that the listener handles. Called with the configuration's limit."""
+    """Set the process's soft limit to ``max_descriptors``, and fill the reserve.
+
+    With it, running out of descriptors is an error of the call, which the listener handles.
+    """
     _, hard_limit = resource.getrlimit(resource.RLIMIT_NOFILE)
     if hard_limit == resource.RLIM_INFINITY or hard_limit >= max_descriptors:
         resource.setrlimit(resource.RLIMIT_NOFILE, (max_descriptors, hard_limit))
--- a/sageturn/net/discovery.py
+++ b/sageturn/net/discovery.py
@@ -1,4 +1,4 @@
-"""The client of discovery: keeps at most one watch open; every failure is reported, none is fatal."""
+"""The client of discovery: holds at most one watch open and reports every failure; none is fatal."""
 
 from __future__ import annotations
 
@@ -16,25 +16,25 @@
 
 log = logging.getLogger(__name__)
 
-# Takes the number of a watch, and what it reports.
+# Called with the number of a watch, and an update from it or its failure.
 WatchEventHandler = Callable[[int, EndpointListUpdate | WatchFailed], Awaitable[None]]
 
 
 class DiscoveryClient:
-    """Starts and replaces watches for the endpoint registry, and reports to ``on_event``."""
+    """Starts and replaces watches for the endpoint registry, and passes their events to ``on_event``."""
 
     def __init__(
         self, address: Address, on_event: WatchEventHandler, clock: Callable[[], float] = time.monotonic
     ) -> None:
-        """``clock``: in seconds, for how long a call had waited when it failed."""
+        """``clock`` measures how long a failed call had waited, in seconds."""
         self._address = address
         self.on_event = on_event
         self._clock = clock
-        self._tasks: set[asyncio.Task[None]] = set()  # one watch, and those that are just being cancelled
+        self._tasks: set[asyncio.Task[None]] = set()  # the watch, and those that are being cancelled
         self._watch_count = 0
 
     def start(self, after_version: int) -> int:
-        """Begin a watch for changes after that version, in place of the previous one; returns its number."""
+        """Replace the watch by one for changes after version ``after_version``; returns its number."""
         self._watch_count += 1
         for previous in self._tasks:
             previous.cancel()
@@ -44,7 +44,7 @@
         return self._watch_count
 
     def set_address(self, address: Address) -> None:
-        """Where to watch from the next ``start`` on; the watch that is open stays until then."""
+        """Set the address for the next ``start``; the watch that is open is not affected."""
         self._address = address
 
     async def stop(self) -> None:
@@ -57,7 +57,7 @@
         try:
             failed = await watch.run()
         except Exception as error:
-            # Whatever it was, a watch that ended unreported would leave the relay with an old list for good.
-            log.exception("discovery watch crashed")
+            # A watch that ended unreported would leave the relay with an old list for good.
+            log.exception("discovery watch crashed watch=%d", number)
             failed = WatchFailed(f"{type(error).__name__}: {error}", DiscoveryFailure.UNUSABLE)
         await self.on_event(number, failed)
--- a/sageturn/net/discovery_watch.py
+++ b/sageturn/net/discovery_watch.py
@@ -1,7 +1,7 @@
-"""One watch on discovery's endpoint list: an HTTP call whose response goes on until the connection ends.
+"""One watch on discovery's endpoint list: an HTTP call whose response lasts until the connection ends.
 
-Its end is always a failure, and is classified by what it cost discovery, so that the backoff can tell an
-overloaded discovery from one that is down.
+The end of a watch is always a failure. It is classified by what it cost discovery, so that the backoff can
+distinguish an overloaded discovery from one that is down.
 """
 
 from __future__ import annotations
@@ -36,38 +36,43 @@
 IDLE_TIMEOUT_S = IDLE_TIMEOUT_MS / 1000.0
 MAX_OBJECT_BYTES = 4 << 20
 READ_BUFFER_BYTES = 65536
+HTTP_OK = 200
 
 
 class WatchResponse:
-    """The state of a response; httptools calls its ``on_...`` methods as the response comes in."""
+    """The parsed part of a response; httptools calls the ``on_...`` methods as bytes arrive."""
 
     def __init__(self) -> None:
         self.has_headers = False
         self.is_complete = False
-        self.objects: list[bytes] = []  # complete ones, not yet decoded
-        # Whether something complete came, if only an empty line between two objects. Half an object, or white
-        # space inside of one, is no sign of life.
+        self.objects: list[bytes] = []  # complete, not yet decoded
+        # Whether an object was completed, or white space between two objects was read. Half an object, or
+        # white space inside one, does not count.
         self.is_alive = False
         self._splitter = JsonObjectSplitter(MAX_OBJECT_BYTES)
 
     def on_headers_complete(self) -> None:
-        """The status is known from here on."""
+        """Note that the status is known."""
         self.has_headers = True
 
     def on_body(self, body: bytes) -> None:
-        """Collect the objects that ``body`` completes. Those before an InvalidJsonStreamError are kept."""
+        """Collect the objects that ``body`` completes.
+
+        Raises:
+            InvalidJsonStreamError: ``body`` is not part of a stream of objects; objects before it are kept.
+        """
         for text in self._splitter.feed(body):
             self.objects.append(text)
             self.is_alive = True
         self.is_alive = self.is_alive or not self._splitter.is_inside_object
 
     def on_message_complete(self) -> None:
-        """The response has ended, so it never was a watch."""
+        """Note that the response has ended: it was not a watch."""
         self.is_complete = True
 
 
 class DiscoveryWatch:
-    """One call to discovery, from its connection to its end."""
+    """One call to discovery, from connecting to the end of its connection."""
 
     def __init__(
         self,
@@ -76,19 +81,26 @@
         on_update: Callable[[EndpointListUpdate], Awaitable[None]],
         clock: Callable[[], float],
     ) -> None:
-        """``clock``: in seconds, for how long the call had waited when it failed."""
+        """Prepare the call.
+
+        Args:
+            address: of discovery.
+            after_version: the version of the list that the relay has.
+            on_update: called with each update, in order.
+            clock: measures how long a failed call had waited, in seconds.
+        """
         self._address = address
         self._after_version = after_version
         self._on_update = on_update
         self._clock = clock
         self._response = WatchResponse()
         self._parser = httptools.HttpResponseParser(self._response)
-        self._is_accepted = False  # the status of the response is 200
+        self._is_accepted = False  # the response's status is HTTP_OK
         self._is_established = False  # an update has been reported
         self._called_at_s = 0.0  # by the event loop's clock
 
     async def run(self) -> WatchFailed:
-        """Make the call and report its updates; returns how it ended. Raises only faults of the program."""
+        """Make the call and report its updates; returns how it failed. Only a program fault raises."""
         sock = await connect(self._address, CONNECT_TIMEOUT_S)
         if isinstance(sock, ConnectFailure):
             return WatchFailed(f"connect: {sock.name.lower()}", DiscoveryFailure.UNREACHED)
@@ -107,7 +119,7 @@
 
     def _classify(self, error: Exception, called_at_s: float) -> WatchFailed:
         reason = f"{type(error).__name__}: {error.__context__ or error}"
-        if self._is_established and not self._response.is_complete:  # a complete response never was a watch
+        if self._is_established and not self._response.is_complete:  # a complete response was not a watch
             return WatchFailed(reason, DiscoveryFailure.LOST)
         if self._is_accepted or not isinstance(error, OSError):
             return WatchFailed(reason, DiscoveryFailure.UNUSABLE)
@@ -146,7 +158,7 @@
             parser_error = error  # objects that were complete before it are reported all the same
         if self._response.has_headers:
             status = self._parser.get_status_code()
-            self._is_accepted = status == 200
+            self._is_accepted = status == HTTP_OK
             if not self._is_accepted:
                 raise WatchClosedError(f"status {status}")
         for text in self._response.objects:
--- a/sageturn/net/endpoint_list.py
+++ b/sageturn/net/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The decoder of discovery's objects: endpoint lists, full or as changes to the previous version."""
+"""Decodes discovery's objects: endpoint lists, which are full or changes to the previous version."""
 
 from __future__ import annotations
 
@@ -10,14 +10,20 @@
 from sageturn.net.addresses import Address, is_ipv4, parse_address
 from sageturn.net.errors import InvalidEndpointListError
 
+JsonObject = dict[str, Any]  # a decoded object; its values are checked where they are used
+
 ENDPOINT_STATES = ("ready", "draining", "gone")
 
 
-def parse_endpoint_list(decoded: Any) -> EndpointListUpdate:
-    """Decode one object; raises InvalidEndpointListError, or InvalidAddressError for an entry's address.
+def parse_endpoint_list(decoded: JsonObject) -> EndpointListUpdate:
+    """Decode an endpoint list. Of several entries with the same id, the last one counts.
+
+    The whole list is checked before any of it is used: a list that is applied in part, or a value of the
+    wrong type that fails in a later calculation, would be worse than a failed call.
 
-    All of it is checked before any of it is used: half a list applied, or a figure that is not a number and
-    fails whoever calculates with it, would be worse than a failed call. The last entry of an id counts.
+    Raises:
+        InvalidEndpointListError: a key is missing or has an invalid value, or ``decoded`` is not an object.
+        InvalidAddressError: the address of an entry is not ``HOST:PORT``.
     """
     try:
         version = decoded["version"]
@@ -41,7 +47,7 @@
         raise InvalidEndpointListError(str(error)) from error
 
 
-def _parse_entry(entry: dict[str, Any]) -> Endpoint:
+def _parse_entry(entry: JsonObject) -> Endpoint:
     state = entry["state"]
     if not _text(entry, "id"):
         raise InvalidEndpointListError(f"id: {entry['id']!r}")
@@ -58,8 +64,8 @@
     )
 
 
-def _parse_entry_address(entry: dict[str, Any]) -> Address | None:
-    """None where the entry has no address. Names are refused: a look-up would delay or fail an attempt."""
+def _parse_entry_address(entry: JsonObject) -> Address | None:
+    """Return None where the entry has no address. Names are rejected: a look-up would delay attempts."""
     text = _text(entry, "addr")
     if not text:
         return None
@@ -69,15 +75,16 @@
     return host, port
 
 
-def _text(entry: dict[str, Any], key: str) -> str:
+def _text(entry: JsonObject, key: str) -> str:
+    """Return the string at ``key``, or an empty one where the key is absent."""
     value = entry.get(key)
     if value is not None and not isinstance(value, str):
         raise InvalidEndpointListError(f"{key}: {value!r}")
     return value or ""
 
 
-def _non_negative(entry: dict[str, Any], key: str, default: float) -> float:
-    """The number at ``key``; the default also stands for 0."""
+def _non_negative(entry: JsonObject, key: str, default: float) -> float:
+    """Return the number at ``key``, or ``default`` where it is absent or 0."""
     value = entry.get(key)
     if value is None:
         return default
--- a/sageturn/net/errors.py
+++ b/sageturn/net/errors.py
@@ -1,22 +1,22 @@
-"""What comes from the network and cannot be used: the errors of this package, under one base."""
+"""Errors of this package: input from the network that cannot be used."""
 
 from __future__ import annotations
 
 
 class NetError(Exception):
-    """Base of this package's errors; each text says what was found, and where."""
+    """Base of this package's errors; the text names what was found, and where."""
 
 
 class InvalidAddressError(NetError, ValueError):
-    """A text that is not ``HOST:PORT``."""
+    """A text does not have the form ``HOST:PORT``."""
 
 
 class InvalidEndpointListError(NetError, ValueError):
-    """An object of discovery that cannot be read; the text names the key."""
+    """An object of discovery cannot be decoded; the text names the key."""
 
 
 class InvalidJsonStreamError(NetError, ValueError):
-    """A stream that carries something other than JSON objects, or one that is too long."""
+    """A stream contains something other than JSON objects, or an object that is too long."""
 
 
 class WatchClosedError(NetError, ConnectionError):
--- a/sageturn/net/health_check_client.py
+++ b/sageturn/net/health_check_client.py
@@ -1,4 +1,4 @@
-"""Requests load reports from endpoints over connections that it keeps open.
+"""Requests load reports from endpoints over persistent connections.
 
 Imported only where the deployment allows health checks.
 """
@@ -16,18 +16,19 @@
 from sageturn.core.tasks import cancel_and_wait
 from sageturn.decision import HealthCheckCompleted
 from sageturn.decision.load_reports import MAX_REPORT_BYTES, read_report
+from sageturn.net.addresses import Address
 from sageturn.net.sockets import ConnectFailure, connect_unreserved
 
 log = logging.getLogger(__name__)
 
 REQUEST = b"STATS\r\n"
-RESPONSE_TIMEOUT_S = 1.0  # by then the endpoint is due to be checked anew
+RESPONSE_TIMEOUT_S = 1.0  # the interval between two checks of an endpoint
 MAX_RESPONSE_BYTES = MAX_REPORT_BYTES + 64
 
 
 @dataclass(frozen=True, slots=True)
 class _Outcome:
-    """``status`` is one of those that ``HealthCheckCompleted`` takes; ``report`` holds values by field."""
+    """The result of one check: a status of ``HealthCheckCompleted``, and the report's values by field."""
 
     status: str
     report: dict[str, float] = field(default_factory=dict)
@@ -35,16 +36,18 @@
 
 @dataclass(frozen=True, slots=True)
 class _IdleConnection:
+    """A connection that no check uses; ``last_used_s`` is an instant of the event loop's clock."""
+
     sock: socket.socket
     last_used_s: float
 
 
 class HealthCheckClient:
-    """Checks each endpoint once at a time. Each outcome is notified once; no failure here is fatal."""
+    """Runs at most one check of each endpoint at a time, and reports each outcome; no failure is fatal."""
 
     def __init__(
         self,
-        addresses: Mapping[str, tuple[str, int]],
+        addresses: Mapping[str, Address],
         fields: Collection[str],
         connect_s: float,
         keep_s: float,
@@ -54,12 +57,12 @@
         """Prepare the client; nothing is connected before the first check.
 
         Args:
-            addresses: of all endpoints by name; the registry keeps it up to date.
-            fields: what reports hold, by the settings.
-            connect_s: time to connect, in seconds.
+            addresses: the addresses of all endpoints by name; the registry updates them.
+            fields: the fields of a load report, by the settings.
+            connect_s: the connect timeout, in seconds.
             keep_s: how long an endpoint leaves an idle connection open, in seconds.
-            on_completed: takes the outcome of each check.
-            dropped: counts values of reports that could not be used, by the reason.
+            on_completed: called with the outcome of each check.
+            dropped: counts the values of reports that could not be used, by reason.
         """
         self._addresses = addresses
         self._fields = fields
@@ -71,7 +74,7 @@
         self._checks: dict[str, asyncio.Task[None]] = {}
 
     def start_check(self, endpoint: str) -> None:
-        """Begin a check, unless one is under way. Called by the balancer's actor, which must never wait."""
+        """Begin a check of ``endpoint``, unless one is running; called by the balancer's actor."""
         if endpoint in self._checks:
             return
         self._close_idle()
@@ -85,7 +88,7 @@
         return len(self._checks)
 
     def _close_idle(self) -> None:
-        """Also those to endpoints that have left the list: they are not checked any more."""
+        """Close connections that are idle for too long, also those to endpoints that have left the list."""
         oldest_s = asyncio.get_running_loop().time() - self._keep_s / 2.0
         expired = [name for name, idle in self._idle.items() if idle.last_used_s < oldest_s]
         for endpoint in expired:
@@ -110,24 +113,24 @@
         response = b""
         idle = self._idle.pop(endpoint, None)
         if idle is not None:
-            with suppress(OSError):  # closed as idle, or the endpoint has restarted: that is no answer yet
+            with suppress(OSError):  # the endpoint closed it, or has restarted: a new connection is tried
                 response = await self._exchange(endpoint, idle.sock)
         if not response:
             sock = await connect_unreserved(address, self._connect_timeout_s)
             if isinstance(sock, ConnectFailure):
                 return _Outcome("connect_failed")
             response = await self._exchange(endpoint, sock)
-        word, _, rest = response.partition(b" ")
+        word, _, report = response.partition(b" ")
         if word == b"NO":
             return _Outcome("refused")
         if word != b"PONG":
             return _Outcome("error")
-        return _Outcome("ok", read_report(rest, self._fields, self._dropped))
+        return _Outcome("ok", read_report(report, self._fields, self._dropped))
 
     async def _exchange(self, endpoint: str, sock: socket.socket) -> bytes:
-        """Return one line without its CRLF, and keep the connection.
+        """Send a request and return the response line without its CRLF; the connection is kept as idle.
 
-        b"" for none, an incomplete one or one too long: then the connection is closed.
+        Returns b"" where the response is absent, incomplete or too long; then the connection is closed.
         """
         loop = asyncio.get_running_loop()
         line = bytearray()
--- a/sageturn/net/sockets.py
+++ b/sageturn/net/sockets.py
@@ -1,6 +1,6 @@
-"""Non-blocking sockets on asyncio's own calls: connecting, writing, and noticing that a peer has left.
+"""Connects, writes to and watches non-blocking sockets with asyncio's socket calls.
 
-All addresses are IPv4 addresses with a port; there are no names to look up.
+All addresses are IPv4 addresses with a port; no names are looked up.
 """
 
 from __future__ import annotations
@@ -14,11 +14,12 @@
 from enum import Enum, auto
 
 from sageturn.core.close_reason import CloseReason
+from sageturn.net.addresses import Address
 from sageturn.net.descriptors import DESCRIPTOR_RESERVE, OUT_OF_DESCRIPTORS_ERRNOS
 
 Buffer = bytes | bytearray | memoryview
 
-# What connecting fails with for a moment on this machine, whoever is called: no port, no memory, no route.
+# Raised by connecting where this machine has no port, memory or route just now; says nothing of the peer.
 LOCAL_CONNECT_ERRNOS = (
     errno.EADDRNOTAVAIL,
     errno.ENETDOWN,
@@ -27,20 +28,19 @@
     errno.ENOMEM,
 )
 LOCAL_RETRY_S = 0.01
-LOCAL_RETRY_LIMIT_S = 0.1  # no moment any more: the attempt ends, and others get their turn
-UNKNOWN_ADDRESS = ("0.0.0.0", 0)
-# A relay that starts waits up to a second and a half for its sockets, of the ten that it may take.
+LOCAL_RETRY_LIMIT_S = 0.1
+UNKNOWN_ADDRESS: Address = ("0.0.0.0", 0)
 BIND_RETRY_S = 0.02
-MAX_BIND_RETRIES = 75
+MAX_BIND_RETRIES = 75  # 1.5 s of the 10 s in which a relay must start
 
 
 class ConnectFailure(Enum):
-    """Why a connection did not come up. The names go out lower-cased, as reasons of a failed watch."""
+    """Why a connection could not be established. Log lines have the names in lower case."""
 
     REFUSED = auto()
-    NEVER_UP = auto()  # within the time limit
+    NEVER_UP = auto()  # not established within the time limit
     NO_DESCRIPTOR = auto()
-    LOCAL = auto()  # by this machine's own fault: it tells nothing of the peer
+    LOCAL = auto()  # for a reason of this machine's, which says nothing of the peer
 
 
 CLOSE_REASON_OF_CONNECT_FAILURE = {
@@ -52,26 +52,29 @@
 
 
 def configure_socket(sock: socket.socket) -> socket.socket:
-    """Set what every connection has: no blocking calls, and small writes sent at once."""
+    """Make ``sock`` non-blocking, and have small writes sent at once (TCP_NODELAY); returns it."""
     sock.setblocking(False)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     return sock
 
 
-def peer_address(sock: socket.socket) -> tuple[str, int]:
-    """For records and logs; ``0.0.0.0:0`` where the peer has gone already, or the call fails."""
+def peer_address(sock: socket.socket) -> Address:
+    """Return the peer's address for records; ``UNKNOWN_ADDRESS`` where the peer has gone already."""
     try:
-        address: tuple[str, int] = sock.getpeername()
+        address: Address = sock.getpeername()
     except OSError:
         return UNKNOWN_ADDRESS
     return address
 
 
-def bind_socket(address: tuple[str, int]) -> socket.socket:
-    """Reserve ``address``; connections to it are refused until ``listen`` is called. Raises OSError.
+def bind_socket(address: Address) -> socket.socket:
+    """Return a socket bound to ``address``; connections to it are refused until ``listen`` is called.
 
-    Called before the event loop has anything to do: where the system has no socket to give for a moment,
-    this waits for one, as a relay that gives up does not start.
+    Blocks for 1.5 s at most while the system has no descriptor or memory for it. Called at the start, before
+    the event loop has other work.
+
+    Raises:
+        OSError: the address cannot be bound, or the shortage lasts.
     """
     for _ in range(MAX_BIND_RETRIES):
         try:
@@ -83,7 +86,7 @@
     return _bind_once(address)
 
 
-def _bind_once(address: tuple[str, int]) -> socket.socket:
+def _bind_once(address: Address) -> socket.socket:
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -108,12 +111,12 @@
 
 
 async def connect(
-    address: tuple[str, int], timeout_s: float, use_reserve: bool = True
+    address: Address, timeout_s: float, use_reserve: bool = True
 ) -> socket.socket | ConnectFailure:
-    """Connect within ``timeout_s``, on a descriptor of the reserve if there is no other.
+    """Connect within ``timeout_s`` seconds, on a descriptor of the reserve if there is no other.
 
-    For the relay's own connections, which must come up however many clients there are. What fails on this
-    machine for a moment is tried again for ``LOCAL_RETRY_LIMIT_S``: it is no fault of the peer.
+    For the relay's own connections, which must succeed however many clients there are. Local failures, which
+    are no fault of the peer, are retried for ``LOCAL_RETRY_LIMIT_S``.
     """
     loop = asyncio.get_running_loop()
     local_deadline_s = loop.time() + LOCAL_RETRY_LIMIT_S
@@ -128,8 +131,8 @@
         return ConnectFailure.NEVER_UP
 
 
-async def _connect_once(address: tuple[str, int], use_reserve: bool) -> socket.socket | ConnectFailure:
-    """Connect, however long that takes; when cancelled, the socket is closed."""
+async def _connect_once(address: Address, use_reserve: bool) -> socket.socket | ConnectFailure:
+    """Connect without a time limit; the socket is closed when this is cancelled."""
     try:
         sock = _create_socket(use_reserve)
     except OSError as error:
@@ -151,17 +154,18 @@
     return sock
 
 
-async def connect_unreserved(address: tuple[str, int], timeout_s: float) -> socket.socket | ConnectFailure:
-    """As ``connect``, on behalf of a client: the descriptor reserve is refilled first, and never used."""
+async def connect_unreserved(address: Address, timeout_s: float) -> socket.socket | ConnectFailure:
+    """Connect on behalf of a client: as ``connect``, but refills the descriptor reserve and never uses it."""
     if not DESCRIPTOR_RESERVE.refill():
         return ConnectFailure.NO_DESCRIPTOR
     return await connect(address, timeout_s, use_reserve=False)
 
 
 async def send_gathered(sock: socket.socket, parts: Sequence[Buffer]) -> None:
-    """Send all ``parts`` with one system call; what the kernel does not take at once follows part by part.
+    """Send all ``parts`` with one system call; bytes that the kernel does not take at once follow by part.
 
-    Raises OSError if the connection fails.
+    Raises:
+        OSError: the connection failed.
     """
     try:
         sent = sock.sendmsg(parts)
@@ -180,9 +184,9 @@
 async def wait_for_close_reason(sock: socket.socket, poll: Callable[[], CloseReason | None]) -> CloseReason:
     """Call ``poll`` at once and whenever ``sock`` is readable, until it returns a reason.
 
-    ``poll`` alone reads the socket meanwhile, without waiting, and may be called by others as well. Two
-    readers could swap the order of the bytes: what one has read, but not yet been woken to store, would be
-    stored after what the other has read since.
+    Nothing but ``poll`` may read the socket meanwhile, and ``poll`` must not wait; it may be called from
+    elsewhere, too. A second reader could reorder the bytes: those that it has read are stored only when it is
+    woken, and ``poll`` may have stored later ones by then.
     """
     loop = asyncio.get_running_loop()
     close_reason: asyncio.Future[CloseReason] = loop.create_future()
@@ -201,7 +205,7 @@
 
 
 def is_closed_by_peer(sock: socket.socket) -> bool:
-    """Whether the peer has sent its FIN or a reset, though what it sent before may still lie unread."""
+    """Return whether the peer has sent a FIN or a reset, also while bytes from before it lie unread."""
     closed = select.POLLRDHUP | select.POLLHUP | select.POLLERR
     poll = select.poll()
     poll.register(sock, closed)
--- a/tests/config/test_deployments.py
+++ b/tests/config/test_deployments.py
@@ -115,33 +115,30 @@
 
 
 @pytest.mark.parametrize("attempts", [1, 6])
-def test_a_third_deployment_is_served_by_its_own_figures(tmp_path: Path, attempts: int) -> None:
-    async def go() -> None:
-        from contextlib import AsyncExitStack
-
-        conf = with_value(FERRY_SETTINGS, "policyLimits.sendCap", attempts)
-        endpoints = [FakeEndpoint(script) for script in (resets,) * 6]
-        async with AsyncExitStack() as stack:
-            names, discovery = await serve_all(stack, endpoints)
-            file = write_config(tmp_path, discovery.address, listed(names), settings=conf)
-            relay = Relay(load({"GW_CONFIG": str(file)}))
-            relay.balancer_actor.check_endpoint_health = lambda endpoint: None
-            relay.start()
-            stack.push_async_callback(relay.stop)
-            line = first_line(900).replace(b"c=c,t=t", b"c=gate,t=north")
-            assert (await reply(relay.listener.address, line))[:4] in (b"BUSY", b"ERR ")
-            assert sum(len(e.lines) for e in endpoints) == attempts
-            assert all(e.max_open <= 1 for e in endpoints)
-            for endpoint in endpoints:
-                endpoint.script = up
-            relay.balancer_actor._balancer.admission.buckets["south"].tokens = 9.0
-            line = first_line(900).replace(b"c=c,t=t", b"c=deck,t=south")
-            reader, writer = await ask(relay.listener.address, line)
-            assert await reader.readline() == b"UP r1\r\n"
-            assert (await reply(relay.listener.address, first_line(900))).startswith(b"ERR c names no class")
-            writer.close()
-
-    asyncio.run(asyncio.wait_for(go(), 20))
+async def test_a_third_deployment_is_served_by_its_own_figures(tmp_path: Path, attempts: int) -> None:
+    from contextlib import AsyncExitStack
+
+    conf = with_value(FERRY_SETTINGS, "policyLimits.sendCap", attempts)
+    endpoints = [FakeEndpoint(script) for script in (resets,) * 6]
+    async with AsyncExitStack() as stack:
+        names, discovery = await serve_all(stack, endpoints)
+        file = write_config(tmp_path, discovery.address, listed(names), settings=conf)
+        relay = Relay(load({"GW_CONFIG": str(file)}))
+        relay.balancer_actor.check_endpoint_health = lambda endpoint: None
+        relay.start()
+        stack.push_async_callback(relay.stop)
+        line = first_line(900).replace(b"c=c,t=t", b"c=gate,t=north")
+        assert (await reply(relay.listener.address, line))[:4] in (b"BUSY", b"ERR ")
+        assert sum(len(e.lines) for e in endpoints) == attempts
+        assert all(e.max_open <= 1 for e in endpoints)
+        for endpoint in endpoints:
+            endpoint.script = up
+        relay.balancer_actor._balancer.admission.buckets["south"].tokens = 9.0
+        line = first_line(900).replace(b"c=c,t=t", b"c=deck,t=south")
+        reader, writer = await ask(relay.listener.address, line)
+        assert await reader.readline() == b"UP r1\r\n"
+        assert (await reply(relay.listener.address, first_line(900))).startswith(b"ERR c names no class")
+        writer.close()
 
 
 # ---------------------------------------------------------------- drains
@@ -167,40 +164,38 @@
 
 
 @pytest.mark.parametrize("resumed", [False, True])
-def test_endpoint_that_drains_while_a_connection_to_it_is_made_gets_no_request(
+@pytest.mark.timeout(10)
+async def test_endpoint_that_drains_while_a_connection_to_it_is_made_gets_no_request(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, resumed: bool
 ) -> None:
     # A connection may take connectTimeoutMs; its request line once followed whatever was known by then.
-    async def go() -> None:
-        from sageturn.frontends.platform import connection as platform_connection
-        from sageturn.net import sockets
-
-        async with relaying(tmp_path, up, up) as (relay, endpoints):
-            by_port = {e.address[1]: (name, e) for name, e in zip("ab", endpoints, strict=True)}
-            first: list[FakeEndpoint] = []
-            connect = sockets.connect_unreserved
-
-            async def connect_while_draining(address: tuple[str, int], timeout_s: float) -> Any:
-                sock = await connect(address, timeout_s)
-                if not first:
-                    name, endpoint = by_port[address[1]]
-                    first.append(endpoint)
-                    drains = [Endpoint(name, "draining")]
-                    await relay.endpoint_registry.on_watch_event(
-                        relay.endpoint_registry.watch_number, EndpointListUpdate(9, False, drains)
-                    )
-                    while relay.endpoint_registry.version != 9:
-                        await asyncio.sleep(0)
-                return sock
-
-            while relay.endpoint_registry.version != 2:  # discovery's own list has come
-                await asyncio.sleep(0.01)
-            monkeypatch.setattr(platform_connection, "connect_unreserved", connect_while_draining)
-            more = ",at=a" if resumed else ""
-            assert await reply(relay.listener.address, first_line(more=more)) == b"UP r1\r\n"
-            assert len([line for line in first[0].lines if line]) == (1 if resumed else 0)
-
-    asyncio.run(asyncio.wait_for(go(), 10))
+    from sageturn.frontends.platform import connection as platform_connection
+    from sageturn.net import sockets
+
+    async with relaying(tmp_path, up, up) as (relay, endpoints):
+        by_port = {e.address[1]: (name, e) for name, e in zip("ab", endpoints, strict=True)}
+        first: list[FakeEndpoint] = []
+        connect = sockets.connect_unreserved
+
+        async def connect_while_draining(address: tuple[str, int], timeout_s: float) -> Any:
+            sock = await connect(address, timeout_s)
+            if not first:
+                name, endpoint = by_port[address[1]]
+                first.append(endpoint)
+                drains = [Endpoint(name, "draining")]
+                await relay.endpoint_registry.on_watch_event(
+                    relay.endpoint_registry.watch_number, EndpointListUpdate(9, False, drains)
+                )
+                while relay.endpoint_registry.version != 9:
+                    await asyncio.sleep(0)
+            return sock
+
+        while relay.endpoint_registry.version != 2:  # discovery's own list has come
+            await asyncio.sleep(0.01)
+        monkeypatch.setattr(platform_connection, "connect_unreserved", connect_while_draining)
+        more = ",at=a" if resumed else ""
+        assert await reply(relay.listener.address, first_line(more=more)) == b"UP r1\r\n"
+        assert len([line for line in first[0].lines if line]) == (1 if resumed else 0)
 
 
 # ---------------------------------------------------------------- a planned stop
--- a/tests/frontends/test_idle_timeout.py
+++ b/tests/frontends/test_idle_timeout.py
@@ -137,14 +137,12 @@
 
 
 @pytest.mark.parametrize("wait", [b"", b"d=", b"d=-1", b"d=1e3", b"d=99999999999", b"d=x", b"d=0"])
-def test_invalid_time_limit_is_answered_and_reaches_no_endpoint(tmp_path: Path, wait: bytes) -> None:
-    async def go() -> None:
-        async with relaying(tmp_path, up) as (relay, (endpoint,)):
-            line = first_line().replace(b"d=2000", wait).replace(b",\r", b"\r")
-            answer = await reply(relay.listener.address, line)
-            assert answer.startswith(b"BUSY" if wait == b"d=0" else b"ERR") and endpoint.lines == []
-
-    asyncio.run(asyncio.wait_for(go(), 10))
+@pytest.mark.timeout(10)
+async def test_invalid_time_limit_is_answered_and_reaches_no_endpoint(tmp_path: Path, wait: bytes) -> None:
+    async with relaying(tmp_path, up) as (relay, (endpoint,)):
+        line = first_line().replace(b"d=2000", wait).replace(b",\r", b"\r")
+        answer = await reply(relay.listener.address, line)
+        assert answer.startswith(b"BUSY" if wait == b"d=0" else b"ERR") and endpoint.lines == []
 
 
 async def at_once(server: Server) -> None:
--- a/tests/frontends/test_misbehaving_clients.py
+++ b/tests/frontends/test_misbehaving_clients.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 import pytest
-from support.event_loop import run_with_timeout, until
+from support.event_loop import until
 from support.network_fakes import Streams, ask, first_line, relaying, reply, silent, up
 
 from sageturn.frontends.platform import frontend
@@ -28,115 +28,96 @@
 
 
 @pytest.mark.parametrize("said", [b"", b"OPEN id9 k1 c=c", b"PING\r\n", b"PING\r\nOPE"])
-def test_silent_client_and_incomplete_line_are_answered_in_time(tmp_path: Path, said: bytes) -> None:
+async def test_silent_client_and_incomplete_line_are_answered_in_time(tmp_path: Path, said: bytes) -> None:
     # They were waited for 5 s, and again 5 s after each PING, where 3 s from connecting are allowed.
-    async def go() -> None:
-        async with relaying(tmp_path, up) as (relay, (endpoint,)):
-            began = asyncio.get_running_loop().time()
-            reader, writer = await ask(relay.listener.address, said)
-            heard = await asyncio.wait_for(reader.read(), 3)
-            assert heard.removeprefix(b"PONG\r\n").startswith(b"ERR")
-            assert asyncio.get_running_loop().time() - began < 2.8 and endpoint.lines == []
-            writer.close()
-
-    run_with_timeout(go())
+    async with relaying(tmp_path, up) as (relay, (endpoint,)):
+        began = asyncio.get_running_loop().time()
+        reader, writer = await ask(relay.listener.address, said)
+        heard = await asyncio.wait_for(reader.read(), 3)
+        assert heard.removeprefix(b"PONG\r\n").startswith(b"ERR")
+        assert asyncio.get_running_loop().time() - began < 2.8 and endpoint.lines == []
+        writer.close()
 
 
-def test_silent_clients_are_evicted_for_those_with_a_request(tmp_path: Path) -> None:
+async def test_silent_clients_are_evicted_for_those_with_a_request(tmp_path: Path) -> None:
     # Nothing bounded them: 2,000 on a day held 330 of 384 descriptors. The oldest go, those who stand stay.
-    async def go() -> None:
-        async with relaying(tmp_path, up) as (relay, _):
-            relay.admission.limits = ProcessLimits(sockets=96, memory_mb=192.0)
-            reader, writer = await ask(relay.listener.address, first_line())
-            assert await reader.readline() == b"UP r1\r\n"
-            crowd = [await ask(relay.listener.address, b"") for _ in range(40)]
-            assert await reply(relay.listener.address, first_line()) == b"UP r1\r\n"
-            assert relay.admission.connection_count <= 2 + 16
-            assert await first_word(crowd[0]) == b"BUSY"
-            writer.write(b"M 1\r\n")
-            assert await reader.readline() == b"M 1\r\n"
-            for _, each in [*crowd, (reader, writer)]:
-                each.close()
-
-    run_with_timeout(go())
-
-
-def test_reused_request_id_is_an_error_and_reaches_no_endpoint(tmp_path: Path) -> None:
+    async with relaying(tmp_path, up) as (relay, _):
+        relay.admission.limits = ProcessLimits(sockets=96, memory_mb=192.0)
+        reader, writer = await ask(relay.listener.address, first_line())
+        assert await reader.readline() == b"UP r1\r\n"
+        crowd = [await ask(relay.listener.address, b"") for _ in range(40)]
+        assert await reply(relay.listener.address, first_line()) == b"UP r1\r\n"
+        assert relay.admission.connection_count <= 2 + 16
+        assert await first_word(crowd[0]) == b"BUSY"
+        writer.write(b"M 1\r\n")
+        assert await reader.readline() == b"M 1\r\n"
+        for _, each in [*crowd, (reader, writer)]:
+            each.close()
+
+
+async def test_reused_request_id_is_an_error_and_reaches_no_endpoint(tmp_path: Path) -> None:
     # 303 of these came to endpoints on one day; their ERR counted against sound hosts, which were left out.
-    async def go() -> None:
-        async with relaying(tmp_path, up) as (relay, (endpoint,)):
-            line = first_line()
-            reader, writer = await ask(relay.listener.address, line)
-            assert await reader.readline() == b"UP r1\r\n"
-            assert (await reply(relay.listener.address, line)).startswith(b"ERR")
-            writer.close()
-            while endpoint.open:
-                await asyncio.sleep(0.01)
-            assert (await reply(relay.listener.address, line)).startswith(b"ERR") and len(endpoint.lines) == 1
-
-    run_with_timeout(go())
+    async with relaying(tmp_path, up) as (relay, (endpoint,)):
+        line = first_line()
+        reader, writer = await ask(relay.listener.address, line)
+        assert await reader.readline() == b"UP r1\r\n"
+        assert (await reply(relay.listener.address, line)).startswith(b"ERR")
+        writer.close()
+        while endpoint.open:
+            await asyncio.sleep(0.01)
+        assert (await reply(relay.listener.address, line)).startswith(b"ERR") and len(endpoint.lines) == 1
 
 
-def test_several_lines_at_once_are_an_error(tmp_path: Path) -> None:
+async def test_several_lines_at_once_are_an_error(tmp_path: Path) -> None:
     # The first was placed, and what came behind it went to its endpoint, which can't use it.
-    async def go() -> None:
-        async with relaying(tmp_path, up) as (relay, (endpoint,)):
-            for lines in (first_line() * 300, first_line() + first_line(), b"PING\r\n" * 300):
-                assert await first_word(await ask(relay.listener.address, lines)) == b"ERR"
-            assert endpoint.lines == []
-
-    run_with_timeout(go())
+    async with relaying(tmp_path, up) as (relay, (endpoint,)):
+        for lines in (first_line() * 300, first_line() + first_line(), b"PING\r\n" * 300):
+            assert await first_word(await ask(relay.listener.address, lines)) == b"ERR"
+        assert endpoint.lines == []
 
 
-def test_flooding_client_gets_its_error_and_is_not_read_on(tmp_path: Path) -> None:
+async def test_flooding_client_gets_its_error_and_is_not_read_on(tmp_path: Path) -> None:
     # Read on for half a second at full speed, it took the core that the others need.
-    async def go() -> None:
-        async with relaying(tmp_path, up) as (relay, _):
-            reader, writer = await asyncio.open_connection(*relay.listener.address)
-            sent = 0
-
-            async def flood() -> None:
-                nonlocal sent
-                while True:
-                    writer.write(FLOOD)
-                    await writer.drain()
-                    sent += len(FLOOD)
-
-            flooding = asyncio.ensure_future(flood())
-            assert await first_word((reader, writer)) == b"ERR"
-            await asyncio.wait((flooding,), timeout=3)
-            assert flooding.done() and flooding.exception() and sent < 30 * len(FLOOD)
-
-    run_with_timeout(go())
-
-
-def test_client_that_floods_before_its_answer_gets_an_error(tmp_path: Path) -> None:
-    async def go() -> None:
-        async with relaying(tmp_path, silent) as (relay, (endpoint,)):
-            reader, writer = await ask(relay.listener.address, first_line(3000))
-            while not endpoint.lines:
-                await asyncio.sleep(0.01)
-            writer.write(FLOOD)
-            assert await first_word((reader, writer)) == b"ERR"
-            while endpoint.open:
-                await asyncio.sleep(0.01)
-
-    run_with_timeout(go())
-
-
-def test_a_fault_in_reading_a_request_is_answered(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    async with relaying(tmp_path, up) as (relay, _):
+        reader, writer = await asyncio.open_connection(*relay.listener.address)
+        sent = 0
+
+        async def flood() -> None:
+            nonlocal sent
+            while True:
+                writer.write(FLOOD)
+                await writer.drain()
+                sent += len(FLOOD)
+
+        flooding = asyncio.ensure_future(flood())
+        assert await first_word((reader, writer)) == b"ERR"
+        await asyncio.wait((flooding,), timeout=3)
+        assert flooding.done() and flooding.exception() and sent < 30 * len(FLOOD)
+
+
+async def test_client_that_floods_before_its_answer_gets_an_error(tmp_path: Path) -> None:
+    async with relaying(tmp_path, silent) as (relay, (endpoint,)):
+        reader, writer = await ask(relay.listener.address, first_line(3000))
+        while not endpoint.lines:
+            await asyncio.sleep(0.01)
+        writer.write(FLOOD)
+        assert await first_word((reader, writer)) == b"ERR"
+        while endpoint.open:
+            await asyncio.sleep(0.01)
+
+
+async def test_a_fault_in_reading_a_request_is_answered(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     # It was logged, and the connection closed without a word.
     def fail(buffer: bytearray, end: int, classes: frozenset[str]) -> RequestLine:
         raise RuntimeError("a fault that no check foresaw")
 
-    async def go() -> None:
-        async with relaying(tmp_path, up) as (relay, (endpoint,)):
-            with monkeypatch.context() as patched:
-                patched.setattr(frontend, "parse_request_line", fail)
-                reader, writer = await ask(relay.listener.address, first_line())
-                assert await reader.read() == b"ERR internal\r\n"
-                writer.close()
-            assert endpoint.lines == []
-            await until(lambda: relay.admission.connection_count == 0)
-
-    run_with_timeout(go())
+    async with relaying(tmp_path, up) as (relay, (endpoint,)):
+        with monkeypatch.context() as patched:
+            patched.setattr(frontend, "parse_request_line", fail)
+            reader, writer = await ask(relay.listener.address, first_line())
+            assert await reader.read() == b"ERR internal\r\n"
+            writer.close()
+        assert endpoint.lines == []
+        await until(lambda: relay.admission.connection_count == 0)
--- a/tests/frontends/test_platform_frontend.py
+++ b/tests/frontends/test_platform_frontend.py
@@ -10,7 +10,6 @@
 from pathlib import Path
 
 import pytest
-from support.event_loop import run_with_timeout
 from support.network_fakes import (
     Script,
     ask,
@@ -33,39 +32,33 @@
 from sageturn.relay import Relay
 
 
-def test_starting_relay_refuses_connections(tmp_path: Path) -> None:
+async def test_starting_relay_refuses_connections(tmp_path: Path) -> None:
     # Fronts send clients to a killed relay once it listens. Where it was not yet reading, their time was up
     # before the relay believed, and they left unanswered.
-    async def go() -> None:
-        config = load({"GW_CONFIG": str(write_config(tmp_path, ("127.0.0.1", 9), listed({})))})
-        relay = Relay(config)
-        with pytest.raises(ConnectionRefusedError):
-            await asyncio.open_connection(*relay.listener.address)
-        relay.start()
-        _, writer = await asyncio.open_connection(*relay.listener.address)
-        writer.close()
-        await relay.stop()
-
-    run_with_timeout(go())
+    config = load({"GW_CONFIG": str(write_config(tmp_path, ("127.0.0.1", 9), listed({})))})
+    relay = Relay(config)
+    with pytest.raises(ConnectionRefusedError):
+        await asyncio.open_connection(*relay.listener.address)
+    relay.start()
+    _, writer = await asyncio.open_connection(*relay.listener.address)
+    writer.close()
+    await relay.stop()
 
 
-def test_request_is_served_and_lines_are_forwarded_unchanged(tmp_path: Path) -> None:
+async def test_request_is_served_and_lines_are_forwarded_unchanged(tmp_path: Path) -> None:
     # Guards the plain path: UP verbatim, the first line unchanged but for d, lines both ways.
-    async def go() -> None:
-        async with relaying(tmp_path, up) as (relay, (endpoint,)):
-            reader, writer = await ask(relay.listener.address, first_line(2000, ",g=x9"))
-            assert await reader.readline() == b"UP r1\r\n"
-            writer.write(b"M 1 abc\r\nM 2")
-            assert await reader.readline() == b"M 1 abc\r\n"
-            writer.write(b" d\r\n")
-            assert await reader.readline() == b"M 2 d\r\n"
-            head, _, rest = endpoint.lines[0].partition(b"d=")
-            wait, comma, tail = rest.partition(b",")
-            assert re.fullmatch(rb"OPEN id\d+ k1 c=c,t=t,", head) and comma + tail == b",g=x9\r\n"
-            assert 0 < int(wait) <= 2000
-            writer.close()
-
-    run_with_timeout(go())
+    async with relaying(tmp_path, up) as (relay, (endpoint,)):
+        reader, writer = await ask(relay.listener.address, first_line(2000, ",g=x9"))
+        assert await reader.readline() == b"UP r1\r\n"
+        writer.write(b"M 1 abc\r\nM 2")
+        assert await reader.readline() == b"M 1 abc\r\n"
+        writer.write(b" d\r\n")
+        assert await reader.readline() == b"M 2 d\r\n"
+        head, _, rest = endpoint.lines[0].partition(b"d=")
+        wait, comma, tail = rest.partition(b",")
+        assert re.fullmatch(rb"OPEN id\d+ k1 c=c,t=t,", head) and comma + tail == b",g=x9\r\n"
+        assert 0 < int(wait) <= 2000
+        writer.close()
 
 
 @pytest.mark.parametrize(
@@ -82,15 +75,12 @@
         b"x" * 5000 + b"\r\n",
     ],
 )
-def test_malformed_first_lines_are_answered_and_never_forwarded(tmp_path: Path, line: bytes) -> None:
+async def test_malformed_first_lines_are_answered_and_never_forwarded(tmp_path: Path, line: bytes) -> None:
     # A live host answers SYNTAX to such a line and voids the run.
-    async def go() -> None:
-        async with relaying(tmp_path, up) as (relay, (endpoint,)):
-            assert (await reply(relay.listener.address, line)).startswith(b"ERR")
-            assert endpoint.lines == []
-            assert await reply(relay.listener.address, first_line()) == b"UP r1\r\n"
-
-    run_with_timeout(go())
+    async with relaying(tmp_path, up) as (relay, (endpoint,)):
+        assert (await reply(relay.listener.address, line)).startswith(b"ERR")
+        assert endpoint.lines == []
+        assert await reply(relay.listener.address, first_line()) == b"UP r1\r\n"
 
 
 @pytest.mark.parametrize(
@@ -103,16 +93,13 @@
         responds_with(b"huh\r\n"),
     ],
 )
-def test_at_most_three_attempts_one_at_a_time_and_one_answer(tmp_path: Path, bad: Script) -> None:
+async def test_at_most_three_attempts_one_at_a_time_and_one_answer(tmp_path: Path, bad: Script) -> None:
     # Guards the three-attempt limit and the one final answer, whatever the endpoints do.
-    async def go() -> None:
-        async with relaying(tmp_path, bad, bad, bad, bad, bad) as (relay, endpoints):
-            reader, _ = await ask(relay.listener.address, first_line())
-            answer = await reader.read()
-            assert answer.count(b"\r\n") == 1 and answer.startswith((b"BUSY", b"ERR"))
-            assert sum(len(e.lines) for e in endpoints) == 3
-
-    run_with_timeout(go())
+    async with relaying(tmp_path, bad, bad, bad, bad, bad) as (relay, endpoints):
+        reader, _ = await ask(relay.listener.address, first_line())
+        answer = await reader.read()
+        assert answer.count(b"\r\n") == 1 and answer.startswith((b"BUSY", b"ERR"))
+        assert sum(len(e.lines) for e in endpoints) == 3
 
 
 def test_a_silent_endpoint_times_out_within_the_clients_wait(
@@ -128,33 +115,27 @@
     run_in_virtual_time(go(), monkeypatch)
 
 
-def test_refused_connection_is_distinguished_from_a_reset(tmp_path: Path) -> None:
+async def test_refused_connection_is_distinguished_from_a_reset(tmp_path: Path) -> None:
     # Nobody listens at b: the request is placed elsewhere, and that it never ran is known.
-    async def go() -> None:
-        async with relaying(tmp_path, up) as (relay, (endpoint,)):
-            with socket.socket() as dead:
-                dead.bind(("127.0.0.1", 0))
-                while relay.endpoint_registry.version != 2:
-                    await asyncio.sleep(0.01)
-                relay.endpoint_registry.addresses["a"] = dead.getsockname()
-                assert (await reply(relay.listener.address, first_line())).startswith(b"BUSY")
-            assert endpoint.lines == []
-
-    run_with_timeout(go())
+    async with relaying(tmp_path, up) as (relay, (endpoint,)):
+        with socket.socket() as dead:
+            dead.bind(("127.0.0.1", 0))
+            while relay.endpoint_registry.version != 2:
+                await asyncio.sleep(0.01)
+            relay.endpoint_registry.addresses["a"] = dead.getsockname()
+            assert (await reply(relay.listener.address, first_line())).startswith(b"BUSY")
+        assert endpoint.lines == []
 
 
 @pytest.mark.parametrize(("last", "gets"), [(b"BYE\r\n", b"BYE\r\n"), (b"MOVE\r\n", b"MOVE\r\n"), (b"", b"")])
-def test_endpoint_fin_is_forwarded(tmp_path: Path, last: bytes, gets: bytes) -> None:
-    async def go() -> None:
-        async with relaying(tmp_path, responds_with(b"UP r\r\n" + last)) as (relay, _):
-            reader, writer = await ask(relay.listener.address, first_line())
-            assert await reader.read() == b"UP r\r\n" + gets
-            writer.close()
-
-    run_with_timeout(go())
+async def test_endpoint_fin_is_forwarded(tmp_path: Path, last: bytes, gets: bytes) -> None:
+    async with relaying(tmp_path, responds_with(b"UP r\r\n" + last)) as (relay, _):
+        reader, writer = await ask(relay.listener.address, first_line())
+        assert await reader.read() == b"UP r\r\n" + gets
+        writer.close()
 
 
-def test_reset_is_forwarded_and_recorded(tmp_path: Path) -> None:
+async def test_reset_is_forwarded_and_recorded(tmp_path: Path) -> None:
     # Closing politely after the reset raised on the closed socket, and the module was told 'cancelled'.
     async def then_reset(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes) -> None:
         writer.write(b"UP r\r\n")
@@ -163,47 +144,40 @@
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         writer.transport.abort()
 
-    async def go() -> None:
-        async with relaying(tmp_path, then_reset) as (relay, _):
-            ended: asyncio.Queue[str] = asyncio.Queue()
-
-            def on_connection_closed(record: ConnectionRecord) -> None:
-                assert record.close_reason is not None
-                ended.put_nowait(record.close_reason.name)
+    async with relaying(tmp_path, then_reset) as (relay, _):
+        ended: asyncio.Queue[str] = asyncio.Queue()
 
-            relay.context.on_connection_closed = on_connection_closed
-            reader, writer = await ask(relay.listener.address, first_line())
-            assert await reader.readline() == b"UP r\r\n"
-            writer.write(b"M 1\r\n")
-            with pytest.raises(ConnectionResetError):
-                await reader.read()
-            assert await ended.get() == "RESET"
+        def on_connection_closed(record: ConnectionRecord) -> None:
+            assert record.close_reason is not None
+            ended.put_nowait(record.close_reason.name)
 
-    run_with_timeout(go())
+        relay.context.on_connection_closed = on_connection_closed
+        reader, writer = await ask(relay.listener.address, first_line())
+        assert await reader.readline() == b"UP r\r\n"
+        writer.write(b"M 1\r\n")
+        with pytest.raises(ConnectionResetError):
+            await reader.read()
+        assert await ended.get() == "RESET"
 
 
-def test_connection_established_before_the_run_is_resumed_at_its_endpoint(tmp_path: Path) -> None:
+async def test_connection_established_before_the_run_is_resumed_at_its_endpoint(tmp_path: Path) -> None:
     # The first landing lost every one of these to a renamed variable.
-    async def go() -> None:
-        async with relaying(tmp_path, up, responds_with(b"UP b\r\n")) as (relay, _):
-            assert await reply(relay.listener.address, first_line(4294967, ",at=b")) == b"UP b\r\n"
-            assert (await reply(relay.listener.address, first_line(900, ",at=zz"))).startswith(b"ERR")
+    async with relaying(tmp_path, up, responds_with(b"UP b\r\n")) as (relay, _):
+        assert await reply(relay.listener.address, first_line(4294967, ",at=b")) == b"UP b\r\n"
+        assert (await reply(relay.listener.address, first_line(900, ",at=zz"))).startswith(b"ERR")
 
-    run_with_timeout(go())
 
-
-def test_ping_is_answered_once_a_list_is_usable(tmp_path: Path) -> None:
-    async def go() -> None:
-        async with relaying(tmp_path) as (relay, _):  # no endpoint listed: not ready
-            with pytest.raises(TimeoutError):
-                await asyncio.wait_for(reply(relay.listener.address, b"PING\r\n"), 0.3)
-        async with relaying(tmp_path, up) as (relay, _):
-            assert await reply(relay.listener.address, b"PING\r\n") == b"PONG\r\n"
-
-    run_with_timeout(go())
+async def test_ping_is_answered_once_a_list_is_usable(tmp_path: Path) -> None:
+    async with relaying(tmp_path) as (relay, _):  # no endpoint listed: not ready
+        with pytest.raises(TimeoutError):
+            await asyncio.wait_for(reply(relay.listener.address, b"PING\r\n"), 0.3)
+    async with relaying(tmp_path, up) as (relay, _):
+        assert await reply(relay.listener.address, b"PING\r\n") == b"PONG\r\n"
 
 
-def test_client_of_a_silent_endpoint_is_migrated(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_client_of_a_silent_endpoint_is_migrated(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     # A host that vanishes says nothing: its clients must be moved before 7 s.
     monkeypatch.setattr("sageturn.frontends.platform.relaying.IDLE_TIMEOUT_S", 0.3)
 
@@ -211,54 +185,45 @@
         writer.write(b"UP r\r\n")
         await reader.read()
 
-    async def go() -> None:
-        async with relaying(tmp_path, deaf) as (relay, _):
-            reader, writer = await ask(relay.listener.address, first_line())
-            await reader.readline()
-            writer.write(b"M 1\r\n")
-            assert await reader.read() == b"MOVE\r\n"
-            writer.close()
-
-    run_with_timeout(go())
+    async with relaying(tmp_path, deaf) as (relay, _):
+        reader, writer = await ask(relay.listener.address, first_line())
+        await reader.readline()
+        writer.write(b"M 1\r\n")
+        assert await reader.read() == b"MOVE\r\n"
+        writer.close()
 
 
-def test_drain_answers_and_migrates_all_clients_between_two_lines(tmp_path: Path) -> None:
+async def test_drain_answers_and_migrates_all_clients_between_two_lines(tmp_path: Path) -> None:
     # A planned stop: nobody may be cut off without MOVE, and no line may be torn by it.
     async def half(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes) -> None:
         writer.write(b"UP r\r\nM 1 whole\r\nM 2 torn")
         await reader.read()
 
-    async def go() -> None:
-        async with relaying(tmp_path, half) as (relay, _):
-            reader, writer = await ask(relay.listener.address, first_line())
-            await reader.readline()
-            draining = asyncio.ensure_future(relay.request_registry.drain(relay.ingress))
-            await asyncio.sleep(0)
-            late = asyncio.ensure_future(reply(relay.listener.address, first_line()))
-            assert await reader.read() == b"M 1 whole\r\nMOVE\r\n"
-            assert await late == b"UP r\r\n"
-            writer.close()
-            await draining
-            assert len(relay.request_registry) == 0
-
-    run_with_timeout(go())
-
-
-def test_load_reports_reach_the_balancer_and_the_client(
+    async with relaying(tmp_path, half) as (relay, _):
+        reader, writer = await ask(relay.listener.address, first_line())
+        await reader.readline()
+        draining = asyncio.ensure_future(relay.request_registry.drain(relay.ingress))
+        await asyncio.sleep(0)
+        late = asyncio.ensure_future(reply(relay.listener.address, first_line()))
+        assert await reader.read() == b"M 1 whole\r\nMOVE\r\n"
+        assert await late == b"UP r\r\n"
+        writer.close()
+        await draining
+        assert len(relay.request_registry) == 0
+
+
+async def test_load_reports_reach_the_balancer_and_the_client(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def go() -> None:
-        async with relaying(tmp_path, responds_with(b"UP r\r\nLOAD 1500\r\nLOAD x\r\nBYE\r\n")) as (relay, _):
-            handled = record_balancer_events(relay, monkeypatch)
-            reader, writer = await ask(relay.listener.address, first_line())
-            assert await reader.read() == b"UP r\r\nLOAD 1500\r\nLOAD x\r\nBYE\r\n"
-            writer.close()
-            while not any(getattr(e, "status", "") == "ok" for e in handled):
-                await asyncio.sleep(0.01)
-            reported = [e for e in handled if isinstance(e, MeasurementReported) and e.kind == "load"]
-            assert [e.value for e in reported] == [1.5]
-
-    run_with_timeout(go())
+    async with relaying(tmp_path, responds_with(b"UP r\r\nLOAD 1500\r\nLOAD x\r\nBYE\r\n")) as (relay, _):
+        handled = record_balancer_events(relay, monkeypatch)
+        reader, writer = await ask(relay.listener.address, first_line())
+        assert await reader.read() == b"UP r\r\nLOAD 1500\r\nLOAD x\r\nBYE\r\n"
+        writer.close()
+        while not any(getattr(e, "status", "") == "ok" for e in handled):
+            await asyncio.sleep(0.01)
+        reported = [e for e in handled if isinstance(e, MeasurementReported) and e.kind == "load"]
+        assert [e.value for e in reported] == [1.5]
 
 
 def test_invalid_configuration_names_its_key(tmp_path: Path) -> None:
--- a/tests/frontends/test_xmpp_frontend.py
+++ b/tests/frontends/test_xmpp_frontend.py
@@ -24,41 +24,37 @@
 SETTINGS = read_settings(CONF)
 
 
-def test_session_is_established_over_tls_and_restarted_streams_are_one_request(tmp_path: Path) -> None:
+@pytest.mark.timeout(30)
+async def test_session_is_established_over_tls_and_restarted_streams_are_one_request(tmp_path: Path) -> None:
     # The stream starts three times, for TLS and SASL; only the bind is a request, and it is placed once.
-    async def go() -> None:
-        async with relaying_xmpp(tmp_path, lambda s: echo(s, server_tls()), tls=True) as (relay, _):
-            client = await Client.connect(xmpp_address(relay))
-            await client.login(client_tls())
-            assert relay.balancer_actor.placements == []
-            assert await client.bind("desk") == "relay@guides.example/desk"
-            message = "<message to='x' id=\"q>1\"><body>a &amp; b &lt; c</body><e a='>'/></message>"
-            client.send(message[:20])
-            await asyncio.sleep(0.02)
-            client.send(message[20:])
-            assert (await client.read_until("<message.*?</message>"))[0] == message  # as it stood on the wire
-            assert len(relay.balancer_actor.placements) == 1
-            client.send("</stream:stream>")
-            assert (await client.read_rest()).strip() == "</stream:stream>"
-
-    run_with_timeout(go(), 30)
-
-
-def test_plain_is_offered_under_tls_and_a_wrong_password_is_no_request(tmp_path: Path) -> None:
-    async def go() -> None:
-        async with relaying_xmpp(tmp_path, echo) as (relay, _):
-            client = await Client.connect(xmpp_address(relay))
-            await client.login(client_tls(), plain=True)
-            assert (await client.bind()).endswith("lan/desk")
-            for plain in (True, False):
-                wrong = await Client.connect(xmpp_address(relay))
-                with pytest.raises((AssertionError, TimeoutError)):
-                    async with asyncio.timeout(1):
-                        await wrong.login(client_tls(), password="nope", plain=plain)
-                assert "<not-authorized/>" in wrong.unread
-            assert len(relay.balancer_actor.placements or ()) == 1
-
-    run_with_timeout(go(), 30)
+    async with relaying_xmpp(tmp_path, lambda s: echo(s, server_tls()), tls=True) as (relay, _):
+        client = await Client.connect(xmpp_address(relay))
+        await client.login(client_tls())
+        assert relay.balancer_actor.placements == []
+        assert await client.bind("desk") == "relay@guides.example/desk"
+        message = "<message to='x' id=\"q>1\"><body>a &amp; b &lt; c</body><e a='>'/></message>"
+        client.send(message[:20])
+        await asyncio.sleep(0.02)
+        client.send(message[20:])
+        assert (await client.read_until("<message.*?</message>"))[0] == message  # as it stood on the wire
+        assert len(relay.balancer_actor.placements) == 1
+        client.send("</stream:stream>")
+        assert (await client.read_rest()).strip() == "</stream:stream>"
+
+
+@pytest.mark.timeout(30)
+async def test_plain_is_offered_under_tls_and_a_wrong_password_is_no_request(tmp_path: Path) -> None:
+    async with relaying_xmpp(tmp_path, echo) as (relay, _):
+        client = await Client.connect(xmpp_address(relay))
+        await client.login(client_tls(), plain=True)
+        assert (await client.bind()).endswith("lan/desk")
+        for plain in (True, False):
+            wrong = await Client.connect(xmpp_address(relay))
+            with pytest.raises((AssertionError, TimeoutError)):
+                async with asyncio.timeout(1):
+                    await wrong.login(client_tls(), password="nope", plain=plain)
+            assert "<not-authorized/>" in wrong.unread
+        assert len(relay.balancer_actor.placements or ()) == 1
 
 
 @pytest.mark.parametrize(
@@ -79,17 +75,15 @@
         ("", "connection-timeout"),
     ],
 )
-def test_invalid_stream_ends_with_its_defined_error(tmp_path: Path, said: str, condition: str) -> None:
-    async def go() -> None:
-        async with relaying_xmpp(tmp_path, echo, negotiate_s=0.5) as (relay, (endpoint,)):
-            client = await Client.connect(xmpp_address(relay))
-            client.send(said)
-            heard = await client.read_rest()
-            assert f"<{condition} xmlns='urn:ietf:params:xml:ns:xmpp-streams'/>" in heard
-            assert heard.endswith("</stream:stream>") and "<stream:stream" in heard
-            assert endpoint.lines == []
-
-    run_with_timeout(go(), 30)
+@pytest.mark.timeout(30)
+async def test_invalid_stream_ends_with_its_defined_error(tmp_path: Path, said: str, condition: str) -> None:
+    async with relaying_xmpp(tmp_path, echo, negotiate_s=0.5) as (relay, (endpoint,)):
+        client = await Client.connect(xmpp_address(relay))
+        client.send(said)
+        heard = await client.read_rest()
+        assert f"<{condition} xmlns='urn:ietf:params:xml:ns:xmpp-streams'/>" in heard
+        assert heard.endswith("</stream:stream>") and "<stream:stream" in heard
+        assert endpoint.lines == []
 
 
 async def breaks(server: Server) -> None:
@@ -102,25 +96,24 @@
 
 
 @pytest.mark.parametrize("act", [rejects, breaks, silence])
-def test_at_most_three_attempts_and_one_final_answer_with_its_condition(
+@pytest.mark.timeout(30)
+async def test_at_most_three_attempts_and_one_final_answer_with_its_condition(
     tmp_path: Path, act: Callable[[Server], Awaitable[None]]
 ) -> None:
-    async def go() -> None:
-        async with relaying_xmpp(tmp_path, *[act] * 5, wait_ms=900) as (relay, endpoints):
-            client = await Client.connect(xmpp_address(relay))
-            await client.login(client_tls())
-            began = asyncio.get_running_loop().time()
-            client.send_bind()
-            heard = await client.read_rest()
-            assert asyncio.get_running_loop().time() - began < 1.6
-            assert heard.count("<stream:error>") == 1 and heard.endswith("</stream:stream>")
-            assert "resource-constraint" in heard
-            assert 1 <= sum(len(e.lines) for e in endpoints) <= 3
-
-    run_with_timeout(go(), 30)
-
-
-def test_a_drain_finishes_the_stanza_on_the_wire_and_ends_the_stream(tmp_path: Path) -> None:
+    async with relaying_xmpp(tmp_path, *[act] * 5, wait_ms=900) as (relay, endpoints):
+        client = await Client.connect(xmpp_address(relay))
+        await client.login(client_tls())
+        began = asyncio.get_running_loop().time()
+        client.send_bind()
+        heard = await client.read_rest()
+        assert asyncio.get_running_loop().time() - began < 1.6
+        assert heard.count("<stream:error>") == 1 and heard.endswith("</stream:stream>")
+        assert "resource-constraint" in heard
+        assert 1 <= sum(len(e.lines) for e in endpoints) <= 3
+
+
+@pytest.mark.timeout(30)
+async def test_a_drain_finishes_the_stanza_on_the_wire_and_ends_the_stream(tmp_path: Path) -> None:
     # The stanza is half at the relay when the drain begins: the client must get it whole, or not at all.
     async def slow_speaker(server: Server) -> None:
         server.bound(await server.accept())
@@ -130,38 +123,33 @@
         server.send(" and half</body></message>")
         await server.read_rest()
 
-    async def go() -> None:
-        async with relaying_xmpp(tmp_path, slow_speaker) as (relay, _):
-            client = await Client.connect(xmpp_address(relay))
-            await client.login(client_tls())
-            await client.bind()
-            client.send("<presence/>")
-            draining = asyncio.ensure_future(relay.request_registry.drain(relay.ingress))
-            heard = await client.read_rest()
-            assert heard.startswith("<message><body>half and half</body></message><stream:error><reset ")
-            assert heard.endswith("</stream:error></stream:stream>")
-            client.writer.close()
-            await draining
-            assert len(relay.request_registry) == 0
-
-    run_with_timeout(go(), 30)
-
-
-def test_an_endpoint_that_drains_mid_stanza_leaves_a_clean_stream(tmp_path: Path) -> None:
+    async with relaying_xmpp(tmp_path, slow_speaker) as (relay, _):
+        client = await Client.connect(xmpp_address(relay))
+        await client.login(client_tls())
+        await client.bind()
+        client.send("<presence/>")
+        draining = asyncio.ensure_future(relay.request_registry.drain(relay.ingress))
+        heard = await client.read_rest()
+        assert heard.startswith("<message><body>half and half</body></message><stream:error><reset ")
+        assert heard.endswith("</stream:error></stream:stream>")
+        client.writer.close()
+        await draining
+        assert len(relay.request_registry) == 0
+
+
+@pytest.mark.timeout(30)
+async def test_an_endpoint_that_drains_mid_stanza_leaves_a_clean_stream(tmp_path: Path) -> None:
     async def dies(server: Server) -> None:
         server.bound(await server.accept())
         server.send("<message><body>half")
         await server.writer.drain()
 
-    async def go() -> None:
-        async with relaying_xmpp(tmp_path, dies) as (relay, _):
-            client = await Client.connect(xmpp_address(relay))
-            await client.login(client_tls())
-            await client.bind()
-            heard = await client.read_rest()
-            assert heard.startswith("<stream:error>") and heard.endswith("</stream:stream>")
-
-    run_with_timeout(go(), 30)
+    async with relaying_xmpp(tmp_path, dies) as (relay, _):
+        client = await Client.connect(xmpp_address(relay))
+        await client.login(client_tls())
+        await client.bind()
+        heard = await client.read_rest()
+        assert heard.startswith("<stream:error>") and heard.endswith("</stream:stream>")
 
 
 ANSWERS = {
@@ -246,22 +234,20 @@
     assert operator.xmpp.tls is not None and operator.xmpp.endpoint.tls is not None
 
 
-def test_silent_clients_and_incomplete_headers_are_closed_soon_and_evicted(tmp_path: Path) -> None:
+@pytest.mark.timeout(30)
+async def test_silent_clients_and_incomplete_headers_are_closed_soon_and_evicted(tmp_path: Path) -> None:
     # What bad clients do to the platform's front they can do here: the bounds are the listener's, for both.
-    async def go() -> None:
-        async with relaying_xmpp(tmp_path, echo) as (relay, _):
-            relay.admission.limits = ProcessLimits(sockets=96, memory_mb=192.0)
-            began = asyncio.get_running_loop().time()
-            half = await Client.connect(xmpp_address(relay))
-            half.send("<?xml version='1.0'?><stream:str")
-            assert "<connection-timeout " in await half.read_rest()
-            assert asyncio.get_running_loop().time() - began < 2.9
-            crowd = [await Client.connect(xmpp_address(relay)) for _ in range(30)]
-            assert "<resource-constraint " in await crowd[0].read_rest()
-            for each in crowd:
-                each.writer.close()
-
-    run_with_timeout(go(), 30)
+    async with relaying_xmpp(tmp_path, echo) as (relay, _):
+        relay.admission.limits = ProcessLimits(sockets=96, memory_mb=192.0)
+        began = asyncio.get_running_loop().time()
+        half = await Client.connect(xmpp_address(relay))
+        half.send("<?xml version='1.0'?><stream:str")
+        assert "<connection-timeout " in await half.read_rest()
+        assert asyncio.get_running_loop().time() - began < 2.9
+        crowd = [await Client.connect(xmpp_address(relay)) for _ in range(30)]
+        assert "<resource-constraint " in await crowd[0].read_rest()
+        for each in crowd:
+            each.writer.close()
 
 
 def test_an_endpoint_that_demands_endless_hashing_holds_up_nobody(
@@ -307,7 +293,7 @@
     return client
 
 
-def test_credentials_that_nobody_can_have_are_answered_like_wrong_ones(tmp_path: Path) -> None:
+async def test_credentials_that_nobody_can_have_are_answered_like_wrong_ones(tmp_path: Path) -> None:
     # Text that is no ASCII, a password with a control character, and an account whose record is damaged
     # failed in ways that nobody had foreseen: the connection was closed without a word.
     credentials = (
@@ -319,32 +305,26 @@
         ("SCRAM-SHA-256", b64("n,,n=nobody,r=abc"), "not-authorized"),
     )
 
-    async def go() -> None:
-        async with relaying_xmpp(tmp_path, echo) as (relay, _):
-            for damage in ({"salt": "zz"}, {"iterations": None}, {"class": 7}, {"salt": None}):
-                record = make_record("pw", "c", "t", iterations=4096)
-                relay.store.put(PREFIX + "damaged", {**record, **damage})
-                for mechanism, text, condition in credentials:
-                    client = await open_login(relay)
-                    client.send(f"<auth xmlns='{SASL}' mechanism='{mechanism}'>{text}</auth>")
-                    await client.read_until(f"<failure[^>]*><{condition}/></failure>")
-                    client.writer.close()
-
-    run_with_timeout(go())
+    async with relaying_xmpp(tmp_path, echo) as (relay, _):
+        for damage in ({"salt": "zz"}, {"iterations": None}, {"class": 7}, {"salt": None}):
+            record = make_record("pw", "c", "t", iterations=4096)
+            relay.store.put(PREFIX + "damaged", {**record, **damage})
+            for mechanism, text, condition in credentials:
+                client = await open_login(relay)
+                client.send(f"<auth xmlns='{SASL}' mechanism='{mechanism}'>{text}</auth>")
+                await client.read_until(f"<failure[^>]*><{condition}/></failure>")
+                client.writer.close()
 
 
-def test_a_fault_in_a_login_is_answered(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_fault_in_a_login_is_answered(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     async def fail(login: ClientLogin) -> None:
         raise RuntimeError("a fault that no check foresaw")
 
-    async def go() -> None:
-        async with relaying_xmpp(tmp_path, echo) as (relay, _):
-            with monkeypatch.context() as patched:
-                patched.setattr(ClientLogin, "run", fail)
-                client = await Client.connect(xmpp_address(relay))
-                client.send(HEADER.format("to"))
-                heard = await client.read_rest()
-            assert "<internal-server-error " in heard and heard.endswith("</stream:stream>")
-            await until(lambda: relay.admission.connection_count == 0)
-
-    run_with_timeout(go())
+    async with relaying_xmpp(tmp_path, echo) as (relay, _):
+        with monkeypatch.context() as patched:
+            patched.setattr(ClientLogin, "run", fail)
+            client = await Client.connect(xmpp_address(relay))
+            client.send(HEADER.format("to"))
+            heard = await client.read_rest()
+        assert "<internal-server-error " in heard and heard.endswith("</stream:stream>")
+        await until(lambda: relay.admission.connection_count == 0)
--- a/tests/net/test_accept_failures.py
+++ b/tests/net/test_accept_failures.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 import pytest
-from support.event_loop import run_with_timeout, until
+from support.event_loop import until
 from support.ports import open_descriptors
 
 from sageturn.core.tasks import cancel_and_wait
@@ -50,92 +50,84 @@
     await close_gracefully(sock)
 
 
-def test_everyone_in_the_backlog_is_answered_though_accepting_fails_as_the_relay_stops(
+async def test_everyone_in_the_backlog_is_answered_though_accepting_fails_as_the_relay_stops(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # One failure in that instant closed the listener over all who waited: they were reset without an answer.
-    async def go() -> None:
-        for errors in ((errno.ENFILE, errno.ECONNABORTED), (errno.ENOBUFS, errno.ENOBUFS, errno.ENOMEM)):
-            admission = AdmissionController(ProcessLimits(64, 64.0))
-            listener = Listener(("127.0.0.1", 0), serve_rejection, REJECTION, admission)
-            listener.start_listening()
-            clients = [socket.create_connection(listener.address) for _ in range(5)]
-            for client in clients:
-                client.sendall(b"OPEN a b c=c,t=t,d=2000\r\n")
-                client.settimeout(5)
-            with monkeypatch.context() as patched:
-                FailingAccept(*errors).install(patched)
-                listener.stop_accepting()
-                await listener.wait_until_idle(2.0)
-            answers = [await asyncio.to_thread(client.recv, 99) for client in clients]
-            assert answers == [REJECTION] * len(clients), errors
-            for client in clients:
-                client.close()
-
-    run_with_timeout(go())
-
-
-def test_a_listener_that_waits_for_a_descriptor_ends_with_the_others_as_the_relay_stops(
-    monkeypatch: pytest.MonkeyPatch,
-) -> None:
-    # It went on to wait at the socket that the stop had closed, and failed: the relay ended in the middle of
-    # its drain, and cut off all who were still served.
-    async def go() -> None:
+    for errors in ((errno.ENFILE, errno.ECONNABORTED), (errno.ENOBUFS, errno.ENOBUFS, errno.ENOMEM)):
         admission = AdmissionController(ProcessLimits(64, 64.0))
         listener = Listener(("127.0.0.1", 0), serve_rejection, REJECTION, admission)
         listener.start_listening()
-        descriptors = open_descriptors()
-        running = asyncio.ensure_future(listener.run())
-        failing = FailingAccept(errno.EMFILE, errno.EMFILE)
+        clients = [socket.create_connection(listener.address) for _ in range(5)]
+        for client in clients:
+            client.sendall(b"OPEN a b c=c,t=t,d=2000\r\n")
+            client.settimeout(5)
         with monkeypatch.context() as patched:
-            failing.install(patched)
-            client = socket.create_connection(listener.address)
-            await until(lambda: not failing.is_failing)  # it waits for a descriptor now
+            FailingAccept(*errors).install(patched)
             listener.stop_accepting()
-            client.settimeout(5)
-            assert await asyncio.to_thread(client.recv, 99) == REJECTION
-            client.close()
             await listener.wait_until_idle(2.0)
-            await asyncio.sleep(4 * OUT_OF_DESCRIPTORS_PAUSE_S)
-        assert running.done() and running.exception() is None
-        assert open_descriptors() <= descriptors - 2  # neither the socket nor the spare descriptor is left
-
-    run_with_timeout(go())
+        answers = [await asyncio.to_thread(client.recv, 99) for client in clients]
+        assert answers == [REJECTION] * len(clients), errors
+        for client in clients:
+            client.close()
 
 
-def test_accepting_that_fails_for_a_moment_evicts_nobody(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_listener_that_waits_for_a_descriptor_ends_with_the_others_as_the_relay_stops(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    # It went on to wait at the socket that the stop had closed, and failed: the relay ended in the middle of
+    # its drain, and cut off all who were still served.
+    admission = AdmissionController(ProcessLimits(64, 64.0))
+    listener = Listener(("127.0.0.1", 0), serve_rejection, REJECTION, admission)
+    listener.start_listening()
+    descriptors = open_descriptors()
+    running = asyncio.ensure_future(listener.run())
+    failing = FailingAccept(errno.EMFILE, errno.EMFILE)
+    with monkeypatch.context() as patched:
+        failing.install(patched)
+        client = socket.create_connection(listener.address)
+        await until(lambda: not failing.is_failing)  # it waits for a descriptor now
+        listener.stop_accepting()
+        client.settimeout(5)
+        assert await asyncio.to_thread(client.recv, 99) == REJECTION
+        client.close()
+        await listener.wait_until_idle(2.0)
+        await asyncio.sleep(4 * OUT_OF_DESCRIPTORS_PAUSE_S)
+    assert running.done() and running.exception() is None
+    assert open_descriptors() <= descriptors - 2  # neither the socket nor the spare descriptor is left
+
+
+@pytest.mark.timeout(5)
+async def test_accepting_that_fails_for_a_moment_evicts_nobody(monkeypatch: pytest.MonkeyPatch) -> None:
     # Eight who had not sent their request yet were rejected for each failure, though their descriptors are no
     # use against a shortage of the whole machine that passes by itself: half of the logins that take several
     # round trips, where a quarter of the calls failed.
-    async def go() -> None:
-        admission = AdmissionController(ProcessLimits(64, 64.0))
-        evicted: list[bool] = []
-
-        async def serve(sock: socket.socket, pending: PendingConnection) -> None:
-            with suppress(TimeoutError):
-                async with pending.time_limit(5.0):
-                    await asyncio.get_running_loop().sock_recv(sock, 99)
-            evicted.append(pending.evicted)
-
-        listener = Listener(("127.0.0.1", 0), serve, REJECTION, admission)
-        listener.start_listening()
-        running = asyncio.ensure_future(listener.run())
-        slow = [socket.create_connection(listener.address) for _ in range(5)]
-        await until(lambda: admission.awaiting_request == len(slow))
-        for errors in ((errno.ENFILE,), (errno.ENOBUFS, errno.ENOMEM), (errno.ENFILE, errno.ENFILE)):
-            with monkeypatch.context() as patched:
-                failing = FailingAccept(*errors)
-                failing.install(patched)
-                slow.append(socket.create_connection(listener.address))
-                await until(lambda: admission.awaiting_request == len(slow))
-                assert not failing.is_failing
-        with monkeypatch.context() as patched:  # what lasts is another matter, as is the process's own limit
-            FailingAccept(*[errno.ENFILE] * 50).install(patched)
+    admission = AdmissionController(ProcessLimits(64, 64.0))
+    evicted: list[bool] = []
+
+    async def serve(sock: socket.socket, pending: PendingConnection) -> None:
+        with suppress(TimeoutError):
+            async with pending.time_limit(5.0):
+                await asyncio.get_running_loop().sock_recv(sock, 99)
+        evicted.append(pending.evicted)
+
+    listener = Listener(("127.0.0.1", 0), serve, REJECTION, admission)
+    listener.start_listening()
+    running = asyncio.ensure_future(listener.run())
+    slow = [socket.create_connection(listener.address) for _ in range(5)]
+    await until(lambda: admission.awaiting_request == len(slow))
+    for errors in ((errno.ENFILE,), (errno.ENOBUFS, errno.ENOMEM), (errno.ENFILE, errno.ENFILE)):
+        with monkeypatch.context() as patched:
+            failing = FailingAccept(*errors)
+            failing.install(patched)
             slow.append(socket.create_connection(listener.address))
-            await until(lambda: any(evicted))
-        for client in slow:
-            client.close()
-        await cancel_and_wait(running)
-        await listener.cancel_connections()
-
-    run_with_timeout(go(), 5.0)
+            await until(lambda: admission.awaiting_request == len(slow))
+            assert not failing.is_failing
+    with monkeypatch.context() as patched:  # what lasts is another matter, as is the process's own limit
+        FailingAccept(*[errno.ENFILE] * 50).install(patched)
+        slow.append(socket.create_connection(listener.address))
+        await until(lambda: any(evicted))
+    for client in slow:
+        client.close()
+    await cancel_and_wait(running)
+    await listener.cancel_connections()
--- a/tests/net/test_connect_failures.py
+++ b/tests/net/test_connect_failures.py
@@ -8,7 +8,6 @@
 from typing import Any
 
 import pytest
-from support.event_loop import run_with_timeout
 from support.ports import open_descriptors
 
 from sageturn.core.close_reason import CloseReason
@@ -37,26 +36,23 @@
         monkeypatch.setattr(socket.socket, "connect", connect)
 
 
-def test_what_fails_on_this_machine_for_a_moment_is_tried_again_and_blamed_on_nobody(
+async def test_what_fails_on_this_machine_for_a_moment_is_tried_again_and_blamed_on_nobody(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # Two of these in a row ejected an endpoint that was well, and each used up one of the request's attempts.
-    async def go() -> None:
-        listening = socket.create_server(("127.0.0.1", 0))
-        address = listening.getsockname()
-        descriptors = open_descriptors()
-        for number in LOCAL_ERRNOS:
-            with monkeypatch.context() as patched:
-                FailingConnect(number, times=2).install(patched)
-                sock = await connect_unreserved(address, 1.0)
-                assert isinstance(sock, socket.socket), errno.errorcode[number]
-                sock.close()
-            with monkeypatch.context() as patched:
-                FailingConnect(number, times=float("inf")).install(patched)
-                failure = await connect_unreserved(address, 1.0)
-                assert isinstance(failure, ConnectFailure)
-                assert CLOSE_REASON_OF_CONNECT_FAILURE[failure] is CloseReason.NOT_SENT
-        assert open_descriptors() == descriptors
-        listening.close()
-
-    run_with_timeout(go())
+    listening = socket.create_server(("127.0.0.1", 0))
+    address = listening.getsockname()
+    descriptors = open_descriptors()
+    for number in LOCAL_ERRNOS:
+        with monkeypatch.context() as patched:
+            FailingConnect(number, times=2).install(patched)
+            sock = await connect_unreserved(address, 1.0)
+            assert isinstance(sock, socket.socket), errno.errorcode[number]
+            sock.close()
+        with monkeypatch.context() as patched:
+            FailingConnect(number, times=float("inf")).install(patched)
+            failure = await connect_unreserved(address, 1.0)
+            assert isinstance(failure, ConnectFailure)
+            assert CLOSE_REASON_OF_CONNECT_FAILURE[failure] is CloseReason.NOT_SENT
+    assert open_descriptors() == descriptors
+    listening.close()
--- a/tests/net/test_discovery_client.py
+++ b/tests/net/test_discovery_client.py
@@ -13,7 +13,7 @@
 from support.network_fakes import Discovery, chunked, listed, served, write_config
 
 from sageturn.config.loader import load
-from sageturn.core.messages import WatchFailed
+from sageturn.core.messages import EndpointListUpdate, WatchFailed
 from sageturn.decision import DiscoveryFailure
 from sageturn.net import discovery_watch
 from sageturn.net.discovery import DiscoveryClient
@@ -29,32 +29,28 @@
 COMPLETE_RESPONSE = chunked(listed({"a": ADDRESS}, 6)) + b"0\r\n\r\n#"
 
 
-def run_until_version_7(
+async def run_until_version_7(
     folder: Path, *answers: bytes, known: dict[str, Any] | None = None
 ) -> tuple[Relay, Discovery]:
     """A relay that has received version 7 of the list, in whatever way, and its discovery."""
-
-    async def go() -> tuple[Relay, Discovery]:
-        async with AsyncExitStack() as stack:
-            discovery = Discovery(*answers)
-            await stack.enter_async_context(served(discovery))
-            relay = Relay(load({"GW_CONFIG": str(write_config(folder, discovery.address, known))}))
-            relay.start()
-            stack.push_async_callback(relay.stop)
-            async with asyncio.timeout(15):
-                while relay.endpoint_registry.version != 7:
-                    await asyncio.sleep(0.01)
-            return relay, discovery
-
-    return asyncio.run(go())
+    async with AsyncExitStack() as stack:
+        discovery = Discovery(*answers)
+        await stack.enter_async_context(served(discovery))
+        relay = Relay(load({"GW_CONFIG": str(write_config(folder, discovery.address, known))}))
+        relay.start()
+        stack.push_async_callback(relay.stop)
+        async with asyncio.timeout(15):
+            while relay.endpoint_registry.version != 7:
+                await asyncio.sleep(0.01)
+        return relay, discovery
 
 
 @pytest.mark.parametrize(
     "failure", [UNAVAILABLE, b"", HALF_LIST, COMPLETE_RESPONSE, b"nonsense\r\n\r\n#", b"HTTP/1.1 200 OK\r\n#"]
 )
-def test_failed_watch_is_retried_after_a_delay(tmp_path: Path, failure: bytes) -> None:
+async def test_failed_watch_is_retried_after_a_delay(tmp_path: Path, failure: bytes) -> None:
     # Each of these is normal on the platform: none may end the relay, and discovery must not be hammered.
-    relay, discovery = run_until_version_7(tmp_path, failure, failure, FULL_LIST)
+    relay, discovery = await run_until_version_7(tmp_path, failure, failure, FULL_LIST)
     assert len(discovery.requests) == 3
     called_at_s = [when for when, _ in discovery.requests]
     gaps_s = [later - earlier for earlier, later in pairwise(called_at_s)]
@@ -62,21 +58,21 @@
     assert relay.endpoint_registry.has_ready_endpoint.is_set()
 
 
-def test_silent_watch_is_given_up(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_silent_watch_is_given_up(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     # Of a machine that vanished the connection stays open, and its changes count as known after 6 s.
     monkeypatch.setattr("sageturn.net.discovery_watch.IDLE_TIMEOUT_S", 0.2)
-    _, discovery = run_until_version_7(tmp_path, chunked(listed({"a": ADDRESS}, 6)), FULL_LIST)
+    _, discovery = await run_until_version_7(tmp_path, chunked(listed({"a": ADDRESS}, 6)), FULL_LIST)
     assert discovery.requests[1][1] == b"GET /v1/endpoints?stream=1&index=6 HTTP/1.1"
 
 
-def test_watch_starts_after_the_known_version(tmp_path: Path) -> None:
-    _, discovery = run_until_version_7(tmp_path, FULL_LIST, known=listed({"a": ADDRESS}, 5))
+async def test_watch_starts_after_the_known_version(tmp_path: Path) -> None:
+    _, discovery = await run_until_version_7(tmp_path, FULL_LIST, known=listed({"a": ADDRESS}, 5))
     assert discovery.requests[0][1] == b"GET /v1/endpoints?stream=1&index=5 HTTP/1.1"
 
 
-def test_changes_are_merged_and_an_endpoint_missing_from_a_full_list_is_gone(tmp_path: Path) -> None:
+async def test_changes_are_merged_and_an_endpoint_missing_from_a_full_list_is_gone(tmp_path: Path) -> None:
     change = {**listed({"b": ADDRESS}, 6), "full": False}
-    relay, _ = run_until_version_7(
+    relay, _ = await run_until_version_7(
         tmp_path, chunked(change, listed({"c": ADDRESS}, 7)), known=listed({"a": ADDRESS}, 5)
     )
     assert set(relay.endpoint_registry.addresses) == {
@@ -116,7 +112,9 @@
         writer.close()
 
 
-def failure_of(monkeypatch: pytest.MonkeyPatch, answer: bytes, waited_s: float = 0.0) -> DiscoveryFailure:
+async def failure_of(
+    monkeypatch: pytest.MonkeyPatch, answer: bytes, waited_s: float = 0.0
+) -> DiscoveryFailure:
     """How a call with this answer fails, when its clock says that it has waited so long."""
     monkeypatch.setattr(discovery_watch, "RESPONSE_TIMEOUT_S", 0.3)
     monkeypatch.setattr(discovery_watch, "IDLE_TIMEOUT_S", 0.3)
@@ -126,40 +124,40 @@
         while True:
             yield 50.0 + waited_s
 
-    async def go() -> DiscoveryFailure:
-        failed: asyncio.Queue[WatchFailed] = asyncio.Queue()
+    failed: asyncio.Queue[WatchFailed] = asyncio.Queue()
 
-        async def on_event(_: int, event: Any) -> None:
-            if isinstance(event, WatchFailed):
-                await failed.put(event)
+    async def on_event(_: int, event: EndpointListUpdate | WatchFailed) -> None:
+        if isinstance(event, WatchFailed):
+            await failed.put(event)
 
-        discovery = OneCallDiscovery(answer)
-        async with served(discovery):
-            client = DiscoveryClient(discovery.address, on_event, readings().__next__)
-            client.start(0)
+    discovery = OneCallDiscovery(answer)
+    async with served(discovery):
+        client = DiscoveryClient(discovery.address, on_event, readings().__next__)
+        client.start(0)
+        try:
             return (await asyncio.wait_for(failed.get(), 5)).failure
-
-    return asyncio.run(go())
+        finally:
+            await client.stop()
 
 
 @pytest.mark.parametrize(
     "answer", [RESET, UNAVAILABLE + b"#", UNAVAILABLE + b"~", b"#"], ids=["reset", "503", "left open", "end"]
 )
-def test_rejected_call_counts_as_overloaded_only_if_it_waited(
+async def test_rejected_call_counts_as_overloaded_only_if_it_waited(
     answer: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # When all failures were alike, 200 relays waited up to 150 s for their next call after a minute down.
-    assert failure_of(monkeypatch, answer) is DiscoveryFailure.UNREACHED
-    assert failure_of(monkeypatch, answer, 0.9) is DiscoveryFailure.UNREACHED
-    assert failure_of(monkeypatch, answer, 1.1) is DiscoveryFailure.OVERLOADED
-    assert failure_of(monkeypatch, answer, 3.0) is DiscoveryFailure.OVERLOADED
+    assert await failure_of(monkeypatch, answer) is DiscoveryFailure.UNREACHED
+    assert await failure_of(monkeypatch, answer, 0.9) is DiscoveryFailure.UNREACHED
+    assert await failure_of(monkeypatch, answer, 1.1) is DiscoveryFailure.OVERLOADED
+    assert await failure_of(monkeypatch, answer, 3.0) is DiscoveryFailure.OVERLOADED
 
 
-def test_call_without_a_response_is_unanswered(
+async def test_call_without_a_response_is_unanswered(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     for answer in (b"~", b"HTTP/1.1 200 OK\r\n~", HALF_LIST[:-1] + b"~"):
-        assert failure_of(monkeypatch, answer, 3.5) is DiscoveryFailure.UNANSWERED
+        assert await failure_of(monkeypatch, answer, 3.5) is DiscoveryFailure.UNANSWERED
 
 
 @pytest.mark.parametrize(
@@ -173,34 +171,31 @@
     ],
     ids=["cut", "reset", "complete", "nonsense", "bad list"],
 )
-def test_response_that_is_no_watch_is_unusable(answer: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
-    assert failure_of(monkeypatch, answer, 3.0) is DiscoveryFailure.UNUSABLE
+async def test_response_that_is_no_watch_is_unusable(answer: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
+    assert await failure_of(monkeypatch, answer, 3.0) is DiscoveryFailure.UNUSABLE
 
 
-def test_established_watch_is_lost_or_silent(monkeypatch: pytest.MonkeyPatch) -> None:
-    assert failure_of(monkeypatch, FULL_LIST + b"#", 9.0) is DiscoveryFailure.LOST
-    assert failure_of(monkeypatch, FULL_LIST + b"!", 9.0) is DiscoveryFailure.LOST
-    assert failure_of(monkeypatch, FULL_LIST + b"zz\r\n#", 9.0) is DiscoveryFailure.LOST
-    assert failure_of(monkeypatch, FULL_LIST + b"~", 9.0) is DiscoveryFailure.SILENT
+async def test_established_watch_is_lost_or_silent(monkeypatch: pytest.MonkeyPatch) -> None:
+    assert await failure_of(monkeypatch, FULL_LIST + b"#", 9.0) is DiscoveryFailure.LOST
+    assert await failure_of(monkeypatch, FULL_LIST + b"!", 9.0) is DiscoveryFailure.LOST
+    assert await failure_of(monkeypatch, FULL_LIST + b"zz\r\n#", 9.0) is DiscoveryFailure.LOST
+    assert await failure_of(monkeypatch, FULL_LIST + b"~", 9.0) is DiscoveryFailure.SILENT
 
 
 @pytest.mark.parametrize("connect_failure", [None, *ConnectFailure])
-def test_call_that_cannot_connect_is_unreached(
+async def test_call_that_cannot_connect_is_unreached(
     connect_failure: ConnectFailure | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def fail_to_connect(address: tuple[str, int], timeout_s: float) -> ConnectFailure:
         assert connect_failure is not None
         return connect_failure
 
-    async def go() -> DiscoveryFailure:
-        failed: asyncio.Queue[WatchFailed] = asyncio.Queue()
-        sock = bind_socket(("127.0.0.1", 0))  # it refuses connections, as nobody listens
-        try:
-            DiscoveryClient(sock.getsockname(), lambda _, event: failed.put(event)).start(0)  # type: ignore[arg-type]
-            return (await asyncio.wait_for(failed.get(), 5)).failure
-        finally:
-            sock.close()
-
     if connect_failure is not None:
         monkeypatch.setattr(discovery_watch, "connect", fail_to_connect)
-    assert asyncio.run(go()) is DiscoveryFailure.UNREACHED
+    failed: asyncio.Queue[WatchFailed] = asyncio.Queue()
+    sock = bind_socket(("127.0.0.1", 0))  # it refuses connections, as nobody listens
+    try:
+        DiscoveryClient(sock.getsockname(), lambda _, event: failed.put(event)).start(0)  # type: ignore[arg-type]
+        assert (await asyncio.wait_for(failed.get(), 5)).failure is DiscoveryFailure.UNREACHED
+    finally:
+        sock.close()
--- a/tests/net/test_endpoint_list.py
+++ b/tests/net/test_endpoint_list.py
@@ -21,7 +21,9 @@
 from sageturn.net.json_stream import JsonObjectSplitter
 
 TEXTS = st.text(st.sampled_from('ab{}[]"\\\n é'), max_size=8)
-VALUES = st.recursive(TEXTS | st.integers(), lambda v: st.lists(v) | st.dictionaries(TEXTS, v), max_leaves=6)
+VALUES = st.recursive(
+    TEXTS | st.integers(), lambda values: st.lists(values) | st.dictionaries(TEXTS, values), max_leaves=6
+)
 OBJECTS = st.dictionaries(TEXTS, VALUES, max_size=4)
 
 
@@ -30,13 +32,17 @@
     objects: list[Any], data: st.DataObject
 ) -> None:
     # When each line was taken for an object, an indented list failed the watch, call after call.
-    text = b"".join(b"\r\n" + json.dumps(o, indent=i, ensure_ascii=False).encode() for o, i in objects)
+    text = b"".join(
+        b"\r\n" + json.dumps(value, indent=indent, ensure_ascii=False).encode() for value, indent in objects
+    )
     cuts = sorted(data.draw(st.lists(st.integers(0, len(text)), max_size=12)))
     splitter = JsonObjectSplitter(1 << 20)
     found: list[bytes] = []
     for start, end in zip([0, *cuts], [*cuts, len(text)], strict=True):
         found += splitter.feed(text[start:end])
-    assert [json.loads(t) for t in found] == [o for o, _ in objects] and not splitter.is_inside_object
+    assert [json.loads(found_text) for found_text in found] == [
+        value for value, _ in objects
+    ] and not splitter.is_inside_object
 
 
 @pytest.mark.parametrize("text", [b"[", b"null", b"}", b'{"a":1},', b'"{}"', b"{" + b" " * 200])
@@ -86,47 +92,43 @@
 
 def chunked_response(*pieces: bytes) -> bytes:
     head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-    return head + b"".join(b"%x\r\n%s\r\n" % (len(p), p) for p in pieces)
+    return head + b"".join(b"%x\r\n%s\r\n" % (len(piece), piece) for piece in pieces)
 
 
-def watch_events(
+async def watch_events(
     *answers: bytes, count: int, monkeypatch: pytest.MonkeyPatch, timeout_s: float = 9.0
 ) -> list[Any]:
     """The first ``count`` events of one watch."""
     monkeypatch.setattr(discovery_watch, "RESPONSE_TIMEOUT_S", timeout_s)
     monkeypatch.setattr(discovery_watch, "IDLE_TIMEOUT_S", timeout_s)
-
-    async def go() -> list[Any]:
-        events: asyncio.Queue[Any] = asyncio.Queue()
-        discovery = Discovery(*answers)
-        async with served(discovery):
-            client = DiscoveryClient(discovery.address, lambda _, event: events.put(event))
-            client.start(0)
-            try:
-                return [await asyncio.wait_for(events.get(), 5) for _ in range(count)]
-            finally:
-                await client.stop()
-
-    return asyncio.run(go())
-
-
-def test_indented_list_is_read_in_whatever_chunks_it_comes(monkeypatch: pytest.MonkeyPatch) -> None:
+    events: asyncio.Queue[Any] = asyncio.Queue()
+    discovery = Discovery(*answers)
+    async with served(discovery):
+        client = DiscoveryClient(discovery.address, lambda _, event: events.put(event))
+        client.start(0)
+        try:
+            return [await asyncio.wait_for(events.get(), 5) for _ in range(count)]
+        finally:
+            await client.stop()
+
+
+async def test_indented_list_is_read_in_whatever_chunks_it_comes(monkeypatch: pytest.MonkeyPatch) -> None:
     text = json.dumps({"version": 7, "full": True, "servers": [entry(), entry(id="b")]}, indent=2).encode()
-    pieces = [text[k : k + 7] for k in range(0, len(text), 7)]
-    (update,) = watch_events(chunked_response(*pieces), count=1, monkeypatch=monkeypatch)
-    assert update.version == 7 and [s.name for s in update.endpoints] == ["a", "b"]
+    pieces = [text[start : start + 7] for start in range(0, len(text), 7)]
+    (update,) = await watch_events(chunked_response(*pieces), count=1, monkeypatch=monkeypatch)
+    assert update.version == 7 and [endpoint.name for endpoint in update.endpoints] == ["a", "b"]
 
 
-def test_objects_complete_before_an_error_are_reported(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_objects_complete_before_an_error_are_reported(monkeypatch: pytest.MonkeyPatch) -> None:
     # Discovery has sent them, so they count as known, whatever follows in the same read.
     good = json.dumps({"version": 7, "servers": [entry(state="draining")]}).encode()
     for response in (chunked_response(good + b"\n]") + b"#", chunked_response(good) + b"zz\r\n#"):
-        update, failed = watch_events(response, count=2, monkeypatch=monkeypatch)
+        update, failed = await watch_events(response, count=2, monkeypatch=monkeypatch)
         assert update.endpoints[0].state == "draining" and isinstance(failed, WatchFailed)
 
 
 @pytest.mark.parametrize("half", [b'{"version":7,\n', b'{"version":7,"servers":[{"id":"a{'])
-def test_incomplete_object_is_no_sign_of_life(half: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_incomplete_object_is_no_sign_of_life(half: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
     async def serve_slowly(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
         writer.write(chunked_response(b'{"version":6,"servers":[]}\n', half))
@@ -136,14 +138,14 @@
         writer.close()
 
     monkeypatch.setattr(Discovery, "serve", lambda self, reader, writer: serve_slowly(reader, writer))
-    update, failed = watch_events(b"", count=2, monkeypatch=monkeypatch, timeout_s=0.3)
+    update, failed = await watch_events(b"", count=2, monkeypatch=monkeypatch, timeout_s=0.3)
     assert update.version == 6 and failed == WatchFailed("silent", DiscoveryFailure.SILENT)
 
 
-def test_watch_that_crashes_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_watch_that_crashes_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
     # Such a watch once ended unseen, and the relay kept its old list for good.
     monkeypatch.setattr(discovery_watch, "parse_endpoint_list", lambda obj: 1 / 0)
-    (failed,) = watch_events(chunked_response(b"{}"), count=1, monkeypatch=monkeypatch)
+    (failed,) = await watch_events(chunked_response(b"{}"), count=1, monkeypatch=monkeypatch)
     assert "ZeroDivisionError" in failed.reason and failed.failure is DiscoveryFailure.UNUSABLE
 
 
@@ -161,48 +163,44 @@
         return len(self.started_after)
 
 
-def test_events_of_a_replaced_watch_neither_end_the_new_one_nor_set_its_version() -> None:
-    async def go() -> None:
-        events: asyncio.Queue[EndpointListEvent] = asyncio.Queue()
-        address = ("127.0.0.1", 9)
-        known = parse_endpoint_list({"version": 5, "full": True, "servers": [entry()]})
-        endpoint_registry = EndpointRegistry(known, events.put)  # type: ignore[arg-type]
-        endpoint_registry.watcher = watcher = RecordingWatcher()
-        actor = asyncio.ensure_future(endpoint_registry.run())
-        await endpoint_registry.post_message(WatchRequested())
-        await endpoint_registry.post_message(DiscoveryAddressChanged())
-        draining = parse_endpoint_list({"version": 900, "servers": [entry(state="draining")]})
-        await endpoint_registry.on_watch_event(1, draining)
-        await endpoint_registry.on_watch_event(1, WatchFailed("ended", DiscoveryFailure.LOST))
-        await endpoint_registry.post_message(WatchRequested())  # the new watch is open: passed over
-        await endpoint_registry.on_watch_event(2, WatchFailed("ended", DiscoveryFailure.LOST))
-        kinds = [(await events.get()).kind for _ in range(3)]
-        assert kinds == ["stale", "changes", "failed"] and watcher.started_after == [5, 0]
-        await endpoint_registry.post_message(WatchRequested())
-        await endpoint_registry.on_watch_event(3, EndpointListUpdate(8, True, [], {}))
-        assert (await events.get()).kind == "full" and watcher.started_after == [5, 0, 0]
-        assert not endpoint_registry.is_ready_at("a", address) and endpoint_registry.version == 8
-        actor.cancel()
-
-    asyncio.run(asyncio.wait_for(go(), 5))
+@pytest.mark.timeout(5)
+async def test_events_of_a_replaced_watch_neither_end_the_new_one_nor_set_its_version() -> None:
+    events: asyncio.Queue[EndpointListEvent] = asyncio.Queue()
+    address = ("127.0.0.1", 9)
+    known = parse_endpoint_list({"version": 5, "full": True, "servers": [entry()]})
+    endpoint_registry = EndpointRegistry(known, events.put)  # type: ignore[arg-type]
+    endpoint_registry.watcher = watcher = RecordingWatcher()
+    actor = asyncio.ensure_future(endpoint_registry.run())
+    await endpoint_registry.post_message(WatchRequested())
+    await endpoint_registry.post_message(DiscoveryAddressChanged())
+    draining = parse_endpoint_list({"version": 900, "servers": [entry(state="draining")]})
+    await endpoint_registry.on_watch_event(1, draining)
+    await endpoint_registry.on_watch_event(1, WatchFailed("ended", DiscoveryFailure.LOST))
+    await endpoint_registry.post_message(WatchRequested())  # the new watch is open: passed over
+    await endpoint_registry.on_watch_event(2, WatchFailed("ended", DiscoveryFailure.LOST))
+    kinds = [(await events.get()).kind for _ in range(3)]
+    assert kinds == ["stale", "changes", "failed"] and watcher.started_after == [5, 0]
+    await endpoint_registry.post_message(WatchRequested())
+    await endpoint_registry.on_watch_event(3, EndpointListUpdate(8, True, [], {}))
+    assert (await events.get()).kind == "full" and watcher.started_after == [5, 0, 0]
+    assert not endpoint_registry.is_ready_at("a", address) and endpoint_registry.version == 8
+    actor.cancel()
 
 
 @pytest.mark.parametrize("pushed", [True, False])
-def test_watch_is_started_at_once_where_lists_are_pushed(pushed: bool) -> None:
+@pytest.mark.timeout(5)
+async def test_watch_is_started_at_once_where_lists_are_pushed(pushed: bool) -> None:
     # The balancer requests none there, so on sockets a relay kept the list of its start and missed drains.
-    async def go() -> None:
-        events: asyncio.Queue[EndpointListEvent] = asyncio.Queue()
-        known = parse_endpoint_list({"version": 5, "full": True, "servers": [entry()]})
-        endpoint_registry = EndpointRegistry(known, events.put, pushed)  # type: ignore[arg-type]
-        endpoint_registry.watcher = watcher = RecordingWatcher()
-        actor = asyncio.ensure_future(endpoint_registry.run())
-        await events.get()
-        await asyncio.sleep(0)
-        assert watcher.started_after == ([5] if pushed else [])
-        await endpoint_registry.on_watch_event(
-            len(watcher.started_after), WatchFailed("silent", DiscoveryFailure.SILENT)
-        )
-        assert await events.get() == EndpointListEvent("failed", [], DiscoveryFailure.SILENT)
-        actor.cancel()
-
-    asyncio.run(asyncio.wait_for(go(), 5))
+    events: asyncio.Queue[EndpointListEvent] = asyncio.Queue()
+    known = parse_endpoint_list({"version": 5, "full": True, "servers": [entry()]})
+    endpoint_registry = EndpointRegistry(known, events.put, pushed)  # type: ignore[arg-type]
+    endpoint_registry.watcher = watcher = RecordingWatcher()
+    actor = asyncio.ensure_future(endpoint_registry.run())
+    await events.get()
+    await asyncio.sleep(0)
+    assert watcher.started_after == ([5] if pushed else [])
+    await endpoint_registry.on_watch_event(
+        len(watcher.started_after), WatchFailed("silent", DiscoveryFailure.SILENT)
+    )
+    assert await events.get() == EndpointListEvent("failed", [], DiscoveryFailure.SILENT)
+    actor.cancel()
--- a/tests/net/test_evictions.py
+++ b/tests/net/test_evictions.py
@@ -7,7 +7,8 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from support.event_loop import run_with_timeout, until
+import pytest
+from support.event_loop import until
 from support.network_fakes import first_line, relaying, up
 
 from sageturn.relay import Relay
@@ -23,23 +24,22 @@
     relay.ingress.stop_accepting()
 
 
-def test_a_client_that_is_evicted_in_the_middle_of_its_line_is_not_reset(tmp_path: Path) -> None:
+@pytest.mark.parametrize("evict", [evict_for_descriptors, stop])
+async def test_a_client_that_is_evicted_in_the_middle_of_its_line_is_not_reset(
+    tmp_path: Path, evict: Callable[[Relay], None]
+) -> None:
     # The relay answered BUSY and closed at once; the rest of the line came to a closed socket, whose reset
     # could overtake the answer.
-    async def go(evict: Callable[[Relay], None]) -> None:
-        async with relaying(tmp_path, up) as (relay, _):
-            await until(lambda: relay.endpoint_registry.version == 2)
-            with socket.create_connection(relay.listener.address) as client:
-                client.settimeout(5)
-                line = first_line()
-                client.sendall(line[:20])
-                await until(lambda: relay.admission.awaiting_request == 1)
-                evict(relay)
-                await asyncio.sleep(MORE_AFTER_S)
-                client.sendall(line[20:])
-                await asyncio.sleep(MORE_AFTER_S)
-                assert await asyncio.to_thread(client.recv, 99) == b"BUSY 500\r\n"
-                assert await asyncio.to_thread(client.recv, 99) == b""
-
-    for evict in (evict_for_descriptors, stop):
-        run_with_timeout(go(evict))
+    async with relaying(tmp_path, up) as (relay, _):
+        await until(lambda: relay.endpoint_registry.version == 2)
+        with socket.create_connection(relay.listener.address) as client:
+            client.settimeout(5)
+            line = first_line()
+            client.sendall(line[:20])
+            await until(lambda: relay.admission.awaiting_request == 1)
+            evict(relay)
+            await asyncio.sleep(MORE_AFTER_S)
+            client.sendall(line[20:])
+            await asyncio.sleep(MORE_AFTER_S)
+            assert await asyncio.to_thread(client.recv, 99) == b"BUSY 500\r\n"
+            assert await asyncio.to_thread(client.recv, 99) == b""
--- a/tests/net/test_short_writes.py
+++ b/tests/net/test_short_writes.py
@@ -7,7 +7,6 @@
 from typing import Any
 
 import pytest
-from support.event_loop import run_with_timeout
 from support.network_fakes import relaying, reply, up
 
 from sageturn.frontends.platform import frontend as platform_frontend
@@ -28,10 +27,10 @@
 
 
 @pytest.mark.usefixtures("short_writes")
-def test_an_answer_that_is_sent_at_once_arrives_whole(
+async def test_an_answer_that_is_sent_at_once_arrives_whole(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Clients that were turned away while descriptors ran out read "BU" and the end of the connection.
+    # Clients that were rejected while descriptors ran out read "BU" and the end of the connection.
     client, server = socket.socketpair()
     server.setblocking(False)
     client.settimeout(5)
@@ -42,9 +41,6 @@
     assert received == REJECTION
     client.close()
 
-    async def late_line() -> None:
-        monkeypatch.setattr(platform_frontend, "REQUEST_LINE_TIMEOUT_S", 0.05)
-        async with relaying(tmp_path, up) as (relay, _):
-            assert await reply(relay.listener.address, b"OPEN half") == b"ERR no first line in time\r\n"
-
-    run_with_timeout(late_line())
+    monkeypatch.setattr(platform_frontend, "REQUEST_LINE_TIMEOUT_S", 0.05)
+    async with relaying(tmp_path, up) as (relay, _):
+        assert await reply(relay.listener.address, b"OPEN half") == b"ERR no first line in time\r\n"
--- a/tests/net/test_sockets.py
+++ b/tests/net/test_sockets.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 import pytest
-from support.event_loop import run_with_timeout, until
+from support.event_loop import until
 from support.load_reports import FIELDS, probed_by
 from support.network_fakes import SETTINGS, Streams, ask, first_line, relaying, silent, up
 from support.replication_member import replica
@@ -22,7 +22,7 @@
 from support.xmpp_relay import client_tls, relaying_xmpp, xmpp_address
 
 from sageturn.core.shutdown_schedule import ShutdownSchedule
-from sageturn.net import listener
+from sageturn.net import connection_tasks
 from sageturn.net.admission import ProcessLimits
 from sageturn.net.closing import close_gracefully, send_and_close
 from sageturn.net.descriptors import DESCRIPTOR_RESERVE, DescriptorReserve
@@ -50,10 +50,10 @@
 
 def all_have_nodelay(found: list[tuple[str, socket.socket]], directions: set[str]) -> bool:
     assert {direction for direction, _ in found} == directions
-    return all(s.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY) for _, s in found)
+    return all(sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY) for _, sock in found)
 
 
-def test_all_sockets_of_the_platform_frontend_have_nodelay(
+async def test_all_sockets_of_the_platform_frontend_have_nodelay(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Clients, endpoints, discovery's watch, and connections that are kept for probes.
@@ -61,69 +61,57 @@
     monkeypatch.setitem(SETTINGS, "report", {"source": "probe", "fields": list(FIELDS)})
     script, seen = probed_by()
 
-    async def go() -> None:
-        async with relaying(tmp_path, script) as (relay, (endpoint,)):
-            reader, writer = await ask(relay.listener.address, first_line())
-            assert await reader.readline() == b"UP r1\r\n"
-            await until(lambda: seen and relay.endpoint_registry.version == 2)
-            idle = await ask(relay.listener.address, b"")
-            await until(lambda: relay.admission.awaiting_request)
-            dialled = {endpoint.address, relay.discovery._address}
-            found = connections_of_relay({relay.listener.address}, dialled)
-            assert {s.getpeername() for d, s in found if d == "dialled"} == dialled
-            assert len(found) >= 5 and all_have_nodelay(found, {"accepted", "dialled"})
-            for each in (writer, idle[1]):
-                each.close()
-
-    run_with_timeout(go())
-
-
-def test_all_sockets_of_the_xmpp_frontend_have_nodelay(tmp_path: Path) -> None:
-    async def go() -> None:
-        async with relaying_xmpp(tmp_path, echo) as (relay, (endpoint,)):
-            client = await Client.connect(xmpp_address(relay))
-            await client.login(client_tls())
-            await client.bind()
-            found = connections_of_relay({xmpp_address(relay)}, {endpoint.address})
-            assert len(found) == 2 and all_have_nodelay(found, {"accepted", "dialled"})
-            client.writer.close()
-
-    run_with_timeout(go())
-
-
-def test_all_links_between_stores_have_nodelay() -> None:
-    async def go() -> None:
-        one, other = Store("a"), Store("b")
-        first = replica(one)
-        second = replica(other, first.address)
-        await until(lambda: first.link_count and second.link_count)
-        found = connections_of_relay({first.address}, {first.address})
+    async with relaying(tmp_path, script) as (relay, (endpoint,)):
+        reader, writer = await ask(relay.listener.address, first_line())
+        assert await reader.readline() == b"UP r1\r\n"
+        await until(lambda: seen and relay.endpoint_registry.version == 2)
+        idle = await ask(relay.listener.address, b"")
+        await until(lambda: relay.admission.awaiting_request)
+        dialled = {endpoint.address, relay.discovery._address}
+        found = connections_of_relay({relay.listener.address}, dialled)
+        assert {sock.getpeername() for direction, sock in found if direction == "dialled"} == dialled
+        assert len(found) >= 5 and all_have_nodelay(found, {"accepted", "dialled"})
+        for each in (writer, idle[1]):
+            each.close()
+
+
+async def test_all_sockets_of_the_xmpp_frontend_have_nodelay(tmp_path: Path) -> None:
+    async with relaying_xmpp(tmp_path, echo) as (relay, (endpoint,)):
+        client = await Client.connect(xmpp_address(relay))
+        await client.login(client_tls())
+        await client.bind()
+        found = connections_of_relay({xmpp_address(relay)}, {endpoint.address})
         assert len(found) == 2 and all_have_nodelay(found, {"accepted", "dialled"})
-        await second.stop()
-        await first.stop()
+        client.writer.close()
 
-    run_with_timeout(go())
 
+async def test_all_links_between_stores_have_nodelay() -> None:
+    one, other = Store("a"), Store("b")
+    first = replica(one)
+    second = replica(other, first.address)
+    await until(lambda: first.link_count and second.link_count)
+    found = connections_of_relay({first.address}, {first.address})
+    assert len(found) == 2 and all_have_nodelay(found, {"accepted", "dialled"})
+    await second.stop()
+    await first.stop()
 
-def test_rejected_connection_has_nodelay(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+
+async def test_rejected_connection_has_nodelay(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     options: list[int] = []
 
     def checking_send_and_close(sock: socket.socket, text: bytes) -> None:
         options.append(sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY))
         send_and_close(sock, text)
 
-    monkeypatch.setattr(listener, "send_and_close", checking_send_and_close)
-
-    async def go() -> None:
-        async with relaying(tmp_path, up) as (relay, _):
-            relay.admission.limits = ProcessLimits(sockets=96, memory_mb=1.0)
-            held: list[Streams] = [await ask(relay.listener.address, first_line()) for _ in range(17)]
-            answers = [await reader.readline() for reader, _ in held]
-            assert answers[-1] == b"BUSY 500\r\n" and options and all(options)
-            for _, writer in held:
-                writer.close()
+    monkeypatch.setattr(connection_tasks, "send_and_close", checking_send_and_close)
 
-    run_with_timeout(go())
+    async with relaying(tmp_path, up) as (relay, _):
+        relay.admission.limits = ProcessLimits(sockets=96, memory_mb=1.0)
+        held: list[Streams] = [await ask(relay.listener.address, first_line()) for _ in range(17)]
+        answers = [await reader.readline() for reader, _ in held]
+        assert answers[-1] == b"BUSY 500\r\n" and options and all(options)
+        for _, writer in held:
+            writer.close()
 
 
 # ---------------------------------------------------------------- closing while bytes lie unread
@@ -141,21 +129,18 @@
     client.close()
 
 
-def test_a_polite_close_that_is_cut_off_closes_over_nothing_unread(
+async def test_a_polite_close_that_is_cut_off_closes_over_nothing_unread(
     pair: tuple[socket.socket, socket.socket],
 ) -> None:
     # Bytes that came in the moment in which it was cut off made the kernel send a reset.
     relay_socket, client = pair
 
-    async def go() -> None:
-        relay_socket.send(b"ERR why\r\n")
-        closing = asyncio.ensure_future(close_gracefully(relay_socket))
-        await asyncio.sleep(0)
-        client.sendall(b"M 1\r\n")  # the loop does not turn between its coming and the end
-        closing.cancel()
-        await asyncio.wait((closing,))
-
-    run_with_timeout(go())
+    relay_socket.send(b"ERR why\r\n")
+    closing = asyncio.ensure_future(close_gracefully(relay_socket))
+    await asyncio.sleep(0)
+    client.sendall(b"M 1\r\n")  # the loop does not turn between its coming and the end
+    closing.cancel()
+    await asyncio.wait((closing,))
     poll = select.poll()
     poll.register(client, select.POLLIN)
     ((_, mask),) = poll.poll(0)
@@ -163,21 +148,18 @@
     assert client.recv(99) == b"ERR why\r\n" and client.recv(99) == b""
 
 
-def test_an_xmpp_client_evicted_as_it_speaks_hears_its_answer_and_no_reset(tmp_path: Path) -> None:
+async def test_an_xmpp_client_evicted_as_it_speaks_hears_its_answer_and_no_reset(tmp_path: Path) -> None:
     # Its connection was closed over what lay unread: the reset could destroy the answer on its way.
-    async def go() -> None:
-        async with relaying_xmpp(tmp_path, echo) as (relay, _):
-            client = await Client.connect(xmpp_address(relay))
-            client.send("<?xml version='1.0'?>")
-            await until(lambda: relay.admission.awaiting_request)
-            await asyncio.sleep(0.01)
-            relay.admission.evict_all_pending()
-            client.send(HEADER.format("to").removeprefix("<?xml version='1.0'?>") + " " * 2000)
-            heard = await client.read_rest()
-            assert "<resource-constraint " in heard and not heard.endswith("[reset]")
-            client.writer.close()
-
-    run_with_timeout(go())
+    async with relaying_xmpp(tmp_path, echo) as (relay, _):
+        client = await Client.connect(xmpp_address(relay))
+        client.send("<?xml version='1.0'?>")
+        await until(lambda: relay.admission.awaiting_request)
+        await asyncio.sleep(0.01)
+        relay.admission.evict_all_pending()
+        client.send(HEADER.format("to").removeprefix("<?xml version='1.0'?>") + " " * 2000)
+        heard = await client.read_rest()
+        assert "<resource-constraint " in heard and not heard.endswith("[reset]")
+        client.writer.close()
 
 
 # ---------------------------------------------------------------- descriptors
@@ -226,28 +208,27 @@
     DESCRIPTOR_RESERVE.resize(0)
 
 
-def test_descriptor_reserve_is_never_a_clients_and_is_refilled_first(descriptors_left: list[int]) -> None:
-    async def go() -> None:
-        with socket.create_server(("127.0.0.1", 0)) as door:
-            address = door.getsockname()
-            descriptors_left[0] = 2
-            DESCRIPTOR_RESERVE.resize(2)
-            assert descriptors_left[0] == 0
-            assert await connect_unreserved(address, 1.0) is ConnectFailure.NO_DESCRIPTOR
-            watch = await connect(address, 1.0)
-            assert isinstance(watch, socket.socket)
-            descriptors_left[0] += 1  # one that is let go of is not a client's while the reserve is not whole
-            assert await connect_unreserved(address, 1.0) is ConnectFailure.NO_DESCRIPTOR
-            assert descriptors_left[0] == 0
-            again = await connect(address, 1.0)
-            assert isinstance(again, socket.socket)
-            descriptors_left[0] += 2
-            client = await connect_unreserved(address, 1.0)
-            assert isinstance(client, socket.socket)
-            for each in (watch, again, client):
-                each.close()
-
-    run_with_timeout(go())
+async def test_descriptor_reserve_is_never_a_clients_and_is_refilled_first(
+    descriptors_left: list[int],
+) -> None:
+    with socket.create_server(("127.0.0.1", 0)) as door:
+        address = door.getsockname()
+        descriptors_left[0] = 2
+        DESCRIPTOR_RESERVE.resize(2)
+        assert descriptors_left[0] == 0
+        assert await connect_unreserved(address, 1.0) is ConnectFailure.NO_DESCRIPTOR
+        watch = await connect(address, 1.0)
+        assert isinstance(watch, socket.socket)
+        descriptors_left[0] += 1  # one that is let go of is not a client's while the reserve is not whole
+        assert await connect_unreserved(address, 1.0) is ConnectFailure.NO_DESCRIPTOR
+        assert descriptors_left[0] == 0
+        again = await connect(address, 1.0)
+        assert isinstance(again, socket.socket)
+        descriptors_left[0] += 2
+        client = await connect_unreserved(address, 1.0)
+        assert isinstance(client, socket.socket)
+        for each in (watch, again, client):
+            each.close()
 
 
 def test_reserve_that_cannot_be_filled_releases_nothing(descriptors_left: list[int]) -> None:
@@ -260,27 +241,24 @@
 
 
 @pytest.mark.parametrize("said", [first_line(), b""])
-def test_with_no_descriptor_left_those_in_the_backlog_are_answered_as_the_door_is_shut(
+async def test_with_no_descriptor_left_those_in_the_backlog_are_answered_as_the_door_is_shut(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, said: bytes
 ) -> None:
     # They were left there, and reset with the door.
-    async def go() -> None:
-        async with relaying(tmp_path, silent) as (relay, _):
-            relay.request_registry.schedule = ShutdownSchedule(0.0, 0.0, 0.05, 2.0)
-            shut, came = relay.ingress.stop_accepting, list[socket.socket]()
-            monkeypatch.setattr(relay.listener, "_accept", lambda most: True)
-
-            def comes_and_shut() -> None:
-                for _ in range(3):
-                    came.append(socket.create_connection(relay.listener.address))
-                    came[-1].sendall(said)
-                shut()
-
-            monkeypatch.setattr(relay.ingress, "stop_accepting", comes_and_shut)
-            await relay.request_registry.drain(relay.ingress)
-            for client in came:
-                client.settimeout(5)
-                assert client.recv(99) == b"BUSY 500\r\n" and client.recv(99) == b""
-                client.close()
-
-    run_with_timeout(go())
+    async with relaying(tmp_path, silent) as (relay, _):
+        relay.request_registry.schedule = ShutdownSchedule(0.0, 0.0, 0.05, 2.0)
+        shut, came = relay.ingress.stop_accepting, list[socket.socket]()
+        monkeypatch.setattr(relay.listener, "_accept_queued", lambda max_connections: True)
+
+        def comes_and_shut() -> None:
+            for _ in range(3):
+                came.append(socket.create_connection(relay.listener.address))
+                came[-1].sendall(said)
+            shut()
+
+        monkeypatch.setattr(relay.ingress, "stop_accepting", comes_and_shut)
+        await relay.request_registry.drain(relay.ingress)
+        for client in came:
+            client.settimeout(5)
+            assert client.recv(99) == b"BUSY 500\r\n" and client.recv(99) == b""
+            client.close()
