--- a/sageturn/config/fields.py
+++ b/sageturn/config/fields.py
@@ -1,143 +1,136 @@
-"""Typed access to the objects of a configuration, key by key; every error names the path to its key."""
+"""Typed access to the objects and arrays of a configuration; every error names the path to its key."""
 
 from __future__ import annotations
 
-from collections.abc import Collection
-from typing import Any, TypeVar
+from collections.abc import Collection, Iterator, Sequence
+from typing import TypeVar
 
 from sageturn.config.errors import ConfigError
 from sageturn.net.addresses import Address, parse_address
+from sageturn.net.json_stream import JsonObject
 
-T = TypeVar("T")
-MAX_NUMBER = 1e9  # no count or time in a file is near it; it keeps integers within what the system takes
+ValueT = TypeVar("ValueT")
+MAX_NUMBER = 1e9  # above every count and time in a file; keeps integers within what the system takes
 WRONG_TYPE = "has the wrong type"
 
 
 def decode_address(path: str, text: str) -> Address:
-    """Read ``HOST:PORT``, as found at ``path``."""
+    """Parse the ``HOST:PORT`` that was found at ``path``; raises ConfigError."""
     try:
         return parse_address(text)
     except ValueError as error:
         raise ConfigError(path, str(error)) from error
 
 
+def check_number(path: str, value: object, minimum: float = 0.0, maximum: float = MAX_NUMBER) -> float:
+    """Return the value that was found at ``path``; raises ConfigError unless it is a number in the range."""
+    if isinstance(value, bool) or not isinstance(value, (int, float)):
+        raise ConfigError(path, WRONG_TYPE)
+    if not minimum <= value <= maximum:  # also rejects NaN, which Python's JSON decoder accepts
+        raise ConfigError(path, f"must be from {minimum:g} to {maximum:g}")
+    return float(value)
+
+
 class ConfigSection:
-    """One object of a configuration. Where a method takes no default, or None, the key must be there."""
+    """One object of a configuration.
+
+    A method that reads a key raises ConfigError where the value is of another kind than the method's name
+    says, and where the key is absent and ``default`` is None or not a parameter.
+    """
+
+    def __init__(self, values: object, path: str, null_is_absent: bool = False) -> None:
+        """Take over a decoded object; raises ConfigError if ``values`` is something else.
 
-    def __init__(self, values: Any, path: str, null_is_absent: bool = False) -> None:
-        """``null_is_absent``: a key whose value is null counts as absent, in sections within this one too."""
+        Args:
+            values: as decoded from JSON.
+            path: of the object within its file, for messages; empty for the whole file.
+            null_is_absent: a key whose value is null counts as absent, in sections within this one too.
+        """
         if not isinstance(values, dict):
             raise ConfigError(path or "the top", "must be an object")
         if null_is_absent:
             values = {key: value for key, value in values.items() if value is not None}
-        self._values = values
+        self._values: JsonObject = values
         self._path = path
         self._null_is_absent = null_is_absent
 
     def path(self, key: str) -> str:
-        """The path to ``key`` from the top of the file, for messages."""
+        """Return the path to ``key`` from the top of the file, for messages."""
         return f"{self._path}.{key}" if self._path else key
 
     def contains(self, key: str) -> bool:
-        """Whether the key is there, with whatever value."""
+        """Return whether the key is present, with whatever value."""
         return key in self._values
 
     def reject_unknown_keys(self, *known_keys: str) -> None:
-        """Raise for a mistyped key, which must not be passed over in an operator's file."""
+        """Raise ConfigError for the first key that is not known: a mistyped key must not be ignored."""
         for key in self._values:
             if key not in known_keys:
                 raise ConfigError(self.path(key), "is unknown")
 
     def text(self, key: str, default: str | None = None) -> str:
-        """A string."""
+        """Return a string."""
         return self._value(key, str, default)
 
     def flag(self, key: str, default: bool | None = None) -> bool:
-        """True or false."""
+        """Return true or false."""
         return self._value(key, bool, default)
 
-    def list_of_any(self, key: str, default: list[Any] | None = None) -> list[Any]:
-        """A list whose items the caller checks."""
-        return self._value(key, list, default)
-
-    def dict_of_any(self, key: str, default: dict[str, Any] | None = None) -> dict[str, Any]:
-        """An object whose keys and values the caller checks."""
-        return self._value(key, dict, default)
-
     def number(
         self, key: str, default: float | None = None, minimum: float = 0.0, maximum: float = MAX_NUMBER
     ) -> float:
-        """A number, integer or not, within the bounds."""
-        return self._check_number(key, self._value(key, (int, float), default), minimum, maximum)
-
-    def number_list(self, key: str) -> list[float]:
-        """A list of numbers from 0; empty where the key is absent."""
-        values = enumerate(self.list_of_any(key, []))
-        return [self._check_number(f"{key}[{index}]", value, 0.0, MAX_NUMBER) for index, value in values]
+        """Return a number, integer or not, from ``minimum`` to ``maximum``."""
+        return check_number(self.path(key), self._value(key, (int, float), default), minimum, maximum)
 
     def integer(
         self, key: str, default: int | None = None, minimum: int = 0, maximum: float = MAX_NUMBER
     ) -> int:
-        """A number without a fraction; 3.0 is one, too."""
+        """Return a number without a fraction; 3.0 is one, too."""
         value = self.number(key, default, minimum, maximum)
         if value != int(value):
             raise ConfigError(self.path(key), "must be a whole number")
         return int(value)
 
     def truncated_integer(self, key: str, default: int, minimum: int = 0) -> int:
-        """A number of which a fraction is dropped."""
+        """Return a number without its fraction."""
         return int(self.number(key, default, minimum))
 
     def ratio(self, key: str, default: float) -> float:
-        """A number from 0 to 1."""
+        """Return a number from 0 to 1."""
         value = self.number(key, default)
         if value > 1.0:
             raise ConfigError(self.path(key), "must be from 0 to 1")
         return value
 
     def one_of(self, key: str, choices: Collection[str], default: str) -> str:
-        """A string among ``choices``."""
+        """Return a string that is among ``choices``."""
         value = self.text(key, default)
         if value not in choices:
             raise ConfigError(self.path(key), f"must be one of {', '.join(choices)}")
         return value
 
-    def names(self, key: str, known_names: list[str], default: list[str]) -> list[str]:
-        """A list of names, each among ``known_names``."""
-        names = self.list_of_any(key, default)
-        for index, name in enumerate(names):
-            if name not in known_names:
-                raise ConfigError(f"{self.path(key)}[{index}]", f"must be one of {', '.join(known_names)}")
-        return names
-
     def address(self, key: str) -> Address:
-        """An address, written ``HOST:PORT``."""
+        """Return an address, which is written ``HOST:PORT``."""
         return decode_address(self.path(key), self.text(key))
 
-    def addresses(self, key: str) -> list[Address]:
-        """A list of addresses; empty where the key is absent."""
-        addresses = []
-        for index, text in enumerate(self.list_of_any(key, [])):
-            path = f"{self.path(key)}[{index}]"
-            if not isinstance(text, str):
-                raise ConfigError(path, WRONG_TYPE)
-            addresses.append(decode_address(path, text))
-        return addresses
+    def json_object(self, key: str, default: JsonObject | None = None) -> JsonObject:
+        """Return an object whose keys and values the caller checks."""
+        return self._value(key, dict, default)
 
     def section(self, key: str) -> ConfigSection:
-        """The object at ``key``; an empty one where the key is absent."""
+        """Return the object at ``key``; an empty one where the key is absent."""
         return ConfigSection(self._values.get(key, {}), self.path(key), self._null_is_absent)
 
-    def sections(self, key: str, default: list[Any] | None = None) -> list[ConfigSection]:
-        """The objects of a list."""
-        values = enumerate(self.list_of_any(key, default))
-        return [
-            ConfigSection(value, f"{self.path(key)}[{index}]", self._null_is_absent)
-            for index, value in values
-        ]
+    def array(self, key: str, default: Sequence[object] | None = None) -> ConfigArray:
+        """Return an array."""
+        default_items = None if default is None else list(default)
+        items = self._value(key, list, default_items)
+        return ConfigArray(items, self.path(key), self._null_is_absent)
 
-    def _value(self, key: str, kind: type[T] | tuple[type[T], ...], default: T | None) -> T:
-        value = self._values.get(key, default)
+    def _value(
+        self, key: str, kind: type[ValueT] | tuple[type[ValueT], ...], default: ValueT | None
+    ) -> ValueT:
+        value: object = self._values.get(key, default)
         if value is None:
             raise ConfigError(self.path(key), "is missing")
         # Python counts true and false as integers; a configuration does not.
@@ -145,9 +138,51 @@
             raise ConfigError(self.path(key), WRONG_TYPE)
         return value
 
-    def _check_number(self, key: str, value: Any, minimum: float, maximum: float) -> float:
-        if isinstance(value, bool) or not isinstance(value, (int, float)):
-            raise ConfigError(self.path(key), WRONG_TYPE)
-        if not minimum <= value <= maximum:  # also refuses NaN, which Python's JSON decoder takes
-            raise ConfigError(self.path(key), f"must be from {minimum:g} to {maximum:g}")
-        return float(value)
+
+class ConfigArray:
+    """One array of a configuration. Its methods raise ConfigError for an item of another kind."""
+
+    def __init__(self, items: list[object], path: str, null_is_absent: bool) -> None:
+        """``path`` and ``null_is_absent`` are those of the section that contains the array."""
+        self._items = items
+        self._path = path
+        self._null_is_absent = null_is_absent
+
+    @property
+    def path(self) -> str:
+        """The path to the array from the top of the file, for messages."""
+        return self._path
+
+    def __len__(self) -> int:
+        return len(self._items)
+
+    def enumerate_items(self) -> Iterator[tuple[str, object]]:
+        """Yield each item with the path to it; the caller checks the item."""
+        for index, item in enumerate(self._items):
+            yield f"{self._path}[{index}]", item
+
+    def numbers(self) -> list[float]:
+        """Return the items, which are numbers from 0."""
+        return [check_number(path, item) for path, item in self.enumerate_items()]
+
+    def names(self, known_names: Collection[str]) -> list[str]:
+        """Return the items, each of which is among ``known_names``."""
+        names = []
+        for path, item in self.enumerate_items():
+            if item not in known_names:
+                raise ConfigError(path, f"must be one of {', '.join(known_names)}")
+            names.append(str(item))
+        return names
+
+    def addresses(self) -> list[Address]:
+        """Return the items, which are written ``HOST:PORT``."""
+        addresses = []
+        for path, item in self.enumerate_items():
+            if not isinstance(item, str):
+                raise ConfigError(path, WRONG_TYPE)
+            addresses.append(decode_address(path, item))
+        return addresses
+
+    def sections(self) -> list[ConfigSection]:
+        """Return the items, which are objects."""
+        return [ConfigSection(item, path, self._null_is_absent) for path, item in self.enumerate_items()]
--- a/sageturn/config/files.py
+++ b/sageturn/config/files.py
@@ -1,4 +1,4 @@
-"""Files that a configuration consists of, or names."""
+"""Reads the files that a configuration consists of, and those that it names."""
 
 from __future__ import annotations
 
@@ -6,14 +6,18 @@
 from collections.abc import Iterator
 from contextlib import contextmanager
 from pathlib import Path
-from typing import Any
 
 from sageturn.config.errors import ConfigError, ConfigUnreadableError
 from sageturn.config.fields import ConfigSection
 
 
-def read_json_file(path: str, name: str) -> Any:
-    """Read the file at ``path``; ``name`` is what the file is called in messages."""
+def read_json_file(path: str, name: str) -> object:
+    """Return the decoded content of the file at ``path``, which messages call ``name``.
+
+    Raises:
+        ConfigUnreadableError: the system did not let it be read.
+        ConfigError: it is not JSON.
+    """
     try:
         return json.loads(Path(path).read_text(encoding="utf-8"))
     except OSError as error:
@@ -23,9 +27,9 @@
 
 
 def read_secret_file(section: ConfigSection, key: str, folder: Path) -> str:
-    """The text of the file that ``key`` names.
+    """Return the text of the file that ``key`` names, without white space around it; raises ConfigError.
 
-    Secrets are kept in files of their own, so that the operator's file can be shown to others.
+    Secrets are in files of their own, so that the operator's file can be shown to others.
     """
     with file_errors_named(section, key):
         text = (folder / section.text(key)).read_text(encoding="utf-8").strip()
@@ -36,7 +40,7 @@
 
 @contextmanager
 def file_errors_named(section: ConfigSection, key: str) -> Iterator[None]:
-    """Turns errors of the system or of TLS into one that names the key of the file."""
+    """Raise ConfigUnreadableError, which names ``key``, in place of errors of the system or of TLS."""
     try:
         yield
     except OSError as error:  # ssl.SSLError is one
--- a/sageturn/config/loader.py
+++ b/sageturn/config/loader.py
@@ -1,4 +1,4 @@
-"""The entry point: a relay's whole configuration, read at its start and again at SIGHUP."""
+"""Loads a relay's complete configuration, at its start and again at SIGHUP."""
 
 from __future__ import annotations
 
@@ -16,10 +16,15 @@
     operator_file: str | None = None,
     previous: RelayConfig | None = None,
 ) -> RelayConfig:
-    """Read the platform's configuration and, if it is given, the operator's file; raises ConfigError.
+    """Read the platform's configuration and, if one is given, the operator's file.
 
-    ``environ``: in place of the process's own environment. ``previous``: the configuration in force, where
-    it is read again while the relay runs.
+    Args:
+        environ: replaces the process's own environment.
+        operator_file: the path of the operator's file; None where there is none.
+        previous: the configuration in force, if this is a reload.
+
+    Raises:
+        ConfigError: a key, a file or a variable cannot be used.
     """
     config = read_platform_config(os.environ if environ is None else environ, previous)
     if operator_file is None:
--- a/sageturn/config/operator.py
+++ b/sageturn/config/operator.py
@@ -1,4 +1,4 @@
-"""The operator's file, decoded section by section; what it does not name is off, as it is on the platform."""
+"""Decodes the operator's file, section by section; a subsystem without a section is off."""
 
 from __future__ import annotations
 
@@ -41,9 +41,14 @@
 
 
 def read_operator_file(file: Path, settings: decision.Settings) -> OperatorConfig:
-    """Raises ConfigError. Paths in the file are relative to its folder.
+    """Read ``file``; paths in it are relative to its folder.
 
-    ``settings`` name the classes and tenants that the file may refer to.
+    Args:
+        file: the operator's file.
+        settings: name the classes and tenants that the file may refer to.
+
+    Raises:
+        ConfigError: a key, or a file that it names, cannot be used.
     """
     top = ConfigSection(read_json_file(str(file), "operator"), "operator")
     top.reject_unknown_keys("store", "xmpp", "flows", "rebalance", "overrides")
@@ -71,7 +76,7 @@
 def _read_replication(store: ConfigSection, folder: Path) -> ReplicationOptions:
     from sageturn.store.replication import options
 
-    seeds = tuple(store.addresses("peers"))
+    seeds = tuple(store.array("peers", []).addresses())
     listen = store.address("listen")
     if listen[0] == ANY_ADDRESS:
         raise ConfigError(store.path("listen"), "must be an address at which others reach this member")
@@ -150,8 +155,8 @@
         again_s=again_s,
         again_most_s=again_most_s,
         back_within_s=section.number("back_within_s", defaults.back_within_s, minimum=0.1),
-        keep_classes=frozenset(section.names("keep_classes", class_names, default_classes)),
-        keep_tenants=frozenset(section.names("keep_tenants", tenant_names, [])),
+        keep_classes=frozenset(section.array("keep_classes", default_classes).names(class_names)),
+        keep_tenants=frozenset(section.array("keep_tenants", []).names(tenant_names)),
         quiet_hours=_read_quiet_hours(section),
         tick_s=section.number("tick_s", defaults.tick_s, minimum=0.05),
         remember=section.truncated_integer("remember", defaults.remember, minimum=1),
@@ -159,12 +164,11 @@
 
 
 def _read_quiet_hours(section: ConfigSection) -> tuple[tuple[int, int], ...]:
-    """Spans in minutes of the UTC day, each from its first minute to before its second."""
+    """Return spans in minutes of the UTC day, each from its first minute to before its second."""
     spans = []
-    for index, text in enumerate(section.list_of_any("quiet_hours", [])):
+    for path, text in section.array("quiet_hours", []).enumerate_items():
         match = _TIME_SPAN.fullmatch(text) if isinstance(text, str) else None
         if match is None or match[0][:5] == match[0][6:]:
-            path = f"{section.path('quiet_hours')}[{index}]"
             raise ConfigError(path, "must be a span such as 22:00-05:30")
         begin_hour, begin_minute, end_hour, end_minute = (int(group) for group in match.groups())
         begin = begin_hour * MINUTES_PER_HOUR + begin_minute
@@ -189,11 +193,11 @@
 
 
 def _read_public_keys(section: ConfigSection) -> dict[str, Ed25519PublicKey]:
-    """The operators' keys, by the operators' names."""
+    """Return the operators' public keys by the operators' names."""
     from sageturn.overrides.signing import parse_public_key
 
     keys = {}
-    for name, text in section.dict_of_any("operators", {}).items():
+    for name, text in section.json_object("operators", {}).items():
         try:
             keys[name] = parse_public_key(text)
         except (ValueError, TypeError) as error:
--- a/sageturn/config/platform.py
+++ b/sageturn/config/platform.py
@@ -1,4 +1,4 @@
-"""The platform's configuration: the file that ``GW_CONFIG`` names, with environment variables before it."""
+"""Reads the platform's configuration: the file that ``GW_CONFIG`` names, overridden by the environment."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayConfig:
-    """All that a relay is configured with."""
+    """A relay's complete configuration."""
 
     name: str
     listen: Address
     discovery: Address
-    configured_discovery: str  # as the file has it, whatever the environment says; "" where it has none
+    configured_discovery: str  # as in the file, whatever the environment has; "" if absent
     seed: int
     limits: ProcessLimits
     settings: decision.Settings
@@ -35,7 +35,7 @@
     operator: OperatorConfig = field(default_factory=OperatorConfig)
 
     def keys_needing_restart(self, new: RelayConfig) -> list[str]:
-        """The keys in which ``new`` differs, and whose old values a running relay keeps."""
+        """Return the keys that differ in ``new`` and that a running relay does not apply."""
         old_operator = self.operator
         new_operator = new.operator
         old_xmpp_listen = old_operator.xmpp and old_operator.xmpp.listen
@@ -54,7 +54,7 @@
 
 
 def read_platform_config(environ: Mapping[str, str], previous: RelayConfig | None = None) -> RelayConfig:
-    """Raises ConfigError. ``previous`` is the configuration in force, where it is read again."""
+    """Read the configuration; ``previous`` is the one in force, if this is a reload. Raises ConfigError."""
     if not environ.get("GW_CONFIG"):
         raise ConfigError("GW_CONFIG", "is missing")
     top = ConfigSection(read_json_file(environ["GW_CONFIG"], "GW_CONFIG"), "")
@@ -77,7 +77,7 @@
 
 
 def _read_text(top: ConfigSection, environ: Mapping[str, str], key: str, variable: str) -> str:
-    """The variable's text, or the key's where the variable is not set or empty."""
+    """Return the text of ``variable``, or of ``key`` where the variable is not set or empty."""
     return environ.get(variable) or top.text(key)
 
 
@@ -89,10 +89,10 @@
 def _read_discovery(
     top: ConfigSection, environ: Mapping[str, str], configured: str, previous: RelayConfig | None
 ) -> Address:
-    """At a start the environment's address, or the file's.
+    """Return the address of discovery: at the start the environment's, or else the file's.
 
-    Where the file is read again and names another address than before, that one: it goes before the
-    environment, which nobody can change in a running process.
+    At a reload the file's address is used if it has changed since: it goes before the environment, which
+    nobody can change in a running process.
     """
     if previous is None:
         return _read_address(top, environ, "discovery", "GW_DISCOVERY")
@@ -110,8 +110,8 @@
 
 
 def _read_settings(top: ConfigSection) -> decision.Settings:
-    settings = read_settings(top.dict_of_any("settings"), "settings")
-    # The settings promise notes of delay, but no frontend's protocol can carry them.
+    settings = read_settings(top.json_object("settings"), "settings")
+    # The settings promise reports of delay, which no frontend's protocol can carry.
     return replace(settings, reports_delay=False)
 
 
@@ -119,7 +119,7 @@
     if not top.contains("known"):
         return EndpointListUpdate(0, True)
     try:
-        return parse_endpoint_list(top.dict_of_any("known"))
+        return parse_endpoint_list(top.json_object("known"))
     except ValueError as error:  # InvalidEndpointListError and InvalidAddressError
         raise ConfigError("known", str(error)) from error
 
--- a/sageturn/config/settings.py
+++ b/sageturn/config/settings.py
@@ -1,31 +1,35 @@
-"""The decoder of the settings, which the simulator's first message and a relay's configuration both carry.
+"""Decodes the settings, which the simulator's first message and a relay's configuration both contain.
 
-Their keys meet the names of ``decision.Settings`` here and nowhere else, so that the simulator's adapter and
-the relay cannot come to differ.
+Only this module maps their keys to the fields of ``decision.Settings``, so that the simulator's adapter and
+the relay cannot differ.
 """
 
 from __future__ import annotations
 
-from typing import Any
-
 from sageturn import decision
 from sageturn.config.errors import ConfigError
 from sageturn.config.fields import ConfigSection
+from sageturn.net.json_stream import JsonObject
 
-MIN_POSITIVE = 1e-3  # the minimum of numbers that must be above 0
+MIN_POSITIVE = 1e-3  # the minimum of numbers that must be greater than 0
 MAX_ATTEMPTS = 1000
 MAX_REPORT_FIELDS = 64
 
 
-def text_or_empty(value: Any) -> str:
-    """For names that may be absent, or 0 at sites that have none."""
+def text_or_empty(value: object) -> str:
+    """Return a name; "" where it is absent, or 0, which sites have that use no such names."""
     return value if isinstance(value, str) else ""
 
 
-def read_settings(conf: dict[str, Any], path: str = "") -> decision.Settings:
-    """Raises ConfigError for what is missing or out of range, naming the key. Unknown keys are ignored.
+def read_settings(conf: JsonObject, path: str = "") -> decision.Settings:
+    """Decode the settings, one key a line. Unknown keys are ignored.
+
+    Args:
+        conf: the decoded object.
+        path: of ``conf`` within its file, for messages.
 
-    ``path``: of ``conf`` within its file, for messages.
+    Raises:
+        ConfigError: a key is missing, or its value is out of range.
     """
     top = ConfigSection(conf, path, null_is_absent=True)
     limits = top.section("policyLimits")
@@ -33,7 +37,12 @@
     info = top.section("familyInfo")
     prices = top.section("prices")
     report = top.section("report")
-    classes, tenants = _read_classes_and_tenants(top, info)
+    # Names are compared last: of several faults, the first in the order of decoding is reported.
+    message_objectives_ms = info.array("messageAimMs", []).numbers()
+    quotas = info.array("tenantQuotaConnections", []).numbers()
+    classes = _read_classes(top, message_objectives_ms)
+    tenants = _read_tenants(top, quotas)
+    _check_names_differ(top, classes, tenants)
     return decision.Settings(
         classes=classes,
         tenants=tenants,
@@ -64,26 +73,32 @@
     )
 
 
-def _read_classes_and_tenants(
-    top: ConfigSection, info: ConfigSection
-) -> tuple[tuple[decision.RequestClass, ...], tuple[decision.Tenant, ...]]:
-    """``info`` has lists with one figure for each class, or tenant, in the same order."""
-    message_objectives_ms = info.number_list("messageAimMs")
-    quotas = info.number_list("tenantQuotaConnections")
-    classes = tuple(
+def _read_classes(
+    top: ConfigSection, message_objectives_ms: list[float]
+) -> tuple[decision.RequestClass, ...]:
+    """``message_objectives_ms`` has one item for each class, in the same order, or fewer."""
+    return tuple(
         _read_class(section, _item_or_zero(message_objectives_ms, index))
-        for index, section in enumerate(top.sections("classes"))
+        for index, section in enumerate(top.array("classes").sections())
     )
-    tenants = tuple(
+
+
+def _read_tenants(top: ConfigSection, quotas: list[float]) -> tuple[decision.Tenant, ...]:
+    """``quotas`` has one item for each tenant, in connections and in the same order, or fewer."""
+    return tuple(
         _read_tenant(section, _item_or_zero(quotas, index))
-        for index, section in enumerate(top.sections("accounts", []))
+        for index, section in enumerate(top.array("accounts", []).sections())
     )
+
+
+def _check_names_differ(
+    top: ConfigSection, classes: tuple[decision.RequestClass, ...], tenants: tuple[decision.Tenant, ...]
+) -> None:
     problem = "must be different ones, and at least one class"
     if not classes or len({request_class.name for request_class in classes}) < len(classes):
         raise ConfigError(top.path("classes"), problem)
     if len({tenant.name for tenant in tenants}) < len(tenants):
         raise ConfigError(top.path("accounts"), problem)
-    return classes, tenants
 
 
 def _read_class(section: ConfigSection, message_objective_ms: float) -> decision.RequestClass:
@@ -111,7 +126,8 @@
 
 
 def _read_report_fields(report: ConfigSection) -> tuple[str, ...]:
-    fields = report.list_of_any("fields", [])
-    if len(fields) > MAX_REPORT_FIELDS or not all(isinstance(name, str) for name in fields):
-        raise ConfigError(report.path("fields"), f"must be names, {MAX_REPORT_FIELDS} at most")
-    return tuple(fields)
+    fields = report.array("fields", [])
+    names = tuple(name for _, name in fields.enumerate_items() if isinstance(name, str))
+    if len(fields) > MAX_REPORT_FIELDS or len(names) < len(fields):
+        raise ConfigError(fields.path, f"must be names, {MAX_REPORT_FIELDS} at most")
+    return names
--- a/sageturn/config/tls.py
+++ b/sageturn/config/tls.py
@@ -1,4 +1,4 @@
-"""TLS contexts, from the keys of the operator's file that name certificates."""
+"""Builds TLS contexts from the keys of the operator's file that name certificates."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def read_server_context(xmpp: ConfigSection, folder: Path) -> ssl.SSLContext | None:
-    """For clients; None where no certificate is configured."""
+    """Return the context for clients; None where no certificate is configured. Raises ConfigError."""
     if not xmpp.contains("certificate"):
         return None
     context = _new_context(xmpp, "certificate", ssl.PROTOCOL_TLS_SERVER)
@@ -22,7 +22,7 @@
 
 
 def read_endpoint_context(endpoint: ConfigSection, folder: Path) -> ssl.SSLContext | None:
-    """For connections to endpoints; None where they are configured to go without TLS."""
+    """Return the context for endpoints; None where TLS is turned off for them. Raises ConfigError."""
     if not endpoint.flag("tls", True):
         return None
     context = _new_context(endpoint, "ca_file", ssl.PROTOCOL_TLS_CLIENT)
--- a/sageturn/net/endpoint_list.py
+++ b/sageturn/net/endpoint_list.py
@@ -3,14 +3,12 @@
 from __future__ import annotations
 
 import math
-from typing import Any
 
 from sageturn.core.messages import EndpointListUpdate
 from sageturn.decision import Endpoint
 from sageturn.net.addresses import Address, is_ipv4, parse_address
 from sageturn.net.errors import InvalidEndpointListError
-
-JsonObject = dict[str, Any]  # a decoded object; its values are checked where they are used
+from sageturn.net.json_stream import JsonObject
 
 ENDPOINT_STATES = ("ready", "draining", "gone")
 
--- a/sageturn/net/json_stream.py
+++ b/sageturn/net/json_stream.py
@@ -4,9 +4,12 @@
 
 import re
 from collections.abc import Iterator
+from typing import Any
 
 from sageturn.net.errors import InvalidJsonStreamError
 
+JsonObject = dict[str, Any]  # a decoded object; its values are checked where they are used
+
 _WHITE_SPACE = re.compile(rb"[ \t\r\n]*")
 # Matches up to the next brace outside of strings. Possessive quantifiers: no part of an incomplete string is
 # skipped, so the match ends before its quote, without a brace.
--- a/tests/config/test_deployments.py
+++ b/tests/config/test_deployments.py
@@ -4,6 +4,7 @@
 
 import asyncio
 import copy
+from contextlib import AsyncExitStack
 from dataclasses import replace
 from pathlib import Path
 from random import Random
@@ -56,8 +57,8 @@
     quotas = dict(zip(("north", "south"), conf["familyInfo"]["tenantQuotaConnections"], strict=True))
     for key in ("classes", "accounts"):
         rng.shuffle(conf[key])
-    conf["familyInfo"]["messageAimMs"] = [aims[c["name"]] for c in conf["classes"]]
-    conf["familyInfo"]["tenantQuotaConnections"] = [quotas[t["name"]] for t in conf["accounts"]]
+    conf["familyInfo"]["messageAimMs"] = [aims[request_class["name"]] for request_class in conf["classes"]]
+    conf["familyInfo"]["tenantQuotaConnections"] = [quotas[tenant["name"]] for tenant in conf["accounts"]]
     for part in (*conf["classes"], *conf["accounts"]):
         part["name"] = names[part["name"]]
     conf["zone"] = names[conf["zone"]]
@@ -67,8 +68,11 @@
 def simulated_actions(balancer: Balancer, names: dict[str, str], seed: int) -> list[Any]:
     """Every action, in order, on requests, outcomes and load reports drawn by one seed."""
     rng, done = Random(seed), []
-    zones = [names[z] for z in ("pier", "quay", "isle")]
-    endpoints = [Endpoint(f"s{k}", zone=zones[k % 3], share=1.0 + k % 2, kind="ab"[k % 2]) for k in range(9)]
+    zones = [names[zone] for zone in ("pier", "quay", "isle")]
+    endpoints = [
+        Endpoint(f"s{index}", zone=zones[index % 3], share=1.0 + index % 2, kind="ab"[index % 2])
+        for index in range(9)
+    ]
     events: list[Any] = [EndpointListEvent("stale", endpoints), EndpointListEvent("full", endpoints)]
     ids, now = 0, 0.0
     while now < 20000.0:
@@ -116,8 +120,6 @@
 
 @pytest.mark.parametrize("attempts", [1, 6])
 async def test_a_third_deployment_is_served_by_its_own_figures(tmp_path: Path, attempts: int) -> None:
-    from contextlib import AsyncExitStack
-
     conf = with_value(FERRY_SETTINGS, "policyLimits.sendCap", attempts)
     endpoints = [FakeEndpoint(script) for script in (resets,) * 6]
     async with AsyncExitStack() as stack:
@@ -129,8 +131,8 @@
         stack.push_async_callback(relay.stop)
         line = first_line(900).replace(b"c=c,t=t", b"c=gate,t=north")
         assert (await reply(relay.listener.address, line))[:4] in (b"BUSY", b"ERR ")
-        assert sum(len(e.lines) for e in endpoints) == attempts
-        assert all(e.max_open <= 1 for e in endpoints)
+        assert sum(len(endpoint.lines) for endpoint in endpoints) == attempts
+        assert all(endpoint.max_open <= 1 for endpoint in endpoints)
         for endpoint in endpoints:
             endpoint.script = up
         relay.balancer_actor._balancer.admission.buckets["south"].tokens = 9.0
@@ -153,13 +155,14 @@
             10.0, EndpointListEvent("changes", [Endpoint("a", "draining"), Endpoint("b", "gone")])
         )
         sent = set()
-        for k in range(200):
-            now = 10.0 + k
+        for request_id in range(200):
+            now = 10.0 + request_id
             for event in (
-                RequestArrived(k, "gate", "north", now + 900.0),
-                AttemptEnded(k, 0, "c", "ok", True),
+                RequestArrived(request_id, "gate", "north", now + 900.0),
+                AttemptEnded(request_id, 0, "c", "ok", True),
             ):
-                sent |= {a.endpoint for a in balancer.handle(now, event) if isinstance(a, PlaceRequest)}
+                actions = balancer.handle(now, event)
+                sent |= {action.endpoint for action in actions if isinstance(action, PlaceRequest)}
         assert sent == {"c"}
 
 
@@ -173,7 +176,9 @@
     from sageturn.net import sockets
 
     async with relaying(tmp_path, up, up) as (relay, endpoints):
-        by_port = {e.address[1]: (name, e) for name, e in zip("ab", endpoints, strict=True)}
+        by_port = {
+            endpoint.address[1]: (name, endpoint) for name, endpoint in zip("ab", endpoints, strict=True)
+        }
         first: list[FakeEndpoint] = []
         connect = sockets.connect_unreserved
 
@@ -205,8 +210,8 @@
 def test_a_stop_ends_before_the_last_signal_of_any_deployment(waits_ms: list[float]) -> None:
     # It took 3.4 s everywhere, which only deadlines of 3 s and more allow: the last signal comes 0.7 s after
     # the longest, and what stands then is lost.
-    cls = read_settings(FERRY_SETTINGS).classes[0]
-    times = shutdown_schedule([replace(cls, give_up_ms=wait_ms) for wait_ms in waits_ms])
+    request_class = read_settings(FERRY_SETTINGS).classes[0]
+    times = shutdown_schedule([replace(request_class, give_up_ms=wait_ms) for wait_ms in waits_ms])
     killed_s = min(3.0, max(waits_ms) / 1000.0) + 0.7
     assert times.exit_at_s <= killed_s - 0.25
     assert (
@@ -219,8 +224,8 @@
 
 
 def test_a_stop_of_the_first_deployment_keeps_its_times() -> None:
-    cls = read_settings(FERRY_SETTINGS).classes[0]
-    times = shutdown_schedule([replace(cls, give_up_ms=3200.0)])
+    request_class = read_settings(FERRY_SETTINGS).classes[0]
+    times = shutdown_schedule([replace(request_class, give_up_ms=3200.0)])
     assert times.migration_start_s == 0.45 and times.exit_at_s == pytest.approx(3.4)
     assert times.forced_drain_at_s == pytest.approx(2.9) and times.migration_duration_s == pytest.approx(
         1.8, abs=0.01
--- a/tests/net/test_descriptor_exhaustion.py
+++ b/tests/net/test_descriptor_exhaustion.py
@@ -7,8 +7,10 @@
 import signal
 import socket
 import sys
-from contextlib import AsyncExitStack
+from collections.abc import AsyncIterator, Iterator
+from contextlib import AsyncExitStack, asynccontextmanager, contextmanager
 from pathlib import Path
+from typing import Any
 
 import pytest
 from support.network_fakes import (
@@ -26,7 +28,7 @@
     up,
     write_config,
 )
-from support.ports import free_port
+from support.ports import Address, free_port
 
 DESCRIPTORS = 56
 IDLE_CLIENTS = 60
@@ -53,72 +55,98 @@
         writer.close()
 
 
+@contextmanager
+def bound_but_not_listening() -> Iterator[socket.socket]:
+    """A socket whose address refuses connections, as discovery's does while it is down."""
+    with socket.socket() as sock:
+        sock.bind(("127.0.0.1", 0))
+        yield sock
+
+
+def write_limited_config(
+    folder: Path, listen: Address, discovery: Address, known: dict[str, Any], lists: str
+) -> Path:
+    return write_config(
+        folder,
+        discovery,
+        known,
+        listen="{}:{}".format(*listen),
+        limits={"sockets": DESCRIPTORS},
+        settings={**SETTINGS, "discovery": lists},
+    )
+
+
+@asynccontextmanager
+async def relay_process(config_file: Path, address: Address) -> AsyncIterator[asyncio.subprocess.Process]:
+    """A relay in a process of its own that has ``DESCRIPTORS`` descriptors, once it is ready."""
+    process = await asyncio.create_subprocess_exec(
+        sys.executable,
+        "-c",
+        PROGRAM_WITH_LIMIT.format(DESCRIPTORS),
+        env={**os.environ, "GW_CONFIG": str(config_file)},
+        stderr=asyncio.subprocess.DEVNULL,
+    )
+    try:
+        await until_ready(address)
+        yield process
+    finally:
+        kill_if_running(process)
+
+
+async def connect_until_rejected(address: Address) -> list[Streams]:
+    """Connect clients until three of them are rejected; returns those that are served."""
+    served_clients: list[Streams] = []
+    rejected = 0
+    while rejected < 3:
+        streams = await ask(address, first_line(3000))
+        word = await asyncio.wait_for(streams[0].readline(), 5)
+        assert word.startswith((b"UP", b"BUSY")), word
+        rejected += word.startswith(b"BUSY")
+        served_clients += [streams] if word.startswith(b"UP") else []
+    return served_clients
+
+
+def list_with_one_draining(draining: Address, ready: Address) -> Discovery:
+    endpoints = [
+        {"id": "a", "addr": "{}:{}".format(*draining), "state": "draining"},
+        {"id": "b", "addr": "{}:{}".format(*ready), "state": "ready"},
+    ]
+    return Discovery(chunked({**listed({"b": ready}, 2), "servers": endpoints}))
+
+
 @pytest.mark.parametrize("lists", ["push", "ask"])
 @pytest.mark.timeout(60)
 async def test_endpoint_list_is_updated_while_idle_clients_hold_the_descriptors(
     tmp_path: Path, lists: str
 ) -> None:
-    # They stood or rested on every descriptor that there was, and the watch got none as discovery returned.
+    # They held every descriptor that there was, and the watch got none as discovery returned.
+    old, new = FakeEndpoint(up), FakeEndpoint(up)
+    address = ("127.0.0.1", free_port())
     async with AsyncExitStack() as stack:
-        old, new = FakeEndpoint(up), FakeEndpoint(up)
         await stack.enter_async_context(served(old))
         await stack.enter_async_context(served(new))
-        down = socket.socket()  # claimed, and refusing: nobody listens yet
-        down.bind(("127.0.0.1", 0))
-        address = ("127.0.0.1", free_port())
-        file = write_config(
-            tmp_path,
-            down.getsockname(),
-            listed({"a": old.address}),
-            listen="{}:{}".format(*address),
-            limits={"sockets": DESCRIPTORS},
-            settings={**SETTINGS, "discovery": lists},
-        )
-        process = await asyncio.create_subprocess_exec(
-            sys.executable,
-            "-c",
-            PROGRAM_WITH_LIMIT.format(DESCRIPTORS),
-            env={**os.environ, "GW_CONFIG": str(file)},
-            stderr=asyncio.subprocess.DEVNULL,
-        )
-        stack.callback(kill_if_running, process)
-        await until_ready(address)
-
-        standing: list[Streams] = []
-        refused = 0
-        while refused < 3:
-            streams = await ask(address, first_line(3000))
-            word = await asyncio.wait_for(streams[0].readline(), 5)
-            assert word.startswith((b"UP", b"BUSY")), word
-            refused += word.startswith(b"BUSY")
-            standing += [streams] if word.startswith(b"UP") else []
+        down = stack.enter_context(bound_but_not_listening())
+        known = listed({"a": old.address})
+        file = write_limited_config(tmp_path, address, down.getsockname(), known, lists)
+        process = await stack.enter_async_context(relay_process(file, address))
+        served_clients = await connect_until_rejected(address)
         silent = [await ask(address, b"") for _ in range(IDLE_CLIENTS)]
-        assert len(os.listdir(f"/proc/{process.pid}/fd")) >= DESCRIPTORS - 4 and len(standing) >= 10
+        assert len(os.listdir(f"/proc/{process.pid}/fd")) >= DESCRIPTORS - 4 and len(served_clients) >= 10
 
         down.listen()
-        discovery = Discovery(
-            chunked(
-                {
-                    **listed({"b": new.address}, 2),
-                    "servers": [
-                        {"id": "a", "addr": "{}:{}".format(*old.address), "state": "draining"},
-                        {"id": "b", "addr": "{}:{}".format(*new.address), "state": "ready"},
-                    ],
-                }
-            )
-        )
-        endpoint = await asyncio.start_server(discovery.serve, sock=down)
-        stack.callback(endpoint.close)
+        discovery = list_with_one_draining(old.address, new.address)
+        server = await asyncio.start_server(discovery.serve, sock=down)
+        stack.callback(server.close)
         async with asyncio.timeout(UPDATE_S):
             while not discovery.requests:
                 await asyncio.sleep(0.01)
-            standing.pop()[1].close()  # leaves room for one, which is to be placed by the news
+            served_clients.pop()[1].close()  # frees the descriptors of one, to be placed by the new list
             while not any(new.lines):
                 assert (await reply(address, first_line(3000))).startswith((b"UP", b"BUSY"))
         assert process.returncode is None
 
-        words = [await all_received(each) for each in silent]
+        words = [await all_received(streams) for streams in silent]
         assert all(word.startswith((b"BUSY", b"ERR")) for word in words), words
         process.send_signal(signal.SIGTERM)
-        last = await asyncio.gather(*(all_received(each) for each in standing))
-        assert set(last) == {b"MOVE\r\n"} and await process.wait() == 0
+        last_lines = await asyncio.gather(*(all_received(streams) for streams in served_clients))
+        assert set(last_lines) == {b"MOVE\r\n"} and await process.wait() == 0
--- a/tests/net/test_sockets.py
+++ b/tests/net/test_sockets.py
@@ -35,14 +35,14 @@
 def connections_of_relay(accepted_at: set[Any], dialled: set[Any]) -> list[tuple[str, socket.socket]]:
     """The open connections of the relay, found by their addresses: all of a test is in one process."""
     found = []
-    for each in gc.get_objects():
-        if type(each) is socket.socket and each.fileno() >= 0 and each.type == socket.SOCK_STREAM:
+    for sock in gc.get_objects():
+        if type(sock) is socket.socket and sock.fileno() >= 0 and sock.type == socket.SOCK_STREAM:
             try:
-                peer = each.getpeername()
-                if each.getsockname() in accepted_at:
-                    found.append(("accepted", each))
+                peer = sock.getpeername()
+                if sock.getsockname() in accepted_at:
+                    found.append(("accepted", sock))
                 elif peer in dialled:
-                    found.append(("dialled", each))
+                    found.append(("dialled", sock))
             except OSError:
                 continue  # it listens
     return found
@@ -120,19 +120,19 @@
 @pytest.fixture
 def pair() -> Iterator[tuple[socket.socket, socket.socket]]:
     """Both ends of one TCP connection; the first is the relay's."""
-    with socket.create_server(("127.0.0.1", 0)) as door:
-        client = socket.create_connection(door.getsockname())
-        relay_socket, _ = door.accept()
+    with socket.create_server(("127.0.0.1", 0)) as server:
+        client = socket.create_connection(server.getsockname())
+        relay_socket, _ = server.accept()
     relay_socket.setblocking(False)
     yield relay_socket, client
     relay_socket.close()
     client.close()
 
 
-async def test_a_polite_close_that_is_cut_off_closes_over_nothing_unread(
+async def test_a_graceful_close_that_is_cancelled_closes_over_nothing_unread(
     pair: tuple[socket.socket, socket.socket],
 ) -> None:
-    # Bytes that came in the moment in which it was cut off made the kernel send a reset.
+    # Bytes that arrived in the moment in which it was cancelled made the kernel send a reset.
     relay_socket, client = pair
 
     relay_socket.send(b"ERR why\r\n")
@@ -148,7 +148,9 @@
     assert client.recv(99) == b"ERR why\r\n" and client.recv(99) == b""
 
 
-async def test_an_xmpp_client_evicted_as_it_speaks_hears_its_answer_and_no_reset(tmp_path: Path) -> None:
+async def test_an_xmpp_client_that_is_evicted_while_it_sends_reads_its_answer_and_no_reset(
+    tmp_path: Path,
+) -> None:
     # Its connection was closed over what lay unread: the reset could destroy the answer on its way.
     async with relaying_xmpp(tmp_path, echo) as (relay, _):
         client = await Client.connect(xmpp_address(relay))
@@ -211,8 +213,8 @@
 async def test_descriptor_reserve_is_never_a_clients_and_is_refilled_first(
     descriptors_left: list[int],
 ) -> None:
-    with socket.create_server(("127.0.0.1", 0)) as door:
-        address = door.getsockname()
+    with socket.create_server(("127.0.0.1", 0)) as server:
+        address = server.getsockname()
         descriptors_left[0] = 2
         DESCRIPTOR_RESERVE.resize(2)
         assert descriptors_left[0] == 0
@@ -241,24 +243,25 @@
 
 
 @pytest.mark.parametrize("said", [first_line(), b""])
-async def test_with_no_descriptor_left_those_in_the_backlog_are_answered_as_the_door_is_shut(
+async def test_with_no_descriptor_left_those_in_the_backlog_are_answered_as_the_listener_closes(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, said: bytes
 ) -> None:
-    # They were left there, and reset with the door.
+    # They were left there, and reset as the listener was closed.
     async with relaying(tmp_path, silent) as (relay, _):
         relay.request_registry.schedule = ShutdownSchedule(0.0, 0.0, 0.05, 2.0)
-        shut, came = relay.ingress.stop_accepting, list[socket.socket]()
+        stop_accepting = relay.ingress.stop_accepting
+        clients: list[socket.socket] = []
         monkeypatch.setattr(relay.listener, "_accept_queued", lambda max_connections: True)
 
-        def comes_and_shut() -> None:
+        def connect_clients_and_stop() -> None:
             for _ in range(3):
-                came.append(socket.create_connection(relay.listener.address))
-                came[-1].sendall(said)
-            shut()
+                clients.append(socket.create_connection(relay.listener.address))
+                clients[-1].sendall(said)
+            stop_accepting()
 
-        monkeypatch.setattr(relay.ingress, "stop_accepting", comes_and_shut)
+        monkeypatch.setattr(relay.ingress, "stop_accepting", connect_clients_and_stop)
         await relay.request_registry.drain(relay.ingress)
-        for client in came:
+        for client in clients:
             client.settimeout(5)
             assert client.recv(99) == b"BUSY 500\r\n" and client.recv(99) == b""
             client.close()
--- a/tests/support/network_fakes.py
+++ b/tests/support/network_fakes.py
@@ -37,13 +37,13 @@
     return f"OPEN id{next(IDS)} {key} c=c,t=t,d={wait_ms}{more}\r\n".encode()
 
 
-async def ask(address: tuple[str, int], line: bytes) -> Streams:
+async def ask(address: Address, line: bytes) -> Streams:
     reader, writer = await asyncio.open_connection(*address)
     writer.write(line)
     return reader, writer
 
 
-async def reply(address: tuple[str, int], line: bytes) -> bytes:
+async def reply(address: Address, line: bytes) -> bytes:
     reader, writer = await ask(address, line)
     try:
         return await asyncio.wait_for(reader.readline(), 5)
@@ -68,7 +68,6 @@
         self.script, self.lines = script, list[bytes]()
         self.open = self.max_open = 0
         self.address = ("127.0.0.1", 0)
-        self.up = asyncio.Event()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.open += 1
@@ -126,13 +125,15 @@
 
 
 def chunked(*objects: dict[str, Any]) -> bytes:
-    parts = [json.dumps(o).encode() + b"\n" for o in objects]
+    parts = [json.dumps(value).encode() + b"\n" for value in objects]
     body = b"".join(b"%x\r\n%s\r\n" % (len(part), part) for part in parts)
     return b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + body
 
 
-def listed(endpoints: dict[str, tuple[str, int]], version: int = 1, state: str = "ready") -> dict[str, Any]:
-    servers = [{"id": k, "addr": f"{a}:{p}", "state": state} for k, (a, p) in endpoints.items()]
+def listed(endpoints: dict[str, Address], version: int = 1, state: str = "ready") -> dict[str, Any]:
+    servers = [
+        {"id": name, "addr": f"{host}:{port}", "state": state} for name, (host, port) in endpoints.items()
+    ]
     return {"version": version, "full": True, "servers": servers}
 
 
@@ -146,9 +147,7 @@
         server.close()
 
 
-def write_config(
-    folder: Path, discovery: tuple[str, int], known: dict[str, Any] | None = None, **more: Any
-) -> Path:
+def write_config(folder: Path, discovery: Address, known: dict[str, Any] | None = None, **more: Any) -> Path:
     file = folder / "config.json"
     content = {
         "name": "n1",
@@ -165,11 +164,11 @@
 
 async def serve_all(
     stack: AsyncExitStack, endpoints: Sequence[FakeEndpoint]
-) -> tuple[dict[str, tuple[str, int]], Discovery]:
+) -> tuple[dict[str, Address], Discovery]:
     """The endpoints by name, in the order a, b, c, and a discovery that lists them as version 2."""
     for endpoint in endpoints:
         await stack.enter_async_context(served(endpoint))
-    names = {"abcdef"[k]: e.address for k, e in enumerate(endpoints)}
+    names = {"abcdef"[index]: endpoint.address for index, endpoint in enumerate(endpoints)}
     discovery = Discovery(chunked(listed(names, 2)))
     await stack.enter_async_context(served(discovery))
     return names, discovery
