--- a/tests/net/test_accept_failures.py
+++ b/tests/net/test_accept_failures.py
@@ -4,13 +4,12 @@
 
 import asyncio
 import errno
-import os
 import socket
 from contextlib import suppress
-from typing import Any
 
 import pytest
 from support.event_loop import until
+from support.failing_calls import FailingCall
 from support.ports import open_descriptors
 
 from sageturn.core.tasks import cancel_and_wait
@@ -21,28 +20,8 @@
 REJECTION = b"BUSY 500\r\n"
 
 
-class FailingAccept:
-    """Stands in for ``socket.accept``: fails with each of these errors once, in turn, and then works."""
-
-    def __init__(self, *errors: int) -> None:
-        self._errors = list(errors)
-        self._accept = socket.socket.accept
-
-    @property
-    def is_failing(self) -> bool:
-        """Whether any of the errors is still to come."""
-        return bool(self._errors)
-
-    def install(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        failing = self
-
-        def accept(sock: socket.socket) -> Any:
-            if failing._errors:
-                number = failing._errors.pop(0)
-                raise OSError(number, os.strerror(number))
-            return failing._accept(sock)
-
-        monkeypatch.setattr(socket.socket, "accept", accept)
+def failing_accept(*errors: int) -> FailingCall:
+    return FailingCall(socket.socket, "accept", errors)
 
 
 async def serve_rejection(sock: socket.socket, pending: PendingConnection) -> None:
@@ -63,7 +42,7 @@
             client.sendall(b"OPEN a b c=c,t=t,d=2000\r\n")
             client.settimeout(5)
         with monkeypatch.context() as patched:
-            FailingAccept(*errors).install(patched)
+            failing_accept(*errors).install(patched)
             listener.stop_accepting()
             await listener.wait_until_idle(2.0)
         answers = [await asyncio.to_thread(client.recv, 99) for client in clients]
@@ -82,7 +61,7 @@
     listener.start_listening()
     descriptors = open_descriptors()
     running = asyncio.ensure_future(listener.run())
-    failing = FailingAccept(errno.EMFILE, errno.EMFILE)
+    failing = failing_accept(errno.EMFILE, errno.EMFILE)
     with monkeypatch.context() as patched:
         failing.install(patched)
         client = socket.create_connection(listener.address)
@@ -118,13 +97,13 @@
     await until(lambda: admission.awaiting_request == len(slow))
     for errors in ((errno.ENFILE,), (errno.ENOBUFS, errno.ENOMEM), (errno.ENFILE, errno.ENFILE)):
         with monkeypatch.context() as patched:
-            failing = FailingAccept(*errors)
+            failing = failing_accept(*errors)
             failing.install(patched)
             slow.append(socket.create_connection(listener.address))
             await until(lambda: admission.awaiting_request == len(slow))
             assert not failing.is_failing
     with monkeypatch.context() as patched:  # what lasts is another matter, as is the process's own limit
-        FailingAccept(*[errno.ENFILE] * 50).install(patched)
+        failing_accept(*[errno.ENFILE] * 50).install(patched)
         slow.append(socket.create_connection(listener.address))
         await until(lambda: any(evicted))
     for client in slow:
--- a/tests/net/test_start_failures.py
+++ b/tests/net/test_start_failures.py
@@ -6,9 +6,11 @@
 import os
 import socket
 import time
-from typing import Any
+from collections.abc import Iterable
+from itertools import repeat
 
 import pytest
+from support.failing_calls import FailingCall
 
 from sageturn.net.admission import AdmissionController, PendingConnection, ProcessLimits
 from sageturn.net.listener import Listener
@@ -19,29 +21,17 @@
 MAX_START_S = 10.0  # in which nine relays in ten have to be ready
 
 
-class FailingCreation:
-    """Stands in for ``socket.socket``: creating one fails so often, and then works."""
+@pytest.fixture
+def pauses(monkeypatch: pytest.MonkeyPatch) -> list[float]:
+    """The seconds of each call of ``time.sleep``, none of which waits."""
+    paused_s: list[float] = []
+    monkeypatch.setattr(time, "sleep", paused_s.append)
+    return paused_s
 
-    def __init__(self, number: int, times: float) -> None:
-        self._number = number
-        self._left = times
-        self._create = socket.socket.__init__
-        self.paused_s = 0.0
 
-    def install(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        failing = self
-
-        def create(sock: socket.socket, *arguments: Any, **named: Any) -> None:
-            if failing._left > 0:
-                failing._left -= 1
-                raise OSError(failing._number, os.strerror(failing._number))
-            failing._create(sock, *arguments, **named)
-
-        def pause(seconds: float) -> None:
-            self.paused_s += seconds
-
-        monkeypatch.setattr(socket.socket, "__init__", create)
-        monkeypatch.setattr(time, "sleep", pause)
+def failing_creation(errors: Iterable[int]) -> FailingCall:
+    """Stands in for the creation of sockets."""
+    return FailingCall(socket.socket, "__init__", errors)
 
 
 async def serve_nobody(sock: socket.socket, pending: PendingConnection) -> None:
@@ -49,36 +39,35 @@
 
 
 def test_a_listener_is_bound_though_sockets_cannot_be_had_for_a_moment(
-    monkeypatch: pytest.MonkeyPatch,
+    monkeypatch: pytest.MonkeyPatch, pauses: list[float]
 ) -> None:
     # The process ended with exit code 2: a relay that was restarted in that moment was not there any more.
     for number in MOMENTARY_ERRNOS:
+        pauses.clear()
         with monkeypatch.context() as patched:
-            failing = FailingCreation(number, times=3)
-            failing.install(patched)
+            failing_creation(repeat(number, 3)).install(patched)
             bound = bind_socket(LOOPBACK)
         assert bound.getsockname()[1] > 0
-        assert 0.0 < failing.paused_s < 1.0, errno.errorcode[number]
+        assert 0.0 < sum(pauses) < 1.0, errno.errorcode[number]
         bound.close()
 
 
 def test_what_lasts_is_an_error_after_a_while_and_what_is_wrong_is_one_at_once(
-    monkeypatch: pytest.MonkeyPatch,
+    monkeypatch: pytest.MonkeyPatch, pauses: list[float]
 ) -> None:
     occupied = bind_socket(LOOPBACK)
     occupied.listen()
     with monkeypatch.context() as patched:
-        failing = FailingCreation(errno.ENFILE, times=float("inf"))
-        failing.install(patched)
+        failing_creation(repeat(errno.ENFILE)).install(patched)
         with pytest.raises(OSError, match="Too many open files"):
             bind_socket(LOOPBACK)
-        assert 1.0 < failing.paused_s < MAX_START_S
+        assert 1.0 < sum(pauses) < MAX_START_S
+    pauses.clear()
     with monkeypatch.context() as patched:
-        failing = FailingCreation(errno.EACCES, times=1)
-        failing.install(patched)
+        failing_creation([errno.EACCES]).install(patched)
         with pytest.raises(PermissionError):
             bind_socket(LOOPBACK)
-        assert failing.paused_s == 0.0
+        assert sum(pauses) == 0.0
     with pytest.raises(OSError, match="Address already in use"):
         bind_socket(occupied.getsockname())
     occupied.close()
