--- a/sageturn/cli/lab.py
+++ b/sageturn/cli/lab.py
@@ -18,17 +18,17 @@
 
 from sageturn.cli.exit_codes import ExitCode, fail
 from sageturn.cli.options import AsJson
-from sageturn.lab.compare import Difference
-from sageturn.lab.compare import compare as compare_variants
 from sageturn.lab.errors import InvalidExperimentError
-from sageturn.lab.experiment import Experiment, Scenario, Variant, read_experiment
-from sageturn.lab.experiment_runner import run_experiment, run_scenario
-from sageturn.lab.policy import read_policy
-from sageturn.lab.result_file import Line, Results
-from sageturn.lab.scenario_shrinking import describe
-from sageturn.lab.search import find_crossing, write_scenario
-from sageturn.lab.search import hunt as hunt_scenarios
-from sageturn.lab.search import sweep as sweep_values
+from sageturn.lab.model.policy import read_policy
+from sageturn.lab.reports.compare import Difference
+from sageturn.lab.reports.compare import compare as compare_variants
+from sageturn.lab.runner.experiment import Experiment, Scenario, Variant, read_experiment
+from sageturn.lab.runner.experiment_runner import run_experiment, run_scenario
+from sageturn.lab.runner.result_file import Line, Results
+from sageturn.lab.runner.scenario_shrinking import describe
+from sageturn.lab.runner.search import find_crossing, write_scenario
+from sageturn.lab.runner.search import hunt as hunt_scenarios
+from sageturn.lab.runner.search import sweep as sweep_values
 
 app = typer.Typer(no_args_is_help=True, help="Experiments, comparisons and searches in simulated time.")
 
@@ -217,7 +217,7 @@
     markdown: Annotated[Path | None, typer.Option(help="Where Markdown goes; else it is printed.")] = None,
 ) -> None:
     """A page with plots, or Markdown."""
-    from sageturn.lab import report as reports  # matplotlib takes a second to load
+    from sageturn.lab.reports import report as reports  # matplotlib takes a second to load
 
     found = _read_results(results)
     if html is not None:
@@ -255,7 +255,7 @@
     only: Annotated[str, typer.Option(help="Parts, with commas between; else all.")] = "",
 ) -> None:
     """What single parts of a relay's control cost by their size, with fits: a minute on one core."""
-    from sageturn.lab.result_file import revision
+    from sageturn.lab.runner.result_file import revision
     from sageturn.lab.scale.costs import PARTS, run_costs
 
     chosen = [name for name in only.split(",") if name]
--- a/sageturn/lab/demo.py
+++ b/sageturn/lab/demo.py
@@ -16,9 +16,9 @@
 from rich.table import Table
 from rich.text import Text
 
-from sageturn.lab.fleet_spec import FleetSpec
-from sageturn.lab.loopback_runner import Deployment, FleetSample, LoopbackResult, deployed
-from sageturn.lab.result_table import loopback_row
+from sageturn.lab.loopback.loopback_runner import Deployment, FleetSample, LoopbackResult, deployed
+from sageturn.lab.model.fleet_spec import FleetSpec
+from sageturn.lab.reports.result_table import loopback_row
 
 SPEC = FleetSpec(
     relays=1,
--- a/sageturn/lab/fault_injection.py
+++ b/sageturn/lab/faults/fault_injection.py
@@ -6,12 +6,12 @@
 
 import numpy as np
 
-from sageturn.lab import simulation_steps as steps
-from sageturn.lab.faults import ScheduledFault
-from sageturn.lab.fleet_spec import FleetSpec
-from sageturn.lab.simulated_hosts import SimulatedHosts
-from sageturn.lab.simulation_steps import Instruction
-from sageturn.lab.zone_frontend import ZoneFrontend
+from sageturn.lab.faults.fault import ScheduledFault
+from sageturn.lab.model import simulation_steps as steps
+from sageturn.lab.model.fleet_spec import FleetSpec
+from sageturn.lab.model.simulated_hosts import SimulatedHosts
+from sageturn.lab.model.simulation_steps import Instruction
+from sageturn.lab.model.zone_frontend import ZoneFrontend
 
 DRAIN_DISCOVERY_DELAY_S = 0.5  # a host that is about to drain is reported sooner than one that has stopped
 FLAP_INTERVAL_S = 2.0
--- a/sageturn/lab/client_connection.py
+++ b/sageturn/lab/loopback/client_connection.py
@@ -6,9 +6,9 @@
 import time
 from typing import Protocol
 
-from sageturn.lab.fakes import LineProtocol
-from sageturn.lab.fleet_spec import FleetSpec
-from sageturn.lab.sampling import Client, ClientSampler
+from sageturn.lab.loopback.fakes import LineProtocol
+from sageturn.lab.model.fleet_spec import FleetSpec
+from sageturn.lab.model.sampling import Client, ClientSampler
 
 MESSAGE_INTERVAL_S = 2.0
 INITIAL_CONNECTION_TIMEOUT_MS = 30000  # for all connections from before the run, made at once
--- a/sageturn/lab/client_population.py
+++ b/sageturn/lab/loopback/client_population.py
@@ -13,10 +13,10 @@
 
 from hdrh.histogram import HdrHistogram
 
-from sageturn.lab.client_connection import MAX_MESSAGE_US, ClientConnection
-from sageturn.lab.fleet_spec import FleetSpec
-from sageturn.lab.sampling import Client, ClientSampler
-from sageturn.lab.simulation_result import SIGNIFICANT_DIGITS, make_setup_histogram
+from sageturn.lab.loopback.client_connection import MAX_MESSAGE_US, ClientConnection
+from sageturn.lab.model.fleet_spec import FleetSpec
+from sageturn.lab.model.sampling import Client, ClientSampler
+from sageturn.lab.model.simulation_result import SIGNIFICANT_DIGITS, make_setup_histogram
 
 IMMEDIATE_RETRIES = 3  # each such number of failed attempts is followed by a longer delay
 LONG_RETRY_DELAY_S = 2.0
--- a/sageturn/lab/fakes.py
+++ b/sageturn/lab/loopback/fakes.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from typing import Any, cast
 
-from sageturn.lab.endpoint_model import EndpointModel
+from sageturn.lab.model.endpoint_model import EndpointModel
 
 LOOPBACK = "127.0.0.1"
 MAX_LINE_BYTES = 1 << 16
--- a/sageturn/lab/loopback_runner.py
+++ b/sageturn/lab/loopback/loopback_runner.py
@@ -12,12 +12,12 @@
 from pathlib import Path
 from typing import Any
 
-from sageturn.lab.client_population import ClientObservations, ClientPopulation
-from sageturn.lab.endpoint_model import EndpointModel
-from sageturn.lab.fakes import FakeDiscovery, FakeEndpoint
-from sageturn.lab.fleet import InitialPlacement, make_hosts
-from sageturn.lab.fleet_spec import FleetSpec
-from sageturn.lab.loopback_relays import LoopbackRelays, OperatorSections, RelayOptions
+from sageturn.lab.loopback.client_population import ClientObservations, ClientPopulation
+from sageturn.lab.loopback.fakes import FakeDiscovery, FakeEndpoint
+from sageturn.lab.loopback.relay_processes import LoopbackRelays, OperatorSections, RelayOptions
+from sageturn.lab.model.endpoint_model import EndpointModel
+from sageturn.lab.model.fleet import InitialPlacement, make_hosts
+from sageturn.lab.model.fleet_spec import FleetSpec
 
 SAMPLE_INTERVAL_S = 1
 MAX_CONCURRENT_INITIAL_CONNECTIONS = 64
--- a/sageturn/lab/relay.py
+++ b/sageturn/lab/loopback/naive_relay.py
@@ -10,7 +10,7 @@
 import uvloop
 
 from sageturn.config.loader import load
-from sageturn.lab.naive import NaiveRebalancer
+from sageturn.lab.model.naive_planner import NaiveRebalancer
 from sageturn.rebalance.options import RebalanceOptions
 from sageturn.relay import Relay
 from sageturn.relay.operator_control import RebalancingSubsystem
@@ -35,7 +35,7 @@
 def main() -> int:
     """Run one such relay until it is told to stop. Returns the exit code."""
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
-    parser = argparse.ArgumentParser(prog="sageturn.lab.relay", description=__doc__)
+    parser = argparse.ArgumentParser(prog="sageturn.lab.loopback.naive_relay", description=__doc__)
     parser.add_argument("--operator", metavar="FILE", required=True)
     settled = load(operator_file=parser.parse_args().operator)
     logging.basicConfig(level=settled.log_level, format="%(asctime)s %(levelname)s %(name)s: %(message)s")
--- a/sageturn/lab/loopback_relays.py
+++ b/sageturn/lab/loopback/relay_processes.py
@@ -11,8 +11,8 @@
 from pathlib import Path
 from typing import Any
 
-from sageturn.lab.fleet_spec import FleetSpec, relay_settings
-from sageturn.lab.ports import reserve_port
+from sageturn.lab.loopback.ports import reserve_port
+from sageturn.lab.model.fleet_spec import FleetSpec, relay_settings
 from sageturn.store.log import scan
 
 READY_TIMEOUT_S = 15.0
@@ -116,7 +116,7 @@
         return file
 
     async def _start_process(self, folder: Path, config: Path, operator_file: Path) -> None:
-        module = "sageturn.lab.relay" if self._options.mover == "naive" else "sageturn"
+        module = "sageturn.lab.loopback.naive_relay" if self._options.mover == "naive" else "sageturn"
         environment = {name: value for name, value in os.environ.items() if not name.startswith("GW_")}
         with (folder / "log").open("wb") as log:
             process = await asyncio.create_subprocess_exec(
--- a/sageturn/lab/override_cost.py
+++ b/sageturn/lab/measurements/override_cost.py
@@ -9,7 +9,7 @@
 from sageturn import decision
 from sageturn.core.balancer_actor import BalancerActor
 from sageturn.core.clock import Clock
-from sageturn.lab.result_table import Row
+from sageturn.lab.reports.result_table import Row
 from sageturn.overrides.actor import OverrideActor
 from sageturn.overrides.options import OverrideOptions
 from sageturn.store.store import Store
--- a/sageturn/lab/override_propagation.py
+++ b/sageturn/lab/measurements/override_propagation.py
@@ -13,12 +13,12 @@
 from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PrivateKey
 from cryptography.hazmat.primitives.serialization import Encoding, PublicFormat
 
-from sageturn.lab.fakes import FakeEndpoint
-from sageturn.lab.fleet_spec import FleetSpec
-from sageturn.lab.loopback_runner import Deployment, deployed
-from sageturn.lab.override_operations import OPERATOR, revoke_operation, set_operation
-from sageturn.lab.ports import reserve_port
-from sageturn.lab.result_table import Row
+from sageturn.lab.loopback.fakes import FakeEndpoint
+from sageturn.lab.loopback.loopback_runner import Deployment, deployed
+from sageturn.lab.loopback.ports import reserve_port
+from sageturn.lab.measurements.override_operations import OPERATOR, revoke_operation, set_operation
+from sageturn.lab.model.fleet_spec import FleetSpec
+from sageturn.lab.reports.result_table import Row
 from sageturn.overrides.operations import (
     OverrideKind,
     OverrideOperation,
--- a/sageturn/lab/override_resolution.py
+++ b/sageturn/lab/measurements/override_resolution.py
@@ -10,8 +10,8 @@
 import numpy as np
 
 from sageturn import decision
-from sageturn.lab.override_operations import set_operation
-from sageturn.lab.result_table import Row
+from sageturn.lab.measurements.override_operations import set_operation
+from sageturn.lab.reports.result_table import Row
 from sageturn.overrides.model import Override, fold_operations
 from sageturn.overrides.operations import OverrideKind, OverridePayload, Selector, SelectorAttribute
 from sageturn.overrides.options import SafetyLimits
--- a/sageturn/lab/planner_cost.py
+++ b/sageturn/lab/measurements/planner_cost.py
@@ -9,8 +9,8 @@
 
 from sageturn import decision
 from sageturn.core.endpoint_snapshot import EndpointSnapshot
-from sageturn.lab.fleet_spec import FleetSpec
-from sageturn.lab.result_table import Row
+from sageturn.lab.model.fleet_spec import FleetSpec
+from sageturn.lab.reports.result_table import Row
 from sageturn.rebalance.connection_table import ConnectionLabels
 from sageturn.rebalance.options import RebalanceOptions
 from sageturn.rebalance.planner import RebalancePlanner
--- a/sageturn/lab/fleet.py
+++ b/sageturn/lab/model/fleet.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from sageturn import decision
-from sageturn.lab.endpoint_model import RUNNING_SINCE_LONG_AGO_S, EndpointModel
-from sageturn.lab.fleet_spec import FleetSpec
-from sageturn.lab.sampling import Client, ClientSampler
+from sageturn.lab.model.endpoint_model import RUNNING_SINCE_LONG_AGO_S, EndpointModel
+from sageturn.lab.model.fleet_spec import FleetSpec
+from sageturn.lab.model.sampling import Client, ClientSampler
 
 HOMES_PER_SMALLEST_HOST = 4  # resolution at which the clients follow the sizes of the hosts
 
--- a/sageturn/lab/sampling.py
+++ b/sageturn/lab/model/sampling.py
@@ -6,7 +6,7 @@
 
 import numpy as np
 
-from sageturn.lab.fleet_spec import ClassSpec, FleetSpec
+from sageturn.lab.model.fleet_spec import ClassSpec, FleetSpec
 
 
 @dataclass(slots=True)
--- a/sageturn/lab/session_store.py
+++ b/sageturn/lab/model/session_store.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from sageturn.lab.endpoint_model import MAX_UTILIZATION
-from sageturn.lab.fleet_spec import FleetSpec
+from sageturn.lab.model.endpoint_model import MAX_UTILIZATION
+from sageturn.lab.model.fleet_spec import FleetSpec
 
 IDLE_CALL_MS = 6.0
 CALL_RATE_SMOOTHING = 0.5  # weight of the latest step in the call rate
--- a/sageturn/lab/simulated_connections.py
+++ b/sageturn/lab/model/simulated_connections.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping, Set
 from dataclasses import dataclass
 
-from sageturn.lab.sampling import Client
+from sageturn.lab.model.sampling import Client
 
 
 @dataclass(slots=True)
--- a/sageturn/lab/simulated_hosts.py
+++ b/sageturn/lab/model/simulated_hosts.py
@@ -7,10 +7,10 @@
 import numpy as np
 
 from sageturn import decision
-from sageturn.lab.endpoint_model import MAX_UTILIZATION, EndpointModel
-from sageturn.lab.fleet import describe_endpoint, make_hosts
-from sageturn.lab.fleet_spec import FleetSpec
-from sageturn.lab.simulation_steps import EndpointConditions
+from sageturn.lab.model.endpoint_model import MAX_UTILIZATION, EndpointModel
+from sageturn.lab.model.fleet import describe_endpoint, make_hosts
+from sageturn.lab.model.fleet_spec import FleetSpec
+from sageturn.lab.model.simulation_steps import EndpointConditions
 
 DISCOVERY_DELAY_S = 2.0
 HOST_SELECTION_STREAM = 7  # random stream of the fleet's seed
--- a/sageturn/lab/simulated_relay.py
+++ b/sageturn/lab/model/simulated_relay.py
@@ -7,19 +7,19 @@
 from sageturn import decision
 from sageturn.config.settings import read_settings
 from sageturn.core.endpoint_snapshot import snapshot_endpoints
-from sageturn.lab import simulation_steps as steps
-from sageturn.lab.event_queue import EventQueue
-from sageturn.lab.fleet_spec import FleetSpec, relay_settings
-from sageturn.lab.naive import NaivePlanner
-from sageturn.lab.policy import load_policy
-from sageturn.lab.sampling import Client, ClientSampler
-from sageturn.lab.simulated_connections import (
+from sageturn.lab.model import simulation_steps as steps
+from sageturn.lab.model.event_queue import EventQueue
+from sageturn.lab.model.fleet_spec import FleetSpec, relay_settings
+from sageturn.lab.model.naive_planner import NaivePlanner
+from sageturn.lab.model.policy import load_policy
+from sageturn.lab.model.sampling import Client, ClientSampler
+from sageturn.lab.model.simulated_connections import (
     AttemptOutcome,
     EstablishedConnection,
     PendingRequest,
     count_group_migrations,
 )
-from sageturn.lab.simulation_steps import EndpointConditions, Instruction, StepResult
+from sageturn.lab.model.simulation_steps import EndpointConditions, Instruction, StepResult
 from sageturn.rebalance.options import RebalanceOptions
 from sageturn.rebalance.plan import NO_PLAN, MigrationPlan
 from sageturn.rebalance.planner import RebalancePlanner
--- a/sageturn/lab/simulation_steps.py
+++ b/sageturn/lab/model/simulation_steps.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 
 from sageturn import decision
-from sageturn.lab.sampling import Client
+from sageturn.lab.model.sampling import Client
 
 
 @dataclass(slots=True)
--- a/sageturn/lab/zone_frontend.py
+++ b/sageturn/lab/model/zone_frontend.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Iterable
 
-from sageturn.lab.fleet_spec import FleetSpec
-from sageturn.lab.sampling import ClientSampler
+from sageturn.lab.model.fleet_spec import FleetSpec
+from sageturn.lab.model.sampling import ClientSampler
 
 
 class ZoneFrontend:
--- a/sageturn/lab/overriding.py
+++ b/sageturn/lab/overriding.py
@@ -11,10 +11,10 @@
 
 import uvloop
 
-from sageturn.lab.override_cost import measure_cost
-from sageturn.lab.override_propagation import measure_propagation
-from sageturn.lab.override_resolution import measure_resolution
-from sageturn.lab.result_table import Row, print_table
+from sageturn.lab.measurements.override_cost import measure_cost
+from sageturn.lab.measurements.override_propagation import measure_propagation
+from sageturn.lab.measurements.override_resolution import measure_resolution
+from sageturn.lab.reports.result_table import Row, print_table
 
 MEASUREMENTS = ("obeying", "resolution", "cost")
 DEFAULT_ROUNDS = 40
--- a/sageturn/lab/readiness.py
+++ b/sageturn/lab/readiness.py
@@ -21,8 +21,8 @@
 from pathlib import Path
 from typing import Any
 
-from sageturn.lab.loopback_relays import READY_TIMEOUT_S
-from sageturn.lab.ports import reserve_port
+from sageturn.lab.loopback.ports import reserve_port
+from sageturn.lab.loopback.relay_processes import READY_TIMEOUT_S
 
 BOUND_S = 10.0  # nine restarts in ten are to be ready by then
 OPEN_CONNECTIONS = 20  # at the relay when it is stopped
--- a/sageturn/lab/rebalancing.py
+++ b/sageturn/lab/rebalancing.py
@@ -16,13 +16,13 @@
 
 import uvloop
 
-from sageturn.lab.fleet_spec import FleetSpec
-from sageturn.lab.loopback_runner import LoopbackResult, deployed
-from sageturn.lab.planner_cost import PlannerCost
-from sageturn.lab.result_table import Row, loopback_row, print_table, simulated_row
-from sageturn.lab.simulated_relay import MOVERS
-from sageturn.lab.simulation import simulate
-from sageturn.lab.simulation_result import SimulationResult
+from sageturn.lab.loopback.loopback_runner import LoopbackResult, deployed
+from sageturn.lab.measurements.planner_cost import PlannerCost
+from sageturn.lab.model.fleet_spec import FleetSpec
+from sageturn.lab.model.simulated_relay import MOVERS
+from sageturn.lab.model.simulation_result import SimulationResult
+from sageturn.lab.reports.result_table import Row, loopback_row, print_table, simulated_row
+from sageturn.lab.runner.simulation import simulate
 from sageturn.rebalance.options import RebalanceOptions
 
 LOOPBACK_PROGRESS_INTERVAL_S = 15
--- /dev/null
+++ b/sageturn/lab/reports/__init__.py
@@ -0,0 +1,1 @@
+"""Comparisons and reports of results."""
--- a/sageturn/lab/compare.py
+++ b/sageturn/lab/reports/compare.py
@@ -10,7 +10,7 @@
 from scipy import stats
 
 from sageturn.lab.errors import NoCommonRunsError
-from sageturn.lab.result_file import Results
+from sageturn.lab.runner.result_file import Results
 
 CONFIDENCE_LEVEL = 0.95
 RESAMPLES = 4000
--- a/sageturn/lab/report.py
+++ b/sageturn/lab/reports/report.py
@@ -15,10 +15,10 @@
 import matplotlib.pyplot as plt
 import numpy as np
 
-from sageturn.lab.compare import Difference, compare
 from sageturn.lab.errors import NoCommonRunsError
-from sageturn.lab.fleet_spec import CLASSES, TENANT_SHARES
-from sageturn.lab.result_file import Line, Results
+from sageturn.lab.model.fleet_spec import CLASSES, TENANT_SHARES
+from sageturn.lab.reports.compare import Difference, compare
+from sageturn.lab.runner.result_file import Line, Results
 
 REPORTED_METRICS = (
     "goal",
--- a/sageturn/lab/result_table.py
+++ b/sageturn/lab/reports/result_table.py
@@ -11,9 +11,9 @@
 from rich.console import Console
 from rich.table import Table
 
-from sageturn.lab.fleet_spec import FleetSpec
-from sageturn.lab.loopback_runner import LoopbackResult
-from sageturn.lab.simulation_result import SimulationResult
+from sageturn.lab.loopback.loopback_runner import LoopbackResult
+from sageturn.lab.model.fleet_spec import FleetSpec
+from sageturn.lab.model.simulation_result import SimulationResult
 
 BALANCED_RATIO = 1.15  # the fullest endpoint's utilization over the mean that counts as balance
 FINAL_WINDOW_S = 60  # the end of a run over which the ratio is averaged
--- a/sageturn/lab/environment.py
+++ b/sageturn/lab/runner/environment.py
@@ -12,22 +12,22 @@
 import numpy as np
 
 from sageturn.frontends.platform.timing import MAX_CLIENT_SILENCE_S, MIGRATION_MARGIN_S
-from sageturn.lab import simulation_steps as steps
-from sageturn.lab.endpoint_model import EndpointModel
-from sageturn.lab.fault_injection import FaultInjector
-from sageturn.lab.faults import ScheduledFault
-from sageturn.lab.fleet_spec import ClassSpec, FleetSpec
-from sageturn.lab.sampling import ClientSampler
-from sageturn.lab.session_store import SessionStoreModel
-from sageturn.lab.simulated_hosts import SimulatedHosts
-from sageturn.lab.simulation_result import (
+from sageturn.lab.faults.fault import ScheduledFault
+from sageturn.lab.faults.fault_injection import FaultInjector
+from sageturn.lab.model import simulation_steps as steps
+from sageturn.lab.model.endpoint_model import EndpointModel
+from sageturn.lab.model.fleet_spec import ClassSpec, FleetSpec
+from sageturn.lab.model.sampling import ClientSampler
+from sageturn.lab.model.session_store import SessionStoreModel
+from sageturn.lab.model.simulated_hosts import SimulatedHosts
+from sageturn.lab.model.simulation_result import (
     MAX_SETUP_MS,
     MIN_SETUP_MS,
     SimulationResult,
     make_setup_histogram,
 )
-from sageturn.lab.simulation_steps import Instruction, Reconnects, StepInput, StepResult
-from sageturn.lab.zone_frontend import ZoneFrontend
+from sageturn.lab.model.simulation_steps import Instruction, Reconnects, StepInput, StepResult
+from sageturn.lab.model.zone_frontend import ZoneFrontend
 
 IDLE_MESSAGE_MS = 6.0  # service time of a message at an idle host of size 1
 # A relay migrates a client whose host has been silent for so long.
--- a/sageturn/lab/experiment.py
+++ b/sageturn/lab/runner/experiment.py
@@ -18,9 +18,9 @@
     InvalidVariantError,
     LabError,
 )
-from sageturn.lab.faults import ScheduledFault
-from sageturn.lab.fleet_spec import FleetSpec
-from sageturn.lab.simulated_relay import MOVERS
+from sageturn.lab.faults.fault import ScheduledFault
+from sageturn.lab.model.fleet_spec import FleetSpec
+from sageturn.lab.model.simulated_relay import MOVERS
 from sageturn.rebalance.options import MODES, RebalanceOptions
 
 MIN_INITIAL_HOSTS = 2
--- a/sageturn/lab/experiment_runner.py
+++ b/sageturn/lab/runner/experiment_runner.py
@@ -13,11 +13,11 @@
 
 import msgspec
 
-from sageturn.lab.experiment import Experiment, Scenario, Variant
-from sageturn.lab.metrics import encode_series, measure
-from sageturn.lab.policy import read_policy
-from sageturn.lab.result_file import LIBRARIES, Line, Results, library_version, revision
-from sageturn.lab.simulation import simulate
+from sageturn.lab.model.policy import read_policy
+from sageturn.lab.runner.experiment import Experiment, Scenario, Variant
+from sageturn.lab.runner.metrics import encode_series, measure
+from sageturn.lab.runner.result_file import LIBRARIES, Line, Results, library_version, revision
+from sageturn.lab.runner.simulation import simulate
 
 OnRun = Callable[[Line, int, int], None]  # the run's line, its number and how many there are
 
--- a/sageturn/lab/metrics.py
+++ b/sageturn/lab/runner/metrics.py
@@ -6,8 +6,8 @@
 
 import numpy as np
 
-from sageturn.lab.fleet_spec import FleetSpec
-from sageturn.lab.simulation_result import SimulationResult
+from sageturn.lab.model.fleet_spec import FleetSpec
+from sageturn.lab.model.simulation_result import SimulationResult
 
 WINDOW_S = 10  # the worst such window counts, as it does for the operators
 FINAL_WINDOW_S = 10  # over which the imbalance at the end is averaged
--- a/sageturn/lab/scenario_shrinking.py
+++ b/sageturn/lab/runner/scenario_shrinking.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
-from sageturn.lab.experiment import Scenario
-from sageturn.lab.faults import ScheduledFault
+from sageturn.lab.faults.fault import ScheduledFault
+from sageturn.lab.runner.experiment import Scenario
 
 MAX_RUNS = 40
 # A fault's field is halved no further below these.
--- a/sageturn/lab/search.py
+++ b/sageturn/lab/runner/search.py
@@ -15,10 +15,10 @@
 import numpy as np
 
 from sageturn.lab.errors import UnknownParameterError
-from sageturn.lab.experiment import Scenario, Size, Variant
-from sageturn.lab.experiment_runner import run_scenario
-from sageturn.lab.faults import FAULT_KINDS, ScheduledFault
-from sageturn.lab.scenario_shrinking import replace_fault_field, shrink
+from sageturn.lab.faults.fault import FAULT_KINDS, ScheduledFault
+from sageturn.lab.runner.experiment import Scenario, Size, Variant
+from sageturn.lab.runner.experiment_runner import run_scenario
+from sageturn.lab.runner.scenario_shrinking import replace_fault_field, shrink
 
 # Parameters of a sweep: keys of the size, with their fields, keys of every fault, and REBALANCE_PREFIX + key.
 SIZE_PARAMETERS = {
--- a/sageturn/lab/simulation.py
+++ b/sageturn/lab/runner/simulation.py
@@ -15,13 +15,13 @@
 from multiprocessing.connection import Connection
 from typing import Protocol
 
-from sageturn.lab.environment import SimulatedEnvironment
-from sageturn.lab.faults import ScheduledFault
-from sageturn.lab.fleet import InitialPlacement, describe_endpoint, make_hosts
-from sageturn.lab.fleet_spec import FleetSpec
-from sageturn.lab.simulated_relay import SimulatedRelay
-from sageturn.lab.simulation_result import SimulationResult
-from sageturn.lab.simulation_steps import StepInput, StepResult
+from sageturn.lab.faults.fault import ScheduledFault
+from sageturn.lab.model.fleet import InitialPlacement, describe_endpoint, make_hosts
+from sageturn.lab.model.fleet_spec import FleetSpec
+from sageturn.lab.model.simulated_relay import SimulatedRelay
+from sageturn.lab.model.simulation_result import SimulationResult
+from sageturn.lab.model.simulation_steps import StepInput, StepResult
+from sageturn.lab.runner.environment import SimulatedEnvironment
 from sageturn.rebalance.options import RebalanceOptions
 
 STEP_S = 0.5
--- a/sageturn/lab/scale/environment.py
+++ b/sageturn/lab/scale/environment.py
@@ -8,8 +8,8 @@
 from random import Random
 from typing import Any
 
-from sageturn.lab.endpoint_model import EndpointModel
-from sageturn.lab.fakes import FakeDiscovery, FakeEndpoint
+from sageturn.lab.loopback.fakes import FakeDiscovery, FakeEndpoint
+from sageturn.lab.model.endpoint_model import EndpointModel
 
 DISCOVERY_CALL_TIMEOUT_S = 3.0  # after which discovery fails a call
 LINE_INTERVAL_S = 2.0
--- a/sageturn/lab/scale/jobs.py
+++ b/sageturn/lab/scale/jobs.py
@@ -9,7 +9,7 @@
 from random import Random
 from typing import Any
 
-from sageturn.lab.ports import reserve_port
+from sageturn.lab.loopback.ports import reserve_port
 from sageturn.lab.scale import counting
 from sageturn.lab.scale.child_process import ChildProcess
 from sageturn.lab.scale.child_protocol import Role
--- a/sageturn/lab/scale/plan.py
+++ b/sageturn/lab/scale/plan.py
@@ -13,7 +13,7 @@
 from msgspec import Meta, Struct
 
 from sageturn.lab.errors import InvalidExperimentError
-from sageturn.lab.experiment import Name, Positive
+from sageturn.lab.runner.experiment import Name, Positive
 from sageturn.lab.scale.errors import InvalidPlanError
 from sageturn.lab.scale.units import BYTES_PER_GB, BYTES_PER_MB, S_PER_MINUTE
 
--- a/sageturn/lab/scale/report.py
+++ b/sageturn/lab/scale/report.py
@@ -13,7 +13,7 @@
 import matplotlib.pyplot as plt
 from matplotlib.axes import Axes
 
-from sageturn.lab.result_file import Results
+from sageturn.lab.runner.result_file import Results
 from sageturn.lab.scale.arrivals import MAX_PROPAGATION_S
 from sageturn.lab.scale.predictions import fit_runs, is_usable, metric_value
 
--- a/sageturn/lab/scale/results.py
+++ b/sageturn/lab/scale/results.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from sageturn.lab.result_file import LIBRARIES, Results, library_version, revision
+from sageturn.lab.runner.result_file import LIBRARIES, Results, library_version, revision
 from sageturn.lab.scale.plan import ScaleExperiment, Size
 from sageturn.lab.scale.predictions import judge_predictions, predict
 from sageturn.lab.scale.scale_run import run_size
--- a/sageturn/lab/soak/discovery.py
+++ b/sageturn/lab/soak/discovery.py
@@ -14,7 +14,7 @@
 from random import Random
 from typing import Any
 
-from sageturn.lab.fakes import LOOPBACK
+from sageturn.lab.loopback.fakes import LOOPBACK
 from sageturn.lab.soak.plan import CHANGE_DELAY_S, NEVER_S, EndpointLife, SoakPlan, Trouble
 from sageturn.lab.soak.records import NewsRecord
 
--- a/sageturn/lab/soak/endpoint_host.py
+++ b/sageturn/lab/soak/endpoint_host.py
@@ -15,7 +15,7 @@
 import msgspec
 import uvloop
 
-from sageturn.lab.fakes import LOOPBACK, LineProtocol, parse_open_request
+from sageturn.lab.loopback.fakes import LOOPBACK, LineProtocol, parse_open_request
 from sageturn.lab.soak.plan import (
     DURATION_S,
     NEVER_S,
--- a/sageturn/lab/soak/relays.py
+++ b/sageturn/lab/soak/relays.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import Any
 
-from sageturn.lab.ports import reserve_port
+from sageturn.lab.loopback.ports import reserve_port
 from sageturn.lab.soak.plan import REQUEST_TIMEOUT_S, Incident, SoakPlan, Trouble, relay_settings
 from sageturn.lab.soak.records import RelayRecord
 
--- a/sageturn/lab/soak/soak_run.py
+++ b/sageturn/lab/soak/soak_run.py
@@ -13,7 +13,7 @@
 import uvloop
 
 from sageturn.core.tasks import cancel_and_wait
-from sageturn.lab.ports import reserve_port
+from sageturn.lab.loopback.ports import reserve_port
 from sageturn.lab.soak.auditor import Auditor, Rule, Violation
 from sageturn.lab.soak.clients import ClientPopulation
 from sageturn.lab.soak.discovery import SoakDiscovery
--- a/sageturn/lab/spreading.py
+++ b/sageturn/lab/spreading.py
@@ -20,7 +20,7 @@
 
 import uvloop
 
-from sageturn.lab.result_table import Row, print_table
+from sageturn.lab.reports.result_table import Row, print_table
 from sageturn.net.admission import AdmissionController, ProcessLimits
 from sageturn.store.channel import read_secret
 from sageturn.store.replication.member import ReplicationMember
--- a/tests/decision/test_slow_start.py
+++ b/tests/decision/test_slow_start.py
@@ -27,7 +27,7 @@
 from sageturn.config.errors import ConfigError
 from sageturn.config.settings import read_settings
 from sageturn.decision.slow_start import SlowStartBudget
-from sageturn.lab.fleet_spec import FleetSpec, relay_settings
+from sageturn.lab.model.fleet_spec import FleetSpec, relay_settings
 
 WITHIN_MS, WINDOW_MS, COLD_FROM, MULTIPLE = 24_000.0, 3_000.0, 0.2, 4.0
 CLASSES = (RequestClass("one", latency_objective_ms=800.0, give_up_ms=3200.0),)
--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -14,28 +14,28 @@
 import pytest
 
 from sageturn.decision import balancer, fleet
-from sageturn.lab.compare import compare, difference
-from sageturn.lab.endpoint_model import EndpointModel
-from sageturn.lab.environment import ratio_answered_in_time
 from sageturn.lab.errors import (
     InvalidExperimentError,
     PolicyNotFoundError,
     ResultsMismatchError,
     UnknownParameterError,
 )
-from sageturn.lab.experiment import Scenario, Size, read_experiment
-from sageturn.lab.experiment_runner import run_experiment
-from sageturn.lab.faults import FAULT_KINDS, ScheduledFault
-from sageturn.lab.fleet import make_hosts
-from sageturn.lab.fleet_spec import FleetSpec
-from sageturn.lab.loopback_runner import deployed
-from sageturn.lab.policy import POLICY_MODULES, load_policy, read_policy
-from sageturn.lab.report import markdown, page
-from sageturn.lab.result_file import Line, Results
-from sageturn.lab.scenario_shrinking import shrink
-from sageturn.lab.search import Point, find_crossing, set_parameter
-from sageturn.lab.simulation import simulate
-from sageturn.lab.simulation_result import SimulationResult
+from sageturn.lab.faults.fault import FAULT_KINDS, ScheduledFault
+from sageturn.lab.loopback.loopback_runner import deployed
+from sageturn.lab.model.endpoint_model import EndpointModel
+from sageturn.lab.model.fleet import make_hosts
+from sageturn.lab.model.fleet_spec import FleetSpec
+from sageturn.lab.model.policy import POLICY_MODULES, load_policy, read_policy
+from sageturn.lab.model.simulation_result import SimulationResult
+from sageturn.lab.reports.compare import compare, difference
+from sageturn.lab.reports.report import markdown, page
+from sageturn.lab.runner.environment import ratio_answered_in_time
+from sageturn.lab.runner.experiment import Scenario, Size, read_experiment
+from sageturn.lab.runner.experiment_runner import run_experiment
+from sageturn.lab.runner.result_file import Line, Results
+from sageturn.lab.runner.scenario_shrinking import shrink
+from sageturn.lab.runner.search import Point, find_crossing, set_parameter
+from sageturn.lab.runner.simulation import simulate
 from sageturn.rebalance.options import RebalanceOptions
 
 SMALL = FleetSpec(relays=3, hosts=6, initial_hosts=4, connections=300, mean_lifetime_s=300.0, join_s=5.0)
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -23,7 +23,7 @@
 
 from sageturn.cli.main import build_app
 from sageturn.lab.errors import InvalidExperimentError
-from sageturn.lab.result_file import Results
+from sageturn.lab.runner.result_file import Results
 from sageturn.lab.scale import costs, counting, members, relay_costs, store_costs
 from sageturn.lab.scale.arrivals import encode_durations
 from sageturn.lab.scale.cost_measuring import make_store
