--- a/sageturn/cli/lab.py
+++ b/sageturn/cli/lab.py
@@ -305,25 +305,25 @@
     relays: Annotated[int, typer.Option(help="Relay processes.")] = 16,
     hosts: Annotated[int, typer.Option(help="Processes of two endpoints each.")] = 12,
     requests: Annotated[float, typer.Option(help="Requests a second, over all relays.")] = 200.0,
-    storm: Annotated[str, typer.Option(help="Its troubles, with commas between; else drawn.")] = "",
+    storm: Annotated[str, typer.Option(help="Its faults, with commas between; else drawn.")] = "",
     variants: Annotated[str, typer.Option(help="pushed_lists, health_checks, or both, with a comma.")] = "",
     keep: Annotated[Path | None, typer.Option(help="Where plans, records and logs are kept.")] = None,
 ) -> None:
-    """Real relays on loopback in overlapping troubles, judged by the protocol's rules: 30 s a run."""
-    from sageturn.lab.soak.plan import SoakSize, Trouble, Variant, draw_plan
+    """Real relays on loopback in overlapping faults, judged by the protocol's rules: 30 s a run."""
+    from sageturn.lab.soak.plan import FaultKind, SoakSize, Variant, draw_plan
     from sageturn.lab.soak.report import play_all
 
     if min(relays, hosts, runs) < 1 or requests <= 0:
         fail(ExitCode.USAGE, "relays, hosts, runs and requests must be 1 or more")
     size = SoakSize(relays, hosts, requests)
     try:
-        troubles = [Trouble(name) for name in storm.split(",") if name]
+        faults = [FaultKind(name) for name in storm.split(",") if name]
     except ValueError as error:
-        fail(ExitCode.USAGE, f"storm: {error}; there are {', '.join(Trouble)}")
+        fail(ExitCode.USAGE, f"storm: {error}; there are {', '.join(FaultKind)}")
     try:
         chosen = [Variant(name) for name in variants.split(",") if name]
     except ValueError as error:
         fail(ExitCode.USAGE, f"variants: {error}; there are {', '.join(Variant)}")
-    plans = (draw_plan(number, size, troubles, chosen) for number in range(seed, seed + runs))
+    plans = (draw_plan(number, size, faults, chosen) for number in range(seed, seed + runs))
     if not play_all(plans, keep, lambda text: print(text, flush=True)):
         raise typer.Exit(int(ExitCode.REFUSED))
--- a/sageturn/lab/soak/__init__.py
+++ b/sageturn/lab/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A soak test of real relay processes on loopback: overlapping troubles by a seed, and an auditor."""
+"""A soak test of real relay processes on loopback: overlapping faults by a seed, and an auditor."""
--- a/sageturn/lab/soak/auditor.py
+++ b/sageturn/lab/soak/auditor.py
@@ -19,28 +19,28 @@
     NEVER_S,
     QUOTA_S,
     REQUEST_TIMEOUT_S,
+    SLOW_START_WINDOW_S,
     START_CAPACITY,
     WARM_UP_S,
-    WINDOW_S,
+    FaultKind,
     SoakPlan,
-    Trouble,
 )
 from sageturn.lab.soak.records import AttemptRecord, ClientRecord, Evidence, RelayRecord
 
-# The clocks are one, but the processes that read them share the machine's cores with all others.
+# All processes read one clock, but they share the machine's cores.
 MEASURING_SLACK_S = 0.15
-LIMIT_SLACK_S = 0.05  # that the protocol adds to each time limit
+LIMIT_SLACK_S = 0.05  # which the protocol adds to each time limit
 LATE_ANSWER_S = 0.5
-LEFT_GRACE_S = 0.1  # an attempt may still begin so long after its client has left
-NEWS_DEADLINE_S = 6.0
-RELOAD_DEADLINE_S = 4.0  # where lists are pushed: after SIGHUP it counts so much later
+DISCONNECT_GRACE_S = 0.1  # in which an attempt may still begin after its client has left
+NOTIFICATION_DEADLINE_S = 6.0
+RELOAD_DEADLINE_S = 4.0  # by which SIGHUP puts off notifications where lists are pushed
 BAD_CLIENT_S = 3.0
 STOP_S = REQUEST_TIMEOUT_S + 0.7
-SMALL_BUDGET = 30.0  # below it chance is allowed three roots in place of two
+SMALL_BUDGET = 30.0  # attempts; smaller budgets may be exceeded by three roots instead of two
 
 
 class Rule(StrEnum):
-    """What is judged."""
+    """A rule that every run has to keep."""
 
     ANSWERED = "answered"
     ANSWERED_ONCE = "answered_once"
@@ -162,7 +162,7 @@
         client = self._clients.get(request)
         if client is not None and client.left_s:
             begun_s = max(attempt.first_byte_s for attempt in attempts) - client.left_s
-            if begun_s > LEFT_GRACE_S + MEASURING_SLACK_S:
+            if begun_s > DISCONNECT_GRACE_S + MEASURING_SLACK_S:
                 detail = f"{begun_s:.3f} s after the client had left, relay {client.relay}"
                 yield Violation(Rule.CLIENT_PRESENT, request, detail)
 
@@ -179,50 +179,58 @@
     # ------------------------------------------------------------ endpoints
 
     def _check_drains(self) -> Iterator[Violation]:
-        told: dict[tuple[int, str, float], float] = {}
-        for news in self._evidence.news:
-            key = (news.relay_process, news.endpoint, round(news.started_at_s, 3))
-            told[key] = min(told.get(key, NEVER_S), news.told_s)
-        lives = {
-            (life.name, round(self._plan.started_s + life.start_s, 3)): life for life in self._plan.lives
+        first_notified_s: dict[tuple[int, str, float], float] = {}
+        for notification in self._evidence.notifications:
+            key = (notification.relay_process, notification.endpoint, round(notification.started_at_s, 3))
+            first_notified_s[key] = min(first_notified_s.get(key, NEVER_S), notification.notified_s)
+        incarnations = {
+            (incarnation.name, round(self._plan.started_s + incarnation.start_s, 3)): incarnation
+            for incarnation in self._plan.incarnations
         }
         for attempt in self._evidence.attempts:
             client = self._clients.get(attempt.request)
-            life = lives.get((attempt.endpoint, round(attempt.started_at_s, 3)))
-            if client is None or life is None or life.drain_s >= NEVER_S:
+            incarnation = incarnations.get((attempt.endpoint, round(attempt.started_at_s, 3)))
+            if client is None or incarnation is None or incarnation.drain_s >= NEVER_S:
                 continue
             relay = self._relays.get(client.relay_process)
             key = (client.relay_process, attempt.endpoint, round(attempt.started_at_s, 3))
-            told_s = min(told.get(key, NEVER_S), self._latest_told_s(life.drain_s, relay))
-            late_s = attempt.first_byte_s - told_s - DRAIN_GRACE_S - LIMIT_SLACK_S
+            deadline_s = self._latest_notification_s(incarnation.drain_s, relay)
+            notified_s = min(first_notified_s.get(key, NEVER_S), deadline_s)
+            late_s = attempt.first_byte_s - notified_s - DRAIN_GRACE_S - LIMIT_SLACK_S
             if late_s > MEASURING_SLACK_S:
                 detail = f"{late_s:.3f} s past the grace, relay {client.relay}, request {attempt.request}"
                 yield Violation(Rule.DRAIN, attempt.endpoint, detail)
 
-    def _latest_told_s(self, drain_s: float, relay: RelayRecord | None) -> float:
-        """News counts as told 6 s after discovery had it and could be reached, and after a relay's start."""
+    def _latest_notification_s(self, drain_s: float, relay: RelayRecord | None) -> float:
+        """Returns when a relay counts as notified of a drain at the latest, on the monotonic clock.
+
+        That is 6 s after discovery had the change and could be reached, and after the relay's start.
+        """
         if self._plan.is_pushed:
             return self._latest_pushed_s(drain_s, relay)
         known_s = drain_s
-        for outage in self._plan.of(Trouble.DISCOVERY_DOWN):
+        for outage in self._plan.faults_of(FaultKind.DISCOVERY_DOWN):
             if (
                 outage.begin_s <= known_s < outage.end_s
-                or known_s < outage.begin_s < known_s + NEWS_DEADLINE_S
+                or known_s < outage.begin_s < known_s + NOTIFICATION_DEADLINE_S
             ):
                 known_s = outage.end_s
-        told_s = self._plan.started_s + known_s
-        return max(told_s, relay.started_s if relay else 0.0) + NEWS_DEADLINE_S
+        notified_s = self._plan.started_s + known_s
+        return max(notified_s, relay.started_s if relay else 0.0) + NOTIFICATION_DEADLINE_S
 
     def _latest_pushed_s(self, drain_s: float, relay: RelayRecord | None) -> float:
-        """What the agent has is known at once, from a process's start on, but for silence and reloads."""
+        """Returns the same where lists are pushed: a relay counts as notified once its agent has the change.
+
+        Outages, silence and reloads of the relay put it off.
+        """
         known_s = drain_s + CHANGE_DELAY_S
-        for outage in self._plan.of(Trouble.DISCOVERY_DOWN):
+        for outage in self._plan.faults_of(FaultKind.DISCOVERY_DOWN):
             if outage.is_active(known_s):
                 known_s = outage.end_s
-        for silence in self._plan.of(Trouble.DISCOVERY_SILENT):
-            if silence.begin_s <= known_s < silence.begin_s + NEWS_DEADLINE_S:
-                known_s = silence.begin_s + NEWS_DEADLINE_S
-        for reload in self._plan.of(Trouble.RELAY_RELOAD):
+        for silence in self._plan.faults_of(FaultKind.DISCOVERY_SILENT):
+            if silence.begin_s <= known_s < silence.begin_s + NOTIFICATION_DEADLINE_S:
+                known_s = silence.begin_s + NOTIFICATION_DEADLINE_S
+        for reload in self._plan.faults_of(FaultKind.RELAY_RELOAD):
             is_own = relay is not None and reload.target == relay.relay
             if is_own and reload.begin_s <= known_s < reload.begin_s + RELOAD_DEADLINE_S:
                 known_s = reload.begin_s + RELOAD_DEADLINE_S
@@ -240,7 +248,7 @@
             for number, age_s in enumerate(ages):
                 if age_s > WARM_UP_S:
                     break
-                count = number + 1 - bisect_left(ages, age_s - WINDOW_S)
+                count = number + 1 - bisect_left(ages, age_s - SLOW_START_WINDOW_S)
                 bound = self.max_attempts_in_window(age_s)
                 if count > bound:
                     detail = f"{count} attempts in the window up to {age_s:.2f} s, {bound:.1f} allowed"
@@ -252,7 +260,7 @@
         size = self._plan.size
         warm_connections = size.requests_per_s * QUOTA_S / size.endpoints
         capacity = START_CAPACITY + (1.0 - START_CAPACITY) * min(1.0, age_s / WARM_UP_S)
-        budget = FALL_MULTIPLE * warm_connections * capacity * WINDOW_S / WARM_UP_S
+        budget = FALL_MULTIPLE * warm_connections * capacity * SLOW_START_WINDOW_S / WARM_UP_S
         if budget < SMALL_BUDGET:
             return budget + 3.0 * sqrt(budget) + 3.0
         return budget + 2.0 * sqrt(budget) + 2.0
--- a/sageturn/lab/soak/clients.py
+++ b/sageturn/lab/soak/clients.py
@@ -10,7 +10,7 @@
 from random import Random
 
 from sageturn.core.tasks import cancel_and_wait
-from sageturn.lab.soak.plan import REQUEST_TIMEOUT_S, SoakPlan, Trouble
+from sageturn.lab.soak.plan import REQUEST_TIMEOUT_S, FaultKind, SoakPlan
 from sageturn.lab.soak.records import ClientRecord
 from sageturn.lab.soak.relays import SoakRelay
 
@@ -121,7 +121,7 @@
         """Send clients for so long after the run's start, and wait until all have ended."""
         end_s = self._plan.started_s + duration_s
         while time.monotonic() < end_s:
-            factor = BURST_FACTOR if self._is_active(Trouble.CLIENT_BURST) else 1.0
+            factor = BURST_FACTOR if self._is_active(FaultKind.CLIENT_BURST) else 1.0
             await asyncio.sleep(self._rng.expovariate(self._plan.size.requests_per_s * factor))
             admitted = [relay for relay in self._relays if relay.is_admitted]
             if admitted:
@@ -131,9 +131,9 @@
         while self._tasks:
             await asyncio.wait(self._tasks)
 
-    def _is_active(self, trouble: Trouble) -> bool:
+    def _is_active(self, kind: FaultKind) -> bool:
         at_s = time.monotonic() - self._plan.started_s
-        return any(incident.is_active(at_s) for incident in self._plan.of(trouble))
+        return any(fault.is_active(at_s) for fault in self._plan.faults_of(kind))
 
     async def _run_client(self, relay: SoakRelay) -> None:
         request = f"q{len(self.records)}"
@@ -148,7 +148,7 @@
             record.end = "refused"
             return
         record.relay_process = relay.record.process
-        is_faulty_time = self._is_active(Trouble.CLIENT_FAULTS)
+        is_faulty_time = self._is_active(FaultKind.CLIENT_FAULTS)
         if is_faulty_time and self._rng.random() < FAULTY_BAD_RATIO:
             await self._run_bad(connection, record)
             return
--- a/sageturn/lab/soak/discovery.py
+++ b/sageturn/lab/soak/discovery.py
@@ -15,8 +15,8 @@
 from typing import Any
 
 from sageturn.lab.loopback.fakes import LOOPBACK
-from sageturn.lab.soak.plan import CHANGE_DELAY_S, NEVER_S, EndpointLife, SoakPlan, Trouble
-from sageturn.lab.soak.records import NewsRecord
+from sageturn.lab.soak.plan import CHANGE_DELAY_S, NEVER_S, EndpointIncarnation, FaultKind, SoakPlan
+from sageturn.lab.soak.records import EndpointNotification
 
 HEARTBEAT_S = 2.0
 PIECE_PAUSE_S = 0.001
@@ -30,20 +30,20 @@
     """A change of the list: the state of an endpoint's process from then on."""
 
     at_s: float
-    life: EndpointLife
+    incarnation: EndpointIncarnation
     state: str
 
 
 def list_changes(plan: SoakPlan) -> list[Change]:
     """All changes of the run in their order; a crash is not reported before its successor."""
     changes = []
-    for life in plan.lives:
-        if life.start_s > 0.0:
-            changes.append(Change(life.start_s + CHANGE_DELAY_S, life, "ready"))
-        if life.drain_s < NEVER_S:
-            changes.append(Change(life.drain_s + CHANGE_DELAY_S, life, "draining"))
-        if life.end_s < NEVER_S and not life.is_crash:
-            changes.append(Change(life.end_s + CHANGE_DELAY_S, life, "gone"))
+    for incarnation in plan.incarnations:
+        if incarnation.start_s > 0.0:
+            changes.append(Change(incarnation.start_s + CHANGE_DELAY_S, incarnation, "ready"))
+        if incarnation.drain_s < NEVER_S:
+            changes.append(Change(incarnation.drain_s + CHANGE_DELAY_S, incarnation, "draining"))
+        if incarnation.end_s < NEVER_S and not incarnation.is_crash:
+            changes.append(Change(incarnation.end_s + CHANGE_DELAY_S, incarnation, "gone"))
     return sorted(changes, key=lambda change: change.at_s)
 
 
@@ -62,11 +62,11 @@
 
     def __init__(self, plan: SoakPlan, process_of: Callable[[int], int]) -> None:
         self.addresses: dict[int, list[tuple[str, int]]] = {}
-        self.news: list[NewsRecord] = []
+        self.notifications: list[EndpointNotification] = []
         self._plan = plan
         self._process_of = process_of
         self._changes = list_changes(plan)
-        self._told_count = 0
+        self._published_count = 0
         self._watches: set[Watch] = set()
         self._servers: list[asyncio.Server] = []
         self._rng = Random(f"{plan.seed}/discovery")
@@ -89,27 +89,31 @@
 
     def current_list(self) -> dict[str, Any]:
         """The whole list at this moment."""
-        states = {life.name: (life, "ready") for life in self._plan.lives if life.start_s <= 0.0}
-        for change in self._changes[: self._told_count]:
+        states = {
+            incarnation.name: (incarnation, "ready")
+            for incarnation in self._plan.incarnations
+            if incarnation.start_s <= 0.0
+        }
+        for change in self._changes[: self._published_count]:
             if change.state == "gone":
-                states.pop(change.life.name, None)
+                states.pop(change.incarnation.name, None)
             else:
-                states[change.life.name] = (change.life, change.state)
-        entries = [self._encode(life, state) for life, state in states.values()]
-        return {"version": self._told_count + 1, "full": True, "servers": entries}
+                states[change.incarnation.name] = (change.incarnation, change.state)
+        entries = [self._encode(incarnation, state) for incarnation, state in states.values()]
+        return {"version": self._published_count + 1, "full": True, "servers": entries}
 
     async def run(self) -> None:
         """Publish changes, and break watches, when they are due; until cancelled."""
-        troubles = self._plan.of(Trouble.DISCOVERY_DOWN, Trouble.DISCOVERY_SILENT)
+        faults = self._plan.faults_of(FaultKind.DISCOVERY_DOWN, FaultKind.DISCOVERY_SILENT)
         due = [(change.at_s, change) for change in self._changes]
-        due += [(trouble.begin_s, trouble) for trouble in troubles]  # type: ignore[misc]
+        due += [(fault.begin_s, fault) for fault in faults]  # type: ignore[misc]
         for at_s, item in sorted(due, key=lambda pair: pair[0]):
             await asyncio.sleep(max(0.0, self._plan.started_s + at_s - time.monotonic()))
             if isinstance(item, Change):
-                self._told_count += 1
+                self._published_count += 1
                 for watch in list(self._watches):
-                    asyncio.ensure_future(self._write_change(watch, item, self._told_count + 1))  # noqa: RUF006
-            elif item.trouble is Trouble.DISCOVERY_DOWN:
+                    asyncio.ensure_future(self._write_change(watch, item, self._published_count + 1))  # noqa: RUF006
+            elif item.kind is FaultKind.DISCOVERY_DOWN:
                 for watch in list(self._watches):
                     watch.writer.transport.abort()
             else:
@@ -127,7 +131,7 @@
 
     async def _serve(self, relay: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
-        if self._is_active(Trouble.DISCOVERY_DOWN):
+        if self._is_active(FaultKind.DISCOVERY_DOWN):
             # An agent on the relay's own machine has no queue.
             await asyncio.sleep(0.0 if self._plan.is_pushed else self._rng.choice([0.0, DOWN_WAIT_S]))
             writer.write(UNAVAILABLE)
@@ -138,7 +142,7 @@
         await self._write(watch, listed)
         self._record_list(watch.process, listed)
         self._watches.add(watch)
-        missed = self._changes[listed["version"] - 1 : self._told_count]
+        missed = self._changes[listed["version"] - 1 : self._published_count]
         try:
             for number, change in enumerate(missed, listed["version"] + 1):
                 await self._write_change(watch, change, number)
@@ -152,28 +156,30 @@
             self._watches.discard(watch)
 
     def _record_list(self, process: int, listed: dict[str, Any]) -> None:
-        """What a list does not name any more is gone."""
+        """Records the notifications that a full list brings: endpoints that it does not name are gone."""
         at_s = time.monotonic() - self._plan.started_s
         states = {entry["id"]: entry["state"] for entry in listed["servers"]}
-        for life in self._plan.lives:
-            if life.drain_s < at_s and states.get(life.name, "gone") != "ready":
-                self._record(process, life)
+        for incarnation in self._plan.incarnations:
+            if incarnation.drain_s < at_s and states.get(incarnation.name, "gone") != "ready":
+                self._record(process, incarnation)
 
-    def _record(self, process: int, life: EndpointLife) -> None:
-        started_at_s = self._plan.started_s + life.start_s
-        self.news.append(NewsRecord(process, life.name, started_at_s, time.monotonic()))
+    def _record(self, process: int, incarnation: EndpointIncarnation) -> None:
+        started_at_s = self._plan.started_s + incarnation.start_s
+        self.notifications.append(
+            EndpointNotification(process, incarnation.name, started_at_s, time.monotonic())
+        )
 
     async def _write_change(self, watch: Watch, change: Change, version: int) -> None:
         if watch.is_silent:
             return
-        entry = self._encode(change.life, change.state)
+        entry = self._encode(change.incarnation, change.state)
         with suppress(OSError, RuntimeError):
             await self._write(watch, {"version": version, "full": False, "servers": [entry]})
             if change.state != "ready":
-                self._record(watch.process, change.life)
+                self._record(watch.process, change.incarnation)
 
     async def _write(self, watch: Watch, listed: dict[str, Any]) -> None:
-        in_pieces = self._is_active(Trouble.DISCOVERY_PIECES)
+        in_pieces = self._is_active(FaultKind.DISCOVERY_PIECES)
         line = json.dumps(listed, indent=1 if in_pieces else None).encode() + b"\n"
         chunk = b"%x\r\n%s\r\n" % (len(line), line)
         async with watch.lock:
@@ -184,17 +190,17 @@
                 if in_pieces:
                     await asyncio.sleep(PIECE_PAUSE_S)
 
-    def _is_active(self, trouble: Trouble) -> bool:
+    def _is_active(self, kind: FaultKind) -> bool:
         at_s = time.monotonic() - self._plan.started_s
-        return any(incident.is_active(at_s) for incident in self._plan.of(trouble))
+        return any(fault.is_active(at_s) for fault in self._plan.faults_of(kind))
 
-    def _encode(self, life: EndpointLife, state: str) -> dict[str, Any]:
+    def _encode(self, incarnation: EndpointIncarnation, state: str) -> dict[str, Any]:
         """An entry of the list. Its start is a time of the system's clock as that was then."""
-        wall_of_start_s = time.time() - time.monotonic() + self._plan.started_s + life.start_s
+        wall_of_start_s = time.time() - time.monotonic() + self._plan.started_s + incarnation.start_s
         return {
-            "id": life.name,
-            "addr": f"{LOOPBACK}:{life.port}",
+            "id": incarnation.name,
+            "addr": f"{LOOPBACK}:{incarnation.port}",
             "state": state,
             "weight": 1.0,
-            "started_ms": round((wall_of_start_s + self._plan.wall_shift_s(life.start_s)) * 1000.0),
+            "started_ms": round((wall_of_start_s + self._plan.wall_shift_s(incarnation.start_s)) * 1000.0),
         }
--- a/sageturn/lab/soak/endpoint_host.py
+++ b/sageturn/lab/soak/endpoint_host.py
@@ -19,11 +19,11 @@
 from sageturn.lab.soak.plan import (
     DURATION_S,
     NEVER_S,
-    EndpointLife,
+    EndpointIncarnation,
     EndpointMode,
-    Incident,
+    FaultKind,
+    ScheduledFault,
     SoakPlan,
-    Trouble,
 )
 from sageturn.lab.soak.records import AttemptRecord
 
@@ -54,17 +54,17 @@
 
 
 class PlannedEndpoint:
-    """One life of an endpoint."""
+    """One incarnation of an endpoint."""
 
     def __init__(
         self,
-        life: EndpointLife,
-        modes: list[Incident],
+        incarnation: EndpointIncarnation,
+        modes: list[ScheduledFault],
         started_s: float,
         rng: Random,
         records: list[AttemptRecord],
     ) -> None:
-        self.life = life
+        self.incarnation = incarnation
         self.rng = rng
         self.records = records
         self.connections: set[EndpointConnection] = set()
@@ -75,33 +75,33 @@
     @property
     def started_at_s(self) -> float:
         """When this process started, by the monotonic clock."""
-        return self._started_s + self.life.start_s
+        return self._started_s + self.incarnation.start_s
 
     @property
     def is_draining(self) -> bool:
         """Whether it wants nothing new."""
-        return time.monotonic() - self._started_s >= self.life.drain_s
+        return time.monotonic() - self._started_s >= self.incarnation.drain_s
 
     def mode(self) -> EndpointMode | None:
         """What it does with a new connection now."""
         at_s = time.monotonic() - self._started_s
-        for incident in self._modes:
-            if incident.is_active(at_s):
-                return EndpointMode(incident.mode)
+        for fault in self._modes:
+            if fault.is_active(at_s):
+                return EndpointMode(fault.mode)
         return None
 
     async def run(self) -> None:
         """Live from the planned start to the planned end."""
-        await self._sleep_until(self.life.start_s)
+        await self._sleep_until(self.incarnation.start_s)
         listening = socket.socket()
         listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        listening.bind((LOOPBACK, self.life.port))
+        listening.bind((LOOPBACK, self.incarnation.port))
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(lambda: EndpointConnection(self), sock=listening, backlog=512)
-        if self.life.drain_s < NEVER_S:
-            await self._sleep_until(self.life.drain_s)
+        if self.incarnation.drain_s < NEVER_S:
+            await self._sleep_until(self.incarnation.drain_s)
             self._send_clients_away()
-        await self._sleep_until(min(self.life.end_s, DURATION_S + EXTRA_TIME_S))
+        await self._sleep_until(min(self.incarnation.end_s, DURATION_S + EXTRA_TIME_S))
         self._server.close()
         for connection in list(self.connections):
             connection.end(by_endpoint=True)
@@ -122,7 +122,7 @@
     def __init__(self, endpoint: PlannedEndpoint) -> None:
         super().__init__()
         self._endpoint = endpoint
-        self._record = AttemptRecord(endpoint.life.name, endpoint.started_at_s)
+        self._record = AttemptRecord(endpoint.incarnation.name, endpoint.started_at_s)
         endpoint.records.append(self._record)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -215,15 +215,15 @@
 async def run_host(plan: SoakPlan, host: int) -> list[AttemptRecord]:
     """Run all endpoints of a host to the end of the plan; returns what they saw."""
     records: list[AttemptRecord] = []
-    places = {life.name: number for number, life in enumerate(plan.lives)}
+    places = {incarnation.name: number for number, incarnation in enumerate(plan.incarnations)}
     running = []
-    for life in plan.lives:
-        if life.host != host:
+    for incarnation in plan.incarnations:
+        if incarnation.host != host:
             continue
-        place = int(life.name.removeprefix("s"))
-        modes = [each for each in plan.of(Trouble.ENDPOINT_MODE) if each.target == place]
-        rng = Random(f"{plan.seed}/{life.name}/{places[life.name]}")
-        running.append(PlannedEndpoint(life, modes, plan.started_s, rng, records).run())
+        place = int(incarnation.name.removeprefix("s"))
+        modes = [each for each in plan.faults_of(FaultKind.ENDPOINT_MODE) if each.target == place]
+        rng = Random(f"{plan.seed}/{incarnation.name}/{places[incarnation.name]}")
+        running.append(PlannedEndpoint(incarnation, modes, plan.started_s, rng, records).run())
     await asyncio.gather(*running)
     return [record for record in records if not record.is_health_check]
 
--- a/sageturn/lab/soak/plan.py
+++ b/sageturn/lab/soak/plan.py
@@ -1,4 +1,4 @@
-"""The plan of one run: endpoints, troubles and when they happen. Drawn from a seed, and nothing else.
+"""The plan of one run: its endpoints, and its faults with their times, drawn from a seed alone.
 
 Times are seconds after the run's start, on the monotonic clock that all processes of a machine share.
 """
@@ -6,30 +6,31 @@
 from __future__ import annotations
 
 from collections.abc import Sequence
-from dataclasses import dataclass, field
 from enum import StrEnum
 from random import Random
 from typing import Any
 
+import msgspec
+
 DURATION_S = 14.0
 ENDPOINTS_PER_HOST = 2
 DRAIN_NOTICE_S = 2.5  # between an endpoint's drain and its end
 RESTART_PAUSE_S = 0.8  # between an endpoint's crash and its next start
 HOLD_S = 0.12  # a relay may be held up for 0.15 s at any time
-STORM_TROUBLES = 3
+STORM_FAULT_COUNT = 3
 HOUR_S = 3600.0
-NEVER_S = 1e9  # no infinity, which JSON cannot carry
-WINDOW_S = 2.0  # of the budget of an endpoint in slow start,
-WARM_UP_S = 5.0  # which lasts so long,
-START_CAPACITY = 0.08  # and begins with this part of the capacity
+NEVER_S = 1e9  # JSON has no infinity
+SLOW_START_WINDOW_S = 2.0  # in which attempts at an endpoint in slow start are counted
+WARM_UP_S = 5.0  # length of the slow start
+START_CAPACITY = 0.08  # ratio of the capacity at the beginning of the slow start
 FALL_MULTIPLE = 2.0
 DRAIN_GRACE_S = 0.3
 MAX_ATTEMPTS = 3
 REQUEST_TIMEOUT_S = 2.0
 KEY_TTL_S = 1.5
-HEALTH_CHECK_PRICE = 0.01  # so that a request pays for two checks
-CHANGE_DELAY_S = 0.2  # between a change and its news
-QUOTA_S = 6.0  # connections that the tenant's quota stands for, in seconds of its requests
+HEALTH_CHECK_PRICE = 0.01  # of a request
+CHANGE_DELAY_S = 0.2  # between a change of an endpoint and its publication by discovery
+QUOTA_S = 6.0  # the tenant's connection quota over its requests per second
 
 
 class EndpointMode(StrEnum):
@@ -42,8 +43,8 @@
     SLOW = "slow"  # answers after up to a second
 
 
-class Trouble(StrEnum):
-    """A kind of trouble."""
+class FaultKind(StrEnum):
+    """What a fault of a run consists in."""
 
     RELAY_RESTART = "relay_restart"  # SIGTERM, and a new process once it has exited
     RELAY_KILL = "relay_kill"  # SIGKILL, and a new process
@@ -67,19 +68,18 @@
 
 
 SHIMS = (
-    Trouble.ACCEPT_ERRORS,
-    Trouble.CONNECT_ERRORS,
-    Trouble.SHORT_IO,
-    Trouble.DISK_ERRORS,
-    Trouble.CLOCK_STEP,
+    FaultKind.ACCEPT_ERRORS,
+    FaultKind.CONNECT_ERRORS,
+    FaultKind.SHORT_IO,
+    FaultKind.DISK_ERRORS,
+    FaultKind.CLOCK_STEP,
 )
 
 
-@dataclass(frozen=True, slots=True)
-class Incident:
-    """One trouble at one place. ``target``: a relay's or endpoint's number; -1 for all."""
+class ScheduledFault(msgspec.Struct, frozen=True):
+    """One fault at one place. ``target`` is a relay's or endpoint's number; -1 for all."""
 
-    trouble: Trouble
+    kind: FaultKind = msgspec.field(name="trouble")
     begin_s: float
     end_s: float
     target: int = -1
@@ -87,12 +87,11 @@
     mode: str = ""
 
     def is_active(self, at_s: float) -> bool:
-        """Whether it goes on at that time."""
+        """Whether the fault is in effect ``at_s`` seconds after the run's start."""
         return self.begin_s <= at_s < self.end_s
 
 
-@dataclass(frozen=True, slots=True)
-class EndpointLife:
+class EndpointIncarnation(msgspec.Struct, frozen=True):
     """One process of an endpoint, from its start to its end."""
 
     name: str
@@ -104,9 +103,8 @@
     port: int = 0
 
 
-@dataclass(frozen=True, slots=True)
-class SoakSize:
-    """How many processes, and how much traffic."""
+class SoakSize(msgspec.Struct, frozen=True):
+    """The number of processes and the rate of requests of a run."""
 
     relays: int = 16
     hosts: int = 12
@@ -114,41 +112,40 @@
 
     @property
     def endpoints(self) -> int:
-        """Endpoints that are listed at any time, but for those that are replaced."""
+        """Number of endpoints listed at any time, without those that are being replaced."""
         return self.hosts * ENDPOINTS_PER_HOST
 
 
 class Variant(StrEnum):
-    """What differs from the usual deployment."""
+    """A change of the default deployment."""
 
-    PUSHED_LISTS = "pushed_lists"  # an agent has the list, and what it has counts as known at once
+    PUSHED_LISTS = "pushed_lists"  # by an agent; relays are bound by a change as soon as the agent has it
     HEALTH_CHECKS = "health_checks"  # relays ask endpoints for load reports
 
 
-@dataclass(slots=True)
-class SoakPlan:
-    """All that happens in one run."""
+class SoakPlan(msgspec.Struct):
+    """The endpoints and faults of one run."""
 
     seed: int
     size: SoakSize
-    effect: str  # of the one class of requests
+    effect: str  # idempotency of the only class of requests, in the settings' words
     variants: tuple[Variant, ...] = ()
     started_s: float = 0.0  # when the run started, by the monotonic clock
-    incidents: list[Incident] = field(default_factory=list)
-    lives: list[EndpointLife] = field(default_factory=list)
+    faults: list[ScheduledFault] = msgspec.field(default_factory=list, name="incidents")
+    incarnations: list[EndpointIncarnation] = msgspec.field(default_factory=list, name="lives")
 
     @property
     def is_pushed(self) -> bool:
         """Whether lists are pushed by an agent of the relay's machine."""
         return Variant.PUSHED_LISTS in self.variants
 
-    def of(self, *troubles: Trouble) -> list[Incident]:
-        """The incidents of these kinds."""
-        return [incident for incident in self.incidents if incident.trouble in troubles]
+    def faults_of(self, *kinds: FaultKind) -> list[ScheduledFault]:
+        """Returns the faults of these kinds, in order of time."""
+        return [fault for fault in self.faults if fault.kind in kinds]
 
     def wall_shift_s(self, at_s: float) -> float:
-        """What the system's clock shows too much at that time."""
-        return sum(step.value for step in self.of(Trouble.CLOCK_STEP) if at_s >= step.begin_s)
+        """Returns by how much the system's clock is ahead ``at_s`` seconds after the run's start."""
+        return sum(step.value for step in self.faults_of(FaultKind.CLOCK_STEP) if at_s >= step.begin_s)
 
 
 def relay_settings(plan: SoakPlan, relay: int) -> dict[str, Any]:
@@ -169,7 +166,7 @@
         "familyInfo": {"tellsDelay": False, "tellsLoad": True, "tenantQuotaConnections": [quota]},
         "groupSize": plan.size.relays,
         "guarantees": {
-            "fallMs": WINDOW_S * 1000.0,
+            "fallMs": SLOW_START_WINDOW_S * 1000.0,
             "fallMultiple": FALL_MULTIPLE,
             "mustAskInMs": 8000.0,
             "startCapacity": START_CAPACITY,
@@ -190,84 +187,92 @@
 
 
 class PlanDrawer:
-    """Draws a plan: two storms of overlapping troubles, and a few on their own between them."""
+    """Draws a plan: two storms of overlapping faults, and a few single ones between them."""
 
     def __init__(
-        self, seed: int, size: SoakSize, storm: Sequence[Trouble], variants: Sequence[Variant]
+        self, seed: int, size: SoakSize, storm: Sequence[FaultKind], variants: Sequence[Variant]
     ) -> None:
         self._rng = Random(seed)
         self._storm = storm
         effect = self._rng.choice(["safe", "safe", "keyed", "unsafe"])
         self._plan = SoakPlan(seed, size, effect, tuple(variants))
-        self._lives: dict[int, EndpointLife] = {}  # the latest of each place
+        self._incarnations: dict[int, EndpointIncarnation] = {}  # the latest of each place
         self._next_number = size.endpoints
 
     def draw(self) -> SoakPlan:
-        """The plan."""
+        """Draws and returns the plan."""
         size = self._plan.size
         for place in range(size.endpoints):
-            life = EndpointLife(f"s{place}", place // ENDPOINTS_PER_HOST, -60.0, NEVER_S, NEVER_S)
-            self._lives[place] = life
+            incarnation = EndpointIncarnation(
+                f"s{place}", place // ENDPOINTS_PER_HOST, -60.0, NEVER_S, NEVER_S
+            )
+            self._incarnations[place] = incarnation
         for storm_s in (self._rng.uniform(2.5, 4.0), self._rng.uniform(7.0, 8.5)):
-            for trouble in self._storm or self._rng.sample(list(Trouble), STORM_TROUBLES):
-                self._add(trouble, storm_s + self._rng.uniform(0.0, 1.0))
-        self._add(Trouble.CLIENT_FAULTS, 0.5)
-        self._add(self._rng.choice([Trouble.ENDPOINT_DRAIN, Trouble.ENDPOINT_CRASH]), 5.5)
-        self._plan.lives += self._lives.values()
-        self._plan.incidents.sort(key=lambda incident: incident.begin_s)
+            for kind in self._storm or self._rng.sample(list(FaultKind), STORM_FAULT_COUNT):
+                self._add(kind, storm_s + self._rng.uniform(0.0, 1.0))
+        self._add(FaultKind.CLIENT_FAULTS, 0.5)
+        self._add(self._rng.choice([FaultKind.ENDPOINT_DRAIN, FaultKind.ENDPOINT_CRASH]), 5.5)
+        self._plan.incarnations += self._incarnations.values()
+        self._plan.faults.sort(key=lambda fault: fault.begin_s)
         return self._plan
 
-    def _add(self, trouble: Trouble, at_s: float) -> None:
+    def _add(self, kind: FaultKind, at_s: float) -> None:
         rng = self._rng
         size = self._plan.size
         length_s = rng.uniform(0.5, 2.5)
-        if trouble in (Trouble.ENDPOINT_DRAIN, Trouble.ENDPOINT_CRASH):
+        if kind in (FaultKind.ENDPOINT_DRAIN, FaultKind.ENDPOINT_CRASH):
             for place in rng.sample(range(size.endpoints), max(1, size.endpoints // rng.choice([3, 6]))):
-                self._end_life(place, at_s + rng.uniform(0.0, 0.5), trouble)
-        elif trouble is Trouble.ENDPOINT_MODE:
+                self._end_incarnation(place, at_s + rng.uniform(0.0, 0.5), kind)
+        elif kind is FaultKind.ENDPOINT_MODE:
             for place in rng.sample(range(size.endpoints), max(1, size.endpoints // 5)):
                 mode = rng.choice(list(EndpointMode)).value
-                self._record(Incident(trouble, at_s, at_s + length_s, place, mode=mode))
-        elif trouble is Trouble.CLOCK_STEP:
+                self._record(ScheduledFault(kind, at_s, at_s + length_s, place, mode=mode))
+        elif kind is FaultKind.CLOCK_STEP:
             step_s = rng.choice([-HOUR_S, -5.0, 5.0, HOUR_S])
-            self._record(Incident(trouble, at_s, NEVER_S, value=step_s))
-        elif trouble.value.startswith(("relay", "accept", "connect", "short", "disk")):
-            self._add_relay_trouble(trouble, at_s, length_s)
+            self._record(ScheduledFault(kind, at_s, NEVER_S, value=step_s))
+        elif kind.value.startswith(("relay", "accept", "connect", "short", "disk")):
+            self._add_relay_fault(kind, at_s, length_s)
         else:
-            self._record(Incident(trouble, at_s, at_s + length_s))
+            self._record(ScheduledFault(kind, at_s, at_s + length_s))
 
-    def _add_relay_trouble(self, trouble: Trouble, at_s: float, length_s: float) -> None:
+    def _add_relay_fault(self, kind: FaultKind, at_s: float, length_s: float) -> None:
         size = self._plan.size
-        is_process_end = trouble in (Trouble.RELAY_RESTART, Trouble.RELAY_KILL)
+        is_process_end = kind in (FaultKind.RELAY_RESTART, FaultKind.RELAY_KILL)
         count = max(1, size.relays // (4 if is_process_end else 2))
         for relay in self._rng.sample(range(size.relays), count):
             begin_s = at_s + self._rng.uniform(0.0, 0.6)
-            is_hold = trouble is Trouble.RELAY_HOLD
-            self._record(Incident(trouble, begin_s, begin_s + (HOLD_S if is_hold else length_s), relay))
+            is_hold = kind is FaultKind.RELAY_HOLD
+            self._record(ScheduledFault(kind, begin_s, begin_s + (HOLD_S if is_hold else length_s), relay))
 
-    def _end_life(self, place: int, at_s: float, trouble: Trouble) -> None:
-        life = self._lives[place]
-        if life.drain_s < NEVER_S or life.end_s < NEVER_S or at_s < life.start_s + 1.0:
+    def _end_incarnation(self, place: int, at_s: float, kind: FaultKind) -> None:
+        incarnation = self._incarnations[place]
+        if incarnation.drain_s < NEVER_S or incarnation.end_s < NEVER_S or at_s < incarnation.start_s + 1.0:
             return
-        is_crash = trouble is Trouble.ENDPOINT_CRASH
+        is_crash = kind is FaultKind.ENDPOINT_CRASH
         drain_s = NEVER_S if is_crash else at_s
         end_s = at_s if is_crash else at_s + DRAIN_NOTICE_S
-        self._plan.lives.append(EndpointLife(life.name, life.host, life.start_s, drain_s, end_s, is_crash))
+        self._plan.incarnations.append(
+            EndpointIncarnation(
+                incarnation.name, incarnation.host, incarnation.start_s, drain_s, end_s, is_crash
+            )
+        )
         # A crashed process is started again under its name; a drained one is replaced by another machine.
-        name = life.name if is_crash else f"s{self._next_number}"
+        name = incarnation.name if is_crash else f"s{self._next_number}"
         self._next_number += 1
         start_s = at_s + RESTART_PAUSE_S * (1.0 if is_crash else self._rng.random())
-        self._lives[place] = EndpointLife(name, life.host, start_s, NEVER_S, NEVER_S)
-        self._record(Incident(trouble, at_s, end_s, place))
+        self._incarnations[place] = EndpointIncarnation(name, incarnation.host, start_s, NEVER_S, NEVER_S)
+        self._record(ScheduledFault(kind, at_s, end_s, place))
 
-    def _record(self, incident: Incident) -> None:
-        self._plan.incidents.append(incident)
+    def _record(self, fault: ScheduledFault) -> None:
+        self._plan.faults.append(fault)
 
 
 def draw_plan(
-    seed: int, size: SoakSize, storm: Sequence[Trouble] = (), variants: Sequence[Variant] = ()
+    seed: int, size: SoakSize, storm: Sequence[FaultKind] = (), variants: Sequence[Variant] = ()
 ) -> SoakPlan:
-    """The plan of a seed, the same for the same arguments. ``storm``: its troubles, drawn unless given.
+    """Returns the plan of a seed, the same for the same arguments.
+
+    ``storm`` has the faults of the storms; they are drawn where it is empty.
 
     ``variants`` change the deployment, and nothing that is drawn.
     """
--- a/sageturn/lab/soak/records.py
+++ b/sageturn/lab/soak/records.py
@@ -5,11 +5,10 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass, field
+import msgspec
 
 
-@dataclass(slots=True)
-class AttemptRecord:
+class AttemptRecord(msgspec.Struct):
     """One connection of a relay at an endpoint."""
 
     endpoint: str
@@ -25,8 +24,7 @@
     is_health_check: bool = False  # it asked for load reports, and is no attempt
 
 
-@dataclass(slots=True)
-class ClientRecord:
+class ClientRecord(msgspec.Struct):
     """One request of a client."""
 
     request: str
@@ -52,8 +50,7 @@
         return self.answer.startswith("UP ")
 
 
-@dataclass(slots=True)
-class RelayRecord:
+class RelayRecord(msgspec.Struct):
     """One process of a relay."""
 
     relay: int
@@ -64,24 +61,22 @@
     terminated_s: float = 0.0  # SIGTERM
     exited_s: float = 0.0
     exit_code: int | None = None
-    log_errors: list[str] = field(default_factory=list)  # lines of ERROR, and what follows a traceback
+    log_errors: list[str] = msgspec.field(default_factory=list)  # lines of level ERROR, tracebacks
 
 
-@dataclass(slots=True)
-class NewsRecord:
-    """An endpoint's drain or end, as discovery told one relay process of it."""
+class EndpointNotification(msgspec.Struct):
+    """Discovery's notification of one relay process that an endpoint drains or is gone."""
 
     relay_process: int
     endpoint: str
     started_at_s: float  # of the endpoint's process
-    told_s: float
+    notified_s: float = msgspec.field(name="told_s")
 
 
-@dataclass(slots=True)
-class Evidence:
-    """All of one run."""
+class Evidence(msgspec.Struct):
+    """The records of one run."""
 
-    clients: list[ClientRecord] = field(default_factory=list)
-    attempts: list[AttemptRecord] = field(default_factory=list)
-    relays: list[RelayRecord] = field(default_factory=list)
-    news: list[NewsRecord] = field(default_factory=list)
+    clients: list[ClientRecord] = msgspec.field(default_factory=list)
+    attempts: list[AttemptRecord] = msgspec.field(default_factory=list)
+    relays: list[RelayRecord] = msgspec.field(default_factory=list)
+    notifications: list[EndpointNotification] = msgspec.field(default_factory=list, name="news")
--- a/sageturn/lab/soak/relays.py
+++ b/sageturn/lab/soak/relays.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from sageturn.lab.loopback.ports import reserve_port
-from sageturn.lab.soak.plan import REQUEST_TIMEOUT_S, Incident, SoakPlan, Trouble, relay_settings
+from sageturn.lab.soak.plan import REQUEST_TIMEOUT_S, FaultKind, ScheduledFault, SoakPlan, relay_settings
 from sageturn.lab.soak.records import RelayRecord
 
 READY_TIMEOUT_S = 20.0
@@ -168,7 +168,7 @@
         return self._process, self.record
 
     def record_own_end(self) -> None:
-        """Take note of a process that has ended though nobody had told it to."""
+        """Take note of a process that has ended without a signal from the run."""
         if self._process is not None and self.record.exit_code is None:
             self.record.exit_code = self._process.returncode
 
@@ -177,8 +177,8 @@
         self._reserved.close()
 
 
-class RelayTroubles:
-    """Carries out the plan's troubles of relays. ``write_config`` writes a relay's file for a new start."""
+class RelayFaultInjector:
+    """Carries out the plan's faults of relays. ``write_config`` writes a relay's file for a new start."""
 
     def __init__(
         self, plan: SoakPlan, relays: list[SoakRelay], write_config: Callable[[SoakRelay, int], None]
@@ -189,39 +189,39 @@
 
     async def run(self) -> None:
         """Returns once all are over, and all relays run again."""
-        incidents = [each for each in self._plan.incidents if each.trouble.value.startswith("relay_")]
-        await asyncio.gather(*(self._play(incident) for incident in incidents))
+        faults = [each for each in self._plan.faults if each.kind.value.startswith("relay_")]
+        await asyncio.gather(*(self._play(fault) for fault in faults))
 
-    async def _play(self, incident: Incident) -> None:
-        await asyncio.sleep(max(0.0, self._plan.started_s + incident.begin_s - time.monotonic()))
-        relay = self._relays[incident.target]
-        # It may be just then that another trouble restarts it: there is nothing to disturb.
+    async def _play(self, fault: ScheduledFault) -> None:
+        await asyncio.sleep(max(0.0, self._plan.started_s + fault.begin_s - time.monotonic()))
+        relay = self._relays[fault.target]
+        # Another fault may be restarting the relay at this moment: then there is nothing to disturb.
         with suppress(ProcessLookupError):
-            await self._carry_out(incident, relay)
+            await self._carry_out(fault, relay)
 
-    async def _carry_out(self, incident: Incident, relay: SoakRelay) -> None:
-        length_s = incident.end_s - incident.begin_s
-        match incident.trouble:
-            case Trouble.RELAY_RESTART:
+    async def _carry_out(self, fault: ScheduledFault, relay: SoakRelay) -> None:
+        length_s = fault.end_s - fault.begin_s
+        match fault.kind:
+            case FaultKind.RELAY_RESTART:
                 async with relay.lifecycle_lock:
                     await relay.terminate()
                     await self._start(relay)
-            case Trouble.RELAY_KILL:
+            case FaultKind.RELAY_KILL:
                 async with relay.lifecycle_lock:
                     await relay.kill()
                     await self._start(relay)
-            case Trouble.RELAY_RELOAD if relay.age_s > MIN_SIGNAL_AGE_S:
+            case FaultKind.RELAY_RELOAD if relay.age_s > MIN_SIGNAL_AGE_S:
                 self._write_config(relay, 1)
                 relay.reload(relay.config_file.read_text())
             # A process that starts with a faulty file would rightly not start.
-            case Trouble.RELAY_BAD_RELOAD if relay.record.ready_s and not relay.lifecycle_lock.locked():
+            case FaultKind.RELAY_BAD_RELOAD if relay.record.ready_s and not relay.lifecycle_lock.locked():
                 good = relay.config_file.read_text()
-                relay.reload(BAD_CONFIGURATIONS[incident.target % len(BAD_CONFIGURATIONS)])
+                relay.reload(BAD_CONFIGURATIONS[fault.target % len(BAD_CONFIGURATIONS)])
                 await asyncio.sleep(length_s)
                 relay.reload(good)
-            case Trouble.RELAY_HOLD:
+            case FaultKind.RELAY_HOLD:
                 await relay.hold(length_s)
-            case Trouble.RELAY_DESCRIPTORS:
+            case FaultKind.RELAY_DESCRIPTORS:
                 await relay.lower_descriptor_limit(length_s)
 
     async def _start(self, relay: SoakRelay) -> None:
--- a/sageturn/lab/soak/report.py
+++ b/sageturn/lab/soak/report.py
@@ -30,12 +30,12 @@
 
 
 def describe(run: SoakRun, violations: list[Violation]) -> list[str]:
-    """The lines of one run: its troubles, its figures, and the first broken rules."""
+    """Returns the report of one run: its faults, its figures, and the first broken rules."""
     plan = run.plan
-    troubles = Counter(incident.trouble.value for incident in plan.incidents)
+    faults = Counter(fault.kind.value for fault in plan.faults)
     lines = [
         f"seed {plan.seed} ({', '.join((plan.effect, *plan.variants))}): "
-        + ", ".join(f"{name} x{n}" for name, n in sorted(troubles.items())),
+        + ", ".join(f"{name} x{n}" for name, n in sorted(faults.items())),
         "  " + summarize(run.evidence) + f"; {len(violations)} violations",
     ]
     lines += [f"  BROKEN {each.rule.value}: {each.subject}: {each.detail}" for each in violations[:MAX_SHOWN]]
--- a/sageturn/lab/soak/shimmed_relay.py
+++ b/sageturn/lab/soak/shimmed_relay.py
@@ -18,12 +18,12 @@
 
 
 def main() -> int:
-    """Run the relay until it is told to stop. Returns the exit code."""
+    """Run the relay until it is asked to stop. Returns the exit code."""
     relay = int(sys.argv[1])
     plan = msgspec.json.decode(Path(sys.argv[2]).read_bytes(), type=SoakPlan)
     sys.argv = ["sageturn", *sys.argv[3:]]
-    incidents = [incident for incident in plan.of(*SHIMS) if incident.target in (-1, relay)]
-    Shims(plan.started_s, incidents, Random(f"{plan.seed}/{relay}")).install()
+    faults = [fault for fault in plan.faults_of(*SHIMS) if fault.target in (-1, relay)]
+    Shims(plan.started_s, faults, Random(f"{plan.seed}/{relay}")).install()
     return run_relay()
 
 
--- a/sageturn/lab/soak/shims.py
+++ b/sageturn/lab/soak/shims.py
@@ -13,13 +13,13 @@
 from random import Random
 from typing import Any
 
-from sageturn.lab.soak.plan import Incident, Trouble
+from sageturn.lab.soak.plan import FaultKind, ScheduledFault
 
 ACCEPT_ERRNOS = (errno.ECONNABORTED, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EPROTO)
 CONNECT_ERRNOS = (errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ENOBUFS, errno.ETIMEDOUT, errno.EHOSTUNREACH)
 SOCKET_ERRNOS = (errno.ENFILE, errno.ENOBUFS)
 DISK_ERRNOS = (errno.ENOSPC, errno.EIO)
-FAILURE_RATIO = 0.4  # of the calls while a trouble lasts
+FAILURE_RATIO = 0.4  # of the calls while a fault is in effect
 MAX_SHORT_BYTES = 9
 SOCKET_ARGUMENTS = 4  # of the constructor; the last one is the descriptor of a socket that exists already
 
@@ -31,15 +31,15 @@
 
 
 class Shims:
-    """Replaces calls of this process. ``incidents``: those of the plan that concern it."""
+    """Replaces calls of this process. ``faults``: those of the plan that concern it."""
 
-    def __init__(self, started_s: float, incidents: Sequence[Incident], rng: Random) -> None:
+    def __init__(self, started_s: float, faults: Sequence[ScheduledFault], rng: Random) -> None:
         self._started_s = started_s
-        self._incidents = incidents
+        self._faults = faults
         self._rng = rng
 
     def install(self) -> None:
-        """Replace the calls, for as long as the process lives."""
+        """Replace the calls, for as long as the process incarnations."""
         self._replace_accept()
         self._replace_connect()
         self._replace_reads()
@@ -47,18 +47,18 @@
         self._replace_sync()
         self._replace_wall_clock()
 
-    def _is_due(self, trouble: Trouble) -> bool:
-        return self._is_active(trouble) and self._rng.random() < FAILURE_RATIO
+    def _is_due(self, kind: FaultKind) -> bool:
+        return self._is_active(kind) and self._rng.random() < FAILURE_RATIO
 
-    def _is_active(self, trouble: Trouble) -> bool:
+    def _is_active(self, kind: FaultKind) -> bool:
         at_s = time.monotonic() - self._started_s
-        return any(each.trouble is trouble and each.is_active(at_s) for each in self._incidents)
+        return any(each.kind is kind and each.is_active(at_s) for each in self._faults)
 
     def _replace_accept(self) -> None:
         accept = socket.socket.accept
 
         def shimmed(sock: socket.socket) -> Any:
-            if self._is_due(Trouble.ACCEPT_ERRORS):
+            if self._is_due(FaultKind.ACCEPT_ERRORS):
                 fail(ACCEPT_ERRNOS, self._rng)
             return accept(sock)
 
@@ -69,13 +69,13 @@
         create = socket.socket.__init__
 
         def shimmed_connect(sock: socket.socket, address: Any) -> None:
-            if self._is_due(Trouble.CONNECT_ERRORS):
+            if self._is_due(FaultKind.CONNECT_ERRORS):
                 fail(CONNECT_ERRNOS, self._rng)
             connect(sock, address)
 
         def shimmed_create(sock: socket.socket, *arguments: Any, **named: Any) -> None:
             is_new = named.get("fileno") is None and len(arguments) < SOCKET_ARGUMENTS
-            if is_new and self._is_due(Trouble.CONNECT_ERRORS):
+            if is_new and self._is_due(FaultKind.CONNECT_ERRORS):
                 fail(SOCKET_ERRNOS, self._rng)
             create(sock, *arguments, **named)
 
@@ -111,7 +111,7 @@
         self._set("sendmsg", shimmed_sendmsg)
 
     def _shorten(self, size: int) -> int:
-        if size > 1 and self._is_due(Trouble.SHORT_IO):
+        if size > 1 and self._is_due(FaultKind.SHORT_IO):
             return min(size, self._rng.randint(1, MAX_SHORT_BYTES))
         return size
 
@@ -119,7 +119,7 @@
         sync = os.fsync
 
         def shimmed(descriptor: int) -> None:
-            if self._is_active(Trouble.DISK_ERRORS):
+            if self._is_active(FaultKind.DISK_ERRORS):
                 fail(DISK_ERRNOS, self._rng)
             sync(descriptor)
 
@@ -130,7 +130,7 @@
 
         def shimmed() -> float:
             at_s = time.monotonic() - self._started_s
-            steps = (each for each in self._incidents if each.trouble is Trouble.CLOCK_STEP)
+            steps = (each for each in self._faults if each.kind is FaultKind.CLOCK_STEP)
             return wall_clock() + sum(step.value for step in steps if at_s >= step.begin_s)
 
         time.time = shimmed
--- a/sageturn/lab/soak/soak_run.py
+++ b/sageturn/lab/soak/soak_run.py
@@ -1,4 +1,4 @@
-"""Plays one plan: starts all processes, sends clients, carries out the troubles, and gathers the evidence."""
+"""Plays one plan: starts all processes, sends clients, carries out the faults, and gathers the evidence."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 import sys
 import time
 from contextlib import suppress
-from dataclasses import replace
 from pathlib import Path
 
 import msgspec
 import uvloop
+from msgspec.structs import replace
 
 from sageturn.core.tasks import cancel_and_wait
 from sageturn.lab.loopback.ports import reserve_port
@@ -19,7 +19,7 @@
 from sageturn.lab.soak.discovery import SoakDiscovery
 from sageturn.lab.soak.plan import DURATION_S, SoakPlan
 from sageturn.lab.soak.records import AttemptRecord, Evidence
-from sageturn.lab.soak.relays import RelayTroubles, SoakRelay
+from sageturn.lab.soak.relays import RelayFaultInjector, SoakRelay
 from sageturn.store.errors import LogCorruptedError
 from sageturn.store.store import Store
 
@@ -40,7 +40,10 @@
         self.evidence = Evidence()
         self._folder = folder
         self._plan_file = folder / "plan.json"
-        self._reserved = [reserve_port() for _ in {(life.name, life.host) for life in self.plan.lives}]
+        self._reserved = [
+            reserve_port()
+            for _ in {(incarnation.name, incarnation.host) for incarnation in self.plan.incarnations}
+        ]
         self._relays: list[SoakRelay] = []
         self._hosts: list[asyncio.subprocess.Process] = []
 
@@ -78,8 +81,8 @@
         self.evidence.clients = clients.records
         await asyncio.sleep(max(0.0, self.plan.started_s - time.monotonic()))
         try:
-            troubles = RelayTroubles(self.plan, self._relays, write_config)
-            await asyncio.gather(clients.run(TRAFFIC_END_S), troubles.run())
+            faults = RelayFaultInjector(self.plan, self._relays, write_config)
+            await asyncio.gather(clients.run(TRAFFIC_END_S), faults.run())
             await asyncio.gather(*(self._terminate(relay) for relay in self._relays))
         finally:
             await cancel_and_wait(publishing)
@@ -92,10 +95,10 @@
     def _assign_ports(self) -> None:
         ports: dict[str, int] = {}
         unused = [port for _, port in self._reserved]
-        for number, life in enumerate(self.plan.lives):
-            if life.name not in ports:
-                ports[life.name] = unused.pop()
-            self.plan.lives[number] = replace(life, port=ports[life.name])
+        for number, incarnation in enumerate(self.plan.incarnations):
+            if incarnation.name not in ports:
+                ports[incarnation.name] = unused.pop()
+            self.plan.incarnations[number] = replace(incarnation, port=ports[incarnation.name])
 
     async def _start_hosts(self) -> None:
         for host in range(self.plan.size.hosts):
@@ -126,7 +129,7 @@
             reserved.close()
 
     def _gather(self, discovery: SoakDiscovery) -> None:
-        self.evidence.news = discovery.news
+        self.evidence.notifications = discovery.notifications
         for host in range(self.plan.size.hosts):
             data = (self._folder / f"host-{host}.json").read_bytes()
             self.evidence.attempts += msgspec.json.decode(data, type=list[AttemptRecord])
--- a/tests/lab/test_soak.py
+++ b/tests/lab/test_soak.py
@@ -6,11 +6,11 @@
 import os
 import subprocess
 import sys
-from dataclasses import replace
 from pathlib import Path
 
 import msgspec
 import pytest
+from msgspec.structs import replace
 
 from sageturn.config.settings import read_settings
 from sageturn.lab.soak import soak_run
@@ -18,9 +18,9 @@
 from sageturn.lab.soak.discovery import list_changes
 from sageturn.lab.soak.plan import (
     NEVER_S,
+    FaultKind,
     SoakPlan,
     SoakSize,
-    Trouble,
     Variant,
     draw_plan,
     relay_settings,
@@ -42,11 +42,11 @@
 def test_a_seed_gives_one_plan_and_troubles_overlap() -> None:
     plans = [draw_plan(seed, SoakSize()) for seed in range(50)]
     assert plans == [draw_plan(seed, SoakSize()) for seed in range(50)]
-    drawn = {incident.trouble for plan in plans for incident in plan.incidents}
-    assert drawn == set(Trouble)
+    drawn = {fault.kind for plan in plans for fault in plan.faults}
+    assert drawn == set(FaultKind)
     for plan in plans:
         assert msgspec.json.decode(msgspec.json.encode(plan), type=SoakPlan) == plan
-        kinds = {incident.trouble for incident in plan.incidents}
+        kinds = {fault.kind for fault in plan.faults}
         assert len(kinds) >= 3
 
 
@@ -62,14 +62,14 @@
 def test_the_lives_of_endpoints_follow_one_another_and_are_told_in_order() -> None:
     for seed in range(50):
         plan = draw_plan(seed, SoakSize())
-        for life in plan.lives:
-            assert life.start_s < min(life.drain_s, life.end_s) and not (
-                life.is_crash and life.drain_s < NEVER_S
+        for incarnation in plan.incarnations:
+            assert incarnation.start_s < min(incarnation.drain_s, incarnation.end_s) and not (
+                incarnation.is_crash and incarnation.drain_s < NEVER_S
             )
         by_name: dict[str, list[float]] = {}
-        for life in sorted(plan.lives, key=lambda each: each.start_s):
-            assert life.start_s >= by_name.get(life.name, [-NEVER_S])[-1]
-            by_name.setdefault(life.name, []).append(life.end_s)
+        for incarnation in sorted(plan.incarnations, key=lambda each: each.start_s):
+            assert incarnation.start_s >= by_name.get(incarnation.name, [-NEVER_S])[-1]
+            by_name.setdefault(incarnation.name, []).append(incarnation.end_s)
         changes = list_changes(plan)
         assert changes == sorted(changes, key=lambda change: change.at_s)
 
@@ -77,11 +77,11 @@
 SHIMMED = """
 import errno, os, socket, sys, time
 from random import Random
-from sageturn.lab.soak.plan import Incident, Trouble
+from sageturn.lab.soak.plan import ScheduledFault, FaultKind
 from sageturn.lab.soak.shims import Shims
-incidents = [Incident(Trouble(name), 0.0, 1e9, value=-3600.0) for name in sys.argv[1:]]
+faults = [ScheduledFault(FaultKind(name), 0.0, 1e9, value=-3600.0) for name in sys.argv[1:]]
 before_s = time.time()
-Shims(time.monotonic(), incidents, Random(1)).install()
+Shims(time.monotonic(), faults, Random(1)).install()
 numbers = set()
 listening = socket.create_server(("127.0.0.1", 0)) if "connect_errors" not in sys.argv else None
 for _ in range(60):
@@ -132,7 +132,7 @@
 ) -> None:
     monkeypatch.setattr(soak_run, "START_TIME_S", 5.0)
     lines: list[str] = []
-    storm = [Trouble.RELAY_RESTART, Trouble.ENDPOINT_DRAIN, Trouble.DISK_ERRORS]
+    storm = [FaultKind.RELAY_RESTART, FaultKind.ENDPOINT_DRAIN, FaultKind.DISK_ERRORS]
     plan = draw_plan(3, SMALL, storm, variants)
     play_all([plan], tmp_path, lines.append)
     assert any("served" in line for line in lines) and lines[-1].startswith("rules broken:")
--- a/tests/lab/test_soak_auditor.py
+++ b/tests/lab/test_soak_auditor.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from dataclasses import replace
 from typing import Any
 
 import pytest
+from msgspec.structs import replace
 
 from sageturn.lab.soak.auditor import Auditor, Rule
 from sageturn.lab.soak.plan import (
@@ -13,31 +13,31 @@
     KEY_TTL_S,
     MAX_ATTEMPTS,
     NEVER_S,
-    EndpointLife,
-    Incident,
+    EndpointIncarnation,
+    FaultKind,
+    ScheduledFault,
     SoakPlan,
     SoakSize,
-    Trouble,
     Variant,
 )
 from sageturn.lab.soak.records import (
     AttemptRecord,
     ClientRecord,
+    EndpointNotification,
     Evidence,
-    NewsRecord,
     RelayRecord,
 )
 
 STARTED_S = 100.0  # of the run
 PROCESS = 7
-OLD = EndpointLife("s0", 0, -60.0, NEVER_S, NEVER_S)
-DRAINING = EndpointLife("s1", 0, -60.0, 1.0, 5.0)
-NEW = EndpointLife("s2", 0, 0.5, NEVER_S, NEVER_S)
+OLD = EndpointIncarnation("s0", 0, -60.0, NEVER_S, NEVER_S)
+DRAINING = EndpointIncarnation("s1", 0, -60.0, 1.0, 5.0)
+NEW = EndpointIncarnation("s2", 0, 0.5, NEVER_S, NEVER_S)
 
 
 def make_plan(effect: str = "safe") -> SoakPlan:
     plan = SoakPlan(1, SoakSize(relays=2, hosts=1, requests_per_s=20.0), effect, (), STARTED_S)
-    plan.lives = [OLD, DRAINING, NEW]
+    plan.incarnations = [OLD, DRAINING, NEW]
     return plan
 
 
@@ -47,10 +47,10 @@
     return replace(ClientRecord(request, 0, PROCESS, 2.0, "safe"), **{**values, **fields})
 
 
-def attempt(request: str = "q1", life: EndpointLife = OLD, **fields: Any) -> AttemptRecord:
+def attempt(request: str = "q1", incarnation: EndpointIncarnation = OLD, **fields: Any) -> AttemptRecord:
     """One that was sent at 101.05 s and answered."""
     values = {"first_byte_s": 101.05, "complete_s": 101.05, "answer": "UP", "ended_s": 104.0}
-    record = AttemptRecord(life.name, STARTED_S + life.start_s, request)
+    record = AttemptRecord(incarnation.name, STARTED_S + incarnation.start_s, request)
     return replace(record, **{**values, **fields})
 
 
@@ -65,9 +65,9 @@
     *,
     effect: str = "safe",
     process: RelayRecord | None = None,
-    news: list[NewsRecord] | None = None,
+    notifications: list[EndpointNotification] | None = None,
 ) -> set[Rule]:
-    evidence = Evidence(clients, attempts, [process or relay()], news or [])
+    evidence = Evidence(clients, attempts, [process or relay()], notifications or [])
     return {violation.rule for violation in Auditor(make_plan(effect), evidence).violations()}
 
 
@@ -139,11 +139,11 @@
 
 
 def test_nothing_is_sent_past_the_grace_of_a_drain() -> None:
-    told = NewsRecord(PROCESS, "s1", STARTED_S + DRAINING.start_s, 101.3)
-    in_time = attempt(life=DRAINING, first_byte_s=101.3 + DRAIN_GRACE_S, complete_s=101.6)
-    assert broken_rules([client()], [in_time], news=[told]) == set()
+    notification = EndpointNotification(PROCESS, "s1", STARTED_S + DRAINING.start_s, 101.3)
+    in_time = attempt(incarnation=DRAINING, first_byte_s=101.3 + DRAIN_GRACE_S, complete_s=101.6)
+    assert broken_rules([client()], [in_time], notifications=[notification]) == set()
     late = replace(in_time, first_byte_s=101.9, complete_s=101.9)
-    assert broken_rules([client()], [late], news=[told]) == {Rule.DRAIN}
+    assert broken_rules([client()], [late], notifications=[notification]) == {Rule.DRAIN}
     assert broken_rules([client()], [late]) == set()  # it need not know before 6 s have passed
     much_later = replace(late, first_byte_s=108.0, complete_s=108.0, ended_s=109.0)
     assert broken_rules([client(sent_s=107.9, answered_s=108.1, left_s=109.0)], [much_later]) == {Rule.DRAIN}
@@ -151,20 +151,20 @@
 
 def test_a_pushed_list_counts_as_known_at_once_but_for_outages_silence_and_reloads() -> None:
     # The drain begins at 101 s, and the agent has it 0.2 s later.
-    def rules(begun_s: float, *incidents: Incident, **process: Any) -> set[Rule]:
-        plan = replace(make_plan(), variants=(Variant.PUSHED_LISTS,), incidents=list(incidents))
-        begun = attempt(life=DRAINING, first_byte_s=begun_s, complete_s=begun_s, ended_s=begun_s + 1.0)
+    def rules(begun_s: float, *faults: ScheduledFault, **process: Any) -> set[Rule]:
+        plan = replace(make_plan(), variants=(Variant.PUSHED_LISTS,), faults=list(faults))
+        begun = attempt(incarnation=DRAINING, first_byte_s=begun_s, complete_s=begun_s, ended_s=begun_s + 1.0)
         served = client(sent_s=begun_s - 0.1, answered_s=begun_s + 0.1, left_s=begun_s + 1.0)
         evidence = Evidence([served], [begun], [relay(**process)])
         return {violation.rule for violation in Auditor(plan, evidence).violations()}
 
     assert rules(101.6) == set()
     assert rules(101.9) == {Rule.DRAIN}
-    down = Incident(Trouble.DISCOVERY_DOWN, 0.5, 3.0)
+    down = ScheduledFault(FaultKind.DISCOVERY_DOWN, 0.5, 3.0)
     assert (rules(103.4, down), rules(103.7, down)) == (set(), {Rule.DRAIN})
-    silent = Incident(Trouble.DISCOVERY_SILENT, 0.5, 2.0)
+    silent = ScheduledFault(FaultKind.DISCOVERY_SILENT, 0.5, 2.0)
     assert (rules(106.9, silent), rules(107.2, silent)) == (set(), {Rule.DRAIN})
-    reloaded = Incident(Trouble.RELAY_RELOAD, 1.0, 2.0, target=0)
+    reloaded = ScheduledFault(FaultKind.RELAY_RELOAD, 1.0, 2.0, target=0)
     assert (rules(105.4, reloaded), rules(105.7, reloaded)) == (set(), {Rule.DRAIN})
     assert rules(101.9, replace(reloaded, target=1)) == {Rule.DRAIN}
     assert (rules(102.4, started_s=102.0), rules(102.9, started_s=102.0)) == (set(), {Rule.DRAIN})
