--- a/sageturn/lab/loopback/loopback_runner.py
+++ b/sageturn/lab/loopback/loopback_runner.py
@@ -183,7 +183,7 @@
 @asynccontextmanager
 async def deployed(
     spec: FleetSpec,
-    mover: str,
+    planner: str,
     rebalance: dict[str, Any],
     sections: OperatorSections | None = None,
 ) -> AsyncIterator[Deployment]:
@@ -194,7 +194,7 @@
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
     with tempfile.TemporaryDirectory(prefix="sageturn-lab-") as folder:
-        deployment = Deployment(spec, RelayOptions(mover, rebalance, sections), Path(folder))
+        deployment = Deployment(spec, RelayOptions(planner, rebalance, sections), Path(folder))
         try:
             await deployment.start()
             await deployment.populate()
--- a/sageturn/lab/loopback/naive_relay.py
+++ b/sageturn/lab/loopback/naive_relay.py
@@ -1,4 +1,4 @@
-"""A relay for the lab: the real program, with the naive mover in the planner's place."""
+"""A relay for the lab: the real program, with the naive planner in place of the rebalancer's."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 
 class NaiveRebalancing(RebalancingSubsystem):
-    """Runs the naive mover where the operator's file has rebalancing on, and never changes its options."""
+    """Runs the naive planner where the operator's file has rebalancing on, and never changes its options."""
 
     def apply_options(self, options: RebalanceOptions | None, actors: ActorSupervisor) -> None:
-        """Turn the naive mover on; later options are ignored."""
+        """Turn the naive planner on; later options are ignored."""
         if options is not None and options.mode == "on" and self.rebalancer is None:
             self.run_rebalancer(self.make_rebalancer(NaiveRebalancer, options), actors)
 
--- a/sageturn/lab/loopback/relay_processes.py
+++ b/sageturn/lab/loopback/relay_processes.py
@@ -27,7 +27,7 @@
 class RelayOptions:
     """How relays rebalance; ``sections`` adds to a relay's operator file."""
 
-    mover: str
+    planner: str
     rebalance: dict[str, Any]
     sections: OperatorSections | None = None
 
@@ -107,7 +107,7 @@
         folder = self._folder_of(relay)
         sections: dict[str, Any] = {"store": {"path": "store"}}
         # A relay without a planner has no section at all: its keys are read strictly.
-        if self._options.mover != "off":
+        if self._options.planner != "off":
             sections["rebalance"] = {"mode": "on", **self._options.rebalance}
         if self._options.sections is not None:
             sections |= self._options.sections(relay, folder)
@@ -116,7 +116,7 @@
         return file
 
     async def _start_process(self, folder: Path, config: Path, operator_file: Path) -> None:
-        module = "sageturn.lab.loopback.naive_relay" if self._options.mover == "naive" else "sageturn"
+        module = "sageturn.lab.loopback.naive_relay" if self._options.planner == "naive" else "sageturn"
         environment = {name: value for name, value in os.environ.items() if not name.startswith("GW_")}
         with (folder / "log").open("wb") as log:
             process = await asyncio.create_subprocess_exec(
--- a/sageturn/lab/model/simulated_relay.py
+++ b/sageturn/lab/model/simulated_relay.py
@@ -24,7 +24,7 @@
 from sageturn.rebalance.plan import NO_PLAN, MigrationPlan
 from sageturn.rebalance.planner import RebalancePlanner
 
-MOVERS = ("off", "naive", "on")
+PLANNER_KINDS = ("off", "naive", "on")
 PLANNERS = {"off": None, "naive": NaivePlanner, "on": RebalancePlanner}
 REJECTION_MS = 4.0  # from a request for a connection to the host's rejection
 SETUP_TIME_FACTORS = (0.6, 1.8)  # range of a set-up's time over the host's expected one
@@ -39,11 +39,12 @@
 class SimulatedRelay:
     """A relay; ``simulation.RelayShard`` steps it.
 
-    ``mover`` is one of ``MOVERS``; ``policy`` is the text of a decision module, empty for the present one.
+    ``planner`` is one of ``PLANNER_KINDS``. ``policy`` is the text of a decision module; empty for that of
+    this revision.
     """
 
     def __init__(
-        self, spec: FleetSpec, number: int, mover: str, options: RebalanceOptions, policy: str = ""
+        self, spec: FleetSpec, number: int, planner: str, options: RebalanceOptions, policy: str = ""
     ) -> None:
         self.spec = spec
         self.number = number
@@ -51,7 +52,7 @@
         self.sampler = ClientSampler(spec, number + 1)
         self._policy = load_policy(policy)
         self._balancer = self._policy(self.settings, spec.seed * SEED_STRIDE + number)
-        planner_type = PLANNERS[mover]
+        planner_type = PLANNERS[planner]
         self._planner = planner_type(self.settings, options, number) if planner_type is not None else None
         self._plan: MigrationPlan = NO_PLAN
         self._now_s = 0.0
--- a/sageturn/lab/rebalancing.py
+++ b/sageturn/lab/rebalancing.py
@@ -19,7 +19,7 @@
 from sageturn.lab.loopback.loopback_runner import LoopbackResult, deployed
 from sageturn.lab.measurements.planner_cost import PlannerCost
 from sageturn.lab.model.fleet_spec import FleetSpec
-from sageturn.lab.model.simulated_relay import MOVERS
+from sageturn.lab.model.simulated_relay import PLANNER_KINDS
 from sageturn.lab.model.simulation_result import SimulationResult
 from sageturn.lab.reports.result_table import Row, loopback_row, print_table, simulated_row
 from sageturn.lab.runner.simulation import simulate
@@ -61,9 +61,9 @@
 def measure_loopback(options: argparse.Namespace) -> None:
     """Run real relays on loopback, each policy in a process of its own, all at once on the same machine."""
     spec = FleetSpec(connections=options.connections, seed=options.seed)
-    jobs = [LoopbackJob(spec, policy, options.seconds, not options.quiet) for policy in options.movers]
+    jobs = [LoopbackJob(spec, policy, options.seconds, not options.quiet) for policy in options.planners]
     with ProcessPoolExecutor(len(jobs)) as pool:
-        rows = dict(zip(options.movers, pool.map(_measure_loopback, jobs), strict=True))
+        rows = dict(zip(options.planners, pool.map(_measure_loopback, jobs), strict=True))
     title = f"loopback: {spec.relays} relays, {spec.hosts} hosts, {spec.connections} connections"
     print_table(title, rows, options.json)
 
@@ -109,7 +109,7 @@
     """Simulate each size with each policy, one after the other."""
     for size in options.sizes:
         spec = spec_of_size(size, options.seed)
-        rows = {policy: _measure_simulated(spec, policy, options) for policy in options.movers}
+        rows = {policy: _measure_simulated(spec, policy, options) for policy in options.planners}
         title = f"simulated: {spec.hosts} hosts, {spec.relays} relays, {spec.connections} connections"
         print_table(title, rows, options.json)
 
@@ -144,7 +144,7 @@
     common.add_argument("--json", action="store_true", help="one line of JSON a table")
     common.add_argument("--quiet", action="store_true", help="no progress")
     common.add_argument("--seed", type=int, default=1)
-    common.add_argument("--movers", nargs="+", choices=MOVERS, default=list(MOVERS))
+    common.add_argument("--movers", dest="planners", nargs="+", choices=PLANNER_KINDS, default=PLANNER_KINDS)
     parser = argparse.ArgumentParser(prog="sageturn.lab.rebalancing", description=__doc__)
     commands = parser.add_subparsers(required=True)
     loopback = commands.add_parser("loopback", parents=[common])
--- a/sageturn/lab/runner/experiment.py
+++ b/sageturn/lab/runner/experiment.py
@@ -20,7 +20,7 @@
 )
 from sageturn.lab.faults.fault import ScheduledFault
 from sageturn.lab.model.fleet_spec import FleetSpec
-from sageturn.lab.model.simulated_relay import MOVERS
+from sageturn.lab.model.simulated_relay import PLANNER_KINDS
 from sageturn.rebalance.options import MODES, RebalanceOptions
 
 MIN_INITIAL_HOSTS = 2
@@ -73,18 +73,18 @@
 class Variant(Struct, frozen=True, forbid_unknown_fields=True):
     """How the relays decide and rebalance.
 
-    ``policy`` is empty for the present decision module, a path, or ``git:REVISION``; ``mover`` is one of
-    ``MOVERS``, and ``rebalance`` has fields of ``RebalanceOptions``.
+    ``policy`` is empty for the present decision module, a path, or ``git:REVISION``. ``planner``, in
+    the file ``mover``, is one of ``PLANNER_KINDS``. ``rebalance`` has fields of ``RebalanceOptions``.
     """
 
     name: Name
     policy: str = ""
-    mover: str = "off"
+    planner: str = field(default="off", name="mover")
     rebalance: dict[str, Any] = {}
 
     def options(self) -> RebalanceOptions:
         """The options of the planner. Raises InvalidVariantError, or TypeError for a value's type."""
-        if self.mover not in MOVERS:
+        if self.planner not in PLANNER_KINDS:
             raise InvalidVariantError("mover: must be off, naive or on")
         known = RebalanceOptions.__dataclass_fields__
         for key in self.rebalance:
--- a/sageturn/lab/runner/experiment_runner.py
+++ b/sageturn/lab/runner/experiment_runner.py
@@ -44,7 +44,7 @@
     started_s = time.monotonic()
     result = simulate(
         scenario.size.spec(seed),
-        variant.mover,
+        variant.planner,
         variant.options(),
         scenario.seconds,
         processes,
--- a/sageturn/lab/runner/simulation.py
+++ b/sageturn/lab/runner/simulation.py
@@ -36,7 +36,7 @@
 class RelayVariant:
     """How the relays of a run rebalance and decide; see ``SimulatedRelay``."""
 
-    mover: str
+    planner: str
     options: RebalanceOptions
     policy: str
 
@@ -46,7 +46,7 @@
 
     def __init__(self, spec: FleetSpec, numbers: list[int], variant: RelayVariant) -> None:
         self.relays = {
-            number: SimulatedRelay(spec, number, variant.mover, variant.options, variant.policy)
+            number: SimulatedRelay(spec, number, variant.planner, variant.options, variant.policy)
             for number in numbers
         }
         hosts = make_hosts(spec)
@@ -152,7 +152,7 @@
 
 def simulate(
     spec: FleetSpec,
-    mover: str,
+    planner: str,
     options: RebalanceOptions,
     seconds: float,
     processes: int = 1,
@@ -162,11 +162,11 @@
 ) -> SimulationResult:
     """Simulate ``seconds`` of a fleet with its scheduled faults.
 
-    ``mover`` is "off", "naive" or "on"; ``policy`` is the text of a decision module, and empty for the
+    ``planner`` is "off", "naive" or "on"; ``policy`` is the text of a decision module, and empty for the
     present one. ``progress`` is called each simulated second.
     """
     environment = SimulatedEnvironment(spec, faults, STEP_S)
-    variant = RelayVariant(mover, options, policy)
+    variant = RelayVariant(planner, options, policy)
     if processes <= 1:
         shard = RelayShard(spec, list(range(spec.relays)), variant)
         return _run(environment, shard, seconds, progress)
--- a/sageturn/lab/scale/child_protocol.py
+++ b/sageturn/lab/scale/child_protocol.py
@@ -14,7 +14,7 @@
 class Role(StrEnum):
     """What a child process runs, under the key ``role`` of its job file."""
 
-    HOLLOW = "hollow"
+    EMULATED = "hollow"
     REAL = "real"
     LINKS = "lanes"
 
--- a/sageturn/lab/scale/faults.py
+++ b/sageturn/lab/scale/faults.py
@@ -62,7 +62,7 @@
     async def _lose_segments(self, fault: Fault) -> None:
         await self._configure_links(ALL_LINKS, loss=fault.part)
         await asyncio.sleep(fault.length_s)
-        await self._configure_links(ALL_LINKS, loss=self._experiment.lanes.loss)
+        await self._configure_links(ALL_LINKS, loss=self._experiment.links.loss)
 
     async def _stop_discovery(self, fault: Fault) -> None:
         await self._discovery.stop()
@@ -72,8 +72,8 @@
 
     async def _restart_in_turn(self, fault: Fault) -> None:
         pause_s = fault.length_s / len(self._fleet.names)
-        hollow = self._fleet.hollow_names
-        for name in self._rng.sample(hollow, len(hollow)):
+        emulated = self._fleet.emulated_names
+        for name in self._rng.sample(emulated, len(emulated)):
             await self._stop_members([name])
             await self._restart_members([name], fault.wipe)
             await asyncio.sleep(pause_s)
@@ -85,13 +85,13 @@
         await self._restart_members(names, fault.wipe)
 
     def _choose_targets(self, fault: Fault) -> list[str]:
-        """Hollow members only. The first of them, whom hand-made trees hang from, is among those killed."""
-        hollow = self._fleet.hollow_names
+        """Emulated members only. The first of them, whom hand-made trees hang from, is among those killed."""
+        emulated = self._fleet.emulated_names
         if fault.kind == "zone":
             last_zone = self._experiment.zones - 1
-            return [name for name in hollow if self._fleet.zone_of(name) == last_zone]
-        count = max(1, round(fault.part * len(hollow)))
-        return [hollow[0], *self._rng.sample(hollow[1:], count - 1)]
+            return [name for name in emulated if self._fleet.zone_of(name) == last_zone]
+        count = max(1, round(fault.part * len(emulated)))
+        return [emulated[0], *self._rng.sample(emulated[1:], count - 1)]
 
     async def _stop_members(self, names: Sequence[str]) -> None:
         self.outages.mark_down(names, time.monotonic())
--- a/sageturn/lab/scale/fleet.py
+++ b/sageturn/lab/scale/fleet.py
@@ -34,12 +34,12 @@
 
 
 class Fleet:
-    """Members by name. The first ``size.real`` ones are whole relays, the others hollow members."""
+    """Members by name. The first ``size.real`` ones are whole relays, the others emulated members."""
 
     def __init__(self, experiment: ScaleExperiment, size: Size) -> None:
         self._experiment = experiment
         self.names = [f"r{number:04d}" for number in range(size.members)]
-        self.hollow_names = self.names[size.real :]
+        self.emulated_names = self.names[size.real :]
         self._real_count = size.real
         self._numbers = {name: number for number, name in enumerate(self.names)}
 
--- a/sageturn/lab/scale/jobs.py
+++ b/sageturn/lab/scale/jobs.py
@@ -1,4 +1,4 @@
-"""The job files of a scale run's child processes: link emulation, hollow members and whole relays."""
+"""The job files of a scale run's child processes: link emulation, emulated members and whole relays."""
 
 from __future__ import annotations
 
@@ -77,16 +77,16 @@
         self._member_ports = [self._ports.reserve() for _ in self._fleet.names]
         self._add_link_jobs()
         common = self._common_settings(discovery)
-        hollow_by_zone: dict[int, list[Job]] = {}
+        emulated_by_zone: dict[int, list[Job]] = {}
         for member in range(self._size.members):
             zone = self._experiment.zone_of(member)
             job = self._member_job(member, zone_names)
             if self._fleet.is_real(member):
                 self._add_relay_job(job, common, zone, discovery)
             else:
-                hollow_by_zone.setdefault(zone, []).append(job)
-        for zone, jobs in hollow_by_zone.items():
-            self._add_hollow_jobs(jobs, common, zone)
+                emulated_by_zone.setdefault(zone, []).append(job)
+        for zone, jobs in emulated_by_zone.items():
+            self._add_emulated_jobs(jobs, common, zone)
         return self._processes
 
     def _add(self, job: Job) -> None:
@@ -122,7 +122,7 @@
             )
 
     def _link(self, name: str) -> Job:
-        links = self._experiment.lanes
+        links = self._experiment.links
         delays_ms = {
             WITHIN_ZONE: links.zone_ms,
             WITHIN_REGION: links.region_ms,
@@ -158,13 +158,13 @@
             "seed": self._rng.getrandbits(32),
         }
 
-    def _add_hollow_jobs(self, jobs: Sequence[Job], common: Job, zone: int) -> None:
+    def _add_emulated_jobs(self, jobs: Sequence[Job], common: Job, zone: int) -> None:
         per_process = self._size.per_process
         for start in range(0, len(jobs), per_process):
             chunk = jobs[start : start + per_process]
             self._add(
                 {
-                    "role": Role.HOLLOW,
+                    "role": Role.EMULATED,
                     "members": [{**job, "row": row} for row, job in enumerate(chunk)],
                     "whole": common,
                     "routes": self._routes[zone],
@@ -197,7 +197,7 @@
             "limits": {"sockets": 16384, "memory_mb": 1024},
             "settings": job["settings"],
         }
-        # It names no peers: the process makes the relay's links, as it makes those of hollow members.
+        # It names no peers: the process makes the relay's links, as it makes those of emulated members.
         operator = {"store": {"path": "store"}}
         config_file = folder / "config.json"
         operator_file = folder / "operator.json"
--- a/sageturn/lab/scale/member_group.py
+++ b/sageturn/lab/scale/member_group.py
@@ -134,17 +134,17 @@
 def encode_memory(processes: Sequence[ChildProcess], statuses: Sequence[ProcessStatus]) -> dict[str, Any]:
     """Resident memory for a result line, in MB.
 
-    What a hollow member adds to its process on average, and the whole of each real relay's process.
+    What an emulated member adds to its process on average, and the whole of each real relay's process.
     """
-    hollow_mb = []
+    emulated_mb = []
     real_mb = []
     for process, status in zip(processes, statuses, strict=True):
         if process.role is Role.REAL:
             real_mb.append(status.memory / BYTES_PER_MB)
         else:
             grown = status.memory - status.initial_memory
-            hollow_mb.append(grown / len(process.member_names) / BYTES_PER_MB)
+            emulated_mb.append(grown / len(process.member_names) / BYTES_PER_MB)
     return {
-        "hollow_mb_each": round(float(np.mean(hollow_mb)), 3) if hollow_mb else None,
+        "hollow_mb_each": round(float(np.mean(emulated_mb)), 3) if emulated_mb else None,
         "real_mb": [round(memory_mb, 1) for memory_mb in real_mb],
     }
--- a/sageturn/lab/scale/members.py
+++ b/sageturn/lab/scale/members.py
@@ -37,7 +37,7 @@
 LOOPBACK = "127.0.0.1"
 # The machine's bound is the experiment's, not the admission's.
 ADMISSION_LIMITS = ProcessLimits(20_000, 4096.0)
-STATE_CONNECTION_COUNT = 50_000  # what a hollow member's state record says it serves
+STATE_CONNECTION_COUNT = 50_000  # what an emulated member's state record says it serves
 STATE_PHASES = 97  # over which members spread their first state record
 
 WatchEvent = EndpointListUpdate | WatchFailed
@@ -194,7 +194,7 @@
 
 
 class Member:
-    """What hollow and real members have in common, as their process shows it to the run."""
+    """What emulated and real members have in common, as their process shows it to the run."""
 
     name: str
     store: Store
@@ -216,7 +216,7 @@
         )
 
 
-class HollowMember(Member):
+class EmulatedMember(Member):
     """A relay without a listener for clients.
 
     Store, replication, endpoint list, discovery backoff and accounting are put together as in ``Relay``.
--- a/sageturn/lab/scale/plan.py
+++ b/sageturn/lab/scale/plan.py
@@ -10,7 +10,7 @@
 from typing import Annotated
 
 import msgspec
-from msgspec import Meta, Struct
+from msgspec import Meta, Struct, field
 
 from sageturn.lab.errors import InvalidExperimentError
 from sageturn.lab.runner.experiment import Name, Positive
@@ -80,7 +80,7 @@
     fanout: Annotated[int, Meta(ge=2)] = 8
     per_process: Annotated[int, Meta(ge=1)] = 24
     clients: Annotated[int, Meta(ge=0, le=4000)] = 0  # connected to each real relay, a line every 2 s
-    state_s: NotNegative = 0.0  # a hollow member's interval between two state records; 0: it writes none
+    state_s: NotNegative = 0.0  # an emulated member's interval between two state records; 0: it writes none
     faults: tuple[Fault, ...] = ()
     predict: bool = False  # from the smaller ones, before it is run
 
@@ -128,7 +128,7 @@
     regions: Annotated[int, Meta(ge=1, le=8)] = 2
     zones: Annotated[int, Meta(ge=1, le=16)] = 5
     interval_s: Annotated[float, Meta(ge=0.05, le=60)] = 2.0
-    lanes: LinkProfile = LinkProfile()
+    links: LinkProfile = field(default=LinkProfile(), name="lanes")
     windows: Windows = Windows()
     bounds: Bounds = Bounds()
     around: Environment = Environment()
@@ -198,11 +198,11 @@
     # ------------------------------------------------------------ what a size needs
 
     def process_count(self, size: Size) -> int:
-        """Whole relays, processes of hollow members, and one of link emulation for each zone."""
-        hollow = size.members - size.real
-        hollow_by_zone = [len(range(zone, hollow, self.zones)) for zone in range(self.zones)]
-        hollow_processes = sum(math.ceil(members / size.per_process) for members in hollow_by_zone)
-        return size.real + hollow_processes + self.zones
+        """Whole relays, processes of emulated members, and one of link emulation for each zone."""
+        emulated = size.members - size.real
+        emulated_by_zone = [len(range(zone, emulated, self.zones)) for zone in range(self.zones)]
+        emulated_processes = sum(math.ceil(members / size.per_process) for members in emulated_by_zone)
+        return size.real + emulated_processes + self.zones
 
     def estimated_memory_gb(self, size: Size) -> float:
         """Before anything is started: processes, copies, and real relays' own records."""
--- a/sageturn/lab/scale/predictions.py
+++ b/sageturn/lab/scale/predictions.py
@@ -60,7 +60,7 @@
 
 
 def mean_of_members(line: Line, field: str) -> float | None:
-    """Of hollow and real members together, in the idle phase."""
+    """Of emulated and real members together, in the idle phase."""
     member_counts = {"real": line["real"], "hollow": line["members"] - line["real"]}
     idle = line["phases"]["idle"]
     parts = [(count, idle[role][field]) for role, count in member_counts.items() if role in idle]
--- a/sageturn/lab/scale/process.py
+++ b/sageturn/lab/scale/process.py
@@ -1,4 +1,4 @@
-"""One child process of a scale run: hollow members, a whole relay, or a part of the link emulation.
+"""One child process of a scale run: emulated members, a whole relay, or a part of the link emulation.
 
 Started with the name of a job file. It answers one JSON line on its standard output for each on its
 standard input (``child_protocol``), and ends when that ends, so it outlives no run, however the run ends.
@@ -25,8 +25,8 @@
 from sageturn.lab.scale import counting
 from sageturn.lab.scale.child_protocol import Command, ProcessStatus, Role
 from sageturn.lab.scale.errors import describe_failure
-from sageturn.lab.scale.lanes import EmulatedLink, Forwarder
-from sageturn.lab.scale.members import HollowMember, Member, RealMember, load_records, preload
+from sageturn.lab.scale.link_emulation import EmulatedLink, Forwarder
+from sageturn.lab.scale.members import EmulatedMember, Member, RealMember, load_records, preload
 
 Job = dict[str, Any]
 Request = dict[str, Any]
@@ -82,7 +82,7 @@
 
 
 class _MemberProcess:
-    """The commands that hollow members and whole relays answer alike."""
+    """The commands that emulated members and whole relays answer alike."""
 
     def __init__(self, initial_memory: int, members: Sequence[Member]) -> None:
         self._initial_memory = initial_memory
@@ -109,32 +109,32 @@
         return msgspec.to_builtins(ProcessStatus(members, self._initial_memory, _resident_bytes()))
 
 
-class HollowProcess(_MemberProcess):
-    """Many hollow members."""
+class EmulatedMemberProcess(_MemberProcess):
+    """Many emulated members."""
 
     def __init__(self, job: Job) -> None:
         gc.collect()
         initial_memory = _resident_bytes()
         records = preload(job["whole"]["keys"])
-        self._hollow = {
-            member["name"]: HollowMember(member, job["whole"], records) for member in job["members"]
+        self._emulated_members = {
+            member["name"]: EmulatedMember(member, job["whole"], records) for member in job["members"]
         }
         gc.freeze()
-        super().__init__(initial_memory, list(self._hollow.values()))
+        super().__init__(initial_memory, list(self._emulated_members.values()))
 
     async def serve(self) -> None:
         """Answer the run's requests until its pipe is closed."""
         own = {Command.START: self._start, Command.STOP: self._stop, Command.END: self._end}
         await _serve_requests({**self.handlers(), **own})
 
-    def _chosen(self, request: Request) -> list[HollowMember]:
-        return [self._hollow[name] for name in request.get("members") or self._hollow]
+    def _chosen(self, request: Request) -> list[EmulatedMember]:
+        return [self._emulated_members[name] for name in request.get("members") or self._emulated_members]
 
     async def _start(self, request: Request) -> int:
         for member in self._chosen(request):
             if not member.running:
                 member.start(request.get("wipe", False))
-        return len(self._hollow)
+        return len(self._emulated_members)
 
     async def _stop(self, request: Request) -> bool:
         await asyncio.gather(*(member.stop() for member in self._chosen(request)))
@@ -226,7 +226,7 @@
 
 
 PROCESSES: dict[Role, Callable[[Job], _ChildRole]] = {
-    Role.HOLLOW: HollowProcess,
+    Role.EMULATED: EmulatedMemberProcess,
     Role.REAL: RelayProcess,
     Role.LINKS: LinkProcess,
 }
--- a/sageturn/lab/scale/usage.py
+++ b/sageturn/lab/scale/usage.py
@@ -1,7 +1,7 @@
 """What a scale run's processes use in a measuring window, a second and a member.
 
 Bytes and messages are counted at each member's sockets (``counting``); processor time comes from the kernel
-(``/proc/PID/schedstat``, nanoseconds of the process's one busy thread). A hollow member's share of its
+(``/proc/PID/schedstat``, nanoseconds of the process's one busy thread). An emulated member's share of its
 process's processor time is an even one; for the busiest member it is the share that its messages have of
 the process's messages.
 """
@@ -139,7 +139,7 @@
         "took_s": round(took_s, 2),
         "saturated": any(used_s / took_s > MAX_SOUND_CORE for used_s in cpu_s),
     }
-    for role in (Role.HOLLOW, Role.REAL):
+    for role in (Role.EMULATED, Role.REAL):
         processes = [
             (members, used_s)
             for process_role, members, used_s in zip(roles, counts, cpu_s, strict=True)
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -32,7 +32,7 @@
 from sageturn.lab.scale.errors import FitError, InvalidPlanError
 from sageturn.lab.scale.fit import fit, fit_exponent
 from sageturn.lab.scale.fleet import link_name, peers_of
-from sageturn.lab.scale.lanes import (
+from sageturn.lab.scale.link_emulation import (
     MAX_BUFFERED_BYTES,
     MIN_RETRANSMISSION_TIMEOUT_S,
     SEGMENT_BYTES,
@@ -648,7 +648,7 @@
         seeds=(7,),
         interval_s=interval_s,
         windows=SMALL,
-        lanes=LinkProfile(between_ms=2.0),
+        links=LinkProfile(between_ms=2.0),
         around=Environment(hosts=8),
     )
     experiment.validate()
@@ -689,7 +689,7 @@
         seeds=(7,),
         interval_s=0.5,
         windows=msgspec.structs.replace(SMALL, changes=20),
-        lanes=LinkProfile(between_ms=2.0),
+        links=LinkProfile(between_ms=2.0),
         around=Environment(hosts=8),
     )
     line = asyncio.run(ScaleRun(experiment, experiment.sizes[0], 7, tmp_path).run())
