--- a/sageturn/lab/faults/fault.py
+++ b/sageturn/lab/faults/fault.py
@@ -48,7 +48,7 @@
 
     @property
     def end_s(self) -> float:
-        """When it is over."""
+        """Seconds from the day's start to the fault's end."""
         return self.start_s + self.length_s
 
     def is_active(self, now_s: float) -> bool:
--- a/sageturn/lab/loopback/client_connection.py
+++ b/sageturn/lab/loopback/client_connection.py
@@ -16,7 +16,7 @@
 
 
 class ConnectionOwner(Protocol):
-    """What a connection needs of its population."""
+    """The part of a client population that a connection reports to."""
 
     spec: FleetSpec
     sampler: ClientSampler
--- a/sageturn/lab/loopback/client_population.py
+++ b/sageturn/lab/loopback/client_population.py
@@ -29,7 +29,7 @@
 
 @dataclass
 class ClientObservations:
-    """What the clients have observed.
+    """Counts and times that the clients have observed.
 
     Histograms are by class: set-ups in milliseconds, messages in microseconds.
     """
--- a/sageturn/lab/loopback/loopback_runner.py
+++ b/sageturn/lab/loopback/loopback_runner.py
@@ -39,7 +39,7 @@
 
 @dataclass
 class LoopbackResult:
-    """What a run has measured; ``relay_cpu_s`` and ``planner_states`` are by relay."""
+    """Measurements of one run; ``relay_cpu_s`` and ``planner_states`` have one entry a relay."""
 
     spec: FleetSpec
     observations: ClientObservations
--- a/sageturn/lab/loopback/relay_processes.py
+++ b/sageturn/lab/loopback/relay_processes.py
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayOptions:
-    """How relays rebalance; ``sections`` adds to a relay's operator file."""
+    """Rebalancing options of all relays; ``sections`` adds to a relay's operator file."""
 
     planner: str
     rebalance: dict[str, Any]
--- a/sageturn/lab/measurements/planner_cost.py
+++ b/sageturn/lab/measurements/planner_cost.py
@@ -98,7 +98,7 @@
             self.planner.connections.set_load(request_id, 1.0 + request_id % 3)
 
     def _events_of_a_second(self, now_ms: float) -> Iterator[decision.Event]:
-        """As many connections are established as end, and each new one reports its load twice."""
+        """Yields one second's events: equally many connections begin and end; each reports its load twice."""
         for _ in range(self.arrivals_per_s):
             request_id = self._next_id
             self._next_id += 1
--- a/sageturn/lab/model/endpoint_model.py
+++ b/sageturn/lab/model/endpoint_model.py
@@ -61,7 +61,7 @@
         return self.initial_capacity_ratio + (1.0 - self.initial_capacity_ratio) * max(0.0, progress)
 
     def utilization(self, now_s: float) -> float:
-        """Its load over its usable capacity; above 1 work queues up."""
+        """The endpoint's load over its usable capacity; above 1 work queues up."""
         group_load = self.group_cost * self.mean_load * len(self._group_sizes)
         return (self.load + group_load) * self.slowdown / (self.capacity * self.warm_up_ratio(now_s))
 
--- a/sageturn/lab/model/event_queue.py
+++ b/sageturn/lab/model/event_queue.py
@@ -24,7 +24,7 @@
         heapq.heappush(self._entries, (due_s, self._sequence, handler, argument))
 
     def next_due_s(self) -> float:
-        """When the next call is due; ``NEVER_S`` if there is none."""
+        """Returns the time of the next call; ``NEVER_S`` if there is none."""
         return self._entries[0][0] if self._entries else NEVER_S
 
     def run_next(self) -> None:
--- a/sageturn/lab/model/simulated_connections.py
+++ b/sageturn/lab/model/simulated_connections.py
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptOutcome:
-    """How an attempt ends; an empty ``failure`` is success."""
+    """The end of an attempt; an empty ``failure`` is success."""
 
     request_id: int
     attempt: int
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GroupMigrations:
-    """How many groups migrate from a host, and how many of them leave some connections there."""
+    """Numbers of groups that migrate from a host, and of those that leave some connections there."""
 
     migrated: int
     split: int
--- a/sageturn/lab/model/simulated_hosts.py
+++ b/sageturn/lab/model/simulated_hosts.py
@@ -58,7 +58,7 @@
         ]
 
     def conditions(self, now_s: float, store_call_ms: float) -> dict[str, EndpointConditions]:
-        """What a relay meets at each host now; each set-up calls the session store."""
+        """Returns the conditions that a relay meets at each host now; each set-up calls the session store."""
         return {
             name: EndpointConditions(
                 running=not host.crashed and name not in self.stopped,
--- a/sageturn/lab/model/simulation_steps.py
+++ b/sageturn/lab/model/simulation_steps.py
@@ -102,7 +102,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StepInput:
-    """What the relays of one process need for a step that ends at ``until_s``."""
+    """Input of the relays of one process for a step that ends at ``until_s``."""
 
     until_s: float
     conditions: dict[str, EndpointConditions]
@@ -112,7 +112,7 @@
 
 @dataclass(slots=True)
 class StepResult:
-    """What one relay did in a step.
+    """Events of one relay in one step.
 
     ``intake`` is the number and the total load of the requests for connections, by host. ``wanted_changes``
     has a class index, a tenant, and 1 for a client that arrived or -1 for one that has finished.
--- a/sageturn/lab/readiness.py
+++ b/sageturn/lab/readiness.py
@@ -152,7 +152,7 @@
 
 
 async def measure(case: Case, starts: int, bound_s: float = BOUND_S) -> list[float]:
-    """Seconds from each restart to the first PONG; ``bound_s`` for one that had not come by then."""
+    """Returns the seconds from each restart to the first PONG; ``bound_s`` where none had come by then."""
     reserved, port = reserve_port()  # nobody else is given it while the relay is down
     address = ("127.0.0.1", port)
     with tempfile.TemporaryDirectory(prefix="sageturn-lab-") as folder:
--- a/sageturn/lab/rebalancing.py
+++ b/sageturn/lab/rebalancing.py
@@ -73,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetSize:
-    """How large a simulated deployment is."""
+    """Numbers of relays, hosts and clients of a simulated deployment."""
 
     endpoints: int
     relays: int
--- a/sageturn/lab/runner/environment.py
+++ b/sageturn/lab/runner/environment.py
@@ -53,7 +53,7 @@
 
 
 class SimulatedEnvironment:
-    """All that the relays of a simulated fleet share; ``step_s`` is the length of a step."""
+    """The environment that the relays of a simulated fleet share; ``step_s`` is the length of a step."""
 
     def __init__(self, spec: FleetSpec, faults: Iterable[ScheduledFault], step_s: float) -> None:
         self.spec = spec
--- a/sageturn/lab/runner/experiment.py
+++ b/sageturn/lab/runner/experiment.py
@@ -71,7 +71,7 @@
 
 
 class Variant(Struct, frozen=True, forbid_unknown_fields=True):
-    """How the relays decide and rebalance.
+    """A decision module and a way of rebalancing, which all relays of a run use.
 
     ``policy`` is empty for the present decision module, a path, or ``git:REVISION``. ``planner``, in
     the file ``mover``, is one of ``PLANNER_KINDS``. ``rebalance`` has fields of ``RebalanceOptions``.
--- a/sageturn/lab/runner/experiment_runner.py
+++ b/sageturn/lab/runner/experiment_runner.py
@@ -32,7 +32,7 @@
 
     @property
     def key(self) -> tuple[str, int, str]:
-        """What tells it from the experiment's other runs."""
+        """Identifies the run within the experiment."""
         return self.scenario.name, self.seed, self.variant.name
 
 
@@ -86,7 +86,7 @@
 
 
 def _head(experiment: Experiment, root: Path, policies: dict[str, str]) -> Line:
-    """What makes the results: the whole experiment, the policies' texts, the revision and the versions."""
+    """Returns the head of a result file: the experiment, the policies' texts, the revision, the versions."""
     return {
         "experiment": json.loads(msgspec.json.encode(experiment)),
         "policies": policies,
--- a/sageturn/lab/runner/result_file.py
+++ b/sageturn/lab/runner/result_file.py
@@ -25,7 +25,7 @@
 
 
 def revision(root: Path) -> str:
-    """What ``git describe`` says of a working tree; empty outside of one."""
+    """Returns the output of ``git describe`` for a working tree; empty outside of one."""
     described = subprocess.run(
         ["git", "describe", "--always", "--dirty"], cwd=root, capture_output=True, text=True, check=False
     )
--- a/sageturn/lab/runner/simulation.py
+++ b/sageturn/lab/runner/simulation.py
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayVariant:
-    """How the relays of a run rebalance and decide; see ``SimulatedRelay``."""
+    """Planner, its options and decision module of the relays of a run; see ``SimulatedRelay``."""
 
     planner: str
     options: RebalanceOptions
--- a/sageturn/lab/scale/arrivals.py
+++ b/sageturn/lab/scale/arrivals.py
@@ -29,14 +29,14 @@
 
 
 class Outages:
-    """When members were down, and when each last came back."""
+    """Records when members were down, and when each last came back."""
 
     def __init__(self) -> None:
         self._intervals: dict[str, list[tuple[float, float]]] = {}
         self.returned_s: dict[str, float] = {}
 
     def mark_down(self, names: Iterable[str], now_s: float) -> None:
-        """From now until ``mark_up``."""
+        """Counts the members as down from now until ``mark_up``."""
         for name in names:
             self._intervals.setdefault(name, []).append((now_s, NEVER_S))
 
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PropagationTimes:
-    """For each change, the time until the last of the members that were up for it held it."""
+    """The time of each change until the last member that was up for it held it."""
 
     everywhere: list[float]
     in_own_region: list[float]
@@ -83,7 +83,7 @@
 def catch_up_times(
     changes: Sequence[Change], arrivals: ArrivalTimes, returned_s: dict[str, float]
 ) -> list[float]:
-    """For each member that came back: the time until it held all that was put before its return."""
+    """Returns, for each member that came back, the time until it held all that was put before its return."""
     found = []
     for name, back_s in returned_s.items():
         missed = [change.key for change in changes if change.put_s < back_s]
--- a/sageturn/lab/scale/child_process.py
+++ b/sageturn/lab/scale/child_process.py
@@ -46,7 +46,7 @@
 
     @property
     def pid(self) -> int:
-        """Its process id; the child must have been started."""
+        """The child's process id. The child must have been started."""
         return self._running_child().pid
 
     # ------------------------------------------------------------ lifetime
@@ -100,7 +100,7 @@
         return answer
 
     async def status(self) -> ProcessStatus:
-        """Of a process with members."""
+        """Asks a process with members for its status."""
         return msgspec.convert(await self.request(Command.STATUS), ProcessStatus)
 
     async def _read_answer(self) -> Any:
@@ -140,7 +140,7 @@
         return 0
 
     def disk_bytes_written(self) -> int:
-        """What it has caused to be written to the disk since its start."""
+        """Returns the bytes that the child has caused to be written to the disk since its start."""
         with suppress(OSError):
             for line in Path(f"/proc/{self.pid}/io").read_text().splitlines():
                 if line.startswith("write_bytes"):
--- a/sageturn/lab/scale/child_protocol.py
+++ b/sageturn/lab/scale/child_protocol.py
@@ -12,7 +12,7 @@
 
 
 class Role(StrEnum):
-    """What a child process runs, under the key ``role`` of its job file."""
+    """The role of a child process, under the key ``role`` of its job file."""
 
     EMULATED = "hollow"
     REAL = "real"
@@ -20,7 +20,7 @@
 
 
 class Command(StrEnum):
-    """What a child can be asked for; link processes know CONFIGURE_LINKS, STATUS and END only."""
+    """A command to a child process. Link processes know CONFIGURE_LINKS, STATUS and END only."""
 
     START = "start"
     STOP = "stop"
--- a/sageturn/lab/scale/counting.py
+++ b/sageturn/lab/scale/counting.py
@@ -38,12 +38,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Counts:
-    """Of one member, by purpose and field; a message is a write or read that carried any byte."""
+    """Counters of one member, by purpose and field. A message is a write or read that carried any byte."""
 
     values: dict[str, dict[str, int]]
 
     def since(self, before: Counts) -> Counts:
-        """What was counted from ``before`` to this."""
+        """Returns the difference from ``before``, an earlier state of the same counters."""
         return Counts(
             {
                 purpose: {field: count - before.values[purpose][field] for field, count in fields.items()}
@@ -133,7 +133,7 @@
 
 
 def install(file: Path, routes: dict[Address, Address]) -> None:
-    """For this whole process, which is the lab's: every later socket counts, and connects by ``routes``."""
+    """Makes every later socket of this process count its traffic and connect by ``routes``."""
     global _counters
     with file.open("r+b") as opened:
         _counters = memoryview(mmap.mmap(opened.fileno(), 0)).cast(COUNTER_FORMAT)
--- a/sageturn/lab/scale/digests.py
+++ b/sageturn/lab/scale/digests.py
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkOptions:
-    """Where a member listens, whom it dials, and the interval at which a digest is sent."""
+    """A member's listening address, the peers that it dials, and the interval between two digests."""
 
     listen: tuple[str, int]
     peers: tuple[tuple[str, int], ...]
@@ -134,7 +134,7 @@
         await self._run_link(sock, False, pending)
 
     async def _run_link(self, sock: socket.socket, dialled: bool, pending: PendingConnection | None) -> bool:
-        """Until the link ends. False when it was not established."""
+        """Runs a link until it ends. Returns False if it was not established."""
         channel = JsonChannel(sock, self._options.secret, self._store.node)
         try:
             async with (
--- a/sageturn/lab/scale/environment.py
+++ b/sageturn/lab/scale/environment.py
@@ -35,7 +35,7 @@
         self._port = 0
 
     async def start(self) -> None:
-        """After ``stop`` on the same port as before."""
+        """Starts to listen; after ``stop`` on the same port as before."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", self._port, backlog=1024)
         self.address = self._server.sockets[0].getsockname()[:2]
         self._port = self.address[1]
@@ -46,7 +46,7 @@
         self._watchers.clear()
 
     def encode_counts(self) -> dict[str, Any]:
-        """For a result line."""
+        """Returns the counters as keys of a result line."""
         return {"calls": self.calls, "failed": self.failed, "octets": self.bytes_written}
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -89,7 +89,7 @@
             await host.stop()
 
     def entries(self) -> list[dict[str, Any]]:
-        """As discovery writes them."""
+        """Returns the entries of the endpoint list as discovery writes them."""
         return [self._entry(number) for number in range(self.count)]
 
     def _entry(self, number: int) -> dict[str, Any]:
@@ -134,7 +134,7 @@
             await asyncio.wait(self._tasks)
 
     def encode_counts(self) -> dict[str, Any]:
-        """For a result line."""
+        """Returns the counters as keys of a result line."""
         return {
             "standing": self.connected,
             "opened": self.opened,
@@ -151,7 +151,7 @@
             await asyncio.sleep(RECONNECT_DELAY_S)
 
     async def _run_connection(self, address: tuple[str, int]) -> None:
-        """Until it ends."""
+        """Serves a connection until it ends."""
         reader, writer = await asyncio.open_connection(*address)
         is_up = False
         try:
@@ -170,7 +170,7 @@
             writer.close()
 
     async def _exchange_lines(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Until the relay ends the connection; other lines than answers are passed over."""
+        """Exchanges lines until the relay ends the connection; lines that are no answers are skipped."""
         while True:
             await asyncio.sleep(LINE_INTERVAL_S)
             writer.write(b"LINE\r\n")
--- a/sageturn/lab/scale/faults.py
+++ b/sageturn/lab/scale/faults.py
@@ -20,7 +20,7 @@
 
 
 class FaultInjector:
-    """For one phase. ``rng`` is the run's own, so that the same seed chooses the same members."""
+    """Injects the faults of one phase. ``rng`` is the run's: the same seed chooses the same members."""
 
     def __init__(
         self,
@@ -41,7 +41,7 @@
         self.discovery_returned_s: float | None = None
 
     async def inject(self, fault: Fault) -> None:
-        """Until the fault is over and all that was down has been started again."""
+        """Returns once the fault is over and all members that were down have been started again."""
         match fault.kind:
             case "cut":
                 await self._cut_regions(fault)
@@ -85,7 +85,7 @@
         await self._restart_members(names, fault.wipe)
 
     def _choose_targets(self, fault: Fault) -> list[str]:
-        """Emulated members only. The first of them, whom hand-made trees hang from, is among those killed."""
+        """Chooses emulated members: a zone's, or a part that includes the first, the root of configured trees."""
         emulated = self._fleet.emulated_names
         if fault.kind == "zone":
             last_zone = self._experiment.zones - 1
--- a/sageturn/lab/scale/fit.py
+++ b/sageturn/lab/scale/fit.py
@@ -50,7 +50,7 @@
         return value, value - margin, value + margin
 
     def to_json(self) -> dict[str, object]:
-        """By the keys of a result line."""
+        """Returns the fit by the keys of a result line."""
         return {
             "terms": list(self.terms),
             "values": list(self.values),
@@ -102,7 +102,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Exponent:
-    """How y grows with x: 1 is in proportion to it, 2 with its square; an interval at 95%."""
+    """The exponent of y's growth with x (1: in proportion), with its interval at 95%."""
 
     value: float
     low: float
@@ -110,7 +110,7 @@
 
 
 def fit_exponent(x: Sequence[float], y: Sequence[float]) -> Exponent:
-    """Of a power law through the points. Raises FitError under three of them."""
+    """Fits the exponent of a power law to the points. Raises FitError for less than three."""
     if len(x) < MIN_EXPONENT_SIZES:
         raise FitError(f"{len(x)} sizes tell no exponent with an interval")
     line = stats.linregress(np.log(np.array(x, float)), np.log(np.array(y, float)))
--- a/sageturn/lab/scale/jobs.py
+++ b/sageturn/lab/scale/jobs.py
@@ -73,7 +73,7 @@
         self.relay_addresses: list[Address] = []  # where the whole relays' clients connect
 
     def build(self, discovery: Address, zone_names: Sequence[str]) -> list[ChildProcess]:
-        """To be called once. ``zone_names`` are those that the members' settings list."""
+        """Builds all child processes; call it once. ``zone_names`` are those of the members' settings."""
         self._member_ports = [self._ports.reserve() for _ in self._fleet.names]
         self._add_link_jobs()
         common = self._common_settings(discovery)
@@ -134,7 +134,7 @@
     # ------------------------------------------------------------ members
 
     def _common_settings(self, discovery: Address) -> Job:
-        """What all members share."""
+        """Returns the part of a job file that all members share."""
         return {
             "secret": read_secret(SECRET).hex(),
             "interval_s": self._experiment.interval_s,
--- a/sageturn/lab/scale/link_emulation.py
+++ b/sageturn/lab/scale/link_emulation.py
@@ -34,7 +34,7 @@
 
 @dataclass
 class EmulatedLink:
-    """What all connections between two zones share. Without I/O: time and chance are handed in."""
+    """The link that all connections between two zones share. Pure: time and random numbers are passed in."""
 
     name: str
     delay_s: float  # one way
@@ -57,13 +57,13 @@
             self.healed.set()
 
     def transit_s(self, byte_count: int, rng: Random) -> float:
-        """Until the last byte of a chunk has arrived, in order."""
+        """Returns the seconds until the last byte of a chunk has arrived, in order."""
         self.bytes_forwarded += byte_count
         self.chunk_count += 1
         return self.delay_s + self._retransmission_delay_s(byte_count, rng)
 
     def _retransmission_delay_s(self, byte_count: int, rng: Random) -> float:
-        """Until the chunk's slowest segment has been recovered."""
+        """Returns the seconds until the chunk's slowest segment has been recovered."""
         slowest_s = 0.0
         if self.loss <= 0.0:
             return slowest_s
@@ -78,7 +78,7 @@
         return slowest_s
 
     def recovery_s(self, losses: int, following_segments: int) -> float:
-        """What losing a segment so many times in a row costs, with so many segments behind it."""
+        """Returns the seconds that it takes to recover a segment lost so many times in a row."""
         round_trip_s = 2.0 * self.delay_s
         timeout_s = max(MIN_RETRANSMISSION_TIMEOUT_S, 2.0 * round_trip_s)
         if following_segments >= FAST_RETRANSMIT_SEGMENTS:
@@ -87,7 +87,7 @@
 
 
 class DelayLine:
-    """One direction of one connection: what was read, and when it is due at the other side."""
+    """One direction of a connection: chunks read, with the times at which they are due at the other side."""
 
     def __init__(self, link: EmulatedLink, rng: Random, now_s: Callable[[], float]) -> None:
         self._link = link
@@ -106,7 +106,7 @@
         self.buffered_bytes += len(data)
 
     def take(self) -> bytes | None:
-        """What is due by now; None if nothing is."""
+        """Removes and returns the chunk that is due by now; None if there is none."""
         if self._link.is_cut or not self.waiting:
             return None
         if self.waiting[0][0] > self._now_s() + TIMER_RESOLUTION_S:
@@ -116,7 +116,7 @@
         return data
 
     def wait_s(self) -> float:
-        """Until the first chunk is due, while the link is not cut."""
+        """Returns the seconds until the first chunk is due, while the link is not cut."""
         return max(0.0, self.waiting[0][0] - self._now_s())
 
 
--- a/sageturn/lab/scale/list_calls.py
+++ b/sageturn/lab/scale/list_calls.py
@@ -16,7 +16,7 @@
 
 
 class _EventKind(Enum):
-    """What happens at an event's moment."""
+    """The kind of an event of the queue."""
 
     CALL = auto()
     ANSWER = auto()
@@ -55,7 +55,7 @@
         self._schedule(due_ms, _EventKind.CALL, relay, 0)
 
     def run(self) -> None:
-        """Until every relay has the list."""
+        """Runs the queue until every relay has the list."""
         while self._events and len(self.listed_ms) < len(self.backoffs):
             event = heapq.heappop(self._events)
             if event.kind is _EventKind.CALL:
--- a/sageturn/lab/scale/member_group.py
+++ b/sageturn/lab/scale/member_group.py
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberArrivals:
-    """When each member first held each change, and when the copy that it has now did."""
+    """The times at which each member, and its present copy, first held each change."""
 
     first: ArrivalTimes
     present_copy: ArrivalTimes
@@ -38,7 +38,7 @@
         self._process_of = {name: process for process in processes for name in process.member_names}
 
     async def start_all(self) -> None:
-        """One process after another."""
+        """Starts all processes, one after another."""
         for process in self.processes:
             await process.request(Command.START)
 
@@ -50,7 +50,7 @@
         return put_s
 
     async def stop_members(self, names: Sequence[str]) -> None:
-        """As if they died: their connections close, and nobody is notified."""
+        """Stops members as a crash would: their connections close, and nobody is notified."""
         await self._request_of_members(names, Command.STOP)
 
     async def restart_members(self, names: Sequence[str], wipe: bool) -> None:
@@ -67,7 +67,7 @@
         )
 
     async def arrivals(self) -> MemberArrivals:
-        """Of all changes so far."""
+        """Returns the arrivals of all changes so far."""
         found = MemberArrivals({}, {})
         answers = await asyncio.gather(*(process.request(Command.ARRIVALS) for process in self.processes))
         for answer in answers:
@@ -79,11 +79,11 @@
     # ------------------------------------------------------------ states
 
     async def process_statuses(self) -> list[ProcessStatus]:
-        """In the processes' order."""
+        """Returns the status of each process, in the order of the processes."""
         return list(await asyncio.gather(*(process.status() for process in self.processes)))
 
     async def member_statuses(self) -> list[MemberStatus]:
-        """Of all members, whichever process they are in."""
+        """Returns the status of each member, by name."""
         return [member for status in await self.process_statuses() for member in status.members.values()]
 
     async def link_count(self) -> float:
@@ -105,7 +105,7 @@
             await asyncio.sleep(READINESS_POLL_INTERVAL_S)
 
     async def wait_until_linked(self, expected: int, timeout_s: float) -> float:
-        """Seconds until so many links were established. Raises ReadinessTimeoutError."""
+        """Returns the seconds until so many links were established. Raises ReadinessTimeoutError."""
         began_s = time.monotonic()
         while (established := await self.link_count()) < expected:
             if time.monotonic() - began_s > timeout_s:
--- a/sageturn/lab/scale/members.py
+++ b/sageturn/lab/scale/members.py
@@ -56,7 +56,7 @@
 
 
 class Replication(Protocol):
-    """Whatever keeps a store's copy and the others' the same."""
+    """Replication of a store with the copies of other members."""
 
     address: tuple[str, int]
 
@@ -106,7 +106,7 @@
 
 
 def link_options(job: dict[str, Any], common: dict[str, Any]) -> LinkOptions:
-    """From a member's part of a job file, and the part that all members share."""
+    """Reads the link options from a member's part of a job file and the part that all members share."""
     return LinkOptions(
         (LOOPBACK, job["port"]),
         tuple((LOOPBACK, port) for port in job["peers"]),
@@ -116,7 +116,7 @@
 
 
 def location_of(job: dict[str, Any]) -> Location:
-    """From a member's part of a job file."""
+    """Reads the location from a member's part of a job file."""
     return Location(job["name"], job["zone"], job["region"])
 
 
@@ -124,7 +124,7 @@
 
 
 def preload(keys: int) -> list[StoreRecord]:
-    """What every copy holds from the start: a shard's placement for each key."""
+    """Returns the records that every copy holds from the start: a shard's placement for each key."""
     return [
         StoreRecord(
             f"shards/{number:06d}",
@@ -137,7 +137,7 @@
 
 
 def load_records(store: Store, records: list[StoreRecord]) -> None:
-    """As in a fleet that has been running, whose copies are known to be complete.
+    """Loads records as in a fleet that has been running, whose copies are known to be complete.
 
     Members of a new fleet would first have to agree on that, and each later one would take all anew.
     """
@@ -146,13 +146,13 @@
 
 
 def store_hash(store: Store) -> str:
-    """Equal for equal copies; what each member writes of itself under ``state/`` included."""
+    """Returns a hash that is equal for equal copies, including the members' own records under ``state/``."""
     orders = sorted((key, order[0], order[1]) for key, order in store.digest().items())
     return hashlib.sha256(json.dumps(orders).encode()).hexdigest()[:16]
 
 
 class ArrivalRecorder:
-    """When a copy first held each change, on the machine's monotonic clock, which all processes share.
+    """Records when a copy first held each change, on the monotonic clock, which all processes share.
 
     ``first_s`` is handed in and outlives a wiped copy; ``present_copy_s`` is this copy's own.
     """
@@ -194,7 +194,7 @@
 
 
 class Member:
-    """What emulated and real members have in common, as their process shows it to the run."""
+    """The common part of emulated and real members, which their process shows to the run."""
 
     name: str
     store: Store
@@ -204,7 +204,7 @@
     running: bool
 
     def status(self) -> MemberStatus:
-        """As the process answers the command STATUS."""
+        """Returns the member's part of the answer to the command STATUS."""
         return MemberStatus(
             store_hash(self.store),
             len(self.store.digest()),
@@ -239,7 +239,7 @@
         self.arrivals = ArrivalRecorder(self.store, self._first_arrivals_s)
 
     def start(self, wipe: bool = False) -> None:
-        """After ``stop`` as a process that is started again: with its copy as from its disk, or with none."""
+        """Starts the member, again with the copy that it had, or with an empty one (``wipe``)."""
         if wipe:
             self._make_copy([])
         self.admission = AdmissionController(ADMISSION_LIMITS)
@@ -278,7 +278,7 @@
         await self.watch_monitor.forward(watch, event, self.endpoint_registry.on_watch_event)
 
     async def _write_state(self, interval_s: float) -> None:
-        """As ``Relay`` does: a relay in service has ended some connections since its last state record."""
+        """Writes state records as ``Relay`` does; each counts more ended connections than the last."""
         count = 0
         phase = zlib.crc32(self.name.encode()) % STATE_PHASES
         await asyncio.sleep(interval_s * phase / STATE_PHASES)
@@ -294,7 +294,7 @@
             await asyncio.sleep(max(interval_s, getattr(self.replication, "state_report_interval_s", 0.0)))
 
     async def stop(self) -> None:
-        """As a process that dies: sockets closed, nobody notified."""
+        """Stops the member as a crash would: sockets are closed, nobody is notified."""
         if not self.running:
             return
         self.running = False
--- a/sageturn/lab/scale/phases.py
+++ b/sageturn/lab/scale/phases.py
@@ -91,7 +91,7 @@
     async def _put_changes(
         self, began_s: float, offsets_s: Sequence[float], outages: Outages
     ) -> list[Change]:
-        """Each at a member that is up."""
+        """Puts each change at a member that is up."""
         changes = []
         for offset_s in offsets_s:
             await _sleep_until(began_s + offset_s)
@@ -105,7 +105,7 @@
         return changes
 
     async def _durations_until_listed(self, since_s: float | None) -> dict[str, Any] | None:
-        """From discovery's return until each member had the list again; None where it was not down."""
+        """Returns the seconds from discovery's return until each member had the list; None if it was up."""
         if since_s is None:
             return None
         members = await self.members.member_statuses()
--- a/sageturn/lab/scale/plan.py
+++ b/sageturn/lab/scale/plan.py
@@ -38,7 +38,7 @@
 
 
 class LinkProfile(Struct, frozen=True, forbid_unknown_fields=True):
-    """One way, in milliseconds, by class of link; ``loss`` is a ratio of TCP's segments."""
+    """One-way delays by class of link, in milliseconds; ``loss`` is a ratio of TCP's segments."""
 
     zone_ms: DelayMs = 0.25
     region_ms: DelayMs = 1.0
@@ -47,7 +47,7 @@
 
 
 class Fault(Struct, frozen=True, forbid_unknown_fields=True):
-    """Each is a phase of its own, in which changes are put.
+    """A fault, injected in a phase of its own in which changes are put.
 
     ``kill``: ``part`` of the members die, and are started again after ``length_s`` (``wipe``: with an empty
     copy). ``zone``: all members of the last zone do. ``cut``: the regions lose each other. ``loss``: ``part``
@@ -93,7 +93,7 @@
 
 
 class Windows(Struct, frozen=True, forbid_unknown_fields=True):
-    """Seconds; ``changes`` are put within ``changes_s`` of each phase, at seeded moments."""
+    """Lengths of the measuring windows in seconds; ``changes`` are put within ``changes_s`` of each phase."""
 
     settle_s: Positive = 6.0
     idle_s: Positive = 12.0
@@ -104,7 +104,7 @@
 
 
 class Bounds(Struct, frozen=True, forbid_unknown_fields=True):
-    """What a run may use; one that would or does use more is refused or ended. Minutes are for each run."""
+    """Limits of a run's memory, processes and minutes; a run that exceeds them is refused or ended."""
 
     memory_gb: Annotated[float, Meta(gt=0, le=MAX_MEMORY_GB)] = 8.0
     processes: Annotated[int, Meta(ge=3, le=MAX_PROCESSES)] = 64
@@ -198,28 +198,28 @@
     # ------------------------------------------------------------ what a size needs
 
     def process_count(self, size: Size) -> int:
-        """Whole relays, processes of emulated members, and one of link emulation for each zone."""
+        """Counts whole relays, processes of emulated members, and one of link emulation for each zone."""
         emulated = size.members - size.real
         emulated_by_zone = [len(range(zone, emulated, self.zones)) for zone in range(self.zones)]
         emulated_processes = sum(math.ceil(members / size.per_process) for members in emulated_by_zone)
         return size.real + emulated_processes + self.zones
 
     def estimated_memory_gb(self, size: Size) -> float:
-        """Before anything is started: processes, copies, and real relays' own records."""
+        """Estimates the memory of processes, copies and real relays' own records before the run."""
         process_bytes = self.process_count(size) * PROCESS_MB * BYTES_PER_MB
         copy_bytes = size.members * size.keys * ENTRY_BYTES
         relay_bytes = size.real * size.keys * RELAY_RECORD_BYTES
         return (process_bytes + copy_bytes + relay_bytes) / BYTES_PER_GB
 
     def max_descriptors(self, size: Size) -> int:
-        """Of the process that needs most: a forwarder has two for each of its links, and its listeners."""
+        """Returns the descriptors of the process that needs most of them."""
         forwarder = 2 * size.link_count / self.zones + size.members
         members = min(size.per_process, size.members)
         worker = 2 * size.link_count / size.members * members + 3 * size.per_process
         return int(max(forwarder, worker))
 
     def min_duration_s(self, size: Size) -> float:
-        """Of the waits that the file lays down; starting and waiting for readiness come on top."""
+        """Sums up the waits that the file lays down; starting and waiting for readiness come on top."""
         windows = self.windows
         faults_s = sum(fault.length_s + fault.after_s + windows.tail_s for fault in size.faults)
         return windows.settle_s + windows.idle_s + windows.changes_s + windows.tail_s + faults_s
--- a/sageturn/lab/scale/predictions.py
+++ b/sageturn/lab/scale/predictions.py
@@ -30,12 +30,12 @@
 
     @classmethod
     def of_line(cls, line: Line) -> RunShape:
-        """Of a run that was completed."""
+        """Returns the shape of a completed run."""
         return cls(line["members"], line["keys"], line["links"], line["state_s"], line["clients_each"])
 
     @classmethod
     def of_size(cls, size: Size) -> RunShape:
-        """Of a run that is planned."""
+        """Returns the shape of a planned run."""
         return cls(size.members, size.keys, size.link_count, size.state_s, size.clients)
 
     def terms(self) -> dict[str, float]:
@@ -60,7 +60,7 @@
 
 
 def mean_of_members(line: Line, field: str) -> float | None:
-    """Of emulated and real members together, in the idle phase."""
+    """Averages a field over emulated and real members, in the idle phase; None where there is none."""
     member_counts = {"real": line["real"], "hollow": line["members"] - line["real"]}
     idle = line["phases"]["idle"]
     parts = [(count, idle[role][field]) for role, count in member_counts.items() if role in idle]
@@ -80,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Metric:
-    """What is fitted: by which terms, and how it is read from a usable line; None where a run has none."""
+    """A fitted figure: its terms, and how to read it from a usable line; None where a run has none."""
 
     terms: tuple[str, ...]
     read: Callable[[Line], float | None]
@@ -95,7 +95,7 @@
 
 
 def metric_value(line: Line, metric: str) -> float | None:
-    """What a usable line says of one of METRICS; None where its run has no such figure."""
+    """Reads one of METRICS from a usable line; None where its run has no such figure."""
     return METRICS[metric].read(line)
 
 
@@ -103,7 +103,7 @@
 
 
 def fit_runs(lines: Iterable[Line], spread: str) -> dict[str, Fit]:
-    """By metric, through all usable sizes of one spread; none where there are too few sizes."""
+    """Fits each metric to all usable sizes of one spread; a metric with too few sizes is left out."""
     usable = [line for line in lines if is_usable(line) and line["spread"] == spread]
     fits = {}
     for name, metric in METRICS.items():
@@ -130,7 +130,7 @@
 
 
 def predict(lines: Iterable[Line], size: Size) -> Line:
-    """What a size that was not run yet should come to, if the smaller ones lie on lines; for its line."""
+    """Predicts the metrics of a size that was not run yet from the fits through the smaller ones."""
     terms = RunShape.of_size(size).terms()
     predictions: Line = {}
     for metric, fitted in fit_runs(lines, size.spread).items():
--- a/sageturn/lab/scale/process.py
+++ b/sageturn/lab/scale/process.py
@@ -47,7 +47,7 @@
 
 
 async def _serve_requests(handlers: dict[Command, Handler]) -> None:
-    """Until the input ends, or the command END was answered."""
+    """Answers requests until the input ends, or the command END was answered."""
     lines: asyncio.Queue[str] = asyncio.Queue()
     loop = asyncio.get_running_loop()
     threading.Thread(target=_read_requests, args=(loop, lines), daemon=True).start()
@@ -73,7 +73,7 @@
 
 
 class _ChildRole(Protocol):
-    """What a child process runs, until its input ends."""
+    """A child process's part in the run, served until its input ends."""
 
     async def serve(self) -> None: ...
 
@@ -89,11 +89,11 @@
         self._members = {member.name: member for member in members}
 
     def handlers(self) -> dict[Command, Handler]:
-        """By command; a role adds its own."""
+        """Returns the handlers by command; a role adds its own."""
         return {Command.PUT: self._put, Command.ARRIVALS: self._arrivals, Command.STATUS: self._status}
 
     async def _put(self, request: Request) -> float:
-        """The moment before the change is made, on the machine's monotonic clock."""
+        """Puts a change. Returns the moment before it is made, on the machine's monotonic clock."""
         now_s = time.monotonic()
         self._members[request["member"]].store.put(request["key"], request["value"])
         return now_s
@@ -110,7 +110,7 @@
 
 
 class EmulatedMemberProcess(_MemberProcess):
-    """Many emulated members."""
+    """Runs many emulated members."""
 
     def __init__(self, job: Job) -> None:
         gc.collect()
@@ -145,7 +145,7 @@
 
 
 class RelayProcess(_MemberProcess):
-    """One whole relay, with the replication that is measured in the place of its own."""
+    """Runs one whole relay, whose own replication is replaced by the measured one."""
 
     def __init__(self, job: Job) -> None:
         # Imported here: no other role needs them.
--- a/sageturn/lab/scale/relay_costs.py
+++ b/sageturn/lab/scale/relay_costs.py
@@ -24,7 +24,7 @@
 
 
 def endpoint_list(hosts: int) -> Line:
-    """As discovery writes it."""
+    """Returns a full endpoint list as discovery writes it."""
     return {
         "version": 1,
         "full": True,
@@ -99,7 +99,7 @@
 
 
 def flow_record(name_length: int) -> Line:
-    """What is exported for one ended connection whose class and tenant have names of that length."""
+    """Returns the flow record of one ended connection whose class and tenant have names of that length."""
     request = ClientRequest("c" * name_length, "t" * name_length, REQUEST_TIMEOUT_MS)
     record = ConnectionRecord(request, 1.0, client_address=("10.0.0.1", 40000))
     record.endpoint = "h"
--- a/sageturn/lab/scale/report.py
+++ b/sageturn/lab/scale/report.py
@@ -100,7 +100,7 @@
 
 
 def fit_lines(results: Results) -> list[str]:
-    """Each slope with its interval and how straight it is; and the predictions beside what was measured."""
+    """Returns each slope with its interval and its R2, and the predictions beside the measurements."""
     return [*_slope_lines(results), *_prediction_lines(results)]
 
 
--- a/sageturn/lab/scale/results.py
+++ b/sageturn/lab/scale/results.py
@@ -60,7 +60,7 @@
     root: Path,
     report_progress: ProgressReporter,
 ) -> Line:
-    """One size and seed; a prediction is made before the run."""
+    """Runs one size under one seed; predictions are made before the run."""
     predicted = predict(results.runs, size) if size.predict else {}
     if predicted:
         values = ", ".join(f"{metric} {found['value']:.4g}" for metric, found in predicted.items())
--- a/sageturn/lab/scale/scale_run.py
+++ b/sageturn/lab/scale/scale_run.py
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True)
 class RunResult:
-    """What one run found; ``listed``, ``memory``, ``phases`` and ``equal`` are parts of the line already."""
+    """Results of one run; ``listed``, ``memory``, ``phases`` and ``equal`` are parts of the result line."""
 
     size: Size
     process_count: int = 0
@@ -87,7 +87,7 @@
 
 
 class ScaleRun:
-    """One size, one seed. All its files, and those of its processes, are in ``folder``."""
+    """A run of one size under one seed. Its files and those of its processes are in ``folder``."""
 
     def __init__(self, experiment: ScaleExperiment, size: Size, seed: int, folder: Path) -> None:
         self._experiment = experiment
@@ -180,7 +180,7 @@
                 await process.wait_until_ready()
 
     async def _start_members(self, phases: PhaseRunner) -> None:
-        """Until each member has the endpoint list and all configured links are up."""
+        """Returns once each member has the endpoint list and all configured links are up."""
         members = phases.members
         result = self._result
         timeout_s = self._experiment.windows.ready_s
@@ -192,7 +192,7 @@
             result.linked_s = await members.wait_until_linked(self._size.link_count, timeout_s)
 
     async def _start_clients(self) -> None:
-        """Until all of them are served, or the readiness timeout is over: the line has how many are."""
+        """Returns once all clients are served or the readiness timeout is over; the line has how many are."""
         addresses = self._jobs.relay_addresses
         if not addresses or not self._size.clients:
             return
--- a/sageturn/lab/scale/store_costs.py
+++ b/sageturn/lab/scale/store_costs.py
@@ -46,7 +46,7 @@
 
 
 def store_digest(keys: int) -> Line:
-    """One digest: made and written by one side, read and compared by the other."""
+    """Exchanges one digest: one side makes and writes it, the other reads and compares it."""
     store = make_store(keys)
     text = json.dumps({"digest": store.digest()}, separators=(",", ":"))
 
--- a/sageturn/lab/scale/usage.py
+++ b/sageturn/lab/scale/usage.py
@@ -66,7 +66,7 @@
 
     @classmethod
     def take(cls, processes: Sequence[ChildProcess]) -> UsageSnapshot:
-        """Of all processes now."""
+        """Reads the counters of all processes now."""
         members = [process for process in processes if process.member_names]
         links = [process for process in processes if not process.member_names]
         return cls(
@@ -80,7 +80,7 @@
         )
 
     def since(self, before: UsageSnapshot) -> UsageSnapshot:
-        """What was used from ``before`` to this moment."""
+        """Returns the use from ``before`` to this snapshot."""
         return UsageSnapshot(
             [
                 [count.since(earlier) for count, earlier in zip(counts, earlier_counts, strict=True)]
--- a/sageturn/lab/soak/auditor.py
+++ b/sageturn/lab/soak/auditor.py
@@ -84,7 +84,7 @@
             attempts.sort(key=lambda attempt: attempt.complete_s)
 
     def violations(self) -> list[Violation]:
-        """All that were found, in the order of the rules' checks."""
+        """Returns all violations, in the order of the rules' checks."""
         found: list[Violation] = []
         for client in self._evidence.clients:
             found += self._check_bad_client(client) if client.is_bad else self._check_client(client)
@@ -237,7 +237,7 @@
         return max(self._plan.started_s + known_s, relay.started_s if relay else 0.0)
 
     def _check_slow_starts(self) -> Iterator[Violation]:
-        """In each window that ends with an attempt, all relays together stay inside the budget."""
+        """Checks that all relays together stay inside the budget in each window that ends with an attempt."""
         arrivals: dict[tuple[str, float], list[float]] = defaultdict(list)
         for attempt in self._evidence.attempts:
             if attempt.complete_s and attempt.started_at_s > self._plan.started_s:
--- a/sageturn/lab/soak/clients.py
+++ b/sageturn/lab/soak/clients.py
@@ -42,7 +42,7 @@
 
 
 class Connection:
-    """One client's connection, on a plain socket: what came before a reset is read all the same.
+    """One client's connection, on a plain socket, which still reads the bytes before a reset.
 
     A transport would drop it as soon as a write fails.
     """
--- a/sageturn/lab/soak/endpoint_host.py
+++ b/sageturn/lab/soak/endpoint_host.py
@@ -74,16 +74,16 @@
 
     @property
     def started_at_s(self) -> float:
-        """When this process started, by the monotonic clock."""
+        """Time of this process's start on the monotonic clock, in seconds."""
         return self._started_s + self.incarnation.start_s
 
     @property
     def is_draining(self) -> bool:
-        """Whether it wants nothing new."""
+        """Whether the endpoint's drain has begun."""
         return time.monotonic() - self._started_s >= self.incarnation.drain_s
 
     def mode(self) -> EndpointMode | None:
-        """What it does with a new connection now."""
+        """The endpoint's present treatment of new connections; None for the normal one."""
         at_s = time.monotonic() - self._started_s
         for fault in self._modes:
             if fault.is_active(at_s):
@@ -91,7 +91,7 @@
         return None
 
     async def run(self) -> None:
-        """Live from the planned start to the planned end."""
+        """Serves from the planned start to the planned end."""
         await self._sleep_until(self.incarnation.start_s)
         listening = socket.socket()
         listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
--- a/sageturn/lab/soak/plan.py
+++ b/sageturn/lab/soak/plan.py
@@ -34,7 +34,7 @@
 
 
 class EndpointMode(StrEnum):
-    """What an endpoint does with new connections for a while."""
+    """A faulty treatment of new connections by an endpoint."""
 
     HANG = "hang"  # takes the request, and answers nothing
     RESET = "reset"  # resets the connection once it has the request
@@ -44,7 +44,7 @@
 
 
 class FaultKind(StrEnum):
-    """What a fault of a run consists in."""
+    """The kind of a fault."""
 
     RELAY_RESTART = "relay_restart"  # SIGTERM, and a new process once it has exited
     RELAY_KILL = "relay_kill"  # SIGKILL, and a new process
--- a/sageturn/lab/soak/relays.py
+++ b/sageturn/lab/soak/relays.py
@@ -51,17 +51,17 @@
 
     @property
     def record(self) -> RelayRecord:
-        """Of the process that was started last."""
+        """The record of the process that was started last."""
         return self.records[-1]
 
     @property
     def age_s(self) -> float:
-        """How long ago the process was started."""
+        """Seconds since the process was started."""
         return time.monotonic() - self.record.started_s
 
     @property
     def config_file(self) -> Path:
-        """What ``GW_CONFIG`` names."""
+        """The configuration file, to which ``GW_CONFIG`` points."""
         return self.folder / "config.json"
 
     def write_config(self, discovery: tuple[str, int], known: dict[str, Any]) -> None:
--- a/sageturn/lab/spreading.py
+++ b/sageturn/lab/spreading.py
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Cost:
-    """What one side costs."""
+    """Cost of one side."""
 
     bytes_per_s: float
     core: float  # of one, from 0 to 1
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _SnapshotCost:
-    """What the first transfer of all records costs both sides together."""
+    """Cost of the first transfer of all records, of both sides together."""
 
     size_bytes: int
     duration_s: float
