--- a/sageturn/lab/scale/faults.py
+++ b/sageturn/lab/scale/faults.py
@@ -85,7 +85,7 @@
         await self._restart_members(names, fault.wipe)
 
     def _choose_targets(self, fault: Fault) -> list[str]:
-        """Chooses emulated members: a zone's, or a part that includes the first, the root of configured trees."""
+        """Chooses emulated members: a zone, or a part with the first one, the root of configured trees."""
         emulated = self._fleet.emulated_names
         if fault.kind == "zone":
             last_zone = self._experiment.zones - 1
