--- a/sageturn/core/balancer_actor.py
+++ b/sageturn/core/balancer_actor.py
@@ -5,6 +5,7 @@
 import asyncio
 import logging
 from collections.abc import Callable, Iterable, Sequence
+from dataclasses import dataclass, field
 from typing import Protocol
 
 from sageturn import decision
@@ -35,6 +36,17 @@
         """A graceful shutdown migrates a connection, which the balancer has not asked for."""
 
 
+@dataclass(slots=True, eq=False)
+class RequestHandle:
+    """What the balancer's actor and the lifecycle of one request share."""
+
+    id: int  # by which the balancer knows the request
+    log_id: str  # as the client named its request; the digits of ``id`` where it did not
+    instructions: asyncio.Queue[Instruction] = field(
+        default_factory=lambda: asyncio.Queue(MAX_QUEUED_INSTRUCTIONS)
+    )
+
+
 class BalancerActor:
     """Feeds the balancer with events one by one, and turns its actions into instructions to requests."""
 
@@ -47,7 +59,7 @@
         self._balancer = Balancer(settings, seed)
         self._request_watch = request_watch
         self._mailbox: asyncio.Queue[decision.Event] = asyncio.Queue(MAX_QUEUED_EVENTS)
-        self._requests: dict[int, asyncio.Queue[Instruction]] = {}
+        self._requests: dict[int, RequestHandle] = {}
         self._last_id = 0
         self._timers: set[asyncio.TimerHandle] = set()
         self.placements: list[tuple[int, str]] | None = None  # tests record every placement here
@@ -68,18 +80,22 @@
 
     @property
     def request_count(self) -> int:
-        """How many requests have a mailbox now."""
+        """How many requests are registered now."""
         return len(self._requests)
 
-    def new_request(self) -> tuple[int, asyncio.Queue[Instruction]]:
-        """A new request's id, and the mailbox by which it gets its instructions until ``remove_request``."""
+    def new_request(self, client_request_id: str) -> RequestHandle:
+        """Register a request, which gets its instructions until ``remove_request``.
+
+        Args:
+            client_request_id: as the client named its request; empty where it did not.
+        """
         self._last_id = (self._last_id + 1) % REQUEST_ID_COUNT
-        mailbox: asyncio.Queue[Instruction] = asyncio.Queue(MAX_QUEUED_INSTRUCTIONS)
-        self._requests[self._last_id] = mailbox
-        return self._last_id, mailbox
+        handle = RequestHandle(self._last_id, client_request_id or str(self._last_id))
+        self._requests[handle.id] = handle
+        return handle
 
     def remove_request(self, request_id: int) -> None:
-        """Forget the mailbox of a request that has ended; later instructions for it are dropped."""
+        """Forget a request that has ended; later instructions for it are dropped."""
         self._requests.pop(request_id, None)
 
     async def post_event(self, event: decision.Event) -> None:
@@ -182,11 +198,11 @@
             )
 
     def _instruct(self, request_id: int, instruction: Instruction) -> None:
-        mailbox = self._requests.get(request_id)
-        if mailbox is None:
+        handle = self._requests.get(request_id)
+        if handle is None:
             return  # the connection closed before the balancer was told
         try:
-            mailbox.put_nowait(instruction)
+            handle.instructions.put_nowait(instruction)
         except asyncio.QueueFull:
             log.error("instruction lost, mailbox full request_id=%d instruction=%r", request_id, instruction)
 
--- /dev/null
+++ b/sageturn/core/connection_adoption.py
@@ -0,0 +1,77 @@
+"""Takes over a connection that was established before this relay started."""
+
+from __future__ import annotations
+
+from sageturn.core.close_reason import CLIENT_DISCONNECTED, SURELY_NOT_WRITTEN, CloseReason, may_have_run
+from sageturn.core.established_traffic import EstablishedTraffic
+from sageturn.core.final_responder import FinalResponder
+from sageturn.core.messages import FinalResponse, connection_adopted
+from sageturn.core.pre_write_checks import PreWriteChecks
+from sageturn.core.request_attempts import RequestAttempts
+from sageturn.core.request_context import RequestContext
+
+ADOPTION_CONNECT_TIMEOUT_MS = 5000.0
+ADOPTED_ATTEMPT = 0  # to the balancer it is the first attempt, however many there were
+
+
+class ConnectionAdoption:
+    """Reconnects a client to the endpoint that held its connection; no other endpoint will do.
+
+    Such clients come all at once after a restart, so a connect that takes long is no sign of a fault.
+    """
+
+    __slots__ = ("_attempts", "_checks", "_context", "_established", "_responder")
+
+    def __init__(
+        self,
+        context: RequestContext,
+        checks: PreWriteChecks,
+        responder: FinalResponder,
+        attempts: RequestAttempts,
+        established: EstablishedTraffic,
+    ) -> None:
+        self._context = context
+        self._checks = checks
+        self._responder = responder
+        self._attempts = attempts
+        self._established = established
+
+    async def run(self) -> None:
+        """Run the connection to its end, or answer the client that it is lost."""
+        context = self._context
+        request = context.record.request
+        context.record.endpoint = request.established_endpoint
+        close_reason = await self._reconnect(request.established_endpoint)
+        if close_reason is not None:
+            await self._fail(close_reason)
+            return
+        await context.balancer_actor.post_event(connection_adopted(context.handle.id, request))
+        await self._established.run(ADOPTED_ATTEMPT, request.established_endpoint)
+
+    async def _reconnect(self, endpoint: str) -> CloseReason | None:
+        context = self._context
+        record = context.record
+        close_reason: CloseReason | None = CloseReason.NOT_SENT
+        max_attempts = context.balancer_actor.settings.max_attempts
+        while record.attempts < max_attempts and close_reason in SURELY_NOT_WRITTEN:
+            record.attempts += 1
+            remaining_ms = max(1.0, context.deadline_ms - context.now_ms())
+            close_reason = await self._attempts.open_upstream(
+                endpoint, remaining_ms, ADOPTION_CONNECT_TIMEOUT_MS
+            )
+            if context.drain_forced.is_set():
+                break
+        return close_reason
+
+    async def _fail(self, close_reason: CloseReason) -> None:
+        context = self._context
+        context.record.close_reason = close_reason
+        if may_have_run(close_reason):
+            self._checks.record_possible_execution(context.record.started_ms)
+        if close_reason in CLIENT_DISCONNECTED:
+            return
+        if context.drain_forced.is_set():
+            await self._responder.send_forced_drain()
+        else:
+            response = FinalResponse(rejected=False, reason="lost", cause=close_reason.name.lower())
+            await self._responder.send(response)
--- a/sageturn/core/errors.py
+++ b/sageturn/core/errors.py
@@ -9,3 +9,8 @@
 
 class DecisionOverdueError(CoreError):
     """The balancer has decided nothing for a request until its client gave up."""
+
+    def __init__(self, request: str) -> None:
+        """``request``: its id, as in the log."""
+        super().__init__(f"no decision on request {request}")
+        self.request = request
--- /dev/null
+++ b/sageturn/core/established_traffic.py
@@ -0,0 +1,70 @@
+"""One request's connection while it is established: its client is served, migrated, and its load reported."""
+
+from __future__ import annotations
+
+import asyncio
+
+from sageturn import decision
+from sageturn.core.close_reason import CloseReason
+from sageturn.core.messages import Instruction, RedirectClient
+from sageturn.core.request_context import RequestContext
+from sageturn.decision.load_reports import is_usable_load
+
+
+class EstablishedTraffic:
+    """Serves the client of an established connection until either side closes."""
+
+    __slots__ = ("_context",)
+
+    def __init__(self, context: RequestContext) -> None:
+        self._context = context
+
+    async def run(self, attempt: int, endpoint: str) -> None:
+        """Accept the client and relay its traffic to the end; the balancer is told how it ended.
+
+        Args:
+            attempt: the number of the attempt that was established, as the balancer counts from 0.
+            endpoint: the name of its endpoint.
+        """
+        context = self._context
+        record = context.record
+        await context.client.stop()
+        context.is_answered = True
+        context.balancer_actor.counters.established += 1
+        record.was_established = True
+        record.close_reason = None
+        redirect = asyncio.ensure_future(self._await_redirect())
+        try:
+            try:
+                await context.transport.accept_client()
+            except OSError:
+                record.close_reason = CloseReason.CLIENT_RESET
+                await context.transport.close_upstream()
+            else:
+                record.close_reason = await context.transport.relay_traffic(context.drain_requested)
+        finally:
+            redirect.cancel()
+            close_reason = record.close_reason or CloseReason.CLIENT_RESET
+            record.close_reason = close_reason
+            await context.post_outcome(attempt, endpoint, close_reason, final=True)
+
+    async def _await_redirect(self) -> None:
+        instruction: Instruction | None = None
+        while not isinstance(instruction, RedirectClient):
+            instruction = await self._context.handle.instructions.get()
+        self._context.drain_requested.set()
+
+    async def report_load(self, value: float) -> None:
+        """Pass on what the endpoint reports of this connection's load.
+
+        Args:
+            value: microseconds of work a second; a value that cannot be right is dropped.
+        """
+        if not is_usable_load(value):
+            return
+        context = self._context
+        attempt = max(0, context.record.attempts - 1)
+        measurement = decision.MeasurementReported(
+            context.handle.id, attempt, context.record.endpoint, "load", value / 1000.0
+        )
+        await context.balancer_actor.post_event(measurement)
--- /dev/null
+++ b/sageturn/core/final_responder.py
@@ -0,0 +1,37 @@
+"""The one final response to a request that is not served."""
+
+from __future__ import annotations
+
+from sageturn.core.messages import FinalResponse
+from sageturn.core.pre_write_checks import PreWriteChecks
+from sageturn.core.request_context import RequestContext
+
+FORCED_DRAIN_RETRY_AFTER_MS = 250.0  # by then the front proxy sends the client to another relay
+
+
+class FinalResponder:
+    """Sends a request's final response, and never a second one."""
+
+    __slots__ = ("_checks", "_context")
+
+    def __init__(self, context: RequestContext, checks: PreWriteChecks) -> None:
+        self._context = context
+        self._checks = checks
+
+    async def send(self, response: FinalResponse) -> None:
+        """Send ``response``, unless the client has been answered or served already."""
+        context = self._context
+        if context.is_answered:
+            return
+        context.is_answered = True
+        context.record.final_response = response
+        context.guard.check_response(context.now_ms())
+        context.balancer_actor.counters.count_response(response.rejected, response.cause)
+        await context.client.stop()
+        await context.transport.send_final_response(response)
+
+    async def send_forced_drain(self) -> None:
+        """Answer a request that a shutdown leaves no more time: a rejection says that a retry is harmless."""
+        rejected = self._context.request_class.is_rejectable(self._checks.may_have_been_executed)
+        retry_after_ms = FORCED_DRAIN_RETRY_AFTER_MS if rejected else 0.0
+        await self.send(FinalResponse(rejected, retry_after_ms, "shutdown", "shutdown"))
--- a/sageturn/core/proxy_transport.py
+++ b/sageturn/core/proxy_transport.py
@@ -1,6 +1,6 @@
 """What the core needs of one client's connection, whatever protocol the client speaks.
 
-Each frontend implements it; ``RequestLifecycle`` is its only caller.
+Each frontend implements it; only ``RequestLifecycle`` and its stages call it.
 """
 
 from __future__ import annotations
@@ -20,8 +20,8 @@
     ) -> CloseReason | None:
         """One attempt; None when the connection is established. When cancelled it must close its connection.
 
-        Before it connects it asks its lifecycle's ``blocking_reason``, and ``check_before_write`` just
-        before it writes the request's first byte.
+        Before it connects it asks ``PreWriteChecks.blocking_reason`` of its lifecycle, and
+        ``check_before_write`` just before it writes the request's first byte.
         """
 
     async def close_upstream(self) -> None:
--- /dev/null
+++ b/sageturn/core/request_attempts.py
@@ -0,0 +1,132 @@
+"""The attempts of one request: each opens a connection to an endpoint, and no two overlap."""
+
+from __future__ import annotations
+
+import asyncio
+
+from sageturn import decision
+from sageturn.core.attempt_log import log_failed_attempt
+from sageturn.core.close_reason import CLIENT_DISCONNECTED, CLIENT_FINISHED, CloseReason, may_have_run
+from sageturn.core.established_traffic import EstablishedTraffic
+from sageturn.core.final_responder import FinalResponder
+from sageturn.core.messages import FinalResponse, StartAttempt
+from sageturn.core.pre_write_checks import PreWriteChecks
+from sageturn.core.request_context import RequestContext
+
+
+class RequestAttempts:
+    """Runs the attempts that the balancer places, one after the other."""
+
+    __slots__ = ("_checks", "_context", "_established", "_responder")
+
+    def __init__(
+        self,
+        context: RequestContext,
+        checks: PreWriteChecks,
+        responder: FinalResponder,
+        established: EstablishedTraffic,
+    ) -> None:
+        self._context = context
+        self._checks = checks
+        self._responder = responder
+        self._established = established
+
+    async def run(self, instruction: StartAttempt) -> bool:
+        """Run one attempt to its end. Returns whether the request needs nothing more."""
+        context = self._context
+        record = context.record
+        endpoint = instruction.endpoint
+        attempt = record.attempts
+        record.attempts += 1
+        context.balancer_actor.counters.attempts += 1
+        record.endpoint = endpoint
+        record.load_report = {}
+        remaining_ms = context.deadline_ms - context.now_ms()
+        started_ms = context.now_ms()
+        connect_timeout_ms = context.balancer_actor.settings.connect_timeout_ms
+        timeout_ms = min(instruction.timeout_ms or remaining_ms, remaining_ms)
+        close_reason = await self.open_upstream(endpoint, timeout_ms, connect_timeout_ms)
+        if close_reason is None:
+            took_ms = context.now_ms() - started_ms
+            await context.balancer_actor.post_event(
+                decision.ConnectionEstablished(context.handle.id, attempt, endpoint, took_ms)
+            )
+            await self._established.run(attempt, endpoint)
+            return True
+        self._record_failure(attempt, endpoint, close_reason, started_ms)
+        if close_reason in CLIENT_FINISHED or context.drain_forced.is_set():
+            await self._abort(attempt, endpoint, close_reason)
+            return True
+        await context.post_outcome(attempt, endpoint, close_reason, final=False)
+        return False
+
+    def _record_failure(
+        self, attempt: int, endpoint: str, close_reason: CloseReason, started_ms: float
+    ) -> None:
+        context = self._context
+        context.record.close_reason = close_reason
+        context.balancer_actor.counters.failed_attempts[close_reason.name.lower()] += 1
+        duration_ms = context.now_ms() - started_ms
+        log_failed_attempt(context.handle.log_id, attempt, endpoint, close_reason, duration_ms)
+        if may_have_run(close_reason):
+            self._checks.record_possible_execution(started_ms)
+
+    async def _abort(self, attempt: int, endpoint: str, close_reason: CloseReason) -> None:
+        """Nothing more is owed to the balancer's request, but the outcome of its attempt is."""
+        context = self._context
+        await context.balancer_actor.post_event(decision.ClientDisconnected(context.handle.id))
+        await context.post_outcome(attempt, endpoint, close_reason, final=True)
+        if close_reason is CloseReason.CLIENT_FAULT:
+            response = FinalResponse(rejected=False, reason="wait for the answer", cause="client_fault")
+            await self._responder.send(response)
+        elif close_reason not in CLIENT_DISCONNECTED:
+            await self._responder.send_forced_drain()
+
+    # ------------------------------------------------------------ one attempt's connection
+
+    async def open_upstream(
+        self, endpoint: str, timeout_ms: float, connect_timeout_ms: float
+    ) -> CloseReason | None:
+        """Open a connection to ``endpoint``; None once it is established and the client still there."""
+        context = self._context
+        disconnect = context.client.disconnect
+        self._checks.write_started = False
+        if disconnect.done():
+            return disconnect.result()
+        if timeout_ms <= 0 or context.drain_forced.is_set():
+            return CloseReason.NOT_SENT
+        context.guard.begin_attempt()
+        try:
+            close_reason = await self._open_unless_aborted(
+                endpoint, timeout_ms, min(connect_timeout_ms, timeout_ms)
+            )
+        finally:
+            context.guard.end_attempt()
+        if disconnect.done():
+            if close_reason is None:
+                await context.transport.close_upstream()
+            return disconnect.result()
+        return close_reason
+
+    async def _open_unless_aborted(
+        self, endpoint: str, timeout_ms: float, connect_timeout_ms: float
+    ) -> CloseReason | None:
+        """Open the connection; cancel that as soon as the client disconnects or the drain is forced."""
+        context = self._context
+        drain_forced = asyncio.ensure_future(context.drain_forced.wait())
+        opening = asyncio.ensure_future(
+            context.transport.open_upstream(endpoint, timeout_ms, connect_timeout_ms)
+        )
+        try:
+            await asyncio.wait(
+                (opening, context.client.disconnect, drain_forced), return_when=asyncio.FIRST_COMPLETED
+            )
+        finally:
+            drain_forced.cancel()
+            if not opening.done():
+                # Never two at once: the next step waits until this attempt's connection is closed.
+                opening.cancel()
+                await asyncio.wait((opening,))
+        if opening.cancelled():
+            return CloseReason.CANCELLED if self._checks.write_started else CloseReason.NOT_SENT
+        return opening.result()
--- /dev/null
+++ b/sageturn/core/request_context.py
@@ -0,0 +1,106 @@
+"""What the stages of one request share: its identity, its limits, its client and its record."""
+
+from __future__ import annotations
+
+import asyncio
+from dataclasses import dataclass, field
+
+from sageturn import decision
+from sageturn.core.attempt_guard import AttemptGuard
+from sageturn.core.balancer_actor import BalancerActor, RequestHandle
+from sageturn.core.close_reason import CloseReason, outcome_status
+from sageturn.core.connection_record import ConnectionRecord
+from sageturn.core.messages import ClientRequest
+from sageturn.core.proxy_transport import ProxyTransport
+from sageturn.core.tasks import cancel_and_wait
+
+RESPONSE_MARGIN_MS = 15.0  # the final response has to travel too before the client gives up
+
+
+class ClientWatch:
+    """Watches one client for as long as its request is unanswered."""
+
+    __slots__ = ("_transport", "disconnect")
+
+    def __init__(self, transport: ProxyTransport) -> None:
+        self._transport = transport
+        # Done once the client has disconnected, or is at fault; cancelled once the request is answered.
+        self.disconnect: asyncio.Future[CloseReason] = asyncio.get_running_loop().create_future()
+
+    def start(self) -> None:
+        """Begin to watch; needs a running loop."""
+        self.disconnect = asyncio.ensure_future(self._transport.wait_client_disconnect())
+
+    async def stop(self) -> None:
+        """Stop watching. Returns once nothing reads from the client on behalf of the watch any more."""
+        await cancel_and_wait(self.disconnect)
+
+    @property
+    def has_left(self) -> bool:
+        """Whether the watch ended by itself; asked after ``stop``."""
+        return not self.disconnect.cancelled()
+
+    def find_close_reason(self) -> CloseReason | None:
+        """Why the request ends on the client's side, as of this very moment; None while it does not."""
+        if self.disconnect.done():
+            return self.disconnect.result()
+        return self._transport.poll_client()
+
+
+@dataclass(slots=True, eq=False)
+class RequestContext:
+    """Shared by the stages of one request, from its arrival to its end."""
+
+    balancer_actor: BalancerActor
+    transport: ProxyTransport
+    handle: RequestHandle
+    record: ConnectionRecord
+    request_class: decision.RequestClass
+    deadline_ms: float  # in the relay's time: the balancer may use no more
+    guard: AttemptGuard
+    client: ClientWatch
+    is_answered: bool = False  # the client has its final response, or is served
+    # Set by a migration or a shutdown: the client of an established connection is to go elsewhere.
+    drain_requested: asyncio.Event = field(default_factory=asyncio.Event)
+    # Set when a shutdown has run out of time: what is still owed is owed at once.
+    drain_forced: asyncio.Event = field(default_factory=asyncio.Event)
+
+    def now_ms(self) -> float:
+        """The relay's time."""
+        return self.balancer_actor.clock.now_ms()
+
+    async def post_outcome(
+        self, attempt: int, endpoint: str, close_reason: CloseReason, *, final: bool
+    ) -> None:
+        """Report the end of an attempt to the balancer; ``final``: the request needs nothing more."""
+        status = outcome_status(close_reason)
+        await self.balancer_actor.post_event(
+            decision.AttemptEnded(self.handle.id, attempt, endpoint, status, final, self.record.load_report)
+        )
+
+
+def new_request_context(
+    balancer_actor: BalancerActor, transport: ProxyTransport, request: ClientRequest
+) -> RequestContext:
+    """Register ``request`` with the balancer's actor; its time limits count from this moment."""
+    handle = balancer_actor.new_request(request.client_request_id)
+    record = ConnectionRecord(request, balancer_actor.clock.now_ms())
+    settings = balancer_actor.settings
+    request_class = balancer_actor.classes.get(request.class_name, settings.classes[0])
+    guard = AttemptGuard(
+        handle.log_id,
+        request_class,
+        settings.max_attempts,
+        record.started_ms + request.timeout_ms,
+        balancer_actor.monitor,
+    )
+    return RequestContext(
+        balancer_actor,
+        transport,
+        handle,
+        record,
+        request_class,
+        record.started_ms + max(0.0, request.timeout_ms - RESPONSE_MARGIN_MS),
+        guard,
+        ClientWatch(transport),
+    )
--- a/sageturn/frontends/platform/connection.py
+++ b/sageturn/frontends/platform/connection.py
@@ -76,12 +76,12 @@
         # A connection that was established before this relay goes back to its endpoint, also if that drains.
         if not self._request_line.request.established_endpoint:
             is_wanted = partial(self._shared.endpoint_registry.is_ready_at, endpoint, address)
-        if (close_reason := self.lifecycle.blocking_reason(is_wanted)) is not None:
+        if (close_reason := self.lifecycle.checks.blocking_reason(is_wanted)) is not None:
             return close_reason
         sock = await connect_unreserved(address, connect_ms / 1000.0)
         if isinstance(sock, ConnectFailure):
             return CLOSE_REASON_OF_CONNECT_FAILURE[sock]
-        if (close_reason := self.lifecycle.check_before_write(is_wanted)) is not None:
+        if (close_reason := self.lifecycle.checks.check_before_write(is_wanted)) is not None:
             sock.close()
             return close_reason
         established = False
@@ -110,7 +110,7 @@
         request_line = self._request_line
         line = memoryview(self._buffer)
         time_left = b"%d" % max(1, int((deadline_s - loop.time()) * 1000.0))
-        key_expires_s = loop.time() + self.lifecycle.idempotency_key_remaining_ms() / 1000.0
+        key_expires_s = loop.time() + self.lifecycle.checks.idempotency_key_remaining_ms() / 1000.0
         try:
             async with asyncio.timeout_at(min(deadline_s, key_expires_s)):
                 parts = (
--- a/sageturn/frontends/platform/load_reporter.py
+++ b/sageturn/frontends/platform/load_reporter.py
@@ -37,4 +37,4 @@
     async def run(self) -> None:
         """Pass on what is queued, until cancelled."""
         while True:
-            await self._lifecycle.report_load(await self._loads.get())
+            await self._lifecycle.established.report_load(await self._loads.get())
--- a/sageturn/frontends/xmpp/connection.py
+++ b/sageturn/frontends/xmpp/connection.py
@@ -77,13 +77,13 @@
         if self._options.port:
             address = (listed_address[0], self._options.port)
         is_wanted = partial(self._shared.endpoint_registry.is_ready_at, endpoint, listed_address)
-        if (close_reason := self.lifecycle.blocking_reason(is_wanted)) is not None:
+        if (close_reason := self.lifecycle.checks.blocking_reason(is_wanted)) is not None:
             return close_reason
         sock = await connect_unreserved(address, connect_ms / 1000.0)
         if isinstance(sock, ConnectFailure):
             return CLOSE_REASON_OF_CONNECT_FAILURE[sock]
         session = XmppSession(Channel(sock))
-        check_before_write = partial(self.lifecycle.check_before_write, is_wanted)
+        check_before_write = partial(self.lifecycle.checks.check_before_write, is_wanted)
         login = EndpointLogin(session, self._options.endpoint, self._bind_request, check_before_write)
         established = False
         try:
@@ -107,7 +107,9 @@
             return rejected.close_reason
         except OSError:
             # The request is the bind: until that was written nothing of the request was sent.
-            return CloseReason.RESET if self.lifecycle.write_started else CloseReason.CUT_BEFORE_WRITTEN
+            return (
+                CloseReason.RESET if self.lifecycle.checks.write_started else CloseReason.CUT_BEFORE_WRITTEN
+            )
         return None
 
     # ------------------------------------------------------------ the client, until it is answered
--- a/sageturn/frontends/xmpp/relaying.py
+++ b/sageturn/frontends/xmpp/relaying.py
@@ -184,7 +184,7 @@
                 value = float(load.text or "")
             except ValueError:
                 continue
-            await self._lifecycle.report_load(value)
+            await self._lifecycle.established.report_load(value)
 
 
 def _requires_response(stanza: Stanza) -> bool:
--- a/tests/core/test_client_disconnects.py
+++ b/tests/core/test_client_disconnects.py
@@ -19,7 +19,7 @@
 from support.xmpp_relay import client_tls, relaying_xmpp, xmpp_address
 
 from sageturn.core.close_reason import CloseReason
-from sageturn.core.request_lifecycle import RequestLifecycle
+from sageturn.core.pre_write_checks import PreWriteChecks
 from sageturn.frontends.platform import connection as platform_connection
 from sageturn.frontends.platform.connection import PlatformConnection
 from sageturn.frontends.xmpp import connection as xmpp_connection
@@ -165,14 +165,14 @@
                 await until(lambda: relay.endpoint_registry.version == 2)
                 connects = ConnectCounter(monkeypatch, xmpp_connection, moment == "further")
                 if moment == "bind":
-                    ask_life, at = RequestLifecycle.check_before_write, list[bool]()
+                    ask_life, at = PreWriteChecks.check_before_write, list[bool]()
 
                     def leaves_first(self: Any, wanted: Any = None) -> Any:
                         client_thread.run_blocking(leave(client))
                         at.append(True)
                         return ask_life(self, wanted)
 
-                    monkeypatch.setattr(RequestLifecycle, "check_before_write", leaves_first)
+                    monkeypatch.setattr(PreWriteChecks, "check_before_write", leaves_first)
                 else:
                     number = 1 + (moment == "further")
                     as_call_begins(
