--- a/sageturn/core/attempt_guard.py
+++ b/sageturn/core/attempt_guard.py
@@ -16,6 +16,16 @@
     is noticed here, and nothing reaches an endpoint.
     """
 
+    __slots__ = (
+        "_attempts",
+        "_class",
+        "_client_deadline_ms",
+        "_max_attempts",
+        "_monitor",
+        "_open_attempts",
+        "_request",
+    )
+
     def __init__(
         self,
         request: str,
--- a/sageturn/core/balancer_actor.py
+++ b/sageturn/core/balancer_actor.py
@@ -47,12 +47,30 @@
     )
 
 
+def ignore_health_check(endpoint: str) -> None:
+    """Stands in for a client of health checks where the settings allow none."""
+
+
 class BalancerActor:
     """Feeds the balancer with events one by one, and turns its actions into instructions to requests."""
 
     def __init__(
-        self, settings: decision.Settings, seed: int, clock: Clock, request_watch: Callable[[], None]
+        self,
+        settings: decision.Settings,
+        seed: int,
+        clock: Clock,
+        request_watch: Callable[[], None],
+        check_endpoint_health: Callable[[str], None] = ignore_health_check,
     ) -> None:
+        """Make the balancer; ``run`` starts the actor.
+
+        Args:
+            settings: what the operators allow the balancer.
+            seed: of the balancer's random choices.
+            clock: the relay's time, which all events carry.
+            request_watch: called when the balancer wants to be notified of changes of the endpoint list.
+            check_endpoint_health: sends a health check to an endpoint.
+        """
         self.settings = settings
         self.classes = {cls.name: cls for cls in settings.classes}
         self.clock = clock
@@ -68,8 +86,7 @@
         self.monitor = InvariantMonitor()
         self.counters = RequestCounters()
         self._known_overdrawn_turns = 0
-        # Sends a health check to an endpoint; the relay sets it where the settings allow health checks.
-        self.check_endpoint_health: Callable[[str], None] = lambda _: None
+        self.check_endpoint_health = check_endpoint_health
 
     # ------------------------------------------------------------ for requests and other parts
 
--- a/sageturn/core/endpoint_registry.py
+++ b/sageturn/core/endpoint_registry.py
@@ -33,6 +33,11 @@
         """Begin a watch in place of the previous one; returns the number under which it reports."""
 
 
+def never_out_of_service(_endpoint: str) -> bool:
+    """Stands in for operators' overrides where they are off."""
+    return False
+
+
 class EndpointRegistry:
     """The endpoint list of one relay, as last known, and the control of the watch that keeps it current."""
 
@@ -40,13 +45,21 @@
         self,
         known: EndpointListUpdate,
         post_event: Callable[[decision.Event], Awaitable[None]],
+        watcher: DiscoveryWatcher | None = None,
+        *,
         pushed: bool = False,
         clock: Clock | None = None,
+        is_out_of_service: Callable[[str], bool] = never_out_of_service,
     ) -> None:
-        """Start from the list ``known``; ``post_event`` takes what the balancer is to be notified of.
-
-        ``pushed``: changes come without a request. On sockets a watch brings them, opened at once.
-        ``clock``: the balancer's, to whose time start times are converted.
+        """Start from the list ``known``; ``run`` starts the actor.
+
+        Args:
+            known: the list of the configuration, or an empty one.
+            post_event: takes what the balancer is to be notified of.
+            watcher: opens watches; None where the list comes by ``apply_update`` alone.
+            pushed: changes come without a request. On sockets a watch brings them, opened at once.
+            clock: the balancer's, to whose time start times are converted.
+            is_out_of_service: whether an operator has taken an endpoint out of service.
         """
         self._start_times = StartTimes(clock or Clock())
         self._mailbox: asyncio.Queue[RegistryMessage] = asyncio.Queue(MAX_QUEUED_MESSAGES)
@@ -57,9 +70,8 @@
         self.addresses = dict(known.addresses)
         self.states = {endpoint.name: endpoint.state for endpoint in known.endpoints}
         self.has_ready_endpoint = asyncio.Event()
-        # Whether an operator has taken an endpoint out of service; replaced where overrides are on.
-        self.is_out_of_service: Callable[[str], bool] = lambda _: False
-        self.watcher: DiscoveryWatcher | None = None
+        self.is_out_of_service = is_out_of_service
+        self._watcher = watcher
         self.watch_number = 0  # of the watch that is open, or was opened last
         self._is_watch_open = False  # it was started, and has not been reported to have failed
 
@@ -162,8 +174,8 @@
         await self._post_event(decision.EndpointListEvent("full" if update.full else "changes", endpoints))
 
     def _start_watch(self) -> None:
-        if self.watcher is not None:
-            self.watch_number = self.watcher.start(self.version)
+        if self._watcher is not None:
+            self.watch_number = self._watcher.start(self.version)
             self._is_watch_open = True
 
     def _update_readiness(self) -> None:
--- a/sageturn/core/idle_timeout.py
+++ b/sageturn/core/idle_timeout.py
@@ -4,7 +4,12 @@
 
 
 class IdleTimeout:
-    """One established connection. Times are seconds of one monotonic clock."""
+    """Tells when the endpoint of one established connection has been silent for too long.
+
+    Times are seconds of one monotonic clock.
+    """
+
+    __slots__ = ("_line_interval_s", "_timeout_s", "_unanswered_since_s", "last_endpoint_data_s")
 
     def __init__(self, now_s: float, timeout_s: float, line_interval_s: float = 0.0) -> None:
         """``timeout_s``: how long the endpoint may leave a forwarded line unanswered.
--- a/sageturn/lab/scale/members.py
+++ b/sageturn/lab/scale/members.py
@@ -266,9 +266,10 @@
             Clock(),
             lambda: self.endpoint_registry.request_watch(),
         )
-        self.endpoint_registry = EndpointRegistry(EndpointListUpdate(0, True), self.balancer_actor.post_event)
         self.discovery = DiscoveryClient((LOOPBACK, self._common["discovery"]), self._on_watch_event)
-        self.endpoint_registry.watcher = self.discovery
+        self.endpoint_registry = EndpointRegistry(
+            EndpointListUpdate(0, True), self.balancer_actor.post_event, self.discovery
+        )
         runs = [self.balancer_actor.run(), self.endpoint_registry.run()]
         if self._common["state_s"]:
             runs.append(self._write_state(self._common["state_s"]))
--- a/sageturn/relay/closed_connections.py
+++ b/sageturn/relay/closed_connections.py
@@ -17,16 +17,17 @@
 class ClosedConnections:
     """The only receiver of the records of closed connections."""
 
-    def __init__(self) -> None:
+    def __init__(self, flow_exporter: FlowExporter | None = None) -> None:
+        """``flow_exporter`` gets each record as a flow, where an operator's file turns flows on."""
         self.counts: Counter[str] = Counter()  # by the close reason's name in lower case
-        self.flow_exporter: FlowExporter | None = None
+        self._flow_exporter = flow_exporter
 
     def on_connection_closed(self, record: ConnectionRecord) -> None:
         """Count, export and log the record of a connection that has closed."""
         reason = record.close_reason.name.lower() if record.close_reason else NOT_PLACED
         self.counts[reason] += 1
-        if self.flow_exporter is not None:
-            self.flow_exporter.export(record)
+        if self._flow_exporter is not None:
+            self._flow_exporter.export(record)
         log.info(
             "connection closed frontend=%s request=%s class=%s endpoint=%s attempts=%d duration_s=%.3f"
             " reason=%s%s%s",
--- a/sageturn/relay/operator_control.py
+++ b/sageturn/relay/operator_control.py
@@ -67,14 +67,14 @@
         balancer_actor: BalancerActor,
         request_registry: RequestRegistry,
         store: Store,
-        overrides: OverridesSubsystem,
     ) -> None:
         self.rebalancer: Rebalancer | None = None
+        self._has_overrides = config.operator.overrides is not None
+        self._marks = OperatorMarks()
         self._config = config
         self._balancer_actor = balancer_actor
         self._request_registry = request_registry
         self._store = store
-        self._overrides = overrides
         self._actors: ActorSupervisor | None = None
 
     def start(self, actors: ActorSupervisor) -> None:
@@ -89,11 +89,11 @@
             self.apply_options(new.operator.rebalance, self._actors)
 
     def apply_options(self, options: RebalanceOptions | None, actors: ActorSupervisor) -> None:
-        """As the operator's file has it now. Overrides need a rebalancer, whatever its own mode."""
+        """Apply the operator's file as it is now. Overrides need a rebalancer, whatever its own mode."""
         if self.rebalancer is not None:
             old = self.rebalancer.options
             self.rebalancer.options = options if options is not None else replace(old, mode="off")
-        elif self._overrides.actor is not None or (options is not None and options.mode != "off"):
+        elif self._has_overrides or (options is not None and options.mode != "off"):
             from sageturn.rebalance.driver import Rebalancer
             from sageturn.rebalance.options import RebalanceOptions
 
@@ -107,11 +107,11 @@
     def run_rebalancer(self, rebalancer: Rebalancer, actors: ActorSupervisor) -> None:
         """Put the rebalancer in force and run it as an actor."""
         self.rebalancer = rebalancer
-        if self._overrides.actor is not None:
-            rebalancer.marks = self._overrides.actor.marks
+        rebalancer.marks = self._marks
         actors.spawn(rebalancer.run())
 
     def set_marks(self, marks: OperatorMarks) -> None:
-        """Operators have marked endpoints; called by the overrides' actor."""
+        """Take the endpoints that operators have marked; called by the overrides' actor at each change."""
+        self._marks = marks
         if self.rebalancer is not None:
             self.rebalancer.marks = marks
--- a/sageturn/relay/relay.py
+++ b/sageturn/relay/relay.py
@@ -10,9 +10,9 @@
 from sageturn.core.balancer_actor import BalancerActor
 from sageturn.core.clock import Clock
 from sageturn.core.context import RelayContext
-from sageturn.core.endpoint_registry import EndpointRegistry
-from sageturn.core.endpoint_snapshot import OperatorMarks
+from sageturn.core.endpoint_registry import EndpointRegistry, never_out_of_service
 from sageturn.core.handled_signals import HANDLED_SIGNALS, SHUTDOWN_SIGNALS
+from sageturn.core.messages import EndpointListUpdate, WatchFailed
 from sageturn.core.request_registry import RequestRegistry
 from sageturn.core.shutdown_schedule import shutdown_schedule
 from sageturn.flows.exporter import FlowExporter
@@ -59,14 +59,21 @@
         """``read_config`` reads the configuration anew, given the one in force."""
         self.config = config
         self._actors = ActorSupervisor()
-        self.balancer_actor = BalancerActor(config.settings, config.seed, Clock(), self._request_watch)
+        self.balancer_actor = BalancerActor(
+            config.settings, config.seed, Clock(), self._request_watch, self._check_endpoint_health
+        )
         self.store = Store(config.name, config.operator.store_path)
-        self._overrides = OverridesSubsystem(config, self.balancer_actor, self.store, self._on_marks)
-        self.endpoint_registry = self._make_endpoint_registry()
-        self.discovery = DiscoveryClient(config.discovery, self.endpoint_registry.on_watch_event)
-        self.endpoint_registry.watcher = self.discovery
         self.request_registry = RequestRegistry(shutdown_schedule(config.settings.classes))
-        self.closed_connections = ClosedConnections()
+        self._rebalancing = self.rebalancing_type(
+            config, self.balancer_actor, self.request_registry, self.store
+        )
+        self._overrides = OverridesSubsystem(
+            config, self.balancer_actor, self.store, self._rebalancing.set_marks
+        )
+        self.discovery = DiscoveryClient(config.discovery, self._on_watch_event)
+        self.endpoint_registry = self._make_endpoint_registry()
+        self.flow_exporter = FlowExporter(config.operator.flows) if config.operator.flows else None
+        self.closed_connections = ClosedConnections(self.flow_exporter)
         self.context = RelayContext(
             self.balancer_actor,
             self.endpoint_registry,
@@ -79,14 +86,9 @@
         log_level = StoredLogLevel(self.store)
         self.store.on_change.append(log_level.on_store_change)
         self._replication = ReplicationSubsystem(config, self.store, self.admission)
-        self.flow_exporter = FlowExporter(config.operator.flows) if config.operator.flows else None
-        self.closed_connections.flow_exporter = self.flow_exporter
         self._xmpp = XmppSubsystem(config, self.context, self.store, self.admission)
         listeners = [self.listener] if self._xmpp.listener is None else [self.listener, self._xmpp.listener]
         self.ingress = RelayIngress(listeners, self.admission)
-        self._rebalancing = self.rebalancing_type(
-            config, self.balancer_actor, self.request_registry, self.store, self._overrides
-        )
         self._health_checks = HealthCheckSubsystem(config, self.context)
         self._discovery = DiscoverySubsystem(self.discovery, self.endpoint_registry)
         self.state_reporter = RelayStateReporter(
@@ -99,15 +101,14 @@
     def _make_endpoint_registry(self) -> EndpointRegistry:
         """Where there are overrides, the list's events pass through them on their way to the balancer."""
         overrides = self._overrides.actor
-        registry = EndpointRegistry(
+        return EndpointRegistry(
             self.config.known_endpoints,
             self.balancer_actor.post_event if overrides is None else overrides.post_event,
-            self.config.settings.discovery == "push",
-            self.balancer_actor.clock,
+            self.discovery,
+            pushed=self.config.settings.discovery == "push",
+            clock=self.balancer_actor.clock,
+            is_out_of_service=never_out_of_service if overrides is None else overrides.is_out_of_service,
         )
-        if overrides is not None:
-            registry.is_out_of_service = overrides.is_out_of_service
-        return registry
 
     def _list_subsystems(self) -> tuple[Subsystem, ...]:
         """In the order in which they start, and take a new configuration."""
@@ -164,13 +165,16 @@
         """Set by SIGHUP; cleared once the reload has begun."""
         return self._reloader.requested
 
-    # ------------------------------------------------------------ callbacks between parts
+    # ------------------------------------------------------------ callbacks to parts that are made later
 
     def _request_watch(self) -> None:
         self.endpoint_registry.request_watch()
 
-    def _on_marks(self, marks: OperatorMarks) -> None:
-        self._rebalancing.set_marks(marks)
+    def _check_endpoint_health(self, endpoint: str) -> None:
+        self._health_checks.start_check(endpoint)
+
+    async def _on_watch_event(self, watch_number: int, event: EndpointListUpdate | WatchFailed) -> None:
+        await self.endpoint_registry.on_watch_event(watch_number, event)
 
     def _collect_state(self) -> RelayState:
         return RelayState(
--- a/sageturn/relay/subsystems.py
+++ b/sageturn/relay/subsystems.py
@@ -131,7 +131,11 @@
                 context.balancer_actor.post_event,
                 context.invalid_report_values,
             )
-            context.balancer_actor.check_endpoint_health = self.client.start_check
+
+    def start_check(self, endpoint: str) -> None:
+        """Send a health check to an endpoint; called by the balancer's actor."""
+        if self.client is not None:
+            self.client.start_check(endpoint)
 
     async def stop(self) -> None:
         """Stop it, where it runs."""
--- a/tests/core/test_endpoint_registry.py
+++ b/tests/core/test_endpoint_registry.py
@@ -44,8 +44,8 @@
     # broke that call off and made it again, at the end of a queue in which it had already waited.
     async def go() -> None:
         events: asyncio.Queue[Event] = asyncio.Queue()
-        registry = EndpointRegistry(EndpointListUpdate(0, True), events.put)
-        registry.watcher = watcher = CountingWatcher()
+        watcher = CountingWatcher()
+        registry = EndpointRegistry(EndpointListUpdate(0, True), events.put, watcher)
         running = asyncio.ensure_future(registry.run())
         await registry.post_message(DiscoveryAddressChanged())
         registry.request_watch()
--- a/tests/net/test_endpoint_list.py
+++ b/tests/net/test_endpoint_list.py
@@ -166,8 +166,8 @@
         events: asyncio.Queue[EndpointListEvent] = asyncio.Queue()
         address = ("127.0.0.1", 9)
         known = parse_endpoint_list({"version": 5, "full": True, "servers": [entry()]})
-        endpoint_registry = EndpointRegistry(known, events.put)  # type: ignore[arg-type]
-        endpoint_registry.watcher = watcher = RecordingWatcher()
+        watcher = RecordingWatcher()
+        endpoint_registry = EndpointRegistry(known, events.put, watcher)  # type: ignore[arg-type]
         actor = asyncio.ensure_future(endpoint_registry.run())
         await endpoint_registry.post_message(WatchRequested())
         await endpoint_registry.post_message(DiscoveryAddressChanged())
@@ -193,8 +193,8 @@
     async def go() -> None:
         events: asyncio.Queue[EndpointListEvent] = asyncio.Queue()
         known = parse_endpoint_list({"version": 5, "full": True, "servers": [entry()]})
-        endpoint_registry = EndpointRegistry(known, events.put, pushed)  # type: ignore[arg-type]
-        endpoint_registry.watcher = watcher = RecordingWatcher()
+        watcher = RecordingWatcher()
+        endpoint_registry = EndpointRegistry(known, events.put, watcher, pushed=pushed)  # type: ignore[arg-type]
         actor = asyncio.ensure_future(endpoint_registry.run())
         await events.get()
         await asyncio.sleep(0)
