--- a/sageturn/core/balancer_actor.py
+++ b/sageturn/core/balancer_actor.py
@@ -158,14 +158,17 @@
             try:
                 self._act(action)
             except Exception:
+                # The other actions can still be carried out.
                 log.exception(
-                    "action failed action=%s", type(action).__name__
-                )  # the others still can be done
+                    "action failed action=%s request=%s",
+                    type(action).__name__,
+                    self._log_id(getattr(action, "id", None)),
+                )
 
     def _fail_event(self, event: decision.Event) -> None:
         """One event that the balancer fails on must not cost all other requests their connections."""
-        log.exception("balancer failed event=%s", type(event).__name__)
-        request_id = getattr(event, "id", None)
+        request_id: int | None = getattr(event, "id", None)
+        log.exception("balancer failed event=%s request=%s", type(event).__name__, self._log_id(request_id))
         if request_id is not None:
             self._instruct(request_id, FinalResponse(rejected=False, reason="internal"))
 
@@ -211,7 +214,9 @@
         if overdrawn > self._known_overdrawn_turns:
             self._known_overdrawn_turns = overdrawn
             self.monitor.report_violation(
-                Invariant.SLOW_START_TURN, str(request_id), f"{endpoint} was sent an attempt without a turn"
+                Invariant.SLOW_START_TURN,
+                self._log_id(request_id),
+                f"{endpoint} was sent an attempt without a turn",
             )
 
     def _instruct(self, request_id: int, instruction: Instruction) -> None:
@@ -221,7 +226,14 @@
         try:
             handle.instructions.put_nowait(instruction)
         except asyncio.QueueFull:
-            log.error("instruction lost, mailbox full request_id=%d instruction=%r", request_id, instruction)
+            log.error("instruction lost, mailbox full request=%s instruction=%r", handle.log_id, instruction)
+
+    def _log_id(self, request_id: int | None) -> str:
+        """The id by which the log names a request; ``-`` for what belongs to none."""
+        if request_id is None:
+            return "-"
+        handle = self._requests.get(request_id)
+        return str(request_id) if handle is None else handle.log_id
 
     def _set_timer(self, delay_ms: float, mark: str) -> None:
         def on_timer() -> None:
--- a/sageturn/core/connection_record.py
+++ b/sageturn/core/connection_record.py
@@ -27,3 +27,4 @@
     bytes_to_client: int = 0
     load_report: dict[str, float] = field(default_factory=dict)  # the endpoint's load, with its latest answer
     endpoint_idle_s: float = 0.0  # since the endpoint's latest data, when an established connection closed
+    log_id: str = "-"  # by which the log names the request
--- a/sageturn/core/endpoint_registry.py
+++ b/sageturn/core/endpoint_registry.py
@@ -146,8 +146,9 @@
         # The failure of a watch that was replaced is expected, and must not end the new one.
         is_replaced = watch_number != self.watch_number
         log.info(
-            "discovery watch failed failure=%s replaced=%s reason=%s",
+            "discovery watch failed failure=%s watch=%d replaced=%s reason=%s",
             failed.failure.name.lower(),
+            watch_number,
             str(is_replaced).lower(),
             failed.reason,
         )
--- a/sageturn/core/request_context.py
+++ b/sageturn/core/request_context.py
@@ -84,7 +84,7 @@
 ) -> RequestContext:
     """Register ``request`` with the balancer's actor; its time limits count from this moment."""
     handle = balancer_actor.new_request(request.client_request_id)
-    record = ConnectionRecord(request, balancer_actor.clock.now_ms())
+    record = ConnectionRecord(request, balancer_actor.clock.now_ms(), log_id=handle.log_id)
     settings = balancer_actor.settings
     request_class = balancer_actor.classes.get(request.class_name, settings.classes[0])
     guard = AttemptGuard(
--- a/sageturn/relay/closed_connections.py
+++ b/sageturn/relay/closed_connections.py
@@ -32,7 +32,7 @@
             "connection closed frontend=%s request=%s class=%s endpoint=%s attempts=%d duration_s=%.3f"
             " reason=%s%s%s",
             record.frontend,
-            record.request.client_request_id or "-",
+            record.log_id,
             record.request.class_name,
             record.endpoint or "-",
             record.attempts,
--- a/sageturn/relay/operator_control.py
+++ b/sageturn/relay/operator_control.py
@@ -47,7 +47,7 @@
     def start(self, actors: ActorSupervisor) -> None:
         """Start the actor or planner, where it is turned on."""
         if self.actor is not None:
-            actors.spawn(self.actor.run())
+            actors.spawn("overrides", self.actor.run())
 
     async def reload(self, old: RelayConfig, new: RelayConfig) -> None:
         """Apply the options of the new configuration."""
@@ -108,7 +108,7 @@
         """Put the rebalancer in force and run it as an actor."""
         self.rebalancer = rebalancer
         rebalancer.marks = self._marks
-        actors.spawn(rebalancer.run())
+        actors.spawn("rebalancer", rebalancer.run())
 
     def set_marks(self, marks: OperatorMarks) -> None:
         """Take the endpoints that operators have marked; called by the overrides' actor at each change."""
--- a/sageturn/relay/relay.py
+++ b/sageturn/relay/relay.py
@@ -115,17 +115,17 @@
         subsystems: list[Subsystem] = [
             self._replication,
             self.ingress,
-            Actor(self.balancer_actor.run),
-            Actor(self.endpoint_registry.run),
-            Actor(self.listener.run),
-            Actor(self.state_reporter.run),
-            Actor(CounterReporter(self.balancer_actor).run),
-            Actor(self._reloader.run),
+            Actor("balancer", self.balancer_actor.run),
+            Actor("endpoint_registry", self.endpoint_registry.run),
+            Actor("listener", self.listener.run),
+            Actor("state_reporter", self.state_reporter.run),
+            Actor("counter_reporter", CounterReporter(self.balancer_actor).run),
+            Actor("config_reloader", self._reloader.run),
             self._overrides,
             self._xmpp,
         ]
         if self.flow_exporter is not None:
-            subsystems.append(Actor(self.flow_exporter.run))
+            subsystems.append(Actor("flow_exporter", self.flow_exporter.run))
         return (*subsystems, self._rebalancing, self._health_checks, self._discovery)
 
     # ------------------------------------------------------------ its parts, where they are turned on
--- a/sageturn/relay/subsystems.py
+++ b/sageturn/relay/subsystems.py
@@ -30,12 +30,14 @@
 class Actor(Subsystem):
     """A part that only runs, from the relay's start to its stop."""
 
-    def __init__(self, run: Callable[[], Coroutine[None, None, None]]) -> None:
+    def __init__(self, name: str, run: Callable[[], Coroutine[None, None, None]]) -> None:
+        """``name``: the actor's, for the log."""
+        self._name = name
         self._run = run
 
     def start(self, actors: ActorSupervisor) -> None:
         """Start it, where it is turned on."""
-        actors.spawn(self._run())
+        actors.spawn(self._name, self._run())
 
 
 class XmppSubsystem(Subsystem):
@@ -56,7 +58,7 @@
     def start(self, actors: ActorSupervisor) -> None:
         """Start it, where it is turned on."""
         if self.listener is not None:
-            actors.spawn(self.listener.run())
+            actors.spawn("xmpp_listener", self.listener.run())
 
     async def reload(self, old: RelayConfig, new: RelayConfig) -> None:
         """Apply what may change without a restart."""
--- a/sageturn/relay/supervisor.py
+++ b/sageturn/relay/supervisor.py
@@ -15,20 +15,25 @@
     """Owns every long-running task of the relay. One that ends by an error is a fault of the program."""
 
     def __init__(self) -> None:
-        self._actors: list[asyncio.Future[None]] = []
+        self._actors: list[asyncio.Task[None]] = []
         self._first_failure: BaseException | None = None
         self._failed = asyncio.Event()
 
-    def spawn(self, running: Coroutine[None, None, None]) -> None:
-        """Run an actor until ``stop``; its failure must not go unseen, whenever it was spawned."""
-        actor = asyncio.ensure_future(running)
+    def spawn(self, name: str, running: Coroutine[None, None, None]) -> None:
+        """Run an actor until ``stop``; its failure must not go unseen, whenever it was spawned.
+
+        Args:
+            name: the actor's, for the log.
+            running: what it does until it is cancelled.
+        """
+        actor = asyncio.create_task(running, name=name)
         self._actors.append(actor)
         actor.add_done_callback(self._on_actor_done)
 
-    def _on_actor_done(self, actor: asyncio.Future[None]) -> None:
+    def _on_actor_done(self, actor: asyncio.Task[None]) -> None:
         if actor.cancelled() or (error := actor.exception()) is None:
             return
-        log.error("actor failed", exc_info=error)
+        log.error("actor failed actor=%s", actor.get_name(), exc_info=error)
         if self._first_failure is None:
             self._first_failure = error
         self._failed.set()
--- a/tests/relay/test_supervision.py
+++ b/tests/relay/test_supervision.py
@@ -19,7 +19,6 @@
     up,
     write_config,
 )
-from support.virtual_time import run_in_virtual_time
 
 from sageturn.config.loader import load
 from sageturn.core.connection_record import ConnectionRecord
@@ -40,56 +39,48 @@
     raise ValueError("an actor failed")
 
 
-def test_a_failed_actor_ends_the_wait_with_its_error() -> None:
-    async def run() -> None:
-        actors = ActorSupervisor()
-        actors.spawn(run_forever())
-        actors.spawn(fail())
-        await asyncio.wait_for(actors.wait_until_failed_or(run_forever()), 5)
-        with pytest.raises(ValueError, match="an actor failed"):
-            actors.raise_first_failure()
-        await actors.stop()
-        assert asyncio.all_tasks() == {asyncio.current_task()}
-
-    asyncio.run(run())
-
-
-def test_a_wait_returns_while_all_actors_run_and_stopping_cancels_them() -> None:
-    async def run() -> None:
-        actors = ActorSupervisor()
-        actors.spawn(run_forever())
-        await asyncio.wait_for(actors.wait_until_failed_or(asyncio.sleep(0)), 5)
+async def test_a_failed_actor_ends_the_wait_with_its_error(caplog: pytest.LogCaptureFixture) -> None:
+    actors = ActorSupervisor()
+    actors.spawn("runs", run_forever())
+    actors.spawn("fails", fail())
+    await asyncio.wait_for(actors.wait_until_failed_or(run_forever()), 5)
+    with pytest.raises(ValueError, match="an actor failed"):
         actors.raise_first_failure()
-        await actors.stop()
-        assert asyncio.all_tasks() == {asyncio.current_task()}
+    await actors.stop()
+    assert asyncio.all_tasks() == {asyncio.current_task()}
+    assert caplog.messages == ["actor failed actor=fails"]
+
 
-    asyncio.run(run())
+async def test_a_wait_returns_while_all_actors_run_and_stopping_cancels_them() -> None:
+    actors = ActorSupervisor()
+    actors.spawn("runs", run_forever())
+    await asyncio.wait_for(actors.wait_until_failed_or(asyncio.sleep(0)), 5)
+    actors.raise_first_failure()
+    await actors.stop()
+    assert asyncio.all_tasks() == {asyncio.current_task()}
 
 
-def test_subsystems_start_and_reload_in_the_listed_order(
+async def test_subsystems_start_and_reload_in_the_listed_order(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def run() -> None:
-        relay = Relay(load({"GW_CONFIG": str(write_config(tmp_path, ("127.0.0.1", 9)))}))
-        calls: list[str] = []
+    relay = Relay(load({"GW_CONFIG": str(write_config(tmp_path, ("127.0.0.1", 9)))}))
+    calls: list[str] = []
 
-        class Recorded(Subsystem):
-            def __init__(self, name: str) -> None:
-                self.name = name
+    class Recorded(Subsystem):
+        def __init__(self, name: str) -> None:
+            self.name = name
 
-            def start(self, actors: ActorSupervisor) -> None:
-                calls.append(f"start {self.name}")
+        def start(self, actors: ActorSupervisor) -> None:
+            calls.append(f"start {self.name}")
 
-            async def reload(self, old: object, new: object) -> None:
-                calls.append(f"reload {self.name}")
+        async def reload(self, old: object, new: object) -> None:
+            calls.append(f"reload {self.name}")
 
-        monkeypatch.setattr(relay, "subsystems", (Recorded("first"), Recorded("second")))
-        relay.start()
-        await relay.apply_config(relay.config)
-        assert calls == ["start first", "start second", "reload first", "reload second"]
-        await relay.stop()
-
-    asyncio.run(run())
+    monkeypatch.setattr(relay, "subsystems", (Recorded("first"), Recorded("second")))
+    relay.start()
+    await relay.apply_config(relay.config)
+    assert calls == ["start first", "start second", "reload first", "reload second"]
+    await relay.stop()
 
 
 def test_the_stored_state_keeps_its_keys() -> None:
@@ -113,42 +104,39 @@
     ]
 
 
-def test_a_failed_actor_ends_the_relay_by_a_drain(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+@pytest.mark.usefixtures("virtual_time")
+async def test_a_failed_actor_ends_the_relay_by_a_drain(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     # It ended at once: every client that was served was cut off without being asked to come again. Nor may it
     # go on placing requests for a while, as in a planned drain, with a list that nobody keeps up to date.
     async def wait_first(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes) -> None:
         await (silent if b"waits" in line else up)(reader, writer, line)
 
-    async def run() -> None:
-        is_due = asyncio.Event()
-
-        async def fail_when_due(reporter: RelayStateReporter) -> None:
-            await is_due.wait()
-            await fail()
-
-        monkeypatch.setattr(RelayStateReporter, "run", fail_when_due)
-        monkeypatch.setattr(relay_module, "set_descriptor_limit", lambda max_descriptors: None)
-        async with AsyncExitStack() as stack:
-            endpoint = FakeEndpoint(wait_first)
-            names, discovery = await serve_all(stack, [endpoint])
-            config_file = write_config(tmp_path, discovery.address, listed(names))
-            relay = Relay(load({"GW_CONFIG": str(config_file)}))
-            running = asyncio.ensure_future(relay.run())
-            await until(lambda: relay.endpoint_registry.version == 2)
-            reader, writer = await ask(relay.listener.address, first_line())
-            assert await reader.readline() == b"UP r1\r\n"
-            waiting, _ = await ask(relay.listener.address, first_line(key="waits"))
-            await until(lambda: len(endpoint.lines) == 2)
-            is_due.set()
-            began_s = asyncio.get_running_loop().time()
-            assert (await waiting.read()).startswith(b"BUSY")
-            assert await reader.read() == b"MOVE\r\n"
-            assert (
-                asyncio.get_running_loop().time() - began_s
-                < relay.request_registry.schedule.migration_start_s
-            )
-            writer.close()
-            with pytest.raises(ValueError, match="an actor failed"):
-                await running
-
-    run_in_virtual_time(run(), monkeypatch)
+    is_due = asyncio.Event()
+
+    async def fail_when_due(reporter: RelayStateReporter) -> None:
+        await is_due.wait()
+        await fail()
+
+    monkeypatch.setattr(RelayStateReporter, "run", fail_when_due)
+    monkeypatch.setattr(relay_module, "set_descriptor_limit", lambda max_descriptors: None)
+    async with AsyncExitStack() as stack:
+        endpoint = FakeEndpoint(wait_first)
+        names, discovery = await serve_all(stack, [endpoint])
+        config_file = write_config(tmp_path, discovery.address, listed(names))
+        relay = Relay(load({"GW_CONFIG": str(config_file)}))
+        running = asyncio.ensure_future(relay.run())
+        await until(lambda: relay.endpoint_registry.version == 2)
+        reader, writer = await ask(relay.listener.address, first_line())
+        assert await reader.readline() == b"UP r1\r\n"
+        waiting, _ = await ask(relay.listener.address, first_line(key="waits"))
+        await until(lambda: len(endpoint.lines) == 2)
+        is_due.set()
+        began_s = asyncio.get_running_loop().time()
+        assert (await waiting.read()).startswith(b"BUSY")
+        assert await reader.read() == b"MOVE\r\n"
+        assert asyncio.get_running_loop().time() - began_s < relay.request_registry.schedule.migration_start_s
+        writer.close()
+        with pytest.raises(ValueError, match="an actor failed"):
+            await running
