--- a/tests/core/test_attempt_guard.py
+++ b/tests/core/test_attempt_guard.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 import pytest
-from support.event_loop import run_with_timeout, until
+from support.event_loop import until
 from support.network_fakes import SETTINGS, ask, first_line, relaying, responds_with
 from support.relay_checks import is_idle
 
@@ -72,52 +72,46 @@
     assert monitor.violations == {Invariant.RESPONSE_IN_TIME: 1, Invariant.ANSWERED: 1}
 
 
-def test_a_balancer_that_repeats_what_may_not_be_repeated_reaches_no_endpoint(
+async def test_a_balancer_that_repeats_what_may_not_be_repeated_reaches_no_endpoint(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     settings = {**SETTINGS, "classes": [{**SETTINGS["classes"][0], "semantics": "unsafe"}]}
 
-    async def go() -> None:
-        async with relaying(tmp_path, responds_with(b"ERR\r\n"), settings=settings) as (relay, (endpoint,)):
-            actor = relay.balancer_actor
-            handle = actor.balancer.handle
-            repeated: list[int] = []
-
-            def repeat_once(now_ms: float, event: Event) -> list[Any]:
-                if isinstance(event, AttemptEnded) and not event.final and not repeated:
-                    repeated.append(event.id)
-                    return [PlaceRequest(event.id, event.endpoint, 500.0)]
-                return handle(now_ms, event)
-
-            monkeypatch.setattr(actor.balancer, "handle", repeat_once)
-            reader, writer = await ask(relay.listener.address, first_line(300))
-            # The balancer knows nothing of the attempt that it never decided on, and decides nothing more.
-            assert await reader.readline() == b"ERR internal\r\n"
-            writer.close()
-            assert repeated and len([line for line in endpoint.lines if line]) == 1
-            assert actor.monitor.violations == {Invariant.REPEATABLE: 1}
-            assert actor.counters.blocked_sends == {"invariant": 1}
-            await until(lambda: not relay.request_registry)
-
-    run_with_timeout(go())
-
-
-def test_counters_and_causes_tell_what_became_of_each_request(
+    async with relaying(tmp_path, responds_with(b"ERR\r\n"), settings=settings) as (relay, (endpoint,)):
+        actor = relay.balancer_actor
+        handle = actor.balancer.handle
+        repeated: list[int] = []
+
+        def repeat_once(now_ms: float, event: Event) -> list[Any]:
+            if isinstance(event, AttemptEnded) and not event.final and not repeated:
+                repeated.append(event.id)
+                return [PlaceRequest(event.id, event.endpoint, 500.0)]
+            return handle(now_ms, event)
+
+        monkeypatch.setattr(actor.balancer, "handle", repeat_once)
+        reader, writer = await ask(relay.listener.address, first_line(300))
+        # The balancer knows nothing of the attempt that it never decided on, and decides nothing more.
+        assert await reader.readline() == b"ERR internal\r\n"
+        writer.close()
+        assert repeated and len([line for line in endpoint.lines if line]) == 1
+        assert actor.monitor.violations == {Invariant.REPEATABLE: 1}
+        assert actor.counters.blocked_sends == {"invariant": 1}
+        await until(lambda: not relay.request_registry)
+
+
+async def test_counters_and_causes_tell_what_became_of_each_request(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
-    async def go() -> None:
-        async with relaying(tmp_path, responds_with(b"BUSY\r\n")) as (relay, _):
-            reader, writer = await ask(relay.listener.address, first_line())
-            assert (await reader.readline()).startswith(b"BUSY")
-            writer.close()
-            await until(lambda: is_idle(relay))
-            counters = relay.balancer_actor.counters
-            assert (counters.requests, counters.established) == (1, 0)
-            assert counters.failed_attempts["busy"] == counters.attempts >= 1
-            assert sum(counters.rejected.values()) == 1 and not counters.failed
-
-    with caplog.at_level(logging.INFO):
-        run_with_timeout(go())
+    caplog.set_level(logging.INFO)
+    async with relaying(tmp_path, responds_with(b"BUSY\r\n")) as (relay, _):
+        reader, writer = await ask(relay.listener.address, first_line())
+        assert (await reader.readline()).startswith(b"BUSY")
+        writer.close()
+        await until(lambda: is_idle(relay))
+        counters = relay.balancer_actor.counters
+        assert (counters.requests, counters.established) == (1, 0)
+        assert counters.failed_attempts["busy"] == counters.attempts >= 1
+        assert sum(counters.rejected.values()) == 1 and not counters.failed
     failed = [text for text in caplog.messages if text.startswith("attempt failed ")]
     closed = [text for text in caplog.messages if text.startswith("connection closed ")]
     assert "attempt=1 endpoint=a reason=busy" in failed[0] and "may_have_run=false" in failed[0]
--- a/tests/core/test_attempt_races.py
+++ b/tests/core/test_attempt_races.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 import pytest
-from support.event_loop import run_with_timeout, until
+from support.event_loop import until
 from support.network_fakes import SETTINGS, ask, first_line, relaying, silent, up
 from support.relay_checks import is_idle
 
@@ -22,9 +22,6 @@
 from sageturn.net import closing, sockets
 from sageturn.relay import Relay
 
-TIMEOUT_S = 20.0
-
-
 # ---------------------------------------------------------------- just before the first byte is written
 
 
@@ -66,49 +63,46 @@
 
 @pytest.mark.parametrize("end", BEFORE_WRITING, ids=lambda end: end.__name__)
 @pytest.mark.parametrize("attempt", [1, 2])
-def test_nothing_is_written_once_the_request_has_ended_while_its_connection_came_up(
+async def test_nothing_is_written_once_the_request_has_ended_while_its_connection_came_up(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, end: Any, attempt: int
 ) -> None:
     # A client's FIN lay unread while the core was busy, and its line followed it 0.3 s later. The loop does
     # not turn between the end and the write here, so only a look at that very moment can see it.
-    async def go() -> None:
-        async with relaying(tmp_path, up, up) as (relay, endpoints):
-            await until(lambda: relay.endpoint_registry.version == 2)
-            by_port = {e.address[1]: (name, e) for name, e in zip("ab", endpoints, strict=True)}
-            connect, calls, at = sockets.connect_unreserved, 0, list[Any]()
-
-            async def comes_up(address: tuple[str, int], timeout_s: float) -> Any:
-                nonlocal calls
-                calls += 1
-                if calls < attempt:
-                    return sockets.ConnectFailure.NEVER_UP
-                sock = await connect(address, timeout_s)
-                if not at:
-                    name, endpoint = by_port[address[1]]
-                    at.append(endpoint)
-                    end(client, relay, name)
-                return sock
-
-            monkeypatch.setattr(platform_connection, "connect_unreserved", comes_up)
-            records: list[Any] = []
-            monkeypatch.setattr(relay.context, "on_connection_closed", records.append)
-            client = socket.create_connection(relay.listener.address)
-            client.sendall(first_line())
-            await until(lambda: at)
-            if end in ENDPOINT_CHANGES:  # it is served all the same, at the other one
-                client.settimeout(5)
-                assert (await asyncio.to_thread(client.recv, 99)) == b"UP r1\r\n"
-                client.close()
-            elif end is drain_forced:
-                assert (await asyncio.to_thread(client.recv, 99)) == b"BUSY 250\r\n"
-                client.close()
-            await until(lambda: records and is_idle(relay))
-            assert not any(at[0].lines), end.__name__
-            if end.__name__.startswith("leave"):
-                assert records[0].close_reason in (CloseReason.CLIENT_LEFT, CloseReason.CLIENT_RESET)
-                assert calls == attempt and not any(line for e in endpoints for line in e.lines)
-
-    run_with_timeout(go(), TIMEOUT_S)
+    async with relaying(tmp_path, up, up) as (relay, endpoints):
+        await until(lambda: relay.endpoint_registry.version == 2)
+        by_port = {e.address[1]: (name, e) for name, e in zip("ab", endpoints, strict=True)}
+        connect, calls, at = sockets.connect_unreserved, 0, list[Any]()
+
+        async def comes_up(address: tuple[str, int], timeout_s: float) -> Any:
+            nonlocal calls
+            calls += 1
+            if calls < attempt:
+                return sockets.ConnectFailure.NEVER_UP
+            sock = await connect(address, timeout_s)
+            if not at:
+                name, endpoint = by_port[address[1]]
+                at.append(endpoint)
+                end(client, relay, name)
+            return sock
+
+        monkeypatch.setattr(platform_connection, "connect_unreserved", comes_up)
+        records: list[Any] = []
+        monkeypatch.setattr(relay.context, "on_connection_closed", records.append)
+        client = socket.create_connection(relay.listener.address)
+        client.sendall(first_line())
+        await until(lambda: at)
+        if end in ENDPOINT_CHANGES:  # it is served all the same, at the other one
+            client.settimeout(5)
+            assert (await asyncio.to_thread(client.recv, 99)) == b"UP r1\r\n"
+            client.close()
+        elif end is drain_forced:
+            assert (await asyncio.to_thread(client.recv, 99)) == b"BUSY 250\r\n"
+            client.close()
+        await until(lambda: records and is_idle(relay))
+        assert not any(at[0].lines), end.__name__
+        if end.__name__.startswith("leave"):
+            assert records[0].close_reason in (CloseReason.CLIENT_LEFT, CloseReason.CLIENT_RESET)
+            assert calls == attempt and not any(line for e in endpoints for line in e.lines)
 
 
 # ---------------------------------------------------------------- what a forced drain rejects
@@ -124,54 +118,48 @@
     ("effect", "scope", "refused"),
     [("safe", "all", True), ("keyed", "all", True), ("keyed", "zone", False), ("unsafe", "all", False)],
 )
-def test_a_forced_drain_rejects_only_requests_that_were_not_executed_or_are_idempotent(
+async def test_a_forced_drain_rejects_only_requests_that_were_not_executed_or_are_idempotent(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, effect: str, scope: str, refused: bool, ran: bool
 ) -> None:
     # Every request that a forced drain ended was answered BUSY, which says that a retry is harmless.
-    async def go() -> None:
-        async with relaying(tmp_path, silent, settings=deployment(effect, scope)) as (relay, (endpoint,)):
-            await until(lambda: relay.endpoint_registry.version == 2)
-            if not ran:
-                held = asyncio.Event()
-
-                async def never_up(address: tuple[str, int], timeout_s: float) -> Any:
-                    held.set()
-                    await asyncio.sleep(3600)
-
-                monkeypatch.setattr(platform_connection, "connect_unreserved", never_up)
-            reader, writer = await ask(relay.listener.address, first_line())
-            if ran:
-                await until(lambda: endpoint.lines)
-            else:
-                await held.wait()
-            for lifecycle in relay.request_registry:
-                lifecycle.force_drain()
-            word = await reader.read()
-            assert word == (b"BUSY 250\r\n" if refused or not ran else b"ERR shutdown\r\n")
-            writer.close()
-            await until(lambda: is_idle(relay))
-
-    run_with_timeout(go(), TIMEOUT_S)
+    async with relaying(tmp_path, silent, settings=deployment(effect, scope)) as (relay, (endpoint,)):
+        await until(lambda: relay.endpoint_registry.version == 2)
+        if not ran:
+            held = asyncio.Event()
+
+            async def never_up(address: tuple[str, int], timeout_s: float) -> Any:
+                held.set()
+                await asyncio.sleep(3600)
+
+            monkeypatch.setattr(platform_connection, "connect_unreserved", never_up)
+        reader, writer = await ask(relay.listener.address, first_line())
+        if ran:
+            await until(lambda: endpoint.lines)
+        else:
+            await held.wait()
+        for lifecycle in relay.request_registry:
+            lifecycle.force_drain()
+        word = await reader.read()
+        assert word == (b"BUSY 250\r\n" if refused or not ran else b"ERR shutdown\r\n")
+        writer.close()
+        await until(lambda: is_idle(relay))
 
 
 @pytest.mark.parametrize("text", [b"BUSY\n", b"BUSY \xff\r\n", b"BUSY\r\nUP r1\r\n", b"BUSYX\r\n", b"BUSY"])
-def test_a_malformed_busy_does_not_prove_that_the_request_was_not_executed(
+async def test_a_malformed_busy_does_not_prove_that_the_request_was_not_executed(
     tmp_path: Path, text: bytes
 ) -> None:
     # Only a complete BUSY says that it was not executed: after all else an unsafe request is not retried.
     async def spoilt(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes) -> None:
         writer.write(text)
 
-    async def go() -> None:
-        unsafe = deployment("unsafe", "all")
-        async with relaying(tmp_path, spoilt, spoilt, settings=unsafe) as (relay, endpoints):
-            reader, writer = await ask(relay.listener.address, first_line())
-            assert (await reader.read()).startswith(b"ERR")
-            assert sum(len(e.lines) for e in endpoints) == 1
-            writer.close()
-            await until(lambda: is_idle(relay))
-
-    run_with_timeout(go(), TIMEOUT_S)
+    unsafe = deployment("unsafe", "all")
+    async with relaying(tmp_path, spoilt, spoilt, settings=unsafe) as (relay, endpoints):
+        reader, writer = await ask(relay.listener.address, first_line())
+        assert (await reader.read()).startswith(b"ERR")
+        assert sum(len(e.lines) for e in endpoints) == 1
+        writer.close()
+        await until(lambda: is_idle(relay))
 
 
 # ---------------------------------------------------------------- when an idempotency key expires
@@ -195,78 +183,72 @@
 @pytest.mark.parametrize(("scope", "word"), [("all", b"BUSY"), ("cell", b"ERR ")])
 @pytest.mark.parametrize("late_ms", [KEY_MS - 500.0, KEY_MS + 1.0])
 @pytest.mark.parametrize("moment", ["decided", "came up"])
-def test_a_retry_is_written_before_its_idempotency_key_expires_or_not_at_all(
+async def test_a_retry_is_written_before_its_idempotency_key_expires_or_not_at_all(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, moment: str, late_ms: float, scope: str, word: bytes
 ) -> None:
     # The module asks for it in time, but a connection may come up 1.5 s later: the line was written whenever
     # that was, and it is the last byte that counts.
-    async def go() -> None:
-        host = BreaksOnce()
-        settings = deployment("keyed", scope)
-        settings["classes"][0].update(aimMs=9000.0, hardLimitMs=9000.0)
-        async with relaying(tmp_path, host, host, settings=settings) as (relay, _):
-            await until(lambda: relay.endpoint_registry.version == 2)
-            connect = sockets.connect_unreserved
-            call = platform_connection.PlatformConnection.open_upstream
-            clock = relay.balancer_actor.clock
-            now_ms, calls, begun, passed = clock.now_ms, 0, 0, 0.0
-            monkeypatch.setattr(clock, "now_ms", lambda: now_ms() + passed)
-
-            async def calls_late(self: Any, *args: Any) -> Any:
-                nonlocal calls, passed
-                calls += 1
-                passed = late_ms if moment == "decided" and calls == 2 else passed
-                return await call(self, *args)
-
-            async def comes_up_late(address: tuple[str, int], timeout_s: float) -> Any:
-                nonlocal begun, passed
-                begun += 1
-                sock = await connect(address, timeout_s)
-                passed = late_ms if begun == 2 else passed
-                return sock
-
-            monkeypatch.setattr(platform_connection.PlatformConnection, "open_upstream", calls_late)
-            monkeypatch.setattr(platform_connection, "connect_unreserved", comes_up_late)
-            reader, writer = await ask(relay.listener.address, first_line(9000))
-            heard = await reader.readline()
-            in_time = late_ms < KEY_MS
-            assert heard[:4] == (b"UP r" if in_time else word)
-            assert len(host.lines) == 1 + in_time
-            # Nor does the module decide on a third, which the same look would hold back again.
-            assert calls == 2 and begun == (2 if in_time or moment == "came up" else 1)
-            writer.close()
-            await until(lambda: is_idle(relay))
-
-    run_with_timeout(go(), TIMEOUT_S)
-
-
-def test_a_write_that_blocks_ends_as_its_idempotency_key_expires(
+    host = BreaksOnce()
+    settings = deployment("keyed", scope)
+    settings["classes"][0].update(aimMs=9000.0, hardLimitMs=9000.0)
+    async with relaying(tmp_path, host, host, settings=settings) as (relay, _):
+        await until(lambda: relay.endpoint_registry.version == 2)
+        connect = sockets.connect_unreserved
+        call = platform_connection.PlatformConnection.open_upstream
+        clock = relay.balancer_actor.clock
+        now_ms, calls, begun, passed = clock.now_ms, 0, 0, 0.0
+        monkeypatch.setattr(clock, "now_ms", lambda: now_ms() + passed)
+
+        async def calls_late(self: Any, *args: Any) -> Any:
+            nonlocal calls, passed
+            calls += 1
+            passed = late_ms if moment == "decided" and calls == 2 else passed
+            return await call(self, *args)
+
+        async def comes_up_late(address: tuple[str, int], timeout_s: float) -> Any:
+            nonlocal begun, passed
+            begun += 1
+            sock = await connect(address, timeout_s)
+            passed = late_ms if begun == 2 else passed
+            return sock
+
+        monkeypatch.setattr(platform_connection.PlatformConnection, "open_upstream", calls_late)
+        monkeypatch.setattr(platform_connection, "connect_unreserved", comes_up_late)
+        reader, writer = await ask(relay.listener.address, first_line(9000))
+        heard = await reader.readline()
+        in_time = late_ms < KEY_MS
+        assert heard[:4] == (b"UP r" if in_time else word)
+        assert len(host.lines) == 1 + in_time
+        # Nor does the module decide on a third, which the same look would hold back again.
+        assert calls == 2 and begun == (2 if in_time or moment == "came up" else 1)
+        writer.close()
+        await until(lambda: is_idle(relay))
+
+
+async def test_a_write_that_blocks_ends_as_its_idempotency_key_expires(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def go() -> None:
-        host = BreaksOnce()
-        settings = deployment("keyed", "all")
-        settings["classes"][0].update(aimMs=9000.0, hardLimitMs=9000.0, keyTtlMs=300.0)
-        async with relaying(tmp_path, host, host, settings=settings) as (relay, _):
-            await until(lambda: relay.endpoint_registry.version == 2)
-            send, sent = sockets.send_gathered, 0
-
-            async def stuck(*args: Any) -> None:
-                nonlocal sent
-                sent += 1
-                if sent == 2:
-                    await asyncio.sleep(3600)
-                await send(*args)
-
-            monkeypatch.setattr(platform_connection, "send_gathered", stuck)
-            reader, writer = await ask(relay.listener.address, first_line(9000))
-            async with asyncio.timeout(4):  # and not the client's 9 s
-                assert (await reader.readline()).startswith(b"BUSY")
-            assert sent == 2 and len(host.lines) == 1
-            writer.close()
-            await until(lambda: is_idle(relay))
-
-    run_with_timeout(go(), TIMEOUT_S)
+    host = BreaksOnce()
+    settings = deployment("keyed", "all")
+    settings["classes"][0].update(aimMs=9000.0, hardLimitMs=9000.0, keyTtlMs=300.0)
+    async with relaying(tmp_path, host, host, settings=settings) as (relay, _):
+        await until(lambda: relay.endpoint_registry.version == 2)
+        send, sent = sockets.send_gathered, 0
+
+        async def stuck(*args: Any) -> None:
+            nonlocal sent
+            sent += 1
+            if sent == 2:
+                await asyncio.sleep(3600)
+            await send(*args)
+
+        monkeypatch.setattr(platform_connection, "send_gathered", stuck)
+        reader, writer = await ask(relay.listener.address, first_line(9000))
+        async with asyncio.timeout(4):  # and not the client's 9 s
+            assert (await reader.readline()).startswith(b"BUSY")
+        assert sent == 2 and len(host.lines) == 1
+        writer.close()
+        await until(lambda: is_idle(relay))
 
 
 # ---------------------------------------------------------------- a request on an idle client connection
@@ -274,57 +256,54 @@
 
 @pytest.mark.parametrize("shut", [False, True], ids=["just before the shutdown", "just after it"])
 @pytest.mark.parametrize("ended", ["out of time", "evicted", "no line"])
-def test_a_request_that_arrives_as_its_idle_connection_is_closed_is_answered_once_and_not_forwarded(
+async def test_a_request_that_arrives_as_its_idle_connection_is_closed_is_answered_once_and_not_forwarded(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, ended: str, shut: bool
 ) -> None:
     # What is read after a shutdown and forwarded is lost, and a close over unread bytes resets the answer.
     monkeypatch.setattr(platform_frontend, "REQUEST_LINE_TIMEOUT_S", 0.1 if ended == "out of time" else 5.0)
     politely, at_once = closing.close_gracefully, closing.send_and_close
 
-    async def go() -> None:
-        async with relaying(tmp_path, up) as (relay, (endpoint,)):
-            relay.balancer_actor.placements = []
+    async with relaying(tmp_path, up) as (relay, (endpoint,)):
+        relay.balancer_actor.placements = []
 
-            def line_comes(sock: socket.socket) -> None:
-                if shut:
-                    sock.shutdown(socket.SHUT_WR)
-                client.sendall(first_line())
-
-            async def ends_politely(sock: socket.socket) -> None:
-                line_comes(sock)
-                await politely(sock)
-
-            def ends_at_once(sock: socket.socket, text: bytes) -> None:
-                if shut:  # what it says last goes before its shutdown
-                    sock.send(text)
-                line_comes(sock)
-                at_once(sock, b"" if shut else text)
-
-            monkeypatch.setattr(platform_frontend, "close_gracefully", ends_politely)
-            monkeypatch.setattr(platform_frontend, "send_and_close", ends_at_once)
-            client = socket.create_connection(relay.listener.address)
-            client.settimeout(5)
-            if ended == "no line":
-                client.sendall(b"GET / HTTP/1.1\r\n")
-            elif ended == "evicted":
-                await until(lambda: relay.admission.awaiting_request)
-                await asyncio.sleep(0)
-                relay.admission.evict_all_pending()
-            heard = await asyncio.to_thread(client.recv, 99)
-            assert (
-                heard
-                == {
-                    "out of time": b"ERR no first line in time\r\n",
-                    "evicted": b"BUSY 500\r\n",
-                    "no line": b"ERR not an OPEN line\r\n",
-                }[ended]
-            )
-            assert await asyncio.to_thread(client.recv, 99) == b""
-            poll = select.poll()
-            poll.register(client, select.POLLIN)
-            assert not any(mask & (select.POLLERR | select.POLLHUP) for _, mask in poll.poll(0))  # no reset
-            client.close()
-            await until(lambda: not relay.admission.connection_count)
-            assert relay.balancer_actor.placements == [] and not endpoint.lines
+        def line_comes(sock: socket.socket) -> None:
+            if shut:
+                sock.shutdown(socket.SHUT_WR)
+            client.sendall(first_line())
 
-    run_with_timeout(go(), TIMEOUT_S)
+        async def ends_politely(sock: socket.socket) -> None:
+            line_comes(sock)
+            await politely(sock)
+
+        def ends_at_once(sock: socket.socket, text: bytes) -> None:
+            if shut:  # what it says last goes before its shutdown
+                sock.send(text)
+            line_comes(sock)
+            at_once(sock, b"" if shut else text)
+
+        monkeypatch.setattr(platform_frontend, "close_gracefully", ends_politely)
+        monkeypatch.setattr(platform_frontend, "send_and_close", ends_at_once)
+        client = socket.create_connection(relay.listener.address)
+        client.settimeout(5)
+        if ended == "no line":
+            client.sendall(b"GET / HTTP/1.1\r\n")
+        elif ended == "evicted":
+            await until(lambda: relay.admission.awaiting_request)
+            await asyncio.sleep(0)
+            relay.admission.evict_all_pending()
+        heard = await asyncio.to_thread(client.recv, 99)
+        assert (
+            heard
+            == {
+                "out of time": b"ERR no first line in time\r\n",
+                "evicted": b"BUSY 500\r\n",
+                "no line": b"ERR not an OPEN line\r\n",
+            }[ended]
+        )
+        assert await asyncio.to_thread(client.recv, 99) == b""
+        poll = select.poll()
+        poll.register(client, select.POLLIN)
+        assert not any(mask & (select.POLLERR | select.POLLHUP) for _, mask in poll.poll(0))  # no reset
+        client.close()
+        await until(lambda: not relay.admission.connection_count)
+        assert relay.balancer_actor.placements == [] and not endpoint.lines
--- a/tests/core/test_client_disconnects.py
+++ b/tests/core/test_client_disconnects.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 import pytest
-from support.event_loop import run_with_timeout, until
+from support.event_loop import until
 from support.network_fakes import SETTINGS, ask, first_line, relaying, silent, up
 from support.xmpp_fakes import Client, Server
 from support.xmpp_relay import client_tls, relaying_xmpp, xmpp_address
@@ -30,9 +30,6 @@
 GONE = (CloseReason.CLIENT_LEFT, CloseReason.CLIENT_RESET)
 
 
-TIMEOUT_S = 30.0
-
-
 class ClientThread:
     """A thread and a loop for a client: it can act while the relay's loop is blocked."""
 
@@ -110,25 +107,23 @@
 
 @pytest.mark.parametrize("leave", [fin, end_sending, reset, words_and_fin], ids=lambda leave: leave.__name__)
 @pytest.mark.parametrize("attempt", [1, 2])
-def test_no_connection_is_begun_for_a_client_that_has_left(
+@pytest.mark.timeout(30)
+async def test_no_connection_is_begun_for_a_client_that_has_left(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, leave: Any, attempt: int
 ) -> None:
     # Only what was written was held back: the connection for it was begun, and took a host's place and time.
-    async def go() -> None:
-        async with relaying(tmp_path, up, up) as (relay, endpoints):
-            await until(lambda: relay.endpoint_registry.version == 2)
-            connects = ConnectCounter(monkeypatch, platform_connection, attempt - 1)
-            as_call_begins(monkeypatch, PlatformConnection, attempt, lambda: leave(client))
-            records: list[Any] = []
-            monkeypatch.setattr(relay.context, "on_connection_closed", records.append)
-            client = socket.create_connection(relay.listener.address)
-            client.sendall(first_line())
-            await until(lambda: records and not relay.balancer_actor.balancer.requests)
-            client.close()
-            assert connects.count == attempt - 1 and not any(e.open for e in endpoints)
-            assert records[0].close_reason in GONE
-
-    run_with_timeout(go(), TIMEOUT_S)
+    async with relaying(tmp_path, up, up) as (relay, endpoints):
+        await until(lambda: relay.endpoint_registry.version == 2)
+        connects = ConnectCounter(monkeypatch, platform_connection, attempt - 1)
+        as_call_begins(monkeypatch, PlatformConnection, attempt, lambda: leave(client))
+        records: list[Any] = []
+        monkeypatch.setattr(relay.context, "on_connection_closed", records.append)
+        client = socket.create_connection(relay.listener.address)
+        client.sendall(first_line())
+        await until(lambda: records and not relay.balancer_actor.balancer.requests)
+        client.close()
+        assert connects.count == attempt - 1 and not any(e.open for e in endpoints)
+        assert records[0].close_reason in GONE
 
 
 async def stream_end(client: Client) -> None:
@@ -150,7 +145,8 @@
 
 @pytest.mark.parametrize("leave", XMPP_LEAVES, ids=lambda leave: leave.__name__)
 @pytest.mark.parametrize("moment", ["first", "further", "bind"])
-def test_nothing_is_begun_for_an_xmpp_client_that_has_left_or_ended_its_stream(
+@pytest.mark.timeout(30)
+async def test_nothing_is_begun_for_an_xmpp_client_that_has_left_or_ended_its_stream(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, leave: Any, moment: str
 ) -> None:
     # A stream's end lay unread under TLS: only the connection's was looked for, and the bind followed.
@@ -159,37 +155,34 @@
     async def told(server: Server) -> None:
         bound.append(await server.accept())
 
-    async def go() -> None:
-        with closing(ClientThread()) as client_thread:
-            async with relaying_xmpp(tmp_path, told, told) as (relay, endpoints):
-                await until(lambda: relay.endpoint_registry.version == 2)
-                connects = ConnectCounter(monkeypatch, xmpp_connection, moment == "further")
-                if moment == "bind":
-                    ask_life, at = PreWriteChecks.check_before_write, list[bool]()
-
-                    def leaves_first(self: Any, wanted: Any = None) -> Any:
-                        client_thread.run_blocking(leave(client))
-                        at.append(True)
-                        return ask_life(self, wanted)
-
-                    monkeypatch.setattr(PreWriteChecks, "check_before_write", leaves_first)
-                else:
-                    number = 1 + (moment == "further")
-                    as_call_begins(
-                        monkeypatch, XmppConnection, number, lambda: client_thread.run_blocking(leave(client))
-                    )
-                records: list[Any] = []
-                monkeypatch.setattr(relay.context, "on_connection_closed", records.append)
-                client = await client_thread.run(Client.connect(xmpp_address(relay)))
-                await client_thread.run(client.login(client_tls()))
-                await client_thread.run(send_bind(client))
-                await until(lambda: records and not relay.balancer_actor.balancer.requests)
-                await client_thread.run(connection_end(client))
-                assert records[0].close_reason in GONE and not records[0].was_established
-                assert connects.count == (moment != "first")
-                assert sum(len(e.lines) for e in endpoints) == (moment == "bind") and not bound
-
-    run_with_timeout(go(), TIMEOUT_S)
+    with closing(ClientThread()) as client_thread:
+        async with relaying_xmpp(tmp_path, told, told) as (relay, endpoints):
+            await until(lambda: relay.endpoint_registry.version == 2)
+            connects = ConnectCounter(monkeypatch, xmpp_connection, moment == "further")
+            if moment == "bind":
+                ask_life, at = PreWriteChecks.check_before_write, list[bool]()
+
+                def leaves_first(self: Any, wanted: Any = None) -> Any:
+                    client_thread.run_blocking(leave(client))
+                    at.append(True)
+                    return ask_life(self, wanted)
+
+                monkeypatch.setattr(PreWriteChecks, "check_before_write", leaves_first)
+            else:
+                number = 1 + (moment == "further")
+                as_call_begins(
+                    monkeypatch, XmppConnection, number, lambda: client_thread.run_blocking(leave(client))
+                )
+            records: list[Any] = []
+            monkeypatch.setattr(relay.context, "on_connection_closed", records.append)
+            client = await client_thread.run(Client.connect(xmpp_address(relay)))
+            await client_thread.run(client.login(client_tls()))
+            await client_thread.run(send_bind(client))
+            await until(lambda: records and not relay.balancer_actor.balancer.requests)
+            await client_thread.run(connection_end(client))
+            assert records[0].close_reason in GONE and not records[0].was_established
+            assert connects.count == (moment != "first")
+            assert sum(len(e.lines) for e in endpoints) == (moment == "bind") and not bound
 
 
 async def send_bind(client: Client) -> None:
@@ -204,109 +197,101 @@
 
 
 @pytest.mark.parametrize("comes_up", [True, False])
-def test_hundreds_that_leave_while_the_core_is_held_cost_no_attempt(
+@pytest.mark.timeout(30)
+async def test_hundreds_that_leave_while_the_core_is_held_cost_no_attempt(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, comes_up: bool
 ) -> None:
     # In one turn of the loop all connections come up, or fail so that further attempts are due, and all
     # clients have been gone for longer than an attempt may come after them.
-    async def go() -> None:
-        tenants = [{"name": "t", "fraction": 1.0, "allowancePerS": 10.0 * CROWD}]
-        settings = {**SETTINGS, "accounts": tenants}
-        async with relaying(tmp_path, silent, silent, settings=settings) as (relay, endpoints):
-            await until(lambda: relay.endpoint_registry.version == 2)
-            connect, begun, held = sockets.connect_unreserved, 0, asyncio.Event()
+    tenants = [{"name": "t", "fraction": 1.0, "allowancePerS": 10.0 * CROWD}]
+    settings = {**SETTINGS, "accounts": tenants}
+    async with relaying(tmp_path, silent, silent, settings=settings) as (relay, endpoints):
+        await until(lambda: relay.endpoint_registry.version == 2)
+        connect, begun, held = sockets.connect_unreserved, 0, asyncio.Event()
+
+        async def waits(address: tuple[str, int], timeout_s: float) -> Any:
+            nonlocal begun
+            begun += 1
+            await held.wait()
+            return await connect(address, timeout_s) if comes_up else ConnectFailure.NEVER_UP
+
+        monkeypatch.setattr(platform_connection, "connect_unreserved", waits)
+        records: list[Any] = []
+        monkeypatch.setattr(relay.context, "on_connection_closed", records.append)
+        clients = [await ask(relay.listener.address, first_line(3000)) for _ in range(CROWD)]
+        await until(lambda: begun == CROWD)
+        held.set()
+        for _, writer in clients:
+            writer.get_extra_info("socket").shutdown(socket.SHUT_RDWR)
+        time.sleep(BUSY_S)
+        await until(lambda: len(records) == CROWD and not relay.balancer_actor.balancer.requests)
+        assert begun == CROWD and not any(line for e in endpoints for line in e.lines)
+        assert {record.close_reason for record in records} <= set(GONE)
+        for _, writer in clients:
+            writer.close()
 
-            async def waits(address: tuple[str, int], timeout_s: float) -> Any:
-                nonlocal begun
-                begun += 1
-                await held.wait()
-                return await connect(address, timeout_s) if comes_up else ConnectFailure.NEVER_UP
 
-            monkeypatch.setattr(platform_connection, "connect_unreserved", waits)
-            records: list[Any] = []
-            monkeypatch.setattr(relay.context, "on_connection_closed", records.append)
-            clients = [await ask(relay.listener.address, first_line(3000)) for _ in range(CROWD)]
-            await until(lambda: begun == CROWD)
-            held.set()
-            for _, writer in clients:
-                writer.get_extra_info("socket").shutdown(socket.SHUT_RDWR)
-            time.sleep(BUSY_S)
-            await until(lambda: len(records) == CROWD and not relay.balancer_actor.balancer.requests)
-            assert begun == CROWD and not any(line for e in endpoints for line in e.lines)
-            assert {record.close_reason for record in records} <= set(GONE)
-            for _, writer in clients:
-                writer.close()
-
-    run_with_timeout(go(), TIMEOUT_S)
-
-
-def test_those_who_left_while_they_lay_in_the_backlog_cost_no_attempt(
+@pytest.mark.timeout(30)
+async def test_those_who_left_while_they_lay_in_the_backlog_cost_no_attempt(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def go() -> None:
-        async with relaying(tmp_path, up, up) as (relay, endpoints):
-            await until(lambda: relay.endpoint_registry.version == 2)
-            connects = ConnectCounter(monkeypatch, platform_connection)
-            records: list[Any] = []
-            monkeypatch.setattr(relay.context, "on_connection_closed", records.append)
-            for _ in range(100):  # the loop does not turn here
-                client = socket.create_connection(relay.listener.address)
-                client.sendall(first_line())
-                client.close()
-            time.sleep(BUSY_S)
-            await until(lambda: len(records) == 100 and not relay.balancer_actor.balancer.requests)
-            assert connects.count == 0 and not any(e.open for e in endpoints)
-
-    run_with_timeout(go(), TIMEOUT_S)
+    async with relaying(tmp_path, up, up) as (relay, endpoints):
+        await until(lambda: relay.endpoint_registry.version == 2)
+        connects = ConnectCounter(monkeypatch, platform_connection)
+        records: list[Any] = []
+        monkeypatch.setattr(relay.context, "on_connection_closed", records.append)
+        for _ in range(100):  # the loop does not turn here
+            client = socket.create_connection(relay.listener.address)
+            client.sendall(first_line())
+            client.close()
+        time.sleep(BUSY_S)
+        await until(lambda: len(records) == 100 and not relay.balancer_actor.balancer.requests)
+        assert connects.count == 0 and not any(e.open for e in endpoints)
 
 
-def test_words_read_in_two_places_stay_in_their_order(tmp_path: Path) -> None:
+@pytest.mark.timeout(30)
+async def test_words_read_in_two_places_stay_in_their_order(tmp_path: Path) -> None:
     # One reader had read the first and was not yet woken; the look before writing then read the second, and
     # put it in front.
-    async def go() -> None:
-        async with relaying(tmp_path, silent) as (relay, (endpoint,)):
-            loop = asyncio.get_running_loop()
-            _reader, writer = await ask(relay.listener.address, first_line(3000))
-            await until(lambda: endpoint.lines)
-            (lifecycle,) = relay.request_registry
-            wire: Any = lifecycle.transport
-            seen: asyncio.Future[None] = loop.create_future()
-
-            def each_turn() -> None:
-                # Queued a turn before whatever the poll of this turn wakes, so it runs in between.
-                try:
-                    wire.client.recv(1, socket.MSG_PEEK)
-                except BlockingIOError:
-                    writer.write(b"M 2\r\n")
-                    assert wire.poll_client() is None
-                    seen.set_result(None)
-                else:
-                    loop.call_soon(each_turn)
-
-            writer.write(b"M 1\r\n")
-            loop.call_soon(each_turn)
-            await seen
-            await asyncio.sleep(0)
-            await asyncio.sleep(0)
-            assert wire.early_input == b"M 1\r\nM 2\r\n"
-            writer.close()
-
-    run_with_timeout(go(), TIMEOUT_S)
-
-
-def test_an_xmpp_client_that_breaks_its_stream_while_it_waits_hears_why(tmp_path: Path) -> None:
+    async with relaying(tmp_path, silent) as (relay, (endpoint,)):
+        loop = asyncio.get_running_loop()
+        _reader, writer = await ask(relay.listener.address, first_line(3000))
+        await until(lambda: endpoint.lines)
+        (lifecycle,) = relay.request_registry
+        wire: Any = lifecycle.transport
+        seen: asyncio.Future[None] = loop.create_future()
+
+        def each_turn() -> None:
+            # Queued a turn before whatever the poll of this turn wakes, so it runs in between.
+            try:
+                wire.client.recv(1, socket.MSG_PEEK)
+            except BlockingIOError:
+                writer.write(b"M 2\r\n")
+                assert wire.poll_client() is None
+                seen.set_result(None)
+            else:
+                loop.call_soon(each_turn)
+
+        writer.write(b"M 1\r\n")
+        loop.call_soon(each_turn)
+        await seen
+        await asyncio.sleep(0)
+        await asyncio.sleep(0)
+        assert wire.early_input == b"M 1\r\nM 2\r\n"
+        writer.close()
+
+
+@pytest.mark.timeout(30)
+async def test_an_xmpp_client_that_breaks_its_stream_while_it_waits_hears_why(tmp_path: Path) -> None:
     # It was taken for one that had left, and its connection closed without a word.
-    async def go() -> None:
-        async def read_until_end(server: Server) -> None:
-            await server.read_rest()
-
-        async with relaying_xmpp(tmp_path, read_until_end) as (relay, (endpoint,)):
-            client = await Client.connect(xmpp_address(relay))
-            await client.login(client_tls())
-            client.send_bind()
-            await until(lambda: endpoint.lines)
-            client.send("<not <well>")
-            assert "<policy-violation " in await client.read_rest()
-            client.writer.close()
-
-    run_with_timeout(go(), TIMEOUT_S)
+    async def read_until_end(server: Server) -> None:
+        await server.read_rest()
+
+    async with relaying_xmpp(tmp_path, read_until_end) as (relay, (endpoint,)):
+        client = await Client.connect(xmpp_address(relay))
+        await client.login(client_tls())
+        client.send_bind()
+        await until(lambda: endpoint.lines)
+        client.send("<not <well>")
+        assert "<policy-violation " in await client.read_rest()
+        client.writer.close()
--- a/tests/core/test_close_reasons.py
+++ b/tests/core/test_close_reasons.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 import pytest
-from support.event_loop import run_with_timeout, until
+from support.event_loop import until
 from support.network_fakes import SETTINGS, FakeEndpoint, first_line, relaying, up
 from support.relay_checks import is_balancer_idle, is_idle
 
@@ -196,50 +196,46 @@
     list(itertools.product(STAGES, ENDS)),
     ids=lambda v: v if isinstance(v, str) else v.__name__,
 )
-def test_every_end_at_every_stage_gives_one_response_and_leaves_nothing(
+@pytest.mark.timeout(15)
+async def test_every_end_at_every_stage_gives_one_response_and_leaves_nothing(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, stage: str, end: Any, effect: str
 ) -> None:
-    async def go() -> None:
-        reach, act = STAGES[stage]
-        scenarios: list[RelayScenario] = []
-        settings = DEPLOYMENTS[effect]
-        monkeypatch.setattr(platform_frontend, "REQUEST_LINE_TIMEOUT_S", 0.4)
-        async with relaying(tmp_path, *[act(scenarios)] * 3, settings=settings) as (relay, endpoints):
-            while relay.endpoint_registry.version != 2:
-                await asyncio.sleep(0.002)
-            descriptors = len(os.listdir("/proc/self/fd"))
-            scenarios.append(
-                scenario := RelayScenario(relay, endpoints, 400 if end is client_times_out else 3000)
-            )
-            await reach(scenario, monkeypatch)
-            before = len(scenario.lines)
-            await end(scenario)
-            stays = stage.startswith("established") and end in (all_endpoints_drain, client_times_out)
-            received = b"" if end in GONE or stays else await scenario.read_rest()
-            assert not stays or all(lifecycle.is_established for lifecycle in relay.request_registry)
-            scenario.client.close()
-            scenario.resume.set()
-            balancer = relay.balancer_actor.balancer
-            await until(
-                lambda: (
-                    not relay.request_registry
-                    and not balancer.requests
-                    and not relay.admission.connection_count
-                )
+    reach, act = STAGES[stage]
+    scenarios: list[RelayScenario] = []
+    settings = DEPLOYMENTS[effect]
+    monkeypatch.setattr(platform_frontend, "REQUEST_LINE_TIMEOUT_S", 0.4)
+    async with relaying(tmp_path, *[act(scenarios)] * 3, settings=settings) as (relay, endpoints):
+        while relay.endpoint_registry.version != 2:
+            await asyncio.sleep(0.002)
+        descriptors = len(os.listdir("/proc/self/fd"))
+        scenarios.append(
+            scenario := RelayScenario(relay, endpoints, 400 if end is client_times_out else 3000)
+        )
+        await reach(scenario, monkeypatch)
+        before = len(scenario.lines)
+        await end(scenario)
+        stays = stage.startswith("established") and end in (all_endpoints_drain, client_times_out)
+        received = b"" if end in GONE or stays else await scenario.read_rest()
+        assert not stays or all(lifecycle.is_established for lifecycle in relay.request_registry)
+        scenario.client.close()
+        scenario.resume.set()
+        balancer = relay.balancer_actor.balancer
+        await until(
+            lambda: (
+                not relay.request_registry and not balancer.requests and not relay.admission.connection_count
             )
-            await until(lambda: not any(e.open for e in endpoints))
-            assert is_idle(relay)
-            # The listener's, and the descriptor that it keeps in reserve.
-            shut = 2 if end is graceful_shutdown else 0
-            await until(lambda: len(os.listdir("/proc/self/fd")) <= descriptors - shut)
-            sent, most = len(scenario.lines), settings["policyLimits"]["sendCap"]
-            assert sent <= most and sum(e.max_open for e in endpoints) <= max(1, sent)
-            if end in GONE or end in (all_endpoints_drain, graceful_shutdown):
-                assert len(scenario.lines) == before, "sent on after the end was known"
-            if end not in GONE and not stays:
-                check(stage, end, effect, received, before)
-
-    run_with_timeout(go(), 15.0)
+        )
+        await until(lambda: not any(e.open for e in endpoints))
+        assert is_idle(relay)
+        # The listener's, and the descriptor that it keeps in reserve.
+        shut = 2 if end is graceful_shutdown else 0
+        await until(lambda: len(os.listdir("/proc/self/fd")) <= descriptors - shut)
+        sent, most = len(scenario.lines), settings["policyLimits"]["sendCap"]
+        assert sent <= most and sum(e.max_open for e in endpoints) <= max(1, sent)
+        if end in GONE or end in (all_endpoints_drain, graceful_shutdown):
+            assert len(scenario.lines) == before, "sent on after the end was known"
+        if end not in GONE and not stays:
+            check(stage, end, effect, received, before)
 
 
 def check(stage: str, end: Any, effect: str, received: bytes, ran: int) -> None:
@@ -263,83 +259,77 @@
 
 
 @pytest.mark.parametrize("said", [first_line(), b"PING\r\n", first_line()[:9], b""])
-def test_a_client_that_connects_as_the_listener_closes_is_answered(tmp_path: Path, said: bytes) -> None:
+@pytest.mark.timeout(10)
+async def test_a_client_that_connects_as_the_listener_closes_is_answered(tmp_path: Path, said: bytes) -> None:
     # The listening socket was closed over its backlog: who waited there was reset without a word. The loop
     # does not turn between the client's coming and the shutting here.
-    async def go() -> None:
-        async with relaying(tmp_path, up) as (relay, (endpoint,)):
-            relay.request_registry.schedule = ShutdownSchedule(0.0, 0.0, 0.05, 2.0)
-            shut, came = relay.ingress.stop_accepting, list[socket.socket]()
-
-            def comes_and_shut() -> None:
-                client = socket.create_connection(relay.listener.address)
-                client.sendall(said)
-                came.append(client)
-                shut()
-
-            relay.ingress.stop_accepting = comes_and_shut  # type: ignore[method-assign]
-            await relay.request_registry.drain(relay.ingress)
-            assert not relay.admission.connection_count and not any(endpoint.lines)
-            came[0].settimeout(5)
-            received = came[0].recv(99)
-            assert received.startswith((b"BUSY", b"ERR")) and came[0].recv(99) == b""
-            came[0].close()
-            with pytest.raises(ConnectionRefusedError):
-                socket.create_connection(relay.listener.address)
-
-    run_with_timeout(go(), 10.0)
-
-
-def test_a_request_that_arrives_after_the_forced_drain_is_answered_and_not_placed(tmp_path: Path) -> None:
+    async with relaying(tmp_path, up) as (relay, (endpoint,)):
+        relay.request_registry.schedule = ShutdownSchedule(0.0, 0.0, 0.05, 2.0)
+        shut, came = relay.ingress.stop_accepting, list[socket.socket]()
+
+        def comes_and_shut() -> None:
+            client = socket.create_connection(relay.listener.address)
+            client.sendall(said)
+            came.append(client)
+            shut()
+
+        relay.ingress.stop_accepting = comes_and_shut  # type: ignore[method-assign]
+        await relay.request_registry.drain(relay.ingress)
+        assert not relay.admission.connection_count and not any(endpoint.lines)
+        came[0].settimeout(5)
+        received = came[0].recv(99)
+        assert received.startswith((b"BUSY", b"ERR")) and came[0].recv(99) == b""
+        came[0].close()
+        with pytest.raises(ConnectionRefusedError):
+            socket.create_connection(relay.listener.address)
+
+
+@pytest.mark.timeout(10)
+async def test_a_request_that_arrives_after_the_forced_drain_is_answered_and_not_placed(
+    tmp_path: Path,
+) -> None:
     # It was placed, stood, and was cut off without MOVE: only those who were there had been told to hurry.
-    async def go() -> None:
-        async with relaying(tmp_path, up) as (relay, (endpoint,)):
-            relay.request_registry.schedule = ShutdownSchedule(0.0, 0.0, 0.01, 2.0)
-            scenario = RelayScenario(relay, [endpoint])
-            relay.admission.evict_all_pending = lambda: None  # type: ignore[method-assign]
-            draining = asyncio.ensure_future(relay.request_registry.drain(relay.ingress))
-            await until(lambda: relay.admission.awaiting_request and relay.request_registry.is_drain_forced)
-            scenario.client.sendall(first_line())
-            assert (await scenario.read_rest()).startswith(b"BUSY")
-            await draining
-            assert not any(endpoint.lines)
-            scenario.client.close()
-
-    run_with_timeout(go(), 10.0)
-
-
-def test_a_graceful_shutdown_waits_for_connections_without_a_request(tmp_path: Path) -> None:
-    async def go() -> None:
-        async with relaying(tmp_path, up) as (relay, (endpoint,)):
-            relay.request_registry.schedule = ShutdownSchedule(0.0, 0.0, 8.0, 9.0)
-            scenario = RelayScenario(relay, [endpoint])
-            line = first_line()
-            scenario.client.sendall(line[:20])
-            await until(lambda: relay.admission.awaiting_request)
-            draining = asyncio.ensure_future(relay.request_registry.drain(relay.ingress))
-            await asyncio.sleep(0.8)  # past the time in which new ones are expected
-            assert not draining.done()
-            scenario.client.sendall(line[20:])
-            assert await scenario.read_rest() == b"UP r1\r\nMOVE\r\n"
-            await draining
-            scenario.client.close()
-
-    run_with_timeout(go(), 10.0)
-
-
-def test_a_client_evicted_as_its_request_line_completes_is_answered(tmp_path: Path) -> None:
+    async with relaying(tmp_path, up) as (relay, (endpoint,)):
+        relay.request_registry.schedule = ShutdownSchedule(0.0, 0.0, 0.01, 2.0)
+        scenario = RelayScenario(relay, [endpoint])
+        relay.admission.evict_all_pending = lambda: None  # type: ignore[method-assign]
+        draining = asyncio.ensure_future(relay.request_registry.drain(relay.ingress))
+        await until(lambda: relay.admission.awaiting_request and relay.request_registry.is_drain_forced)
+        scenario.client.sendall(first_line())
+        assert (await scenario.read_rest()).startswith(b"BUSY")
+        await draining
+        assert not any(endpoint.lines)
+        scenario.client.close()
+
+
+@pytest.mark.timeout(10)
+async def test_a_graceful_shutdown_waits_for_connections_without_a_request(tmp_path: Path) -> None:
+    async with relaying(tmp_path, up) as (relay, (endpoint,)):
+        relay.request_registry.schedule = ShutdownSchedule(0.0, 0.0, 8.0, 9.0)
+        scenario = RelayScenario(relay, [endpoint])
+        line = first_line()
+        scenario.client.sendall(line[:20])
+        await until(lambda: relay.admission.awaiting_request)
+        draining = asyncio.ensure_future(relay.request_registry.drain(relay.ingress))
+        await asyncio.sleep(0.8)  # past the time in which new ones are expected
+        assert not draining.done()
+        scenario.client.sendall(line[20:])
+        assert await scenario.read_rest() == b"UP r1\r\nMOVE\r\n"
+        await draining
+        scenario.client.close()
+
+
+@pytest.mark.timeout(10)
+async def test_a_client_evicted_as_its_request_line_completes_is_answered(tmp_path: Path) -> None:
     # Closed over the unread line, the kernel's reset destroyed the answer.
-    async def go() -> None:
-        async with relaying(tmp_path, up) as (relay, _):
-            scenario = RelayScenario(relay, [])
-            await until(lambda: relay.admission.awaiting_request)
-            await asyncio.sleep(0.01)  # its reading has begun; whether or not, it is answered
-            scenario.client.sendall(first_line())
-            relay.admission.evict_all_pending()
-            assert await scenario.read_rest() == b"BUSY 500\r\n"
-            scenario.client.close()
-
-    run_with_timeout(go(), 10.0)
+    async with relaying(tmp_path, up) as (relay, _):
+        scenario = RelayScenario(relay, [])
+        await until(lambda: relay.admission.awaiting_request)
+        await asyncio.sleep(0.01)  # its reading has begun; whether or not, it is answered
+        scenario.client.sendall(first_line())
+        relay.admission.evict_all_pending()
+        assert await scenario.read_rest() == b"BUSY 500\r\n"
+        scenario.client.close()
 
 
 # ---------------------------------------------------------------- a MOVE that cannot be written
@@ -353,7 +343,8 @@
 
 
 @pytest.mark.parametrize("reads_on", [True, False])
-def test_a_move_waits_for_a_client_that_does_not_read_until_the_drain_is_forced(
+@pytest.mark.timeout(15)
+async def test_a_move_waits_for_a_client_that_does_not_read_until_the_drain_is_forced(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, reads_on: bool
 ) -> None:
     # It was given up after 0.7 s and the client cut off without a word, though its live host still answered.
@@ -366,68 +357,61 @@
 
     monkeypatch.setattr(platform_relaying, "LineForwarder", Seen)
 
-    async def go() -> None:
-        async with relaying(tmp_path, floods) as (relay, _):
-            ended: list[Any] = []
-            relay.context.on_connection_closed = ended.append
-            scenario = RelayScenario(relay, [])
-            scenario.client.sendall(first_line())
-            await until(lambda: any(lifecycle.is_established for lifecycle in relay.request_registry))
-            (lifecycle,) = relay.request_registry
-            stuck = 0
-            while stuck < 30:  # until for 0.3 s the kernel has had no room for more
-                await asyncio.sleep(0.01)
-                writable = not forwarders or select.select([], [forwarders[0].target], [], 0)[1]
-                stuck = 0 if writable else stuck + 1
-            relay.balancer_actor.migrate_connection(lifecycle.id)
-            await asyncio.sleep(0.8)
-            assert lifecycle.is_established and not ended
-            if not reads_on:
-                lifecycle.force_drain()
-                await until(lambda: ended)
-                assert ended[0].close_reason.name == "CUT_OFF"
-            else:
-                received = await scenario.read_rest()
-                assert received.endswith(b"x\r\nMOVE\r\n") and received.count(b"MOVE") == 1
-                await until(lambda: ended)
-                assert ended[0].close_reason.name == "MOVED"
-            scenario.client.close()
-
-    run_with_timeout(go(), 15.0)
-
-
-def test_a_forced_drain_rejects_a_connection_that_is_being_adopted(
+    async with relaying(tmp_path, floods) as (relay, _):
+        ended: list[Any] = []
+        relay.context.on_connection_closed = ended.append
+        scenario = RelayScenario(relay, [])
+        scenario.client.sendall(first_line())
+        await until(lambda: any(lifecycle.is_established for lifecycle in relay.request_registry))
+        (lifecycle,) = relay.request_registry
+        stuck = 0
+        while stuck < 30:  # until for 0.3 s the kernel has had no room for more
+            await asyncio.sleep(0.01)
+            writable = not forwarders or select.select([], [forwarders[0].target], [], 0)[1]
+            stuck = 0 if writable else stuck + 1
+        relay.balancer_actor.migrate_connection(lifecycle.id)
+        await asyncio.sleep(0.8)
+        assert lifecycle.is_established and not ended
+        if not reads_on:
+            lifecycle.force_drain()
+            await until(lambda: ended)
+            assert ended[0].close_reason.name == "CUT_OFF"
+        else:
+            received = await scenario.read_rest()
+            assert received.endswith(b"x\r\nMOVE\r\n") and received.count(b"MOVE") == 1
+            await until(lambda: ended)
+            assert ended[0].close_reason.name == "MOVED"
+        scenario.client.close()
+
+
+@pytest.mark.timeout(10)
+async def test_a_forced_drain_rejects_a_connection_that_is_being_adopted(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Nothing of it was sent: ERR said that it may have been.
-    async def go() -> None:
-        async with relaying(tmp_path, up) as (relay, (endpoint,)):
-            scenario = RelayScenario(relay, [endpoint])
-            scenario.line = first_line(40000, ",at=a")
-            await connecting(scenario, monkeypatch)
-            await graceful_shutdown(scenario)
-            assert (await scenario.read_rest()).startswith(b"BUSY") and not any(endpoint.lines)
-            scenario.client.close()
+    async with relaying(tmp_path, up) as (relay, (endpoint,)):
+        scenario = RelayScenario(relay, [endpoint])
+        scenario.line = first_line(40000, ",at=a")
+        await connecting(scenario, monkeypatch)
+        await graceful_shutdown(scenario)
+        assert (await scenario.read_rest()).startswith(b"BUSY") and not any(endpoint.lines)
+        scenario.client.close()
 
-    run_with_timeout(go(), 10.0)
 
-
-def test_an_internal_error_is_answered_and_leaves_no_request_behind(
+@pytest.mark.timeout(10)
+async def test_an_internal_error_is_answered_and_leaves_no_request_behind(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # The client's connection was closed without a word, and the module kept the request for good.
-    async def go() -> None:
-        async with relaying(tmp_path, up) as (relay, _):
-
-            async def fails(address: tuple[str, int], timeout_s: float) -> Any:
-                raise ValueError("unforeseen")
-
-            monkeypatch.setattr(platform_connection, "connect_unreserved", fails)
-            scenario = RelayScenario(relay, [])
-            scenario.client.sendall(scenario.line)
-            assert await scenario.read_rest() == b"ERR internal\r\n"
-            scenario.client.close()
-            await until(lambda: not relay.request_registry and not relay.balancer_actor.balancer.requests)
-            assert is_balancer_idle(relay.balancer_actor)
-
-    run_with_timeout(go(), 10.0)
+    async with relaying(tmp_path, up) as (relay, _):
+
+        async def fails(address: tuple[str, int], timeout_s: float) -> Any:
+            raise ValueError("unforeseen")
+
+        monkeypatch.setattr(platform_connection, "connect_unreserved", fails)
+        scenario = RelayScenario(relay, [])
+        scenario.client.sendall(scenario.line)
+        assert await scenario.read_rest() == b"ERR internal\r\n"
+        scenario.client.close()
+        await until(lambda: not relay.request_registry and not relay.balancer_actor.balancer.requests)
+        assert is_balancer_idle(relay.balancer_actor)
--- a/tests/core/test_endpoint_registry.py
+++ b/tests/core/test_endpoint_registry.py
@@ -4,28 +4,23 @@
 
 import asyncio
 
-from support.event_loop import run_with_timeout
-
 from sageturn.core.endpoint_registry import MAX_GONE_ADDRESSES, EndpointRegistry
 from sageturn.core.messages import DiscoveryAddressChanged, EndpointListUpdate, WatchFailed
 from sageturn.core.tasks import cancel_and_wait
 from sageturn.decision import DiscoveryFailure, Endpoint, Event
 
 
-def test_endpoints_that_are_gone_are_forgotten_but_for_the_latest() -> None:
-    async def go() -> None:
-        events: asyncio.Queue[Event] = asyncio.Queue()
-        registry = EndpointRegistry(EndpointListUpdate(0, True), events.put)
-        for number in range(3 * MAX_GONE_ADDRESSES):
-            name = f"s{number}"
-            address = ("127.0.0.1", 1 + number)
-            registry.apply_update(EndpointListUpdate(1, False, [Endpoint(name)], {name: address}))
-            assert registry.is_ready_at(name, address)
-            registry.apply_update(EndpointListUpdate(1, False, [Endpoint(name, "gone")]))
-            assert not registry.is_ready_at(name, address) and name in registry.addresses
-        assert not registry.states and len(registry.addresses) <= MAX_GONE_ADDRESSES + 1
-
-    run_with_timeout(go())
+async def test_endpoints_that_are_gone_are_forgotten_but_for_the_latest() -> None:
+    events: asyncio.Queue[Event] = asyncio.Queue()
+    registry = EndpointRegistry(EndpointListUpdate(0, True), events.put)
+    for number in range(3 * MAX_GONE_ADDRESSES):
+        name = f"s{number}"
+        address = ("127.0.0.1", 1 + number)
+        registry.apply_update(EndpointListUpdate(1, False, [Endpoint(name)], {name: address}))
+        assert registry.is_ready_at(name, address)
+        registry.apply_update(EndpointListUpdate(1, False, [Endpoint(name, "gone")]))
+        assert not registry.is_ready_at(name, address) and name in registry.addresses
+    assert not registry.states and len(registry.addresses) <= MAX_GONE_ADDRESSES + 1
 
 
 class CountingWatcher:
@@ -39,34 +34,31 @@
         return self.started
 
 
-def test_a_call_that_is_out_is_not_made_anew_by_a_timer_of_before() -> None:
+async def test_a_call_that_is_out_is_not_made_anew_by_a_timer_of_before() -> None:
     # A reload during an outage calls the new discovery at once; the timer of the last failed call then
     # broke that call off and made it again, at the end of a queue in which it had already waited.
-    async def go() -> None:
-        events: asyncio.Queue[Event] = asyncio.Queue()
-        watcher = CountingWatcher()
-        registry = EndpointRegistry(EndpointListUpdate(0, True), events.put, watcher)
-        running = asyncio.ensure_future(registry.run())
-        await registry.post_message(DiscoveryAddressChanged())
-        registry.request_watch()
-        await events.get()  # the known list
-        await registry.on_watch_event(1, EndpointListUpdate(1, True))
-        await events.get()
-        assert watcher.started == 1
-        registry.request_watch()
-        await registry.on_watch_event(1, WatchFailed("lost", DiscoveryFailure.LOST))
-        await events.get()
-        assert watcher.started == 1
-        registry.request_watch()
-        await registry.on_watch_event(2, EndpointListUpdate(2, True))
-        await events.get()
-        assert watcher.started == 2
-        await registry.post_message(DiscoveryAddressChanged())  # the old one is no use any more
-        await registry.on_watch_event(2, WatchFailed("replaced", DiscoveryFailure.LOST))
-        registry.request_watch()
-        await registry.on_watch_event(3, EndpointListUpdate(3, True))
-        await events.get()
-        assert watcher.started == 3 and registry.version == 3
-        await cancel_and_wait(running)
-
-    run_with_timeout(go())
+    events: asyncio.Queue[Event] = asyncio.Queue()
+    watcher = CountingWatcher()
+    registry = EndpointRegistry(EndpointListUpdate(0, True), events.put, watcher)
+    running = asyncio.ensure_future(registry.run())
+    await registry.post_message(DiscoveryAddressChanged())
+    registry.request_watch()
+    await events.get()  # the known list
+    await registry.on_watch_event(1, EndpointListUpdate(1, True))
+    await events.get()
+    assert watcher.started == 1
+    registry.request_watch()
+    await registry.on_watch_event(1, WatchFailed("lost", DiscoveryFailure.LOST))
+    await events.get()
+    assert watcher.started == 1
+    registry.request_watch()
+    await registry.on_watch_event(2, EndpointListUpdate(2, True))
+    await events.get()
+    assert watcher.started == 2
+    await registry.post_message(DiscoveryAddressChanged())  # the old one is no use any more
+    await registry.on_watch_event(2, WatchFailed("replaced", DiscoveryFailure.LOST))
+    registry.request_watch()
+    await registry.on_watch_event(3, EndpointListUpdate(3, True))
+    await events.get()
+    assert watcher.started == 3 and registry.version == 3
+    await cancel_and_wait(running)
--- a/tests/core/test_load_values.py
+++ b/tests/core/test_load_values.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 import pytest
-from support.event_loop import run_with_timeout, until
+from support.event_loop import until
 from support.network_fakes import ask, first_line, relaying
 
 from sageturn.decision import MeasurementReported
@@ -24,28 +24,25 @@
     await reader.read()
 
 
-def test_a_load_that_is_no_number_never_reaches_the_balancer(
+async def test_a_load_that_is_no_number_never_reaches_the_balancer(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # One NaN entered the sum of all loads, every comparison with it failed from then on, and the relay
     # never again took an endpoint for overloaded.
-    async def go() -> None:
-        async with relaying(tmp_path, reports_invalid_loads) as (relay, _):
-            reported: list[float] = []
-            balancer = relay.balancer_actor.balancer
-            handle = balancer.handle
-
-            def record(now_ms: float, event: object) -> object:
-                if isinstance(event, MeasurementReported):
-                    reported.append(event.value)
-                return handle(now_ms, event)  # type: ignore[arg-type]
-
-            monkeypatch.setattr(balancer, "handle", record)
-            reader, writer = await ask(relay.listener.address, first_line())
-            for _ in range(len(INVALID_LOADS) + 2):
-                await reader.readline()
-            await until(lambda: 2.0 in reported)
-            assert reported == [2.0]
-            writer.close()
-
-    run_with_timeout(go())
+    async with relaying(tmp_path, reports_invalid_loads) as (relay, _):
+        reported: list[float] = []
+        balancer = relay.balancer_actor.balancer
+        handle = balancer.handle
+
+        def record(now_ms: float, event: object) -> object:
+            if isinstance(event, MeasurementReported):
+                reported.append(event.value)
+            return handle(now_ms, event)  # type: ignore[arg-type]
+
+        monkeypatch.setattr(balancer, "handle", record)
+        reader, writer = await ask(relay.listener.address, first_line())
+        for _ in range(len(INVALID_LOADS) + 2):
+            await reader.readline()
+        await until(lambda: 2.0 in reported)
+        assert reported == [2.0]
+        writer.close()
--- a/tests/core/test_request_lifecycle.py
+++ b/tests/core/test_request_lifecycle.py
@@ -63,46 +63,46 @@
         self.calls.append("reject" if response.rejected else "fail")
 
 
-def run_lifecycle(transport: ScriptedTransport, drain: bool = False) -> ConnectionRecord:
+async def run_lifecycle(transport: ScriptedTransport, drain: bool = False) -> ConnectionRecord:
     """One request against a balancer with four endpoints, which must be left idle."""
-
-    async def run() -> ConnectionRecord:
-        settings = Settings(classes=(RequestClass("c", latency_objective_ms=900),), may_cancel=True)
-        balancer_actor = BalancerActor(settings, 1, Clock(), lambda: None)
-        actor = asyncio.ensure_future(balancer_actor.run())
-        await balancer_actor.post_event(EndpointListEvent("full", [Endpoint(name) for name in "abcd"]))
-        lifecycle = RequestLifecycle(balancer_actor, transport, ClientRequest("c", "", 1000.0))
-        if drain:
-            lifecycle.drain_requested.set()
-        record = await asyncio.wait_for(lifecycle.run(), 5)
-        await asyncio.sleep(0.01)
-        actor.cancel()
-        assert is_balancer_idle(balancer_actor)
-        return record
-
-    return asyncio.run(run())
-
-
-@pytest.mark.parametrize("close_reason", [e for e in CloseReason if not e.name.startswith("CLIENT")])
-def test_no_close_reason_leads_to_a_fourth_attempt_or_a_second_response(close_reason: CloseReason) -> None:
+    settings = Settings(classes=(RequestClass("c", latency_objective_ms=900),), may_cancel=True)
+    balancer_actor = BalancerActor(settings, 1, Clock(), lambda: None)
+    actor = asyncio.ensure_future(balancer_actor.run())
+    await balancer_actor.post_event(EndpointListEvent("full", [Endpoint(name) for name in "abcd"]))
+    lifecycle = RequestLifecycle(balancer_actor, transport, ClientRequest("c", "", 1000.0))
+    if drain:
+        lifecycle.drain_requested.set()
+    record = await asyncio.wait_for(lifecycle.run(), 5)
+    await asyncio.sleep(0.01)
+    actor.cancel()
+    assert is_balancer_idle(balancer_actor)
+    return record
+
+
+@pytest.mark.parametrize(
+    "close_reason", [reason for reason in CloseReason if not reason.name.startswith("CLIENT")]
+)
+async def test_no_close_reason_leads_to_a_fourth_attempt_or_a_second_response(
+    close_reason: CloseReason,
+) -> None:
     transport = ScriptedTransport(*[close_reason] * 4)
-    record = run_lifecycle(transport)
+    record = await run_lifecycle(transport)
     assert transport.calls == ["open upstream", "open upstream", "open upstream", "reject"]
     assert record.attempts == 3
 
 
-def test_an_established_attempt_is_accepted_and_migrated_on_request() -> None:
+async def test_an_established_attempt_is_accepted_and_migrated_on_request() -> None:
     transport = ScriptedTransport(CloseReason.BUSY, None)
-    record = run_lifecycle(transport, drain=True)
+    record = await run_lifecycle(transport, drain=True)
     assert transport.calls == ["open upstream", "open upstream", "accept", "relay traffic"]
     assert record.close_reason is CloseReason.MOVED
 
 
-def test_a_client_that_disconnects_as_its_attempt_is_established_leaves_no_connection_open() -> None:
+async def test_a_client_that_disconnects_as_its_attempt_is_established_leaves_no_connection_open() -> None:
     # Both came in one turn of the loop: the endpoint's connection stayed open, with no client.
     transport = ScriptedTransport(None)
     transport.disconnects_during_attempt = True
-    record = run_lifecycle(transport)
+    record = await run_lifecycle(transport)
     assert transport.calls == ["open upstream", "close upstream"]
     assert record.close_reason is CloseReason.CLIENT_LEFT
 
@@ -124,7 +124,7 @@
     # The second front rests on it: what the core imports is where a protocol would creep in.
     for file in (PACKAGE / "core").glob("*.py"):
         for node in ast.walk(ast.parse(file.read_text())):
-            names = [a.name for a in node.names] if isinstance(node, ast.Import) else []
+            names = [alias.name for alias in node.names] if isinstance(node, ast.Import) else []
             if isinstance(node, ast.ImportFrom):
                 names = [node.module or ""]
             for name in names:
--- a/tests/relay/test_compatibility_states.py
+++ b/tests/relay/test_compatibility_states.py
@@ -1,15 +1,15 @@
-"""What each subsystem tells of its state in the store stays as revision 6e0cdec told it, byte for byte.
+"""The state that each subsystem publishes in the store stays as revision 6e0cdec encoded it, byte for byte.
 
-A record's bytes are those that go out on a link: its JSON with its fields in the order in which they are
-told. Operators' signed words, which lie beside the states in the store, are held here too.
+A record's bytes are those that go out on a link: its JSON, with its fields in the order in which they are
+encoded. Operators' signed operations, which lie beside the states in the store, are compared here too.
 """
 
 from __future__ import annotations
 
-import asyncio
 import json
 import tempfile
 import time
+from collections.abc import Callable
 from pathlib import Path
 from types import SimpleNamespace
 from typing import Any
@@ -58,12 +58,12 @@
 
 
 async def relay_states(folder: Path, operator: dict[str, Any]) -> list[tuple[str, Any]]:
-    """What a relay that has not been started tells of itself, before and after connections have ended."""
+    """The states of a relay that has not been started, before and after connections have ended."""
     (folder / "secret").write_text("a shared secret")
     (folder / "operator.json").write_text(json.dumps(operator))
-    env = {"GW_CONFIG": str(write_config(folder, ("127.0.0.1", 9)))}
-    relay = Relay(load(env, str(folder / "operator.json")))
-    told = [report(relay)]
+    environment = {"GW_CONFIG": str(write_config(folder, ("127.0.0.1", 9)))}
+    relay = Relay(load(environment, str(folder / "operator.json")))
+    states = [report(relay)]
     for number, close_reason in enumerate(CloseReason, 1):
         relay.closed_connections.counts[close_reason.name.lower()] += number
     relay.closed_connections.counts["not_placed"] += 1
@@ -72,9 +72,9 @@
         relay.flow_exporter.dropped = 3
     if relay.replication is not None:
         relay.replication.replica.merge_zone_ages({"south/s1": 35.0, "south/s2": 1.0}, time.monotonic())
-    told.append(report(relay))
+    states.append(report(relay))
     relay.listener.close()
-    return told
+    return states
 
 
 def report(relay: Relay) -> tuple[str, Any]:
@@ -92,9 +92,9 @@
 }
 
 
-def make_relay_states(name: str) -> bytes:
+async def make_relay_states(name: str) -> bytes:
     with tempfile.TemporaryDirectory() as folder:
-        return as_lines(asyncio.run(relay_states(Path(folder), RELAYS[name])))
+        return as_lines(await relay_states(Path(folder), RELAYS[name]))
 
 
 # ---------------------------------------------------------------- state/NODE/rebalance
@@ -116,47 +116,54 @@
 
 def make_rebalance_states() -> bytes:
     """An uneven fleet at first, while it is balanced, after that, in a dry run, turned off, in trouble."""
-    told = []
+    states = []
     fleet = Fleet("abcd", {"part_per_min": 0.5, "least_age_s": 2.0})
-    for host, groups in (("a", 14), ("b", 6), ("c", 6), ("d", 6)):
+    for endpoint, groups in (("a", 14), ("b", 6), ("c", 6), ("d", 6)):
         for number in range(groups):
-            fleet.add_connections(host, 5, f"{host}{number}")
+            fleet.add_connections(endpoint, 5, f"{endpoint}{number}")
     for seconds in (1, 29, 15, 200):
         fleet.run(seconds)
-        told.append(fleet.planner.encode_state(fleet.plan))
+        states.append(fleet.planner.encode_state(fleet.plan))
     fleet.planner.options = RebalanceOptions(mode="dry-run")
-    told.append(fleet.planner.encode_state(fleet.step()))
+    states.append(fleet.planner.encode_state(fleet.step()))
     fleet.planner.options = RebalanceOptions(mode="off")
-    told.append(fleet.planner.encode_state(fleet.step()))
+    states.append(fleet.planner.encode_state(fleet.step()))
     for number, block in enumerate(BlockReason):
         fleet.planner.block_counts[block] = number
-    told.append(fleet.planner.encode_state(MigrationPlan((), PlanPhase.HELD, "said here")))
+    states.append(fleet.planner.encode_state(MigrationPlan((), PlanPhase.HELD, "said here")))
     fleet.planner.options = fleet.options
     for _ in range(40):
         record_overload(fleet)
-    told.append(fleet.planner.encode_state(fleet.step()))
-    return as_lines([("state/n1/rebalance", state) for state in told])
+    states.append(fleet.planner.encode_state(fleet.step()))
+    return as_lines([("state/n1/rebalance", state) for state in states])
 
 
 # ---------------------------------------------------------------- overrides
 
 
-def op(
-    override: str, word: str, revision: int, operator: str, body: OverridePayload | None = None, **more: Any
+def make_operation(
+    override: str,
+    operation_type: str,
+    revision: int,
+    operator: str,
+    payload: OverridePayload | None = None,
+    **changed: Any,
 ) -> OverrideOperation:
-    until_ms = 0.0 if word == "revoke" else NOW_MS + HOUR_MS
-    said = {
+    expires_at_ms = 0.0 if operation_type == "revoke" else NOW_MS + HOUR_MS
+    fields = {
         "created_at_ms": NOW_MS + revision,
         "reason": 'tổ "1"',
-        "expires_at_ms": until_ms,
+        "expires_at_ms": expires_at_ms,
         "nonce": "0a1b2c3d",
-        **more,
+        **changed,
     }
-    return OverrideOperation(override, OperationType(word), revision, operator=operator, payload=body, **said)
+    return OverrideOperation(
+        override, OperationType(operation_type), revision, operator=operator, payload=payload, **fields
+    )
 
 
-OPS = [
-    op(
+OPERATIONS = [
+    make_operation(
         "o-out",
         "set",
         1,
@@ -165,8 +172,8 @@
             OverrideKind.OUT_OF_SERVICE, Selector(SelectorAttribute.ENDPOINT, "a"), migrate_connections=True
         ),
     ),
-    op("o-out", "extend", 2, "mai", expires_at_ms=NOW_MS + 2 * HOUR_MS),
-    op(
+    make_operation("o-out", "extend", 2, "mai", expires_at_ms=NOW_MS + 2 * HOUR_MS),
+    make_operation(
         "o-weight",
         "set",
         1,
@@ -174,9 +181,11 @@
         OverridePayload(OverrideKind.WEIGHT, Selector(SelectorAttribute.ZONE, "z1"), factor=0.25),
         forced=True,
     ),
-    op("o-hold", "set", 1, "mai", OverridePayload(OverrideKind.HOLD, Selector(SelectorAttribute.KIND, "k2"))),
-    op("o-hold", "revoke", 2, "lan"),
-    op(
+    make_operation(
+        "o-hold", "set", 1, "mai", OverridePayload(OverrideKind.HOLD, Selector(SelectorAttribute.KIND, "k2"))
+    ),
+    make_operation("o-hold", "revoke", 2, "lan"),
+    make_operation(
         "o-pin",
         "set",
         1,
@@ -185,7 +194,7 @@
             OverrideKind.PIN, endpoints=("b", "c"), strict=True, class_name="c", tenant="t", group_prefix="g"
         ),
     ),
-    op(
+    make_operation(
         "o-start",
         "set",
         1,
@@ -194,7 +203,7 @@
             OverrideKind.OUT_OF_SERVICE, Selector(SelectorAttribute.ENDPOINT, "b"), process_started_at_ms=5.0
         ),
     ),
-    op(
+    make_operation(
         "o-cell",
         "set",
         1,
@@ -202,7 +211,7 @@
         OverridePayload(OverrideKind.OUT_OF_SERVICE, Selector(SelectorAttribute.CELL, "3")),
         expires_at_ms=NOW_MS + 1.0,
     ),
-    op(
+    make_operation(
         "o-much",
         "set",
         1,
@@ -212,8 +221,8 @@
 ]
 
 
-def signed_words() -> list[tuple[str, Any]]:
-    return [(said.key, sign_operation(said, KEYS[said.operator])) for said in OPS]
+def signed_operations() -> list[tuple[str, Any]]:
+    return [(operation.key, sign_operation(operation, KEYS[operation.operator])) for operation in OPERATIONS]
 
 
 def override_options() -> OverrideOptions:
@@ -222,55 +231,60 @@
     )
 
 
-def override_states(words: list[tuple[str, Any]]) -> list[tuple[str, Any]]:
-    """With the words that are there at first, once more with one that is refused, and when some are over."""
-    told: list[tuple[str, Any]] = []
-    clock = SimpleNamespace(now_ms=NOW_MS)
-    records = dict(words)
+async def discard_event(event: Any) -> None:
+    """Stands in for the balancer actor's mailbox."""
+
+
+OVERRIDDEN_ENDPOINTS = [
+    Endpoint("a", zone="z1", kind="k1", cell=1),
+    Endpoint("b", zone="z1", kind="k2", started_at_ms=5.0),
+    Endpoint("c", zone="z2", kind="k2", cell=3),
+    Endpoint("d", zone="z2", share=2.0),
+]
+
+
+def make_override_actor(
+    records: dict[str, Any], states: list[tuple[str, Any]], now_ms: Callable[[], float]
+) -> OverrideActor:
+    """An actor that reads ``records`` and appends its states to ``states``."""
     store: Any = SimpleNamespace(keys=lambda prefix="": sorted(records), get=records.get)
+    balancer_actor: Any = SimpleNamespace(
+        settings=Settings(classes=(RequestClass("c", latency_objective_ms=500),)),
+        observers=[],
+        clock=Clock(),
+        post_event=discard_event,
+    )
+    return OverrideActor(
+        balancer_actor,
+        override_options(),
+        store,
+        lambda state: states.append(("state/n1/overrides", state)),
+        now_ms=now_ms,
+    )
+
+
+async def override_states(operations: list[tuple[str, Any]]) -> list[tuple[str, Any]]:
+    """The states with the first operations, with one more that is rejected, and once some have expired."""
+    states: list[tuple[str, Any]] = []
+    clock = SimpleNamespace(now_ms=NOW_MS)
+    overrides = make_override_actor(dict(operations), states, lambda: clock.now_ms)
+    overrides.registry.apply_endpoint_list(OVERRIDDEN_ENDPOINTS, True, clock.now_ms)
+    await overrides.step()
+    forged = {**operations[0][1], "why": "forged"}
+    overrides.on_store_change(
+        [StoreRecord("overrides/o-forged/000001-lan-0a1b2c3d", forged, version=1, node="n1")]
+    )
+    await overrides.step()
+    clock.now_ms = NOW_MS + 3 * HOUR_MS
+    await overrides.step()
+    return states
+
 
-    async def discard_event(event: Any) -> None:
-        pass
-
-    async def go() -> None:
-        balancer_actor: Any = SimpleNamespace(
-            settings=Settings(classes=(RequestClass("c", latency_objective_ms=500),)),
-            observers=[],
-            clock=Clock(),
-            post_event=discard_event,
-        )
-        overrides = OverrideActor(
-            balancer_actor,
-            override_options(),
-            store,
-            lambda state: told.append(("state/n1/overrides", state)),
-            now_ms=lambda: clock.now_ms,
-        )
-        endpoints = [
-            Endpoint("a", zone="z1", kind="k1", cell=1),
-            Endpoint("b", zone="z1", kind="k2", started_at_ms=5.0),
-            Endpoint("c", zone="z2", kind="k2", cell=3),
-            Endpoint("d", zone="z2", share=2.0),
-        ]
-        overrides.registry.apply_endpoint_list(endpoints, True, clock.now_ms)
-        await overrides.step()
-        forged = {**words[0][1], "why": "forged"}
-        overrides.on_store_change(
-            [StoreRecord("overrides/o-forged/000001-lan-0a1b2c3d", forged, version=1, node="n1")]
-        )
-        await overrides.step()
-        clock.now_ms = NOW_MS + 3 * HOUR_MS
-        await overrides.step()
-
-    asyncio.run(go())
-    return told
-
-
-def produced() -> dict[str, bytes]:
-    files = {f"relay-{name}.jsonl": make_relay_states(name) for name in RELAYS}
+async def produced() -> dict[str, bytes]:
+    files = {f"relay-{name}.jsonl": await make_relay_states(name) for name in RELAYS}
     files["rebalance.jsonl"] = make_rebalance_states()
-    files["override-words.jsonl"] = as_lines(signed_words())
-    files["overrides.jsonl"] = as_lines(override_states(signed_words()))
+    files["override-words.jsonl"] = as_lines(signed_operations())
+    files["overrides.jsonl"] = as_lines(await override_states(signed_operations()))
     return files
 
 
@@ -280,8 +294,8 @@
 
 
 @pytest.mark.parametrize("name", RELAYS)
-def test_a_relay_tells_of_itself_as_it_did(name: str) -> None:
-    assert make_relay_states(name) == (FIXTURES / f"relay-{name}.jsonl").read_bytes()
+async def test_a_relay_tells_of_itself_as_it_did(name: str) -> None:
+    assert await make_relay_states(name) == (FIXTURES / f"relay-{name}.jsonl").read_bytes()
 
 
 def test_the_planner_tells_its_state_as_it_did() -> None:
@@ -289,9 +303,11 @@
 
 
 def test_operators_words_are_signed_as_they_were_and_those_of_before_are_read() -> None:
-    assert as_lines(signed_words()) == (FIXTURES / "override-words.jsonl").read_bytes()
+    assert as_lines(signed_operations()) == (FIXTURES / "override-words.jsonl").read_bytes()
     operators = override_options().operators
-    assert [parse_operation(key, value, operators) for key, value in recorded("override-words.jsonl")] == OPS
+    assert [
+        parse_operation(key, value, operators) for key, value in recorded("override-words.jsonl")
+    ] == OPERATIONS
 
 
 def test_a_recorded_word_that_was_changed_is_refused() -> None:
@@ -300,6 +316,6 @@
         parse_operation(key, {**value, "until_ms": value["until_ms"] + 1.0}, override_options().operators)
 
 
-def test_overrides_made_of_recorded_words_tell_their_state_as_it_was() -> None:
-    told = override_states(recorded("override-words.jsonl"))
-    assert as_lines(told) == (FIXTURES / "overrides.jsonl").read_bytes()
+async def test_overrides_made_of_recorded_words_tell_their_state_as_it_was() -> None:
+    states = await override_states(recorded("override-words.jsonl"))
+    assert as_lines(states) == (FIXTURES / "overrides.jsonl").read_bytes()
--- a/tests/relay/test_full_disk.py
+++ b/tests/relay/test_full_disk.py
@@ -7,34 +7,31 @@
 
 import pytest
 from support.disk_faults import failing_syncs
-from support.event_loop import run_with_timeout, until
+from support.event_loop import until
 from support.network_fakes import ask, first_line, relaying, up
 
 from sageturn.relay import state_record
 
 
-def test_a_state_report_that_the_disk_does_not_take_costs_no_connection(
+async def test_a_state_report_that_the_disk_does_not_take_costs_no_connection(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # The reporter ended by the error, and the relay with it: all its connections were cut off.
     monkeypatch.setattr(state_record, "STATE_INTERVAL_S", 0.02)
 
-    async def go() -> None:
-        operator = {"store": {"path": str(tmp_path / "store")}}
-        async with relaying(tmp_path, up, operator=operator) as (relay, _):
-            key = f"state/{relay.config.name}/relay"
-            reader, writer = await ask(relay.listener.address, first_line())
-            assert await reader.readline() == b"UP r1\r\n"
-            await until(lambda: (relay.store.get(key) or {}).get("standing") == 1)
-            with failing_syncs(monkeypatch):
-                second_reader, second_writer = await ask(relay.listener.address, first_line())
-                assert await second_reader.readline() == b"UP r1\r\n"
-                await relay._actors.wait_until_failed_or(asyncio.sleep(0.3))
-                relay._actors.raise_first_failure()
-                writer.write(b"M 1\r\n")
-                assert await reader.readline() == b"M 1\r\n"
-            await until(lambda: relay.store.get(key)["standing"] == 2)
-            second_writer.close()
-            writer.close()
-
-    run_with_timeout(go())
+    operator = {"store": {"path": str(tmp_path / "store")}}
+    async with relaying(tmp_path, up, operator=operator) as (relay, _):
+        key = f"state/{relay.config.name}/relay"
+        reader, writer = await ask(relay.listener.address, first_line())
+        assert await reader.readline() == b"UP r1\r\n"
+        await until(lambda: (relay.store.get(key) or {}).get("standing") == 1)
+        with failing_syncs(monkeypatch):
+            second_reader, second_writer = await ask(relay.listener.address, first_line())
+            assert await second_reader.readline() == b"UP r1\r\n"
+            await relay._actors.wait_until_failed_or(asyncio.sleep(0.3))
+            relay._actors.raise_first_failure()
+            writer.write(b"M 1\r\n")
+            assert await reader.readline() == b"M 1\r\n"
+        await until(lambda: relay.store.get(key)["standing"] == 2)
+        second_writer.close()
+        writer.close()
--- a/tests/relay/test_program.py
+++ b/tests/relay/test_program.py
@@ -14,6 +14,7 @@
 from pathlib import Path
 from typing import Any
 
+import pytest
 from support.network_fakes import (
     Discovery,
     FakeEndpoint,
@@ -62,145 +63,130 @@
             await process.wait()
 
 
-def test_sigterm_answers_and_migrates_all_clients_and_exits_with_0(tmp_path: Path) -> None:
+@pytest.mark.timeout(30)
+async def test_sigterm_answers_and_migrates_all_clients_and_exits_with_0(tmp_path: Path) -> None:
     # Connections that remain when SIGKILL comes, 3.7 s after SIGTERM at the earliest, are lost.
-    async def go() -> None:
-        async with running_program(tmp_path) as (process, address):
-            clients = [await ask(address, first_line()) for _ in range(10)]
-            for reader, _ in clients:
-                assert await reader.readline() == b"UP r1\r\n"
-            began_s = asyncio.get_running_loop().time()
-            process.send_signal(signal.SIGTERM)
-            await asyncio.sleep(0.2)
-            assert await reply(address, first_line()) == b"UP r1\r\n"  # new ones keep coming for a while
-            for reader, writer in clients:
-                assert await asyncio.wait_for(reader.read(), 4) == b"MOVE\r\n"
-                writer.close()
-            assert await process.wait() == 0
-            assert asyncio.get_running_loop().time() - began_s < 3.6
-
-    asyncio.run(asyncio.wait_for(go(), 30))
-
-
-def test_every_client_is_answered_when_descriptors_run_out(tmp_path: Path) -> None:
-    # A client left in the backlog has been accepted by the system, and would be lost.
-    async def go() -> None:
-        async with running_program(tmp_path, limits={"sockets": 40}) as (process, address):
-            clients = [await ask(address, first_line(3000)) for _ in range(60)]
-            answers = [(await asyncio.wait_for(reader.readline(), 5))[:4] for reader, _ in clients]
-            assert set(answers) == {b"UP r", b"BUSY"} and process.returncode is None
-            for _, writer in clients:
-                writer.close()
-            async with asyncio.timeout(5):
-                while await reply(address, first_line()) != b"UP r1\r\n":
-                    await asyncio.sleep(0.05)
-
-    asyncio.run(asyncio.wait_for(go(), 30))
-
-
-def run_to_its_end(folder: Path, change: dict[str, Any]) -> tuple[int, str]:
-    """The exit code and what was written to stderr, with these keys of the configuration changed."""
+    async with running_program(tmp_path) as (process, address):
+        clients = [await ask(address, first_line()) for _ in range(10)]
+        for reader, _ in clients:
+            assert await reader.readline() == b"UP r1\r\n"
+        began_s = asyncio.get_running_loop().time()
+        process.send_signal(signal.SIGTERM)
+        await asyncio.sleep(0.2)
+        assert await reply(address, first_line()) == b"UP r1\r\n"  # new ones keep coming for a while
+        for reader, writer in clients:
+            assert await asyncio.wait_for(reader.read(), 4) == b"MOVE\r\n"
+            writer.close()
+        assert await process.wait() == 0
+        assert asyncio.get_running_loop().time() - began_s < 3.6
 
-    async def go() -> tuple[int, str]:
-        file = write_config(folder, ("127.0.0.1", 1), **change)
-        process = await asyncio.create_subprocess_exec(
-            sys.executable,
-            "-m",
-            "sageturn",
-            env={**os.environ, "GW_CONFIG": str(file)},
-            stderr=asyncio.subprocess.PIPE,
-        )
-        _, errors = await asyncio.wait_for(process.communicate(), 10)
-        return process.returncode or 0, errors.decode()
 
-    return asyncio.run(go())
+@pytest.mark.timeout(30)
+async def test_every_client_is_answered_when_descriptors_run_out(tmp_path: Path) -> None:
+    # A client left in the backlog has been accepted by the system, and would be lost.
+    async with running_program(tmp_path, limits={"sockets": 40}) as (process, address):
+        clients = [await ask(address, first_line(3000)) for _ in range(60)]
+        answers = [(await asyncio.wait_for(reader.readline(), 5))[:4] for reader, _ in clients]
+        assert set(answers) == {b"UP r", b"BUSY"} and process.returncode is None
+        for _, writer in clients:
+            writer.close()
+        async with asyncio.timeout(5):
+            while await reply(address, first_line()) != b"UP r1\r\n":
+                await asyncio.sleep(0.05)
 
 
-def test_invalid_configuration_ends_the_program_and_names_its_key(tmp_path: Path) -> None:
+async def run_to_its_end(folder: Path, change: dict[str, Any]) -> tuple[int, str]:
+    """The exit code and what was written to stderr, with these keys of the configuration changed."""
+    file = write_config(folder, ("127.0.0.1", 1), **change)
+    process = await asyncio.create_subprocess_exec(
+        sys.executable,
+        "-m",
+        "sageturn",
+        env={**os.environ, "GW_CONFIG": str(file)},
+        stderr=asyncio.subprocess.PIPE,
+    )
+    _, errors = await asyncio.wait_for(process.communicate(), 10)
+    return process.returncode or 0, errors.decode()
+
+
+@pytest.mark.timeout(30)  # 10 s for each of three processes
+async def test_invalid_configuration_ends_the_program_and_names_its_key(tmp_path: Path) -> None:
     known = {"version": 1, "servers": [{"id": "a"}]}
     faults = (({"listen": "nowhere"}, "listen"), ({"known": known}, "known"), ({"seed": 1}, "seed"))
     for change, key in faults:
-        code, errors = run_to_its_end(tmp_path, change)
+        code, errors = await run_to_its_end(tmp_path, change)
         assert code == 2
         assert errors.startswith(f"sageturn: {key}") and errors.count("\n") == 1
     assert json.loads((tmp_path / "config.json").read_text())["seed"] == 1
 
 
-def test_sighup_moves_the_watch_and_an_invalid_file_changes_nothing(tmp_path: Path) -> None:
+@pytest.mark.timeout(30)
+async def test_sighup_moves_the_watch_and_an_invalid_file_changes_nothing(tmp_path: Path) -> None:
     # SIGHUP used to end the program (exit 129) and every connection with it. The environment names the old
     # discovery, as the platform's does: it must not hide the file's new one.
-    async def go() -> None:
-        async with AsyncExitStack() as stack:
-            moved = Discovery(chunked(listed({"a": ("127.0.0.1", 9)}, 3)))
-            await stack.enter_async_context(served(moved))
-            log = stack.enter_context((tmp_path / "log").open("w+"))
-            process, address = await stack.enter_async_context(
-                running_program(tmp_path, variable_and_key=("GW_DISCOVERY", "discovery"), log=log)
-            )
-            file = tmp_path / "config.json"
-            good = json.loads(file.read_text())
-            reader, writer = await ask(address, first_line())
-            assert await reader.readline() == b"UP r1\r\n"
-
-            new = {**good, "discovery": f"{moved.address[0]}:{moved.address[1]}"}
-            file.write_text(json.dumps({**new, "limits": {"sockets": -1}}))
-            process.send_signal(signal.SIGHUP)
-            while "limits.sockets" not in (tmp_path / "log").read_text():
-                await asyncio.sleep(0.01)
-            assert moved.requests == []  # all of it is checked before anything is applied
-
-            file.write_text(json.dumps(new))
-            for _ in range(5):
-                process.send_signal(signal.SIGHUP)
-            while not moved.requests:
-                await asyncio.sleep(0.01)
-            writer.write(b"M 1\r\n")
-            assert await reader.readline() == b"M 1\r\n" and process.returncode is None
-            process.send_signal(signal.SIGTERM)
+    async with AsyncExitStack() as stack:
+        moved = Discovery(chunked(listed({"a": ("127.0.0.1", 9)}, 3)))
+        await stack.enter_async_context(served(moved))
+        log = stack.enter_context((tmp_path / "log").open("w+"))
+        process, address = await stack.enter_async_context(
+            running_program(tmp_path, variable_and_key=("GW_DISCOVERY", "discovery"), log=log)
+        )
+        file = tmp_path / "config.json"
+        good = json.loads(file.read_text())
+        reader, writer = await ask(address, first_line())
+        assert await reader.readline() == b"UP r1\r\n"
+
+        new = {**good, "discovery": f"{moved.address[0]}:{moved.address[1]}"}
+        file.write_text(json.dumps({**new, "limits": {"sockets": -1}}))
+        process.send_signal(signal.SIGHUP)
+        while "limits.sockets" not in (tmp_path / "log").read_text():
+            await asyncio.sleep(0.01)
+        assert moved.requests == []  # all of it is checked before anything is applied
+
+        file.write_text(json.dumps(new))
+        for _ in range(5):
             process.send_signal(signal.SIGHUP)
-            assert await reader.read() == b"MOVE\r\n" and await process.wait() == 0
-            writer.close()
-            log_text = (tmp_path / "log").read_text()
-            assert log_text.count(" ERROR ") == 1 and log_text.count("limits.sockets") == 1
-
-    asyncio.run(asyncio.wait_for(go(), 30))
-
-
-def test_sigterm_before_the_relay_listens_exits_with_0(tmp_path: Path) -> None:
+        while not moved.requests:
+            await asyncio.sleep(0.01)
+        writer.write(b"M 1\r\n")
+        assert await reader.readline() == b"M 1\r\n" and process.returncode is None
+        process.send_signal(signal.SIGTERM)
+        process.send_signal(signal.SIGHUP)
+        assert await reader.read() == b"MOVE\r\n" and await process.wait() == 0
+        writer.close()
+        log_text = (tmp_path / "log").read_text()
+        assert log_text.count(" ERROR ") == 1 and log_text.count("limits.sockets") == 1
+
+
+async def test_sigterm_before_the_relay_listens_exits_with_0(tmp_path: Path) -> None:
     # The signal once ended it with an error. It is pending here before the program has begun.
-    async def go() -> None:
-        file = write_config(tmp_path, ("127.0.0.1", 1), listed({}))
-        code = (
-            "import os, signal, sys; signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGTERM});"
-            "os.kill(os.getpid(), signal.SIGTERM); from sageturn.__main__ import main;"
-            "sys.argv = ['sageturn']; sys.exit(main())"
-        )
-        process = await asyncio.create_subprocess_exec(
-            sys.executable, "-c", code, env={**os.environ, "GW_CONFIG": str(file)}
-        )
-        assert await asyncio.wait_for(process.wait(), 10) == 0
-
-    asyncio.run(go())
-
-
-def test_a_log_that_nobody_reads_holds_up_nobody(tmp_path: Path) -> None:
+    file = write_config(tmp_path, ("127.0.0.1", 1), listed({}))
+    code = (
+        "import os, signal, sys; signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGTERM});"
+        "os.kill(os.getpid(), signal.SIGTERM); from sageturn.__main__ import main;"
+        "sys.argv = ['sageturn']; sys.exit(main())"
+    )
+    process = await asyncio.create_subprocess_exec(
+        sys.executable, "-c", code, env={**os.environ, "GW_CONFIG": str(file)}
+    )
+    assert await asyncio.wait_for(process.wait(), 10) == 0
+
+
+async def test_a_log_that_nobody_reads_holds_up_nobody(tmp_path: Path) -> None:
     # Whoever read the pipe had stopped: the relay waited in the write of a line, and all its clients with it.
-    async def go() -> None:
-        read_end, write_end = os.pipe()
-        capacity = fcntl.fcntl(write_end, fcntl.F_GETPIPE_SZ)
-        os.write(write_end, b"x" * capacity)
-        async with running_program(tmp_path, log=write_end) as (_, address):
-            os.close(write_end)
-            for _ in range(3):
-                assert await reply(address, first_line()) == b"UP r1\r\n"
-            assert os.read(read_end, capacity) == b"x" * capacity
-            os.set_blocking(read_end, False)
-            written = b""
-            while b"log lines dropped" not in written:
-                assert await reply(address, first_line()) == b"UP r1\r\n"
-                with suppress(BlockingIOError):
-                    written += os.read(read_end, capacity)
-            assert re.search(rb"WARNING [a-z_.]+: log lines dropped count=[1-9][0-9]*\n", written)
-        os.close(read_end)
-
-    asyncio.run(asyncio.wait_for(go(), 20))
+    read_end, write_end = os.pipe()
+    capacity = fcntl.fcntl(write_end, fcntl.F_GETPIPE_SZ)
+    os.write(write_end, b"x" * capacity)
+    async with running_program(tmp_path, log=write_end) as (_, address):
+        os.close(write_end)
+        for _ in range(3):
+            assert await reply(address, first_line()) == b"UP r1\r\n"
+        assert os.read(read_end, capacity) == b"x" * capacity
+        os.set_blocking(read_end, False)
+        written = b""
+        while b"log lines dropped" not in written:
+            assert await reply(address, first_line()) == b"UP r1\r\n"
+            with suppress(BlockingIOError):
+                written += os.read(read_end, capacity)
+        assert re.search(rb"WARNING [a-z_.]+: log lines dropped count=[1-9][0-9]*\n", written)
+    os.close(read_end)
--- a/tests/relay/test_readiness.py
+++ b/tests/relay/test_readiness.py
@@ -12,24 +12,23 @@
 STARTS = 2
 
 
+@pytest.mark.timeout(60)
 @pytest.mark.parametrize("state", STATES)
 @pytest.mark.parametrize(
     "end_signal", [signal.SIGTERM, signal.SIGKILL], ids=lambda end_signal: end_signal.name
 )
-def test_restarted_relay_with_a_known_list_is_ready_in_time_in_any_state_of_discovery(
+async def test_restarted_relay_with_a_known_list_is_ready_in_time_in_any_state_of_discovery(
     state: str, end_signal: signal.Signals
 ) -> None:
-    took_s = asyncio.run(asyncio.wait_for(measure(Case(state, end_signal, "ask", True), STARTS), 60))
+    took_s = await measure(Case(state, end_signal, "ask", True), STARTS)
     assert len(took_s) == STARTS and max(took_s) < BOUND_S
 
 
-def test_relay_that_is_not_ready_counts_as_late() -> None:
+@pytest.mark.timeout(30)
+async def test_relay_that_is_not_ready_counts_as_late() -> None:
     # Nobody has a list to give it: the measurement has to show that, and not leave it out.
-    async def go() -> list[float]:
-        waiting = asyncio.ensure_future(first_pong(("127.0.0.1", 9)))
-        await asyncio.sleep(0.05)
-        assert not waiting.done()
-        waiting.cancel()
-        return await measure(Case("up", signal.SIGKILL, "ask", True), 1, bound_s=0.001)
-
-    assert asyncio.run(asyncio.wait_for(go(), 30)) == [0.001]
+    waiting = asyncio.ensure_future(first_pong(("127.0.0.1", 9)))
+    await asyncio.sleep(0.05)
+    assert not waiting.done()
+    waiting.cancel()
+    assert await measure(Case("up", signal.SIGKILL, "ask", True), 1, bound_s=0.001) == [0.001]
--- a/tests/relay/test_wall_clock_steps.py
+++ b/tests/relay/test_wall_clock_steps.py
@@ -2,11 +2,12 @@
 
 from __future__ import annotations
 
+import asyncio
 import time
 from pathlib import Path
 
 import pytest
-from support.event_loop import run_with_timeout, until
+from support.event_loop import until
 from support.network_fakes import relaying, up
 
 from sageturn.core.messages import EndpointListUpdate
@@ -31,21 +32,24 @@
     await until(lambda: name in relay.balancer_actor.balancer.endpoints)
 
 
-def test_an_endpoint_started_after_a_step_of_the_wall_clock_is_in_slow_start_for_its_real_time(
+async def check_age_after_step(folder: Path, monkeypatch: pytest.MonkeyPatch, step_s: float) -> None:
+    async with relaying(folder, up) as (relay, _):
+        await until(lambda: relay.endpoint_registry.version == 2)
+        step_wall_clock(monkeypatch, step_s)
+        await list_new_endpoint(relay, "new", age_s=0.5)
+        endpoint = relay.balancer_actor.balancer.endpoints["new"]
+        age_ms = endpoint.age_ms(relay.balancer_actor.clock.now_ms())
+        assert endpoint.slow_start is not None, step_s
+        assert 0.0 <= age_ms < 2000.0, step_s
+
+
+@pytest.mark.timeout(80)  # 20 s for each step
+async def test_an_endpoint_started_after_a_step_of_the_wall_clock_is_in_slow_start_for_its_real_time(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Set back by an hour, all that starts counted as warm and got its full share at once; set forward by an
     # hour, it counted as not yet started and got nothing for that hour.
-    async def play(step_s: float, patched: pytest.MonkeyPatch) -> None:
-        async with relaying(tmp_path, up) as (relay, _):
-            await until(lambda: relay.endpoint_registry.version == 2)
-            step_wall_clock(patched, step_s)
-            await list_new_endpoint(relay, "new", age_s=0.5)
-            endpoint = relay.balancer_actor.balancer.endpoints["new"]
-            age_ms = endpoint.age_ms(relay.balancer_actor.clock.now_ms())
-            assert endpoint.slow_start is not None, step_s
-            assert 0.0 <= age_ms < 2000.0, step_s
-
     for step_s in STEPS_S:
         with monkeypatch.context() as patched:
-            run_with_timeout(play(step_s, patched))
+            async with asyncio.timeout(20):
+                await check_age_after_step(tmp_path, patched, step_s)
