--- a/sageturn/core/balancer_actor.py
+++ b/sageturn/core/balancer_actor.py
@@ -5,6 +5,7 @@
 import asyncio
 import logging
 from collections.abc import Callable, Iterable, Sequence
+from dataclasses import dataclass, field
 from typing import Protocol
 
 from sageturn import decision
@@ -35,19 +36,48 @@
         """A graceful shutdown migrates a connection, which the balancer has not asked for."""
 
 
+@dataclass(slots=True, eq=False)
+class RequestHandle:
+    """What the balancer's actor and the lifecycle of one request share."""
+
+    id: int  # by which the balancer knows the request
+    log_id: str  # as the client named its request; the digits of ``id`` where it did not
+    instructions: asyncio.Queue[Instruction] = field(
+        default_factory=lambda: asyncio.Queue(MAX_QUEUED_INSTRUCTIONS)
+    )
+
+
+def ignore_health_check(endpoint: str) -> None:
+    """Stands in for a client of health checks where the settings allow none."""
+
+
 class BalancerActor:
     """Feeds the balancer with events one by one, and turns its actions into instructions to requests."""
 
     def __init__(
-        self, settings: decision.Settings, seed: int, clock: Clock, request_watch: Callable[[], None]
+        self,
+        settings: decision.Settings,
+        seed: int,
+        clock: Clock,
+        request_watch: Callable[[], None],
+        check_endpoint_health: Callable[[str], None] = ignore_health_check,
     ) -> None:
+        """Make the balancer; ``run`` starts the actor.
+
+        Args:
+            settings: what the operators allow the balancer.
+            seed: of the balancer's random choices.
+            clock: the relay's time, which all events carry.
+            request_watch: called when the balancer wants to be notified of changes of the endpoint list.
+            check_endpoint_health: sends a health check to an endpoint.
+        """
         self.settings = settings
         self.classes = {cls.name: cls for cls in settings.classes}
         self.clock = clock
         self._balancer = Balancer(settings, seed)
         self._request_watch = request_watch
         self._mailbox: asyncio.Queue[decision.Event] = asyncio.Queue(MAX_QUEUED_EVENTS)
-        self._requests: dict[int, asyncio.Queue[Instruction]] = {}
+        self._requests: dict[int, RequestHandle] = {}
         self._last_id = 0
         self._timers: set[asyncio.TimerHandle] = set()
         self.placements: list[tuple[int, str]] | None = None  # tests record every placement here
@@ -56,8 +86,7 @@
         self.monitor = InvariantMonitor()
         self.counters = RequestCounters()
         self._known_overdrawn_turns = 0
-        # Sends a health check to an endpoint; the relay sets it where the settings allow health checks.
-        self.check_endpoint_health: Callable[[str], None] = lambda _: None
+        self.check_endpoint_health = check_endpoint_health
 
     # ------------------------------------------------------------ for requests and other parts
 
@@ -68,18 +97,22 @@
 
     @property
     def request_count(self) -> int:
-        """How many requests have a mailbox now."""
+        """How many requests are registered now."""
         return len(self._requests)
 
-    def new_request(self) -> tuple[int, asyncio.Queue[Instruction]]:
-        """A new request's id, and the mailbox by which it gets its instructions until ``remove_request``."""
+    def new_request(self, client_request_id: str) -> RequestHandle:
+        """Register a request, which gets its instructions until ``remove_request``.
+
+        Args:
+            client_request_id: as the client named its request; empty where it did not.
+        """
         self._last_id = (self._last_id + 1) % REQUEST_ID_COUNT
-        mailbox: asyncio.Queue[Instruction] = asyncio.Queue(MAX_QUEUED_INSTRUCTIONS)
-        self._requests[self._last_id] = mailbox
-        return self._last_id, mailbox
+        handle = RequestHandle(self._last_id, client_request_id or str(self._last_id))
+        self._requests[handle.id] = handle
+        return handle
 
     def remove_request(self, request_id: int) -> None:
-        """Forget the mailbox of a request that has ended; later instructions for it are dropped."""
+        """Forget a request that has ended; later instructions for it are dropped."""
         self._requests.pop(request_id, None)
 
     async def post_event(self, event: decision.Event) -> None:
@@ -125,14 +158,17 @@
             try:
                 self._act(action)
             except Exception:
+                # The other actions can still be carried out.
                 log.exception(
-                    "action failed action=%s", type(action).__name__
-                )  # the others still can be done
+                    "action failed action=%s request=%s",
+                    type(action).__name__,
+                    self._log_id(getattr(action, "id", None)),
+                )
 
     def _fail_event(self, event: decision.Event) -> None:
         """One event that the balancer fails on must not cost all other requests their connections."""
-        log.exception("balancer failed event=%s", type(event).__name__)
-        request_id = getattr(event, "id", None)
+        request_id: int | None = getattr(event, "id", None)
+        log.exception("balancer failed event=%s request=%s", type(event).__name__, self._log_id(request_id))
         if request_id is not None:
             self._instruct(request_id, FinalResponse(rejected=False, reason="internal"))
 
@@ -178,17 +214,26 @@
         if overdrawn > self._known_overdrawn_turns:
             self._known_overdrawn_turns = overdrawn
             self.monitor.report_violation(
-                Invariant.SLOW_START_TURN, str(request_id), f"{endpoint} was sent an attempt without a turn"
+                Invariant.SLOW_START_TURN,
+                self._log_id(request_id),
+                f"{endpoint} was sent an attempt without a turn",
             )
 
     def _instruct(self, request_id: int, instruction: Instruction) -> None:
-        mailbox = self._requests.get(request_id)
-        if mailbox is None:
+        handle = self._requests.get(request_id)
+        if handle is None:
             return  # the connection closed before the balancer was told
         try:
-            mailbox.put_nowait(instruction)
+            handle.instructions.put_nowait(instruction)
         except asyncio.QueueFull:
-            log.error("instruction lost, mailbox full request_id=%d instruction=%r", request_id, instruction)
+            log.error("instruction lost, mailbox full request=%s instruction=%r", handle.log_id, instruction)
+
+    def _log_id(self, request_id: int | None) -> str:
+        """The id by which the log names a request; ``-`` for what belongs to none."""
+        if request_id is None:
+            return "-"
+        handle = self._requests.get(request_id)
+        return str(request_id) if handle is None else handle.log_id
 
     def _set_timer(self, delay_ms: float, mark: str) -> None:
         def on_timer() -> None:
