--- a/sageturn/lab/spreading.py
+++ b/sageturn/lab/spreading.py
@@ -71,14 +71,16 @@
         await _wait_until(lambda: bool(self.first.link_count and self.second.link_count))
         started_cpu_s = time.process_time()
         duration_s = await _wait_until(
-            lambda: self.first.replica.changes.roots == self.second.replica.changes.roots
+            lambda: self.first.replica.records.changes.roots == self.second.replica.records.changes.roots
         )
         cpu_s = time.process_time() - started_cpu_s
         return _SnapshotCost(self.first.replica.budget.consumed_bytes, duration_s, cpu_s)
 
     async def measure_idle(self, seconds: float) -> _Cost:
         """The mean cost of a side while nothing changes."""
-        await _wait_until(lambda: all(member.replica.sessions[0].delivered for member in self.members))
+        await _wait_until(
+            lambda: all(member.replica.sessions[0].change_exchange.is_delivered for member in self.members)
+        )
         before_bytes = [member.replica.budget.consumed_bytes for member in self.members]
         started_cpu_s = time.process_time()
         await asyncio.sleep(seconds)
--- a/sageturn/store/replication/anti_entropy.py
+++ b/sageturn/store/replication/anti_entropy.py
@@ -7,7 +7,6 @@
 
 from sageturn.store.errors import SessionRejectedError
 from sageturn.store.records import StoreRecord, record_digest
-from sageturn.store.replication.local_replica import LocalReplica
 from sageturn.store.replication.merkle_tree import DEPTH, FANOUT
 from sageturn.store.replication.message_codec import record_to_wire
 from sageturn.store.replication.messages import (
@@ -21,6 +20,7 @@
     TreeNode,
 )
 from sageturn.store.replication.priority import PriorityClass
+from sageturn.store.replication.replicated_records import ReplicatedRecords
 from sageturn.store.replication.send_allowance import MAX_CHUNK_BYTES, SendAllowance
 from sageturn.store.replication.wire import encoded_size
 
@@ -43,8 +43,8 @@
     One request is open at a time. Times are seconds of a monotonic clock.
     """
 
-    def __init__(self, replica: LocalReplica) -> None:
-        self._replica = replica
+    def __init__(self, records: ReplicatedRecords) -> None:
+        self._records = records
         self.rounds = 0  # comparisons that were started
         self._pending_nodes: list[TreeNode] = []
         self._pending_keys: list[str] = []
@@ -108,7 +108,7 @@
         priority, depth, position = node
         if depth >= DEPTH:
             raise SessionRejectedError("no node of the tree")
-        own_hashes = self._replica.changes.trees[priority].children(depth, position)
+        own_hashes = self._records.changes.trees[priority].children(depth, position)
         return [
             TreeNode(priority, depth + 1, position * FANOUT + number)
             for number, (peer_hash, own_hash) in enumerate(zip(peer_hashes, own_hashes, strict=True))
@@ -116,7 +116,7 @@
         ]
 
     def _lacks(self, key: str, offered: RecordVersion) -> bool:
-        held = self._replica.store.record(key)
+        held = self._records.store.record(key)
         offered_order = offered.version, offered.node
         if held is None or held.order != offered_order:
             return held is None or held.order < offered_order
@@ -152,8 +152,8 @@
 class AntiEntropyResponder:
     """The answering side; it holds one request at most."""
 
-    def __init__(self, replica: LocalReplica) -> None:
-        self._replica = replica
+    def __init__(self, records: ReplicatedRecords) -> None:
+        self._records = records
         self._request: NodeRequest | RecordRequest | None = None
 
     @property
@@ -205,7 +205,7 @@
         records: list[StoreRecord] = []
         remaining_bytes = MAX_CHUNK_BYTES
         for key in keys:
-            record = self._replica.store.record(key)
+            record = self._records.store.record(key)
             size = encoded_size(None if record is None else record_to_wire(record))
             if answered and size > remaining_bytes:
                 break
@@ -216,12 +216,12 @@
         return RecordResponse(answered, records)
 
     def _content_of(self, node: TreeNode) -> NodeContent:
-        tree = self._replica.changes.trees[node.priority]
+        tree = self._records.changes.trees[node.priority]
         if node.depth < DEPTH and tree.count(node.depth, node.position) > MAX_LISTED_KEYS:
             return tree.children(node.depth, node.position)
         versions = {}
         for key, digest in tree.entries(node.depth, node.position).items():
-            record = self._replica.store.record(key)
+            record = self._records.store.record(key)
             assert record is not None, key
             versions[key] = RecordVersion(record.version, record.node, digest)
         return versions
--- a/sageturn/store/replication/chunk_sender.py
+++ b/sageturn/store/replication/chunk_sender.py
@@ -14,7 +14,6 @@
 from sageturn.store.records import StoreRecord
 from sageturn.store.replication.changes import ChangeLogSet
 from sageturn.store.replication.cursor import ChangeStream
-from sageturn.store.replication.local_replica import LocalReplica
 from sageturn.store.replication.message_codec import record_to_wire
 from sageturn.store.replication.messages import (
     AcknowledgedPosition,
@@ -23,6 +22,7 @@
     SkippedRange,
 )
 from sageturn.store.replication.priority import PRIORITY_CLASSES, PriorityClass
+from sageturn.store.replication.replicated_records import ReplicatedRecords
 from sageturn.store.replication.send_allowance import MAX_CHUNK_BYTES, SendAllowance
 from sageturn.store.replication.wire import encoded_size
 
@@ -68,14 +68,14 @@
 
     def __init__(
         self,
-        replica: LocalReplica,
+        records: ReplicatedRecords,
         allowance: SendAllowance,
         follower_incarnation: int,
         positions: Sequence[FollowPosition],
         opened_at: float,
     ) -> None:
         """Raises SessionRejectedError for a position that this replica never gave."""
-        self._replica = replica
+        self._records = records
         self._allowance = allowance
         self._follower_incarnation = follower_incarnation
         self._positions: dict[Stream, SendPosition] = {}
@@ -85,7 +85,7 @@
             self._start_streams(priority, position)
 
     def _start_streams(self, priority: PriorityClass, follow: FollowPosition) -> None:
-        head = self._replica.changes.logs[priority].head
+        head = self._records.changes.logs[priority].head
         if not follow.backlog <= follow.backlog_end <= follow.live <= head:
             raise SessionRejectedError("a cursor that was never given")
         start = follow.backlog_end if follow.backlog < 0 else follow.backlog
@@ -170,12 +170,12 @@
         end = self._end_of(stream)
         remaining_bytes = MAX_CHUNK_BYTES
         records: list[StoreRecord] = []
-        for change in self._replica.changes.logs[priority].since(position.scanned):
+        for change in self._records.changes.logs[priority].since(position.scanned):
             if change.revision > end:
                 break
             if change.source == self._follower_incarnation:
                 continue
-            record = self._replica.store.record(change.key)
+            record = self._records.store.record(change.key)
             assert record is not None, change.key
             size = encoded_size(record_to_wire(record))
             if records and size > remaining_bytes:
@@ -216,7 +216,7 @@
 
     def _end_of(self, stream: Stream) -> int:
         end = self._positions[stream].end
-        return self._replica.changes.logs[stream[0]].head if end == NO_END else end
+        return self._records.changes.logs[stream[0]].head if end == NO_END else end
 
     def _skip_changes_of_follower(self, stream: Stream) -> None:
         """What came from the follower need not go back to it."""
@@ -224,7 +224,7 @@
         end = self._end_of(stream)
         if position.scanned >= end:
             return
-        for change in self._replica.changes.logs[stream[0]].since(position.scanned):
+        for change in self._records.changes.logs[stream[0]].since(position.scanned):
             if change.revision > end:
                 break
             if change.source != self._follower_incarnation:
--- a/sageturn/store/replication/convergence.py
+++ b/sageturn/store/replication/convergence.py
@@ -7,9 +7,9 @@
 
 from sageturn.store.replication.chunk_receiver import ChunkReceiver
 from sageturn.store.replication.chunk_sender import ChunkSender
-from sageturn.store.replication.local_replica import LocalReplica
 from sageturn.store.replication.messages import Heartbeat
 from sageturn.store.replication.priority import PRIORITY_CLASSES, PriorityClass
+from sageturn.store.replication.replicated_records import ReplicatedRecords
 
 MIN_DIVERGED_HEARTBEATS = 2  # in a row, with nothing under way, before anti-entropy is started
 
@@ -26,8 +26,8 @@
 class ConvergenceMonitor:
     """Tells when a session has brought both sides in sync, and when it failed to though nothing changes."""
 
-    def __init__(self, replica: LocalReplica) -> None:
-        self._replica = replica
+    def __init__(self, records: ReplicatedRecords) -> None:
+        self._records = records
         self._sync_point: _SyncPoint | None = None
         self._diverged_heartbeats = dict.fromkeys(PRIORITY_CLASSES, 0)
 
@@ -35,7 +35,7 @@
         """Remember where both sides are, unless an earlier point is not reached yet."""
         if self._sync_point is None:
             self._sync_point = _SyncPoint(
-                heartbeat.heads, self._replica.changes.heads, self._replica.store.wall_clock()
+                heartbeat.heads, self._records.changes.heads, self._records.store.wall_clock()
             )
 
     def take_sync_time(self, receiver: ChunkReceiver, sender: ChunkSender | None) -> float | None:
@@ -55,7 +55,7 @@
         self, priority: PriorityClass, heartbeat: Heartbeat, receiver: ChunkReceiver, sender: ChunkSender
     ) -> bool:
         """Whether a class differs with nothing under way, and not just once: something was lost."""
-        changes = self._replica.changes
+        changes = self._records.changes
         cursor = receiver.cursors[priority]
         has_all = cursor.is_backlog_complete and cursor.live == heartbeat.heads[priority]
         is_idle = has_all and sender.is_idle(priority, changes)
--- a/sageturn/store/replication/ephemeral_client.py
+++ b/sageturn/store/replication/ephemeral_client.py
@@ -43,9 +43,9 @@
     client = _EphemeralClient(peer, secret, timeout_s)
     connecting = asyncio.ensure_future(client.keep_connected())
     try:
-        await client.wait_until(lambda session: session.caught_up)
+        await client.wait_until(lambda session: session.is_caught_up)
         yield client.store
-        await client.wait_until(lambda session: session.caught_up and session.delivered)
+        await client.wait_until(_has_exchanged_all)
         await client.disconnect()
     finally:
         await cancel_and_wait(connecting)
@@ -75,7 +75,7 @@
                 finally:
                     sock.close()
                 for session in self._sessions:
-                    self._failures.append(session.peer_close_detail or session.close_detail)
+                    self._failures.append(session.closing.peer_detail or session.closing.detail)
                 self._sessions.clear()
             await asyncio.sleep(backoff.next_delay_s())
 
@@ -105,5 +105,9 @@
         self._replica.close()
 
 
+def _has_exchanged_all(session: ReplicationSession) -> bool:
+    return session.is_caught_up and session.change_exchange.is_delivered
+
+
 def _random() -> Random:
     return Random(secrets.token_bytes(8))
--- /dev/null
+++ b/sageturn/store/replication/hello_exchange.py
@@ -0,0 +1,71 @@
+"""The hello messages of a replication session, by which each side decides whether to talk to the other."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from sageturn.store.errors import SessionRejectedError
+from sageturn.store.replication import message_codec
+from sageturn.store.replication.messages import Hello
+from sageturn.store.replication.session_host import SessionHost
+
+
+class HelloExchange:
+    """One side of the exchange: the dialing side sends the first hello, the accepting side answers."""
+
+    def __init__(self, host: SessionHost, peer: str, is_dialing: bool) -> None:
+        self.peer_hello: Hello | None = None  # set once it was admitted
+        self._host = host
+        self._peer = peer
+        self._is_dialing = is_dialing
+        self._is_sent = False
+        self._claimed_sync: bool | None = None  # None until it is decided
+
+    @property
+    def is_complete(self) -> bool:
+        """Whether this side has sent its hello and accepted the peer's."""
+        return self._is_sent and self.peer_hello is not None
+
+    def claimed_sync(self) -> bool:
+        """Whether this side claims to be recently in sync.
+
+        It is decided once: both sides judge by the two hello messages, and must come to the same result.
+        """
+        if self._claimed_sync is None:
+            self._claimed_sync = self._host.sync_status.recently_in_sync
+        return self._claimed_sync
+
+    def next_hello(self) -> Hello | None:
+        """Returns this side's hello, which then counts as sent; None if it was sent or the peer is first."""
+        is_turn_of_peer = not self._is_dialing and self.peer_hello is None
+        if self._is_sent or is_turn_of_peer:
+            return None
+        self._is_sent = True
+        host = self._host
+        changes = host.records.changes
+        return Hello(
+            node=host.store.node,
+            incarnation=changes.incarnation,
+            heads=changes.heads,
+            roots=changes.roots,
+            counts=changes.counts,
+            recently_in_sync=self.claimed_sync(),
+            holds_replicated_records=host.sync_status.holds_replicated_records,
+            tombstone_floor=host.store.replica_state.tombstone_floor,
+            is_ephemeral=host.is_ephemeral,
+            location=host.location,
+        )
+
+    def decode_peer_hello(self, body: Any) -> Hello:
+        """Decodes the peer's hello, which is not accepted by that yet.
+
+        Raises:
+            SessionRejectedError: It is the second one, malformed, of another protocol version, or names
+                another node than the one that was authenticated.
+        """
+        if self.peer_hello is not None:
+            raise SessionRejectedError("greeted twice")
+        hello = message_codec.decode_hello(body, self._peer)
+        if hello.node != self._peer:
+            raise SessionRejectedError(f"{self._peer} greets as {hello.node}")
+        return hello
--- a/sageturn/store/replication/link_dialer.py
+++ b/sageturn/store/replication/link_dialer.py
@@ -6,7 +6,6 @@
 import logging
 import socket
 import time
-from collections.abc import Sequence
 from contextlib import suppress
 
 from sageturn.core.tasks import cancel_and_wait
@@ -14,7 +13,7 @@
 from sageturn.store.replication.errors import LinkNotEstablishedError
 from sageturn.store.replication.link_runner import LinkRunner
 from sageturn.store.replication.membership import Address
-from sageturn.store.replication.replica import Replica
+from sageturn.store.replication.replica import Replica, TickResult
 
 log = logging.getLogger(__name__)
 
@@ -38,22 +37,22 @@
         while True:
             self._tick_due.clear()
             now = time.monotonic()
-            addresses, next_tick_at = self._tick(now)
-            for address in addresses:
+            result = self._tick(now)
+            for address in result.addresses_to_dial:
                 task = asyncio.ensure_future(self._dial(address))
                 self._dials.add(task)
                 task.add_done_callback(self._dials.discard)
             with suppress(TimeoutError):
-                async with asyncio.timeout(max(0.0, next_tick_at - now)):
+                async with asyncio.timeout(max(0.0, result.next_tick_at - now)):
                     await self._tick_due.wait()
 
-    def _tick(self, now: float) -> tuple[Sequence[Address], float]:
+    def _tick(self, now: float) -> TickResult:
         """A tick that fails, as on a disk that takes nothing now, must not end all dialing for good."""
         try:
             return self._replica.tick(now)
         except Exception:
             log.exception("replica tick failed retry_s=%.1f", FAILED_TICK_RETRY_S)
-            return (), now + FAILED_TICK_RETRY_S
+            return TickResult((), now + FAILED_TICK_RETRY_S)
 
     async def cancel_dials(self) -> None:
         """Ends the dials under way, and the links that this side has dialed."""
--- a/sageturn/store/replication/member.py
+++ b/sageturn/store/replication/member.py
@@ -72,7 +72,9 @@
     def state_report(self) -> dict[str, object]:
         """The state that the relay publishes for operators, as it is stored."""
         report = ReplicationStateReport(
-            self.link_count, self.replica.recently_in_sync, self.replica.zone_ages(time.monotonic())
+            self.link_count,
+            self.replica.sync_status.recently_in_sync,
+            self.replica.zones.ages(time.monotonic()),
         )
         return report.encode()
 
--- /dev/null
+++ b/sageturn/store/replication/peer_session.py
@@ -0,0 +1,44 @@
+"""What a replica needs of a replication session, whichever module implements it."""
+
+from __future__ import annotations
+
+from typing import Protocol
+
+from sageturn.store.replication.close_code import CloseCode
+from sageturn.store.replication.membership import Address
+from sageturn.store.replication.messages import Hello
+from sageturn.store.replication.session_closing import SessionClosing
+
+
+class PeerSession(Protocol):
+    """A session with one peer; implemented by ``session.ReplicationSession``."""
+
+    @property
+    def peer(self) -> str:
+        """The authenticated name of the peer."""
+
+    @property
+    def dialed_address(self) -> Address | None:
+        """The address that this side has dialed; None if it accepted the connection."""
+
+    @property
+    def peer_hello(self) -> Hello | None:
+        """The peer's hello; None until it was admitted."""
+
+    @property
+    def peer_recently_in_sync(self) -> bool:
+        """Whether the peer last said that it is recently in sync."""
+
+    @property
+    def is_ephemeral(self) -> bool:
+        """Whether one side is an operator's client, to which no rule of membership applies."""
+
+    @property
+    def closing(self) -> SessionClosing:
+        """Why and by whom the session was closed."""
+
+    def close(self, detail: str, code: str = CloseCode.FAULT) -> None:
+        """Closes the session from this side, with a reason that is sent to the peer."""
+
+    def take_sync_time(self) -> float | None:
+        """Returns Unix seconds at which both sides held what both now hold, once for each; else None."""
--- /dev/null
+++ b/sageturn/store/replication/session_closing.py
@@ -0,0 +1,73 @@
+"""How a replication session ends: what this side has decided, and what the peer has said."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from sageturn.store.errors import SessionRejectedError
+from sageturn.store.replication import message_codec
+from sageturn.store.replication.close_code import CloseCode
+from sageturn.store.replication.errors import LinkNotAdmittedError
+from sageturn.store.replication.membership import Member
+from sageturn.store.replication.messages import Bye
+
+
+class SessionClosing:
+    """The close reasons of both sides. A side with an empty detail has not ended the session."""
+
+    def __init__(self) -> None:
+        self.detail = ""
+        self.code: str = CloseCode.FAULT
+        self.is_bye_sent = False
+        self.peer_detail = ""
+        self.peer_code = ""
+        self.peer_bye: Bye | None = None
+        self._alternatives: tuple[Member, ...] = ()
+
+    @property
+    def was_orderly(self) -> bool:
+        """Whether either side closed the session because it was not needed any more."""
+        own_code = self.code if self.detail else ""
+        return CloseCode.ORDERLY in (self.peer_code, own_code)
+
+    @property
+    def is_output_finished(self) -> bool:
+        """Whether nothing more is sent: the peer has ended the session, or this side's bye is out."""
+        return bool(self.peer_detail) or self.is_bye_sent
+
+    def close(self, detail: str, code: str) -> bool:
+        """Records why this side ends the session; returns whether it is the first reason."""
+        if self.detail:
+            return False
+        self.detail = detail
+        self.code = code
+        return True
+
+    def on_rejection(self, rejection: SessionRejectedError) -> None:
+        """Keeps what the peer is sent once the session is closed with the rejection's text."""
+        if isinstance(rejection, LinkNotAdmittedError):
+            self._alternatives = rejection.alternatives
+        if rejection.close_code != CloseCode.FAULT:
+            self.code = rejection.close_code
+
+    def make_bye(self) -> Bye:
+        """Returns this side's last message, which then counts as sent."""
+        self.is_bye_sent = True
+        return Bye(self.code, self.detail, self._alternatives)
+
+    def on_bye(self, body: Any) -> None:
+        """Handles the peer's last message.
+
+        The session has ended even if the alternatives that the body names are malformed, which raises
+        SessionRejectedError or one of ``MALFORMED_BODY_ERRORS``.
+        """
+        bye = message_codec.decode_bye(body)
+        self.peer_detail = bye.detail
+        self.peer_code = bye.close_code
+        self.peer_bye = bye
+        self.peer_bye = message_codec.decode_bye_alternatives(bye, body)
+
+    def on_connection_lost(self, detail: str) -> None:
+        """Counts the session as ended by the peer, unless either side has already given a reason."""
+        if not self.detail:
+            self.peer_detail = self.peer_detail or detail
--- a/sageturn/store/replication/session_driver.py
+++ b/sageturn/store/replication/session_driver.py
@@ -11,7 +11,7 @@
 from sageturn.store.channel import AuthenticatedChannel
 from sageturn.store.errors import HandshakeRejectedError, SessionRejectedError
 from sageturn.store.replication.close_code import CloseCode
-from sageturn.store.replication.liveness import PEER_TIMEOUT_S
+from sageturn.store.replication.keep_alive import PEER_TIMEOUT_S
 from sageturn.store.replication.session import ReplicationSession
 
 log = logging.getLogger(__name__)
@@ -50,21 +50,19 @@
             return
         if not isinstance(failure, OSError):
             raise failure
-        session = self._session
-        if not session.close_detail:
-            session.peer_close_detail = session.peer_close_detail or str(failure) or "it reads nothing"
+        self._session.closing.on_connection_lost(str(failure) or "it reads nothing")
 
     def _log_end(self) -> None:
-        session = self._session
-        is_local = bool(session.close_detail)
-        code = session.close_code if is_local else session.peer_close_code
+        closing = self._session.closing
+        is_local = bool(closing.detail)
+        code = closing.code if is_local else closing.peer_code
         log.log(
             logging.INFO if code == CloseCode.ORDERLY else logging.WARNING,
             "replication link closed peer=%s closed_by=%s code=%s detail=%s",
-            session.peer,
+            self._session.peer,
             "self" if is_local else "peer",
             code or "none",
-            session.close_detail or session.peer_close_detail,
+            closing.detail or closing.peer_detail,
         )
 
     async def _send(self) -> None:
@@ -74,10 +72,10 @@
             now = time.monotonic()
             payload = session.next_payload(now)
             if payload is None:
-                if session.peer_close_detail:
+                if session.closing.peer_detail:
                     return
                 await self._wait_for_output(session.wake_at(now) - now)
-            elif session.sent_bye:
+            elif session.closing.is_bye_sent:
                 with suppress(TimeoutError):
                     async with asyncio.timeout(CLOSE_TIMEOUT_S):
                         await self._channel.send(payload)
@@ -94,13 +92,13 @@
 
     async def _receive(self) -> None:
         session = self._session
-        while not session.peer_close_detail:
+        while not session.closing.peer_detail:
             try:
                 payload = await self._channel.receive()
-                if not session.close_detail:
+                if not session.closing.detail:
                     session.receive(payload, time.monotonic())
             except (SessionRejectedError, HandshakeRejectedError) as error:
-                session.close(str(error), session.close_code)
+                session.close(str(error), session.closing.code)
                 await asyncio.sleep(CLOSE_TIMEOUT_S)  # the sender meanwhile sends the reason
                 return
             self._output_pending.set()
--- a/sageturn/store/replication/session_table.py
+++ b/sageturn/store/replication/session_table.py
@@ -5,6 +5,7 @@
 from sageturn.store.errors import SessionRejectedError
 from sageturn.store.replication.close_code import CloseCode
 from sageturn.store.replication.messages import Hello
+from sageturn.store.replication.peer_session import PeerSession
 from sageturn.store.replication.session import ReplicationSession
 from sageturn.store.replication.sync_status import SyncStatus
 
@@ -39,10 +40,10 @@
         """Whether those connected hold the same, and none of them is recently in sync."""
         sessions = self.established()
         return bool(sessions) and all(
-            session.caught_up and not session.peer_recently_in_sync for session in sessions
+            session.is_caught_up and not session.peer_recently_in_sync for session in sessions
         )
 
-    def may_follow(self, session: ReplicationSession) -> bool:
+    def may_follow(self, session: PeerSession) -> bool:
         """Whether the replica may take records from a session's peer."""
         if session.is_ephemeral or session.peer_recently_in_sync:
             return True
@@ -86,7 +87,7 @@
             if not session.peer_recently_in_sync:
                 session.close(detail, CloseCode.LATER)
 
-    def close_conflicting(self, new: ReplicationSession) -> None:
+    def close_conflicting(self, new: PeerSession) -> None:
         """Close what a newly established session replaces, or the new one where it is a duplicate."""
         is_filled_by_new = new.peer_recently_in_sync and not self._sync_status.recently_in_sync
         for other in self.established():
@@ -97,7 +98,7 @@
             elif is_filled_by_new and not other.peer_recently_in_sync:
                 other.close(_BEING_FILLED, CloseCode.LATER)
 
-    def _close_duplicate(self, old: ReplicationSession, new: ReplicationSession) -> None:
+    def _close_duplicate(self, old: PeerSession, new: PeerSession) -> None:
         """Of two sessions with a peer that of the smaller dialing node stays, or of one dialer the newer."""
         assert old.peer_hello is not None and new.peer_hello is not None
         is_same_incarnation = old.peer_hello.incarnation == new.peer_hello.incarnation
@@ -106,5 +107,5 @@
         else:
             old.close("a second link", CloseCode.ORDERLY)
 
-    def _dialing_node(self, session: ReplicationSession) -> str:
+    def _dialing_node(self, session: PeerSession) -> str:
         return self._node if session.dialed_address is not None else session.peer
--- /dev/null
+++ b/sageturn/store/replication/topology_links.py
@@ -0,0 +1,83 @@
+"""Joins a replica's sessions to the topology that decides which members link to each other."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+
+from sageturn.store.replication.close_code import CloseCode
+from sageturn.store.replication.errors import LinkNotAdmittedError
+from sageturn.store.replication.member_directory import MemberDirectory
+from sageturn.store.replication.membership import Address, MembershipStatus
+from sageturn.store.replication.messages import Hello
+from sageturn.store.replication.peer_session import PeerSession
+from sageturn.store.replication.session_table import SessionTable
+from sageturn.store.replication.topology import Topology
+
+
+class TopologyLinks:
+    """Notifies one incarnation's topology of members and sessions, and carries out what it decides.
+
+    ``now`` is seconds of a monotonic clock that the caller passes in.
+    """
+
+    def __init__(self, topology: Topology, session_table: SessionTable) -> None:
+        self.topology = topology
+        self._session_table = session_table
+        self._have_members_changed = True
+
+    @property
+    def is_superseded(self) -> bool:
+        """Whether another incarnation of this member counts as newer."""
+        return self.topology.membership_status == MembershipStatus.SUPERSEDED
+
+    def on_members_changed(self) -> None:
+        """Lets the next ``update_members`` notify the topology."""
+        self._have_members_changed = True
+
+    def update_members(self, directory: MemberDirectory) -> None:
+        """Notifies the topology of the members, if they have changed."""
+        if self._have_members_changed:
+            self._have_members_changed = False
+            self.topology.update_members(directory.active())
+
+    def check_admission(self, hello: Hello, now: float) -> None:
+        """Raises LinkNotAdmittedError if the topology rejects a member that has dialed this one."""
+        member = hello.member()
+        if member is None:
+            return
+        rejection = self.topology.check_admission(member, now)
+        if rejection is not None:
+            raise LinkNotAdmittedError(rejection)
+
+    def on_session_established(self, session: PeerSession, now: float) -> None:
+        """Notifies the topology of a new link."""
+        self.topology.on_link_established(session.peer, now, session.dialed_address)
+
+    def on_session_closed(self, session: PeerSession, now: float) -> None:
+        """Notifies the topology of a lost link, or of a dial from which no link came."""
+        if session.peer_hello is not None:
+            if not self._session_table.is_connected_to(session.peer):
+                self.topology.on_link_lost(session.peer, now, session.closing.was_orderly)
+        elif session.dialed_address is not None:
+            self._report_failed_dial(session.dialed_address, session, now)
+
+    def _report_failed_dial(self, address: Address, session: PeerSession, now: float) -> None:
+        bye = session.closing.peer_bye
+        rejection = None if bye is None else bye.link_rejection()
+        if rejection is not None:
+            self.topology.on_dial_rejected(address, now, rejection)
+        else:
+            self.topology.on_dial_failed(address, now)
+
+    def close_unneeded(self, now: float) -> None:
+        """Closes the sessions with the members whose links the topology does not need any more."""
+        for name in self.topology.links_to_close(now):
+            self._session_table.close_established_with(name, "not needed any more", CloseCode.ORDERLY)
+
+    def addresses_to_dial(self, now: float) -> Sequence[Address]:
+        """Returns the addresses to dial now."""
+        return self.topology.addresses_to_dial(now)
+
+    def next_wakeup(self, now: float) -> float:
+        """When to ask the topology again at the latest."""
+        return self.topology.next_wakeup(now)
--- a/tests/relay/test_compatibility_states.py
+++ b/tests/relay/test_compatibility_states.py
@@ -71,7 +71,7 @@
     if relay.flow_exporter is not None:
         relay.flow_exporter.dropped = 3
     if relay.replication is not None:
-        relay.replication.replica.merge_zone_ages({"south/s1": 35.0, "south/s2": 1.0}, time.monotonic())
+        relay.replication.replica.zones.merge({"south/s1": 35.0, "south/s2": 1.0}, time.monotonic())
     told.append(report(relay))
     relay.listener.close()
     return told
--- a/tests/store/test_compatibility_replication.py
+++ b/tests/store/test_compatibility_replication.py
@@ -101,7 +101,7 @@
         try:
             self.session.receive(payload, self.step * STEP_S)
         except SessionRejectedError as rejection:
-            self.session.close(str(rejection), self.session.close_code)
+            self.session.close(str(rejection), self.session.closing.code)
 
     def records(self) -> list[dict[str, Any]]:
         return sorted((record.to_json() for record in self.store.records()), key=lambda r: r["key"])
--- a/tests/store/test_malformed_frames.py
+++ b/tests/store/test_malformed_frames.py
@@ -11,7 +11,7 @@
 
 from sageturn.store.errors import SessionRejectedError
 from sageturn.store.replication.close_code import CloseCode
-from sageturn.store.replication.liveness import HEARTBEAT_INTERVAL_S
+from sageturn.store.replication.keep_alive import HEARTBEAT_INTERVAL_S
 from sageturn.store.replication.location import ReplicaLocation
 from sageturn.store.replication.membership import RejectReason
 from sageturn.store.replication.replica import Replica
@@ -59,14 +59,14 @@
         self.now += HEARTBEAT_INTERVAL_S
         while self.session.next_payload(self.now) is not None:
             pass
-        assert self.session.chunks_in_flight == 1
-        return self.replica.changes.heads[0]
+        assert self.session.change_exchange.chunks_in_flight == 1
+        return self.replica.records.changes.heads[0]
 
     def receive(self, message: dict[str, Any]) -> SessionRejectedError | None:
         try:
             self.session.receive(encode(message), self.now)
         except SessionRejectedError as rejection:
-            self.session.close(str(rejection), self.session.close_code)
+            self.session.close(str(rejection), self.session.closing.code)
             return rejection
         return None
 
@@ -76,11 +76,11 @@
 
     def heartbeat(self, **changed: Any) -> dict[str, Any]:
         """A heartbeat that the session accepts, but for the parts that are given."""
-        heads = self.replica.changes.heads
+        heads = self.replica.records.changes.heads
         parts: dict[str, Any] = {
-            "heads": self.peer.changes.heads,
-            "roots": self.peer.changes.roots,
-            "skipped": [[cursor.live, cursor.live] for cursor in self.session.cursors],
+            "heads": self.peer.records.changes.heads,
+            "roots": self.peer.records.changes.roots,
+            "skipped": [[cursor.live, cursor.live] for cursor in self.session.change_exchange.cursors],
             "acknowledged": [[0, heads[0]], [0, heads[1]]],
             "floor": 77,
             "recently_in_sync": True,
@@ -111,7 +111,7 @@
 @pytest.mark.parametrize("body", [{"protocol": 3}, {"protocol": 2}, {}, 7, None])
 def test_a_second_hello_is_a_fault_whatever_it_says(established: SessionUnderTest, body: Any) -> None:
     established.receive({"hello": body})
-    assert established.session.close_code == CloseCode.FAULT
+    assert established.session.closing.code == CloseCode.FAULT
     assert established.reply() == {"bye": ["fault", "greeted twice", []]}
 
 
@@ -126,9 +126,9 @@
     rejection = established.receive({"bye": [code, "not any more", *rest]})
     assert rejection is not None and str(rejection).startswith("not understood")
     session = established.session
-    assert (session.peer_close_code, session.peer_close_detail) == (code, "not any more")
+    assert (session.closing.peer_code, session.closing.peer_detail) == (code, "not any more")
     assert established.reply() is None
-    assert session.was_closed_orderly == (code == "orderly")
+    assert session.closing.was_orderly == (code == "orderly")
     established.replica.on_session_closed(session, established.now)
     was_removed = established.replica.store.replica_state.last_in_sync is None
     assert was_removed == (code == "removed")
@@ -137,8 +137,8 @@
 def test_a_topology_that_rejects_a_dial_is_understood_without_a_list_of_alternatives() -> None:
     dialing = SessionUnderTest(steps=0)
     assert dialing.receive({"bye": [RejectReason.FULL, "not here: full"]}) is not None
-    assert dialing.session.peer_bye is not None
-    rejection = dialing.session.peer_bye.link_rejection()
+    assert dialing.session.closing.peer_bye is not None
+    rejection = dialing.session.closing.peer_bye.link_rejection()
     assert rejection is not None
     assert (rejection.reason, rejection.alternatives) == (RejectReason.FULL, ())
 
@@ -146,7 +146,7 @@
 @pytest.mark.parametrize("body", [[], ["orderly"], {}, None, 5])
 def test_a_bye_without_a_reason_is_a_fault_and_is_answered(established: SessionUnderTest, body: Any) -> None:
     assert established.receive({"bye": body}) is not None
-    assert established.session.peer_close_detail == ""
+    assert established.session.closing.peer_detail == ""
     reply = established.reply()
     assert reply is not None and reply["bye"][0] == "fault"
 
@@ -157,7 +157,7 @@
 def test_the_heartbeat_that_these_tests_change_is_accepted(established: SessionUnderTest) -> None:
     assert established.receive(established.heartbeat()) is None
     assert established.tombstone_floor == 77
-    assert "r/far" in established.replica.zone_last_heard
+    assert "r/far" in established.replica.zones.last_heard_at
 
 
 @pytest.mark.parametrize(
@@ -177,18 +177,18 @@
     assert established.session.peer_recently_in_sync
     rejection = established.receive(established.heartbeat(recently_in_sync=False, **changed))
     assert rejection is not None
-    assert established.session.chunks_in_flight == 0
+    assert established.session.change_exchange.chunks_in_flight == 0
     assert not established.session.peer_recently_in_sync
     assert established.tombstone_floor == (0 if "floor" in changed else 77)
     zones_applied = "floor" not in changed and "zone_ages" not in changed
-    assert ("r/far" in established.replica.zone_last_heard) == zones_applied
+    assert ("r/far" in established.replica.zones.last_heard_at) == zones_applied
 
 
 def test_zone_ages_before_a_malformed_one_are_applied(established: SessionUnderTest) -> None:
     ages = {"r/near": 1.0, "r/bad": -1.0, "r/far": 2.0}
     rejection = established.receive(established.heartbeat(zone_ages=ages))
     assert str(rejection) == "no age"
-    heard = established.replica.zone_last_heard
+    heard = established.replica.zones.last_heard_at
     assert "r/near" in heard and "r/bad" not in heard and "r/far" not in heard
 
 
@@ -198,7 +198,7 @@
 ) -> None:
     established.send_unacknowledged_change()
     assert established.receive(established.heartbeat(**changed)) is not None
-    assert established.session.chunks_in_flight == 1
+    assert established.session.change_exchange.chunks_in_flight == 1
     assert established.tombstone_floor == 0
 
 
@@ -206,7 +206,7 @@
     revision = established.send_unacknowledged_change()
     rejection = established.receive({"ack": [[0, revision], "x"]})
     assert str(rejection).startswith("not understood: ValueError")
-    assert established.session.delivered
+    assert established.session.change_exchange.is_delivered
 
 
 @pytest.mark.parametrize("changed", [{"floor": -1}, {"zone_ages": {"r/far": "old"}}, {"route": 5}])
@@ -215,7 +215,7 @@
 ) -> None:
     assert ephemeral.receive(ephemeral.heartbeat(**changed)) is None
     assert ephemeral.tombstone_floor == 0
-    assert ephemeral.replica.zone_last_heard == {}
+    assert ephemeral.replica.zones.last_heard_at == {}
 
 
 # ---------------------------------------------------------------- two faults in one frame
--- a/tests/store/test_replication.py
+++ b/tests/store/test_replication.py
@@ -153,11 +153,11 @@
     assert (
         session.peer_hello is not None
         and not session.peer_recently_in_sync
-        and not cluster.replicas["e"].recently_in_sync
+        and not cluster.replicas["e"].sync_status.recently_in_sync
     )
     assert cluster.store("a").get("config/early") is None
     assert cluster.converge(30.0, [("a", "b"), ("a", "e")])
-    assert cluster.store("b").get("config/early") == 1 and cluster.replicas["e"].recently_in_sync
+    assert cluster.store("b").get("config/early") == 1 and cluster.replicas["e"].sync_status.recently_in_sync
 
 
 def test_a_new_write_wins_over_a_deletion_that_others_still_remember() -> None:
@@ -193,9 +193,12 @@
     cluster.put("a", "config/x", None)
     cluster.run(200.0)
     assert cluster.store("c").get("config/x") == 1 and cluster.store("b").record("config/x") is not None
-    ages = cluster.replicas["b"].zone_ages(cluster.now)
+    ages = cluster.replicas["b"].zones.ages(cluster.now)
     assert ages["r/c"] > 190.0 and ages["r/a"] < 2.0 and ages["r/b"] == 0.0
-    assert cluster.replicas["c"].recently_in_sync and cluster.replicas["a"].recently_in_sync
+    assert (
+        cluster.replicas["c"].sync_status.recently_in_sync
+        and cluster.replicas["a"].sync_status.recently_in_sync
+    )
     links = [("a", "b"), ("a", "c"), ("c", "d")]
     assert cluster.converge(30.0, links)
     assert cluster.store("d").get("config/x") is None
@@ -210,7 +213,10 @@
     cluster.restart("a")
     cluster.converge(links=[("a", "b")])
     cluster.run(70.0)
-    assert cluster.replicas["a"].recently_in_sync and cluster.replicas["b"].recently_in_sync
+    assert (
+        cluster.replicas["a"].sync_status.recently_in_sync
+        and cluster.replicas["b"].sync_status.recently_in_sync
+    )
     cluster.restart("a", wiped=True)
     assert cluster.converge(links=[("a", "b"), ("b", "c")])
     assert cluster.store("a").get("config/x") == cluster.store("c").get("config/x") == 1
@@ -279,7 +285,7 @@
     sent_bytes, frames = connection.sent_bytes, connection.frames
     cluster.run(20.0)
     assert connection.frames - frames <= 60 and connection.sent_bytes - sent_bytes <= 20 * 2 * 250
-    assert not any(session.anti_entropy_rounds for session in connection.sessions.values())
+    assert not any(session.anti_entropy.rounds for session in connection.sessions.values())
 
 
 def test_a_change_costs_itself_and_a_restart_what_differs_whatever_the_number_of_keys() -> None:
@@ -318,7 +324,7 @@
         sent, was = cluster.connections[one, other].sent_bytes_by, before[one, other]
         assert sent[one] - was[one] > 4000 and sent[other] - was[other] < 600
         assert not any(
-            session.anti_entropy_rounds for session in cluster.connections[one, other].sessions.values()
+            session.anti_entropy.rounds for session in cluster.connections[one, other].sessions.values()
         )
 
 
@@ -473,7 +479,7 @@
 
 
 def cursors_of(session: ReplicationSession) -> list[tuple[int, int, int]]:
-    return [(cursor.backlog, cursor.backlog_end, cursor.live) for cursor in session.cursors]
+    return [(cursor.backlog, cursor.backlog_end, cursor.live) for cursor in session.change_exchange.cursors]
 
 
 VALUES = st.recursive(
@@ -561,7 +567,7 @@
         SessionRejectedError, match=f"old speaks protocol 1 .*, this copy speaks {PROTOCOL_VERSION}"
     ) as rejection:
         accepted.receive(b'{"digest":{"config/x":[1,"old"]}}', cluster.now)
-    accepted.close(str(rejection.value), accepted.close_code)
+    accepted.close(str(rejection.value), accepted.closing.code)
     with pytest.raises(InvalidRecordError, match=f"protocol {PROTOCOL_VERSION}, this copy speaks 1"):
         parse_record(json.loads(accepted.next_payload(cluster.now) or b"")["records"][0])
     newer = cluster.replicas["a"].open_session("new", cluster.now)
--- a/tests/store/test_replication_sockets.py
+++ b/tests/store/test_replication_sockets.py
@@ -27,6 +27,7 @@
 from sageturn.store.replication.ephemeral_client import open_ephemeral_client
 from sageturn.store.replication.member import ReplicationMember
 from sageturn.store.replication.options import ReplicationOptions
+from sageturn.store.replication.replica import TickResult
 from sageturn.store.replication.wire import decode, encode
 from sageturn.store.store import Store
 
@@ -128,7 +129,7 @@
         for number, member in enumerate(members):
             store_of(member).put(f"config/after/{number}", number)
         await wait_until(lambda: all(len(store_of(m).keys("config/after/")) == 5 for m in members))
-        await wait_until(lambda: len({tuple(m.replica.changes.roots) for m in members}) == 1)
+        await wait_until(lambda: len({tuple(m.replica.records.changes.roots) for m in members}) == 1)
 
     run_with_members(scenario)
 
@@ -142,7 +143,7 @@
         for session in hub.replica.sessions:
             session.next_payload = lambda now: None  # type: ignore[method-assign]
             session.receive = lambda payload, now: None  # type: ignore[method-assign]
-        hub.replica.tick = lambda now: ((), now + 60.0)  # type: ignore[method-assign]
+        hub.replica.tick = lambda now: TickResult((), now + 60.0)  # type: ignore[method-assign]
         hub.listener.stop_accepting()
         began = asyncio.get_running_loop().time()
         writer = members[0]
@@ -176,7 +177,7 @@
             store_of(hub).put(f"config/{number}", text)
         await wait_until(lambda: len(store_of(other).keys("config/")) == 200)
         (session,) = [s for s in hub.replica.sessions if s.peer == "slow"]
-        assert session.chunks_in_flight <= 6, "the rest is queued nowhere"
+        assert session.change_exchange.chunks_in_flight <= 6, "the rest is queued nowhere"
         assert hub.link_count == 2
         heartbeats.cancel()
         await wait_until(lambda: hub.link_count == 1)
@@ -378,7 +379,12 @@
         proxy_server = await asyncio.start_server(proxy, "127.0.0.1", 0)
         second = start_member("n1", proxy_server.sockets[0].getsockname())
         await wait_until(lambda: store_of(first).digest() == store_of(second).digest())
-        await wait_until(lambda: first.replica.sessions[0].delivered and second.replica.sessions[0].delivered)
+        await wait_until(
+            lambda: (
+                first.replica.sessions[0].change_exchange.is_delivered
+                and second.replica.sessions[0].change_exchange.is_delivered
+            )
+        )
         received_bytes.clear()
         await wait_until(lambda: len(received_bytes) >= 8)
         each = sum(received_bytes) / len(received_bytes)
@@ -432,11 +438,11 @@
     async def scenario(members: list[ReplicationMember]) -> None:
         members.append(start_member("n0", zone="a"))
         members.append(start_member("n1", members[0].address, zone="b"))
-        await wait_until(lambda: "r/b" in members[0].replica.zone_last_heard)
+        await wait_until(lambda: "r/b" in members[0].replica.zones.last_heard_at)
         await wait_until(lambda: len(members[0].replica.members) == 2)
         assert members[0].state_report() == {"links": 1, "in_step": False, "silent_s": {}}
-        members[0].replica.zone_last_heard["r/b"] -= 47.0
-        members[0].replica.zone_last_heard["r/c"] = -1e6
+        members[0].replica.zones.last_heard_at["r/b"] -= 47.0
+        members[0].replica.zones.last_heard_at["r/c"] = -1e6
         state = members[0].state_report()["silent_s"]
         assert isinstance(state, dict) and state["r/b"] == 40 and set(state) == {"r/b", "r/c"}
         json.dumps(members[0].state_report())
--- a/tests/support/replication_fleet.py
+++ b/tests/support/replication_fleet.py
@@ -12,7 +12,7 @@
 from sageturn.store.replica_state import ReplicaState
 from sageturn.store.replication.anti_entropy import MAX_REQUESTED_KEYS
 from sageturn.store.replication.chunk_sender import MAX_CHUNKS_IN_FLIGHT, MAX_URGENT_CHUNKS_IN_FLIGHT
-from sageturn.store.replication.liveness import PEER_TIMEOUT_S
+from sageturn.store.replication.keep_alive import PEER_TIMEOUT_S
 from sageturn.store.replication.location import ReplicaLocation
 from sageturn.store.replication.membership import LinkRejected, Member
 from sageturn.store.replication.priority import PRIORITY_CLASSES, priority_of
@@ -157,14 +157,14 @@
     def _receive_frame(self, connection: SimulatedConnection, name: str) -> None:
         session = connection.sessions[name]
         payload = connection.queues[name].popleft()
-        if session.close_detail:
+        if session.closing.detail:
             return
         try:
             session.receive(payload, self.now)
         except SessionRejectedError as rejection:
             connection.rejections.append(str(rejection))
-            session.close(str(rejection), session.close_code)
-        if session.peer_close_detail:
+            session.close(str(rejection), session.closing.code)
+        if session.closing.peer_detail:
             self.disconnect(*connection.ends)
 
     def _send_frame(self, connection: SimulatedConnection, name: str) -> bool:
@@ -172,7 +172,7 @@
         session = connection.sessions[name]
         other = connection.peer_of(name)
         if len(connection.queues[other]) >= MAX_QUEUED_FRAMES:
-            is_silent = self.now - session.last_received_at >= PEER_TIMEOUT_S
+            is_silent = self.now - session.keep_alive.last_received_at >= PEER_TIMEOUT_S
             is_given_up = session.wake_at(self.now) <= self.now and is_silent
             if is_given_up:
                 self.disconnect(*connection.ends)
@@ -182,13 +182,13 @@
             return False
         assert len(payload) <= MAX_FRAME_BYTES
         connection.record_sent(name, payload)
-        if session.close_detail:
+        if session.closing.detail:
             self._finish(connection, session, other)
         return True
 
     def _finish(self, connection: SimulatedConnection, session: ReplicationSession, other: str) -> None:
         """A side closes once it has sent its last frame; the other side may never receive that."""
-        is_silent = session.close_detail.startswith("silent")
+        is_silent = session.closing.detail.startswith("silent")
         if is_silent or connection.not_reading or self.rng.random() < 0.3:
             self.disconnect(*connection.ends)
         else:
@@ -196,7 +196,7 @@
 
     def _deliver_remaining(self, connection: SimulatedConnection, name: str) -> None:
         session = connection.sessions[name]
-        while connection.queues[name] and not session.peer_close_detail and not session.close_detail:
+        while connection.queues[name] and not session.closing.peer_detail and not session.closing.detail:
             try:
                 session.receive(connection.queues[name].popleft(), self.now)
             except SessionRejectedError as rejection:
@@ -241,13 +241,13 @@
 
     @staticmethod
     def _is_caught_up(connection: SimulatedConnection) -> bool:
-        return all(session.caught_up for session in connection.sessions.values())
+        return all(session.is_caught_up for session in connection.sessions.values())
 
     def equal(self) -> bool:
         return self.equal_among(self.replicas)
 
     def equal_among(self, names: Iterable[str]) -> bool:
-        return len({tuple(self.replicas[name].changes.roots) for name in names}) == 1
+        return len({tuple(self.replicas[name].records.changes.roots) for name in names}) == 1
 
     # ------------------------------------------------------------ what must hold
 
@@ -279,7 +279,7 @@
     def _check_change_logs(replica: Replica) -> None:
         """The change logs and trees have exactly what the store holds."""
         for priority in PRIORITY_CLASSES:
-            change_log = replica.changes.logs[priority]
+            change_log = replica.records.changes.logs[priority]
             entries = list(change_log.since(0))
             held = {record.key for record in replica.store.records() if priority_of(record.key) == priority}
             assert {key for _, key, _ in entries} == held and len(entries) == len(held)
@@ -296,14 +296,14 @@
 
     def _check_cursors(self) -> None:
         """Whoever says how far it is with a copy does hold what that copy had changed up to there."""
-        leaders = {replica.changes.incarnation: replica for replica in self.replicas.values()}
+        leaders = {replica.records.changes.incarnation: replica for replica in self.replicas.values()}
         for follower in self.replicas.values():
-            for incarnation, cursors in follower.followed_cursors.items():
+            for incarnation, cursors in follower.records.followed_cursors.items():
                 leader = leaders.get(incarnation)
                 if leader is None:
                     continue
                 for priority, cursor in zip(PRIORITY_CLASSES, cursors, strict=True):
-                    for revision, key, _ in leader.changes.logs[priority].since(0):
+                    for revision, key, _ in leader.records.changes.logs[priority].since(0):
                         if revision <= cursor.backlog or cursor.backlog_end < revision <= cursor.live:
                             record, held = leader.store.record(key), follower.store.record(key)
                             assert record is not None
@@ -317,8 +317,8 @@
 
     @staticmethod
     def _check_memory(session: ReplicationSession) -> None:
-        assert session.chunks_in_flight <= MAX_CHUNKS_IN_FLIGHT + MAX_URGENT_CHUNKS_IN_FLIGHT
-        assert session.requested_items <= MAX_REQUESTED_KEYS
+        assert session.change_exchange.chunks_in_flight <= MAX_CHUNKS_IN_FLIGHT + MAX_URGENT_CHUNKS_IN_FLIGHT
+        assert session.anti_entropy.requested_items <= MAX_REQUESTED_KEYS
         assert len(session.peer) < 300 and MAX_CHUNK_BYTES <= MAX_FRAME_BYTES
 
 
