--- a/sageturn/store/records.py
+++ b/sageturn/store/records.py
@@ -15,6 +15,8 @@
 STATE_PREFIX = "state/"
 _DIGEST_BYTES = 8
 
+RecordOrder = tuple[int, str]  # version and node; of two versions of a record the larger one wins
+
 
 @dataclass(frozen=True, slots=True)
 class StoreRecord:
@@ -27,8 +29,8 @@
     written_ms: int | None = None  # Unix time on the writer's clock; None where an earlier program wrote it
 
     @property
-    def order(self) -> tuple[int, str]:
-        """Of two versions of a record the one of the larger order wins."""
+    def order(self) -> RecordOrder:
+        """The version's place among all versions of the record."""
         return self.version, self.node
 
     def to_json(self) -> dict[str, Any]:
--- a/sageturn/store/store.py
+++ b/sageturn/store/store.py
@@ -4,40 +4,33 @@
 
 import json
 import logging
-import shutil
 import time
 from collections.abc import Callable, Iterable
-from dataclasses import replace
 from pathlib import Path
 from typing import Any
 
+from sageturn.store.compacting_log import MIN_COMPACTION_BYTES, CompactingLog
 from sageturn.store.errors import InvalidRecordError
-from sageturn.store.log import RecordLog
 from sageturn.store.records import (
     MAX_KEY_LENGTH,
     MAX_VALUE_BYTES,
     STATE_PREFIX,
+    RecordOrder,
     StoreRecord,
     may_write,
     supersedes,
 )
-from sageturn.store.replica_state import ReplicaState, read_replica_state, write_replica_state
+from sageturn.store.replica_state import ReplicaState, ReplicaStateFile
 
 log = logging.getLogger(__name__)
 
-MIN_COMPACTION_BYTES = 1 << 20  # a smaller log is never worth rewriting
-COMPACTION_RATIO = 4  # a log is rewritten when it is so many times as large as after its last rewriting
-SYNC_TIME_WRITE_INTERVAL_S = 60.0  # how often the time of the last sync goes to the disk
-
-Digest = dict[str, tuple[int, str]]  # the order of each record's version
+Digest = dict[str, RecordOrder]
 
 
 class Store:
     """One node's replica of all records; the only writer of its log.
 
-    ``path`` None keeps records in memory only, as on the platform, where no disk survives a restart.
-    ``wall_clock`` returns Unix seconds. ``on_change`` and ``on_forgotten`` are called with each batch of
-    records, or of keys, once it is applied.
+    ``on_change`` and ``on_forgotten`` are called with each batch of records, or of keys, once it is applied.
     """
 
     def __init__(
@@ -47,56 +40,60 @@
         wall_clock: Callable[[], float] = time.time,
         min_compaction_bytes: int = MIN_COMPACTION_BYTES,
     ) -> None:
-        """Raises LogInUseError, LogCorruptedError, and OSError where the log cannot be read or written."""
+        """Opens the store.
+
+        Args:
+            node: The name under which this replica writes.
+            path: The log; None keeps records in memory only, as where no disk survives a restart.
+            wall_clock: Returns Unix seconds.
+            min_compaction_bytes: A smaller log is never compacted.
+
+        Raises:
+            LogInUseError: Another process has the log open.
+            LogCorruptedError: The log is damaged.
+            OSError: The log cannot be read.
+        """
         self.node = node
         self.wall_clock = wall_clock
         self.on_change: list[Callable[[list[StoreRecord]], None]] = []
         self.on_forgotten: list[Callable[[list[str]], None]] = []
         self._records: dict[str, StoreRecord] = {}
-        self._path = path
-        self._log = RecordLog(path) if path is not None else None
-        self._min_compaction_bytes = min_compaction_bytes
-        self._compact_at_bytes = min_compaction_bytes
-        self.replica_state = ReplicaState()
-        if path is not None:
-            self.replica_state = read_replica_state(_replica_state_path(path))
-        self._is_replica_state_unwritten = False  # what is on the disk is older than what is held
-        self._written_last_in_sync = self.replica_state.last_in_sync or 0.0
+        self._log = None if path is None else CompactingLog(path, min_compaction_bytes)
+        self.replica_state_file = ReplicaStateFile(path)
         if self._log is not None:
             self._load(self._log)
 
-    def _load(self, record_log: RecordLog) -> None:
+    def _load(self, record_log: CompactingLog) -> None:
         if record_log.torn_bytes:
-            log.warning("torn log tail dropped path=%s bytes=%d", self._path, record_log.torn_bytes)
-        for record in record_log.records:
+            log.warning("torn log tail dropped path=%s bytes=%d", record_log.path, record_log.torn_bytes)
+        for record in record_log.take_records():
             self._keep_newer(record)
-        record_log.records = []
 
     def close(self) -> None:
-        """Release the log."""
+        """Releases the log."""
         if self._log is not None:
             self._log.close()
 
     # ------------------------------------------------------------ reading
 
     def get(self, key: str) -> Any:
-        """The value of a key; None if there is none, or it was deleted."""
+        """Returns the value of a key; None if there is none, or it was deleted."""
         record = self._records.get(key)
         return None if record is None else record.value
 
     def record(self, key: str) -> StoreRecord | None:
-        """The record of a key, also a deleted one as long as the deletion is remembered."""
+        """Returns the record of a key, also a deleted one as long as the deletion is remembered."""
         return self._records.get(key)
 
     def records(self) -> list[StoreRecord]:
-        """All records, deletions included."""
+        """Returns all records, deletions included."""
         return list(self._records.values())
 
     def __len__(self) -> int:
         return len(self._records)
 
     def keys(self, prefix: str = "") -> list[str]:
-        """The keys that have a value, sorted."""
+        """Returns the keys that have a value, sorted."""
         return sorted(
             key
             for key, record in self._records.items()
@@ -104,15 +101,17 @@
         )
 
     def digest(self) -> Digest:
-        """Which version of each record is held: equal for equal replicas."""
+        """Returns the order of each record's version, which is equal for equal replicas."""
         return {key: record.order for key, record in self._records.items()}
 
     # ------------------------------------------------------------ writing
 
     def put(self, key: str, value: Any) -> StoreRecord:
-        """Write a value, durable once this returns; None deletes.
+        """Writes a value, durable once this returns; None deletes.
 
-        Raises InvalidRecordError for another node's key, and for too large a value.
+        Raises:
+            InvalidRecordError: The key is empty, too long or another node's, or the value is too large.
+            OSError: The log cannot be written; the store is unchanged.
         """
         if not key or len(key) > MAX_KEY_LENGTH or not may_write(self.node, key):
             raise InvalidRecordError(f"key: {key} is not {self.node}'s to write")
@@ -126,7 +125,11 @@
         return record
 
     def merge(self, records: Iterable[StoreRecord]) -> int:
-        """Take the records of another replica that are newer; returns how many were."""
+        """Applies those records of another replica that are newer; returns how many were.
+
+        Raises:
+            OSError: The log cannot be written; the store is unchanged.
+        """
         newer: dict[str, StoreRecord] = {}
         for record in records:
             known = newer.get(record.key) or self._records.get(record.key)
@@ -141,77 +144,72 @@
             self._log.append(records)
         for record in records:
             self._keep_newer(record)
-        # The records are written: whoever follows them is notified, whatever comes of the compaction.
+        # The records are written, so observers are notified even if the compaction fails.
         for on_change in self.on_change:
             on_change(records)
-        self._compact_if_due()
-
-    def _compact_if_due(self) -> None:
-        if self._log is not None and self._log.size > self._compact_at_bytes:
-            self._try_to_compact()
-
-    def _try_to_compact(self) -> None:
-        """A log that cannot be rewritten now is whole all the same, and is tried again once it has grown."""
-        if self._log is None:
-            return
-        try:
-            self.compact()
-        except OSError as error:
-            log.warning("log compaction failed path=%s reason=%s", self._path, error)
-            self._compact_at_bytes = self._log.size + self._min_compaction_bytes
+        if self._log is not None and self._log.is_compaction_due:
+            self._try_to_compact(self._log)
 
     def _keep_newer(self, record: StoreRecord) -> None:
         if supersedes(record, self._records.get(record.key)):
             self._records[record.key] = record
 
+    # ------------------------------------------------------------ compaction
+
     def compact(self) -> None:
-        """Rewrite the log to the records that are held; without a log nothing is done.
+        """Rewrites the log to the records that are held; does nothing without a log.
 
-        Raises OSError where it cannot be rewritten now. Deletions that were forgotten leave the log here, so
-        the floor above their versions has to be on the disk first.
+        Raises:
+            OSError: The log cannot be rewritten now, and is as it was.
         """
         if self._log is not None:
-            if self._is_replica_state_unwritten:
-                self._save_replica_state()
-            self._log.rewrite(self._records.values())
-            self._compact_at_bytes = max(self._min_compaction_bytes, COMPACTION_RATIO * self._log.size)
+            # Forgotten deletions leave the log here: the floor above their versions has to be on disk first.
+            self.replica_state_file.flush()
+            self._log.compact(self._records.values())
+
+    def _try_to_compact(self, record_log: CompactingLog) -> None:
+        """Compacts the log; one that cannot be rewritten now is still intact, and tried again later."""
+        try:
+            self.compact()
+        except OSError as error:
+            log.warning("log compaction failed path=%s reason=%s", record_log.path, error)
+            record_log.postpone_compaction()
 
     # ------------------------------------------------------------ forgetting
 
     def forget(self, keys: Iterable[str]) -> None:
-        """Drop deletions that nobody can miss any more, and states of members that were removed.
+        """Drops records without a tombstone: expired deletions, and states of removed members.
 
-        They leave the log when it is next rewritten; until then a restart reads them, and forgets them again.
+        They leave the log at its next compaction; a restart before that reads them, and forgets them again.
         """
         forgotten = [self._records.pop(key) for key in keys if key in self._records]
         self.raise_tombstone_floor(max((record.version for record in forgotten), default=0))
         if forgotten:
             self._notify_forgotten([record.key for record in forgotten])
 
-    def raise_tombstone_floor(self, floor: int) -> None:
-        """Deletions up to this version were forgotten, here or elsewhere."""
-        if floor > self.replica_state.tombstone_floor:
-            self._write_replica_state(replace(self.replica_state, tombstone_floor=floor))
-
     def drop_copied(self) -> int:
-        """Drop what came from others, after being out of sync for so long that they may have deleted it.
+        """Drops what came from other nodes and may have been deleted there, after being long out of sync.
+
+        This node's own states stay, and what was written since it was last in sync. The old log is kept
+        beside the new one for operators, as ``.dropped-`` and the time.
+
+        Returns:
+            How many records were dropped.
 
-        Kept are this node's own states, and what was written here since it was last in sync. The log is
-        set aside as it was, with ``.dropped-`` and the time at its end, for an operator to look into.
-        Returns how many records were dropped.
+        Raises:
+            OSError: The backup or the replica's state cannot be written; no record was dropped.
         """
         dropped = [record.key for record in self._records.values() if not self._is_own(record)]
-        if self._path is not None:
-            backup = self._path.with_name(f"{self._path.name}.dropped-{int(self.wall_clock())}")
-            shutil.copyfile(self._path, backup)
+        if self._log is not None:
+            self._log.back_up(f"dropped-{int(self.wall_clock())}")
         dropped_versions = [self._records[key].version for key in dropped]
         floor = max([self.replica_state.tombstone_floor, *dropped_versions])
-        self.replica_state = ReplicaState(None, floor)
-        self._save_replica_state()
+        self.replica_state_file.write(ReplicaState(None, floor))
         for key in dropped:
             del self._records[key]
         self._notify_forgotten(dropped)
-        self._try_to_compact()  # what stays in the log until then is dropped again after a restart
+        if self._log is not None:
+            self._try_to_compact(self._log)  # a restart before it succeeds drops the same records again
         return len(dropped)
 
     def _is_own(self, record: StoreRecord) -> bool:
@@ -227,33 +225,15 @@
 
     # ------------------------------------------------------------ replica state
 
-    def set_last_in_sync(self, at: float | None) -> None:
-        """``at``: Unix seconds until which this replica held all that the others did; None: not known."""
-        if at is None or at - self._written_last_in_sync >= SYNC_TIME_WRITE_INTERVAL_S:
-            self._written_last_in_sync = at or 0.0
-            self._write_replica_state(replace(self.replica_state, last_in_sync=at))
-        else:
-            self.replica_state = replace(self.replica_state, last_in_sync=at)
-
-    def _write_replica_state(self, state: ReplicaState) -> None:
-        """Keep the state, and write it unless the disk takes nothing now.
-
-        It is then written with the next one, at the latest before the log is rewritten. Until then a restart
-        reads an older one, which is the careful reading.
-        """
-        self.replica_state = state
-        try:
-            self._save_replica_state()
-        except OSError as error:
-            log.warning("replica state not written path=%s reason=%s", self._path, error)
-
-    def _save_replica_state(self) -> None:
-        """Raises OSError where the disk takes nothing now."""
-        self._is_replica_state_unwritten = True
-        if self._path is not None:
-            write_replica_state(_replica_state_path(self._path), self.replica_state)
-        self._is_replica_state_unwritten = False
+    @property
+    def replica_state(self) -> ReplicaState:
+        """How far this replica was in sync, and which deletions it has forgotten."""
+        return self.replica_state_file.state
 
+    def set_last_in_sync(self, at: float | None) -> None:
+        """Sets the Unix seconds until which this replica held all that others did; None for not known."""
+        self.replica_state_file.set_last_in_sync(at)
 
-def _replica_state_path(path: Path) -> Path:
-    return path.with_name(path.name + ".standing")
+    def raise_tombstone_floor(self, floor: int) -> None:
+        """Records that deletions up to version ``floor`` were forgotten, here or by another replica."""
+        self.replica_state_file.raise_tombstone_floor(floor)
--- a/tests/support/replication_fleet.py
+++ b/tests/support/replication_fleet.py
@@ -96,7 +96,7 @@
         new = Store(name, wall_clock=self.wall)
         if not wiped:
             new.merge(old.records())
-            new.replica_state = old.replica_state
+            new.replica_state_file.state = old.replica_state
         self.start(name, new)
 
     def connect(self, one: str, other: str) -> None:
@@ -329,7 +329,7 @@
     """A cluster that has been in step, linked to a star round its first."""
     cluster = SimulatedCluster(names, seed, **more)
     for name in names:
-        cluster.store(name).replica_state = ReplicaState(cluster.wall(), 0)
+        cluster.store(name).replica_state_file.state = ReplicaState(cluster.wall(), 0)
     for name in names[1:]:
         cluster.connect(names[0], name)
     cluster.run(5.0)
