--- a/sageturn/store/replication/anti_entropy.py
+++ b/sageturn/store/replication/anti_entropy.py
@@ -26,9 +26,9 @@
 
 MAX_REQUESTED_NODES = 64
 MAX_REQUESTED_KEYS = MAX_REQUESTED_ITEMS
-MAX_LISTED_KEYS = 32  # a tree node with no more keys is answered by its keys
-MIN_REPEAT_S = 5.0
-MAX_REPEAT_S = 300.0
+MAX_LISTED_KEYS = 32  # below a tree node that is answered by its keys
+MIN_REPEAT_DELAY_S = 5.0
+MAX_REPEAT_DELAY_S = 300.0
 
 
 class _Awaited(Enum):
@@ -40,19 +40,19 @@
 class AntiEntropySync:
     """The requesting side: finds what the peer holds that this replica lacks.
 
-    One request is open at a time. Times are seconds of a monotonic clock.
+    One request is open at a time. Times are monotonic seconds. ``rounds`` counts the comparisons started.
     """
 
     def __init__(self, records: ReplicatedRecords) -> None:
         self._records = records
-        self.rounds = 0  # comparisons that were started
+        self.rounds = 0
         self._pending_nodes: list[TreeNode] = []
         self._pending_keys: list[str] = []
         self._awaited = _Awaited.NOTHING
         self._requested_nodes: list[TreeNode] = []
         self._requested_keys: list[str] = []
-        self._records_applied = 0  # in this round
-        self._repeat_delay_s = MIN_REPEAT_S
+        self._records_applied = 0
+        self._repeat_delay_s = MIN_REPEAT_DELAY_S
         self._repeat_at = 0.0
 
     @property
@@ -61,11 +61,11 @@
         return bool(self._pending_nodes or self._pending_keys) or self._awaited != _Awaited.NOTHING
 
     def may_repeat(self, now: float) -> bool:
-        """Whether a round may be started for a difference that replication left."""
+        """Whether a round may be started now for a difference that the change streams left."""
         return now >= self._repeat_at and not self.is_active
 
     def start(self, priority: PriorityClass) -> None:
-        """Compare the trees of a priority class, from their roots on."""
+        """Compares the trees of a priority class, from their roots on."""
         if any(node.priority == priority for node in self._pending_nodes):
             return
         self.rounds += 1
@@ -73,7 +73,7 @@
         self._pending_nodes.append(TreeNode(priority, 0, 0))
 
     def next_request(self) -> NodeRequest | RecordRequest | None:
-        """The next request, which then counts as sent."""
+        """Returns the next request, which then counts as sent; None while there is none to send."""
         if self._awaited != _Awaited.NOTHING:
             return None
         if self._pending_keys:
@@ -90,7 +90,11 @@
         return None
 
     def on_nodes(self, response: NodeResponse) -> None:
-        """Raises SessionRejectedError for a response that does not fit the request."""
+        """Finds in a response what to request next.
+
+        Raises:
+            SessionRejectedError: The response does not fit the request.
+        """
         self._check_response(_Awaited.NODES, len(self._requested_nodes), response.count)
         answered = self._requested_nodes[: response.count]
         missing_keys: list[str] = []
@@ -123,7 +127,11 @@
         return offered.digest > record_digest(held)
 
     def check_records(self, response: RecordResponse) -> None:
-        """Raises SessionRejectedError for a response that does not fit the request."""
+        """Closes the open request, before the records of the response are applied.
+
+        Raises:
+            SessionRejectedError: The response does not fit the request.
+        """
         self._check_response(_Awaited.RECORDS, len(self._requested_keys), response.count)
         answered = set(self._requested_keys[: response.count])
         if not {record.key for record in response.records} <= answered:
@@ -132,16 +140,16 @@
         self._pending_keys += self._requested_keys[response.count :]
 
     def on_records_applied(self, count: int) -> None:
-        """``count`` of the records of a checked response were newer than what the store held."""
+        """Counts the records of a checked response that were newer than what the store held."""
         self._records_applied += count
 
     def on_finished(self, now: float) -> None:
-        """No request is left: schedule the earliest repetition."""
+        """Schedules the earliest repetition, once no request is left."""
         if self._records_applied:
-            self._repeat_delay_s = MIN_REPEAT_S
+            self._repeat_delay_s = MIN_REPEAT_DELAY_S
         else:
-            # A round that brings nothing is no use again soon: the sides only forget at different times.
-            self._repeat_delay_s = min(MAX_REPEAT_S, self._repeat_delay_s * 2)
+            # The sides may differ only because they forget deletions at different times.
+            self._repeat_delay_s = min(MAX_REPEAT_DELAY_S, self._repeat_delay_s * 2)
         self._repeat_at = now + self._repeat_delay_s
 
     def _check_response(self, kind: _Awaited, requested: int, answered: int) -> None:
@@ -150,7 +158,7 @@
 
 
 class AntiEntropyResponder:
-    """The answering side; it holds one request at most."""
+    """The answering side, which holds one request at most."""
 
     def __init__(self, records: ReplicatedRecords) -> None:
         self._records = records
@@ -163,7 +171,7 @@
 
     @property
     def requested_items(self) -> int:
-        """The size of the open request."""
+        """The number of tree nodes or keys in the open request."""
         match self._request:
             case NodeRequest(nodes):
                 return len(nodes)
@@ -173,13 +181,17 @@
                 return 0
 
     def on_request(self, request: NodeRequest | RecordRequest) -> None:
-        """Raises SessionRejectedError for a second request before the first is answered."""
+        """Keeps a request until it is answered.
+
+        Raises:
+            SessionRejectedError: Another request is still open.
+        """
         if self._request is not None:
             raise SessionRejectedError("asked before the answer")
         self._request = request
 
     def next_response(self, now: float, allowance: SendAllowance) -> NodeResponse | RecordResponse | None:
-        """As much of the response as fits into one chunk; None if nothing may be sent now."""
+        """Returns as much of the response as fits into one chunk; None if nothing may be sent now."""
         request = self._request
         if request is None or not allowance.may_send_chunk(now):
             return None
--- a/sageturn/store/replication/byte_budget.py
+++ b/sageturn/store/replication/byte_budget.py
@@ -2,19 +2,20 @@
 
 from __future__ import annotations
 
-MAX_DEBT_S = 4.0  # a late priority change is worse than a late state: seconds of budget it may borrow
+MAX_DEBT_S = 4.0  # of the rate, that urgent messages may borrow
 
 
 class ByteBudget:
-    """A token bucket of bytes, as in RFC 2697, shared by all sessions of a replica.
+    """Bounds the bytes sent, by a token bucket as in RFC 2697 that all sessions of a replica share.
 
     Urgent messages may overdraw it by ``debt`` bytes; everything else then waits until that is paid back.
     Over any span of ``t`` seconds at most ``rate * t + burst + debt`` bytes are consumed, and one chunk.
-    Times are seconds of a monotonic clock that the caller passes in.
+    Times are monotonic seconds that the caller passes in.
     """
 
     def __init__(self, rate: float, now: float) -> None:
-        self.rate = rate  # bytes per second
+        """``rate`` is bytes per second."""
+        self.rate = rate
         self.burst = rate
         self.debt = MAX_DEBT_S * rate
         self.consumed_bytes = 0
@@ -22,19 +23,19 @@
         self._refilled_at = now
 
     def available_bytes(self, now: float, urgent: bool = False) -> float:
-        """Bytes that may be sent now."""
+        """Returns the bytes that may be sent now; negative while a debt is paid back."""
         refill = (now - self._refilled_at) * self.rate
         self._available = min(self.burst, self._available + refill)
         self._refilled_at = now
         return self._available + self.debt if urgent else self._available
 
     def consume(self, now: float, size: int) -> None:
-        """Account for ``size`` bytes sent; never fails, the budget may become negative."""
+        """Accounts for ``size`` bytes sent, which may exceed the budget."""
         self.available_bytes(now)
         self._available -= size
         self.consumed_bytes += size
 
     def available_at(self, now: float, size: float, urgent: bool = False) -> float:
-        """The time at which ``size`` bytes are available; ``size`` must not exceed the burst."""
+        """Returns when ``size`` bytes are available; ``size`` must not exceed the burst."""
         missing = max(0.0, size - self.available_bytes(now, urgent))
         return now + missing / self.rate
--- a/sageturn/store/replication/changes.py
+++ b/sageturn/store/replication/changes.py
@@ -1,4 +1,4 @@
-"""What a replica holds, in the order in which it came to hold it.
+"""The change logs of a replica: what it holds, in the order in which it came to hold it.
 
 Each priority class has a change log of its own. A change of a key takes the next revision, and the key's
 earlier entry is removed: there is one entry for each key, however often it changes.
@@ -14,8 +14,7 @@
 from sageturn.store.replication.merkle_tree import MerkleTree
 from sageturn.store.replication.priority import PRIORITY_CLASSES, priority_of
 
-MIN_COMPACTED_ENTRIES = 64  # stale entries that are always allowed before the order is compacted
-NO_SOURCE = 0  # the incarnation of a change that was made here
+MIN_COMPACTED_ENTRIES = 64  # stale revisions that are kept before the order is compacted
 
 
 class Change(NamedTuple):
@@ -23,14 +22,14 @@
 
     revision: int
     key: str
-    source: int  # the incarnation of the peer that sent the change, or ``NO_SOURCE``
+    source: int | None  # the incarnation of the peer that sent the change; None if it was made here
 
 
 class ChangeLog:
-    """The latest change of each key, by rising revision."""
+    """Keeps the latest change of each key, by rising revision."""
 
     def __init__(self) -> None:
-        self.head = 0  # the last revision given
+        self.head = 0
         self._entries: dict[int, Change] = {}
         self._revisions: dict[str, int] = {}
         self._order: list[int] = []  # rising; may name entries that are gone
@@ -40,11 +39,11 @@
 
     @property
     def order_length(self) -> int:
-        """Revisions kept for ordered access, stale ones included: what bounds the log's memory."""
+        """The number of revisions kept for ordered access, stale ones included."""
         return len(self._order)
 
-    def append(self, key: str, source: int) -> None:
-        """Record a change of a key."""
+    def append(self, key: str, source: int | None) -> None:
+        """Gives a change of a key the next revision, which becomes ``head``."""
         self.remove(key)
         self.head += 1
         self._revisions[key] = self.head
@@ -54,13 +53,13 @@
             self._order = list(self._entries)
 
     def remove(self, key: str) -> None:
-        """Drop a key's entry, if there is one."""
+        """Drops a key's entry, if there is one."""
         revision = self._revisions.pop(key, None)
         if revision is not None:
             del self._entries[revision]
 
     def since(self, revision: int) -> Iterator[Change]:
-        """Entries after a revision, rising. The log must not change during the iteration."""
+        """Yields the entries after a revision, rising. The log must not change during the iteration."""
         order = self._order
         for position in range(bisect_right(order, revision), len(order)):
             change = self._entries.get(order[position])
@@ -69,7 +68,7 @@
 
 
 class ChangeLogSet:
-    """The change logs and Merkle trees of one incarnation of a replica, by priority class.
+    """Holds the change logs and Merkle trees of one incarnation of a replica, by priority class.
 
     Positions in these logs mean nothing for another incarnation.
     """
@@ -79,14 +78,14 @@
         self.logs = [ChangeLog() for _ in PRIORITY_CLASSES]
         self.trees = [MerkleTree() for _ in PRIORITY_CLASSES]
 
-    def add(self, record: StoreRecord, source: int = NO_SOURCE) -> None:
-        """Record that the replica now holds this version of a record."""
+    def add(self, record: StoreRecord, source: int | None = None) -> None:
+        """Records that the replica now holds this version of a record; see ``Change.source``."""
         priority = priority_of(record.key)
         self.logs[priority].append(record.key, source)
         self.trees[priority].set(record.key, record_digest(record))
 
     def remove(self, key: str) -> None:
-        """Record that the replica has forgotten a key."""
+        """Records that the replica has forgotten a key."""
         priority = priority_of(key)
         self.logs[priority].remove(key)
         self.trees[priority].set(key, 0)
--- a/sageturn/store/replication/chunk_receiver.py
+++ b/sageturn/store/replication/chunk_receiver.py
@@ -1,4 +1,4 @@
-"""Following a peer: how far this replica has got with the peer's change logs."""
+"""The receiving side of a session: how far this replica has followed the peer's change logs."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 )
 from sageturn.store.replication.priority import PRIORITY_CLASSES, PriorityClass, priority_of
 
-SNAPSHOT_RATIO = 4  # a replica that holds so many times fewer records takes all from the start
+SNAPSHOT_RATIO = 4  # of the peer's records to this replica's, above which all are fetched
 
 
 class ChunkReceiver:
-    """The receiving side of one session."""
+    """Keeps one cursor per priority class, and checks that chunks continue it."""
 
     def __init__(self) -> None:
         self.is_following = False
@@ -29,11 +29,17 @@
         self.cursors = [Cursor(0, 0, 0) for _ in PRIORITY_CLASSES]
 
     def has_all_up_to(self, heads: Sequence[int]) -> bool:
-        """Whether everything up to these revisions of the peer is held."""
+        """Whether everything up to these revisions of the peer's change logs is held."""
         return all(cursor.has_all_up_to(head) for cursor, head in zip(self.cursors, heads, strict=True))
 
     def follow(self, hello: Hello, changes: ChangeLogSet, known: list[Cursor] | None) -> Follow:
-        """Start to follow a peer from ``known`` cursors of its incarnation, as far as there are any."""
+        """Begins to follow a peer.
+
+        Args:
+            hello: The peer's hello.
+            changes: This replica's change logs.
+            known: The cursors of an earlier session with the peer's incarnation; None if there was none.
+        """
         self.is_following = True
         for priority in PRIORITY_CLASSES:
             if known is not None and known[priority].live <= hello.heads[priority]:
@@ -46,13 +52,13 @@
 
     @property
     def classes_of_unknown_backlog(self) -> list[PriorityClass]:
-        """The classes that anti-entropy has to fill."""
+        """The priority classes whose backlog anti-entropy has to fill."""
         return [
             priority for priority in PRIORITY_CLASSES if self.cursors[priority].backlog == BACKLOG_UNKNOWN
         ]
 
     def complete_unknown_backlogs(self) -> None:
-        """Anti-entropy has brought what was missing."""
+        """Counts every backlog as received that anti-entropy had to fill."""
         for cursor in self.cursors:
             if cursor.backlog == BACKLOG_UNKNOWN:
                 cursor.backlog = cursor.backlog_end
@@ -73,7 +79,7 @@
             raise SessionRejectedError("a record in the wrong lane")
 
     def on_chunk_applied(self, chunk: Chunk) -> None:
-        """The records of a checked chunk are in the store."""
+        """Advances the cursor over a checked chunk whose records are in the store."""
         cursor = self.cursors[chunk.priority]
         if chunk.stream == ChangeStream.LIVE:
             cursor.live = chunk.end
@@ -82,7 +88,7 @@
         self.has_unacknowledged_chunks = True
 
     def skip(self, skipped: Sequence[SkippedRange]) -> None:
-        """Advance over live revisions that hold nothing new. Raises SessionRejectedError for a gap."""
+        """Advances over live revisions that hold nothing new. Raises SessionRejectedError for a gap."""
         for cursor, (start, end) in zip(self.cursors, skipped, strict=True):
             if start != cursor.live or end < start:
                 raise SessionRejectedError(f"out of order: a beat at {start}, where {cursor.live} is next")
@@ -90,12 +96,12 @@
             cursor.live = end
 
     def acknowledged_positions(self) -> list[AcknowledgedPosition]:
-        """What is confirmed to the peer."""
+        """Returns the positions that are confirmed to the peer."""
         return [AcknowledgedPosition(cursor.backlog, cursor.live) for cursor in self.cursors]
 
 
 def _first_cursor(priority: PriorityClass, hello: Hello, changes: ChangeLogSet) -> Cursor:
-    """Where to begin with an incarnation that this replica has not followed yet."""
+    """Returns where to begin with an incarnation that this replica has not followed yet."""
     head = hello.heads[priority]
     peer_count = hello.counts[priority]
     if hello.roots[priority] == changes.roots[priority] or not peer_count:
--- a/sageturn/store/replication/chunk_sender.py
+++ b/sageturn/store/replication/chunk_sender.py
@@ -27,35 +27,46 @@
 from sageturn.store.replication.wire import encoded_size
 
 MAX_CHUNKS_IN_FLIGHT = 2
-MAX_URGENT_CHUNKS_IN_FLIGHT = 4  # live urgent chunks, counted apart from all others
-# Live chunks of a class are sent at least so far apart on average, a few at once. A change alone costs more
-# for its frame than for itself, and one by one a burst of changes would use the budget up.
+MAX_URGENT_CHUNKS_IN_FLIGHT = 4  # of the live urgent stream, counted apart from all others
+# The mean distance of live chunks, so that the changes of a burst share frames.
 LIVE_CHUNK_INTERVAL_S = {PriorityClass.URGENT: 0.05, PriorityClass.STATES: 0.25}
-MAX_LIVE_BURST = 4
-NO_END = -1  # the stream goes on as far as the change log does
-
-Stream = tuple[PriorityClass, ChangeStream]
-URGENT_LIVE: Stream = PriorityClass.URGENT, ChangeStream.LIVE
-DEFERRABLE_STREAMS: tuple[Stream, ...] = (  # in the order in which they are served
-    (PriorityClass.URGENT, ChangeStream.BACKLOG),
-    (PriorityClass.STATES, ChangeStream.LIVE),
-    (PriorityClass.STATES, ChangeStream.BACKLOG),
+MAX_LIVE_BURST_CHUNKS = 4
+
+
+class Stream(NamedTuple):
+    """One range of one change log."""
+
+    priority: PriorityClass
+    kind: ChangeStream
+
+
+LIVE_STREAMS = {priority: Stream(priority, ChangeStream.LIVE) for priority in PRIORITY_CLASSES}
+BACKLOG_STREAMS = {priority: Stream(priority, ChangeStream.BACKLOG) for priority in PRIORITY_CLASSES}
+URGENT_LIVE = LIVE_STREAMS[PriorityClass.URGENT]
+DEFERRABLE_STREAMS = (  # in the order in which they are served
+    BACKLOG_STREAMS[PriorityClass.URGENT],
+    LIVE_STREAMS[PriorityClass.STATES],
+    BACKLOG_STREAMS[PriorityClass.STATES],
 )
 
 
 @dataclass(slots=True)
 class SendPosition:
-    """How far a stream of a change log was sent to the follower."""
+    """How far a stream of a change log was sent to the follower, in revisions.
 
-    sent: int  # the follower was sent all it lacks up to this revision
-    scanned: int  # and needs nothing up to this one
+    The follower was sent all it lacks up to ``sent``, and needs nothing more up to ``scanned``. ``end`` is
+    the last revision of a backlog, None for a live stream.
+    """
+
+    sent: int
+    scanned: int
     acknowledged: int
-    end: int  # the last revision of the stream, or ``NO_END``
+    end: int | None
 
     @property
     def is_acknowledged_to_end(self) -> bool:
-        """Whether a bounded stream was received as a whole; true for one without an end."""
-        return self.acknowledged >= self.end
+        """Whether a backlog was received completely; true for a live stream."""
+        return self.end is None or self.acknowledged >= self.end
 
 
 class _ChunkInFlight(NamedTuple):
@@ -64,7 +75,7 @@
 
 
 class ChunkSender:
-    """Sends the changes of this replica over one session. Times are seconds of a monotonic clock."""
+    """Sends the changes of this replica to one follower. Times are monotonic seconds."""
 
     def __init__(
         self,
@@ -74,7 +85,11 @@
         positions: Sequence[FollowPosition],
         opened_at: float,
     ) -> None:
-        """Raises SessionRejectedError for a position that this replica never gave."""
+        """Begins to send from the follower's positions.
+
+        Raises:
+            SessionRejectedError: This replica never gave such a position.
+        """
         self._records = records
         self._allowance = allowance
         self._follower_incarnation = follower_incarnation
@@ -89,14 +104,14 @@
         if not follow.backlog <= follow.backlog_end <= follow.live <= head:
             raise SessionRejectedError("a cursor that was never given")
         start = follow.backlog_end if follow.backlog < 0 else follow.backlog
-        live = SendPosition(follow.live, follow.live, follow.live, NO_END)
+        live = SendPosition(follow.live, follow.live, follow.live, None)
         backlog = SendPosition(start, start, start, follow.backlog_end)
-        self._positions[priority, ChangeStream.LIVE] = live
-        self._positions[priority, ChangeStream.BACKLOG] = backlog
+        self._positions[LIVE_STREAMS[priority]] = live
+        self._positions[BACKLOG_STREAMS[priority]] = backlog
 
     @property
     def chunks_in_flight(self) -> int:
-        """Chunks that were sent and are not acknowledged yet."""
+        """The number of chunks that were sent and are not acknowledged yet."""
         return len(self._in_flight)
 
     @property
@@ -111,24 +126,27 @@
     def has_acknowledged(self, heads: Sequence[int]) -> bool:
         """Whether the follower has all up to these revisions of the live streams, and every backlog."""
         return all(
-            self._positions[priority, ChangeStream.LIVE].acknowledged >= head
-            and self._positions[priority, ChangeStream.BACKLOG].is_acknowledged_to_end
+            self._positions[LIVE_STREAMS[priority]].acknowledged >= head
+            and self._positions[BACKLOG_STREAMS[priority]].is_acknowledged_to_end
             for priority, head in zip(PRIORITY_CLASSES, heads, strict=True)
         )
 
     def is_idle(self, priority: PriorityClass, changes: ChangeLogSet) -> bool:
         """Whether the follower has acknowledged everything in one class."""
-        live = self._positions[priority, ChangeStream.LIVE]
-        backlog = self._positions[priority, ChangeStream.BACKLOG]
+        live = self._positions[LIVE_STREAMS[priority]]
+        backlog = self._positions[BACKLOG_STREAMS[priority]]
         return live.acknowledged == changes.logs[priority].head and backlog.is_acknowledged_to_end
 
     # ------------------------------------------------------------ sending
 
     def skip_known_changes(self) -> list[SkippedRange]:
-        """The live revisions after the last chunk that the follower needs nothing of; it is told of them."""
+        """Returns the live revisions after the last chunk of which the follower needs nothing.
+
+        They count as sent: a heartbeat has to carry them.
+        """
         skipped = []
         for priority in PRIORITY_CLASSES:
-            stream = priority, ChangeStream.LIVE
+            stream = LIVE_STREAMS[priority]
             self._skip_changes_of_follower(stream)
             position = self._positions[stream]
             skipped.append(SkippedRange(position.sent, position.scanned))
@@ -136,7 +154,7 @@
         return skipped
 
     def next_chunk(self, now: float, stream: Stream) -> Chunk | None:
-        """The next chunk of a stream, which then counts as sent; None if nothing may be sent now."""
+        """Returns the next chunk of a stream, which then counts as sent; None if nothing may be sent now."""
         if not self._has_chunk(stream) or not self._may_send(now, stream):
             return None
         position = self._positions[stream]
@@ -145,14 +163,13 @@
         position.scanned = end
         position.sent = end
         self._in_flight.append(_ChunkInFlight(stream, end))
-        priority, kind = stream
-        if kind == ChangeStream.LIVE:
-            last_at = max(now, self._last_live_chunk_at[priority])
-            self._last_live_chunk_at[priority] = last_at + LIVE_CHUNK_INTERVAL_S[priority]
-        return Chunk(priority, kind, start, end, records)
+        if stream.kind == ChangeStream.LIVE:
+            last_at = max(now, self._last_live_chunk_at[stream.priority])
+            self._last_live_chunk_at[stream.priority] = last_at + LIVE_CHUNK_INTERVAL_S[stream.priority]
+        return Chunk(stream.priority, stream.kind, start, end, records)
 
     def next_chunk_at(self, now: float) -> float | None:
-        """When there may be a chunk though nothing happens in the meantime; None for never."""
+        """Returns when a chunk may be sent though nothing happens in the meantime; None for never."""
         times = []
         if self._has_chunk(URGENT_LIVE):
             allowed_at = self._allowance.next_chunk_at(now, urgent=True)
@@ -160,17 +177,16 @@
         for stream in DEFERRABLE_STREAMS:
             if self._has_chunk(stream):
                 allowed_at = self._allowance.next_chunk_at(now)
-                times.append(max(self._due_at(stream), allowed_at))
+                times.append(max(self._due_at(stream, now), allowed_at))
         return min(times, default=None)
 
     def _collect_records(self, stream: Stream) -> tuple[list[StoreRecord], int]:
-        """The records of a chunk, and the revision at which it ends."""
-        priority, _ = stream
+        """Returns the records of a chunk, and the revision at which it ends."""
         position = self._positions[stream]
         end = self._end_of(stream)
         remaining_bytes = MAX_CHUNK_BYTES
         records: list[StoreRecord] = []
-        for change in self._records.changes.logs[priority].since(position.scanned):
+        for change in self._records.changes.logs[stream.priority].since(position.scanned):
             if change.revision > end:
                 break
             if change.source == self._follower_incarnation:
@@ -193,7 +209,7 @@
         if position.scanned < self._end_of(stream):
             return True
         # An empty end of the backlog is sent too: the follower then knows that it has everything.
-        return stream[1] == ChangeStream.BACKLOG and position.sent < position.end
+        return position.end is not None and position.sent < position.end
 
     def _is_window_full(self, stream: Stream) -> bool:
         is_urgent_live = stream == URGENT_LIVE
@@ -201,30 +217,29 @@
         return in_flight >= (MAX_URGENT_CHUNKS_IN_FLIGHT if is_urgent_live else MAX_CHUNKS_IN_FLIGHT)
 
     def _may_send(self, now: float, stream: Stream) -> bool:
-        if now < self._due_at(stream) and not self._allowance.is_unlimited:
+        if now < self._due_at(stream, now) and not self._allowance.is_unlimited:
             return False
         return self._allowance.may_send_chunk(now, urgent=stream == URGENT_LIVE)
 
-    def _due_at(self, stream: Stream) -> float:
-        priority, kind = stream
-        return self._live_chunk_due_at(priority) if kind == ChangeStream.LIVE else float("-inf")
+    def _due_at(self, stream: Stream, now: float) -> float:
+        return self._live_chunk_due_at(stream.priority) if stream.kind == ChangeStream.LIVE else now
 
     def _live_chunk_due_at(self, priority: PriorityClass) -> float:
-        """By the generic cell rate algorithm (ITU-T I.371): what was saved up may be sent at once."""
-        burst_s = (MAX_LIVE_BURST - 1) * LIVE_CHUNK_INTERVAL_S[priority]
+        """Returns the time by the generic cell rate algorithm (ITU-T I.371), which allows bursts."""
+        burst_s = (MAX_LIVE_BURST_CHUNKS - 1) * LIVE_CHUNK_INTERVAL_S[priority]
         return self._last_live_chunk_at[priority] - burst_s
 
     def _end_of(self, stream: Stream) -> int:
         end = self._positions[stream].end
-        return self._records.changes.logs[stream[0]].head if end == NO_END else end
+        return self._records.changes.logs[stream.priority].head if end is None else end
 
     def _skip_changes_of_follower(self, stream: Stream) -> None:
-        """What came from the follower need not go back to it."""
+        """Scans past changes that came from the follower, which need not go back to it."""
         position = self._positions[stream]
         end = self._end_of(stream)
         if position.scanned >= end:
             return
-        for change in self._records.changes.logs[stream[0]].since(position.scanned):
+        for change in self._records.changes.logs[stream.priority].since(position.scanned):
             if change.revision > end:
                 break
             if change.source != self._follower_incarnation:
@@ -235,10 +250,14 @@
     # ------------------------------------------------------------ acknowledgements
 
     def on_acknowledged(self, positions: Sequence[AcknowledgedPosition]) -> None:
-        """Raises SessionRejectedError for what was never sent."""
+        """Takes the follower's confirmation, by priority class.
+
+        Raises:
+            SessionRejectedError: It confirms what was never sent.
+        """
         for priority, acknowledged in zip(PRIORITY_CLASSES, positions, strict=True):
-            self._acknowledge((priority, ChangeStream.LIVE), acknowledged.live)
-            self._acknowledge((priority, ChangeStream.BACKLOG), acknowledged.backlog)
+            self._acknowledge(LIVE_STREAMS[priority], acknowledged.live)
+            self._acknowledge(BACKLOG_STREAMS[priority], acknowledged.backlog)
         self._in_flight = [
             chunk for chunk in self._in_flight if self._positions[chunk.stream].acknowledged < chunk.end
         ]
--- a/sageturn/store/replication/close_code.py
+++ b/sageturn/store/replication/close_code.py
@@ -1,4 +1,4 @@
-"""Why a replication session was closed, as its last message names it on the wire."""
+"""The reasons for closing a replication session, as its last message names them on the wire."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class CloseCode(StrEnum):
-    """Codes that this program sends; a peer of another version may send others.
+    """A close code that this program sends; a peer of another version may send others.
 
     A session that the topology rejects carries the reason of its ``LinkRejected`` instead.
     """
--- a/sageturn/store/replication/convergence.py
+++ b/sageturn/store/replication/convergence.py
@@ -1,4 +1,4 @@
-"""Whether the two replicas of a session hold the same, judged from their heartbeats."""
+"""Convergence: whether the two replicas of a session hold the same, judged from heartbeats."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from sageturn.store.replication.priority import PRIORITY_CLASSES, PriorityClass
 from sageturn.store.replication.replicated_records import ReplicatedRecords
 
-MIN_DIVERGED_HEARTBEATS = 2  # in a row, with nothing under way, before anti-entropy is started
+MIN_DIVERGED_HEARTBEATS = 2  # in a row, before anti-entropy is started
 
 
 @dataclass(frozen=True, slots=True)
 class _SyncPoint:
-    """Where both change logs ended at a heartbeat."""
+    """The ends of both sides' change logs at a heartbeat."""
 
     peer_heads: Sequence[int]
     own_heads: Sequence[int]
@@ -24,7 +24,7 @@
 
 
 class ConvergenceMonitor:
-    """Tells when a session has brought both sides in sync, and when it failed to though nothing changes."""
+    """Detects when a session has brought both sides in sync, and when something was lost on the way."""
 
     def __init__(self, records: ReplicatedRecords) -> None:
         self._records = records
@@ -32,16 +32,17 @@
         self._diverged_heartbeats = dict.fromkeys(PRIORITY_CLASSES, 0)
 
     def on_heartbeat(self, heartbeat: Heartbeat) -> None:
-        """Remember where both sides are, unless an earlier point is not reached yet."""
+        """Remembers where both sides are, unless an earlier point is not reached yet."""
         if self._sync_point is None:
             self._sync_point = _SyncPoint(
                 heartbeat.heads, self._records.changes.heads, self._records.store.wall_clock()
             )
 
     def take_sync_time(self, receiver: ChunkReceiver, sender: ChunkSender | None) -> float | None:
-        """Unix seconds of a heartbeat at which each side had what the other now has too; once for each.
+        """Returns the Unix seconds of a heartbeat, once each side has what the other had then.
 
-        A replica that is being filled, and that the peer does not follow yet, only has to have all itself.
+        A side that the peer does not follow yet, as while it is being filled, only has to have all itself.
+        None if there is no such heartbeat, or it was returned before.
         """
         point = self._sync_point
         if point is None or not receiver.has_all_up_to(point.peer_heads):
@@ -54,7 +55,7 @@
     def has_diverged(
         self, priority: PriorityClass, heartbeat: Heartbeat, receiver: ChunkReceiver, sender: ChunkSender
     ) -> bool:
-        """Whether a class differs with nothing under way, and not just once: something was lost."""
+        """Whether a class differs at several heartbeats in a row though no changes are under way."""
         changes = self._records.changes
         cursor = receiver.cursors[priority]
         has_all = cursor.is_backlog_complete and cursor.live == heartbeat.heads[priority]
@@ -66,5 +67,5 @@
         return self._diverged_heartbeats[priority] >= MIN_DIVERGED_HEARTBEATS
 
     def on_repair_started(self, priority: PriorityClass) -> None:
-        """Anti-entropy compares a class now."""
+        """Restarts the count of a class that anti-entropy compares now."""
         self._diverged_heartbeats[priority] = 0
--- a/sageturn/store/replication/cursor.py
+++ b/sageturn/store/replication/cursor.py
@@ -1,4 +1,4 @@
-"""How far one replica has followed another's change logs."""
+"""Cursors: how far one replica has followed another's change logs."""
 
 from __future__ import annotations
 
@@ -7,22 +7,28 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-BACKLOG_UNKNOWN = -1  # anti-entropy has to find out what is missing
+BACKLOG_UNKNOWN = -1  # on the wire too; anti-entropy finds out what is missing
 MAX_REMEMBERED_INCARNATIONS = 2048
 
 
 class ChangeStream(IntEnum):
-    """The two ranges of a change log that are sent side by side; values are those of the wire protocol."""
+    """The two ranges of a change log that are sent side by side: before and after the session was opened.
 
-    LIVE = 0  # changes after the session was opened
-    BACKLOG = 1  # changes before that
+    The values are those of the wire protocol.
+    """
+
+    LIVE = 0
+    BACKLOG = 1
 
 
 @dataclass(slots=True)
 class Cursor:
-    """Held are all changes up to ``backlog``, and all after ``backlog_end`` up to ``live``."""
+    """A position in a change log: all changes up to ``backlog``, and after ``backlog_end`` up to ``live``.
+
+    ``backlog`` may be ``BACKLOG_UNKNOWN``.
+    """
 
-    backlog: int  # ``BACKLOG_UNKNOWN``, or a revision
+    backlog: int
     backlog_end: int
     live: int
 
@@ -37,7 +43,7 @@
 
 
 class CursorCache:
-    """The cursors of peers' incarnations, for a later session with the same incarnation.
+    """Caches the cursors of peers' incarnations, for a later session with the same incarnation.
 
     The least recently used are dropped first.
     """
@@ -46,20 +52,20 @@
         self._cursors: OrderedDict[int, list[Cursor]] = OrderedDict()
 
     def get(self, incarnation: int) -> list[Cursor] | None:
-        """The cursors by priority class; None for an incarnation that is not known."""
+        """Returns the cursors by priority class; None for an incarnation that is not known."""
         return self._cursors.get(incarnation)
 
     def items(self) -> Iterable[tuple[int, list[Cursor]]]:
-        """All incarnations with their cursors."""
+        """Returns all incarnations with their cursors."""
         return self._cursors.items()
 
     def remember(self, incarnation: int, cursors: list[Cursor]) -> None:
-        """Keep the cursors of a session, which go on being updated."""
+        """Keeps the cursors of a session, which goes on to update them."""
         self._cursors[incarnation] = cursors
         self._cursors.move_to_end(incarnation)
         if len(self._cursors) > MAX_REMEMBERED_INCARNATIONS:
             self._cursors.popitem(last=False)
 
     def clear(self) -> None:
-        """Forget all of them: this replica begins an incarnation of its own."""
+        """Drops all cursors, when this replica begins a new incarnation."""
         self._cursors.clear()
--- a/sageturn/store/replication/location.py
+++ b/sageturn/store/replication/location.py
@@ -1,4 +1,4 @@
-"""Where a replica can be reached, and the zone it runs in."""
+"""The location of a replica: the address at which it is reached, and its zone."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def zone_label(region: str, zone: str) -> str:
-    """The name under which heartbeats carry the age of a zone's last message."""
+    """Returns the name of a zone in heartbeats and state reports."""
     return f"{region}/{zone}"
 
 
@@ -22,9 +22,9 @@
 
     @property
     def zone_label(self) -> str:
-        """See the function of that name."""
+        """The name of the zone in heartbeats and state reports."""
         return zone_label(self.region, self.zone)
 
     def as_member(self, node: str, incarnation: int) -> Member:
-        """The member of that name at this location."""
+        """Returns the member of that name at this location."""
         return Member(node, self.address, self.region, self.zone, incarnation)
--- a/sageturn/store/replication/member_directory.py
+++ b/sageturn/store/replication/member_directory.py
@@ -1,4 +1,4 @@
-"""The members as the store's records have them: who is one, and who was removed."""
+"""The members as the store's records name them: who is one, and who was removed."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def member_key(node: str) -> str:
-    """The key under which a member advertises itself."""
+    """Returns the key under which a member advertises itself."""
     return f"{STATE_PREFIX}{node}{MEMBER_SUFFIX}"
 
 
@@ -24,7 +24,7 @@
 
 
 def encode_member(location: ReplicaLocation, incarnation: int) -> dict[str, Any]:
-    """The value of a member's advertisement of itself."""
+    """Returns the value of a member's advertisement of itself, as it is stored."""
     host, port = location.address
     return {
         "address": f"{host}:{port}",
@@ -35,7 +35,7 @@
 
 
 def decode_member(record: StoreRecord) -> Member | None:
-    """None for a record that advertises no member, or was deleted."""
+    """Returns the advertised member; None if the record advertises none, is malformed, or was deleted."""
     value = record.value
     if record.key != member_key(record.node) or not isinstance(value, dict):
         return None
@@ -48,26 +48,26 @@
 
 
 def stored_incarnation(store: Store) -> int:
-    """The incarnation that this node last advertised; 0 if none is known."""
+    """Returns the incarnation that this node last advertised; 0 if none is known."""
     value = store.get(member_key(store.node))
     incarnation = value.get("incarnation", 0) if isinstance(value, dict) else 0
     return incarnation if isinstance(incarnation, int) else 0
 
 
 class MemberDirectory:
-    """All members by name, with one's own, and the names of those that an operator removed."""
+    """Indexes all members by name, this one included, and the names of those that an operator removed."""
 
     def __init__(self) -> None:
         self.members: dict[str, Member] = {}
         self.removed: set[str] = set()
 
     def reset(self, store: Store) -> None:
-        """Start anew, before the records of a store are gone through again."""
+        """Forgets all members, before every record of the store is taken in again."""
         self.members.clear()
         self.removed = {key.removeprefix(REMOVED_PREFIX) for key in store.keys(REMOVED_PREFIX)}
 
     def update(self, record: StoreRecord) -> None:
-        """Take over a member's advertisement of itself."""
+        """Takes over a member's advertisement of itself."""
         member = decode_member(record)
         if member is None:
             self.members.pop(record.node, None)
@@ -75,9 +75,9 @@
             self.members[record.node] = member
 
     def active(self) -> list[Member]:
-        """The members that were not removed."""
+        """Returns the members that were not removed."""
         return [member for member in self.members.values() if member.name not in self.removed]
 
     def active_zones(self) -> set[str]:
-        """The zones of the members that were not removed, as ``region/zone``."""
+        """Returns the zones of the members that were not removed, as ``region/zone``."""
         return {zone_label(member.region, member.zone) for member in self.active()}
--- a/sageturn/store/replication/options.py
+++ b/sageturn/store/replication/options.py
@@ -4,20 +4,26 @@
 
 from dataclasses import dataclass
 
-DEFAULT_MAX_BYTES_PER_S = 13_500.0  # sent; as much may come in, and a relay may use 27 KB/s for control
-MIN_MAX_BYTES_PER_S = 8192.0  # a chunk and a hello have to fit
+from sageturn.store.replication.membership import Address
+
+DEFAULT_MAX_BYTES_PER_S = 13_500.0  # sent: half of a relay's 27 KB/s for control traffic
+MIN_MAX_BYTES_PER_S = 8192.0  # fits a chunk and a hello
 DEFAULT_HORIZON_S = 7 * 86400.0
 MIN_HORIZON_S = 3600.0
 
 
 @dataclass(frozen=True, slots=True)
 class ReplicationOptions:
-    """How a member takes part in replication."""
+    """How a member takes part in replication.
+
+    ``seeds`` are addresses of any members, from which the others are learnt. ``max_bytes_per_s`` bounds what
+    is sent to all other members together; ``horizon_s`` is how long deletions are remembered.
+    """
 
-    listen: tuple[str, int]
-    seeds: tuple[tuple[str, int], ...]  # any members; the others are learnt from them
+    listen: Address
+    seeds: tuple[Address, ...]
     secret: bytes
     region: str = ""
     zone: str = ""
-    max_bytes_per_s: float = DEFAULT_MAX_BYTES_PER_S  # to all other members together
-    horizon_s: float = DEFAULT_HORIZON_S  # how long deletions are remembered
+    max_bytes_per_s: float = DEFAULT_MAX_BYTES_PER_S
+    horizon_s: float = DEFAULT_HORIZON_S
--- a/sageturn/store/replication/replicated_records.py
+++ b/sageturn/store/replication/replicated_records.py
@@ -11,7 +11,7 @@
 from typing import Protocol
 
 from sageturn.store.records import STATE_PREFIX, StoreRecord
-from sageturn.store.replication.changes import NO_SOURCE, ChangeLogSet
+from sageturn.store.replication.changes import ChangeLogSet
 from sageturn.store.replication.cursor import CursorCache
 from sageturn.store.replication.member_directory import REMOVED_PREFIX, MemberDirectory, is_member_key
 from sageturn.store.replication.tombstones import TombstoneTracker
@@ -45,7 +45,7 @@
         self.directory = MemberDirectory()
         self._tombstones = TombstoneTracker(store, horizon_s)
         self._observer = observer
-        self._applied_source = NO_SOURCE  # the incarnation whose records are being applied
+        self._applied_source: int | None = None  # the incarnation whose records are being applied
 
     def begin_incarnation(self, incarnation: int) -> None:
         """Rebuilds the change logs and all indexes from the store."""
@@ -77,7 +77,7 @@
         try:
             return self.store.merge(current)
         finally:
-            self._applied_source = NO_SOURCE
+            self._applied_source = None
 
     def has_expirable_tombstones(self) -> bool:
         """Whether there are deletions, and this replica was in sync recently enough to forget any."""
--- a/sageturn/store/replication/session_table.py
+++ b/sageturn/store/replication/session_table.py
@@ -13,7 +13,7 @@
 
 
 class SessionTable:
-    """All sessions, also those that are not established yet.
+    """Keeps all sessions, also those that are not established yet.
 
     While a replica that is not recently in sync has a session with a peer that is, it takes records from
     nobody else: what they hold may have been deleted meanwhile.
@@ -25,7 +25,7 @@
         self.sessions: list[ReplicationSession] = []
 
     def established(self) -> list[ReplicationSession]:
-        """The sessions with other members."""
+        """Returns the established sessions with other members."""
         return [
             session
             for session in self.sessions
@@ -50,7 +50,15 @@
         return not self._sync_status.recently_in_sync and not self._is_being_filled()
 
     def check_sync_claims(self, hello: Hello, claims_sync: bool) -> None:
-        """Raises SessionRejectedError where a side is not recently in sync and may not meet the other yet."""
+        """Rejects a peer that holds records of others and is not recently in sync, while this side is.
+
+        Args:
+            hello: The peer's hello.
+            claims_sync: Whether this side claims in its own hello to be recently in sync.
+
+        Raises:
+            SessionRejectedError: The peer has to start over, or to wait until this side is filled.
+        """
         if hello.recently_in_sync or not hello.holds_replicated_records:
             return
         if claims_sync:
@@ -65,30 +73,30 @@
     # ------------------------------------------------------------ closing
 
     def close_all(self, detail: str, code: CloseCode) -> None:
-        """Close every session."""
+        """Closes every session."""
         for session in self.sessions:
             session.close(detail, code)
 
     def close_with(self, peer: str, detail: str, code: CloseCode) -> None:
-        """Close every session with a peer, established or not."""
+        """Closes every session with a peer, established or not."""
         for session in self.sessions:
             if session.peer == peer:
                 session.close(detail, code)
 
     def close_established_with(self, peer: str, detail: str, code: CloseCode) -> None:
-        """Close the established sessions with a member."""
+        """Closes the established sessions with a member."""
         for session in self.established():
             if session.peer == peer:
                 session.close(detail, code)
 
     def close_unsynced(self, detail: str) -> None:
-        """Close the sessions with members that are not recently in sync; they may connect again."""
+        """Closes the sessions with members that are not recently in sync; they may connect again."""
         for session in self.established():
             if not session.peer_recently_in_sync:
                 session.close(detail, CloseCode.LATER)
 
     def close_conflicting(self, new: PeerSession) -> None:
-        """Close what a newly established session replaces, or the new one where it is a duplicate."""
+        """Closes what a newly established session replaces, or the new one if it is a duplicate."""
         is_filled_by_new = new.peer_recently_in_sync and not self._sync_status.recently_in_sync
         for other in self.established():
             if other is new:
@@ -99,7 +107,11 @@
                 other.close(_BEING_FILLED, CloseCode.LATER)
 
     def _close_duplicate(self, old: PeerSession, new: PeerSession) -> None:
-        """Of two sessions with a peer that of the smaller dialing node stays, or of one dialer the newer."""
+        """Closes one of two sessions with a peer.
+
+        The one that the smaller node has dialed stays; of two with one dialer, or with two incarnations of
+        the peer, the newer one.
+        """
         assert old.peer_hello is not None and new.peer_hello is not None
         is_same_incarnation = old.peer_hello.incarnation == new.peer_hello.incarnation
         if is_same_incarnation and self._dialing_node(old) < self._dialing_node(new):
--- a/sageturn/store/replication/state_report.py
+++ b/sageturn/store/replication/state_report.py
@@ -1,24 +1,27 @@
-"""What a member tells operators about its replication, and how often. No I/O, no clock."""
+"""The state of a member's replication, as it is published for operators. No I/O, no clock."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
 MIN_REPORTED_SILENCE_S = 10.0
-SILENCE_STEP_S = 10  # coarse, or each report would be a change that has to be replicated
-MAX_FLEET_REPORTS_PER_S = 10.0  # each goes to every member, so the more members, the rarer each one's
+SILENCE_STEP_S = 10  # coarse, so that few reports are changes to replicate
+MAX_FLEET_REPORTS_PER_S = 10.0  # of all members together, since each goes to every member
 
 
 @dataclass(frozen=True, slots=True)
 class ReplicationStateReport:
-    """The state of one member's replication."""
+    """The state of one member's replication.
+
+    ``zone_ages_s`` has the seconds since something was last heard from each zone.
+    """
 
     link_count: int
     recently_in_sync: bool
-    zone_ages_s: dict[str, float]  # by zone, the time since something was last heard from it
+    zone_ages_s: dict[str, float]
 
     def encode(self) -> dict[str, object]:
-        """As it stands in the state record that the relay writes."""
+        """Returns the report as it stands in the state record that the relay writes."""
         return {
             "links": self.link_count,
             "in_step": self.recently_in_sync,
@@ -34,5 +37,5 @@
 
 
 def report_interval_s(member_count: int) -> float:
-    """How long a member waits between two reports, so that those of the whole fleet stay few."""
+    """Returns the seconds that a member waits between two reports."""
     return member_count / MAX_FLEET_REPORTS_PER_S
--- a/sageturn/store/replication/sync_status.py
+++ b/sageturn/store/replication/sync_status.py
@@ -1,29 +1,29 @@
 """Whether a replica's records are known to be complete and current.
 
-A replica is recently in sync if it held all that others did within the horizon, after which deletions are
-forgotten. One that is not, and connects to one that is, drops what it has from others and takes it anew:
-what it holds may have been deleted and the deletion forgotten. Until then nobody who is recently in sync
-takes anything from it.
+A replica is recently in sync if it held all that others did at some time within the horizon, after which
+deletions are forgotten. A replica that is not recently in sync may hold records whose deletion the others
+have forgotten. When it connects to one that is, it therefore drops what it has from others and fetches it
+again; until then no replica that is recently in sync takes records from it.
 """
 
 from __future__ import annotations
 
 from sageturn.store.store import Store
 
-# Replicas of which none is recently in sync agree after so long that what they hold counts.
-SETTLING_TIME_S = 60.0
+SETTLING_TIME_S = 60.0  # until connected replicas count as in sync of which none was
 
 
 class SyncStatus:
-    """The sync status of one replica. ``horizon_s``: how long deletions are remembered."""
+    """Tracks the sync status of one replica."""
 
     def __init__(self, store: Store, horizon_s: float) -> None:
+        """``horizon_s`` is how long deletions are remembered."""
         self._store = store
         self._horizon_s = horizon_s
         has_records_of_others = any(record.node != store.node for record in store.records())
         self._holds_unverified_records = self.recently_in_sync or has_records_of_others
-        self._filled_since: float | None = None  # Unix seconds; records came only from peers in sync since
-        self._settling_since: float | None = None  # seconds of a monotonic clock
+        self._filled_since: float | None = None  # Unix seconds of the first record from a peer in sync
+        self._settling_since: float | None = None  # monotonic seconds
 
     @property
     def recently_in_sync(self) -> bool:
@@ -33,23 +33,24 @@
 
     @property
     def holds_replicated_records(self) -> bool:
-        """Whether what it holds of others may have been deleted meanwhile, were it not recently in sync."""
+        """Whether it holds records of others that may be deleted elsewhere unless it is recently in sync."""
         if self._holds_unverified_records:
             return True
         filled_since = self._filled_since
         return filled_since is not None and self._store.wall_clock() - filled_since > self._horizon_s
 
     def on_records_applied(self, is_peer_in_sync: bool) -> None:
-        """Records of a peer were taken into the store."""
+        """Handles records of a peer that were merged into the store."""
         if not is_peer_in_sync:
             self._holds_unverified_records = True
         elif self._filled_since is None:
             self._filled_since = self._store.wall_clock()
 
     def on_in_sync(self, at: float) -> bool:
-        """This replica held all that a peer did at ``at`` (Unix seconds).
+        """Records that this replica held all that a peer did at ``at``, Unix seconds.
 
-        Returns whether it was only now filled by peers that are in sync.
+        Returns:
+            Whether that completes the filling of a replica that was empty or has started over.
         """
         was_in_sync = self.recently_in_sync
         last_in_sync = self._store.replica_state.last_in_sync or 0.0
@@ -59,14 +60,15 @@
         return is_newly_filled
 
     def on_started_over(self) -> None:
-        """All records of others were dropped."""
+        """Forgets the origin of the records, after all those of others were dropped."""
         self._holds_unverified_records = False
         self._filled_since = None
 
     def update_settling(self, now: float, may_settle: bool) -> None:
-        """Count as in sync once ``may_settle`` has held for long enough.
+        """Counts the replica as in sync once ``may_settle`` has held for ``SETTLING_TIME_S``.
 
-        For a new cluster, or one that was off as a whole for long: there is nobody to be filled by.
+        This is for a new cluster, or one that was off as a whole for long: no replica could fill another.
+        ``now`` is monotonic seconds.
         """
         if self.recently_in_sync or not may_settle:
             self._settling_since = None
--- a/sageturn/store/replication/zone_liveness.py
+++ b/sageturn/store/replication/zone_liveness.py
@@ -1,4 +1,4 @@
-"""How long ago each zone was last heard of, directly or through others."""
+"""How long ago each zone was last heard from, directly or through others."""
 
 from __future__ import annotations
 
@@ -6,18 +6,20 @@
 
 from sageturn.store.replication.messages import MAX_ZONES
 
-NEVER_HEARD_AT = -1e18
-
 
 class ZoneLiveness:
-    """Zones are named ``region/zone``; times are seconds of a monotonic clock."""
+    """Tracks zones by their labels, ``region/zone``. Times are monotonic seconds.
+
+    ``last_heard_at`` has the time at which the last message known to have left a zone was sent.
+    """
 
     def __init__(self, own_zone: str | None) -> None:
+        """``own_zone`` is None for an ephemeral client, which is in no zone."""
         self._own_zone = own_zone
         self.last_heard_at: dict[str, float] = {}
 
     def ages(self, now: float) -> dict[str, float]:
-        """Seconds since the last message that left each zone; 0 for one's own."""
+        """Returns the seconds since the last message left each zone, rounded; 0 for this member's own."""
         last_heard_at = dict(self.last_heard_at)
         if self._own_zone is not None:
             last_heard_at[self._own_zone] = now
@@ -27,7 +29,7 @@
         }
 
     def merge(self, ages: dict[str, float], now: float) -> None:
-        """Take over what a peer knows better."""
+        """Takes over what a peer knows better: ``ages`` is seconds by zone."""
         for zone, age in ages.items():
             heard_at = now - age
             known_at = self.last_heard_at.get(zone)
@@ -37,9 +39,9 @@
                 self.last_heard_at[zone] = heard_at
 
     def is_any_silent(self, zones: Iterable[str], now: float, limit_s: float) -> bool:
-        """Whether one of these zones, other than one's own, was not heard of for longer than the limit."""
-        return any(
-            now - self.last_heard_at.get(zone, NEVER_HEARD_AT) > limit_s
-            for zone in zones
-            if zone != self._own_zone
-        )
+        """Whether one of these zones, other than this member's own, was silent for longer than the limit."""
+        return any(self._is_silent(zone, now, limit_s) for zone in zones if zone != self._own_zone)
+
+    def _is_silent(self, zone: str, now: float, limit_s: float) -> bool:
+        heard_at = self.last_heard_at.get(zone)
+        return heard_at is None or now - heard_at > limit_s
