--- a/sageturn/cli/override.py
+++ b/sageturn/cli/override.py
@@ -33,7 +33,7 @@
     Selector,
     SelectorAttribute,
 )
-from sageturn.overrides.registry import OverrideStatus
+from sageturn.overrides.status import OverrideStatus
 from sageturn.overrides.unix_time import unix_time_ms
 from sageturn.store.store import Store
 
--- a/sageturn/cli/override_explanation.py
+++ b/sageturn/cli/override_explanation.py
@@ -8,8 +8,8 @@
 from sageturn.cli.override_output import OverrideSummary, describe_payload, summarize
 from sageturn.cli.override_view import OverrideView
 from sageturn.decision import Endpoint
+from sageturn.overrides.effects import OverrideEffect
 from sageturn.overrides.operations import OverridePayload, Selector, SelectorAttribute
-from sageturn.overrides.resolver import OverrideEffect
 
 NOT_LISTED = "not listed"
 
@@ -58,7 +58,7 @@
     resolver = view.make_resolver()
     involved = [
         InvolvedOverride(summarize(view, override), resolver.suspended.get(override.id, ""))
-        for override in sorted(resolver.overrides.values(), key=lambda override: override.sort_key)
+        for override in sorted(resolver.overrides.values(), key=lambda override: override.admission_rank)
         if _concerns(override.payload, name, endpoint)
     ]
     listed_state = endpoint.state if endpoint else NOT_LISTED
--- a/sageturn/cli/override_output.py
+++ b/sageturn/cli/override_output.py
@@ -122,7 +122,7 @@
 
 def history_rows(view: OverrideView, override_id: str) -> list[dict[str, Any]]:
     """One row for each operation on an override, and one for its expiry."""
-    operations = sorted(view.operations.get(override_id, []), key=lambda operation: operation.sort_key)
+    operations = sorted(view.operations.get(override_id, []), key=lambda operation: operation.rank)
     rows = [_history_row(view, operation) for operation in operations]
     override = view.overrides.get(override_id)
     if override is not None and view.has_expired(override):
--- a/sageturn/cli/override_view.py
+++ b/sageturn/cli/override_view.py
@@ -8,10 +8,10 @@
 from sageturn.overrides.model import Override, fold_operations
 from sageturn.overrides.operations import KEY_PREFIX, OverrideOperation
 from sageturn.overrides.options import SafetyLimits
-from sageturn.overrides.registry import OverrideStatus
 from sageturn.overrides.relay_state import RelayOverrideState, decode_relay_state
 from sageturn.overrides.resolver import OverrideResolver
 from sageturn.overrides.signing import parse_operation
+from sageturn.overrides.status import OverrideStatus
 from sageturn.store.store import Store
 
 STATE_PREFIX = "state/"
@@ -110,7 +110,7 @@
         limits = [state.safety_limits for state in self.states.values()]
         resolver = OverrideResolver(limits[0] if limits else SafetyLimits())
         resolver.apply_endpoint_list(self.endpoints().values(), True)
-        for override in sorted(self.overrides.values(), key=lambda override: override.sort_key):
+        for override in sorted(self.overrides.values(), key=lambda override: override.admission_rank):
             if not override.is_revoked and not override.has_expired(self.now_ms):
                 resolver.add(override)
         return resolver
--- a/sageturn/overrides/actor.py
+++ b/sageturn/overrides/actor.py
@@ -1,4 +1,4 @@
-"""Runs a relay's overrides: between the endpoint list and the balancer, and beside its requests."""
+"""Applies a relay's overrides to the endpoint list before the balancer gets it, and to its requests."""
 
 from __future__ import annotations
 
@@ -6,23 +6,24 @@
 import logging
 from collections.abc import Callable, Sequence
 from contextlib import suppress
-from typing import Any, Protocol
+from typing import Protocol
 
 from sageturn import decision
 from sageturn.core.balancer_actor import BalancerActor
 from sageturn.core.endpoint_snapshot import OperatorMarks
 from sageturn.overrides.audit import AuditAction, AuditEvent
+from sageturn.overrides.operation_log import OverrideRecord
 from sageturn.overrides.operations import KEY_PREFIX
 from sageturn.overrides.options import OverrideOptions
 from sageturn.overrides.registry import OverrideRegistry
 from sageturn.overrides.relay_state import encode_relay_state
-from sageturn.overrides.sticky_routing import apply_sticky_routing
+from sageturn.overrides.sticky_routing import apply_sticky_route
 from sageturn.overrides.unix_time import unix_time_ms
 from sageturn.store.records import StoreRecord
 
 log = logging.getLogger(__name__)
 
-MAX_WAIT_S = 0.5  # the system's clock may be set at any time, and nothing notifies of it
+MAX_WAIT_S = 0.5  # no event reports that the system's clock was set
 STATE_REPORT_INTERVAL_S = 2.0
 WARNING_ACTIONS = frozenset({AuditAction.REJECTED, AuditAction.SUSPENDED})
 
@@ -31,21 +32,27 @@
     """The part of the store that overrides read."""
 
     def keys(self, prefix: str = "") -> list[str]:
-        """All keys that begin with the prefix."""
+        """Returns all keys that begin with the prefix."""
 
-    def get(self, key: str) -> Any:
-        """The value under a key; None if there is none."""
+    def get(self, key: str) -> object:
+        """Returns the value under a key, as decoded from JSON; None if there is none."""
 
 
-def _read_records(store: RecordStore) -> list[tuple[str, Any]]:
-    return [(key, store.get(key)) for key in store.keys(KEY_PREFIX)]
+def _read_records(store: RecordStore) -> list[OverrideRecord]:
+    return [OverrideRecord(key, store.get(key)) for key in store.keys(KEY_PREFIX)]
 
 
 class OverrideActor:
-    """Receives the endpoint list's events in the balancer's place, and forwards them as overrides make them.
-
-    ``report_state`` gets the relay's state record; ``on_marks_changed`` is notified when the sets of
-    endpoints that are excluded from rebalancing, out of service, or being evacuated change.
+    """Receives the endpoint list's events in the balancer's place, and forwards them with overrides applied.
+
+    Args:
+        balancer_actor: Where endpoint list events are forwarded to, and whose requests are pinned.
+        options: The operators and limits in force; ``set_options`` replaces them.
+        store: Holds the operations; its owner calls ``on_store_change``.
+        report_state: Receives the relay's state record.
+        on_marks_changed: Is called when the sets of endpoints that are excluded from rebalancing, out of
+            service, or being evacuated change.
+        now_ms: The system's clock, in milliseconds of Unix time.
     """
 
     def __init__(
@@ -53,7 +60,7 @@
         balancer_actor: BalancerActor,
         options: OverrideOptions,
         store: RecordStore,
-        report_state: Callable[[dict[str, Any]], None],
+        report_state: Callable[[dict[str, object]], None],
         on_marks_changed: Callable[[OperatorMarks], None] | None = None,
         now_ms: Callable[[], float] = unix_time_ms,
     ) -> None:
@@ -64,18 +71,18 @@
         self._report_state = report_state
         self._on_marks_changed = on_marks_changed
         self._now_ms = now_ms
-        self._pending_records: list[tuple[str, Any]] = []
-        self._pending_endpoints: set[str] = set()  # whose state options have changed since the last step
+        self._pending_records: list[OverrideRecord] = []
+        self._pending_endpoints: set[str] = set()  # changed by a reload since the last step
         self._wake_up = asyncio.Event()
         self._state_reported_s = 0.0
-        # What has expired by now never takes effect here: it is left out before the first endpoint is listed.
+        # Applied before the first endpoint is listed: what has expired by now never takes effect here.
         self.registry.apply_records(_read_records(store), now_ms())
         self._update_observer()
 
     # ------------------------------------------------------------ endpoint list
 
     async def post_event(self, event: decision.Event) -> None:
-        """Stands in for the balancer actor's own ``post_event`` at the endpoint registry."""
+        """Posts an event of the endpoint registry to the balancer, endpoint lists with overrides applied."""
         if isinstance(event, decision.EndpointListEvent) and event.kind != "failed":
             is_full = event.kind in ("full", "stale")
             endpoints = self.registry.apply_endpoint_list(event.endpoints, is_full, self._read_clock())
@@ -84,25 +91,29 @@
         await self._balancer_actor.post_event(event)
 
     def _read_clock(self) -> float:
-        """Unix time by the system's clock, in milliseconds; the registry learns how far that was stepped."""
+        """Returns milliseconds of Unix time, and updates by how much the system's clock was stepped."""
         self.registry.wall_clock_shift_ms = self._balancer_actor.clock.read_wall_clock()
         return self._now_ms()
 
     def is_out_of_service(self, endpoint: str) -> bool:
-        """For connections that are set up slowly: whether the endpoint may no longer be given work."""
+        """Whether overrides take an endpoint out of service; asked again before a slow set-up goes on."""
         return self.registry.resolver.effect(endpoint).out_of_service
 
     # ------------------------------------------------------------ store
 
     def on_store_change(self, records: Sequence[StoreRecord]) -> None:
-        """Called by the store for every change; the actor's next step applies it."""
-        changed = [(record.key, record.value) for record in records if record.key.startswith(KEY_PREFIX)]
+        """Queues a change of the store for the next step; the store calls it for every change."""
+        changed = [
+            OverrideRecord(record.key, record.value)
+            for record in records
+            if record.key.startswith(KEY_PREFIX)
+        ]
         if changed:
             self._pending_records += changed
             self._wake_up.set()
 
     def set_options(self, options: OverrideOptions, store: RecordStore) -> None:
-        """Called after a reload. Records that were rejected may be of a known operator now."""
+        """Applies the options of a reload, and all records anew: their operators may be known now."""
         changed = self.registry.set_options(options, self._read_clock())
         self._pending_endpoints.update(endpoint.name for endpoint in changed)
         self._pending_records += _read_records(store)
@@ -111,20 +122,20 @@
     # ------------------------------------------------------------ actor
 
     async def run(self) -> None:
-        """Step whenever the store changes, time passes an expiry, or a ramp has its next step."""
+        """Steps whenever the store changes, an expiry passes, or a ramp has its next step. Never returns."""
         while True:
             await self.step()
             now_ms = self._now_ms()
-            due_ms = self.registry.next_change_ms(now_ms)
+            next_change_ms = self.registry.next_change_ms(now_ms)
             wait_s = MAX_WAIT_S
-            if due_ms is not None:
-                wait_s = min(MAX_WAIT_S, max(0.0, (due_ms - now_ms) / 1000.0))
+            if next_change_ms is not None:
+                wait_s = min(MAX_WAIT_S, max(0.0, (next_change_ms - now_ms) / 1000.0))
             with suppress(TimeoutError):
                 async with asyncio.timeout(wait_s):
                     await self._wake_up.wait()
 
     async def step(self) -> None:
-        """Apply pending changes, expire what is over, and post to the balancer what that changes."""
+        """Applies pending changes, expires what is over, and posts to the balancer what that changes."""
         self._wake_up.clear()
         records = self._pending_records
         self._pending_records = []
@@ -134,7 +145,7 @@
             self._update_observer()
 
     def _update_observer(self) -> None:
-        """Observe the balancer only while there is a pin: without one no request is looked at here."""
+        """Observes the balancer only while there is a pin: without one no request is looked at here."""
         is_observing = self in self._balancer_actor.observers
         has_pins = bool(self.registry.resolver.pins)
         if has_pins and not is_observing:
@@ -142,7 +153,7 @@
         elif is_observing and not has_pins:
             self._balancer_actor.observers.remove(self)
 
-    async def _apply_pending(self, records: list[tuple[str, Any]]) -> None:
+    async def _apply_pending(self, records: list[OverrideRecord]) -> None:
         now_ms = self._read_clock()
         endpoints = self._take_pending_endpoints(now_ms)
         if records:
@@ -152,22 +163,25 @@
             latest = {endpoint.name: endpoint for endpoint in endpoints}
             event = decision.EndpointListEvent("changes", list(latest.values()))
             await self._balancer_actor.post_event(event)
-        audit_events = self.registry.take_audit_events()
+        audit_events = self.registry.audit.take()
         _log_audit_events(audit_events)
         if endpoints or audit_events:
             self._update_marks()
         if audit_events or self._is_report_due(now_ms / 1000.0):
             self._state_reported_s = now_ms / 1000.0
-            self._report_state(self.state(now_ms))
+            self._report_state(encode_relay_state(self.registry, now_ms))
 
     def _take_pending_endpoints(self, now_ms: float) -> list[decision.Endpoint]:
-        """As they are to be seen now: some may have been listed anew, or left the list, since the reload."""
+        """Returns the endpoints that a reload changed as they are now, and forgets them.
+
+        Some may have been listed anew, or left the list, since the reload.
+        """
         names = sorted(self._pending_endpoints & self.registry.resolver.endpoints.keys())
         self._pending_endpoints = set()
         return [self.registry.effective_endpoint(name, now_ms) for name in names]
 
     def _is_report_due(self, now_s: float) -> bool:
-        """Also when the clock was set back."""
+        """Whether the report interval has passed, or the clock was set back."""
         return now_s >= self._state_reported_s + STATE_REPORT_INTERVAL_S or now_s < self._state_reported_s
 
     def _update_marks(self) -> None:
@@ -185,24 +199,18 @@
     # ------------------------------------------------------------ BalancerObserver
 
     def before_event(self, now_ms: float, event: decision.Event) -> None:
-        """Bind a request that a pin selects."""
+        """Binds a request that a pin selects to the pin's endpoints."""
         if not isinstance(event, decision.RequestArrived):
             return
-        route = self.registry.sticky_route(event.class_name, event.tenant, event.group)
+        route = self.registry.resolver.sticky_route(event.class_name, event.tenant, event.group)
         if route is not None:
-            apply_sticky_routing(event, route, self._balancer_actor)
+            apply_sticky_route(event, route, self._balancer_actor)
 
     def after_event(self, now_ms: float, event: decision.Event, actions: Sequence[decision.Action]) -> None:
-        """Part of the observer's interface; overrides do not depend on the balancer's decisions."""
+        """Does nothing: overrides do not depend on the balancer's decisions."""
 
     def on_migrated_by_others(self, now_ms: float, request_id: int) -> None:
-        """Part of the observer's interface; overrides do not depend on migrations."""
-
-    # ------------------------------------------------------------ operators
-
-    def state(self, now_ms: float) -> dict[str, Any]:
-        """The value of the relay's state record."""
-        return encode_relay_state(self.registry, now_ms)
+        """Does nothing: overrides do not depend on migrations."""
 
 
 def _log_audit_events(events: Sequence[AuditEvent]) -> None:
--- a/sageturn/overrides/audit.py
+++ b/sageturn/overrides/audit.py
@@ -2,9 +2,12 @@
 
 from __future__ import annotations
 
+from collections.abc import Container, Mapping
 from dataclasses import dataclass
 from enum import StrEnum
 
+from sageturn.overrides.model import Override
+
 
 class AuditAction(StrEnum):
     """What became of an override, or (rejected) of a record that is no valid operation."""
@@ -25,3 +28,60 @@
     action: AuditAction
     override_id: str
     detail: str
+
+
+class AuditTrail:
+    """Collects audit events until the actor takes them."""
+
+    def __init__(self) -> None:
+        self.events: list[AuditEvent] = []
+        self._reported_suspended: dict[str, str] = {}
+
+    def take(self) -> list[AuditEvent]:
+        """Returns the events since the last call, and forgets them."""
+        events = self.events
+        self.events = []
+        return events
+
+    def record_rejection(self, key: str, override_id: str, reason: str) -> None:
+        """Records that the record under ``key`` is not accepted as an operation."""
+        self._record(AuditAction.REJECTED, override_id, f"{key}: {reason}")
+
+    def record_update(self, previous: Override | None, current: Override, now_ms: float) -> None:
+        """Records that operations have set, extended or revoked an override.
+
+        One that had ended before this relay learned of it leaves no event.
+        """
+        if previous is None and (current.is_revoked or current.has_expired(now_ms)):
+            return
+        expiry = f"{current.expires_at_ms:.0f}"
+        if current.is_revoked:
+            if previous is not None and not previous.is_revoked:
+                self._record(AuditAction.REVOKED, current.id, f"by {current.revoked_by}")
+        elif previous is None:
+            forced = ", forced" if current.forced else ""
+            detail = f"by {current.created_by} until {expiry}{forced}: {current.reason}"
+            self._record(AuditAction.SET, current.id, detail)
+        elif current.expires_at_ms != previous.expires_at_ms:
+            self._record(AuditAction.EXTENDED, current.id, f"by {current.expiry_set_by} until {expiry}")
+
+    def record_expiry(self, override: Override) -> None:
+        """Records that an override's expiry has passed."""
+        self._record(AuditAction.EXPIRED, override.id, f"set by {override.created_by}: {override.reason}")
+
+    def record_suspensions(self, suspended: Mapping[str, str], active_ids: Container[str]) -> None:
+        """Records which overrides were suspended or resumed since the last call.
+
+        Args:
+            suspended: By override id, why it is suspended now.
+            active_ids: The overrides that have not ended; one that ended while suspended does not resume.
+        """
+        for override_id in suspended.keys() - self._reported_suspended.keys():
+            self._record(AuditAction.SUSPENDED, override_id, suspended[override_id])
+        for override_id in self._reported_suspended.keys() - suspended.keys():
+            if override_id in active_ids:
+                self._record(AuditAction.RESUMED, override_id, "capacity is sufficient again")
+        self._reported_suspended = dict(suspended)
+
+    def _record(self, action: AuditAction, override_id: str, detail: str) -> None:
+        self.events.append(AuditEvent(action, override_id, detail))
--- a/sageturn/overrides/model.py
+++ b/sageturn/overrides/model.py
@@ -4,13 +4,24 @@
 
 from collections.abc import Iterable
 from dataclasses import dataclass
+from typing import NamedTuple
 
 from sageturn.overrides.operations import OperationType, OverrideOperation, OverridePayload
 
 
+class AdmissionRank(NamedTuple):
+    """The order in which the safety limits admit overrides: the oldest first, on every relay alike."""
+
+    created_at_ms: float
+    override_id: str
+
+
 @dataclass(frozen=True, slots=True)
 class Override:
-    """Instants are milliseconds of Unix time; at ``expires_at_ms`` it is no longer in force."""
+    """What an override does and until when.
+
+    Instants are milliseconds of Unix time; at ``expires_at_ms`` the override is no longer in force.
+    """
 
     id: str
     payload: OverridePayload
@@ -29,17 +40,17 @@
         return bool(self.revoked_by)
 
     @property
-    def sort_key(self) -> tuple[float, str]:
-        """The order in which the safety limits admit overrides: the oldest first, on every relay alike."""
-        return self.created_at_ms, self.id
+    def admission_rank(self) -> AdmissionRank:
+        """The override's place in the order in which the safety limits admit overrides."""
+        return AdmissionRank(self.created_at_ms, self.id)
 
     def has_expired(self, now_ms: float) -> bool:
-        """Whether its expiry has passed, be it revoked or not."""
+        """Whether the override's expiry has passed, be it revoked or not."""
         return now_ms >= self.expires_at_ms
 
 
 def fold_operations(operations: Iterable[OverrideOperation], max_duration_ms: float) -> Override | None:
-    """The override that these operations make; None while the one that sets it is missing.
+    """Returns the override that these operations make; None while the one that sets it is missing.
 
     - Of several that set it under one id, the one with the smallest key counts.
     - The expiry is that of the last set or extend operation (by revision, time, key), but no later than
@@ -56,9 +67,9 @@
     with_expiry = [
         operation for operation in known if operation.type is OperationType.EXTEND or operation is first
     ]
-    last = max(with_expiry, key=lambda operation: operation.sort_key)
+    last = max(with_expiry, key=lambda operation: operation.rank)
     revocations = [operation for operation in known if operation.type is OperationType.REVOKE]
-    revocation = min(revocations, key=lambda operation: operation.sort_key, default=None)
+    revocation = min(revocations, key=lambda operation: operation.rank, default=None)
     return Override(
         id=first.override_id,
         payload=first.payload,
--- a/sageturn/overrides/operation_codec.py
+++ b/sageturn/overrides/operation_codec.py
@@ -6,7 +6,6 @@
 from __future__ import annotations
 
 import re
-from typing import Any
 
 from sageturn.overrides.errors import InvalidOperationError
 from sageturn.overrides.operations import (
@@ -22,7 +21,7 @@
 MAX_WEIGHT_FACTOR = 4.0
 MAX_TEXT_LENGTH = 500
 MAX_PINNED_ENDPOINTS = 256
-MAX_INSTANT_MS = 4e12  # the year 2096; a later instant is taken for a mistake
+MAX_INSTANT_MS = 4e12  # of Unix time: the year 2096
 MAX_REVISION = 999_999
 _OVERRIDE_ID = re.compile(r"[a-z0-9][a-z0-9-]{0,39}")
 _OPERATOR_NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9_.@-]{0,63}")
@@ -32,9 +31,9 @@
 # ---------------------------------------------------------------- encoding
 
 
-def encode_operation(operation: OverrideOperation) -> dict[str, Any]:
-    """The JSON object of an operation, without its signature."""
-    encoded: dict[str, Any] = {
+def encode_operation(operation: OverrideOperation) -> dict[str, object]:
+    """Returns the JSON object of an operation, without its signature."""
+    encoded: dict[str, object] = {
         "override": operation.override_id,
         "word": operation.type.value,
         "revision": operation.revision,
@@ -52,11 +51,11 @@
     return encoded
 
 
-def _encode_payload(payload: OverridePayload) -> dict[str, Any]:
-    encoded: dict[str, Any] = {"does": payload.kind.value}  # "kind" is an endpoint's attribute
+def _encode_payload(payload: OverridePayload) -> dict[str, object]:
+    encoded: dict[str, object] = {"does": payload.kind.value}  # "kind" is an endpoint's attribute
     if payload.selector is not None:
         encoded[payload.selector.attribute.value] = payload.selector.value
-    optional = {
+    optional: dict[str, object] = {
         "move_off": payload.migrate_connections,
         "hosts": list(payload.endpoints),
         "strict": payload.strict,
@@ -74,8 +73,12 @@
 # ---------------------------------------------------------------- decoding
 
 
-def decode_operation(encoded: dict[str, Any]) -> OverrideOperation:
-    """Reads an object made by ``encode_operation``. Raises InvalidOperationError."""
+def decode_operation(encoded: dict[str, object]) -> OverrideOperation:
+    """Reads an object made by ``encode_operation``.
+
+    Raises:
+        InvalidOperationError: A value is missing or out of range; the text names the value's path.
+    """
     fields = _FieldReader(encoded, "")
     operation_type = _read_operation_type(fields)
     return OverrideOperation(
@@ -95,14 +98,14 @@
 class _FieldReader:
     """Typed access to the values of one object; an error names the value's path."""
 
-    def __init__(self, values: Any, path_prefix: str) -> None:
+    def __init__(self, values: object, path_prefix: str) -> None:
         if not isinstance(values, dict):
             raise InvalidOperationError(f"{path_prefix or 'op'}: not an object")
         self._values = values
         self._path_prefix = path_prefix
 
     def text(self, name: str, pattern: re.Pattern[str] | None = None, default: str | None = None) -> str:
-        """A string of at most ``MAX_TEXT_LENGTH`` characters that matches the pattern as a whole."""
+        """Reads a string of at most ``MAX_TEXT_LENGTH`` characters that matches the pattern as a whole."""
         value = self._values.get(name, default)
         if not isinstance(value, str) or len(value) > MAX_TEXT_LENGTH:
             raise self._invalid(name)
@@ -111,7 +114,7 @@
         return value
 
     def number(self, name: str, minimum: float, maximum: float, default: float | None = None) -> float:
-        """A number within both bounds; booleans are no numbers."""
+        """Reads a number within both bounds; booleans are no numbers."""
         value = self._values.get(name, default)
         if not isinstance(value, (int, float)) or isinstance(value, bool):
             raise self._invalid(name)
@@ -120,14 +123,14 @@
         return value
 
     def flag(self, name: str) -> bool:
-        """A boolean; false if it is missing."""
+        """Reads a boolean; false if it is missing."""
         value = self._values.get(name, False)
         if not isinstance(value, bool):
             raise self._invalid(name)
         return value
 
-    def get(self, name: str) -> Any:
-        """A value of any type, for the caller to check; None if it is missing."""
+    def get(self, name: str) -> object:
+        """Returns a value of any type, for the caller to check; None if it is missing."""
         return self._values.get(name)
 
     def _invalid(self, name: str) -> InvalidOperationError:
@@ -162,7 +165,7 @@
     return fields.number("until_ms", 1, MAX_INSTANT_MS)
 
 
-def _decode_payload(encoded: Any) -> OverridePayload:
+def _decode_payload(encoded: object) -> OverridePayload:
     fields = _FieldReader(encoded, "body.")
     text = fields.text("does")
     try:
--- a/sageturn/overrides/operations.py
+++ b/sageturn/overrides/operations.py
@@ -55,12 +55,12 @@
     value: str
 
     def matches(self, endpoint: Endpoint) -> bool:
-        """Whether it selects the endpoint as it is listed now."""
+        """Whether this selector matches the endpoint as it is listed now."""
         return self in selectors_matching(endpoint)
 
 
 def selectors_matching(endpoint: Endpoint) -> tuple[Selector, ...]:
-    """All selectors that match an endpoint: one for each attribute."""
+    """Returns the selectors that match an endpoint, one for each attribute."""
     return (
         Selector(SelectorAttribute.ENDPOINT, endpoint.name),
         Selector(SelectorAttribute.ZONE, endpoint.zone),
@@ -86,18 +86,18 @@
 
     @property
     def target_factor(self) -> float:
-        """The weight factor that it leaves to the endpoints it selects."""
+        """The weight factor that the override leaves to the endpoints it selects."""
         return 0.0 if self.kind is OverrideKind.OUT_OF_SERVICE else self.factor
 
     @property
     def reduces_capacity(self) -> bool:
-        """Whether it takes capacity from any traffic, so that the safety limits apply to it."""
+        """Whether the override takes capacity from any traffic, so that the safety limits apply to it."""
         if self.kind is OverrideKind.OUT_OF_SERVICE:
             return True
         return (self.kind is OverrideKind.WEIGHT and self.factor < 1.0) or self.strict
 
     def matches_process(self, endpoint: Endpoint) -> bool:
-        """Whether it is about the process that has the endpoint's name now."""
+        """Whether the override is about the process that has the endpoint's name now."""
         return not self.process_started_at_ms or self.process_started_at_ms == endpoint.started_at_ms
 
     def matches_request(self, class_name: str, tenant: str, group: str) -> bool:
@@ -109,6 +109,14 @@
         return group.startswith(self.group_prefix)
 
 
+class OperationRank(NamedTuple):
+    """Orders the operations on one override by revision and time; the key breaks ties."""
+
+    revision: int
+    created_at_ms: float
+    key: str
+
+
 @dataclass(frozen=True, slots=True)
 class OverrideOperation:
     """One operation on one override. Instants are milliseconds of Unix time."""
@@ -119,7 +127,7 @@
     created_at_ms: float
     operator: str  # the name whose key signs the record
     reason: str
-    expires_at_ms: float = 0.0  # set and extend
+    expires_at_ms: float = 0.0  # set and extend; 0: a revocation, which has none
     payload: OverridePayload | None = None  # set
     forced: bool = False  # set: the safety limits do not suspend it
     nonce: str = ""
@@ -130,16 +138,16 @@
         return f"{KEY_PREFIX}{self.override_id}/{self.revision:06d}-{self.operator}-{self.nonce}"
 
     @property
-    def sort_key(self) -> tuple[int, float, str]:
-        """Orders the operations on one override by revision and time; the key breaks ties."""
-        return self.revision, self.created_at_ms, self.key
+    def rank(self) -> OperationRank:
+        """The operation's place among those on its override."""
+        return OperationRank(self.revision, self.created_at_ms, self.key)
 
 
 def new_override_id(kind: str) -> str:
-    """A random id such as ``out-5be2a07c``."""
+    """Returns a random id such as ``out-5be2a07c`` for an override of this kind."""
     return f"{kind}-{secrets.token_hex(ID_RANDOM_BYTES)}"
 
 
 def new_nonce() -> str:
-    """Keeps apart the records of operations that share override, revision and operator."""
+    """Returns a random nonce: it keeps operations of one operator under one revision apart."""
     return secrets.token_hex(NONCE_BYTES)
--- a/sageturn/overrides/options.py
+++ b/sageturn/overrides/options.py
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SafetyLimits:
-    """Minimum ratios of the capacity listed as ready that overrides must leave available, each 0 to 1."""
+    """Minimum ratios of the ready capacity that overrides must leave available, each from 0 to 1."""
 
     min_total_ratio: float = 0.5
     min_zone_ratio: float = 0.34
@@ -23,8 +23,8 @@
 
 @dataclass(frozen=True, slots=True)
 class OverrideOptions:
-    """``operators`` has the public key of each operator by name."""
+    """The operators whose overrides are accepted, and the limits of these overrides."""
 
-    operators: Mapping[str, Ed25519PublicKey] = field(default_factory=dict)
+    operators: Mapping[str, Ed25519PublicKey] = field(default_factory=dict)  # public keys by operator name
     max_duration_s: float = DEFAULT_MAX_DURATION_S  # counted anew from each extension
     safety_limits: SafetyLimits = field(default_factory=SafetyLimits)
--- a/sageturn/overrides/recovery_ramp.py
+++ b/sageturn/overrides/recovery_ramp.py
@@ -9,9 +9,9 @@
 from dataclasses import dataclass, replace
 
 from sageturn.decision import Endpoint
-from sageturn.overrides.resolver import OverrideEffect
+from sageturn.overrides.effects import OverrideEffect
 
-RAMP_STEPS = 24  # in which a weight is regained: about a second each
+RAMP_STEPS = 24  # weight increases per slow start
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,7 +24,12 @@
 
 
 class RecoveryRamps:
-    """``initial_capacity_ratio`` and ``slow_start_ms`` are those of the balancer's settings."""
+    """The endpoints that return to service or regain weight, in the relay's time.
+
+    Args:
+        initial_capacity_ratio: Capacity of an endpoint at the beginning of its slow start, from 0 to 1.
+        slow_start_ms: Length of the balancer's slow start.
+    """
 
     def __init__(self, initial_capacity_ratio: float, slow_start_ms: float) -> None:
         self._slow_start_ms = max(1.0, slow_start_ms)
@@ -35,7 +40,7 @@
     def on_effect_changed(
         self, endpoint: str, previous: OverrideEffect, current: OverrideEffect, now_ms: float
     ) -> None:
-        """Start or cancel the endpoint's ramps after the effect of overrides on it has changed."""
+        """Starts or cancels the endpoint's ramps after the effect of overrides on it has changed."""
         if previous.out_of_service and not current.out_of_service:
             self._returned_at_ms[endpoint] = now_ms
         elif current.out_of_service:
@@ -47,12 +52,15 @@
             self._weight_ramps.pop(endpoint, None)
 
     def forget(self, endpoint: str) -> None:
-        """It has left the list or restarted: it is in slow start by itself when it returns."""
+        """Cancels the ramps of an endpoint that has left the list or restarted.
+
+        When it returns, the balancer starts it slowly without a ramp.
+        """
         self._returned_at_ms.pop(endpoint, None)
         self._weight_ramps.pop(endpoint, None)
 
     def current_factor(self, endpoint: str, effect: OverrideEffect, now_ms: float) -> float:
-        """The weight factor that applies now, on its way to that of the effect."""
+        """Returns the weight factor that applies now, on its way to that of the effect."""
         ramp = self._weight_ramps.get(endpoint)
         if ramp is None:
             return effect.factor
@@ -60,7 +68,10 @@
         return min(ramp.target_factor, ramp.start_factor + elapsed_ms * self._growth_per_ms)
 
     def apply(self, endpoint: Endpoint, effect: OverrideEffect, now_ms: float) -> Endpoint:
-        """The endpoint as the balancer is to see it. A drain or loss reported by discovery always holds."""
+        """Returns the endpoint as the balancer is to see it.
+
+        A drain or loss that discovery reports takes precedence over overrides.
+        """
         is_drained = effect.out_of_service and endpoint.state == "ready"
         return replace(
             endpoint,
@@ -70,7 +81,7 @@
         )
 
     def _slow_start_began_ms(self, endpoint: str, now_ms: float) -> float:
-        """When an endpoint that was out of service returned; 0 once its slow start is over."""
+        """Returns when an endpoint that was out of service returned; 0 once its slow start is over."""
         returned_at_ms = self._returned_at_ms.get(endpoint, 0.0)
         if returned_at_ms and now_ms >= returned_at_ms + self._slow_start_ms:
             del self._returned_at_ms[endpoint]
@@ -78,7 +89,7 @@
         return returned_at_ms
 
     def advance(self, now_ms: float) -> list[str]:
-        """The endpoints whose weight grows, including, for the last time, those that have regained it."""
+        """Returns the endpoints whose weight grows, and drops the ramps of those that have regained it."""
         endpoints = list(self._weight_ramps)
         for endpoint in endpoints:
             ramp = self._weight_ramps[endpoint]
@@ -88,5 +99,5 @@
         return endpoints
 
     def next_step_ms(self, now_ms: float) -> float | None:
-        """When weights are to be raised next; None if none grows."""
+        """Returns when weights are to be raised next; None if none grows."""
         return now_ms + self._slow_start_ms / RAMP_STEPS if self._weight_ramps else None
--- a/sageturn/overrides/relay_state.py
+++ b/sageturn/overrides/relay_state.py
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayOverrideState:
-    """What one relay reports; each mapping is by override id unless said otherwise."""
+    """The overrides at one relay as it reports them; each mapping is by override id unless said otherwise."""
 
     statuses: dict[str, str]
     revisions: dict[str, int]
@@ -25,19 +25,19 @@
     max_duration_s: float
 
 
-def encode_relay_state(registry: OverrideRegistry, now_ms: float) -> dict[str, Any]:
-    """The record's value, in JSON's types."""
+def encode_relay_state(registry: OverrideRegistry, now_ms: float) -> dict[str, object]:
+    """Returns the record's value, in JSON's types."""
     resolver = registry.resolver
     limits = registry.options.safety_limits
     endpoints = resolver.endpoints
     overrides = sorted(registry.overrides.items())
-    encoded: dict[str, Any] = {
+    encoded: dict[str, object] = {
         "overrides": {
             override_id: registry.status(override, now_ms).value for override_id, override in overrides
         },
         "words": {override_id: override.revision for override_id, override in overrides},
         "suspended": dict(sorted(resolver.suspended.items())),
-        "refused": dict(sorted(registry.rejected_records.items())),
+        "refused": dict(sorted(registry.operation_log.rejected_records.items())),
         "hosts_listed": len(endpoints),
         "floors": [limits.min_total_ratio, limits.min_zone_ratio, limits.min_pin_ratio],
         "longest_s": registry.options.max_duration_s,
@@ -47,7 +47,7 @@
     return encoded
 
 
-def _encode_endpoint(endpoint: Endpoint) -> list[Any]:
+def _encode_endpoint(endpoint: Endpoint) -> list[object]:
     return [
         endpoint.zone,
         endpoint.kind,
@@ -59,7 +59,7 @@
 
 
 def decode_relay_state(encoded: dict[str, Any]) -> RelayOverrideState:
-    """Read a record that a relay has written."""
+    """Reads a record that a relay has written."""
     return RelayOverrideState(
         statuses=encoded["overrides"],
         revisions=encoded.get("words", {}),
--- a/sageturn/overrides/safety_guard.py
+++ b/sageturn/overrides/safety_guard.py
@@ -12,16 +12,16 @@
 from sageturn.overrides.options import SafetyLimits
 
 TOTAL = ""  # the pool of the whole fleet, beside the pool of each zone
-ROUNDING_TOLERANCE = 1e-9  # of sums of shares
+ROUNDING_TOLERANCE = 1e-9  # in shares
 
 
 def _pools(endpoint: Endpoint) -> tuple[str, ...]:
-    """The capacity pools in which an endpoint counts."""
+    """Returns the capacity pools in which an endpoint counts."""
     return (TOTAL, endpoint.zone) if endpoint.zone else (TOTAL,)
 
 
 class SafetyGuard:
-    """Capacity accounts by pool: what ready endpoints offer, and what the admitted overrides leave of it."""
+    """Accounts for the capacity of each pool: what ready endpoints offer, and what overrides leave of it."""
 
     def __init__(self, limits: SafetyLimits) -> None:
         self.limits = limits
@@ -33,25 +33,23 @@
     # ------------------------------------------------------------ endpoints
 
     def add_endpoint(self, endpoint: Endpoint) -> None:
-        """Count an endpoint that was listed."""
+        """Counts an endpoint that was listed."""
         self._count(endpoint, 1)
 
     def remove_endpoint(self, endpoint: Endpoint) -> None:
-        """Stop counting an endpoint that has changed or is gone."""
+        """Stops counting an endpoint that has changed or is gone."""
         self._count(endpoint, -1)
 
     def forget_factor(self, name: str) -> None:
-        """Drop the factor of an endpoint that has left the list."""
+        """Drops the factor of an endpoint that has left the list."""
         self._factors.pop(name, None)
 
-    def restore_factor(self, endpoint: Endpoint, factor: float) -> None:
-        """An override on this endpoint has ended: ``factor`` is what the others leave of its weight."""
+    def restore_weight(self, endpoint: Endpoint) -> None:
+        """Gives an endpoint its full weight back, on which the last override that reduced it has ended."""
         previous = self._factors.pop(endpoint.name, 1.0)
-        if factor < 1.0:
-            self._factors[endpoint.name] = factor
         if endpoint.state == "ready":
             for pool in _pools(endpoint):
-                self.available[pool] += (factor - previous) * endpoint.share
+                self.available[pool] += (1.0 - previous) * endpoint.share
 
     def _count(self, endpoint: Endpoint, sign: int) -> None:
         if endpoint.state != "ready":
@@ -64,13 +62,13 @@
     # ------------------------------------------------------------ overrides
 
     def reset(self) -> None:
-        """Forget all admitted and suspended overrides."""
+        """Forgets all admitted and suspended overrides."""
         self.suspended.clear()
         self._factors.clear()
         self.available = dict(self._total)
 
     def admit_selected(self, override: Override, endpoints: list[Endpoint]) -> None:
-        """Admit or suspend an override with a selector, the last in order of those admitted so far."""
+        """Admits or suspends an override with a selector, the last in order of those admitted so far."""
         target = override.payload.target_factor
         reduced = [endpoint for endpoint in endpoints if target < self._factors.get(endpoint.name, 1.0)]
         reductions = self._reductions(reduced, target)
@@ -85,7 +83,7 @@
             self.available[pool] -= reduction
 
     def admit_pin(self, override: Override, endpoints: list[Endpoint]) -> None:
-        """Suspend a strict pin whose listed endpoints offer too little."""
+        """Suspends a strict pin whose listed endpoints offer too little."""
         if override.forced:
             return
         available = sum(
@@ -103,7 +101,7 @@
             )
 
     def _reductions(self, endpoints: list[Endpoint], target: float) -> dict[str, float]:
-        """By pool, the capacity that is lost when these endpoints get the target factor."""
+        """Returns by pool the capacity that is lost when these endpoints get the target factor."""
         reductions: dict[str, float] = {}
         for endpoint in endpoints:
             if endpoint.state != "ready":
@@ -114,7 +112,7 @@
         return reductions
 
     def _violation(self, reductions: dict[str, float]) -> str:
-        """The first limit that these reductions would violate; empty if there is none.
+        """Returns which limit these reductions would violate first, with figures; empty if none.
 
         A pool that was below its limit before counts too: the override would make it worse.
         """
--- a/sageturn/overrides/signing.py
+++ b/sageturn/overrides/signing.py
@@ -6,7 +6,6 @@
 from base64 import b64decode, b64encode
 from binascii import Error as Base64Error
 from collections.abc import Mapping
-from typing import Any
 
 from cryptography.exceptions import InvalidSignature
 from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PrivateKey, Ed25519PublicKey
@@ -16,19 +15,27 @@
 from sageturn.overrides.operations import OverrideOperation
 
 
-def sign_operation(operation: OverrideOperation, key: Ed25519PrivateKey) -> dict[str, Any]:
-    """The record to be stored under ``operation.key``."""
+def sign_operation(operation: OverrideOperation, key: Ed25519PrivateKey) -> dict[str, object]:
+    """Returns the record to be stored under ``operation.key``."""
     encoded = encode_operation(operation)
     signature = key.sign(_bytes_to_sign(encoded))
     return {**encoded, "signature": b64encode(signature).decode()}
 
 
 def parse_operation(
-    key: str, record: Any, operators: Mapping[str, Ed25519PublicKey] | None
+    key: str, record: object, operators: Mapping[str, Ed25519PublicKey] | None
 ) -> OverrideOperation:
-    """Decode the record under ``key`` and verify its operator's signature. Raises InvalidOperationError.
+    """Decodes the record under ``key`` and verifies its operator's signature.
 
-    With ``operators`` None only its form is checked: the commands show what relays have verified.
+    Args:
+        key: The store key under which the record was found.
+        record: The record, as decoded from JSON.
+        operators: The public key of each operator by name. With None only the record's form is checked:
+            the commands show what relays have verified.
+
+    Raises:
+        InvalidOperationError: The record is malformed, under another key than its own, or not signed by
+            an operator of ``operators``.
     """
     if not isinstance(record, dict):
         raise InvalidOperationError("not an object")
@@ -44,7 +51,11 @@
 
 
 def parse_public_key(text: str) -> Ed25519PublicKey:
-    """Read 32 bytes in base64 (RFC 8032, section 5.1.5). Raises InvalidPublicKeyError."""
+    """Reads a public key: 32 bytes in base64 (RFC 8032, section 5.1.5).
+
+    Raises:
+        InvalidPublicKeyError: The text is not base64, or not of a public key.
+    """
     try:
         return Ed25519PublicKey.from_public_bytes(b64decode(text, validate=True))
     except ValueError as error:
@@ -54,8 +65,8 @@
 def _verify_signature(
     operator: str,
     operators: Mapping[str, Ed25519PublicKey],
-    signature: Any,
-    encoded: Mapping[str, Any],
+    signature: object,
+    encoded: Mapping[str, object],
 ) -> None:
     public_key = operators.get(operator)
     if public_key is None:
@@ -66,5 +77,5 @@
         raise InvalidOperationError(f"signature: not {operator}'s") from error
 
 
-def _bytes_to_sign(encoded: Mapping[str, Any]) -> bytes:
+def _bytes_to_sign(encoded: Mapping[str, object]) -> bytes:
     return json.dumps(encoded, sort_keys=True, separators=(",", ":"), allow_nan=False).encode()
--- /dev/null
+++ b/sageturn/overrides/status.py
@@ -0,0 +1,15 @@
+"""The status of an override, as relays report it and commands show it."""
+
+from __future__ import annotations
+
+from enum import StrEnum
+
+
+class OverrideStatus(StrEnum):
+    """The status of an override at one relay; the values are those of the relay's state record."""
+
+    IN_FORCE = "in force"
+    DORMANT = "dormant"  # none of its endpoints is listed
+    SUSPENDED = "suspended"
+    EXPIRED = "lapsed"
+    REVOKED = "revoked"
--- a/sageturn/overrides/sticky_routing.py
+++ b/sageturn/overrides/sticky_routing.py
@@ -1,16 +1,46 @@
-"""Binds a request that pins select to their endpoints; the balancer chooses among these."""
+"""Binds a request that pins select to their endpoints; the balancer chooses among these.
+
+A request goes where all strict pins that select it allow, and among those where the preferred ones do.
+"""
 
 from __future__ import annotations
 
-from sageturn import decision
-from sageturn.core.balancer_actor import BalancerActor
-from sageturn.overrides.resolver import StickyRoute
+from collections.abc import Iterable
+from dataclasses import dataclass
+from typing import TYPE_CHECKING
+
+from sageturn.overrides.operations import OverridePayload
+
+if TYPE_CHECKING:
+    from sageturn.core.balancer_actor import BalancerActor
+    from sageturn.decision import RequestArrived
+
+
+@dataclass(frozen=True, slots=True)
+class StickyRoute:
+    """The endpoints to which pins bind a request; None: not bound. An empty set allows no endpoint."""
+
+    required: frozenset[str] | None
+    preferred: frozenset[str] | None
+
+
+def combine_pins(pins: Iterable[OverridePayload]) -> StickyRoute | None:
+    """Returns where these pins together bind a request that all of them select; None without any."""
+    required: frozenset[str] | None = None
+    preferred: frozenset[str] | None = None
+    for pin in pins:
+        endpoints = frozenset(pin.endpoints)
+        if pin.strict:
+            required = endpoints if required is None else required & endpoints
+        else:
+            preferred = endpoints if preferred is None else preferred & endpoints
+    if required is None and preferred is None:
+        return None
+    return StickyRoute(required, preferred)
 
 
-def apply_sticky_routing(
-    event: decision.RequestArrived, route: StickyRoute, balancer_actor: BalancerActor
-) -> None:
-    """Restrict the endpoints allowed to a request.
+def apply_sticky_route(event: RequestArrived, route: StickyRoute, balancer_actor: BalancerActor) -> None:
+    """Restricts the endpoints allowed to a request.
 
     A strict pin holds on every attempt; a preferred one on the first, if any of its endpoints has capacity.
     """
--- a/sageturn/overrides/unix_time.py
+++ b/sageturn/overrides/unix_time.py
@@ -6,5 +6,5 @@
 
 
 def unix_time_ms() -> float:
-    """Milliseconds of Unix time."""
+    """Returns the system's time in milliseconds of Unix time."""
     return time.time() * 1000.0
--- /dev/null
+++ b/tests/overrides/test_safety_limits.py
@@ -0,0 +1,79 @@
+"""Overrides that would leave too little capacity are suspended, the newest first, and resumed."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+
+import pytest
+from support.override_records import (
+    START_MS,
+    make_operation,
+    make_revocation,
+    out_of_service,
+    pin,
+)
+from support.override_registry import RegistryDriver, make_endpoint
+
+from sageturn.overrides.audit import AuditAction
+from sageturn.overrides.operations import OverrideOperation
+from sageturn.overrides.options import SafetyLimits
+
+HALF_OF_ALL_AND_OF_EACH_ZONE = SafetyLimits(0.5, 0.5, 0.0)
+# Each is fine alone; both together would leave nothing of zone z1.
+FIRST = make_operation("o1", out_of_service("a"))
+SECOND = make_operation("o2", out_of_service("b"), created_at_ms=START_MS + 1, operator="mai")
+
+
+@pytest.mark.parametrize("order", [(FIRST, SECOND), (SECOND, FIRST)], ids=["in order", "newest first"])
+def test_safety_limits_suspend_the_later_override_in_whatever_order_they_arrive(
+    order: tuple[OverrideOperation, ...],
+) -> None:
+    driver = RegistryDriver(safety_limits=HALF_OF_ALL_AND_OF_EACH_ZONE)
+    for operation in order:
+        driver.apply(operation)
+    assert driver.state("a") == "draining" and driver.state("b") == "ready"
+    assert "0.0 of 2.0 in zone z1" in driver.resolver.suspended["o2"]
+    assert driver.status("o2") == "suspended"
+    driver.apply(make_revocation("o1", revision=2))
+    assert driver.state("a") == "ready" and driver.state("b") == "draining"
+    assert {AuditAction.SUSPENDED, AuditAction.RESUMED} <= set(driver.audit_actions)
+
+
+def test_a_forced_override_is_not_suspended() -> None:
+    driver = RegistryDriver(safety_limits=HALF_OF_ALL_AND_OF_EACH_ZONE)
+    driver.apply(FIRST, replace(SECOND, forced=True))
+    assert driver.state("a") == driver.state("b") == "draining"
+
+
+def test_the_newest_override_is_suspended_when_endpoints_leave() -> None:
+    driver = RegistryDriver("abcdef", safety_limits=SafetyLimits(0.5, 0.0, 0.0))
+    driver.apply(
+        make_operation("o1", out_of_service("a")),
+        make_operation("o2", out_of_service("b"), created_at_ms=START_MS + 1),
+    )
+    assert driver.state("a") == driver.state("b") == "draining"
+    driver.update_list(*(make_endpoint(name, state="gone") for name in "efd"))
+    assert driver.state("a") == "draining" and driver.state("b") == "ready"
+    driver.update_list(*(make_endpoint(name) for name in "def"))
+    assert driver.state("b") == "draining"
+
+
+def test_a_pin_that_leaves_too_little_is_suspended() -> None:
+    driver = RegistryDriver("abcdef", safety_limits=SafetyLimits(0.0, 0.0, 0.3))
+    driver.apply(make_operation("p1", pin("a", strict=True, class_name="c")))
+    assert "1.0 of 6.0 to what it pins" in driver.resolver.suspended["p1"]
+    assert driver.resolver.sticky_route("c", "t", "") is None
+    driver.apply(make_operation("p2", pin("a", class_name="c"), created_at_ms=START_MS + 1))
+    assert driver.sticky_route("c", "t").preferred == frozenset("a")
+
+
+def test_a_revocation_makes_a_later_override_on_the_same_endpoint_pay_for_itself() -> None:
+    # The later one was admitted at no cost, as the revoked one had taken the endpoint out already.
+    driver = RegistryDriver(safety_limits=SafetyLimits(0.5, 0.4, 0.3))
+    driver.apply(make_operation("o1", out_of_service("a")))
+    driver.apply(make_operation("o2", out_of_service("b"), created_at_ms=START_MS + 1, forced=True))
+    driver.apply(make_operation("o3", out_of_service("a"), created_at_ms=START_MS + 2))
+    assert driver.resolver.suspended == {}
+    driver.apply(make_revocation("o1", revision=2, created_at_ms=START_MS + 3))
+    assert list(driver.resolver.suspended) == ["o3"]
+    assert driver.state("a") == "ready" and driver.state("b") == "draining"
--- a/tests/support/override_records.py
+++ b/tests/support/override_records.py
@@ -6,6 +6,7 @@
 
 from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PrivateKey
 
+from sageturn.overrides.operation_log import OverrideRecord
 from sageturn.overrides.operations import (
     OperationType,
     OverrideKind,
@@ -55,6 +56,10 @@
     return OverridePayload(OverrideKind.OUT_OF_SERVICE, selector, **fields)
 
 
+def zone_out_of_service(zone: str) -> OverridePayload:
+    return OverridePayload(OverrideKind.OUT_OF_SERVICE, Selector(SelectorAttribute.ZONE, zone))
+
+
 def weight(attribute: SelectorAttribute, value: str, factor: float) -> OverridePayload:
     return OverridePayload(OverrideKind.WEIGHT, Selector(attribute, value), factor=factor)
 
@@ -63,6 +68,6 @@
     return OverridePayload(OverrideKind.PIN, endpoints=endpoints, **fields)
 
 
-def signed_record(operation: OverrideOperation) -> tuple[str, Any]:
+def signed_record(operation: OverrideOperation) -> OverrideRecord:
     """The store key and value of an operation."""
-    return operation.key, sign_operation(operation, KEYS[operation.operator])
+    return OverrideRecord(operation.key, sign_operation(operation, KEYS[operation.operator]))
--- /dev/null
+++ b/tests/support/override_registry.py
@@ -0,0 +1,93 @@
+"""Drives an override registry on a clock of the test's own."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from support.override_records import PUBLIC_KEYS, START_MS, signed_record
+
+from sageturn import Endpoint
+from sageturn.overrides.audit import AuditAction
+from sageturn.overrides.operation_log import OverrideRecord
+from sageturn.overrides.operations import OverrideOperation
+from sageturn.overrides.options import OverrideOptions, SafetyLimits
+from sageturn.overrides.registry import OverrideRegistry
+from sageturn.overrides.resolver import OverrideResolver
+from sageturn.overrides.sticky_routing import StickyRoute
+
+INITIAL_CAPACITY_RATIO = 0.12
+SLOW_START_MS = 24000.0
+NO_LIMITS = SafetyLimits(0.0, 0.0, 0.0)
+
+
+def make_options(**fields: Any) -> OverrideOptions:
+    return OverrideOptions(**{"operators": PUBLIC_KEYS, "safety_limits": NO_LIMITS, **fields})
+
+
+def make_registry(**options: Any) -> OverrideRegistry:
+    return OverrideRegistry(make_options(**options), INITIAL_CAPACITY_RATIO, SLOW_START_MS)
+
+
+def make_endpoint(name: str, **fields: Any) -> Endpoint:
+    """An endpoint of kind ``k``; ``a`` and ``b`` are in zone z1, others in z2."""
+    return Endpoint(name, **{"zone": "z1" if name < "c" else "z2", "kind": "k", **fields})
+
+
+class RegistryDriver:
+    """Drives a registry on a clock of its own, and keeps the endpoints as the balancer sees them."""
+
+    def __init__(self, names: str = "abcd", **options: Any) -> None:
+        self.registry = make_registry(**options)
+        self.now_ms = START_MS
+        self.endpoints: dict[str, Endpoint] = {}
+        self.apply_list([make_endpoint(name) for name in names])
+
+    @property
+    def resolver(self) -> OverrideResolver:
+        return self.registry.resolver
+
+    @property
+    def audit_actions(self) -> list[AuditAction]:
+        return [event.action for event in self.registry.audit.events]
+
+    @property
+    def rejected_records(self) -> dict[str, str]:
+        return self.registry.operation_log.rejected_records
+
+    def observe(self, endpoints: list[Endpoint]) -> list[Endpoint]:
+        self.endpoints.update({endpoint.name: endpoint for endpoint in endpoints})
+        return endpoints
+
+    def apply_list(self, endpoints: list[Endpoint], is_full: bool = True) -> None:
+        self.observe(self.registry.apply_endpoint_list(endpoints, is_full, self.now_ms))
+
+    def update_list(self, *endpoints: Endpoint) -> None:
+        self.apply_list(list(endpoints), is_full=False)
+
+    def apply(self, *operations: OverrideOperation) -> list[Endpoint]:
+        return self.apply_records(*(signed_record(operation) for operation in operations))
+
+    def apply_records(self, *records: OverrideRecord) -> list[Endpoint]:
+        return self.observe(self.registry.apply_records(records, self.now_ms))
+
+    def set_options(self, **options: Any) -> list[Endpoint]:
+        return self.observe(self.registry.set_options(make_options(**options), self.now_ms))
+
+    def advance_to(self, now_ms: float) -> list[Endpoint]:
+        self.now_ms = now_ms
+        return self.observe(self.registry.advance_time(now_ms))
+
+    def state(self, name: str) -> str:
+        return self.endpoints[name].state
+
+    def draining(self) -> list[str]:
+        return sorted(name for name, endpoint in self.endpoints.items() if endpoint.state == "draining")
+
+    def status(self, override_id: str) -> str:
+        return self.registry.status(self.registry.overrides[override_id], self.now_ms)
+
+    def sticky_route(self, class_name: str, tenant: str, group: str = "") -> StickyRoute:
+        """Where pins bind a request; fails if no pin selects it."""
+        route = self.resolver.sticky_route(class_name, tenant, group)
+        assert route is not None
+        return route
