--- a/sageturn/rebalance/allocations.py
+++ b/sageturn/rebalance/allocations.py
@@ -14,7 +14,7 @@
         self.reporting_count = 0  # connections whose load is in ``reported_load``
 
     def change_load(self, load_change: float, reporting_change: int) -> None:
-        """Add to the reported load and to the number of those that report; both may be negative."""
+        """Adds to the reported load and to the number of connections that report; both may be negative."""
         self.reported_load += load_change
         self.reporting_count += reporting_change
         if not self.reporting_count:
@@ -33,7 +33,7 @@
         self.first_row = first_row  # start of the list of its rows in the connection table
 
     def load(self, mean_load: float) -> float:
-        """Its load; a connection that has not reported counts as ``mean_load``."""
+        """Returns the load in work per second; a connection that has not reported counts as ``mean_load``."""
         return self.reported_load + (self.connection_count - self.reporting_count) * mean_load
 
 
@@ -49,17 +49,17 @@
 
     @property
     def group_count(self) -> int:
-        """Groups proper, without the connections that have none."""
+        """The number of groups, without that of the connections that have none."""
         return len(self.groups) - ("" in self.groups)
 
     def load(self, mean_load: float, group_cost: float) -> float:
-        """Its load; each group adds ``group_cost`` mean loads to those of its connections."""
+        """Returns the load in work per second; each group adds ``group_cost`` mean loads of its own."""
         unreported = self.connection_count - self.reporting_count + group_cost * self.group_count
         return self.reported_load + unreported * mean_load
 
 
 class AllocationIndex:
-    """The allocations that exist, each under a small number that is reused once it is empty."""
+    """Numbers the allocations that exist; a number is reused once its allocation is empty."""
 
     def __init__(self, no_row: int) -> None:
         self.endpoints: dict[str, EndpointTotals] = {}
@@ -75,14 +75,14 @@
         return allocation
 
     def number_of(self, endpoint: str, group: str) -> int:
-        """The number of the allocation of ``group`` at ``endpoint``, which is made if there is none."""
+        """Returns the number of the allocation of ``group`` at ``endpoint``; creates it if there is none."""
         number = self._numbers.get((endpoint, group))
         if number is None:
             number = self._numbers[(endpoint, group)] = self._store(self._create(endpoint, group))
         return number
 
     def discard(self, number: int) -> None:
-        """Forget an allocation that has become empty."""
+        """Forgets an allocation that has become empty."""
         allocation = self[number]
         endpoint = allocation.endpoint
         del endpoint.groups[allocation.group]
--- a/sageturn/rebalance/batches.py
+++ b/sageturn/rebalance/batches.py
@@ -1,11 +1,12 @@
-"""What may be migrated off an endpoint at once: a whole group, or one connection that has no group."""
+"""Finds what may be migrated off an endpoint at once: a whole group, or one connection without a group."""
 
 from __future__ import annotations
 
 from collections import Counter
 from collections.abc import Iterator
 from dataclasses import dataclass
-from enum import Enum
+from enum import StrEnum
+from typing import NamedTuple
 
 from sageturn.rebalance.allocations import EndpointTotals, GroupAllocation
 from sageturn.rebalance.connection_table import ConnectionRow, ConnectionTable
@@ -13,21 +14,39 @@
 from sageturn.rebalance.options import RebalanceOptions
 
 
-class BlockReason(Enum):
-    """Why a group or connection is not migrated.
+class BlockReason(StrEnum):
+    """Why a group or connection is not migrated; the values are those of the stored state."""
 
-    The names in lower case and the texts appear in the stored state and in explanations to operators.
-    """
+    TOO_LARGE = "too_large"
+    EXCLUDED = "kept"
+    TOO_YOUNG = "young"
+    RECENTLY_MIGRATED = "moved_lately"
+    NOT_INSPECTED = "unseen"
 
-    TOO_LARGE = "larger than the imbalance, than a burst, or than what hosts have room for"
-    KEPT = "holds a class or a member that the operator keeps in place"
-    YOUNG = "holds a connection that has not stood for long"
-    MOVED_LATELY = "holds a client that was moved lately, or that has no key"
-    UNSEEN = "not looked at in this tick"
+    @property
+    def explanation(self) -> str:
+        """The reason in words, for operators."""
+        return _BLOCK_EXPLANATIONS[self]
+
+
+_BLOCK_EXPLANATIONS = {
+    BlockReason.TOO_LARGE: "larger than the imbalance, than a burst, or than what hosts have room for",
+    BlockReason.EXCLUDED: "holds a class or a member that the operator keeps in place",
+    BlockReason.TOO_YOUNG: "holds a connection that has not stood for long",
+    BlockReason.RECENTLY_MIGRATED: "holds a client that was moved lately, or that has no key",
+    BlockReason.NOT_INSPECTED: "not looked at in this tick",
+}
+
+# Reasons that pass with time. Where all blocks have other reasons, balance cannot be reached.
+TEMPORARY_BLOCK_REASONS = frozenset(
+    {BlockReason.TOO_YOUNG, BlockReason.RECENTLY_MIGRATED, BlockReason.NOT_INSPECTED}
+)
 
 
-# These pass with time; when all that is blocked is blocked by others, balance cannot be reached.
-TEMPORARY_BLOCK_REASONS = frozenset({BlockReason.YOUNG, BlockReason.MOVED_LATELY, BlockReason.UNSEEN})
+def describe_blocks(block_counts: Counter[BlockReason]) -> str:
+    """Returns what is blocked and why, for operators."""
+    descriptions = (f"{count} {reason.explanation}" for reason, count in block_counts.most_common())
+    return "; ".join(descriptions) or "no host has room for more"
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,7 +60,7 @@
 
     @property
     def description(self) -> str:
-        """For explanations to the operator."""
+        """The batch in a few words, for operators."""
         if not self.grouped:
             return "one connection without a group"
         extent = "the smaller part of a group" if self.is_partial else "a whole group"
@@ -49,13 +68,13 @@
 
 
 class InspectionBudget:
-    """How many connections may still be looked at: bounds a tick's work, however many there are."""
+    """Bounds how many connections are inspected in a tick, however many there are."""
 
     def __init__(self, connections: int) -> None:
         self.remaining = connections
 
     def try_spend(self, connections: int) -> bool:
-        """Take so many from the budget; False, and nothing taken, where it has fewer."""
+        """Takes so many connections from the budget. Returns False, and takes none, if it has fewer."""
         if self.remaining < connections:
             return False
         self.remaining -= connections
@@ -64,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EligibilityRules:
-    """Which connections may be migrated at one instant."""
+    """Decides which connections may be migrated at one instant."""
 
     now_ms: float
     options: RebalanceOptions
@@ -72,25 +91,33 @@
     migrating: set[int]  # request ids that were asked to reconnect already
 
     def was_migrated_recently(self, connection: ConnectionRow) -> bool:
-        """Whether its client was migrated not long ago, or is being migrated."""
+        """Whether the connection's client was migrated recently, or is being migrated."""
         if connection.request_id in self.migrating:
             return True
         return not self.history.may_migrate(connection.client, self.now_ms)
 
     def block_reason(self, connection: ConnectionRow) -> BlockReason | None:
-        """Why a connection may not be migrated; None when it may."""
+        """Returns why a connection may not be migrated; None if it may."""
         if (
             connection.class_name in self.options.keep_classes
             or connection.tenant in self.options.keep_tenants
         ):
-            return BlockReason.KEPT
+            return BlockReason.EXCLUDED
         if self.was_migrated_recently(connection):
-            return BlockReason.MOVED_LATELY
+            return BlockReason.RECENTLY_MIGRATED
         if self.now_ms < connection.established_ms + self.options.least_age_s * 1000.0:
-            return BlockReason.YOUNG
+            return BlockReason.TOO_YOUNG
         return None
 
 
+class _BatchRank(NamedTuple):
+    """Orders the groups of an endpoint; the lowest rank goes first."""
+
+    is_largest_part: bool
+    negative_member_load: float  # heavy connections first
+    group: str
+
+
 class BatchFinder:
     """Finds batches for one tick, and counts in ``block_counts`` what is blocked and why."""
 
@@ -108,7 +135,7 @@
         self._budget = budget
 
     def find(self, endpoint: EndpointTotals, max_load: float) -> Iterator[MigrationBatch]:
-        """An endpoint's batches of at most ``max_load`` each, in the order in which they are to go.
+        """Yields an endpoint's batches of at most ``max_load`` each, in the order in which they are to go.
 
         First the smaller parts of groups that are spread over endpoints, since each endpoint pays a group's
         cost; then whole groups, those with the heaviest connections first, so that few clients are
@@ -136,11 +163,11 @@
     def _eligible_members(
         self, allocation: GroupAllocation, load: float, max_load: float
     ) -> tuple[int, ...] | BlockReason:
-        """All of a group's members at an endpoint, or why they may not be migrated together."""
+        """Returns all of a group's members at an endpoint, or why they may not be migrated together."""
         if allocation.connection_count > self._max_batch_connections or load > max_load:
             return BlockReason.TOO_LARGE
         if not self._budget.try_spend(allocation.connection_count):
-            return BlockReason.UNSEEN
+            return BlockReason.NOT_INSPECTED
         request_ids = []
         for connection in self._connections.members(allocation):
             block_reason = self._rules.block_reason(connection)
@@ -152,7 +179,7 @@
     def _single_batches(self, ungrouped: GroupAllocation, max_load: float) -> Iterator[MigrationBatch]:
         for connection in list(self._connections.members(ungrouped)):
             if not self._budget.try_spend(1):
-                self.block_counts[BlockReason.UNSEEN] += 1
+                self.block_counts[BlockReason.NOT_INSPECTED] += 1
                 return
             load = self._connections.load_of(connection.request_id)
             block_reason = self._rules.block_reason(connection)
@@ -163,35 +190,9 @@
                 continue
             yield MigrationBatch((connection.request_id,), load, grouped=False, is_partial=False)
 
-    def _rank(self, allocation: GroupAllocation, mean_load: float) -> tuple[bool, float, str]:
+    def _rank(self, allocation: GroupAllocation, mean_load: float) -> _BatchRank:
         siblings = self._connections.allocations_by_group[allocation.group]
         largest = max(siblings, key=lambda sibling: (sibling.connection_count, sibling.endpoint.name))
         is_smaller_part = len(siblings) > 1 and largest is not allocation
         mean_member_load = allocation.load(mean_load) / allocation.connection_count
-        return not is_smaller_part, -mean_member_load, allocation.group
-
-
-def evacuation_batches(
-    connections: ConnectionTable,
-    endpoint: EndpointTotals,
-    rules: EligibilityRules,
-    max_batch_connections: int,
-) -> Iterator[MigrationBatch]:
-    """All that may leave an endpoint that is cleared, group by group, the larger groups in parts.
-
-    Clients that were migrated recently stay until that time is over; there is no other reason to stay.
-    """
-    mean_load = connections.mean_load
-    for group in sorted(endpoint.groups):
-        allocation = endpoint.groups[group]
-        request_ids = [
-            connection.request_id
-            for connection in connections.members(allocation)
-            if not rules.was_migrated_recently(connection)
-        ]
-        batch_size = max_batch_connections if group else 1
-        for start in range(0, len(request_ids), batch_size):
-            batch_ids = tuple(request_ids[start : start + batch_size])
-            load = allocation.load(mean_load) * len(batch_ids) / allocation.connection_count
-            is_partial = len(batch_ids) < allocation.connection_count
-            yield MigrationBatch(batch_ids, load, grouped=bool(group), is_partial=is_partial)
+        return _BatchRank(not is_smaller_part, -mean_member_load, allocation.group)
--- a/sageturn/rebalance/connection_table.py
+++ b/sageturn/rebalance/connection_table.py
@@ -17,7 +17,7 @@
 
 
 class ConnectionLabels(NamedTuple):
-    """What a request says of itself that matters to rebalancing."""
+    """The class, tenant and group of a request."""
 
     class_name: str
     tenant: str
@@ -25,17 +25,20 @@
 
 
 class ConnectionRow(NamedTuple):
-    """A connection as the table returns it. ``client`` is the hash of the client's key, 0 for none."""
+    """A connection as the table returns it."""
 
     request_id: int
-    client: int
+    client: int  # hash of the client's key; 0: it has none
     class_name: str
     tenant: str
     established_ms: float
 
 
 class ConnectionTable:
-    """The connections and the sums over them. Loads are in work per second, as endpoints report them."""
+    """This relay's connections and the sums over them.
+
+    Loads are in work per second, as endpoints report them.
+    """
 
     def __init__(self) -> None:
         self.totals = LoadTotals()
@@ -74,7 +77,7 @@
 
     @property
     def mean_load(self) -> float:
-        """Mean reported load of a connection; 1 where none is reported, so that loads are counts."""
+        """The mean reported load of a connection; 1 where none is reported, so that loads are counts."""
         totals = self.totals
         if totals.reporting_count and totals.reported_load > 0:
             return totals.reported_load / totals.reporting_count
@@ -82,7 +85,7 @@
 
     @property
     def size_biased_mean_load(self) -> float:
-        """Expected load of a connection that is drawn with a chance proportional to its load."""
+        """The expected load of a connection that is drawn with a chance proportional to its load."""
         reported_load = self.totals.reported_load
         return self._squared_loads / reported_load if reported_load > 0 else 1.0
 
@@ -91,7 +94,7 @@
     def add(
         self, established_ms: float, request_id: int, endpoint: str, labels: ConnectionLabels, client: int
     ) -> None:
-        """Add a connection whose load is not known yet; it replaces one with the same id."""
+        """Adds a connection whose load is not known yet; it replaces one with the same id."""
         if request_id in self._rows:
             self.remove(request_id)
         if not self._start_ms:
@@ -108,7 +111,7 @@
         self._rows[request_id] = row
 
     def remove(self, request_id: int) -> bool:
-        """Remove a connection; False when there is none with this id."""
+        """Removes a connection. Returns whether there was one with this id."""
         row = self._rows.pop(request_id, None)
         if row is None:
             return False
@@ -122,7 +125,7 @@
         return True
 
     def set_load(self, request_id: int, load: float) -> None:
-        """Record a reported load; connections that are not in the table are ignored."""
+        """Records a reported load; connections that are not in the table are ignored."""
         row = self._rows.get(request_id)
         if row is not None:
             allocation = self._allocations[self._allocation_numbers[row]]
@@ -131,7 +134,7 @@
     # ------------------------------------------------------------ queries
 
     def members(self, allocation: GroupAllocation) -> Iterator[ConnectionRow]:
-        """The connections of a group at an endpoint, the newest first."""
+        """Yields the connections of a group at an endpoint, the newest first."""
         row = allocation.first_row
         while row != NO_ROW:
             class_name, tenant = self._class_tenant_pairs[self._class_tenants[row]]
@@ -140,16 +143,16 @@
             row = self._next_rows[row]
 
     def load_of(self, request_id: int) -> float:
-        """A connection's load, or the mean where it has not been reported."""
+        """Returns a connection's load, or the mean where it has not been reported."""
         return self._loads[self._rows[request_id]] or self.mean_load
 
     def endpoint_of(self, request_id: int) -> str:
-        """The endpoint of a connection that is in the table."""
+        """Returns the endpoint of a connection that is in the table."""
         number = self._allocation_numbers[self._rows[request_id]]
         return self._allocations[number].endpoint.name
 
     def client_of(self, request_id: int) -> int:
-        """The hash of a connection's client key; 0 when it has none, or is not in the table."""
+        """Returns the hash of a connection's client key; 0 if it has none or is not in the table."""
         row = self._rows.get(request_id)
         return 0 if row is None else self._clients[row]
 
@@ -178,7 +181,7 @@
         return number
 
     def _link(self, row: int, allocation: GroupAllocation) -> None:
-        """Insert a row at the head of its allocation's list."""
+        """Inserts a row at the head of its allocation's list."""
         following = allocation.first_row
         self._next_rows[row] = following
         self._previous_rows[row] = NO_ROW
--- a/sageturn/rebalance/decaying_counter.py
+++ b/sageturn/rebalance/decaying_counter.py
@@ -16,10 +16,10 @@
         self._updated_ms = 0.0
 
     def add(self, now_ms: float, amount: float = 1.0) -> None:
-        """Count ``amount`` more events at ``now_ms``."""
+        """Counts ``amount`` more events at ``now_ms``."""
         self._value = self.value_at(now_ms) + amount
         self._updated_ms = now_ms
 
     def value_at(self, now_ms: float) -> float:
-        """The decayed count at ``now_ms``."""
+        """Returns the decayed count at ``now_ms``."""
         return self._value * exp(min(0.0, self._updated_ms - now_ms) / self._time_constant_ms)
--- a/sageturn/rebalance/driver.py
+++ b/sageturn/rebalance/driver.py
@@ -1,4 +1,4 @@
-"""Connects the planner to the relay: observes the balancer, ticks the planner, carries its plans out."""
+"""Connects the planner to the relay: observes the balancer, ticks the planner, carries out its plans."""
 
 from __future__ import annotations
 
@@ -10,20 +10,21 @@
 from sageturn.core.balancer_actor import BalancerActor
 from sageturn.core.request_registry import RequestRegistry
 from sageturn.rebalance.connection_table import ConnectionLabels
-from sageturn.rebalance.options import MINUTES_PER_DAY, RebalanceOptions
+from sageturn.rebalance.options import MINUTES_PER_DAY, RebalanceMode, RebalanceOptions
 from sageturn.rebalance.plan import NO_PLAN, MigrationPlan, PlanPhase
 from sageturn.rebalance.planner import RebalancePlanner
 
 log = logging.getLogger(__name__)
 
-STATE_INTERVAL_MS = 5000.0  # between two publications of the state at least
+STATE_INTERVAL_MS = 5000.0  # minimum between two publications of the state
+MS_PER_MINUTE = 60000.0
 
 
 class Rebalancer(RebalancePlanner):
-    """The planner as an observer of the balancer, and the task that asks clients to reconnect.
+    """Observes the balancer from its creation on, and asks clients to reconnect from a task of its own.
 
-    The relay creates it, sets ``options`` and ``marks``, and runs ``run`` as a task. ``publish_state`` is
-    called with the encoded state.
+    The relay sets ``options`` and ``marks``, and runs ``run`` as a task. ``publish_state`` is called with
+    the encoded state.
     """
 
     def __init__(
@@ -44,7 +45,7 @@
         balancer_actor.observers.append(self)
 
     def _adopt_existing_requests(self) -> None:
-        """It may be turned on while there are connections; their loads are known once reported again."""
+        """Adopts the requests of a relay that runs already; loads are known once they are reported again."""
         now_ms = self._balancer_actor.clock.now_ms()
         for lifecycle in self._request_registry:
             record = lifecycle.record
@@ -58,19 +59,19 @@
                 self.tracker.expect(now_ms, lifecycle.id, labels, request.client)
 
     async def run(self) -> None:
-        """Tick until cancelled. A failure turns rebalancing off and leaves the relay alone."""
+        """Ticks until cancelled. A failure turns rebalancing off and leaves the relay alone."""
         while True:
             await asyncio.sleep(self.options.tick_s)
             try:
                 self.step()
             except Exception:
-                log.exception("rebalance failed mode=off")
-                self.options = replace(self.options, mode="off")
+                log.exception("rebalance failed mode=%s", RebalanceMode.OFF)
+                self.options = replace(self.options, mode=RebalanceMode.OFF)
 
     def step(self) -> MigrationPlan:
-        """One tick: plan, ask clients to reconnect, log and publish."""
+        """Runs one tick: plans, asks clients to reconnect, logs and publishes. Returns the plan."""
         now_ms = self._balancer_actor.clock.now_ms()
-        minute = int(now_ms // 60000.0) % MINUTES_PER_DAY
+        minute = int(now_ms // MS_PER_MINUTE) % MINUTES_PER_DAY
         endpoints = self._balancer_actor.snapshot_endpoints()
         plan = self.tick(now_ms, endpoints, minute, self._request_registry.is_draining)
         if plan.phase != PlanPhase.DRY_RUN and self in self._balancer_actor.observers:
@@ -83,15 +84,17 @@
         return plan
 
     def _log_plan(self, plan: MigrationPlan) -> None:
-        """A line for each decision: what is migrated and why, or why from now on nothing is."""
+        """Logs the tick's migrations and their reasons, or why there are none from now on."""
         previous = self._previous_plan
         self._previous_plan = plan
         if plan.migrations:
             reasons = "; ".join(dict.fromkeys(migration.reason for migration in plan.migrations))
+            request_ids = ",".join(str(migration.request_id) for migration in plan.migrations)
             log.info(
-                "rebalance migrations phase=%s count=%d reasons=%s",
+                "rebalance migrations phase=%s count=%d requests=%s reasons=%s",
                 plan.phase.value,
                 len(plan.migrations),
+                request_ids,
                 reasons,
             )
         elif plan.phase != previous.phase or (
--- a/sageturn/rebalance/event_tracker.py
+++ b/sageturn/rebalance/event_tracker.py
@@ -1,4 +1,4 @@
-"""Follows the balancer's events and actions: who is connected, who was migrated, how set-ups go."""
+"""Tracks connections, migrations and set-ups by the balancer's events and actions."""
 
 from __future__ import annotations
 
@@ -8,6 +8,7 @@
 from sageturn import decision
 from sageturn.rebalance.connection_table import ConnectionLabels, ConnectionTable
 from sageturn.rebalance.landing_score import LandingScore, is_useful_landing
+from sageturn.rebalance.migration_counts import MigrationCount
 from sageturn.rebalance.migration_history import MigrationHistory, MigrationRecord, client_hash
 from sageturn.rebalance.options import RebalanceOptions
 from sageturn.rebalance.overload_detector import OverloadDetector
@@ -26,7 +27,7 @@
 class EventTracker:
     """The planner's knowledge of this relay's connections, and counters of what has happened.
 
-    ``ratios``: each endpoint's utilization over the mean, as of the last tick; the planner sets it.
+    ``ratios`` has each endpoint's utilization over the mean as of the last tick; the planner sets it.
     """
 
     def __init__(self, settings: decision.Settings, options: RebalanceOptions) -> None:
@@ -34,22 +35,27 @@
         self.history = MigrationHistory(options)
         self.overload_detector = OverloadDetector(1.0 / settings.relay_count)
         self.landing_score = LandingScore()
-        self.counts: Counter[str] = Counter()  # by the names in the stored state
+        self.counts: Counter[str] = Counter()  # by ``MigrationCount``
         self.ratios: dict[str, float] = {}
         self.migrating: set[int] = set()  # request ids that were asked to reconnect
         self._options = options
-        self._latency_objectives_ms = {c.name: c.latency_objective_ms for c in settings.classes}
+        self._latency_objectives_ms = {
+            request_class.name: request_class.latency_objective_ms for request_class in settings.classes
+        }
         self._pending: dict[int, PendingRequest] = {}
 
     def set_options(self, options: RebalanceOptions) -> None:
-        """The operator's settings have changed."""
+        """Applies new settings of the operator."""
         self._options = options
         self.history.options = options
 
     # ------------------------------------------------------------ the balancer's events and actions
 
     def on_event(self, now_ms: float, event: decision.Event) -> None:
-        """An event that the balancer has handled. Adopted connections count as old enough to migrate."""
+        """Tracks an event that the balancer has handled.
+
+        Adopted connections count as old enough to migrate.
+        """
         match event:
             case decision.RequestArrived():
                 self._on_request_arrived(now_ms, event)
@@ -67,12 +73,12 @@
                 self.overload_detector.record_endpoint_list(event.kind == "failed")
 
     def on_request_rejected(self, now_ms: float, request_id: int) -> None:
-        """The balancer has rejected or failed a request."""
+        """Tracks that the balancer has rejected or failed a request."""
         self._pending.pop(request_id, None)
         self.overload_detector.record_rejection(now_ms)
 
     def expect(self, now_ms: float, request_id: int, labels: ConnectionLabels, client_key: str) -> None:
-        """Note a request that is not answered yet."""
+        """Notes a request that is not answered yet."""
         self._pending[request_id] = PendingRequest(now_ms, labels, client_hash(client_key))
 
     def adopt(
@@ -84,12 +90,12 @@
         client_key: str,
         established_ms: float,
     ) -> None:
-        """Add a connection that was established before the planner, or the relay, was started."""
+        """Adds a connection that was established before the planner, or the relay, was started."""
         established_ms = min(now_ms, established_ms)
         self.connections.add(established_ms, request_id, endpoint, labels, client_hash(client_key))
 
     def begin_migration(self, now_ms: float, request_id: int, by_planner: bool) -> None:
-        """A connection's client is asked to reconnect."""
+        """Tracks that a connection's client is asked to reconnect; unknown connections are ignored."""
         if request_id not in self.connections:
             return
         client = self.connections.client_of(request_id)
@@ -98,10 +104,10 @@
         self.migrating.add(request_id)
 
     def expire_in_flight(self, now_ms: float) -> None:
-        """Account for migrated clients that have not come back in time. To be called once a tick."""
+        """Counts the migrated clients that have not returned in time. To be called once a tick."""
         self.history.prune(now_ms)
         missing = self.history.expire_in_flight(now_ms)
-        self.counts["not_back"] += missing
+        self.counts[MigrationCount.NOT_RETURNED] += missing
         self.overload_detector.record_missing(now_ms, missing)
 
     # ------------------------------------------------------------ events by type
@@ -130,12 +136,12 @@
         self, now_ms: float, migration: MigrationRecord, endpoint: str, late: bool
     ) -> None:
         self.overload_detector.record_return(now_ms)
-        self.counts["back"] += 1
+        self.counts[MigrationCount.RETURNED] += 1
         if not migration.by_planner:
             return
-        self.counts["back_late"] += late
+        self.counts[MigrationCount.RETURNED_LATE] += late
         useful = is_useful_landing(migration.source_endpoint, endpoint, self.ratios)
-        self.counts["landed_well" if useful else "landed_ill"] += 1
+        self.counts[MigrationCount.LANDED_WELL if useful else MigrationCount.LANDED_BADLY] += 1
         self.landing_score.record(useful)
 
     def _on_attempt_ended(self, now_ms: float, event: decision.AttemptEnded) -> None:
--- /dev/null
+++ b/sageturn/rebalance/fleet_utilization.py
@@ -0,0 +1,67 @@
+"""The utilization of the whole fleet as of the last tick."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+
+from sageturn import decision
+from sageturn.core.endpoint_snapshot import EndpointSnapshot
+from sageturn.rebalance.connection_table import ConnectionTable
+from sageturn.rebalance.utilization import PoolUtilization, estimate_utilization, is_imbalanced
+
+
+class FleetUtilization:
+    """The pools of endpoints that are compared with each other, updated at each tick.
+
+    Ratios are utilizations over the mean of their pool.
+    """
+
+    def __init__(self, settings: decision.Settings) -> None:
+        self.pools: list[PoolUtilization] = []
+        self._settings = settings
+        self._zones: set[str] = set()  # of the ready endpoints
+
+    def update(self, connections: ConnectionTable, endpoints: Sequence[EndpointSnapshot]) -> bool:
+        """Estimates the pools anew. Returns whether the zones with ready endpoints have changed."""
+        zones = {endpoint.zone for endpoint in endpoints if endpoint.ready}
+        have_zones_changed = zones != self._zones
+        self._zones = zones
+        by_zone = self._settings.cross_zone_cost > 0 and len(zones) > 1
+        relays_per_pool = self.relays_per_zone if by_zone else float(self._settings.relay_count)
+        self.pools = estimate_utilization(
+            connections, endpoints, relays_per_pool, by_zone, self._settings.groups
+        )
+        return have_zones_changed
+
+    @property
+    def relays_per_zone(self) -> float:
+        """The relays in each zone, if they are spread evenly; 1 at least."""
+        return max(1.0, self._settings.relay_count / max(1, len(self._zones)))
+
+    @property
+    def max_ratio(self) -> float:
+        """The fullest endpoint's ratio over all pools."""
+        return max((pool.max_ratio for pool in self.pools), default=1.0)
+
+    @property
+    def min_ratio(self) -> float:
+        """The emptiest endpoint's ratio over all pools."""
+        return min((pool.min_ratio for pool in self.pools), default=1.0)
+
+    @property
+    def confidence(self) -> float:
+        """The highest confidence of a pool (``PoolUtilization.confidence``)."""
+        return max((pool.confidence for pool in self.pools), default=0.0)
+
+    @property
+    def description(self) -> str:
+        """The spread in a few words, for operators."""
+        return f"fullest {self.max_ratio:.2f} and emptiest {self.min_ratio:.2f} of the mean"
+
+    def ratios_by_endpoint(self) -> dict[str, float]:
+        """Returns each compared endpoint's ratio, by name."""
+        return {endpoint.name: endpoint.ratio for pool in self.pools for endpoint in pool.endpoints}
+
+    def is_imbalanced(self, tolerance: float) -> bool:
+        """Whether any pool is imbalanced; ``tolerance`` is the distance allowed over a ratio of 1."""
+        return any(is_imbalanced(pool, tolerance) for pool in self.pools)
--- a/sageturn/rebalance/landing_score.py
+++ b/sageturn/rebalance/landing_score.py
@@ -1,17 +1,17 @@
-"""Whether migrated clients land at endpoints that are less utilized than those they left."""
+"""Scores whether migrated clients land at endpoints that are less utilized than those they left."""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 
-SCORE_GAIN = 0.05  # weight of one landing
-MIN_USEFUL_SCORE = 0.2  # under this part of useful landings migrating stops for a while
+SCORE_GAIN = 0.05  # weight of one landing in the mean
+MIN_USEFUL_SCORE = 0.2  # part of useful landings under which migrating pauses
 SCORE_AFTER_PAUSE = 0.5
-MIN_RATIO_GAIN = 0.02  # a landing is useful where the endpoint was this much less full, in means
+MIN_RATIO_GAIN = 0.02  # by which the target's ratio is lower, for a useful landing
 
 
 def is_useful_landing(source: str, target: str, ratios: Mapping[str, float]) -> bool:
-    """Whether a client has landed at a clearly emptier endpoint, by their utilizations over the mean."""
+    """Whether a client has landed at a clearly emptier endpoint, by ratios of utilization over the mean."""
     return target != source and ratios.get(target, 1.0) < ratios.get(source, 1.0) - MIN_RATIO_GAIN
 
 
@@ -27,9 +27,9 @@
         return self.value < MIN_USEFUL_SCORE
 
     def record(self, useful: bool) -> None:
-        """Account for one migrated client that is established again."""
+        """Counts one migrated client that is established again."""
         self.value += SCORE_GAIN * (useful - self.value)
 
     def resume(self) -> None:
-        """Allow for a new trial after a pause."""
+        """Allows for a new trial after a pause."""
         self.value = SCORE_AFTER_PAUSE
--- a/sageturn/rebalance/migration_history.py
+++ b/sageturn/rebalance/migration_history.py
@@ -1,4 +1,4 @@
-"""Which clients were migrated, when and off which endpoint, and which of them have not reconnected yet."""
+"""Remembers which clients were migrated, when and off which endpoint, and which are still awaited."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 from sageturn.rebalance.options import RebalanceOptions
 
-NO_CLIENT = 0  # stands for a connection without a client key
+NO_CLIENT = 0  # the hash of a connection without a client key
 CLIENT_HASH_BYTES = 8
 MAX_BACKOFF_DOUBLINGS = 20
 
 
 def client_hash(key: str) -> int:
-    """A 64-bit hash of a client's key; ``NO_CLIENT`` for an empty one.
+    """Returns a 64-bit hash of a client's key; ``NO_CLIENT`` for an empty one.
 
     Two clients that share a hash are at worst both left alone.
     """
@@ -25,19 +25,19 @@
 
 @dataclass(frozen=True, slots=True)
 class MigrationRecord:
-    """A client's last migration."""
+    """A client's last migration. Instants are of the relay's time."""
 
     migrated_ms: float
-    source_endpoint: str
+    source_endpoint: str  # empty where another relay has migrated the client
     migration_count: int  # recent migrations of this client, this one included
     excluded_until_ms: float  # not to be migrated again before
     by_planner: bool
 
 
 class MigrationHistory:
-    """Remembers migrated clients, ``remember`` of them at most.
+    """Remembers migrated clients by the hashes of their keys, ``RebalanceOptions.remember`` at most.
 
-    Nobody is forgotten early: where there is no capacity for another, the planner migrates nobody.
+    No client is forgotten early: without capacity for another, the planner migrates nobody.
     """
 
     def __init__(self, options: RebalanceOptions) -> None:
@@ -50,7 +50,7 @@
 
     @property
     def in_flight_count(self) -> int:
-        """Migrated clients that are still awaited."""
+        """The number of migrated clients that are still awaited."""
         return len(self._return_deadlines_ms)
 
     def is_in_flight(self, client: int) -> bool:
@@ -69,11 +69,11 @@
         return len(self._records) + clients <= self.options.remember
 
     def last_migration(self, client: int) -> MigrationRecord | None:
-        """A client's last migration, if it is remembered."""
+        """Returns a client's last migration; None if none is remembered."""
         return self._records.get(client)
 
     def record_migration(self, client: int, source_endpoint: str, now_ms: float, by_planner: bool) -> None:
-        """A client is asked to reconnect, by the planner or by others."""
+        """Records that a client is asked to reconnect, by the planner or by others."""
         if client == NO_CLIENT:
             return
         count = self._next_migration_count(self._records.pop(client, None), now_ms)
@@ -86,9 +86,10 @@
         self._return_deadlines_ms[client] = now_ms + self.options.back_within_s * 1000.0
 
     def record_reported_migration(self, client: int, now_ms: float) -> None:
-        """A client says that it was migrated or disconnected, perhaps by another relay.
+        """Records a client that reports to have been migrated or disconnected, perhaps by another relay.
 
-        It is left alone like one that this relay migrated. For want of capacity it may go unremembered.
+        It is not migrated again for a time, as if this relay had migrated it. Without capacity it is not
+        remembered.
         """
         if client == NO_CLIENT or client in self._records or not self.has_capacity_for(1):
             return
@@ -96,13 +97,13 @@
         self._records[client] = MigrationRecord(now_ms, "", 1, excluded_until_ms, False)
 
     def record_return(self, client: int) -> MigrationRecord | None:
-        """A client is established: its migration, if it was awaited."""
+        """Records that a client is established. Returns its migration; None if it was not awaited."""
         if self._return_deadlines_ms.pop(client, None) is None:
             return None
         return self._records.get(client)
 
     def expire_in_flight(self, now_ms: float) -> int:
-        """How many have not come back in time; they are no longer awaited."""
+        """Stops awaiting the clients that have not returned in time. Returns how many they are."""
         overdue = []
         for client, deadline_ms in self._return_deadlines_ms.items():
             if deadline_ms > now_ms:
@@ -113,10 +114,10 @@
         return len(overdue)
 
     def prune(self, now_ms: float) -> None:
-        """Once half full, forget clients that may be migrated again, and how often they were migrated."""
+        """Forgets, once the history is half full, the clients that may be migrated again."""
         if len(self._records) < self.options.remember // 2:
             return
-        expired = [c for c, record in self._records.items() if now_ms >= record.excluded_until_ms]
+        expired = [client for client, record in self._records.items() if now_ms >= record.excluded_until_ms]
         for client in expired:
             del self._records[client]
             self._return_deadlines_ms.pop(client, None)
--- a/sageturn/rebalance/migration_round.py
+++ b/sageturn/rebalance/migration_round.py
@@ -8,19 +8,19 @@
 from sageturn.core.endpoint_snapshot import EndpointSnapshot
 from sageturn.rebalance.batches import MigrationBatch
 from sageturn.rebalance.event_tracker import EventTracker
+from sageturn.rebalance.migration_counts import MigrationCount
 from sageturn.rebalance.plan import Migration
 from sageturn.rebalance.rate_controller import MigrationRateController
 
-# Part of the set-ups that endpoints have capacity for; new clients need the rest.
-MAX_MIGRATION_CAPACITY_RATIO = 0.5
+MAX_MIGRATION_CAPACITY_RATIO = 0.5  # of the endpoints' capacity for set-ups; new clients need the rest
 
 
 @dataclass(frozen=True, slots=True)
 class MigrationCapacity:
-    """Set-ups that migrated clients may take.
+    """How many set-ups migrated clients may take.
 
-    A client in flight arrives somewhere soon. Those that went to other relays count until they are no longer
-    awaited, since clients that other relays have migrated may arrive here in their place.
+    A client in flight arrives somewhere soon. One that went to another relay counts until it is no longer
+    awaited, since a client that another relay has migrated may arrive here in its place.
     """
 
     total: int
@@ -28,14 +28,14 @@
 
     @classmethod
     def of(cls, endpoints: Sequence[EndpointSnapshot], in_flight_count: int) -> MigrationCapacity:
-        """The capacity that the endpoints have now."""
+        """Returns the capacity that the endpoints have now, with so many clients in flight."""
         setups = sum(endpoint.available_capacity for endpoint in endpoints if endpoint.ready)
         total = int(MAX_MIGRATION_CAPACITY_RATIO * setups)
         return cls(total, total - in_flight_count)
 
 
 class MigrationRound:
-    """Collects a tick's migrations. A dry run takes tokens, but begins no migration."""
+    """Collects a tick's migrations; a dry run takes tokens, but begins no migration."""
 
     def __init__(
         self,
@@ -53,7 +53,7 @@
         self._dry_run = dry_run
 
     def try_add(self, batch: MigrationBatch, reason: str) -> str | None:
-        """Add a batch if it may go now; otherwise return what it has to wait for."""
+        """Adds a batch if it may go now. Returns what it has to wait for otherwise, for operators."""
         waiting_for = self._acquire(batch)
         if waiting_for is None:
             self._add(batch, reason)
@@ -76,9 +76,9 @@
         self.migrations.extend(Migration(request_id, reason) for request_id in batch.request_ids)
         counts = self._tracker.counts
         if self._dry_run:
-            counts["would_move"] += count
+            counts[MigrationCount.MIGRATED_IN_DRY_RUN] += count
             return
-        counts["moved"] += count
-        counts["units"] += 1
+        counts[MigrationCount.MIGRATED] += count
+        counts[MigrationCount.MIGRATED_BATCHES] += 1
         for request_id in batch.request_ids:
             self._tracker.begin_migration(self._now_ms, request_id, by_planner=True)
--- a/sageturn/rebalance/overload_detector.py
+++ b/sageturn/rebalance/overload_detector.py
@@ -10,12 +10,10 @@
 from sageturn.rebalance.decaying_counter import DecayingCounter
 from sageturn.rebalance.overload_signals import OverloadSignal
 
-# Long enough for a few round trips of a migration, from the request to reconnect to the new connection.
-EVENT_TIME_CONSTANT_MS = 5000.0
-# Migrations are rare, so their outcomes are counted over a longer time.
-RETURN_TIME_CONSTANT_MS = 20000.0
+EVENT_TIME_CONSTANT_MS = 5000.0  # a few round trips of a migration
+RETURN_TIME_CONSTANT_MS = 20000.0  # longer: migrations are rare
 
-MIN_LATE_SETUPS = 2.0
+MIN_LATE_SETUPS = 2.0  # decayed count, as all of these
 MIN_LATE_SETUP_RATIO = 0.1  # of all set-ups
 MIN_REJECTIONS = 0.5  # a single recent one is a signal
 MIN_OUTAGE_REJECTIONS = 3.0
@@ -24,14 +22,14 @@
 MIN_RESET_RATIO = 0.005  # of established connections
 MIN_OUTAGE_RESETS = 4.0
 MIN_OUTAGE_RESET_RATIO = 0.03  # of established connections
-MIN_CONNECT_FAILURES = 1.5  # a single failure may be an endpoint's regular end
-MIN_EXPECTED_RETURNS = 4.0  # fewer expected clients say nothing
+MIN_CONNECT_FAILURES = 1.5  # more than one, which an endpoint's regular end may cause
+MIN_EXPECTED_RETURNS = 4.0
 MIN_RETURN_RATIO = 0.5  # of the returns expected
 RETURN_RATIO_GAIN = 0.02  # weight of one client in the learned return ratio
-MIN_LEARNED_RETURN_SHARE = 0.5  # the learned ratio never falls under this part of its initial value
+MIN_LEARNED_RETURN_SHARE = 0.5  # of the return ratio's initial value
 
-MAX_DRAIN_SIGNAL_MS = 60000.0  # an endpoint that drains for longer releases its clients slowly enough
-ENDPOINT_LOSS_SIGNAL_MS = 8000.0  # clients of a lost endpoint have reconnected by then
+MAX_DRAIN_SIGNAL_MS = 60000.0  # per endpoint; a longer drain releases its clients slowly
+ENDPOINT_LOSS_SIGNAL_MS = 8000.0  # its clients have reconnected by then
 
 
 class OverloadDetector:
@@ -43,7 +41,7 @@
 
     def __init__(self, expected_return_ratio: float) -> None:
         self.set_expected_return_ratio(expected_return_ratio)
-        self.seen: Counter[str] = Counter()  # evaluations in which each signal held, by its stored name
+        self.seen: Counter[OverloadSignal] = Counter()  # evaluations in which each signal held
         self._requests = DecayingCounter(EVENT_TIME_CONSTANT_MS)
         self._setups = DecayingCounter(EVENT_TIME_CONSTANT_MS)
         self._late_setups = DecayingCounter(EVENT_TIME_CONSTANT_MS)
@@ -55,10 +53,10 @@
         self._endpoint_list_failed = False
         self._endpoints: dict[str, EndpointSnapshot] = {}
         self._draining_since_ms: dict[str, float] = {}
-        self._endpoint_lost_ms = float("-inf")
+        self._endpoint_lost_ms: float | None = None  # when an endpoint was last lost
 
     def set_expected_return_ratio(self, ratio: float) -> None:
-        """Restart learning from ``ratio``: what chance gives for the number of relays there are."""
+        """Restarts learning from ``ratio``, the part that returns to this relay by chance alone."""
         self.expected_return_ratio = ratio
         # Bounded below: were it to fall with every outage, the next one would go unnoticed.
         self._min_return_ratio = ratio * MIN_LEARNED_RETURN_SHARE
@@ -66,38 +64,38 @@
     # ------------------------------------------------------------ events
 
     def record_request(self, now_ms: float) -> None:
-        """A client has asked for a connection."""
+        """Counts a client's request for a connection."""
         self._requests.add(now_ms)
 
     def record_established(self, now_ms: float, late: bool) -> None:
-        """A connection was set up; ``late``: beyond its class's latency objective."""
+        """Counts a connection that was set up; ``late``: beyond its class's latency objective."""
         self._setups.add(now_ms)
         if late:
             self._late_setups.add(now_ms)
 
     def record_rejection(self, now_ms: float) -> None:
-        """A request was rejected or has failed."""
+        """Counts a request that was rejected or has failed."""
         self._rejections.add(now_ms)
 
     def record_reset(self, now_ms: float) -> None:
-        """An endpoint broke an established connection."""
+        """Counts an established connection that its endpoint has reset."""
         self._resets.add(now_ms)
 
     def record_connect_failure(self, now_ms: float) -> None:
-        """An attempt to connect to an endpoint failed or timed out."""
+        """Counts an attempt to connect to an endpoint that failed or timed out."""
         self._connect_failures.add(now_ms)
 
     def record_endpoint_list(self, failed: bool) -> None:
-        """The endpoint list was updated, or its watch has failed."""
+        """Notes that the endpoint list was updated, or that its watch has failed."""
         self._endpoint_list_failed = failed
 
     def record_return(self, now_ms: float) -> None:
-        """A migrated client has reconnected to this relay."""
+        """Counts a migrated client that has reconnected to this relay."""
         self._returns.add(now_ms)
         self.expected_return_ratio += RETURN_RATIO_GAIN * (1.0 - self.expected_return_ratio)
 
     def record_missing(self, now_ms: float, clients: int) -> None:
-        """So many migrated clients have not reconnected to this relay in time."""
+        """Counts migrated clients that have not reconnected to this relay in time."""
         if not clients:
             return
         self._missing.add(now_ms, clients)
@@ -113,32 +111,43 @@
         endpoints: Iterable[EndpointSnapshot],
         out_of_service: frozenset[str] = frozenset(),
     ) -> list[OverloadSignal]:
-        """The signals that hold now, in their order of precedence. To be called once a tick.
-
-        ``out_of_service`` names endpoints that an operator has removed: they look like draining ones, but
-        are no signal.
+        """Returns the signals that hold now, in their order of precedence. To be called once a tick.
+
+        Args:
+            now_ms: The relay's time.
+            connections: This relay's connections.
+            endpoints: All endpoints as the balancer sees them.
+            out_of_service: The endpoints that an operator has removed: they look like draining ones, but
+                are no signal.
         """
         self._observe_endpoints(now_ms, connections, endpoints, out_of_service)
         conditions = (
-            (OverloadSignal.LIST_FAILED, self._endpoint_list_failed),
-            (OverloadSignal.LOST, now_ms < self._endpoint_lost_ms + ENDPOINT_LOSS_SIGNAL_MS),
-            (OverloadSignal.DRAINING, self._is_draining(now_ms)),
-            (OverloadSignal.REFUSING, self._is_rejecting_many(now_ms)),
+            (OverloadSignal.ENDPOINT_LIST_FAILED, self._endpoint_list_failed),
+            (OverloadSignal.ENDPOINT_LOST, self._was_endpoint_lost(now_ms)),
+            (OverloadSignal.ENDPOINT_DRAINING, self._is_draining(now_ms)),
+            (OverloadSignal.REJECTION_OUTAGE, self._is_rejecting_many(now_ms)),
             (
-                OverloadSignal.BREAKING,
+                OverloadSignal.RESET_OUTAGE,
                 self._has_resets(now_ms, connections, MIN_OUTAGE_RESETS, MIN_OUTAGE_RESET_RATIO),
             ),
-            (OverloadSignal.PUT_OUT, any(endpoint.ejected for endpoint in self._endpoints.values())),
-            (OverloadSignal.REFUSED, self._rejections.value_at(now_ms) >= MIN_REJECTIONS),
-            (OverloadSignal.RESET, self._has_resets(now_ms, connections, MIN_RESETS, MIN_RESET_RATIO)),
-            (OverloadSignal.UNREACHABLE, self._connect_failures.value_at(now_ms) >= MIN_CONNECT_FAILURES),
-            (OverloadSignal.LATE, self._has_late_setups(now_ms)),
-            (OverloadSignal.NOT_BACK, self._are_returns_missing(now_ms)),
+            (OverloadSignal.ENDPOINT_EJECTED, any(endpoint.ejected for endpoint in self._endpoints.values())),
+            (OverloadSignal.REJECTIONS, self._rejections.value_at(now_ms) >= MIN_REJECTIONS),
+            (OverloadSignal.RESETS, self._has_resets(now_ms, connections, MIN_RESETS, MIN_RESET_RATIO)),
+            (
+                OverloadSignal.CONNECT_FAILURES,
+                self._connect_failures.value_at(now_ms) >= MIN_CONNECT_FAILURES,
+            ),
+            (OverloadSignal.LATE_SETUPS, self._has_late_setups(now_ms)),
+            (OverloadSignal.MISSING_CLIENTS, self._are_returns_missing(now_ms)),
         )
         signals = [signal for signal, holds in conditions if holds]
-        self.seen.update(signal.name.lower() for signal in signals)
+        self.seen.update(signals)
         return signals
 
+    def _was_endpoint_lost(self, now_ms: float) -> bool:
+        lost_ms = self._endpoint_lost_ms
+        return lost_ms is not None and now_ms < lost_ms + ENDPOINT_LOSS_SIGNAL_MS
+
     def _is_draining(self, now_ms: float) -> bool:
         return any(now_ms < since_ms + MAX_DRAIN_SIGNAL_MS for since_ms in self._draining_since_ms.values())
 
--- a/sageturn/rebalance/plan.py
+++ b/sageturn/rebalance/plan.py
@@ -1,4 +1,4 @@
-"""What the planner decides at a tick."""
+"""The plan that the planner makes at each tick."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 
 class PlanPhase(StrEnum):
-    """What the planner is doing. The values appear in the stored state and in the operators' pages."""
+    """The planner's activity. The values appear in the stored state and in the operators' pages."""
 
     NOT_PLANNED = ""
     STOPPING = "stopping"  # the relay itself shuts down
-    CLEARING = "clearing"  # empties endpoints that an operator clears
+    EVACUATING = "clearing"  # empties endpoints that an operator clears
     OFF = "off"
     QUIET = "quiet"  # quiet hours
     BALANCED = "balanced"
@@ -43,4 +43,9 @@
     explanation: str
 
 
+def empty_plan(phase: PlanPhase, explanation: str) -> MigrationPlan:
+    """Returns a plan without migrations."""
+    return MigrationPlan((), phase, explanation)
+
+
 NO_PLAN = MigrationPlan((), PlanPhase.NOT_PLANNED, "")  # before the first tick
--- a/sageturn/rebalance/planner.py
+++ b/sageturn/rebalance/planner.py
@@ -12,30 +12,24 @@
 
 from sageturn import decision
 from sageturn.core.endpoint_snapshot import EndpointSnapshot, OperatorMarks
-from sageturn.rebalance.batches import (
-    TEMPORARY_BLOCK_REASONS,
-    BatchFinder,
-    BlockReason,
-    EligibilityRules,
-    InspectionBudget,
-    evacuation_batches,
-)
+from sageturn.rebalance.batches import TEMPORARY_BLOCK_REASONS, BlockReason, describe_blocks
 from sageturn.rebalance.connection_table import ConnectionTable
+from sageturn.rebalance.evacuation import plan_evacuation
 from sageturn.rebalance.event_tracker import EventTracker
-from sageturn.rebalance.migration_history import MigrationHistory, client_hash
-from sageturn.rebalance.migration_round import MigrationCapacity, MigrationRound
-from sageturn.rebalance.options import RebalanceOptions
+from sageturn.rebalance.fleet_utilization import FleetUtilization
+from sageturn.rebalance.migration_counts import MigrationCount
+from sageturn.rebalance.migration_history import MigrationHistory
+from sageturn.rebalance.options import RebalanceMode, RebalanceOptions
 from sageturn.rebalance.overload_detector import OverloadDetector
-from sageturn.rebalance.plan import NO_PLAN, MigrationPlan, PlanPhase
-from sageturn.rebalance.pool_balancer import PoolBalancer, is_imbalanced
+from sageturn.rebalance.plan import NO_PLAN, MigrationPlan, PlanPhase, empty_plan
+from sageturn.rebalance.pool_balancer import balance_pools
 from sageturn.rebalance.rate_controller import MigrationRateController
+from sageturn.rebalance.request_hints import hint_recent_migration
 from sageturn.rebalance.state import RebalanceState, encode_state
-from sageturn.rebalance.utilization import PoolUtilization, estimate_utilization, max_ratio, min_ratio
+from sageturn.rebalance.tick_context import TickContext
 
-MAX_INSPECTED_CONNECTIONS = 2000  # per tick
-UNREACHABLE_PAUSE_MS = 30000.0  # what can't be balanced now is looked at again after this
+UNREACHABLE_PAUSE_MS = 30000.0  # what blocks every batch may have changed by then
 USELESS_PAUSE_MS = 60000.0
-BALANCER_EXEMPTION_MS = 60000.0  # so long the balancer does not migrate a client again that the planner has
 
 
 class RebalancePlanner:
@@ -49,11 +43,10 @@
         self.settings = settings
         self.tracker = EventTracker(settings, options)
         self.rate_controller = MigrationRateController(options, settings.relay_count, Random(seed))
+        self.fleet = FleetUtilization(settings)
         self.marks = OperatorMarks()
-        self.block_counts: Counter[BlockReason] = Counter()
+        self.block_counts: Counter[BlockReason] = Counter()  # as of the last tick that looked for batches
         self._options = options
-        self._pools: list[PoolUtilization] = []
-        self._zones: set[str] = set()
         self._is_balancing = False
         self._late_returns = 0  # as of the last tick
         self._paused_until_ms = 0.0
@@ -78,39 +71,28 @@
 
     @property
     def history(self) -> MigrationHistory:
-        """Who was migrated."""
+        """The clients that were migrated."""
         return self.tracker.history
 
     @property
     def overload_detector(self) -> OverloadDetector:
-        """What speaks against migrating."""
+        """The signals that speak against migrating."""
         return self.tracker.overload_detector
 
     @property
     def counts(self) -> Counter[str]:
-        """What was done since the start, by the names in the stored state."""
+        """The counts since the start, by the names in the stored state (``MigrationCount``)."""
         return self.tracker.counts
 
-    # ------------------------------------------------------------ events
+    # ------------------------------------------------------------ BalancerObserver
 
     def before_event(self, now_ms: float, event: decision.Event) -> None:
-        """Tell the balancer, in the request itself, that its client was migrated recently."""
-        if not isinstance(event, decision.RequestArrived) or not len(self.history):
-            return
-        client = client_hash(event.client)
-        migration = self.history.last_migration(client)
-        if migration is None or not migration.by_planner:
-            return
-        event.spared_until_ms = min(
-            migration.excluded_until_ms, migration.migrated_ms + BALANCER_EXEMPTION_MS
-        )
-        if self.history.is_in_flight(client):
-            event.moved_off = migration.source_endpoint
-            if self.marks.rebalance_excluded and event.allowed is None:
-                event.allowed = frozenset(self.tracker.ratios.keys() - self.marks.rebalance_excluded)
+        """Tells the balancer, in a request itself, that its client was migrated recently."""
+        if isinstance(event, decision.RequestArrived) and len(self.history):
+            hint_recent_migration(event, self.tracker, self.marks.rebalance_excluded)
 
     def after_event(self, now_ms: float, event: decision.Event, actions: Sequence[decision.Action]) -> None:
-        """Take note of an event that the balancer has handled, and of what it has decided."""
+        """Takes note of an event that the balancer has handled, and of the balancer's decisions."""
         self.tracker.on_event(now_ms, event)
         for action in actions:
             match action:
@@ -120,9 +102,9 @@
                     self.on_migrated_by_others(now_ms, request_id)
 
     def on_migrated_by_others(self, now_ms: float, request_id: int) -> None:
-        """The balancer or a drain migrates a connection: never delayed, but charged to the same budget."""
+        """Charges a migration by the balancer or a drain, which is never delayed, to the same budget."""
         if request_id not in self.tracker.migrating:
-            self.counts["by_others"] += 1
+            self.counts[MigrationCount.BY_OTHERS] += 1
             self.rate_controller.charge(1)
             self.tracker.begin_migration(now_ms, request_id, by_planner=False)
 
@@ -131,144 +113,97 @@
     def tick(
         self, now_ms: float, endpoints: Sequence[EndpointSnapshot], minute: int, stopping: bool = False
     ) -> MigrationPlan:
-        """Decide what is migrated now.
+        """Decides which connections are migrated now.
 
-        ``minute``: of the UTC day; ``stopping``: the relay itself shuts down, and migrates everyone.
+        Args:
+            now_ms: The relay's time.
+            endpoints: All endpoints as the balancer sees them.
+            minute: The minute of the UTC day, by which quiet hours go.
+            stopping: Whether the relay itself shuts down, and migrates everyone.
         """
         self._update_rate(now_ms, endpoints)
-        self._update_utilization(endpoints)
+        if self.fleet.update(self.connections, endpoints):
+            # Clients return through their zone's relays: a relay that is alone there sees all of them again.
+            self.overload_detector.set_expected_return_ratio(1.0 / self.fleet.relays_per_zone)
+        self.tracker.ratios = self.fleet.ratios_by_endpoint()
         if stopping:
-            return MigrationPlan((), PlanPhase.STOPPING, "the relay leaves and moves everyone itself")
-        clearing = self._plan_clearing(now_ms, endpoints)
-        if clearing is not None:
-            return clearing
-        return self._plan_nothing(now_ms, minute) or self._plan_balancing(now_ms, endpoints)
+            return empty_plan(PlanPhase.STOPPING, "the relay leaves and moves everyone itself")
+        context = TickContext(
+            now_ms, endpoints, self._options, self.marks, self.tracker, self.rate_controller
+        )
+        evacuation = plan_evacuation(context)
+        if evacuation is not None:
+            return evacuation
+        return self._plan_nothing(now_ms, minute) or self._plan_balancing(context)
 
     def _update_rate(self, now_ms: float, endpoints: Sequence[EndpointSnapshot]) -> None:
         self.tracker.expire_in_flight(now_ms)
         signals = self.overload_detector.evaluate(
             now_ms, self.connections, endpoints, self.marks.out_of_service
         )
-        late_returns = self.counts["back_late"]
-        doing_well = late_returns == self._late_returns
+        late_returns = self.counts[MigrationCount.RETURNED_LATE]
+        no_late_returns = late_returns == self._late_returns
         self._late_returns = late_returns
-        self.rate_controller.update(now_ms, len(self.connections), signals, doing_well)
-
-    def _update_utilization(self, endpoints: Sequence[EndpointSnapshot]) -> None:
-        relay_count = self.settings.relay_count
-        zones = {endpoint.zone for endpoint in endpoints if endpoint.ready}
-        relays_per_zone = max(1.0, relay_count / max(1, len(zones)))
-        by_zone = self.settings.cross_zone_cost > 0 and len(zones) > 1
-        if zones != self._zones:
-            # Clients return through their zone's relays: a relay that is alone there sees all of them again.
-            self._zones = zones
-            self.overload_detector.set_expected_return_ratio(1.0 / relays_per_zone)
-        relays_per_pool = relays_per_zone if by_zone else float(relay_count)
-        self._pools = estimate_utilization(
-            self.connections, endpoints, relays_per_pool, by_zone, self.settings.groups
-        )
-        self.tracker.ratios = {
-            endpoint.name: endpoint.ratio for pool in self._pools for endpoint in pool.endpoints
-        }
-
-    def _plan_clearing(self, now_ms: float, endpoints: Sequence[EndpointSnapshot]) -> MigrationPlan | None:
-        """Empty endpoints that an operator clears: in whatever mode, at the same rate as any migration."""
-        own_totals = self.connections.endpoints
-        cleared = [own_totals[name] for name in sorted(self.marks.evacuating) if name in own_totals]
-        if not cleared or self.rate_controller.is_stopped(now_ms):
-            return None
-        capacity = MigrationCapacity.of(endpoints, self.history.in_flight_count)
-        max_batch_connections = max(1, min(capacity.total, self._options.burst))
-        migration_round = self._new_round(now_ms, capacity, dry_run=False)
-        rules = self._eligibility_rules(now_ms)
-        for endpoint in cleared:
-            reason = f"{endpoint.name} is cleared by an operator"
-            for batch in evacuation_batches(self.connections, endpoint, rules, max_batch_connections):
-                if migration_round.try_add(batch, reason) is not None:
-                    break
-        if not migration_round.migrations:
-            return None
-        remaining = sum(endpoint.connection_count for endpoint in cleared)
-        migrations = tuple(migration_round.migrations)
-        return MigrationPlan(migrations, PlanPhase.CLEARING, f"{remaining} still there")
+        self.rate_controller.update(now_ms, len(self.connections), signals, no_late_returns)
 
     def _plan_nothing(self, now_ms: float, minute: int) -> MigrationPlan | None:
-        """A plan without migrations, where there is a reason for one."""
-        if self._options.mode == "off":
-            return MigrationPlan((), PlanPhase.OFF, "turned off")
+        """Returns a plan without migrations, where there is a reason for one."""
+        if self._options.mode == RebalanceMode.OFF:
+            return empty_plan(PlanPhase.OFF, "turned off")
         if self._options.is_quiet_at(minute):
-            return MigrationPlan((), PlanPhase.QUIET, "quiet hours")
+            return empty_plan(PlanPhase.QUIET, "quiet hours")
         if not self._update_is_balancing():
-            return MigrationPlan((), PlanPhase.BALANCED, self._describe_ratios())
+            return empty_plan(PlanPhase.BALANCED, self.fleet.description)
         if self.rate_controller.is_stopped(now_ms):
-            return MigrationPlan((), PlanPhase.HELD, self._describe_stop())
+            return empty_plan(PlanPhase.HELD, self.rate_controller.stop_reason)
         if now_ms < self._paused_until_ms:
             return self._pause_plan
         if self.tracker.landing_score.is_too_low:
             self.tracker.landing_score.resume()
-            explanation = "moved clients land where it is as full"
-            return self._pause(now_ms + USELESS_PAUSE_MS, PlanPhase.USELESS, explanation)
+            plan = empty_plan(PlanPhase.USELESS, "moved clients land where it is as full")
+            return self._pause(now_ms + USELESS_PAUSE_MS, plan)
         return None
 
-    def _plan_balancing(self, now_ms: float, endpoints: Sequence[EndpointSnapshot]) -> MigrationPlan:
-        dry_run = self._options.mode != "on"
-        capacity = MigrationCapacity.of(endpoints, self.history.in_flight_count)
-        migration_round = self._new_round(now_ms, capacity, dry_run)
-        batch_finder = BatchFinder(
-            self.connections,
-            self._eligibility_rules(now_ms),
-            min(capacity.total, self._options.burst),
-            InspectionBudget(MAX_INSPECTED_CONNECTIONS),
-        )
-        self.block_counts = batch_finder.block_counts
-        waiting_for = ""
-        for pool in sorted(self._pools, key=lambda pool: -pool.max_ratio):
-            balancer = PoolBalancer(
-                pool, self._options, self.marks.rebalance_excluded, batch_finder, migration_round
-            )
-            waiting_for = balancer.plan(self.connections.endpoints) or waiting_for
-        if migration_round.migrations:
-            phase = PlanPhase.DRY_RUN if dry_run else PlanPhase.BALANCING
-            return MigrationPlan(tuple(migration_round.migrations), phase, self._describe_ratios())
-        if waiting_for:
-            return MigrationPlan((), PlanPhase.WAITING, waiting_for)
+    def _plan_balancing(self, context: TickContext) -> MigrationPlan:
+        selection = balance_pools(context, self.fleet.pools)
+        self.block_counts = selection.block_counts
+        if selection.migrations:
+            phase = PlanPhase.DRY_RUN if context.is_dry_run else PlanPhase.BALANCING
+            return MigrationPlan(selection.migrations, phase, self.fleet.description)
+        if selection.waiting_for:
+            return empty_plan(PlanPhase.WAITING, selection.waiting_for)
         if TEMPORARY_BLOCK_REASONS.isdisjoint(self.block_counts):
-            explanation = f"{self._describe_ratios()}: {self._describe_blocks()}"
-            return self._pause(now_ms + UNREACHABLE_PAUSE_MS, PlanPhase.UNREACHABLE, explanation)
-        return MigrationPlan((), PlanPhase.WAITING, self._describe_blocks())
+            explanation = f"{self.fleet.description}: {describe_blocks(self.block_counts)}"
+            plan = empty_plan(PlanPhase.UNREACHABLE, explanation)
+            return self._pause(context.now_ms + UNREACHABLE_PAUSE_MS, plan)
+        return empty_plan(PlanPhase.WAITING, describe_blocks(self.block_counts))
 
     def _update_is_balancing(self) -> bool:
-        """Start above one bound and stop under a lower one, or chance would turn it on and off."""
+        """Starts above one bound and stops under a lower one, so that chance does not toggle balancing."""
         bound = self._options.stop if self._is_balancing else self._options.start
-        self._is_balancing = any(is_imbalanced(pool, bound - 1.0) for pool in self._pools)
+        self._is_balancing = self.fleet.is_imbalanced(bound - 1.0)
         return self._is_balancing
 
-    def _pause(self, until_ms: float, phase: PlanPhase, explanation: str) -> MigrationPlan:
+    def _pause(self, until_ms: float, plan: MigrationPlan) -> MigrationPlan:
+        """Returns the plan, and again at each tick until the pause ends."""
         self._paused_until_ms = until_ms
-        self._pause_plan = MigrationPlan((), phase, explanation)
-        return self._pause_plan
-
-    def _new_round(self, now_ms: float, capacity: MigrationCapacity, dry_run: bool) -> MigrationRound:
-        return MigrationRound(self.tracker, self.rate_controller, now_ms, capacity.available, dry_run)
-
-    def _eligibility_rules(self, now_ms: float) -> EligibilityRules:
-        return EligibilityRules(now_ms, self._options, self.history, self.tracker.migrating)
+        self._pause_plan = plan
+        return plan
 
     # ------------------------------------------------------------ for operators
 
     def state(self, plan: MigrationPlan) -> RebalanceState:
-        """The planner's state after a tick with this plan."""
-        controller = self.rate_controller
+        """Returns the planner's state after a tick with this plan."""
         return RebalanceState(
             mode=self._options.mode,
             phase=plan.phase,
             explanation=plan.explanation,
-            max_ratio=max_ratio(self._pools),
-            min_ratio=min_ratio(self._pools),
-            confidence=max((pool.confidence for pool in self._pools), default=0.0),
-            rate_per_s=controller.rate,
-            max_rate_per_s=controller.max_rate(len(self.connections)),
-            tokens=controller.tokens,
+            max_ratio=self.fleet.max_ratio,
+            min_ratio=self.fleet.min_ratio,
+            confidence=self.fleet.confidence,
+            rate_per_s=self.rate_controller.rate,
+            max_rate_per_s=self.rate_controller.max_rate(len(self.connections)),
+            tokens=self.rate_controller.tokens,
             in_flight_count=self.history.in_flight_count,
             remembered_clients=len(self.history),
             landing_score=self.tracker.landing_score.value,
@@ -278,16 +213,5 @@
         )
 
     def encode_state(self, plan: MigrationPlan) -> dict[str, object]:
-        """The state after a tick with this plan, as it is stored in ``state/NODE/rebalance``."""
+        """Returns the state after a tick with this plan, as it is stored in ``state/NODE/rebalance``."""
         return encode_state(self.state(plan))
-
-    def _describe_ratios(self) -> str:
-        return f"fullest {max_ratio(self._pools):.2f} and emptiest {min_ratio(self._pools):.2f} of the mean"
-
-    def _describe_stop(self) -> str:
-        signal = self.rate_controller.last_signal
-        return f"{signal.name.lower()}: {signal.value}" if signal else "settling after a start"
-
-    def _describe_blocks(self) -> str:
-        descriptions = (f"{count} {reason.value}" for reason, count in self.block_counts.most_common())
-        return "; ".join(descriptions) or "no host has room for more"
--- a/sageturn/rebalance/pool_balancer.py
+++ b/sageturn/rebalance/pool_balancer.py
@@ -1,24 +1,56 @@
-"""Chooses donors and receivers in one pool of endpoints, and the batches that go from one to the other."""
+"""Chooses donors and receivers in each pool of endpoints, and the batches that go from one to the other."""
 
 from __future__ import annotations
 
-from collections.abc import Mapping
+from collections import Counter
+from collections.abc import Iterable, Mapping
+from dataclasses import dataclass
 
 from sageturn.rebalance.allocations import EndpointTotals
-from sageturn.rebalance.batches import BatchFinder
+from sageturn.rebalance.batches import BatchFinder, BlockReason, InspectionBudget
 from sageturn.rebalance.migration_round import MigrationRound
 from sageturn.rebalance.options import RebalanceOptions
-from sageturn.rebalance.utilization import EndpointUtilization, PoolUtilization
-
-# An endpoint may be under the mean by this many times as much as over it before it counts as imbalance.
-LOW_SIDE_TOLERANCE_FACTOR = 2.0
-# The part of the gap between two endpoints that one batch may close: more would only reverse it.
-MAX_GAP_CLOSED_BY_BATCH = 0.75
-
-
-def is_imbalanced(pool: PoolUtilization, tolerance: float) -> bool:
-    """Whether an endpoint's ratio is too far from 1; ``tolerance`` is the distance allowed over it."""
-    return pool.max_ratio > 1.0 + tolerance or pool.min_ratio < 1.0 - LOW_SIDE_TOLERANCE_FACTOR * tolerance
+from sageturn.rebalance.plan import Migration
+from sageturn.rebalance.tick_context import TickContext
+from sageturn.rebalance.utilization import (
+    LOW_SIDE_TOLERANCE_FACTOR,
+    EndpointUtilization,
+    PoolUtilization,
+    is_imbalanced,
+)
+
+MAX_INSPECTED_CONNECTIONS = 2000  # per tick
+MAX_GAP_CLOSED_BY_BATCH = 0.75  # of the gap between two endpoints' ratios; more could reverse it
+
+
+@dataclass(frozen=True, slots=True)
+class MigrationSelection:
+    """The migrations of a tick for the sake of balance, and why there are no more."""
+
+    migrations: tuple[Migration, ...]
+    waiting_for: str  # in words for operators; empty if nothing has to wait
+    block_counts: Counter[BlockReason]
+
+
+def balance_pools(context: TickContext, pools: Iterable[PoolUtilization]) -> MigrationSelection:
+    """Selects this tick's migrations, from the pool with the fullest endpoint on."""
+    capacity = context.migration_capacity()
+    migration_round = context.start_round(capacity, context.is_dry_run)
+    connections = context.tracker.connections
+    batch_finder = BatchFinder(
+        connections,
+        context.eligibility_rules(),
+        min(capacity.total, context.options.burst),
+        InspectionBudget(MAX_INSPECTED_CONNECTIONS),
+    )
+    waiting_for = ""
+    for pool in sorted(pools, key=lambda pool: -pool.max_ratio):
+        balancer = PoolBalancer(
+            pool, context.options, context.marks.rebalance_excluded, batch_finder, migration_round
+        )
+        waiting_for = balancer.plan(connections.endpoints) or waiting_for
+    migrations = tuple(migration_round.migrations)
+    return MigrationSelection(migrations, waiting_for, batch_finder.block_counts)
 
 
 class PoolBalancer:
@@ -45,9 +77,13 @@
         self._receivers = [endpoint for endpoint in pool.endpoints if self._can_receive(endpoint)]
 
     def plan(self, own_totals: Mapping[str, EndpointTotals]) -> str | None:
-        """Add to the round what may go now; return what the rest waits for, if there is more to be done.
+        """Adds to the round the batches that may go now.
 
-        ``own_totals``: this relay's connections by endpoint.
+        Args:
+            own_totals: This relay's connections by endpoint.
+
+        Returns:
+            What the next batch waits for, in words for operators; None if there is no more to be done.
         """
         if not is_imbalanced(self._pool, self._tolerance):
             return None
@@ -89,7 +125,10 @@
         )
 
     def _min_donor_ratio(self) -> float:
-        """Where one is empty, and none much too full, all that are above the mean give a little."""
+        """Returns the ratio above which endpoints give connections away.
+
+        Where an endpoint is too empty, and none too full, all above the mean give a little.
+        """
         upper_bound = 1.0 + self._tolerance
         return upper_bound if self._pool.max_ratio > upper_bound else 1.0
 
@@ -97,7 +136,7 @@
         return min(self._receivers, key=lambda endpoint: (self._ratios[endpoint.name], endpoint.name))
 
     def _max_batch_load(self, donor: EndpointUtilization, receiver: EndpointUtilization) -> float:
-        """The largest load that brings the two closer, and leaves the donor not much under the mean."""
+        """Returns the largest load that brings the two closer and leaves the donor not far under the mean."""
         lower_bound = 1.0 - LOW_SIDE_TOLERANCE_FACTOR * self._tolerance
         gap = self._ratios[donor.name] - self._ratios[receiver.name]
         closing_load = MAX_GAP_CLOSED_BY_BATCH * gap * receiver.fair_load
--- a/sageturn/rebalance/rate_controller.py
+++ b/sageturn/rebalance/rate_controller.py
@@ -7,13 +7,12 @@
 from sageturn.rebalance.options import RebalanceOptions
 from sageturn.rebalance.overload_signals import STOP_SIGNALS, OverloadSignal
 
-INITIAL_RATE_DIVISOR = 8.0  # the rate starts at this part of the maximum, also after each stop
-RATE_STEP_DIVISOR = 16.0  # and rises by this part of the maximum,
-RATE_STEP_INTERVAL_MS = 5000.0  # so often, while migrated clients do well
-RATE_CUT_INTERVAL_MS = 5000.0  # a lasting signal halves the rate again so often: effects have to show first
-# After the start, and after an outage's last signal: the clients of an outage come back over such a time.
-SETTLING_TIME_MS = 20000.0
-MIN_RATE_DIVISOR = 64.0  # at or under this part of the maximum the rate becomes 0 until no signal is left
+INITIAL_RATE_DIVISOR = 8.0  # of the maximum rate, at the start and after each stop
+RATE_STEP_DIVISOR = 16.0  # of the maximum rate, by which the rate is raised
+RATE_STEP_INTERVAL_MS = 5000.0  # between two raises
+RATE_CUT_INTERVAL_MS = 5000.0  # between two cuts, so that the first can take effect
+SETTLING_TIME_MS = 20000.0  # without migrations after the start and after a stop signal
+MIN_RATE_DIVISOR = 64.0  # of the maximum rate; a cut at or under it stops migrations
 
 
 class MigrationRateController:
@@ -28,14 +27,14 @@
         self._random = random
         self.rate = 0.0  # migrations per second
         self.tokens = 0.0
-        self.stopped_until_ms = -1.0  # below 0: the first update has not been made yet
-        self.last_signal: OverloadSignal | None = None  # until the rate has risen again
+        self.stopped_until_ms: float | None = None  # None before the first update
+        self.last_signal: OverloadSignal | None = None  # None once the rate has risen again
         self._updated_ms = 0.0
         self._raised_ms = 0.0
         self._cut_ms = 0.0
 
     def max_rate(self, connection_count: int) -> float:
-        """Migrations per second at most, for a relay with so many connections."""
+        """Returns the highest rate in migrations per second, for a relay with so many connections."""
         max_rate = self.options.part_per_min * connection_count / 60.0
         if self.options.fleet_per_s > 0:
             max_rate = min(max_rate, self.options.fleet_per_s / self._relay_count)
@@ -43,20 +42,32 @@
 
     def is_stopped(self, now_ms: float) -> bool:
         """Whether nothing may be migrated: just started, after an outage, or a rate cut to nothing."""
-        return now_ms < self.stopped_until_ms or not self.rate
+        return self.stopped_until_ms is None or now_ms < self.stopped_until_ms or not self.rate
+
+    @property
+    def stop_reason(self) -> str:
+        """Why migrations are stopped, in words for operators."""
+        signal = self.last_signal
+        return f"{signal.value}: {signal.explanation}" if signal else "settling after a start"
 
     def update(
-        self, now_ms: float, connection_count: int, signals: list[OverloadSignal], doing_well: bool
+        self, now_ms: float, connection_count: int, signals: list[OverloadSignal], no_late_returns: bool
     ) -> None:
-        """Refill the bucket and adjust the rate. To be called once a tick.
+        """Refills the bucket and adjusts the rate. To be called once a tick.
 
-        ``doing_well``: migrated clients are established again in time, or none are due.
+        Args:
+            now_ms: The relay's time.
+            connection_count: This relay's established connections.
+            signals: The overload signals that hold, in their order of precedence.
+            no_late_returns: Whether no migrated client has been set up late since the last tick.
         """
-        if self.stopped_until_ms < 0:
-            self._stop(now_ms)
+        stopped_until_ms = self.stopped_until_ms
+        if stopped_until_ms is None:
+            stopped_until_ms = self._stop(now_ms)
         max_rate = self.max_rate(connection_count)
-        if now_ms >= self.stopped_until_ms:
-            self._refill(now_ms, max_rate, may_start=not signals)
+        if now_ms >= stopped_until_ms:
+            elapsed_ms = now_ms - max(self._updated_ms, stopped_until_ms)
+            self._refill(now_ms, elapsed_ms, max_rate, may_start=not signals)
         self._updated_ms = now_ms
         stop_signals = [signal for signal in signals if signal in STOP_SIGNALS]
         if stop_signals:
@@ -66,22 +77,24 @@
             self.last_signal = signals[0]
             if now_ms >= self._cut_ms + RATE_CUT_INTERVAL_MS:
                 self._cut_rate(now_ms, max_rate)
-        elif doing_well and now_ms >= max(self._raised_ms, self._cut_ms) + RATE_STEP_INTERVAL_MS:
+        elif no_late_returns and now_ms >= max(self._raised_ms, self._cut_ms) + RATE_STEP_INTERVAL_MS:
             self._raise_rate(now_ms, min(max_rate, self.rate + max_rate / RATE_STEP_DIVISOR))
 
     def try_acquire(self, migrations: int) -> bool:
-        """Take tokens for so many migrations; False, and nothing taken, where there are too few."""
+        """Takes tokens for so many migrations. Returns False, and takes none, if there are too few."""
         if self.tokens < migrations:
             return False
         self.tokens -= migrations
         return True
 
     def charge(self, migrations: int) -> None:
-        """Account for migrations by others. A debt is at most a burst, or it would outlast its cause."""
+        """Takes tokens for migrations by others, into debt if need be.
+
+        The debt is a burst at most: a larger one would outlast its cause.
+        """
         self.tokens = max(-float(self.options.burst), self.tokens - migrations)
 
-    def _refill(self, now_ms: float, max_rate: float, may_start: bool) -> None:
-        elapsed_ms = now_ms - max(self._updated_ms, self.stopped_until_ms)
+    def _refill(self, now_ms: float, elapsed_ms: float, max_rate: float, may_start: bool) -> None:
         if not self.rate and may_start:
             # Random, or relays that an outage has stopped together would start again together.
             initial_rate = max_rate / INITIAL_RATE_DIVISOR * (0.5 + 0.5 * self._random.random())
@@ -100,7 +113,9 @@
         self.rate = self.rate / 2.0 if self.rate > max_rate / MIN_RATE_DIVISOR else 0.0
         self.tokens = min(self.tokens, self.tokens / 2.0)
 
-    def _stop(self, now_ms: float) -> None:
+    def _stop(self, now_ms: float) -> float:
+        """Stops migrations for the settling time. Returns the instant at which that ends."""
         self.rate = 0.0
         self.tokens = min(0.0, self.tokens)
         self.stopped_until_ms = now_ms + SETTLING_TIME_MS
+        return self.stopped_until_ms
--- a/sageturn/rebalance/state.py
+++ b/sageturn/rebalance/state.py
@@ -6,12 +6,13 @@
 from dataclasses import dataclass
 
 from sageturn.rebalance.batches import BlockReason
+from sageturn.rebalance.overload_signals import OverloadSignal
 from sageturn.rebalance.plan import PlanPhase
 
 
 @dataclass(frozen=True, slots=True)
 class RebalanceState:
-    """What the planner knows and does, after a tick. Ratios are against the mean utilization."""
+    """The planner's view and activity after a tick. Ratios are against the mean utilization."""
 
     mode: str
     phase: PlanPhase
@@ -25,15 +26,15 @@
     in_flight_count: int
     remembered_clients: int
     landing_score: float
-    counts: Mapping[str, int]  # since the start
-    signal_counts: Mapping[str, int]  # ticks at which each overload signal held
+    counts: Mapping[str, int]  # since the start, by ``MigrationCount``
+    signal_counts: Mapping[OverloadSignal, int]  # ticks at which each overload signal held
     block_counts: Mapping[BlockReason, int]  # as of the last tick that looked for batches
 
 
 def encode_state(state: RebalanceState) -> dict[str, object]:
-    """The stored record. Its keys and their order are read by operators and by other replicas."""
+    """Returns the stored record, whose keys are read by operators and by other replicas."""
     return {
-        "mode": state.mode,
+        "mode": str(state.mode),
         "phase": state.phase.value,
         "why": state.explanation,
         "fullest": round(state.max_ratio, 3),
@@ -45,7 +46,7 @@
         "on_way": state.in_flight_count,
         "remembered": state.remembered_clients,
         "useful": round(state.landing_score, 2),
-        "counts": dict(sorted(state.counts.items())),
-        "signs": dict(sorted(state.signal_counts.items())),
-        "in_the_way": {reason.name.lower(): count for reason, count in state.block_counts.items()},
+        "counts": {str(name): count for name, count in sorted(state.counts.items())},
+        "signs": {signal.value: count for signal, count in sorted(state.signal_counts.items())},
+        "in_the_way": {reason.value: count for reason, count in state.block_counts.items()},
     }
--- a/sageturn/rebalance/utilization.py
+++ b/sageturn/rebalance/utilization.py
@@ -1,4 +1,4 @@
-"""How evenly the fleet is utilized, as far as one relay can tell.
+"""Estimates how evenly the fleet is utilized, as far as one relay can tell.
 
 An endpoint's utilization is its load over its size, measured against the mean of the endpoints it is compared
 with. A relay sees only its own connections, a sample of each endpoint's: with few of them chance alone makes
@@ -15,10 +15,13 @@
 from sageturn.decision.overload import GROUP_COST
 from sageturn.rebalance.connection_table import ConnectionTable
 
+# How many times as far under the mean an endpoint may be as over it, before that counts as imbalance.
+LOW_SIDE_TOLERANCE_FACTOR = 2.0
+
 
 @dataclass(frozen=True, slots=True)
 class EndpointUtilization:
-    """One endpoint against the others of its pool."""
+    """One endpoint's utilization against the others of its pool."""
 
     name: str
     load: float  # this relay's, in work per second
@@ -45,14 +48,9 @@
         return min((endpoint.ratio for endpoint in self.endpoints), default=1.0)
 
 
-def max_ratio(pools: Iterable[PoolUtilization]) -> float:
-    """The fullest endpoint's ratio over all pools."""
-    return max((pool.max_ratio for pool in pools), default=1.0)
-
-
-def min_ratio(pools: Iterable[PoolUtilization]) -> float:
-    """The emptiest endpoint's ratio over all pools."""
-    return min((pool.min_ratio for pool in pools), default=1.0)
+def is_imbalanced(pool: PoolUtilization, tolerance: float) -> bool:
+    """Whether an endpoint's ratio is too far from 1; ``tolerance`` is the distance allowed over it."""
+    return pool.max_ratio > 1.0 + tolerance or pool.min_ratio < 1.0 - LOW_SIDE_TOLERANCE_FACTOR * tolerance
 
 
 def estimate_utilization(
@@ -62,11 +60,15 @@
     by_zone: bool,
     grouped: bool,
 ) -> list[PoolUtilization]:
-    """One pool of all endpoints, or one per zone.
-
-    ``relays_per_pool``: relays among which the clients of one pool are spread. ``by_zone`` is for fleets
-    where crossing zones has a cost: there the balancer keeps to its own zone, and endpoints of another zone
-    have less load on purpose. ``grouped``: each group adds a cost of its own at each endpoint.
+    """Returns one pool of all ready endpoints, or one per zone.
+
+    Args:
+        connections: This relay's connections.
+        endpoints: All endpoints as the balancer sees them.
+        relays_per_pool: The relays among which the clients of one pool are spread.
+        by_zone: Whether crossing zones has a cost: there the balancer keeps to its own zone, and endpoints
+            of another zone have less load on purpose.
+        grouped: Whether each group adds a cost of its own at each endpoint.
     """
     members_by_zone: dict[str, list[EndpointSnapshot]] = {}
     for endpoint in endpoints:
@@ -110,7 +112,7 @@
 def _confidence(
     connections: ConnectionTable, loads: list[float], fair_loads: list[float], relay_count: float
 ) -> float:
-    """The part of this relay's spread that is expected of the whole fleet.
+    """Returns the part of this relay's spread that is expected of the whole fleet.
 
     Each connection of an endpoint is this relay's with a chance of one in ``relay_count``: the variance of
     its load there is one connection's weight times the fair load, less the part of the fleet that it sees
--- a/tests/rebalance/test_overload_detector.py
+++ b/tests/rebalance/test_overload_detector.py
@@ -18,8 +18,9 @@
             detector.record_return(now_ms)
         else:
             detector.record_missing(now_ms, 1)
-        assert OverloadSignal.NOT_BACK not in detector.evaluate(now_ms, table, ())
+        assert OverloadSignal.MISSING_CLIENTS not in detector.evaluate(now_ms, table, ())
     for _ in range(1000):
         now_ms += 40.0
         detector.record_missing(now_ms, 1)
-    assert OverloadSignal.NOT_BACK in detector.evaluate(now_ms, table, ()), "no return at all is a signal"
+    signals = detector.evaluate(now_ms, table, ())
+    assert OverloadSignal.MISSING_CLIENTS in signals, "no return at all is a signal"
--- a/tests/rebalance/test_planner.py
+++ b/tests/rebalance/test_planner.py
@@ -10,6 +10,7 @@
 
 from sageturn import AttemptEnded, Endpoint, EndpointListEvent, MeasurementReported, MigrateConnection
 from sageturn.core.endpoint_snapshot import OperatorMarks, snapshot_endpoints
+from sageturn.rebalance.overload_signals import OverloadSignal
 
 
 def test_whole_groups_are_migrated_slowly_until_balanced() -> None:
@@ -22,7 +23,11 @@
         leaving = [before[migration.request_id] for migration in plan.migrations]
         for group, count in Counter(connection.group for connection in leaving).items():
             (source,) = {connection.endpoint for connection in leaving if connection.group == group}
-            members = [c for c in before.values() if c.group == group and c.endpoint == source]
+            members = [
+                connection
+                for connection in before.values()
+                if connection.group == group and connection.endpoint == source
+            ]
             assert count == len(members)
         first_ms = first_ms or (fleet.now_ms if plan.migrations else None)
     assert fleet.max_ratio <= 1.15 and fleet.plan.phase == "balanced"
@@ -38,28 +43,27 @@
     fleet = uneven_fleet()
     fleet.add_connections("a", 2, "b1")
 
-    def endpoints_of_group() -> set[str]:
-        return {c.endpoint for c in fleet.connections.values() if c.group == "b1"}
-
     fleet.run_until_migrated()
     assert "smaller part" in fleet.migrated[0].reason
-    assert endpoints_of_group() == {"b"}
+    assert fleet.endpoints_of_group("b1") == {"b"}
     fleet.run(2)
-    assert endpoints_of_group() == {"b"}, "and joins the rest"
+    assert fleet.endpoints_of_group("b1") == {"b"}, "and joins the rest"
+
+
+def run_fleet_of_guests(keep_classes: frozenset[str]) -> Fleet:
+    """A fleet whose one full endpoint holds only connections of class guest-checkin, after 90 s."""
+    fleet = Fleet("ab", {**QUICK, "keep_classes": keep_classes})
+    fleet.add_connections("a", 40, class_name="guest-checkin")
+    fleet.add_connections("b", 5)
+    fleet.run(90)
+    return fleet
 
 
 def test_excluded_classes_stay() -> None:
-    def run_fleet(keep_classes: frozenset[str]) -> Fleet:
-        fleet = Fleet("ab", {**QUICK, "keep_classes": keep_classes})
-        fleet.add_connections("a", 40, class_name="guest-checkin")
-        fleet.add_connections("b", 5)
-        fleet.run(90)
-        return fleet
-
-    kept = run_fleet(frozenset({"guest-checkin"}))
+    kept = run_fleet_of_guests(frozenset({"guest-checkin"}))
     assert kept.migrated == [] and kept.plan.phase == "unreachable"
     assert "keeps in place" in kept.plan.explanation
-    assert run_fleet(frozenset()).migrated
+    assert run_fleet_of_guests(frozenset()).migrated
 
 
 def test_a_group_larger_than_the_imbalance_stays() -> None:
@@ -110,7 +114,8 @@
     for end_ms, _ in intake:
         warmth = min(1.0, (end_ms - start_ms) / 24000.0)
         bound = 4.0 * (0.12 + 0.88 * warmth) * fair_count / 24.0 * window_ms / 1000.0
-        assert sum(n for at_ms, n in intake if end_ms - window_ms < at_ms <= end_ms) <= bound + 1
+        arrived = sum(count for at_ms, count in intake if end_ms - window_ms < at_ms <= end_ms)
+        assert arrived <= bound + 1
     assert fleet.connection_counts()["f"] >= 0.7 * fair_count
 
 
@@ -123,7 +128,7 @@
         fleet.reconnects.append(
             Reconnect(fleet.now_ms + 500.0, connection.client, connection.class_name, connection.group)
         )
-    restarted = [Endpoint(n, started_at_ms=fleet.now_ms if n == "d" else 0.0) for n in "abcd"]
+    restarted = [Endpoint(name, started_at_ms=fleet.now_ms if name == "d" else 0.0) for name in "abcd"]
     fleet.handle(EndpointListEvent("full", restarted))
     count = len(fleet.migrated)
     restarted_ms = fleet.now_ms
@@ -146,7 +151,7 @@
         endpoint.in_flight = 4
         fleet.balancer.fleet.update_totals(endpoint)
     count = len(fleet.migrated)
-    rejected = sum(not fleet.connect_client(f"new{n}", group="zz") for n in range(12))
+    rejected = sum(not fleet.connect_client(f"new{number}", group="zz") for number in range(12))
     assert rejected >= 4
     fleet.run(12)
     assert len(fleet.migrated) == count and fleet.plan.phase == "held"
@@ -173,7 +178,7 @@
     missing.clients_return = False
     usual.run(200)
     missing.run(200)
-    assert missing.planner.overload_detector.seen["not_back"] > 0
+    assert missing.planner.overload_detector.seen[OverloadSignal.MISSING_CLIENTS] > 0
     assert len(missing.migrated) < len(usual.migrated)
 
 
@@ -187,7 +192,7 @@
     fleet.handle(EndpointListEvent("failed", []))
     fleet.run(30)
     assert "list_failed" in fleet.plan.explanation and len(fleet.migrated) == count
-    fleet.handle(EndpointListEvent("full", [Endpoint(n) for n in "abcd"]))
+    fleet.handle(EndpointListEvent("full", [Endpoint(name) for name in "abcd"]))
     fleet.run(90)
     assert len(fleet.migrated) > count
 
@@ -196,7 +201,7 @@
     fleet = uneven_fleet()
     for turn in range(60):
         names = "abcd" if turn % 2 else "abc"
-        fleet.handle(EndpointListEvent("full", [Endpoint(n) for n in names]))
+        fleet.handle(EndpointListEvent("full", [Endpoint(name) for name in names]))
         fleet.step()
     assert fleet.migrated == []
 
@@ -266,10 +271,11 @@
     fleet = uneven_fleet()
     fleet.run(40)
     before = fleet.planner.rate_controller.tokens
-    for request_id in fleet.ids_at("b")[:6]:
+    request_ids = fleet.ids_at("b")[:6]
+    for request_id in request_ids:
         fleet.planner.on_migrated_by_others(fleet.now_ms, request_id)
     assert fleet.planner.rate_controller.tokens == pytest.approx(before - 6)
-    others = {fleet.connections[i].client for i in fleet.ids_at("b")[:6]}
+    others = {fleet.connections[request_id].client for request_id in request_ids}
     fleet.run(120)
     assert not others & {migrated.client for migrated in fleet.migrated}
 
@@ -279,9 +285,11 @@
     fleet.run_until_migrated()
     clients = {migrated.client for migrated in fleet.migrated}
     fleet.step()
-    landed = [i for i, connection in fleet.connections.items() if connection.client in clients]
+    landed = [
+        request_id for request_id, connection in fleet.connections.items() if connection.client in clients
+    ]
     assert landed
-    for endpoint in {fleet.connections[i].endpoint for i in landed}:
+    for endpoint in {fleet.connections[request_id].endpoint for request_id in landed}:
         migrated_ids: set[int] = set()
         for _ in range(30):
             for action in fleet.balancer.overload.relieve(fleet.balancer.endpoints[endpoint]):
--- a/tests/rebalance/test_planner_properties.py
+++ b/tests/rebalance/test_planner_properties.py
@@ -74,9 +74,9 @@
     # The budget holds over any span of time.
     max_rate = fleet.planner.rate_controller.max_rate(max_connections)
     times_ms = [migrated.at_ms for migrated in fleet.migrated]
-    for i, begin_ms in enumerate(times_ms):
-        for j in range(i, len(times_ms)):
-            assert j - i + 1 <= burst + max_rate * (times_ms[j] - begin_ms) / 1000.0 + 1e-6
+    for first, begin_ms in enumerate(times_ms):
+        for count, end_ms in enumerate(times_ms[first:], start=1):
+            assert count <= burst + max_rate * (end_ms - begin_ms) / 1000.0 + 1e-6
 
     # No client is migrated again within its time, and each migration has a reason.
     last_ms: dict[str, float] = {}
@@ -86,5 +86,9 @@
         last_ms[migrated.client] = migrated.at_ms
 
     # An excluded class is never migrated.
-    excluded = {c.client for c in fleet.connections.values() if c.class_name == "guest-checkin"}
+    excluded = {
+        connection.client
+        for connection in fleet.connections.values()
+        if connection.class_name == "guest-checkin"
+    }
     assert not excluded & set(last_ms)
--- a/tests/rebalance/test_rebalance_relay.py
+++ b/tests/rebalance/test_rebalance_relay.py
@@ -7,11 +7,13 @@
 import os
 import subprocess
 import sys
+from collections.abc import AsyncIterator
+from contextlib import asynccontextmanager
 from pathlib import Path
 from typing import Any
 
 import pytest
-from support.event_loop import run_with_timeout, until
+from support.event_loop import until
 from support.network_fakes import SETTINGS, ask, first_line, relaying, up, write_config
 from support.xmpp_fakes import Client, echo
 from support.xmpp_relay import client_tls, relaying_xmpp, server_tls, xmpp_address
@@ -21,13 +23,11 @@
 from sageturn.config.operator import read_operator_file
 from sageturn.config.settings import read_settings
 from sageturn.rebalance.plan import Migration, MigrationPlan, PlanPhase
+from sageturn.relay import Relay
 
 REBALANCE_ON: dict[str, Any] = {"rebalance": {"mode": "on", "tick_s": 0.05, "least_age_s": 0, "burst": 4}}
 
 
-SCENARIO_TIMEOUT_S = 30.0
-
-
 @pytest.fixture
 def fast_rate(monkeypatch: pytest.MonkeyPatch) -> None:
     """A rate at which a test is over soon."""
@@ -37,24 +37,37 @@
     )
 
 
-def test_a_relay_migrates_clients_off_the_fuller_endpoint(tmp_path: Path, fast_rate: None) -> None:
-    async def go() -> None:
-        async with relaying(tmp_path, up, up, operator=REBALANCE_ON) as (relay, (a, b)):
-            await until(lambda: relay.endpoint_registry.version == 2)
-
-            async def client(key: str) -> None:
-                line = first_line(more=",at=a", key=key)
-                while True:
-                    reader, writer = await ask(relay.listener.address, line)
-                    assert await reader.readline() == b"UP r1\r\n"
-                    response = await reader.read()
-                    writer.close()
-                    if response != b"MOVE\r\n":
-                        return
-                    line = first_line(key=key)  # it reconnects, as the same client
-
-            clients = [asyncio.ensure_future(client(f"key{n}")) for n in range(24)]
-            await until(lambda: a.open <= 14 and b.open >= 10)
+async def stay_connected(relay: Relay, key: str) -> None:
+    """A client that connects to endpoint a at first, and reconnects each time it is asked to."""
+    line = first_line(more=",at=a", key=key)
+    while True:
+        reader, writer = await ask(relay.listener.address, line)
+        assert await reader.readline() == b"UP r1\r\n"
+        response = await reader.read()
+        writer.close()
+        if response != b"MOVE\r\n":
+            return
+        line = first_line(key=key)  # it reconnects, as the same client
+
+
+@asynccontextmanager
+async def connected_clients(relay: Relay, count: int) -> AsyncIterator[None]:
+    """Clients that stay connected; the relay drains before they are cancelled."""
+    clients = [asyncio.ensure_future(stay_connected(relay, f"key{number}")) for number in range(count)]
+    try:
+        yield
+    finally:
+        relay.request_registry.is_draining = True
+        for task in clients:
+            task.cancel()
+
+
+@pytest.mark.timeout(30)
+async def test_a_relay_migrates_clients_off_the_fuller_endpoint(tmp_path: Path, fast_rate: None) -> None:
+    async with relaying(tmp_path, up, up, operator=REBALANCE_ON) as (relay, (fuller, emptier)):
+        await until(lambda: relay.endpoint_registry.version == 2)
+        async with connected_clients(relay, 24):
+            await until(lambda: fuller.open <= 14 and emptier.open >= 10)
             planner = relay.rebalancer
             assert planner is not None
             await until(lambda: relay.store.get("state/n1/rebalance"))
@@ -69,76 +82,70 @@
             relay.reload_requested.set()
             await until(lambda: planner.options.mode == "off")
             assert planner.step().phase == "off"
-            relay.request_registry.is_draining = True
-            for task in clients:
-                task.cancel()
-
-    run_with_timeout(go(), SCENARIO_TIMEOUT_S)
-
-
-def test_turned_on_by_sighup_it_knows_the_established_connections(tmp_path: Path) -> None:
-    async def go() -> None:
-        async with relaying(tmp_path, up) as (relay, _):
-            assert relay.rebalancer is None
-            clients = [
-                await ask(relay.listener.address, first_line(more=",g=g1", key=f"k{n}")) for n in range(3)
-            ]
-            for reader, _ in clients:
-                assert await reader.readline() == b"UP r1\r\n"
-            (tmp_path / "operator.json").write_text(json.dumps(REBALANCE_ON))
-            relay.reload_requested.set()
-            await until(lambda: relay.rebalancer is not None)
-            assert relay.rebalancer is not None
-            assert (
-                len(relay.rebalancer.connections) == 3
-                and relay.rebalancer.connections.endpoints["a"].groups["g1"].connection_count == 3
-            )
-            draining = asyncio.ensure_future(relay.request_registry.drain(relay.ingress))
-            await until(lambda: relay.rebalancer.counts["by_others"] == 3)
-            assert relay.rebalancer.step().phase == "stopping"
-            await draining
-
-    run_with_timeout(go(), SCENARIO_TIMEOUT_S)
-
-
-def test_a_failing_planner_leaves_clients_alone(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    def fails(*_: object) -> None:
-        raise RuntimeError
-
-    async def go() -> None:
-        async with relaying(tmp_path, up, operator=REBALANCE_ON) as (relay, _):
-            monkeypatch.setattr(relay.rebalancer, "after_event", fails)
-            reader, writer = await ask(relay.listener.address, first_line())
-            assert await reader.readline() == b"UP r1\r\n" and relay.balancer_actor.observers == []
-            monkeypatch.setattr(relay.rebalancer, "tick", fails)
-            rebalancer = relay.rebalancer
-            assert rebalancer is not None
-            await until(lambda: rebalancer.options.mode == "off")
-            writer.write(b"M 1\r\n")
-            assert await reader.readline() == b"M 1\r\n"
-            writer.close()
-
-    run_with_timeout(go(), SCENARIO_TIMEOUT_S)
-
-
-def test_an_xmpp_client_is_asked_in_its_own_protocol(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    async def go() -> None:
-        async with relaying_xmpp(tmp_path, lambda s: echo(s, server_tls()), tls=True) as (relay, _):
-            file = tmp_path / "operator.json"
-            file.write_text(json.dumps({**json.loads(file.read_text()), **REBALANCE_ON}))
-            client = await Client.connect(xmpp_address(relay))
-            await client.login(client_tls())
-            await client.bind()
-            await relay.apply_config(load({"GW_CONFIG": str(tmp_path / "config.json")}, str(file)))
-            planner = relay.rebalancer
-            assert planner is not None and len(planner.connections) == 1
-            (lifecycle,) = relay.request_registry
-            assert planner.connections.client_of(lifecycle.id) != 0
-            plan = MigrationPlan((Migration(lifecycle.id, "a test"),), PlanPhase.BALANCING, "")
-            monkeypatch.setattr(planner, "tick", lambda *_: plan)
-            assert "<move xmlns='urn:sageturn:relay:0'" in await client.read_rest()
 
-    run_with_timeout(go(), SCENARIO_TIMEOUT_S)
+
+@pytest.mark.timeout(30)
+async def test_turned_on_by_sighup_it_knows_the_established_connections(tmp_path: Path) -> None:
+    async with relaying(tmp_path, up) as (relay, _):
+        assert relay.rebalancer is None
+        clients = [
+            await ask(relay.listener.address, first_line(more=",g=g1", key=f"k{number}"))
+            for number in range(3)
+        ]
+        for reader, _writer in clients:
+            assert await reader.readline() == b"UP r1\r\n"
+        (tmp_path / "operator.json").write_text(json.dumps(REBALANCE_ON))
+        relay.reload_requested.set()
+        await until(lambda: relay.rebalancer is not None)
+        rebalancer = relay.rebalancer
+        assert rebalancer is not None
+        assert len(rebalancer.connections) == 3
+        assert rebalancer.connections.endpoints["a"].groups["g1"].connection_count == 3
+        draining = asyncio.ensure_future(relay.request_registry.drain(relay.ingress))
+        await until(lambda: rebalancer.counts["by_others"] == 3)
+        assert rebalancer.step().phase == "stopping"
+        await draining
+
+
+def raise_error(*_: object) -> None:
+    raise RuntimeError
+
+
+@pytest.mark.timeout(30)
+async def test_a_failing_planner_leaves_clients_alone(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    async with relaying(tmp_path, up, operator=REBALANCE_ON) as (relay, _):
+        rebalancer = relay.rebalancer
+        assert rebalancer is not None
+        monkeypatch.setattr(rebalancer, "after_event", raise_error)
+        reader, writer = await ask(relay.listener.address, first_line())
+        assert await reader.readline() == b"UP r1\r\n" and relay.balancer_actor.observers == []
+        monkeypatch.setattr(rebalancer, "tick", raise_error)
+        await until(lambda: rebalancer.options.mode == "off")
+        writer.write(b"M 1\r\n")
+        assert await reader.readline() == b"M 1\r\n"
+        writer.close()
+
+
+@pytest.mark.timeout(30)
+async def test_an_xmpp_client_is_asked_in_its_own_protocol(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    async with relaying_xmpp(tmp_path, lambda session: echo(session, server_tls()), tls=True) as (relay, _):
+        file = tmp_path / "operator.json"
+        file.write_text(json.dumps({**json.loads(file.read_text()), **REBALANCE_ON}))
+        client = await Client.connect(xmpp_address(relay))
+        await client.login(client_tls())
+        await client.bind()
+        await relay.apply_config(load({"GW_CONFIG": str(tmp_path / "config.json")}, str(file)))
+        planner = relay.rebalancer
+        assert planner is not None and len(planner.connections) == 1
+        (lifecycle,) = relay.request_registry
+        assert planner.connections.client_of(lifecycle.id) != 0
+        plan = MigrationPlan((Migration(lifecycle.id, "a test"),), PlanPhase.BALANCING, "")
+        monkeypatch.setattr(planner, "tick", lambda *_: plan)
+        assert "<move xmlns='urn:sageturn:relay:0'" in await client.read_rest()
 
 
 def test_it_is_not_imported_while_it_is_off(tmp_path: Path) -> None:
@@ -148,8 +155,10 @@
         "from sageturn.relay import Relay; Relay(config.load()); "
         "print([m for m in sys.modules if m.startswith(('sageturn.rebalance', 'sageturn.lab'))])"
     )
-    env = {**os.environ, "GW_CONFIG": str(file)}
-    result = subprocess.run([sys.executable, "-c", code], env=env, capture_output=True, text=True, check=True)
+    environment = {**os.environ, "GW_CONFIG": str(file)}
+    result = subprocess.run(
+        [sys.executable, "-c", code], env=environment, capture_output=True, text=True, check=True
+    )
     assert result.stdout.strip() == "[]"
 
 
--- a/tests/support/rebalance_fleet.py
+++ b/tests/support/rebalance_fleet.py
@@ -89,7 +89,7 @@
     def add_connections(
         self, endpoint: str, count: int, group: str = "", class_name: str = "c", load: float = 1.0
     ) -> None:
-        """Connections that were established a while ago; each client's key is new."""
+        """Add connections that were established a while ago; each client's key is new."""
         for _ in range(count):
             self.last_id += 1
             client = f"k{self.last_id}"
@@ -101,7 +101,7 @@
     def connect_client(
         self, client: str, class_name: str = "c", group: str = "", returned: bool = False
     ) -> str:
-        """The endpoint where it is established, or nothing when it was rejected."""
+        """Connect a client. Returns the endpoint where it is established; empty if it was rejected."""
         self.last_id += 1
         request = RequestArrived(
             self.last_id, class_name, "t", self.now_ms + 2000.0, group, client=client, returned=returned
@@ -119,7 +119,7 @@
         self.handle(AttemptEnded(request_id, 0, endpoint, status, True))
 
     def step(self, seconds: float = 1.0) -> MigrationPlan:
-        """A tick, the migrations that it asks for, and the clients that are due to reconnect by then."""
+        """Reconnect the clients that are due, run a tick, and carry out its migrations."""
         self.now_ms += seconds * 1000.0
         due = [reconnect for reconnect in self.reconnects if reconnect.due_ms <= self.now_ms]
         self.reconnects = [reconnect for reconnect in self.reconnects if reconnect.due_ms > self.now_ms]
@@ -146,7 +146,7 @@
             self.step()
 
     def run_until_migrated(self) -> None:
-        """Up to the first tick that migrates anyone."""
+        """Run up to the first tick that migrates anyone."""
         while not self.migrated:
             self.step()
 
@@ -157,7 +157,14 @@
         return counts
 
     def ids_at(self, endpoint: str) -> list[int]:
-        return [i for i, connection in self.connections.items() if connection.endpoint == endpoint]
+        return [
+            request_id
+            for request_id, connection in self.connections.items()
+            if connection.endpoint == endpoint
+        ]
+
+    def endpoints_of_group(self, group: str) -> set[str]:
+        return {connection.endpoint for connection in self.connections.values() if connection.group == group}
 
     @property
     def max_ratio(self) -> float:
