--- a/sageturn/simhost.py
+++ b/sageturn/simhost.py
@@ -1,14 +1,15 @@
-"""The simulator's wire: one line of JSON in, one line out. It decodes and encodes, and decides nothing.
+"""Speaks the simulator's wire: one line of JSON in, one line out. It decides nothing itself.
 
 Run as ``python -m sageturn.simhost``. A line holds events for any number of balancer instances; the answer
-holds the actions that they call for. What cannot be read ends the process with one line on standard error.
+holds the actions that the balancers return. Bad input ends the process with one line on standard error.
 """
 
 from __future__ import annotations
 
 import sys
-from collections.abc import Callable
-from typing import Any
+from collections.abc import Callable, Mapping
+from operator import itemgetter
+from typing import Any, TypeVar
 
 import orjson
 
@@ -33,92 +34,76 @@
 LIST_KINDS = {"D": "changes", "F": "full", "C": "stale", "X": "failed"}
 MEASUREMENT_KINDS = {1: "load", 2: "delay"}
 
-IGNORED_EVENTS = ("Whisper",)  # messages between relays: the module sends none
+IGNORED_EVENTS = ("Whisper",)  # messages between relays, of which the decision module sends none
 MICROSECONDS_PER_MILLISECOND = 1000.0
 
 Fields = dict[str, Any]  # of one event or action, as JSON holds them
 
 
 class WireError(Exception):
-    """A line cannot be read; the text names the event and what was wrong with it."""
+    """A line cannot be read; the text names the event and the fault."""
 
 
-def _decode_list(fields: Fields) -> decision.EndpointListEvent:
-    endpoints = [_decode_endpoint(line) for line in fields["nodesList"] or ()]
-    return decision.EndpointListEvent(LIST_KINDS[fields["mode"]], endpoints)
+# ---------------------------------------------------------------- decoding
+
+FieldReader = Callable[[Fields], object]
+Decoded = TypeVar("Decoded")
+
+
+def _decoder(record_type: Callable[..., Decoded], **readers: FieldReader) -> Callable[[Fields], Decoded]:
+    """Returns a function that decodes records of this type; ``readers`` are by the record's attribute."""
+    columns = tuple(readers.items())
+
+    def decode(fields: Fields) -> Decoded:
+        return record_type(**{attribute: read(fields) for attribute, read in columns})
+
+    return decode
 
 
-def _decode_endpoint(fields: Fields) -> decision.Endpoint:
-    return decision.Endpoint(
-        name=fields["backend"],
-        state=ENDPOINT_STATES[fields["condition"]],
-        zone=text_or_empty(fields.get("dc")),
-        cell=fields.get("cohort") or 0,
-        started_at_ms=fields.get("readyAtMs") or 0.0,
-        share=fields.get("share") or 1.0,
-        kind=text_or_empty(fields.get("kind")),
-    )
+def _required(key: str) -> FieldReader:
+    return itemgetter(key)
 
 
-def _decode_request(fields: Fields) -> decision.RequestArrived:
-    return decision.RequestArrived(
-        id=fields["opId"],
-        class_name=fields["cls"],
-        tenant=text_or_empty(fields.get("party")),
-        deadline_ms=fields["giveUpAtMs"],
-        group=text_or_empty(fields.get("room")),
-        expected_load=fields.get("costMs") or 0.0,
-        midflow=bool(fields.get("midflow")),
-        retried=bool(fields.get("isRetry")),
-    )
+def _optional(key: str, default: float = 0.0) -> FieldReader:
+    """Reads a number; ``default`` where it is missing, null or 0."""
+    return lambda fields: fields.get(key) or default
 
 
-def _decode_adopted(fields: Fields) -> decision.ConnectionAdopted:
-    return decision.ConnectionAdopted(
-        id=fields["opId"],
-        class_name=fields["cls"],
-        tenant=text_or_empty(fields.get("party")),
-        endpoint=fields["backend"],
-        group=text_or_empty(fields.get("room")),
-        expected_load=fields.get("costMs") or 0.0,
-    )
+def _text(key: str) -> FieldReader:
+    """Reads a string; empty where it is missing or no string."""
+    return lambda fields: text_or_empty(fields.get(key))
 
 
-def _decode_established(fields: Fields) -> decision.ConnectionEstablished:
-    return decision.ConnectionEstablished(
-        id=fields["opId"],
-        attempt=fields["n"],
-        endpoint=fields["backend"],
-        took_ms=fields.get("timeTakenMs") or 0.0,
-    )
+def _flag(key: str) -> FieldReader:
+    """Reads a boolean; false where it is missing."""
+    return lambda fields: bool(fields.get(key))
 
 
-def _decode_attempt_ended(fields: Fields) -> decision.AttemptEnded:
-    status = ATTEMPT_STATUSES[fields["stateCode"]]
-    return decision.AttemptEnded(
-        id=fields["opId"],
-        attempt=fields["n"],
-        endpoint=fields["backend"],
-        status=status,
-        final=fields["terminal"],
-        report=checked(fields.get("report")),
-    )
+def _word(key: str, terms: Mapping[str, str]) -> FieldReader:
+    """Reads one of the wire's words as the decision module's term."""
+    return lambda fields: terms[fields[key]]
 
 
-def _decode_health_check(fields: Fields) -> decision.HealthCheckCompleted:
-    return decision.HealthCheckCompleted(
-        endpoint=fields["backend"],
-        status=ATTEMPT_STATUSES[fields["stateCode"]],
-        report=checked(fields.get("report")),
-    )
+def _report(key: str) -> FieldReader:
+    """Reads a load report; empty where it is missing."""
+    return lambda fields: checked(fields.get(key))
 
 
-def _decode_disconnected(fields: Fields) -> decision.ClientDisconnected:
-    return decision.ClientDisconnected(fields["opId"])
+_decode_endpoint = _decoder(
+    decision.Endpoint,
+    name=_required("backend"),
+    state=_word("condition", ENDPOINT_STATES),
+    zone=_text("dc"),
+    cell=_optional("cohort", 0),
+    started_at_ms=_optional("readyAtMs"),
+    share=_optional("share", 1.0),
+    kind=_text("kind"),
+)
 
 
-def _decode_timer(fields: Fields) -> decision.TimerFired:
-    return decision.TimerFired(fields["mark"])
+def _decode_list(fields: Fields) -> decision.EndpointListEvent:
+    endpoints = [_decode_endpoint(line) for line in fields["nodesList"] or ()]
+    return decision.EndpointListEvent(LIST_KINDS[fields["mode"]], endpoints)
 
 
 def _decode_measurement(fields: Fields) -> decision.MeasurementReported:
@@ -129,21 +114,62 @@
     return decision.MeasurementReported(fields["opId"], fields["n"], fields["backend"], kind, value)
 
 
+# By the event's name on the wire. Fields are read in this order, and the first that is missing is reported.
 DECODERS: dict[str, Callable[[Fields], decision.Event]] = {
-    "Inbound": _decode_request,
-    "Started": _decode_established,
-    "Returned": _decode_attempt_ended,
-    "Checked": _decode_health_check,
+    "Inbound": _decoder(
+        decision.RequestArrived,
+        id=_required("opId"),
+        class_name=_required("cls"),
+        tenant=_text("party"),
+        deadline_ms=_required("giveUpAtMs"),
+        group=_text("room"),
+        expected_load=_optional("costMs"),
+        midflow=_flag("midflow"),
+        retried=_flag("isRetry"),
+    ),
+    "Inherited": _decoder(
+        decision.ConnectionAdopted,
+        id=_required("opId"),
+        class_name=_required("cls"),
+        tenant=_text("party"),
+        endpoint=_required("backend"),
+        group=_text("room"),
+        expected_load=_optional("costMs"),
+    ),
+    "Started": _decoder(
+        decision.ConnectionEstablished,
+        id=_required("opId"),
+        attempt=_required("n"),
+        endpoint=_required("backend"),
+        took_ms=_optional("timeTakenMs"),
+    ),
+    "Returned": _decoder(
+        decision.AttemptEnded,
+        status=_word("stateCode", ATTEMPT_STATUSES),
+        id=_required("opId"),
+        attempt=_required("n"),
+        endpoint=_required("backend"),
+        final=_required("terminal"),
+        report=_report("report"),
+    ),
+    "Checked": _decoder(
+        decision.HealthCheckCompleted,
+        endpoint=_required("backend"),
+        status=_word("stateCode", ATTEMPT_STATUSES),
+        report=_report("report"),
+    ),
+    "ClientLeft": _decoder(decision.ClientDisconnected, id=_required("opId")),
+    "Wake": _decoder(decision.TimerFired, mark=_required("mark")),
     "UpdateOf": _decode_measurement,
-    "Wake": _decode_timer,
     "Fleet": _decode_list,
-    "Inherited": _decode_adopted,
-    "ClientLeft": _decode_disconnected,
 }
 
 
+# ---------------------------------------------------------------- encoding
+
+
 def encode_action(action: decision.Action) -> dict[str, Fields]:
-    """One action under the wire's name, with its fields in the wire's order."""
+    """Returns an action under the wire's name, with its fields in the wire's order."""
     match action:
         case decision.PlaceRequest():
             return {"Relay": {"opId": action.id, "backend": action.endpoint, "patienceMs": action.timeout_ms}}
@@ -164,16 +190,20 @@
 
 
 class SimulatorLink:
-    """The balancer instances of one process, by their numbers; they share nothing but this table."""
+    """Runs the balancer instances of one process, which share no state."""
 
     def __init__(self) -> None:
-        self.instances: dict[int, Balancer] = {}
-        # By instance: since when its call for the list is unanswered, in the simulator's milliseconds.
-        self._call_started_ms: dict[int, float] = {}
+        self.instances: dict[int, Balancer] = {}  # by number
+        # By instance: when its unanswered request for the list was sent, in the simulator's time.
+        self._watch_requested_ms: dict[int, float] = {}
         self._decoding = ""  # the event that is being handled, for the text of errors
 
     def answer(self, line: bytes) -> bytes:
-        """Handle a line of events; returns the line of actions, without its end. Raises WireError."""
+        """Handles a line of events. Returns the line of actions, without its end.
+
+        Raises:
+            WireError: The line is not JSON, or an event is unknown, incomplete or out of place.
+        """
         try:
             batch = orjson.loads(line)
         except orjson.JSONDecodeError as error:
@@ -203,7 +233,7 @@
         return groups
 
     def _handle_message(self, now_ms: float, number: int, name: str, fields: Fields) -> list[Fields]:
-        """Either an event for an instance, or word of its start or its end."""
+        """Starts or ends an instance, or has it handle an event. Returns the encoded actions."""
         decode = DECODERS.get(name)
         if decode is not None:
             if number not in self.instances:
@@ -213,7 +243,7 @@
             self.instances[number] = Balancer(read_settings(fields["conf"]), fields["entropy"])
         elif name == "Teardown":
             self.instances.pop(number, None)
-            self._call_started_ms.pop(number, None)
+            self._watch_requested_ms.pop(number, None)
         elif name not in IGNORED_EVENTS:
             raise WireError(f"unknown event {name}")
         return []
@@ -221,25 +251,34 @@
     def _handle_event(self, now_ms: float, number: int, event: decision.Event) -> list[Fields]:
         if isinstance(event, decision.EndpointListEvent):
             self._classify_failure(now_ms, number, event)
-        actions = self.instances[number].handle(now_ms, event)
-        if any(isinstance(action, decision.WatchEndpoints) for action in actions):
-            self._call_started_ms[number] = now_ms
-        return [encode_action(action) for action in actions]
+        encoded = []
+        for action in self.instances[number].handle(now_ms, event):
+            if isinstance(action, decision.WatchEndpoints):
+                self._watch_requested_ms[number] = now_ms
+            encoded.append(encode_action(action))
+        return encoded
 
     def _classify_failure(self, now_ms: float, number: int, event: decision.EndpointListEvent) -> None:
-        """The wire does not say how a call failed: how long that took does, and what came before."""
+        """Sets how a watch failed, which the wire does not say: the time until it failed tells.
+
+        A failure without an unanswered request means that an established watch was lost.
+        """
         if event.kind == "stale":
             return
-        started_ms = self._call_started_ms.pop(number, None)
+        requested_ms = self._watch_requested_ms.pop(number, None)
         if event.kind == "failed":
-            if started_ms is None:
+            if requested_ms is None:
                 event.failure = decision.DiscoveryFailure.LOST
             else:
-                event.failure = classify_rejection(now_ms - started_ms)
+                event.failure = classify_rejection(now_ms - requested_ms)
 
 
 def main() -> int:
-    """Answer line by line until the input ends. Returns the exit code: 2 for input that cannot be read."""
+    """Answers line by line until the input ends.
+
+    Returns:
+        The exit code: 0 at the end of the input, 1 for a closed output, 2 for input that cannot be read.
+    """
     link = SimulatorLink()
     output = sys.stdout.buffer
     try:
