--- a/sageturn/frontends/platform/load_reporter.py
+++ b/sageturn/frontends/platform/load_reporter.py
@@ -37,4 +37,4 @@
     async def run(self) -> None:
         """Report the queued values to the core until cancelled."""
         while True:
-            await self._lifecycle.report_load(await self._loads.get())
+            await self._lifecycle.established.report_load(await self._loads.get())
--- a/sageturn/lab/spreading.py
+++ b/sageturn/lab/spreading.py
@@ -20,7 +20,7 @@
 
 import uvloop
 
-from sageturn.lab.result_table import Row, print_table
+from sageturn.lab.reports.result_table import Row, print_table
 from sageturn.net.admission import AdmissionController, ProcessLimits
 from sageturn.store.channel import read_secret
 from sageturn.store.replication.member import ReplicationMember
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Cost:
-    """What one side costs."""
+    """Cost of one side."""
 
     bytes_per_s: float
     core: float  # of one, from 0 to 1
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _SnapshotCost:
-    """What the first transfer of all records costs both sides together."""
+    """Cost of the first transfer of all records, of both sides together."""
 
     size_bytes: int
     duration_s: float
@@ -71,14 +71,16 @@
         await _wait_until(lambda: bool(self.first.link_count and self.second.link_count))
         started_cpu_s = time.process_time()
         duration_s = await _wait_until(
-            lambda: self.first.replica.changes.roots == self.second.replica.changes.roots
+            lambda: self.first.replica.records.changes.roots == self.second.replica.records.changes.roots
         )
         cpu_s = time.process_time() - started_cpu_s
         return _SnapshotCost(self.first.replica.budget.consumed_bytes, duration_s, cpu_s)
 
     async def measure_idle(self, seconds: float) -> _Cost:
         """The mean cost of a side while nothing changes."""
-        await _wait_until(lambda: all(member.replica.sessions[0].delivered for member in self.members))
+        await _wait_until(
+            lambda: all(member.replica.sessions[0].change_exchange.is_delivered for member in self.members)
+        )
         before_bytes = [member.replica.budget.consumed_bytes for member in self.members]
         started_cpu_s = time.process_time()
         await asyncio.sleep(seconds)
--- a/tests/net/test_endpoint_list.py
+++ b/tests/net/test_endpoint_list.py
@@ -168,8 +168,8 @@
     events: asyncio.Queue[EndpointListEvent] = asyncio.Queue()
     address = ("127.0.0.1", 9)
     known = parse_endpoint_list({"version": 5, "full": True, "servers": [entry()]})
-    endpoint_registry = EndpointRegistry(known, events.put)  # type: ignore[arg-type]
-    endpoint_registry.watcher = watcher = RecordingWatcher()
+    watcher = RecordingWatcher()
+    endpoint_registry = EndpointRegistry(known, events.put, watcher)  # type: ignore[arg-type]
     actor = asyncio.ensure_future(endpoint_registry.run())
     await endpoint_registry.post_message(WatchRequested())
     await endpoint_registry.post_message(DiscoveryAddressChanged())
@@ -193,8 +193,8 @@
     # The balancer requests none there, so on sockets a relay kept the list of its start and missed drains.
     events: asyncio.Queue[EndpointListEvent] = asyncio.Queue()
     known = parse_endpoint_list({"version": 5, "full": True, "servers": [entry()]})
-    endpoint_registry = EndpointRegistry(known, events.put, pushed)  # type: ignore[arg-type]
-    endpoint_registry.watcher = watcher = RecordingWatcher()
+    watcher = RecordingWatcher()
+    endpoint_registry = EndpointRegistry(known, events.put, watcher, pushed=pushed)  # type: ignore[arg-type]
     actor = asyncio.ensure_future(endpoint_registry.run())
     await events.get()
     await asyncio.sleep(0)
