--- /dev/null
+++ b/sageturn/frontends/frontend_connection.py
@@ -0,0 +1,87 @@
+"""The part of a client's connection that is the same on all frontends: connecting to an endpoint."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+from abc import abstractmethod
+from collections.abc import Callable
+from functools import partial
+
+from sageturn.core.close_reason import CloseReason
+from sageturn.core.context import RelayContext
+from sageturn.core.messages import ClientRequest
+from sageturn.core.proxy_transport import ProxyTransport
+from sageturn.core.request_lifecycle import RequestLifecycle
+from sageturn.net.addresses import Address
+from sageturn.net.sockets import (
+    CLOSE_REASON_OF_CONNECT_FAILURE,
+    ConnectFailure,
+    connect_unreserved,
+    peer_address,
+)
+
+CheckBeforeWrite = Callable[[], CloseReason | None]
+
+
+class FrontendConnection(ProxyTransport):
+    """A client, and its endpoint once its request is established. Each frontend has a subclass."""
+
+    def __init__(self, shared: RelayContext, client: socket.socket, request: ClientRequest) -> None:
+        self._shared = shared
+        self.lifecycle = RequestLifecycle(shared.balancer_actor, self, request)
+        self.lifecycle.record.client_address = peer_address(client)
+
+    async def open_upstream(
+        self, endpoint: str, timeout_ms: float, connect_timeout_ms: float, /
+    ) -> CloseReason | None:
+        """Connect to ``endpoint`` and place the request there within ``timeout_ms``.
+
+        Returns None if the endpoint established the connection; otherwise its socket is closed.
+        """
+        deadline_s = asyncio.get_running_loop().time() + timeout_ms / 1000.0
+        listed_address = self._shared.endpoint_registry.addresses.get(endpoint)
+        if listed_address is None:
+            return CloseReason.NOT_SENT
+        is_endpoint_usable: Callable[[], bool] | None = None
+        # A connection that was established before this relay returns to its endpoint, also if that drains.
+        if not self.lifecycle.record.request.established_endpoint:
+            is_endpoint_usable = partial(self._shared.endpoint_registry.is_ready_at, endpoint, listed_address)
+        checks = self.lifecycle.checks
+        if (close_reason := checks.blocking_reason(is_endpoint_usable)) is not None:
+            return close_reason
+        address = self._upstream_address(listed_address)
+        sock = await connect_unreserved(address, connect_timeout_ms / 1000.0)
+        if isinstance(sock, ConnectFailure):
+            return CLOSE_REASON_OF_CONNECT_FAILURE[sock]
+        check_before_write = partial(checks.check_before_write, is_endpoint_usable)
+        established = False
+        try:
+            close_reason = await self._exchange(sock, deadline_s, check_before_write)
+            established = close_reason is None
+            return close_reason
+        finally:
+            if established:
+                self.lifecycle.record.endpoint_address = address
+            else:
+                sock.close()
+
+    def _upstream_address(self, listed_address: Address) -> Address:
+        """Return the address to connect to for an endpoint that is listed at ``listed_address``."""
+        return listed_address
+
+    @abstractmethod
+    async def _exchange(
+        self, sock: socket.socket, deadline_s: float, check_before_write: CheckBeforeWrite
+    ) -> CloseReason | None:
+        """Send the request on a new connection, and read the endpoint's answer.
+
+        Args:
+            sock: connected to the endpoint. Closed by the caller unless this returns None.
+            deadline_s: the end of the attempt, by the event loop's clock.
+            check_before_write: to be called just before the request's first byte is written. Nothing may be
+                written if it returns a reason, which is the result then.
+
+        Returns:
+            None if the endpoint established the connection, or else why not.
+        """
--- a/sageturn/frontends/platform/connection.py
+++ b/sageturn/frontends/platform/connection.py
@@ -4,32 +4,23 @@
 
 import asyncio
 import socket
-from collections.abc import Callable
-from functools import partial
 
 from sageturn.core.close_reason import CloseReason
 from sageturn.core.context import RelayContext
 from sageturn.core.messages import FinalResponse
-from sageturn.core.request_lifecycle import RequestLifecycle
+from sageturn.frontends.frontend_connection import CheckBeforeWrite, FrontendConnection
 from sageturn.frontends.platform.endpoint_reply import EndpointReplyParser
 from sageturn.frontends.platform.line_reader import MAX_LINE_BYTES, read_line
 from sageturn.frontends.platform.relaying import LineRelay
 from sageturn.frontends.platform.request_line import RequestLine
 from sageturn.net.closing import close_gracefully, close_with_reset
-from sageturn.net.sockets import (
-    CLOSE_REASON_OF_CONNECT_FAILURE,
-    ConnectFailure,
-    connect_unreserved,
-    peer_address,
-    send_gathered,
-    wait_for_close_reason,
-)
+from sageturn.net.sockets import send_gathered, wait_for_close_reason
 
 CLIENT_READ_BYTES = 1024
 
 
 def encode_final_response(response: FinalResponse) -> bytes:
-    """The line that a client is sent when its request has failed for good."""
+    """Return the line that answers a request which is not served."""
     if not response.rejected:
         return f"ERR {response.reason}\r\n".encode()
     if response.retry_after_ms >= 1:
@@ -42,70 +33,46 @@
     try:
         await asyncio.get_running_loop().sock_sendall(client, encode_final_response(response))
     except OSError:
-        return  # the client is gone; there is nobody to answer
+        return  # the client has gone
     await close_gracefully(client)
 
 
-class PlatformConnection:
-    """A client, and its endpoint once it has one: the core's ``Transport`` for its request."""
+class PlatformConnection(FrontendConnection):
+    """A client that speaks the platform's line protocol, and its endpoint."""
 
     def __init__(
         self, shared: RelayContext, client: socket.socket, buffer: bytearray, request_line: RequestLine
     ) -> None:
-        """``buffer`` holds the request line as it was received."""
-        self._shared = shared
+        """``buffer`` holds ``request_line`` as it was received."""
+        super().__init__(shared, client, request_line.request)
         self.client = client
         self._buffer = buffer
         self._request_line = request_line
-        self.early_input = b""  # what the client sent before it was answered
+        self.early_input = b""  # received from the client before it was answered
         self._endpoint: socket.socket | None = None
-        self._reply = b""  # the endpoint's first line, and what followed it
-        self.lifecycle = RequestLifecycle(shared.balancer_actor, self, request_line.request)
-        self.lifecycle.record.client_address = peer_address(client)
+        self._reply = b""  # the endpoint's first line, and the bytes after it
         self._replies = EndpointReplyParser(shared, self.lifecycle.record)
 
     # ------------------------------------------------------------ an attempt
 
-    async def open_upstream(self, endpoint: str, patience_ms: float, connect_ms: float) -> CloseReason | None:
-        """Send the request to ``endpoint``; None if it established the connection."""
-        deadline_s = asyncio.get_running_loop().time() + patience_ms / 1000.0
-        address = self._shared.endpoint_registry.addresses.get(endpoint)
-        if address is None:
-            return CloseReason.NOT_SENT
-        is_wanted: Callable[[], bool] | None = None
-        # A connection that was established before this relay goes back to its endpoint, also if that drains.
-        if not self._request_line.request.established_endpoint:
-            is_wanted = partial(self._shared.endpoint_registry.is_ready_at, endpoint, address)
-        if (close_reason := self.lifecycle.checks.blocking_reason(is_wanted)) is not None:
+    async def _exchange(
+        self, sock: socket.socket, deadline_s: float, check_before_write: CheckBeforeWrite
+    ) -> CloseReason | None:
+        if (close_reason := check_before_write()) is not None:
             return close_reason
-        sock = await connect_unreserved(address, connect_ms / 1000.0)
-        if isinstance(sock, ConnectFailure):
-            return CLOSE_REASON_OF_CONNECT_FAILURE[sock]
-        if (close_reason := self.lifecycle.checks.check_before_write(is_wanted)) is not None:
-            sock.close()
-            return close_reason
-        established = False
-        try:
-            close_reason = await self._exchange(sock, deadline_s)
-            established = close_reason is None
-            return close_reason
-        finally:
-            if established:
-                self._endpoint = sock
-                self.lifecycle.record.endpoint_address = address
-            else:
-                sock.close()
-
-    async def _exchange(self, sock: socket.socket, deadline_s: float) -> CloseReason | None:
         try:
             async with asyncio.timeout_at(deadline_s):
                 close_reason = await self._send_request(sock, deadline_s)
-                return await self._read_reply(sock) if close_reason is None else close_reason
+                if close_reason is None:
+                    close_reason = await self._read_reply(sock)
         except TimeoutError:
             return CloseReason.TIMEOUT
+        if close_reason is None:
+            self._endpoint = sock
+        return close_reason
 
     async def _send_request(self, sock: socket.socket, deadline_s: float) -> CloseReason | None:
-        """Write the client's line with the time that is left in place of the client's own limit."""
+        """Write the client's request line, with the remaining time in place of its ``d``."""
         loop = asyncio.get_running_loop()
         request_line = self._request_line
         line = memoryview(self._buffer)
@@ -120,7 +87,7 @@
                 )
                 await send_gathered(sock, parts)
         except TimeoutError:
-            raise  # its last byte may have been taken in this very instant
+            raise  # the kernel may have accepted its last byte in this instant
         except OSError:
             return CloseReason.CUT_BEFORE_WRITTEN
         return None
@@ -141,11 +108,11 @@
     # ------------------------------------------------------------ the client, until it is answered
 
     async def wait_client_disconnect(self) -> CloseReason:
-        """Return once the client has left, or broken the protocol."""
+        """Wait until the client has left or broken the protocol; returns which."""
         return await wait_for_close_reason(self.client, self.poll_client)
 
     def poll_client(self) -> CloseReason | None:
-        """Read what the client has sent so far without waiting; None while it is still there."""
+        """Read the bytes that the client has sent, without waiting; returns None while it is connected."""
         while len(self.early_input) < MAX_LINE_BYTES:
             try:
                 data = self.client.recv(CLIENT_READ_BYTES)
@@ -159,25 +126,25 @@
         return CloseReason.CLIENT_FAULT
 
     async def send_final_response(self, answer: FinalResponse) -> None:
-        """Tell the client that its request has failed, and close its connection."""
+        """Answer that the request is not served, and close the client's connection."""
         await send_final_response(self.client, answer)
 
     # ------------------------------------------------------------ once it is established
 
     async def close_upstream(self) -> None:
-        """Drop an established connection whose client was not told of it."""
+        """Reset an established connection whose client has gone before it was answered."""
         if self._endpoint is not None:
             close_with_reset(self._endpoint)
 
     async def accept_client(self) -> None:
-        """Nothing to do: the endpoint's first line is forwarded along with all that followed it."""
+        """Do nothing: ``relay_traffic`` forwards the endpoint's first line."""
 
     async def relay_traffic(self, stop: asyncio.Event) -> CloseReason:
         """Forward lines both ways until either side has ended, or ``stop`` asks for a migration."""
         endpoint = self._endpoint
         assert endpoint is not None
         relay = LineRelay(self.client, endpoint, self.lifecycle, self._replies, self._reply, self.early_input)
-        # Not needed any more, and there are many connections at once.
+        # Freed, as many connections are open at once.
         self._buffer = bytearray()
         self._reply = b""
         self.early_input = b""
--- a/sageturn/frontends/xmpp/connection.py
+++ b/sageturn/frontends/xmpp/connection.py
@@ -3,14 +3,14 @@
 from __future__ import annotations
 
 import asyncio
-from functools import partial
+import socket
 from xml.sax.saxutils import escape, quoteattr
 
 from sageturn.core.close_reason import CloseReason
 from sageturn.core.context import RelayContext
 from sageturn.core.idle_timeout import IdleTimeout
 from sageturn.core.messages import ClientRequest, FinalResponse
-from sageturn.core.request_lifecycle import RequestLifecycle
+from sageturn.frontends.frontend_connection import CheckBeforeWrite, FrontendConnection
 from sageturn.frontends.xmpp.channel import Channel
 from sageturn.frontends.xmpp.client_login import BindRequest
 from sageturn.frontends.xmpp.endpoint_login import EndpointLogin
@@ -20,35 +20,25 @@
 from sageturn.frontends.xmpp.relaying import StanzaRelay
 from sageturn.frontends.xmpp.session import XmppSession
 from sageturn.frontends.xmpp.stream_parser import Stanza, StreamClosed
+from sageturn.net.addresses import Address
 from sageturn.net.closing import close_gracefully, close_with_reset
-from sageturn.net.sockets import (
-    CLOSE_REASON_OF_CONNECT_FAILURE,
-    ConnectFailure,
-    connect_unreserved,
-    is_closed_by_peer,
-    peer_address,
-    wait_for_close_reason,
-)
+from sageturn.net.sockets import is_closed_by_peer, wait_for_close_reason
 
 MAX_EARLY_STANZAS = 16  # that a client may send before it is answered
 
 
 def encode_bind_result(iq_id: str, jid: str) -> bytes:
-    """What tells a client that its session is established."""
+    """Encode the response to a client's bind request, which establishes its session."""
     bound = f"<bind xmlns='{BIND_NS}'><jid>{escape(jid)}</jid></bind>"
     return f"<iq type='result' id={quoteattr(iq_id)}>{bound}</iq>".encode()
 
 
-class XmppConnection:
-    """A client's stream, and its endpoint's once it has one: the core's transport for its request."""
+class XmppConnection(FrontendConnection):
+    """A client's stream, and its endpoint's once the session is established."""
 
     def __init__(
         self, shared: RelayContext, options: XmppOptions, client: XmppSession, bind_request: BindRequest
     ) -> None:
-        self._shared = shared
-        self._options = options
-        self._client = client
-        self._bind_request = bind_request
         account = bind_request.account
         request = ClientRequest(
             account.class_name,
@@ -57,45 +47,32 @@
             account.group,
             client=f"{account.name}/{bind_request.resource}",
         )
-        self.lifecycle = RequestLifecycle(shared.balancer_actor, self, request)
-        self.lifecycle.record.client_address = peer_address(client.channel.sock)
+        super().__init__(shared, client.channel.sock, request)
         self.lifecycle.record.frontend = "xmpp"
+        self._options = options
+        self._client = client
+        self._bind_request = bind_request
         self._endpoint: XmppSession | None = None
         self._jid = ""
-        self._early_stanzas: list[Stanza] = []  # sent by the client before it was answered
+        self._early_stanzas: list[Stanza] = []  # received from the client before it was answered
         self._idle_timeout = IdleTimeout(asyncio.get_running_loop().time(), options.idle_timeout_s)
 
     # ------------------------------------------------------------ an attempt
 
-    async def open_upstream(self, endpoint: str, patience_ms: float, connect_ms: float) -> CloseReason | None:
-        """Bind the client's resource at ``endpoint``; None if it established the session."""
-        deadline_s = asyncio.get_running_loop().time() + patience_ms / 1000.0
-        listed_address = self._shared.endpoint_registry.addresses.get(endpoint)
-        if listed_address is None:
-            return CloseReason.NOT_SENT
-        address = listed_address
+    def _upstream_address(self, listed_address: Address) -> Address:
         if self._options.endpoint_port:
-            address = (listed_address[0], self._options.endpoint_port)
-        is_wanted = partial(self._shared.endpoint_registry.is_ready_at, endpoint, listed_address)
-        if (close_reason := self.lifecycle.checks.blocking_reason(is_wanted)) is not None:
-            return close_reason
-        sock = await connect_unreserved(address, connect_ms / 1000.0)
-        if isinstance(sock, ConnectFailure):
-            return CLOSE_REASON_OF_CONNECT_FAILURE[sock]
+            return (listed_address[0], self._options.endpoint_port)
+        return listed_address
+
+    async def _exchange(
+        self, sock: socket.socket, deadline_s: float, check_before_write: CheckBeforeWrite
+    ) -> CloseReason | None:
         session = XmppSession(Channel(sock))
-        check_before_write = partial(self.lifecycle.checks.check_before_write, is_wanted)
         login = EndpointLogin(session, self._options.endpoint, self._bind_request, check_before_write)
-        established = False
-        try:
-            close_reason = await self._log_in(login, deadline_s)
-            established = close_reason is None
-            return close_reason
-        finally:
-            if established:
-                self._endpoint = session
-                self.lifecycle.record.endpoint_address = address
-            else:
-                sock.close()
+        close_reason = await self._log_in(login, deadline_s)
+        if close_reason is None:
+            self._endpoint = session
+        return close_reason
 
     async def _log_in(self, login: EndpointLogin, deadline_s: float) -> CloseReason | None:
         try:
@@ -106,7 +83,7 @@
         except EndpointLoginRejectedError as rejected:
             return rejected.close_reason
         except OSError:
-            # The request is the bind: until that was written nothing of the request was sent.
+            # The request is the bind: before it is written, nothing of the request was sent.
             return (
                 CloseReason.RESET if self.lifecycle.checks.write_started else CloseReason.CUT_BEFORE_WRITTEN
             )
@@ -115,11 +92,11 @@
     # ------------------------------------------------------------ the client, until it is answered
 
     async def wait_client_disconnect(self) -> CloseReason:
-        """Return once the client has left, or broken the protocol."""
+        """Wait until the client has left or broken the protocol; returns which."""
         return await wait_for_close_reason(self._client.channel.sock, self.poll_client)
 
     def poll_client(self) -> CloseReason | None:
-        """Read what the client has sent so far without waiting; None while it is still there.
+        """Read the stanzas that the client has sent, without waiting; returns None while it is connected.
 
         A client that closes its stream has cancelled its request, though its connection may stay open.
         """
@@ -136,25 +113,25 @@
                 return CloseReason.CLIENT_LEFT
             if isinstance(event, Stanza):
                 self._early_stanzas.append(event)
-        # What lies unread beyond that many, or is half a TLS record, must not hide that the client has left.
+        # Unread bytes beyond that many stanzas, or half a TLS record, must not hide that the client has left.
         if ended or is_closed_by_peer(self._client.channel.sock):
             return CloseReason.CLIENT_LEFT
         return CloseReason.CLIENT_FAULT if len(self._early_stanzas) >= MAX_EARLY_STANZAS else None
 
     async def send_final_response(self, answer: FinalResponse) -> None:
-        """Tell the client that its request has failed, and close its connection."""
+        """Answer that the request is not served, and close the client's connection."""
         await self._client.close(encode_final_response(answer))
         await close_gracefully(self._client.channel.sock)
 
     # ------------------------------------------------------------ once it is established
 
     async def close_upstream(self) -> None:
-        """Drop an established session whose client was not told of it."""
+        """Reset an established session whose client has gone before it was answered."""
         if self._endpoint is not None:
             close_with_reset(self._endpoint.channel.sock)
 
     async def accept_client(self) -> None:
-        """Tell the client that its resource is bound."""
+        """Answer the client that its resource is bound."""
         await self._client.send(encode_bind_result(self._bind_request.iq_id, self._jid))
 
     async def relay_traffic(self, stop: asyncio.Event) -> CloseReason:
--- a/tests/config/test_deployments.py
+++ b/tests/config/test_deployments.py
@@ -44,6 +44,8 @@
 from sageturn.core.even_pacer import EvenPacer
 from sageturn.core.messages import EndpointListUpdate
 from sageturn.core.shutdown_schedule import shutdown_schedule
+from sageturn.frontends import frontend_connection
+from sageturn.net import sockets
 from sageturn.relay import Relay
 
 # ---------------------------------------------------------------- names do not matter
@@ -172,9 +174,6 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, resumed: bool
 ) -> None:
     # A connection may take connectTimeoutMs; its request line once followed whatever was known by then.
-    from sageturn.frontends.platform import connection as platform_connection
-    from sageturn.net import sockets
-
     async with relaying(tmp_path, up, up) as (relay, endpoints):
         by_port = {
             endpoint.address[1]: (name, endpoint) for name, endpoint in zip("ab", endpoints, strict=True)
@@ -197,7 +196,7 @@
 
         while relay.endpoint_registry.version != 2:  # discovery's own list has come
             await asyncio.sleep(0.01)
-        monkeypatch.setattr(platform_connection, "connect_unreserved", connect_while_draining)
+        monkeypatch.setattr(frontend_connection, "connect_unreserved", connect_while_draining)
         more = ",at=a" if resumed else ""
         assert await reply(relay.listener.address, first_line(more=more)) == b"UP r1\r\n"
         assert len([line for line in first[0].lines if line]) == (1 if resumed else 0)
--- a/tests/core/test_attempt_races.py
+++ b/tests/core/test_attempt_races.py
@@ -17,6 +17,7 @@
 from sageturn.core.close_reason import CloseReason
 from sageturn.core.messages import EndpointListUpdate
 from sageturn.decision import Endpoint
+from sageturn.frontends import frontend_connection
 from sageturn.frontends.platform import connection as platform_connection
 from sageturn.frontends.platform import frontend as platform_frontend
 from sageturn.net import closing, sockets
@@ -85,7 +86,7 @@
                 end(client, relay, name)
             return sock
 
-        monkeypatch.setattr(platform_connection, "connect_unreserved", comes_up)
+        monkeypatch.setattr(frontend_connection, "connect_unreserved", comes_up)
         records: list[Any] = []
         monkeypatch.setattr(relay.context, "on_connection_closed", records.append)
         client = socket.create_connection(relay.listener.address)
@@ -131,7 +132,7 @@
                 held.set()
                 await asyncio.sleep(3600)
 
-            monkeypatch.setattr(platform_connection, "connect_unreserved", never_up)
+            monkeypatch.setattr(frontend_connection, "connect_unreserved", never_up)
         reader, writer = await ask(relay.listener.address, first_line())
         if ran:
             await until(lambda: endpoint.lines)
@@ -213,7 +214,7 @@
             return sock
 
         monkeypatch.setattr(platform_connection.PlatformConnection, "open_upstream", calls_late)
-        monkeypatch.setattr(platform_connection, "connect_unreserved", comes_up_late)
+        monkeypatch.setattr(frontend_connection, "connect_unreserved", comes_up_late)
         reader, writer = await ask(relay.listener.address, first_line(9000))
         heard = await reader.readline()
         in_time = late_ms < KEY_MS
--- a/tests/core/test_client_disconnects.py
+++ b/tests/core/test_client_disconnects.py
@@ -20,9 +20,8 @@
 
 from sageturn.core.close_reason import CloseReason
 from sageturn.core.pre_write_checks import PreWriteChecks
-from sageturn.frontends.platform import connection as platform_connection
+from sageturn.frontends import frontend_connection
 from sageturn.frontends.platform.connection import PlatformConnection
-from sageturn.frontends.xmpp import connection as xmpp_connection
 from sageturn.frontends.xmpp.connection import XmppConnection
 from sageturn.net import sockets
 from sageturn.net.sockets import ConnectFailure
@@ -76,11 +75,11 @@
 class ConnectCounter:
     """Counts connections that are begun, and lets the first ones fail."""
 
-    def __init__(self, monkeypatch: pytest.MonkeyPatch, connection_module: Any, failing: int = 0) -> None:
+    def __init__(self, monkeypatch: pytest.MonkeyPatch, failing: int = 0) -> None:
         self.count = 0
-        self._connect = connection_module.connect_unreserved
+        self._connect = sockets.connect_unreserved
         self._failing = failing
-        monkeypatch.setattr(connection_module, "connect_unreserved", self._begin)
+        monkeypatch.setattr(frontend_connection, "connect_unreserved", self._begin)
 
     async def _begin(self, address: tuple[str, int], timeout_s: float) -> Any:
         self.count += 1
@@ -114,7 +113,7 @@
     # Only what was written was held back: the connection for it was begun, and took a host's place and time.
     async with relaying(tmp_path, up, up) as (relay, endpoints):
         await until(lambda: relay.endpoint_registry.version == 2)
-        connects = ConnectCounter(monkeypatch, platform_connection, attempt - 1)
+        connects = ConnectCounter(monkeypatch, attempt - 1)
         as_call_begins(monkeypatch, PlatformConnection, attempt, lambda: leave(client))
         records: list[Any] = []
         monkeypatch.setattr(relay.context, "on_connection_closed", records.append)
@@ -158,7 +157,7 @@
     with closing(ClientThread()) as client_thread:
         async with relaying_xmpp(tmp_path, told, told) as (relay, endpoints):
             await until(lambda: relay.endpoint_registry.version == 2)
-            connects = ConnectCounter(monkeypatch, xmpp_connection, moment == "further")
+            connects = ConnectCounter(monkeypatch, moment == "further")
             if moment == "bind":
                 ask_life, at = PreWriteChecks.check_before_write, list[bool]()
 
@@ -215,7 +214,7 @@
             await held.wait()
             return await connect(address, timeout_s) if comes_up else ConnectFailure.NEVER_UP
 
-        monkeypatch.setattr(platform_connection, "connect_unreserved", waits)
+        monkeypatch.setattr(frontend_connection, "connect_unreserved", waits)
         records: list[Any] = []
         monkeypatch.setattr(relay.context, "on_connection_closed", records.append)
         clients = [await ask(relay.listener.address, first_line(3000)) for _ in range(CROWD)]
@@ -237,7 +236,7 @@
 ) -> None:
     async with relaying(tmp_path, up, up) as (relay, endpoints):
         await until(lambda: relay.endpoint_registry.version == 2)
-        connects = ConnectCounter(monkeypatch, platform_connection)
+        connects = ConnectCounter(monkeypatch)
         records: list[Any] = []
         monkeypatch.setattr(relay.context, "on_connection_closed", records.append)
         for _ in range(100):  # the loop does not turn here
--- a/tests/core/test_close_reasons.py
+++ b/tests/core/test_close_reasons.py
@@ -19,7 +19,7 @@
 from sageturn.core.messages import EndpointListUpdate
 from sageturn.core.shutdown_schedule import ShutdownSchedule
 from sageturn.decision import Endpoint
-from sageturn.frontends.platform import connection as platform_connection
+from sageturn.frontends import frontend_connection
 from sageturn.frontends.platform import frontend as platform_frontend
 from sageturn.frontends.platform import relaying as platform_relaying
 from sageturn.frontends.platform.line_forwarder import LineForwarder
@@ -109,7 +109,7 @@
             return sockets.ConnectFailure.NEVER_UP
         return await connect(address, timeout_s)
 
-    monkeypatch.setattr(platform_connection, "connect_unreserved", slowly)
+    monkeypatch.setattr(frontend_connection, "connect_unreserved", slowly)
     scenario.client.sendall(scenario.line)
     await begun.wait()
 
@@ -408,7 +408,7 @@
         async def fails(address: tuple[str, int], timeout_s: float) -> Any:
             raise ValueError("unforeseen")
 
-        monkeypatch.setattr(platform_connection, "connect_unreserved", fails)
+        monkeypatch.setattr(frontend_connection, "connect_unreserved", fails)
         scenario = RelayScenario(relay, [])
         scenario.client.sendall(scenario.line)
         assert await scenario.read_rest() == b"ERR internal\r\n"
