--- a/sageturn/lab/model/simulated_connections.py
+++ b/sageturn/lab/model/simulated_connections.py
@@ -4,6 +4,7 @@
 
 from collections.abc import Mapping, Set
 from dataclasses import dataclass
+from enum import StrEnum
 
 from sageturn.lab.model.sampling import Client
 
@@ -26,15 +27,30 @@
     attempt: int
 
 
+class AttemptFailure(StrEnum):
+    """Why an attempt fails; the values are the decision module's statuses."""
+
+    CONNECT_FAILED = "connect_failed"
+    FULL = "full"
+    TIMEOUT = "timeout"
+
+
+@dataclass(frozen=True, slots=True)
+class AttemptSample:
+    """How an attempt will end, and after how long; ``failure`` is None for success."""
+
+    failure: AttemptFailure | None
+    duration_ms: float
+
+
 @dataclass(frozen=True, slots=True)
 class AttemptOutcome:
-    """The end of an attempt; an empty ``failure`` is success."""
+    """The end of an attempt at a host."""
 
     request_id: int
     attempt: int
     host: str
-    failure: str
-    duration_ms: float
+    sample: AttemptSample
 
 
 @dataclass(frozen=True, slots=True)
