--- a/experiments/make_compatibility_fixtures.py
+++ b/experiments/make_compatibility_fixtures.py
@@ -8,7 +8,9 @@
 
 from __future__ import annotations
 
+import asyncio
 import importlib
+import inspect
 import sys
 from pathlib import Path
 
@@ -26,7 +28,9 @@
         module = importlib.import_module(test_file.stem)
         folder = ROOT / "tests" / "fixtures" / concern
         folder.mkdir(parents=True, exist_ok=True)
-        for name, data in module.produced().items():
+        produced = module.produced()
+        files = asyncio.run(produced) if inspect.iscoroutine(produced) else produced
+        for name, data in files.items():
             (folder / name).write_bytes(data)
             print(f"{concern}/{name}: {len(data)} bytes")
 
--- a/tests/frontends/test_compatibility_frontends.py
+++ b/tests/frontends/test_compatibility_frontends.py
@@ -1,6 +1,6 @@
-"""What each front says to clients and endpoints stays as revision 6e0cdec said it, byte for byte.
+"""What each frontend sends to clients and endpoints stays as revision 6e0cdec sent it, byte for byte.
 
-``platform.json``, ``xmpp.json`` and ``xmpp-*.transcript`` hold the octets. A transcript has a line for each
+``platform.json``, ``xmpp.json`` and ``xmpp-*.transcript`` hold the bytes. A transcript has a line for each
 piece: ``>`` what the relay sent, ``<`` what it was sent.
 """
 
@@ -12,10 +12,11 @@
 import secrets
 import socket
 import tempfile
-from collections.abc import Awaitable, Callable, Sequence
+from collections.abc import Awaitable, Callable, Iterator, Sequence
+from contextlib import contextmanager
 from functools import partial
 from pathlib import Path
-from typing import Any, TypeVar
+from typing import Any, NamedTuple, TypeVar
 from unittest import mock
 
 import pytest
@@ -43,26 +44,20 @@
 
 FIXTURES = Path(__file__).parents[1] / "fixtures" / "fronts"
 
-Result = TypeVar("Result")
-
+pytestmark = pytest.mark.timeout(10)
 
-def bounded(coro: Awaitable[Result]) -> Result:
-    async def within() -> Result:
-        async with asyncio.timeout(10):
-            return await coro
-
-    return asyncio.run(within())
+Result = TypeVar("Result")
 
 
-def as_json(told: dict[str, bytes]) -> bytes:
-    """Octets as text of Latin-1, which has one character for each."""
-    lines = {name: data.decode("latin-1") for name, data in told.items()}
+def as_json(recorded: dict[str, bytes]) -> bytes:
+    """Bytes as text of Latin-1, which has one character for each."""
+    lines = {name: data.decode("latin-1") for name, data in recorded.items()}
     return json.dumps(lines, indent=1, sort_keys=True).encode() + b"\n"
 
 
 def from_json(name: str) -> dict[str, bytes]:
-    told = json.loads((FIXTURES / name).read_bytes())
-    return {key: text.encode("latin-1") for key, text in told.items()}
+    lines = json.loads((FIXTURES / name).read_bytes())
+    return {key: text.encode("latin-1") for key, text in lines.items()}
 
 
 ANSWERS = {
@@ -114,65 +109,71 @@
 async def talk(address: tuple[str, int], *lines: bytes) -> bytes:
     """All that comes back; each further line goes out after something has come."""
     reader, writer = await ask(address, lines[0])
-    told = b""
+    received = b""
     for line in lines[1:]:
-        told += await reader.readline()
+        received += await reader.readline()
         writer.write(line)
-    told += await reader.read()
+    received += await reader.read()
     writer.close()
-    return told
+    return received
 
 
-async def told_by(answering: Callable[[socket.socket], Awaitable[None]]) -> bytes:
+async def sent_by(answering: Callable[[socket.socket], Awaitable[None]]) -> bytes:
     near, far = socket.socketpair()
     near.setblocking(False)
     with far:
         task = asyncio.ensure_future(answering(near))
         reader, writer = await asyncio.open_connection(sock=far)
-        told = await reader.read()
+        received = await reader.read()
         writer.close()
         await task
-        return told
+        return received
 
 
 async def platform_answers(folder: Path) -> dict[str, bytes]:
-    told = {"turned-away": platform_frontend.PlatformFrontend.rejection}
+    answers = {"turned-away": platform_frontend.PlatformFrontend.rejection}
     for name, answer in ANSWERS.items():
-        told[f"answer.{name}"] = await told_by(partial(send_final_response, response=answer))
+        answers[f"answer.{name}"] = await sent_by(partial(send_final_response, response=answer))
     async with relaying(folder, silent) as (relay, _):
         address = relay.listener.address
         for name, line in FIRST_LINES.items():
             more = (b"nonsense\r\n",) if line == b"PING\r\n" else ()
-            told[f"first-line.{name}"] = await talk(address, line, *more)
-        told["first-line.late"] = await first_line_in_vain(address)
-    return told
+            answers[f"first-line.{name}"] = await talk(address, line, *more)
+        answers["first-line.late"] = await first_line_in_vain(address)
+    return answers
+
+
+class Exchange(NamedTuple):
+    """What the client received, and the first line as the endpoint got it, its wait left out."""
+
+    received: bytes
+    forwarded: bytes
 
 
-async def platform_exchange(folder: Path, endpoint: Script) -> tuple[bytes, bytes]:
-    """What the client was told, and the first line as the endpoint got it, its wait left out."""
-    async with relaying(folder, endpoint) as (relay, (host,)):
-        told = await talk(relay.listener.address, OPEN)
-        before, _, rest = host.lines[0].partition(b"d=")
+async def platform_exchange(folder: Path, script: Script) -> Exchange:
+    async with relaying(folder, script) as (relay, (endpoint,)):
+        received = await talk(relay.listener.address, OPEN)
+        before, _, rest = endpoint.lines[0].partition(b"d=")
         digits, comma, after = rest.partition(b",")
         assert digits.isdigit() and 0 < int(digits) <= 2000
-        return told, before + b"d=#" + comma + after
+        return Exchange(received, before + b"d=#" + comma + after)
 
 
 async def platform_move(folder: Path) -> bytes:
-    """The relay asks a client that stands to come again."""
+    """The relay asks an established client to reconnect."""
 
-    async def stands(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes) -> None:
+    async def stay_open(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes) -> None:
         writer.write(b"UP r1\r\n")
         await reader.read()
 
-    async with relaying(folder, stands) as (relay, _):
+    async with relaying(folder, stay_open) as (relay, _):
         reader, writer = await ask(relay.listener.address, OPEN)
-        told = await reader.readline()
+        received = await reader.readline()
         (lifecycle,) = relay.request_registry
         relay.balancer_actor.migrate_connection(lifecycle.id)
-        told += await reader.read()
+        received += await reader.read()
         writer.close()
-        return told
+        return received
 
 
 async def platform_ids_and_haste(folder: Path) -> dict[str, bytes]:
@@ -188,19 +189,20 @@
         return {"first-line.id-in-use": same_id, "exchange.spoke-before-the-answer": hasty}
 
 
-def in_folder(story: Callable[..., Awaitable[Result]], *words: object) -> Result:
+async def in_folder(story: Callable[..., Awaitable[Result]], *arguments: object) -> Result:
+    """The result of ``story`` in a new folder of its own."""
     with tempfile.TemporaryDirectory() as folder:
-        return bounded(story(Path(folder), *words))
+        return await story(Path(folder), *arguments)
 
 
-def make_platform() -> dict[str, bytes]:
-    told = in_folder(platform_answers) | in_folder(platform_ids_and_haste)
+async def make_platform() -> dict[str, bytes]:
+    recorded = await in_folder(platform_answers) | await in_folder(platform_ids_and_haste)
     for name, text in ENDPOINTS.items():
-        told[f"exchange.{name}"], told[f"forwarded.{name}"] = in_folder(
-            platform_exchange, responds_with(text)
-        )
-    told["exchange.moved"] = in_folder(platform_move)
-    return told
+        exchange = await in_folder(platform_exchange, responds_with(text))
+        recorded[f"exchange.{name}"] = exchange.received
+        recorded[f"forwarded.{name}"] = exchange.forwarded
+    recorded["exchange.moved"] = await in_folder(platform_move)
+    return recorded
 
 
 # ---------------------------------------------------------------- XMPP: single answers
@@ -237,13 +239,13 @@
         parser.feed(stream)
     except StreamError as fault:
         return encode_stream_error(fault.condition, fault.text)
-    raise AssertionError("it was taken")
+    raise AssertionError("it was accepted")
 
 
 def stanzas_of(stream: bytes) -> list[bytes]:
     parser = StreamParser()
-    for at in range(len(stream)):
-        parser.feed(stream[at : at + 1])
+    for position in range(len(stream)):
+        parser.feed(stream[position : position + 1])
     return [piece.raw for piece in parser.events if hasattr(piece, "raw")]
 
 
@@ -251,15 +253,15 @@
     return XmppSession(sock).send(encode_bind_result(iq_id, jid))
 
 
-def make_xmpp() -> dict[str, bytes]:
-    told = {"turned-away": REJECTION, "move": encode_move()}
-    told |= {f"answer.{name}": encode_final_response(answer) for name, answer in ANSWERS.items()}
-    told |= {f"fault.{number}": encode_stream_error(*fault) for number, fault in enumerate(FAULTS)}
-    told |= {f"stream.{name}": fault_of(stream) for name, stream in BAD_STREAMS.items()}
+async def make_xmpp() -> dict[str, bytes]:
+    recorded = {"turned-away": REJECTION, "move": encode_move()}
+    recorded |= {f"answer.{name}": encode_final_response(answer) for name, answer in ANSWERS.items()}
+    recorded |= {f"fault.{number}": encode_stream_error(*fault) for number, fault in enumerate(FAULTS)}
+    recorded |= {f"stream.{name}": fault_of(stream) for name, stream in BAD_STREAMS.items()}
     channel = ScriptedChannel()
-    bounded(bound_result(channel, "b<1>'", "lan@guides.example/a&b"))
-    told["bound"] = channel.sent()
-    return told
+    await bound_result(channel, "b<1>'", "lan@guides.example/a&b")
+    recorded["bound"] = channel.sent()
+    return recorded
 
 
 # ---------------------------------------------------------------- XMPP: conversations
@@ -268,11 +270,11 @@
 SERVER_HEADER = HEADER.replace(b" to=", b" from=")
 ACCOUNT_PASSWORD = "pw"
 SALT = bytes(range(16))
-Line = bytes | Callable[[bytes], bytes]  # sent to the relay; made from what it said last where it has to be
+Line = bytes | Callable[[bytes], bytes]  # sent to the relay; made from what it sent last where necessary
 
 
 class ScriptedChannel:
-    """In place of a socket: hands out the other side's lines in turn, and notes both directions."""
+    """Stands in for a socket: hands out the peer's lines in turn, and records both directions."""
 
     def __init__(self, *lines: Line, secure: bool = False) -> None:
         self.is_encrypted, self.sock = secure, None
@@ -302,10 +304,10 @@
         self.is_encrypted = True
 
     def sent(self) -> bytes:
-        return b"".join(data for who, data in self.pieces if who == b">")
+        return b"".join(data for direction, data in self.pieces if direction == b">")
 
     def transcript(self) -> bytes:
-        return b"".join(who + b" " + data + b"\n" for who, data in self.pieces)
+        return b"".join(direction + b" " + data + b"\n" for direction, data in self.pieces)
 
 
 def account_record() -> dict[str, Any]:
@@ -322,14 +324,17 @@
     }
 
 
-def fixed_randomness() -> Any:
-    stack = mock.patch.multiple(secrets, token_hex=lambda size=8: "5a" * size)
-    nonces = mock.patch.object(Nonce, "create", lambda: Nonce("relay-nonce"))
-    return stack, nonces
+@contextmanager
+def fixed_randomness() -> Iterator[None]:
+    with (
+        mock.patch.multiple(secrets, token_hex=lambda size=8: "5a" * size),
+        mock.patch.object(Nonce, "create", lambda: Nonce("relay-nonce")),
+    ):
+        yield
 
 
 async def accept_client(channel: ScriptedChannel, tls: bool) -> str:
-    """A client's stream up to its wish to bind, or the fault that ended it."""
+    """A client's stream up to its bind request, or the fault that ended it."""
     endpoint = EndpointOptions("guides.example", "relay", "relay-pw", None)
     context: Any = object() if tls else None
     options = XmppOptions(("127.0.0.1", 0), "guides.example", context, 2000.0, endpoint, 0)
@@ -399,9 +404,9 @@
 
 STARTTLS = b"<starttls xmlns='urn:ietf:params:xml:ns:xmpp-tls'/>"
 BIND = b"<bind xmlns='urn:ietf:params:xml:ns:xmpp-bind'>%s</bind>"
-BIND_WISH = b"<iq type='set' id='b1'>" + BIND % b"<resource>desk</resource>" + b"</iq>"
+BIND_REQUEST = b"<iq type='set' id='b1'>" + BIND % b"<resource>desk</resource>" + b"</iq>"
 BOUND = b"<iq type='result' id='bind'>" + BIND % b"<jid>lan@guides.example/desk</jid>" + b"</iq>"
-NO_ROOM = b"<iq type='error' id='bind'><error type='wait'><resource-constraint/></error></iq>"
+NO_CAPACITY = b"<iq type='error' id='bind'><error type='wait'><resource-constraint/></error></iq>"
 BUSY_STREAM = encode_stream_error("resource-constraint")
 
 
@@ -423,8 +428,8 @@
     bind_first_scram = ScriptedScram()
     wrong = plain("\0lan\0wrong")
     return {
-        "scram": (False, [HEADER, scram.auth, scram.response, HEADER, BIND_WISH]),
-        "plain-over-tls": (True, [HEADER, STARTTLS, HEADER, plain("\0lan\0pw"), HEADER, BIND_WISH]),
+        "scram": (False, [HEADER, scram.auth, scram.response, HEADER, BIND_REQUEST]),
+        "plain-over-tls": (True, [HEADER, STARTTLS, HEADER, plain("\0lan\0pw"), HEADER, BIND_REQUEST]),
         "no-tls": (True, [HEADER, b"<auth/>"]),
         "wrong-password": (True, [HEADER, STARTTLS, HEADER, wrong, wrong, wrong]),
         "sasl-failures": (
@@ -460,7 +465,7 @@
     return {
         "scram": (False, [sasl, scram.challenge, scram.success, bind, BOUND]),
         "plain-over-tls": (True, [*tls, success, bind, BOUND]),
-        "no-room": (True, [*tls, success, bind, NO_ROOM]),
+        "no-room": (True, [*tls, success, bind, NO_CAPACITY]),
         "busy": (False, [SERVER_HEADER + BUSY_STREAM]),
         "lost-its-tls": (True, [sasl]),
         "no-mechanism": (False, [mechanisms(b"X")]),
@@ -468,15 +473,14 @@
     }
 
 
-def converse(name: str, side: str) -> bytes:
+async def converse(name: str, side: str) -> bytes:
     scripts, run = (
         (client_scripts(), accept_client) if side == "client" else (endpoint_scripts(), dial_endpoint)
     )
     tls, lines = scripts[name]
     channel = ScriptedChannel(*lines)
-    hexes, nonces = fixed_randomness()
-    with hexes, nonces:
-        result = bounded(run(channel, tls))
+    with fixed_randomness():
+        result = await run(channel, tls)
     return channel.transcript() + b"= " + result.encode() + b"\n"
 
 
@@ -484,10 +488,10 @@
 CONVERSATIONS += [("endpoint", name) for name in endpoint_scripts()]
 
 
-def produced() -> dict[str, bytes]:
-    files = {"platform.json": as_json(make_platform()), "xmpp.json": as_json(make_xmpp())}
+async def produced() -> dict[str, bytes]:
+    files = {"platform.json": as_json(await make_platform()), "xmpp.json": as_json(await make_xmpp())}
     for side, name in CONVERSATIONS:
-        files[f"xmpp-{side}-{name}.transcript"] = converse(name, side)
+        files[f"xmpp-{side}-{name}.transcript"] = await converse(name, side)
     return files
 
 
@@ -498,37 +502,37 @@
     return {key: data for key, data in from_json("platform.json").items() if key.startswith(prefix)}
 
 
-def test_the_platform_answers_first_lines_and_refusals_as_it_did() -> None:
-    told = in_folder(platform_answers)
-    assert told == {key: from_json("platform.json")[key] for key in told}
+async def test_the_platform_answers_first_lines_and_refusals_as_it_did() -> None:
+    answers = await in_folder(platform_answers)
+    assert answers == {key: from_json("platform.json")[key] for key in answers}
     recorded = {*recorded_platform("first-line"), *recorded_platform("answer")} - {"first-line.id-in-use"}
-    assert set(told) == recorded | {"turned-away"}
+    assert set(answers) == recorded | {"turned-away"}
 
 
-def test_an_id_in_use_and_a_hasty_client_are_answered_as_they_were() -> None:
-    told = in_folder(platform_ids_and_haste)
-    assert told == {key: from_json("platform.json")[key] for key in told}
+async def test_an_id_in_use_and_a_hasty_client_are_answered_as_they_were() -> None:
+    answers = await in_folder(platform_ids_and_haste)
+    assert answers == {key: from_json("platform.json")[key] for key in answers}
 
 
 @pytest.mark.parametrize("name", ENDPOINTS)
-def test_what_an_endpoint_says_reaches_the_client_as_it_did(name: str) -> None:
+async def test_what_an_endpoint_says_reaches_the_client_as_it_did(name: str) -> None:
     recorded = from_json("platform.json")
-    told, forwarded = in_folder(platform_exchange, responds_with(ENDPOINTS[name]))
-    assert told == recorded[f"exchange.{name}"]
-    assert forwarded == recorded[f"forwarded.{name}"]
+    exchange = await in_folder(platform_exchange, responds_with(ENDPOINTS[name]))
+    assert exchange.received == recorded[f"exchange.{name}"]
+    assert exchange.forwarded == recorded[f"forwarded.{name}"]
 
 
-def test_a_client_that_stands_is_told_to_move_as_it_was() -> None:
-    assert in_folder(platform_move) == from_json("platform.json")["exchange.moved"]
+async def test_an_established_client_is_asked_to_move_as_it_was() -> None:
+    assert await in_folder(platform_move) == from_json("platform.json")["exchange.moved"]
 
 
-def test_xmpp_answers_and_stream_errors_are_as_they_were() -> None:
-    assert make_xmpp() == from_json("xmpp.json")
+async def test_xmpp_answers_and_stream_errors_are_as_they_were() -> None:
+    assert await make_xmpp() == from_json("xmpp.json")
 
 
 @pytest.mark.parametrize(("side", "name"), CONVERSATIONS)
-def test_xmpp_conversations_are_as_they_were(side: str, name: str) -> None:
-    assert converse(name, side) == (FIXTURES / f"xmpp-{side}-{name}.transcript").read_bytes()
+async def test_xmpp_conversations_are_as_they_were(side: str, name: str) -> None:
+    assert await converse(name, side) == (FIXTURES / f"xmpp-{side}-{name}.transcript").read_bytes()
 
 
 def test_stanzas_are_passed_on_as_they_stood() -> None:
