--- a/sageturn/config/settings.py
+++ b/sageturn/config/settings.py
@@ -76,7 +76,7 @@
 def _read_classes(
     top: ConfigSection, message_objectives_ms: list[float]
 ) -> tuple[decision.RequestClass, ...]:
-    """``message_objectives_ms`` has one item for each class, in the same order, or fewer."""
+    """Decode the classes; ``message_objectives_ms`` has an item for each, in the same order, or fewer."""
     return tuple(
         _read_class(section, _item_or_zero(message_objectives_ms, index))
         for index, section in enumerate(top.array("classes").sections())
@@ -84,7 +84,7 @@
 
 
 def _read_tenants(top: ConfigSection, quotas: list[float]) -> tuple[decision.Tenant, ...]:
-    """``quotas`` has one item for each tenant, in connections and in the same order, or fewer."""
+    """Decode the tenants; ``quotas`` has an item for each, in connections, in the same order, or fewer."""
     return tuple(
         _read_tenant(section, _item_or_zero(quotas, index))
         for index, section in enumerate(top.array("accounts", []).sections())
--- a/sageturn/frontends/platform/line_forwarder.py
+++ b/sageturn/frontends/platform/line_forwarder.py
@@ -13,7 +13,7 @@
 
 
 class LineForwarder:
-    """One direction of an established connection.
+    """Forwards one direction of an established connection.
 
     Only complete lines are written, so that the relay can insert a line of its own between any two writes.
     """
--- a/sageturn/frontends/platform/relaying.py
+++ b/sageturn/frontends/platform/relaying.py
@@ -27,7 +27,7 @@
 
 
 class LineRelay:
-    """Both directions between one client and its endpoint."""
+    """Forwards lines both ways between a client and its endpoint, and migrates the client."""
 
     def __init__(
         self,
--- a/sageturn/frontends/xmpp/options.py
+++ b/sageturn/frontends/xmpp/options.py
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointOptions:
-    """How the relay logs in at endpoints."""
+    """The relay's account at endpoints, and the TLS context for connections to them."""
 
     domain: str
     username: str
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class XmppOptions:
-    """Where clients are accepted, and how they are served."""
+    """The listening address, time limits and TLS context for clients, and the endpoints' options."""
 
     listen: Address
     domain: str
--- a/sageturn/frontends/xmpp/relaying.py
+++ b/sageturn/frontends/xmpp/relaying.py
@@ -43,7 +43,7 @@
 
 
 class StanzaRelay:
-    """Both directions between one client and its endpoint."""
+    """Forwards stanzas both ways between a client and its endpoint, and migrates the client."""
 
     def __init__(
         self,
--- a/sageturn/frontends/xmpp/session.py
+++ b/sageturn/frontends/xmpp/session.py
@@ -23,7 +23,7 @@
 
 
 class XmppSession:
-    """Both directions of one connection's stream, which is restarted after TLS and SASL."""
+    """Sends and receives one connection's stream, which is restarted after TLS and SASL."""
 
     def __init__(self, channel: Channel) -> None:
         self.channel = channel
--- a/sageturn/net/discovery_watch.py
+++ b/sageturn/net/discovery_watch.py
@@ -72,7 +72,7 @@
 
 
 class DiscoveryWatch:
-    """One call to discovery, from connecting to the end of its connection."""
+    """Makes one call to discovery, and follows its response until the connection ends."""
 
     def __init__(
         self,
--- a/sageturn/net/health_check_client.py
+++ b/sageturn/net/health_check_client.py
@@ -48,28 +48,28 @@
     def __init__(
         self,
         addresses: Mapping[str, Address],
-        fields: Collection[str],
-        connect_s: float,
-        keep_s: float,
+        report_fields: Collection[str],
+        connect_timeout_s: float,
+        keepalive_s: float,
         on_completed: Callable[[HealthCheckCompleted], Awaitable[None]],
-        dropped: Counter[str],
+        invalid_values: Counter[str],
     ) -> None:
         """Prepare the client; nothing is connected before the first check.
 
         Args:
             addresses: the addresses of all endpoints by name; the registry updates them.
-            fields: the fields of a load report, by the settings.
-            connect_s: the connect timeout, in seconds.
-            keep_s: how long an endpoint leaves an idle connection open, in seconds.
+            report_fields: the fields of a load report, by the settings.
+            connect_timeout_s: the connect timeout, in seconds.
+            keepalive_s: how long an endpoint leaves an idle connection open, in seconds.
             on_completed: called with the outcome of each check.
-            dropped: counts the values of reports that could not be used, by reason.
+            invalid_values: counts the values of reports that could not be used, by reason.
         """
         self._addresses = addresses
-        self._fields = fields
-        self._connect_timeout_s = connect_s
-        self._keep_s = keep_s
+        self._report_fields = report_fields
+        self._connect_timeout_s = connect_timeout_s
+        self._keepalive_s = keepalive_s
         self.on_completed = on_completed
-        self._dropped = dropped
+        self._invalid_values = invalid_values
         self._idle: dict[str, _IdleConnection] = {}
         self._checks: dict[str, asyncio.Task[None]] = {}
 
@@ -89,7 +89,7 @@
 
     def _close_idle(self) -> None:
         """Close connections that are idle for too long, also those to endpoints that have left the list."""
-        oldest_s = asyncio.get_running_loop().time() - self._keep_s / 2.0
+        oldest_s = asyncio.get_running_loop().time() - self._keepalive_s / 2.0
         expired = [name for name, idle in self._idle.items() if idle.last_used_s < oldest_s]
         for endpoint in expired:
             self._idle.pop(endpoint).sock.close()
@@ -125,7 +125,7 @@
             return _Outcome("refused")
         if word != b"PONG":
             return _Outcome("error")
-        return _Outcome("ok", read_report(report, self._fields, self._dropped))
+        return _Outcome("ok", read_report(report, self._report_fields, self._invalid_values))
 
     async def _exchange(self, endpoint: str, sock: socket.socket) -> bytes:
         """Send a request and return the response line without its CRLF; the connection is kept as idle.
