--- a/tests/config/test_compatibility_operators.py
+++ b/tests/config/test_compatibility_operators.py
@@ -13,7 +13,6 @@
 import tempfile
 from collections.abc import Mapping, Sequence
 from pathlib import Path
-from typing import Any
 
 import pytest
 import trustme
@@ -23,6 +22,7 @@
 from sageturn.config.loader import load
 from sageturn.config.operator import OperatorConfig
 from sageturn.config.platform import RelayConfig
+from sageturn.net.json_stream import JsonObject
 
 FIXTURES = Path(__file__).parents[1] / "fixtures" / "operators"
 ROOT = Path(__file__).parents[2]
@@ -126,7 +126,7 @@
 }
 
 
-def encode_fields(obj: object, names: Sequence[str] | Mapping[str, str]) -> dict[str, Any]:
+def encode_fields(obj: object, names: Sequence[str] | Mapping[str, str]) -> JsonObject:
     """The fields of ``obj`` by their names in the fixtures."""
     pairs = names.items() if isinstance(names, Mapping) else zip(names, names, strict=True)
     return {
@@ -134,15 +134,15 @@
     }
 
 
-def encode_tls(context: ssl.SSLContext | None) -> dict[str, Any] | None:
+def encode_tls(context: ssl.SSLContext | None) -> JsonObject | None:
     if context is None:
         return None
     return {"least": context.minimum_version.name, "verifies": context.verify_mode.name}
 
 
-def encode_operator(operator: OperatorConfig, folder: Path) -> dict[str, Any]:
+def encode_operator(operator: OperatorConfig, folder: Path) -> JsonObject:
     """The decoded file in plain JSON; secrets by what they come to."""
-    encoded: dict[str, Any] = dict.fromkeys(("path", "store", "xmpp", "flows", "rebalance", "overrides"))
+    encoded: JsonObject = dict.fromkeys(("path", "store", "xmpp", "flows", "rebalance", "overrides"))
     if operator.store_path is not None:
         encoded["path"] = str(operator.store_path.relative_to(folder))
     if (store := operator.replication) is not None:
@@ -162,11 +162,11 @@
         keys = {name: key.public_bytes_raw().hex() for name, key in overrides.operators.items()}
         floors = encode_fields(overrides.safety_limits, FLOORS)
         encoded["overrides"] = {"operators": keys, "longest_s": overrides.max_duration_s, "floors": floors}
-    decoded: dict[str, Any] = json.loads(json.dumps(encoded))
+    decoded: JsonObject = json.loads(json.dumps(encoded))
     return decoded
 
 
-def encode_config(config: RelayConfig) -> dict[str, Any]:
+def encode_config(config: RelayConfig) -> JsonObject:
     """The relay's own configuration in plain JSON."""
     settings, known = config.settings, config.known_endpoints
     parts = {
@@ -179,7 +179,7 @@
         "known": encode_fields(known, LISTED)
         | {"servers": [encode_fields(endpoint, SERVER) for endpoint in known.endpoints]},
     }
-    decoded: dict[str, Any] = json.loads(json.dumps(encoded))
+    decoded: JsonObject = json.loads(json.dumps(encoded))
     return decoded
 
 
@@ -201,18 +201,18 @@
     return load({"GW_CONFIG": str(config)}, str(file)).operator
 
 
-def decode(source: Path) -> dict[str, Any]:
+def decode(source: Path) -> JsonObject:
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name).resolve()
         return encode_operator(read_operator_file(source, folder), folder / "deploy")
 
 
-def to_json_bytes(decoded: dict[str, Any]) -> bytes:
+def to_json_bytes(decoded: JsonObject) -> bytes:
     return json.dumps(decoded, indent=1, sort_keys=True).encode() + b"\n"
 
 
 # Files with every key that there is, and with none but the required ones.
-ALL_KEYS: dict[str, Any] = {
+ALL_KEYS: JsonObject = {
     "store": {
         "path": "store.log",
         "listen": "127.0.0.1:7400",
@@ -265,7 +265,7 @@
         "floor_pin": 0.2,
     },
 }
-REQUIRED_KEYS: dict[str, Any] = {
+REQUIRED_KEYS: JsonObject = {
     "store": {"listen": "127.0.0.1:7400", "secret_file": "../var/replica.secret"},
     "xmpp": {
         "listen": "127.0.0.1:5222",
@@ -276,7 +276,7 @@
     "rebalance": {},
     "overrides": {},
 }
-CONFIG: dict[str, Any] = {
+CONFIG: JsonObject = {
     "name": "n1",
     "listen": "127.0.0.1:7000",
     "discovery": "127.0.0.1:7001",
--- a/tests/config/test_deployments.py
+++ b/tests/config/test_deployments.py
@@ -46,12 +46,13 @@
 from sageturn.core.shutdown_schedule import shutdown_schedule
 from sageturn.frontends import frontend_connection
 from sageturn.net import sockets
+from sageturn.net.json_stream import JsonObject
 from sageturn.relay import Relay
 
 # ---------------------------------------------------------------- names do not matter
 
 
-def renamed_and_shuffled(conf: dict[str, Any], rng: Random) -> tuple[dict[str, Any], dict[str, str]]:
+def renamed_and_shuffled(conf: JsonObject, rng: Random) -> tuple[JsonObject, dict[str, str]]:
     """Other names for classes, tenants and zones, in another order; with what each is called now."""
     conf = copy.deepcopy(conf)
     names = {old: f"z{rng.random()}" for old in ("gate", "deck", "north", "south", "pier", "quay", "isle")}
--- a/tests/config/test_fields.py
+++ b/tests/config/test_fields.py
@@ -9,8 +9,9 @@
 
 from sageturn.config.errors import ConfigError
 from sageturn.config.fields import ConfigSection
+from sageturn.net.json_stream import JsonObject
 
-VALUES: dict[str, Any] = {
+VALUES: JsonObject = {
     "text": "some",
     "flag": True,
     "half": 0.5,
@@ -56,7 +57,7 @@
         (lambda section: section.contains("null"), True),
     ],
 )
-def test_value_of_the_right_kind_is_returned(read: Callable[[ConfigSection], Any], expected: Any) -> None:
+def test_value_of_the_right_kind_is_returned(read: Callable[[ConfigSection], Any], expected: object) -> None:
     value = read(make_section())
     assert value == expected
     assert type(value) is type(expected)
--- a/tests/config/test_loader.py
+++ b/tests/config/test_loader.py
@@ -11,6 +11,7 @@
 
 from sageturn.config.errors import ConfigError
 from sageturn.config.loader import load
+from sageturn.net.json_stream import JsonObject
 
 FILE_ADDRESS = ("127.0.0.1", 9)
 
@@ -62,7 +63,7 @@
     ],
 )
 def test_error_names_the_key_or_the_variable(
-    tmp_path: Path, changes: dict[str, Any], variables: dict[str, str], message: str
+    tmp_path: Path, changes: JsonObject, variables: dict[str, str], message: str
 ) -> None:
     with pytest.raises(ConfigError) as error:
         load(write(tmp_path, **changes) | variables)
--- a/tests/config/test_settings.py
+++ b/tests/config/test_settings.py
@@ -60,13 +60,13 @@
         ("weightKind", 4, "weightKind"),
     ],
 )
-def test_missing_or_invalid_value_is_refused_by_its_key(path: str, value: Any, key: str) -> None:
+def test_missing_or_invalid_value_is_refused_by_its_key(path: str, value: object, key: str) -> None:
     # Errors once named a field of the program, or nothing, and infinity was accepted.
     with pytest.raises(ConfigError, match=f"settings.*{key}"):
         read_settings(with_value(FERRY_SETTINGS, path, value), "settings")
 
 
-def paths_in(value: Any, prefix: str = "") -> list[str]:
+def paths_in(value: object, prefix: str = "") -> list[str]:
     """The paths to all that ``value`` contains."""
     if isinstance(value, dict):
         items = list(value.items())
--- a/tests/frontends/test_compatibility_frontends.py
+++ b/tests/frontends/test_compatibility_frontends.py
@@ -41,6 +41,7 @@
 from sageturn.frontends.xmpp.options import EndpointOptions, XmppOptions
 from sageturn.frontends.xmpp.session import XmppSession
 from sageturn.frontends.xmpp.stream_parser import StreamParser
+from sageturn.net.json_stream import JsonObject
 
 FIXTURES = Path(__file__).parents[1] / "fixtures" / "fronts"
 
@@ -310,7 +311,7 @@
         return b"".join(direction + b" " + data + b"\n" for direction, data in self.pieces)
 
 
-def account_record() -> dict[str, Any]:
+def account_record() -> JsonObject:
     made = ScramMechanism("SCRAM-SHA-256").make_auth_info(ACCOUNT_PASSWORD, iteration_count=4096, salt=SALT)
     salt, stored, endpoint, count = made
     return {
--- a/tests/net/test_descriptor_exhaustion.py
+++ b/tests/net/test_descriptor_exhaustion.py
@@ -10,7 +10,6 @@
 from collections.abc import AsyncIterator, Iterator
 from contextlib import AsyncExitStack, asynccontextmanager, contextmanager
 from pathlib import Path
-from typing import Any
 
 import pytest
 from support.network_fakes import (
@@ -30,6 +29,8 @@
 )
 from support.ports import Address, free_port
 
+from sageturn.net.json_stream import JsonObject
+
 DESCRIPTORS = 56
 IDLE_CLIENTS = 60
 UPDATE_S = 6.0  # by then the relay has received discovery's list
@@ -64,7 +65,7 @@
 
 
 def write_limited_config(
-    folder: Path, listen: Address, discovery: Address, known: dict[str, Any], lists: str
+    folder: Path, listen: Address, discovery: Address, known: JsonObject, lists: str
 ) -> Path:
     return write_config(
         folder,
--- a/tests/net/test_discovery_client.py
+++ b/tests/net/test_discovery_client.py
@@ -19,6 +19,7 @@
 from sageturn.net.discovery import DiscoveryClient
 from sageturn.net.endpoint_list import parse_endpoint_list
 from sageturn.net.errors import InvalidEndpointListError
+from sageturn.net.json_stream import JsonObject
 from sageturn.net.sockets import ConnectFailure, bind_socket
 from sageturn.relay import Relay
 
@@ -30,7 +31,7 @@
 
 
 async def run_until_version_7(
-    folder: Path, *answers: bytes, known: dict[str, Any] | None = None
+    folder: Path, *answers: bytes, known: JsonObject | None = None
 ) -> tuple[Relay, Discovery]:
     """A relay that has received version 7 of the list, in whatever way, and its discovery."""
     async with AsyncExitStack() as stack:
--- a/tests/net/test_endpoint_list.py
+++ b/tests/net/test_endpoint_list.py
@@ -18,7 +18,7 @@
 from sageturn.net.discovery import DiscoveryClient
 from sageturn.net.endpoint_list import parse_endpoint_list
 from sageturn.net.errors import InvalidEndpointListError, InvalidJsonStreamError
-from sageturn.net.json_stream import JsonObjectSplitter
+from sageturn.net.json_stream import JsonObject, JsonObjectSplitter
 
 TEXTS = st.text(st.sampled_from('ab{}[]"\\\n é'), max_size=8)
 VALUES = st.recursive(
@@ -51,7 +51,7 @@
         list(JsonObjectSplitter(100).feed(text))
 
 
-def entry(**more: Any) -> dict[str, Any]:
+def entry(**more: object) -> JsonObject:
     return {"id": "a", "addr": "127.0.0.1:9", "state": "ready", **more}
 
 
@@ -74,7 +74,7 @@
         ("state", None),
     ],
 )
-def test_invalid_entry_is_refused_by_its_key_and_with_it_the_list(key: str, bad: Any) -> None:
+def test_invalid_entry_is_refused_by_its_key_and_with_it_the_list(key: str, bad: object) -> None:
     # A start time that was a text was once taken over, and failed the balancer half way through the list.
     with pytest.raises((InvalidEndpointListError, ValueError)) as found:
         parse_endpoint_list({"version": 3, "full": True, "servers": [entry(id="b"), entry(**{key: bad})]})
@@ -82,7 +82,7 @@
 
 
 @pytest.mark.parametrize("top", [{"version": "3"}, {"version": True}, {"full": "no"}, {"servers": None}])
-def test_invalid_list_is_refused(top: dict[str, Any]) -> None:
+def test_invalid_list_is_refused(top: JsonObject) -> None:
     with pytest.raises(InvalidEndpointListError):
         parse_endpoint_list({"version": 3, "full": True, "servers": [entry()], **top})
 
--- a/tests/support/deployments.py
+++ b/tests/support/deployments.py
@@ -5,8 +5,10 @@
 import copy
 from typing import Any
 
+from sageturn.net.json_stream import JsonObject
+
 # Of a deployment that nobody runs: three zones, two classes, six attempts, load reports with responses too.
-FERRY_SETTINGS: dict[str, Any] = {
+FERRY_SETTINGS: JsonObject = {
     "accounts": [{"name": "north", "allowancePerS": 3.0}, {"name": "south", "allowancePerS": 1.5}],
     "classes": [
         {"name": "gate", "aimMs": 200.0, "hardLimitMs": 900.0, "semantics": "safe", "keyTtlMs": 0.0},
@@ -44,7 +46,7 @@
 }
 
 
-def with_value(settings: dict[str, Any], path: str, value: Any) -> dict[str, Any]:
+def with_value(settings: JsonObject, path: str, value: object) -> JsonObject:
     """A copy with another value at ``path``, such as ``classes.0.name``; ``...`` removes the key."""
     settings = copy.deepcopy(settings)
     *parents, last = path.split(".")
--- a/tests/support/network_fakes.py
+++ b/tests/support/network_fakes.py
@@ -10,17 +10,17 @@
 from contextlib import AsyncExitStack, asynccontextmanager
 from functools import partial
 from pathlib import Path
-from typing import Any
 
 from support.ports import Address
 
 from sageturn.config.loader import load
+from sageturn.net.json_stream import JsonObject
 from sageturn.relay import Relay
 
 Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 Script = Callable[[asyncio.StreamReader, asyncio.StreamWriter, bytes], Awaitable[None]]
 
-SETTINGS: dict[str, Any] = {
+SETTINGS: JsonObject = {
     "accounts": [{"name": "t", "fraction": 1.0, "allowancePerS": 50.0}],
     "classes": [{"name": "c", "aimMs": 1500.0, "hardLimitMs": 3000.0, "semantics": "safe"}],
     "discovery": "ask",
@@ -124,13 +124,13 @@
         writer.close()
 
 
-def chunked(*objects: dict[str, Any]) -> bytes:
+def chunked(*objects: JsonObject) -> bytes:
     parts = [json.dumps(value).encode() + b"\n" for value in objects]
     body = b"".join(b"%x\r\n%s\r\n" % (len(part), part) for part in parts)
     return b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + body
 
 
-def listed(endpoints: dict[str, Address], version: int = 1, state: str = "ready") -> dict[str, Any]:
+def listed(endpoints: dict[str, Address], version: int = 1, state: str = "ready") -> JsonObject:
     servers = [
         {"id": name, "addr": f"{host}:{port}", "state": state} for name, (host, port) in endpoints.items()
     ]
@@ -147,7 +147,7 @@
         server.close()
 
 
-def write_config(folder: Path, discovery: Address, known: dict[str, Any] | None = None, **more: Any) -> Path:
+def write_config(folder: Path, discovery: Address, known: JsonObject | None = None, **more: object) -> Path:
     file = folder / "config.json"
     content = {
         "name": "n1",
@@ -176,7 +176,7 @@
 
 @asynccontextmanager
 async def relaying(
-    folder: Path, *scripts: Script, operator: dict[str, Any] | None = None, **more: Any
+    folder: Path, *scripts: Script, operator: JsonObject | None = None, **more: object
 ) -> AsyncIterator[tuple[Relay, list[FakeEndpoint]]]:
     """A relay whose list names one endpoint for each script, in the order a, b, c."""
     file = folder / "operator.json"
