--- /dev/null
+++ b/tests/lab/test_scale_counting.py
@@ -0,0 +1,92 @@
+"""Counting of traffic and processor time by member."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+import struct
+from pathlib import Path
+
+import msgspec
+import pytest
+
+from sageturn.lab.scale import counting
+from sageturn.lab.scale.arrivals import encode_durations
+from sageturn.lab.scale.counting import CountingSocket, Counts, owned
+from sageturn.lab.scale.usage import encode_usage
+
+
+def test_a_counting_socket_agrees_with_the_kernel(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    file = tmp_path / "counts"
+    counting.create_file(file, 2)
+    flat = memoryview(bytearray(file.read_bytes())).cast("Q")
+    monkeypatch.setattr(counting, "_counters", flat)
+    with socket.socket() as listener:
+        listener.bind(("127.0.0.1", 0))
+        listener.listen()
+        with owned(1, "store"):
+            ours = CountingSocket(socket.AF_INET, socket.SOCK_STREAM)
+        with owned(0, "list"):
+            other = CountingSocket(socket.AF_INET, socket.SOCK_STREAM)
+        stray = CountingSocket(socket.AF_INET, socket.SOCK_STREAM)
+        ours.connect(listener.getsockname())
+        theirs, _ = listener.accept()
+        assert ours.send(b"abc") == 3 and ours.sendmsg((b"de", b"f")) == 3
+        theirs.sendall(bytes(1000))
+        buffer = bytearray(600)
+        assert ours.recv_into(buffer) == 600 and len(ours.recv(600)) == 400
+        # struct tcp_info: octets that the other side has acknowledged, and octets that came in
+        _, received = struct.unpack_from("QQ", ours.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 160), 120)
+        for sock in (ours, other, stray, theirs):
+            sock.close()
+    file.write_bytes(flat.tobytes())
+    nobody, counts = counting.read_file(file, 2)
+    assert counts.values["store"] == {
+        "in_octets": 1000,
+        "out_octets": 6,
+        "in_messages": 2,
+        "out_messages": 2,
+    }
+    assert received == 1000
+    assert counts.sum("in_octets", "list", "client") == 0 and nobody.sum("out_octets") == 0
+    assert counts.since(counts).sum("in_octets") == 0
+
+
+async def test_tasks_inherit_the_owner_of_their_sockets(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(
+        counting, "_counters", memoryview(bytearray(8 * counting.COUNTERS_PER_MEMBER)).cast("Q")
+    )
+
+    async def dial() -> None:
+        with CountingSocket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
+            sock.connect(("127.0.0.1", 9))
+            sock.send(b"12345")
+
+    with owned(0, "store"):
+        task = asyncio.ensure_future(dial())
+    await task
+    counts = counting._counters
+    assert counts is not None and sorted(counts.tolist())[-2:] == [1, 5]
+
+
+def counts_of(messages: int, octets: int) -> Counts:
+    empty = dict.fromkeys(counting.FIELDS, 0)
+    store = {**empty, "in_messages": messages, "in_octets": octets}
+    return Counts({p: dict(store if p == "store" else empty) for p in counting.PURPOSES})
+
+
+def test_processor_time_is_divided_evenly_and_by_messages_for_the_busiest() -> None:
+    rows = [[counts_of(10, 100), counts_of(30, 300)], [counts_of(40, 400)]]
+    usage = encode_usage(["hollow", "real"], rows, [0.4, 0.5], 10.0)
+    assert usage["hollow"]["core"] == pytest.approx(0.02) and usage["real"]["core"] == pytest.approx(0.05)
+    assert usage["hollow"]["core_busiest"] == pytest.approx(0.04 * 30 / 40)
+    assert usage["hollow"]["octets"] == 20.0 and usage["hollow"]["octets_most"] == 30.0
+    assert not usage["saturated"] and encode_usage(["real"], rows[1:], [9.0], 10.0)["saturated"]
+
+
+def test_durations_are_encoded_with_those_that_never_arrived() -> None:
+    assert encode_durations([]) == {"n": 0}
+    encoded = encode_durations([0.1] * 98 + [5.0, float("inf")])
+    assert (encoded["p50"], encoded["p99"], encoded["worst"]) == (0.1, 5.0, None)
+    assert encoded["over_4s"] == 2 and encoded["never"] == 1
+    assert msgspec.json.decode(msgspec.json.encode(encoded)) == encoded
