--- a/sageturn/frontends/platform/frontend.py
+++ b/sageturn/frontends/platform/frontend.py
@@ -55,9 +55,10 @@
             return
         if request_line is None:
             return
-        pending.mark_active(request_line.request.client_request_id)
+        pending.mark_active()
         try:
             connection = PlatformConnection(self._shared, sock, buffer, request_line)
+            pending.request_id = connection.lifecycle.record.log_id
             await self._shared.run_request(connection.lifecycle)
         finally:
             self._ids.release(request_line.request_id)
--- a/sageturn/frontends/xmpp/frontend.py
+++ b/sageturn/frontends/xmpp/frontend.py
@@ -68,6 +68,7 @@
         else:
             pending.mark_active()
             connection = XmppConnection(self._shared, options, session, bind_request)
+            pending.request_id = connection.lifecycle.record.log_id
             await self._shared.run_request(connection.lifecycle)
             return
         log.info("xmpp client rejected peer=%s:%d reason=%s", *pending.peer, error)
--- a/sageturn/net/admission.py
+++ b/sageturn/net/admission.py
@@ -49,7 +49,7 @@
         self._timeout: asyncio.Timeout | None = None
         self.peer = peer
         self.listener = listener
-        self.request_id = NO_REQUEST_ID
+        self.request_id = NO_REQUEST_ID  # as log lines name it; set by the frontend
         self.evicted = False
 
     def time_limit(self, seconds: float) -> asyncio.Timeout:
@@ -68,12 +68,8 @@
             with suppress(RuntimeError):  # the context has been left, or its time was just over
                 self._timeout.reschedule(0.0)
 
-    def mark_active(self, request_id: str = NO_REQUEST_ID) -> None:
-        """Exempt the connection from eviction. Called once it has sent a valid request.
-
-        ``request_id`` is what log lines call ``request``.
-        """
-        self.request_id = request_id
+    def mark_active(self) -> None:
+        """Exempt the connection from eviction. Called once it has sent a valid request."""
         self._admission.mark_active(self)
 
 
