--- a/sageturn/config/fields.py
+++ b/sageturn/config/fields.py
@@ -38,7 +38,7 @@
     says, and where the key is absent and ``default`` is None or not a parameter.
     """
 
-    def __init__(self, values: object, path: str, null_is_absent: bool = False) -> None:
+    def __init__(self, values: object, path: str, *, null_is_absent: bool = False) -> None:
         """Take over a decoded object; raises ConfigError if ``values`` is something else.
 
         Args:
@@ -119,13 +119,14 @@
 
     def section(self, key: str) -> ConfigSection:
         """Return the object at ``key``; an empty one where the key is absent."""
-        return ConfigSection(self._values.get(key, {}), self.path(key), self._null_is_absent)
+        values = self._values.get(key, {})
+        return ConfigSection(values, self.path(key), null_is_absent=self._null_is_absent)
 
     def array(self, key: str, default: Sequence[object] | None = None) -> ConfigArray:
         """Return an array."""
         default_items = None if default is None else list(default)
         items = self._value(key, list, default_items)
-        return ConfigArray(items, self.path(key), self._null_is_absent)
+        return ConfigArray(items, self.path(key), null_is_absent=self._null_is_absent)
 
     def _value(
         self, key: str, kind: type[ValueT] | tuple[type[ValueT], ...], default: ValueT | None
@@ -142,7 +143,7 @@
 class ConfigArray:
     """One array of a configuration. Its methods raise ConfigError for an item of another kind."""
 
-    def __init__(self, items: list[object], path: str, null_is_absent: bool) -> None:
+    def __init__(self, items: list[object], path: str, *, null_is_absent: bool) -> None:
         """``path`` and ``null_is_absent`` are those of the section that contains the array."""
         self._items = items
         self._path = path
@@ -185,4 +186,7 @@
 
     def sections(self) -> list[ConfigSection]:
         """Return the items, which are objects."""
-        return [ConfigSection(item, path, self._null_is_absent) for path, item in self.enumerate_items()]
+        return [
+            ConfigSection(item, path, null_is_absent=self._null_is_absent)
+            for path, item in self.enumerate_items()
+        ]
--- a/sageturn/frontends/platform/errors.py
+++ b/sageturn/frontends/platform/errors.py
@@ -12,7 +12,7 @@
 class ForwardingError(FrontendError, ConnectionError):
     """One of the two sockets of a ``LineForwarder`` failed."""
 
-    def __init__(self, source_failed: bool) -> None:
+    def __init__(self, *, source_failed: bool) -> None:
         """``source_failed`` is true for the socket that is read, false for the one that is written."""
         super().__init__("reading failed" if source_failed else "writing failed")
         self.source_failed = source_failed
--- a/sageturn/frontends/xmpp/channel.py
+++ b/sageturn/frontends/xmpp/channel.py
@@ -52,7 +52,7 @@
     is_encrypted = True
 
     def __init__(
-        self, sock: socket.socket, context: ssl.SSLContext, server_side: bool, host: str | None = None
+        self, sock: socket.socket, context: ssl.SSLContext, *, server_side: bool, host: str | None = None
     ) -> None:
         super().__init__(sock)
         self._incoming = ssl.MemoryBIO()
--- a/sageturn/frontends/xmpp/client_login.py
+++ b/sageturn/frontends/xmpp/client_login.py
@@ -21,6 +21,7 @@
 
 MAX_LOGIN_ATTEMPTS = 3
 MAX_RESOURCE_BYTES = 1023
+PLAIN_PARTS = 3  # the identity to act for, the name and the password
 
 
 @dataclass(frozen=True, slots=True)
@@ -102,7 +103,7 @@
 
     async def _log_in_plain(self, auth: Element) -> Account:
         parts = _decode_base64(auth.text).split(b"\0")
-        if len(parts) != 3:
+        if len(parts) != PLAIN_PARTS:
             raise SaslError(SaslCondition.MALFORMED_REQUEST)
         try:
             authorization_id, name, password = (part.decode() for part in parts)
--- a/sageturn/net/sockets.py
+++ b/sageturn/net/sockets.py
@@ -99,7 +99,7 @@
     return sock
 
 
-def _create_socket(use_reserve: bool) -> socket.socket:
+def _create_socket(*, use_reserve: bool) -> socket.socket:
     try:
         return socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     except OSError as error:
@@ -111,7 +111,7 @@
 
 
 async def connect(
-    address: Address, timeout_s: float, use_reserve: bool = True
+    address: Address, timeout_s: float, *, use_reserve: bool = True
 ) -> socket.socket | ConnectFailure:
     """Connect within ``timeout_s`` seconds, on a descriptor of the reserve if there is no other.
 
@@ -123,7 +123,7 @@
     try:
         async with asyncio.timeout(timeout_s):
             while True:
-                connected = await _connect_once(address, use_reserve)
+                connected = await _connect_once(address, use_reserve=use_reserve)
                 if connected is not ConnectFailure.LOCAL or loop.time() >= local_deadline_s:
                     return connected
                 await asyncio.sleep(LOCAL_RETRY_S)
@@ -131,10 +131,10 @@
         return ConnectFailure.NEVER_UP
 
 
-async def _connect_once(address: Address, use_reserve: bool) -> socket.socket | ConnectFailure:
+async def _connect_once(address: Address, *, use_reserve: bool) -> socket.socket | ConnectFailure:
     """Connect without a time limit; the socket is closed when this is cancelled."""
     try:
-        sock = _create_socket(use_reserve)
+        sock = _create_socket(use_reserve=use_reserve)
     except OSError as error:
         if error.errno in (errno.ENOBUFS, errno.ENOMEM):
             return ConnectFailure.LOCAL
--- a/tests/config/test_fields.py
+++ b/tests/config/test_fields.py
@@ -31,7 +31,7 @@
 
 
 def make_section(null_is_absent: bool = False) -> ConfigSection:
-    return ConfigSection(VALUES, "file.section", null_is_absent)
+    return ConfigSection(VALUES, "file.section", null_is_absent=null_is_absent)
 
 
 @pytest.mark.parametrize(
