--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-import asyncio
 import sys
 import tomllib
 from dataclasses import replace
@@ -65,16 +64,18 @@
 def test_a_cold_host_crashes_when_it_is_sent_too_much_and_only_then() -> None:
     # 100 over 24 s is its pace; at a start of 12% it may be sent four times 0.5 a second, over 3 s.
     overloaded, spared = make_host(started_s=0.0), make_host(started_s=0.0)
-    for k in range(30):
-        overloaded.admit(0.1 + k * 0.05, 1.0)
-        spared.admit(0.1 + k * 0.6, 1.0)
+    for number in range(30):
+        overloaded.admit(0.1 + number * 0.05, 1.0)
+        spared.admit(0.1 + number * 0.6, 1.0)
     assert overloaded.crashed and not spared.crashed and spared.peak_intake_ratio < 1.0
     assert not overloaded.admit(60.0, 1.0), "it stays down"
 
 
-def run(mover: str, processes: int = 1, seconds: float = 150.0, spec: FleetSpec = SMALL) -> SimulationResult:
+def run(
+    planner: str, processes: int = 1, seconds: float = 150.0, spec: FleetSpec = SMALL
+) -> SimulationResult:
     options = RebalanceOptions(mode="on", part_per_min=0.4)
-    return simulate(spec, mover, options, seconds, processes)
+    return simulate(spec, planner, options, seconds, processes)
 
 
 def setup_counts(result: SimulationResult) -> list[int]:
@@ -89,26 +90,24 @@
 
 
 def test_the_planner_balances_a_small_fleet_and_keeps_its_promises() -> None:
-    off, on = run("off", 1), run("on", 1)
-    assert sum(on.imbalance_ratios[-20:]) < sum(off.imbalance_ratios[-20:]) - 20 * 0.1
-    assert on.counts["moved"] > 0 and off.counts["moved"] == 0
-    assert on.counts["groups_split"] == on.counts["checkin_moved"] == on.crashed_hosts == 0
-    assert on.peak_intake_ratio < 1.0
-
-
-def test_real_relays_run_between_the_fakes() -> None:
-    async def go() -> None:
-        spec = FleetSpec(relays=2, hosts=3, initial_hosts=2, connections=60, mean_lifetime_s=20.0, join_s=0.5)
-        async with deployed(spec, "on", {"tick_s": 0.1}) as deployment:
-            result = await deployment.run(2.0)
-        counts = result.observations.counts
-        assert result.malformed_requests == 0 and result.crashed_hosts == 0
-        assert counts["set_up"] > 0 and result.samples[-1].established > 30
-        assert counts["error"] == counts["unanswered"] == 0
-        assert len(result.planner_states) == 2
-        assert all(state["mode"] == "on" for state in result.planner_states)
-
-    asyncio.run(asyncio.wait_for(go(), 40))
+    unbalanced, balanced = run("off", 1), run("on", 1)
+    assert sum(balanced.imbalance_ratios[-20:]) < sum(unbalanced.imbalance_ratios[-20:]) - 20 * 0.1
+    assert balanced.counts["moved"] > 0 and unbalanced.counts["moved"] == 0
+    assert balanced.counts["groups_split"] == balanced.counts["checkin_moved"] == balanced.crashed_hosts == 0
+    assert balanced.peak_intake_ratio < 1.0
+
+
+@pytest.mark.timeout(40)
+async def test_real_relays_run_between_the_fakes() -> None:
+    spec = FleetSpec(relays=2, hosts=3, initial_hosts=2, connections=60, mean_lifetime_s=20.0, join_s=0.5)
+    async with deployed(spec, "on", {"tick_s": 0.1}) as deployment:
+        result = await deployment.run(2.0)
+    counts = result.observations.counts
+    assert result.malformed_requests == 0 and result.crashed_hosts == 0
+    assert counts["set_up"] > 0 and result.samples[-1].established > 30
+    assert counts["error"] == counts["unanswered"] == 0
+    assert len(result.planner_states) == 2
+    assert all(state["mode"] == "on" for state in result.planner_states)
 
 
 # ---------------------------------------------------------------- days, experiments, comparisons
@@ -128,7 +127,10 @@
     if kind == "slow":
         assert faulty.service() < calm.service() - 0.02
     elif kind == "store":
-        assert sum(counts[f"late_{c}"] for c in ("departures", "guest-checkin")) > 0 or counts["refused"] > 0
+        assert (
+            sum(counts[f"late_{name}"] for name in ("departures", "guest-checkin")) > 0
+            or counts["refused"] > 0
+        )
     elif kind in ("burst", "beyond"):
         # Four times the arrivals for a fifth of the day, of all clients or of a member with 27% of them.
         assert counts["asked"] > calm.counts["asked"] * (1.3 if kind == "burst" else 1.08)
@@ -266,10 +268,10 @@
 
 
 def test_a_sweep_finds_a_crossing_and_a_hunt_shrinks_scenarios() -> None:
-    points = [Point(v, 1.0 - v) for v in (0.0, 0.4, 0.8)]
-    crossing = find_crossing(points, 0.5, lambda v: 1.0 - v)
+    points = [Point(value, 1.0 - value) for value in (0.0, 0.4, 0.8)]
+    crossing = find_crossing(points, 0.5, lambda value: 1.0 - value)
     assert crossing == pytest.approx(0.5, abs=0.01)
-    assert find_crossing(points, 2.0, lambda v: 0.0) is None
+    assert find_crossing(points, 2.0, lambda value: 0.0) is None
     guilty = ScheduledFault("slow", 5.0, 16.0, 0.4, 4.0)
     whole = Scenario(
         "d", Size(), 40.0, (ScheduledFault("burst", 1.0, 5.0), guilty, ScheduledFault("flap", 1.0, 5.0))
--- a/tests/lab/test_scale_costs.py
+++ b/tests/lab/test_scale_costs.py
@@ -50,7 +50,9 @@
         build_app(), ["lab", "costs", "--out", str(tmp_path / "c"), "--only", "flow_record"]
     )
     assert kept.exit_code == 0
-    assert [json.loads(x)["part"] for x in (tmp_path / "c").read_text().splitlines()] == ["flow_record"] * 5
+    assert [json.loads(line)["part"] for line in (tmp_path / "c").read_text().splitlines()] == [
+        "flow_record"
+    ] * 5
 
 
 def test_the_command_names_a_faulty_files_key(tmp_path: Path) -> None:
--- a/tests/lab/test_scale_counting.py
+++ b/tests/lab/test_scale_counting.py
@@ -72,7 +72,7 @@
 def counts_of(messages: int, octets: int) -> Counts:
     empty = dict.fromkeys(counting.FIELDS, 0)
     store = {**empty, "in_messages": messages, "in_octets": octets}
-    return Counts({p: dict(store if p == "store" else empty) for p in counting.PURPOSES})
+    return Counts({purpose: dict(store if purpose == "store" else empty) for purpose in counting.PURPOSES})
 
 
 def test_processor_time_is_divided_evenly_and_by_messages_for_the_busiest() -> None:
--- a/tests/lab/test_scale_fits.py
+++ b/tests/lab/test_scale_fits.py
@@ -20,25 +20,27 @@
 
 
 def test_a_straight_line_is_distinguished_from_a_bent_one() -> None:
-    rows = [[1.0, n] for n in (10.0, 20.0, 40.0, 80.0)]
-    line = fit(("1", "n"), rows, [5.0 + 3.0 * n for _, n in rows])
+    rows = [[1.0, members] for members in (10.0, 20.0, 40.0, 80.0)]
+    line = fit(("1", "n"), rows, [5.0 + 3.0 * members for _, members in rows])
     assert line.values == pytest.approx((5.0, 3.0)) and line.is_straight and line.r2 == pytest.approx(1.0)
     middle, low, high = line.at([1.0, 160.0])
     assert middle == pytest.approx(485.0) and low == pytest.approx(middle) == high
-    bent = fit(("1", "n"), rows, [n * n for _, n in rows])
+    bent = fit(("1", "n"), rows, [members * members for _, members in rows])
     assert not bent.is_straight and bent.max_residual > 0.2
     assert bent.at([1.0, 160.0])[2] - bent.at([1.0, 160.0])[1] > 1000.0, "a bent line has a wide interval"
 
 
 def test_three_sizes_are_too_few_for_a_slope_however_straight() -> None:
-    rows = [[1.0, n] for n in (10.0, 20.0, 40.0)]
-    assert not fit(("1", "n"), rows, [2.0 * n for _, n in rows]).is_straight
+    rows = [[1.0, members] for members in (10.0, 20.0, 40.0)]
+    assert not fit(("1", "n"), rows, [2.0 * members for _, members in rows]).is_straight
     again = [*rows, rows[0]]
-    assert not fit(("1", "n"), again, [2.0 * n for _, n in again]).is_straight, "the same size twice is one"
+    assert not fit(("1", "n"), again, [2.0 * members for _, members in again]).is_straight, (
+        "the same size twice is one"
+    )
 
 
 @pytest.mark.parametrize(
-    ("rows", "y"),
+    ("rows", "values"),
     [
         ([[1.0, 2.0]], [3.0]),
         ([[1.0, 2.0], [1.0, 3.0]], [3.0, 0.0]),
@@ -46,9 +48,9 @@
         ([[1.0], [1.0]], [1.0, 2.0]),
     ],
 )
-def test_sizes_that_determine_no_slope_are_refused(rows: list[list[float]], y: list[float]) -> None:
+def test_sizes_that_determine_no_slope_are_refused(rows: list[list[float]], values: list[float]) -> None:
     with pytest.raises(FitError):
-        fit(("1", "n"), rows, y)
+        fit(("1", "n"), rows, values)
 
 
 @given(
@@ -58,40 +60,43 @@
     st.integers(0, 5),
 )
 def test_noise_widens_the_interval_and_magnitude_has_no_weight(
-    a: float, b: float, noise: list[float], scaled: int
+    constant: float, slope: float, noise: list[float], scaled: int
 ) -> None:
-    rows = [[1.0, float(n)] for n in (1, 3, 10, 30, 100, 300)]
-    y = [(a + b * n) * (1.0 + e) for (_, n), e in zip(rows, noise, strict=True)]
-    line = fit(("1", "n"), rows, y)
+    rows = [[1.0, float(members)] for members in (1, 3, 10, 30, 100, 300)]
+    values = [
+        (constant + slope * members) * (1.0 + error) for (_, members), error in zip(rows, noise, strict=True)
+    ]
+    line = fit(("1", "n"), rows, values)
     assert line.low[1] <= line.values[1] <= line.high[1]
     times = 10.0**scaled
-    again = fit(("1", "n"), rows, [v * times for v in y])
+    again = fit(("1", "n"), rows, [value * times for value in values])
     assert again.values[1] == pytest.approx(line.values[1] * times, rel=1e-6)
     assert again.max_residual == pytest.approx(line.max_residual, rel=1e-6, abs=1e-9)
 
 
 def test_an_exponent_distinguishes_a_square_from_a_line() -> None:
-    x = [10.0, 20.0, 40.0, 80.0]
-    square = fit_exponent(x, [n * n * (1.0 + 0.01 * (-1) ** k) for k, n in enumerate(x)])
+    sizes = [10.0, 20.0, 40.0, 80.0]
+    noisy_squares = [size * size * (1.0 + 0.01 * (-1) ** number) for number, size in enumerate(sizes)]
+    square = fit_exponent(sizes, noisy_squares)
     assert square.low < 2.0 < square.high and square.low > 1.9
     with pytest.raises(FitError):
-        fit_exponent(x[:2], [1.0, 2.0])
+        fit_exponent(sizes[:2], [1.0, 2.0])
 
 
-def run_line(n: int, keys: int, octets: float, **more: object) -> dict[str, object]:
+def run_line(members: int, keys: int, octets: float, **more: object) -> dict[str, object]:
     used = {"octets": octets, "octets_most": octets, "core": octets / 1e6, "core_busiest": octets / 1e6}
     phase = {"saturated": False, "hollow": used}
     last = {"last": encode_durations([0.1, 0.2])}
     return {
-        "scenario": f"m{n}",
+        "scenario": f"m{members}",
         "seed": 1,
         "spread": "digest",
-        "members": n,
+        "members": members,
         "keys": keys,
         "state_s": 0.0,
         "real": 0,
         "clients_each": 0,
-        "links": n * (n - 1) / 2,
+        "links": members * (members - 1) / 2,
         "phases": {"idle": phase, "changes": {**phase, "changes": last}},
         "equal": {"all": True, "kinds": 1},
         **more,
@@ -99,7 +104,10 @@
 
 
 def test_a_larger_size_is_predicted_from_usable_runs_and_compared_after_its_run() -> None:
-    lines = [run_line(n, k, (n - 1) * (70.0 + 27.0 * k)) for n, k in ((4, 10), (8, 10), (4, 100), (8, 200))]
+    lines = [
+        run_line(members, keys, (members - 1) * (70.0 + 27.0 * keys))
+        for members, keys in ((4, 10), (8, 10), (4, 100), (8, 200))
+    ]
     saturated = run_line(16, 1000, 1.0)
     saturated["phases"]["idle"]["saturated"] = True  # type: ignore[index]
     lines += [saturated, {"failed": "minutes", "spread": "digest"}]
@@ -116,9 +124,12 @@
 
 
 def test_terms_that_the_sizes_do_not_separate_are_fitted_as_one() -> None:
-    lines = [run_line(n, 100, (n - 1) * 2700.0) for n in (4, 8, 16, 32)]
+    lines = [run_line(members, 100, (members - 1) * 2700.0) for members in (4, 8, 16, 32)]
     assert fit_runs(lines, "digest")["octets"].terms == ("links",)
-    chatty = [run_line(n, 100, (n - 1) * (2700.0 + 190.0 * n / 5.0), state_s=5.0) for n in (4, 8, 16, 32)]
+    chatty = [
+        run_line(members, 100, (members - 1) * (2700.0 + 190.0 * members / 5.0), state_s=5.0)
+        for members in (4, 8, 16, 32)
+    ]
     slope = fit_runs(chatty, "digest")["octets"]
     assert slope.terms == ("links", "links*news") and slope.values == pytest.approx((2700.0, 190.0))
     predicted = predict(chatty, Size("m64", 64, keys=100, state_s=5.0))
@@ -127,10 +138,11 @@
 
 def test_real_relays_are_fitted_by_their_clients_and_all_members_by_their_links() -> None:
     lines = []
-    for n in (250, 500, 1000, 2000):
-        line = run_line(2, 100, 2700.0, real=1, clients_each=n, memory={"real_mb": [30.0 + 0.04 * n]})
+    for clients in (250, 500, 1000, 2000):
+        memory = {"real_mb": [30.0 + 0.04 * clients]}
+        line = run_line(2, 100, 2700.0, real=1, clients_each=clients, memory=memory)
         idle = line["phases"]["idle"]  # type: ignore[index]
-        idle["real"] = {"octets": 3700.0, "core": 0.003 + 6e-5 * n}
+        idle["real"] = {"octets": 3700.0, "core": 0.003 + 6e-5 * clients}
         lines.append(line)
     found = fit_runs(lines, "digest")
     assert found["real_core"].values == pytest.approx((0.003, 6e-5))
@@ -145,11 +157,11 @@
 def test_reports_show_failures_saturation_and_how_straight_a_slope_is(tmp_path: Path) -> None:
     results = Results(tmp_path / "r.jsonl")
     results.start({"experiment": {"name": "x"}, "policies": {}, "revision": "abc"})
-    for n, k in ((4, 10), (8, 10), (4, 100), (8, 200)):
-        results.add(run_line(n, k, (n - 1) * (70.0 + 27.0 * k)))
+    for members, keys in ((4, 10), (8, 10), (4, 100), (8, 200)):
+        results.add(run_line(members, keys, (members - 1) * (70.0 + 27.0 * keys)))
     results.add({**run_line(99, 5, 1.0), "failed": "Overrun: minutes: over 1"})
     rows = table(results)
-    assert len(rows) == 1 + 4 * 2 + 1 and {len(r) for r in rows} == {17}
+    assert len(rows) == 1 + 4 * 2 + 1 and {len(row) for row in rows} == {17}
     assert rows[-1][-1].startswith("Overrun")
     assert any("straight" in text and "a links*keys" in text for text in fit_lines(results))
     plot(results, tmp_path / "p.png")
--- a/tests/lab/test_scale_link_emulation.py
+++ b/tests/lab/test_scale_link_emulation.py
@@ -106,16 +106,16 @@
 
 
 def test_links_are_named_by_both_zones_and_their_class() -> None:
-    x = ScaleExperiment("x", (Size("a", 10),))
-    assert [x.region_of(z) for z in range(5)] == [0, 0, 0, 1, 1]
-    assert link_name(x, 2, 0) == link_name(x, 0, 2) == "region:0-2"
-    assert link_name(x, 4, 1) == "between:1-4" and link_name(x, 3, 3) == "zone:3-3"
+    experiment = ScaleExperiment("x", (Size("a", 10),))
+    assert [experiment.region_of(zone) for zone in range(5)] == [0, 0, 0, 1, 1]
+    assert link_name(experiment, 2, 0) == link_name(experiment, 0, 2) == "region:0-2"
+    assert link_name(experiment, 4, 1) == "between:1-4" and link_name(experiment, 3, 3) == "zone:3-3"
 
 
 def test_configured_links_connect_all_members_and_are_counted_right() -> None:
     for topology in ("mesh", "tree"):
         size = Size("a", 30, topology=topology, fanout=4)
-        dialled = [peers_of(size, n, 5) for n in range(30)]
+        dialled = [peers_of(size, member, 5) for member in range(30)]
         assert sum(map(len, dialled)) == size.link_count
         reached = {0}
         for member, peers in enumerate(dialled):
@@ -123,7 +123,7 @@
             if reached & set(peers):
                 reached.add(member)
         assert reached == set(range(30))
-    assert all(0 < len(peers_of(Size("a", 9, topology="seeds"), n, 5)) <= 2 for n in range(9))
+    assert all(0 < len(peers_of(Size("a", 9, topology="seeds"), member, 5)) <= 2 for member in range(9))
 
 
 def listening() -> socket.socket:
--- a/tests/lab/test_soak_auditor.py
+++ b/tests/lab/test_soak_auditor.py
@@ -107,8 +107,10 @@
 
 def test_attempts_are_limited_and_one_after_the_other() -> None:
     many = [
-        attempt(first_byte_s=101.0 + 0.1 * n, complete_s=101.0 + 0.1 * n, ended_s=101.05 + 0.1 * n)
-        for n in range(MAX_ATTEMPTS + 1)
+        attempt(
+            first_byte_s=101.0 + 0.1 * number, complete_s=101.0 + 0.1 * number, ended_s=101.05 + 0.1 * number
+        )
+        for number in range(MAX_ATTEMPTS + 1)
     ]
     assert broken_rules([client()], many) == {Rule.ATTEMPT_LIMIT}
     overlapping = [attempt(), attempt(complete_s=101.5, first_byte_s=101.5)]
@@ -174,9 +176,10 @@
     auditor = Auditor(make_plan(), Evidence())
     bound = int(auditor.max_attempts_in_window(1.0))
     many = [
-        attempt(f"q{n}", NEW, first_byte_s=100.6, complete_s=101.5 - 0.0001 * n) for n in range(bound + 1)
+        attempt(f"q{number}", NEW, first_byte_s=100.6, complete_s=101.5 - 0.0001 * number)
+        for number in range(bound + 1)
     ]
-    clients = [client(f"q{n}") for n in range(bound + 1)]
+    clients = [client(f"q{number}") for number in range(bound + 1)]
     assert broken_rules(clients[:-1], many[:-1]) == set()
     assert broken_rules(clients, many) == {Rule.SLOW_START}
 
