--- a/sageturn/core/balancer_actor.py
+++ b/sageturn/core/balancer_actor.py
@@ -55,7 +55,7 @@
         # Shared by all requests of the relay.
         self.monitor = InvariantMonitor()
         self.counters = RequestCounters()
-        self._known_overdrawn_turns = 0
+        self._known_overdrawn_permits = 0
         # Sends a health check to an endpoint; the relay sets it where the settings allow health checks.
         self.check_endpoint_health: Callable[[str], None] = lambda _: None
 
@@ -161,8 +161,8 @@
                 self._instruct(request_id, CancelAttempt())
             case decision.MigrateConnection(request_id):
                 self._instruct(request_id, RedirectClient())
-            case decision.SetTimer(delay_ms, mark):
-                self._set_timer(delay_ms, mark)
+            case decision.SetTimer(delay_ms, tag):
+                self._set_timer(delay_ms, tag)
             case decision.WatchEndpoints():
                 self._request_watch()
             case decision.CheckHealth(endpoint):
@@ -174,11 +174,11 @@
         return "" if cause is None else cause.value
 
     def _check_slow_start(self, request_id: int, endpoint: str) -> None:
-        overdrawn = self._balancer.fleet.slow_start.overdrawn_turns
-        if overdrawn > self._known_overdrawn_turns:
-            self._known_overdrawn_turns = overdrawn
+        overdrawn = self._balancer.fleet.slow_start.overdrawn_permits
+        if overdrawn > self._known_overdrawn_permits:
+            self._known_overdrawn_permits = overdrawn
             self.monitor.report_violation(
-                Invariant.SLOW_START_TURN, str(request_id), f"{endpoint} was sent an attempt without a turn"
+                Invariant.SLOW_START_PERMIT, str(request_id), f"{endpoint} was sent an attempt without a permit"
             )
 
     def _instruct(self, request_id: int, instruction: Instruction) -> None:
@@ -190,10 +190,10 @@
         except asyncio.QueueFull:
             log.error("instruction lost, mailbox full request_id=%d instruction=%r", request_id, instruction)
 
-    def _set_timer(self, delay_ms: float, mark: str) -> None:
+    def _set_timer(self, delay_ms: float, tag: str) -> None:
         def on_timer() -> None:
             self._timers.discard(handle)
-            self._handle(decision.TimerFired(mark))
+            self._handle(decision.TimerFired(tag))
 
         handle = asyncio.get_running_loop().call_later(delay_ms / 1000.0, on_timer)
         self._timers.add(handle)
--- a/sageturn/core/endpoint_snapshot.py
+++ b/sageturn/core/endpoint_snapshot.py
@@ -5,6 +5,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
+from sageturn.decision import EndpointStatus
 from sageturn.decision.balancer import Balancer
 from sageturn.decision.state import EndpointState
 
@@ -16,7 +17,9 @@
     name: str
     size: float
     ready: bool  # listed ready, and not ejected
-    available_capacity: int  # attempts it may be sent before it has answered any: 0 when it is full or closed
+    available_capacity: (
+        int  # attempts it may be sent before it has answered any: 0 when it is full or sheds load
+    )
     zone: str = ""
     draining: bool = False
     ejected: bool = False  # listed ready, but ejected for failing
@@ -44,29 +47,34 @@
         chosen = list(known.values())
     else:
         chosen = [known[name] for name in sorted(names) if name in known]
-    return [_snapshot(balancer, now_ms, endpoint) for endpoint in chosen if endpoint.state != "gone"]
+    return [
+        _snapshot(balancer, now_ms, endpoint) for endpoint in chosen if endpoint.state != EndpointStatus.GONE
+    ]
 
 
 def _snapshot(balancer: Balancer, now_ms: float, endpoint: EndpointState) -> EndpointSnapshot:
     return EndpointSnapshot(
         name=endpoint.name,
-        size=endpoint.effective_weight,
+        size=endpoint.weights.effective,
         ready=endpoint.ready,
         available_capacity=_available_capacity(balancer, now_ms, endpoint),
         zone=endpoint.zone,
-        draining=endpoint.state == "draining",
-        ejected=endpoint.state == "ready" and not endpoint.ready,
-        started_ms=endpoint.started_at_ms,
+        draining=endpoint.state == EndpointStatus.DRAINING,
+        ejected=endpoint.state == EndpointStatus.READY and not endpoint.ready,
+        started_ms=endpoint.started_at_ms or 0.0,
     )
 
 
 def _available_capacity(balancer: Balancer, now_ms: float, endpoint: EndpointState) -> int:
-    is_saturated = now_ms < endpoint.saturated_until_ms
-    if endpoint.closed or is_saturated or not endpoint.ready or endpoint.is_at_quota():
+    is_saturated = now_ms < endpoint.load.saturated_until_ms
+    if endpoint.overload.is_shedding or is_saturated or not endpoint.ready or endpoint.is_at_quota():
         capacity = 0
     else:
-        capacity = max(0, endpoint.concurrency_limit - endpoint.in_flight)
-    if endpoint.slow_start and now_ms < endpoint.started_at_ms + balancer.settings.slow_start_ms:
-        # The budget of a slow start is spent one attempt at a time.
-        return min(capacity, int(balancer.fleet.has_slow_start_turn(now_ms, endpoint)))
+        capacity = max(0, endpoint.connections.concurrency_limit - endpoint.connections.in_flight)
+    started_at_ms = endpoint.started_at_ms
+    if endpoint.slow_start is None or started_at_ms is None:
+        return capacity
+    if now_ms < started_at_ms + balancer.settings.slow_start_ms:
+        # Permits of a slow start are taken one at a time.
+        return min(capacity, int(balancer.fleet.has_slow_start_permit(now_ms, endpoint)))
     return capacity
--- a/sageturn/core/invariants.py
+++ b/sageturn/core/invariants.py
@@ -22,7 +22,7 @@
     )
     RESPONSE_IN_TIME = "response_in_time"  # the final response comes before it is worth nothing
     ANSWERED = "answered"  # no client that is still there is closed without an answer
-    SLOW_START_TURN = "slow_start_turn"  # an endpoint in slow start is sent nothing beyond this relay's turns
+    SLOW_START_PERMIT = "slow_start_permit"  # an endpoint in slow start is sent no attempt without a permit
 
 
 class InvariantMonitor:
--- a/sageturn/decision/actions.py
+++ b/sageturn/decision/actions.py
@@ -1,6 +1,6 @@
 """The actions that a balancer returns, for its driver to carry out in order.
 
-Times are milliseconds and end in ``_ms``. ``id`` is the request's, as in the events.
+Times are milliseconds and end in ``_ms``. ``id`` is the id of the request, as in the events.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True)
 class RejectRequest:
-    """Final answer: rejected, a retry is harmless. A ``retry_after_ms`` of 0 gives no advice on when."""
+    """Answer the request finally: rejected, a retry is harmless. ``retry_after_ms`` is 0 without advice."""
 
     id: int
     retry_after_ms: float = 0.0
@@ -27,14 +27,14 @@
 
 @dataclass(slots=True)
 class FailRequest:
-    """Final answer: failed. It may have been executed, so nothing is promised about a retry."""
+    """Answer the request finally: failed. It may have been executed, so nothing is promised about a retry."""
 
     id: int
 
 
 @dataclass(slots=True)
 class AbandonAttempt:
-    """Stop waiting for one attempt, whose client has left."""
+    """Stop waiting for an attempt whose client has disconnected."""
 
     id: int
     attempt: int
@@ -49,20 +49,20 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Ask for an event ``TimerFired`` with this mark after ``delay_ms``."""
+    """Ask for an event ``TimerFired`` with this tag after ``delay_ms``."""
 
     delay_ms: float
-    mark: str
+    tag: str
 
 
 @dataclass(slots=True)
 class WatchEndpoints:
-    """Call discovery for the endpoint list and its changes; ``EndpointListEvent`` says what came of it."""
+    """Call discovery for the endpoint list and its changes, which come as ``EndpointListEvent``."""
 
 
 @dataclass(slots=True)
 class CheckHealth:
-    """Ask an endpoint for its load report; ``HealthCheckCompleted`` says what came of it."""
+    """Ask an endpoint for its load report; ``HealthCheckCompleted`` has the outcome."""
 
     endpoint: str
 
--- a/sageturn/decision/admission.py
+++ b/sageturn/decision/admission.py
@@ -1,4 +1,4 @@
-"""Admission: throttling of tenants by load, and how many set-ups this relay may start."""
+"""Admission: throttling of tenants by load, and the set-ups that this relay may start."""
 
 from __future__ import annotations
 
@@ -10,16 +10,17 @@
 from sageturn.decision.settings import Settings
 from sageturn.decision.token_bucket import TokenBucket
 
-CURVE_STEPS = 64  # cells of the throttling curve's table
+CURVE_STEPS = 64  # entries of the throttling curve's table
 MAX_REFILL_SHARES = 4.0  # refill at depth 0 of the falling curve, in fair shares of the tenants' allowances
-BURST_S = 2.0  # a bucket holds what one fair share brings in this time,
-MIN_BURST_TOKENS = 2.0  # and always a pair, so that both tabs of a lone tenant open
-TENANT_QUOTA_RATIO = 1.2  # times its quota's part of one relay: what a tenant may hold before it is throttled
+BURST_S = 2.0  # of a fair share, that a bucket holds
+MIN_BURST_TOKENS = 2.0  # that a bucket holds at least, so that a client can open two connections at once
+TENANT_QUOTA_RATIO = 1.2  # of its quota's part of one relay, that a tenant may hold before it is throttled
 QUOTA_RETRY_AFTER_MS = 1000.0  # where no endpoint has room by the quotas
+DEFAULT_BUCKET = ""  # of the tenants that the settings do not name
 
 
 class AdmissionControl:
-    """A token bucket for each tenant, which refills the more slowly the deeper the fleet is loaded."""
+    """Admits requests by a token bucket for each tenant, which refills more slowly under load."""
 
     def __init__(self, settings: Settings, rng: Random, fleet: Fleet) -> None:
         self._fleet = fleet
@@ -37,18 +38,19 @@
                 self._refill_per_ms[step] = fair_per_ms * MAX_REFILL_SHARES * fall
         self._burst = max(MIN_BURST_TOKENS, fair_per_ms * 1000.0 * BURST_S)
         self.buckets = {tenant.name: TokenBucket(self._burst) for tenant in tenants}
-        self.buckets.setdefault("", TokenBucket(self._burst))  # for tenants that the settings do not name
-        ratio = TENANT_QUOTA_RATIO
-        self._max_connections = {t.name: t.quota_connections * ratio / relay_count for t in tenants}
+        self.buckets.setdefault(DEFAULT_BUCKET, TokenBucket(self._burst))
+        self._max_connections = {
+            tenant.name: tenant.quota_connections * TENANT_QUOTA_RATIO / relay_count for tenant in tenants
+        }
         settle_ms = min(request_class.latency_objective_ms for request_class in settings.classes)
         self.setup_window = quotas.SetupWindow(allowance_per_s, relay_count, settle_ms, rng)
 
     def take_token(self, now_ms: float, tenant: str) -> float:
-        """0 when the tenant's bucket had a token, else after how many milliseconds it has one."""
+        """Take a token of the tenant. Returns 0 if there was one, else the time in ms until there is one."""
         rate = self._refill_per_ms[int(self._fleet.depth() * CURVE_STEPS)]
-        bucket = self.buckets.get(tenant) or self.buckets[""]
+        bucket = self.buckets.get(tenant) or self.buckets[DEFAULT_BUCKET]
         bucket.refill(now_ms, rate, self._burst)
-        # Tokens count set-ups, but what a flooding tenant already holds is what loads the endpoints.
+        # Tokens count set-ups, but connections that a flooding tenant already holds load the endpoints.
         max_connections = self._max_connections.get(tenant, 0.0)
         if rate != float("inf") and 0 < max_connections < self._fleet.tenant_counts[tenant]:
             bucket.tokens = 0.0
@@ -57,13 +59,13 @@
         return bucket.wait_ms(rate) if rate > 0 else self._max_retry_after_ms
 
     def setup_wait_ms(self, now_ms: float) -> float:
-        """0 when another set-up may start, else after how many milliseconds to come again."""
+        """Return 0 if another set-up may start, else the time after which to retry."""
         fleet = self._fleet
-        # Connections on endpoints that drain do not count: their clients find room elsewhere.
+        # Connections on draining endpoints do not count: their clients find room elsewhere.
         if fleet.totals.open_count + 1 > fleet.max_connections + fleet.rounding_offset:
             return QUOTA_RETRY_AFTER_MS
         return self.setup_window.wait_ms(now_ms)
 
     def setup_wait_cause(self, wait_ms: float) -> RejectCause:
-        """Why ``setup_wait_ms`` was not 0."""
+        """Return why ``setup_wait_ms`` returned this time, which is not 0."""
         return RejectCause.QUOTA if wait_ms == QUOTA_RETRY_AFTER_MS else RejectCause.SETUP_WINDOW
--- a/sageturn/decision/balancer.py
+++ b/sageturn/decision/balancer.py
@@ -1,6 +1,7 @@
-"""The balancer: one relay's decisions, from its own events alone. No clock, no I/O.
+"""The balancer: one relay's decisions, from its own events alone. It has no clock and does no I/O.
 
-It handles events and returns actions, by way of fleet.py, admission.py, placement.py and overload.py.
+Each event goes to a handler here, which asks ``admission`` whether a request is admitted and ``placement``
+for its endpoint, and tells ``fleet`` and ``overload`` what the outcome of an attempt shows about an endpoint.
 """
 
 from __future__ import annotations
@@ -12,21 +13,29 @@
 from sageturn.decision import actions, endpoint_watch, events, health_checks
 from sageturn.decision.admission import AdmissionControl
 from sageturn.decision.endpoint_watch import EndpointWatch
+from sageturn.decision.events import (
+    NOT_EXECUTED_STATUSES,
+    AttemptStatus,
+    ListEventKind,
+    MeasurementKind,
+)
 from sageturn.decision.fleet import Fleet
 from sageturn.decision.health_checks import HealthCheckScheduler
 from sageturn.decision.overload import DEFAULT_MESSAGE_OBJECTIVE_MS, OVERLOAD_DELAY_RATIO, OverloadControl
 from sageturn.decision.placement import Placement
 from sageturn.decision.reject_cause import RejectCause
-from sageturn.decision.settings import NOT_EXECUTED_STATUSES, Settings
+from sageturn.decision.relief import LoadRelief
+from sageturn.decision.settings import Effect, Settings
+from sageturn.decision.setup_times import SetupTimes
 from sageturn.decision.state import AttemptState, EndpointState, RequestState
 
-MIN_RETRY_AFTER_MS = 100.0  # shortest advice on when to come again
-REEVALUATION_INTERVAL_MS = 50.0  # of closed and ejected endpoints, at most
-FIRST_TIMEOUT_RATIO = 0.5  # of the time left: a time-out leaves room for another attempt
+MIN_RETRY_AFTER_MS = 100.0
+REEVALUATION_INTERVAL_MS = 50.0  # of endpoints that are shedding load or ejected
+FIRST_TIMEOUT_RATIO = 0.5  # of the time left, so that a timeout leaves time for a retry
 
 
 class Balancer:
-    """``handle`` takes one event and returns the actions that it calls for, in order."""
+    """Decides on requests and endpoints: ``handle`` takes one event and returns the actions to carry out."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings = settings
@@ -36,13 +45,15 @@
         self._health_checks = HealthCheckScheduler(settings, max_queue_ms, self._rng)
         self.fleet = Fleet(settings, self._rng, self._health_checks)
         self.admission = AdmissionControl(settings, self._rng, self.fleet)
-        self.overload = OverloadControl(settings, self._rng, self.fleet)
-        self.placement = Placement(settings, self._rng, self.fleet, self.overload)
+        self.relief = LoadRelief(settings, self._rng, self.fleet)
+        self.overload = OverloadControl(settings, self._rng, self.fleet, self.relief)
+        self.setup_times = SetupTimes(self.fleet)
+        self.placement = Placement(settings, self._rng, self.fleet, self.setup_times)
         self.endpoints = self.fleet.endpoints
         self.requests: dict[int, RequestState] = {}
         self._classes = {request_class.name: request_class for request_class in settings.classes}
         self._actions: list[actions.Action] = []
-        self.reject_cause: RejectCause | None = None  # of the latest event's request, if that was ended
+        self.reject_cause: RejectCause | None = None  # set if the latest event ended its request
         self._next_reevaluation_ms = 0.0
         self._watch = EndpointWatch(settings, self._rng)
         self._handlers: dict[type, Callable[[float, Any], None]] = {
@@ -58,7 +69,7 @@
         }
 
     def handle(self, now_ms: float, event: events.Event) -> list[actions.Action]:
-        """Called for each event, at the time ``now_ms`` that never goes back."""
+        """Return the actions that an event requires, in order; its time ``now_ms`` never goes back."""
         self._actions = []
         self.reject_cause = None
         self.fleet.now_ms = now_ms
@@ -69,7 +80,7 @@
         request_class = self._classes.get(event.class_name) or self.settings.classes[0]
         objective_deadline_ms = min(event.deadline_ms, now_ms + request_class.latency_objective_ms)
         request = RequestState.of_arrival(event, request_class, objective_deadline_ms)
-        request.endpoint = self.fleet.endpoints.get(event.moved_off)  # avoided, like one that was tried
+        request.endpoint = self.fleet.endpoints.get(event.migrated_from)  # avoided, as after an attempt there
         self.reevaluate_endpoints(now_ms)
         self.requests[event.id] = request
         if not event.retried:
@@ -82,16 +93,16 @@
         self._place(now_ms, request)
 
     def reevaluate_endpoints(self, now_ms: float) -> None:
-        """See which closed and ejected endpoints may be sent something again."""
+        """Decide from time to time which endpoints stop shedding load, and readmit ejected ones."""
         if now_ms >= self._next_reevaluation_ms:
             self._next_reevaluation_ms = now_ms + REEVALUATION_INTERVAL_MS
             self.fleet.update_weights()
-            for endpoint in list(self.fleet.closed.values()):
+            for endpoint in list(self.fleet.shedding.values()):
                 self.overload.reevaluate(now_ms, endpoint)
             self.fleet.readmit_ejected(now_ms)
 
     def _place(self, now_ms: float, request: RequestState) -> None:
-        """Send the next attempt, or end the request: none is kept waiting."""
+        """Place the next attempt, or end the request: no request is queued."""
         is_late = request.attempts and now_ms >= request.objective_deadline_ms
         is_exhausted = request.attempts >= self.settings.max_attempts
         if request.deadline_ms - now_ms <= 0 or is_exhausted or is_late:
@@ -111,20 +122,20 @@
         if endpoint.is_at_capacity():
             self.overload.reevaluate(now_ms, endpoint)
         if endpoint.slow_start:
-            self.fleet.slow_start.use_turn(endpoint.slow_start)
+            self.fleet.slow_start.take_permit(endpoint.slow_start)
         self._actions.append(actions.PlaceRequest(request.id, endpoint.name, timeout_ms))
 
     def _attempt_timeout_ms(self, now_ms: float, request: RequestState) -> float:
         left_ms = request.deadline_ms - now_ms
         timeout_ms = max(left_ms * FIRST_TIMEOUT_RATIO, self.settings.connect_timeout_ms)
-        is_unsafe = request.request_class.effect == "unsafe"
+        is_unsafe = request.request_class.effect == Effect.UNSAFE
         is_last = is_unsafe or request.attempts + 1 >= self.settings.max_attempts
         return left_ms if is_last or now_ms + timeout_ms >= request.objective_deadline_ms else timeout_ms
 
     def _end(self, request: RequestState, retry_after_ms: float, cause: RejectCause) -> None:
-        """The final answer: a rejection where its class lets us promise that a retry is harmless."""
+        """Answer the request finally: rejected if a retry is harmless by its class, else failed."""
         self.reject_cause = cause
-        if request.request_class.is_rejectable(request.may_have_executed()):
+        if request.request_class.is_rejectable(request.execution is not None):
             advice_ms = max(MIN_RETRY_AFTER_MS, retry_after_ms) * (0.75 + 0.5 * self._rng.random())
             advice_ms = min(self.settings.max_retry_after_ms, advice_ms)
             is_advised = self.settings.retry_after and retry_after_ms
@@ -141,14 +152,11 @@
         request.state = AttemptState.ESTABLISHED
         self.admission.setup_window.end_setup(now_ms, now_ms - request.sent_ms, True)
         if not request.is_finished:
-            endpoint.established[request.id] = request
+            endpoint.connections.established[request.id] = request
         self.fleet.count_attempt(endpoint, -1, 0)
-        is_in_time = now_ms <= request.objective_deadline_ms
-        self.fleet.set_concurrency_limit(endpoint, endpoint.concurrency_limit + is_in_time)
-        endpoint.untried = False
-        endpoint.consecutive_failures = 0
+        self.fleet.record_establishment(endpoint, now_ms <= request.objective_deadline_ms)
         if event.took_ms > 0 and endpoint.kind and not endpoint.slow_start:
-            self.overload.record_setup_time(now_ms, endpoint, event.took_ms)
+            self.setup_times.record(now_ms, endpoint, event.took_ms)
 
     def _on_attempt_ended(self, now_ms: float, event: events.AttemptEnded) -> None:
         request = self.requests.get(event.id)
@@ -162,31 +170,27 @@
         request.state = AttemptState.NONE
         endpoint.forget_connection(request.id)
         if was_in_flight:
-            self._record_setup_outcome(request, endpoint, event.status)
-        elif event.status == "reset":
+            self._record_setup_end(now_ms, request, endpoint, event.status)
+        elif event.status == AttemptStatus.RESET:
             self.overload.record_reset(now_ms, endpoint)
         if event.final or request.is_finished:
             del self.requests[request.id]
             return
         if event.status not in NOT_EXECUTED_STATUSES:
             request.record_execution(endpoint)
-        if request.request_class.effect == "unsafe" and request.may_have_executed():
+        if request.request_class.effect == Effect.UNSAFE and request.execution is not None:
             self._end(request, 0.0, RejectCause.MAY_HAVE_RUN)
         else:
             self._place(now_ms, request)
 
-    def _record_setup_outcome(self, request: RequestState, endpoint: EndpointState, status: str) -> None:
+    def _record_setup_end(
+        self, now_ms: float, request: RequestState, endpoint: EndpointState, status: str
+    ) -> None:
         """Adapt the limits to an attempt that ended before it was established."""
-        now_ms = self.fleet.now_ms
-        self.admission.setup_window.end_setup(now_ms, now_ms - request.sent_ms, status == "ok")
-        if status == "ok":
-            self.fleet.set_concurrency_limit(endpoint, endpoint.concurrency_limit + 1)
-            endpoint.consecutive_failures = 0
-        elif status in ("full", "connect_failed", "reset", "error", "timeout"):
-            self.fleet.set_concurrency_limit(endpoint, endpoint.concurrency_limit // 2)
-        if status in ("error", "timeout", "connect_failed", "reset"):
-            self.fleet.record_failure(now_ms, endpoint, 2 if status == "connect_failed" else 1)
-        if status == "connect_failed":
+        is_served = status == AttemptStatus.OK
+        self.admission.setup_window.end_setup(now_ms, now_ms - request.sent_ms, is_served)
+        self.fleet.record_setup_end(endpoint, status)
+        if status == AttemptStatus.CONNECT_FAILED:
             self._actions += self._watch.on_connect_failed(now_ms)
 
     def _on_client_disconnected(self, now_ms: float, event: events.ClientDisconnected) -> None:
@@ -197,7 +201,7 @@
             request.endpoint.forget_connection(request.id)
         elif request.state == AttemptState.IN_FLIGHT and self.settings.may_cancel:
             self._actions.append(actions.AbandonAttempt(request.id, request.attempts - 1))
-        request.is_finished = True  # its attempt's outcome is still to come
+        request.is_finished = True  # the outcome of its attempt is still to come
 
     def _on_adopted(self, now_ms: float, event: events.ConnectionAdopted) -> None:
         request_class = self._classes.get(event.class_name) or self.settings.classes[0]
@@ -207,28 +211,28 @@
         endpoint = self.fleet.endpoints.get(event.endpoint)
         if endpoint is None:
             return
-        if event.kind == "load":
+        if event.kind == MeasurementKind.LOAD:
             self._actions += self.overload.record_load(now_ms, endpoint, event.id, event.value)
         else:
             self._actions += self.overload.record_delay(now_ms, endpoint, event.value)
 
     def _on_list(self, now_ms: float, event: events.EndpointListEvent) -> None:
-        if event.kind == "stale":
+        if event.kind == ListEventKind.STALE:
             self._actions += self._health_checks.on_start()
         self._actions += self._watch.on_list(now_ms, event)
-        if event.kind != "failed":
+        if event.kind != ListEventKind.FAILED:
             self.fleet.apply_list(event)
 
     def _on_timer(self, now_ms: float, event: events.TimerFired) -> None:
-        if event.mark == endpoint_watch.TIMER_MARK:
+        if event.tag == endpoint_watch.TIMER_TAG:
             self._actions += self._watch.on_timer(now_ms)
-        elif event.mark == health_checks.TIMER_MARK:
+        elif event.tag == health_checks.TIMER_TAG:
             listed_names = [endpoint.name for endpoint in self.fleet.ready + self.fleet.ejected]
             self._actions += self._health_checks.on_timer(now_ms, listed_names)
 
     def _on_health_check(self, now_ms: float, event: events.HealthCheckCompleted) -> None:
         endpoint = self.fleet.endpoints.get(event.endpoint)
-        if event.status == "refused":
+        if event.status == AttemptStatus.REFUSED:
             self._health_checks.exclude_endpoint(event.endpoint)
         elif endpoint is not None:
             self._actions += self.overload.record_report(now_ms, endpoint, event.report)
--- /dev/null
+++ b/sageturn/decision/eligibility.py
@@ -0,0 +1,53 @@
+"""Eligibility: whether an endpoint may be sent the next attempt of a request at all."""
+
+from __future__ import annotations
+
+from sageturn.decision.fleet import Fleet
+from sageturn.decision.settings import Effect, KeyScope
+from sageturn.decision.state import EndpointState, RequestState
+
+
+class Eligibility:
+    """Checks bindings, quotas, slow start, and whether a second execution would do harm."""
+
+    def __init__(self, fleet: Fleet) -> None:
+        self._fleet = fleet
+        self._is_warm_quota_exhausted = False  # for the request that is being placed
+
+    def begin_request(self, request: RequestState) -> None:
+        """Evaluate what is the same for all endpoints; called before a request is placed."""
+        fleet = self._fleet
+        if request.midflow or fleet.max_connections == float("inf"):
+            self._is_warm_quota_exhausted = False
+            return
+        # The part of the quota that is meant for endpoints in slow start is kept for them.
+        warming_count = sum(e.connections.open_count for e in fleet.ready if e.slow_start)
+        warm_count = fleet.totals.open_count - warming_count
+        warm_bound = fleet.max_connections * fleet.warm_weight_ratio + fleet.rounding_offset
+        self._is_warm_quota_exhausted = warm_count + 1 > warm_bound
+
+    def is_eligible(self, request: RequestState, endpoint: EndpointState) -> bool:
+        """Whether the endpoint may be sent the request's next attempt. Load is not considered."""
+        if request.binding is not None and not request.allows(endpoint):
+            return False
+        if endpoint.is_at_quota():
+            return False
+        if endpoint.slow_start:
+            if not self._fleet.has_slow_start_permit(self._fleet.now_ms, endpoint):
+                return False
+        elif self._is_warm_quota_exhausted:
+            return False
+        return request.execution is None or self._may_execute_again(request, endpoint)
+
+    def _may_execute_again(self, request: RequestState, endpoint: EndpointState) -> bool:
+        """Whether a second execution is harmless there, after one that may have been the first."""
+        request_class = request.request_class
+        execution = request.execution
+        if execution is None or request_class.effect == Effect.SAFE:
+            return True
+        is_key_expired = self._fleet.now_ms > execution.sent_ms + request_class.key_ttl_ms
+        if request_class.effect == Effect.UNSAFE or is_key_expired:
+            return False
+        if request_class.scope == KeyScope.ZONE:
+            return endpoint.zone == execution.zone
+        return request_class.scope == KeyScope.ALL or endpoint.cell == execution.cell
--- /dev/null
+++ b/sageturn/decision/endpoint_pool.py
@@ -0,0 +1,73 @@
+"""Pool selection: one endpoint out of a pool, by two random choices or by the lowest score."""
+
+from __future__ import annotations
+
+from random import Random
+
+from sageturn.decision.eligibility import Eligibility
+from sageturn.decision.endpoint_score import EndpointScore
+from sageturn.decision.fleet import Fleet
+from sageturn.decision.state import EndpointState, RequestState
+
+FULL_ENDPOINT_SCORE = 1e6  # added to a full endpoint's score, so that it loses against any other
+MAX_DRAWS = 8  # to find two eligible endpoints
+CHOICES = 2  # endpoints that are compared
+
+
+class PoolSelector:
+    """Selects an endpoint for a request. Pools are lists of ready endpoints."""
+
+    def __init__(self, rng: Random, fleet: Fleet, eligibility: Eligibility, score: EndpointScore) -> None:
+        self._rng = rng
+        self._fleet = fleet
+        self._eligibility = eligibility
+        self._score = score
+
+    def select_lighter(self, request: RequestState, pool: list[EndpointState]) -> EndpointState | None:
+        """Return the one with the lower score of the first two eligible endpoints that are drawn at random.
+
+        The endpoint of the latest attempt is passed over, unless it is the only one that is ready. Returns
+        None if no eligible endpoint was drawn; there may be one all the same.
+        """
+        best: EndpointState | None = None
+        best_score = 0.0
+        missing = CHOICES
+        for draw in range(min(len(pool), MAX_DRAWS)):
+            endpoint = pool[int(self._rng.random() * len(pool))] if len(pool) > CHOICES else pool[draw]
+            if endpoint is best or not self._eligibility.is_eligible(request, endpoint):
+                continue
+            if endpoint is request.endpoint and len(self._fleet.ready) > 1:
+                continue
+            score = self._score.load_score(endpoint) + (FULL_ENDPOINT_SCORE if endpoint.is_full() else 0)
+            is_tie_won = best is not None and score == best_score and self._rng.random() < 0.5
+            if best is None or score < best_score or is_tie_won:
+                best = endpoint
+                best_score = score
+            missing -= 1
+            if not missing:
+                break
+        return best
+
+    def select_from_all(self, request: RequestState) -> EndpointState | None:
+        """Return an eligible endpoint that is not saturated; None if there is none, to fail fast."""
+        ready = self._fleet.ready
+        now_ms = self._fleet.now_ms
+        endpoint = self.select_lighter(request, ready)
+        if endpoint is None:
+            endpoint = self._first_eligible(request)
+        if endpoint is not None and now_ms < endpoint.load.saturated_until_ms:
+            unsaturated = [
+                other
+                for other in ready
+                if now_ms >= other.load.saturated_until_ms and other is not request.endpoint
+            ]
+            eligible = [other for other in unsaturated if self._eligibility.is_eligible(request, other)]
+            endpoint = min(eligible, key=self._score.load_score, default=None)
+        return endpoint
+
+    def _first_eligible(self, request: RequestState) -> EndpointState | None:
+        """Return the first eligible ready endpoint, where few are eligible and none of them was drawn."""
+        for endpoint in self._fleet.ready:
+            if endpoint is not request.endpoint and self._eligibility.is_eligible(request, endpoint):
+                return endpoint
+        return None
--- a/sageturn/decision/endpoint_watch.py
+++ b/sageturn/decision/endpoint_watch.py
@@ -1,6 +1,6 @@
-"""When the balancer asks discovery for the endpoint list, and again after a failure.
+"""The balancer's calls to discovery for the endpoint list, and the retries after a failure.
 
-``discovery_backoff`` sets the times; here is what has been asked, and what came of it.
+``discovery_backoff`` computes the delays; this module keeps which call is out or due.
 """
 
 from __future__ import annotations
@@ -9,51 +9,52 @@
 
 from sageturn.decision import actions, events
 from sageturn.decision.discovery_backoff import DiscoveryBackoff
-from sageturn.decision.settings import Settings
+from sageturn.decision.events import ListEventKind
+from sageturn.decision.settings import DiscoveryMode, Settings
 
-TIMER_MARK = "watch"
-TIMER_SLACK_MS = 5.0  # timers may fire so much early, as event loops count in whole milliseconds
+TIMER_TAG = "watch"
+TIMER_SLACK_MS = 5.0  # by which a timer may fire early, as event loops count in whole milliseconds
 
 
 class EndpointWatch:
-    """One relay's calls to discovery. Each method returns the actions that it calls for."""
+    """One relay's calls to discovery. Its methods return the actions that are required."""
 
     def __init__(self, settings: Settings, rng: Random) -> None:
-        is_pushed = settings.discovery == "push"
-        self._must_ask = settings.discovery == "ask"
+        is_pushed = settings.discovery == DiscoveryMode.PUSH
+        self._must_call = settings.discovery == DiscoveryMode.ASK
         self._backoff = DiscoveryBackoff(settings.relay_count, settings.max_poll_interval_ms, rng, is_pushed)
-        self._is_watching: bool | None = None  # None: the list has not been asked for yet
-        self._due_ms: float | None = None  # the next call; timers of before are not due any more
+        self._is_watching: bool | None = None  # None before the first call
+        self._due_ms: float | None = None  # the next call; earlier timers are obsolete
 
     def on_list(self, now_ms: float, event: events.EndpointListEvent) -> list[actions.Action]:
-        """A list came, or the call for it has failed, or the watch on it is over."""
-        if event.kind == "failed":
+        """Take in that a list came, or that the call for it has failed or the watch has ended."""
+        if event.kind == ListEventKind.FAILED:
             self._is_watching = False
             return self._schedule(now_ms, self._backoff.retry_delay_ms(now_ms, event.failure))
-        if event.kind != "stale":
+        if event.kind != ListEventKind.STALE:
             self._is_watching = True
             self._backoff.on_success()
             return []
-        return self._schedule(now_ms, self._backoff.first_call_delay_ms()) if self._must_ask else []
+        return self._schedule(now_ms, self._backoff.first_call_delay_ms()) if self._must_call else []
 
     def _schedule(self, now_ms: float, delay_ms: float) -> list[actions.Action]:
-        """One call is due at a time: where a timer is pending that fires sooner, that one counts."""
+        """Set a timer for a call. Of several that are pending the one that fires first makes it."""
         due_ms = now_ms + delay_ms
         if self._due_ms is None or due_ms < self._due_ms:
             self._due_ms = due_ms
-        return [actions.SetTimer(delay_ms, TIMER_MARK)]
+        return [actions.SetTimer(delay_ms, TIMER_TAG)]
 
     def on_connect_failed(self, now_ms: float) -> list[actions.Action]:
-        """The list of the start is out of date: the first call does not wait its turn any longer."""
-        if self._is_watching is not None or not self._must_ask:
+        """Take in a failed connect: the list of the start is out of date, so the first call comes sooner."""
+        if self._is_watching is not None or not self._must_call:
             return []
         self._is_watching = False
         return self._schedule(now_ms, self._backoff.first_call_delay_ms(stale=True))
 
     def on_timer(self, now_ms: float) -> list[actions.Action]:
-        """A timer has fired, which may have been set before a call that is out, or has failed since."""
+        """Make the call that is due, unless one is out or the timer was set for an earlier call."""
         if self._is_watching or (self._due_ms is not None and now_ms < self._due_ms - TIMER_SLACK_MS):
             return []
         self._due_ms = None
-        self._is_watching = True  # until that call is reported to have failed
+        self._is_watching = True  # until this call is reported to have failed
         return [actions.WatchEndpoints()]
--- a/sageturn/decision/events.py
+++ b/sageturn/decision/events.py
@@ -8,43 +8,81 @@
 from __future__ import annotations
 
 from dataclasses import dataclass, field
-from enum import Enum, auto
+from enum import Enum, StrEnum, auto
+
+
+class EndpointStatus(StrEnum):
+    """How an endpoint is listed."""
+
+    READY = "ready"
+    DRAINING = "draining"  # it takes nothing new
+    GONE = "gone"
+
+
+class ListEventKind(StrEnum):
+    """What an endpoint list event holds."""
+
+    STALE = "stale"  # the list that the relay held before it was restarted
+    FULL = "full"  # the complete list
+    CHANGES = "changes"
+    FAILED = "failed"  # the call for the list, or the watch that it became, has ended
+
+
+class AttemptStatus(StrEnum):
+    """How an attempt or a health check has ended."""
+
+    OK = "ok"
+    ERROR = "error"
+    FULL = "full"  # the endpoint takes no more
+    TIMEOUT = "timeout"
+    CONNECT_FAILED = "connect_failed"
+    RESET = "reset"
+    CANCELLED = "cancelled"
+    MOOT = "moot"  # abandoned before anything was sent
+    REFUSED = "refused"  # health checks only: the endpoint takes none
+
+
+# Statuses of attempts that were certainly not executed.
+NOT_EXECUTED_STATUSES = (AttemptStatus.FULL, AttemptStatus.CONNECT_FAILED, AttemptStatus.MOOT)
+
+
+class MeasurementKind(StrEnum):
+    """What was measured on a connection."""
+
+    LOAD = "load"  # milliseconds of work a second
+    DELAY = "delay"  # milliseconds that a message took
 
 
 @dataclass(slots=True)
 class Endpoint:
-    """One line of the endpoint list. ``state`` is ready, draining or gone."""
+    """One line of the endpoint list. ``state`` is an ``EndpointStatus`` or its value."""
 
     name: str
-    state: str = "ready"
+    state: str = EndpointStatus.READY
     zone: str = ""
     cell: int = 0
-    started_at_ms: float = 0.0  # 0 where it is not known; another one means another process
-    share: float = 1.0  # weight against the others, in any one unit
-    kind: str = ""  # of machine: endpoints of one kind are taken to be equally fast
-    factor: float = 1.0  # by which an operator makes it count for more or less than its size
+    started_at_ms: float = 0.0  # 0 if unknown; a different one means a different process
+    share: float = 1.0  # weight against the other endpoints, in any unit
+    kind: str = ""  # of machine; endpoints of one kind are taken to be equally fast
+    factor: float = 1.0  # by which an operator changes its weight
 
 
 class DiscoveryFailure(Enum):
-    """How a call for the list, or the watch that it became, has ended. What that cost discovery differs."""
+    """How a call for the list, or the watch that it became, has ended. The cost for discovery differs."""
 
-    UNREACHED = auto()  # never connected, or refused, reset or turned away at once: it cost nothing
-    OVERLOADED = auto()  # taken, kept waiting, and failed then: it stood in a queue that is too long
-    UNANSWERED = auto()  # taken, and given up in silence: nobody works there
-    UNUSABLE = auto()  # answered, but no watch came of it
-    LOST = auto()  # the watch had stood, and was ended
-    SILENT = auto()  # the watch had stood, and fell silent
+    UNREACHED = auto()  # not connected, or refused, reset or rejected at once: it cost nothing
+    OVERLOADED = auto()  # accepted, and failed after waiting in a queue that is too long
+    UNANSWERED = auto()  # accepted, and timed out without an answer
+    UNUSABLE = auto()  # answered, but not by a watch
+    LOST = auto()  # the watch was established, and was ended
+    SILENT = auto()  # the watch was established, and fell silent
 
 
 @dataclass(slots=True)
 class EndpointListEvent:
-    """The endpoint list, or changes of it, or the end of the call for it.
+    """The endpoint list, or changes of it, or the end of the call for it as ``failure`` says."""
 
-    ``kind``: stale (the list that the relay held before it was restarted), full (the whole list), changes, or
-    failed: the call for the list, or the watch that it became, has ended as ``failure`` says.
-    """
-
-    kind: str
+    kind: str  # a ``ListEventKind`` or its value
     endpoints: list[Endpoint]
     failure: DiscoveryFailure = DiscoveryFailure.UNREACHED
 
@@ -53,9 +91,8 @@
 class RequestArrived:
     """A client wants a connection by ``deadline_ms``. Exactly one final answer is owed to it.
 
-    ``expected_load`` is 0 where it is unknown. ``client`` is the same after a reconnect. Where its connection
-    was migrated just now, ``moved_off`` names the endpoint that it was migrated off, and until
-    ``spared_until_ms`` it should not be migrated again.
+    If its connection was migrated just now, ``migrated_from`` names the endpoint that it left, and it should
+    not be migrated again until ``migration_exempt_until_ms``.
     """
 
     id: int
@@ -63,20 +100,20 @@
     tenant: str
     deadline_ms: float
     group: str = ""
-    expected_load: float = 0.0
+    expected_load: float = 0.0  # 0 if unknown
     midflow: bool = False  # an established connection is taken over: it is not throttled
-    client: str = ""
-    returned: bool = False  # it says that its connection was migrated, or broke
-    retried: bool = False  # it says that this is a retry
-    moved_off: str = ""
-    spared_until_ms: float = 0.0
-    allowed: frozenset[str] | None = None  # endpoints that an operator binds it to,
-    strict: bool = False  # on every attempt, or (False) only on the first
+    client: str = ""  # the same after a reconnect
+    returned: bool = False  # the client says that its connection was migrated, or broke
+    retried: bool = False  # the client says that this is a retry
+    migrated_from: str = ""
+    migration_exempt_until_ms: float = 0.0
+    allowed: frozenset[str] | None = None  # endpoints that an operator binds it to; None: any
+    strict: bool = False  # the binding holds for every attempt, not for the first alone
 
 
 @dataclass(slots=True)
 class ConnectionAdopted:
-    """A connection that was established before this balancer started, by its attempt 0."""
+    """A connection was established before this balancer started, by its attempt 0."""
 
     id: int
     class_name: str
@@ -89,7 +126,7 @@
 
 @dataclass(slots=True)
 class ConnectionEstablished:
-    """An attempt was established, ``took_ms`` after it was sent (0: not measured)."""
+    """An attempt was established, ``took_ms`` after it was sent (0 if that was not measured)."""
 
     id: int
     attempt: int
@@ -99,57 +136,47 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """An attempt ended, before it was established or after.
-
-    ``status``: ok, error, full, timeout, connect_failed, reset, cancelled or moot. ``final``: the request has
-    ended as well; without it an answer is still owed.
-    """
+    """An attempt ended, before it was established or after."""
 
     id: int
     attempt: int
     endpoint: str
-    status: str
-    final: bool
-    report: dict[str, float] = field(
-        default_factory=dict
-    )  # the endpoint's load report, where answers hold one
+    status: str  # an ``AttemptStatus`` or its value
+    final: bool  # the request has ended as well; else it is still owed an answer
+    report: dict[str, float] = field(default_factory=dict)  # the endpoint's load report; empty if none came
 
 
 @dataclass(slots=True)
 class HealthCheckCompleted:
-    """A health check ended, by an action ``CheckHealth``.
-
-    ``status``: ok, refused (the endpoint takes none), or any other one where no answer came. ``report`` is
-    empty where none came that can be used.
-    """
+    """A health check ended that an action ``CheckHealth`` asked for."""
 
     endpoint: str
-    status: str
-    report: dict[str, float] = field(default_factory=dict)
+    status: str  # an ``AttemptStatus`` or its value: ok, refused, or any other one if no answer came
+    report: dict[str, float] = field(default_factory=dict)  # empty if no usable one came
 
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """The client has left: nothing more is owed to it. ``AttemptEnded`` of its attempt still follows."""
+    """The client has left and is owed nothing more. ``AttemptEnded`` of its attempt still follows."""
 
     id: int
 
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer is due that an action ``SetTimer`` with this mark has set."""
+    """A timer is due that an action ``SetTimer`` with this tag has set."""
 
-    mark: str
+    tag: str
 
 
 @dataclass(slots=True)
 class MeasurementReported:
-    """A measurement on an established connection. ``kind``: load, or delay (of a message)."""
+    """Something was measured on an established connection."""
 
     id: int
     attempt: int
     endpoint: str
-    kind: str
+    kind: str  # a ``MeasurementKind`` or its value; any other one is a delay
     value: float
 
 
--- a/sageturn/decision/fleet.py
+++ b/sageturn/decision/fleet.py
@@ -1,4 +1,4 @@
-"""The endpoints that a balancer knows: what it holds on each, what each is due, and outlier ejection."""
+"""Decisions about each endpoint by itself: concurrency limit, ejection, weight, quota, slow start."""
 
 from __future__ import annotations
 
@@ -6,19 +6,36 @@
 
 from sageturn.decision import quotas
 from sageturn.decision.endpoint_table import EndpointTable
+from sageturn.decision.events import AttemptStatus
 from sageturn.decision.fleet_size import FleetSize
 from sageturn.decision.health_checks import HealthCheckScheduler
 from sageturn.decision.settings import Settings
 from sageturn.decision.state import EndpointState
 
-INITIAL_CONCURRENCY_LIMIT = 8  # attempts in flight that an endpoint is trusted with at first
-MAX_CONCURRENCY_LIMIT = 32  # growth stops here, or a long quiet time would make the depth blind
-MAX_UNKNOWN_ENDPOINTS = 2  # initial limits that all endpoints on which we hold nothing add to the depth
-SCARCE_DEPTH = 0.25  # from this depth on tenants are throttled, and endpoints count as scarce
-FAILURES_TO_EJECT = 3  # in a row; a failed connect counts twice
+INITIAL_CONCURRENCY_LIMIT = 8  # attempts in flight at an endpoint, at first
+MAX_CONCURRENCY_LIMIT = 32  # beyond it a long quiet time would make the depth meaningless
+MAX_UNKNOWN_ENDPOINTS = 2  # initial limits that endpoints without connections of ours add to the depth
+SCARCE_DEPTH = 0.25  # depth from which on endpoints count as scarce and tenants are throttled
+FAILURES_TO_EJECT = 3  # consecutive ones
+CONNECT_FAILURE_WEIGHT = 2  # failures that a failed connect counts for
 EJECTION_MS = 1500.0
 MAX_EJECTION_RATIO = 0.34  # of the endpoints that are listed ready
 
+# Statuses of attempts that ended before they were established.
+LIMIT_HALVING_STATUSES = (
+    AttemptStatus.FULL,
+    AttemptStatus.CONNECT_FAILED,
+    AttemptStatus.RESET,
+    AttemptStatus.ERROR,
+    AttemptStatus.TIMEOUT,
+)
+FAILURE_STATUSES = (
+    AttemptStatus.ERROR,
+    AttemptStatus.TIMEOUT,
+    AttemptStatus.CONNECT_FAILED,
+    AttemptStatus.RESET,
+)
+
 
 class Fleet(EndpointTable):
     """The endpoints, with what is decided about each of them on its own."""
@@ -28,6 +45,10 @@
         self.health_checks = health_checks
         self.machine_speeds = quotas.MachineKindSpeeds()
         self.size = FleetSize()
+        self.total_weight = 1.0  # effective weights of the ready endpoints
+        self.mean_nominal_weight = 1.0
+        self.warm_weight_ratio = 1.0  # of the total weight, what is not in slow start
+        self.quota_connections = sum(tenant.quota_connections for tenant in settings.tenants)
         self.max_connections = float("inf")  # own connections by the quotas, not rounded
         self.rounding_offset = self.slow_start.rounding_offset(0)
 
@@ -37,19 +58,21 @@
         super().rebuild()
 
     def quota_per_endpoint(self) -> float:
-        """Connections of all relays that the quotas stand for at a mean endpoint."""
-        return super().quota_per_endpoint() / self.size.growth_ratio
+        """Return the connections of all relays that the quotas stand for at a mean endpoint."""
+        return self.quota_connections / self.first_listed_count / self.size.growth_ratio
+
+    def sharing_relays(self) -> float:
+        """Return how many relays share what one endpoint can hold: no more than it has connections."""
+        if not self.quota_connections or not self.first_listed_count:
+            return self.settings.relay_count
+        return min(self.settings.relay_count, max(1.0, self.quota_per_endpoint()))
 
     def measures_delay(self) -> bool:
-        """Whether anything reports how long messages take: the connections, or recent load reports."""
+        """Whether connections, or recent load reports, tell how long messages take."""
         return self.settings.reports_delay or self.health_checks.has_recent_reports(self.now_ms)
 
-    def counts_as_full(self) -> bool:
-        """A closed endpoint, unless loads alone closed it: then others have room, and nobody need wait."""
-        return self.measures_delay()
-
     def depth(self) -> float:
-        """Attempts in flight over concurrency limits, over the ready endpoints; 1 where none is ready."""
+        """Return attempts in flight over concurrency limits at the ready endpoints; 1 if none is ready."""
         unknown_limits = min(self.totals.unknown_limits, MAX_UNKNOWN_ENDPOINTS * INITIAL_CONCURRENCY_LIMIT)
         limits = self.totals.limits + unknown_limits
         return min(1.0, self.totals.in_flight / limits) if limits else 1.0
@@ -59,82 +82,117 @@
         return self.depth() >= SCARCE_DEPTH
 
     def set_concurrency_limit(self, endpoint: EndpointState, limit: int) -> None:
-        """Additive increase and multiplicative decrease, within bounds; the caller does the arithmetic."""
-        endpoint.concurrency_limit = max(1, min(MAX_CONCURRENCY_LIMIT, limit))
+        """Set the endpoint's concurrency limit, within bounds."""
+        endpoint.connections.concurrency_limit = max(1, min(MAX_CONCURRENCY_LIMIT, limit))
         self.update_totals(endpoint)
 
-    def record_failure(self, now_ms: float, endpoint: EndpointState, weight: int) -> None:
-        """Failures in a row eject an endpoint for a while, but never too many endpoints at once."""
-        endpoint.consecutive_failures += weight
-        if endpoint.ready and endpoint.consecutive_failures >= FAILURES_TO_EJECT:
+    def record_establishment(self, endpoint: EndpointState, is_in_time: bool) -> None:
+        """Take in that an attempt was established: one in time raises the concurrency limit by one."""
+        connections = endpoint.connections
+        self.set_concurrency_limit(endpoint, connections.concurrency_limit + is_in_time)
+        connections.is_untried = False
+        endpoint.outlier.consecutive_failures = 0
+
+    def record_setup_end(self, endpoint: EndpointState, status: str) -> None:
+        """Take in that an attempt ended with this status before it was established.
+
+        Success raises the concurrency limit by one, and failure halves it. Failures count to the ejection.
+        """
+        limit = endpoint.connections.concurrency_limit
+        if status == AttemptStatus.OK:
+            self.set_concurrency_limit(endpoint, limit + 1)
+            endpoint.outlier.consecutive_failures = 0
+        elif status in LIMIT_HALVING_STATUSES:
+            self.set_concurrency_limit(endpoint, limit // 2)
+        if status in FAILURE_STATUSES:
+            is_connect_failure = status == AttemptStatus.CONNECT_FAILED
+            self.record_failure(endpoint, CONNECT_FAILURE_WEIGHT if is_connect_failure else 1)
+
+    def record_failure(self, endpoint: EndpointState, weight: int) -> None:
+        """Eject an endpoint for a while after consecutive failures, but never too many endpoints at once."""
+        endpoint.outlier.consecutive_failures += weight
+        if endpoint.ready and endpoint.outlier.consecutive_failures >= FAILURES_TO_EJECT:
             listed_count = len(self.ready) + len(self.ejected)
             if len(self.ejected) + 1 <= listed_count * MAX_EJECTION_RATIO:
-                endpoint.ejected_until_ms = now_ms + EJECTION_MS
+                endpoint.outlier.ejected_until_ms = self.now_ms + EJECTION_MS
                 self.rebuild()
 
     def readmit_ejected(self, now_ms: float) -> None:
-        """Readmitted, an endpoint takes one attempt at a time at first, and its next failure ejects it."""
-        for endpoint in [endpoint for endpoint in self.ejected if now_ms >= endpoint.ejected_until_ms]:
-            endpoint.ejected_until_ms = 0.0
-            endpoint.consecutive_failures = FAILURES_TO_EJECT - 1
-            endpoint.concurrency_limit = 1
-            self.rebuild()
+        """Readmit endpoints whose ejection is over, one attempt at a time; the next failure ejects again."""
+        for endpoint in self.ejected:  # rebuild() replaces the list
+            outlier = endpoint.outlier
+            if outlier.ejected_until_ms is not None and now_ms >= outlier.ejected_until_ms:
+                outlier.ejected_until_ms = None
+                outlier.consecutive_failures = FAILURES_TO_EJECT - 1
+                endpoint.connections.concurrency_limit = 1
+                self.rebuild()
 
     def update_weights(self) -> None:
-        """Set weights, shares of our connections and quotas of the ready endpoints."""
+        """Set the weights, shares of our connections and quotas of the ready endpoints."""
         slow_start_ms = self.settings.slow_start_ms
         initial_ratio = self.settings.initial_capacity_ratio
         for endpoint in self.ready:
             warm_up = quotas.warm_up_ratio(endpoint.age_ms(self.now_ms), slow_start_ms, initial_ratio)
             speed = self.machine_speeds.by_kind.get(endpoint.kind, 1.0)
-            endpoint.effective_weight = endpoint.nominal_weight * speed * warm_up
-        self.update_weight_totals()
+            endpoint.weights.effective = endpoint.weights.nominal * speed * warm_up
+        self._update_weight_totals()
         self._update_connection_shares()
         self._update_quotas()
 
+    def _update_weight_totals(self) -> None:
+        self.total_weight = sum(endpoint.weights.effective for endpoint in self.ready) or 1.0
+        warm_weight = sum(endpoint.weights.effective for endpoint in self.ready if not endpoint.slow_start)
+        self.warm_weight_ratio = warm_weight / self.total_weight
+        nominal_weight = sum(endpoint.weights.nominal for endpoint in self.ready)
+        self.mean_nominal_weight = nominal_weight / max(1, len(self.ready))
+
     def _update_connection_shares(self) -> None:
-        """Local endpoints are due what the relays of their zone bring, with one of these relays down."""
+        """Set shares; local endpoints get what the relays of their zone bring with one relay down."""
         for endpoint in self.ready:
-            endpoint.connection_share = endpoint.effective_weight / self.total_weight
+            endpoint.weights.connection_share = endpoint.weights.effective / self.total_weight
         relay_count = self.settings.relay_count
         zone_count = len({endpoint.zone for endpoint in self.ready}) or 1
         zone_share = min(1.0, max(1.0, relay_count / zone_count) / max(1, relay_count - 1))
-        local_weight = sum(endpoint.effective_weight for endpoint in self.local)
+        local_weight = sum(endpoint.weights.effective for endpoint in self.local)
+        bound = max(local_weight, self.total_weight * zone_share)
         for endpoint in self.local:
-            bound = max(local_weight, self.total_weight * zone_share)
-            endpoint.connection_share = endpoint.effective_weight / bound
+            endpoint.weights.connection_share = endpoint.weights.effective / bound
 
     def _update_quotas(self) -> None:
         relay_count = self.settings.relay_count
-        self.max_connections = float("inf")
-        bounds = [quotas.QuotaBound(self.max_connections, relay_count)] * len(self.ready)
-        if self.quota_connections and self.first_listed_count and not self.measures_delay():
-            self.max_connections, bounds = quotas.quota_bounds(
-                self.ready, self.zones, self.own_zone, self.quota_per_endpoint(), relay_count
-            )
-        for endpoint, bound in zip(self.ready, bounds, strict=True):
-            endpoint.max_connections = bound.max_connections
-            endpoint.eligible_relays = bound.eligible_relays
-
-    def has_slow_start_turn(self, now_ms: float, endpoint: EndpointState) -> bool:
-        """Whether it is our turn to send it an attempt: all relays together stay inside its budget."""
-        age_ms = now_ms - endpoint.started_at_ms
+        if not self.quota_connections or not self.first_listed_count or self.measures_delay():
+            self.max_connections = float("inf")
+            unlimited = quotas.QuotaBound(self.max_connections, relay_count)
+            for endpoint in self.ready:
+                endpoint.quota = unlimited
+            return
+        bounds = quotas.quota_bounds(
+            self.ready, self.zones, self.own_zone, self.quota_per_endpoint(), relay_count
+        )
+        self.max_connections = bounds.max_connections
+        for endpoint, bound in zip(self.ready, bounds.by_endpoint, strict=True):
+            endpoint.quota = bound
+
+    def has_slow_start_permit(self, now_ms: float, endpoint: EndpointState) -> bool:
+        """Whether slow start lets us send the endpoint an attempt now. Ends a slow start that is over."""
+        age_ms = endpoint.age_ms(now_ms)
         if endpoint.slow_start is None or age_ms >= self.settings.slow_start_ms:
             endpoint.slow_start = None
             return True
-        return self.slow_start.has_turn(
-            endpoint.slow_start, age_ms, self._warm_connections(endpoint), endpoint.eligible_relays
+        return self.slow_start.has_permit(
+            endpoint.slow_start, age_ms, self._warm_connections(endpoint), endpoint.quota.eligible_relays
         )
 
     def _warm_connections(self, endpoint: EndpointState) -> float:
-        """Connections of all relays that an endpoint in slow start holds once it is warm.
+        """Return the connections of all relays that an endpoint in slow start holds once it is warm.
 
-        By the quotas, which stand for the whole fleet; else by what we hold.
+        It goes by the quotas, which stand for the whole fleet; without quotas by what we hold.
         """
+        nominal_weight = endpoint.weights.nominal
         if self.quota_connections:
-            fleet_weight = self.size.nominal_weight or endpoint.nominal_weight or 1.0
-            return self.quota_connections * endpoint.nominal_weight / fleet_weight
+            fleet_weight = self.size.nominal_weight or nominal_weight or 1.0
+            return self.quota_connections * nominal_weight / fleet_weight
         listed_count = max(1, len(self.ready) + len(self.ejected))
         fleet_open_count = self.open_count * self.settings.relay_count
-        mean_weight = self.mean_nominal_weight or endpoint.nominal_weight
-        return fleet_open_count / listed_count * endpoint.nominal_weight / mean_weight
+        mean_weight = self.mean_nominal_weight or nominal_weight
+        return fleet_open_count / listed_count * nominal_weight / mean_weight
--- /dev/null
+++ b/sageturn/decision/group_ranking.py
@@ -0,0 +1,87 @@
+"""Group ranking: the endpoints in a group's order of preference, on which all relays agree."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from dataclasses import dataclass
+from math import ceil
+
+from sageturn.decision.fleet import Fleet
+from sageturn.decision.rendezvous import rank_endpoints
+from sageturn.decision.state import EndpointState, RequestState
+
+GROUP_PRIOR_SHARE = 0.02  # of all connections, that a group is expected to have
+GROUP_PRIOR_WEIGHT = 10.0  # connections that this expectation counts for, as few of our own show little
+MAX_RANKED_GROUPS = 500  # rankings that are cached
+
+
+@dataclass(slots=True)
+class RankedGroup:
+    """The ready endpoints in a group's order of preference."""
+
+    endpoints: list[EndpointState]
+    home_count: int  # how many of the first are the group's homes
+
+
+class GroupRanking:
+    """Ranks the ready endpoints for each group by rendezvous hashing.
+
+    An endpoint pays for each group of which it holds a connection, so a group stays on its homes: the first
+    endpoints of its ranking, in number by the group's share of all connections.
+    """
+
+    def __init__(self, fleet: Fleet) -> None:
+        self._fleet = fleet
+
+    def rank(self, group: str) -> RankedGroup:
+        """Return the group's ranking. Its list of endpoints is cached, and must not be changed."""
+        fleet = self._fleet
+        group_count = fleet.group_counts.get(group, 0) + GROUP_PRIOR_SHARE * GROUP_PRIOR_WEIGHT
+        group_share = group_count / (fleet.open_count + GROUP_PRIOR_WEIGHT)
+        home_count = max(1, ceil(len(fleet.local or fleet.ready) * group_share))
+        return RankedGroup(self._ranked_endpoints(group), home_count)
+
+    def prefer(self, ranked: RankedGroup, endpoint: EndpointState) -> None:
+        """Make an endpoint the group's first, until the endpoint list changes."""
+        ranked.endpoints.remove(endpoint)
+        ranked.endpoints.insert(0, endpoint)
+
+    def spill_candidates(
+        self, request: RequestState, ranked: RankedGroup, is_migrated: bool
+    ) -> Iterable[EndpointState]:
+        """Return the endpoints beyond the group's homes that its request may spill to, in their order.
+
+        A migrated request goes first to the endpoints that hold some of its group. While endpoints are scarce
+        the group gets no further endpoint: only those that hold some of it, or its first ones of other zones.
+        """
+        fleet = self._fleet
+        group = request.group
+        home_count = ranked.home_count
+        candidates = ranked.endpoints[home_count:]
+        if is_migrated:
+            candidates = sorted(
+                ranked.endpoints, key=lambda endpoint: group not in endpoint.connections.group_counts
+            )
+        if not fleet.is_scarce() or request.midflow:
+            return candidates
+        local_count = len(fleet.local or fleet.ready)
+        return (
+            endpoint
+            for rank, endpoint in enumerate(candidates, home_count)
+            if group in endpoint.connections.group_counts or local_count <= rank < local_count + home_count
+        )
+
+    def _ranked_endpoints(self, group: str) -> list[EndpointState]:
+        """Return the ready endpoints by the hash of the group, those of the relay's zone first."""
+        fleet = self._fleet
+        ranked = fleet.rankings.get(group)
+        if ranked is not None:
+            return ranked
+        ranked = rank_endpoints(fleet.local or fleet.ready, group)
+        if len(ranked) < len(fleet.ready):
+            remote = (endpoint for endpoint in fleet.ready if endpoint.zone != fleet.settings.zone)
+            ranked += rank_endpoints(remote, group)
+        if len(fleet.rankings) >= MAX_RANKED_GROUPS:
+            fleet.rankings.clear()
+        fleet.rankings[group] = ranked
+        return ranked
--- a/sageturn/decision/health_checks.py
+++ b/sageturn/decision/health_checks.py
@@ -1,4 +1,7 @@
-"""When to ask endpoints for load reports, and what a report calls for. Pure: no clock, no I/O."""
+"""The schedule of health checks, and the verdict on the load reports that they return.
+
+The module is pure: it has no clock and does no I/O, and its randomness is passed in.
+"""
 
 from __future__ import annotations
 
@@ -7,76 +10,81 @@
 from random import Random
 
 from sageturn.decision import actions
-from sageturn.decision.settings import Settings
+from sageturn.decision.settings import ReportSource, Settings
 
-# A health check costs a part of the goal, given for one check a request: of a relay's requests each pays for
-# so much of it, and no more is spent. What is served in the goal's worst ten seconds, where reports save
-# most, weighs far more than this.
-SPEND_RATIO = 0.02
-CHECK_INTERVAL_MS = 1000.0  # endpoints make a new report about this often: asked sooner, they repeat the last
+SPEND_RATIO = 0.02  # part of each request's worth that may be spent on health checks
+CHECK_INTERVAL_MS = 1000.0  # between two checks of one endpoint, which makes a new report about this often
 MIN_FLEET_INTERVAL_MS = 100.0  # between two checks of one endpoint by all relays together
-SCHEDULING_INTERVAL_MS = 250.0  # endpoints that are due are looked for this often
-REPORT_TTL_MS = 5000.0  # without any report for so long, there is nothing to go by
-OVERLOADED_UTILIZATION = 0.75  # past it every further connection makes the messages of all late
-RELIEF_UTILIZATION = 0.8  # past it clients are migrated off an endpoint,
-TARGET_UTILIZATION = 0.7  # until it is down to this
-RELIEF_INTERVAL_MS = 1000.0  # no report shows sooner what the last migrations did
-TIMER_MARK = "probe"
+SCHEDULING_INTERVAL_MS = 250.0  # at which endpoints that are due are looked for
+REPORT_TTL_MS = 5000.0  # after which the last report says nothing about the load any more
+OVERLOADED_UTILIZATION = 0.75  # above it each further connection makes the messages of all late
+RELIEF_UTILIZATION = 0.8  # above it clients are migrated off an endpoint
+TARGET_UTILIZATION = 0.7  # down to which an endpoint is relieved
+RELIEF_INTERVAL_MS = 1000.0  # until a report shows the effect of the last migrations
+TIMER_TAG = "probe"
 LOAD_FIELDS = {"x0", "x1", "cpu"}  # of a report: utilization, seconds of queued work, processor use
 
 
 @dataclass(frozen=True, slots=True)
 class LoadVerdict:
-    """What a load report calls for."""
+    """The verdict on a load report."""
 
     is_overloaded: bool  # the endpoint should be sent nothing more
-    excess_ratio: float  # of each relay's connections there, what should be migrated off it
+    excess_ratio: float  # part of each relay's connections there that should be migrated
 
 
 class HealthCheckScheduler:
-    """One relay's health checks. Times are milliseconds of one clock that never goes back."""
+    """Schedules one relay's health checks. Times are milliseconds of one clock that never goes back."""
 
     def __init__(self, settings: Settings, max_queue_ms: float, rng: Random) -> None:
-        """``max_queue_ms``: work queued for longer makes messages late.
+        """Create the schedule. It stays empty where connections measure delays: reports would only cost.
 
-        Where connections show how long messages take, reports would add only their price: nothing is asked.
+        Args:
+            settings: The balancer's settings.
+            max_queue_ms: An endpoint whose work is queued for longer is overloaded.
+            rng: Spreads the checks of relays.
         """
         is_useful = not settings.reports_delay and bool(LOAD_FIELDS & set(settings.report_fields))
-        self._is_enabled = is_useful and settings.probes and settings.reports != "none"
+        self._is_enabled = is_useful and settings.probes and settings.reports != ReportSource.NONE
         cost = settings.health_check_cost
         self._credit_per_request = SPEND_RATIO / cost if cost else float("inf")
         self._interval_ms = max(CHECK_INTERVAL_MS, MIN_FLEET_INTERVAL_MS * settings.relay_count)
         self._max_queue_ms = max_queue_ms
         self._rng = rng
         self._credit = 0.0  # checks that requests have paid for
-        self._max_endpoint_count = 0  # listed at any time so far
-        self._due_ms: dict[str, float] = {}  # by endpoint: when it is to be checked next
-        self._next_relief_ms: dict[str, float] = {}  # by endpoint: when clients may be migrated off it again
+        self._max_endpoint_count = 0  # largest number listed so far
+        self._due_ms: dict[str, float] = {}  # next check, by endpoint
+        self._next_relief_ms: dict[str, float] = {}  # next migrations off it, by endpoint
         self._last_report_ms = -REPORT_TTL_MS
 
     def on_start(self) -> list[actions.Action]:
-        """The relay has started, with the list that it last held."""
+        """Return the first timer, as the relay starts with the list that it last held."""
         if not self._is_enabled:
             return []
-        return [actions.SetTimer(SCHEDULING_INTERVAL_MS * self._rng.random(), TIMER_MARK)]
+        return [actions.SetTimer(SCHEDULING_INTERVAL_MS * self._rng.random(), TIMER_TAG)]
 
     def on_timer(self, now_ms: float, endpoints: Iterable[str]) -> list[actions.Action]:
-        """``endpoints``: all that are listed ready, those that are ejected as well."""
+        """Return the checks that are due, and the next timer.
+
+        Args:
+            now_ms: The time of the timer.
+            endpoints: All that are listed ready, ejected or not.
+        """
         checks = [actions.CheckHealth(name) for name in self.take_due(now_ms, endpoints)]
-        return [*checks, actions.SetTimer(SCHEDULING_INTERVAL_MS, TIMER_MARK)]
+        return [*checks, actions.SetTimer(SCHEDULING_INTERVAL_MS, TIMER_TAG)]
 
     def has_recent_reports(self, now_ms: float) -> bool:
-        """Reports come in, so that they can be gone by instead of a relay's own estimates."""
+        """Whether reports have come recently, and take the place of the relay's own estimates."""
         return now_ms < self._last_report_ms + REPORT_TTL_MS
 
     def record_request(self) -> None:
-        """A request came that is not a client's retry: the price counts those."""
+        """Add the credit of a request that is not a client's retry."""
         self._credit = min(float(self._max_endpoint_count), self._credit + self._credit_per_request)
 
     def take_due(self, now_ms: float, endpoints: Iterable[str]) -> list[str]:
-        """Of those listed, whom to check now: the longest waiting first, as far as requests have paid.
+        """Return the endpoints to check now, the longest due first, as far as the credit goes.
 
-        Each may be checked once before any has.
+        Each new endpoint adds credit for one check.
         """
         due_ms = {name: self._due_ms.get(name, now_ms) for name in endpoints}
         self._due_ms = due_ms
@@ -91,11 +99,14 @@
         return names
 
     def exclude_endpoint(self, endpoint: str) -> None:
-        """It answers no health checks: it is not checked again while it is listed."""
+        """Stop checking an endpoint that refuses health checks, for as long as it is listed."""
         self._due_ms[endpoint] = float("inf")
 
     def record_report(self, now_ms: float, endpoint: str, report: Mapping[str, float]) -> LoadVerdict:
-        """All relays read the same, and each migrates that part of its own: together it is the excess."""
+        """Return the verdict on an endpoint's load report.
+
+        All relays get the same report, and each migrates the same part of its own connections.
+        """
         self._last_report_ms = now_ms
         utilization = report.get("x0", report.get("cpu", 0.0))
         queue_ms = report.get("x1", 0.0) * 1000.0
--- a/sageturn/decision/load_reports.py
+++ b/sageturn/decision/load_reports.py
@@ -1,4 +1,4 @@
-"""Load reports as endpoints give them. Pure: values that cannot be right are dropped here."""
+"""Reading load reports of endpoints. Values that cannot be right are dropped here."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from collections.abc import Iterable, Mapping
 from typing import Any
 
-# A report's values go by two names: the settings' and those of a report in a line of text.
+# From the names in a report that is a line of text to the settings' names.
 FIELD_ALIASES = {
     "inflight": "active",
     "queue": "waiting",
@@ -18,11 +18,10 @@
     "eps": "err_rps",
 }
 FIELDS = frozenset({"active", "waiting", "cpu", "avg_ms", "rps", "err_rps", "x0", "x1"})
-# More than any endpoint can show: a thousand times what it can do, an hour queued, ten million requests.
-MAX_VALUES = {"cpu": 1e3, "x0": 1e3, "x1": 3600.0}
+MAX_VALUES = {"cpu": 1e3, "x0": 1e3, "x1": 3600.0}  # utilizations, and seconds of queued work
 MAX_OTHER_VALUE = 1e7
 MAX_LOAD_US_PER_S = 1e9  # of one connection: a thousand cores
-MAX_REPORT_BYTES = 512  # of a report in a line of text
+MAX_REPORT_BYTES = 512
 MAX_REPORT_PAIRS = 16
 _PAIR = re.compile(r"([a-z0-9_]{1,32})=(-?[0-9]{1,12}(?:\.[0-9]{1,12})?(?:e[+-]?[0-9]{1,2})?)")
 
@@ -30,13 +29,18 @@
 def is_usable_load(load_us_per_s: float) -> bool:
     """Whether a connection's load, in microseconds of work a second, can be right.
 
-    One that is no number would spoil every sum that it enters, for as long as the relay runs.
+    A value that is not a number would spoil every sum that it enters, for as long as the relay runs.
     """
     return 0.0 <= load_us_per_s <= MAX_LOAD_US_PER_S
 
 
 def checked(values: Mapping[str, Any] | None, dropped: Counter[str] | None = None) -> dict[str, float]:
-    """The values that can be used, by the settings' names; ``dropped`` counts why others cannot."""
+    """Return the usable values of a report by the settings' names.
+
+    Args:
+        values: The report; None if there is none.
+        dropped: Counts the values that are dropped, by reason.
+    """
     usable: dict[str, float] = {}
     for word, value in (values or {}).items():
         name = FIELD_ALIASES.get(word, word)
@@ -57,10 +61,12 @@
 
 
 def read_report(text: bytes, allowed: Iterable[str], dropped: Counter[str]) -> dict[str, float]:
-    """Read ``inflight=7,queue=2,util=0.61``, of which only fields that the settings name are taken.
+    """Return the usable values of a report such as ``inflight=7,queue=2,util=0.61``. Nothing is raised.
 
-    Called for each line or header that holds a report. Nothing is raised: ``dropped`` counts what
-    is unusable.
+    Args:
+        text: The report, from a line or a header.
+        allowed: The fields that the settings name; others are dropped.
+        dropped: Counts what is dropped, by reason.
     """
     if not text.strip():
         return {}
--- a/sageturn/decision/reject_cause.py
+++ b/sageturn/decision/reject_cause.py
@@ -1,4 +1,4 @@
-"""Why a request was ended without being served."""
+"""The causes for which a request is ended without being served."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 class RejectCause(StrEnum):
-    """Why a request was ended without being served: for logs and counters, no wire carries it."""
+    """The cause for which a request was ended without being served, for logs and counters only."""
 
     THROTTLED = "throttled"  # its tenant's bucket is empty, or the tenant holds too much
-    LATE = "late"  # no time is left, or none in which a retry would still be worth anything
+    LATE = "late"  # its deadline has passed, or a retry would miss the latency objective
     ATTEMPTS_EXHAUSTED = "attempts_exhausted"
-    QUOTA = "quota"  # the relay holds its part of all connections
-    SETUP_WINDOW = "setup_window"  # as many set-ups as the relay may have are in flight, or it pauses
-    NO_ENDPOINT = "no_endpoint"  # none is ready that may be sent the request now
+    QUOTA = "quota"  # the relay holds its quota of all connections
+    SETUP_WINDOW = "setup_window"  # the relay has as many set-ups in flight as it may, or pauses
+    NO_ENDPOINT = "no_endpoint"  # no ready endpoint may be sent the request now
     MAY_HAVE_RUN = "may_have_run"  # an attempt may have been executed, and may not be repeated
--- /dev/null
+++ b/sageturn/decision/relief.py
@@ -0,0 +1,72 @@
+"""Relief: which connections are migrated off an endpoint that holds too much."""
+
+from __future__ import annotations
+
+from collections import Counter
+from random import Random
+
+from sageturn.decision import actions
+from sageturn.decision.fleet import Fleet
+from sageturn.decision.settings import Settings
+from sageturn.decision.state import EndpointState, RequestState
+
+MAX_MIGRATION_COST = 0.1  # part of the goal, above which nothing is migrated
+RELIEF_RATIO = 0.1  # of an endpoint's connections that are migrated at a sign of overload
+RELIEF_RATIO_PER_RELAY = 0.01  # added for each relay, as clients return through relays that saw no sign
+MAX_RELIEF_RATIO = 0.35  # upper bound of the two together
+RELIEF_PER_S = 8.0  # connections of all relays that are migrated off endpoints beyond their quota
+
+Migrations = list[actions.Action]
+
+
+class LoadRelief:
+    """Selects the connections to migrate. ``is_allowed`` says whether migrations cost little enough."""
+
+    def __init__(self, settings: Settings, rng: Random, fleet: Fleet) -> None:
+        self.is_allowed = settings.migration_cost <= MAX_MIGRATION_COST
+        self._relay_count = settings.relay_count
+        self._rng = rng
+        self._fleet = fleet
+        self._next_quota_relief_ms = 0.0
+
+    def relieve_quota(self, now_ms: float, endpoint: EndpointState) -> Migrations:
+        """Return the migration of one client off an endpoint beyond its quota, at the pace of all relays."""
+        max_connections = endpoint.quota.max_connections + endpoint.rounding_offset
+        is_over = endpoint.connections.open_count >= max_connections + 1.0
+        if not is_over or not self.is_allowed or now_ms < self._next_quota_relief_ms:
+            return []
+        pause_ms = (500.0 + 1000.0 * self._rng.random()) * self._relay_count
+        self._next_quota_relief_ms = now_ms + pause_ms / RELIEF_PER_S
+        return self.relieve(endpoint, 1)
+
+    def relieve(self, endpoint: EndpointState, count: int | None = None) -> Migrations:
+        """Return migrations of some clients off the endpoint, and count these as finished.
+
+        Args:
+            endpoint: The endpoint to relieve.
+            count: How many clients at most; None for a part of those that it holds.
+        """
+        candidates = self._migration_candidates(endpoint)
+        if count is None:
+            # All relays see the same sign: where many hold one each, one each would empty the endpoint.
+            ratio = min(MAX_RELIEF_RATIO, RELIEF_RATIO + RELIEF_RATIO_PER_RELAY * self._relay_count)
+            count = int(len(candidates) * ratio + 1.0 / self._fleet.sharing_relays() + self._rng.random())
+        migrated = candidates[:count]
+        for request in migrated:
+            request.is_finished = True
+            endpoint.forget_connection(request.id)
+        return [actions.MigrateConnection(request.id) for request in migrated]
+
+    def _migration_candidates(self, endpoint: EndpointState) -> list[RequestState]:
+        """Return the connections that may be migrated, in the order in which they should be.
+
+        The smallest group is first, as its last connection takes the group's cost along. Then come the
+        heaviest, unless endpoints are scarce: a client that is migrated then may find no other endpoint.
+        """
+        established = endpoint.connections.established.values()
+        group_sizes = Counter(request.group for request in established)
+        load_factor = 0.0 if self._fleet.is_scarce() else -1.0
+        now_ms = self._fleet.now_ms
+        candidates = [request for request in established if request.migration_exempt_until_ms <= now_ms]
+        candidates.sort(key=lambda request: (group_sizes[request.group], load_factor * request.load))
+        return candidates
--- a/sageturn/decision/rendezvous.py
+++ b/sageturn/decision/rendezvous.py
@@ -8,17 +8,17 @@
 
 from sageturn.decision.state import EndpointState
 
-HASH_MULTIPLIER = 0x9E3779B1  # mixes the two hashes
+HASH_MULTIPLIER = 0x9E3779B1  # mixes the two hashes, as CRC is linear
 HASH_MASK = 0xFFFFFFFF  # hashes are of 32 bits
-UNIFORM_DIVISOR = 0x100000001  # takes a hash and one to above 0 and below 1
+UNIFORM_DIVISOR = 0x100000001  # maps a hash plus one to between 0 and 1, both excluded
 
 
 def rank_endpoints(endpoints: Iterable[EndpointState], key: str) -> list[EndpointState]:
-    """Sort the endpoints for a key; each is first as often as its part of all effective weights."""
+    """Return the endpoints in order for a key; each is first as often as its part of all weights."""
     key_hash = crc32(key.encode())
 
     def score(endpoint: EndpointState) -> float:
         mixed = (endpoint.name_hash ^ key_hash) * HASH_MULTIPLIER & HASH_MASK
-        return -log((mixed + 1) / UNIFORM_DIVISOR) / endpoint.effective_weight
+        return -log((mixed + 1) / UNIFORM_DIVISOR) / endpoint.weights.effective
 
     return sorted(endpoints, key=score)
--- a/sageturn/decision/settings.py
+++ b/sageturn/decision/settings.py
@@ -7,18 +7,53 @@
 
 from __future__ import annotations
 
+from collections.abc import Iterable
 from dataclasses import dataclass
+from enum import StrEnum
 
 from sageturn.decision.errors import InvalidSettingError
 
-# What a second execution of a request does: nothing, nothing where it has the same idempotency key, or harm.
-EFFECTS = ("safe", "keyed", "unsafe")
-SCOPES = ("all", "zone", "cell")  # endpoints among which an idempotency key is recognized
-DISCOVERY = ("push", "ask")  # an agent keeps the list, or the relay watches it by calls of its own
-WEIGHTS = ("none", "nominal", "rough", "live")
-REPORTS = ("none", "probe", "answers")  # with what load reports come: health checks, or answers as well
-DEFAULT_ALLOWANCE_PER_S = 10.0  # where no tenant has an allowance
-NOT_EXECUTED_STATUSES = ("full", "connect_failed", "moot")  # of attempts that were certainly not executed
+DEFAULT_ALLOWANCE_PER_S = 10.0  # if no tenant has an allowance
+
+
+class Effect(StrEnum):
+    """The effect of executing a request of a class a second time."""
+
+    SAFE = "safe"  # none
+    KEYED = "keyed"  # none while its idempotency key is remembered
+    UNSAFE = "unsafe"  # harm
+
+
+class KeyScope(StrEnum):
+    """The endpoints among which an idempotency key is recognized."""
+
+    ALL = "all"
+    ZONE = "zone"
+    CELL = "cell"
+
+
+class DiscoveryMode(StrEnum):
+    """How a relay gets the endpoint list."""
+
+    PUSH = "push"  # a local agent keeps it
+    ASK = "ask"  # the relay watches it by calls of its own
+
+
+class WeightMeaning(StrEnum):
+    """The meaning of an endpoint's ``share``."""
+
+    NONE = "none"
+    NOMINAL = "nominal"  # size
+    ROUGH = "rough"  # approximate size
+    LIVE = "live"  # size, lowered by the present load
+
+
+class ReportSource(StrEnum):
+    """What load reports of endpoints come with."""
+
+    NONE = "none"
+    PROBE = "probe"  # health checks
+    ANSWERS = "answers"  # health checks and answers to requests
 
 
 def _require(ok: bool, field: str, rule: str) -> None:
@@ -26,39 +61,57 @@
         raise InvalidSettingError(f"{field}: {rule}")
 
 
+def _require_one_of(choices: Iterable[str], value: str, field: str) -> None:
+    names = tuple(choices)
+    _require(value in names, field, "must be one of " + ", ".join(names))
+
+
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """One class of requests. ``scope`` and ``key_ttl_ms`` matter for keyed (idempotent) classes only."""
+    """One class of requests. ``scope`` and ``key_ttl_ms`` matter for keyed classes only.
+
+    ``effect`` and ``scope`` are an ``Effect`` and a ``KeyScope``, or their values.
+
+    Raises:
+        InvalidSettingError: A value is out of its range.
+    """
 
     name: str
-    latency_objective_ms: float  # of a connection: from the request until it is established
-    effect: str = "safe"
-    scope: str = "all"
+    latency_objective_ms: float  # from the request until its connection is established
+    effect: str = Effect.SAFE
+    scope: str = KeyScope.ALL
     key_ttl_ms: float = 0.0  # how long an idempotency key is remembered after the first execution
-    message_latency_objective_ms: float = 0.0  # of a message on an established connection; 0: none
-    give_up_ms: float = 0.0  # how long a client waits, all its attempts together; 0 where it is not given
+    message_latency_objective_ms: float = 0.0  # of a message on an established connection; 0 if none
+    give_up_ms: float = 0.0  # how long a client waits, over all attempts; 0 if not given
 
     def __post_init__(self) -> None:
         _require(self.latency_objective_ms > 0, "latency_objective_ms", "must be above 0")
-        _require(self.effect in EFFECTS, "effect", "must be one of " + ", ".join(EFFECTS))
-        _require(self.scope in SCOPES, "scope", "must be one of " + ", ".join(SCOPES))
+        _require_one_of(Effect, self.effect, "effect")
+        _require_one_of(KeyScope, self.scope, "scope")
         _require(self.key_ttl_ms >= 0, "key_ttl_ms", "must not be negative")
         _require(self.give_up_ms >= 0, "give_up_ms", "must not be negative")
         _require(
             self.message_latency_objective_ms >= 0, "message_latency_objective_ms", "must not be negative"
         )
 
-    def is_rejectable(self, ran: bool) -> bool:
+    def is_rejectable(self, may_have_executed: bool) -> bool:
         """Whether a request may be rejected, which promises that a retry is harmless.
 
-        ``ran``: an attempt of it may have been executed.
+        Args:
+            may_have_executed: An attempt of the request may have been executed.
         """
-        return not ran or self.effect == "safe" or (self.effect == "keyed" and self.scope == "all")
+        if not may_have_executed or self.effect == Effect.SAFE:
+            return True
+        return self.effect == Effect.KEYED and self.scope == KeyScope.ALL
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """One tenant. Its allowance of requests and its quota of connections count over all relays."""
+    """One tenant. Its allowance of requests and its quota of connections count over all relays.
+
+    Raises:
+        InvalidSettingError: A value is negative.
+    """
 
     name: str
     allowance_per_s: float = 0.0
@@ -71,42 +124,48 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that a balancer is given at its start; ``sageturn.config.settings`` holds the platform's names."""
+    """The settings of a balancer; ``sageturn.config.settings`` holds the platform's names.
+
+    ``discovery``, ``weights`` and ``reports`` are a ``DiscoveryMode``, a ``WeightMeaning`` and a
+    ``ReportSource``, or their values.
+
+    Raises:
+        InvalidSettingError: A value is out of its range.
+    """
 
     classes: tuple[RequestClass, ...]
     tenants: tuple[Tenant, ...] = ()
     relay_count: int = 1
-    index: int | None = None  # our number among them, from 0; None where it is not given
+    index: int | None = None  # this relay's number, from 0; None if not given
     zone: str = ""
-    discovery: str = "push"
+    discovery: str = DiscoveryMode.PUSH
     max_attempts: int = 3
     may_cancel: bool = False  # an attempt may be abandoned once its client has left
     retry_after: bool = True  # a rejection may say when to come again
     max_retry_after_ms: float = 1000.0
     connect_timeout_ms: float = 250.0
-    keepalive_ms: float = 10000.0  # servers close connections that have been idle for so long
-    max_poll_interval_ms: float = 10000.0  # discovery has to be asked again within so long
-    # In a window of this length, an endpoint in slow start bears so many times what fills it evenly.
-    cold_overload_multiple: float = 3.0
-    cold_overload_window_ms: float = 2000.0
-    initial_capacity_ratio: float = 0.3  # of its capacity, that an endpoint has at its start
-    slow_start_ms: float = 10000.0  # after its start, until it has all of it
-    weights: str = "none"  # what ``share`` means: nothing, size, rough size, or size lowered by present load
-    groups: bool = False  # clients have groups, and an endpoint pays for each group of which it holds any
-    cross_zone_cost: float = 0.0  # of the goal, for a connection to another zone; 0: zones do not matter
-    migration_cost: float = 0.0  # of the goal, for one migrated connection
-    reports_delay: bool = True  # measurements show how long messages take; else only loads and set-ups do
-    probes: bool = False  # a relay may ask endpoints for load reports
-    health_check_cost: float = 0.0  # of the goal, for one health check a request
-    reports: str = "none"  # what load reports come with: nothing, health checks, or answers as well
-    report_fields: tuple[str, ...] = ()  # the values that they hold
+    keepalive_ms: float = 10000.0  # endpoints close connections that have been idle for so long
+    max_poll_interval_ms: float = 10000.0  # discovery has to be called again within this time
+    cold_overload_multiple: float = 3.0  # of an even fill, that an endpoint in slow start bears in a window
+    cold_overload_window_ms: float = 2000.0  # length of that window
+    initial_capacity_ratio: float = 0.3  # part of its capacity that an endpoint has at its start
+    slow_start_ms: float = 10000.0  # from an endpoint's start until it has its full capacity
+    weights: str = WeightMeaning.NONE
+    groups: bool = False  # clients have groups, and each group costs an endpoint that holds any of it
+    cross_zone_cost: float = 0.0  # part of the goal, for a connection to another zone; 0: zones do not matter
+    migration_cost: float = 0.0  # part of the goal, for one migrated connection
+    reports_delay: bool = True  # connections measure how long messages take
+    probes: bool = False  # a relay may send endpoints health checks
+    health_check_cost: float = 0.0  # part of the goal, for one health check a request
+    reports: str = ReportSource.NONE
+    report_fields: tuple[str, ...] = ()  # the values that load reports hold
 
     def total_allowance_per_s(self) -> float:
-        """Requests that all tenants together may send to all relays."""
+        """Return the requests a second that all tenants together may send to all relays."""
         return sum(tenant.allowance_per_s for tenant in self.tenants) or DEFAULT_ALLOWANCE_PER_S
 
     def shortest_message_objective_ms(self, default_ms: float) -> float:
-        """Of the classes that have an objective for messages; the default where none has."""
+        """Return the shortest latency objective for messages of any class, or the default if none has one."""
         objectives = (each.message_latency_objective_ms for each in self.classes)
         return min((objective_ms for objective_ms in objectives if objective_ms > 0), default=default_ms)
 
@@ -114,9 +173,9 @@
         _require(len(self.classes) > 0, "classes", "at least one is needed")
         _require(self.relay_count >= 1, "relay_count", "must be 1 or more")
         _require(self.index is None or self.index >= 0, "index", "must not be negative")
-        _require(self.discovery in DISCOVERY, "discovery", "must be one of " + ", ".join(DISCOVERY))
-        _require(self.weights in WEIGHTS, "weights", "must be one of " + ", ".join(WEIGHTS))
-        _require(self.reports in REPORTS, "reports", "must be one of " + ", ".join(REPORTS))
+        _require_one_of(DiscoveryMode, self.discovery, "discovery")
+        _require_one_of(WeightMeaning, self.weights, "weights")
+        _require_one_of(ReportSource, self.reports, "reports")
         _require(self.max_attempts >= 1, "max_attempts", "must be 1 or more")
         _require(
             0 < self.initial_capacity_ratio <= 1, "initial_capacity_ratio", "must be above 0 and at most 1"
--- a/sageturn/decision/slow_start.py
+++ b/sageturn/decision/slow_start.py
@@ -1,13 +1,15 @@
-"""How fast all relays together send to an endpoint that has just started, and whose turn each attempt is.
+"""The pace at which all relays together send attempts to an endpoint in slow start.
 
-Pure: no clock, no I/O. The settings allow such an endpoint N attempts in a window of ``fallMs``:
-``fallMultiple`` times what fills it over its warm-up, by the part that it can do by then. What goes beyond
-that is put down to chance up to ``2 * sqrt(N) + 2``. Only the sum over all relays counts, so it is what is
-paced here: the budget is cut into turns of one attempt, and each turn is one relay's. Relays know the same
-start, the same settings and their own numbers, so they agree on whose turn it is and need not talk.
+The settings allow an endpoint that has just started N attempts in a window: a multiple of what fills it
+evenly over its warm-up, by the part of its capacity that it has by then. Up to ``2 * sqrt(N) + 2`` attempts
+more are tolerated as chance. Only the sum over all relays counts, so the budget is issued as permits of one
+attempt, each of which belongs to one relay. Relays know the endpoint's start, the settings and their own
+numbers, so they agree on whose permit it is without talking to each other.
 
-A turn is lost when it has waited too long: else those of all relays would pile up until a burst spends them
-in one window. What may be put down to chance pays for the wait, as nothing here is left to chance.
+A permit expires when it is not taken in time: else permits of all relays would pile up until a burst takes
+them in one window. The tolerance pays for the time for which permits stay valid.
+
+The module is pure: it has no clock and does no I/O, and its randomness is passed in.
 """
 
 from __future__ import annotations
@@ -19,38 +21,50 @@
 from sageturn.decision.quotas import warm_up_ratio
 from sageturn.decision.settings import Settings
 
-GOLDEN_RATIO = 0.6180339887498949  # the fractions of its multiples are spread evenly, however many there are
-# Attempts by which a window's sum may miss: turns are whole, and estimates of an endpoint's size differ.
-ROUNDING_MARGIN = 2.0
-MAX_STEP_MS = 500.0  # over which the pace of turns is taken to be constant
-# Where relays don't know their numbers, chance decides whose turn it is: so many standard deviations of the
-# sum fit into the bound. One window in 740 is over it then.
-RANDOM_TURN_DEVIATIONS = 3.0
-MIN_WAIT_WINDOWS = 0.25  # a turn may wait at least so much of a window
+GOLDEN_RATIO = 0.6180339887498949  # the fractional parts of its multiples are spread evenly
+ROUNDING_MARGIN = 2.0  # attempts a window, as permits are whole and relays estimate an endpoint's size
+MAX_STEP_MS = 500.0  # over which the rate of permits is taken to be constant
+RANDOM_PERMIT_DEVIATIONS = 3.0  # standard deviations within the bound where relays do not know their numbers
+MIN_VALIDITY_WINDOWS = 0.25  # a permit is valid for at least this part of a window
 
 
 def max_attempts_per_window(budget: float) -> float:
-    """Attempts in a window that an endpoint bears for sure where the settings allow it ``budget``."""
+    """Return the attempts that an endpoint tolerates in a window for which the settings allow ``budget``."""
     return budget + 2.0 * sqrt(budget) + 2.0
 
 
+@dataclass(slots=True)
+class PermitCount:
+    """The permits that one relay was issued for one start of an endpoint."""
+
+    counted_age_ms: float  # age of the endpoint up to which permits are counted
+    issued: float  # with the fraction of the next one
+    spent: int = 0  # taken by an attempt, or expired
+
+
 @dataclass(slots=True)
 class SlowStartState:
-    """One start of an endpoint, as one relay counts its turns there."""
+    """One start of an endpoint, as one relay sees it."""
 
     first_seen_age_ms: float  # age of the endpoint when the relay was notified of it
-    rounding_offset: float  # rounds the relay's part of what the endpoint can hold, from 0 to 1
-    counted_age_ms: float = -1.0  # up to which the turns are counted; below 0 before they are
-    turns: float = 0.0  # so far, with their fraction
-    used_turns: int = 0  # of these, by an attempt or by waiting for too long
+    rounding_offset: float  # from 0 to 1, rounds the relay's part of what the endpoint can hold
+    permits: PermitCount | None = None  # None until the first one is asked for
+
+
+@dataclass(slots=True)
+class PermitRate:
+    """How permits are issued to one relay at one moment."""
+
+    per_ms: float
+    validity_ms: float  # after which a permit that is not taken expires
 
 
 class SlowStartBudget:
-    """One relay's turns at endpoints that have just started, and its place among the relays."""
+    """Issues one relay's permits for endpoints in slow start, by its place among the relays."""
 
     def __init__(self, settings: Settings, rng: Random) -> None:
-        """Without a number among the relays (``settings.index``), or a wrong one, chance stands in for it."""
-        self.overdrawn_turns = 0  # attempts that were sent without a turn, which is a fault
+        """Create the budget of relay ``settings.index``; without a valid index ``rng`` stands in for it."""
+        self.overdrawn_permits = 0  # attempts that were sent without a permit, which is a fault
         self._rng = rng
         self._overload_multiple = settings.cold_overload_multiple
         self._window_ms = max(1.0, settings.cold_overload_window_ms)
@@ -59,76 +73,88 @@
         self._relay_count = settings.relay_count
         is_numbered = settings.index is not None and settings.index < settings.relay_count
         self._index = settings.index if is_numbered else None
-        # Between two requests at one relay.
-        request_gap_ms = 1000.0 * settings.relay_count / settings.total_allowance_per_s()
-        # For a turn not to be lost it should wait so long; the longer it waits, the fewer there can be.
-        self._wanted_wait_ms = sqrt(request_gap_ms * self._window_ms)
-        # Far from one relay to the next, so that any few of them, and those of one zone, are spread as well.
+        request_gap_ms = 1000.0 * settings.relay_count / settings.total_allowance_per_s()  # at one relay
+        # The longer permits are valid, the fewer expire, but the fewer can be issued.
+        self._wanted_validity_ms = sqrt(request_gap_ms * self._window_ms)
+        # A large stride spreads any few neighbouring relays, and those of one zone, as evenly as all.
         self._stride = max(1, round(self._relay_count * GOLDEN_RATIO))
         while gcd(self._stride, self._relay_count) > 1:
             self._stride += 1
 
     def rounding_offset(self, key: int) -> float:
-        """From 0 to 1, what rounds this relay's part of something that all share, identified by ``key``.
+        """Return the offset, from 0 to 1, that rounds this relay's part of what all relays share.
+
+        The offsets of all relays are evenly spread, so that their rounded parts add up to the whole.
 
-        Over all relays these are evenly spread, so that the rounded parts add up to the whole. By chance
-        alone forty connections of two hundred relays came out as 30 on one endpoint and 50 on the next.
+        Args:
+            key: Identifies what is shared, such as the hash of an endpoint's name.
         """
         if self._index is None:
             return self._rng.random()
         return ((self._index * self._stride + key) % self._relay_count + 0.5) / self._relay_count
 
-    def _pace(self, age_ms: float, warm_connections: float, eligible_relays: float) -> tuple[float, float]:
-        """Turns a millisecond of one relay at that age, and how long one may wait, in milliseconds."""
+    def _permit_rate(self, age_ms: float, warm_connections: float, eligible_relays: float) -> PermitRate:
         warm_up = warm_up_ratio(age_ms, self._slow_start_ms, self._initial_capacity_ratio)
         warm_connections = max(1.0, warm_connections)
         budget = self._overload_multiple * warm_connections * warm_up * self._window_ms / self._slow_start_ms
         margin = ROUNDING_MARGIN
         if self._index is None:
-            margin += RANDOM_TURN_DEVIATIONS * sqrt(min(budget, eligible_relays / 4.0))
+            margin += RANDOM_PERMIT_DEVIATIONS * sqrt(min(budget, eligible_relays / 4.0))
         attempts = max(1.0, max_attempts_per_window(budget) - margin)
-        # What the bound leaves beyond the budget first pays for the wait, and only then for a faster pace.
-        max_wait_ms = max(MIN_WAIT_WINDOWS, attempts / budget - 1.0) * self._window_ms
-        wait_ms = min(self._wanted_wait_ms, max_wait_ms)
-        return attempts / (self._window_ms + wait_ms) / max(1.0, eligible_relays), wait_ms
-
-    def _count_turns(
-        self, start: SlowStartState, age_ms: float, warm_connections: float, eligible_relays: float
+        # The tolerance beyond the budget first pays for the validity, and only then for a higher rate.
+        max_validity_ms = max(MIN_VALIDITY_WINDOWS, attempts / budget - 1.0) * self._window_ms
+        validity_ms = min(self._wanted_validity_ms, max_validity_ms)
+        per_ms = attempts / (self._window_ms + validity_ms) / max(1.0, eligible_relays)
+        return PermitRate(per_ms, validity_ms)
+
+    def _issue_permits(
+        self, permits: PermitCount, age_ms: float, warm_connections: float, eligible_relays: float
     ) -> None:
-        """Turns up to that age, in small steps as the pace rises: who asks seldom counts like others."""
-        while start.counted_age_ms < age_ms:
-            step_ms = min(MAX_STEP_MS, age_ms - start.counted_age_ms)
-            middle_ms = start.counted_age_ms + step_ms / 2.0
-            pace, _ = self._pace(middle_ms, warm_connections, eligible_relays)
-            start.turns += pace * step_ms
-            start.counted_age_ms += step_ms
-
-    def has_turn(
+        """Issue permits up to that age, in steps, so that a relay that asks seldom gets as many as others."""
+        while permits.counted_age_ms < age_ms:
+            step_ms = min(MAX_STEP_MS, age_ms - permits.counted_age_ms)
+            middle_ms = permits.counted_age_ms + step_ms / 2.0
+            rate = self._permit_rate(middle_ms, warm_connections, eligible_relays)
+            permits.issued += rate.per_ms * step_ms
+            permits.counted_age_ms += step_ms
+
+    def has_permit(
         self, start: SlowStartState, age_ms: float, warm_connections: float, eligible_relays: float
     ) -> bool:
-        """Whether a turn of ours is waiting. ``warm_connections``: what the endpoint holds once it is warm.
-
-        ``eligible_relays``: those among which the turns are shared. Where an endpoint can hold fewer
-        connections than there are relays, turns of those that may not place one there would be lost to all.
+        """Whether this relay may send the endpoint an attempt now.
+
+        Args:
+            start: The endpoint's start.
+            age_ms: The endpoint's age now.
+            warm_connections: Connections of all relays that the endpoint holds once it is warm.
+            eligible_relays: Relays that share the permits. If the endpoint can hold fewer connections than
+                there are relays, the permits of those that may not place one there would be lost to all.
         """
-        if start.counted_age_ms < 0.0:
-            self._begin_turns(start, warm_connections, eligible_relays)
-        self._count_turns(start, age_ms, warm_connections, eligible_relays)
-        pace, wait_ms = self._pace(age_ms, warm_connections, eligible_relays)
-        start.used_turns = max(start.used_turns, int(start.turns - pace * wait_ms))
-        return int(start.turns) > start.used_turns
-
-    def _begin_turns(self, start: SlowStartState, warm_connections: float, eligible_relays: float) -> None:
-        # Those that round up first, and so may place one first, are spread over a turn's time as well.
+        if start.permits is None:
+            start.permits = self._first_permits(start, warm_connections, eligible_relays)
+        permits = start.permits
+        self._issue_permits(permits, age_ms, warm_connections, eligible_relays)
+        rate = self._permit_rate(age_ms, warm_connections, eligible_relays)
+        permits.spent = max(permits.spent, int(permits.issued - rate.per_ms * rate.validity_ms))
+        return int(permits.issued) > permits.spent
+
+    def _first_permits(
+        self, start: SlowStartState, warm_connections: float, eligible_relays: float
+    ) -> PermitCount:
+        # Relays that round up first, and so may place one first, are spread over a permit's time too.
         by_number = (1.0 - start.rounding_offset) * self._relay_count * GOLDEN_RATIO % 1.0
-        start.turns = start.rounding_offset if self._index is None else by_number
-        start.counted_age_ms = 0.0
-        self._count_turns(start, max(0.0, start.first_seen_age_ms), warm_connections, eligible_relays)
-        # What came before the relay was notified may have been used by one that was stopped since.
-        start.used_turns = int(start.turns)
-
-    def use_turn(self, start: SlowStartState) -> None:
-        """An attempt was sent, by a turn that ``has_turn`` found."""
-        if int(start.turns) <= start.used_turns:
-            self.overdrawn_turns += 1
-        start.used_turns += 1
+        permits = PermitCount(0.0, start.rounding_offset if self._index is None else by_number)
+        self._issue_permits(permits, max(0.0, start.first_seen_age_ms), warm_connections, eligible_relays)
+        # Another relay may have taken the permits from before this one was notified, and have stopped since.
+        permits.spent = int(permits.issued)
+        return permits
+
+    def take_permit(self, start: SlowStartState) -> None:
+        """Spend a permit that ``has_permit`` found on an attempt. A missing one is counted as overdrawn."""
+        permits = start.permits
+        if permits is None:
+            self.overdrawn_permits += 1
+            return
+        if int(permits.issued) <= permits.spent:
+            self.overdrawn_permits += 1
+        permits.spent += 1
--- a/sageturn/decision/token_bucket.py
+++ b/sageturn/decision/token_bucket.py
@@ -1,4 +1,4 @@
-"""A token bucket. The caller sets its rate and its capacity at each refill."""
+"""A token bucket whose rate and capacity the caller sets at each refill."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 @dataclass(slots=True)
 class TokenBucket:
-    """Times are milliseconds of one clock, rates are tokens a millisecond."""
+    """A count of tokens. Times are milliseconds of one clock, rates are tokens a millisecond."""
 
     tokens: float
     updated_ms: float = 0.0
 
     def refill(self, now_ms: float, rate: float, capacity: float) -> None:
-        """Add what has come since the last refill; an infinite rate fills the bucket."""
+        """Add the tokens since the last refill, up to ``capacity``; an infinite rate fills the bucket."""
         if rate == float("inf"):
             self.tokens = capacity
         else:
@@ -21,12 +21,12 @@
         self.updated_ms = now_ms
 
     def try_take(self) -> bool:
-        """Take one token if there is a whole one."""
+        """Take one token if there is a whole one. Returns whether it was taken."""
         if self.tokens < 1.0:
             return False
         self.tokens -= 1.0
         return True
 
     def wait_ms(self, rate: float) -> float:
-        """How long until there is a whole token, at a rate above 0."""
+        """Return the time until there is a whole token, at a rate above 0."""
         return (1.0 - self.tokens) / rate
--- a/sageturn/lab/policy.py
+++ b/sageturn/lab/policy.py
@@ -14,7 +14,21 @@
 from sageturn.lab.errors import PolicyNotFoundError
 
 # The files that decide, each after those that it imports: ``policy`` of deploy/balancer.toml.
-POLICY_MODULES = ("fleet_size", "fleet", "admission", "overload", "placement", "endpoint_watch", "balancer")
+POLICY_MODULES = (
+    "fleet_size",
+    "fleet",
+    "admission",
+    "relief",
+    "overload",
+    "setup_times",
+    "eligibility",
+    "endpoint_score",
+    "endpoint_pool",
+    "group_ranking",
+    "placement",
+    "endpoint_watch",
+    "balancer",
+)
 FILE_MARK = "# ---- policy file: "  # begins the text of each file in the text of a policy
 
 
--- a/sageturn/rebalance/planner.py
+++ b/sageturn/rebalance/planner.py
@@ -101,11 +101,11 @@
         migration = self.history.last_migration(client)
         if migration is None or not migration.by_planner:
             return
-        event.spared_until_ms = min(
+        event.migration_exempt_until_ms = min(
             migration.excluded_until_ms, migration.migrated_ms + BALANCER_EXEMPTION_MS
         )
         if self.history.is_in_flight(client):
-            event.moved_off = migration.source_endpoint
+            event.migrated_from = migration.source_endpoint
             if self.marks.rebalance_excluded and event.allowed is None:
                 event.allowed = frozenset(self.tracker.ratios.keys() - self.marks.rebalance_excluded)
 
--- a/sageturn/simhost.py
+++ b/sageturn/simhost.py
@@ -156,7 +156,7 @@
         case decision.MigrateConnection():
             return {"Transfer": {"opId": action.id}}
         case decision.SetTimer():
-            return {"Sleep": {"offsetMs": action.delay_ms, "mark": action.mark}}
+            return {"Sleep": {"offsetMs": action.delay_ms, "mark": action.tag}}
         case decision.CheckHealth():
             return {"Check": {"backend": action.endpoint}}
         case decision.WatchEndpoints():
--- a/tests/config/test_deployments.py
+++ b/tests/config/test_deployments.py
@@ -96,7 +96,7 @@
                 else:
                     events.append(AttemptEnded(action.id, attempt, action.endpoint, status, False))
             elif isinstance(action, SetTimer) and rng.random() < 0.3:
-                events.append(TimerFired(action.mark))
+                events.append(TimerFired(action.tag))
         now += 20.0 * rng.random()
     return done
 
--- a/tests/decision/test_balancer.py
+++ b/tests/decision/test_balancer.py
@@ -221,7 +221,7 @@
     # Back for all clients at once, a slow endpoint cost the fleet day half of what it kept.
     assert (
         out.ready
-        and out.concurrency_limit == 1
+        and out.connections.concurrency_limit == 1
         and driver.handle(ClientDisconnected(driver.last_id)) == [AbandonAttempt(driver.last_id, 0)]
     )
     driver.end_attempt(driver.last_id, "cancelled", final=True)
@@ -246,8 +246,8 @@
         driver.send_request(group="g")
         driver.establish(driver.last_id)
         first = driver.attempts[driver.last_id][0]
-        ranked, homes = driver.balancer.placement.rank_group("g")
-        own = [s.name for s in ranked[:homes]]
+        ranked = driver.balancer.placement.group_ranking.rank("g")
+        own = [endpoint.name for endpoint in ranked.endpoints[: ranked.home_count]]
         strain(driver, "".join(own) + "".join(n for n in "abcdefghij" if n not in own)[: late - 1])
         (action,) = driver.send_request(group="g")
         if late == 1:
@@ -267,10 +267,12 @@
     endpoints = [Endpoint(n, zone="x") for n in "abcde"] + [Endpoint(n, zone="y") for n in "fghij"]
     driver = BalancerDriver(endpoints, zone="x", cross_zone_cost=0.1, groups=True, relay_count=1)
     open_on_each(driver, 60)
-    ranked, homes = driver.balancer.placement.rank_group("g")
+    ranked = driver.balancer.placement.group_ranking.rank("g")
     strain(driver, "abcde")
     (action,) = driver.send_request(group="g")
-    assert isinstance(action, PlaceRequest) and action.endpoint in [s.name for s in ranked[5 : 5 + homes]]
+    assert isinstance(action, PlaceRequest) and action.endpoint in [
+        endpoint.name for endpoint in ranked.endpoints[5 : 5 + ranked.home_count]
+    ]
 
 
 def test_the_heaviest_are_migrated_first_unless_endpoints_are_scarce() -> None:
@@ -324,8 +326,8 @@
         driver.send_request(group=group)
         driver.establish(driver.last_id)
     assert (
-        driver.balancer.placement.rank_group("g")[1] < 30
-        and driver.balancer.placement.rank_group("new")[1] <= 3
+        driver.balancer.placement.group_ranking.rank("g").home_count < 30
+        and driver.balancer.placement.group_ranking.rank("new").home_count <= 3
     )
 
 
@@ -348,7 +350,7 @@
     driver = BalancerDriver([Endpoint(f"backend-{k:x}") for k in range(40)], groups=True)
     first: dict[str, int] = {}
     for k in range(400):
-        name = driver.balancer.placement.rank_group(f"room-{k}")[0][0].name
+        name = driver.balancer.placement.group_ranking.rank(f"room-{k}").endpoints[0].name
         first[name] = first.get(name, 0) + 1
     assert max(first.values()) <= 30
 
@@ -356,7 +358,7 @@
 def test_endpoints_of_more_weight_are_home_to_more_groups_and_win_the_pair() -> None:
     endpoints = [Endpoint("large", share=4.0), Endpoint("small", share=1.0)]
     driver = BalancerDriver(endpoints, groups=True, weights="rough")
-    homes = [driver.balancer.placement.rank_group(f"room-{k}")[0][0].name for k in range(400)]
+    homes = [driver.balancer.placement.group_ranking.rank(f"room-{k}").endpoints[0].name for k in range(400)]
     assert 280 < homes.count("large") < 360
     assert [driver.place_request(tenant).endpoint for tenant in "tut"] == ["large"] * 3
     driver = BalancerDriver(
--- a/tests/decision/test_balancer_edge_cases.py
+++ b/tests/decision/test_balancer_edge_cases.py
@@ -77,13 +77,13 @@
     endpoint = driver.balancer.endpoints["a"]
     driver.send_request()
     driver.end_attempt(1, status)
-    assert endpoint.concurrency_limit == 4
+    assert endpoint.connections.concurrency_limit == 4
     driver = BalancerDriver([Endpoint("a")])
     endpoint = driver.balancer.endpoints["a"]
     driver.send_request()
     driver.now_ms += 501.0
     driver.establish(1)
-    assert endpoint.concurrency_limit == 8
+    assert endpoint.connections.concurrency_limit == 8
 
 
 def test_groups_and_zones_draw_connections_only_up_to_a_bound() -> None:
@@ -107,7 +107,7 @@
     for k in [k for k, sent in driver.attempts.items() if sent == ["a"]]:
         driver.end_attempt(k, "reset", True)
     endpoint = driver.balancer.endpoints["a"]
-    assert endpoint.capacity <= 1.0 and endpoint.is_full()
+    assert endpoint.overload.capacity <= 1.0 and endpoint.is_full()
 
 
 def test_a_retry_never_goes_to_the_endpoint_that_failed() -> None:
@@ -210,14 +210,14 @@
     (first,) = driver.update_endpoints([Endpoint("a")], "stale")
     assert isinstance(first, SetTimer) and first.delay_ms <= 130.0
     driver.now_ms += first.delay_ms
-    assert driver.handle(TimerFired(first.mark)) == [WatchEndpoints()]
+    assert driver.handle(TimerFired(first.tag)) == [WatchEndpoints()]
     waits = []
     for _ in range(12):
         (timer,) = driver.handle(EndpointListEvent("failed", []))
         assert isinstance(timer, SetTimer)
         waits.append(timer.delay_ms)
         driver.now_ms += timer.delay_ms
-        assert driver.handle(TimerFired(timer.mark)) == [WatchEndpoints()]
+        assert driver.handle(TimerFired(timer.tag)) == [WatchEndpoints()]
     # They had grown up to 4.5 s: what discovery has counts as told 6 s after it is back.
     assert min(waits) >= 350.0 and max(waits) <= 1050.0 and len(set(waits)) == 12
     assert isinstance(driver.send_request()[0], PlaceRequest)  # the list held stays in use meanwhile
@@ -372,13 +372,13 @@
         for name in late:
             held = next(i for i in driver.attempts if driver.attempts[i] == [name])
             driver.handle(MeasurementReported(held, 0, name, "delay", 40.0))
-        before = driver.balancer.endpoints["a"].capacity
+        before = driver.balancer.endpoints["a"].overload.capacity
         driver.now_ms = 2400.0  # closed for 2.5 s, noted well before that
         held = next(i for i in driver.attempts if driver.attempts[i] == ["a"])
         driver.handle(MeasurementReported(held, 0, "a", "delay", 5.0))
         driver.now_ms = 3400.0
         driver.balancer.overload.reevaluate(driver.now_ms, driver.balancer.endpoints["a"])
-        gained.append(driver.balancer.endpoints["a"].capacity - before)
+        gained.append(driver.balancer.endpoints["a"].overload.capacity - before)
     assert gained[0] == gained[2] and gained[1] < gained[0] / 2
 
 
@@ -415,8 +415,12 @@
     assert moved and all(isinstance(a, MigrateConnection) for a in moved)
     # Heavier, not closed: closed on such signs, four of five endpoints sent all that came to the fifth.
     a, b = (driver.balancer.endpoints[name] for name in "ab")
-    assert driver.now_ms < a.deprioritized_until_ms and b.deprioritized_until_ms == 0 and not a.is_full()
-    assert driver.balancer.placement.load_score(a) > driver.balancer.placement.load_score(b)
+    assert (
+        driver.now_ms < a.load.deprioritized_until_ms
+        and b.load.deprioritized_until_ms == 0
+        and not a.is_full()
+    )
+    assert driver.balancer.placement.score.load_score(a) > driver.balancer.placement.score.load_score(b)
     assert [
         a
         for i in list(with_delays.attempts)
@@ -436,11 +440,11 @@
         for i in slow:
             driver.handle(ConnectionEstablished(driver.last_id - 3 + i, 0, "a", 210.0))
         a, b = (driver.balancer.endpoints[name] for name in "ab")
-        placement = driver.balancer.placement
-        assert slow and placement.is_crowded(a) is closed and not placement.is_crowded(b)
+        score = driver.balancer.placement.score
+        assert slow and score.is_crowded(a) is closed and not score.is_crowded(b)
         assert not a.is_full()  # it fades: an endpoint that was slow is tried again
         driver.balancer.fleet.now_ms += 20_000.0
-        assert not placement.is_crowded(a)
+        assert not score.is_crowded(a)
 
 
 def test_a_store_that_slows_all_set_ups_deprioritizes_no_endpoint() -> None:
@@ -450,7 +454,7 @@
         driver.send_request()
         driver.handle(ConnectionEstablished(driver.last_id, 0, driver.attempts[driver.last_id][-1], took))
         driver.now_ms += 20.0
-    assert not any(driver.balancer.overload.setup_lag(s) > 0.4 for s in driver.balancer.fleet.ready)
+    assert not any(driver.balancer.setup_times.lag(s) > 0.4 for s in driver.balancer.fleet.ready)
 
 
 def test_a_request_fails_fast_while_every_endpoint_is_saturated() -> None:
@@ -483,7 +487,7 @@
             driver.establish(driver.last_id)
         driver.now_ms += 100.0
     new = driver.balancer.endpoints["new"]
-    assert 0.2 < new.effective_weight < 0.35 and new.connection_share < 0.12
+    assert 0.2 < new.weights.effective < 0.35 and new.weights.connection_share < 0.12
 
 
 def test_endpoints_that_drain_do_not_count_to_the_fleet_that_the_quotas_are_meant_for() -> None:
--- a/tests/decision/test_balancer_properties.py
+++ b/tests/decision/test_balancer_properties.py
@@ -100,7 +100,7 @@
                 self.held[a.id]["moved"] = True
             elif isinstance(a, SetTimer):
                 assert a.delay_ms >= 0
-                self.timers.append((self.now + a.delay_ms, a.mark))
+                self.timers.append((self.now + a.delay_ms, a.tag))
 
     def check_send(self, a: PlaceRequest) -> None:
         r = self.held[a.id]
@@ -180,8 +180,8 @@
         self.now += ms
         due = [t for t in self.timers if t[0] <= self.now]
         self.timers = [t for t in self.timers if t[0] > self.now]
-        for _, mark in due:
-            self.tell(TimerFired(mark))
+        for _, tag in due:
+            self.tell(TimerFired(tag))
         for i in [i for i, r in self.held.items() if r["out"] and self.now >= r["until"]]:
             self.end(i, "timeout")
 
@@ -211,7 +211,7 @@
         world.end(i, "ok")
     world.tell(EndpointListEvent("full", []))
     b = world.balancer
-    assert not b.requests and not b.fleet.group_counts and not b.endpoints and not b.fleet.closed
+    assert not b.requests and not b.fleet.group_counts and not b.endpoints and not b.fleet.shedding
     assert b.fleet.open_count == 0 and b.fleet.totals == FleetTotals()
     assert all(count == 0 for count in b.fleet.tenant_counts.values())
 
--- a/tests/decision/test_endpoint_watch.py
+++ b/tests/decision/test_endpoint_watch.py
@@ -16,7 +16,7 @@
     WatchEndpoints,
 )
 from sageturn.decision.balancer import Balancer
-from sageturn.decision.endpoint_watch import TIMER_MARK
+from sageturn.decision.endpoint_watch import TIMER_TAG
 
 DOWN = EndpointListEvent("failed", [], DiscoveryFailure.UNREACHED)
 DURATION_MS = 120_000.0
@@ -36,7 +36,7 @@
 
     def _follow(self, now_ms: float, actions: list[Action]) -> None:
         for action in actions:
-            if isinstance(action, SetTimer) and action.mark == TIMER_MARK:
+            if isinstance(action, SetTimer) and action.tag == TIMER_TAG:
                 heapq.heappush(self.timers, now_ms + action.delay_ms)
             elif isinstance(action, WatchEndpoints):
                 self.calls_ms.append(now_ms)
@@ -52,7 +52,7 @@
         if reload_ms and reload_ms[0] <= discovery.timers[0]:
             discovery.handle(reload_ms.pop(0), DOWN)  # a reload calls by itself, and that call has failed
         else:
-            discovery.handle(heapq.heappop(discovery.timers), TimerFired(TIMER_MARK))
+            discovery.handle(heapq.heappop(discovery.timers), TimerFired(TIMER_TAG))
     return discovery.calls_ms
 
 
--- a/tests/decision/test_health_checks.py
+++ b/tests/decision/test_health_checks.py
@@ -134,7 +134,7 @@
     for change in ({}, *without):
         driver = BalancerDriver([], **{**PROBED, **change})
         actions = driver.handle(decision.EndpointListEvent("stale", [decision.Endpoint("a")]))
-        timers = [a.mark for a in actions if isinstance(a, decision.SetTimer)]
+        timers = [a.tag for a in actions if isinstance(a, decision.SetTimer)]
         assert timers == ([] if change else ["probe"])
         if not change:
             assert driver.handle(decision.TimerFired("probe"))[0] == decision.CheckHealth("a")
@@ -146,7 +146,7 @@
         [decision.Endpoint("a"), decision.Endpoint("b")], **PROBED, tenants=(decision.Tenant("t", 90.0),)
     )
     establish_connections(driver, 20)
-    there = driver.balancer.endpoints["a"].open_count
+    there = driver.balancer.endpoints["a"].connections.open_count
     assert report_load(driver, "a", x0=0.7, x1=0.0) == [] and not driver.balancer.endpoints["a"].is_full()
     report_load(driver, "a", x0=0.78, x1=0.0)
     assert driver.balancer.endpoints["a"].is_full()
--- a/tests/decision/test_quotas.py
+++ b/tests/decision/test_quotas.py
@@ -16,6 +16,8 @@
     FEW_RELAYS_SLACK,
     FLEET_SLACK_CONNECTIONS,
     QUOTA_UTILIZATION,
+    EndpointWeights,
+    QuotaBound,
     SetupWindow,
     quota_bounds,
 )
@@ -26,8 +28,11 @@
 @dataclass
 class Place:
     zone: str
-    effective_weight: float
-    nominal_weight: float
+    weights: EndpointWeights
+
+
+def place(zone: str, effective: float, nominal: float) -> Place:
+    return Place(zone, EndpointWeights(nominal, effective))
 
 
 @given(
@@ -38,32 +43,34 @@
 def test_relays_of_all_zones_together_hold_no_more_than_the_quotas_part(
     drawn: list[tuple[str, float]], each_zone: int, priced: bool
 ) -> None:
-    places = [Place(zone, size, 2.0) for zone, size in drawn]
+    places = [place(zone, size, 2.0) for zone, size in drawn]
     zones = sorted({p.zone for p in places})
     relays = each_zone * len(zones)
     held, total = [0.0] * len(places), 0.0
     for zone in zones:
-        most, bounds = quota_bounds(places, zones, zone if priced else None, 50.0, relays)
-        held = [h + each_zone * b.max_connections for h, b in zip(held, bounds, strict=True)]
-        total += each_zone * most
+        bounds = quota_bounds(places, zones, zone if priced else None, 50.0, relays)
+        held = [h + each_zone * b.max_connections for h, b in zip(held, bounds.by_endpoint, strict=True)]
+        total += each_zone * bounds.max_connections
     few = 50.0 * FEW_RELAYS_SLACK / relays**2
-    for place, h in zip(places, held, strict=True):
+    for endpoint, h in zip(places, held, strict=True):
         assert (
             h
-            <= ENDPOINT_QUOTA_RATIO * QUOTA_UTILIZATION * 50.0 * place.effective_weight / 2.0
+            <= ENDPOINT_QUOTA_RATIO * QUOTA_UTILIZATION * 50.0 * endpoint.weights.effective / 2.0
             + few
             + FLEET_SLACK_CONNECTIONS
             + 1e-6
         )
     assert (
         total
-        <= QUOTA_UTILIZATION * 50.0 * sum(p.effective_weight for p in places) / 2.0 + few * len(places) + 1e-6
+        <= QUOTA_UTILIZATION * 50.0 * sum(p.weights.effective for p in places) / 2.0
+        + few * len(places)
+        + 1e-6
     )
 
 
 def test_bounds_change_smoothly_with_the_number_of_relays() -> None:
-    places = [Place(zone, 2.0, 2.0) for zone in ZONES * 3]
-    whole = [n * quota_bounds(places, ZONES, "w", 50.0, n)[0] for n in range(4, 81)]
+    places = [place(zone, 2.0, 2.0) for zone in ZONES * 3]
+    whole = [n * quota_bounds(places, ZONES, "w", 50.0, n).max_connections for n in range(4, 81)]
     assert all(0.6 < b / a <= 1.0 for a, b in itertools.pairwise(whole))
     assert whole[0] > 600.0 * 2 and whole[-1] < 600.0 * 0.7
 
@@ -102,7 +109,9 @@
     b = driver.balancer
     assert 12 <= b.fleet.open_count <= 16 and refused >= 44  # 0.7 of two endpoints' 400, shared by 40
     held = [i for i, sent in driver.attempts.items() if sent[-1] == "a"]
-    b.endpoints["a"].max_connections = 2.0  # most of it has gone to others
+    b.endpoints["a"].quota = QuotaBound(
+        2.0, b.endpoints["a"].quota.eligible_relays
+    )  # most of it has gone to others
     moves = []
     for _ in range(200):
         driver.now_ms += 100.0
--- a/tests/decision/test_slow_start.py
+++ b/tests/decision/test_slow_start.py
@@ -358,7 +358,10 @@
         )
         driver.update_endpoints(fleet[first_listed:], "changes")
         balancer = driver.balancer
-        return [balancer.fleet.max_connections, *(each.max_connections for each in balancer.fleet.ready)]
+        return [
+            balancer.fleet.max_connections,
+            *(each.quota.max_connections for each in balancer.fleet.ready),
+        ]
 
     assert bounds(20) == pytest.approx(bounds(60)) and bounds(45) == pytest.approx(bounds(60))
 
@@ -412,10 +415,10 @@
         driver.send_request()
         if driver.last_id in driver.attempts:
             driver.establish(driver.last_id)
-    warm = sum(s.open_count for s in b.fleet.ready if not s.slow_start)
-    cold = sum(s.open_count for s in b.fleet.ready if s.slow_start)
-    part = sum(s.effective_weight for s in b.fleet.ready if not s.slow_start)
-    part /= sum(s.effective_weight for s in b.fleet.ready)
+    warm = sum(s.connections.open_count for s in b.fleet.ready if not s.slow_start)
+    cold = sum(s.connections.open_count for s in b.fleet.ready if s.slow_start)
+    part = sum(s.weights.effective for s in b.fleet.ready if not s.slow_start)
+    part /= sum(s.weights.effective for s in b.fleet.ready)
     assert part < 0.7 and warm <= b.fleet.max_connections * part + 1.0
     assert cold >= 3
 
--- a/tests/rebalance/test_planner.py
+++ b/tests/rebalance/test_planner.py
@@ -78,7 +78,7 @@
     fleet.add_connections("b", 20, "x")
     fleet.add_connections("c", 20, "y")
     for endpoint in fleet.balancer.endpoints.values():
-        endpoint.concurrency_limit = 16  # as after some set-ups in time
+        endpoint.connections.concurrency_limit = 16  # as after some set-ups in time
     waited = 0
     while not fleet.migrated:
         waited += fleet.step().phase == "waiting"
@@ -142,8 +142,8 @@
     fleet.run_until_migrated()
     fleet.reconnect_delay_ms = 8000.0
     for endpoint in fleet.balancer.endpoints.values():  # no set-up is answered, and everyone is rejected
-        endpoint.concurrency_limit = 4
-        endpoint.in_flight = 4
+        endpoint.connections.concurrency_limit = 4
+        endpoint.connections.in_flight = 4
         fleet.balancer.fleet.update_totals(endpoint)
     count = len(fleet.migrated)
     rejected = sum(not fleet.connect_client(f"new{n}", group="zz") for n in range(12))
@@ -204,7 +204,7 @@
 def test_nobody_is_migrated_while_every_endpoint_is_full() -> None:
     fleet = uneven_fleet()
     for endpoint in fleet.balancer.endpoints.values():
-        endpoint.saturated_until_ms = float("inf")
+        endpoint.load.saturated_until_ms = float("inf")
     fleet.run(60)
     assert fleet.migrated == [] and "room" in fleet.plan.explanation
 
@@ -284,7 +284,7 @@
     for endpoint in {fleet.connections[i].endpoint for i in landed}:
         migrated_ids: set[int] = set()
         for _ in range(30):
-            for action in fleet.balancer.overload.relieve(fleet.balancer.endpoints[endpoint]):
+            for action in fleet.balancer.relief.relieve(fleet.balancer.endpoints[endpoint]):
                 assert isinstance(action, MigrateConnection)
                 migrated_ids.add(action.id)
         assert not migrated_ids & set(landed)
--- a/tests/support/decision_codes.py
+++ b/tests/support/decision_codes.py
@@ -36,7 +36,7 @@
     decision.FailRequest: ("fail", ("id",)),
     decision.AbandonAttempt: ("cancel", ("id", "attempt")),
     decision.MigrateConnection: ("move", ("id",)),
-    decision.SetTimer: ("set_timer", ("delay_ms", "mark")),
+    decision.SetTimer: ("set_timer", ("delay_ms", "tag")),
     decision.WatchEndpoints: ("watch", ()),
     decision.CheckHealth: ("probe", ("endpoint",)),
 }
--- a/tests/support/decision_days.py
+++ b/tests/support/decision_days.py
@@ -284,8 +284,8 @@
             client=f"client{session.id}",
             returned=returned,
             retried=session.retries > 0,
-            moved_off=session.server if session.moved else "",
-            spared_until_ms=self.now_ms + 5000.0 if session.moved else 0.0,
+            migrated_from=session.server if session.moved else "",
+            migration_exempt_until_ms=self.now_ms + 5000.0 if session.moved else 0.0,
             allowed=allowed,
             strict=pinned and self._happens(0.5),
         )
@@ -393,8 +393,8 @@
 
     # ---------------------------------------------------------------- timers, discovery and reports
 
-    def _on_set_timer(self, delay_ms: float, mark: str) -> None:
-        self._later(delay_ms, lambda: self._tell(decision.TimerFired(mark)))
+    def _on_set_timer(self, delay_ms: float, tag: str) -> None:
+        self._later(delay_ms, lambda: self._tell(decision.TimerFired(tag)))
 
     def _on_watch(self) -> None:
         if self._happens(0.4):
--- a/tests/support/relay_checks.py
+++ b/tests/support/relay_checks.py
@@ -14,7 +14,7 @@
     balancer = balancer_actor.balancer
     endpoints = balancer.endpoints.values()
     return not balancer.requests and all(
-        endpoint.open_count == endpoint.in_flight == 0 for endpoint in endpoints
+        endpoint.connections.open_count == endpoint.connections.in_flight == 0 for endpoint in endpoints
     )
 
 
