--- a/sageturn/core/balancer_actor.py
+++ b/sageturn/core/balancer_actor.py
@@ -177,9 +177,8 @@
         overdrawn = self._balancer.fleet.slow_start.overdrawn_permits
         if overdrawn > self._known_overdrawn_permits:
             self._known_overdrawn_permits = overdrawn
-            self.monitor.report_violation(
-                Invariant.SLOW_START_PERMIT, str(request_id), f"{endpoint} was sent an attempt without a permit"
-            )
+            detail = f"{endpoint} was sent an attempt without a permit"
+            self.monitor.report_violation(Invariant.SLOW_START_PERMIT, str(request_id), detail)
 
     def _instruct(self, request_id: int, instruction: Instruction) -> None:
         mailbox = self._requests.get(request_id)
--- a/tests/decision/test_balancer.py
+++ b/tests/decision/test_balancer.py
@@ -33,11 +33,15 @@
 
 def test_a_rejection_says_when_to_retry_only_where_that_is_allowed() -> None:
     driver = BalancerDriver()
-    refusals = [a for _ in range(60) for a in driver.send_request() if isinstance(a, RejectRequest)]
-    assert refusals and all(0 < a.retry_after_ms <= 1000 for a in refusals)
+    refusals = [
+        action for _ in range(60) for action in driver.send_request() if isinstance(action, RejectRequest)
+    ]
+    assert refusals and all(0 < action.retry_after_ms <= 1000 for action in refusals)
     driver = BalancerDriver(retry_after=False)
-    refusals = [a for _ in range(60) for a in driver.send_request() if isinstance(a, RejectRequest)]
-    assert refusals and all(a.retry_after_ms == 0 for a in refusals)
+    refusals = [
+        action for _ in range(60) for action in driver.send_request() if isinstance(action, RejectRequest)
+    ]
+    assert refusals and all(action.retry_after_ms == 0 for action in refusals)
 
 
 def test_a_retry_goes_elsewhere() -> None:
@@ -74,7 +78,7 @@
 def test_an_overloaded_endpoint_is_sent_nothing_until_its_delays_are_short_again() -> None:
     driver = BalancerDriver([Endpoint("a"), Endpoint("b")])
     open_on_each(driver, 8)
-    late = next(i for i in range(1, 9) if driver.attempts[i] == ["a"])
+    late = next(request_id for request_id in range(1, 9) if driver.attempts[request_id] == ["a"])
     driver.handle(MeasurementReported(late, 0, "a", "delay", 90.0))
     for _ in range(4):
         assert driver.place_request().endpoint == "b"
@@ -88,7 +92,11 @@
     for name in "ab":
         driver.handle(
             MeasurementReported(
-                next(i for i in range(1, 9) if driver.attempts[i] == [name]), 0, name, "delay", 90.0
+                next(request_id for request_id in range(1, 9) if driver.attempts[request_id] == [name]),
+                0,
+                name,
+                "delay",
+                90.0,
             )
         )
     kinds = [type(driver.send_request()[0]) for _ in range(20)]
@@ -114,8 +122,8 @@
     homes = []
     for seed in (1, 2):
         driver = BalancerDriver(endpoints, seed=seed, groups=True)
-        for k in range(12):
-            driver.send_request(group=f"other{k}")
+        for number in range(12):
+            driver.send_request(group=f"other{number}")
             driver.establish(driver.last_id)
         seen = set()
         for _ in range(6):
@@ -127,8 +135,8 @@
 
 def test_an_endpoint_that_stays_overloaded_is_relieved_of_lone_group_members() -> None:
     driver = BalancerDriver([Endpoint(name) for name in "abc"], groups=True)
-    for k in range(16):
-        driver.send_request(group="big" if k else "lone")
+    for number in range(16):
+        driver.send_request(group="big" if number else "lone")
         driver.establish(driver.last_id)
     name = driver.attempts[1][0]
     (move,) = driver.handle(MeasurementReported(1, 0, name, "delay", 90.0))
@@ -140,9 +148,12 @@
     for price, count in ((1.0, 0), (0.02, 1)):
         driver = BalancerDriver([Endpoint("a"), Endpoint("b")], migration_cost=price)
         open_on_each(driver, 8)
-        of = {driver.attempts[i][0]: i for i in range(1, 9)}
+        request_on = {driver.attempts[request_id][0]: request_id for request_id in range(1, 9)}
         for name in "ab":
-            assert min(1, len(driver.handle(MeasurementReported(of[name], 0, name, "delay", 90.0)))) == count
+            assert (
+                min(1, len(driver.handle(MeasurementReported(request_on[name], 0, name, "delay", 90.0))))
+                == count
+            )
 
 
 def test_an_endpoint_in_slow_start_gets_our_part_of_its_budget_in_any_window() -> None:
@@ -169,20 +180,20 @@
     # a quarter of the quota fits an endpoint; it starts at a tenth and warms up in 10 s
     for start in times:
         share = 3.0 * 25.0 * (0.1 + 0.9 * (start + 1000 - 49_900) / 10_000) / 2
-        assert 0 < sum(start <= at < start + 1000 for at in times) <= share
+        assert 0 < sum(start <= placed_ms < start + 1000 for placed_ms in times) <= share
 
 
 def test_a_group_spills_to_the_next_in_its_own_order() -> None:
     driver = BalancerDriver([Endpoint(name) for name in "abcdefghij"], groups=True, relay_count=1)
-    for k in range(90):
-        driver.send_request(group=f"other{k}")
+    for number in range(90):
+        driver.send_request(group=f"other{number}")
         driver.establish(driver.last_id)
     homes = set()
     for _ in range(6):
         homes.add(driver.place_request(group="g").endpoint)
         driver.establish(driver.last_id)
     for name in sorted(homes):
-        held = next(i for i in driver.attempts if driver.attempts[i] == [name])
+        held = next(request_id for request_id in driver.attempts if driver.attempts[request_id] == [name])
         driver.handle(MeasurementReported(held, 0, name, "delay", 90.0))
     spill = set()
     for _ in range(3):
@@ -196,11 +207,15 @@
     driver = BalancerDriver(tenants=tenants)
     open_on_each(driver, 8)
     assert isinstance(driver.send_request("t")[0], PlaceRequest)  # shallow: nobody is throttled
-    held = next(i for i in range(1, 9) if driver.attempts[i] == ["a"])
+    held = next(request_id for request_id in range(1, 9) if driver.attempts[request_id] == ["a"])
     driver.handle(MeasurementReported(held, 0, "a", "delay", 90.0))
     driver.handle(
         MeasurementReported(
-            next(i for i in range(1, 9) if driver.attempts[i] == ["b"]), 0, "b", "delay", 90.0
+            next(request_id for request_id in range(1, 9) if driver.attempts[request_id] == ["b"]),
+            0,
+            "b",
+            "delay",
+            90.0,
         )
     )
     assert isinstance(driver.send_request("t")[0], RejectRequest)
@@ -211,11 +226,11 @@
     # One whose trial was lost with its client stayed out for good.
     driver = BalancerDriver([Endpoint(name) for name in "abcd"], may_cancel=True)
     endpoints = driver.balancer.endpoints
-    while all(s.ready for s in endpoints.values()):
+    while all(endpoint.ready for endpoint in endpoints.values()):
         driver.send_request()
         driver.end_attempt(driver.last_id, "connect_failed")
         driver.end_attempt(driver.last_id, "connect_failed", final=True)
-    out = next(s for s in endpoints.values() if not s.ready)
+    out = next(endpoint for endpoint in endpoints.values() if not endpoint.ready)
     driver.now_ms += 1600.0
     driver.send_request()
     # Back for all clients at once, a slow endpoint cost the fleet day half of what it kept.
@@ -234,7 +249,7 @@
 
 def strain(driver: BalancerDriver, names: str) -> None:
     for name in names:
-        held = next(i for i in driver.attempts if driver.attempts[i][-1] == name)
+        held = next(request_id for request_id in driver.attempts if driver.attempts[request_id][-1] == name)
         driver.handle(MeasurementReported(held, 0, name, "delay", 45.0))
 
 
@@ -248,7 +263,7 @@
         first = driver.attempts[driver.last_id][0]
         ranked = driver.balancer.placement.group_ranking.rank("g")
         own = [endpoint.name for endpoint in ranked.endpoints[: ranked.home_count]]
-        strain(driver, "".join(own) + "".join(n for n in "abcdefghij" if n not in own)[: late - 1])
+        strain(driver, "".join(own) + "".join(name for name in "abcdefghij" if name not in own)[: late - 1])
         (action,) = driver.send_request(group="g")
         if late == 1:
             assert isinstance(action, PlaceRequest) and action.endpoint not in own
@@ -264,7 +279,9 @@
 
 
 def test_a_group_may_go_to_its_first_endpoints_of_another_zone_while_scarce() -> None:
-    endpoints = [Endpoint(n, zone="x") for n in "abcde"] + [Endpoint(n, zone="y") for n in "fghij"]
+    endpoints = [Endpoint(name, zone="x") for name in "abcde"] + [
+        Endpoint(name, zone="y") for name in "fghij"
+    ]
     driver = BalancerDriver(endpoints, zone="x", cross_zone_cost=0.1, groups=True, relay_count=1)
     open_on_each(driver, 60)
     ranked = driver.balancer.placement.group_ranking.rank("g")
@@ -279,15 +296,15 @@
     # i0ba860: moving the heaviest while nobody had room sent away what was worth most, and it stayed out.
     for late, heaviest in (("a", True), ("abcd", False)):
         driver = BalancerDriver([Endpoint(name) for name in "abcd"], relay_count=1)
-        for k in range(40):
-            driver.send_request(expected_load=float(k % 20))
+        for number in range(40):
+            driver.send_request(expected_load=float(number % 20))
             driver.establish(driver.last_id)
         strain(driver, late[1:])
-        on_a = [i for i in driver.attempts if driver.attempts[i] == ["a"]]
+        on_a = [request_id for request_id in driver.attempts if driver.attempts[request_id] == ["a"]]
         moves = driver.handle(MeasurementReported(on_a[0], 0, "a", "delay", 90.0))
-        order = sorted(on_a, key=lambda i: -((i - 1) % 20))
+        order = sorted(on_a, key=lambda request_id: -((request_id - 1) % 20))
         wanted = order if heaviest else on_a
-        assert moves and moves == [MigrateConnection(i) for i in wanted[: len(moves)]]
+        assert moves and moves == [MigrateConnection(request_id) for request_id in wanted[: len(moves)]]
 
 
 def test_many_relays_notified_of_one_overloaded_endpoint_do_not_empty_it() -> None:
@@ -312,16 +329,16 @@
 
 def test_endpoints_without_connections_do_not_hide_that_the_others_are_full() -> None:
     # A balancer with four connections among a hundred endpoints: all four late means scarce, not shallow.
-    driver = BalancerDriver([Endpoint(f"s{k}") for k in range(100)], relay_count=100, groups=True)
+    driver = BalancerDriver([Endpoint(f"s{number}") for number in range(100)], relay_count=100, groups=True)
     open_on_each(driver, 4)
-    for k in range(1, 5):
-        driver.handle(MeasurementReported(k, 0, driver.attempts[k][0], "delay", 45.0))
+    for number in range(1, 5):
+        driver.handle(MeasurementReported(number, 0, driver.attempts[number][0], "delay", 45.0))
     assert driver.balancer.fleet.depth() > 0.5
 
 
 def test_a_group_stays_on_few_endpoints_though_few_connections_show_little() -> None:
     # Two of a balancer's three connections of one group: chance, not two thirds of all connections.
-    driver = BalancerDriver([Endpoint(f"s{k}") for k in range(100)], relay_count=100, groups=True)
+    driver = BalancerDriver([Endpoint(f"s{number}") for number in range(100)], relay_count=100, groups=True)
     for group in ("g", "g", "h"):
         driver.send_request(group=group)
         driver.establish(driver.last_id)
@@ -347,10 +364,10 @@
 
 def test_groups_share_out_over_endpoints_evenly() -> None:
     # CRC is linear: ranks by it alone made the same few endpoints early homes of many groups.
-    driver = BalancerDriver([Endpoint(f"backend-{k:x}") for k in range(40)], groups=True)
+    driver = BalancerDriver([Endpoint(f"backend-{number:x}") for number in range(40)], groups=True)
     first: dict[str, int] = {}
-    for k in range(400):
-        name = driver.balancer.placement.group_ranking.rank(f"room-{k}").endpoints[0].name
+    for number in range(400):
+        name = driver.balancer.placement.group_ranking.rank(f"room-{number}").endpoints[0].name
         first[name] = first.get(name, 0) + 1
     assert max(first.values()) <= 30
 
@@ -358,18 +375,21 @@
 def test_endpoints_of_more_weight_are_home_to_more_groups_and_win_the_pair() -> None:
     endpoints = [Endpoint("large", share=4.0), Endpoint("small", share=1.0)]
     driver = BalancerDriver(endpoints, groups=True, weights="rough")
-    homes = [driver.balancer.placement.group_ranking.rank(f"room-{k}").endpoints[0].name for k in range(400)]
+    homes = [
+        driver.balancer.placement.group_ranking.rank(f"room-{number}").endpoints[0].name
+        for number in range(400)
+    ]
     assert 280 < homes.count("large") < 360
     assert [driver.place_request(tenant).endpoint for tenant in "tut"] == ["large"] * 3
     driver = BalancerDriver(
         endpoints, weights="live"
     )  # live shares come late and count load that we know better
     open_on_each(driver, 10)
-    assert {driver.attempts[i][0] for i in driver.attempts} == {"large", "small"}
+    assert {driver.attempts[request_id][0] for request_id in driver.attempts} == {"large", "small"}
 
 
 def test_a_kind_of_machine_with_slower_set_ups_is_taken_to_be_smaller() -> None:
-    endpoints = [Endpoint(f"{kind}{k}", kind=kind) for kind in ("quick", "slow") for k in range(5)]
+    endpoints = [Endpoint(f"{kind}{number}", kind=kind) for kind in ("quick", "slow") for number in range(5)]
     driver = BalancerDriver(endpoints)
     for _ in range(120):
         (placement,) = driver.send_request("tu"[driver.last_id % 2])
@@ -377,5 +397,5 @@
         took = 10.0 if placement.endpoint.startswith("quick") else 40.0
         driver.handle(ConnectionEstablished(driver.last_id, 0, placement.endpoint, took))
         driver.now_ms += 10.0  # sizes are looked at again every 50 ms
-    quick = sum(driver.attempts[i][0].startswith("quick") for i in driver.attempts)
+    quick = sum(driver.attempts[request_id][0].startswith("quick") for request_id in driver.attempts)
     assert quick > 75
--- a/tests/decision/test_balancer_edge_cases.py
+++ b/tests/decision/test_balancer_edge_cases.py
@@ -94,8 +94,8 @@
         driver.send_request(tenant="", group="g")
         driver.establish(driver.last_id)
         driver.now_ms += 1000.0
-    at = [sent[-1] for sent in driver.attempts.values()]
-    assert 15 <= at.count("a") <= 30 and max(at.count(name) for name in "bcd") <= 20
+    placed_on = [sent[-1] for sent in driver.attempts.values()]
+    assert 15 <= placed_on.count("a") <= 30 and max(placed_on.count(name) for name in "bcd") <= 20
 
 
 def test_an_endpoint_that_resets_connections_has_little_capacity_left() -> None:
@@ -104,8 +104,8 @@
     while sum(sent == ["a"] for sent in driver.attempts.values()) < 8:
         driver.send_request()
         driver.establish(driver.last_id)
-    for k in [k for k, sent in driver.attempts.items() if sent == ["a"]]:
-        driver.end_attempt(k, "reset", True)
+    for request_id in [request_id for request_id, sent in driver.attempts.items() if sent == ["a"]]:
+        driver.end_attempt(request_id, "reset", True)
     endpoint = driver.balancer.endpoints["a"]
     assert endpoint.overload.capacity <= 1.0 and endpoint.is_full()
 
@@ -163,7 +163,7 @@
     for _ in range(20):
         driver.send_request()
         driver.establish(driver.last_id)
-    held = [i for i in driver.attempts if driver.attempts[i] == ["a"]]
+    held = [request_id for request_id in driver.attempts if driver.attempts[request_id] == ["a"]]
     driver.handle(MeasurementReported(held[0], 0, "a", "delay", 90.0))
     driver.handle(MeasurementReported(held[0], 0, "a", "delay", 5.0))  # well again
     for _ in range(4):
@@ -172,8 +172,8 @@
 
 def test_the_lone_member_of_a_group_is_migrated_first() -> None:
     driver = BalancerDriver([Endpoint("a"), Endpoint("b"), Endpoint("c")], groups=True)
-    for k in range(1, 8):
-        driver.handle(ConnectionAdopted(k, "c", "t", "a", "lone" if k == 5 else "big"))
+    for request_id in range(1, 8):
+        driver.handle(ConnectionAdopted(request_id, "c", "t", "a", "lone" if request_id == 5 else "big"))
     assert driver.handle(MeasurementReported(1, 0, "a", "delay", 90.0))[0] == MigrateConnection(5)
 
 
@@ -265,7 +265,7 @@
     driver.update_endpoints([Endpoint(name, started_at_ms=99_000.0) for name in "abcd"], "stale")
     answers = [driver.send_request()[0] for _ in range(300)]
     assert (
-        sum(isinstance(a, PlaceRequest) for a in answers) <= 8
+        sum(isinstance(answer, PlaceRequest) for answer in answers) <= 8
     )  # each of four has budget for a pair at most
 
 
@@ -290,28 +290,29 @@
     for _ in range(5):
         driver.send_request()
     driver.update_endpoints([Endpoint("a", started_at_ms=50.0)], "changes")
-    for i in range(1, 6):
-        driver.end_attempt(i, "reset", final=True)
+    for request_id in range(1, 6):
+        driver.end_attempt(request_id, "reset", final=True)
     assert driver.balancer.fleet.open_count == 0 and driver.balancer.fleet.totals.in_flight == 0
 
 
 def test_state_stays_bounded_over_a_long_run() -> None:
     driver = BalancerDriver(groups=True)
-    for k in range(5000):
+    for number in range(5000):
         driver.now_ms += 50.0
         driver.update_endpoints(
-            [Endpoint(f"n{k}", started_at_ms=driver.now_ms), Endpoint(f"n{k - 3}", "gone")], "changes"
+            [Endpoint(f"n{number}", started_at_ms=driver.now_ms), Endpoint(f"n{number - 3}", "gone")],
+            "changes",
         )
-        driver.send_request(tenant=f"stranger{k}", group=f"g{k}")
+        driver.send_request(tenant=f"stranger{number}", group=f"g{number}")
         if driver.last_id in driver.attempts:
             driver.end_attempt(driver.last_id, "ok", final=True)
-    b = driver.balancer
-    assert not b.requests and not b.fleet.group_counts and not b.fleet.rankings
-    assert len(b.endpoints) <= 10 and len(b.admission.buckets) <= 3
+    balancer = driver.balancer
+    assert not balancer.requests and not balancer.fleet.group_counts and not balancer.fleet.rankings
+    assert len(balancer.endpoints) <= 10 and len(balancer.admission.buckets) <= 3
 
 
 def test_many_zones_one_relay_no_tenants() -> None:
-    endpoints = [Endpoint(f"s{k}", zone=f"z{k}") for k in range(9)]
+    endpoints = [Endpoint(f"s{number}", zone=f"z{number}") for number in range(9)]
     driver = BalancerDriver(endpoints, tenants=(), zone="z4", cross_zone_cost=0.2)
     assert driver.place_request(tenant="").endpoint == "s4"
 
@@ -346,7 +347,12 @@
     logs = []
     for _ in range(2):
         driver = BalancerDriver(seed=5, groups=True)
-        logs.append([driver.handle(RequestArrived(k, "c", "t", 2000.0, f"g{k % 3}")) for k in range(1, 60)])
+        logs.append(
+            [
+                driver.handle(RequestArrived(request_id, "c", "t", 2000.0, f"g{request_id % 3}"))
+                for request_id in range(1, 60)
+            ]
+        )
     assert logs[0] == logs[1]
 
 
@@ -370,11 +376,11 @@
             driver.send_request()
             driver.establish(driver.last_id)
         for name in late:
-            held = next(i for i in driver.attempts if driver.attempts[i] == [name])
+            held = next(request_id for request_id in driver.attempts if driver.attempts[request_id] == [name])
             driver.handle(MeasurementReported(held, 0, name, "delay", 40.0))
         before = driver.balancer.endpoints["a"].overload.capacity
         driver.now_ms = 2400.0  # closed for 2.5 s, noted well before that
-        held = next(i for i in driver.attempts if driver.attempts[i] == ["a"])
+        held = next(request_id for request_id in driver.attempts if driver.attempts[request_id] == ["a"])
         driver.handle(MeasurementReported(held, 0, "a", "delay", 5.0))
         driver.now_ms = 3400.0
         driver.balancer.overload.reevaluate(driver.now_ms, driver.balancer.endpoints["a"])
@@ -384,47 +390,51 @@
 
 def test_groups_and_endpoints_that_come_and_go_leave_nothing_behind() -> None:
     driver = BalancerDriver([], groups=True)
-    for k in range(1200):
+    for number in range(1200):
         driver.now_ms += 50.0
-        driver.update_endpoints([Endpoint(f"s{k}"), Endpoint(f"s{k + 1}")])
-        driver.send_request(group=f"g{k}")
+        driver.update_endpoints([Endpoint(f"s{number}"), Endpoint(f"s{number + 1}")])
+        driver.send_request(group=f"g{number}")
         driver.establish(driver.last_id)
         driver.end_attempt(driver.last_id, "ok", final=True)
     driver.update_endpoints([Endpoint("a")])
-    for k in range(1200):
-        driver.send_request(group=f"h{k}")  # most are refused: their groups never hold anything
-    b = driver.balancer
-    assert len(b.endpoints) <= 2 and len(b.fleet.rankings) <= 500
+    for number in range(1200):
+        driver.send_request(group=f"h{number}")  # most are refused: their groups never hold anything
+    balancer = driver.balancer
+    assert len(balancer.endpoints) <= 2 and len(balancer.fleet.rankings) <= 500
 
 
 def test_where_no_delay_is_measured_reported_loads_relieve_an_endpoint() -> None:
     # On sockets no note of delay comes: an overloaded endpoint kept its clients, and got more of them.
     driver = BalancerDriver([Endpoint("a"), Endpoint("b")], reports_delay=False, migration_cost=0.02)
     with_delays = BalancerDriver([Endpoint("a"), Endpoint("b")], reports_delay=True, migration_cost=0.02)
-    for r in (driver, with_delays):
+    for each in (driver, with_delays):
         for _ in range(20):
-            r.send_request()
-            r.establish(r.last_id)
-    at_a = [i for i, sent in driver.attempts.items() if sent[-1] == "a"]
-    for i, sent in driver.attempts.items():
-        driver.handle(MeasurementReported(i, 0, sent[-1], "load", 1.0))
+            each.send_request()
+            each.establish(each.last_id)
+    at_a = [request_id for request_id, sent in driver.attempts.items() if sent[-1] == "a"]
+    for request_id, sent in driver.attempts.items():
+        driver.handle(MeasurementReported(request_id, 0, sent[-1], "load", 1.0))
     moved = []
-    for i in at_a:
+    for request_id in at_a:
         driver.now_ms += 1100.0  # an endpoint is weighed once a second at most
-        moved += driver.handle(MeasurementReported(i, 0, "a", "load", 300.0))
-    assert moved and all(isinstance(a, MigrateConnection) for a in moved)
+        moved += driver.handle(MeasurementReported(request_id, 0, "a", "load", 300.0))
+    assert moved and all(isinstance(action, MigrateConnection) for action in moved)
     # Heavier, not closed: closed on such signs, four of five endpoints sent all that came to the fifth.
-    a, b = (driver.balancer.endpoints[name] for name in "ab")
+    heavy, light = (driver.balancer.endpoints[name] for name in "ab")
     assert (
-        driver.now_ms < a.load.deprioritized_until_ms
-        and b.load.deprioritized_until_ms == 0
-        and not a.is_full()
+        driver.now_ms < heavy.load.deprioritized_until_ms
+        and light.load.deprioritized_until_ms == 0
+        and not heavy.is_full()
+    )
+    assert driver.balancer.placement.score.load_score(heavy) > driver.balancer.placement.score.load_score(
+        light
     )
-    assert driver.balancer.placement.score.load_score(a) > driver.balancer.placement.score.load_score(b)
     assert [
-        a
-        for i in list(with_delays.attempts)
-        for a in with_delays.handle(MeasurementReported(i, 0, with_delays.attempts[i][-1], "load", 300.0))
+        action
+        for request_id in list(with_delays.attempts)
+        for action in with_delays.handle(
+            MeasurementReported(request_id, 0, with_delays.attempts[request_id][-1], "load", 300.0)
+        )
     ] == []
 
 
@@ -436,15 +446,19 @@
         for _ in range(40):
             driver.send_request()
             driver.handle(ConnectionEstablished(driver.last_id, 0, driver.attempts[driver.last_id][-1], 30.0))
-        slow = [i for i in range(4) if driver.send_request() and driver.attempts[driver.last_id][-1] == "a"]
-        for i in slow:
-            driver.handle(ConnectionEstablished(driver.last_id - 3 + i, 0, "a", 210.0))
-        a, b = (driver.balancer.endpoints[name] for name in "ab")
+        slow = [
+            index
+            for index in range(4)
+            if driver.send_request() and driver.attempts[driver.last_id][-1] == "a"
+        ]
+        for index in slow:
+            driver.handle(ConnectionEstablished(driver.last_id - 3 + index, 0, "a", 210.0))
+        slow_endpoint, other_endpoint = (driver.balancer.endpoints[name] for name in "ab")
         score = driver.balancer.placement.score
-        assert slow and score.is_crowded(a) is closed and not score.is_crowded(b)
-        assert not a.is_full()  # it fades: an endpoint that was slow is tried again
+        assert slow and score.is_crowded(slow_endpoint) is closed and not score.is_crowded(other_endpoint)
+        assert not slow_endpoint.is_full()  # it fades: an endpoint that was slow is tried again
         driver.balancer.fleet.now_ms += 20_000.0
-        assert not score.is_crowded(a)
+        assert not score.is_crowded(slow_endpoint)
 
 
 def test_a_store_that_slows_all_set_ups_deprioritizes_no_endpoint() -> None:
@@ -454,7 +468,9 @@
         driver.send_request()
         driver.handle(ConnectionEstablished(driver.last_id, 0, driver.attempts[driver.last_id][-1], took))
         driver.now_ms += 20.0
-    assert not any(driver.balancer.setup_times.lag(s) > 0.4 for s in driver.balancer.fleet.ready)
+    assert not any(
+        driver.balancer.setup_times.lag(endpoint) > 0.4 for endpoint in driver.balancer.fleet.ready
+    )
 
 
 def test_a_request_fails_fast_while_every_endpoint_is_saturated() -> None:
@@ -463,11 +479,11 @@
     for _ in range(8):
         driver.send_request()
         driver.establish(driver.last_id)
-    for i, sent in driver.attempts.items():
+    for request_id, sent in driver.attempts.items():
         driver.now_ms += 1100.0
-        driver.handle(MeasurementReported(i, 0, sent[-1], "load", 400.0))
-    for s in driver.balancer.fleet.ready:
-        driver.balancer.overload.check_utilization(driver.now_ms + 1100.0, s)
+        driver.handle(MeasurementReported(request_id, 0, sent[-1], "load", 400.0))
+    for endpoint in driver.balancer.fleet.ready:
+        driver.balancer.overload.check_utilization(driver.now_ms + 1100.0, endpoint)
     driver.now_ms += 1101.0
     (refusal,) = driver.send_request()
     assert isinstance(refusal, RejectRequest) and refusal.retry_after_ms > 0
@@ -493,7 +509,9 @@
 def test_endpoints_that_drain_do_not_count_to_the_fleet_that_the_quotas_are_meant_for() -> None:
     # A relay that started during a release counted those that left beside their successors: what each
     # endpoint bears came out a quarter too small, and clients were refused while endpoints stood half empty.
-    lines = [Endpoint(f"r{k}") for k in range(8)] + [Endpoint(f"d{k}", "draining") for k in range(2)]
+    lines = [Endpoint(f"r{number}") for number in range(8)] + [
+        Endpoint(f"d{number}", "draining") for number in range(2)
+    ]
     tenants = (Tenant("t", 13.0, 800.0),)
     with_drains, without = (
         BalancerDriver(some, tenants=tenants, relay_count=40, reports_delay=False).balancer
@@ -515,12 +533,16 @@
         (first,) = driver.update_endpoints([Endpoint(name) for name in "abc"], "stale")
         assert isinstance(first, SetTimer)
         driver.send_request()
-        sooner = [a for a in driver.end_attempt(1, "connect_failed") if isinstance(a, SetTimer)]
+        sooner = [
+            action for action in driver.end_attempt(1, "connect_failed") if isinstance(action, SetTimer)
+        ]
         assert len(sooner) == 1
         waits.append(sooner[0].delay_ms)
         first_ms = first.delay_ms
     assert max(waits) <= 1800.0
-    assert not [a for a in driver.end_attempt(1, "connect_failed") if isinstance(a, SetTimer)]  # once
+    assert not [
+        action for action in driver.end_attempt(1, "connect_failed") if isinstance(action, SetTimer)
+    ]  # once
     driver.now_ms = min(first_ms, waits[-1])
     assert driver.handle(TimerFired("watch")) == [WatchEndpoints()]
     assert driver.handle(TimerFired("watch")) == []  # the first timer: its call is out already
--- a/tests/decision/test_balancer_properties.py
+++ b/tests/decision/test_balancer_properties.py
@@ -82,108 +82,127 @@
         self.timers: list[tuple[float, str]] = []
 
     def tell(self, event: Any) -> None:
-        for a in self.balancer.handle(self.now, event):
-            if isinstance(a, PlaceRequest):
-                self.check_send(a)
-            elif isinstance(a, RejectRequest | FailRequest):
-                r = self.held[a.id]
-                assert not r["answered"] and not r["out"]
-                if isinstance(a, RejectRequest):
-                    cls = r["cls"]
+        for action in self.balancer.handle(self.now, event):
+            if isinstance(action, PlaceRequest):
+                self.check_send(action)
+            elif isinstance(action, RejectRequest | FailRequest):
+                request = self.held[action.id]
+                assert not request["answered"] and not request["out"]
+                if isinstance(action, RejectRequest):
+                    cls = request["cls"]
                     harmless = cls.effect == "safe" or (cls.effect == "keyed" and cls.scope == "all")
-                    assert r["ran"] is None or harmless
-                del self.held[a.id]
-            elif isinstance(a, AbandonAttempt):
-                assert self.held[a.id]["out"]
-            elif isinstance(a, MigrateConnection):
-                assert self.held[a.id]["stands"] and not self.held[a.id]["moved"]
-                self.held[a.id]["moved"] = True
-            elif isinstance(a, SetTimer):
-                assert a.delay_ms >= 0
-                self.timers.append((self.now + a.delay_ms, a.tag))
-
-    def check_send(self, a: PlaceRequest) -> None:
-        r = self.held[a.id]
-        assert not r["answered"] and not r["out"], "one attempt at a time, none after the answer"
-        assert self.endpoints[a.endpoint].state == "ready", "drains are kept"
-        assert self.now < r["until"] and 0 < a.timeout_ms <= r["until"] - self.now + 1e-6
-        if r["ran"] is not None and r["cls"].effect != "safe":
-            zone, cell, at = r["ran"]
-            to = self.endpoints[a.endpoint]
-            assert r["cls"].effect == "keyed" and self.now <= at + r["cls"].key_ttl_ms
-            assert r["cls"].scope == "all" or (zone, cell)[r["cls"].scope == "cell"] in (to.zone, to.cell)
-        r["out"], r["endpoint"], r["attempt"], r["sent"] = True, a.endpoint, r["attempt"] + 1, self.now
-        assert r["attempt"] < self.settings.max_attempts
+                    assert request["ran"] is None or harmless
+                del self.held[action.id]
+            elif isinstance(action, AbandonAttempt):
+                assert self.held[action.id]["out"]
+            elif isinstance(action, MigrateConnection):
+                assert self.held[action.id]["stands"] and not self.held[action.id]["moved"]
+                self.held[action.id]["moved"] = True
+            elif isinstance(action, SetTimer):
+                assert action.delay_ms >= 0
+                self.timers.append((self.now + action.delay_ms, action.tag))
+
+    def check_send(self, action: PlaceRequest) -> None:
+        request = self.held[action.id]
+        assert not request["answered"] and not request["out"], "one attempt at a time, none after the answer"
+        assert self.endpoints[action.endpoint].state == "ready", "drains are kept"
+        assert self.now < request["until"] and 0 < action.timeout_ms <= request["until"] - self.now + 1e-6
+        if request["ran"] is not None and request["cls"].effect != "safe":
+            zone, cell, sent_ms = request["ran"]
+            endpoint = self.endpoints[action.endpoint]
+            assert request["cls"].effect == "keyed" and self.now <= sent_ms + request["cls"].key_ttl_ms
+            assert request["cls"].scope == "all" or (zone, cell)[request["cls"].scope == "cell"] in (
+                endpoint.zone,
+                endpoint.cell,
+            )
+        request["out"], request["endpoint"], request["attempt"], request["sent"] = (
+            True,
+            action.endpoint,
+            request["attempt"] + 1,
+            self.now,
+        )
+        assert request["attempt"] < self.settings.max_attempts
 
     def owed(self) -> None:
         """Rule one: a request is answered at once or has an attempt out, which always ends."""
-        for r in self.held.values():
-            assert r["out"], "a held request has no known end"
+        for request in self.held.values():
+            assert request["out"], "a held request has no known end"
 
     def step(self, pick: int, kind: int, arg: int) -> None:
-        out = [i for i, r in self.held.items() if r["out"]]
+        out = [request_id for request_id, request in self.held.items() if request["out"]]
         if kind <= 3 or not out:
-            self.ids += 1
-            cls = CLASSES[arg % len(CLASSES)]
-            until = self.now + (1000.0 if pick % 7 else 0.0)
-            self.held[self.ids] = record(cls, until)
-            group = "gh"[arg % 2]
-            self.tell(RequestArrived(self.ids, cls.name, "tuv"[pick % 3], until, group, midflow=not pick))
+            self.send_request(pick, arg)
         elif kind <= 5:
-            i = out[pick % len(out)]
-            r = self.held[i]
-            if not r["stands"]:
-                r["stands"], r["until"] = True, float("inf")
-                self.tell(ConnectionEstablished(i, r["attempt"], r["endpoint"]))
+            self.establish(out[pick % len(out)])
         elif kind <= 8:
             self.end(out[pick % len(out)], STATUSES[arg % len(STATUSES)])
         elif kind == 9:
-            i = out[pick % len(out)]
-            if not self.held[i]["answered"]:
-                self.held[i]["answered"] = True
-                self.tell(ClientDisconnected(i))
+            self.disconnect(out[pick % len(out)])
         elif kind == 10:
-            i = out[pick % len(out)]
-            self.tell(
-                MeasurementReported(
-                    i, self.held[i]["attempt"], self.held[i]["endpoint"], "delay", float(arg * 9)
-                )
-            )
+            self.report_delay(out[pick % len(out)], float(arg * 9))
         elif kind == 11:
-            name = f"s{pick % 7}"
-            state = ("ready", "ready", "draining", "gone")[arg % 4]
-            line = Endpoint(
-                name, state, "xy"[pick % 2], pick % 2 * 10 + arg % 3, self.now if arg > 9 else 0.0
-            )
-            if state != "gone" or name in self.endpoints:
-                self.endpoints[name] = line
-                self.tell(EndpointListEvent("changes", [line]))
+            self.change_endpoint(pick, arg)
         elif kind == 12 and self.settings.discovery == "ask":
             self.tell(EndpointListEvent("failed", []))
         else:
             self.tell(AttemptEnded(10_000_000 + arg, 0, "nobody", "error", False))
 
-    def end(self, i: int, status: str) -> None:
-        r = self.held[i]
-        if r["stands"]:
+    def send_request(self, pick: int, arg: int) -> None:
+        self.ids += 1
+        cls = CLASSES[arg % len(CLASSES)]
+        until = self.now + (1000.0 if pick % 7 else 0.0)
+        self.held[self.ids] = record(cls, until)
+        group = "gh"[arg % 2]
+        self.tell(RequestArrived(self.ids, cls.name, "tuv"[pick % 3], until, group, midflow=not pick))
+
+    def establish(self, request_id: int) -> None:
+        request = self.held[request_id]
+        if not request["stands"]:
+            request["stands"], request["until"] = True, float("inf")
+            self.tell(ConnectionEstablished(request_id, request["attempt"], request["endpoint"]))
+
+    def disconnect(self, request_id: int) -> None:
+        if not self.held[request_id]["answered"]:
+            self.held[request_id]["answered"] = True
+            self.tell(ClientDisconnected(request_id))
+
+    def report_delay(self, request_id: int, delay_ms: float) -> None:
+        request = self.held[request_id]
+        self.tell(MeasurementReported(request_id, request["attempt"], request["endpoint"], "delay", delay_ms))
+
+    def change_endpoint(self, pick: int, arg: int) -> None:
+        name = f"s{pick % 7}"
+        state = ("ready", "ready", "draining", "gone")[arg % 4]
+        line = Endpoint(name, state, "xy"[pick % 2], pick % 2 * 10 + arg % 3, self.now if arg > 9 else 0.0)
+        if state != "gone" or name in self.endpoints:
+            self.endpoints[name] = line
+            self.tell(EndpointListEvent("changes", [line]))
+
+    def end(self, request_id: int, status: str) -> None:
+        request = self.held[request_id]
+        if request["stands"]:
             status = ("ok", "reset", "cancelled")[len(status) % 3]
-        final = r["answered"] or r["stands"] or status == "ok" or r["moved"]
-        r["out"] = False
-        if status not in NEVER_RAN and r["ran"] is None:
-            to = self.endpoints[r["endpoint"]]
-            r["ran"] = (to.zone, to.cell, r["sent"])
+        final = request["answered"] or request["stands"] or status == "ok" or request["moved"]
+        request["out"] = False
+        if status not in NEVER_RAN and request["ran"] is None:
+            endpoint = self.endpoints[request["endpoint"]]
+            request["ran"] = (endpoint.zone, endpoint.cell, request["sent"])
         if final:
-            del self.held[i]
-        self.tell(AttemptEnded(i, r["attempt"], r["endpoint"], status, final))
+            del self.held[request_id]
+        self.tell(AttemptEnded(request_id, request["attempt"], request["endpoint"], status, final))
 
-    def pass_time(self, ms: float) -> None:
-        self.now += ms
-        due = [t for t in self.timers if t[0] <= self.now]
-        self.timers = [t for t in self.timers if t[0] > self.now]
+    def pass_time(self, duration_ms: float) -> None:
+        self.now += duration_ms
+        due = [timer for timer in self.timers if timer[0] <= self.now]
+        self.timers = [timer for timer in self.timers if timer[0] > self.now]
         for _, tag in due:
             self.tell(TimerFired(tag))
-        for i in [i for i, r in self.held.items() if r["out"] and self.now >= r["until"]]:
-            self.end(i, "timeout")
+        for request_id in [
+            request_id
+            for request_id, request in self.held.items()
+            if request["out"] and self.now >= request["until"]
+        ]:
+            self.end(request_id, "timeout")
 
 
 STEPS = st.lists(st.tuples(st.integers(0, 30), st.integers(0, 13), st.integers(0, 15)), max_size=120)
@@ -195,34 +214,43 @@
     steps: list[tuple[int, int, int]], seed: int, groups: bool, discovery: str, priced: bool
 ) -> None:
     world = World(seed, groups, discovery, priced)
-    world.endpoints = {f"s{k}": Endpoint(f"s{k}", "ready", "xy"[k % 2], k % 2 * 10) for k in range(5)}
+    world.endpoints = {
+        f"s{number}": Endpoint(f"s{number}", "ready", "xy"[number % 2], number % 2 * 10)
+        for number in range(5)
+    }
     world.tell(EndpointListEvent("stale", list(world.endpoints.values())))
-    for k in range(3):
+    for number in range(3):
         world.ids += 1
         world.held[world.ids] = record(CLASSES[0], float("inf"))
-        world.held[world.ids].update(out=True, stands=True, ran=("x", 0, 0.0), attempt=0, endpoint=f"s{k}")
-        world.tell(ConnectionAdopted(world.ids, "safe", "t", f"s{k}", "g"))
+        world.held[world.ids].update(
+            out=True, stands=True, ran=("x", 0, 0.0), attempt=0, endpoint=f"s{number}"
+        )
+        world.tell(ConnectionAdopted(world.ids, "safe", "t", f"s{number}", "g"))
     for pick, kind, arg in steps:
         world.step(pick, kind, arg)
         world.owed()
         world.pass_time(float(arg * pick) / 4)
         world.owed()
-    for i in list(world.held):
-        world.end(i, "ok")
+    for request_id in list(world.held):
+        world.end(request_id, "ok")
     world.tell(EndpointListEvent("full", []))
-    b = world.balancer
-    assert not b.requests and not b.fleet.group_counts and not b.endpoints and not b.fleet.shedding
-    assert b.fleet.open_count == 0 and b.fleet.totals == FleetTotals()
-    assert all(count == 0 for count in b.fleet.tenant_counts.values())
+    balancer = world.balancer
+    assert (
+        not balancer.requests
+        and not balancer.fleet.group_counts
+        and not balancer.endpoints
+        and not balancer.fleet.shedding
+    )
+    assert balancer.fleet.open_count == 0 and balancer.fleet.totals == FleetTotals()
+    assert all(count == 0 for count in balancer.fleet.tenant_counts.values())
 
 
-def play(steps: list[tuple[int, int, int]], seed: int, prefix: str) -> list[Any]:
-    """One course of events under names that all begin with the prefix; its actions without the prefix."""
+def listed(prefix: str, number: int, state: str = "ready") -> Endpoint:
+    return Endpoint(f"{prefix}s{number}", state, f"{prefix}z{number % 2}", number, 0.0)
 
-    def line(k: int, state: str = "ready") -> Endpoint:
-        return Endpoint(f"{prefix}s{k}", state, f"{prefix}z{k % 2}", k, 0.0)
 
-    b = Balancer(
+def balancer_with_names(prefix: str, seed: int) -> Balancer:
+    return Balancer(
         Settings(
             classes=(
                 RequestClass(prefix + "c0", 300, message_latency_objective_ms=60),
@@ -235,33 +263,43 @@
         ),
         seed,
     )
+
+
+def events_after(sent: tuple[int, int, str], prefix: str, pick: int, arg: int) -> list[Event]:
+    """What may happen next to an attempt that was sent: its request, its number and its endpoint."""
+    request_id, attempt, endpoint = sent
+    choices: list[list[Event]] = [
+        [
+            ConnectionEstablished(request_id, attempt, endpoint),
+            MeasurementReported(request_id, attempt, endpoint, "delay", 45.0),
+        ],
+        [AttemptEnded(request_id, attempt, endpoint, "reset", False)],
+        [AttemptEnded(request_id, attempt, endpoint, "timeout", False), ClientDisconnected(request_id)],
+        [EndpointListEvent("changes", [listed(prefix, pick % 6, ("draining", "ready")[arg % 2])])],
+    ]
+    return choices[arg % 4]
+
+
+def play(steps: list[tuple[int, int, int]], seed: int, prefix: str) -> list[Any]:
+    """One course of events under names that all begin with the prefix; its actions without the prefix."""
+    balancer = balancer_with_names(prefix, seed)
     log: list[Any] = []
     sent: list[tuple[int, int, str]] = []
     attempts: dict[int, int] = {}
-    events: list[Any] = [EndpointListEvent("full", [line(k) for k in range(6)])]
+    due: list[Event] = [EndpointListEvent("full", [listed(prefix, number) for number in range(6)])]
     for now, (kind, pick, arg) in enumerate([(0, 0, 0), *steps]):
         if kind % 3 == 0 or not sent:
             cls, tenant = f"{prefix}c{pick % 2}", f"{prefix}t{arg % 3}"
-            events.append(RequestArrived(now + 1, cls, tenant, now * 10.0 + 900.0, prefix + "g"))
+            due.append(RequestArrived(now + 1, cls, tenant, now * 10.0 + 900.0, prefix + "g"))
         else:
-            id, attempt, endpoint = sent[pick % len(sent)]
-            choices: list[list[Event]] = [
-                [
-                    ConnectionEstablished(id, attempt, endpoint),
-                    MeasurementReported(id, attempt, endpoint, "delay", 45.0),
-                ],
-                [AttemptEnded(id, attempt, endpoint, "reset", False)],
-                [AttemptEnded(id, attempt, endpoint, "timeout", False), ClientDisconnected(id)],
-                [EndpointListEvent("changes", [line(pick % 6, ("draining", "ready")[arg % 2])])],
-            ]
-            events += choices[arg % 4]
-        due, events = events, []
+            due += events_after(sent[pick % len(sent)], prefix, pick, arg)
         for event in due:
-            for a in b.handle(now * 10.0, event):
-                if isinstance(a, PlaceRequest):
-                    attempts[a.id] = attempts.get(a.id, -1) + 1
-                    sent.append((a.id, attempts[a.id], a.endpoint))
-                log.append(repr(a).replace(prefix, ""))
+            for action in balancer.handle(now * 10.0, event):
+                if isinstance(action, PlaceRequest):
+                    attempts[action.id] = attempts.get(action.id, -1) + 1
+                    sent.append((action.id, attempts[action.id], action.endpoint))
+                log.append(repr(action).replace(prefix, ""))
+        due = []
     return log
 
 
--- a/tests/decision/test_health_checks.py
+++ b/tests/decision/test_health_checks.py
@@ -51,10 +51,6 @@
     return HealthCheckScheduler(settings, 80.0, Random(1))
 
 
-def story(coro: Any) -> None:
-    asyncio.run(asyncio.wait_for(coro, 20))
-
-
 # ---------------------------------------------------------------- reports
 
 
@@ -80,7 +76,7 @@
 @given(st.binary(max_size=700))
 def test_no_bytes_make_a_report_that_is_no_number(text: bytes) -> None:
     found = read_report(text, FIELDS, Counter())
-    assert found.keys() <= set(FIELDS) and all(0.0 <= v <= 3600.0 for v in found.values())
+    assert found.keys() <= set(FIELDS) and all(0.0 <= value <= 3600.0 for value in found.values())
     values = {"x0": math.nan, "x1": True, "cpu": "1", "rps": -1, "active": 3}
     assert checked(values) == {"active": 3.0}
 
@@ -92,7 +88,7 @@
 def test_no_more_is_checked_than_is_paid_for_and_than_endpoints_can_bear(
     relays: int, endpoints: int, price: float, requests: int
 ) -> None:
-    names = [f"s{k}" for k in range(endpoints)]
+    names = [f"s{number}" for number in range(endpoints)]
     checks = make_checks(relay_count=relays, health_check_cost=price)
     asked: Counter[str] = Counter()
     for look in range(240):  # a minute
@@ -134,7 +130,7 @@
     for change in ({}, *without):
         driver = BalancerDriver([], **{**PROBED, **change})
         actions = driver.handle(decision.EndpointListEvent("stale", [decision.Endpoint("a")]))
-        timers = [a.tag for a in actions if isinstance(a, decision.SetTimer)]
+        timers = [action.tag for action in actions if isinstance(action, decision.SetTimer)]
         assert timers == ([] if change else ["probe"])
         if not change:
             assert driver.handle(decision.TimerFired("probe"))[0] == decision.CheckHealth("a")
@@ -152,7 +148,7 @@
     assert driver.balancer.endpoints["a"].is_full()
     moves = report_load(driver, "a", x0=1.4, x1=0.4)
     assert len(moves) in (there // 2, there // 2 + 1) and all(
-        isinstance(a, decision.MigrateConnection) for a in moves
+        isinstance(action, decision.MigrateConnection) for action in moves
     )
     driver.now_ms += 500.0
     assert report_load(driver, "a", x0=1.4, x1=0.4) == []  # no report tells yet what that did
@@ -202,7 +198,7 @@
         ((b"PONG half",), [("timeout", {})]),
     ],
 )
-def test_a_health_check_ends_in_one_outcome_whatever_comes_back(
+async def test_a_health_check_ends_in_one_outcome_whatever_comes_back(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, words: tuple[bytes, ...], outcomes: list[Any]
 ) -> None:
     monkeypatch.setattr("sageturn.net.health_check_client.RESPONSE_TIMEOUT_S", 0.3)
@@ -210,53 +206,44 @@
     monkeypatch.setitem(SETTINGS, "report", {"source": "probe", "fields": list(FIELDS)})
     script, seen = probed_by(*words)
 
-    async def go() -> None:
-        async with relaying(tmp_path, script) as (relay, _):
-            assert relay.health_check_client is not None
-            heard: asyncio.Queue[decision.HealthCheckCompleted] = asyncio.Queue()
-            relay.health_check_client.on_completed = heard.put
-            # The test asks, not the module.
-            relay.balancer_actor.check_endpoint_health = lambda endpoint: None
-            for status, report in outcomes:
-                relay.health_check_client.start_check("a")
-                relay.health_check_client.start_check("a")  # one at a time
-                assert await heard.get() == decision.HealthCheckCompleted("a", status, report)
-                while relay.health_check_client.checks_under_way:
-                    await asyncio.sleep(0)
-            assert len(seen) == len(words) and set(seen) == {b"STATS\r\n"} and heard.empty()
-            assert await reply(relay.listener.address, first_line()) == b"UP r1\r\n"
-
-    story(go())
+    async with relaying(tmp_path, script) as (relay, _):
+        assert relay.health_check_client is not None
+        heard: asyncio.Queue[decision.HealthCheckCompleted] = asyncio.Queue()
+        relay.health_check_client.on_completed = heard.put
+        # The test asks, not the module.
+        relay.balancer_actor.check_endpoint_health = lambda endpoint: None
+        for status, report in outcomes:
+            relay.health_check_client.start_check("a")
+            relay.health_check_client.start_check("a")  # one at a time
+            assert await heard.get() == decision.HealthCheckCompleted("a", status, report)
+            while relay.health_check_client.checks_under_way:
+                await asyncio.sleep(0)
+        assert len(seen) == len(words) and set(seen) == {b"STATS\r\n"} and heard.empty()
+        assert await reply(relay.listener.address, first_line()) == b"UP r1\r\n"
 
 
 @pytest.mark.parametrize("script", [silent, resets])
-def test_an_endpoint_that_never_answers_health_checks_serves_its_clients(
+async def test_an_endpoint_that_never_answers_health_checks_serves_its_clients(
     tmp_path: Path, script: Script
 ) -> None:
-    async def go() -> None:
-        async with relaying(tmp_path, up, script) as (relay, _):
-            assert relay.health_check_client is None  # not allowed by these settings: nothing of it is there
-            assert await reply(relay.listener.address, first_line()) == b"UP r1\r\n"
-
-    story(go())
+    async with relaying(tmp_path, up, script) as (relay, _):
+        assert relay.health_check_client is None  # not allowed by these settings: nothing of it is there
+        assert await reply(relay.listener.address, first_line()) == b"UP r1\r\n"
 
 
-def test_a_report_behind_a_final_response_is_no_broken_connection(
+async def test_a_report_behind_a_final_response_is_no_broken_connection(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # BYE with a report behind it was taken for the end of a connection that broke.
     monkeypatch.setitem(SETTINGS, "report", {"source": "answers", "fields": list(FIELDS)})
 
-    async def go() -> None:
-        async with relaying(tmp_path, responds_with(b"UP r\r\nBYE x0=0.25,util=0.5\r\n")) as (relay, _):
-            handled = record_balancer_events(relay, monkeypatch)
-            reader, writer = await ask(relay.listener.address, first_line(more=",r=1"))
-            assert await reader.read() == b"UP r\r\nBYE x0=0.25,util=0.5\r\n"
-            writer.close()
-            while not any(isinstance(e, decision.AttemptEnded) for e in handled):
-                await asyncio.sleep(0.01)
-            (ended,) = [e for e in handled if isinstance(e, decision.AttemptEnded)]
-            assert (ended.status, ended.report) == ("ok", {"x0": 0.25, "cpu": 0.5})
-            assert [e.retried for e in handled if hasattr(e, "retried")] == [True]
-
-    story(go())
+    async with relaying(tmp_path, responds_with(b"UP r\r\nBYE x0=0.25,util=0.5\r\n")) as (relay, _):
+        handled = record_balancer_events(relay, monkeypatch)
+        reader, writer = await ask(relay.listener.address, first_line(more=",r=1"))
+        assert await reader.read() == b"UP r\r\nBYE x0=0.25,util=0.5\r\n"
+        writer.close()
+        while not any(isinstance(event, decision.AttemptEnded) for event in handled):
+            await asyncio.sleep(0.01)
+        (ended,) = [event for event in handled if isinstance(event, decision.AttemptEnded)]
+        assert (ended.status, ended.report) == ("ok", {"x0": 0.25, "cpu": 0.5})
+        assert [event.retried for event in handled if hasattr(event, "retried")] == [True]
--- a/tests/decision/test_quotas.py
+++ b/tests/decision/test_quotas.py
@@ -44,17 +44,20 @@
     drawn: list[tuple[str, float]], each_zone: int, priced: bool
 ) -> None:
     places = [place(zone, size, 2.0) for zone, size in drawn]
-    zones = sorted({p.zone for p in places})
+    zones = sorted({endpoint.zone for endpoint in places})
     relays = each_zone * len(zones)
     held, total = [0.0] * len(places), 0.0
     for zone in zones:
         bounds = quota_bounds(places, zones, zone if priced else None, 50.0, relays)
-        held = [h + each_zone * b.max_connections for h, b in zip(held, bounds.by_endpoint, strict=True)]
+        held = [
+            count + each_zone * bound.max_connections
+            for count, bound in zip(held, bounds.by_endpoint, strict=True)
+        ]
         total += each_zone * bounds.max_connections
     few = 50.0 * FEW_RELAYS_SLACK / relays**2
-    for endpoint, h in zip(places, held, strict=True):
+    for endpoint, count in zip(places, held, strict=True):
         assert (
-            h
+            count
             <= ENDPOINT_QUOTA_RATIO * QUOTA_UTILIZATION * 50.0 * endpoint.weights.effective / 2.0
             + few
             + FLEET_SLACK_CONNECTIONS
@@ -62,7 +65,7 @@
         )
     assert (
         total
-        <= QUOTA_UTILIZATION * 50.0 * sum(p.weights.effective for p in places) / 2.0
+        <= QUOTA_UTILIZATION * 50.0 * sum(endpoint.weights.effective for endpoint in places) / 2.0
         + few * len(places)
         + 1e-6
     )
@@ -70,8 +73,11 @@
 
 def test_bounds_change_smoothly_with_the_number_of_relays() -> None:
     places = [place(zone, 2.0, 2.0) for zone in ZONES * 3]
-    whole = [n * quota_bounds(places, ZONES, "w", 50.0, n).max_connections for n in range(4, 81)]
-    assert all(0.6 < b / a <= 1.0 for a, b in itertools.pairwise(whole))
+    whole = [
+        relay_count * quota_bounds(places, ZONES, "w", 50.0, relay_count).max_connections
+        for relay_count in range(4, 81)
+    ]
+    assert all(0.6 < more / fewer <= 1.0 for fewer, more in itertools.pairwise(whole))
     assert whole[0] > 600.0 * 2 and whole[-1] < 600.0 * 0.7
 
 
@@ -106,18 +112,18 @@
         refused += isinstance(actions[0], RejectRequest)
         if driver.last_id in driver.attempts:
             driver.establish(driver.last_id)
-    b = driver.balancer
-    assert 12 <= b.fleet.open_count <= 16 and refused >= 44  # 0.7 of two endpoints' 400, shared by 40
-    held = [i for i, sent in driver.attempts.items() if sent[-1] == "a"]
-    b.endpoints["a"].quota = QuotaBound(
-        2.0, b.endpoints["a"].quota.eligible_relays
+    balancer = driver.balancer
+    assert 12 <= balancer.fleet.open_count <= 16 and refused >= 44  # 0.7 of two endpoints' 400, shared by 40
+    held = [request_id for request_id, sent in driver.attempts.items() if sent[-1] == "a"]
+    balancer.endpoints["a"].quota = QuotaBound(
+        2.0, balancer.endpoints["a"].quota.eligible_relays
     )  # most of it has gone to others
     moves = []
     for _ in range(200):
         driver.now_ms += 100.0
         moves += [
-            a
-            for a in driver.handle(MeasurementReported(held[-1], 0, "a", "load", 0.0))
-            if isinstance(a, MigrateConnection)
+            action
+            for action in driver.handle(MeasurementReported(held[-1], 0, "a", "load", 0.0))
+            if isinstance(action, MigrateConnection)
         ]
     assert 2 <= len(moves) <= 8  # at 40 relays about one in five seconds each
--- a/tests/decision/test_relay_fleet.py
+++ b/tests/decision/test_relay_fleet.py
@@ -42,12 +42,12 @@
             weights="rough",
         )
         self.rng = Random(seed)
-        self.relays = [Balancer(settings, seed * 1000 + k) for k in range(relays)]
+        self.relays = [Balancer(settings, seed * 1000 + number) for number in range(relays)]
         self.due: list[tuple[float, int, Callable[[], None]]] = []
         self.now, self.ids, self.free_ms = 0.0, 0, 0.0
         self.out = self.most_out = self.standing = self.wasted = 0
         for relay in self.relays:
-            relay.handle(0.0, EndpointListEvent("full", [Endpoint(f"h{k}") for k in range(hosts)]))
+            relay.handle(0.0, EndpointListEvent("full", [Endpoint(f"h{number}") for number in range(hosts)]))
 
     def at(self, when_ms: float, what: Callable[[], None]) -> None:
         self.ids += 1
--- a/tests/decision/test_simulator_adapter.py
+++ b/tests/decision/test_simulator_adapter.py
@@ -28,12 +28,12 @@
 }
 
 
-def batch(*events: dict[str, Any], i: int = 0, now: float = 0.0) -> bytes:
-    return json.dumps({"momentMs": now, "groups": [{"i": i, "events": list(events)}]}).encode()
+def batch(*events: dict[str, Any], instance: int = 0, now: float = 0.0) -> bytes:
+    return json.dumps({"momentMs": now, "groups": [{"i": instance, "events": list(events)}]}).encode()
 
 
-def enlist(i: int = 0) -> bytes:
-    return batch({"Enlist": {"entropy": 5, "conf": CONF}}, {"Fleet": LIST}, i=i)
+def enlist(instance: int = 0) -> bytes:
+    return batch({"Enlist": {"entropy": 5, "conf": CONF}}, {"Fleet": LIST}, instance=instance)
 
 
 def inbound(number: int) -> dict[str, Any]:
@@ -46,24 +46,24 @@
 
 
 def actions(reply: bytes) -> list[dict[str, Any]]:
-    return [a for group in json.loads(reply)["groups"] for a in group["actions"]]
+    return [action for group in json.loads(reply)["groups"] for action in group["actions"]]
 
 
 def test_a_request_is_relayed_and_every_event_is_taken() -> None:
     link = SimulatorLink()
     assert actions(link.answer(enlist())) == []
     (relay,) = actions(link.answer(batch(inbound(1))))
-    to = relay["Relay"]["backend"]
+    endpoint = relay["Relay"]["backend"]
     every = (
-        {"Started": {"opId": 1, "timeTakenMs": 5.0, "n": 0, "backend": to}},
-        {"UpdateOf": {"opId": 1, "kind": 1, "n": 0, "backend": to, "value": 900.0}},
-        {"UpdateOf": {"opId": 1, "kind": 2, "n": 0, "backend": to, "value": 9.0}},
+        {"Started": {"opId": 1, "timeTakenMs": 5.0, "n": 0, "backend": endpoint}},
+        {"UpdateOf": {"opId": 1, "kind": 1, "n": 0, "backend": endpoint, "value": 900.0}},
+        {"UpdateOf": {"opId": 1, "kind": 2, "n": 0, "backend": endpoint, "value": 9.0}},
         {"Wake": {"mark": "watch"}},
         {"Whisper": {"from": 1, "blob": ""}},
-        {"Checked": {"backend": to, "stateCode": "pass", "timeTakenMs": 1.0, "report": None}},
+        {"Checked": {"backend": endpoint, "stateCode": "pass", "timeTakenMs": 1.0, "report": None}},
         {"Inherited": {"opId": 2, "cls": "c", "party": "t", "backend": "a", "giveUpAtMs": 9.0}},
         {"ClientLeft": {"opId": 77}},
-        returned(1, to, "pass", True),
+        returned(1, endpoint, "pass", True),
     )
     assert actions(link.answer(batch(*every))) == [{"Observe": {"active": True}}]
 
@@ -82,18 +82,20 @@
     link.answer(enlist())
     link.answer(batch(inbound(1)))
     both = batch({"Teardown": {}}, {"Enlist": {"entropy": 6, "conf": CONF}}, {"Fleet": LIST}, inbound(2))
-    assert [a["Relay"]["opId"] for a in actions(link.answer(both))] == [2]
+    assert [action["Relay"]["opId"] for action in actions(link.answer(both))] == [2]
     assert actions(link.answer(batch(returned(1, "a", "cut", False)))) == []
 
 
 def test_instances_share_nothing() -> None:
     alone, both = SimulatorLink(), SimulatorLink()
     alone.answer(enlist(3))
-    for i in (1, 3):
-        both.answer(enlist(i))
-    for n in range(1, 30):
-        both.answer(batch(inbound(n + 100), i=1))
-        assert both.answer(batch(inbound(n), i=3)) == alone.answer(batch(inbound(n), i=3))
+    for instance in (1, 3):
+        both.answer(enlist(instance))
+    for number in range(1, 30):
+        both.answer(batch(inbound(number + 100), instance=1))
+        assert both.answer(batch(inbound(number), instance=3)) == alone.answer(
+            batch(inbound(number), instance=3)
+        )
 
 
 @pytest.mark.parametrize(
@@ -103,7 +105,7 @@
         (b"[]", "batch"),
         (b'{"groups":[]}', "momentMs"),
         (batch({"Surprise": {}}), "unknown event Surprise"),
-        (batch(inbound(1), i=9), "never enlisted"),
+        (batch(inbound(1), instance=9), "never enlisted"),
         (batch({"Inbound": {"cls": "c"}}), "opId"),
         (batch({"Fleet": {"mode": "Q", "nodesList": []}}), "Q"),
         (batch({"Enlist": {"entropy": 1, "conf": {**CONF, "groupSize": 0}}}), "groupSize: must be from 1"),
--- a/tests/decision/test_slow_start.py
+++ b/tests/decision/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Servers that have just started, before many relays: what all send them, and what they get to hold."""
+"""Endpoints in slow start, behind many relays: the attempts that all send them, and what they hold."""
 
 from __future__ import annotations
 
@@ -39,12 +39,12 @@
     ``times``: the server's ages at the calls. ``allowed``: N of a window, by its end.
     """
     over, first = [], 0
-    for k, at in enumerate(times):
-        while times[first] <= at - WINDOW_MS:
+    for number, at_ms in enumerate(times):
+        while times[first] <= at_ms - WINDOW_MS:
             first += 1
-        n = allowed(at)
-        if k + 1 - first > n + 2.0 * n**0.5 + 2.0:
-            over.append((k + 1 - first, n + 2.0 * n**0.5 + 2.0))
+        budget = allowed(at_ms)
+        if number + 1 - first > budget + 2.0 * budget**0.5 + 2.0:
+            over.append((number + 1 - first, budget + 2.0 * budget**0.5 + 2.0))
     return over
 
 
@@ -70,13 +70,13 @@
         total, clients = each * hosts, int(0.5 * each * hosts)
         allowance = clients / 25.0
         self.relays = []
-        for k in range(relays):
+        for number in range(relays):
             settings = Settings(
                 classes=CLASSES,
                 tenants=(Tenant("t", allowance, total),),
                 relay_count=relays,
-                index=k if numbered else None,
-                zone=zones[k % len(zones)] if zones else "",
+                index=number if numbered else None,
+                zone=zones[number % len(zones)] if zones else "",
                 cross_zone_cost=0.02 if zones else 0.0,
                 max_retry_after_ms=1500.0,
                 cold_overload_multiple=MULTIPLE,
@@ -86,11 +86,12 @@
                 reports_delay=False,
                 weights="rough",
             )
-            self.relays.append(Balancer(settings, seed * 1000 + k))
+            self.relays.append(Balancer(settings, seed * 1000 + number))
         # Some relays get several times the traffic of others.
         self.traffic = [self.rng.lognormvariate(0.0, 0.7) for _ in range(relays)]
         self.lines = {
-            f"h{k}": Endpoint(f"h{k}", zone=zones[k % len(zones)] if zones else "") for k in range(hosts)
+            f"h{number}": Endpoint(f"h{number}", zone=zones[number % len(zones)] if zones else "")
+            for number in range(hosts)
         }
         for relay in self.relays:
             relay.handle(0.0, EndpointListEvent("full", list(self.lines.values())))
@@ -164,16 +165,16 @@
         """Returns the starts of the new hosts."""
         old, starts = list(self.lines.values()), dict[str, float]()
         part = int(0.6 * len(old))
-        for k in range(part):
-            start = self.now + 7000.0 * k / part
-            starts[f"n{k}"] = start
+        for number in range(part):
+            start = self.now + 7000.0 * number / part
+            starts[f"n{number}"] = start
 
-            def started(k: int = k, start: float = start) -> None:
-                self.tell([Endpoint(f"n{k}", zone=old[k].zone, started_at_ms=start)])
+            def started(number: int = number, start: float = start) -> None:
+                self.tell([Endpoint(f"n{number}", zone=old[number].zone, started_at_ms=start)])
 
-            def drains(k: int = k) -> None:
-                self.tell([Endpoint(f"h{k}", "draining", zone=old[k].zone)])
-                self.at(self.now + 500.0, lambda: self.leave(f"h{k}"))
+            def drains(number: int = number) -> None:
+                self.tell([Endpoint(f"h{number}", "draining", zone=old[number].zone)])
+                self.at(self.now + 500.0, lambda: self.leave(f"h{number}"))
 
             self.at(start + 1200.0, started)
             self.at(start + 2500.0, drains)
@@ -198,13 +199,28 @@
     left = [held[name] for name in list(fleet.lines)[len(new) :]]
     assert max(left) <= 36
     for name, start in starts.items():
-        ages = [at - start for at in fleet.sent.get(name, [])]
+        ages = [at_ms - start for at_ms in fleet.sent.get(name, [])]
         assert not windows_over(ages, lambda age: allowed(age, each))
 
 
 PATTERNS = ("steady", "bursts", "uneven", "late")
 
 
+def request_times(pattern: str, rng: Random, first_ms: float) -> list[float]:
+    """When clients ask one relay, which knows of the server from ``first_ms`` on."""
+    if pattern == "steady":
+        return [first_ms + 200.0 * step for step in range(int((WITHIN_MS - first_ms) / 200.0))]
+    if pattern == "bursts":  # at all relays at once, after quiet times
+        return [at_ms + step for at_ms in range(5_000, 24_000, 4_500) for step in range(12)]
+    if pattern == "late":
+        return [8_000.0 + 200.0 * step for step in range(75)]
+    pace = rng.lognormvariate(0.0, 1.2) / 1000.0
+    times = [first_ms]
+    while times[-1] < WITHIN_MS:
+        times.append(times[-1] + rng.expovariate(pace))
+    return times
+
+
 def ages_of_calls(
     relays: int, budget: float, pattern: str, seed: int, numbered: bool, differ: float
 ) -> list[float]:
@@ -215,39 +231,29 @@
     rng = Random(seed)
     size, sent = budget * WITHIN_MS / MULTIPLE / WINDOW_MS, list[float]()
     allowance = rng.choice((3.0, 20.0, 150.0))
-    for k in range(relays):
+    for number in range(relays):
         quota = size * (1.0 + differ * (2.0 * rng.random() - 1.0))
         settings = Settings(
             classes=CLASSES,
             tenants=(Tenant("t", allowance, quota),),
             relay_count=relays,
-            index=k if numbered else None,
+            index=number if numbered else None,
             cold_overload_multiple=MULTIPLE,
             cold_overload_window_ms=WINDOW_MS,
             initial_capacity_ratio=COLD_FROM,
             slow_start_ms=WITHIN_MS,
         )
-        relay = Balancer(settings, seed * 1000 + k)
+        relay = Balancer(settings, seed * 1000 + number)
         told = 800.0 + 1500.0 * rng.random() * (1.0 + 4.0 * (rng.random() < 0.1))
         relay.handle(told, EndpointListEvent("full", [Endpoint("new", started_at_ms=1e-9)]))
-        if pattern == "steady":
-            times = [told + 200.0 * j for j in range(int((WITHIN_MS - told) / 200.0))]
-        elif pattern == "bursts":  # at all relays at once, after quiet times
-            times = [at + j for at in range(5_000, 24_000, 4_500) for j in range(12)]
-        elif pattern == "late":
-            times = [8_000.0 + 200.0 * j for j in range(75)]
-        else:
-            pace = rng.lognormvariate(0.0, 1.2) / 1000.0
-            times = [told]
-            while times[-1] < WITHIN_MS:
-                times.append(times[-1] + rng.expovariate(pace))
-        for request, at in enumerate(times):
-            if told <= at < WITHIN_MS:
-                for action in relay.handle(at, RequestArrived(request, "one", "t", at + 3200.0)):
+        times = request_times(pattern, rng, told)
+        for request, at_ms in enumerate(times):
+            if told <= at_ms < WITHIN_MS:
+                for action in relay.handle(at_ms, RequestArrived(request, "one", "t", at_ms + 3200.0)):
                     if isinstance(action, PlaceRequest):
-                        sent.append(at)
-                        relay.handle(at, ConnectionEstablished(request, 0, "new", 1.0))
-                        relay.handle(at, AttemptEnded(request, 0, "new", "ok", True))
+                        sent.append(at_ms)
+                        relay.handle(at_ms, ConnectionEstablished(request, 0, "new", 1.0))
+                        relay.handle(at_ms, AttemptEnded(request, 0, "new", "ok", True))
     return sorted(sent)
 
 
@@ -275,28 +281,28 @@
     The relays have started while a part of the fleet was listed, in a list of that kind.
     """
     relays, hosts = 60, 50
-    found = [Endpoint(f"h{k}") for k in range(int(hosts * part_listed))]
-    returning = [Endpoint(f"h{k}", started_at_ms=5_000.0) for k in range(len(found), hosts)]
+    found = [Endpoint(f"h{number}") for number in range(int(hosts * part_listed))]
+    returning = [Endpoint(f"h{number}", started_at_ms=5_000.0) for number in range(len(found), hosts)]
     draining = [Endpoint(endpoint.name, "draining") for endpoint in found]
     sent: dict[str, list[float]] = {endpoint.name: [] for endpoint in returning}
-    for k in range(relays):
+    for number in range(relays):
         settings = Settings(
             classes=CLASSES,
             tenants=(Tenant("t", 40.0, each * hosts),),
             relay_count=relays,
-            index=k,
+            index=number,
             cold_overload_multiple=MULTIPLE,
             cold_overload_window_ms=WINDOW_MS,
             initial_capacity_ratio=COLD_FROM,
             slow_start_ms=WITHIN_MS,
             reports_delay=False,
         )
-        relay = Balancer(settings, k)
+        relay = Balancer(settings, number)
         relay.handle(4_000.0, EndpointListEvent(kind, found))
-        relay.handle(6_000.0 + 10.0 * k, EndpointListEvent("changes", returning))
-        relay.handle(6_000.0 + 10.0 * k, EndpointListEvent("changes", draining))
+        relay.handle(6_000.0 + 10.0 * number, EndpointListEvent("changes", returning))
+        relay.handle(6_000.0 + 10.0 * number, EndpointListEvent("changes", draining))
         for request in range(1, 500):
-            now_ms = 6_700.0 + 40.0 * request + k / 2.0
+            now_ms = 6_700.0 + 40.0 * request + number / 2.0
             for action in relay.handle(now_ms, RequestArrived(request, "one", "t", now_ms + 3200.0)):
                 if isinstance(action, PlaceRequest):
                     sent[action.endpoint].append(now_ms - 5_000.0)
@@ -320,7 +326,7 @@
 
 def test_a_relay_that_starts_in_a_release_counts_those_that_drain() -> None:
     # Half of the fleet was draining, and their successors not listed yet: each counted for two.
-    listed = [Endpoint(f"w{k}", "ready" if k % 2 else "draining") for k in range(40)]
+    listed = [Endpoint(f"w{number}", "ready" if number % 2 else "draining") for number in range(40)]
     new = Endpoint("n", started_at_ms=1_000.0)
 
     def count_sent(endpoints: list[Endpoint]) -> int:
@@ -332,7 +338,9 @@
             slow_start_ms=WITHIN_MS,
         )
         driver.now_ms = 2_000.0
-        driver.update_endpoints([new, *(Endpoint(e.name, "draining") for e in endpoints)], "changes")
+        driver.update_endpoints(
+            [new, *(Endpoint(endpoint.name, "draining") for endpoint in endpoints)], "changes"
+        )
         sent = 0
         while driver.now_ms < 5_000.0:
             driver.now_ms += 20.0
@@ -342,13 +350,13 @@
                 sent += 1
         return sent
 
-    assert count_sent(listed) == count_sent([Endpoint(f"w{k}") for k in range(40)])
+    assert count_sent(listed) == count_sent([Endpoint(f"w{number}") for number in range(40)])
 
 
 def test_a_relay_that_started_in_an_outage_holds_no_more_than_the_others_after_it() -> None:
     # It took a third of the fleet for all of it: once the rest was back, three times its part of the quotas.
     def bounds(first_listed: int) -> list[float]:
-        fleet = [Endpoint(f"w{k}") for k in range(60)]
+        fleet = [Endpoint(f"w{number}") for number in range(60)]
         driver = BalancerDriver(
             fleet[:first_listed],
             tenants=(Tenant("t", 100.0, 2400.0),),
@@ -369,16 +377,17 @@
 def test_rounded_parts_of_all_relays_add_up_at_each_endpoint() -> None:
     # By chance alone endpoints that were meant to hold 33 held 22 to 62.
     for relays in (7, 40, 200, 220):
-        ramps = [
-            SlowStartBudget(Settings(CLASSES, relay_count=relays, index=k), Random(k)) for k in range(relays)
+        budgets = [
+            SlowStartBudget(Settings(CLASSES, relay_count=relays, index=number), Random(number))
+            for number in range(relays)
         ]
         for host in range(20):
-            mark = crc32(f"host-{host}".encode())
+            key = crc32(f"host-{host}".encode())
             for part in (0.03, 0.17, 0.5, 0.9):
-                held = sum(ramp.rounding_offset(mark) > 1.0 - part for ramp in ramps)
+                held = sum(budget.rounding_offset(key) > 1.0 - part for budget in budgets)
                 assert abs(held - part * relays) <= 1.0
-                zone = ramps[host % 4 :: 4] if relays % 4 == 0 else ramps
-                near = sum(ramp.rounding_offset(mark) > 1.0 - part for ramp in zone)
+                zone = budgets[host % 4 :: 4] if relays % 4 == 0 else budgets
+                near = sum(budget.rounding_offset(key) > 1.0 - part for budget in zone)
                 assert abs(near - part * len(zone)) <= 1.5
 
 
@@ -403,32 +412,36 @@
 def test_warm_endpoints_are_not_given_what_is_meant_for_those_in_slow_start() -> None:
     # Relays filled the warm endpoints with what new ones were to hold, so that these were refused it later.
     tenants = (Tenant("t", 13.0, 1600.0),)
-    endpoints = [Endpoint(f"w{k}") for k in range(4)]
+    endpoints = [Endpoint(f"w{number}") for number in range(4)]
     driver = BalancerDriver(
         endpoints, tenants=tenants, relay_count=40, reports_delay=False, index=20, slow_start_ms=24_000.0
     )
     driver.now_ms = 100_000.0
-    driver.update_endpoints([Endpoint(f"n{k}", started_at_ms=88_000.0) for k in range(4)], "changes")
-    b = driver.balancer
+    driver.update_endpoints(
+        [Endpoint(f"n{number}", started_at_ms=88_000.0) for number in range(4)], "changes"
+    )
+    balancer = driver.balancer
     for _ in range(400):
         driver.now_ms += 5.0
         driver.send_request()
         if driver.last_id in driver.attempts:
             driver.establish(driver.last_id)
-    warm = sum(s.connections.open_count for s in b.fleet.ready if not s.slow_start)
-    cold = sum(s.connections.open_count for s in b.fleet.ready if s.slow_start)
-    part = sum(s.weights.effective for s in b.fleet.ready if not s.slow_start)
-    part /= sum(s.weights.effective for s in b.fleet.ready)
-    assert part < 0.7 and warm <= b.fleet.max_connections * part + 1.0
+    warm = sum(
+        endpoint.connections.open_count for endpoint in balancer.fleet.ready if not endpoint.slow_start
+    )
+    cold = sum(endpoint.connections.open_count for endpoint in balancer.fleet.ready if endpoint.slow_start)
+    part = sum(endpoint.weights.effective for endpoint in balancer.fleet.ready if not endpoint.slow_start)
+    part /= sum(endpoint.weights.effective for endpoint in balancer.fleet.ready)
+    assert part < 0.7 and warm <= balancer.fleet.max_connections * part + 1.0
     assert cold >= 3
 
 
 @pytest.mark.parametrize(
-    ("me", "index"), [(7, 7), (None, None), ("absent", None), (-1, "me"), (1.5, "me"), ("x", "me")]
+    ("given", "index"), [(7, 7), (None, None), ("absent", None), (-1, "me"), (1.5, "me"), ("x", "me")]
 )
-def test_a_relays_number_is_read_from_the_settings(me: Any, index: Any) -> None:
-    conf = relay_settings(FleetSpec(relays=9), 3) | {"me": me}
-    if me == "absent":
+def test_a_relays_number_is_read_from_the_settings(given: Any, index: Any) -> None:
+    conf = relay_settings(FleetSpec(relays=9), 3) | {"me": given}
+    if given == "absent":
         del conf["me"]
     if index == "me":
         with pytest.raises(ConfigError, match="me"):
@@ -438,6 +451,6 @@
 
 
 def test_a_relay_number_beyond_the_relay_count_is_ignored() -> None:
-    # Two relays with one number would take the same turns.
-    ramps = [SlowStartBudget(Settings(CLASSES, relay_count=4, index=9), Random(seed)) for seed in range(9)]
-    assert len({ramp.rounding_offset(1) for ramp in ramps}) == 9
+    # Two relays with one number would take the same permits.
+    budgets = [SlowStartBudget(Settings(CLASSES, relay_count=4, index=9), Random(seed)) for seed in range(9)]
+    assert len({budget.rounding_offset(1) for budget in budgets}) == 9
--- a/tests/support/decision_days.py
+++ b/tests/support/decision_days.py
@@ -22,8 +22,8 @@
 
 PATIENCE_MS = 1500.0
 STRAIN_CHANGE_MS = 4000.0
-NOTE_MS = 1000.0
-RETRIES_MOST, RETRY_PART = 2, 0.5  # of a client that is refused
+MEASUREMENT_INTERVAL_MS = 1000.0
+MAX_RETRIES, RETRY_PROBABILITY = 2, 0.5  # of a client that is rejected
 WATCH_LIFE_MS = 20_000.0
 START_MS = 50_000.0  # the clock's first instant: some endpoints are then still warming up
 TENANTS = ("red", "red", "red", "green", "blue", "unlisted")
@@ -34,7 +34,7 @@
 
 @dataclass
 class Endpoint:
-    """One server of the fleet, and what is wrong with it just now."""
+    """One endpoint of the fleet, and its present faults."""
 
     name: str
     zone: str
@@ -58,7 +58,7 @@
     tenant: str
     group: str
     phase: str = "waiting"
-    server: str = ""
+    endpoint: str = ""
     attempt: int = -1
     retries: int = 0
     moved: bool = False
@@ -66,7 +66,7 @@
 
 @dataclass
 class Record:
-    """What a day came to."""
+    """The outcome of a day."""
 
     digest: str = ""
     events: Counter[str] = field(default_factory=Counter)
@@ -75,7 +75,7 @@
 
 
 class Day:
-    """One variant's day. ``run`` plays it and tells its record."""
+    """One variant's day. ``run`` plays it and returns its record."""
 
     def __init__(self, variant: Variant) -> None:
         self.variant = variant
@@ -92,14 +92,14 @@
         self.record = Record()
         self.hash = sha256()
         self.answers: dict[str, Callable[..., None]] = {
-            "send": self._on_send,
-            "refuse": self._on_refuse,
+            "send": self._on_place,
+            "refuse": self._on_reject,
             "fail": self._on_fail,
-            "cancel": self._on_cancel,
-            "move": self._on_move,
+            "cancel": self._on_abandon,
+            "move": self._on_migrate,
             "set_timer": self._on_set_timer,
             "watch": self._on_watch,
-            "probe": self._on_probe,
+            "probe": self._on_check_health,
         }
 
     def run(self) -> Record:
@@ -121,8 +121,8 @@
     def _happens(self, part: float) -> bool:
         return self.random.random() < part
 
-    def _tell(self, event: decision.Event, detail: str = "") -> None:
-        """Pass the event on and schedule what its actions lead to. ``detail``: of what kind it is, if any."""
+    def _handle(self, event: decision.Event, detail: str = "") -> None:
+        """Give the event to the balancer and schedule what follows from its actions. ``detail``: its kind."""
         actions = self.balancer.handle(self.now_ms, event)
         self.hash.update(canonical_step(self.now_ms, event, actions).encode())
         event_code = EVENT_CODES[type(event)]
@@ -144,13 +144,13 @@
         for _ in range(5):
             session = self._new_session()
             session.phase, session.attempt = "open", 0
-            session.server = self.random.choice([*names, "forgotten"])
-            self._tell(
+            session.endpoint = self.random.choice([*names, "forgotten"])
+            self._handle(
                 decision.ConnectionAdopted(
                     session.id,
                     session.class_name,
                     session.tenant,
-                    session.server,
+                    session.endpoint,
                     session.group,
                     1.0,
                     f"client{session.id}",
@@ -161,7 +161,7 @@
         self._new_client()
         self._change_fleet()
         self._change_strain()
-        self._send_notes()
+        self._send_measurements()
         self._send_stray_events()
 
     def _start_discovery(self, names: list[str]) -> None:
@@ -190,10 +190,19 @@
 
     def _publish(self, kind: str, names: list[str]) -> None:
         lines = [
-            decision.Endpoint(e.name, e.state, e.zone, e.cell, e.started_at_ms, e.share, e.kind, e.factor)
-            for e in map(self.fleet.__getitem__, names)
+            decision.Endpoint(
+                endpoint.name,
+                endpoint.state,
+                endpoint.zone,
+                endpoint.cell,
+                endpoint.started_at_ms,
+                endpoint.share,
+                endpoint.kind,
+                endpoint.factor,
+            )
+            for endpoint in map(self.fleet.__getitem__, names)
         ]
-        self._tell(decision.EndpointListEvent(kind, lines), kind)
+        self._handle(decision.EndpointListEvent(kind, lines), kind)
 
     def _published(self) -> bool:
         return self.watched or self.variant.settings.discovery == "push"
@@ -202,11 +211,11 @@
         endpoint = self.random.choice(list(self.fleet.values()))
         change = self.random.choice((self._drain, self._restart, self._crash, self._reweigh))
         change(endpoint)
-        if sum(e.state == "ready" for e in self.fleet.values()) < self.variant.endpoints:
+        if sum(endpoint.state == "ready" for endpoint in self.fleet.values()) < self.variant.endpoints:
             endpoint = self._add_endpoint()
             self._announce(endpoint)
         if self._published() and self._happens(0.1):
-            self._publish("full", [name for name, e in self.fleet.items() if e.state != "gone"])
+            self._publish("full", [name for name, endpoint in self.fleet.items() if endpoint.state != "gone"])
         self._later(self._around(self.variant.fleet_change_ms), self._change_fleet)
 
     def _announce(self, endpoint: Endpoint) -> None:
@@ -250,7 +259,11 @@
         self._later(self._around(STRAIN_CHANGE_MS), self._change_strain)
 
     def _connections(self, endpoint: Endpoint) -> list[Session]:
-        return [s for s in self.sessions.values() if s.phase == "open" and s.server == endpoint.name]
+        return [
+            session
+            for session in self.sessions.values()
+            if session.phase == "open" and session.endpoint == endpoint.name
+        ]
 
     def _break_connections(self, endpoint: Endpoint) -> None:
         for session in self._connections(endpoint):
@@ -268,9 +281,9 @@
 
     def _new_client(self) -> None:
         self._later(self._around(self.variant.request_gap_ms), self._new_client)
-        self._ask(self._new_session())
+        self._request_connection(self._new_session())
 
-    def _ask(self, session: Session, returned: bool = False) -> None:
+    def _request_connection(self, session: Session, returned: bool = False) -> None:
         pinned = self._happens(self.variant.pinned_part)
         allowed = frozenset(self.random.sample(list(self.fleet), 2)) if pinned else None
         request = decision.RequestArrived(
@@ -284,20 +297,20 @@
             client=f"client{session.id}",
             returned=returned,
             retried=session.retries > 0,
-            migrated_from=session.server if session.moved else "",
+            migrated_from=session.endpoint if session.moved else "",
             migration_exempt_until_ms=self.now_ms + 5000.0 if session.moved else 0.0,
             allowed=allowed,
             strict=pinned and self._happens(0.5),
         )
         session.phase = "waiting"
-        self._tell(request)
+        self._handle(request)
 
     def _come_again(self, session: Session, delay_ms: float, returned: bool) -> None:
-        """The client asks anew, as another request."""
+        """The client reconnects, as another request."""
         again = self._new_session()
         again.class_name, again.tenant, again.group = session.class_name, session.tenant, session.group
-        again.retries, again.moved, again.server = session.retries, session.moved, session.server
-        self._later(delay_ms, lambda: self._ask(again, returned))
+        again.retries, again.moved, again.endpoint = session.retries, session.moved, session.endpoint
+        self._later(delay_ms, lambda: self._request_connection(again, returned))
 
     def _finish(self, session: Session) -> None:
         session.phase = "ended"
@@ -305,10 +318,10 @@
 
     # ---------------------------------------------------------------- attempts and connections
 
-    def _on_send(self, id: int, server: str, timeout_ms: float) -> None:
-        session = self.sessions[id]
-        session.phase, session.server, session.attempt = "pending", server, session.attempt + 1
-        endpoint = self.fleet.get(server)
+    def _on_place(self, request_id: int, endpoint_name: str, timeout_ms: float) -> None:
+        session = self.sessions[request_id]
+        session.phase, session.endpoint, session.attempt = "pending", endpoint_name, session.attempt + 1
+        endpoint = self.fleet.get(endpoint_name)
         if endpoint is None or endpoint.crashed:
             self._later(self._around(10.0), self._outcome_step(session, "connect_failed", False))
             return
@@ -321,11 +334,11 @@
         elif self._happens(0.03):
             self._later(took_ms, self._outcome_step(session, "ok", True))
         else:
-            self._later(took_ms, self._first_sign_step(session, took_ms))
+            self._later(took_ms, self._establishment_step(session, took_ms))
         if self._happens(0.03):
             self._later(self._around(40.0), lambda: self._leave(session))
 
-    def _first_sign_step(self, session: Session, took_ms: float) -> Callable[[], None]:
+    def _establishment_step(self, session: Session, took_ms: float) -> Callable[[], None]:
         attempt = session.attempt
 
         def step() -> None:
@@ -333,7 +346,7 @@
                 return
             session.phase = "open"
             self._schedule_end(session)
-            self._tell(decision.ConnectionEstablished(session.id, attempt, session.server, took_ms))
+            self._handle(decision.ConnectionEstablished(session.id, attempt, session.endpoint, took_ms))
 
         return step
 
@@ -350,9 +363,9 @@
                 self._finish(session)
             if returns:
                 self._come_again(session, self._around(100.0), returned=True)
-            report = self._report(session.server) if self._answers_report() else {}
-            self._tell(
-                decision.AttemptEnded(session.id, attempt, session.server, status, final, report), status
+            report = self._report(session.endpoint) if self._answers_report() else {}
+            self._handle(
+                decision.AttemptEnded(session.id, attempt, session.endpoint, status, final, report), status
             )
 
         return step
@@ -366,27 +379,27 @@
     def _leave(self, session: Session) -> None:
         if session.phase in ("pending", "open"):
             self._later(self._around(20.0), self._outcome_step(session, "ok", True))
-            self._tell(decision.ClientDisconnected(session.id))
+            self._handle(decision.ClientDisconnected(session.id))
 
-    def _on_refuse(self, id: int, retry_after_ms: float) -> None:
-        session = self.sessions.get(id)
+    def _on_reject(self, request_id: int, retry_after_ms: float) -> None:
+        session = self.sessions.get(request_id)
         if session is None:
             return
         self._finish(session)
-        if session.retries < RETRIES_MOST and self._happens(RETRY_PART):
+        if session.retries < MAX_RETRIES and self._happens(RETRY_PROBABILITY):
             session.retries += 1
             self._come_again(session, retry_after_ms + self._around(100.0), returned=False)
 
-    def _on_fail(self, id: int) -> None:
-        if id in self.sessions:
-            self._finish(self.sessions[id])
+    def _on_fail(self, request_id: int) -> None:
+        if request_id in self.sessions:
+            self._finish(self.sessions[request_id])
 
-    def _on_cancel(self, id: int, attempt: int) -> None:
-        self._later(1.0, self._outcome_step(self.sessions[id], "cancelled", True))
+    def _on_abandon(self, request_id: int, attempt: int) -> None:
+        self._later(1.0, self._outcome_step(self.sessions[request_id], "cancelled", True))
 
-    def _on_move(self, id: int) -> None:
-        session = self.sessions.get(id)
-        if session is None:  # the word that it ended was the one that made the module move it
+    def _on_migrate(self, request_id: int) -> None:
+        session = self.sessions.get(request_id)
+        if session is None:  # its end was the event that made the module migrate it
             return
         session.moved = True
         self._later(self._around(60.0), self._outcome_step(session, "ok", True, returns=True))
@@ -394,7 +407,7 @@
     # ---------------------------------------------------------------- timers, discovery and reports
 
     def _on_set_timer(self, delay_ms: float, tag: str) -> None:
-        self._later(delay_ms, lambda: self._tell(decision.TimerFired(tag)))
+        self._later(delay_ms, lambda: self._handle(decision.TimerFired(tag)))
 
     def _on_watch(self) -> None:
         if self._happens(0.4):
@@ -418,13 +431,13 @@
 
     def _end_watch(self, failure: decision.DiscoveryFailure) -> None:
         self.watched = False
-        self._tell(decision.EndpointListEvent("failed", [], failure), f"failed {failure.name.lower()}")
+        self._handle(decision.EndpointListEvent("failed", [], failure), f"failed {failure.name.lower()}")
 
     def _answers_report(self) -> bool:
         return self.variant.settings.reports == "answers" and self._happens(0.5)
 
-    def _report(self, server: str) -> dict[str, float]:
-        endpoint = self.fleet.get(server)
+    def _report(self, endpoint_name: str) -> dict[str, float]:
+        endpoint = self.fleet.get(endpoint_name)
         if endpoint is None:
             return {}
         fill = 0.6 + 0.4 * self.random.random() if endpoint.strained else 0.75 * self.random.random()
@@ -432,45 +445,47 @@
         values = {"x0": fill, "x1": piled_up_s, "cpu": fill}
         return {name: values[name] for name in self.variant.settings.report_fields}
 
-    def _on_probe(self, server: str) -> None:
-        endpoint = self.fleet.get(server)
-        self._later(self._around(20.0), lambda: self._answer_probe(server, endpoint))
+    def _on_check_health(self, endpoint_name: str) -> None:
+        endpoint = self.fleet.get(endpoint_name)
+        self._later(self._around(20.0), lambda: self._answer_health_check(endpoint_name, endpoint))
 
-    def _answer_probe(self, server: str, endpoint: Endpoint | None) -> None:
+    def _answer_health_check(self, endpoint_name: str, endpoint: Endpoint | None) -> None:
         if endpoint is None or endpoint.crashed or self._happens(0.05):
-            self._tell(decision.HealthCheckCompleted(server, "timeout"), "timeout")
+            self._handle(decision.HealthCheckCompleted(endpoint_name, "timeout"), "timeout")
         elif not endpoint.takes_probes:
-            self._tell(decision.HealthCheckCompleted(server, "refused"), "refused")
+            self._handle(decision.HealthCheckCompleted(endpoint_name, "refused"), "refused")
         else:
-            self._tell(decision.HealthCheckCompleted(server, "ok", self._report(server)), "ok")
+            self._handle(
+                decision.HealthCheckCompleted(endpoint_name, "ok", self._report(endpoint_name)), "ok"
+            )
 
-    def _send_notes(self) -> None:
-        """Each second, word on some open connections: their loads, and where it is told, their delays."""
-        self._later(NOTE_MS, self._send_notes)
+    def _send_measurements(self) -> None:
+        """Each second, report loads of some open connections, or delays where these are measured."""
+        self._later(MEASUREMENT_INTERVAL_MS, self._send_measurements)
         for endpoint in list(self.fleet.values()):
             for session in self._connections(endpoint):
                 if session.phase == "open" and self._happens(0.25):
-                    self._note(session, endpoint)
+                    self._measure(session, endpoint)
 
-    def _note(self, session: Session, endpoint: Endpoint) -> None:
+    def _measure(self, session: Session, endpoint: Endpoint) -> None:
         if self.variant.settings.reports_delay and self._happens(0.7):
             kind, value = "delay", self._around(60.0 if endpoint.strained else 8.0)
         else:
             mean_load = 1000.0 / self.variant.settings.relay_count
             kind, value = "load", self._around(mean_load * (0.3 if endpoint.strained else 0.08))
-        self._tell(
-            decision.MeasurementReported(session.id, session.attempt, session.server, kind, value), kind
+        self._handle(
+            decision.MeasurementReported(session.id, session.attempt, session.endpoint, kind, value), kind
         )
 
     def _send_stray_events(self) -> None:
-        """Late word on what has ended or was never known: it must be passed over."""
+        """Late events of what has ended or was never known, which must be ignored."""
         self._later(self._around(3000.0), self._send_stray_events)
         unknown = next(self.ids)
-        self._tell(decision.ConnectionEstablished(unknown, 0, "s1", 5.0))
-        self._tell(decision.AttemptEnded(unknown, 0, "s1", "ok", True))
-        self._tell(decision.ClientDisconnected(unknown))
-        self._tell(decision.MeasurementReported(unknown, 0, "unlisted", "load", 1.0))
-        self._tell(decision.TimerFired("unlisted"))
+        self._handle(decision.ConnectionEstablished(unknown, 0, "s1", 5.0))
+        self._handle(decision.AttemptEnded(unknown, 0, "s1", "ok", True))
+        self._handle(decision.ClientDisconnected(unknown))
+        self._handle(decision.MeasurementReported(unknown, 0, "unlisted", "load", 1.0))
+        self._handle(decision.TimerFired("unlisted"))
 
 
 def play_day(variant: Variant) -> Record:
