--- a/sageturn/decision/discovery_backoff.py
+++ b/sageturn/decision/discovery_backoff.py
@@ -126,7 +126,7 @@
         return limit_ms * (MIN_JITTER_RATIO + (1.0 - MIN_JITTER_RATIO) * self._rng.random())
 
     def on_success(self) -> None:
-        """Take in that a list has come: discovery is not overloaded."""
+        """Reset the count of overloaded calls, as a list has come."""
         self._overload_count = 0
 
     def _record_overload(self, now_ms: float, limit_ms: float) -> float:
--- a/sageturn/decision/endpoint_table.py
+++ b/sageturn/decision/endpoint_table.py
@@ -23,7 +23,7 @@
 
 
 class EndpointTable(ABC):
-    """All endpoints, and sums over them. ``now_ms`` is the time of the event that is being handled."""
+    """Keeps all endpoints, and sums over them. ``now_ms`` is the time of the event being handled."""
 
     def __init__(self, settings: Settings, rng: Random, initial_concurrency_limit: int) -> None:
         self.settings = settings
@@ -132,7 +132,7 @@
         return request
 
     def apply_list(self, event: events.EndpointListEvent) -> None:
-        """Take in a complete list, or changes of it."""
+        """Apply a complete list, or changes of it."""
         if event.kind in (ListEventKind.FULL, ListEventKind.STALE):
             listed_names = {line.name for line in event.endpoints}
             for endpoint in self.endpoints.values():
--- a/sageturn/decision/endpoint_watch.py
+++ b/sageturn/decision/endpoint_watch.py
@@ -17,7 +17,7 @@
 
 
 class EndpointWatch:
-    """One relay's calls to discovery. Its methods return the actions that are required."""
+    """Schedules one relay's calls to discovery. Its methods return the actions that are required."""
 
     def __init__(self, settings: Settings, rng: Random) -> None:
         is_pushed = settings.discovery == DiscoveryMode.PUSH
@@ -27,7 +27,7 @@
         self._due_ms: float | None = None  # the next call; earlier timers are obsolete
 
     def on_list(self, now_ms: float, event: events.EndpointListEvent) -> list[actions.Action]:
-        """Take in that a list came, or that the call for it has failed or the watch has ended."""
+        """Handle a list, or the failure of the call for it or of the watch."""
         if event.kind == ListEventKind.FAILED:
             self._is_watching = False
             return self._schedule(now_ms, self._backoff.retry_delay_ms(now_ms, event.failure))
@@ -45,7 +45,7 @@
         return [actions.SetTimer(delay_ms, TIMER_TAG)]
 
     def on_connect_failed(self, now_ms: float) -> list[actions.Action]:
-        """Take in a failed connect: the list of the start is out of date, so the first call comes sooner."""
+        """Handle a failed connect: the list of the start is out of date, so the first call comes sooner."""
         if self._is_watching is not None or not self._must_call:
             return []
         self._is_watching = False
--- a/sageturn/decision/fleet.py
+++ b/sageturn/decision/fleet.py
@@ -38,7 +38,7 @@
 
 
 class Fleet(EndpointTable):
-    """The endpoints, with what is decided about each of them on its own."""
+    """Extends the endpoint table by the decisions about each endpoint by itself."""
 
     def __init__(self, settings: Settings, rng: Random, health_checks: HealthCheckScheduler) -> None:
         super().__init__(settings, rng, INITIAL_CONCURRENCY_LIMIT)
@@ -87,14 +87,14 @@
         self.update_totals(endpoint)
 
     def record_establishment(self, endpoint: EndpointState, is_in_time: bool) -> None:
-        """Take in that an attempt was established: one in time raises the concurrency limit by one."""
+        """Record that an attempt was established; one in time raises the concurrency limit by one."""
         connections = endpoint.connections
         self.set_concurrency_limit(endpoint, connections.concurrency_limit + is_in_time)
         connections.is_untried = False
         endpoint.outlier.consecutive_failures = 0
 
     def record_setup_end(self, endpoint: EndpointState, status: str) -> None:
-        """Take in that an attempt ended with this status before it was established.
+        """Record that an attempt ended with this status before it was established.
 
         Success raises the concurrency limit by one, and failure halves it. Failures count to the ejection.
         """
--- a/sageturn/decision/fleet_size.py
+++ b/sageturn/decision/fleet_size.py
@@ -18,7 +18,7 @@
 
 
 class FleetSize:
-    """The sum of the nominal weights of the fleet's endpoints."""
+    """Estimates the sum of the nominal weights of the fleet's endpoints."""
 
     def __init__(self) -> None:
         self._first_weight = 0.0  # sum over the first list
@@ -37,7 +37,7 @@
         return 1.0
 
     def record_list(self, endpoints: Iterable[EndpointState]) -> None:
-        """Take in all endpoints that are listed; called after each change of the list."""
+        """Update the sums; called with all endpoints after each change of the list."""
         ready_weight = warming_weight = draining_weight = 0.0
         for endpoint in endpoints:
             if endpoint.state == EndpointStatus.READY:
--- a/sageturn/decision/overload.py
+++ b/sageturn/decision/overload.py
@@ -61,7 +61,7 @@
         self.reevaluate(now_ms, endpoint)
 
     def _apply_sign(self, now_ms: float, endpoint: EndpointState, is_overloaded: bool) -> None:
-        """Take in a measurement that shows whether the endpoint is overloaded now."""
+        """Handle a measurement that shows whether the endpoint is overloaded now."""
         overload = endpoint.overload
         if is_overloaded:
             self.mark_overloaded(now_ms, endpoint, endpoint.connections.open_count)
@@ -90,7 +90,7 @@
         return max(min_growth, CAPACITY_GROWTH_RATIO_PER_S * overload.capacity)
 
     def record_reset(self, now_ms: float, endpoint: EndpointState) -> None:
-        """Take in that the endpoint reset an established connection, as an overloaded one does."""
+        """Handle the reset of an established connection, which is a sign of overload."""
         overload = endpoint.overload
         is_consecutive = now_ms < overload.last_reset_ms + RESET_WINDOW_MS
         overload.consecutive_resets = overload.consecutive_resets + 1 if is_consecutive else 1
@@ -101,13 +101,13 @@
             overload.capacity = min(overload.capacity, max(1.0, open_count * CAPACITY_CUT_RATIO))
 
     def record_delay(self, now_ms: float, endpoint: EndpointState, delay_ms: float) -> Migrations:
-        """Take in the delay of a message on a connection there. Returns the migrations that it requires."""
+        """Handle the delay of a message on a connection there. Returns the migrations that it requires."""
         self._apply_sign(now_ms, endpoint, delay_ms > self._overload_delay_ms)
         is_relieved = delay_ms > self._relief_delay_ms and self._relief.is_allowed
         return self._relief.relieve(endpoint) if is_relieved else []
 
     def record_report(self, now_ms: float, endpoint: EndpointState, report: dict[str, float]) -> Migrations:
-        """Take in a load report of the endpoint. Returns the migrations that it requires.
+        """Handle a load report of the endpoint. Returns the migrations that it requires.
 
         A report is ignored where connections measure delays.
         """
@@ -121,7 +121,7 @@
         return self._relief.relieve(endpoint, int(excess + self._rng.random()))
 
     def record_load(self, now_ms: float, endpoint: EndpointState, request_id: int, load: float) -> Migrations:
-        """Take in the load of an established connection. Returns the migrations that it requires.
+        """Record the load of an established connection. Returns the migrations that it requires.
 
         A load is ignored where delays are measured.
         """
--- a/sageturn/decision/quotas.py
+++ b/sageturn/decision/quotas.py
@@ -201,7 +201,12 @@
         self._all_setup_logs = RunningMean()
 
     def learn(self, kind: str, took_log: float) -> None:
-        """Take in the logarithm of a set-up time at an endpoint of that kind."""
+        """Update the speed of a kind of machine.
+
+        Args:
+            kind: The kind of machine.
+            took_log: The logarithm of a set-up time at an endpoint of that kind, in milliseconds.
+        """
         of_kind = self._setup_logs_by_kind.setdefault(kind, RunningMean())
         of_kind.add(took_log)
         self._all_setup_logs.add(took_log)
--- a/sageturn/decision/state.py
+++ b/sageturn/decision/state.py
@@ -102,7 +102,7 @@
 
 @dataclass(slots=True, eq=False)
 class EndpointState:
-    """One endpoint: how it is listed, and a part for each concern."""
+    """The state of one endpoint: how it is listed, and a part for each concern."""
 
     name: str
     name_hash: int
--- a/sageturn/decision/token_bucket.py
+++ b/sageturn/decision/token_bucket.py
@@ -7,7 +7,7 @@
 
 @dataclass(slots=True)
 class TokenBucket:
-    """A count of tokens. Times are milliseconds of one clock, rates are tokens a millisecond."""
+    """Counts tokens. Times are milliseconds of one clock, rates are tokens a millisecond."""
 
     tokens: float
     updated_ms: float = 0.0
