--- a/sageturn/lab/relay.py
+++ b/sageturn/lab/loopback/naive_relay.py
@@ -1,4 +1,4 @@
-"""A relay for the lab: the real program, with the naive mover in the planner's place."""
+"""A relay for the lab: the real program, with the naive planner in place of the rebalancer's."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 import uvloop
 
 from sageturn.config.loader import load
-from sageturn.lab.naive import NaiveRebalancer
+from sageturn.lab.model.naive_planner import NaiveRebalancer
 from sageturn.rebalance.options import RebalanceOptions
 from sageturn.relay import Relay
 from sageturn.relay.operator_control import RebalancingSubsystem
@@ -18,10 +18,10 @@
 
 
 class NaiveRebalancing(RebalancingSubsystem):
-    """Runs the naive mover where the operator's file has rebalancing on, and never changes its options."""
+    """Runs the naive planner where the operator's file has rebalancing on, and never changes its options."""
 
     def apply_options(self, options: RebalanceOptions | None, actors: ActorSupervisor) -> None:
-        """Turn the naive mover on; later options are ignored."""
+        """Turn the naive planner on; later options are ignored."""
         if options is not None and options.mode == "on" and self.rebalancer is None:
             self.run_rebalancer(self.make_rebalancer(NaiveRebalancer, options), actors)
 
@@ -35,7 +35,7 @@
 def main() -> int:
     """Run one such relay until it is told to stop. Returns the exit code."""
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
-    parser = argparse.ArgumentParser(prog="sageturn.lab.relay", description=__doc__)
+    parser = argparse.ArgumentParser(prog="sageturn.lab.loopback.naive_relay", description=__doc__)
     parser.add_argument("--operator", metavar="FILE", required=True)
     settled = load(operator_file=parser.parse_args().operator)
     logging.basicConfig(level=settled.log_level, format="%(asctime)s %(levelname)s %(name)s: %(message)s")
--- a/sageturn/lab/loopback_relays.py
+++ b/sageturn/lab/loopback/relay_processes.py
@@ -11,8 +11,8 @@
 from pathlib import Path
 from typing import Any
 
-from sageturn.lab.fleet_spec import FleetSpec, relay_settings
-from sageturn.lab.ports import reserve_port
+from sageturn.lab.loopback.ports import reserve_port
+from sageturn.lab.model.fleet_spec import FleetSpec, relay_settings
 from sageturn.store.log import scan
 
 READY_TIMEOUT_S = 15.0
@@ -25,9 +25,9 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayOptions:
-    """How relays rebalance; ``sections`` adds to a relay's operator file."""
+    """Rebalancing options of all relays; ``sections`` adds to a relay's operator file."""
 
-    mover: str
+    planner: str
     rebalance: dict[str, Any]
     sections: OperatorSections | None = None
 
@@ -107,7 +107,7 @@
         folder = self._folder_of(relay)
         sections: dict[str, Any] = {"store": {"path": "store"}}
         # A relay without a planner has no section at all: its keys are read strictly.
-        if self._options.mover != "off":
+        if self._options.planner != "off":
             sections["rebalance"] = {"mode": "on", **self._options.rebalance}
         if self._options.sections is not None:
             sections |= self._options.sections(relay, folder)
@@ -116,7 +116,7 @@
         return file
 
     async def _start_process(self, folder: Path, config: Path, operator_file: Path) -> None:
-        module = "sageturn.lab.relay" if self._options.mover == "naive" else "sageturn"
+        module = "sageturn.lab.loopback.naive_relay" if self._options.planner == "naive" else "sageturn"
         environment = {name: value for name, value in os.environ.items() if not name.startswith("GW_")}
         with (folder / "log").open("wb") as log:
             process = await asyncio.create_subprocess_exec(
