--- a/sageturn/simhost.py
+++ b/sageturn/simhost.py
@@ -159,7 +159,7 @@
         report=_report("report"),
     ),
     "ClientLeft": _decoder(decision.ClientDisconnected, id=_required("opId")),
-    "Wake": _decoder(decision.TimerFired, mark=_required("mark")),
+    "Wake": _decoder(decision.TimerFired, tag=_required("mark")),
     "UpdateOf": _decode_measurement,
     "Fleet": _decode_list,
 }
@@ -182,7 +182,7 @@
         case decision.MigrateConnection():
             return {"Transfer": {"opId": action.id}}
         case decision.SetTimer():
-            return {"Sleep": {"offsetMs": action.delay_ms, "mark": action.mark}}
+            return {"Sleep": {"offsetMs": action.delay_ms, "mark": action.tag}}
         case decision.CheckHealth():
             return {"Check": {"backend": action.endpoint}}
         case decision.WatchEndpoints():
