--- a/sageturn/core/__init__.py
+++ b/sageturn/core/__init__.py
@@ -1,1 +1,1 @@
-"""What the relay does whatever protocol its clients speak: nothing here knows sockets, HTTP or XML."""
+"""The part of the relay that is the same for every protocol: nothing here knows sockets, HTTP or XML."""
--- a/sageturn/core/attempt_guard.py
+++ b/sageturn/core/attempt_guard.py
@@ -1,16 +1,15 @@
-"""The guard of one request: asked before an attempt is sent, and as the request is answered and closed."""
+"""The guard of one request checks its invariants before a write, and as it is answered and closed."""
 
 from __future__ import annotations
 
 from sageturn.core.invariants import Invariant, InvariantMonitor
 from sageturn.decision import RequestClass
 
-# The protocol counts an answer that is later than this as lost.
-MAX_RESPONSE_DELAY_MS = 500.0
+MAX_RESPONSE_DELAY_MS = 500.0  # the protocol counts a later answer as lost
 
 
 class AttemptGuard:
-    """What must hold for one request. Pure: the caller passes the time, in milliseconds.
+    """Checks the invariants of one request. Pure: the caller passes the time, in milliseconds.
 
     The balancer decides by the same rules. If it, or the order of events on the way from it, is wrong, that
     is noticed here, and nothing reaches an endpoint.
@@ -34,7 +33,15 @@
         client_deadline_ms: float,
         monitor: InvariantMonitor,
     ) -> None:
-        """``request``: its id, for the log. ``client_deadline_ms``: when its client gives up."""
+        """Make the guard of a request that has had no attempt.
+
+        Args:
+            request: the request's id, for the log.
+            request_class: says what may be repeated.
+            max_attempts: how many attempts the settings allow.
+            client_deadline_ms: when the request's client gives up.
+            monitor: counts and logs violations.
+        """
         self._request = request
         self._class = request_class
         self._max_attempts = max_attempts
@@ -44,18 +51,20 @@
         self._attempts = 0
 
     def begin_attempt(self) -> None:
-        """An attempt has begun: from here on a connection may be open for it."""
+        """Count an attempt that begins: from here on a connection may be open for it."""
         self._open_attempts += 1
         self._attempts += 1
 
     def end_attempt(self) -> None:
-        """Its connection is closed, or established for good."""
+        """Count the attempt in flight as ended: its connection is closed, or established for good."""
         self._open_attempts -= 1
 
     def may_send(self, now_ms: float, first_execution_ms: float | None) -> bool:
-        """Whether the request may be written to an endpoint at this moment.
+        """Return whether the request may be written to an endpoint at this moment; report it if not.
 
-        ``first_execution_ms``: start of the first attempt that may have been executed; None if there is none.
+        Args:
+            now_ms: the time.
+            first_execution_ms: start of the first attempt that may have been executed; None if there is none.
         """
         violated, detail = self._find_violation(now_ms, first_execution_ms)
         if violated is not None:
@@ -79,7 +88,7 @@
         return self._class.effect == "safe"
 
     def check_response(self, now_ms: float) -> None:
-        """The final response is about to be sent."""
+        """Check that the final response, which is about to be sent, is in time."""
         late_ms = now_ms - self._client_deadline_ms
         if late_ms > MAX_RESPONSE_DELAY_MS:
             self._monitor.report_violation(
@@ -87,6 +96,6 @@
             )
 
     def check_closed(self, *, is_answered: bool, has_client_left: bool) -> None:
-        """The request has ended, and its client's connection is about to be closed."""
+        """Check that the client of a request that has ended was answered, before its connection closes."""
         if not is_answered and not has_client_left:
             self._monitor.report_violation(Invariant.ANSWERED, self._request, "closed without an answer")
--- a/sageturn/core/attempt_log.py
+++ b/sageturn/core/attempt_log.py
@@ -1,4 +1,4 @@
-"""The log line of an attempt that was not established: by it a retry, or the final answer, is explained."""
+"""Logs attempts that were not established, which explains the retry or the final response that follows."""
 
 from __future__ import annotations
 
@@ -12,7 +12,15 @@
 def log_failed_attempt(
     request: str, attempt: int, endpoint: str, close_reason: CloseReason, duration_ms: float
 ) -> None:
-    """``request``: its id, as its client named it; ``attempt`` counts from 0, in the log from 1."""
+    """Log one failed attempt.
+
+    Args:
+        request: the request's id for the log.
+        attempt: its number, counted from 0; the log counts from 1.
+        endpoint: the name of the endpoint.
+        close_reason: why it failed.
+        duration_ms: how long it took.
+    """
     log.info(
         "attempt failed request=%s attempt=%d endpoint=%s reason=%s duration_s=%.3f may_have_run=%s",
         request,
--- a/sageturn/core/balancer_actor.py
+++ b/sageturn/core/balancer_actor.py
@@ -19,7 +19,7 @@
 log = logging.getLogger(__name__)
 
 MAX_QUEUED_EVENTS = 4096  # far more than all connections can have in flight at once
-MAX_QUEUED_INSTRUCTIONS = 8  # a response, an attempt and a redirect are all that can be due together
+MAX_QUEUED_INSTRUCTIONS = 8  # a response, an attempt and a redirect can be due together
 REQUEST_ID_COUNT = 1 << 32  # as many as the simulator's protocol has
 
 
@@ -27,18 +27,18 @@
     """Sees every event of the balancer and its actions. It decides nothing, and may never block."""
 
     def before_event(self, now_ms: float, event: decision.Event) -> None:
-        """May fill in fields of a request's event, before the balancer gets it."""
+        """Called before the balancer gets an event; may fill in fields of a request's event."""
 
     def after_event(self, now_ms: float, event: decision.Event, actions: Sequence[decision.Action]) -> None:
-        """The balancer has decided; its actions are about to be carried out."""
+        """Called once the balancer has decided, before its actions are carried out."""
 
     def on_migrated_by_others(self, now_ms: float, request_id: int) -> None:
-        """A graceful shutdown migrates a connection, which the balancer has not asked for."""
+        """Called when a graceful shutdown migrates a connection, which the balancer has not asked for."""
 
 
 @dataclass(slots=True, eq=False)
 class RequestHandle:
-    """What the balancer's actor and the lifecycle of one request share."""
+    """Identifies one request to the balancer's actor, and carries its instructions to the lifecycle."""
 
     id: int  # by which the balancer knows the request
     log_id: str  # as the client named its request; the digits of ``id`` where it did not
@@ -92,12 +92,12 @@
 
     @property
     def balancer(self) -> Balancer:
-        """For tests and measurements, which may look at its state; only the actor calls it."""
+        """The balancer, for tests and measurements, which may look at its state; only the actor calls it."""
         return self._balancer
 
     @property
     def request_count(self) -> int:
-        """How many requests are registered now."""
+        """The number of requests that are registered now."""
         return len(self._requests)
 
     def new_request(self, client_request_id: str) -> RequestHandle:
@@ -116,7 +116,7 @@
         self._requests.pop(request_id, None)
 
     async def post_event(self, event: decision.Event) -> None:
-        """Waits while the mailbox is full: backpressure on whoever floods it."""
+        """Queue an event; waits while the mailbox is full, as backpressure on whoever floods it."""
         await self._mailbox.put(event)
 
     def migrate_connection(self, request_id: int) -> None:
@@ -124,12 +124,12 @@
         self._instruct(request_id, RedirectClient())
 
     def notify_migrated_by_shutdown(self, request_id: int) -> None:
-        """Called by a request whose client a graceful shutdown sends elsewhere."""
+        """Notify the observers that a graceful shutdown migrates the client of a request."""
         for observer in self.observers:
             observer.on_migrated_by_others(self.clock.now_ms(), request_id)
 
     def snapshot_endpoints(self, names: Iterable[str] | None = None) -> list[EndpointSnapshot]:
-        """The endpoints as the balancer sees them now: all that are not gone, or those named."""
+        """Return the endpoints as the balancer sees them now: all that are not gone, or those named."""
         return snapshot_endpoints(self._balancer, self.clock.now_ms(), names)
 
     # ------------------------------------------------------------ the actor
@@ -166,14 +166,14 @@
                 )
 
     def _fail_event(self, event: decision.Event) -> None:
-        """One event that the balancer fails on must not cost all other requests their connections."""
+        """Answer only the event's own request: no other may lose its connection by the balancer's fault."""
         request_id: int | None = getattr(event, "id", None)
         log.exception("balancer failed event=%s request=%s", type(event).__name__, self._log_id(request_id))
         if request_id is not None:
             self._instruct(request_id, FinalResponse(rejected=False, reason="internal"))
 
     def _notify(self, observer: BalancerObserver, callback: Callable[..., None], *arguments: object) -> None:
-        """An observer that fails is removed: no decision may wait for it, or be lost with it."""
+        """Call an observer, and remove it if it fails: no decision may wait for it, or be lost with it."""
         try:
             callback(*arguments)
         except Exception:
@@ -205,7 +205,7 @@
                 self.check_endpoint_health(endpoint)
 
     def _cause(self) -> str:
-        """Why the balancer has just ended a request."""
+        """Return why the balancer has just ended a request; empty where it gives no cause."""
         cause = self._balancer.reject_cause
         return "" if cause is None else cause.value
 
@@ -222,7 +222,7 @@
     def _instruct(self, request_id: int, instruction: Instruction) -> None:
         handle = self._requests.get(request_id)
         if handle is None:
-            return  # the connection closed before the balancer was told
+            return  # the connection closed before the balancer was notified
         try:
             handle.instructions.put_nowait(instruction)
         except asyncio.QueueFull:
--- a/sageturn/core/clock.py
+++ b/sageturn/core/clock.py
@@ -1,4 +1,4 @@
-"""The one clock of everything that the balancer sees, and how it follows steps of the system's clock."""
+"""The relay's clock, by which the balancer decides, and how it follows steps of the system's clock."""
 
 from __future__ import annotations
 
@@ -8,9 +8,7 @@
 
 log = logging.getLogger(__name__)
 
-# Smaller differences are jitter between two readings, or a clock that is slewed: every time limit of the
-# protocol has as much slack.
-MIN_STEP_MS = 50.0
+MIN_STEP_MS = 50.0  # smaller differences are jitter between two readings, or a slewed clock
 MAX_REMEMBERED_STEPS = 16
 
 
@@ -23,23 +21,23 @@
     """
 
     def __init__(self) -> None:
-        # What the system's clock has shown beyond the relay's time, the present value last.
+        # How far the system's clock has been ahead of the relay's time, the present value last.
         self._shifts_ms = [0.0]
 
     @property
     def shift_ms(self) -> float:
-        """What the system's clock shows beyond the relay's time, by the last reading."""
+        """How many milliseconds the system's clock was ahead of the relay's time at the last reading."""
         return self._shifts_ms[-1]
 
     def record_reading(self, now_ms: float, wall_ms: float) -> None:
-        """The system's clock shows ``wall_ms`` at ``now_ms`` of the relay's time."""
+        """Record that the system's clock shows ``wall_ms`` at ``now_ms`` of the relay's time."""
         shift_ms = wall_ms - now_ms
         if abs(shift_ms - self.shift_ms) >= MIN_STEP_MS:
             self._shifts_ms.append(shift_ms)
             del self._shifts_ms[:-MAX_REMEMBERED_STEPS]
 
     def to_relay_ms(self, wall_ms: float, now_ms: float) -> float:
-        """The relay's time of that timestamp; ``now_ms`` for one that is in the future by all clocks."""
+        """Return the relay's time of a timestamp; ``now_ms`` where it is in the future by all clocks."""
         moments = (wall_ms - shift_ms for shift_ms in self._shifts_ms)
         return max((moment_ms for moment_ms in moments if moment_ms <= now_ms), default=now_ms)
 
@@ -67,13 +65,14 @@
         return (self._wall_clock_s or time.time)() * 1000.0
 
     def now_ms(self) -> float:
-        """The relay's time: Unix time in milliseconds as of the start; it never goes back."""
+        """Return the relay's time: Unix time in milliseconds as of the start. It never goes back."""
         return self._offset_ms + self._monotonic_s() * 1000.0
 
     def read_wall_clock(self) -> float:
-        """Take note of what the system's clock shows now.
+        """Read the system's clock, and log if it was stepped.
 
-        Returns how many milliseconds that is beyond the relay's time.
+        Returns:
+            How many milliseconds it is ahead of the relay's time.
         """
         previous_ms = self._history.shift_ms
         self._history.record_reading(self.now_ms(), self._wall_ms())
@@ -83,5 +82,5 @@
         return shift_ms
 
     def from_wall_ms(self, wall_ms: float) -> float:
-        """The relay's time of a timestamp by the system's clock, as last read."""
+        """Return the relay's time of a timestamp by the system's clock, as last read."""
         return self._history.to_relay_ms(wall_ms, self.now_ms())
--- a/sageturn/core/close_reason.py
+++ b/sageturn/core/close_reason.py
@@ -1,4 +1,4 @@
-"""Every way in which a connection to an endpoint can end, and the status the balancer is given for it."""
+"""The reasons for which a connection to an endpoint closes, and the balancer's status for each."""
 
 from __future__ import annotations
 
@@ -8,7 +8,10 @@
 
 
 class CloseReason(Enum):
-    """Why a connection closed. The names in lower case are keys of the state record ``state/NODE/relay``."""
+    """Says why a connection closed.
+
+    The names in lower case are keys of the state record ``state/NODE/relay``.
+    """
 
     SERVED = auto()  # the endpoint said that it is done
     SENT_AWAY = auto()  # a draining endpoint asked the client to go elsewhere
@@ -31,7 +34,7 @@
     NOT_SENT = auto()  # the attempt could not begin: no address, no descriptor, or the endpoint drains
 
 
-# The client is gone: it can't be answered any more.
+# The client can't be answered any more.
 CLIENT_DISCONNECTED = (CloseReason.CLIENT_LEFT, CloseReason.CLIENT_RESET)
 # No further attempt is made for the client.
 CLIENT_FINISHED = (*CLIENT_DISCONNECTED, CloseReason.CLIENT_FAULT)
@@ -62,10 +65,10 @@
 
 
 def outcome_status(close_reason: CloseReason) -> str:
-    """The balancer's status for a close reason; the only place where the two vocabularies meet."""
+    """Return the balancer's status for a close reason; the two vocabularies meet only here."""
     return _STATUS_BY_REASON[close_reason]
 
 
 def may_have_run(close_reason: CloseReason) -> bool:
-    """Whether the endpoint may have executed the request, by the balancer's own list of statuses."""
+    """Return whether the endpoint may have executed the request, by the balancer's list of statuses."""
     return outcome_status(close_reason) not in NOT_EXECUTED_STATUSES
--- a/sageturn/core/connection_record.py
+++ b/sageturn/core/connection_record.py
@@ -1,4 +1,4 @@
-"""What is known of one client connection; logged and exported as a flow once it has closed."""
+"""The record of one client connection, logged and exported as a flow once it has closed."""
 
 from __future__ import annotations
 
@@ -10,7 +10,10 @@
 
 @dataclass(slots=True)
 class ConnectionRecord:
-    """Filled in by the request's lifecycle and its frontend. Times are Unix time in milliseconds."""
+    """Collects the facts of one connection; the request's lifecycle and its frontend fill it in.
+
+    Times are Unix time in milliseconds.
+    """
 
     request: ClientRequest
     started_ms: float
--- a/sageturn/core/context.py
+++ b/sageturn/core/context.py
@@ -1,4 +1,4 @@
-"""What every client connection needs of the core, whichever frontend it came by."""
+"""The parts of the core that every client connection needs, whichever frontend it came by."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True)
 class RelayContext:
-    """Shared by all frontends and connections of one relay."""
+    """Holds what all frontends and connections of one relay share."""
 
     balancer_actor: BalancerActor
     endpoint_registry: EndpointRegistry
--- a/sageturn/core/endpoint_registry.py
+++ b/sageturn/core/endpoint_registry.py
@@ -23,7 +23,7 @@
 
 MAX_QUEUED_MESSAGES = 64
 WATCH_REQUEST_RETRY_S = 0.5
-MAX_GONE_ADDRESSES = 512  # more than the largest release replaces in the moment for which they are kept
+MAX_GONE_ADDRESSES = 512  # more than the largest release replaces at once
 
 
 class DiscoveryWatcher(Protocol):
@@ -39,7 +39,7 @@
 
 
 class EndpointRegistry:
-    """The endpoint list of one relay, as last known, and the control of the watch that keeps it current."""
+    """Keeps the endpoint list of one relay, and controls the watch that keeps it current."""
 
     def __init__(
         self,
@@ -80,19 +80,20 @@
         await self._mailbox.put(message)
 
     async def on_watch_event(self, watch_number: int, event: EndpointListUpdate | WatchFailed) -> None:
-        """Called by the discovery client; waits while the mailbox is full, which holds the watch back."""
+        """Queue what a watch reports; waits while the mailbox is full, which holds that watch back."""
         await self._mailbox.put(WatchEvent(watch_number, event))
 
     def is_ready_at(self, endpoint: str, address: tuple[str, int]) -> bool:
-        """Whether an attempt that takes long to connect may still send its request to ``endpoint``.
+        """Return whether an attempt that took long to connect may still send its request to ``endpoint``.
 
-        One that was gone and is back under its id may be another process by now, at another address.
+        An endpoint that was gone and is listed again under its name may be another process, at another
+        ``address`` than the attempt connected to.
         """
         is_listed = self.addresses.get(endpoint) == address and self.states.get(endpoint) == "ready"
         return is_listed and not self.is_out_of_service(endpoint)
 
     def request_watch(self) -> None:
-        """Called by the balancer's actor, which must never wait for this one."""
+        """Ask for the next watch. Never waits: it is called by the balancer's actor."""
         try:
             self._mailbox.put_nowait(WatchRequested())
         except asyncio.QueueFull:
@@ -134,7 +135,7 @@
         self._update_readiness()
 
     def _forget_old_endpoints(self) -> None:
-        """Each release brings new names: of those gone the latest are kept."""
+        """Drop the oldest addresses of endpoints that are gone: each release brings new names."""
         for name in [name for name, state in self.states.items() if state == "gone"]:
             del self.states[name]
         if len(self.addresses) > len(self.states) + MAX_GONE_ADDRESSES:
@@ -180,6 +181,6 @@
             self._is_watch_open = True
 
     def _update_readiness(self) -> None:
-        """A relay is of use to clients once there is any endpoint that takes their requests."""
+        """Note that the relay is of use to clients, once any endpoint takes their requests."""
         if "ready" in self.states.values():
             self.has_ready_endpoint.set()
--- a/sageturn/core/endpoint_snapshot.py
+++ b/sageturn/core/endpoint_snapshot.py
@@ -1,4 +1,4 @@
-"""The endpoints as the balancer sees them, for those who plan around its decisions."""
+"""Snapshots of the endpoints as the balancer sees them, for those who plan around its decisions."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointSnapshot:
-    """One endpoint as the balancer sees it now. ``size`` includes its weight and its slow start."""
+    """Shows one endpoint as the balancer sees it now. ``size`` includes its weight and its slow start."""
 
     name: str
     size: float
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorMarks:
-    """The names of endpoints that operators have marked."""
+    """Names the endpoints that operators have marked."""
 
     rebalance_excluded: frozenset[str] = frozenset()
     out_of_service: frozenset[str] = frozenset()
@@ -35,9 +35,9 @@
 def snapshot_endpoints(
     balancer: Balancer, now_ms: float, names: Iterable[str] | None = None
 ) -> list[EndpointSnapshot]:
-    """Every endpoint that is not gone, in the order in which the balancer came to know them.
+    """Return every endpoint that is not gone, in the order in which the balancer came to know them.
 
-    With ``names`` only those, in the order of their names.
+    With ``names`` only those are returned, in the order of their names.
     """
     known = balancer.endpoints
     if names is None:
--- a/sageturn/core/established_traffic.py
+++ b/sageturn/core/established_traffic.py
@@ -1,4 +1,4 @@
-"""One request's connection while it is established: its client is served, migrated, and its load reported."""
+"""Serves a request while its connection is established: traffic, migration and reports of its load."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
         self._context = context
 
     async def run(self, attempt: int, endpoint: str) -> None:
-        """Accept the client and relay its traffic to the end; the balancer is told how it ended.
+        """Accept the client and relay its traffic to the end; the balancer is notified how it ended.
 
         Args:
             attempt: the number of the attempt that was established, as the balancer counts from 0.
--- a/sageturn/core/idle_timeout.py
+++ b/sageturn/core/idle_timeout.py
@@ -12,11 +12,14 @@
     __slots__ = ("_line_interval_s", "_timeout_s", "_unanswered_since_s", "last_endpoint_data_s")
 
     def __init__(self, now_s: float, timeout_s: float, line_interval_s: float = 0.0) -> None:
-        """``timeout_s``: how long the endpoint may leave a forwarded line unanswered.
-
-        ``line_interval_s``: where clients of the protocol send a line this often, one that comes sooner after
-        the endpoint's latest data may wait that much longer. All connections of an endpoint that vanished
-        then end equally long after its latest data, whatever the phase of each client.
+        """Begin with a connection whose endpoint has just sent something.
+
+        Args:
+            now_s: the time.
+            timeout_s: how long the endpoint may leave a forwarded line unanswered.
+            line_interval_s: where clients of the protocol send a line this often, one that comes sooner after
+                the endpoint's latest data may wait that much longer. All connections of an endpoint that
+                vanished then end equally long after its latest data, whatever the phase of each client.
         """
         self._timeout_s = timeout_s
         self._line_interval_s = line_interval_s
@@ -24,17 +27,17 @@
         self.last_endpoint_data_s = now_s
 
     def on_request_forwarded(self, now_s: float) -> None:
-        """A line of the client was passed on; the oldest unanswered one starts the timeout."""
+        """Note that a line of the client was forwarded; the oldest unanswered one starts the timeout."""
         if self._unanswered_since_s is None:
             self._unanswered_since_s = now_s
 
     def on_endpoint_data(self, now_s: float) -> None:
-        """Anything came from the endpoint, which answers all lines before it."""
+        """Note that the endpoint sent something, which answers all lines before it."""
         self.last_endpoint_data_s = now_s
         self._unanswered_since_s = None
 
     def remaining_s(self, now_s: float) -> float:
-        """How long until the timeout can expire at the earliest; 0 or less once it has."""
+        """Return how long the timeout takes to expire at the earliest; 0 or less once it has expired."""
         if self._unanswered_since_s is None:
             return self._timeout_s
         earliest_s = self.last_endpoint_data_s + self._line_interval_s
--- a/sageturn/core/invariants.py
+++ b/sageturn/core/invariants.py
@@ -13,13 +13,11 @@
 
 
 class Invariant(StrEnum):
-    """What must hold whatever happens. The values appear in logs."""
+    """Names the rules that hold whatever happens. The values appear in logs."""
 
     SINGLE_ATTEMPT = "single_attempt"  # a request has one attempt in flight at most
     ATTEMPT_LIMIT = "attempt_limit"  # it has no more attempts than the settings allow
-    REPEATABLE = (
-        "repeatable"  # an attempt that may have been executed is repeated only where that is harmless
-    )
+    REPEATABLE = "repeatable"  # what may have been executed is repeated only where that is harmless
     RESPONSE_IN_TIME = "response_in_time"  # the final response comes before it is worth nothing
     ANSWERED = "answered"  # no client that is still there is closed without an answer
     SLOW_START_TURN = "slow_start_turn"  # an endpoint in slow start is sent nothing beyond this relay's turns
@@ -32,6 +30,6 @@
         self.violations: Counter[str] = Counter()  # by ``Invariant``
 
     def report_violation(self, invariant: Invariant, request: str, detail: str) -> None:
-        """Count and log one violation. ``request``: the request's id, as its client named it."""
+        """Count and log one violation. ``request`` is the request's id for the log."""
         self.violations[invariant] += 1
         log.error("invariant violated invariant=%s request=%s detail=%r", invariant.value, request, detail)
--- a/sageturn/core/messages.py
+++ b/sageturn/core/messages.py
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientRequest:
-    """What a client asked for, in terms that every frontend can express."""
+    """A client's request, in terms that every frontend can express."""
 
     class_name: str
     tenant: str
@@ -20,12 +20,14 @@
     client: str = ""  # the client's key, the same after a reconnect
     returned: bool = False  # the client says that its connection was migrated, or broke
     retried: bool = False  # the client says that this is a retry
-    # As the client named its request, so that it can be followed from relay to relay.
-    client_request_id: str = ""
+    client_request_id: str = ""  # by which the request can be followed from relay to relay
 
 
 def request_arrival(request_id: int, deadline_ms: float, request: ClientRequest) -> RequestArrived:
-    """The balancer's event for a request that has just come; ``deadline_ms``: when its client gives up."""
+    """Return the balancer's event for a request that has just come.
+
+    ``deadline_ms`` is when its client gives up, in the relay's time.
+    """
     return RequestArrived(
         request_id,
         request.class_name,
@@ -40,7 +42,7 @@
 
 
 def connection_adopted(request_id: int, request: ClientRequest) -> ConnectionAdopted:
-    """The balancer's event for a connection that was established before this relay started."""
+    """Return the balancer's event for a connection that was established before this relay started."""
     return ConnectionAdopted(
         request_id,
         request.class_name,
@@ -91,7 +93,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointListUpdate:
-    """One object of discovery: the changes since the last, or with ``full`` the complete list."""
+    """An object that discovery sent: the changes since the last, or with ``full`` the complete list."""
 
     version: int
     full: bool
@@ -109,7 +111,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchEvent:
-    """What a watch reports. One that has been replaced may still have events in the mailbox."""
+    """An event that a watch reports; a watch that was replaced may still have some in the mailbox."""
 
     watch_number: int
     event: EndpointListUpdate | WatchFailed
--- a/sageturn/core/pre_write_checks.py
+++ b/sageturn/core/pre_write_checks.py
@@ -12,7 +12,7 @@
 
 
 class Block(NamedTuple):
-    """Why nothing may be sent for a request, for the counters and for the attempt."""
+    """A reason that forbids sending, as the counters and as the attempt name it."""
 
     send_block: SendBlock
     close_reason: CloseReason
@@ -44,10 +44,10 @@
             self._first_execution_ms = started_ms
 
     def idempotency_key_remaining_ms(self) -> float:
-        """How long a further attempt may still be written: its last byte counts, not when it was decided.
+        """Return how long a further attempt may still be written: its last byte counts, not its decision.
 
-        Counted from the same moment as the balancer's, or a little later, so that the balancer won't decide
-        on another attempt once this says that it is too late for one.
+        The time is counted from the same moment as the balancer's, or a little later, so that the balancer
+        won't decide on another attempt once this says that it is too late for one.
 
         Returns:
             Milliseconds, negative once the key has expired; infinity where no key limits the request.
@@ -58,7 +58,7 @@
         return self._first_execution_ms + request_class.key_ttl_ms - self._context.now_ms()
 
     def blocking_reason(self, is_endpoint_usable: Callable[[], bool] | None = None) -> CloseReason | None:
-        """Why nothing may be begun for the request at this very moment, or None.
+        """Return why nothing may be begun for the request at this very moment; None where it may.
 
         Args:
             is_endpoint_usable: whether the endpoint may still be given work; None where any state will do.
--- a/sageturn/core/proxy_transport.py
+++ b/sageturn/core/proxy_transport.py
@@ -1,4 +1,4 @@
-"""What the core needs of one client's connection, whatever protocol the client speaks.
+"""The interface between the core and one client's connection, whatever protocol the client speaks.
 
 Each frontend implements it; only ``RequestLifecycle`` and its stages call it.
 """
@@ -13,12 +13,14 @@
 
 
 class ProxyTransport(Protocol):
-    """One client on one front, as the core sees it."""
+    """One client of one frontend, as the core sees it."""
 
     async def open_upstream(
         self, endpoint: str, timeout_ms: float, connect_timeout_ms: float, /
     ) -> CloseReason | None:
-        """One attempt; None when the connection is established. When cancelled it must close its connection.
+        """Make one attempt. Returns None once its connection is established, else why it failed.
+
+        When cancelled it must close its connection.
 
         Before it connects it asks ``PreWriteChecks.blocking_reason`` of its lifecycle, and
         ``check_before_write`` just before it writes the request's first byte.
@@ -34,10 +36,13 @@
         """Forward both ways until either side closes; migrate the client once ``drain_requested`` is set."""
 
     async def send_final_response(self, response: FinalResponse, /) -> None:
-        """The one final answer to a request that is not served."""
+        """Send the final response to a request that is not served, and close the client's connection."""
 
     async def wait_client_disconnect(self) -> CloseReason:
         """Returns once the client has disconnected, or is at fault, while its request is unanswered."""
 
     def poll_client(self) -> CloseReason | None:
-        """The same, polled: the client's FIN may lie unread while other tasks have the core."""
+        """Look without waiting whether the client has disconnected, or is at fault; None if it has not.
+
+        The client's FIN may lie unread while other tasks have the core.
+        """
--- a/sageturn/core/request_context.py
+++ b/sageturn/core/request_context.py
@@ -1,4 +1,4 @@
-"""What the stages of one request share: its identity, its limits, its client and its record."""
+"""The state that the stages of one request share: its identity, its limits, its client and its record."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
         return not self.disconnect.cancelled()
 
     def find_close_reason(self) -> CloseReason | None:
-        """Why the request ends on the client's side, as of this very moment; None while it does not."""
+        """Look at the client once more. Returns why it ends the request; None while it is waiting."""
         if self.disconnect.done():
             return self.disconnect.result()
         return self._transport.poll_client()
@@ -66,7 +66,7 @@
     drain_forced: asyncio.Event = field(default_factory=asyncio.Event)
 
     def now_ms(self) -> float:
-        """The relay's time."""
+        """Return the relay's time."""
         return self.balancer_actor.clock.now_ms()
 
     async def post_outcome(
--- a/sageturn/core/request_counters.py
+++ b/sageturn/core/request_counters.py
@@ -1,4 +1,4 @@
-"""Counts of what became of requests and attempts since the start, for the log's periodic line."""
+"""Counters of the outcomes of requests and attempts since the start, for the log's periodic line."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class SendBlock(StrEnum):
-    """Why an attempt that the balancer had placed was not written in the end."""
+    """The reasons for which an attempt that the balancer had placed is not written in the end."""
 
     CLIENT_GONE = "client_gone"
     SHUTDOWN = "shutdown"
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True)
 class RequestCounters:
-    """One relay's counts. Keys are the values that the log lines show."""
+    """Counts the outcomes of one relay. Keys are the values that the log lines show."""
 
     requests: int = 0
     established: int = 0
@@ -31,10 +31,10 @@
     failed: Counter[str] = field(default_factory=Counter)  # by cause
 
     def count_response(self, rejected: bool, cause: str) -> None:
-        """A final response was sent for a request that is not served."""
+        """Count a final response, which says that a request is not served."""
         (self.rejected if rejected else self.failed)[cause] += 1
 
 
 def format_counts(counts: Counter[str]) -> str:
-    """``name:count`` pairs in the order of the names; ``-`` for none."""
+    """Return ``name:count`` pairs in the order of the names; ``-`` for none."""
     return ",".join(f"{name}:{counts[name]}" for name in sorted(counts)) or "-"
--- a/sageturn/core/request_lifecycle.py
+++ b/sageturn/core/request_lifecycle.py
@@ -1,4 +1,4 @@
-"""One client request from its arrival to its end: attempts that never overlap, and one final response.
+"""Runs one client request from its arrival to its end: no overlapping attempts, one final response.
 
 A frontend supplies a ``ProxyTransport`` for each client; what must hold for every protocol is here and in the
 stages: ``RequestAttempts`` with its ``PreWriteChecks``, ``EstablishedTraffic`` and ``ConnectionAdoption``.
@@ -76,18 +76,18 @@
         return self.record.was_established and self.record.close_reason is None
 
     def begin_drain(self) -> None:
-        """The relay is about to stop: the client is migrated, unless that has been asked for already."""
+        """Have the client migrated, because the relay is about to stop. A second call changes nothing."""
         if not self.drain_requested.is_set():
             self.drain_requested.set()
             if self.is_established:
                 self._balancer_actor.notify_migrated_by_shutdown(self.id)
 
     def force_drain(self) -> None:
-        """The relay is about to stop: a request that isn't served yet is answered now."""
+        """Have a request that isn't served yet answered now, because the relay is about to stop."""
         self.drain_forced.set()
 
     async def run(self) -> ConnectionRecord:
-        """Returns the record once the connection has closed, or the request has been answered."""
+        """Run the request. Returns its record once the connection has closed, or the request is answered."""
         context = self._context
         context.client.start()
         try:
@@ -140,7 +140,7 @@
             raise DecisionOverdueError(context.handle.log_id) from error
 
     async def _fail_internally(self) -> None:
-        """No fault of this program may leave a client unanswered, or the balancer with a stale request."""
+        """Answer the client after a fault of this program, and have the balancer forget the request."""
         context = self._context
         log.exception("request failed request=%s", context.handle.log_id)
         await self._balancer_actor.post_event(decision.ClientDisconnected(self.id))
--- a/sageturn/core/request_registry.py
+++ b/sageturn/core/request_registry.py
@@ -1,4 +1,4 @@
-"""All requests that the relay has, and their graceful shutdown."""
+"""The registry of all requests that the relay has, and their graceful shutdown."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     """The relay's listeners, and the accepted connections that have sent no request yet."""
 
     def pending_connections(self) -> int:
-        """How many accepted connections have sent no request yet."""
+        """Return how many accepted connections have sent no request yet."""
 
     def stop_accepting(self) -> None:
         """Accept those in the backlog and nobody more; pending connections are answered at once."""
@@ -32,7 +32,7 @@
 
 
 class RequestRegistry:
-    """All requests that the relay has, of every frontend."""
+    """Holds all requests of the relay, of every frontend, and drains them in a graceful shutdown."""
 
     def __init__(self, schedule: ShutdownSchedule) -> None:
         self.schedule = schedule
@@ -58,10 +58,12 @@
         self._requests.discard(lifecycle)
 
     async def drain(self, ingress: Ingress, *, at_once: bool = False) -> None:
-        """Graceful shutdown. Returns once no request is left, or when the schedule's time is over.
+        """Shut down gracefully. Returns once no request is left, or when the schedule's time is over.
 
-        ``at_once``: a part of the relay has failed, so that nothing more may be placed. All that is owed is
-        answered now, and the clients of established connections are asked to reconnect together.
+        Args:
+            ingress: the relay's listeners, closed as the drain is forced.
+            at_once: a part of the relay has failed, so that nothing more may be placed. All that is owed is
+                answered now, and the clients of established connections are asked to reconnect together.
         """
         self.is_draining = True
         log.info("graceful shutdown began requests=%d", len(self._requests))
@@ -102,7 +104,7 @@
         ]
 
     def _force_drain(self, ingress: Ingress) -> None:
-        """Everyone accepted is answered, also who came in this instant; nobody is accepted from here on."""
+        """Answer everyone accepted, also who came in this instant; nobody is accepted from here on."""
         self.is_drain_forced = True
         log.info(
             "graceful shutdown forced requests=%d pending=%d",
--- a/sageturn/core/start_times.py
+++ b/sageturn/core/start_times.py
@@ -1,4 +1,4 @@
-"""When endpoints started, in the relay's time.
+"""Converts the times at which endpoints started to the relay's time.
 
 Discovery gives the start of each endpoint as Unix time. The system's clock may be stepped meanwhile, by an
 hour or more, and slow start depends on how long ago the start really was.
@@ -15,10 +15,10 @@
 
 @dataclass(frozen=True, slots=True)
 class StartTime:
-    """One start of an endpoint."""
+    """The start of one process of an endpoint, in Unix milliseconds."""
 
     listed_ms: float  # as discovery gave it, which identifies the start
-    relay_ms: float  # the same in the relay's time
+    relay_ms: float  # in the relay's time
 
 
 class StartTimes:
@@ -29,9 +29,11 @@
         self._by_endpoint: dict[str, StartTime] = {}
 
     def convert(self, endpoints: Iterable[Endpoint], is_full: bool) -> list[Endpoint]:
-        """The endpoints of a list with their start in the relay's time.
+        """Return the endpoints of a list with their start in the relay's time.
 
-        ``is_full``: the list is complete, so that endpoints that it does not name are forgotten.
+        Args:
+            endpoints: the list, or its changes.
+            is_full: the list is complete, so that endpoints that it does not name are forgotten.
         """
         self._clock.read_wall_clock()
         known = self._by_endpoint
--- a/sageturn/core/tasks.py
+++ b/sageturn/core/tasks.py
@@ -10,7 +10,7 @@
 async def cancel_and_wait(task: asyncio.Future[Any] | None) -> None:
     """Cancel and wait until the task has ended: what it holds may only be used again after that.
 
-    Its error, if it has one, is taken note of and dropped.
+    The task's error, if it has one, is retrieved and dropped.
     """
     if task is None:
         return
@@ -21,7 +21,7 @@
 
 
 async def sleep_until_elapsed(remaining_s: Callable[[float], float]) -> None:
-    """Returns once ``remaining_s``, given the loop's time, is 0 or less; asked again after each sleep."""
+    """Return once ``remaining_s``, given the loop's time, is 0 or less; it is called after each sleep."""
     loop = asyncio.get_running_loop()
     while (remaining := remaining_s(loop.time())) > 0:
         await asyncio.sleep(remaining)
--- a/sageturn/relay/closed_connections.py
+++ b/sageturn/relay/closed_connections.py
@@ -1,4 +1,4 @@
-"""What becomes of a connection's record once it has closed: counted, exported as a flow, and logged."""
+"""Counts closed connections, exports them as flows, and logs them."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class ClosedConnections:
-    """The only receiver of the records of closed connections."""
+    """Receives the records of closed connections, from every frontend."""
 
     def __init__(self, flow_exporter: FlowExporter | None = None) -> None:
         """``flow_exporter`` gets each record as a flow, where an operator's file turns flows on."""
--- a/sageturn/relay/counter_report.py
+++ b/sageturn/relay/counter_report.py
@@ -17,7 +17,7 @@
 
 
 class CounterReporter:
-    """An actor. Counts are totals since the start, so that a line that is lost costs nothing."""
+    """An actor that logs all counts at an interval. They are totals: a line that is lost costs nothing."""
 
     def __init__(self, balancer_actor: BalancerActor) -> None:
         self._balancer_actor = balancer_actor
--- a/sageturn/relay/ingress.py
+++ b/sageturn/relay/ingress.py
@@ -1,4 +1,4 @@
-"""All of the relay's listeners, as its graceful shutdown sees them."""
+"""Opens and closes all of the relay's listeners together."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
             await listener.cancel_connections()
 
     def pending_connections(self) -> int:
-        """Accepted connections that have made no request yet."""
+        """Return how many accepted connections have made no request yet."""
         return self._admission.awaiting_request
 
     def stop_accepting(self) -> None:
--- a/sageturn/relay/log_output.py
+++ b/sageturn/relay/log_output.py
@@ -1,4 +1,4 @@
-"""Log lines, written without ever waiting for whoever reads them."""
+"""Writes log lines without ever waiting for whoever reads them."""
 
 from __future__ import annotations
 
@@ -12,7 +12,10 @@
 
 
 def make_log_handler() -> logging.Handler:
-    """The handler for standard error. Without one its number is that of another file, perhaps a client's."""
+    """Return the handler for standard error; a null handler where the process has none.
+
+    The descriptor's number is then that of another file, perhaps a client's socket.
+    """
     if sys.stderr is None:
         return logging.NullHandler()
     return NonBlockingLogHandler(sys.stderr.fileno())
@@ -53,13 +56,13 @@
         return logging.LogRecord(__name__, logging.WARNING, __file__, 0, message, arguments, None)
 
     def _write(self, data: bytes) -> bool:
-        """False where not all of it could be written now."""
-        rest = memoryview(data)
+        """Write what fits now. Returns whether that was all of ``data``."""
+        unwritten = memoryview(data)
         try:
-            while rest:
+            while unwritten:
                 if not self._poll.poll(NO_WAIT_MS):
                     return False
-                rest = rest[os.write(self._descriptor, rest[:WRITABLE_BYTES]) :]
+                unwritten = unwritten[os.write(self._descriptor, unwritten[:WRITABLE_BYTES]) :]
         except OSError:
             return False
         return True
--- a/sageturn/relay/operator_control.py
+++ b/sageturn/relay/operator_control.py
@@ -1,6 +1,6 @@
-"""Operators' means of control as subsystems: overrides, and the rebalancing of connections.
+"""The subsystems by which operators control a relay: overrides, and the rebalancing of connections.
 
-Both are imported only where an operator's file turns them on.
+The packages of both are imported only where an operator's file turns them on.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class OverridesSubsystem(Subsystem):
-    """Operators' overrides; ``actor`` is None where the operator's file has no such section."""
+    """Runs operators' overrides; ``actor`` is None where the operator's file has no such section."""
 
     def __init__(
         self,
@@ -45,20 +45,20 @@
             store.on_change.append(self.actor.on_store_change)
 
     def start(self, actors: ActorSupervisor) -> None:
-        """Start the actor or planner, where it is turned on."""
+        """Start the actor, where overrides are on."""
         if self.actor is not None:
             actors.spawn("overrides", self.actor.run())
 
     async def reload(self, old: RelayConfig, new: RelayConfig) -> None:
-        """Apply the options of the new configuration."""
+        """Apply the overrides' options of the new configuration."""
         if self.actor is not None and new.operator.overrides is not None:
             self.actor.set_options(new.operator.overrides, self._store)
 
 
 class RebalancingSubsystem(Subsystem):
-    """The rebalancer, from when it is first needed on.
+    """Runs the rebalancer, from when it is first needed on.
 
-    Turned off again it goes on observing, so as to know which connections have been migrated.
+    Turned off again, the rebalancer goes on observing, so as to know which connections were migrated.
     """
 
     def __init__(
@@ -78,12 +78,12 @@
         self._actors: ActorSupervisor | None = None
 
     def start(self, actors: ActorSupervisor) -> None:
-        """Start the actor or planner, where it is turned on."""
+        """Start the rebalancer, where it is needed from the start."""
         self._actors = actors
         self.apply_options(self._config.operator.rebalance, actors)
 
     async def reload(self, old: RelayConfig, new: RelayConfig) -> None:
-        """Apply the options of the new configuration."""
+        """Apply the rebalancing options of the new configuration."""
         self._config = new
         if self._actors is not None:
             self.apply_options(new.operator.rebalance, self._actors)
--- a/sageturn/relay/relay.py
+++ b/sageturn/relay/relay.py
@@ -45,13 +45,11 @@
     from sageturn.rebalance.driver import Rebalancer
     from sageturn.store.replication.member import ReplicationMember
 
-# The loop turns before anybody can connect: a front proxy sends clients to a relay that was killed as soon as
-# it listens, and those it keeps waiting for its own start lose that much of their time.
-START_DELAY_S = 0.001
+START_DELAY_S = 0.001  # the loop turns once before it listens, as a front proxy sends clients at once
 
 
 class Relay:
-    """One relay. Its sockets are bound once it is made; it serves from ``start`` to ``stop``."""
+    """A relay. Its sockets are bound once it is made; it serves from ``start`` to ``stop``."""
 
     rebalancing_type = RebalancingSubsystem  # the laboratory puts another in its place
 
@@ -99,7 +97,7 @@
         log_level.apply()
 
     def _make_endpoint_registry(self) -> EndpointRegistry:
-        """Where there are overrides, the list's events pass through them on their way to the balancer."""
+        """Make the registry; its events pass through the overrides, where there are any, to the balancer."""
         overrides = self._overrides.actor
         return EndpointRegistry(
             self.config.known_endpoints,
@@ -111,7 +109,7 @@
         )
 
     def _list_subsystems(self) -> tuple[Subsystem, ...]:
-        """In the order in which they start, and take a new configuration."""
+        """Return all subsystems, in the order in which they start and take a new configuration."""
         subsystems: list[Subsystem] = [
             self._replication,
             self.ingress,
@@ -201,7 +199,7 @@
         log_config_applied(old, new)
 
     async def stop(self) -> None:
-        """At once: whatever is still established is cut off."""
+        """Stop at once: connections that are still established are cut off."""
         # Those that dial out come first, then the actors, and last what the actors use.
         for subsystem in (self._discovery, self._health_checks, self._replication):
             await subsystem.stop()
--- a/sageturn/relay/reload.py
+++ b/sageturn/relay/reload.py
@@ -12,15 +12,14 @@
 
 log = logging.getLogger(__name__)
 
-# How long files that cannot be read at the moment are tried for.
-READ_RETRY_S = 0.2
+READ_RETRY_S = 0.2  # between two tries to read files that cannot be read at the moment
 MAX_READ_RETRIES = 25
 
 ReadConfig = Callable[[RelayConfig], RelayConfig]
 
 
 class ConfigReloader:
-    """An actor. Requests that come while one is dealt with are dealt with together by the next reading."""
+    """An actor that reloads the configuration on request; requests during a reload share the next one."""
 
     def __init__(
         self,
@@ -28,7 +27,13 @@
         read_config: ReadConfig | None,
         apply_config: Callable[[RelayConfig], Awaitable[None]],
     ) -> None:
-        """``read_config`` reads the configuration anew, given the one in force; without it none is taken."""
+        """Make the actor.
+
+        Args:
+            current: returns the configuration in force.
+            read_config: reads the configuration anew, given the one in force; without it none is read.
+            apply_config: puts a configuration in force.
+        """
         self.requested = asyncio.Event()
         self._current = current
         self._read_config = read_config
@@ -44,7 +49,7 @@
                 await self._apply_config(new)
 
     async def _read(self) -> RelayConfig | None:
-        """The new configuration, or None where it can't be had: the old one then stays in force."""
+        """Return the new configuration; None where it can't be had, so that the old one stays in force."""
         if self._read_config is None:
             return None
         try:
@@ -57,7 +62,7 @@
         return None
 
     async def _read_when_possible(self, read_config: ReadConfig) -> RelayConfig:
-        """Nobody asks for a reload a second time because the system had no descriptor for the first."""
+        """Read the configuration, and retry what fails for a moment: the request will not be repeated."""
         for _ in range(MAX_READ_RETRIES):
             try:
                 return self._read_now(read_config)
@@ -74,7 +79,7 @@
 
 
 def log_config_applied(old: RelayConfig, new: RelayConfig) -> None:
-    """Names the keys that differ and that a running relay keeps as they were."""
+    """Log that ``new`` is in force, with the keys that differ and need a restart."""
     kept = old.keys_needing_restart(new)
     if kept:
         log.info("configuration applied needs_restart=%s", ",".join(kept))
--- a/sageturn/relay/state_record.py
+++ b/sageturn/relay/state_record.py
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayState:
-    """What one relay reports of itself."""
+    """The state that one relay reports of itself."""
 
     established_connections: int
     closed_connections: Mapping[str, int]  # since the start, by the reason's name in lower case
@@ -28,7 +28,7 @@
 
 
 def encode_relay_state(state: RelayState) -> dict[str, object]:
-    """The stored form. Its keys are read by other nodes and by operators' tools, and stay as they are."""
+    """Return the stored form. Other nodes and operators' tools read its keys, which stay as they are."""
     encoded: dict[str, object] = {
         "standing": state.established_connections,
         "ended": dict(state.closed_connections),
@@ -41,9 +41,9 @@
 
 
 def state_publisher(store: Store, subsystem: str) -> PublishState:
-    """A function that stores a subsystem's state for this node, if it has changed.
+    """Return a function that stores a subsystem's state for this node, if it has changed.
 
-    No state is worth the relay: one that the disk does not take now is left to the next report.
+    A state that the disk does not take now is left to the next report: it is not worth the relay.
     """
     key = f"state/{store.node}/{subsystem}"
 
--- a/sageturn/relay/subsystem.py
+++ b/sageturn/relay/subsystem.py
@@ -1,4 +1,4 @@
-"""What the relay's composition root knows of each of its parts."""
+"""The interface between the relay's composition root and each of its parts."""
 
 from __future__ import annotations
 
--- a/sageturn/relay/subsystems.py
+++ b/sageturn/relay/subsystems.py
@@ -28,7 +28,7 @@
 
 
 class Actor(Subsystem):
-    """A part that only runs, from the relay's start to its stop."""
+    """A subsystem that is no more than one actor, from the relay's start to its stop."""
 
     def __init__(self, name: str, run: Callable[[], Coroutine[None, None, None]]) -> None:
         """``name``: the actor's, for the log."""
@@ -36,7 +36,7 @@
         self._run = run
 
     def start(self, actors: ActorSupervisor) -> None:
-        """Start it, where it is turned on."""
+        """Run the actor."""
         actors.spawn(self._name, self._run())
 
 
@@ -56,36 +56,36 @@
             )
 
     def start(self, actors: ActorSupervisor) -> None:
-        """Start it, where it is turned on."""
+        """Start the listener, where XMPP is turned on."""
         if self.listener is not None:
             actors.spawn("xmpp_listener", self.listener.run())
 
     async def reload(self, old: RelayConfig, new: RelayConfig) -> None:
-        """Apply what may change without a restart."""
+        """Apply the new XMPP options, which hold for new clients."""
         if self._frontend is not None and new.operator.xmpp is not None:
             self._frontend.options = new.operator.xmpp
 
 
 class DiscoverySubsystem(Subsystem):
-    """The client that watches discovery for the endpoint registry, which is an actor of its own."""
+    """Follows discovery's address, and stops the client that watches it for the endpoint registry."""
 
     def __init__(self, client: DiscoveryClient, endpoint_registry: EndpointRegistry) -> None:
         self._client = client
         self._endpoint_registry = endpoint_registry
 
     async def reload(self, old: RelayConfig, new: RelayConfig) -> None:
-        """Apply what may change without a restart."""
+        """Watch at the new address, if discovery has another."""
         if new.discovery != old.discovery:
             self._client.set_address(new.discovery)
             await self._endpoint_registry.post_message(DiscoveryAddressChanged())
 
     async def stop(self) -> None:
-        """Stop it, where it runs."""
+        """Stop the watch."""
         await self._client.stop()
 
 
 class ReplicationSubsystem(Subsystem):
-    """This node as a member of the store's replicas; ``member`` is None where there are none."""
+    """Runs this node as a member of the store's replicas; ``member`` is None where there are none."""
 
     def __init__(self, config: RelayConfig, store: Store, admission: AdmissionController) -> None:
         self.member: ReplicationMember | None = None
@@ -98,26 +98,26 @@
             self.member = ReplicationMember(store, options, admission, rng)
 
     def start(self, actors: ActorSupervisor) -> None:
-        """Start it, where it is turned on."""
+        """Start the member, where there are replicas."""
         if self.member is not None:
             self.member.start()
 
     async def stop(self) -> None:
-        """Stop it, where it runs."""
+        """Stop the member, where there is one."""
         if self.member is not None:
             await self.member.stop()
 
     def state(self) -> dict[str, object] | None:
-        """The member's part of the state record."""
+        """Return the member's part of the state record; None where there are no replicas."""
         return None if self.member is None else self.member.state_report()
 
     def state_interval_s(self) -> float:
-        """How often this member may publish its state at most, so that all members' together stay few."""
+        """Return the shortest interval between two states of this member, which grows with their number."""
         return 0.0 if self.member is None else self.member.state_report_interval_s
 
 
 class HealthCheckSubsystem(Subsystem):
-    """Health checks of endpoints; ``client`` is None where the settings don't allow them."""
+    """Checks the health of endpoints; ``client`` is None where the settings don't allow that."""
 
     def __init__(self, config: RelayConfig, context: RelayContext) -> None:
         self.client: HealthCheckClient | None = None
@@ -140,6 +140,6 @@
             self.client.start_check(endpoint)
 
     async def stop(self) -> None:
-        """Stop it, where it runs."""
+        """Stop all checks, where there are any."""
         if self.client is not None:
             await self.client.stop()
--- a/sageturn/relay/supervisor.py
+++ b/sageturn/relay/supervisor.py
@@ -12,7 +12,7 @@
 
 
 class ActorSupervisor:
-    """Owns every long-running task of the relay. One that ends by an error is a fault of the program."""
+    """Owns every long-running task of the relay. A task that ends by an error is a fault of the program."""
 
     def __init__(self) -> None:
         self._actors: list[asyncio.Task[None]] = []
