--- a/sageturn/core/balancer_actor.py
+++ b/sageturn/core/balancer_actor.py
@@ -12,7 +12,14 @@
 from sageturn.core.clock import Clock
 from sageturn.core.endpoint_snapshot import EndpointSnapshot, snapshot_endpoints
 from sageturn.core.invariants import Invariant, InvariantMonitor
-from sageturn.core.messages import CancelAttempt, FinalResponse, Instruction, RedirectClient, StartAttempt
+from sageturn.core.messages import (
+    CancelAttempt,
+    FinalResponse,
+    Instruction,
+    RedirectClient,
+    ResponseReason,
+    StartAttempt,
+)
 from sageturn.core.request_counters import RequestCounters
 from sageturn.decision.balancer import Balancer
 
@@ -170,7 +177,7 @@
         request_id: int | None = getattr(event, "id", None)
         log.exception("balancer failed event=%s request=%s", type(event).__name__, self._log_id(request_id))
         if request_id is not None:
-            self._instruct(request_id, FinalResponse(rejected=False, reason="internal"))
+            self._instruct(request_id, FinalResponse(rejected=False, reason=ResponseReason.INTERNAL))
 
     def _notify(self, observer: BalancerObserver, callback: Callable[..., None], *arguments: object) -> None:
         """Call an observer, and remove it if it fails: no decision may wait for it, or be lost with it."""
@@ -191,7 +198,9 @@
                 response = FinalResponse(rejected=True, retry_after_ms=retry_after_ms, cause=self._cause())
                 self._instruct(request_id, response)
             case decision.FailRequest(request_id):
-                response = FinalResponse(rejected=False, reason="unavailable", cause=self._cause())
+                response = FinalResponse(
+                    rejected=False, reason=ResponseReason.UNAVAILABLE, cause=self._cause()
+                )
                 self._instruct(request_id, response)
             case decision.AbandonAttempt(request_id, _):
                 self._instruct(request_id, CancelAttempt())
--- a/sageturn/core/connection_adoption.py
+++ b/sageturn/core/connection_adoption.py
@@ -5,7 +5,7 @@
 from sageturn.core.close_reason import CLIENT_DISCONNECTED, SURELY_NOT_WRITTEN, CloseReason, may_have_run
 from sageturn.core.established_traffic import EstablishedTraffic
 from sageturn.core.final_responder import FinalResponder
-from sageturn.core.messages import FinalResponse, connection_adopted
+from sageturn.core.messages import FinalResponse, ResponseReason, connection_adopted
 from sageturn.core.pre_write_checks import PreWriteChecks
 from sageturn.core.request_attempts import RequestAttempts
 from sageturn.core.request_context import RequestContext
@@ -73,5 +73,6 @@
         if context.drain_forced.is_set():
             await self._responder.send_forced_drain()
         else:
-            response = FinalResponse(rejected=False, reason="lost", cause=close_reason.name.lower())
+            cause = close_reason.name.lower()
+            response = FinalResponse(rejected=False, reason=ResponseReason.LOST, cause=cause)
             await self._responder.send(response)
--- a/sageturn/core/final_responder.py
+++ b/sageturn/core/final_responder.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from sageturn.core.messages import FinalResponse
+from sageturn.core.messages import FinalResponse, ResponseCause, ResponseReason
 from sageturn.core.pre_write_checks import PreWriteChecks
 from sageturn.core.request_context import RequestContext
 
@@ -34,4 +34,5 @@
         """Answer a request that a shutdown leaves no more time: a rejection says that a retry is harmless."""
         rejected = self._context.request_class.is_rejectable(self._checks.may_have_been_executed)
         retry_after_ms = FORCED_DRAIN_RETRY_AFTER_MS if rejected else 0.0
-        await self.send(FinalResponse(rejected, retry_after_ms, "shutdown", "shutdown"))
+        response = FinalResponse(rejected, retry_after_ms, ResponseReason.SHUTDOWN, ResponseCause.SHUTDOWN)
+        await self.send(response)
--- a/sageturn/core/messages.py
+++ b/sageturn/core/messages.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from dataclasses import dataclass, field
+from enum import StrEnum
 
 from sageturn.decision import ConnectionAdopted, DiscoveryFailure, Endpoint, RequestArrived
 
@@ -54,14 +55,32 @@
     )
 
 
+class ResponseReason(StrEnum):
+    """The reasons that a client is sent with its final response; frontends put them on their wires."""
+
+    UNAVAILABLE = "unavailable"  # no endpoint could serve it
+    LOST = "lost"  # the connection that it had before the relay's start could not be adopted
+    SHUTDOWN = "shutdown"  # the relay stops
+    CLIENT_FAULT = "wait for the answer"  # the client sent too much before it was answered
+    INTERNAL = "internal"  # a fault of the relay
+
+
+class ResponseCause(StrEnum):
+    """The causes of final responses that neither a ``RejectCause`` nor a ``CloseReason`` explains."""
+
+    SHUTDOWN = "shutdown"
+    CLIENT_FAULT = "client_fault"
+    INTERNAL = "internal"
+
+
 @dataclass(frozen=True, slots=True)
 class FinalResponse:
     """The one final answer to a request that is not served: a fail-fast rejection, or a failure."""
 
     rejected: bool
-    retry_after_ms: float = 0.0
-    reason: str = ""  # as the client is told
-    cause: str = ""  # for logs and counters
+    retry_after_ms: float = 0.0  # 0 gives no advice on when to retry
+    reason: str = ""  # a ``ResponseReason`` for the client; empty for a rejection by the balancer
+    cause: str = ""  # for logs and counters: a ``ResponseCause``, ``RejectCause`` or ``CloseReason``
 
 
 # ------------------------------------------------------------ instructions to a request
--- a/sageturn/core/request_attempts.py
+++ b/sageturn/core/request_attempts.py
@@ -9,7 +9,7 @@
 from sageturn.core.close_reason import CLIENT_DISCONNECTED, CLIENT_FINISHED, CloseReason, may_have_run
 from sageturn.core.established_traffic import EstablishedTraffic
 from sageturn.core.final_responder import FinalResponder
-from sageturn.core.messages import FinalResponse, StartAttempt
+from sageturn.core.messages import FinalResponse, ResponseCause, ResponseReason, StartAttempt
 from sageturn.core.pre_write_checks import PreWriteChecks
 from sageturn.core.request_context import RequestContext
 
@@ -77,7 +77,9 @@
         await context.balancer_actor.post_event(decision.ClientDisconnected(context.handle.id))
         await context.post_outcome(attempt, endpoint, close_reason, final=True)
         if close_reason is CloseReason.CLIENT_FAULT:
-            response = FinalResponse(rejected=False, reason="wait for the answer", cause="client_fault")
+            response = FinalResponse(
+                rejected=False, reason=ResponseReason.CLIENT_FAULT, cause=ResponseCause.CLIENT_FAULT
+            )
             await self._responder.send(response)
         elif close_reason not in CLIENT_DISCONNECTED:
             await self._responder.send_forced_drain()
--- a/sageturn/core/request_lifecycle.py
+++ b/sageturn/core/request_lifecycle.py
@@ -23,6 +23,8 @@
     FinalResponse,
     Instruction,
     RedirectClient,
+    ResponseCause,
+    ResponseReason,
     StartAttempt,
     request_arrival,
 )
@@ -147,4 +149,5 @@
         close_reason = self.record.close_reason or CloseReason.CANCELLED
         attempt = max(0, self.record.attempts - 1)
         await context.post_outcome(attempt, self.record.endpoint, close_reason, final=True)
-        await self._responder.send(FinalResponse(rejected=False, reason="internal", cause="internal"))
+        response = FinalResponse(rejected=False, reason=ResponseReason.INTERNAL, cause=ResponseCause.INTERNAL)
+        await self._responder.send(response)
--- a/sageturn/frontends/xmpp/errors.py
+++ b/sageturn/frontends/xmpp/errors.py
@@ -6,7 +6,7 @@
 from xml.sax.saxutils import escape
 
 from sageturn.core.close_reason import CloseReason
-from sageturn.core.messages import FinalResponse
+from sageturn.core.messages import FinalResponse, ResponseReason
 from sageturn.frontends.errors import FrontendError
 from sageturn.frontends.xmpp.namespaces import RELAY_NS, STREAM_ERRORS_NS
 
@@ -45,13 +45,13 @@
     Its condition tells a client that was rejected, and when to retry, from one whose request has failed.
     """
     retry = _encode_retry_after(response.retry_after_ms)
-    if response.rejected and response.reason == "shutdown":
+    if response.rejected and response.reason == ResponseReason.SHUTDOWN:
         return encode_stream_error("system-shutdown", "come again", retry)
     if response.rejected:
         return encode_stream_error("resource-constraint", "come again later", retry)
-    if response.reason == "wait for the answer":
+    if response.reason == ResponseReason.CLIENT_FAULT:
         return encode_stream_error("policy-violation", response.reason)
-    if response.reason == "internal":
+    if response.reason == ResponseReason.INTERNAL:
         return encode_stream_error("internal-server-error", "the relay failed")
     return encode_stream_error("remote-connection-failed", "no endpoint could be reached")
 
--- a/sageturn/relay/closed_connections.py
+++ b/sageturn/relay/closed_connections.py
@@ -49,4 +49,4 @@
     kind = "rejected" if response.rejected else "failed"
     retry_after_ms = f"{response.retry_after_ms:.0f}"
     cause = f" cause={response.cause}" if response.cause else ""
-    return f" response={kind} response_reason={response.reason!r} retry_after_ms={retry_after_ms}{cause}"
+    return f" response={kind} response_reason={str(response.reason)!r} retry_after_ms={retry_after_ms}{cause}"
