--- a/tests/core/test_attempt_races.py
+++ b/tests/core/test_attempt_races.py
@@ -11,7 +11,7 @@
 
 import pytest
 from support.event_loop import until
-from support.network_fakes import SETTINGS, ask, first_line, relaying, silent, up
+from support.network_fakes import SETTINGS, FakeEndpoint, ask, first_line, relaying, silent, up
 from support.relay_checks import is_idle
 
 from sageturn.core.close_reason import CloseReason
@@ -48,8 +48,8 @@
 
 
 def endpoint_replaced(client: socket.socket, relay: Relay, name: str) -> None:
-    news = [Endpoint(name, "ready", started_at_ms=1.0)]
-    relay.endpoint_registry.apply_update(EndpointListUpdate(3, False, news, {name: ("127.0.0.1", 9)}))
+    restarted = [Endpoint(name, "ready", started_at_ms=1.0)]
+    relay.endpoint_registry.apply_update(EndpointListUpdate(3, False, restarted, {name: ("127.0.0.1", 9)}))
 
 
 def drain_forced(client: socket.socket, relay: Relay, name: str) -> None:
@@ -70,8 +70,10 @@
     # not turn between the end and the write here, so only a look at that very moment can see it.
     async with relaying(tmp_path, up, up) as (relay, endpoints):
         await until(lambda: relay.endpoint_registry.version == 2)
-        by_port = {e.address[1]: (name, e) for name, e in zip("ab", endpoints, strict=True)}
-        connect, calls, at = sockets.connect_unreserved, 0, list[Any]()
+        by_port = {
+            endpoint.address[1]: (name, endpoint) for name, endpoint in zip("ab", endpoints, strict=True)
+        }
+        connect, calls, reached = sockets.connect_unreserved, 0, list[FakeEndpoint]()
 
         async def comes_up(address: tuple[str, int], timeout_s: float) -> Any:
             nonlocal calls
@@ -79,9 +81,9 @@
             if calls < attempt:
                 return sockets.ConnectFailure.NEVER_UP
             sock = await connect(address, timeout_s)
-            if not at:
+            if not reached:
                 name, endpoint = by_port[address[1]]
-                at.append(endpoint)
+                reached.append(endpoint)
                 end(client, relay, name)
             return sock
 
@@ -90,7 +92,7 @@
         monkeypatch.setattr(relay.context, "on_connection_closed", records.append)
         client = socket.create_connection(relay.listener.address)
         client.sendall(first_line())
-        await until(lambda: at)
+        await until(lambda: reached)
         if end in ENDPOINT_CHANGES:  # it is served all the same, at the other one
             client.settimeout(5)
             assert (await asyncio.to_thread(client.recv, 99)) == b"UP r1\r\n"
@@ -99,32 +101,44 @@
             assert (await asyncio.to_thread(client.recv, 99)) == b"BUSY 250\r\n"
             client.close()
         await until(lambda: records and is_idle(relay))
-        assert not any(at[0].lines), end.__name__
+        assert not any(reached[0].lines), end.__name__
         if end.__name__.startswith("leave"):
             assert records[0].close_reason in (CloseReason.CLIENT_LEFT, CloseReason.CLIENT_RESET)
-            assert calls == attempt and not any(line for e in endpoints for line in e.lines)
+            assert calls == attempt and not any(line for endpoint in endpoints for line in endpoint.lines)
 
 
 # ---------------------------------------------------------------- what a forced drain rejects
 
 
 def deployment(effect: str, scope: str) -> dict[str, Any]:
-    cls = {"name": "c", "aimMs": 900.0, "hardLimitMs": 1800.0, "semantics": effect, "dedupScope": scope}
-    return {**SETTINGS, "classes": [{**cls, "keyTtlMs": 5000.0}]}
-
-
-@pytest.mark.parametrize("ran", [False, True])
+    request_class = {
+        "name": "c",
+        "aimMs": 900.0,
+        "hardLimitMs": 1800.0,
+        "semantics": effect,
+        "dedupScope": scope,
+        "keyTtlMs": 5000.0,
+    }
+    return {**SETTINGS, "classes": [request_class]}
+
+
+@pytest.mark.parametrize("is_executed", [False, True])
 @pytest.mark.parametrize(
-    ("effect", "scope", "refused"),
+    ("effect", "scope", "is_rejected"),
     [("safe", "all", True), ("keyed", "all", True), ("keyed", "zone", False), ("unsafe", "all", False)],
 )
 async def test_a_forced_drain_rejects_only_requests_that_were_not_executed_or_are_idempotent(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, effect: str, scope: str, refused: bool, ran: bool
+    tmp_path: Path,
+    monkeypatch: pytest.MonkeyPatch,
+    effect: str,
+    scope: str,
+    is_rejected: bool,
+    is_executed: bool,
 ) -> None:
     # Every request that a forced drain ended was answered BUSY, which says that a retry is harmless.
     async with relaying(tmp_path, silent, settings=deployment(effect, scope)) as (relay, (endpoint,)):
         await until(lambda: relay.endpoint_registry.version == 2)
-        if not ran:
+        if not is_executed:
             held = asyncio.Event()
 
             async def never_up(address: tuple[str, int], timeout_s: float) -> Any:
@@ -133,14 +147,14 @@
 
             monkeypatch.setattr(platform_connection, "connect_unreserved", never_up)
         reader, writer = await ask(relay.listener.address, first_line())
-        if ran:
+        if is_executed:
             await until(lambda: endpoint.lines)
         else:
             await held.wait()
         for lifecycle in relay.request_registry:
             lifecycle.force_drain()
-        word = await reader.read()
-        assert word == (b"BUSY 250\r\n" if refused or not ran else b"ERR shutdown\r\n")
+        response = await reader.read()
+        assert response == (b"BUSY 250\r\n" if is_rejected or not is_executed else b"ERR shutdown\r\n")
         writer.close()
         await until(lambda: is_idle(relay))
 
@@ -150,14 +164,19 @@
     tmp_path: Path, text: bytes
 ) -> None:
     # Only a complete BUSY says that it was not executed: after all else an unsafe request is not retried.
-    async def spoilt(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes) -> None:
+    async def responds_malformed(
+        reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes
+    ) -> None:
         writer.write(text)
 
     unsafe = deployment("unsafe", "all")
-    async with relaying(tmp_path, spoilt, spoilt, settings=unsafe) as (relay, endpoints):
+    async with relaying(tmp_path, responds_malformed, responds_malformed, settings=unsafe) as (
+        relay,
+        endpoints,
+    ):
         reader, writer = await ask(relay.listener.address, first_line())
         assert (await reader.read()).startswith(b"ERR")
-        assert sum(len(e.lines) for e in endpoints) == 1
+        assert sum(len(endpoint.lines) for endpoint in endpoints) == 1
         writer.close()
         await until(lambda: is_idle(relay))
 
@@ -180,6 +199,38 @@
             await up(reader, writer, line)
 
 
+class LateRetry:
+    """Moves a relay's clock on as the second attempt is decided, or once its connection came up."""
+
+    def __init__(self, relay: Relay, monkeypatch: pytest.MonkeyPatch, moment: str, late_ms: float) -> None:
+        self.attempts = 0
+        self.connections = 0
+        self._moment = moment
+        self._late_ms = late_ms
+        self._elapsed_ms = 0.0
+        self._connect = sockets.connect_unreserved
+        clock = relay.balancer_actor.clock
+        now_ms = clock.now_ms
+        open_upstream = platform_connection.PlatformConnection.open_upstream
+
+        async def open_late(connection: Any, *arguments: Any) -> Any:
+            self.attempts += 1
+            if self._moment == "decided" and self.attempts == 2:
+                self._elapsed_ms = self._late_ms
+            return await open_upstream(connection, *arguments)
+
+        monkeypatch.setattr(clock, "now_ms", lambda: now_ms() + self._elapsed_ms)
+        monkeypatch.setattr(platform_connection.PlatformConnection, "open_upstream", open_late)
+        monkeypatch.setattr(platform_connection, "connect_unreserved", self._come_up_late)
+
+    async def _come_up_late(self, address: tuple[str, int], timeout_s: float) -> Any:
+        self.connections += 1
+        sock = await self._connect(address, timeout_s)
+        if self.connections == 2:
+            self._elapsed_ms = self._late_ms
+        return sock
+
+
 @pytest.mark.parametrize(("scope", "word"), [("all", b"BUSY"), ("cell", b"ERR ")])
 @pytest.mark.parametrize("late_ms", [KEY_MS - 500.0, KEY_MS + 1.0])
 @pytest.mark.parametrize("moment", ["decided", "came up"])
@@ -188,39 +239,20 @@
 ) -> None:
     # The module asks for it in time, but a connection may come up 1.5 s later: the line was written whenever
     # that was, and it is the last byte that counts.
-    host = BreaksOnce()
+    endpoint = BreaksOnce()
     settings = deployment("keyed", scope)
     settings["classes"][0].update(aimMs=9000.0, hardLimitMs=9000.0)
-    async with relaying(tmp_path, host, host, settings=settings) as (relay, _):
+    async with relaying(tmp_path, endpoint, endpoint, settings=settings) as (relay, _):
         await until(lambda: relay.endpoint_registry.version == 2)
-        connect = sockets.connect_unreserved
-        call = platform_connection.PlatformConnection.open_upstream
-        clock = relay.balancer_actor.clock
-        now_ms, calls, begun, passed = clock.now_ms, 0, 0, 0.0
-        monkeypatch.setattr(clock, "now_ms", lambda: now_ms() + passed)
-
-        async def calls_late(self: Any, *args: Any) -> Any:
-            nonlocal calls, passed
-            calls += 1
-            passed = late_ms if moment == "decided" and calls == 2 else passed
-            return await call(self, *args)
-
-        async def comes_up_late(address: tuple[str, int], timeout_s: float) -> Any:
-            nonlocal begun, passed
-            begun += 1
-            sock = await connect(address, timeout_s)
-            passed = late_ms if begun == 2 else passed
-            return sock
-
-        monkeypatch.setattr(platform_connection.PlatformConnection, "open_upstream", calls_late)
-        monkeypatch.setattr(platform_connection, "connect_unreserved", comes_up_late)
+        retry = LateRetry(relay, monkeypatch, moment, late_ms)
         reader, writer = await ask(relay.listener.address, first_line(9000))
-        heard = await reader.readline()
+        response = await reader.readline()
         in_time = late_ms < KEY_MS
-        assert heard[:4] == (b"UP r" if in_time else word)
-        assert len(host.lines) == 1 + in_time
+        assert response[:4] == (b"UP r" if in_time else word)
+        assert len(endpoint.lines) == 1 + in_time
         # Nor does the module decide on a third, which the same look would hold back again.
-        assert calls == 2 and begun == (2 if in_time or moment == "came up" else 1)
+        assert retry.attempts == 2
+        assert retry.connections == (2 if in_time or moment == "came up" else 1)
         writer.close()
         await until(lambda: is_idle(relay))
 
@@ -228,25 +260,25 @@
 async def test_a_write_that_blocks_ends_as_its_idempotency_key_expires(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    host = BreaksOnce()
+    endpoint = BreaksOnce()
     settings = deployment("keyed", "all")
     settings["classes"][0].update(aimMs=9000.0, hardLimitMs=9000.0, keyTtlMs=300.0)
-    async with relaying(tmp_path, host, host, settings=settings) as (relay, _):
+    async with relaying(tmp_path, endpoint, endpoint, settings=settings) as (relay, _):
         await until(lambda: relay.endpoint_registry.version == 2)
         send, sent = sockets.send_gathered, 0
 
-        async def stuck(*args: Any) -> None:
+        async def stuck(*arguments: Any) -> None:
             nonlocal sent
             sent += 1
             if sent == 2:
                 await asyncio.sleep(3600)
-            await send(*args)
+            await send(*arguments)
 
         monkeypatch.setattr(platform_connection, "send_gathered", stuck)
         reader, writer = await ask(relay.listener.address, first_line(9000))
         async with asyncio.timeout(4):  # and not the client's 9 s
             assert (await reader.readline()).startswith(b"BUSY")
-        assert sent == 2 and len(host.lines) == 1
+        assert sent == 2 and len(endpoint.lines) == 1
         writer.close()
         await until(lambda: is_idle(relay))
 
@@ -254,56 +286,65 @@
 # ---------------------------------------------------------------- a request on an idle client connection
 
 
-@pytest.mark.parametrize("shut", [False, True], ids=["just before the shutdown", "just after it"])
-@pytest.mark.parametrize("ended", ["out of time", "evicted", "no line"])
-async def test_a_request_that_arrives_as_its_idle_connection_is_closed_is_answered_once_and_not_forwarded(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, ended: str, shut: bool
+FINAL_LINES = {
+    "out of time": b"ERR no first line in time\r\n",
+    "evicted": b"BUSY 500\r\n",
+    "no line": b"ERR not an OPEN line\r\n",
+}
+
+
+def send_as_connection_closes(
+    client: socket.socket, monkeypatch: pytest.MonkeyPatch, *, after_shutdown: bool
 ) -> None:
-    # What is read after a shutdown and forwarded is lost, and a close over unread bytes resets the answer.
-    monkeypatch.setattr(platform_frontend, "REQUEST_LINE_TIMEOUT_S", 0.1 if ended == "out of time" else 5.0)
-    politely, at_once = closing.close_gracefully, closing.send_and_close
+    """Have ``client`` send a request just before, or just after, the relay shuts its connection down."""
+    close_gracefully, send_and_close = closing.close_gracefully, closing.send_and_close
 
-    async with relaying(tmp_path, up) as (relay, (endpoint,)):
-        relay.balancer_actor.placements = []
+    def send_line(sock: socket.socket) -> None:
+        if after_shutdown:
+            sock.shutdown(socket.SHUT_WR)
+        client.sendall(first_line())
+
+    async def send_and_close_gracefully(sock: socket.socket) -> None:
+        send_line(sock)
+        await close_gracefully(sock)
 
-        def line_comes(sock: socket.socket) -> None:
-            if shut:
-                sock.shutdown(socket.SHUT_WR)
-            client.sendall(first_line())
+    def send_and_close_at_once(sock: socket.socket, response: bytes) -> None:
+        if after_shutdown:  # the relay's response goes before its shutdown
+            sock.send(response)
+        send_line(sock)
+        send_and_close(sock, b"" if after_shutdown else response)
 
-        async def ends_politely(sock: socket.socket) -> None:
-            line_comes(sock)
-            await politely(sock)
+    monkeypatch.setattr(platform_frontend, "close_gracefully", send_and_close_gracefully)
+    monkeypatch.setattr(platform_frontend, "send_and_close", send_and_close_at_once)
 
-        def ends_at_once(sock: socket.socket, text: bytes) -> None:
-            if shut:  # what it says last goes before its shutdown
-                sock.send(text)
-            line_comes(sock)
-            at_once(sock, b"" if shut else text)
 
-        monkeypatch.setattr(platform_frontend, "close_gracefully", ends_politely)
-        monkeypatch.setattr(platform_frontend, "send_and_close", ends_at_once)
+def is_reset(client: socket.socket) -> bool:
+    poll = select.poll()
+    poll.register(client, select.POLLIN)
+    return any(mask & (select.POLLERR | select.POLLHUP) for _, mask in poll.poll(0))
+
+
+@pytest.mark.parametrize("after_shutdown", [False, True], ids=["just before the shutdown", "just after it"])
+@pytest.mark.parametrize("end", FINAL_LINES)
+async def test_a_request_that_arrives_as_its_idle_connection_is_closed_is_answered_once_and_not_forwarded(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, end: str, after_shutdown: bool
+) -> None:
+    # What is read after a shutdown and forwarded is lost, and a close over unread bytes resets the answer.
+    monkeypatch.setattr(platform_frontend, "REQUEST_LINE_TIMEOUT_S", 0.1 if end == "out of time" else 5.0)
+    async with relaying(tmp_path, up) as (relay, (endpoint,)):
+        relay.balancer_actor.placements = []
         client = socket.create_connection(relay.listener.address)
+        send_as_connection_closes(client, monkeypatch, after_shutdown=after_shutdown)
         client.settimeout(5)
-        if ended == "no line":
+        if end == "no line":
             client.sendall(b"GET / HTTP/1.1\r\n")
-        elif ended == "evicted":
+        elif end == "evicted":
             await until(lambda: relay.admission.awaiting_request)
             await asyncio.sleep(0)
             relay.admission.evict_all_pending()
-        heard = await asyncio.to_thread(client.recv, 99)
-        assert (
-            heard
-            == {
-                "out of time": b"ERR no first line in time\r\n",
-                "evicted": b"BUSY 500\r\n",
-                "no line": b"ERR not an OPEN line\r\n",
-            }[ended]
-        )
+        assert await asyncio.to_thread(client.recv, 99) == FINAL_LINES[end]
         assert await asyncio.to_thread(client.recv, 99) == b""
-        poll = select.poll()
-        poll.register(client, select.POLLIN)
-        assert not any(mask & (select.POLLERR | select.POLLHUP) for _, mask in poll.poll(0))  # no reset
+        assert not is_reset(client)
         client.close()
         await until(lambda: not relay.admission.connection_count)
         assert relay.balancer_actor.placements == [] and not endpoint.lines
--- a/tests/core/test_client_disconnects.py
+++ b/tests/core/test_client_disconnects.py
@@ -38,11 +38,11 @@
         self._thread = threading.Thread(target=self._loop.run_forever)
         self._thread.start()
 
-    def run_blocking(self, coro: Coroutine[Any, Any, Any]) -> Any:
-        return asyncio.run_coroutine_threadsafe(coro, self._loop).result(10)
+    def run_blocking(self, coroutine: Coroutine[Any, Any, Any]) -> Any:
+        return asyncio.run_coroutine_threadsafe(coroutine, self._loop).result(10)
 
-    async def run(self, coro: Coroutine[Any, Any, Any]) -> Any:
-        return await asyncio.wrap_future(asyncio.run_coroutine_threadsafe(coro, self._loop))
+    async def run(self, coroutine: Coroutine[Any, Any, Any]) -> Any:
+        return await asyncio.wrap_future(asyncio.run_coroutine_threadsafe(coroutine, self._loop))
 
     def close(self) -> None:
         self._loop.call_soon_threadsafe(self._loop.stop)
@@ -55,7 +55,7 @@
 LINGER_NONE = struct.pack("ii", 1, 0)
 
 
-def fin(client: socket.socket) -> None:
+def close(client: socket.socket) -> None:
     client.close()
 
 
@@ -68,7 +68,7 @@
     client.close()
 
 
-def words_and_fin(client: socket.socket) -> None:
+def send_and_close(client: socket.socket) -> None:
     client.sendall(b"M 1\r\n" * 700)  # more than one reading takes, less than a fault
     client.close()
 
@@ -89,23 +89,25 @@
         return await self._connect(address, timeout_s)
 
 
-def as_call_begins(
+def act_as_attempt_begins(
     monkeypatch: pytest.MonkeyPatch, connection_class: Any, attempt: int, act: Callable[[], None]
 ) -> None:
-    """Does ``act`` as the n-th call of a wire is begun: the loop does not turn before the call goes on."""
-    call, calls = connection_class.open_upstream, 0
+    """Call ``act`` as the n-th attempt begins: the loop does not turn before the attempt goes on."""
+    open_upstream, attempts = connection_class.open_upstream, 0
 
-    async def acting(self: Any, *args: Any) -> Any:
-        nonlocal calls
-        calls += 1
-        if calls == attempt:
+    async def act_first(connection: Any, *arguments: Any) -> Any:
+        nonlocal attempts
+        attempts += 1
+        if attempts == attempt:
             act()
-        return await call(self, *args)
+        return await open_upstream(connection, *arguments)
 
-    monkeypatch.setattr(connection_class, "open_upstream", acting)
+    monkeypatch.setattr(connection_class, "open_upstream", act_first)
 
 
-@pytest.mark.parametrize("leave", [fin, end_sending, reset, words_and_fin], ids=lambda leave: leave.__name__)
+@pytest.mark.parametrize(
+    "leave", [close, end_sending, reset, send_and_close], ids=lambda leave: leave.__name__
+)
 @pytest.mark.parametrize("attempt", [1, 2])
 @pytest.mark.timeout(30)
 async def test_no_connection_is_begun_for_a_client_that_has_left(
@@ -115,32 +117,32 @@
     async with relaying(tmp_path, up, up) as (relay, endpoints):
         await until(lambda: relay.endpoint_registry.version == 2)
         connects = ConnectCounter(monkeypatch, platform_connection, attempt - 1)
-        as_call_begins(monkeypatch, PlatformConnection, attempt, lambda: leave(client))
+        act_as_attempt_begins(monkeypatch, PlatformConnection, attempt, lambda: leave(client))
         records: list[Any] = []
         monkeypatch.setattr(relay.context, "on_connection_closed", records.append)
         client = socket.create_connection(relay.listener.address)
         client.sendall(first_line())
         await until(lambda: records and not relay.balancer_actor.balancer.requests)
         client.close()
-        assert connects.count == attempt - 1 and not any(e.open for e in endpoints)
+        assert connects.count == attempt - 1 and not any(endpoint.open for endpoint in endpoints)
         assert records[0].close_reason in GONE
 
 
-async def stream_end(client: Client) -> None:
+async def end_stream(client: Client) -> None:
     client.send("</stream:stream>")
     await client.writer.drain()
 
 
-async def connection_end(client: Client) -> None:
+async def abort_connection(client: Client) -> None:
     client.writer.transport.abort()
 
 
-async def words_and_stream_end(client: Client) -> None:
+async def send_and_end_stream(client: Client) -> None:
     client.send("<message/>" * 3 + "</stream:stream>")
     await client.writer.drain()
 
 
-XMPP_LEAVES = [stream_end, connection_end, words_and_stream_end]
+XMPP_LEAVES = [end_stream, abort_connection, send_and_end_stream]
 
 
 @pytest.mark.parametrize("leave", XMPP_LEAVES, ids=lambda leave: leave.__name__)
@@ -152,25 +154,24 @@
     # A stream's end lay unread under TLS: only the connection's was looked for, and the bind followed.
     bound: list[str] = []
 
-    async def told(server: Server) -> None:
+    async def accept(server: Server) -> None:
         bound.append(await server.accept())
 
     with closing(ClientThread()) as client_thread:
-        async with relaying_xmpp(tmp_path, told, told) as (relay, endpoints):
+        async with relaying_xmpp(tmp_path, accept, accept) as (relay, endpoints):
             await until(lambda: relay.endpoint_registry.version == 2)
             connects = ConnectCounter(monkeypatch, xmpp_connection, moment == "further")
             if moment == "bind":
-                ask_life, at = PreWriteChecks.check_before_write, list[bool]()
+                check_before_write = PreWriteChecks.check_before_write
 
-                def leaves_first(self: Any, wanted: Any = None) -> Any:
+                def leave_first(self: Any, wanted: Any = None) -> Any:
                     client_thread.run_blocking(leave(client))
-                    at.append(True)
-                    return ask_life(self, wanted)
+                    return check_before_write(self, wanted)
 
-                monkeypatch.setattr(PreWriteChecks, "check_before_write", leaves_first)
+                monkeypatch.setattr(PreWriteChecks, "check_before_write", leave_first)
             else:
                 number = 1 + (moment == "further")
-                as_call_begins(
+                act_as_attempt_begins(
                     monkeypatch, XmppConnection, number, lambda: client_thread.run_blocking(leave(client))
                 )
             records: list[Any] = []
@@ -179,10 +180,10 @@
             await client_thread.run(client.login(client_tls()))
             await client_thread.run(send_bind(client))
             await until(lambda: records and not relay.balancer_actor.balancer.requests)
-            await client_thread.run(connection_end(client))
+            await client_thread.run(abort_connection(client))
             assert records[0].close_reason in GONE and not records[0].was_established
             assert connects.count == (moment != "first")
-            assert sum(len(e.lines) for e in endpoints) == (moment == "bind") and not bound
+            assert sum(len(endpoint.lines) for endpoint in endpoints) == (moment == "bind") and not bound
 
 
 async def send_bind(client: Client) -> None:
@@ -207,25 +208,25 @@
     settings = {**SETTINGS, "accounts": tenants}
     async with relaying(tmp_path, silent, silent, settings=settings) as (relay, endpoints):
         await until(lambda: relay.endpoint_registry.version == 2)
-        connect, begun, held = sockets.connect_unreserved, 0, asyncio.Event()
+        connect, begun, released = sockets.connect_unreserved, 0, asyncio.Event()
 
-        async def waits(address: tuple[str, int], timeout_s: float) -> Any:
+        async def connect_when_released(address: tuple[str, int], timeout_s: float) -> Any:
             nonlocal begun
             begun += 1
-            await held.wait()
+            await released.wait()
             return await connect(address, timeout_s) if comes_up else ConnectFailure.NEVER_UP
 
-        monkeypatch.setattr(platform_connection, "connect_unreserved", waits)
+        monkeypatch.setattr(platform_connection, "connect_unreserved", connect_when_released)
         records: list[Any] = []
         monkeypatch.setattr(relay.context, "on_connection_closed", records.append)
         clients = [await ask(relay.listener.address, first_line(3000)) for _ in range(CROWD)]
         await until(lambda: begun == CROWD)
-        held.set()
+        released.set()
         for _, writer in clients:
             writer.get_extra_info("socket").shutdown(socket.SHUT_RDWR)
         time.sleep(BUSY_S)
         await until(lambda: len(records) == CROWD and not relay.balancer_actor.balancer.requests)
-        assert begun == CROWD and not any(line for e in endpoints for line in e.lines)
+        assert begun == CROWD and not any(line for endpoint in endpoints for line in endpoint.lines)
         assert {record.close_reason for record in records} <= set(GONE)
         for _, writer in clients:
             writer.close()
@@ -246,7 +247,7 @@
             client.close()
         time.sleep(BUSY_S)
         await until(lambda: len(records) == 100 and not relay.balancer_actor.balancer.requests)
-        assert connects.count == 0 and not any(e.open for e in endpoints)
+        assert connects.count == 0 and not any(endpoint.open for endpoint in endpoints)
 
 
 @pytest.mark.timeout(30)
@@ -258,16 +259,16 @@
         _reader, writer = await ask(relay.listener.address, first_line(3000))
         await until(lambda: endpoint.lines)
         (lifecycle,) = relay.request_registry
-        wire: Any = lifecycle.transport
+        transport: Any = lifecycle.transport
         seen: asyncio.Future[None] = loop.create_future()
 
         def each_turn() -> None:
             # Queued a turn before whatever the poll of this turn wakes, so it runs in between.
             try:
-                wire.client.recv(1, socket.MSG_PEEK)
+                transport.client.recv(1, socket.MSG_PEEK)
             except BlockingIOError:
                 writer.write(b"M 2\r\n")
-                assert wire.poll_client() is None
+                assert transport.poll_client() is None
                 seen.set_result(None)
             else:
                 loop.call_soon(each_turn)
@@ -277,7 +278,7 @@
         await seen
         await asyncio.sleep(0)
         await asyncio.sleep(0)
-        assert wire.early_input == b"M 1\r\nM 2\r\n"
+        assert transport.early_input == b"M 1\r\nM 2\r\n"
         writer.close()
 
 
--- a/tests/core/test_close_reasons.py
+++ b/tests/core/test_close_reasons.py
@@ -28,15 +28,16 @@
 
 
 def deployment(effect: str, scope: str, attempts: int, latency_objective_ms: float) -> dict[str, Any]:
-    cls = {
+    request_class = {
         "name": "c",
         "aimMs": latency_objective_ms,
         "hardLimitMs": 3000.0,
         "semantics": effect,
         "dedupScope": scope,
+        "keyTtlMs": 900.0,
     }
     limits = {**SETTINGS["policyLimits"], "sendCap": attempts, "connectTimeoutMs": 3000.0}
-    return {**SETTINGS, "classes": [{**cls, "keyTtlMs": 900.0}], "policyLimits": limits}
+    return {**SETTINGS, "classes": [request_class], "policyLimits": limits}
 
 
 DEPLOYMENTS = {
@@ -60,7 +61,7 @@
 
     @property
     def lines(self) -> list[bytes]:
-        return [line for e in self.endpoints for line in e.lines if line]
+        return [line for endpoint in self.endpoints for line in endpoint.lines if line]
 
     async def read_rest(self) -> bytes:
         """All that the client still receives; b"reset" at the end of it if it was reset."""
@@ -83,10 +84,10 @@
         async def act(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes) -> None:
             writer.write(text)
             await writer.drain()
-            ends = asyncio.ensure_future(scenario[0].resume.wait())
-            left = asyncio.ensure_future(reader.read())
-            await asyncio.wait((ends, left), return_when=asyncio.FIRST_COMPLETED)
-            for task in (ends, left):
+            resumed = asyncio.ensure_future(scenario[0].resume.wait())
+            closed = asyncio.ensure_future(reader.read())
+            await asyncio.wait((resumed, closed), return_when=asyncio.FIRST_COMPLETED)
+            for task in (resumed, closed):
                 task.cancel()
             if scenario[0].reset_endpoint:
                 linger = struct.pack("ii", 1, 0)
@@ -101,7 +102,7 @@
 async def connecting(scenario: RelayScenario, monkeypatch: pytest.MonkeyPatch) -> None:
     connect, begun = sockets.connect_unreserved, asyncio.Event()
 
-    async def slowly(address: tuple[str, int], timeout_s: float) -> Any:
+    async def connect_when_resumed(address: tuple[str, int], timeout_s: float) -> Any:
         begun.set()
         try:
             await asyncio.wait_for(scenario.resume.wait(), timeout_s)
@@ -109,7 +110,7 @@
             return sockets.ConnectFailure.NEVER_UP
         return await connect(address, timeout_s)
 
-    monkeypatch.setattr(platform_connection, "connect_unreserved", slowly)
+    monkeypatch.setattr(platform_connection, "connect_unreserved", connect_when_resumed)
     scenario.client.sendall(scenario.line)
     await begun.wait()
 
@@ -194,7 +195,7 @@
 @pytest.mark.parametrize(
     ("stage", "end"),
     list(itertools.product(STAGES, ENDS)),
-    ids=lambda v: v if isinstance(v, str) else v.__name__,
+    ids=lambda value: value if isinstance(value, str) else value.__name__,
 )
 @pytest.mark.timeout(15)
 async def test_every_end_at_every_stage_gives_one_response_and_leaves_nothing(
@@ -225,20 +226,20 @@
                 not relay.request_registry and not balancer.requests and not relay.admission.connection_count
             )
         )
-        await until(lambda: not any(e.open for e in endpoints))
+        await until(lambda: not any(endpoint.open for endpoint in endpoints))
         assert is_idle(relay)
         # The listener's, and the descriptor that it keeps in reserve.
         shut = 2 if end is graceful_shutdown else 0
         await until(lambda: len(os.listdir("/proc/self/fd")) <= descriptors - shut)
-        sent, most = len(scenario.lines), settings["policyLimits"]["sendCap"]
-        assert sent <= most and sum(e.max_open for e in endpoints) <= max(1, sent)
+        sent, max_attempts = len(scenario.lines), settings["policyLimits"]["sendCap"]
+        assert sent <= max_attempts and sum(endpoint.max_open for endpoint in endpoints) <= max(1, sent)
         if end in GONE or end in (all_endpoints_drain, graceful_shutdown):
             assert len(scenario.lines) == before, "sent on after the end was known"
         if end not in GONE and not stays:
-            check(stage, end, effect, received, before)
+            check_response(stage, end, effect, received, before)
 
 
-def check(stage: str, end: Any, effect: str, received: bytes, ran: int) -> None:
+def check_response(stage: str, end: Any, effect: str, received: bytes, written: int) -> None:
     if stage.startswith("established") or (stage == "connecting" and received.startswith(b"UP")):
         lines = received.removeprefix(b"UP r1\r\n").removeprefix(b"M 1\r\n")
         if end is graceful_shutdown:
@@ -249,37 +250,37 @@
             assert lines == (b"M 2" if "half" in stage else b"")
         return
     assert received.count(b"\r\n") == 1 and received.startswith((b"BUSY", b"ERR")), received
-    if ran and effect != "safe":
+    if written and effect != "safe":
         assert received.startswith(b"ERR"), "it may have run: trying again may do harm"
-    if not ran and stage != "half a first line":
+    if not written and stage != "half a first line":
         assert received.startswith(b"BUSY"), "it never ran: nothing stands against another try"
 
 
 # ---------------------------------------------------------------- as the listener closes
 
 
-@pytest.mark.parametrize("said", [first_line(), b"PING\r\n", first_line()[:9], b""])
+@pytest.mark.parametrize("sent", [first_line(), b"PING\r\n", first_line()[:9], b""])
 @pytest.mark.timeout(10)
-async def test_a_client_that_connects_as_the_listener_closes_is_answered(tmp_path: Path, said: bytes) -> None:
+async def test_a_client_that_connects_as_the_listener_closes_is_answered(tmp_path: Path, sent: bytes) -> None:
     # The listening socket was closed over its backlog: who waited there was reset without a word. The loop
     # does not turn between the client's coming and the shutting here.
     async with relaying(tmp_path, up) as (relay, (endpoint,)):
         relay.request_registry.schedule = ShutdownSchedule(0.0, 0.0, 0.05, 2.0)
-        shut, came = relay.ingress.stop_accepting, list[socket.socket]()
+        stop_accepting, clients = relay.ingress.stop_accepting, list[socket.socket]()
 
-        def comes_and_shut() -> None:
+        def connect_and_stop_accepting() -> None:
             client = socket.create_connection(relay.listener.address)
-            client.sendall(said)
-            came.append(client)
-            shut()
+            client.sendall(sent)
+            clients.append(client)
+            stop_accepting()
 
-        relay.ingress.stop_accepting = comes_and_shut  # type: ignore[method-assign]
+        relay.ingress.stop_accepting = connect_and_stop_accepting  # type: ignore[method-assign]
         await relay.request_registry.drain(relay.ingress)
         assert not relay.admission.connection_count and not any(endpoint.lines)
-        came[0].settimeout(5)
-        received = came[0].recv(99)
-        assert received.startswith((b"BUSY", b"ERR")) and came[0].recv(99) == b""
-        came[0].close()
+        clients[0].settimeout(5)
+        received = clients[0].recv(99)
+        assert received.startswith((b"BUSY", b"ERR")) and clients[0].recv(99) == b""
+        clients[0].close()
         with pytest.raises(ConnectionRefusedError):
             socket.create_connection(relay.listener.address)
 
@@ -350,12 +351,12 @@
     # It was given up after 0.7 s and the client cut off without a word, though its live host still answered.
     forwarders: list[LineForwarder] = []
 
-    class Seen(LineForwarder):
-        def __init__(self, *args: Any) -> None:
-            super().__init__(*args)
+    class RecordedForwarder(LineForwarder):
+        def __init__(self, *arguments: Any) -> None:
+            super().__init__(*arguments)
             forwarders.append(self)
 
-    monkeypatch.setattr(platform_relaying, "LineForwarder", Seen)
+    monkeypatch.setattr(platform_relaying, "LineForwarder", RecordedForwarder)
 
     async with relaying(tmp_path, floods) as (relay, _):
         ended: list[Any] = []
