--- a/sageturn/core/attempt_log.py
+++ b/sageturn/core/attempt_log.py
@@ -4,7 +4,7 @@
 
 import logging
 
-from sageturn.core.close_reason import CloseReason, may_have_run
+from sageturn.core.close_reason import CloseReason, may_have_been_executed
 
 log = logging.getLogger(__name__)
 
@@ -28,5 +28,5 @@
         endpoint,
         close_reason.name.lower(),
         duration_ms / 1000.0,
-        str(may_have_run(close_reason)).lower(),
+        str(may_have_been_executed(close_reason)).lower(),
     )
--- a/sageturn/core/close_reason.py
+++ b/sageturn/core/close_reason.py
@@ -38,8 +38,8 @@
 CLIENT_DISCONNECTED = (CloseReason.CLIENT_LEFT, CloseReason.CLIENT_RESET)
 # No further attempt is made for the client.
 CLIENT_FINISHED = (*CLIENT_DISCONNECTED, CloseReason.CLIENT_FAULT)
-# The endpoint can't have had the complete request, so that the attempt may be repeated at once.
-SURELY_NOT_WRITTEN = (CloseReason.NO_CONNECT, CloseReason.CUT_BEFORE_WRITTEN, CloseReason.NOT_SENT)
+# The endpoint can't have received the complete request, so that the attempt may be repeated at once.
+NOT_WRITTEN_REASONS = (CloseReason.NO_CONNECT, CloseReason.CUT_BEFORE_WRITTEN, CloseReason.NOT_SENT)
 
 _STATUS_BY_REASON = {
     CloseReason.SERVED: "ok",
@@ -69,6 +69,6 @@
     return _STATUS_BY_REASON[close_reason]
 
 
-def may_have_run(close_reason: CloseReason) -> bool:
+def may_have_been_executed(close_reason: CloseReason) -> bool:
     """Return whether the endpoint may have executed the request, by the balancer's list of statuses."""
     return outcome_status(close_reason) not in NOT_EXECUTED_STATUSES
--- a/sageturn/core/connection_adoption.py
+++ b/sageturn/core/connection_adoption.py
@@ -2,10 +2,15 @@
 
 from __future__ import annotations
 
-from sageturn.core.close_reason import CLIENT_DISCONNECTED, SURELY_NOT_WRITTEN, CloseReason, may_have_run
+from sageturn.core.close_reason import (
+    CLIENT_DISCONNECTED,
+    NOT_WRITTEN_REASONS,
+    CloseReason,
+    may_have_been_executed,
+)
 from sageturn.core.established_traffic import EstablishedTraffic
 from sageturn.core.final_responder import FinalResponder
-from sageturn.core.messages import FinalResponse, ResponseReason, connection_adopted
+from sageturn.core.messages import FinalResponse, ResponseReason, make_connection_adopted
 from sageturn.core.pre_write_checks import PreWriteChecks
 from sageturn.core.request_attempts import RequestAttempts
 from sageturn.core.request_context import RequestContext
@@ -45,7 +50,7 @@
         if close_reason is not None:
             await self._fail(close_reason)
             return
-        await context.balancer_actor.post_event(connection_adopted(context.handle.id, request))
+        await context.balancer_actor.post_event(make_connection_adopted(context.handle.id, request))
         await self._established.run(ADOPTED_ATTEMPT, request.established_endpoint)
 
     async def _reconnect(self, endpoint: str) -> CloseReason | None:
@@ -53,7 +58,7 @@
         record = context.record
         close_reason: CloseReason | None = CloseReason.NOT_SENT
         max_attempts = context.balancer_actor.settings.max_attempts
-        while record.attempts < max_attempts and close_reason in SURELY_NOT_WRITTEN:
+        while record.attempts < max_attempts and close_reason in NOT_WRITTEN_REASONS:
             record.attempts += 1
             remaining_ms = max(1.0, context.deadline_ms - context.now_ms())
             close_reason = await self._attempts.open_upstream(
@@ -66,7 +71,7 @@
     async def _fail(self, close_reason: CloseReason) -> None:
         context = self._context
         context.record.close_reason = close_reason
-        if may_have_run(close_reason):
+        if may_have_been_executed(close_reason):
             self._checks.record_possible_execution(context.record.started_ms)
         if close_reason in CLIENT_DISCONNECTED:
             return
--- a/sageturn/core/even_pacer.py
+++ b/sageturn/core/even_pacer.py
@@ -13,11 +13,11 @@
     """
 
     def __init__(self) -> None:
-        self._due = 0.0
+        self._carried_over = 0.0
 
-    def due(self, count: int, steps_left: float) -> int:
-        """Return how many of ``count`` are due now; all of them at the last step."""
-        self._due += count / steps_left
-        whole = count if steps_left <= 1.0 else min(count, int(self._due + ROUNDING_SLACK))
-        self._due -= whole
-        return whole
+    def take_due(self, count: int, steps_left: float) -> int:
+        """Return how many of ``count`` are due at this step; all of them at the last."""
+        self._carried_over += count / steps_left
+        due = count if steps_left <= 1.0 else min(count, int(self._carried_over + ROUNDING_SLACK))
+        self._carried_over -= due
+        return due
--- a/sageturn/core/messages.py
+++ b/sageturn/core/messages.py
@@ -24,7 +24,7 @@
     client_request_id: str = ""  # by which the request can be followed from relay to relay
 
 
-def request_arrival(request_id: int, deadline_ms: float, request: ClientRequest) -> RequestArrived:
+def make_request_arrived(request_id: int, deadline_ms: float, request: ClientRequest) -> RequestArrived:
     """Return the balancer's event for a request that has just come.
 
     ``deadline_ms`` is when its client gives up, in the relay's time.
@@ -42,7 +42,7 @@
     )
 
 
-def connection_adopted(request_id: int, request: ClientRequest) -> ConnectionAdopted:
+def make_connection_adopted(request_id: int, request: ClientRequest) -> ConnectionAdopted:
     """Return the balancer's event for a connection that was established before this relay started."""
     return ConnectionAdopted(
         request_id,
--- a/sageturn/core/request_attempts.py
+++ b/sageturn/core/request_attempts.py
@@ -6,7 +6,12 @@
 
 from sageturn import decision
 from sageturn.core.attempt_log import log_failed_attempt
-from sageturn.core.close_reason import CLIENT_DISCONNECTED, CLIENT_FINISHED, CloseReason, may_have_run
+from sageturn.core.close_reason import (
+    CLIENT_DISCONNECTED,
+    CLIENT_FINISHED,
+    CloseReason,
+    may_have_been_executed,
+)
 from sageturn.core.established_traffic import EstablishedTraffic
 from sageturn.core.final_responder import FinalResponder
 from sageturn.core.messages import FinalResponse, ResponseCause, ResponseReason, StartAttempt
@@ -68,7 +73,7 @@
         context.balancer_actor.counters.failed_attempts[close_reason.name.lower()] += 1
         duration_ms = context.now_ms() - started_ms
         log_failed_attempt(context.handle.log_id, attempt, endpoint, close_reason, duration_ms)
-        if may_have_run(close_reason):
+        if may_have_been_executed(close_reason):
             self._checks.record_possible_execution(started_ms)
 
     async def _abort(self, attempt: int, endpoint: str, close_reason: CloseReason) -> None:
--- a/sageturn/core/request_lifecycle.py
+++ b/sageturn/core/request_lifecycle.py
@@ -26,7 +26,7 @@
     ResponseCause,
     ResponseReason,
     StartAttempt,
-    request_arrival,
+    make_request_arrived,
 )
 from sageturn.core.pre_write_checks import PreWriteChecks
 from sageturn.core.proxy_transport import ProxyTransport
@@ -99,7 +99,7 @@
                 ).run()
             else:
                 await self._balancer_actor.post_event(
-                    request_arrival(self.id, context.deadline_ms, self.record.request)
+                    make_request_arrived(self.id, context.deadline_ms, self.record.request)
                 )
                 await self._follow_instructions()
         except Exception:
--- a/sageturn/core/request_registry.py
+++ b/sageturn/core/request_registry.py
@@ -89,7 +89,7 @@
         while loop.time() - started_s < schedule.forced_drain_at_s:
             established = self._established_undrained()
             steps_left = max(1.0, (migrated_at_s - (loop.time() - started_s)) / DRAIN_STEP_S)
-            for lifecycle in established[: pacer.due(len(established), steps_left)]:
+            for lifecycle in established[: pacer.take_due(len(established), steps_left)]:
                 lifecycle.begin_drain()
             await asyncio.sleep(DRAIN_STEP_S)
             is_empty = not self._requests and not ingress.pending_connections()
--- a/sageturn/core/shutdown_schedule.py
+++ b/sageturn/core/shutdown_schedule.py
@@ -32,7 +32,7 @@
     exit_at_s: float
 
 
-def shutdown_schedule(classes: Iterable[RequestClass]) -> ShutdownSchedule:
+def plan_shutdown(classes: Iterable[RequestClass]) -> ShutdownSchedule:
     """Return the schedule that the deadlines of ``classes`` allow.
 
     A class without a deadline counts with the maximum.
--- a/sageturn/relay/operator_control.py
+++ b/sageturn/relay/operator_control.py
@@ -13,7 +13,7 @@
 from sageturn.core.balancer_actor import BalancerActor
 from sageturn.core.endpoint_snapshot import OperatorMarks
 from sageturn.core.request_registry import RequestRegistry
-from sageturn.relay.state_record import state_publisher
+from sageturn.relay.state_record import make_state_publisher
 from sageturn.relay.subsystem import Subsystem
 from sageturn.relay.supervisor import ActorSupervisor
 from sageturn.store.store import Store
@@ -40,7 +40,7 @@
         if options is not None:
             from sageturn.overrides.actor import OverrideActor
 
-            publish = state_publisher(store, "overrides")
+            publish = make_state_publisher(store, "overrides")
             self.actor = OverrideActor(balancer_actor, options, store, publish, on_marks)
             store.on_change.append(self.actor.on_store_change)
 
@@ -101,7 +101,7 @@
 
     def make_rebalancer(self, kind: type[Rebalancer], options: RebalanceOptions) -> Rebalancer:
         """Build a rebalancer of this kind; the laboratory passes its own."""
-        publish = state_publisher(self._store, "rebalance")
+        publish = make_state_publisher(self._store, "rebalance")
         return kind(self._balancer_actor, self._request_registry, options, self._config.seed, publish)
 
     def run_rebalancer(self, rebalancer: Rebalancer, actors: ActorSupervisor) -> None:
--- a/sageturn/relay/relay.py
+++ b/sageturn/relay/relay.py
@@ -14,7 +14,7 @@
 from sageturn.core.handled_signals import HANDLED_SIGNALS, SHUTDOWN_SIGNALS
 from sageturn.core.messages import EndpointListUpdate, WatchFailed
 from sageturn.core.request_registry import RequestRegistry
-from sageturn.core.shutdown_schedule import shutdown_schedule
+from sageturn.core.shutdown_schedule import plan_shutdown
 from sageturn.flows.exporter import FlowExporter
 from sageturn.frontends.platform.frontend import PlatformFrontend
 from sageturn.net.admission import AdmissionController
@@ -26,7 +26,7 @@
 from sageturn.relay.ingress import RelayIngress
 from sageturn.relay.operator_control import OverridesSubsystem, RebalancingSubsystem
 from sageturn.relay.reload import ConfigReloader, ReadConfig, log_config_applied
-from sageturn.relay.state_record import RelayState, RelayStateReporter, state_publisher
+from sageturn.relay.state_record import RelayState, RelayStateReporter, make_state_publisher
 from sageturn.relay.stored_log_level import StoredLogLevel
 from sageturn.relay.subsystem import Subsystem
 from sageturn.relay.subsystems import (
@@ -61,7 +61,7 @@
             config.settings, config.seed, Clock(), self._request_watch, self._check_endpoint_health
         )
         self.store = Store(config.name, config.operator.store_path)
-        self.request_registry = RequestRegistry(shutdown_schedule(config.settings.classes))
+        self.request_registry = RequestRegistry(plan_shutdown(config.settings.classes))
         self._rebalancing = self.rebalancing_type(
             config, self.balancer_actor, self.request_registry, self.store
         )
@@ -90,7 +90,7 @@
         self._health_checks = HealthCheckSubsystem(config, self.context)
         self._discovery = DiscoverySubsystem(self.discovery, self.endpoint_registry)
         self.state_reporter = RelayStateReporter(
-            state_publisher(self.store, "relay"), self._collect_state, self._replication.state_interval_s
+            make_state_publisher(self.store, "relay"), self._collect_state, self._replication.state_interval_s
         )
         self._reloader = ConfigReloader(lambda: self.config, read_config, self.apply_config)
         self.subsystems = self._list_subsystems()
--- a/sageturn/relay/state_record.py
+++ b/sageturn/relay/state_record.py
@@ -40,7 +40,7 @@
     return encoded
 
 
-def state_publisher(store: Store, subsystem: str) -> PublishState:
+def make_state_publisher(store: Store, subsystem: str) -> PublishState:
     """Return a function that stores a subsystem's state for this node, if it has changed.
 
     A state that the disk does not take now is left to the next report: it is not worth the relay.
--- a/tests/config/test_deployments.py
+++ b/tests/config/test_deployments.py
@@ -43,7 +43,7 @@
 from sageturn.config.settings import read_settings
 from sageturn.core.even_pacer import EvenPacer
 from sageturn.core.messages import EndpointListUpdate
-from sageturn.core.shutdown_schedule import shutdown_schedule
+from sageturn.core.shutdown_schedule import plan_shutdown
 from sageturn.relay import Relay
 
 # ---------------------------------------------------------------- names do not matter
@@ -211,7 +211,7 @@
     # It took 3.4 s everywhere, which only deadlines of 3 s and more allow: the last signal comes 0.7 s after
     # the longest, and what stands then is lost.
     request_class = read_settings(FERRY_SETTINGS).classes[0]
-    times = shutdown_schedule([replace(request_class, give_up_ms=wait_ms) for wait_ms in waits_ms])
+    times = plan_shutdown([replace(request_class, give_up_ms=wait_ms) for wait_ms in waits_ms])
     killed_s = min(3.0, max(waits_ms) / 1000.0) + 0.7
     assert times.exit_at_s <= killed_s - 0.25
     assert (
@@ -225,7 +225,7 @@
 
 def test_a_stop_of_the_first_deployment_keeps_its_times() -> None:
     request_class = read_settings(FERRY_SETTINGS).classes[0]
-    times = shutdown_schedule([replace(request_class, give_up_ms=3200.0)])
+    times = plan_shutdown([replace(request_class, give_up_ms=3200.0)])
     assert times.migration_start_s == 0.45 and times.exit_at_s == pytest.approx(3.4)
     assert times.forced_drain_at_s == pytest.approx(2.9) and times.migration_duration_s == pytest.approx(
         1.8, abs=0.01
@@ -238,7 +238,7 @@
     # step at the least. Their relay was back no sooner, and nobody served them for the time between.
     pace, left, gone = EvenPacer(), count, 0
     for step in range(steps):
-        due = pace.due(left, float(steps - step))
+        due = pace.take_due(left, float(steps - step))
         left, gone = left - due, gone + due
         assert abs(gone - count * (step + 1) / steps) <= 1.0
     assert left == 0
