--- a/sageturn/core/balancer_actor.py
+++ b/sageturn/core/balancer_actor.py
@@ -1,11 +1,10 @@
-"""The only caller of ``Balancer``: owns its clock, its timers and the requests' ids."""
+"""The only caller of ``Balancer``: owns its clock, its timers, and the directory of requests."""
 
 from __future__ import annotations
 
 import asyncio
 import logging
 from collections.abc import Callable, Iterable, Sequence
-from dataclasses import dataclass, field
 from typing import Protocol
 
 from sageturn import decision
@@ -15,19 +14,17 @@
 from sageturn.core.messages import (
     CancelAttempt,
     FinalResponse,
-    Instruction,
     RedirectClient,
     ResponseReason,
     StartAttempt,
 )
 from sageturn.core.request_counters import RequestCounters
+from sageturn.core.request_directory import RequestDirectory
 from sageturn.decision.balancer import Balancer
 
 log = logging.getLogger(__name__)
 
 MAX_QUEUED_EVENTS = 4096  # far more than all connections can have in flight at once
-MAX_QUEUED_INSTRUCTIONS = 8  # a response, an attempt and a redirect can be due together
-REQUEST_ID_COUNT = 1 << 32  # as many as the simulator's protocol has
 
 
 class BalancerObserver(Protocol):
@@ -43,17 +40,6 @@
         """Called when a graceful shutdown migrates a connection, which the balancer has not asked for."""
 
 
-@dataclass(slots=True, eq=False)
-class RequestHandle:
-    """Identifies one request to the balancer's actor, and carries its instructions to the lifecycle."""
-
-    id: int  # by which the balancer knows the request
-    log_id: str  # as the client named its request; the digits of ``id`` where it did not
-    instructions: asyncio.Queue[Instruction] = field(
-        default_factory=lambda: asyncio.Queue(MAX_QUEUED_INSTRUCTIONS)
-    )
-
-
 def ignore_health_check(endpoint: str) -> None:
     """Stands in for a client of health checks where the settings allow none."""
 
@@ -84,8 +70,7 @@
         self._balancer = Balancer(settings, seed)
         self._request_watch = request_watch
         self._mailbox: asyncio.Queue[decision.Event] = asyncio.Queue(MAX_QUEUED_EVENTS)
-        self._requests: dict[int, RequestHandle] = {}
-        self._last_id = 0
+        self.requests = RequestDirectory()
         self._timers: set[asyncio.TimerHandle] = set()
         self.placements: list[tuple[int, str]] | None = None  # tests record every placement here
         self.observers: list[BalancerObserver] = []
@@ -102,33 +87,13 @@
         """The balancer, for tests and measurements, which may look at its state; only the actor calls it."""
         return self._balancer
 
-    @property
-    def request_count(self) -> int:
-        """The number of requests that are registered now."""
-        return len(self._requests)
-
-    def new_request(self, client_request_id: str) -> RequestHandle:
-        """Register a request, which gets its instructions until ``remove_request``.
-
-        Args:
-            client_request_id: as the client named its request; empty where it did not.
-        """
-        self._last_id = (self._last_id + 1) % REQUEST_ID_COUNT
-        handle = RequestHandle(self._last_id, client_request_id or str(self._last_id))
-        self._requests[handle.id] = handle
-        return handle
-
-    def remove_request(self, request_id: int) -> None:
-        """Forget a request that has ended; later instructions for it are dropped."""
-        self._requests.pop(request_id, None)
-
     async def post_event(self, event: decision.Event) -> None:
         """Queue an event; waits while the mailbox is full, as backpressure on whoever floods it."""
         await self._mailbox.put(event)
 
     def migrate_connection(self, request_id: int) -> None:
         """Have an established connection's client reconnect, as a migration of the balancer's own does."""
-        self._instruct(request_id, RedirectClient())
+        self.requests.instruct(request_id, RedirectClient())
 
     def notify_migrated_by_shutdown(self, request_id: int) -> None:
         """Notify the observers that a graceful shutdown migrates the client of a request."""
@@ -169,15 +134,17 @@
                 log.exception(
                     "action failed action=%s request=%s",
                     type(action).__name__,
-                    self._log_id(getattr(action, "id", None)),
+                    self.requests.log_id(getattr(action, "id", None)),
                 )
 
     def _fail_event(self, event: decision.Event) -> None:
         """Answer only the event's own request: no other may lose its connection by the balancer's fault."""
         request_id: int | None = getattr(event, "id", None)
-        log.exception("balancer failed event=%s request=%s", type(event).__name__, self._log_id(request_id))
+        log.exception(
+            "balancer failed event=%s request=%s", type(event).__name__, self.requests.log_id(request_id)
+        )
         if request_id is not None:
-            self._instruct(request_id, FinalResponse(rejected=False, reason=ResponseReason.INTERNAL))
+            self.requests.instruct(request_id, FinalResponse(rejected=False, reason=ResponseReason.INTERNAL))
 
     def _notify(self, observer: BalancerObserver, callback: Callable[..., None], *arguments: object) -> None:
         """Call an observer, and remove it if it fails: no decision may wait for it, or be lost with it."""
@@ -193,19 +160,19 @@
                 self._check_slow_start(request_id, endpoint)
                 if self.placements is not None:
                     self.placements.append((request_id, endpoint))
-                self._instruct(request_id, StartAttempt(endpoint, timeout_ms))
+                self.requests.instruct(request_id, StartAttempt(endpoint, timeout_ms))
             case decision.RejectRequest(request_id, retry_after_ms):
                 response = FinalResponse(rejected=True, retry_after_ms=retry_after_ms, cause=self._cause())
-                self._instruct(request_id, response)
+                self.requests.instruct(request_id, response)
             case decision.FailRequest(request_id):
                 response = FinalResponse(
                     rejected=False, reason=ResponseReason.UNAVAILABLE, cause=self._cause()
                 )
-                self._instruct(request_id, response)
+                self.requests.instruct(request_id, response)
             case decision.AbandonAttempt(request_id, _):
-                self._instruct(request_id, CancelAttempt())
+                self.requests.instruct(request_id, CancelAttempt())
             case decision.MigrateConnection(request_id):
-                self._instruct(request_id, RedirectClient())
+                self.requests.instruct(request_id, RedirectClient())
             case decision.SetTimer(delay_ms, mark):
                 self._set_timer(delay_ms, mark)
             case decision.WatchEndpoints():
@@ -224,26 +191,10 @@
             self._known_overdrawn_turns = overdrawn
             self.monitor.report_violation(
                 Invariant.SLOW_START_TURN,
-                self._log_id(request_id),
+                self.requests.log_id(request_id),
                 f"{endpoint} was sent an attempt without a turn",
             )
 
-    def _instruct(self, request_id: int, instruction: Instruction) -> None:
-        handle = self._requests.get(request_id)
-        if handle is None:
-            return  # the connection closed before the balancer was notified
-        try:
-            handle.instructions.put_nowait(instruction)
-        except asyncio.QueueFull:
-            log.error("instruction lost, mailbox full request=%s instruction=%r", handle.log_id, instruction)
-
-    def _log_id(self, request_id: int | None) -> str:
-        """The id by which the log names a request; ``-`` for what belongs to none."""
-        if request_id is None:
-            return "-"
-        handle = self._requests.get(request_id)
-        return str(request_id) if handle is None else handle.log_id
-
     def _set_timer(self, delay_ms: float, mark: str) -> None:
         def on_timer() -> None:
             self._timers.discard(handle)
--- a/sageturn/core/request_context.py
+++ b/sageturn/core/request_context.py
@@ -7,11 +7,12 @@
 
 from sageturn import decision
 from sageturn.core.attempt_guard import AttemptGuard
-from sageturn.core.balancer_actor import BalancerActor, RequestHandle
+from sageturn.core.balancer_actor import BalancerActor
 from sageturn.core.close_reason import CloseReason, outcome_status
 from sageturn.core.connection_record import ConnectionRecord
 from sageturn.core.messages import ClientRequest
 from sageturn.core.proxy_transport import ProxyTransport
+from sageturn.core.request_directory import RequestHandle
 from sageturn.core.tasks import cancel_and_wait
 
 RESPONSE_MARGIN_MS = 15.0  # the final response has to travel too before the client gives up
@@ -83,7 +84,7 @@
     balancer_actor: BalancerActor, transport: ProxyTransport, request: ClientRequest
 ) -> RequestContext:
     """Register ``request`` with the balancer's actor; its time limits count from this moment."""
-    handle = balancer_actor.new_request(request.client_request_id)
+    handle = balancer_actor.requests.register(request.client_request_id)
     record = ConnectionRecord(request, balancer_actor.clock.now_ms(), log_id=handle.log_id)
     settings = balancer_actor.settings
     request_class = balancer_actor.classes.get(request.class_name, settings.classes[0])
--- a/sageturn/core/request_lifecycle.py
+++ b/sageturn/core/request_lifecycle.py
@@ -106,7 +106,7 @@
             await self._fail_internally()
         finally:
             await context.client.stop()
-            self._balancer_actor.remove_request(self.id)
+            self._balancer_actor.requests.remove(self.id)
             context.guard.check_closed(
                 is_answered=context.is_answered, has_client_left=context.client.has_left
             )
--- a/sageturn/lab/measurements/override_cost.py
+++ b/sageturn/lab/measurements/override_cost.py
@@ -44,7 +44,7 @@
     endpoints = [decision.Endpoint(f"h{number}") for number in range(ENDPOINT_COUNT)]
     handle(decision.EndpointListEvent("full", endpoints))
     placed: list[str] = []
-    balancer_actor._instruct = lambda _, action: placed.append(getattr(action, "endpoint", ""))  # type: ignore
+    balancer_actor.requests.instruct = lambda _, action: placed.append(getattr(action, "endpoint", ""))  # type: ignore
     started_s = time.perf_counter()
     for request_id in range(REQUEST_COUNT):
         group = f"g{request_id % GROUP_COUNT}"
--- a/tests/core/test_log_ids.py
+++ b/tests/core/test_log_ids.py
@@ -6,8 +6,9 @@
 
 import pytest
 
-from sageturn.core.balancer_actor import MAX_QUEUED_INSTRUCTIONS, BalancerActor
+from sageturn.core.balancer_actor import BalancerActor
 from sageturn.core.clock import Clock
+from sageturn.core.request_directory import MAX_QUEUED_INSTRUCTIONS
 from sageturn.core.tasks import cancel_and_wait
 from sageturn.decision import (
     Action,
@@ -38,7 +39,7 @@
 async def test_a_lost_instruction_names_its_request(
     balancer_actor: BalancerActor, caplog: pytest.LogCaptureFixture
 ) -> None:
-    request = balancer_actor.new_request("id7")
+    request = balancer_actor.requests.register("id7")
     for _ in range(MAX_QUEUED_INSTRUCTIONS + 1):
         balancer_actor.migrate_connection(request.id)
     assert caplog.messages == ["instruction lost, mailbox full request=id7 instruction=RedirectClient()"]
@@ -51,8 +52,8 @@
         raise ValueError("unforeseen")
 
     monkeypatch.setattr(balancer_actor.balancer, "handle", fail)
-    request = balancer_actor.new_request("id7")
-    unnamed = balancer_actor.new_request("")
+    request = balancer_actor.requests.register("id7")
+    unnamed = balancer_actor.requests.register("")
     events = (ClientDisconnected(request.id), ClientDisconnected(unnamed.id), TimerFired("mark"))
     await handle_all(balancer_actor, *events)
     assert caplog.messages == [
@@ -68,8 +69,8 @@
     def fail(request_id: int, instruction: object) -> None:
         raise ValueError("unforeseen")
 
-    monkeypatch.setattr(balancer_actor, "_instruct", fail)
-    request = balancer_actor.new_request("id7")
+    monkeypatch.setattr(balancer_actor.requests, "instruct", fail)
+    request = balancer_actor.requests.register("id7")
     actions = [PlaceRequest(request.id, "a", 500.0), MigrateConnection(request.id)]
     monkeypatch.setattr(balancer_actor.balancer, "handle", lambda now_ms, event: actions)
     await handle_all(balancer_actor, TimerFired("mark"))
--- a/tests/support/relay_checks.py
+++ b/tests/support/relay_checks.py
@@ -21,7 +21,7 @@
 def is_idle(relay: Relay) -> bool:
     """Nothing is left of any request, in the core or the balancer."""
     actor = relay.balancer_actor
-    return not relay.request_registry and actor.request_count == 0 and is_balancer_idle(actor)
+    return not relay.request_registry and not actor.requests and is_balancer_idle(actor)
 
 
 def record_balancer_events(relay: Relay, monkeypatch: pytest.MonkeyPatch) -> list[Event]:
