--- a/sageturn/core/balancer_actor.py
+++ b/sageturn/core/balancer_actor.py
@@ -72,7 +72,6 @@
         self._mailbox: asyncio.Queue[decision.Event] = asyncio.Queue(MAX_QUEUED_EVENTS)
         self.requests = RequestDirectory()
         self._timers: set[asyncio.TimerHandle] = set()
-        self.placements: list[tuple[int, str]] | None = None  # tests record every placement here
         self.observers: list[BalancerObserver] = []
         # Shared by all requests of the relay.
         self.monitor = InvariantMonitor()
@@ -158,8 +157,6 @@
         match action:
             case decision.PlaceRequest(request_id, endpoint, timeout_ms):
                 self._check_slow_start(request_id, endpoint)
-                if self.placements is not None:
-                    self.placements.append((request_id, endpoint))
                 self.requests.instruct(request_id, StartAttempt(endpoint, timeout_ms))
             case decision.RejectRequest(request_id, retry_after_ms):
                 response = FinalResponse(rejected=True, retry_after_ms=retry_after_ms, cause=self._cause())
--- a/sageturn/relay/relay.py
+++ b/sageturn/relay/relay.py
@@ -89,9 +89,7 @@
         self.ingress = RelayIngress(listeners, self.admission)
         self._health_checks = HealthCheckSubsystem(config, self.context)
         self._discovery = DiscoverySubsystem(self.discovery, self.endpoint_registry)
-        self.state_reporter = RelayStateReporter(
-            make_state_publisher(self.store, "relay"), self._collect_state, self._replication.state_interval_s
-        )
+        self.state_reporter = self._make_state_reporter()
         self._reloader = ConfigReloader(lambda: self.config, read_config, self.apply_config)
         self.subsystems = self._list_subsystems()
         log_level.apply()
@@ -108,6 +106,10 @@
             is_out_of_service=never_out_of_service if overrides is None else overrides.is_out_of_service,
         )
 
+    def _make_state_reporter(self) -> RelayStateReporter:
+        publish = make_state_publisher(self.store, "relay")
+        return RelayStateReporter(publish, self._collect_state, self._replication.state_interval_s)
+
     def _list_subsystems(self) -> tuple[Subsystem, ...]:
         """Return all subsystems, in the order in which they start and take a new configuration."""
         subsystems: list[Subsystem] = [
--- a/tests/core/test_attempt_races.py
+++ b/tests/core/test_attempt_races.py
@@ -12,7 +12,7 @@
 import pytest
 from support.event_loop import until
 from support.network_fakes import SETTINGS, FakeEndpoint, ask, first_line, relaying, silent, up
-from support.relay_checks import is_idle
+from support.relay_checks import is_idle, record_placements
 
 from sageturn.core.close_reason import CloseReason
 from sageturn.core.messages import EndpointListUpdate
@@ -332,7 +332,7 @@
     # What is read after a shutdown and forwarded is lost, and a close over unread bytes resets the answer.
     monkeypatch.setattr(platform_frontend, "REQUEST_LINE_TIMEOUT_S", 0.1 if end == "out of time" else 5.0)
     async with relaying(tmp_path, up) as (relay, (endpoint,)):
-        relay.balancer_actor.placements = []
+        placements = record_placements(relay)
         client = socket.create_connection(relay.listener.address)
         send_as_connection_closes(client, monkeypatch, after_shutdown=after_shutdown)
         client.settimeout(5)
@@ -347,4 +347,4 @@
         assert not is_reset(client)
         client.close()
         await until(lambda: not relay.admission.connection_count)
-        assert relay.balancer_actor.placements == [] and not endpoint.lines
+        assert placements == [] and not endpoint.lines
--- a/tests/frontends/test_xmpp_frontend.py
+++ b/tests/frontends/test_xmpp_frontend.py
@@ -12,6 +12,7 @@
 from support.event_loop import until
 from support.network_fakes import SETTINGS as CONF
 from support.network_fakes import ask, first_line
+from support.relay_checks import Placement, record_placements
 from support.xmpp_fakes import HEADER, SASL, TLS, Act, Client, Server, echo, encode_base64, rejects
 from support.xmpp_relay import CA, CERT, client_tls, relaying_xmpp, server_tls, write_operator, xmpp_address
 
@@ -31,16 +32,17 @@
 async def test_session_is_established_over_tls_and_restarted_streams_are_one_request(tmp_path: Path) -> None:
     # The stream starts three times, for TLS and SASL; only the bind is a request, and it is placed once.
     async with relaying_xmpp(tmp_path, lambda server: echo(server, server_tls()), tls=True) as (relay, _):
+        placements = record_placements(relay)
         client = await Client.connect(xmpp_address(relay))
         await client.login(client_tls())
-        assert relay.balancer_actor.placements == []
+        assert placements == []
         assert await client.bind("desk") == "relay@guides.example/desk"
         message = "<message to='x' id=\"q>1\"><body>a &amp; b &lt; c</body><e a='>'/></message>"
         client.send(message[:20])
         await asyncio.sleep(0.02)
         client.send(message[20:])
         assert (await client.read_until("<message.*?</message>"))[0] == message  # as it stood on the wire
-        assert len(relay.balancer_actor.placements) == 1
+        assert len(placements) == 1
         client.send("</stream:stream>")
         assert (await client.read_rest()).strip() == "</stream:stream>"
 
@@ -48,6 +50,7 @@
 @pytest.mark.timeout(30)
 async def test_plain_is_offered_under_tls_and_a_wrong_password_is_no_request(tmp_path: Path) -> None:
     async with relaying_xmpp(tmp_path, echo) as (relay, _):
+        placements = record_placements(relay)
         client = await Client.connect(xmpp_address(relay))
         await client.login(client_tls(), plain=True)
         assert (await client.bind()).endswith("lan/desk")
@@ -57,7 +60,7 @@
                 async with asyncio.timeout(1):
                     await wrong.login(client_tls(), password="nope", plain=plain)
             assert "<not-authorized/>" in wrong.unread
-        assert len(relay.balancer_actor.placements or ()) == 1
+        assert len(placements) == 1
 
 
 @pytest.mark.parametrize(
@@ -168,7 +171,7 @@
 class Played(NamedTuple):
     """Where the requests of a play were placed, and how each was answered."""
 
-    placements: list[tuple[int, str]]
+    placements: list[Placement]
     answers: list[str]
 
 
@@ -180,6 +183,7 @@
     (folder / frontends).mkdir()
     async with relaying_xmpp(folder / frontends, *acts) as (relay, _):
         await until(lambda: relay.endpoint_registry.version == 2)
+        placements = record_placements(relay)
         answers: list[str] = []
         clients: list[object] = []
         for frontend in frontends:
@@ -194,7 +198,7 @@
                 reader, writer = await ask(relay.listener.address, first_line())
                 answers.append(ANSWERS[(await reader.readline()).split()[0].decode()])
                 clients.append(writer)
-        return Played(relay.balancer_actor.placements or [], answers)
+        return Played(placements, answers)
 
 
 @pytest.mark.parametrize(
--- a/tests/support/relay_checks.py
+++ b/tests/support/relay_checks.py
@@ -1,11 +1,14 @@
-"""Means of tests that run a whole relay: a time limit, polling, and whether anything is left behind."""
+"""Checks and recorders for tests that run a whole relay."""
 
 from __future__ import annotations
 
+from collections.abc import Sequence
+from typing import NamedTuple
+
 import pytest
 
 from sageturn.core.balancer_actor import BalancerActor
-from sageturn.decision import Action, Event
+from sageturn.decision import Action, Event, PlaceRequest
 from sageturn.relay import Relay
 
 
@@ -24,6 +27,38 @@
     return not relay.request_registry and not actor.requests and is_balancer_idle(actor)
 
 
+class Placement(NamedTuple):
+    """A request, by the balancer's number, and the endpoint at which its attempt was placed."""
+
+    request_id: int
+    endpoint: str
+
+
+class PlacementRecorder:
+    """Observes a balancer, and records its placements."""
+
+    def __init__(self) -> None:
+        self.placements: list[Placement] = []
+
+    def before_event(self, now_ms: float, event: Event) -> None:
+        pass
+
+    def after_event(self, now_ms: float, event: Event, actions: Sequence[Action]) -> None:
+        for action in actions:
+            if isinstance(action, PlaceRequest):
+                self.placements.append(Placement(action.id, action.endpoint))
+
+    def on_migrated_by_others(self, now_ms: float, request_id: int) -> None:
+        pass
+
+
+def record_placements(relay: Relay) -> list[Placement]:
+    """A list to which every placement of the relay's balancer is added from now on."""
+    recorder = PlacementRecorder()
+    relay.balancer_actor.observers.append(recorder)
+    return recorder.placements
+
+
 def record_balancer_events(relay: Relay, monkeypatch: pytest.MonkeyPatch) -> list[Event]:
     """A list to which each event is added just before the relay's balancer handles it."""
     events: list[Event] = []
--- a/tests/support/xmpp_relay.py
+++ b/tests/support/xmpp_relay.py
@@ -110,7 +110,6 @@
         names, discovery = await serve_all(stack, endpoints)
         file = write_config(folder, discovery.address, listed(names))
         relay = Relay(load({"GW_CONFIG": str(file)}, str(write_operator(folder, tls, **more))))
-        relay.balancer_actor.placements = []
         relay.start()
         stack.push_async_callback(relay.stop)
         yield relay, endpoints
