--- a/sageturn/core/request_lifecycle.py
+++ b/sageturn/core/request_lifecycle.py
@@ -1,4 +1,4 @@
-"""One client request from its arrival to its end: attempts that never overlap, and one final response.
+"""Runs one client request from its arrival to its end: no overlapping attempts, one final response.
 
 A frontend supplies a ``ProxyTransport`` for each client; what must hold for every protocol is here and in the
 stages: ``RequestAttempts`` with its ``PreWriteChecks``, ``EstablishedTraffic`` and ``ConnectionAdoption``.
@@ -23,8 +23,10 @@
     FinalResponse,
     Instruction,
     RedirectClient,
+    ResponseCause,
+    ResponseReason,
     StartAttempt,
-    request_arrival,
+    make_request_arrived,
 )
 from sageturn.core.pre_write_checks import PreWriteChecks
 from sageturn.core.proxy_transport import ProxyTransport
@@ -76,18 +78,18 @@
         return self.record.was_established and self.record.close_reason is None
 
     def begin_drain(self) -> None:
-        """The relay is about to stop: the client is migrated, unless that has been asked for already."""
+        """Have the client migrated, because the relay is about to stop. A second call changes nothing."""
         if not self.drain_requested.is_set():
             self.drain_requested.set()
             if self.is_established:
                 self._balancer_actor.notify_migrated_by_shutdown(self.id)
 
     def force_drain(self) -> None:
-        """The relay is about to stop: a request that isn't served yet is answered now."""
+        """Have a request that isn't served yet answered now, because the relay is about to stop."""
         self.drain_forced.set()
 
     async def run(self) -> ConnectionRecord:
-        """Returns the record once the connection has closed, or the request has been answered."""
+        """Run the request. Returns its record once the connection has closed, or the request is answered."""
         context = self._context
         context.client.start()
         try:
@@ -97,14 +99,14 @@
                 ).run()
             else:
                 await self._balancer_actor.post_event(
-                    request_arrival(self.id, context.deadline_ms, self.record.request)
+                    make_request_arrived(self.id, context.deadline_ms, self.record.request)
                 )
                 await self._follow_instructions()
         except Exception:
             await self._fail_internally()
         finally:
             await context.client.stop()
-            self._balancer_actor.remove_request(self.id)
+            self._balancer_actor.requests.remove(self.id)
             context.guard.check_closed(
                 is_answered=context.is_answered, has_client_left=context.client.has_left
             )
@@ -140,11 +142,12 @@
             raise DecisionOverdueError(context.handle.log_id) from error
 
     async def _fail_internally(self) -> None:
-        """No fault of this program may leave a client unanswered, or the balancer with a stale request."""
+        """Answer the client after a fault of this program, and have the balancer forget the request."""
         context = self._context
         log.exception("request failed request=%s", context.handle.log_id)
         await self._balancer_actor.post_event(decision.ClientDisconnected(self.id))
         close_reason = self.record.close_reason or CloseReason.CANCELLED
         attempt = max(0, self.record.attempts - 1)
         await context.post_outcome(attempt, self.record.endpoint, close_reason, final=True)
-        await self._responder.send(FinalResponse(rejected=False, reason="internal", cause="internal"))
+        response = FinalResponse(rejected=False, reason=ResponseReason.INTERNAL, cause=ResponseCause.INTERNAL)
+        await self._responder.send(response)
--- a/sageturn/relay/relay.py
+++ b/sageturn/relay/relay.py
@@ -14,7 +14,7 @@
 from sageturn.core.handled_signals import HANDLED_SIGNALS, SHUTDOWN_SIGNALS
 from sageturn.core.messages import EndpointListUpdate, WatchFailed
 from sageturn.core.request_registry import RequestRegistry
-from sageturn.core.shutdown_schedule import shutdown_schedule
+from sageturn.core.shutdown_schedule import plan_shutdown
 from sageturn.flows.exporter import FlowExporter
 from sageturn.frontends.platform.frontend import PlatformFrontend
 from sageturn.net.admission import AdmissionController
@@ -26,7 +26,7 @@
 from sageturn.relay.ingress import RelayIngress
 from sageturn.relay.operator_control import OverridesSubsystem, RebalancingSubsystem
 from sageturn.relay.reload import ConfigReloader, ReadConfig, log_config_applied
-from sageturn.relay.state_record import RelayState, RelayStateReporter, state_publisher
+from sageturn.relay.state_record import RelayState, RelayStateReporter, make_state_publisher
 from sageturn.relay.stored_log_level import StoredLogLevel
 from sageturn.relay.subsystem import Subsystem
 from sageturn.relay.subsystems import (
@@ -45,13 +45,11 @@
     from sageturn.rebalance.driver import Rebalancer
     from sageturn.store.replication.member import ReplicationMember
 
-# The loop turns before anybody can connect: a front proxy sends clients to a relay that was killed as soon as
-# it listens, and those it keeps waiting for its own start lose that much of their time.
-START_DELAY_S = 0.001
+START_DELAY_S = 0.001  # the loop turns once before it listens, as a front proxy sends clients at once
 
 
 class Relay:
-    """One relay. Its sockets are bound once it is made; it serves from ``start`` to ``stop``."""
+    """A relay. Its sockets are bound once it is made; it serves from ``start`` to ``stop``."""
 
     rebalancing_type = RebalancingSubsystem  # the laboratory puts another in its place
 
@@ -63,7 +61,7 @@
             config.settings, config.seed, Clock(), self._request_watch, self._check_endpoint_health
         )
         self.store = Store(config.name, config.operator.store_path)
-        self.request_registry = RequestRegistry(shutdown_schedule(config.settings.classes))
+        self.request_registry = RequestRegistry(plan_shutdown(config.settings.classes))
         self._rebalancing = self.rebalancing_type(
             config, self.balancer_actor, self.request_registry, self.store
         )
@@ -91,15 +89,13 @@
         self.ingress = RelayIngress(listeners, self.admission)
         self._health_checks = HealthCheckSubsystem(config, self.context)
         self._discovery = DiscoverySubsystem(self.discovery, self.endpoint_registry)
-        self.state_reporter = RelayStateReporter(
-            state_publisher(self.store, "relay"), self._collect_state, self._replication.state_interval_s
-        )
+        self.state_reporter = self._make_state_reporter()
         self._reloader = ConfigReloader(lambda: self.config, read_config, self.apply_config)
         self.subsystems = self._list_subsystems()
         log_level.apply()
 
     def _make_endpoint_registry(self) -> EndpointRegistry:
-        """Where there are overrides, the list's events pass through them on their way to the balancer."""
+        """Make the registry; its events pass through the overrides, where there are any, to the balancer."""
         overrides = self._overrides.actor
         return EndpointRegistry(
             self.config.known_endpoints,
@@ -110,8 +106,12 @@
             is_out_of_service=never_out_of_service if overrides is None else overrides.is_out_of_service,
         )
 
+    def _make_state_reporter(self) -> RelayStateReporter:
+        publish = make_state_publisher(self.store, "relay")
+        return RelayStateReporter(publish, self._collect_state, self._replication.state_interval_s)
+
     def _list_subsystems(self) -> tuple[Subsystem, ...]:
-        """In the order in which they start, and take a new configuration."""
+        """Return all subsystems, in the order in which they start and take a new configuration."""
         subsystems: list[Subsystem] = [
             self._replication,
             self.ingress,
@@ -201,7 +201,7 @@
         log_config_applied(old, new)
 
     async def stop(self) -> None:
-        """At once: whatever is still established is cut off."""
+        """Stop at once: connections that are still established are cut off."""
         # Those that dial out come first, then the actors, and last what the actors use.
         for subsystem in (self._discovery, self._health_checks, self._replication):
             await subsystem.stop()
