--- a/sageturn/cli/connection.py
+++ b/sageturn/cli/connection.py
@@ -19,15 +19,15 @@
 
 @dataclass(frozen=True, slots=True)
 class DaemonConnection:
-    """``address`` is HOST:PORT of a daemon's store; the file holds the secret that the replicas share."""
+    """Where a daemon's store is reached, and with which secret."""
 
-    address: str
-    secret_file: Path
+    address: str  # HOST:PORT
+    secret_file: Path  # holds the secret that the replicas share
 
     def run(self, action: Callable[[Store], Awaitable[Result]]) -> Result:
-        """Run an action on a synchronized copy of the daemon's store.
+        """Runs an action on a synchronized copy of the daemon's store. Returns the action's result.
 
-        What the action writes has reached the daemon when this returns. On a failure the command ends.
+        The action's writes have reached the daemon when this returns. On a failure the command ends.
         """
         secret = self._read_secret()
 
--- a/sageturn/cli/exit_codes.py
+++ b/sageturn/cli/exit_codes.py
@@ -10,7 +10,7 @@
 
 
 class ExitCode(IntEnum):
-    """As documented for operators; 0 is success."""
+    """The exit codes that operators' documents list; 0 is success."""
 
     REFUSED = 1
     USAGE = 2
@@ -19,6 +19,10 @@
 
 
 def fail(code: ExitCode, message: str) -> NoReturn:
-    """End the command: the message goes to standard error."""
+    """Ends the command: the message goes to standard error.
+
+    Raises:
+        typer.Exit: Always, with the exit code.
+    """
     print(f"sageturn: {message}", file=sys.stderr)
     raise typer.Exit(int(code))
--- a/sageturn/cli/lab.py
+++ b/sageturn/cli/lab.py
@@ -1,6 +1,7 @@
 """``sageturn lab``: experiments, comparisons and searches in simulated time.
 
 The docstrings of the commands and the ``help`` texts are what users read in the command's help.
+A command has a parameter for each of its options, however many these are.
 """
 
 from __future__ import annotations
@@ -8,7 +9,7 @@
 import json
 import os
 from pathlib import Path
-from typing import Annotated, Any
+from typing import Annotated
 
 import msgspec
 import typer
@@ -56,7 +57,7 @@
 
 
 def _find_variant(experiment: Experiment, name: str) -> Variant:
-    """The variant of this name; the first for an empty name."""
+    """Returns the variant of this name; the first for an empty name."""
     for variant in experiment.variants:
         if not name or variant.name == name:
             return variant
@@ -64,7 +65,7 @@
 
 
 def _find_scenario(experiment: Experiment, name: str) -> Scenario:
-    """The scenario of this name; the first for an empty name."""
+    """Returns the scenario of this name; the first for an empty name."""
     for scenario in experiment.scenarios:
         if not name or scenario.name == name:
             return scenario
@@ -72,7 +73,7 @@
 
 
 def _print_table(rows: list[list[str]], title: str = "") -> None:
-    """Print rows of cells; the first has the columns' names."""
+    """Prints rows of cells; the first has the columns' names."""
     table = Table(*rows[0], title=title or None, box=None)
     for row in rows[1:]:
         table.add_row(*row)
@@ -118,7 +119,7 @@
     _print_table(rows, metric)
 
 
-def _encode_difference(difference: Difference) -> dict[str, Any]:
+def _encode_difference(difference: Difference) -> dict[str, object]:
     return {
         "metric": difference.metric,
         "scenario": difference.scenario,
@@ -174,9 +175,12 @@
 
     crossing = find_crossing(points, bound, measure)
     if as_json:
-        print(json.dumps({"points": [[p.value, p.metric] for p in points], "breaks_at": crossing}))
+        print(
+            json.dumps({"points": [[point.value, point.metric] for point in points], "breaks_at": crossing})
+        )
         return
-    _print_table([[knob, metric], *([f"{p.value:g}", f"{p.metric:.4f}"] for p in points)], played.name)
+    rows = [[f"{point.value:g}", f"{point.metric:.4f}"] for point in points]
+    _print_table([[knob, metric], *rows], played.name)
     if crossing is None:
         print(f"{metric} does not cross {bound:g}")
     else:
@@ -243,7 +247,7 @@
         variant,
         found.head["policies"][variant.name],
     )
-    same: dict[str, Any] = {key: replayed[key] == recorded[key] for key in ("metrics", "counts", "series")}
+    same: dict[str, bool] = {key: replayed[key] == recorded[key] for key in ("metrics", "counts", "series")}
     print(json.dumps(same))
     if not all(same.values()):
         raise typer.Exit(int(ExitCode.REFUSED))
--- a/sageturn/cli/main.py
+++ b/sageturn/cli/main.py
@@ -20,7 +20,7 @@
 
 
 def build_app(include_lab: bool = True) -> typer.Typer:
-    """The command with its subcommands; ``lab`` only where its dependencies are installed."""
+    """Builds the command with its subcommands; ``lab`` only where its dependencies are installed."""
     app = typer.Typer(no_args_is_help=True, pretty_exceptions_enable=False, help="A relay, and what runs it.")
     app.callback()(_describe_exit_codes)
     app.add_typer(override.app, name="override")
@@ -33,7 +33,7 @@
 
 
 def main() -> None:
-    """The entry point of the installed command."""
+    """Runs the installed command."""
     command = sys.argv[1] if len(sys.argv) > 1 else ""
     app = build_app(include_lab=command not in OPERATOR_COMMANDS)
     app()
--- a/sageturn/cli/override.py
+++ b/sageturn/cli/override.py
@@ -1,22 +1,28 @@
 """``sageturn override``: endpoints out of service, weights, pins and holds, each with an expiry.
 
 The docstrings of the commands and the ``help`` texts are what operators read in the command's help.
+A command has a parameter for each of its options, however many these are.
 """
 
 from __future__ import annotations
 
 from pathlib import Path
-from typing import Annotated, Any
+from typing import Annotated
 
 import typer
+from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PrivateKey
 
 from sageturn.cli.connection import DaemonConnection
 from sageturn.cli.exit_codes import ExitCode, fail
 from sageturn.cli.options import AsJson, Connect, SecretFile
 from sageturn.cli.override_explanation import EndpointExplanation, explain_endpoint, print_explanation
 from sageturn.cli.override_output import (
+    HistoryRow,
+    OverrideDetails,
     OverrideSummary,
+    collect_details,
     history_rows,
+    print_details,
     print_history,
     print_json,
     print_list,
@@ -55,7 +61,7 @@
 
 
 @app.command("set")
-def set_override(  # longer than other functions: one parameter for each option of the command
+def set_override(  # over 40 lines, of which 20 are options
     kind: Annotated[str, typer.Argument(metavar="KIND", help="out, weight, pin or hold.")],
     reason: ReasonOption,
     expiry: ExpiryOption,
@@ -108,7 +114,7 @@
     )
     running_endpoint = endpoint if this_start else ""
     override = NewOverride(payload, operator, reason, expiry, force, running_endpoint)
-    print_submission(override.submit(DaemonConnection(connect, secret_file), key), as_json)
+    _submit(override, key, DaemonConnection(connect, secret_file), as_json)
 
 
 def _parse_kind(text: str) -> OverrideKind:
@@ -121,7 +127,7 @@
 def _parse_selector(
     kind: OverrideKind, options: dict[SelectorAttribute, str], pinned_endpoints: list[str] | None
 ) -> Selector | None:
-    """The selector of the one option that is given; None for a pin, which has ``--to`` in its place."""
+    """Returns the selector of the one option that is given; None for a pin, which has ``--to`` instead."""
     given = [Selector(attribute, value) for attribute, value in options.items() if value]
     if kind is OverrideKind.PIN:
         if given or not pinned_endpoints:
@@ -144,9 +150,8 @@
     as_json: AsJson = False,
 ) -> None:
     """Give an override another end, later or sooner."""
-    key = load_private_key(key_file)
-    update = OverrideUpdate(override_id, OperationType.EXTEND, operator, reason, expiry)
-    print_submission(update.submit(DaemonConnection(connect, secret_file), key), as_json)
+    extension = OverrideUpdate(override_id, OperationType.EXTEND, operator, reason, expiry)
+    _submit(extension, load_private_key(key_file), DaemonConnection(connect, secret_file), as_json)
 
 
 @app.command()
@@ -160,9 +165,15 @@
     as_json: AsJson = False,
 ) -> None:
     """End an override now, for good."""
-    key = load_private_key(key_file)
-    update = OverrideUpdate(override_id, OperationType.REVOKE, operator, reason)
-    print_submission(update.submit(DaemonConnection(connect, secret_file), key), as_json)
+    revocation = OverrideUpdate(override_id, OperationType.REVOKE, operator, reason)
+    _submit(revocation, load_private_key(key_file), DaemonConnection(connect, secret_file), as_json)
+
+
+def _submit(
+    change: NewOverride | OverrideUpdate, key: Ed25519PrivateKey, daemon: DaemonConnection, as_json: bool
+) -> None:
+    """Writes the change, and prints how the relays have answered."""
+    print_submission(change.submit(daemon, key), as_json)
 
 
 # ---------------------------------------------------------------- reading
@@ -195,40 +206,29 @@
 def show(override_id: str, connect: Connect, secret_file: SecretFile, as_json: AsJson = False) -> None:
     """One override whole, and what each relay says of it."""
 
-    async def read_details(store: Store) -> dict[str, Any]:
+    async def read_details(store: Store) -> OverrideDetails:
         view = OverrideView(store, unix_time_ms())
-        override = view.get_override(override_id)
-        suspended = {
-            node: state.suspended[override_id]
-            for node, state in view.states.items()
-            if override_id in state.suspended
-        }
-        return {
-            **summarize(view, override).to_json(),
-            "relays": view.status_by_relay(override),
-            "suspended": suspended,
-        }
+        return collect_details(view, view.get_override(override_id))
 
     details = DaemonConnection(connect, secret_file).run(read_details)
     if as_json:
-        print_json(details)
-        return
-    for name, value in details.items():
-        print(f"{name:10} {value}")
+        print_json(details.to_json())
+    else:
+        print_details(details)
 
 
 @app.command()
 def history(override_id: str, connect: Connect, secret_file: SecretFile, as_json: AsJson = False) -> None:
     """Every word said of an override, by whom and when."""
 
-    async def read_history(store: Store) -> list[dict[str, Any]]:
+    async def read_history(store: Store) -> list[HistoryRow]:
         return history_rows(OverrideView(store, unix_time_ms()), override_id)
 
     rows = DaemonConnection(connect, secret_file).run(read_history)
     if not rows:
         fail(ExitCode.NOT_FOUND, f"{override_id}: there is no such override")
     if as_json:
-        print_json(rows)
+        print_json([row.to_json() for row in rows])
     else:
         print_history(rows)
 
--- a/sageturn/cli/override_explanation.py
+++ b/sageturn/cli/override_explanation.py
@@ -1,9 +1,8 @@
-"""Explains how overrides make relays treat an endpoint as they do."""
+"""Explains which overrides affect an endpoint, and to what effect."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
-from typing import Any
 
 from sageturn.cli.override_output import OverrideSummary, describe_payload, summarize
 from sageturn.cli.override_view import OverrideView
@@ -24,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointExplanation:
-    """The state that discovery reports, the effect of all overrides, and each of these."""
+    """An endpoint's listed state, the effect of all overrides on it, and these overrides."""
 
     endpoint: str
     listed_state: str
@@ -36,8 +35,8 @@
         """The state in which relays treat the endpoint."""
         return "out of service" if self.effect.out_of_service else self.listed_state
 
-    def to_json(self) -> dict[str, Any]:
-        """The object that ``--json`` prints."""
+    def to_json(self) -> dict[str, object]:
+        """Returns the object that ``--json`` prints."""
         return {
             "host": self.endpoint,
             "listed": self.listed_state,
@@ -53,7 +52,7 @@
 
 
 def explain_endpoint(view: OverrideView, name: str) -> EndpointExplanation:
-    """Resolve the overrides in force, and collect those that concern the endpoint."""
+    """Resolves the overrides in force, and collects those that concern the endpoint."""
     endpoint = view.endpoints().get(name)
     resolver = view.make_resolver()
     involved = [
@@ -73,7 +72,7 @@
 
 
 def print_explanation(explanation: EndpointExplanation) -> None:
-    """Print the explanation as text."""
+    """Prints the explanation as text."""
     effect = explanation.effect
     print(
         f"{explanation.endpoint}: {explanation.effective_state} "
--- a/sageturn/cli/override_output.py
+++ b/sageturn/cli/override_output.py
@@ -1,4 +1,4 @@
-"""What the override commands print: summaries, tables and JSON."""
+"""Prints overrides for the commands: summaries, tables and JSON."""
 
 from __future__ import annotations
 
@@ -6,7 +6,6 @@
 import os
 from collections.abc import Iterable
 from dataclasses import dataclass
-from typing import Any
 
 from rich.console import Console
 from rich.table import Table
@@ -18,7 +17,8 @@
 from sageturn.overrides.model import Override
 from sageturn.overrides.operations import OverrideKind, OverrideOperation, OverridePayload
 
-UNATTENDED_WIDTH = 200  # columns of a table that goes to a file or a pipe
+UNATTENDED_WIDTH = 200  # characters a line, of a table that goes to a file or a pipe
+EXPIRY_EVENT = "lapse"  # in the history, beside the types of operations
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,8 +29,8 @@
     status: str
     remaining: str
 
-    def to_json(self) -> dict[str, Any]:
-        """The object that ``--json`` prints."""
+    def to_json(self) -> dict[str, object]:
+        """Returns the object that ``--json`` prints."""
         override = self.override
         return {
             "id": override.id,
@@ -47,14 +47,66 @@
         }
 
 
+@dataclass(frozen=True, slots=True)
+class OverrideDetails:
+    """One override, and how each relay treats it."""
+
+    summary: OverrideSummary
+    status_by_relay: dict[str, str]  # by node
+    suspended: dict[str, str]  # by node: why the safety limits suspend it there
+
+    def to_json(self) -> dict[str, object]:
+        """Returns the object that ``--json`` prints."""
+        return {
+            **self.summary.to_json(),
+            "relays": self.status_by_relay,
+            "suspended": self.suspended,
+        }
+
+
+@dataclass(frozen=True, slots=True)
+class HistoryRow:
+    """One operation on an override, or its expiry; texts that do not apply are empty."""
+
+    revision: int
+    event: str
+    time: str
+    operator: str = ""
+    expires: str = ""
+    reason: str = ""
+    rejection: str = ""  # why relays reject the operation
+
+    def to_json(self) -> dict[str, object]:
+        """Returns the object that ``--json`` prints, whose keys are the columns of the table."""
+        return {
+            "revision": self.revision,
+            "word": self.event,
+            "at": self.time,
+            "operator": self.operator,
+            "until": self.expires,
+            "why": self.reason,
+            "refused": self.rejection,
+        }
+
+
 def summarize(view: OverrideView, override: Override) -> OverrideSummary:
-    """Collect what every command shows of an override."""
+    """Returns the values that every command shows of an override."""
     remaining = format_duration(override.expires_at_ms - view.now_ms)
     return OverrideSummary(override, view.status(override), remaining)
 
 
+def collect_details(view: OverrideView, override: Override) -> OverrideDetails:
+    """Returns an override with the status and the suspension that each relay reports."""
+    suspended = {
+        node: state.suspended[override.id]
+        for node, state in view.states.items()
+        if override.id in state.suspended
+    }
+    return OverrideDetails(summarize(view, override), view.status_by_relay(override), suspended)
+
+
 def describe_payload(payload: OverridePayload) -> str:
-    """What an override does, in a few words."""
+    """Describes what an override does, in a few words."""
     if payload.kind is OverrideKind.PIN:
         return _describe_pin(payload)
     target = f"{payload.selector.attribute} {payload.selector.value}" if payload.selector else ""
@@ -79,13 +131,13 @@
     return f"{strength} pin of {traffic} to {', '.join(payload.endpoints)}"
 
 
-def print_json(value: Any) -> None:
-    """Print a value on one line; text is not escaped to ASCII."""
+def print_json(value: object) -> None:
+    """Prints a value on one line; text is not escaped to ASCII."""
     print(json.dumps(value, ensure_ascii=False))
 
 
 def print_submission(result: SubmissionResult, as_json: bool) -> None:
-    """Print the relays' answers; the command ends with a failure if one rejects the operation."""
+    """Prints the relays' answers; the command ends with a failure if one rejects the operation."""
     if result.rejection:
         fail(ExitCode.REFUSED, result.rejection)
     operation = result.operation
@@ -104,7 +156,7 @@
 
 
 def print_list(summaries: Iterable[OverrideSummary]) -> None:
-    """Print a table with a row for each override."""
+    """Prints a table with a row for each override."""
     table = Table("id", "does", "status", "ends in", "until", "by", "why", box=None)
     for summary in summaries:
         override = summary.override
@@ -120,35 +172,39 @@
     _print_table(table)
 
 
-def history_rows(view: OverrideView, override_id: str) -> list[dict[str, Any]]:
-    """One row for each operation on an override, and one for its expiry."""
+def print_details(details: OverrideDetails) -> None:
+    """Prints a line for each value of ``OverrideDetails.to_json``."""
+    for name, value in details.to_json().items():
+        print(f"{name:10} {value}")
+
+
+def history_rows(view: OverrideView, override_id: str) -> list[HistoryRow]:
+    """Returns a row for each operation on an override, and one for its expiry."""
     operations = sorted(view.operations.get(override_id, []), key=lambda operation: operation.rank)
     rows = [_history_row(view, operation) for operation in operations]
     override = view.overrides.get(override_id)
     if override is not None and view.has_expired(override):
-        expired_at = format_instant(override.expires_at_ms)
-        expiry = {"revision": override.revision, "word": "lapse", "at": expired_at}
-        rows.append({**dict.fromkeys(rows[0], ""), **expiry})
+        rows.append(HistoryRow(override.revision, EXPIRY_EVENT, format_instant(override.expires_at_ms)))
     return rows
 
 
-def _history_row(view: OverrideView, operation: OverrideOperation) -> dict[str, Any]:
-    return {
-        "revision": operation.revision,
-        "word": operation.type.value,
-        "at": format_instant(operation.created_at_ms),
-        "operator": operation.operator,
-        "until": format_instant(operation.expires_at_ms) if operation.expires_at_ms else "",
-        "why": operation.reason,
-        "refused": view.rejected_records.get(operation.key, ""),
-    }
+def _history_row(view: OverrideView, operation: OverrideOperation) -> HistoryRow:
+    return HistoryRow(
+        revision=operation.revision,
+        event=operation.type.value,
+        time=format_instant(operation.created_at_ms),
+        operator=operation.operator,
+        expires=format_instant(operation.expires_at_ms) if operation.expires_at_ms else "",
+        reason=operation.reason,
+        rejection=view.rejected_records.get(operation.key, ""),
+    )
 
 
-def print_history(rows: list[dict[str, Any]]) -> None:
-    """Print the rows of ``history_rows``, of which there must be one at least."""
-    table = Table(*rows[0], box=None)
+def print_history(rows: list[HistoryRow]) -> None:
+    """Prints the rows of ``history_rows``, of which there must be one at least."""
+    table = Table(*rows[0].to_json(), box=None)
     for row in rows:
-        table.add_row(*(str(value) for value in row.values()))
+        table.add_row(*(str(value) for value in row.to_json().values()))
     _print_table(table)
 
 
--- a/sageturn/cli/override_requests.py
+++ b/sageturn/cli/override_requests.py
@@ -1,4 +1,4 @@
-"""The changes that an operator asks for: each is checked against the store and written as an operation."""
+"""The changes that an operator requests: each is checked against the store and written as an operation."""
 
 from __future__ import annotations
 
@@ -37,11 +37,11 @@
     operator: str
     reason: str
     expiry: str
-    forced_because: str = ""  # why the safety limits are not to suspend it
-    running_endpoint: str = ""  # restricts it to the process that runs now under this name
+    forced_because: str = ""  # why the safety limits do not apply; empty: they do
+    running_endpoint: str = ""  # the override is for the process that runs now under this name
 
     def submit(self, connection: DaemonConnection, key: Ed25519PrivateKey) -> SubmissionResult:
-        """Check the override against the limits of the relays, and write it."""
+        """Checks the override against the limits of the relays, and writes it."""
         now_ms = unix_time_ms()
 
         async def check_and_submit(store: Store) -> SubmissionResult:
@@ -96,7 +96,7 @@
     expiry: str = ""
 
     def submit(self, connection: DaemonConnection, key: Ed25519PrivateKey) -> SubmissionResult:
-        """Check that the override can be updated, and write the update."""
+        """Checks that the override can be updated, and writes the update."""
         now_ms = unix_time_ms()
 
         async def check_and_submit(store: Store) -> SubmissionResult:
--- a/sageturn/cli/override_view.py
+++ b/sageturn/cli/override_view.py
@@ -1,4 +1,4 @@
-"""What a store holds of overrides: the operations, and the state that each relay reports."""
+"""Reads overrides from a store: the operations, and the state that each relay reports."""
 
 from __future__ import annotations
 
@@ -15,12 +15,14 @@
 from sageturn.store.store import Store
 
 STATE_PREFIX = "state/"
-EXPIRES_SOON_MS = 15 * 60_000.0  # an override that expires within this is shown as about to end
+EXPIRES_SOON_MS = 15 * 60_000.0  # until an expiry that is shown as soon
+EXPIRES_SOON_STATUS = "about to end"
 UNKNOWN_STATUS = "unknown"  # of a relay that does not have the override yet
+NO_RELAY_STATUS = "no relay tells"
 
 
 def read_relay_states(store: Store) -> dict[str, RelayOverrideState]:
-    """By node, what each relay reports of its overrides."""
+    """Returns by node the state that each relay reports of its overrides."""
     states = {}
     for key in store.keys(STATE_PREFIX):
         node, _, name = key.removeprefix(STATE_PREFIX).partition("/")
@@ -30,7 +32,7 @@
 
 
 def _read_operations(store: Store) -> dict[str, list[OverrideOperation]]:
-    """By override, the operations of the store. Their signatures are verified by the relays."""
+    """Returns by override the operations of the store. Their signatures are verified by the relays."""
     operations: dict[str, list[OverrideOperation]] = {}
     for key in store.keys(KEY_PREFIX):
         try:
@@ -42,7 +44,10 @@
 
 
 class OverrideView:
-    """All overrides as of one instant, from one copy of the store."""
+    """Shows all overrides as of one instant, from one copy of the store.
+
+    ``now_ms`` is Unix time in milliseconds.
+    """
 
     def __init__(self, store: Store, now_ms: float) -> None:
         self.now_ms = now_ms
@@ -65,32 +70,32 @@
         return overrides
 
     def get_override(self, override_id: str) -> Override:
-        """The override of this id; without one the command ends."""
+        """Returns the override of this id; without one the command ends."""
         if override_id not in self.overrides:
             fail(ExitCode.NOT_FOUND, f"{override_id}: there is no such override")
         return self.overrides[override_id]
 
     def endpoints(self) -> dict[str, Endpoint]:
-        """All endpoints that any relay reports, by name."""
+        """Returns all endpoints that any relay reports, by name."""
         return {
             name: endpoint for state in self.states.values() for name, endpoint in state.endpoints.items()
         }
 
     def shortest_max_duration_ms(self) -> float:
-        """How long an override may last at every relay."""
+        """Returns how long an override may last at every relay; infinite without a relay."""
         durations_s = [state.max_duration_s for state in self.states.values()]
         return min(durations_s, default=float("inf")) * 1000.0
 
     def status_by_relay(self, override: Override) -> dict[str, str]:
-        """By node, the status that each relay reports."""
+        """Returns by node the status that each relay reports."""
         return {node: state.statuses.get(override.id, UNKNOWN_STATUS) for node, state in self.states.items()}
 
     def has_expired(self, override: Override) -> bool:
-        """Whether it has ended by its expiry and not by a revocation."""
+        """Whether an override has ended by its expiry and not by a revocation."""
         return not override.is_revoked and override.has_expired(self.now_ms)
 
     def status(self, override: Override) -> str:
-        """One status for all relays, or that of each where they differ."""
+        """Returns one status for all relays, or that of each where they differ."""
         if override.is_revoked:
             return OverrideStatus.REVOKED.value
         if self.has_expired(override):
@@ -98,15 +103,15 @@
         by_relay = self.status_by_relay(override)
         distinct = set(by_relay.values())
         if not distinct:
-            return "no relay tells"
+            return NO_RELAY_STATUS
         if len(distinct) > 1:
             return ", ".join(f"{node}: {status}" for node, status in sorted(by_relay.items()))
         status = distinct.pop()
         expires_soon = override.expires_at_ms - self.now_ms < EXPIRES_SOON_MS
-        return "about to end" if status == OverrideStatus.IN_FORCE and expires_soon else status
+        return EXPIRES_SOON_STATUS if status == OverrideStatus.IN_FORCE and expires_soon else status
 
     def make_resolver(self) -> OverrideResolver:
-        """The overrides in force, resolved as a relay with the first relay's limits does it."""
+        """Returns the overrides in force, resolved with the safety limits of the first relay."""
         limits = [state.safety_limits for state in self.states.values()]
         resolver = OverrideResolver(limits[0] if limits else SafetyLimits())
         resolver.apply_endpoint_list(self.endpoints().values(), True)
--- a/sageturn/cli/override_writes.py
+++ b/sageturn/cli/override_writes.py
@@ -1,4 +1,4 @@
-"""How commands write operations: the operator's key, the checks before, and the answers of the relays."""
+"""Writes operations for the commands: keys, checks before writing, and the relays' answers."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 from sageturn.overrides.signing import parse_operation, sign_operation
 from sageturn.store.store import Store
 
-ANSWER_TIMEOUT_S = 5.0  # how long a command waits until every relay reports the operation
+ANSWER_TIMEOUT_S = 5.0  # until every relay reports the operation
 POLL_INTERVAL_S = 0.02
 PRIVATE_FILE_MODE = 0o600
 
@@ -35,7 +35,7 @@
 
 
 def load_private_key(file: Path) -> Ed25519PrivateKey:
-    """Read an operator's key; the command ends if it cannot be read."""
+    """Reads an operator's key; the command ends if it cannot be read."""
     try:
         key = load_pem_private_key(file.read_bytes(), password=None)
     except (OSError, ValueError, TypeError) as error:
@@ -46,7 +46,7 @@
 
 
 def create_private_key(file: Path) -> str:
-    """Write a new key to a file that does not exist yet, and return the public key in base64."""
+    """Writes a new key to a file that does not exist yet. Returns the public key in base64."""
     key = Ed25519PrivateKey.generate()
     pem = key.private_bytes(Encoding.PEM, PrivateFormat.PKCS8, NoEncryption())
     try:
@@ -63,7 +63,7 @@
 
 
 def check_form(operation: OverrideOperation, key: Ed25519PrivateKey) -> None:
-    """Decode the record as the relays will; the command ends if it is invalid."""
+    """Ends the command if the relays would find the record invalid."""
     try:
         parse_operation(operation.key, sign_operation(operation, key), None)
     except InvalidOperationError as error:
@@ -71,14 +71,14 @@
 
 
 def check_duration(view: OverrideView, operation: OverrideOperation) -> None:
-    """End the command if any relay would shorten the override."""
+    """Ends the command if any relay would shorten the override."""
     max_duration_ms = view.shortest_max_duration_ms()
     if operation.expires_at_ms - operation.created_at_ms > max_duration_ms:
         fail(ExitCode.REFUSED, f"--for: no override lasts longer than {format_duration(max_duration_ms)}")
 
 
 def check_safety_limits(view: OverrideView, operation: OverrideOperation) -> None:
-    """End the command if the safety limits would suspend the override."""
+    """Ends the command if the safety limits would suspend the override."""
     override = fold_operations([operation], float("inf"))
     assert override is not None
     resolver = view.make_resolver()
@@ -93,15 +93,15 @@
 
 @dataclass
 class SubmissionResult:
-    """By node, the status that each relay reports of the override; or why one rejects the operation."""
+    """How the relays have answered an operation."""
 
     operation: OverrideOperation
-    status_by_relay: dict[str, str] = field(default_factory=dict)
-    rejection: str = ""
+    status_by_relay: dict[str, str] = field(default_factory=dict)  # by node
+    rejection: str = ""  # which relay rejects the operation, and why; empty if none does
 
 
 async def submit(store: Store, operation: OverrideOperation, key: Ed25519PrivateKey) -> SubmissionResult:
-    """Write an operation, and wait until every relay that reports its state has applied it.
+    """Writes an operation, and waits until every relay that reports its state has applied it.
 
     Relays that have not answered in time are left out. An operation that any of them rejects is deleted:
     otherwise it would take effect on the day on which the daemons are given other operator keys.
--- a/sageturn/cli/store.py
+++ b/sageturn/cli/store.py
@@ -27,10 +27,13 @@
 
 
 class StoreAccess(Protocol):
-    """Opens a store for one action."""
+    """Gives access to a store for one action."""
 
     def run(self, action: Callable[[Store], Result]) -> Result:
-        """Run the action, and end the command with a message if the store cannot be read or written."""
+        """Runs the action on the store. Returns its result.
+
+        The command ends with a message if the store cannot be read or written.
+        """
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,7 +44,7 @@
     node: str
 
     def run(self, action: Callable[[Store], Result]) -> Result:
-        """Open the store, run ``action`` on it, and let go of it; ends the command where it cannot be had."""
+        """Runs the action on the opened log, and closes it; ends the command where that fails."""
         try:
             store = Store(self.node, self.path)
             try:
@@ -59,7 +62,7 @@
     connection: DaemonConnection
 
     def run(self, action: Callable[[Store], Result]) -> Result:
-        """Open the store, run ``action`` on it, and let go of it; ends the command where it cannot be had."""
+        """Runs the action on a copy of the daemon's store; ends the command where that fails."""
 
         async def run_action(store: Store) -> Result:
             return action(store)
--- a/sageturn/cli/times.py
+++ b/sageturn/cli/times.py
@@ -1,4 +1,4 @@
-"""Durations and instants as operators write and read them."""
+"""Parses and formats durations and instants as operators write and read them."""
 
 from __future__ import annotations
 
@@ -16,9 +16,14 @@
 
 
 def parse_expiry(text: str, now_ms: float) -> float:
-    """Unix time in milliseconds of ``2h30m`` from now, or of an instant with a zone (RFC 3339, section 5.6).
+    """Parses ``2h30m`` from now, or an instant with a zone (RFC 3339, section 5.6).
 
-    Raises InvalidTimeError. An instant without a zone is rejected: it differs from desk to desk.
+    Returns:
+        The expiry in milliseconds of Unix time.
+
+    Raises:
+        InvalidTimeError: The text is neither, the instant has passed, or it has no zone: what that means
+            differs from desk to desk.
     """
     duration = _DURATION.fullmatch(text.strip())
     if duration and any(duration.groups()):
@@ -44,16 +49,16 @@
 
 
 def format_instant(unix_ms: float) -> str:
-    """Unix time as ``2026-12-02 05:30:00Z``."""
+    """Formats milliseconds of Unix time as ``2026-12-02 05:30:00Z``."""
     return datetime.fromtimestamp(unix_ms / 1000.0, UTC).strftime("%Y-%m-%d %H:%M:%SZ")
 
 
 def format_duration(duration_ms: float) -> str:
-    """``1d 2h``, ``2h 30m``, ``45s``: the two largest units."""
+    """Formats milliseconds by the two largest units: ``1d 2h``, ``2h 30m``, ``45s``."""
     parts = []
-    rest_ms = max(0, round(duration_ms))
+    remaining_ms = max(0, round(duration_ms))
     for unit_ms, name in zip(_UNITS_MS, _UNIT_NAMES, strict=True):
-        if rest_ms >= unit_ms:
-            parts.append(f"{rest_ms // unit_ms}{name}")
-            rest_ms %= unit_ms
+        if remaining_ms >= unit_ms:
+            parts.append(f"{remaining_ms // unit_ms}{name}")
+            remaining_ms %= unit_ms
     return " ".join(parts[:_SHOWN_UNITS]) or "0s"
--- a/sageturn/overrides/audit.py
+++ b/sageturn/overrides/audit.py
@@ -1,4 +1,4 @@
-"""Audit events: what became of overrides and of their records, for the log."""
+"""Collects audit events on overrides and their records, for the log."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class AuditAction(StrEnum):
-    """What became of an override, or (rejected) of a record that is no valid operation."""
+    """The change of an override; ``REJECTED`` is of a record that is no valid operation."""
 
     SET = "set"
     EXTENDED = "extended"
--- a/sageturn/overrides/effects.py
+++ b/sageturn/overrides/effects.py
@@ -1,4 +1,4 @@
-"""The effect of all overrides on each endpoint.
+"""Combines the overrides on each endpoint into one effect.
 
 Where several overrides select one endpoint, the effect is the same at every relay in any order:
 
@@ -35,7 +35,7 @@
 
 
 class EffectTable:
-    """The effects by endpoint, of the endpoints that any override in force selects."""
+    """Keeps the effects by endpoint, of the endpoints that any override in force selects."""
 
     def __init__(self, selection: SelectionIndex, suspended_ids: Container[str]) -> None:
         self.by_endpoint: dict[str, OverrideEffect] = {}
--- a/sageturn/overrides/model.py
+++ b/sageturn/overrides/model.py
@@ -1,4 +1,4 @@
-"""An override as the result of all operations on it."""
+"""Folds the operations on an override into the override."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Override:
-    """What an override does and until when.
+    """An override as all operations on it make it.
 
     Instants are milliseconds of Unix time; at ``expires_at_ms`` the override is no longer in force.
     """
--- a/sageturn/overrides/operation_log.py
+++ b/sageturn/overrides/operation_log.py
@@ -1,4 +1,4 @@
-"""The accepted operations of the store's records, by override, and the records that were rejected."""
+"""Keeps the accepted operations of the store's records by override, and the records that were rejected."""
 
 from __future__ import annotations
 
--- a/sageturn/overrides/operations.py
+++ b/sageturn/overrides/operations.py
@@ -20,7 +20,7 @@
 
 
 class OverrideKind(StrEnum):
-    """What an override does; the values are those of the records and of the command line."""
+    """The kind of an override; the values are those of the records and of the command line."""
 
     OUT_OF_SERVICE = "out"
     WEIGHT = "weight"
@@ -29,7 +29,7 @@
 
 
 class OperationType(StrEnum):
-    """What an operation does to its override; the values are those of the records."""
+    """The type of an operation on an override; the values are those of the records."""
 
     SET = "set"
     EXTEND = "extend"
@@ -71,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OverridePayload:
-    """What an override does. Fields that its kind does not have keep their defaults."""
+    """The effect and the targets of an override. Fields that its kind does not have keep their defaults."""
 
     kind: OverrideKind
     selector: Selector | None = None  # all kinds but a pin
@@ -134,7 +134,7 @@
 
     @property
     def key(self) -> str:
-        """The store key of its record."""
+        """The store key of the operation's record."""
         return f"{KEY_PREFIX}{self.override_id}/{self.revision:06d}-{self.operator}-{self.nonce}"
 
     @property
--- a/sageturn/overrides/recovery_ramp.py
+++ b/sageturn/overrides/recovery_ramp.py
@@ -1,4 +1,4 @@
-"""How endpoints return once an override on them has ended: no faster than in slow start.
+"""Returns endpoints to service once an override on them has ended, no faster than in slow start.
 
 An endpoint that was out of service is shown to the balancer as one that has just started, so that its slow
 start applies. One whose weight was reduced regains it as evenly as an endpoint in slow start its capacity.
@@ -24,7 +24,7 @@
 
 
 class RecoveryRamps:
-    """The endpoints that return to service or regain weight, in the relay's time.
+    """Keeps the endpoints that return to service or regain weight. Instants are of the relay's time.
 
     Args:
         initial_capacity_ratio: Capacity of an endpoint at the beginning of its slow start, from 0 to 1.
--- a/sageturn/overrides/registry.py
+++ b/sageturn/overrides/registry.py
@@ -1,4 +1,4 @@
-"""All overrides that a relay knows of, and what they make of its endpoints; the caller passes the time."""
+"""Applies all overrides that a relay knows of to its endpoints; the caller passes the time."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class OverrideRegistry:
-    """Overrides by id, kept up to date from the operations in the store, the endpoint list and the time.
+    """Keeps overrides by id up to date with the operations in the store, the endpoint list and the time.
 
     Times are milliseconds of Unix time by the system's clock: expiries are instants of it. A clock that is
     set back does not bring back what has expired: it stays expired until a later operation extends it. One
--- a/sageturn/overrides/resolver.py
+++ b/sageturn/overrides/resolver.py
@@ -22,7 +22,7 @@
 
 
 class OverrideResolver:
-    """The overrides in force and the listed endpoints, updated change by change.
+    """Keeps the effects of the overrides in force on the listed endpoints, change by change.
 
     Every update returns the endpoints on which the effect has changed.
     """
@@ -44,7 +44,7 @@
 
     @property
     def suspended(self) -> dict[str, str]:
-        """By id, why the safety limits suspend an override."""
+        """The reasons why the safety limits suspend overrides, by override id."""
         return self.guard.suspended
 
     @property
--- a/sageturn/overrides/selection.py
+++ b/sageturn/overrides/selection.py
@@ -1,4 +1,4 @@
-"""Which overrides select which listed endpoints."""
+"""Indexes which overrides select which listed endpoints."""
 
 from __future__ import annotations
 
--- a/sageturn/rebalance/rate_controller.py
+++ b/sageturn/rebalance/rate_controller.py
@@ -1,4 +1,4 @@
-"""How fast clients may be migrated: a token bucket whose rate rises slowly and is halved at a signal."""
+"""Limits the rate of migrations by a token bucket, whose rate rises slowly and is halved at a signal."""
 
 from __future__ import annotations
 
--- a/sageturn/simhost.py
+++ b/sageturn/simhost.py
@@ -34,6 +34,8 @@
 LIST_KINDS = {"D": "changes", "F": "full", "C": "stale", "X": "failed"}
 MEASUREMENT_KINDS = {1: "load", 2: "delay"}
 
+START_INSTANCE = "Enlist"
+END_INSTANCE = "Teardown"
 IGNORED_EVENTS = ("Whisper",)  # messages between relays, of which the decision module sends none
 MICROSECONDS_PER_MILLISECOND = 1000.0
 
@@ -225,7 +227,7 @@
             actions: list[Fields] = []
             for message in group["events"]:
                 ((self._decoding, fields),) = message.items()
-                if self._decoding == "Teardown":
+                if self._decoding == END_INSTANCE:
                     actions.clear()  # what an instance asked for before it was killed is not done
                 actions += self._handle_message(now_ms, number, self._decoding, fields)
             if actions:
@@ -239,9 +241,9 @@
             if number not in self.instances:
                 raise WireError(f"{name} for instance {number}, which was never enlisted")
             return self._handle_event(now_ms, number, decode(fields))
-        if name == "Enlist":
+        if name == START_INSTANCE:
             self.instances[number] = Balancer(read_settings(fields["conf"]), fields["entropy"])
-        elif name == "Teardown":
+        elif name == END_INSTANCE:
             self.instances.pop(number, None)
             self._watch_requested_ms.pop(number, None)
         elif name not in IGNORED_EVENTS:
