--- a/sageturn/frontends/xmpp/connection.py
+++ b/sageturn/frontends/xmpp/connection.py
@@ -53,7 +53,7 @@
         request = ClientRequest(
             account.class_name,
             account.tenant,
-            options.wait_ms,
+            options.request_timeout_ms,
             account.group,
             client=f"{account.name}/{bind_request.resource}",
         )
@@ -63,7 +63,7 @@
         self._endpoint: XmppSession | None = None
         self._jid = ""
         self._early_stanzas: list[Stanza] = []  # sent by the client before it was answered
-        self._idle_timeout = IdleTimeout(asyncio.get_running_loop().time(), options.mute_s)
+        self._idle_timeout = IdleTimeout(asyncio.get_running_loop().time(), options.idle_timeout_s)
 
     # ------------------------------------------------------------ an attempt
 
@@ -74,16 +74,16 @@
         if listed_address is None:
             return CloseReason.NOT_SENT
         address = listed_address
-        if self._options.port:
-            address = (listed_address[0], self._options.port)
+        if self._options.endpoint_port:
+            address = (listed_address[0], self._options.endpoint_port)
         is_wanted = partial(self._shared.endpoint_registry.is_ready_at, endpoint, listed_address)
-        if (close_reason := self.lifecycle.blocking_reason(is_wanted)) is not None:
+        if (close_reason := self.lifecycle.checks.blocking_reason(is_wanted)) is not None:
             return close_reason
         sock = await connect_unreserved(address, connect_ms / 1000.0)
         if isinstance(sock, ConnectFailure):
             return CLOSE_REASON_OF_CONNECT_FAILURE[sock]
         session = XmppSession(Channel(sock))
-        check_before_write = partial(self.lifecycle.check_before_write, is_wanted)
+        check_before_write = partial(self.lifecycle.checks.check_before_write, is_wanted)
         login = EndpointLogin(session, self._options.endpoint, self._bind_request, check_before_write)
         established = False
         try:
@@ -107,7 +107,9 @@
             return rejected.close_reason
         except OSError:
             # The request is the bind: until that was written nothing of the request was sent.
-            return CloseReason.RESET if self.lifecycle.write_started else CloseReason.CUT_BEFORE_WRITTEN
+            return (
+                CloseReason.RESET if self.lifecycle.checks.write_started else CloseReason.CUT_BEFORE_WRITTEN
+            )
         return None
 
     # ------------------------------------------------------------ the client, until it is answered
