--- a/sageturn/cli/override_output.py
+++ b/sageturn/cli/override_output.py
@@ -138,7 +138,7 @@
 
 def print_submission(result: SubmissionResult, as_json: bool) -> None:
     """Prints the relays' answers; the command ends with a failure if one rejects the operation."""
-    if result.rejection:
+    if result.rejection is not None:
         fail(ExitCode.REFUSED, result.rejection)
     operation = result.operation
     if as_json:
--- a/sageturn/cli/override_requests.py
+++ b/sageturn/cli/override_requests.py
@@ -63,16 +63,16 @@
         if self.forced_because:
             reason = f"{reason} (forced: {self.forced_because})"
         return OverrideOperation(
-            new_override_id(payload.kind),
-            OperationType.SET,
-            1,
-            view.now_ms,
-            self.operator,
-            reason,
-            parse_expiry(self.expiry, view.now_ms),
-            payload,
-            bool(self.forced_because),
-            new_nonce(),
+            override_id=new_override_id(payload.kind),
+            type=OperationType.SET,
+            revision=1,
+            created_at_ms=view.now_ms,
+            operator=self.operator,
+            reason=reason,
+            expires_at_ms=parse_expiry(self.expiry, view.now_ms),
+            payload=payload,
+            forced=bool(self.forced_because),
+            nonce=new_nonce(),
         )
 
     def _listed_endpoint(self, view: OverrideView) -> Endpoint:
@@ -112,12 +112,12 @@
 
     def _make_operation(self, revision: int, now_ms: float) -> OverrideOperation:
         return OverrideOperation(
-            self.override_id,
-            self.type,
-            revision,
-            now_ms,
-            self.operator,
-            self.reason,
-            parse_expiry(self.expiry, now_ms) if self.expiry else 0.0,
+            override_id=self.override_id,
+            type=self.type,
+            revision=revision,
+            created_at_ms=now_ms,
+            operator=self.operator,
+            reason=self.reason,
+            expires_at_ms=parse_expiry(self.expiry, now_ms) if self.expiry else 0.0,
             nonce=new_nonce(),
         )
--- a/sageturn/cli/override_writes.py
+++ b/sageturn/cli/override_writes.py
@@ -97,7 +97,7 @@
 
     operation: OverrideOperation
     status_by_relay: dict[str, str] = field(default_factory=dict)  # by node
-    rejection: str = ""  # which relay rejects the operation, and why; empty if none does
+    rejection: str | None = None  # which relay rejects the operation, and why
 
 
 async def submit(store: Store, operation: OverrideOperation, key: Ed25519PrivateKey) -> SubmissionResult:
@@ -114,7 +114,7 @@
     while loop.time() < deadline_s and len(result.status_by_relay) < relay_count:
         await asyncio.sleep(POLL_INTERVAL_S)
         _collect_answers(store, result)
-        if result.rejection:
+        if result.rejection is not None:
             store.put(operation.key, None)
             break
     return result
--- a/sageturn/config/operator.py
+++ b/sageturn/config/operator.py
@@ -20,7 +20,7 @@
     from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PublicKey
 
     from sageturn.overrides.options import OverrideOptions
-    from sageturn.rebalance.options import RebalanceOptions
+    from sageturn.rebalance.options import QuietSpan, RebalanceOptions
     from sageturn.store.replication.options import ReplicationOptions
 
 ANY_ADDRESS = "0.0.0.0"
@@ -163,8 +163,10 @@
     )
 
 
-def _read_quiet_hours(section: ConfigSection) -> tuple[tuple[int, int], ...]:
+def _read_quiet_hours(section: ConfigSection) -> tuple[QuietSpan, ...]:
     """Return spans in minutes of the UTC day, each from its first minute to before its second."""
+    from sageturn.rebalance.options import QuietSpan
+
     spans = []
     for path, text in section.array("quiet_hours", []).enumerate_items():
         match = _TIME_SPAN.fullmatch(text) if isinstance(text, str) else None
@@ -173,7 +175,7 @@
         begin_hour, begin_minute, end_hour, end_minute = (int(group) for group in match.groups())
         begin = begin_hour * MINUTES_PER_HOUR + begin_minute
         end = end_hour * MINUTES_PER_HOUR + end_minute
-        spans.append((begin, end))
+        spans.append(QuietSpan(begin, end))
     return tuple(spans)
 
 
--- a/sageturn/overrides/safety_guard.py
+++ b/sageturn/overrides/safety_guard.py
@@ -74,7 +74,7 @@
         reductions = self._reductions(reduced, target)
         if not override.forced:
             violation = self._violation(reductions)
-            if violation:
+            if violation is not None:
                 self.suspended[override.id] = violation
                 return
         for endpoint in reduced:
@@ -111,8 +111,8 @@
                 reductions[pool] = reductions.get(pool, 0.0) + (factor - target) * endpoint.share
         return reductions
 
-    def _violation(self, reductions: dict[str, float]) -> str:
-        """Returns which limit these reductions would violate first, with figures; empty if none.
+    def _violation(self, reductions: dict[str, float]) -> str | None:
+        """Returns which limit these reductions would violate first, with figures; None if none.
 
         A pool that was below its limit before counts too: the override would make it worse.
         """
@@ -124,4 +124,4 @@
                 where = f"zone {pool}" if pool else "all"
                 figures = f"would leave {max(0.0, available):.1f} of {total:.1f} in {where}"
                 return f"{figures}, under its floor of {min_ratio:.0%}"
-        return ""
+        return None
--- a/sageturn/rebalance/options.py
+++ b/sageturn/rebalance/options.py
@@ -4,6 +4,7 @@
 
 from dataclasses import dataclass
 from enum import StrEnum
+from typing import NamedTuple
 
 
 class RebalanceMode(StrEnum):
@@ -18,12 +19,24 @@
 MINUTES_PER_DAY = 24 * 60
 
 
+class QuietSpan(NamedTuple):
+    """A span of the UTC day, in minutes from midnight; one that ends before it begins passes midnight."""
+
+    begin_minute: int
+    end_minute: int  # not included
+
+    def contains(self, minute: int) -> bool:
+        """Whether ``minute`` of the UTC day is within the span."""
+        if self.begin_minute <= self.end_minute:
+            return self.begin_minute <= minute < self.end_minute
+        return minute >= self.begin_minute or minute < self.end_minute
+
+
 @dataclass(frozen=True, slots=True)
 class RebalanceOptions:
     """The section ``rebalance`` of the operator's file; the field names are its keys.
 
-    Times are in seconds, ratios against the mean utilization of the fleet, ``quiet_hours`` in minutes of the
-    UTC day.
+    Times are in seconds, and ratios against the mean utilization of the fleet.
     """
 
     mode: str = RebalanceMode.OFF  # a ``RebalanceMode``
@@ -38,13 +51,10 @@
     back_within_s: float = 10.0  # a migrated client not back by then is taken for lost or gone elsewhere
     keep_classes: frozenset[str] = frozenset({"guest-checkin"})  # never migrated
     keep_tenants: frozenset[str] = frozenset()  # never migrated
-    quiet_hours: tuple[tuple[int, int], ...] = ()
+    quiet_hours: tuple[QuietSpan, ...] = ()  # without migrations for the sake of balance
     tick_s: float = 1.0
     remember: int = 8192  # migrated clients remembered; while there are so many, nobody is migrated
 
     def is_quiet_at(self, minute: int) -> bool:
-        """Whether ``minute`` of the UTC day is within quiet hours; a span may pass midnight."""
-        return any(
-            begin <= minute < end if begin <= end else minute >= begin or minute < end
-            for begin, end in self.quiet_hours
-        )
+        """Whether ``minute`` of the UTC day is within quiet hours."""
+        return any(span.contains(minute) for span in self.quiet_hours)
--- a/tests/rebalance/test_planner.py
+++ b/tests/rebalance/test_planner.py
@@ -10,6 +10,7 @@
 
 from sageturn import AttemptEnded, Endpoint, EndpointListEvent, MeasurementReported, MigrateConnection
 from sageturn.core.endpoint_snapshot import OperatorMarks, snapshot_endpoints
+from sageturn.rebalance.options import QuietSpan
 from sageturn.rebalance.overload_signals import OverloadSignal
 
 
@@ -255,7 +256,7 @@
 
 
 def test_quiet_hours_and_exclusions_are_respected() -> None:
-    fleet = uneven_fleet({"quiet_hours": ((22 * 60, 6 * 60),)})
+    fleet = uneven_fleet({"quiet_hours": (QuietSpan(22 * 60, 6 * 60),)})
     fleet.minute = 23 * 60
     fleet.run(60)
     assert fleet.migrated == [] and fleet.plan.phase == "quiet"
