--- a/sageturn/cli/override_requests.py
+++ b/sageturn/cli/override_requests.py
@@ -1,4 +1,4 @@
-"""The changes that an operator asks for: each is checked against the store and written as an operation."""
+"""The changes that an operator requests: each is checked against the store and written as an operation."""
 
 from __future__ import annotations
 
@@ -37,11 +37,11 @@
     operator: str
     reason: str
     expiry: str
-    forced_because: str = ""  # why the safety limits are not to suspend it
-    running_endpoint: str = ""  # restricts it to the process that runs now under this name
+    forced_because: str = ""  # why the safety limits do not apply; empty: they do
+    running_endpoint: str = ""  # the override is for the process that runs now under this name
 
     def submit(self, connection: DaemonConnection, key: Ed25519PrivateKey) -> SubmissionResult:
-        """Check the override against the limits of the relays, and write it."""
+        """Checks the override against the limits of the relays, and writes it."""
         now_ms = unix_time_ms()
 
         async def check_and_submit(store: Store) -> SubmissionResult:
@@ -63,16 +63,16 @@
         if self.forced_because:
             reason = f"{reason} (forced: {self.forced_because})"
         return OverrideOperation(
-            new_override_id(payload.kind),
-            OperationType.SET,
-            1,
-            view.now_ms,
-            self.operator,
-            reason,
-            parse_expiry(self.expiry, view.now_ms),
-            payload,
-            bool(self.forced_because),
-            new_nonce(),
+            override_id=new_override_id(payload.kind),
+            type=OperationType.SET,
+            revision=1,
+            created_at_ms=view.now_ms,
+            operator=self.operator,
+            reason=reason,
+            expires_at_ms=parse_expiry(self.expiry, view.now_ms),
+            payload=payload,
+            forced=bool(self.forced_because),
+            nonce=new_nonce(),
         )
 
     def _listed_endpoint(self, view: OverrideView) -> Endpoint:
@@ -96,7 +96,7 @@
     expiry: str = ""
 
     def submit(self, connection: DaemonConnection, key: Ed25519PrivateKey) -> SubmissionResult:
-        """Check that the override can be updated, and write the update."""
+        """Checks that the override can be updated, and writes the update."""
         now_ms = unix_time_ms()
 
         async def check_and_submit(store: Store) -> SubmissionResult:
@@ -112,12 +112,12 @@
 
     def _make_operation(self, revision: int, now_ms: float) -> OverrideOperation:
         return OverrideOperation(
-            self.override_id,
-            self.type,
-            revision,
-            now_ms,
-            self.operator,
-            self.reason,
-            parse_expiry(self.expiry, now_ms) if self.expiry else 0.0,
+            override_id=self.override_id,
+            type=self.type,
+            revision=revision,
+            created_at_ms=now_ms,
+            operator=self.operator,
+            reason=self.reason,
+            expires_at_ms=parse_expiry(self.expiry, now_ms) if self.expiry else 0.0,
             nonce=new_nonce(),
         )
