--- a/tests/core/test_attempt_races.py
+++ b/tests/core/test_attempt_races.py
@@ -17,6 +17,7 @@
 from sageturn.core.close_reason import CloseReason
 from sageturn.core.messages import EndpointListUpdate
 from sageturn.decision import Endpoint
+from sageturn.frontends import frontend_connection
 from sageturn.frontends.platform import connection as platform_connection
 from sageturn.frontends.platform import frontend as platform_frontend
 from sageturn.net import closing, sockets
@@ -87,7 +88,7 @@
                 end(client, relay, name)
             return sock
 
-        monkeypatch.setattr(platform_connection, "connect_unreserved", comes_up)
+        monkeypatch.setattr(frontend_connection, "connect_unreserved", comes_up)
         records: list[Any] = []
         monkeypatch.setattr(relay.context, "on_connection_closed", records.append)
         client = socket.create_connection(relay.listener.address)
@@ -145,7 +146,7 @@
                 held.set()
                 await asyncio.sleep(3600)
 
-            monkeypatch.setattr(platform_connection, "connect_unreserved", never_up)
+            monkeypatch.setattr(frontend_connection, "connect_unreserved", never_up)
         reader, writer = await ask(relay.listener.address, first_line())
         if is_executed:
             await until(lambda: endpoint.lines)
@@ -221,7 +222,7 @@
 
         monkeypatch.setattr(clock, "now_ms", lambda: now_ms() + self._elapsed_ms)
         monkeypatch.setattr(platform_connection.PlatformConnection, "open_upstream", open_late)
-        monkeypatch.setattr(platform_connection, "connect_unreserved", self._come_up_late)
+        monkeypatch.setattr(frontend_connection, "connect_unreserved", self._come_up_late)
 
     async def _come_up_late(self, address: tuple[str, int], timeout_s: float) -> Any:
         self.connections += 1
