--- a/tests/store/test_replication_sockets.py
+++ b/tests/store/test_replication_sockets.py
@@ -7,7 +7,7 @@
 import socket
 import subprocess
 import sys
-from collections.abc import Awaitable, Callable
+from collections.abc import AsyncIterator, Callable
 from functools import partial
 from pathlib import Path
 from random import Random
@@ -34,6 +34,8 @@
 SECRET = read_secret("one secret")
 Address = tuple[str, int]
 
+pytestmark = pytest.mark.timeout(300)  # each wait has a limit of its own
+
 
 async def wait_until(condition: Callable[[], Any], within_s: float = 20.0) -> None:
     async with asyncio.timeout(within_s):
@@ -63,16 +65,13 @@
     return member.replica.store
 
 
-def run_with_members(scenario: Callable[[list[ReplicationMember]], Awaitable[None]]) -> None:
-    async def go() -> None:
-        members: list[ReplicationMember] = []
-        try:
-            await scenario(members)
-        finally:
-            for member in members:
-                await member.stop()
-
-    asyncio.run(go())
+@pytest.fixture
+async def members() -> AsyncIterator[list[ReplicationMember]]:
+    """The members that a test starts and puts here; they are stopped at its end."""
+    started: list[ReplicationMember] = []
+    yield started
+    for member in started:
+        await member.stop()
 
 
 async def open_channel(address: Address, name: str = "x") -> tuple[AuthenticatedChannel, socket.socket]:
@@ -117,164 +116,157 @@
     await wait_until(lambda: all(len(member.replica.members) == count for member in members))
 
 
-def test_a_change_reaches_every_member_and_a_killed_hub_is_replaced() -> None:
-    async def scenario(members: list[ReplicationMember]) -> None:
-        await start_fleet(members, 6)
-        store_of(members[3]).put("config/x", 1)
-        await wait_until(lambda: all(store_of(m).get("config/x") == 1 for m in members))
-        # The one with the most links is stopped; nobody has another seed than n0.
-        hub = max(members, key=lambda m: m.link_count)
-        members.remove(hub)
-        await hub.stop()
-        for number, member in enumerate(members):
-            store_of(member).put(f"config/after/{number}", number)
-        await wait_until(lambda: all(len(store_of(m).keys("config/after/")) == 5 for m in members))
-        await wait_until(lambda: len({tuple(m.replica.records.changes.roots) for m in members}) == 1)
-
-    run_with_members(scenario)
+async def test_a_change_reaches_every_member_and_a_killed_hub_is_replaced(
+    members: list[ReplicationMember],
+) -> None:
+    await start_fleet(members, 6)
+    store_of(members[3]).put("config/x", 1)
+    await wait_until(lambda: all(store_of(member).get("config/x") == 1 for member in members))
+    # The one with the most links is stopped; nobody has another seed than n0.
+    hub = max(members, key=lambda member: member.link_count)
+    members.remove(hub)
+    await hub.stop()
+    for number, member in enumerate(members):
+        store_of(member).put(f"config/after/{number}", number)
+    await wait_until(lambda: all(len(store_of(member).keys("config/after/")) == 5 for member in members))
+    await wait_until(lambda: len({tuple(member.replica.records.changes.roots) for member in members}) == 1)
+
+
+async def test_a_silent_hub_is_detected_and_replaced(members: list[ReplicationMember]) -> None:
+    # As when a machine or a switch is gone: no reset arrives, only the heartbeats are missing.
+    await start_fleet(members, 5)
+    hub = max(members, key=lambda member: member.link_count)
+    members.remove(hub)
+    for session in hub.replica.sessions:
+        session.next_payload = lambda now: None  # type: ignore[method-assign]
+        session.receive = lambda payload, now: None  # type: ignore[method-assign]
+    hub.replica.tick = lambda now: TickResult((), now + 60.0)  # type: ignore[method-assign]
+    hub.listener.stop_accepting()
+    began = asyncio.get_running_loop().time()
+    writer = members[0]
+    store_of(writer).put("config/x", 1)
+    await wait_until(lambda: all(store_of(member).get("config/x") == 1 for member in members))
+    assert asyncio.get_running_loop().time() - began < 15.0
+    await hub.stop()
+
+
+async def test_a_follower_that_reads_nothing_delays_nobody_and_is_disconnected(
+    members: list[ReplicationMember],
+) -> None:
+    hub = start_member("hub", rate=1e8)
+    other = start_member("other", hub.address)
+    members += [hub, other]
+    link, sock = await open_channel(hub.address, "slow")
+    await link.send(hello_frame("slow"))
+    await receive_message(link, "hello")
+    await link.send(encode({"follow": [[0, 0, 0], [0, 0, 0]]}))
+    await wait_until(lambda: hub.link_count == 2)
+
+    async def send_heartbeats() -> None:
+        while True:
+            await link.send(b'{"beat":[[0,0],[0,0],null,null,0,false,{},null]}')
+            await asyncio.sleep(0.2)
+
+    heartbeats = asyncio.ensure_future(send_heartbeats())
+    text = Random(1).randbytes(8000).hex()
+    for number in range(200):
+        store_of(hub).put(f"config/{number}", text)
+    await wait_until(lambda: len(store_of(other).keys("config/")) == 200)
+    (session,) = [session for session in hub.replica.sessions if session.peer == "slow"]
+    assert session.change_exchange.chunks_in_flight <= 6, "the rest is queued nowhere"
+    assert hub.link_count == 2
+    heartbeats.cancel()
+    await wait_until(lambda: hub.link_count == 1)
+    sock.close()
+
+
+async def test_a_wiped_replica_is_restored_and_its_own_states_get_newer_versions(
+    members: list[ReplicationMember], tmp_path: Path
+) -> None:
+    hub = start_member("hub", path=tmp_path / "hub")
+    members.append(hub)
+    wiped = start_member("w", hub.address, path=tmp_path / "w")
+    for number in range(500):
+        store_of(hub).put(f"config/{number}", number)
+    for number in range(5):
+        store_of(wiped).put("state/w/x", number)
+    await wait_until(
+        lambda: len(store_of(wiped).keys("config/")) == 500 and store_of(hub).get("state/w/x") == 4
+    )
+    await wiped.stop()
+    store_of(wiped).close()
+    for file in tmp_path.glob("w*"):
+        file.unlink()
+    wiped = start_member("w", hub.address, path=tmp_path / "w")
+    members.append(wiped)
+    store_of(wiped).put("state/w/x", "new")  # before it has got back its earlier versions
+    await wait_until(lambda: len(store_of(wiped).keys("config/")) == 500)
+    await wait_until(lambda: store_of(wiped).get("state/w/x") == 4)
+    store_of(wiped).put("state/w/x", "newer")
+    await wait_until(lambda: store_of(hub).get("state/w/x") == "newer")
+
+
+async def test_a_restart_from_disk_fetches_only_what_differs(
+    members: list[ReplicationMember], tmp_path: Path
+) -> None:
+    hub = start_member("hub")
+    members.append(hub)
+    other = start_member("o", hub.address, path=tmp_path / "o")
+    for number in range(1000):
+        store_of(hub).put(f"config/{number}", number)
+    await wait_until(lambda: len(store_of(other).keys("config/")) == 1000)
+    await other.stop()
+    store_of(other).close()
+    store_of(hub).put("config/7", "new")
+    taken = hub.replica.budget.consumed_bytes
+    other = start_member("o", hub.address, path=tmp_path / "o")
+    members.append(other)
+    await wait_until(lambda: store_of(other).get("config/7") == "new")
+    assert hub.replica.budget.consumed_bytes - taken < 6000
+
+
+def error_of_protocol_1(message: dict[str, Any]) -> str:
+    """What a program of protocol 1 logs about a message that is no digest."""
+    try:
+        for obj in message["records"]:
+            parse_record(obj)
+    except (InvalidRecordError, KeyError) as error:
+        return f"not understood: {error}"
+    return ""
+
+
+async def accept_as_protocol_1(listening: socket.socket, name: str) -> dict[str, Any]:
+    """Accepts one link as a member of protocol 1 does; returns the message that it is sent."""
+    sock, _ = await asyncio.get_running_loop().sock_accept(listening)
+    sock.setblocking(False)
+    link = AuthenticatedChannel(sock, SECRET, name)
+    await link.perform_handshake(False)
+    await link.send(b'{"digest":{}}')
+    message = decode(await link.receive())
+    sock.close()
+    return message
 
 
-def test_a_silent_hub_is_detected_and_replaced() -> None:
-    # As when a machine or a switch is gone: no reset arrives, only the heartbeats are missing.
-    async def scenario(members: list[ReplicationMember]) -> None:
-        await start_fleet(members, 5)
-        hub = max(members, key=lambda m: m.link_count)
-        members.remove(hub)
-        for session in hub.replica.sessions:
-            session.next_payload = lambda now: None  # type: ignore[method-assign]
-            session.receive = lambda payload, now: None  # type: ignore[method-assign]
-        hub.replica.tick = lambda now: TickResult((), now + 60.0)  # type: ignore[method-assign]
-        hub.listener.stop_accepting()
-        began = asyncio.get_running_loop().time()
-        writer = members[0]
-        store_of(writer).put("config/x", 1)
-        await wait_until(lambda: all(store_of(m).get("config/x") == 1 for m in members))
-        assert asyncio.get_running_loop().time() - began < 15.0
-        await hub.stop()
-
-    run_with_members(scenario)
-
-
-def test_a_follower_that_reads_nothing_delays_nobody_and_is_disconnected() -> None:
-    async def scenario(members: list[ReplicationMember]) -> None:
-        hub = start_member("hub", rate=1e8)
-        other = start_member("other", hub.address)
-        members += [hub, other]
-        link, sock = await open_channel(hub.address, "slow")
-        await link.send(hello_frame("slow"))
-        await receive_message(link, "hello")
-        await link.send(encode({"follow": [[0, 0, 0], [0, 0, 0]]}))
-        await wait_until(lambda: hub.link_count == 2)
-
-        async def send_heartbeats() -> None:
-            while True:
-                await link.send(b'{"beat":[[0,0],[0,0],null,null,0,false,{},null]}')
-                await asyncio.sleep(0.2)
-
-        heartbeats = asyncio.ensure_future(send_heartbeats())
-        text = Random(1).randbytes(8000).hex()
-        for number in range(200):
-            store_of(hub).put(f"config/{number}", text)
-        await wait_until(lambda: len(store_of(other).keys("config/")) == 200)
-        (session,) = [s for s in hub.replica.sessions if s.peer == "slow"]
-        assert session.change_exchange.chunks_in_flight <= 6, "the rest is queued nowhere"
-        assert hub.link_count == 2
-        heartbeats.cancel()
-        await wait_until(lambda: hub.link_count == 1)
-        sock.close()
-
-    run_with_members(scenario)
-
-
-def test_a_wiped_replica_is_restored_and_its_own_states_get_newer_versions(tmp_path: Path) -> None:
-    async def scenario(members: list[ReplicationMember]) -> None:
-        hub = start_member("hub", path=tmp_path / "hub")
-        members.append(hub)
-        wiped = start_member("w", hub.address, path=tmp_path / "w")
-        for number in range(500):
-            store_of(hub).put(f"config/{number}", number)
-        for number in range(5):
-            store_of(wiped).put("state/w/x", number)
-        await wait_until(
-            lambda: len(store_of(wiped).keys("config/")) == 500 and store_of(hub).get("state/w/x") == 4
-        )
-        await wiped.stop()
-        store_of(wiped).close()
-        for file in tmp_path.glob("w*"):
-            file.unlink()
-        wiped = start_member("w", hub.address, path=tmp_path / "w")
-        members.append(wiped)
-        store_of(wiped).put("state/w/x", "new")  # before it has got back its earlier versions
-        await wait_until(lambda: len(store_of(wiped).keys("config/")) == 500)
-        await wait_until(lambda: store_of(wiped).get("state/w/x") == 4)
-        store_of(wiped).put("state/w/x", "newer")
-        await wait_until(lambda: store_of(hub).get("state/w/x") == "newer")
-
-    run_with_members(scenario)
-
-
-def test_a_restart_from_disk_fetches_only_what_differs(tmp_path: Path) -> None:
-    async def scenario(members: list[ReplicationMember]) -> None:
-        hub = start_member("hub")
-        members.append(hub)
-        other = start_member("o", hub.address, path=tmp_path / "o")
-        for number in range(1000):
-            store_of(hub).put(f"config/{number}", number)
-        await wait_until(lambda: len(store_of(other).keys("config/")) == 1000)
-        await other.stop()
-        store_of(other).close()
-        store_of(hub).put("config/7", "new")
-        taken = hub.replica.budget.consumed_bytes
-        other = start_member("o", hub.address, path=tmp_path / "o")
-        members.append(other)
-        await wait_until(lambda: store_of(other).get("config/7") == "new")
-        assert hub.replica.budget.consumed_bytes - taken < 6000
-
-    run_with_members(scenario)
-
-
-def test_a_peer_of_protocol_1_and_this_member_both_learn_the_two_versions(
+async def test_a_peer_of_protocol_1_and_this_member_both_learn_the_two_versions(
+    members: list[ReplicationMember],
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    def error_of_protocol_1(message: dict[str, Any]) -> str:
-        """What a program of protocol 1 logs about a message that is no digest."""
-        try:
-            [parse_record(obj) for obj in message["records"]]
-        except (InvalidRecordError, KeyError) as error:
-            return f"not understood: {error}"
-        return ""
-
-    async def scenario(members: list[ReplicationMember]) -> None:
-        members.append(start_member("n0"))
-        link, sock = await open_channel(members[0].address, "old")
-        await link.send(b'{"digest":{"config/evil":[1,"old"]}}')
-        answer = decode(await link.receive())
-        assert "needs protocol 2, this copy speaks 1" in error_of_protocol_1(answer)
-        await wait_until(lambda: "old speaks protocol 1 (whole digests), this copy speaks 2" in caplog.text)
-        sock.close()
-
-        accepted: asyncio.Future[dict[str, Any]] = asyncio.get_running_loop().create_future()
-        listening = socket.create_server(("127.0.0.1", 0))
-        listening.setblocking(False)
-
-        async def accept_as_protocol_1() -> None:
-            sock, _ = await asyncio.get_running_loop().sock_accept(listening)
-            sock.setblocking(False)
-            link = AuthenticatedChannel(sock, SECRET, "old2")
-            await link.perform_handshake(False)
-            await link.send(b'{"digest":{}}')
-            accepted.set_result(decode(await link.receive()))
-            sock.close()
-
-        task = asyncio.ensure_future(accept_as_protocol_1())
-        members.append(start_member("n1", listening.getsockname()))
-        assert "needs protocol 2, this copy speaks 1" in error_of_protocol_1(await accepted)
-        await wait_until(lambda: "old2 speaks protocol 1 (whole digests), this copy speaks 2" in caplog.text)
-        await task
-        listening.close()
-        assert all(store_of(m).keys() == [f"state/{store_of(m).node}/member"] for m in members)
-
-    run_with_members(scenario)
+    members.append(start_member("n0"))
+    link, sock = await open_channel(members[0].address, "old")
+    await link.send(b'{"digest":{"config/evil":[1,"old"]}}')
+    answer = decode(await link.receive())
+    assert "needs protocol 2, this copy speaks 1" in error_of_protocol_1(answer)
+    await wait_until(lambda: "old speaks protocol 1 (whole digests), this copy speaks 2" in caplog.text)
+    sock.close()
+
+    listening = socket.create_server(("127.0.0.1", 0))
+    listening.setblocking(False)
+    accepting = asyncio.ensure_future(accept_as_protocol_1(listening, "old2"))
+    members.append(start_member("n1", listening.getsockname()))
+    assert "needs protocol 2, this copy speaks 1" in error_of_protocol_1(await accepting)
+    await wait_until(lambda: "old2 speaks protocol 1 (whole digests), this copy speaks 2" in caplog.text)
+    listening.close()
+    assert all(store_of(member).keys() == [f"state/{store_of(member).node}/member"] for member in members)
 
 
 @pytest.mark.parametrize(
@@ -288,116 +280,122 @@
         (b'{"what":1}', "unknown message"),
     ],
 )
-def test_an_invalid_frame_closes_its_link_and_changes_nothing(payload: bytes, reason: str) -> None:
-    async def scenario(members: list[ReplicationMember]) -> None:
-        members.append(start_member("n0"))
-        members.append(start_member("n1", members[0].address))
-        await wait_until(lambda: len(members[0].replica.members) == 2)
-        link, sock = await open_channel(members[0].address, "x")
-        await link.send(hello_frame("x"))
-        await receive_message(link, "follow")
-        before = store_of(members[0]).digest()
+async def test_an_invalid_frame_closes_its_link_and_changes_nothing(
+    members: list[ReplicationMember], payload: bytes, reason: str
+) -> None:
+    members.append(start_member("n0"))
+    members.append(start_member("n1", members[0].address))
+    await wait_until(lambda: len(members[0].replica.members) == 2)
+    link, sock = await open_channel(members[0].address, "x")
+    await link.send(hello_frame("x"))
+    await receive_message(link, "follow")
+    before = store_of(members[0]).digest()
+    await link.send(payload)
+    code, detail, _ = await receive_message(link, "bye")
+    assert code == "fault" and reason in detail
+    sock.close()
+    await wait_until(lambda: members[0].link_count == 1)
+    assert store_of(members[0]).digest() == before
+
+
+@pytest.mark.parametrize("corruption", ["damaged", "forged", "oversized", "half"])
+async def test_a_corrupted_frame_closes_its_link(
+    members: list[ReplicationMember], corruption: str, caplog: pytest.LogCaptureFixture
+) -> None:
+    members.append(start_member("n0"))
+    link, sock = await open_channel(members[0].address, "x")
+    await link.send(hello_frame("x"))
+    await receive_message(link, "follow")
+    payload = b'{"changes":[0,0,0,1,[["config/evil",1,9,"x",null]]]}'
+    size = len(payload).to_bytes(4, "big")
+    loop = asyncio.get_running_loop()
+    if corruption == "oversized":
+        await loop.sock_sendall(sock, (600 << 10).to_bytes(4, "big") + payload)
+    elif corruption == "half":
+        await loop.sock_sendall(sock, size + payload[:20])
+        sock.shutdown(socket.SHUT_WR)
+    elif corruption == "forged":
+        await loop.sock_sendall(sock, size + payload + b"\0" * 32)
+    else:
+        link._key = b"other"
         await link.send(payload)
-        code, detail, _ = await receive_message(link, "bye")
-        assert code == "fault" and reason in detail
-        sock.close()
-        await wait_until(lambda: members[0].link_count == 1)
-        assert store_of(members[0]).digest() == before
+    await wait_until(lambda: members[0].link_count == 0)
+    detail = {"oversized": "a frame is too large", "half": "ended"}.get(
+        corruption, "a frame was tampered with"
+    )
+    assert f"detail={detail}" in caplog.text
+    assert store_of(members[0]).keys() == ["state/n0/member"]
+    sock.close()
 
-    run_with_members(scenario)
 
+async def test_an_ephemeral_client_has_all_records_and_its_writes_arrive(
+    members: list[ReplicationMember],
+) -> None:
+    members.append(start_member("n0"))
+    for number in range(3000):
+        store_of(members[0]).put(f"config/{number}", Random(number).randbytes(30).hex())
+    async with open_ephemeral_client(members[0].address, SECRET) as copy:
+        assert len(copy.keys("config/")) == 3000
+        copy.put("config/x", 1)
+        copy.put("config/7", None)
+    assert store_of(members[0]).get("config/x") == 1 and store_of(members[0]).get("config/7") is None
+    assert not [name for name in members[0].replica.members if name.startswith("operator")], (
+        "and it is no member"
+    )
+    await wait_until(lambda: members[0].link_count == 0)
+    with pytest.raises(TimeoutError, match="the secrets differ"):
+        async with open_ephemeral_client(members[0].address, read_secret("another"), timeout_s=0.5):
+            pass
 
-@pytest.mark.parametrize("corruption", ["damaged", "forged", "oversized", "half"])
-def test_a_corrupted_frame_closes_its_link(corruption: str, caplog: pytest.LogCaptureFixture) -> None:
-    async def scenario(members: list[ReplicationMember]) -> None:
-        members.append(start_member("n0"))
-        link, sock = await open_channel(members[0].address, "x")
-        await link.send(hello_frame("x"))
-        await receive_message(link, "follow")
-        payload = b'{"changes":[0,0,0,1,[["config/evil",1,9,"x",null]]]}'
-        size = len(payload).to_bytes(4, "big")
-        loop = asyncio.get_running_loop()
-        if corruption == "oversized":
-            await loop.sock_sendall(sock, (600 << 10).to_bytes(4, "big") + payload)
-        elif corruption == "half":
-            await loop.sock_sendall(sock, size + payload[:20])
-            sock.shutdown(socket.SHUT_WR)
-        elif corruption == "forged":
-            await loop.sock_sendall(sock, size + payload + b"\0" * 32)
-        else:
-            link._key = b"other"
-            await link.send(payload)
-        await wait_until(lambda: members[0].link_count == 0)
-        detail = {"oversized": "a frame is too large", "half": "ended"}.get(
-            corruption, "a frame was tampered with"
-        )
-        assert f"detail={detail}" in caplog.text
-        assert store_of(members[0]).keys() == ["state/n0/member"]
-        sock.close()
-
-    run_with_members(scenario)
-
-
-def test_an_ephemeral_client_has_all_records_and_its_writes_arrive() -> None:
-    async def scenario(members: list[ReplicationMember]) -> None:
-        members.append(start_member("n0"))
-        for number in range(3000):
-            store_of(members[0]).put(f"config/{number}", Random(number).randbytes(30).hex())
-        async with open_ephemeral_client(members[0].address, SECRET) as copy:
-            assert len(copy.keys("config/")) == 3000
-            copy.put("config/x", 1)
-            copy.put("config/7", None)
-        assert store_of(members[0]).get("config/x") == 1 and store_of(members[0]).get("config/7") is None
-        assert not [m for m in members[0].replica.members if m.startswith("operator")], "and it is no member"
-        await wait_until(lambda: members[0].link_count == 0)
-        with pytest.raises(TimeoutError, match="the secrets differ"):
-            async with open_ephemeral_client(members[0].address, read_secret("another"), timeout_s=0.5):
-                pass
-
-    run_with_members(scenario)
-
-
-def test_an_idle_link_costs_no_more_with_more_keys() -> None:
-    """Counted at the socket, over a number of reads and not over a time."""
 
-    async def mean_read_bytes(keys: int) -> float:
-        first = start_member("n0")
-        for number in range(keys):
-            store_of(first).put(f"config/shard/{number}", {"host": f"s-{number % 97}", "epoch": number})
-        received_bytes: list[int] = []
-
-        async def forward(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            while data := await reader.read(1 << 20):
-                received_bytes.append(len(data))
-                writer.write(data)
-            writer.close()
-
-        async def proxy(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            there, here = await asyncio.open_connection(*first.address)
-            await asyncio.gather(forward(reader, here), forward(there, writer))
-
-        proxy_server = await asyncio.start_server(proxy, "127.0.0.1", 0)
-        second = start_member("n1", proxy_server.sockets[0].getsockname())
-        await wait_until(lambda: store_of(first).digest() == store_of(second).digest())
-        await wait_until(
-            lambda: (
-                first.replica.sessions[0].change_exchange.is_delivered
-                and second.replica.sessions[0].change_exchange.is_delivered
-            )
-        )
-        received_bytes.clear()
-        await wait_until(lambda: len(received_bytes) >= 8)
-        each = sum(received_bytes) / len(received_bytes)
-        await second.stop()
-        await first.stop()
-        proxy_server.close()
-        return each
-
-    async def go() -> None:
-        assert await mean_read_bytes(10) < 600.0
-        assert await mean_read_bytes(2000) < 600.0
-
-    asyncio.run(go())
+class CountingProxy:
+    """Forwards connections to one address, and keeps the size of each read."""
+
+    def __init__(self, target: Address) -> None:
+        self.received_bytes: list[int] = []
+        self._target = target
+
+    async def start(self) -> asyncio.Server:
+        return await asyncio.start_server(self._serve, "127.0.0.1", 0)
+
+    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        target_reader, target_writer = await asyncio.open_connection(*self._target)
+        await asyncio.gather(self._forward(reader, target_writer), self._forward(target_reader, writer))
+
+    async def _forward(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        while data := await reader.read(1 << 20):
+            self.received_bytes.append(len(data))
+            writer.write(data)
+        writer.close()
+
+
+def has_delivered(member: ReplicationMember) -> bool:
+    return member.replica.sessions[0].change_exchange.is_delivered
+
+
+async def mean_read_bytes(keys: int) -> float:
+    """The mean size of a read on an idle link between two members that hold so many keys."""
+    first = start_member("n0")
+    for number in range(keys):
+        store_of(first).put(f"config/shard/{number}", {"host": f"s-{number % 97}", "epoch": number})
+    proxy = CountingProxy(first.address)
+    proxy_server = await proxy.start()
+    second = start_member("n1", proxy_server.sockets[0].getsockname())
+    await wait_until(lambda: store_of(first).digest() == store_of(second).digest())
+    await wait_until(lambda: has_delivered(first) and has_delivered(second))
+    proxy.received_bytes.clear()
+    await wait_until(lambda: len(proxy.received_bytes) >= 8)
+    mean = sum(proxy.received_bytes) / len(proxy.received_bytes)
+    await second.stop()
+    await first.stop()
+    proxy_server.close()
+    return mean
+
+
+async def test_an_idle_link_costs_no_more_with_more_keys() -> None:
+    """Counted at the socket, over a number of reads and not over a time."""
+    assert await mean_read_bytes(10) < 600.0
+    assert await mean_read_bytes(2000) < 600.0
 
 
 @pytest.mark.parametrize(
@@ -434,18 +432,15 @@
     assert done.returncode == 0, done.stderr
 
 
-def test_the_state_report_names_silent_zones() -> None:
-    async def scenario(members: list[ReplicationMember]) -> None:
-        members.append(start_member("n0", zone="a"))
-        members.append(start_member("n1", members[0].address, zone="b"))
-        await wait_until(lambda: "r/b" in members[0].replica.zones.last_heard_at)
-        await wait_until(lambda: len(members[0].replica.members) == 2)
-        assert members[0].state_report() == {"links": 1, "in_step": False, "silent_s": {}}
-        members[0].replica.zones.last_heard_at["r/b"] -= 47.0
-        members[0].replica.zones.last_heard_at["r/c"] = -1e6
-        state = members[0].state_report()["silent_s"]
-        assert isinstance(state, dict) and state["r/b"] == 40 and set(state) == {"r/b", "r/c"}
-        json.dumps(members[0].state_report())
-        assert members[0].state_report_interval_s == 0.2, "so 460 members report every 46 s each"
-
-    run_with_members(scenario)
+async def test_the_state_report_names_silent_zones(members: list[ReplicationMember]) -> None:
+    members.append(start_member("n0", zone="a"))
+    members.append(start_member("n1", members[0].address, zone="b"))
+    await wait_until(lambda: "r/b" in members[0].replica.zones.last_heard_at)
+    await wait_until(lambda: len(members[0].replica.members) == 2)
+    assert members[0].state_report() == {"links": 1, "in_step": False, "silent_s": {}}
+    members[0].replica.zones.last_heard_at["r/b"] -= 47.0
+    members[0].replica.zones.last_heard_at["r/c"] = -1e6
+    state = members[0].state_report()["silent_s"]
+    assert isinstance(state, dict) and state["r/b"] == 40 and set(state) == {"r/b", "r/c"}
+    json.dumps(members[0].state_report())
+    assert members[0].state_report_interval_s == 0.2, "so 460 members report every 46 s each"
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -4,6 +4,7 @@
 
 import asyncio
 import json
+import socket
 from collections.abc import Callable
 from pathlib import Path
 
@@ -136,88 +137,85 @@
             await asyncio.sleep(0.01)
 
 
-def test_replicas_converge_after_a_partition_and_forward_records() -> None:
+@pytest.mark.timeout(300)
+async def test_replicas_converge_after_a_partition_and_forward_records() -> None:
     # b and c write while apart, one key on both sides; a chain of links is enough for all to agree.
-    async def go() -> None:
-        a, b, c = Store("a"), Store("b"), Store("c")
-        ra = replica(a)
-        rb = replica(b, ra.address)
-        b.put("config/x", "first")
-        await until(lambda: a.get("config/x") == "first")
-        await rb.stop()
-        b.put("config/x", "mine")
-        c.put("config/x", "theirs")
-        c.put("config/only-c", 1)
-        a.put("config/x", None)
-        rb, rc = replica(b, ra.address), replica(c, ra.address)
-        await until(lambda: a.digest() == b.digest() == c.digest() and a.get("config/only-c") == 1)
-        assert a.get("config/x") == b.get("config/x") == c.get("config/x") == "mine"
-        a.put("config/live", 5)
-        await until(lambda: c.get("config/live") == 5)
-        for r in (ra, rb, rc):
-            await r.stop()
-
-    asyncio.run(go())
-
-
-def test_an_unauthorized_peer_and_a_tampered_frame_are_rejected(caplog: pytest.LogCaptureFixture) -> None:
-    async def go() -> None:
-        a, b = Store("a"), Store("b")
-        ra = replica(a)
-        stranger = replica(b, ra.address, secret=read_secret("another"))
-        b.put("config/evil", 1)
-        reader, writer = await asyncio.open_connection(*ra.address)
-        writer.write(b"\x00\x00\x00\x02{}")
-        assert await asyncio.wait_for(reader.read(), 5) is not None  # ended, with nothing of the store
-        await until(lambda: "the secrets differ" in caplog.text)
-        # Its own advertisement, and nothing else.
-        assert a.keys() == ["state/a/member"] and ra.link_count == 0
-        await stranger.stop()
-        await ra.stop()
-
-        import socket
-
-        one, two = socket.socketpair()
-        one.setblocking(False)
-        two.setblocking(False)
-        left, right = AuthenticatedChannel(one, SECRET, "l"), AuthenticatedChannel(two, SECRET, "r")
-        await asyncio.gather(left.perform_handshake(True), right.perform_handshake(False))
-        await left.send(b'{"records":[]}')
-        loop = asyncio.get_running_loop()
-        frame = await loop.sock_recv(two, 4096)
-        await loop.sock_sendall(one, frame)
-        assert await right.receive() == b'{"records":[]}'
-        await loop.sock_sendall(one, frame)  # once more, as somebody who recorded it would send it
-        with pytest.raises(HandshakeRejectedError, match="tampered"):
-            await right.receive()
-        one.close()
-        two.close()
-
-    asyncio.run(go())
+    a, b, c = Store("a"), Store("b"), Store("c")
+    member_a = replica(a)
+    member_b = replica(b, member_a.address)
+    b.put("config/x", "first")
+    await until(lambda: a.get("config/x") == "first")
+    await member_b.stop()
+    b.put("config/x", "mine")
+    c.put("config/x", "theirs")
+    c.put("config/only-c", 1)
+    a.put("config/x", None)
+    member_b, member_c = replica(b, member_a.address), replica(c, member_a.address)
+    await until(lambda: a.digest() == b.digest() == c.digest() and a.get("config/only-c") == 1)
+    assert a.get("config/x") == b.get("config/x") == c.get("config/x") == "mine"
+    a.put("config/live", 5)
+    await until(lambda: c.get("config/live") == 5)
+    for member in (member_a, member_b, member_c):
+        await member.stop()
+
+
+@pytest.mark.timeout(300)
+async def test_an_unauthorized_peer_and_a_tampered_frame_are_rejected(
+    caplog: pytest.LogCaptureFixture,
+) -> None:
+    store, other_store = Store("a"), Store("b")
+    member = replica(store)
+    stranger = replica(other_store, member.address, secret=read_secret("another"))
+    other_store.put("config/evil", 1)
+    reader, writer = await asyncio.open_connection(*member.address)
+    writer.write(b"\x00\x00\x00\x02{}")
+    assert await asyncio.wait_for(reader.read(), 5) is not None  # ended, with nothing of the store
+    await until(lambda: "the secrets differ" in caplog.text)
+    # Its own advertisement, and nothing else.
+    assert store.keys() == ["state/a/member"] and member.link_count == 0
+    await stranger.stop()
+    await member.stop()
+
+    sender_socket, receiver_socket = socket.socketpair()
+    sender_socket.setblocking(False)
+    receiver_socket.setblocking(False)
+    sender = AuthenticatedChannel(sender_socket, SECRET, "l")
+    receiver = AuthenticatedChannel(receiver_socket, SECRET, "r")
+    await asyncio.gather(sender.perform_handshake(True), receiver.perform_handshake(False))
+    await sender.send(b'{"records":[]}')
+    loop = asyncio.get_running_loop()
+    frame = await loop.sock_recv(receiver_socket, 4096)
+    await loop.sock_sendall(sender_socket, frame)
+    assert await receiver.receive() == b'{"records":[]}'
+    await loop.sock_sendall(sender_socket, frame)  # once more, as somebody who recorded it would send it
+    with pytest.raises(HandshakeRejectedError, match="tampered"):
+        await receiver.receive()
+    sender_socket.close()
+    receiver_socket.close()
 
 
 def admin(*words: str, stdin: str = "") -> Result:
     return CliRunner().invoke(build_app(), ["store", *words], input=stdin)
 
 
-def test_an_operator_adds_an_account_offline_and_to_a_running_daemon(tmp_path: Path) -> None:
+@pytest.mark.timeout(300)
+async def test_an_operator_adds_an_account_offline_and_to_a_running_daemon(tmp_path: Path) -> None:
     path = str(tmp_path / "log")
-    result = admin("--path", path, "account", "lan", "--class", "c", "--tenant", "t", stdin="secret word\n")
+    account = ("account", "lan", "--class", "c", "--tenant", "t")
+    result = await asyncio.to_thread(admin, "--path", path, *account, stdin="secret word\n")
     assert result.exit_code == 0
-    record = json.loads(admin("--path", path, "get", "config/accounts/lan").output)
-    assert admin("--path", path, "get", "config/accounts/mai").exit_code == 4
-    assert admin("get", "config/accounts/lan").exit_code == 2
+    record = json.loads((await asyncio.to_thread(admin, "--path", path, "get", "config/accounts/lan")).output)
+    missing = await asyncio.to_thread(admin, "--path", path, "get", "config/accounts/mai")
+    assert missing.exit_code == 4
+    without_store = await asyncio.to_thread(admin, "get", "config/accounts/lan")
+    assert without_store.exit_code == 2
     assert record["tenant"] == "t" and "secret word" not in (tmp_path / "log").read_text(errors="replace")
 
     (tmp_path / "secret").write_text("one secret\n")
-
-    async def go() -> None:
-        store = Store("daemon")
-        running = replica(store)
-        where = ["--connect", "{}:{}".format(*running.address), "--secret-file", str(tmp_path / "secret")]
-        result = await asyncio.to_thread(admin, *where, "put", "config/log_level", '"DEBUG"')
-        assert result.exit_code == 0
-        assert store.get("config/log_level") == "DEBUG"
-        await running.stop()
-
-    asyncio.run(go())
+    store = Store("daemon")
+    running = replica(store)
+    where = ["--connect", "{}:{}".format(*running.address), "--secret-file", str(tmp_path / "secret")]
+    result = await asyncio.to_thread(admin, *where, "put", "config/log_level", '"DEBUG"')
+    assert result.exit_code == 0
+    assert store.get("config/log_level") == "DEBUG"
+    await running.stop()
