--- a/sageturn/store/replication/anti_entropy_exchange.py
+++ b/sageturn/store/replication/anti_entropy_exchange.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 from collections.abc import Iterable
-from typing import Any
 
 from sageturn.store.errors import SessionRejectedError
 from sageturn.store.replication import message_codec
@@ -66,7 +65,7 @@
 
     # ------------------------------------------------------------ receiving
 
-    def on_request(self, kind: MessageKind, body: Any) -> None:
+    def on_request(self, kind: MessageKind, body: object) -> None:
         """Keeps a request of the peer. Raises SessionRejectedError while another one is open."""
         if self._responder.has_request:
             raise SessionRejectedError("asked before the answer")
--- a/sageturn/store/replication/change_exchange.py
+++ b/sageturn/store/replication/change_exchange.py
@@ -2,8 +2,6 @@
 
 from __future__ import annotations
 
-from typing import Any
-
 from sageturn.store.errors import SessionRejectedError
 from sageturn.store.replication import message_codec
 from sageturn.store.replication.chunk_receiver import ChunkReceiver
@@ -99,7 +97,7 @@
 
     # ------------------------------------------------------------ receiving
 
-    def on_follow(self, body: Any, peer_incarnation: int) -> None:
+    def on_follow(self, body: object, peer_incarnation: int) -> None:
         """Begins to send changes. Raises SessionRejectedError for a second or an impossible request."""
         if self.sender is not None:
             raise SessionRejectedError("follows twice")
--- a/sageturn/store/replication/hello_exchange.py
+++ b/sageturn/store/replication/hello_exchange.py
@@ -2,8 +2,6 @@
 
 from __future__ import annotations
 
-from typing import Any
-
 from sageturn.store.errors import SessionRejectedError
 from sageturn.store.replication import message_codec
 from sageturn.store.replication.messages import Hello
@@ -56,7 +54,7 @@
             location=host.location,
         )
 
-    def decode_peer_hello(self, body: Any) -> Hello:
+    def decode_peer_hello(self, body: object) -> Hello:
         """Decodes the peer's hello, which is not accepted by that yet.
 
         Raises:
--- a/sageturn/store/replication/session.py
+++ b/sageturn/store/replication/session.py
@@ -11,8 +11,6 @@
 
 from __future__ import annotations
 
-from typing import Any
-
 from sageturn.store.errors import SessionRejectedError
 from sageturn.store.replication import message_codec
 from sageturn.store.replication.anti_entropy_exchange import AntiEntropyExchange
@@ -199,7 +197,7 @@
     # A message out of place is rejected as that, and not for what its body holds: the handlers check whether
     # this side expects the kind before they decode the body.
 
-    def _handle(self, kind: MessageKind, body: Any, now: float) -> None:
+    def _handle(self, kind: MessageKind, body: object, now: float) -> None:
         match kind:
             case MessageKind.DIGEST:
                 raise message_codec.protocol_mismatch(self.peer, message_codec.PROTOCOL_WITHOUT_HELLO)
@@ -211,7 +209,7 @@
                 self._handle_established(kind, body, now)
                 self._host.on_session_progress(self)
 
-    def _handle_established(self, kind: MessageKind, body: Any, now: float) -> None:
+    def _handle_established(self, kind: MessageKind, body: object, now: float) -> None:
         changes = self.change_exchange
         match kind:
             case MessageKind.FOLLOW:
@@ -230,7 +228,7 @@
             case MessageKind.RECORD_RESPONSE:
                 self._on_records(message_codec.decode_record_response(body), now)
 
-    def _on_hello(self, body: Any, now: float) -> None:
+    def _on_hello(self, body: object, now: float) -> None:
         hello = self._hellos.decode_peer_hello(body)
         self._host.admit(self, hello, self._hellos.claimed_sync(), now)
         self._hellos.peer_hello = hello
--- a/sageturn/store/replication/session_closing.py
+++ b/sageturn/store/replication/session_closing.py
@@ -2,8 +2,6 @@
 
 from __future__ import annotations
 
-from typing import Any
-
 from sageturn.store.errors import SessionRejectedError
 from sageturn.store.replication import message_codec
 from sageturn.store.replication.close_code import CloseCode
@@ -55,7 +53,7 @@
         self.is_bye_sent = True
         return Bye(self.code, self.detail, self._alternatives)
 
-    def on_bye(self, body: Any) -> None:
+    def on_bye(self, body: object) -> None:
         """Handles the peer's last message.
 
         The session has ended even if the alternatives that the body names are malformed, which raises
