--- a/tests/store/test_overlay_network.py
+++ b/tests/store/test_overlay_network.py
@@ -33,8 +33,8 @@
     seeds = [member.address for member in members[:SEED_COUNT]]
     for member in members:
         network.start(member, seeds, view)
-    network.wait_until(network.is_connected, 10)
-    network.run(network.now + settle_s)
+    network.wait_until(network.graph.is_connected, 10)
+    network.clock.advance(settle_s)
     return network
 
 
@@ -51,24 +51,24 @@
     members = running_members(network)
     return (
         len(network.links) == len(members) - 1
-        and network.crossings() == tree_crossings(members)
-        and network.is_connected()
+        and network.graph.crossings() == tree_crossings(members)
+        and network.graph.is_connected()
         and all(all(link.is_established.values()) for link in network.links)
     )
 
 
 def is_linked_as_far_as_possible(network: SimulatedNetwork) -> bool:
-    return network.linked_groups() == network.reachable_groups()
+    return network.graph.linked_groups() == network.graph.reachable_groups()
 
 
 def assert_at_rest(network: SimulatedNetwork, for_s: float = 45.0, ignoring: Iterable[Address] = ()) -> None:
     """Nobody dials or closes a link, but for dials to the ignored addresses."""
-    dials_before = len(network.dials)
-    closes_before = len(network.closes)
-    network.run(network.now + for_s)
-    dials = [dial for dial in network.dials[dials_before:] if dial[2] not in ignoring]
+    dials_before = len(network.record.dials)
+    closes_before = len(network.record.closes)
+    network.clock.advance(for_s)
+    dials = [dial for dial in network.record.dials[dials_before:] if dial[2] not in ignoring]
     assert dials == [], network.describe()
-    assert network.closes[closes_before:] == [], network.describe()
+    assert network.record.closes[closes_before:] == [], network.describe()
 
 
 # Random faults
@@ -126,7 +126,7 @@
     def run(self) -> None:
         """After each fault all that can be are linked together, within the time stated; at last all are."""
         for _ in range(self.COUNT):
-            self.network.run(self.network.now + self.rng.choice([0.3, 3, 20]))
+            self.network.clock.advance(self.rng.choice([0.3, 3, 20]))
             fault = self.rng.choice(self.FAULTS)
             self.inject(fault)
             if fault in self.PARTITIONS:
@@ -134,7 +134,7 @@
             elif fault == "heal":
                 self.partitioned_by = ""
             self.wait_until_linked(self.time_limit_s(fault))
-            assert self.network.max_accepted_links <= 4 * self.network.fanout
+            assert self.network.record.max_accepted_links <= 4 * self.network.fanout
         self.recover()
 
     def time_limit_s(self, fault: str) -> float:
@@ -176,7 +176,7 @@
     def remove_one(self, running: list[SimulatedMember]) -> None:
         removed, remover = self.rng.sample(running, 2)
         remover.receive_members([], {removed.member.name: removed.member.incarnation})
-        self.network.run(self.network.now + 1)
+        self.network.clock.advance(1)
         self.network.kill(removed)
 
     def stopped(self) -> list[SimulatedMember]:
@@ -193,7 +193,7 @@
         self.wait_until_linked(45)
         statuses = {process.overlay.membership_status for process in network.running()}
         assert statuses == {MembershipStatus.MEMBER}
-        network.run(network.now + SETTLE_S)
+        network.clock.advance(SETTLE_S)
         assert is_tree(network), network.describe()
         # A seed that is no member any more is still tried by the root now and then.
         addresses = {member.address for member in running_members(network)}
@@ -211,12 +211,12 @@
 
 def test_a_fleet_that_starts_at_once_with_its_store_is_one_tree_within_seconds() -> None:
     network = started_network(make_members(FLEET_SIZE), 1, settle_s=0)
-    assert network.now <= 3
-    network.run(network.now + 30)
-    assert is_tree(network) and network.crossings() == (4, 1)
-    assert len(network.dials) <= 1.1 * FLEET_SIZE
-    assert network.max_dials_per_second() <= MAX_ACCEPTED_LINKS
-    assert network.max_accepted_links <= MAX_ACCEPTED_LINKS
+    assert network.clock.now <= 3
+    network.clock.advance(30)
+    assert is_tree(network) and network.graph.crossings() == (4, 1)
+    assert len(network.record.dials) <= 1.1 * FLEET_SIZE
+    assert network.record.max_dials_per_second() <= MAX_ACCEPTED_LINKS
+    assert network.record.max_accepted_links <= MAX_ACCEPTED_LINKS
     assert_at_rest(network)
 
 
@@ -226,12 +226,12 @@
     network = SimulatedNetwork(2)
     for member in members:
         network.start(member, [seed.address for seed in members[:seeds]])
-    network.wait_until(network.is_connected, 15)
+    network.wait_until(network.graph.is_connected, 15)
     network.wait_until(lambda: is_tree(network), 60)
-    assert network.max_dials_per_second() <= 64
-    assert network.max_accepted_links <= MAX_ACCEPTED_LINKS
-    assert network.max_links <= 2 * MAX_ACCEPTED_LINKS
-    assert len(network.dials) <= 6 * len(members)
+    assert network.record.max_dials_per_second() <= 64
+    assert network.record.max_accepted_links <= MAX_ACCEPTED_LINKS
+    assert network.record.max_links <= 2 * MAX_ACCEPTED_LINKS
+    assert len(network.record.dials) <= 6 * len(members)
 
 
 def test_dead_hubs_a_rack_and_a_zone_are_replaced_within_the_time() -> None:
@@ -240,56 +240,56 @@
     zone_heads = {(member.region, member.zone): member for member in reversed(ordered)}
     for member in zone_heads.values():  # those with the most links, one after another
         network.kill(network.processes[member.address])
-        network.wait_until(network.is_connected, REPLACED_WITHIN_S)
+        network.wait_until(network.graph.is_connected, REPLACED_WITHIN_S)
     rack = [process for process in network.running() if process.member.zone == "z1"][::4]
     for process in rack:
         network.kill(process)
-    network.wait_until(network.is_connected, REPLACED_WITHIN_S)
+    network.wait_until(network.graph.is_connected, REPLACED_WITHIN_S)
     root = in_global_order(running_members(network))[0]
     zone = [process for process in network.running() if process.member.zone == root.zone]
     for process in zone:  # all other zones depend on the root's
         network.kill(process)
-    assert not network.is_connected()
-    network.wait_until(network.is_connected, REPLACED_WITHIN_S)
-    assert network.max_accepted_links <= MAX_ACCEPTED_LINKS
-    before_restart = network.now
-    network.run(network.now + 20)
+    assert not network.graph.is_connected()
+    network.wait_until(network.graph.is_connected, REPLACED_WITHIN_S)
+    assert network.record.max_accepted_links <= MAX_ACCEPTED_LINKS
+    before_restart = network.clock.now
+    network.clock.advance(20)
     for process in zone:
         network.restart(process)
-    network.wait_until(network.is_connected, 10)
-    assert network.max_dials_per_second(before_restart) <= MAX_ACCEPTED_LINKS
-    assert network.max_accepted_links <= MAX_ACCEPTED_LINKS
+    network.wait_until(network.graph.is_connected, 10)
+    assert network.record.max_dials_per_second(before_restart) <= MAX_ACCEPTED_LINKS
+    assert network.record.max_accepted_links <= MAX_ACCEPTED_LINKS
 
 
 def test_after_a_partition_regions_are_joined_by_one_link_and_few_dials() -> None:
     network = started_network(make_members(FLEET_SIZE), 5, settle_s=5)
     network.partition(lambda one, other: one.region != other.region)
-    network.wait_until(lambda: network.is_connected(groups=2), REPLACED_WITHIN_S)
-    network.run(network.now + 60)
-    assert len(network.linked_groups()) == 2
+    network.wait_until(lambda: network.graph.is_connected(groups=2), REPLACED_WITHIN_S)
+    network.clock.advance(60)
+    assert len(network.graph.linked_groups()) == 2
     # A root has a link more for a moment when it looks for others.
-    network.wait_until(lambda: network.crossings() == (3, 0), 10)
-    healed_at = network.now
-    dials_before = len(network.dials)
+    network.wait_until(lambda: network.graph.crossings() == (3, 0), 10)
+    healed_at = network.clock.now
+    dials_before = len(network.record.dials)
     network.heal()
-    network.wait_until(network.is_connected, 30)
+    network.wait_until(network.graph.is_connected, 30)
     network.wait_until(lambda: is_tree(network), 60)
-    assert len(network.dials) - dials_before <= 20
-    assert network.max_dials_per_second(healed_at) <= 4
+    assert len(network.record.dials) - dials_before <= 20
+    assert network.record.max_dials_per_second(healed_at) <= 4
 
 
 def test_a_partition_of_an_hour_costs_few_dials_and_its_end_is_noticed() -> None:
     network = started_network(make_members(12), 6)
     network.partition(lambda one, other: one.region != other.region)
-    network.run(network.now + 60)
-    dials_before = len(network.dials)
-    network.run(network.now + 3600)
+    network.clock.advance(60)
+    dials_before = len(network.record.dials)
+    network.clock.advance(3600)
     of_two_roots = 2 * 3600 / 7.5
     of_the_others = 3600 / 8
-    assert len(network.dials) - dials_before <= of_two_roots + of_the_others
+    assert len(network.record.dials) - dials_before <= of_two_roots + of_the_others
     network.heal()
-    network.wait_until(network.is_connected, 30)
-    network.run(network.now + SETTLE_S)
+    network.wait_until(network.graph.is_connected, 30)
+    network.clock.advance(SETTLE_S)
     assert is_tree(network)
     assert_at_rest(network)
 
@@ -302,16 +302,16 @@
     dials_to_hub = []
     for _ in range(rounds):
         network.kill(hub, machine=False)
-        network.run(network.now + 3)
-        network.wait_until(network.is_connected, REPLACED_WITHIN_S)
-        dials_before = len(network.dials)
+        network.clock.advance(3)
+        network.wait_until(network.graph.is_connected, REPLACED_WITHIN_S)
+        dials_before = len(network.record.dials)
         hub = network.restart(hub)
-        network.run(network.now + 12)
-        addresses = [address for _, _, address in network.dials[dials_before:]]
+        network.clock.advance(12)
+        addresses = [address for _, _, address in network.record.dials[dials_before:]]
         dials_to_hub.append(addresses.count(hub.member.address))
     assert children >= 8 and max(dials_to_hub) >= 6  # its children do come back to it
     assert sum(dials_to_hub[4:]) <= rounds, dials_to_hub  # but not for ever
-    network.run(network.now + 300)
+    network.clock.advance(300)
     assert is_tree(network)
 
 
@@ -321,18 +321,18 @@
     old = members[7]
     twin = Member(old.name, ("10.8.8.8", 7000), old.region, old.zone, 2)
     network.start(twin, [members[0].address])
-    network.run(network.now + 30)
+    network.clock.advance(30)
     assert overlay_status(network, old) == MembershipStatus.SUPERSEDED
     assert overlay_status(network, twin) == MembershipStatus.MEMBER
     assert network.processes[twin.address].links
     assert not network.processes[old.address].links
     network.kill(network.processes[old.address])
-    network.run(network.now + SETTLE_S)
+    network.clock.advance(SETTLE_S)
     assert is_tree(network)
     # And a stale incarnation that starts later learns of the newer one at its first dial.
     stale = Member(old.name, ("10.8.8.9", 7000), old.region, old.zone, 1)
     stale_process = network.start(stale, [members[0].address])
-    network.run(network.now + 10)
+    network.clock.advance(10)
     assert overlay_status(network, stale) == MembershipStatus.SUPERSEDED
     assert not stale_process.links
     assert overlay_status(network, twin) == MembershipStatus.MEMBER
@@ -345,14 +345,14 @@
     network = started_network(members, 9)
     removed = network.processes[in_global_order(members)[0].address]  # the root
     network.kill(removed)
-    network.wait_until(network.is_connected, REPLACED_WITHIN_S)
+    network.wait_until(network.graph.is_connected, REPLACED_WITHIN_S)
     remover = network.running()[3]
     remover.receive_members([], {removed.member.name: removed.member.incarnation})
-    network.run(network.now + SETTLE_S)
+    network.clock.advance(SETTLE_S)
     assert is_tree(network)
     assert_at_rest(network)
     returned = network.start(removed.member, [members[1].address], removed.view)
-    network.run(network.now + 10)
+    network.clock.advance(10)
     assert returned.overlay.membership_status == MembershipStatus.REMOVED
     assert not returned.links
     others = [process for process in network.running() if process is not returned]
@@ -360,7 +360,7 @@
     returned.is_running = False
     assert is_tree(network)
     network.restart(removed)  # a new incarnation is accepted
-    network.run(network.now + SETTLE_S)
+    network.clock.advance(SETTLE_S)
     assert is_tree(network) and len(network.running()) == 20
     assert_at_rest(network)
 
@@ -370,9 +370,9 @@
     network = SimulatedNetwork(10, fanout=2)
     for member in members:
         network.start(member, [members[0].address])
-    network.wait_until(network.is_connected, 40)
-    assert RejectReason.FULL in {reason for _, _, reason in network.rejections}
-    assert network.max_accepted_links <= 4 * 2
-    network.run(network.now + SETTLE_S)
+    network.wait_until(network.graph.is_connected, 40)
+    assert RejectReason.FULL in {reason for _, _, reason in network.record.rejections}
+    assert network.record.max_accepted_links <= 4 * 2
+    network.clock.advance(SETTLE_S)
     assert is_tree(network)
     assert_at_rest(network)
--- a/tests/store/test_replication.py
+++ b/tests/store/test_replication.py
@@ -75,10 +75,10 @@
     cluster = SimulatedCluster(NAMES, seed, rate)
     for step in schedule:
         apply_step(cluster, step)
-        cluster.check()
+        cluster.invariants.check()
     before = cluster.newest()
     assert cluster.converge()
-    cluster.check()
+    cluster.invariants.check()
     # Nothing that anybody held when the links came up is lost, and nothing else wins.
     assert cluster.newest() == before
     assert not [text for text in cluster.rejections if text.startswith(("not understood", "unknown"))]
@@ -108,24 +108,28 @@
     for number in written:
         cluster.put("d", f"config/new/{number}", number)
     cluster.run(away_s)
-    cluster.check()
+    cluster.invariants.check()
     if away_s > 70.0:
-        assert not any(cluster.store("a").record(f"config/{n}") for n in deleted), "deletions are forgotten"
+        assert not any(cluster.store("a").record(f"config/{number}") for number in deleted), (
+            "deletions are forgotten"
+        )
     if not running:
         cluster.restart("d")
     star = [("a", name) for name in "bcd"]
     assert cluster.converge(60.0, star)
-    cluster.check()
+    cluster.invariants.check()
     for name in "abcd":
         store = cluster.store(name)
-        assert not [n for n in deleted if store.get(f"config/{n}") or store.get(f"config/b{n}")]
-        assert all(store.get(f"config/{n}") == "old" for n in set(range(10)) - deleted)
-        assert all(store.get(f"config/new/{n}") == n for n in written)
+        assert not [
+            number for number in deleted if store.get(f"config/{number}") or store.get(f"config/b{number}")
+        ]
+        assert all(store.get(f"config/{number}") == "old" for number in set(range(10)) - deleted)
+        assert all(store.get(f"config/new/{number}") == number for number in written)
     # And a key that was deleted and forgotten can be written anew, above all that anyone may remember.
     for number in deleted:
         cluster.put("d", f"config/{number}", "again")
     assert cluster.converge(30.0, star)
-    assert all(cluster.store("b").get(f"config/{n}") == "again" for n in deleted)
+    assert all(cluster.store("b").get(f"config/{number}") == "again" for number in deleted)
 
 
 def test_a_write_that_no_peer_has_received_survives_a_long_absence() -> None:
@@ -234,8 +238,8 @@
     cluster.run(2.0)
     assert cluster.store("e").get("config/gone") == 1
     assert cluster.converge(60.0, [("a", "b"), ("z", "e"), ("e", "a")])
-    assert [cluster.store(n).get("config/gone") for n in "abez"] == [None] * 4
-    assert [cluster.store(n).get("config/kept") for n in "abez"] == [2] * 4
+    assert [cluster.store(name).get("config/gone") for name in "abez"] == [None] * 4
+    assert [cluster.store(name).get("config/kept") for name in "abez"] == [2] * 4
 
 
 def test_a_removed_member_is_rejected_and_starts_over_once_it_is_added_again() -> None:
@@ -339,7 +343,7 @@
         cluster.connect("a", "b")
         (connection,) = cluster.connections.values()
         cluster.run(3.0, max_steps=20)
-        cluster.check()
+        cluster.invariants.check()
         sent_bytes += connection.sent_bytes
         disconnects += 1
         assert disconnects < 40, "begun anew each time it would never end"
@@ -361,9 +365,9 @@
     while cluster.store("b").get("config/urgent") is None:
         cluster.run(0.05)
     assert cluster.now - began < 0.5 and not cluster.equal_among("ab"), "while the snapshot goes on"
-    cluster.check()
+    cluster.invariants.check()
     assert cluster.converge(120.0, [("a", "b"), ("b", "c")])
-    cluster.check()
+    cluster.invariants.check()
 
 
 def test_several_changes_of_a_key_are_sent_as_one_and_a_slow_follower_delays_nobody() -> None:
@@ -377,7 +381,7 @@
         cluster.put("a", "config/x", number)
         cluster.step()
     cluster.run(0.5)
-    cluster.check()
+    cluster.invariants.check()
     assert cluster.store("b").get("config/x") == 499 and cluster.store("c").get("config/x") is None
     assert slow.sent_bytes - sent_bytes < 3000, (
         "what it has not read is not repeated, and what is older is gone"
@@ -441,7 +445,7 @@
     for number in range(5000):
         changes.add(StoreRecord(f"config/{number % 7}", number, number + 1, "a"), source=number % 2)
     (urgent, _) = changes.logs
-    assert [key for _, key, _ in urgent.since(0)] == [f"config/{n % 7}" for n in range(4993, 5000)]
+    assert [key for _, key, _ in urgent.since(0)] == [f"config/{number % 7}" for number in range(4993, 5000)]
     assert [revision for revision, _, _ in urgent.since(4997)] == [4998, 4999, 5000]
     assert urgent.order_length < 100 and changes.heads == [5000, 0] and changes.counts == [7, 0]
 
--- a/tests/support/overlay_simulation.py
+++ b/tests/support/overlay_simulation.py
@@ -25,6 +25,25 @@
 REGION_LATENCY_S = 0.040
 
 
+class EventQueue:
+    """The simulation's clock: events run in the order of their times, and nothing else moves it."""
+
+    def __init__(self) -> None:
+        self.now = 0.0
+        self._events: list[tuple[float, int, Callable[..., None], tuple[object, ...]]] = []
+        self._event_numbers = itertools.count()
+
+    def schedule(self, at: float, action: Callable[..., None], *args: object) -> None:
+        heapq.heappush(self._events, (at, next(self._event_numbers), action, args))
+
+    def advance(self, seconds: float) -> None:
+        until = self.now + seconds
+        while self._events and self._events[0][0] <= until:
+            self.now, _, action, args = heapq.heappop(self._events)
+            action(*args)
+        self.now = until
+
+
 class SimulatedMember:
     """One process of a member: its view of the membership, its links and its overlay."""
 
@@ -50,17 +69,17 @@
         network = self.network
         if not self.is_running:
             return
-        for name in self.overlay.links_to_close(network.now):
+        for name in self.overlay.links_to_close(network.clock.now):
             if link := self.links.get(name):
-                network.closes.append((network.now, self.member.name, name))
-                network.close_link(link, by=self)
-        for address in self.overlay.addresses_to_dial(network.now):
+                network.record.closes.append((network.clock.now, self.member.name, name))
+                network.close_link(link, closer=self)
+        for address in self.overlay.addresses_to_dial(network.clock.now):
             network.dial(self, address)
-        at = self.overlay.next_wakeup(network.now)
-        assert at > network.now
-        if at < self._poll_at or self._poll_at <= network.now:
+        at = self.overlay.next_wakeup(network.clock.now)
+        assert at > network.clock.now
+        if at < self._poll_at or self._poll_at <= network.clock.now:
             self._poll_at = at
-            network.schedule(at, self._poll_if_due, at)
+            network.clock.schedule(at, self._poll_if_due, at)
 
     def _poll_if_due(self, at: float) -> None:
         if at == self._poll_at:
@@ -85,7 +104,7 @@
             if name in self.view and self.view[name].incarnation <= incarnation:
                 del self.view[name]
         if not self._unsent:
-            self.network.schedule(self.network.now + BATCH_INTERVAL_S, self._send_members)
+            self.network.clock.schedule(self.network.clock.now + BATCH_INTERVAL_S, self._send_members)
         self._unsent.update({member.name: member for member in updated})
         self._unsent.setdefault("", self.member)
 
@@ -119,43 +138,100 @@
         return self.ends[1] if process is self.ends[0] else self.ends[0]
 
 
-class SimulatedNetwork:
-    """The members, the links between them, and a record of what happened."""
+class NetworkRecord:
+    """What happened in a network: each entry begins with the time and the member's name."""
 
-    def __init__(self, seed: int, fanout: int = 8) -> None:
-        self.seed = seed
-        self.fanout = fanout
-        self.now = 0.0
-        self.processes: dict[Address, SimulatedMember] = {}
-        self.links: dict[SimulatedLink, None] = {}  # in order, so that a seed gives one run
+    def __init__(self) -> None:
         self.dials: list[tuple[float, str, Address]] = []
         self.closes: list[tuple[float, str, str]] = []
         self.rejections: list[tuple[float, str, str]] = []
         self.max_accepted_links = 0
         self.max_links = 0
-        self._rng = Random(seed)
-        self._is_partitioned: Callable[[Member, Member], bool] = lambda one, other: False
-        self._events: list[tuple[float, int, Callable[..., None], tuple[object, ...]]] = []
-        self._event_numbers = itertools.count()
 
-    # The clock
+    def count_links(self, process: SimulatedMember) -> None:
+        """Keeps the most links that any member had."""
+        accepted = sum(1 for link in process.links.values() if link.dialer is not process)
+        self.max_accepted_links = max(self.max_accepted_links, accepted)
+        self.max_links = max(self.max_links, len(process.links))
 
-    def schedule(self, at: float, action: Callable[..., None], *args: object) -> None:
-        heapq.heappush(self._events, (at, next(self._event_numbers), action, args))
+    def max_dials_per_second(self, since: float = 0.0) -> int:
+        """The most dials that any member got within any one second."""
+        times_by_target: dict[Address, list[float]] = defaultdict(list)
+        for at, _, address in self.dials:
+            if at >= since:
+                times_by_target[address].append(at)
+        busiest = 0
+        for times in times_by_target.values():
+            first = 0
+            for last, at in enumerate(times):
+                while times[first] <= at - 1.0:
+                    first += 1
+                busiest = max(busiest, last - first + 1)
+        return busiest
 
-    def run(self, until: float) -> None:
-        while self._events and self._events[0][0] <= until:
-            self.now, _, action, args = heapq.heappop(self._events)
-            action(*args)
-        self.now = until
+
+class LinkGraph:
+    """Which members of a network are linked together, and which could be."""
+
+    def __init__(self, network: SimulatedNetwork) -> None:
+        self._network = network
+
+    def linked_groups(self) -> list[set[str]]:
+        """The names of members that are linked together, directly or over others."""
+        neighbours: dict[str, set[str]] = {process.member.name: set() for process in self._network.running()}
+        for link in self._network.links:
+            if all(link.is_established.values()):
+                self._join(neighbours, *link.ends)
+        return _connected_components(neighbours)
+
+    def reachable_groups(self) -> list[set[str]]:
+        """The names of members that could be linked: one knows of the other, and the network lets it."""
+        neighbours: dict[str, set[str]] = {process.member.name: set() for process in self._network.running()}
+        for one, other in itertools.combinations(self._network.running(), 2):
+            if (_knows(one, other) or _knows(other, one)) and not self._network.is_partitioned(
+                one.member, other.member
+            ):
+                self._join(neighbours, one, other)
+        return _connected_components(neighbours)
+
+    @staticmethod
+    def _join(neighbours: dict[str, set[str]], one: SimulatedMember, other: SimulatedMember) -> None:
+        neighbours[one.member.name].add(other.member.name)
+        neighbours[other.member.name].add(one.member.name)
+
+    def is_connected(self, groups: int = 1) -> bool:
+        return len(self.linked_groups()) == groups
+
+    def crossings(self) -> tuple[int, int]:
+        """Links between zones, and of these those between regions."""
+        pairs = [(link.ends[0].member, link.ends[1].member) for link in self._network.links]
+        return (
+            sum((one.region, one.zone) != (other.region, other.zone) for one, other in pairs),
+            sum(one.region != other.region for one, other in pairs),
+        )
+
+
+class SimulatedNetwork:
+    """The members and the links between them: starts, faults, dials and messages."""
+
+    def __init__(self, seed: int, fanout: int = 8) -> None:
+        self.seed = seed
+        self.fanout = fanout
+        self.clock = EventQueue()
+        self.processes: dict[Address, SimulatedMember] = {}
+        self.links: dict[SimulatedLink, None] = {}  # in order, so that a seed gives one run
+        self.record = NetworkRecord()
+        self.graph = LinkGraph(self)
+        self._rng = Random(seed)
+        self.is_partitioned: Callable[[Member, Member], bool] = lambda one, other: False
 
     def wait_until(self, condition: Callable[[], bool], within_s: float, step_s: float = 0.1) -> float:
         """Returns after how many seconds the condition holds; fails the test where it takes too long."""
-        start = self.now
+        start = self.clock.now
         while not condition():
-            assert self.now - start < within_s, f"not within {within_s} s: {self.describe()}"
-            self.run(self.now + step_s)
-        return self.now - start
+            assert self.clock.now - start < within_s, f"not within {within_s} s: {self.describe()}"
+            self.clock.advance(step_s)
+        return self.clock.now - start
 
     # Members
 
@@ -187,7 +263,7 @@
 
     def partition(self, is_partitioned: Callable[[Member, Member], bool]) -> None:
         """From now on pairs of members for which this holds don't reach each other."""
-        self._is_partitioned = is_partitioned
+        self.is_partitioned = is_partitioned
         for link in list(self.links):
             if is_partitioned(link.ends[0].member, link.ends[1].member):
                 self._break_link(link, PEER_TIMEOUT_S)
@@ -198,56 +274,58 @@
     # Dials
 
     def dial(self, dialer: SimulatedMember, address: Address) -> None:
-        self.dials.append((self.now, dialer.member.name, address))
+        self.record.dials.append((self.clock.now, dialer.member.name, address))
         target = self.processes.get(address)
         if target is None or not self._can_reach(dialer, target):
-            self.schedule(self.now + CONNECT_TIMEOUT_S, self._fail_dial, dialer, address)
+            self.clock.schedule(self.clock.now + CONNECT_TIMEOUT_S, self._fail_dial, dialer, address)
         elif target is dialer:
             self._fail_dial(dialer, address)
         else:
-            at = self.now + self._latency(dialer, target)
-            self.schedule(at, self._on_dial_arrived, dialer, target, address)
+            at = self.clock.now + self._latency(dialer, target)
+            self.clock.schedule(at, self._on_dial_arrived, dialer, target, address)
 
     def _can_reach(self, one: SimulatedMember, other: SimulatedMember) -> bool:
-        return other.machine_is_up and not self._is_partitioned(one.member, other.member)
+        return other.machine_is_up and not self.is_partitioned(one.member, other.member)
 
     def _fail_dial(self, dialer: SimulatedMember, address: Address) -> None:
         if dialer.is_running:
-            dialer.overlay.on_dial_failed(address, self.now)
+            dialer.overlay.on_dial_failed(address, self.clock.now)
             dialer.poll()
 
     def _reject_dial(self, dialer: SimulatedMember, address: Address, rejection: LinkRejected) -> None:
         if dialer.is_running:
-            dialer.overlay.on_dial_rejected(address, self.now, rejection)
+            dialer.overlay.on_dial_rejected(address, self.clock.now, rejection)
             dialer.poll()
 
     def _on_dial_arrived(self, dialer: SimulatedMember, target: SimulatedMember, address: Address) -> None:
-        answer_at = self.now + self._latency(dialer, target)
+        answer_at = self.clock.now + self._latency(dialer, target)
         if not self._can_reach(dialer, target):
-            self.schedule(self.now + CONNECT_TIMEOUT_S, self._fail_dial, dialer, address)
+            self.clock.schedule(self.clock.now + CONNECT_TIMEOUT_S, self._fail_dial, dialer, address)
             return
         if not target.is_running:
-            self.schedule(answer_at, self._fail_dial, dialer, address)
+            self.clock.schedule(answer_at, self._fail_dial, dialer, address)
             return
         if not dialer.is_running:
             return
-        rejection = target.overlay.check_admission(dialer.member, self.now)
+        rejection = target.overlay.check_admission(dialer.member, self.clock.now)
         if rejection is not None:
-            self.rejections.append((self.now, dialer.member.name, rejection.reason))
-            self.schedule(answer_at, self._reject_dial, dialer, address, rejection)
+            self.record.rejections.append((self.clock.now, dialer.member.name, rejection.reason))
+            self.clock.schedule(answer_at, self._reject_dial, dialer, address, rejection)
             target.poll()
             return
         existing = target.links.get(dialer.member.name)
         if existing is not None:
             dialed_by_smaller = existing.dialer.member.name < dialer.member.name
             if existing.other(target) is dialer and dialed_by_smaller:
-                self.schedule(answer_at, self._fail_dial, dialer, address)  # both dialed: the other's stays
+                self.clock.schedule(
+                    answer_at, self._fail_dial, dialer, address
+                )  # both dialed: the other's stays
                 return
             self._discard(existing)
         link = SimulatedLink(dialer, target, dialer)
         self.links[link] = None
         self._establish(link, target, None)
-        self.schedule(answer_at, self._establish, link, dialer, address)
+        self.clock.schedule(answer_at, self._establish, link, dialer, address)
 
     # Links
 
@@ -274,10 +352,8 @@
             self._discard(existing)
         process.links[other.member.name] = link
         link.is_established[process] = True
-        process.overlay.on_link_established(other.member.name, self.now, dialed)
-        accepted = sum(1 for one in process.links.values() if one.dialer is not process)
-        self.max_accepted_links = max(self.max_accepted_links, accepted)
-        self.max_links = max(self.max_links, len(process.links))
+        process.overlay.on_link_established(other.member.name, self.clock.now, dialed)
+        self.record.count_links(process)
         self.send(link, other.receive_members, list(process.view.values()), dict(process.removed))
         self._send_heartbeat(link, process)
         process.poll()
@@ -293,7 +369,9 @@
 
     def send(self, link: SimulatedLink, deliver: Callable[..., None], *args: object) -> None:
         if not link.is_broken:
-            self.schedule(self.now + self._latency(*link.ends), self._deliver, link, deliver, args)
+            self.clock.schedule(
+                self.clock.now + self._latency(*link.ends), self._deliver, link, deliver, args
+            )
 
     def _deliver(self, link: SimulatedLink, deliver: Callable[..., None], args: tuple[object, ...]) -> None:
         if not link.is_broken:
@@ -303,95 +381,44 @@
         other = link.other(process)
         if link.is_broken or not process.is_running or process.links.get(other.member.name) is not link:
             return
-        advertisement = process.overlay.make_advertisement(other.member.name, self.now)
+        advertisement = process.overlay.make_advertisement(other.member.name, self.clock.now)
         self.send(link, self._on_heartbeat, link, other, process.member.name, advertisement)
-        self.schedule(self.now + HEARTBEAT_INTERVAL_S, self._send_heartbeat, link, process)
+        self.clock.schedule(self.clock.now + HEARTBEAT_INTERVAL_S, self._send_heartbeat, link, process)
 
     def _on_heartbeat(
         self, link: SimulatedLink, process: SimulatedMember, sender: str, advertisement: RouteAdvertisement
     ) -> None:
         if process.is_running and process.links.get(sender) is link:
-            process.overlay.on_advertisement(sender, advertisement, self.now)
+            process.overlay.on_advertisement(sender, advertisement, self.clock.now)
 
-    def close_link(self, link: SimulatedLink, by: SimulatedMember) -> None:
+    def close_link(self, link: SimulatedLink, closer: SimulatedMember) -> None:
         """One side closes on purpose."""
         link.is_broken = True
         self.links.pop(link, None)
-        self._on_link_lost(link, by, True)
-        at = self.now + self._latency(*link.ends)
-        self.schedule(at, self._on_link_lost, link, link.other(by), True)
+        self._on_link_lost(link, closer, True)
+        at = self.clock.now + self._latency(*link.ends)
+        self.clock.schedule(at, self._on_link_lost, link, link.other(closer), True)
 
     def _break_link(self, link: SimulatedLink, noticed_after_s: float) -> None:
         link.is_broken = True
         self.links.pop(link, None)
         for process in link.ends:
-            self.schedule(self.now + noticed_after_s, self._on_link_lost, link, process, False)
+            self.clock.schedule(self.clock.now + noticed_after_s, self._on_link_lost, link, process, False)
 
     def _on_link_lost(self, link: SimulatedLink, process: SimulatedMember, orderly: bool) -> None:
         name = link.other(process).member.name
         if process.is_running and process.links.get(name) is link:
             del process.links[name]
-            process.overlay.on_link_lost(name, self.now, orderly)
+            process.overlay.on_link_lost(name, self.clock.now, orderly)
             process.poll()
 
-    # Views from outside
-
     def running(self) -> list[SimulatedMember]:
         return [process for process in self.processes.values() if process.is_running]
 
-    def linked_groups(self) -> list[set[str]]:
-        """The names of members that are linked together, directly or over others."""
-        neighbours: dict[str, set[str]] = {process.member.name: set() for process in self.running()}
-        for link in self.links:
-            if all(link.is_established.values()):
-                self._join(neighbours, *link.ends)
-        return _connected_components(neighbours)
-
-    def reachable_groups(self) -> list[set[str]]:
-        """The names of members that could be linked: one knows of the other, and the network lets it."""
-        neighbours: dict[str, set[str]] = {process.member.name: set() for process in self.running()}
-        for one, other in itertools.combinations(self.running(), 2):
-            if (_knows(one, other) or _knows(other, one)) and not self._is_partitioned(
-                one.member, other.member
-            ):
-                self._join(neighbours, one, other)
-        return _connected_components(neighbours)
-
-    @staticmethod
-    def _join(neighbours: dict[str, set[str]], one: SimulatedMember, other: SimulatedMember) -> None:
-        neighbours[one.member.name].add(other.member.name)
-        neighbours[other.member.name].add(one.member.name)
-
-    def is_connected(self, groups: int = 1) -> bool:
-        return len(self.linked_groups()) == groups
-
-    def crossings(self) -> tuple[int, int]:
-        """Links between zones, and of these those between regions."""
-        pairs = [(link.ends[0].member, link.ends[1].member) for link in self.links]
-        return (
-            sum((one.region, one.zone) != (other.region, other.zone) for one, other in pairs),
-            sum(one.region != other.region for one, other in pairs),
-        )
-
-    def max_dials_per_second(self, since: float = 0.0) -> int:
-        """The most dials that any member got within any one second."""
-        times_by_target: dict[Address, list[float]] = defaultdict(list)
-        for at, _, address in self.dials:
-            if at >= since:
-                times_by_target[address].append(at)
-        busiest = 0
-        for times in times_by_target.values():
-            first = 0
-            for last, at in enumerate(times):
-                while times[first] <= at - 1.0:
-                    first += 1
-                busiest = max(busiest, last - first + 1)
-        return busiest
-
     def describe(self) -> str:
-        groups = self.linked_groups()
+        groups = self.graph.linked_groups()
         sizes = [len(group) for group in groups][:20]
-        return f"seed {self.seed}, {self.now:.1f} s: {len(groups)} groups of {sizes}"
+        return f"seed {self.seed}, {self.clock.now:.1f} s: {len(groups)} groups of {sizes}"
 
 
 def _knows(one: SimulatedMember, other: SimulatedMember) -> bool:
--- a/tests/support/replication_fleet.py
+++ b/tests/support/replication_fleet.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 
 from sageturn.store.errors import SessionRejectedError
-from sageturn.store.records import MAX_FRAME_BYTES, StoreRecord, supersedes
+from sageturn.store.records import MAX_FRAME_BYTES, RecordOrder, StoreRecord, supersedes
 from sageturn.store.replica_state import ReplicaState
 from sageturn.store.replication.anti_entropy import MAX_REQUESTED_KEYS
 from sageturn.store.replication.chunk_sender import MAX_CHUNKS_IN_FLIGHT, MAX_URGENT_CHUNKS_IN_FLIGHT
@@ -24,6 +24,8 @@
 
 MAX_QUEUED_FRAMES = 8  # on one side of a connection, as in the kernel's buffers
 DAY_S = 86400.0
+STARTED_AT_S = 1000.0
+CONTROL_BYTES_PER_S = 12_000.0  # of hellos, heartbeats and acknowledgements, which are always sent
 
 
 @dataclass
@@ -49,19 +51,96 @@
         self.frames += 1
 
 
+class ClusterInvariants:
+    """What must hold in a cluster after each step of a schedule."""
+
+    def __init__(self, cluster: SimulatedCluster) -> None:
+        self._cluster = cluster
+        self._orders: dict[tuple[str, str], RecordOrder] = {}  # by replica and key, the last one seen
+
+    def on_replica_started(self, name: str) -> None:
+        """A replica that starts may hold older versions than it did."""
+        self._orders = {at: order for at, order in self._orders.items() if at[0] != name}
+
+    def check(self) -> None:
+        for name, replica in self._cluster.replicas.items():
+            self._check_orders(name, replica)
+            self._check_change_logs(replica)
+            self._check_budget(replica)
+        self._check_cursors()
+        for connection in self._cluster.connections.values():
+            for session in connection.sessions.values():
+                self._check_memory(session)
+
+    def _check_orders(self, name: str, replica: Replica) -> None:
+        for record in replica.store.records():
+            last = self._orders.get((name, record.key))
+            assert last is None or last <= record.order, "an older version replaced a newer one"
+            self._orders[name, record.key] = record.order
+
+    @staticmethod
+    def _check_change_logs(replica: Replica) -> None:
+        """The change logs and trees have exactly what the store holds."""
+        for priority in PRIORITY_CLASSES:
+            change_log = replica.records.changes.logs[priority]
+            entries = list(change_log.since(0))
+            held = {record.key for record in replica.store.records() if priority_of(record.key) == priority}
+            assert {key for _, key, _ in entries} == held and len(entries) == len(held)
+            assert [entry[0] for entry in entries] == sorted(entry[0] for entry in entries)
+            assert not entries or entries[-1][0] <= change_log.head
+            assert change_log.order_length <= 2 * len(held) + 66
+
+    def _check_budget(self, replica: Replica) -> None:
+        budget = replica.budget
+        passed = self._cluster.now - STARTED_AT_S
+        assert (
+            budget.consumed_bytes
+            <= budget.rate * passed + budget.burst + budget.debt + CONTROL_BYTES_PER_S * (passed + 1)
+        )
+
+    def _check_cursors(self) -> None:
+        """Whoever says how far it is with a copy does hold what that copy had changed up to there."""
+        leaders = {
+            replica.records.changes.incarnation: replica for replica in self._cluster.replicas.values()
+        }
+        for follower in self._cluster.replicas.values():
+            for incarnation, cursors in follower.records.followed_cursors.items():
+                leader = leaders.get(incarnation)
+                if leader is None:
+                    continue
+                for priority, cursor in zip(PRIORITY_CLASSES, cursors, strict=True):
+                    for revision, key, _ in leader.records.changes.logs[priority].since(0):
+                        if revision <= cursor.backlog or cursor.backlog_end < revision <= cursor.live:
+                            record, held = leader.store.record(key), follower.store.record(key)
+                            assert record is not None
+                            # Deleted there, and the deletion forgotten; or a deletion forgotten.
+                            forgotten = (
+                                held is None
+                                and record.version <= follower.store.replica_state.tombstone_floor
+                            )
+                            sound = held is not None and not supersedes(record, held)
+                            assert forgotten or sound, f"{key} at {revision} was skipped"
+
+    @staticmethod
+    def _check_memory(session: ReplicationSession) -> None:
+        assert session.change_exchange.chunks_in_flight <= MAX_CHUNKS_IN_FLIGHT + MAX_URGENT_CHUNKS_IN_FLIGHT
+        assert session.anti_entropy.requested_items <= MAX_REQUESTED_KEYS
+        assert len(session.peer) < 300 and MAX_CHUNK_BYTES <= MAX_FRAME_BYTES
+
+
 class SimulatedCluster:
     """Replicas in simulated time, whose connections follow a schedule."""
 
     def __init__(self, names: str, seed: int, rate: float = 27_000.0, horizon_s: float = 7 * DAY_S) -> None:
         self.rng = random.Random(seed)
-        self.now = 1000.0
+        self.now = STARTED_AT_S
         self.began_wall = 1_800_000_000.0
         self.rate = rate
         self.horizon_s = horizon_s
         self.replicas: dict[str, Replica] = {}
         self.connections: dict[tuple[str, str], SimulatedConnection] = {}
         self.rejections: list[str] = []
-        self._orders: dict[tuple[str, str], tuple[int, str]] = {}
+        self.invariants = ClusterInvariants(self)
         for name in names:
             self.start(name, Store(name, wall_clock=self.wall))
 
@@ -78,7 +157,7 @@
             max_bytes_per_s=self.rate,
             horizon_s=self.horizon_s,
         )
-        self._orders = {at: order for at, order in self._orders.items() if at[0] != name}
+        self.invariants.on_replica_started(name)
 
     def store(self, name: str) -> Store:
         return self.replicas[name].store
@@ -243,14 +322,6 @@
     def _is_caught_up(connection: SimulatedConnection) -> bool:
         return all(session.is_caught_up for session in connection.sessions.values())
 
-    def equal(self) -> bool:
-        return self.equal_among(self.replicas)
-
-    def equal_among(self, names: Iterable[str]) -> bool:
-        return len({tuple(self.replicas[name].records.changes.roots) for name in names}) == 1
-
-    # ------------------------------------------------------------ what must hold
-
     def newest(self) -> dict[str, StoreRecord]:
         best: dict[str, StoreRecord] = {}
         for replica in self.replicas.values():
@@ -259,70 +330,11 @@
                     best[record.key] = record
         return best
 
-    def check(self) -> None:
-        for name, replica in self.replicas.items():
-            self._check_orders(name, replica)
-            self._check_change_logs(replica)
-            self._check_budget(replica)
-        self._check_cursors()
-        for connection in self.connections.values():
-            for session in connection.sessions.values():
-                self._check_memory(session)
-
-    def _check_orders(self, name: str, replica: Replica) -> None:
-        for record in replica.store.records():
-            last = self._orders.get((name, record.key))
-            assert last is None or last <= record.order, "an older version replaced a newer one"
-            self._orders[name, record.key] = record.order
-
-    @staticmethod
-    def _check_change_logs(replica: Replica) -> None:
-        """The change logs and trees have exactly what the store holds."""
-        for priority in PRIORITY_CLASSES:
-            change_log = replica.records.changes.logs[priority]
-            entries = list(change_log.since(0))
-            held = {record.key for record in replica.store.records() if priority_of(record.key) == priority}
-            assert {key for _, key, _ in entries} == held and len(entries) == len(held)
-            assert [entry[0] for entry in entries] == sorted(entry[0] for entry in entries)
-            assert not entries or entries[-1][0] <= change_log.head
-            assert change_log.order_length <= 2 * len(held) + 66
-
-    def _check_budget(self, replica: Replica) -> None:
-        budget = replica.budget
-        passed = self.now - 1000.0
-        assert budget.consumed_bytes <= budget.rate * passed + budget.burst + budget.debt + CONTROL * (
-            passed + 1
-        )
-
-    def _check_cursors(self) -> None:
-        """Whoever says how far it is with a copy does hold what that copy had changed up to there."""
-        leaders = {replica.records.changes.incarnation: replica for replica in self.replicas.values()}
-        for follower in self.replicas.values():
-            for incarnation, cursors in follower.records.followed_cursors.items():
-                leader = leaders.get(incarnation)
-                if leader is None:
-                    continue
-                for priority, cursor in zip(PRIORITY_CLASSES, cursors, strict=True):
-                    for revision, key, _ in leader.records.changes.logs[priority].since(0):
-                        if revision <= cursor.backlog or cursor.backlog_end < revision <= cursor.live:
-                            record, held = leader.store.record(key), follower.store.record(key)
-                            assert record is not None
-                            # Deleted there, and the deletion forgotten; or a deletion forgotten.
-                            forgotten = (
-                                held is None
-                                and record.version <= follower.store.replica_state.tombstone_floor
-                            )
-                            sound = held is not None and not supersedes(record, held)
-                            assert forgotten or sound, f"{key} at {revision} was skipped"
-
-    @staticmethod
-    def _check_memory(session: ReplicationSession) -> None:
-        assert session.change_exchange.chunks_in_flight <= MAX_CHUNKS_IN_FLIGHT + MAX_URGENT_CHUNKS_IN_FLIGHT
-        assert session.anti_entropy.requested_items <= MAX_REQUESTED_KEYS
-        assert len(session.peer) < 300 and MAX_CHUNK_BYTES <= MAX_FRAME_BYTES
-
+    def equal(self) -> bool:
+        return self.equal_among(self.replicas)
 
-CONTROL = 12_000.0  # greetings, beats and acknowledgements of a member's few links go whatever is left
+    def equal_among(self, names: Iterable[str]) -> bool:
+        return len({tuple(self.replicas[name].records.changes.roots) for name in names}) == 1
 
 
 def cluster_in_sync(names: str, seed: int, **more: float) -> SimulatedCluster:
