--- a/sageturn/store/replication/hello_exchange.py
+++ b/sageturn/store/replication/hello_exchange.py
@@ -9,10 +9,13 @@
 
 
 class HelloExchange:
-    """One side of the exchange: the dialing side sends the first hello, the accepting side answers."""
+    """One side of the exchange: the dialing side sends the first hello, the accepting side answers.
+
+    ``peer_hello`` is None until the peer was admitted.
+    """
 
     def __init__(self, host: SessionHost, peer: str, is_dialing: bool) -> None:
-        self.peer_hello: Hello | None = None  # set once it was admitted
+        self.peer_hello: Hello | None = None
         self._host = host
         self._peer = peer
         self._is_dialing = is_dialing
@@ -67,3 +70,7 @@
         if hello.node != self._peer:
             raise SessionRejectedError(f"{self._peer} greets as {hello.node}")
         return hello
+
+    def on_peer_admitted(self, hello: Hello) -> None:
+        """Keeps the hello of a peer with which the replica allows a session."""
+        self.peer_hello = hello
--- a/sageturn/store/replication/message_codec.py
+++ b/sageturn/store/replication/message_codec.py
@@ -54,7 +54,7 @@
 from sageturn.store.replication.priority import PRIORITY_CLASSES
 from sageturn.store.replication.wire import PROTOCOL_VERSION, encode
 
-MAX_ALTERNATIVES = 64  # read of those that a rejection names
+MAX_DECODED_ALTERNATIVES = 64  # of those that a rejection names
 MAX_CLOSE_DETAIL_LENGTH = 500
 PROTOCOL_WITHOUT_HELLO = "1 (whole digests)"
 
@@ -287,7 +287,7 @@
     alternatives = list(body[2])
     return replace(
         bye,
-        alternatives=_decode_alternatives(alternatives[:MAX_ALTERNATIVES]),
+        alternatives=_decode_alternatives(alternatives[:MAX_DECODED_ALTERNATIVES]),
         names_alternatives=bool(alternatives),
     )
 
--- a/sageturn/store/replication/peer_session.py
+++ b/sageturn/store/replication/peer_session.py
@@ -1,4 +1,4 @@
-"""What a replica needs of a replication session, whichever module implements it."""
+"""The interface through which a replica uses a replication session."""
 
 from __future__ import annotations
 
--- a/sageturn/store/replication/session.py
+++ b/sageturn/store/replication/session.py
@@ -231,7 +231,7 @@
     def _on_hello(self, body: object, now: float) -> None:
         hello = self._hellos.decode_peer_hello(body)
         self._host.admit(self, hello, self._hellos.claimed_sync(), now)
-        self._hellos.peer_hello = hello
+        self._hellos.on_peer_admitted(hello)
         self.peer_recently_in_sync = hello.recently_in_sync
         self._allowance.is_unlimited = self.is_ephemeral
         self.keep_alive.request_heartbeat(now)
--- a/sageturn/store/replication/session_closing.py
+++ b/sageturn/store/replication/session_closing.py
@@ -1,4 +1,4 @@
-"""How a replication session ends: what this side has decided, and what the peer has said."""
+"""The end of a replication session: the close reasons of both sides, and their last messages."""
 
 from __future__ import annotations
 
--- a/sageturn/store/replication/session_host.py
+++ b/sageturn/store/replication/session_host.py
@@ -1,4 +1,4 @@
-"""What a replication session needs of its replica."""
+"""The interface through which a replication session uses its replica."""
 
 from __future__ import annotations
 
--- a/sageturn/store/replication/sync_status.py
+++ b/sageturn/store/replication/sync_status.py
@@ -1,4 +1,4 @@
-"""Whether a replica's records are known to be complete and current.
+"""The sync status of a replica: whether its records are known to be complete and current.
 
 A replica is recently in sync if it held all that others did at some time within the horizon, after which
 deletions are forgotten. A replica that is not recently in sync may hold records whose deletion the others
--- a/sageturn/store/replication/zone_liveness.py
+++ b/sageturn/store/replication/zone_liveness.py
@@ -1,4 +1,4 @@
-"""How long ago each zone was last heard from, directly or through others."""
+"""The liveness of zones: how long ago each was last heard from, directly or through others."""
 
 from __future__ import annotations
 
