--- a/sageturn/store/replication/message_codec.py
+++ b/sageturn/store/replication/message_codec.py
@@ -11,9 +11,9 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterator
+from collections.abc import Callable, Iterator, Sequence
 from dataclasses import replace
-from typing import Any
+from typing import Any, NamedTuple
 
 from sageturn.store.errors import SessionRejectedError
 from sageturn.store.records import StoreRecord
@@ -70,28 +70,12 @@
 
 
 def _to_wire(message: OutgoingMessage) -> dict[str, Any]:
-    match message:
-        case Hello():
-            return {MessageKind.HELLO: _hello_to_wire(message), "records": _version_notice()}
-        case Follow(positions):
-            return {MessageKind.FOLLOW: positions}
-        case Chunk(priority, stream, start, end, records):
-            packed = [record_to_wire(record) for record in records]
-            return {MessageKind.CHUNK: [priority, stream, start, end, packed]}
-        case Acknowledgement(positions):
-            return {MessageKind.ACKNOWLEDGEMENT: positions}
-        case OutgoingHeartbeat():
-            return {MessageKind.HEARTBEAT: heartbeat_to_wire(message)}
-        case NodeRequest(nodes):
-            return {MessageKind.NODE_REQUEST: nodes}
-        case NodeResponse(count, contents):
-            return {MessageKind.NODE_RESPONSE: [count, contents]}
-        case RecordRequest(keys):
-            return {MessageKind.RECORD_REQUEST: keys}
-        case RecordResponse(count, records):
-            return {MessageKind.RECORD_RESPONSE: [count, [record_to_wire(record) for record in records]]}
-        case Bye():
-            return _bye_to_wire(message)
+    encoder = _ENCODERS[type(message)]
+    fields: dict[str, Any] = {encoder.kind: encoder.encode_body(message)}
+    is_version_rejection = isinstance(message, Bye) and message.close_code == CloseCode.VERSION
+    if isinstance(message, Hello) or is_version_rejection:
+        fields["records"] = _version_notice()
+    return fields
 
 
 def _hello_to_wire(hello: Hello) -> dict[str, Any]:
@@ -111,12 +95,12 @@
     }
 
 
-def _bye_to_wire(bye: Bye) -> dict[str, Any]:
-    alternatives = [_member_to_wire(member) for member in bye.alternatives]
-    message: dict[str, Any] = {MessageKind.BYE: [bye.close_code, bye.detail, alternatives]}
-    if bye.close_code == CloseCode.VERSION:
-        message["records"] = _version_notice()
-    return message
+def _chunk_to_wire(chunk: Chunk) -> list[Any]:
+    return [chunk.priority, chunk.stream, chunk.start, chunk.end, _records_to_wire(chunk.records)]
+
+
+def _bye_to_wire(bye: Bye) -> list[Any]:
+    return [bye.close_code, bye.detail, [_member_to_wire(member) for member in bye.alternatives]]
 
 
 def _member_to_wire(member: Member) -> list[Any]:
@@ -134,6 +118,33 @@
     return [record.key, record.value, record.version, record.node, record.written_ms]
 
 
+def _records_to_wire(records: Sequence[StoreRecord]) -> list[list[Any]]:
+    return [record_to_wire(record) for record in records]
+
+
+class _Encoder(NamedTuple):
+    """The kind of a message type on the wire, and the function that returns a message's body."""
+
+    kind: MessageKind
+    encode_body: Callable[[Any], Any]
+
+
+_ENCODERS: dict[type[OutgoingMessage], _Encoder] = {
+    Hello: _Encoder(MessageKind.HELLO, _hello_to_wire),
+    Follow: _Encoder(MessageKind.FOLLOW, lambda follow: follow.positions),
+    Chunk: _Encoder(MessageKind.CHUNK, _chunk_to_wire),
+    Acknowledgement: _Encoder(MessageKind.ACKNOWLEDGEMENT, lambda message: message.positions),
+    OutgoingHeartbeat: _Encoder(MessageKind.HEARTBEAT, heartbeat_to_wire),
+    NodeRequest: _Encoder(MessageKind.NODE_REQUEST, lambda request: request.nodes),
+    NodeResponse: _Encoder(MessageKind.NODE_RESPONSE, lambda response: [response.count, response.contents]),
+    RecordRequest: _Encoder(MessageKind.RECORD_REQUEST, lambda request: request.keys),
+    RecordResponse: _Encoder(
+        MessageKind.RECORD_RESPONSE, lambda response: [response.count, _records_to_wire(response.records)]
+    ),
+    Bye: _Encoder(MessageKind.BYE, _bye_to_wire),
+}
+
+
 # ---------------------------------------------------------------- decoding
 
 
