--- a/sageturn/store/replication/ephemeral_client.py
+++ b/sageturn/store/replication/ephemeral_client.py
@@ -18,9 +18,9 @@
 from sageturn.store.replication.close_code import CloseCode
 from sageturn.store.replication.errors import LinkNotEstablishedError
 from sageturn.store.replication.link_dialer import CONNECT_TIMEOUT_S
-from sageturn.store.replication.link_runner import LinkRunner
+from sageturn.store.replication.link_runner import LinkRunner, OutputSignal
 from sageturn.store.replication.membership import Address
-from sageturn.store.replication.replica import Replica
+from sageturn.store.replication.replica import Replica, ReplicaWakeups
 from sageturn.store.replication.session import ReplicationSession
 from sageturn.store.replication.session_driver import CLOSE_TIMEOUT_S
 from sageturn.store.store import Store
@@ -65,8 +65,10 @@
         self.store = Store(f"operator-{secrets.token_hex(4)}")
         self._peer = peer
         self._timeout_s = timeout_s
-        self._replica = Replica(self.store, _random(), time.monotonic())
-        self._link_runner = LinkRunner(self._replica, secret)
+        output_signal = OutputSignal()
+        wakeups = ReplicaWakeups(on_output_pending=output_signal.notify)
+        self._replica = Replica(self.store, _random(), time.monotonic(), wakeups=wakeups)
+        self._link_runner = LinkRunner(self._replica, secret, output_signal)
         self._sessions: list[ReplicationSession] = []
         self._failures: list[str] = []
 
--- a/sageturn/store/replication/link_dialer.py
+++ b/sageturn/store/replication/link_dialer.py
@@ -24,12 +24,12 @@
 class LinkDialer:
     """Calls the replica's ``tick`` when it is due, and runs a task for each link that this side dials."""
 
-    def __init__(self, replica: Replica, link_runner: LinkRunner) -> None:
+    def __init__(self, replica: Replica, link_runner: LinkRunner, tick_due: asyncio.Event) -> None:
+        """``tick_due`` is the event that the replica's wakeups set."""
         self._replica = replica
         self._link_runner = link_runner
-        self._tick_due = asyncio.Event()
+        self._tick_due = tick_due
         self._dials: set[asyncio.Task[None]] = set()
-        replica.on_tick_due = self._tick_due.set
 
     async def run(self) -> None:
         """Runs until it is cancelled; the dials in progress then go on until ``cancel_dials``."""
--- a/sageturn/store/replication/link_runner.py
+++ b/sageturn/store/replication/link_runner.py
@@ -6,7 +6,8 @@
 import logging
 import socket
 import time
-from collections.abc import Callable
+from collections.abc import Callable, Iterator
+from contextlib import contextmanager
 
 from sageturn.net.admission import PendingConnection
 from sageturn.store.channel import AuthenticatedChannel
@@ -21,14 +22,36 @@
 HANDSHAKE_TIMEOUT_S = 1.5
 
 
+class OutputSignal:
+    """Wakes the drivers of all links of one replica when sessions may have something to send."""
+
+    def __init__(self) -> None:
+        self._events: set[asyncio.Event] = set()
+
+    @contextmanager
+    def subscribe(self) -> Iterator[asyncio.Event]:
+        """Provides an event that every ``notify`` sets while the context lasts."""
+        event = asyncio.Event()
+        self._events.add(event)
+        try:
+            yield event
+        finally:
+            self._events.discard(event)
+
+    def notify(self) -> None:
+        """Sets the events of all subscribers."""
+        for event in self._events:
+            event.set()
+
+
 class LinkRunner:
-    """Runs the links of one replica, and wakes them when sessions may have something to send."""
+    """Runs the links of one replica."""
 
-    def __init__(self, replica: Replica, secret: bytes) -> None:
+    def __init__(self, replica: Replica, secret: bytes, output_signal: OutputSignal) -> None:
+        """``output_signal`` is the one that the replica's wakeups notify."""
         self._replica = replica
         self._secret = secret
-        self._output_pending: set[asyncio.Event] = set()
-        replica.on_output_pending = self._notify_links
+        self._output_signal = output_signal
 
     async def run(
         self,
@@ -53,12 +76,10 @@
         await self._perform_handshake(channel, dialed is not None, pending, peer_address)
         session = self._replica.open_session(channel.peer, time.monotonic(), dialed)
         on_session(session)
-        output_pending = asyncio.Event()
-        self._output_pending.add(output_pending)
         try:
-            await SessionDriver(channel, session, output_pending).run()
+            with self._output_signal.subscribe() as output_pending:
+                await SessionDriver(channel, session, output_pending).run()
         finally:
-            self._output_pending.discard(output_pending)
             self._replica.on_session_closed(session, time.monotonic())
 
     @staticmethod
@@ -84,10 +105,6 @@
         if pending is not None:
             pending.mark_active()
 
-    def _notify_links(self) -> None:
-        for event in self._output_pending:
-            event.set()
-
 
 def _peer_address(sock: socket.socket) -> Address | None:
     """Returns the address of the other end; None if the connection has ended already."""
--- a/sageturn/store/replication/member.py
+++ b/sageturn/store/replication/member.py
@@ -17,12 +17,12 @@
 from sageturn.net.listener import Listener
 from sageturn.store.replication.errors import LinkNotEstablishedError
 from sageturn.store.replication.link_dialer import LinkDialer
-from sageturn.store.replication.link_runner import LinkRunner
+from sageturn.store.replication.link_runner import LinkRunner, OutputSignal
 from sageturn.store.replication.location import ReplicaLocation
 from sageturn.store.replication.membership import Member
 from sageturn.store.replication.options import ReplicationOptions
 from sageturn.store.replication.overlay import Overlay
-from sageturn.store.replication.replica import Replica
+from sageturn.store.replication.replica import Replica, ReplicaWakeups
 from sageturn.store.replication.state_report import ReplicationStateReport, report_interval_s
 from sageturn.store.replication.topology import TopologyFactory
 from sageturn.store.store import Store
@@ -62,6 +62,8 @@
         def make_overlay(own: Member) -> Overlay:
             return Overlay(own, options.seeds, rng)
 
+        output_signal = OutputSignal()
+        tick_due = asyncio.Event()
         self.replica = Replica(
             store,
             rng,
@@ -70,9 +72,10 @@
             make_topology or make_overlay,
             options.max_bytes_per_s,
             options.horizon_s,
+            ReplicaWakeups(output_signal.notify, tick_due.set),
         )
-        self._link_runner = LinkRunner(self.replica, options.secret)
-        self._dialer = LinkDialer(self.replica, self._link_runner)
+        self._link_runner = LinkRunner(self.replica, options.secret, output_signal)
+        self._dialer = LinkDialer(self.replica, self._link_runner, tick_due)
         self._tasks: list[asyncio.Task[None]] = []
 
     @property
--- a/sageturn/store/replication/replica.py
+++ b/sageturn/store/replication/replica.py
@@ -52,11 +52,26 @@
     next_tick_at: float  # monotonic seconds
 
 
+def _do_nothing() -> None:
+    pass
+
+
+@dataclass(frozen=True, slots=True)
+class ReplicaWakeups:
+    """The callbacks by which a replica wakes its drivers.
+
+    ``on_output_pending`` is called when sessions may have something to send, ``on_tick_due`` when ``tick``
+    should be called now.
+    """
+
+    on_output_pending: Callable[[], None] = _do_nothing
+    on_tick_due: Callable[[], None] = _do_nothing
+
+
 class Replica:
     """The replica of a member, or without a ``location`` that of an ephemeral client, which is no member.
 
-    ``on_output_pending`` is called when sessions may have something to send, ``on_tick_due`` when ``tick``
-    should be called now. Without ``make_topology`` nobody is dialed and every member may link.
+    Without ``make_topology`` nobody is dialed and every member may link.
     """
 
     def __init__(
@@ -68,15 +83,15 @@
         make_topology: TopologyFactory | None = None,
         max_bytes_per_s: float = DEFAULT_MAX_BYTES_PER_S,
         horizon_s: float = DEFAULT_HORIZON_S,
+        wakeups: ReplicaWakeups = ReplicaWakeups(),
     ) -> None:
         self.store = store
         self.location = location
         self.budget = ByteBudget(max_bytes_per_s, now)
-        self.on_output_pending: Callable[[], None] = lambda: None
-        self.on_tick_due: Callable[[], None] = lambda: None
         self.sync_status = SyncStatus(store, horizon_s)
         self.records = ReplicatedRecords(store, horizon_s, self)
         self.zones = ZoneLiveness(None if location is None else location.zone_label)
+        self._wakeups = wakeups
         self._rng = rng
         self._horizon_s = horizon_s
         self._make_topology = make_topology
@@ -155,13 +170,13 @@
 
     def on_records_changed(self) -> None:
         """Handles new versions of records, which sessions may have to send."""
-        self.on_output_pending()
+        self._wakeups.on_output_pending()
 
     def on_members_changed(self) -> None:
         """Handles a member that was added, removed, or advertises itself differently."""
         if self._links is not None:
             self._links.on_members_changed()
-        self.on_tick_due()
+        self._wakeups.on_tick_due()
 
     def on_member_removed(self, node: str) -> None:
         """Handles the removal of a member, this one included, by an operator."""
@@ -178,6 +193,10 @@
 
     # ------------------------------------------------------------ sessions
 
+    def on_output_pending(self) -> None:
+        """Handles a session that may have something to send."""
+        self._wakeups.on_output_pending()
+
     def open_session(
         self, peer: str, now: float, dialed_address: Address | None = None
     ) -> ReplicationSession:
@@ -194,7 +213,7 @@
         if session not in self.sessions:
             return
         self.sessions.remove(session)
-        self.on_tick_due()
+        self._wakeups.on_tick_due()
         if not self.is_ephemeral:
             self._on_peer_closed(session.closing.peer_code)
         if self._links is not None and not session.is_ephemeral:
@@ -244,7 +263,7 @@
         self._session_table.close_conflicting(session)
         if self._links is not None and not session.closing.detail:
             self._links.on_session_established(session, now)
-            self.on_tick_due()
+            self._wakeups.on_tick_due()
 
     def may_follow(self, session: PeerSession) -> bool:
         """Whether this replica may take records from a session's peer."""
--- a/sageturn/store/replication/session_host.py
+++ b/sageturn/store/replication/session_host.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Iterable
+from collections.abc import Iterable
 from typing import Protocol
 
 from sageturn.store.records import StoreRecord
@@ -26,7 +26,6 @@
     zones: ZoneLiveness
     budget: ByteBudget
     location: ReplicaLocation | None
-    on_output_pending: Callable[[], None]
 
     @property
     def is_ephemeral(self) -> bool:
@@ -36,6 +35,9 @@
     def topology(self) -> Topology | None:
         """The topology of the current incarnation; None if links are not chosen by one."""
 
+    def on_output_pending(self) -> None:
+        """Handles a session that may have something to send."""
+
     def admit(self, session: PeerSession, hello: Hello, claims_sync: bool, now: float) -> None:
         """Raises SessionRejectedError if the peer's hello doesn't allow a session.
 
--- a/sageturn/store/replication/sync_status.py
+++ b/sageturn/store/replication/sync_status.py
@@ -10,7 +10,7 @@
 
 from sageturn.store.store import Store
 
-SETTLING_TIME_S = 60.0  # until connected replicas count as in sync of which none was
+SETTLING_TIME_S = 60.0  # of agreement, after which replicas count as in sync though none was
 
 
 class SyncStatus:
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -140,21 +140,23 @@
 @pytest.mark.timeout(300)
 async def test_replicas_converge_after_a_partition_and_forward_records() -> None:
     # b and c write while apart, one key on both sides; a chain of links is enough for all to agree.
-    a, b, c = Store("a"), Store("b"), Store("c")
-    member_a = replica(a)
-    member_b = replica(b, member_a.address)
-    b.put("config/x", "first")
-    await until(lambda: a.get("config/x") == "first")
+    store_a, store_b, store_c = Store("a"), Store("b"), Store("c")
+    member_a = replica(store_a)
+    member_b = replica(store_b, member_a.address)
+    store_b.put("config/x", "first")
+    await until(lambda: store_a.get("config/x") == "first")
     await member_b.stop()
-    b.put("config/x", "mine")
-    c.put("config/x", "theirs")
-    c.put("config/only-c", 1)
-    a.put("config/x", None)
-    member_b, member_c = replica(b, member_a.address), replica(c, member_a.address)
-    await until(lambda: a.digest() == b.digest() == c.digest() and a.get("config/only-c") == 1)
-    assert a.get("config/x") == b.get("config/x") == c.get("config/x") == "mine"
-    a.put("config/live", 5)
-    await until(lambda: c.get("config/live") == 5)
+    store_b.put("config/x", "mine")
+    store_c.put("config/x", "theirs")
+    store_c.put("config/only-c", 1)
+    store_a.put("config/x", None)
+    member_b, member_c = replica(store_b, member_a.address), replica(store_c, member_a.address)
+    await until(
+        lambda: store_a.digest() == store_b.digest() == store_c.digest() and store_a.get("config/only-c") == 1
+    )
+    assert store_a.get("config/x") == store_b.get("config/x") == store_c.get("config/x") == "mine"
+    store_a.put("config/live", 5)
+    await until(lambda: store_c.get("config/live") == 5)
     for member in (member_a, member_b, member_c):
         await member.stop()
 
