--- a/sageturn/core/messages.py
+++ b/sageturn/core/messages.py
@@ -3,13 +3,14 @@
 from __future__ import annotations
 
 from dataclasses import dataclass, field
+from enum import StrEnum
 
 from sageturn.decision import ConnectionAdopted, DiscoveryFailure, Endpoint, RequestArrived
 
 
 @dataclass(frozen=True, slots=True)
 class ClientRequest:
-    """What a client asked for, in terms that every frontend can express."""
+    """A client's request, in terms that every frontend can express."""
 
     class_name: str
     tenant: str
@@ -20,12 +21,14 @@
     client: str = ""  # the client's key, the same after a reconnect
     returned: bool = False  # the client says that its connection was migrated, or broke
     retried: bool = False  # the client says that this is a retry
-    # As the client named its request, so that it can be followed from relay to relay.
-    client_request_id: str = ""
+    client_request_id: str = ""  # by which the request can be followed from relay to relay
 
 
-def request_arrival(request_id: int, deadline_ms: float, request: ClientRequest) -> RequestArrived:
-    """The balancer's event for a request that has just come; ``deadline_ms``: when its client gives up."""
+def make_request_arrived(request_id: int, deadline_ms: float, request: ClientRequest) -> RequestArrived:
+    """Return the balancer's event for a request that has just come.
+
+    ``deadline_ms`` is when its client gives up, in the relay's time.
+    """
     return RequestArrived(
         request_id,
         request.class_name,
@@ -39,8 +42,8 @@
     )
 
 
-def connection_adopted(request_id: int, request: ClientRequest) -> ConnectionAdopted:
-    """The balancer's event for a connection that was established before this relay started."""
+def make_connection_adopted(request_id: int, request: ClientRequest) -> ConnectionAdopted:
+    """Return the balancer's event for a connection that was established before this relay started."""
     return ConnectionAdopted(
         request_id,
         request.class_name,
@@ -52,14 +55,32 @@
     )
 
 
+class ResponseReason(StrEnum):
+    """The reasons that a client is sent with its final response; frontends put them on their wires."""
+
+    UNAVAILABLE = "unavailable"  # no endpoint could serve it
+    LOST = "lost"  # the connection that it had before the relay's start could not be adopted
+    SHUTDOWN = "shutdown"  # the relay stops
+    CLIENT_FAULT = "wait for the answer"  # the client sent too much before it was answered
+    INTERNAL = "internal"  # a fault of the relay
+
+
+class ResponseCause(StrEnum):
+    """The causes of final responses that neither a ``RejectCause`` nor a ``CloseReason`` explains."""
+
+    SHUTDOWN = "shutdown"
+    CLIENT_FAULT = "client_fault"
+    INTERNAL = "internal"
+
+
 @dataclass(frozen=True, slots=True)
 class FinalResponse:
     """The one final answer to a request that is not served: a fail-fast rejection, or a failure."""
 
     rejected: bool
-    retry_after_ms: float = 0.0
-    reason: str = ""  # as the client is told
-    cause: str = ""  # for logs and counters
+    retry_after_ms: float = 0.0  # 0 gives no advice on when to retry
+    reason: str = ""  # a ``ResponseReason`` for the client; empty for a rejection by the balancer
+    cause: str = ""  # for logs and counters: a ``ResponseCause``, ``RejectCause`` or ``CloseReason``
 
 
 # ------------------------------------------------------------ instructions to a request
@@ -91,7 +112,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointListUpdate:
-    """One object of discovery: the changes since the last, or with ``full`` the complete list."""
+    """An object that discovery sent: the changes since the last, or with ``full`` the complete list."""
 
     version: int
     full: bool
@@ -109,7 +130,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchEvent:
-    """What a watch reports. One that has been replaced may still have events in the mailbox."""
+    """An event that a watch reports; a watch that was replaced may still have some in the mailbox."""
 
     watch_number: int
     event: EndpointListUpdate | WatchFailed
--- a/sageturn/rebalance/request_hints.py
+++ b/sageturn/rebalance/request_hints.py
@@ -22,8 +22,10 @@
     migration = history.last_migration(client)
     if migration is None or not migration.by_planner:
         return
-    event.spared_until_ms = min(migration.excluded_until_ms, migration.migrated_ms + BALANCER_EXEMPTION_MS)
+    event.migration_exempt_until_ms = min(
+        migration.excluded_until_ms, migration.migrated_ms + BALANCER_EXEMPTION_MS
+    )
     if history.is_in_flight(client):
-        event.moved_off = migration.source_endpoint
+        event.migrated_from = migration.source_endpoint
         if rebalance_excluded and event.allowed is None:
             event.allowed = frozenset(tracker.ratios.keys() - rebalance_excluded)
--- a/sageturn/relay/operator_control.py
+++ b/sageturn/relay/operator_control.py
@@ -1,6 +1,6 @@
-"""Operators' means of control as subsystems: overrides, and the rebalancing of connections.
+"""The subsystems by which operators control a relay: overrides, and the rebalancing of connections.
 
-Both are imported only where an operator's file turns them on.
+The packages of both are imported only where an operator's file turns them on.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from sageturn.core.balancer_actor import BalancerActor
 from sageturn.core.endpoint_snapshot import OperatorMarks
 from sageturn.core.request_registry import RequestRegistry
-from sageturn.relay.state_record import state_publisher
+from sageturn.relay.state_record import make_state_publisher
 from sageturn.relay.subsystem import Subsystem
 from sageturn.relay.supervisor import ActorSupervisor
 from sageturn.store.store import Store
@@ -25,7 +25,7 @@
 
 
 class OverridesSubsystem(Subsystem):
-    """Operators' overrides; ``actor`` is None where the operator's file has no such section."""
+    """Runs operators' overrides; ``actor`` is None where the operator's file has no such section."""
 
     def __init__(
         self,
@@ -40,25 +40,25 @@
         if options is not None:
             from sageturn.overrides.actor import OverrideActor
 
-            publish = state_publisher(store, "overrides")
+            publish = make_state_publisher(store, "overrides")
             self.actor = OverrideActor(balancer_actor, options, store, publish, on_marks)
             store.on_change.append(self.actor.on_store_change)
 
     def start(self, actors: ActorSupervisor) -> None:
-        """Start the actor or planner, where it is turned on."""
+        """Start the actor, where overrides are on."""
         if self.actor is not None:
             actors.spawn("overrides", self.actor.run())
 
     async def reload(self, old: RelayConfig, new: RelayConfig) -> None:
-        """Apply the options of the new configuration."""
+        """Apply the overrides' options of the new configuration."""
         if self.actor is not None and new.operator.overrides is not None:
             self.actor.set_options(new.operator.overrides, self._store)
 
 
 class RebalancingSubsystem(Subsystem):
-    """The rebalancer, from when it is first needed on.
+    """Runs the rebalancer, from when it is first needed on.
 
-    Turned off again it goes on observing, so as to know which connections have been migrated.
+    Turned off again, the rebalancer goes on observing, so as to know which connections were migrated.
     """
 
     def __init__(
@@ -78,12 +78,12 @@
         self._actors: ActorSupervisor | None = None
 
     def start(self, actors: ActorSupervisor) -> None:
-        """Start the actor or planner, where it is turned on."""
+        """Start the rebalancer, where it is needed from the start."""
         self._actors = actors
         self.apply_options(self._config.operator.rebalance, actors)
 
     async def reload(self, old: RelayConfig, new: RelayConfig) -> None:
-        """Apply the options of the new configuration."""
+        """Apply the rebalancing options of the new configuration."""
         self._config = new
         if self._actors is not None:
             self.apply_options(new.operator.rebalance, self._actors)
@@ -101,7 +101,7 @@
 
     def make_rebalancer(self, kind: type[Rebalancer], options: RebalanceOptions) -> Rebalancer:
         """Build a rebalancer of this kind; the laboratory passes its own."""
-        publish = state_publisher(self._store, "rebalance")
+        publish = make_state_publisher(self._store, "rebalance")
         return kind(self._balancer_actor, self._request_registry, options, self._config.seed, publish)
 
     def run_rebalancer(self, rebalancer: Rebalancer, actors: ActorSupervisor) -> None:
--- a/sageturn/simhost.py
+++ b/sageturn/simhost.py
@@ -34,6 +34,8 @@
 LIST_KINDS = {"D": "changes", "F": "full", "C": "stale", "X": "failed"}
 MEASUREMENT_KINDS = {1: "load", 2: "delay"}
 
+START_INSTANCE = "Enlist"
+END_INSTANCE = "Teardown"
 IGNORED_EVENTS = ("Whisper",)  # messages between relays, of which the decision module sends none
 MICROSECONDS_PER_MILLISECOND = 1000.0
 
@@ -159,7 +161,7 @@
         report=_report("report"),
     ),
     "ClientLeft": _decoder(decision.ClientDisconnected, id=_required("opId")),
-    "Wake": _decoder(decision.TimerFired, mark=_required("mark")),
+    "Wake": _decoder(decision.TimerFired, tag=_required("mark")),
     "UpdateOf": _decode_measurement,
     "Fleet": _decode_list,
 }
@@ -182,7 +184,7 @@
         case decision.MigrateConnection():
             return {"Transfer": {"opId": action.id}}
         case decision.SetTimer():
-            return {"Sleep": {"offsetMs": action.delay_ms, "mark": action.mark}}
+            return {"Sleep": {"offsetMs": action.delay_ms, "mark": action.tag}}
         case decision.CheckHealth():
             return {"Check": {"backend": action.endpoint}}
         case decision.WatchEndpoints():
@@ -225,7 +227,7 @@
             actions: list[Fields] = []
             for message in group["events"]:
                 ((self._decoding, fields),) = message.items()
-                if self._decoding == "Teardown":
+                if self._decoding == END_INSTANCE:
                     actions.clear()  # what an instance asked for before it was killed is not done
                 actions += self._handle_message(now_ms, number, self._decoding, fields)
             if actions:
@@ -239,9 +241,9 @@
             if number not in self.instances:
                 raise WireError(f"{name} for instance {number}, which was never enlisted")
             return self._handle_event(now_ms, number, decode(fields))
-        if name == "Enlist":
+        if name == START_INSTANCE:
             self.instances[number] = Balancer(read_settings(fields["conf"]), fields["entropy"])
-        elif name == "Teardown":
+        elif name == END_INSTANCE:
             self.instances.pop(number, None)
             self._watch_requested_ms.pop(number, None)
         elif name not in IGNORED_EVENTS:
--- a/sageturn/store/replication/hello_exchange.py
+++ b/sageturn/store/replication/hello_exchange.py
@@ -2,8 +2,6 @@
 
 from __future__ import annotations
 
-from typing import Any
-
 from sageturn.store.errors import SessionRejectedError
 from sageturn.store.replication import message_codec
 from sageturn.store.replication.messages import Hello
@@ -11,10 +9,13 @@
 
 
 class HelloExchange:
-    """One side of the exchange: the dialing side sends the first hello, the accepting side answers."""
+    """One side of the exchange: the dialing side sends the first hello, the accepting side answers.
+
+    ``peer_hello`` is None until the peer was admitted.
+    """
 
     def __init__(self, host: SessionHost, peer: str, is_dialing: bool) -> None:
-        self.peer_hello: Hello | None = None  # set once it was admitted
+        self.peer_hello: Hello | None = None
         self._host = host
         self._peer = peer
         self._is_dialing = is_dialing
@@ -56,7 +57,7 @@
             location=host.location,
         )
 
-    def decode_peer_hello(self, body: Any) -> Hello:
+    def decode_peer_hello(self, body: object) -> Hello:
         """Decodes the peer's hello, which is not accepted by that yet.
 
         Raises:
@@ -69,3 +70,7 @@
         if hello.node != self._peer:
             raise SessionRejectedError(f"{self._peer} greets as {hello.node}")
         return hello
+
+    def on_peer_admitted(self, hello: Hello) -> None:
+        """Keeps the hello of a peer with which the replica allows a session."""
+        self.peer_hello = hello
--- a/sageturn/store/replication/session_closing.py
+++ b/sageturn/store/replication/session_closing.py
@@ -1,9 +1,7 @@
-"""How a replication session ends: what this side has decided, and what the peer has said."""
+"""The end of a replication session: the close reasons of both sides, and their last messages."""
 
 from __future__ import annotations
 
-from typing import Any
-
 from sageturn.store.errors import SessionRejectedError
 from sageturn.store.replication import message_codec
 from sageturn.store.replication.close_code import CloseCode
@@ -55,7 +53,7 @@
         self.is_bye_sent = True
         return Bye(self.code, self.detail, self._alternatives)
 
-    def on_bye(self, body: Any) -> None:
+    def on_bye(self, body: object) -> None:
         """Handles the peer's last message.
 
         The session has ended even if the alternatives that the body names are malformed, which raises
