--- a/sageturn/config/fields.py
+++ b/sageturn/config/fields.py
@@ -72,7 +72,7 @@
         """Return a string."""
         return self._value(key, str, default)
 
-    def flag(self, key: str, default: bool | None = None) -> bool:
+    def flag(self, key: str, *, default: bool | None = None) -> bool:
         """Return true or false."""
         return self._value(key, bool, default)
 
--- a/sageturn/net/sockets.py
+++ b/sageturn/net/sockets.py
@@ -38,14 +38,14 @@
     """Why a connection could not be established. Log lines have the names in lower case."""
 
     REFUSED = auto()
-    NEVER_UP = auto()  # not established within the time limit
+    TIMED_OUT = auto()
     NO_DESCRIPTOR = auto()
     LOCAL = auto()  # for a reason of this machine's, which says nothing of the peer
 
 
 CLOSE_REASON_OF_CONNECT_FAILURE = {
     ConnectFailure.REFUSED: CloseReason.REFUSED,
-    ConnectFailure.NEVER_UP: CloseReason.NO_CONNECT,
+    ConnectFailure.TIMED_OUT: CloseReason.NO_CONNECT,
     ConnectFailure.NO_DESCRIPTOR: CloseReason.NOT_SENT,
     ConnectFailure.LOCAL: CloseReason.NOT_SENT,
 }
@@ -128,7 +128,7 @@
                     return connected
                 await asyncio.sleep(LOCAL_RETRY_S)
     except TimeoutError:
-        return ConnectFailure.NEVER_UP
+        return ConnectFailure.TIMED_OUT
 
 
 async def _connect_once(address: Address, *, use_reserve: bool) -> socket.socket | ConnectFailure:
@@ -144,7 +144,7 @@
         await asyncio.get_running_loop().sock_connect(configure_socket(sock), address)
     except TimeoutError:
         sock.close()
-        return ConnectFailure.NEVER_UP  # the kernel gave it up (ETIMEDOUT)
+        return ConnectFailure.TIMED_OUT  # the kernel gave it up (ETIMEDOUT)
     except OSError as error:
         sock.close()
         return ConnectFailure.LOCAL if error.errno in LOCAL_CONNECT_ERRNOS else ConnectFailure.REFUSED
--- a/tests/core/test_attempt_races.py
+++ b/tests/core/test_attempt_races.py
@@ -80,7 +80,7 @@
             nonlocal calls
             calls += 1
             if calls < attempt:
-                return sockets.ConnectFailure.NEVER_UP
+                return sockets.ConnectFailure.TIMED_OUT
             sock = await connect(address, timeout_s)
             if not reached:
                 name, endpoint = by_port[address[1]]
--- a/tests/core/test_client_disconnects.py
+++ b/tests/core/test_client_disconnects.py
@@ -84,7 +84,7 @@
     async def _begin(self, address: tuple[str, int], timeout_s: float) -> Any:
         self.count += 1
         if self.count <= self._failing:
-            return ConnectFailure.NEVER_UP
+            return ConnectFailure.TIMED_OUT
         return await self._connect(address, timeout_s)
 
 
@@ -213,7 +213,7 @@
             nonlocal begun
             begun += 1
             await released.wait()
-            return await connect(address, timeout_s) if comes_up else ConnectFailure.NEVER_UP
+            return await connect(address, timeout_s) if comes_up else ConnectFailure.TIMED_OUT
 
         monkeypatch.setattr(frontend_connection, "connect_unreserved", connect_when_released)
         records: list[Any] = []
--- a/tests/core/test_close_reasons.py
+++ b/tests/core/test_close_reasons.py
@@ -107,7 +107,7 @@
         try:
             await asyncio.wait_for(scenario.resume.wait(), timeout_s)
         except TimeoutError:
-            return sockets.ConnectFailure.NEVER_UP
+            return sockets.ConnectFailure.TIMED_OUT
         return await connect(address, timeout_s)
 
     monkeypatch.setattr(frontend_connection, "connect_unreserved", connect_when_resumed)
