--- a/sageturn/overrides/actor.py
+++ b/sageturn/overrides/actor.py
@@ -25,6 +25,7 @@
 
 MAX_WAIT_S = 0.5  # no event reports that the system's clock was set
 STATE_REPORT_INTERVAL_S = 2.0
+FULL_LIST_KINDS = frozenset({decision.ListEventKind.FULL, decision.ListEventKind.STALE})
 WARNING_ACTIONS = frozenset({AuditAction.REJECTED, AuditAction.SUSPENDED})
 
 
@@ -83,8 +84,8 @@
 
     async def post_event(self, event: decision.Event) -> None:
         """Posts an event of the endpoint registry to the balancer, endpoint lists with overrides applied."""
-        if isinstance(event, decision.EndpointListEvent) and event.kind != "failed":
-            is_full = event.kind in ("full", "stale")
+        if isinstance(event, decision.EndpointListEvent) and event.kind != decision.ListEventKind.FAILED:
+            is_full = event.kind in FULL_LIST_KINDS
             endpoints = self.registry.apply_endpoint_list(event.endpoints, is_full, self._read_clock())
             event = decision.EndpointListEvent(event.kind, endpoints)
             self._update_marks()
@@ -161,7 +162,7 @@
         endpoints += self.registry.advance_time(now_ms)
         if endpoints:
             latest = {endpoint.name: endpoint for endpoint in endpoints}
-            event = decision.EndpointListEvent("changes", list(latest.values()))
+            event = decision.EndpointListEvent(decision.ListEventKind.CHANGES, list(latest.values()))
             await self._balancer_actor.post_event(event)
         audit_events = self.registry.audit.take()
         _log_audit_events(audit_events)
--- a/sageturn/overrides/relay_state.py
+++ b/sageturn/overrides/relay_state.py
@@ -52,7 +52,7 @@
         endpoint.zone,
         endpoint.kind,
         endpoint.cell,
-        endpoint.state,
+        str(endpoint.state),
         endpoint.share,
         endpoint.started_at_ms,
     ]
