--- a/sageturn/cli/override_explanation.py
+++ b/sageturn/cli/override_explanation.py
@@ -42,7 +42,7 @@
             "listed": self.listed_state,
             "state": self.effective_state,
             "factor": self.effect.factor,
-            "held": self.effect.held,
+            "held": self.effect.rebalance_excluded,
             "cleared": self.effect.migrate_connections,
             "overrides": [
                 {**involved.summary.to_json(), "guard": involved.suspended_because}
@@ -78,7 +78,7 @@
         f"{explanation.endpoint}: {explanation.effective_state} "
         f"(the list says {explanation.listed_state}), weight {effect.factor:g}"
     )
-    if effect.held:
+    if effect.rebalance_excluded:
         print("  held: no rebalancing off or onto it")
     if effect.migrate_connections:
         print("  its standing connections are moved off")
--- a/sageturn/overrides/actor.py
+++ b/sageturn/overrides/actor.py
@@ -188,7 +188,7 @@
     def _update_marks(self) -> None:
         effects = self.registry.resolver.effects.items()
         marks = OperatorMarks(
-            rebalance_excluded=frozenset(name for name, effect in effects if effect.held),
+            rebalance_excluded=frozenset(name for name, effect in effects if effect.rebalance_excluded),
             out_of_service=frozenset(name for name, effect in effects if effect.out_of_service),
             evacuating=frozenset(name for name, effect in effects if effect.migrate_connections),
         )
--- a/sageturn/overrides/effects.py
+++ b/sageturn/overrides/effects.py
@@ -24,7 +24,7 @@
     out_of_service: bool = False
     migrate_connections: bool = False
     factor: float = 1.0
-    held: bool = False
+    rebalance_excluded: bool = False
     override_ids: tuple[str, ...] = ()
 
 
@@ -77,7 +77,7 @@
     """Returns the effect of these overrides on an endpoint that all of them select."""
     out_of_service = False
     migrate_connections = False
-    held = False
+    rebalance_excluded = False
     factor: float | None = None
     override_ids = []
     for override in overrides:
@@ -89,11 +89,11 @@
         elif payload.kind is OverrideKind.WEIGHT:
             factor = payload.factor if factor is None else min(factor, payload.factor)
         else:
-            held = True
+            rebalance_excluded = True
     return OverrideEffect(
         out_of_service,
         migrate_connections,
         1.0 if factor is None else factor,
-        held,
+        rebalance_excluded,
         tuple(sorted(override_ids)),
     )
--- a/sageturn/rebalance/batches.py
+++ b/sageturn/rebalance/batches.py
@@ -55,13 +55,13 @@
 
     request_ids: tuple[int, ...]
     load: float
-    grouped: bool
+    is_grouped: bool
     is_partial: bool  # the group has more connections at this relay
 
     @property
     def description(self) -> str:
         """The batch in a few words, for operators."""
-        if not self.grouped:
+        if not self.is_grouped:
             return "one connection without a group"
         extent = "the smaller part of a group" if self.is_partial else "a whole group"
         return f"{extent}, {len(self.request_ids)} connections"
@@ -158,7 +158,7 @@
                 self.block_counts[request_ids] += 1
                 continue
             is_partial = len(self._connections.allocations_by_group[allocation.group]) > 1
-            yield MigrationBatch(request_ids, load, grouped=True, is_partial=is_partial)
+            yield MigrationBatch(request_ids, load, is_grouped=True, is_partial=is_partial)
 
     def _eligible_members(
         self, allocation: GroupAllocation, load: float, max_load: float
@@ -188,7 +188,7 @@
             if block_reason is not None:
                 self.block_counts[block_reason] += 1
                 continue
-            yield MigrationBatch((connection.request_id,), load, grouped=False, is_partial=False)
+            yield MigrationBatch((connection.request_id,), load, is_grouped=False, is_partial=False)
 
     def _rank(self, allocation: GroupAllocation, mean_load: float) -> _BatchRank:
         siblings = self._connections.allocations_by_group[allocation.group]
--- a/sageturn/rebalance/evacuation.py
+++ b/sageturn/rebalance/evacuation.py
@@ -57,4 +57,4 @@
             batch_ids = tuple(request_ids[start : start + batch_size])
             load = allocation.load(mean_load) * len(batch_ids) / allocation.connection_count
             is_partial = len(batch_ids) < allocation.connection_count
-            yield MigrationBatch(batch_ids, load, grouped=bool(group), is_partial=is_partial)
+            yield MigrationBatch(batch_ids, load, is_grouped=bool(group), is_partial=is_partial)
--- a/tests/overrides/test_registry.py
+++ b/tests/overrides/test_registry.py
@@ -119,7 +119,7 @@
         make_operation("w2", weight(SelectorAttribute.KIND, "k", 0.5)),
         make_operation("h1", OverridePayload(OverrideKind.HOLD, Selector(SelectorAttribute.CELL, "0"))),
     )
-    assert driver.endpoints["a"].factor == 0.5 and driver.resolver.effect("c").held
+    assert driver.endpoints["a"].factor == 0.5 and driver.resolver.effect("c").rebalance_excluded
     driver.apply(make_operation("o1", out_of_service("a")))
     override_ids = driver.resolver.effect("a").override_ids
     assert driver.state("a") == "draining" and override_ids == ("h1", "o1", "w1", "w2")
