--- a/sageturn/cli/store.py
+++ b/sageturn/cli/store.py
@@ -17,7 +17,7 @@
 
 from sageturn.cli.connection import DaemonConnection
 from sageturn.cli.exit_codes import ExitCode, fail
-from sageturn.frontends.xmpp.accounts import PREFIX, make_record
+from sageturn.frontends.xmpp.accounts import ACCOUNT_KEY_PREFIX, make_account_record
 from sageturn.store.errors import InvalidRecordError, LogCorruptedError
 from sageturn.store.store import Store
 
@@ -138,5 +138,5 @@
 ) -> None:
     """Make an XMPP account; the password is read from standard input."""
     password = getpass.getpass() if sys.stdin.isatty() else sys.stdin.readline().rstrip("\n")
-    record = make_record(password, class_name, tenant, group)
-    _access(context).run(lambda store: store.put(PREFIX + name, record))
+    record = make_account_record(password, class_name, tenant, group)
+    _access(context).run(lambda store: store.put(ACCOUNT_KEY_PREFIX + name, record))
--- a/sageturn/flows/exporter.py
+++ b/sageturn/flows/exporter.py
@@ -155,7 +155,7 @@
         except OSError as error:
             # The collector is not listening, the buffer is full, or there is no route or socket at the
             # moment: the next messages may be sent.
-            log.info("flow export failed collector=%s:%d failure=%s", *self._options.collector, error)
+            log.info("flow export failed collector=%s:%d reason=%s", *self._options.collector, error)
             return False
         self._sequence += record_count
         return True
--- a/sageturn/frontends/xmpp/accounts.py
+++ b/sageturn/frontends/xmpp/accounts.py
@@ -14,11 +14,11 @@
 log = logging.getLogger(__name__)
 
 DEFAULT_ITERATIONS = 16384
-MECHANISM = "SCRAM-SHA-256"
-PREFIX = "config/accounts/"  # of the accounts' keys in the store
+SCRAM_MECHANISM = "SCRAM-SHA-256"
+ACCOUNT_KEY_PREFIX = "config/accounts/"  # in the store
 
 
-class Reader(Protocol):
+class RecordReader(Protocol):
     """The part of the store from which accounts are read."""
 
     def get(self, key: str) -> JsonObject | None:
@@ -45,11 +45,11 @@
     credentials: Credentials
 
 
-def make_record(
+def make_account_record(
     password: str, class_name: str, tenant: str, group: str = "", iterations: int = DEFAULT_ITERATIONS
 ) -> JsonObject:
     """Return an account's record for the store; the password cannot be recovered from it."""
-    auth_info = ScramMechanism(MECHANISM).make_auth_info(password, iteration_count=iterations)
+    auth_info = ScramMechanism(SCRAM_MECHANISM).make_auth_info(password, iteration_count=iterations)
     credentials = Credentials(*auth_info)
     return {
         "class": class_name,
@@ -79,12 +79,12 @@
 class Accounts:
     """Looks accounts up in the store, at each call anew."""
 
-    def __init__(self, store: Reader) -> None:
+    def __init__(self, store: RecordReader) -> None:
         self._store = store
 
     def find(self, name: str) -> Account | None:
         """Return an account; None if there is none of this name, or its record is damaged."""
-        record = self._store.get(PREFIX + name)
+        record = self._store.get(ACCOUNT_KEY_PREFIX + name)
         if record is None:
             return None
         try:
@@ -100,7 +100,7 @@
             return None
         credentials = account.credentials
         try:
-            auth_info = ScramMechanism(MECHANISM).make_auth_info(
+            auth_info = ScramMechanism(SCRAM_MECHANISM).make_auth_info(
                 password, iteration_count=credentials.iterations, salt=credentials.salt
             )
         except ScramException:
--- a/sageturn/frontends/xmpp/client_login.py
+++ b/sageturn/frontends/xmpp/client_login.py
@@ -11,7 +11,7 @@
 
 from scramp import ScramException, ScramMechanism  # type: ignore[import-untyped]
 
-from sageturn.frontends.xmpp.accounts import MECHANISM, Account, Accounts, Credentials
+from sageturn.frontends.xmpp.accounts import SCRAM_MECHANISM, Account, Accounts, Credentials
 from sageturn.frontends.xmpp.channel import TlsChannel
 from sageturn.frontends.xmpp.errors import SaslError, StreamError
 from sageturn.frontends.xmpp.namespaces import BIND_NS, CLIENT_NS, SASL_NS, TLS_NS
@@ -78,7 +78,9 @@
     # ------------------------------------------------------------ SASL
 
     async def _authenticate(self) -> Account:
-        mechanisms = [MECHANISM, PLAIN_MECHANISM] if self._session.channel.is_encrypted else [MECHANISM]
+        mechanisms = (
+            [SCRAM_MECHANISM, PLAIN_MECHANISM] if self._session.channel.is_encrypted else [SCRAM_MECHANISM]
+        )
         offered = "".join(f"<mechanism>{name}</mechanism>" for name in mechanisms)
         features = f"<stream:features><mechanisms xmlns='{SASL_NS}'>{offered}</mechanisms></stream:features>"
         await self._session.send(features.encode())
@@ -125,7 +127,7 @@
             names.append(name)
             return self._accounts.credentials_of(name)
 
-        server = ScramMechanism(MECHANISM).make_server(look_up)
+        server = ScramMechanism(SCRAM_MECHANISM).make_server(look_up)
         try:
             server.set_client_first(_decode_base64(auth.text).decode())
             response = await self._challenge(server.get_server_first())
--- a/sageturn/frontends/xmpp/connection.py
+++ b/sageturn/frontends/xmpp/connection.py
@@ -41,10 +41,10 @@
     ) -> None:
         account = bind_request.account
         request = ClientRequest(
-            account.class_name,
-            account.tenant,
-            options.request_timeout_ms,
-            account.group,
+            class_name=account.class_name,
+            tenant=account.tenant,
+            timeout_ms=options.request_timeout_ms,
+            group=account.group,
             client=f"{account.name}/{bind_request.resource}",
         )
         super().__init__(shared, client.channel.sock, request)
--- a/sageturn/frontends/xmpp/endpoint_login.py
+++ b/sageturn/frontends/xmpp/endpoint_login.py
@@ -11,7 +11,7 @@
 from scramp import ScramClient, ScramException  # type: ignore[import-untyped]
 
 from sageturn.core.close_reason import CloseReason
-from sageturn.frontends.xmpp.accounts import MECHANISM
+from sageturn.frontends.xmpp.accounts import SCRAM_MECHANISM
 from sageturn.frontends.xmpp.channel import TlsChannel
 from sageturn.frontends.xmpp.client_login import BindRequest
 from sageturn.frontends.xmpp.errors import (
@@ -116,7 +116,7 @@
         if PLAIN_MECHANISM in mechanisms and self._session.channel.is_encrypted:
             await self._log_in_plain()
             return self._bind_request.resource
-        if MECHANISM not in mechanisms:
+        if SCRAM_MECHANISM not in mechanisms:
             raise EndpointLoginRejectedError(CloseReason.ERROR)
         await self._log_in_scram()
         return f"{self._bind_request.account.name}/{self._bind_request.resource}"
@@ -129,8 +129,8 @@
             raise EndpointLoginRejectedError(CloseReason.ERROR)
 
     async def _log_in_scram(self) -> None:
-        client = ScramClient([MECHANISM], self._options.username, self._options.password)
-        await self._send_auth(MECHANISM, client.get_client_first())
+        client = ScramClient([SCRAM_MECHANISM], self._options.username, self._options.password)
+        await self._send_auth(SCRAM_MECHANISM, client.get_client_first())
         client.set_server_first(await self._read_sasl_text("challenge"))
         if int(client.iterations) > MAX_SCRAM_ITERATIONS:
             raise EndpointLoginRejectedError(CloseReason.GARBLED)
--- a/tests/frontends/test_compatibility_frontends.py
+++ b/tests/frontends/test_compatibility_frontends.py
@@ -28,7 +28,7 @@
 from sageturn.frontends.platform import frontend as platform_frontend
 from sageturn.frontends.platform.connection import send_final_response
 from sageturn.frontends.xmpp import client_login, endpoint_login
-from sageturn.frontends.xmpp.accounts import PREFIX, Accounts
+from sageturn.frontends.xmpp.accounts import ACCOUNT_KEY_PREFIX, Accounts
 from sageturn.frontends.xmpp.connection import encode_bind_result
 from sageturn.frontends.xmpp.errors import (
     EndpointLoginRejectedError,
@@ -340,7 +340,7 @@
     context: Any = object() if tls else None
     options = XmppOptions(("127.0.0.1", 0), "guides.example", context, 2000.0, endpoint, 0)
     session = XmppSession(channel)  # type: ignore[arg-type]
-    accounts = Accounts({PREFIX + "lan": account_record()})
+    accounts = Accounts({ACCOUNT_KEY_PREFIX + "lan": account_record()})
     login = client_login.ClientLogin(session, options, accounts)
     with mock.patch.object(client_login, "TlsChannel", lambda *words, **more: channel):
         try:
@@ -356,7 +356,7 @@
     """The stream to an endpoint up to its bound resource, or how that ended."""
     context: Any = object() if tls else None
     options = EndpointOptions("guides.example", "relay", "relay-pw", context)
-    account = Accounts({PREFIX + "lan": account_record()}).find("lan")
+    account = Accounts({ACCOUNT_KEY_PREFIX + "lan": account_record()}).find("lan")
     assert account is not None
     request = client_login.BindRequest(account, "b1", "desk<1>")
     session = XmppSession(channel)  # type: ignore[arg-type]
--- a/tests/frontends/test_xmpp_frontend.py
+++ b/tests/frontends/test_xmpp_frontend.py
@@ -19,7 +19,7 @@
 from sageturn.config.errors import ConfigError
 from sageturn.config.operator import read_operator_file
 from sageturn.config.settings import read_settings
-from sageturn.frontends.xmpp.accounts import PREFIX, make_record
+from sageturn.frontends.xmpp.accounts import ACCOUNT_KEY_PREFIX, make_account_record
 from sageturn.frontends.xmpp.client_login import ClientLogin
 from sageturn.net.admission import ProcessLimits
 from sageturn.relay import Relay
@@ -323,8 +323,8 @@
 
     async with relaying_xmpp(tmp_path, echo) as (relay, _):
         for damage in ({"salt": "zz"}, {"iterations": None}, {"class": 7}, {"salt": None}):
-            record = make_record("pw", "c", "t", iterations=4096)
-            relay.store.put(PREFIX + "damaged", {**record, **damage})
+            record = make_account_record("pw", "c", "t", iterations=4096)
+            relay.store.put(ACCOUNT_KEY_PREFIX + "damaged", {**record, **damage})
             for mechanism, text, condition in credentials:
                 client = await open_login(relay)
                 client.send(f"<auth xmlns='{SASL}' mechanism='{mechanism}'>{text}</auth>")
--- a/tests/support/xmpp_relay.py
+++ b/tests/support/xmpp_relay.py
@@ -15,7 +15,7 @@
 from support.xmpp_fakes import Act, Server, rejects
 
 from sageturn.config.loader import load
-from sageturn.frontends.xmpp.accounts import PREFIX, make_record
+from sageturn.frontends.xmpp.accounts import ACCOUNT_KEY_PREFIX, make_account_record
 from sageturn.relay import Relay
 from sageturn.store.store import Store
 
@@ -58,7 +58,7 @@
     }
     store = Store("n1", folder / "store")
     for name in ("lan", "mai"):
-        store.put(PREFIX + name, make_record("pw", "c", "t", iterations=4096))
+        store.put(ACCOUNT_KEY_PREFIX + name, make_account_record("pw", "c", "t", iterations=4096))
     store.close()
     file = folder / "operator.json"
     file.write_text(json.dumps({"xmpp": xmpp, "store": {"path": "store"}}))
