--- a/tests/repository/test_import_layers.py
+++ b/tests/repository/test_import_layers.py
@@ -33,19 +33,19 @@
     return parts[1] if len(parts) > 1 else ""
 
 
-def imported_units(file: Path) -> Iterator[str]:
+def imported_modules(file: Path) -> Iterator[str]:
+    """Dotted names that ``file`` imports; a name imported from a package is taken for a module of it."""
     for node in ast.walk(ast.parse(file.read_text())):
         if isinstance(node, ast.Import):
-            names = [alias.name for alias in node.names]
-        elif isinstance(node, ast.ImportFrom) and node.module == "sageturn":
-            names = [f"sageturn.{alias.name}" for alias in node.names]
+            yield from (alias.name for alias in node.names)
         elif isinstance(node, ast.ImportFrom):
-            names = [node.module or ""]
-        else:
-            continue
-        for name in names:
-            if name.split(".")[0] == "sageturn" and unit_of(name) in RANK:
-                yield unit_of(name)
+            yield from (f"{node.module}.{alias.name}" for alias in node.names)
+
+
+def imported_units(file: Path) -> Iterator[str]:
+    for name in imported_modules(file):
+        if name.split(".")[0] == "sageturn" and unit_of(name) in RANK:
+            yield unit_of(name)
 
 
 def unit_of_file(file: Path) -> str:
@@ -69,3 +69,19 @@
         if imported != unit and RANK[imported] >= RANK[unit]
     ]
     assert upwards == []
+
+
+# The packages of the laboratory, likewise; its modules beside them are commands, and import them all.
+LAB_LAYERS = ("model", "faults", "runner", "loopback", "reports", "measurements")
+
+
+@pytest.mark.parametrize("package", LAB_LAYERS)
+def test_packages_of_the_laboratory_import_downwards(package: str) -> None:
+    above = LAB_LAYERS[LAB_LAYERS.index(package) + 1 :]
+    upwards = [
+        (str(file.relative_to(PACKAGE)), name)
+        for file in sorted((PACKAGE / "lab" / package).rglob("*.py"))
+        for name in imported_modules(file)
+        if name.startswith(tuple(f"sageturn.lab.{other}." for other in above))
+    ]
+    assert upwards == []
