--- a/tests/config/test_loader.py
+++ b/tests/config/test_loader.py
@@ -21,7 +21,7 @@
     return {"GW_CONFIG": str(write_config(folder, FILE_ADDRESS, **changes))}
 
 
-def test_environment_goes_before_the_file(tmp_path: Path) -> None:
+def test_environment_overrides_the_file(tmp_path: Path) -> None:
     environ = write(tmp_path, name="from-file", listen="127.0.0.1:1")
     variables = {"GW_NAME": "from-environment", "GW_LISTEN": "127.0.0.1:2", "GW_DISCOVERY": "127.0.0.1:3"}
     config = load(environ | variables | {"SAGETURN_LOG": "debug"})
@@ -38,7 +38,7 @@
     assert config.discovery == FILE_ADDRESS
 
 
-def test_discovery_changed_in_the_file_goes_before_the_environment_when_read_again(tmp_path: Path) -> None:
+def test_discovery_changed_in_the_file_overrides_the_environment_at_a_reload(tmp_path: Path) -> None:
     environ = write(tmp_path) | {"GW_DISCOVERY": "127.0.0.1:3"}
     started = load(environ)
     unchanged = load(environ, previous=started)
--- a/tests/frontends/test_compatibility_frontends.py
+++ b/tests/frontends/test_compatibility_frontends.py
@@ -510,13 +510,13 @@
     assert set(answers) == recorded | {"turned-away"}
 
 
-async def test_an_id_in_use_and_a_hasty_client_are_answered_as_they_were() -> None:
+async def test_an_id_in_use_and_early_input_are_answered_as_they_were() -> None:
     answers = await in_folder(platform_ids_and_haste)
     assert answers == {key: from_json("platform.json")[key] for key in answers}
 
 
 @pytest.mark.parametrize("name", ENDPOINTS)
-async def test_what_an_endpoint_says_reaches_the_client_as_it_did(name: str) -> None:
+async def test_an_endpoints_answer_is_forwarded_as_it_was(name: str) -> None:
     recorded = from_json("platform.json")
     exchange = await in_folder(platform_exchange, responds_with(ENDPOINTS[name]))
     assert exchange.received == recorded[f"exchange.{name}"]
--- a/tests/frontends/test_idle_timeout.py
+++ b/tests/frontends/test_idle_timeout.py
@@ -120,7 +120,9 @@
 
 
 @pytest.mark.usefixtures("virtual_time")
-async def test_whatever_an_endpoint_does_its_client_hears_one_whole_answer_in_time(tmp_path: Path) -> None:
+async def test_whatever_an_endpoint_does_its_client_receives_one_complete_answer_in_time(
+    tmp_path: Path,
+) -> None:
     # An UP without a receipt, without its CR, or with bytes that are no text was passed on as a service.
     # In virtual time: eight relays that start in one process keep a client's line waiting for longer than
     # the bound, in which no relay can have read it yet.
--- a/tests/net/test_addresses.py
+++ b/tests/net/test_addresses.py
@@ -27,5 +27,5 @@
 
 
 @pytest.mark.parametrize(("host", "expected"), [("10.0.0.1", True), ("a.example", False), ("::1", False)])
-def test_ipv4_address_is_told_from_other_hosts(host: str, expected: bool) -> None:
+def test_ipv4_address_is_distinguished_from_other_hosts(host: str, expected: bool) -> None:
     assert is_ipv4(host) is expected
--- a/tests/net/test_connect_failures.py
+++ b/tests/net/test_connect_failures.py
@@ -16,7 +16,7 @@
 LOCAL_ERRNOS = (errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ENOBUFS)
 
 
-async def test_what_fails_on_this_machine_for_a_moment_is_tried_again_and_blamed_on_nobody(
+async def test_local_connect_failures_are_retried_and_blamed_on_no_endpoint(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # Two of these in a row ejected an endpoint that was well, and each used up one of the request's attempts.
--- a/tests/net/test_short_writes.py
+++ b/tests/net/test_short_writes.py
@@ -27,7 +27,7 @@
 
 
 @pytest.mark.usefixtures("short_writes")
-async def test_an_answer_that_is_sent_at_once_arrives_whole(
+async def test_an_answer_arrives_complete_though_each_write_is_short(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Clients that were rejected while descriptors ran out read "BU" and the end of the connection.
--- a/tests/net/test_start_failures.py
+++ b/tests/net/test_start_failures.py
@@ -52,7 +52,7 @@
         bound.close()
 
 
-def test_what_lasts_is_an_error_after_a_while_and_what_is_wrong_is_one_at_once(
+def test_a_lasting_shortage_fails_after_a_while_and_other_errors_at_once(
     monkeypatch: pytest.MonkeyPatch, pauses: list[float]
 ) -> None:
     occupied = bind_socket(LOOPBACK)
@@ -73,7 +73,7 @@
     occupied.close()
 
 
-def test_a_listener_without_a_descriptor_to_spare_takes_one_later(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_listener_without_a_spare_descriptor_opens_one_later(monkeypatch: pytest.MonkeyPatch) -> None:
     def fail(path: str, flags: int) -> int:
         raise OSError(errno.ENFILE, os.strerror(errno.ENFILE))
 
