--- a/sageturn/store/records.py
+++ b/sageturn/store/records.py
@@ -68,7 +68,7 @@
     return new != known and record_digest(new) > record_digest(known)
 
 
-def parse_record(obj: Any) -> StoreRecord:
+def parse_record(obj: object) -> StoreRecord:
     """Returns the record of a decoded JSON object. Raises InvalidRecordError."""
     if not isinstance(obj, dict):
         raise InvalidRecordError("not an object")
--- a/sageturn/store/replication/member_directory.py
+++ b/sageturn/store/replication/member_directory.py
@@ -2,8 +2,6 @@
 
 from __future__ import annotations
 
-from typing import Any
-
 from sageturn.store.records import STATE_PREFIX, StoreRecord
 from sageturn.store.replication.location import ReplicaLocation, zone_label
 from sageturn.store.replication.membership import Member
@@ -23,7 +21,7 @@
     return key.startswith(STATE_PREFIX) and key.endswith(MEMBER_SUFFIX)
 
 
-def encode_member(location: ReplicaLocation, incarnation: int) -> dict[str, Any]:
+def encode_member(location: ReplicaLocation, incarnation: int) -> dict[str, object]:
     """Returns the value of a member's advertisement of itself, as it is stored."""
     host, port = location.address
     return {
--- a/sageturn/store/store.py
+++ b/sageturn/store/store.py
@@ -106,7 +106,7 @@
 
     # ------------------------------------------------------------ writing
 
-    def put(self, key: str, value: Any) -> StoreRecord:
+    def put(self, key: str, value: object) -> StoreRecord:
         """Writes a value, durable once this returns; None deletes.
 
         Raises:
--- a/tests/net/test_sockets.py
+++ b/tests/net/test_sockets.py
@@ -17,7 +17,7 @@
 from support.event_loop import until
 from support.load_reports import FIELDS, probed_by
 from support.network_fakes import SETTINGS, Streams, ask, first_line, relaying, silent, up
-from support.replication_member import replica
+from support.replication_member import start_member
 from support.xmpp_fakes import HEADER, Client, echo
 from support.xmpp_relay import client_tls, relaying_xmpp, xmpp_address
 
@@ -87,8 +87,8 @@
 
 async def test_all_links_between_stores_have_nodelay() -> None:
     one, other = Store("a"), Store("b")
-    first = replica(one)
-    second = replica(other, first.address)
+    first = start_member(one)
+    second = start_member(other, first.address)
     await until(lambda: first.link_count and second.link_count)
     found = connections_of_relay({first.address}, {first.address})
     assert len(found) == 2 and all_have_nodelay(found, {"accepted", "dialled"})
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 import pytest
-from support.replication_member import SECRET, replica
+from support.replication_member import SECRET, start_member
 from typer.testing import CliRunner, Result
 
 from sageturn.cli.main import build_app
@@ -141,8 +141,8 @@
 async def test_replicas_converge_after_a_partition_and_forward_records() -> None:
     # b and c write while apart, one key on both sides; a chain of links is enough for all to agree.
     store_a, store_b, store_c = Store("a"), Store("b"), Store("c")
-    member_a = replica(store_a)
-    member_b = replica(store_b, member_a.address)
+    member_a = start_member(store_a)
+    member_b = start_member(store_b, member_a.address)
     store_b.put("config/x", "first")
     await until(lambda: store_a.get("config/x") == "first")
     await member_b.stop()
@@ -150,7 +150,7 @@
     store_c.put("config/x", "theirs")
     store_c.put("config/only-c", 1)
     store_a.put("config/x", None)
-    member_b, member_c = replica(store_b, member_a.address), replica(store_c, member_a.address)
+    member_b, member_c = start_member(store_b, member_a.address), start_member(store_c, member_a.address)
     await until(
         lambda: store_a.digest() == store_b.digest() == store_c.digest() and store_a.get("config/only-c") == 1
     )
@@ -166,8 +166,8 @@
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     store, other_store = Store("a"), Store("b")
-    member = replica(store)
-    stranger = replica(other_store, member.address, secret=read_secret("another"))
+    member = start_member(store)
+    stranger = start_member(other_store, member.address, secret=read_secret("another"))
     other_store.put("config/evil", 1)
     reader, writer = await asyncio.open_connection(*member.address)
     writer.write(b"\x00\x00\x00\x02{}")
@@ -215,7 +215,7 @@
 
     (tmp_path / "secret").write_text("one secret\n")
     store = Store("daemon")
-    running = replica(store)
+    running = start_member(store)
     where = ["--connect", "{}:{}".format(*running.address), "--secret-file", str(tmp_path / "secret")]
     result = await asyncio.to_thread(admin, *where, "put", "config/log_level", '"DEBUG"')
     assert result.exit_code == 0
--- a/tests/support/replication_member.py
+++ b/tests/support/replication_member.py
@@ -16,15 +16,15 @@
 SECRET = read_secret("one secret")
 
 
-def replica(store: Store, *peers: tuple[str, int], secret: bytes = SECRET) -> ReplicationMember:
-    """Dials ``peers`` and nobody else; to be stopped by the caller."""
+def start_member(store: Store, *peers: tuple[str, int], secret: bytes = SECRET) -> ReplicationMember:
+    """A started member that dials ``peers`` and nobody else; the caller stops it."""
     options = ReplicationOptions(("127.0.0.1", 0), peers, secret)
-    made = ReplicationMember(
+    member = ReplicationMember(
         store,
         options,
         AdmissionController(ProcessLimits(64, 64.0)),
         Random(1),
         partial(DialSeeds, seeds=peers),
     )
-    made.start()
-    return made
+    member.start()
+    return member
