--- a/tests/support/overlay_simulation.py
+++ b/tests/support/overlay_simulation.py
@@ -89,7 +89,7 @@
         """Records arrive; what is new goes on to the others, and the overlay gets the whole membership."""
         if not self.is_running:
             return
-        updated = [member for member in members if self._is_news(member)]
+        updated = [member for member in members if self._is_newer(member)]
         newly_removed = {
             name: incarnation
             for name, incarnation in removed.items()
@@ -108,7 +108,7 @@
         self._unsent.update({member.name: member for member in updated})
         self._unsent.setdefault("", self.member)
 
-    def _is_news(self, member: Member) -> bool:
+    def _is_newer(self, member: Member) -> bool:
         if self.removed.get(member.name, -1) >= member.incarnation:
             return False
         return member.name not in self.view or self.view[member.name].incarnation < member.incarnation
