--- a/sageturn/frontends/frontend_connection.py
+++ b/sageturn/frontends/frontend_connection.py
@@ -14,12 +14,8 @@
 from sageturn.core.proxy_transport import ProxyTransport
 from sageturn.core.request_lifecycle import RequestLifecycle
 from sageturn.net.addresses import Address
-from sageturn.net.sockets import (
-    CLOSE_REASON_OF_CONNECT_FAILURE,
-    ConnectFailure,
-    connect_unreserved,
-    peer_address,
-)
+from sageturn.net.connecting import CLOSE_REASON_OF_CONNECT_FAILURE, ConnectFailure, connect_unreserved
+from sageturn.net.sockets import peer_address
 
 CheckBeforeWrite = Callable[[], CloseReason | None]
 
--- a/sageturn/lab/scale/digests.py
+++ b/sageturn/lab/scale/digests.py
@@ -17,8 +17,9 @@
 
 from sageturn.core.tasks import cancel_and_wait
 from sageturn.net.admission import AdmissionController, PendingConnection
+from sageturn.net.connecting import ConnectFailure, connect
 from sageturn.net.listener import Listener
-from sageturn.net.sockets import ConnectFailure, connect, send_gathered
+from sageturn.net.sockets import send_gathered
 from sageturn.store.channel import TAG_BYTES, AuthenticatedChannel
 from sageturn.store.errors import HandshakeRejectedError, InvalidRecordError
 from sageturn.store.records import StoreRecord, parse_record
--- a/sageturn/net/discovery_watch.py
+++ b/sageturn/net/discovery_watch.py
@@ -24,10 +24,10 @@
     classify_rejection,
 )
 from sageturn.net.addresses import Address
+from sageturn.net.connecting import ConnectFailure, connect
 from sageturn.net.endpoint_list import parse_endpoint_list
 from sageturn.net.errors import WatchClosedError
 from sageturn.net.json_stream import JsonObjectSplitter
-from sageturn.net.sockets import ConnectFailure, connect
 
 log = logging.getLogger(__name__)
 
--- a/sageturn/net/health_check_client.py
+++ b/sageturn/net/health_check_client.py
@@ -17,7 +17,7 @@
 from sageturn.decision import AttemptStatus, HealthCheckCompleted
 from sageturn.decision.load_reports import MAX_REPORT_BYTES, read_report
 from sageturn.net.addresses import Address
-from sageturn.net.sockets import ConnectFailure, connect_unreserved
+from sageturn.net.connecting import ConnectFailure, connect_unreserved
 
 log = logging.getLogger(__name__)
 
--- a/sageturn/store/replication/ephemeral_client.py
+++ b/sageturn/store/replication/ephemeral_client.py
@@ -13,7 +13,7 @@
 from random import Random
 
 from sageturn.core.tasks import cancel_and_wait
-from sageturn.net.sockets import ConnectFailure, connect
+from sageturn.net.connecting import ConnectFailure, connect
 from sageturn.store.replication.backoff import Backoff
 from sageturn.store.replication.close_code import CloseCode
 from sageturn.store.replication.errors import LinkNotEstablishedError
--- a/sageturn/store/replication/link_dialer.py
+++ b/sageturn/store/replication/link_dialer.py
@@ -9,7 +9,7 @@
 from contextlib import suppress
 
 from sageturn.core.tasks import cancel_and_wait
-from sageturn.net.sockets import ConnectFailure, connect
+from sageturn.net.connecting import ConnectFailure, connect
 from sageturn.store.replication.errors import LinkNotEstablishedError
 from sageturn.store.replication.link_runner import LinkRunner
 from sageturn.store.replication.membership import Address
--- a/tests/config/test_deployments.py
+++ b/tests/config/test_deployments.py
@@ -45,7 +45,7 @@
 from sageturn.core.messages import EndpointListUpdate
 from sageturn.core.shutdown_schedule import plan_shutdown
 from sageturn.frontends import frontend_connection
-from sageturn.net import sockets
+from sageturn.net import connecting
 from sageturn.net.json_stream import JsonObject
 from sageturn.relay import Relay
 
@@ -180,7 +180,7 @@
             endpoint.address[1]: (name, endpoint) for name, endpoint in zip("ab", endpoints, strict=True)
         }
         first: list[FakeEndpoint] = []
-        connect = sockets.connect_unreserved
+        connect = connecting.connect_unreserved
 
         async def connect_while_draining(address: tuple[str, int], timeout_s: float) -> Any:
             sock = await connect(address, timeout_s)
--- a/tests/core/test_attempt_races.py
+++ b/tests/core/test_attempt_races.py
@@ -20,7 +20,7 @@
 from sageturn.frontends import frontend_connection
 from sageturn.frontends.platform import connection as platform_connection
 from sageturn.frontends.platform import frontend as platform_frontend
-from sageturn.net import closing, sockets
+from sageturn.net import closing, connecting, sockets
 from sageturn.relay import Relay
 
 # ---------------------------------------------------------------- just before the first byte is written
@@ -74,13 +74,13 @@
         by_port = {
             endpoint.address[1]: (name, endpoint) for name, endpoint in zip("ab", endpoints, strict=True)
         }
-        connect, calls, reached = sockets.connect_unreserved, 0, list[FakeEndpoint]()
+        connect, calls, reached = connecting.connect_unreserved, 0, list[FakeEndpoint]()
 
         async def comes_up(address: tuple[str, int], timeout_s: float) -> Any:
             nonlocal calls
             calls += 1
             if calls < attempt:
-                return sockets.ConnectFailure.TIMED_OUT
+                return connecting.ConnectFailure.TIMED_OUT
             sock = await connect(address, timeout_s)
             if not reached:
                 name, endpoint = by_port[address[1]]
@@ -209,7 +209,7 @@
         self._moment = moment
         self._late_ms = late_ms
         self._elapsed_ms = 0.0
-        self._connect = sockets.connect_unreserved
+        self._connect = connecting.connect_unreserved
         clock = relay.balancer_actor.clock
         now_ms = clock.now_ms
         open_upstream = platform_connection.PlatformConnection.open_upstream
--- a/tests/core/test_client_disconnects.py
+++ b/tests/core/test_client_disconnects.py
@@ -23,8 +23,8 @@
 from sageturn.frontends import frontend_connection
 from sageturn.frontends.platform.connection import PlatformConnection
 from sageturn.frontends.xmpp.connection import XmppConnection
-from sageturn.net import sockets
-from sageturn.net.sockets import ConnectFailure
+from sageturn.net import connecting
+from sageturn.net.connecting import ConnectFailure
 
 GONE = (CloseReason.CLIENT_LEFT, CloseReason.CLIENT_RESET)
 
@@ -77,7 +77,7 @@
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, failing: int = 0) -> None:
         self.count = 0
-        self._connect = sockets.connect_unreserved
+        self._connect = connecting.connect_unreserved
         self._failing = failing
         monkeypatch.setattr(frontend_connection, "connect_unreserved", self._begin)
 
@@ -207,7 +207,7 @@
     settings = {**SETTINGS, "accounts": tenants}
     async with relaying(tmp_path, silent, silent, settings=settings) as (relay, endpoints):
         await until(lambda: relay.endpoint_registry.version == 2)
-        connect, begun, released = sockets.connect_unreserved, 0, asyncio.Event()
+        connect, begun, released = connecting.connect_unreserved, 0, asyncio.Event()
 
         async def connect_when_released(address: tuple[str, int], timeout_s: float) -> Any:
             nonlocal begun
--- a/tests/core/test_close_reasons.py
+++ b/tests/core/test_close_reasons.py
@@ -23,7 +23,7 @@
 from sageturn.frontends.platform import frontend as platform_frontend
 from sageturn.frontends.platform import relaying as platform_relaying
 from sageturn.frontends.platform.line_forwarder import LineForwarder
-from sageturn.net import sockets
+from sageturn.net.connecting import ConnectFailure, connect_unreserved
 from sageturn.relay import Relay
 
 
@@ -100,14 +100,14 @@
 
 
 async def connecting(scenario: RelayScenario, monkeypatch: pytest.MonkeyPatch) -> None:
-    connect, begun = sockets.connect_unreserved, asyncio.Event()
+    connect, begun = connect_unreserved, asyncio.Event()
 
     async def connect_when_resumed(address: tuple[str, int], timeout_s: float) -> Any:
         begun.set()
         try:
             await asyncio.wait_for(scenario.resume.wait(), timeout_s)
         except TimeoutError:
-            return sockets.ConnectFailure.TIMED_OUT
+            return ConnectFailure.TIMED_OUT
         return await connect(address, timeout_s)
 
     monkeypatch.setattr(frontend_connection, "connect_unreserved", connect_when_resumed)
--- a/tests/net/test_connect_failures.py
+++ b/tests/net/test_connect_failures.py
@@ -11,7 +11,7 @@
 from support.ports import open_descriptors
 
 from sageturn.core.close_reason import CloseReason
-from sageturn.net.sockets import CLOSE_REASON_OF_CONNECT_FAILURE, ConnectFailure, connect_unreserved
+from sageturn.net.connecting import CLOSE_REASON_OF_CONNECT_FAILURE, ConnectFailure, connect_unreserved
 
 LOCAL_ERRNOS = (errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ENOBUFS)
 
--- a/tests/net/test_discovery_client.py
+++ b/tests/net/test_discovery_client.py
@@ -16,11 +16,12 @@
 from sageturn.core.messages import EndpointListUpdate, WatchFailed
 from sageturn.decision import DiscoveryFailure
 from sageturn.net import discovery_watch
+from sageturn.net.connecting import ConnectFailure
 from sageturn.net.discovery import DiscoveryClient
 from sageturn.net.endpoint_list import parse_endpoint_list
 from sageturn.net.errors import InvalidEndpointListError
 from sageturn.net.json_stream import JsonObject
-from sageturn.net.sockets import ConnectFailure, bind_socket
+from sageturn.net.sockets import bind_socket
 from sageturn.relay import Relay
 
 ADDRESS = ("127.0.0.1", 9)
--- a/tests/net/test_sockets.py
+++ b/tests/net/test_sockets.py
@@ -25,8 +25,8 @@
 from sageturn.net import connection_tasks
 from sageturn.net.admission import ProcessLimits
 from sageturn.net.closing import close_gracefully, send_and_close
+from sageturn.net.connecting import ConnectFailure, connect, connect_unreserved
 from sageturn.net.descriptors import DESCRIPTOR_RESERVE, DescriptorReserve
-from sageturn.net.sockets import ConnectFailure, connect, connect_unreserved
 from sageturn.store.store import Store
 
 # ---------------------------------------------------------------- TCP_NODELAY
@@ -204,7 +204,7 @@
         os.close(number)
 
     DESCRIPTOR_RESERVE.resize(0)  # earlier tests of this process have filled it
-    monkeypatch.setattr("sageturn.net.sockets.socket", PatchedModule(socket, socket=new_socket))
+    monkeypatch.setattr("sageturn.net.connecting.socket", PatchedModule(socket, socket=new_socket))
     monkeypatch.setattr("sageturn.net.descriptors.os", PatchedModule(os, open=open_file, close=close_file))
     yield left
     DESCRIPTOR_RESERVE.resize(0)
--- a/tests/store/test_replication_sockets.py
+++ b/tests/store/test_replication_sockets.py
@@ -20,7 +20,7 @@
 from sageturn.config.operator import read_operator_file
 from sageturn.decision import RequestClass, Settings
 from sageturn.net.admission import AdmissionController, ProcessLimits
-from sageturn.net.sockets import ConnectFailure, connect
+from sageturn.net.connecting import ConnectFailure, connect
 from sageturn.store.channel import AuthenticatedChannel, read_secret
 from sageturn.store.errors import InvalidRecordError
 from sageturn.store.records import parse_record
