--- a/sageturn/__init__.py
+++ b/sageturn/__init__.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
     from sageturn.decision import (
@@ -61,7 +61,7 @@
 ]
 
 
-def __getattr__(name: str) -> Any:
+def __getattr__(name: str) -> object:
     """The exports, loaded when the first of them is used.
 
     The program must get from its start to its signal handling without loading all that it decides with.
--- a/sageturn/cli/override_view.py
+++ b/sageturn/cli/override_view.py
@@ -114,7 +114,7 @@
         """Returns the overrides in force, resolved with the safety limits of the first relay."""
         limits = [state.safety_limits for state in self.states.values()]
         resolver = OverrideResolver(limits[0] if limits else SafetyLimits())
-        resolver.apply_endpoint_list(self.endpoints().values(), True)
+        resolver.apply_endpoint_list(self.endpoints().values(), is_full=True)
         for override in sorted(self.overrides.values(), key=lambda override: override.admission_rank):
             if not override.is_revoked and not override.has_expired(self.now_ms):
                 resolver.add(override)
--- a/sageturn/config/platform.py
+++ b/sageturn/config/platform.py
@@ -117,7 +117,7 @@
 
 def _read_known_endpoints(top: ConfigSection) -> EndpointListUpdate:
     if not top.contains("known"):
-        return EndpointListUpdate(0, True)
+        return EndpointListUpdate(0, full=True)
     try:
         return parse_endpoint_list(top.json_object("known"))
     except ValueError as error:  # InvalidEndpointListError and InvalidAddressError
--- a/sageturn/config/tls.py
+++ b/sageturn/config/tls.py
@@ -23,7 +23,7 @@
 
 def read_endpoint_context(endpoint: ConfigSection, folder: Path) -> ssl.SSLContext | None:
     """Return the context for endpoints; None where TLS is turned off for them. Raises ConfigError."""
-    if not endpoint.flag("tls", True):
+    if not endpoint.flag("tls", default=True):
         return None
     context = _new_context(endpoint, "ca_file", ssl.PROTOCOL_TLS_CLIENT)
     with file_errors_named(endpoint, "ca_file"):
--- a/sageturn/decision/balancer.py
+++ b/sageturn/decision/balancer.py
@@ -150,7 +150,7 @@
         if request is None or endpoint is None or request.state != AttemptState.IN_FLIGHT:
             return
         request.state = AttemptState.ESTABLISHED
-        self.admission.setup_window.end_setup(now_ms, now_ms - request.sent_ms, True)
+        self.admission.setup_window.end_setup(now_ms, now_ms - request.sent_ms, is_served=True)
         if not request.is_finished:
             endpoint.connections.established[request.id] = request
         self.fleet.count_attempt(endpoint, -1, 0)
--- a/sageturn/decision/endpoint_pool.py
+++ b/sageturn/decision/endpoint_pool.py
@@ -12,6 +12,7 @@
 FULL_ENDPOINT_SCORE = 1e6  # added to a full endpoint's score, so that it loses against any other
 MAX_DRAWS = 8  # to find two eligible endpoints
 CHOICES = 2  # endpoints that are compared
+TIE_WIN_PROBABILITY = 0.5
 
 
 class PoolSelector:
@@ -39,7 +40,7 @@
             if endpoint is request.endpoint and len(self._fleet.ready) > 1:
                 continue
             score = self._score.load_score(endpoint) + (FULL_ENDPOINT_SCORE if endpoint.is_full() else 0)
-            is_tie_won = best is not None and score == best_score and self._rng.random() < 0.5
+            is_tie_won = best is not None and score == best_score and self._rng.random() < TIE_WIN_PROBABILITY
             if best is None or score < best_score or is_tie_won:
                 best = endpoint
                 best_score = score
--- a/sageturn/frontends/xmpp/client_login.py
+++ b/sageturn/frontends/xmpp/client_login.py
@@ -20,6 +20,7 @@
 from sageturn.frontends.xmpp.session import XmppSession
 
 MAX_LOGIN_ATTEMPTS = 3
+PLAIN_FIELD_COUNT = 3  # authorization id, name, password (RFC 4616)
 MAX_RESOURCE_BYTES = 1023
 
 
@@ -102,7 +103,7 @@
 
     async def _log_in_plain(self, auth: Element) -> Account:
         parts = _decode_base64(auth.text).split(b"\0")
-        if len(parts) != 3:
+        if len(parts) != PLAIN_FIELD_COUNT:
             raise SaslError(SaslCondition.MALFORMED_REQUEST)
         try:
             authorization_id, name, password = (part.decode() for part in parts)
--- a/sageturn/frontends/xmpp/endpoint_login.py
+++ b/sageturn/frontends/xmpp/endpoint_login.py
@@ -99,7 +99,9 @@
         await self._session.send(f"<starttls xmlns='{TLS_NS}'/>".encode())
         if (await self._read_stanza()).tag != f"{{{TLS_NS}}}proceed":
             raise EndpointLoginRejectedError(CloseReason.ERROR)
-        channel = TlsChannel(self._session.channel.sock, context, False, self._options.domain)
+        channel = TlsChannel(
+            self._session.channel.sock, context, server_side=False, host=self._options.domain
+        )
         self._session.restart(channel)
         await channel.handshake()
         return await self._exchange_headers()
--- a/sageturn/lab/measurements/override_cost.py
+++ b/sageturn/lab/measurements/override_cost.py
@@ -23,7 +23,10 @@
 
 def measure_cost() -> Row:
     """Time requests from arrival to end in the balancer's actor, with the override actor and without."""
-    pairs = [(_request_us(False), _request_us(True)) for _ in range(PAIR_COUNT)]
+    pairs = [
+        (_request_us(with_override_actor=False), _request_us(with_override_actor=True))
+        for _ in range(PAIR_COUNT)
+    ]
     without, with_actor = (float(np.median(column)) for column in zip(*pairs, strict=True))
     baseline = [pair[0] for pair in pairs]
     return {
@@ -50,5 +53,5 @@
         group = f"g{request_id % GROUP_COUNT}"
         handle(decision.RequestArrived(request_id, "c", "t", 1e18, group))
         handle(decision.ConnectionEstablished(request_id, 0, placed[-1], 20.0))
-        handle(decision.AttemptEnded(request_id, 0, placed[-1], "ok", True))
+        handle(decision.AttemptEnded(request_id, 0, placed[-1], "ok", final=True))
     return (time.perf_counter() - started_s) / REQUEST_COUNT * 1e6
--- a/sageturn/lab/measurements/override_resolution.py
+++ b/sageturn/lab/measurements/override_resolution.py
@@ -57,7 +57,7 @@
 ) -> None:
     for override in overrides:
         resolver.add(override)
-    resolver.apply_endpoint_list(endpoints, True)
+    resolver.apply_endpoint_list(endpoints, is_full=True)
 
 
 def _time_ms(action: Callable[[], object]) -> float:
--- a/sageturn/lab/measurements/planner_cost.py
+++ b/sageturn/lab/measurements/planner_cost.py
@@ -46,7 +46,8 @@
         self._class_names = [class_spec.name for class_spec in self.spec.classes]
         self._clients = [_client(number) for number in range(connection_count)]
         self._endpoints = [
-            EndpointSnapshot(f"h{k}", 1.0, True, ENDPOINT_CAPACITY) for k in range(ENDPOINT_COUNT)
+            EndpointSnapshot(f"h{number}", 1.0, ready=True, available_capacity=ENDPOINT_CAPACITY)
+            for number in range(ENDPOINT_COUNT)
         ]
         self._next_id = connection_count
         settings = decision.Settings(
@@ -104,7 +105,7 @@
             self._next_id += 1
             client = self._clients[request_id % self.connection_count]
             ended_id = request_id - self.connection_count
-            yield decision.AttemptEnded(ended_id, 0, client.endpoint, "ok", True)
+            yield decision.AttemptEnded(ended_id, 0, client.endpoint, "ok", final=True)
             yield decision.RequestArrived(
                 request_id, self._class_names[0], "t", now_ms + 900.0, client.group, client=client.key
             )
--- a/sageturn/lab/model/fleet_spec.py
+++ b/sageturn/lab/model/fleet_spec.py
@@ -43,7 +43,15 @@
     ClassSpec("group-position", 0.32, (2.0, 4.0), (0.3, 1.0), 300.0, 1200.0, 3.0, message_objective_ms=60.0),
     ClassSpec("seat-count", 0.15, (0.2, 0.5), (1.0, 1.0), 500.0, 2000.0, 3.0),
     ClassSpec(
-        "guest-checkin", 0.14, (0.2, 0.5), (1.0, 1.0), 300.0, 1200.0, 5.0, False, message_objective_ms=250.0
+        "guest-checkin",
+        0.14,
+        (0.2, 0.5),
+        (1.0, 1.0),
+        300.0,
+        1200.0,
+        5.0,
+        grouped=False,
+        message_objective_ms=250.0,
     ),
 )
 TENANT_SHARES = {
--- a/sageturn/lab/readiness.py
+++ b/sageturn/lab/readiness.py
@@ -63,8 +63,8 @@
 def cases() -> list[Case]:
     """All cases; a relay that knows no list needs discovery to answer before it can be ready."""
     combinations = product(STATES, SIGNALS, ("push", "ask"))
-    with_list = [Case(state, stop_signal, lists, True) for state, stop_signal, lists in combinations]
-    return with_list + [Case(state, signal.SIGKILL, "ask", False) for state in ("up", "slow")]
+    with_list = [Case(state, stop_signal, lists, known=True) for state, stop_signal, lists in combinations]
+    return with_list + [Case(state, signal.SIGKILL, "ask", known=False) for state in ("up", "slow")]
 
 
 @asynccontextmanager
--- a/sageturn/lab/scale/child_process.py
+++ b/sageturn/lab/scale/child_process.py
@@ -150,5 +150,5 @@
     def descriptor_count(self) -> int:
         """Open file descriptors now."""
         with suppress(OSError):
-            return len(os.listdir(f"/proc/{self.pid}/fd"))
+            return len(list(Path(f"/proc/{self.pid}/fd").iterdir()))
         return 0
--- a/sageturn/lab/scale/digests.py
+++ b/sageturn/lab/scale/digests.py
@@ -125,13 +125,13 @@
             sock = await connect(peer, CONNECT_TIMEOUT_S)
             if not isinstance(sock, ConnectFailure):
                 with sock:
-                    if await self._run_link(sock, True, None):
+                    if await self._run_link(sock, dialled=True, pending=None):
                         backoff_s = MIN_RECONNECT_BACKOFF_S
             await asyncio.sleep(backoff_s)
             backoff_s = min(MAX_RECONNECT_BACKOFF_S, backoff_s * 2)
 
     async def _on_accepted(self, sock: socket.socket, pending: PendingConnection) -> None:
-        await self._run_link(sock, False, pending)
+        await self._run_link(sock, dialled=False, pending=pending)
 
     async def _run_link(self, sock: socket.socket, dialled: bool, pending: PendingConnection | None) -> bool:
         """Runs a link until it ends. Returns False if it was not established."""
--- a/sageturn/lab/scale/members.py
+++ b/sageturn/lab/scale/members.py
@@ -268,7 +268,7 @@
         )
         self.discovery = DiscoveryClient((LOOPBACK, self._common["discovery"]), self._on_watch_event)
         self.endpoint_registry = EndpointRegistry(
-            EndpointListUpdate(0, True), self.balancer_actor.post_event, self.discovery
+            EndpointListUpdate(0, full=True), self.balancer_actor.post_event, self.discovery
         )
         runs = [self.balancer_actor.run(), self.endpoint_registry.run()]
         if self._common["state_s"]:
--- a/sageturn/lab/soak/relays.py
+++ b/sageturn/lab/soak/relays.py
@@ -160,7 +160,7 @@
 
     def count_descriptors(self) -> int:
         """Descriptors that the process has open."""
-        return len(os.listdir(f"/proc/{self.record.process}/fd"))
+        return len(list(Path(f"/proc/{self.record.process}/fd").iterdir()))
 
     def _running(self) -> tuple[asyncio.subprocess.Process, RelayRecord]:
         if self._process is None or self._process.returncode is not None:
--- a/sageturn/rebalance/migration_history.py
+++ b/sageturn/rebalance/migration_history.py
@@ -94,7 +94,7 @@
         if client == NO_CLIENT or client in self._records or not self.has_capacity_for(1):
             return
         excluded_until_ms = now_ms + self.options.again_s * 1000.0
-        self._records[client] = MigrationRecord(now_ms, "", 1, excluded_until_ms, False)
+        self._records[client] = MigrationRecord(now_ms, "", 1, excluded_until_ms, by_planner=False)
 
     def record_return(self, client: int) -> MigrationRecord | None:
         """Records that a client is established. Returns its migration; None if it was not awaited."""
--- a/sageturn/rebalance/utilization.py
+++ b/sageturn/rebalance/utilization.py
@@ -17,6 +17,7 @@
 
 # How many times as far under the mean an endpoint may be as over it, before that counts as imbalance.
 LOW_SIDE_TOLERANCE_FACTOR = 2.0
+MIN_BALANCED_ENDPOINTS = 2
 
 
 @dataclass(frozen=True, slots=True)
@@ -87,7 +88,7 @@
     loads = [_own_load(connections, endpoint.name, group_cost) for endpoint in endpoints]
     total_load = sum(loads)
     total_size = sum(endpoint.size for endpoint in endpoints)
-    if total_load <= 0 or len(endpoints) < 2:
+    if total_load <= 0 or len(endpoints) < MIN_BALANCED_ENDPOINTS:
         return PoolUtilization((), 0.0)
     fair_loads = [total_load * endpoint.size / total_size for endpoint in endpoints]
     confidence = _confidence(connections, loads, fair_loads, relay_count)
--- a/sageturn/store/log.py
+++ b/sageturn/store/log.py
@@ -190,7 +190,7 @@
         replacement = RecordLog(replacement_path)
         try:
             replacement.append(records)
-            os.replace(replacement_path, self._path)
+            replacement_path.replace(self._path)
         except OSError:
             replacement.close()
             with suppress(OSError):
@@ -222,7 +222,7 @@
 
 def _open_locked(path: Path) -> BinaryIO:
     """Opens the file for this process alone. Raises LogInUseError if another one has it open."""
-    file = open(path, "r+b" if path.exists() else "w+b", buffering=0)  # noqa: SIM115
+    file = path.open("r+b" if path.exists() else "w+b", buffering=0)
     try:
         fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
     except OSError as error:
--- a/sageturn/store/replica_state.py
+++ b/sageturn/store/replica_state.py
@@ -51,11 +51,11 @@
 def write_replica_state(path: Path, state: ReplicaState) -> None:
     """Replaces the file atomically, durable once this returns. Raises OSError."""
     replacement = path.with_name(path.name + ".new")
-    with open(replacement, "w", encoding="utf-8") as file:
+    with replacement.open("w", encoding="utf-8") as file:
         file.write(_encode(state))
         file.flush()
         os.fsync(file.fileno())
-    os.replace(replacement, path)
+    replacement.replace(path)
 
 
 class ReplicaStateFile:
--- a/sageturn/store/replication/root_discovery.py
+++ b/sageturn/store/replication/root_discovery.py
@@ -13,6 +13,7 @@
 from sageturn.store.replication.overlay_state import POLL_INTERVAL_S, OverlayState
 from sageturn.store.replication.route_table import ROOT_HEARTBEAT_TTL_S
 
+WIDE_SEARCH_PROBABILITY = 0.5  # that a dial may go to any member, not to unlinked ones alone
 INITIAL_INTERVAL_S = 0.25  # between a root's dials; doubles with each dial
 MAX_INTERVAL_S = 10.0
 MAX_ISOLATED_INTERVAL_S = 2.0  # for a root without any link
@@ -113,7 +114,7 @@
             return self._least_recently_dialed(predecessors if is_connected_to_root else others, now)
         if predecessors and self._dial_count % 2:
             return self._least_recently_dialed(predecessors, now)
-        if not others or state.rng.random() < 0.5:
+        if not others or state.rng.random() < WIDE_SEARCH_PROBABILITY:
             others = self._dialable_members(is_root, now) or others
         if not others and not len(state.links):
             # Without any link a backoff is not worth waiting for.
--- a/sageturn/store/replication/uplink_selection.py
+++ b/sageturn/store/replication/uplink_selection.py
@@ -8,6 +8,7 @@
 from sageturn.store.replication.overlay_state import POLL_INTERVAL_S, OverlayState
 from sageturn.store.replication.tree_order import Scope
 
+FIRST_CHOICE_PROBABILITY = 0.5
 UPLINK_DIAL_INTERVAL_S = 0.25  # between dials without an uplink
 RETRY_DELAY_S = UPLINK_DIAL_INTERVAL_S / 5  # after a failed dial
 MAX_CONCURRENT_DIALS = 4
@@ -92,4 +93,4 @@
 
 def _first_or_any(names: list[str], rng: Random) -> str:
     """Returns the first name half of the time, else any: the first one may be dead for long."""
-    return names[0] if rng.random() < 0.5 else rng.choice(names)
+    return names[0] if rng.random() < FIRST_CHOICE_PROBABILITY else rng.choice(names)
