--- a/sageturn/core/attempt_guard.py
+++ b/sageturn/core/attempt_guard.py
@@ -2,12 +2,21 @@
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
 from sageturn.core.invariants import Invariant, InvariantMonitor
 from sageturn.decision import RequestClass
 
 MAX_RESPONSE_DELAY_MS = 500.0  # the protocol counts a later answer as lost
 
 
+class Violation(NamedTuple):
+    """An invariant that does not hold, and the facts that show it."""
+
+    invariant: Invariant
+    detail: str
+
+
 class AttemptGuard:
     """Checks the invariants of one request. Pure: the caller passes the time, in milliseconds.
 
@@ -66,21 +75,21 @@
             now_ms: the time.
             first_execution_ms: start of the first attempt that may have been executed; None if there is none.
         """
-        violated, detail = self._find_violation(now_ms, first_execution_ms)
-        if violated is not None:
-            self._monitor.report_violation(violated, self._request, detail)
-        return violated is None
-
-    def _find_violation(
-        self, now_ms: float, first_execution_ms: float | None
-    ) -> tuple[Invariant | None, str]:
+        violation = self._find_violation(now_ms, first_execution_ms)
+        if violation is None:
+            return True
+        self._monitor.report_violation(violation.invariant, self._request, violation.detail)
+        return False
+
+    def _find_violation(self, now_ms: float, first_execution_ms: float | None) -> Violation | None:
         if self._open_attempts != 1:
-            return Invariant.SINGLE_ATTEMPT, f"{self._open_attempts} attempts are open"
+            return Violation(Invariant.SINGLE_ATTEMPT, f"{self._open_attempts} attempts are open")
         if self._attempts > self._max_attempts:
-            return Invariant.ATTEMPT_LIMIT, f"attempt {self._attempts} of {self._max_attempts}"
+            return Violation(Invariant.ATTEMPT_LIMIT, f"attempt {self._attempts} of {self._max_attempts}")
         if first_execution_ms is not None and not self._is_repeatable(now_ms - first_execution_ms):
-            return Invariant.REPEATABLE, f"{self._class.effect}, {now_ms - first_execution_ms:.0f} ms after"
-        return None, ""
+            detail = f"{self._class.effect}, {now_ms - first_execution_ms:.0f} ms after"
+            return Violation(Invariant.REPEATABLE, detail)
+        return None
 
     def _is_repeatable(self, elapsed_ms: float) -> bool:
         if self._class.effect == "keyed":
--- a/tests/core/test_attempt_races.py
+++ b/tests/core/test_attempt_races.py
@@ -12,7 +12,7 @@
 import pytest
 from support.event_loop import until
 from support.network_fakes import SETTINGS, FakeEndpoint, ask, first_line, relaying, silent, up
-from support.relay_checks import is_idle, record_placements
+from support.relay_checks import is_idle, record_closed_connections, record_placements
 
 from sageturn.core.close_reason import CloseReason
 from sageturn.core.messages import EndpointListUpdate
@@ -88,8 +88,7 @@
             return sock
 
         monkeypatch.setattr(platform_connection, "connect_unreserved", comes_up)
-        records: list[Any] = []
-        monkeypatch.setattr(relay.context, "on_connection_closed", records.append)
+        records = record_closed_connections(relay, monkeypatch)
         client = socket.create_connection(relay.listener.address)
         client.sendall(first_line())
         await until(lambda: reached)
--- a/tests/core/test_client_disconnects.py
+++ b/tests/core/test_client_disconnects.py
@@ -15,6 +15,7 @@
 import pytest
 from support.event_loop import until
 from support.network_fakes import SETTINGS, ask, first_line, relaying, silent, up
+from support.relay_checks import record_closed_connections
 from support.xmpp_fakes import Client, Server
 from support.xmpp_relay import client_tls, relaying_xmpp, xmpp_address
 
@@ -118,8 +119,7 @@
         await until(lambda: relay.endpoint_registry.version == 2)
         connects = ConnectCounter(monkeypatch, platform_connection, attempt - 1)
         act_as_attempt_begins(monkeypatch, PlatformConnection, attempt, lambda: leave(client))
-        records: list[Any] = []
-        monkeypatch.setattr(relay.context, "on_connection_closed", records.append)
+        records = record_closed_connections(relay, monkeypatch)
         client = socket.create_connection(relay.listener.address)
         client.sendall(first_line())
         await until(lambda: records and not relay.balancer_actor.balancer.requests)
@@ -174,8 +174,7 @@
                 act_as_attempt_begins(
                     monkeypatch, XmppConnection, number, lambda: client_thread.run_blocking(leave(client))
                 )
-            records: list[Any] = []
-            monkeypatch.setattr(relay.context, "on_connection_closed", records.append)
+            records = record_closed_connections(relay, monkeypatch)
             client = await client_thread.run(Client.connect(xmpp_address(relay)))
             await client_thread.run(client.login(client_tls()))
             await client_thread.run(send_bind(client))
@@ -217,8 +216,7 @@
             return await connect(address, timeout_s) if comes_up else ConnectFailure.NEVER_UP
 
         monkeypatch.setattr(platform_connection, "connect_unreserved", connect_when_released)
-        records: list[Any] = []
-        monkeypatch.setattr(relay.context, "on_connection_closed", records.append)
+        records = record_closed_connections(relay, monkeypatch)
         clients = [await ask(relay.listener.address, first_line(3000)) for _ in range(CROWD)]
         await until(lambda: begun == CROWD)
         released.set()
@@ -239,8 +237,7 @@
     async with relaying(tmp_path, up, up) as (relay, endpoints):
         await until(lambda: relay.endpoint_registry.version == 2)
         connects = ConnectCounter(monkeypatch, platform_connection)
-        records: list[Any] = []
-        monkeypatch.setattr(relay.context, "on_connection_closed", records.append)
+        records = record_closed_connections(relay, monkeypatch)
         for _ in range(100):  # the loop does not turn here
             client = socket.create_connection(relay.listener.address)
             client.sendall(first_line())
--- a/tests/core/test_close_reasons.py
+++ b/tests/core/test_close_reasons.py
@@ -14,7 +14,7 @@
 import pytest
 from support.event_loop import until
 from support.network_fakes import SETTINGS, FakeEndpoint, first_line, relaying, up
-from support.relay_checks import is_balancer_idle, is_idle
+from support.relay_checks import is_balancer_idle, is_idle, record_closed_connections
 
 from sageturn.core.messages import EndpointListUpdate
 from sageturn.core.shutdown_schedule import ShutdownSchedule
@@ -359,8 +359,7 @@
     monkeypatch.setattr(platform_relaying, "LineForwarder", RecordedForwarder)
 
     async with relaying(tmp_path, floods) as (relay, _):
-        ended: list[Any] = []
-        relay.context.on_connection_closed = ended.append
+        ended = record_closed_connections(relay, monkeypatch)
         scenario = RelayScenario(relay, [])
         scenario.client.sendall(first_line())
         await until(lambda: any(lifecycle.is_established for lifecycle in relay.request_registry))
@@ -376,12 +375,12 @@
         if not reads_on:
             lifecycle.force_drain()
             await until(lambda: ended)
-            assert ended[0].close_reason.name == "CUT_OFF"
+            assert ended[0].close_reason is not None and ended[0].close_reason.name == "CUT_OFF"
         else:
             received = await scenario.read_rest()
             assert received.endswith(b"x\r\nMOVE\r\n") and received.count(b"MOVE") == 1
             await until(lambda: ended)
-            assert ended[0].close_reason.name == "MOVED"
+            assert ended[0].close_reason is not None and ended[0].close_reason.name == "MOVED"
         scenario.client.close()
 
 
--- a/tests/support/relay_checks.py
+++ b/tests/support/relay_checks.py
@@ -8,6 +8,7 @@
 import pytest
 
 from sageturn.core.balancer_actor import BalancerActor
+from sageturn.core.connection_record import ConnectionRecord
 from sageturn.decision import Action, Event, PlaceRequest
 from sageturn.relay import Relay
 
@@ -27,6 +28,13 @@
     return not relay.request_registry and not actor.requests and is_balancer_idle(actor)
 
 
+def record_closed_connections(relay: Relay, monkeypatch: pytest.MonkeyPatch) -> list[ConnectionRecord]:
+    """A list to which each connection's record is added, in place of the relay's own handling of it."""
+    records: list[ConnectionRecord] = []
+    monkeypatch.setattr(relay.context, "on_connection_closed", records.append)
+    return records
+
+
 class Placement(NamedTuple):
     """A request, by the balancer's number, and the endpoint at which its attempt was placed."""
 
