--- a/sageturn/config/settings.py
+++ b/sageturn/config/settings.py
@@ -49,7 +49,7 @@
         relay_count=top.integer("groupSize", 1, minimum=1),
         index=top.integer("me", 0, minimum=0) if top.contains("me") else None,
         zone=text_or_empty(conf.get("zone")),
-        discovery=top.one_of("discovery", decision.DISCOVERY, "push"),
+        discovery=top.one_of("discovery", tuple(decision.DiscoveryMode), decision.DiscoveryMode.PUSH),
         max_attempts=limits.integer("sendCap", minimum=1, maximum=MAX_ATTEMPTS),
         may_cancel=limits.flag("cancel", False),
         retry_after=limits.flag("retryAfter", False),
@@ -61,14 +61,14 @@
         cold_overload_window_ms=guarantees.number("fallMs"),
         initial_capacity_ratio=guarantees.number("startCapacity", minimum=MIN_POSITIVE, maximum=1.0),
         slow_start_ms=guarantees.number("warmWithinMs"),
-        weights=top.one_of("weightKind", decision.WEIGHTS, "none"),
+        weights=top.one_of("weightKind", tuple(decision.WeightMeaning), decision.WeightMeaning.NONE),
         groups=info.flag("groups", False),
         cross_zone_cost=prices.number("crossZone", 0.0),
         migration_cost=prices.number("moves", 0.0),
         reports_delay=info.flag("tellsDelay", True),
         probes=limits.flag("probes", False),
         health_check_cost=prices.number("probe", 0.0),
-        reports=report.one_of("source", decision.REPORTS, "none"),
+        reports=report.one_of("source", tuple(decision.ReportSource), decision.ReportSource.NONE),
         report_fields=_read_report_fields(report),
     )
 
@@ -76,7 +76,7 @@
 def _read_classes(
     top: ConfigSection, message_objectives_ms: list[float]
 ) -> tuple[decision.RequestClass, ...]:
-    """``message_objectives_ms`` has one item for each class, in the same order, or fewer."""
+    """Decode the classes; ``message_objectives_ms`` has an item for each, in the same order, or fewer."""
     return tuple(
         _read_class(section, _item_or_zero(message_objectives_ms, index))
         for index, section in enumerate(top.array("classes").sections())
@@ -84,7 +84,7 @@
 
 
 def _read_tenants(top: ConfigSection, quotas: list[float]) -> tuple[decision.Tenant, ...]:
-    """``quotas`` has one item for each tenant, in connections and in the same order, or fewer."""
+    """Decode the tenants; ``quotas`` has an item for each, in connections, in the same order, or fewer."""
     return tuple(
         _read_tenant(section, _item_or_zero(quotas, index))
         for index, section in enumerate(top.array("accounts", []).sections())
@@ -105,8 +105,8 @@
     return decision.RequestClass(
         name=section.text("name"),
         latency_objective_ms=section.number("aimMs", minimum=MIN_POSITIVE),
-        effect=section.one_of("semantics", decision.EFFECTS, "safe"),
-        scope=section.one_of("dedupScope", decision.SCOPES, "all"),
+        effect=section.one_of("semantics", tuple(decision.Effect), decision.Effect.SAFE),
+        scope=section.one_of("dedupScope", tuple(decision.KeyScope), decision.KeyScope.ALL),
         key_ttl_ms=section.number("keyTtlMs", 0.0),
         message_latency_objective_ms=message_objective_ms,
         give_up_ms=section.number("hardLimitMs", 0.0),
