--- a/sageturn/core/established_traffic.py
+++ b/sageturn/core/established_traffic.py
@@ -65,6 +65,6 @@
         context = self._context
         attempt = max(0, context.record.attempts - 1)
         measurement = decision.MeasurementReported(
-            context.handle.id, attempt, context.record.endpoint, "load", value / 1000.0
+            context.handle.id, attempt, context.record.endpoint, decision.MeasurementKind.LOAD, value / 1000.0
         )
         await context.balancer_actor.post_event(measurement)
--- a/sageturn/relay/operator_control.py
+++ b/sageturn/relay/operator_control.py
@@ -55,6 +55,14 @@
             self.actor.set_options(new.operator.overrides, self._store)
 
 
+def _is_on(options: RebalanceOptions | None) -> bool:
+    if options is None:
+        return False
+    from sageturn.rebalance.options import RebalanceMode
+
+    return options.mode != RebalanceMode.OFF
+
+
 class RebalancingSubsystem(Subsystem):
     """Runs the rebalancer, from when it is first needed on.
 
@@ -91,9 +99,11 @@
     def apply_options(self, options: RebalanceOptions | None, actors: ActorSupervisor) -> None:
         """Apply the operator's file as it is now. Overrides need a rebalancer, whatever its own mode."""
         if self.rebalancer is not None:
+            from sageturn.rebalance.options import RebalanceMode
+
             old = self.rebalancer.options
-            self.rebalancer.options = options if options is not None else replace(old, mode="off")
-        elif self._has_overrides or (options is not None and options.mode != "off"):
+            self.rebalancer.options = options or replace(old, mode=RebalanceMode.OFF)
+        elif self._has_overrides or _is_on(options):
             from sageturn.rebalance.driver import Rebalancer
             from sageturn.rebalance.options import RebalanceOptions
 
