--- a/sageturn/core/endpoint_registry.py
+++ b/sageturn/core/endpoint_registry.py
@@ -175,7 +175,7 @@
             len(update.endpoints),
             len(self.states),
         )
-        endpoints = self._start_times.convert(update.endpoints, update.full)
+        endpoints = self._start_times.convert(update.endpoints, is_full=update.full)
         kind = ListEventKind.FULL if update.full else ListEventKind.CHANGES
         await self._post_event(decision.EndpointListEvent(kind, endpoints))
 
--- a/sageturn/core/final_responder.py
+++ b/sageturn/core/final_responder.py
@@ -26,7 +26,7 @@
         context.is_answered = True
         context.record.final_response = response
         context.guard.check_response(context.now_ms())
-        context.balancer_actor.counters.count_response(response.rejected, response.cause)
+        context.balancer_actor.counters.count_response(response)
         await context.client.stop()
         await context.transport.send_final_response(response)
 
--- a/sageturn/core/request_counters.py
+++ b/sageturn/core/request_counters.py
@@ -6,6 +6,8 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
+from sageturn.core.messages import FinalResponse
+
 
 class SendBlock(StrEnum):
     """The reasons for which an attempt that the balancer had placed is not written in the end."""
@@ -30,9 +32,9 @@
     rejected: Counter[str] = field(default_factory=Counter)  # by cause
     failed: Counter[str] = field(default_factory=Counter)  # by cause
 
-    def count_response(self, rejected: bool, cause: str) -> None:
+    def count_response(self, response: FinalResponse) -> None:
         """Count a final response, which says that a request is not served."""
-        (self.rejected if rejected else self.failed)[cause] += 1
+        (self.rejected if response.rejected else self.failed)[response.cause] += 1
 
 
 def format_counts(counts: Counter[str]) -> str:
--- a/sageturn/core/start_times.py
+++ b/sageturn/core/start_times.py
@@ -28,7 +28,7 @@
         self._clock = clock
         self._by_endpoint: dict[str, StartTime] = {}
 
-    def convert(self, endpoints: Iterable[Endpoint], is_full: bool) -> list[Endpoint]:
+    def convert(self, endpoints: Iterable[Endpoint], *, is_full: bool) -> list[Endpoint]:
         """Return the endpoints of a list with their start in the relay's time.
 
         Args:
--- a/tests/core/test_attempt_races.py
+++ b/tests/core/test_attempt_races.py
@@ -6,12 +6,14 @@
 import select
 import socket
 import struct
+from collections.abc import Callable
 from pathlib import Path
 from typing import Any
 
 import pytest
 from support.event_loop import until
-from support.network_fakes import SETTINGS, FakeEndpoint, ask, first_line, relaying, silent, up
+from support.network_fakes import SETTINGS, ConnectResult, FakeEndpoint, ask, first_line, relaying, silent, up
+from support.ports import Address
 from support.relay_checks import is_idle, record_closed_connections, record_placements
 
 from sageturn.core.close_reason import CloseReason
@@ -59,13 +61,20 @@
 
 
 ENDPOINT_CHANGES = (endpoint_drains, endpoint_gone, endpoint_replaced)
-BEFORE_WRITING = [leave_by_fin, leave_by_reset, leave_after_sending, *ENDPOINT_CHANGES, drain_forced]
+End = Callable[[socket.socket, Relay, str], None]
+BEFORE_WRITING: list[End] = [
+    leave_by_fin,
+    leave_by_reset,
+    leave_after_sending,
+    *ENDPOINT_CHANGES,
+    drain_forced,
+]
 
 
 @pytest.mark.parametrize("end", BEFORE_WRITING, ids=lambda end: end.__name__)
 @pytest.mark.parametrize("attempt", [1, 2])
 async def test_nothing_is_written_once_the_request_has_ended_while_its_connection_came_up(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, end: Any, attempt: int
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, end: End, attempt: int
 ) -> None:
     # A client's FIN lay unread while the core was busy, and its line followed it 0.3 s later. The loop does
     # not turn between the end and the write here, so only a look at that very moment can see it.
@@ -76,7 +85,7 @@
         }
         connect, calls, reached = sockets.connect_unreserved, 0, list[FakeEndpoint]()
 
-        async def comes_up(address: tuple[str, int], timeout_s: float) -> Any:
+        async def comes_up(address: Address, timeout_s: float) -> ConnectResult:
             nonlocal calls
             calls += 1
             if calls < attempt:
@@ -141,9 +150,10 @@
         if not is_executed:
             held = asyncio.Event()
 
-            async def never_up(address: tuple[str, int], timeout_s: float) -> Any:
+            async def never_up(address: Address, timeout_s: float) -> ConnectResult:
                 held.set()
                 await asyncio.sleep(3600)
+                return sockets.ConnectFailure.NEVER_UP
 
             monkeypatch.setattr(frontend_connection, "connect_unreserved", never_up)
         reader, writer = await ask(relay.listener.address, first_line())
@@ -223,7 +233,7 @@
         monkeypatch.setattr(platform_connection.PlatformConnection, "open_upstream", open_late)
         monkeypatch.setattr(frontend_connection, "connect_unreserved", self._come_up_late)
 
-    async def _come_up_late(self, address: tuple[str, int], timeout_s: float) -> Any:
+    async def _come_up_late(self, address: Address, timeout_s: float) -> ConnectResult:
         self.connections += 1
         sock = await self._connect(address, timeout_s)
         if self.connections == 2:
--- a/tests/core/test_client_disconnects.py
+++ b/tests/core/test_client_disconnects.py
@@ -14,7 +14,8 @@
 
 import pytest
 from support.event_loop import until
-from support.network_fakes import SETTINGS, ask, first_line, relaying, silent, up
+from support.network_fakes import SETTINGS, ConnectResult, ask, first_line, relaying, silent, up
+from support.ports import Address
 from support.relay_checks import record_closed_connections
 from support.xmpp_fakes import Client, Server
 from support.xmpp_relay import client_tls, relaying_xmpp, xmpp_address
@@ -82,7 +83,7 @@
         self._failing = failing
         monkeypatch.setattr(frontend_connection, "connect_unreserved", self._begin)
 
-    async def _begin(self, address: tuple[str, int], timeout_s: float) -> Any:
+    async def _begin(self, address: Address, timeout_s: float) -> ConnectResult:
         self.count += 1
         if self.count <= self._failing:
             return ConnectFailure.NEVER_UP
@@ -111,7 +112,7 @@
 @pytest.mark.parametrize("attempt", [1, 2])
 @pytest.mark.timeout(30)
 async def test_no_connection_is_begun_for_a_client_that_has_left(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, leave: Any, attempt: int
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, leave: Callable[[socket.socket], None], attempt: int
 ) -> None:
     # Only what was written was held back: the connection for it was begun, and took a host's place and time.
     async with relaying(tmp_path, up, up) as (relay, endpoints):
@@ -148,7 +149,10 @@
 @pytest.mark.parametrize("moment", ["first", "further", "bind"])
 @pytest.mark.timeout(30)
 async def test_nothing_is_begun_for_an_xmpp_client_that_has_left_or_ended_its_stream(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, leave: Any, moment: str
+    tmp_path: Path,
+    monkeypatch: pytest.MonkeyPatch,
+    leave: Callable[[Client], Coroutine[Any, Any, None]],
+    moment: str,
 ) -> None:
     # A stream's end lay unread under TLS: only the connection's was looked for, and the bind followed.
     bound: list[str] = []
@@ -163,9 +167,11 @@
             if moment == "bind":
                 check_before_write = PreWriteChecks.check_before_write
 
-                def leave_first(self: Any, wanted: Any = None) -> Any:
+                def leave_first(
+                    checks: PreWriteChecks, is_endpoint_usable: Callable[[], bool] | None = None
+                ) -> CloseReason | None:
                     client_thread.run_blocking(leave(client))
-                    return check_before_write(self, wanted)
+                    return check_before_write(checks, is_endpoint_usable)
 
                 monkeypatch.setattr(PreWriteChecks, "check_before_write", leave_first)
             else:
@@ -208,7 +214,7 @@
         await until(lambda: relay.endpoint_registry.version == 2)
         connect, begun, released = sockets.connect_unreserved, 0, asyncio.Event()
 
-        async def connect_when_released(address: tuple[str, int], timeout_s: float) -> Any:
+        async def connect_when_released(address: Address, timeout_s: float) -> ConnectResult:
             nonlocal begun
             begun += 1
             await released.wait()
--- a/tests/core/test_close_reasons.py
+++ b/tests/core/test_close_reasons.py
@@ -8,12 +8,14 @@
 import select
 import socket
 import struct
+from collections.abc import Awaitable, Callable
 from pathlib import Path
 from typing import Any
 
 import pytest
 from support.event_loop import until
-from support.network_fakes import SETTINGS, FakeEndpoint, first_line, relaying, up
+from support.network_fakes import SETTINGS, ConnectResult, FakeEndpoint, Script, first_line, relaying, up
+from support.ports import Address
 from support.relay_checks import is_balancer_idle, is_idle, record_closed_connections
 
 from sageturn.core.messages import EndpointListUpdate
@@ -77,10 +79,10 @@
 # ---------------------------------------------------------------- stages: what the endpoints do meanwhile
 
 
-def holding(text: bytes) -> Any:
+def holding(text: bytes) -> Callable[[list[RelayScenario]], Script]:
     """Sends ``text``, then waits for the scenario to end or resume it; then resets or closes."""
 
-    def script(scenario: list[RelayScenario]) -> Any:
+    def script(scenario: list[RelayScenario]) -> Script:
         async def act(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes) -> None:
             writer.write(text)
             await writer.drain()
@@ -102,7 +104,7 @@
 async def connecting(scenario: RelayScenario, monkeypatch: pytest.MonkeyPatch) -> None:
     connect, begun = sockets.connect_unreserved, asyncio.Event()
 
-    async def connect_when_resumed(address: tuple[str, int], timeout_s: float) -> Any:
+    async def connect_when_resumed(address: Address, timeout_s: float) -> ConnectResult:
         begun.set()
         try:
             await asyncio.wait_for(scenario.resume.wait(), timeout_s)
@@ -179,7 +181,8 @@
     await asyncio.sleep(0)
 
 
-ENDS = [
+End = Callable[[RelayScenario], Awaitable[None]]
+ENDS: list[End] = [
     client_closes,
     client_resets,
     endpoint_closes,
@@ -199,7 +202,7 @@
 )
 @pytest.mark.timeout(15)
 async def test_every_end_at_every_stage_gives_one_response_and_leaves_nothing(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, stage: str, end: Any, effect: str
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, stage: str, end: End, effect: str
 ) -> None:
     reach, act = STAGES[stage]
     scenarios: list[RelayScenario] = []
@@ -239,7 +242,7 @@
             check_response(stage, end, effect, received, before)
 
 
-def check_response(stage: str, end: Any, effect: str, received: bytes, written: int) -> None:
+def check_response(stage: str, end: End, effect: str, received: bytes, written: int) -> None:
     if stage.startswith("established") or (stage == "connecting" and received.startswith(b"UP")):
         lines = received.removeprefix(b"UP r1\r\n").removeprefix(b"M 1\r\n")
         if end is graceful_shutdown:
@@ -405,7 +408,7 @@
     # The client's connection was closed without a word, and the module kept the request for good.
     async with relaying(tmp_path, up) as (relay, _):
 
-        async def fails(address: tuple[str, int], timeout_s: float) -> Any:
+        async def fails(address: Address, timeout_s: float) -> ConnectResult:
             raise ValueError("unforeseen")
 
         monkeypatch.setattr(frontend_connection, "connect_unreserved", fails)
--- a/tests/support/network_fakes.py
+++ b/tests/support/network_fakes.py
@@ -5,6 +5,7 @@
 import asyncio
 import itertools
 import json
+import socket
 import time
 from collections.abc import AsyncIterator, Awaitable, Callable, Sequence
 from contextlib import AsyncExitStack, asynccontextmanager
@@ -15,9 +16,11 @@
 
 from sageturn.config.loader import load
 from sageturn.net.json_stream import JsonObject
+from sageturn.net.sockets import ConnectFailure
 from sageturn.relay import Relay
 
 Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
+ConnectResult = socket.socket | ConnectFailure  # of ``connect_unreserved``, for which tests put in stand-ins
 Script = Callable[[asyncio.StreamReader, asyncio.StreamWriter, bytes], Awaitable[None]]
 
 SETTINGS: JsonObject = {
