--- a/sageturn/__main__.py
+++ b/sageturn/__main__.py
@@ -6,8 +6,8 @@
 
 from sageturn.core.handled_signals import HANDLED_SIGNALS
 
-# Their default action ends the process at once. Blocked before anything else is loaded, which takes a third
-# of a second, and until the relay has its handlers: a start may be crossed by a reload or a stop.
+# The signals' default action ends the process at once, and a reload or a stop may come during the start. They
+# are blocked before anything else is loaded, which takes a third of a second, until the relay has its handlers.
 signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
 
 import argparse
@@ -26,7 +26,7 @@
 
 
 def main() -> int:
-    """Run one relay until it is told to stop. Returns the exit code: 2 where it could not start."""
+    """Run one relay until a signal stops it. Returns the exit code: 2 where it could not start."""
     parser = argparse.ArgumentParser(prog="sageturn", description="A relay for long-lived connections.")
     parser.add_argument("--operator", metavar="FILE", help="an operator's file, such as deploy/xmpp.json")
     options = parser.parse_args()
--- a/sageturn/core/attempt_guard.py
+++ b/sageturn/core/attempt_guard.py
@@ -69,7 +69,7 @@
         self._open_attempts -= 1
 
     def may_send(self, now_ms: float, first_execution_ms: float | None) -> bool:
-        """Return whether the request may be written to an endpoint at this moment; report it if not.
+        """Return whether the request may be written to an endpoint now; report the violation if not.
 
         Args:
             now_ms: the time.
--- a/sageturn/core/clock.py
+++ b/sageturn/core/clock.py
@@ -43,7 +43,7 @@
 
 
 class Clock:
-    """Unix time in milliseconds that never goes back and is never stepped: the relay's time.
+    """Tells the relay's time: Unix time in milliseconds that never goes back and is never stepped.
 
     Discovery gives start times in Unix time, so the balancer's clock has to share that epoch; deadlines must
     survive a step of the system's clock, so the epoch's offset is read once. ``from_wall_ms`` brings later
@@ -55,7 +55,12 @@
         wall_clock_s: Callable[[], float] | None = None,
         monotonic_s: Callable[[], float] = time.monotonic,
     ) -> None:
-        """``wall_clock_s``: Unix time by the system's clock, ``time.time`` unless it is given."""
+        """Read the offset of Unix time.
+
+        Args:
+            wall_clock_s: Unix time in seconds by the system's clock; ``time.time`` where None.
+            monotonic_s: seconds of a clock that is never stepped.
+        """
         self._wall_clock_s = wall_clock_s
         self._monotonic_s = monotonic_s
         self._offset_ms = self._wall_ms() - monotonic_s() * 1000.0
--- a/sageturn/core/messages.py
+++ b/sageturn/core/messages.py
@@ -138,12 +138,12 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchRequested:
-    """The balancer asks for changes from here on."""
+    """The balancer asks for a watch, from the version that is known on."""
 
 
 @dataclass(frozen=True, slots=True)
 class DiscoveryAddressChanged:
-    """Discovery has another address now: watch there, from a complete list on."""
+    """Discovery has another address: the watch has to begin there, from a complete list on."""
 
 
 RegistryMessage = WatchEvent | WatchRequested | DiscoveryAddressChanged
--- a/sageturn/core/request_attempts.py
+++ b/sageturn/core/request_attempts.py
@@ -77,7 +77,7 @@
             self._checks.record_possible_execution(started_ms)
 
     async def _abort(self, attempt: int, endpoint: str, close_reason: CloseReason) -> None:
-        """Nothing more is owed to the balancer's request, but the outcome of its attempt is."""
+        """End a request that gets no further attempt; the balancer is still owed the outcome of this one."""
         context = self._context
         await context.balancer_actor.post_event(decision.ClientDisconnected(context.handle.id))
         await context.post_outcome(attempt, endpoint, close_reason, final=True)
--- a/sageturn/core/request_context.py
+++ b/sageturn/core/request_context.py
@@ -50,7 +50,7 @@
 
 @dataclass(slots=True, eq=False)
 class RequestContext:
-    """Shared by the stages of one request, from its arrival to its end."""
+    """Holds what the stages of one request share, from its arrival to its end."""
 
     balancer_actor: BalancerActor
     transport: ProxyTransport
@@ -83,7 +83,7 @@
 def new_request_context(
     balancer_actor: BalancerActor, transport: ProxyTransport, request: ClientRequest
 ) -> RequestContext:
-    """Register ``request`` with the balancer's actor; its time limits count from this moment."""
+    """Register ``request`` with the balancer's actor. Its time limits count from this moment."""
     handle = balancer_actor.requests.register(request.client_request_id)
     record = ConnectionRecord(request, balancer_actor.clock.now_ms(), log_id=handle.log_id)
     settings = balancer_actor.settings
--- a/sageturn/relay/relay.py
+++ b/sageturn/relay/relay.py
@@ -148,7 +148,7 @@
 
     @replication.setter
     def replication(self, member: ReplicationMember) -> None:
-        """Before the start only: the laboratory measures other ways to replicate."""
+        """Replace the member, before the start only: the laboratory measures other ways to replicate."""
         self._replication.member = member
 
     @property
--- a/sageturn/relay/subsystems.py
+++ b/sageturn/relay/subsystems.py
@@ -41,7 +41,7 @@
 
 
 class XmppSubsystem(Subsystem):
-    """The XMPP frontend and its listener, which ``RelayIngress`` opens and closes."""
+    """Runs the XMPP frontend; ``RelayIngress`` opens and closes its listener."""
 
     def __init__(
         self, config: RelayConfig, context: RelayContext, store: Store, admission: AdmissionController
