--- a/sageturn/__main__.py
+++ b/sageturn/__main__.py
@@ -6,8 +6,8 @@
 
 from sageturn.core.handled_signals import HANDLED_SIGNALS
 
-# The signals' default action ends the process at once, and a reload or a stop may come during the start. They
-# are blocked before anything else is loaded, which takes a third of a second, until the relay has its handlers.
+# A reload or a stop may come during the start, and the signals' default action ends the process at once. They
+# are blocked before anything else is loaded, which takes a third of a second, until there are handlers.
 signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
 
 import argparse
