--- a/tests/core/test_attempt_races.py
+++ b/tests/core/test_attempt_races.py
@@ -153,7 +153,7 @@
             async def never_up(address: Address, timeout_s: float) -> ConnectResult:
                 held.set()
                 await asyncio.sleep(3600)
-                return sockets.ConnectFailure.NEVER_UP
+                return connecting.ConnectFailure.TIMED_OUT
 
             monkeypatch.setattr(frontend_connection, "connect_unreserved", never_up)
         reader, writer = await ask(relay.listener.address, first_line())
--- a/tests/support/network_fakes.py
+++ b/tests/support/network_fakes.py
@@ -15,8 +15,8 @@
 from support.ports import Address
 
 from sageturn.config.loader import load
+from sageturn.net.connecting import ConnectFailure
 from sageturn.net.json_stream import JsonObject
-from sageturn.net.sockets import ConnectFailure
 from sageturn.relay import Relay
 
 Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
