--- a/sageturn/decision/health_checks.py
+++ b/sageturn/decision/health_checks.py
@@ -10,6 +10,7 @@
 from random import Random
 
 from sageturn.decision import actions
+from sageturn.decision.jitter import jitter
 from sageturn.decision.settings import ReportSource, Settings
 
 SPEND_RATIO = 0.02  # part of each request's worth that may be spent on health checks
@@ -88,14 +89,16 @@
         """
         due_ms = {name: self._due_ms.get(name, now_ms) for name in endpoints}
         self._due_ms = due_ms
-        self._next_relief_ms = {name: at for name, at in self._next_relief_ms.items() if name in due_ms}
+        self._next_relief_ms = {
+            name: next_ms for name, next_ms in self._next_relief_ms.items() if name in due_ms
+        }
         self._credit += max(0, len(due_ms) - self._max_endpoint_count)
         self._max_endpoint_count = max(self._max_endpoint_count, len(due_ms))
         names = [name for name in sorted(due_ms, key=due_ms.__getitem__) if due_ms[name] <= now_ms]
         names = names[: int(min(self._credit, len(names)))]
         for name in names:
             self._credit -= 1.0
-            due_ms[name] = now_ms + self._interval_ms * (0.75 + 0.5 * self._rng.random())
+            due_ms[name] = now_ms + self._interval_ms * jitter(self._rng)
         return names
 
     def exclude_endpoint(self, endpoint: str) -> None:
--- /dev/null
+++ b/sageturn/decision/jitter.py
@@ -0,0 +1,13 @@
+"""Jitter, which keeps the relays of a fleet out of step."""
+
+from __future__ import annotations
+
+from random import Random
+
+MIN_FACTOR = 0.75
+SPREAD = 0.5
+
+
+def jitter(rng: Random) -> float:
+    """Return a random factor, uniform from 0.75 to 1.25."""
+    return MIN_FACTOR + SPREAD * rng.random()
--- a/sageturn/decision/quotas.py
+++ b/sageturn/decision/quotas.py
@@ -12,6 +12,8 @@
 from random import Random
 from typing import Protocol
 
+from sageturn.decision.jitter import jitter
+
 FLEET_WINDOW_S = 3.0  # of the tenants' allowances: set-ups of all relays together in flight
 MIN_WINDOW = 0.25  # set-ups; a window below 1 spaces set-ups out by its inverse
 MAX_PAUSE_MS = 1500.0  # longest pause between two set-ups while the window is below 1
@@ -62,7 +64,7 @@
             self.size = max(MIN_WINDOW, self.size / 2.0)
         if self.size < 1.0:
             pause_ms = min(MAX_PAUSE_MS, took_ms * (1.0 / self.size - 1.0))
-            self._paused_until_ms = now_ms + pause_ms * (0.75 + 0.5 * self._rng.random())
+            self._paused_until_ms = now_ms + pause_ms * jitter(self._rng)
 
     def wait_ms(self, now_ms: float) -> float:
         """Return 0 if another set-up may start, else the time after which to ask again."""
--- a/tests/decision/test_balancer_properties.py
+++ b/tests/decision/test_balancer_properties.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-from typing import Any
+from dataclasses import dataclass
+from typing import Any, NamedTuple
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -38,24 +39,32 @@
     RequestClass("zone", 300, effect="keyed", scope="zone", key_ttl_ms=400),
     RequestClass("cell", 300, effect="keyed", scope="cell", key_ttl_ms=400),
 )
-NEVER_RAN = ("full", "connect_failed", "moot")
+NOT_EXECUTED = ("full", "connect_failed", "moot")
 STATUSES = ("ok", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "moot")
 
 
-def record(cls: RequestClass, until: float) -> dict[str, Any]:
-    """What the world knows of one request: whether an attempt is out, stands, may have run."""
-    return {
-        "cls": cls,
-        "until": until,
-        "out": False,
-        "stands": False,
-        "answered": False,
-        "moved": False,
-        "ran": None,
-        "attempt": -1,
-        "endpoint": "",
-        "sent": 0.0,
-    }
+class Execution(NamedTuple):
+    """The first attempt of a request that may have been executed."""
+
+    zone: str
+    cell: int
+    sent_ms: float
+
+
+@dataclass
+class ClientRequest:
+    """One request as the world knows it: not answered yet, or with an attempt in flight or established."""
+
+    request_class: RequestClass
+    deadline_ms: float
+    is_in_flight: bool = False  # an attempt was sent, and has not ended
+    is_established: bool = False
+    is_abandoned: bool = False  # its client has left
+    is_migrated: bool = False
+    execution: Execution | None = None
+    attempt: int = -1
+    endpoint: str = ""
+    sent_ms: float = 0.0
 
 
 class World:
@@ -78,58 +87,60 @@
         self.now = 0.0
         self.ids = 0
         self.endpoints: dict[str, Endpoint] = {}
-        self.held: dict[int, dict[str, Any]] = {}  # not answered, or answered with an attempt out
+        self.requests: dict[int, ClientRequest] = {}
         self.timers: list[tuple[float, str]] = []
 
-    def tell(self, event: Any) -> None:
+    def handle(self, event: Event) -> None:
         for action in self.balancer.handle(self.now, event):
             if isinstance(action, PlaceRequest):
-                self.check_send(action)
+                self.check_placement(action)
             elif isinstance(action, RejectRequest | FailRequest):
-                request = self.held[action.id]
-                assert not request["answered"] and not request["out"]
+                request = self.requests[action.id]
+                assert not request.is_abandoned and not request.is_in_flight
                 if isinstance(action, RejectRequest):
-                    cls = request["cls"]
-                    harmless = cls.effect == "safe" or (cls.effect == "keyed" and cls.scope == "all")
-                    assert request["ran"] is None or harmless
-                del self.held[action.id]
+                    request_class = request.request_class
+                    harmless = request_class.effect == "safe" or (
+                        request_class.effect == "keyed" and request_class.scope == "all"
+                    )
+                    assert request.execution is None or harmless
+                del self.requests[action.id]
             elif isinstance(action, AbandonAttempt):
-                assert self.held[action.id]["out"]
+                assert self.requests[action.id].is_in_flight
             elif isinstance(action, MigrateConnection):
-                assert self.held[action.id]["stands"] and not self.held[action.id]["moved"]
-                self.held[action.id]["moved"] = True
+                assert self.requests[action.id].is_established and not self.requests[action.id].is_migrated
+                self.requests[action.id].is_migrated = True
             elif isinstance(action, SetTimer):
                 assert action.delay_ms >= 0
                 self.timers.append((self.now + action.delay_ms, action.tag))
 
-    def check_send(self, action: PlaceRequest) -> None:
-        request = self.held[action.id]
-        assert not request["answered"] and not request["out"], "one attempt at a time, none after the answer"
-        assert self.endpoints[action.endpoint].state == "ready", "drains are kept"
-        assert self.now < request["until"] and 0 < action.timeout_ms <= request["until"] - self.now + 1e-6
-        if request["ran"] is not None and request["cls"].effect != "safe":
-            zone, cell, sent_ms = request["ran"]
+    def check_placement(self, action: PlaceRequest) -> None:
+        request = self.requests[action.id]
+        assert not request.is_abandoned and not request.is_in_flight, "one attempt at a time"
+        assert self.endpoints[action.endpoint].state == "ready", "a draining endpoint gets nothing"
+        left_ms = request.deadline_ms - self.now
+        assert self.now < request.deadline_ms and 0 < action.timeout_ms <= left_ms + 1e-6
+        request_class = request.request_class
+        if request.execution is not None and request_class.effect != "safe":
+            zone, cell, sent_ms = request.execution
             endpoint = self.endpoints[action.endpoint]
-            assert request["cls"].effect == "keyed" and self.now <= sent_ms + request["cls"].key_ttl_ms
-            assert request["cls"].scope == "all" or (zone, cell)[request["cls"].scope == "cell"] in (
+            assert request_class.effect == "keyed" and self.now <= sent_ms + request_class.key_ttl_ms
+            assert request_class.scope == "all" or (zone, cell)[request_class.scope == "cell"] in (
                 endpoint.zone,
                 endpoint.cell,
             )
-        request["out"], request["endpoint"], request["attempt"], request["sent"] = (
-            True,
-            action.endpoint,
-            request["attempt"] + 1,
-            self.now,
-        )
-        assert request["attempt"] < self.settings.max_attempts
+        request.is_in_flight = True
+        request.endpoint = action.endpoint
+        request.attempt += 1
+        request.sent_ms = self.now
+        assert request.attempt < self.settings.max_attempts
 
-    def owed(self) -> None:
-        """Rule one: a request is answered at once or has an attempt out, which always ends."""
-        for request in self.held.values():
-            assert request["out"], "a held request has no known end"
+    def check_requests(self) -> None:
+        """Rule one: a request is answered at once or has an attempt in flight, which always ends."""
+        for request in self.requests.values():
+            assert request.is_in_flight, "a request has no known end"
 
     def step(self, pick: int, kind: int, arg: int) -> None:
-        out = [request_id for request_id, request in self.held.items() if request["out"]]
+        out = [request_id for request_id, request in self.requests.items() if request.is_in_flight]
         if kind <= 3 or not out:
             self.send_request(pick, arg)
         elif kind <= 5:
@@ -143,32 +154,36 @@
         elif kind == 11:
             self.change_endpoint(pick, arg)
         elif kind == 12 and self.settings.discovery == "ask":
-            self.tell(EndpointListEvent("failed", []))
+            self.handle(EndpointListEvent("failed", []))
         else:
-            self.tell(AttemptEnded(10_000_000 + arg, 0, "nobody", "error", False))
+            self.handle(AttemptEnded(10_000_000 + arg, 0, "nobody", "error", False))
 
     def send_request(self, pick: int, arg: int) -> None:
         self.ids += 1
-        cls = CLASSES[arg % len(CLASSES)]
-        until = self.now + (1000.0 if pick % 7 else 0.0)
-        self.held[self.ids] = record(cls, until)
+        request_class = CLASSES[arg % len(CLASSES)]
+        deadline_ms = self.now + (1000.0 if pick % 7 else 0.0)
+        self.requests[self.ids] = ClientRequest(request_class, deadline_ms)
         group = "gh"[arg % 2]
-        self.tell(RequestArrived(self.ids, cls.name, "tuv"[pick % 3], until, group, midflow=not pick))
+        self.handle(
+            RequestArrived(
+                self.ids, request_class.name, "tuv"[pick % 3], deadline_ms, group, midflow=not pick
+            )
+        )
 
     def establish(self, request_id: int) -> None:
-        request = self.held[request_id]
-        if not request["stands"]:
-            request["stands"], request["until"] = True, float("inf")
-            self.tell(ConnectionEstablished(request_id, request["attempt"], request["endpoint"]))
+        request = self.requests[request_id]
+        if not request.is_established:
+            request.is_established, request.deadline_ms = True, float("inf")
+            self.handle(ConnectionEstablished(request_id, request.attempt, request.endpoint))
 
     def disconnect(self, request_id: int) -> None:
-        if not self.held[request_id]["answered"]:
-            self.held[request_id]["answered"] = True
-            self.tell(ClientDisconnected(request_id))
+        if not self.requests[request_id].is_abandoned:
+            self.requests[request_id].is_abandoned = True
+            self.handle(ClientDisconnected(request_id))
 
     def report_delay(self, request_id: int, delay_ms: float) -> None:
-        request = self.held[request_id]
-        self.tell(MeasurementReported(request_id, request["attempt"], request["endpoint"], "delay", delay_ms))
+        request = self.requests[request_id]
+        self.handle(MeasurementReported(request_id, request.attempt, request.endpoint, "delay", delay_ms))
 
     def change_endpoint(self, pick: int, arg: int) -> None:
         name = f"s{pick % 7}"
@@ -176,31 +191,31 @@
         line = Endpoint(name, state, "xy"[pick % 2], pick % 2 * 10 + arg % 3, self.now if arg > 9 else 0.0)
         if state != "gone" or name in self.endpoints:
             self.endpoints[name] = line
-            self.tell(EndpointListEvent("changes", [line]))
+            self.handle(EndpointListEvent("changes", [line]))
 
     def end(self, request_id: int, status: str) -> None:
-        request = self.held[request_id]
-        if request["stands"]:
+        request = self.requests[request_id]
+        if request.is_established:
             status = ("ok", "reset", "cancelled")[len(status) % 3]
-        final = request["answered"] or request["stands"] or status == "ok" or request["moved"]
-        request["out"] = False
-        if status not in NEVER_RAN and request["ran"] is None:
-            endpoint = self.endpoints[request["endpoint"]]
-            request["ran"] = (endpoint.zone, endpoint.cell, request["sent"])
+        final = request.is_abandoned or request.is_established or status == "ok" or request.is_migrated
+        request.is_in_flight = False
+        if status not in NOT_EXECUTED and request.execution is None:
+            endpoint = self.endpoints[request.endpoint]
+            request.execution = Execution(endpoint.zone, endpoint.cell, request.sent_ms)
         if final:
-            del self.held[request_id]
-        self.tell(AttemptEnded(request_id, request["attempt"], request["endpoint"], status, final))
+            del self.requests[request_id]
+        self.handle(AttemptEnded(request_id, request.attempt, request.endpoint, status, final))
 
     def pass_time(self, duration_ms: float) -> None:
         self.now += duration_ms
         due = [timer for timer in self.timers if timer[0] <= self.now]
         self.timers = [timer for timer in self.timers if timer[0] > self.now]
         for _, tag in due:
-            self.tell(TimerFired(tag))
+            self.handle(TimerFired(tag))
         for request_id in [
             request_id
-            for request_id, request in self.held.items()
-            if request["out"] and self.now >= request["until"]
+            for request_id, request in self.requests.items()
+            if request.is_in_flight and self.now >= request.deadline_ms
         ]:
             self.end(request_id, "timeout")
 
@@ -218,22 +233,27 @@
         f"s{number}": Endpoint(f"s{number}", "ready", "xy"[number % 2], number % 2 * 10)
         for number in range(5)
     }
-    world.tell(EndpointListEvent("stale", list(world.endpoints.values())))
+    world.handle(EndpointListEvent("stale", list(world.endpoints.values())))
     for number in range(3):
         world.ids += 1
-        world.held[world.ids] = record(CLASSES[0], float("inf"))
-        world.held[world.ids].update(
-            out=True, stands=True, ran=("x", 0, 0.0), attempt=0, endpoint=f"s{number}"
+        world.requests[world.ids] = ClientRequest(
+            CLASSES[0],
+            float("inf"),
+            is_in_flight=True,
+            is_established=True,
+            execution=Execution("x", 0, 0.0),
+            attempt=0,
+            endpoint=f"s{number}",
         )
-        world.tell(ConnectionAdopted(world.ids, "safe", "t", f"s{number}", "g"))
+        world.handle(ConnectionAdopted(world.ids, "safe", "t", f"s{number}", "g"))
     for pick, kind, arg in steps:
         world.step(pick, kind, arg)
-        world.owed()
+        world.check_requests()
         world.pass_time(float(arg * pick) / 4)
-        world.owed()
-    for request_id in list(world.held):
+        world.check_requests()
+    for request_id in list(world.requests):
         world.end(request_id, "ok")
-    world.tell(EndpointListEvent("full", []))
+    world.handle(EndpointListEvent("full", []))
     balancer = world.balancer
     assert (
         not balancer.requests
--- a/tests/decision/test_health_checks.py
+++ b/tests/decision/test_health_checks.py
@@ -13,7 +13,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 from support.balancer_driver import BalancerDriver
-from support.load_reports import FIELDS, probed_by
+from support.load_reports import FIELDS, answers_health_checks
 from support.network_fakes import (
     SETTINGS,
     Script,
@@ -204,7 +204,7 @@
     monkeypatch.setattr("sageturn.net.health_check_client.RESPONSE_TIMEOUT_S", 0.3)
     monkeypatch.setitem(SETTINGS, "policyLimits", {**SETTINGS["policyLimits"], "probes": True})
     monkeypatch.setitem(SETTINGS, "report", {"source": "probe", "fields": list(FIELDS)})
-    script, seen = probed_by(*words)
+    script, seen = answers_health_checks(*words)
 
     async with relaying(tmp_path, script) as (relay, _):
         assert relay.health_check_client is not None
--- a/tests/decision/test_module_size.py
+++ b/tests/decision/test_module_size.py
@@ -20,6 +20,7 @@
     "errors.py",
     "events.py",
     "health_checks.py",
+    "jitter.py",
     "load_reports.py",
     "quotas.py",
     "reject_cause.py",
--- a/tests/net/test_sockets.py
+++ b/tests/net/test_sockets.py
@@ -15,7 +15,7 @@
 
 import pytest
 from support.event_loop import until
-from support.load_reports import FIELDS, probed_by
+from support.load_reports import FIELDS, answers_health_checks
 from support.network_fakes import SETTINGS, Streams, ask, first_line, relaying, silent, up
 from support.replication_member import replica
 from support.xmpp_fakes import HEADER, Client, echo
@@ -59,7 +59,7 @@
     # Clients, endpoints, discovery's watch, and connections that are kept for probes.
     monkeypatch.setitem(SETTINGS, "policyLimits", {**SETTINGS["policyLimits"], "probes": True})
     monkeypatch.setitem(SETTINGS, "report", {"source": "probe", "fields": list(FIELDS)})
-    script, seen = probed_by()
+    script, seen = answers_health_checks()
 
     async with relaying(tmp_path, script) as (relay, (endpoint,)):
         reader, writer = await ask(relay.listener.address, first_line())
--- a/tests/support/load_reports.py
+++ b/tests/support/load_reports.py
@@ -9,10 +9,10 @@
 FIELDS = ("x0", "x1", "cpu")
 
 
-def probed_by(*words: bytes) -> tuple[Script, list[bytes]]:
-    """An endpoint that answers each STATS on a connection by the next of ``words``; clients stand there."""
+def answers_health_checks(*answers: bytes) -> tuple[Script, list[bytes]]:
+    """An endpoint that answers each STATS by the next of ``answers`` and serves clients; its requests."""
     seen: list[bytes] = []
-    left = list(words)
+    remaining = list(answers)
 
     async def script(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes) -> None:
         if line.startswith(b"OPEN"):
@@ -20,11 +20,11 @@
             return
         while line:
             seen.append(line)
-            word = left.pop(0) if left else b"PONG x0=0.1\r\n"
-            if not word:
+            answer = remaining.pop(0) if remaining else b"PONG x0=0.1\r\n"
+            if not answer:
                 writer.transport.abort()
                 return
-            for part in word.split(b"|"):
+            for part in answer.split(b"|"):
                 writer.write(part)
                 await asyncio.sleep(0.02)
             line = await reader.readline()
