--- a/sageturn/core/request_attempts.py
+++ b/sageturn/core/request_attempts.py
@@ -6,10 +6,15 @@
 
 from sageturn import decision
 from sageturn.core.attempt_log import log_failed_attempt
-from sageturn.core.close_reason import CLIENT_DISCONNECTED, CLIENT_FINISHED, CloseReason, may_have_run
+from sageturn.core.close_reason import (
+    CLIENT_DISCONNECTED,
+    CLIENT_FINISHED,
+    CloseReason,
+    may_have_been_executed,
+)
 from sageturn.core.established_traffic import EstablishedTraffic
 from sageturn.core.final_responder import FinalResponder
-from sageturn.core.messages import FinalResponse, StartAttempt
+from sageturn.core.messages import FinalResponse, ResponseCause, ResponseReason, StartAttempt
 from sageturn.core.pre_write_checks import PreWriteChecks
 from sageturn.core.request_context import RequestContext
 
@@ -68,7 +73,7 @@
         context.balancer_actor.counters.failed_attempts[close_reason.name.lower()] += 1
         duration_ms = context.now_ms() - started_ms
         log_failed_attempt(context.handle.log_id, attempt, endpoint, close_reason, duration_ms)
-        if may_have_run(close_reason):
+        if may_have_been_executed(close_reason):
             self._checks.record_possible_execution(started_ms)
 
     async def _abort(self, attempt: int, endpoint: str, close_reason: CloseReason) -> None:
@@ -77,7 +82,9 @@
         await context.balancer_actor.post_event(decision.ClientDisconnected(context.handle.id))
         await context.post_outcome(attempt, endpoint, close_reason, final=True)
         if close_reason is CloseReason.CLIENT_FAULT:
-            response = FinalResponse(rejected=False, reason="wait for the answer", cause="client_fault")
+            response = FinalResponse(
+                rejected=False, reason=ResponseReason.CLIENT_FAULT, cause=ResponseCause.CLIENT_FAULT
+            )
             await self._responder.send(response)
         elif close_reason not in CLIENT_DISCONNECTED:
             await self._responder.send_forced_drain()
--- a/sageturn/core/request_context.py
+++ b/sageturn/core/request_context.py
@@ -1,4 +1,4 @@
-"""What the stages of one request share: its identity, its limits, its client and its record."""
+"""The state that the stages of one request share: its identity, its limits, its client and its record."""
 
 from __future__ import annotations
 
@@ -7,11 +7,12 @@
 
 from sageturn import decision
 from sageturn.core.attempt_guard import AttemptGuard
-from sageturn.core.balancer_actor import BalancerActor, RequestHandle
+from sageturn.core.balancer_actor import BalancerActor
 from sageturn.core.close_reason import CloseReason, outcome_status
 from sageturn.core.connection_record import ConnectionRecord
 from sageturn.core.messages import ClientRequest
 from sageturn.core.proxy_transport import ProxyTransport
+from sageturn.core.request_directory import RequestHandle
 from sageturn.core.tasks import cancel_and_wait
 
 RESPONSE_MARGIN_MS = 15.0  # the final response has to travel too before the client gives up
@@ -41,7 +42,7 @@
         return not self.disconnect.cancelled()
 
     def find_close_reason(self) -> CloseReason | None:
-        """Why the request ends on the client's side, as of this very moment; None while it does not."""
+        """Look at the client once more. Returns why it ends the request; None while it is waiting."""
         if self.disconnect.done():
             return self.disconnect.result()
         return self._transport.poll_client()
@@ -66,7 +67,7 @@
     drain_forced: asyncio.Event = field(default_factory=asyncio.Event)
 
     def now_ms(self) -> float:
-        """The relay's time."""
+        """Return the relay's time."""
         return self.balancer_actor.clock.now_ms()
 
     async def post_outcome(
@@ -83,7 +84,7 @@
     balancer_actor: BalancerActor, transport: ProxyTransport, request: ClientRequest
 ) -> RequestContext:
     """Register ``request`` with the balancer's actor; its time limits count from this moment."""
-    handle = balancer_actor.new_request(request.client_request_id)
+    handle = balancer_actor.requests.register(request.client_request_id)
     record = ConnectionRecord(request, balancer_actor.clock.now_ms(), log_id=handle.log_id)
     settings = balancer_actor.settings
     request_class = balancer_actor.classes.get(request.class_name, settings.classes[0])
--- a/sageturn/relay/closed_connections.py
+++ b/sageturn/relay/closed_connections.py
@@ -1,4 +1,4 @@
-"""What becomes of a connection's record once it has closed: counted, exported as a flow, and logged."""
+"""Counts closed connections, exports them as flows, and logs them."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class ClosedConnections:
-    """The only receiver of the records of closed connections."""
+    """Receives the records of closed connections, from every frontend."""
 
     def __init__(self, flow_exporter: FlowExporter | None = None) -> None:
         """``flow_exporter`` gets each record as a flow, where an operator's file turns flows on."""
@@ -49,4 +49,4 @@
     kind = "rejected" if response.rejected else "failed"
     retry_after_ms = f"{response.retry_after_ms:.0f}"
     cause = f" cause={response.cause}" if response.cause else ""
-    return f" response={kind} response_reason={response.reason!r} retry_after_ms={retry_after_ms}{cause}"
+    return f" response={kind} response_reason={str(response.reason)!r} retry_after_ms={retry_after_ms}{cause}"
--- a/tests/config/test_deployments.py
+++ b/tests/config/test_deployments.py
@@ -43,13 +43,16 @@
 from sageturn.config.settings import read_settings
 from sageturn.core.even_pacer import EvenPacer
 from sageturn.core.messages import EndpointListUpdate
-from sageturn.core.shutdown_schedule import shutdown_schedule
+from sageturn.core.shutdown_schedule import plan_shutdown
+from sageturn.frontends import frontend_connection
+from sageturn.net import sockets
+from sageturn.net.json_stream import JsonObject
 from sageturn.relay import Relay
 
 # ---------------------------------------------------------------- names do not matter
 
 
-def renamed_and_shuffled(conf: dict[str, Any], rng: Random) -> tuple[dict[str, Any], dict[str, str]]:
+def renamed_and_shuffled(conf: JsonObject, rng: Random) -> tuple[JsonObject, dict[str, str]]:
     """Other names for classes, tenants and zones, in another order; with what each is called now."""
     conf = copy.deepcopy(conf)
     names = {old: f"z{rng.random()}" for old in ("gate", "deck", "north", "south", "pier", "quay", "isle")}
@@ -172,9 +175,6 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, resumed: bool
 ) -> None:
     # A connection may take connectTimeoutMs; its request line once followed whatever was known by then.
-    from sageturn.frontends.platform import connection as platform_connection
-    from sageturn.net import sockets
-
     async with relaying(tmp_path, up, up) as (relay, endpoints):
         by_port = {
             endpoint.address[1]: (name, endpoint) for name, endpoint in zip("ab", endpoints, strict=True)
@@ -197,7 +197,7 @@
 
         while relay.endpoint_registry.version != 2:  # discovery's own list has come
             await asyncio.sleep(0.01)
-        monkeypatch.setattr(platform_connection, "connect_unreserved", connect_while_draining)
+        monkeypatch.setattr(frontend_connection, "connect_unreserved", connect_while_draining)
         more = ",at=a" if resumed else ""
         assert await reply(relay.listener.address, first_line(more=more)) == b"UP r1\r\n"
         assert len([line for line in first[0].lines if line]) == (1 if resumed else 0)
@@ -211,7 +211,7 @@
     # It took 3.4 s everywhere, which only deadlines of 3 s and more allow: the last signal comes 0.7 s after
     # the longest, and what stands then is lost.
     request_class = read_settings(FERRY_SETTINGS).classes[0]
-    times = shutdown_schedule([replace(request_class, give_up_ms=wait_ms) for wait_ms in waits_ms])
+    times = plan_shutdown([replace(request_class, give_up_ms=wait_ms) for wait_ms in waits_ms])
     killed_s = min(3.0, max(waits_ms) / 1000.0) + 0.7
     assert times.exit_at_s <= killed_s - 0.25
     assert (
@@ -225,7 +225,7 @@
 
 def test_a_stop_of_the_first_deployment_keeps_its_times() -> None:
     request_class = read_settings(FERRY_SETTINGS).classes[0]
-    times = shutdown_schedule([replace(request_class, give_up_ms=3200.0)])
+    times = plan_shutdown([replace(request_class, give_up_ms=3200.0)])
     assert times.migration_start_s == 0.45 and times.exit_at_s == pytest.approx(3.4)
     assert times.forced_drain_at_s == pytest.approx(2.9) and times.migration_duration_s == pytest.approx(
         1.8, abs=0.01
@@ -238,7 +238,7 @@
     # step at the least. Their relay was back no sooner, and nobody served them for the time between.
     pace, left, gone = EvenPacer(), count, 0
     for step in range(steps):
-        due = pace.due(left, float(steps - step))
+        due = pace.take_due(left, float(steps - step))
         left, gone = left - due, gone + due
         assert abs(gone - count * (step + 1) / steps) <= 1.0
     assert left == 0
