--- a/sageturn/decision/endpoint_table.py
+++ b/sageturn/decision/endpoint_table.py
@@ -44,6 +44,7 @@
         self.group_counts: dict[str, int] = {}  # open connections by group
         self.slow_start = SlowStartBudget(settings, rng)
         self._initial_concurrency_limit = initial_concurrency_limit
+        self._is_weighted = settings.weights in (WeightMeaning.NOMINAL, WeightMeaning.ROUGH)
 
     @abstractmethod
     def measures_delay(self) -> bool:
@@ -103,8 +104,8 @@
             if not adjust_count(self.group_counts, request.group, change):
                 self.rankings.pop(request.group, None)
 
-    def add(self, line: events.Endpoint, rounding_offset: float = 0.0) -> EndpointState:
-        """Add an endpoint. By default nothing that it can hold is rounded up."""
+    def add(self, line: events.Endpoint) -> EndpointState:
+        """Add an endpoint, of which nothing that it can hold is rounded up."""
         endpoint = EndpointState(
             line.name,
             crc32(line.name.encode()),
@@ -113,7 +114,7 @@
             line.kind,
             line.state,
             line.started_at_ms or None,
-            rounding_offset,
+            0.0,
             EndpointConnections(self._initial_concurrency_limit),
         )
         self.endpoints[line.name] = endpoint
@@ -151,15 +152,15 @@
         age_ms = self.now_ms - line.started_at_ms
         endpoint = self.endpoints.get(line.name)
         if endpoint is None:
-            endpoint = self.add(line, self.slow_start.rounding_offset(crc32(line.name.encode())))
+            endpoint = self.add(line)
+            endpoint.rounding_offset = self.slow_start.rounding_offset(endpoint.name_hash)
             if is_stale:  # the relay was restarted: it had tried endpoints that are no longer new
                 endpoint.connections.is_untried = age_ms < self.settings.slow_start_ms
         elif line.state != EndpointStatus.GONE:
             endpoint.zone = line.zone
             endpoint.cell = line.cell
             endpoint.kind = line.kind
-        is_weighted = self.settings.weights in (WeightMeaning.NOMINAL, WeightMeaning.ROUGH)
-        endpoint.weights.nominal = (line.share if is_weighted else 1.0) * line.factor
+        endpoint.weights.nominal = (line.share if self._is_weighted else 1.0) * line.factor
         endpoint.state = line.state
         if line.started_at_ms and line.started_at_ms != endpoint.started_at_ms:
             endpoint.restart(line.started_at_ms)
@@ -173,22 +174,25 @@
         self.ready = []
         self.ejected = []
         self.rankings = {}
+        ready_status = EndpointStatus.READY
         for endpoint in self.endpoints.values():
-            is_listed_ready = endpoint.state == EndpointStatus.READY
-            endpoint.ready = is_listed_ready and endpoint.outlier.ejected_until_ms is None
-            if endpoint.ready:
+            is_listed_ready = endpoint.state == ready_status
+            is_ready = is_listed_ready and endpoint.outlier.ejected_until_ms is None
+            if is_ready:
                 self.ready.append(endpoint)
             elif is_listed_ready:
                 self.ejected.append(endpoint)
-            self.update_totals(endpoint)
+            if is_ready != endpoint.ready or endpoint.overload.is_shedding:
+                endpoint.ready = is_ready
+                self.update_totals(endpoint)
         self.local = [endpoint for endpoint in self.ready if endpoint.zone == self.own_zone]
         self.update_weights()
 
     def _remove_gone(self) -> None:
         """Remove the endpoints that are gone and hold no connection."""
+        gone_status = EndpointStatus.GONE
         endpoints = self.endpoints.values()
-        gone = [e for e in endpoints if e.state == EndpointStatus.GONE and not e.connections.open_count]
-        for endpoint in gone:
+        for endpoint in [e for e in endpoints if e.state == gone_status and not e.connections.open_count]:
             del self.endpoints[endpoint.name]
             endpoint.ready = False
             self.update_totals(endpoint)
--- a/sageturn/decision/fleet.py
+++ b/sageturn/decision/fleet.py
@@ -131,10 +131,13 @@
         """Set the weights, shares of our connections and quotas of the ready endpoints."""
         slow_start_ms = self.settings.slow_start_ms
         initial_ratio = self.settings.initial_capacity_ratio
+        speeds = self.machine_speeds.by_kind
         for endpoint in self.ready:
-            warm_up = quotas.warm_up_ratio(endpoint.age_ms(self.now_ms), slow_start_ms, initial_ratio)
-            speed = self.machine_speeds.by_kind.get(endpoint.kind, 1.0)
-            endpoint.weights.effective = endpoint.weights.nominal * speed * warm_up
+            weights = endpoint.weights
+            weights.effective = weights.nominal * speeds.get(endpoint.kind, 1.0)
+            age_ms = endpoint.age_ms(self.now_ms)
+            if age_ms < slow_start_ms:
+                weights.effective *= quotas.warm_up_ratio(age_ms, slow_start_ms, initial_ratio)
         self._update_weight_totals()
         self._update_connection_shares()
         self._update_quotas()
--- a/sageturn/decision/fleet_size.py
+++ b/sageturn/decision/fleet_size.py
@@ -39,11 +39,12 @@
     def record_list(self, endpoints: Iterable[EndpointState]) -> None:
         """Update the sums; called with all endpoints after each change of the list."""
         ready_weight = warming_weight = draining_weight = 0.0
+        ready_status, draining_status = EndpointStatus.READY, EndpointStatus.DRAINING
         for endpoint in endpoints:
-            if endpoint.state == EndpointStatus.READY:
+            if endpoint.state == ready_status:
                 ready_weight += endpoint.weights.nominal
                 warming_weight += endpoint.weights.nominal if endpoint.slow_start else 0.0
-            elif endpoint.state == EndpointStatus.DRAINING:
+            elif endpoint.state == draining_status:
                 draining_weight += endpoint.weights.nominal
         if not self._first_weight:
             # Draining endpoints count as well, unless their successors are listed already.
--- a/sageturn/decision/overload.py
+++ b/sageturn/decision/overload.py
@@ -128,7 +128,11 @@
         request = endpoint.connections.established.get(request_id)
         if request is None or self._fleet.measures_delay():
             return []
-        endpoint.load.record(request, load)
+        estimate = endpoint.load
+        estimate.reported_load = estimate.reported_load + load - request.reported_load
+        estimate.reported_count += not request.reported_load
+        request.load = load
+        request.reported_load = load
         self._loads.add(load)
         migrations = self._relief.relieve_quota(now_ms, endpoint)
         return migrations + self.check_utilization(now_ms, endpoint)
--- a/sageturn/decision/settings.py
+++ b/sageturn/decision/settings.py
@@ -141,7 +141,7 @@
     discovery: str = DiscoveryMode.PUSH
     max_attempts: int = 3
     may_cancel: bool = False  # an attempt may be abandoned once its client has left
-    retry_after: bool = True  # a rejection may say when to come again
+    retry_after: bool = True  # a rejection may say when to retry
     max_retry_after_ms: float = 1000.0
     connect_timeout_ms: float = 250.0
     keepalive_ms: float = 10000.0  # endpoints close connections that have been idle for so long
--- a/sageturn/decision/state.py
+++ b/sageturn/decision/state.py
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True, eq=False)
 class EndpointConnections:
-    """This relay's attempts and connections at one endpoint. Written by the balancer and the fleet."""
+    """This relay's attempts and connections at one endpoint. Written by balancer.py and the fleet."""
 
     concurrency_limit: int  # attempts that may be in flight at once
     in_flight: int = 0
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True, eq=False)
 class OutlierState:
-    """Outlier detection at one endpoint. Written by the fleet."""
+    """Outlier detection at one endpoint. Written by fleet.py."""
 
     consecutive_failures: int = 0
     ejected_until_ms: float | None = None  # None while it is not ejected
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True, eq=False)
 class OverloadState:
-    """Signs that an endpoint is overloaded, and its learned capacity. Written by the overload control."""
+    """Signs that an endpoint is overloaded, and its learned capacity. Written by overload.py."""
 
     is_shedding: bool = False  # overloaded or at its capacity: it is sent nothing
     overloaded_until_ms: float | None = None  # None before its first overload
@@ -67,7 +67,7 @@
 
 @dataclass(slots=True, eq=False)
 class LoadEstimate:
-    """Signs of an endpoint's load where nothing reports delays. Written by the overload control."""
+    """Signs of load where nothing reports delays. Written by overload.py and setup_times.py."""
 
     reported_load: float = 0.0  # sum over the established connections whose load was reported
     reported_count: int = 0  # number of these connections
@@ -76,13 +76,6 @@
     deprioritized_until_ms: float = 0.0  # its utilization is high against the others'
     setup_time: SetupTime | None = None  # None before one was measured
 
-    def record(self, request: RequestState, load: float) -> None:
-        """Replace the load that an established connection reported before by ``load``."""
-        self.reported_load = self.reported_load + load - request.reported_load
-        self.reported_count += not request.reported_load
-        request.load = load
-        request.reported_load = load
-
     def forget(self, request: RequestState) -> None:
         """Drop the load of a connection that is no longer established."""
         if request.reported_load:
