--- a/sageturn/core/attempt_guard.py
+++ b/sageturn/core/attempt_guard.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from sageturn.core.invariants import Invariant, InvariantMonitor
-from sageturn.decision import RequestClass
+from sageturn.decision import Effect, RequestClass
 
 MAX_RESPONSE_DELAY_MS = 500.0  # the protocol counts a later answer as lost
 
@@ -83,9 +83,9 @@
         return None, ""
 
     def _is_repeatable(self, elapsed_ms: float) -> bool:
-        if self._class.effect == "keyed":
+        if self._class.effect == Effect.KEYED:
             return elapsed_ms <= self._class.key_ttl_ms
-        return self._class.effect == "safe"
+        return self._class.effect == Effect.SAFE
 
     def check_response(self, now_ms: float) -> None:
         """Check that the final response, which is about to be sent, is in time."""
--- a/sageturn/core/close_reason.py
+++ b/sageturn/core/close_reason.py
@@ -4,7 +4,7 @@
 
 from enum import Enum, auto
 
-from sageturn.decision import NOT_EXECUTED_STATUSES
+from sageturn.decision import NOT_EXECUTED_STATUSES, AttemptStatus
 
 
 class CloseReason(Enum):
@@ -42,29 +42,29 @@
 NOT_WRITTEN_REASONS = (CloseReason.NO_CONNECT, CloseReason.CUT_BEFORE_WRITTEN, CloseReason.NOT_SENT)
 
 _STATUS_BY_REASON = {
-    CloseReason.SERVED: "ok",
-    CloseReason.SENT_AWAY: "cancelled",
-    CloseReason.ERROR: "error",
-    CloseReason.GARBLED: "error",
-    CloseReason.BUSY: "full",
-    CloseReason.REFUSED: "connect_failed",
-    CloseReason.NO_CONNECT: "connect_failed",
-    CloseReason.CUT_BEFORE_WRITTEN: "connect_failed",
-    CloseReason.RESET: "reset",
-    CloseReason.ENDED: "reset",
-    CloseReason.TIMEOUT: "timeout",
-    CloseReason.MUTE: "reset",
-    CloseReason.CANCELLED: "cancelled",
-    CloseReason.MOVED: "cancelled",
-    CloseReason.CUT_OFF: "cancelled",
-    CloseReason.CLIENT_LEFT: "cancelled",
-    CloseReason.CLIENT_RESET: "cancelled",
-    CloseReason.CLIENT_FAULT: "cancelled",
-    CloseReason.NOT_SENT: "moot",
+    CloseReason.SERVED: AttemptStatus.OK,
+    CloseReason.SENT_AWAY: AttemptStatus.CANCELLED,
+    CloseReason.ERROR: AttemptStatus.ERROR,
+    CloseReason.GARBLED: AttemptStatus.ERROR,
+    CloseReason.BUSY: AttemptStatus.FULL,
+    CloseReason.REFUSED: AttemptStatus.CONNECT_FAILED,
+    CloseReason.NO_CONNECT: AttemptStatus.CONNECT_FAILED,
+    CloseReason.CUT_BEFORE_WRITTEN: AttemptStatus.CONNECT_FAILED,
+    CloseReason.RESET: AttemptStatus.RESET,
+    CloseReason.ENDED: AttemptStatus.RESET,
+    CloseReason.TIMEOUT: AttemptStatus.TIMEOUT,
+    CloseReason.MUTE: AttemptStatus.RESET,
+    CloseReason.CANCELLED: AttemptStatus.CANCELLED,
+    CloseReason.MOVED: AttemptStatus.CANCELLED,
+    CloseReason.CUT_OFF: AttemptStatus.CANCELLED,
+    CloseReason.CLIENT_LEFT: AttemptStatus.CANCELLED,
+    CloseReason.CLIENT_RESET: AttemptStatus.CANCELLED,
+    CloseReason.CLIENT_FAULT: AttemptStatus.CANCELLED,
+    CloseReason.NOT_SENT: AttemptStatus.MOOT,
 }
 
 
-def outcome_status(close_reason: CloseReason) -> str:
+def outcome_status(close_reason: CloseReason) -> AttemptStatus:
     """Return the balancer's status for a close reason; the two vocabularies meet only here."""
     return _STATUS_BY_REASON[close_reason]
 
--- a/sageturn/core/endpoint_registry.py
+++ b/sageturn/core/endpoint_registry.py
@@ -89,7 +89,10 @@
         An endpoint that was gone and is listed again under its name may be another process, at another
         ``address`` than the attempt connected to.
         """
-        is_listed = self.addresses.get(endpoint) == address and self.states.get(endpoint) == "ready"
+        is_listed = (
+            self.addresses.get(endpoint) == address
+            and self.states.get(endpoint) == decision.EndpointStatus.READY
+        )
         return is_listed and not self.is_out_of_service(endpoint)
 
     def request_watch(self) -> None:
@@ -104,7 +107,7 @@
         """Handle messages until cancelled; the balancer is given the known list first."""
         self._update_readiness()
         known = self._start_times.convert(self._known.endpoints, is_full=True)
-        await self._post_event(decision.EndpointListEvent("stale", known))
+        await self._post_event(decision.EndpointListEvent(decision.ListEventKind.STALE, known))
         if self._pushed:
             self._start_watch()
         while True:
@@ -136,7 +139,7 @@
 
     def _forget_old_endpoints(self) -> None:
         """Drop the oldest addresses of endpoints that are gone: each release brings new names."""
-        for name in [name for name, state in self.states.items() if state == "gone"]:
+        for name in [name for name, state in self.states.items() if state == decision.EndpointStatus.GONE]:
             del self.states[name]
         if len(self.addresses) > len(self.states) + MAX_GONE_ADDRESSES:
             gone = [name for name in self.addresses if name not in self.states]
@@ -155,7 +158,9 @@
         )
         if not is_replaced:
             self._is_watch_open = False
-            await self._post_event(decision.EndpointListEvent("failed", [], failed.failure))
+            await self._post_event(
+                decision.EndpointListEvent(decision.ListEventKind.FAILED, [], failed.failure)
+            )
 
     async def _on_update(self, watch_number: int, update: EndpointListUpdate) -> None:
         # What a replaced watch had still reported is known from then on. But the version from which the next
@@ -173,7 +178,8 @@
             len(self.states),
         )
         endpoints = self._start_times.convert(update.endpoints, update.full)
-        await self._post_event(decision.EndpointListEvent("full" if update.full else "changes", endpoints))
+        kind = decision.ListEventKind.FULL if update.full else decision.ListEventKind.CHANGES
+        await self._post_event(decision.EndpointListEvent(kind, endpoints))
 
     def _start_watch(self) -> None:
         if self._watcher is not None:
--- a/sageturn/core/pre_write_checks.py
+++ b/sageturn/core/pre_write_checks.py
@@ -9,6 +9,7 @@
 from sageturn.core.close_reason import CloseReason
 from sageturn.core.request_context import RequestContext
 from sageturn.core.request_counters import SendBlock
+from sageturn.decision import Effect
 
 
 class Block(NamedTuple):
@@ -53,7 +54,7 @@
             Milliseconds, negative once the key has expired; infinity where no key limits the request.
         """
         request_class = self._context.request_class
-        if self._first_execution_ms is None or request_class.effect != "keyed":
+        if self._first_execution_ms is None or request_class.effect != Effect.KEYED:
             return math.inf
         return self._first_execution_ms + request_class.key_ttl_ms - self._context.now_ms()
 
--- a/sageturn/core/start_times.py
+++ b/sageturn/core/start_times.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, replace
 
 from sageturn.core.clock import Clock
-from sageturn.decision import Endpoint
+from sageturn.decision import Endpoint, EndpointStatus
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,7 +43,7 @@
 
     def _convert(self, endpoint: Endpoint, known: StartTime | None) -> Endpoint:
         listed_ms = endpoint.started_at_ms
-        if not listed_ms or endpoint.state == "gone":
+        if not listed_ms or endpoint.state == EndpointStatus.GONE:
             self._by_endpoint.pop(endpoint.name, None)
             return endpoint
         if known is None or known.listed_ms != listed_ms:
--- a/sageturn/frontends/platform/endpoint_reply.py
+++ b/sageturn/frontends/platform/endpoint_reply.py
@@ -7,6 +7,7 @@
 from sageturn.core.close_reason import CloseReason
 from sageturn.core.connection_record import ConnectionRecord
 from sageturn.core.context import RelayContext
+from sageturn.decision import ReportSource
 from sageturn.decision.load_reports import MAX_REPORT_BYTES, read_report
 
 MAX_LAST_LINE_BYTES = MAX_REPORT_BYTES + 16  # a reply's word and a load report
@@ -50,7 +51,7 @@
     ) -> CloseReason:
         word, *report = line.split(None, 1) or [b""]
         settings = self._shared.balancer_actor.settings
-        if word in close_reasons and report and settings.reports == "answers":
+        if word in close_reasons and report and settings.reports == ReportSource.ANSWERS:
             self._record.load_report = read_report(
                 report[0], settings.report_fields, self._shared.invalid_report_values
             )
--- a/sageturn/net/endpoint_list.py
+++ b/sageturn/net/endpoint_list.py
@@ -5,12 +5,12 @@
 import math
 
 from sageturn.core.messages import EndpointListUpdate
-from sageturn.decision import Endpoint
+from sageturn.decision import Endpoint, EndpointStatus
 from sageturn.net.addresses import Address, is_ipv4, parse_address
 from sageturn.net.errors import InvalidEndpointListError
 from sageturn.net.json_stream import JsonObject
 
-ENDPOINT_STATES = ("ready", "draining", "gone")
+ENDPOINT_STATES = tuple(EndpointStatus)
 
 
 def parse_endpoint_list(decoded: JsonObject) -> EndpointListUpdate:
--- a/sageturn/net/health_check_client.py
+++ b/sageturn/net/health_check_client.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field
 
 from sageturn.core.tasks import cancel_and_wait
-from sageturn.decision import HealthCheckCompleted
+from sageturn.decision import AttemptStatus, HealthCheckCompleted
 from sageturn.decision.load_reports import MAX_REPORT_BYTES, read_report
 from sageturn.net.addresses import Address
 from sageturn.net.sockets import ConnectFailure, connect_unreserved
@@ -30,7 +30,7 @@
 class _Outcome:
     """The result of one check: a status of ``HealthCheckCompleted``, and the report's values by field."""
 
-    status: str
+    status: AttemptStatus
     report: dict[str, float] = field(default_factory=dict)
 
 
@@ -95,7 +95,7 @@
             self._idle.pop(endpoint).sock.close()
 
     async def _check(self, endpoint: str) -> None:
-        outcome = _Outcome("timeout")
+        outcome = _Outcome(AttemptStatus.TIMEOUT)
         try:
             async with asyncio.timeout(self._connect_timeout_s + RESPONSE_TIMEOUT_S):
                 outcome = await self._request_report(endpoint)
@@ -103,13 +103,13 @@
             pass
         except OSError as error:
             log.info("health check failed endpoint=%s reason=%s", endpoint, error)
-            outcome = _Outcome("error")
+            outcome = _Outcome(AttemptStatus.ERROR)
         await self.on_completed(HealthCheckCompleted(endpoint, outcome.status, outcome.report))
 
     async def _request_report(self, endpoint: str) -> _Outcome:
         address = self._addresses.get(endpoint)
         if address is None:
-            return _Outcome("moot")
+            return _Outcome(AttemptStatus.MOOT)
         response = b""
         idle = self._idle.pop(endpoint, None)
         if idle is not None:
@@ -118,14 +118,14 @@
         if not response:
             sock = await connect_unreserved(address, self._connect_timeout_s)
             if isinstance(sock, ConnectFailure):
-                return _Outcome("connect_failed")
+                return _Outcome(AttemptStatus.CONNECT_FAILED)
             response = await self._exchange(endpoint, sock)
         word, _, report = response.partition(b" ")
         if word == b"NO":
-            return _Outcome("refused")
+            return _Outcome(AttemptStatus.REFUSED)
         if word != b"PONG":
-            return _Outcome("error")
-        return _Outcome("ok", read_report(report, self._report_fields, self._invalid_values))
+            return _Outcome(AttemptStatus.ERROR)
+        return _Outcome(AttemptStatus.OK, read_report(report, self._report_fields, self._invalid_values))
 
     async def _exchange(self, endpoint: str, sock: socket.socket) -> bytes:
         """Send a request and return the response line without its CRLF; the connection is kept as idle.
--- a/sageturn/overrides/actor.py
+++ b/sageturn/overrides/actor.py
@@ -83,8 +83,8 @@
 
     async def post_event(self, event: decision.Event) -> None:
         """Posts an event of the endpoint registry to the balancer, endpoint lists with overrides applied."""
-        if isinstance(event, decision.EndpointListEvent) and event.kind != "failed":
-            is_full = event.kind in ("full", "stale")
+        if isinstance(event, decision.EndpointListEvent) and event.kind != decision.ListEventKind.FAILED:
+            is_full = event.kind in (decision.ListEventKind.FULL, decision.ListEventKind.STALE)
             endpoints = self.registry.apply_endpoint_list(event.endpoints, is_full, self._read_clock())
             event = decision.EndpointListEvent(event.kind, endpoints)
             self._update_marks()
--- a/sageturn/overrides/recovery_ramp.py
+++ b/sageturn/overrides/recovery_ramp.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass, replace
 
-from sageturn.decision import Endpoint
+from sageturn.decision import Endpoint, EndpointStatus
 from sageturn.overrides.effects import OverrideEffect
 
 RAMP_STEPS = 24  # weight increases per slow start
@@ -72,7 +72,7 @@
 
         A drain or loss that discovery reports takes precedence over overrides.
         """
-        is_drained = effect.out_of_service and endpoint.state == "ready"
+        is_drained = effect.out_of_service and endpoint.state == EndpointStatus.READY
         return replace(
             endpoint,
             state="draining" if is_drained else endpoint.state,
--- a/sageturn/overrides/resolver.py
+++ b/sageturn/overrides/resolver.py
@@ -11,7 +11,7 @@
 from bisect import insort
 from collections.abc import Iterable
 
-from sageturn.decision import Endpoint
+from sageturn.decision import Endpoint, EndpointStatus
 from sageturn.overrides.effects import NO_EFFECT, EffectChanges, EffectTable, OverrideEffect
 from sageturn.overrides.model import AdmissionRank, Override
 from sageturn.overrides.operations import OverrideKind
@@ -146,7 +146,7 @@
         previous = self._selection.remove_endpoint(endpoint.name)
         if previous is not None:
             self.guard.remove_endpoint(previous)
-        if endpoint.state == "gone":
+        if endpoint.state == EndpointStatus.GONE:
             self._effects.forget(endpoint.name)
             self.guard.forget_factor(endpoint.name)
         else:
--- a/sageturn/overrides/safety_guard.py
+++ b/sageturn/overrides/safety_guard.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-from sageturn.decision import Endpoint
+from sageturn.decision import Endpoint, EndpointStatus
 from sageturn.overrides.model import Override
 from sageturn.overrides.options import SafetyLimits
 
@@ -47,12 +47,12 @@
     def restore_weight(self, endpoint: Endpoint) -> None:
         """Gives an endpoint its full weight back, on which the last override that reduced it has ended."""
         previous = self._factors.pop(endpoint.name, 1.0)
-        if endpoint.state == "ready":
+        if endpoint.state == EndpointStatus.READY:
             for pool in _pools(endpoint):
                 self.available[pool] += (1.0 - previous) * endpoint.share
 
     def _count(self, endpoint: Endpoint, sign: int) -> None:
-        if endpoint.state != "ready":
+        if endpoint.state != EndpointStatus.READY:
             return
         factor = self._factors.get(endpoint.name, 1.0)
         for pool in _pools(endpoint):
@@ -89,7 +89,7 @@
         available = sum(
             endpoint.share * self._factors.get(endpoint.name, 1.0)
             for endpoint in endpoints
-            if endpoint.state == "ready"
+            if endpoint.state == EndpointStatus.READY
         )
         total = self._total.get(TOTAL, 0.0)
         min_ratio = self.limits.min_pin_ratio
@@ -104,7 +104,7 @@
         """Returns by pool the capacity that is lost when these endpoints get the target factor."""
         reductions: dict[str, float] = {}
         for endpoint in endpoints:
-            if endpoint.state != "ready":
+            if endpoint.state != EndpointStatus.READY:
                 continue
             factor = self._factors.get(endpoint.name, 1.0)
             for pool in _pools(endpoint):
--- a/sageturn/rebalance/event_tracker.py
+++ b/sageturn/rebalance/event_tracker.py
@@ -13,6 +13,8 @@
 from sageturn.rebalance.options import RebalanceOptions
 from sageturn.rebalance.overload_detector import OverloadDetector
 
+CONNECT_FAILURES = (decision.AttemptStatus.CONNECT_FAILED, decision.AttemptStatus.TIMEOUT)
+
 
 @dataclass(slots=True)
 class PendingRequest:
@@ -70,7 +72,7 @@
             case decision.MeasurementReported(kind="load"):
                 self.connections.set_load(event.id, event.value)
             case decision.EndpointListEvent():
-                self.overload_detector.record_endpoint_list(event.kind == "failed")
+                self.overload_detector.record_endpoint_list(event.kind == decision.ListEventKind.FAILED)
 
     def on_request_rejected(self, now_ms: float, request_id: int) -> None:
         """Tracks that the balancer has rejected or failed a request."""
@@ -146,9 +148,9 @@
 
     def _on_attempt_ended(self, now_ms: float, event: decision.AttemptEnded) -> None:
         if self.connections.remove(event.id):
-            if event.status == "reset":
+            if event.status == decision.AttemptStatus.RESET:
                 self.overload_detector.record_reset(now_ms)
-        elif event.status in ("connect_failed", "timeout"):
+        elif event.status in CONNECT_FAILURES:
             self.overload_detector.record_connect_failure(now_ms)
         self.migrating.discard(event.id)
         if event.final:
--- a/sageturn/relay/relay.py
+++ b/sageturn/relay/relay.py
@@ -15,6 +15,7 @@
 from sageturn.core.messages import EndpointListUpdate, WatchFailed
 from sageturn.core.request_registry import RequestRegistry
 from sageturn.core.shutdown_schedule import plan_shutdown
+from sageturn.decision import DiscoveryMode
 from sageturn.flows.exporter import FlowExporter
 from sageturn.frontends.platform.frontend import PlatformFrontend
 from sageturn.net.admission import AdmissionController
@@ -101,7 +102,7 @@
             self.config.known_endpoints,
             self.balancer_actor.post_event if overrides is None else overrides.post_event,
             self.discovery,
-            pushed=self.config.settings.discovery == "push",
+            pushed=self.config.settings.discovery == DiscoveryMode.PUSH,
             clock=self.balancer_actor.clock,
             is_out_of_service=never_out_of_service if overrides is None else overrides.is_out_of_service,
         )
--- a/sageturn/simhost.py
+++ b/sageturn/simhost.py
@@ -15,24 +15,34 @@
 
 from sageturn import decision
 from sageturn.config.settings import read_settings, text_or_empty
+from sageturn.decision import AttemptStatus, EndpointStatus, ListEventKind, MeasurementKind
 from sageturn.decision.balancer import Balancer
 from sageturn.decision.discovery_backoff import classify_rejection
 from sageturn.decision.load_reports import checked
 
 # The wire's words on the left, the decision module's on the right.
 ATTEMPT_STATUSES = {
-    "pass": "ok",
-    "fault": "error",
-    "no_room": "full",
-    "too_slow": "timeout",
-    "no_route": "connect_failed",
-    "cut": "reset",
-    "undone": "cancelled",
-    "stale_send": "moot",
+    "pass": AttemptStatus.OK,
+    "fault": AttemptStatus.ERROR,
+    "no_room": AttemptStatus.FULL,
+    "too_slow": AttemptStatus.TIMEOUT,
+    "no_route": AttemptStatus.CONNECT_FAILED,
+    "cut": AttemptStatus.RESET,
+    "undone": AttemptStatus.CANCELLED,
+    "stale_send": AttemptStatus.MOOT,
 }
-ENDPOINT_STATES = {"Ready": "ready", "Terminating": "draining", "Gone": "gone"}
-LIST_KINDS = {"D": "changes", "F": "full", "C": "stale", "X": "failed"}
-MEASUREMENT_KINDS = {1: "load", 2: "delay"}
+ENDPOINT_STATES = {
+    "Ready": EndpointStatus.READY,
+    "Terminating": EndpointStatus.DRAINING,
+    "Gone": EndpointStatus.GONE,
+}
+LIST_KINDS = {
+    "D": ListEventKind.CHANGES,
+    "F": ListEventKind.FULL,
+    "C": ListEventKind.STALE,
+    "X": ListEventKind.FAILED,
+}
+MEASUREMENT_KINDS = {1: MeasurementKind.LOAD, 2: MeasurementKind.DELAY}
 
 START_INSTANCE = "Enlist"
 END_INSTANCE = "Teardown"
@@ -111,7 +121,7 @@
 def _decode_measurement(fields: Fields) -> decision.MeasurementReported:
     kind = MEASUREMENT_KINDS.get(fields["kind"], "")
     value = fields["value"]
-    if kind == "load":
+    if kind == MeasurementKind.LOAD:
         value /= MICROSECONDS_PER_MILLISECOND  # expected loads are in milliseconds a second
     return decision.MeasurementReported(fields["opId"], fields["n"], fields["backend"], kind, value)
 
@@ -265,10 +275,10 @@
 
         A failure without an unanswered request means that an established watch was lost.
         """
-        if event.kind == "stale":
+        if event.kind == ListEventKind.STALE:
             return
         requested_ms = self._watch_requested_ms.pop(number, None)
-        if event.kind == "failed":
+        if event.kind == ListEventKind.FAILED:
             if requested_ms is None:
                 event.failure = decision.DiscoveryFailure.LOST
             else:
