--- a/sageturn/core/endpoint_snapshot.py
+++ b/sageturn/core/endpoint_snapshot.py
@@ -27,8 +27,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OperatorMarks:
-    """Names the endpoints that operators have marked."""
+class EndpointRestrictions:
+    """Names the endpoints that operators restrict by overrides."""
 
     rebalance_excluded: frozenset[str] = frozenset()
     out_of_service: frozenset[str] = frozenset()
--- a/sageturn/overrides/actor.py
+++ b/sageturn/overrides/actor.py
@@ -10,7 +10,7 @@
 
 from sageturn import decision
 from sageturn.core.balancer_actor import BalancerActor
-from sageturn.core.endpoint_snapshot import OperatorMarks
+from sageturn.core.endpoint_snapshot import EndpointRestrictions
 from sageturn.overrides.audit import AuditAction, AuditEvent
 from sageturn.overrides.operation_log import OverrideRecord
 from sageturn.overrides.operations import KEY_PREFIX
@@ -51,8 +51,8 @@
         options: The operators and limits in force; ``set_options`` replaces them.
         store: Holds the operations; its owner calls ``on_store_change``.
         report_state: Receives the relay's state record.
-        on_marks_changed: Is called when the sets of endpoints that are excluded from rebalancing, out of
-            service, or being evacuated change.
+        on_restrictions_changed: Is called when the endpoints change that are excluded from rebalancing, out
+            of service, or being evacuated.
         now_ms: The system's clock, in milliseconds of Unix time.
     """
 
@@ -62,15 +62,15 @@
         options: OverrideOptions,
         store: RecordStore,
         report_state: Callable[[dict[str, object]], None],
-        on_marks_changed: Callable[[OperatorMarks], None] | None = None,
+        on_restrictions_changed: Callable[[EndpointRestrictions], None] | None = None,
         now_ms: Callable[[], float] = unix_time_ms,
     ) -> None:
         settings = balancer_actor.settings
         self.registry = OverrideRegistry(options, settings.initial_capacity_ratio, settings.slow_start_ms)
-        self.marks = OperatorMarks()
+        self.restrictions = EndpointRestrictions()
         self._balancer_actor = balancer_actor
         self._report_state = report_state
-        self._on_marks_changed = on_marks_changed
+        self._on_restrictions_changed = on_restrictions_changed
         self._now_ms = now_ms
         self._pending_records: list[OverrideRecord] = []
         self._pending_endpoints: set[str] = set()  # changed by a reload since the last step
@@ -88,7 +88,7 @@
             is_full = event.kind in FULL_LIST_KINDS
             endpoints = self.registry.apply_endpoint_list(event.endpoints, is_full, self._read_clock())
             event = decision.EndpointListEvent(event.kind, endpoints)
-            self._update_marks()
+            self._update_restrictions()
         await self._balancer_actor.post_event(event)
 
     def _read_clock(self) -> float:
@@ -167,7 +167,7 @@
         audit_events = self.registry.audit.take()
         _log_audit_events(audit_events)
         if endpoints or audit_events:
-            self._update_marks()
+            self._update_restrictions()
         if audit_events or self._is_report_due(now_ms / 1000.0):
             self._state_reported_s = now_ms / 1000.0
             self._report_state(encode_relay_state(self.registry, now_ms))
@@ -185,17 +185,17 @@
         """Whether the report interval has passed, or the clock was set back."""
         return now_s >= self._state_reported_s + STATE_REPORT_INTERVAL_S or now_s < self._state_reported_s
 
-    def _update_marks(self) -> None:
+    def _update_restrictions(self) -> None:
         effects = self.registry.resolver.effects.items()
-        marks = OperatorMarks(
+        restrictions = EndpointRestrictions(
             rebalance_excluded=frozenset(name for name, effect in effects if effect.rebalance_excluded),
             out_of_service=frozenset(name for name, effect in effects if effect.out_of_service),
             evacuating=frozenset(name for name, effect in effects if effect.migrate_connections),
         )
-        if marks != self.marks:
-            self.marks = marks
-            if self._on_marks_changed is not None:
-                self._on_marks_changed(marks)
+        if restrictions != self.restrictions:
+            self.restrictions = restrictions
+            if self._on_restrictions_changed is not None:
+                self._on_restrictions_changed(restrictions)
 
     # ------------------------------------------------------------ BalancerObserver
 
--- a/sageturn/rebalance/driver.py
+++ b/sageturn/rebalance/driver.py
@@ -23,8 +23,8 @@
 class Rebalancer(RebalancePlanner):
     """Observes the balancer from its creation on, and asks clients to reconnect from a task of its own.
 
-    The relay sets ``options`` and ``marks``, and runs ``run`` as a task. ``publish_state`` is called with
-    the encoded state.
+    The relay sets ``options`` and ``restrictions``, and runs ``run`` as a task. ``publish_state`` is called
+    with the encoded state.
     """
 
     def __init__(
--- a/sageturn/rebalance/evacuation.py
+++ b/sageturn/rebalance/evacuation.py
@@ -15,7 +15,7 @@
     """Returns the migrations off endpoints that are being evacuated; None if none can be made now."""
     connections = context.tracker.connections
     own_totals = connections.endpoints
-    evacuating = [own_totals[name] for name in sorted(context.marks.evacuating) if name in own_totals]
+    evacuating = [own_totals[name] for name in sorted(context.restrictions.evacuating) if name in own_totals]
     if not evacuating or context.rate_controller.is_stopped(context.now_ms):
         return None
     capacity = context.migration_capacity()
--- a/sageturn/rebalance/planner.py
+++ b/sageturn/rebalance/planner.py
@@ -11,7 +11,7 @@
 from random import Random
 
 from sageturn import decision
-from sageturn.core.endpoint_snapshot import EndpointSnapshot, OperatorMarks
+from sageturn.core.endpoint_snapshot import EndpointRestrictions, EndpointSnapshot
 from sageturn.rebalance.batches import TEMPORARY_BLOCK_REASONS, BlockReason, describe_blocks
 from sageturn.rebalance.connection_table import ConnectionTable
 from sageturn.rebalance.evacuation import plan_evacuation
@@ -44,7 +44,7 @@
         self.tracker = EventTracker(settings, options)
         self.rate_controller = MigrationRateController(options, settings.relay_count, Random(seed))
         self.fleet = FleetUtilization(settings)
-        self.marks = OperatorMarks()
+        self.restrictions = EndpointRestrictions()
         self.block_counts: Counter[BlockReason] = Counter()  # as of the last tick that looked for batches
         self._options = options
         self._is_balancing = False
@@ -89,7 +89,7 @@
     def before_event(self, now_ms: float, event: decision.Event) -> None:
         """Tells the balancer, in a request itself, that its client was migrated recently."""
         if isinstance(event, decision.RequestArrived) and len(self.history):
-            hint_recent_migration(event, self.tracker, self.marks.rebalance_excluded)
+            hint_recent_migration(event, self.tracker, self.restrictions.rebalance_excluded)
 
     def after_event(self, now_ms: float, event: decision.Event, actions: Sequence[decision.Action]) -> None:
         """Takes note of an event that the balancer has handled, and of the balancer's decisions."""
@@ -129,7 +129,7 @@
         if stopping:
             return empty_plan(PlanPhase.STOPPING, "the relay leaves and moves everyone itself")
         context = TickContext(
-            now_ms, endpoints, self._options, self.marks, self.tracker, self.rate_controller
+            now_ms, endpoints, self._options, self.restrictions, self.tracker, self.rate_controller
         )
         evacuation = plan_evacuation(context)
         if evacuation is not None:
@@ -139,7 +139,7 @@
     def _update_rate(self, now_ms: float, endpoints: Sequence[EndpointSnapshot]) -> None:
         self.tracker.expire_in_flight(now_ms)
         signals = self.overload_detector.evaluate(
-            now_ms, self.connections, endpoints, self.marks.out_of_service
+            now_ms, self.connections, endpoints, self.restrictions.out_of_service
         )
         late_returns = self.counts[MigrationCount.RETURNED_LATE]
         no_late_returns = late_returns == self._late_returns
--- a/sageturn/rebalance/pool_balancer.py
+++ b/sageturn/rebalance/pool_balancer.py
@@ -46,7 +46,7 @@
     waiting_for = ""
     for pool in sorted(pools, key=lambda pool: -pool.max_ratio):
         balancer = PoolBalancer(
-            pool, context.options, context.marks.rebalance_excluded, batch_finder, migration_round
+            pool, context.options, context.restrictions.rebalance_excluded, batch_finder, migration_round
         )
         waiting_for = balancer.plan(connections.endpoints) or waiting_for
     migrations = tuple(migration_round.migrations)
--- a/sageturn/rebalance/tick_context.py
+++ b/sageturn/rebalance/tick_context.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from sageturn.core.endpoint_snapshot import EndpointSnapshot, OperatorMarks
+from sageturn.core.endpoint_snapshot import EndpointRestrictions, EndpointSnapshot
 from sageturn.rebalance.batches import EligibilityRules
 from sageturn.rebalance.event_tracker import EventTracker
 from sageturn.rebalance.migration_round import MigrationCapacity, MigrationRound
@@ -20,7 +20,7 @@
     now_ms: float
     endpoints: Sequence[EndpointSnapshot]
     options: RebalanceOptions
-    marks: OperatorMarks
+    restrictions: EndpointRestrictions
     tracker: EventTracker
     rate_controller: MigrationRateController
 
--- a/sageturn/relay/operator_control.py
+++ b/sageturn/relay/operator_control.py
@@ -11,7 +11,7 @@
 
 from sageturn.config.platform import RelayConfig
 from sageturn.core.balancer_actor import BalancerActor
-from sageturn.core.endpoint_snapshot import OperatorMarks
+from sageturn.core.endpoint_snapshot import EndpointRestrictions
 from sageturn.core.request_registry import RequestRegistry
 from sageturn.relay.state_record import make_state_publisher
 from sageturn.relay.subsystem import Subsystem
@@ -32,7 +32,7 @@
         config: RelayConfig,
         balancer_actor: BalancerActor,
         store: Store,
-        on_marks: Callable[[OperatorMarks], None],
+        on_restrictions: Callable[[EndpointRestrictions], None],
     ) -> None:
         self.actor: OverrideActor | None = None
         self._store = store
@@ -41,7 +41,7 @@
             from sageturn.overrides.actor import OverrideActor
 
             publish = make_state_publisher(store, "overrides")
-            self.actor = OverrideActor(balancer_actor, options, store, publish, on_marks)
+            self.actor = OverrideActor(balancer_actor, options, store, publish, on_restrictions)
             store.on_change.append(self.actor.on_store_change)
 
     def start(self, actors: ActorSupervisor) -> None:
@@ -78,7 +78,7 @@
     ) -> None:
         self.rebalancer: Rebalancer | None = None
         self._has_overrides = config.operator.overrides is not None
-        self._marks = OperatorMarks()
+        self._restrictions = EndpointRestrictions()
         self._config = config
         self._balancer_actor = balancer_actor
         self._request_registry = request_registry
@@ -117,11 +117,11 @@
     def run_rebalancer(self, rebalancer: Rebalancer, actors: ActorSupervisor) -> None:
         """Put the rebalancer in force and run it as an actor."""
         self.rebalancer = rebalancer
-        rebalancer.marks = self._marks
+        rebalancer.restrictions = self._restrictions
         actors.spawn("rebalancer", rebalancer.run())
 
-    def set_marks(self, marks: OperatorMarks) -> None:
+    def set_restrictions(self, restrictions: EndpointRestrictions) -> None:
         """Take the endpoints that operators have marked; called by the overrides' actor at each change."""
-        self._marks = marks
+        self._restrictions = restrictions
         if self.rebalancer is not None:
-            self.rebalancer.marks = marks
+            self.rebalancer.restrictions = restrictions
--- a/sageturn/relay/relay.py
+++ b/sageturn/relay/relay.py
@@ -67,7 +67,7 @@
             config, self.balancer_actor, self.request_registry, self.store
         )
         self._overrides = OverridesSubsystem(
-            config, self.balancer_actor, self.store, self._rebalancing.set_marks
+            config, self.balancer_actor, self.store, self._rebalancing.set_restrictions
         )
         self.discovery = DiscoveryClient(config.discovery, self._on_watch_event)
         self.endpoint_registry = self._make_endpoint_registry()
--- a/tests/rebalance/test_planner.py
+++ b/tests/rebalance/test_planner.py
@@ -9,7 +9,7 @@
 from support.rebalance_fleet import QUICK, START_MS, Fleet, Reconnect, uneven_fleet
 
 from sageturn import AttemptEnded, Endpoint, EndpointListEvent, MeasurementReported, MigrateConnection
-from sageturn.core.endpoint_snapshot import OperatorMarks, snapshot_endpoints
+from sageturn.core.endpoint_snapshot import EndpointRestrictions, snapshot_endpoints
 from sageturn.rebalance.options import QuietSpan
 from sageturn.rebalance.overload_signals import OverloadSignal
 
@@ -318,11 +318,11 @@
 
 def test_an_excluded_endpoint_neither_gives_nor_receives() -> None:
     fleet = uneven_fleet()
-    fleet.planner.marks = OperatorMarks(rebalance_excluded=frozenset("a"))
+    fleet.planner.restrictions = EndpointRestrictions(rebalance_excluded=frozenset("a"))
     fleet.run(90)
     assert not any(migrated.reason.startswith("a at") for migrated in fleet.migrated)
     other = uneven_fleet()
-    other.planner.marks = OperatorMarks(rebalance_excluded=frozenset("bc"))
+    other.planner.restrictions = EndpointRestrictions(rebalance_excluded=frozenset("bc"))
     before = other.connection_counts()
     other.run(90)
     assert other.migrated and other.connection_counts()["d"] > before["d"]
@@ -335,7 +335,9 @@
     fleet.add_connections("a", 5, class_name="guest-checkin")
     fleet.add_connections("b", 25, "x")
     fleet.handle(EndpointListEvent("changes", [Endpoint("a", state="draining")]))
-    fleet.planner.marks = OperatorMarks(out_of_service=frozenset("a"), evacuating=frozenset("a"))
+    fleet.planner.restrictions = EndpointRestrictions(
+        out_of_service=frozenset("a"), evacuating=frozenset("a")
+    )
     fleet.run(150)
     assert fleet.connection_counts()["a"] == 0 and len(fleet.migrated) == 25
     assert all("cleared by an operator" in migrated.reason for migrated in fleet.migrated)
