--- a/experiments/measure_client_disconnects.py
+++ b/experiments/measure_client_disconnects.py
@@ -28,13 +28,13 @@
 
 from support.network_fakes import (
     SETTINGS,
-    Discovery,
-    ask,
-    chunked,
-    first_line,
-    listed,
-    served,
-    until_ready,
+    FakeDiscovery,
+    encode_request_line,
+    encode_watch_response,
+    make_endpoint_list,
+    running_server,
+    send_request,
+    wait_until_ready,
     write_config,
 )
 from support.ports import Address, free_port
@@ -143,8 +143,8 @@
     """Clients of the line protocol."""
 
     async def connect(number: int) -> WaitingClient:
-        line = first_line(CLIENT_TIMEOUT_MS)
-        _, writer = await ask(address, line)
+        line = encode_request_line(CLIENT_TIMEOUT_MS)
+        _, writer = await send_request(address, line)
 
         def leave() -> Departure:
             began_s = time.time()
@@ -249,7 +249,7 @@
         )
         operator_options = ["--operator", str(operator_file)] if frontend == "xmpp" else []
         await _start_processes(stack, config, records, operator_options)
-        await until_ready(addresses.lines)
+        await wait_until_ready(addresses.lines)
         logged_in: list[Client] = []
         if frontend == "lines":
             connect = connect_with_lines(addresses.lines)
@@ -267,15 +267,15 @@
     """Start the hosts and discovery, and write the relay's configuration."""
     hosts = [RejectingHost() for _ in range(HOST_COUNT)]
     for host in hosts:
-        await stack.enter_async_context(served(host))  # type: ignore[arg-type]
+        await stack.enter_async_context(running_server(host))  # type: ignore[arg-type]
     endpoints = {f"h{number}": host.address for number, host in enumerate(hosts)}
-    discovery = Discovery(chunked(listed(endpoints, 2)))
-    await stack.enter_async_context(served(discovery))
+    discovery = FakeDiscovery(encode_watch_response(make_endpoint_list(endpoints, 2)))
+    await stack.enter_async_context(running_server(discovery))
     tenants = [{"name": "t", "fraction": 1.0, "allowancePerS": ALLOWANCE_PER_S}]
     return write_config(
         folder,
         discovery.address,
-        listed(endpoints),
+        make_endpoint_list(endpoints),
         listen="{}:{}".format(*addresses.lines),
         settings={**SETTINGS, "accounts": tenants},
         limits={"sockets": 8192, "memory_mb": 1024},
--- a/tests/config/test_deployments.py
+++ b/tests/config/test_deployments.py
@@ -16,14 +16,14 @@
 from support.deployments import FERRY_SETTINGS, with_value
 from support.network_fakes import (
     FakeEndpoint,
-    ask,
-    first_line,
-    listed,
-    relaying,
-    reply,
-    resets,
-    serve_all,
-    up,
+    echo_lines,
+    encode_request_line,
+    exchange_line,
+    make_endpoint_list,
+    reset_connection,
+    running_relay,
+    send_request,
+    start_endpoints_and_discovery,
     write_config,
 )
 
@@ -124,25 +124,27 @@
 @pytest.mark.parametrize("attempts", [1, 6])
 async def test_a_third_deployment_is_served_by_its_own_figures(tmp_path: Path, attempts: int) -> None:
     conf = with_value(FERRY_SETTINGS, "policyLimits.sendCap", attempts)
-    endpoints = [FakeEndpoint(script) for script in (resets,) * 6]
+    endpoints = [FakeEndpoint(script) for script in (reset_connection,) * 6]
     async with AsyncExitStack() as stack:
-        names, discovery = await serve_all(stack, endpoints)
-        file = write_config(tmp_path, discovery.address, listed(names), settings=conf)
+        names, discovery = await start_endpoints_and_discovery(stack, endpoints)
+        file = write_config(tmp_path, discovery.address, make_endpoint_list(names), settings=conf)
         relay = Relay(load({"GW_CONFIG": str(file)}))
         relay.balancer_actor.check_endpoint_health = lambda endpoint: None
         relay.start()
         stack.push_async_callback(relay.stop)
-        line = first_line(900).replace(b"c=c,t=t", b"c=gate,t=north")
-        assert (await reply(relay.listener.address, line))[:4] in (b"BUSY", b"ERR ")
-        assert sum(len(endpoint.lines) for endpoint in endpoints) == attempts
-        assert all(endpoint.max_open <= 1 for endpoint in endpoints)
+        line = encode_request_line(900).replace(b"c=c,t=t", b"c=gate,t=north")
+        assert (await exchange_line(relay.listener.address, line))[:4] in (b"BUSY", b"ERR ")
+        assert sum(len(endpoint.request_lines) for endpoint in endpoints) == attempts
+        assert all(endpoint.max_open_connections <= 1 for endpoint in endpoints)
         for endpoint in endpoints:
-            endpoint.script = up
+            endpoint.script = echo_lines
         relay.balancer_actor._balancer.admission.buckets["south"].tokens = 9.0
-        line = first_line(900).replace(b"c=c,t=t", b"c=deck,t=south")
-        reader, writer = await ask(relay.listener.address, line)
+        line = encode_request_line(900).replace(b"c=c,t=t", b"c=deck,t=south")
+        reader, writer = await send_request(relay.listener.address, line)
         assert await reader.readline() == b"UP r1\r\n"
-        assert (await reply(relay.listener.address, first_line(900))).startswith(b"ERR c names no class")
+        assert (await exchange_line(relay.listener.address, encode_request_line(900))).startswith(
+            b"ERR c names no class"
+        )
         writer.close()
 
 
@@ -175,7 +177,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, resumed: bool
 ) -> None:
     # A connection may take connectTimeoutMs; its request line once followed whatever was known by then.
-    async with relaying(tmp_path, up, up) as (relay, endpoints):
+    async with running_relay(tmp_path, echo_lines, echo_lines) as (relay, endpoints):
         by_port = {
             endpoint.address[1]: (name, endpoint) for name, endpoint in zip("ab", endpoints, strict=True)
         }
@@ -199,8 +201,11 @@
             await asyncio.sleep(0.01)
         monkeypatch.setattr(frontend_connection, "connect_unreserved", connect_while_draining)
         more = ",at=a" if resumed else ""
-        assert await reply(relay.listener.address, first_line(more=more)) == b"UP r1\r\n"
-        assert len([line for line in first[0].lines if line]) == (1 if resumed else 0)
+        assert (
+            await exchange_line(relay.listener.address, encode_request_line(extra_parameters=more))
+            == b"UP r1\r\n"
+        )
+        assert len([line for line in first[0].request_lines if line]) == (1 if resumed else 0)
 
 
 # ---------------------------------------------------------------- a planned stop
--- a/tests/core/test_attempt_guard.py
+++ b/tests/core/test_attempt_guard.py
@@ -8,7 +8,7 @@
 
 import pytest
 from support.event_loop import until
-from support.network_fakes import SETTINGS, ask, first_line, relaying, responds_with
+from support.network_fakes import SETTINGS, encode_request_line, respond_with, running_relay, send_request
 from support.relay_checks import is_idle
 
 from sageturn.core.attempt_guard import MAX_RESPONSE_DELAY_MS, AttemptGuard
@@ -77,7 +77,7 @@
 ) -> None:
     settings = {**SETTINGS, "classes": [{**SETTINGS["classes"][0], "semantics": "unsafe"}]}
 
-    async with relaying(tmp_path, responds_with(b"ERR\r\n"), settings=settings) as (relay, (endpoint,)):
+    async with running_relay(tmp_path, respond_with(b"ERR\r\n"), settings=settings) as (relay, (endpoint,)):
         actor = relay.balancer_actor
         handle = actor.balancer.handle
         repeated: list[int] = []
@@ -89,11 +89,11 @@
             return handle(now_ms, event)
 
         monkeypatch.setattr(actor.balancer, "handle", repeat_once)
-        reader, writer = await ask(relay.listener.address, first_line(300))
+        reader, writer = await send_request(relay.listener.address, encode_request_line(300))
         # The balancer knows nothing of the attempt that it never decided on, and decides nothing more.
         assert await reader.readline() == b"ERR internal\r\n"
         writer.close()
-        assert repeated and len([line for line in endpoint.lines if line]) == 1
+        assert repeated and len([line for line in endpoint.request_lines if line]) == 1
         assert actor.monitor.violations == {Invariant.REPEATABLE: 1}
         assert actor.counters.blocked_sends == {"invariant": 1}
         await until(lambda: not relay.request_registry)
@@ -103,8 +103,8 @@
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     caplog.set_level(logging.INFO)
-    async with relaying(tmp_path, responds_with(b"BUSY\r\n")) as (relay, _):
-        reader, writer = await ask(relay.listener.address, first_line())
+    async with running_relay(tmp_path, respond_with(b"BUSY\r\n")) as (relay, _):
+        reader, writer = await send_request(relay.listener.address, encode_request_line())
         assert (await reader.readline()).startswith(b"BUSY")
         writer.close()
         await until(lambda: is_idle(relay))
--- a/tests/core/test_attempt_races.py
+++ b/tests/core/test_attempt_races.py
@@ -12,7 +12,16 @@
 
 import pytest
 from support.event_loop import until
-from support.network_fakes import SETTINGS, ConnectResult, FakeEndpoint, ask, first_line, relaying, silent, up
+from support.network_fakes import (
+    SETTINGS,
+    ConnectResult,
+    FakeEndpoint,
+    echo_lines,
+    encode_request_line,
+    never_respond,
+    running_relay,
+    send_request,
+)
 from support.ports import Address
 from support.relay_checks import is_idle, record_closed_connections, record_placements
 
@@ -78,7 +87,7 @@
 ) -> None:
     # A client's FIN lay unread while the core was busy, and its line followed it 0.3 s later. The loop does
     # not turn between the end and the write here, so only a look at that very moment can see it.
-    async with relaying(tmp_path, up, up) as (relay, endpoints):
+    async with running_relay(tmp_path, echo_lines, echo_lines) as (relay, endpoints):
         await until(lambda: relay.endpoint_registry.version == 2)
         by_port = {
             endpoint.address[1]: (name, endpoint) for name, endpoint in zip("ab", endpoints, strict=True)
@@ -100,7 +109,7 @@
         monkeypatch.setattr(frontend_connection, "connect_unreserved", comes_up)
         records = record_closed_connections(relay, monkeypatch)
         client = socket.create_connection(relay.listener.address)
-        client.sendall(first_line())
+        client.sendall(encode_request_line())
         await until(lambda: reached)
         if end in ENDPOINT_CHANGES:  # it is served all the same, at the other one
             client.settimeout(5)
@@ -110,10 +119,12 @@
             assert (await asyncio.to_thread(client.recv, 99)) == b"BUSY 250\r\n"
             client.close()
         await until(lambda: records and is_idle(relay))
-        assert not any(reached[0].lines), end.__name__
+        assert not any(reached[0].request_lines), end.__name__
         if end.__name__.startswith("leave"):
             assert records[0].close_reason in (CloseReason.CLIENT_LEFT, CloseReason.CLIENT_RESET)
-            assert calls == attempt and not any(line for endpoint in endpoints for line in endpoint.lines)
+            assert calls == attempt and not any(
+                line for endpoint in endpoints for line in endpoint.request_lines
+            )
 
 
 # ---------------------------------------------------------------- what a forced drain rejects
@@ -145,7 +156,10 @@
     is_executed: bool,
 ) -> None:
     # Every request that a forced drain ended was answered BUSY, which says that a retry is harmless.
-    async with relaying(tmp_path, silent, settings=deployment(effect, scope)) as (relay, (endpoint,)):
+    async with running_relay(tmp_path, never_respond, settings=deployment(effect, scope)) as (
+        relay,
+        (endpoint,),
+    ):
         await until(lambda: relay.endpoint_registry.version == 2)
         if not is_executed:
             held = asyncio.Event()
@@ -156,9 +170,9 @@
                 return connecting.ConnectFailure.TIMED_OUT
 
             monkeypatch.setattr(frontend_connection, "connect_unreserved", never_up)
-        reader, writer = await ask(relay.listener.address, first_line())
+        reader, writer = await send_request(relay.listener.address, encode_request_line())
         if is_executed:
-            await until(lambda: endpoint.lines)
+            await until(lambda: endpoint.request_lines)
         else:
             await held.wait()
         for lifecycle in relay.request_registry:
@@ -180,13 +194,13 @@
         writer.write(text)
 
     unsafe = deployment("unsafe", "all")
-    async with relaying(tmp_path, responds_malformed, responds_malformed, settings=unsafe) as (
+    async with running_relay(tmp_path, responds_malformed, responds_malformed, settings=unsafe) as (
         relay,
         endpoints,
     ):
-        reader, writer = await ask(relay.listener.address, first_line())
+        reader, writer = await send_request(relay.listener.address, encode_request_line())
         assert (await reader.read()).startswith(b"ERR")
-        assert sum(len(endpoint.lines) for endpoint in endpoints) == 1
+        assert sum(len(endpoint.request_lines) for endpoint in endpoints) == 1
         writer.close()
         await until(lambda: is_idle(relay))
 
@@ -200,13 +214,13 @@
     """The first attempt may have run; every later one would be served."""
 
     def __init__(self) -> None:
-        self.lines: list[bytes] = []
+        self.request_lines: list[bytes] = []
 
     async def __call__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes) -> None:
         if line:
-            self.lines.append(line)
-        if len(self.lines) > 1:
-            await up(reader, writer, line)
+            self.request_lines.append(line)
+        if len(self.request_lines) > 1:
+            await echo_lines(reader, writer, line)
 
 
 class LateRetry:
@@ -252,14 +266,14 @@
     endpoint = BreaksOnce()
     settings = deployment("keyed", scope)
     settings["classes"][0].update(aimMs=9000.0, hardLimitMs=9000.0)
-    async with relaying(tmp_path, endpoint, endpoint, settings=settings) as (relay, _):
+    async with running_relay(tmp_path, endpoint, endpoint, settings=settings) as (relay, _):
         await until(lambda: relay.endpoint_registry.version == 2)
         retry = LateRetry(relay, monkeypatch, moment, late_ms)
-        reader, writer = await ask(relay.listener.address, first_line(9000))
+        reader, writer = await send_request(relay.listener.address, encode_request_line(9000))
         response = await reader.readline()
         in_time = late_ms < KEY_MS
         assert response[:4] == (b"UP r" if in_time else word)
-        assert len(endpoint.lines) == 1 + in_time
+        assert len(endpoint.request_lines) == 1 + in_time
         # Nor does the module decide on a third, which the same look would hold back again.
         assert retry.attempts == 2
         assert retry.connections == (2 if in_time or moment == "came up" else 1)
@@ -273,7 +287,7 @@
     endpoint = BreaksOnce()
     settings = deployment("keyed", "all")
     settings["classes"][0].update(aimMs=9000.0, hardLimitMs=9000.0, keyTtlMs=300.0)
-    async with relaying(tmp_path, endpoint, endpoint, settings=settings) as (relay, _):
+    async with running_relay(tmp_path, endpoint, endpoint, settings=settings) as (relay, _):
         await until(lambda: relay.endpoint_registry.version == 2)
         send, sent = sockets.send_gathered, 0
 
@@ -285,10 +299,10 @@
             await send(*arguments)
 
         monkeypatch.setattr(platform_connection, "send_gathered", stuck)
-        reader, writer = await ask(relay.listener.address, first_line(9000))
+        reader, writer = await send_request(relay.listener.address, encode_request_line(9000))
         async with asyncio.timeout(4):  # and not the client's 9 s
             assert (await reader.readline()).startswith(b"BUSY")
-        assert sent == 2 and len(endpoint.lines) == 1
+        assert sent == 2 and len(endpoint.request_lines) == 1
         writer.close()
         await until(lambda: is_idle(relay))
 
@@ -312,7 +326,7 @@
     def send_line(sock: socket.socket) -> None:
         if after_shutdown:
             sock.shutdown(socket.SHUT_WR)
-        client.sendall(first_line())
+        client.sendall(encode_request_line())
 
     async def send_and_close_gracefully(sock: socket.socket) -> None:
         send_line(sock)
@@ -341,7 +355,7 @@
 ) -> None:
     # What is read after a shutdown and forwarded is lost, and a close over unread bytes resets the answer.
     monkeypatch.setattr(platform_frontend, "REQUEST_LINE_TIMEOUT_S", 0.1 if end == "out of time" else 5.0)
-    async with relaying(tmp_path, up) as (relay, (endpoint,)):
+    async with running_relay(tmp_path, echo_lines) as (relay, (endpoint,)):
         placements = record_placements(relay)
         client = socket.create_connection(relay.listener.address)
         send_as_connection_closes(client, monkeypatch, after_shutdown=after_shutdown)
@@ -357,4 +371,4 @@
         assert not is_reset(client)
         client.close()
         await until(lambda: not relay.admission.connection_count)
-        assert placements == [] and not endpoint.lines
+        assert placements == [] and not endpoint.request_lines
--- a/tests/core/test_client_disconnects.py
+++ b/tests/core/test_client_disconnects.py
@@ -14,7 +14,15 @@
 
 import pytest
 from support.event_loop import until
-from support.network_fakes import SETTINGS, ConnectResult, ask, first_line, relaying, silent, up
+from support.network_fakes import (
+    SETTINGS,
+    ConnectResult,
+    echo_lines,
+    encode_request_line,
+    never_respond,
+    running_relay,
+    send_request,
+)
 from support.ports import Address
 from support.relay_checks import record_closed_connections
 from support.xmpp_fakes import Client, Server
@@ -115,16 +123,16 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, leave: Callable[[socket.socket], None], attempt: int
 ) -> None:
     # Only what was written was held back: the connection for it was begun, and took a host's place and time.
-    async with relaying(tmp_path, up, up) as (relay, endpoints):
+    async with running_relay(tmp_path, echo_lines, echo_lines) as (relay, endpoints):
         await until(lambda: relay.endpoint_registry.version == 2)
         connects = ConnectCounter(monkeypatch, attempt - 1)
         act_as_attempt_begins(monkeypatch, PlatformConnection, attempt, lambda: leave(client))
         records = record_closed_connections(relay, monkeypatch)
         client = socket.create_connection(relay.listener.address)
-        client.sendall(first_line())
+        client.sendall(encode_request_line())
         await until(lambda: records and not relay.balancer_actor.balancer.requests)
         client.close()
-        assert connects.count == attempt - 1 and not any(endpoint.open for endpoint in endpoints)
+        assert connects.count == attempt - 1 and not any(endpoint.open_connections for endpoint in endpoints)
         assert records[0].close_reason in GONE
 
 
@@ -187,7 +195,9 @@
             await client_thread.run(abort_connection(client))
             assert records[0].close_reason in GONE and not records[0].was_established
             assert connects.count == (moment != "first")
-            assert sum(len(endpoint.lines) for endpoint in endpoints) == (moment == "bind") and not bound
+            assert (
+                sum(len(endpoint.request_lines) for endpoint in endpoints) == (moment == "bind") and not bound
+            )
 
 
 async def send_bind(client: Client) -> None:
@@ -210,7 +220,7 @@
     # clients have been gone for longer than an attempt may come after them.
     tenants = [{"name": "t", "fraction": 1.0, "allowancePerS": 10.0 * CROWD}]
     settings = {**SETTINGS, "accounts": tenants}
-    async with relaying(tmp_path, silent, silent, settings=settings) as (relay, endpoints):
+    async with running_relay(tmp_path, never_respond, never_respond, settings=settings) as (relay, endpoints):
         await until(lambda: relay.endpoint_registry.version == 2)
         connect, begun, released = connecting.connect_unreserved, 0, asyncio.Event()
 
@@ -222,14 +232,16 @@
 
         monkeypatch.setattr(frontend_connection, "connect_unreserved", connect_when_released)
         records = record_closed_connections(relay, monkeypatch)
-        clients = [await ask(relay.listener.address, first_line(3000)) for _ in range(CROWD)]
+        clients = [
+            await send_request(relay.listener.address, encode_request_line(3000)) for _ in range(CROWD)
+        ]
         await until(lambda: begun == CROWD)
         released.set()
         for _, writer in clients:
             writer.get_extra_info("socket").shutdown(socket.SHUT_RDWR)
         time.sleep(BUSY_S)
         await until(lambda: len(records) == CROWD and not relay.balancer_actor.balancer.requests)
-        assert begun == CROWD and not any(line for endpoint in endpoints for line in endpoint.lines)
+        assert begun == CROWD and not any(line for endpoint in endpoints for line in endpoint.request_lines)
         assert {record.close_reason for record in records} <= set(GONE)
         for _, writer in clients:
             writer.close()
@@ -239,27 +251,27 @@
 async def test_those_who_left_while_they_lay_in_the_backlog_cost_no_attempt(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async with relaying(tmp_path, up, up) as (relay, endpoints):
+    async with running_relay(tmp_path, echo_lines, echo_lines) as (relay, endpoints):
         await until(lambda: relay.endpoint_registry.version == 2)
         connects = ConnectCounter(monkeypatch)
         records = record_closed_connections(relay, monkeypatch)
         for _ in range(100):  # the loop does not turn here
             client = socket.create_connection(relay.listener.address)
-            client.sendall(first_line())
+            client.sendall(encode_request_line())
             client.close()
         time.sleep(BUSY_S)
         await until(lambda: len(records) == 100 and not relay.balancer_actor.balancer.requests)
-        assert connects.count == 0 and not any(endpoint.open for endpoint in endpoints)
+        assert connects.count == 0 and not any(endpoint.open_connections for endpoint in endpoints)
 
 
 @pytest.mark.timeout(30)
 async def test_words_read_in_two_places_stay_in_their_order(tmp_path: Path) -> None:
     # One reader had read the first and was not yet woken; the look before writing then read the second, and
     # put it in front.
-    async with relaying(tmp_path, silent) as (relay, (endpoint,)):
+    async with running_relay(tmp_path, never_respond) as (relay, (endpoint,)):
         loop = asyncio.get_running_loop()
-        _reader, writer = await ask(relay.listener.address, first_line(3000))
-        await until(lambda: endpoint.lines)
+        _reader, writer = await send_request(relay.listener.address, encode_request_line(3000))
+        await until(lambda: endpoint.request_lines)
         (lifecycle,) = relay.request_registry
         transport: Any = lifecycle.transport
         seen: asyncio.Future[None] = loop.create_future()
@@ -294,7 +306,7 @@
         client = await Client.connect(xmpp_address(relay))
         await client.login(client_tls())
         client.send_bind()
-        await until(lambda: endpoint.lines)
+        await until(lambda: endpoint.request_lines)
         client.send("<not <well>")
         assert "<policy-violation " in await client.read_rest()
         client.writer.close()
--- a/tests/core/test_close_reasons.py
+++ b/tests/core/test_close_reasons.py
@@ -14,7 +14,15 @@
 
 import pytest
 from support.event_loop import until
-from support.network_fakes import SETTINGS, ConnectResult, FakeEndpoint, Script, first_line, relaying, up
+from support.network_fakes import (
+    SETTINGS,
+    ConnectResult,
+    EndpointScript,
+    FakeEndpoint,
+    echo_lines,
+    encode_request_line,
+    running_relay,
+)
 from support.ports import Address
 from support.relay_checks import is_balancer_idle, is_idle, record_closed_connections
 
@@ -55,7 +63,7 @@
     def __init__(self, relay: Relay, endpoints: list[FakeEndpoint], wait_ms: int = 3000) -> None:
         self.relay = relay
         self.endpoints = endpoints
-        self.line = first_line(wait_ms)
+        self.line = encode_request_line(wait_ms)
         self.client = socket.create_connection(relay.listener.address)
         self.client.setblocking(False)
         self.resume = asyncio.Event()  # lets what was held at its stage go on
@@ -63,7 +71,7 @@
 
     @property
     def lines(self) -> list[bytes]:
-        return [line for endpoint in self.endpoints for line in endpoint.lines if line]
+        return [line for endpoint in self.endpoints for line in endpoint.request_lines if line]
 
     async def read_rest(self) -> bytes:
         """All that the client still receives; b"reset" at the end of it if it was reset."""
@@ -79,10 +87,10 @@
 # ---------------------------------------------------------------- stages: what the endpoints do meanwhile
 
 
-def holding(text: bytes) -> Callable[[list[RelayScenario]], Script]:
+def holding(text: bytes) -> Callable[[list[RelayScenario]], EndpointScript]:
     """Sends ``text``, then waits for the scenario to end or resume it; then resets or closes."""
 
-    def script(scenario: list[RelayScenario]) -> Script:
+    def script(scenario: list[RelayScenario]) -> EndpointScript:
         async def act(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes) -> None:
             writer.write(text)
             await writer.drain()
@@ -208,7 +216,7 @@
     scenarios: list[RelayScenario] = []
     settings = DEPLOYMENTS[effect]
     monkeypatch.setattr(platform_frontend, "REQUEST_LINE_TIMEOUT_S", 0.4)
-    async with relaying(tmp_path, *[act(scenarios)] * 3, settings=settings) as (relay, endpoints):
+    async with running_relay(tmp_path, *[act(scenarios)] * 3, settings=settings) as (relay, endpoints):
         while relay.endpoint_registry.version != 2:
             await asyncio.sleep(0.002)
         descriptors = len(os.listdir("/proc/self/fd"))
@@ -229,13 +237,15 @@
                 not relay.request_registry and not balancer.requests and not relay.admission.connection_count
             )
         )
-        await until(lambda: not any(endpoint.open for endpoint in endpoints))
+        await until(lambda: not any(endpoint.open_connections for endpoint in endpoints))
         assert is_idle(relay)
         # The listener's, and the descriptor that it keeps in reserve.
         shut = 2 if end is graceful_shutdown else 0
         await until(lambda: len(os.listdir("/proc/self/fd")) <= descriptors - shut)
         sent, max_attempts = len(scenario.lines), settings["policyLimits"]["sendCap"]
-        assert sent <= max_attempts and sum(endpoint.max_open for endpoint in endpoints) <= max(1, sent)
+        assert sent <= max_attempts and sum(endpoint.max_open_connections for endpoint in endpoints) <= max(
+            1, sent
+        )
         if end in GONE or end in (all_endpoints_drain, graceful_shutdown):
             assert len(scenario.lines) == before, "sent on after the end was known"
         if end not in GONE and not stays:
@@ -262,12 +272,12 @@
 # ---------------------------------------------------------------- as the listener closes
 
 
-@pytest.mark.parametrize("sent", [first_line(), b"PING\r\n", first_line()[:9], b""])
+@pytest.mark.parametrize("sent", [encode_request_line(), b"PING\r\n", encode_request_line()[:9], b""])
 @pytest.mark.timeout(10)
 async def test_a_client_that_connects_as_the_listener_closes_is_answered(tmp_path: Path, sent: bytes) -> None:
     # The listening socket was closed over its backlog: who waited there was reset without a word. The loop
     # does not turn between the client's coming and the shutting here.
-    async with relaying(tmp_path, up) as (relay, (endpoint,)):
+    async with running_relay(tmp_path, echo_lines) as (relay, (endpoint,)):
         relay.request_registry.schedule = ShutdownSchedule(0.0, 0.0, 0.05, 2.0)
         stop_accepting, clients = relay.ingress.stop_accepting, list[socket.socket]()
 
@@ -279,7 +289,7 @@
 
         relay.ingress.stop_accepting = connect_and_stop_accepting  # type: ignore[method-assign]
         await relay.request_registry.drain(relay.ingress)
-        assert not relay.admission.connection_count and not any(endpoint.lines)
+        assert not relay.admission.connection_count and not any(endpoint.request_lines)
         clients[0].settimeout(5)
         received = clients[0].recv(99)
         assert received.startswith((b"BUSY", b"ERR")) and clients[0].recv(99) == b""
@@ -293,25 +303,25 @@
     tmp_path: Path,
 ) -> None:
     # It was placed, stood, and was cut off without MOVE: only those who were there had been told to hurry.
-    async with relaying(tmp_path, up) as (relay, (endpoint,)):
+    async with running_relay(tmp_path, echo_lines) as (relay, (endpoint,)):
         relay.request_registry.schedule = ShutdownSchedule(0.0, 0.0, 0.01, 2.0)
         scenario = RelayScenario(relay, [endpoint])
         relay.admission.evict_all_pending = lambda: None  # type: ignore[method-assign]
         draining = asyncio.ensure_future(relay.request_registry.drain(relay.ingress))
         await until(lambda: relay.admission.awaiting_request and relay.request_registry.is_drain_forced)
-        scenario.client.sendall(first_line())
+        scenario.client.sendall(encode_request_line())
         assert (await scenario.read_rest()).startswith(b"BUSY")
         await draining
-        assert not any(endpoint.lines)
+        assert not any(endpoint.request_lines)
         scenario.client.close()
 
 
 @pytest.mark.timeout(10)
 async def test_a_graceful_shutdown_waits_for_connections_without_a_request(tmp_path: Path) -> None:
-    async with relaying(tmp_path, up) as (relay, (endpoint,)):
+    async with running_relay(tmp_path, echo_lines) as (relay, (endpoint,)):
         relay.request_registry.schedule = ShutdownSchedule(0.0, 0.0, 8.0, 9.0)
         scenario = RelayScenario(relay, [endpoint])
-        line = first_line()
+        line = encode_request_line()
         scenario.client.sendall(line[:20])
         await until(lambda: relay.admission.awaiting_request)
         draining = asyncio.ensure_future(relay.request_registry.drain(relay.ingress))
@@ -326,11 +336,11 @@
 @pytest.mark.timeout(10)
 async def test_a_client_evicted_as_its_request_line_completes_is_answered(tmp_path: Path) -> None:
     # Closed over the unread line, the kernel's reset destroyed the answer.
-    async with relaying(tmp_path, up) as (relay, _):
+    async with running_relay(tmp_path, echo_lines) as (relay, _):
         scenario = RelayScenario(relay, [])
         await until(lambda: relay.admission.awaiting_request)
         await asyncio.sleep(0.01)  # its reading has begun; whether or not, it is answered
-        scenario.client.sendall(first_line())
+        scenario.client.sendall(encode_request_line())
         relay.admission.evict_all_pending()
         assert await scenario.read_rest() == b"BUSY 500\r\n"
         scenario.client.close()
@@ -361,10 +371,10 @@
 
     monkeypatch.setattr(platform_relaying, "LineForwarder", RecordedForwarder)
 
-    async with relaying(tmp_path, floods) as (relay, _):
+    async with running_relay(tmp_path, floods) as (relay, _):
         ended = record_closed_connections(relay, monkeypatch)
         scenario = RelayScenario(relay, [])
-        scenario.client.sendall(first_line())
+        scenario.client.sendall(encode_request_line())
         await until(lambda: any(lifecycle.is_established for lifecycle in relay.request_registry))
         (lifecycle,) = relay.request_registry
         stuck = 0
@@ -392,12 +402,12 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Nothing of it was sent: ERR said that it may have been.
-    async with relaying(tmp_path, up) as (relay, (endpoint,)):
+    async with running_relay(tmp_path, echo_lines) as (relay, (endpoint,)):
         scenario = RelayScenario(relay, [endpoint])
-        scenario.line = first_line(40000, ",at=a")
+        scenario.line = encode_request_line(40000, ",at=a")
         await connecting(scenario, monkeypatch)
         await graceful_shutdown(scenario)
-        assert (await scenario.read_rest()).startswith(b"BUSY") and not any(endpoint.lines)
+        assert (await scenario.read_rest()).startswith(b"BUSY") and not any(endpoint.request_lines)
         scenario.client.close()
 
 
@@ -406,7 +416,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # The client's connection was closed without a word, and the module kept the request for good.
-    async with relaying(tmp_path, up) as (relay, _):
+    async with running_relay(tmp_path, echo_lines) as (relay, _):
 
         async def fails(address: Address, timeout_s: float) -> ConnectResult:
             raise ValueError("unforeseen")
--- a/tests/core/test_load_values.py
+++ b/tests/core/test_load_values.py
@@ -7,7 +7,7 @@
 
 import pytest
 from support.event_loop import until
-from support.network_fakes import ask, first_line, relaying
+from support.network_fakes import encode_request_line, running_relay, send_request
 
 from sageturn.decision import MeasurementReported
 
@@ -29,7 +29,7 @@
 ) -> None:
     # One NaN entered the sum of all loads, every comparison with it failed from then on, and the relay
     # never again took an endpoint for overloaded.
-    async with relaying(tmp_path, reports_invalid_loads) as (relay, _):
+    async with running_relay(tmp_path, reports_invalid_loads) as (relay, _):
         reported: list[float] = []
         balancer = relay.balancer_actor.balancer
         handle = balancer.handle
@@ -40,7 +40,7 @@
             return handle(now_ms, event)  # type: ignore[arg-type]
 
         monkeypatch.setattr(balancer, "handle", record)
-        reader, writer = await ask(relay.listener.address, first_line())
+        reader, writer = await send_request(relay.listener.address, encode_request_line())
         for _ in range(len(INVALID_LOADS) + 2):
             await reader.readline()
         await until(lambda: 2.0 in reported)
--- a/tests/decision/test_health_checks.py
+++ b/tests/decision/test_health_checks.py
@@ -16,15 +16,15 @@
 from support.load_reports import FIELDS, answers_health_checks
 from support.network_fakes import (
     SETTINGS,
-    Script,
-    ask,
-    first_line,
-    relaying,
-    reply,
-    resets,
-    responds_with,
-    silent,
-    up,
+    EndpointScript,
+    echo_lines,
+    encode_request_line,
+    exchange_line,
+    never_respond,
+    reset_connection,
+    respond_with,
+    running_relay,
+    send_request,
 )
 from support.relay_checks import record_balancer_events
 
@@ -206,7 +206,7 @@
     monkeypatch.setitem(SETTINGS, "report", {"source": "probe", "fields": list(FIELDS)})
     script, seen = answers_health_checks(*words)
 
-    async with relaying(tmp_path, script) as (relay, _):
+    async with running_relay(tmp_path, script) as (relay, _):
         assert relay.health_check_client is not None
         heard: asyncio.Queue[decision.HealthCheckCompleted] = asyncio.Queue()
         relay.health_check_client.on_completed = heard.put
@@ -219,16 +219,16 @@
             while relay.health_check_client.checks_under_way:
                 await asyncio.sleep(0)
         assert len(seen) == len(words) and set(seen) == {b"STATS\r\n"} and heard.empty()
-        assert await reply(relay.listener.address, first_line()) == b"UP r1\r\n"
+        assert await exchange_line(relay.listener.address, encode_request_line()) == b"UP r1\r\n"
 
 
-@pytest.mark.parametrize("script", [silent, resets])
+@pytest.mark.parametrize("script", [never_respond, reset_connection])
 async def test_an_endpoint_that_never_answers_health_checks_serves_its_clients(
-    tmp_path: Path, script: Script
+    tmp_path: Path, script: EndpointScript
 ) -> None:
-    async with relaying(tmp_path, up, script) as (relay, _):
+    async with running_relay(tmp_path, echo_lines, script) as (relay, _):
         assert relay.health_check_client is None  # not allowed by these settings: nothing of it is there
-        assert await reply(relay.listener.address, first_line()) == b"UP r1\r\n"
+        assert await exchange_line(relay.listener.address, encode_request_line()) == b"UP r1\r\n"
 
 
 async def test_a_report_behind_a_final_response_is_no_broken_connection(
@@ -237,9 +237,11 @@
     # BYE with a report behind it was taken for the end of a connection that broke.
     monkeypatch.setitem(SETTINGS, "report", {"source": "answers", "fields": list(FIELDS)})
 
-    async with relaying(tmp_path, responds_with(b"UP r\r\nBYE x0=0.25,util=0.5\r\n")) as (relay, _):
+    async with running_relay(tmp_path, respond_with(b"UP r\r\nBYE x0=0.25,util=0.5\r\n")) as (relay, _):
         handled = record_balancer_events(relay, monkeypatch)
-        reader, writer = await ask(relay.listener.address, first_line(more=",r=1"))
+        reader, writer = await send_request(
+            relay.listener.address, encode_request_line(extra_parameters=",r=1")
+        )
         assert await reader.read() == b"UP r\r\nBYE x0=0.25,util=0.5\r\n"
         writer.close()
         while not any(isinstance(event, decision.AttemptEnded) for event in handled):
--- a/tests/frontends/test_compatibility_frontends.py
+++ b/tests/frontends/test_compatibility_frontends.py
@@ -22,7 +22,7 @@
 import pytest
 from scramp import ScramClient, ScramMechanism  # type: ignore[import-untyped]  # it has no stubs
 from scramp.core import Nonce  # type: ignore[import-untyped]  # it has no stubs
-from support.network_fakes import Script, ask, relaying, responds_with, silent
+from support.network_fakes import EndpointScript, never_respond, respond_with, running_relay, send_request
 
 from sageturn.core.messages import FinalResponse
 from sageturn.frontends.platform import frontend as platform_frontend
@@ -109,7 +109,7 @@
 
 async def talk(address: tuple[str, int], *lines: bytes) -> bytes:
     """All that comes back; each further line goes out after something has come."""
-    reader, writer = await ask(address, lines[0])
+    reader, writer = await send_request(address, lines[0])
     received = b""
     for line in lines[1:]:
         received += await reader.readline()
@@ -135,7 +135,7 @@
     answers = {"turned-away": platform_frontend.PlatformFrontend.rejection}
     for name, answer in ANSWERS.items():
         answers[f"answer.{name}"] = await sent_by(partial(send_final_response, response=answer))
-    async with relaying(folder, silent) as (relay, _):
+    async with running_relay(folder, never_respond) as (relay, _):
         address = relay.listener.address
         for name, line in FIRST_LINES.items():
             more = (b"nonsense\r\n",) if line == b"PING\r\n" else ()
@@ -151,10 +151,10 @@
     forwarded: bytes
 
 
-async def platform_exchange(folder: Path, script: Script) -> Exchange:
-    async with relaying(folder, script) as (relay, (endpoint,)):
+async def platform_exchange(folder: Path, script: EndpointScript) -> Exchange:
+    async with running_relay(folder, script) as (relay, (endpoint,)):
         received = await talk(relay.listener.address, OPEN)
-        before, _, rest = endpoint.lines[0].partition(b"d=")
+        before, _, rest = endpoint.request_lines[0].partition(b"d=")
         digits, comma, after = rest.partition(b",")
         assert digits.isdigit() and 0 < int(digits) <= 2000
         return Exchange(received, before + b"d=#" + comma + after)
@@ -167,8 +167,8 @@
         writer.write(b"UP r1\r\n")
         await reader.read()
 
-    async with relaying(folder, stay_open) as (relay, _):
-        reader, writer = await ask(relay.listener.address, OPEN)
+    async with running_relay(folder, stay_open) as (relay, _):
+        reader, writer = await send_request(relay.listener.address, OPEN)
         received = await reader.readline()
         (lifecycle,) = relay.request_registry
         relay.balancer_actor.migrate_connection(lifecycle.id)
@@ -178,9 +178,9 @@
 
 
 async def platform_ids_and_haste(folder: Path) -> dict[str, bytes]:
-    async with relaying(folder, silent) as (relay, _):
+    async with running_relay(folder, never_respond) as (relay, _):
         address = relay.listener.address
-        reader, writer = await ask(address, OPEN)
+        reader, writer = await send_request(address, OPEN)
         while not len(relay.request_registry):
             await asyncio.sleep(0)
         same_id = await talk(address, OPEN)
@@ -199,7 +199,7 @@
 async def make_platform() -> dict[str, bytes]:
     recorded = await in_folder(platform_answers) | await in_folder(platform_ids_and_haste)
     for name, text in ENDPOINTS.items():
-        exchange = await in_folder(platform_exchange, responds_with(text))
+        exchange = await in_folder(platform_exchange, respond_with(text))
         recorded[f"exchange.{name}"] = exchange.received
         recorded[f"forwarded.{name}"] = exchange.forwarded
     recorded["exchange.moved"] = await in_folder(platform_move)
@@ -518,7 +518,7 @@
 @pytest.mark.parametrize("name", ENDPOINTS)
 async def test_an_endpoints_answer_is_forwarded_as_it_was(name: str) -> None:
     recorded = from_json("platform.json")
-    exchange = await in_folder(platform_exchange, responds_with(ENDPOINTS[name]))
+    exchange = await in_folder(platform_exchange, respond_with(ENDPOINTS[name]))
     assert exchange.received == recorded[f"exchange.{name}"]
     assert exchange.forwarded == recorded[f"forwarded.{name}"]
 
--- a/tests/frontends/test_idle_timeout.py
+++ b/tests/frontends/test_idle_timeout.py
@@ -8,7 +8,16 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from support.network_fakes import Script, ask, first_line, relaying, reply, resets, silent, up
+from support.network_fakes import (
+    EndpointScript,
+    echo_lines,
+    encode_request_line,
+    exchange_line,
+    never_respond,
+    reset_connection,
+    running_relay,
+    send_request,
+)
 from support.xmpp_fakes import Act, Client, Server
 from support.xmpp_relay import client_tls, relaying_xmpp, xmpp_address
 
@@ -76,7 +85,7 @@
 )
 
 
-def says_then(text: bytes, fate: Script | None, pause_s: float = 0.0) -> Script:
+def says_then(text: bytes, fate: EndpointScript | None, pause_s: float = 0.0) -> EndpointScript:
     async def script(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes) -> None:
         for position in range(len(text)) if pause_s else ():
             writer.write(text[position : position + 1])
@@ -97,26 +106,26 @@
 CLIENT_WAIT_MS = 700
 
 
-async def play(folder: Path, name: str, script: Script, served: bool) -> None:
+async def play(folder: Path, name: str, script: EndpointScript, served: bool) -> None:
     """One client of a relay whose endpoints all act by ``script``: it reads one complete answer in time."""
     (folder / name).mkdir()
-    async with relaying(folder / name, *[script] * 4) as (relay, endpoints):
+    async with running_relay(folder / name, *[script] * 4) as (relay, endpoints):
         loop = asyncio.get_running_loop()
         began_s = loop.time()
-        reader, writer = await ask(relay.listener.address, first_line(CLIENT_WAIT_MS))
+        reader, writer = await send_request(relay.listener.address, encode_request_line(CLIENT_WAIT_MS))
         heard = await reader.readline()
         took_s = loop.time() - began_s
         assert heard == GOOD if served else heard in (b"BUSY\r\n", b"ERR unavailable\r\n"), (name, heard)
         assert took_s * 1000.0 < CLIENT_WAIT_MS + 66.0, (name, took_s)
         if not served:
             assert await reader.read() == b"", name  # nothing after the one answer
-            assert 1 <= sum(len(endpoint.lines) for endpoint in endpoints) <= 3, name
+            assert 1 <= sum(len(endpoint.request_lines) for endpoint in endpoints) <= 3, name
         writer.close()
-        while any(endpoint.open for endpoint in endpoints) or len(
+        while any(endpoint.open_connections for endpoint in endpoints) or len(
             relay.request_registry
         ):  # none is left behind
             await asyncio.sleep(0.01)
-        assert all(endpoint.max_open <= 1 for endpoint in endpoints)
+        assert all(endpoint.max_open_connections <= 1 for endpoint in endpoints)
 
 
 @pytest.mark.usefixtures("virtual_time")
@@ -128,11 +137,11 @@
     # the bound, in which no relay can have read it yet.
     plays = []
     for cut in CUT_POSITIONS:
-        for fate in (silent, resets, None):
+        for fate in (never_respond, reset_connection, None):
             word = fate.__name__ if fate else "ends"
             plays.append(play(tmp_path, f"{cut}-{word}", says_then(GOOD[:cut], fate), False))
     for index, text in enumerate(GARBLED_ANSWERS):
-        plays.append(play(tmp_path, f"garbled-{index}", says_then(text, silent), False))
+        plays.append(play(tmp_path, f"garbled-{index}", says_then(text, never_respond), False))
     plays.append(play(tmp_path, "dribbles", says_then(GOOD, up_after, 0.02), True))
     plays.append(play(tmp_path, "too-late", says_then(GOOD, up_after, 0.2), False))
     for first in range(0, len(plays), 8):  # a few at a time: each relay is a loop's work of its own
@@ -142,10 +151,10 @@
 @pytest.mark.parametrize("wait", [b"", b"d=", b"d=-1", b"d=1e3", b"d=99999999999", b"d=x", b"d=0"])
 @pytest.mark.timeout(10)
 async def test_invalid_time_limit_is_answered_and_reaches_no_endpoint(tmp_path: Path, wait: bytes) -> None:
-    async with relaying(tmp_path, up) as (relay, (endpoint,)):
-        line = first_line().replace(b"d=2000", wait).replace(b",\r", b"\r")
-        answer = await reply(relay.listener.address, line)
-        assert answer.startswith(b"BUSY" if wait == b"d=0" else b"ERR") and endpoint.lines == []
+    async with running_relay(tmp_path, echo_lines) as (relay, (endpoint,)):
+        line = encode_request_line().replace(b"d=2000", wait).replace(b",\r", b"\r")
+        answer = await exchange_line(relay.listener.address, line)
+        assert answer.startswith(b"BUSY" if wait == b"d=0" else b"ERR") and endpoint.request_lines == []
 
 
 async def at_once(server: Server) -> None:
@@ -175,4 +184,4 @@
         assert asyncio.get_running_loop().time() - began_s < 0.7
         assert rest.count("<stream:error>") == 1 and "<iq" not in rest, rest
         assert rest.endswith("</stream:error></stream:stream>")
-        assert 1 <= sum(len(endpoint.lines) for endpoint in endpoints) <= 3
+        assert 1 <= sum(len(endpoint.request_lines) for endpoint in endpoints) <= 3
--- a/tests/frontends/test_misbehaving_clients.py
+++ b/tests/frontends/test_misbehaving_clients.py
@@ -7,7 +7,15 @@
 
 import pytest
 from support.event_loop import until
-from support.network_fakes import Streams, ask, first_line, relaying, reply, silent, up
+from support.network_fakes import (
+    Streams,
+    echo_lines,
+    encode_request_line,
+    exchange_line,
+    never_respond,
+    running_relay,
+    send_request,
+)
 
 from sageturn.frontends.platform import frontend
 from sageturn.frontends.platform.request_line import RequestLine
@@ -30,23 +38,23 @@
 @pytest.mark.parametrize("said", [b"", b"OPEN id9 k1 c=c", b"PING\r\n", b"PING\r\nOPE"])
 async def test_silent_client_and_incomplete_line_are_answered_in_time(tmp_path: Path, said: bytes) -> None:
     # They were waited for 5 s, and again 5 s after each PING, where 3 s from connecting are allowed.
-    async with relaying(tmp_path, up) as (relay, (endpoint,)):
+    async with running_relay(tmp_path, echo_lines) as (relay, (endpoint,)):
         began = asyncio.get_running_loop().time()
-        reader, writer = await ask(relay.listener.address, said)
+        reader, writer = await send_request(relay.listener.address, said)
         heard = await asyncio.wait_for(reader.read(), 3)
         assert heard.removeprefix(b"PONG\r\n").startswith(b"ERR")
-        assert asyncio.get_running_loop().time() - began < 2.8 and endpoint.lines == []
+        assert asyncio.get_running_loop().time() - began < 2.8 and endpoint.request_lines == []
         writer.close()
 
 
 async def test_silent_clients_are_evicted_for_those_with_a_request(tmp_path: Path) -> None:
     # Nothing bounded them: 2,000 on a day held 330 of 384 descriptors. The oldest go, those who stand stay.
-    async with relaying(tmp_path, up) as (relay, _):
+    async with running_relay(tmp_path, echo_lines) as (relay, _):
         relay.admission.limits = ProcessLimits(sockets=96, memory_mb=192.0)
-        reader, writer = await ask(relay.listener.address, first_line())
+        reader, writer = await send_request(relay.listener.address, encode_request_line())
         assert await reader.readline() == b"UP r1\r\n"
-        crowd = [await ask(relay.listener.address, b"") for _ in range(40)]
-        assert await reply(relay.listener.address, first_line()) == b"UP r1\r\n"
+        crowd = [await send_request(relay.listener.address, b"") for _ in range(40)]
+        assert await exchange_line(relay.listener.address, encode_request_line()) == b"UP r1\r\n"
         assert relay.admission.connection_count <= 2 + 16
         assert await first_word(crowd[0]) == b"BUSY"
         writer.write(b"M 1\r\n")
@@ -57,28 +65,34 @@
 
 async def test_reused_request_id_is_an_error_and_reaches_no_endpoint(tmp_path: Path) -> None:
     # 303 of these came to endpoints on one day; their ERR counted against sound hosts, which were left out.
-    async with relaying(tmp_path, up) as (relay, (endpoint,)):
-        line = first_line()
-        reader, writer = await ask(relay.listener.address, line)
+    async with running_relay(tmp_path, echo_lines) as (relay, (endpoint,)):
+        line = encode_request_line()
+        reader, writer = await send_request(relay.listener.address, line)
         assert await reader.readline() == b"UP r1\r\n"
-        assert (await reply(relay.listener.address, line)).startswith(b"ERR")
+        assert (await exchange_line(relay.listener.address, line)).startswith(b"ERR")
         writer.close()
-        while endpoint.open:
+        while endpoint.open_connections:
             await asyncio.sleep(0.01)
-        assert (await reply(relay.listener.address, line)).startswith(b"ERR") and len(endpoint.lines) == 1
+        assert (await exchange_line(relay.listener.address, line)).startswith(b"ERR") and len(
+            endpoint.request_lines
+        ) == 1
 
 
 async def test_several_lines_at_once_are_an_error(tmp_path: Path) -> None:
     # The first was placed, and what came behind it went to its endpoint, which can't use it.
-    async with relaying(tmp_path, up) as (relay, (endpoint,)):
-        for lines in (first_line() * 300, first_line() + first_line(), b"PING\r\n" * 300):
-            assert await first_word(await ask(relay.listener.address, lines)) == b"ERR"
-        assert endpoint.lines == []
+    async with running_relay(tmp_path, echo_lines) as (relay, (endpoint,)):
+        for lines in (
+            encode_request_line() * 300,
+            encode_request_line() + encode_request_line(),
+            b"PING\r\n" * 300,
+        ):
+            assert await first_word(await send_request(relay.listener.address, lines)) == b"ERR"
+        assert endpoint.request_lines == []
 
 
 async def test_flooding_client_gets_its_error_and_is_not_read_on(tmp_path: Path) -> None:
     # Read on for half a second at full speed, it took the core that the others need.
-    async with relaying(tmp_path, up) as (relay, _):
+    async with running_relay(tmp_path, echo_lines) as (relay, _):
         reader, writer = await asyncio.open_connection(*relay.listener.address)
         sent = 0
 
@@ -96,13 +110,13 @@
 
 
 async def test_client_that_floods_before_its_answer_gets_an_error(tmp_path: Path) -> None:
-    async with relaying(tmp_path, silent) as (relay, (endpoint,)):
-        reader, writer = await ask(relay.listener.address, first_line(3000))
-        while not endpoint.lines:
+    async with running_relay(tmp_path, never_respond) as (relay, (endpoint,)):
+        reader, writer = await send_request(relay.listener.address, encode_request_line(3000))
+        while not endpoint.request_lines:
             await asyncio.sleep(0.01)
         writer.write(FLOOD)
         assert await first_word((reader, writer)) == b"ERR"
-        while endpoint.open:
+        while endpoint.open_connections:
             await asyncio.sleep(0.01)
 
 
@@ -113,11 +127,11 @@
     def fail(buffer: bytearray, end: int, classes: frozenset[str]) -> RequestLine:
         raise RuntimeError("a fault that no check foresaw")
 
-    async with relaying(tmp_path, up) as (relay, (endpoint,)):
+    async with running_relay(tmp_path, echo_lines) as (relay, (endpoint,)):
         with monkeypatch.context() as patched:
             patched.setattr(frontend, "parse_request_line", fail)
-            reader, writer = await ask(relay.listener.address, first_line())
+            reader, writer = await send_request(relay.listener.address, encode_request_line())
             assert await reader.read() == b"ERR internal\r\n"
             writer.close()
-        assert endpoint.lines == []
+        assert endpoint.request_lines == []
         await until(lambda: relay.admission.connection_count == 0)
--- a/tests/frontends/test_platform_frontend.py
+++ b/tests/frontends/test_platform_frontend.py
@@ -11,16 +11,16 @@
 
 import pytest
 from support.network_fakes import (
-    Script,
-    ask,
-    first_line,
-    listed,
-    relaying,
-    reply,
-    resets,
-    responds_with,
-    silent,
-    up,
+    EndpointScript,
+    echo_lines,
+    encode_request_line,
+    exchange_line,
+    make_endpoint_list,
+    never_respond,
+    reset_connection,
+    respond_with,
+    running_relay,
+    send_request,
     write_config,
 )
 from support.relay_checks import record_balancer_events
@@ -35,7 +35,7 @@
 async def test_starting_relay_refuses_connections(tmp_path: Path) -> None:
     # Fronts send clients to a killed relay once it listens. Where it was not yet reading, their time was up
     # before the relay believed, and they left unanswered.
-    config = load({"GW_CONFIG": str(write_config(tmp_path, ("127.0.0.1", 9), listed({})))})
+    config = load({"GW_CONFIG": str(write_config(tmp_path, ("127.0.0.1", 9), make_endpoint_list({})))})
     relay = Relay(config)
     with pytest.raises(ConnectionRefusedError):
         await asyncio.open_connection(*relay.listener.address)
@@ -47,14 +47,14 @@
 
 async def test_request_is_served_and_lines_are_forwarded_unchanged(tmp_path: Path) -> None:
     # Guards the plain path: UP verbatim, the first line unchanged but for d, lines both ways.
-    async with relaying(tmp_path, up) as (relay, (endpoint,)):
-        reader, writer = await ask(relay.listener.address, first_line(2000, ",g=x9"))
+    async with running_relay(tmp_path, echo_lines) as (relay, (endpoint,)):
+        reader, writer = await send_request(relay.listener.address, encode_request_line(2000, ",g=x9"))
         assert await reader.readline() == b"UP r1\r\n"
         writer.write(b"M 1 abc\r\nM 2")
         assert await reader.readline() == b"M 1 abc\r\n"
         writer.write(b" d\r\n")
         assert await reader.readline() == b"M 2 d\r\n"
-        head, _, rest = endpoint.lines[0].partition(b"d=")
+        head, _, rest = endpoint.request_lines[0].partition(b"d=")
         wait, comma, tail = rest.partition(b",")
         assert re.fullmatch(rb"OPEN id\d+ k1 c=c,t=t,", head) and comma + tail == b",g=x9\r\n"
         assert 0 < int(wait) <= 2000
@@ -77,56 +77,58 @@
 )
 async def test_malformed_first_lines_are_answered_and_never_forwarded(tmp_path: Path, line: bytes) -> None:
     # A live host answers SYNTAX to such a line and voids the run.
-    async with relaying(tmp_path, up) as (relay, (endpoint,)):
-        assert (await reply(relay.listener.address, line)).startswith(b"ERR")
-        assert endpoint.lines == []
-        assert await reply(relay.listener.address, first_line()) == b"UP r1\r\n"
+    async with running_relay(tmp_path, echo_lines) as (relay, (endpoint,)):
+        assert (await exchange_line(relay.listener.address, line)).startswith(b"ERR")
+        assert endpoint.request_lines == []
+        assert await exchange_line(relay.listener.address, encode_request_line()) == b"UP r1\r\n"
 
 
 @pytest.mark.parametrize(
     "bad",
     [
-        responds_with(b"BUSY\r\n"),
-        responds_with(b"ERR\r\n"),
-        responds_with(b""),
-        resets,
-        responds_with(b"huh\r\n"),
+        respond_with(b"BUSY\r\n"),
+        respond_with(b"ERR\r\n"),
+        respond_with(b""),
+        reset_connection,
+        respond_with(b"huh\r\n"),
     ],
 )
-async def test_at_most_three_attempts_one_at_a_time_and_one_answer(tmp_path: Path, bad: Script) -> None:
+async def test_at_most_three_attempts_one_at_a_time_and_one_answer(
+    tmp_path: Path, bad: EndpointScript
+) -> None:
     # Guards the three-attempt limit and the one final answer, whatever the endpoints do.
-    async with relaying(tmp_path, bad, bad, bad, bad, bad) as (relay, endpoints):
-        reader, _ = await ask(relay.listener.address, first_line())
+    async with running_relay(tmp_path, bad, bad, bad, bad, bad) as (relay, endpoints):
+        reader, _ = await send_request(relay.listener.address, encode_request_line())
         answer = await reader.read()
         assert answer.count(b"\r\n") == 1 and answer.startswith((b"BUSY", b"ERR"))
-        assert sum(len(endpoint.lines) for endpoint in endpoints) == 3
+        assert sum(len(endpoint.request_lines) for endpoint in endpoints) == 3
 
 
 @pytest.mark.usefixtures("virtual_time")
 async def test_a_silent_endpoint_times_out_within_the_clients_wait(tmp_path: Path) -> None:
     # Guards the deadline: the answer has to travel before the client gives up.
-    async with relaying(tmp_path, silent) as (relay, _):
+    async with running_relay(tmp_path, never_respond) as (relay, _):
         began_s = asyncio.get_running_loop().time()
-        assert (await reply(relay.listener.address, first_line(600))).startswith(b"BUSY")
+        assert (await exchange_line(relay.listener.address, encode_request_line(600))).startswith(b"BUSY")
         assert asyncio.get_running_loop().time() - began_s < 0.65
 
 
 async def test_refused_connection_is_distinguished_from_a_reset(tmp_path: Path) -> None:
     # Nobody listens at b: the request is placed elsewhere, and that it never ran is known.
-    async with relaying(tmp_path, up) as (relay, (endpoint,)):
+    async with running_relay(tmp_path, echo_lines) as (relay, (endpoint,)):
         with socket.socket() as dead:
             dead.bind(("127.0.0.1", 0))
             while relay.endpoint_registry.version != 2:
                 await asyncio.sleep(0.01)
             relay.endpoint_registry.addresses["a"] = dead.getsockname()
-            assert (await reply(relay.listener.address, first_line())).startswith(b"BUSY")
-        assert endpoint.lines == []
+            assert (await exchange_line(relay.listener.address, encode_request_line())).startswith(b"BUSY")
+        assert endpoint.request_lines == []
 
 
 @pytest.mark.parametrize(("last", "gets"), [(b"BYE\r\n", b"BYE\r\n"), (b"MOVE\r\n", b"MOVE\r\n"), (b"", b"")])
 async def test_endpoint_fin_is_forwarded(tmp_path: Path, last: bytes, gets: bytes) -> None:
-    async with relaying(tmp_path, responds_with(b"UP r\r\n" + last)) as (relay, _):
-        reader, writer = await ask(relay.listener.address, first_line())
+    async with running_relay(tmp_path, respond_with(b"UP r\r\n" + last)) as (relay, _):
+        reader, writer = await send_request(relay.listener.address, encode_request_line())
         assert await reader.read() == b"UP r\r\n" + gets
         writer.close()
 
@@ -140,7 +142,7 @@
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         writer.transport.abort()
 
-    async with relaying(tmp_path, then_reset) as (relay, _):
+    async with running_relay(tmp_path, then_reset) as (relay, _):
         ended: asyncio.Queue[str] = asyncio.Queue()
 
         def on_connection_closed(record: ConnectionRecord) -> None:
@@ -148,7 +150,7 @@
             ended.put_nowait(record.close_reason.name)
 
         relay.context.on_connection_closed = on_connection_closed
-        reader, writer = await ask(relay.listener.address, first_line())
+        reader, writer = await send_request(relay.listener.address, encode_request_line())
         assert await reader.readline() == b"UP r\r\n"
         writer.write(b"M 1\r\n")
         with pytest.raises(ConnectionResetError):
@@ -158,17 +160,21 @@
 
 async def test_connection_established_before_the_run_is_resumed_at_its_endpoint(tmp_path: Path) -> None:
     # The first landing lost every one of these to a renamed variable.
-    async with relaying(tmp_path, up, responds_with(b"UP b\r\n")) as (relay, _):
-        assert await reply(relay.listener.address, first_line(4294967, ",at=b")) == b"UP b\r\n"
-        assert (await reply(relay.listener.address, first_line(900, ",at=zz"))).startswith(b"ERR")
+    async with running_relay(tmp_path, echo_lines, respond_with(b"UP b\r\n")) as (relay, _):
+        assert (
+            await exchange_line(relay.listener.address, encode_request_line(4294967, ",at=b")) == b"UP b\r\n"
+        )
+        assert (await exchange_line(relay.listener.address, encode_request_line(900, ",at=zz"))).startswith(
+            b"ERR"
+        )
 
 
 async def test_ping_is_answered_once_a_list_is_usable(tmp_path: Path) -> None:
-    async with relaying(tmp_path) as (relay, _):  # no endpoint listed: not ready
+    async with running_relay(tmp_path) as (relay, _):  # no endpoint listed: not ready
         with pytest.raises(TimeoutError):
-            await asyncio.wait_for(reply(relay.listener.address, b"PING\r\n"), 0.3)
-    async with relaying(tmp_path, up) as (relay, _):
-        assert await reply(relay.listener.address, b"PING\r\n") == b"PONG\r\n"
+            await asyncio.wait_for(exchange_line(relay.listener.address, b"PING\r\n"), 0.3)
+    async with running_relay(tmp_path, echo_lines) as (relay, _):
+        assert await exchange_line(relay.listener.address, b"PING\r\n") == b"PONG\r\n"
 
 
 async def test_client_of_a_silent_endpoint_is_migrated(
@@ -181,8 +187,8 @@
         writer.write(b"UP r\r\n")
         await reader.read()
 
-    async with relaying(tmp_path, deaf) as (relay, _):
-        reader, writer = await ask(relay.listener.address, first_line())
+    async with running_relay(tmp_path, deaf) as (relay, _):
+        reader, writer = await send_request(relay.listener.address, encode_request_line())
         await reader.readline()
         writer.write(b"M 1\r\n")
         assert await reader.read() == b"MOVE\r\n"
@@ -195,12 +201,12 @@
         writer.write(b"UP r\r\nM 1 whole\r\nM 2 torn")
         await reader.read()
 
-    async with relaying(tmp_path, half) as (relay, _):
-        reader, writer = await ask(relay.listener.address, first_line())
+    async with running_relay(tmp_path, half) as (relay, _):
+        reader, writer = await send_request(relay.listener.address, encode_request_line())
         await reader.readline()
         draining = asyncio.ensure_future(relay.request_registry.drain(relay.ingress))
         await asyncio.sleep(0)
-        late = asyncio.ensure_future(reply(relay.listener.address, first_line()))
+        late = asyncio.ensure_future(exchange_line(relay.listener.address, encode_request_line()))
         assert await reader.read() == b"M 1 whole\r\nMOVE\r\n"
         assert await late == b"UP r\r\n"
         writer.close()
@@ -211,9 +217,9 @@
 async def test_load_reports_reach_the_balancer_and_the_client(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async with relaying(tmp_path, responds_with(b"UP r\r\nLOAD 1500\r\nLOAD x\r\nBYE\r\n")) as (relay, _):
+    async with running_relay(tmp_path, respond_with(b"UP r\r\nLOAD 1500\r\nLOAD x\r\nBYE\r\n")) as (relay, _):
         handled = record_balancer_events(relay, monkeypatch)
-        reader, writer = await ask(relay.listener.address, first_line())
+        reader, writer = await send_request(relay.listener.address, encode_request_line())
         assert await reader.read() == b"UP r\r\nLOAD 1500\r\nLOAD x\r\nBYE\r\n"
         writer.close()
         while not any(getattr(event, "status", "") == "ok" for event in handled):
--- a/tests/frontends/test_xmpp_frontend.py
+++ b/tests/frontends/test_xmpp_frontend.py
@@ -11,7 +11,7 @@
 import pytest
 from support.event_loop import until
 from support.network_fakes import SETTINGS as CONF
-from support.network_fakes import ask, first_line
+from support.network_fakes import encode_request_line, send_request
 from support.relay_checks import Placement, record_placements
 from support.xmpp_fakes import HEADER, SASL, TLS, Act, Client, Server, echo, encode_base64, rejects
 from support.xmpp_relay import CA, CERT, client_tls, relaying_xmpp, server_tls, write_operator, xmpp_address
@@ -89,7 +89,7 @@
         heard = await client.read_rest()
         assert f"<{condition} xmlns='urn:ietf:params:xml:ns:xmpp-streams'/>" in heard
         assert heard.endswith("</stream:stream>") and "<stream:stream" in heard
-        assert endpoint.lines == []
+        assert endpoint.request_lines == []
 
 
 async def breaks(server: Server) -> None:
@@ -115,7 +115,7 @@
         assert asyncio.get_running_loop().time() - began < 1.6
         assert heard.count("<stream:error>") == 1 and heard.endswith("</stream:stream>")
         assert "resource-constraint" in heard
-        assert 1 <= sum(len(endpoint.lines) for endpoint in endpoints) <= 3
+        assert 1 <= sum(len(endpoint.request_lines) for endpoint in endpoints) <= 3
 
 
 @pytest.mark.timeout(30)
@@ -195,7 +195,7 @@
                 answers.append(ANSWERS[found[0]])
                 clients.append(client)
             else:
-                reader, writer = await ask(relay.listener.address, first_line())
+                reader, writer = await send_request(relay.listener.address, encode_request_line())
                 answers.append(ANSWERS[(await reader.readline()).split()[0].decode()])
                 clients.append(writer)
         return Played(placements, answers)
@@ -292,7 +292,7 @@
             client = await Client.connect(xmpp_address(relay))
             await client.login(client_tls())
             assert (await client.bind(f"desk{number}")).endswith(f"/desk{number}"), count
-        assert endpoints[0].lines  # it was tried
+        assert endpoints[0].request_lines  # it was tried
     assert max(hashed_iterations) <= USUAL_ITERATIONS
 
 
--- a/tests/net/test_descriptor_exhaustion.py
+++ b/tests/net/test_descriptor_exhaustion.py
@@ -14,17 +14,17 @@
 import pytest
 from support.network_fakes import (
     SETTINGS,
-    Discovery,
+    FakeDiscovery,
     FakeEndpoint,
     Streams,
-    ask,
-    chunked,
-    first_line,
-    listed,
-    reply,
-    served,
-    until_ready,
-    up,
+    echo_lines,
+    encode_request_line,
+    encode_watch_response,
+    exchange_line,
+    make_endpoint_list,
+    running_server,
+    send_request,
+    wait_until_ready,
     write_config,
 )
 from support.ports import Address, free_port
@@ -88,7 +88,7 @@
         stderr=asyncio.subprocess.DEVNULL,
     )
     try:
-        await until_ready(address)
+        await wait_until_ready(address)
         yield process
     finally:
         kill_if_running(process)
@@ -99,7 +99,7 @@
     served_clients: list[Streams] = []
     rejected = 0
     while rejected < 3:
-        streams = await ask(address, first_line(3000))
+        streams = await send_request(address, encode_request_line(3000))
         word = await asyncio.wait_for(streams[0].readline(), 5)
         assert word.startswith((b"UP", b"BUSY")), word
         rejected += word.startswith(b"BUSY")
@@ -107,12 +107,12 @@
     return served_clients
 
 
-def list_with_one_draining(draining: Address, ready: Address) -> Discovery:
+def list_with_one_draining(draining: Address, ready: Address) -> FakeDiscovery:
     endpoints = [
         {"id": "a", "addr": "{}:{}".format(*draining), "state": "draining"},
         {"id": "b", "addr": "{}:{}".format(*ready), "state": "ready"},
     ]
-    return Discovery(chunked({**listed({"b": ready}, 2), "servers": endpoints}))
+    return FakeDiscovery(encode_watch_response({**make_endpoint_list({"b": ready}, 2), "servers": endpoints}))
 
 
 @pytest.mark.parametrize("lists", ["push", "ask"])
@@ -121,17 +121,17 @@
     tmp_path: Path, lists: str
 ) -> None:
     # They held every descriptor that there was, and the watch got none as discovery returned.
-    old, new = FakeEndpoint(up), FakeEndpoint(up)
+    old, new = FakeEndpoint(echo_lines), FakeEndpoint(echo_lines)
     address = ("127.0.0.1", free_port())
     async with AsyncExitStack() as stack:
-        await stack.enter_async_context(served(old))
-        await stack.enter_async_context(served(new))
+        await stack.enter_async_context(running_server(old))
+        await stack.enter_async_context(running_server(new))
         down = stack.enter_context(bound_but_not_listening())
-        known = listed({"a": old.address})
+        known = make_endpoint_list({"a": old.address})
         file = write_limited_config(tmp_path, address, down.getsockname(), known, lists)
         process = await stack.enter_async_context(relay_process(file, address))
         served_clients = await connect_until_rejected(address)
-        silent = [await ask(address, b"") for _ in range(IDLE_CLIENTS)]
+        silent = [await send_request(address, b"") for _ in range(IDLE_CLIENTS)]
         assert len(os.listdir(f"/proc/{process.pid}/fd")) >= DESCRIPTORS - 4 and len(served_clients) >= 10
 
         down.listen()
@@ -142,8 +142,8 @@
             while not discovery.requests:
                 await asyncio.sleep(0.01)
             served_clients.pop()[1].close()  # frees the descriptors of one, to be placed by the new list
-            while not any(new.lines):
-                assert (await reply(address, first_line(3000))).startswith((b"UP", b"BUSY"))
+            while not any(new.request_lines):
+                assert (await exchange_line(address, encode_request_line(3000))).startswith((b"UP", b"BUSY"))
         assert process.returncode is None
 
         words = [await all_received(streams) for streams in silent]
--- a/tests/net/test_discovery_client.py
+++ b/tests/net/test_discovery_client.py
@@ -10,7 +10,13 @@
 from typing import Any
 
 import pytest
-from support.network_fakes import Discovery, chunked, listed, served, write_config
+from support.network_fakes import (
+    FakeDiscovery,
+    encode_watch_response,
+    make_endpoint_list,
+    running_server,
+    write_config,
+)
 
 from sageturn.config.loader import load
 from sageturn.core.messages import EndpointListUpdate, WatchFailed
@@ -25,19 +31,19 @@
 from sageturn.relay import Relay
 
 ADDRESS = ("127.0.0.1", 9)
-FULL_LIST = chunked(listed({"a": ADDRESS}, 7))
+FULL_LIST = encode_watch_response(make_endpoint_list({"a": ADDRESS}, 7))
 UNAVAILABLE = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
 HALF_LIST = FULL_LIST[: len(FULL_LIST) // 2] + b"#"
-COMPLETE_RESPONSE = chunked(listed({"a": ADDRESS}, 6)) + b"0\r\n\r\n#"
+COMPLETE_RESPONSE = encode_watch_response(make_endpoint_list({"a": ADDRESS}, 6)) + b"0\r\n\r\n#"
 
 
 async def run_until_version_7(
     folder: Path, *answers: bytes, known: JsonObject | None = None
-) -> tuple[Relay, Discovery]:
+) -> tuple[Relay, FakeDiscovery]:
     """A relay that has received version 7 of the list, in whatever way, and its discovery."""
     async with AsyncExitStack() as stack:
-        discovery = Discovery(*answers)
-        await stack.enter_async_context(served(discovery))
+        discovery = FakeDiscovery(*answers)
+        await stack.enter_async_context(running_server(discovery))
         relay = Relay(load({"GW_CONFIG": str(write_config(folder, discovery.address, known))}))
         relay.start()
         stack.push_async_callback(relay.stop)
@@ -54,7 +60,7 @@
     # Each of these is normal on the platform: none may end the relay, and discovery must not be hammered.
     relay, discovery = await run_until_version_7(tmp_path, failure, failure, FULL_LIST)
     assert len(discovery.requests) == 3
-    called_at_s = [when for when, _ in discovery.requests]
+    called_at_s = [request.received_at_s for request in discovery.requests]
     gaps_s = [later - earlier for earlier, later in pairwise(called_at_s)]
     assert all(gap_s > 0.3 for gap_s in gaps_s) and sum(gaps_s) < 6
     assert relay.endpoint_registry.has_ready_endpoint.is_set()
@@ -63,19 +69,23 @@
 async def test_silent_watch_is_given_up(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     # Of a machine that vanished the connection stays open, and its changes count as known after 6 s.
     monkeypatch.setattr("sageturn.net.discovery_watch.IDLE_TIMEOUT_S", 0.2)
-    _, discovery = await run_until_version_7(tmp_path, chunked(listed({"a": ADDRESS}, 6)), FULL_LIST)
-    assert discovery.requests[1][1] == b"GET /v1/endpoints?stream=1&index=6 HTTP/1.1"
+    _, discovery = await run_until_version_7(
+        tmp_path, encode_watch_response(make_endpoint_list({"a": ADDRESS}, 6)), FULL_LIST
+    )
+    assert discovery.requests[1].request_line == b"GET /v1/endpoints?stream=1&index=6 HTTP/1.1"
 
 
 async def test_watch_starts_after_the_known_version(tmp_path: Path) -> None:
-    _, discovery = await run_until_version_7(tmp_path, FULL_LIST, known=listed({"a": ADDRESS}, 5))
-    assert discovery.requests[0][1] == b"GET /v1/endpoints?stream=1&index=5 HTTP/1.1"
+    _, discovery = await run_until_version_7(tmp_path, FULL_LIST, known=make_endpoint_list({"a": ADDRESS}, 5))
+    assert discovery.requests[0].request_line == b"GET /v1/endpoints?stream=1&index=5 HTTP/1.1"
 
 
 async def test_changes_are_merged_and_an_endpoint_missing_from_a_full_list_is_gone(tmp_path: Path) -> None:
-    change = {**listed({"b": ADDRESS}, 6), "full": False}
+    change = {**make_endpoint_list({"b": ADDRESS}, 6), "full": False}
     relay, _ = await run_until_version_7(
-        tmp_path, chunked(change, listed({"c": ADDRESS}, 7)), known=listed({"a": ADDRESS}, 5)
+        tmp_path,
+        encode_watch_response(change, make_endpoint_list({"c": ADDRESS}, 7)),
+        known=make_endpoint_list({"a": ADDRESS}, 5),
     )
     assert set(relay.endpoint_registry.addresses) == {
         "a",
@@ -98,12 +108,12 @@
 RESET = b""  # no response, and a reset
 
 
-class OneCallDiscovery(Discovery):
+class OneCallDiscovery(FakeDiscovery):
     """Answers one call: ``~`` at the end keeps the connection open, ``!`` or an empty answer resets it."""
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
-        (answer,) = self.answers
+        (answer,) = self.responses
         writer.write(answer.rstrip(b"#!~"))
         await writer.drain()
         if answer.endswith(b"~"):
@@ -133,7 +143,7 @@
             await failed.put(event)
 
     discovery = OneCallDiscovery(answer)
-    async with served(discovery):
+    async with running_server(discovery):
         client = DiscoveryClient(discovery.address, on_event, readings().__next__)
         client.start(0)
         try:
@@ -169,7 +179,7 @@
         HALF_LIST[:-1] + b"!",
         COMPLETE_RESPONSE,
         b"nonsense\r\n\r\n#",
-        chunked({"version": 1, "servers": [{}]}) + b"~",
+        encode_watch_response({"version": 1, "servers": [{}]}) + b"~",
     ],
     ids=["cut", "reset", "complete", "nonsense", "bad list"],
 )
--- a/tests/net/test_endpoint_list.py
+++ b/tests/net/test_endpoint_list.py
@@ -9,7 +9,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from support.network_fakes import Discovery, served
+from support.network_fakes import FakeDiscovery, running_server
 
 from sageturn.core.endpoint_registry import EndpointRegistry
 from sageturn.core.messages import DiscoveryAddressChanged, EndpointListUpdate, WatchFailed, WatchRequested
@@ -102,8 +102,8 @@
     monkeypatch.setattr(discovery_watch, "RESPONSE_TIMEOUT_S", timeout_s)
     monkeypatch.setattr(discovery_watch, "IDLE_TIMEOUT_S", timeout_s)
     events: asyncio.Queue[Any] = asyncio.Queue()
-    discovery = Discovery(*answers)
-    async with served(discovery):
+    discovery = FakeDiscovery(*answers)
+    async with running_server(discovery):
         client = DiscoveryClient(discovery.address, lambda _, event: events.put(event))
         client.start(0)
         try:
@@ -137,7 +137,7 @@
             await asyncio.sleep(0.02)
         writer.close()
 
-    monkeypatch.setattr(Discovery, "serve", lambda self, reader, writer: serve_slowly(reader, writer))
+    monkeypatch.setattr(FakeDiscovery, "serve", lambda self, reader, writer: serve_slowly(reader, writer))
     update, failed = await watch_events(b"", count=2, monkeypatch=monkeypatch, timeout_s=0.3)
     assert update.version == 6 and failed == WatchFailed("silent", DiscoveryFailure.SILENT)
 
--- a/tests/net/test_evictions.py
+++ b/tests/net/test_evictions.py
@@ -9,7 +9,7 @@
 
 import pytest
 from support.event_loop import until
-from support.network_fakes import first_line, relaying, up
+from support.network_fakes import echo_lines, encode_request_line, running_relay
 
 from sageturn.relay import Relay
 
@@ -30,11 +30,11 @@
 ) -> None:
     # The relay answered BUSY and closed at once; the rest of the line came to a closed socket, whose reset
     # could overtake the answer.
-    async with relaying(tmp_path, up) as (relay, _):
+    async with running_relay(tmp_path, echo_lines) as (relay, _):
         await until(lambda: relay.endpoint_registry.version == 2)
         with socket.create_connection(relay.listener.address) as client:
             client.settimeout(5)
-            line = first_line()
+            line = encode_request_line()
             client.sendall(line[:20])
             await until(lambda: relay.admission.awaiting_request == 1)
             evict(relay)
--- a/tests/net/test_log_fields.py
+++ b/tests/net/test_log_fields.py
@@ -13,7 +13,7 @@
 import pytest
 from support.event_loop import until
 from support.failing_calls import FailingCall
-from support.network_fakes import ask, relaying, up
+from support.network_fakes import echo_lines, running_relay, send_request
 
 from sageturn.core.tasks import cancel_and_wait
 from sageturn.net.addresses import Address
@@ -75,8 +75,8 @@
 async def test_a_rejected_request_line_names_its_peer_and_listener(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
-    async with relaying(tmp_path, up) as (relay, _):
-        reader, writer = await ask(relay.listener.address, b"GET / HTTP/1.1\r\n")
+    async with running_relay(tmp_path, echo_lines) as (relay, _):
+        reader, writer = await send_request(relay.listener.address, b"GET / HTTP/1.1\r\n")
         peer: Address = writer.get_extra_info("sockname")
         assert (await reader.readline()).startswith(b"ERR")
         writer.close()
--- a/tests/net/test_short_writes.py
+++ b/tests/net/test_short_writes.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 import pytest
-from support.network_fakes import relaying, reply, up
+from support.network_fakes import echo_lines, exchange_line, running_relay
 
 from sageturn.frontends.platform import frontend as platform_frontend
 from sageturn.net.closing import send_and_close
@@ -42,5 +42,5 @@
     client.close()
 
     monkeypatch.setattr(platform_frontend, "REQUEST_LINE_TIMEOUT_S", 0.05)
-    async with relaying(tmp_path, up) as (relay, _):
-        assert await reply(relay.listener.address, b"OPEN half") == b"ERR no first line in time\r\n"
+    async with running_relay(tmp_path, echo_lines) as (relay, _):
+        assert await exchange_line(relay.listener.address, b"OPEN half") == b"ERR no first line in time\r\n"
--- a/tests/net/test_sockets.py
+++ b/tests/net/test_sockets.py
@@ -16,7 +16,15 @@
 import pytest
 from support.event_loop import until
 from support.load_reports import FIELDS, answers_health_checks
-from support.network_fakes import SETTINGS, Streams, ask, first_line, relaying, silent, up
+from support.network_fakes import (
+    SETTINGS,
+    Streams,
+    echo_lines,
+    encode_request_line,
+    never_respond,
+    running_relay,
+    send_request,
+)
 from support.replication_member import start_member
 from support.xmpp_fakes import HEADER, Client, echo
 from support.xmpp_relay import client_tls, relaying_xmpp, xmpp_address
@@ -61,11 +69,11 @@
     monkeypatch.setitem(SETTINGS, "report", {"source": "probe", "fields": list(FIELDS)})
     script, seen = answers_health_checks()
 
-    async with relaying(tmp_path, script) as (relay, (endpoint,)):
-        reader, writer = await ask(relay.listener.address, first_line())
+    async with running_relay(tmp_path, script) as (relay, (endpoint,)):
+        reader, writer = await send_request(relay.listener.address, encode_request_line())
         assert await reader.readline() == b"UP r1\r\n"
         await until(lambda: seen and relay.endpoint_registry.version == 2)
-        idle = await ask(relay.listener.address, b"")
+        idle = await send_request(relay.listener.address, b"")
         await until(lambda: relay.admission.awaiting_request)
         dialled = {endpoint.address, relay.discovery._address}
         found = connections_of_relay({relay.listener.address}, dialled)
@@ -105,9 +113,11 @@
 
     monkeypatch.setattr(connection_tasks, "send_and_close", checking_send_and_close)
 
-    async with relaying(tmp_path, up) as (relay, _):
+    async with running_relay(tmp_path, echo_lines) as (relay, _):
         relay.admission.limits = ProcessLimits(sockets=96, memory_mb=1.0)
-        held: list[Streams] = [await ask(relay.listener.address, first_line()) for _ in range(17)]
+        held: list[Streams] = [
+            await send_request(relay.listener.address, encode_request_line()) for _ in range(17)
+        ]
         answers = [await reader.readline() for reader, _ in held]
         assert answers[-1] == b"BUSY 500\r\n" and options and all(options)
         for _, writer in held:
@@ -242,12 +252,12 @@
     assert descriptors_left[0] == 0 and reserve.release_one() and not reserve.release_one()
 
 
-@pytest.mark.parametrize("said", [first_line(), b""])
+@pytest.mark.parametrize("said", [encode_request_line(), b""])
 async def test_with_no_descriptor_left_those_in_the_backlog_are_answered_as_the_listener_closes(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, said: bytes
 ) -> None:
     # They were left there, and reset as the listener was closed.
-    async with relaying(tmp_path, silent) as (relay, _):
+    async with running_relay(tmp_path, never_respond) as (relay, _):
         relay.request_registry.schedule = ShutdownSchedule(0.0, 0.0, 0.05, 2.0)
         stop_accepting = relay.ingress.stop_accepting
         clients: list[socket.socket] = []
--- a/tests/overrides/test_override_command.py
+++ b/tests/overrides/test_override_command.py
@@ -11,7 +11,7 @@
 
 import pytest
 from support.event_loop import until
-from support.network_fakes import up
+from support.network_fakes import echo_lines
 from support.override_relays import operator_names, relays_with_overrides, replication_address
 
 from sageturn.relay import Relay
@@ -83,7 +83,9 @@
 
 @pytest.mark.timeout(40)
 async def test_the_command_sets_shows_extends_and_revokes(tmp_path: Path) -> None:
-    async with relays_with_overrides(tmp_path, up, up, up, relays=2, floor_all=0.5) as (relays, _):
+    async with relays_with_overrides(
+        tmp_path, echo_lines, echo_lines, echo_lines, relays=2, floor_all=0.5
+    ) as (relays, _):
         command = command_for(relays[0], tmp_path)
         unreachable = asyncio.ensure_future(command.run("list", exit_code=3, SAGETURN_CONNECT="127.0.0.1:1"))
         await create_known_key(command, relays, tmp_path)
--- a/tests/overrides/test_overrides_relay.py
+++ b/tests/overrides/test_overrides_relay.py
@@ -10,7 +10,7 @@
 
 import pytest
 from support.event_loop import until
-from support.network_fakes import ask, first_line, reply, up
+from support.network_fakes import echo_lines, encode_request_line, exchange_line, send_request
 from support.override_records import out_of_service, pin
 from support.override_relays import (
     count_placed,
@@ -31,7 +31,10 @@
 
 
 async def test_every_relay_applies_operations_from_all_relays(tmp_path: Path) -> None:
-    async with relays_with_overrides(tmp_path, up, up, up, relays=2) as (relays, endpoints):
+    async with relays_with_overrides(tmp_path, echo_lines, echo_lines, echo_lines, relays=2) as (
+        relays,
+        endpoints,
+    ):
         one, two = relays
         set_now(one, "o1", out_of_service("a"))
         set_now(two, "o2", out_of_service("b"), operator="mai")
@@ -51,14 +54,14 @@
 async def test_a_strict_pin_without_its_endpoint_fails_fast_and_a_preferred_one_goes_elsewhere(
     tmp_path: Path,
 ) -> None:
-    async with relays_with_overrides(tmp_path, up, up, floor_pin=0) as ((relay,), endpoints):
+    async with relays_with_overrides(tmp_path, echo_lines, echo_lines, floor_pin=0) as ((relay,), endpoints):
         set_now(relay, "p1", pin("b", strict=True, tenant="t"))
         await until(lambda: override_actor(relay).registry.overrides)
         assert await count_placed(relay, endpoints) == [0, 12]
         set_now(relay, "o1", out_of_service("b"))
         await until(lambda: relay.endpoint_registry.is_out_of_service("b"))
         began_s = asyncio.get_running_loop().time()
-        assert (await reply(relay.listener.address, first_line())).startswith(b"BUSY")
+        assert (await exchange_line(relay.listener.address, encode_request_line())).startswith(b"BUSY")
         assert asyncio.get_running_loop().time() - began_s < 0.2
         revoke_now(relay, "p1")
         set_now(relay, "p2", pin("b", tenant="t"))
@@ -77,12 +80,14 @@
     monkeypatch.setattr(
         "sageturn.rebalance.rate_controller.MigrationRateController.max_rate", lambda self, own: 400.0
     )
-    async with relays_with_overrides(tmp_path, up, up) as ((relay,), _):
+    async with relays_with_overrides(tmp_path, echo_lines, echo_lines) as ((relay,), _):
         rebalancer = relay.rebalancer
         assert rebalancer is not None
         rebalancer.options = RebalanceOptions(tick_s=0.05, back_within_s=0.1)
         clients = [
-            await ask(relay.listener.address, first_line(more=",at=a", key=f"k{number}"))
+            await send_request(
+                relay.listener.address, encode_request_line(extra_parameters=",at=a", key=f"k{number}")
+            )
             for number in range(6)
         ]
         for reader, _writer in clients:
@@ -96,7 +101,7 @@
 
 
 async def test_a_relay_killed_before_it_acted_applies_overrides_from_its_start(tmp_path: Path) -> None:
-    async with relays_with_overrides(tmp_path, up, up) as ((relay,), _):
+    async with relays_with_overrides(tmp_path, echo_lines, echo_lines) as ((relay,), _):
         # It never hears of them: killed between the write and its effect.
         relay.store.on_change.remove(override_actor(relay).on_store_change)
         set_now(relay, "o1", out_of_service("a"))
@@ -104,14 +109,14 @@
         set_now(
             relay, "o2", out_of_service("b"), created_at_ms=now_ms - 5000, expires_at_ms=unix_time_ms() - 1
         )
-    async with relays_with_overrides(tmp_path, up, up) as ((relay,), endpoints):
+    async with relays_with_overrides(tmp_path, echo_lines, echo_lines) as ((relay,), endpoints):
         assert relay.endpoint_registry.is_out_of_service("a")
         assert not relay.endpoint_registry.is_out_of_service("b")
         assert await count_placed(relay, endpoints) == [0, 12]
 
 
 async def test_sighup_takes_an_operators_key_away_and_a_faulty_one_changes_nothing(tmp_path: Path) -> None:
-    async with relays_with_overrides(tmp_path, up, up) as ((relay,), _):
+    async with relays_with_overrides(tmp_path, echo_lines, echo_lines) as ((relay,), _):
         set_now(relay, "o1", out_of_service("a"))
         await until(lambda: relay.endpoint_registry.is_out_of_service("a"))
         file = tmp_path / "r0" / "operator.json"
@@ -134,7 +139,7 @@
 ) -> None:
     # The second reload dropped what the first had changed, and what was kept for the next step was by then a
     # state of before: an endpoint that drained meanwhile was ready again to the balancer.
-    async with relays_with_overrides(tmp_path, up, up) as ((relay,), _):
+    async with relays_with_overrides(tmp_path, echo_lines, echo_lines) as ((relay,), _):
         actor = override_actor(relay)
         listed_endpoints = relay.balancer_actor.balancer.endpoints
         options = relay.config.operator.overrides
--- a/tests/rebalance/test_rebalance_relay.py
+++ b/tests/rebalance/test_rebalance_relay.py
@@ -14,7 +14,14 @@
 
 import pytest
 from support.event_loop import until
-from support.network_fakes import SETTINGS, ask, first_line, relaying, up, write_config
+from support.network_fakes import (
+    SETTINGS,
+    echo_lines,
+    encode_request_line,
+    running_relay,
+    send_request,
+    write_config,
+)
 from support.xmpp_fakes import Client, echo
 from support.xmpp_relay import client_tls, relaying_xmpp, server_tls, xmpp_address
 
@@ -39,15 +46,15 @@
 
 async def stay_connected(relay: Relay, key: str) -> None:
     """A client that connects to endpoint a at first, and reconnects each time it is asked to."""
-    line = first_line(more=",at=a", key=key)
+    line = encode_request_line(extra_parameters=",at=a", key=key)
     while True:
-        reader, writer = await ask(relay.listener.address, line)
+        reader, writer = await send_request(relay.listener.address, line)
         assert await reader.readline() == b"UP r1\r\n"
         response = await reader.read()
         writer.close()
         if response != b"MOVE\r\n":
             return
-        line = first_line(key=key)  # it reconnects, as the same client
+        line = encode_request_line(key=key)  # it reconnects, as the same client
 
 
 @asynccontextmanager
@@ -64,10 +71,13 @@
 
 @pytest.mark.timeout(30)
 async def test_a_relay_migrates_clients_off_the_fuller_endpoint(tmp_path: Path, fast_rate: None) -> None:
-    async with relaying(tmp_path, up, up, operator=REBALANCE_ON) as (relay, (fuller, emptier)):
+    async with running_relay(tmp_path, echo_lines, echo_lines, operator=REBALANCE_ON) as (
+        relay,
+        (fuller, emptier),
+    ):
         await until(lambda: relay.endpoint_registry.version == 2)
         async with connected_clients(relay, 24):
-            await until(lambda: fuller.open <= 14 and emptier.open >= 10)
+            await until(lambda: fuller.open_connections <= 14 and emptier.open_connections >= 10)
             planner = relay.rebalancer
             assert planner is not None
             await until(lambda: relay.store.get("state/n1/rebalance"))
@@ -86,10 +96,12 @@
 
 @pytest.mark.timeout(30)
 async def test_turned_on_by_sighup_it_knows_the_established_connections(tmp_path: Path) -> None:
-    async with relaying(tmp_path, up) as (relay, _):
+    async with running_relay(tmp_path, echo_lines) as (relay, _):
         assert relay.rebalancer is None
         clients = [
-            await ask(relay.listener.address, first_line(more=",g=g1", key=f"k{number}"))
+            await send_request(
+                relay.listener.address, encode_request_line(extra_parameters=",g=g1", key=f"k{number}")
+            )
             for number in range(3)
         ]
         for reader, _writer in clients:
@@ -115,11 +127,11 @@
 async def test_a_failing_planner_leaves_clients_alone(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async with relaying(tmp_path, up, operator=REBALANCE_ON) as (relay, _):
+    async with running_relay(tmp_path, echo_lines, operator=REBALANCE_ON) as (relay, _):
         rebalancer = relay.rebalancer
         assert rebalancer is not None
         monkeypatch.setattr(rebalancer, "after_event", raise_error)
-        reader, writer = await ask(relay.listener.address, first_line())
+        reader, writer = await send_request(relay.listener.address, encode_request_line())
         assert await reader.readline() == b"UP r1\r\n" and relay.balancer_actor.observers == []
         monkeypatch.setattr(rebalancer, "tick", raise_error)
         await until(lambda: rebalancer.options.mode == "off")
--- a/tests/relay/test_full_disk.py
+++ b/tests/relay/test_full_disk.py
@@ -8,7 +8,7 @@
 import pytest
 from support.disk_faults import failing_syncs
 from support.event_loop import until
-from support.network_fakes import ask, first_line, relaying, up
+from support.network_fakes import echo_lines, encode_request_line, running_relay, send_request
 
 from sageturn.relay import state_record
 
@@ -20,13 +20,13 @@
     monkeypatch.setattr(state_record, "STATE_INTERVAL_S", 0.02)
 
     operator = {"store": {"path": str(tmp_path / "store")}}
-    async with relaying(tmp_path, up, operator=operator) as (relay, _):
+    async with running_relay(tmp_path, echo_lines, operator=operator) as (relay, _):
         key = f"state/{relay.config.name}/relay"
-        reader, writer = await ask(relay.listener.address, first_line())
+        reader, writer = await send_request(relay.listener.address, encode_request_line())
         assert await reader.readline() == b"UP r1\r\n"
         await until(lambda: (relay.store.get(key) or {}).get("standing") == 1)
         with failing_syncs(monkeypatch):
-            second_reader, second_writer = await ask(relay.listener.address, first_line())
+            second_reader, second_writer = await send_request(relay.listener.address, encode_request_line())
             assert await second_reader.readline() == b"UP r1\r\n"
             await relay._actors.wait_until_failed_or(asyncio.sleep(0.3))
             relay._actors.raise_first_failure()
--- a/tests/relay/test_program.py
+++ b/tests/relay/test_program.py
@@ -16,16 +16,16 @@
 
 import pytest
 from support.network_fakes import (
-    Discovery,
+    FakeDiscovery,
     FakeEndpoint,
-    ask,
-    chunked,
-    first_line,
-    listed,
-    reply,
-    served,
-    until_ready,
-    up,
+    echo_lines,
+    encode_request_line,
+    encode_watch_response,
+    exchange_line,
+    make_endpoint_list,
+    running_server,
+    send_request,
+    wait_until_ready,
     write_config,
 )
 from support.ports import Address, free_port
@@ -39,12 +39,12 @@
     **more: Any,
 ) -> AsyncIterator[tuple[asyncio.subprocess.Process, Address]]:
     async with AsyncExitStack() as stack:
-        endpoint = FakeEndpoint(up)
-        await stack.enter_async_context(served(endpoint))
-        discovery = Discovery(chunked(listed({"a": endpoint.address}, 2)))
-        await stack.enter_async_context(served(discovery))
+        endpoint = FakeEndpoint(echo_lines)
+        await stack.enter_async_context(running_server(endpoint))
+        discovery = FakeDiscovery(encode_watch_response(make_endpoint_list({"a": endpoint.address}, 2)))
+        await stack.enter_async_context(running_server(discovery))
         address = ("127.0.0.1", free_port())
-        known = listed({"a": endpoint.address})
+        known = make_endpoint_list({"a": endpoint.address})
         file = write_config(folder, discovery.address, known, listen=f"{address[0]}:{address[1]}", **more)
         environ = {**os.environ, "GW_CONFIG": str(file)}
         if variable_and_key is not None:
@@ -55,7 +55,7 @@
         )
         try:
             async with asyncio.timeout(10):
-                await until_ready(address)
+                await wait_until_ready(address)
             yield process, address
         finally:
             if process.returncode is None:
@@ -67,13 +67,15 @@
 async def test_sigterm_answers_and_migrates_all_clients_and_exits_with_0(tmp_path: Path) -> None:
     # Connections that remain when SIGKILL comes, 3.7 s after SIGTERM at the earliest, are lost.
     async with running_program(tmp_path) as (process, address):
-        clients = [await ask(address, first_line()) for _ in range(10)]
+        clients = [await send_request(address, encode_request_line()) for _ in range(10)]
         for reader, _ in clients:
             assert await reader.readline() == b"UP r1\r\n"
         began_s = asyncio.get_running_loop().time()
         process.send_signal(signal.SIGTERM)
         await asyncio.sleep(0.2)
-        assert await reply(address, first_line()) == b"UP r1\r\n"  # new ones keep coming for a while
+        assert (
+            await exchange_line(address, encode_request_line()) == b"UP r1\r\n"
+        )  # new ones keep coming for a while
         for reader, writer in clients:
             assert await asyncio.wait_for(reader.read(), 4) == b"MOVE\r\n"
             writer.close()
@@ -85,13 +87,13 @@
 async def test_every_client_is_answered_when_descriptors_run_out(tmp_path: Path) -> None:
     # A client left in the backlog has been accepted by the system, and would be lost.
     async with running_program(tmp_path, limits={"sockets": 40}) as (process, address):
-        clients = [await ask(address, first_line(3000)) for _ in range(60)]
+        clients = [await send_request(address, encode_request_line(3000)) for _ in range(60)]
         answers = [(await asyncio.wait_for(reader.readline(), 5))[:4] for reader, _ in clients]
         assert set(answers) == {b"UP r", b"BUSY"} and process.returncode is None
         for _, writer in clients:
             writer.close()
         async with asyncio.timeout(5):
-            while await reply(address, first_line()) != b"UP r1\r\n":
+            while await exchange_line(address, encode_request_line()) != b"UP r1\r\n":
                 await asyncio.sleep(0.05)
 
 
@@ -125,15 +127,15 @@
     # SIGHUP used to end the program (exit 129) and every connection with it. The environment names the old
     # discovery, as the platform's does: it must not hide the file's new one.
     async with AsyncExitStack() as stack:
-        moved = Discovery(chunked(listed({"a": ("127.0.0.1", 9)}, 3)))
-        await stack.enter_async_context(served(moved))
+        moved = FakeDiscovery(encode_watch_response(make_endpoint_list({"a": ("127.0.0.1", 9)}, 3)))
+        await stack.enter_async_context(running_server(moved))
         log = stack.enter_context((tmp_path / "log").open("w+"))
         process, address = await stack.enter_async_context(
             running_program(tmp_path, variable_and_key=("GW_DISCOVERY", "discovery"), log=log)
         )
         file = tmp_path / "config.json"
         good = json.loads(file.read_text())
-        reader, writer = await ask(address, first_line())
+        reader, writer = await send_request(address, encode_request_line())
         assert await reader.readline() == b"UP r1\r\n"
 
         new = {**good, "discovery": f"{moved.address[0]}:{moved.address[1]}"}
@@ -160,7 +162,7 @@
 
 async def test_sigterm_before_the_relay_listens_exits_with_0(tmp_path: Path) -> None:
     # The signal once ended it with an error. It is pending here before the program has begun.
-    file = write_config(tmp_path, ("127.0.0.1", 1), listed({}))
+    file = write_config(tmp_path, ("127.0.0.1", 1), make_endpoint_list({}))
     code = (
         "import os, signal, sys; signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGTERM});"
         "os.kill(os.getpid(), signal.SIGTERM); from sageturn.__main__ import main;"
@@ -180,12 +182,12 @@
     async with running_program(tmp_path, log=write_end) as (_, address):
         os.close(write_end)
         for _ in range(3):
-            assert await reply(address, first_line()) == b"UP r1\r\n"
+            assert await exchange_line(address, encode_request_line()) == b"UP r1\r\n"
         assert os.read(read_end, capacity) == b"x" * capacity
         os.set_blocking(read_end, False)
         written = b""
         while b"log lines dropped" not in written:
-            assert await reply(address, first_line()) == b"UP r1\r\n"
+            assert await exchange_line(address, encode_request_line()) == b"UP r1\r\n"
             with suppress(BlockingIOError):
                 written += os.read(read_end, capacity)
         assert re.search(rb"WARNING [a-z_.]+: log lines dropped count=[1-9][0-9]*\n", written)
--- a/tests/relay/test_supervision.py
+++ b/tests/relay/test_supervision.py
@@ -11,12 +11,12 @@
 from support.event_loop import until
 from support.network_fakes import (
     FakeEndpoint,
-    ask,
-    first_line,
-    listed,
-    serve_all,
-    silent,
-    up,
+    echo_lines,
+    encode_request_line,
+    make_endpoint_list,
+    never_respond,
+    send_request,
+    start_endpoints_and_discovery,
     write_config,
 )
 
@@ -111,7 +111,7 @@
     # It ended at once: every client that was served was cut off without being asked to come again. Nor may it
     # go on placing requests for a while, as in a planned drain, with a list that nobody keeps up to date.
     async def wait_first(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes) -> None:
-        await (silent if b"waits" in line else up)(reader, writer, line)
+        await (never_respond if b"waits" in line else echo_lines)(reader, writer, line)
 
     is_due = asyncio.Event()
 
@@ -123,15 +123,15 @@
     monkeypatch.setattr(relay_module, "set_descriptor_limit", lambda max_descriptors: None)
     async with AsyncExitStack() as stack:
         endpoint = FakeEndpoint(wait_first)
-        names, discovery = await serve_all(stack, [endpoint])
-        config_file = write_config(tmp_path, discovery.address, listed(names))
+        names, discovery = await start_endpoints_and_discovery(stack, [endpoint])
+        config_file = write_config(tmp_path, discovery.address, make_endpoint_list(names))
         relay = Relay(load({"GW_CONFIG": str(config_file)}))
         running = asyncio.ensure_future(relay.run())
         await until(lambda: relay.endpoint_registry.version == 2)
-        reader, writer = await ask(relay.listener.address, first_line())
+        reader, writer = await send_request(relay.listener.address, encode_request_line())
         assert await reader.readline() == b"UP r1\r\n"
-        waiting, _ = await ask(relay.listener.address, first_line(key="waits"))
-        await until(lambda: len(endpoint.lines) == 2)
+        waiting, _ = await send_request(relay.listener.address, encode_request_line(key="waits"))
+        await until(lambda: len(endpoint.request_lines) == 2)
         is_due.set()
         began_s = asyncio.get_running_loop().time()
         assert (await waiting.read()).startswith(b"BUSY")
--- a/tests/relay/test_wall_clock_steps.py
+++ b/tests/relay/test_wall_clock_steps.py
@@ -8,7 +8,7 @@
 
 import pytest
 from support.event_loop import until
-from support.network_fakes import relaying, up
+from support.network_fakes import echo_lines, running_relay
 
 from sageturn.core.messages import EndpointListUpdate
 from sageturn.decision import Endpoint
@@ -33,7 +33,7 @@
 
 
 async def check_age_after_step(folder: Path, monkeypatch: pytest.MonkeyPatch, step_s: float) -> None:
-    async with relaying(folder, up) as (relay, _):
+    async with running_relay(folder, echo_lines) as (relay, _):
         await until(lambda: relay.endpoint_registry.version == 2)
         step_wall_clock(monkeypatch, step_s)
         await list_new_endpoint(relay, "new", age_s=0.5)
--- a/tests/support/load_reports.py
+++ b/tests/support/load_reports.py
@@ -4,19 +4,19 @@
 
 import asyncio
 
-from support.network_fakes import Script, up
+from support.network_fakes import EndpointScript, echo_lines
 
 FIELDS = ("x0", "x1", "cpu")
 
 
-def answers_health_checks(*answers: bytes) -> tuple[Script, list[bytes]]:
+def answers_health_checks(*answers: bytes) -> tuple[EndpointScript, list[bytes]]:
     """An endpoint that answers each STATS by the next of ``answers`` and serves clients; its requests."""
     seen: list[bytes] = []
     remaining = list(answers)
 
     async def script(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes) -> None:
         if line.startswith(b"OPEN"):
-            await up(reader, writer, line)
+            await echo_lines(reader, writer, line)
             return
         while line:
             seen.append(line)
--- a/tests/support/network_fakes.py
+++ b/tests/support/network_fakes.py
@@ -11,6 +11,7 @@
 from contextlib import AsyncExitStack, asynccontextmanager
 from functools import partial
 from pathlib import Path
+from typing import NamedTuple
 
 from support.ports import Address
 
@@ -21,7 +22,7 @@
 
 Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 ConnectResult = socket.socket | ConnectFailure  # of ``connect_unreserved``, for which tests put in stand-ins
-Script = Callable[[asyncio.StreamReader, asyncio.StreamWriter, bytes], Awaitable[None]]
+EndpointScript = Callable[[asyncio.StreamReader, asyncio.StreamWriter, bytes], Awaitable[None]]
 
 SETTINGS: JsonObject = {
     "accounts": [{"name": "t", "fraction": 1.0, "allowancePerS": 50.0}],
@@ -33,107 +34,131 @@
 }
 
 
-IDS = itertools.count(1)  # fresh for each connection
+REQUEST_IDS = itertools.count(1)  # fresh for each connection
 
 
-def first_line(wait_ms: int = 2000, more: str = "", key: str = "k1") -> bytes:
-    return f"OPEN id{next(IDS)} {key} c=c,t=t,d={wait_ms}{more}\r\n".encode()
+def encode_request_line(wait_ms: int = 2000, extra_parameters: str = "", key: str = "k1") -> bytes:
+    """Returns an OPEN line with a fresh request id; ``extra_parameters`` are appended, as in ``,g=g1``."""
+    return f"OPEN id{next(REQUEST_IDS)} {key} c=c,t=t,d={wait_ms}{extra_parameters}\r\n".encode()
 
 
-async def ask(address: Address, line: bytes) -> Streams:
+async def send_request(address: Address, line: bytes) -> Streams:
+    """Connects to ``address``, and sends ``line`` without waiting for a response."""
     reader, writer = await asyncio.open_connection(*address)
     writer.write(line)
     return reader, writer
 
 
-async def reply(address: Address, line: bytes) -> bytes:
-    reader, writer = await ask(address, line)
+async def exchange_line(address: Address, line: bytes) -> bytes:
+    """Sends ``line`` on a new connection. Returns the first line of the response; empty if it was closed."""
+    reader, writer = await send_request(address, line)
     try:
         return await asyncio.wait_for(reader.readline(), 5)
     finally:
         writer.close()
 
 
-async def until_ready(address: Address) -> None:
-    """Return once the relay at ``address`` accepts connections; fail if it answers a PING otherwise."""
+async def wait_until_ready(address: Address) -> None:
+    """Returns once the relay at ``address`` accepts connections; fails if it answers a PING otherwise."""
     while True:
         try:
-            assert await reply(address, b"PING\r\n") == b"PONG\r\n"
+            assert await exchange_line(address, b"PING\r\n") == b"PONG\r\n"
             return
         except ConnectionRefusedError:
             await asyncio.sleep(0.02)
 
 
 class FakeEndpoint:
-    """Keeps the first line of each connection, and acts by its script."""
-
-    def __init__(self, script: Script) -> None:
-        self.script, self.lines = script, list[bytes]()
-        self.open = self.max_open = 0
+    """Serves each connection by a script, which is called with the connection's first line.
+
+    Attributes:
+        request_lines: the first line of each connection; empty where it was closed before one came.
+        open_connections: how many connections are open now.
+        max_open_connections: how many have been open at once.
+    """
+
+    def __init__(self, script: EndpointScript) -> None:
+        self.script = script
+        self.request_lines: list[bytes] = []
+        self.open_connections = 0
+        self.max_open_connections = 0
         self.address = ("127.0.0.1", 0)
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.open += 1
-        self.max_open = max(self.open, self.max_open)
+        self.open_connections += 1
+        self.max_open_connections = max(self.open_connections, self.max_open_connections)
         try:
             line = await reader.readline()
-            self.lines.append(line)
+            self.request_lines.append(line)
             await self.script(reader, writer, line)
         except OSError:
             pass
         finally:
-            self.open -= 1
+            self.open_connections -= 1
             writer.close()
 
 
-async def up(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes) -> None:
-    """Accepts the request, and sends every line back until the client ends."""
+async def echo_lines(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes) -> None:
+    """Accepts the request, and sends every line back until the client closes the connection."""
     writer.write(b"UP r1\r\n")
     while received := await reader.readline():
         writer.write(received)
 
 
-def responds_with(text: bytes) -> Script:
+def respond_with(response: bytes) -> EndpointScript:
+    """Returns a script that sends ``response`` and closes the connection."""
+
     async def script(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes) -> None:
-        writer.write(text)
+        writer.write(response)
         await writer.drain()
 
     return script
 
 
-async def resets(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes) -> None:
+async def reset_connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes) -> None:
+    """Resets the connection instead of responding."""
     writer.transport.abort()
 
 
-async def silent(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes) -> None:
+async def never_respond(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes) -> None:
+    """Keeps the connection open without a response until the client closes it."""
     await reader.read()
 
 
-class Discovery:
-    """Answers each watch by the next of its scripted answers, and the last of them for ever after."""
+class WatchRequest(NamedTuple):
+    """A watch that a discovery received: when, on the monotonic clock, and its request line."""
+
+    received_at_s: float
+    request_line: bytes
 
-    def __init__(self, *answers: bytes) -> None:
-        self.answers = list(answers)
-        self.requests: list[tuple[float, bytes]] = []  # when each came, and its first line
+
+class FakeDiscovery:
+    """Answers each watch with the next of ``responses``, and every further one with the last of them."""
+
+    def __init__(self, *responses: bytes) -> None:
+        self.responses = list(responses)
+        self.requests: list[WatchRequest] = []
         self.address = ("127.0.0.1", 0)
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        call = await reader.readuntil(b"\r\n\r\n")
-        self.requests.append((time.monotonic(), call.split(b"\r\n")[0]))
-        answer = self.answers.pop(0) if len(self.answers) > 1 else self.answers[0]
-        writer.write(answer)
-        if b"chunked" in answer and not answer.endswith(b"#"):
+        request = await reader.readuntil(b"\r\n\r\n")
+        self.requests.append(WatchRequest(time.monotonic(), request.split(b"\r\n")[0]))
+        response = self.responses.pop(0) if len(self.responses) > 1 else self.responses[0]
+        writer.write(response)
+        if b"chunked" in response and not response.endswith(b"#"):
             await reader.read()
         writer.close()
 
 
-def chunked(*objects: JsonObject) -> bytes:
+def encode_watch_response(*objects: JsonObject) -> bytes:
+    """Returns the response to a watch: one chunk for each object, and the stream left open."""
     parts = [json.dumps(value).encode() + b"\n" for value in objects]
     body = b"".join(b"%x\r\n%s\r\n" % (len(part), part) for part in parts)
     return b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + body
 
 
-def listed(endpoints: dict[str, Address], version: int = 1, state: str = "ready") -> JsonObject:
+def make_endpoint_list(endpoints: dict[str, Address], version: int = 1, state: str = "ready") -> JsonObject:
+    """Returns a complete endpoint list with all ``endpoints`` in one ``state``."""
     servers = [
         {"id": name, "addr": f"{host}:{port}", "state": state} for name, (host, port) in endpoints.items()
     ]
@@ -141,7 +166,8 @@
 
 
 @asynccontextmanager
-async def served(peer: FakeEndpoint | Discovery) -> AsyncIterator[None]:
+async def running_server(peer: FakeEndpoint | FakeDiscovery) -> AsyncIterator[None]:
+    """Serves ``peer`` on a free loopback port, which is set as its ``address``."""
     server = await asyncio.start_server(peer.serve, "127.0.0.1", 0)
     peer.address = server.sockets[0].getsockname()[:2]
     try:
@@ -150,7 +176,8 @@
         server.close()
 
 
-def write_config(folder: Path, discovery: Address, known: JsonObject | None = None, **more: object) -> Path:
+def write_config(folder: Path, discovery: Address, known: JsonObject | None = None, **fields: object) -> Path:
+    """Writes the platform's config file of a relay; ``fields`` are added or replace the usual ones."""
     file = folder / "config.json"
     content = {
         "name": "n1",
@@ -159,37 +186,40 @@
         "seed": "0a",
         "settings": SETTINGS,
         **({"known": known} if known else {}),
-        **more,
+        **fields,
     }
     file.write_text(json.dumps(content))
     return file
 
 
-async def serve_all(
+async def start_endpoints_and_discovery(
     stack: AsyncExitStack, endpoints: Sequence[FakeEndpoint]
-) -> tuple[dict[str, Address], Discovery]:
-    """The endpoints by name, in the order a, b, c, and a discovery that lists them as version 2."""
+) -> tuple[dict[str, Address], FakeDiscovery]:
+    """Starts ``endpoints``, named a, b, c in their order, and a discovery that lists them as version 2.
+
+    Returns the endpoints' addresses by name, and the discovery; ``stack`` stops them all.
+    """
     for endpoint in endpoints:
-        await stack.enter_async_context(served(endpoint))
-    names = {"abcdef"[index]: endpoint.address for index, endpoint in enumerate(endpoints)}
-    discovery = Discovery(chunked(listed(names, 2)))
-    await stack.enter_async_context(served(discovery))
-    return names, discovery
+        await stack.enter_async_context(running_server(endpoint))
+    addresses = {"abcdef"[index]: endpoint.address for index, endpoint in enumerate(endpoints)}
+    discovery = FakeDiscovery(encode_watch_response(make_endpoint_list(addresses, 2)))
+    await stack.enter_async_context(running_server(discovery))
+    return addresses, discovery
 
 
 @asynccontextmanager
-async def relaying(
-    folder: Path, *scripts: Script, operator: JsonObject | None = None, **more: object
+async def running_relay(
+    folder: Path, *scripts: EndpointScript, operator: JsonObject | None = None, **fields: object
 ) -> AsyncIterator[tuple[Relay, list[FakeEndpoint]]]:
-    """A relay whose list names one endpoint for each script, in the order a, b, c."""
+    """Runs a relay and one endpoint for each script; its endpoint list names them a, b, c in their order."""
     file = folder / "operator.json"
     file.write_text(json.dumps(operator or {}))
     endpoints = [FakeEndpoint(script) for script in scripts]
     async with AsyncExitStack() as stack:
-        names, discovery = await serve_all(stack, endpoints)
-        known = listed(names) if names else None
-        env = {"GW_CONFIG": str(write_config(folder, discovery.address, known, **more))}
-        relay = Relay(load(env, str(file)), partial(load, env, str(file)))
+        addresses, discovery = await start_endpoints_and_discovery(stack, endpoints)
+        known = make_endpoint_list(addresses) if addresses else None
+        environment = {"GW_CONFIG": str(write_config(folder, discovery.address, known, **fields))}
+        relay = Relay(load(environment, str(file)), partial(load, environment, str(file)))
         relay.start()
         stack.push_async_callback(relay.stop)
         yield relay, endpoints
--- a/tests/support/override_relays.py
+++ b/tests/support/override_relays.py
@@ -14,12 +14,12 @@
 
 from cryptography.hazmat.primitives.serialization import Encoding, PublicFormat
 from support.network_fakes import (
+    EndpointScript,
     FakeEndpoint,
-    Script,
-    ask,
-    first_line,
-    listed,
-    serve_all,
+    encode_request_line,
+    make_endpoint_list,
+    send_request,
+    start_endpoints_and_discovery,
     write_config,
 )
 from support.override_records import HOUR_MS, KEYS, make_operation, signed_record
@@ -95,12 +95,12 @@
 
 @asynccontextmanager
 async def relays_with_overrides(
-    folder: Path, *scripts: Script, relays: int = 1, **overrides: Any
+    folder: Path, *scripts: EndpointScript, relays: int = 1, **overrides: Any
 ) -> AsyncIterator[tuple[list[Relay], list[FakeEndpoint]]]:
     """Relays whose stores are linked, and the endpoints that they share, in the order a, b, c."""
     endpoints = [FakeEndpoint(script) for script in scripts]
     async with AsyncExitStack() as stack:
-        names, discovery = await serve_all(stack, endpoints)
+        names, discovery = await start_endpoints_and_discovery(stack, endpoints)
         (folder / "secret").write_text("word")
         started: list[Relay] = []
         for number in range(relays):
@@ -110,7 +110,9 @@
             store = {"path": "store", "listen": "127.0.0.1:0", "peers": peers, "secret_file": "../secret"}
             file = relay_folder / "operator.json"
             file.write_text(json.dumps({"store": store, "overrides": overrides_section(**overrides)}))
-            config = write_config(relay_folder, discovery.address, listed(names), name=f"n{number}")
+            config = write_config(
+                relay_folder, discovery.address, make_endpoint_list(names), name=f"n{number}"
+            )
             environment = {"GW_CONFIG": str(config)}
             relay = Relay(load(environment, str(file)), partial(load, environment, str(file)))
             relay.start()
@@ -126,11 +128,14 @@
     relay: Relay, endpoints: list[FakeEndpoint], count: int = 12, more: str = ""
 ) -> list[int]:
     """How many of ``count`` requests each endpoint was sent."""
-    before = [len(endpoint.lines) for endpoint in endpoints]
+    before = [len(endpoint.request_lines) for endpoint in endpoints]
     for number in range(count):
-        reader, writer = await ask(relay.listener.address, first_line(more=more, key=f"p{number}"))
+        reader, writer = await send_request(
+            relay.listener.address, encode_request_line(extra_parameters=more, key=f"p{number}")
+        )
         assert (await reader.readline()).startswith(b"UP")
         writer.close()
     return [
-        len(endpoint.lines) - lines_before for endpoint, lines_before in zip(endpoints, before, strict=True)
+        len(endpoint.request_lines) - lines_before
+        for endpoint, lines_before in zip(endpoints, before, strict=True)
     ]
--- a/tests/support/xmpp_relay.py
+++ b/tests/support/xmpp_relay.py
@@ -10,7 +10,12 @@
 from pathlib import Path
 
 import trustme
-from support.network_fakes import FakeEndpoint, listed, serve_all, write_config
+from support.network_fakes import (
+    FakeEndpoint,
+    make_endpoint_list,
+    start_endpoints_and_discovery,
+    write_config,
+)
 from support.ports import Address
 from support.xmpp_fakes import Act, Server, rejects
 
@@ -74,7 +79,7 @@
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         first_data = await reader.read(4096)
-        self.lines.append(first_data)
+        self.request_lines.append(first_data)
         try:
             await self.script(reader, writer, first_data)
         except (OSError, AssertionError):
@@ -107,8 +112,8 @@
     """A relay with both frontends, whose list names one endpoint for each act."""
     endpoints: list[FakeEndpoint] = [XmppEndpoint(act) for act in acts]
     async with AsyncExitStack() as stack:
-        names, discovery = await serve_all(stack, endpoints)
-        file = write_config(folder, discovery.address, listed(names))
+        names, discovery = await start_endpoints_and_discovery(stack, endpoints)
+        file = write_config(folder, discovery.address, make_endpoint_list(names))
         relay = Relay(load({"GW_CONFIG": str(file)}, str(write_operator(folder, tls, **more))))
         relay.start()
         stack.push_async_callback(relay.stop)
