--- a/tests/store/test_compatibility_replication.py
+++ b/tests/store/test_compatibility_replication.py
@@ -13,10 +13,11 @@
 import socket
 import zlib
 from collections.abc import Iterator
-from contextlib import suppress
+from contextlib import AbstractContextManager, suppress
+from operator import itemgetter
 from pathlib import Path
 from random import Random
-from typing import Any
+from typing import Any, NamedTuple
 from unittest import mock
 
 import pytest
@@ -26,6 +27,7 @@
 from sageturn.store.records import StoreRecord
 from sageturn.store.replication.close_code import CloseCode
 from sageturn.store.replication.location import ReplicaLocation
+from sageturn.store.replication.membership import Member
 from sageturn.store.replication.overlay import Overlay
 from sageturn.store.replication.replica import Replica
 from sageturn.store.replication.session import ReplicationSession
@@ -36,14 +38,31 @@
 WALL_S = 1_700_000_000.0
 STEP_S = 0.05
 STEPS = 80
-CLOSE_AT = 70
-PLACES = {
+CLOSING_STEP = 70
+LOCATIONS = {
     "a": ReplicaLocation(("127.0.0.1", 7400), "north", "n1"),
     "b": ReplicaLocation(("127.0.0.1", 7401), "south", "s1"),
 }
-Frame = tuple[int, str, bytes]  # step, who sent it, the payload
 
-# By scenario: what each replica holds at first, and what is written while the session is open.
+
+class Frame(NamedTuple):
+    """A payload, the step of the fake clock at which it was sent, and the replica that sent it."""
+
+    step: int
+    sender: str
+    payload: bytes
+
+
+class Write(NamedTuple):
+    """A write to a replica's store while the session is open."""
+
+    step: int
+    replica: str
+    key: str
+    value: Any
+
+
+# The records that each replica holds at first, by scenario.
 INITIAL_RECORDS: dict[str, dict[str, list[tuple[str, Any]]]] = {
     "walk": {
         "a": [(f"config/key-{n}", {"from": "a", "n": n}) for n in range(60)],
@@ -56,11 +75,11 @@
     "guest": {"a": [("config/log_level", "INFO"), ("config/gone", 1), ("config/gone", None)], "b": []},
     "stranger": {"a": [("config/removed/b", True)], "b": []},
 }
-LIVE_WRITES: list[tuple[int, str, str, Any]] = [
-    (35, "a", "overrides/01/0001", {"word": "set", "until_ms": 1.5e12}),
-    (36, "b", "config/key-5", None),
-    (37, "b", "state/b/relay", {"standing": 1, "ended": {}}),
-    (50, "a", "state/a/relay", {"standing": 2, "ended": {"served": 3}}),
+LIVE_WRITES = [
+    Write(35, "a", "overrides/01/0001", {"word": "set", "until_ms": 1.5e12}),
+    Write(36, "b", "config/key-5", None),
+    Write(37, "b", "state/b/relay", {"standing": 1, "ended": {}}),
+    Write(50, "a", "state/a/relay", {"standing": 2, "ended": {"served": 3}}),
 ]
 
 
@@ -68,71 +87,75 @@
     """One replica of the store under a fake clock, and its side of the session."""
 
     def __init__(self, scenario: str, name: str) -> None:
-        self.name, self.scenario, self.step = name, scenario, 0
+        self.name = name
+        self.scenario = scenario
+        self.step = 0
         self.store = Store(name, wall_clock=lambda: WALL_S + self.step * STEP_S)
         for key, value in INITIAL_RECORDS[scenario][name]:
             self.store.put(key, value)
-        place = None if scenario == "guest" and name == "b" else PLACES[name]
+        location = None if scenario == "guest" and name == "b" else LOCATIONS[name]
 
-        def overlay(own: Any) -> Overlay:
+        def make_overlay(own: Member) -> Overlay:
             return Overlay(own, (), Random(9))
 
-        self.replica = Replica(self.store, Random(name), 0.0, place, overlay)
-        if place is not None:
+        self.replica = Replica(self.store, Random(name), 0.0, location, make_overlay)
+        if location is not None:
             self.replica.announce()
         peer = "b" if name == "a" else "a"
         self.session: ReplicationSession = self.replica.open_session(
-            peer, 0.0, None if name == "a" else PLACES["a"].address
+            peer, 0.0, None if name == "a" else LOCATIONS["a"].address
         )
 
     def pending_payloads(self, step: int) -> Iterator[bytes]:
+        """Carries out what the scenario has for ``step``, and yields the payloads that are to be sent."""
         self.step = step
-        if step == CLOSE_AT and self.name == "b":
+        if step == CLOSING_STEP and self.name == "b":
             self.session.close("stopping", CloseCode.ORDERLY)
-        for at, name, key, value in LIVE_WRITES:
-            if (at, name) == (step, self.name) and self.scenario in ("walk", "snapshot"):
-                self.store.put(key, value)
+        for write in LIVE_WRITES:
+            if (write.step, write.replica) == (step, self.name) and self.scenario in ("walk", "snapshot"):
+                self.store.put(write.key, write.value)
         if step % 20 == 0:
             self.replica.tick(step * STEP_S)
         while (payload := self.session.next_payload(step * STEP_S)) is not None:
             yield payload
 
     def receive(self, payload: bytes) -> None:
+        """Passes ``payload`` to the session, and closes the session if it rejects it."""
         try:
             self.session.receive(payload, self.step * STEP_S)
         except SessionRejectedError as rejection:
             self.session.close(str(rejection), self.session.closing.code)
 
     def records(self) -> list[dict[str, Any]]:
-        return sorted((record.to_json() for record in self.store.records()), key=lambda r: r["key"])
+        return sorted((record.to_json() for record in self.store.records()), key=itemgetter("key"))
 
 
 def run_conversation(scenario: str) -> tuple[list[Frame], dict[str, ClockedReplica]]:
-    """Two replicas, one after the other in each step; what one sends the other receives at once."""
+    """Runs two replicas, one after the other in each step; each receives at once what the other sends."""
     replicas = {name: ClockedReplica(scenario, name) for name in "ab"}
     frames: list[Frame] = []
     for step in range(STEPS):
         for name, other in (("b", "a"), ("a", "b")):
             replicas[other].step = step
             for payload in replicas[name].pending_payloads(step):
-                frames.append((step, name, payload))
+                frames.append(Frame(step, name, payload))
                 replicas[other].receive(payload)
     return frames, replicas
 
 
 def replay(scenario: str, name: str, frames: list[Frame]) -> tuple[list[Frame], ClockedReplica]:
-    """One replica alone, which receives the other's frames as they were recorded."""
+    """Runs one replica alone, which receives the other's frames as they were recorded."""
     replica = ClockedReplica(scenario, name)
     sent: list[Frame] = []
     for step in range(STEPS):
         replica.step = step
-        theirs = [payload for at, who, payload in frames if at == step and who != name]
+        received = [frame.payload for frame in frames if frame.step == step and frame.sender != name]
         if name == "a":
-            for payload in theirs:
+            for payload in received:
                 replica.receive(payload)
-        sent += [(step, name, payload) for payload in replica.pending_payloads(step)]
+        sent += [Frame(step, name, payload) for payload in replica.pending_payloads(step)]
         if name == "b":
-            for payload in theirs:
+            for payload in received:
                 replica.receive(payload)
     return sent, replica
 
@@ -141,7 +164,7 @@
     return b"z" + zlib.compress(plain, 1)
 
 
-def to_line(frame: Frame) -> bytes:
+def encode_transcript_line(frame: Frame) -> bytes:
     step, name, payload = frame
     packed = payload.startswith(b"z")
     plain = zlib.decompress(payload[1:]) if packed else payload
@@ -149,18 +172,22 @@
     return b"%d %s %s %s\n" % (step, name.encode(), b"z" if packed else b"-", plain)
 
 
-def to_frame(line: bytes) -> Frame:
+def decode_transcript_line(line: bytes) -> Frame:
     step, name, packed, plain = line.split(b" ", 3)
-    return int(step), name.decode(), pack(plain) if packed == b"z" else plain
+    return Frame(int(step), name.decode(), pack(plain) if packed == b"z" else plain)
 
 
-def recorded(scenario: str) -> list[Frame]:
-    return [to_frame(line) for line in (FIXTURES / f"{scenario}.transcript").read_bytes().splitlines()]
+def read_transcript(scenario: str) -> list[Frame]:
+    return [
+        decode_transcript_line(line)
+        for line in (FIXTURES / f"{scenario}.transcript").read_bytes().splitlines()
+    ]
 
 
-# ---------------------------------------------------------------- the authenticated link
+# ---------------------------------------------------------------- the authenticated channel
 
 SECRET = "a shared secret\n"
+CHANNEL_TIMEOUT_S = 5
 NONCES = [bytes(range(32)), bytes(range(32, 64))]
 PAYLOADS = [b'{"ack":[[0,0],[0,0]]}', b"", b"z" * 3000]
 
@@ -169,28 +196,29 @@
     return AuthenticatedChannel(sock, read_secret(SECRET), node)
 
 
-def pair() -> tuple[socket.socket, socket.socket]:
+def make_socket_pair() -> tuple[socket.socket, socket.socket]:
     ends = socket.socketpair()
     for end in ends:
         end.setblocking(False)
     return ends
 
 
-def fixed_nonces(*nonces: bytes) -> Any:
+def fixed_nonces(*nonces: bytes) -> AbstractContextManager[mock.Mock]:
     return mock.patch.object(secrets, "token_bytes", side_effect=list(nonces))
 
 
-async def exchange_payloads(link: AuthenticatedChannel, dialled: bool) -> list[bytes]:
-    await link.perform_handshake(dialled)
+async def exchange_payloads(channel: AuthenticatedChannel, dialled: bool) -> list[bytes]:
+    await channel.perform_handshake(dialled)
     for payload in PAYLOADS:
-        await link.send(payload)
-    return [await link.receive() for _ in PAYLOADS]
+        await channel.send(payload)
+    return [await channel.receive() for _ in PAYLOADS]
 
 
 async def record_channel() -> dict[str, bytes]:
-    """The bytes that each of two connected replicas sends."""
+    """Returns the bytes that each of two connected replicas sends."""
     loop = asyncio.get_running_loop()
-    (a, a_far), (b, b_far) = pair(), pair()
+    dialler, dialler_far = make_socket_pair()
+    answerer, answerer_far = make_socket_pair()
     sent_bytes = {"dialled": bytearray(), "answered": bytearray()}
 
     async def carry(name: str, source: socket.socket, target: socket.socket) -> None:
@@ -198,11 +226,12 @@
             sent_bytes[name] += data
             await loop.sock_sendall(target, data)
 
-    carrying = [loop.create_task(carry("dialled", a_far, b_far))]
-    carrying.append(loop.create_task(carry("answered", b_far, a_far)))
+    carrying = [loop.create_task(carry("dialled", dialler_far, answerer_far))]
+    carrying.append(loop.create_task(carry("answered", answerer_far, dialler_far)))
     with fixed_nonces(*NONCES):
         received_by_dialler, received_by_answerer = await asyncio.gather(
-            exchange_payloads(open_channel(a, "a"), True), exchange_payloads(open_channel(b, "b"), False)
+            exchange_payloads(open_channel(dialler, "a"), True),
+            exchange_payloads(open_channel(answerer, "b"), False),
         )
     assert received_by_dialler == PAYLOADS
     assert received_by_answerer == PAYLOADS
@@ -210,17 +239,17 @@
         task.cancel()
         with suppress(asyncio.CancelledError):
             await task
-    for sock in (a, a_far, b, b_far):
+    for sock in (dialler, dialler_far, answerer, answerer_far):
         sock.close()
     return {name: bytes(data) for name, data in sent_bytes.items()}
 
 
-async def replay_channel(dialled: bool, theirs: bytes) -> tuple[list[bytes], bytes]:
-    """A channel of the program's against recorded bytes; what it received and what it sent."""
+async def replay_channel(dialled: bool, recorded: bytes) -> tuple[list[bytes], bytes]:
+    """Runs a channel against the peer's recorded bytes. Returns the payloads received and the bytes sent."""
     loop = asyncio.get_running_loop()
-    near, far = pair()
+    near, far = make_socket_pair()
     try:
-        await loop.sock_sendall(far, theirs)
+        await loop.sock_sendall(far, recorded)
         with fixed_nonces(NONCES[0 if dialled else 1]):
             received = await exchange_payloads(open_channel(near, "a" if dialled else "b"), dialled)
         return received, await loop.sock_recv(far, 65536)
@@ -229,10 +258,6 @@
         far.close()
 
 
-def run_with_timeout(coro: Any) -> Any:
-    return asyncio.run(asyncio.wait_for(coro, 5))
-
-
 # ---------------------------------------------------------------- messages by themselves
 
 BIG = {"changes": [0, 1, 0, 3, [["config/x", {"tổ": "y" * 500}, 1, "a", None]]]}
@@ -249,22 +274,22 @@
 }
 
 
-def farewell_after(frame: bytes) -> bytes:
-    """All that a replica says after it received this first."""
+def payloads_after(frame: bytes) -> bytes:
+    """Returns the payloads that a replica sends after ``frame`` was the first that it received."""
     replica = ClockedReplica("guest", "a")
     replica.receive(frame)
     return b"\n".join(replica.pending_payloads(0)) + b"\n"
 
 
-def produced() -> dict[str, bytes]:
-    files = {f"refused.{name}.bin": farewell_after(frame) for name, frame in BAD_FRAMES.items()}
+async def produced() -> dict[str, bytes]:
+    files = {f"refused.{name}.bin": payloads_after(frame) for name, frame in BAD_FRAMES.items()}
     for scenario in INITIAL_RECORDS:
         frames, replicas = run_conversation(scenario)
-        files[f"{scenario}.transcript"] = b"".join(map(to_line, frames))
+        files[f"{scenario}.transcript"] = b"".join(map(encode_transcript_line, frames))
         for name, replica in replicas.items():
             lines = [json.dumps(record, sort_keys=True) + "\n" for record in replica.records()]
             files[f"{scenario}.{name}.jsonl"] = "".join(lines).encode()
-    sent_bytes = run_with_timeout(record_channel())
+    sent_bytes = await asyncio.wait_for(record_channel(), CHANNEL_TIMEOUT_S)
     files |= {f"link.{name}.bin": data for name, data in sent_bytes.items()}
     files["packed.bin"] = encode(BIG)
     return files
@@ -273,7 +298,7 @@
 @pytest.mark.parametrize("scenario", INITIAL_RECORDS)
 def test_a_conversation_is_the_recorded_one(scenario: str) -> None:
     frames, replicas = run_conversation(scenario)
-    assert b"".join(map(to_line, frames)) == (FIXTURES / f"{scenario}.transcript").read_bytes()
+    assert b"".join(map(encode_transcript_line, frames)) == (FIXTURES / f"{scenario}.transcript").read_bytes()
     for name, replica in replicas.items():
         lines = (FIXTURES / f"{scenario}.{name}.jsonl").read_text().splitlines()
         assert replica.records() == [json.loads(line) for line in lines]
@@ -282,23 +307,23 @@
 @pytest.mark.parametrize("scenario", INITIAL_RECORDS)
 @pytest.mark.parametrize("name", ["a", "b"])
 def test_a_replica_answers_recorded_frames_as_recorded(scenario: str, name: str) -> None:
-    frames = recorded(scenario)
+    frames = read_transcript(scenario)
     sent, replica = replay(scenario, name, frames)
-    assert sent == [frame for frame in frames if frame[1] == name]
+    assert sent == [frame for frame in frames if frame.sender == name]
     lines = (FIXTURES / f"{scenario}.{name}.jsonl").read_text().splitlines()
     assert replica.records() == [json.loads(line) for line in lines]
 
 
 @pytest.mark.parametrize("name", BAD_FRAMES)
 def test_a_bad_frame_is_answered_by_the_recorded_bye(name: str) -> None:
-    assert farewell_after(BAD_FRAMES[name]) == (FIXTURES / f"refused.{name}.bin").read_bytes()
+    assert payloads_after(BAD_FRAMES[name]) == (FIXTURES / f"refused.{name}.bin").read_bytes()
 
 
 def test_the_transcripts_have_every_kind_of_message_and_compressed_frames() -> None:
-    frames = [payload for scenario in INITIAL_RECORDS for _, _, payload in recorded(scenario)]
-    kinds = {next(iter(decode(payload))) for payload in frames}
+    payloads = [frame.payload for scenario in INITIAL_RECORDS for frame in read_transcript(scenario)]
+    kinds = {next(iter(decode(payload))) for payload in payloads}
     assert kinds == {"hello", "follow", "changes", "ack", "beat", "ask", "nodes", "get", "give", "bye"}
-    assert any(payload.startswith(b"z") for payload in frames)
+    assert any(payload.startswith(b"z") for payload in payloads)
 
 
 def test_a_compressed_frame_of_an_earlier_program_is_read_and_compression_is_unchanged() -> None:
@@ -307,20 +332,22 @@
     assert encode(BIG) == pack(json.dumps(BIG, separators=(",", ":")).encode())
 
 
-def test_a_channel_sends_the_recorded_bytes_and_reads_the_peers() -> None:
+@pytest.mark.timeout(CHANNEL_TIMEOUT_S)
+async def test_a_channel_sends_the_recorded_bytes_and_reads_the_peers() -> None:
     dialled = (FIXTURES / "link.dialled.bin").read_bytes()
     answered = (FIXTURES / "link.answered.bin").read_bytes()
-    assert run_with_timeout(record_channel()) == {"dialled": dialled, "answered": answered}
-    assert run_with_timeout(replay_channel(True, answered)) == (PAYLOADS, dialled)
-    assert run_with_timeout(replay_channel(False, dialled)) == (PAYLOADS, answered)
+    assert await record_channel() == {"dialled": dialled, "answered": answered}
+    assert await replay_channel(True, answered) == (PAYLOADS, dialled)
+    assert await replay_channel(False, dialled) == (PAYLOADS, answered)
 
 
-@pytest.mark.parametrize("at", [10, 100, 130, -1])
-def test_a_flipped_byte_on_the_channel_is_rejected(at: int) -> None:
+@pytest.mark.timeout(CHANNEL_TIMEOUT_S)
+@pytest.mark.parametrize("position", [10, 100, 130, -1])
+async def test_a_flipped_byte_on_the_channel_is_rejected(position: int) -> None:
     data = bytearray((FIXTURES / "link.answered.bin").read_bytes())
-    data[at] ^= 1
+    data[position] ^= 1
     with pytest.raises(HandshakeRejectedError):
-        run_with_timeout(replay_channel(True, bytes(data)))
+        await replay_channel(True, bytes(data))
 
 
 def test_records_without_a_time_of_writing_are_still_understood() -> None:
