--- a/experiments/measure_client_disconnects.py
+++ b/experiments/measure_client_disconnects.py
@@ -37,9 +37,9 @@
     wait_until_ready,
     write_config,
 )
-from support.ports import Address, free_port
-from support.xmpp_fakes import Client, Server
-from support.xmpp_relay import client_tls, write_operator
+from support.ports import Address, find_free_port
+from support.xmpp_fakes import XmppClient, XmppServerSession
+from support.xmpp_relay import make_client_tls_context, write_operator_file
 
 CONDITION = "<resource-constraint xmlns='urn:ietf:params:xml:ns:xmpp-streams'/>"
 CLIENT_COUNTS = {"lines": 300, "xmpp": 60}
@@ -95,7 +95,7 @@
                 await _delay_rejection()
                 writer.write(b"BUSY\r\n")
             elif data:
-                server = Server(reader, writer)
+                server = XmppServerSession(reader, writer)
                 server.unread = data.decode()
                 await server.accept()
                 await _delay_rejection()
@@ -156,7 +156,7 @@
     return connect
 
 
-def connect_with_streams(logged_in: list[Client]) -> Connect:
+def connect_with_streams(logged_in: list[XmppClient]) -> Connect:
     """XMPP clients, each one of those that are logged in."""
 
     async def connect(number: int) -> WaitingClient:
@@ -177,10 +177,10 @@
     return connect
 
 
-async def log_in(address: Address) -> Client:
+async def log_in(address: Address) -> XmppClient:
     """An XMPP client that has logged in, and has not asked to be bound."""
-    client = await Client.connect(address)
-    await client.login(client_tls())
+    client = await XmppClient.connect(address)
+    await client.login(make_client_tls_context())
     return client
 
 
@@ -240,17 +240,17 @@
 
 async def measure_frontend(frontend: str, clients: int, rounds: int, folder: Path) -> None:
     """Run all rounds of a frontend, and print its row."""
-    addresses = RelayAddresses(("127.0.0.1", free_port()), ("127.0.0.1", free_port()))
+    addresses = RelayAddresses(("127.0.0.1", find_free_port()), ("127.0.0.1", find_free_port()))
     records = folder / "begun"
     async with AsyncExitStack() as stack:
         config = await _start_environment(stack, folder, addresses)
-        operator_file = write_operator(
+        operator_file = write_operator_file(
             folder, False, listen="{}:{}".format(*addresses.xmpp), negotiate_s=60.0
         )
         operator_options = ["--operator", str(operator_file)] if frontend == "xmpp" else []
         await _start_processes(stack, config, records, operator_options)
         await wait_until_ready(addresses.lines)
-        logged_in: list[Client] = []
+        logged_in: list[XmppClient] = []
         if frontend == "lines":
             connect = connect_with_lines(addresses.lines)
         else:
--- a/tests/cli/test_override_output.py
+++ b/tests/cli/test_override_output.py
@@ -8,9 +8,9 @@
     START_MS,
     make_extension,
     make_operation,
+    make_out_of_service,
     make_revocation,
-    out_of_service,
-    signed_record,
+    make_signed_record,
 )
 from support.override_registry import RegistryDriver
 
@@ -33,7 +33,7 @@
     store = Store("n1")
     for operation in operations:
         driver.apply(operation)
-        store.put(*signed_record(operation))
+        store.put(*make_signed_record(operation))
     driver.advance_to(now_ms)
     store.put("state/n1/overrides", encode_relay_state(driver.registry, now_ms))
     return store
@@ -42,7 +42,7 @@
 def test_the_history_ends_with_the_expiry(capsys: pytest.CaptureFixture[str]) -> None:
     now_ms = START_MS + 3 * HOUR_MS
     store = store_with(
-        make_operation("o1", out_of_service("a")),
+        make_operation("o1", make_out_of_service("a")),
         make_extension("o1", revision=2, expires_at_ms=START_MS + 2 * HOUR_MS, operator="mai"),
         now_ms=now_ms,
     )
@@ -74,7 +74,7 @@
 
 
 def test_a_revoked_override_does_not_expire_in_its_history() -> None:
-    store = store_with(make_operation("o1", out_of_service("a")), make_revocation("o1", revision=2))
+    store = store_with(make_operation("o1", make_out_of_service("a")), make_revocation("o1", revision=2))
     rows = history_rows(OverrideView(store, START_MS + 3 * HOUR_MS), "o1")
     assert [row.event for row in rows] == ["set", "revoke"]
     assert rows[1].expires == ""
@@ -82,8 +82,8 @@
 
 def test_details_show_the_suspension_at_each_relay(capsys: pytest.CaptureFixture[str]) -> None:
     store = store_with(
-        make_operation("o1", out_of_service("a")),
-        make_operation("o2", out_of_service("b"), created_at_ms=START_MS + 1),
+        make_operation("o1", make_out_of_service("a")),
+        make_operation("o2", make_out_of_service("b"), created_at_ms=START_MS + 1),
     )
     view = OverrideView(store, START_MS)
     details = collect_details(view, view.get_override("o2"))
--- a/tests/config/test_deployments.py
+++ b/tests/config/test_deployments.py
@@ -13,7 +13,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from support.deployments import FERRY_SETTINGS, with_value
+from support.deployments import FERRY_SETTINGS, replace_setting
 from support.network_fakes import (
     FakeEndpoint,
     echo_lines,
@@ -112,7 +112,7 @@
 def test_renaming_and_permuting_classes_tenants_and_zones_changes_no_decision(
     seed: int, reports_delay: bool
 ) -> None:
-    conf = with_value(FERRY_SETTINGS, "familyInfo.tellsDelay", reports_delay)
+    conf = replace_setting(FERRY_SETTINGS, "familyInfo.tellsDelay", reports_delay)
     other, names = renamed_and_shuffled(conf, Random(seed))
     same = simulated_actions(Balancer(read_settings(conf), 5), {name: name for name in names}, seed)
     assert len(same) > 300 and simulated_actions(Balancer(read_settings(other), 5), names, seed) == same
@@ -123,7 +123,7 @@
 
 @pytest.mark.parametrize("attempts", [1, 6])
 async def test_a_third_deployment_is_served_by_its_own_figures(tmp_path: Path, attempts: int) -> None:
-    conf = with_value(FERRY_SETTINGS, "policyLimits.sendCap", attempts)
+    conf = replace_setting(FERRY_SETTINGS, "policyLimits.sendCap", attempts)
     endpoints = [FakeEndpoint(script) for script in (reset_connection,) * 6]
     async with AsyncExitStack() as stack:
         names, discovery = await start_endpoints_and_discovery(stack, endpoints)
@@ -153,7 +153,10 @@
 
 def test_no_request_is_placed_at_an_endpoint_that_is_known_to_drain() -> None:
     # One deployment allows 500 ms for it, another 250: the balancer needs none of them.
-    for settings in (FERRY_SETTINGS, with_value(FERRY_SETTINGS, "guarantees.stopSendingWithinMs", 500.0)):
+    for settings in (
+        FERRY_SETTINGS,
+        replace_setting(FERRY_SETTINGS, "guarantees.stopSendingWithinMs", 500.0),
+    ):
         balancer = Balancer(read_settings(settings), 3)
         balancer.handle(0.0, EndpointListEvent("full", [Endpoint("a"), Endpoint("b"), Endpoint("c")]))
         balancer.handle(
--- a/tests/config/test_settings.py
+++ b/tests/config/test_settings.py
@@ -9,7 +9,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from support.deployments import FERRY_SETTINGS, with_value
+from support.deployments import FERRY_SETTINGS, replace_setting
 from support.network_fakes import write_config
 
 from sageturn import Balancer, Endpoint, EndpointListEvent
@@ -63,7 +63,7 @@
 def test_missing_or_invalid_value_is_refused_by_its_key(path: str, value: object, key: str) -> None:
     # Errors once named a field of the program, or nothing, and infinity was accepted.
     with pytest.raises(ConfigError, match=f"settings.*{key}"):
-        read_settings(with_value(FERRY_SETTINGS, path, value), "settings")
+        read_settings(replace_setting(FERRY_SETTINGS, path, value), "settings")
 
 
 def paths_in(value: object, prefix: str = "") -> list[str]:
@@ -91,7 +91,7 @@
     conf = FERRY_SETTINGS
     for path, value in changes:
         try:
-            conf = with_value(conf, path, value)
+            conf = replace_setting(conf, path, value)
         except (KeyError, TypeError, IndexError, ValueError):
             continue  # an earlier change has removed what contained it
     try:
@@ -107,10 +107,12 @@
     env = {"GW_CONFIG": str(file)}
     before = load(env)
     content = json.loads(file.read_text())
-    file.write_text(json.dumps({**content, "settings": with_value(FERRY_SETTINGS, "prices.probe", "dear")}))
+    file.write_text(
+        json.dumps({**content, "settings": replace_setting(FERRY_SETTINGS, "prices.probe", "dear")})
+    )
     with pytest.raises(ConfigError, match=r"settings\.prices\.probe"):
         load(env, previous=before)
     file.write_text(
-        json.dumps({**content, "settings": with_value(FERRY_SETTINGS, "policyLimits.probes", False)})
+        json.dumps({**content, "settings": replace_setting(FERRY_SETTINGS, "policyLimits.probes", False)})
     )
     assert before.keys_needing_restart(load(env, previous=before)) == ["settings"]
--- a/tests/core/test_client_disconnects.py
+++ b/tests/core/test_client_disconnects.py
@@ -25,8 +25,8 @@
 )
 from support.ports import Address
 from support.relay_checks import record_closed_connections
-from support.xmpp_fakes import Client, Server
-from support.xmpp_relay import client_tls, relaying_xmpp, xmpp_address
+from support.xmpp_fakes import XmppClient, XmppServerSession
+from support.xmpp_relay import make_client_tls_context, running_xmpp_relay, xmpp_address
 
 from sageturn.core.close_reason import CloseReason
 from sageturn.core.pre_write_checks import PreWriteChecks
@@ -136,16 +136,16 @@
         assert records[0].close_reason in GONE
 
 
-async def end_stream(client: Client) -> None:
+async def end_stream(client: XmppClient) -> None:
     client.send("</stream:stream>")
     await client.writer.drain()
 
 
-async def abort_connection(client: Client) -> None:
+async def abort_connection(client: XmppClient) -> None:
     client.writer.transport.abort()
 
 
-async def send_and_end_stream(client: Client) -> None:
+async def send_and_end_stream(client: XmppClient) -> None:
     client.send("<message/>" * 3 + "</stream:stream>")
     await client.writer.drain()
 
@@ -159,17 +159,17 @@
 async def test_nothing_is_begun_for_an_xmpp_client_that_has_left_or_ended_its_stream(
     tmp_path: Path,
     monkeypatch: pytest.MonkeyPatch,
-    leave: Callable[[Client], Coroutine[Any, Any, None]],
+    leave: Callable[[XmppClient], Coroutine[Any, Any, None]],
     moment: str,
 ) -> None:
     # A stream's end lay unread under TLS: only the connection's was looked for, and the bind followed.
     bound: list[str] = []
 
-    async def accept(server: Server) -> None:
+    async def accept(server: XmppServerSession) -> None:
         bound.append(await server.accept())
 
     with closing(ClientThread()) as client_thread:
-        async with relaying_xmpp(tmp_path, accept, accept) as (relay, endpoints):
+        async with running_xmpp_relay(tmp_path, accept, accept) as (relay, endpoints):
             await until(lambda: relay.endpoint_registry.version == 2)
             connects = ConnectCounter(monkeypatch, moment == "further")
             if moment == "bind":
@@ -188,8 +188,8 @@
                     monkeypatch, XmppConnection, number, lambda: client_thread.run_blocking(leave(client))
                 )
             records = record_closed_connections(relay, monkeypatch)
-            client = await client_thread.run(Client.connect(xmpp_address(relay)))
-            await client_thread.run(client.login(client_tls()))
+            client = await client_thread.run(XmppClient.connect(xmpp_address(relay)))
+            await client_thread.run(client.login(make_client_tls_context()))
             await client_thread.run(send_bind(client))
             await until(lambda: records and not relay.balancer_actor.balancer.requests)
             await client_thread.run(abort_connection(client))
@@ -200,7 +200,7 @@
             )
 
 
-async def send_bind(client: Client) -> None:
+async def send_bind(client: XmppClient) -> None:
     client.send_bind()
     await client.writer.drain()
 
@@ -299,12 +299,12 @@
 @pytest.mark.timeout(30)
 async def test_an_xmpp_client_that_breaks_its_stream_while_it_waits_hears_why(tmp_path: Path) -> None:
     # It was taken for one that had left, and its connection closed without a word.
-    async def read_until_end(server: Server) -> None:
+    async def read_until_end(server: XmppServerSession) -> None:
         await server.read_rest()
 
-    async with relaying_xmpp(tmp_path, read_until_end) as (relay, (endpoint,)):
-        client = await Client.connect(xmpp_address(relay))
-        await client.login(client_tls())
+    async with running_xmpp_relay(tmp_path, read_until_end) as (relay, (endpoint,)):
+        client = await XmppClient.connect(xmpp_address(relay))
+        await client.login(make_client_tls_context())
         client.send_bind()
         await until(lambda: endpoint.request_lines)
         client.send("<not <well>")
--- a/tests/frontends/test_idle_timeout.py
+++ b/tests/frontends/test_idle_timeout.py
@@ -18,8 +18,8 @@
     running_relay,
     send_request,
 )
-from support.xmpp_fakes import Act, Client, Server
-from support.xmpp_relay import client_tls, relaying_xmpp, xmpp_address
+from support.xmpp_fakes import SessionScript, XmppClient, XmppServerSession
+from support.xmpp_relay import make_client_tls_context, running_xmpp_relay, xmpp_address
 
 from sageturn.core.idle_timeout import IdleTimeout
 from sageturn.frontends.platform.timing import (
@@ -157,16 +157,16 @@
         assert answer.startswith(b"BUSY" if wait == b"d=0" else b"ERR") and endpoint.request_lines == []
 
 
-async def at_once(server: Server) -> None:
+async def at_once(server: XmppServerSession) -> None:
     await server.reader.read()
 
 
-async def after_login(server: Server) -> None:
+async def after_login(server: XmppServerSession) -> None:
     await server.accept()
     await server.reader.read()
 
 
-async def half_bound(server: Server) -> None:
+async def half_bound(server: XmppServerSession) -> None:
     await server.accept()
     server.send("<iq type='result' id='bind'><bind xmlns='urn:ietf:params:xml:ns:xmpp-bind'><jid>rel")
     await server.reader.read()
@@ -174,10 +174,12 @@
 
 @pytest.mark.parametrize("act", [at_once, after_login, half_bound])
 @pytest.mark.usefixtures("virtual_time")
-async def test_xmpp_client_of_a_silent_endpoint_gets_one_stanza_in_time(tmp_path: Path, act: Act) -> None:
-    async with relaying_xmpp(tmp_path, *[act] * 4, wait_ms=600) as (relay, endpoints):
-        client = await Client.connect(xmpp_address(relay))
-        await client.login(client_tls())
+async def test_xmpp_client_of_a_silent_endpoint_gets_one_stanza_in_time(
+    tmp_path: Path, act: SessionScript
+) -> None:
+    async with running_xmpp_relay(tmp_path, *[act] * 4, wait_ms=600) as (relay, endpoints):
+        client = await XmppClient.connect(xmpp_address(relay))
+        await client.login(make_client_tls_context())
         began_s = asyncio.get_running_loop().time()
         client.send_bind()
         rest = await client.read_rest()
--- a/tests/frontends/test_xmpp_frontend.py
+++ b/tests/frontends/test_xmpp_frontend.py
@@ -13,8 +13,26 @@
 from support.network_fakes import SETTINGS as CONF
 from support.network_fakes import encode_request_line, send_request
 from support.relay_checks import Placement, record_placements
-from support.xmpp_fakes import HEADER, SASL, TLS, Act, Client, Server, echo, encode_base64, rejects
-from support.xmpp_relay import CA, CERT, client_tls, relaying_xmpp, server_tls, write_operator, xmpp_address
+from support.xmpp_fakes import (
+    SASL_NAMESPACE,
+    STREAM_HEADER,
+    TLS_NAMESPACE,
+    SessionScript,
+    XmppClient,
+    XmppServerSession,
+    echo_messages,
+    encode_base64,
+    reject_session,
+)
+from support.xmpp_relay import (
+    CERTIFICATE_AUTHORITY,
+    SERVER_CERTIFICATE,
+    make_client_tls_context,
+    make_server_tls_context,
+    running_xmpp_relay,
+    write_operator_file,
+    xmpp_address,
+)
 
 from sageturn.config.errors import ConfigError
 from sageturn.config.operator import read_operator_file
@@ -31,10 +49,12 @@
 @pytest.mark.timeout(30)
 async def test_session_is_established_over_tls_and_restarted_streams_are_one_request(tmp_path: Path) -> None:
     # The stream starts three times, for TLS and SASL; only the bind is a request, and it is placed once.
-    async with relaying_xmpp(tmp_path, lambda server: echo(server, server_tls()), tls=True) as (relay, _):
+    async with running_xmpp_relay(
+        tmp_path, lambda server: echo_messages(server, make_server_tls_context()), tls=True
+    ) as (relay, _):
         placements = record_placements(relay)
-        client = await Client.connect(xmpp_address(relay))
-        await client.login(client_tls())
+        client = await XmppClient.connect(xmpp_address(relay))
+        await client.login(make_client_tls_context())
         assert placements == []
         assert await client.bind("desk") == "relay@guides.example/desk"
         message = "<message to='x' id=\"q>1\"><body>a &amp; b &lt; c</body><e a='>'/></message>"
@@ -49,16 +69,16 @@
 
 @pytest.mark.timeout(30)
 async def test_plain_is_offered_under_tls_and_a_wrong_password_is_no_request(tmp_path: Path) -> None:
-    async with relaying_xmpp(tmp_path, echo) as (relay, _):
+    async with running_xmpp_relay(tmp_path, echo_messages) as (relay, _):
         placements = record_placements(relay)
-        client = await Client.connect(xmpp_address(relay))
-        await client.login(client_tls(), plain=True)
+        client = await XmppClient.connect(xmpp_address(relay))
+        await client.login(make_client_tls_context(), plain=True)
         assert (await client.bind()).endswith("lan/desk")
         for plain in (True, False):
-            wrong = await Client.connect(xmpp_address(relay))
+            wrong = await XmppClient.connect(xmpp_address(relay))
             with pytest.raises((AssertionError, TimeoutError)):
                 async with asyncio.timeout(1):
-                    await wrong.login(client_tls(), password="nope", plain=plain)
+                    await wrong.login(make_client_tls_context(), password="nope", plain=plain)
             assert "<not-authorized/>" in wrong.unread
         assert len(placements) == 1
 
@@ -66,25 +86,25 @@
 @pytest.mark.parametrize(
     ("said", "condition"),
     [
-        ("<!DOCTYPE x [<!ENTITY a 'b'>]>" + HEADER.format("to"), "restricted-xml"),
-        (HEADER.format("to") + "<a>&undefined;</a>", "not-well-formed"),
-        (HEADER.format("to") + "<!-- c -->", "restricted-xml"),
-        (HEADER.format("to") + "<?pi x?>", "restricted-xml"),
-        (HEADER.format("to") + "<a>" * 80, "policy-violation"),
-        (HEADER.format("to") + "<a b='" + "x" * 70000 + "'/>", "policy-violation"),
-        (HEADER.format("to") + "<x:a/>", "bad-namespace-prefix"),
-        (HEADER.format("to").replace("guides", "other"), "host-unknown"),
+        ("<!DOCTYPE x [<!ENTITY a 'b'>]>" + STREAM_HEADER.format("to"), "restricted-xml"),
+        (STREAM_HEADER.format("to") + "<a>&undefined;</a>", "not-well-formed"),
+        (STREAM_HEADER.format("to") + "<!-- c -->", "restricted-xml"),
+        (STREAM_HEADER.format("to") + "<?pi x?>", "restricted-xml"),
+        (STREAM_HEADER.format("to") + "<a>" * 80, "policy-violation"),
+        (STREAM_HEADER.format("to") + "<a b='" + "x" * 70000 + "'/>", "policy-violation"),
+        (STREAM_HEADER.format("to") + "<x:a/>", "bad-namespace-prefix"),
+        (STREAM_HEADER.format("to").replace("guides", "other"), "host-unknown"),
         ("<a/>", "invalid-namespace"),
-        ("<?xml version='1.0' encoding='utf-16'?>" + HEADER.format("to")[21:], "unsupported-encoding"),
-        (HEADER.format("to") + "<iq type='set' id='b'/>", "policy-violation"),
+        ("<?xml version='1.0' encoding='utf-16'?>" + STREAM_HEADER.format("to")[21:], "unsupported-encoding"),
+        (STREAM_HEADER.format("to") + "<iq type='set' id='b'/>", "policy-violation"),
         ("\x00\x01", "not-well-formed"),
         ("", "connection-timeout"),
     ],
 )
 @pytest.mark.timeout(30)
 async def test_invalid_stream_ends_with_its_defined_error(tmp_path: Path, said: str, condition: str) -> None:
-    async with relaying_xmpp(tmp_path, echo, negotiate_s=0.5) as (relay, (endpoint,)):
-        client = await Client.connect(xmpp_address(relay))
+    async with running_xmpp_relay(tmp_path, echo_messages, negotiate_s=0.5) as (relay, (endpoint,)):
+        client = await XmppClient.connect(xmpp_address(relay))
         client.send(said)
         heard = await client.read_rest()
         assert f"<{condition} xmlns='urn:ietf:params:xml:ns:xmpp-streams'/>" in heard
@@ -92,23 +112,23 @@
         assert endpoint.request_lines == []
 
 
-async def breaks(server: Server) -> None:
+async def breaks(server: XmppServerSession) -> None:
     await server.accept()
     server.writer.transport.abort()
 
 
-async def silence(server: Server) -> None:
+async def silence(server: XmppServerSession) -> None:
     await server.read_rest()
 
 
-@pytest.mark.parametrize("act", [rejects, breaks, silence])
+@pytest.mark.parametrize("act", [reject_session, breaks, silence])
 @pytest.mark.timeout(30)
 async def test_at_most_three_attempts_and_one_final_answer_with_its_condition(
-    tmp_path: Path, act: Act
+    tmp_path: Path, act: SessionScript
 ) -> None:
-    async with relaying_xmpp(tmp_path, *[act] * 5, wait_ms=900) as (relay, endpoints):
-        client = await Client.connect(xmpp_address(relay))
-        await client.login(client_tls())
+    async with running_xmpp_relay(tmp_path, *[act] * 5, wait_ms=900) as (relay, endpoints):
+        client = await XmppClient.connect(xmpp_address(relay))
+        await client.login(make_client_tls_context())
         began = asyncio.get_running_loop().time()
         client.send_bind()
         heard = await client.read_rest()
@@ -121,17 +141,17 @@
 @pytest.mark.timeout(30)
 async def test_a_drain_finishes_the_stanza_on_the_wire_and_ends_the_stream(tmp_path: Path) -> None:
     # The stanza is half at the relay when the drain begins: the client must get it whole, or not at all.
-    async def slow_speaker(server: Server) -> None:
-        server.bound(await server.accept())
+    async def slow_speaker(server: XmppServerSession) -> None:
+        server.send_bind_result(await server.accept())
         server.send("<message><body>half")
         await server.read_until("<presence/>")
         await asyncio.sleep(0.6)  # into the drain
         server.send(" and half</body></message>")
         await server.read_rest()
 
-    async with relaying_xmpp(tmp_path, slow_speaker) as (relay, _):
-        client = await Client.connect(xmpp_address(relay))
-        await client.login(client_tls())
+    async with running_xmpp_relay(tmp_path, slow_speaker) as (relay, _):
+        client = await XmppClient.connect(xmpp_address(relay))
+        await client.login(make_client_tls_context())
         await client.bind()
         client.send("<presence/>")
         draining = asyncio.ensure_future(relay.request_registry.drain(relay.ingress))
@@ -145,14 +165,14 @@
 
 @pytest.mark.timeout(30)
 async def test_an_endpoint_that_drains_mid_stanza_leaves_a_clean_stream(tmp_path: Path) -> None:
-    async def dies(server: Server) -> None:
-        server.bound(await server.accept())
+    async def dies(server: XmppServerSession) -> None:
+        server.send_bind_result(await server.accept())
         server.send("<message><body>half")
         await server.writer.drain()
 
-    async with relaying_xmpp(tmp_path, dies) as (relay, _):
-        client = await Client.connect(xmpp_address(relay))
-        await client.login(client_tls())
+    async with running_xmpp_relay(tmp_path, dies) as (relay, _):
+        client = await XmppClient.connect(xmpp_address(relay))
+        await client.login(make_client_tls_context())
         await client.bind()
         heard = await client.read_rest()
         assert heard.startswith("<stream:error>") and heard.endswith("</stream:stream>")
@@ -175,21 +195,21 @@
     answers: list[str]
 
 
-async def play_on_frontends(folder: Path, frontends: str, acts: list[Act]) -> Played:
+async def play_on_frontends(folder: Path, frontends: str, acts: list[SessionScript]) -> Played:
     """One request after the other, for ``x`` over XMPP and for ``p`` over the platform's lines.
 
     Clients stay until the end, so each placement depends on all before it.
     """
     (folder / frontends).mkdir()
-    async with relaying_xmpp(folder / frontends, *acts) as (relay, _):
+    async with running_xmpp_relay(folder / frontends, *acts) as (relay, _):
         await until(lambda: relay.endpoint_registry.version == 2)
         placements = record_placements(relay)
         answers: list[str] = []
         clients: list[object] = []
         for frontend in frontends:
             if frontend == "x":
-                client = await Client.connect(xmpp_address(relay))
-                await client.login(client_tls())
+                client = await XmppClient.connect(xmpp_address(relay))
+                await client.login(make_client_tls_context())
                 client.send_bind()
                 found = await client.read_until("<jid>|<resource-constraint |<remote-connection-failed ")
                 answers.append(ANSWERS[found[0]])
@@ -203,11 +223,14 @@
 
 @pytest.mark.parametrize(
     ("acts", "expected"),
-    [([echo, rejects, echo, echo], {"served"}), ([rejects] * 4, {"fail-fast"})],
+    [
+        ([echo_messages, reject_session, echo_messages, echo_messages], {"served"}),
+        ([reject_session] * 4, {"fail-fast"}),
+    ],
 )
 @pytest.mark.timeout(30)
 async def test_both_frontends_place_and_answer_alike(
-    tmp_path: Path, acts: list[Act], expected: set[str]
+    tmp_path: Path, acts: list[SessionScript], expected: set[str]
 ) -> None:
     # The proof of one core: the same traffic in either protocol, and mixed, gives the same placements
     # and answers.
@@ -220,7 +243,7 @@
 
 
 def test_invalid_operator_file_names_its_key(tmp_path: Path) -> None:
-    good = json.loads(write_operator(tmp_path, True).read_text())
+    good = json.loads(write_operator_file(tmp_path, True).read_text())
     for change, key in (
         ({"listen": 5}, "operator.xmpp.listen"),
         ({"lisden": 1}, "operator.xmpp.lisden"),
@@ -238,9 +261,9 @@
     (tmp_path / "deploy").mkdir()
     (tmp_path / "var").mkdir()
     (tmp_path / "deploy" / "xmpp.json").write_text(shipped.read_text())
-    CERT.cert_chain_pems[0].write_to_path(tmp_path / "var" / "xmpp.pem")
-    CERT.private_key_pem.write_to_path(tmp_path / "var" / "xmpp.key")
-    CA.cert_pem.write_to_path(tmp_path / "var" / "endpoint-ca.pem")
+    SERVER_CERTIFICATE.cert_chain_pems[0].write_to_path(tmp_path / "var" / "xmpp.pem")
+    SERVER_CERTIFICATE.private_key_pem.write_to_path(tmp_path / "var" / "xmpp.key")
+    CERTIFICATE_AUTHORITY.cert_pem.write_to_path(tmp_path / "var" / "endpoint-ca.pem")
     for name in ("replica.secret", "endpoint.password"):
         (tmp_path / "var" / name).write_text("word\n")
     operator = read_operator_file(tmp_path / "deploy" / "xmpp.json", SETTINGS)
@@ -251,14 +274,14 @@
 @pytest.mark.timeout(30)
 async def test_silent_clients_and_incomplete_headers_are_closed_soon_and_evicted(tmp_path: Path) -> None:
     # What bad clients do to the platform's front they can do here: the bounds are the listener's, for both.
-    async with relaying_xmpp(tmp_path, echo) as (relay, _):
+    async with running_xmpp_relay(tmp_path, echo_messages) as (relay, _):
         relay.admission.limits = ProcessLimits(sockets=96, memory_mb=192.0)
         began = asyncio.get_running_loop().time()
-        half = await Client.connect(xmpp_address(relay))
+        half = await XmppClient.connect(xmpp_address(relay))
         half.send("<?xml version='1.0'?><stream:str")
         assert "<connection-timeout " in await half.read_rest()
         assert asyncio.get_running_loop().time() - began < 2.9
-        crowd = [await Client.connect(xmpp_address(relay)) for _ in range(30)]
+        crowd = [await XmppClient.connect(xmpp_address(relay)) for _ in range(30)]
         assert "<resource-constraint " in await crowd[0].read_rest()
         for client in crowd:
             client.writer.close()
@@ -284,27 +307,29 @@
 ) -> None:
     # The iterations were its choice: a million hold the relay, and all its clients, for 0.3 s, and a number
     # past 2**31 ended the request as an internal fault, with no second attempt.
-    async with relaying_xmpp(tmp_path, lambda server: server.demand_iterations(count), echo) as (
+    async with running_xmpp_relay(
+        tmp_path, lambda server: server.demand_iterations(count), echo_messages
+    ) as (
         relay,
         endpoints,
     ):
         for number in range(8):
-            client = await Client.connect(xmpp_address(relay))
-            await client.login(client_tls())
+            client = await XmppClient.connect(xmpp_address(relay))
+            await client.login(make_client_tls_context())
             assert (await client.bind(f"desk{number}")).endswith(f"/desk{number}"), count
         assert endpoints[0].request_lines  # it was tried
     assert max(hashed_iterations) <= USUAL_ITERATIONS
 
 
-async def open_login(relay: Relay) -> Client:
+async def open_login(relay: Relay) -> XmppClient:
     """A client of which only its credentials are missing."""
-    client = await Client.connect(xmpp_address(relay))
-    client.send(HEADER.format("to"))
+    client = await XmppClient.connect(xmpp_address(relay))
+    client.send(STREAM_HEADER.format("to"))
     await client.read_until("<starttls.*</stream:features>")
-    client.send(f"<starttls xmlns='{TLS}'/>")
+    client.send(f"<starttls xmlns='{TLS_NAMESPACE}'/>")
     await client.read_until("<proceed[^>]*/>")
-    await client.start_tls(client_tls(), server=False)
-    client.send(HEADER.format("to"))
+    await client.start_tls(make_client_tls_context(), server=False)
+    client.send(STREAM_HEADER.format("to"))
     await client.read_until("</stream:features>")
     return client
 
@@ -321,13 +346,13 @@
         ("SCRAM-SHA-256", encode_base64("n,,n=nobody,r=abc"), "not-authorized"),
     )
 
-    async with relaying_xmpp(tmp_path, echo) as (relay, _):
+    async with running_xmpp_relay(tmp_path, echo_messages) as (relay, _):
         for damage in ({"salt": "zz"}, {"iterations": None}, {"class": 7}, {"salt": None}):
             record = make_account_record("pw", "c", "t", iterations=4096)
             relay.store.put(ACCOUNT_KEY_PREFIX + "damaged", {**record, **damage})
             for mechanism, text, condition in credentials:
                 client = await open_login(relay)
-                client.send(f"<auth xmlns='{SASL}' mechanism='{mechanism}'>{text}</auth>")
+                client.send(f"<auth xmlns='{SASL_NAMESPACE}' mechanism='{mechanism}'>{text}</auth>")
                 await client.read_until(f"<failure[^>]*><{condition}/></failure>")
                 client.writer.close()
 
@@ -336,11 +361,11 @@
     async def fail(login: ClientLogin) -> None:
         raise RuntimeError("a fault that no check foresaw")
 
-    async with relaying_xmpp(tmp_path, echo) as (relay, _):
+    async with running_xmpp_relay(tmp_path, echo_messages) as (relay, _):
         with monkeypatch.context() as patched:
             patched.setattr(ClientLogin, "run", fail)
-            client = await Client.connect(xmpp_address(relay))
-            client.send(HEADER.format("to"))
+            client = await XmppClient.connect(xmpp_address(relay))
+            client.send(STREAM_HEADER.format("to"))
             heard = await client.read_rest()
         assert "<internal-server-error " in heard and heard.endswith("</stream:stream>")
         await until(lambda: relay.admission.connection_count == 0)
--- a/tests/net/test_accept_failures.py
+++ b/tests/net/test_accept_failures.py
@@ -10,7 +10,7 @@
 import pytest
 from support.event_loop import until
 from support.failing_calls import FailingCall
-from support.ports import open_descriptors
+from support.ports import count_open_descriptors
 
 from sageturn.core.tasks import cancel_and_wait
 from sageturn.net.admission import AdmissionController, PendingConnection, ProcessLimits
@@ -59,7 +59,7 @@
     admission = AdmissionController(ProcessLimits(64, 64.0))
     listener = Listener(("127.0.0.1", 0), serve_rejection, REJECTION, admission)
     listener.start_listening()
-    descriptors = open_descriptors()
+    descriptors = count_open_descriptors()
     running = asyncio.ensure_future(listener.run())
     failing = failing_accept(errno.EMFILE, errno.EMFILE)
     with monkeypatch.context() as patched:
@@ -73,7 +73,7 @@
         await listener.wait_until_idle(2.0)
         await asyncio.sleep(4 * OUT_OF_DESCRIPTORS_PAUSE_S)
     assert running.done() and running.exception() is None
-    assert open_descriptors() <= descriptors - 2  # neither the socket nor the spare descriptor is left
+    assert count_open_descriptors() <= descriptors - 2  # neither the socket nor the spare descriptor is left
 
 
 @pytest.mark.timeout(5)
--- a/tests/net/test_connect_failures.py
+++ b/tests/net/test_connect_failures.py
@@ -8,7 +8,7 @@
 
 import pytest
 from support.failing_calls import FailingCall
-from support.ports import open_descriptors
+from support.ports import count_open_descriptors
 
 from sageturn.core.close_reason import CloseReason
 from sageturn.net.connecting import CLOSE_REASON_OF_CONNECT_FAILURE, ConnectFailure, connect_unreserved
@@ -22,7 +22,7 @@
     # Two of these in a row ejected an endpoint that was well, and each used up one of the request's attempts.
     listening = socket.create_server(("127.0.0.1", 0))
     address = listening.getsockname()
-    descriptors = open_descriptors()
+    descriptors = count_open_descriptors()
     for number in LOCAL_ERRNOS:
         with monkeypatch.context() as patched:
             FailingCall(socket.socket, "connect", repeat(number, 2)).install(patched)
@@ -34,5 +34,5 @@
             failure = await connect_unreserved(address, 1.0)
             assert isinstance(failure, ConnectFailure)
             assert CLOSE_REASON_OF_CONNECT_FAILURE[failure] is CloseReason.NOT_SENT
-    assert open_descriptors() == descriptors
+    assert count_open_descriptors() == descriptors
     listening.close()
--- a/tests/net/test_descriptor_exhaustion.py
+++ b/tests/net/test_descriptor_exhaustion.py
@@ -27,7 +27,7 @@
     wait_until_ready,
     write_config,
 )
-from support.ports import Address, free_port
+from support.ports import Address, find_free_port
 
 from sageturn.net.json_stream import JsonObject
 
@@ -122,7 +122,7 @@
 ) -> None:
     # They held every descriptor that there was, and the watch got none as discovery returned.
     old, new = FakeEndpoint(echo_lines), FakeEndpoint(echo_lines)
-    address = ("127.0.0.1", free_port())
+    address = ("127.0.0.1", find_free_port())
     async with AsyncExitStack() as stack:
         await stack.enter_async_context(running_server(old))
         await stack.enter_async_context(running_server(new))
--- a/tests/net/test_sockets.py
+++ b/tests/net/test_sockets.py
@@ -26,8 +26,8 @@
     send_request,
 )
 from support.replication_member import start_member
-from support.xmpp_fakes import HEADER, Client, echo
-from support.xmpp_relay import client_tls, relaying_xmpp, xmpp_address
+from support.xmpp_fakes import STREAM_HEADER, XmppClient, echo_messages
+from support.xmpp_relay import make_client_tls_context, running_xmpp_relay, xmpp_address
 
 from sageturn.core.shutdown_schedule import ShutdownSchedule
 from sageturn.net import connection_tasks
@@ -84,9 +84,9 @@
 
 
 async def test_all_sockets_of_the_xmpp_frontend_have_nodelay(tmp_path: Path) -> None:
-    async with relaying_xmpp(tmp_path, echo) as (relay, (endpoint,)):
-        client = await Client.connect(xmpp_address(relay))
-        await client.login(client_tls())
+    async with running_xmpp_relay(tmp_path, echo_messages) as (relay, (endpoint,)):
+        client = await XmppClient.connect(xmpp_address(relay))
+        await client.login(make_client_tls_context())
         await client.bind()
         found = connections_of_relay({xmpp_address(relay)}, {endpoint.address})
         assert len(found) == 2 and all_have_nodelay(found, {"accepted", "dialled"})
@@ -162,13 +162,13 @@
     tmp_path: Path,
 ) -> None:
     # Its connection was closed over what lay unread: the reset could destroy the answer on its way.
-    async with relaying_xmpp(tmp_path, echo) as (relay, _):
-        client = await Client.connect(xmpp_address(relay))
+    async with running_xmpp_relay(tmp_path, echo_messages) as (relay, _):
+        client = await XmppClient.connect(xmpp_address(relay))
         client.send("<?xml version='1.0'?>")
         await until(lambda: relay.admission.awaiting_request)
         await asyncio.sleep(0.01)
         relay.admission.evict_all_pending()
-        client.send(HEADER.format("to").removeprefix("<?xml version='1.0'?>") + " " * 2000)
+        client.send(STREAM_HEADER.format("to").removeprefix("<?xml version='1.0'?>") + " " * 2000)
         heard = await client.read_rest()
         assert "<resource-constraint " in heard and not heard.endswith("[reset]")
         client.writer.close()
--- a/tests/overrides/test_operations.py
+++ b/tests/overrides/test_operations.py
@@ -14,9 +14,9 @@
     START_MS,
     make_extension,
     make_operation,
+    make_out_of_service,
     make_revocation,
-    out_of_service,
-    signed_record,
+    make_signed_record,
 )
 from support.override_registry import RegistryDriver, make_endpoint, make_registry
 
@@ -30,7 +30,7 @@
 
 def test_extension_revocation_and_maximum_duration() -> None:
     driver = RegistryDriver(max_duration_s=7200.0)
-    driver.apply(make_operation("o1", out_of_service("a"), expires_at_ms=START_MS + 100 * HOUR_MS))
+    driver.apply(make_operation("o1", make_out_of_service("a"), expires_at_ms=START_MS + 100 * HOUR_MS))
     assert driver.registry.overrides["o1"].expires_at_ms == START_MS + 2 * HOUR_MS
     in_an_hour = {"created_at_ms": START_MS + HOUR_MS, "expires_at_ms": START_MS + 2.5 * HOUR_MS}
     driver.apply(make_extension("o1", revision=2, operator="mai", **in_an_hour))
@@ -70,7 +70,7 @@
 
 
 def test_tampered_records_and_unknown_operators_are_rejected() -> None:
-    key, value = signed_record(make_operation("o1", out_of_service("a")))
+    key, value = make_signed_record(make_operation("o1", make_out_of_service("a")))
     driver = RegistryDriver()
     for record in tampered_records(key, value):
         driver.registry.audit.events.clear()
@@ -94,7 +94,7 @@
     expires_after_ms = draw(st.integers(1, 99))
     return make_operation(
         "o1",
-        out_of_service("a") if operation_type is OperationType.SET else None,
+        make_out_of_service("a") if operation_type is OperationType.SET else None,
         operation_type,
         revision=draw(st.integers(1, 4)),
         created_at_ms=START_MS + draw(st.integers(0, 9)),
@@ -118,9 +118,9 @@
     at_once, one_by_one = make_registry(), make_registry()
     for registry in (at_once, one_by_one):
         registry.apply_endpoint_list([make_endpoint("a")], True, START_MS)
-    at_once.apply_records([signed_record(operation) for operation in operations], START_MS)
+    at_once.apply_records([make_signed_record(operation) for operation in operations], START_MS)
     for operation in shuffled:
-        one_by_one.apply_records([signed_record(operation)], START_MS)
+        one_by_one.apply_records([make_signed_record(operation)], START_MS)
     assert at_once.overrides == one_by_one.overrides
     assert (
         at_once.effective_endpoint("a", START_MS).state == one_by_one.effective_endpoint("a", START_MS).state
--- a/tests/overrides/test_override_command.py
+++ b/tests/overrides/test_override_command.py
@@ -12,7 +12,7 @@
 import pytest
 from support.event_loop import until
 from support.network_fakes import echo_lines
-from support.override_relays import operator_names, relays_with_overrides, replication_address
+from support.override_relays import operator_names, replication_address, running_relays_with_overrides
 
 from sageturn.relay import Relay
 
@@ -83,7 +83,7 @@
 
 @pytest.mark.timeout(40)
 async def test_the_command_sets_shows_extends_and_revokes(tmp_path: Path) -> None:
-    async with relays_with_overrides(
+    async with running_relays_with_overrides(
         tmp_path, echo_lines, echo_lines, echo_lines, relays=2, floor_all=0.5
     ) as (relays, _):
         command = command_for(relays[0], tmp_path)
--- a/tests/overrides/test_overrides_relay.py
+++ b/tests/overrides/test_overrides_relay.py
@@ -11,16 +11,16 @@
 import pytest
 from support.event_loop import until
 from support.network_fakes import echo_lines, encode_request_line, exchange_line, send_request
-from support.override_records import out_of_service, pin
+from support.override_records import make_out_of_service, make_pin
 from support.override_relays import (
-    count_placed,
+    count_placements,
+    encode_public_key,
+    make_overrides_section,
     override_actor,
-    overrides_section,
-    public_key_of,
-    relays_with_overrides,
     reported_revisions,
-    revoke_now,
-    set_now,
+    revoke_override,
+    running_relays_with_overrides,
+    set_override,
     unix_time_ms,
 )
 
@@ -31,20 +31,20 @@
 
 
 async def test_every_relay_applies_operations_from_all_relays(tmp_path: Path) -> None:
-    async with relays_with_overrides(tmp_path, echo_lines, echo_lines, echo_lines, relays=2) as (
+    async with running_relays_with_overrides(tmp_path, echo_lines, echo_lines, echo_lines, relays=2) as (
         relays,
         endpoints,
     ):
         one, two = relays
-        set_now(one, "o1", out_of_service("a"))
-        set_now(two, "o2", out_of_service("b"), operator="mai")
+        set_override(one, "o1", make_out_of_service("a"))
+        set_override(two, "o2", make_out_of_service("b"), operator="mai")
         for relay in relays:
             await until(partial(relay.endpoint_registry.is_out_of_service, "a"))
             await until(partial(relay.endpoint_registry.is_out_of_service, "b"))
             assert relay.endpoint_registry.is_out_of_service("a")
-            assert (await count_placed(relay, endpoints))[:2] == [0, 0]
+            assert (await count_placements(relay, endpoints))[:2] == [0, 0]
         await until(lambda: reported_revisions(one) == {"o1": 1, "o2": 1})
-        revoke_now(two, "o1")
+        revoke_override(two, "o1")
         await until(lambda: not one.endpoint_registry.is_out_of_service("a"))
         addresses = one.endpoint_registry.addresses
         assert not one.endpoint_registry.is_ready_at("b", addresses["b"])
@@ -54,23 +54,26 @@
 async def test_a_strict_pin_without_its_endpoint_fails_fast_and_a_preferred_one_goes_elsewhere(
     tmp_path: Path,
 ) -> None:
-    async with relays_with_overrides(tmp_path, echo_lines, echo_lines, floor_pin=0) as ((relay,), endpoints):
-        set_now(relay, "p1", pin("b", strict=True, tenant="t"))
+    async with running_relays_with_overrides(tmp_path, echo_lines, echo_lines, floor_pin=0) as (
+        (relay,),
+        endpoints,
+    ):
+        set_override(relay, "p1", make_pin("b", strict=True, tenant="t"))
         await until(lambda: override_actor(relay).registry.overrides)
-        assert await count_placed(relay, endpoints) == [0, 12]
-        set_now(relay, "o1", out_of_service("b"))
+        assert await count_placements(relay, endpoints) == [0, 12]
+        set_override(relay, "o1", make_out_of_service("b"))
         await until(lambda: relay.endpoint_registry.is_out_of_service("b"))
         began_s = asyncio.get_running_loop().time()
         assert (await exchange_line(relay.listener.address, encode_request_line())).startswith(b"BUSY")
         assert asyncio.get_running_loop().time() - began_s < 0.2
-        revoke_now(relay, "p1")
-        set_now(relay, "p2", pin("b", tenant="t"))
+        revoke_override(relay, "p1")
+        set_override(relay, "p2", make_pin("b", tenant="t"))
         await until(lambda: override_actor(relay).registry.overrides["p1"].is_revoked)
-        assert await count_placed(relay, endpoints) == [12, 0]
-        revoke_now(relay, "o1")
+        assert await count_placements(relay, endpoints) == [12, 0]
+        revoke_override(relay, "o1")
         await until(lambda: not relay.endpoint_registry.is_out_of_service("b"))
         # b is in slow start again: most go elsewhere for now
-        assert sum(await count_placed(relay, endpoints)) == 12
+        assert sum(await count_placements(relay, endpoints)) == 12
 
 
 async def test_connections_are_migrated_off_a_cleared_endpoint_by_the_planner(
@@ -80,7 +83,7 @@
     monkeypatch.setattr(
         "sageturn.rebalance.rate_controller.MigrationRateController.max_rate", lambda self, own: 400.0
     )
-    async with relays_with_overrides(tmp_path, echo_lines, echo_lines) as ((relay,), _):
+    async with running_relays_with_overrides(tmp_path, echo_lines, echo_lines) as ((relay,), _):
         rebalancer = relay.rebalancer
         assert rebalancer is not None
         rebalancer.options = RebalanceOptions(tick_s=0.05, back_within_s=0.1)
@@ -92,7 +95,7 @@
         ]
         for reader, _writer in clients:
             assert await reader.readline() == b"UP r1\r\n"
-        set_now(relay, "o1", out_of_service("a", migrate_connections=True))
+        set_override(relay, "o1", make_out_of_service("a", migrate_connections=True))
         for reader, writer in clients:
             assert await reader.read() == b"MOVE\r\n"
             writer.close()
@@ -101,23 +104,27 @@
 
 
 async def test_a_relay_killed_before_it_acted_applies_overrides_from_its_start(tmp_path: Path) -> None:
-    async with relays_with_overrides(tmp_path, echo_lines, echo_lines) as ((relay,), _):
+    async with running_relays_with_overrides(tmp_path, echo_lines, echo_lines) as ((relay,), _):
         # It never hears of them: killed between the write and its effect.
         relay.store.on_change.remove(override_actor(relay).on_store_change)
-        set_now(relay, "o1", out_of_service("a"))
+        set_override(relay, "o1", make_out_of_service("a"))
         now_ms = unix_time_ms()
-        set_now(
-            relay, "o2", out_of_service("b"), created_at_ms=now_ms - 5000, expires_at_ms=unix_time_ms() - 1
+        set_override(
+            relay,
+            "o2",
+            make_out_of_service("b"),
+            created_at_ms=now_ms - 5000,
+            expires_at_ms=unix_time_ms() - 1,
         )
-    async with relays_with_overrides(tmp_path, echo_lines, echo_lines) as ((relay,), endpoints):
+    async with running_relays_with_overrides(tmp_path, echo_lines, echo_lines) as ((relay,), endpoints):
         assert relay.endpoint_registry.is_out_of_service("a")
         assert not relay.endpoint_registry.is_out_of_service("b")
-        assert await count_placed(relay, endpoints) == [0, 12]
+        assert await count_placements(relay, endpoints) == [0, 12]
 
 
 async def test_sighup_takes_an_operators_key_away_and_a_faulty_one_changes_nothing(tmp_path: Path) -> None:
-    async with relays_with_overrides(tmp_path, echo_lines, echo_lines) as ((relay,), _):
-        set_now(relay, "o1", out_of_service("a"))
+    async with running_relays_with_overrides(tmp_path, echo_lines, echo_lines) as ((relay,), _):
+        set_override(relay, "o1", make_out_of_service("a"))
         await until(lambda: relay.endpoint_registry.is_out_of_service("a"))
         file = tmp_path / "r0" / "operator.json"
         good = json.loads(file.read_text())
@@ -125,7 +132,7 @@
         relay.reload_requested.set()
         await until(lambda: not relay.reload_requested.is_set())
         assert relay.endpoint_registry.is_out_of_service("a")
-        only_mai = overrides_section(operators={"mai": public_key_of("mai")})
+        only_mai = make_overrides_section(operators={"mai": encode_public_key("mai")})
         file.write_text(json.dumps({**good, "overrides": only_mai}))
         relay.reload_requested.set()
         await until(lambda: not relay.endpoint_registry.is_out_of_service("a"))
@@ -139,13 +146,13 @@
 ) -> None:
     # The second reload dropped what the first had changed, and what was kept for the next step was by then a
     # state of before: an endpoint that drained meanwhile was ready again to the balancer.
-    async with relays_with_overrides(tmp_path, echo_lines, echo_lines) as ((relay,), _):
+    async with running_relays_with_overrides(tmp_path, echo_lines, echo_lines) as ((relay,), _):
         actor = override_actor(relay)
         listed_endpoints = relay.balancer_actor.balancer.endpoints
         options = relay.config.operator.overrides
         assert options is not None
         without_lan = replace(options, operators={"mai": options.operators["mai"]})
-        set_now(relay, "o1", out_of_service("a"))
+        set_override(relay, "o1", make_out_of_service("a"))
         await until(lambda: listed_endpoints["a"].state == "draining")
         actor.set_options(without_lan, relay.store)
         actor.set_options(without_lan, relay.store)
--- a/tests/overrides/test_registry.py
+++ b/tests/overrides/test_registry.py
@@ -8,10 +8,10 @@
     START_MS,
     make_extension,
     make_operation,
+    make_out_of_service,
     make_revocation,
-    out_of_service,
-    weight,
-    zone_out_of_service,
+    make_weight,
+    make_zone_out_of_service,
 )
 from support.override_registry import SLOW_START_MS, RegistryDriver, make_endpoint
 
@@ -21,7 +21,7 @@
 
 def test_out_of_service_takes_effect_and_expires_at_its_instant() -> None:
     driver = RegistryDriver()
-    changed = driver.apply(make_operation("o1", out_of_service("a", migrate_connections=True)))
+    changed = driver.apply(make_operation("o1", make_out_of_service("a", migrate_connections=True)))
     assert [endpoint.name for endpoint in changed] == ["a"]
     assert driver.state("a") == "draining" and driver.resolver.effect("a").migrate_connections
     assert driver.advance_to(START_MS + HOUR_MS - 1) == [] and driver.state("a") == "draining"
@@ -36,7 +36,7 @@
 
 def test_a_weight_is_regained_no_faster_than_in_slow_start() -> None:
     driver = RegistryDriver()
-    driver.apply(make_operation("w1", weight(SelectorAttribute.ZONE, "z1", 0.25)))
+    driver.apply(make_operation("w1", make_weight(SelectorAttribute.ZONE, "z1", 0.25)))
     factors = {name: endpoint.factor for name, endpoint in driver.endpoints.items()}
     assert factors == {"a": 0.25, "b": 0.25, "c": 1.0, "d": 1.0}
     seen = [0.25]
@@ -50,7 +50,7 @@
 
 def test_an_endpoint_that_joins_an_overridden_zone_is_selected() -> None:
     driver = RegistryDriver()
-    driver.apply(make_operation("o1", zone_out_of_service("z2")))
+    driver.apply(make_operation("o1", make_zone_out_of_service("z2")))
     driver.update_list(make_endpoint("e"))
     assert driver.state("e") == "draining"
     driver.apply_list([make_endpoint(name) for name in "abcdefg"])
@@ -62,8 +62,8 @@
 def test_an_endpoint_that_returns_under_its_name_is_selected_again() -> None:
     driver = RegistryDriver()
     driver.apply(
-        make_operation("o1", out_of_service("a")),
-        make_operation("o2", out_of_service("b", process_started_at_ms=5.0)),
+        make_operation("o1", make_out_of_service("a")),
+        make_operation("o2", make_out_of_service("b", process_started_at_ms=5.0)),
     )
     assert driver.status("o1") == "in force" and driver.status("o2") == "dormant"
     driver.update_list(make_endpoint("b", started_at_ms=5.0))
@@ -78,8 +78,8 @@
 def test_discovery_takes_precedence_and_an_expiry_does_not_end_its_drain() -> None:
     driver = RegistryDriver()
     driver.apply(
-        make_operation("o1", out_of_service("a")),
-        make_operation("w", weight(SelectorAttribute.ENDPOINT, "b", 2.0)),
+        make_operation("o1", make_out_of_service("a")),
+        make_operation("w", make_weight(SelectorAttribute.ENDPOINT, "b", 2.0)),
     )
     driver.update_list(make_endpoint("a", state="draining"), make_endpoint("b", state="draining"))
     driver.advance_to(START_MS + 2 * HOUR_MS)
@@ -91,15 +91,15 @@
 def test_an_override_that_expired_while_the_relay_was_down_never_takes_effect() -> None:
     driver = RegistryDriver()
     driver.now_ms = START_MS + HOUR_MS + 1
-    assert driver.apply(make_operation("o1", out_of_service("a"))) == [] and driver.state("a") == "ready"
+    assert driver.apply(make_operation("o1", make_out_of_service("a"))) == [] and driver.state("a") == "ready"
     assert driver.registry.audit.events == [] and driver.status("o1") == "lapsed"
 
 
 def test_a_clock_set_back_revives_nothing_and_one_set_forward_expires_at_once() -> None:
     driver = RegistryDriver()
     driver.apply(
-        make_operation("o1", out_of_service("a")),
-        make_operation("o2", out_of_service("b"), expires_at_ms=START_MS + 3 * HOUR_MS),
+        make_operation("o1", make_out_of_service("a")),
+        make_operation("o2", make_out_of_service("b"), expires_at_ms=START_MS + 3 * HOUR_MS),
     )
     driver.advance_to(START_MS + 2 * HOUR_MS)
     driver.advance_to(START_MS)  # stepped back two hours
@@ -115,12 +115,12 @@
 def test_the_smallest_weight_applies_and_out_of_service_takes_precedence() -> None:
     driver = RegistryDriver()
     driver.apply(
-        make_operation("w1", weight(SelectorAttribute.ENDPOINT, "a", 2.0)),
-        make_operation("w2", weight(SelectorAttribute.KIND, "k", 0.5)),
+        make_operation("w1", make_weight(SelectorAttribute.ENDPOINT, "a", 2.0)),
+        make_operation("w2", make_weight(SelectorAttribute.KIND, "k", 0.5)),
         make_operation("h1", OverridePayload(OverrideKind.HOLD, Selector(SelectorAttribute.CELL, "0"))),
     )
     assert driver.endpoints["a"].factor == 0.5 and driver.resolver.effect("c").rebalance_excluded
-    driver.apply(make_operation("o1", out_of_service("a")))
+    driver.apply(make_operation("o1", make_out_of_service("a")))
     override_ids = driver.resolver.effect("a").override_ids
     assert driver.state("a") == "draining" and override_ids == ("h1", "o1", "w1", "w2")
 
@@ -130,7 +130,7 @@
     # The balancer was given the instant of return by the system's clock, which may be an hour off its own.
     driver = RegistryDriver()
     relay_ms = driver.now_ms
-    driver.apply(make_operation("o1", out_of_service("a"), expires_at_ms=START_MS + 2 * HOUR_MS))
+    driver.apply(make_operation("o1", make_out_of_service("a"), expires_at_ms=START_MS + 2 * HOUR_MS))
     driver.now_ms += step_ms
     driver.registry.wall_clock_shift_ms = step_ms
     driver.apply(make_revocation("o1", revision=2, created_at_ms=START_MS + 1))
@@ -138,7 +138,7 @@
     driver.apply(
         make_operation(
             "w1",
-            weight(SelectorAttribute.ENDPOINT, "b", 0.1),
+            make_weight(SelectorAttribute.ENDPOINT, "b", 0.1),
             created_at_ms=START_MS + 2,
             expires_at_ms=START_MS + 2 * HOUR_MS,
         )
@@ -153,7 +153,7 @@
     driver = RegistryDriver("")
     names = [f"h{number}" for number in range(1000)]
     driver.apply_list([make_endpoint(name) for name in names])
-    driver.apply(*(make_operation(f"o-{name}", out_of_service(name)) for name in names))
+    driver.apply(*(make_operation(f"o-{name}", make_out_of_service(name)) for name in names))
     assert all(driver.state(name) == "draining" for name in names)
     assert len(driver.advance_to(START_MS + HOUR_MS)) == 1000
     assert all(driver.state(name) == "ready" for name in names) and not driver.resolver.overrides
--- a/tests/overrides/test_registry_properties.py
+++ b/tests/overrides/test_registry_properties.py
@@ -6,7 +6,7 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
-from support.override_records import make_operation, make_revocation, pin, signed_record
+from support.override_records import make_operation, make_pin, make_revocation, make_signed_record
 from support.override_registry import RegistryDriver, make_endpoint, make_registry
 
 from sageturn.overrides.operations import (
@@ -53,7 +53,7 @@
         forced: bool,
     ) -> None:
         if kind is OverrideKind.PIN:
-            payload = pin(name, strict=forced, class_name="c")
+            payload = make_pin(name, strict=forced, class_name="c")
         else:
             value = name if attribute is SelectorAttribute.ENDPOINT else self.listed[name].zone
             payload = OverridePayload(
@@ -93,7 +93,7 @@
         rebuilt = make_registry(safety_limits=LIMITS)
         present = [listed for listed in self.listed.values() if listed.state != "gone"]
         rebuilt.apply_endpoint_list(present, True, now_ms)
-        rebuilt.apply_records([signed_record(operation) for operation in self.operations], now_ms)
+        rebuilt.apply_records([make_signed_record(operation) for operation in self.operations], now_ms)
         return rebuilt
 
     @invariant()
--- a/tests/overrides/test_safety_limits.py
+++ b/tests/overrides/test_safety_limits.py
@@ -8,9 +8,9 @@
 from support.override_records import (
     START_MS,
     make_operation,
+    make_out_of_service,
+    make_pin,
     make_revocation,
-    out_of_service,
-    pin,
 )
 from support.override_registry import RegistryDriver, make_endpoint
 
@@ -20,8 +20,8 @@
 
 HALF_OF_ALL_AND_OF_EACH_ZONE = SafetyLimits(0.5, 0.5, 0.0)
 # Each is fine alone; both together would leave nothing of zone z1.
-FIRST = make_operation("o1", out_of_service("a"))
-SECOND = make_operation("o2", out_of_service("b"), created_at_ms=START_MS + 1, operator="mai")
+FIRST = make_operation("o1", make_out_of_service("a"))
+SECOND = make_operation("o2", make_out_of_service("b"), created_at_ms=START_MS + 1, operator="mai")
 
 
 @pytest.mark.parametrize("order", [(FIRST, SECOND), (SECOND, FIRST)], ids=["in order", "newest first"])
@@ -48,8 +48,8 @@
 def test_the_newest_override_is_suspended_when_endpoints_leave() -> None:
     driver = RegistryDriver("abcdef", safety_limits=SafetyLimits(0.5, 0.0, 0.0))
     driver.apply(
-        make_operation("o1", out_of_service("a")),
-        make_operation("o2", out_of_service("b"), created_at_ms=START_MS + 1),
+        make_operation("o1", make_out_of_service("a")),
+        make_operation("o2", make_out_of_service("b"), created_at_ms=START_MS + 1),
     )
     assert driver.state("a") == driver.state("b") == "draining"
     driver.update_list(*(make_endpoint(name, state="gone") for name in "efd"))
@@ -60,19 +60,19 @@
 
 def test_a_pin_that_leaves_too_little_is_suspended() -> None:
     driver = RegistryDriver("abcdef", safety_limits=SafetyLimits(0.0, 0.0, 0.3))
-    driver.apply(make_operation("p1", pin("a", strict=True, class_name="c")))
+    driver.apply(make_operation("p1", make_pin("a", strict=True, class_name="c")))
     assert "1.0 of 6.0 to what it pins" in driver.resolver.suspended["p1"]
     assert driver.resolver.sticky_route("c", "t", "") is None
-    driver.apply(make_operation("p2", pin("a", class_name="c"), created_at_ms=START_MS + 1))
+    driver.apply(make_operation("p2", make_pin("a", class_name="c"), created_at_ms=START_MS + 1))
     assert driver.sticky_route("c", "t").preferred == frozenset("a")
 
 
 def test_a_revocation_makes_a_later_override_on_the_same_endpoint_pay_for_itself() -> None:
     # The later one was admitted at no cost, as the revoked one had taken the endpoint out already.
     driver = RegistryDriver(safety_limits=SafetyLimits(0.5, 0.4, 0.3))
-    driver.apply(make_operation("o1", out_of_service("a")))
-    driver.apply(make_operation("o2", out_of_service("b"), created_at_ms=START_MS + 1, forced=True))
-    driver.apply(make_operation("o3", out_of_service("a"), created_at_ms=START_MS + 2))
+    driver.apply(make_operation("o1", make_out_of_service("a")))
+    driver.apply(make_operation("o2", make_out_of_service("b"), created_at_ms=START_MS + 1, forced=True))
+    driver.apply(make_operation("o3", make_out_of_service("a"), created_at_ms=START_MS + 2))
     assert driver.resolver.suspended == {}
     driver.apply(make_revocation("o1", revision=2, created_at_ms=START_MS + 3))
     assert list(driver.resolver.suspended) == ["o3"]
--- a/tests/overrides/test_sticky_routing.py
+++ b/tests/overrides/test_sticky_routing.py
@@ -2,16 +2,16 @@
 
 from __future__ import annotations
 
-from support.override_records import HOUR_MS, START_MS, make_operation, pin
+from support.override_records import HOUR_MS, START_MS, make_operation, make_pin
 from support.override_registry import RegistryDriver
 
 
 def test_pins_select_their_traffic_and_intersect() -> None:
     driver = RegistryDriver()
     driver.apply(
-        make_operation("p1", pin("a", "b", strict=True, class_name="c")),
-        make_operation("p2", pin("b", "c", strict=True, tenant="t")),
-        make_operation("p3", pin("d", group_prefix="tet-")),
+        make_operation("p1", make_pin("a", "b", strict=True, class_name="c")),
+        make_operation("p2", make_pin("b", "c", strict=True, tenant="t")),
+        make_operation("p3", make_pin("d", group_prefix="tet-")),
     )
     assert driver.resolver.sticky_route("x", "u", "") is None
     assert driver.sticky_route("c", "u").required == frozenset("ab")
--- a/tests/rebalance/test_connection_table.py
+++ b/tests/rebalance/test_connection_table.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-from support.rebalance_fleet import uneven_fleet
+from support.rebalance_fleet import make_uneven_fleet
 
 
 def test_the_table_matches_the_connections_after_many_events() -> None:
-    fleet = uneven_fleet()
+    fleet = make_uneven_fleet()
     table = fleet.planner.connections
     for request_id in list(fleet.connections)[::3]:
         fleet.end_connection(request_id, "ok")
--- a/tests/rebalance/test_planner.py
+++ b/tests/rebalance/test_planner.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 
 import pytest
-from support.rebalance_fleet import QUICK, START_MS, Fleet, Reconnect, uneven_fleet
+from support.rebalance_fleet import FAST_OPTIONS, START_MS, RebalanceFleet, Reconnect, make_uneven_fleet
 
 from sageturn import AttemptEnded, Endpoint, EndpointListEvent, MeasurementReported, MigrateConnection
 from sageturn.core.endpoint_snapshot import EndpointRestrictions, snapshot_endpoints
@@ -15,7 +15,7 @@
 
 
 def test_whole_groups_are_migrated_slowly_until_balanced() -> None:
-    fleet = uneven_fleet()
+    fleet = make_uneven_fleet()
     assert fleet.max_ratio > 1.7
     first_ms = None
     for _ in range(240):
@@ -41,7 +41,7 @@
 
 
 def test_smaller_parts_of_a_spread_group_go_first() -> None:
-    fleet = uneven_fleet()
+    fleet = make_uneven_fleet()
     fleet.add_connections("a", 2, "b1")
 
     fleet.run_until_migrated()
@@ -51,9 +51,9 @@
     assert fleet.endpoints_of_group("b1") == {"b"}, "and joins the rest"
 
 
-def run_fleet_of_guests(keep_classes: frozenset[str]) -> Fleet:
+def run_fleet_of_guests(keep_classes: frozenset[str]) -> RebalanceFleet:
     """A fleet whose one full endpoint holds only connections of class guest-checkin, after 90 s."""
-    fleet = Fleet("ab", {**QUICK, "keep_classes": keep_classes})
+    fleet = RebalanceFleet("ab", {**FAST_OPTIONS, "keep_classes": keep_classes})
     fleet.add_connections("a", 40, class_name="guest-checkin")
     fleet.add_connections("b", 5)
     fleet.run(90)
@@ -68,7 +68,7 @@
 
 
 def test_a_group_larger_than_the_imbalance_stays() -> None:
-    fleet = Fleet("abc", {**QUICK, "burst": 200})
+    fleet = RebalanceFleet("abc", {**FAST_OPTIONS, "burst": 200})
     fleet.add_connections("a", 100, "whale")
     fleet.add_connections("b", 10, "x")
     fleet.add_connections("c", 10, "y")
@@ -77,7 +77,7 @@
 
 
 def test_tokens_are_saved_for_a_large_group_which_goes_at_once() -> None:
-    fleet = Fleet("abc", {"part_per_min": 0.25, "burst": 32})
+    fleet = RebalanceFleet("abc", {"part_per_min": 0.25, "burst": 32})
     for number in range(4):
         fleet.add_connections("a", 20, f"g{number}")
     fleet.add_connections("b", 20, "x")
@@ -93,9 +93,9 @@
 
 
 def test_a_new_endpoint_receives_its_part_within_its_slow_start() -> None:
-    fleet = Fleet(
+    fleet = RebalanceFleet(
         "abcde",
-        {**QUICK, "burst": 8},
+        {**FAST_OPTIONS, "burst": 8},
         slow_start_ms=24000.0,
         initial_capacity_ratio=0.12,
         cold_overload_multiple=4.0,
@@ -121,7 +121,7 @@
 
 
 def test_an_endpoint_restart_stops_migration_which_resumes_slowly() -> None:
-    fleet = uneven_fleet()
+    fleet = make_uneven_fleet()
     fleet.run_until_migrated()
     for request_id in fleet.ids_at("d"):
         connection = fleet.connections[request_id]
@@ -144,7 +144,7 @@
 
 
 def test_an_outage_stops_migration_and_clients_in_flight_are_counted() -> None:
-    fleet = uneven_fleet()
+    fleet = make_uneven_fleet()
     fleet.run_until_migrated()
     fleet.reconnect_delay_ms = 8000.0
     for endpoint in fleet.balancer.endpoints.values():  # no set-up is answered, and everyone is rejected
@@ -160,7 +160,7 @@
 
 
 def test_clients_in_flight_never_exceed_capacity() -> None:
-    fleet = uneven_fleet({"part_per_min": 1.0, "burst": 100, "back_within_s": 30.0})
+    fleet = make_uneven_fleet({"part_per_min": 1.0, "burst": 100, "back_within_s": 30.0})
     fleet.clients_return = False
     max_in_flight = 0
     for _ in range(120):
@@ -174,8 +174,8 @@
 
 
 def test_clients_that_do_not_return_slow_migration_down() -> None:
-    usual = uneven_fleet()
-    missing = uneven_fleet()
+    usual = make_uneven_fleet()
+    missing = make_uneven_fleet()
     missing.clients_return = False
     usual.run(200)
     missing.run(200)
@@ -184,7 +184,7 @@
 
 
 def test_a_drain_or_a_failed_watch_stops_migration() -> None:
-    fleet = uneven_fleet()
+    fleet = make_uneven_fleet()
     fleet.run_until_migrated()
     fleet.handle(EndpointListEvent("changes", [Endpoint("c", state="draining")]))
     count = len(fleet.migrated)
@@ -199,7 +199,7 @@
 
 
 def test_a_flapping_endpoint_list_prevents_migration() -> None:
-    fleet = uneven_fleet()
+    fleet = make_uneven_fleet()
     for turn in range(60):
         names = "abcd" if turn % 2 else "abc"
         fleet.handle(EndpointListEvent("full", [Endpoint(name) for name in names]))
@@ -208,7 +208,7 @@
 
 
 def test_nobody_is_migrated_while_every_endpoint_is_full() -> None:
-    fleet = uneven_fleet()
+    fleet = make_uneven_fleet()
     for endpoint in fleet.balancer.endpoints.values():
         endpoint.load.saturated_until_ms = float("inf")
     fleet.run(60)
@@ -217,12 +217,12 @@
 
 def test_chance_imbalance_is_ignored_where_many_relays_share_the_endpoints() -> None:
     # Of 50 relays each sees a handful on each endpoint: unequal, though the endpoints are equally full.
-    fleet = Fleet("abcdefgh", QUICK, relay_count=50, groups=False)
+    fleet = RebalanceFleet("abcdefgh", FAST_OPTIONS, relay_count=50, groups=False)
     for endpoint, count in zip("abcdefgh", (2, 7, 4, 6, 3, 5, 1, 4), strict=True):
         fleet.add_connections(endpoint, count)
     fleet.run(60)
     assert fleet.migrated == [] and fleet.plan.phase == "balanced"
-    alone = Fleet("abcdefgh", QUICK, relay_count=1, groups=False)
+    alone = RebalanceFleet("abcdefgh", FAST_OPTIONS, relay_count=1, groups=False)
     for endpoint, count in zip("abcdefgh", (2, 7, 4, 6, 3, 5, 1, 4), strict=True):
         alone.add_connections(endpoint, count)
     alone.run(60)
@@ -230,7 +230,7 @@
 
 
 def test_sizes_and_loads_count_rather_than_connections() -> None:
-    fleet = Fleet("ab", QUICK, weights="nominal", groups=False)
+    fleet = RebalanceFleet("ab", FAST_OPTIONS, weights="nominal", groups=False)
     fleet.handle(EndpointListEvent("full", [Endpoint("a", share=3.0), Endpoint("b", share=1.0)]))
     fleet.add_connections("a", 30, load=2.0)
     fleet.add_connections("b", 10, load=2.0)
@@ -243,7 +243,7 @@
 
 
 def test_neither_off_nor_dry_run_migrates_anyone() -> None:
-    fleet = uneven_fleet()
+    fleet = make_uneven_fleet()
     fleet.run_until_migrated()
     count = len(fleet.migrated)
     fleet.planner.options = replace(fleet.options, mode="off")
@@ -256,20 +256,20 @@
 
 
 def test_quiet_hours_and_exclusions_are_respected() -> None:
-    fleet = uneven_fleet({"quiet_hours": (QuietSpan(22 * 60, 6 * 60),)})
+    fleet = make_uneven_fleet({"quiet_hours": (QuietSpan(22 * 60, 6 * 60),)})
     fleet.minute = 23 * 60
     fleet.run(60)
     assert fleet.migrated == [] and fleet.plan.phase == "quiet"
     fleet.minute = 6 * 60
     fleet.run(60)
     assert fleet.migrated
-    kept = uneven_fleet({"keep_tenants": frozenset({"t"})})
+    kept = make_uneven_fleet({"keep_tenants": frozenset({"t"})})
     kept.run(60)
     assert kept.migrated == []
 
 
 def test_migrations_by_others_are_charged_to_the_same_budget() -> None:
-    fleet = uneven_fleet()
+    fleet = make_uneven_fleet()
     fleet.run(40)
     before = fleet.planner.rate_controller.tokens
     request_ids = fleet.ids_at("b")[:6]
@@ -282,7 +282,7 @@
 
 
 def test_the_balancer_exempts_clients_that_the_planner_has_just_migrated() -> None:
-    fleet = uneven_fleet()
+    fleet = make_uneven_fleet()
     fleet.run_until_migrated()
     clients = {migrated.client for migrated in fleet.migrated}
     fleet.step()
@@ -301,7 +301,7 @@
 
 
 def test_the_state_says_what_is_done_and_why() -> None:
-    fleet = uneven_fleet()
+    fleet = make_uneven_fleet()
     fleet.run(60)
     state = fleet.planner.encode_state(fleet.plan)
     counts = state["counts"]
@@ -311,17 +311,17 @@
 
 
 def test_an_outcome_of_an_unknown_request_is_ignored() -> None:
-    fleet = uneven_fleet()
+    fleet = make_uneven_fleet()
     fleet.handle(AttemptEnded(99999, 0, "a", "reset", True))
     assert len(fleet.planner.connections) == len(fleet.connections)
 
 
 def test_an_excluded_endpoint_neither_gives_nor_receives() -> None:
-    fleet = uneven_fleet()
+    fleet = make_uneven_fleet()
     fleet.planner.restrictions = EndpointRestrictions(rebalance_excluded=frozenset("a"))
     fleet.run(90)
     assert not any(migrated.reason.startswith("a at") for migrated in fleet.migrated)
-    other = uneven_fleet()
+    other = make_uneven_fleet()
     other.planner.restrictions = EndpointRestrictions(rebalance_excluded=frozenset("bc"))
     before = other.connection_counts()
     other.run(90)
@@ -330,7 +330,7 @@
 
 
 def test_a_cleared_endpoint_is_emptied_and_a_large_group_leaves_in_parts() -> None:
-    fleet = Fleet("abcd", {"mode": "off", "part_per_min": 1.0, "burst": 6})
+    fleet = RebalanceFleet("abcd", {"mode": "off", "part_per_min": 1.0, "burst": 6})
     fleet.add_connections("a", 20, "whale")
     fleet.add_connections("a", 5, class_name="guest-checkin")
     fleet.add_connections("b", 25, "x")
@@ -344,7 +344,7 @@
 
 
 def test_a_client_that_another_relay_may_have_migrated_is_left_alone() -> None:
-    fleet = Fleet("ab", {**QUICK, "again_s": 100.0}, groups=False)
+    fleet = RebalanceFleet("ab", {**FAST_OPTIONS, "again_s": 100.0}, groups=False)
     fleet.add_connections("b", 4)
     for number in range(30):
         fleet.connect_client(f"back{number}", returned=True)
@@ -357,7 +357,7 @@
 
 
 def test_useless_landings_pause_migration_for_a_while() -> None:
-    fleet = uneven_fleet()
+    fleet = make_uneven_fleet()
     fleet.run_until_migrated()
     fleet.step()
     assert not fleet.reconnects, "all have landed"
--- a/tests/rebalance/test_planner_properties.py
+++ b/tests/rebalance/test_planner_properties.py
@@ -4,7 +4,7 @@
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from support.rebalance_fleet import Fleet
+from support.rebalance_fleet import RebalanceFleet
 
 from sageturn import Endpoint, EndpointListEvent
 
@@ -20,10 +20,10 @@
 )
 
 
-def filled_fleet(burst: int) -> Fleet:
+def filled_fleet(burst: int) -> RebalanceFleet:
     """A fleet of 90 connections in groups and without, which has settled and may migrate."""
     options = {"part_per_min": 1.0, "burst": burst, "again_s": EXCLUSION_S, "least_age_s": 0.0}
-    fleet = Fleet("abcd", options)
+    fleet = RebalanceFleet("abcd", options)
     for number in range(30):
         class_name = "guest-checkin" if number % 5 == 0 else "c"
         group = f"g{number % 9}" if number % 3 else ""
@@ -33,7 +33,7 @@
     return fleet
 
 
-def play(fleet: Fleet, event: str, number: int) -> None:
+def play(fleet: RebalanceFleet, event: str, number: int) -> None:
     """Let an event happen; ``number`` selects whom it concerns."""
     ids = list(fleet.connections)
     match event:
--- a/tests/rebalance/test_rebalance_relay.py
+++ b/tests/rebalance/test_rebalance_relay.py
@@ -22,8 +22,13 @@
     send_request,
     write_config,
 )
-from support.xmpp_fakes import Client, echo
-from support.xmpp_relay import client_tls, relaying_xmpp, server_tls, xmpp_address
+from support.xmpp_fakes import XmppClient, echo_messages
+from support.xmpp_relay import (
+    make_client_tls_context,
+    make_server_tls_context,
+    running_xmpp_relay,
+    xmpp_address,
+)
 
 from sageturn.config.errors import ConfigError
 from sageturn.config.loader import load
@@ -144,11 +149,13 @@
 async def test_an_xmpp_client_is_asked_in_its_own_protocol(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async with relaying_xmpp(tmp_path, lambda session: echo(session, server_tls()), tls=True) as (relay, _):
+    async with running_xmpp_relay(
+        tmp_path, lambda session: echo_messages(session, make_server_tls_context()), tls=True
+    ) as (relay, _):
         file = tmp_path / "operator.json"
         file.write_text(json.dumps({**json.loads(file.read_text()), **REBALANCE_ON}))
-        client = await Client.connect(xmpp_address(relay))
-        await client.login(client_tls())
+        client = await XmppClient.connect(xmpp_address(relay))
+        await client.login(make_client_tls_context())
         await client.bind()
         await relay.apply_config(load({"GW_CONFIG": str(tmp_path / "config.json")}, str(file)))
         planner = relay.rebalancer
--- a/tests/relay/test_compatibility_states.py
+++ b/tests/relay/test_compatibility_states.py
@@ -17,7 +17,7 @@
 import pytest
 from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PrivateKey
 from support.network_fakes import write_config
-from support.rebalance_fleet import Fleet
+from support.rebalance_fleet import RebalanceFleet
 
 from sageturn import Endpoint, EndpointListEvent, RequestClass, Settings
 from sageturn.config.loader import load
@@ -100,7 +100,7 @@
 # ---------------------------------------------------------------- state/NODE/rebalance
 
 
-def record_overload(fleet: Fleet) -> None:
+def record_overload(fleet: RebalanceFleet) -> None:
     """What speaks against moving more: refusals, resets, failed calls, clients that stay away, losses."""
     detector = fleet.planner.overload_detector
     now_ms = fleet.now_ms
@@ -117,7 +117,7 @@
 def make_rebalance_states() -> bytes:
     """An uneven fleet at first, while it is balanced, after that, in a dry run, turned off, in trouble."""
     states = []
-    fleet = Fleet("abcd", {"part_per_min": 0.5, "least_age_s": 2.0})
+    fleet = RebalanceFleet("abcd", {"part_per_min": 0.5, "least_age_s": 2.0})
     for endpoint, groups in (("a", 14), ("b", 6), ("c", 6), ("d", 6)):
         for number in range(groups):
             fleet.add_connections(endpoint, 5, f"{endpoint}{number}")
--- a/tests/relay/test_program.py
+++ b/tests/relay/test_program.py
@@ -28,7 +28,7 @@
     wait_until_ready,
     write_config,
 )
-from support.ports import Address, free_port
+from support.ports import Address, find_free_port
 
 
 @asynccontextmanager
@@ -43,7 +43,7 @@
         await stack.enter_async_context(running_server(endpoint))
         discovery = FakeDiscovery(encode_watch_response(make_endpoint_list({"a": endpoint.address}, 2)))
         await stack.enter_async_context(running_server(discovery))
-        address = ("127.0.0.1", free_port())
+        address = ("127.0.0.1", find_free_port())
         known = make_endpoint_list({"a": endpoint.address})
         file = write_config(folder, discovery.address, known, listen=f"{address[0]}:{address[1]}", **more)
         environ = {**os.environ, "GW_CONFIG": str(file)}
--- a/tests/store/test_disk_faults.py
+++ b/tests/store/test_disk_faults.py
@@ -11,7 +11,7 @@
 from random import Random
 
 import pytest
-from support.disk_faults import failing_syncs, full_after
+from support.disk_faults import failing_syncs, limiting_file_growth
 
 from sageturn.store.log import MAGIC, RecordLog
 from sageturn.store.records import StoreRecord
@@ -41,7 +41,7 @@
     path = tmp_path / "log"
     store = Store("n1", path)
     store.put("config/0", 0)
-    with full_after(path, more_bytes=20), pytest.raises(OSError, match="File too large"):
+    with limiting_file_growth(path, more_bytes=20), pytest.raises(OSError, match="File too large"):
         store.put("config/1", "never acknowledged")
     store.put("config/2", 2)
     with failing_syncs(monkeypatch), pytest.raises(OSError, match="Input/output"):
@@ -101,7 +101,7 @@
 
     def failing_rewrite(log: RecordLog, records: Iterable[StoreRecord]) -> None:
         if fault == "full":
-            with full_after(tmp_path / "small", more_bytes=20):
+            with limiting_file_growth(tmp_path / "small", more_bytes=20):
                 rewrite(log, records)
         with failing_syncs(monkeypatch):
             rewrite(log, records)
--- a/tests/support/deployments.py
+++ b/tests/support/deployments.py
@@ -7,7 +7,7 @@
 
 from sageturn.net.json_stream import JsonObject
 
-# Of a deployment that nobody runs: three zones, two classes, six attempts, load reports with responses too.
+# A deployment unlike any in service: three zones, two classes, six attempts, load reports with responses too.
 FERRY_SETTINGS: JsonObject = {
     "accounts": [{"name": "north", "allowancePerS": 3.0}, {"name": "south", "allowancePerS": 1.5}],
     "classes": [
@@ -46,8 +46,8 @@
 }
 
 
-def with_value(settings: JsonObject, path: str, value: object) -> JsonObject:
-    """A copy with another value at ``path``, such as ``classes.0.name``; ``...`` removes the key."""
+def replace_setting(settings: JsonObject, path: str, value: object) -> JsonObject:
+    """Returns a copy with ``value`` at ``path``, such as ``classes.0.name``; ``...`` removes the key."""
     settings = copy.deepcopy(settings)
     *parents, last = path.split(".")
     container: Any = settings
--- a/tests/support/disk_faults.py
+++ b/tests/support/disk_faults.py
@@ -1,4 +1,4 @@
-"""Disks that fail for a while: full in the middle of a write, or unable to sync."""
+"""Simulates temporary disk faults: a disk that is full in the middle of a write, or that cannot sync."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 
 
 @contextmanager
-def full_after(path: Path, more_bytes: int) -> Iterator[None]:
-    """No file of this process may grow past ``more_bytes`` beyond the size of ``path``.
+def limiting_file_growth(path: Path, more_bytes: int) -> Iterator[None]:
+    """Limits the files of this process to ``more_bytes`` beyond the present size of ``path``.
 
     The kernel itself cuts the write short, and fails the next one (EFBIG in place of ENOSPC).
     """
@@ -28,7 +28,7 @@
 
 @contextmanager
 def failing_syncs(monkeypatch: pytest.MonkeyPatch) -> Iterator[None]:
-    """Every ``fsync`` fails (EIO); what was written before it is in the file all the same."""
+    """Makes every ``fsync`` fail with EIO; what was written before it is in the file nevertheless."""
 
     def fail(descriptor: int) -> None:
         raise OSError(errno.EIO, os.strerror(errno.EIO))
--- a/tests/support/override_records.py
+++ b/tests/support/override_records.py
@@ -17,8 +17,8 @@
 )
 from sageturn.overrides.signing import sign_operation
 
-KEYS = {name: Ed25519PrivateKey.generate() for name in ("lan", "mai")}
-PUBLIC_KEYS = {name: key.public_key() for name, key in KEYS.items()}
+PRIVATE_KEYS = {name: Ed25519PrivateKey.generate() for name in ("lan", "mai")}
+PUBLIC_KEYS = {name: key.public_key() for name, key in PRIVATE_KEYS.items()}
 HOUR_MS = 3_600_000.0
 START_MS = 1.8e12
 
@@ -29,7 +29,7 @@
     operation_type: OperationType = OperationType.SET,
     **fields: Any,
 ) -> OverrideOperation:
-    """An operation by ``lan`` at ``START_MS`` for one hour, unless ``fields`` say otherwise."""
+    """Returns an operation by ``lan`` at ``START_MS`` for one hour, unless ``fields`` say otherwise."""
     defaults = {
         "revision": 1,
         "created_at_ms": START_MS,
@@ -44,30 +44,36 @@
 
 
 def make_extension(override_id: str, **fields: Any) -> OverrideOperation:
+    """Returns an operation that extends an override."""
     return make_operation(override_id, operation_type=OperationType.EXTEND, **fields)
 
 
 def make_revocation(override_id: str, **fields: Any) -> OverrideOperation:
+    """Returns an operation that revokes an override."""
     return make_operation(override_id, operation_type=OperationType.REVOKE, **fields)
 
 
-def out_of_service(endpoint: str, **fields: Any) -> OverridePayload:
+def make_out_of_service(endpoint: str, **fields: Any) -> OverridePayload:
+    """Returns the payload that takes ``endpoint`` out of service."""
     selector = Selector(SelectorAttribute.ENDPOINT, endpoint)
     return OverridePayload(OverrideKind.OUT_OF_SERVICE, selector, **fields)
 
 
-def zone_out_of_service(zone: str) -> OverridePayload:
+def make_zone_out_of_service(zone: str) -> OverridePayload:
+    """Returns the payload that takes all endpoints of ``zone`` out of service."""
     return OverridePayload(OverrideKind.OUT_OF_SERVICE, Selector(SelectorAttribute.ZONE, zone))
 
 
-def weight(attribute: SelectorAttribute, value: str, factor: float) -> OverridePayload:
+def make_weight(attribute: SelectorAttribute, value: str, factor: float) -> OverridePayload:
+    """Returns the payload that multiplies the weight of the selected endpoints by ``factor``."""
     return OverridePayload(OverrideKind.WEIGHT, Selector(attribute, value), factor=factor)
 
 
-def pin(*endpoints: str, **fields: Any) -> OverridePayload:
+def make_pin(*endpoints: str, **fields: Any) -> OverridePayload:
+    """Returns the payload that pins the requests selected by ``fields`` to ``endpoints``."""
     return OverridePayload(OverrideKind.PIN, endpoints=endpoints, **fields)
 
 
-def signed_record(operation: OverrideOperation) -> OverrideRecord:
-    """The store key and value of an operation."""
-    return OverrideRecord(operation.key, sign_operation(operation, KEYS[operation.operator]))
+def make_signed_record(operation: OverrideOperation) -> OverrideRecord:
+    """Returns the store key and value of an operation, signed by its operator."""
+    return OverrideRecord(operation.key, sign_operation(operation, PRIVATE_KEYS[operation.operator]))
--- a/tests/support/override_registry.py
+++ b/tests/support/override_registry.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from support.override_records import PUBLIC_KEYS, START_MS, signed_record
+from support.override_records import PUBLIC_KEYS, START_MS, make_signed_record
 
 from sageturn import Endpoint
 from sageturn.overrides.audit import AuditAction
@@ -65,7 +65,7 @@
         self.apply_list(list(endpoints), is_full=False)
 
     def apply(self, *operations: OverrideOperation) -> list[Endpoint]:
-        return self.apply_records(*(signed_record(operation) for operation in operations))
+        return self.apply_records(*(make_signed_record(operation) for operation in operations))
 
     def apply_records(self, *records: OverrideRecord) -> list[Endpoint]:
         return self.observe(self.registry.apply_records(records, self.now_ms))
--- a/tests/support/override_relays.py
+++ b/tests/support/override_relays.py
@@ -22,46 +22,52 @@
     start_endpoints_and_discovery,
     write_config,
 )
-from support.override_records import HOUR_MS, KEYS, make_operation, signed_record
+from support.override_records import HOUR_MS, PRIVATE_KEYS, make_operation, make_signed_record
 
 from sageturn.config.loader import load
+from sageturn.net.json_stream import JsonObject
 from sageturn.overrides.actor import OverrideActor
 from sageturn.overrides.operations import OperationType, OverrideOperation, OverridePayload
 from sageturn.relay import Relay
 
 
 def replication_address(relay: Relay) -> str:
-    """Where the relay's replication listens, as in its settings; fails if it has none."""
+    """Returns the address at which the relay's replication listens, ``host:port``; fails if it has none."""
     assert relay.replication is not None
     return "{}:{}".format(*relay.replication.address)
 
 
 def override_actor(relay: Relay) -> OverrideActor:
-    """The actor that applies overrides in ``relay``; fails if it is not configured to."""
+    """Returns the actor that applies overrides in ``relay``; fails if overrides are not configured."""
     assert relay.overrides is not None
     return relay.overrides
 
 
 def operator_names(relay: Relay) -> Set[str]:
-    """The operators whose overrides ``relay`` is configured to accept."""
+    """Returns the names of the operators whose overrides ``relay`` is configured to accept."""
     options = relay.config.operator.overrides
     assert options is not None
     return options.operators.keys()
 
 
 def reported_revisions(relay: Relay) -> dict[str, int] | None:
-    """The revisions of operations that relay n1 reports to have applied, as ``relay`` has received them."""
+    """Returns the revisions of operations that relay n1 has reported as applied, as received by ``relay``.
+
+    Returns None if no report has been received.
+    """
     state: dict[str, Any] = relay.store.get("state/n1/overrides") or {}
     return state.get("words")
 
 
 def unix_time_ms() -> float:
+    """Returns the time of the wall clock."""
     return time.time() * 1000.0
 
 
-def operation_now(
+def make_current_operation(
     override_id: str, payload: OverridePayload | None = None, **fields: Any
 ) -> OverrideOperation:
+    """Returns an operation created now that expires in an hour, unless ``fields`` say otherwise."""
     now_ms = unix_time_ms()
     return make_operation(
         override_id, payload, **{"created_at_ms": now_ms, "expires_at_ms": now_ms + HOUR_MS, **fields}
@@ -69,39 +75,42 @@
 
 
 def put_operation(relay: Relay, operation: OverrideOperation) -> None:
-    """Write an operation to a relay's store, signed by its operator."""
-    relay.store.put(*signed_record(operation))
+    """Writes an operation to a relay's store, signed by its operator."""
+    relay.store.put(*make_signed_record(operation))
 
 
-def set_now(relay: Relay, override_id: str, payload: OverridePayload, **fields: Any) -> None:
-    """Set an override at a relay's store from now on, for an hour unless ``fields`` say otherwise."""
-    put_operation(relay, operation_now(override_id, payload, **fields))
+def set_override(relay: Relay, override_id: str, payload: OverridePayload, **fields: Any) -> None:
+    """Sets an override at a relay's store, for an hour from now unless ``fields`` say otherwise."""
+    put_operation(relay, make_current_operation(override_id, payload, **fields))
 
 
-def revoke_now(relay: Relay, override_id: str) -> None:
-    """Revoke at a relay's store an override that has only been set."""
-    put_operation(relay, operation_now(override_id, operation_type=OperationType.REVOKE, revision=2))
+def revoke_override(relay: Relay, override_id: str) -> None:
+    """Revokes at a relay's store an override that is at revision 1."""
+    put_operation(relay, make_current_operation(override_id, operation_type=OperationType.REVOKE, revision=2))
 
 
-def public_key_of(name: str) -> str:
-    return b64encode(KEYS[name].public_key().public_bytes(Encoding.Raw, PublicFormat.Raw)).decode()
+def encode_public_key(operator: str) -> str:
+    """Returns the operator's public key in base64, as in the operator's file."""
+    return b64encode(
+        PRIVATE_KEYS[operator].public_key().public_bytes(Encoding.Raw, PublicFormat.Raw)
+    ).decode()
 
 
-def overrides_section(**values: Any) -> dict[str, Any]:
-    """The section of the operator's file; without safety limits unless ``values`` set them."""
-    operators = {name: public_key_of(name) for name in KEYS}
+def make_overrides_section(**values: object) -> JsonObject:
+    """Returns the section of the operator's file, without safety limits unless ``values`` set them."""
+    operators = {name: encode_public_key(name) for name in PRIVATE_KEYS}
     return {"operators": operators, "floor_all": 0, "floor_zone": 0, **values}
 
 
 @asynccontextmanager
-async def relays_with_overrides(
-    folder: Path, *scripts: EndpointScript, relays: int = 1, **overrides: Any
+async def running_relays_with_overrides(
+    folder: Path, *scripts: EndpointScript, relays: int = 1, **overrides: object
 ) -> AsyncIterator[tuple[list[Relay], list[FakeEndpoint]]]:
-    """Relays whose stores are linked, and the endpoints that they share, in the order a, b, c."""
+    """Runs relays whose stores are linked, and the endpoints that they share, named a, b, c in order."""
     endpoints = [FakeEndpoint(script) for script in scripts]
     async with AsyncExitStack() as stack:
-        names, discovery = await start_endpoints_and_discovery(stack, endpoints)
-        (folder / "secret").write_text("word")
+        addresses, discovery = await start_endpoints_and_discovery(stack, endpoints)
+        (folder / "secret").write_text("shared secret")
         started: list[Relay] = []
         for number in range(relays):
             relay_folder = folder / f"r{number}"
@@ -109,9 +118,9 @@
             peers = [replication_address(started[0])] if started else []
             store = {"path": "store", "listen": "127.0.0.1:0", "peers": peers, "secret_file": "../secret"}
             file = relay_folder / "operator.json"
-            file.write_text(json.dumps({"store": store, "overrides": overrides_section(**overrides)}))
+            file.write_text(json.dumps({"store": store, "overrides": make_overrides_section(**overrides)}))
             config = write_config(
-                relay_folder, discovery.address, make_endpoint_list(names), name=f"n{number}"
+                relay_folder, discovery.address, make_endpoint_list(addresses), name=f"n{number}"
             )
             environment = {"GW_CONFIG": str(config)}
             relay = Relay(load(environment, str(file)), partial(load, environment, str(file)))
@@ -124,14 +133,14 @@
         yield started, endpoints
 
 
-async def count_placed(
-    relay: Relay, endpoints: list[FakeEndpoint], count: int = 12, more: str = ""
+async def count_placements(
+    relay: Relay, endpoints: list[FakeEndpoint], count: int = 12, extra_parameters: str = ""
 ) -> list[int]:
-    """How many of ``count`` requests each endpoint was sent."""
+    """Sends ``count`` requests to ``relay``. Returns how many of them each endpoint received."""
     before = [len(endpoint.request_lines) for endpoint in endpoints]
     for number in range(count):
         reader, writer = await send_request(
-            relay.listener.address, encode_request_line(extra_parameters=more, key=f"p{number}")
+            relay.listener.address, encode_request_line(extra_parameters=extra_parameters, key=f"p{number}")
         )
         assert (await reader.readline()).startswith(b"UP")
         writer.close()
--- a/tests/support/ports.py
+++ b/tests/support/ports.py
@@ -1,4 +1,4 @@
-"""Free ports on loopback, for processes that have to be told theirs."""
+"""Ports on loopback and descriptors of this process."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 Address = tuple[str, int]
 
 
-def free_port() -> int:
-    """A port that nobody listens on at this moment."""
+def find_free_port() -> int:
+    """Returns a loopback port on which nothing listens at present."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         return int(probe.getsockname()[1])
 
 
-def open_descriptors() -> int:
-    """How many descriptors this process has open."""
+def count_open_descriptors() -> int:
+    """Returns the number of descriptors that this process has open."""
     return len(os.listdir("/proc/self/fd"))
--- a/tests/support/rebalance_fleet.py
+++ b/tests/support/rebalance_fleet.py
@@ -1,16 +1,18 @@
-"""A planner beside the real balancer on a clock of the test's own, and clients that reconnect."""
+"""Drives a rebalance planner and a balancer on a simulated clock, with clients that reconnect."""
 
 from __future__ import annotations
 
 from typing import Any, NamedTuple
 
 from sageturn import (
+    Action,
     AttemptEnded,
     Balancer,
     ConnectionAdopted,
     ConnectionEstablished,
     Endpoint,
     EndpointListEvent,
+    Event,
     MeasurementReported,
     PlaceRequest,
     RequestArrived,
@@ -27,7 +29,7 @@
     RequestClass("guest-checkin", latency_objective_ms=300),
 )
 START_MS = 1e6
-QUICK = {"part_per_min": 0.5, "least_age_s": 2.0}  # options under which a test is over soon
+FAST_OPTIONS = {"part_per_min": 0.5, "least_age_s": 2.0}  # plans complete within few simulated seconds
 
 
 class FleetConnection(NamedTuple):
@@ -56,8 +58,15 @@
     reason: str
 
 
-class Fleet:
-    """A relay's balancer and planner, its endpoints and its clients."""
+class RebalanceFleet:
+    """Simulates a relay's balancer and planner, its endpoints and its clients.
+
+    Attributes:
+        migrated: the migrations that were carried out, in order.
+        reconnects: the migrated clients that have not reconnected yet.
+        clients_return: whether migrated clients reconnect, after ``reconnect_delay_ms``.
+        minute: the minute of the UTC day at which the planner's ticks take place.
+    """
 
     def __init__(
         self, endpoints: str = "abcd", options: dict[str, Any] | None = None, **settings: Any
@@ -75,12 +84,13 @@
         self.reconnect_delay_ms = 300.0
         self.setup_time_ms = 20.0
         self.clients_return = True
-        self.minute = 0  # of the UTC day
+        self.minute = 0
         self.last_id = 0
         self.plan = NO_PLAN
         self.handle(EndpointListEvent("full", [Endpoint(name) for name in endpoints]))
 
-    def handle(self, event: Any) -> list[Any]:
+    def handle(self, event: Event) -> list[Action]:
+        """Has the balancer handle ``event``, under the planner's observation."""
         self.planner.before_event(self.now_ms, event)
         actions = self.balancer.handle(self.now_ms, event)
         self.planner.after_event(self.now_ms, event, actions)
@@ -89,7 +99,7 @@
     def add_connections(
         self, endpoint: str, count: int, group: str = "", class_name: str = "c", load: float = 1.0
     ) -> None:
-        """Add connections that were established a while ago; each client's key is new."""
+        """Adds connections of new clients that were established earlier, which the balancer adopts."""
         for _ in range(count):
             self.last_id += 1
             client = f"k{self.last_id}"
@@ -101,7 +111,7 @@
     def connect_client(
         self, client: str, class_name: str = "c", group: str = "", returned: bool = False
     ) -> str:
-        """Connect a client. Returns the endpoint where it is established; empty if it was rejected."""
+        """Connects a client. Returns the endpoint where it is established; empty if it was rejected."""
         self.last_id += 1
         request = RequestArrived(
             self.last_id, class_name, "t", self.now_ms + 2000.0, group, client=client, returned=returned
@@ -119,7 +129,7 @@
         self.handle(AttemptEnded(request_id, 0, endpoint, status, True))
 
     def step(self, seconds: float = 1.0) -> MigrationPlan:
-        """Reconnect the clients that are due, run a tick, and carry out its migrations."""
+        """Reconnects the clients that are due, runs a tick of the planner, and carries out its migrations."""
         self.now_ms += seconds * 1000.0
         due = [reconnect for reconnect in self.reconnects if reconnect.due_ms <= self.now_ms]
         self.reconnects = [reconnect for reconnect in self.reconnects if reconnect.due_ms > self.now_ms]
@@ -142,21 +152,24 @@
             self.reconnects.append(Reconnect(due_ms, client, class_name, group))
 
     def run(self, seconds: int) -> None:
+        """Steps once for each second."""
         for _ in range(seconds):
             self.step()
 
     def run_until_migrated(self) -> None:
-        """Run up to the first tick that migrates anyone."""
+        """Steps until the first tick that migrates a client."""
         while not self.migrated:
             self.step()
 
     def connection_counts(self) -> dict[str, int]:
+        """Returns how many connections each endpoint has."""
         counts = dict.fromkeys(self.balancer.endpoints, 0)
         for connection in self.connections.values():
             counts[connection.endpoint] += 1
         return counts
 
     def ids_at(self, endpoint: str) -> list[int]:
+        """Returns the request ids of the connections at ``endpoint``."""
         return [
             request_id
             for request_id, connection in self.connections.items()
@@ -164,18 +177,19 @@
         ]
 
     def endpoints_of_group(self, group: str) -> set[str]:
+        """Returns the endpoints at which clients of ``group`` are connected."""
         return {connection.endpoint for connection in self.connections.values() if connection.group == group}
 
     @property
     def max_ratio(self) -> float:
-        """The fullest endpoint's connections over the mean."""
+        """The highest connection count of an endpoint, divided by the mean."""
         counts = self.connection_counts()
         return max(counts.values()) * len(counts) / sum(counts.values())
 
 
-def uneven_fleet(options: dict[str, object] | None = None, **settings: object) -> Fleet:
-    """160 connections in groups of five, 70 of them at endpoint a, and 30 at each of the others."""
-    fleet = Fleet("abcd", {**QUICK, **(options or {})}, **settings)
+def make_uneven_fleet(options: dict[str, object] | None = None, **settings: object) -> RebalanceFleet:
+    """Returns a fleet of 160 connections in groups of five: 70 at endpoint a, 30 at each other."""
+    fleet = RebalanceFleet("abcd", {**FAST_OPTIONS, **(options or {})}, **settings)
     for endpoint, group_count in (("a", 14), ("b", 6), ("c", 6), ("d", 6)):
         for number in range(group_count):
             fleet.add_connections(endpoint, 5, f"{endpoint}{number}")
--- a/tests/support/relay_checks.py
+++ b/tests/support/relay_checks.py
@@ -14,7 +14,7 @@
 
 
 def is_balancer_idle(balancer_actor: BalancerActor) -> bool:
-    """No request is known to the balancer, and nothing is in flight or open at any endpoint."""
+    """Returns whether the balancer has no request, and no endpoint a connection or an attempt in flight."""
     balancer = balancer_actor.balancer
     endpoints = balancer.endpoints.values()
     return not balancer.requests and all(
@@ -23,20 +23,20 @@
 
 
 def is_idle(relay: Relay) -> bool:
-    """Nothing is left of any request, in the core or the balancer."""
+    """Returns whether neither the core nor the balancer holds any request."""
     actor = relay.balancer_actor
     return not relay.request_registry and not actor.requests and is_balancer_idle(actor)
 
 
 def record_closed_connections(relay: Relay, monkeypatch: pytest.MonkeyPatch) -> list[ConnectionRecord]:
-    """A list to which each connection's record is added, in place of the relay's own handling of it."""
+    """Returns a list to which each connection's record is added, instead of the relay handling it."""
     records: list[ConnectionRecord] = []
     monkeypatch.setattr(relay.context, "on_connection_closed", records.append)
     return records
 
 
 class Placement(NamedTuple):
-    """A request, by the balancer's number, and the endpoint at which its attempt was placed."""
+    """An attempt: the balancer's id of its request, and the endpoint at which it was placed."""
 
     request_id: int
     endpoint: str
@@ -61,14 +61,14 @@
 
 
 def record_placements(relay: Relay) -> list[Placement]:
-    """A list to which every placement of the relay's balancer is added from now on."""
+    """Returns a list to which every placement by the relay's balancer is added from now on."""
     recorder = PlacementRecorder()
     relay.balancer_actor.observers.append(recorder)
     return recorder.placements
 
 
 def record_balancer_events(relay: Relay, monkeypatch: pytest.MonkeyPatch) -> list[Event]:
-    """A list to which each event is added just before the relay's balancer handles it."""
+    """Returns a list to which each event is added just before the relay's balancer handles it."""
     events: list[Event] = []
     balancer = relay.balancer_actor.balancer
     handle = balancer.handle
--- a/tests/support/xmpp_relay.py
+++ b/tests/support/xmpp_relay.py
@@ -1,4 +1,4 @@
-"""A relay with both frontends between scripted XMPP clients and servers, and its certificates."""
+"""A relay with both frontends between scripted XMPP clients and servers, and its TLS certificates."""
 
 from __future__ import annotations
 
@@ -17,40 +17,43 @@
     write_config,
 )
 from support.ports import Address
-from support.xmpp_fakes import Act, Server, rejects
+from support.xmpp_fakes import SessionScript, XmppServerSession, reject_session
 
 from sageturn.config.loader import load
 from sageturn.frontends.xmpp.accounts import ACCOUNT_KEY_PREFIX, make_account_record
 from sageturn.relay import Relay
 from sageturn.store.store import Store
 
-CA = trustme.CA()
-CERT = CA.issue_cert("guides.example")
+CERTIFICATE_AUTHORITY = trustme.CA()
+SERVER_CERTIFICATE = CERTIFICATE_AUTHORITY.issue_cert("guides.example")
 
 
-def client_tls() -> ssl.SSLContext:
+def make_client_tls_context() -> ssl.SSLContext:
+    """Returns a context that trusts the relay's certificate."""
     context = ssl.create_default_context()
-    CA.configure_trust(context)
+    CERTIFICATE_AUTHORITY.configure_trust(context)
     return context
 
 
-def server_tls() -> ssl.SSLContext:
+def make_server_tls_context() -> ssl.SSLContext:
+    """Returns a context of an endpoint with the certificate of ``guides.example``."""
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
-    CERT.configure_cert(context)
+    SERVER_CERTIFICATE.configure_cert(context)
     return context
 
 
 def xmpp_address(relay: Relay) -> Address:
-    """Where the relay's XMPP frontend listens; fails if it has none."""
+    """Returns the address at which the relay's XMPP frontend listens; fails if it has none."""
     assert relay.xmpp_listener is not None
     return relay.xmpp_listener.address
 
 
-def write_operator(folder: Path, endpoint_tls: bool, **more: object) -> Path:
+def write_operator_file(folder: Path, endpoint_tls: bool, **xmpp_fields: object) -> Path:
+    """Writes an operator's file that switches on XMPP, its certificates, and a store with two accounts."""
     (folder / "pw").write_text("relay-pw\n")
-    CERT.cert_chain_pems[0].write_to_path(folder / "cert.pem")
-    CERT.private_key_pem.write_to_path(folder / "key.pem")
-    CA.cert_pem.write_to_path(folder / "ca.pem")
+    SERVER_CERTIFICATE.cert_chain_pems[0].write_to_path(folder / "cert.pem")
+    SERVER_CERTIFICATE.private_key_pem.write_to_path(folder / "key.pem")
+    CERTIFICATE_AUTHORITY.cert_pem.write_to_path(folder / "ca.pem")
     endpoint = {"username": "relay", "password_file": "pw", "tls": endpoint_tls, "ca_file": "ca.pem"}
     xmpp = {
         "listen": "127.0.0.1:0",
@@ -59,7 +62,7 @@
         "key": "key.pem",
         "wait_ms": 2000,
         "endpoint": endpoint,
-        **more,
+        **xmpp_fields,
     }
     store = Store("n1", folder / "store")
     for name in ("lan", "mai"):
@@ -71,11 +74,11 @@
 
 
 class XmppEndpoint(FakeEndpoint):
-    """An endpoint that speaks XMPP by ``act``, and the platform's lines where it is sent an OPEN."""
+    """Serves XMPP by ``script``, and the platform's line protocol where the first data is an OPEN."""
 
-    def __init__(self, act: Act) -> None:
-        super().__init__(self._play)
-        self._act = act
+    def __init__(self, script: SessionScript) -> None:
+        super().__init__(self._serve_connection)
+        self._session_script = script
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         first_data = await reader.read(4096)
@@ -87,34 +90,34 @@
         finally:
             writer.close()
 
-    async def _play(
+    async def _serve_connection(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, first_data: bytes
     ) -> None:
         if first_data.startswith(b"OPEN"):
-            await self._play_platform(reader, writer)
+            await self._serve_line_protocol(reader, writer)
             return
-        server = Server(reader, writer)
+        server = XmppServerSession(reader, writer)
         server.unread = first_data.decode()
-        await self._act(server)
+        await self._session_script(server)
 
-    async def _play_platform(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        writer.write(b"BUSY\r\n" if self._act is rejects else b"UP r1\r\n")
-        if self._act is rejects:
+    async def _serve_line_protocol(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        writer.write(b"BUSY\r\n" if self._session_script is reject_session else b"UP r1\r\n")
+        if self._session_script is reject_session:
             return
         while line := await reader.readline():
             writer.write(line)
 
 
 @asynccontextmanager
-async def relaying_xmpp(
-    folder: Path, *acts: Act, tls: bool = False, **more: object
+async def running_xmpp_relay(
+    folder: Path, *scripts: SessionScript, tls: bool = False, **xmpp_fields: object
 ) -> AsyncIterator[tuple[Relay, list[FakeEndpoint]]]:
-    """A relay with both frontends, whose list names one endpoint for each act."""
-    endpoints: list[FakeEndpoint] = [XmppEndpoint(act) for act in acts]
+    """Runs a relay with both frontends and one endpoint for each script, named a, b, c in their order."""
+    endpoints: list[FakeEndpoint] = [XmppEndpoint(script) for script in scripts]
     async with AsyncExitStack() as stack:
-        names, discovery = await start_endpoints_and_discovery(stack, endpoints)
-        file = write_config(folder, discovery.address, make_endpoint_list(names))
-        relay = Relay(load({"GW_CONFIG": str(file)}, str(write_operator(folder, tls, **more))))
+        addresses, discovery = await start_endpoints_and_discovery(stack, endpoints)
+        file = write_config(folder, discovery.address, make_endpoint_list(addresses))
+        relay = Relay(load({"GW_CONFIG": str(file)}, str(write_operator_file(folder, tls, **xmpp_fields))))
         relay.start()
         stack.push_async_callback(relay.stop)
         yield relay, endpoints
