--- a/tests/cli/test_main.py
+++ b/tests/cli/test_main.py
@@ -19,7 +19,7 @@
 
 
 def imports_numerical_libraries(*arguments: str) -> bool:
-    """Whether the command, run in a process of its own with these arguments, imported the laboratory's."""
+    """Returns whether the command, run in a process with these arguments, imported numerical libraries."""
     command = [sys.executable, "-c", PROGRAM, *arguments]
     errors = subprocess.run(command, capture_output=True, text=True, check=True).stderr
     return errors.splitlines()[-1] == "True"
--- a/tests/cli/test_override_output.py
+++ b/tests/cli/test_override_output.py
@@ -28,7 +28,7 @@
 
 
 def store_with(*operations: OverrideOperation, now_ms: float = START_MS) -> Store:
-    """A store of these operations, and of the state that one relay n1 reports at an instant."""
+    """Returns a store with these operations, and the state that relay n1 reports at one time."""
     driver = RegistryDriver(safety_limits=SafetyLimits(0.5, 0.5, 0.0))
     store = Store("n1")
     for operation in operations:
--- a/tests/config/test_compatibility_operators.py
+++ b/tests/config/test_compatibility_operators.py
@@ -127,7 +127,7 @@
 
 
 def encode_fields(obj: object, names: Sequence[str] | Mapping[str, str]) -> JsonObject:
-    """The fields of ``obj`` by their names in the fixtures."""
+    """Returns the fields of ``obj`` by their names in the fixtures."""
     pairs = names.items() if isinstance(names, Mapping) else zip(names, names, strict=True)
     return {
         fixture_name: getattr(obj, RENAMED.get(field_name, field_name)) for fixture_name, field_name in pairs
@@ -141,7 +141,7 @@
 
 
 def encode_operator(operator: OperatorConfig, folder: Path) -> JsonObject:
-    """The decoded file in plain JSON; secrets by what they come to."""
+    """Returns the decoded file as plain JSON, with the keys that its secrets yield."""
     encoded: JsonObject = dict.fromkeys(("path", "store", "xmpp", "flows", "rebalance", "overrides"))
     if operator.store_path is not None:
         encoded["path"] = str(operator.store_path.relative_to(folder))
@@ -167,7 +167,7 @@
 
 
 def encode_config(config: RelayConfig) -> JsonObject:
-    """The relay's own configuration in plain JSON."""
+    """Returns the relay's own configuration as plain JSON."""
     settings, known = config.settings, config.known_endpoints
     parts = {
         "classes": [encode_fields(request_class, CLASS) for request_class in settings.classes],
@@ -184,7 +184,7 @@
 
 
 def read_operator_file(source: Path, folder: Path) -> OperatorConfig:
-    """Read the file as a relay does at its start, with the files that it names beside it."""
+    """Reads the file as a relay does at its start, with the files that it names beside it."""
     deploy, var = folder / "deploy", folder / "var"
     deploy.mkdir()
     var.mkdir()
--- a/tests/config/test_deployments.py
+++ b/tests/config/test_deployments.py
@@ -53,7 +53,7 @@
 
 
 def renamed_and_shuffled(conf: JsonObject, rng: Random) -> tuple[JsonObject, dict[str, str]]:
-    """Other names for classes, tenants and zones, in another order; with what each is called now."""
+    """Returns settings with classes, tenants and zones renamed and reordered, and new names by old."""
     conf = copy.deepcopy(conf)
     names = {old: f"z{rng.random()}" for old in ("gate", "deck", "north", "south", "pier", "quay", "isle")}
     aims = dict(zip(("gate", "deck"), conf["familyInfo"]["messageAimMs"], strict=True))
@@ -69,7 +69,7 @@
 
 
 def simulated_actions(balancer: Balancer, names: dict[str, str], seed: int) -> list[Any]:
-    """Every action, in order, on requests, outcomes and load reports drawn by one seed."""
+    """Returns all actions, in order, on requests, outcomes and load reports drawn by one seed."""
     rng, done = Random(seed), []
     zones = [names[zone] for zone in ("pier", "quay", "isle")]
     endpoints = [
--- a/tests/config/test_loader.py
+++ b/tests/config/test_loader.py
@@ -17,7 +17,7 @@
 
 
 def write(folder: Path, **changes: Any) -> dict[str, str]:
-    """The environment of a relay whose file has these keys changed."""
+    """Writes a config file with these keys changed. Returns the environment of its relay."""
     return {"GW_CONFIG": str(write_config(folder, FILE_ADDRESS, **changes))}
 
 
--- a/tests/config/test_settings.py
+++ b/tests/config/test_settings.py
@@ -67,7 +67,7 @@
 
 
 def paths_in(value: object, prefix: str = "") -> list[str]:
-    """The paths to all that ``value`` contains."""
+    """Returns the paths to all that ``value`` contains."""
     if isinstance(value, dict):
         items = list(value.items())
     elif isinstance(value, list):
--- a/tests/core/test_attempt_guard.py
+++ b/tests/core/test_attempt_guard.py
@@ -1,4 +1,4 @@
-"""The guard of each request: what must hold is counted and kept from endpoints, whoever is wrong."""
+"""The guard of each request: a violated invariant is counted and does not reach an endpoint."""
 
 from __future__ import annotations
 
--- a/tests/core/test_attempt_races.py
+++ b/tests/core/test_attempt_races.py
@@ -80,6 +80,17 @@
 ]
 
 
+async def check_response_after(end: End, client: socket.socket) -> None:
+    """Checks the response to a client that has not left at ``end``, and closes its connection."""
+    if end in ENDPOINT_CHANGES:  # it is served nevertheless, at the other endpoint
+        client.settimeout(5)
+        assert (await asyncio.to_thread(client.recv, 99)) == b"UP r1\r\n"
+        client.close()
+    elif end is drain_forced:
+        assert (await asyncio.to_thread(client.recv, 99)) == b"BUSY 250\r\n"
+        client.close()
+
+
 @pytest.mark.parametrize("end", BEFORE_WRITING, ids=lambda end: end.__name__)
 @pytest.mark.parametrize("attempt", [1, 2])
 async def test_nothing_is_written_once_the_request_has_ended_while_its_connection_came_up(
@@ -111,13 +122,7 @@
         client = socket.create_connection(relay.listener.address)
         client.sendall(encode_request_line())
         await until(lambda: reached)
-        if end in ENDPOINT_CHANGES:  # it is served all the same, at the other one
-            client.settimeout(5)
-            assert (await asyncio.to_thread(client.recv, 99)) == b"UP r1\r\n"
-            client.close()
-        elif end is drain_forced:
-            assert (await asyncio.to_thread(client.recv, 99)) == b"BUSY 250\r\n"
-            client.close()
+        await check_response_after(end, client)
         await until(lambda: records and is_idle(relay))
         assert not any(reached[0].request_lines), end.__name__
         if end.__name__.startswith("leave"):
@@ -211,7 +216,7 @@
 
 
 class BreaksOnce:
-    """The first attempt may have run; every later one would be served."""
+    """Breaks the first attempt after its request was written, and serves every later one."""
 
     def __init__(self) -> None:
         self.request_lines: list[bytes] = []
@@ -224,12 +229,14 @@
 
 
 class LateRetry:
-    """Moves a relay's clock on as the second attempt is decided, or once its connection came up."""
+    """Advances a relay's clock as the second attempt is decided, or once its connection is established."""
 
-    def __init__(self, relay: Relay, monkeypatch: pytest.MonkeyPatch, moment: str, late_ms: float) -> None:
+    def __init__(
+        self, relay: Relay, monkeypatch: pytest.MonkeyPatch, delayed_at: str, late_ms: float
+    ) -> None:
         self.attempts = 0
         self.connections = 0
-        self._moment = moment
+        self._delayed_at = delayed_at
         self._late_ms = late_ms
         self._elapsed_ms = 0.0
         self._connect = connecting.connect_unreserved
@@ -239,7 +246,7 @@
 
         async def open_late(connection: Any, *arguments: Any) -> Any:
             self.attempts += 1
-            if self._moment == "decided" and self.attempts == 2:
+            if self._delayed_at == "decided" and self.attempts == 2:
                 self._elapsed_ms = self._late_ms
             return await open_upstream(connection, *arguments)
 
@@ -255,11 +262,16 @@
         return sock
 
 
-@pytest.mark.parametrize(("scope", "word"), [("all", b"BUSY"), ("cell", b"ERR ")])
+@pytest.mark.parametrize(("scope", "expected_prefix"), [("all", b"BUSY"), ("cell", b"ERR ")])
 @pytest.mark.parametrize("late_ms", [KEY_MS - 500.0, KEY_MS + 1.0])
-@pytest.mark.parametrize("moment", ["decided", "came up"])
+@pytest.mark.parametrize("delayed_at", ["decided", "came up"])
 async def test_a_retry_is_written_before_its_idempotency_key_expires_or_not_at_all(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, moment: str, late_ms: float, scope: str, word: bytes
+    tmp_path: Path,
+    monkeypatch: pytest.MonkeyPatch,
+    delayed_at: str,
+    late_ms: float,
+    scope: str,
+    expected_prefix: bytes,
 ) -> None:
     # The module asks for it in time, but a connection may come up 1.5 s later: the line was written whenever
     # that was, and it is the last byte that counts.
@@ -268,15 +280,15 @@
     settings["classes"][0].update(aimMs=9000.0, hardLimitMs=9000.0)
     async with running_relay(tmp_path, endpoint, endpoint, settings=settings) as (relay, _):
         await until(lambda: relay.endpoint_registry.version == 2)
-        retry = LateRetry(relay, monkeypatch, moment, late_ms)
+        retry = LateRetry(relay, monkeypatch, delayed_at, late_ms)
         reader, writer = await send_request(relay.listener.address, encode_request_line(9000))
         response = await reader.readline()
         in_time = late_ms < KEY_MS
-        assert response[:4] == (b"UP r" if in_time else word)
+        assert response[:4] == (b"UP r" if in_time else expected_prefix)
         assert len(endpoint.request_lines) == 1 + in_time
         # Nor does the module decide on a third, which the same look would hold back again.
         assert retry.attempts == 2
-        assert retry.connections == (2 if in_time or moment == "came up" else 1)
+        assert retry.connections == (2 if in_time or delayed_at == "came up" else 1)
         writer.close()
         await until(lambda: is_idle(relay))
 
@@ -320,7 +332,7 @@
 def send_as_connection_closes(
     client: socket.socket, monkeypatch: pytest.MonkeyPatch, *, after_shutdown: bool
 ) -> None:
-    """Have ``client`` send a request just before, or just after, the relay shuts its connection down."""
+    """Has ``client`` send a request just before, or just after, the relay shuts its connection down."""
     close_gracefully, send_and_close = closing.close_gracefully, closing.send_and_close
 
     def send_line(sock: socket.socket) -> None:
--- a/tests/core/test_client_disconnects.py
+++ b/tests/core/test_client_disconnects.py
@@ -1,4 +1,4 @@
-"""Clients that leave before they are answered: nothing is begun for them any more, first or further."""
+"""Clients that disconnect before their response: no connection or attempt is begun for them any more."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 class ClientThread:
-    """A thread and a loop for a client: it can act while the relay's loop is blocked."""
+    """Runs a client on an event loop in another thread: it can act while the relay's loop is blocked."""
 
     def __init__(self) -> None:
         self._loop = asyncio.new_event_loop()
@@ -101,7 +101,7 @@
 def act_as_attempt_begins(
     monkeypatch: pytest.MonkeyPatch, connection_class: Any, attempt: int, act: Callable[[], None]
 ) -> None:
-    """Call ``act`` as the n-th attempt begins: the loop does not turn before the attempt goes on."""
+    """Calls ``act`` as the n-th attempt begins: no other task runs before the attempt continues."""
     open_upstream, attempts = connection_class.open_upstream, 0
 
     async def act_first(connection: Any, *arguments: Any) -> Any:
@@ -114,6 +114,19 @@
     monkeypatch.setattr(connection_class, "open_upstream", act_first)
 
 
+def act_before_write(monkeypatch: pytest.MonkeyPatch, act: Callable[[], None]) -> None:
+    """Calls ``act`` just before the last checks that precede the write of a request."""
+    check_before_write = PreWriteChecks.check_before_write
+
+    def act_first(
+        checks: PreWriteChecks, is_endpoint_usable: Callable[[], bool] | None = None
+    ) -> CloseReason | None:
+        act()
+        return check_before_write(checks, is_endpoint_usable)
+
+    monkeypatch.setattr(PreWriteChecks, "check_before_write", act_first)
+
+
 @pytest.mark.parametrize(
     "leave", [close, end_sending, reset, send_and_close], ids=lambda leave: leave.__name__
 )
@@ -122,7 +135,7 @@
 async def test_no_connection_is_begun_for_a_client_that_has_left(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, leave: Callable[[socket.socket], None], attempt: int
 ) -> None:
-    # Only what was written was held back: the connection for it was begun, and took a host's place and time.
+    # Only the write was held back: a connection was opened for it, and took an endpoint's capacity and time.
     async with running_relay(tmp_path, echo_lines, echo_lines) as (relay, endpoints):
         await until(lambda: relay.endpoint_registry.version == 2)
         connects = ConnectCounter(monkeypatch, attempt - 1)
@@ -154,13 +167,13 @@
 
 
 @pytest.mark.parametrize("leave", XMPP_LEAVES, ids=lambda leave: leave.__name__)
-@pytest.mark.parametrize("moment", ["first", "further", "bind"])
+@pytest.mark.parametrize("stage", ["first", "further", "bind"])
 @pytest.mark.timeout(30)
 async def test_nothing_is_begun_for_an_xmpp_client_that_has_left_or_ended_its_stream(
     tmp_path: Path,
     monkeypatch: pytest.MonkeyPatch,
     leave: Callable[[XmppClient], Coroutine[Any, Any, None]],
-    moment: str,
+    stage: str,
 ) -> None:
     # A stream's end lay unread under TLS: only the connection's was looked for, and the bind followed.
     bound: list[str] = []
@@ -171,22 +184,15 @@
     with closing(ClientThread()) as client_thread:
         async with running_xmpp_relay(tmp_path, accept, accept) as (relay, endpoints):
             await until(lambda: relay.endpoint_registry.version == 2)
-            connects = ConnectCounter(monkeypatch, moment == "further")
-            if moment == "bind":
-                check_before_write = PreWriteChecks.check_before_write
+            connects = ConnectCounter(monkeypatch, stage == "further")
 
-                def leave_first(
-                    checks: PreWriteChecks, is_endpoint_usable: Callable[[], bool] | None = None
-                ) -> CloseReason | None:
-                    client_thread.run_blocking(leave(client))
-                    return check_before_write(checks, is_endpoint_usable)
+            def leave_now() -> None:
+                client_thread.run_blocking(leave(client))
 
-                monkeypatch.setattr(PreWriteChecks, "check_before_write", leave_first)
+            if stage == "bind":
+                act_before_write(monkeypatch, leave_now)
             else:
-                number = 1 + (moment == "further")
-                act_as_attempt_begins(
-                    monkeypatch, XmppConnection, number, lambda: client_thread.run_blocking(leave(client))
-                )
+                act_as_attempt_begins(monkeypatch, XmppConnection, 1 + (stage == "further"), leave_now)
             records = record_closed_connections(relay, monkeypatch)
             client = await client_thread.run(XmppClient.connect(xmpp_address(relay)))
             await client_thread.run(client.login(make_client_tls_context()))
@@ -194,9 +200,9 @@
             await until(lambda: records and not relay.balancer_actor.balancer.requests)
             await client_thread.run(abort_connection(client))
             assert records[0].close_reason in GONE and not records[0].was_established
-            assert connects.count == (moment != "first")
+            assert connects.count == (stage != "first")
             assert (
-                sum(len(endpoint.request_lines) for endpoint in endpoints) == (moment == "bind") and not bound
+                sum(len(endpoint.request_lines) for endpoint in endpoints) == (stage == "bind") and not bound
             )
 
 
@@ -298,7 +304,7 @@
 
 @pytest.mark.timeout(30)
 async def test_an_xmpp_client_that_breaks_its_stream_while_it_waits_hears_why(tmp_path: Path) -> None:
-    # It was taken for one that had left, and its connection closed without a word.
+    # It was taken for one that had left, and its connection closed without a response.
     async def read_until_end(server: XmppServerSession) -> None:
         await server.read_rest()
 
--- a/tests/core/test_clock.py
+++ b/tests/core/test_clock.py
@@ -28,7 +28,7 @@
         return START_S + self.elapsed_s + self.shift_s
 
     def started(self, age_s: float = 0.0) -> Endpoint:
-        """An endpoint that started so long ago, by the clock that shows now."""
+        """Returns an endpoint that started ``age_s`` ago by the clock that shows ``now``."""
         return Endpoint("a", "ready", started_at_ms=(self.wall_s() - age_s) * 1000.0)
 
 
--- a/tests/core/test_close_reasons.py
+++ b/tests/core/test_close_reasons.py
@@ -74,7 +74,7 @@
         return [line for endpoint in self.endpoints for line in endpoint.request_lines if line]
 
     async def read_rest(self) -> bytes:
-        """All that the client still receives; b"reset" at the end of it if it was reset."""
+        """Returns all that the client still receives; b"reset" is appended on a reset."""
         loop, received = asyncio.get_running_loop(), b""
         try:
             while more := await asyncio.wait_for(loop.sock_recv(self.client, 1 << 16), 5):
@@ -202,6 +202,16 @@
 GONE = (client_closes, client_resets)
 
 
+async def until_released(relay: Relay, endpoints: list[FakeEndpoint]) -> None:
+    """Returns once the relay holds no request or connection, and no endpoint has a connection open."""
+    balancer = relay.balancer_actor.balancer
+    await until(
+        lambda: not relay.request_registry and not balancer.requests and not relay.admission.connection_count
+    )
+    await until(lambda: not any(endpoint.open_connections for endpoint in endpoints))
+    assert is_idle(relay)
+
+
 @pytest.mark.parametrize("effect", DEPLOYMENTS)
 @pytest.mark.parametrize(
     ("stage", "end"),
@@ -231,17 +241,10 @@
         assert not stays or all(lifecycle.is_established for lifecycle in relay.request_registry)
         scenario.client.close()
         scenario.resume.set()
-        balancer = relay.balancer_actor.balancer
-        await until(
-            lambda: (
-                not relay.request_registry and not balancer.requests and not relay.admission.connection_count
-            )
-        )
-        await until(lambda: not any(endpoint.open_connections for endpoint in endpoints))
-        assert is_idle(relay)
+        await until_released(relay, endpoints)
         # The listener's, and the descriptor that it keeps in reserve.
-        shut = 2 if end is graceful_shutdown else 0
-        await until(lambda: len(os.listdir("/proc/self/fd")) <= descriptors - shut)
+        closed_descriptors = 2 if end is graceful_shutdown else 0
+        await until(lambda: len(os.listdir("/proc/self/fd")) <= descriptors - closed_descriptors)
         sent, max_attempts = len(scenario.lines), settings["policyLimits"]["sendCap"]
         assert sent <= max_attempts and sum(endpoint.max_open_connections for endpoint in endpoints) <= max(
             1, sent
@@ -275,8 +278,8 @@
 @pytest.mark.parametrize("sent", [encode_request_line(), b"PING\r\n", encode_request_line()[:9], b""])
 @pytest.mark.timeout(10)
 async def test_a_client_that_connects_as_the_listener_closes_is_answered(tmp_path: Path, sent: bytes) -> None:
-    # The listening socket was closed over its backlog: who waited there was reset without a word. The loop
-    # does not turn between the client's coming and the shutting here.
+    # The listening socket was closed with a backlog, whose clients were reset without a response. The loop
+    # runs no other task here between the client's connecting and the closing.
     async with running_relay(tmp_path, echo_lines) as (relay, (endpoint,)):
         relay.request_registry.schedule = ShutdownSchedule(0.0, 0.0, 0.05, 2.0)
         stop_accepting, clients = relay.ingress.stop_accepting, list[socket.socket]()
@@ -302,7 +305,7 @@
 async def test_a_request_that_arrives_after_the_forced_drain_is_answered_and_not_placed(
     tmp_path: Path,
 ) -> None:
-    # It was placed, stood, and was cut off without MOVE: only those who were there had been told to hurry.
+    # It was placed, stood, and was cut off without MOVE: only those connected then had been sent one.
     async with running_relay(tmp_path, echo_lines) as (relay, (endpoint,)):
         relay.request_registry.schedule = ShutdownSchedule(0.0, 0.0, 0.01, 2.0)
         scenario = RelayScenario(relay, [endpoint])
@@ -349,7 +352,7 @@
 # ---------------------------------------------------------------- a MOVE that cannot be written
 
 
-async def floods(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes) -> None:
+async def flood_client(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes) -> None:
     writer.write(b"UP r1\r\n")
     while True:
         writer.write(b"M " + b"x" * 1000 + b"\r\n")
@@ -361,7 +364,8 @@
 async def test_a_move_waits_for_a_client_that_does_not_read_until_the_drain_is_forced(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, reads_on: bool
 ) -> None:
-    # It was given up after 0.7 s and the client cut off without a word, though its live host still answered.
+    # It was given up after 0.7 s and the client cut off without a final response, though its endpoint still
+    # answered.
     forwarders: list[LineForwarder] = []
 
     class RecordedForwarder(LineForwarder):
@@ -371,7 +375,7 @@
 
     monkeypatch.setattr(platform_relaying, "LineForwarder", RecordedForwarder)
 
-    async with running_relay(tmp_path, floods) as (relay, _):
+    async with running_relay(tmp_path, flood_client) as (relay, _):
         ended = record_closed_connections(relay, monkeypatch)
         scenario = RelayScenario(relay, [])
         scenario.client.sendall(encode_request_line())
@@ -415,7 +419,7 @@
 async def test_an_internal_error_is_answered_and_leaves_no_request_behind(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # The client's connection was closed without a word, and the module kept the request for good.
+    # The client's connection was closed without a response, and the module kept the request for good.
     async with running_relay(tmp_path, echo_lines) as (relay, _):
 
         async def fails(address: Address, timeout_s: float) -> ConnectResult:
--- a/tests/core/test_load_values.py
+++ b/tests/core/test_load_values.py
@@ -14,7 +14,7 @@
 INVALID_LOADS = (b"nan", b"inf", b"-inf", b"-5", b"1e308", b"1e9999")
 
 
-async def reports_invalid_loads(
+async def report_invalid_loads(
     reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes
 ) -> None:
     writer.write(b"UP r1\r\n")
@@ -29,7 +29,7 @@
 ) -> None:
     # One NaN entered the sum of all loads, every comparison with it failed from then on, and the relay
     # never again took an endpoint for overloaded.
-    async with running_relay(tmp_path, reports_invalid_loads) as (relay, _):
+    async with running_relay(tmp_path, report_invalid_loads) as (relay, _):
         reported: list[float] = []
         balancer = relay.balancer_actor.balancer
         handle = balancer.handle
--- a/tests/core/test_request_lifecycle.py
+++ b/tests/core/test_request_lifecycle.py
@@ -21,7 +21,7 @@
 
 
 class ScriptedTransport:
-    """Each attempt takes the next of ``attempts``: why it failed, or None where it is established."""
+    """Gives each attempt the next of ``attempts``: why it failed, or None where it is established."""
 
     def __init__(self, *attempts: CloseReason | None) -> None:
         self.attempts = list(attempts)
@@ -64,7 +64,7 @@
 
 
 async def run_lifecycle(transport: ScriptedTransport, drain: bool = False) -> ConnectionRecord:
-    """One request against a balancer with four endpoints, which must be left idle."""
+    """Runs one request against a balancer with four endpoints, and checks that it is idle afterwards."""
     settings = Settings(classes=(RequestClass("c", latency_objective_ms=900),), may_cancel=True)
     balancer_actor = BalancerActor(settings, 1, Clock(), lambda: None)
     actor = asyncio.ensure_future(balancer_actor.run())
--- a/tests/flows/test_compatibility_flows.py
+++ b/tests/flows/test_compatibility_flows.py
@@ -59,7 +59,7 @@
 
 
 def ended_records() -> list[ConnectionRecord]:
-    """One for each close reason, in their order, and those that were answered instead."""
+    """Returns a record for each close reason, in their order, and those that were answered instead."""
     answers = [None, FinalResponse(rejected=True, reason="x"), FinalResponse(rejected=False, reason="x")]
     outcomes: list[tuple[CloseReason | None, FinalResponse | None]] = []
     outcomes += [(close_reason, None) for close_reason in CloseReason]
@@ -79,7 +79,7 @@
 
 
 def export(records: list[ConnectionRecord], max_queued_flows: int) -> list[bytes]:
-    """The datagrams of two flushes; what the queue has no capacity for is reported as lost."""
+    """Returns the datagrams of two flushes; records beyond the queue's capacity are reported as lost."""
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as collector:
         collector.bind(("127.0.0.1", 0))
         collector.setblocking(False)
--- a/tests/frontends/test_compatibility_frontends.py
+++ b/tests/frontends/test_compatibility_frontends.py
@@ -102,13 +102,13 @@
 }
 
 
-async def first_line_in_vain(address: tuple[str, int]) -> bytes:
+async def let_request_line_time_out(address: tuple[str, int]) -> bytes:
     with mock.patch.object(platform_frontend, "REQUEST_LINE_TIMEOUT_S", 0.02):
-        return await talk(address, b"")
+        return await exchange_lines(address, b"")
 
 
-async def talk(address: tuple[str, int], *lines: bytes) -> bytes:
-    """All that comes back; each further line goes out after something has come."""
+async def exchange_lines(address: tuple[str, int], *lines: bytes) -> bytes:
+    """Sends lines, each after a response to the one before. Returns all that is received."""
     reader, writer = await send_request(address, lines[0])
     received = b""
     for line in lines[1:]:
@@ -119,7 +119,7 @@
     return received
 
 
-async def sent_by(answering: Callable[[socket.socket], Awaitable[None]]) -> bytes:
+async def record_bytes_sent_by(answering: Callable[[socket.socket], Awaitable[None]]) -> bytes:
     near, far = socket.socketpair()
     near.setblocking(False)
     with far:
@@ -134,18 +134,18 @@
 async def platform_answers(folder: Path) -> dict[str, bytes]:
     answers = {"turned-away": platform_frontend.PlatformFrontend.rejection}
     for name, answer in ANSWERS.items():
-        answers[f"answer.{name}"] = await sent_by(partial(send_final_response, response=answer))
+        answers[f"answer.{name}"] = await record_bytes_sent_by(partial(send_final_response, response=answer))
     async with running_relay(folder, never_respond) as (relay, _):
         address = relay.listener.address
         for name, line in FIRST_LINES.items():
             more = (b"nonsense\r\n",) if line == b"PING\r\n" else ()
-            answers[f"first-line.{name}"] = await talk(address, line, *more)
-        answers["first-line.late"] = await first_line_in_vain(address)
+            answers[f"first-line.{name}"] = await exchange_lines(address, line, *more)
+        answers["first-line.late"] = await let_request_line_time_out(address)
     return answers
 
 
 class Exchange(NamedTuple):
-    """What the client received, and the first line as the endpoint got it, its wait left out."""
+    """The data that the client received, and the request line that the endpoint received without its wait."""
 
     received: bytes
     forwarded: bytes
@@ -153,7 +153,7 @@
 
 async def platform_exchange(folder: Path, script: EndpointScript) -> Exchange:
     async with running_relay(folder, script) as (relay, (endpoint,)):
-        received = await talk(relay.listener.address, OPEN)
+        received = await exchange_lines(relay.listener.address, OPEN)
         before, _, rest = endpoint.request_lines[0].partition(b"d=")
         digits, comma, after = rest.partition(b",")
         assert digits.isdigit() and 0 < int(digits) <= 2000
@@ -161,7 +161,7 @@
 
 
 async def platform_move(folder: Path) -> bytes:
-    """The relay asks an established client to reconnect."""
+    """Returns what an established client receives as the relay asks it to reconnect."""
 
     async def stay_open(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes) -> None:
         writer.write(b"UP r1\r\n")
@@ -177,32 +177,34 @@
         return received
 
 
-async def platform_ids_and_haste(folder: Path) -> dict[str, bytes]:
+async def send_duplicate_id_and_early_input(folder: Path) -> dict[str, bytes]:
     async with running_relay(folder, never_respond) as (relay, _):
         address = relay.listener.address
         reader, writer = await send_request(address, OPEN)
         while not len(relay.request_registry):
             await asyncio.sleep(0)
-        same_id = await talk(address, OPEN)
+        same_id = await exchange_lines(address, OPEN)
         writer.write(b"M" * 5000)
         hasty = await reader.read()
         writer.close()
         return {"first-line.id-in-use": same_id, "exchange.spoke-before-the-answer": hasty}
 
 
-async def in_folder(story: Callable[..., Awaitable[Result]], *arguments: object) -> Result:
-    """The result of ``story`` in a new folder of its own."""
+async def run_in_new_folder(scenario: Callable[..., Awaitable[Result]], *arguments: object) -> Result:
+    """Runs ``scenario`` in a new folder. Returns its result."""
     with tempfile.TemporaryDirectory() as folder:
-        return await story(Path(folder), *arguments)
+        return await scenario(Path(folder), *arguments)
 
 
 async def make_platform() -> dict[str, bytes]:
-    recorded = await in_folder(platform_answers) | await in_folder(platform_ids_and_haste)
+    recorded = await run_in_new_folder(platform_answers) | await run_in_new_folder(
+        send_duplicate_id_and_early_input
+    )
     for name, text in ENDPOINTS.items():
-        exchange = await in_folder(platform_exchange, respond_with(text))
+        exchange = await run_in_new_folder(platform_exchange, respond_with(text))
         recorded[f"exchange.{name}"] = exchange.received
         recorded[f"forwarded.{name}"] = exchange.forwarded
-    recorded["exchange.moved"] = await in_folder(platform_move)
+    recorded["exchange.moved"] = await run_in_new_folder(platform_move)
     return recorded
 
 
@@ -233,8 +235,8 @@
 }
 
 
-def fault_of(stream: bytes) -> bytes:
-    """The stream error by which a client's stream is answered."""
+def stream_error_of(stream: bytes) -> bytes:
+    """Returns the stream error by which a client's stream is answered."""
     parser = StreamParser()
     try:
         parser.feed(stream)
@@ -258,7 +260,7 @@
     recorded = {"turned-away": REJECTION, "move": encode_move()}
     recorded |= {f"answer.{name}": encode_final_response(answer) for name, answer in ANSWERS.items()}
     recorded |= {f"fault.{number}": encode_stream_error(*fault) for number, fault in enumerate(FAULTS)}
-    recorded |= {f"stream.{name}": fault_of(stream) for name, stream in BAD_STREAMS.items()}
+    recorded |= {f"stream.{name}": stream_error_of(stream) for name, stream in BAD_STREAMS.items()}
     channel = ScriptedChannel()
     await bound_result(channel, "b<1>'", "lan@guides.example/a&b")
     recorded["bound"] = channel.sent()
@@ -335,7 +337,7 @@
 
 
 async def accept_client(channel: ScriptedChannel, tls: bool) -> str:
-    """A client's stream up to its bind request, or the fault that ended it."""
+    """Accepts a client's stream. Returns a summary of its bind request, or the fault that ended it."""
     endpoint = EndpointOptions("guides.example", "relay", "relay-pw", None)
     context: Any = object() if tls else None
     options = XmppOptions(("127.0.0.1", 0), "guides.example", context, 2000.0, endpoint, 0)
@@ -353,7 +355,7 @@
 
 
 async def dial_endpoint(channel: ScriptedChannel, tls: bool) -> str:
-    """The stream to an endpoint up to its bound resource, or how that ended."""
+    """Opens the stream to an endpoint. Returns the bound resource, or the name of the close reason."""
     context: Any = object() if tls else None
     options = EndpointOptions("guides.example", "relay", "relay-pw", context)
     account = Accounts({ACCOUNT_KEY_PREFIX + "lan": account_record()}).find("lan")
@@ -368,12 +370,12 @@
             return refusal.close_reason.name
 
 
-def coded(text: str) -> bytes:
+def encode_base64(text: str) -> bytes:
     return base64.b64encode(text.encode())
 
 
-def inner(data: bytes) -> str:
-    """The text of the last element that was said, out of its base64."""
+def decode_element(data: bytes) -> str:
+    """Returns the text of the last element in ``data``, decoded from base64."""
     return base64.b64decode(data.rpartition(b"</")[0].rpartition(b">")[2]).decode()
 
 
@@ -387,20 +389,20 @@
         self.endpoint = mechanism.make_server(lambda name: info, s_nonce="server-nonce")
 
     def auth(self, _: bytes) -> bytes:
-        first = coded(self.client.get_client_first())
+        first = encode_base64(self.client.get_client_first())
         return b"<auth %s mechanism='SCRAM-SHA-256'>%s</auth>" % (SASL, first)
 
-    def response(self, said: bytes) -> bytes:
-        self.client.set_server_first(inner(said))
-        return b"<response %s>%s</response>" % (SASL, coded(self.client.get_client_final()))
+    def response(self, element: bytes) -> bytes:
+        self.client.set_server_first(decode_element(element))
+        return b"<response %s>%s</response>" % (SASL, encode_base64(self.client.get_client_final()))
 
-    def challenge(self, said: bytes) -> bytes:
-        self.endpoint.set_client_first(inner(said))
-        return b"<challenge %s>%s</challenge>" % (SASL, coded(self.endpoint.get_server_first()))
+    def challenge(self, element: bytes) -> bytes:
+        self.endpoint.set_client_first(decode_element(element))
+        return b"<challenge %s>%s</challenge>" % (SASL, encode_base64(self.endpoint.get_server_first()))
 
-    def success(self, said: bytes) -> bytes:
-        self.endpoint.set_client_final(inner(said))
-        return b"<success %s>%s</success>" % (SASL, coded(self.endpoint.get_server_final()))
+    def success(self, element: bytes) -> bytes:
+        self.endpoint.set_client_final(decode_element(element))
+        return b"<success %s>%s</success>" % (SASL, encode_base64(self.endpoint.get_server_final()))
 
 
 STARTTLS = b"<starttls xmlns='urn:ietf:params:xml:ns:xmpp-tls'/>"
@@ -412,7 +414,7 @@
 
 
 def plain(text: str) -> bytes:
-    return b"<auth %s mechanism='PLAIN'>%s</auth>" % (SASL, coded(text))
+    return b"<auth %s mechanism='PLAIN'>%s</auth>" % (SASL, encode_base64(text))
 
 
 def features(content: bytes) -> bytes:
@@ -424,7 +426,7 @@
 
 
 def client_scripts() -> dict[str, tuple[bool, Sequence[Line]]]:
-    """By name: whether TLS is wanted, and what the client says."""
+    """Returns by name whether TLS is required, and what the client sends."""
     scram = ScriptedScram()
     bind_first_scram = ScriptedScram()
     wrong = plain("\0lan\0wrong")
@@ -458,7 +460,7 @@
 
 
 def endpoint_scripts() -> dict[str, tuple[bool, Sequence[Line]]]:
-    """By name: whether TLS is wanted, and what the endpoint says."""
+    """Returns by name whether TLS is required, and what the endpoint sends."""
     scram = ScriptedScram()
     sasl, bind = mechanisms(b"SCRAM-SHA-256"), features(BIND % b"")
     tls = [features(STARTTLS), b"<proceed xmlns='urn:ietf:params:xml:ns:xmpp-tls'/>", mechanisms(b"PLAIN")]
@@ -504,27 +506,27 @@
 
 
 async def test_the_platform_answers_first_lines_and_refusals_as_it_did() -> None:
-    answers = await in_folder(platform_answers)
+    answers = await run_in_new_folder(platform_answers)
     assert answers == {key: from_json("platform.json")[key] for key in answers}
     recorded = {*recorded_platform("first-line"), *recorded_platform("answer")} - {"first-line.id-in-use"}
     assert set(answers) == recorded | {"turned-away"}
 
 
 async def test_an_id_in_use_and_early_input_are_answered_as_they_were() -> None:
-    answers = await in_folder(platform_ids_and_haste)
+    answers = await run_in_new_folder(send_duplicate_id_and_early_input)
     assert answers == {key: from_json("platform.json")[key] for key in answers}
 
 
 @pytest.mark.parametrize("name", ENDPOINTS)
 async def test_an_endpoints_answer_is_forwarded_as_it_was(name: str) -> None:
     recorded = from_json("platform.json")
-    exchange = await in_folder(platform_exchange, respond_with(ENDPOINTS[name]))
+    exchange = await run_in_new_folder(platform_exchange, respond_with(ENDPOINTS[name]))
     assert exchange.received == recorded[f"exchange.{name}"]
     assert exchange.forwarded == recorded[f"forwarded.{name}"]
 
 
 async def test_an_established_client_is_asked_to_move_as_it_was() -> None:
-    assert await in_folder(platform_move) == from_json("platform.json")["exchange.moved"]
+    assert await run_in_new_folder(platform_move) == from_json("platform.json")["exchange.moved"]
 
 
 async def test_xmpp_answers_and_stream_errors_are_as_they_were() -> None:
--- a/tests/frontends/test_idle_timeout.py
+++ b/tests/frontends/test_idle_timeout.py
@@ -32,7 +32,7 @@
 
 
 def migrated_at(idle_timeout: IdleTimeout, asks: list[float]) -> float:
-    """When the client is migrated, if the time limit is waited for as ``sleep_until_elapsed`` does."""
+    """Returns when the client is migrated if the time limit is waited for as in ``sleep_until_elapsed``."""
     now, asks = LAST_DATA_S, sorted(asks)
     while True:
         left = idle_timeout.remaining_s(now)
@@ -85,7 +85,7 @@
 )
 
 
-def says_then(text: bytes, fate: EndpointScript | None, pause_s: float = 0.0) -> EndpointScript:
+def respond_then(text: bytes, final_behavior: EndpointScript | None, pause_s: float = 0.0) -> EndpointScript:
     async def script(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes) -> None:
         for position in range(len(text)) if pause_s else ():
             writer.write(text[position : position + 1])
@@ -93,29 +93,34 @@
         if not pause_s:
             writer.write(text)
         await writer.drain()
-        if fate is not None:
-            await fate(reader, writer, line)
+        if final_behavior is not None:
+            await final_behavior(reader, writer, line)
 
     return script
 
 
-async def up_after(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes) -> None:
+async def wait_for_client_end(
+    reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes
+) -> None:
     await reader.read()
 
 
 CLIENT_WAIT_MS = 700
 
 
-async def play(folder: Path, name: str, script: EndpointScript, served: bool) -> None:
-    """One client of a relay whose endpoints all act by ``script``: it reads one complete answer in time."""
+async def run_exchange(folder: Path, name: str, script: EndpointScript, served: bool) -> None:
+    """Checks that a client reads one complete response in time where all endpoints run ``script``."""
     (folder / name).mkdir()
     async with running_relay(folder / name, *[script] * 4) as (relay, endpoints):
         loop = asyncio.get_running_loop()
         began_s = loop.time()
         reader, writer = await send_request(relay.listener.address, encode_request_line(CLIENT_WAIT_MS))
-        heard = await reader.readline()
+        response = await reader.readline()
         took_s = loop.time() - began_s
-        assert heard == GOOD if served else heard in (b"BUSY\r\n", b"ERR unavailable\r\n"), (name, heard)
+        assert response == GOOD if served else response in (b"BUSY\r\n", b"ERR unavailable\r\n"), (
+            name,
+            response,
+        )
         assert took_s * 1000.0 < CLIENT_WAIT_MS + 66.0, (name, took_s)
         if not served:
             assert await reader.read() == b"", name  # nothing after the one answer
@@ -135,17 +140,19 @@
     # An UP without a receipt, without its CR, or with bytes that are no text was passed on as a service.
     # In virtual time: eight relays that start in one process keep a client's line waiting for longer than
     # the bound, in which no relay can have read it yet.
-    plays = []
+    exchanges = []
     for cut in CUT_POSITIONS:
-        for fate in (never_respond, reset_connection, None):
-            word = fate.__name__ if fate else "ends"
-            plays.append(play(tmp_path, f"{cut}-{word}", says_then(GOOD[:cut], fate), False))
+        for final_behavior in (never_respond, reset_connection, None):
+            ending = final_behavior.__name__ if final_behavior else "ends"
+            exchanges.append(
+                run_exchange(tmp_path, f"{cut}-{ending}", respond_then(GOOD[:cut], final_behavior), False)
+            )
     for index, text in enumerate(GARBLED_ANSWERS):
-        plays.append(play(tmp_path, f"garbled-{index}", says_then(text, never_respond), False))
-    plays.append(play(tmp_path, "dribbles", says_then(GOOD, up_after, 0.02), True))
-    plays.append(play(tmp_path, "too-late", says_then(GOOD, up_after, 0.2), False))
-    for first in range(0, len(plays), 8):  # a few at a time: each relay is a loop's work of its own
-        await asyncio.gather(*plays[first : first + 8])
+        exchanges.append(run_exchange(tmp_path, f"garbled-{index}", respond_then(text, never_respond), False))
+    exchanges.append(run_exchange(tmp_path, "dribbles", respond_then(GOOD, wait_for_client_end, 0.02), True))
+    exchanges.append(run_exchange(tmp_path, "too-late", respond_then(GOOD, wait_for_client_end, 0.2), False))
+    for first in range(0, len(exchanges), 8):  # a few at a time: each relay is a loop's work of its own
+        await asyncio.gather(*exchanges[first : first + 8])
 
 
 @pytest.mark.parametrize("wait", [b"", b"d=", b"d=-1", b"d=1e3", b"d=99999999999", b"d=x", b"d=0"])
@@ -157,33 +164,33 @@
         assert answer.startswith(b"BUSY" if wait == b"d=0" else b"ERR") and endpoint.request_lines == []
 
 
-async def at_once(server: XmppServerSession) -> None:
+async def never_open_stream(server: XmppServerSession) -> None:
     await server.reader.read()
 
 
-async def after_login(server: XmppServerSession) -> None:
+async def stop_after_login(server: XmppServerSession) -> None:
     await server.accept()
     await server.reader.read()
 
 
-async def half_bound(server: XmppServerSession) -> None:
+async def send_half_bind_result(server: XmppServerSession) -> None:
     await server.accept()
     server.send("<iq type='result' id='bind'><bind xmlns='urn:ietf:params:xml:ns:xmpp-bind'><jid>rel")
     await server.reader.read()
 
 
-@pytest.mark.parametrize("act", [at_once, after_login, half_bound])
+@pytest.mark.parametrize("script", [never_open_stream, stop_after_login, send_half_bind_result])
 @pytest.mark.usefixtures("virtual_time")
 async def test_xmpp_client_of_a_silent_endpoint_gets_one_stanza_in_time(
-    tmp_path: Path, act: SessionScript
+    tmp_path: Path, script: SessionScript
 ) -> None:
-    async with running_xmpp_relay(tmp_path, *[act] * 4, wait_ms=600) as (relay, endpoints):
+    async with running_xmpp_relay(tmp_path, *[script] * 4, wait_ms=600) as (relay, endpoints):
         client = await XmppClient.connect(xmpp_address(relay))
         await client.login(make_client_tls_context())
         began_s = asyncio.get_running_loop().time()
         client.send_bind()
-        rest = await client.read_rest()
+        received = await client.read_rest()
         assert asyncio.get_running_loop().time() - began_s < 0.7
-        assert rest.count("<stream:error>") == 1 and "<iq" not in rest, rest
-        assert rest.endswith("</stream:error></stream:stream>")
+        assert received.count("<stream:error>") == 1 and "<iq" not in received, received
+        assert received.endswith("</stream:error></stream:stream>")
         assert 1 <= sum(len(endpoint.request_lines) for endpoint in endpoints) <= 3
--- a/tests/frontends/test_misbehaving_clients.py
+++ b/tests/frontends/test_misbehaving_clients.py
@@ -24,8 +24,8 @@
 FLOOD = b"k" * (1 << 20)
 
 
-async def first_word(streams: Streams) -> bytes:
-    """The first word that a client is sent; b"" if it is closed without one."""
+async def read_response_code(streams: Streams) -> bytes:
+    """Returns the code of the response, such as BUSY; empty if the connection was closed without one."""
     reader, writer = streams
     try:
         return (await asyncio.wait_for(reader.readline(), 3))[:4].strip()
@@ -35,14 +35,16 @@
         writer.close()
 
 
-@pytest.mark.parametrize("said", [b"", b"OPEN id9 k1 c=c", b"PING\r\n", b"PING\r\nOPE"])
-async def test_silent_client_and_incomplete_line_are_answered_in_time(tmp_path: Path, said: bytes) -> None:
+@pytest.mark.parametrize("first_bytes", [b"", b"OPEN id9 k1 c=c", b"PING\r\n", b"PING\r\nOPE"])
+async def test_silent_client_and_incomplete_line_are_answered_in_time(
+    tmp_path: Path, first_bytes: bytes
+) -> None:
     # They were waited for 5 s, and again 5 s after each PING, where 3 s from connecting are allowed.
     async with running_relay(tmp_path, echo_lines) as (relay, (endpoint,)):
         began = asyncio.get_running_loop().time()
-        reader, writer = await send_request(relay.listener.address, said)
-        heard = await asyncio.wait_for(reader.read(), 3)
-        assert heard.removeprefix(b"PONG\r\n").startswith(b"ERR")
+        reader, writer = await send_request(relay.listener.address, first_bytes)
+        received = await asyncio.wait_for(reader.read(), 3)
+        assert received.removeprefix(b"PONG\r\n").startswith(b"ERR")
         assert asyncio.get_running_loop().time() - began < 2.8 and endpoint.request_lines == []
         writer.close()
 
@@ -56,7 +58,7 @@
         crowd = [await send_request(relay.listener.address, b"") for _ in range(40)]
         assert await exchange_line(relay.listener.address, encode_request_line()) == b"UP r1\r\n"
         assert relay.admission.connection_count <= 2 + 16
-        assert await first_word(crowd[0]) == b"BUSY"
+        assert await read_response_code(crowd[0]) == b"BUSY"
         writer.write(b"M 1\r\n")
         assert await reader.readline() == b"M 1\r\n"
         for _, each in [*crowd, (reader, writer)]:
@@ -64,7 +66,7 @@
 
 
 async def test_reused_request_id_is_an_error_and_reaches_no_endpoint(tmp_path: Path) -> None:
-    # 303 of these came to endpoints on one day; their ERR counted against sound hosts, which were left out.
+    # 303 of these reached endpoints in one day; their ERR took healthy endpoints out of use.
     async with running_relay(tmp_path, echo_lines) as (relay, (endpoint,)):
         line = encode_request_line()
         reader, writer = await send_request(relay.listener.address, line)
@@ -86,7 +88,7 @@
             encode_request_line() + encode_request_line(),
             b"PING\r\n" * 300,
         ):
-            assert await first_word(await send_request(relay.listener.address, lines)) == b"ERR"
+            assert await read_response_code(await send_request(relay.listener.address, lines)) == b"ERR"
         assert endpoint.request_lines == []
 
 
@@ -104,7 +106,7 @@
                 sent += len(FLOOD)
 
         flooding = asyncio.ensure_future(flood())
-        assert await first_word((reader, writer)) == b"ERR"
+        assert await read_response_code((reader, writer)) == b"ERR"
         await asyncio.wait((flooding,), timeout=3)
         assert flooding.done() and flooding.exception() and sent < 30 * len(FLOOD)
 
@@ -115,7 +117,7 @@
         while not endpoint.request_lines:
             await asyncio.sleep(0.01)
         writer.write(FLOOD)
-        assert await first_word((reader, writer)) == b"ERR"
+        assert await read_response_code((reader, writer)) == b"ERR"
         while endpoint.open_connections:
             await asyncio.sleep(0.01)
 
@@ -123,7 +125,7 @@
 async def test_a_fault_in_reading_a_request_is_answered(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # It was logged, and the connection closed without a word.
+    # It was logged, and the connection closed without a response.
     def fail(buffer: bytearray, end: int, classes: frozenset[str]) -> RequestLine:
         raise RuntimeError("a fault that no check foresaw")
 
--- a/tests/frontends/test_platform_frontend.py
+++ b/tests/frontends/test_platform_frontend.py
@@ -76,7 +76,7 @@
     ],
 )
 async def test_malformed_first_lines_are_answered_and_never_forwarded(tmp_path: Path, line: bytes) -> None:
-    # A live host answers SYNTAX to such a line and voids the run.
+    # A live endpoint answers SYNTAX to such a line and voids the run.
     async with running_relay(tmp_path, echo_lines) as (relay, (endpoint,)):
         assert (await exchange_line(relay.listener.address, line)).startswith(b"ERR")
         assert endpoint.request_lines == []
@@ -134,7 +134,7 @@
 
 
 async def test_reset_is_forwarded_and_recorded(tmp_path: Path) -> None:
-    # Closing politely after the reset raised on the closed socket, and the module was told 'cancelled'.
+    # Closing politely after the reset raised on the closed socket, and the module was notified 'cancelled'.
     async def then_reset(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes) -> None:
         writer.write(b"UP r\r\n")
         await reader.readline()
@@ -180,7 +180,7 @@
 async def test_client_of_a_silent_endpoint_is_migrated(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # A host that vanishes says nothing: its clients must be moved before 7 s.
+    # An endpoint that vanishes sends nothing: its clients must be migrated before 7 s.
     monkeypatch.setattr("sageturn.frontends.platform.relaying.IDLE_TIMEOUT_S", 0.3)
 
     async def deaf(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes) -> None:
--- a/tests/frontends/test_xmpp_frontend.py
+++ b/tests/frontends/test_xmpp_frontend.py
@@ -84,7 +84,7 @@
 
 
 @pytest.mark.parametrize(
-    ("said", "condition"),
+    ("first_data", "condition"),
     [
         ("<!DOCTYPE x [<!ENTITY a 'b'>]>" + STREAM_HEADER.format("to"), "restricted-xml"),
         (STREAM_HEADER.format("to") + "<a>&undefined;</a>", "not-well-formed"),
@@ -102,39 +102,41 @@
     ],
 )
 @pytest.mark.timeout(30)
-async def test_invalid_stream_ends_with_its_defined_error(tmp_path: Path, said: str, condition: str) -> None:
+async def test_invalid_stream_ends_with_its_defined_error(
+    tmp_path: Path, first_data: str, condition: str
+) -> None:
     async with running_xmpp_relay(tmp_path, echo_messages, negotiate_s=0.5) as (relay, (endpoint,)):
         client = await XmppClient.connect(xmpp_address(relay))
-        client.send(said)
-        heard = await client.read_rest()
-        assert f"<{condition} xmlns='urn:ietf:params:xml:ns:xmpp-streams'/>" in heard
-        assert heard.endswith("</stream:stream>") and "<stream:stream" in heard
+        client.send(first_data)
+        received = await client.read_rest()
+        assert f"<{condition} xmlns='urn:ietf:params:xml:ns:xmpp-streams'/>" in received
+        assert received.endswith("</stream:stream>") and "<stream:stream" in received
         assert endpoint.request_lines == []
 
 
-async def breaks(server: XmppServerSession) -> None:
+async def abort_connection(server: XmppServerSession) -> None:
     await server.accept()
     server.writer.transport.abort()
 
 
-async def silence(server: XmppServerSession) -> None:
+async def never_answer_bind(server: XmppServerSession) -> None:
     await server.read_rest()
 
 
-@pytest.mark.parametrize("act", [reject_session, breaks, silence])
+@pytest.mark.parametrize("script", [reject_session, abort_connection, never_answer_bind])
 @pytest.mark.timeout(30)
 async def test_at_most_three_attempts_and_one_final_answer_with_its_condition(
-    tmp_path: Path, act: SessionScript
+    tmp_path: Path, script: SessionScript
 ) -> None:
-    async with running_xmpp_relay(tmp_path, *[act] * 5, wait_ms=900) as (relay, endpoints):
+    async with running_xmpp_relay(tmp_path, *[script] * 5, wait_ms=900) as (relay, endpoints):
         client = await XmppClient.connect(xmpp_address(relay))
         await client.login(make_client_tls_context())
         began = asyncio.get_running_loop().time()
         client.send_bind()
-        heard = await client.read_rest()
+        received = await client.read_rest()
         assert asyncio.get_running_loop().time() - began < 1.6
-        assert heard.count("<stream:error>") == 1 and heard.endswith("</stream:stream>")
-        assert "resource-constraint" in heard
+        assert received.count("<stream:error>") == 1 and received.endswith("</stream:stream>")
+        assert "resource-constraint" in received
         assert 1 <= sum(len(endpoint.request_lines) for endpoint in endpoints) <= 3
 
 
@@ -155,9 +157,9 @@
         await client.bind()
         client.send("<presence/>")
         draining = asyncio.ensure_future(relay.request_registry.drain(relay.ingress))
-        heard = await client.read_rest()
-        assert heard.startswith("<message><body>half and half</body></message><stream:error><reset ")
-        assert heard.endswith("</stream:error></stream:stream>")
+        received = await client.read_rest()
+        assert received.startswith("<message><body>half and half</body></message><stream:error><reset ")
+        assert received.endswith("</stream:error></stream:stream>")
         client.writer.close()
         await draining
         assert len(relay.request_registry) == 0
@@ -174,8 +176,8 @@
         client = await XmppClient.connect(xmpp_address(relay))
         await client.login(make_client_tls_context())
         await client.bind()
-        heard = await client.read_rest()
-        assert heard.startswith("<stream:error>") and heard.endswith("</stream:stream>")
+        received = await client.read_rest()
+        assert received.startswith("<stream:error>") and received.endswith("</stream:stream>")
 
 
 ANSWERS = {
@@ -188,17 +190,17 @@
 }
 
 
-class Played(NamedTuple):
-    """Where the requests of a play were placed, and how each was answered."""
+class FrontendRun(NamedTuple):
+    """The endpoints at which the requests of a run were placed, and their responses."""
 
     placements: list[Placement]
     answers: list[str]
 
 
-async def play_on_frontends(folder: Path, frontends: str, acts: list[SessionScript]) -> Played:
-    """One request after the other, for ``x`` over XMPP and for ``p`` over the platform's lines.
+async def send_to_both_frontends(folder: Path, frontends: str, acts: list[SessionScript]) -> FrontendRun:
+    """Sends requests one after the other, for ``x`` over XMPP and for ``p`` over the line protocol.
 
-    Clients stay until the end, so each placement depends on all before it.
+    Clients stay connected until the end, so each placement depends on all before it.
     """
     (folder / frontends).mkdir()
     async with running_xmpp_relay(folder / frontends, *acts) as (relay, _):
@@ -218,7 +220,7 @@
                 reader, writer = await send_request(relay.listener.address, encode_request_line())
                 answers.append(ANSWERS[(await reader.readline()).split()[0].decode()])
                 clients.append(writer)
-        return Played(placements, answers)
+        return FrontendRun(placements, answers)
 
 
 @pytest.mark.parametrize(
@@ -235,7 +237,7 @@
     # The proof of one core: the same traffic in either protocol, and mixed, gives the same placements
     # and answers.
     platform, mixed, xmpp = [
-        await play_on_frontends(tmp_path, frontends, acts)
+        await send_to_both_frontends(tmp_path, frontends, acts)
         for frontends in ("pppppppp", "pxpxxpxp", "xxxxxxxx")
     ]
     assert platform == mixed == xmpp
@@ -289,7 +291,7 @@
 
 @pytest.fixture
 def hashed_iterations(monkeypatch: pytest.MonkeyPatch) -> list[int]:
-    """The iterations of each hash that was computed; more than ``USUAL_ITERATIONS`` are not carried out."""
+    """Returns a list of the iterations of each hash; more than ``USUAL_ITERATIONS`` are not computed."""
     hashed: list[int] = []
     pbkdf2_hmac = hashlib.pbkdf2_hmac
 
@@ -322,7 +324,7 @@
 
 
 async def open_login(relay: Relay) -> XmppClient:
-    """A client of which only its credentials are missing."""
+    """Connects a client up to the point where only its credentials are missing."""
     client = await XmppClient.connect(xmpp_address(relay))
     client.send(STREAM_HEADER.format("to"))
     await client.read_until("<starttls.*</stream:features>")
@@ -336,7 +338,7 @@
 
 async def test_credentials_that_nobody_can_have_are_answered_like_wrong_ones(tmp_path: Path) -> None:
     # Text that is no ASCII, a password with a control character, and an account whose record is damaged
-    # failed in ways that nobody had foreseen: the connection was closed without a word.
+    # failed in ways that nobody had foreseen: the connection was closed without a stream error.
     credentials = (
         ("PLAIN", "\u00e9", "incorrect-encoding"),
         ("SCRAM-SHA-256", "\u00e9", "incorrect-encoding"),
@@ -366,6 +368,6 @@
             patched.setattr(ClientLogin, "run", fail)
             client = await XmppClient.connect(xmpp_address(relay))
             client.send(STREAM_HEADER.format("to"))
-            heard = await client.read_rest()
-        assert "<internal-server-error " in heard and heard.endswith("</stream:stream>")
+            received = await client.read_rest()
+        assert "<internal-server-error " in received and received.endswith("</stream:stream>")
         await until(lambda: relay.admission.connection_count == 0)
--- a/tests/net/test_accept_failures.py
+++ b/tests/net/test_accept_failures.py
@@ -1,4 +1,4 @@
-"""Accepting fails for a moment, just as the relay stops: everyone in the backlog is answered."""
+"""Accepting fails for a short time as the relay stops: every client in the backlog is answered."""
 
 from __future__ import annotations
 
--- a/tests/net/test_connect_failures.py
+++ b/tests/net/test_connect_failures.py
@@ -1,4 +1,4 @@
-"""Connecting fails on this machine for a moment: no endpoint is blamed for it."""
+"""Connecting fails for a short time for a local reason: no endpoint is blamed for it."""
 
 from __future__ import annotations
 
--- a/tests/net/test_descriptor_exhaustion.py
+++ b/tests/net/test_descriptor_exhaustion.py
@@ -46,7 +46,7 @@
 
 
 async def all_received(streams: Streams) -> bytes:
-    """All that a client is sent; a reset shows as b"reset"."""
+    """Returns all that a client receives; b"reset" is appended on a reset."""
     reader, writer = streams
     try:
         return await asyncio.wait_for(reader.read(), 8)
@@ -58,7 +58,7 @@
 
 @contextmanager
 def bound_but_not_listening() -> Iterator[socket.socket]:
-    """A socket whose address refuses connections, as discovery's does while it is down."""
+    """Yields a socket whose address refuses connections, as discovery's does while it is down."""
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         yield sock
@@ -79,7 +79,7 @@
 
 @asynccontextmanager
 async def relay_process(config_file: Path, address: Address) -> AsyncIterator[asyncio.subprocess.Process]:
-    """A relay in a process of its own that has ``DESCRIPTORS`` descriptors, once it is ready."""
+    """Runs a relay in a process that may have ``DESCRIPTORS`` descriptors; yields it once it is ready."""
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-c",
@@ -95,15 +95,15 @@
 
 
 async def connect_until_rejected(address: Address) -> list[Streams]:
-    """Connect clients until three of them are rejected; returns those that are served."""
+    """Connects clients until three of them are rejected. Returns the streams of those that are served."""
     served_clients: list[Streams] = []
     rejected = 0
     while rejected < 3:
         streams = await send_request(address, encode_request_line(3000))
-        word = await asyncio.wait_for(streams[0].readline(), 5)
-        assert word.startswith((b"UP", b"BUSY")), word
-        rejected += word.startswith(b"BUSY")
-        served_clients += [streams] if word.startswith(b"UP") else []
+        response = await asyncio.wait_for(streams[0].readline(), 5)
+        assert response.startswith((b"UP", b"BUSY")), response
+        rejected += response.startswith(b"BUSY")
+        served_clients += [streams] if response.startswith(b"UP") else []
     return served_clients
 
 
@@ -131,7 +131,7 @@
         file = write_limited_config(tmp_path, address, down.getsockname(), known, lists)
         process = await stack.enter_async_context(relay_process(file, address))
         served_clients = await connect_until_rejected(address)
-        silent = [await send_request(address, b"") for _ in range(IDLE_CLIENTS)]
+        idle_clients = [await send_request(address, b"") for _ in range(IDLE_CLIENTS)]
         assert len(os.listdir(f"/proc/{process.pid}/fd")) >= DESCRIPTORS - 4 and len(served_clients) >= 10
 
         down.listen()
@@ -146,8 +146,8 @@
                 assert (await exchange_line(address, encode_request_line(3000))).startswith((b"UP", b"BUSY"))
         assert process.returncode is None
 
-        words = [await all_received(streams) for streams in silent]
-        assert all(word.startswith((b"BUSY", b"ERR")) for word in words), words
+        responses = [await all_received(streams) for streams in idle_clients]
+        assert all(response.startswith((b"BUSY", b"ERR")) for response in responses), responses
         process.send_signal(signal.SIGTERM)
         last_lines = await asyncio.gather(*(all_received(streams) for streams in served_clients))
         assert set(last_lines) == {b"MOVE\r\n"} and await process.wait() == 0
--- a/tests/net/test_discovery_client.py
+++ b/tests/net/test_discovery_client.py
@@ -40,7 +40,7 @@
 async def run_until_version_7(
     folder: Path, *answers: bytes, known: JsonObject | None = None
 ) -> tuple[Relay, FakeDiscovery]:
-    """A relay that has received version 7 of the list, in whatever way, and its discovery."""
+    """Runs a relay until it has version 7 of the endpoint list. Returns it and its discovery."""
     async with AsyncExitStack() as stack:
         discovery = FakeDiscovery(*answers)
         await stack.enter_async_context(running_server(discovery))
@@ -124,10 +124,10 @@
         writer.close()
 
 
-async def failure_of(
+async def failure_of_watch(
     monkeypatch: pytest.MonkeyPatch, answer: bytes, waited_s: float = 0.0
 ) -> DiscoveryFailure:
-    """How a call with this answer fails, when its clock says that it has waited so long."""
+    """Returns how a watch with this response fails after ``waited_s`` on its clock."""
     monkeypatch.setattr(discovery_watch, "RESPONSE_TIMEOUT_S", 0.3)
     monkeypatch.setattr(discovery_watch, "IDLE_TIMEOUT_S", 0.3)
 
@@ -159,17 +159,17 @@
     answer: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # When all failures were alike, 200 relays waited up to 150 s for their next call after a minute down.
-    assert await failure_of(monkeypatch, answer) is DiscoveryFailure.UNREACHED
-    assert await failure_of(monkeypatch, answer, 0.9) is DiscoveryFailure.UNREACHED
-    assert await failure_of(monkeypatch, answer, 1.1) is DiscoveryFailure.OVERLOADED
-    assert await failure_of(monkeypatch, answer, 3.0) is DiscoveryFailure.OVERLOADED
+    assert await failure_of_watch(monkeypatch, answer) is DiscoveryFailure.UNREACHED
+    assert await failure_of_watch(monkeypatch, answer, 0.9) is DiscoveryFailure.UNREACHED
+    assert await failure_of_watch(monkeypatch, answer, 1.1) is DiscoveryFailure.OVERLOADED
+    assert await failure_of_watch(monkeypatch, answer, 3.0) is DiscoveryFailure.OVERLOADED
 
 
 async def test_call_without_a_response_is_unanswered(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     for answer in (b"~", b"HTTP/1.1 200 OK\r\n~", HALF_LIST[:-1] + b"~"):
-        assert await failure_of(monkeypatch, answer, 3.5) is DiscoveryFailure.UNANSWERED
+        assert await failure_of_watch(monkeypatch, answer, 3.5) is DiscoveryFailure.UNANSWERED
 
 
 @pytest.mark.parametrize(
@@ -184,14 +184,14 @@
     ids=["cut", "reset", "complete", "nonsense", "bad list"],
 )
 async def test_response_that_is_no_watch_is_unusable(answer: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
-    assert await failure_of(monkeypatch, answer, 3.0) is DiscoveryFailure.UNUSABLE
+    assert await failure_of_watch(monkeypatch, answer, 3.0) is DiscoveryFailure.UNUSABLE
 
 
 async def test_established_watch_is_lost_or_silent(monkeypatch: pytest.MonkeyPatch) -> None:
-    assert await failure_of(monkeypatch, FULL_LIST + b"#", 9.0) is DiscoveryFailure.LOST
-    assert await failure_of(monkeypatch, FULL_LIST + b"!", 9.0) is DiscoveryFailure.LOST
-    assert await failure_of(monkeypatch, FULL_LIST + b"zz\r\n#", 9.0) is DiscoveryFailure.LOST
-    assert await failure_of(monkeypatch, FULL_LIST + b"~", 9.0) is DiscoveryFailure.SILENT
+    assert await failure_of_watch(monkeypatch, FULL_LIST + b"#", 9.0) is DiscoveryFailure.LOST
+    assert await failure_of_watch(monkeypatch, FULL_LIST + b"!", 9.0) is DiscoveryFailure.LOST
+    assert await failure_of_watch(monkeypatch, FULL_LIST + b"zz\r\n#", 9.0) is DiscoveryFailure.LOST
+    assert await failure_of_watch(monkeypatch, FULL_LIST + b"~", 9.0) is DiscoveryFailure.SILENT
 
 
 @pytest.mark.parametrize("connect_failure", [None, *ConnectFailure])
--- a/tests/net/test_endpoint_list.py
+++ b/tests/net/test_endpoint_list.py
@@ -98,7 +98,7 @@
 async def watch_events(
     *answers: bytes, count: int, monkeypatch: pytest.MonkeyPatch, timeout_s: float = 9.0
 ) -> list[Any]:
-    """The first ``count`` events of one watch."""
+    """Returns the first ``count`` events of one watch."""
     monkeypatch.setattr(discovery_watch, "RESPONSE_TIMEOUT_S", timeout_s)
     monkeypatch.setattr(discovery_watch, "IDLE_TIMEOUT_S", timeout_s)
     events: asyncio.Queue[Any] = asyncio.Queue()
--- a/tests/net/test_log_fields.py
+++ b/tests/net/test_log_fields.py
@@ -28,7 +28,7 @@
 
 
 @asynccontextmanager
-async def listening(handler: ConnectionHandler) -> AsyncIterator[Listener]:
+async def running_listener(handler: ConnectionHandler) -> AsyncIterator[Listener]:
     listener = Listener(("127.0.0.1", 0), handler, b"", AdmissionController(ProcessLimits(64, 64.0)))
     listener.start_listening()
     running = asyncio.ensure_future(listener.run())
@@ -48,7 +48,7 @@
 async def test_a_failed_accept_names_its_listener(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    async with listening(serve_nobody) as listener:
+    async with running_listener(serve_nobody) as listener:
         FailingCall(socket.socket, "accept", [errno.ECONNABORTED]).install(monkeypatch)
         with socket.create_connection(listener.address):
             await until(lambda: "accept failed" in caplog.text)
@@ -64,7 +64,7 @@
             pending.request_id = request_id
         raise ConnectionResetError(errno.ECONNRESET, "reset by the test")
 
-    async with listening(fail) as listener:
+    async with running_listener(fail) as listener:
         with socket.create_connection(listener.address) as client:
             peer = client.getsockname()
             await until(lambda: "connection failed" in caplog.text)
--- a/tests/net/test_short_writes.py
+++ b/tests/net/test_short_writes.py
@@ -17,7 +17,7 @@
 
 @pytest.fixture
 def short_writes(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Every ``send`` takes one byte."""
+    """Makes every ``send`` take one byte."""
     send = socket.socket.send
 
     def send_one_byte(sock: socket.socket, data: Any, flags: int = 0) -> int:
--- a/tests/net/test_sockets.py
+++ b/tests/net/test_sockets.py
@@ -41,7 +41,7 @@
 
 
 def connections_of_relay(accepted_at: set[Any], dialled: set[Any]) -> list[tuple[str, socket.socket]]:
-    """The open connections of the relay, found by their addresses: all of a test is in one process."""
+    """Returns the relay's open connections in this process, found by their addresses."""
     found = []
     for sock in gc.get_objects():
         if type(sock) is socket.socket and sock.fileno() >= 0 and sock.type == socket.SOCK_STREAM:
@@ -129,7 +129,7 @@
 
 @pytest.fixture
 def pair() -> Iterator[tuple[socket.socket, socket.socket]]:
-    """Both ends of one TCP connection; the first is the relay's."""
+    """Returns both ends of one TCP connection; the first is the relay's."""
     with socket.create_server(("127.0.0.1", 0)) as server:
         client = socket.create_connection(server.getsockname())
         relay_socket, _ = server.accept()
@@ -142,7 +142,7 @@
 async def test_a_graceful_close_that_is_cancelled_closes_over_nothing_unread(
     pair: tuple[socket.socket, socket.socket],
 ) -> None:
-    # Bytes that arrived in the moment in which it was cancelled made the kernel send a reset.
+    # Bytes that arrived as it was cancelled made the kernel send a reset.
     relay_socket, client = pair
 
     relay_socket.send(b"ERR why\r\n")
@@ -169,8 +169,8 @@
         await asyncio.sleep(0.01)
         relay.admission.evict_all_pending()
         client.send(STREAM_HEADER.format("to").removeprefix("<?xml version='1.0'?>") + " " * 2000)
-        heard = await client.read_rest()
-        assert "<resource-constraint " in heard and not heard.endswith("[reset]")
+        received = await client.read_rest()
+        assert "<resource-constraint " in received and not received.endswith("[reset]")
         client.writer.close()
 
 
@@ -190,7 +190,7 @@
 
 @pytest.fixture
 def descriptors_left(monkeypatch: pytest.MonkeyPatch) -> Iterator[list[int]]:
-    """A table of descriptors with ``[0]`` of them left, as the relay's dialling and its reserve see it."""
+    """Replaces the descriptor table, for connecting and the reserve, by one with ``[0]`` descriptors left."""
     left = [0]
     files: set[int] = set()
 
@@ -252,9 +252,9 @@
     assert descriptors_left[0] == 0 and reserve.release_one() and not reserve.release_one()
 
 
-@pytest.mark.parametrize("said", [encode_request_line(), b""])
+@pytest.mark.parametrize("first_bytes", [encode_request_line(), b""])
 async def test_with_no_descriptor_left_those_in_the_backlog_are_answered_as_the_listener_closes(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, said: bytes
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, first_bytes: bytes
 ) -> None:
     # They were left there, and reset as the listener was closed.
     async with running_relay(tmp_path, never_respond) as (relay, _):
@@ -266,7 +266,7 @@
         def connect_clients_and_stop() -> None:
             for _ in range(3):
                 clients.append(socket.create_connection(relay.listener.address))
-                clients[-1].sendall(said)
+                clients[-1].sendall(first_bytes)
             stop_accepting()
 
         monkeypatch.setattr(relay.ingress, "stop_accepting", connect_clients_and_stop)
--- a/tests/net/test_start_failures.py
+++ b/tests/net/test_start_failures.py
@@ -1,4 +1,4 @@
-"""A relay starts though this machine has no socket or descriptor for it at that very moment."""
+"""A relay starts although the machine temporarily has no socket or descriptor for it."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 @pytest.fixture
 def pauses(monkeypatch: pytest.MonkeyPatch) -> list[float]:
-    """The seconds of each call of ``time.sleep``, none of which waits."""
+    """Returns a list of the seconds of each call of ``time.sleep``, none of which waits."""
     paused_s: list[float] = []
     monkeypatch.setattr(time, "sleep", paused_s.append)
     return paused_s
--- a/tests/overrides/test_override_command.py
+++ b/tests/overrides/test_override_command.py
@@ -24,7 +24,7 @@
     environment: dict[str, str]
 
     async def run(self, *arguments: str, exit_code: int = 0, **environment: str) -> str:
-        """What the command prints; its errors where it is to fail. Fails on another exit code."""
+        """Returns the command's output, or its errors if it is to fail; fails on another exit code."""
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -60,7 +60,7 @@
 
 
 async def reload_with_key_of_lan(relays: list[Relay], folder: Path, public_key: str) -> None:
-    """Give all relays another public key of operator ``lan``, and wait until they have reloaded."""
+    """Gives all relays another public key of operator ``lan``, and waits until they have reloaded."""
     for number, relay in enumerate(relays):
         file = folder / f"r{number}" / "operator.json"
         content = json.loads(file.read_text())
@@ -72,7 +72,7 @@
 
 
 async def create_known_key(command: OverrideCommand, relays: list[Relay], folder: Path) -> None:
-    """Make a key by the command; operations are rejected until the relays know it."""
+    """Makes a key by the command; operations are rejected until the relays know it."""
     public_key = (await command.run("key", str(folder / "key.pem"))).strip()
     assert (folder / "key.pem").stat().st_mode & 0o77 == 0
     await until(lambda: all(relay.store.get("state/n1/overrides") for relay in relays))
--- a/tests/rebalance/test_planner.py
+++ b/tests/rebalance/test_planner.py
@@ -52,7 +52,7 @@
 
 
 def run_fleet_of_guests(keep_classes: frozenset[str]) -> RebalanceFleet:
-    """A fleet whose one full endpoint holds only connections of class guest-checkin, after 90 s."""
+    """Returns a fleet after 90 s whose one full endpoint has only connections of class guest-checkin."""
     fleet = RebalanceFleet("ab", {**FAST_OPTIONS, "keep_classes": keep_classes})
     fleet.add_connections("a", 40, class_name="guest-checkin")
     fleet.add_connections("b", 5)
--- a/tests/rebalance/test_planner_properties.py
+++ b/tests/rebalance/test_planner_properties.py
@@ -21,7 +21,7 @@
 
 
 def filled_fleet(burst: int) -> RebalanceFleet:
-    """A fleet of 90 connections in groups and without, which has settled and may migrate."""
+    """Returns a settled fleet of 90 connections, in groups and without, that may migrate."""
     options = {"part_per_min": 1.0, "burst": burst, "again_s": EXCLUSION_S, "least_age_s": 0.0}
     fleet = RebalanceFleet("abcd", options)
     for number in range(30):
@@ -34,7 +34,7 @@
 
 
 def play(fleet: RebalanceFleet, event: str, number: int) -> None:
-    """Let an event happen; ``number`` selects whom it concerns."""
+    """Applies an event to the fleet; ``number`` selects what it concerns."""
     ids = list(fleet.connections)
     match event:
         case "step":
--- a/tests/rebalance/test_rebalance_relay.py
+++ b/tests/rebalance/test_rebalance_relay.py
@@ -42,7 +42,7 @@
 
 @pytest.fixture
 def fast_rate(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A rate at which a test is over soon."""
+    """Raises the migration rate so that a test completes quickly."""
     monkeypatch.setattr("sageturn.rebalance.rate_controller.SETTLING_TIME_MS", 0.0)
     monkeypatch.setattr(
         "sageturn.rebalance.rate_controller.MigrationRateController.max_rate", lambda self, own: 400.0
@@ -50,7 +50,7 @@
 
 
 async def stay_connected(relay: Relay, key: str) -> None:
-    """A client that connects to endpoint a at first, and reconnects each time it is asked to."""
+    """Connects a client to endpoint a, and reconnects it each time it is asked to."""
     line = encode_request_line(extra_parameters=",at=a", key=key)
     while True:
         reader, writer = await send_request(relay.listener.address, line)
--- a/tests/relay/test_compatibility_states.py
+++ b/tests/relay/test_compatibility_states.py
@@ -58,7 +58,7 @@
 
 
 async def relay_states(folder: Path, operator: dict[str, Any]) -> list[tuple[str, Any]]:
-    """The states of a relay that has not been started, before and after connections have ended."""
+    """Returns the states of a relay that has not been started, before and after connections have ended."""
     (folder / "secret").write_text("a shared secret")
     (folder / "operator.json").write_text(json.dumps(operator))
     environment = {"GW_CONFIG": str(write_config(folder, ("127.0.0.1", 9)))}
@@ -101,7 +101,7 @@
 
 
 def record_overload(fleet: RebalanceFleet) -> None:
-    """What speaks against moving more: refusals, resets, failed calls, clients that stay away, losses."""
+    """Records all signs of overload: rejections, resets, failed calls, missing clients, disconnects."""
     detector = fleet.planner.overload_detector
     now_ms = fleet.now_ms
     detector.record_request(now_ms)
@@ -115,7 +115,7 @@
 
 
 def make_rebalance_states() -> bytes:
-    """An uneven fleet at first, while it is balanced, after that, in a dry run, turned off, in trouble."""
+    """Returns states of an uneven fleet before, during and after rebalancing, in dry run, off, at faults."""
     states = []
     fleet = RebalanceFleet("abcd", {"part_per_min": 0.5, "least_age_s": 2.0})
     for endpoint, groups in (("a", 14), ("b", 6), ("c", 6), ("d", 6)):
@@ -246,7 +246,7 @@
 def make_override_actor(
     records: dict[str, Any], states: list[tuple[str, Any]], now_ms: Callable[[], float]
 ) -> OverrideActor:
-    """An actor that reads ``records`` and appends its states to ``states``."""
+    """Returns an actor that reads ``records`` and appends its states to ``states``."""
     store: Any = SimpleNamespace(keys=lambda prefix="": sorted(records), get=records.get)
     balancer_actor: Any = SimpleNamespace(
         settings=Settings(classes=(RequestClass("c", latency_objective_ms=500),)),
@@ -264,7 +264,7 @@
 
 
 async def override_states(operations: list[tuple[str, Any]]) -> list[tuple[str, Any]]:
-    """The states with the first operations, with one more that is rejected, and once some have expired."""
+    """Returns the states with the first operations, with one that is rejected, and once some have expired."""
     states: list[tuple[str, Any]] = []
     clock = SimpleNamespace(now_ms=NOW_MS)
     overrides = make_override_actor(dict(operations), states, lambda: clock.now_ms)
--- a/tests/relay/test_program.py
+++ b/tests/relay/test_program.py
@@ -97,8 +97,8 @@
                 await asyncio.sleep(0.05)
 
 
-async def run_to_its_end(folder: Path, change: dict[str, Any]) -> tuple[int, str]:
-    """The exit code and what was written to stderr, with these keys of the configuration changed."""
+async def run_until_exit(folder: Path, change: dict[str, Any]) -> tuple[int, str]:
+    """Runs the program with changed configuration keys. Returns its exit code and its output on stderr."""
     file = write_config(folder, ("127.0.0.1", 1), **change)
     process = await asyncio.create_subprocess_exec(
         sys.executable,
@@ -116,7 +116,7 @@
     known = {"version": 1, "servers": [{"id": "a"}]}
     faults = (({"listen": "nowhere"}, "listen"), ({"known": known}, "known"), ({"seed": 1}, "seed"))
     for change, key in faults:
-        code, errors = await run_to_its_end(tmp_path, change)
+        code, errors = await run_until_exit(tmp_path, change)
         assert code == 2
         assert errors.startswith(f"sageturn: {key}") and errors.count("\n") == 1
     assert json.loads((tmp_path / "config.json").read_text())["seed"] == 1
@@ -175,7 +175,7 @@
 
 
 async def test_a_log_that_nobody_reads_holds_up_nobody(tmp_path: Path) -> None:
-    # Whoever read the pipe had stopped: the relay waited in the write of a line, and all its clients with it.
+    # The pipe's reader had stopped: the relay blocked in the write of a line, and all its clients with it.
     read_end, write_end = os.pipe()
     capacity = fcntl.fcntl(write_end, fcntl.F_GETPIPE_SZ)
     os.write(write_end, b"x" * capacity)
--- a/tests/relay/test_reload.py
+++ b/tests/relay/test_reload.py
@@ -1,4 +1,4 @@
-"""A reload whose files cannot be read at that very moment."""
+"""Reloads whose files temporarily cannot be read."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 async def reload_while_reads_fail(
     folder: Path, monkeypatch: pytest.MonkeyPatch, errors: Iterable[int]
 ) -> int:
-    """The limit in force half a minute after a reload whose reads failed with ``errors`` at first."""
+    """Returns the limit in force 30 s after a reload whose first reads failed with ``errors``."""
     environment = {"GW_CONFIG": str(write_limits(folder, OLD_LIMIT))}
     relay = Relay(load(environment), partial(load, environment, None))
     relay.start()
--- a/tests/relay/test_wall_clock_steps.py
+++ b/tests/relay/test_wall_clock_steps.py
@@ -23,7 +23,7 @@
 
 
 async def list_new_endpoint(relay: Relay, name: str, age_s: float) -> None:
-    """Discovery lists an endpoint that has started so long ago, by a clock that was stepped as well."""
+    """Lists an endpoint that started ``age_s`` ago, by a clock that was stepped as well."""
     registry = relay.endpoint_registry
     started_ms = (time.time() - age_s) * 1000.0
     endpoint = Endpoint(name, "ready", started_at_ms=started_ms)
--- a/tests/store/test_compatibility_replication.py
+++ b/tests/store/test_compatibility_replication.py
@@ -65,11 +65,14 @@
 # The records that each replica holds at first, by scenario.
 INITIAL_RECORDS: dict[str, dict[str, list[tuple[str, Any]]]] = {
     "walk": {
-        "a": [(f"config/key-{n}", {"from": "a", "n": n}) for n in range(60)],
-        "b": [(f"config/key-{n}", ["b", n]) for n in range(30, 90)] + [("config/key-31", "again")],
+        "a": [(f"config/key-{number}", {"from": "a", "n": number}) for number in range(60)],
+        "b": [(f"config/key-{number}", ["b", number]) for number in range(30, 90)]
+        + [("config/key-31", "again")],
     },
     "snapshot": {
-        "a": [(f"config/key-{n}", {"tổ": n, "deep": [[n], {"x": None}]}) for n in range(40)],
+        "a": [
+            (f"config/key-{number}", {"tổ": number, "deep": [[number], {"x": None}]}) for number in range(40)
+        ],
         "b": [],
     },
     "guest": {"a": [("config/log_level", "INFO"), ("config/gone", 1), ("config/gone", None)], "b": []},
--- a/tests/store/test_compatibility_store.py
+++ b/tests/store/test_compatibility_store.py
@@ -77,7 +77,7 @@
 
 
 def compact(path: Path) -> None:
-    """Compact the log, as happens once it has grown far beyond what its records need."""
+    """Compacts the log, as happens once it has grown far beyond what its records need."""
     store = open_store(path)
     store.compact()
     store.close()
@@ -145,11 +145,11 @@
     )
 
 
-@pytest.mark.parametrize("at", [0, 17, 21, 25, 40, 200, 900])
-def test_a_flipped_byte_in_the_log_is_rejected(tmp_path: Path, at: int) -> None:
+@pytest.mark.parametrize("position", [0, 17, 21, 25, 40, 200, 900])
+def test_a_flipped_byte_in_the_log_is_rejected(tmp_path: Path, position: int) -> None:
     path = tmp_path / "store.log"
     data = bytearray((FIXTURES / "store.log").read_bytes())
-    data[at] ^= 1
+    data[position] ^= 1
     path.write_bytes(data)
     with pytest.raises(LogCorruptedError):
         open_store(path)
--- a/tests/store/test_disk_faults.py
+++ b/tests/store/test_disk_faults.py
@@ -28,7 +28,7 @@
 
 
 def reopened(store: Store, path: Path) -> Store:
-    """What a restart finds on the disk."""
+    """Returns the store that a restart reads from the disk."""
     store.close()
     return Store("n1", path)
 
@@ -92,11 +92,11 @@
 def test_a_log_that_cannot_be_rewritten_now_stays_whole_and_is_rewritten_later(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, fault: str
 ) -> None:
-    # The write that led to the compaction was reported as failed, and those who follow it never heard of it.
+    # The write that led to the compaction was reported as failed, and no listener was notified of it.
     path = tmp_path / "log"
     store = Store("n1", path, min_compaction_bytes=2000)
-    heard: list[str] = []
-    store.on_change.append(lambda records: heard.extend(record.key for record in records))
+    notified_keys: list[str] = []
+    store.on_change.append(lambda records: notified_keys.extend(record.key for record in records))
     rewrite = RecordLog.rewrite
 
     def failing_rewrite(log: RecordLog, records: Iterable[StoreRecord]) -> None:
@@ -110,7 +110,7 @@
     monkeypatch.setattr(RecordLog, "rewrite", failing_rewrite)
     for number in range(30):
         store.put("config/0", f"{number:0100}")
-    assert len(heard) == 30
+    assert len(notified_keys) == 30
     monkeypatch.undo()
     store.put("config/1", 1)
     assert store.get("config/0") == f"{29:0100}"
@@ -189,7 +189,8 @@
 def test_what_is_dropped_is_gone_for_everybody_though_the_log_cannot_be_rewritten(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # It had left the store, but nobody was told: the next comparison of replicas failed on a missing record.
+    # It had left the store, but no listener was notified: the next comparison of replicas failed on a missing
+    # record.
     store = Store("n1", tmp_path / "log", wall_clock=lambda: 2000.0)
     store.put("state/n1/x", 1)
     store.merge([StoreRecord("config/a", 1, 9, "n2", 800_000)])
--- a/tests/store/test_import_circles.py
+++ b/tests/store/test_import_circles.py
@@ -15,7 +15,7 @@
 
 
 def imported_names(file: Path) -> set[str]:
-    """All names in imports, at any depth and under TYPE_CHECKING, that may be modules."""
+    """Returns all imported names, at any depth and under TYPE_CHECKING, that may be modules."""
     names: set[str] = set()
     for node in ast.walk(ast.parse(file.read_text())):
         if isinstance(node, ast.Import):
--- a/tests/store/test_malformed_frames.py
+++ b/tests/store/test_malformed_frames.py
@@ -54,7 +54,7 @@
             receiver.receive(payload, self.now)
 
     def send_unacknowledged_change(self) -> int:
-        """Send the peer one change that it does not confirm; returns the change's revision."""
+        """Sends the peer one change that it does not confirm. Returns the change's revision."""
         self.replica.store.put("config/unacknowledged", 1)
         self.now += HEARTBEAT_INTERVAL_S
         while self.session.next_payload(self.now) is not None:
@@ -75,7 +75,7 @@
         return None if payload is None else decode(payload)
 
     def heartbeat(self, **changed: Any) -> dict[str, Any]:
-        """A heartbeat that the session accepts, but for the parts that are given."""
+        """Returns a heartbeat that the session accepts, except for the fields that are given."""
         heads = self.replica.records.changes.heads
         parts: dict[str, Any] = {
             "heads": self.peer.records.changes.heads,
@@ -118,12 +118,12 @@
 # ---------------------------------------------------------------- a bye without alternatives
 
 
-@pytest.mark.parametrize("rest", [[], [None], [3]])
+@pytest.mark.parametrize("extra_fields", [[], [None], [3]])
 @pytest.mark.parametrize("code", ["orderly", "removed", "made up"])
 def test_a_bye_without_a_list_of_alternatives_ends_the_session_and_is_not_answered(
-    established: SessionUnderTest, code: str, rest: list[Any]
+    established: SessionUnderTest, code: str, extra_fields: list[Any]
 ) -> None:
-    rejection = established.receive({"bye": [code, "not any more", *rest]})
+    rejection = established.receive({"bye": [code, "not any more", *extra_fields]})
     assert rejection is not None and str(rejection).startswith("not understood")
     session = established.session
     assert (session.closing.peer_code, session.closing.peer_detail) == (code, "not any more")
@@ -188,8 +188,8 @@
     ages = {"r/near": 1.0, "r/bad": -1.0, "r/far": 2.0}
     rejection = established.receive(established.heartbeat(zone_ages=ages))
     assert str(rejection) == "no age"
-    heard = established.replica.zones.last_heard_at
-    assert "r/near" in heard and "r/bad" not in heard and "r/far" not in heard
+    last_heard_at = established.replica.zones.last_heard_at
+    assert "r/near" in last_heard_at and "r/bad" not in last_heard_at and "r/far" not in last_heard_at
 
 
 @pytest.mark.parametrize("changed", [{"heads": [1]}, {"roots": None}, {"zone_ages": []}])
--- a/tests/store/test_overlay_network.py
+++ b/tests/store/test_overlay_network.py
@@ -27,7 +27,7 @@
 def started_network(
     members: list[Member], seed: int, fanout: int = 8, settle_s: float = 30.0
 ) -> SimulatedNetwork:
-    """All start at once, each knowing the whole membership, and have come to rest."""
+    """Returns a network at rest whose members started at once, each knowing the complete membership."""
     network = SimulatedNetwork(seed, fanout)
     view = {member.name: member for member in members}
     seeds = [member.address for member in members[:SEED_COUNT]]
@@ -47,7 +47,7 @@
 
 
 def is_tree(network: SimulatedNetwork) -> bool:
-    """No link more than it takes, and none between zones that another saves."""
+    """Returns whether the links form a spanning tree with no avoidable link between zones."""
     members = running_members(network)
     return (
         len(network.links) == len(members) - 1
@@ -62,7 +62,7 @@
 
 
 def assert_at_rest(network: SimulatedNetwork, for_s: float = 45.0, ignoring: Iterable[Address] = ()) -> None:
-    """Nobody dials or closes a link, but for dials to the ignored addresses."""
+    """Checks that no member dials or closes a link, except for dials to the ignored addresses."""
     dials_before = len(network.record.dials)
     closes_before = len(network.record.closes)
     network.clock.advance(for_s)
@@ -124,7 +124,7 @@
         self.wait_until_linked(10)
 
     def run(self) -> None:
-        """After each fault all that can be are linked together, within the time stated; at last all are."""
+        """Checks that after each fault all members that can be are linked in time, and finally all are."""
         for _ in range(self.COUNT):
             self.network.clock.advance(self.rng.choice([0.3, 3, 20]))
             fault = self.rng.choice(self.FAULTS)
@@ -183,7 +183,7 @@
         return [process for process in self.network.processes.values() if not process.is_running]
 
     def recover(self) -> None:
-        """Without faults, and with all members that were not removed, it is a tree at rest again."""
+        """Removes all faults, restarts all members but the removed ones, and checks for a tree at rest."""
         network = self.network
         network.heal()
         for process in self.stopped():
@@ -267,7 +267,7 @@
     network.wait_until(lambda: network.graph.is_connected(groups=2), REPLACED_WITHIN_S)
     network.clock.advance(60)
     assert len(network.graph.linked_groups()) == 2
-    # A root has a link more for a moment when it looks for others.
+    # A root temporarily has one more link while it searches for others.
     network.wait_until(lambda: network.graph.crossings() == (3, 0), 10)
     healed_at = network.clock.now
     dials_before = len(network.record.dials)
--- a/tests/store/test_replication.py
+++ b/tests/store/test_replication.py
@@ -176,7 +176,7 @@
     cluster.put("b", "config/x", None)
     cluster.run(2.0)
     cluster.store("a").forget(["config/x"])
-    cluster.start("c", Store("c", wall_clock=cluster.wall))  # knows of neither, but for a's word
+    cluster.start("c", Store("c", wall_clock=cluster.wall))  # knows of neither, except from a
     cluster.connect("a", "c")
     cluster.run(0.2)
     cluster.put("c", "config/x", "by c")
@@ -400,9 +400,9 @@
             budget.consume(now, size)
             taken.append((now, size))
         elif size <= budget.burst:
-            at = budget.available_at(now, size, urgent)
-            assert at >= now and budget.available_bytes(at, urgent) >= size - 1e-3
-            now = at
+            available_at = budget.available_at(now, size, urgent)
+            assert available_at >= now and budget.available_bytes(available_at, urgent) >= size - 1e-3
+            now = available_at
     for first in range(len(taken)):
         spent = sum(size for _, size in taken[first:])
         assert spent <= 1000.0 * (now - taken[first][0]) + budget.burst + budget.debt + 1e-3
--- a/tests/store/test_replication_sockets.py
+++ b/tests/store/test_replication_sockets.py
@@ -51,7 +51,7 @@
     dials_only_seeds: bool = True,
     rate: float = 13.5e3,
 ) -> ReplicationMember:
-    """A started member; unless ``dials_only_seeds`` the overlay decides whom it dials."""
+    """Starts a member; unless ``dials_only_seeds`` the overlay decides which peers it dials."""
     options = ReplicationOptions(("127.0.0.1", 0), seeds, SECRET, "r", zone, rate)
     topology = partial(DialSeeds, seeds=seeds) if dials_only_seeds else None
     member = ReplicationMember(
@@ -67,7 +67,7 @@
 
 @pytest.fixture
 async def members() -> AsyncIterator[list[ReplicationMember]]:
-    """The members that a test starts and puts here; they are stopped at its end."""
+    """Returns a list for the members that a test starts; they are stopped at its end."""
     started: list[ReplicationMember] = []
     yield started
     for member in started:
@@ -75,7 +75,7 @@
 
 
 async def open_channel(address: Address, name: str = "x") -> tuple[AuthenticatedChannel, socket.socket]:
-    """A connection to a member on which the test sends what no member would."""
+    """Opens a connection to a member on which the test sends what no member would."""
     sock = await connect(address, 1.0)
     assert not isinstance(sock, ConnectFailure)
     link = AuthenticatedChannel(sock, SECRET, name)
@@ -226,7 +226,7 @@
 
 
 def error_of_protocol_1(message: dict[str, Any]) -> str:
-    """What a program of protocol 1 logs about a message that is no digest."""
+    """Returns what a program of protocol 1 logs about a message that is no digest."""
     try:
         for obj in message["records"]:
             parse_record(obj)
@@ -374,7 +374,7 @@
 
 
 async def mean_read_bytes(keys: int) -> float:
-    """The mean size of a read on an idle link between two members that hold so many keys."""
+    """Returns the mean size of a read on an idle link between two members that hold ``keys`` keys."""
     first = start_member("n0")
     for number in range(keys):
         store_of(first).put(f"config/shard/{number}", {"host": f"s-{number % 97}", "epoch": number})
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -55,8 +55,10 @@
     # A corrupted length in the middle looks like a torn tail, and would silently drop all that follows.
     whole = write_three_records(tmp_path / "log")
     first = whole.index(b'{"key"')
-    for at in (0, first - 12, first - 9, first - 1, first + 3):
-        (tmp_path / "log").write_bytes(whole[:at] + bytes([whole[at] ^ 0x40]) + whole[at + 1 :])
+    for position in (0, first - 12, first - 9, first - 1, first + 3):
+        (tmp_path / "log").write_bytes(
+            whole[:position] + bytes([whole[position] ^ 0x40]) + whole[position + 1 :]
+        )
         with pytest.raises(LogCorruptedError):
             Store("n1", tmp_path / "log")
 
@@ -65,8 +67,8 @@
     class Counting(bytes):
         copied = 0
 
-        def __getitem__(self, at):  # type: ignore[no-untyped-def]  # overloaded in bytes
-            found = bytes(self)[at] if isinstance(at, int) else super().__getitem__(at)
+        def __getitem__(self, position):  # type: ignore[no-untyped-def]  # overloaded in bytes
+            found = bytes(self)[position] if isinstance(position, int) else super().__getitem__(position)
             Counting.copied += len(found) if isinstance(found, bytes) else 1
             return found
 
--- a/tests/store/test_tree_order.py
+++ b/tests/store/test_tree_order.py
@@ -29,7 +29,7 @@
 
 
 def level_bounds(index: int, fanout: int) -> tuple[int, int]:
-    """The first index, and the end, of the level above that of ``index``."""
+    """Returns the first index, and the end, of the level above that of ``index``."""
     starts = [(fanout**level - 1) // (fanout - 1) for level in range(MAX_LEVELS)]
     level = next(level for level in itertools.count() if index < starts[level + 1])
     return starts[level - 1], starts[level]
--- a/tests/support/failing_calls.py
+++ b/tests/support/failing_calls.py
@@ -1,4 +1,4 @@
-"""A stand-in for a call of the system that fails for a moment, and then works."""
+"""Replaces a system call by one that fails temporarily, and then works."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 
     @property
     def is_failing(self) -> bool:
-        """Whether any of the errors is still to come."""
+        """Returns whether any of the errors has not been raised yet."""
         return self._next_error is not None
 
     def install(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        """Replace the call until ``monkeypatch`` is undone."""
+        """Replaces the call until ``monkeypatch`` is undone."""
         real_call = getattr(self._owner, self._name)
 
         def fail_or_call(*arguments: Any, **named: Any) -> Any:
--- a/tests/support/overlay_simulation.py
+++ b/tests/support/overlay_simulation.py
@@ -26,15 +26,15 @@
 
 
 class EventQueue:
-    """The simulation's clock: events run in the order of their times, and nothing else moves it."""
+    """The simulation's clock: it runs events in the order of their times, and only they advance it."""
 
     def __init__(self) -> None:
         self.now = 0.0
         self._events: list[tuple[float, int, Callable[..., None], tuple[object, ...]]] = []
         self._event_numbers = itertools.count()
 
-    def schedule(self, at: float, action: Callable[..., None], *args: object) -> None:
-        heapq.heappush(self._events, (at, next(self._event_numbers), action, args))
+    def schedule(self, at_s: float, action: Callable[..., None], *args: object) -> None:
+        heapq.heappush(self._events, (at_s, next(self._event_numbers), action, args))
 
     def advance(self, seconds: float) -> None:
         until = self.now + seconds
@@ -75,14 +75,14 @@
                 network.close_link(link, closer=self)
         for address in self.overlay.addresses_to_dial(network.clock.now):
             network.dial(self, address)
-        at = self.overlay.next_wakeup(network.clock.now)
-        assert at > network.clock.now
-        if at < self._poll_at or self._poll_at <= network.clock.now:
-            self._poll_at = at
-            network.clock.schedule(at, self._poll_if_due, at)
-
-    def _poll_if_due(self, at: float) -> None:
-        if at == self._poll_at:
+        at_s = self.overlay.next_wakeup(network.clock.now)
+        assert at_s > network.clock.now
+        if at_s < self._poll_at or self._poll_at <= network.clock.now:
+            self._poll_at = at_s
+            network.clock.schedule(at_s, self._poll_if_due, at_s)
+
+    def _poll_if_due(self, at_s: float) -> None:
+        if at_s == self._poll_at:
             self.poll()
 
     def receive_members(self, members: Iterable[Member], removed: dict[str, int]) -> None:
@@ -155,16 +155,16 @@
         self.max_links = max(self.max_links, len(process.links))
 
     def max_dials_per_second(self, since: float = 0.0) -> int:
-        """The most dials that any member got within any one second."""
+        """Returns the highest number of dials that any member received within any one second."""
         times_by_target: dict[Address, list[float]] = defaultdict(list)
-        for at, _, address in self.dials:
-            if at >= since:
-                times_by_target[address].append(at)
+        for at_s, _, address in self.dials:
+            if at_s >= since:
+                times_by_target[address].append(at_s)
         busiest = 0
         for times in times_by_target.values():
             first = 0
-            for last, at in enumerate(times):
-                while times[first] <= at - 1.0:
+            for last, at_s in enumerate(times):
+                while times[first] <= at_s - 1.0:
                     first += 1
                 busiest = max(busiest, last - first + 1)
         return busiest
@@ -177,7 +177,7 @@
         self._network = network
 
     def linked_groups(self) -> list[set[str]]:
-        """The names of members that are linked together, directly or over others."""
+        """Returns the names of members that are linked together, directly or through others."""
         neighbours: dict[str, set[str]] = {process.member.name: set() for process in self._network.running()}
         for link in self._network.links:
             if all(link.is_established.values()):
@@ -185,7 +185,7 @@
         return _connected_components(neighbours)
 
     def reachable_groups(self) -> list[set[str]]:
-        """The names of members that could be linked: one knows of the other, and the network lets it."""
+        """Returns the names of members that could be linked: one knows the other and can reach it."""
         neighbours: dict[str, set[str]] = {process.member.name: set() for process in self._network.running()}
         for one, other in itertools.combinations(self._network.running(), 2):
             if (_knows(one, other) or _knows(other, one)) and not self._network.is_partitioned(
@@ -244,7 +244,7 @@
         return process
 
     def kill(self, process: SimulatedMember, machine: bool = True) -> None:
-        """The process ends; if its machine dies too, the others notice only the silence."""
+        """Ends the process; if its machine dies too, its peers notice only that it is silent."""
         process.is_running = False
         process.machine_is_up = not machine
         for link in list(process.links.values()):
@@ -262,7 +262,7 @@
         return started
 
     def partition(self, is_partitioned: Callable[[Member, Member], bool]) -> None:
-        """From now on pairs of members for which this holds don't reach each other."""
+        """Separates, from now on, pairs of members for which the predicate holds."""
         self.is_partitioned = is_partitioned
         for link in list(self.links):
             if is_partitioned(link.ends[0].member, link.ends[1].member):
@@ -281,8 +281,8 @@
         elif target is dialer:
             self._fail_dial(dialer, address)
         else:
-            at = self.clock.now + self._latency(dialer, target)
-            self.clock.schedule(at, self._on_dial_arrived, dialer, target, address)
+            at_s = self.clock.now + self._latency(dialer, target)
+            self.clock.schedule(at_s, self._on_dial_arrived, dialer, target, address)
 
     def _can_reach(self, one: SimulatedMember, other: SimulatedMember) -> bool:
         return other.machine_is_up and not self.is_partitioned(one.member, other.member)
@@ -339,7 +339,7 @@
         return base_s * self._rng.uniform(1, 1.5)
 
     def _establish(self, link: SimulatedLink, process: SimulatedMember, dialed: Address | None) -> None:
-        """On one side; ``dialed`` is the address if it is the dialer's."""
+        """Establishes a link on one side; ``dialed`` is the address if that is the dialer's side."""
         if not process.is_running or (link.is_broken and dialed is None):
             return
         other = link.other(process)
@@ -392,12 +392,12 @@
             process.overlay.on_advertisement(sender, advertisement, self.clock.now)
 
     def close_link(self, link: SimulatedLink, closer: SimulatedMember) -> None:
-        """One side closes on purpose."""
+        """Closes a link in an orderly way, from one side."""
         link.is_broken = True
         self.links.pop(link, None)
         self._on_link_lost(link, closer, True)
-        at = self.clock.now + self._latency(*link.ends)
-        self.clock.schedule(at, self._on_link_lost, link, link.other(closer), True)
+        at_s = self.clock.now + self._latency(*link.ends)
+        self.clock.schedule(at_s, self._on_link_lost, link, link.other(closer), True)
 
     def _break_link(self, link: SimulatedLink, noticed_after_s: float) -> None:
         link.is_broken = True
@@ -456,6 +456,6 @@
 
 
 def tree_crossings(members: Iterable[Member]) -> tuple[int, int]:
-    """How many links of a tree lie between zones, and how many between regions: one less than there are."""
+    """Returns how many links of a tree cross zones, and how many cross regions: one less than there are."""
     zones = {(member.region, member.zone) for member in members}
     return len(zones) - 1, len({region for region, _ in zones}) - 1
--- a/tests/support/override_registry.py
+++ b/tests/support/override_registry.py
@@ -1,4 +1,4 @@
-"""Drives an override registry on a clock of the test's own."""
+"""Drives an override registry on a simulated clock."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
 
 
 def make_endpoint(name: str, **fields: Any) -> Endpoint:
-    """An endpoint of kind ``k``; ``a`` and ``b`` are in zone z1, others in z2."""
+    """Returns an endpoint of kind ``k``; ``a`` and ``b`` are in zone z1, others in z2."""
     return Endpoint(name, **{"zone": "z1" if name < "c" else "z2", "kind": "k", **fields})
 
 
 class RegistryDriver:
-    """Drives a registry on a clock of its own, and keeps the endpoints as the balancer sees them."""
+    """Drives a registry on a simulated clock, and keeps the endpoints as the balancer sees them."""
 
     def __init__(self, names: str = "abcd", **options: Any) -> None:
         self.registry = make_registry(**options)
@@ -87,7 +87,7 @@
         return self.registry.status(self.registry.overrides[override_id], self.now_ms)
 
     def sticky_route(self, class_name: str, tenant: str, group: str = "") -> StickyRoute:
-        """Where pins bind a request; fails if no pin selects it."""
+        """Returns the route to which pins bind a request; fails if no pin selects it."""
         route = self.resolver.sticky_route(class_name, tenant, group)
         assert route is not None
         return route
--- a/tests/support/replication_fleet.py
+++ b/tests/support/replication_fleet.py
@@ -52,15 +52,15 @@
 
 
 class ClusterInvariants:
-    """What must hold in a cluster after each step of a schedule."""
+    """Checks what must hold in a cluster after each step of a schedule."""
 
     def __init__(self, cluster: SimulatedCluster) -> None:
         self._cluster = cluster
         self._orders: dict[tuple[str, str], RecordOrder] = {}  # by replica and key, the last one seen
 
     def on_replica_started(self, name: str) -> None:
-        """A replica that starts may hold older versions than it did."""
-        self._orders = {at: order for at, order in self._orders.items() if at[0] != name}
+        """Forgets the orders seen at a replica: it may start with older versions than it had."""
+        self._orders = {key: order for key, order in self._orders.items() if key[0] != name}
 
     def check(self) -> None:
         for name, replica in self._cluster.replicas.items():
@@ -80,7 +80,7 @@
 
     @staticmethod
     def _check_change_logs(replica: Replica) -> None:
-        """The change logs and trees have exactly what the store holds."""
+        """Checks that the change logs and trees contain exactly what the store holds."""
         for priority in PRIORITY_CLASSES:
             change_log = replica.records.changes.logs[priority]
             entries = list(change_log.since(0))
@@ -99,7 +99,7 @@
         )
 
     def _check_cursors(self) -> None:
-        """Whoever says how far it is with a copy does hold what that copy had changed up to there."""
+        """Checks that a replica holds all changes of a peer up to the revision that it has confirmed."""
         leaders = {
             replica.records.changes.incarnation: replica for replica in self._cluster.replicas.values()
         }
@@ -168,7 +168,7 @@
         return self.store(name).put(key, value)
 
     def restart(self, name: str, wiped: bool = False) -> None:
-        """With what its disk had, or with nothing."""
+        """Restarts a replica with the records on its disk, or with none if it was wiped."""
         for ends in [ends for ends in self.connections if name in ends]:
             self.disconnect(*ends)
         old = self.store(name)
@@ -189,7 +189,7 @@
         )
 
     def disconnect(self, one: str, other: str) -> None:
-        """Whatever is on its way is lost."""
+        """Breaks the connection; frames in transit are lost."""
         connection = self.connections.pop((one, other), None) or self.connections.pop((other, one), None)
         if connection is not None:
             self.rejections += connection.rejections
@@ -197,26 +197,26 @@
                 self.replicas[name].on_session_closed(session, self.now)
 
     def repeat_last_frame(self, one: str, other: str) -> None:
-        """The last frame on its way to ``other`` comes twice, which no authenticated channel allows."""
+        """Delivers the last frame in transit to ``other`` twice, which no authenticated channel allows."""
         connection = self.connections.get((one, other)) or self.connections.get((other, one))
         if connection is not None and connection.queues[other]:
             connection.queues[other].append(connection.queues[other][-1])
 
     def swap_last_frames(self, one: str, other: str) -> None:
-        """The last two frames to ``other`` change places, which no authenticated channel allows."""
+        """Swaps the last two frames in transit to ``other``, which no authenticated channel allows."""
         connection = self.connections.get((one, other)) or self.connections.get((other, one))
         if connection is not None and len(connection.queues[other]) >= 2:
             last = connection.queues[other].pop()
             connection.queues[other].insert(len(connection.queues[other]) - 1, last)
 
     def stop_reading(self, one: str, other: str) -> None:
-        """``other`` reads nothing from ``one`` any more."""
+        """Has ``other`` read nothing from ``one`` any more."""
         connection = self.connections.get((one, other)) or self.connections.get((other, one))
         if connection is not None:
             connection.not_reading.add(other)
 
     def step(self) -> bool:
-        """One side of one connection sends or receives one frame; False if nobody has anything to do."""
+        """Has one side of one connection send or receive one frame. Returns False if all are idle."""
         sides = [(connection, name) for connection in self.connections.values() for name in connection.ends]
         self.rng.shuffle(sides)
         has_waiting_frames = False
@@ -247,7 +247,7 @@
             self.disconnect(*connection.ends)
 
     def _send_frame(self, connection: SimulatedConnection, name: str) -> bool:
-        """Whether a frame was sent, or the connection given up because the peer reads nothing."""
+        """Returns whether a frame was sent, or the connection closed because the peer reads nothing."""
         session = connection.sessions[name]
         other = connection.peer_of(name)
         if len(connection.queues[other]) >= MAX_QUEUED_FRAMES:
@@ -266,7 +266,7 @@
         return True
 
     def _finish(self, connection: SimulatedConnection, session: ReplicationSession, other: str) -> None:
-        """A side closes once it has sent its last frame; the other side may never receive that."""
+        """Closes a side that has sent its last frame; the other side may never receive that frame."""
         is_silent = session.closing.detail.startswith("silent")
         if is_silent or connection.not_reading or self.rng.random() < 0.3:
             self.disconnect(*connection.ends)
@@ -302,7 +302,7 @@
         return steps
 
     def converge(self, seconds: float = 60.0, links: list[tuple[str, str]] | None = None) -> bool:
-        """Connect all (to a ring by default), also after a loss; True once all hold the same."""
+        """Connects all replicas, in a ring by default, again after losses. Returns whether they converged."""
         names = sorted(self.replicas)
         ring = links or list(zip(names, names[1:] + names[:1], strict=True))
         until = self.now + seconds
@@ -338,7 +338,7 @@
 
 
 def cluster_in_sync(names: str, seed: int, **more: float) -> SimulatedCluster:
-    """A cluster that has been in step, linked to a star round its first."""
+    """Returns a cluster whose replicas are in sync, linked in a star around the first."""
     cluster = SimulatedCluster(names, seed, **more)
     for name in names:
         cluster.store(name).replica_state_file.state = ReplicaState(cluster.wall(), 0)
@@ -349,13 +349,13 @@
 
 
 class DialSeeds:
-    """The simplest topology: every seed, always, and again at once."""
+    """The simplest topology: it dials every seed, and again after each loss."""
 
     membership_status = "member"
     WAIT_S = 0.05
 
     def __init__(self, own: Member, seeds: Sequence[tuple[str, int]] = ()) -> None:
-        self._at = dict.fromkeys(seeds, 0.0)
+        self._dial_times = dict.fromkeys(seeds, 0.0)
         self._dialled: dict[str, tuple[str, int]] = {}
 
     def update_members(self, members: Iterable[Member]) -> None: ...
@@ -376,18 +376,18 @@
             self.on_dial_failed(self._dialled.pop(name), now)
 
     def on_dial_failed(self, address: tuple[str, int], now: float) -> None:
-        self._at[address] = now + self.WAIT_S
+        self._dial_times[address] = now + self.WAIT_S
 
     def on_dial_rejected(self, address: tuple[str, int], now: float, rejection: LinkRejected) -> None:
         self.on_dial_failed(address, now)
 
     def addresses_to_dial(self, now: float) -> list[tuple[str, int]]:
-        due = [address for address, at in self._at.items() if at <= now]
-        self._at.update(dict.fromkeys(due, float("inf")))
-        return due
+        due_addresses = [address for address, dial_at in self._dial_times.items() if dial_at <= now]
+        self._dial_times.update(dict.fromkeys(due_addresses, float("inf")))
+        return due_addresses
 
     def links_to_close(self, now: float) -> list[str]:
         return []
 
     def next_wakeup(self, now: float) -> float:
-        return min([now + 1.0, *self._at.values()])
+        return min([now + 1.0, *self._dial_times.values()])
--- a/tests/support/replication_member.py
+++ b/tests/support/replication_member.py
@@ -17,7 +17,7 @@
 
 
 def start_member(store: Store, *peers: tuple[str, int], secret: bytes = SECRET) -> ReplicationMember:
-    """A started member that dials ``peers`` and nobody else; the caller stops it."""
+    """Starts a member that dials only ``peers``; the caller stops it."""
     options = ReplicationOptions(("127.0.0.1", 0), peers, secret)
     member = ReplicationMember(
         store,
