--- a/sageturn/lab/scale/arrivals.py
+++ b/sageturn/lab/scale/arrivals.py
@@ -8,12 +8,12 @@
 import math
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
-from typing import Any
 
+from sageturn.lab.runner.result_file import Line
 from sageturn.lab.scale.fleet import Fleet
 
 NEVER_S = math.inf
-MAX_PROPAGATION_S = 4.0  # within which a change has to be in force everywhere
+MAX_PROPAGATION_S = 4.0
 
 # By member and key: when the member held that change.
 ArrivalTimes = dict[str, dict[str, float]]
@@ -48,11 +48,11 @@
             self.returned_s[name] = now_s
 
     def is_down(self, name: str, now_s: float) -> bool:
-        """Whether it is down at this moment."""
+        """Whether the member is down at this moment."""
         return self.was_down_during(name, now_s, now_s)
 
     def was_down_during(self, name: str, since_s: float, until_s: float) -> bool:
-        """Whether it was down at any moment from ``since_s`` to ``until_s``."""
+        """Whether the member was down at any moment from ``since_s`` to ``until_s``."""
         return any(down_s <= until_s and up_s > since_s for down_s, up_s in self._intervals.get(name, []))
 
 
@@ -92,20 +92,46 @@
     return found
 
 
-def encode_durations(durations: Sequence[float]) -> dict[str, Any]:
-    """Count, percentiles and maximum for a result line; None stands for one that never came."""
-    if not durations:
-        return {"n": 0}
-    ordered = sorted(durations)
-    return {
-        "n": len(ordered),
-        "p50": _encode_duration(ordered[(len(ordered) - 1) // 2]),
-        "p99": _encode_duration(ordered[min(len(ordered) - 1, math.ceil(0.99 * len(ordered)) - 1)]),
-        "worst": _encode_duration(ordered[-1]),
-        "over_4s": sum(duration > MAX_PROPAGATION_S for duration in ordered),
-        "never": sum(duration == NEVER_S for duration in ordered),
-    }
-
-
-def _encode_duration(duration: float) -> float | None:
-    return None if duration == NEVER_S else round(float(duration), 4)
+@dataclass(frozen=True, slots=True)
+class DurationSummary:
+    """Percentiles of some durations, in seconds; they are infinite where that many never ended."""
+
+    count: int
+    p50_s: float
+    p99_s: float
+    max_s: float
+    over_limit_count: int  # of more than MAX_PROPAGATION_S, those that never ended among them
+    never_count: int
+
+    def to_line(self) -> Line:
+        """Returns the summary's part of a result line, in which null stands for what never ended."""
+        if not self.count:
+            return {"n": 0}
+        return {
+            "n": self.count,
+            "p50": _encode_duration(self.p50_s),
+            "p99": _encode_duration(self.p99_s),
+            "worst": _encode_duration(self.max_s),
+            "over_4s": self.over_limit_count,
+            "never": self.never_count,
+        }
+
+
+def summarize_durations(durations_s: Sequence[float]) -> DurationSummary:
+    """Sums up the durations; without any, all of the summary's fields are 0."""
+    if not durations_s:
+        return DurationSummary(0, 0.0, 0.0, 0.0, 0, 0)
+    ordered = sorted(durations_s)
+    count = len(ordered)
+    return DurationSummary(
+        count=count,
+        p50_s=ordered[(count - 1) // 2],
+        p99_s=ordered[min(count - 1, math.ceil(0.99 * count) - 1)],
+        max_s=ordered[-1],
+        over_limit_count=sum(duration > MAX_PROPAGATION_S for duration in ordered),
+        never_count=sum(duration == NEVER_S for duration in ordered),
+    )
+
+
+def _encode_duration(duration_s: float) -> float | None:
+    return None if duration_s == NEVER_S else round(float(duration_s), 4)
--- a/sageturn/lab/scale/environment.py
+++ b/sageturn/lab/scale/environment.py
@@ -5,13 +5,15 @@
 import asyncio
 import json
 from contextlib import suppress
+from dataclasses import dataclass
 from random import Random
 from typing import Any
 
 from sageturn.lab.loopback.fakes import FakeDiscovery, FakeEndpoint
 from sageturn.lab.model.endpoint_model import EndpointModel
+from sageturn.lab.runner.result_file import Line
 
-DISCOVERY_CALL_TIMEOUT_S = 3.0  # after which discovery fails a call
+DISCOVERY_CALL_TIMEOUT_S = 3.0
 LINE_INTERVAL_S = 2.0
 RECONNECT_DELAY_S = 0.5
 CLIENT_START_INTERVAL_S = 0.005  # between two clients of one relay
@@ -22,6 +24,40 @@
 HOST_KIND = "c2-std"
 
 
+@dataclass(frozen=True, slots=True)
+class DiscoveryCounts:
+    """Counts of calls at discovery, of those that it failed, and of the bytes that it wrote."""
+
+    calls: int
+    failed: int
+    bytes_written: int
+
+    def to_line(self) -> Line:
+        """Returns discovery's part of a result line."""
+        return {"calls": self.calls, "failed": self.failed, "octets": self.bytes_written}
+
+
+@dataclass(frozen=True, slots=True)
+class ClientCounts:
+    """Established connections of clients at present, and counts of events of all clients."""
+
+    connected: int
+    opened: int
+    refused: int
+    lines: int  # answered
+    broken: int  # connections that the relay ended
+
+    def to_line(self) -> Line:
+        """Returns the clients' part of a result line."""
+        return {
+            "standing": self.connected,
+            "opened": self.opened,
+            "refused": self.refused,
+            "lines": self.lines,
+            "broken": self.broken,
+        }
+
+
 class ScaleDiscovery(FakeDiscovery):
     """Handles calls one after another, each for ``call_s`` seconds; may be down; counts what it writes."""
 
@@ -45,9 +81,9 @@
         await super().stop()
         self._watchers.clear()
 
-    def encode_counts(self) -> dict[str, Any]:
-        """Returns the counters as keys of a result line."""
-        return {"calls": self.calls, "failed": self.failed, "octets": self.bytes_written}
+    def counts(self) -> DiscoveryCounts:
+        """Returns the counts since the construction."""
+        return DiscoveryCounts(self.calls, self.failed, self.bytes_written)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.calls += 1
@@ -133,15 +169,9 @@
         if self._tasks:
             await asyncio.wait(self._tasks)
 
-    def encode_counts(self) -> dict[str, Any]:
-        """Returns the counters as keys of a result line."""
-        return {
-            "standing": self.connected,
-            "opened": self.opened,
-            "refused": self.refused,
-            "lines": self.lines,
-            "broken": self.broken,
-        }
+    def counts(self) -> ClientCounts:
+        """Returns the present connections, and the counts since the construction."""
+        return ClientCounts(self.connected, self.opened, self.refused, self.lines, self.broken)
 
     async def _keep_connected(self, address: tuple[str, int], delay_s: float) -> None:
         await asyncio.sleep(delay_s)
--- a/sageturn/lab/scale/faults.py
+++ b/sageturn/lab/scale/faults.py
@@ -6,7 +6,6 @@
 import time
 from collections.abc import Sequence
 from random import Random
-from typing import Any
 
 from sageturn.lab.scale.arrivals import Outages
 from sageturn.lab.scale.child_process import ChildProcess
@@ -14,9 +13,9 @@
 from sageturn.lab.scale.environment import ScaleDiscovery
 from sageturn.lab.scale.fleet import BETWEEN_REGIONS, Fleet
 from sageturn.lab.scale.member_group import MemberGroup
-from sageturn.lab.scale.plan import Fault, ScaleExperiment
+from sageturn.lab.scale.plan import Fault, FaultKind, ScaleExperiment
 
-ALL_LINKS = ""  # every link's name begins so
+ALL_LINKS = ""  # the prefix of every link's name
 
 
 class FaultInjector:
@@ -41,15 +40,15 @@
         self.discovery_returned_s: float | None = None
 
     async def inject(self, fault: Fault) -> None:
-        """Returns once the fault is over and all members that were down have been started again."""
+        """Injects a fault. Returns once it is over and all members that were down have been started again."""
         match fault.kind:
-            case "cut":
+            case FaultKind.CUT:
                 await self._cut_regions(fault)
-            case "loss":
+            case FaultKind.LOSS:
                 await self._lose_segments(fault)
-            case "discovery":
+            case FaultKind.DISCOVERY:
                 await self._stop_discovery(fault)
-            case "restart":
+            case FaultKind.RESTART:
                 await self._restart_in_turn(fault)
             case _:
                 await self._kill_members(fault)
@@ -87,7 +86,7 @@
     def _choose_targets(self, fault: Fault) -> list[str]:
         """Chooses emulated members: a zone, or a part with the first one, the root of configured trees."""
         emulated = self._fleet.emulated_names
-        if fault.kind == "zone":
+        if fault.kind == FaultKind.ZONE:
             last_zone = self._experiment.zones - 1
             return [name for name in emulated if self._fleet.zone_of(name) == last_zone]
         count = max(1, round(fault.part * len(emulated)))
@@ -101,7 +100,7 @@
         await self._members.restart_members(names, wipe)
         self.outages.mark_up(names, time.monotonic())
 
-    async def _configure_links(self, name_prefix: str, **settings: Any) -> None:
+    async def _configure_links(self, name_prefix: str, **settings: object) -> None:
         await asyncio.gather(
             *(
                 process.request(Command.CONFIGURE_LINKS, lanes=name_prefix, **settings)
--- a/sageturn/lab/scale/fit.py
+++ b/sageturn/lab/scale/fit.py
@@ -1,9 +1,10 @@
-"""Slopes through measured sizes, how straight they are, and what they say of a larger one. Pure."""
+"""Linear fits through measured sizes, and estimates of a larger size from them. Pure."""
 
 from __future__ import annotations
 
 from collections.abc import Sequence
 from dataclasses import dataclass
+from typing import NamedTuple
 
 import numpy as np
 from scipy import stats
@@ -13,10 +14,18 @@
 MIN_SIZES = 4
 MIN_EXPONENT_SIZES = 3
 MIN_R2 = 0.98
-MAX_STRAIGHT_RESIDUAL = 0.2  # relative: how far off a size may be with the line still counted as straight
+MAX_LINEAR_RESIDUAL = 0.2  # relative, of any size
 CONFIDENCE_LEVEL = 0.95
 
 
+class Estimate(NamedTuple):
+    """An estimated value, and the interval at 95% that a measurement of it falls into."""
+
+    value: float
+    low: float
+    high: float
+
+
 @dataclass(frozen=True, slots=True)
 class Fit:
     """``y`` as a sum of coefficients times terms; intervals at 95%, from Student's t.
@@ -35,19 +44,17 @@
     covariance: tuple[tuple[float, ...], ...]
 
     @property
-    def is_straight(self) -> bool:
-        """Whether there are enough sizes and all are near enough to the line to rely on it."""
-        return (
-            self.size_count >= MIN_SIZES and self.r2 >= MIN_R2 and self.max_residual <= MAX_STRAIGHT_RESIDUAL
-        )
-
-    def at(self, x: Sequence[float]) -> tuple[float, float, float]:
-        """The value, and low and high end of the interval that a measurement there should fall into."""
-        row = np.array(x, dtype=float)
+    def is_linear(self) -> bool:
+        """Whether there are enough sizes, and all are close enough to the line for an estimate."""
+        return self.size_count >= MIN_SIZES and self.r2 >= MIN_R2 and self.max_residual <= MAX_LINEAR_RESIDUAL
+
+    def estimate(self, term_values: Sequence[float]) -> Estimate:
+        """Estimates ``y`` for the values of the terms."""
+        row = np.array(term_values, dtype=float)
         value = float(row @ np.array(self.values))
         variance = float(row @ np.array(self.covariance) @ row) + (self.relative_deviation * value) ** 2
         margin = _student_t(self.size_count - len(self.terms)) * variance**0.5
-        return value, value - margin, value + margin
+        return Estimate(value, value - margin, value + margin)
 
     def to_json(self) -> dict[str, object]:
         """Returns the fit by the keys of a result line."""
@@ -59,27 +66,33 @@
             "r2": round(self.r2, 5),
             "worst_residual": round(self.max_residual, 4),
             "sizes": self.size_count,
-            "straight": self.is_straight,
+            "straight": self.is_linear,
         }
 
 
-def fit(terms: Sequence[str], rows: Sequence[Sequence[float]], y: Sequence[float]) -> Fit:
-    """Least squares of relative residuals. ``rows``: the terms' values at each size, ``y``: the results.
+def fit(terms: Sequence[str], rows: Sequence[Sequence[float]], results: Sequence[float]) -> Fit:
+    """Fits ``results`` to the terms by least squares of relative residuals.
+
+    Args:
+        terms: The names of the terms.
+        rows: The terms' values at each size.
+        results: The measured values, one for each row.
 
-    Raises FitError with fewer sizes than terms, terms that the sizes do not tell apart, or values of 0 or
-    less.
+    Raises:
+        FitError: There are fewer sizes than terms, the terms are linearly dependent over these sizes, or a
+            result is 0 or less.
     """
-    x = np.array(rows, dtype=float)
-    measured = np.array(y, dtype=float)
-    if len(measured) < len(terms) or x.shape != (len(measured), len(terms)):
+    term_values = np.array(rows, dtype=float)
+    measured = np.array(results, dtype=float)
+    if len(measured) < len(terms) or term_values.shape != (len(measured), len(terms)):
         raise FitError(f"{len(measured)} sizes for {len(terms)} terms")
     if not (measured > 0).all():
         raise FitError("values must be above 0")
-    weighted = x / measured[:, None]
+    weighted = term_values / measured[:, None]
     values, _, rank, _ = np.linalg.lstsq(weighted, np.ones(len(measured)), rcond=None)
     if rank < len(terms):
         raise FitError("the sizes do not tell the terms apart")
-    fitted = x @ values
+    fitted = term_values @ values
     relative = fitted / measured - 1.0
     freedom = len(measured) - len(terms)
     variance = float((relative**2).sum() / freedom) if freedom else 0.0
@@ -102,22 +115,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Exponent:
-    """The exponent of y's growth with x (1: in proportion), with its interval at 95%."""
+    """The exponent of the growth with the size (1: in proportion), with its interval at 95%."""
 
     value: float
     low: float
     high: float
 
 
-def fit_exponent(x: Sequence[float], y: Sequence[float]) -> Exponent:
+def fit_exponent(sizes: Sequence[float], results: Sequence[float]) -> Exponent:
     """Fits the exponent of a power law to the points. Raises FitError for less than three."""
-    if len(x) < MIN_EXPONENT_SIZES:
-        raise FitError(f"{len(x)} sizes tell no exponent with an interval")
-    line = stats.linregress(np.log(np.array(x, float)), np.log(np.array(y, float)))
-    margin = _student_t(len(x) - 2) * line.stderr
+    if len(sizes) < MIN_EXPONENT_SIZES:
+        raise FitError(f"{len(sizes)} sizes tell no exponent with an interval")
+    line = stats.linregress(np.log(np.array(sizes, float)), np.log(np.array(results, float)))
+    margin = _student_t(len(sizes) - 2) * line.stderr
     return Exponent(float(line.slope), float(line.slope - margin), float(line.slope + margin))
 
 
 def _student_t(freedom: int) -> float:
-    """The quantile for the confidence level; infinite without a degree of freedom."""
+    """Returns the quantile for the confidence level; infinite without a degree of freedom."""
     return float(stats.t.ppf(0.5 + CONFIDENCE_LEVEL / 2.0, freedom)) if freedom > 0 else float("inf")
--- a/sageturn/lab/scale/fleet.py
+++ b/sageturn/lab/scale/fleet.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from sageturn.lab.scale.plan import ScaleExperiment, Size
+from sageturn.lab.scale.plan import ScaleExperiment, Size, Topology
 
 BETWEEN_REGIONS = "between"
 WITHIN_REGION = "region"
@@ -12,7 +12,7 @@
 
 
 def link_name(experiment: ScaleExperiment, source_zone: int, target_zone: int) -> str:
-    """The link class and both zones, the same in both directions: ``region:0-2``."""
+    """Names the link between two zones, ``region:0-2``; both directions have the same name."""
     low = min(source_zone, target_zone)
     high = max(source_zone, target_zone)
     if low == high:
@@ -25,10 +25,10 @@
 
 
 def peers_of(size: Size, member: int, zones: int) -> list[int]:
-    """The members that this one dials, as an operator would have configured it."""
-    if size.topology == "mesh":
+    """Returns the numbers of the members that ``member`` is configured to dial."""
+    if size.topology == Topology.MESH:
         return list(range(member))
-    if size.topology == "tree":
+    if size.topology == Topology.TREE:
         return [(member - 1) // size.fanout] if member else []
     return [other for other in range(min(zones, size.members)) if other != member][:SEED_PEER_COUNT]
 
@@ -48,9 +48,9 @@
         return member < self._real_count
 
     def zone_of(self, name: str) -> int:
-        """The zone's number."""
+        """Returns the number of a member's zone."""
         return self._experiment.zone_of(self._numbers[name])
 
     def region_of(self, name: str) -> int:
-        """The region's number."""
+        """Returns the number of a member's region."""
         return self._experiment.region_of(self.zone_of(name))
--- a/sageturn/lab/scale/list_calls.py
+++ b/sageturn/lab/scale/list_calls.py
@@ -5,13 +5,15 @@
 import heapq
 from enum import Enum, auto
 from random import Random
-from typing import Any, NamedTuple
+from typing import NamedTuple
+
+from msgspec import Struct
 
 from sageturn.decision import DiscoveryFailure
 from sageturn.decision.discovery_backoff import DiscoveryBackoff
 from sageturn.lab.scale.units import MS_PER_S
 
-DISCOVERY_CALL_TIMEOUT_MS = 3000.0  # after which discovery fails a call
+DISCOVERY_CALL_TIMEOUT_MS = 3000.0
 POLL_INTERVAL_MS = 10_000.0
 
 
@@ -86,11 +88,19 @@
         self.schedule_call(event.due_ms + delay_ms, event.relay)
 
 
-def list_calls(relay_count: int, service_ms: float, lost: bool, seed: int) -> dict[str, Any]:
-    """All relays want the list at once: after all watches broke (``lost``), or after a common start.
+class ListCallTimes(Struct, frozen=True):
+    """The simulated time until relays had the list, and counts of calls; the fields are a cost line's."""
+
+    p50_s: float
+    p99_s: float
+    last_s: float
+    calls: int
+    failed: int
+    busiest_s: int  # maximum number of calls within a second
 
-    Times are in seconds of simulated time; ``busiest_s`` is the most calls within a second.
-    """
+
+def list_calls(relay_count: int, service_ms: float, lost: bool, seed: int) -> ListCallTimes:
+    """Has all relays call for the list at once, after their watches broke (``lost``) or after their start."""
     load = _DiscoveryLoad(relay_count, service_ms, seed)
     for relay, backoff in enumerate(load.backoffs):
         delay_ms = (
@@ -104,11 +114,11 @@
         sum(since_ms <= call_ms < since_ms + MS_PER_S for call_ms in calls_ms)
         for since_ms in calls_ms[:relay_count]
     )
-    return {
-        "p50_s": times_ms[(len(times_ms) - 1) // 2] / MS_PER_S,
-        "p99_s": times_ms[int(0.99 * (len(times_ms) - 1))] / MS_PER_S,
-        "last_s": times_ms[-1] / MS_PER_S,
-        "calls": len(calls_ms),
-        "failed": load.failed_calls,
-        "busiest_s": busiest,
-    }
+    return ListCallTimes(
+        p50_s=times_ms[(len(times_ms) - 1) // 2] / MS_PER_S,
+        p99_s=times_ms[int(0.99 * (len(times_ms) - 1))] / MS_PER_S,
+        last_s=times_ms[-1] / MS_PER_S,
+        calls=len(calls_ms),
+        failed=load.failed_calls,
+        busiest_s=busiest,
+    )
--- a/sageturn/lab/scale/member_group.py
+++ b/sageturn/lab/scale/member_group.py
@@ -7,11 +7,11 @@
 from collections import Counter
 from collections.abc import Sequence
 from dataclasses import dataclass
-from typing import Any
 
 import numpy as np
 
-from sageturn.lab.scale.arrivals import ArrivalTimes, encode_durations
+from sageturn.lab.runner.result_file import Line
+from sageturn.lab.scale.arrivals import ArrivalTimes, DurationSummary, summarize_durations
 from sageturn.lab.scale.child_process import ChildProcess
 from sageturn.lab.scale.child_protocol import Command, MemberStatus, ProcessStatus, Role
 from sageturn.lab.scale.errors import ReadinessTimeoutError
@@ -30,6 +30,37 @@
     present_copy: ArrivalTimes
 
 
+@dataclass(frozen=True, slots=True)
+class CopyComparison:
+    """How many different copies of the store there are, and how many members have the most common one."""
+
+    distinct_count: int
+    most_common_count: int
+
+    def to_line(self) -> Line:
+        """Returns the comparison's part of a result line."""
+        return {
+            "all": self.distinct_count == 1,
+            "kinds": self.distinct_count,
+            "most": self.most_common_count,
+        }
+
+
+@dataclass(frozen=True, slots=True)
+class MemberMemory:
+    """Resident memory in MB: what an emulated member adds to its process, and each real relay's process."""
+
+    emulated_mb: float | None  # on average; None without emulated members
+    real_mb: list[float]
+
+    def to_line(self) -> Line:
+        """Returns the memory's part of a result line."""
+        return {
+            "hollow_mb_each": None if self.emulated_mb is None else round(self.emulated_mb, 3),
+            "real_mb": [round(memory_mb, 1) for memory_mb in self.real_mb],
+        }
+
+
 class MemberGroup:
     """The processes with members. Methods raise ChildFailedError when one of them ends."""
 
@@ -42,8 +73,8 @@
         for process in self.processes:
             await process.request(Command.START)
 
-    async def put(self, member: str, key: str, value: Any) -> float:
-        """The moment just before the record was put, on the machine's monotonic clock."""
+    async def put(self, member: str, key: str, value: object) -> float:
+        """Puts a record at a member. Returns the moment just before, on the machine's monotonic clock."""
         put_s: float = await self._process_of[member].request(
             Command.PUT, member=member, key=key, value=value
         )
@@ -54,10 +85,10 @@
         await self._request_of_members(names, Command.STOP)
 
     async def restart_members(self, names: Sequence[str], wipe: bool) -> None:
-        """``wipe``: they come back with an empty copy of the store."""
+        """Starts members again, with an empty copy of the store where ``wipe`` is true."""
         await self._request_of_members(names, Command.START, wipe=wipe)
 
-    async def _request_of_members(self, names: Sequence[str], command: Command, **arguments: Any) -> None:
+    async def _request_of_members(self, names: Sequence[str], command: Command, **arguments: object) -> None:
         wanted = set(names)
         chosen = [
             (process, [name for name in process.member_names if name in wanted]) for process in self.processes
@@ -87,17 +118,17 @@
         return [member for status in await self.process_statuses() for member in status.members.values()]
 
     async def link_count(self) -> float:
-        """Established links; each has an end at two members."""
+        """Returns the number of established links; each has an end at two members."""
         return count_links(await self.process_statuses())
 
-    async def wait_until_listed(self, since_s: float, timeout_s: float) -> dict[str, Any]:
-        """Durations from ``since_s`` until each member had the list. Raises ReadinessTimeoutError."""
+    async def wait_until_listed(self, since_s: float, timeout_s: float) -> DurationSummary:
+        """Returns the durations from ``since_s`` until members had the list. Raises ReadinessTimeoutError."""
         began_s = time.monotonic()
         while True:
             members = await self.member_statuses()
             missing = sum(not member.list_count for member in members)
             if not missing:
-                return encode_durations([member.listed_s - since_s for member in members])
+                return summarize_durations([member.listed_s - since_s for member in members])
             if time.monotonic() - began_s > timeout_s:
                 raise ReadinessTimeoutError(
                     f"{missing} of {len(members)} members have no list after {timeout_s:g} s"
@@ -115,27 +146,24 @@
             await asyncio.sleep(READINESS_POLL_INTERVAL_S)
         return round(time.monotonic() - began_s, 2)
 
-    async def compare_copies(self, interval_s: float) -> dict[str, Any]:
-        """Whether all copies are the same, for a result line; waits up to three intervals for that."""
+    async def compare_copies(self, interval_s: float) -> CopyComparison:
+        """Compares all copies of the store, and waits up to three intervals for them to be equal."""
         for _ in range(EQUALITY_POLLS):
             hashes = Counter(member.store_hash for member in await self.member_statuses())
             if len(hashes) == 1:
                 break
             await asyncio.sleep(interval_s / EQUALITY_POLLS_PER_INTERVAL)
-        return {"all": len(hashes) == 1, "kinds": len(hashes), "most": max(hashes.values())}
+        return CopyComparison(len(hashes), max(hashes.values()))
 
 
 def count_links(statuses: Sequence[ProcessStatus]) -> float:
-    """Half the links' ends; a member that does not count its links adds none."""
+    """Returns half the number of link ends; a member that does not count its links adds none."""
     ends = sum(max(0, member.link_count) for status in statuses for member in status.members.values())
     return ends / 2
 
 
-def encode_memory(processes: Sequence[ChildProcess], statuses: Sequence[ProcessStatus]) -> dict[str, Any]:
-    """Resident memory for a result line, in MB.
-
-    What an emulated member adds to its process on average, and the whole of each real relay's process.
-    """
+def member_memory(processes: Sequence[ChildProcess], statuses: Sequence[ProcessStatus]) -> MemberMemory:
+    """Returns the memory of members from the statuses of their processes, both in the same order."""
     emulated_mb = []
     real_mb = []
     for process, status in zip(processes, statuses, strict=True):
@@ -144,7 +172,4 @@
         else:
             grown = status.memory - status.initial_memory
             emulated_mb.append(grown / len(process.member_names) / BYTES_PER_MB)
-    return {
-        "hollow_mb_each": round(float(np.mean(emulated_mb)), 3) if emulated_mb else None,
-        "real_mb": [round(memory_mb, 1) for memory_mb in real_mb],
-    }
+    return MemberMemory(float(np.mean(emulated_mb)) if emulated_mb else None, real_mb)
--- a/sageturn/lab/scale/members.py
+++ b/sageturn/lab/scale/members.py
@@ -23,6 +23,7 @@
 from sageturn.lab.scale.counting import owned, owning
 from sageturn.lab.scale.digests import DigestReplication, LinkOptions
 from sageturn.lab.scale.errors import UnavailableReplicationError
+from sageturn.lab.scale.plan import Spread
 from sageturn.net.admission import AdmissionController, ProcessLimits
 from sageturn.net.discovery import DiscoveryClient
 from sageturn.store.records import StoreRecord
@@ -35,10 +36,9 @@
 PRELOAD_NODE = "r0000"
 PRELOAD_HOST_COUNT = 500
 LOOPBACK = "127.0.0.1"
-# The machine's bound is the experiment's, not the admission's.
-ADMISSION_LIMITS = ProcessLimits(20_000, 4096.0)
-STATE_CONNECTION_COUNT = 50_000  # what an emulated member's state record says it serves
-STATE_PHASES = 97  # over which members spread their first state record
+ADMISSION_LIMITS = ProcessLimits(20_000, 4096.0)  # above the experiment's own bounds, which apply first
+STATE_CONNECTION_COUNT = 50_000  # established connections in an emulated member's state record
+STATE_PHASES = 97  # points of the interval at which members write their first state record
 
 WatchEvent = EndpointListUpdate | WatchFailed
 
@@ -61,10 +61,10 @@
     address: tuple[str, int]
 
     def start(self) -> None:
-        """Begin to accept and to dial."""
+        """Begins to accept and to dial."""
 
     async def stop(self) -> None:
-        """End all links; the store stays usable."""
+        """Ends all links; the store stays usable."""
 
 
 def _make_digest_replication(
@@ -76,7 +76,10 @@
 def _make_delta_replication(
     store: Store, options: LinkOptions, admission: AdmissionController, location: Location
 ) -> Replication:
-    """The program's own, where it has one: not every revision that is measured does."""
+    """Makes the program's own replication.
+
+    Raises UnavailableReplicationError where the measured revision does not have it.
+    """
     try:
         member = import_module("sageturn.store.replication.member")
         replication_options = import_module("sageturn.store.replication.options").ReplicationOptions(
@@ -90,15 +93,15 @@
 
 
 REPLICATIONS: dict[str, Callable[[Store, LinkOptions, AdmissionController, Location], Replication]] = {
-    "digest": _make_digest_replication,
-    "delta": _make_delta_replication,
+    Spread.DIGEST: _make_digest_replication,
+    Spread.DELTA: _make_delta_replication,
 }
 
 
 def make_replication(
     spread: str, store: Store, options: LinkOptions, admission: AdmissionController, location: Location
 ) -> Replication:
-    """The one place where a run's key ``spread`` becomes code.
+    """Makes the replication that a size's key ``spread`` names.
 
     Raises UnavailableReplicationError where this revision does not have it.
     """
@@ -181,7 +184,7 @@
     async def forward(
         self, watch: int, event: WatchEvent, handler: Callable[[int, WatchEvent], Awaitable[None]]
     ) -> None:
-        """Count the event, then await ``handler`` with it."""
+        """Counts the event, then awaits ``handler`` with it."""
         if isinstance(event, EndpointListUpdate):
             self.listed_s = time.monotonic()
             self.list_count += 1
--- a/sageturn/lab/scale/phases.py
+++ b/sageturn/lab/scale/phases.py
@@ -5,16 +5,18 @@
 import asyncio
 import time
 from collections.abc import Sequence
+from dataclasses import dataclass
 from random import Random
-from typing import Any
 
+from sageturn.lab.runner.result_file import Line
 from sageturn.lab.scale.arrivals import (
     NEVER_S,
     Change,
+    DurationSummary,
     Outages,
     catch_up_times,
-    encode_durations,
     propagation_times,
+    summarize_durations,
 )
 from sageturn.lab.scale.child_process import ChildProcess
 from sageturn.lab.scale.environment import ScaleDiscovery
@@ -22,8 +24,43 @@
 from sageturn.lab.scale.fleet import Fleet
 from sageturn.lab.scale.member_group import MemberGroup
 from sageturn.lab.scale.members import CHANGE_KEY_PREFIX
-from sageturn.lab.scale.plan import Fault, ScaleExperiment
-from sageturn.lab.scale.usage import UsageWindow
+from sageturn.lab.scale.plan import Fault, FaultKind, ScaleExperiment
+from sageturn.lab.scale.usage import UsageWindow, WindowUsage
+
+
+@dataclass(frozen=True, slots=True)
+class ChangeArrivals:
+    """Durations until members held the changes of a phase; None where a phase has no such durations."""
+
+    everywhere: DurationSummary
+    in_own_region: DurationSummary | None  # while the regions are cut off from each other
+    listed: DurationSummary | None  # from discovery's return until each member had the list
+    catch_up: DurationSummary | None  # from members' return until they held what they had missed
+
+    def to_line(self) -> Line:
+        """Returns the arrivals' part of a result line."""
+        summaries = {
+            "last": self.everywhere,
+            "last_on_its_side": self.in_own_region,
+            "listed": self.listed,
+            "back": self.catch_up,
+        }
+        return {key: summary.to_line() for key, summary in summaries.items() if summary is not None}
+
+
+@dataclass(frozen=True, slots=True)
+class PhaseResult:
+    """The use of resources in a phase, and the arrivals of its changes; None in the idle phase."""
+
+    usage: WindowUsage
+    changes: ChangeArrivals | None = None
+
+    def to_line(self) -> Line:
+        """Returns the phase's part of a result line."""
+        line = self.usage.to_line()
+        if self.changes is not None:
+            line["changes"] = self.changes.to_line()
+        return line
 
 
 class PhaseRunner:
@@ -46,25 +83,25 @@
         self._discovery = discovery
         self._change_count = 0
 
-    async def run_idle(self) -> dict[str, Any]:
-        """A window in which nothing is done: its use of resources."""
+    async def run_idle(self) -> PhaseResult:
+        """Measures a window in which nothing is done."""
         window = UsageWindow(self._processes)
         try:
             await asyncio.sleep(self._experiment.windows.idle_s)
         finally:
             window.close()
-        return window.finish()
+        return PhaseResult(window.finish())
 
-    async def run_changes(self, fault: Fault | None) -> dict[str, Any]:
-        """A window with changes at seeded moments: its use of resources, and when the changes arrived."""
+    async def run_changes(self, fault: Fault | None) -> PhaseResult:
+        """Measures a window in which changes are put at seeded moments, during ``fault`` if there is one."""
         window = UsageWindow(self._processes)
         try:
             arrived = await self._run_changes(fault)
         finally:
             window.close()
-        return {**window.finish(), "changes": arrived}
+        return PhaseResult(window.finish(), arrived)
 
-    async def _run_changes(self, fault: Fault | None) -> dict[str, Any]:
+    async def _run_changes(self, fault: Fault | None) -> ChangeArrivals:
         windows = self._experiment.windows
         length_s = windows.changes_s if fault is None else fault.length_s + fault.after_s
         offsets_s = sorted(self._rng.uniform(0.0, length_s) for _ in range(windows.changes))
@@ -81,7 +118,7 @@
                 injecting.cancel()
         await asyncio.sleep(windows.tail_s)
         listed = await self._durations_until_listed(injector.discovery_returned_s)
-        return await self._encode_arrivals(fault, changes, injector.outages, listed)
+        return await self._summarize_arrivals(fault, changes, injector.outages, listed)
 
     def _make_injector(self) -> FaultInjector:
         return FaultInjector(
@@ -104,35 +141,34 @@
             changes.append(Change(key, member, put_s))
         return changes
 
-    async def _durations_until_listed(self, since_s: float | None) -> dict[str, Any] | None:
+    async def _durations_until_listed(self, since_s: float | None) -> DurationSummary | None:
         """Returns the seconds from discovery's return until each member had the list; None if it was up."""
         if since_s is None:
             return None
         members = await self.members.member_statuses()
-        return encode_durations(
+        return summarize_durations(
             [member.listed_s - since_s if member.listed_s > since_s else NEVER_S for member in members]
         )
 
-    async def _encode_arrivals(
+    async def _summarize_arrivals(
         self,
         fault: Fault | None,
         changes: Sequence[Change],
         outages: Outages,
-        listed: dict[str, Any] | None,
-    ) -> dict[str, Any]:
-        """The part ``changes`` of a phase in a result line."""
+        listed: DurationSummary | None,
+    ) -> ChangeArrivals:
         arrivals = await self.members.arrivals()
         times = propagation_times(changes, arrivals.first, outages, self._fleet)
-        line: dict[str, Any] = {"last": encode_durations(times.everywhere)}
-        if fault is not None and fault.kind == "cut":
-            line["last_on_its_side"] = encode_durations(times.in_own_region)
-        if listed is not None:
-            line["listed"] = listed
+        is_cut = fault is not None and fault.kind == FaultKind.CUT
+        catch_up = None
         if outages.returned_s:
-            line["back"] = encode_durations(
-                catch_up_times(changes, arrivals.present_copy, outages.returned_s)
-            )
-        return line
+            catch_up = summarize_durations(catch_up_times(changes, arrivals.present_copy, outages.returned_s))
+        return ChangeArrivals(
+            everywhere=summarize_durations(times.everywhere),
+            in_own_region=summarize_durations(times.in_own_region) if is_cut else None,
+            listed=listed,
+            catch_up=catch_up,
+        )
 
 
 async def _sleep_until(moment_s: float) -> None:
--- a/sageturn/lab/scale/plan.py
+++ b/sageturn/lab/scale/plan.py
@@ -6,6 +6,8 @@
 from __future__ import annotations
 
 import math
+from collections.abc import Iterable
+from enum import StrEnum
 from pathlib import Path
 from typing import Annotated
 
@@ -20,17 +22,38 @@
 MAX_MEMORY_GB = 12.0
 MAX_PROCESSES = 300
 MAX_MINUTES = 60.0
-MAX_DESCRIPTORS_PER_PROCESS = 16000  # the system here allows 20,000
-MAX_CLIENTS = 4000  # three descriptors each in the run's own process, which has the hosts and clients
-# What a copy's entry of a preloaded record takes: its place in the dictionary, the record being shared.
-ENTRY_BYTES = 130
-RELAY_RECORD_BYTES = 500
-# Of one process before any member is in it, seen on Python 3.11 to 3.13.
-PROCESS_MB = 45.0
-
-SPREADS = ("digest", "delta")
-TOPOLOGIES = ("mesh", "tree", "seeds")
-FAULT_KINDS = ("kill", "zone", "cut", "loss", "restart", "discovery")
+MAX_DESCRIPTORS_PER_PROCESS = 16000
+MAX_CLIENTS = 4000  # each takes three descriptors in the run's own process
+ENTRY_BYTES = 130  # of a preloaded record in an emulated member's copy; processes share the record itself
+RELAY_RECORD_BYTES = 500  # of a preloaded record in a real relay
+PROCESS_MB = 45.0  # without any members
+
+
+class Spread(StrEnum):
+    """The replication of the store that a size measures."""
+
+    DIGEST = "digest"
+    DELTA = "delta"
+
+
+class Topology(StrEnum):
+    """The links between members: configured as a mesh or a tree, or chosen by members from seeds."""
+
+    MESH = "mesh"
+    TREE = "tree"
+    SEEDS = "seeds"
+
+
+class FaultKind(StrEnum):
+    """The kind of a ``Fault``, which describes them."""
+
+    KILL = "kill"
+    ZONE = "zone"
+    CUT = "cut"
+    LOSS = "loss"
+    RESTART = "restart"
+    DISCOVERY = "discovery"
+
 
 Ratio = Annotated[float, Meta(ge=0, le=1)]
 DelayMs = Annotated[float, Meta(ge=0, le=1000)]
@@ -62,9 +85,8 @@
 
     def validate(self) -> None:
         """Raises InvalidPlanError."""
-        if self.kind not in FAULT_KINDS:
-            raise InvalidPlanError(f"kind: {self.kind} must be one of {', '.join(FAULT_KINDS)}")
-        if self.kind in ("kill", "loss") and not 0 < self.part < 1:
+        _validate_choice("kind", self.kind, FaultKind)
+        if self.kind in (FaultKind.KILL, FaultKind.LOSS) and not 0 < self.part < 1:
             raise InvalidPlanError("part: must be above 0 and under 1")
 
 
@@ -75,19 +97,19 @@
     members: Annotated[int, Meta(ge=2, le=1000)]
     keys: Annotated[int, Meta(ge=0, le=200_000)] = 100
     real: Annotated[int, Meta(ge=0, le=64)] = 0
-    spread: str = "digest"
-    topology: str = "mesh"
+    spread: str = Spread.DIGEST.value
+    topology: str = Topology.MESH.value
     fanout: Annotated[int, Meta(ge=2)] = 8
     per_process: Annotated[int, Meta(ge=1)] = 24
     clients: Annotated[int, Meta(ge=0, le=4000)] = 0  # connected to each real relay, a line every 2 s
-    state_s: NotNegative = 0.0  # an emulated member's interval between two state records; 0: it writes none
+    state_s: NotNegative = 0.0  # an emulated member's interval of state records; it writes none at 0
     faults: tuple[Fault, ...] = ()
     predict: bool = False  # from the smaller ones, before it is run
 
     @property
     def link_count(self) -> int:
         """Links that members dial, where these are configured by hand."""
-        if self.topology == "mesh":
+        if self.topology == Topology.MESH:
             return self.members * (self.members - 1) // 2
         return self.members - 1
 
@@ -149,8 +171,8 @@
     def _validate_size(self, size: Size, earlier_names: list[str]) -> None:
         if size.name in earlier_names:
             raise InvalidPlanError(f"name: {size.name} is there twice")
-        _validate_choice("spread", size.spread, SPREADS)
-        _validate_choice("topology", size.topology, TOPOLOGIES)
+        _validate_choice("spread", size.spread, Spread)
+        _validate_choice("topology", size.topology, Topology)
         if size.real > size.members:
             raise InvalidPlanError("real: must not be above members")
         if size.real * size.clients > MAX_CLIENTS:
@@ -225,8 +247,8 @@
         return windows.settle_s + windows.idle_s + windows.changes_s + windows.tail_s + faults_s
 
 
-def _validate_choice(key: str, value: str, allowed: tuple[str, ...]) -> None:
-    if value not in allowed:
+def _validate_choice(key: str, value: str, allowed: Iterable[str]) -> None:
+    if value not in list(allowed):
         raise InvalidPlanError(f"{key}: {value} must be one of {', '.join(allowed)}")
 
 
--- a/sageturn/lab/scale/predictions.py
+++ b/sageturn/lab/scale/predictions.py
@@ -1,19 +1,17 @@
-"""What control costs a member by a run's size: fits through the runs so far, and predictions from them."""
+"""Predictions of the cost of control for each member, from fits through the runs of smaller sizes."""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable
 from contextlib import suppress
 from dataclasses import dataclass
-from typing import Any
 
-from sageturn.lab.scale.fit import MIN_SIZES, Fit, fit
+from sageturn.lab.runner.result_file import Line
+from sageturn.lab.scale.fit import MIN_SIZES, Estimate, Fit, fit
 from sageturn.lab.scale.plan import Size
 
-Line = dict[str, Any]  # of a result file, by that file's keys
-
-# What costs may be proportional to, from reading the code: a member's ends of links, alone, times the keys,
-# and times the state records that all members write; and a real relay's clients.
+# What costs may be proportional to: a member's link ends, alone, times the keys, and times the state records
+# that all members write in a second; for a real relay also its clients.
 LINK_TERMS = ("links", "links*keys", "links*news")
 CLIENT_TERMS = ("1", "clients")
 
@@ -25,7 +23,7 @@
     members: int
     keys: int
     link_count: float
-    state_interval_s: float  # 0: members write no state records
+    state_interval_s: float  # 0 where members write no state records, as in the experiment file
     clients_per_relay: int
 
     @classmethod
@@ -39,7 +37,7 @@
         return cls(size.members, size.keys, size.link_count, size.state_s, size.clients)
 
     def terms(self) -> dict[str, float]:
-        """Every term's value, for a member on average."""
+        """Returns each term's value, for a member on average."""
         link_ends = 2.0 * self.link_count / self.members
         state_records_per_s = self.members / self.state_interval_s if self.state_interval_s else 0.0
         return {
@@ -55,7 +53,7 @@
 
 
 def is_usable(line: Line) -> bool:
-    """A run whose processes were held up says nothing of a slope."""
+    """Whether a run can be fitted: it was completed, no process was saturated, and it had links."""
     return "failed" not in line and not line["phases"]["idle"]["saturated"] and line["links"] > 0
 
 
@@ -121,7 +119,7 @@
 
 
 def separable_terms(shapes: list[dict[str, float]], terms: tuple[str, ...]) -> list[str]:
-    """The terms that these sizes tell apart: one in constant proportion to the first is left out."""
+    """Returns the terms whose ratio to the first one varies over these sizes, after the first one itself."""
     first = terms[0]
     varying = [
         term for term in terms[1:] if len({round(shape[term] / shape[first], 9) for shape in shapes}) > 1
@@ -129,20 +127,47 @@
     return [first, *varying]
 
 
-def predict(lines: Iterable[Line], size: Size) -> Line:
-    """Predicts the metrics of a size that was not run yet from the fits through the smaller ones."""
+@dataclass(frozen=True, slots=True)
+class Prediction:
+    """The estimate of a metric before a size was run, and the fit that it comes from."""
+
+    estimate: Estimate
+    fit: Fit
+
+    @property
+    def value(self) -> float:
+        """The estimated value."""
+        return self.estimate.value
+
+    def to_line(self) -> Line:
+        """Returns the prediction's part of a result line."""
+        return {
+            "value": self.estimate.value,
+            "low": self.estimate.low,
+            "high": self.estimate.high,
+            "fit": self.fit.to_json(),
+        }
+
+
+def predict(lines: Iterable[Line], size: Size) -> dict[str, Prediction]:
+    """Predicts metrics of a size that was not run yet; those that cannot be fitted are left out."""
     terms = RunShape.of_size(size).terms()
-    predictions: Line = {}
+    predictions = {}
     for metric, fitted in fit_runs(lines, size.spread).items():
         if METRICS[metric].terms == CLIENT_TERMS and not size.clients:
             continue
-        value, low, high = fitted.at([terms[term] for term in fitted.terms])
-        predictions[metric] = {"value": value, "low": low, "high": high, "fit": fitted.to_json()}
+        estimate = fitted.estimate([terms[term] for term in fitted.terms])
+        predictions[metric] = Prediction(estimate, fitted)
     return predictions
 
 
-def judge_predictions(line: Line) -> Line:
-    """The line, with each prediction beside what was measured: inside its interval or not, and the ratio."""
+def encode_predictions(predictions: dict[str, Prediction]) -> Line:
+    """Returns the value of a result line's key ``predicted``."""
+    return {metric: prediction.to_line() for metric, prediction in predictions.items()}
+
+
+def compare_predictions(line: Line) -> Line:
+    """Adds to each prediction of a result line what was measured, unless the run failed. Returns the line."""
     for metric, prediction in line.get("predicted", {}).items():
         if "failed" in line:
             continue
--- a/sageturn/lab/scale/relay_costs.py
+++ b/sageturn/lab/scale/relay_costs.py
@@ -1,10 +1,15 @@
-"""What reading the endpoint list, balancing decisions and flow records cost, by their size."""
+"""Costs of reading the endpoint list, of balancing decisions and of flow records, by their size.
+
+The names of the structures' encoded fields are the keys of a cost line.
+"""
 
 from __future__ import annotations
 
 import json
 from typing import Any
 
+from msgspec import Struct, field
+
 from sageturn import decision
 from sageturn.core.close_reason import CloseReason
 from sageturn.core.connection_record import ConnectionRecord
@@ -14,8 +19,6 @@
 from sageturn.lab.scale.cost_measuring import min_cpu_s
 from sageturn.net.endpoint_list import parse_endpoint_list
 
-Line = dict[str, Any]
-
 REQUESTS_PER_BATCH = 400
 MEASURED_BATCHES = 3
 REQUEST_INTERVAL_MS = 4.0
@@ -23,7 +26,30 @@
 RECORDS_PER_REPEAT = 1000
 
 
-def endpoint_list(hosts: int) -> Line:
+class ListCost(Struct, frozen=True):
+    """The size of an encoded endpoint list, and the processor time to read it."""
+
+    byte_count: int = field(name="octets")
+    read_s: float
+
+
+class DecisionCost(Struct, frozen=True):
+    """Processor time of a request, of a full list and of a list's change; and the part of requests placed."""
+
+    request_s: float
+    list_s: float
+    change_s: float
+    placed_ratio: float = field(name="sent")
+
+
+class FlowCost(Struct, frozen=True):
+    """The size of an encoded flow record, and the processor time to encode it."""
+
+    byte_count: int = field(name="octets")
+    encode_s: float
+
+
+def endpoint_list(hosts: int) -> dict[str, Any]:
     """Returns a full endpoint list as discovery writes it."""
     return {
         "version": 1,
@@ -44,10 +70,10 @@
     }
 
 
-def list_reading(hosts: int) -> Line:
-    """Decoding and checking a full endpoint list."""
+def list_reading(hosts: int) -> ListCost:
+    """Measures the decoding and checking of a full endpoint list."""
     text = json.dumps(endpoint_list(hosts))
-    return {"octets": len(text), "read_s": min_cpu_s(lambda: parse_endpoint_list(json.loads(text)))}
+    return ListCost(len(text), min_cpu_s(lambda: parse_endpoint_list(json.loads(text))))
 
 
 class _RequestLoad:
@@ -59,7 +85,7 @@
         self.placed_count = 0
 
     def run_batch(self) -> None:
-        """The next REQUESTS_PER_BATCH requests."""
+        """Plays the next REQUESTS_PER_BATCH requests."""
         for _ in range(REQUESTS_PER_BATCH):
             self._run_request(self.request_count)
             self.request_count += 1
@@ -73,11 +99,13 @@
             return
         self.placed_count += 1
         self._balancer.handle(now_ms + 1.0, decision.ConnectionEstablished(number, 0, endpoint))
-        self._balancer.handle(now_ms + 2.0, decision.AttemptEnded(number, 0, endpoint, "ok", final=True))
+        self._balancer.handle(
+            now_ms + 2.0, decision.AttemptEnded(number, 0, endpoint, decision.AttemptStatus.OK, final=True)
+        )
 
 
-def decisions(hosts: int) -> Line:
-    """A request's three events at the balancer, a full list, and a list's change of one host."""
+def decisions(hosts: int) -> DecisionCost:
+    """Measures a request's three events at the balancer, a full list, and a list's change of one host."""
     settings = decision.Settings(
         classes=(decision.RequestClass("c", latency_objective_ms=500.0),),
         tenants=(decision.Tenant("t", 1e9, 1e9),),
@@ -87,19 +115,24 @@
     balancer = Balancer(settings, 1)
     listed = parse_endpoint_list(endpoint_list(hosts))
     list_s = min_cpu_s(
-        lambda: balancer.handle(0.0, decision.EndpointListEvent("full", listed.endpoints)), repeats=1
+        lambda: balancer.handle(
+            0.0, decision.EndpointListEvent(decision.ListEventKind.FULL, listed.endpoints)
+        ),
+        repeats=1,
     )
     load = _RequestLoad(balancer)
     load.run_batch()  # the first one warms up
     request_s = min_cpu_s(load.run_batch, MEASURED_BATCHES) / REQUESTS_PER_BATCH
-    draining = [decision.Endpoint("h00001", "draining", zone="z1")]
-    change_s = min_cpu_s(lambda: balancer.handle(1e6, decision.EndpointListEvent("changes", draining)))
+    draining = [decision.Endpoint("h00001", decision.EndpointStatus.DRAINING, zone="z1")]
+    change_s = min_cpu_s(
+        lambda: balancer.handle(1e6, decision.EndpointListEvent(decision.ListEventKind.CHANGES, draining))
+    )
     placed_ratio = load.placed_count / load.request_count
-    return {"request_s": request_s, "list_s": list_s, "change_s": change_s, "sent": placed_ratio}
+    return DecisionCost(request_s, list_s, change_s, placed_ratio)
 
 
-def flow_record(name_length: int) -> Line:
-    """Returns the flow record of one ended connection whose class and tenant have names of that length."""
+def flow_record(name_length: int) -> FlowCost:
+    """Measures the flow record of an ended connection whose class and tenant have names of that length."""
     request = ClientRequest("c" * name_length, "t" * name_length, REQUEST_TIMEOUT_MS)
     record = ConnectionRecord(request, 1.0, client_address=("10.0.0.1", 40000))
     record.endpoint = "h"
@@ -111,4 +144,4 @@
         for _ in range(RECORDS_PER_REPEAT):
             to_flow(record).encode()
 
-    return {"octets": len(to_flow(record).encode()), "encode_s": min_cpu_s(encode) / RECORDS_PER_REPEAT}
+    return FlowCost(len(to_flow(record).encode()), min_cpu_s(encode) / RECORDS_PER_REPEAT)
--- a/sageturn/lab/scale/report.py
+++ b/sageturn/lab/scale/report.py
@@ -1,10 +1,9 @@
-"""What a scale run's lines say: a table, fits and a plot."""
+"""Reports of scale runs: a table, fits and a plot."""
 
 from __future__ import annotations
 
 from collections.abc import Sequence
 from pathlib import Path
-from typing import Any
 
 import matplotlib
 
@@ -13,17 +12,14 @@
 import matplotlib.pyplot as plt
 from matplotlib.axes import Axes
 
-from sageturn.lab.runner.result_file import Results
+from sageturn.lab.runner.result_file import Line, Results
 from sageturn.lab.scale.arrivals import MAX_PROPAGATION_S
 from sageturn.lab.scale.predictions import fit_runs, is_usable, metric_value
 
-Line = dict[str, Any]  # of a result file, by that file's keys
+MAX_BYTES_PER_S = 27_000.0  # of a relay's control traffic
+MAX_CORE = 0.03  # of a relay's control
 
-# The operators' allowance for control, for each relay; with MAX_PROPAGATION_S for a change.
-MAX_BYTES_PER_S = 27_000.0
-MAX_CORE = 0.03
-
-UNMEASURED_S = 30.0  # where the plot shows changes that some member never held
+UNMEASURED_S = 30.0  # plotted for changes that some member never held
 MARKERS = "osd^vx*"
 MAX_FAILURE_CHARS = 60
 
@@ -46,14 +42,14 @@
     "equal",
     "",
 )
-LEADING_COLUMNS = 5  # those of every run, also of a failed one
+LEADING_COLUMNS = 5  # filled in also for a failed run
 
 
 # ---------------------------------------------------------------- table
 
 
 def table(results: Results) -> list[list[str]]:
-    """The column titles, and a row for each run and phase; a run that failed has one row."""
+    """Returns the column titles, and a row for each run and phase; a run that failed has one row."""
     rows = [list(COLUMNS)]
     for line in results.runs:
         if "failed" in line:
@@ -114,10 +110,10 @@
                     slope.terms, slope.values, slope.low, slope.high, strict=True
                 )
             ]
-            straightness = "straight" if slope.is_straight else "NOT straight"
+            linearity = "straight" if slope.is_linear else "NOT straight"
             lines.append(
                 f"{spread}: idle {metric} a member = {' + '.join(terms)}; {slope.size_count} sizes, "
-                f"r2 {slope.r2:.4f}, worst residual {slope.max_residual:.0%}: {straightness}"
+                f"r2 {slope.r2:.4f}, worst residual {slope.max_residual:.0%}: {linearity}"
             )
     return lines
 
--- a/sageturn/lab/scale/results.py
+++ b/sageturn/lab/scale/results.py
@@ -1,4 +1,4 @@
-"""Runs an experiment's sizes and seeds, and keeps a JSON line for each."""
+"""Runs an experiment's sizes and seeds, and appends a JSON line for each to the result file."""
 
 from __future__ import annotations
 
@@ -8,21 +8,19 @@
 import signal
 from collections.abc import Callable
 from pathlib import Path
-from typing import Any
 
 import msgspec
 
-from sageturn.lab.runner.result_file import LIBRARIES, Results, library_version, revision
+from sageturn.lab.runner.result_file import LIBRARIES, Line, Results, library_version, revision
 from sageturn.lab.scale.plan import ScaleExperiment, Size
-from sageturn.lab.scale.predictions import judge_predictions, predict
+from sageturn.lab.scale.predictions import compare_predictions, encode_predictions, predict
 from sageturn.lab.scale.scale_run import run_size
 
-Line = dict[str, Any]  # of a result file, by that file's keys
 ProgressReporter = Callable[[str], None]
 
 
 def encode_head(experiment: ScaleExperiment, root: Path) -> Line:
-    """The first line of a result file: what was run, and by which revision and libraries."""
+    """Returns the first line of a result file: the experiment, the revision and the libraries."""
     return {
         "experiment": json.loads(msgspec.json.encode(experiment)),
         "policies": {},
@@ -36,14 +34,14 @@
 def run(
     experiment: ScaleExperiment, file: Path, root: Path, report_progress: ProgressReporter, only: str = ""
 ) -> Results:
-    """Run what the file does not have yet; ``only`` names one size.
+    """Runs what the file has no results of yet; ``only`` names one size, and all are run if it is empty.
 
     Raises KeyboardInterrupt when interrupted, after the present run and all its processes have ended.
     """
     results = Results(file)
     results.start(encode_head(experiment, root))
     done = results.done()
-    # Sizes that are predicted are run last: what they are predicted from has to be there.
+    # A size is predicted from the results of others, which are run before it.
     for size in sorted(experiment.sizes, key=lambda size: size.predict):
         for seed in experiment.seeds:
             is_done = (size.name, seed, size.spread) in done
@@ -63,7 +61,7 @@
     """Runs one size under one seed; predictions are made before the run."""
     predicted = predict(results.runs, size) if size.predict else {}
     if predicted:
-        values = ", ".join(f"{metric} {found['value']:.4g}" for metric, found in predicted.items())
+        values = ", ".join(f"{metric} {found.value:.4g}" for metric, found in predicted.items())
         report_progress(f"{size.name}: predicted {values}")
     measured = _run_interruptibly(experiment, size, seed, report_progress)
     line = {
@@ -74,8 +72,8 @@
         **measured,
     }
     if predicted:
-        line["predicted"] = predicted
-    return judge_predictions(line)
+        line["predicted"] = encode_predictions(predicted)
+    return compare_predictions(line)
 
 
 def _run_interruptibly(
--- a/sageturn/lab/scale/scale_run.py
+++ b/sageturn/lab/scale/scale_run.py
@@ -10,46 +10,50 @@
 from pathlib import Path
 from random import Random
 from tempfile import TemporaryDirectory
-from typing import Any
 
+from sageturn.lab.runner.result_file import Line
+from sageturn.lab.scale.arrivals import DurationSummary
 from sageturn.lab.scale.child_process import ChildProcess
-from sageturn.lab.scale.environment import Clients, Hosts, ScaleDiscovery
+from sageturn.lab.scale.environment import ClientCounts, Clients, DiscoveryCounts, Hosts, ScaleDiscovery
 from sageturn.lab.scale.errors import BoundExceededError, describe_failure
 from sageturn.lab.scale.fleet import Fleet
 from sageturn.lab.scale.jobs import JobBuilder, PortReservations
-from sageturn.lab.scale.member_group import count_links, encode_memory
-from sageturn.lab.scale.phases import PhaseRunner
-from sageturn.lab.scale.plan import ScaleExperiment, Size
+from sageturn.lab.scale.member_group import CopyComparison, MemberMemory, count_links, member_memory
+from sageturn.lab.scale.phases import PhaseResult, PhaseRunner
+from sageturn.lab.scale.plan import ScaleExperiment, Size, Topology
 from sageturn.lab.scale.units import BYTES_PER_GB, BYTES_PER_MB, MS_PER_S, S_PER_MINUTE
 
 BOUNDS_CHECK_INTERVAL_S = 0.5
 CLIENT_POLL_INTERVAL_S = 0.1
 
-Line = dict[str, Any]  # of a result file, by that file's keys
-
 
 @dataclass(slots=True)
 class RunResult:
-    """Results of one run; ``listed``, ``memory``, ``phases`` and ``equal`` are parts of the result line."""
+    """The results of one run, filled in while it proceeds; a part is None until it was measured."""
 
     size: Size
     process_count: int = 0
-    started_s: float = 0.0  # how long it took to start all members
+    started_s: float = 0.0  # duration of the start of all members
     linked_s: float | None = None  # until all configured links were up; None where members choose theirs
-    listed: Line = field(default_factory=dict)
+    listed: DurationSummary | None = None  # from the start until each member had the endpoint list
     link_count: float = 0.0
-    memory: Line = field(default_factory=dict)
-    phases: dict[str, Line] = field(default_factory=dict)
-    equal: Line = field(default_factory=dict)
-    discovery: Line = field(default_factory=dict)
-    clients: Line | None = None
+    memory: MemberMemory | None = None
+    phases: dict[str, PhaseResult] = field(default_factory=dict)
+    copies: CopyComparison | None = None
+    discovery: DiscoveryCounts | None = None
+    host_count: int = 0
+    clients: ClientCounts | None = None  # stays None in a run without clients
     took_s: float = 0.0
     load_before: float = 0.0
     load_after: float = 0.0
     peak_memory: int = 0  # bytes, of all child processes together
 
     def to_line(self) -> Line:
-        """The run's part of its result line."""
+        """Returns the run's part of its result line. The run must have been completed."""
+        assert self.listed is not None
+        assert self.memory is not None
+        assert self.copies is not None
+        assert self.discovery is not None
         return {
             "members": self.size.members,
             "keys": self.size.keys,
@@ -61,13 +65,13 @@
             "processes": self.process_count,
             "started_s": round(self.started_s, 2),
             "linked_s": self.linked_s,
-            "listed": self.listed,
+            "listed": self.listed.to_line(),
             "links": self.link_count,
-            "memory": self.memory,
-            "phases": self.phases,
-            "equal": self.equal,
-            "discovery": self.discovery,
-            "clients": self.clients,
+            "memory": self.memory.to_line(),
+            "phases": {name: phase.to_line() for name, phase in self.phases.items()},
+            "equal": self.copies.to_line(),
+            "discovery": {**self.discovery.to_line(), "hosts": self.host_count},
+            "clients": None if self.clients is None else self.clients.to_line(),
             "took_s": round(self.took_s, 1),
             "load_before": round(self.load_before, 2),
             "load_after": round(self.load_after, 2),
@@ -76,7 +80,7 @@
 
 
 def encode_failed_run(size: Size, error: BaseException) -> Line:
-    """The line of a run that was ended early."""
+    """Returns the result line's part for a run that was ended early."""
     return {
         "members": size.members,
         "keys": size.keys,
@@ -104,7 +108,7 @@
         self._result = RunResult(size)
 
     async def run(self) -> Line:
-        """The run's result line; whatever happens, no process is left behind.
+        """Returns the run's part of its result line; all child processes have ended, also after an error.
 
         Raises ScaleRunError, BoundExceededError among them, and TimeoutError where processes start slowly.
         """
@@ -158,9 +162,10 @@
         await asyncio.sleep(self._experiment.windows.settle_s)
         await self._run_phases(phases)
         result = self._result
-        result.equal = await phases.members.compare_copies(self._experiment.interval_s)
-        result.discovery = discovery.encode_counts() | {"hosts": self._hosts.count}
-        result.clients = self._clients.encode_counts() if self._clients is not None else None
+        result.copies = await phases.members.compare_copies(self._experiment.interval_s)
+        result.discovery = discovery.counts()
+        result.host_count = self._hosts.count
+        result.clients = self._clients.counts() if self._clients is not None else None
 
     async def _start_environment(self) -> ScaleDiscovery:
         await self._hosts.start()
@@ -188,7 +193,7 @@
         await members.start_all()
         result.started_s = time.monotonic() - began_s
         result.listed = await members.wait_until_listed(began_s, timeout_s)
-        if self._size.topology != "seeds":  # there members choose their links themselves
+        if self._size.topology != Topology.SEEDS:  # there members choose their links themselves
             result.linked_s = await members.wait_until_linked(self._size.link_count, timeout_s)
 
     async def _start_clients(self) -> None:
@@ -209,7 +214,7 @@
         result.phases["idle"] = await phases.run_idle()
         statuses = await phases.members.process_statuses()
         result.link_count = count_links(statuses)
-        result.memory = encode_memory(phases.members.processes, statuses)
+        result.memory = member_memory(phases.members.processes, statuses)
         result.phases["changes"] = await phases.run_changes(None)
         for number, fault in enumerate(self._size.faults):
             result.phases[f"{number}:{fault.kind}"] = await phases.run_changes(fault)
@@ -218,7 +223,7 @@
 async def run_size(
     experiment: ScaleExperiment, size: Size, seed: int, report_progress: Callable[[str], None]
 ) -> Line:
-    """A line for the results; where a bound or a failed process ended the run, the line says so."""
+    """Runs a size. Returns its part of a result line, also where a bound or a failed process ended it."""
     with TemporaryDirectory(prefix="sageturn-scale-") as folder:
         report_progress(f"{size.name} seed {seed}: {size.members} members, {size.keys} keys, {size.spread}")
         try:
--- a/sageturn/lab/scale/store_costs.py
+++ b/sageturn/lab/scale/store_costs.py
@@ -1,4 +1,7 @@
-"""What the store's parts cost by the number of keys: memory, digests, the log, and an operator's command."""
+"""Costs of the store by the number of keys: memory, digests, the log, and an operator's command.
+
+The names of the structures' encoded fields are the keys of a cost line.
+"""
 
 from __future__ import annotations
 
@@ -12,11 +15,14 @@
 from importlib.util import find_spec
 from pathlib import Path
 from tempfile import TemporaryDirectory
-from typing import Any
+from typing import NamedTuple
+
+from msgspec import Struct, field
 
 from sageturn.lab.scale.cost_measuring import make_store, min_cpu_s
 from sageturn.lab.scale.digests import MAX_FRAME_BYTES, LinkOptions, missing_from
 from sageturn.lab.scale.members import Location, make_replication, preload
+from sageturn.lab.scale.plan import Spread
 from sageturn.net.admission import AdmissionController, ProcessLimits
 from sageturn.store.channel import read_secret
 from sageturn.store.records import parse_record
@@ -24,7 +30,6 @@
 from sageturn.store.store import Store
 
 Address = tuple[str, int]
-Line = dict[str, Any]
 
 SECRET = "costs"
 SERVER_START_TIMEOUT_S = 60.0
@@ -32,8 +37,40 @@
 LOG_READ_REPEATS = 3
 
 
-def store_memory(keys: int) -> Line:
-    """Bytes that Python holds for a copy whose records came over a link."""
+class MemoryCost(Struct, frozen=True):
+    """The memory of a copy, and the number of records in it."""
+
+    byte_count: int = field(name="octets")
+    record_count: int = field(name="kept")
+
+
+class DigestCost(Struct, frozen=True):
+    """The size of a digest, the processor time to write and to compare it, and its share of a frame."""
+
+    byte_count: int = field(name="octets")
+    write_s: float
+    compare_s: float
+    frame_ratio: float = field(name="frame_part")
+
+
+class LogCost(Struct, frozen=True):
+    """The size of a log, the time to make one change durable, and the processor time to read the log."""
+
+    byte_count: int = field(name="octets")
+    put_s: float
+    read_s: float
+
+
+class CommandCost(Struct, frozen=True):
+    """The time until a command has a complete copy, and until it ends; and the records of the copy."""
+
+    copied_s: float
+    done_s: float
+    record_count: int = field(name="kept")
+
+
+def store_memory(keys: int) -> MemoryCost:
+    """Measures the bytes that Python holds for a copy whose records came over a link."""
     text = json.dumps([record.to_json() for record in preload(keys)])
     gc.collect()
     tracemalloc.start()
@@ -42,11 +79,11 @@
     gc.collect()
     byte_count, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    return {"octets": byte_count, "kept": len(store.keys())}
+    return MemoryCost(byte_count, len(store.keys()))
 
 
-def store_digest(keys: int) -> Line:
-    """Exchanges one digest: one side makes and writes it, the other reads and compares it."""
+def store_digest(keys: int) -> DigestCost:
+    """Measures an exchange of one digest: one side makes and writes it, the other reads and compares it."""
     store = make_store(keys)
     text = json.dumps({"digest": store.digest()}, separators=(",", ":"))
 
@@ -61,16 +98,16 @@
         own = store.digest()
         all(key in own and own[key] >= order for key, order in received.items())
 
-    return {
-        "octets": len(text),
-        "write_s": min_cpu_s(write),
-        "compare_s": min_cpu_s(compare),
-        "frame_part": len(text) / MAX_FRAME_BYTES,
-    }
+    return DigestCost(
+        byte_count=len(text),
+        write_s=min_cpu_s(write),
+        compare_s=min_cpu_s(compare),
+        frame_ratio=len(text) / MAX_FRAME_BYTES,
+    )
 
 
-def store_log(keys: int) -> Line:
-    """Bytes on the disk, time to read them at a start, and time to make one change durable there."""
+def store_log(keys: int) -> LogCost:
+    """Measures the log's size on the disk, its reading at a start, and a durable change."""
     with TemporaryDirectory(prefix="sageturn-costs-") as folder:
         path = Path(folder) / "log"
         store = Store("r0001", path)
@@ -82,14 +119,14 @@
         put_s = (time.perf_counter() - began_s) / LOG_PUT_COUNT
         store.close()
         read_s = min_cpu_s(lambda: Store("r0001", path).close(), LOG_READ_REPEATS)
-    return {"octets": byte_count, "put_s": put_s, "read_s": read_s}
+    return LogCost(byte_count, put_s, read_s)
 
 
 # ---------------------------------------------------------------- an operator's command
 
 
-def operator_command(keys: int) -> Line:
-    """``sageturn store --connect``: a short-lived copy. In one process, so both sides' work is in it."""
+def operator_command(keys: int) -> CommandCost:
+    """Measures ``sageturn store --connect``, which makes a short-lived copy; both sides run here."""
     address: Future[Address] = Future()
     finished = threading.Event()
     thread = threading.Thread(target=asyncio.run, args=(_serve_store(keys, address, finished),))
@@ -97,17 +134,17 @@
     try:
         server_address = address.result(SERVER_START_TIMEOUT_S)
         began_s = time.perf_counter()
-        copied_s, key_count = asyncio.run(_read_and_write(server_address))
+        copied = asyncio.run(_read_and_write(server_address))
         done_s = time.perf_counter()
-        return {"copied_s": copied_s - began_s, "done_s": done_s - began_s, "kept": key_count}
+        return CommandCost(copied.moment_s - began_s, done_s - began_s, copied.record_count)
     finally:
         finished.set()
         thread.join()
 
 
 async def _serve_store(keys: int, address: Future[Address], finished: threading.Event) -> None:
-    """A member that replicates as the program's own does, which is what the command speaks."""
-    spread = "delta" if find_spec("sageturn.store.replication") else "digest"
+    """Serves a copy by the program's own replication, which the command uses, until ``finished`` is set."""
+    spread = Spread.DELTA if find_spec("sageturn.store.replication") else Spread.DIGEST
     replication = make_replication(
         spread,
         make_store(keys),
@@ -121,10 +158,17 @@
     await replication.stop()
 
 
-async def _read_and_write(address: Address) -> tuple[float, int]:
-    """The moment at which the copy was complete, and how many keys were in it."""
+class _CompleteCopy(NamedTuple):
+    """The moment at which a copy was complete, and the number of its records."""
+
+    moment_s: float
+    record_count: int
+
+
+async def _read_and_write(address: Address) -> _CompleteCopy:
+    """Copies the store at ``address``, and puts a change there."""
     async with open_ephemeral_client(address, read_secret(SECRET)) as store:
         copied_s = time.perf_counter()
-        key_count = len(store.keys("shards/"))
+        record_count = len(store.keys("shards/"))
         store.put("change", 1)
-    return copied_s, key_count
+    return _CompleteCopy(copied_s, record_count)
--- a/sageturn/lab/scale/usage.py
+++ b/sageturn/lab/scale/usage.py
@@ -13,25 +13,92 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
+from typing import NamedTuple
 
 import numpy as np
 
+from sageturn.lab.runner.result_file import Line
 from sageturn.lab.scale import counting
 from sageturn.lab.scale.child_process import ChildProcess
 from sageturn.lab.scale.child_protocol import Role
 from sageturn.lab.scale.counting import Counts
 
-# A process that uses more of a core is held up, and so are its figures: over a window, and within one sample.
-MAX_SOUND_CORE = 0.85
-MAX_SOUND_CORE_PEAK = 0.95
+MAX_UNSATURATED_CORE = 0.85  # of one process over a window
+MAX_UNSATURATED_CORE_PEAK = 0.95  # of one process within one sample
 PEAK_SAMPLE_INTERVAL_S = 1.0
 
 CONTROL_PURPOSES = ("store", "list")
+MIN_CPU_S = 1e-9  # keeps a ratio to processor time finite
+
+
+class MemberRate(NamedTuple):
+    """A count in a second, on average over members and of the member with the highest."""
+
+    mean: float
+    maximum: float
+
+
+@dataclass(frozen=True, slots=True)
+class RoleUsage:
+    """The use of the members of one role in a window."""
+
+    mean_core: float
+    max_core: float
+    traffic: dict[str, MemberRate]  # by purpose and field of the counters, ``store_in_octets``
+    control_bytes: MemberRate  # both ways, of all CONTROL_PURPOSES
+
+    def to_line(self) -> dict[str, float]:
+        """Returns the role's part of a result line."""
+        line = {"core": round(self.mean_core, 6), "core_busiest": round(self.max_core, 6)}
+        for name, rate in {**self.traffic, "octets": self.control_bytes}.items():
+            line[name] = round(rate.mean, 1)
+            line[f"{name}_most"] = round(rate.maximum, 1)
+        return line
+
+
+@dataclass(frozen=True, slots=True)
+class UsageByRole:
+    """The use of the processes with members in a window; ``roles`` has those that have any member."""
+
+    took_s: float
+    is_saturated: bool  # some process used more than MAX_UNSATURATED_CORE
+    roles: dict[Role, RoleUsage]
+
+
+@dataclass(frozen=True, slots=True)
+class WindowUsage:
+    """The use of all processes in a window."""
+
+    by_role: UsageByRole
+    max_link_core: float
+    run_queue_ratio: float  # time in which processes waited for a core, to the time that they used
+    peak_core: float  # of one process
+    peak_cores: float  # of all processes together
+    relay_disk_bytes: list[int]  # since the start of each real relay
+    relay_descriptors: list[int]
+
+    @property
+    def is_saturated(self) -> bool:
+        """Whether some process used so much of a core that the window's figures are distorted."""
+        return self.by_role.is_saturated or self.peak_core > MAX_UNSATURATED_CORE_PEAK
+
+    def to_line(self) -> Line:
+        """Returns the window's part of a result line."""
+        return {
+            "took_s": round(self.by_role.took_s, 2),
+            "saturated": self.is_saturated,
+            **{role.value: usage.to_line() for role, usage in self.by_role.roles.items()},
+            "lanes_core_most": round(self.max_link_core, 4),
+            "waited": round(self.run_queue_ratio, 3),
+            "core_peak": round(self.peak_core, 3),
+            "cores_peak": round(self.peak_cores, 2),
+            "disk_octets_real": self.relay_disk_bytes,
+            "descriptors_real": self.relay_descriptors,
+        }
 
 
 class PeakUsage:
-    """The most that one process, and that all together, used in any sample of a window, in cores."""
+    """Measures the maximum use of one process, and of all together, in any sample, in cores."""
 
     def __init__(self) -> None:
         self.one_process = 0.0
@@ -107,73 +174,78 @@
         self._sampling = asyncio.ensure_future(self._peaks.sample_forever(processes))
 
     def close(self) -> None:
-        """Stop sampling; also when what ran in the window failed."""
+        """Stops sampling. Call it also when the window's work failed."""
         self._sampling.cancel()
 
-    def finish(self) -> dict[str, Any]:
-        """The window's part of a result line."""
+    def finish(self) -> WindowUsage:
+        """Returns the use from the construction until now."""
         took_s = time.monotonic() - self._began_s
         used = UsageSnapshot.take(self._processes).since(self._before)
         members = [process for process in self._processes if process.member_names]
-        line = encode_usage([process.role for process in members], used.counts, used.member_cpu_s, took_s)
-        line["lanes_core_most"] = round(max(used.link_cpu_s) / took_s, 4)
-        cpu_s = sum(used.member_cpu_s) + sum(used.link_cpu_s)
-        line["waited"] = round(used.run_queue_s / max(1e-9, cpu_s), 3)
-        line["core_peak"] = round(self._peaks.one_process, 3)
-        line["cores_peak"] = round(self._peaks.all_processes, 2)
-        line["saturated"] = line["saturated"] or self._peaks.one_process > MAX_SOUND_CORE_PEAK
         relays = [process for process in members if process.role is Role.REAL]
-        line["disk_octets_real"] = [process.disk_bytes_written() for process in relays]
-        line["descriptors_real"] = [process.descriptor_count() for process in relays]
-        return line
+        cpu_s = sum(used.member_cpu_s) + sum(used.link_cpu_s)
+        return WindowUsage(
+            by_role=usage_by_role(
+                [process.role for process in members], used.counts, used.member_cpu_s, took_s
+            ),
+            max_link_core=max(used.link_cpu_s) / took_s,
+            run_queue_ratio=used.run_queue_s / max(MIN_CPU_S, cpu_s),
+            peak_core=self._peaks.one_process,
+            peak_cores=self._peaks.all_processes,
+            relay_disk_bytes=[process.disk_bytes_written() for process in relays],
+            relay_descriptors=[process.descriptor_count() for process in relays],
+        )
 
 
 # ---------------------------------------------------------------- per role
 
 
-def encode_usage(
+def usage_by_role(
     roles: Sequence[str], counts: Sequence[Sequence[Counts]], cpu_s: Sequence[float], took_s: float
-) -> dict[str, Any]:
-    """Use a second and a member by role, for a result line. Pure: one entry of each list a process."""
-    line: dict[str, Any] = {
-        "took_s": round(took_s, 2),
-        "saturated": any(used_s / took_s > MAX_SOUND_CORE for used_s in cpu_s),
-    }
+) -> UsageByRole:
+    """Returns the use of members by role. Pure; each list has one entry for each process."""
+    usage = UsageByRole(took_s, any(used_s / took_s > MAX_UNSATURATED_CORE for used_s in cpu_s), {})
     for role in (Role.EMULATED, Role.REAL):
         processes = [
-            (members, used_s)
+            _ProcessUsage(members, used_s)
             for process_role, members, used_s in zip(roles, counts, cpu_s, strict=True)
             if process_role == role
         ]
-        if any(members for members, _ in processes):
-            line[role.value] = _encode_role(processes, took_s)
-    return line
+        if any(process.counts for process in processes):
+            usage.roles[role] = _role_usage(processes, took_s)
+    return usage
+
+
+class _ProcessUsage(NamedTuple):
+    """The use of one process: the counts of its members, and its processor time."""
 
+    counts: Sequence[Counts]
+    cpu_s: float
 
-def _encode_role(processes: Sequence[tuple[Sequence[Counts], float]], took_s: float) -> dict[str, float]:
-    members = [count for counts, _ in processes for count in counts]
-    line: dict[str, float] = {
-        "core": sum(used_s for _, used_s in processes) / len(members) / took_s,
-        "core_busiest": max(_busiest_cpu_s(counts, used_s) for counts, used_s in processes) / took_s,
-    }
+    def busiest_member_cpu_s(self) -> float:
+        """Returns the process's time times the share of messages that its busiest member has."""
+        messages = [
+            count.sum("in_messages", *CONTROL_PURPOSES) + count.sum("out_messages", *CONTROL_PURPOSES)
+            for count in self.counts
+        ]
+        return self.cpu_s * max(messages) / max(1, sum(messages))
+
+
+def _role_usage(processes: Sequence[_ProcessUsage], took_s: float) -> RoleUsage:
+    members = [count for process in processes for count in process.counts]
+    traffic = {}
     for purpose in counting.PURPOSES:
         for field in counting.FIELDS:
             rates = [count.values[purpose][field] / took_s for count in members]
             if any(rates):
-                line[f"{purpose}_{field}"] = float(np.mean(rates))
-                line[f"{purpose}_{field}_most"] = max(rates)
+                traffic[f"{purpose}_{field}"] = MemberRate(float(np.mean(rates)), max(rates))
     control_bytes = [
         count.sum("in_octets", *CONTROL_PURPOSES) + count.sum("out_octets", *CONTROL_PURPOSES)
         for count in members
     ]
-    line["octets"] = float(np.mean(control_bytes)) / took_s
-    line["octets_most"] = max(control_bytes) / took_s
-    return {name: round(value, 6 if name.startswith("core") else 1) for name, value in line.items()}
-
-
-def _busiest_cpu_s(counts: Sequence[Counts], used_s: float) -> float:
-    messages = [
-        count.sum("in_messages", *CONTROL_PURPOSES) + count.sum("out_messages", *CONTROL_PURPOSES)
-        for count in counts
-    ]
-    return used_s * max(messages) / max(1, sum(messages))
+    return RoleUsage(
+        mean_core=sum(process.cpu_s for process in processes) / len(members) / took_s,
+        max_core=max(process.busiest_member_cpu_s() for process in processes) / took_s,
+        traffic=traffic,
+        control_bytes=MemberRate(float(np.mean(control_bytes)) / took_s, max(control_bytes) / took_s),
+    )
--- a/tests/lab/test_scale_costs.py
+++ b/tests/lab/test_scale_costs.py
@@ -17,24 +17,23 @@
 def test_each_part_is_measured_at_the_size_it_is_asked_for() -> None:
     digest = store_costs.store_digest(30)
     frame = json.dumps({"digest": make_store(30).digest()}, separators=(",", ":"))
-    assert digest["octets"] == len(frame) and digest["frame_part"] == pytest.approx(len(frame) / (4 << 20))
+    assert digest.byte_count == len(frame) and digest.frame_ratio == pytest.approx(len(frame) / (4 << 20))
     memory = store_costs.store_memory(300)
-    assert memory["kept"] == 300 and memory["octets"] > 300 * 100
+    assert memory.record_count == 300 and memory.byte_count > 300 * 100
     log = store_costs.store_log(30)
-    assert log["octets"] > 30 * 50 and log["put_s"] > 0
+    assert log.byte_count > 30 * 50 and log.put_s > 0
     copied = store_costs.operator_command(450)  # three frames
-    assert copied["kept"] == 450 and 0 < copied["copied_s"] <= copied["done_s"]
-    assert relay_costs.list_reading(40)["octets"] > 40 * 100
-    assert relay_costs.decisions(12)["sent"] == 1.0
-    assert relay_costs.flow_record(9)["octets"] - relay_costs.flow_record(8)["octets"] == 2, (
-        "class and tenant"
-    )
+    assert copied.record_count == 450 and 0 < copied.copied_s <= copied.done_s
+    assert relay_costs.list_reading(40).byte_count > 40 * 100
+    assert relay_costs.decisions(12).placed_ratio == 1.0
+    longer, shorter = relay_costs.flow_record(9), relay_costs.flow_record(8)
+    assert longer.byte_count - shorter.byte_count == 2, "class and tenant"
 
 
 def test_calls_for_the_list_queue_up_where_discovery_is_slower_than_they_arrive() -> None:
     quick, slow = list_calls(60, 2.0, True, 1), list_calls(60, 130.0, True, 1)
-    assert quick["failed"] == 0 and quick["calls"] == 60 and quick["last_s"] < 2.0
-    assert slow["failed"] > 0 and slow["calls"] == 60 + slow["failed"] and slow["last_s"] > 60 * 0.13
+    assert quick.failed == 0 and quick.calls == 60 and quick.last_s < 2.0
+    assert slow.failed > 0 and slow.calls == 60 + slow.failed and slow.last_s > 60 * 0.13
     assert list_calls(60, 130.0, True, 1) == slow, "the same seed, the same day"
 
 
--- a/tests/lab/test_scale_counting.py
+++ b/tests/lab/test_scale_counting.py
@@ -11,9 +11,10 @@
 import pytest
 
 from sageturn.lab.scale import counting
-from sageturn.lab.scale.arrivals import encode_durations
+from sageturn.lab.scale.arrivals import summarize_durations
+from sageturn.lab.scale.child_protocol import Role
 from sageturn.lab.scale.counting import CountingSocket, Counts, owned
-from sageturn.lab.scale.usage import encode_usage
+from sageturn.lab.scale.usage import WindowUsage, usage_by_role
 
 
 def test_a_counting_socket_agrees_with_the_kernel(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -77,16 +78,62 @@
 
 def test_processor_time_is_divided_evenly_and_by_messages_for_the_busiest() -> None:
     rows = [[counts_of(10, 100), counts_of(30, 300)], [counts_of(40, 400)]]
-    usage = encode_usage(["hollow", "real"], rows, [0.4, 0.5], 10.0)
-    assert usage["hollow"]["core"] == pytest.approx(0.02) and usage["real"]["core"] == pytest.approx(0.05)
-    assert usage["hollow"]["core_busiest"] == pytest.approx(0.04 * 30 / 40)
-    assert usage["hollow"]["octets"] == 20.0 and usage["hollow"]["octets_most"] == 30.0
-    assert not usage["saturated"] and encode_usage(["real"], rows[1:], [9.0], 10.0)["saturated"]
+    usage = usage_by_role(["hollow", "real"], rows, [0.4, 0.5], 10.0)
+    emulated = usage.roles[Role.EMULATED].to_line()
+    relay = usage.roles[Role.REAL].to_line()
+    assert emulated["core"] == pytest.approx(0.02) and relay["core"] == pytest.approx(0.05)
+    assert emulated["core_busiest"] == pytest.approx(0.04 * 30 / 40)
+    assert emulated["octets"] == 20.0 and emulated["octets_most"] == 30.0
+    assert not usage.is_saturated and usage_by_role(["real"], rows[1:], [9.0], 10.0).is_saturated
+
+
+def make_window_usage(core: float, peak_core: float) -> WindowUsage:
+    counts = [[counts_of(10, 100)]]
+    return WindowUsage(
+        by_role=usage_by_role(["hollow"], counts, [core * 10.0], 10.0),
+        max_link_core=0.5,
+        run_queue_ratio=0.25,
+        peak_core=peak_core,
+        peak_cores=1.5,
+        relay_disk_bytes=[],
+        relay_descriptors=[],
+    )
+
+
+def test_a_window_is_encoded_by_the_keys_of_a_result_line() -> None:
+    line = make_window_usage(core=0.5, peak_core=0.6).to_line()
+    assert list(line) == [
+        "took_s",
+        "saturated",
+        "hollow",
+        "lanes_core_most",
+        "waited",
+        "core_peak",
+        "cores_peak",
+        "disk_octets_real",
+        "descriptors_real",
+    ]
+    assert line["hollow"] == {
+        "core": 0.5,
+        "core_busiest": 0.5,
+        "store_in_octets": 10.0,
+        "store_in_octets_most": 10.0,
+        "store_in_messages": 1.0,
+        "store_in_messages_most": 1.0,
+        "octets": 10.0,
+        "octets_most": 10.0,
+    }
+
+
+def test_a_process_saturates_a_window_by_its_mean_or_by_its_peak() -> None:
+    assert make_window_usage(core=0.5, peak_core=0.95).to_line()["saturated"] is False
+    assert make_window_usage(core=0.5, peak_core=0.96).to_line()["saturated"] is True
+    assert make_window_usage(core=0.86, peak_core=0.9).to_line()["saturated"] is True
 
 
 def test_durations_are_encoded_with_those_that_never_arrived() -> None:
-    assert encode_durations([]) == {"n": 0}
-    encoded = encode_durations([0.1] * 98 + [5.0, float("inf")])
+    assert summarize_durations([]).to_line() == {"n": 0}
+    encoded = summarize_durations([0.1] * 98 + [5.0, float("inf")]).to_line()
     assert (encoded["p50"], encoded["p99"], encoded["worst"]) == (0.1, 5.0, None)
     assert encoded["over_4s"] == 2 and encoded["never"] == 1
     assert msgspec.json.decode(msgspec.json.encode(encoded)) == encoded
--- a/tests/lab/test_scale_fits.py
+++ b/tests/lab/test_scale_fits.py
@@ -9,32 +9,37 @@
 from hypothesis import strategies as st
 
 from sageturn.lab.runner.result_file import Results
-from sageturn.lab.scale.arrivals import encode_durations
+from sageturn.lab.scale.arrivals import summarize_durations
 from sageturn.lab.scale.errors import FitError
 from sageturn.lab.scale.fit import fit, fit_exponent
-from sageturn.lab.scale.plan import (
-    Size,
+from sageturn.lab.scale.plan import Size
+from sageturn.lab.scale.predictions import (
+    compare_predictions,
+    encode_predictions,
+    fit_runs,
+    mean_of_members,
+    predict,
 )
-from sageturn.lab.scale.predictions import fit_runs, judge_predictions, mean_of_members, predict
 from sageturn.lab.scale.report import fit_lines, plot, table
 
 
 def test_a_straight_line_is_distinguished_from_a_bent_one() -> None:
     rows = [[1.0, members] for members in (10.0, 20.0, 40.0, 80.0)]
     line = fit(("1", "n"), rows, [5.0 + 3.0 * members for _, members in rows])
-    assert line.values == pytest.approx((5.0, 3.0)) and line.is_straight and line.r2 == pytest.approx(1.0)
-    middle, low, high = line.at([1.0, 160.0])
+    assert line.values == pytest.approx((5.0, 3.0)) and line.is_linear and line.r2 == pytest.approx(1.0)
+    middle, low, high = line.estimate([1.0, 160.0])
     assert middle == pytest.approx(485.0) and low == pytest.approx(middle) == high
     bent = fit(("1", "n"), rows, [members * members for _, members in rows])
-    assert not bent.is_straight and bent.max_residual > 0.2
-    assert bent.at([1.0, 160.0])[2] - bent.at([1.0, 160.0])[1] > 1000.0, "a bent line has a wide interval"
+    assert not bent.is_linear and bent.max_residual > 0.2
+    _, low, high = bent.estimate([1.0, 160.0])
+    assert high - low > 1000.0, "a bent line has a wide interval"
 
 
 def test_three_sizes_are_too_few_for_a_slope_however_straight() -> None:
     rows = [[1.0, members] for members in (10.0, 20.0, 40.0)]
-    assert not fit(("1", "n"), rows, [2.0 * members for _, members in rows]).is_straight
+    assert not fit(("1", "n"), rows, [2.0 * members for _, members in rows]).is_linear
     again = [*rows, rows[0]]
-    assert not fit(("1", "n"), again, [2.0 * members for _, members in again]).is_straight, (
+    assert not fit(("1", "n"), again, [2.0 * members for _, members in again]).is_linear, (
         "the same size twice is one"
     )
 
@@ -86,7 +91,7 @@
 def run_line(members: int, keys: int, octets: float, **more: object) -> dict[str, object]:
     used = {"octets": octets, "octets_most": octets, "core": octets / 1e6, "core_busiest": octets / 1e6}
     phase = {"saturated": False, "hollow": used}
-    last = {"last": encode_durations([0.1, 0.2])}
+    last = {"last": summarize_durations([0.1, 0.2]).to_line()}
     return {
         "scenario": f"m{members}",
         "seed": 1,
@@ -112,13 +117,15 @@
     saturated["phases"]["idle"]["saturated"] = True  # type: ignore[index]
     lines += [saturated, {"failed": "minutes", "spread": "digest"}]
     size = Size("m32", 32, keys=100)
-    predicted_line = predict(lines, size)
-    assert predicted_line["octets"]["value"] == pytest.approx(31 * (70.0 + 2700.0))
+    predictions = predict(lines, size)
+    assert predictions["octets"].value == pytest.approx(31 * (70.0 + 2700.0))
     assert fit_runs(lines, "digest")["octets"].size_count == 4 and fit_runs(lines, "delta") == {}
-    came = judge_predictions(run_line(32, 100, 31 * 2770.0 * 3.0, predicted=predicted_line))
+    predicted = encode_predictions(predictions)
+    came = compare_predictions(run_line(32, 100, 31 * 2770.0 * 3.0, predicted=predicted))
     assert came["predicted"]["octets"]["inside"] is False
     assert came["predicted"]["octets"]["ratio"] == pytest.approx(3.0)
-    failed = judge_predictions({"failed": "memory_gb", "predicted": predict(lines, size)})
+    unmeasured = encode_predictions(predictions)
+    failed = compare_predictions({"failed": "memory_gb", "predicted": unmeasured})
     assert failed["predicted"]["octets"].keys() == {"value", "low", "high", "fit"}
     assert predict(lines[:3], size) == {}, "three sizes determine no slope"
 
@@ -133,7 +140,7 @@
     slope = fit_runs(chatty, "digest")["octets"]
     assert slope.terms == ("links", "links*news") and slope.values == pytest.approx((2700.0, 190.0))
     predicted = predict(chatty, Size("m64", 64, keys=100, state_s=5.0))
-    assert predicted["octets"]["value"] == pytest.approx(63 * (2700.0 + 190.0 * 64 / 5.0))
+    assert predicted["octets"].value == pytest.approx(63 * (2700.0 + 190.0 * 64 / 5.0))
 
 
 def test_real_relays_are_fitted_by_their_clients_and_all_members_by_their_links() -> None:
@@ -149,7 +156,7 @@
     assert found["real_mb"].values == pytest.approx((30.0, 0.04))
     assert "octets" not in found, "there is one size of links"
     predicted = predict(lines, Size("c4000", 2, real=1, clients=4000))
-    assert predicted["real_mb"]["value"] == pytest.approx(190.0)
+    assert predicted["real_mb"].value == pytest.approx(190.0)
     assert predict(lines, Size("c0", 2, real=1)) == {}
     assert mean_of_members(lines[0], "octets") == pytest.approx((2700.0 + 3700.0) / 2.0)
 
