--- a/sageturn/lab/scale/child_process.py
+++ b/sageturn/lab/scale/child_process.py
@@ -3,24 +3,26 @@
 from __future__ import annotations
 
 import asyncio
-import json
 import os
 import subprocess
 import sys
 from contextlib import suppress
 from pathlib import Path
-from typing import Any
+from typing import TypeVar
 
 import msgspec
 
-from sageturn.lab.scale.child_protocol import Command, ProcessStatus, Role
+from sageturn.lab.scale.child_protocol import Command, CommandFailed, Ready
 from sageturn.lab.scale.errors import ChildFailedError
+from sageturn.lab.scale.job_files import Job, LinkJob, Role
 from sageturn.lab.scale.units import NANOSECONDS_PER_S
 
 MAX_ANSWER_BYTES = 1 << 26
 LOG_TAIL_CHARS = 600
 MEMBER_EXIT_TIMEOUT_S = 2.0
-LINK_EXIT_TIMEOUT_S = 0.2  # it has nothing to close in an orderly way
+LINK_EXIT_TIMEOUT_S = 0.2
+
+Answer = TypeVar("Answer")
 
 
 class ChildProcess:
@@ -29,12 +31,12 @@
     ``job`` is written to a job file in ``folder`` at once; the process is started by ``start``.
     """
 
-    def __init__(self, job: dict[str, Any], folder: Path, number: int) -> None:
+    def __init__(self, job: Job, folder: Path, number: int) -> None:
         self.job = job
-        self.role = Role(job["role"])
-        self.member_names: list[str] = [member["name"] for member in job.get("members", [])]
+        self.role = job.role
+        self.member_names = [] if isinstance(job, LinkJob) else [member.name for member in job.members]
         self._job_file = folder / f"job{number}.json"
-        self._job_file.write_text(json.dumps(job), encoding="utf-8")
+        self._job_file.write_bytes(msgspec.json.encode(job))
         self._log_file = folder / f"log{number}"
         self._child: asyncio.subprocess.Process | None = None
         self._pipe_lock = asyncio.Lock()
@@ -52,7 +54,7 @@
     # ------------------------------------------------------------ lifetime
 
     async def start(self) -> None:
-        """Without the caller's GW_ variables, which would configure a relay."""
+        """Starts the child, without the GW_ variables of this process: they would configure a relay."""
         with self._log_file.open("wb") as log_file:
             env = {name: value for name, value in os.environ.items() if not name.startswith("GW_")}
             self._child = await asyncio.create_subprocess_exec(
@@ -69,10 +71,10 @@
 
     async def wait_until_ready(self) -> None:
         """Raises ChildFailedError when the process ends before it is ready."""
-        await self._read_answer()
+        await self._read_answer(Ready)
 
     async def stop(self) -> None:
-        """Close its input, and kill it when it has not ended within the role's timeout."""
+        """Closes the child's input, and kills it when it has not ended within the role's timeout."""
         if self._child is None:
             return
         if self._child.stdin is not None:
@@ -87,30 +89,26 @@
 
     # ------------------------------------------------------------ commands
 
-    async def request(self, command: Command, **arguments: Any) -> Any:
-        """The decoded answer. Raises ChildFailedError when the child ends or answers with an error."""
+    async def request(self, command: Command, answer_type: type[Answer]) -> Answer:
+        """Returns the answer. Raises ChildFailedError when the child ends or the command fails."""
         async with self._pipe_lock:
             stdin = self._running_child().stdin
             assert stdin is not None
-            stdin.write(json.dumps({"do": command, **arguments}).encode() + b"\n")
+            stdin.write(msgspec.json.encode(command) + b"\n")
             await stdin.drain()
-            answer = await self._read_answer()
-        if isinstance(answer, dict) and "error" in answer:
-            raise ChildFailedError(f"{self.role} process: {answer['error']}")
-        return answer
-
-    async def status(self) -> ProcessStatus:
-        """Asks a process with members for its status."""
-        return msgspec.convert(await self.request(Command.STATUS), ProcessStatus)
+            return await self._read_answer(answer_type)
 
-    async def _read_answer(self) -> Any:
+    async def _read_answer(self, answer_type: type[Answer]) -> Answer:
         stdout = self._running_child().stdout
         assert stdout is not None
         line = await stdout.readline()
         if not line:
             tail = self._log_file.read_text(errors="replace")[-LOG_TAIL_CHARS:]
             raise ChildFailedError(f"{self.role} process ended: {tail}")
-        return json.loads(line)
+        failure = _decode_failure(line)
+        if failure is not None:
+            raise ChildFailedError(f"{self.role} process: {failure.error}")
+        return msgspec.json.decode(line, type=answer_type)
 
     def _running_child(self) -> asyncio.subprocess.Process:
         assert self._child is not None, "the process has not been started"
@@ -119,11 +117,11 @@
     # ------------------------------------------------------------ resources, 0 once the process has ended
 
     def cpu_s(self) -> float:
-        """Processor time of the main thread since its start; the other one only reads a pipe."""
+        """Returns the processor time of the main thread since its start; the other one only reads a pipe."""
         return self._read_schedstat(0)
 
     def run_queue_s(self) -> float:
-        """Time since its start in which it was ready to run and no core was free."""
+        """Returns the time since the start in which the child was ready to run and no core was free."""
         return self._read_schedstat(1)
 
     def _read_schedstat(self, field: int) -> float:
@@ -133,7 +131,7 @@
         return 0.0
 
     def resident_bytes(self) -> int:
-        """Resident memory now."""
+        """Returns the resident memory."""
         with suppress(OSError, IndexError):
             fields = Path(f"/proc/{self.pid}/statm").read_text().split()
             return int(fields[1]) * os.sysconf("SC_PAGESIZE")
@@ -148,7 +146,15 @@
         return 0
 
     def descriptor_count(self) -> int:
-        """Open file descriptors now."""
+        """Returns the number of open file descriptors."""
         with suppress(OSError):
             return len(os.listdir(f"/proc/{self.pid}/fd"))
         return 0
+
+
+def _decode_failure(line: bytes) -> CommandFailed | None:
+    """Returns the failure that an answer reports; None for the answer to a command that was executed."""
+    try:
+        return msgspec.json.decode(line, type=CommandFailed)
+    except msgspec.ValidationError:
+        return None
--- a/sageturn/lab/scale/errors.py
+++ b/sageturn/lab/scale/errors.py
@@ -32,6 +32,10 @@
     result_name = "RuntimeError"
 
 
+class UnsupportedCommandError(ScaleRunError):
+    """A child process was sent a command that its role does not have."""
+
+
 class ChildFailedError(ScaleRunError):
     """A child process ended early, or answered a command with an error."""
 
--- a/sageturn/lab/scale/faults.py
+++ b/sageturn/lab/scale/faults.py
@@ -9,7 +9,7 @@
 
 from sageturn.lab.scale.arrivals import Outages
 from sageturn.lab.scale.child_process import ChildProcess
-from sageturn.lab.scale.child_protocol import Command
+from sageturn.lab.scale.child_protocol import ConfigureLinks
 from sageturn.lab.scale.environment import ScaleDiscovery
 from sageturn.lab.scale.fleet import BETWEEN_REGIONS, Fleet
 from sageturn.lab.scale.member_group import MemberGroup
@@ -54,14 +54,14 @@
                 await self._kill_members(fault)
 
     async def _cut_regions(self, fault: Fault) -> None:
-        await self._configure_links(BETWEEN_REGIONS, cut=True)
+        await self._configure_links(ConfigureLinks(BETWEEN_REGIONS, cut=True))
         await asyncio.sleep(fault.length_s)
-        await self._configure_links(BETWEEN_REGIONS, cut=False)
+        await self._configure_links(ConfigureLinks(BETWEEN_REGIONS, cut=False))
 
     async def _lose_segments(self, fault: Fault) -> None:
-        await self._configure_links(ALL_LINKS, loss=fault.part)
+        await self._configure_links(ConfigureLinks(ALL_LINKS, loss=fault.part))
         await asyncio.sleep(fault.length_s)
-        await self._configure_links(ALL_LINKS, loss=self._experiment.links.loss)
+        await self._configure_links(ConfigureLinks(ALL_LINKS, loss=self._experiment.links.loss))
 
     async def _stop_discovery(self, fault: Fault) -> None:
         await self._discovery.stop()
@@ -100,10 +100,5 @@
         await self._members.restart_members(names, wipe)
         self.outages.mark_up(names, time.monotonic())
 
-    async def _configure_links(self, name_prefix: str, **settings: object) -> None:
-        await asyncio.gather(
-            *(
-                process.request(Command.CONFIGURE_LINKS, lanes=name_prefix, **settings)
-                for process in self._link_processes
-            )
-        )
+    async def _configure_links(self, command: ConfigureLinks) -> None:
+        await asyncio.gather(*(process.request(command, bool) for process in self._link_processes))
--- a/sageturn/lab/scale/jobs.py
+++ b/sageturn/lab/scale/jobs.py
@@ -7,12 +7,12 @@
 from collections.abc import Sequence
 from pathlib import Path
 from random import Random
-from typing import Any
+
+import msgspec
 
 from sageturn.lab.loopback.ports import reserve_port
 from sageturn.lab.scale import counting
 from sageturn.lab.scale.child_process import ChildProcess
-from sageturn.lab.scale.child_protocol import Role
 from sageturn.lab.scale.fleet import (
     BETWEEN_REGIONS,
     WITHIN_REGION,
@@ -21,15 +21,25 @@
     link_name,
     peers_of,
 )
+from sageturn.lab.scale.job_files import (
+    CommonJob,
+    EmulatedJob,
+    Job,
+    LinkJob,
+    LinkListener,
+    LinkSettings,
+    MemberJob,
+    RelayJob,
+)
 from sageturn.lab.scale.plan import ScaleExperiment, Size
 from sageturn.lab.scale.units import MS_PER_S
+from sageturn.net.json_stream import JsonObject
 from sageturn.store.channel import read_secret
 
 Address = tuple[str, int]
-Job = dict[str, Any]  # as it is written to a job file
 
 LOOPBACK = "127.0.0.1"
-SECRET = "scale"  # nobody but this run's members is on its ports
+SECRET = "scale"  # shared by the members of all runs, which listen on loopback alone
 ALLOWANCE_PER_MEMBER_PER_S = 50.0
 
 
@@ -76,8 +86,8 @@
         """Builds all child processes; call it once. ``zone_names`` are those of the members' settings."""
         self._member_ports = [self._ports.reserve() for _ in self._fleet.names]
         self._add_link_jobs()
-        common = self._common_settings(discovery)
-        emulated_by_zone: dict[int, list[Job]] = {}
+        common = self._common_job(discovery)
+        emulated_by_zone: dict[int, list[MemberJob]] = {}
         for member in range(self._size.members):
             zone = self._experiment.zone_of(member)
             job = self._member_job(member, zone_names)
@@ -90,38 +100,33 @@
         return self._processes
 
     def _add(self, job: Job) -> None:
-        number = len(self._processes)
-        if job["role"] != Role.LINKS:
-            counts_file = self._folder / f"counts{number}"
-            counting.create_file(counts_file, len(job["members"]))
-            job["counts"] = str(counts_file)
-        self._processes.append(ChildProcess(job, self._folder, number))
+        self._processes.append(ChildProcess(job, self._folder, len(self._processes)))
+
+    def _create_counts_file(self, member_count: int) -> str:
+        """Creates the file with the counters of the process that is added next. Returns its path."""
+        counts_file = self._folder / f"counts{len(self._processes)}"
+        counting.create_file(counts_file, member_count)
+        return str(counts_file)
 
     # ------------------------------------------------------------ link emulation
 
     def _add_link_jobs(self) -> None:
         """A process for each zone: all links that lead to its members."""
         experiment = self._experiment
-        listeners: list[list[Job]] = [[] for _ in range(experiment.zones)]
+        listeners: list[list[LinkListener]] = [[] for _ in range(experiment.zones)]
         for source_zone in range(experiment.zones):
             for member, member_port in enumerate(self._member_ports):
                 target_zone = experiment.zone_of(member)
                 port = self._ports.reserve()
                 self._routes[source_zone][member_port] = port
                 name = link_name(experiment, source_zone, target_zone)
-                listeners[target_zone].append({"port": port, "to": member_port, "lane": name})
+                listeners[target_zone].append(LinkListener(port, member_port, name))
         for zone_listeners in listeners:
-            names = sorted({listener["lane"] for listener in zone_listeners})
-            self._add(
-                {
-                    "role": Role.LINKS,
-                    "lanes": [self._link(name) for name in names],
-                    "listeners": zone_listeners,
-                    "seed": self._rng.getrandbits(32),
-                }
-            )
+            names = sorted({listener.link for listener in zone_listeners})
+            links = [self._link(name) for name in names]
+            self._add(LinkJob(links, zone_listeners, self._rng.getrandbits(32)))
 
-    def _link(self, name: str) -> Job:
+    def _link(self, name: str) -> LinkSettings:
         links = self._experiment.links
         delays_ms = {
             WITHIN_ZONE: links.zone_ms,
@@ -129,85 +134,86 @@
             BETWEEN_REGIONS: links.between_ms,
         }
         link_class = name.split(":")[0]
-        return {"name": name, "delay_s": delays_ms[link_class] / MS_PER_S, "loss": links.loss}
+        return LinkSettings(name, delays_ms[link_class] / MS_PER_S, links.loss)
 
     # ------------------------------------------------------------ members
 
-    def _common_settings(self, discovery: Address) -> Job:
-        """Returns the part of a job file that all members share."""
-        return {
-            "secret": read_secret(SECRET).hex(),
-            "interval_s": self._experiment.interval_s,
-            "spread": self._size.spread,
-            "discovery": discovery[1],
-            "keys": self._size.keys,
-            "state_s": self._size.state_s,
-        }
+    def _common_job(self, discovery: Address) -> CommonJob:
+        return CommonJob(
+            secret=read_secret(SECRET).hex(),
+            interval_s=self._experiment.interval_s,
+            spread=self._size.spread,
+            discovery_port=discovery[1],
+            key_count=self._size.keys,
+            state_s=self._size.state_s,
+        )
 
-    def _member_job(self, member: int, zone_names: Sequence[str]) -> Job:
+    def _member_job(self, member: int, zone_names: Sequence[str]) -> MemberJob:
         experiment = self._experiment
         zone = experiment.zone_of(member)
         peers = peers_of(self._size, member, experiment.zones)
-        return {
-            "name": self._fleet.names[member],
-            "zone": f"z{zone}",
-            "region": f"g{experiment.region_of(zone)}",
-            "port": self._member_ports[member],
-            "peers": [self._member_ports[peer] for peer in peers],
-            "settings": relay_settings(zone, zone_names, self._size.members),
-            "seed": self._rng.getrandbits(32),
-        }
+        return MemberJob(
+            name=self._fleet.names[member],
+            zone=f"z{zone}",
+            region=f"g{experiment.region_of(zone)}",
+            port=self._member_ports[member],
+            peers=[self._member_ports[peer] for peer in peers],
+            settings=relay_settings(zone, zone_names, self._size.members),
+            seed=self._rng.getrandbits(32),
+        )
 
-    def _add_emulated_jobs(self, jobs: Sequence[Job], common: Job, zone: int) -> None:
+    def _add_emulated_jobs(self, jobs: Sequence[MemberJob], common: CommonJob, zone: int) -> None:
         per_process = self._size.per_process
         for start in range(0, len(jobs), per_process):
             chunk = jobs[start : start + per_process]
-            self._add(
-                {
-                    "role": Role.EMULATED,
-                    "members": [{**job, "row": row} for row, job in enumerate(chunk)],
-                    "whole": common,
-                    "routes": self._routes[zone],
-                }
-            )
+            members = [msgspec.structs.replace(job, row=row) for row, job in enumerate(chunk)]
+            counts_file = self._create_counts_file(len(members))
+            self._add(EmulatedJob(members, common, self._routes[zone], counts_file))
 
-    def _add_relay_job(self, job: Job, common: Job, zone: int, discovery: Address) -> None:
+    def _add_relay_job(self, job: MemberJob, common: CommonJob, zone: int, discovery: Address) -> None:
         port = self._ports.reserve()
         self.relay_addresses.append((LOOPBACK, port))
-        config_file, operator_file = self._write_relay_files(job, port, discovery)
+        folder = self._folder / job.name
+        folder.mkdir()
         self._add(
-            {
-                "role": Role.REAL,
-                "members": [{**job, "row": 0}],
-                "whole": common,
-                "routes": self._routes[zone],
-                "config": str(config_file),
-                "operator": str(operator_file),
-            }
+            RelayJob(
+                members=[job],
+                common=common,
+                routes=self._routes[zone],
+                config_file=_write_relay_config(folder, job, port, discovery),
+                operator_file=_write_operator_config(folder),
+                counts_file=self._create_counts_file(1),
+            )
         )
 
-    def _write_relay_files(self, job: Job, port: int, discovery: Address) -> tuple[Path, Path]:
-        folder = self._folder / job["name"]
-        folder.mkdir()
-        config = {
-            "name": job["name"],
-            "listen": f"{LOOPBACK}:{port}",
-            "discovery": "{}:{}".format(*discovery),
-            "seed": f"{job['seed']:x}",
-            "limits": {"sockets": 16384, "memory_mb": 1024},
-            "settings": job["settings"],
-        }
-        # It names no peers: the process makes the relay's links, as it makes those of emulated members.
-        operator = {"store": {"path": "store"}}
-        config_file = folder / "config.json"
-        operator_file = folder / "operator.json"
-        config_file.write_text(json.dumps(config), encoding="utf-8")
-        operator_file.write_text(json.dumps(operator), encoding="utf-8")
-        return config_file, operator_file
+
+def _write_relay_config(folder: Path, job: MemberJob, port: int, discovery: Address) -> str:
+    """Writes a relay's configuration file. Returns its path."""
+    config = {
+        "name": job.name,
+        "listen": f"{LOOPBACK}:{port}",
+        "discovery": "{}:{}".format(*discovery),
+        "seed": f"{job.seed:x}",
+        "limits": {"sockets": 16384, "memory_mb": 1024},
+        "settings": job.settings,
+    }
+    config_file = folder / "config.json"
+    config_file.write_text(json.dumps(config), encoding="utf-8")
+    return str(config_file)
+
+
+def _write_operator_config(folder: Path) -> str:
+    """Writes a relay's operator file. Returns its path.
+
+    The file names no peers: the process makes the relay's links, as it makes those of emulated members.
+    """
+    operator_file = folder / "operator.json"
+    operator_file.write_text(json.dumps({"store": {"path": "store"}}), encoding="utf-8")
+    return str(operator_file)
 
 
-def relay_settings(zone: int, zone_names: Sequence[str], member_count: int) -> Job:
-    """The settings object of a member, by the keys of a relay's settings file."""
+def relay_settings(zone: int, zone_names: Sequence[str], member_count: int) -> JsonObject:
+    """Returns the settings of a member by the keys of a relay's settings file."""
     allowance_per_s = ALLOWANCE_PER_MEMBER_PER_S * member_count
     return {
         "accounts": [{"name": "t", "fraction": 1.0, "allowancePerS": allowance_per_s}],
--- a/sageturn/lab/scale/link_emulation.py
+++ b/sageturn/lab/scale/link_emulation.py
@@ -41,7 +41,6 @@
     loss: float = 0.0  # probability of each segment's loss
     is_cut: bool = False
     bytes_forwarded: int = 0
-    chunk_count: int = 0
     retransmission_count: int = 0
     healed: asyncio.Event = field(default_factory=asyncio.Event)
 
@@ -59,7 +58,6 @@
     def transit_s(self, byte_count: int, rng: Random) -> float:
         """Returns the seconds until the last byte of a chunk has arrived, in order."""
         self.bytes_forwarded += byte_count
-        self.chunk_count += 1
         return self.delay_s + self._retransmission_delay_s(byte_count, rng)
 
     def _retransmission_delay_s(self, byte_count: int, rng: Random) -> float:
--- a/sageturn/lab/scale/member_group.py
+++ b/sageturn/lab/scale/member_group.py
@@ -13,8 +13,18 @@
 from sageturn.lab.runner.result_file import Line
 from sageturn.lab.scale.arrivals import ArrivalTimes, DurationSummary, summarize_durations
 from sageturn.lab.scale.child_process import ChildProcess
-from sageturn.lab.scale.child_protocol import Command, MemberStatus, ProcessStatus, Role
+from sageturn.lab.scale.child_protocol import (
+    GetArrivals,
+    GetStatus,
+    MemberArrivals,
+    MemberStatus,
+    ProcessStatus,
+    Put,
+    Start,
+    Stop,
+)
 from sageturn.lab.scale.errors import ReadinessTimeoutError
+from sageturn.lab.scale.job_files import Role
 from sageturn.lab.scale.units import BYTES_PER_MB
 
 READINESS_POLL_INTERVAL_S = 0.25
@@ -23,7 +33,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class MemberArrivals:
+class FleetArrivals:
     """The times at which each member, and its present copy, first held each change."""
 
     first: ArrivalTimes
@@ -71,47 +81,50 @@
     async def start_all(self) -> None:
         """Starts all processes, one after another."""
         for process in self.processes:
-            await process.request(Command.START)
+            await process.request(Start(), int)
 
     async def put(self, member: str, key: str, value: object) -> float:
         """Puts a record at a member. Returns the moment just before, on the machine's monotonic clock."""
-        put_s: float = await self._process_of[member].request(
-            Command.PUT, member=member, key=key, value=value
-        )
-        return put_s
+        return await self._process_of[member].request(Put(member, key, value), float)
 
     async def stop_members(self, names: Sequence[str]) -> None:
         """Stops members as a crash would: their connections close, and nobody is notified."""
-        await self._request_of_members(names, Command.STOP)
+        await asyncio.gather(
+            *(process.request(Stop(chosen), bool) for process, chosen in self._choose_processes(names))
+        )
 
     async def restart_members(self, names: Sequence[str], wipe: bool) -> None:
         """Starts members again, with an empty copy of the store where ``wipe`` is true."""
-        await self._request_of_members(names, Command.START, wipe=wipe)
+        await asyncio.gather(
+            *(process.request(Start(chosen, wipe), int) for process, chosen in self._choose_processes(names))
+        )
 
-    async def _request_of_members(self, names: Sequence[str], command: Command, **arguments: object) -> None:
+    def _choose_processes(self, names: Sequence[str]) -> list[tuple[ChildProcess, list[str]]]:
+        """Returns the processes that have any of these members, each with its part of them."""
         wanted = set(names)
-        chosen = [
+        parts = [
             (process, [name for name in process.member_names if name in wanted]) for process in self.processes
         ]
-        await asyncio.gather(
-            *(process.request(command, members=part, **arguments) for process, part in chosen if part)
-        )
+        return [(process, part) for process, part in parts if part]
 
-    async def arrivals(self) -> MemberArrivals:
+    async def arrivals(self) -> FleetArrivals:
         """Returns the arrivals of all changes so far."""
-        found = MemberArrivals({}, {})
-        answers = await asyncio.gather(*(process.request(Command.ARRIVALS) for process in self.processes))
+        found = FleetArrivals({}, {})
+        answers = await asyncio.gather(
+            *(process.request(GetArrivals(), dict[str, MemberArrivals]) for process in self.processes)
+        )
         for answer in answers:
-            for name, (first, present_copy) in answer.items():
-                found.first[name] = first
-                found.present_copy[name] = present_copy
+            for name, arrivals in answer.items():
+                found.first[name] = arrivals.first_s
+                found.present_copy[name] = arrivals.present_copy_s
         return found
 
     # ------------------------------------------------------------ states
 
     async def process_statuses(self) -> list[ProcessStatus]:
         """Returns the status of each process, in the order of the processes."""
-        return list(await asyncio.gather(*(process.status() for process in self.processes)))
+        statuses = (process.request(GetStatus(), ProcessStatus) for process in self.processes)
+        return list(await asyncio.gather(*statuses))
 
     async def member_statuses(self) -> list[MemberStatus]:
         """Returns the status of each member, by name."""
--- a/sageturn/lab/scale/members.py
+++ b/sageturn/lab/scale/members.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from importlib import import_module
 from random import Random
-from typing import TYPE_CHECKING, Any, Protocol
+from typing import TYPE_CHECKING, Protocol
 
 from sageturn.config.settings import read_settings
 from sageturn.core.balancer_actor import BalancerActor
@@ -23,6 +23,7 @@
 from sageturn.lab.scale.counting import owned, owning
 from sageturn.lab.scale.digests import DigestReplication, LinkOptions
 from sageturn.lab.scale.errors import UnavailableReplicationError
+from sageturn.lab.scale.job_files import CommonJob, MemberJob
 from sageturn.lab.scale.plan import Spread
 from sageturn.net.admission import AdmissionController, ProcessLimits
 from sageturn.net.discovery import DiscoveryClient
@@ -108,19 +109,19 @@
     return REPLICATIONS[spread](store, options, admission, location)
 
 
-def link_options(job: dict[str, Any], common: dict[str, Any]) -> LinkOptions:
-    """Reads the link options from a member's part of a job file and the part that all members share."""
+def link_options(job: MemberJob, common: CommonJob) -> LinkOptions:
+    """Returns the link options from a member's part of a job and the part that all members share."""
     return LinkOptions(
-        (LOOPBACK, job["port"]),
-        tuple((LOOPBACK, port) for port in job["peers"]),
-        bytes.fromhex(common["secret"]),
-        common["interval_s"],
+        (LOOPBACK, job.port),
+        tuple((LOOPBACK, port) for port in job.peers),
+        bytes.fromhex(common.secret),
+        common.interval_s,
     )
 
 
-def location_of(job: dict[str, Any]) -> Location:
-    """Reads the location from a member's part of a job file."""
-    return Location(job["name"], job["zone"], job["region"])
+def location_of(job: MemberJob) -> Location:
+    """Returns the location from a member's part of a job."""
+    return Location(job.name, job.zone, job.region)
 
 
 # ---------------------------------------------------------------- copies of the store
@@ -225,8 +226,8 @@
     Store, replication, endpoint list, discovery backoff and accounting are put together as in ``Relay``.
     """
 
-    def __init__(self, job: dict[str, Any], common: dict[str, Any], records: list[StoreRecord]) -> None:
-        self.name = job["name"]
+    def __init__(self, job: MemberJob, common: CommonJob, records: list[StoreRecord]) -> None:
+        self.name = job.name
         self.running = False
         self.watch_monitor = WatchMonitor()
         self._job = job
@@ -246,15 +247,15 @@
         if wipe:
             self._make_copy([])
         self.admission = AdmissionController(ADMISSION_LIMITS)
-        with owned(self._job["row"], "store"):
+        with owned(self._job.row, "store"):
             self._start_replication()
-        with owned(self._job["row"], "list"):
+        with owned(self._job.row, "list"):
             self._start_balancer()
         self.running = True
 
     def _start_replication(self) -> None:
         self.replication = make_replication(
-            self._common["spread"],
+            self._common.spread,
             self.store,
             link_options(self._job, self._common),
             self.admission,
@@ -264,18 +265,18 @@
 
     def _start_balancer(self) -> None:
         self.balancer_actor = BalancerActor(
-            read_settings(self._job["settings"]),
-            self._job["seed"],
+            read_settings(self._job.settings),
+            self._job.seed,
             Clock(),
             lambda: self.endpoint_registry.request_watch(),
         )
-        self.discovery = DiscoveryClient((LOOPBACK, self._common["discovery"]), self._on_watch_event)
+        self.discovery = DiscoveryClient((LOOPBACK, self._common.discovery_port), self._on_watch_event)
         self.endpoint_registry = EndpointRegistry(
             EndpointListUpdate(0, True), self.balancer_actor.post_event, self.discovery
         )
         runs = [self.balancer_actor.run(), self.endpoint_registry.run()]
-        if self._common["state_s"]:
-            runs.append(self._write_state(self._common["state_s"]))
+        if self._common.state_s:
+            runs.append(self._write_state(self._common.state_s))
         self._tasks = [asyncio.ensure_future(run) for run in runs]
 
     async def _on_watch_event(self, watch: int, event: WatchEvent) -> None:
@@ -311,20 +312,19 @@
 class RealMember(Member):
     """A whole relay, with the replication that is measured in the place of its own."""
 
-    def __init__(self, relay: Relay, job: dict[str, Any], common: dict[str, Any]) -> None:
+    def __init__(self, relay: Relay, job: MemberJob, common: CommonJob) -> None:
         self.name = relay.store.node
         self.store = relay.store
         self.arrivals = ArrivalRecorder(self.store, {})
         self.watch_monitor = WatchMonitor()
         self.running = True
-        row = job["row"]
-        with owned(row, "store"):
+        with owned(job.row, "store"):
             self.replication = make_replication(
-                common["spread"], relay.store, link_options(job, common), relay.admission, location_of(job)
+                common.spread, relay.store, link_options(job, common), relay.admission, location_of(job)
             )
         relay.replication = self.replication  # type: ignore[assignment]  # the operator's file configures none
-        vars(self.replication)["start"] = owning(row, "store", self.replication.start)
-        relay.discovery.start = owning(row, "list", relay.discovery.start)  # type: ignore[method-assign]
+        vars(self.replication)["start"] = owning(job.row, "store", self.replication.start)
+        relay.discovery.start = owning(job.row, "list", relay.discovery.start)  # type: ignore[method-assign]
         handler = relay.endpoint_registry.on_watch_event
 
         async def on_watch_event(watch: int, event: WatchEvent) -> None:
--- a/sageturn/lab/scale/usage.py
+++ b/sageturn/lab/scale/usage.py
@@ -20,8 +20,8 @@
 from sageturn.lab.runner.result_file import Line
 from sageturn.lab.scale import counting
 from sageturn.lab.scale.child_process import ChildProcess
-from sageturn.lab.scale.child_protocol import Role
 from sageturn.lab.scale.counting import Counts
+from sageturn.lab.scale.job_files import LinkJob, Role
 
 MAX_UNSATURATED_CORE = 0.85  # of one process over a window
 MAX_UNSATURATED_CORE_PEAK = 0.95  # of one process within one sample
@@ -134,15 +134,20 @@
     @classmethod
     def take(cls, processes: Sequence[ChildProcess]) -> UsageSnapshot:
         """Reads the counters of all processes now."""
-        members = [process for process in processes if process.member_names]
-        links = [process for process in processes if not process.member_names]
+        counts = []
+        member_cpu_s = []
+        link_cpu_s = []
+        for process in processes:
+            if isinstance(process.job, LinkJob):
+                link_cpu_s.append(process.cpu_s())
+            else:
+                file = Path(process.job.counts_file)
+                counts.append(counting.read_file(file, len(process.member_names)))
+                member_cpu_s.append(process.cpu_s())
         return cls(
-            [
-                counting.read_file(Path(process.job["counts"]), len(process.member_names))
-                for process in members
-            ],
-            [process.cpu_s() for process in members],
-            [process.cpu_s() for process in links],
+            counts,
+            member_cpu_s,
+            link_cpu_s,
             sum(process.run_queue_s() for process in processes),
         )
 
--- a/tests/lab/test_scale_counting.py
+++ b/tests/lab/test_scale_counting.py
@@ -12,8 +12,8 @@
 
 from sageturn.lab.scale import counting
 from sageturn.lab.scale.arrivals import summarize_durations
-from sageturn.lab.scale.child_protocol import Role
 from sageturn.lab.scale.counting import CountingSocket, Counts, owned
+from sageturn.lab.scale.job_files import Role
 from sageturn.lab.scale.usage import WindowUsage, usage_by_role
 
 
