--- a/sageturn/lab/demo.py
+++ b/sageturn/lab/demo.py
@@ -17,7 +17,9 @@
 from rich.text import Text
 
 from sageturn.lab.loopback.loopback_runner import Deployment, FleetSample, LoopbackResult, deployed
+from sageturn.lab.model.client_event import ClientEvent
 from sageturn.lab.model.fleet_spec import FleetSpec
+from sageturn.lab.model.planner_kind import PlannerKind
 from sageturn.lab.reports.result_table import loopback_row
 
 SPEC = FleetSpec(
@@ -43,8 +45,8 @@
     summary = (
         f"{sample.elapsed_s:4.0f} s   fullest over mean [bold]{sample.imbalance_ratio:.2f}[/]   "
         f"standing {sample.established}   moved {sample.migrations}   "
-        f"guest-checkin moved {counts['checkin_moved']}   refused {counts['busy']}   "
-        f"cut off {counts['cut']}"
+        f"guest-checkin moved {counts[ClientEvent.CHECK_IN_MIGRATED]}   refused {counts[ClientEvent.BUSY]}   "
+        f"cut off {counts[ClientEvent.CUT]}"
     )
     return Group(Text.from_markup(summary), _host_table(sample, deployment))
 
@@ -76,7 +78,7 @@
 
 async def run_demo(seconds: float, console: Console) -> LoopbackResult:
     """Run the fleet, with a line a second where the output is no terminal."""
-    async with deployed(SPEC, "on", REBALANCE) as deployment:
+    async with deployed(SPEC, PlannerKind.ON, REBALANCE) as deployment:
         if not console.is_terminal:
             return await deployment.run(seconds, lambda sample, _: console.print(_line(sample)))
         with Live(console=console, refresh_per_second=REFRESHES_PER_S) as live:
--- a/sageturn/lab/loopback/client_connection.py
+++ b/sageturn/lab/loopback/client_connection.py
@@ -7,6 +7,7 @@
 from typing import Protocol
 
 from sageturn.lab.loopback.fakes import LineProtocol
+from sageturn.lab.model.client_event import ClientEvent
 from sageturn.lab.model.fleet_spec import FleetSpec
 from sageturn.lab.model.sampling import Client, ClientSampler
 
@@ -30,8 +31,8 @@
     def on_closed(self, connection: ClientConnection) -> None:
         """The connection is closed."""
 
-    def count(self, event: str) -> None:
-        """Count an event under its key."""
+    def count(self, event: ClientEvent) -> None:
+        """Counts an event."""
 
     def record_message(self, class_index: int, duration_us: int) -> None:
         """Record the time of a message to its answer."""
@@ -82,7 +83,7 @@
 
     def _on_timeout(self) -> None:
         if not self.established:
-            self._owner.count("unanswered")
+            self._owner.count(ClientEvent.UNANSWERED)
             self.abort()
 
     def on_line(self, line: bytes) -> None:
@@ -113,7 +114,7 @@
         self._message_timer = loop.call_later(first_message_s, self._send_message)
 
     def _on_rejected(self, line: bytes) -> None:
-        self._owner.count("busy" if line.startswith(b"BUSY") else "error")
+        self._owner.count(ClientEvent.BUSY if line.startswith(b"BUSY") else ClientEvent.ERROR)
         words = line.split()
         if len(words) > 1 and words[0] == b"BUSY" and words[1].isdigit():
             self.retry_after_s = int(words[1]) / 1000.0
--- a/sageturn/lab/loopback/client_population.py
+++ b/sageturn/lab/loopback/client_population.py
@@ -14,14 +14,14 @@
 from hdrh.histogram import HdrHistogram
 
 from sageturn.lab.loopback.client_connection import MAX_MESSAGE_US, ClientConnection
+from sageturn.lab.model.client_event import ClientEvent, late_event
 from sageturn.lab.model.fleet_spec import FleetSpec
 from sageturn.lab.model.sampling import Client, ClientSampler
 from sageturn.lab.model.simulation_result import SIGNIFICANT_DIGITS, make_setup_histogram
 
-IMMEDIATE_RETRIES = 3  # each such number of failed attempts is followed by a longer delay
+IMMEDIATE_RETRIES = 3  # failed attempts between two long delays
 LONG_RETRY_DELAY_S = 2.0
-# After a migration, members of the same group that are still connected as before were left behind.
-GROUP_SPLIT_CHECK_S = 1.5
+GROUP_SPLIT_CHECK_S = 1.5  # from a migration until the group's other members have to have followed
 CHECK_IN_CLASS = "guest-checkin"
 
 GroupPlace = tuple[int, str, str]  # relay, host and group
@@ -36,7 +36,7 @@
 
     setup_histograms: list[HdrHistogram]
     message_histograms: list[HdrHistogram]
-    counts: Counter[str] = field(default_factory=Counter)
+    counts: Counter[str] = field(default_factory=Counter)  # by ClientEvent and ``late_event``
     weighted_waiting_s: float = 0.0
     migrations_by_client: Counter[str] = field(default_factory=Counter)
 
@@ -122,7 +122,7 @@
         try:
             await asyncio.get_running_loop().create_connection(lambda: connection, *address)
         except OSError:
-            self.observations.counts["no_connect"] += 1
+            self.observations.counts[ClientEvent.CONNECT_FAILED] += 1
             return
         try:
             await connection.closed.wait()
@@ -151,8 +151,8 @@
         """A request id that no other connection of the run has."""
         return f"{next(self._request_ids):016x}"
 
-    def count(self, event: str) -> None:
-        """Count an event under its key."""
+    def count(self, event: ClientEvent) -> None:
+        """Counts an event."""
         self.observations.counts[event] += 1
 
     def record_message(self, class_index: int, duration_us: int) -> None:
@@ -171,8 +171,8 @@
         setup_ms = setup_s * 1000.0
         observations = self.observations
         observations.setup_histograms[client.class_index].record_value(max(1, round(setup_ms)))
-        observations.counts["set_up"] += 1
-        observations.counts[f"late_{class_spec.name}"] += setup_ms > class_spec.latency_objective_ms
+        observations.counts[ClientEvent.SET_UP] += 1
+        observations.counts[late_event(class_spec.name)] += setup_ms > class_spec.latency_objective_ms
         observations.weighted_waiting_s += class_spec.priority_weight * setup_s
 
     def on_closed(self, connection: ClientConnection) -> None:
@@ -188,16 +188,18 @@
         if connection.migrated:
             self._count_migration(connection)
         elif connection.established and not connection.finished:
-            self.observations.counts["cut"] += 1
+            self.observations.counts[ClientEvent.CUT] += 1
 
     def _count_migration(self, connection: ClientConnection) -> None:
         client = connection.client
         observations = self.observations
-        observations.counts["moved"] += 1
+        observations.counts[ClientEvent.MIGRATED] += 1
         observations.migrations_by_client[client.key] += 1
-        observations.counts["moved_again"] += observations.migrations_by_client[client.key] > 1
+        observations.counts[ClientEvent.MIGRATED_REPEATEDLY] += (
+            observations.migrations_by_client[client.key] > 1
+        )
         if self.spec.classes[client.class_index].name == CHECK_IN_CLASS:
-            observations.counts["checkin_moved"] += 1
+            observations.counts[ClientEvent.CHECK_IN_MIGRATED] += 1
         if client.group:
             loop = asyncio.get_running_loop()
             loop.call_later(GROUP_SPLIT_CHECK_S, self._check_for_split, _group_place(connection), loop.time())
@@ -206,7 +208,7 @@
         """Count a migration that has left behind members of the group that were connected before it."""
         members = self._groups.get(place, {})
         if any(since_s < migrated_s - GROUP_SPLIT_CHECK_S for since_s in members.values()):
-            self.observations.counts["left_behind"] += 1
+            self.observations.counts[ClientEvent.LEFT_BEHIND] += 1
 
 
 def _group_place(connection: ClientConnection) -> GroupPlace:
--- a/sageturn/lab/loopback/fakes.py
+++ b/sageturn/lab/loopback/fakes.py
@@ -9,9 +9,10 @@
 from collections.abc import Callable
 from contextlib import suppress
 from dataclasses import dataclass, field
-from typing import Any, cast
+from typing import cast
 
 from sageturn.lab.model.endpoint_model import EndpointModel
+from sageturn.net.json_stream import JsonObject
 
 LOOPBACK = "127.0.0.1"
 MAX_LINE_BYTES = 1 << 16
@@ -195,7 +196,7 @@
 class FakeDiscovery:
     """A discovery service: a full list to each watcher, and then every change; ``entries`` makes the list."""
 
-    entries: Callable[[], list[dict[str, Any]]]
+    entries: Callable[[], list[JsonObject]]
     address: tuple[str, int] = (LOOPBACK, 0)
     version: int = 1
     _watchers: set[asyncio.StreamWriter] = field(default_factory=set)
@@ -213,11 +214,11 @@
         for writer in list(self._watchers):
             writer.close()
 
-    def full_list(self) -> dict[str, Any]:
+    def full_list(self) -> JsonObject:
         """The full list in the form of the wire."""
         return {"version": self.version, "full": True, "servers": self.entries()}
 
-    def publish(self, entries: list[dict[str, Any]]) -> None:
+    def publish(self, entries: list[JsonObject]) -> None:
         """Send changed entries to all watchers."""
         self.version += 1
         event = _encode_event({"version": self.version, "full": False, "servers": entries})
@@ -242,7 +243,7 @@
                 self._watchers.discard(writer)
 
 
-def _encode_event(event: dict[str, Any]) -> bytes:
+def _encode_event(event: JsonObject) -> bytes:
     """One watch event: a JSON line in an HTTP chunk."""
     line = json.dumps(event).encode() + b"\n"
     return b"%x\r\n%s\r\n" % (len(line), line)
--- a/sageturn/lab/loopback/loopback_runner.py
+++ b/sageturn/lab/loopback/loopback_runner.py
@@ -10,20 +10,22 @@
 from contextlib import asynccontextmanager
 from dataclasses import dataclass, field
 from pathlib import Path
-from typing import Any
 
+from sageturn.decision import EndpointStatus
 from sageturn.lab.loopback.client_population import ClientObservations, ClientPopulation
 from sageturn.lab.loopback.fakes import FakeDiscovery, FakeEndpoint
 from sageturn.lab.loopback.relay_processes import LoopbackRelays, OperatorSections, RelayOptions
+from sageturn.lab.model.client_event import ClientEvent
 from sageturn.lab.model.endpoint_model import EndpointModel
 from sageturn.lab.model.fleet import InitialPlacement, make_hosts
 from sageturn.lab.model.fleet_spec import FleetSpec
+from sageturn.lab.model.planner_kind import PlannerKind
+from sageturn.net.json_stream import JsonObject
 
 SAMPLE_INTERVAL_S = 1
 MAX_CONCURRENT_INITIAL_CONNECTIONS = 64
-# The initial population is complete with so many: some clients are between two connections at any moment.
-COMPLETE_RATIO = 0.99
-COMPLETE_TOLERANCE = 2
+COMPLETE_RATIO = 0.99  # of the initial connections, of which some are always being replaced
+COMPLETE_TOLERANCE = 2  # connections that may be missing in a small fleet
 
 
 @dataclass
@@ -48,7 +50,7 @@
     crashed_hosts: int = 0
     malformed_requests: int = 0
     relay_cpu_s: list[float] = field(default_factory=list)
-    planner_states: list[dict[str, Any]] = field(default_factory=list)
+    planner_states: list[JsonObject] = field(default_factory=list)
 
 
 OnSample = Callable[[FleetSample, "Deployment"], None]
@@ -125,7 +127,7 @@
 
     # ------------------------------------------------------------ hosts
 
-    def _list_entries(self) -> list[dict[str, Any]]:
+    def _list_entries(self) -> list[JsonObject]:
         return [_encode_entry(host) for host in self.hosts if host.model.name in self._listed]
 
     def _join_late_hosts(self) -> None:
@@ -149,7 +151,7 @@
             now_s - started_s,
             max(utilizations.values()) / mean if mean > 0 else 1.0,
             len(self.population.established),
-            self.observations.counts["moved"],
+            self.observations.counts[ClientEvent.MIGRATED],
             utilizations,
         )
 
@@ -161,7 +163,7 @@
         result.planner_states = self.relays.planner_states()
 
 
-def _encode_entry(host: FakeEndpoint) -> dict[str, Any]:
+def _encode_entry(host: FakeEndpoint) -> JsonObject:
     """The entry of a host on the endpoint list, in the form of the wire."""
     model: EndpointModel = host.model
     started_ms = 0
@@ -174,7 +176,7 @@
         "zone": model.zone,
         "kind": model.kind,
         "cell": 0,
-        "state": "ready",
+        "state": EndpointStatus.READY,
         "weight": 1.0,
         "started_ms": started_ms,
     }
@@ -183,8 +185,8 @@
 @asynccontextmanager
 async def deployed(
     spec: FleetSpec,
-    planner: str,
-    rebalance: dict[str, Any],
+    planner: PlannerKind,
+    rebalance: JsonObject,
     sections: OperatorSections | None = None,
 ) -> AsyncIterator[Deployment]:
     """A fleet with its initial population, in a temporary folder and with all file descriptors allowed.
--- a/sageturn/lab/loopback/naive_relay.py
+++ b/sageturn/lab/loopback/naive_relay.py
@@ -11,7 +11,7 @@
 
 from sageturn.config.loader import load
 from sageturn.lab.model.naive_planner import NaiveRebalancer
-from sageturn.rebalance.options import RebalanceOptions
+from sageturn.rebalance.options import RebalanceMode, RebalanceOptions
 from sageturn.relay import Relay
 from sageturn.relay.operator_control import RebalancingSubsystem
 from sageturn.relay.supervisor import ActorSupervisor
@@ -22,7 +22,7 @@
 
     def apply_options(self, options: RebalanceOptions | None, actors: ActorSupervisor) -> None:
         """Turn the naive planner on; later options are ignored."""
-        if options is not None and options.mode == "on" and self.rebalancer is None:
+        if options is not None and options.mode == RebalanceMode.ON and self.rebalancer is None:
             self.run_rebalancer(self.make_rebalancer(NaiveRebalancer, options), actors)
 
 
--- a/sageturn/lab/loopback/relay_processes.py
+++ b/sageturn/lab/loopback/relay_processes.py
@@ -9,10 +9,12 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
 
 from sageturn.lab.loopback.ports import reserve_port
 from sageturn.lab.model.fleet_spec import FleetSpec, relay_settings
+from sageturn.lab.model.planner_kind import PlannerKind
+from sageturn.net.json_stream import JsonObject
+from sageturn.rebalance.options import RebalanceMode
 from sageturn.store.log import scan
 
 READY_TIMEOUT_S = 15.0
@@ -20,15 +22,15 @@
 PONG_TIMEOUT_S = 2.0
 RELAY_LIMITS = {"cores": 1.0, "memory_mb": 1024, "sockets": 16384}
 
-OperatorSections = Callable[[int, Path], dict[str, Any]]  # further sections, by relay and its folder
+OperatorSections = Callable[[int, Path], JsonObject]  # further sections, by relay and its folder
 
 
 @dataclass(frozen=True, slots=True)
 class RelayOptions:
     """Rebalancing options of all relays; ``sections`` adds to a relay's operator file."""
 
-    planner: str
-    rebalance: dict[str, Any]
+    planner: PlannerKind
+    rebalance: JsonObject  # by the keys of the operator's file
     sections: OperatorSections | None = None
 
 
@@ -44,7 +46,7 @@
         self._reserved_sockets = [reserved_socket for reserved_socket, _ in reserved]
         self.addresses = [("127.0.0.1", port) for _, port in reserved]
 
-    async def start(self, discovery: tuple[str, int], endpoint_list: dict[str, Any]) -> None:
+    async def start(self, discovery: tuple[str, int], endpoint_list: JsonObject) -> None:
         """Start all relays with a full endpoint list, and wait until all are ready."""
         for relay in range(self._spec.relays):
             folder = self._folder_of(relay)
@@ -74,13 +76,13 @@
         """The processor time of each relay."""
         return [_cpu_s(process.pid) for process in self.processes]
 
-    def planner_states(self) -> list[dict[str, Any]]:
+    def planner_states(self) -> list[JsonObject]:
         """The state that each relay's planner has published, read from the file of the relay's store."""
         return [self._planner_state(relay) for relay in range(self._spec.relays)]
 
-    def _planner_state(self, relay: int) -> dict[str, Any]:
+    def _planner_state(self, relay: int) -> JsonObject:
         records, _ = scan((self._folder_of(relay) / "store").read_bytes())
-        state: dict[str, Any] = {}
+        state: JsonObject = {}
         for record in records:
             if record.key == f"state/r{relay}/rebalance":
                 state = record.value or {}
@@ -89,7 +91,7 @@
     def _folder_of(self, relay: int) -> Path:
         return self._folder / f"r{relay}"
 
-    def _write_config(self, relay: int, discovery: tuple[str, int], endpoint_list: dict[str, Any]) -> Path:
+    def _write_config(self, relay: int, discovery: tuple[str, int], endpoint_list: JsonObject) -> Path:
         file = self._folder_of(relay) / "config.json"
         config = {
             "name": f"r{relay}",
@@ -105,10 +107,10 @@
 
     def _write_operator_file(self, relay: int) -> Path:
         folder = self._folder_of(relay)
-        sections: dict[str, Any] = {"store": {"path": "store"}}
+        sections: JsonObject = {"store": {"path": "store"}}
         # A relay without a planner has no section at all: its keys are read strictly.
-        if self._options.planner != "off":
-            sections["rebalance"] = {"mode": "on", **self._options.rebalance}
+        if self._options.planner is not PlannerKind.OFF:
+            sections["rebalance"] = {"mode": RebalanceMode.ON, **self._options.rebalance}
         if self._options.sections is not None:
             sections |= self._options.sections(relay, folder)
         file = folder / "operator.json"
@@ -116,7 +118,8 @@
         return file
 
     async def _start_process(self, folder: Path, config: Path, operator_file: Path) -> None:
-        module = "sageturn.lab.loopback.naive_relay" if self._options.planner == "naive" else "sageturn"
+        is_naive = self._options.planner is PlannerKind.NAIVE
+        module = "sageturn.lab.loopback.naive_relay" if is_naive else "sageturn"
         environment = {name: value for name, value in os.environ.items() if not name.startswith("GW_")}
         with (folder / "log").open("wb") as log:
             process = await asyncio.create_subprocess_exec(
--- a/sageturn/lab/measurements/override_propagation.py
+++ b/sageturn/lab/measurements/override_propagation.py
@@ -7,7 +7,6 @@
 from base64 import b64encode
 from dataclasses import dataclass, field
 from pathlib import Path
-from typing import Any
 
 import numpy as np
 from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PrivateKey
@@ -17,8 +16,11 @@
 from sageturn.lab.loopback.loopback_runner import Deployment, deployed
 from sageturn.lab.loopback.ports import reserve_port
 from sageturn.lab.measurements.override_operations import OPERATOR, revoke_operation, set_operation
+from sageturn.lab.model.client_event import ClientEvent
 from sageturn.lab.model.fleet_spec import FleetSpec
+from sageturn.lab.model.planner_kind import PlannerKind
 from sageturn.lab.reports.result_table import Row
+from sageturn.net.json_stream import JsonObject
 from sageturn.overrides.operations import (
     OverrideKind,
     OverrideOperation,
@@ -57,10 +59,10 @@
     operator_key = Ed25519PrivateKey.generate()
     measurements = _Measurements()
 
-    def sections(relay: int, folder: Path) -> dict[str, Any]:
+    def sections(relay: int, folder: Path) -> JsonObject:
         return _operator_sections(relay, folder, store_ports, operator_key)
 
-    async with deployed(SPEC, "off", {}, sections) as deployment:
+    async with deployed(SPEC, PlannerKind.OFF, {}, sections) as deployment:
         running = asyncio.ensure_future(deployment.run(rounds * ROUND_S + MAX_EXTRA_S))
         await asyncio.sleep(WARM_UP_S)
         store_address = ("127.0.0.1", store_ports[0])
@@ -76,15 +78,15 @@
         "p99 ms": _percentile(measurements.propagation_ms, 99),
         "requests placed meanwhile": measurements.placed,
         "on an out-of-service host over 500 ms after": measurements.placed_late,
-        "unanswered": counts["unanswered"],
-        "errors": counts["error"],
-        "refused": counts["busy"],
+        "unanswered": counts[ClientEvent.UNANSWERED],
+        "errors": counts[ClientEvent.ERROR],
+        "refused": counts[ClientEvent.BUSY],
     }
 
 
 def _operator_sections(
     relay: int, folder: Path, store_ports: list[int], operator_key: Ed25519PrivateKey
-) -> dict[str, Any]:
+) -> JsonObject:
     """The sections of a relay's operator file that link the stores and accept the lab's operator."""
     (folder / "secret").write_text(SECRET)
     public_key = operator_key.public_key().public_bytes(Encoding.Raw, PublicFormat.Raw)
--- a/sageturn/lab/model/event_queue.py
+++ b/sageturn/lab/model/event_queue.py
@@ -4,22 +4,22 @@
 
 import heapq
 from collections.abc import Callable
-from typing import Any
+from typing import Any, TypeVar
 
 NEVER_S = 1e18
 
-Handler = Callable[[Any], None]
+Argument = TypeVar("Argument")
 
 
 class EventQueue:
     """Calls of handlers, each with one argument, by their times; calls due at once keep their order."""
 
     def __init__(self) -> None:
-        self._entries: list[tuple[float, int, Handler, Any]] = []
+        self._entries: list[tuple[float, int, Callable[[Any], None], Any]] = []
         self._sequence = 0
 
-    def schedule(self, due_s: float, handler: Handler, argument: Any) -> None:
-        """Schedule ``handler(argument)``."""
+    def schedule(self, due_s: float, handler: Callable[[Argument], None], argument: Argument) -> None:
+        """Schedules ``handler(argument)``."""
         self._sequence += 1
         heapq.heappush(self._entries, (due_s, self._sequence, handler, argument))
 
@@ -28,14 +28,14 @@
         return self._entries[0][0] if self._entries else NEVER_S
 
     def run_next(self) -> None:
-        """Remove the call that is due next, and make it."""
+        """Removes the call that is due next, and makes it."""
         _, _, handler, argument = heapq.heappop(self._entries)
         handler(argument)
 
-    def pending_arguments(self, handler: Handler) -> list[Any]:
-        """The arguments of all scheduled calls of a handler, in no particular but a repeatable order."""
+    def pending_arguments(self, handler: Callable[[Argument], None]) -> list[Argument]:
+        """Returns the arguments of all scheduled calls of a handler, in an unspecified, repeatable order."""
         return [argument for _, _, scheduled, argument in self._entries if scheduled == handler]
 
     def clear(self) -> None:
-        """Drop all scheduled calls."""
+        """Drops all scheduled calls."""
         self._entries.clear()
--- a/sageturn/lab/model/fleet.py
+++ b/sageturn/lab/model/fleet.py
@@ -32,7 +32,9 @@
     ]
 
 
-def describe_endpoint(host: EndpointModel, state: str = "ready") -> decision.Endpoint:
+def describe_endpoint(
+    host: EndpointModel, state: decision.EndpointStatus = decision.EndpointStatus.READY
+) -> decision.Endpoint:
     """The entry of a host on the balancer's endpoint list."""
     started_ms = host.started_s * 1000.0 if host.started_s > 0 else 0.0
     return decision.Endpoint(host.name, state, host.zone, 0, started_ms, 1.0, host.kind)
--- a/sageturn/lab/model/fleet_spec.py
+++ b/sageturn/lab/model/fleet_spec.py
@@ -7,7 +7,9 @@
 from __future__ import annotations
 
 from dataclasses import dataclass, field
-from typing import Any
+
+from sageturn.decision import Effect
+from sageturn.net.json_stream import JsonObject
 
 FAST_KIND = "c2-fast"
 STANDARD_KIND = "c2-std"
@@ -132,8 +134,8 @@
         return self.capacity_ratio * self.size(host) * self.connections * self.mean_load / self.hosts
 
 
-def relay_settings(spec: FleetSpec, relay: int) -> dict[str, Any]:
-    """The settings object of a relay's configuration, in the form that the platform gives it."""
+def relay_settings(spec: FleetSpec, relay: int) -> JsonObject:
+    """Returns the settings of a relay by the keys of the platform's configuration."""
     total = float(spec.connections)
     return {
         "accounts": [
@@ -148,7 +150,7 @@
             "mode": "proxy",
             "tellsLoad": True,
             "tellsDelay": False,
-            "messageAimMs": [c.message_objective_ms for c in spec.classes],
+            "messageAimMs": [class_spec.message_objective_ms for class_spec in spec.classes],
             "tenantQuotaConnections": [
                 share * total * TENANT_QUOTA_MULTIPLE for share in spec.tenants.values()
             ],
@@ -164,20 +166,20 @@
     }
 
 
-def _class_settings(class_spec: ClassSpec) -> dict[str, Any]:
+def _class_settings(class_spec: ClassSpec) -> JsonObject:
     return {
         "name": class_spec.name,
         "aimMs": class_spec.latency_objective_ms,
         "hardLimitMs": class_spec.client_timeout_ms,
         "gain": class_spec.priority_weight,
-        "semantics": "safe",
+        "semantics": Effect.SAFE.value,
         "dedupScope": "all",
         "keyTtlMs": 5000.0,
         "stream": True,
     }
 
 
-def _guarantees(spec: FleetSpec) -> dict[str, Any]:
+def _guarantees(spec: FleetSpec) -> JsonObject:
     return {
         "fallMs": spec.overload_window_s * 1000.0,
         "fallMultiple": spec.cold_overload_multiple,
--- a/sageturn/lab/model/policy.py
+++ b/sageturn/lab/model/policy.py
@@ -13,7 +13,8 @@
 from sageturn.decision.balancer import Balancer
 from sageturn.lab.errors import PolicyNotFoundError
 
-# The files that decide, each after those that it imports: ``policy`` of deploy/balancer.toml.
+MAIN_MODULE = "balancer"
+# The files that decide, each after those that it imports.
 POLICY_MODULES = (
     "fleet_size",
     "fleet",
@@ -27,7 +28,7 @@
     "group_ranking",
     "placement",
     "endpoint_watch",
-    "balancer",
+    MAIN_MODULE,
 )
 FILE_MARK = "# ---- policy file: "  # begins the text of each file in the text of a policy
 
@@ -47,7 +48,7 @@
     try:
         if path.is_dir():
             return _join(_read_folder(path))
-        module = path.stem if path.stem in POLICY_MODULES else "balancer"
+        module = path.stem if path.stem in POLICY_MODULES else MAIN_MODULE
         return _join({module: path.read_text(encoding="utf-8")})
     except OSError as error:
         raise PolicyNotFoundError(f"{name}: {error.strerror}") from error
@@ -62,7 +63,7 @@
 
 
 def _read_revision(name: str, revision: str, root: Path) -> dict[str, str]:
-    """The files that the revision has: not all of them were always there, but ``balancer`` was."""
+    """The files that the revision has: not all of them were always there, but the main module was."""
     sources = {}
     for module in POLICY_MODULES:
         object_name = f"{revision}:sageturn/decision/{module}.py"
@@ -71,7 +72,7 @@
         )
         if not shown.returncode:
             sources[module] = shown.stdout
-        elif module == "balancer":
+        elif module == MAIN_MODULE:
             raise PolicyNotFoundError(f"{name}: {shown.stderr.strip()}")
     return sources
 
@@ -83,7 +84,7 @@
 def _split(text: str) -> dict[str, str]:
     """The sources in a policy's text, by module; all of a text without marks is the balancer's."""
     if not text.startswith(FILE_MARK):
-        return {"balancer": text}
+        return {MAIN_MODULE: text}
     sources: dict[str, str] = {}
     for marked in text.split(FILE_MARK)[1:]:
         module, _, source = marked.partition("\n")
--- a/sageturn/lab/model/simulated_clients.py
+++ b/sageturn/lab/model/simulated_clients.py
@@ -5,11 +5,11 @@
 from collections.abc import Callable, Sequence
 
 from sageturn import decision
+from sageturn.lab.model.client_event import ClientEvent
 from sageturn.lab.model.event_queue import EventQueue
 from sageturn.lab.model.fleet_spec import FleetSpec
 from sageturn.lab.model.sampling import Client, ClientSampler
 from sageturn.lab.model.simulated_connections import (
-    AttemptFailure,
     AttemptOutcome,
     AttemptSample,
     EstablishedConnection,
@@ -69,7 +69,7 @@
             client.waiting_since_s = self.now_s
         class_spec = self._spec.classes[client.class_index]
         self._pending[self._last_request_id] = PendingRequest(client)
-        self.result.counts["asked"] += 1
+        self.result.counts[ClientEvent.REQUESTED] += 1
         self._post_event(
             decision.RequestArrived(
                 self._last_request_id,
@@ -89,13 +89,13 @@
                 self._start_attempt(request_id, host, timeout_ms)
             case decision.RejectRequest(request_id, retry_after_ms):
                 client = self._pending.pop(request_id).client
-                self.result.counts["refused"] += 1
+                self.result.counts[ClientEvent.REJECTED] += 1
                 self._reconnect(client, retry_after_ms / 1000.0)
             case decision.FailRequest(request_id):
                 self._reconnect(self._pending.pop(request_id).client, 0.0)
             case decision.MigrateConnection(request_id):
                 if request_id in self._established:
-                    self.result.counts["relieved"] += 1
+                    self.result.counts[ClientEvent.RELIEVED] += 1
                     self._migrate(request_id)
 
     # ------------------------------------------------------------ attempts
@@ -112,14 +112,14 @@
 
     def _sample_attempt(self, conditions: EndpointConditions, timeout_ms: float) -> AttemptSample:
         if conditions.silent:
-            return AttemptSample(AttemptFailure.CONNECT_FAILED, self._connect_timeout_ms)
+            return AttemptSample(decision.AttemptStatus.CONNECT_FAILED, self._connect_timeout_ms)
         if not conditions.running:
-            return AttemptSample(AttemptFailure.CONNECT_FAILED, REJECTION_MS)
+            return AttemptSample(decision.AttemptStatus.CONNECT_FAILED, REJECTION_MS)
         if conditions.full:
-            return AttemptSample(AttemptFailure.FULL, REJECTION_MS)
+            return AttemptSample(decision.AttemptStatus.FULL, REJECTION_MS)
         setup_ms = conditions.setup_ms * self._sampler.uniform(*SETUP_TIME_FACTORS)
         if setup_ms > timeout_ms:
-            return AttemptSample(AttemptFailure.TIMEOUT, timeout_ms)
+            return AttemptSample(decision.AttemptStatus.TIMEOUT, timeout_ms)
         return AttemptSample(None, setup_ms)
 
     def _on_attempt_ended(self, outcome: AttemptOutcome) -> None:
@@ -147,9 +147,11 @@
         self.result.connected.append((host, client))
         self.events.schedule(self.now_s + client.lifetime_s, self._on_finished, request_id)
         load_ms = client.load * self._spec.work_us_per_load / 1000.0
-        self._post_event(decision.MeasurementReported(request_id, attempt, host, "load", load_ms))
+        self._post_event(
+            decision.MeasurementReported(request_id, attempt, host, decision.MeasurementKind.LOAD, load_ms)
+        )
 
-    def _close(self, request_id: int, status: str) -> Client:
+    def _close(self, request_id: int, status: decision.AttemptStatus) -> Client:
         established = self._established.pop(request_id)
         client = established.client
         self.result.disconnected.append((established.host, client))
@@ -166,17 +168,17 @@
 
     def _on_finished(self, request_id: int) -> None:
         if request_id in self._established:
-            client = self._close(request_id, "ok")
+            client = self._close(request_id, decision.AttemptStatus.OK)
             self.result.wanted_changes.append((client.class_index, client.tenant, -1))
 
     def _on_drained(self, request_id: int) -> None:
         if request_id in self._established:
-            self._reconnect(self._close(request_id, "cancelled"), 0.0)
+            self._reconnect(self._close(request_id, decision.AttemptStatus.CANCELLED), 0.0)
 
     def _on_dropped(self, request_id: int) -> None:
         if request_id in self._established:
-            self.result.counts["dropped"] += 1
-            self._reconnect(self._close(request_id, "cancelled"), 0.0)
+            self.result.counts[ClientEvent.DROPPED] += 1
+            self._reconnect(self._close(request_id, decision.AttemptStatus.CANCELLED), 0.0)
 
     # ------------------------------------------------------------ faults
 
@@ -186,8 +188,8 @@
             request_id for request_id, established in self._established.items() if established.host == host
         ]
         for request_id in request_ids:
-            client = self._close(request_id, "reset")
-            self.result.counts["cut"] += 1
+            client = self._close(request_id, decision.AttemptStatus.RESET)
+            self.result.counts[ClientEvent.CUT] += 1
             self._reconnect(client, 0.0)
 
     def schedule_drain(self, hosts: Sequence[str], duration_s: float) -> None:
@@ -215,7 +217,7 @@
             self._reconnect(pending.client, 0.0)
         for client in self.events.pending_arguments(self.request_connection):
             self._reconnect(client, 0.0)
-        self.result.counts["cut"] += len(self._established)
+        self.result.counts[ClientEvent.CUT] += len(self._established)
         self._established.clear()
         self._pending.clear()
         self.events.clear()
@@ -226,18 +228,18 @@
         """Has the clients of these connections reconnect, as a rebalancing plan says."""
         migrating = set(request_ids) & self._established.keys()
         groups = count_group_migrations(self._established, migrating)
-        self.result.counts["groups_moved"] += groups.migrated
-        self.result.counts["groups_split"] += groups.split
+        self.result.counts[ClientEvent.GROUPS_MIGRATED] += groups.migrated
+        self.result.counts[ClientEvent.GROUPS_SPLIT] += groups.split
         for request_id in sorted(migrating):
             client = self._established[request_id].client
-            self.result.counts["moved"] += 1
+            self.result.counts[ClientEvent.MIGRATED] += 1
             if self._spec.classes[client.class_index].name == CHECK_IN_CLASS:
-                self.result.counts["checkin_moved"] += 1
+                self.result.counts[ClientEvent.CHECK_IN_MIGRATED] += 1
             if client.migrations:
-                self.result.counts["moved_twice"] += 1
+                self.result.counts[ClientEvent.MIGRATED_AGAIN] += 1
             self._migrate(request_id)
 
     def _migrate(self, request_id: int) -> None:
-        client = self._close(request_id, "cancelled")
+        client = self._close(request_id, decision.AttemptStatus.CANCELLED)
         client.migrations += 1
         self._reconnect(client, 0.0)
--- a/sageturn/lab/model/simulated_connections.py
+++ b/sageturn/lab/model/simulated_connections.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Mapping, Set
 from dataclasses import dataclass
-from enum import StrEnum
 
+from sageturn.decision import AttemptStatus
 from sageturn.lab.model.sampling import Client
 
 
@@ -27,19 +27,11 @@
     attempt: int
 
 
-class AttemptFailure(StrEnum):
-    """Why an attempt fails; the values are the decision module's statuses."""
-
-    CONNECT_FAILED = "connect_failed"
-    FULL = "full"
-    TIMEOUT = "timeout"
-
-
 @dataclass(frozen=True, slots=True)
 class AttemptSample:
-    """How an attempt will end, and after how long; ``failure`` is None for success."""
+    """The end of an attempt and the time until then; ``failure`` is None for success."""
 
-    failure: AttemptFailure | None
+    failure: AttemptStatus | None
     duration_ms: float
 
 
--- a/sageturn/lab/model/simulated_hosts.py
+++ b/sageturn/lab/model/simulated_hosts.py
@@ -1,4 +1,4 @@
-"""The hosts of a simulated fleet, which of them run and answer, and what discovery reports of them."""
+"""The hosts of a simulated fleet, their present state, and the endpoint list that discovery reports."""
 
 from __future__ import annotations
 
@@ -75,7 +75,7 @@
         self,
         hosts: Iterable[EndpointModel],
         now_s: float,
-        state: str = "ready",
+        state: decision.EndpointStatus = decision.EndpointStatus.READY,
         delay_s: float = DISCOVERY_DELAY_S,
     ) -> None:
         """Let discovery report a state of these hosts, after its delay."""
@@ -91,7 +91,9 @@
     def full_list(self) -> list[decision.Endpoint]:
         """The full endpoint list, as a relay that starts now gets it."""
         return [
-            describe_endpoint(host, "draining" if host.draining else "ready")
+            describe_endpoint(
+                host, decision.EndpointStatus.DRAINING if host.draining else decision.EndpointStatus.READY
+            )
             for host in self._joined()
             if host.name not in self.stopped
         ]
--- a/sageturn/lab/model/simulated_relay.py
+++ b/sageturn/lab/model/simulated_relay.py
@@ -10,6 +10,7 @@
 from sageturn.lab.model import simulation_steps as steps
 from sageturn.lab.model.fleet_spec import FleetSpec, relay_settings
 from sageturn.lab.model.naive_planner import NaivePlanner
+from sageturn.lab.model.planner_kind import PlannerKind
 from sageturn.lab.model.policy import load_policy
 from sageturn.lab.model.sampling import Client, ClientSampler
 from sageturn.lab.model.simulated_clients import SimulatedClients
@@ -18,8 +19,7 @@
 from sageturn.rebalance.plan import NO_PLAN, MigrationPlan
 from sageturn.rebalance.planner import RebalancePlanner
 
-PLANNER_KINDS = ("off", "naive", "on")
-PLANNERS = {"off": None, "naive": NaivePlanner, "on": RebalancePlanner}
+PLANNERS = {PlannerKind.OFF: None, PlannerKind.NAIVE: NaivePlanner, PlannerKind.ON: RebalancePlanner}
 PLANNER_INTERVAL_S = 1.0
 PLANNER_MINUTE = 720  # noon: outside all quiet hours
 # The balancer's seed is made of the fleet's seed, the relay's number and whether it was restarted.
@@ -30,12 +30,11 @@
 class SimulatedRelay:
     """A relay; ``simulation.RelayShard`` steps it.
 
-    ``planner`` is one of ``PLANNER_KINDS``. ``policy`` is the text of a decision module; empty for that of
-    this revision.
+    ``policy`` is the text of a decision module; empty for that of this revision.
     """
 
     def __init__(
-        self, spec: FleetSpec, number: int, planner: str, options: RebalanceOptions, policy: str = ""
+        self, spec: FleetSpec, number: int, planner: PlannerKind, options: RebalanceOptions, policy: str = ""
     ) -> None:
         self.spec = spec
         self.number = number
@@ -58,8 +57,12 @@
 
     # ------------------------------------------------------------ interface of the simulation
 
-    def update_endpoints(self, endpoints: Sequence[decision.Endpoint], kind: str = "full") -> None:
-        """Takes in a full endpoint list, or with the kind "changes" the entries that changed."""
+    def update_endpoints(
+        self,
+        endpoints: Sequence[decision.Endpoint],
+        kind: decision.ListEventKind = decision.ListEventKind.FULL,
+    ) -> None:
+        """Takes in a full endpoint list, or with the kind CHANGES the entries that changed."""
         self._endpoints.update({endpoint.name: endpoint for endpoint in endpoints})
         if not self._discovery_failed:
             self._handle_event(decision.EndpointListEvent(kind, list(endpoints)))
@@ -108,10 +111,10 @@
             case steps.SetArrivalRate():
                 self._arrival_rate = instruction
             case steps.UpdateEndpointList(endpoints):
-                self.update_endpoints(endpoints, "changes")
+                self.update_endpoints(endpoints, decision.ListEventKind.CHANGES)
             case steps.FailDiscovery():
                 self._discovery_failed = True
-                self._handle_event(decision.EndpointListEvent("failed", []))
+                self._handle_event(decision.EndpointListEvent(decision.ListEventKind.FAILED, []))
             case steps.RestoreDiscovery():
                 self._restore_discovery()
             case steps.ResetConnections(hosts):
@@ -131,8 +134,12 @@
 
     def _restore_discovery(self) -> None:
         self._discovery_failed = False
-        present = [endpoint for endpoint in self._endpoints.values() if endpoint.state != "gone"]
-        self._handle_event(decision.EndpointListEvent("full", present))
+        present = [
+            endpoint
+            for endpoint in self._endpoints.values()
+            if endpoint.state != decision.EndpointStatus.GONE
+        ]
+        self._handle_event(decision.EndpointListEvent(decision.ListEventKind.FULL, present))
 
     def _restart(self, endpoints: Sequence[decision.Endpoint]) -> None:
         """Starts without any state, under the same name."""
--- a/sageturn/lab/model/simulation_result.py
+++ b/sageturn/lab/model/simulation_result.py
@@ -1,4 +1,4 @@
-"""What a simulated run has measured."""
+"""Measurements of a simulated run."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def make_setup_histogram() -> HdrHistogram:
-    """A histogram of set-up times in milliseconds."""
+    """Makes an empty histogram of set-up times in milliseconds."""
     return HdrHistogram(MIN_SETUP_MS, MAX_SETUP_MS, SIGNIFICANT_DIGITS)
 
 
@@ -34,7 +34,7 @@
     wanted: list[list[float]] = field(default_factory=list)
     served: list[list[float]] = field(default_factory=list)
     utilizations: list[list[float]] = field(default_factory=list)
-    counts: Counter[str] = field(default_factory=Counter)
+    counts: Counter[str] = field(default_factory=Counter)  # by ClientEvent and ``late_event``
     setup_histograms: list[HdrHistogram] = field(default_factory=list)  # by class
     peak_intake_ratio: float = 0.0  # highest intake of a cold host over the one that crashes it
     crashed_hosts: int = 0
@@ -43,6 +43,6 @@
     planner_states: dict[int, dict[str, object]] = field(default_factory=dict)
 
     def service(self) -> float:
-        """The weight of the seconds that were served in time over that of all wanted seconds."""
+        """Returns the weight of the seconds that were served in time over that of all wanted seconds."""
         wanted = float(np.sum(self.wanted))
         return float(np.sum(self.served)) / wanted if wanted > 0 else 0.0
--- a/sageturn/lab/model/simulation_steps.py
+++ b/sageturn/lab/model/simulation_steps.py
@@ -1,4 +1,4 @@
-"""What the simulated relays and their environment exchange at each step.
+"""Messages between the simulated relays and their environment in each step.
 
 At the start of a step the relays get the conditions at the hosts, clients that connect again, and
 instructions; at its end each returns a ``StepResult``. All of these pass between processes.
@@ -11,6 +11,7 @@
 from dataclasses import dataclass, field
 
 from sageturn import decision
+from sageturn.lab.model.client_event import ClientEvent
 from sageturn.lab.model.sampling import Client
 
 
@@ -126,4 +127,4 @@
     wanted_changes: list[tuple[int, str, int]] = field(default_factory=list)
     reconnects: list[tuple[float, Client]] = field(default_factory=list)
     setups: list[tuple[int, float]] = field(default_factory=list)
-    counts: Counter[str] = field(default_factory=Counter)
+    counts: Counter[ClientEvent] = field(default_factory=Counter)
--- a/sageturn/lab/rebalancing.py
+++ b/sageturn/lab/rebalancing.py
@@ -12,18 +12,18 @@
 import time
 from concurrent.futures import ProcessPoolExecutor
 from dataclasses import dataclass
-from typing import Any
 
 import uvloop
 
-from sageturn.lab.loopback.loopback_runner import LoopbackResult, deployed
+from sageturn.lab.loopback.loopback_runner import Deployment, FleetSample, LoopbackResult, deployed
 from sageturn.lab.measurements.planner_cost import PlannerCost
+from sageturn.lab.model.client_event import ClientEvent
 from sageturn.lab.model.fleet_spec import FleetSpec
-from sageturn.lab.model.simulated_relay import PLANNER_KINDS
+from sageturn.lab.model.planner_kind import PLANNER_NAMES, PlannerKind
 from sageturn.lab.model.simulation_result import SimulationResult
 from sageturn.lab.reports.result_table import Row, loopback_row, print_table, simulated_row
 from sageturn.lab.runner.simulation import simulate
-from sageturn.rebalance.options import RebalanceOptions
+from sageturn.rebalance.options import RebalanceMode, RebalanceOptions
 
 LOOPBACK_PROGRESS_INTERVAL_S = 15
 SIMULATED_PROGRESS_INTERVAL_S = 20
@@ -34,20 +34,20 @@
 
 @dataclass(frozen=True, slots=True)
 class LoopbackJob:
-    """One policy's run on loopback; it is passed to a process of its own."""
+    """A run on loopback with one planner; it is passed to a process of its own."""
 
     spec: FleetSpec
-    policy: str
+    planner: PlannerKind
     seconds: float
     show_progress: bool
 
 
 async def _run_loopback(job: LoopbackJob) -> LoopbackResult:
-    async with deployed(job.spec, job.policy, {}) as deployment:
+    async with deployed(job.spec, job.planner, {}) as deployment:
 
-        def on_sample(sample: Any, _: Any) -> None:
+        def on_sample(sample: FleetSample, _: Deployment) -> None:
             if job.show_progress and round(sample.elapsed_s) % LOOPBACK_PROGRESS_INTERVAL_S == 0:
-                progress = f"{job.policy:6} {sample.elapsed_s:4.0f} s  ratio {sample.imbalance_ratio:.2f}"
+                progress = f"{job.planner:6} {sample.elapsed_s:4.0f} s  ratio {sample.imbalance_ratio:.2f}"
                 progress += f"  moved {sample.migrations}  standing {sample.established}"
                 print(progress, file=sys.stderr, flush=True)
 
@@ -59,9 +59,10 @@
 
 
 def measure_loopback(options: argparse.Namespace) -> None:
-    """Run real relays on loopback, each policy in a process of its own, all at once on the same machine."""
+    """Runs real relays on loopback: each planner in processes of its own, all at once on the same machine."""
     spec = FleetSpec(connections=options.connections, seed=options.seed)
-    jobs = [LoopbackJob(spec, policy, options.seconds, not options.quiet) for policy in options.planners]
+    planners = [PlannerKind(name) for name in options.planners]
+    jobs = [LoopbackJob(spec, planner, options.seconds, not options.quiet) for planner in planners]
     with ProcessPoolExecutor(len(jobs)) as pool:
         rows = dict(zip(options.planners, pool.map(_measure_loopback, jobs), strict=True))
     title = f"loopback: {spec.relays} relays, {spec.hosts} hosts, {spec.connections} connections"
@@ -106,25 +107,27 @@
 
 
 def measure_simulated(options: argparse.Namespace) -> None:
-    """Simulate each size with each policy, one after the other."""
+    """Simulates each size with each planner, one after the other."""
     for size in options.sizes:
         spec = spec_of_size(size, options.seed)
-        rows = {policy: _measure_simulated(spec, policy, options) for policy in options.planners}
+        rows = {name: _measure_simulated(spec, PlannerKind(name), options) for name in options.planners}
         title = f"simulated: {spec.hosts} hosts, {spec.relays} relays, {spec.connections} connections"
         print_table(title, rows, options.json)
 
 
-def _measure_simulated(spec: FleetSpec, policy: str, options: argparse.Namespace) -> Row:
+def _measure_simulated(spec: FleetSpec, planner: PlannerKind, options: argparse.Namespace) -> Row:
     began_s = time.monotonic()
 
     def on_progress(now_s: float, series: SimulationResult) -> None:
         if not options.quiet and now_s % SIMULATED_PROGRESS_INTERVAL_S == 0:
-            progress = f"{policy:6} {now_s:4.0f} s  ratio {series.imbalance_ratios[-1]:.2f}"
-            progress += f"  moved {series.counts['moved']}  after {time.monotonic() - began_s:.0f} s"
+            progress = f"{planner:6} {now_s:4.0f} s  ratio {series.imbalance_ratios[-1]:.2f}"
+            progress += (
+                f"  moved {series.counts[ClientEvent.MIGRATED]}  after {time.monotonic() - began_s:.0f} s"
+            )
             print(progress, file=sys.stderr, flush=True)
 
-    rebalance_options = RebalanceOptions(mode="on")
-    series = simulate(spec, policy, rebalance_options, options.seconds, options.processes, on_progress)
+    rebalance_options = RebalanceOptions(mode=RebalanceMode.ON)
+    series = simulate(spec, planner, rebalance_options, options.seconds, options.processes, on_progress)
     return simulated_row(spec, series, time.monotonic() - began_s)
 
 
@@ -144,7 +147,7 @@
     common.add_argument("--json", action="store_true", help="one line of JSON a table")
     common.add_argument("--quiet", action="store_true", help="no progress")
     common.add_argument("--seed", type=int, default=1)
-    common.add_argument("--movers", dest="planners", nargs="+", choices=PLANNER_KINDS, default=PLANNER_KINDS)
+    common.add_argument("--movers", dest="planners", nargs="+", choices=PLANNER_NAMES, default=PLANNER_NAMES)
     parser = argparse.ArgumentParser(prog="sageturn.lab.rebalancing", description=__doc__)
     commands = parser.add_subparsers(required=True)
     loopback = commands.add_parser("loopback", parents=[common])
--- a/sageturn/lab/reports/result_table.py
+++ b/sageturn/lab/reports/result_table.py
@@ -6,44 +6,47 @@
 from __future__ import annotations
 
 import json
-from typing import Any
+from collections import Counter
 
+from hdrh.histogram import HdrHistogram
 from rich.console import Console
 from rich.table import Table
 
 from sageturn.lab.loopback.loopback_runner import LoopbackResult
+from sageturn.lab.model.client_event import ClientEvent, late_event
 from sageturn.lab.model.fleet_spec import FleetSpec
 from sageturn.lab.model.simulation_result import SimulationResult
 
-BALANCED_RATIO = 1.15  # the fullest endpoint's utilization over the mean that counts as balance
+BALANCED_RATIO = 1.15  # highest utilization over the mean, up to which a fleet counts as balanced
 FINAL_WINDOW_S = 60  # the end of a run over which the ratio is averaged
 TABLE_WIDTH = 150  # characters
 
-Row = dict[str, Any]
+Row = dict[str, object]  # figures by their labels
 
 
-def format_percentiles(histogram: Any) -> str:
-    """The median and the 99th percentile."""
+def format_percentiles(histogram: HdrHistogram) -> str:
+    """Formats the median and the 99th percentile."""
     median = histogram.get_value_at_percentile(50.0)
     tail = histogram.get_value_at_percentile(99.0)
     return f"{median:.0f}/{tail:.0f}"
 
 
 def loopback_row(run: LoopbackResult) -> Row:
-    """The figures of a run of real relays on loopback."""
+    """Returns the figures of a run of real relays on loopback."""
     counts = run.observations.counts
     spec = run.spec
     ratios = [sample.imbalance_ratio for sample in run.samples]
     seconds = run.samples[-1].elapsed_s
-    worth = sum(c.share * c.priority_weight for c in spec.classes) * spec.connections * seconds
+    mean_weight = sum(class_spec.share * class_spec.priority_weight for class_spec in spec.classes)
+    weighted_wanted_s = mean_weight * spec.connections * seconds
     return {
         **_common_figures(spec, ratios, run.observations.setup_histograms, counts),
-        "moves that left some of a group behind": counts["left_behind"],
-        "clients moved more than once": counts["moved_again"],
-        "refused": counts["busy"],
-        "cut off": counts["cut"],
-        "unanswered": counts["unanswered"],
-        "worth lost waiting": f"{run.observations.weighted_waiting_s / worth:.4%}",
+        "moves that left some of a group behind": counts[ClientEvent.LEFT_BEHIND],
+        "clients moved more than once": counts[ClientEvent.MIGRATED_REPEATEDLY],
+        "refused": counts[ClientEvent.BUSY],
+        "cut off": counts[ClientEvent.CUT],
+        "unanswered": counts[ClientEvent.UNANSWERED],
+        "worth lost waiting": f"{run.observations.weighted_waiting_s / weighted_wanted_s:.4%}",
         "fresh host's peak intake, of its bound": f"{run.peak_intake_ratio:.0%}",
         "hosts fallen": run.crashed_hosts,
         "CPU of a relay": f"{sum(run.relay_cpu_s) / len(run.relay_cpu_s) / seconds:.1%}",
@@ -51,16 +54,16 @@
 
 
 def simulated_row(spec: FleetSpec, series: SimulationResult, took_s: float) -> Row:
-    """The figures of a simulated run, which took ``took_s`` of real time."""
+    """Returns the figures of a simulated run, which took ``took_s`` of real time."""
     counts = series.counts
     return {
         **_common_figures(spec, series.imbalance_ratios, series.setup_histograms, counts),
-        "groups moved": counts["groups_moved"],
-        "groups split by a move": counts["groups_split"],
-        "clients moved more than once": counts["moved_twice"],
-        "moved by the module": counts["relieved"],
-        "refused": counts["refused"],
-        "cut off": counts["cut"],
+        "groups moved": counts[ClientEvent.GROUPS_MIGRATED],
+        "groups split by a move": counts[ClientEvent.GROUPS_SPLIT],
+        "clients moved more than once": counts[ClientEvent.MIGRATED_AGAIN],
+        "moved by the module": counts[ClientEvent.RELIEVED],
+        "refused": counts[ClientEvent.REJECTED],
+        "cut off": counts[ClientEvent.CUT],
         "worth lost waiting": f"{series.weighted_waiting_s / series.weighted_wanted_s:.4%}",
         "fresh host's peak intake, of its bound": f"{series.peak_intake_ratio:.0%}",
         "hosts fallen": series.crashed_hosts,
@@ -82,7 +85,9 @@
     Console(width=TABLE_WIDTH).print(table)
 
 
-def _common_figures(spec: FleetSpec, ratios: list[float], setup_histograms: list[Any], counts: Any) -> Row:
+def _common_figures(
+    spec: FleetSpec, ratios: list[float], setup_histograms: list[HdrHistogram], counts: Counter[str]
+) -> Row:
     after_join = [ratio for second, ratio in enumerate(ratios) if second >= spec.join_s]
     balanced_s = next((second for second, ratio in enumerate(after_join) if ratio <= BALANCED_RATIO), None)
     final_ratios = ratios[-FINAL_WINDOW_S:]
@@ -90,12 +95,12 @@
         "ratio at its worst": round(max(after_join), 2),
         "s to 1.15": balanced_s,
         f"ratio, mean of the last {FINAL_WINDOW_S} s": round(sum(final_ratios) / len(final_ratios), 2),
-        "moved": counts["moved"],
-        "moves a connection": round(counts["moved"] / spec.connections, 3),
-        "guest-checkin moved": counts["checkin_moved"],
+        "moved": counts[ClientEvent.MIGRATED],
+        "moves a connection": round(counts[ClientEvent.MIGRATED] / spec.connections, 3),
+        "guest-checkin moved": counts[ClientEvent.CHECK_IN_MIGRATED],
     }
     for class_spec, histogram in zip(spec.classes, setup_histograms, strict=True):
-        late_ratio = counts[f"late_{class_spec.name}"] / max(1, histogram.get_total_count())
+        late_ratio = counts[late_event(class_spec.name)] / max(1, histogram.get_total_count())
         label = f"{class_spec.name} p50/p99 ms (aim {class_spec.latency_objective_ms:.0f})"
         row[label] = f"{format_percentiles(histogram)}, {late_ratio:.2%} late"
     return row
--- a/sageturn/lab/runner/environment.py
+++ b/sageturn/lab/runner/environment.py
@@ -7,14 +7,15 @@
 
 from collections.abc import Iterable, Sequence
 from math import exp
-from typing import Any
 
 import numpy as np
+from numpy.typing import NDArray
 
 from sageturn.frontends.platform.timing import MAX_CLIENT_SILENCE_S, MIGRATION_MARGIN_S
-from sageturn.lab.faults.fault import ScheduledFault
+from sageturn.lab.faults.fault import FaultKind, ScheduledFault
 from sageturn.lab.faults.fault_injection import FaultInjector
 from sageturn.lab.model import simulation_steps as steps
+from sageturn.lab.model.client_event import ClientEvent, late_event
 from sageturn.lab.model.endpoint_model import EndpointModel
 from sageturn.lab.model.fleet_spec import ClassSpec, FleetSpec
 from sageturn.lab.model.sampling import ClientSampler
@@ -30,13 +31,16 @@
 from sageturn.lab.model.zone_frontend import ZoneFrontend
 
 IDLE_MESSAGE_MS = 6.0  # service time of a message at an idle host of size 1
-# A relay migrates a client whose host has been silent for so long.
-SILENCE_TIMEOUT_S = MAX_CLIENT_SILENCE_S - MIGRATION_MARGIN_S
+SILENCE_TIMEOUT_S = (
+    MAX_CLIENT_SILENCE_S - MIGRATION_MARGIN_S
+)  # until a relay migrates a silent host's clients
 UTILIZATION_SAMPLE_INTERVAL_S = 5
 
 
-def ratio_answered_in_time(classes: Sequence[ClassSpec], host: EndpointModel, now_s: float) -> Any:
-    """The ratio of messages that a host answers within the objective: a column with a row for each class.
+def ratio_answered_in_time(
+    classes: Sequence[ClassSpec], host: EndpointModel, now_s: float
+) -> NDArray[np.float64]:
+    """Returns the ratio of messages that a host answers within the objective, as a column by class.
 
     The host is an M/M/1 queue, behind its backlog.
     """
@@ -85,14 +89,16 @@
         instructions += self._faults.advance(now_s)
         instructions.append(
             steps.SetArrivalRate(
-                self._faults.strength("burst", now_s), self._faults.strength("beyond", now_s)
+                self._faults.strength(FaultKind.BURST, now_s), self._faults.strength(FaultKind.BEYOND, now_s)
             )
         )
-        if not self._faults.is_active("discovery", now_s):
+        if not self._faults.is_active(FaultKind.DISCOVERY, now_s):
             instructions += [
                 steps.UpdateEndpointList(update) for update in self._hosts.take_due_updates(now_s)
             ]
-        store_call_ms = self._session_store.advance(self._faults.strength("store", now_s), self._step_s)
+        store_call_ms = self._session_store.advance(
+            self._faults.strength(FaultKind.STORE, now_s), self._step_s
+        )
         conditions = self._hosts.conditions(now_s, store_call_ms)
         reconnects = self._reconnects
         self._reconnects = {}
@@ -126,7 +132,7 @@
         return self.result
 
     def _reset_lost_connections(self, until_s: float) -> None:
-        """Reset what crashed hosts hold, and what relays give up at hosts that are silent for too long."""
+        """Resets the connections of crashed hosts, and of hosts that are silent for too long."""
         hosts = self._hosts.by_name
         crashed = [name for name, host in hosts.items() if host.crashed and host.connection_count]
         timed_out = [
@@ -151,7 +157,8 @@
             self._wanted[class_index, self._tenant_index[tenant]] += change
         for class_index, setup_ms in step_result.setups:
             self._record_setup(class_index, setup_ms)
-        self.result.counts.update(step_result.counts)
+        for event, count in step_result.counts.items():
+            self.result.counts[event.value] += count
         self._merge_reconnects(relay, step_result, until_s)
 
     def _record_setup(self, class_index: int, setup_ms: float) -> None:
@@ -159,7 +166,7 @@
         bounded_ms = max(MIN_SETUP_MS, min(MAX_SETUP_MS, round(setup_ms)))
         self.result.setup_histograms[class_index].record_value(bounded_ms)
         if setup_ms > class_spec.latency_objective_ms:
-            self.result.counts[f"late_{class_spec.name}"] += 1
+            self.result.counts[late_event(class_spec.name)] += 1
 
     def _merge_reconnects(self, relay: int, step_result: StepResult, until_s: float) -> None:
         """Send each client to a relay of the zone, in the next step at the earliest."""
@@ -173,7 +180,7 @@
             weight = self.spec.classes[client.class_index].priority_weight
             self.result.weighted_waiting_s += weight * (due_s - self.now_s)
 
-    def _record_second(self, served: Any) -> None:
+    def _record_second(self, served: NDArray[np.float64]) -> None:
         result = self.result
         running = self._hosts.running(self.now_s)
         capacity = sum(host.capacity for host in running)
@@ -181,8 +188,10 @@
         highest = max(host.total_load() / host.capacity for host in running) if mean > 0 else 0.0
         result.imbalance_ratios.append(highest / mean if mean > 0 else 1.0)
         result.mean_utilizations.append(mean)
-        result.total_migrations.append(result.counts["moved"] + result.counts["relieved"])
-        result.total_rejections.append(result.counts["refused"])
+        result.total_migrations.append(
+            result.counts[ClientEvent.MIGRATED] + result.counts[ClientEvent.RELIEVED]
+        )
+        result.total_rejections.append(result.counts[ClientEvent.REJECTED])
         weighted_wanted = self._wanted * self._weights
         result.wanted.append(_by_class_and_tenant(weighted_wanted))
         result.served.append(_by_class_and_tenant(served * self._weights))
@@ -198,6 +207,6 @@
         ]
 
 
-def _by_class_and_tenant(values: Any) -> list[float]:
-    """The sums by class, followed by those by tenant: operators look at a day in both ways."""
+def _by_class_and_tenant(values: NDArray[np.float64]) -> list[float]:
+    """Returns the sums by class, followed by those by tenant."""
     return [*values.sum(axis=1).tolist(), *values.sum(axis=0).tolist()]
--- a/sageturn/lab/runner/experiment.py
+++ b/sageturn/lab/runner/experiment.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Iterable
 from pathlib import Path
-from typing import Annotated, Any
+from typing import Annotated
 
 import msgspec
 from msgspec import Meta, Struct, field
@@ -20,8 +20,9 @@
 )
 from sageturn.lab.faults.fault import ScheduledFault
 from sageturn.lab.model.fleet_spec import FleetSpec
-from sageturn.lab.model.simulated_relay import PLANNER_KINDS
-from sageturn.rebalance.options import MODES, RebalanceOptions
+from sageturn.lab.model.planner_kind import PLANNER_NAMES, PlannerKind
+from sageturn.net.json_stream import JsonObject
+from sageturn.rebalance.options import MODES, RebalanceMode, RebalanceOptions
 
 MIN_INITIAL_HOSTS = 2
 
@@ -74,23 +75,24 @@
     """A decision module and a way of rebalancing, which all relays of a run use.
 
     ``policy`` is empty for the present decision module, a path, or ``git:REVISION``. ``planner``, in
-    the file ``mover``, is one of ``PLANNER_KINDS``. ``rebalance`` has fields of ``RebalanceOptions``.
+    the file ``mover``, is a ``PlannerKind``; a plain string, so that an error names the
+    file's value. ``rebalance`` has fields of ``RebalanceOptions``.
     """
 
     name: Name
     policy: str = ""
-    planner: str = field(default="off", name="mover")
-    rebalance: dict[str, Any] = {}
+    planner: str = field(default=PlannerKind.OFF.value, name="mover")
+    rebalance: JsonObject = {}
 
     def options(self) -> RebalanceOptions:
         """The options of the planner. Raises InvalidVariantError, or TypeError for a value's type."""
-        if self.planner not in PLANNER_KINDS:
+        if self.planner not in PLANNER_NAMES:
             raise InvalidVariantError("mover: must be off, naive or on")
         known = RebalanceOptions.__dataclass_fields__
         for key in self.rebalance:
             if key not in known:
                 raise InvalidVariantError(f"rebalance.{key}: is unknown")
-        options = RebalanceOptions(**{"mode": "on", **self.rebalance})
+        options = RebalanceOptions(**{"mode": RebalanceMode.ON, **self.rebalance})
         if options.mode not in MODES:
             raise InvalidVariantError("rebalance.mode: must be one of " + ", ".join(MODES))
         return options
--- a/sageturn/lab/runner/experiment_runner.py
+++ b/sageturn/lab/runner/experiment_runner.py
@@ -13,6 +13,7 @@
 
 import msgspec
 
+from sageturn.lab.model.planner_kind import PlannerKind
 from sageturn.lab.model.policy import read_policy
 from sageturn.lab.runner.experiment import Experiment, Scenario, Variant
 from sageturn.lab.runner.metrics import encode_series, measure
@@ -44,7 +45,7 @@
     started_s = time.monotonic()
     result = simulate(
         scenario.size.spec(seed),
-        variant.planner,
+        PlannerKind(variant.planner),
         variant.options(),
         scenario.seconds,
         processes,
--- a/sageturn/lab/runner/metrics.py
+++ b/sageturn/lab/runner/metrics.py
@@ -2,36 +2,36 @@
 
 from __future__ import annotations
 
-from typing import Any
-
 import numpy as np
+from hdrh.histogram import HdrHistogram
 
+from sageturn.lab.model.client_event import ClientEvent, late_event
 from sageturn.lab.model.fleet_spec import FleetSpec
 from sageturn.lab.model.simulation_result import SimulationResult
+from sageturn.lab.runner.result_file import Line
 
-WINDOW_S = 10  # the worst such window counts, as it does for the operators
+WINDOW_S = 10  # of the metric ``worst_window``
 FINAL_WINDOW_S = 10  # over which the imbalance at the end is averaged
 PERCENTILES = (50.0, 90.0, 99.0, 99.9)
 MIN_WEIGHT = 1e-9  # stands in for 0 in a divisor
 METRIC_DIGITS = 6
-# The operators' own weights: the whole run, the worst window, the worst class, the worst tenant.
 GOAL_WEIGHTS = {"service": 0.5, "worst_window": 0.05, "worst_class": 0.2, "worst_member": 0.25}
 
 
 def measure(spec: FleetSpec, result: SimulationResult) -> dict[str, float]:
-    """The metrics of a run by the names of the result file: ratios, but for counts and milliseconds."""
+    """Returns the metrics of a run by the keys of the result file: ratios, counts and milliseconds."""
     metrics = _service_metrics(len(spec.classes), result)
-    requests = max(1, result.counts["asked"])
+    requests = max(1, result.counts[ClientEvent.REQUESTED])
     setups = sum(histogram.get_total_count() for histogram in result.setup_histograms)
-    late_setups = sum(result.counts[f"late_{class_spec.name}"] for class_spec in spec.classes)
+    late_setups = sum(result.counts[late_event(class_spec.name)] for class_spec in spec.classes)
     metrics |= {
         "late": late_setups / max(1, setups),
-        "refused": result.counts["refused"] / requests,
+        "refused": result.counts[ClientEvent.REJECTED] / requests,
         "moved": result.total_migrations[-1] / spec.connections,
-        "cut": result.counts["cut"] / spec.connections,
+        "cut": result.counts[ClientEvent.CUT] / spec.connections,
         "ratio": float(np.mean(result.imbalance_ratios[-FINAL_WINDOW_S:])),
         "fallen": float(result.crashed_hosts),
-        "split": float(result.counts["groups_split"]),
+        "split": float(result.counts[ClientEvent.GROUPS_SPLIT]),
         "set_up_p99_ms": float(
             max(histogram.get_value_at_percentile(99.0) for histogram in result.setup_histograms)
         ),
@@ -56,8 +56,8 @@
     }
 
 
-def encode_series(result: SimulationResult) -> dict[str, Any]:
-    """The time series that plots are made of, rounded: some 20 KB for a minute."""
+def encode_series(result: SimulationResult) -> Line:
+    """Returns the time series of a run by the keys of the result file, rounded."""
     return {
         "ratio": np.round(result.imbalance_ratios, 4).tolist(),
         "fill": np.round(result.mean_utilizations, 4).tolist(),
@@ -70,7 +70,7 @@
     }
 
 
-def _encode_histogram(histogram: Any) -> dict[str, Any]:
+def _encode_histogram(histogram: HdrHistogram) -> Line:
     percentiles = {
         str(percentile): float(histogram.get_value_at_percentile(percentile)) for percentile in PERCENTILES
     }
--- a/sageturn/lab/runner/search.py
+++ b/sageturn/lab/runner/search.py
@@ -15,7 +15,7 @@
 import numpy as np
 
 from sageturn.lab.errors import UnknownParameterError
-from sageturn.lab.faults.fault import FAULT_KINDS, ScheduledFault
+from sageturn.lab.faults.fault import FaultKind, ScheduledFault
 from sageturn.lab.runner.experiment import Scenario, Size, Variant
 from sageturn.lab.runner.experiment_runner import run_scenario
 from sageturn.lab.runner.scenario_shrinking import replace_fault_field, shrink
@@ -146,10 +146,10 @@
 
 
 def _draw_fault(rng: np.random.Generator, seconds: float) -> ScheduledFault:
-    kind = str(rng.choice(list(FAULT_KINDS)))
+    kind = str(rng.choice([kind.value for kind in FaultKind]))
     start_s = float(np.round(rng.uniform(5.0, seconds * 0.6), 1))
     length_s = float(np.round(rng.uniform(2.0, min(MAX_FAULT_LENGTH_S, seconds - start_s)), 1))
-    max_strength = MAX_SLOWDOWN if kind in ("slow", "store") else MAX_STRENGTH
+    max_strength = MAX_SLOWDOWN if kind in (FaultKind.SLOW, FaultKind.STORE) else MAX_STRENGTH
     strength = float(np.round(rng.uniform(1.5, max_strength), 1))
     part = float(np.round(rng.uniform(0.05, 0.5), 2))
     return ScheduledFault(kind, start_s, length_s, part, strength)
--- a/sageturn/lab/runner/simulation.py
+++ b/sageturn/lab/runner/simulation.py
@@ -18,6 +18,7 @@
 from sageturn.lab.faults.fault import ScheduledFault
 from sageturn.lab.model.fleet import InitialPlacement, describe_endpoint, make_hosts
 from sageturn.lab.model.fleet_spec import FleetSpec
+from sageturn.lab.model.planner_kind import PlannerKind
 from sageturn.lab.model.simulated_relay import SimulatedRelay
 from sageturn.lab.model.simulation_result import SimulationResult
 from sageturn.lab.model.simulation_steps import StepInput, StepResult
@@ -36,7 +37,7 @@
 class RelayVariant:
     """Planner, its options and decision module of the relays of a run; see ``SimulatedRelay``."""
 
-    planner: str
+    planner: PlannerKind
     options: RebalanceOptions
     policy: str
 
@@ -152,7 +153,7 @@
 
 def simulate(
     spec: FleetSpec,
-    planner: str,
+    planner: PlannerKind,
     options: RebalanceOptions,
     seconds: float,
     processes: int = 1,
@@ -162,7 +163,7 @@
 ) -> SimulationResult:
     """Simulate ``seconds`` of a fleet with its scheduled faults.
 
-    ``planner`` is "off", "naive" or "on"; ``policy`` is the text of a decision module, and empty for the
+    ``policy`` is the text of a decision module, and empty for the
     present one. ``progress`` is called each simulated second.
     """
     environment = SimulatedEnvironment(spec, faults, STEP_S)
--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -19,11 +19,12 @@
     ResultsMismatchError,
     UnknownParameterError,
 )
-from sageturn.lab.faults.fault import FAULT_KINDS, ScheduledFault
+from sageturn.lab.faults.fault import FaultKind, ScheduledFault
 from sageturn.lab.loopback.loopback_runner import deployed
 from sageturn.lab.model.endpoint_model import EndpointModel
 from sageturn.lab.model.fleet import make_hosts
 from sageturn.lab.model.fleet_spec import FleetSpec
+from sageturn.lab.model.planner_kind import PlannerKind
 from sageturn.lab.model.policy import POLICY_MODULES, load_policy, read_policy
 from sageturn.lab.model.simulation_result import SimulationResult
 from sageturn.lab.reports.compare import compare, difference
@@ -72,7 +73,7 @@
 
 
 def run(
-    planner: str, processes: int = 1, seconds: float = 150.0, spec: FleetSpec = SMALL
+    planner: PlannerKind, processes: int = 1, seconds: float = 150.0, spec: FleetSpec = SMALL
 ) -> SimulationResult:
     options = RebalanceOptions(mode="on", part_per_min=0.4)
     return simulate(spec, planner, options, seconds, processes)
@@ -83,14 +84,14 @@
 
 
 def test_a_simulation_does_not_depend_on_its_number_of_processes() -> None:
-    one, three = run("on", 1, 60.0), run("on", 3, 60.0)
+    one, three = run(PlannerKind.ON, 1, 60.0), run(PlannerKind.ON, 3, 60.0)
     assert one.imbalance_ratios == three.imbalance_ratios and one.counts == three.counts
     assert setup_counts(one) == setup_counts(three)
-    assert run("on", 1, 60.0, replace(SMALL, seed=2)).imbalance_ratios != one.imbalance_ratios
+    assert run(PlannerKind.ON, 1, 60.0, replace(SMALL, seed=2)).imbalance_ratios != one.imbalance_ratios
 
 
 def test_the_planner_balances_a_small_fleet_and_keeps_its_promises() -> None:
-    unbalanced, balanced = run("off", 1), run("on", 1)
+    unbalanced, balanced = run(PlannerKind.OFF, 1), run(PlannerKind.ON, 1)
     assert sum(balanced.imbalance_ratios[-20:]) < sum(unbalanced.imbalance_ratios[-20:]) - 20 * 0.1
     assert balanced.counts["moved"] > 0 and unbalanced.counts["moved"] == 0
     assert balanced.counts["groups_split"] == balanced.counts["checkin_moved"] == balanced.crashed_hosts == 0
@@ -100,7 +101,7 @@
 @pytest.mark.timeout(40)
 async def test_real_relays_run_between_the_fakes() -> None:
     spec = FleetSpec(relays=2, hosts=3, initial_hosts=2, connections=60, mean_lifetime_s=20.0, join_s=0.5)
-    async with deployed(spec, "on", {"tick_s": 0.1}) as deployment:
+    async with deployed(spec, PlannerKind.ON, {"tick_s": 0.1}) as deployment:
         result = await deployment.run(2.0)
     counts = result.observations.counts
     assert result.malformed_requests == 0 and result.crashed_hosts == 0
@@ -115,11 +116,11 @@
 
 def simulate_day(*faults: ScheduledFault, seconds: float = 40.0, seed: int = 1) -> SimulationResult:
     spec = Size(connections=300, hosts=6, relays=2, capacity_ratio=2.4).spec(seed)
-    return simulate(spec, "off", RebalanceOptions(), seconds, faults=faults)
+    return simulate(spec, PlannerKind.OFF, RebalanceOptions(), seconds, faults=faults)
 
 
-@pytest.mark.parametrize("kind", list(FAULT_KINDS))
-def test_each_fault_does_harm_of_its_own_and_is_over(kind: str) -> None:
+@pytest.mark.parametrize("kind", list(FaultKind))
+def test_each_fault_does_harm_of_its_own_and_is_over(kind: FaultKind) -> None:
     calm = simulate_day()
     faulty = simulate_day(ScheduledFault(kind, 10.0, 8.0, 0.5, 4.0))
     counts = faulty.counts
