--- a/sageturn/cli/lab.py
+++ b/sageturn/cli/lab.py
@@ -27,7 +27,7 @@
 from sageturn.lab.runner.experiment_runner import run_experiment, run_scenario
 from sageturn.lab.runner.result_file import Line, Results
 from sageturn.lab.runner.scenario_shrinking import describe
-from sageturn.lab.runner.search import find_crossing, write_scenario
+from sageturn.lab.runner.search import Evaluation, find_crossing, write_scenario
 from sageturn.lab.runner.search import hunt as hunt_scenarios
 from sageturn.lab.runner.search import sweep as sweep_values
 
@@ -164,14 +164,13 @@
     tried = _find_variant(experiment, variant)
     try:
         numbers = [float(text) for text in values.split(",")]
-        policy = read_policy(tried.policy, Path.cwd())
-        points = sweep_values(played, tried, policy, experiment.seeds, knob, numbers, metric, processes)
+        evaluation = Evaluation(tried, read_policy(tried.policy, Path.cwd()), experiment.seeds, metric)
+        points = sweep_values(played, evaluation, knob, numbers, processes)
     except ValueError as error:
         fail(ExitCode.USAGE, str(error))
 
     def measure(value: float) -> float:
-        measured = sweep_values(played, tried, policy, experiment.seeds, knob, [value], metric, 1)
-        return measured[0].metric
+        return sweep_values(played, evaluation, knob, [value], 1)[0].metric
 
     crossing = find_crossing(points, bound, measure)
     if as_json:
@@ -201,10 +200,9 @@
     experiment = _read_experiment(file)
     tried = _find_variant(experiment, variant)
     scenario = experiment.scenarios[0]
-    policy = read_policy(tried.policy, Path.cwd())
-    found = hunt_scenarios(
-        scenario.size, scenario.seconds, tried, policy, days, seed, metric, processes, print
-    )
+    evaluation = Evaluation(tried, read_policy(tried.policy, Path.cwd()), (seed,), metric)
+    calm = Scenario("calm", scenario.size, scenario.seconds)
+    found = hunt_scenarios(calm, evaluation, days, seed, processes, print)
     worst = found[0].scenario
     loss = found[0].loss
     why = f"found by hunting {days} days of seed {seed}: loses {loss:.3f} of {metric} against a calm day"
--- a/sageturn/lab/rebalancing.py
+++ b/sageturn/lab/rebalancing.py
@@ -22,7 +22,7 @@
 from sageturn.lab.model.planner_kind import PLANNER_NAMES, PlannerKind
 from sageturn.lab.model.simulation_result import SimulationResult
 from sageturn.lab.reports.result_table import Row, loopback_row, print_table, simulated_row
-from sageturn.lab.runner.simulation import simulate
+from sageturn.lab.runner.simulation import RelayVariant, simulate
 from sageturn.rebalance.options import RebalanceMode, RebalanceOptions
 
 LOOPBACK_PROGRESS_INTERVAL_S = 15
@@ -126,8 +126,8 @@
             )
             print(progress, file=sys.stderr, flush=True)
 
-    rebalance_options = RebalanceOptions(mode=RebalanceMode.ON)
-    series = simulate(spec, planner, rebalance_options, options.seconds, options.processes, on_progress)
+    variant = RelayVariant(planner, RebalanceOptions(mode=RebalanceMode.ON))
+    series = simulate(spec, variant, options.seconds, processes=options.processes, on_second=on_progress)
     return simulated_row(spec, series, time.monotonic() - began_s)
 
 
--- a/sageturn/lab/reports/compare.py
+++ b/sageturn/lab/reports/compare.py
@@ -1,12 +1,13 @@
-"""Whether one variant does better than another: differences over the same days, with confidence intervals."""
+"""Comparisons of two variants: differences over the same days, with confidence intervals."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from math import ceil, inf
-from typing import Any
+from typing import NamedTuple
 
 import numpy as np
+from numpy.typing import NDArray
 from scipy import stats
 
 from sageturn.lab.errors import NoCommonRunsError
@@ -14,7 +15,7 @@
 
 CONFIDENCE_LEVEL = 0.95
 RESAMPLES = 4000
-MIN_BOOTSTRAP_PAIRS = 8  # with fewer, the bootstrap takes a few days for the whole population
+MIN_BOOTSTRAP_PAIRS = 8
 MIN_PAIRS = 2
 
 
@@ -22,8 +23,8 @@
 class Difference:
     """``second`` less ``first`` in one metric, over pairs of runs of the same scenario and seed.
 
-    ``low`` and ``high`` are the bounds of the confidence interval. ``needed_pairs`` is how many pairs in all
-    would settle a difference of this size, and infinite where there is none.
+    ``low`` and ``high`` are the bounds of the confidence interval. ``needed_pairs`` is the number of
+    pairs with which a difference of this size would be significant; infinite where there is none.
     """
 
     metric: str
@@ -45,7 +46,7 @@
 def compare(
     results: Results, first: str, second: str, metric: str, by_scenario: bool = True
 ) -> list[Difference]:
-    """Compare two variants over all scenarios, and then for each. Raises NoCommonRunsError."""
+    """Compares two variants over all scenarios, and then for each. Raises NoCommonRunsError."""
     first_values = results.values(first, metric)
     second_values = results.values(second, metric)
     keys = sorted(first_values.keys() & second_values.keys())
@@ -63,8 +64,8 @@
     keys: list[tuple[str, int]],
     first_values: dict[tuple[str, int], float],
     second_values: dict[tuple[str, int], float],
-) -> Any:
-    """A row for each seed: the scenarios of one seed are not independent, and make one pair together."""
+) -> NDArray[np.float64]:
+    """Returns a row for each seed: the scenarios of one seed are not independent, and make one pair."""
     pairs_by_seed: dict[int, list[tuple[float, float]]] = {}
     for key in keys:
         _, seed = key
@@ -72,18 +73,18 @@
     return np.array([np.mean(pairs, axis=0) for _, pairs in sorted(pairs_by_seed.items())])
 
 
-def difference(metric: str, scenario: str, pairs: Any) -> Difference:
-    """The difference over pairs, an array with a row of the first and the second value for each."""
+def difference(metric: str, scenario: str, pairs: NDArray[np.float64]) -> Difference:
+    """Returns the difference over pairs, an array with a row of the first and the second value for each."""
     gaps = pairs[:, 1] - pairs[:, 0]
     mean = float(gaps.mean())
     count = len(gaps)
-    low, high = confidence_interval(gaps)
+    interval = confidence_interval(gaps)
     first, second = (float(value) for value in pairs.mean(axis=0))
     needed_pairs = max(_needed_pairs(gaps, mean), float(MIN_PAIRS))
-    return Difference(metric, scenario, count, first, second, mean, low, high, needed_pairs)
+    return Difference(metric, scenario, count, first, second, mean, interval.low, interval.high, needed_pairs)
 
 
-def _needed_pairs(gaps: Any, mean: float) -> float:
+def _needed_pairs(gaps: NDArray[np.float64], mean: float) -> float:
     if mean == 0.0:
         return inf
     deviation = float(gaps.std(ddof=1)) if len(gaps) > 1 else 0.0
@@ -92,15 +93,22 @@
     return needed
 
 
-def confidence_interval(gaps: Any) -> tuple[float, float]:
-    """The interval of the mean, by the bias-corrected and accelerated bootstrap or Student's t."""
+class Interval(NamedTuple):
+    """The bounds of a confidence interval."""
+
+    low: float
+    high: float
+
+
+def confidence_interval(gaps: NDArray[np.float64]) -> Interval:
+    """Returns the interval of the mean, by the bias-corrected and accelerated bootstrap or Student's t."""
     if len(gaps) < MIN_PAIRS:
-        return -inf, inf
+        return Interval(-inf, inf)
     if np.ptp(gaps) == 0.0:
-        return float(gaps[0]), float(gaps[0])
+        return Interval(float(gaps[0]), float(gaps[0]))
     if len(gaps) < MIN_BOOTSTRAP_PAIRS:
         low, high = stats.t.interval(CONFIDENCE_LEVEL, len(gaps) - 1, gaps.mean(), stats.sem(gaps))
-        return float(low), float(high)
+        return Interval(float(low), float(high))
     bootstrap = stats.bootstrap(
         (gaps,),
         np.mean,
@@ -108,5 +116,5 @@
         n_resamples=RESAMPLES,
         rng=np.random.default_rng(1),
     )
-    interval = bootstrap.confidence_interval
-    return float(interval.low), float(interval.high)
+    bounds = bootstrap.confidence_interval
+    return Interval(float(bounds.low), float(bounds.high))
--- a/sageturn/lab/reports/report.py
+++ b/sageturn/lab/reports/report.py
@@ -5,8 +5,8 @@
 import html
 import io
 from base64 import b64encode
+from collections.abc import Callable
 from itertools import combinations
-from typing import Any
 
 import matplotlib
 
@@ -14,6 +14,8 @@
 
 import matplotlib.pyplot as plt
 import numpy as np
+from matplotlib.axes import Axes
+from matplotlib.figure import Figure
 
 from sageturn.lab.errors import NoCommonRunsError
 from sageturn.lab.model.fleet_spec import CLASSES, TENANT_SHARES
@@ -40,7 +42,7 @@
 
 
 def table(results: Results) -> list[list[str]]:
-    """A row for each scenario and variant, means over the seeds."""
+    """Returns a row for each scenario and variant, with means over the seeds."""
     rows = [["scenario", "variant", "seeds", *REPORTED_METRICS]]
     ordered = sorted(results.runs, key=_run_order(results))
     keys = dict.fromkeys((run["scenario"], run["variant"]) for run in ordered)
@@ -51,7 +53,7 @@
     return rows
 
 
-def _run_order(results: Results) -> Any:
+def _run_order(results: Results) -> Callable[[Line], tuple[int, int, int]]:
     experiment = results.head["experiment"]
     scenarios = [scenario["name"] for scenario in experiment["scenarios"]]
     variants = [variant["name"] for variant in experiment["variants"]]
@@ -59,7 +61,7 @@
 
 
 def differences(results: Results) -> list[list[str]]:
-    """A row for each pair of variants and metric that have runs in common."""
+    """Returns a row for each pair of variants and metric that have runs in common."""
     variants = list(dict.fromkeys(variant["name"] for variant in results.head["experiment"]["variants"]))
     rows = [["metric", "from", "to", "scenario", "pairs", "difference", "95% interval", "settled"]]
     for first, second in combinations(variants, 2):
@@ -90,7 +92,7 @@
 
 
 def markdown(results: Results) -> str:
-    """The report as Markdown."""
+    """Returns the report as Markdown."""
     head = results.head
     parts = [
         f"# {head['experiment']['name']}",
@@ -117,7 +119,7 @@
 
 
 def page(results: Results) -> str:
-    """The report as one HTML page, with the plots embedded."""
+    """Returns the report as one HTML page, with the plots embedded."""
     head = results.head
     name = html.escape(head["experiment"]["name"])
     parts = [
@@ -143,7 +145,7 @@
     return "<table>" + cells(rows[0], "th") + "".join(cells(row, "td") for row in rows[1:]) + "</table>"
 
 
-def _encode_image(figure: Any) -> str:
+def _encode_image(figure: Figure) -> str:
     out = io.BytesIO()
     figure.savefig(out, format="png", dpi=80)
     plt.close(figure)
@@ -153,8 +155,8 @@
 # ---------------------------------------------------------------- plots
 
 
-def plots(scenario: Line, runs: list[Line]) -> list[Any]:
-    """The figures of one scenario: each variant's run with the first seed, with the faults marked."""
+def plots(scenario: Line, runs: list[Line]) -> list[Figure]:
+    """Makes the figures of one scenario: each variant's run with the first seed, with the faults marked."""
     seed = min(run["seed"] for run in runs)
     first_runs = [run for run in runs if run["seed"] == seed]
     return [
@@ -164,14 +166,14 @@
     ]
 
 
-def _mark_faults(axis: Any, scenario: Line) -> None:
+def _mark_faults(axis: Axes, scenario: Line) -> None:
     for fault in scenario.get("troubles", []):
         start_s = fault["start_s"]
         axis.axvspan(start_s, start_s + fault["length_s"], color="0.9", zorder=0)
         axis.text(start_s, 1.0, fault["kind"], transform=axis.get_xaxis_transform(), fontsize=7, va="bottom")
 
 
-def _plot_series(scenario: Line, runs: list[Line]) -> Any:
+def _plot_series(scenario: Line, runs: list[Line]) -> Figure:
     figure, axes = plt.subplots(2, 2, figsize=(12, 6), layout="constrained")
     classes = len(runs[0]["series"]["set_ups"])
     for run in runs:
@@ -193,7 +195,7 @@
     return figure
 
 
-def _plot_classes_and_tenants(runs: list[Line]) -> Any:
+def _plot_classes_and_tenants(runs: list[Line]) -> Figure:
     names = [class_spec.name for class_spec in CLASSES] + list(TENANT_SHARES)
     figure, axes = plt.subplots(1, 2, figsize=(12, 3.2), layout="constrained", width_ratios=(3, 2))
     width = 0.8 / len(runs)
@@ -216,7 +218,7 @@
     return figure
 
 
-def _plot_utilizations(scenario: Line, runs: list[Line]) -> Any:
+def _plot_utilizations(scenario: Line, runs: list[Line]) -> Figure:
     figure, axes = plt.subplots(1, len(runs), figsize=(12, 3), layout="constrained", squeeze=False)
     for axis, run in zip(axes[0], runs, strict=True):
         utilizations = np.array(run["series"]["fills"]).T
--- a/sageturn/lab/runner/experiment_runner.py
+++ b/sageturn/lab/runner/experiment_runner.py
@@ -18,7 +18,7 @@
 from sageturn.lab.runner.experiment import Experiment, Scenario, Variant
 from sageturn.lab.runner.metrics import encode_series, measure
 from sageturn.lab.runner.result_file import LIBRARIES, Line, Results, library_version, revision
-from sageturn.lab.runner.simulation import simulate
+from sageturn.lab.runner.simulation import RelayVariant, simulate
 
 OnRun = Callable[[Line, int, int], None]  # the run's line, its number and how many there are
 
@@ -38,19 +38,17 @@
 
 
 def run_scenario(scenario: Scenario, seed: int, variant: Variant, policy: str, processes: int = 1) -> Line:
-    """Run a scenario once; the same arguments give the same line, but for the time that it took.
+    """Runs a scenario once; the same arguments give the same line, but for the time that it took.
 
     ``policy`` is the text of the variant's decision module.
     """
     started_s = time.monotonic()
     result = simulate(
         scenario.size.spec(seed),
-        PlannerKind(variant.planner),
-        variant.options(),
+        RelayVariant(PlannerKind(variant.planner), variant.options(), policy),
         scenario.seconds,
-        processes,
         faults=scenario.faults,
-        policy=policy,
+        processes=processes,
     )
     return {
         "scenario": scenario.name,
@@ -64,7 +62,7 @@
 
 
 def run_experiment(experiment: Experiment, file: Path, root: Path, processes: int, on_run: OnRun) -> Results:
-    """Run what is not in the file yet; interrupted at any moment, it continues there the next time."""
+    """Runs what is not in the file yet; interrupted at any moment, it continues there the next time."""
     policies = {variant.name: read_policy(variant.policy, root) for variant in experiment.variants}
     results = Results(file)
     results.start(_head(experiment, root, policies))
@@ -98,7 +96,7 @@
 
 
 def _all_runs(experiment: Experiment) -> Iterator[Run]:
-    """Variants of one day next to each other, so that an interrupted experiment has complete pairs."""
+    """Yields variants of one day next to each other, so that an interrupted experiment has complete pairs."""
     for seed in experiment.seeds:
         for scenario in experiment.scenarios:
             for variant in experiment.variants:
--- a/sageturn/lab/runner/scenario_shrinking.py
+++ b/sageturn/lab/runner/scenario_shrinking.py
@@ -1,4 +1,4 @@
-"""Shrink a scenario that costs much: fewer, shorter and weaker faults that still cost nearly as much."""
+"""Shrinking of a scenario with a high loss to fewer, shorter and weaker faults with nearly the same loss."""
 
 from __future__ import annotations
 
@@ -11,14 +11,13 @@
 from sageturn.lab.runner.experiment import Scenario
 
 MAX_RUNS = 40
-# A fault's field is halved no further below these.
-MIN_LENGTH_S = 1.0
-MIN_PART = 0.05
-MIN_STRENGTH = 1.2
+MIN_LENGTH_S = 1.0  # of a fault that is still shortened
+MIN_PART = 0.05  # of a fault that is still narrowed
+MIN_STRENGTH = 1.2  # of a fault that is still weakened
 
 
 def replace_fault_field(fault: ScheduledFault, name: str, value: float) -> ScheduledFault:
-    """The fault with one field replaced. Raises InvalidFaultError for a value outside its bounds."""
+    """Returns the fault with one field replaced. Raises InvalidFaultError for a value outside its bounds."""
     return replace(fault, **{name: value})  # type: ignore[arg-type]
 
 
@@ -28,7 +27,7 @@
     min_loss: float,
     log: Callable[[str], None],
 ) -> Scenario:
-    """The smallest scenario on the way down that still costs ``min_loss``, in ``MAX_RUNS`` runs at most."""
+    """Returns the smallest scenario found that still loses ``min_loss``, after ``MAX_RUNS`` runs at most."""
     runs = 0
     shrunk = True
     while shrunk and runs < MAX_RUNS:
@@ -46,7 +45,7 @@
 
 
 def _smaller_scenarios(scenario: Scenario) -> list[Scenario]:
-    """First without one of the faults, and then with one of them shorter, narrower or weaker."""
+    """Returns the scenarios without one fault, then those with one that is shorter, narrower or weaker."""
     faults = scenario.faults
     found = []
     for index in range(len(faults)):
@@ -70,7 +69,7 @@
 
 
 def describe(scenario: Scenario) -> str:
-    """The faults of a scenario in a line."""
+    """Describes the faults of a scenario in a line."""
     return "; ".join(
         f"{fault.kind} from {fault.start_s:g} s for {fault.length_s:g} s, part {fault.part:g}, "
         f"strength {fault.strength:g}"
--- a/sageturn/lab/runner/search.py
+++ b/sageturn/lab/runner/search.py
@@ -1,4 +1,4 @@
-"""Search for what a fleet does badly at: sweeps of a parameter, and randomly drawn scenarios."""
+"""Searches for scenarios that a fleet handles badly: sweeps of a parameter, and drawn scenarios."""
 
 from __future__ import annotations
 
@@ -6,10 +6,9 @@
 import json
 from collections.abc import Callable
 from concurrent.futures import ProcessPoolExecutor
-from dataclasses import dataclass
+from dataclasses import dataclass, replace
 from multiprocessing import get_context
 from pathlib import Path
-from typing import Any
 
 import msgspec
 import numpy as np
@@ -20,8 +19,7 @@
 from sageturn.lab.runner.experiment_runner import run_scenario
 from sageturn.lab.runner.scenario_shrinking import replace_fault_field, shrink
 
-# Parameters of a sweep: keys of the size, with their fields, keys of every fault, and REBALANCE_PREFIX + key.
-SIZE_PARAMETERS = {
+SIZE_PARAMETERS = {  # keys of a scenario's size, with their fields
     "connections": "connections",
     "room": "capacity_ratio",
     "store_headroom": "store_headroom",
@@ -32,8 +30,8 @@
 INTEGER_PARAMETERS = ("connections", "hosts", "relays")
 FAULT_PARAMETERS = ("strength", "part", "length_s")
 REBALANCE_PREFIX = "rebalance."
-BISECTIONS = 8  # of the interval in which a metric crosses a bound: to a 256th of it
-MIN_KEPT_LOSS_RATIO = 0.8  # a shrunk scenario must still cost this much of what the drawn one does
+BISECTIONS = 8  # of the interval in which a metric crosses a bound
+MIN_KEPT_LOSS_RATIO = 0.8  # of the drawn scenario's loss, that a shrunk one must have
 REPORTED_LOSSES = 5
 MAX_DRAWN_FAULTS = 3
 MAX_FAULT_LENGTH_S = 25.0
@@ -52,22 +50,22 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Measurement:
-    """The arguments of a metric's mean over some seeds, for a process of the pool."""
+class Evaluation:
+    """A metric of a variant, on average over some seeds; ``policy`` is the text of its decision module."""
 
-    scenario: Scenario
     variant: Variant
     policy: str
     seeds: tuple[int, ...]
     metric: str
 
-    def mean(self) -> float:
-        lines = [run_scenario(self.scenario, seed, self.variant, self.policy) for seed in self.seeds]
+    def mean(self, scenario: Scenario) -> float:
+        """Runs the scenario under each seed. Returns the metric's mean."""
+        lines = [run_scenario(scenario, seed, self.variant, self.policy) for seed in self.seeds]
         return float(np.mean([line["metrics"][self.metric] for line in lines]))
 
 
 def set_parameter(scenario: Scenario, parameter: str, value: float) -> Scenario:
-    """The scenario with a parameter set. Raises UnknownParameterError."""
+    """Returns the scenario with a parameter set. Raises UnknownParameterError."""
     if parameter in SIZE_PARAMETERS:
         field_value = round(value) if parameter in INTEGER_PARAMETERS else value
         size = msgspec.structs.replace(scenario.size, **{SIZE_PARAMETERS[parameter]: field_value})
@@ -89,33 +87,21 @@
 
 
 def sweep(
-    scenario: Scenario,
-    variant: Variant,
-    policy: str,
-    seeds: tuple[int, ...],
-    parameter: str,
-    values: list[float],
-    metric: str,
-    processes: int,
+    scenario: Scenario, evaluation: Evaluation, parameter: str, values: list[float], processes: int
 ) -> list[Point]:
-    """The metric's mean over the seeds at each value of a parameter. Raises UnknownParameterError."""
-    measurements = [
-        _Measurement(
-            set_parameter(scenario, parameter, value),
-            _set_variant_parameter(variant, parameter, value),
-            policy,
-            seeds,
-            metric,
-        )
+    """Returns the metric's mean at each value of a parameter. Raises UnknownParameterError."""
+    scenarios = [set_parameter(scenario, parameter, value) for value in values]
+    evaluations = [
+        replace(evaluation, variant=_set_variant_parameter(evaluation.variant, parameter, value))
         for value in values
     ]
     with ProcessPoolExecutor(processes, mp_context=get_context("spawn")) as pool:
-        means = list(pool.map(_Measurement.mean, measurements))
+        means = list(pool.map(Evaluation.mean, evaluations, scenarios))
     return [Point(value, mean) for value, mean in zip(values, means, strict=True)]
 
 
 def find_crossing(points: list[Point], bound: float, metric_at: Callable[[float], float]) -> float | None:
-    """The value at which the metric crosses a bound, by bisection between two neighbouring points.
+    """Returns the value at which the metric crosses a bound, by bisection between two neighbouring points.
 
     None where no two neighbouring points lie on both sides of the bound.
     """
@@ -139,7 +125,7 @@
 
 
 def draw_scenario(rng: np.random.Generator, number: int, size: Size, seconds: float) -> Scenario:
-    """Draw a scenario with one to three faults, within what operators have seen."""
+    """Draws a scenario with one to three faults."""
     fault_count = int(rng.integers(1, MAX_DRAWN_FAULTS + 1))
     faults = tuple(_draw_fault(rng, seconds) for _ in range(fault_count))
     return Scenario(f"hunted-{number}", size, seconds, faults)
@@ -157,43 +143,44 @@
 
 @dataclass(frozen=True, slots=True)
 class CostlyScenario:
-    """A drawn scenario, and what it costs of the metric against a scenario without faults."""
+    """A drawn scenario, and the difference of its metric from that of the calm scenario."""
 
     loss: float
     scenario: Scenario
 
 
 def hunt(
-    size: Size,
-    seconds: float,
-    variant: Variant,
-    policy: str,
+    calm: Scenario,
+    evaluation: Evaluation,
     count: int,
     seed: int,
-    metric: str,
     processes: int,
     log: Callable[[str], None],
 ) -> list[CostlyScenario]:
-    """Draw ``count`` scenarios, and order them by their loss; the first is then shrunk."""
+    """Draws scenarios, and orders them by their loss; the first one is shrunk.
+
+    Args:
+        calm: The scenario without faults, whose size and length the drawn ones have.
+        evaluation: The metric that a scenario's loss is of.
+        count: The number of scenarios to draw.
+        seed: The seed of the drawing.
+        processes: The number of runs at once.
+        log: Called with lines that report the progress.
+    """
     rng = np.random.Generator(np.random.PCG64(seed))
-    drawn = [draw_scenario(rng, number, size, seconds) for number in range(count)]
-    calm = Scenario("calm", size, seconds)
-
-    def measurement(scenario: Scenario) -> _Measurement:
-        return _Measurement(scenario, variant, policy, (seed,), metric)
-
+    drawn = [draw_scenario(rng, number, calm.size, calm.seconds) for number in range(count)]
     with ProcessPoolExecutor(processes, mp_context=get_context("spawn")) as pool:
-        calm_value, *values = pool.map(_Measurement.mean, [measurement(each) for each in (calm, *drawn)])
+        calm_value, *values = pool.map(evaluation.mean, [calm, *drawn])
 
         def loss_of(scenario: Scenario) -> float:
-            return calm_value - pool.submit(_Measurement.mean, measurement(scenario)).result()
+            return calm_value - pool.submit(evaluation.mean, scenario).result()
 
         found = [
             CostlyScenario(calm_value - value, scenario)
             for value, scenario in zip(values, drawn, strict=True)
         ]
-        found.sort(key=lambda each: -each.loss)
-        losses = ", ".join(f"{each.loss:.3f}" for each in found[:REPORTED_LOSSES])
+        found.sort(key=lambda costly: -costly.loss)
+        losses = ", ".join(f"{costly.loss:.3f}" for costly in found[:REPORTED_LOSSES])
         log(f"calm {calm_value:.3f}; the worst lose {losses}")
         worst = found[0]
         shrunk = shrink(worst.scenario, loss_of, MIN_KEPT_LOSS_RATIO * worst.loss, log)
@@ -201,8 +188,8 @@
 
 
 def write_scenario(file: Path, scenario: Scenario, variant: Variant, seed: int, why: str) -> None:
-    """Write an experiment of one scenario, to be kept as a regression test."""
-    experiment: dict[str, Any] = {
+    """Writes an experiment of one scenario, to be kept as a regression test."""
+    experiment = {
         "name": file.stem.lower().replace(" ", "-"),
         "why": why,
         "seeds": [seed],
--- a/sageturn/lab/runner/simulation.py
+++ b/sageturn/lab/runner/simulation.py
@@ -1,4 +1,4 @@
-"""Simulate a fleet over several processes; the result does not depend on their number.
+"""Simulates a fleet over several processes; the result does not depend on their number.
 
 Time advances in steps. Within a step each relay sees the hosts as they were at its start; between two steps
 the environment merges what all relays did: loads, intake, crashes, and the clients that connect again. Relays
@@ -35,11 +35,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayVariant:
-    """Planner, its options and decision module of the relays of a run; see ``SimulatedRelay``."""
+    """The planner, its options and the decision module of all relays of a run."""
 
     planner: PlannerKind
     options: RebalanceOptions
-    policy: str
+    policy: str = ""  # text of a decision module; empty for that of this revision
 
 
 class RelayShard:
@@ -60,7 +60,7 @@
                 relay.adopt_connection(client, placement.place(client, spec.zone(number), relay.sampler))
 
     def step(self, step_input: StepInput) -> StepResults:
-        """Step all relays."""
+        """Steps all relays, and returns their results."""
         results = {}
         for number, relay in self.relays.items():
             for instruction in step_input.instructions:
@@ -71,7 +71,7 @@
         return results
 
     def planner_states(self) -> PlannerStates:
-        """The planners' states by relay."""
+        """Returns the planners' states by relay."""
         return {number: relay.planner_state() for number, relay in self.relays.items()}
 
 
@@ -79,10 +79,10 @@
     """Steps all relays of a fleet."""
 
     def step(self, step_input: StepInput) -> StepResults:
-        """Step all relays, and return their results."""
+        """Steps all relays, and returns their results."""
 
     def planner_states(self) -> PlannerStates:
-        """The planners' states; no step follows."""
+        """Returns the planners' states by relay; no step may follow."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -98,7 +98,7 @@
         self._workers = workers
 
     def step(self, step_input: StepInput) -> StepResults:
-        """Step all relays, each process with the reconnects of its own relays."""
+        """Steps all relays, each process with the reconnects of its own relays."""
         for worker in self._workers:
             reconnects = {
                 number: step_input.reconnects[number]
@@ -114,7 +114,7 @@
         return results
 
     def planner_states(self) -> PlannerStates:
-        """End the processes, which return their planners' states."""
+        """Ends the processes. Returns their planners' states by relay."""
         for worker in self._workers:
             worker.pipe.send(None)
         states: PlannerStates = {}
@@ -153,26 +153,23 @@
 
 def simulate(
     spec: FleetSpec,
-    planner: PlannerKind,
-    options: RebalanceOptions,
+    variant: RelayVariant,
     seconds: float,
-    processes: int = 1,
-    progress: OnSecond | None = None,
+    *,
     faults: Iterable[ScheduledFault] = (),
-    policy: str = "",
+    processes: int = 1,
+    on_second: OnSecond | None = None,
 ) -> SimulationResult:
-    """Simulate ``seconds`` of a fleet with its scheduled faults.
+    """Simulates ``seconds`` of a fleet with its scheduled faults.
 
-    ``policy`` is the text of a decision module, and empty for the
-    present one. ``progress`` is called each simulated second.
+    ``on_second`` is called each simulated second.
     """
     environment = SimulatedEnvironment(spec, faults, STEP_S)
-    variant = RelayVariant(planner, options, policy)
     if processes <= 1:
         shard = RelayShard(spec, list(range(spec.relays)), variant)
-        return _run(environment, shard, seconds, progress)
+        return _run(environment, shard, seconds, on_second)
     with _worker_pool(spec, variant, processes) as pool:
-        return _run(environment, pool, seconds, progress)
+        return _run(environment, pool, seconds, on_second)
 
 
 def _run(
--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -35,7 +35,7 @@
 from sageturn.lab.runner.result_file import Line, Results
 from sageturn.lab.runner.scenario_shrinking import shrink
 from sageturn.lab.runner.search import Point, find_crossing, set_parameter
-from sageturn.lab.runner.simulation import simulate
+from sageturn.lab.runner.simulation import RelayVariant, simulate
 from sageturn.rebalance.options import RebalanceOptions
 
 SMALL = FleetSpec(relays=3, hosts=6, initial_hosts=4, connections=300, mean_lifetime_s=300.0, join_s=5.0)
@@ -76,7 +76,7 @@
     planner: PlannerKind, processes: int = 1, seconds: float = 150.0, spec: FleetSpec = SMALL
 ) -> SimulationResult:
     options = RebalanceOptions(mode="on", part_per_min=0.4)
-    return simulate(spec, planner, options, seconds, processes)
+    return simulate(spec, RelayVariant(planner, options), seconds, processes=processes)
 
 
 def setup_counts(result: SimulationResult) -> list[int]:
@@ -116,7 +116,8 @@
 
 def simulate_day(*faults: ScheduledFault, seconds: float = 40.0, seed: int = 1) -> SimulationResult:
     spec = Size(connections=300, hosts=6, relays=2, capacity_ratio=2.4).spec(seed)
-    return simulate(spec, PlannerKind.OFF, RebalanceOptions(), seconds, faults=faults)
+    variant = RelayVariant(PlannerKind.OFF, RebalanceOptions())
+    return simulate(spec, variant, seconds, faults=faults)
 
 
 @pytest.mark.parametrize("kind", list(FaultKind))
