--- a/sageturn/lab/soak/auditor.py
+++ b/sageturn/lab/soak/auditor.py
@@ -1,4 +1,4 @@
-"""Judges a run by what clients and endpoints saw, over all relays together. Pure."""
+"""Checks the evidence of a run against the protocol's rules, over all relays together. Pure."""
 
 from __future__ import annotations
 
@@ -10,6 +10,7 @@
 from itertools import pairwise
 from math import sqrt
 
+from sageturn.decision import Effect
 from sageturn.lab.soak.plan import (
     CHANGE_DELAY_S,
     DRAIN_GRACE_S,
@@ -25,18 +26,17 @@
     FaultKind,
     SoakPlan,
 )
-from sageturn.lab.soak.records import AttemptRecord, ClientRecord, Evidence, RelayRecord
+from sageturn.lab.soak.records import AttemptRecord, ClientEnd, ClientRecord, Evidence, RelayRecord
 
-# All processes read one clock, but they share the machine's cores.
-MEASURING_SLACK_S = 0.15
-LIMIT_SLACK_S = 0.05  # which the protocol adds to each time limit
+MEASURING_SLACK_S = 0.15  # for processes that wait for one of the machine's cores
+LIMIT_SLACK_S = 0.05  # added by the protocol to each time limit
 LATE_ANSWER_S = 0.5
-DISCONNECT_GRACE_S = 0.1  # in which an attempt may still begin after its client has left
+DISCONNECT_GRACE_S = 0.1  # after a client's disconnect, in which an attempt may still begin
 NOTIFICATION_DEADLINE_S = 6.0
-RELOAD_DEADLINE_S = 4.0  # by which SIGHUP puts off notifications where lists are pushed
+RELOAD_DEADLINE_S = 4.0  # delay of notifications by SIGHUP where lists are pushed
 BAD_CLIENT_S = 3.0
 STOP_S = REQUEST_TIMEOUT_S + 0.7
-SMALL_BUDGET = 30.0  # attempts; smaller budgets may be exceeded by three roots instead of two
+SMALL_BUDGET = 30.0  # attempts, below which a budget may be exceeded by three square roots, else by two
 
 
 class Rule(StrEnum):
@@ -102,14 +102,14 @@
     # ------------------------------------------------------------ clients
 
     def _was_killed(self, client: ClientRecord) -> bool:
-        """Whether its relay was killed while the client was there: nobody can be answered then."""
+        """Whether its relay was killed while the client was connected, and could not answer."""
         relay = self._relays.get(client.relay_process)
         if relay is None or not relay.killed_s:
             return False
         return not client.answered_s or client.ended_s >= relay.killed_s - MEASURING_SLACK_S
 
     def _check_client(self, client: ClientRecord) -> Iterator[Violation]:
-        if client.end == "refused" or not client.sent_s or self._was_killed(client):
+        if client.end == ClientEnd.REFUSED or not client.sent_s or self._was_killed(client):
             return
         if not client.answer and not client.left_s:
             yield Violation(Rule.ANSWERED, client.request, f"{client.end} {self._after(client)}")
@@ -141,7 +141,7 @@
             yield Violation(Rule.ENDED_IN_ORDER, client.request, detail)
 
     def _check_bad_client(self, client: ClientRecord) -> Iterator[Violation]:
-        if client.end == "refused" or not client.sent_s or self._was_killed(client):
+        if client.end == ClientEnd.REFUSED or not client.sent_s or self._was_killed(client):
             return
         ended_s = client.answered_s or client.ended_s or NEVER_S
         if client.left_s and client.left_s < client.sent_s + BAD_CLIENT_S:
@@ -168,11 +168,11 @@
 
     def _check_repeats(self, request: str, attempts: list[AttemptRecord]) -> Iterator[Violation]:
         executed = [attempt for attempt in attempts if not attempt.answer.startswith("b'BUSY\\r\\n'")]
-        if self._plan.effect == "safe" or not executed:
+        if self._plan.effect is Effect.SAFE or not executed:
             return
         for attempt in attempts:
             elapsed_s = attempt.complete_s - executed[0].complete_s
-            is_allowed = self._plan.effect == "keyed" and elapsed_s <= KEY_TTL_S + LIMIT_SLACK_S
+            is_allowed = self._plan.effect is Effect.KEYED and elapsed_s <= KEY_TTL_S + LIMIT_SLACK_S
             if elapsed_s > 0 and not is_allowed:
                 yield Violation(Rule.REPEATABLE, request, f"{elapsed_s:.3f} s after {executed[0].endpoint}")
 
@@ -219,9 +219,9 @@
         return max(notified_s, relay.started_s if relay else 0.0) + NOTIFICATION_DEADLINE_S
 
     def _latest_pushed_s(self, drain_s: float, relay: RelayRecord | None) -> float:
-        """Returns the same where lists are pushed: a relay counts as notified once its agent has the change.
+        """Returns when a relay counts as notified of a drain at the latest, where lists are pushed.
 
-        Outages, silence and reloads of the relay put it off.
+        That is when its agent has the change, but for outages, silence and reloads of the relay.
         """
         known_s = drain_s + CHANGE_DELAY_S
         for outage in self._plan.faults_of(FaultKind.DISCOVERY_DOWN):
@@ -256,7 +256,7 @@
                     break
 
     def max_attempts_in_window(self, age_s: float) -> float:
-        """Attempts in the window that ends at that age, over all relays, that the settings allow."""
+        """Returns the attempts that the settings allow all relays in the window that ends at that age."""
         size = self._plan.size
         warm_connections = size.requests_per_s * QUOTA_S / size.endpoints
         capacity = START_CAPACITY + (1.0 - START_CAPACITY) * min(1.0, age_s / WARM_UP_S)
--- a/sageturn/lab/soak/clients.py
+++ b/sageturn/lab/soak/clients.py
@@ -1,4 +1,4 @@
-"""The clients of the soak test: usual ones, and such that leave early, write slowly, or send no request."""
+"""Clients of the soak test: normal ones, and those that leave early, write slowly, or send no request."""
 
 from __future__ import annotations
 
@@ -11,25 +11,25 @@
 
 from sageturn.core.tasks import cancel_and_wait
 from sageturn.lab.soak.plan import REQUEST_TIMEOUT_S, FaultKind, SoakPlan
-from sageturn.lab.soak.records import ClientRecord
+from sageturn.lab.soak.records import ClientEnd, ClientRecord
 from sageturn.lab.soak.relays import SoakRelay
 
 LINE_INTERVAL_S = 0.5  # between two lines on an established connection
-LIFE_S = (0.3, 5.0)
+CONNECTION_LIFETIME_S = (0.3, 5.0)
 MAX_PATIENCE_S = 0.15  # of clients that leave early
-EXTRA_WAIT_S = 1.5  # a client goes on listening after its time, to see what comes late
-BAD_ANSWER_S = 3.0  # by then a client in error is owed an answer or the close
+EXTRA_WAIT_S = 1.5  # after its timeout, in which a client still reads late answers
+INVALID_ANSWER_S = 3.0  # until an invalid request has to be answered or closed
 BURST_FACTOR = 2.0
-USUAL_EARLY_RATIO = 0.03
+NORMAL_EARLY_RATIO = 0.03
 FAULTY_EARLY_RATIO = 0.15
-FAULTY_BAD_RATIO = 0.15
+FAULTY_INVALID_RATIO = 0.15
 PIECES_RATIO = 0.1
 RESET_RATIO = 0.5  # of the clients that leave early
-BAD_RESET_RATIO = 0.3
+INVALID_RESET_RATIO = 0.3
 PIECE_PAUSE_S = 0.004
 READ_BYTES = 4096
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
-BAD_INPUTS = (
+INVALID_INPUTS = (
     b"OPEN half",
     b"GET / HTTP/1.1\r\n\r\n",
     b"OPEN a b c=c,t=t,d=x\r\n",
@@ -44,7 +44,7 @@
 class Connection:
     """One client's connection, on a plain socket, which still reads the bytes before a reset.
 
-    A transport would drop it as soon as a write fails.
+    A transport would drop them as soon as a write fails.
     """
 
     def __init__(self, sock: socket.socket, record: ClientRecord) -> None:
@@ -55,7 +55,7 @@
 
     @classmethod
     async def open(cls, address: tuple[str, int], record: ClientRecord) -> Connection:
-        """Connect; raises OSError."""
+        """Connects a client. Raises OSError."""
         sock = socket.socket()
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -70,26 +70,26 @@
     async def _read(self) -> None:
         loop = asyncio.get_running_loop()
         partial_line = b""
-        end = "eof"
+        end = ClientEnd.EOF
         try:
             while data := await loop.sock_recv(self._sock, READ_BYTES):
                 *lines, partial_line = (partial_line + data).split(b"\n")
                 for line in lines:
                     self._lines.put_nowait(line.rstrip(b"\r"))
         except OSError:
-            end = "reset"
+            end = ClientEnd.RESET
         if not self._record.left_s:
             self._record.ended_s = time.monotonic()
             self._record.end = end
         self._lines.put_nowait(None)
 
     def write(self, data: bytes) -> None:
-        """Errors show when it is read."""
+        """Sends data; an error shows when the connection is read."""
         with suppress(OSError):
             self._sock.send(data)
 
     async def read_line(self, timeout_s: float) -> bytes | None:
-        """The next line; None once the relay has ended the connection, b"" if nothing comes in time."""
+        """Returns the next line; None once the relay has ended the connection, b"" after the timeout."""
         try:
             async with asyncio.timeout(max(0.0, timeout_s)):
                 return await self._lines.get()
@@ -97,7 +97,7 @@
             return b""
 
     async def leave(self, *, by_reset: bool) -> None:
-        """The client closes."""
+        """Closes the connection from the client's side."""
         if not self._record.ended_s:
             self._record.left_s = time.monotonic()
         await cancel_and_wait(self._reading)
@@ -108,7 +108,7 @@
 
 
 class ClientPopulation:
-    """All clients of a run. ``records`` fills up as they come."""
+    """All clients of a run; each adds a record to ``records``."""
 
     def __init__(self, plan: SoakPlan, relays: list[SoakRelay]) -> None:
         self.records: list[ClientRecord] = []
@@ -118,7 +118,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def run(self, duration_s: float) -> None:
-        """Send clients for so long after the run's start, and wait until all have ended."""
+        """Starts clients until ``duration_s`` after the run's start. Returns once all have ended."""
         end_s = self._plan.started_s + duration_s
         while time.monotonic() < end_s:
             factor = BURST_FACTOR if self._is_active(FaultKind.CLIENT_BURST) else 1.0
@@ -145,15 +145,15 @@
             connection = await Connection.open(relay.address, record)
         except OSError:
             record.ended_s = time.monotonic()
-            record.end = "refused"
+            record.end = ClientEnd.REFUSED
             return
         record.relay_process = relay.record.process
         is_faulty_time = self._is_active(FaultKind.CLIENT_FAULTS)
-        if is_faulty_time and self._rng.random() < FAULTY_BAD_RATIO:
-            await self._run_bad(connection, record)
+        if is_faulty_time and self._rng.random() < FAULTY_INVALID_RATIO:
+            await self._run_invalid(connection, record)
             return
         await self._send_request(connection, record)
-        early_ratio = FAULTY_EARLY_RATIO if is_faulty_time else USUAL_EARLY_RATIO
+        early_ratio = FAULTY_EARLY_RATIO if is_faulty_time else NORMAL_EARLY_RATIO
         if self._rng.random() < early_ratio:
             await self._await_answer(connection, record, self._rng.uniform(0.0, MAX_PATIENCE_S))
             await connection.leave(by_reset=self._rng.random() < RESET_RATIO)
@@ -177,7 +177,7 @@
                 line = line[size:]
                 await asyncio.sleep(self._rng.uniform(0.0, PIECE_PAUSE_S))
         connection.write(line)
-        if not record.ended_s:  # else it was not sent whole
+        if not record.ended_s:  # a connection that the relay has ended lost a part of the request
             record.sent_s = time.monotonic()
 
     async def _await_answer(self, connection: Connection, record: ClientRecord, timeout_s: float) -> None:
@@ -187,8 +187,8 @@
             record.answered_s = time.monotonic()
 
     async def _use(self, connection: Connection, record: ClientRecord) -> None:
-        """Send lines and read until the client has done, or is ended or moved."""
-        done_s = time.monotonic() + self._rng.uniform(*LIFE_S)
+        """Sends lines and reads until the client has finished, or the relay has ended the connection."""
+        done_s = time.monotonic() + self._rng.uniform(*CONNECTION_LIFETIME_S)
         number = 0
         is_ended = False
         while time.monotonic() < done_s and not is_ended:
@@ -205,15 +205,15 @@
                     record.is_moved = True
         await connection.leave(by_reset=False)
 
-    async def _run_bad(self, connection: Connection, record: ClientRecord) -> None:
+    async def _run_invalid(self, connection: Connection, record: ClientRecord) -> None:
         record.is_bad = True
-        data = self._rng.choice(BAD_INPUTS)
+        data = self._rng.choice(INVALID_INPUTS)
         connection.write(data)
         record.sent_s = time.monotonic()
-        if self._rng.random() < BAD_RESET_RATIO:
+        if self._rng.random() < INVALID_RESET_RATIO:
             await connection.leave(by_reset=True)
             return
-        end_s = record.sent_s + BAD_ANSWER_S + EXTRA_WAIT_S
+        end_s = record.sent_s + INVALID_ANSWER_S + EXTRA_WAIT_S
         while not record.ended_s and (remaining_s := end_s - time.monotonic()) > 0:
             line = await connection.read_line(remaining_s)
             if line and line != b"PONG" and not record.answer:
--- a/sageturn/lab/soak/discovery.py
+++ b/sageturn/lab/soak/discovery.py
@@ -1,6 +1,6 @@
-"""Discovery for the soak test: one service with two addresses for each relay, which fails as the plan says.
+"""Discovery for the soak test, which fails as the plan says.
 
-Each relay has addresses of its own, so that it is known what was written to whom, and when.
+Each relay has two addresses of its own, by which the notifications of each relay are recorded.
 """
 
 from __future__ import annotations
@@ -8,19 +8,20 @@
 import asyncio
 import json
 import time
-from collections.abc import Callable
+from collections.abc import Awaitable, Callable
 from contextlib import suppress
 from dataclasses import dataclass, field
 from random import Random
-from typing import Any
 
+from sageturn.decision import EndpointStatus
 from sageturn.lab.loopback.fakes import LOOPBACK
 from sageturn.lab.soak.plan import CHANGE_DELAY_S, NEVER_S, EndpointIncarnation, FaultKind, SoakPlan
 from sageturn.lab.soak.records import EndpointNotification
+from sageturn.net.json_stream import JsonObject
 
 HEARTBEAT_S = 2.0
 PIECE_PAUSE_S = 0.001
-DOWN_WAIT_S = 2.0  # a call to a discovery that is down may be kept waiting so long
+DOWN_WAIT_S = 2.0  # before the error answer to some calls while discovery is down
 OK_HEADERS = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 UNAVAILABLE = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
 
@@ -31,25 +32,25 @@
 
     at_s: float
     incarnation: EndpointIncarnation
-    state: str
+    state: EndpointStatus
 
 
 def list_changes(plan: SoakPlan) -> list[Change]:
-    """All changes of the run in their order; a crash is not reported before its successor."""
+    """Returns all changes of the run in their order; a crash shows by the successor's start alone."""
     changes = []
     for incarnation in plan.incarnations:
         if incarnation.start_s > 0.0:
-            changes.append(Change(incarnation.start_s + CHANGE_DELAY_S, incarnation, "ready"))
+            changes.append(Change(incarnation.start_s + CHANGE_DELAY_S, incarnation, EndpointStatus.READY))
         if incarnation.drain_s < NEVER_S:
-            changes.append(Change(incarnation.drain_s + CHANGE_DELAY_S, incarnation, "draining"))
+            changes.append(Change(incarnation.drain_s + CHANGE_DELAY_S, incarnation, EndpointStatus.DRAINING))
         if incarnation.end_s < NEVER_S and not incarnation.is_crash:
-            changes.append(Change(incarnation.end_s + CHANGE_DELAY_S, incarnation, "gone"))
+            changes.append(Change(incarnation.end_s + CHANGE_DELAY_S, incarnation, EndpointStatus.GONE))
     return sorted(changes, key=lambda change: change.at_s)
 
 
 @dataclass(eq=False, slots=True)
 class Watch:
-    """One open watch. ``process``: the id of the relay's process that opened it."""
+    """One open watch; ``process`` is the id of the relay's process that opened it."""
 
     process: int
     writer: asyncio.StreamWriter
@@ -58,7 +59,7 @@
 
 
 class SoakDiscovery:
-    """The service. ``process_of`` returns the process id of a relay at this moment."""
+    """The service; ``process_of`` returns a relay's present process id."""
 
     def __init__(self, plan: SoakPlan, process_of: Callable[[int], int]) -> None:
         self.addresses: dict[int, list[tuple[str, int]]] = {}
@@ -72,7 +73,7 @@
         self._rng = Random(f"{plan.seed}/discovery")
 
     async def start(self) -> None:
-        """Listen on two free ports for each relay."""
+        """Listens on two free ports for each relay."""
         for relay in range(self._plan.size.relays):
             self.addresses[relay] = []
             for _ in range(2):
@@ -81,21 +82,21 @@
                 self.addresses[relay].append(server.sockets[0].getsockname()[:2])
 
     def stop(self) -> None:
-        """Stop listening, and close all watches."""
+        """Stops listening, and closes all watches."""
         for server in self._servers:
             server.close()
         for watch in list(self._watches):
             watch.writer.close()
 
-    def current_list(self) -> dict[str, Any]:
-        """The whole list at this moment."""
+    def current_list(self) -> JsonObject:
+        """Returns the present full list as it is written."""
         states = {
-            incarnation.name: (incarnation, "ready")
+            incarnation.name: (incarnation, EndpointStatus.READY)
             for incarnation in self._plan.incarnations
             if incarnation.start_s <= 0.0
         }
         for change in self._changes[: self._published_count]:
-            if change.state == "gone":
+            if change.state is EndpointStatus.GONE:
                 states.pop(change.incarnation.name, None)
             else:
                 states[change.incarnation.name] = (change.incarnation, change.state)
@@ -103,7 +104,7 @@
         return {"version": self._published_count + 1, "full": True, "servers": entries}
 
     async def run(self) -> None:
-        """Publish changes, and break watches, when they are due; until cancelled."""
+        """Publishes changes and breaks watches when they are due, until it is cancelled."""
         faults = self._plan.faults_of(FaultKind.DISCOVERY_DOWN, FaultKind.DISCOVERY_SILENT)
         due = [(change.at_s, change) for change in self._changes]
         due += [(fault.begin_s, fault) for fault in faults]  # type: ignore[misc]
@@ -120,7 +121,7 @@
                 for watch in self._watches:
                     watch.is_silent = True
 
-    def _handler(self, relay: int) -> Callable[[asyncio.StreamReader, asyncio.StreamWriter], Any]:
+    def _handler(self, relay: int) -> Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]:
         async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             # uvloop has a RuntimeError for a connection that has just been closed.
             with suppress(OSError, RuntimeError, asyncio.IncompleteReadError, asyncio.CancelledError):
@@ -155,12 +156,15 @@
         finally:
             self._watches.discard(watch)
 
-    def _record_list(self, process: int, listed: dict[str, Any]) -> None:
+    def _record_list(self, process: int, listed: JsonObject) -> None:
         """Records the notifications that a full list brings: endpoints that it does not name are gone."""
         at_s = time.monotonic() - self._plan.started_s
         states = {entry["id"]: entry["state"] for entry in listed["servers"]}
         for incarnation in self._plan.incarnations:
-            if incarnation.drain_s < at_s and states.get(incarnation.name, "gone") != "ready":
+            if (
+                incarnation.drain_s < at_s
+                and states.get(incarnation.name, EndpointStatus.GONE) != EndpointStatus.READY
+            ):
                 self._record(process, incarnation)
 
     def _record(self, process: int, incarnation: EndpointIncarnation) -> None:
@@ -175,10 +179,10 @@
         entry = self._encode(change.incarnation, change.state)
         with suppress(OSError, RuntimeError):
             await self._write(watch, {"version": version, "full": False, "servers": [entry]})
-            if change.state != "ready":
+            if change.state is not EndpointStatus.READY:
                 self._record(watch.process, change.incarnation)
 
-    async def _write(self, watch: Watch, listed: dict[str, Any]) -> None:
+    async def _write(self, watch: Watch, listed: JsonObject) -> None:
         in_pieces = self._is_active(FaultKind.DISCOVERY_PIECES)
         line = json.dumps(listed, indent=1 if in_pieces else None).encode() + b"\n"
         chunk = b"%x\r\n%s\r\n" % (len(line), line)
@@ -194,8 +198,8 @@
         at_s = time.monotonic() - self._plan.started_s
         return any(fault.is_active(at_s) for fault in self._plan.faults_of(kind))
 
-    def _encode(self, incarnation: EndpointIncarnation, state: str) -> dict[str, Any]:
-        """An entry of the list. Its start is a time of the system's clock as that was then."""
+    def _encode(self, incarnation: EndpointIncarnation, state: EndpointStatus) -> JsonObject:
+        """Returns an entry of the list; the start is by the system's clock as it was then."""
         wall_of_start_s = time.time() - time.monotonic() + self._plan.started_s + incarnation.start_s
         return {
             "id": incarnation.name,
--- a/sageturn/lab/soak/endpoint_host.py
+++ b/sageturn/lab/soak/endpoint_host.py
@@ -1,4 +1,4 @@
-"""A process of the soak test that runs endpoints, as the plan says, and records what relays send them.
+"""A process of the soak test that runs endpoints as the plan says, and records the relays' attempts.
 
 Started with the plan's file, the host's number and the file to which its records go.
 """
@@ -29,8 +29,8 @@
 
 SETUP_S = (0.002, 0.03)
 MAX_SLOW_S = 1.0
-EXTRA_TIME_S = 6.0  # after the run's traffic, until everything has ended
-MOVE_SPREAD_S = 1.5  # over which a draining endpoint sends its clients away
+EXTRA_TIME_S = 6.0  # after the run, until all connections have ended
+MIGRATION_SPREAD_S = 1.5  # over which a draining endpoint asks its clients to reconnect
 HEALTH_CHECK = b"STATS"
 LOAD_REPORTS = (
     b"PONG x0=0.4,x1=0.01\r\n",
@@ -83,7 +83,7 @@
         return time.monotonic() - self._started_s >= self.incarnation.drain_s
 
     def mode(self) -> EndpointMode | None:
-        """The endpoint's present treatment of new connections; None for the normal one."""
+        """Returns the endpoint's present treatment of new connections; None for the normal one."""
         at_s = time.monotonic() - self._started_s
         for fault in self._modes:
             if fault.is_active(at_s):
@@ -100,17 +100,17 @@
         self._server = await loop.create_server(lambda: EndpointConnection(self), sock=listening, backlog=512)
         if self.incarnation.drain_s < NEVER_S:
             await self._sleep_until(self.incarnation.drain_s)
-            self._send_clients_away()
+            self._migrate_clients()
         await self._sleep_until(min(self.incarnation.end_s, DURATION_S + EXTRA_TIME_S))
         self._server.close()
         for connection in list(self.connections):
             connection.end(by_endpoint=True)
             connection.abort()
 
-    def _send_clients_away(self) -> None:
+    def _migrate_clients(self) -> None:
         loop = asyncio.get_running_loop()
         for connection in list(self.connections):
-            loop.call_later(self.rng.uniform(0.0, MOVE_SPREAD_S), connection.send_away)
+            loop.call_later(self.rng.uniform(0.0, MIGRATION_SPREAD_S), connection.migrate)
 
     async def _sleep_until(self, at_s: float) -> None:
         await asyncio.sleep(max(0.0, self._started_s + at_s - time.monotonic()))
@@ -126,28 +126,28 @@
         endpoint.records.append(self._record)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take note of the connection."""
+        """Adds the connection to the endpoint's."""
         super().connection_made(transport)
         self._endpoint.connections.add(self)
 
     def data_received(self, data: bytes) -> None:
-        """Take note of the first byte."""
+        """Records the time of the first byte."""
         self._record.first_byte_s = self._record.first_byte_s or time.monotonic()
         super().data_received(data)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Take note of the end."""
+        """Records the relay's end of the connection."""
         self._endpoint.connections.discard(self)
         self.end(by_endpoint=False)
 
     def end(self, *, by_endpoint: bool) -> None:
-        """The first end counts."""
+        """Records the end of the connection, unless one was recorded before."""
         if not self._record.ended_s:
             self._record.ended_s = time.monotonic()
             self._record.is_ended_by_endpoint = by_endpoint
 
     def on_line(self, line: bytes) -> None:
-        """The request, and then lines that are sent back; or a health check."""
+        """Handles a health check, the request line, or a later line, which is sent back."""
         if line == HEALTH_CHECK and not self._record.complete_s:
             self._on_health_check()
             return
@@ -204,8 +204,8 @@
         self.write(answer)
         self.close()
 
-    def send_away(self) -> None:
-        """The endpoint drains: its clients are asked to come again."""
+    def migrate(self) -> None:
+        """Asks the client to reconnect, as the endpoint drains, and closes the connection."""
         if self._record.answer == "UP" and not self._record.ended_s:
             self.end(by_endpoint=True)
             self.write(b"MOVE\r\n")
@@ -213,7 +213,7 @@
 
 
 async def run_host(plan: SoakPlan, host: int) -> list[AttemptRecord]:
-    """Run all endpoints of a host to the end of the plan; returns what they saw."""
+    """Runs all endpoints of a host to the end of the plan. Returns the records of attempts."""
     records: list[AttemptRecord] = []
     places = {incarnation.name: number for number, incarnation in enumerate(plan.incarnations)}
     running = []
@@ -221,7 +221,7 @@
         if incarnation.host != host:
             continue
         place = int(incarnation.name.removeprefix("s"))
-        modes = [each for each in plan.faults_of(FaultKind.ENDPOINT_MODE) if each.target == place]
+        modes = [fault for fault in plan.faults_of(FaultKind.ENDPOINT_MODE) if fault.target == place]
         rng = Random(f"{plan.seed}/{incarnation.name}/{places[incarnation.name]}")
         running.append(PlannedEndpoint(incarnation, modes, plan.started_s, rng, records).run())
     await asyncio.gather(*running)
@@ -229,7 +229,7 @@
 
 
 def main() -> int:
-    """Run a host, and write its records as it ends."""
+    """Runs a host, and writes its records at the end."""
     plan_file, host, records_file = sys.argv[1:]
     plan = msgspec.json.decode(Path(plan_file).read_bytes(), type=SoakPlan)
     records = uvloop.run(run_host(plan, int(host)))
--- a/sageturn/lab/soak/plan.py
+++ b/sageturn/lab/soak/plan.py
@@ -8,19 +8,22 @@
 from collections.abc import Sequence
 from enum import StrEnum
 from random import Random
-from typing import Any
 
 import msgspec
 
+from sageturn.decision import Effect
+from sageturn.net.json_stream import JsonObject
+
 DURATION_S = 14.0
 ENDPOINTS_PER_HOST = 2
-DRAIN_NOTICE_S = 2.5  # between an endpoint's drain and its end
+DRAIN_NOTICE_S = 2.5  # from the beginning of an endpoint's drain to its end
 RESTART_PAUSE_S = 0.8  # between an endpoint's crash and its next start
-HOLD_S = 0.12  # a relay may be held up for 0.15 s at any time
+HOLD_S = 0.12  # length of a relay's suspension
 STORM_FAULT_COUNT = 3
+EFFECTS = (Effect.SAFE, Effect.SAFE, Effect.KEYED, Effect.UNSAFE)  # drawn from; half of the plans are safe
 HOUR_S = 3600.0
-NEVER_S = 1e9  # JSON has no infinity
-SLOW_START_WINDOW_S = 2.0  # in which attempts at an endpoint in slow start are counted
+NEVER_S = 1e9  # stands for infinity, which JSON does not have
+SLOW_START_WINDOW_S = 2.0  # in which the attempts at an endpoint in slow start are limited
 WARM_UP_S = 5.0  # length of the slow start
 START_CAPACITY = 0.08  # ratio of the capacity at the beginning of the slow start
 FALL_MULTIPLE = 2.0
@@ -84,7 +87,7 @@
     end_s: float
     target: int = -1
     value: float = 0.0
-    mode: str = ""
+    mode: str = ""  # of EndpointMode, for a fault of the kind ENDPOINT_MODE
 
     def is_active(self, at_s: float) -> bool:
         """Whether the fault is in effect ``at_s`` seconds after the run's start."""
@@ -128,7 +131,7 @@
 
     seed: int
     size: SoakSize
-    effect: str  # idempotency of the only class of requests, in the settings' words
+    effect: Effect  # of repeating a request of the only class
     variants: tuple[Variant, ...] = ()
     started_s: float = 0.0  # when the run started, by the monotonic clock
     faults: list[ScheduledFault] = msgspec.field(default_factory=list, name="incidents")
@@ -148,8 +151,8 @@
         return sum(step.value for step in self.faults_of(FaultKind.CLOCK_STEP) if at_s >= step.begin_s)
 
 
-def relay_settings(plan: SoakPlan, relay: int) -> dict[str, Any]:
-    """The settings object of a relay's configuration, in the form that the platform gives it."""
+def relay_settings(plan: SoakPlan, relay: int) -> JsonObject:
+    """Returns the settings of a relay by the keys of the platform's configuration."""
     quota = plan.size.requests_per_s * QUOTA_S
     one_class = {
         "name": "c",
@@ -194,7 +197,7 @@
     ) -> None:
         self._rng = Random(seed)
         self._storm = storm
-        effect = self._rng.choice(["safe", "safe", "keyed", "unsafe"])
+        effect = self._rng.choice(EFFECTS)
         self._plan = SoakPlan(seed, size, effect, tuple(variants))
         self._incarnations: dict[int, EndpointIncarnation] = {}  # the latest of each place
         self._next_number = size.endpoints
@@ -272,8 +275,10 @@
 ) -> SoakPlan:
     """Returns the plan of a seed, the same for the same arguments.
 
-    ``storm`` has the faults of the storms; they are drawn where it is empty.
-
-    ``variants`` change the deployment, and nothing that is drawn.
+    Args:
+        seed: The seed of all that is drawn.
+        size: The number of processes and the rate of requests.
+        storm: The faults of each storm; they are drawn where it is empty.
+        variants: Changes of the deployment, which change nothing that is drawn.
     """
     return PlanDrawer(seed, size, storm, variants).draw()
--- a/sageturn/lab/soak/records.py
+++ b/sageturn/lab/soak/records.py
@@ -1,12 +1,17 @@
-"""What clients, endpoints and discovery saw: the evidence on which a run is judged.
+"""Records of clients, endpoints, relays and discovery: the evidence on which a run is judged.
 
-Times are seconds of the monotonic clock, which all processes of a machine share.
+The fields' encoded names are the keys of an evidence file. Times are seconds of the monotonic clock, which
+all processes of a machine share; a time of 0 stands for an event that never came.
 """
 
 from __future__ import annotations
 
+from enum import StrEnum
+
 import msgspec
 
+from sageturn.decision import Effect
+
 
 class AttemptRecord(msgspec.Struct):
     """One connection of a relay at an endpoint."""
@@ -15,13 +20,21 @@
     started_at_s: float  # of the endpoint's process
     request: str = ""  # empty where no complete request came
     first_byte_s: float = 0.0
-    complete_s: float = 0.0  # the request's last byte; 0 where that never came
+    complete_s: float = 0.0  # the request's last byte
     answer: str = ""  # the first line that the endpoint sent
-    ended_s: float = 0.0  # the relay's end, or the endpoint's; 0 while it is open
+    ended_s: float = 0.0  # the relay's end, or the endpoint's
     is_ended_by_endpoint: bool = False
     is_silent: bool = False  # the endpoint had stopped answering
     error: str = ""  # a line that no client sends
-    is_health_check: bool = False  # it asked for load reports, and is no attempt
+    is_health_check: bool = False  # not an attempt: it asked for load reports
+
+
+class ClientEnd(StrEnum):
+    """The way in which a relay ended a client's connection."""
+
+    EOF = "eof"
+    RESET = "reset"
+    REFUSED = "refused"  # the connection was not accepted
 
 
 class ClientRecord(msgspec.Struct):
@@ -31,22 +44,22 @@
     relay: int
     relay_process: int  # its process id: relays are restarted
     wait_s: float
-    effect: str
+    effect: Effect
     connected_s: float = 0.0
     client_port: int = 0  # by which the relay's log names the connection
-    sent_s: float = 0.0  # the request's last byte; 0 where it was not sent whole
-    left_s: float = 0.0  # the client closed by itself; 0 where it did not
+    sent_s: float = 0.0  # the request's last byte
+    left_s: float = 0.0  # the client closed by itself
     answer: str = ""
     answered_s: float = 0.0
     lines_after_answer: int = 0
     is_moved: bool = False
-    ended_s: float = 0.0  # the relay ended the connection; 0 where it did not
-    end: str = ""  # "eof", "reset" or "refused"
-    is_bad: bool = False  # what it sent is no request
+    ended_s: float = 0.0  # the relay ended the connection
+    end: str = ""  # of ClientEnd; empty where the client closed by itself
+    is_bad: bool = False  # it sent something else than a request
 
     @property
     def is_established(self) -> bool:
-        """Whether it was served."""
+        """Whether the request was served."""
         return self.answer.startswith("UP ")
 
 
--- a/sageturn/lab/soak/relays.py
+++ b/sageturn/lab/soak/relays.py
@@ -12,21 +12,20 @@
 from collections.abc import Callable
 from contextlib import suppress
 from pathlib import Path
-from typing import Any
 
 from sageturn.lab.loopback.ports import reserve_port
 from sageturn.lab.soak.plan import REQUEST_TIMEOUT_S, FaultKind, ScheduledFault, SoakPlan, relay_settings
 from sageturn.lab.soak.records import RelayRecord
+from sageturn.net.json_stream import JsonObject
 
 READY_TIMEOUT_S = 20.0
 READY_POLL_S = 0.03
-FRONT_SPREAD_S = 0.3  # for so long after SIGTERM the front still sends clients
-KILL_AFTER_S = REQUEST_TIMEOUT_S + 0.7 + 0.3  # the platform's SIGKILL, and some slack for a busy machine
+FRONTEND_DELAY_S = 0.3  # after SIGTERM, in which the frontend still sends clients
+KILL_AFTER_S = REQUEST_TIMEOUT_S + 0.7 + 0.3  # from SIGTERM to SIGKILL; 0.3 s more than the platform's
 MAX_DESCRIPTORS = 512
-# No program can handle a signal before its interpreter has started.
-MIN_SIGNAL_AGE_S = 0.15
-MIN_DESCRIPTORS = 32  # the settings allow no fewer, and a process that starts needs them
-SPARE_DESCRIPTORS = 3  # that are left to a relay whose limit is lowered
+MIN_SIGNAL_AGE_S = 0.15  # of a process, by which its interpreter handles signals
+MIN_DESCRIPTORS = 32  # the lowest limit that the settings allow
+SPARE_DESCRIPTORS = 3  # between the open descriptors and a lowered limit
 BAD_CONFIGURATIONS = ("", "{", '{"name": 5}', '{"name":"x","listen":"nowhere"}', "[]")
 
 
@@ -37,8 +36,8 @@
         self.number = number
         self.folder = folder
         self.records: list[RelayRecord] = []
-        self.is_admitted = False  # the front sends clients here
-        self.lifecycle_lock = asyncio.Lock()  # it is replaced by one process at a time
+        self.is_admitted = False  # whether the frontend sends clients here
+        self.lifecycle_lock = asyncio.Lock()  # held while its process is replaced
         self._plan = plan
         self._plan_file = plan_file
         self._process: asyncio.subprocess.Process | None = None
@@ -64,8 +63,8 @@
         """The configuration file, to which ``GW_CONFIG`` points."""
         return self.folder / "config.json"
 
-    def write_config(self, discovery: tuple[str, int], known: dict[str, Any]) -> None:
-        """Write the platform's file."""
+    def write_config(self, discovery: tuple[str, int], known: JsonObject) -> None:
+        """Writes the platform's file."""
         config = {
             "name": f"r{self.number}",
             "listen": "{}:{}".format(*self.address),
@@ -78,7 +77,7 @@
         self.config_file.write_text(json.dumps(config))
 
     async def start(self) -> None:
-        """Start a process, and admit it once it answers PING."""
+        """Starts a process, and admits it once it answers PING."""
         environment = {name: value for name, value in os.environ.items() if not name.startswith("GW_")}
         arguments = [str(self.number), str(self._plan_file), "--operator", str(self.folder / "operator.json")]
         with (self.folder / f"log-{len(self.records)}").open("wb") as log:
@@ -110,21 +109,21 @@
         return False
 
     async def terminate(self) -> None:
-        """SIGTERM, and wait for the end."""
+        """Sends SIGTERM, and waits for the process's end; kills it where that takes too long."""
         process, record = self._running()
         record.terminated_s = time.monotonic()
         process.send_signal(signal.SIGTERM)
-        await asyncio.sleep(FRONT_SPREAD_S)
+        await asyncio.sleep(FRONTEND_DELAY_S)
         self.is_admitted = False
         try:
-            async with asyncio.timeout(KILL_AFTER_S - FRONT_SPREAD_S):
+            async with asyncio.timeout(KILL_AFTER_S - FRONTEND_DELAY_S):
                 await process.wait()
         except TimeoutError:
             process.kill()
         await self._record_exit(process, record)
 
     async def kill(self) -> None:
-        """SIGKILL; the front notices the refused connections."""
+        """Sends SIGKILL; the frontend sends no more clients."""
         process, record = self._running()
         record.killed_s = time.monotonic()
         process.kill()
@@ -136,12 +135,12 @@
         record.exited_s = time.monotonic()
 
     def reload(self, content: str) -> None:
-        """Write the configuration's file, and SIGHUP."""
+        """Writes the configuration file, and sends SIGHUP."""
         self.config_file.write_text(content)
         self._running()[0].send_signal(signal.SIGHUP)
 
-    async def hold(self, duration_s: float) -> None:
-        """Stop the process for a moment, as a busy machine may."""
+    async def suspend(self, duration_s: float) -> None:
+        """Suspends the process."""
         process, _ = self._running()
         process.send_signal(signal.SIGSTOP)
         await asyncio.sleep(duration_s)
@@ -149,7 +148,7 @@
             process.send_signal(signal.SIGCONT)
 
     async def lower_descriptor_limit(self, duration_s: float) -> None:
-        """Leave the process a few descriptors more than it has open."""
+        """Lowers the process's limit to a few descriptors more than it has open."""
         process, _ = self._running()
         limits = resource.prlimit(process.pid, resource.RLIMIT_NOFILE)
         lowered = max(MIN_DESCRIPTORS, self.count_descriptors() + SPARE_DESCRIPTORS)
@@ -159,7 +158,7 @@
             resource.prlimit(process.pid, resource.RLIMIT_NOFILE, limits)
 
     def count_descriptors(self) -> int:
-        """Descriptors that the process has open."""
+        """Returns the number of descriptors that the process has open."""
         return len(os.listdir(f"/proc/{self.record.process}/fd"))
 
     def _running(self) -> tuple[asyncio.subprocess.Process, RelayRecord]:
@@ -168,17 +167,17 @@
         return self._process, self.record
 
     def record_own_end(self) -> None:
-        """Take note of a process that has ended without a signal from the run."""
+        """Records the exit code of a process that has ended without a signal from the run."""
         if self._process is not None and self.record.exit_code is None:
             self.record.exit_code = self._process.returncode
 
     def release_port(self) -> None:
-        """Let others use the relay's port."""
+        """Releases the relay's port."""
         self._reserved.close()
 
 
 class RelayFaultInjector:
-    """Carries out the plan's faults of relays. ``write_config`` writes a relay's file for a new start."""
+    """Injects the plan's faults of relays; ``write_config`` writes a relay's configuration file."""
 
     def __init__(
         self, plan: SoakPlan, relays: list[SoakRelay], write_config: Callable[[SoakRelay, int], None]
@@ -188,18 +187,18 @@
         self._write_config = write_config
 
     async def run(self) -> None:
-        """Returns once all are over, and all relays run again."""
-        faults = [each for each in self._plan.faults if each.kind.value.startswith("relay_")]
-        await asyncio.gather(*(self._play(fault) for fault in faults))
+        """Injects all faults. Returns once they are over, and all relays run again."""
+        faults = [fault for fault in self._plan.faults if fault.kind.value.startswith("relay_")]
+        await asyncio.gather(*(self._run_fault(fault) for fault in faults))
 
-    async def _play(self, fault: ScheduledFault) -> None:
+    async def _run_fault(self, fault: ScheduledFault) -> None:
         await asyncio.sleep(max(0.0, self._plan.started_s + fault.begin_s - time.monotonic()))
         relay = self._relays[fault.target]
-        # Another fault may be restarting the relay at this moment: then there is nothing to disturb.
+        # There is no process while another fault restarts the relay.
         with suppress(ProcessLookupError):
-            await self._carry_out(fault, relay)
+            await self._inject(fault, relay)
 
-    async def _carry_out(self, fault: ScheduledFault, relay: SoakRelay) -> None:
+    async def _inject(self, fault: ScheduledFault, relay: SoakRelay) -> None:
         length_s = fault.end_s - fault.begin_s
         match fault.kind:
             case FaultKind.RELAY_RESTART:
@@ -213,14 +212,14 @@
             case FaultKind.RELAY_RELOAD if relay.age_s > MIN_SIGNAL_AGE_S:
                 self._write_config(relay, 1)
                 relay.reload(relay.config_file.read_text())
-            # A process that starts with a faulty file would rightly not start.
+            # A process that is just starting would not start with an invalid file.
             case FaultKind.RELAY_BAD_RELOAD if relay.record.ready_s and not relay.lifecycle_lock.locked():
                 good = relay.config_file.read_text()
                 relay.reload(BAD_CONFIGURATIONS[fault.target % len(BAD_CONFIGURATIONS)])
                 await asyncio.sleep(length_s)
                 relay.reload(good)
             case FaultKind.RELAY_HOLD:
-                await relay.hold(length_s)
+                await relay.suspend(length_s)
             case FaultKind.RELAY_DESCRIPTORS:
                 await relay.lower_descriptor_limit(length_s)
 
--- a/sageturn/lab/soak/report.py
+++ b/sageturn/lab/soak/report.py
@@ -1,4 +1,4 @@
-"""Plays seeds one after the other, and prints what each run saw and which rules it broke."""
+"""Runs plans one after the other, and prints the figures and violations of each run."""
 
 from __future__ import annotations
 
@@ -7,25 +7,33 @@
 from pathlib import Path
 from tempfile import TemporaryDirectory
 
+import uvloop
+
 from sageturn.lab.soak.auditor import Violation
 from sageturn.lab.soak.plan import SoakPlan
-from sageturn.lab.soak.records import Evidence
-from sageturn.lab.soak.soak_run import SoakRun, play_plan
+from sageturn.lab.soak.records import ClientEnd, Evidence
+from sageturn.lab.soak.soak_run import SoakRun
 
 MAX_SHOWN = 12  # violations of one run
 
 
 def play_all(plans: Iterable[SoakPlan], keep: Path | None, write: Callable[[str], None]) -> bool:
-    """Play all plans; True if no rule was broken. ``keep``: the folder that gets one folder a seed."""
+    """Runs all plans. Returns whether no rule was broken.
+
+    ``keep`` is the folder that gets one folder for each seed; None to keep nothing.
+    """
     broken: Counter[str] = Counter()
     for plan in plans:
         with TemporaryDirectory(prefix="sageturn-soak-") as temporary:
             folder = Path(temporary) / "run" if keep is None else keep / f"seed-{plan.seed}"
-            run, violations = play_plan(plan, folder)
+            run = SoakRun(plan, folder)
+            violations = uvloop.run(run.play())
         for line in describe(run, violations):
             write(line)
         broken.update(violation.rule.value for violation in violations)
-    write("rules broken: " + (", ".join(f"{rule} {n}" for rule, n in sorted(broken.items())) or "none"))
+    write(
+        "rules broken: " + (", ".join(f"{rule} {count}" for rule, count in sorted(broken.items())) or "none")
+    )
     return not broken
 
 
@@ -35,18 +43,21 @@
     faults = Counter(fault.kind.value for fault in plan.faults)
     lines = [
         f"seed {plan.seed} ({', '.join((plan.effect, *plan.variants))}): "
-        + ", ".join(f"{name} x{n}" for name, n in sorted(faults.items())),
+        + ", ".join(f"{name} x{count}" for name, count in sorted(faults.items())),
         "  " + summarize(run.evidence) + f"; {len(violations)} violations",
     ]
-    lines += [f"  BROKEN {each.rule.value}: {each.subject}: {each.detail}" for each in violations[:MAX_SHOWN]]
+    lines += [
+        f"  BROKEN {violation.rule.value}: {violation.subject}: {violation.detail}"
+        for violation in violations[:MAX_SHOWN]
+    ]
     if len(violations) > MAX_SHOWN:
         lines.append(f"  and {len(violations) - MAX_SHOWN} more")
     return lines
 
 
 def summarize(evidence: Evidence) -> str:
-    """The figures of one run."""
-    clients = [client for client in evidence.clients if not client.is_bad and client.end != "refused"]
+    """Returns the figures of one run."""
+    clients = [client for client in evidence.clients if not client.is_bad and client.end != ClientEnd.REFUSED]
     established = sum(client.is_established for client in clients)
     rejected = sum(client.answer.startswith("BUSY") for client in clients)
     failed = sum(client.answer.startswith("ERR") for client in clients)
--- a/sageturn/lab/soak/shims.py
+++ b/sageturn/lab/soak/shims.py
@@ -1,4 +1,4 @@
-"""System calls of a relay that fail or do less than asked, as Linux documents, at times that the plan gives.
+"""Replaces system calls of a relay with ones that fail or are short, as Linux documents, as the plan says.
 
 The relay's sockets are Python's own: replacing their methods reaches every call that the program makes.
 """
@@ -21,17 +21,17 @@
 DISK_ERRNOS = (errno.ENOSPC, errno.EIO)
 FAILURE_RATIO = 0.4  # of the calls while a fault is in effect
 MAX_SHORT_BYTES = 9
-SOCKET_ARGUMENTS = 4  # of the constructor; the last one is the descriptor of a socket that exists already
+SOCKET_ARGUMENTS = 4  # of the constructor, with the descriptor of an existing socket as the last
 
 
 def fail(errnos: Sequence[int], rng: Random) -> None:
-    """Raise one of these errors."""
+    """Raises OSError with one of these numbers."""
     number = rng.choice(errnos)
     raise OSError(number, os.strerror(number))
 
 
 class Shims:
-    """Replaces calls of this process. ``faults``: those of the plan that concern it."""
+    """Replaces calls of this process; ``faults`` are the plan's faults of this process."""
 
     def __init__(self, started_s: float, faults: Sequence[ScheduledFault], rng: Random) -> None:
         self._started_s = started_s
@@ -39,7 +39,7 @@
         self._rng = rng
 
     def install(self) -> None:
-        """Replace the calls, for as long as the process incarnations."""
+        """Replaces the calls until the process ends."""
         self._replace_accept()
         self._replace_connect()
         self._replace_reads()
@@ -52,12 +52,12 @@
 
     def _is_active(self, kind: FaultKind) -> bool:
         at_s = time.monotonic() - self._started_s
-        return any(each.kind is kind and each.is_active(at_s) for each in self._faults)
+        return any(fault.kind is kind and fault.is_active(at_s) for fault in self._faults)
 
     def _replace_accept(self) -> None:
         accept = socket.socket.accept
 
-        def shimmed(sock: socket.socket) -> Any:
+        def shimmed(sock: socket.socket) -> tuple[socket.socket, object]:
             if self._is_due(FaultKind.ACCEPT_ERRORS):
                 fail(ACCEPT_ERRNOS, self._rng)
             return accept(sock)
@@ -130,7 +130,7 @@
 
         def shimmed() -> float:
             at_s = time.monotonic() - self._started_s
-            steps = (each for each in self._faults if each.kind is FaultKind.CLOCK_STEP)
+            steps = (fault for fault in self._faults if fault.kind is FaultKind.CLOCK_STEP)
             return wall_clock() + sum(step.value for step in steps if at_s >= step.begin_s)
 
         time.time = shimmed
--- a/sageturn/lab/soak/soak_run.py
+++ b/sageturn/lab/soak/soak_run.py
@@ -1,4 +1,4 @@
-"""Plays one plan: starts all processes, sends clients, carries out the faults, and gathers the evidence."""
+"""Runs one plan: starts all processes and clients, injects the faults, and gathers the evidence."""
 
 from __future__ import annotations
 
@@ -9,7 +9,6 @@
 from pathlib import Path
 
 import msgspec
-import uvloop
 from msgspec.structs import replace
 
 from sageturn.core.tasks import cancel_and_wait
@@ -23,12 +22,12 @@
 from sageturn.store.errors import LogCorruptedError
 from sageturn.store.store import Store
 
-START_TIME_S = 8.0  # for all processes to be ready; the run's time starts then
+START_TIME_S = 8.0  # for all processes to become ready before the run's start
 TRAFFIC_END_S = DURATION_S - 2.0
 HOST_TIMEOUT_S = 30.0
 MAX_LOG_ERRORS = 20  # of one relay that are reported
 ERROR_MARKS = (" ERROR ", "Traceback ", " CRITICAL ")
-# Bad configurations are part of the plan, and rejected with an error.
+# A plan has invalid configurations, which a relay rejects with an error.
 EXPECTED_ERRORS = ("configuration rejected, the old one stays in force",)
 
 
@@ -48,7 +47,7 @@
         self._hosts: list[asyncio.subprocess.Process] = []
 
     async def play(self) -> list[Violation]:
-        """Returns the broken rules."""
+        """Runs the plan to its end. Returns the violations of the rules; ``evidence`` has the records."""
         self._assign_ports()
         self.plan.started_s = time.monotonic() + START_TIME_S
         self._folder.mkdir(parents=True, exist_ok=True)
@@ -140,7 +139,7 @@
         (self._folder / "evidence.json").write_bytes(msgspec.json.encode(self.evidence))
 
     def _check_stores(self) -> list[Violation]:
-        """Every log can be read after whatever was done to it."""
+        """Checks that the log of each store can be read after the run."""
         violations = []
         for relay in self._relays:
             path = relay.folder / "store"
@@ -159,9 +158,3 @@
     errors = [line for line in lines if any(mark in line for mark in ERROR_MARKS)]
     errors += [line for line in lines if line.startswith(("Exception", "sageturn:"))]
     return [line for line in errors if not any(text in line for text in EXPECTED_ERRORS)][:MAX_LOG_ERRORS]
-
-
-def play_plan(plan: SoakPlan, folder: Path) -> tuple[SoakRun, list[Violation]]:
-    """Play a plan to its end; the run has the evidence."""
-    run = SoakRun(plan, folder)
-    return run, uvloop.run(run.play())
--- a/tests/lab/test_soak_auditor.py
+++ b/tests/lab/test_soak_auditor.py
@@ -7,6 +7,7 @@
 import pytest
 from msgspec.structs import replace
 
+from sageturn.decision import Effect
 from sageturn.lab.soak.auditor import Auditor, Rule
 from sageturn.lab.soak.plan import (
     DRAIN_GRACE_S,
@@ -35,7 +36,7 @@
 NEW = EndpointIncarnation("s2", 0, 0.5, NEVER_S, NEVER_S)
 
 
-def make_plan(effect: str = "safe") -> SoakPlan:
+def make_plan(effect: Effect = Effect.SAFE) -> SoakPlan:
     plan = SoakPlan(1, SoakSize(relays=2, hosts=1, requests_per_s=20.0), effect, (), STARTED_S)
     plan.incarnations = [OLD, DRAINING, NEW]
     return plan
@@ -44,7 +45,7 @@
 def client(request: str = "q1", **fields: Any) -> ClientRecord:
     """One that was served from 101 s on and left at 104 s, unless ``fields`` say otherwise."""
     values = {"sent_s": 101.0, "answer": f"UP {request}", "answered_s": 101.1, "left_s": 104.0}
-    return replace(ClientRecord(request, 0, PROCESS, 2.0, "safe"), **{**values, **fields})
+    return replace(ClientRecord(request, 0, PROCESS, 2.0, Effect.SAFE), **{**values, **fields})
 
 
 def attempt(request: str = "q1", incarnation: EndpointIncarnation = OLD, **fields: Any) -> AttemptRecord:
@@ -63,7 +64,7 @@
     clients: list[ClientRecord],
     attempts: list[AttemptRecord],
     *,
-    effect: str = "safe",
+    effect: Effect = Effect.SAFE,
     process: RelayRecord | None = None,
     notifications: list[EndpointNotification] | None = None,
 ) -> set[Rule]:
@@ -73,7 +74,7 @@
 
 def test_a_run_that_keeps_the_rules() -> None:
     retried = attempt(answer="b'BUSY\\r\\n'", first_byte_s=101.01, complete_s=101.01, ended_s=101.02)
-    assert broken_rules([client()], [retried, attempt()], effect="unsafe") == set()
+    assert broken_rules([client()], [retried, attempt()], effect=Effect.UNSAFE) == set()
 
 
 RELAY_ENDED: dict[str, Any] = {"left_s": 0.0, "ended_s": 102.0, "end": "eof"}
@@ -120,13 +121,13 @@
 @pytest.mark.parametrize(
     ("effect", "second_s", "broken"),
     [
-        ("safe", 103.0, False),
-        ("keyed", 101.05 + KEY_TTL_S, False),
-        ("keyed", 101.2 + KEY_TTL_S, True),
-        ("unsafe", 101.5, True),
+        (Effect.SAFE, 103.0, False),
+        (Effect.KEYED, 101.05 + KEY_TTL_S, False),
+        (Effect.KEYED, 101.2 + KEY_TTL_S, True),
+        (Effect.UNSAFE, 101.5, True),
     ],
 )
-def test_what_may_have_run_is_not_repeated(effect: str, second_s: float, broken: bool) -> None:
+def test_what_may_have_run_is_not_repeated(effect: Effect, second_s: float, broken: bool) -> None:
     first = attempt(answer="", ended_s=101.1)
     second = attempt(first_byte_s=second_s, complete_s=second_s)
     found = broken_rules([client()], [first, second], effect=effect)
