--- a/sageturn/frontends/xmpp/client_login.py
+++ b/sageturn/frontends/xmpp/client_login.py
@@ -11,7 +11,7 @@
 
 from scramp import ScramException, ScramMechanism  # type: ignore[import-untyped]
 
-from sageturn.frontends.xmpp.accounts import MECHANISM, Account, Accounts, Credentials
+from sageturn.frontends.xmpp.accounts import SCRAM_MECHANISM, Account, Accounts, Credentials
 from sageturn.frontends.xmpp.channel import TlsChannel
 from sageturn.frontends.xmpp.errors import SaslError, StreamError
 from sageturn.frontends.xmpp.namespaces import BIND_NS, CLIENT_NS, SASL_NS, TLS_NS
@@ -20,6 +20,7 @@
 from sageturn.frontends.xmpp.session import XmppSession
 
 MAX_LOGIN_ATTEMPTS = 3
+PLAIN_FIELD_COUNT = 3  # authorization id, name, password (RFC 4616)
 MAX_RESOURCE_BYTES = 1023
 
 
@@ -77,7 +78,9 @@
     # ------------------------------------------------------------ SASL
 
     async def _authenticate(self) -> Account:
-        mechanisms = [MECHANISM, PLAIN_MECHANISM] if self._session.channel.is_encrypted else [MECHANISM]
+        mechanisms = (
+            [SCRAM_MECHANISM, PLAIN_MECHANISM] if self._session.channel.is_encrypted else [SCRAM_MECHANISM]
+        )
         offered = "".join(f"<mechanism>{name}</mechanism>" for name in mechanisms)
         features = f"<stream:features><mechanisms xmlns='{SASL_NS}'>{offered}</mechanisms></stream:features>"
         await self._session.send(features.encode())
@@ -102,7 +105,7 @@
 
     async def _log_in_plain(self, auth: Element) -> Account:
         parts = _decode_base64(auth.text).split(b"\0")
-        if len(parts) != 3:
+        if len(parts) != PLAIN_FIELD_COUNT:
             raise SaslError(SaslCondition.MALFORMED_REQUEST)
         try:
             authorization_id, name, password = (part.decode() for part in parts)
@@ -124,7 +127,7 @@
             names.append(name)
             return self._accounts.credentials_of(name)
 
-        server = ScramMechanism(MECHANISM).make_server(look_up)
+        server = ScramMechanism(SCRAM_MECHANISM).make_server(look_up)
         try:
             server.set_client_first(_decode_base64(auth.text).decode())
             response = await self._challenge(server.get_server_first())
--- a/sageturn/lab/scale/child_process.py
+++ b/sageturn/lab/scale/child_process.py
@@ -148,7 +148,7 @@
     def descriptor_count(self) -> int:
         """Returns the number of open file descriptors."""
         with suppress(OSError):
-            return len(os.listdir(f"/proc/{self.pid}/fd"))
+            return len(list(Path(f"/proc/{self.pid}/fd").iterdir()))
         return 0
 
 
--- a/tests/core/test_close_reasons.py
+++ b/tests/core/test_close_reasons.py
@@ -8,13 +8,15 @@
 import select
 import socket
 import struct
+from collections.abc import Awaitable, Callable
 from pathlib import Path
 from typing import Any
 
 import pytest
 from support.event_loop import until
-from support.network_fakes import SETTINGS, FakeEndpoint, first_line, relaying, up
-from support.relay_checks import is_balancer_idle, is_idle
+from support.network_fakes import SETTINGS, ConnectResult, FakeEndpoint, Script, first_line, relaying, up
+from support.ports import Address
+from support.relay_checks import is_balancer_idle, is_idle, record_closed_connections
 
 from sageturn.core.messages import EndpointListUpdate
 from sageturn.core.shutdown_schedule import ShutdownSchedule
@@ -23,7 +25,7 @@
 from sageturn.frontends.platform import frontend as platform_frontend
 from sageturn.frontends.platform import relaying as platform_relaying
 from sageturn.frontends.platform.line_forwarder import LineForwarder
-from sageturn.net import sockets
+from sageturn.net.connecting import ConnectFailure, connect_unreserved
 from sageturn.relay import Relay
 
 
@@ -77,10 +79,10 @@
 # ---------------------------------------------------------------- stages: what the endpoints do meanwhile
 
 
-def holding(text: bytes) -> Any:
+def holding(text: bytes) -> Callable[[list[RelayScenario]], Script]:
     """Sends ``text``, then waits for the scenario to end or resume it; then resets or closes."""
 
-    def script(scenario: list[RelayScenario]) -> Any:
+    def script(scenario: list[RelayScenario]) -> Script:
         async def act(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes) -> None:
             writer.write(text)
             await writer.drain()
@@ -100,14 +102,14 @@
 
 
 async def connecting(scenario: RelayScenario, monkeypatch: pytest.MonkeyPatch) -> None:
-    connect, begun = sockets.connect_unreserved, asyncio.Event()
+    connect, begun = connect_unreserved, asyncio.Event()
 
-    async def connect_when_resumed(address: tuple[str, int], timeout_s: float) -> Any:
+    async def connect_when_resumed(address: Address, timeout_s: float) -> ConnectResult:
         begun.set()
         try:
             await asyncio.wait_for(scenario.resume.wait(), timeout_s)
         except TimeoutError:
-            return sockets.ConnectFailure.NEVER_UP
+            return ConnectFailure.TIMED_OUT
         return await connect(address, timeout_s)
 
     monkeypatch.setattr(frontend_connection, "connect_unreserved", connect_when_resumed)
@@ -179,7 +181,8 @@
     await asyncio.sleep(0)
 
 
-ENDS = [
+End = Callable[[RelayScenario], Awaitable[None]]
+ENDS: list[End] = [
     client_closes,
     client_resets,
     endpoint_closes,
@@ -199,7 +202,7 @@
 )
 @pytest.mark.timeout(15)
 async def test_every_end_at_every_stage_gives_one_response_and_leaves_nothing(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, stage: str, end: Any, effect: str
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, stage: str, end: End, effect: str
 ) -> None:
     reach, act = STAGES[stage]
     scenarios: list[RelayScenario] = []
@@ -239,7 +242,7 @@
             check_response(stage, end, effect, received, before)
 
 
-def check_response(stage: str, end: Any, effect: str, received: bytes, written: int) -> None:
+def check_response(stage: str, end: End, effect: str, received: bytes, written: int) -> None:
     if stage.startswith("established") or (stage == "connecting" and received.startswith(b"UP")):
         lines = received.removeprefix(b"UP r1\r\n").removeprefix(b"M 1\r\n")
         if end is graceful_shutdown:
@@ -359,8 +362,7 @@
     monkeypatch.setattr(platform_relaying, "LineForwarder", RecordedForwarder)
 
     async with relaying(tmp_path, floods) as (relay, _):
-        ended: list[Any] = []
-        relay.context.on_connection_closed = ended.append
+        ended = record_closed_connections(relay, monkeypatch)
         scenario = RelayScenario(relay, [])
         scenario.client.sendall(first_line())
         await until(lambda: any(lifecycle.is_established for lifecycle in relay.request_registry))
@@ -376,12 +378,12 @@
         if not reads_on:
             lifecycle.force_drain()
             await until(lambda: ended)
-            assert ended[0].close_reason.name == "CUT_OFF"
+            assert ended[0].close_reason is not None and ended[0].close_reason.name == "CUT_OFF"
         else:
             received = await scenario.read_rest()
             assert received.endswith(b"x\r\nMOVE\r\n") and received.count(b"MOVE") == 1
             await until(lambda: ended)
-            assert ended[0].close_reason.name == "MOVED"
+            assert ended[0].close_reason is not None and ended[0].close_reason.name == "MOVED"
         scenario.client.close()
 
 
@@ -406,7 +408,7 @@
     # The client's connection was closed without a word, and the module kept the request for good.
     async with relaying(tmp_path, up) as (relay, _):
 
-        async def fails(address: tuple[str, int], timeout_s: float) -> Any:
+        async def fails(address: Address, timeout_s: float) -> ConnectResult:
             raise ValueError("unforeseen")
 
         monkeypatch.setattr(frontend_connection, "connect_unreserved", fails)
--- a/tests/net/test_sockets.py
+++ b/tests/net/test_sockets.py
@@ -15,9 +15,9 @@
 
 import pytest
 from support.event_loop import until
-from support.load_reports import FIELDS, probed_by
+from support.load_reports import FIELDS, answers_health_checks
 from support.network_fakes import SETTINGS, Streams, ask, first_line, relaying, silent, up
-from support.replication_member import replica
+from support.replication_member import start_member
 from support.xmpp_fakes import HEADER, Client, echo
 from support.xmpp_relay import client_tls, relaying_xmpp, xmpp_address
 
@@ -25,8 +25,8 @@
 from sageturn.net import connection_tasks
 from sageturn.net.admission import ProcessLimits
 from sageturn.net.closing import close_gracefully, send_and_close
+from sageturn.net.connecting import ConnectFailure, connect, connect_unreserved
 from sageturn.net.descriptors import DESCRIPTOR_RESERVE, DescriptorReserve
-from sageturn.net.sockets import ConnectFailure, connect, connect_unreserved
 from sageturn.store.store import Store
 
 # ---------------------------------------------------------------- TCP_NODELAY
@@ -59,7 +59,7 @@
     # Clients, endpoints, discovery's watch, and connections that are kept for probes.
     monkeypatch.setitem(SETTINGS, "policyLimits", {**SETTINGS["policyLimits"], "probes": True})
     monkeypatch.setitem(SETTINGS, "report", {"source": "probe", "fields": list(FIELDS)})
-    script, seen = probed_by()
+    script, seen = answers_health_checks()
 
     async with relaying(tmp_path, script) as (relay, (endpoint,)):
         reader, writer = await ask(relay.listener.address, first_line())
@@ -87,8 +87,8 @@
 
 async def test_all_links_between_stores_have_nodelay() -> None:
     one, other = Store("a"), Store("b")
-    first = replica(one)
-    second = replica(other, first.address)
+    first = start_member(one)
+    second = start_member(other, first.address)
     await until(lambda: first.link_count and second.link_count)
     found = connections_of_relay({first.address}, {first.address})
     assert len(found) == 2 and all_have_nodelay(found, {"accepted", "dialled"})
@@ -204,7 +204,7 @@
         os.close(number)
 
     DESCRIPTOR_RESERVE.resize(0)  # earlier tests of this process have filled it
-    monkeypatch.setattr("sageturn.net.sockets.socket", PatchedModule(socket, socket=new_socket))
+    monkeypatch.setattr("sageturn.net.connecting.socket", PatchedModule(socket, socket=new_socket))
     monkeypatch.setattr("sageturn.net.descriptors.os", PatchedModule(os, open=open_file, close=close_file))
     yield left
     DESCRIPTOR_RESERVE.resize(0)
