--- a/experiments/measure_client_disconnects.py
+++ b/experiments/measure_client_disconnects.py
@@ -1,4 +1,4 @@
-"""How long after a client's departure the last attempt for it begins: a real relay on a busy core.
+"""Measures how long after a client's departure the last attempt for it begins, on a busy core.
 
     PYTHONPATH=.:tests python experiments/measure_client_disconnects.py --rounds 10
 
@@ -6,8 +6,8 @@
 rejects after 5 to 50 ms, so that further attempts are due, until all clients leave within a few
 milliseconds. The relay itself records its attempts. The table has the longest time from a client's
 departure to an attempt of its own, from the beginning and from the end of the system call by which it left,
-as this program may be held up between the two; the time from the last departure to the last connection that
-was begun (0: none came after); and how late this program's own loop was.
+as this program may wait for its core between the two; the time from the last departure to the last
+connection that was begun (0: none came after); and how late this program's own loop was.
 """
 
 from __future__ import annotations
@@ -24,6 +24,7 @@
 from collections.abc import Awaitable, Callable
 from contextlib import AsyncExitStack, suppress
 from dataclasses import dataclass
+from enum import StrEnum
 from pathlib import Path
 
 from support.network_fakes import (
@@ -41,12 +42,20 @@
 from support.xmpp_fakes import Client, Server
 from support.xmpp_relay import client_tls, write_operator
 
+
+class Frontend(StrEnum):
+    """A frontend of the relay, by its name in the command's options and table."""
+
+    LINES = "lines"
+    XMPP = "xmpp"
+
+
 CONDITION = "<resource-constraint xmlns='urn:ietf:params:xml:ns:xmpp-streams'/>"
-CLIENT_COUNTS = {"lines": 300, "xmpp": 60}
+CLIENT_COUNTS = {Frontend.LINES: 300, Frontend.XMPP: 60}
 HOST_COUNT = 4
-LOGINS_AT_ONCE = 6  # their passwords cost the core much
+MAX_CONCURRENT_LOGINS = 6  # as the check of a password takes much processor time
 CLIENT_TIMEOUT_MS = 3000
-SETTLE_S = 1.5  # after a departure, for whatever may still come
+SETTLE_S = 1.5  # after the last departure, for late attempts
 MAX_DEPARTURE_DELAY_S = 0.8
 LOOP_CHECK_INTERVAL_S = 0.001
 CONNECT_MARK = "-"  # in place of a request's name, where the relay begins a connection
@@ -58,25 +67,22 @@
 RECORDING_RELAY = """
 import os, sys, time
 from sageturn.__main__ import main
-from sageturn.core.request_lifecycle import RequestLifecycle
-from sageturn.frontends.platform import connection as platform_connection
-from sageturn.frontends.xmpp import connection as xmpp_connection
+from sageturn.core.pre_write_checks import PreWriteChecks
+from sageturn.frontends import frontend_connection
 file = os.open(sys.argv.pop(1), os.O_WRONLY | os.O_APPEND | os.O_CREAT)
-check_before_write = RequestLifecycle.check_before_write
-def record_connects(connect):
-    async def recorded(address, timeout_s):
-        os.write(file, f"- {time.time()}\\n".encode())
-        return await connect(address, timeout_s)
-    return recorded
-def recorded_check(lifecycle, is_endpoint_usable=None):
-    if (close_reason := check_before_write(lifecycle, is_endpoint_usable)) is None:
-        request = lifecycle.record.request
+check_before_write = PreWriteChecks.check_before_write
+connect_unreserved = frontend_connection.connect_unreserved
+async def recorded_connect(address, timeout_s):
+    os.write(file, f"- {time.time()}\\n".encode())
+    return await connect_unreserved(address, timeout_s)
+def recorded_check(checks, is_endpoint_usable=None):
+    if (close_reason := check_before_write(checks, is_endpoint_usable)) is None:
+        request = checks._context.record.request
         name = request.client_request_id or request.client.split('/')[1]
         os.write(file, f"{name} {time.time()}\\n".encode())
     return close_reason
-for module in (platform_connection, xmpp_connection):
-    module.connect_unreserved = record_connects(module.connect_unreserved)
-RequestLifecycle.check_before_write = recorded_check
+frontend_connection.connect_unreserved = recorded_connect
+PreWriteChecks.check_before_write = recorded_check
 sys.exit(main())
 """
 
@@ -238,7 +244,7 @@
     xmpp: Address
 
 
-async def measure_frontend(frontend: str, clients: int, rounds: int, folder: Path) -> None:
+async def measure_frontend(frontend: Frontend, clients: int, rounds: int, folder: Path) -> None:
     """Run all rounds of a frontend, and print its row."""
     addresses = RelayAddresses(("127.0.0.1", free_port()), ("127.0.0.1", free_port()))
     records = folder / "begun"
@@ -247,18 +253,20 @@
         operator_file = write_operator(
             folder, False, listen="{}:{}".format(*addresses.xmpp), negotiate_s=60.0
         )
-        operator_options = ["--operator", str(operator_file)] if frontend == "xmpp" else []
+        operator_options = ["--operator", str(operator_file)] if frontend is Frontend.XMPP else []
         await _start_processes(stack, config, records, operator_options)
         await until_ready(addresses.lines)
         logged_in: list[Client] = []
-        if frontend == "lines":
+        if frontend is Frontend.LINES:
             connect = connect_with_lines(addresses.lines)
         else:
             connect = connect_with_streams(logged_in)
         results = []
         for number in range(rounds):
-            while frontend == "xmpp" and len(logged_in) < clients:
-                logged_in += await asyncio.gather(*(log_in(addresses.xmpp) for _ in range(LOGINS_AT_ONCE)))
+            while frontend is Frontend.XMPP and len(logged_in) < clients:
+                logged_in += await asyncio.gather(
+                    *(log_in(addresses.xmpp) for _ in range(MAX_CONCURRENT_LOGINS))
+                )
             results.append(await run_round(connect, clients, number * clients, records))
     _print_row(frontend, clients, results)
 
@@ -300,7 +308,7 @@
         os.sched_setaffinity(process.pid, {max(os.sched_getaffinity(0))})
 
 
-def _print_row(frontend: str, clients: int, results: list[RoundResult]) -> None:
+def _print_row(frontend: Frontend, clients: int, results: list[RoundResult]) -> None:
     longest_s = (
         max(result.attempt_since_began_s for result in results),
         max(result.attempt_since_done_s for result in results),
@@ -316,13 +324,14 @@
     """Print a Markdown table of the frontends."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--rounds", type=int, default=10)
-    parser.add_argument("--fronts", nargs="*", default=["lines", "xmpp"])
+    parser.add_argument("--fronts", nargs="*", type=Frontend, default=list(Frontend))
     options = parser.parse_args()
     print("| front | clients | attempts | attempt, ms | the same, ms | last connection, ms | own lag, ms |")
     print("| --- | --- | --- | --- | --- | --- | --- |")
     for frontend in options.fronts:
         with tempfile.TemporaryDirectory() as folder:
-            asyncio.run(measure_frontend(frontend, CLIENT_COUNTS[frontend], options.rounds, Path(folder)))
+            clients = CLIENT_COUNTS[frontend]
+            asyncio.run(measure_frontend(frontend, clients, options.rounds, Path(folder)))
 
 
 if __name__ == "__main__":
