--- a/sageturn/lab/scale/counting.py
+++ b/sageturn/lab/scale/counting.py
@@ -13,11 +13,13 @@
 from contextvars import ContextVar
 from dataclasses import dataclass
 from pathlib import Path
-from typing import Any, Final
+from typing import Any, Final, ParamSpec, TypeVar
 
 import uvloop
 
 Address = tuple[str, int]
+Parameters = ParamSpec("Parameters")
+Returned = TypeVar("Returned")
 
 # The order of purposes and fields is that of the file's counters.
 PURPOSES = ("store", "list", "client")
@@ -52,17 +54,17 @@
         )
 
     def sum(self, field: str, *purposes: str) -> int:
-        """Over these purposes, or over all if none is given."""
+        """Returns a field's sum over these purposes, or over all if none is given."""
         return sum(self.values[purpose][field] for purpose in purposes or PURPOSES)
 
 
 def create_file(file: Path, members: int) -> None:
-    """All counters at zero."""
+    """Creates a file with all counters at zero."""
     file.write_bytes(bytes(COUNTER_BYTES * COUNTERS_PER_MEMBER * max(1, members)))
 
 
 def read_file(file: Path, members: int) -> list[Counts]:
-    """The counters as they are now, by member; a process may be counting meanwhile."""
+    """Returns the present counters by member; a process may be counting meanwhile."""
     counters = memoryview(file.read_bytes()).cast(COUNTER_FORMAT)
     found = []
     for member in range(members):
@@ -74,7 +76,7 @@
 
 @contextmanager
 def owned(member: int, purpose: str) -> Iterator[None]:
-    """Sockets that are made in here, and by tasks started in here, count for this member and purpose."""
+    """Has sockets made in the context, also by tasks started there, count for this member and purpose."""
     member_token = _member.set(member)
     purpose_token = _purpose.set(PURPOSES.index(purpose))
     try:
@@ -84,10 +86,12 @@
         _purpose.reset(purpose_token)
 
 
-def owning(member: int, purpose: str, function: Callable[..., Any]) -> Callable[..., Any]:
-    """The function, with its calls inside ``owned``."""
+def owning(
+    member: int, purpose: str, function: Callable[Parameters, Returned]
+) -> Callable[Parameters, Returned]:
+    """Returns the function, with its calls inside ``owned``."""
 
-    def call_owned(*arguments: Any, **keywords: Any) -> Any:
+    def call_owned(*arguments: Parameters.args, **keywords: Parameters.kwargs) -> Returned:
         with owned(member, purpose):
             return function(*arguments, **keywords)
 
@@ -95,7 +99,7 @@
 
 
 class CountingSocket(socket.socket):
-    """A socket that counts what the kernel took and gave. ``accept`` makes such ones too, once installed."""
+    """A socket that counts bytes and calls; once installed, ``accept`` makes such sockets too."""
 
     __slots__ = ("_first_counter",)
 
--- a/sageturn/lab/scale/digests.py
+++ b/sageturn/lab/scale/digests.py
@@ -13,11 +13,11 @@
 import socket
 from contextlib import suppress
 from dataclasses import dataclass
-from typing import Any
 
 from sageturn.core.tasks import cancel_and_wait
 from sageturn.net.admission import AdmissionController, PendingConnection
 from sageturn.net.connecting import ConnectFailure, connect
+from sageturn.net.json_stream import JsonObject
 from sageturn.net.listener import Listener
 from sageturn.net.sockets import send_gathered
 from sageturn.store.channel import TAG_BYTES, AuthenticatedChannel
@@ -52,23 +52,24 @@
 class JsonChannel(AuthenticatedChannel):
     """Frames of one JSON value each, of up to four megabytes."""
 
-    async def send(self, message: Any) -> None:
-        """Raises OSError when the link is gone."""
+    async def send_json(self, message: object) -> None:
+        """Sends a JSON value. Raises OSError when the link is gone."""
         payload = json.dumps(message, separators=(",", ":")).encode()
         async with self._write_lock:
             tag = self._frame_tag(self._send_role, self._sent_frames, payload)
             self._sent_frames += 1
             await send_gathered(self._sock, (len(payload).to_bytes(4, "big"), payload, tag))
 
-    async def receive(self) -> Any:
-        """Raises HandshakeRejectedError where a frame's tag does not match."""
+    async def receive_json(self) -> JsonObject:
+        """Returns the next message. Raises HandshakeRejectedError where a frame's tag does not match."""
         payload = await self._read_sized(MAX_FRAME_BYTES)
         if not hmac.compare_digest(
             await self._read(TAG_BYTES), self._frame_tag(self._receive_role, self._received_frames, payload)
         ):
             raise HandshakeRejectedError("a frame was tampered with")
         self._received_frames += 1
-        return json.loads(payload)
+        message: JsonObject = json.loads(payload)
+        return message
 
     def _frame_tag(self, role: bytes, frame_number: int, payload: bytes) -> bytes:
         parts = (role, frame_number.to_bytes(4, "big"), payload)
@@ -77,7 +78,7 @@
 
 
 def missing_from(store: Store, digest: dict[str, tuple[int, str]]) -> list[StoreRecord]:
-    """The store's records that a copy with this digest lacks, or has in an older version."""
+    """Returns the store's records that a copy with this digest lacks, or has in an older version."""
     return [
         record for record in store.records() if record.key not in digest or digest[record.key] < record.order
     ]
@@ -103,13 +104,13 @@
         return {}
 
     def start(self) -> None:
-        """Listen, and dial the peers, until ``stop``."""
+        """Listens, and dials the peers, until ``stop``."""
         self._listener.start_listening()
         self._tasks = [asyncio.ensure_future(self._listener.run())]
         self._tasks += [asyncio.ensure_future(self._keep_connected(peer)) for peer in self._options.peers]
 
     async def stop(self) -> None:
-        """End all links; it cannot be started again."""
+        """Ends all links; the replication cannot be started again."""
         for task in self._tasks:
             await cancel_and_wait(task)
         await self._listener.cancel_connections()
@@ -169,7 +170,7 @@
     async def _send(self, channel: JsonChannel, queue: RecordQueue) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            await channel.send({"digest": self._store.digest()})
+            await channel.send_json({"digest": self._store.digest()})
             next_digest_s = loop.time() + self._options.interval_s
             with suppress(TimeoutError):
                 while True:
@@ -177,18 +178,18 @@
                         records = await queue.get()
                     for start in range(0, len(records), RECORDS_PER_FRAME):
                         chunk = records[start : start + RECORDS_PER_FRAME]
-                        await channel.send({"records": [record.to_json() for record in chunk]})
+                        await channel.send_json({"records": [record.to_json() for record in chunk]})
 
     async def _receive(self, channel: JsonChannel, queue: RecordQueue) -> None:
         while True:
             async with asyncio.timeout(self._options.interval_s * MAX_SILENT_INTERVALS):
-                message = await channel.receive()
+                message = await channel.receive_json()
             try:
                 self._apply(message, queue)
             except (InvalidRecordError, KeyError, TypeError, ValueError, AttributeError) as error:
                 raise HandshakeRejectedError(f"not understood: {error}") from None
 
-    def _apply(self, message: Any, queue: RecordQueue) -> None:
+    def _apply(self, message: JsonObject, queue: RecordQueue) -> None:
         if "digest" not in message:
             self._store.merge([parse_record(obj) for obj in message["records"]])
             return
@@ -196,7 +197,7 @@
         missing = missing_from(self._store, digest)
         if missing and not queue.full():
             queue.put_nowait(missing)
-        # That revision asked here whether both copies were in sync, which walks all keys once more; the
-        # answer is not used, but its cost is part of what is measured.
+        # That revision also checked here whether both copies were in sync. The result is not used, but the
+        # check over all keys is a part of the measured cost.
         mine = self._store.digest()
         all(key in mine and mine[key] >= order for key, order in digest.items())
--- a/sageturn/lab/scale/environment.py
+++ b/sageturn/lab/scale/environment.py
@@ -7,11 +7,12 @@
 from contextlib import suppress
 from dataclasses import dataclass
 from random import Random
-from typing import Any
 
+from sageturn.decision import EndpointStatus
 from sageturn.lab.loopback.fakes import FakeDiscovery, FakeEndpoint
 from sageturn.lab.model.endpoint_model import EndpointModel
 from sageturn.lab.runner.result_file import Line
+from sageturn.net.json_stream import JsonObject
 
 DISCOVERY_CALL_TIMEOUT_S = 3.0
 LINE_INTERVAL_S = 2.0
@@ -61,7 +62,7 @@
 class ScaleDiscovery(FakeDiscovery):
     """Handles calls one after another, each for ``call_s`` seconds; may be down; counts what it writes."""
 
-    def __init__(self, entries: list[dict[str, Any]], call_s: float) -> None:
+    def __init__(self, entries: list[JsonObject], call_s: float) -> None:
         super().__init__(lambda: entries)
         self.call_s = call_s
         self.calls = 0
@@ -124,18 +125,18 @@
         for host in self.sockets:
             await host.stop()
 
-    def entries(self) -> list[dict[str, Any]]:
+    def entries(self) -> list[JsonObject]:
         """Returns the entries of the endpoint list as discovery writes them."""
         return [self._entry(number) for number in range(self.count)]
 
-    def _entry(self, number: int) -> dict[str, Any]:
+    def _entry(self, number: int) -> JsonObject:
         return {
             "id": f"h{number:04d}",
             "addr": "{}:{}".format(*self.sockets[number % HOST_SOCKET_COUNT].address),
             "zone": self.zones[number % len(self.zones)],
             "kind": HOST_KIND,
             "cell": 0,
-            "state": "ready",
+            "state": EndpointStatus.READY,
             "weight": 1.0,
             "started_ms": 0,
         }
--- a/sageturn/lab/scale/relay_costs.py
+++ b/sageturn/lab/scale/relay_costs.py
@@ -6,7 +6,6 @@
 from __future__ import annotations
 
 import json
-from typing import Any
 
 from msgspec import Struct, field
 
@@ -18,6 +17,7 @@
 from sageturn.flows.exporter import to_flow
 from sageturn.lab.scale.cost_measuring import min_cpu_s
 from sageturn.net.endpoint_list import parse_endpoint_list
+from sageturn.net.json_stream import JsonObject
 
 REQUESTS_PER_BATCH = 400
 MEASURED_BATCHES = 3
@@ -49,7 +49,7 @@
     encode_s: float
 
 
-def endpoint_list(hosts: int) -> dict[str, Any]:
+def endpoint_list(hosts: int) -> JsonObject:
     """Returns a full endpoint list as discovery writes it."""
     return {
         "version": 1,
@@ -61,7 +61,7 @@
                 "zone": f"z{number % 5}",
                 "kind": "c2-std",
                 "cell": 0,
-                "state": "ready",
+                "state": decision.EndpointStatus.READY,
                 "weight": 1.0,
                 "started_ms": 0,
             }
