--- a/experiments/make_compatibility_fixtures.py
+++ b/experiments/make_compatibility_fixtures.py
@@ -20,6 +20,7 @@
 
 
 def main(concerns: list[str]) -> None:
+    """Writes the fixtures of the concerns."""
     tests = ROOT / "tests"
     sys.path[:0] = [str(ROOT), str(tests)]
     for concern in concerns or CONCERNS:
--- a/experiments/measure_client_disconnects.py
+++ b/experiments/measure_client_disconnects.py
@@ -94,7 +94,7 @@
         self.address = ("127.0.0.1", 0)
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Reject a request line, or an XMPP session."""
+        """Rejects a request line, or an XMPP session."""
         try:
             data = await reader.read(4096)
             if data.startswith(b"OPEN"):
@@ -137,7 +137,7 @@
 
 
 def cut(writer: asyncio.StreamWriter) -> None:
-    """Shut the socket down at once: an abort alone would wait for the loop."""
+    """Shuts the socket down at once; an abort alone would wait for the event loop."""
     sock = writer.get_extra_info("socket")
     if sock is not None:
         with suppress(OSError):  # one that has been answered is over already
@@ -146,7 +146,7 @@
 
 
 def connect_with_lines(address: Address) -> Connect:
-    """Clients of the line protocol."""
+    """Returns a function that connects a client of the line protocol."""
 
     async def connect(number: int) -> WaitingClient:
         line = first_line(CLIENT_TIMEOUT_MS)
@@ -163,7 +163,7 @@
 
 
 def connect_with_streams(logged_in: list[Client]) -> Connect:
-    """XMPP clients, each one of those that are logged in."""
+    """Returns a function that binds one of the XMPP clients that are logged in."""
 
     async def connect(number: int) -> WaitingClient:
         client = logged_in.pop()
@@ -184,14 +184,14 @@
 
 
 async def log_in(address: Address) -> Client:
-    """An XMPP client that has logged in, and has not asked to be bound."""
+    """Logs an XMPP client in. Returns it before it is bound."""
     client = await Client.connect(address)
     await client.login(client_tls())
     return client
 
 
 async def measure_loop_lag(seconds: float) -> float:
-    """How late this program's own loop was at most: a record is up to so much later than the event."""
+    """Measures the maximum delay of this program's own event loop, up to which records are late."""
     longest_s = 0.0
     until_s = time.monotonic() + seconds
     while (now_s := time.monotonic()) < until_s:
@@ -212,7 +212,7 @@
 
 
 async def run_round(connect: Connect, clients: int, first_number: int, records: Path) -> RoundResult:
-    """Let all clients ask, and then leave while none has had all of its attempts."""
+    """Has all clients send a request, and leave before any of them has had all of its attempts."""
     os.truncate(records, 0)
     waiting = await asyncio.gather(*(connect(first_number + index) for index in range(clients)))
     await asyncio.sleep(random.uniform(0.0, MAX_DEPARTURE_DELAY_S))
@@ -245,7 +245,7 @@
 
 
 async def measure_frontend(frontend: Frontend, clients: int, rounds: int, folder: Path) -> None:
-    """Run all rounds of a frontend, and print its row."""
+    """Runs all rounds of a frontend, and prints its row."""
     addresses = RelayAddresses(("127.0.0.1", free_port()), ("127.0.0.1", free_port()))
     records = folder / "begun"
     async with AsyncExitStack() as stack:
@@ -272,7 +272,7 @@
 
 
 async def _start_environment(stack: AsyncExitStack, folder: Path, addresses: RelayAddresses) -> Path:
-    """Start the hosts and discovery, and write the relay's configuration."""
+    """Starts the hosts and discovery, and writes the relay's configuration."""
     hosts = [RejectingHost() for _ in range(HOST_COUNT)]
     for host in hosts:
         await stack.enter_async_context(served(host))  # type: ignore[arg-type]
@@ -293,7 +293,7 @@
 async def _start_processes(
     stack: AsyncExitStack, config: Path, records: Path, operator_options: list[str]
 ) -> None:
-    """Start the relay, and a program that never waits on the same core."""
+    """Starts the relay, and on the same core a program that never waits."""
     relay = await asyncio.create_subprocess_exec(
         sys.executable,
         "-c",
@@ -321,7 +321,7 @@
 
 
 def main() -> None:
-    """Print a Markdown table of the frontends."""
+    """Prints a Markdown table of the frontends."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--rounds", type=int, default=10)
     parser.add_argument("--fronts", nargs="*", type=Frontend, default=list(Frontend))
--- a/sageturn/lab/demo.py
+++ b/sageturn/lab/demo.py
@@ -31,7 +31,7 @@
     join_s=8.0,
     capacity_ratio=2.5,
 )
-# A pace at which something is seen within two minutes; an operator's is slower.
+# Faster than an operator would set, for migrations within two minutes.
 REBALANCE = {"part_per_min": 0.4, "tick_s": 0.5, "least_age_s": 1.0}
 BAR_WIDTH = 40  # characters, at twice the mean utilization
 HIGH_RATIO = 1.15  # of a host's utilization over the mean
@@ -40,7 +40,7 @@
 
 
 def render(sample: FleetSample, deployment: Deployment) -> Group:
-    """The figures of the fleet, and a bar for each host."""
+    """Renders the figures of the fleet, and a bar for each host."""
     counts = deployment.observations.counts
     summary = (
         f"{sample.elapsed_s:4.0f} s   fullest over mean [bold]{sample.imbalance_ratio:.2f}[/]   "
@@ -77,7 +77,7 @@
 
 
 async def run_demo(seconds: float, console: Console) -> LoopbackResult:
-    """Run the fleet, with a line a second where the output is no terminal."""
+    """Runs the fleet, and prints a line a second where the output is no terminal."""
     async with deployed(SPEC, PlannerKind.ON, REBALANCE) as deployment:
         if not console.is_terminal:
             return await deployment.run(seconds, lambda sample, _: console.print(_line(sample)))
@@ -92,7 +92,7 @@
 
 
 def main() -> None:
-    """Run the command."""
+    """Runs the command."""
     parser = argparse.ArgumentParser(prog="sageturn.lab.demo", description=__doc__)
     parser.add_argument("--seconds", type=float, default=120.0)
     options = parser.parse_args()
--- a/sageturn/lab/faults/fault.py
+++ b/sageturn/lab/faults/fault.py
@@ -38,7 +38,7 @@
     strength: float = 4.0
 
     def __post_init__(self) -> None:
-        """Raise InvalidFaultError for a value outside its bounds."""
+        """Raises InvalidFaultError for a value outside its bounds."""
         if self.kind not in list(FaultKind):
             raise InvalidFaultError(f"kind: {self.kind} must be one of {', '.join(FaultKind)}")
         if self.start_s < 0 or self.length_s <= 0:
--- a/sageturn/lab/faults/fault_injection.py
+++ b/sageturn/lab/faults/fault_injection.py
@@ -143,7 +143,7 @@
         self._hosts.publish(hosts, now_s)
 
     def _flap(self, index: int, fault: ScheduledFault, now_s: float) -> None:
-        """Let the hosts leave the list or return, each time that the interval is over."""
+        """Lets the hosts leave the list or return, each time that the interval is over."""
         intervals = (now_s - fault.start_s) / FLAP_INTERVAL_S
         if abs(intervals - round(intervals)) >= TIME_TOLERANCE:
             return
--- a/sageturn/lab/loopback/client_connection.py
+++ b/sageturn/lab/loopback/client_connection.py
@@ -23,19 +23,19 @@
     sampler: ClientSampler
 
     def next_request_id(self) -> str:
-        """A new request id."""
+        """Returns a new request id."""
 
     def on_established(self, connection: ClientConnection, setup_s: float) -> None:
-        """The connection is established."""
+        """Called when the connection is established."""
 
     def on_closed(self, connection: ClientConnection) -> None:
-        """The connection is closed."""
+        """Called when the connection is closed."""
 
     def count(self, event: ClientEvent) -> None:
         """Counts an event."""
 
     def record_message(self, class_index: int, duration_us: int) -> None:
-        """Record the time of a message to its answer."""
+        """Records the time of a message to its answer."""
 
 
 class ClientConnection(LineProtocol):
@@ -54,12 +54,12 @@
         self.retry_after_s = 0.0
         self._owner = owner
         self._established_s = 0.0
-        self._message_sent_s = 0.0  # 0: no answer is outstanding
+        self._message_sent_s: float | None = None  # None while no answer is outstanding
         self._lifetime_timers: list[asyncio.TimerHandle] = []
         self._message_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Send the request, and start its timeout."""
+        """Sends the request, and starts its timeout."""
         super().connection_made(transport)
         class_spec = self._owner.spec.classes[self.client.class_index]
         timeout_ms = round(class_spec.client_timeout_ms)
@@ -87,7 +87,7 @@
             self.abort()
 
     def on_line(self, line: bytes) -> None:
-        """Handle a line of the relay."""
+        """Handles a line of the relay."""
         if self.established:
             self._on_message(line)
         elif line.startswith(b"UP "):
@@ -98,10 +98,10 @@
     def _on_message(self, line: bytes) -> None:
         if line == b"MOVE":
             self.migrated = True
-        elif line.startswith(b"M ") and self._message_sent_s:
+        elif line.startswith(b"M ") and self._message_sent_s is not None:
             duration_us = max(1, round((time.monotonic() - self._message_sent_s) * 1e6))
             self._owner.record_message(self.client.class_index, min(duration_us, MAX_MESSAGE_US))
-            self._message_sent_s = 0.0
+            self._message_sent_s = None
 
     def _on_up(self, host: str) -> None:
         loop = asyncio.get_running_loop()
@@ -120,8 +120,8 @@
             self.retry_after_s = int(words[1]) / 1000.0
 
     def _send_message(self) -> None:
-        """Send a message, unless the last one has no answer yet, and schedule the next."""
-        if not self._message_sent_s:
+        """Sends a message, unless the last one has no answer yet, and schedules the next."""
+        if self._message_sent_s is None:
             self._message_sent_s = time.monotonic()
             self.write(b"M 1\r\n")
         self._message_timer = asyncio.get_running_loop().call_later(MESSAGE_INTERVAL_S, self._send_message)
@@ -131,7 +131,7 @@
         self.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Stop all timers, and take the time off the client's lifetime."""
+        """Stops all timers, and takes the time off the client's lifetime."""
         for timer in self._lifetime_timers:
             timer.cancel()
         if self._message_timer is not None:
--- a/sageturn/lab/loopback/client_population.py
+++ b/sageturn/lab/loopback/client_population.py
@@ -42,7 +42,7 @@
 
     @classmethod
     def for_fleet(cls, spec: FleetSpec) -> ClientObservations:
-        """Empty observations of a fleet's classes."""
+        """Makes empty observations of a fleet's classes."""
         setups = [make_setup_histogram() for _ in spec.classes]
         messages = [HdrHistogram(1, MAX_MESSAGE_US, SIGNIFICANT_DIGITS) for _ in spec.classes]
         return cls(setups, messages)
@@ -73,14 +73,14 @@
     # ------------------------------------------------------------ clients
 
     def spawn(self, client: Client, relay: int | None = None, host: str = "") -> asyncio.Task[None]:
-        """Run a client; ``relay`` and ``host`` are those of a connection from before the run."""
+        """Runs a client; ``relay`` and ``host`` are those of a connection from before the run."""
         task = asyncio.ensure_future(self._run_client(client, relay, host))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
 
     async def run_arrivals(self, arrivals_per_s: float) -> None:
-        """Spawn clients in an open loop: their times do not depend on how fast the relays are."""
+        """Spawns clients in an open loop: their times do not depend on how fast the relays are."""
         loop = asyncio.get_running_loop()
         due_s = loop.time()
         while True:
@@ -91,7 +91,7 @@
             self.spawn(client)
 
     async def stop(self) -> None:
-        """End all clients."""
+        """Ends all clients."""
         self._stopping = True
         tasks = list(self._tasks)
         for task in tasks:
@@ -138,7 +138,7 @@
             if client.attempts % IMMEDIATE_RETRIES == 0:
                 delay_s = max(delay_s, LONG_RETRY_DELAY_S)
             return delay_s
-        # The client means to ask after this delay: what delays it further is the relay's.
+        # The client wants a connection after this delay; any further one is the relay's.
         client.attempts = 1
         client.waiting_since_s = now_s + delay_s
         weight = self.spec.classes[client.class_index].priority_weight
@@ -148,7 +148,7 @@
     # ------------------------------------------------------------ events of connections
 
     def next_request_id(self) -> str:
-        """A request id that no other connection of the run has."""
+        """Returns a request id that no other connection of the run has."""
         return f"{next(self._request_ids):016x}"
 
     def count(self, event: ClientEvent) -> None:
@@ -156,11 +156,11 @@
         self.observations.counts[event] += 1
 
     def record_message(self, class_index: int, duration_us: int) -> None:
-        """Record the time of a message to its answer, in microseconds."""
+        """Records the time of a message to its answer, in microseconds."""
         self.observations.message_histograms[class_index].record_value(duration_us)
 
     def on_established(self, connection: ClientConnection, setup_s: float) -> None:
-        """A connection is established; one from before the run is not a set-up."""
+        """Records an established connection; one from before the run does not count as a set-up."""
         client = connection.client
         class_spec = self.spec.classes[client.class_index]
         self.established[connection] = None
@@ -176,7 +176,7 @@
         observations.weighted_waiting_s += class_spec.priority_weight * setup_s
 
     def on_closed(self, connection: ClientConnection) -> None:
-        """A connection, established or not, is closed."""
+        """Records the end of a connection, whether it was established or not."""
         if connection in self.established:
             del self.established[connection]
             place = _group_place(connection)
@@ -205,7 +205,7 @@
             loop.call_later(GROUP_SPLIT_CHECK_S, self._check_for_split, _group_place(connection), loop.time())
 
     def _check_for_split(self, place: GroupPlace, migrated_s: float) -> None:
-        """Count a migration that has left behind members of the group that were connected before it."""
+        """Counts a migration that has left behind members of the group that were connected before it."""
         members = self._groups.get(place, {})
         if any(since_s < migrated_s - GROUP_SPLIT_CHECK_S for since_s in members.values()):
             self.observations.counts[ClientEvent.LEFT_BEHIND] += 1
--- a/sageturn/lab/loopback/fakes.py
+++ b/sageturn/lab/loopback/fakes.py
@@ -1,4 +1,4 @@
-"""Fakes on loopback sockets of what surrounds a relay: live hosts that speak lines, and discovery."""
+"""Fakes of a relay's environment on loopback sockets: live hosts of the line protocol, and discovery."""
 
 from __future__ import annotations
 
@@ -30,11 +30,11 @@
         self._partial_line = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Keeps the transport."""
         self.transport = cast(asyncio.Transport, transport)  # uvloop's own has another base class
 
     def data_received(self, data: bytes) -> None:
-        """Split the data into lines; a connection with too long a line is aborted."""
+        """Splits the data into lines; a connection with too long a line is aborted."""
         *lines, self._partial_line = (self._partial_line + data).split(b"\n")
         if len(self._partial_line) > MAX_LINE_BYTES:
             self.abort()
@@ -42,21 +42,21 @@
             self.on_line(line.rstrip(b"\r"))
 
     def on_line(self, line: bytes) -> None:
-        """Handle a line, without its end."""
+        """Handles a line, without its end."""
         raise NotImplementedError
 
     def write(self, data: bytes) -> None:
-        """Send data, unless the connection is closing."""
+        """Sends data, unless the connection is closing."""
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write(data)
 
     def close(self) -> None:
-        """Close the connection once all data is sent."""
+        """Closes the connection once all data is sent."""
         if self.transport is not None:
             self.transport.close()
 
     def abort(self) -> None:
-        """Close the connection at once."""
+        """Closes the connection at once."""
         if self.transport is not None:
             self.transport.abort()
 
@@ -71,7 +71,7 @@
 
 
 def parse_open_request(line: bytes) -> OpenRequest | None:
-    """The request in a line; None if it isn't an OPEN line."""
+    """Returns the request in a line; None if it isn't an OPEN line."""
     words = line.decode("ascii", "replace").split(" ")
     if len(words) != OPEN_WORD_COUNT or words[0] != "OPEN":
         return None
@@ -96,7 +96,7 @@
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listen on a free port."""
+        """Listens on a free port."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
             lambda: _EndpointConnection(self), LOOPBACK, 0, backlog=LISTEN_BACKLOG
@@ -104,16 +104,16 @@
         self.address = self._server.sockets[0].getsockname()[:2]
 
     async def stop(self) -> None:
-        """Stop listening, and abort all connections."""
+        """Stops listening, and aborts all connections."""
         self._abort_all()
 
     def crash(self) -> None:
-        """Behave as a host that was overloaded while it was cold: stop, and never accept anything again."""
+        """Stops for good, as a host does that was overloaded while it was cold."""
         self.model.crashed = True
         self._abort_all()
 
     async def drain(self, duration_s: float) -> None:
-        """Reject new connections, and close the present ones one after another."""
+        """Rejects new connections, and closes the present ones one after another."""
         self.model.draining = True
         closing = list(self.connections)
         for connection in closing:
@@ -203,23 +203,23 @@
     _server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listen on a free port."""
+        """Listens on a free port."""
         self._server = await asyncio.start_server(self._serve, LOOPBACK, 0)
         self.address = self._server.sockets[0].getsockname()[:2]
 
     async def stop(self) -> None:
-        """Stop listening, and close all watches."""
+        """Stops listening, and closes all watches."""
         if self._server is not None:
             self._server.close()
         for writer in list(self._watchers):
             writer.close()
 
     def full_list(self) -> JsonObject:
-        """The full list in the form of the wire."""
+        """Returns the full list as it is written to watchers."""
         return {"version": self.version, "full": True, "servers": self.entries()}
 
     def publish(self, entries: list[JsonObject]) -> None:
-        """Send changed entries to all watchers."""
+        """Sends changed entries to all watchers."""
         self.version += 1
         event = _encode_event({"version": self.version, "full": False, "servers": entries})
         for writer in list(self._watchers):
@@ -244,6 +244,6 @@
 
 
 def _encode_event(event: JsonObject) -> bytes:
-    """One watch event: a JSON line in an HTTP chunk."""
+    """Encodes one watch event as a JSON line in an HTTP chunk."""
     line = json.dumps(event).encode() + b"\n"
     return b"%x\r\n%s\r\n" % (len(line), line)
--- a/sageturn/lab/loopback/loopback_runner.py
+++ b/sageturn/lab/loopback/loopback_runner.py
@@ -70,7 +70,7 @@
         self._listed: set[str] = set()
 
     async def start(self) -> None:
-        """Start the initial hosts, discovery and the relays."""
+        """Starts the initial hosts, discovery and the relays."""
         for host in self.hosts:
             await host.start()
         self._listed = {model.name for model in self.models[: self.spec.initial_hosts]}
@@ -78,7 +78,7 @@
         await self.relays.start(self.discovery.address, self.discovery.full_list())
 
     async def populate(self) -> None:
-        """Connect the clients of the initial population to the initial hosts, group by group."""
+        """Connects the clients of the initial population to the initial hosts, group by group."""
         placement = InitialPlacement(self.spec, self.models)
         population = self.population
         for number in range(self.spec.connections):
@@ -93,7 +93,7 @@
             await asyncio.sleep(0.01)
 
     async def run(self, seconds: float, on_sample: OnSample | None = None) -> LoopbackResult:
-        """Run for some seconds with arrivals, and call ``on_sample`` each second."""
+        """Runs for some seconds with arrivals, and calls ``on_sample`` each second."""
         loop = asyncio.get_running_loop()
         result = LoopbackResult(self.spec, self.observations)
         started_s = loop.time()
@@ -117,7 +117,7 @@
         return result
 
     async def stop(self) -> None:
-        """Stop the clients, the relays, discovery and the hosts."""
+        """Stops the clients, the relays, discovery and the hosts."""
         await self.population.stop()
         await self.relays.stop()
         await self.discovery.stop()
@@ -131,7 +131,7 @@
         return [_encode_entry(host) for host in self.hosts if host.model.name in self._listed]
 
     def _join_late_hosts(self) -> None:
-        """Start the late hosts, cold, and put them on the list."""
+        """Starts the late hosts, cold, and puts them on the list."""
         now_s = asyncio.get_running_loop().time()
         late_hosts = self.hosts[self.spec.initial_hosts :]
         for host in late_hosts:
@@ -164,7 +164,7 @@
 
 
 def _encode_entry(host: FakeEndpoint) -> JsonObject:
-    """The entry of a host on the endpoint list, in the form of the wire."""
+    """Returns the entry of a host on the endpoint list as discovery writes it."""
     model: EndpointModel = host.model
     started_ms = 0
     if model.started_s > 0:
@@ -189,7 +189,9 @@
     rebalance: JsonObject,
     sections: OperatorSections | None = None,
 ) -> AsyncIterator[Deployment]:
-    """A fleet with its initial population, in a temporary folder and with all file descriptors allowed.
+    """Starts a fleet and its initial population, and stops it at the end of the context.
+
+    Its files are in a temporary folder, and all file descriptors that the system allows may be used.
 
     ``rebalance`` has keys of the operator file's section; ``sections`` adds further sections.
     """
--- a/sageturn/lab/loopback/naive_relay.py
+++ b/sageturn/lab/loopback/naive_relay.py
@@ -21,7 +21,7 @@
     """Runs the naive planner where the operator's file has rebalancing on, and never changes its options."""
 
     def apply_options(self, options: RebalanceOptions | None, actors: ActorSupervisor) -> None:
-        """Turn the naive planner on; later options are ignored."""
+        """Turns the naive planner on; later options are ignored."""
         if options is not None and options.mode == RebalanceMode.ON and self.rebalancer is None:
             self.run_rebalancer(self.make_rebalancer(NaiveRebalancer, options), actors)
 
@@ -33,7 +33,7 @@
 
 
 def main() -> int:
-    """Run one such relay until it is told to stop. Returns the exit code."""
+    """Runs one such relay until it is told to stop. Returns the exit code."""
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
     parser = argparse.ArgumentParser(prog="sageturn.lab.loopback.naive_relay", description=__doc__)
     parser.add_argument("--operator", metavar="FILE", required=True)
--- a/sageturn/lab/loopback/ports.py
+++ b/sageturn/lab/loopback/ports.py
@@ -6,7 +6,7 @@
 
 
 def reserve_port() -> tuple[socket.socket, int]:
-    """Reserve a free port: nobody else is given it while the returned socket is open.
+    """Reserves a free port: nobody else is given it while the returned socket is open.
 
     A program that sets SO_REUSEADDR can listen on it meanwhile.
     """
--- a/sageturn/lab/loopback/relay_processes.py
+++ b/sageturn/lab/loopback/relay_processes.py
@@ -1,4 +1,4 @@
-"""Relay processes on loopback: their configuration, start and end, and what they leave behind."""
+"""Relay processes on loopback: their configuration, start, end and published states."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
         self.addresses = [("127.0.0.1", port) for _, port in reserved]
 
     async def start(self, discovery: tuple[str, int], endpoint_list: JsonObject) -> None:
-        """Start all relays with a full endpoint list, and wait until all are ready."""
+        """Starts all relays with a full endpoint list, and waits until all are ready."""
         for relay in range(self._spec.relays):
             folder = self._folder_of(relay)
             folder.mkdir()
@@ -60,7 +60,7 @@
                     await asyncio.sleep(READY_POLL_INTERVAL_S)
 
     async def stop(self) -> None:
-        """Kill all relays."""
+        """Kills all relays."""
         for process in self.processes:
             if process.returncode is None:
                 process.kill()
@@ -68,16 +68,16 @@
             await process.wait()
 
     def release_ports(self) -> None:
-        """Let others use the relays' ports."""
+        """Releases the relays' ports."""
         for reserved_socket in self._reserved_sockets:
             reserved_socket.close()
 
     def cpu_seconds(self) -> list[float]:
-        """The processor time of each relay."""
+        """Returns the processor time of each relay."""
         return [_cpu_s(process.pid) for process in self.processes]
 
     def planner_states(self) -> list[JsonObject]:
-        """The state that each relay's planner has published, read from the file of the relay's store."""
+        """Returns the state that each relay's planner has published, from the file of the relay's store."""
         return [self._planner_state(relay) for relay in range(self._spec.relays)]
 
     def _planner_state(self, relay: int) -> JsonObject:
@@ -136,7 +136,7 @@
 
 
 def _cpu_s(pid: int) -> float:
-    """The user and system time of a process, in seconds."""
+    """Returns the user and system time of a process, in seconds."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     user_ticks = int(fields[11])
     system_ticks = int(fields[12])
--- a/sageturn/lab/measurements/override_cost.py
+++ b/sageturn/lab/measurements/override_cost.py
@@ -22,7 +22,7 @@
 
 
 def measure_cost() -> Row:
-    """Time requests from arrival to end in the balancer's actor, with the override actor and without."""
+    """Times requests from arrival to end in the balancer's actor, with the override actor and without."""
     pairs = [
         (_request_us(with_override_actor=False), _request_us(with_override_actor=True))
         for _ in range(PAIR_COUNT)
--- a/sageturn/lab/measurements/override_propagation.py
+++ b/sageturn/lab/measurements/override_propagation.py
@@ -53,7 +53,7 @@
 
 
 async def measure_propagation(rounds: int) -> Row:
-    """Take a host out of service and back, round after round, under steady load."""
+    """Takes a host out of service and back, round after round, under steady load."""
     reserved = [reserve_port() for _ in range(SPEC.relays)]
     store_ports = [port for _, port in reserved]
     operator_key = Ed25519PrivateKey.generate()
@@ -87,7 +87,7 @@
 def _operator_sections(
     relay: int, folder: Path, store_ports: list[int], operator_key: Ed25519PrivateKey
 ) -> JsonObject:
-    """The sections of a relay's operator file that link the stores and accept the lab's operator."""
+    """Returns the sections of a relay's operator file that link the stores and accept the lab's operator."""
     (folder / "secret").write_text(SECRET)
     public_key = operator_key.public_key().public_bytes(Encoding.Raw, PublicFormat.Raw)
     return {
@@ -127,7 +127,7 @@
 
 
 async def _wait_until_known(store: Store, operation: OverrideOperation) -> None:
-    """Wait until each relay's published state has the operation's revision."""
+    """Waits until each relay's published state has the operation's revision."""
     async with asyncio.timeout(PROPAGATION_TIMEOUT_S):
         while True:
             states = [store.get(f"state/r{relay}/overrides") for relay in range(SPEC.relays)]
--- a/sageturn/lab/measurements/override_resolution.py
+++ b/sageturn/lab/measurements/override_resolution.py
@@ -29,7 +29,7 @@
 
 
 def measure_resolution() -> Row:
-    """Resolve all overrides, and then change some of them one by one."""
+    """Resolves all overrides, and then changes some of them one by one."""
     endpoints = _make_endpoints()
     overrides = _make_overrides()
     full_ms: list[float] = []
--- a/sageturn/lab/measurements/planner_cost.py
+++ b/sageturn/lab/measurements/planner_cost.py
@@ -79,7 +79,7 @@
             now_ms += 1000.0
 
     def row(self) -> Row:
-        """The figures of the run."""
+        """Returns the figures of the run."""
         return {
             "connections": self.connection_count,
             "hosts": ENDPOINT_COUNT,
--- a/sageturn/lab/model/endpoint_model.py
+++ b/sageturn/lab/model/endpoint_model.py
@@ -9,8 +9,8 @@
 from dataclasses import dataclass
 
 MAX_UTILIZATION = 0.97  # set-up times stop growing here, and the host rejects new connections
-RUNNING_SINCE_LONG_AGO_S = -1e9
-CRASH_TOLERANCE_CONNECTIONS = 4.0  # above the bound on a cold host's intake: these are chance
+LONG_AGO_S = -1e9  # start of a host that is warm
+CRASH_TOLERANCE_CONNECTIONS = 4.0  # above the bound on a cold host's intake
 
 
 @dataclass(eq=False)
@@ -26,7 +26,7 @@
     size: float
     capacity: float
     zone: str = ""
-    started_s: float = RUNNING_SINCE_LONG_AGO_S
+    started_s: float = LONG_AGO_S
     idle_setup_ms: float = 12.0
     group_cost: float = 1.5
     mean_load: float = 1.0
@@ -43,7 +43,7 @@
     peak_intake_ratio: float = 0.0
 
     def __post_init__(self) -> None:
-        """Start with no groups and no intake."""
+        """Starts with no groups and no intake."""
         self._group_sizes: dict[str, int] = {}
         self._intake: deque[tuple[float, float]] = deque()  # time and load, within the overload window
         self._intake_load = 0.0
@@ -54,40 +54,40 @@
         return len(self._group_sizes)
 
     def warm_up_ratio(self, now_s: float) -> float:
-        """The usable ratio of its capacity, which grows linearly over its warm-up."""
+        """Returns the usable ratio of its capacity, which grows linearly over its warm-up."""
         progress = (now_s - self.started_s) / self.warm_up_s
         if progress >= 1.0:
             return 1.0
         return self.initial_capacity_ratio + (1.0 - self.initial_capacity_ratio) * max(0.0, progress)
 
     def utilization(self, now_s: float) -> float:
-        """The endpoint's load over its usable capacity; above 1 work queues up."""
+        """Returns the endpoint's load over its usable capacity; above 1 work queues up."""
         group_load = self.group_cost * self.mean_load * len(self._group_sizes)
         return (self.load + group_load) * self.slowdown / (self.capacity * self.warm_up_ratio(now_s))
 
     def total_load(self) -> float:
-        """The load of its connections and of its groups."""
+        """Returns the load of its connections and of its groups."""
         return self.load + self.group_cost * self.mean_load * len(self._group_sizes)
 
     def update_backlog(self, now_s: float, step_s: float) -> None:
-        """Queue the work of a step beyond its capacity, or work queued work off."""
+        """Adds the work of a step beyond the capacity to the backlog, or reduces the backlog."""
         if not self.connection_count:
             self.backlog_s = 0.0
             return
         self.backlog_s = max(0.0, self.backlog_s + (self.utilization(now_s) - 1.0) * step_s)
 
     def setup_time_ms(self, now_s: float) -> float:
-        """The time to set up a connection, which grows with utilization as in a queue."""
+        """Returns the time to set up a connection, which grows with utilization as in a queue."""
         idle_ms = self.idle_setup_ms * self.slowdown / self.size
         return idle_ms / (1.0 - min(MAX_UTILIZATION, self.utilization(now_s))) + self.backlog_s * 1000.0
 
     def admit(self, now_s: float, load: float) -> bool:
-        """Record a request for a connection, and return whether it is accepted."""
+        """Records a request for a connection. Returns whether it is accepted."""
         self.record_intake(now_s, load)
         return not (self.crashed or self.draining or self.utilization(now_s) >= MAX_UTILIZATION)
 
     def record_intake(self, now_s: float, load: float, count: int = 1) -> None:
-        """Record ``count`` requests for connections with the given load in total, accepted or not.
+        """Records ``count`` requests for connections with the given load in total, accepted or not.
 
         The pace of a cold host is the one that fills it over its warm-up. At ``cold_overload_multiple``
         times that pace over ``overload_window_s`` it crashes, and doesn't recover.
@@ -105,14 +105,14 @@
             self.crashed = True
 
     def add_connection(self, load: float, group: str) -> None:
-        """Add an established connection; ``group`` is empty for one without a group."""
+        """Adds an established connection; ``group`` is empty for one without a group."""
         self.load += load
         self.connection_count += 1
         if group:
             self._group_sizes[group] = self._group_sizes.get(group, 0) + 1
 
     def remove_connection(self, load: float, group: str) -> None:
-        """Remove a connection that was added with the same load and group."""
+        """Removes a connection that was added with the same load and group."""
         self.load = max(0.0, self.load - load)
         self.connection_count -= 1
         if not group:
--- a/sageturn/lab/model/fleet_spec.py
+++ b/sageturn/lab/model/fleet_spec.py
@@ -119,26 +119,26 @@
         return 1e6 / (self.capacity_ratio * self.connections * self.mean_load / self.hosts)
 
     def kind(self, host: int) -> str:
-        """The hardware kind of a host."""
+        """Returns the hardware kind of a host."""
         # Fast hosts are evenly spaced, so that initial and late hosts have the same ratio of them.
         is_fast = int((host + 1) * self.fast_host_ratio) > int(host * self.fast_host_ratio)
         return FAST_KIND if is_fast else STANDARD_KIND
 
     def size(self, host: int) -> float:
-        """The size of a host, scaled so that the mean over the fleet is 1."""
+        """Returns the size of a host, scaled so that the mean over the fleet is 1."""
         mean = self.fast_host_ratio * self.fast_host_size + 1.0 - self.fast_host_ratio
         return (self.fast_host_size if self.kind(host) == FAST_KIND else 1.0) / mean
 
     def zone(self, host_or_relay: int) -> str:
-        """The zone of a host or a relay."""
+        """Returns the zone of a host or a relay."""
         return self.zones[host_or_relay % len(self.zones)]
 
     def host_name(self, host: int) -> str:
-        """The name of a host on the endpoint list."""
+        """Returns the name of a host on the endpoint list."""
         return f"h{host:04d}"
 
     def capacity(self, host: int) -> float:
-        """The load that a host can carry when it is warm."""
+        """Returns the load that a host can carry when it is warm."""
         return self.capacity_ratio * self.size(host) * self.connections * self.mean_load / self.hosts
 
 
--- a/sageturn/lab/model/naive_planner.py
+++ b/sageturn/lab/model/naive_planner.py
@@ -1,6 +1,6 @@
-"""A baseline policy: the fullest endpoint sends away all that it has in excess, at once.
+"""A simple baseline for the planner: it migrates all excess connections of the fullest endpoint at once.
 
-What a user would write in an afternoon. It is measured beside the planner, and used nowhere else.
+It is measured beside the planner, and used nowhere else.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 def naive_plan(planner: RebalancePlanner, endpoints: Sequence[EndpointSnapshot]) -> MigrationPlan:
-    """The newest connections of the endpoint with the highest load, down to the mean of all endpoints."""
+    """Plans to migrate the newest connections of the fullest endpoint, down to the mean of all endpoints."""
     migrations = tuple(_excess_migrations(planner.connections, endpoints))
     return MigrationPlan(migrations, PlanPhase.BALANCING, "")
 
@@ -55,14 +55,14 @@
     def tick(
         self, now_ms: float, endpoints: Sequence[EndpointSnapshot], minute: int, stopping: bool = False
     ) -> MigrationPlan:
-        """Plan every ``PLAN_INTERVAL_MS``; quiet hours and signals are ignored."""
+        """Plans every ``PLAN_INTERVAL_MS``; quiet hours and signals are ignored."""
         if now_ms < self._planned_ms + PLAN_INTERVAL_MS:
             return MigrationPlan((), PlanPhase.WAITING, "")
         self._planned_ms = now_ms
         return naive_plan(self, endpoints)
 
     def before_event(self, now_ms: float, event: object) -> None:
-        """The balancer is not informed of migrations."""
+        """Ignores the event: the balancer is not informed of migrations."""
 
 
 class NaiveRebalancer(NaivePlanner, Rebalancer):
--- a/sageturn/lab/model/policy.py
+++ b/sageturn/lab/model/policy.py
@@ -1,4 +1,4 @@
-"""A decision module from elsewhere: other files, or another revision of this repository."""
+"""Decision modules from other files, or from another revision of this repository."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 def read_policy(name: str, root: Path) -> str:
-    """The text of a policy: empty for the present one, a path, or ``git:REVISION``.
+    """Returns the text of a policy: empty for the present one, a path, or ``git:REVISION``.
 
     A path names one file, or a folder with some of them; the others are the present ones. Raises
     PolicyNotFoundError. The text goes along with a run, so that it can be repeated.
@@ -63,7 +63,7 @@
 
 
 def _read_revision(name: str, revision: str, root: Path) -> dict[str, str]:
-    """The files that the revision has: not all of them were always there, but the main module was."""
+    """Returns the sources that the revision has; every revision has the main module."""
     sources = {}
     for module in POLICY_MODULES:
         object_name = f"{revision}:sageturn/decision/{module}.py"
@@ -82,7 +82,7 @@
 
 
 def _split(text: str) -> dict[str, str]:
-    """The sources in a policy's text, by module; all of a text without marks is the balancer's."""
+    """Returns the sources in a policy's text by module; a text without marks is the main module."""
     if not text.startswith(FILE_MARK):
         return {MAIN_MODULE: text}
     sources: dict[str, str] = {}
@@ -94,7 +94,7 @@
 
 @cache
 def load_policy(text: str) -> type[Balancer]:
-    """The ``Balancer`` of such a text, in the present one's place; its interface is the same."""
+    """Returns the class ``Balancer`` of a policy's text, whose interface is the present one's."""
     if not text:
         return Balancer
     sources = _split(text)
--- a/sageturn/lab/model/sampling.py
+++ b/sageturn/lab/model/sampling.py
@@ -52,23 +52,23 @@
         self._class_probabilities = class_weights / class_weights.sum()
 
     def uniform(self, low: float, high: float) -> float:
-        """Sample evenly from ``low`` up to ``high``."""
+        """Samples evenly from ``low`` up to ``high``."""
         return float(self._rng.uniform(low, high))
 
     def index_below(self, end: int) -> int:
-        """Sample an integer from 0 up to ``end``, without ``end`` itself."""
+        """Samples an integer from 0 up to ``end``, without ``end`` itself."""
         return int(self._rng.integers(end))
 
     def interarrival_s(self, arrivals_per_s: float) -> float:
-        """Sample the time to the next arrival of a Poisson process; infinite for a rate of 0."""
+        """Samples the time to the next arrival of a Poisson process; infinite for a rate of 0."""
         return float(self._rng.exponential(1.0 / arrivals_per_s)) if arrivals_per_s > 0 else float("inf")
 
     def reconnect_delay_s(self) -> float:
-        """Sample how long a client waits before it connects again."""
+        """Samples how long a client waits before it connects again."""
         return self.uniform(*self._spec.reconnect_delay_ms) / 1000.0
 
     def client(self) -> Client:
-        """Sample the next client; clients of a group are sampled one after another."""
+        """Samples the next client; clients of a group are sampled one after another."""
         class_index = int(self._rng.choice(len(self._spec.classes), p=self._class_probabilities))
         class_spec = self._spec.classes[class_index]
         self._client_count += 1
--- a/sageturn/lab/model/session_store.py
+++ b/sageturn/lab/model/session_store.py
@@ -13,17 +13,17 @@
     """The time of a call as a function of the call rate; a fleet may be without a store."""
 
     def __init__(self, spec: FleetSpec) -> None:
-        # In a usual day the store serves a quarter of the calls that it is able to.
+        # At the normal arrival rate a store with a headroom of 1 is at a quarter of its capacity.
         self._capacity_per_s = 4.0 * spec.arrivals_per_s * spec.store_headroom
         self._calls_per_s = 0.0
         self._backlog_s = 0.0
 
     def record_calls(self, count: int, step_s: float) -> None:
-        """Take in the number of calls in a step."""
+        """Updates the call rate with the number of calls in a step."""
         self._calls_per_s += CALL_RATE_SMOOTHING * (count / step_s - self._calls_per_s)
 
     def advance(self, slowdown: float, step_s: float) -> float:
-        """Start a step, and return the time of a call in milliseconds; 0 without a store."""
+        """Starts a step. Returns the time of a call in milliseconds; 0 without a store."""
         if self._capacity_per_s <= 0:
             return 0.0
         utilization = self._calls_per_s / (self._capacity_per_s / slowdown)
--- a/sageturn/lab/model/simulated_connections.py
+++ b/sageturn/lab/model/simulated_connections.py
@@ -56,7 +56,7 @@
 def count_group_migrations(
     connections: Mapping[int, EstablishedConnection], migrating: Set[int]
 ) -> GroupMigrations:
-    """Count the groups of the connections that are about to migrate, by request id.
+    """Counts the groups of the connections that are about to migrate, by request id.
 
     They are counted from the connections themselves, and not from what the planner knows of groups.
     """
--- a/sageturn/lab/model/simulated_hosts.py
+++ b/sageturn/lab/model/simulated_hosts.py
@@ -32,25 +32,25 @@
         self._pending_updates: list[tuple[float, list[decision.Endpoint]]] = []
 
     def join_late_hosts(self, now_s: float) -> None:
-        """Put the hosts that start during the run on the list, once their time has come."""
+        """Puts the hosts that start during the run on the list, once their time has come."""
         if self._late_hosts_joined or now_s < self._spec.join_s:
             return
         self._late_hosts_joined = True
         self.publish(list(self.by_name.values())[self._spec.initial_hosts :], now_s, delay_s=0.0)
 
     def choose(self, ratio: float, stream: int) -> list[str]:
-        """Choose a ratio of the present hosts, at least one; each ``stream`` has its own random numbers."""
+        """Chooses a ratio of the present hosts, at least one; each ``stream`` has its own random numbers."""
         rng = np.random.Generator(np.random.PCG64([self._spec.seed, HOST_SELECTION_STREAM, stream]))
         present = [host.name for host in self._joined()]
         count = max(1, round(ratio * len(present)))
         return [present[index] for index in sorted(rng.choice(len(present), count, replace=False))]
 
     def named(self, names: Iterable[str]) -> list[EndpointModel]:
-        """The hosts with these names."""
+        """Returns the hosts with these names."""
         return [self.by_name[name] for name in names]
 
     def running(self, now_s: float) -> list[EndpointModel]:
-        """The hosts that have started and are not stopped."""
+        """Returns the hosts that have started and are not stopped."""
         return [
             host
             for host in self.by_name.values()
@@ -78,18 +78,18 @@
         state: decision.EndpointStatus = decision.EndpointStatus.READY,
         delay_s: float = DISCOVERY_DELAY_S,
     ) -> None:
-        """Let discovery report a state of these hosts, after its delay."""
+        """Has discovery report a state of these hosts after ``delay_s``."""
         endpoints = [describe_endpoint(host, state) for host in hosts]
         self._pending_updates.append((now_s + delay_s, endpoints))
 
     def take_due_updates(self, now_s: float) -> list[list[decision.Endpoint]]:
-        """Remove and return the updates that discovery reports by now."""
+        """Removes the updates that discovery reports by now, and returns them."""
         due = [endpoints for due_s, endpoints in self._pending_updates if due_s <= now_s]
         self._pending_updates = [update for update in self._pending_updates if update[0] > now_s]
         return due
 
     def full_list(self) -> list[decision.Endpoint]:
-        """The full endpoint list, as a relay that starts now gets it."""
+        """Returns the full endpoint list, as a relay that starts now gets it."""
         return [
             describe_endpoint(
                 host, decision.EndpointStatus.DRAINING if host.draining else decision.EndpointStatus.READY
--- a/sageturn/lab/model/simulated_relay.py
+++ b/sageturn/lab/model/simulated_relay.py
@@ -100,7 +100,7 @@
         return result
 
     def planner_state(self) -> dict[str, object]:
-        """The planner's state as a relay publishes it; empty without a planner."""
+        """Returns the planner's state as a relay publishes it; empty without a planner."""
         return self._planner.encode_state(self._plan) if self._planner is not None else {}
 
     # ------------------------------------------------------------ instructions
--- a/sageturn/lab/model/zone_frontend.py
+++ b/sageturn/lab/model/zone_frontend.py
@@ -18,19 +18,19 @@
             self._live_relays[spec.zone(relay)].append(relay)
 
     def choose_relay(self, zone: str, sampler: ClientSampler) -> int:
-        """Sample a live relay of a zone."""
+        """Samples a live relay of a zone."""
         live = self._live_relays[zone]
         return live[sampler.index_below(len(live))]
 
     def remove_relays(self, relays: Iterable[int]) -> None:
-        """Send no clients to these relays."""
+        """Stops sending clients to these relays."""
         for relay in relays:
             live = self._live_relays[self._spec.zone(relay)]
             if len(live) > 1:
                 live.remove(relay)
 
     def restore_relays(self) -> None:
-        """Send clients to all relays again."""
+        """Starts sending clients to all relays again."""
         for relay in range(self._spec.relays):
             live = self._live_relays[self._spec.zone(relay)]
             if relay not in live:
--- a/sageturn/lab/overriding.py
+++ b/sageturn/lab/overriding.py
@@ -29,7 +29,7 @@
 
 
 def main() -> None:
-    """Run one of the measurements, and print its figures."""
+    """Runs one of the measurements, and prints its figures."""
     parser = argparse.ArgumentParser(prog="sageturn.lab.overriding", description=__doc__)
     parser.add_argument("what", choices=MEASUREMENTS)
     parser.add_argument("--rounds", type=int, default=DEFAULT_ROUNDS)
--- a/sageturn/lab/readiness.py
+++ b/sageturn/lab/readiness.py
@@ -61,7 +61,7 @@
 
 
 def cases() -> list[Case]:
-    """All cases; a relay that knows no list needs discovery to answer before it can be ready."""
+    """Returns all cases; a relay that knows no list needs discovery to answer before it can be ready."""
     combinations = product(STATES, SIGNALS, ("push", "ask"))
     with_list = [Case(state, stop_signal, lists, known=True) for state, stop_signal, lists in combinations]
     return with_list + [Case(state, signal.SIGKILL, "ask", known=False) for state in ("up", "slow")]
@@ -69,7 +69,7 @@
 
 @asynccontextmanager
 async def discovery(state: str) -> AsyncIterator[tuple[str, int]]:
-    """The address of a discovery service in one of ``STATES``; its list names one host."""
+    """Runs a discovery service in a state. Yields its address; its list names one host."""
     reserved, port = reserve_port()
     unanswered: list[socket.socket] = []
     server: asyncio.Server | None = None
@@ -112,7 +112,7 @@
 def write_config(
     folder: Path, case: Case, listen: tuple[str, int], discovery_address: tuple[str, int]
 ) -> Path:
-    """Write the configuration of the relay, and return its file."""
+    """Writes the configuration of the relay, and returns its file."""
     config: dict[str, Any] = {
         "name": "r0",
         "listen": "{}:{}".format(*listen),
@@ -128,7 +128,7 @@
 
 
 async def first_pong(address: tuple[str, int]) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-    """Send PING on new connections until one is answered, as the platform does, and return that one."""
+    """Sends PING on new connections until one is answered, as the platform does, and returns that one."""
     while True:
         with suppress(OSError):
             reader, writer = await asyncio.open_connection(*address)
@@ -140,7 +140,7 @@
 
 
 async def start(file: Path) -> asyncio.subprocess.Process:
-    """Start a relay with a configuration file."""
+    """Starts a relay with a configuration file."""
     environment = {name: value for name, value in os.environ.items() if not name.startswith("GW_")}
     return await asyncio.create_subprocess_exec(
         sys.executable,
@@ -191,7 +191,7 @@
 
 
 def row(case: Case, durations_s: list[float]) -> str:
-    """The row of a case in the table."""
+    """Returns the row of a case in the table."""
     ordered = sorted(durations_s)
     median = ordered[len(ordered) // 2]
     ninth_decile = ordered[(len(ordered) * 9 - 1) // 10]
@@ -200,7 +200,7 @@
 
 
 async def print_table(starts: int) -> None:
-    """Measure all cases, and print a Markdown table."""
+    """Measures all cases, and prints a Markdown table."""
     print("| restart | starts | median s | nine in ten s | longest s | not ready in 10 s |")
     print("| --- | --- | --- | --- | --- | --- |")
     for case in cases():
@@ -208,7 +208,7 @@
 
 
 def main() -> None:
-    """Run the command."""
+    """Runs the command."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--starts", type=int, default=10, help="restarts of each case")
     asyncio.run(print_table(parser.parse_args().starts))
--- a/sageturn/lab/rebalancing.py
+++ b/sageturn/lab/rebalancing.py
@@ -90,7 +90,7 @@
 
 
 def spec_of_size(name: str, seed: int) -> FleetSpec:
-    """The deployment of a size in ``FLEET_SIZES``; from 100 endpoints on a quarter joins later."""
+    """Returns the fleet of a size in ``FLEET_SIZES``; from 100 endpoints on a quarter of them joins later."""
     if name == "small":
         return FleetSpec(seed=seed)
     size = FLEET_SIZES[name]
@@ -135,14 +135,14 @@
 
 
 def measure_cost(options: argparse.Namespace) -> None:
-    """Measure the planner's CPU time and memory."""
+    """Measures the planner's CPU time and memory."""
     cost = PlannerCost(options.connections)
     cost.run()
     print_table("cost of the driver in one relay", {"on": cost.row()}, options.json)
 
 
 def main() -> None:
-    """The command line."""
+    """Parses the command line, and runs a command."""
     common = argparse.ArgumentParser(add_help=False)
     common.add_argument("--json", action="store_true", help="one line of JSON a table")
     common.add_argument("--quiet", action="store_true", help="no progress")
--- a/sageturn/lab/reports/result_table.py
+++ b/sageturn/lab/reports/result_table.py
@@ -72,7 +72,7 @@
 
 
 def print_table(title: str, rows: dict[str, Row], as_json: bool) -> None:
-    """Print rows as columns side by side, or all of them as one line of JSON."""
+    """Prints rows as columns side by side, or all of them as one line of JSON."""
     if as_json:
         print(json.dumps({"title": title, "rows": rows}))
         return
--- a/sageturn/lab/runner/environment.py
+++ b/sageturn/lab/runner/environment.py
@@ -81,7 +81,7 @@
     # ------------------------------------------------------------ before a step
 
     def start_step(self) -> StepInput:
-        """Start a step: advance the faults and the store, and collect what the relays need."""
+        """Starts a step: advances the faults and the store. Returns the relays' input."""
         now_s = self.now_s
         instructions = self._next_instructions
         self._next_instructions = []
@@ -107,7 +107,7 @@
     # ------------------------------------------------------------ after a step
 
     def finish_step(self, results: dict[int, StepResult]) -> None:
-        """Merge the results of all relays, in the order of their numbers, and end the step."""
+        """Merges the results of all relays, in the order of their numbers, and ends the step."""
         until_s = self.now_s + self._step_s
         setup_count = 0
         for relay in range(self.spec.relays):
@@ -125,7 +125,7 @@
             self._record_second(served)
 
     def finish(self) -> SimulationResult:
-        """End the run, and return its result."""
+        """Ends the run, and returns its result."""
         hosts = self._hosts.by_name.values()
         self.result.peak_intake_ratio = max((host.peak_intake_ratio for host in hosts), default=0.0)
         self.result.crashed_hosts = sum(host.crashed for host in hosts)
@@ -169,7 +169,7 @@
             self.result.counts[late_event(class_spec.name)] += 1
 
     def _merge_reconnects(self, relay: int, step_result: StepResult, until_s: float) -> None:
-        """Send each client to a relay of the zone, in the next step at the earliest."""
+        """Sends each client to a relay of the zone, in the next step at the earliest."""
         zone = self.spec.zone(relay)
         for wanted_s, client in step_result.reconnects:
             due_s = max(wanted_s, until_s)
--- a/sageturn/lab/runner/experiment.py
+++ b/sageturn/lab/runner/experiment.py
@@ -44,7 +44,7 @@
     join_s: float = 20.0
 
     def spec(self, seed: int) -> FleetSpec:
-        """The fleet of this size. Raises InvalidSizeError."""
+        """Returns the fleet of this size. Raises InvalidSizeError."""
         initial_hosts = self.hosts if self.initial_hosts is None else self.initial_hosts
         if not MIN_INITIAL_HOSTS <= initial_hosts <= self.hosts:
             raise InvalidSizeError("early: must be from 2 to hosts")
@@ -85,7 +85,7 @@
     rebalance: JsonObject = {}
 
     def options(self) -> RebalanceOptions:
-        """The options of the planner. Raises InvalidVariantError, or TypeError for a value's type."""
+        """Returns the options of the planner. Raises InvalidVariantError, or TypeError for a value's type."""
         if self.planner not in PLANNER_NAMES:
             raise InvalidVariantError("mover: must be off, naive or on")
         known = RebalanceOptions.__dataclass_fields__
@@ -108,7 +108,7 @@
     why: str = ""
 
     def check(self) -> None:
-        """Raise InvalidExperimentError, with the key, for what the types of the fields allow."""
+        """Raises InvalidExperimentError, with the key, for what the types of the fields allow."""
         _reject_duplicates("scenarios", (scenario.name for scenario in self.scenarios))
         _reject_duplicates("variants", (variant.name for variant in self.variants))
         for number, scenario in enumerate(self.scenarios):
@@ -132,7 +132,7 @@
 
 
 def read_experiment(file: Path) -> Experiment:
-    """Read TOML or JSON, by the file's ending. Raises InvalidExperimentError."""
+    """Reads TOML or JSON, by the file's ending. Raises InvalidExperimentError."""
     try:
         data = file.read_bytes()
     except OSError as error:
--- a/sageturn/lab/runner/result_file.py
+++ b/sageturn/lab/runner/result_file.py
@@ -1,4 +1,4 @@
-"""Result files: one JSON line that says what made the results, and one for each run, complete or left out."""
+"""Result files: a JSON line with the origin of the results, and one for each run."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def library_version(name: str) -> str:
-    """The version of an installed library; empty if it is not installed."""
+    """Returns the version of an installed library; empty if it is not installed."""
     try:
         return version(name)
     except PackageNotFoundError:
@@ -58,7 +58,7 @@
                 self.runs.append(line)
 
     def start(self, head: Line) -> None:
-        """Begin a new file, or continue one after its complete lines.
+        """Begins a new file, or continues one after its complete lines.
 
         Raises ResultsMismatchError where the file holds another experiment's results.
         """
@@ -74,7 +74,7 @@
             out.truncate(self._complete_bytes)
 
     def add(self, run: Line) -> None:
-        """Append a run."""
+        """Appends a run."""
         self._append(run)
         self.runs.append(run)
 
@@ -85,11 +85,11 @@
             os.fsync(out.fileno())
 
     def done(self) -> set[tuple[str, int, str]]:
-        """Scenario, seed and variant of each run."""
+        """Returns the scenario, seed and variant of each run."""
         return {(run["scenario"], run["seed"], run["variant"]) for run in self.runs}
 
     def values(self, variant: str, metric: str) -> dict[tuple[str, int], float]:
-        """A metric of a variant's runs, by scenario and seed."""
+        """Returns a metric of a variant's runs, by scenario and seed."""
         return {
             (run["scenario"], run["seed"]): float(run["metrics"][metric])
             for run in self.runs
--- a/sageturn/lab/scale/arrivals.py
+++ b/sageturn/lab/scale/arrivals.py
@@ -41,7 +41,7 @@
             self._intervals.setdefault(name, []).append((now_s, NEVER_S))
 
     def mark_up(self, names: Iterable[str], now_s: float) -> None:
-        """End the outages that ``mark_down`` began."""
+        """Ends the outages that ``mark_down`` began."""
         for name in names:
             down_s, _ = self._intervals[name][-1]
             self._intervals[name][-1] = (down_s, now_s)
--- a/sageturn/lab/scale/child_process.py
+++ b/sageturn/lab/scale/child_process.py
@@ -43,7 +43,7 @@
 
     @property
     def is_started(self) -> bool:
-        """Whether the child was started, whatever has become of it."""
+        """Whether the child was started; it may have ended since."""
         return self._child is not None
 
     @property
--- a/sageturn/lab/scale/cost_measuring.py
+++ b/sageturn/lab/scale/cost_measuring.py
@@ -1,4 +1,4 @@
-"""What the cost measurements share: processor time of a call, and stores of a given size."""
+"""Helpers of the cost measurements: processor time of a call, and stores of a given size."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def min_cpu_s(call: Callable[[], object], repeats: int = DEFAULT_REPEATS) -> float:
-    """Processor time of the fastest of some calls: what else runs on the machine counts for little."""
+    """Returns the processor time of the fastest of some calls."""
     durations_s = []
     for _ in range(repeats):
         began_s = time.process_time()
@@ -22,7 +22,7 @@
 
 
 def make_store(keys: int) -> Store:
-    """A copy, in memory, that holds so many preloaded records."""
+    """Returns a store, in memory, with ``keys`` preloaded records."""
     store = Store("r0001")
     store.merge(preload(keys))
     return store
--- a/sageturn/lab/scale/digests.py
+++ b/sageturn/lab/scale/digests.py
@@ -100,7 +100,7 @@
         store.on_change.append(self._on_change)
 
     def state_report(self) -> dict[str, object]:
-        """Nothing of this replication is in a relay's state record."""
+        """Returns the replication's part of a relay's state record, which is empty."""
         return {}
 
     def start(self) -> None:
--- a/sageturn/lab/scale/environment.py
+++ b/sageturn/lab/scale/environment.py
@@ -78,7 +78,7 @@
         self._port = self.address[1]
 
     async def stop(self) -> None:
-        """End all connections."""
+        """Ends all connections."""
         await super().stop()
         self._watchers.clear()
 
@@ -116,12 +116,12 @@
         self.sockets = [FakeEndpoint(model, HOST_UNIT_US) for model in models]
 
     async def start(self) -> None:
-        """Begin to listen, or to connect."""
+        """Starts to listen."""
         for host in self.sockets:
             await host.start()
 
     async def stop(self) -> None:
-        """End all connections."""
+        """Stops listening, and ends all connections."""
         for host in self.sockets:
             await host.stop()
 
@@ -157,14 +157,14 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
-        """Begin to listen, or to connect."""
+        """Starts all clients, one after another for each relay."""
         for address in self._addresses:
             for number in range(self._clients_per_relay):
                 delay_s = number * CLIENT_START_INTERVAL_S
                 self._tasks.append(asyncio.ensure_future(self._keep_connected(address, delay_s)))
 
     async def stop(self) -> None:
-        """End all connections."""
+        """Ends all clients."""
         for task in self._tasks:
             task.cancel()
         if self._tasks:
--- a/sageturn/lab/scale/errors.py
+++ b/sageturn/lab/scale/errors.py
@@ -51,6 +51,6 @@
 
 
 def describe_failure(error: BaseException) -> str:
-    """The error's name and text, for a result line's key ``failed`` and a child's answer."""
+    """Returns the error's name and text, for a result line's key ``failed`` and a child's answer."""
     name = error.result_name if isinstance(error, ScaleError) else ""
     return f"{name or type(error).__name__}: {error}"
--- a/sageturn/lab/scale/jobs.py
+++ b/sageturn/lab/scale/jobs.py
@@ -50,13 +50,13 @@
         self._sockets: list[socket.socket] = []
 
     def reserve(self) -> int:
-        """A free port on loopback, for a listener that sets SO_REUSEADDR."""
+        """Reserves a free port on loopback, for a listener that sets SO_REUSEADDR. Returns the port."""
         sock, port = reserve_port()
         self._sockets.append(sock)
         return port
 
     def close(self) -> None:
-        """Let go of all reserved ports."""
+        """Releases all reserved ports."""
         for sock in self._sockets:
             sock.close()
 
@@ -111,7 +111,7 @@
     # ------------------------------------------------------------ link emulation
 
     def _add_link_jobs(self) -> None:
-        """A process for each zone: all links that lead to its members."""
+        """Adds a process for each zone, with all links that lead to the zone's members."""
         experiment = self._experiment
         listeners: list[list[LinkListener]] = [[] for _ in range(experiment.zones)]
         for source_zone in range(experiment.zones):
--- a/sageturn/lab/scale/link_emulation.py
+++ b/sageturn/lab/scale/link_emulation.py
@@ -48,7 +48,7 @@
         self.healed.set()
 
     def set_cut(self, is_cut: bool) -> None:
-        """Hold everything back from now on, or let it pass again."""
+        """Cuts the link, which holds all data back from now on, or heals it."""
         self.is_cut = is_cut
         if is_cut:
             self.healed.clear()
@@ -96,7 +96,7 @@
         self.buffered_bytes = 0
 
     def put(self, data: bytes) -> None:
-        """Empty data is the end of the stream."""
+        """Queues data; empty data is the end of the stream."""
         transit_s = self._link.transit_s(len(data), self._rng) if data else self._link.delay_s
         # It is a stream: nothing overtakes.
         self._last_due_s = max(self._last_due_s, self._now_s() + transit_s)
@@ -203,7 +203,7 @@
                 self._may_read.clear()
 
     async def _wait_for_data(self, reading: asyncio.Task[None]) -> bool:
-        """False when no data will follow. Raises OSError when the source was reset, which resets the sink."""
+        """Returns whether data follows. Raises OSError when the source was reset, which resets the sink."""
         while not self._delay_line.waiting:
             self._data_arrived.clear()
             arriving = asyncio.ensure_future(self._data_arrived.wait())
@@ -215,7 +215,7 @@
         return True
 
     async def _write_next(self) -> bool:
-        """Forward the first chunk once it is due. True when that was the end of the stream."""
+        """Forwards the first chunk once it is due. Returns whether that was the end of the stream."""
         await self._link.healed.wait()
         wait_s = self._delay_line.wait_s()
         if wait_s > TIMER_RESOLUTION_S:
--- a/sageturn/lab/scale/list_calls.py
+++ b/sageturn/lab/scale/list_calls.py
@@ -53,7 +53,7 @@
         self.failed_calls = 0
 
     def schedule_call(self, due_ms: float, relay: int) -> None:
-        """The relay will call for the list at that moment."""
+        """Schedules a relay's call for the list."""
         self._schedule(due_ms, _EventKind.CALL, relay, 0)
 
     def run(self) -> None:
--- a/sageturn/lab/scale/member_group.py
+++ b/sageturn/lab/scale/member_group.py
@@ -149,7 +149,7 @@
             await asyncio.sleep(READINESS_POLL_INTERVAL_S)
 
     async def wait_until_linked(self, expected: int, timeout_s: float) -> float:
-        """Returns the seconds until so many links were established. Raises ReadinessTimeoutError."""
+        """Returns the seconds until ``expected`` links were established. Raises ReadinessTimeoutError."""
         began_s = time.monotonic()
         while (established := await self.link_count()) < expected:
             if time.monotonic() - began_s > timeout_s:
--- a/sageturn/lab/scale/plan.py
+++ b/sageturn/lab/scale/plan.py
@@ -91,7 +91,7 @@
 
 
 class Size(Struct, frozen=True, forbid_unknown_fields=True):
-    """``real``: of the members, so many are whole relays, each in a process of its own."""
+    """The size of a fleet; ``real`` of its members are whole relays, each in a process of its own."""
 
     name: Name
     members: Annotated[int, Meta(ge=2, le=1000)]
@@ -210,11 +210,11 @@
     # ------------------------------------------------------------ placement
 
     def zone_of(self, member: int) -> int:
-        """Members are dealt out to the zones in turn."""
+        """Returns the zone of a member; members are assigned to the zones in turn."""
         return member % self.zones
 
     def region_of(self, zone: int) -> int:
-        """The first zones are the first region's: 3 and 2 of five."""
+        """Returns the region of a zone; of five zones the first three are in the first of two regions."""
         return zone * self.regions // self.zones
 
     # ------------------------------------------------------------ what a size needs
@@ -253,7 +253,7 @@
 
 
 def read_scale(file: Path) -> ScaleExperiment:
-    """TOML. Raises InvalidExperimentError, which names the file and the key."""
+    """Reads an experiment in TOML. Raises InvalidExperimentError, which names the file and the key."""
     try:
         data = file.read_bytes()
     except OSError as error:
--- a/sageturn/lab/scale/report.py
+++ b/sageturn/lab/scale/report.py
@@ -137,7 +137,7 @@
 
 
 def plot(results: Results, file: Path) -> None:
-    """Plot bytes, processor time, and time until the last member holds a change, by members.
+    """Plots bytes, processor time, and time until the last member holds a change, by members.
 
     There is a line for each number of keys and spread, and one for the operators' allowance.
     """
--- a/sageturn/lab/soak/shimmed_relay.py
+++ b/sageturn/lab/soak/shimmed_relay.py
@@ -18,7 +18,7 @@
 
 
 def main() -> int:
-    """Run the relay until it is asked to stop. Returns the exit code."""
+    """Runs the relay until it is asked to stop. Returns the exit code."""
     relay = int(sys.argv[1])
     plan = msgspec.json.decode(Path(sys.argv[2]).read_bytes(), type=SoakPlan)
     sys.argv = ["sageturn", *sys.argv[3:]]
--- a/sageturn/lab/spreading.py
+++ b/sageturn/lab/spreading.py
@@ -21,6 +21,7 @@
 import uvloop
 
 from sageturn.lab.reports.result_table import Row, print_table
+from sageturn.lab.scale.digests import missing_from
 from sageturn.net.admission import AdmissionController, ProcessLimits
 from sageturn.store.channel import read_secret
 from sageturn.store.replication.member import ReplicationMember
@@ -67,7 +68,7 @@
         self.members = (self.first, self.second)
 
     async def measure_snapshot(self) -> _SnapshotCost:
-        """Wait until the second member has all records."""
+        """Measures how long it takes until the second member has all records, and at what cost."""
         await _wait_until(lambda: bool(self.first.link_count and self.second.link_count))
         started_cpu_s = time.process_time()
         duration_s = await _wait_until(
@@ -77,7 +78,7 @@
         return _SnapshotCost(self.first.replica.budget.consumed_bytes, duration_s, cpu_s)
 
     async def measure_idle(self, seconds: float) -> _Cost:
-        """The mean cost of a side while nothing changes."""
+        """Returns the mean cost of a side while nothing changes."""
         await _wait_until(
             lambda: all(member.replica.sessions[0].change_exchange.is_delivered for member in self.members)
         )
@@ -92,7 +93,7 @@
         return _Cost(sum(rates) / 2, core)
 
     async def measure_changes(self) -> list[int]:
-        """The bytes that the first member sends for each of some changes."""
+        """Returns the bytes that the first member sends for each of some changes."""
         sizes_bytes = []
         for number in range(CHANGE_COUNT):
             key = f"config/shard/{number}"
@@ -107,7 +108,7 @@
         return record.get("epoch") == epoch
 
     async def stop(self) -> None:
-        """Stop the second member, and then the first."""
+        """Stops the second member, and then the first."""
         for member in reversed(self.members):
             await member.stop()
 
@@ -120,12 +121,12 @@
 
 
 def _measure_digest(store: Store) -> _Cost:
-    """The cost of the former digests on one side: one sent and one compared in each interval."""
+    """Returns the cost of the former digests on one side: one sent and one compared in each interval."""
     started_cpu_s = time.process_time()
     payload = json.dumps({"digest": store.digest()}, separators=(",", ":")).encode()
     decoded = json.loads(payload)["digest"]
     digest = {str(key): (int(order[0]), str(order[1])) for key, order in decoded.items()}
-    missing = [r for r in store.records() if r.key not in digest or digest[r.key] < r.order]
+    missing = missing_from(store, digest)
     own = store.digest()
     assert not missing and all(key in own and own[key] >= order for key, order in digest.items())
     cpu_s = time.process_time() - started_cpu_s
@@ -133,7 +134,7 @@
 
 
 async def _wait_until(condition: Callable[[], bool]) -> float:
-    """Wait until a condition holds, and return how many seconds it took."""
+    """Waits until a condition holds. Returns the seconds that it took."""
     started_s = time.monotonic()
     while not condition():
         await asyncio.sleep(POLL_INTERVAL_S)
@@ -160,7 +161,7 @@
 
 
 def main() -> None:
-    """Measure each number of keys, and print the figures."""
+    """Measures each number of keys, and prints the figures."""
     parser = argparse.ArgumentParser(prog="sageturn.lab.spreading", description=__doc__)
     parser.add_argument("--keys", default="100,1000,10000,27000,100000")
     parser.add_argument("--seconds", type=float, default=5.0)
