--- a/sageturn/lab/scale/members.py
+++ b/sageturn/lab/scale/members.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from importlib import import_module
 from random import Random
-from typing import TYPE_CHECKING, Any, Protocol
+from typing import TYPE_CHECKING, Protocol
 
 from sageturn.config.settings import read_settings
 from sageturn.core.balancer_actor import BalancerActor
@@ -23,6 +23,8 @@
 from sageturn.lab.scale.counting import owned, owning
 from sageturn.lab.scale.digests import DigestReplication, LinkOptions
 from sageturn.lab.scale.errors import UnavailableReplicationError
+from sageturn.lab.scale.job_files import CommonJob, MemberJob
+from sageturn.lab.scale.plan import Spread
 from sageturn.net.admission import AdmissionController, ProcessLimits
 from sageturn.net.discovery import DiscoveryClient
 from sageturn.store.records import StoreRecord
@@ -35,10 +37,9 @@
 PRELOAD_NODE = "r0000"
 PRELOAD_HOST_COUNT = 500
 LOOPBACK = "127.0.0.1"
-# The machine's bound is the experiment's, not the admission's.
-ADMISSION_LIMITS = ProcessLimits(20_000, 4096.0)
-STATE_CONNECTION_COUNT = 50_000  # what an emulated member's state record says it serves
-STATE_PHASES = 97  # over which members spread their first state record
+ADMISSION_LIMITS = ProcessLimits(20_000, 4096.0)  # above the experiment's own bounds, which apply first
+STATE_CONNECTION_COUNT = 50_000  # established connections in an emulated member's state record
+STATE_PHASES = 97  # points of the interval at which members write their first state record
 
 WatchEvent = EndpointListUpdate | WatchFailed
 
@@ -61,10 +62,10 @@
     address: tuple[str, int]
 
     def start(self) -> None:
-        """Begin to accept and to dial."""
+        """Begins to accept and to dial."""
 
     async def stop(self) -> None:
-        """End all links; the store stays usable."""
+        """Ends all links; the store stays usable."""
 
 
 def _make_digest_replication(
@@ -76,7 +77,10 @@
 def _make_delta_replication(
     store: Store, options: LinkOptions, admission: AdmissionController, location: Location
 ) -> Replication:
-    """The program's own, where it has one: not every revision that is measured does."""
+    """Makes the program's own replication.
+
+    Raises UnavailableReplicationError where the measured revision does not have it.
+    """
     try:
         member = import_module("sageturn.store.replication.member")
         replication_options = import_module("sageturn.store.replication.options").ReplicationOptions(
@@ -90,34 +94,34 @@
 
 
 REPLICATIONS: dict[str, Callable[[Store, LinkOptions, AdmissionController, Location], Replication]] = {
-    "digest": _make_digest_replication,
-    "delta": _make_delta_replication,
+    Spread.DIGEST: _make_digest_replication,
+    Spread.DELTA: _make_delta_replication,
 }
 
 
 def make_replication(
     spread: str, store: Store, options: LinkOptions, admission: AdmissionController, location: Location
 ) -> Replication:
-    """The one place where a run's key ``spread`` becomes code.
+    """Makes the replication that a size's key ``spread`` names.
 
     Raises UnavailableReplicationError where this revision does not have it.
     """
     return REPLICATIONS[spread](store, options, admission, location)
 
 
-def link_options(job: dict[str, Any], common: dict[str, Any]) -> LinkOptions:
-    """Reads the link options from a member's part of a job file and the part that all members share."""
+def link_options(job: MemberJob, common: CommonJob) -> LinkOptions:
+    """Returns the link options from a member's part of a job and the part that all members share."""
     return LinkOptions(
-        (LOOPBACK, job["port"]),
-        tuple((LOOPBACK, port) for port in job["peers"]),
-        bytes.fromhex(common["secret"]),
-        common["interval_s"],
+        (LOOPBACK, job.port),
+        tuple((LOOPBACK, port) for port in job.peers),
+        bytes.fromhex(common.secret),
+        common.interval_s,
     )
 
 
-def location_of(job: dict[str, Any]) -> Location:
-    """Reads the location from a member's part of a job file."""
-    return Location(job["name"], job["zone"], job["region"])
+def location_of(job: MemberJob) -> Location:
+    """Returns the location from a member's part of a job."""
+    return Location(job.name, job.zone, job.region)
 
 
 # ---------------------------------------------------------------- copies of the store
@@ -181,7 +185,7 @@
     async def forward(
         self, watch: int, event: WatchEvent, handler: Callable[[int, WatchEvent], Awaitable[None]]
     ) -> None:
-        """Count the event, then await ``handler`` with it."""
+        """Counts the event, then awaits ``handler`` with it."""
         if isinstance(event, EndpointListUpdate):
             self.listed_s = time.monotonic()
             self.list_count += 1
@@ -222,8 +226,8 @@
     Store, replication, endpoint list, discovery backoff and accounting are put together as in ``Relay``.
     """
 
-    def __init__(self, job: dict[str, Any], common: dict[str, Any], records: list[StoreRecord]) -> None:
-        self.name = job["name"]
+    def __init__(self, job: MemberJob, common: CommonJob, records: list[StoreRecord]) -> None:
+        self.name = job.name
         self.running = False
         self.watch_monitor = WatchMonitor()
         self._job = job
@@ -243,15 +247,15 @@
         if wipe:
             self._make_copy([])
         self.admission = AdmissionController(ADMISSION_LIMITS)
-        with owned(self._job["row"], "store"):
+        with owned(self._job.row, "store"):
             self._start_replication()
-        with owned(self._job["row"], "list"):
+        with owned(self._job.row, "list"):
             self._start_balancer()
         self.running = True
 
     def _start_replication(self) -> None:
         self.replication = make_replication(
-            self._common["spread"],
+            self._common.spread,
             self.store,
             link_options(self._job, self._common),
             self.admission,
@@ -261,18 +265,18 @@
 
     def _start_balancer(self) -> None:
         self.balancer_actor = BalancerActor(
-            read_settings(self._job["settings"]),
-            self._job["seed"],
+            read_settings(self._job.settings),
+            self._job.seed,
             Clock(),
             lambda: self.endpoint_registry.request_watch(),
         )
-        self.discovery = DiscoveryClient((LOOPBACK, self._common["discovery"]), self._on_watch_event)
+        self.discovery = DiscoveryClient((LOOPBACK, self._common.discovery_port), self._on_watch_event)
         self.endpoint_registry = EndpointRegistry(
             EndpointListUpdate(0, full=True), self.balancer_actor.post_event, self.discovery
         )
         runs = [self.balancer_actor.run(), self.endpoint_registry.run()]
-        if self._common["state_s"]:
-            runs.append(self._write_state(self._common["state_s"]))
+        if self._common.state_s:
+            runs.append(self._write_state(self._common.state_s))
         self._tasks = [asyncio.ensure_future(run) for run in runs]
 
     async def _on_watch_event(self, watch: int, event: WatchEvent) -> None:
@@ -308,20 +312,19 @@
 class RealMember(Member):
     """A whole relay, with the replication that is measured in the place of its own."""
 
-    def __init__(self, relay: Relay, job: dict[str, Any], common: dict[str, Any]) -> None:
+    def __init__(self, relay: Relay, job: MemberJob, common: CommonJob) -> None:
         self.name = relay.store.node
         self.store = relay.store
         self.arrivals = ArrivalRecorder(self.store, {})
         self.watch_monitor = WatchMonitor()
         self.running = True
-        row = job["row"]
-        with owned(row, "store"):
+        with owned(job.row, "store"):
             self.replication = make_replication(
-                common["spread"], relay.store, link_options(job, common), relay.admission, location_of(job)
+                common.spread, relay.store, link_options(job, common), relay.admission, location_of(job)
             )
         relay.replication = self.replication  # type: ignore[assignment]  # the operator's file configures none
-        vars(self.replication)["start"] = owning(row, "store", self.replication.start)
-        relay.discovery.start = owning(row, "list", relay.discovery.start)  # type: ignore[method-assign]
+        vars(self.replication)["start"] = owning(job.row, "store", self.replication.start)
+        relay.discovery.start = owning(job.row, "list", relay.discovery.start)  # type: ignore[method-assign]
         handler = relay.endpoint_registry.on_watch_event
 
         async def on_watch_event(watch: int, event: WatchEvent) -> None:
