--- a/sageturn/overrides/recovery_ramp.py
+++ b/sageturn/overrides/recovery_ramp.py
@@ -75,7 +75,7 @@
         is_drained = effect.out_of_service and endpoint.state == EndpointStatus.READY
         return replace(
             endpoint,
-            state="draining" if is_drained else endpoint.state,
+            state=EndpointStatus.DRAINING if is_drained else endpoint.state,
             started_at_ms=max(endpoint.started_at_ms, self._slow_start_began_ms(endpoint.name, now_ms)),
             factor=self.current_factor(endpoint.name, effect, now_ms),
         )
--- a/sageturn/overrides/resolver.py
+++ b/sageturn/overrides/resolver.py
@@ -115,7 +115,7 @@
         updates = list(endpoints)
         if is_full:
             listed = {endpoint.name for endpoint in updates}
-            updates += [Endpoint(name, "gone") for name in self.endpoints if name not in listed]
+            updates += [Endpoint(name, EndpointStatus.GONE) for name in self.endpoints if name not in listed]
         for endpoint in updates:
             self._update_endpoint(endpoint)
         present = {endpoint.name for endpoint in updates} & self.endpoints.keys()
--- a/sageturn/rebalance/event_tracker.py
+++ b/sageturn/rebalance/event_tracker.py
@@ -13,7 +13,7 @@
 from sageturn.rebalance.options import RebalanceOptions
 from sageturn.rebalance.overload_detector import OverloadDetector
 
-CONNECT_FAILURES = (decision.AttemptStatus.CONNECT_FAILED, decision.AttemptStatus.TIMEOUT)
+CONNECT_FAILURE_STATUSES = frozenset({decision.AttemptStatus.CONNECT_FAILED, decision.AttemptStatus.TIMEOUT})
 
 
 @dataclass(slots=True)
@@ -69,7 +69,7 @@
                 self._on_connection_established(now_ms, event)
             case decision.AttemptEnded():
                 self._on_attempt_ended(now_ms, event)
-            case decision.MeasurementReported(kind="load"):
+            case decision.MeasurementReported(kind=decision.MeasurementKind.LOAD):
                 self.connections.set_load(event.id, event.value)
             case decision.EndpointListEvent():
                 self.overload_detector.record_endpoint_list(event.kind == decision.ListEventKind.FAILED)
@@ -150,7 +150,7 @@
         if self.connections.remove(event.id):
             if event.status == decision.AttemptStatus.RESET:
                 self.overload_detector.record_reset(now_ms)
-        elif event.status in CONNECT_FAILURES:
+        elif event.status in CONNECT_FAILURE_STATUSES:
             self.overload_detector.record_connect_failure(now_ms)
         self.migrating.discard(event.id)
         if event.final:
