--- a/sageturn/decision/eligibility.py
+++ b/sageturn/decision/eligibility.py
@@ -21,7 +21,9 @@
             self._is_warm_quota_exhausted = False
             return
         # The part of the quota that is meant for endpoints in slow start is kept for them.
-        warming_count = sum(e.connections.open_count for e in fleet.ready if e.slow_start)
+        warming_count = sum(
+            endpoint.connections.open_count for endpoint in fleet.ready if endpoint.slow_start
+        )
         warm_count = fleet.totals.open_count - warming_count
         warm_bound = fleet.max_connections * fleet.warm_weight_ratio + fleet.rounding_offset
         self._is_warm_quota_exhausted = warm_count + 1 > warm_bound
--- a/tests/decision/test_slow_start.py
+++ b/tests/decision/test_slow_start.py
@@ -98,34 +98,36 @@
         self.held: dict[str, dict[int, tuple[Balancer, int]]] = {}  # by request: its relay and attempt
         self.sent: dict[str, list[float]] = {}
         for _ in range(clients):
-            self.at(self.rng.random() * 8000.0, self.client)
+            self.schedule(self.rng.random() * 8000.0, self.connect_client)
         self.run(12_000.0)
 
-    def at(self, when_ms: float, what: Callable[[], None]) -> None:
+    def schedule(self, when_ms: float, action: Callable[[], None]) -> None:
         self.ids += 1
-        heapq.heappush(self.due, (when_ms, self.ids, what))
+        heapq.heappush(self.due, (when_ms, self.ids, action))
 
     def run(self, until_ms: float) -> None:
         while self.due and self.due[0][0] <= until_ms:
-            self.now, _, what = heapq.heappop(self.due)
-            what()
+            self.now, _, action = heapq.heappop(self.due)
+            action()
         self.now = until_ms
 
-    def client(self, tries: int = 0) -> None:
+    def connect_client(self, tries: int = 0) -> None:
         self.ids += 1
         self.tries += 1
         request = self.ids
         relay = self.rng.choices(self.relays, self.traffic)[0]
         actions = relay.handle(self.now, RequestArrived(request, "one", "t", self.now + 3200.0))
-        self.act(relay, request, 0, actions, tries)
+        self.follow_actions(relay, request, 0, actions, tries)
 
-    def act(self, relay: Balancer, request: int, attempt: int, actions: list[Any], tries: int) -> None:
+    def follow_actions(
+        self, relay: Balancer, request: int, attempt: int, actions: list[Any], tries: int
+    ) -> None:
         for action in actions:
             if isinstance(action, RejectRequest):
                 self.refused += 1
                 own_ms = (30.0, 30.0, 500.0, 1500.0)[min(tries, 3)]
                 wait_ms = action.retry_after_ms if self.rng.random() < 0.4 else own_ms
-                self.at(self.now + wait_ms, lambda: self.client(tries + 1))
+                self.schedule(self.now + wait_ms, lambda: self.connect_client(tries + 1))
             elif isinstance(action, PlaceRequest):
                 self.set_up(relay, request, attempt, action.endpoint, tries)
 
@@ -133,16 +135,16 @@
         begun = self.now
         self.sent.setdefault(endpoint, []).append(self.now)
 
-        def stands() -> None:
+        def establish() -> None:
             relay.handle(self.now, ConnectionEstablished(request, attempt, endpoint, self.now - begun))
             self.held.setdefault(endpoint, {})[request] = (relay, attempt)
 
-        def fails() -> None:  # what is sent next counts like the first
+        def fail() -> None:  # what is sent next counts like the first
             outcome = AttemptEnded(request, attempt, endpoint, "error", False)
-            self.act(relay, request, attempt + 1, relay.handle(self.now, outcome), tries)
+            self.follow_actions(relay, request, attempt + 1, relay.handle(self.now, outcome), tries)
 
         took = 30.0 + 60.0 * self.rng.random()
-        self.at(self.now + took, fails if self.rng.random() < 0.05 else stands)
+        self.schedule(self.now + took, fail if self.rng.random() < 0.05 else establish)
 
     def leave(self, endpoint: str) -> None:
         """A draining host sends its clients away bit by bit."""
@@ -150,13 +152,13 @@
 
             def gone(request: int = request, relay: Balancer = relay, attempt: int = attempt) -> None:
                 relay.handle(self.now, AttemptEnded(request, attempt, endpoint, "cancelled", True))
-                self.at(self.now + 100.0 + 700.0 * self.rng.random(), self.client)
+                self.schedule(self.now + 100.0 + 700.0 * self.rng.random(), self.connect_client)
 
-            self.at(self.now + 2000.0 * self.rng.random(), gone)
+            self.schedule(self.now + 2000.0 * self.rng.random(), gone)
 
-    def tell(self, lines: list[Endpoint]) -> None:
+    def publish(self, lines: list[Endpoint]) -> None:
         for relay in self.relays:  # each has its own way to the news
-            self.at(
+            self.schedule(
                 self.now + 500.0 * self.rng.random(),
                 lambda relay=relay: relay.handle(self.now, EndpointListEvent("changes", lines)),  # type: ignore[misc]
             )
@@ -170,14 +172,14 @@
             starts[f"n{number}"] = start
 
             def started(number: int = number, start: float = start) -> None:
-                self.tell([Endpoint(f"n{number}", zone=old[number].zone, started_at_ms=start)])
+                self.publish([Endpoint(f"n{number}", zone=old[number].zone, started_at_ms=start)])
 
             def drains(number: int = number) -> None:
-                self.tell([Endpoint(f"h{number}", "draining", zone=old[number].zone)])
-                self.at(self.now + 500.0, lambda: self.leave(f"h{number}"))
+                self.publish([Endpoint(f"h{number}", "draining", zone=old[number].zone)])
+                self.schedule(self.now + 500.0, lambda: self.leave(f"h{number}"))
 
-            self.at(start + 1200.0, started)
-            self.at(start + 2500.0, drains)
+            self.schedule(start + 1200.0, started)
+            self.schedule(start + 2500.0, drains)
         return starts
 
 
@@ -195,7 +197,7 @@
     held = {name: len(fleet.held.get(name, {})) for name in (*starts, *fleet.lines)}
     new = [held[name] for name in starts]
     # By the quotas 14 could be held at each, so long after its start; a tenant's tries are spread unevenly.
-    assert sum(new) >= 4.0 * len(new) and sum(n > 0 for n in new) >= 0.9 * len(new)
+    assert sum(new) >= 4.0 * len(new) and sum(count > 0 for count in new) >= 0.9 * len(new)
     left = [held[name] for name in list(fleet.lines)[len(new) :]]
     assert max(left) <= 36
     for name, start in starts.items():
