--- a/sageturn/net/health_check_client.py
+++ b/sageturn/net/health_check_client.py
@@ -17,7 +17,7 @@
 from sageturn.decision import AttemptStatus, HealthCheckCompleted
 from sageturn.decision.load_reports import MAX_REPORT_BYTES, read_report
 from sageturn.net.addresses import Address
-from sageturn.net.sockets import ConnectFailure, connect_unreserved
+from sageturn.net.connecting import ConnectFailure, connect_unreserved
 
 log = logging.getLogger(__name__)
 
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Outcome:
-    """The result of one check: a status of ``HealthCheckCompleted``, and the report's values by field."""
+    """The result of one check; ``report`` has the values of the load report by field."""
 
     status: AttemptStatus
     report: dict[str, float] = field(default_factory=dict)
--- a/sageturn/relay/relay.py
+++ b/sageturn/relay/relay.py
@@ -67,7 +67,7 @@
             config, self.balancer_actor, self.request_registry, self.store
         )
         self._overrides = OverridesSubsystem(
-            config, self.balancer_actor, self.store, self._rebalancing.set_marks
+            config, self.balancer_actor, self.store, self._rebalancing.set_restrictions
         )
         self.discovery = DiscoveryClient(config.discovery, self._on_watch_event)
         self.endpoint_registry = self._make_endpoint_registry()
@@ -148,7 +148,7 @@
 
     @replication.setter
     def replication(self, member: ReplicationMember) -> None:
-        """Before the start only: the laboratory measures other ways to replicate."""
+        """Replace the member, before the start only: the laboratory measures other ways to replicate."""
         self._replication.member = member
 
     @property
