--- a/sageturn/lab/loopback/client_connection.py
+++ b/sageturn/lab/loopback/client_connection.py
@@ -108,6 +108,7 @@
         self.established = True
         self.host = host
         self._established_s = loop.time()
+        assert self.client.waiting_since_s is not None
         self._owner.on_established(self, loop.time() - self.client.waiting_since_s)
         self._lifetime_timers.append(loop.call_later(max(0.0, self.client.lifetime_s), self._on_finished))
         first_message_s = self._owner.sampler.uniform(0.0, MESSAGE_INTERVAL_S)
--- a/sageturn/lab/loopback/client_population.py
+++ b/sageturn/lab/loopback/client_population.py
@@ -104,7 +104,8 @@
         self.wanted += 1
         try:
             while not self._stopping:
-                client.waiting_since_s = client.waiting_since_s or loop.time()
+                if client.waiting_since_s is None:
+                    client.waiting_since_s = loop.time()
                 if relay is None:
                     relay = self.sampler.index_below(len(self.relays))
                 connection = ClientConnection(self, client, relay, host)
--- a/sageturn/lab/loopback/ports.py
+++ b/sageturn/lab/loopback/ports.py
@@ -3,14 +3,19 @@
 from __future__ import annotations
 
 import socket
+from typing import NamedTuple
 
 
-def reserve_port() -> tuple[socket.socket, int]:
-    """Reserves a free port: nobody else is given it while the returned socket is open.
+class ReservedPort(NamedTuple):
+    """A port that nobody else on this machine is given while the socket is open."""
 
-    A program that sets SO_REUSEADDR can listen on it meanwhile.
-    """
+    socket: socket.socket
+    port: int
+
+
+def reserve_port() -> ReservedPort:
+    """Reserves a free port; a program that sets SO_REUSEADDR can listen on it meanwhile."""
     reserved = socket.socket()
     reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     reserved.bind(("127.0.0.1", 0))
-    return reserved, int(reserved.getsockname()[1])
+    return ReservedPort(reserved, int(reserved.getsockname()[1]))
--- a/sageturn/lab/measurements/override_cost.py
+++ b/sageturn/lab/measurements/override_cost.py
@@ -1,4 +1,4 @@
-"""What the override actor adds to a request while no override is set."""
+"""Measures the cost that the override actor adds to a request while no override is set."""
 
 from __future__ import annotations
 
@@ -38,14 +38,14 @@
 
 
 def _request_us(with_override_actor: bool) -> float:
-    """Microseconds a request takes."""
+    """Returns the microseconds that a request takes."""
     balancer_actor = BalancerActor(SETTINGS, 1, Clock(), lambda: None)
     if with_override_actor:
         OverrideActor(balancer_actor, OverrideOptions(), Store("lab"), lambda _: None)
     # The actor has no public way to handle an event in place, without its queue; nor one for its actions.
     handle = balancer_actor._handle
     endpoints = [decision.Endpoint(f"h{number}") for number in range(ENDPOINT_COUNT)]
-    handle(decision.EndpointListEvent("full", endpoints))
+    handle(decision.EndpointListEvent(decision.ListEventKind.FULL, endpoints))
     placed: list[str] = []
     balancer_actor.requests.instruct = lambda _, action: placed.append(getattr(action, "endpoint", ""))  # type: ignore
     started_s = time.perf_counter()
@@ -53,5 +53,5 @@
         group = f"g{request_id % GROUP_COUNT}"
         handle(decision.RequestArrived(request_id, "c", "t", 1e18, group))
         handle(decision.ConnectionEstablished(request_id, 0, placed[-1], 20.0))
-        handle(decision.AttemptEnded(request_id, 0, placed[-1], "ok", final=True))
+        handle(decision.AttemptEnded(request_id, 0, placed[-1], decision.AttemptStatus.OK, final=True))
     return (time.perf_counter() - started_s) / REQUEST_COUNT * 1e6
--- a/sageturn/lab/measurements/override_operations.py
+++ b/sageturn/lab/measurements/override_operations.py
@@ -19,7 +19,7 @@
 def set_operation(
     override_id: str, payload: OverridePayload, created_at_ms: float | None = None
 ) -> OverrideOperation:
-    """Sets an override for an hour, from now on if no time is given."""
+    """Returns an operation that sets an override for an hour, from now on if no time is given."""
     created_at_ms = time.time() * 1000.0 if created_at_ms is None else created_at_ms
     return OverrideOperation(
         override_id,
@@ -35,7 +35,7 @@
 
 
 def revoke_operation(override_id: str) -> OverrideOperation:
-    """Revokes an override that was set and not changed since."""
+    """Returns an operation that revokes an override that was set and not changed since."""
     return OverrideOperation(
         override_id,
         OperationType.REVOKE,
--- a/sageturn/lab/measurements/override_resolution.py
+++ b/sageturn/lab/measurements/override_resolution.py
@@ -68,8 +68,16 @@
 
 def _make_endpoints() -> list[decision.Endpoint]:
     return [
-        decision.Endpoint(f"h{k}", "ready", f"z{k % 20}", k % CELL_COUNT, 0.0, 1.0, f"k{k % 4}")
-        for k in range(ENDPOINT_COUNT)
+        decision.Endpoint(
+            f"h{number}",
+            decision.EndpointStatus.READY,
+            f"z{number % 20}",
+            number % CELL_COUNT,
+            0.0,
+            1.0,
+            f"k{number % 4}",
+        )
+        for number in range(ENDPOINT_COUNT)
     ]
 
 
--- a/sageturn/lab/measurements/planner_cost.py
+++ b/sageturn/lab/measurements/planner_cost.py
@@ -12,7 +12,7 @@
 from sageturn.lab.model.fleet_spec import FleetSpec
 from sageturn.lab.reports.result_table import Row
 from sageturn.rebalance.connection_table import ConnectionLabels
-from sageturn.rebalance.options import RebalanceOptions
+from sageturn.rebalance.options import RebalanceMode, RebalanceOptions
 from sageturn.rebalance.planner import RebalancePlanner
 
 ENDPOINT_COUNT = 40
@@ -34,7 +34,7 @@
 
 
 class PlannerCost:
-    """A planner that is balancing all the while, and the time that it has taken."""
+    """A planner that always has connections to migrate, and the processor time that it has used."""
 
     def __init__(self, connection_count: int) -> None:
         self.connection_count = connection_count
@@ -51,20 +51,23 @@
         ]
         self._next_id = connection_count
         settings = decision.Settings(
-            classes=tuple(decision.RequestClass(c.name, c.latency_objective_ms) for c in self.spec.classes),
+            classes=tuple(
+                decision.RequestClass(class_spec.name, class_spec.latency_objective_ms)
+                for class_spec in self.spec.classes
+            ),
             groups=True,
             relay_count=RELAY_COUNT,
         )
         tracemalloc.start()
         before_bytes = tracemalloc.get_traced_memory()[0]
-        self.planner = RebalancePlanner(settings, RebalanceOptions(mode="on"), 1)
+        self.planner = RebalancePlanner(settings, RebalanceOptions(mode=RebalanceMode.ON), 1)
         self._adopt_connections()
         self.planner_bytes = tracemalloc.get_traced_memory()[0] - before_bytes
         tracemalloc.stop()
         self.planner.rate_controller.stopped_until_ms = 0.0  # without the settling time of a start
 
     def run(self) -> None:
-        """Pass the events of ``DURATION_S`` and tick once a second, in the planner's own time."""
+        """Passes the events of ``DURATION_S`` and ticks once a second, in the planner's own time."""
         now_ms = 1000.0
         for _ in range(DURATION_S):
             began_s = time.process_time()
@@ -105,16 +108,17 @@
             self._next_id += 1
             client = self._clients[request_id % self.connection_count]
             ended_id = request_id - self.connection_count
-            yield decision.AttemptEnded(ended_id, 0, client.endpoint, "ok", final=True)
+            yield decision.AttemptEnded(ended_id, 0, client.endpoint, decision.AttemptStatus.OK, final=True)
             yield decision.RequestArrived(
                 request_id, self._class_names[0], "t", now_ms + 900.0, client.group, client=client.key
             )
             yield decision.ConnectionEstablished(request_id, 0, client.endpoint, SETUP_TIME_MS)
             for _ in range(LOAD_REPORTS_PER_ARRIVAL):
-                yield decision.MeasurementReported(request_id, 0, client.endpoint, "load", 2.0)
+                kind = decision.MeasurementKind.LOAD
+                yield decision.MeasurementReported(request_id, 0, client.endpoint, kind, 2.0)
 
 
 def _client(number: int) -> _Client:
-    """Groups are spread unevenly over the endpoints, so that there is always something to balance."""
+    """Returns a client; the groups are spread so unevenly that there is always something to balance."""
     group_number = number // GROUP_SIZE
     return _Client(f"key{number}", f"g{group_number}", f"h{group_number**2 % 977 % ENDPOINT_COUNT}")
--- a/sageturn/lab/model/sampling.py
+++ b/sageturn/lab/model/sampling.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
+from typing import NamedTuple
 
 import numpy as np
 
@@ -14,8 +15,8 @@
     """A client of the fleet over all of its connections.
 
     ``class_index`` is an index into the fleet's classes. ``lifetime_s`` is the time for which it still wants
-    to be connected. ``waiting_since_s`` is when it first asked for the connection that it is waiting for, and
-    0 while it is connected or has not asked yet.
+    to be connected. ``waiting_since_s`` is when it first requested the connection that it is waiting for;
+    None while it is connected or has not requested one yet.
     """
 
     key: str
@@ -26,7 +27,14 @@
     lifetime_s: float
     migrations: int = 0
     attempts: int = 0
-    waiting_since_s: float = 0.0
+    waiting_since_s: float | None = None
+
+
+class _GroupAndTenant(NamedTuple):
+    """The group of a client, empty for one without a group, and its tenant."""
+
+    group: str
+    tenant: str
 
 
 class ClientSampler:
@@ -78,13 +86,13 @@
         lifetime_s = float(self._rng.exponential(self._spec.mean_lifetime_s * lifetime_factor))
         return Client(key, class_index, tenant, group, self.uniform(*class_spec.load), lifetime_s)
 
-    def _group_and_tenant(self, class_spec: ClassSpec) -> tuple[str, str]:
+    def _group_and_tenant(self, class_spec: ClassSpec) -> _GroupAndTenant:
         if not class_spec.grouped:
-            return "", self._tenant()
+            return _GroupAndTenant("", self._tenant())
         if not self._group_places_left:
             self._start_group()
         self._group_places_left -= 1
-        return self._group, self._group_tenant
+        return _GroupAndTenant(self._group, self._group_tenant)
 
     def _start_group(self) -> None:
         smallest, largest = self._spec.group_size
--- a/sageturn/lab/model/simulated_clients.py
+++ b/sageturn/lab/model/simulated_clients.py
@@ -65,7 +65,7 @@
     def request_connection(self, client: Client) -> None:
         """Posts a client's request for a connection."""
         self._last_request_id += 1
-        if not client.waiting_since_s:
+        if client.waiting_since_s is None:
             client.waiting_since_s = self.now_s
         class_spec = self._spec.classes[client.class_index]
         self._pending[self._last_request_id] = PendingRequest(client)
@@ -134,9 +134,10 @@
         client = self._pending.pop(request_id).client
         setup_ms = outcome.sample.duration_ms
         self._post_event(decision.ConnectionEstablished(request_id, attempt, host, setup_ms))
+        assert client.waiting_since_s is not None
         waited_ms = (self.now_s - client.waiting_since_s) * 1000.0
         self.result.setups.append((client.class_index, waited_ms))
-        client.waiting_since_s = 0.0
+        client.waiting_since_s = None
         client.attempts = 0
         self._establish(request_id, client, host, attempt)
 
--- a/sageturn/lab/overriding.py
+++ b/sageturn/lab/overriding.py
@@ -8,6 +8,7 @@
 from __future__ import annotations
 
 import argparse
+from enum import StrEnum
 
 import uvloop
 
@@ -16,26 +17,36 @@
 from sageturn.lab.measurements.override_resolution import measure_resolution
 from sageturn.lab.reports.result_table import Row, print_table
 
-MEASUREMENTS = ("obeying", "resolution", "cost")
 DEFAULT_ROUNDS = 40
 
 
-def _measure(name: str, rounds: int) -> Row:
-    if name == "obeying":
-        return uvloop.run(measure_propagation(rounds))
-    if name == "resolution":
-        return measure_resolution()
-    return measure_cost()
+class Measurement(StrEnum):
+    """The measurements, by the names of the command line."""
+
+    PROPAGATION = "obeying"
+    RESOLUTION = "resolution"
+    COST = "cost"
+
+
+def _measure(measurement: Measurement, rounds: int) -> Row:
+    match measurement:
+        case Measurement.PROPAGATION:
+            return uvloop.run(measure_propagation(rounds))
+        case Measurement.RESOLUTION:
+            return measure_resolution()
+        case Measurement.COST:
+            return measure_cost()
 
 
 def main() -> None:
     """Runs one of the measurements, and prints its figures."""
     parser = argparse.ArgumentParser(prog="sageturn.lab.overriding", description=__doc__)
-    parser.add_argument("what", choices=MEASUREMENTS)
+    names = [measurement.value for measurement in Measurement]
+    parser.add_argument("what", choices=names)
     parser.add_argument("--rounds", type=int, default=DEFAULT_ROUNDS)
     parser.add_argument("--json", action="store_true")
     options = parser.parse_args()
-    row = _measure(options.what, options.rounds)
+    row = _measure(Measurement(options.what), options.rounds)
     print_table(f"overrides: {options.what}", {"": row}, options.json)
 
 
--- a/sageturn/lab/readiness.py
+++ b/sageturn/lab/readiness.py
@@ -16,29 +16,42 @@
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager, suppress
 from dataclasses import dataclass
+from enum import StrEnum
 from functools import partial
 from itertools import product
 from pathlib import Path
-from typing import Any
 
+from sageturn.decision import DiscoveryMode
 from sageturn.lab.loopback.ports import reserve_port
 from sageturn.lab.loopback.relay_processes import READY_TIMEOUT_S
+from sageturn.net.json_stream import JsonObject
 
-BOUND_S = 10.0  # nine restarts in ten are to be ready by then
-OPEN_CONNECTIONS = 20  # at the relay when it is stopped
-SLOW_ANSWER_S = 2.5  # discovery fails a call itself after 3 s
+BOUND_S = 10.0  # in which nine restarts of ten have to be ready
+OPEN_CONNECTIONS = 20  # of the relay at its stop
+SLOW_ANSWER_S = 2.5
 RETRY_INTERVAL_S = 0.005
 BACKLOG_CONNECTIONS = 4  # enough to fill a backlog of 0
 UNUSED_ADDRESS = "127.0.0.1:9"
 ENTRIES = [{"id": "a", "addr": UNUSED_ADDRESS, "state": "ready"}]
-SETTINGS: dict[str, Any] = {
+SETTINGS: JsonObject = {
     "accounts": [{"name": "t", "fraction": 1.0, "allowancePerS": 50.0}],
     "classes": [{"name": "c", "aimMs": 1500.0, "hardLimitMs": 3000.0, "semantics": "safe"}],
     "groupSize": 1,
     "guarantees": {"fallMs": 3000.0, "fallMultiple": 4.0, "startCapacity": 0.2, "warmWithinMs": 9000.0},
     "policyLimits": {"sendCap": 3, "connectTimeoutMs": 400.0},
 }
-STATES = ("up", "slow", "refusing", "cut off")
+
+
+class DiscoveryState(StrEnum):
+    """The state of discovery while a relay starts."""
+
+    UP = "up"
+    SLOW = "slow"
+    REFUSING = "refusing"
+    CUT_OFF = "cut off"
+
+
+ANSWERING_STATES = (DiscoveryState.UP, DiscoveryState.SLOW)
 SIGNALS = (signal.SIGTERM, signal.SIGKILL)
 
 
@@ -46,13 +59,12 @@
 class Case:
     """A way in which a relay is restarted.
 
-    ``state`` is discovery's, one of ``STATES``; ``lists`` is "push" or "ask"; ``known`` is whether the
-    relay's configuration has the last endpoint list.
+    ``known`` is whether the relay's configuration has the last endpoint list.
     """
 
-    state: str
+    state: DiscoveryState
     signal: signal.Signals
-    lists: str
+    lists: DiscoveryMode
     known: bool
 
     def __str__(self) -> str:
@@ -62,21 +74,22 @@
 
 def cases() -> list[Case]:
     """Returns all cases; a relay that knows no list needs discovery to answer before it can be ready."""
-    combinations = product(STATES, SIGNALS, ("push", "ask"))
+    combinations = product(DiscoveryState, SIGNALS, DiscoveryMode)
     with_list = [Case(state, stop_signal, lists, known=True) for state, stop_signal, lists in combinations]
-    return with_list + [Case(state, signal.SIGKILL, "ask", known=False) for state in ("up", "slow")]
+    without_list = [Case(state, signal.SIGKILL, DiscoveryMode.ASK, known=False) for state in ANSWERING_STATES]
+    return with_list + without_list
 
 
 @asynccontextmanager
-async def discovery(state: str) -> AsyncIterator[tuple[str, int]]:
+async def discovery(state: DiscoveryState) -> AsyncIterator[tuple[str, int]]:
     """Runs a discovery service in a state. Yields its address; its list names one host."""
     reserved, port = reserve_port()
     unanswered: list[socket.socket] = []
     server: asyncio.Server | None = None
     try:
-        if state in ("up", "slow"):
+        if state in ANSWERING_STATES:
             server = await asyncio.start_server(partial(_answer, state), sock=reserved)
-        elif state == "cut off":
+        elif state is DiscoveryState.CUT_OFF:
             reserved.listen(0)
             unanswered += _fill_backlog(port)
         yield ("127.0.0.1", port)
@@ -87,11 +100,11 @@
             each.close()
 
 
-async def _answer(state: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+async def _answer(state: DiscoveryState, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
     body = json.dumps({"version": 2, "full": True, "servers": ENTRIES})
     with suppress(OSError, asyncio.IncompleteReadError):
         await reader.readuntil(b"\r\n\r\n")
-        await asyncio.sleep(SLOW_ANSWER_S if state == "slow" else 0.0)
+        await asyncio.sleep(SLOW_ANSWER_S if state is DiscoveryState.SLOW else 0.0)
         head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
         writer.write(f"{head}{len(body) + 1:x}\r\n{body}\n\r\n".encode())
         await reader.read()
@@ -113,7 +126,7 @@
     folder: Path, case: Case, listen: tuple[str, int], discovery_address: tuple[str, int]
 ) -> Path:
     """Writes the configuration of the relay, and returns its file."""
-    config: dict[str, Any] = {
+    config: JsonObject = {
         "name": "r0",
         "listen": "{}:{}".format(*listen),
         "discovery": "{}:{}".format(*discovery_address),
@@ -128,7 +141,7 @@
 
 
 async def first_pong(address: tuple[str, int]) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-    """Sends PING on new connections until one is answered, as the platform does, and returns that one."""
+    """Sends PING on new connections, as the platform does. Returns the first connection that answers."""
     while True:
         with suppress(OSError):
             reader, writer = await asyncio.open_connection(*address)
@@ -153,7 +166,7 @@
 
 async def measure(case: Case, starts: int, bound_s: float = BOUND_S) -> list[float]:
     """Returns the seconds from each restart to the first PONG; ``bound_s`` where none had come by then."""
-    reserved, port = reserve_port()  # nobody else is given it while the relay is down
+    reserved, port = reserve_port()
     address = ("127.0.0.1", port)
     with tempfile.TemporaryDirectory(prefix="sageturn-lab-") as folder:
         async with discovery(case.state) as discovery_address:
--- a/sageturn/lab/rebalancing.py
+++ b/sageturn/lab/rebalancing.py
@@ -81,8 +81,9 @@
     connections: int
 
 
+SMALL = "small"
 FLEET_SIZES = {
-    "small": FleetSize(12, 4, 2000),
+    SMALL: FleetSize(12, 4, 2000),
     "100": FleetSize(100, 20, 100_000),
     "300": FleetSize(300, 60, 300_000),
     "1000": FleetSize(1000, 200, 1_000_000),
@@ -91,10 +92,10 @@
 
 def spec_of_size(name: str, seed: int) -> FleetSpec:
     """Returns the fleet of a size in ``FLEET_SIZES``; from 100 endpoints on a quarter of them joins later."""
-    if name == "small":
+    if name == SMALL:
         return FleetSpec(seed=seed)
     size = FLEET_SIZES[name]
-    # With as many connections their usual churn alone would take the machine's cores: they last longer.
+    # At the default lifetime, the arrivals of so many connections would take all of the machine's cores.
     return FleetSpec(
         relays=size.relays,
         hosts=size.endpoints,
--- a/sageturn/lab/runner/environment.py
+++ b/sageturn/lab/runner/environment.py
@@ -173,7 +173,7 @@
         zone = self.spec.zone(relay)
         for wanted_s, client in step_result.reconnects:
             due_s = max(wanted_s, until_s)
-            if not client.waiting_since_s:
+            if client.waiting_since_s is None:
                 client.waiting_since_s = due_s
             next_relay = self._frontend.choose_relay(zone, self._sampler)
             self._reconnects.setdefault(next_relay, []).append((due_s, client))
--- a/sageturn/lab/scale/arrivals.py
+++ b/sageturn/lab/scale/arrivals.py
@@ -71,12 +71,12 @@
     found = PropagationTimes([], [])
     for change in changes:
         until_s = change.put_s + MAX_PROPAGATION_S
-        up = [name for name in fleet.names if not outages.was_down_during(name, change.put_s, until_s)]
-        durations = {name: arrivals[name].get(change.key, NEVER_S) - change.put_s for name in up}
+        running = [name for name in fleet.names if not outages.was_down_during(name, change.put_s, until_s)]
+        durations = {name: arrivals[name].get(change.key, NEVER_S) - change.put_s for name in running}
         region = fleet.region_of(change.member)
-        near = (duration for name, duration in durations.items() if fleet.region_of(name) == region)
+        in_region = (duration for name, duration in durations.items() if fleet.region_of(name) == region)
         found.everywhere.append(max(durations.values(), default=0.0))
-        found.in_own_region.append(max(near, default=0.0))
+        found.in_own_region.append(max(in_region, default=0.0))
     return found
 
 
--- a/sageturn/lab/scale/child_protocol.py
+++ b/sageturn/lab/scale/child_protocol.py
@@ -79,8 +79,8 @@
     store_hash: str = field(name="hash")
     record_count: int = field(name="records")
     running: bool
-    link_count: int = field(name="links")
-    listed_s: float  # when the last endpoint list arrived
+    link_count: int | None = field(name="links")  # None where the replication does not count its links
+    listed_s: float | None  # when the last endpoint list arrived
     list_count: int = field(name="lists")
     failed_list_count: int = field(name="lists_failed")
 
--- a/sageturn/lab/scale/member_group.py
+++ b/sageturn/lab/scale/member_group.py
@@ -139,9 +139,10 @@
         began_s = time.monotonic()
         while True:
             members = await self.member_statuses()
-            missing = sum(not member.list_count for member in members)
+            listed_s = [member.listed_s for member in members if member.listed_s is not None]
+            missing = len(members) - len(listed_s)
             if not missing:
-                return summarize_durations([member.listed_s - since_s for member in members])
+                return summarize_durations([moment_s - since_s for moment_s in listed_s])
             if time.monotonic() - began_s > timeout_s:
                 raise ReadinessTimeoutError(
                     f"{missing} of {len(members)} members have no list after {timeout_s:g} s"
@@ -171,7 +172,7 @@
 
 def count_links(statuses: Sequence[ProcessStatus]) -> float:
     """Returns half the number of link ends; a member that does not count its links adds none."""
-    ends = sum(max(0, member.link_count) for status in statuses for member in status.members.values())
+    ends = sum(member.link_count or 0 for status in statuses for member in status.members.values())
     return ends / 2
 
 
--- a/sageturn/lab/scale/members.py
+++ b/sageturn/lab/scale/members.py
@@ -178,7 +178,7 @@
     """Counts a member's endpoint lists and failed watches, and passes each event on."""
 
     def __init__(self) -> None:
-        self.listed_s = 0.0  # when the last list arrived, on the monotonic clock
+        self.listed_s: float | None = None  # when the last list arrived, on the monotonic clock
         self.list_count = 0
         self.failure_count = 0
 
@@ -213,7 +213,7 @@
             store_hash(self.store),
             len(self.store.digest()),
             self.running,
-            getattr(self.replication, "link_count", -1),
+            getattr(self.replication, "link_count", None),
             self.watch_monitor.listed_s,
             self.watch_monitor.list_count,
             self.watch_monitor.failure_count,
--- a/sageturn/lab/scale/phases.py
+++ b/sageturn/lab/scale/phases.py
@@ -135,8 +135,8 @@
             key = f"{CHANGE_KEY_PREFIX}{self._change_count:05d}"
             self._change_count += 1
             now_s = time.monotonic()
-            up = [name for name in self._fleet.names if not outages.is_down(name, now_s)]
-            member = up[self._rng.randrange(len(up))]
+            running = [name for name in self._fleet.names if not outages.is_down(name, now_s)]
+            member = running[self._rng.randrange(len(running))]
             put_s = await self.members.put(member, key, {"n": self._change_count})
             changes.append(Change(key, member, put_s))
         return changes
@@ -147,7 +147,12 @@
             return None
         members = await self.members.member_statuses()
         return summarize_durations(
-            [member.listed_s - since_s if member.listed_s > since_s else NEVER_S for member in members]
+            [
+                member.listed_s - since_s
+                if member.listed_s is not None and member.listed_s > since_s
+                else NEVER_S
+                for member in members
+            ]
         )
 
     async def _summarize_arrivals(
--- a/tests/relay/test_readiness.py
+++ b/tests/relay/test_readiness.py
@@ -7,20 +7,21 @@
 
 import pytest
 
-from sageturn.lab.readiness import BOUND_S, STATES, Case, first_pong, measure
+from sageturn.decision import DiscoveryMode
+from sageturn.lab.readiness import BOUND_S, Case, DiscoveryState, first_pong, measure
 
 STARTS = 2
 
 
 @pytest.mark.timeout(60)
-@pytest.mark.parametrize("state", STATES)
+@pytest.mark.parametrize("state", list(DiscoveryState))
 @pytest.mark.parametrize(
     "end_signal", [signal.SIGTERM, signal.SIGKILL], ids=lambda end_signal: end_signal.name
 )
 async def test_restarted_relay_with_a_known_list_is_ready_in_time_in_any_state_of_discovery(
-    state: str, end_signal: signal.Signals
+    state: DiscoveryState, end_signal: signal.Signals
 ) -> None:
-    took_s = await measure(Case(state, end_signal, "ask", True), STARTS)
+    took_s = await measure(Case(state, end_signal, DiscoveryMode.ASK, True), STARTS)
     assert len(took_s) == STARTS and max(took_s) < BOUND_S
 
 
@@ -31,4 +32,5 @@
     await asyncio.sleep(0.05)
     assert not waiting.done()
     waiting.cancel()
-    assert await measure(Case("up", signal.SIGKILL, "ask", True), 1, bound_s=0.001) == [0.001]
+    case = Case(DiscoveryState.UP, signal.SIGKILL, DiscoveryMode.ASK, True)
+    assert await measure(case, 1, bound_s=0.001) == [0.001]
