--- a/sageturn/lab/rebalancing.py
+++ b/sageturn/lab/rebalancing.py
@@ -81,8 +81,9 @@
     connections: int
 
 
+SMALL = "small"
 FLEET_SIZES = {
-    "small": FleetSize(12, 4, 2000),
+    SMALL: FleetSize(12, 4, 2000),
     "100": FleetSize(100, 20, 100_000),
     "300": FleetSize(300, 60, 300_000),
     "1000": FleetSize(1000, 200, 1_000_000),
@@ -90,11 +91,11 @@
 
 
 def spec_of_size(name: str, seed: int) -> FleetSpec:
-    """The deployment of a size in ``FLEET_SIZES``; from 100 endpoints on a quarter joins later."""
-    if name == "small":
+    """Returns the fleet of a size in ``FLEET_SIZES``; from 100 endpoints on a quarter of them joins later."""
+    if name == SMALL:
         return FleetSpec(seed=seed)
     size = FLEET_SIZES[name]
-    # With as many connections their usual churn alone would take the machine's cores: they last longer.
+    # At the default lifetime, the arrivals of so many connections would take all of the machine's cores.
     return FleetSpec(
         relays=size.relays,
         hosts=size.endpoints,
@@ -135,14 +136,14 @@
 
 
 def measure_cost(options: argparse.Namespace) -> None:
-    """Measure the planner's CPU time and memory."""
+    """Measures the planner's CPU time and memory."""
     cost = PlannerCost(options.connections)
     cost.run()
     print_table("cost of the driver in one relay", {"on": cost.row()}, options.json)
 
 
 def main() -> None:
-    """The command line."""
+    """Parses the command line, and runs a command."""
     common = argparse.ArgumentParser(add_help=False)
     common.add_argument("--json", action="store_true", help="one line of JSON a table")
     common.add_argument("--quiet", action="store_true", help="no progress")
