--- a/sageturn/decision/admission.py
+++ b/sageturn/decision/admission.py
@@ -12,11 +12,11 @@
 
 CURVE_STEPS = 64  # entries of the throttling curve's table
 MAX_REFILL_SHARES = 4.0  # refill at depth 0 of the falling curve, in fair shares of the tenants' allowances
-BURST_S = 2.0  # of a fair share, that a bucket holds
-MIN_BURST_TOKENS = 2.0  # that a bucket holds at least, so that a client can open two connections at once
-TENANT_QUOTA_RATIO = 1.2  # of its quota's part of one relay, that a tenant may hold before it is throttled
-QUOTA_RETRY_AFTER_MS = 1000.0  # where no endpoint has room by the quotas
-DEFAULT_BUCKET = ""  # of the tenants that the settings do not name
+BURST_S = 2.0  # a bucket holds a tenant's fair share of this time
+MIN_BURST_TOKENS = 2.0  # smallest size of a bucket, so that a client can open two connections at once
+TENANT_QUOTA_RATIO = 1.2  # a tenant's connections over its quota at one relay; above it, it is throttled
+QUOTA_RETRY_AFTER_MS = 1000.0  # while the relay holds its quota of connections
+DEFAULT_BUCKET = ""  # shared by the tenants that the settings do not name
 
 
 class AdmissionControl:
@@ -30,33 +30,33 @@
         allowance_per_s = settings.total_allowance_per_s()
         # One tenant's equal part of all allowances, at one relay.
         fair_per_ms = allowance_per_s / max(1, len(tenants)) / relay_count / 1000.0
-        self._refill_per_ms = [float("inf")] * (CURVE_STEPS + 1)  # by depth
+        self._refill_per_ms = [float("inf")] * (CURVE_STEPS + 1)  # by depth, in steps of 1 / CURVE_STEPS
         for step in range(CURVE_STEPS + 1):
             depth = step / CURVE_STEPS
             if depth >= SCARCE_DEPTH:
-                fall = (1.0 - depth) / (1.0 - SCARCE_DEPTH)
-                self._refill_per_ms[step] = fair_per_ms * MAX_REFILL_SHARES * fall
+                room_ratio = (1.0 - depth) / (1.0 - SCARCE_DEPTH)
+                self._refill_per_ms[step] = fair_per_ms * MAX_REFILL_SHARES * room_ratio
         self._burst = max(MIN_BURST_TOKENS, fair_per_ms * 1000.0 * BURST_S)
         self.buckets = {tenant.name: TokenBucket(self._burst) for tenant in tenants}
         self.buckets.setdefault(DEFAULT_BUCKET, TokenBucket(self._burst))
         self._max_connections = {
             tenant.name: tenant.quota_connections * TENANT_QUOTA_RATIO / relay_count for tenant in tenants
         }
-        settle_ms = min(request_class.latency_objective_ms for request_class in settings.classes)
-        self.setup_window = quotas.SetupWindow(allowance_per_s, relay_count, settle_ms, rng)
+        setup_objective_ms = min(request_class.latency_objective_ms for request_class in settings.classes)
+        self.setup_window = quotas.SetupWindow(allowance_per_s, relay_count, setup_objective_ms, rng)
 
     def take_token(self, now_ms: float, tenant: str) -> float:
         """Take a token of the tenant. Returns 0 if there was one, else the time in ms until there is one."""
-        rate = self._refill_per_ms[int(self._fleet.depth() * CURVE_STEPS)]
+        refill_per_ms = self._refill_per_ms[int(self._fleet.depth() * CURVE_STEPS)]
         bucket = self.buckets.get(tenant) or self.buckets[DEFAULT_BUCKET]
-        bucket.refill(now_ms, rate, self._burst)
+        bucket.refill(now_ms, refill_per_ms, self._burst)
         # Tokens count set-ups, but connections that a flooding tenant already holds load the endpoints.
         max_connections = self._max_connections.get(tenant, 0.0)
-        if rate != float("inf") and 0 < max_connections < self._fleet.tenant_counts[tenant]:
+        if refill_per_ms != float("inf") and 0 < max_connections < self._fleet.tenant_counts[tenant]:
             bucket.tokens = 0.0
         if bucket.try_take():
             return 0.0
-        return bucket.wait_ms(rate) if rate > 0 else self._max_retry_after_ms
+        return bucket.wait_ms(refill_per_ms) if refill_per_ms > 0 else self._max_retry_after_ms
 
     def setup_wait_ms(self, now_ms: float) -> float:
         """Return 0 if another set-up may start, else the time after which to retry."""
--- a/sageturn/decision/balancer.py
+++ b/sageturn/decision/balancer.py
@@ -122,11 +122,12 @@
         self._actions.append(actions.PlaceRequest(request.id, endpoint.name, timeout_ms))
 
     def _attempt_timeout_ms(self, now_ms: float, request: RequestState) -> float:
-        left_ms = request.deadline_ms - now_ms
-        timeout_ms = max(left_ms * FIRST_TIMEOUT_RATIO, self.settings.connect_timeout_ms)
+        """Return the next attempt's timeout: all the time left if no retry could follow it in time."""
+        remaining_ms = request.deadline_ms - now_ms
+        timeout_ms = max(remaining_ms * FIRST_TIMEOUT_RATIO, self.settings.connect_timeout_ms)
         is_unsafe = request.request_class.effect == Effect.UNSAFE
         is_last = is_unsafe or request.attempts + 1 >= self.settings.max_attempts
-        return left_ms if is_last or now_ms + timeout_ms >= request.objective_deadline_ms else timeout_ms
+        return remaining_ms if is_last or now_ms + timeout_ms >= request.objective_deadline_ms else timeout_ms
 
     def _end(self, request: RequestState, retry_after_ms: float, cause: RejectCause) -> None:
         """Answer the request finally: rejected if a retry is harmless by its class, else failed."""
--- a/sageturn/decision/discovery_backoff.py
+++ b/sageturn/decision/discovery_backoff.py
@@ -34,6 +34,7 @@
 MIN_DELAY_LIMIT_MS = 1050.0  # lower bound of the longest delay after a failed call, for small fleets
 MAX_PUSHED_DELAY_MS = 150.0  # where lists are pushed: no other relay shares the local agent
 MIN_JITTER_RATIO = 1.0 / 3.0  # of the longest delay; delays are uniform between this part and the whole
+LONGEST_TO_MEAN_DELAY = 1.5  # of delays that are uniform between a third of the longest and the longest
 
 # Discovery handles one call after another; a relay cannot tell the cost of a call.
 FAST_CALL_MS = 21.0
@@ -41,7 +42,7 @@
 SLOW_CALL_MS = 130.0
 MAX_QUEUE_MS = 3000.0  # calls in a longer queue fail
 MIN_QUEUED_MS = 1000.0  # a call that fails sooner was not queued: discovery was down, or rejected it
-MAX_OVERLOAD_FACTOR = 2.0  # last mean delay over the time that slow calls of all relays take beyond the queue
+MAX_OVERLOAD_FACTOR = 2.0  # largest mean delay over the time that all relays' slow calls exceed the queue by
 MAX_OVERLOAD_COUNT = 20  # bounds the exponent
 
 # Discovery that is down may keep calls waiting as an overloaded one does. It is assumed to be down after an
@@ -86,12 +87,12 @@
             self._max_overloaded_delay_ms = self._max_delay_ms
         else:
             self._max_delay_ms = max(MIN_DELAY_LIMIT_MS, min(2.0 * self._first_call_spread_ms, max_delay_ms))
-            self._overloaded_base_ms = max(self._max_delay_ms, 1.5 * typical_excess_ms)
+            self._overloaded_base_ms = max(self._max_delay_ms, LONGEST_TO_MEAN_DELAY * typical_excess_ms)
             self._max_overloaded_delay_ms = max(
-                self._overloaded_base_ms, 1.5 * MAX_OVERLOAD_FACTOR * slow_excess_ms
+                self._overloaded_base_ms, LONGEST_TO_MEAN_DELAY * MAX_OVERLOAD_FACTOR * slow_excess_ms
             )
         self._overload_count = 0  # consecutive overloaded calls, less the other failures since
-        self._fleet_fits = relay_count * FAST_CALL_MS <= MAX_FLEET_CALLS_MS
+        self._fleet_fits_queue = relay_count * FAST_CALL_MS <= MAX_FLEET_CALLS_MS
         self._assumed_down_until_ms = float("-inf")
         self._watch_lost_at_ms = float("-inf")
 
@@ -116,11 +117,12 @@
             ends_repeatedly = now_ms < self._watch_lost_at_ms + self._max_poll_interval_ms
             self._watch_lost_at_ms = now_ms
             if not ends_repeatedly:
-                self._assumed_down_until_ms = now_ms + ASSUMED_DOWN_MS if self._fleet_fits else now_ms
+                self._assumed_down_until_ms = now_ms + ASSUMED_DOWN_MS if self._fleet_fits_queue else now_ms
                 return min(self._first_call_spread_ms, limit_ms) * self._rng.random()
         elif failure is DiscoveryFailure.OVERLOADED:
             limit_ms = self._record_overload(now_ms, limit_ms)
-        else:  # a queue has had time to shrink since, and discovery is down without keeping calls waiting
+        else:
+            # A queue has had time to shrink, and discovery does not keep calls waiting while it is down.
             self._overload_count = max(self._overload_count - 1, 0)
             self._assumed_down_until_ms = now_ms
         return limit_ms * (MIN_JITTER_RATIO + (1.0 - MIN_JITTER_RATIO) * self._rng.random())
--- a/sageturn/decision/endpoint_pool.py
+++ b/sageturn/decision/endpoint_pool.py
@@ -32,7 +32,7 @@
         """
         best: EndpointState | None = None
         best_score = 0.0
-        missing = CHOICES
+        choices_left = CHOICES
         for draw in range(min(len(pool), MAX_DRAWS)):
             endpoint = pool[int(self._rng.random() * len(pool))] if len(pool) > CHOICES else pool[draw]
             if endpoint is best or not self._eligibility.is_eligible(request, endpoint):
@@ -44,8 +44,8 @@
             if best is None or score < best_score or is_tie_won:
                 best = endpoint
                 best_score = score
-            missing -= 1
-            if not missing:
+            choices_left -= 1
+            if not choices_left:
                 break
         return best
 
--- a/sageturn/decision/endpoint_score.py
+++ b/sageturn/decision/endpoint_score.py
@@ -9,10 +9,10 @@
 from sageturn.decision.state import EndpointState
 
 DEPRIORITIZED_FACTOR = 2.0  # by which a deprioritized endpoint counts as heavier
-NOTABLE_SETUP_LAG = 0.4  # logarithm; an endpoint whose set-ups lag more counts as heavier
-SLOW_SETUP_LAG = 0.8  # logarithm; an endpoint whose set-ups lag more counts as crowded
+HEAVIER_SETUP_LOG_RATIO = 0.4  # an endpoint above it counts as heavier
+CROWDED_SETUP_LOG_RATIO = 0.8  # an endpoint above it counts as crowded
 CROWDED_RATIO = 1.25  # times its share of our connections, beyond which an endpoint is crowded
-CROWDED_SLACK = 2.0  # connections beyond that ratio that do not make an endpoint crowded
+CROWDED_SLACK_CONNECTIONS = 2.0  # beyond that ratio, without making an endpoint crowded
 
 
 class EndpointScore:
@@ -36,9 +36,9 @@
             open_count = max(open_count, other_count / (len(fleet.ready) - 1))
         if fleet.now_ms < endpoint.load.deprioritized_until_ms:
             open_count = (open_count + 1.0) * DEPRIORITIZED_FACTOR
-        setup_lag = self._setup_times.lag(endpoint)
-        if setup_lag > NOTABLE_SETUP_LAG:
-            open_count = (open_count + 1.0) * exp(setup_lag)
+        setup_log_ratio = self._setup_times.log_ratio(endpoint)
+        if setup_log_ratio > HEAVIER_SETUP_LOG_RATIO:
+            open_count = (open_count + 1.0) * exp(setup_log_ratio)
         return (open_count + 1.0) / endpoint.weights.effective
 
     def is_crowded(self, endpoint: EndpointState, ratio: float = CROWDED_RATIO) -> bool:
@@ -51,11 +51,11 @@
         fleet = self._fleet
         if fleet.now_ms < endpoint.load.deprioritized_until_ms:
             return True
-        if self._setup_times.lag(endpoint) > SLOW_SETUP_LAG:
+        if self._setup_times.log_ratio(endpoint) > CROWDED_SETUP_LOG_RATIO:
             return True
-        bound = ratio * endpoint.weights.connection_share * fleet.open_count + CROWDED_SLACK
+        bound = ratio * endpoint.weights.connection_share * fleet.open_count + CROWDED_SLACK_CONNECTIONS
         return endpoint.connections.open_count > bound
 
     def has_room(self, endpoint: EndpointState) -> bool:
-        """Whether it is neither full nor crowded."""
+        """Whether the endpoint is neither full nor crowded."""
         return not endpoint.is_full() and not self.is_crowded(endpoint)
--- a/sageturn/decision/endpoint_table.py
+++ b/sageturn/decision/endpoint_table.py
@@ -105,7 +105,7 @@
                 self.rankings.pop(request.group, None)
 
     def add(self, line: events.Endpoint) -> EndpointState:
-        """Add an endpoint, of which nothing that it can hold is rounded up."""
+        """Add a listed endpoint, with a rounding offset of 0. Returns its state."""
         endpoint = EndpointState(
             line.name,
             crc32(line.name.encode()),
@@ -191,9 +191,9 @@
     def _remove_gone(self) -> None:
         """Remove the endpoints that are gone and hold no connection."""
         gone_status = EndpointStatus.GONE
-        endpoints = self.endpoints.values()
-        for endpoint in [e for e in endpoints if e.state == gone_status and not e.connections.open_count]:
-            del self.endpoints[endpoint.name]
-            endpoint.ready = False
-            self.update_totals(endpoint)
-            self.shedding.pop(endpoint.name, None)
+        for name, endpoint in list(self.endpoints.items()):
+            if endpoint.state == gone_status and not endpoint.connections.open_count:
+                del self.endpoints[name]
+                endpoint.ready = False
+                self.update_totals(endpoint)
+                self.shedding.pop(name, None)
--- a/sageturn/decision/endpoint_watch.py
+++ b/sageturn/decision/endpoint_watch.py
@@ -1,6 +1,6 @@
 """The balancer's calls to discovery for the endpoint list, and the retries after a failure.
 
-``discovery_backoff`` computes the delays; this module keeps which call is out or due.
+``discovery_backoff`` computes the delays; this module tracks the call in flight and when the next one is due.
 """
 
 from __future__ import annotations
@@ -21,10 +21,10 @@
 
     def __init__(self, settings: Settings, rng: Random) -> None:
         is_pushed = settings.discovery == DiscoveryMode.PUSH
-        self._must_call = settings.discovery == DiscoveryMode.ASK
+        self._calls_discovery = settings.discovery == DiscoveryMode.ASK
         self._backoff = DiscoveryBackoff(settings.relay_count, settings.max_poll_interval_ms, rng, is_pushed)
         self._is_watching: bool | None = None  # None before the first call
-        self._due_ms: float | None = None  # the next call; earlier timers are obsolete
+        self._next_call_ms: float | None = None  # earlier timers are obsolete
 
     def on_list(self, now_ms: float, event: events.EndpointListEvent) -> list[actions.Action]:
         """Handle a list, or the failure of the call for it or of the watch."""
@@ -35,26 +35,28 @@
             self._is_watching = True
             self._backoff.on_success()
             return []
-        return self._schedule(now_ms, self._backoff.first_call_delay_ms()) if self._must_call else []
+        return self._schedule(now_ms, self._backoff.first_call_delay_ms()) if self._calls_discovery else []
 
     def _schedule(self, now_ms: float, delay_ms: float) -> list[actions.Action]:
         """Set a timer for a call. Of several that are pending the one that fires first makes it."""
-        due_ms = now_ms + delay_ms
-        if self._due_ms is None or due_ms < self._due_ms:
-            self._due_ms = due_ms
+        call_ms = now_ms + delay_ms
+        if self._next_call_ms is None or call_ms < self._next_call_ms:
+            self._next_call_ms = call_ms
         return [actions.SetTimer(delay_ms, TIMER_TAG)]
 
     def on_connect_failed(self, now_ms: float) -> list[actions.Action]:
         """Handle a failed connect: the list of the start is out of date, so the first call comes sooner."""
-        if self._is_watching is not None or not self._must_call:
+        if self._is_watching is not None or not self._calls_discovery:
             return []
         self._is_watching = False
         return self._schedule(now_ms, self._backoff.first_call_delay_ms(stale=True))
 
     def on_timer(self, now_ms: float) -> list[actions.Action]:
-        """Make the call that is due, unless one is out or the timer was set for an earlier call."""
-        if self._is_watching or (self._due_ms is not None and now_ms < self._due_ms - TIMER_SLACK_MS):
+        """Make the call that is due, unless one is in flight or the timer was set for an earlier call."""
+        if self._is_watching or (
+            self._next_call_ms is not None and now_ms < self._next_call_ms - TIMER_SLACK_MS
+        ):
             return []
-        self._due_ms = None
+        self._next_call_ms = None
         self._is_watching = True  # until this call is reported to have failed
         return [actions.WatchEndpoints()]
--- a/sageturn/decision/events.py
+++ b/sageturn/decision/events.py
@@ -148,7 +148,7 @@
 
 @dataclass(slots=True)
 class HealthCheckCompleted:
-    """A health check ended that an action ``CheckHealth`` asked for."""
+    """A health check that an action ``CheckHealth`` asked for has ended."""
 
     endpoint: str
     status: str  # an ``AttemptStatus`` or its value: ok, refused, or any other one if no answer came
@@ -164,7 +164,7 @@
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer is due that an action ``SetTimer`` with this tag has set."""
+    """A timer that an action ``SetTimer`` set with this tag is due."""
 
     tag: str
 
--- a/sageturn/decision/health_checks.py
+++ b/sageturn/decision/health_checks.py
@@ -13,7 +13,7 @@
 from sageturn.decision.jitter import jitter
 from sageturn.decision.settings import ReportSource, Settings
 
-SPEND_RATIO = 0.02  # part of each request's worth that may be spent on health checks
+SPEND_RATIO = 0.02  # part of each request's value that may be spent on health checks
 CHECK_INTERVAL_MS = 1000.0  # between two checks of one endpoint, which makes a new report about this often
 MIN_FLEET_INTERVAL_MS = 100.0  # between two checks of one endpoint by all relays together
 SCHEDULING_INTERVAL_MS = 250.0  # at which endpoints that are due are looked for
@@ -54,8 +54,8 @@
         self._rng = rng
         self._credit = 0.0  # checks that requests have paid for
         self._max_endpoint_count = 0  # largest number listed so far
-        self._due_ms: dict[str, float] = {}  # next check, by endpoint
-        self._next_relief_ms: dict[str, float] = {}  # next migrations off it, by endpoint
+        self._next_check_ms: dict[str, float] = {}  # by endpoint
+        self._next_relief_ms: dict[str, float] = {}  # earliest next migrations, by endpoint
         self._last_report_ms = -REPORT_TTL_MS
 
     def on_start(self) -> list[actions.Action]:
@@ -71,7 +71,7 @@
             now_ms: The time of the timer.
             endpoints: All that are listed ready, ejected or not.
         """
-        checks = [actions.CheckHealth(name) for name in self.take_due(now_ms, endpoints)]
+        checks = [actions.CheckHealth(name) for name in self.take_due_endpoints(now_ms, endpoints)]
         return [*checks, actions.SetTimer(SCHEDULING_INTERVAL_MS, TIMER_TAG)]
 
     def has_recent_reports(self, now_ms: float) -> bool:
@@ -82,28 +82,32 @@
         """Add the credit of a request that is not a client's retry."""
         self._credit = min(float(self._max_endpoint_count), self._credit + self._credit_per_request)
 
-    def take_due(self, now_ms: float, endpoints: Iterable[str]) -> list[str]:
+    def take_due_endpoints(self, now_ms: float, endpoints: Iterable[str]) -> list[str]:
         """Return the endpoints to check now, the longest due first, as far as the credit goes.
 
         Each new endpoint adds credit for one check.
         """
-        due_ms = {name: self._due_ms.get(name, now_ms) for name in endpoints}
-        self._due_ms = due_ms
+        next_check_ms = {name: self._next_check_ms.get(name, now_ms) for name in endpoints}
+        self._next_check_ms = next_check_ms
         self._next_relief_ms = {
-            name: next_ms for name, next_ms in self._next_relief_ms.items() if name in due_ms
+            name: next_ms for name, next_ms in self._next_relief_ms.items() if name in next_check_ms
         }
-        self._credit += max(0, len(due_ms) - self._max_endpoint_count)
-        self._max_endpoint_count = max(self._max_endpoint_count, len(due_ms))
-        names = [name for name in sorted(due_ms, key=due_ms.__getitem__) if due_ms[name] <= now_ms]
+        self._credit += max(0, len(next_check_ms) - self._max_endpoint_count)
+        self._max_endpoint_count = max(self._max_endpoint_count, len(next_check_ms))
+        names = [
+            name
+            for name in sorted(next_check_ms, key=next_check_ms.__getitem__)
+            if next_check_ms[name] <= now_ms
+        ]
         names = names[: int(min(self._credit, len(names)))]
         for name in names:
             self._credit -= 1.0
-            due_ms[name] = now_ms + self._interval_ms * jitter(self._rng)
+            next_check_ms[name] = now_ms + self._interval_ms * jitter(self._rng)
         return names
 
     def exclude_endpoint(self, endpoint: str) -> None:
         """Stop checking an endpoint that refuses health checks, for as long as it is listed."""
-        self._due_ms[endpoint] = float("inf")
+        self._next_check_ms[endpoint] = float("inf")
 
     def record_report(self, now_ms: float, endpoint: str, report: Mapping[str, float]) -> LoadVerdict:
         """Return the verdict on an endpoint's load report.
--- a/sageturn/decision/load_reports.py
+++ b/sageturn/decision/load_reports.py
@@ -34,7 +34,7 @@
     return 0.0 <= load_us_per_s <= MAX_LOAD_US_PER_S
 
 
-def checked(values: Mapping[str, Any] | None, dropped: Counter[str] | None = None) -> dict[str, float]:
+def usable_values(values: Mapping[str, Any] | None, dropped: Counter[str] | None = None) -> dict[str, float]:
     """Return the usable values of a report by the settings' names.
 
     Args:
@@ -80,7 +80,7 @@
             dropped["malformed"] += 1
         else:
             values[match[1]] = float(match[2])
-    usable = checked(values, dropped)
+    usable = usable_values(values, dropped)
     allowed_names = {FIELD_ALIASES.get(word, word) for word in allowed}
     dropped["unknown"] += len(usable.keys() - allowed_names)
     return {name: value for name, value in usable.items() if name in allowed_names}
--- a/sageturn/decision/overload.py
+++ b/sageturn/decision/overload.py
@@ -20,13 +20,13 @@
 MIN_SCARCE_FLEET_GROWTH_PER_S = 3.0  # the same while endpoints are scarce
 MIN_RESETS = 2  # consecutive ones that show an overload
 RESET_WINDOW_MS = 2000.0  # between two consecutive resets
-RESET_GROWTH_PER_S = 0.3  # connections of capacity after resets, where nothing reports that they are over
+RESET_GROWTH_PER_S = 0.3  # connections of capacity after resets, where no delay is measured
 UTILIZATION_CHECK_INTERVAL_MS = 1000.0  # of each endpoint, where no delay is measured
 SATURATED_UTILIZATION = 0.8  # above it an endpoint is sent nothing
 HIGH_UTILIZATION = 0.6  # above it an endpoint may be deprioritized
-HIGH_OVER_MEAN = 1.15  # times the mean utilization, above which it is deprioritized
+HIGH_RATIO_TO_MEAN = 1.15  # of a utilization to the fleet's mean; above it an endpoint is deprioritized
 RELIEF_UTILIZATION = 0.7  # above it a deprioritized endpoint may be relieved
-RELIEF_OVER_MEAN = 1.3  # times the mean utilization, above which it is relieved
+RELIEF_RATIO_TO_MEAN = 1.3  # of a utilization to the fleet's mean; above it an endpoint is relieved
 GROUP_COST = 1.5  # mean loads that each group costs an endpoint that holds any connection of it
 
 
@@ -41,26 +41,26 @@
         objective_ms = settings.shortest_message_objective_ms(DEFAULT_MESSAGE_OBJECTIVE_MS)
         self._overload_delay_ms = objective_ms * OVERLOAD_DELAY_RATIO
         self._relief_delay_ms = objective_ms * RELIEF_DELAY_RATIO
-        self._loads = quotas.RunningMean()  # of all connections that were reported
+        self._reported_loads = quotas.RunningMean()  # over all reports
 
-    def mark_overloaded(self, now_ms: float, endpoint: EndpointState, held_count: int) -> None:
+    def mark_overloaded(self, now_ms: float, endpoint: EndpointState, connection_count: int) -> None:
         """Shed an endpoint's load for a while; an endpoint that was not overloaded loses capacity.
 
         Args:
             now_ms: The time of the event.
             endpoint: The overloaded endpoint.
-            held_count: Connections that it held when it became overloaded.
+            connection_count: Connections that it held when it became overloaded.
         """
         overload = endpoint.overload
         if overload.overloaded_until_ms is None or now_ms >= overload.overloaded_until_ms:
             # Without random rounding one connection at each of many relays would always be admitted again.
-            overload.capacity = min(overload.capacity, held_count * CAPACITY_CUT_RATIO)
+            overload.capacity = min(overload.capacity, connection_count * CAPACITY_CUT_RATIO)
             overload.capacity_rounding = self._rng.random()
         overload.overloaded_until_ms = now_ms + OVERLOAD_MS
         overload.capacity_updated_ms = now_ms
         self.reevaluate(now_ms, endpoint)
 
-    def _apply_sign(self, now_ms: float, endpoint: EndpointState, is_overloaded: bool) -> None:
+    def _apply_measurement(self, now_ms: float, endpoint: EndpointState, is_overloaded: bool) -> None:
         """Handle a measurement that shows whether the endpoint is overloaded now."""
         overload = endpoint.overload
         if is_overloaded:
@@ -102,7 +102,7 @@
 
     def record_delay(self, now_ms: float, endpoint: EndpointState, delay_ms: float) -> Migrations:
         """Handle the delay of a message on a connection there. Returns the migrations that it requires."""
-        self._apply_sign(now_ms, endpoint, delay_ms > self._overload_delay_ms)
+        self._apply_measurement(now_ms, endpoint, delay_ms > self._overload_delay_ms)
         is_relieved = delay_ms > self._relief_delay_ms and self._relief.is_allowed
         return self._relief.relieve(endpoint) if is_relieved else []
 
@@ -114,7 +114,7 @@
         if not report or self._fleet.settings.reports_delay:
             return []
         verdict = self._fleet.health_checks.record_report(now_ms, endpoint.name, report)
-        self._apply_sign(now_ms, endpoint, verdict.is_overloaded)
+        self._apply_measurement(now_ms, endpoint, verdict.is_overloaded)
         if not verdict.excess_ratio or not self._relief.is_allowed:
             return []
         excess = len(endpoint.connections.established) * verdict.excess_ratio
@@ -133,7 +133,7 @@
         estimate.reported_count += not request.reported_load
         request.load = load
         request.reported_load = load
-        self._loads.add(load)
+        self._reported_loads.add(load)
         migrations = self._relief.relieve_quota(now_ms, endpoint)
         return migrations + self.check_utilization(now_ms, endpoint)
 
@@ -148,16 +148,16 @@
         load.next_check_ms = now_ms + UTILIZATION_CHECK_INTERVAL_MS
         ready = self._fleet.ready
         utilization = self._utilization(endpoint)
-        over_mean = utilization * len(ready) / (sum(map(self._utilization, ready)) or 1.0)
+        ratio_to_mean = utilization * len(ready) / (sum(map(self._utilization, ready)) or 1.0)
         confidence = quotas.count_confidence(self._even_count(endpoint))
-        over_mean = 1.0 + (over_mean - 1.0) * min(1.0, 2.0 * confidence)
+        ratio_to_mean = 1.0 + (ratio_to_mean - 1.0) * min(1.0, 2.0 * confidence)
         if utilization > SATURATED_UTILIZATION:
             # The messages of all its clients are late: it is better to serve fewer of them.
             load.saturated_until_ms = now_ms + OVERLOAD_MS
-        if utilization <= HIGH_UTILIZATION or over_mean <= HIGH_OVER_MEAN:
+        if utilization <= HIGH_UTILIZATION or ratio_to_mean <= HIGH_RATIO_TO_MEAN:
             return []
         load.deprioritized_until_ms = now_ms + OVERLOAD_MS
-        is_relieved = utilization > RELIEF_UTILIZATION and over_mean > RELIEF_OVER_MEAN
+        is_relieved = utilization > RELIEF_UTILIZATION and ratio_to_mean > RELIEF_RATIO_TO_MEAN
         return self._relief.relieve(endpoint) if is_relieved and self._relief.is_allowed else []
 
     def _even_count(self, endpoint: EndpointState) -> float:
@@ -174,8 +174,8 @@
         even_count = self._even_count(endpoint)
         confidence = quotas.count_confidence(even_count)
         other_relays = self._relay_count - 1
-        held_by_others = other_relays * (even_count + confidence * (connections.open_count - even_count))
-        unreported = connections.open_count - endpoint.load.reported_count + held_by_others
+        open_at_others = other_relays * (even_count + confidence * (connections.open_count - even_count))
+        unreported = connections.open_count - endpoint.load.reported_count + open_at_others
         unreported += GROUP_COST * len(connections.group_counts)
-        unreported_load = unreported * self._loads.total / max(1.0, self._loads.count)
+        unreported_load = unreported * self._reported_loads.total / max(1.0, self._reported_loads.count)
         return (endpoint.load.reported_load + unreported_load) / (1000.0 * endpoint.weights.effective)
--- a/sageturn/decision/quotas.py
+++ b/sageturn/decision/quotas.py
@@ -34,20 +34,22 @@
     The window grows by one with each set-up that is established in time, and halves with each late one.
     """
 
-    def __init__(self, allowance_per_s: float, relay_count: int, settle_ms: float, rng: Random) -> None:
+    def __init__(
+        self, allowance_per_s: float, relay_count: int, setup_objective_ms: float, rng: Random
+    ) -> None:
         """Create a window of full size.
 
         Args:
             allowance_per_s: Set-ups that all relays together expect.
             relay_count: Relays that share the allowance.
-            settle_ms: A set-up that takes longer is late.
+            setup_objective_ms: A set-up that takes longer is late.
             rng: Spreads the pauses of relays.
         """
         self._max_size = max(1.0, allowance_per_s * FLEET_WINDOW_S / relay_count)
         self.size = self._max_size
         self.in_flight = 0
         self._paused_until_ms = 0.0
-        self._settle_ms = settle_ms
+        self._setup_objective_ms = setup_objective_ms
         self._rng = rng
 
     def begin_setup(self) -> None:
@@ -57,7 +59,7 @@
     def end_setup(self, now_ms: float, took_ms: float, is_served: bool) -> None:
         """Adapt the window to a set-up that was established (``is_served``) or failed after ``took_ms``."""
         self.in_flight -= 1
-        is_late = took_ms > self._settle_ms
+        is_late = took_ms > self._setup_objective_ms
         if is_served and not is_late:
             self.size = min(self._max_size, self.size + 1.0)
         elif is_late:
@@ -67,7 +69,7 @@
             self._paused_until_ms = now_ms + pause_ms * jitter(self._rng)
 
     def wait_ms(self, now_ms: float) -> float:
-        """Return 0 if another set-up may start, else the time after which to ask again."""
+        """Return 0 if another set-up may start, else the time after which to retry."""
         if now_ms < self._paused_until_ms:
             return self._paused_until_ms - now_ms
         return WINDOW_FULL_RETRY_MS if self.in_flight >= max(1.0, self.size) else 0.0
@@ -154,7 +156,7 @@
     """Return the bounds where crossing zones costs; ``quota`` is one relay's, ``slack`` at each endpoint."""
     zone_count = max(1, len(zone_weights))
     even_weight = (sum(zone_weights.values()) or 1.0) / zone_count
-    missing = {zone: max(0.0, 1.0 - weight / even_weight) for zone, weight in zone_weights.items()}
+    deficits = {zone: max(0.0, 1.0 - weight / even_weight) for zone, weight in zone_weights.items()}
     surplus_sum = sum(max(0.0, weight - even_weight) for weight in zone_weights.values()) or 1.0
     bounds = []
     for endpoint in endpoints:
@@ -163,9 +165,9 @@
         zone_surplus = max(0.0, zone_weight - even_weight)
         local = ENDPOINT_QUOTA_RATIO * weight / max(zone_weight, even_weight) * quota + slack
         remote = ENDPOINT_QUOTA_RATIO * zone_surplus / surplus_sum * weight / (zone_weight or 1.0) * quota
-        bound = local if endpoint.zone == own_zone else missing.get(own_zone, 1.0) * remote + slack
+        bound = local if endpoint.zone == own_zone else deficits.get(own_zone, 1.0) * remote + slack
         remote_relays = sum(
-            min(1.0, part * remote + slack) for zone, part in missing.items() if zone != endpoint.zone
+            min(1.0, deficit * remote + slack) for zone, deficit in deficits.items() if zone != endpoint.zone
         )
         eligible_relays = relay_count / zone_count * (min(1.0, local) + remote_relays)
         bounds.append(QuotaBound(bound, eligible_relays))
@@ -202,19 +204,19 @@
         self._setup_logs_by_kind: dict[str, RunningMean] = {}
         self._all_setup_logs = RunningMean()
 
-    def learn(self, kind: str, took_log: float) -> None:
+    def learn(self, kind: str, log_setup_ms: float) -> None:
         """Update the speed of a kind of machine.
 
         Args:
             kind: The kind of machine.
-            took_log: The logarithm of a set-up time at an endpoint of that kind, in milliseconds.
+            log_setup_ms: The logarithm of a set-up time in milliseconds, at an endpoint of that kind.
         """
-        of_kind = self._setup_logs_by_kind.setdefault(kind, RunningMean())
-        of_kind.add(took_log)
-        self._all_setup_logs.add(took_log)
+        kind_logs = self._setup_logs_by_kind.setdefault(kind, RunningMean())
+        kind_logs.add(log_setup_ms)
+        self._all_setup_logs.add(log_setup_ms)
         mean = self._all_setup_logs.total / self._all_setup_logs.count
-        expected = (of_kind.total + KIND_PRIOR_SETUPS * mean) / (of_kind.count + KIND_PRIOR_SETUPS)
-        self.by_kind[kind] = exp(mean - expected)
+        kind_mean = (kind_logs.total + KIND_PRIOR_SETUPS * mean) / (kind_logs.count + KIND_PRIOR_SETUPS)
+        self.by_kind[kind] = exp(mean - kind_mean)
 
 
 def warm_up_ratio(age_ms: float, slow_start_ms: float, initial_capacity_ratio: float) -> float:
--- a/sageturn/decision/relief.py
+++ b/sageturn/decision/relief.py
@@ -15,6 +15,8 @@
 RELIEF_RATIO_PER_RELAY = 0.01  # added for each relay, as clients return through relays that saw no sign
 MAX_RELIEF_RATIO = 0.35  # upper bound of the two together
 RELIEF_PER_S = 8.0  # connections of all relays that are migrated off endpoints beyond their quota
+MIN_RELIEF_PERIOD_MS = 500.0  # shortest time that all relays take for RELIEF_PER_S migrations
+RELIEF_PERIOD_SPREAD_MS = 1000.0  # uniform jitter on top: the time is 1 s on average
 
 Migrations = list[actions.Action]
 
@@ -35,8 +37,8 @@
         is_over = endpoint.connections.open_count >= max_connections + 1.0
         if not is_over or not self.is_allowed or now_ms < self._next_quota_relief_ms:
             return []
-        pause_ms = (500.0 + 1000.0 * self._rng.random()) * self._relay_count
-        self._next_quota_relief_ms = now_ms + pause_ms / RELIEF_PER_S
+        period_ms = (MIN_RELIEF_PERIOD_MS + RELIEF_PERIOD_SPREAD_MS * self._rng.random()) * self._relay_count
+        self._next_quota_relief_ms = now_ms + period_ms / RELIEF_PER_S
         return self.relieve(endpoint, 1)
 
     def relieve(self, endpoint: EndpointState, count: int | None = None) -> Migrations:
@@ -48,7 +50,7 @@
         """
         candidates = self._migration_candidates(endpoint)
         if count is None:
-            # All relays see the same sign: where many hold one each, one each would empty the endpoint.
+            # All relays see the same sign: if each migrated its only connection, the endpoint would be empty.
             ratio = min(MAX_RELIEF_RATIO, RELIEF_RATIO + RELIEF_RATIO_PER_RELAY * self._relay_count)
             count = int(len(candidates) * ratio + 1.0 / self._fleet.sharing_relays() + self._rng.random())
         migrated = candidates[:count]
--- a/sageturn/decision/settings.py
+++ b/sageturn/decision/settings.py
@@ -56,8 +56,8 @@
     ANSWERS = "answers"  # health checks and answers to requests
 
 
-def _require(ok: bool, field: str, rule: str) -> None:
-    if not ok:
+def _require(is_valid: bool, field: str, rule: str) -> None:
+    if not is_valid:
         raise InvalidSettingError(f"{field}: {rule}")
 
 
--- a/sageturn/decision/setup_times.py
+++ b/sageturn/decision/setup_times.py
@@ -1,4 +1,4 @@
-"""Set-up times: the speed of kinds of machines, and endpoints that lag behind the others."""
+"""Set-up times: the speed of kinds of machines, and endpoints that are slower than the others."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 LATEST_SETUP_WEIGHT = 0.5  # of an endpoint's latest set-up in its mean
 COMMON_SETUP_WEIGHT = 0.1  # of the latest set-up in the mean of all endpoints
-SETUP_LAG_DECAY_MS = 9000.0
+LOG_RATIO_DECAY_MS = 9000.0  # time constant of the exponential decay
 
 
 class SetupTimes:
@@ -17,28 +17,28 @@
 
     def __init__(self, fleet: Fleet) -> None:
         self._fleet = fleet
-        self._common_log = 0.0  # decaying mean of the logarithms of set-up times at all endpoints
+        self._common_log_ms = 0.0  # decaying mean of the logarithms of set-up times at all endpoints
 
     def record(self, now_ms: float, endpoint: EndpointState, took_ms: float) -> None:
-        """Learn the speed of the kind of machine and, if no delay is measured, the endpoint's set-up lag."""
-        took_log = log(took_ms)
-        self._fleet.machine_speeds.learn(endpoint.kind, took_log)
-        common_log = self._common_log
-        self._common_log += COMMON_SETUP_WEIGHT * (took_log - common_log) if common_log else took_log
+        """Learn the speed of the kind of machine and, if no delay is measured, the endpoint's mean."""
+        log_ms = log(took_ms)
+        self._fleet.machine_speeds.learn(endpoint.kind, log_ms)
+        common_log_ms = self._common_log_ms
+        self._common_log_ms += COMMON_SETUP_WEIGHT * (log_ms - common_log_ms) if common_log_ms else log_ms
         if not self._fleet.measures_delay():
-            earlier = self._common_log + self.lag(endpoint) - took_log
-            mean_log = took_log + (1.0 - LATEST_SETUP_WEIGHT) * earlier
+            difference = self._common_log_ms + self.log_ratio(endpoint) - log_ms
+            mean_log_ms = log_ms + (1.0 - LATEST_SETUP_WEIGHT) * difference
             # A mean of exactly 1 ms counts as none.
-            endpoint.load.setup_time = SetupTime(mean_log, now_ms) if mean_log else None
+            endpoint.load.setup_time = SetupTime(mean_log_ms, now_ms) if mean_log_ms else None
 
-    def lag(self, endpoint: EndpointState) -> float:
+    def log_ratio(self, endpoint: EndpointState) -> float:
         """Return the logarithm of the endpoint's set-up time over the common one; 0 if none was measured.
 
-        The lag is relative, as a slow session store slows down set-ups everywhere. It decays, or an endpoint
-        that was slow once would not be tried again.
+        A ratio, as a slow session store slows down set-ups everywhere. It decays towards 0, as otherwise an
+        endpoint that was slow once would not be tried again.
         """
         setup_time = endpoint.load.setup_time
         if setup_time is None:
             return 0.0
-        decay = exp((setup_time.updated_ms - self._fleet.now_ms) / SETUP_LAG_DECAY_MS)
-        return (setup_time.log_ms - self._common_log) * decay
+        decay = exp((setup_time.updated_ms - self._fleet.now_ms) / LOG_RATIO_DECAY_MS)
+        return (setup_time.log_ms - self._common_log_ms) * decay
--- a/sageturn/decision/slow_start.py
+++ b/sageturn/decision/slow_start.py
@@ -94,6 +94,7 @@
         return ((self._index * self._stride + key) % self._relay_count + 0.5) / self._relay_count
 
     def _permit_rate(self, age_ms: float, warm_connections: float, eligible_relays: float) -> PermitRate:
+        """Return the rate at the endpoint's age; the other arguments are as in ``has_permit``."""
         warm_up = warm_up_ratio(age_ms, self._slow_start_ms, self._initial_capacity_ratio)
         warm_connections = max(1.0, warm_connections)
         budget = self._overload_multiple * warm_connections * warm_up * self._window_ms / self._slow_start_ms
@@ -110,7 +111,7 @@
     def _issue_permits(
         self, permits: PermitCount, age_ms: float, warm_connections: float, eligible_relays: float
     ) -> None:
-        """Issue permits up to that age, in steps, so that a relay that asks seldom gets as many as others."""
+        """Issue permits up to ``age_ms``, in steps: a relay that asks seldom gets as many as others."""
         while permits.counted_age_ms < age_ms:
             step_ms = min(MAX_STEP_MS, age_ms - permits.counted_age_ms)
             middle_ms = permits.counted_age_ms + step_ms / 2.0
@@ -141,16 +142,19 @@
     def _first_permits(
         self, start: SlowStartState, warm_connections: float, eligible_relays: float
     ) -> PermitCount:
-        # Relays that round up first, and so may place one first, are spread over a permit's time too.
-        by_number = (1.0 - start.rounding_offset) * self._relay_count * GOLDEN_RATIO % 1.0
-        permits = PermitCount(0.0, start.rounding_offset if self._index is None else by_number)
+        """Return the permits until the endpoint was first seen, all of them spent."""
+        issued = start.rounding_offset
+        if self._index is not None:
+            # Spread the first permits of neighbouring offsets over the time in which one permit is issued.
+            issued = (1.0 - start.rounding_offset) * self._relay_count * GOLDEN_RATIO % 1.0
+        permits = PermitCount(0.0, issued)
         self._issue_permits(permits, max(0.0, start.first_seen_age_ms), warm_connections, eligible_relays)
         # Another relay may have taken the permits from before this one was notified, and have stopped since.
         permits.spent = int(permits.issued)
         return permits
 
     def take_permit(self, start: SlowStartState) -> None:
-        """Spend a permit that ``has_permit`` found on an attempt. A missing one is counted as overdrawn."""
+        """Spend a permit on an attempt; an attempt for which there is none is counted as overdrawn."""
         permits = start.permits
         if permits is None:
             self.overdrawn_permits += 1
--- a/sageturn/decision/state.py
+++ b/sageturn/decision/state.py
@@ -187,7 +187,7 @@
     endpoint: EndpointState | None = None  # of the latest attempt, or the one that it was migrated from
     state: AttemptState = AttemptState.NONE
     attempts: int = 0
-    sent_ms: float = 0.0  # the latest attempt
+    sent_ms: float = 0.0  # when the latest attempt was sent
     is_finished: bool = False  # its client is owed nothing more; only an outcome is still to come
     reported_load: float = 0.0  # by its connection, if any
     execution: Execution | None = None  # None while no attempt may have been executed
--- a/sageturn/decision/token_bucket.py
+++ b/sageturn/decision/token_bucket.py
@@ -12,12 +12,12 @@
     tokens: float
     updated_ms: float = 0.0
 
-    def refill(self, now_ms: float, rate: float, capacity: float) -> None:
+    def refill(self, now_ms: float, refill_per_ms: float, capacity: float) -> None:
         """Add the tokens since the last refill, up to ``capacity``; an infinite rate fills the bucket."""
-        if rate == float("inf"):
+        if refill_per_ms == float("inf"):
             self.tokens = capacity
         else:
-            self.tokens = min(capacity, self.tokens + rate * (now_ms - self.updated_ms))
+            self.tokens = min(capacity, self.tokens + refill_per_ms * (now_ms - self.updated_ms))
         self.updated_ms = now_ms
 
     def try_take(self) -> bool:
@@ -27,6 +27,6 @@
         self.tokens -= 1.0
         return True
 
-    def wait_ms(self, rate: float) -> float:
+    def wait_ms(self, refill_per_ms: float) -> float:
         """Return the time until there is a whole token, at a rate above 0."""
-        return (1.0 - self.tokens) / rate
+        return (1.0 - self.tokens) / refill_per_ms
--- a/sageturn/simhost.py
+++ b/sageturn/simhost.py
@@ -18,7 +18,7 @@
 from sageturn.decision import AttemptStatus, EndpointStatus, ListEventKind, MeasurementKind
 from sageturn.decision.balancer import Balancer
 from sageturn.decision.discovery_backoff import classify_rejection
-from sageturn.decision.load_reports import checked
+from sageturn.decision.load_reports import usable_values
 
 # The wire's words on the left, the decision module's on the right.
 ATTEMPT_STATUSES = {
@@ -98,7 +98,7 @@
 
 def _report(key: str) -> FieldReader:
     """Reads a load report; empty where it is missing."""
-    return lambda fields: checked(fields.get(key))
+    return lambda fields: usable_values(fields.get(key))
 
 
 _decode_endpoint = _decoder(
--- a/tests/decision/test_balancer_edge_cases.py
+++ b/tests/decision/test_balancer_edge_cases.py
@@ -469,7 +469,7 @@
         driver.handle(ConnectionEstablished(driver.last_id, 0, driver.attempts[driver.last_id][-1], took))
         driver.now_ms += 20.0
     assert not any(
-        driver.balancer.setup_times.lag(endpoint) > 0.4 for endpoint in driver.balancer.fleet.ready
+        driver.balancer.setup_times.log_ratio(endpoint) > 0.4 for endpoint in driver.balancer.fleet.ready
     )
 
 
--- a/tests/decision/test_health_checks.py
+++ b/tests/decision/test_health_checks.py
@@ -35,7 +35,7 @@
     SPEND_RATIO,
     HealthCheckScheduler,
 )
-from sageturn.decision.load_reports import checked, read_report
+from sageturn.decision.load_reports import read_report, usable_values
 
 PROBED: dict[str, Any] = {
     "probes": True,
@@ -78,7 +78,7 @@
     found = read_report(text, FIELDS, Counter())
     assert found.keys() <= set(FIELDS) and all(0.0 <= value <= 3600.0 for value in found.values())
     values = {"x0": math.nan, "x1": True, "cpu": "1", "rps": -1, "active": 3}
-    assert checked(values) == {"active": 3.0}
+    assert usable_values(values) == {"active": 3.0}
 
 
 # ---------------------------------------------------------------- when to ask
@@ -94,7 +94,7 @@
     for look in range(240):  # a minute
         if look < requests:
             checks.record_request()
-        asked.update(checks.take_due(250.0 * look, names))
+        asked.update(checks.take_due_endpoints(250.0 * look, names))
     assert endpoints <= asked.total() <= endpoints + max(1.0, requests * SPEND_RATIO / price) + 1e-6
     least_ms = 0.75 * max(CHECK_INTERVAL_MS, MIN_FLEET_INTERVAL_MS * relays)
     assert max(asked.values()) <= 60000.0 / least_ms + 1.0
@@ -102,13 +102,15 @@
 
 def test_an_endpoint_that_takes_no_health_checks_is_not_checked_again_while_listed() -> None:
     checks = make_checks(health_check_cost=0.0)
-    assert checks.take_due(0.0, "ab") == ["a", "b"]
+    assert checks.take_due_endpoints(0.0, "ab") == ["a", "b"]
     checks.record_request()
     checks.exclude_endpoint("a")
-    assert checks.take_due(5000.0, "ab") == ["b"]
-    assert checks.take_due(10000.0, "b") == ["b"]  # a has left the list, and is another when it comes again
+    assert checks.take_due_endpoints(5000.0, "ab") == ["b"]
+    assert checks.take_due_endpoints(10000.0, "b") == [
+        "b"
+    ]  # a has left the list, and is another when it comes again
     checks.record_request()
-    assert sorted(checks.take_due(15000.0, "ab")) == ["a", "b"]
+    assert sorted(checks.take_due_endpoints(15000.0, "ab")) == ["a", "b"]
 
 
 # ---------------------------------------------------------------- what the balancer does with reports
