--- a/sageturn/core/attempt_guard.py
+++ b/sageturn/core/attempt_guard.py
@@ -26,17 +26,17 @@
 
     __slots__ = (
         "_attempts",
-        "_class",
         "_client_deadline_ms",
+        "_log_id",
         "_max_attempts",
         "_monitor",
         "_open_attempts",
-        "_request",
+        "_request_class",
     )
 
     def __init__(
         self,
-        request: str,
+        log_id: str,
         request_class: RequestClass,
         max_attempts: int,
         client_deadline_ms: float,
@@ -45,14 +45,14 @@
         """Make the guard of a request that has had no attempt.
 
         Args:
-            request: the request's id, for the log.
+            log_id: by which the log names the request.
             request_class: says what may be repeated.
             max_attempts: how many attempts the settings allow.
             client_deadline_ms: when the request's client gives up.
             monitor: counts and logs violations.
         """
-        self._request = request
-        self._class = request_class
+        self._log_id = log_id
+        self._request_class = request_class
         self._max_attempts = max_attempts
         self._client_deadline_ms = client_deadline_ms
         self._monitor = monitor
@@ -78,7 +78,7 @@
         violation = self._find_violation(now_ms, first_execution_ms)
         if violation is None:
             return True
-        self._monitor.report_violation(violation.invariant, self._request, violation.detail)
+        self._monitor.report_violation(violation.invariant, self._log_id, violation.detail)
         return False
 
     def _find_violation(self, now_ms: float, first_execution_ms: float | None) -> Violation | None:
@@ -87,24 +87,24 @@
         if self._attempts > self._max_attempts:
             return Violation(Invariant.ATTEMPT_LIMIT, f"attempt {self._attempts} of {self._max_attempts}")
         if first_execution_ms is not None and not self._is_repeatable(now_ms - first_execution_ms):
-            detail = f"{self._class.effect}, {now_ms - first_execution_ms:.0f} ms after"
+            detail = f"{self._request_class.effect}, {now_ms - first_execution_ms:.0f} ms after"
             return Violation(Invariant.REPEATABLE, detail)
         return None
 
     def _is_repeatable(self, elapsed_ms: float) -> bool:
-        if self._class.effect == Effect.KEYED:
-            return elapsed_ms <= self._class.key_ttl_ms
-        return self._class.effect == Effect.SAFE
+        if self._request_class.effect == Effect.KEYED:
+            return elapsed_ms <= self._request_class.key_ttl_ms
+        return self._request_class.effect == Effect.SAFE
 
     def check_response(self, now_ms: float) -> None:
         """Check that the final response, which is about to be sent, is in time."""
         late_ms = now_ms - self._client_deadline_ms
         if late_ms > MAX_RESPONSE_DELAY_MS:
             self._monitor.report_violation(
-                Invariant.RESPONSE_IN_TIME, self._request, f"{late_ms:.0f} ms after its client gave up"
+                Invariant.RESPONSE_IN_TIME, self._log_id, f"{late_ms:.0f} ms after its client gave up"
             )
 
     def check_closed(self, *, is_answered: bool, has_client_left: bool) -> None:
         """Check that the client of a request that has ended was answered, before its connection closes."""
         if not is_answered and not has_client_left:
-            self._monitor.report_violation(Invariant.ANSWERED, self._request, "closed without an answer")
+            self._monitor.report_violation(Invariant.ANSWERED, self._log_id, "closed without an answer")
--- a/sageturn/core/attempt_log.py
+++ b/sageturn/core/attempt_log.py
@@ -10,12 +10,12 @@
 
 
 def log_failed_attempt(
-    request: str, attempt: int, endpoint: str, close_reason: CloseReason, duration_ms: float
+    log_id: str, attempt: int, endpoint: str, close_reason: CloseReason, duration_ms: float
 ) -> None:
     """Log one failed attempt.
 
     Args:
-        request: the request's id for the log.
+        log_id: by which the log names the request.
         attempt: its number, counted from 0; the log counts from 1.
         endpoint: the name of the endpoint.
         close_reason: why it failed.
@@ -23,7 +23,7 @@
     """
     log.info(
         "attempt failed request=%s attempt=%d endpoint=%s reason=%s duration_s=%.3f may_have_run=%s",
-        request,
+        log_id,
         attempt + 1,
         endpoint,
         close_reason.name.lower(),
--- a/sageturn/core/balancer_actor.py
+++ b/sageturn/core/balancer_actor.py
@@ -76,7 +76,7 @@
         # Shared by all requests of the relay.
         self.monitor = InvariantMonitor()
         self.counters = RequestCounters()
-        self._known_overdrawn_permits = 0
+        self._reported_overdrawn_permits = 0
         self.check_endpoint_health = check_endpoint_health
 
     # ------------------------------------------------------------ for requests and other parts
@@ -127,7 +127,7 @@
             self._notify(observer, observer.after_event, now_ms, event, actions)
         for action in actions:
             try:
-                self._act(action)
+                self._carry_out(action)
             except Exception:
                 # The other actions can still be carried out.
                 log.exception(
@@ -153,17 +153,19 @@
             log.exception("observer failed and was removed observer=%s", type(observer).__name__)
             self.observers.remove(observer)
 
-    def _act(self, action: decision.Action) -> None:
+    def _carry_out(self, action: decision.Action) -> None:
         match action:
             case decision.PlaceRequest(request_id, endpoint, timeout_ms):
                 self._check_slow_start(request_id, endpoint)
                 self.requests.instruct(request_id, StartAttempt(endpoint, timeout_ms))
             case decision.RejectRequest(request_id, retry_after_ms):
-                response = FinalResponse(rejected=True, retry_after_ms=retry_after_ms, cause=self._cause())
+                response = FinalResponse(
+                    rejected=True, retry_after_ms=retry_after_ms, cause=self._reject_cause()
+                )
                 self.requests.instruct(request_id, response)
             case decision.FailRequest(request_id):
                 response = FinalResponse(
-                    rejected=False, reason=ResponseReason.UNAVAILABLE, cause=self._cause()
+                    rejected=False, reason=ResponseReason.UNAVAILABLE, cause=self._reject_cause()
                 )
                 self.requests.instruct(request_id, response)
             case decision.AbandonAttempt(request_id, _):
@@ -177,15 +179,16 @@
             case decision.CheckHealth(endpoint):
                 self.check_endpoint_health(endpoint)
 
-    def _cause(self) -> str:
+    def _reject_cause(self) -> str:
         """Return why the balancer has just ended a request; empty where it gives no cause."""
         cause = self._balancer.reject_cause
         return "" if cause is None else cause.value
 
     def _check_slow_start(self, request_id: int, endpoint: str) -> None:
+        """Report a violation if the balancer has just placed an attempt without a slow start permit."""
         overdrawn = self._balancer.fleet.slow_start.overdrawn_permits
-        if overdrawn > self._known_overdrawn_permits:
-            self._known_overdrawn_permits = overdrawn
+        if overdrawn > self._reported_overdrawn_permits:
+            self._reported_overdrawn_permits = overdrawn
             self.monitor.report_violation(
                 Invariant.SLOW_START_PERMIT,
                 self.requests.log_id(request_id),
--- a/sageturn/core/connection_adoption.py
+++ b/sageturn/core/connection_adoption.py
@@ -54,6 +54,7 @@
         await self._established.run(ADOPTED_ATTEMPT, request.established_endpoint)
 
     async def _reconnect(self, endpoint: str) -> CloseReason | None:
+        """Connect, and retry what was not written. Returns why that failed; None once it is established."""
         context = self._context
         record = context.record
         close_reason: CloseReason | None = CloseReason.NOT_SENT
--- a/sageturn/core/context.py
+++ b/sageturn/core/context.py
@@ -25,7 +25,7 @@
     invalid_report_values: Counter[str] = field(default_factory=Counter)
 
     async def run_request(self, lifecycle: RequestLifecycle) -> None:
-        """Run a request to its end, registered for a graceful shutdown, and hand on its record."""
+        """Run a request to its end, registered for a graceful shutdown, and pass its record on."""
         self.request_registry.add(lifecycle)
         try:
             self.on_connection_closed(await lifecycle.run())
--- a/sageturn/core/endpoint_registry.py
+++ b/sageturn/core/endpoint_registry.py
@@ -58,7 +58,7 @@
             known: the list of the configuration, or an empty one.
             post_event: takes what the balancer is to be notified of.
             watcher: opens watches; None where the list comes by ``apply_update`` alone.
-            pushed: changes come without a request. On sockets a watch brings them, opened at once.
+            pushed: changes come without a request of the balancer; on sockets by a watch, opened at once.
             clock: the balancer's, to whose time start times are converted.
             is_out_of_service: whether an operator has taken an endpoint out of service.
         """
@@ -113,13 +113,13 @@
         while True:
             match await self._mailbox.get():
                 case WatchRequested():
-                    # One is open already where discovery's address has changed since the balancer set its
-                    # timer. Started anew, its call would lose the place that it has in discovery's queue.
+                    # A watch is open already if discovery's address has changed since the balancer set its
+                    # timer. Replacing it would lose its call's place in discovery's queue.
                     if not self._is_watch_open:
                         self._start_watch()
                 case DiscoveryAddressChanged():
-                    # Its versions need not continue those of the old one: only a full list is sure to have
-                    # all. What is known stays in use until that has come.
+                    # Versions at the new address need not continue the old ones, so a full list is needed.
+                    # The known list stays in use until that has come.
                     self.version = 0
                     self._start_watch()
                 case WatchEvent(watch_number, WatchFailed() as failed):
--- a/sageturn/core/endpoint_snapshot.py
+++ b/sageturn/core/endpoint_snapshot.py
@@ -17,9 +17,8 @@
     name: str
     size: float
     ready: bool  # listed ready, and not ejected
-    available_capacity: (
-        int  # attempts it may be sent before it has answered any: 0 when it is full or sheds load
-    )
+    # Attempts that it may be sent before it has answered any; 0 while it is full or sheds load.
+    available_capacity: int
     zone: str = ""
     draining: bool = False
     ejected: bool = False  # listed ready, but ejected for failing
--- a/sageturn/core/errors.py
+++ b/sageturn/core/errors.py
@@ -10,7 +10,7 @@
 class DecisionOverdueError(CoreError):
     """The balancer has decided nothing for a request until its client gave up."""
 
-    def __init__(self, request: str) -> None:
-        """``request``: its id, as in the log."""
-        super().__init__(f"no decision on request {request}")
-        self.request = request
+    def __init__(self, log_id: str) -> None:
+        """``log_id``: by which the log names the request."""
+        super().__init__(f"no decision on request {log_id}")
+        self.log_id = log_id
--- a/sageturn/core/established_traffic.py
+++ b/sageturn/core/established_traffic.py
@@ -54,17 +54,18 @@
             instruction = await self._context.handle.instructions.get()
         self._context.drain_requested.set()
 
-    async def report_load(self, value: float) -> None:
+    async def report_load(self, load_us_per_s: float) -> None:
         """Pass on what the endpoint reports of this connection's load.
 
         Args:
-            value: microseconds of work a second; a value that cannot be right is dropped.
+            load_us_per_s: microseconds of work a second; a value that cannot be right is dropped.
         """
-        if not is_usable_load(value):
+        if not is_usable_load(load_us_per_s):
             return
         context = self._context
         attempt = max(0, context.record.attempts - 1)
+        load_ms_per_s = load_us_per_s / 1000.0
         measurement = decision.MeasurementReported(
-            context.handle.id, attempt, context.record.endpoint, decision.MeasurementKind.LOAD, value / 1000.0
+            context.handle.id, attempt, context.record.endpoint, decision.MeasurementKind.LOAD, load_ms_per_s
         )
         await context.balancer_actor.post_event(measurement)
--- a/sageturn/core/even_pacer.py
+++ b/sageturn/core/even_pacer.py
@@ -15,7 +15,7 @@
     def __init__(self) -> None:
         self._carried_over = 0.0
 
-    def take_due(self, count: int, steps_left: float) -> int:
+    def take_due_count(self, count: int, steps_left: float) -> int:
         """Return how many of ``count`` are due at this step; all of them at the last."""
         self._carried_over += count / steps_left
         due = count if steps_left <= 1.0 else min(count, int(self._carried_over + ROUNDING_SLACK))
--- a/sageturn/core/idle_timeout.py
+++ b/sageturn/core/idle_timeout.py
@@ -17,9 +17,9 @@
         Args:
             now_s: the time.
             timeout_s: how long the endpoint may leave a forwarded line unanswered.
-            line_interval_s: where clients of the protocol send a line this often, one that comes sooner after
-                the endpoint's latest data may wait that much longer. All connections of an endpoint that
-                vanished then end equally long after its latest data, whatever the phase of each client.
+            line_interval_s: how often clients of the protocol send a line; 0 if at no fixed interval. A line
+                that is forwarded sooner than this after the endpoint's latest data may wait that much longer,
+                so that all connections of an endpoint that vanished end equally long after its latest data.
         """
         self._timeout_s = timeout_s
         self._line_interval_s = line_interval_s
--- a/sageturn/core/invariants.py
+++ b/sageturn/core/invariants.py
@@ -29,7 +29,7 @@
     def __init__(self) -> None:
         self.violations: Counter[str] = Counter()  # by ``Invariant``
 
-    def report_violation(self, invariant: Invariant, request: str, detail: str) -> None:
-        """Count and log one violation. ``request`` is the request's id for the log."""
+    def report_violation(self, invariant: Invariant, log_id: str, detail: str) -> None:
+        """Count and log one violation. ``log_id`` is the id by which the log names the request."""
         self.violations[invariant] += 1
-        log.error("invariant violated invariant=%s request=%s detail=%r", invariant.value, request, detail)
+        log.error("invariant violated invariant=%s request=%s detail=%r", invariant.value, log_id, detail)
--- a/sageturn/core/messages.py
+++ b/sageturn/core/messages.py
@@ -16,7 +16,7 @@
     tenant: str
     timeout_ms: float  # how long the client waits, from the arrival of its request
     group: str = ""
-    expected_load: float = 0.0
+    expected_load: float = 0.0  # milliseconds of work a second; 0 if unknown
     established_endpoint: str = ""  # the endpoint of this connection before the relay was restarted
     client: str = ""  # the client's key, the same after a reconnect
     returned: bool = False  # the client says that its connection was migrated, or broke
--- a/sageturn/core/proxy_transport.py
+++ b/sageturn/core/proxy_transport.py
@@ -39,7 +39,7 @@
         """Send the final response to a request that is not served, and close the client's connection."""
 
     async def wait_client_disconnect(self) -> CloseReason:
-        """Returns once the client has disconnected, or is at fault, while its request is unanswered."""
+        """Return once the client has disconnected, or is at fault, while its request is unanswered."""
 
     def poll_client(self) -> CloseReason | None:
         """Look without waiting whether the client has disconnected, or is at fault; None if it has not.
--- a/sageturn/core/request_attempts.py
+++ b/sageturn/core/request_attempts.py
@@ -94,7 +94,11 @@
     async def open_upstream(
         self, endpoint: str, timeout_ms: float, connect_timeout_ms: float
     ) -> CloseReason | None:
-        """Open a connection to ``endpoint``; None once it is established and the client still there."""
+        """Open a connection to ``endpoint``.
+
+        Returns:
+            Why that failed; None once the connection is established and the client still there.
+        """
         context = self._context
         disconnect = context.client.disconnect
         self._checks.write_started = False
--- a/sageturn/core/request_context.py
+++ b/sageturn/core/request_context.py
@@ -63,7 +63,7 @@
     is_answered: bool = False  # the client has its final response, or is served
     # Set by a migration or a shutdown: the client of an established connection is to go elsewhere.
     drain_requested: asyncio.Event = field(default_factory=asyncio.Event)
-    # Set when a shutdown has run out of time: what is still owed is owed at once.
+    # Set when a shutdown has run out of time: an unanswered request is answered at once.
     drain_forced: asyncio.Event = field(default_factory=asyncio.Event)
 
     def now_ms(self) -> float:
--- a/sageturn/core/request_lifecycle.py
+++ b/sageturn/core/request_lifecycle.py
@@ -35,7 +35,7 @@
 
 log = logging.getLogger(__name__)
 
-DECISION_TIMEOUT_S = 0.2  # after the client has given up; the balancer decides each event at once
+DECISION_TIMEOUT_S = 0.2  # after the client's deadline; the balancer decides each event at once
 
 
 class RequestLifecycle:
--- a/sageturn/core/request_registry.py
+++ b/sageturn/core/request_registry.py
@@ -14,8 +14,8 @@
 log = logging.getLogger(__name__)
 
 ACCEPT_AFTER_SIGNAL_S = 0.6  # new connections keep coming for 0.2 to 0.4 s after the signal
-DRAIN_STEP_S = 0.05
-MIN_CLOSE_TIMEOUT_S = 0.1
+DRAIN_STEP_S = 0.05  # between two steps of the migration
+MIN_CLOSE_TIMEOUT_S = 0.1  # for connections to close where the schedule leaves less
 
 
 class Ingress(Protocol):
@@ -28,7 +28,7 @@
         """Accept those in the backlog and nobody more; pending connections are answered at once."""
 
     async def wait_closed(self, timeout_s: float) -> None:
-        """Returns once all connections are closed, or after the timeout."""
+        """Return once all connections are closed, or after ``timeout_s`` seconds."""
 
 
 class RequestRegistry:
@@ -89,7 +89,7 @@
         while loop.time() - started_s < schedule.forced_drain_at_s:
             established = self._established_undrained()
             steps_left = max(1.0, (migrated_at_s - (loop.time() - started_s)) / DRAIN_STEP_S)
-            for lifecycle in established[: pacer.take_due(len(established), steps_left)]:
+            for lifecycle in established[: pacer.take_due_count(len(established), steps_left)]:
                 lifecycle.begin_drain()
             await asyncio.sleep(DRAIN_STEP_S)
             is_empty = not self._requests and not ingress.pending_connections()
--- a/sageturn/core/shutdown_schedule.py
+++ b/sageturn/core/shutdown_schedule.py
@@ -39,8 +39,8 @@
     """
     deadlines_ms = (cls.give_up_ms or MAX_DEADLINE_S * 1000.0 for cls in classes)
     deadline_s = max(deadlines_ms, default=0.0) / 1000.0
-    exit_s = min(deadline_s, MAX_DEADLINE_S) + KILL_AFTER_DEADLINE_S - EXIT_BEFORE_KILL_S
-    forced_s = max(exit_s - FORCED_DRAIN_S, exit_s / 2.0)
-    migration_start_s = min(MIGRATION_START_S, forced_s / 2.0)
-    migration_s = (forced_s - migration_start_s) * MIGRATION_TIME_RATIO
-    return ShutdownSchedule(migration_start_s, migration_s, forced_s, exit_s)
+    exit_at_s = min(deadline_s, MAX_DEADLINE_S) + KILL_AFTER_DEADLINE_S - EXIT_BEFORE_KILL_S
+    forced_drain_at_s = max(exit_at_s - FORCED_DRAIN_S, exit_at_s / 2.0)
+    migration_start_s = min(MIGRATION_START_S, forced_drain_at_s / 2.0)
+    migration_duration_s = (forced_drain_at_s - migration_start_s) * MIGRATION_TIME_RATIO
+    return ShutdownSchedule(migration_start_s, migration_duration_s, forced_drain_at_s, exit_at_s)
--- a/tests/config/test_deployments.py
+++ b/tests/config/test_deployments.py
@@ -238,7 +238,7 @@
     # step at the least. Their relay was back no sooner, and nobody served them for the time between.
     pace, left, gone = EvenPacer(), count, 0
     for step in range(steps):
-        due = pace.take_due(left, float(steps - step))
+        due = pace.take_due_count(left, float(steps - step))
         left, gone = left - due, gone + due
         assert abs(gone - count * (step + 1) / steps) <= 1.0
     assert left == 0
