--- a/sageturn/net/admission.py
+++ b/sageturn/net/admission.py
@@ -88,7 +88,7 @@
         return self.connection_count >= self.limits.max_connections
 
     @property
-    def awaiting_request(self) -> int:
+    def pending_count(self) -> int:
         """How many connections have sent no request yet."""
         return len(self._pending)
 
--- a/sageturn/net/connecting.py
+++ b/sageturn/net/connecting.py
@@ -20,8 +20,8 @@
     errno.ENOBUFS,
     errno.ENOMEM,
 )
-LOCAL_RETRY_S = 0.01
-LOCAL_RETRY_LIMIT_S = 0.1
+LOCAL_RETRY_INTERVAL_S = 0.01
+MAX_LOCAL_RETRY_S = 0.1  # from the first attempt
 
 
 class ConnectFailure(Enum):
@@ -58,17 +58,20 @@
     """Connect within ``timeout_s`` seconds, on a descriptor of the reserve if there is no other.
 
     For the relay's own connections, which must succeed however many clients there are. Local failures, which
-    are no fault of the peer, are retried for ``LOCAL_RETRY_LIMIT_S``.
+    are no fault of the peer, are retried for ``MAX_LOCAL_RETRY_S``.
+
+    Returns:
+        The connected socket, which the caller closes, or why there is none.
     """
     loop = asyncio.get_running_loop()
-    local_deadline_s = loop.time() + LOCAL_RETRY_LIMIT_S
+    local_deadline_s = loop.time() + MAX_LOCAL_RETRY_S
     try:
         async with asyncio.timeout(timeout_s):
             while True:
                 connected = await _connect_once(address, use_reserve=use_reserve)
                 if connected is not ConnectFailure.LOCAL or loop.time() >= local_deadline_s:
                     return connected
-                await asyncio.sleep(LOCAL_RETRY_S)
+                await asyncio.sleep(LOCAL_RETRY_INTERVAL_S)
     except TimeoutError:
         return ConnectFailure.TIMED_OUT
 
--- a/sageturn/net/discovery_watch.py
+++ b/sageturn/net/discovery_watch.py
@@ -127,6 +127,16 @@
         return WatchFailed(f"{reason} after {waited_s:.3f} s", classify_rejection(waited_s * 1000.0))
 
     async def _follow(self, sock: socket.socket) -> NoReturn:
+        """Send the request, and report updates until the response ends or is not usable.
+
+        Raises:
+            TimeoutError: discovery does not respond, or is silent for too long.
+            WatchClosedError: discovery has ended the watch, or responded with no watch.
+            OSError: the connection failed.
+            ValueError: an object cannot be decoded.
+            RecursionError: an object is nested too deeply.
+            httptools.HttpParserError: the response is not valid HTTP.
+        """
         loop = asyncio.get_running_loop()
         await loop.sock_sendall(sock, self._encode_request())
         buffer = bytearray(READ_BUFFER_BYTES)
--- a/sageturn/net/endpoint_list.py
+++ b/sageturn/net/endpoint_list.py
@@ -47,24 +47,24 @@
 
 def _parse_entry(entry: JsonObject) -> Endpoint:
     state = entry["state"]
-    if not _text(entry, "id"):
+    if not _read_text(entry, "id"):
         raise InvalidEndpointListError(f"id: {entry['id']!r}")
     if state not in ENDPOINT_STATES:
         raise InvalidEndpointListError(f"state: {state!r}")
     return Endpoint(
         name=entry["id"],
         state=state,
-        zone=_text(entry, "zone"),
-        cell=int(_non_negative(entry, "cell", 0)),
-        started_at_ms=_non_negative(entry, "started_ms", 0.0),
-        share=_non_negative(entry, "weight", 1.0),
-        kind=_text(entry, "kind"),
+        zone=_read_text(entry, "zone"),
+        cell=int(_read_non_negative(entry, "cell", 0)),
+        started_at_ms=_read_non_negative(entry, "started_ms", 0.0),
+        share=_read_non_negative(entry, "weight", 1.0),
+        kind=_read_text(entry, "kind"),
     )
 
 
 def _parse_entry_address(entry: JsonObject) -> Address | None:
     """Return None where the entry has no address. Names are rejected: a look-up would delay attempts."""
-    text = _text(entry, "addr")
+    text = _read_text(entry, "addr")
     if not text:
         return None
     host, port = parse_address(text)
@@ -73,7 +73,7 @@
     return host, port
 
 
-def _text(entry: JsonObject, key: str) -> str:
+def _read_text(entry: JsonObject, key: str) -> str:
     """Return the string at ``key``, or an empty one where the key is absent."""
     value = entry.get(key)
     if value is not None and not isinstance(value, str):
@@ -81,7 +81,7 @@
     return value or ""
 
 
-def _non_negative(entry: JsonObject, key: str, default: float) -> float:
+def _read_non_negative(entry: JsonObject, key: str, default: float) -> float:
     """Return the number at ``key``, or ``default`` where it is absent or 0."""
     value = entry.get(key)
     if value is None:
--- a/sageturn/net/health_check_client.py
+++ b/sageturn/net/health_check_client.py
@@ -22,7 +22,9 @@
 log = logging.getLogger(__name__)
 
 REQUEST = b"STATS\r\n"
-RESPONSE_TIMEOUT_S = 1.0  # the interval between two checks of an endpoint
+RESPONSE_REPORT = b"PONG"  # first word of a response with a load report
+RESPONSE_REFUSED = b"NO"  # first word of the response of an endpoint that takes no health checks
+RESPONSE_TIMEOUT_S = 1.0  # not above the shortest interval between two checks of one endpoint
 MAX_RESPONSE_BYTES = MAX_REPORT_BYTES + 64
 
 
@@ -83,7 +85,7 @@
         task.add_done_callback(lambda _: self._checks.pop(endpoint, None))
 
     @property
-    def checks_under_way(self) -> int:
+    def checks_in_flight(self) -> int:
         """How many endpoints are being checked."""
         return len(self._checks)
 
@@ -121,9 +123,9 @@
                 return _Outcome(AttemptStatus.CONNECT_FAILED)
             response = await self._exchange(endpoint, sock)
         word, _, report = response.partition(b" ")
-        if word == b"NO":
+        if word == RESPONSE_REFUSED:
             return _Outcome(AttemptStatus.REFUSED)
-        if word != b"PONG":
+        if word != RESPONSE_REPORT:
             return _Outcome(AttemptStatus.ERROR)
         return _Outcome(AttemptStatus.OK, read_report(report, self._report_fields, self._invalid_values))
 
@@ -145,7 +147,7 @@
                 line += buffer[:size]
             complete = line.endswith(b"\r\n") and line.count(b"\n") == 1
         finally:
-            if complete and not line.startswith(b"NO"):
+            if complete and not line.startswith(RESPONSE_REFUSED):
                 self._idle[endpoint] = _IdleConnection(sock, loop.time())
             else:
                 sock.close()
--- a/sageturn/net/listener.py
+++ b/sageturn/net/listener.py
@@ -60,7 +60,7 @@
             self.close()
 
     def _accept_queued(self, max_connections: int) -> Shortage:
-        """Accept queued connections, ``max_connections`` at most; returns what kept it from going on."""
+        """Accept queued connections, ``max_connections`` at most; returns the shortage that stopped it."""
         for _ in range(max_connections):
             if not DESCRIPTOR_RESERVE.refill():
                 return Shortage.PROCESS_DESCRIPTORS
--- a/sageturn/net/sockets.py
+++ b/sageturn/net/sockets.py
@@ -90,9 +90,9 @@
 async def wait_for_close_reason(sock: socket.socket, poll: Callable[[], CloseReason | None]) -> CloseReason:
     """Call ``poll`` at once and whenever ``sock`` is readable, until it returns a reason.
 
-    Nothing but ``poll`` may read the socket meanwhile, and ``poll`` must not wait; it may be called from
-    elsewhere, too. A second reader could reorder the bytes: those that it has read are stored only when it is
-    woken, and ``poll`` may have stored later ones by then.
+    ``poll`` must not wait, and may be called from elsewhere as well. Nothing else may read the socket: the
+    bytes of another reader are stored only when its task is woken, and ``poll`` may have stored later ones by
+    then.
     """
     loop = asyncio.get_running_loop()
     close_reason: asyncio.Future[CloseReason] = loop.create_future()
--- a/sageturn/relay/closed_connections.py
+++ b/sageturn/relay/closed_connections.py
@@ -39,11 +39,11 @@
             (record.ended_ms - record.started_ms) / 1000.0,
             reason,
             f" endpoint_idle_s={record.endpoint_idle_s:.3f}" if record.was_established else "",
-            _describe(record.final_response),
+            _format_response(record.final_response),
         )
 
 
-def _describe(response: FinalResponse | None) -> str:
+def _format_response(response: FinalResponse | None) -> str:
     if response is None:
         return ""
     kind = "rejected" if response.rejected else "failed"
--- a/sageturn/relay/ingress.py
+++ b/sageturn/relay/ingress.py
@@ -38,7 +38,7 @@
 
     def pending_connections(self) -> int:
         """Return how many accepted connections have made no request yet."""
-        return self._admission.awaiting_request
+        return self._admission.pending_count
 
     def stop_accepting(self) -> None:
         """Accept nobody any more, and answer all who have made no request."""
--- a/sageturn/relay/operator_control.py
+++ b/sageturn/relay/operator_control.py
@@ -121,7 +121,7 @@
         actors.spawn("rebalancer", rebalancer.run())
 
     def set_restrictions(self, restrictions: EndpointRestrictions) -> None:
-        """Take the endpoints that operators have marked; called by the overrides' actor at each change."""
+        """Take the endpoints that operators restrict; called by the overrides' actor at each change."""
         self._restrictions = restrictions
         if self.rebalancer is not None:
             self.rebalancer.restrictions = restrictions
--- a/sageturn/relay/relay.py
+++ b/sageturn/relay/relay.py
@@ -218,15 +218,14 @@
         """
         loop = asyncio.get_running_loop()
         shutdown_requested = asyncio.Event()
-        for number in SHUTDOWN_SIGNALS:
-            loop.add_signal_handler(number, shutdown_requested.set)
+        for shutdown_signal in SHUTDOWN_SIGNALS:
+            loop.add_signal_handler(shutdown_signal, shutdown_requested.set)
         loop.add_signal_handler(signal.SIGHUP, self.reload_requested.set)
-        signal.pthread_sigmask(
-            signal.SIG_UNBLOCK, HANDLED_SIGNALS
-        )  # those held back since the start come now
+        # Signals that were blocked since the start are delivered now.
+        signal.pthread_sigmask(signal.SIG_UNBLOCK, HANDLED_SIGNALS)
         set_descriptor_limit(self.config.limits.sockets)
         await asyncio.sleep(START_DELAY_S)
-        if not shutdown_requested.is_set():  # else told to go before anybody could come
+        if not shutdown_requested.is_set():  # a signal during the start stops it before it accepts anybody
             self.start()
             await self._actors.wait_until_failed_or(shutdown_requested.wait())
             await self.request_registry.drain(self.ingress, at_once=self._actors.has_failed)
--- a/sageturn/relay/reload.py
+++ b/sageturn/relay/reload.py
@@ -12,7 +12,7 @@
 
 log = logging.getLogger(__name__)
 
-READ_RETRY_S = 0.2  # between two tries to read files that cannot be read at the moment
+READ_RETRY_INTERVAL_S = 0.2  # while the files cannot be read at the moment
 MAX_READ_RETRIES = 25
 
 ReadConfig = Callable[[RelayConfig], RelayConfig]
@@ -62,15 +62,23 @@
         return None
 
     async def _read_when_possible(self, read_config: ReadConfig) -> RelayConfig:
-        """Read the configuration, and retry what fails for a moment: the request will not be repeated."""
+        """Read the configuration, and retry while files cannot be read at the moment.
+
+        The operator will not request the reload a second time.
+
+        Raises:
+            ConfigError: the configuration is invalid, or still unreadable after the last retry.
+        """
         for _ in range(MAX_READ_RETRIES):
             try:
                 return self._read_now(read_config)
             except ConfigUnreadableError as error:
                 if not error.is_momentary:
                     raise
-                log.warning("configuration not readable now retry_s=%.1f error=%s", READ_RETRY_S, error)
-            await asyncio.sleep(READ_RETRY_S)
+                log.warning(
+                    "configuration not readable now retry_s=%.1f error=%s", READ_RETRY_INTERVAL_S, error
+                )
+            await asyncio.sleep(READ_RETRY_INTERVAL_S)
         return self._read_now(read_config)
 
     def _read_now(self, read_config: ReadConfig) -> RelayConfig:
@@ -80,8 +88,8 @@
 
 def log_config_applied(old: RelayConfig, new: RelayConfig) -> None:
     """Log that ``new`` is in force, with the keys that differ and need a restart."""
-    kept = old.keys_needing_restart(new)
-    if kept:
-        log.info("configuration applied needs_restart=%s", ",".join(kept))
+    pending_keys = old.keys_needing_restart(new)
+    if pending_keys:
+        log.info("configuration applied needs_restart=%s", ",".join(pending_keys))
     else:
         log.info("configuration applied")
--- a/sageturn/relay/stored_log_level.py
+++ b/sageturn/relay/stored_log_level.py
@@ -18,7 +18,7 @@
         self._store = store
 
     def on_store_change(self, records: list[StoreRecord]) -> None:
-        """Called by the store with the records that have changed."""
+        """Apply the stored level if it is among the records that have changed; called by the store."""
         if any(record.key == LOG_LEVEL_KEY for record in records):
             self.apply()
 
--- a/sageturn/relay/supervisor.py
+++ b/sageturn/relay/supervisor.py
@@ -19,14 +19,14 @@
         self._first_failure: BaseException | None = None
         self._failed = asyncio.Event()
 
-    def spawn(self, name: str, running: Coroutine[None, None, None]) -> None:
+    def spawn(self, name: str, actor_run: Coroutine[None, None, None]) -> None:
         """Run an actor until ``stop``; its failure must not go unseen, whenever it was spawned.
 
         Args:
             name: the actor's, for the log.
-            running: what it does until it is cancelled.
+            actor_run: the coroutine that runs the actor until it is cancelled.
         """
-        actor = asyncio.create_task(running, name=name)
+        actor = asyncio.create_task(actor_run, name=name)
         self._actors.append(actor)
         actor.add_done_callback(self._on_actor_done)
 
--- a/tests/core/test_attempt_races.py
+++ b/tests/core/test_attempt_races.py
@@ -349,7 +349,7 @@
         if end == "no line":
             client.sendall(b"GET / HTTP/1.1\r\n")
         elif end == "evicted":
-            await until(lambda: relay.admission.awaiting_request)
+            await until(lambda: relay.admission.pending_count)
             await asyncio.sleep(0)
             relay.admission.evict_all_pending()
         assert await asyncio.to_thread(client.recv, 99) == FINAL_LINES[end]
--- a/tests/core/test_close_reasons.py
+++ b/tests/core/test_close_reasons.py
@@ -129,7 +129,7 @@
 
 async def partial_request_line(scenario: RelayScenario, monkeypatch: pytest.MonkeyPatch) -> None:
     scenario.client.sendall(scenario.line[:-2])
-    await until(lambda: scenario.relay.admission.awaiting_request)
+    await until(lambda: scenario.relay.admission.pending_count)
 
 
 STAGES = {
@@ -298,7 +298,7 @@
         scenario = RelayScenario(relay, [endpoint])
         relay.admission.evict_all_pending = lambda: None  # type: ignore[method-assign]
         draining = asyncio.ensure_future(relay.request_registry.drain(relay.ingress))
-        await until(lambda: relay.admission.awaiting_request and relay.request_registry.is_drain_forced)
+        await until(lambda: relay.admission.pending_count and relay.request_registry.is_drain_forced)
         scenario.client.sendall(first_line())
         assert (await scenario.read_rest()).startswith(b"BUSY")
         await draining
@@ -313,7 +313,7 @@
         scenario = RelayScenario(relay, [endpoint])
         line = first_line()
         scenario.client.sendall(line[:20])
-        await until(lambda: relay.admission.awaiting_request)
+        await until(lambda: relay.admission.pending_count)
         draining = asyncio.ensure_future(relay.request_registry.drain(relay.ingress))
         await asyncio.sleep(0.8)  # past the time in which new ones are expected
         assert not draining.done()
@@ -328,7 +328,7 @@
     # Closed over the unread line, the kernel's reset destroyed the answer.
     async with relaying(tmp_path, up) as (relay, _):
         scenario = RelayScenario(relay, [])
-        await until(lambda: relay.admission.awaiting_request)
+        await until(lambda: relay.admission.pending_count)
         await asyncio.sleep(0.01)  # its reading has begun; whether or not, it is answered
         scenario.client.sendall(first_line())
         relay.admission.evict_all_pending()
--- a/tests/decision/test_health_checks.py
+++ b/tests/decision/test_health_checks.py
@@ -218,7 +218,7 @@
             relay.health_check_client.start_check("a")
             relay.health_check_client.start_check("a")  # one at a time
             assert await heard.get() == decision.HealthCheckCompleted("a", status, report)
-            while relay.health_check_client.checks_under_way:
+            while relay.health_check_client.checks_in_flight:
                 await asyncio.sleep(0)
         assert len(seen) == len(words) and set(seen) == {b"STATS\r\n"} and heard.empty()
         assert await reply(relay.listener.address, first_line()) == b"UP r1\r\n"
--- a/tests/net/test_accept_failures.py
+++ b/tests/net/test_accept_failures.py
@@ -94,13 +94,13 @@
     listener.start_listening()
     running = asyncio.ensure_future(listener.run())
     slow = [socket.create_connection(listener.address) for _ in range(5)]
-    await until(lambda: admission.awaiting_request == len(slow))
+    await until(lambda: admission.pending_count == len(slow))
     for errors in ((errno.ENFILE,), (errno.ENOBUFS, errno.ENOMEM), (errno.ENFILE, errno.ENFILE)):
         with monkeypatch.context() as patched:
             failing = failing_accept(*errors)
             failing.install(patched)
             slow.append(socket.create_connection(listener.address))
-            await until(lambda: admission.awaiting_request == len(slow))
+            await until(lambda: admission.pending_count == len(slow))
             assert not failing.is_failing
     with monkeypatch.context() as patched:  # what lasts is another matter, as is the process's own limit
         failing_accept(*[errno.ENFILE] * 50).install(patched)
--- a/tests/net/test_evictions.py
+++ b/tests/net/test_evictions.py
@@ -36,7 +36,7 @@
             client.settimeout(5)
             line = first_line()
             client.sendall(line[:20])
-            await until(lambda: relay.admission.awaiting_request == 1)
+            await until(lambda: relay.admission.pending_count == 1)
             evict(relay)
             await asyncio.sleep(MORE_AFTER_S)
             client.sendall(line[20:])
--- a/tests/net/test_sockets.py
+++ b/tests/net/test_sockets.py
@@ -66,7 +66,7 @@
         assert await reader.readline() == b"UP r1\r\n"
         await until(lambda: seen and relay.endpoint_registry.version == 2)
         idle = await ask(relay.listener.address, b"")
-        await until(lambda: relay.admission.awaiting_request)
+        await until(lambda: relay.admission.pending_count)
         dialled = {endpoint.address, relay.discovery._address}
         found = connections_of_relay({relay.listener.address}, dialled)
         assert {sock.getpeername() for direction, sock in found if direction == "dialled"} == dialled
@@ -155,7 +155,7 @@
     async with relaying_xmpp(tmp_path, echo) as (relay, _):
         client = await Client.connect(xmpp_address(relay))
         client.send("<?xml version='1.0'?>")
-        await until(lambda: relay.admission.awaiting_request)
+        await until(lambda: relay.admission.pending_count)
         await asyncio.sleep(0.01)
         relay.admission.evict_all_pending()
         client.send(HEADER.format("to").removeprefix("<?xml version='1.0'?>") + " " * 2000)
