--- a/sageturn/decision/discovery_backoff.py
+++ b/sageturn/decision/discovery_backoff.py
@@ -19,10 +19,12 @@
 RESPONSE_TIMEOUT_MS = 3500.0  # discovery itself fails a call that has waited 3 s for its response
 IDLE_TIMEOUT_MS = 3200.0  # discovery sends an empty line every 2 s
 
+MAX_QUEUE_MS = 3000.0  # discovery fails calls that have waited longer in its queue
+
 # Longest time that the client may have waited itself when it reports a failure; 0 for those not listed.
 MAX_DETECTION_MS = {
     DiscoveryFailure.UNREACHED: CONNECT_TIMEOUT_MS,
-    DiscoveryFailure.OVERLOADED: 3000.0,
+    DiscoveryFailure.OVERLOADED: MAX_QUEUE_MS,
     DiscoveryFailure.UNANSWERED: RESPONSE_TIMEOUT_MS,
     DiscoveryFailure.SILENT: IDLE_TIMEOUT_MS,
 }
@@ -40,7 +42,6 @@
 FAST_CALL_MS = 21.0
 TYPICAL_CALL_MS = 43.0
 SLOW_CALL_MS = 130.0
-MAX_QUEUE_MS = 3000.0  # calls in a longer queue fail
 MIN_QUEUED_MS = 1000.0  # a call that fails sooner was not queued: discovery was down, or rejected it
 MAX_OVERLOAD_FACTOR = 2.0  # largest mean delay over the time that all relays' slow calls exceed the queue by
 MAX_OVERLOAD_COUNT = 20  # bounds the exponent
--- a/sageturn/decision/health_checks.py
+++ b/sageturn/decision/health_checks.py
@@ -11,6 +11,7 @@
 
 from sageturn.decision import actions
 from sageturn.decision.jitter import jitter
+from sageturn.decision.load_reports import PROCESSOR_FIELD, QUEUED_WORK_FIELD, UTILIZATION_FIELD
 from sageturn.decision.settings import ReportSource, Settings
 
 SPEND_RATIO = 0.02  # part of each request's value that may be spent on health checks
@@ -23,7 +24,7 @@
 TARGET_UTILIZATION = 0.7  # down to which an endpoint is relieved
 RELIEF_INTERVAL_MS = 1000.0  # until a report shows the effect of the last migrations
 TIMER_TAG = "probe"
-LOAD_FIELDS = {"x0", "x1", "cpu"}  # of a report: utilization, seconds of queued work, processor use
+LOAD_FIELDS = {UTILIZATION_FIELD, QUEUED_WORK_FIELD, PROCESSOR_FIELD}  # what a verdict goes by
 
 
 @dataclass(frozen=True, slots=True)
@@ -115,8 +116,8 @@
         All relays get the same report, and each migrates the same part of its own connections.
         """
         self._last_report_ms = now_ms
-        utilization = report.get("x0", report.get("cpu", 0.0))
-        queue_ms = report.get("x1", 0.0) * 1000.0
+        utilization = report.get(UTILIZATION_FIELD, report.get(PROCESSOR_FIELD, 0.0))
+        queue_ms = report.get(QUEUED_WORK_FIELD, 0.0) * 1000.0
         excess_ratio = 0.0
         if utilization > RELIEF_UTILIZATION and now_ms >= self._next_relief_ms.get(endpoint, now_ms):
             excess_ratio = (utilization - TARGET_UTILIZATION) / utilization
--- a/sageturn/decision/load_reports.py
+++ b/sageturn/decision/load_reports.py
@@ -17,8 +17,22 @@
     "qps": "rps",
     "eps": "err_rps",
 }
-FIELDS = frozenset({"active", "waiting", "cpu", "avg_ms", "rps", "err_rps", "x0", "x1"})
-MAX_VALUES = {"cpu": 1e3, "x0": 1e3, "x1": 3600.0}  # utilizations, and seconds of queued work
+UTILIZATION_FIELD = "x0"  # 1 where the endpoint is fully used
+QUEUED_WORK_FIELD = "x1"  # seconds
+PROCESSOR_FIELD = "cpu"  # utilization of the processor
+FIELDS = frozenset(
+    {
+        "active",
+        "waiting",
+        "avg_ms",
+        "rps",
+        "err_rps",
+        UTILIZATION_FIELD,
+        QUEUED_WORK_FIELD,
+        PROCESSOR_FIELD,
+    }
+)
+MAX_VALUES = {PROCESSOR_FIELD: 1e3, UTILIZATION_FIELD: 1e3, QUEUED_WORK_FIELD: 3600.0}
 MAX_OTHER_VALUE = 1e7
 MAX_LOAD_US_PER_S = 1e9  # of one connection: a thousand cores
 MAX_REPORT_BYTES = 512
