--- a/sageturn/decision/load_reports.py
+++ b/sageturn/decision/load_reports.py
@@ -17,8 +17,22 @@
     "qps": "rps",
     "eps": "err_rps",
 }
-FIELDS = frozenset({"active", "waiting", "cpu", "avg_ms", "rps", "err_rps", "x0", "x1"})
-MAX_VALUES = {"cpu": 1e3, "x0": 1e3, "x1": 3600.0}  # utilizations, and seconds of queued work
+UTILIZATION_FIELD = "x0"  # 1 where the endpoint is fully used
+QUEUED_WORK_FIELD = "x1"  # seconds
+PROCESSOR_FIELD = "cpu"  # utilization of the processor
+FIELDS = frozenset(
+    {
+        "active",
+        "waiting",
+        "avg_ms",
+        "rps",
+        "err_rps",
+        UTILIZATION_FIELD,
+        QUEUED_WORK_FIELD,
+        PROCESSOR_FIELD,
+    }
+)
+MAX_VALUES = {PROCESSOR_FIELD: 1e3, UTILIZATION_FIELD: 1e3, QUEUED_WORK_FIELD: 3600.0}
 MAX_OTHER_VALUE = 1e7
 MAX_LOAD_US_PER_S = 1e9  # of one connection: a thousand cores
 MAX_REPORT_BYTES = 512
@@ -34,7 +48,7 @@
     return 0.0 <= load_us_per_s <= MAX_LOAD_US_PER_S
 
 
-def checked(values: Mapping[str, Any] | None, dropped: Counter[str] | None = None) -> dict[str, float]:
+def usable_values(values: Mapping[str, Any] | None, dropped: Counter[str] | None = None) -> dict[str, float]:
     """Return the usable values of a report by the settings' names.
 
     Args:
@@ -80,7 +94,7 @@
             dropped["malformed"] += 1
         else:
             values[match[1]] = float(match[2])
-    usable = checked(values, dropped)
+    usable = usable_values(values, dropped)
     allowed_names = {FIELD_ALIASES.get(word, word) for word in allowed}
     dropped["unknown"] += len(usable.keys() - allowed_names)
     return {name: value for name, value in usable.items() if name in allowed_names}
--- a/sageturn/lab/demo.py
+++ b/sageturn/lab/demo.py
@@ -17,7 +17,9 @@
 from rich.text import Text
 
 from sageturn.lab.loopback.loopback_runner import Deployment, FleetSample, LoopbackResult, deployed
+from sageturn.lab.model.client_event import ClientEvent
 from sageturn.lab.model.fleet_spec import FleetSpec
+from sageturn.lab.model.planner_kind import PlannerKind
 from sageturn.lab.reports.result_table import loopback_row
 
 SPEC = FleetSpec(
@@ -29,7 +31,7 @@
     join_s=8.0,
     capacity_ratio=2.5,
 )
-# A pace at which something is seen within two minutes; an operator's is slower.
+# Faster than an operator would set, for migrations within two minutes.
 REBALANCE = {"part_per_min": 0.4, "tick_s": 0.5, "least_age_s": 1.0}
 BAR_WIDTH = 40  # characters, at twice the mean utilization
 HIGH_RATIO = 1.15  # of a host's utilization over the mean
@@ -38,13 +40,13 @@
 
 
 def render(sample: FleetSample, deployment: Deployment) -> Group:
-    """The figures of the fleet, and a bar for each host."""
+    """Renders the figures of the fleet, and a bar for each host."""
     counts = deployment.observations.counts
     summary = (
         f"{sample.elapsed_s:4.0f} s   fullest over mean [bold]{sample.imbalance_ratio:.2f}[/]   "
         f"standing {sample.established}   moved {sample.migrations}   "
-        f"guest-checkin moved {counts['checkin_moved']}   refused {counts['busy']}   "
-        f"cut off {counts['cut']}"
+        f"guest-checkin moved {counts[ClientEvent.CHECK_IN_MIGRATED]}   refused {counts[ClientEvent.BUSY]}   "
+        f"cut off {counts[ClientEvent.CUT]}"
     )
     return Group(Text.from_markup(summary), _host_table(sample, deployment))
 
@@ -75,8 +77,8 @@
 
 
 async def run_demo(seconds: float, console: Console) -> LoopbackResult:
-    """Run the fleet, with a line a second where the output is no terminal."""
-    async with deployed(SPEC, "on", REBALANCE) as deployment:
+    """Runs the fleet, and prints a line a second where the output is no terminal."""
+    async with deployed(SPEC, PlannerKind.ON, REBALANCE) as deployment:
         if not console.is_terminal:
             return await deployment.run(seconds, lambda sample, _: console.print(_line(sample)))
         with Live(console=console, refresh_per_second=REFRESHES_PER_S) as live:
@@ -90,7 +92,7 @@
 
 
 def main() -> None:
-    """Run the command."""
+    """Runs the command."""
     parser = argparse.ArgumentParser(prog="sageturn.lab.demo", description=__doc__)
     parser.add_argument("--seconds", type=float, default=120.0)
     options = parser.parse_args()
--- a/sageturn/lab/loopback/client_population.py
+++ b/sageturn/lab/loopback/client_population.py
@@ -14,14 +14,14 @@
 from hdrh.histogram import HdrHistogram
 
 from sageturn.lab.loopback.client_connection import MAX_MESSAGE_US, ClientConnection
+from sageturn.lab.model.client_event import ClientEvent, late_event
 from sageturn.lab.model.fleet_spec import FleetSpec
 from sageturn.lab.model.sampling import Client, ClientSampler
 from sageturn.lab.model.simulation_result import SIGNIFICANT_DIGITS, make_setup_histogram
 
-IMMEDIATE_RETRIES = 3  # each such number of failed attempts is followed by a longer delay
+IMMEDIATE_RETRIES = 3  # failed attempts between two long delays
 LONG_RETRY_DELAY_S = 2.0
-# After a migration, members of the same group that are still connected as before were left behind.
-GROUP_SPLIT_CHECK_S = 1.5
+GROUP_SPLIT_CHECK_S = 1.5  # from a migration until the group's other members have to have followed
 CHECK_IN_CLASS = "guest-checkin"
 
 GroupPlace = tuple[int, str, str]  # relay, host and group
@@ -36,13 +36,13 @@
 
     setup_histograms: list[HdrHistogram]
     message_histograms: list[HdrHistogram]
-    counts: Counter[str] = field(default_factory=Counter)
+    counts: Counter[str] = field(default_factory=Counter)  # by ClientEvent and ``late_event``
     weighted_waiting_s: float = 0.0
     migrations_by_client: Counter[str] = field(default_factory=Counter)
 
     @classmethod
     def for_fleet(cls, spec: FleetSpec) -> ClientObservations:
-        """Empty observations of a fleet's classes."""
+        """Makes empty observations of a fleet's classes."""
         setups = [make_setup_histogram() for _ in spec.classes]
         messages = [HdrHistogram(1, MAX_MESSAGE_US, SIGNIFICANT_DIGITS) for _ in spec.classes]
         return cls(setups, messages)
@@ -73,14 +73,14 @@
     # ------------------------------------------------------------ clients
 
     def spawn(self, client: Client, relay: int | None = None, host: str = "") -> asyncio.Task[None]:
-        """Run a client; ``relay`` and ``host`` are those of a connection from before the run."""
+        """Runs a client; ``relay`` and ``host`` are those of a connection from before the run."""
         task = asyncio.ensure_future(self._run_client(client, relay, host))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
 
     async def run_arrivals(self, arrivals_per_s: float) -> None:
-        """Spawn clients in an open loop: their times do not depend on how fast the relays are."""
+        """Spawns clients in an open loop: their times do not depend on how fast the relays are."""
         loop = asyncio.get_running_loop()
         due_s = loop.time()
         while True:
@@ -91,7 +91,7 @@
             self.spawn(client)
 
     async def stop(self) -> None:
-        """End all clients."""
+        """Ends all clients."""
         self._stopping = True
         tasks = list(self._tasks)
         for task in tasks:
@@ -104,7 +104,8 @@
         self.wanted += 1
         try:
             while not self._stopping:
-                client.waiting_since_s = client.waiting_since_s or loop.time()
+                if client.waiting_since_s is None:
+                    client.waiting_since_s = loop.time()
                 if relay is None:
                     relay = self.sampler.index_below(len(self.relays))
                 connection = ClientConnection(self, client, relay, host)
@@ -122,7 +123,7 @@
         try:
             await asyncio.get_running_loop().create_connection(lambda: connection, *address)
         except OSError:
-            self.observations.counts["no_connect"] += 1
+            self.observations.counts[ClientEvent.CONNECT_FAILED] += 1
             return
         try:
             await connection.closed.wait()
@@ -138,7 +139,7 @@
             if client.attempts % IMMEDIATE_RETRIES == 0:
                 delay_s = max(delay_s, LONG_RETRY_DELAY_S)
             return delay_s
-        # The client means to ask after this delay: what delays it further is the relay's.
+        # The client wants a connection after this delay; any further one is the relay's.
         client.attempts = 1
         client.waiting_since_s = now_s + delay_s
         weight = self.spec.classes[client.class_index].priority_weight
@@ -148,19 +149,19 @@
     # ------------------------------------------------------------ events of connections
 
     def next_request_id(self) -> str:
-        """A request id that no other connection of the run has."""
+        """Returns a request id that no other connection of the run has."""
         return f"{next(self._request_ids):016x}"
 
-    def count(self, event: str) -> None:
-        """Count an event under its key."""
+    def count(self, event: ClientEvent) -> None:
+        """Counts an event."""
         self.observations.counts[event] += 1
 
     def record_message(self, class_index: int, duration_us: int) -> None:
-        """Record the time of a message to its answer, in microseconds."""
+        """Records the time of a message to its answer, in microseconds."""
         self.observations.message_histograms[class_index].record_value(duration_us)
 
     def on_established(self, connection: ClientConnection, setup_s: float) -> None:
-        """A connection is established; one from before the run is not a set-up."""
+        """Records an established connection; one from before the run does not count as a set-up."""
         client = connection.client
         class_spec = self.spec.classes[client.class_index]
         self.established[connection] = None
@@ -171,12 +172,12 @@
         setup_ms = setup_s * 1000.0
         observations = self.observations
         observations.setup_histograms[client.class_index].record_value(max(1, round(setup_ms)))
-        observations.counts["set_up"] += 1
-        observations.counts[f"late_{class_spec.name}"] += setup_ms > class_spec.latency_objective_ms
+        observations.counts[ClientEvent.SET_UP] += 1
+        observations.counts[late_event(class_spec.name)] += setup_ms > class_spec.latency_objective_ms
         observations.weighted_waiting_s += class_spec.priority_weight * setup_s
 
     def on_closed(self, connection: ClientConnection) -> None:
-        """A connection, established or not, is closed."""
+        """Records the end of a connection, whether it was established or not."""
         if connection in self.established:
             del self.established[connection]
             place = _group_place(connection)
@@ -188,25 +189,27 @@
         if connection.migrated:
             self._count_migration(connection)
         elif connection.established and not connection.finished:
-            self.observations.counts["cut"] += 1
+            self.observations.counts[ClientEvent.CUT] += 1
 
     def _count_migration(self, connection: ClientConnection) -> None:
         client = connection.client
         observations = self.observations
-        observations.counts["moved"] += 1
+        observations.counts[ClientEvent.MIGRATED] += 1
         observations.migrations_by_client[client.key] += 1
-        observations.counts["moved_again"] += observations.migrations_by_client[client.key] > 1
+        observations.counts[ClientEvent.MIGRATED_REPEATEDLY] += (
+            observations.migrations_by_client[client.key] > 1
+        )
         if self.spec.classes[client.class_index].name == CHECK_IN_CLASS:
-            observations.counts["checkin_moved"] += 1
+            observations.counts[ClientEvent.CHECK_IN_MIGRATED] += 1
         if client.group:
             loop = asyncio.get_running_loop()
             loop.call_later(GROUP_SPLIT_CHECK_S, self._check_for_split, _group_place(connection), loop.time())
 
     def _check_for_split(self, place: GroupPlace, migrated_s: float) -> None:
-        """Count a migration that has left behind members of the group that were connected before it."""
+        """Counts a migration that has left behind members of the group that were connected before it."""
         members = self._groups.get(place, {})
         if any(since_s < migrated_s - GROUP_SPLIT_CHECK_S for since_s in members.values()):
-            self.observations.counts["left_behind"] += 1
+            self.observations.counts[ClientEvent.LEFT_BEHIND] += 1
 
 
 def _group_place(connection: ClientConnection) -> GroupPlace:
--- a/sageturn/lab/loopback/naive_relay.py
+++ b/sageturn/lab/loopback/naive_relay.py
@@ -11,7 +11,7 @@
 
 from sageturn.config.loader import load
 from sageturn.lab.model.naive_planner import NaiveRebalancer
-from sageturn.rebalance.options import RebalanceOptions
+from sageturn.rebalance.options import RebalanceMode, RebalanceOptions
 from sageturn.relay import Relay
 from sageturn.relay.operator_control import RebalancingSubsystem
 from sageturn.relay.supervisor import ActorSupervisor
@@ -21,8 +21,8 @@
     """Runs the naive planner where the operator's file has rebalancing on, and never changes its options."""
 
     def apply_options(self, options: RebalanceOptions | None, actors: ActorSupervisor) -> None:
-        """Turn the naive planner on; later options are ignored."""
-        if options is not None and options.mode == "on" and self.rebalancer is None:
+        """Turns the naive planner on; later options are ignored."""
+        if options is not None and options.mode == RebalanceMode.ON and self.rebalancer is None:
             self.run_rebalancer(self.make_rebalancer(NaiveRebalancer, options), actors)
 
 
@@ -33,7 +33,7 @@
 
 
 def main() -> int:
-    """Run one such relay until it is told to stop. Returns the exit code."""
+    """Runs one such relay until it is told to stop. Returns the exit code."""
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
     parser = argparse.ArgumentParser(prog="sageturn.lab.loopback.naive_relay", description=__doc__)
     parser.add_argument("--operator", metavar="FILE", required=True)
--- a/sageturn/lab/scale/environment.py
+++ b/sageturn/lab/scale/environment.py
@@ -5,13 +5,16 @@
 import asyncio
 import json
 from contextlib import suppress
+from dataclasses import dataclass
 from random import Random
-from typing import Any
 
+from sageturn.decision import EndpointStatus
 from sageturn.lab.loopback.fakes import FakeDiscovery, FakeEndpoint
 from sageturn.lab.model.endpoint_model import EndpointModel
+from sageturn.lab.runner.result_file import Line
+from sageturn.net.json_stream import JsonObject
 
-DISCOVERY_CALL_TIMEOUT_S = 3.0  # after which discovery fails a call
+DISCOVERY_CALL_TIMEOUT_S = 3.0
 LINE_INTERVAL_S = 2.0
 RECONNECT_DELAY_S = 0.5
 CLIENT_START_INTERVAL_S = 0.005  # between two clients of one relay
@@ -22,10 +25,44 @@
 HOST_KIND = "c2-std"
 
 
+@dataclass(frozen=True, slots=True)
+class DiscoveryCounts:
+    """Counts of calls at discovery, of those that it failed, and of the bytes that it wrote."""
+
+    calls: int
+    failed: int
+    bytes_written: int
+
+    def to_line(self) -> Line:
+        """Returns discovery's part of a result line."""
+        return {"calls": self.calls, "failed": self.failed, "octets": self.bytes_written}
+
+
+@dataclass(frozen=True, slots=True)
+class ClientCounts:
+    """Established connections of clients at present, and counts of events of all clients."""
+
+    connected: int
+    opened: int
+    refused: int
+    lines: int  # answered
+    broken: int  # connections that the relay ended
+
+    def to_line(self) -> Line:
+        """Returns the clients' part of a result line."""
+        return {
+            "standing": self.connected,
+            "opened": self.opened,
+            "refused": self.refused,
+            "lines": self.lines,
+            "broken": self.broken,
+        }
+
+
 class ScaleDiscovery(FakeDiscovery):
     """Handles calls one after another, each for ``call_s`` seconds; may be down; counts what it writes."""
 
-    def __init__(self, entries: list[dict[str, Any]], call_s: float) -> None:
+    def __init__(self, entries: list[JsonObject], call_s: float) -> None:
         super().__init__(lambda: entries)
         self.call_s = call_s
         self.calls = 0
@@ -41,13 +78,13 @@
         self._port = self.address[1]
 
     async def stop(self) -> None:
-        """End all connections."""
+        """Ends all connections."""
         await super().stop()
         self._watchers.clear()
 
-    def encode_counts(self) -> dict[str, Any]:
-        """Returns the counters as keys of a result line."""
-        return {"calls": self.calls, "failed": self.failed, "octets": self.bytes_written}
+    def counts(self) -> DiscoveryCounts:
+        """Returns the counts since the construction."""
+        return DiscoveryCounts(self.calls, self.failed, self.bytes_written)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.calls += 1
@@ -79,27 +116,27 @@
         self.sockets = [FakeEndpoint(model, HOST_UNIT_US) for model in models]
 
     async def start(self) -> None:
-        """Begin to listen, or to connect."""
+        """Starts to listen."""
         for host in self.sockets:
             await host.start()
 
     async def stop(self) -> None:
-        """End all connections."""
+        """Stops listening, and ends all connections."""
         for host in self.sockets:
             await host.stop()
 
-    def entries(self) -> list[dict[str, Any]]:
+    def entries(self) -> list[JsonObject]:
         """Returns the entries of the endpoint list as discovery writes them."""
         return [self._entry(number) for number in range(self.count)]
 
-    def _entry(self, number: int) -> dict[str, Any]:
+    def _entry(self, number: int) -> JsonObject:
         return {
             "id": f"h{number:04d}",
             "addr": "{}:{}".format(*self.sockets[number % HOST_SOCKET_COUNT].address),
             "zone": self.zones[number % len(self.zones)],
             "kind": HOST_KIND,
             "cell": 0,
-            "state": "ready",
+            "state": EndpointStatus.READY,
             "weight": 1.0,
             "started_ms": 0,
         }
@@ -120,28 +157,22 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
-        """Begin to listen, or to connect."""
+        """Starts all clients, one after another for each relay."""
         for address in self._addresses:
             for number in range(self._clients_per_relay):
                 delay_s = number * CLIENT_START_INTERVAL_S
                 self._tasks.append(asyncio.ensure_future(self._keep_connected(address, delay_s)))
 
     async def stop(self) -> None:
-        """End all connections."""
+        """Ends all clients."""
         for task in self._tasks:
             task.cancel()
         if self._tasks:
             await asyncio.wait(self._tasks)
 
-    def encode_counts(self) -> dict[str, Any]:
-        """Returns the counters as keys of a result line."""
-        return {
-            "standing": self.connected,
-            "opened": self.opened,
-            "refused": self.refused,
-            "lines": self.lines,
-            "broken": self.broken,
-        }
+    def counts(self) -> ClientCounts:
+        """Returns the present connections, and the counts since the construction."""
+        return ClientCounts(self.connected, self.opened, self.refused, self.lines, self.broken)
 
     async def _keep_connected(self, address: tuple[str, int], delay_s: float) -> None:
         await asyncio.sleep(delay_s)
