--- a/sageturn/store/channel.py
+++ b/sageturn/store/channel.py
@@ -14,6 +14,7 @@
 import secrets
 import socket
 import struct
+from typing import NamedTuple
 
 from sageturn.net.sockets import send_gathered
 from sageturn.store.errors import ChannelClosedError, HandshakeRejectedError
@@ -27,6 +28,11 @@
 _ACCEPTOR_ROLE = b"answered"
 
 
+class _PeerHello(NamedTuple):
+    node: str
+    nonce: bytes
+
+
 def _tag(key: bytes, *parts: bytes) -> bytes:
     """Returns a keyed hash over the parts and their lengths."""
     sized_parts = b"".join(_SIZE.pack(len(part)) + part for part in parts)
@@ -117,11 +123,11 @@
         return bytes(data)
 
 
-def _decode_hello(payload: bytes) -> tuple[str, bytes]:
-    """Returns the peer's node name and nonce."""
+def _decode_hello(payload: bytes) -> _PeerHello:
+    """Decodes the peer's first frame. Raises HandshakeRejectedError if it is malformed."""
     try:
         hello = json.loads(payload)
-        return str(hello["node"]), bytes.fromhex(hello["nonce"])
+        return _PeerHello(str(hello["node"]), bytes.fromhex(hello["nonce"]))
     except (ValueError, KeyError, TypeError) as error:
         raise HandshakeRejectedError("no replica's greeting") from error
 
--- a/sageturn/store/log.py
+++ b/sageturn/store/log.py
@@ -29,6 +29,11 @@
 _FULL_HEADER_BYTES = _HEADER.size + _HEADER_CHECKSUM.size
 
 
+class _EntryHeader(NamedTuple):
+    payload_bytes: int
+    payload_checksum: int
+
+
 class LogContents(NamedTuple):
     """The records of a log's bytes, and the length of the part that is intact."""
 
@@ -60,13 +65,13 @@
         header = data[offset : offset + _FULL_HEADER_BYTES]
         if len(header) < _FULL_HEADER_BYTES or not any(view[offset:]):
             break  # cut short, or the file had grown before its bytes were written
-        size, checksum = _parse_header(header, offset)
+        payload_bytes, payload_checksum = _parse_header(header, offset)
         start = offset + _FULL_HEADER_BYTES
-        end = start + size
+        end = start + payload_bytes
         payload = data[start:end]
-        if len(payload) < size:
+        if len(payload) < payload_bytes:
             break
-        if zlib.crc32(payload) != checksum:
+        if zlib.crc32(payload) != payload_checksum:
             if end == len(data):
                 break  # the last entry: its bytes had not all reached the disk
             raise LogCorruptedError(f"entry at byte {offset}")
@@ -75,14 +80,13 @@
     return LogContents(records, offset)
 
 
-def _parse_header(header: bytes, offset: int) -> tuple[int, int]:
-    """Returns the payload's length and checksum."""
-    lengths = header[: _HEADER.size]
+def _parse_header(header: bytes, offset: int) -> _EntryHeader:
+    """Decodes an entry's header. Raises LogCorruptedError if its own checksum is wrong."""
+    payload_fields = header[: _HEADER.size]
     (header_checksum,) = _HEADER_CHECKSUM.unpack(header[_HEADER.size :])
-    if header_checksum != zlib.crc32(lengths):
+    if header_checksum != zlib.crc32(payload_fields):
         raise LogCorruptedError(f"header at byte {offset}")
-    size, checksum = _HEADER.unpack(lengths)
-    return size, checksum
+    return _EntryHeader(*_HEADER.unpack(payload_fields))
 
 
 def _parse_payload(payload: bytes, offset: int) -> StoreRecord:
@@ -97,8 +101,8 @@
 
     A write or sync that fails is undone: the bytes that it has left in the file are cut off before anything
     else is written, or the next entry would follow half of another. While they cannot be cut off, every write
-    fails. The same holds for a torn tail that an earlier process has left, so a log can be opened and read on
-    a disk that takes nothing.
+    fails. The same holds for a torn tail that an earlier process has left, so a log can be opened and read
+    while the disk is full.
 
     ``records`` are those read when the log was opened, ``torn_bytes`` the length of its torn tail then, and
     ``size`` the length of the intact part.
@@ -125,10 +129,10 @@
         except LogCorruptedError:
             self._file.close()
             raise
-        self._begin()
+        self._prepare_to_append()
 
-    def _begin(self) -> None:
-        """Cuts off a torn tail, and begins a new log."""
+    def _prepare_to_append(self) -> None:
+        """Cuts off a torn tail, and writes the magic number of an empty log; tried again by ``append``."""
         if self.size and not self.torn_bytes:
             self._file.seek(self.size)
             return
@@ -144,7 +148,7 @@
         """Adds records, durable once this returns.
 
         Raises:
-            OSError: The disk takes nothing now, and none of the records is in the log.
+            OSError: The disk cannot be written, and none of the records is in the log.
         """
         if not self._is_directory_synced:
             self._sync_directory()
@@ -171,6 +175,7 @@
         self.size += len(data)
 
     def _undo_write(self) -> None:
+        """Cuts off, durably, what a failed write has left behind the intact part."""
         self._cut_to_size()
         os.fsync(self._file.fileno())
         self._has_unfinished_write = False
@@ -183,7 +188,7 @@
         """Replaces the log atomically by one that has only these records.
 
         Raises:
-            OSError: The disk takes nothing now, and the old log is intact.
+            OSError: The disk cannot be written, and the old log is intact.
         """
         replacement_path = self._path.with_suffix(".new")
         replacement_path.unlink(missing_ok=True)
--- a/sageturn/store/replication/anti_entropy.py
+++ b/sageturn/store/replication/anti_entropy.py
@@ -120,11 +120,11 @@
         ]
 
     def _lacks(self, key: str, offered: RecordVersion) -> bool:
-        held = self._records.store.record(key)
+        known = self._records.store.record(key)
         offered_order = offered.version, offered.node
-        if held is None or held.order != offered_order:
-            return held is None or held.order < offered_order
-        return offered.digest > record_digest(held)
+        if known is None or known.order != offered_order:
+            return known is None or known.order < offered_order
+        return offered.digest > record_digest(known)
 
     def check_records(self, response: RecordResponse) -> None:
         """Closes the open request, before the records of the response are applied.
--- a/sageturn/store/replication/anti_entropy_exchange.py
+++ b/sageturn/store/replication/anti_entropy_exchange.py
@@ -60,7 +60,7 @@
         return self._responder.next_response(now, self._allowance)
 
     def next_response_at(self, now: float) -> float | None:
-        """When the budget allows the response that the peer waits for; None if it waits for none."""
+        """Returns when the budget allows the response that the peer waits for; None if it waits for none."""
         return self._allowance.next_chunk_at(now) if self._responder.has_request else None
 
     # ------------------------------------------------------------ receiving
--- a/sageturn/store/replication/body_fields.py
+++ b/sageturn/store/replication/body_fields.py
@@ -77,8 +77,10 @@
     """Decodes all records of a list, or none. Raises SessionRejectedError for an invalid one."""
     try:
         return [
-            parse_record({"key": key, "value": value, "version": version, "node": node, "written_ms": ms})
-            for key, value, version, node, ms in body
+            parse_record(
+                {"key": key, "value": value, "version": version, "node": node, "written_ms": written_ms}
+            )
+            for key, value, version, node, written_ms in body
         ]
     except (InvalidRecordError, TypeError, ValueError) as error:
         raise SessionRejectedError(f"no record: {error}") from error
--- a/sageturn/store/replication/change_exchange.py
+++ b/sageturn/store/replication/change_exchange.py
@@ -84,7 +84,7 @@
         return None
 
     def next_chunk_at(self, now: float) -> float | None:
-        """When a chunk may be sent though nothing happens in the meantime; None for never."""
+        """Returns when a chunk may be sent though nothing happens in the meantime; None for never."""
         return None if self.sender is None else self.sender.next_chunk_at(now)
 
     def heartbeat_acknowledgements(self) -> list[AcknowledgedPosition] | None:
--- a/sageturn/store/replication/changes.py
+++ b/sageturn/store/replication/changes.py
@@ -14,7 +14,7 @@
 from sageturn.store.replication.merkle_tree import MerkleTree
 from sageturn.store.replication.priority import PRIORITY_CLASSES, priority_of
 
-MIN_COMPACTED_ENTRIES = 64  # stale revisions that are kept before the order is compacted
+MIN_STALE_REVISIONS = 64  # in the order of a change log before it is compacted
 
 
 class Change(NamedTuple):
@@ -49,7 +49,7 @@
         self._revisions[key] = self.head
         self._entries[self.head] = Change(self.head, key, source)
         self._order.append(self.head)
-        if len(self._order) > 2 * len(self._entries) + MIN_COMPACTED_ENTRIES:
+        if len(self._order) > 2 * len(self._entries) + MIN_STALE_REVISIONS:
             self._order = list(self._entries)
 
     def remove(self, key: str) -> None:
--- a/sageturn/store/replication/chunk_sender.py
+++ b/sageturn/store/replication/chunk_sender.py
@@ -14,6 +14,7 @@
 from sageturn.store.records import StoreRecord
 from sageturn.store.replication.changes import ChangeLogSet
 from sageturn.store.replication.cursor import ChangeStream
+from sageturn.store.replication.live_chunk_pacer import LiveChunkPacer
 from sageturn.store.replication.message_codec import record_to_wire
 from sageturn.store.replication.messages import (
     AcknowledgedPosition,
@@ -28,9 +29,6 @@
 
 MAX_CHUNKS_IN_FLIGHT = 2
 MAX_URGENT_CHUNKS_IN_FLIGHT = 4  # of the live urgent stream, counted apart from all others
-# The mean distance of live chunks, so that the changes of a burst share frames.
-LIVE_CHUNK_INTERVAL_S = {PriorityClass.URGENT: 0.05, PriorityClass.STATES: 0.25}
-MAX_LIVE_BURST_CHUNKS = 4
 
 
 class Stream(NamedTuple):
@@ -74,6 +72,13 @@
     end: int
 
 
+class _ChunkContent(NamedTuple):
+    """The records of a chunk, and the revision at which it ends."""
+
+    records: list[StoreRecord]
+    end: int
+
+
 class ChunkSender:
     """Sends the changes of this replica to one follower. Times are monotonic seconds."""
 
@@ -95,7 +100,7 @@
         self._follower_incarnation = follower_incarnation
         self._positions: dict[Stream, SendPosition] = {}
         self._in_flight: list[_ChunkInFlight] = []
-        self._last_live_chunk_at = dict.fromkeys(PRIORITY_CLASSES, opened_at)
+        self._live_pacer = LiveChunkPacer(opened_at)
         for priority, position in zip(PRIORITY_CLASSES, positions, strict=True):
             self._start_streams(priority, position)
 
@@ -164,8 +169,7 @@
         position.sent = end
         self._in_flight.append(_ChunkInFlight(stream, end))
         if stream.kind == ChangeStream.LIVE:
-            last_at = max(now, self._last_live_chunk_at[stream.priority])
-            self._last_live_chunk_at[stream.priority] = last_at + LIVE_CHUNK_INTERVAL_S[stream.priority]
+            self._live_pacer.on_chunk_sent(stream.priority, now)
         return Chunk(stream.priority, stream.kind, start, end, records)
 
     def next_chunk_at(self, now: float) -> float | None:
@@ -173,15 +177,15 @@
         times = []
         if self._has_chunk(URGENT_LIVE):
             allowed_at = self._allowance.next_chunk_at(now, urgent=True)
-            times.append(max(self._live_chunk_due_at(PriorityClass.URGENT), allowed_at))
+            times.append(max(self._live_pacer.next_chunk_at(PriorityClass.URGENT), allowed_at))
         for stream in DEFERRABLE_STREAMS:
             if self._has_chunk(stream):
                 allowed_at = self._allowance.next_chunk_at(now)
-                times.append(max(self._due_at(stream, now), allowed_at))
+                times.append(max(self._paced_at(stream, now), allowed_at))
         return min(times, default=None)
 
-    def _collect_records(self, stream: Stream) -> tuple[list[StoreRecord], int]:
-        """Returns the records of a chunk, and the revision at which it ends."""
+    def _collect_records(self, stream: Stream) -> _ChunkContent:
+        """Scans the change log for the next chunk of a stream, up to ``MAX_CHUNK_BYTES``."""
         position = self._positions[stream]
         end = self._end_of(stream)
         remaining_bytes = MAX_CHUNK_BYTES
@@ -195,11 +199,11 @@
             assert record is not None, change.key
             size = encoded_size(record_to_wire(record))
             if records and size > remaining_bytes:
-                return records, position.scanned
+                return _ChunkContent(records, position.scanned)
             records.append(record)
             remaining_bytes -= size
             position.scanned = change.revision
-        return records, end
+        return _ChunkContent(records, end)
 
     def _has_chunk(self, stream: Stream) -> bool:
         if self._is_window_full(stream):
@@ -217,17 +221,13 @@
         return in_flight >= (MAX_URGENT_CHUNKS_IN_FLIGHT if is_urgent_live else MAX_CHUNKS_IN_FLIGHT)
 
     def _may_send(self, now: float, stream: Stream) -> bool:
-        if now < self._due_at(stream, now) and not self._allowance.is_unlimited:
+        if now < self._paced_at(stream, now) and not self._allowance.is_unlimited:
             return False
         return self._allowance.may_send_chunk(now, urgent=stream == URGENT_LIVE)
 
-    def _due_at(self, stream: Stream, now: float) -> float:
-        return self._live_chunk_due_at(stream.priority) if stream.kind == ChangeStream.LIVE else now
-
-    def _live_chunk_due_at(self, priority: PriorityClass) -> float:
-        """Returns the time by the generic cell rate algorithm (ITU-T I.371), which allows bursts."""
-        burst_s = (MAX_LIVE_BURST_CHUNKS - 1) * LIVE_CHUNK_INTERVAL_S[priority]
-        return self._last_live_chunk_at[priority] - burst_s
+    def _paced_at(self, stream: Stream, now: float) -> float:
+        """Returns when the stream's pacing allows a chunk; only live streams are paced."""
+        return self._live_pacer.next_chunk_at(stream.priority) if stream.kind == ChangeStream.LIVE else now
 
     def _end_of(self, stream: Stream) -> int:
         end = self._positions[stream].end
--- a/sageturn/store/replication/ephemeral_client.py
+++ b/sageturn/store/replication/ephemeral_client.py
@@ -61,20 +61,22 @@
 
 
 class _EphemeralClient:
+    """The client's store, with a replica that keeps one link to the member."""
+
     def __init__(self, peer: Address, secret: bytes, timeout_s: float) -> None:
         self.store = Store(f"operator-{secrets.token_hex(4)}")
         self._peer = peer
         self._timeout_s = timeout_s
         output_signal = OutputSignal()
         wakeups = ReplicaWakeups(on_output_pending=output_signal.notify)
-        self._replica = Replica(self.store, _random(), time.monotonic(), wakeups=wakeups)
+        self._replica = Replica(self.store, _seeded_random(), time.monotonic(), wakeups=wakeups)
         self._link_runner = LinkRunner(self._replica, secret, output_signal)
         self._sessions: list[ReplicationSession] = []
         self._failures: list[str] = []
 
     async def keep_connected(self) -> None:
         """Runs links until it is cancelled, and connects again with a backoff whenever one ends."""
-        backoff = Backoff(MIN_RECONNECT_BACKOFF_S, MAX_RECONNECT_BACKOFF_S, _random())
+        backoff = Backoff(MIN_RECONNECT_BACKOFF_S, MAX_RECONNECT_BACKOFF_S, _seeded_random())
         while True:
             sock = await connect(self._peer, CONNECT_TIMEOUT_S)
             if not isinstance(sock, ConnectFailure):
@@ -123,5 +125,5 @@
     return session.is_caught_up and session.change_exchange.is_delivered
 
 
-def _random() -> Random:
+def _seeded_random() -> Random:
     return Random(secrets.token_bytes(8))
--- a/sageturn/store/replication/keep_alive.py
+++ b/sageturn/store/replication/keep_alive.py
@@ -7,7 +7,10 @@
 
 
 class KeepAlive:
-    """Times are seconds of the monotonic clock that the caller passes in."""
+    """Schedules the heartbeats of one session, and detects that its peer is silent.
+
+    Times are seconds of the monotonic clock that the caller passes in.
+    """
 
     def __init__(self, now: float) -> None:
         self.last_received_at = now
@@ -19,7 +22,7 @@
         return self.last_received_at + PEER_TIMEOUT_S
 
     def silence_s(self, now: float) -> float:
-        """Seconds since the last message of the peer."""
+        """Returns the seconds since the last message of the peer."""
         return now - self.last_received_at
 
     def is_peer_silent(self, now: float) -> bool:
--- a/sageturn/store/replication/overlay.py
+++ b/sageturn/store/replication/overlay.py
@@ -209,6 +209,6 @@
     def _alternatives_for(self, member: Member) -> tuple[Member, ...]:
         """Returns members for ``member`` to dial instead, of its zone if there are any."""
         members = self._state.members.others.values()
-        same_zone = [one for one in members if (one.region, one.zone) == (member.region, member.zone)]
-        alternatives = [one for one in same_zone or members if one.name != member.name]
+        same_zone = [other for other in members if (other.region, other.zone) == (member.region, member.zone)]
+        alternatives = [other for other in same_zone or members if other.name != member.name]
         return tuple(self._rng.sample(alternatives, min(MAX_ALTERNATIVES, len(alternatives))))
--- a/sageturn/store/replication/replica.py
+++ b/sageturn/store/replication/replica.py
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TickResult:
-    """What a tick of a replica calls for."""
+    """The addresses that a tick of a replica finds to dial, and when to tick again."""
 
     addresses_to_dial: Sequence[Address]
     next_tick_at: float  # monotonic seconds
@@ -186,7 +186,7 @@
             self._session_table.close_with(node, f"{node} was removed", CloseCode.REMOVED)
 
     def _on_own_removal(self, source: str) -> None:
-        """Lets this member start over if it is added again."""
+        """Clears the time of the last sync, so that this member starts over if it is added again."""
         if self.store.replica_state.last_in_sync is not None:
             log.warning("member removed node=%s source=%s", self.store.node, source)
             self.store.set_last_in_sync(None)
@@ -293,10 +293,10 @@
     # ------------------------------------------------------------ time
 
     def tick(self, now: float) -> TickResult:
-        """Does what is due.
+        """Performs due maintenance, closes links that are not needed, and finds whom to dial.
 
         Raises:
-            OSError: The log takes nothing now, and this member could not be announced.
+            OSError: The log cannot be written now, and this member could not be announced.
         """
         if now >= self._maintenance_at:
             self._maintenance_at = now + MAINTENANCE_INTERVAL_S
@@ -314,7 +314,7 @@
         return TickResult(addresses, min(self._maintenance_at, self._links.next_wakeup(now)))
 
     def _forget_tombstones(self, now: float) -> None:
-        """Forgets deletions past the horizon, but only while every zone is heard of.
+        """Forgets deletions past the horizon, but only while messages from every zone arrive.
 
         Replicas in a zone that is cut off may hold what was deleted, and count as in sync by their own
         measure.
--- a/sageturn/store/replication/root_discovery.py
+++ b/sageturn/store/replication/root_discovery.py
@@ -107,19 +107,19 @@
     def _choose_target(self, is_root: bool, now: float) -> Address | None:
         state = self._state
         predecessors = self._dialable_predecessors(is_root, now)
-        others = self._dialable_unknown(is_root, now)
+        targets = self._dialable_seeds_and_alternatives(is_root, now)
         if len(state.links) and self._counts_all_members(now):
             # All members are linked: only an uplink or members at unknown seeds may be missing.
             is_connected_to_root = state.routes.root_path(now) is not None
-            return self._least_recently_dialed(predecessors if is_connected_to_root else others, now)
+            return self._least_recently_dialed(predecessors if is_connected_to_root else targets, now)
         if predecessors and self._dial_count % 2:
             return self._least_recently_dialed(predecessors, now)
-        if not others or state.rng.random() < WIDE_SEARCH_PROBABILITY:
-            others = self._dialable_members(is_root, now) or others
-        if not others and not len(state.links):
+        if not targets or state.rng.random() < WIDE_SEARCH_PROBABILITY:
+            targets = self._dialable_members(is_root, now) or targets
+        if not targets and not len(state.links):
             # Without any link a backoff is not worth waiting for.
-            others = self._not_being_dialed()
-        return self._least_recently_dialed(others, now)
+            targets = self._not_being_dialed()
+        return self._least_recently_dialed(targets, now)
 
     def _dialable_predecessors(self, is_root: bool, now: float) -> list[Address]:
         state = self._state
@@ -135,7 +135,7 @@
             if state.dials.may_dial_member(member.name, now, is_root)
         ]
 
-    def _dialable_unknown(self, is_root: bool, now: float) -> list[Address]:
+    def _dialable_seeds_and_alternatives(self, is_root: bool, now: float) -> list[Address]:
         dials = self._state.dials
         addresses = [*dials.unknown_seeds, *dials.alternatives]
         return [address for address in addresses if dials.may_dial(address, now, is_root)]
@@ -151,8 +151,8 @@
         if not addresses:
             return None
         oldest = min(self._last_dialed_at.get(address, 0.0) for address in addresses)
-        waiting = [address for address in addresses if self._last_dialed_at.get(address, 0.0) == oldest]
-        chosen = self._state.rng.choice(waiting)
+        candidates = [address for address in addresses if self._last_dialed_at.get(address, 0.0) == oldest]
+        chosen = self._state.rng.choice(candidates)
         if len(self._last_dialed_at) > self._state.dials.max_tracked_addresses:
             self._last_dialed_at.clear()
         self._last_dialed_at[chosen] = now
--- a/sageturn/store/replication/route_table.py
+++ b/sageturn/store/replication/route_table.py
@@ -42,11 +42,11 @@
         self.invalidate()
         rank = advertisement.root_rank
         latest = self._heartbeats.get(rank)
-        number = (advertisement.root_incarnation, advertisement.sequence)
+        heartbeat_number = (advertisement.root_incarnation, advertisement.sequence)
         # Advertisements that circulate after a root's death have no new number, and so expire.
-        if latest is None or number > (latest.incarnation, latest.sequence):
+        if latest is None or heartbeat_number > (latest.incarnation, latest.sequence):
             self._heartbeats.pop(rank, None)
-            self._heartbeats[rank] = _RootHeartbeat(*number, now)
+            self._heartbeats[rank] = _RootHeartbeat(*heartbeat_number, now)
             while len(self._heartbeats) > MAX_REMEMBERED_ROOTS:
                 del self._heartbeats[next(iter(self._heartbeats))]
 
--- a/sageturn/store/replication/session.py
+++ b/sageturn/store/replication/session.py
@@ -103,7 +103,7 @@
         return payload
 
     def wake_at(self, now: float) -> float:
-        """When ``next_payload`` may return something though nothing happens in the meantime."""
+        """Returns when ``next_payload`` may return something though nothing happens in the meantime."""
         times = [self.keep_alive.peer_timeout_at]
         if self.peer_hello is not None:
             times.append(self.keep_alive.next_heartbeat_at)
@@ -163,7 +163,7 @@
         )
 
     def _next_bulk_message(self, now: float) -> OutgoingMessage | None:
-        """Urgent live changes go first, then anti-entropy, then all other changes."""
+        """Returns the next urgent live changes, else the next of anti-entropy, else any other changes."""
         message: OutgoingMessage | None = self.change_exchange.next_urgent_chunk(now)
         if message is None:
             message = self.anti_entropy.next_message(now)
@@ -194,10 +194,12 @@
         except MALFORMED_BODY_ERRORS as error:
             raise SessionRejectedError(f"not understood: {type(error).__name__} {error}") from error
 
-    # A message out of place is rejected as that, and not for what its body holds: the handlers check whether
-    # this side expects the kind before they decode the body.
-
     def _handle(self, kind: MessageKind, body: object, now: float) -> None:
+        """Dispatches a message to the handler of its kind.
+
+        Handlers check whether this side expects the kind before they decode the body, so a message out of
+        place is rejected as that, and not for what its body holds.
+        """
         match kind:
             case MessageKind.DIGEST:
                 raise message_codec.protocol_mismatch(self.peer, message_codec.PROTOCOL_WITHOUT_HELLO)
@@ -249,7 +251,7 @@
         self.anti_entropy.on_records_applied(applied, now)
 
     def _on_heartbeat(self, heartbeat: ReceivedHeartbeat, now: float) -> None:
-        """A part is applied before the next one is decoded: a malformed part ends the session there."""
+        """Applies each part before it decodes the next one: a malformed part ends the session there."""
         acknowledgement = heartbeat.acknowledgement()
         if acknowledgement is not None:
             self.change_exchange.on_acknowledgement(acknowledgement)
--- a/sageturn/store/replication/session_host.py
+++ b/sageturn/store/replication/session_host.py
@@ -18,7 +18,10 @@
 
 
 class SessionHost(Protocol):
-    """Implemented by ``replica.Replica``. ``now`` is seconds of a monotonic clock."""
+    """Gives a session the parts and decisions of its replica; implemented by ``replica.Replica``.
+
+    Times are monotonic seconds.
+    """
 
     store: Store
     records: ReplicatedRecords
--- a/sageturn/store/replication/topology_links.py
+++ b/sageturn/store/replication/topology_links.py
@@ -79,5 +79,5 @@
         return self.topology.addresses_to_dial(now)
 
     def next_wakeup(self, now: float) -> float:
-        """When to ask the topology again at the latest."""
+        """Returns when to ask the topology again at the latest."""
         return self.topology.next_wakeup(now)
--- a/sageturn/store/replication/tree_order.py
+++ b/sageturn/store/replication/tree_order.py
@@ -13,6 +13,7 @@
 from functools import lru_cache
 from hashlib import blake2b
 from itertools import chain, islice, zip_longest
+from typing import NamedTuple
 
 from sageturn.store.replication.membership import Member
 
@@ -78,6 +79,11 @@
     return [name for names in zip_longest(*lists) for name in names if name is not None]
 
 
+class _RankedName(NamedTuple):
+    rank: int
+    name: str
+
+
 class ParentCandidates:
     """Orders the members before this one in the global order, by scope and preference."""
 
@@ -85,20 +91,20 @@
         self._own = own
         self._fanout = fanout
         self._rank = rank_of_member(own)
-        self._zones: dict[str, dict[str, list[tuple[int, str]]]] = {}  # by region and zone, in order
+        self._zones: dict[str, dict[str, list[_RankedName]]] = {}  # by region and zone, by rank
         self._preferences: dict[Scope, dict[str, int]] = {}
         self.add(own)
 
     def add(self, member: Member) -> None:
         """Adds a member, whose name must not be in the order yet."""
         zone = self._zones.setdefault(member.region, {}).setdefault(member.zone, [])
-        insort(zone, (rank_of_member(member), member.name))
+        insort(zone, _RankedName(rank_of_member(member), member.name))
         self._invalidate(member)
 
     def remove(self, member: Member) -> None:
         """Removes a member that was added."""
         zones = self._zones[member.region]
-        zones[member.zone].remove((rank_of_member(member), member.name))
+        zones[member.zone].remove(_RankedName(rank_of_member(member), member.name))
         if not zones[member.zone]:
             del zones[member.zone]
         if not zones:
@@ -174,4 +180,4 @@
         return sorted(self._zones[region], key=lambda zone: rank_of(region, zone))
 
     def _names(self, region: str, zone: str) -> list[str]:
-        return [name for _, name in self._zones[region][zone]]
+        return [ranked.name for ranked in self._zones[region][zone]]
--- a/sageturn/store/replication/uplink_selection.py
+++ b/sageturn/store/replication/uplink_selection.py
@@ -8,7 +8,7 @@
 from sageturn.store.replication.overlay_state import POLL_INTERVAL_S, OverlayState
 from sageturn.store.replication.tree_order import Scope
 
-FIRST_CHOICE_PROBABILITY = 0.5
+FIRST_CHOICE_PROBABILITY = 0.5  # that an upgrade dials the most preferred candidate
 UPLINK_DIAL_INTERVAL_S = 0.25  # between dials without an uplink
 RETRY_DELAY_S = UPLINK_DIAL_INTERVAL_S / 5  # after a failed dial
 MAX_CONCURRENT_DIALS = 4
--- a/sageturn/store/store.py
+++ b/sageturn/store/store.py
@@ -199,7 +199,7 @@
         Raises:
             OSError: The backup or the replica's state cannot be written; no record was dropped.
         """
-        dropped = [record.key for record in self._records.values() if not self._is_own(record)]
+        dropped = [record.key for record in self._records.values() if not self._survives_drop(record)]
         if self._log is not None:
             self._log.back_up(f"dropped-{int(self.wall_clock())}")
         dropped_versions = [self._records[key].version for key in dropped]
@@ -212,7 +212,7 @@
             self._try_to_compact(self._log)  # a restart before it succeeds drops the same records again
         return len(dropped)
 
-    def _is_own(self, record: StoreRecord) -> bool:
+    def _survives_drop(self, record: StoreRecord) -> bool:
         """Whether a record is this node's state, or was written since this replica was last in sync."""
         if record.key.startswith(f"{STATE_PREFIX}{self.node}/"):
             return True
