--- a/sageturn/flows/ipfix.py
+++ b/sageturn/flows/ipfix.py
@@ -12,10 +12,10 @@
 
 VERSION = 10
 MAX_MESSAGE_BYTES = 1400  # UDP datagrams of this size are not fragmented
-MAX_TEXT_BYTES = 200
+MAX_TEXT_BYTES = 200  # of an encoded text, longer ones are truncated
 MAX_FLOW_BYTES = 512  # no encoded flow is larger
 VARIABLE_LENGTH = 0xFFFF
-TCP = 6
+TCP_PROTOCOL_NUMBER = 6  # of IP
 
 TEMPLATE_SET_ID = 2
 OPTIONS_TEMPLATE_SET_ID = 3
@@ -27,8 +27,8 @@
 _TEMPLATE_HEADER = struct.Struct(">HH")
 _OPTIONS_TEMPLATE_HEADER = struct.Struct(">HHH")
 _TEMPLATE_FIELD = struct.Struct(">HH")
-_FLOW = struct.Struct(">QQ4s4sHHBBQQ")
-_LOSS = struct.Struct(">IQ")
+_FLOW_FIXED_FIELDS = struct.Struct(">QQ4s4sHHBBQQ")
+_LOSS_RECORD = struct.Struct(">IQ")
 
 MAX_RECORDS_BYTES = MAX_MESSAGE_BYTES - _MESSAGE_HEADER.size - _SET_HEADER.size  # of a message with one set
 
@@ -85,14 +85,14 @@
         """Return the data record, with the fields in the order of ``FLOW_FIELDS``."""
         source_address, source_port = self.source
         destination_address, destination_port = self.destination
-        fixed = _FLOW.pack(
+        fixed = _FLOW_FIXED_FIELDS.pack(
             self.start_ms,
             self.end_ms,
             socket.inet_aton(source_address),
             socket.inet_aton(destination_address),
             source_port,
             destination_port,
-            TCP,
+            TCP_PROTOCOL_NUMBER,
             self.end_reason,
             self.bytes_to_endpoint,
             self.bytes_to_client,
@@ -116,14 +116,14 @@
 
 def encode_loss_set(process_id: int, dropped_flows: int) -> bytes:
     """Return a set with the number of flows that were not exported."""
-    return _encode_set(LOSS_TEMPLATE_ID, _LOSS.pack(process_id, dropped_flows))
+    return _encode_set(LOSS_TEMPLATE_ID, _LOSS_RECORD.pack(process_id, dropped_flows))
 
 
 def encode_message(sets: bytes, now_s: int, sequence: int, observation_domain: int) -> bytes:
-    """Return a message.
+    """Return the message that holds these sets.
 
     Args:
-        sets: encoded sets.
+        sets: encoded sets, one after the other.
         now_s: the time of export, in seconds since the epoch.
         sequence: the number of data records that this exporter has sent before; taken modulo 2^32.
         observation_domain: the domain's id.
--- a/sageturn/frontends/frontend_connection.py
+++ b/sageturn/frontends/frontend_connection.py
@@ -23,9 +23,9 @@
 class FrontendConnection(ProxyTransport):
     """A client, and its endpoint once its request is established. Each frontend has a subclass."""
 
-    def __init__(self, shared: RelayContext, client: socket.socket, request: ClientRequest) -> None:
-        self._shared = shared
-        self.lifecycle = RequestLifecycle(shared.balancer_actor, self, request)
+    def __init__(self, context: RelayContext, client: socket.socket, request: ClientRequest) -> None:
+        self._context = context
+        self.lifecycle = RequestLifecycle(context.balancer_actor, self, request)
         self.lifecycle.record.client_address = peer_address(client)
 
     async def open_upstream(
@@ -36,13 +36,15 @@
         Returns None if the endpoint established the connection; otherwise its socket is closed.
         """
         deadline_s = asyncio.get_running_loop().time() + timeout_ms / 1000.0
-        listed_address = self._shared.endpoint_registry.addresses.get(endpoint)
+        listed_address = self._context.endpoint_registry.addresses.get(endpoint)
         if listed_address is None:
             return CloseReason.NOT_SENT
         is_endpoint_usable: Callable[[], bool] | None = None
         # A connection that was established before this relay returns to its endpoint, also if that drains.
         if not self.lifecycle.record.request.established_endpoint:
-            is_endpoint_usable = partial(self._shared.endpoint_registry.is_ready_at, endpoint, listed_address)
+            is_endpoint_usable = partial(
+                self._context.endpoint_registry.is_ready_at, endpoint, listed_address
+            )
         checks = self.lifecycle.checks
         if (close_reason := checks.blocking_reason(is_endpoint_usable)) is not None:
             return close_reason
--- a/sageturn/frontends/platform/connection.py
+++ b/sageturn/frontends/platform/connection.py
@@ -41,17 +41,17 @@
     """A client that speaks the platform's line protocol, and its endpoint."""
 
     def __init__(
-        self, shared: RelayContext, client: socket.socket, buffer: bytearray, request_line: RequestLine
+        self, context: RelayContext, client: socket.socket, buffer: bytearray, request_line: RequestLine
     ) -> None:
         """``buffer`` holds ``request_line`` as it was received."""
-        super().__init__(shared, client, request_line.request)
+        super().__init__(context, client, request_line.request)
         self.client = client
         self._buffer = buffer
         self._request_line = request_line
         self.early_input = b""  # received from the client before it was answered
         self._endpoint: socket.socket | None = None
         self._reply = b""  # the endpoint's first line, and the bytes after it
-        self._replies = EndpointReplyParser(shared, self.lifecycle.record)
+        self._replies = EndpointReplyParser(context, self.lifecycle.record)
 
     # ------------------------------------------------------------ an attempt
 
@@ -125,9 +125,9 @@
             self.early_input += data
         return CloseReason.CLIENT_FAULT
 
-    async def send_final_response(self, answer: FinalResponse) -> None:
+    async def send_final_response(self, response: FinalResponse) -> None:
         """Answer that the request is not served, and close the client's connection."""
-        await send_final_response(self.client, answer)
+        await send_final_response(self.client, response)
 
     # ------------------------------------------------------------ once it is established
 
@@ -144,7 +144,7 @@
         endpoint = self._endpoint
         assert endpoint is not None
         relay = LineRelay(self.client, endpoint, self.lifecycle, self._replies, self._reply, self.early_input)
-        # Freed, as many connections are open at once.
+        # Releases the memory, since many connections are open at once.
         self._buffer = bytearray()
         self._reply = b""
         self.early_input = b""
--- a/sageturn/frontends/platform/endpoint_reply.py
+++ b/sageturn/frontends/platform/endpoint_reply.py
@@ -27,8 +27,8 @@
 class EndpointReplyParser:
     """Maps an endpoint's first and last lines to close reasons, and records the load reports in them."""
 
-    def __init__(self, shared: RelayContext, record: ConnectionRecord) -> None:
-        self._shared = shared
+    def __init__(self, context: RelayContext, record: ConnectionRecord) -> None:
+        self._context = context
         self._record = record
 
     def first_reply(self, buffer: bytearray, end: int, filled: int) -> CloseReason | None:
@@ -50,9 +50,9 @@
         self, line: bytes, close_reasons: dict[bytes, CloseReason], default: CloseReason
     ) -> CloseReason:
         word, *report = line.split(None, 1) or [b""]
-        settings = self._shared.balancer_actor.settings
+        settings = self._context.balancer_actor.settings
         if word in close_reasons and report and settings.reports == ReportSource.ANSWERS:
             self._record.load_report = read_report(
-                report[0], settings.report_fields, self._shared.invalid_report_values
+                report[0], settings.report_fields, self._context.invalid_report_values
             )
         return close_reasons.get(word, default)
--- a/sageturn/frontends/platform/frontend.py
+++ b/sageturn/frontends/platform/frontend.py
@@ -28,10 +28,10 @@
 
     rejection = b"BUSY 500\r\n"
 
-    def __init__(self, shared: RelayContext) -> None:
-        self._shared = shared
+    def __init__(self, context: RelayContext) -> None:
+        self._context = context
         self._classes = frozenset(
-            request_class.name for request_class in shared.balancer_actor.settings.classes
+            request_class.name for request_class in context.balancer_actor.settings.classes
         )
         self._ids = RequestIds()
 
@@ -57,9 +57,9 @@
             return
         pending.mark_active()
         try:
-            connection = PlatformConnection(self._shared, sock, buffer, request_line)
+            connection = PlatformConnection(self._context, sock, buffer, request_line)
             pending.request_id = connection.lifecycle.record.log_id
-            await self._shared.run_request(connection.lifecycle)
+            await self._context.run_request(connection.lifecycle)
         finally:
             self._ids.release(request_line.request_id)
 
@@ -116,7 +116,7 @@
 
     async def _answer_ping(self, sock: socket.socket) -> None:
         """Answer PONG as soon as an endpoint is ready; raises InvalidRequestLineError during a drain."""
-        if self._shared.request_registry.is_draining:
+        if self._context.request_registry.is_draining:
             raise InvalidRequestLineError("stopping")
-        await self._shared.endpoint_registry.has_ready_endpoint.wait()
+        await self._context.endpoint_registry.has_ready_endpoint.wait()
         await asyncio.get_running_loop().sock_sendall(sock, PONG)
--- a/sageturn/frontends/platform/line_forwarder.py
+++ b/sageturn/frontends/platform/line_forwarder.py
@@ -65,13 +65,13 @@
             if not size:
                 await self._write(view, self._filled)
                 return
-            searched = self._filled
+            searched_bytes = self._filled
             self._filled += size
-            await self._forward_lines(view, searched)
+            await self._forward_lines(view, searched_bytes)
 
-    async def _forward_lines(self, view: memoryview, searched: int) -> None:
-        """Write the complete lines in the buffer; none ends in its first ``searched`` bytes."""
-        end = self._buffer.rfind(b"\n", searched, self._filled) + 1
+    async def _forward_lines(self, view: memoryview, searched_bytes: int) -> None:
+        """Write the complete lines in the buffer; none ends in its first ``searched_bytes``."""
+        end = self._buffer.rfind(b"\n", searched_bytes, self._filled) + 1
         if end:
             self._on_lines(self._buffer, end)
             await self._write(view, end)
--- a/sageturn/frontends/platform/relaying.py
+++ b/sageturn/frontends/platform/relaying.py
@@ -83,8 +83,8 @@
     async def _end(
         self, downstream: Forwarding, upstream: Forwarding, migration_reason: CloseReason
     ) -> CloseReason:
-        both_open = not downstream.done() and not upstream.done()
-        if both_open and await self._send_move(downstream, upstream, migration_reason):
+        are_both_open = not downstream.done() and not upstream.done()
+        if are_both_open and await self._send_move(downstream, upstream, migration_reason):
             return migration_reason
         if downstream.done():
             return await self._on_endpoint_ended(downstream, upstream)
@@ -105,15 +105,15 @@
         silent, or the drain is forced, it waits for ``MOVE_TIMEOUT_S`` at most.
         """
         sending = asyncio.ensure_future(self._to_client.send_last(MOVE))
-        out_of_time = asyncio.ensure_future(self._lifecycle.drain_forced.wait())
+        drain_forced = asyncio.ensure_future(self._lifecycle.drain_forced.wait())
         ends = (sending, downstream, upstream)
         try:
             if reason is CloseReason.MOVED:
-                await asyncio.wait((*ends, out_of_time), return_when=asyncio.FIRST_COMPLETED)
+                await asyncio.wait((*ends, drain_forced), return_when=asyncio.FIRST_COMPLETED)
             if not any(task.done() for task in ends):
                 await asyncio.wait(ends, timeout=MOVE_TIMEOUT_S, return_when=asyncio.FIRST_COMPLETED)
         finally:
-            await cancel_and_wait(out_of_time)
+            await cancel_and_wait(drain_forced)
             await cancel_and_wait(sending)
         return not sending.cancelled() and sending.result()
 
--- a/sageturn/frontends/platform/request_ids.py
+++ b/sageturn/frontends/platform/request_ids.py
@@ -12,19 +12,19 @@
     """
 
     def __init__(self) -> None:
-        self._open: set[bytes] = set()
+        self._in_use: set[bytes] = set()
         self._ended: dict[bytes, None] = {}  # oldest first
 
     def claim(self, request_id: bytes) -> bool:
         """Reserve an id for a request; returns False if it was used before."""
-        if request_id in self._open or request_id in self._ended:
+        if request_id in self._in_use or request_id in self._ended:
             return False
-        self._open.add(request_id)
+        self._in_use.add(request_id)
         return True
 
     def release(self, request_id: bytes) -> None:
         """Note that the request with this id has ended."""
-        self._open.discard(request_id)
+        self._in_use.discard(request_id)
         self._ended[request_id] = None
         if len(self._ended) > MAX_REMEMBERED_IDS:
             del self._ended[next(iter(self._ended))]
--- a/sageturn/frontends/xmpp/client_login.py
+++ b/sageturn/frontends/xmpp/client_login.py
@@ -21,7 +21,8 @@
 
 MAX_LOGIN_ATTEMPTS = 3
 PLAIN_FIELD_COUNT = 3  # authorization id, name, password (RFC 4616)
-MAX_RESOURCE_BYTES = 1023
+MAX_RESOURCE_BYTES = 1023  # RFC 7622, section 3.4
+GENERATED_RESOURCE_BYTES = 8
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,7 +49,7 @@
     async def exchange_headers(self) -> None:
         """Read the client's stream header and send the relay's own."""
         attributes = (await self._session.expect_header()).attributes
-        await self._session.send_header(**{"from": self._options.domain, "id": secrets.token_hex(8)})
+        await self._session.send_server_header(self._options.domain)
         if attributes.get("to") != self._options.domain:
             raise StreamError(StreamCondition.HOST_UNKNOWN)
         if attributes.get("version", "0").split(".")[0] != "1":
@@ -162,7 +163,9 @@
         resource = (bind.findtext(f"{{{BIND_NS}}}resource") or "").strip()
         if not element.get("id") or len(resource.encode()) > MAX_RESOURCE_BYTES:
             raise StreamError(StreamCondition.BAD_FORMAT)
-        return BindRequest(account, element.get("id", ""), resource or secrets.token_hex(8))
+        return BindRequest(
+            account, element.get("id", ""), resource or secrets.token_hex(GENERATED_RESOURCE_BYTES)
+        )
 
 
 def _decode_base64(text: str | None) -> bytes:
--- a/sageturn/frontends/xmpp/connection.py
+++ b/sageturn/frontends/xmpp/connection.py
@@ -37,7 +37,7 @@
     """A client's stream, and its endpoint's once the session is established."""
 
     def __init__(
-        self, shared: RelayContext, options: XmppOptions, client: XmppSession, bind_request: BindRequest
+        self, context: RelayContext, options: XmppOptions, client: XmppSession, bind_request: BindRequest
     ) -> None:
         account = bind_request.account
         request = ClientRequest(
@@ -47,7 +47,7 @@
             group=account.group,
             client=f"{account.name}/{bind_request.resource}",
         )
-        super().__init__(shared, client.channel.sock, request)
+        super().__init__(context, client.channel.sock, request)
         self.lifecycle.record.frontend = "xmpp"
         self._options = options
         self._client = client
@@ -118,9 +118,9 @@
             return CloseReason.CLIENT_LEFT
         return CloseReason.CLIENT_FAULT if len(self._early_stanzas) >= MAX_EARLY_STANZAS else None
 
-    async def send_final_response(self, answer: FinalResponse) -> None:
+    async def send_final_response(self, response: FinalResponse) -> None:
         """Answer that the request is not served, and close the client's connection."""
-        await self._client.close(encode_final_response(answer))
+        await self._client.close(encode_final_response(response))
         await close_gracefully(self._client.channel.sock)
 
     # ------------------------------------------------------------ once it is established
--- a/sageturn/frontends/xmpp/endpoint_login.py
+++ b/sageturn/frontends/xmpp/endpoint_login.py
@@ -27,7 +27,10 @@
 
 MAX_SCRAM_ITERATIONS = 65536  # the hash runs on the event loop; about 20 ms
 
-_STANZA_ERRORS = {"resource-constraint": CloseReason.BUSY, "service-unavailable": CloseReason.BUSY}
+_CLOSE_REASONS_BY_STANZA_ERROR = {
+    "resource-constraint": CloseReason.BUSY,
+    "service-unavailable": CloseReason.BUSY,
+}
 
 
 class EndpointLogin:
@@ -54,7 +57,7 @@
         self._check_before_write = check_before_write
 
     async def run(self) -> str:
-        """Return the JID that the endpoint bound.
+        """Log in, and return the JID that the endpoint has bound for the client.
 
         Raises:
             EndpointLoginRejectedError: the endpoint refused the login, or ``check_before_write`` the bind.
@@ -161,7 +164,7 @@
             return jid
         error = element.find(f"{{{CLIENT_NS}}}error")
         for child in error if error is not None else ():
-            close_reason = _STANZA_ERRORS.get(child.tag.rpartition("}")[2])
+            close_reason = _CLOSE_REASONS_BY_STANZA_ERROR.get(child.tag.rpartition("}")[2])
             if close_reason is not None:
                 raise EndpointLoginRejectedError(close_reason)
         raise EndpointLoginRejectedError(CloseReason.ERROR)
--- a/sageturn/frontends/xmpp/frontend.py
+++ b/sageturn/frontends/xmpp/frontend.py
@@ -37,8 +37,8 @@
 
     rejection = REJECTION
 
-    def __init__(self, shared: RelayContext, options: XmppOptions, accounts: Accounts) -> None:
-        self._shared = shared
+    def __init__(self, context: RelayContext, options: XmppOptions, accounts: Accounts) -> None:
+        self._context = context
         self._accounts = accounts
         # Replaced at a reload; clients that are served already keep the old options.
         self.options = options
@@ -54,22 +54,22 @@
                 await login.exchange_headers()
             async with pending.time_limit(options.login_timeout_s):
                 bind_request = await login.run()
-        except StreamError as found:
-            error = found
+        except StreamError as stream_error:
+            error = stream_error
         except TimeoutError:
             if pending.evicted:
                 error = StreamError(StreamCondition.RESOURCE_CONSTRAINT)
-        except (OSError, ssl.SSLError) as broken:
-            log.info("xmpp login failed peer=%s:%d reason=%s", *pending.peer, broken)
+        except (OSError, ssl.SSLError) as connection_error:
+            log.info("xmpp login failed peer=%s:%d reason=%s", *pending.peer, connection_error)
             return
         except Exception:
             log.exception("xmpp login could not be read peer=%s:%d", *pending.peer)
             error = StreamError(StreamCondition.INTERNAL_SERVER_ERROR)
         else:
             pending.mark_active()
-            connection = XmppConnection(self._shared, options, session, bind_request)
+            connection = XmppConnection(self._context, options, session, bind_request)
             pending.request_id = connection.lifecycle.record.log_id
-            await self._shared.run_request(connection.lifecycle)
+            await self._context.run_request(connection.lifecycle)
             return
         log.info("xmpp client rejected peer=%s:%d reason=%s", *pending.peer, error)
         await self._reject(session, error, options.domain, pending)
--- a/sageturn/frontends/xmpp/session.py
+++ b/sageturn/frontends/xmpp/session.py
@@ -19,6 +19,7 @@
 )
 
 STREAM_CLOSE = b"</stream:stream>"
+STREAM_ID_BYTES = 8  # random, sent in hexadecimal
 MAX_READ_AVAILABLE_BYTES = 65536  # a peer that floods the relay must not hold up the others
 
 
@@ -103,11 +104,15 @@
         self._header_sent = True
         await self.send(b"<?xml version='1.0'?>" + header.encode())
 
+    async def send_server_header(self, domain: str) -> None:
+        """Open the relay's side of a client's stream, as the server of ``domain``, with a new stream id."""
+        await self.send_header(**{"from": domain, "id": secrets.token_hex(STREAM_ID_BYTES)})
+
     async def close(self, error: bytes = b"", domain: str = "") -> None:
         """Close the relay's side of the stream, after ``error``; does nothing on a broken connection."""
         with suppress(OSError, ValueError):  # the socket may have been reset and closed
             if not self._header_sent:
-                await self.send_header(**{"from": domain, "id": secrets.token_hex(8)})
+                await self.send_server_header(domain)
             await self.send(error + STREAM_CLOSE)
             await self.channel.send_close()
 
