--- a/sageturn/config/errors.py
+++ b/sageturn/config/errors.py
@@ -4,8 +4,8 @@
 
 import errno
 
-# Raised by reading a file where a retry may succeed: no descriptor or memory, a disk that fails.
-MOMENTARY_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOMEM, errno.EIO)
+# Errors of reading a file after which a retry may succeed: no descriptor or memory, a disk that fails.
+TRANSIENT_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOMEM, errno.EIO)
 
 
 class ConfigError(ValueError):
@@ -22,6 +22,6 @@
     """The system did not let a file be read, so nothing is known of its content."""
 
     def __init__(self, path: str, problem: str, cause: OSError) -> None:
-        """``cause`` is the system's error; it decides whether ``is_momentary``."""
+        """``cause`` is the system's error; it decides ``is_transient``."""
         super().__init__(path, problem)
-        self.is_momentary = cause.errno in MOMENTARY_ERRNOS
+        self.is_transient = cause.errno in TRANSIENT_ERRNOS
--- a/sageturn/config/operator.py
+++ b/sageturn/config/operator.py
@@ -25,7 +25,8 @@
 
 ANY_ADDRESS = "0.0.0.0"
 MINUTES_PER_HOUR = 60
-_TIME_SPAN = re.compile(r"([01][0-9]|2[0-3]):([0-5][0-9])-([01][0-9]|2[0-3]):([0-5][0-9])")
+_TIME = r"(?:[01][0-9]|2[0-3]):[0-5][0-9]"
+_TIME_SPAN = re.compile(rf"(?P<begin>{_TIME})-(?P<end>{_TIME})")
 
 
 @dataclass(frozen=True, slots=True)
@@ -164,34 +165,36 @@
 
 
 def _read_quiet_hours(section: ConfigSection) -> tuple[QuietSpan, ...]:
-    """Return spans in minutes of the UTC day, each from its first minute to before its second."""
+    """Return the spans of the UTC day, which are written ``HH:MM-HH:MM`` and must not be empty."""
     from sageturn.rebalance.options import QuietSpan
 
     spans = []
     for path, text in section.array("quiet_hours", []).enumerate_items():
         match = _TIME_SPAN.fullmatch(text) if isinstance(text, str) else None
-        if match is None or match[0][:5] == match[0][6:]:
+        if match is None or match["begin"] == match["end"]:
             raise ConfigError(path, "must be a span such as 22:00-05:30")
-        begin_hour, begin_minute, end_hour, end_minute = (int(group) for group in match.groups())
-        begin = begin_hour * MINUTES_PER_HOUR + begin_minute
-        end = end_hour * MINUTES_PER_HOUR + end_minute
-        spans.append(QuietSpan(begin, end))
+        spans.append(QuietSpan(_minute_of_day(match["begin"]), _minute_of_day(match["end"])))
     return tuple(spans)
 
 
+def _minute_of_day(text: str) -> int:
+    hour, minute = text.split(":")
+    return int(hour) * MINUTES_PER_HOUR + int(minute)
+
+
 def _read_overrides(section: ConfigSection) -> OverrideOptions:
     from sageturn.overrides.options import OverrideOptions, SafetyLimits
 
     section.reject_unknown_keys("operators", "longest_s", "floor_all", "floor_zone", "floor_pin")
     operators = _read_public_keys(section)
     defaults = SafetyLimits()
-    floors = SafetyLimits(
+    safety_limits = SafetyLimits(
         min_total_ratio=section.ratio("floor_all", defaults.min_total_ratio),
         min_zone_ratio=section.ratio("floor_zone", defaults.min_zone_ratio),
         min_pin_ratio=section.ratio("floor_pin", defaults.min_pin_ratio),
     )
-    longest_s = section.number("longest_s", OverrideOptions().max_duration_s, minimum=1.0)
-    return OverrideOptions(operators, longest_s, floors)
+    max_duration_s = section.number("longest_s", OverrideOptions().max_duration_s, minimum=1.0)
+    return OverrideOptions(operators, max_duration_s, safety_limits)
 
 
 def _read_public_keys(section: ConfigSection) -> dict[str, Ed25519PublicKey]:
--- a/sageturn/config/settings.py
+++ b/sageturn/config/settings.py
@@ -17,12 +17,12 @@
 
 
 def text_or_empty(value: object) -> str:
-    """Return a name; "" where it is absent, or 0, which sites have that use no such names."""
+    """Return ``value`` if it is a string, else "": sites without such names leave it out or send 0."""
     return value if isinstance(value, str) else ""
 
 
 def read_settings(conf: JsonObject, path: str = "") -> decision.Settings:
-    """Decode the settings, one key a line. Unknown keys are ignored.
+    """Decode the settings; unknown keys are ignored.
 
     Args:
         conf: the decoded object.
--- a/sageturn/overrides/actor.py
+++ b/sageturn/overrides/actor.py
@@ -23,7 +23,7 @@
 
 log = logging.getLogger(__name__)
 
-MAX_WAIT_S = 0.5  # no event reports that the system's clock was set
+MAX_STEP_INTERVAL_S = 0.5  # until a change of the system's clock, which no event reports, is noticed
 STATE_REPORT_INTERVAL_S = 2.0
 FULL_LIST_KINDS = frozenset({decision.ListEventKind.FULL, decision.ListEventKind.STALE})
 WARNING_ACTIONS = frozenset({AuditAction.REJECTED, AuditAction.SUSPENDED})
@@ -128,9 +128,9 @@
             await self.step()
             now_ms = self._now_ms()
             next_change_ms = self.registry.next_change_ms(now_ms)
-            wait_s = MAX_WAIT_S
+            wait_s = MAX_STEP_INTERVAL_S
             if next_change_ms is not None:
-                wait_s = min(MAX_WAIT_S, max(0.0, (next_change_ms - now_ms) / 1000.0))
+                wait_s = min(MAX_STEP_INTERVAL_S, max(0.0, (next_change_ms - now_ms) / 1000.0))
             with suppress(TimeoutError):
                 async with asyncio.timeout(wait_s):
                     await self._wake_up.wait()
--- a/sageturn/overrides/model.py
+++ b/sageturn/overrides/model.py
@@ -59,26 +59,26 @@
       bring back what an operator has ended.
     """
     known = list(operations)
-    settings = [operation for operation in known if operation.type is OperationType.SET]
-    first = min(settings, key=lambda operation: operation.key, default=None)
-    if first is None or first.payload is None:
+    set_operations = [operation for operation in known if operation.type is OperationType.SET]
+    creation = min(set_operations, key=lambda operation: operation.key, default=None)
+    if creation is None or creation.payload is None:
         return None
     # Another set operation under the same id does not count; an extension of it does.
     with_expiry = [
-        operation for operation in known if operation.type is OperationType.EXTEND or operation is first
+        operation for operation in known if operation.type is OperationType.EXTEND or operation is creation
     ]
-    last = max(with_expiry, key=lambda operation: operation.rank)
+    expiry = max(with_expiry, key=lambda operation: operation.rank)
     revocations = [operation for operation in known if operation.type is OperationType.REVOKE]
     revocation = min(revocations, key=lambda operation: operation.rank, default=None)
     return Override(
-        id=first.override_id,
-        payload=first.payload,
-        created_by=first.operator,
-        created_at_ms=first.created_at_ms,
-        reason=first.reason,
-        expires_at_ms=min(last.expires_at_ms, last.created_at_ms + max_duration_ms),
-        expiry_set_by=last.operator,
+        id=creation.override_id,
+        payload=creation.payload,
+        created_by=creation.operator,
+        created_at_ms=creation.created_at_ms,
+        reason=creation.reason,
+        expires_at_ms=min(expiry.expires_at_ms, expiry.created_at_ms + max_duration_ms),
+        expiry_set_by=expiry.operator,
         revision=max(operation.revision for operation in known),
         revoked_by=revocation.operator if revocation else "",
-        forced=first.forced,
+        forced=creation.forced,
     )
--- a/sageturn/overrides/resolver.py
+++ b/sageturn/overrides/resolver.py
@@ -102,10 +102,11 @@
         was_suspended = self.suspended.pop(override_id, None) is not None
         selected = self._selection.names_selected_by(override)
         if not was_suspended and override.payload.reduces_capacity:
-            # One that reduces the same endpoints was admitted at no cost, and has to pay for itself now.
+            # Another override that reduces the same endpoints was charged only for the capacity that this one
+            # had left them. Now it has to be admitted for all that it takes.
             if self.suspended or any(self._selection.reducing_overrides_on(name) for name in selected):
                 return self._effects.refresh(selected) | self.reevaluate()
-            # With none suspended and none left on them, only its own endpoints regain capacity.
+            # Nothing else is affected: only the endpoints that it selected regain capacity.
             for name in selected:
                 self.guard.restore_weight(self.endpoints[name])
         return self._effects.refresh(selected)
@@ -154,7 +155,7 @@
             self.guard.add_endpoint(endpoint)
 
     def _admit(self, override: Override) -> None:
-        """Lets the guard admit or suspend the last in order of the overrides admitted so far."""
+        """Lets the guard admit or suspend an override that comes after all that were admitted so far."""
         payload = override.payload
         if not payload.reduces_capacity:
             return
--- a/sageturn/overrides/safety_guard.py
+++ b/sageturn/overrides/safety_guard.py
@@ -68,17 +68,19 @@
         self.available = dict(self._total)
 
     def admit_selected(self, override: Override, endpoints: list[Endpoint]) -> None:
-        """Admits or suspends an override with a selector, the last in order of those admitted so far."""
-        target = override.payload.target_factor
-        reduced = [endpoint for endpoint in endpoints if target < self._factors.get(endpoint.name, 1.0)]
-        reductions = self._reductions(reduced, target)
+        """Admits or suspends an override with a selector that comes after all that were admitted so far."""
+        target_factor = override.payload.target_factor
+        reduced = [
+            endpoint for endpoint in endpoints if target_factor < self._factors.get(endpoint.name, 1.0)
+        ]
+        reductions = self._reductions(reduced, target_factor)
         if not override.forced:
             violation = self._violation(reductions)
             if violation is not None:
                 self.suspended[override.id] = violation
                 return
         for endpoint in reduced:
-            self._factors[endpoint.name] = target
+            self._factors[endpoint.name] = target_factor
         for pool, reduction in reductions.items():
             self.available[pool] -= reduction
 
@@ -100,7 +102,7 @@
                 f"under its floor of {min_ratio:.0%}"
             )
 
-    def _reductions(self, endpoints: list[Endpoint], target: float) -> dict[str, float]:
+    def _reductions(self, endpoints: list[Endpoint], target_factor: float) -> dict[str, float]:
         """Returns by pool the capacity that is lost when these endpoints get the target factor."""
         reductions: dict[str, float] = {}
         for endpoint in endpoints:
@@ -108,7 +110,7 @@
                 continue
             factor = self._factors.get(endpoint.name, 1.0)
             for pool in _pools(endpoint):
-                reductions[pool] = reductions.get(pool, 0.0) + (factor - target) * endpoint.share
+                reductions[pool] = reductions.get(pool, 0.0) + (factor - target_factor) * endpoint.share
         return reductions
 
     def _violation(self, reductions: dict[str, float]) -> str | None:
--- a/sageturn/relay/reload.py
+++ b/sageturn/relay/reload.py
@@ -67,7 +67,7 @@
             try:
                 return self._read_now(read_config)
             except ConfigUnreadableError as error:
-                if not error.is_momentary:
+                if not error.is_transient:
                     raise
                 log.warning("configuration not readable now retry_s=%.1f error=%s", READ_RETRY_S, error)
             await asyncio.sleep(READ_RETRY_S)
