--- a/sageturn/cli/override_view.py
+++ b/sageturn/cli/override_view.py
@@ -12,9 +12,10 @@
 from sageturn.overrides.resolver import OverrideResolver
 from sageturn.overrides.signing import parse_operation
 from sageturn.overrides.status import OverrideStatus
+from sageturn.store.records import STATE_PREFIX
 from sageturn.store.store import Store
 
-STATE_PREFIX = "state/"
+STATE_NAME = "overrides"  # of the state record in which a relay reports its overrides
 EXPIRES_SOON_MS = 15 * 60_000.0  # until an expiry that is shown as soon
 EXPIRES_SOON_STATUS = "about to end"
 UNKNOWN_STATUS = "unknown"  # of a relay that does not have the override yet
@@ -22,17 +23,17 @@
 
 
 def read_relay_states(store: Store) -> dict[str, RelayOverrideState]:
-    """Returns by node the state that each relay reports of its overrides."""
+    """Returns the state that each relay reports of its overrides, by the relay's node name."""
     states = {}
     for key in store.keys(STATE_PREFIX):
         node, _, name = key.removeprefix(STATE_PREFIX).partition("/")
-        if name == "overrides":
+        if name == STATE_NAME:
             states[node] = decode_relay_state(store.get(key))
     return states
 
 
 def _read_operations(store: Store) -> dict[str, list[OverrideOperation]]:
-    """Returns by override the operations of the store. Their signatures are verified by the relays."""
+    """Returns the operations of the store by override id. Relays alone verify their signatures."""
     operations: dict[str, list[OverrideOperation]] = {}
     for key in store.keys(KEY_PREFIX):
         try:
@@ -87,7 +88,7 @@
         return min(durations_s, default=float("inf")) * 1000.0
 
     def status_by_relay(self, override: Override) -> dict[str, str]:
-        """Returns by node the status that each relay reports."""
+        """Returns the status that each relay reports of an override, by the relay's node name."""
         return {node: state.statuses.get(override.id, UNKNOWN_STATUS) for node, state in self.states.items()}
 
     def has_expired(self, override: Override) -> bool:
@@ -101,12 +102,12 @@
         if self.has_expired(override):
             return OverrideStatus.EXPIRED.value
         by_relay = self.status_by_relay(override)
-        distinct = set(by_relay.values())
-        if not distinct:
+        distinct_statuses = set(by_relay.values())
+        if not distinct_statuses:
             return NO_RELAY_STATUS
-        if len(distinct) > 1:
+        if len(distinct_statuses) > 1:
             return ", ".join(f"{node}: {status}" for node, status in sorted(by_relay.items()))
-        status = distinct.pop()
+        status = distinct_statuses.pop()
         expires_soon = override.expires_at_ms - self.now_ms < EXPIRES_SOON_MS
         return EXPIRES_SOON_STATUS if status == OverrideStatus.IN_FORCE and expires_soon else status
 
--- a/sageturn/cli/override_writes.py
+++ b/sageturn/cli/override_writes.py
@@ -50,7 +50,7 @@
     key = Ed25519PrivateKey.generate()
     pem = key.private_bytes(Encoding.PEM, PrivateFormat.PKCS8, NoEncryption())
     try:
-        # Nobody else may read it, not even for a moment; and an existing file is not overwritten.
+        # Created with its mode, so that nobody else can ever read it; an existing file is not overwritten.
         descriptor = os.open(file, os.O_WRONLY | os.O_CREAT | os.O_EXCL, PRIVATE_FILE_MODE)
         with os.fdopen(descriptor, "wb") as output:
             output.write(pem)
@@ -103,8 +103,8 @@
 async def submit(store: Store, operation: OverrideOperation, key: Ed25519PrivateKey) -> SubmissionResult:
     """Writes an operation, and waits until every relay that reports its state has applied it.
 
-    Relays that have not answered in time are left out. An operation that any of them rejects is deleted:
-    otherwise it would take effect on the day on which the daemons are given other operator keys.
+    Relays that have not answered in time are left out. An operation that any of them rejects is deleted, or
+    it would take effect once the daemons are configured with other operator keys.
     """
     relay_count = len(read_relay_states(store))
     store.put(operation.key, sign_operation(operation, key))
@@ -121,6 +121,7 @@
 
 
 def _collect_answers(store: Store, result: SubmissionResult) -> None:
+    """Adds to the result the relays that have applied the operation, or the first that rejects it."""
     operation = result.operation
     for node, state in read_relay_states(store).items():
         reason = state.rejected_records.get(operation.key)
--- a/sageturn/cli/times.py
+++ b/sageturn/cli/times.py
@@ -22,8 +22,8 @@
         The expiry in milliseconds of Unix time.
 
     Raises:
-        InvalidTimeError: The text is neither, the instant has passed, or it has no zone: what that means
-            differs from desk to desk.
+        InvalidTimeError: The text is neither, the instant has passed, or it has no zone: operators work in
+            different ones.
     """
     duration = _DURATION.fullmatch(text.strip())
     if duration and any(duration.groups()):
--- a/sageturn/rebalance/batches.py
+++ b/sageturn/rebalance/batches.py
@@ -37,7 +37,7 @@
     BlockReason.NOT_INSPECTED: "not looked at in this tick",
 }
 
-# Reasons that pass with time. Where all blocks have other reasons, balance cannot be reached.
+# Reasons that pass with time. Where no block has one of them, balance cannot be reached.
 TEMPORARY_BLOCK_REASONS = frozenset(
     {BlockReason.TOO_YOUNG, BlockReason.RECENTLY_MIGRATED, BlockReason.NOT_INSPECTED}
 )
--- a/sageturn/rebalance/landing_score.py
+++ b/sageturn/rebalance/landing_score.py
@@ -31,5 +31,5 @@
         self.value += SCORE_GAIN * (useful - self.value)
 
     def resume(self) -> None:
-        """Allows for a new trial after a pause."""
+        """Sets a middling score after a pause, so that migrating is tried again."""
         self.value = SCORE_AFTER_PAUSE
--- a/sageturn/rebalance/migration_history.py
+++ b/sageturn/rebalance/migration_history.py
@@ -80,7 +80,8 @@
         backoff_s = self.options.again_s * 2.0 ** min(count - 1, MAX_BACKOFF_DOUBLINGS)
         excluded_until_ms = now_ms + min(self.options.again_most_s, backoff_s) * 1000.0
         while len(self._records) >= self.options.remember:
-            del self._records[next(iter(self._records))]  # only for migrations by others: never held back
+            # Reached only by migrations by others, which are never delayed.
+            del self._records[next(iter(self._records))]
         self._records[client] = MigrationRecord(now_ms, source_endpoint, count, excluded_until_ms, by_planner)
         self._return_deadlines_ms.pop(client, None)  # to the end of the order
         self._return_deadlines_ms[client] = now_ms + self.options.back_within_s * 1000.0
--- a/sageturn/rebalance/overload_detector.py
+++ b/sageturn/rebalance/overload_detector.py
@@ -13,7 +13,8 @@
 EVENT_TIME_CONSTANT_MS = 5000.0  # a few round trips of a migration
 RETURN_TIME_CONSTANT_MS = 20000.0  # longer: migrations are rare
 
-MIN_LATE_SETUPS = 2.0  # decayed count, as all of these
+# Thresholds of the signals, on decayed counts of events and their ratios.
+MIN_LATE_SETUPS = 2.0
 MIN_LATE_SETUP_RATIO = 0.1  # of all set-ups
 MIN_REJECTIONS = 0.5  # a single recent one is a signal
 MIN_OUTAGE_REJECTIONS = 3.0
@@ -182,6 +183,7 @@
         endpoints: Iterable[EndpointSnapshot],
         out_of_service: frozenset[str],
     ) -> None:
+        """Notes which endpoints were lost since the last tick, and since when each of this relay's drains."""
         current = {endpoint.name: endpoint for endpoint in endpoints}
         if any(self._is_lost(previous, current) for previous in self._endpoints.values()):
             self._endpoint_lost_ms = now_ms
--- a/sageturn/rebalance/planner.py
+++ b/sageturn/rebalance/planner.py
@@ -87,12 +87,12 @@
     # ------------------------------------------------------------ BalancerObserver
 
     def before_event(self, now_ms: float, event: decision.Event) -> None:
-        """Tells the balancer, in a request itself, that its client was migrated recently."""
+        """Adds to a request that its client was migrated recently, for the balancer to take into account."""
         if isinstance(event, decision.RequestArrived) and len(self.history):
             hint_recent_migration(event, self.tracker, self.restrictions.rebalance_excluded)
 
     def after_event(self, now_ms: float, event: decision.Event, actions: Sequence[decision.Action]) -> None:
-        """Takes note of an event that the balancer has handled, and of the balancer's decisions."""
+        """Tracks an event that the balancer has handled, and the balancer's decisions."""
         self.tracker.on_event(now_ms, event)
         for action in actions:
             match action:
@@ -134,7 +134,7 @@
         evacuation = plan_evacuation(context)
         if evacuation is not None:
             return evacuation
-        return self._plan_nothing(now_ms, minute) or self._plan_balancing(context)
+        return self._plan_without_migrations(now_ms, minute) or self._plan_balancing(context)
 
     def _update_rate(self, now_ms: float, endpoints: Sequence[EndpointSnapshot]) -> None:
         self.tracker.expire_in_flight(now_ms)
@@ -146,8 +146,8 @@
         self._late_returns = late_returns
         self.rate_controller.update(now_ms, len(self.connections), signals, no_late_returns)
 
-    def _plan_nothing(self, now_ms: float, minute: int) -> MigrationPlan | None:
-        """Returns a plan without migrations, where there is a reason for one."""
+    def _plan_without_migrations(self, now_ms: float, minute: int) -> MigrationPlan | None:
+        """Returns a plan that says why nothing is migrated for balance; None if balancing may go on."""
         if self._options.mode == RebalanceMode.OFF:
             return empty_plan(PlanPhase.OFF, "turned off")
         if self._options.is_quiet_at(minute):
@@ -185,7 +185,7 @@
         return self._is_balancing
 
     def _pause(self, until_ms: float, plan: MigrationPlan) -> MigrationPlan:
-        """Returns the plan, and again at each tick until the pause ends."""
+        """Starts a pause, during which each tick returns this plan again. Returns the plan."""
         self._paused_until_ms = until_ms
         self._pause_plan = plan
         return plan
--- a/sageturn/rebalance/rate_controller.py
+++ b/sageturn/rebalance/rate_controller.py
@@ -41,7 +41,7 @@
         return max_rate
 
     def is_stopped(self, now_ms: float) -> bool:
-        """Whether nothing may be migrated: just started, after an outage, or a rate cut to nothing."""
+        """Whether nothing may be migrated: after a start or a stop signal, or at a rate that was cut to 0."""
         return self.stopped_until_ms is None or now_ms < self.stopped_until_ms or not self.rate
 
     @property
--- a/sageturn/rebalance/utilization.py
+++ b/sageturn/rebalance/utilization.py
@@ -119,10 +119,11 @@
     its load there is one connection's weight times the fair load, less the part of the fleet that it sees
     itself.
     """
-    spread = sum((load - fair) ** 2 / fair for load, fair in zip(loads, fair_loads, strict=True))
-    unseen_share = max(0.0, 1.0 - 1.0 / relay_count)
-    chance_spread = (len(loads) - 1) * connections.size_biased_mean_load * unseen_share
-    common = max(0.0, 1.0 - chance_spread / spread) if spread > 0 else 0.0
-    # This relay's load is itself a part of the endpoint's, and counts in full; of the others' load there the
-    # common part is expected.
-    return common + (1.0 - common) / relay_count
+    spread = sum(
+        (load - fair_load) ** 2 / fair_load for load, fair_load in zip(loads, fair_loads, strict=True)
+    )
+    unseen_ratio = max(0.0, 1.0 - 1.0 / relay_count)
+    chance_spread = (len(loads) - 1) * connections.size_biased_mean_load * unseen_ratio
+    common_ratio = max(0.0, 1.0 - chance_spread / spread) if spread > 0 else 0.0
+    # This relay's own load, one part in ``relay_count``, counts in full; the others' only by this ratio.
+    return common_ratio + (1.0 - common_ratio) / relay_count
--- a/sageturn/simhost.py
+++ b/sageturn/simhost.py
@@ -271,7 +271,7 @@
         return encoded
 
     def _classify_failure(self, now_ms: float, number: int, event: decision.EndpointListEvent) -> None:
-        """Sets how a watch failed, which the wire does not say: the time until it failed tells.
+        """Sets how a watch failed, by the time until it failed: the wire does not say it.
 
         A failure without an unanswered request means that an established watch was lost.
         """
