--- a/sageturn/config/settings.py
+++ b/sageturn/config/settings.py
@@ -22,7 +22,7 @@
 
 
 def read_settings(conf: JsonObject, path: str = "") -> decision.Settings:
-    """Decode the settings; unknown keys are ignored.
+    """Decode the settings; unknown keys are ignored. Over 40 lines, as each key has one.
 
     Args:
         conf: the decoded object.
--- a/sageturn/store/replication/dial_table.py
+++ b/sageturn/store/replication/dial_table.py
@@ -82,12 +82,14 @@
 
     def may_dial_member(self, name: str, now: float, urgent: bool = False) -> bool:
         """Whether the member is not linked and may be dialed."""
-        return name not in self._links and self.may_dial(self._members.others[name].address, now, urgent)
+        if name in self._links:
+            return False
+        return self.may_dial(self._members.other_members[name].address, now, urgent)
 
     def next_untried(self, now: float) -> Address | None:
         """Returns the address of the next member before this one that has not failed since it started."""
         for name in self._members.parent_candidates.search_order():
-            address = self._members.others[name].address
+            address = self._members.other_members[name].address
             # Before may_dial_member, which drops an expired suspicion.
             has_failed = self._suspicions.has_failed(address)
             if self.may_dial_member(name, now) and not has_failed:
--- a/sageturn/store/replication/member.py
+++ b/sageturn/store/replication/member.py
@@ -10,6 +10,7 @@
 import socket
 import time
 from contextlib import suppress
+from functools import partial
 from random import Random
 
 from sageturn.core.tasks import cancel_and_wait
@@ -19,7 +20,6 @@
 from sageturn.store.replication.link_dialer import LinkDialer
 from sageturn.store.replication.link_runner import LinkRunner, OutputSignal
 from sageturn.store.replication.location import ReplicaLocation
-from sageturn.store.replication.membership import Member
 from sageturn.store.replication.options import ReplicationOptions
 from sageturn.store.replication.overlay import Overlay
 from sageturn.store.replication.replica import Replica, ReplicaWakeups
@@ -58,10 +58,6 @@
         """
         self.listener = Listener(options.listen, self._on_accepted, NO_REJECTION_RESPONSE, admission)
         self.address = self.listener.address
-
-        def make_overlay(own: Member) -> Overlay:
-            return Overlay(own, options.seeds, rng)
-
         output_signal = OutputSignal()
         tick_due = asyncio.Event()
         self.replica = Replica(
@@ -69,7 +65,7 @@
             rng,
             time.monotonic(),
             ReplicaLocation(self.address, options.region, options.zone),
-            make_topology or make_overlay,
+            make_topology or partial(Overlay, seeds=options.seeds, rng=rng),
             options.max_bytes_per_s,
             options.horizon_s,
             ReplicaWakeups(output_signal.notify, tick_due.set),
--- a/sageturn/store/replication/member_table.py
+++ b/sageturn/store/replication/member_table.py
@@ -31,24 +31,24 @@
     def __init__(self, own: Member, fanout: int) -> None:
         self.own = own
         self.status = MembershipStatus.MEMBER
-        self.others: dict[str, Member] = {}
+        self.other_members: dict[str, Member] = {}
         self.names_by_address: dict[Address, str] = {}
         self.parent_candidates = ParentCandidates(own, fanout)
         self._was_listed = False  # whether any update has named this member
 
     def __len__(self) -> int:
-        return len(self.others) + 1
+        return len(self.other_members) + 1
 
     def get(self, name: str) -> Member | None:
         """Returns the member of that name; None if it is this one or unknown."""
-        return self.others.get(name)
+        return self.other_members.get(name)
 
     def update(self, members: Iterable[Member]) -> MembershipChanges:
         """Takes the complete membership, without the members that were removed; returns what changed."""
         listed = {member.name: member for member in members}
         self._update_status(listed.pop(self.own.name, None))
         changes = MembershipChanges()
-        changes.removed = [member for name, member in self.others.items() if name not in listed]
+        changes.removed = [member for name, member in self.other_members.items() if name not in listed]
         for member in changes.removed:
             self._remove(member)
         for member in listed.values():
@@ -71,12 +71,12 @@
             self.status = MembershipStatus.MEMBER
 
     def _put(self, member: Member, changes: MembershipChanges) -> None:
-        known = self.others.get(member.name)
+        known = self.other_members.get(member.name)
         if known is member or known == member:  # mostly the same object, which is cheap to compare
             return
         if known is not None:
             self._remove(known)
-        self.others[member.name] = member
+        self.other_members[member.name] = member
         self.names_by_address[member.address] = member.name
         self.parent_candidates.add(member)
         changes.updated.append(member)
@@ -84,7 +84,7 @@
             changes.started.append(member)
 
     def _remove(self, member: Member) -> None:
-        del self.others[member.name]
+        del self.other_members[member.name]
         self.parent_candidates.remove(member)
         if self.names_by_address.get(member.address) == member.name:
             del self.names_by_address[member.address]
--- a/sageturn/store/replication/overlay.py
+++ b/sageturn/store/replication/overlay.py
@@ -197,7 +197,7 @@
     def _start(self, now: float) -> None:
         self._started = True
         self._search.schedule(now + self._rng.uniform(0, MAX_START_JITTER_S))
-        if not self._state.members.others:
+        if not self._state.members.other_members:
             self._discovery.schedule(now + self._rng.uniform(0, MAX_SEEDS_ONLY_START_DELAY_S))
 
     def _reject_own_name(self, member: Member) -> LinkRejected:
@@ -208,7 +208,7 @@
 
     def _alternatives_for(self, member: Member) -> tuple[Member, ...]:
         """Returns members for ``member`` to dial instead, of its zone if there are any."""
-        members = self._state.members.others.values()
+        members = self._state.members.other_members.values()
         same_zone = [other for other in members if (other.region, other.zone) == (member.region, member.zone)]
         alternatives = [other for other in same_zone or members if other.name != member.name]
         return tuple(self._rng.sample(alternatives, min(MAX_ALTERNATIVES, len(alternatives))))
--- a/sageturn/store/replication/root_discovery.py
+++ b/sageturn/store/replication/root_discovery.py
@@ -125,13 +125,13 @@
         state = self._state
         names = state.members.parent_candidates.by_preference()
         eligible = [name for name in names if state.dials.may_dial_member(name, now, is_root)]
-        return [state.members.others[name].address for name in eligible]
+        return [state.members.other_members[name].address for name in eligible]
 
     def _dialable_members(self, is_root: bool, now: float) -> list[Address]:
         state = self._state
         return [
             member.address
-            for member in state.members.others.values()
+            for member in state.members.other_members.values()
             if state.dials.may_dial_member(member.name, now, is_root)
         ]
 
--- a/sageturn/store/replication/uplink_selection.py
+++ b/sageturn/store/replication/uplink_selection.py
@@ -76,7 +76,7 @@
         if now < self._next_dial_at:
             return None
         self._next_dial_at = now + rng.uniform(0.5, 1) * UPGRADE_INTERVAL_S
-        return self._state.members.others[_first_or_any(better, rng)].address
+        return self._state.members.other_members[_first_or_any(better, rng)].address
 
     def _better_uplinks(self, now: float) -> list[str]:
         """Returns the members that may be dialed and would be a better uplink, by preference."""
@@ -86,7 +86,7 @@
         best = next(candidates.by_preference(), None)
         if uplink is None or best is None or uplink == best:
             return []
-        scope = candidates.scope_of(state.members.others[uplink]) or Scope.ZONE
+        scope = candidates.scope_of(state.members.other_members[uplink]) or Scope.ZONE
         nearer = list(candidates.by_preference(nearer_than=scope))
         return [name for name in nearer or [best] if state.dials.may_dial_member(name, now)]
 
