--- a/experiments/measure_client_disconnects.py
+++ b/experiments/measure_client_disconnects.py
@@ -29,18 +29,18 @@
 
 from support.network_fakes import (
     SETTINGS,
-    Discovery,
-    ask,
-    chunked,
-    first_line,
-    listed,
-    served,
-    until_ready,
+    FakeDiscovery,
+    encode_request_line,
+    encode_watch_response,
+    make_endpoint_list,
+    running_server,
+    send_request,
+    wait_until_ready,
     write_config,
 )
-from support.ports import Address, free_port
-from support.xmpp_fakes import Client, Server
-from support.xmpp_relay import client_tls, write_operator
+from support.ports import Address, find_free_port
+from support.xmpp_fakes import XmppClient, XmppServerSession
+from support.xmpp_relay import make_client_tls_context, write_operator_file
 
 
 class Frontend(StrEnum):
@@ -101,7 +101,7 @@
                 await _delay_rejection()
                 writer.write(b"BUSY\r\n")
             elif data:
-                server = Server(reader, writer)
+                server = XmppServerSession(reader, writer)
                 server.unread = data.decode()
                 await server.accept()
                 await _delay_rejection()
@@ -149,8 +149,8 @@
     """Returns a function that connects a client of the line protocol."""
 
     async def connect(number: int) -> WaitingClient:
-        line = first_line(CLIENT_TIMEOUT_MS)
-        _, writer = await ask(address, line)
+        line = encode_request_line(CLIENT_TIMEOUT_MS)
+        _, writer = await send_request(address, line)
 
         def leave() -> Departure:
             began_s = time.time()
@@ -162,7 +162,7 @@
     return connect
 
 
-def connect_with_streams(logged_in: list[Client]) -> Connect:
+def connect_with_streams(logged_in: list[XmppClient]) -> Connect:
     """Returns a function that binds one of the XMPP clients that are logged in."""
 
     async def connect(number: int) -> WaitingClient:
@@ -183,10 +183,10 @@
     return connect
 
 
-async def log_in(address: Address) -> Client:
+async def log_in(address: Address) -> XmppClient:
     """Logs an XMPP client in. Returns it before it is bound."""
-    client = await Client.connect(address)
-    await client.login(client_tls())
+    client = await XmppClient.connect(address)
+    await client.login(make_client_tls_context())
     return client
 
 
@@ -246,17 +246,17 @@
 
 async def measure_frontend(frontend: Frontend, clients: int, rounds: int, folder: Path) -> None:
     """Runs all rounds of a frontend, and prints its row."""
-    addresses = RelayAddresses(("127.0.0.1", free_port()), ("127.0.0.1", free_port()))
+    addresses = RelayAddresses(("127.0.0.1", find_free_port()), ("127.0.0.1", find_free_port()))
     records = folder / "begun"
     async with AsyncExitStack() as stack:
         config = await _start_environment(stack, folder, addresses)
-        operator_file = write_operator(
+        operator_file = write_operator_file(
             folder, False, listen="{}:{}".format(*addresses.xmpp), negotiate_s=60.0
         )
         operator_options = ["--operator", str(operator_file)] if frontend is Frontend.XMPP else []
         await _start_processes(stack, config, records, operator_options)
-        await until_ready(addresses.lines)
-        logged_in: list[Client] = []
+        await wait_until_ready(addresses.lines)
+        logged_in: list[XmppClient] = []
         if frontend is Frontend.LINES:
             connect = connect_with_lines(addresses.lines)
         else:
@@ -275,15 +275,15 @@
     """Starts the hosts and discovery, and writes the relay's configuration."""
     hosts = [RejectingHost() for _ in range(HOST_COUNT)]
     for host in hosts:
-        await stack.enter_async_context(served(host))  # type: ignore[arg-type]
+        await stack.enter_async_context(running_server(host))  # type: ignore[arg-type]
     endpoints = {f"h{number}": host.address for number, host in enumerate(hosts)}
-    discovery = Discovery(chunked(listed(endpoints, 2)))
-    await stack.enter_async_context(served(discovery))
+    discovery = FakeDiscovery(encode_watch_response(make_endpoint_list(endpoints, 2)))
+    await stack.enter_async_context(running_server(discovery))
     tenants = [{"name": "t", "fraction": 1.0, "allowancePerS": ALLOWANCE_PER_S}]
     return write_config(
         folder,
         discovery.address,
-        listed(endpoints),
+        make_endpoint_list(endpoints),
         listen="{}:{}".format(*addresses.lines),
         settings={**SETTINGS, "accounts": tenants},
         limits={"sockets": 8192, "memory_mb": 1024},
--- a/tests/core/test_attempt_races.py
+++ b/tests/core/test_attempt_races.py
@@ -12,7 +12,16 @@
 
 import pytest
 from support.event_loop import until
-from support.network_fakes import SETTINGS, ConnectResult, FakeEndpoint, ask, first_line, relaying, silent, up
+from support.network_fakes import (
+    SETTINGS,
+    ConnectResult,
+    FakeEndpoint,
+    echo_lines,
+    encode_request_line,
+    never_respond,
+    running_relay,
+    send_request,
+)
 from support.ports import Address
 from support.relay_checks import is_idle, record_closed_connections, record_placements
 
@@ -71,6 +80,17 @@
 ]
 
 
+async def check_response_after(end: End, client: socket.socket) -> None:
+    """Checks the response to a client that has not left at ``end``, and closes its connection."""
+    if end in ENDPOINT_CHANGES:  # it is served nevertheless, at the other endpoint
+        client.settimeout(5)
+        assert (await asyncio.to_thread(client.recv, 99)) == b"UP r1\r\n"
+        client.close()
+    elif end is drain_forced:
+        assert (await asyncio.to_thread(client.recv, 99)) == b"BUSY 250\r\n"
+        client.close()
+
+
 @pytest.mark.parametrize("end", BEFORE_WRITING, ids=lambda end: end.__name__)
 @pytest.mark.parametrize("attempt", [1, 2])
 async def test_nothing_is_written_once_the_request_has_ended_while_its_connection_came_up(
@@ -78,7 +98,7 @@
 ) -> None:
     # A client's FIN lay unread while the core was busy, and its line followed it 0.3 s later. The loop does
     # not turn between the end and the write here, so only a look at that very moment can see it.
-    async with relaying(tmp_path, up, up) as (relay, endpoints):
+    async with running_relay(tmp_path, echo_lines, echo_lines) as (relay, endpoints):
         await until(lambda: relay.endpoint_registry.version == 2)
         by_port = {
             endpoint.address[1]: (name, endpoint) for name, endpoint in zip("ab", endpoints, strict=True)
@@ -100,20 +120,16 @@
         monkeypatch.setattr(frontend_connection, "connect_unreserved", comes_up)
         records = record_closed_connections(relay, monkeypatch)
         client = socket.create_connection(relay.listener.address)
-        client.sendall(first_line())
+        client.sendall(encode_request_line())
         await until(lambda: reached)
-        if end in ENDPOINT_CHANGES:  # it is served all the same, at the other one
-            client.settimeout(5)
-            assert (await asyncio.to_thread(client.recv, 99)) == b"UP r1\r\n"
-            client.close()
-        elif end is drain_forced:
-            assert (await asyncio.to_thread(client.recv, 99)) == b"BUSY 250\r\n"
-            client.close()
+        await check_response_after(end, client)
         await until(lambda: records and is_idle(relay))
-        assert not any(reached[0].lines), end.__name__
+        assert not any(reached[0].request_lines), end.__name__
         if end.__name__.startswith("leave"):
             assert records[0].close_reason in (CloseReason.CLIENT_LEFT, CloseReason.CLIENT_RESET)
-            assert calls == attempt and not any(line for endpoint in endpoints for line in endpoint.lines)
+            assert calls == attempt and not any(
+                line for endpoint in endpoints for line in endpoint.request_lines
+            )
 
 
 # ---------------------------------------------------------------- what a forced drain rejects
@@ -145,7 +161,10 @@
     is_executed: bool,
 ) -> None:
     # Every request that a forced drain ended was answered BUSY, which says that a retry is harmless.
-    async with relaying(tmp_path, silent, settings=deployment(effect, scope)) as (relay, (endpoint,)):
+    async with running_relay(tmp_path, never_respond, settings=deployment(effect, scope)) as (
+        relay,
+        (endpoint,),
+    ):
         await until(lambda: relay.endpoint_registry.version == 2)
         if not is_executed:
             held = asyncio.Event()
@@ -156,9 +175,9 @@
                 return connecting.ConnectFailure.TIMED_OUT
 
             monkeypatch.setattr(frontend_connection, "connect_unreserved", never_up)
-        reader, writer = await ask(relay.listener.address, first_line())
+        reader, writer = await send_request(relay.listener.address, encode_request_line())
         if is_executed:
-            await until(lambda: endpoint.lines)
+            await until(lambda: endpoint.request_lines)
         else:
             await held.wait()
         for lifecycle in relay.request_registry:
@@ -180,13 +199,13 @@
         writer.write(text)
 
     unsafe = deployment("unsafe", "all")
-    async with relaying(tmp_path, responds_malformed, responds_malformed, settings=unsafe) as (
+    async with running_relay(tmp_path, responds_malformed, responds_malformed, settings=unsafe) as (
         relay,
         endpoints,
     ):
-        reader, writer = await ask(relay.listener.address, first_line())
+        reader, writer = await send_request(relay.listener.address, encode_request_line())
         assert (await reader.read()).startswith(b"ERR")
-        assert sum(len(endpoint.lines) for endpoint in endpoints) == 1
+        assert sum(len(endpoint.request_lines) for endpoint in endpoints) == 1
         writer.close()
         await until(lambda: is_idle(relay))
 
@@ -197,25 +216,27 @@
 
 
 class BreaksOnce:
-    """The first attempt may have run; every later one would be served."""
+    """Breaks the first attempt after its request was written, and serves every later one."""
 
     def __init__(self) -> None:
-        self.lines: list[bytes] = []
+        self.request_lines: list[bytes] = []
 
     async def __call__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes) -> None:
         if line:
-            self.lines.append(line)
-        if len(self.lines) > 1:
-            await up(reader, writer, line)
+            self.request_lines.append(line)
+        if len(self.request_lines) > 1:
+            await echo_lines(reader, writer, line)
 
 
 class LateRetry:
-    """Moves a relay's clock on as the second attempt is decided, or once its connection came up."""
+    """Advances a relay's clock as the second attempt is decided, or once its connection is established."""
 
-    def __init__(self, relay: Relay, monkeypatch: pytest.MonkeyPatch, moment: str, late_ms: float) -> None:
+    def __init__(
+        self, relay: Relay, monkeypatch: pytest.MonkeyPatch, delayed_at: str, late_ms: float
+    ) -> None:
         self.attempts = 0
         self.connections = 0
-        self._moment = moment
+        self._delayed_at = delayed_at
         self._late_ms = late_ms
         self._elapsed_ms = 0.0
         self._connect = connecting.connect_unreserved
@@ -225,7 +246,7 @@
 
         async def open_late(connection: Any, *arguments: Any) -> Any:
             self.attempts += 1
-            if self._moment == "decided" and self.attempts == 2:
+            if self._delayed_at == "decided" and self.attempts == 2:
                 self._elapsed_ms = self._late_ms
             return await open_upstream(connection, *arguments)
 
@@ -241,28 +262,33 @@
         return sock
 
 
-@pytest.mark.parametrize(("scope", "word"), [("all", b"BUSY"), ("cell", b"ERR ")])
+@pytest.mark.parametrize(("scope", "expected_prefix"), [("all", b"BUSY"), ("cell", b"ERR ")])
 @pytest.mark.parametrize("late_ms", [KEY_MS - 500.0, KEY_MS + 1.0])
-@pytest.mark.parametrize("moment", ["decided", "came up"])
+@pytest.mark.parametrize("delayed_at", ["decided", "came up"])
 async def test_a_retry_is_written_before_its_idempotency_key_expires_or_not_at_all(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, moment: str, late_ms: float, scope: str, word: bytes
+    tmp_path: Path,
+    monkeypatch: pytest.MonkeyPatch,
+    delayed_at: str,
+    late_ms: float,
+    scope: str,
+    expected_prefix: bytes,
 ) -> None:
     # The module asks for it in time, but a connection may come up 1.5 s later: the line was written whenever
     # that was, and it is the last byte that counts.
     endpoint = BreaksOnce()
     settings = deployment("keyed", scope)
     settings["classes"][0].update(aimMs=9000.0, hardLimitMs=9000.0)
-    async with relaying(tmp_path, endpoint, endpoint, settings=settings) as (relay, _):
+    async with running_relay(tmp_path, endpoint, endpoint, settings=settings) as (relay, _):
         await until(lambda: relay.endpoint_registry.version == 2)
-        retry = LateRetry(relay, monkeypatch, moment, late_ms)
-        reader, writer = await ask(relay.listener.address, first_line(9000))
+        retry = LateRetry(relay, monkeypatch, delayed_at, late_ms)
+        reader, writer = await send_request(relay.listener.address, encode_request_line(9000))
         response = await reader.readline()
         in_time = late_ms < KEY_MS
-        assert response[:4] == (b"UP r" if in_time else word)
-        assert len(endpoint.lines) == 1 + in_time
+        assert response[:4] == (b"UP r" if in_time else expected_prefix)
+        assert len(endpoint.request_lines) == 1 + in_time
         # Nor does the module decide on a third, which the same look would hold back again.
         assert retry.attempts == 2
-        assert retry.connections == (2 if in_time or moment == "came up" else 1)
+        assert retry.connections == (2 if in_time or delayed_at == "came up" else 1)
         writer.close()
         await until(lambda: is_idle(relay))
 
@@ -273,7 +299,7 @@
     endpoint = BreaksOnce()
     settings = deployment("keyed", "all")
     settings["classes"][0].update(aimMs=9000.0, hardLimitMs=9000.0, keyTtlMs=300.0)
-    async with relaying(tmp_path, endpoint, endpoint, settings=settings) as (relay, _):
+    async with running_relay(tmp_path, endpoint, endpoint, settings=settings) as (relay, _):
         await until(lambda: relay.endpoint_registry.version == 2)
         send, sent = sockets.send_gathered, 0
 
@@ -285,10 +311,10 @@
             await send(*arguments)
 
         monkeypatch.setattr(platform_connection, "send_gathered", stuck)
-        reader, writer = await ask(relay.listener.address, first_line(9000))
+        reader, writer = await send_request(relay.listener.address, encode_request_line(9000))
         async with asyncio.timeout(4):  # and not the client's 9 s
             assert (await reader.readline()).startswith(b"BUSY")
-        assert sent == 2 and len(endpoint.lines) == 1
+        assert sent == 2 and len(endpoint.request_lines) == 1
         writer.close()
         await until(lambda: is_idle(relay))
 
@@ -306,13 +332,13 @@
 def send_as_connection_closes(
     client: socket.socket, monkeypatch: pytest.MonkeyPatch, *, after_shutdown: bool
 ) -> None:
-    """Have ``client`` send a request just before, or just after, the relay shuts its connection down."""
+    """Has ``client`` send a request just before, or just after, the relay shuts its connection down."""
     close_gracefully, send_and_close = closing.close_gracefully, closing.send_and_close
 
     def send_line(sock: socket.socket) -> None:
         if after_shutdown:
             sock.shutdown(socket.SHUT_WR)
-        client.sendall(first_line())
+        client.sendall(encode_request_line())
 
     async def send_and_close_gracefully(sock: socket.socket) -> None:
         send_line(sock)
@@ -341,7 +367,7 @@
 ) -> None:
     # What is read after a shutdown and forwarded is lost, and a close over unread bytes resets the answer.
     monkeypatch.setattr(platform_frontend, "REQUEST_LINE_TIMEOUT_S", 0.1 if end == "out of time" else 5.0)
-    async with relaying(tmp_path, up) as (relay, (endpoint,)):
+    async with running_relay(tmp_path, echo_lines) as (relay, (endpoint,)):
         placements = record_placements(relay)
         client = socket.create_connection(relay.listener.address)
         send_as_connection_closes(client, monkeypatch, after_shutdown=after_shutdown)
@@ -357,4 +383,4 @@
         assert not is_reset(client)
         client.close()
         await until(lambda: not relay.admission.connection_count)
-        assert placements == [] and not endpoint.lines
+        assert placements == [] and not endpoint.request_lines
--- a/tests/net/test_log_fields.py
+++ b/tests/net/test_log_fields.py
@@ -13,7 +13,7 @@
 import pytest
 from support.event_loop import until
 from support.failing_calls import FailingCall
-from support.network_fakes import ask, relaying, up
+from support.network_fakes import echo_lines, running_relay, send_request
 
 from sageturn.core.tasks import cancel_and_wait
 from sageturn.net.addresses import Address
@@ -28,7 +28,7 @@
 
 
 @asynccontextmanager
-async def listening(handler: ConnectionHandler) -> AsyncIterator[Listener]:
+async def running_listener(handler: ConnectionHandler) -> AsyncIterator[Listener]:
     listener = Listener(("127.0.0.1", 0), handler, b"", AdmissionController(ProcessLimits(64, 64.0)))
     listener.start_listening()
     running = asyncio.ensure_future(listener.run())
@@ -48,7 +48,7 @@
 async def test_a_failed_accept_names_its_listener(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    async with listening(serve_nobody) as listener:
+    async with running_listener(serve_nobody) as listener:
         FailingCall(socket.socket, "accept", [errno.ECONNABORTED]).install(monkeypatch)
         with socket.create_connection(listener.address):
             await until(lambda: "accept failed" in caplog.text)
@@ -64,7 +64,7 @@
             pending.request_id = request_id
         raise ConnectionResetError(errno.ECONNRESET, "reset by the test")
 
-    async with listening(fail) as listener:
+    async with running_listener(fail) as listener:
         with socket.create_connection(listener.address) as client:
             peer = client.getsockname()
             await until(lambda: "connection failed" in caplog.text)
@@ -75,8 +75,8 @@
 async def test_a_rejected_request_line_names_its_peer_and_listener(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
-    async with relaying(tmp_path, up) as (relay, _):
-        reader, writer = await ask(relay.listener.address, b"GET / HTTP/1.1\r\n")
+    async with running_relay(tmp_path, echo_lines) as (relay, _):
+        reader, writer = await send_request(relay.listener.address, b"GET / HTTP/1.1\r\n")
         peer: Address = writer.get_extra_info("sockname")
         assert (await reader.readline()).startswith(b"ERR")
         writer.close()
--- a/tests/net/test_sockets.py
+++ b/tests/net/test_sockets.py
@@ -16,10 +16,18 @@
 import pytest
 from support.event_loop import until
 from support.load_reports import FIELDS, answers_health_checks
-from support.network_fakes import SETTINGS, Streams, ask, first_line, relaying, silent, up
+from support.network_fakes import (
+    SETTINGS,
+    Streams,
+    echo_lines,
+    encode_request_line,
+    never_respond,
+    running_relay,
+    send_request,
+)
 from support.replication_member import start_member
-from support.xmpp_fakes import HEADER, Client, echo
-from support.xmpp_relay import client_tls, relaying_xmpp, xmpp_address
+from support.xmpp_fakes import STREAM_HEADER, XmppClient, echo_messages
+from support.xmpp_relay import make_client_tls_context, running_xmpp_relay, xmpp_address
 
 from sageturn.core.shutdown_schedule import ShutdownSchedule
 from sageturn.net import connection_tasks
@@ -33,7 +41,7 @@
 
 
 def connections_of_relay(accepted_at: set[Any], dialled: set[Any]) -> list[tuple[str, socket.socket]]:
-    """The open connections of the relay, found by their addresses: all of a test is in one process."""
+    """Returns the relay's open connections in this process, found by their addresses."""
     found = []
     for sock in gc.get_objects():
         if type(sock) is socket.socket and sock.fileno() >= 0 and sock.type == socket.SOCK_STREAM:
@@ -61,11 +69,11 @@
     monkeypatch.setitem(SETTINGS, "report", {"source": "probe", "fields": list(FIELDS)})
     script, seen = answers_health_checks()
 
-    async with relaying(tmp_path, script) as (relay, (endpoint,)):
-        reader, writer = await ask(relay.listener.address, first_line())
+    async with running_relay(tmp_path, script) as (relay, (endpoint,)):
+        reader, writer = await send_request(relay.listener.address, encode_request_line())
         assert await reader.readline() == b"UP r1\r\n"
         await until(lambda: seen and relay.endpoint_registry.version == 2)
-        idle = await ask(relay.listener.address, b"")
+        idle = await send_request(relay.listener.address, b"")
         await until(lambda: relay.admission.pending_count)
         dialled = {endpoint.address, relay.discovery._address}
         found = connections_of_relay({relay.listener.address}, dialled)
@@ -76,9 +84,9 @@
 
 
 async def test_all_sockets_of_the_xmpp_frontend_have_nodelay(tmp_path: Path) -> None:
-    async with relaying_xmpp(tmp_path, echo) as (relay, (endpoint,)):
-        client = await Client.connect(xmpp_address(relay))
-        await client.login(client_tls())
+    async with running_xmpp_relay(tmp_path, echo_messages) as (relay, (endpoint,)):
+        client = await XmppClient.connect(xmpp_address(relay))
+        await client.login(make_client_tls_context())
         await client.bind()
         found = connections_of_relay({xmpp_address(relay)}, {endpoint.address})
         assert len(found) == 2 and all_have_nodelay(found, {"accepted", "dialled"})
@@ -105,9 +113,11 @@
 
     monkeypatch.setattr(connection_tasks, "send_and_close", checking_send_and_close)
 
-    async with relaying(tmp_path, up) as (relay, _):
+    async with running_relay(tmp_path, echo_lines) as (relay, _):
         relay.admission.limits = ProcessLimits(sockets=96, memory_mb=1.0)
-        held: list[Streams] = [await ask(relay.listener.address, first_line()) for _ in range(17)]
+        held: list[Streams] = [
+            await send_request(relay.listener.address, encode_request_line()) for _ in range(17)
+        ]
         answers = [await reader.readline() for reader, _ in held]
         assert answers[-1] == b"BUSY 500\r\n" and options and all(options)
         for _, writer in held:
@@ -119,7 +129,7 @@
 
 @pytest.fixture
 def pair() -> Iterator[tuple[socket.socket, socket.socket]]:
-    """Both ends of one TCP connection; the first is the relay's."""
+    """Returns both ends of one TCP connection; the first is the relay's."""
     with socket.create_server(("127.0.0.1", 0)) as server:
         client = socket.create_connection(server.getsockname())
         relay_socket, _ = server.accept()
@@ -132,7 +142,7 @@
 async def test_a_graceful_close_that_is_cancelled_closes_over_nothing_unread(
     pair: tuple[socket.socket, socket.socket],
 ) -> None:
-    # Bytes that arrived in the moment in which it was cancelled made the kernel send a reset.
+    # Bytes that arrived as it was cancelled made the kernel send a reset.
     relay_socket, client = pair
 
     relay_socket.send(b"ERR why\r\n")
@@ -152,15 +162,15 @@
     tmp_path: Path,
 ) -> None:
     # Its connection was closed over what lay unread: the reset could destroy the answer on its way.
-    async with relaying_xmpp(tmp_path, echo) as (relay, _):
-        client = await Client.connect(xmpp_address(relay))
+    async with running_xmpp_relay(tmp_path, echo_messages) as (relay, _):
+        client = await XmppClient.connect(xmpp_address(relay))
         client.send("<?xml version='1.0'?>")
         await until(lambda: relay.admission.pending_count)
         await asyncio.sleep(0.01)
         relay.admission.evict_all_pending()
-        client.send(HEADER.format("to").removeprefix("<?xml version='1.0'?>") + " " * 2000)
-        heard = await client.read_rest()
-        assert "<resource-constraint " in heard and not heard.endswith("[reset]")
+        client.send(STREAM_HEADER.format("to").removeprefix("<?xml version='1.0'?>") + " " * 2000)
+        received = await client.read_rest()
+        assert "<resource-constraint " in received and not received.endswith("[reset]")
         client.writer.close()
 
 
@@ -180,7 +190,7 @@
 
 @pytest.fixture
 def descriptors_left(monkeypatch: pytest.MonkeyPatch) -> Iterator[list[int]]:
-    """A table of descriptors with ``[0]`` of them left, as the relay's dialling and its reserve see it."""
+    """Replaces the descriptor table, for connecting and the reserve, by one with ``[0]`` descriptors left."""
     left = [0]
     files: set[int] = set()
 
@@ -242,12 +252,12 @@
     assert descriptors_left[0] == 0 and reserve.release_one() and not reserve.release_one()
 
 
-@pytest.mark.parametrize("said", [first_line(), b""])
+@pytest.mark.parametrize("first_bytes", [encode_request_line(), b""])
 async def test_with_no_descriptor_left_those_in_the_backlog_are_answered_as_the_listener_closes(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, said: bytes
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, first_bytes: bytes
 ) -> None:
     # They were left there, and reset as the listener was closed.
-    async with relaying(tmp_path, silent) as (relay, _):
+    async with running_relay(tmp_path, never_respond) as (relay, _):
         relay.request_registry.schedule = ShutdownSchedule(0.0, 0.0, 0.05, 2.0)
         stop_accepting = relay.ingress.stop_accepting
         clients: list[socket.socket] = []
@@ -256,7 +266,7 @@
         def connect_clients_and_stop() -> None:
             for _ in range(3):
                 clients.append(socket.create_connection(relay.listener.address))
-                clients[-1].sendall(said)
+                clients[-1].sendall(first_bytes)
             stop_accepting()
 
         monkeypatch.setattr(relay.ingress, "stop_accepting", connect_clients_and_stop)
