--- a/sageturn/lab/measurements/override_resolution.py
+++ b/sageturn/lab/measurements/override_resolution.py
@@ -29,7 +29,7 @@
 
 
 def measure_resolution() -> Row:
-    """Resolve all overrides, and then change some of them one by one."""
+    """Resolves all overrides, and then changes some of them one by one."""
     endpoints = _make_endpoints()
     overrides = _make_overrides()
     full_ms: list[float] = []
@@ -68,8 +68,16 @@
 
 def _make_endpoints() -> list[decision.Endpoint]:
     return [
-        decision.Endpoint(f"h{k}", "ready", f"z{k % 20}", k % CELL_COUNT, 0.0, 1.0, f"k{k % 4}")
-        for k in range(ENDPOINT_COUNT)
+        decision.Endpoint(
+            f"h{number}",
+            decision.EndpointStatus.READY,
+            f"z{number % 20}",
+            number % CELL_COUNT,
+            0.0,
+            1.0,
+            f"k{number % 4}",
+        )
+        for number in range(ENDPOINT_COUNT)
     ]
 
 
--- a/tests/core/test_client_disconnects.py
+++ b/tests/core/test_client_disconnects.py
@@ -1,4 +1,4 @@
-"""Clients that leave before they are answered: nothing is begun for them any more, first or further."""
+"""Clients that disconnect before their response: no connection or attempt is begun for them any more."""
 
 from __future__ import annotations
 
@@ -14,11 +14,19 @@
 
 import pytest
 from support.event_loop import until
-from support.network_fakes import SETTINGS, ConnectResult, ask, first_line, relaying, silent, up
+from support.network_fakes import (
+    SETTINGS,
+    ConnectResult,
+    echo_lines,
+    encode_request_line,
+    never_respond,
+    running_relay,
+    send_request,
+)
 from support.ports import Address
 from support.relay_checks import record_closed_connections
-from support.xmpp_fakes import Client, Server
-from support.xmpp_relay import client_tls, relaying_xmpp, xmpp_address
+from support.xmpp_fakes import XmppClient, XmppServerSession
+from support.xmpp_relay import make_client_tls_context, running_xmpp_relay, xmpp_address
 
 from sageturn.core.close_reason import CloseReason
 from sageturn.core.pre_write_checks import PreWriteChecks
@@ -32,7 +40,7 @@
 
 
 class ClientThread:
-    """A thread and a loop for a client: it can act while the relay's loop is blocked."""
+    """Runs a client on an event loop in another thread: it can act while the relay's loop is blocked."""
 
     def __init__(self) -> None:
         self._loop = asyncio.new_event_loop()
@@ -93,7 +101,7 @@
 def act_as_attempt_begins(
     monkeypatch: pytest.MonkeyPatch, connection_class: Any, attempt: int, act: Callable[[], None]
 ) -> None:
-    """Call ``act`` as the n-th attempt begins: the loop does not turn before the attempt goes on."""
+    """Calls ``act`` as the n-th attempt begins: no other task runs before the attempt continues."""
     open_upstream, attempts = connection_class.open_upstream, 0
 
     async def act_first(connection: Any, *arguments: Any) -> Any:
@@ -106,6 +114,19 @@
     monkeypatch.setattr(connection_class, "open_upstream", act_first)
 
 
+def act_before_write(monkeypatch: pytest.MonkeyPatch, act: Callable[[], None]) -> None:
+    """Calls ``act`` just before the last checks that precede the write of a request."""
+    check_before_write = PreWriteChecks.check_before_write
+
+    def act_first(
+        checks: PreWriteChecks, is_endpoint_usable: Callable[[], bool] | None = None
+    ) -> CloseReason | None:
+        act()
+        return check_before_write(checks, is_endpoint_usable)
+
+    monkeypatch.setattr(PreWriteChecks, "check_before_write", act_first)
+
+
 @pytest.mark.parametrize(
     "leave", [close, end_sending, reset, send_and_close], ids=lambda leave: leave.__name__
 )
@@ -114,30 +135,30 @@
 async def test_no_connection_is_begun_for_a_client_that_has_left(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, leave: Callable[[socket.socket], None], attempt: int
 ) -> None:
-    # Only what was written was held back: the connection for it was begun, and took a host's place and time.
-    async with relaying(tmp_path, up, up) as (relay, endpoints):
+    # Only the write was held back: a connection was opened for it, and took an endpoint's capacity and time.
+    async with running_relay(tmp_path, echo_lines, echo_lines) as (relay, endpoints):
         await until(lambda: relay.endpoint_registry.version == 2)
         connects = ConnectCounter(monkeypatch, attempt - 1)
         act_as_attempt_begins(monkeypatch, PlatformConnection, attempt, lambda: leave(client))
         records = record_closed_connections(relay, monkeypatch)
         client = socket.create_connection(relay.listener.address)
-        client.sendall(first_line())
+        client.sendall(encode_request_line())
         await until(lambda: records and not relay.balancer_actor.balancer.requests)
         client.close()
-        assert connects.count == attempt - 1 and not any(endpoint.open for endpoint in endpoints)
+        assert connects.count == attempt - 1 and not any(endpoint.open_connections for endpoint in endpoints)
         assert records[0].close_reason in GONE
 
 
-async def end_stream(client: Client) -> None:
+async def end_stream(client: XmppClient) -> None:
     client.send("</stream:stream>")
     await client.writer.drain()
 
 
-async def abort_connection(client: Client) -> None:
+async def abort_connection(client: XmppClient) -> None:
     client.writer.transport.abort()
 
 
-async def send_and_end_stream(client: Client) -> None:
+async def send_and_end_stream(client: XmppClient) -> None:
     client.send("<message/>" * 3 + "</stream:stream>")
     await client.writer.drain()
 
@@ -146,51 +167,46 @@
 
 
 @pytest.mark.parametrize("leave", XMPP_LEAVES, ids=lambda leave: leave.__name__)
-@pytest.mark.parametrize("moment", ["first", "further", "bind"])
+@pytest.mark.parametrize("stage", ["first", "further", "bind"])
 @pytest.mark.timeout(30)
 async def test_nothing_is_begun_for_an_xmpp_client_that_has_left_or_ended_its_stream(
     tmp_path: Path,
     monkeypatch: pytest.MonkeyPatch,
-    leave: Callable[[Client], Coroutine[Any, Any, None]],
-    moment: str,
+    leave: Callable[[XmppClient], Coroutine[Any, Any, None]],
+    stage: str,
 ) -> None:
     # A stream's end lay unread under TLS: only the connection's was looked for, and the bind followed.
     bound: list[str] = []
 
-    async def accept(server: Server) -> None:
+    async def accept(server: XmppServerSession) -> None:
         bound.append(await server.accept())
 
     with closing(ClientThread()) as client_thread:
-        async with relaying_xmpp(tmp_path, accept, accept) as (relay, endpoints):
+        async with running_xmpp_relay(tmp_path, accept, accept) as (relay, endpoints):
             await until(lambda: relay.endpoint_registry.version == 2)
-            connects = ConnectCounter(monkeypatch, moment == "further")
-            if moment == "bind":
-                check_before_write = PreWriteChecks.check_before_write
+            connects = ConnectCounter(monkeypatch, stage == "further")
 
-                def leave_first(
-                    checks: PreWriteChecks, is_endpoint_usable: Callable[[], bool] | None = None
-                ) -> CloseReason | None:
-                    client_thread.run_blocking(leave(client))
-                    return check_before_write(checks, is_endpoint_usable)
+            def leave_now() -> None:
+                client_thread.run_blocking(leave(client))
 
-                monkeypatch.setattr(PreWriteChecks, "check_before_write", leave_first)
+            if stage == "bind":
+                act_before_write(monkeypatch, leave_now)
             else:
-                number = 1 + (moment == "further")
-                act_as_attempt_begins(
-                    monkeypatch, XmppConnection, number, lambda: client_thread.run_blocking(leave(client))
-                )
+                act_as_attempt_begins(monkeypatch, XmppConnection, 1 + (stage == "further"), leave_now)
             records = record_closed_connections(relay, monkeypatch)
-            client = await client_thread.run(Client.connect(xmpp_address(relay)))
-            await client_thread.run(client.login(client_tls()))
+            client = await client_thread.run(XmppClient.connect(xmpp_address(relay)))
+            await client_thread.run(client.login(make_client_tls_context()))
             await client_thread.run(send_bind(client))
             await until(lambda: records and not relay.balancer_actor.balancer.requests)
             await client_thread.run(abort_connection(client))
             assert records[0].close_reason in GONE and not records[0].was_established
-            assert connects.count == (moment != "first")
-            assert sum(len(endpoint.lines) for endpoint in endpoints) == (moment == "bind") and not bound
+            assert connects.count == (stage != "first")
+            assert (
+                sum(len(endpoint.request_lines) for endpoint in endpoints) == (stage == "bind") and not bound
+            )
 
 
-async def send_bind(client: Client) -> None:
+async def send_bind(client: XmppClient) -> None:
     client.send_bind()
     await client.writer.drain()
 
@@ -210,7 +226,7 @@
     # clients have been gone for longer than an attempt may come after them.
     tenants = [{"name": "t", "fraction": 1.0, "allowancePerS": 10.0 * CROWD}]
     settings = {**SETTINGS, "accounts": tenants}
-    async with relaying(tmp_path, silent, silent, settings=settings) as (relay, endpoints):
+    async with running_relay(tmp_path, never_respond, never_respond, settings=settings) as (relay, endpoints):
         await until(lambda: relay.endpoint_registry.version == 2)
         connect, begun, released = connecting.connect_unreserved, 0, asyncio.Event()
 
@@ -222,14 +238,16 @@
 
         monkeypatch.setattr(frontend_connection, "connect_unreserved", connect_when_released)
         records = record_closed_connections(relay, monkeypatch)
-        clients = [await ask(relay.listener.address, first_line(3000)) for _ in range(CROWD)]
+        clients = [
+            await send_request(relay.listener.address, encode_request_line(3000)) for _ in range(CROWD)
+        ]
         await until(lambda: begun == CROWD)
         released.set()
         for _, writer in clients:
             writer.get_extra_info("socket").shutdown(socket.SHUT_RDWR)
         time.sleep(BUSY_S)
         await until(lambda: len(records) == CROWD and not relay.balancer_actor.balancer.requests)
-        assert begun == CROWD and not any(line for endpoint in endpoints for line in endpoint.lines)
+        assert begun == CROWD and not any(line for endpoint in endpoints for line in endpoint.request_lines)
         assert {record.close_reason for record in records} <= set(GONE)
         for _, writer in clients:
             writer.close()
@@ -239,27 +257,27 @@
 async def test_those_who_left_while_they_lay_in_the_backlog_cost_no_attempt(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async with relaying(tmp_path, up, up) as (relay, endpoints):
+    async with running_relay(tmp_path, echo_lines, echo_lines) as (relay, endpoints):
         await until(lambda: relay.endpoint_registry.version == 2)
         connects = ConnectCounter(monkeypatch)
         records = record_closed_connections(relay, monkeypatch)
         for _ in range(100):  # the loop does not turn here
             client = socket.create_connection(relay.listener.address)
-            client.sendall(first_line())
+            client.sendall(encode_request_line())
             client.close()
         time.sleep(BUSY_S)
         await until(lambda: len(records) == 100 and not relay.balancer_actor.balancer.requests)
-        assert connects.count == 0 and not any(endpoint.open for endpoint in endpoints)
+        assert connects.count == 0 and not any(endpoint.open_connections for endpoint in endpoints)
 
 
 @pytest.mark.timeout(30)
 async def test_words_read_in_two_places_stay_in_their_order(tmp_path: Path) -> None:
     # One reader had read the first and was not yet woken; the look before writing then read the second, and
     # put it in front.
-    async with relaying(tmp_path, silent) as (relay, (endpoint,)):
+    async with running_relay(tmp_path, never_respond) as (relay, (endpoint,)):
         loop = asyncio.get_running_loop()
-        _reader, writer = await ask(relay.listener.address, first_line(3000))
-        await until(lambda: endpoint.lines)
+        _reader, writer = await send_request(relay.listener.address, encode_request_line(3000))
+        await until(lambda: endpoint.request_lines)
         (lifecycle,) = relay.request_registry
         transport: Any = lifecycle.transport
         seen: asyncio.Future[None] = loop.create_future()
@@ -286,15 +304,15 @@
 
 @pytest.mark.timeout(30)
 async def test_an_xmpp_client_that_breaks_its_stream_while_it_waits_hears_why(tmp_path: Path) -> None:
-    # It was taken for one that had left, and its connection closed without a word.
-    async def read_until_end(server: Server) -> None:
+    # It was taken for one that had left, and its connection closed without a response.
+    async def read_until_end(server: XmppServerSession) -> None:
         await server.read_rest()
 
-    async with relaying_xmpp(tmp_path, read_until_end) as (relay, (endpoint,)):
-        client = await Client.connect(xmpp_address(relay))
-        await client.login(client_tls())
+    async with running_xmpp_relay(tmp_path, read_until_end) as (relay, (endpoint,)):
+        client = await XmppClient.connect(xmpp_address(relay))
+        await client.login(make_client_tls_context())
         client.send_bind()
-        await until(lambda: endpoint.lines)
+        await until(lambda: endpoint.request_lines)
         client.send("<not <well>")
         assert "<policy-violation " in await client.read_rest()
         client.writer.close()
--- a/tests/core/test_load_values.py
+++ b/tests/core/test_load_values.py
@@ -7,14 +7,14 @@
 
 import pytest
 from support.event_loop import until
-from support.network_fakes import ask, first_line, relaying
+from support.network_fakes import encode_request_line, running_relay, send_request
 
 from sageturn.decision import MeasurementReported
 
 INVALID_LOADS = (b"nan", b"inf", b"-inf", b"-5", b"1e308", b"1e9999")
 
 
-async def reports_invalid_loads(
+async def report_invalid_loads(
     reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes
 ) -> None:
     writer.write(b"UP r1\r\n")
@@ -29,7 +29,7 @@
 ) -> None:
     # One NaN entered the sum of all loads, every comparison with it failed from then on, and the relay
     # never again took an endpoint for overloaded.
-    async with relaying(tmp_path, reports_invalid_loads) as (relay, _):
+    async with running_relay(tmp_path, report_invalid_loads) as (relay, _):
         reported: list[float] = []
         balancer = relay.balancer_actor.balancer
         handle = balancer.handle
@@ -40,7 +40,7 @@
             return handle(now_ms, event)  # type: ignore[arg-type]
 
         monkeypatch.setattr(balancer, "handle", record)
-        reader, writer = await ask(relay.listener.address, first_line())
+        reader, writer = await send_request(relay.listener.address, encode_request_line())
         for _ in range(len(INVALID_LOADS) + 2):
             await reader.readline()
         await until(lambda: 2.0 in reported)
--- a/tests/decision/test_health_checks.py
+++ b/tests/decision/test_health_checks.py
@@ -16,15 +16,15 @@
 from support.load_reports import FIELDS, answers_health_checks
 from support.network_fakes import (
     SETTINGS,
-    Script,
-    ask,
-    first_line,
-    relaying,
-    reply,
-    resets,
-    responds_with,
-    silent,
-    up,
+    EndpointScript,
+    echo_lines,
+    encode_request_line,
+    exchange_line,
+    never_respond,
+    reset_connection,
+    respond_with,
+    running_relay,
+    send_request,
 )
 from support.relay_checks import record_balancer_events
 
@@ -35,7 +35,7 @@
     SPEND_RATIO,
     HealthCheckScheduler,
 )
-from sageturn.decision.load_reports import checked, read_report
+from sageturn.decision.load_reports import read_report, usable_values
 
 PROBED: dict[str, Any] = {
     "probes": True,
@@ -78,7 +78,7 @@
     found = read_report(text, FIELDS, Counter())
     assert found.keys() <= set(FIELDS) and all(0.0 <= value <= 3600.0 for value in found.values())
     values = {"x0": math.nan, "x1": True, "cpu": "1", "rps": -1, "active": 3}
-    assert checked(values) == {"active": 3.0}
+    assert usable_values(values) == {"active": 3.0}
 
 
 # ---------------------------------------------------------------- when to ask
@@ -94,7 +94,7 @@
     for look in range(240):  # a minute
         if look < requests:
             checks.record_request()
-        asked.update(checks.take_due(250.0 * look, names))
+        asked.update(checks.take_due_endpoints(250.0 * look, names))
     assert endpoints <= asked.total() <= endpoints + max(1.0, requests * SPEND_RATIO / price) + 1e-6
     least_ms = 0.75 * max(CHECK_INTERVAL_MS, MIN_FLEET_INTERVAL_MS * relays)
     assert max(asked.values()) <= 60000.0 / least_ms + 1.0
@@ -102,13 +102,15 @@
 
 def test_an_endpoint_that_takes_no_health_checks_is_not_checked_again_while_listed() -> None:
     checks = make_checks(health_check_cost=0.0)
-    assert checks.take_due(0.0, "ab") == ["a", "b"]
+    assert checks.take_due_endpoints(0.0, "ab") == ["a", "b"]
     checks.record_request()
     checks.exclude_endpoint("a")
-    assert checks.take_due(5000.0, "ab") == ["b"]
-    assert checks.take_due(10000.0, "b") == ["b"]  # a has left the list, and is another when it comes again
+    assert checks.take_due_endpoints(5000.0, "ab") == ["b"]
+    assert checks.take_due_endpoints(10000.0, "b") == [
+        "b"
+    ]  # a has left the list, and is another when it comes again
     checks.record_request()
-    assert sorted(checks.take_due(15000.0, "ab")) == ["a", "b"]
+    assert sorted(checks.take_due_endpoints(15000.0, "ab")) == ["a", "b"]
 
 
 # ---------------------------------------------------------------- what the balancer does with reports
@@ -206,7 +208,7 @@
     monkeypatch.setitem(SETTINGS, "report", {"source": "probe", "fields": list(FIELDS)})
     script, seen = answers_health_checks(*words)
 
-    async with relaying(tmp_path, script) as (relay, _):
+    async with running_relay(tmp_path, script) as (relay, _):
         assert relay.health_check_client is not None
         heard: asyncio.Queue[decision.HealthCheckCompleted] = asyncio.Queue()
         relay.health_check_client.on_completed = heard.put
@@ -216,19 +218,19 @@
             relay.health_check_client.start_check("a")
             relay.health_check_client.start_check("a")  # one at a time
             assert await heard.get() == decision.HealthCheckCompleted("a", status, report)
-            while relay.health_check_client.checks_under_way:
+            while relay.health_check_client.checks_in_flight:
                 await asyncio.sleep(0)
         assert len(seen) == len(words) and set(seen) == {b"STATS\r\n"} and heard.empty()
-        assert await reply(relay.listener.address, first_line()) == b"UP r1\r\n"
+        assert await exchange_line(relay.listener.address, encode_request_line()) == b"UP r1\r\n"
 
 
-@pytest.mark.parametrize("script", [silent, resets])
+@pytest.mark.parametrize("script", [never_respond, reset_connection])
 async def test_an_endpoint_that_never_answers_health_checks_serves_its_clients(
-    tmp_path: Path, script: Script
+    tmp_path: Path, script: EndpointScript
 ) -> None:
-    async with relaying(tmp_path, up, script) as (relay, _):
+    async with running_relay(tmp_path, echo_lines, script) as (relay, _):
         assert relay.health_check_client is None  # not allowed by these settings: nothing of it is there
-        assert await reply(relay.listener.address, first_line()) == b"UP r1\r\n"
+        assert await exchange_line(relay.listener.address, encode_request_line()) == b"UP r1\r\n"
 
 
 async def test_a_report_behind_a_final_response_is_no_broken_connection(
@@ -237,9 +239,11 @@
     # BYE with a report behind it was taken for the end of a connection that broke.
     monkeypatch.setitem(SETTINGS, "report", {"source": "answers", "fields": list(FIELDS)})
 
-    async with relaying(tmp_path, responds_with(b"UP r\r\nBYE x0=0.25,util=0.5\r\n")) as (relay, _):
+    async with running_relay(tmp_path, respond_with(b"UP r\r\nBYE x0=0.25,util=0.5\r\n")) as (relay, _):
         handled = record_balancer_events(relay, monkeypatch)
-        reader, writer = await ask(relay.listener.address, first_line(more=",r=1"))
+        reader, writer = await send_request(
+            relay.listener.address, encode_request_line(extra_parameters=",r=1")
+        )
         assert await reader.read() == b"UP r\r\nBYE x0=0.25,util=0.5\r\n"
         writer.close()
         while not any(isinstance(event, decision.AttemptEnded) for event in handled):
--- a/tests/net/test_accept_failures.py
+++ b/tests/net/test_accept_failures.py
@@ -1,4 +1,4 @@
-"""Accepting fails for a moment, just as the relay stops: everyone in the backlog is answered."""
+"""Accepting fails for a short time as the relay stops: every client in the backlog is answered."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 import pytest
 from support.event_loop import until
 from support.failing_calls import FailingCall
-from support.ports import open_descriptors
+from support.ports import count_open_descriptors
 
 from sageturn.core.tasks import cancel_and_wait
 from sageturn.net.admission import AdmissionController, PendingConnection, ProcessLimits
@@ -59,7 +59,7 @@
     admission = AdmissionController(ProcessLimits(64, 64.0))
     listener = Listener(("127.0.0.1", 0), serve_rejection, REJECTION, admission)
     listener.start_listening()
-    descriptors = open_descriptors()
+    descriptors = count_open_descriptors()
     running = asyncio.ensure_future(listener.run())
     failing = failing_accept(errno.EMFILE, errno.EMFILE)
     with monkeypatch.context() as patched:
@@ -73,7 +73,7 @@
         await listener.wait_until_idle(2.0)
         await asyncio.sleep(4 * OUT_OF_DESCRIPTORS_PAUSE_S)
     assert running.done() and running.exception() is None
-    assert open_descriptors() <= descriptors - 2  # neither the socket nor the spare descriptor is left
+    assert count_open_descriptors() <= descriptors - 2  # neither the socket nor the spare descriptor is left
 
 
 @pytest.mark.timeout(5)
@@ -94,13 +94,13 @@
     listener.start_listening()
     running = asyncio.ensure_future(listener.run())
     slow = [socket.create_connection(listener.address) for _ in range(5)]
-    await until(lambda: admission.awaiting_request == len(slow))
+    await until(lambda: admission.pending_count == len(slow))
     for errors in ((errno.ENFILE,), (errno.ENOBUFS, errno.ENOMEM), (errno.ENFILE, errno.ENFILE)):
         with monkeypatch.context() as patched:
             failing = failing_accept(*errors)
             failing.install(patched)
             slow.append(socket.create_connection(listener.address))
-            await until(lambda: admission.awaiting_request == len(slow))
+            await until(lambda: admission.pending_count == len(slow))
             assert not failing.is_failing
     with monkeypatch.context() as patched:  # what lasts is another matter, as is the process's own limit
         failing_accept(*[errno.ENFILE] * 50).install(patched)
--- a/tests/net/test_descriptor_exhaustion.py
+++ b/tests/net/test_descriptor_exhaustion.py
@@ -14,20 +14,20 @@
 import pytest
 from support.network_fakes import (
     SETTINGS,
-    Discovery,
+    FakeDiscovery,
     FakeEndpoint,
     Streams,
-    ask,
-    chunked,
-    first_line,
-    listed,
-    reply,
-    served,
-    until_ready,
-    up,
+    echo_lines,
+    encode_request_line,
+    encode_watch_response,
+    exchange_line,
+    make_endpoint_list,
+    running_server,
+    send_request,
+    wait_until_ready,
     write_config,
 )
-from support.ports import Address, free_port
+from support.ports import Address, find_free_port
 
 from sageturn.net.json_stream import JsonObject
 
@@ -46,7 +46,7 @@
 
 
 async def all_received(streams: Streams) -> bytes:
-    """All that a client is sent; a reset shows as b"reset"."""
+    """Returns all that a client receives; b"reset" is appended on a reset."""
     reader, writer = streams
     try:
         return await asyncio.wait_for(reader.read(), 8)
@@ -58,7 +58,7 @@
 
 @contextmanager
 def bound_but_not_listening() -> Iterator[socket.socket]:
-    """A socket whose address refuses connections, as discovery's does while it is down."""
+    """Yields a socket whose address refuses connections, as discovery's does while it is down."""
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         yield sock
@@ -79,7 +79,7 @@
 
 @asynccontextmanager
 async def relay_process(config_file: Path, address: Address) -> AsyncIterator[asyncio.subprocess.Process]:
-    """A relay in a process of its own that has ``DESCRIPTORS`` descriptors, once it is ready."""
+    """Runs a relay in a process that may have ``DESCRIPTORS`` descriptors; yields it once it is ready."""
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-c",
@@ -88,31 +88,31 @@
         stderr=asyncio.subprocess.DEVNULL,
     )
     try:
-        await until_ready(address)
+        await wait_until_ready(address)
         yield process
     finally:
         kill_if_running(process)
 
 
 async def connect_until_rejected(address: Address) -> list[Streams]:
-    """Connect clients until three of them are rejected; returns those that are served."""
+    """Connects clients until three of them are rejected. Returns the streams of those that are served."""
     served_clients: list[Streams] = []
     rejected = 0
     while rejected < 3:
-        streams = await ask(address, first_line(3000))
-        word = await asyncio.wait_for(streams[0].readline(), 5)
-        assert word.startswith((b"UP", b"BUSY")), word
-        rejected += word.startswith(b"BUSY")
-        served_clients += [streams] if word.startswith(b"UP") else []
+        streams = await send_request(address, encode_request_line(3000))
+        response = await asyncio.wait_for(streams[0].readline(), 5)
+        assert response.startswith((b"UP", b"BUSY")), response
+        rejected += response.startswith(b"BUSY")
+        served_clients += [streams] if response.startswith(b"UP") else []
     return served_clients
 
 
-def list_with_one_draining(draining: Address, ready: Address) -> Discovery:
+def list_with_one_draining(draining: Address, ready: Address) -> FakeDiscovery:
     endpoints = [
         {"id": "a", "addr": "{}:{}".format(*draining), "state": "draining"},
         {"id": "b", "addr": "{}:{}".format(*ready), "state": "ready"},
     ]
-    return Discovery(chunked({**listed({"b": ready}, 2), "servers": endpoints}))
+    return FakeDiscovery(encode_watch_response({**make_endpoint_list({"b": ready}, 2), "servers": endpoints}))
 
 
 @pytest.mark.parametrize("lists", ["push", "ask"])
@@ -121,17 +121,17 @@
     tmp_path: Path, lists: str
 ) -> None:
     # They held every descriptor that there was, and the watch got none as discovery returned.
-    old, new = FakeEndpoint(up), FakeEndpoint(up)
-    address = ("127.0.0.1", free_port())
+    old, new = FakeEndpoint(echo_lines), FakeEndpoint(echo_lines)
+    address = ("127.0.0.1", find_free_port())
     async with AsyncExitStack() as stack:
-        await stack.enter_async_context(served(old))
-        await stack.enter_async_context(served(new))
+        await stack.enter_async_context(running_server(old))
+        await stack.enter_async_context(running_server(new))
         down = stack.enter_context(bound_but_not_listening())
-        known = listed({"a": old.address})
+        known = make_endpoint_list({"a": old.address})
         file = write_limited_config(tmp_path, address, down.getsockname(), known, lists)
         process = await stack.enter_async_context(relay_process(file, address))
         served_clients = await connect_until_rejected(address)
-        silent = [await ask(address, b"") for _ in range(IDLE_CLIENTS)]
+        idle_clients = [await send_request(address, b"") for _ in range(IDLE_CLIENTS)]
         assert len(os.listdir(f"/proc/{process.pid}/fd")) >= DESCRIPTORS - 4 and len(served_clients) >= 10
 
         down.listen()
@@ -142,12 +142,12 @@
             while not discovery.requests:
                 await asyncio.sleep(0.01)
             served_clients.pop()[1].close()  # frees the descriptors of one, to be placed by the new list
-            while not any(new.lines):
-                assert (await reply(address, first_line(3000))).startswith((b"UP", b"BUSY"))
+            while not any(new.request_lines):
+                assert (await exchange_line(address, encode_request_line(3000))).startswith((b"UP", b"BUSY"))
         assert process.returncode is None
 
-        words = [await all_received(streams) for streams in silent]
-        assert all(word.startswith((b"BUSY", b"ERR")) for word in words), words
+        responses = [await all_received(streams) for streams in idle_clients]
+        assert all(response.startswith((b"BUSY", b"ERR")) for response in responses), responses
         process.send_signal(signal.SIGTERM)
         last_lines = await asyncio.gather(*(all_received(streams) for streams in served_clients))
         assert set(last_lines) == {b"MOVE\r\n"} and await process.wait() == 0
--- a/tests/relay/test_wall_clock_steps.py
+++ b/tests/relay/test_wall_clock_steps.py
@@ -8,7 +8,7 @@
 
 import pytest
 from support.event_loop import until
-from support.network_fakes import relaying, up
+from support.network_fakes import echo_lines, running_relay
 
 from sageturn.core.messages import EndpointListUpdate
 from sageturn.decision import Endpoint
@@ -23,7 +23,7 @@
 
 
 async def list_new_endpoint(relay: Relay, name: str, age_s: float) -> None:
-    """Discovery lists an endpoint that has started so long ago, by a clock that was stepped as well."""
+    """Lists an endpoint that started ``age_s`` ago, by a clock that was stepped as well."""
     registry = relay.endpoint_registry
     started_ms = (time.time() - age_s) * 1000.0
     endpoint = Endpoint(name, "ready", started_at_ms=started_ms)
@@ -33,7 +33,7 @@
 
 
 async def check_age_after_step(folder: Path, monkeypatch: pytest.MonkeyPatch, step_s: float) -> None:
-    async with relaying(folder, up) as (relay, _):
+    async with running_relay(folder, echo_lines) as (relay, _):
         await until(lambda: relay.endpoint_registry.version == 2)
         step_wall_clock(monkeypatch, step_s)
         await list_new_endpoint(relay, "new", age_s=0.5)
--- a/tests/store/test_disk_faults.py
+++ b/tests/store/test_disk_faults.py
@@ -11,7 +11,7 @@
 from random import Random
 
 import pytest
-from support.disk_faults import failing_syncs, full_after
+from support.disk_faults import failing_syncs, limiting_file_growth
 
 from sageturn.store.log import MAGIC, RecordLog
 from sageturn.store.records import StoreRecord
@@ -28,7 +28,7 @@
 
 
 def reopened(store: Store, path: Path) -> Store:
-    """What a restart finds on the disk."""
+    """Returns the store that a restart reads from the disk."""
     store.close()
     return Store("n1", path)
 
@@ -41,7 +41,7 @@
     path = tmp_path / "log"
     store = Store("n1", path)
     store.put("config/0", 0)
-    with full_after(path, more_bytes=20), pytest.raises(OSError, match="File too large"):
+    with limiting_file_growth(path, more_bytes=20), pytest.raises(OSError, match="File too large"):
         store.put("config/1", "never acknowledged")
     store.put("config/2", 2)
     with failing_syncs(monkeypatch), pytest.raises(OSError, match="Input/output"):
@@ -92,16 +92,16 @@
 def test_a_log_that_cannot_be_rewritten_now_stays_whole_and_is_rewritten_later(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, fault: str
 ) -> None:
-    # The write that led to the compaction was reported as failed, and those who follow it never heard of it.
+    # The write that led to the compaction was reported as failed, and no listener was notified of it.
     path = tmp_path / "log"
     store = Store("n1", path, min_compaction_bytes=2000)
-    heard: list[str] = []
-    store.on_change.append(lambda records: heard.extend(record.key for record in records))
+    notified_keys: list[str] = []
+    store.on_change.append(lambda records: notified_keys.extend(record.key for record in records))
     rewrite = RecordLog.rewrite
 
     def failing_rewrite(log: RecordLog, records: Iterable[StoreRecord]) -> None:
         if fault == "full":
-            with full_after(tmp_path / "small", more_bytes=20):
+            with limiting_file_growth(tmp_path / "small", more_bytes=20):
                 rewrite(log, records)
         with failing_syncs(monkeypatch):
             rewrite(log, records)
@@ -110,7 +110,7 @@
     monkeypatch.setattr(RecordLog, "rewrite", failing_rewrite)
     for number in range(30):
         store.put("config/0", f"{number:0100}")
-    assert len(heard) == 30
+    assert len(notified_keys) == 30
     monkeypatch.undo()
     store.put("config/1", 1)
     assert store.get("config/0") == f"{29:0100}"
@@ -189,7 +189,8 @@
 def test_what_is_dropped_is_gone_for_everybody_though_the_log_cannot_be_rewritten(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # It had left the store, but nobody was told: the next comparison of replicas failed on a missing record.
+    # It had left the store, but no listener was notified: the next comparison of replicas failed on a missing
+    # record.
     store = Store("n1", tmp_path / "log", wall_clock=lambda: 2000.0)
     store.put("state/n1/x", 1)
     store.merge([StoreRecord("config/a", 1, 9, "n2", 800_000)])
