--- a/sageturn/net/addresses.py
+++ b/sageturn/net/addresses.py
@@ -1,4 +1,4 @@
-"""Addresses as configurations, commands and discovery write them."""
+"""Parses the addresses in configurations, commands and endpoint lists."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 def parse_address(text: str) -> Address:
-    """Parse ``HOST:PORT``. The host may be a name, and is not looked up.
+    """Parse ``HOST:PORT``. The host may be a name, which is not resolved.
 
     Raises:
-        InvalidAddressError: ``text`` has another form, or no port from 0 to 65535.
+        InvalidAddressError: ``text`` does not have this form, or its port is not in the range 0 to 65535.
     """
     host, _, port = text.rpartition(":")
     is_number = port.isascii() and port.isdigit()  # isdigit() alone accepts digits that int() does not
@@ -24,7 +24,7 @@
 
 
 def is_ipv4(host: str) -> bool:
-    """Return whether ``host`` is an IPv4 address and not a name."""
+    """Return whether ``host`` is an IPv4 address."""
     try:
         socket.inet_pton(socket.AF_INET, host)
     except OSError:
--- a/sageturn/net/backlog.py
+++ b/sageturn/net/backlog.py
@@ -1,4 +1,4 @@
-"""Rejects the clients that a closing listener has not accepted: closing it over them would reset them."""
+"""Rejects the clients that are left in the backlog of a closing listener; the close would reset them."""
 
 from __future__ import annotations
 
@@ -11,14 +11,15 @@
 
 log = logging.getLogger(__name__)
 
-FINAL_ACCEPT_TIMEOUT_S = 0.3  # leaves the rest of the shutdown's last half second to the answers
+FINAL_ACCEPT_TIMEOUT_S = 0.3  # the rest of the shutdown's last half second is for sending the rejections
 FINAL_ACCEPT_RETRY_S = 0.01
 
 
 def reject_backlog(listening: ListeningSocket, rejection: bytes) -> bool:
-    """Answer the queued clients with ``rejection`` one by one, on the spare descriptor.
+    """Send ``rejection`` to the queued clients, which are accepted one by one on the spare descriptor.
 
-    Returns whether the backlog is empty; False where accepting fails for lack of descriptors or memory.
+    Returns:
+        False if accepting failed for lack of descriptors or memory, otherwise True.
     """
     for _ in range(BACKLOG_CONNECTIONS):
         try:
@@ -29,7 +30,7 @@
             if error.errno in OUT_OF_DESCRIPTORS_ERRNOS:
                 return False
             log.warning("accept failed listener=%s:%d reason=%s", *listening.address, error)
-            continue  # this client has gone; others may be queued
+            continue  # this client has disconnected; others may be queued
         finally:
             listening.reopen_spare()
         accepted.sock.setblocking(False)
@@ -38,9 +39,9 @@
 
 
 async def reject_backlog_and_close(listening: ListeningSocket, rejection: bytes) -> None:
-    """Reject the queued clients as soon as the kernel lets them be accepted, and close ``listening``.
+    """Retry ``reject_backlog`` until it succeeds, and close ``listening``.
 
-    Gives up after ``FINAL_ACCEPT_TIMEOUT_S``.
+    The retries end after ``FINAL_ACCEPT_TIMEOUT_S``.
     """
     loop = asyncio.get_running_loop()
     deadline_s = loop.time() + FINAL_ACCEPT_TIMEOUT_S
--- a/sageturn/net/closing.py
+++ b/sageturn/net/closing.py
@@ -1,7 +1,8 @@
-"""Closes sockets so that the last bytes that were sent arrive.
+"""Closes sockets so that the bytes that were sent last arrive.
 
-If a socket is closed while bytes of the peer lie unread, the kernel sends a reset, which can destroy the last
-line on its way. All functions here read those bytes first, except ``close_with_reset``.
+If a socket is closed while bytes of the peer are unread, the kernel sends a reset, which can discard the last
+line before the peer has read it. All functions that close a socket read those bytes first, except
+``close_with_reset``.
 """
 
 from __future__ import annotations
@@ -11,18 +12,18 @@
 import struct
 from contextlib import suppress
 
-LINGER_S = 0.5  # for which the peer is still read after the relay's FIN
-MAX_LINGER_BYTES = 65536  # more arrives only from a peer that floods the relay
-FLOOD_PAUSE_S = 0.1  # before the close, for the answer to reach a peer that floods the relay
+LINGER_S = 0.5  # maximum time for which the peer is read after the relay's FIN
+MAX_LINGER_BYTES = 65536  # only a peer that floods the relay sends more
+FLOOD_PAUSE_S = 0.1  # delays the close, so that the answer reaches a peer that floods the relay
 LINGER_READ_BYTES = 2048
 FINAL_READ_BYTES = 8192
 
-_RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: on, for 0 s
+_RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: enabled, with a timeout of 0 s
 
 
 def shutdown_write(sock: socket.socket) -> None:
     """Send a FIN; the socket can still be read."""
-    with suppress(OSError):  # the peer has reset it: there is nobody left to notify
+    with suppress(OSError):  # the peer has reset the connection
         sock.shutdown(socket.SHUT_WR)
 
 
@@ -53,13 +54,13 @@
 
 
 async def close_gracefully(sock: socket.socket) -> None:
-    """Send a FIN, and wait ``LINGER_S`` at most for the peer's before closing ``sock``.
+    """Send a FIN, wait up to ``LINGER_S`` for the peer's FIN, and close ``sock``.
 
     A peer that floods the relay is read up to ``MAX_LINGER_BYTES`` only: reading more would take time from
     all other connections.
     """
     if sock.fileno() < 0:
-        return  # it has been closed with a reset
+        return  # the socket was closed with a reset
     shutdown_write(sock)
     loop = asyncio.get_running_loop()
     discarded = bytearray(LINGER_READ_BYTES)
@@ -72,7 +73,7 @@
                 if bytes_left <= 0:
                     await asyncio.sleep(FLOOD_PAUSE_S)
     finally:
-        _read_and_close(sock)  # also when this is cancelled
+        _read_and_close(sock)  # runs on a cancellation too
 
 
 def _read_and_close(sock: socket.socket) -> None:
--- a/sageturn/net/connecting.py
+++ b/sageturn/net/connecting.py
@@ -12,7 +12,7 @@
 from sageturn.net.descriptors import DESCRIPTOR_RESERVE, OUT_OF_DESCRIPTORS_ERRNOS
 from sageturn.net.sockets import configure_socket
 
-# Raised by connecting where this machine has no port, memory or route just now; says nothing of the peer.
+# Errors of connecting if this machine temporarily has no port, memory or route; the peer is not at fault.
 LOCAL_CONNECT_ERRNOS = (
     errno.EADDRNOTAVAIL,
     errno.ENETDOWN,
@@ -21,16 +21,16 @@
     errno.ENOMEM,
 )
 LOCAL_RETRY_INTERVAL_S = 0.01
-MAX_LOCAL_RETRY_S = 0.1  # from the first attempt
+MAX_LOCAL_RETRY_S = 0.1  # counted from the first attempt
 
 
 class ConnectFailure(Enum):
-    """Why a connection could not be established. Log lines have the names in lower case."""
+    """Reason why a connection could not be established. Log lines show its name in lower case."""
 
     REFUSED = auto()
     TIMED_OUT = auto()
     NO_DESCRIPTOR = auto()
-    LOCAL = auto()  # for a reason of this machine's, which says nothing of the peer
+    LOCAL = auto()  # this machine had no port, memory or route; the peer is not at fault
 
 
 CLOSE_REASON_OF_CONNECT_FAILURE = {
@@ -55,29 +55,29 @@
 async def connect(
     address: Address, timeout_s: float, *, use_reserve: bool = True
 ) -> socket.socket | ConnectFailure:
-    """Connect within ``timeout_s`` seconds, on a descriptor of the reserve if there is no other.
+    """Connect within ``timeout_s`` seconds, on a descriptor of the reserve if no other is free.
 
-    For the relay's own connections, which must succeed however many clients there are. Local failures, which
-    are no fault of the peer, are retried for ``MAX_LOCAL_RETRY_S``.
+    The relay's own connections use this, since they must succeed however many clients are connected. Local
+    failures, which are no fault of the peer, are retried for ``MAX_LOCAL_RETRY_S``.
 
     Returns:
-        The connected socket, which the caller closes, or why there is none.
+        The connected socket, which the caller closes, or the reason of the failure.
     """
     loop = asyncio.get_running_loop()
     local_deadline_s = loop.time() + MAX_LOCAL_RETRY_S
     try:
         async with asyncio.timeout(timeout_s):
             while True:
-                connected = await _connect_once(address, use_reserve=use_reserve)
-                if connected is not ConnectFailure.LOCAL or loop.time() >= local_deadline_s:
-                    return connected
+                result = await _connect_once(address, use_reserve=use_reserve)
+                if result is not ConnectFailure.LOCAL or loop.time() >= local_deadline_s:
+                    return result
                 await asyncio.sleep(LOCAL_RETRY_INTERVAL_S)
     except TimeoutError:
         return ConnectFailure.TIMED_OUT
 
 
 async def _connect_once(address: Address, *, use_reserve: bool) -> socket.socket | ConnectFailure:
-    """Connect without a time limit; the socket is closed when this is cancelled."""
+    """Connect without a time limit; close the socket on a cancellation."""
     try:
         sock = _create_socket(use_reserve=use_reserve)
     except OSError as error:
@@ -89,7 +89,7 @@
         await asyncio.get_running_loop().sock_connect(configure_socket(sock), address)
     except TimeoutError:
         sock.close()
-        return ConnectFailure.TIMED_OUT  # the kernel gave it up (ETIMEDOUT)
+        return ConnectFailure.TIMED_OUT  # the kernel gave up the attempt (ETIMEDOUT)
     except OSError as error:
         sock.close()
         return ConnectFailure.LOCAL if error.errno in LOCAL_CONNECT_ERRNOS else ConnectFailure.REFUSED
@@ -100,7 +100,10 @@
 
 
 async def connect_unreserved(address: Address, timeout_s: float) -> socket.socket | ConnectFailure:
-    """Connect on behalf of a client: as ``connect``, but refills the descriptor reserve and never uses it."""
+    """Connect on behalf of a client: like ``connect``, but never use the descriptor reserve.
+
+    The reserve is refilled first; if it cannot be, the failure is NO_DESCRIPTOR.
+    """
     if not DESCRIPTOR_RESERVE.refill():
         return ConnectFailure.NO_DESCRIPTOR
     return await connect(address, timeout_s, use_reserve=False)
--- a/sageturn/net/connection_tasks.py
+++ b/sageturn/net/connection_tasks.py
@@ -1,4 +1,4 @@
-"""The tasks in which a listener's connections are served or rejected, one for each connection."""
+"""Serves or rejects the connections of a listener, each in a task of its own."""
 
 from __future__ import annotations
 
@@ -19,23 +19,23 @@
 ConnectionHandler = Callable[[socket.socket, PendingConnection], Awaitable[None]]
 
 CANCEL_RETRY_S = 0.02
-REJECT_READ_TIMEOUT_S = 0.03  # the first bytes of most clients arrive along with their connection
+REJECT_READ_TIMEOUT_S = 0.03  # most clients send their first bytes as soon as they are connected
 REJECT_READ_BYTES = 8192
 
 
 class ConnectionTasks:
-    """Runs the frontend's handler for admitted connections, and answers those that are not admitted."""
+    """Tasks that run the frontend's handler for admitted connections, and reject the others."""
 
     def __init__(
         self, listener: Address, handler: ConnectionHandler, rejection: bytes, admission: AdmissionController
     ) -> None:
-        """Prepare for the connections of one listener.
+        """Create an empty set of tasks for the connections of one listener.
 
         Args:
-            listener: the address that it is bound to, for log lines.
-            handler: serves a connection until it has ended; the socket is closed when it returns.
-            rejection: sent to a client that is not admitted.
-            admission: counts the connections of all listeners.
+            listener: Address that the listener is bound to, for log lines.
+            handler: Serves a connection until it has ended; the socket is closed when it returns.
+            rejection: Bytes that are sent to a client that is not admitted.
+            admission: Counter of the connections of all listeners.
         """
         self._listener = listener
         self._handler = handler
@@ -44,7 +44,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def serve_or_reject(self, accepted: AcceptedConnection) -> None:
-        """Begin to serve a connection, or to reject it where there is no capacity and nobody to evict."""
+        """Start to serve a connection, or to reject it if the relay is full and no connection is pending."""
         if self._admission.is_full and not self._admission.evict_oldest_pending():
             self.start(self.reject(accepted))
         else:
@@ -74,9 +74,10 @@
             self._admission.release(pending)
 
     async def reject(self, accepted: AcceptedConnection) -> None:
-        """Answer a client that is not admitted, and close its connection.
+        """Send the rejection to a client that is not admitted, and close its connection.
 
-        Its first bytes are read before: bytes that lie unread at the close would destroy the answer.
+        The client's first bytes are read before: unread bytes at the close would cause a reset, which could
+        discard the rejection.
         """
         log.debug("connection rejected peer=%s:%d listener=%s:%d", *accepted.peer, *self._listener)
         try:
@@ -94,7 +95,10 @@
             await asyncio.wait(self._tasks, timeout=timeout_s)
 
     async def cancel_all(self) -> None:
-        """End all connections; one that lingers after its close is cancelled anew until it has ended."""
+        """Cancel all tasks, and return once they have ended.
+
+        A task that is still closing its socket gracefully is cancelled again every ``CANCEL_RETRY_S``.
+        """
         while self._tasks:
             for task in self._tasks:
                 task.cancel()
--- a/sageturn/net/descriptors.py
+++ b/sageturn/net/descriptors.py
@@ -8,16 +8,16 @@
 from collections.abc import Iterator
 from contextlib import contextmanager
 
-# Raised by system calls that find no descriptor, or no memory for one.
+# Errors of system calls that get no descriptor, or no memory for one.
 OUT_OF_DESCRIPTORS_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
-RESERVED_DESCRIPTORS = 4  # the watch, its replacement, a link between replicas, the configuration's file
+RESERVED_DESCRIPTORS = 4  # the watch, its replacement, a link between replicas, the configuration file
 
 
 class DescriptorReserve:
-    """Holds descriptors open on ``/dev/null``, and releases them for calls that must not fail.
+    """Descriptors that are open on ``/dev/null``, and are released for calls that must not fail.
 
-    Clients may hold all other descriptors for as long as they like. Without the reserve the watch of the
-    endpoint list would get none, and the relay would go on with an old list.
+    Clients may keep all other descriptors in use for any length of time. Without the reserve the watch of the
+    endpoint list would get none, and the relay would keep a stale list.
     """
 
     def __init__(self) -> None:
@@ -25,16 +25,16 @@
         self._size = 0
 
     def resize(self, size: int) -> None:
-        """Hold ``size`` descriptors from now on, or fewer where the process has no more."""
+        """Reserve ``size`` descriptors; the reserve has fewer while the process cannot open more."""
         self._size = size
         while len(self._descriptors) > size:
             os.close(self._descriptors.pop())
         self.refill()
 
     def refill(self) -> bool:
-        """Replace the descriptors that were released; returns False while one of them cannot be.
+        """Open descriptors in place of the released ones; return False if the reserve is not full then.
 
-        Called before a client is given a descriptor.
+        Called before a descriptor is used for a client.
         """
         while len(self._descriptors) < self._size:
             try:
@@ -44,7 +44,7 @@
         return True
 
     def release_one(self) -> bool:
-        """Free one descriptor for use before the next await; returns False if the reserve is empty."""
+        """Free one descriptor for use before the next await; return False if the reserve is empty."""
         if not self._descriptors:
             return False
         os.close(self._descriptors.pop())
@@ -52,7 +52,7 @@
 
     @contextmanager
     def borrow(self) -> Iterator[None]:
-        """Free one descriptor for a file that is opened and closed in this context, without an await."""
+        """Free one descriptor for a file that is opened and closed in this context without an await."""
         self.release_one()
         try:
             yield
@@ -60,13 +60,13 @@
             self.refill()
 
 
-DESCRIPTOR_RESERVE = DescriptorReserve()  # one for the process, as is its descriptor table
+DESCRIPTOR_RESERVE = DescriptorReserve()  # shared by the whole process, like its descriptor table
 
 
 def set_descriptor_limit(max_descriptors: int) -> None:
-    """Set the process's soft limit to ``max_descriptors``, and fill the reserve.
+    """Set the soft limit to ``max_descriptors`` if the hard limit allows it, and fill the reserve.
 
-    With it, running out of descriptors is an error of the call, which the listener handles.
+    At the limit, a call that needs a descriptor fails with an error, which the listener handles.
     """
     _, hard_limit = resource.getrlimit(resource.RLIMIT_NOFILE)
     if hard_limit == resource.RLIM_INFINITY or hard_limit >= max_descriptors:
--- a/sageturn/net/discovery_watch.py
+++ b/sageturn/net/discovery_watch.py
@@ -1,4 +1,4 @@
-"""One watch on discovery's endpoint list: an HTTP call whose response lasts until the connection ends.
+"""A watch on discovery's endpoint list: an HTTP call whose response is streamed until the connection ends.
 
 The end of a watch is always a failure. It is classified by what it cost discovery, so that the backoff can
 distinguish an overloaded discovery from one that is down.
@@ -41,39 +41,40 @@
 
 
 class WatchResponse:
-    """The parsed part of a response; httptools calls the ``on_...`` methods as bytes arrive."""
+    """Parsed part of a response; httptools calls the ``on_...`` methods as bytes arrive."""
 
     def __init__(self) -> None:
         self.has_headers = False
         self.is_complete = False
-        self.objects: list[bytes] = []  # complete, not yet decoded
-        # Whether an object was completed, or white space between two objects was read. Half an object, or
-        # white space inside one, does not count.
-        self.is_alive = False
+        self.objects: list[bytes] = []  # complete objects that are not decoded yet
+        # True if the current read completed an object, or ended outside of one. Bytes inside an incomplete
+        # object, white space included, do not count.
+        self.has_activity = False
         self._splitter = JsonObjectSplitter(MAX_OBJECT_BYTES)
 
     def on_headers_complete(self) -> None:
-        """Note that the status is known."""
+        """Record that the status and the headers have arrived."""
         self.has_headers = True
 
     def on_body(self, body: bytes) -> None:
         """Collect the objects that ``body`` completes.
 
         Raises:
-            InvalidJsonStreamError: ``body`` is not part of a stream of objects; objects before it are kept.
+            InvalidJsonStreamError: ``body`` is not part of a stream of objects. The objects before the
+                error are collected.
         """
         for text in self._splitter.feed(body):
             self.objects.append(text)
-            self.is_alive = True
-        self.is_alive = self.is_alive or not self._splitter.is_inside_object
+            self.has_activity = True
+        self.has_activity = self.has_activity or not self._splitter.is_inside_object
 
     def on_message_complete(self) -> None:
-        """Note that the response has ended: it was not a watch."""
+        """Record that the response is complete, and therefore no watch."""
         self.is_complete = True
 
 
 class DiscoveryWatch:
-    """Makes one call to discovery, and follows its response until the connection ends."""
+    """One call to discovery, whose response is read until the connection ends."""
 
     def __init__(
         self,
@@ -85,10 +86,10 @@
         """Prepare the call.
 
         Args:
-            address: of discovery.
-            after_version: the version of the list that the relay has.
-            on_update: called with each update, in order.
-            clock: measures how long a failed call had waited, in seconds.
+            address: Address of discovery.
+            after_version: Version of the list that the relay has.
+            on_update: Called with each update, in order.
+            clock: Clock in seconds, which measures how long a failed call had waited.
         """
         self._address = address
         self._after_version = after_version
@@ -96,44 +97,44 @@
         self._clock = clock
         self._response = WatchResponse()
         self._parser = httptools.HttpResponseParser(self._response)
-        self._is_accepted = False  # the response's status is HTTP_OK
-        self._is_established = False  # an update has been reported
-        self._called_at_s = 0.0  # by the event loop's clock
-        self._alive_at_s = 0.0  # the last sign of life, by the event loop's clock
+        self._is_status_ok = False  # True if the response's status is HTTP_OK
+        self._is_established = False  # True once an update has been reported
+        self._request_sent_at_s = 0.0  # time on the event loop's clock
+        self._last_activity_at_s = 0.0  # time on the event loop's clock
 
     async def run(self) -> WatchFailed:
-        """Make the call and report its updates; returns how it failed. Only a program fault raises."""
+        """Make the call, report its updates, and return how it failed. Only a programming error raises."""
         sock = await connect(self._address, CONNECT_TIMEOUT_S)
         if isinstance(sock, ConnectFailure):
             return WatchFailed(f"connect: {sock.name.lower()}", DiscoveryFailure.UNREACHED)
-        called_at_s = self._clock()
+        connected_at_s = self._clock()
         try:
-            await self._follow(sock)
+            await self._stream_updates(sock)
         except TimeoutError:
-            is_silent = self._is_established
+            is_idle_timeout = self._is_established
             return WatchFailed(
-                "silent", DiscoveryFailure.SILENT if is_silent else DiscoveryFailure.UNANSWERED
+                "silent", DiscoveryFailure.SILENT if is_idle_timeout else DiscoveryFailure.UNANSWERED
             )
         except (OSError, ValueError, RecursionError, httptools.HttpParserError) as error:
-            return self._classify(error, called_at_s)
+            return self._classify(error, connected_at_s)
         finally:
             sock.close()
 
-    def _classify(self, error: Exception, called_at_s: float) -> WatchFailed:
+    def _classify(self, error: Exception, connected_at_s: float) -> WatchFailed:
         reason = f"{type(error).__name__}: {error.__context__ or error}"
-        if self._is_established and not self._response.is_complete:  # a complete response was not a watch
+        if self._is_established and not self._response.is_complete:  # a complete response is no watch
             return WatchFailed(reason, DiscoveryFailure.LOST)
-        if self._is_accepted or not isinstance(error, OSError):
+        if self._is_status_ok or not isinstance(error, OSError):
             return WatchFailed(reason, DiscoveryFailure.UNUSABLE)
-        waited_s = self._clock() - called_at_s
+        waited_s = self._clock() - connected_at_s
         return WatchFailed(f"{reason} after {waited_s:.3f} s", classify_rejection(waited_s * 1000.0))
 
-    async def _follow(self, sock: socket.socket) -> NoReturn:
+    async def _stream_updates(self, sock: socket.socket) -> NoReturn:
         """Send the request, and report updates until the response ends or is not usable.
 
         Raises:
-            TimeoutError: discovery does not respond, or is silent for too long.
-            WatchClosedError: discovery has ended the watch, or responded with no watch.
+            TimeoutError: discovery does not respond, or an established watch is idle for too long.
+            WatchClosedError: discovery has ended the watch, or its response is no watch.
             OSError: the connection failed.
             ValueError: an object cannot be decoded.
             RecursionError: an object is nested too deeply.
@@ -143,20 +144,20 @@
         await loop.sock_sendall(sock, self._encode_request())
         buffer = bytearray(READ_BUFFER_BYTES)
         view = memoryview(buffer)
-        self._called_at_s = loop.time()
-        deadline_s = self._called_at_s + RESPONSE_TIMEOUT_S
+        self._request_sent_at_s = loop.time()
+        deadline_s = self._request_sent_at_s + RESPONSE_TIMEOUT_S
         while True:
             async with asyncio.timeout_at(deadline_s):
                 size = await loop.sock_recv_into(sock, buffer)
             if not size:
-                raise WatchClosedError("ended")
+                raise WatchClosedError("discovery closed the connection")
             await self._on_data(view[:size])
-            if self._is_established and self._response.is_alive:
-                self._alive_at_s = loop.time()
-                deadline_s = self._alive_at_s + IDLE_TIMEOUT_S
-            self._response.is_alive = False
+            if self._is_established and self._response.has_activity:
+                self._last_activity_at_s = loop.time()
+                deadline_s = self._last_activity_at_s + IDLE_TIMEOUT_S
+            self._response.has_activity = False
             if self._response.is_complete:
-                raise WatchClosedError("the response was complete")
+                raise WatchClosedError("discovery completed the response instead of streaming updates")
 
     def _encode_request(self) -> bytes:
         host, port = self._address
@@ -168,24 +169,24 @@
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
-            parser_error = error  # objects that were complete before it are reported all the same
+            parser_error = error  # the objects that were complete before it are still reported
         if self._response.has_headers:
             status = self._parser.get_status_code()
-            self._is_accepted = status == HTTP_OK
-            if not self._is_accepted:
-                raise WatchClosedError(f"status {status}")
+            self._is_status_ok = status == HTTP_OK
+            if not self._is_status_ok:
+                raise WatchClosedError(f"discovery responded with status {status}")
         for text in self._response.objects:
-            await self._report(parse_endpoint_list(json.loads(text)))
+            await self._report_update(parse_endpoint_list(json.loads(text)))
         self._response.objects.clear()
         if parser_error is not None:
             raise parser_error
 
-    async def _report(self, update: EndpointListUpdate) -> None:
+    async def _report_update(self, update: EndpointListUpdate) -> None:
         now_s = asyncio.get_running_loop().time()
         if self._is_established:
-            update = replace(update, confirmed_age_ms=(now_s - self._alive_at_s) * 1000.0)
+            update = replace(update, confirmed_age_ms=(now_s - self._last_activity_at_s) * 1000.0)
         else:
-            took_s = now_s - self._called_at_s
+            took_s = now_s - self._request_sent_at_s
             log.info("discovery watch established version=%d took_s=%.3f", update.version, took_s)
         await self._on_update(update)
         self._is_established = True
--- a/sageturn/net/endpoint_list.py
+++ b/sageturn/net/endpoint_list.py
@@ -1,4 +1,4 @@
-"""Decodes discovery's objects: endpoint lists, which are full or changes to the previous version."""
+"""Decodes the objects that discovery sends: full endpoint lists, and changes to the previous version."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 def parse_endpoint_list(decoded: JsonObject) -> EndpointListUpdate:
-    """Decode an endpoint list. Of several entries with the same id, the last one counts.
+    """Decode an endpoint list. If several entries have the same id, the last one is used.
 
-    The whole list is checked before any of it is used: a list that is applied in part, or a value of the
-    wrong type that fails in a later calculation, would be worse than a failed call.
+    The whole list is validated before any of it is applied: a partially applied list, or a value of the wrong
+    type that makes a later calculation fail, would be worse than a failed call.
 
     Raises:
         InvalidEndpointListError: a key is missing or has an invalid value, or ``decoded`` is not an object.
@@ -63,7 +63,10 @@
 
 
 def _parse_entry_address(entry: JsonObject) -> Address | None:
-    """Return None where the entry has no address. Names are rejected: a look-up would delay attempts."""
+    """Return the entry's address, or None if it has none.
+
+    Host names are rejected, since resolving them would delay attempts.
+    """
     text = _read_text(entry, "addr")
     if not text:
         return None
@@ -74,7 +77,7 @@
 
 
 def _read_text(entry: JsonObject, key: str) -> str:
-    """Return the string at ``key``, or an empty one where the key is absent."""
+    """Return the string at ``key``, or an empty one if the key is absent."""
     value = entry.get(key)
     if value is not None and not isinstance(value, str):
         raise InvalidEndpointListError(f"{key}: {value!r}")
@@ -82,7 +85,7 @@
 
 
 def _read_non_negative(entry: JsonObject, key: str, default: float) -> float:
-    """Return the number at ``key``, or ``default`` where it is absent or 0."""
+    """Return the number at ``key``, or ``default`` if it is absent or 0."""
     value = entry.get(key)
     if value is None:
         return default
--- a/sageturn/net/health_check_client.py
+++ b/sageturn/net/health_check_client.py
@@ -23,14 +23,14 @@
 
 REQUEST = b"STATS\r\n"
 RESPONSE_REPORT = b"PONG"  # first word of a response with a load report
-RESPONSE_REFUSED = b"NO"  # first word of the response of an endpoint that takes no health checks
-RESPONSE_TIMEOUT_S = 1.0  # not above the shortest interval between two checks of one endpoint
+RESPONSE_REFUSED = b"NO"  # first word of the response of an endpoint that rejects health checks
+RESPONSE_TIMEOUT_S = 1.0  # must not exceed the shortest interval between two checks of one endpoint
 MAX_RESPONSE_BYTES = MAX_REPORT_BYTES + 64
 
 
 @dataclass(frozen=True, slots=True)
 class _Outcome:
-    """The result of one check; ``report`` has the values of the load report by field."""
+    """Result of one check; ``report`` maps the fields of the load report to their values."""
 
     status: AttemptStatus
     report: dict[str, float] = field(default_factory=dict)
@@ -38,14 +38,14 @@
 
 @dataclass(frozen=True, slots=True)
 class _IdleConnection:
-    """A connection that no check uses; ``last_used_s`` is an instant of the event loop's clock."""
+    """Connection that no check uses; ``last_used_s`` is a time on the event loop's clock."""
 
     sock: socket.socket
     last_used_s: float
 
 
 class HealthCheckClient:
-    """Runs at most one check of each endpoint at a time, and reports each outcome; no failure is fatal."""
+    """Client that runs at most one check per endpoint at a time; no failure is fatal."""
 
     def __init__(
         self,
@@ -59,12 +59,12 @@
         """Prepare the client; nothing is connected before the first check.
 
         Args:
-            addresses: the addresses of all endpoints by name; the registry updates them.
-            report_fields: the fields of a load report, by the settings.
-            connect_timeout_s: the connect timeout, in seconds.
-            keepalive_s: how long an endpoint leaves an idle connection open, in seconds.
-            on_completed: called with the outcome of each check.
-            invalid_values: counts the values of reports that could not be used, by reason.
+            addresses: Addresses of all endpoints by name; the registry updates them.
+            report_fields: Fields of a load report, from the settings.
+            connect_timeout_s: Connect timeout, in seconds.
+            keepalive_s: Time for which an endpoint leaves an idle connection open, in seconds.
+            on_completed: Called with the outcome of each check.
+            invalid_values: Counter of the values of reports that could not be used, by reason.
         """
         self._addresses = addresses
         self._report_fields = report_fields
@@ -76,7 +76,7 @@
         self._checks: dict[str, asyncio.Task[None]] = {}
 
     def start_check(self, endpoint: str) -> None:
-        """Begin a check of ``endpoint``, unless one is running; called by the balancer's actor."""
+        """Start a check of ``endpoint``, unless one is running; called by the balancer's actor."""
         if endpoint in self._checks:
             return
         self._close_idle()
@@ -86,13 +86,13 @@
 
     @property
     def checks_in_flight(self) -> int:
-        """How many endpoints are being checked."""
+        """Number of endpoints that are being checked."""
         return len(self._checks)
 
     def _close_idle(self) -> None:
-        """Close connections that are idle for too long, also those to endpoints that have left the list."""
-        oldest_s = asyncio.get_running_loop().time() - self._keepalive_s / 2.0
-        expired = [name for name, idle in self._idle.items() if idle.last_used_s < oldest_s]
+        """Close connections that were idle for too long, also those to endpoints removed from the list."""
+        min_last_used_s = asyncio.get_running_loop().time() - self._keepalive_s / 2.0
+        expired = [name for name, idle in self._idle.items() if idle.last_used_s < min_last_used_s]
         for endpoint in expired:
             self._idle.pop(endpoint).sock.close()
 
@@ -115,24 +115,25 @@
         response = b""
         idle = self._idle.pop(endpoint, None)
         if idle is not None:
-            with suppress(OSError):  # the endpoint closed it, or has restarted: a new connection is tried
+            with suppress(OSError):  # the endpoint closed it, or has restarted; a new connection is opened
                 response = await self._exchange(endpoint, idle.sock)
         if not response:
             sock = await connect_unreserved(address, self._connect_timeout_s)
             if isinstance(sock, ConnectFailure):
                 return _Outcome(AttemptStatus.CONNECT_FAILED)
             response = await self._exchange(endpoint, sock)
-        word, _, report = response.partition(b" ")
-        if word == RESPONSE_REFUSED:
+        first_word, _, report = response.partition(b" ")
+        if first_word == RESPONSE_REFUSED:
             return _Outcome(AttemptStatus.REFUSED)
-        if word != RESPONSE_REPORT:
+        if first_word != RESPONSE_REPORT:
             return _Outcome(AttemptStatus.ERROR)
         return _Outcome(AttemptStatus.OK, read_report(report, self._report_fields, self._invalid_values))
 
     async def _exchange(self, endpoint: str, sock: socket.socket) -> bytes:
-        """Send a request and return the response line without its CRLF; the connection is kept as idle.
+        """Send a request and return the response line without its CRLF.
 
-        Returns b"" where the response is absent, incomplete or too long; then the connection is closed.
+        Return b"" if the response is absent, incomplete or too long, and close the connection. It is also
+        closed if the endpoint rejects health checks; otherwise it is kept open for the next check.
         """
         loop = asyncio.get_running_loop()
         line = bytearray()
--- a/sageturn/net/json_stream.py
+++ b/sageturn/net/json_stream.py
@@ -1,4 +1,4 @@
-"""Splits a stream of JSON objects, which may arrive in any pieces and with any white space, into objects."""
+"""Splits a stream into JSON objects, which may arrive in any pieces and with any white space."""
 
 from __future__ import annotations
 
@@ -11,27 +11,27 @@
 JsonObject = dict[str, Any]  # a decoded object; its values are checked where they are used
 
 _WHITE_SPACE = re.compile(rb"[ \t\r\n]*")
-# Matches up to the next brace outside of strings. Possessive quantifiers: no part of an incomplete string is
-# skipped, so the match ends before its quote, without a brace.
+# Matches up to and including the next brace outside of strings. The quantifiers are possessive, so that no
+# part of an incomplete string is skipped: the match then ends before its opening quote, without a brace.
 _NEXT_BRACE = re.compile(rb'(?:[^{}"]++|"(?:[^"\\]++|\\.)*+")*+([{}])?', re.DOTALL)
 
 
 class JsonObjectSplitter:
-    """Finds the ends of objects by braces and strings alone; the decoder checks that they are valid JSON."""
+    """Splitter that looks at braces and strings only; the decoder checks that the objects are valid JSON."""
 
     def __init__(self, max_object_bytes: int) -> None:
         self._max_object_bytes = max_object_bytes
         self._buffer = bytearray()  # empty, or begins with an object
-        self._scanned_bytes = 0  # of the buffer
-        self._depth = 0  # open braces at the end of the scanned bytes
+        self._scanned_bytes = 0  # length of the part of the buffer that was scanned
+        self._depth = 0  # number of open braces at the end of the scanned part
 
     @property
     def is_inside_object(self) -> bool:
-        """Whether an object has begun and is not yet complete."""
+        """True if an object has begun and is not complete yet."""
         return bool(self._buffer)
 
     def feed(self, data: bytes) -> Iterator[bytes]:
-        """Yield the objects that ``data`` completes, one by one; also those before an error.
+        """Yield the objects that ``data`` completes, including those before an error.
 
         Raises:
             InvalidJsonStreamError: something other than an object was found, or an object is too long.
@@ -41,7 +41,7 @@
             if not self._depth and not self._skip_to_object():
                 break
             match = _NEXT_BRACE.match(self._buffer, self._scanned_bytes)
-            assert match is not None  # it also matches an empty buffer
+            assert match is not None  # the pattern also matches an empty buffer
             self._scanned_bytes = match.end()
             if match[1] is None:
                 break
@@ -55,9 +55,9 @@
             raise InvalidJsonStreamError(f"object longer than {self._max_object_bytes} bytes")
 
     def _skip_to_object(self) -> bool:
-        """Discard white space before the next object; returns whether one begins in the buffer."""
+        """Discard white space before the next object; return whether one begins in the buffer."""
         white_space = _WHITE_SPACE.match(self._buffer)
-        assert white_space is not None  # it also matches an empty buffer
+        assert white_space is not None  # the pattern also matches an empty buffer
         del self._buffer[: white_space.end()]
         if self._buffer and self._buffer[0] != ord("{"):
             raise InvalidJsonStreamError(f"expected an object, found {bytes(self._buffer[:1])!r}")
--- a/sageturn/net/listener.py
+++ b/sageturn/net/listener.py
@@ -1,4 +1,4 @@
-"""Accepts connections and hands each to its frontend; continues when descriptors run out."""
+"""Accepts connections and passes each to its frontend, also while descriptors are exhausted."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 
 log = logging.getLogger(__name__)
 
-MAX_ACCEPTS_PER_TURN = 64  # then the connections that were accepted get a turn of the event loop
+MAX_ACCEPTS_PER_TURN = 64  # limit after which accepted connections get a turn of the event loop
 SYSTEM_SHORTAGE_PAUSE_S = 0.005
-MAX_SYSTEM_SHORTAGES = 8  # failures in a row before pending connections are evicted
+MAX_SYSTEM_SHORTAGES = 8  # consecutive failures before pending connections are evicted
 OUT_OF_DESCRIPTORS_PAUSE_S = 0.02
-OUT_OF_DESCRIPTORS_EVICTIONS = 8  # pending connections that are evicted at a time
+OUT_OF_DESCRIPTORS_EVICTIONS = 8  # number of pending connections that are evicted at a time
 
 
 class Shortage(Enum):
-    """The resource for lack of which connections cannot be accepted."""
+    """Resource for lack of which connections cannot be accepted."""
 
     NOTHING = auto()
     PROCESS_DESCRIPTORS = auto()  # evicting pending connections frees some
@@ -32,21 +32,25 @@
 
 
 class Listener:
-    """Accepts connections on one address, and closes it without a reset for clients in its backlog."""
+    """Listener on one address, which closes without resetting the clients in its backlog."""
 
     def __init__(
         self, address: Address, handler: ConnectionHandler, rejection: bytes, admission: AdmissionController
     ) -> None:
-        """Bind ``address``; raises OSError. ``rejection`` is sent to a client that is not admitted."""
+        """Bind ``address``; ``rejection`` is sent to a client that is not admitted.
+
+        Raises:
+            OSError: the address cannot be bound.
+        """
         self._listening = ListeningSocket(address)
         self.address: Address = self._listening.address
         self._rejection = rejection
         self._admission = admission
         self._connections = ConnectionTasks(self.address, handler, rejection, admission)
-        self._system_shortages = 0  # in a row, since a connection was accepted
+        self._system_shortages = 0  # consecutive failures since a connection was accepted
 
     def start_listening(self) -> None:
-        """Let connections queue. From here on the time that a client waits counts against its limit."""
+        """Let the kernel queue connections. From then on a client's wait counts against its limit."""
         self._listening.listen()
 
     async def run(self) -> None:
@@ -55,12 +59,12 @@
             while self._listening.is_open:
                 await self._listening.wait_readable()
                 if self._listening.is_open:
-                    await self._relieve(self._accept_queued(MAX_ACCEPTS_PER_TURN))
+                    await self._handle_shortage(self._accept_queued(MAX_ACCEPTS_PER_TURN))
         finally:
             self.close()
 
     def _accept_queued(self, max_connections: int) -> Shortage:
-        """Accept queued connections, ``max_connections`` at most; returns the shortage that stopped it."""
+        """Accept queued connections, ``max_connections`` at most; return the shortage that stopped it."""
         for _ in range(max_connections):
             if not DESCRIPTOR_RESERVE.refill():
                 return Shortage.PROCESS_DESCRIPTORS
@@ -74,13 +78,13 @@
                 if error.errno in OUT_OF_DESCRIPTORS_ERRNOS:
                     return Shortage.SYSTEM
                 log.warning("accept failed listener=%s:%d reason=%s", *self.address, error)
-                continue  # this client has gone; others may be queued
+                continue  # this client has disconnected; others may be queued
             self._system_shortages = 0
             self._connections.serve_or_reject(accepted)
         return Shortage.NOTHING
 
-    async def _relieve(self, shortage: Shortage) -> None:
-        """Wait for a shortage of the system to pass; free descriptors for one that lasts or is our own."""
+    async def _handle_shortage(self, shortage: Shortage) -> None:
+        """Wait for a shortage of the system to end; free descriptors if it persists or is this process's."""
         if shortage is Shortage.NOTHING:
             return
         if shortage is Shortage.SYSTEM and self._system_shortages < MAX_SYSTEM_SHORTAGES:
@@ -90,7 +94,7 @@
         await self._free_descriptors()
 
     async def _free_descriptors(self) -> None:
-        """Evict pending connections; where there are none, reject the first connection in the backlog."""
+        """Evict pending connections; if there are none, reject the first connection in the backlog."""
         if sum(self._admission.evict_oldest_pending() for _ in range(OUT_OF_DESCRIPTORS_EVICTIONS)):
             await asyncio.sleep(OUT_OF_DESCRIPTORS_PAUSE_S)
         else:
@@ -106,16 +110,16 @@
         self._listening.reopen_spare()
 
     def stop_accepting(self) -> None:
-        """Serve or reject all whom the kernel has queued so far, and close the listener.
+        """Serve or reject all connections that the kernel has queued, and close the listener.
 
-        Where accepting fails just now, it stays open for ``FINAL_ACCEPT_TIMEOUT_S`` at most, as closing it
-        would reset all who are queued.
+        If accepting fails for lack of descriptors or memory, the listener stays open for up to
+        ``FINAL_ACCEPT_TIMEOUT_S``, since closing it would reset all queued connections.
         """
-        DESCRIPTOR_RESERVE.resize(0)  # a relay that stops begins nothing that the reserve is kept for
+        DESCRIPTOR_RESERVE.resize(0)  # a stopping relay makes none of the calls that need the reserve
         if not self._listening.is_open:
             return
-        is_short = self._accept_queued(BACKLOG_CONNECTIONS) is not Shortage.NOTHING
-        if is_short and not reject_backlog(self._listening, self._rejection):
+        has_shortage = self._accept_queued(BACKLOG_CONNECTIONS) is not Shortage.NOTHING
+        if has_shortage and not reject_backlog(self._listening, self._rejection):
             self._connections.start(reject_backlog_and_close(self._listening, self._rejection))
         else:
             self.close()
@@ -129,5 +133,5 @@
         await self._connections.cancel_all()
 
     def close(self) -> None:
-        """Stop listening; connections that were accepted go on."""
+        """Stop listening; accepted connections stay open."""
         self._listening.close()
--- a/sageturn/net/listening_socket.py
+++ b/sageturn/net/listening_socket.py
@@ -1,4 +1,4 @@
-"""A listening TCP socket that can still accept one connection when the process has no descriptor left."""
+"""Listening TCP socket that can accept one connection even when the process has no descriptor left."""
 
 from __future__ import annotations
 
@@ -15,21 +15,25 @@
 
 
 class AcceptedConnection(NamedTuple):
-    """A client's connection, and the address that it came from."""
+    """Connection of a client, and the client's address."""
 
     sock: socket.socket
     peer: Address
 
 
 class ListeningSocket:
-    """A bound socket and a spare descriptor.
+    """Bound socket with a spare descriptor.
 
-    A client in the backlog counts as connected and would never be answered. So, when there is no other
-    descriptor, the spare one is released to accept, answer and close it.
+    A client in the backlog is connected, but would never be answered while no descriptor is free. The spare
+    descriptor is then released, so that the client can be accepted, answered and disconnected.
     """
 
     def __init__(self, address: Address) -> None:
-        """Bind ``address``; raises OSError."""
+        """Bind ``address``.
+
+        Raises:
+            OSError: the address cannot be bound.
+        """
         self._sock = bind_socket(address)
         self.address: Address = self._sock.getsockname()
         self._spare_descriptor: int | None = None
@@ -37,7 +41,7 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether ``close`` has not been called yet."""
+        """True until ``close`` is called."""
         return self._sock.fileno() >= 0
 
     def listen(self) -> None:
@@ -45,7 +49,7 @@
         self._sock.listen(BACKLOG_CONNECTIONS)
 
     async def wait_readable(self) -> None:
-        """Return once a connection is queued. None is accepted here, so cancelling this loses none."""
+        """Wait until a connection is queued. It is not accepted here, so a cancellation loses none."""
         loop = asyncio.get_running_loop()
         readable = asyncio.Event()
         loop.add_reader(self._sock, readable.set)
@@ -60,20 +64,20 @@
 
         Raises:
             BlockingIOError: no connection is queued.
-            OSError: the client has gone, or there is no descriptor or memory for its connection.
+            OSError: the client has disconnected, or there is no descriptor or memory for its connection.
         """
         return AcceptedConnection(*self._sock.accept())
 
     def accept_on_spare(self) -> AcceptedConnection:
-        """Accept the next connection on the spare descriptor; raises as ``accept`` does.
+        """Accept the next connection on the spare descriptor; the errors are those of ``accept``.
 
-        The caller calls ``reopen_spare`` afterwards, whether this has raised or not.
+        The caller must call ``reopen_spare`` afterwards, even if this raises.
         """
         self._release_spare()
         return self.accept()
 
     def reopen_spare(self) -> None:
-        """Open the spare descriptor again if it is released, and if the system has one to give."""
+        """Reopen the spare descriptor if it was released; it stays released while the system has none."""
         if self._spare_descriptor is None:
             with suppress(OSError):
                 self._spare_descriptor = os.open(os.devnull, os.O_RDONLY)
--- a/sageturn/net/sockets.py
+++ b/sageturn/net/sockets.py
@@ -20,14 +20,14 @@
 
 
 def configure_socket(sock: socket.socket) -> socket.socket:
-    """Make ``sock`` non-blocking, and have small writes sent at once (TCP_NODELAY); returns it."""
+    """Make ``sock`` non-blocking, have small writes sent at once (TCP_NODELAY), and return it."""
     sock.setblocking(False)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     return sock
 
 
 def peer_address(sock: socket.socket) -> Address:
-    """Return the peer's address for records; ``UNKNOWN_ADDRESS`` where the peer has gone already."""
+    """Return the peer's address for records; ``UNKNOWN_ADDRESS`` if the peer has disconnected."""
     try:
         address: Address = sock.getpeername()
     except OSError:
@@ -38,11 +38,11 @@
 def bind_socket(address: Address) -> socket.socket:
     """Return a socket bound to ``address``; connections to it are refused until ``listen`` is called.
 
-    Blocks for 1.5 s at most while the system has no descriptor or memory for it. Called at the start, before
-    the event loop has other work.
+    Block for up to 1.5 s while the system has no descriptor or memory for it. Called at startup, before the
+    event loop has other work.
 
     Raises:
-        OSError: the address cannot be bound, or the shortage lasts.
+        OSError: the address cannot be bound, or the shortage persists.
     """
     for _ in range(MAX_BIND_RETRIES):
         try:
@@ -68,7 +68,7 @@
 
 
 async def send_gathered(sock: socket.socket, parts: Sequence[Buffer]) -> None:
-    """Send all ``parts`` with one system call; bytes that the kernel does not take at once follow by part.
+    """Send all ``parts`` with one system call; bytes that the kernel does not accept follow part by part.
 
     Raises:
         OSError: the connection failed.
@@ -90,9 +90,9 @@
 async def wait_for_close_reason(sock: socket.socket, poll: Callable[[], CloseReason | None]) -> CloseReason:
     """Call ``poll`` at once and whenever ``sock`` is readable, until it returns a reason.
 
-    ``poll`` must not wait, and may be called from elsewhere as well. Nothing else may read the socket: the
-    bytes of another reader are stored only when its task is woken, and ``poll`` may have stored later ones by
-    then.
+    ``poll`` must not block, and may be called from elsewhere as well. Nothing else may read the socket:
+    another reader would store its bytes only when its task resumes, and ``poll`` may have stored later ones
+    before.
     """
     loop = asyncio.get_running_loop()
     close_reason: asyncio.Future[CloseReason] = loop.create_future()
@@ -111,8 +111,8 @@
 
 
 def is_closed_by_peer(sock: socket.socket) -> bool:
-    """Return whether the peer has sent a FIN or a reset, also while bytes from before it lie unread."""
-    closed = select.POLLRDHUP | select.POLLHUP | select.POLLERR
+    """Return whether the peer has sent a FIN or a reset, even if earlier bytes are still unread."""
+    closed_events = select.POLLRDHUP | select.POLLHUP | select.POLLERR
     poll = select.poll()
-    poll.register(sock, closed)
-    return any(mask & closed for _, mask in poll.poll(0))
+    poll.register(sock, closed_events)
+    return any(mask & closed_events for _, mask in poll.poll(0))
