--- a/tests/net/test_accept_failures.py
+++ b/tests/net/test_accept_failures.py
@@ -1,4 +1,4 @@
-"""Accepting fails for a short time as the relay stops: every client in the backlog is answered."""
+"""Temporary failures of accept(): clients in the backlog are answered, and none is evicted."""
 
 from __future__ import annotations
 
@@ -29,10 +29,10 @@
     await close_gracefully(sock)
 
 
-async def test_everyone_in_the_backlog_is_answered_though_accepting_fails_as_the_relay_stops(
+async def test_backlog_is_answered_although_accept_fails_while_the_relay_stops(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # One failure in that instant closed the listener over all who waited: they were reset without an answer.
+    # A single failure made the relay close the listener, which reset all queued clients without an answer.
     for errors in ((errno.ENFILE, errno.ECONNABORTED), (errno.ENOBUFS, errno.ENOBUFS, errno.ENOMEM)):
         admission = AdmissionController(ProcessLimits(64, 64.0))
         listener = Listener(("127.0.0.1", 0), serve_rejection, REJECTION, admission)
@@ -51,11 +51,11 @@
             client.close()
 
 
-async def test_a_listener_that_waits_for_a_descriptor_ends_with_the_others_as_the_relay_stops(
+async def test_listener_that_waits_for_a_descriptor_ends_when_the_relay_stops(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # It went on to wait at the socket that the stop had closed, and failed: the relay ended in the middle of
-    # its drain, and cut off all who were still served.
+    # The listener went on to wait for the socket that the stop had closed, and failed. The relay then exited
+    # during its drain, and disconnected all clients that it still served.
     admission = AdmissionController(ProcessLimits(64, 64.0))
     listener = Listener(("127.0.0.1", 0), serve_rejection, REJECTION, admission)
     listener.start_listening()
@@ -65,7 +65,7 @@
     with monkeypatch.context() as patched:
         failing.install(patched)
         client = socket.create_connection(listener.address)
-        await until(lambda: not failing.is_failing)  # it waits for a descriptor now
+        await until(lambda: not failing.is_failing)  # the listener waits for a descriptor now
         listener.stop_accepting()
         client.settimeout(5)
         assert await asyncio.to_thread(client.recv, 99) == REJECTION
@@ -73,14 +73,14 @@
         await listener.wait_until_idle(2.0)
         await asyncio.sleep(4 * OUT_OF_DESCRIPTORS_PAUSE_S)
     assert running.done() and running.exception() is None
-    assert count_open_descriptors() <= descriptors - 2  # neither the socket nor the spare descriptor is left
+    assert count_open_descriptors() <= descriptors - 2  # the socket and the spare descriptor are closed
 
 
 @pytest.mark.timeout(5)
-async def test_accepting_that_fails_for_a_moment_evicts_nobody(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Eight who had not sent their request yet were rejected for each failure, though their descriptors are no
-    # use against a shortage of the whole machine that passes by itself: half of the logins that take several
-    # round trips, where a quarter of the calls failed.
+async def test_temporary_accept_failures_evict_no_connection(monkeypatch: pytest.MonkeyPatch) -> None:
+    # Each failure evicted eight pending connections, although their descriptors do not help against a
+    # shortage of the whole machine, which ends by itself. Where a quarter of the calls failed, half of the
+    # logins that take several round trips were rejected.
     admission = AdmissionController(ProcessLimits(64, 64.0))
     evicted: list[bool] = []
 
@@ -93,20 +93,20 @@
     listener = Listener(("127.0.0.1", 0), serve, REJECTION, admission)
     listener.start_listening()
     running = asyncio.ensure_future(listener.run())
-    slow = [socket.create_connection(listener.address) for _ in range(5)]
-    await until(lambda: admission.pending_count == len(slow))
+    pending_clients = [socket.create_connection(listener.address) for _ in range(5)]
+    await until(lambda: admission.pending_count == len(pending_clients))
     for errors in ((errno.ENFILE,), (errno.ENOBUFS, errno.ENOMEM), (errno.ENFILE, errno.ENFILE)):
         with monkeypatch.context() as patched:
             failing = failing_accept(*errors)
             failing.install(patched)
-            slow.append(socket.create_connection(listener.address))
-            await until(lambda: admission.pending_count == len(slow))
+            pending_clients.append(socket.create_connection(listener.address))
+            await until(lambda: admission.pending_count == len(pending_clients))
             assert not failing.is_failing
-    with monkeypatch.context() as patched:  # what lasts is another matter, as is the process's own limit
+    with monkeypatch.context() as patched:  # a persistent shortage evicts, as does the process's limit
         failing_accept(*[errno.ENFILE] * 50).install(patched)
-        slow.append(socket.create_connection(listener.address))
+        pending_clients.append(socket.create_connection(listener.address))
         await until(lambda: any(evicted))
-    for client in slow:
+    for client in pending_clients:
         client.close()
     await cancel_and_wait(running)
     await listener.cancel_connections()
--- a/tests/net/test_addresses.py
+++ b/tests/net/test_addresses.py
@@ -1,4 +1,4 @@
-"""Addresses as configurations, commands and discovery write them."""
+"""Addresses in configurations, commands and endpoint lists are parsed and checked."""
 
 from __future__ import annotations
 
--- a/tests/net/test_connect_failures.py
+++ b/tests/net/test_connect_failures.py
@@ -1,4 +1,4 @@
-"""Connecting fails for a short time for a local reason: no endpoint is blamed for it."""
+"""Local connect failures are retried, and are not attributed to the endpoint."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 LOCAL_ERRNOS = (errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ENOBUFS)
 
 
-async def test_local_connect_failures_are_retried_and_blamed_on_no_endpoint(
+async def test_local_connect_failures_are_retried_and_not_attributed_to_the_endpoint(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Two of these in a row ejected an endpoint that was well, and each used up one of the request's attempts.
+    # Two consecutive ones ejected a healthy endpoint, and each used up one of the request's attempts.
     listening = socket.create_server(("127.0.0.1", 0))
     address = listening.getsockname()
     descriptors = count_open_descriptors()
--- a/tests/net/test_descriptor_exhaustion.py
+++ b/tests/net/test_descriptor_exhaustion.py
@@ -1,4 +1,4 @@
-"""A real relay whose descriptors idle clients fill while discovery is down."""
+"""A relay process whose descriptors are used up by idle clients while discovery is down."""
 
 from __future__ import annotations
 
@@ -31,9 +31,9 @@
 
 from sageturn.net.json_stream import JsonObject
 
-DESCRIPTORS = 56
-IDLE_CLIENTS = 60
-UPDATE_S = 6.0  # by then the relay has received discovery's list
+MAX_DESCRIPTORS = 56
+IDLE_CLIENT_COUNT = 60
+LIST_UPDATE_TIMEOUT_S = 6.0  # deadline of the relay to receive discovery's list
 PROGRAM_WITH_LIMIT = (
     "import resource, sys; resource.setrlimit(resource.RLIMIT_NOFILE, ({0}, {0}));"
     "from sageturn.__main__ import main; sys.argv = ['sageturn']; sys.exit(main())"
@@ -45,8 +45,8 @@
         process.kill()
 
 
-async def all_received(streams: Streams) -> bytes:
-    """Returns all that a client receives; b"reset" is appended on a reset."""
+async def read_until_disconnected(streams: Streams) -> bytes:
+    """Return all bytes that a client receives until it is disconnected, or b"reset" if it is reset."""
     reader, writer = streams
     try:
         return await asyncio.wait_for(reader.read(), 8)
@@ -58,7 +58,7 @@
 
 @contextmanager
 def bound_but_not_listening() -> Iterator[socket.socket]:
-    """Yields a socket whose address refuses connections, as discovery's does while it is down."""
+    """Yield a socket whose address refuses connections, as discovery's does while it is down."""
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         yield sock
@@ -72,18 +72,18 @@
         discovery,
         known,
         listen="{}:{}".format(*listen),
-        limits={"sockets": DESCRIPTORS},
+        limits={"sockets": MAX_DESCRIPTORS},
         settings={**SETTINGS, "discovery": lists},
     )
 
 
 @asynccontextmanager
 async def relay_process(config_file: Path, address: Address) -> AsyncIterator[asyncio.subprocess.Process]:
-    """Runs a relay in a process that may have ``DESCRIPTORS`` descriptors; yields it once it is ready."""
+    """Run a relay in a process with ``MAX_DESCRIPTORS`` descriptors at most; yield it once it is ready."""
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-c",
-        PROGRAM_WITH_LIMIT.format(DESCRIPTORS),
+        PROGRAM_WITH_LIMIT.format(MAX_DESCRIPTORS),
         env={**os.environ, "GW_CONFIG": str(config_file)},
         stderr=asyncio.subprocess.DEVNULL,
     )
@@ -95,7 +95,7 @@
 
 
 async def connect_until_rejected(address: Address) -> list[Streams]:
-    """Connects clients until three of them are rejected. Returns the streams of those that are served."""
+    """Connect clients until three of them are rejected; return the streams of those that are served."""
     served_clients: list[Streams] = []
     rejected = 0
     while rejected < 3:
@@ -107,7 +107,7 @@
     return served_clients
 
 
-def list_with_one_draining(draining: Address, ready: Address) -> FakeDiscovery:
+def make_discovery_with_draining_endpoint(draining: Address, ready: Address) -> FakeDiscovery:
     endpoints = [
         {"id": "a", "addr": "{}:{}".format(*draining), "state": "draining"},
         {"id": "b", "addr": "{}:{}".format(*ready), "state": "ready"},
@@ -120,34 +120,34 @@
 async def test_endpoint_list_is_updated_while_idle_clients_hold_the_descriptors(
     tmp_path: Path, lists: str
 ) -> None:
-    # They held every descriptor that there was, and the watch got none as discovery returned.
-    old, new = FakeEndpoint(echo_lines), FakeEndpoint(echo_lines)
+    # Idle clients used all descriptors, and the watch got none when discovery could be reached again.
+    draining_endpoint, ready_endpoint = FakeEndpoint(echo_lines), FakeEndpoint(echo_lines)
     address = ("127.0.0.1", find_free_port())
     async with AsyncExitStack() as stack:
-        await stack.enter_async_context(running_server(old))
-        await stack.enter_async_context(running_server(new))
-        down = stack.enter_context(bound_but_not_listening())
-        known = make_endpoint_list({"a": old.address})
-        file = write_limited_config(tmp_path, address, down.getsockname(), known, lists)
+        await stack.enter_async_context(running_server(draining_endpoint))
+        await stack.enter_async_context(running_server(ready_endpoint))
+        discovery_socket = stack.enter_context(bound_but_not_listening())
+        known = make_endpoint_list({"a": draining_endpoint.address})
+        file = write_limited_config(tmp_path, address, discovery_socket.getsockname(), known, lists)
         process = await stack.enter_async_context(relay_process(file, address))
         served_clients = await connect_until_rejected(address)
-        idle_clients = [await send_request(address, b"") for _ in range(IDLE_CLIENTS)]
-        assert len(os.listdir(f"/proc/{process.pid}/fd")) >= DESCRIPTORS - 4 and len(served_clients) >= 10
+        idle_clients = [await send_request(address, b"") for _ in range(IDLE_CLIENT_COUNT)]
+        assert len(os.listdir(f"/proc/{process.pid}/fd")) >= MAX_DESCRIPTORS - 4 and len(served_clients) >= 10
 
-        down.listen()
-        discovery = list_with_one_draining(old.address, new.address)
-        server = await asyncio.start_server(discovery.serve, sock=down)
+        discovery_socket.listen()
+        discovery = make_discovery_with_draining_endpoint(draining_endpoint.address, ready_endpoint.address)
+        server = await asyncio.start_server(discovery.serve, sock=discovery_socket)
         stack.callback(server.close)
-        async with asyncio.timeout(UPDATE_S):
+        async with asyncio.timeout(LIST_UPDATE_TIMEOUT_S):
             while not discovery.requests:
                 await asyncio.sleep(0.01)
-            served_clients.pop()[1].close()  # frees the descriptors of one, to be placed by the new list
-            while not any(new.request_lines):
+            served_clients.pop()[1].close()  # frees descriptors for a request that is placed by the new list
+            while not any(ready_endpoint.request_lines):
                 assert (await exchange_line(address, encode_request_line(3000))).startswith((b"UP", b"BUSY"))
         assert process.returncode is None
 
-        responses = [await all_received(streams) for streams in idle_clients]
+        responses = [await read_until_disconnected(streams) for streams in idle_clients]
         assert all(response.startswith((b"BUSY", b"ERR")) for response in responses), responses
         process.send_signal(signal.SIGTERM)
-        last_lines = await asyncio.gather(*(all_received(streams) for streams in served_clients))
+        last_lines = await asyncio.gather(*(read_until_disconnected(streams) for streams in served_clients))
         assert set(last_lines) == {b"MOVE\r\n"} and await process.wait() == 0
--- a/tests/net/test_discovery_client.py
+++ b/tests/net/test_discovery_client.py
@@ -1,4 +1,4 @@
-"""The watch on discovery over loopback: 503, resets, silence, cut-off lists; each is restarted."""
+"""The watch on discovery over loopback: it is replaced after a 503, a reset, a timeout, a truncated list."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 async def run_until_version_7(
     folder: Path, *answers: bytes, known: JsonObject | None = None
 ) -> tuple[Relay, FakeDiscovery]:
-    """Runs a relay until it has version 7 of the endpoint list. Returns it and its discovery."""
+    """Run a relay until it has version 7 of the endpoint list; return it and its discovery."""
     async with AsyncExitStack() as stack:
         discovery = FakeDiscovery(*answers)
         await stack.enter_async_context(running_server(discovery))
@@ -57,7 +57,7 @@
     "failure", [UNAVAILABLE, b"", HALF_LIST, COMPLETE_RESPONSE, b"nonsense\r\n\r\n#", b"HTTP/1.1 200 OK\r\n#"]
 )
 async def test_failed_watch_is_retried_after_a_delay(tmp_path: Path, failure: bytes) -> None:
-    # Each of these is normal on the platform: none may end the relay, and discovery must not be hammered.
+    # Each of these failures is normal on the platform: none may end the relay or cause calls without delay.
     relay, discovery = await run_until_version_7(tmp_path, failure, failure, FULL_LIST)
     assert len(discovery.requests) == 3
     called_at_s = [request.received_at_s for request in discovery.requests]
@@ -66,8 +66,8 @@
     assert relay.endpoint_registry.has_ready_endpoint.is_set()
 
 
-async def test_silent_watch_is_given_up(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    # Of a machine that vanished the connection stays open, and its changes count as known after 6 s.
+async def test_idle_watch_is_replaced(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    # The connection to a machine that vanished stays open, but the relay must have changes within 6 s.
     monkeypatch.setattr("sageturn.net.discovery_watch.IDLE_TIMEOUT_S", 0.2)
     _, discovery = await run_until_version_7(
         tmp_path, encode_watch_response(make_endpoint_list({"a": ADDRESS}, 6)), FULL_LIST
@@ -80,18 +80,15 @@
     assert discovery.requests[0].request_line == b"GET /v1/endpoints?stream=1&index=5 HTTP/1.1"
 
 
-async def test_changes_are_merged_and_an_endpoint_missing_from_a_full_list_is_gone(tmp_path: Path) -> None:
+async def test_changes_are_merged_and_an_endpoint_missing_from_a_full_list_is_removed(tmp_path: Path) -> None:
     change = {**make_endpoint_list({"b": ADDRESS}, 6), "full": False}
     relay, _ = await run_until_version_7(
         tmp_path,
         encode_watch_response(change, make_endpoint_list({"c": ADDRESS}, 7)),
         known=make_endpoint_list({"a": ADDRESS}, 5),
     )
-    assert set(relay.endpoint_registry.addresses) == {
-        "a",
-        "b",
-        "c",
-    }  # kept: an attempt may be on its way there
+    # The address of a removed endpoint is retained, since an attempt to connect to it may be in progress.
+    assert set(relay.endpoint_registry.addresses) == {"a", "b", "c"}
     assert relay.endpoint_registry.states == {"c": "ready"}
 
 
@@ -103,13 +100,16 @@
         parse_endpoint_list(bad)
 
 
-# ---------------------------------------------------------------- how a failed call is classified
+# ---------------------------------------------------------------- classification of failed calls
 
-RESET = b""  # no response, and a reset
+RESET = b""  # ``OneCallDiscovery`` resets the connection without a response
 
 
 class OneCallDiscovery(FakeDiscovery):
-    """Answers one call: ``~`` at the end keeps the connection open, ``!`` or an empty answer resets it."""
+    """Discovery that answers one call, and closes the connection after the answer.
+
+    The connection is instead kept open after a final ``~``, and reset after a final ``!`` or an empty answer.
+    """
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
@@ -119,19 +119,19 @@
         if answer.endswith(b"~"):
             await reader.read()
         elif answer == RESET or answer.endswith(b"!"):
-            await asyncio.sleep(0.05)  # so that the answer is read before the reset discards it
+            await asyncio.sleep(0.05)  # lets the client read the answer before the reset discards it
             writer.transport.abort()
         writer.close()
 
 
-async def failure_of_watch(
+async def get_watch_failure(
     monkeypatch: pytest.MonkeyPatch, answer: bytes, waited_s: float = 0.0
 ) -> DiscoveryFailure:
-    """Returns how a watch with this response fails after ``waited_s`` on its clock."""
+    """Return how a watch with this response fails after ``waited_s`` on its clock."""
     monkeypatch.setattr(discovery_watch, "RESPONSE_TIMEOUT_S", 0.3)
     monkeypatch.setattr(discovery_watch, "IDLE_TIMEOUT_S", 0.3)
 
-    def readings() -> Iterator[float]:
+    def clock_readings() -> Iterator[float]:
         yield 50.0
         while True:
             yield 50.0 + waited_s
@@ -144,7 +144,7 @@
 
     discovery = OneCallDiscovery(answer)
     async with running_server(discovery):
-        client = DiscoveryClient(discovery.address, on_event, readings().__next__)
+        client = DiscoveryClient(discovery.address, on_event, clock_readings().__next__)
         client.start(0)
         try:
             return (await asyncio.wait_for(failed.get(), 5)).failure
@@ -158,18 +158,18 @@
 async def test_rejected_call_counts_as_overloaded_only_if_it_waited(
     answer: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # When all failures were alike, 200 relays waited up to 150 s for their next call after a minute down.
-    assert await failure_of_watch(monkeypatch, answer) is DiscoveryFailure.UNREACHED
-    assert await failure_of_watch(monkeypatch, answer, 0.9) is DiscoveryFailure.UNREACHED
-    assert await failure_of_watch(monkeypatch, answer, 1.1) is DiscoveryFailure.OVERLOADED
-    assert await failure_of_watch(monkeypatch, answer, 3.0) is DiscoveryFailure.OVERLOADED
+    # When all failures had the same backoff, 200 relays waited up to 150 s after discovery was down for 60 s.
+    assert await get_watch_failure(monkeypatch, answer) is DiscoveryFailure.UNREACHED
+    assert await get_watch_failure(monkeypatch, answer, 0.9) is DiscoveryFailure.UNREACHED
+    assert await get_watch_failure(monkeypatch, answer, 1.1) is DiscoveryFailure.OVERLOADED
+    assert await get_watch_failure(monkeypatch, answer, 3.0) is DiscoveryFailure.OVERLOADED
 
 
 async def test_call_without_a_response_is_unanswered(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     for answer in (b"~", b"HTTP/1.1 200 OK\r\n~", HALF_LIST[:-1] + b"~"):
-        assert await failure_of_watch(monkeypatch, answer, 3.5) is DiscoveryFailure.UNANSWERED
+        assert await get_watch_failure(monkeypatch, answer, 3.5) is DiscoveryFailure.UNANSWERED
 
 
 @pytest.mark.parametrize(
@@ -184,14 +184,14 @@
     ids=["cut", "reset", "complete", "nonsense", "bad list"],
 )
 async def test_response_that_is_no_watch_is_unusable(answer: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
-    assert await failure_of_watch(monkeypatch, answer, 3.0) is DiscoveryFailure.UNUSABLE
+    assert await get_watch_failure(monkeypatch, answer, 3.0) is DiscoveryFailure.UNUSABLE
 
 
 async def test_established_watch_is_lost_or_silent(monkeypatch: pytest.MonkeyPatch) -> None:
-    assert await failure_of_watch(monkeypatch, FULL_LIST + b"#", 9.0) is DiscoveryFailure.LOST
-    assert await failure_of_watch(monkeypatch, FULL_LIST + b"!", 9.0) is DiscoveryFailure.LOST
-    assert await failure_of_watch(monkeypatch, FULL_LIST + b"zz\r\n#", 9.0) is DiscoveryFailure.LOST
-    assert await failure_of_watch(monkeypatch, FULL_LIST + b"~", 9.0) is DiscoveryFailure.SILENT
+    assert await get_watch_failure(monkeypatch, FULL_LIST + b"#", 9.0) is DiscoveryFailure.LOST
+    assert await get_watch_failure(monkeypatch, FULL_LIST + b"!", 9.0) is DiscoveryFailure.LOST
+    assert await get_watch_failure(monkeypatch, FULL_LIST + b"zz\r\n#", 9.0) is DiscoveryFailure.LOST
+    assert await get_watch_failure(monkeypatch, FULL_LIST + b"~", 9.0) is DiscoveryFailure.SILENT
 
 
 @pytest.mark.parametrize("connect_failure", [None, *ConnectFailure])
@@ -205,7 +205,7 @@
     if connect_failure is not None:
         monkeypatch.setattr(discovery_watch, "connect", fail_to_connect)
     failed: asyncio.Queue[WatchFailed] = asyncio.Queue()
-    sock = bind_socket(("127.0.0.1", 0))  # it refuses connections, as nobody listens
+    sock = bind_socket(("127.0.0.1", 0))  # refuses connections, as it does not listen
     try:
         DiscoveryClient(sock.getsockname(), lambda _, event: failed.put(event)).start(0)  # type: ignore[arg-type]
         assert (await asyncio.wait_for(failed.get(), 5)).failure is DiscoveryFailure.UNREACHED
--- a/tests/net/test_endpoint_list.py
+++ b/tests/net/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list as it arrives: in any pieces, indented, invalid half way; events of replaced watches."""
+"""Decoding of the endpoint list from a stream, and the handling of events of replaced watches."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 def test_objects_are_split_however_the_stream_is_cut_and_indented(
     objects: list[Any], data: st.DataObject
 ) -> None:
-    # When each line was taken for an object, an indented list failed the watch, call after call.
+    # When each line was decoded as an object, an indented list made every watch fail.
     text = b"".join(
         b"\r\n" + json.dumps(value, indent=indent, ensure_ascii=False).encode() for value, indent in objects
     )
@@ -51,8 +51,8 @@
         list(JsonObjectSplitter(100).feed(text))
 
 
-def entry(**more: object) -> JsonObject:
-    return {"id": "a", "addr": "127.0.0.1:9", "state": "ready", **more}
+def make_entry(**fields: object) -> JsonObject:
+    return {"id": "a", "addr": "127.0.0.1:9", "state": "ready", **fields}
 
 
 @pytest.mark.parametrize(
@@ -75,19 +75,21 @@
     ],
 )
 def test_invalid_entry_is_refused_by_its_key_and_with_it_the_list(key: str, bad: object) -> None:
-    # A start time that was a text was once taken over, and failed the balancer half way through the list.
+    # A start time that was a string was once accepted, and made the balancer fail in the middle of the list.
     with pytest.raises((InvalidEndpointListError, ValueError)) as found:
-        parse_endpoint_list({"version": 3, "full": True, "servers": [entry(id="b"), entry(**{key: bad})]})
+        parse_endpoint_list(
+            {"version": 3, "full": True, "servers": [make_entry(id="b"), make_entry(**{key: bad})]}
+        )
     assert key in str(found.value) or str(bad) in str(found.value)
 
 
 @pytest.mark.parametrize("top", [{"version": "3"}, {"version": True}, {"full": "no"}, {"servers": None}])
 def test_invalid_list_is_refused(top: JsonObject) -> None:
     with pytest.raises(InvalidEndpointListError):
-        parse_endpoint_list({"version": 3, "full": True, "servers": [entry()], **top})
+        parse_endpoint_list({"version": 3, "full": True, "servers": [make_entry()], **top})
 
 
-# ---------------------------------------------------------------- on the wire
+# ---------------------------------------------------------------- watches over loopback
 
 
 def chunked_response(*pieces: bytes) -> bytes:
@@ -95,10 +97,10 @@
     return head + b"".join(b"%x\r\n%s\r\n" % (len(piece), piece) for piece in pieces)
 
 
-async def watch_events(
+async def collect_watch_events(
     *answers: bytes, count: int, monkeypatch: pytest.MonkeyPatch, timeout_s: float = 9.0
 ) -> list[Any]:
-    """Returns the first ``count`` events of one watch."""
+    """Return the first ``count`` events of one watch."""
     monkeypatch.setattr(discovery_watch, "RESPONSE_TIMEOUT_S", timeout_s)
     monkeypatch.setattr(discovery_watch, "IDLE_TIMEOUT_S", timeout_s)
     events: asyncio.Queue[Any] = asyncio.Queue()
@@ -113,17 +115,19 @@
 
 
 async def test_indented_list_is_read_in_whatever_chunks_it_comes(monkeypatch: pytest.MonkeyPatch) -> None:
-    text = json.dumps({"version": 7, "full": True, "servers": [entry(), entry(id="b")]}, indent=2).encode()
+    text = json.dumps(
+        {"version": 7, "full": True, "servers": [make_entry(), make_entry(id="b")]}, indent=2
+    ).encode()
     pieces = [text[start : start + 7] for start in range(0, len(text), 7)]
-    (update,) = await watch_events(chunked_response(*pieces), count=1, monkeypatch=monkeypatch)
+    (update,) = await collect_watch_events(chunked_response(*pieces), count=1, monkeypatch=monkeypatch)
     assert update.version == 7 and [endpoint.name for endpoint in update.endpoints] == ["a", "b"]
 
 
 async def test_objects_complete_before_an_error_are_reported(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Discovery has sent them, so they count as known, whatever follows in the same read.
-    good = json.dumps({"version": 7, "servers": [entry(state="draining")]}).encode()
+    # Discovery has sent them, so the relay must apply them, whatever follows in the same read.
+    good = json.dumps({"version": 7, "servers": [make_entry(state="draining")]}).encode()
     for response in (chunked_response(good + b"\n]") + b"#", chunked_response(good) + b"zz\r\n#"):
-        update, failed = await watch_events(response, count=2, monkeypatch=monkeypatch)
+        update, failed = await collect_watch_events(response, count=2, monkeypatch=monkeypatch)
         assert update.endpoints[0].state == "draining" and isinstance(failed, WatchFailed)
 
 
@@ -138,14 +142,14 @@
         writer.close()
 
     monkeypatch.setattr(FakeDiscovery, "serve", lambda self, reader, writer: serve_slowly(reader, writer))
-    update, failed = await watch_events(b"", count=2, monkeypatch=monkeypatch, timeout_s=0.3)
+    update, failed = await collect_watch_events(b"", count=2, monkeypatch=monkeypatch, timeout_s=0.3)
     assert update.version == 6 and failed == WatchFailed("silent", DiscoveryFailure.SILENT)
 
 
 async def test_watch_that_crashes_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Such a watch once ended unseen, and the relay kept its old list for good.
+    # The end of such a watch was once not reported, and the relay kept a stale list indefinitely.
     monkeypatch.setattr(discovery_watch, "parse_endpoint_list", lambda obj: 1 / 0)
-    (failed,) = await watch_events(chunked_response(b"{}"), count=1, monkeypatch=monkeypatch)
+    (failed,) = await collect_watch_events(chunked_response(b"{}"), count=1, monkeypatch=monkeypatch)
     assert "ZeroDivisionError" in failed.reason and failed.failure is DiscoveryFailure.UNUSABLE
 
 
@@ -153,7 +157,7 @@
 
 
 class RecordingWatcher:
-    """Keeps the versions after which watches were started."""
+    """Watcher that records the versions after which watches were started."""
 
     def __init__(self) -> None:
         self.started_after: list[int] = []
@@ -167,16 +171,16 @@
 async def test_events_of_a_replaced_watch_neither_end_the_new_one_nor_set_its_version() -> None:
     events: asyncio.Queue[EndpointListEvent] = asyncio.Queue()
     address = ("127.0.0.1", 9)
-    known = parse_endpoint_list({"version": 5, "full": True, "servers": [entry()]})
+    known = parse_endpoint_list({"version": 5, "full": True, "servers": [make_entry()]})
     watcher = RecordingWatcher()
     endpoint_registry = EndpointRegistry(known, events.put, watcher)  # type: ignore[arg-type]
     actor = asyncio.ensure_future(endpoint_registry.run())
     await endpoint_registry.post_message(WatchRequested())
     await endpoint_registry.post_message(DiscoveryAddressChanged())
-    draining = parse_endpoint_list({"version": 900, "servers": [entry(state="draining")]})
+    draining = parse_endpoint_list({"version": 900, "servers": [make_entry(state="draining")]})
     await endpoint_registry.on_watch_event(1, draining)
     await endpoint_registry.on_watch_event(1, WatchFailed("ended", DiscoveryFailure.LOST))
-    await endpoint_registry.post_message(WatchRequested())  # the new watch is open: passed over
+    await endpoint_registry.post_message(WatchRequested())  # ignored, since the new watch is open
     await endpoint_registry.on_watch_event(2, WatchFailed("ended", DiscoveryFailure.LOST))
     kinds = [(await events.get()).kind for _ in range(3)]
     assert kinds == ["stale", "changes", "failed"] and watcher.started_after == [5, 0]
@@ -190,9 +194,9 @@
 @pytest.mark.parametrize("pushed", [True, False])
 @pytest.mark.timeout(5)
 async def test_watch_is_started_at_once_where_lists_are_pushed(pushed: bool) -> None:
-    # The balancer requests none there, so on sockets a relay kept the list of its start and missed drains.
+    # With pushed lists the balancer requests no watch, so a real relay kept its first list and missed drains.
     events: asyncio.Queue[EndpointListEvent] = asyncio.Queue()
-    known = parse_endpoint_list({"version": 5, "full": True, "servers": [entry()]})
+    known = parse_endpoint_list({"version": 5, "full": True, "servers": [make_entry()]})
     watcher = RecordingWatcher()
     endpoint_registry = EndpointRegistry(known, events.put, watcher, pushed=pushed)  # type: ignore[arg-type]
     actor = asyncio.ensure_future(endpoint_registry.run())
--- a/tests/net/test_log_fields.py
+++ b/tests/net/test_log_fields.py
@@ -37,22 +37,22 @@
     await listener.cancel_connections()
 
 
-def text_of(address: Address) -> str:
+def format_address(address: Address) -> str:
     return "{}:{}".format(*address)
 
 
-async def serve_nobody(sock: socket.socket, pending: PendingConnection) -> None:
+async def close_at_once(sock: socket.socket, pending: PendingConnection) -> None:
     sock.close()
 
 
 async def test_a_failed_accept_names_its_listener(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    async with running_listener(serve_nobody) as listener:
+    async with running_listener(close_at_once) as listener:
         FailingCall(socket.socket, "accept", [errno.ECONNABORTED]).install(monkeypatch)
         with socket.create_connection(listener.address):
             await until(lambda: "accept failed" in caplog.text)
-    assert f"accept failed listener={text_of(listener.address)} reason=" in caplog.text
+    assert f"accept failed listener={format_address(listener.address)} reason=" in caplog.text
 
 
 @pytest.mark.parametrize("request_id", ["-", "id7"])
@@ -68,7 +68,10 @@
         with socket.create_connection(listener.address) as client:
             peer = client.getsockname()
             await until(lambda: "connection failed" in caplog.text)
-    line = f"connection failed request={request_id} peer={text_of(peer)} reason=[Errno 104] reset by the test"
+    line = (
+        f"connection failed request={request_id} peer={format_address(peer)} "
+        "reason=[Errno 104] reset by the test"
+    )
     assert line in caplog.text
 
 
@@ -80,6 +83,6 @@
         peer: Address = writer.get_extra_info("sockname")
         assert (await reader.readline()).startswith(b"ERR")
         writer.close()
-        listener = text_of(relay.listener.address)
-    line = f"request line rejected peer={text_of(peer)} listener={listener} reason=not an OPEN line"
+        listener = format_address(relay.listener.address)
+    line = f"request line rejected peer={format_address(peer)} listener={listener} reason=not an OPEN line"
     assert line in caplog.text
--- a/tests/net/test_short_writes.py
+++ b/tests/net/test_short_writes.py
@@ -1,4 +1,4 @@
-"""A write may take fewer bytes than it was given: no answer is cut short by that."""
+"""Short writes: an answer arrives complete even if a write accepts fewer bytes than it was given."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @pytest.fixture
 def short_writes(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Makes every ``send`` take one byte."""
+    """Make every ``send`` accept one byte only."""
     send = socket.socket.send
 
     def send_one_byte(sock: socket.socket, data: Any, flags: int = 0) -> int:
@@ -30,7 +30,7 @@
 async def test_an_answer_arrives_complete_though_each_write_is_short(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Clients that were rejected while descriptors ran out read "BU" and the end of the connection.
+    # Clients that were rejected for lack of descriptors read only "BU" before the connection was closed.
     client, server = socket.socketpair()
     server.setblocking(False)
     client.settimeout(5)
--- a/tests/net/test_sockets.py
+++ b/tests/net/test_sockets.py
@@ -1,4 +1,4 @@
-"""The relay's sockets: their options, how they are closed, and what happens when descriptors run out."""
+"""The relay's sockets: their options, their close, and the exhaustion of descriptors."""
 
 from __future__ import annotations
 
@@ -40,8 +40,8 @@
 # ---------------------------------------------------------------- TCP_NODELAY
 
 
-def connections_of_relay(accepted_at: set[Any], dialled: set[Any]) -> list[tuple[str, socket.socket]]:
-    """Returns the relay's open connections in this process, found by their addresses."""
+def find_relay_connections(accepted_at: set[Any], dialled: set[Any]) -> list[tuple[str, socket.socket]]:
+    """Return the relay's open connections in this process, found by their addresses."""
     found = []
     for sock in gc.get_objects():
         if type(sock) is socket.socket and sock.fileno() >= 0 and sock.type == socket.SOCK_STREAM:
@@ -52,7 +52,7 @@
                 elif peer in dialled:
                     found.append(("dialled", sock))
             except OSError:
-                continue  # it listens
+                continue  # a listening socket has no peer
     return found
 
 
@@ -64,7 +64,7 @@
 async def test_all_sockets_of_the_platform_frontend_have_nodelay(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Clients, endpoints, discovery's watch, and connections that are kept for probes.
+    # Covers clients, endpoints, discovery's watch, and idle connections that are kept for health checks.
     monkeypatch.setitem(SETTINGS, "policyLimits", {**SETTINGS["policyLimits"], "probes": True})
     monkeypatch.setitem(SETTINGS, "report", {"source": "probe", "fields": list(FIELDS)})
     script, seen = answers_health_checks()
@@ -76,7 +76,7 @@
         idle = await send_request(relay.listener.address, b"")
         await until(lambda: relay.admission.pending_count)
         dialled = {endpoint.address, relay.discovery._address}
-        found = connections_of_relay({relay.listener.address}, dialled)
+        found = find_relay_connections({relay.listener.address}, dialled)
         assert {sock.getpeername() for direction, sock in found if direction == "dialled"} == dialled
         assert len(found) >= 5 and all_have_nodelay(found, {"accepted", "dialled"})
         for each in (writer, idle[1]):
@@ -88,48 +88,48 @@
         client = await XmppClient.connect(xmpp_address(relay))
         await client.login(make_client_tls_context())
         await client.bind()
-        found = connections_of_relay({xmpp_address(relay)}, {endpoint.address})
+        found = find_relay_connections({xmpp_address(relay)}, {endpoint.address})
         assert len(found) == 2 and all_have_nodelay(found, {"accepted", "dialled"})
         client.writer.close()
 
 
 async def test_all_links_between_stores_have_nodelay() -> None:
-    one, other = Store("a"), Store("b")
-    first = start_member(one)
-    second = start_member(other, first.address)
-    await until(lambda: first.link_count and second.link_count)
-    found = connections_of_relay({first.address}, {first.address})
+    first_store, second_store = Store("a"), Store("b")
+    first_member = start_member(first_store)
+    second_member = start_member(second_store, first_member.address)
+    await until(lambda: first_member.link_count and second_member.link_count)
+    found = find_relay_connections({first_member.address}, {first_member.address})
     assert len(found) == 2 and all_have_nodelay(found, {"accepted", "dialled"})
-    await second.stop()
-    await first.stop()
+    await second_member.stop()
+    await first_member.stop()
 
 
 async def test_rejected_connection_has_nodelay(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    options: list[int] = []
+    nodelay_options: list[int] = []
 
-    def checking_send_and_close(sock: socket.socket, text: bytes) -> None:
-        options.append(sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY))
+    def record_nodelay_and_close(sock: socket.socket, text: bytes) -> None:
+        nodelay_options.append(sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY))
         send_and_close(sock, text)
 
-    monkeypatch.setattr(connection_tasks, "send_and_close", checking_send_and_close)
+    monkeypatch.setattr(connection_tasks, "send_and_close", record_nodelay_and_close)
 
     async with running_relay(tmp_path, echo_lines) as (relay, _):
         relay.admission.limits = ProcessLimits(sockets=96, memory_mb=1.0)
-        held: list[Streams] = [
+        clients: list[Streams] = [
             await send_request(relay.listener.address, encode_request_line()) for _ in range(17)
         ]
-        answers = [await reader.readline() for reader, _ in held]
-        assert answers[-1] == b"BUSY 500\r\n" and options and all(options)
-        for _, writer in held:
+        answers = [await reader.readline() for reader, _ in clients]
+        assert answers[-1] == b"BUSY 500\r\n" and nodelay_options and all(nodelay_options)
+        for _, writer in clients:
             writer.close()
 
 
-# ---------------------------------------------------------------- closing while bytes lie unread
+# ---------------------------------------------------------------- closing with unread bytes
 
 
 @pytest.fixture
 def pair() -> Iterator[tuple[socket.socket, socket.socket]]:
-    """Returns both ends of one TCP connection; the first is the relay's."""
+    """Yield both ends of one TCP connection; the first is the relay's."""
     with socket.create_server(("127.0.0.1", 0)) as server:
         client = socket.create_connection(server.getsockname())
         relay_socket, _ = server.accept()
@@ -139,29 +139,29 @@
     client.close()
 
 
-async def test_a_graceful_close_that_is_cancelled_closes_over_nothing_unread(
+async def test_cancelled_graceful_close_reads_unread_bytes_first(
     pair: tuple[socket.socket, socket.socket],
 ) -> None:
-    # Bytes that arrived as it was cancelled made the kernel send a reset.
+    # Bytes that arrived during the cancellation were not read, which made the kernel send a reset.
     relay_socket, client = pair
 
     relay_socket.send(b"ERR why\r\n")
     closing = asyncio.ensure_future(close_gracefully(relay_socket))
     await asyncio.sleep(0)
-    client.sendall(b"M 1\r\n")  # the loop does not turn between its coming and the end
+    client.sendall(b"M 1\r\n")  # the event loop does not run between this and the cancellation
     closing.cancel()
     await asyncio.wait((closing,))
     poll = select.poll()
     poll.register(client, select.POLLIN)
     ((_, mask),) = poll.poll(0)
-    assert relay_socket.fileno() < 0 and not mask & (select.POLLERR | select.POLLHUP)  # as after a reset
+    assert relay_socket.fileno() < 0 and not mask & (select.POLLERR | select.POLLHUP)  # a reset sets them
     assert client.recv(99) == b"ERR why\r\n" and client.recv(99) == b""
 
 
 async def test_an_xmpp_client_that_is_evicted_while_it_sends_reads_its_answer_and_no_reset(
     tmp_path: Path,
 ) -> None:
-    # Its connection was closed over what lay unread: the reset could destroy the answer on its way.
+    # The connection was closed with unread bytes, and the resulting reset could discard the answer.
     async with running_xmpp_relay(tmp_path, echo_messages) as (relay, _):
         client = await XmppClient.connect(xmpp_address(relay))
         client.send("<?xml version='1.0'?>")
@@ -178,7 +178,7 @@
 
 
 class PatchedModule:
-    """A module with some of its names replaced."""
+    """Module with some of its names replaced."""
 
     def __init__(self, module: ModuleType, **names: Any) -> None:
         self._module = module
@@ -190,37 +190,40 @@
 
 @pytest.fixture
 def descriptors_left(monkeypatch: pytest.MonkeyPatch) -> Iterator[list[int]]:
-    """Replaces the descriptor table, for connecting and the reserve, by one with ``[0]`` descriptors left."""
-    left = [0]
+    """Simulate a shortage of descriptors, for connecting and for the reserve.
+
+    Yields a list whose only item is the number of descriptors that are left; tests may change it.
+    """
+    remaining = [0]
     files: set[int] = set()
 
-    def take() -> None:
-        if not left[0]:
+    def take_descriptor() -> None:
+        if not remaining[0]:
             raise OSError(errno.EMFILE, "Too many open files")
-        left[0] -= 1
+        remaining[0] -= 1
 
     def new_socket(*args: Any) -> socket.socket:
-        take()
+        take_descriptor()
         return socket.socket(*args)
 
     def open_file(*args: Any) -> int:
-        take()
+        take_descriptor()
         files.add(number := os.open(*args))
         return number
 
     def close_file(number: int) -> None:
         files.remove(number)
-        left[0] += 1
+        remaining[0] += 1
         os.close(number)
 
-    DESCRIPTOR_RESERVE.resize(0)  # earlier tests of this process have filled it
+    DESCRIPTOR_RESERVE.resize(0)  # earlier tests of this process may have filled the reserve
     monkeypatch.setattr("sageturn.net.connecting.socket", PatchedModule(socket, socket=new_socket))
     monkeypatch.setattr("sageturn.net.descriptors.os", PatchedModule(os, open=open_file, close=close_file))
-    yield left
+    yield remaining
     DESCRIPTOR_RESERVE.resize(0)
 
 
-async def test_descriptor_reserve_is_never_a_clients_and_is_refilled_first(
+async def test_descriptor_reserve_is_not_used_for_clients_and_is_refilled_first(
     descriptors_left: list[int],
 ) -> None:
     with socket.create_server(("127.0.0.1", 0)) as server:
@@ -231,7 +234,7 @@
         assert await connect_unreserved(address, 1.0) is ConnectFailure.NO_DESCRIPTOR
         watch = await connect(address, 1.0)
         assert isinstance(watch, socket.socket)
-        descriptors_left[0] += 1  # one that is let go of is not a client's while the reserve is not whole
+        descriptors_left[0] += 1  # the reserve takes it before any client can
         assert await connect_unreserved(address, 1.0) is ConnectFailure.NO_DESCRIPTOR
         assert descriptors_left[0] == 0
         again = await connect(address, 1.0)
@@ -253,10 +256,10 @@
 
 
 @pytest.mark.parametrize("first_bytes", [encode_request_line(), b""])
-async def test_with_no_descriptor_left_those_in_the_backlog_are_answered_as_the_listener_closes(
+async def test_backlog_is_answered_at_close_while_no_descriptor_is_left(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, first_bytes: bytes
 ) -> None:
-    # They were left there, and reset as the listener was closed.
+    # Queued clients were not accepted, and were reset when the listener was closed.
     async with running_relay(tmp_path, never_respond) as (relay, _):
         relay.request_registry.schedule = ShutdownSchedule(0.0, 0.0, 0.05, 2.0)
         stop_accepting = relay.ingress.stop_accepting
--- a/tests/net/test_start_failures.py
+++ b/tests/net/test_start_failures.py
@@ -17,32 +17,32 @@
 from sageturn.net.sockets import bind_socket
 
 LOOPBACK = ("127.0.0.1", 0)
-MOMENTARY_ERRNOS = (errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM)
-MAX_START_S = 10.0  # in which nine relays in ten have to be ready
+TEMPORARY_ERRNOS = (errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM)
+MAX_START_S = 10.0  # nine relays in ten must be ready within this time
 
 
 @pytest.fixture
 def pauses(monkeypatch: pytest.MonkeyPatch) -> list[float]:
-    """Returns a list of the seconds of each call of ``time.sleep``, none of which waits."""
+    """Return a list of the durations, in seconds, of all calls of ``time.sleep``, which do not wait."""
     paused_s: list[float] = []
     monkeypatch.setattr(time, "sleep", paused_s.append)
     return paused_s
 
 
 def failing_creation(errors: Iterable[int]) -> FailingCall:
-    """Stands in for the creation of sockets."""
+    """Return a replacement of the creation of sockets that fails with each of ``errors`` once."""
     return FailingCall(socket.socket, "__init__", errors)
 
 
-async def serve_nobody(sock: socket.socket, pending: PendingConnection) -> None:
+async def close_at_once(sock: socket.socket, pending: PendingConnection) -> None:
     sock.close()
 
 
-def test_a_listener_is_bound_though_sockets_cannot_be_had_for_a_moment(
+def test_listener_is_bound_after_a_temporary_shortage_of_sockets(
     monkeypatch: pytest.MonkeyPatch, pauses: list[float]
 ) -> None:
-    # The process ended with exit code 2: a relay that was restarted in that moment was not there any more.
-    for number in MOMENTARY_ERRNOS:
+    # The process exited with code 2, so that a relay that was restarted at that moment did not come back.
+    for number in TEMPORARY_ERRNOS:
         pauses.clear()
         with monkeypatch.context() as patched:
             failing_creation(repeat(number, 3)).install(patched)
@@ -79,6 +79,6 @@
 
     with monkeypatch.context() as patched:
         patched.setattr(os, "open", fail)
-        listener = Listener(LOOPBACK, serve_nobody, b"", AdmissionController(ProcessLimits(64, 64.0)))
+        listener = Listener(LOOPBACK, close_at_once, b"", AdmissionController(ProcessLimits(64, 64.0)))
     listener.start_listening()
     assert listener.address[1] > 0
--- a/tests/support/network_fakes.py
+++ b/tests/support/network_fakes.py
@@ -1,4 +1,4 @@
-"""Scripted discovery, endpoints and clients on loopback, and a relay to put between them."""
+"""Scripted discovery, endpoints and clients on loopback, and a relay that connects them."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from sageturn.relay import Relay
 
 Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
-ConnectResult = socket.socket | ConnectFailure  # of ``connect_unreserved``, for which tests put in stand-ins
+ConnectResult = socket.socket | ConnectFailure  # result of ``connect_unreserved``, which tests replace
 EndpointScript = Callable[[asyncio.StreamReader, asyncio.StreamWriter, bytes], Awaitable[None]]
 
 SETTINGS: JsonObject = {
@@ -34,23 +34,23 @@
 }
 
 
-REQUEST_IDS = itertools.count(1)  # fresh for each connection
+REQUEST_IDS = itertools.count(1)  # each connection takes the next one
 
 
 def encode_request_line(wait_ms: int = 2000, extra_parameters: str = "", key: str = "k1") -> bytes:
-    """Returns an OPEN line with a fresh request id; ``extra_parameters`` are appended, as in ``,g=g1``."""
+    """Return an OPEN line with a new request id; ``extra_parameters`` are appended, as in ``,g=g1``."""
     return f"OPEN id{next(REQUEST_IDS)} {key} c=c,t=t,d={wait_ms}{extra_parameters}\r\n".encode()
 
 
 async def send_request(address: Address, line: bytes) -> Streams:
-    """Connects to ``address``, and sends ``line`` without waiting for a response."""
+    """Connect to ``address``, and send ``line`` without waiting for a response."""
     reader, writer = await asyncio.open_connection(*address)
     writer.write(line)
     return reader, writer
 
 
 async def exchange_line(address: Address, line: bytes) -> bytes:
-    """Sends ``line`` on a new connection. Returns the first line of the response; empty if it was closed."""
+    """Send ``line`` on a new connection; return the first line of the response, empty if it was closed."""
     reader, writer = await send_request(address, line)
     try:
         return await asyncio.wait_for(reader.readline(), 5)
@@ -59,7 +59,7 @@
 
 
 async def wait_until_ready(address: Address) -> None:
-    """Returns once the relay at ``address`` accepts connections; fails if it answers a PING otherwise."""
+    """Return once the relay at ``address`` answers a PING; fail if the answer is not PONG."""
     while True:
         try:
             assert await exchange_line(address, b"PING\r\n") == b"PONG\r\n"
@@ -69,12 +69,12 @@
 
 
 class FakeEndpoint:
-    """Serves each connection by a script, which is called with the connection's first line.
+    """Endpoint that serves each connection by a script, which is called with the connection's first line.
 
     Attributes:
-        request_lines: the first line of each connection; empty where it was closed before one came.
-        open_connections: how many connections are open now.
-        max_open_connections: how many have been open at once.
+        request_lines: First line of each connection; empty if it was closed before one arrived.
+        open_connections: Number of connections that are open.
+        max_open_connections: Maximum number of connections that were open at once.
     """
 
     def __init__(self, script: EndpointScript) -> None:
@@ -99,14 +99,14 @@
 
 
 async def echo_lines(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes) -> None:
-    """Accepts the request, and sends every line back until the client closes the connection."""
+    """Accept the request, and send every line back until the client closes the connection."""
     writer.write(b"UP r1\r\n")
     while received := await reader.readline():
         writer.write(received)
 
 
 def respond_with(response: bytes) -> EndpointScript:
-    """Returns a script that sends ``response`` and closes the connection."""
+    """Return a script that sends ``response`` and closes the connection."""
 
     async def script(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes) -> None:
         writer.write(response)
@@ -116,24 +116,27 @@
 
 
 async def reset_connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes) -> None:
-    """Resets the connection instead of responding."""
+    """Reset the connection instead of responding."""
     writer.transport.abort()
 
 
 async def never_respond(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes) -> None:
-    """Keeps the connection open without a response until the client closes it."""
+    """Keep the connection open without a response until the client closes it."""
     await reader.read()
 
 
 class WatchRequest(NamedTuple):
-    """A watch that a discovery received: when, on the monotonic clock, and its request line."""
+    """Request of a watch: the time of its receipt, on the monotonic clock, and its request line."""
 
     received_at_s: float
     request_line: bytes
 
 
 class FakeDiscovery:
-    """Answers each watch with the next of ``responses``, and every further one with the last of them."""
+    """Discovery that answers each watch with the next of ``responses``, and all further ones with the last.
+
+    The connection is closed after the response, unless it is chunked and does not end with ``#``.
+    """
 
     def __init__(self, *responses: bytes) -> None:
         self.responses = list(responses)
@@ -151,14 +154,14 @@
 
 
 def encode_watch_response(*objects: JsonObject) -> bytes:
-    """Returns the response to a watch: one chunk for each object, and the stream left open."""
+    """Return the response to a watch: one chunk for each object, without the end of the stream."""
     parts = [json.dumps(value).encode() + b"\n" for value in objects]
     body = b"".join(b"%x\r\n%s\r\n" % (len(part), part) for part in parts)
     return b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + body
 
 
 def make_endpoint_list(endpoints: dict[str, Address], version: int = 1, state: str = "ready") -> JsonObject:
-    """Returns a complete endpoint list with all ``endpoints`` in one ``state``."""
+    """Return a full endpoint list with all ``endpoints`` in one ``state``."""
     servers = [
         {"id": name, "addr": f"{host}:{port}", "state": state} for name, (host, port) in endpoints.items()
     ]
@@ -167,7 +170,7 @@
 
 @asynccontextmanager
 async def running_server(peer: FakeEndpoint | FakeDiscovery) -> AsyncIterator[None]:
-    """Serves ``peer`` on a free loopback port, which is set as its ``address``."""
+    """Serve ``peer`` on a free loopback port, which is set as its ``address``."""
     server = await asyncio.start_server(peer.serve, "127.0.0.1", 0)
     peer.address = server.sockets[0].getsockname()[:2]
     try:
@@ -177,7 +180,7 @@
 
 
 def write_config(folder: Path, discovery: Address, known: JsonObject | None = None, **fields: object) -> Path:
-    """Writes the platform's config file of a relay; ``fields`` are added or replace the usual ones."""
+    """Write the platform's config file of a relay; ``fields`` are added to the defaults or replace them."""
     file = folder / "config.json"
     content = {
         "name": "n1",
@@ -195,9 +198,9 @@
 async def start_endpoints_and_discovery(
     stack: AsyncExitStack, endpoints: Sequence[FakeEndpoint]
 ) -> tuple[dict[str, Address], FakeDiscovery]:
-    """Starts ``endpoints``, named a, b, c in their order, and a discovery that lists them as version 2.
+    """Start ``endpoints``, named a, b, c in their order, and a discovery that lists them as version 2.
 
-    Returns the endpoints' addresses by name, and the discovery; ``stack`` stops them all.
+    Return the endpoints' addresses by name, and the discovery; ``stack`` stops them all.
     """
     for endpoint in endpoints:
         await stack.enter_async_context(running_server(endpoint))
@@ -211,7 +214,7 @@
 async def running_relay(
     folder: Path, *scripts: EndpointScript, operator: JsonObject | None = None, **fields: object
 ) -> AsyncIterator[tuple[Relay, list[FakeEndpoint]]]:
-    """Runs a relay and one endpoint for each script; its endpoint list names them a, b, c in their order."""
+    """Run a relay and one endpoint for each script; its endpoint list names them a, b, c in their order."""
     file = folder / "operator.json"
     file.write_text(json.dumps(operator or {}))
     endpoints = [FakeEndpoint(script) for script in scripts]
--- a/tests/support/ports.py
+++ b/tests/support/ports.py
@@ -9,12 +9,12 @@
 
 
 def find_free_port() -> int:
-    """Returns a loopback port on which nothing listens at present."""
+    """Return a loopback port on which nothing listens at present."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         return int(probe.getsockname()[1])
 
 
 def count_open_descriptors() -> int:
-    """Returns the number of descriptors that this process has open."""
+    """Return the number of descriptors that this process has open."""
     return len(os.listdir("/proc/self/fd"))
