--- a/sageturn/core/__init__.py
+++ b/sageturn/core/__init__.py
@@ -1,1 +1,1 @@
-"""The part of the relay that is the same for every protocol: nothing here knows sockets, HTTP or XML."""
+"""The protocol-independent part of the relay: no module here uses sockets, HTTP or XML."""
--- a/sageturn/core/attempt_guard.py
+++ b/sageturn/core/attempt_guard.py
@@ -1,4 +1,4 @@
-"""The guard of one request checks its invariants before a write, and as it is answered and closed."""
+"""Checks the invariants of one request before each write, when it is answered and when it is closed."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 from sageturn.core.invariants import Invariant, InvariantMonitor
 from sageturn.decision import Effect, RequestClass
 
-MAX_RESPONSE_DELAY_MS = 500.0  # the protocol counts a later answer as lost
+MAX_RESPONSE_DELAY_MS = 500.0  # the protocol counts a response as lost if it is delayed by more
 
 
 class Violation(NamedTuple):
-    """An invariant that does not hold, and the facts that show it."""
+    """An invariant that does not hold, with the details for the log."""
 
     invariant: Invariant
     detail: str
 
 
 class AttemptGuard:
-    """Checks the invariants of one request. Pure: the caller passes the time, in milliseconds.
+    """Checker of one request's invariants. It does no I/O: the caller passes the time, in milliseconds.
 
-    The balancer decides by the same rules. If it, or the order of events on the way from it, is wrong, that
-    is noticed here, and nothing reaches an endpoint.
+    The balancer decides by the same rules. The guard catches a fault in the balancer, or instructions that
+    arrive out of order, before anything is written to an endpoint.
     """
 
     __slots__ = (
@@ -42,13 +42,13 @@
         client_deadline_ms: float,
         monitor: InvariantMonitor,
     ) -> None:
-        """Make the guard of a request that has had no attempt.
+        """Create the guard of a request that has had no attempt.
 
         Args:
-            log_id: by which the log names the request.
-            request_class: says what may be repeated.
-            max_attempts: how many attempts the settings allow.
-            client_deadline_ms: when the request's client gives up.
+            log_id: id of the request in log lines.
+            request_class: determines whether a request that may have been executed can be repeated.
+            max_attempts: number of attempts that the settings allow.
+            client_deadline_ms: time at which the client gives up.
             monitor: counts and logs violations.
         """
         self._log_id = log_id
@@ -60,19 +60,19 @@
         self._attempts = 0
 
     def begin_attempt(self) -> None:
-        """Count an attempt that begins: from here on a connection may be open for it."""
+        """Count an attempt that begins; a connection may be open for it from now on."""
         self._open_attempts += 1
         self._attempts += 1
 
     def end_attempt(self) -> None:
-        """Count the attempt in flight as ended: its connection is closed, or established for good."""
+        """Count the attempt in flight as ended: its connection was closed or is established."""
         self._open_attempts -= 1
 
     def may_send(self, now_ms: float, first_execution_ms: float | None) -> bool:
         """Return whether the request may be written to an endpoint now; report the violation if not.
 
         Args:
-            now_ms: the time.
+            now_ms: current time.
             first_execution_ms: start of the first attempt that may have been executed; None if there is none.
         """
         violation = self._find_violation(now_ms, first_execution_ms)
@@ -97,14 +97,14 @@
         return self._request_class.effect == Effect.SAFE
 
     def check_response(self, now_ms: float) -> None:
-        """Check that the final response, which is about to be sent, is in time."""
-        late_ms = now_ms - self._client_deadline_ms
-        if late_ms > MAX_RESPONSE_DELAY_MS:
+        """Report a violation if the final response, which is about to be sent, is too late for the client."""
+        delay_ms = now_ms - self._client_deadline_ms
+        if delay_ms > MAX_RESPONSE_DELAY_MS:
             self._monitor.report_violation(
-                Invariant.RESPONSE_IN_TIME, self._log_id, f"{late_ms:.0f} ms after its client gave up"
+                Invariant.RESPONSE_IN_TIME, self._log_id, f"{delay_ms:.0f} ms after its client gave up"
             )
 
-    def check_closed(self, *, is_answered: bool, has_client_left: bool) -> None:
-        """Check that the client of a request that has ended was answered, before its connection closes."""
-        if not is_answered and not has_client_left:
+    def check_closed(self, *, is_answered: bool, has_client_disconnected: bool) -> None:
+        """Report a violation if the request has ended and its connected client was not answered."""
+        if not is_answered and not has_client_disconnected:
             self._monitor.report_violation(Invariant.ANSWERED, self._log_id, "closed without an answer")
--- a/sageturn/core/attempt_log.py
+++ b/sageturn/core/attempt_log.py
@@ -1,4 +1,4 @@
-"""Logs attempts that were not established, which explains the retry or the final response that follows."""
+"""Logs failed attempts, so that the log explains the retry or the final response that follows."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
     """Log one failed attempt.
 
     Args:
-        log_id: by which the log names the request.
-        attempt: its number, counted from 0; the log counts from 1.
-        endpoint: the name of the endpoint.
-        close_reason: why it failed.
-        duration_ms: how long it took.
+        log_id: id of the request in log lines.
+        attempt: index of the attempt, counted from 0; the log counts from 1.
+        endpoint: name of the endpoint.
+        close_reason: reason for the failure.
+        duration_ms: duration of the attempt.
     """
     log.info(
         "attempt failed request=%s attempt=%d endpoint=%s reason=%s duration_s=%.3f may_have_run=%s",
--- a/sageturn/core/balancer_actor.py
+++ b/sageturn/core/balancer_actor.py
@@ -1,4 +1,4 @@
-"""The only caller of ``Balancer``: owns its clock, its timers, and the directory of requests."""
+"""The actor that owns the ``Balancer``, its clock, its timers and the directory of requests."""
 
 from __future__ import annotations
 
@@ -24,28 +24,28 @@
 
 log = logging.getLogger(__name__)
 
-MAX_QUEUED_EVENTS = 4096  # far more than all connections can have in flight at once
+MAX_QUEUED_EVENTS = 4096  # far more events than all connections can have in flight at once
 
 
 class BalancerObserver(Protocol):
-    """Sees every event of the balancer and its actions. It decides nothing, and may never block."""
+    """Observer of the balancer's events and actions. It makes no decisions and must never block."""
 
     def before_event(self, now_ms: float, event: decision.Event) -> None:
-        """Called before the balancer gets an event; may fill in fields of a request's event."""
+        """Handle an event before the balancer does; may fill in fields of a request's event."""
 
     def after_event(self, now_ms: float, event: decision.Event, actions: Sequence[decision.Action]) -> None:
-        """Called once the balancer has decided, before its actions are carried out."""
+        """Handle the balancer's decision on an event before its actions are carried out."""
 
     def on_migrated_by_others(self, now_ms: float, request_id: int) -> None:
-        """Called when a graceful shutdown migrates a connection, which the balancer has not asked for."""
+        """Handle a migration that a graceful shutdown requested, not the balancer."""
 
 
 def ignore_health_check(endpoint: str) -> None:
-    """Stands in for a client of health checks where the settings allow none."""
+    """Send no health check; the default where the settings disable health checks."""
 
 
 class BalancerActor:
-    """Feeds the balancer with events one by one, and turns its actions into instructions to requests."""
+    """Actor that passes events to the balancer one by one, and its actions to requests as instructions."""
 
     def __init__(
         self,
@@ -55,14 +55,14 @@
         request_watch: Callable[[], None],
         check_endpoint_health: Callable[[str], None] = ignore_health_check,
     ) -> None:
-        """Make the balancer; ``run`` starts the actor.
+        """Create the balancer; ``run`` starts the actor.
 
         Args:
-            settings: what the operators allow the balancer.
-            seed: of the balancer's random choices.
-            clock: the relay's time, which all events carry.
-            request_watch: called when the balancer wants to be notified of changes of the endpoint list.
-            check_endpoint_health: sends a health check to an endpoint.
+            settings: the balancer's settings.
+            seed: seed of the balancer's random choices.
+            clock: clock of the relay's time, by which the balancer handles events.
+            request_watch: called when the balancer requests a watch on the endpoint list.
+            check_endpoint_health: sends a health check to the endpoint with this name.
         """
         self.settings = settings
         self.classes = {cls.name: cls for cls in settings.classes}
@@ -79,19 +79,19 @@
         self._reported_overdrawn_permits = 0
         self.check_endpoint_health = check_endpoint_health
 
-    # ------------------------------------------------------------ for requests and other parts
+    # ------------------------------------------------------------ interface of requests and subsystems
 
     @property
     def balancer(self) -> Balancer:
-        """The balancer, for tests and measurements, which may look at its state; only the actor calls it."""
+        """The balancer, for tests and measurements that read its state; only the actor may call it."""
         return self._balancer
 
     async def post_event(self, event: decision.Event) -> None:
-        """Queue an event; waits while the mailbox is full, as backpressure on whoever floods it."""
+        """Queue an event; wait while the mailbox is full, which applies backpressure to the sender."""
         await self._mailbox.put(event)
 
     def migrate_connection(self, request_id: int) -> None:
-        """Have an established connection's client reconnect, as a migration of the balancer's own does."""
+        """Migrate an established connection in the same way as a migration that the balancer requests."""
         self.requests.instruct(request_id, RedirectClient())
 
     def notify_migrated_by_shutdown(self, request_id: int) -> None:
@@ -100,7 +100,10 @@
             observer.on_migrated_by_others(self.clock.now_ms(), request_id)
 
     def snapshot_endpoints(self, names: Iterable[str] | None = None) -> list[EndpointSnapshot]:
-        """Return the endpoints as the balancer sees them now: all that are not gone, or those named."""
+        """Return the balancer's current view of its endpoints.
+
+        ``names`` limits them to these; None stands for all that have not been removed from the list.
+        """
         return snapshot_endpoints(self._balancer, self.clock.now_ms(), names)
 
     # ------------------------------------------------------------ the actor
@@ -129,7 +132,7 @@
             try:
                 self._carry_out(action)
             except Exception:
-                # The other actions can still be carried out.
+                # A failed action must not prevent the remaining ones.
                 log.exception(
                     "action failed action=%s request=%s",
                     type(action).__name__,
@@ -137,7 +140,7 @@
                 )
 
     def _fail_event(self, event: decision.Event) -> None:
-        """Answer only the event's own request: no other may lose its connection by the balancer's fault."""
+        """Answer only the event's own request; a fault in the balancer must not end any other connection."""
         request_id: int | None = getattr(event, "id", None)
         log.exception(
             "balancer failed event=%s request=%s", type(event).__name__, self.requests.log_id(request_id)
@@ -146,7 +149,7 @@
             self.requests.instruct(request_id, FinalResponse(rejected=False, reason=ResponseReason.INTERNAL))
 
     def _notify(self, observer: BalancerObserver, callback: Callable[..., None], *arguments: object) -> None:
-        """Call an observer, and remove it if it fails: no decision may wait for it, or be lost with it."""
+        """Call an observer, and remove it if it fails: its failure must not stop the balancer's decisions."""
         try:
             callback(*arguments)
         except Exception:
@@ -180,7 +183,7 @@
                 self.check_endpoint_health(endpoint)
 
     def _reject_cause(self) -> str:
-        """Return why the balancer has just ended a request; empty where it gives no cause."""
+        """Return the cause for which the balancer has just ended a request; empty if it gives none."""
         cause = self._balancer.reject_cause
         return "" if cause is None else cause.value
 
--- a/sageturn/core/close_reason.py
+++ b/sageturn/core/close_reason.py
@@ -1,4 +1,4 @@
-"""The reasons for which a connection to an endpoint closes, and the balancer's status for each."""
+"""The reasons for closing a connection to an endpoint, and the balancer's status for each."""
 
 from __future__ import annotations
 
@@ -8,37 +8,37 @@
 
 
 class CloseReason(Enum):
-    """Says why a connection closed.
+    """Reason for which a connection closed.
 
     The names in lower case are keys of the state record ``state/NODE/relay``.
     """
 
-    SERVED = auto()  # the endpoint said that it is done
-    SENT_AWAY = auto()  # a draining endpoint asked the client to go elsewhere
+    SERVED = auto()  # the endpoint reported that it is done with the request
+    SENT_AWAY = auto()  # a draining endpoint asked the client to reconnect elsewhere
     ERROR = auto()  # the endpoint answered with an error
     GARBLED = auto()  # the endpoint's answer could not be parsed
     BUSY = auto()  # the endpoint rejected the request without executing it
-    REFUSED = auto()  # connection refused: nobody listens there
-    NO_CONNECT = auto()  # the connection was never established
-    CUT_BEFORE_WRITTEN = auto()  # it broke before the request was written completely
-    RESET = auto()  # it broke after that
-    ENDED = auto()  # the endpoint closed it after that, without an answer
+    REFUSED = auto()  # connection refused: nothing listens at the endpoint's address
+    NO_CONNECT = auto()  # the transport connection could not be opened
+    CUT_BEFORE_WRITTEN = auto()  # the connection broke before the request was written completely
+    RESET = auto()  # the connection broke after the request was written
+    ENDED = auto()  # the endpoint closed the connection after the request was written, without an answer
     TIMEOUT = auto()  # the endpoint did not answer in time
-    MUTE = auto()  # idle timeout: the endpoint of an established connection sends nothing any more
+    MUTE = auto()  # idle timeout: the endpoint of an established connection is unresponsive
     CANCELLED = auto()  # the balancer abandoned the attempt
     MOVED = auto()  # the client was migrated, by the balancer or a shutdown
-    CUT_OFF = auto()  # it was to be migrated, but did not take the notice in time
-    CLIENT_LEFT = auto()  # the client closed in order
+    CUT_OFF = auto()  # the client had to be migrated, but did not read the notice in time
+    CLIENT_LEFT = auto()  # the client closed its connection in order
     CLIENT_RESET = auto()  # the client's connection broke
-    CLIENT_FAULT = auto()  # the client did not wait for its answer, and sent more than it may
-    NOT_SENT = auto()  # the attempt could not begin: no address, no descriptor, or the endpoint drains
+    CLIENT_FAULT = auto()  # the client sent more than is allowed before it was answered
+    NOT_SENT = auto()  # nothing was sent, e.g. no address, no descriptor, or a draining endpoint
 
 
-# The client can't be answered any more.
-CLIENT_DISCONNECTED = (CloseReason.CLIENT_LEFT, CloseReason.CLIENT_RESET)
-# No further attempt is made for the client.
-CLIENT_FINISHED = (*CLIENT_DISCONNECTED, CloseReason.CLIENT_FAULT)
-# The endpoint can't have received the complete request, so that the attempt may be repeated at once.
+# The client has disconnected and can't be answered any more.
+CLIENT_DISCONNECT_REASONS = (CloseReason.CLIENT_LEFT, CloseReason.CLIENT_RESET)
+# The client ended the request, so no further attempt is made.
+CLIENT_CAUSED_REASONS = (*CLIENT_DISCONNECT_REASONS, CloseReason.CLIENT_FAULT)
+# The endpoint can't have received the complete request, so the attempt may be repeated at once.
 NOT_WRITTEN_REASONS = (CloseReason.NO_CONNECT, CloseReason.CUT_BEFORE_WRITTEN, CloseReason.NOT_SENT)
 
 _STATUS_BY_REASON = {
@@ -65,10 +65,10 @@
 
 
 def outcome_status(close_reason: CloseReason) -> AttemptStatus:
-    """Return the balancer's status for a close reason; the two vocabularies meet only here."""
+    """Return the balancer's status for a close reason. This is the only mapping between the two."""
     return _STATUS_BY_REASON[close_reason]
 
 
 def may_have_been_executed(close_reason: CloseReason) -> bool:
-    """Return whether the endpoint may have executed the request, by the balancer's list of statuses."""
+    """Return whether the endpoint may have executed the request, according to the balancer's statuses."""
     return outcome_status(close_reason) not in NOT_EXECUTED_STATUSES
--- a/sageturn/core/connection_adoption.py
+++ b/sageturn/core/connection_adoption.py
@@ -1,9 +1,9 @@
-"""Takes over a connection that was established before this relay started."""
+"""Adopts a connection that was established before this relay started."""
 
 from __future__ import annotations
 
 from sageturn.core.close_reason import (
-    CLIENT_DISCONNECTED,
+    CLIENT_DISCONNECT_REASONS,
     NOT_WRITTEN_REASONS,
     CloseReason,
     may_have_been_executed,
@@ -16,13 +16,14 @@
 from sageturn.core.request_context import RequestContext
 
 ADOPTION_CONNECT_TIMEOUT_MS = 5000.0
-ADOPTED_ATTEMPT = 0  # to the balancer it is the first attempt, however many there were
+ADOPTED_ATTEMPT_INDEX = 0  # reported to the balancer as the first attempt, however many were made
 
 
 class ConnectionAdoption:
-    """Reconnects a client to the endpoint that held its connection; no other endpoint will do.
+    """Reconnection of a client to the endpoint of its former connection; no other endpoint is tried.
 
-    Such clients come all at once after a restart, so a connect that takes long is no sign of a fault.
+    After a restart such clients arrive all at once, so a slow connect does not indicate a fault. Therefore
+    ``ADOPTION_CONNECT_TIMEOUT_MS`` applies instead of the connect timeout in the settings.
     """
 
     __slots__ = ("_attempts", "_checks", "_context", "_established", "_responder")
@@ -42,7 +43,7 @@
         self._established = established
 
     async def run(self) -> None:
-        """Run the connection to its end, or answer the client that it is lost."""
+        """Run the connection to its end, or answer the client that it could not be adopted."""
         context = self._context
         request = context.record.request
         context.record.endpoint = request.established_endpoint
@@ -51,10 +52,10 @@
             await self._fail(close_reason)
             return
         await context.balancer_actor.post_event(make_connection_adopted(context.handle.id, request))
-        await self._established.run(ADOPTED_ATTEMPT, request.established_endpoint)
+        await self._established.run(ADOPTED_ATTEMPT_INDEX, request.established_endpoint)
 
     async def _reconnect(self, endpoint: str) -> CloseReason | None:
-        """Connect, and retry what was not written. Returns why that failed; None once it is established."""
+        """Connect, and retry while nothing was written. Return why it failed; None once it is established."""
         context = self._context
         record = context.record
         close_reason: CloseReason | None = CloseReason.NOT_SENT
@@ -74,7 +75,7 @@
         context.record.close_reason = close_reason
         if may_have_been_executed(close_reason):
             self._checks.record_possible_execution(context.record.started_ms)
-        if close_reason in CLIENT_DISCONNECTED:
+        if close_reason in CLIENT_DISCONNECT_REASONS:
             return
         if context.drain_forced.is_set():
             await self._responder.send_forced_drain()
--- a/sageturn/core/context.py
+++ b/sageturn/core/context.py
@@ -1,4 +1,4 @@
-"""The parts of the core that every client connection needs, whichever frontend it came by."""
+"""The objects of the core that client connections of all frontends use."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 
 @dataclass(slots=True)
 class RelayContext:
-    """Holds what all frontends and connections of one relay share."""
+    """Objects that all frontends and connections of one relay share."""
 
     balancer_actor: BalancerActor
     endpoint_registry: EndpointRegistry
     request_registry: RequestRegistry
     on_connection_closed: Callable[[ConnectionRecord], None]
-    # How many values of load reports could not be used, by the report's field.
+    # Number of unusable values in load reports, by the report's field.
     invalid_report_values: Counter[str] = field(default_factory=Counter)
 
     async def run_request(self, lifecycle: RequestLifecycle) -> None:
-        """Run a request to its end, registered for a graceful shutdown, and pass its record on."""
+        """Run a request to its end, registered for a graceful shutdown, and report its record."""
         self.request_registry.add(lifecycle)
         try:
             self.on_connection_closed(await lifecycle.run())
--- a/sageturn/core/endpoint_registry.py
+++ b/sageturn/core/endpoint_registry.py
@@ -1,4 +1,4 @@
-"""The actor that holds the endpoint list: addresses and states, and the control of the discovery watch."""
+"""The actor that holds the endpoint list with addresses and states, and controls the discovery watch."""
 
 from __future__ import annotations
 
@@ -25,21 +25,21 @@
 
 MAX_QUEUED_MESSAGES = 64
 WATCH_REQUEST_RETRY_S = 0.5
-MAX_GONE_ADDRESSES = 512  # more than the largest release replaces at once
+MAX_REMOVED_ADDRESSES = 512  # more endpoints than the largest release replaces at once
 
 
 def drop_unaddressed(
-    update: EndpointListUpdate, known_addresses: Mapping[str, tuple[str, int]]
+    update: EndpointListUpdate, earlier_addresses: Mapping[str, tuple[str, int]]
 ) -> EndpointListUpdate:
-    """Return the list without ready endpoints that have no address: no attempt can be sent to them.
+    """Return ``update`` without ready endpoints that have no address: no attempt can be sent to them.
 
     Args:
-        update: the list, or its changes.
-        known_addresses: of earlier lists, which hold for an entry without one.
+        update: the complete list, or its changes.
+        earlier_addresses: addresses of earlier lists, which stay valid for entries without an address.
     """
     usable = []
     for endpoint in update.endpoints:
-        is_addressed = endpoint.name in update.addresses or endpoint.name in known_addresses
+        is_addressed = endpoint.name in update.addresses or endpoint.name in earlier_addresses
         if is_addressed or endpoint.state != EndpointStatus.READY:
             usable.append(endpoint)
         else:
@@ -48,23 +48,23 @@
 
 
 class DiscoveryWatcher(Protocol):
-    """Holds a watch on the endpoint list open, and reports to ``EndpointRegistry.on_watch_event``."""
+    """Client of discovery that holds a watch open and reports to ``EndpointRegistry.on_watch_event``."""
 
     def start(self, after_version: int) -> int:
-        """Begin a watch in place of the previous one; returns the number under which it reports."""
+        """Open a watch in place of the previous one; return the number under which it reports."""
 
 
 def never_out_of_service(_endpoint: str) -> bool:
-    """Stands in for operators' overrides where they are off."""
+    """Return False for every endpoint; used where operators' overrides are disabled."""
     return False
 
 
 class EndpointRegistry:
-    """Keeps the endpoint list of one relay, and controls the watch that keeps it current."""
+    """Endpoint list of one relay, and control of the watch that updates it."""
 
     def __init__(
         self,
-        known: EndpointListUpdate,
+        initial_list: EndpointListUpdate,
         post_event: Callable[[decision.Event], Awaitable[None]],
         watcher: DiscoveryWatcher | None = None,
         *,
@@ -72,44 +72,45 @@
         clock: Clock | None = None,
         is_out_of_service: Callable[[str], bool] = never_out_of_service,
     ) -> None:
-        """Start from the list ``known``; ``run`` starts the actor.
+        """Create the registry; ``run`` starts the actor.
 
         Args:
-            known: the list of the configuration, or an empty one.
-            post_event: takes what the balancer is to be notified of.
-            watcher: opens watches; None where the list comes by ``apply_update`` alone.
-            pushed: changes come without a request of the balancer; on sockets by a watch, opened at once.
-            clock: the balancer's, to whose time start times are converted.
-            is_out_of_service: whether an operator has taken an endpoint out of service.
+            initial_list: list of the configuration, or an empty one.
+            post_event: queues an event for the balancer.
+            watcher: opens watches; None if updates come by ``apply_update`` only.
+            pushed: discovery pushes changes, so the watch is opened at the start without a request of the
+                balancer.
+            clock: the balancer's clock, to whose time start times are converted.
+            is_out_of_service: returns whether an operator has taken an endpoint out of service.
         """
         self._start_times = StartTimes(clock or Clock())
         self._mailbox: asyncio.Queue[RegistryMessage] = asyncio.Queue(MAX_QUEUED_MESSAGES)
         self._post_event = post_event
-        known = drop_unaddressed(known, {})
-        self._known = known
+        initial_list = drop_unaddressed(initial_list, {})
+        self._initial_list = initial_list
         self._pushed = pushed
-        self.version = known.version
-        self.addresses = dict(known.addresses)
-        self.states = {endpoint.name: endpoint.state for endpoint in known.endpoints}
+        self.version = initial_list.version
+        self.addresses = dict(initial_list.addresses)
+        self.states = {endpoint.name: endpoint.state for endpoint in initial_list.endpoints}
         self.has_ready_endpoint = asyncio.Event()
         self.is_out_of_service = is_out_of_service
         self._watcher = watcher
-        self.watch_number = 0  # of the watch that is open, or was opened last
-        self._is_watch_open = False  # it was started, and has not been reported to have failed
+        self.watch_number = 0  # number of the watch that was opened last
+        self._is_watch_open = False  # True from its start until it is reported to have failed
 
     async def post_message(self, message: RegistryMessage) -> None:
-        """Queue a message for ``run``; waits while the mailbox is full."""
+        """Queue a message for ``run``; wait while the mailbox is full."""
         await self._mailbox.put(message)
 
     async def on_watch_event(self, watch_number: int, event: EndpointListUpdate | WatchFailed) -> None:
-        """Queue what a watch reports; waits while the mailbox is full, which holds that watch back."""
+        """Queue an event of a watch; wait while the mailbox is full, as backpressure on that watch."""
         await self._mailbox.put(WatchEvent(watch_number, event))
 
     def is_ready_at(self, endpoint: str, address: tuple[str, int]) -> bool:
-        """Return whether an attempt that took long to connect may still send its request to ``endpoint``.
+        """Return whether an attempt that connected to ``address`` may send its request to ``endpoint``.
 
-        An endpoint that was gone and is listed again under its name may be another process, at another
-        ``address`` than the attempt connected to.
+        An endpoint that was removed and is listed again under the same name may be another process at another
+        address.
         """
         if self.addresses.get(endpoint) != address:
             return False
@@ -117,7 +118,7 @@
         return is_ready and not self.is_out_of_service(endpoint)
 
     def request_watch(self) -> None:
-        """Ask for the next watch. Never waits: it is called by the balancer's actor."""
+        """Request the next watch, without waiting, since the balancer's actor calls this."""
         try:
             self._mailbox.put_nowait(WatchRequested())
         except asyncio.QueueFull:
@@ -125,22 +126,22 @@
             asyncio.get_running_loop().call_later(WATCH_REQUEST_RETRY_S, self.request_watch)
 
     async def run(self) -> None:
-        """Handle messages until cancelled; the balancer is given the known list first."""
+        """Send the initial list to the balancer, then handle messages until cancelled."""
         self._update_readiness()
-        known = self._start_times.convert(self._known.endpoints, is_full=True, is_current=False)
-        await self._post_event(decision.EndpointListEvent(ListEventKind.STALE, known))
+        initial_list = self._start_times.convert(self._initial_list.endpoints, is_full=True, is_current=False)
+        await self._post_event(decision.EndpointListEvent(ListEventKind.STALE, initial_list))
         if self._pushed:
             self._start_watch()
         while True:
             match await self._mailbox.get():
                 case WatchRequested():
                     # A watch is open already if discovery's address has changed since the balancer set its
-                    # timer. Replacing it would lose its call's place in discovery's queue.
+                    # timer. A new watch would queue at discovery again, after the calls of other relays.
                     if not self._is_watch_open:
                         self._start_watch()
                 case DiscoveryAddressChanged():
-                    # Versions at the new address need not continue the old ones, so a full list is needed.
-                    # The known list stays in use until that has come.
+                    # Versions at the new address need not continue the old ones, so a full list is requested.
+                    # The current list stays in use until that arrives.
                     self.version = 0
                     self._start_watch()
                 case WatchEvent(watch_number, WatchFailed() as failed):
@@ -149,26 +150,27 @@
                     await self._on_update(watch_number, update)
 
     def apply_update(self, update: EndpointListUpdate) -> None:
-        """Take over addresses and states from ``update``; the balancer is not notified here."""
-        # Addresses of those gone are kept: an attempt may be placed in the moment before the balancer knows.
+        """Apply the addresses and states of ``update``, without notifying the balancer."""
+        # Addresses of removed endpoints are retained: the balancer may still place an attempt on one before
+        # it is notified.
         self.addresses.update(update.addresses)
         if update.full:
             self.states.clear()
         self.states.update({endpoint.name: endpoint.state for endpoint in update.endpoints})
-        self._forget_old_endpoints()
+        self._drop_removed_endpoints()
         self._update_readiness()
 
-    def _forget_old_endpoints(self) -> None:
-        """Drop the oldest addresses of endpoints that are gone: each release brings new names."""
+    def _drop_removed_endpoints(self) -> None:
+        """Drop removed endpoints and their oldest addresses, which would grow in number with each release."""
         for name in [name for name, state in self.states.items() if state == EndpointStatus.GONE]:
             del self.states[name]
-        if len(self.addresses) > len(self.states) + MAX_GONE_ADDRESSES:
-            gone = [name for name in self.addresses if name not in self.states]
-            for name in gone[:-MAX_GONE_ADDRESSES]:
+        if len(self.addresses) > len(self.states) + MAX_REMOVED_ADDRESSES:
+            removed = [name for name in self.addresses if name not in self.states]
+            for name in removed[:-MAX_REMOVED_ADDRESSES]:
                 del self.addresses[name]
 
     async def _on_watch_failed(self, watch_number: int, failed: WatchFailed) -> None:
-        # The failure of a watch that was replaced is expected, and must not end the new one.
+        # A replaced watch is expected to fail; this must not mark the new one as failed.
         is_replaced = watch_number != self.watch_number
         log.info(
             "discovery watch failed failure=%s watch=%d replaced=%s reason=%s",
@@ -182,8 +184,8 @@
             await self._post_event(decision.EndpointListEvent(ListEventKind.FAILED, [], failed.failure))
 
     async def _on_update(self, watch_number: int, update: EndpointListUpdate) -> None:
-        # What a replaced watch had still reported is known from then on. But the version from which the next
-        # watch continues is set by the new one alone: its source may count otherwise.
+        # Updates that a replaced watch had queued are applied too. Only the current watch sets the version
+        # from which the next one continues, since its source may number versions differently.
         if watch_number == self.watch_number:
             self.version = update.version
         update = drop_unaddressed(update, self.addresses)
@@ -209,6 +211,6 @@
             self._is_watch_open = True
 
     def _update_readiness(self) -> None:
-        """Note that the relay is of use to clients, once any endpoint takes their requests."""
+        """Set ``has_ready_endpoint`` once any endpoint is ready; it is never cleared."""
         if EndpointStatus.READY in self.states.values():
             self.has_ready_endpoint.set()
--- a/sageturn/core/endpoint_snapshot.py
+++ b/sageturn/core/endpoint_snapshot.py
@@ -1,4 +1,4 @@
-"""Snapshots of the endpoints as the balancer sees them, for those who plan around its decisions."""
+"""Snapshots of the balancer's view of its endpoints, for components that plan around its decisions."""
 
 from __future__ import annotations
 
@@ -12,40 +12,40 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointSnapshot:
-    """Shows one endpoint as the balancer sees it now. ``size`` includes its weight and its slow start."""
+    """The balancer's view of one endpoint. ``size`` reflects its weight and its slow start."""
 
     name: str
     size: float
-    ready: bool  # listed ready, and not ejected
-    # Attempts that it may be sent before it has answered any; 0 while it is full or sheds load.
+    ready: bool  # listed as ready, and not ejected
+    # Number of attempts that it may be sent before it answers one; 0 while it is full or sheds load.
     available_capacity: int
     zone: str = ""
     draining: bool = False
-    ejected: bool = False  # listed ready, but ejected for failing
+    ejected: bool = False  # listed as ready, but ejected for failures
     started_ms: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointRestrictions:
-    """Names the endpoints that operators restrict by overrides."""
+    """Names of the endpoints that operators restrict by overrides."""
 
     rebalance_excluded: frozenset[str] = frozenset()
     out_of_service: frozenset[str] = frozenset()
-    evacuating: frozenset[str] = frozenset()  # all their connections are to be migrated
+    evacuating: frozenset[str] = frozenset()  # all connections of these are to be migrated
 
 
 def snapshot_endpoints(
     balancer: Balancer, now_ms: float, names: Iterable[str] | None = None
 ) -> list[EndpointSnapshot]:
-    """Return every endpoint that is not gone, in the order in which the balancer came to know them.
+    """Return every endpoint that has not been removed, in the order in which the balancer first saw them.
 
-    With ``names`` only those are returned, in the order of their names.
+    With ``names``, only these are returned, sorted by name.
     """
-    known = balancer.endpoints
+    endpoints_by_name = balancer.endpoints
     if names is None:
-        chosen = list(known.values())
+        chosen = list(endpoints_by_name.values())
     else:
-        chosen = [known[name] for name in sorted(names) if name in known]
+        chosen = [endpoints_by_name[name] for name in sorted(names) if name in endpoints_by_name]
     return [
         _snapshot(balancer, now_ms, endpoint) for endpoint in chosen if endpoint.state != EndpointStatus.GONE
     ]
@@ -74,6 +74,6 @@
     if endpoint.slow_start is None or started_at_ms is None:
         return capacity
     if now_ms < started_at_ms + balancer.settings.slow_start_ms:
-        # Permits of a slow start are taken one at a time.
+        # Slow start permits are issued one at a time.
         return min(capacity, int(balancer.fleet.has_slow_start_permit(now_ms, endpoint)))
     return capacity
--- a/sageturn/core/errors.py
+++ b/sageturn/core/errors.py
@@ -1,16 +1,16 @@
-"""Errors of the core; all of them are a ``CoreError``."""
+"""Exceptions of the core; all of them derive from ``CoreError``."""
 
 from __future__ import annotations
 
 
 class CoreError(Exception):
-    """Base of all errors that the core raises on its own account."""
+    """Base class of the exceptions that the core defines."""
 
 
 class DecisionOverdueError(CoreError):
-    """The balancer has decided nothing for a request until its client gave up."""
+    """The balancer made no decision on a request before its client's deadline."""
 
     def __init__(self, log_id: str) -> None:
-        """``log_id``: by which the log names the request."""
+        """Create the error for the request with the id ``log_id`` in log lines."""
         super().__init__(f"no decision on request {log_id}")
         self.log_id = log_id
--- a/sageturn/core/established_traffic.py
+++ b/sageturn/core/established_traffic.py
@@ -1,4 +1,4 @@
-"""Serves a request while its connection is established: traffic, migration and reports of its load."""
+"""Serves a request while its connection is established: traffic, migration and load reports."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class EstablishedTraffic:
-    """Serves the client of an established connection until either side closes."""
+    """Stage of a request from the establishment of its connection until either side closes it."""
 
     __slots__ = ("_context",)
 
@@ -20,11 +20,11 @@
         self._context = context
 
     async def run(self, attempt: int, endpoint: str) -> None:
-        """Accept the client and relay its traffic to the end; the balancer is notified how it ended.
+        """Accept the client, relay its traffic to the end and report the outcome to the balancer.
 
         Args:
-            attempt: the number of the attempt that was established, as the balancer counts from 0.
-            endpoint: the name of its endpoint.
+            attempt: index of the established attempt, counted from 0.
+            endpoint: name of its endpoint.
         """
         context = self._context
         record = context.record
@@ -55,10 +55,10 @@
         self._context.drain_requested.set()
 
     async def report_load(self, load_us_per_s: float) -> None:
-        """Pass on what the endpoint reports of this connection's load.
+        """Pass the endpoint's report of this connection's load to the balancer.
 
         Args:
-            load_us_per_s: microseconds of work a second; a value that cannot be right is dropped.
+            load_us_per_s: microseconds of work per second; an invalid value is dropped.
         """
         if not is_usable_load(load_us_per_s):
             return
--- a/sageturn/core/handled_signals.py
+++ b/sageturn/core/handled_signals.py
@@ -1,4 +1,7 @@
-"""The signals that a relay handles. Loads nothing else: they are blocked by the program's first statement."""
+"""The signals that a relay handles.
+
+The program blocks them in its first statement, so this module must import nothing else of the package.
+"""
 
 from __future__ import annotations
 
--- a/sageturn/core/messages.py
+++ b/sageturn/core/messages.py
@@ -1,4 +1,4 @@
-"""The messages that actors and requests send each other."""
+"""The messages that actors and requests exchange."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientRequest:
-    """A client's request, in terms that every frontend can express."""
+    """A client's request in a form that is independent of the frontend."""
 
     class_name: str
     tenant: str
-    timeout_ms: float  # how long the client waits, from the arrival of its request
+    timeout_ms: float  # time that the client waits, counted from the arrival of its request
     group: str = ""
-    expected_load: float = 0.0  # milliseconds of work a second; 0 if unknown
-    established_endpoint: str = ""  # the endpoint of this connection before the relay was restarted
-    client: str = ""  # the client's key, the same after a reconnect
-    returned: bool = False  # the client says that its connection was migrated, or broke
-    retried: bool = False  # the client says that this is a retry
-    client_request_id: str = ""  # by which the request can be followed from relay to relay
+    expected_load: float = 0.0  # milliseconds of work per second; 0 if unknown
+    established_endpoint: str = ""  # endpoint of this connection before the relay was restarted; empty if new
+    client: str = ""  # key of the client, which stays the same when it reconnects
+    returned: bool = False  # the client reports that its previous connection was migrated or broke
+    retried: bool = False  # the client reports that this is a retry
+    client_request_id: str = ""  # id by which the request can be traced across relays
 
 
 def make_request_arrived(request_id: int, deadline_ms: float, request: ClientRequest) -> RequestArrived:
-    """Return the balancer's event for a request that has just come.
+    """Return the balancer's event for a request that has just arrived.
 
-    ``deadline_ms`` is when its client gives up, in the relay's time.
+    ``deadline_ms`` is the request's deadline in the relay's time.
     """
     return RequestArrived(
         request_id,
@@ -56,17 +56,17 @@
 
 
 class ResponseReason(StrEnum):
-    """The reasons that a client is sent with its final response; frontends put them on their wires."""
+    """Reasons given to a client in its final response; the values are sent on the wire."""
 
     UNAVAILABLE = "unavailable"  # no endpoint could serve it
-    LOST = "lost"  # the connection that it had before the relay's start could not be adopted
-    SHUTDOWN = "shutdown"  # the relay stops
+    LOST = "lost"  # the connection from before the relay's start could not be adopted
+    SHUTDOWN = "shutdown"  # the relay is shutting down
     CLIENT_FAULT = "wait for the answer"  # the client sent too much before it was answered
-    INTERNAL = "internal"  # a fault of the relay
+    INTERNAL = "internal"  # the relay has an internal fault
 
 
 class ResponseCause(StrEnum):
-    """The causes of final responses that neither a ``RejectCause`` nor a ``CloseReason`` explains."""
+    """Causes of final responses for which there is no ``RejectCause`` or ``CloseReason``."""
 
     SHUTDOWN = "shutdown"
     CLIENT_FAULT = "client_fault"
@@ -75,12 +75,12 @@
 
 @dataclass(frozen=True, slots=True)
 class FinalResponse:
-    """The one final answer to a request that is not served: a fail-fast rejection, or a failure."""
+    """The single answer to a request that is not served: a fail-fast rejection or a failure."""
 
     rejected: bool
-    retry_after_ms: float = 0.0  # 0 gives no advice on when to retry
-    reason: str = ""  # a ``ResponseReason`` for the client; empty for a rejection by the balancer
-    cause: str = ""  # for logs and counters: a ``ResponseCause``, ``RejectCause`` or ``CloseReason``
+    retry_after_ms: float = 0.0  # 0 if the client is not advised when to retry
+    reason: str = ""  # a ``ResponseReason``, sent to the client; empty for a rejection by the balancer
+    cause: str = ""  # a ``ResponseCause``, ``RejectCause`` or ``CloseReason``, used in logs and counters
 
 
 # ------------------------------------------------------------ instructions to a request
@@ -88,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartAttempt:
-    """Begin the next attempt, at this endpoint; a timeout of 0 stands for the client's own."""
+    """Begin the next attempt, on this endpoint; a timeout of 0 stands for the client's remaining time."""
 
     endpoint: str
     timeout_ms: float
@@ -107,24 +107,25 @@
 Instruction = StartAttempt | CancelAttempt | RedirectClient | FinalResponse
 
 
-# ------------------------------------------------------------ to the endpoint registry
+# ------------------------------------------------------------ messages to the endpoint registry
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointListUpdate:
-    """An object that discovery sent: the changes since the last, or with ``full`` the complete list."""
+    """An update from discovery: the complete list if ``full``, otherwise the changes since the last one."""
 
     version: int
     full: bool
     endpoints: list[Endpoint] = field(default_factory=list)
     addresses: dict[str, tuple[str, int]] = field(default_factory=dict)
-    # How long before this object its watch had last confirmed the list before it; None if it had not.
+    # Time between the watch's latest confirmation of the previous list and this update; None if it had not
+    # confirmed one.
     confirmed_age_ms: float | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class WatchFailed:
-    """A watch could not be established, or broke; ``reason`` is for the log."""
+    """A watch could not be established, or broke; ``reason`` is logged."""
 
     reason: str
     failure: DiscoveryFailure
@@ -132,7 +133,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchEvent:
-    """An event that a watch reports; a watch that was replaced may still have some in the mailbox."""
+    """An event that a watch reports. Events of a replaced watch may still be in the mailbox."""
 
     watch_number: int
     event: EndpointListUpdate | WatchFailed
@@ -140,12 +141,12 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchRequested:
-    """The balancer asks for a watch, from the version that is known on."""
+    """The balancer requests a watch that continues from the current version."""
 
 
 @dataclass(frozen=True, slots=True)
 class DiscoveryAddressChanged:
-    """Discovery has another address: the watch has to begin there, from a complete list on."""
+    """Discovery has a new address, where a watch has to be opened that begins with a complete list."""
 
 
 RegistryMessage = WatchEvent | WatchRequested | DiscoveryAddressChanged
--- a/sageturn/core/proxy_transport.py
+++ b/sageturn/core/proxy_transport.py
@@ -1,4 +1,4 @@
-"""The interface between the core and one client's connection, whatever protocol the client speaks.
+"""The interface between the core and one client's connection, independent of the client's protocol.
 
 Each frontend implements it; only ``RequestLifecycle`` and its stages call it.
 """
@@ -13,36 +13,38 @@
 
 
 class ProxyTransport(Protocol):
-    """One client of one frontend, as the core sees it."""
+    """The core's interface to one client of a frontend."""
 
     async def open_upstream(
         self, endpoint: str, timeout_ms: float, connect_timeout_ms: float, /
     ) -> CloseReason | None:
-        """Make one attempt. Returns None once its connection is established, else why it failed.
+        """Make one attempt. Return None once its connection is established, otherwise why it failed.
 
-        When cancelled it must close its connection.
-
-        Before it connects it asks ``PreWriteChecks.blocking_reason`` of its lifecycle, and
-        ``check_before_write`` just before it writes the request's first byte.
+        An implementation must close the connection when cancelled. It has to call the lifecycle's
+        ``PreWriteChecks.blocking_reason`` before it connects, and ``check_before_write`` just before it
+        writes the request's first byte.
         """
 
     async def close_upstream(self) -> None:
-        """Close a connection that was established although its client has gone."""
+        """Close the connection to the endpoint, which was established after its client had disconnected."""
 
     async def accept_client(self) -> None:
-        """Answer the client that it is served, with what the endpoint gave."""
+        """Report to the client that its connection is established, with the endpoint's answer."""
 
     async def relay_traffic(self, drain_requested: asyncio.Event, /) -> CloseReason:
-        """Forward both ways until either side closes; migrate the client once ``drain_requested`` is set."""
+        """Forward in both directions until either side closes, and return the reason.
+
+        Migrate the client once ``drain_requested`` is set.
+        """
 
     async def send_final_response(self, response: FinalResponse, /) -> None:
         """Send the final response to a request that is not served, and close the client's connection."""
 
     async def wait_client_disconnect(self) -> CloseReason:
-        """Return once the client has disconnected, or is at fault, while its request is unanswered."""
+        """Wait until the client of an unanswered request disconnects or is at fault; return which."""
 
     def poll_client(self) -> CloseReason | None:
-        """Look without waiting whether the client has disconnected, or is at fault; None if it has not.
+        """Return without waiting whether the client has disconnected or is at fault; None if neither.
 
-        The client's FIN may lie unread while other tasks have the core.
+        Other tasks may have kept the event loop busy since the client's FIN arrived, so it may be unread.
         """
--- a/sageturn/core/request_attempts.py
+++ b/sageturn/core/request_attempts.py
@@ -7,8 +7,8 @@
 from sageturn import decision
 from sageturn.core.attempt_log import log_failed_attempt
 from sageturn.core.close_reason import (
-    CLIENT_DISCONNECTED,
-    CLIENT_FINISHED,
+    CLIENT_CAUSED_REASONS,
+    CLIENT_DISCONNECT_REASONS,
     CloseReason,
     may_have_been_executed,
 )
@@ -20,7 +20,7 @@
 
 
 class RequestAttempts:
-    """Runs the attempts that the balancer places, one after the other."""
+    """Stage of a request that runs the attempts placed by the balancer, one after the other."""
 
     __slots__ = ("_checks", "_context", "_established", "_responder")
 
@@ -37,7 +37,7 @@
         self._established = established
 
     async def run(self, instruction: StartAttempt) -> bool:
-        """Run one attempt to its end. Returns whether the request needs nothing more."""
+        """Run one attempt to its end. Return whether the request has ended as well."""
         context = self._context
         record = context.record
         endpoint = instruction.endpoint
@@ -59,7 +59,7 @@
             await self._established.run(attempt, endpoint)
             return True
         self._record_failure(attempt, endpoint, close_reason, started_ms)
-        if close_reason in CLIENT_FINISHED or context.drain_forced.is_set():
+        if close_reason in CLIENT_CAUSED_REASONS or context.drain_forced.is_set():
             await self._abort(attempt, endpoint, close_reason)
             return True
         await context.post_outcome(attempt, endpoint, close_reason, final=False)
@@ -77,7 +77,7 @@
             self._checks.record_possible_execution(started_ms)
 
     async def _abort(self, attempt: int, endpoint: str, close_reason: CloseReason) -> None:
-        """End a request that gets no further attempt; the balancer is still owed the outcome of this one."""
+        """End a request that gets no further attempt; report the outcome of this one to the balancer."""
         context = self._context
         await context.balancer_actor.post_event(decision.ClientDisconnected(context.handle.id))
         await context.post_outcome(attempt, endpoint, close_reason, final=True)
@@ -86,10 +86,10 @@
                 rejected=False, reason=ResponseReason.CLIENT_FAULT, cause=ResponseCause.CLIENT_FAULT
             )
             await self._responder.send(response)
-        elif close_reason not in CLIENT_DISCONNECTED:
+        elif close_reason not in CLIENT_DISCONNECT_REASONS:
             await self._responder.send_forced_drain()
 
-    # ------------------------------------------------------------ one attempt's connection
+    # ------------------------------------------------------------ the connection of an attempt
 
     async def open_upstream(
         self, endpoint: str, timeout_ms: float, connect_timeout_ms: float
@@ -97,7 +97,7 @@
         """Open a connection to ``endpoint``.
 
         Returns:
-            Why that failed; None once the connection is established and the client still there.
+            Why that failed; None if the connection is established and the client still connected.
         """
         context = self._context
         disconnect = context.client.disconnect
@@ -122,7 +122,7 @@
     async def _open_unless_aborted(
         self, endpoint: str, timeout_ms: float, connect_timeout_ms: float
     ) -> CloseReason | None:
-        """Open the connection; cancel that as soon as the client disconnects or the drain is forced."""
+        """Open the connection; cancel this as soon as the client disconnects or the drain is forced."""
         context = self._context
         drain_forced = asyncio.ensure_future(context.drain_forced.wait())
         opening = asyncio.ensure_future(
@@ -135,7 +135,7 @@
         finally:
             drain_forced.cancel()
             if not opening.done():
-                # Never two at once: the next step waits until this attempt's connection is closed.
+                # Attempts must not overlap, so this waits until the connection is closed.
                 opening.cancel()
                 await asyncio.wait((opening,))
         if opening.cancelled():
--- a/sageturn/core/request_context.py
+++ b/sageturn/core/request_context.py
@@ -1,4 +1,4 @@
-"""The state that the stages of one request share: its identity, its limits, its client and its record."""
+"""The state that the stages of one request share: its identity, limits, client and record."""
 
 from __future__ import annotations
 
@@ -15,34 +15,34 @@
 from sageturn.core.request_directory import RequestHandle
 from sageturn.core.tasks import cancel_and_wait
 
-RESPONSE_MARGIN_MS = 15.0  # the final response has to travel too before the client gives up
+RESPONSE_MARGIN_MS = 15.0  # time for the final response to reach the client before it gives up
 
 
-class ClientWatch:
-    """Watches one client for as long as its request is unanswered."""
+class ClientMonitor:
+    """Monitor of one client's connection, active until its request is answered."""
 
     __slots__ = ("_transport", "disconnect")
 
     def __init__(self, transport: ProxyTransport) -> None:
         self._transport = transport
-        # Done once the client has disconnected, or is at fault; cancelled once the request is answered.
+        # Done once the client has disconnected or is at fault; cancelled once the request is answered.
         self.disconnect: asyncio.Future[CloseReason] = asyncio.get_running_loop().create_future()
 
     def start(self) -> None:
-        """Begin to watch; needs a running loop."""
+        """Start monitoring; requires a running loop."""
         self.disconnect = asyncio.ensure_future(self._transport.wait_client_disconnect())
 
     async def stop(self) -> None:
-        """Stop watching. Returns once nothing reads from the client on behalf of the watch any more."""
+        """Stop monitoring. Return once the monitor no longer reads from the client."""
         await cancel_and_wait(self.disconnect)
 
     @property
-    def has_left(self) -> bool:
-        """Whether the watch ended by itself; asked after ``stop``."""
+    def has_disconnected(self) -> bool:
+        """True if the client disconnected or was at fault; valid only after ``stop``."""
         return not self.disconnect.cancelled()
 
     def find_close_reason(self) -> CloseReason | None:
-        """Look at the client once more. Returns why it ends the request; None while it is waiting."""
+        """Check the client now. Return why it ends the request; None while it is waiting for its answer."""
         if self.disconnect.done():
             return self.disconnect.result()
         return self._transport.poll_client()
@@ -50,20 +50,20 @@
 
 @dataclass(slots=True, eq=False)
 class RequestContext:
-    """Holds what the stages of one request share, from its arrival to its end."""
+    """State that the stages of one request share, from its arrival to its end."""
 
     balancer_actor: BalancerActor
     transport: ProxyTransport
     handle: RequestHandle
     record: ConnectionRecord
     request_class: decision.RequestClass
-    deadline_ms: float  # in the relay's time: the balancer may use no more
+    deadline_ms: float  # relay's time at which the request's last attempt must have ended
     guard: AttemptGuard
-    client: ClientWatch
-    is_answered: bool = False  # the client has its final response, or is served
-    # Set by a migration or a shutdown: the client of an established connection is to go elsewhere.
+    client: ClientMonitor
+    is_answered: bool = False  # the client was sent its final response or accepted
+    # Set by a migration or a shutdown: the client of an established connection is to reconnect elsewhere.
     drain_requested: asyncio.Event = field(default_factory=asyncio.Event)
-    # Set when a shutdown has run out of time: an unanswered request is answered at once.
+    # Set when a shutdown runs out of time: an unanswered request is answered at once.
     drain_forced: asyncio.Event = field(default_factory=asyncio.Event)
 
     def now_ms(self) -> float:
@@ -73,7 +73,7 @@
     async def post_outcome(
         self, attempt: int, endpoint: str, close_reason: CloseReason, *, final: bool
     ) -> None:
-        """Report the end of an attempt to the balancer; ``final``: the request needs nothing more."""
+        """Report the end of an attempt to the balancer; ``final`` if the request ends with it."""
         status = outcome_status(close_reason)
         await self.balancer_actor.post_event(
             decision.AttemptEnded(self.handle.id, attempt, endpoint, status, final, self.record.load_report)
@@ -83,7 +83,7 @@
 def new_request_context(
     balancer_actor: BalancerActor, transport: ProxyTransport, request: ClientRequest
 ) -> RequestContext:
-    """Register ``request`` with the balancer's actor. Its time limits count from this moment."""
+    """Register ``request`` with the balancer's actor and return its context. Its timeout starts now."""
     handle = balancer_actor.requests.register(request.client_request_id)
     record = ConnectionRecord(request, balancer_actor.clock.now_ms(), log_id=handle.log_id)
     settings = balancer_actor.settings
@@ -103,5 +103,5 @@
         request_class,
         record.started_ms + max(0.0, request.timeout_ms - RESPONSE_MARGIN_MS),
         guard,
-        ClientWatch(transport),
+        ClientMonitor(transport),
     )
--- a/sageturn/core/request_counters.py
+++ b/sageturn/core/request_counters.py
@@ -10,7 +10,7 @@
 
 
 class SendBlock(StrEnum):
-    """The reasons for which an attempt that the balancer had placed is not written in the end."""
+    """Reasons for not writing an attempt that the balancer has placed."""
 
     CLIENT_GONE = "client_gone"
     SHUTDOWN = "shutdown"
@@ -22,18 +22,18 @@
 
 @dataclass(slots=True)
 class RequestCounters:
-    """Counts the outcomes of one relay. Keys are the values that the log lines show."""
+    """Counters of outcomes in one relay. Keys are the values that the log lines show."""
 
     requests: int = 0
     established: int = 0
     attempts: int = 0
-    failed_attempts: Counter[str] = field(default_factory=Counter)  # by close reason
-    blocked_sends: Counter[str] = field(default_factory=Counter)  # by ``SendBlock``
-    rejected: Counter[str] = field(default_factory=Counter)  # by cause
-    failed: Counter[str] = field(default_factory=Counter)  # by cause
+    failed_attempts: Counter[str] = field(default_factory=Counter)  # number by close reason
+    blocked_sends: Counter[str] = field(default_factory=Counter)  # number by ``SendBlock``
+    rejected: Counter[str] = field(default_factory=Counter)  # number by cause
+    failed: Counter[str] = field(default_factory=Counter)  # number by cause
 
     def count_response(self, response: FinalResponse) -> None:
-        """Count a final response, which says that a request is not served."""
+        """Count a final response, i.e. a request that is not served."""
         (self.rejected if response.rejected else self.failed)[response.cause] += 1
 
 
--- a/sageturn/core/request_directory.py
+++ b/sageturn/core/request_directory.py
@@ -1,4 +1,4 @@
-"""The directory of running requests: their ids, and the way of the balancer's instructions to them."""
+"""The directory of running requests, which passes the balancer's instructions to them by their ids."""
 
 from __future__ import annotations
 
@@ -10,23 +10,23 @@
 
 log = logging.getLogger(__name__)
 
-MAX_QUEUED_INSTRUCTIONS = 8  # a response, an attempt and a redirect can be due together
-REQUEST_ID_COUNT = 1 << 32  # as many as the simulator's protocol has
+MAX_QUEUED_INSTRUCTIONS = 8  # a response, an attempt and a redirect can be queued together
+REQUEST_ID_COUNT = 1 << 32  # number of request ids in the simulator's protocol
 
 
 @dataclass(slots=True, eq=False)
 class RequestHandle:
-    """Identifies one request to the balancer's actor, and carries its instructions to the lifecycle."""
+    """Ids of one request, and the queue of the balancer's instructions to its lifecycle."""
 
-    id: int  # by which the balancer knows the request
-    log_id: str  # as the client named its request; the digits of ``id`` where it did not
+    id: int  # the balancer's id of the request
+    log_id: str  # id in log lines: the client's id of its request, or ``id`` if it gave none
     instructions: asyncio.Queue[Instruction] = field(
         default_factory=lambda: asyncio.Queue(MAX_QUEUED_INSTRUCTIONS)
     )
 
 
 class RequestDirectory:
-    """Finds requests by the ids that the balancer's events and actions carry."""
+    """Directory of requests by the ids that the balancer's events and actions carry."""
 
     def __init__(self) -> None:
         self._handles: dict[int, RequestHandle] = {}
@@ -36,10 +36,10 @@
         return len(self._handles)
 
     def register(self, client_request_id: str) -> RequestHandle:
-        """Register a request, which gets its instructions until ``remove``.
+        """Register a request, which receives instructions until ``remove``.
 
         Args:
-            client_request_id: as the client named its request; empty where it did not.
+            client_request_id: the client's id of its request; empty if it gave none.
         """
         self._last_id = (self._last_id + 1) % REQUEST_ID_COUNT
         handle = RequestHandle(self._last_id, client_request_id or str(self._last_id))
@@ -47,11 +47,11 @@
         return handle
 
     def remove(self, request_id: int) -> None:
-        """Forget a request that has ended; later instructions for it are dropped."""
+        """Remove a request that has ended; later instructions for it are dropped."""
         self._handles.pop(request_id, None)
 
     def instruct(self, request_id: int, instruction: Instruction) -> None:
-        """Queue an instruction for a request. Never waits: an instruction that does not fit is lost."""
+        """Queue an instruction for a request without waiting; it is lost if the request's queue is full."""
         handle = self._handles.get(request_id)
         if handle is None:
             return  # the connection closed before the balancer was notified
@@ -61,7 +61,7 @@
             log.error("instruction lost, mailbox full request=%s instruction=%r", handle.log_id, instruction)
 
     def log_id(self, request_id: int | None) -> str:
-        """Return the id by which the log names a request; ``-`` for what belongs to none."""
+        """Return the id of a request in log lines; ``-`` if ``request_id`` is None."""
         if request_id is None:
             return "-"
         handle = self._handles.get(request_id)
--- a/sageturn/core/request_lifecycle.py
+++ b/sageturn/core/request_lifecycle.py
@@ -1,7 +1,8 @@
 """Runs one client request from its arrival to its end: no overlapping attempts, one final response.
 
-A frontend supplies a ``ProxyTransport`` for each client; what must hold for every protocol is here and in the
-stages: ``RequestAttempts`` with its ``PreWriteChecks``, ``EstablishedTraffic`` and ``ConnectionAdoption``.
+A frontend supplies a ``ProxyTransport`` for each client. The rules for all protocols are implemented here
+and in the stages: ``RequestAttempts`` with its ``PreWriteChecks``, ``EstablishedTraffic`` and
+``ConnectionAdoption``.
 """
 
 from __future__ import annotations
@@ -35,11 +36,11 @@
 
 log = logging.getLogger(__name__)
 
-DECISION_TIMEOUT_S = 0.2  # after the client's deadline; the balancer decides each event at once
+DECISION_TIMEOUT_S = 0.2  # margin after the deadline; the balancer decides on each event at once
 
 
 class RequestLifecycle:
-    """Runs one request through its stages. Attempts never overlap, and nobody is answered twice."""
+    """Lifecycle of one request through its stages. Attempts never overlap; the client is answered once."""
 
     __slots__ = (
         "_attempts",
@@ -74,22 +75,22 @@
 
     @property
     def is_established(self) -> bool:
-        """Whether the connection carries traffic at this moment."""
+        """True while the connection is established."""
         return self.record.was_established and self.record.close_reason is None
 
     def begin_drain(self) -> None:
-        """Have the client migrated, because the relay is about to stop. A second call changes nothing."""
+        """Migrate the client because the relay is shutting down. A second call has no effect."""
         if not self.drain_requested.is_set():
             self.drain_requested.set()
             if self.is_established:
                 self._balancer_actor.notify_migrated_by_shutdown(self.id)
 
     def force_drain(self) -> None:
-        """Have a request that isn't served yet answered now, because the relay is about to stop."""
+        """Have a request that is still unanswered answered now, because the relay is about to exit."""
         self.drain_forced.set()
 
     async def run(self) -> ConnectionRecord:
-        """Run the request. Returns its record once the connection has closed, or the request is answered."""
+        """Run the request. Return its record once its connection is closed or its final response sent."""
         context = self._context
         context.client.start()
         try:
@@ -108,15 +109,15 @@
             await context.client.stop()
             self._balancer_actor.requests.remove(self.id)
             context.guard.check_closed(
-                is_answered=context.is_answered, has_client_left=context.client.has_left
+                is_answered=context.is_answered, has_client_disconnected=context.client.has_disconnected
             )
             self.record.ended_ms = context.now_ms()
         return self.record
 
     async def _follow_instructions(self) -> None:
         while True:
-            # The balancer answers each event at once and never holds a request, so a client that disconnects
-            # now is dealt with a moment later, when there is an attempt of its own to close.
+            # The balancer answers each event at once and never holds a request back. A client that
+            # disconnects during this wait is therefore handled shortly after, when its next attempt begins.
             match await self._next_instruction():
                 case StartAttempt() as instruction:
                     if await self._attempts.run(instruction):
@@ -125,13 +126,13 @@
                     await self._responder.send(response)
                     return
                 case CancelAttempt() | RedirectClient():
-                    pass  # meant for an attempt that has ended meanwhile
+                    pass  # the attempt that it concerns has already ended
 
     async def _next_instruction(self) -> Instruction:
         """Wait for the balancer's next instruction.
 
         Raises:
-            DecisionOverdueError: none has come in time; the client must not be left unanswered.
+            DecisionOverdueError: none came in time; the client must not be left unanswered.
         """
         context = self._context
         remaining_ms = context.deadline_ms - context.now_ms()
@@ -142,7 +143,7 @@
             raise DecisionOverdueError(context.handle.log_id) from error
 
     async def _fail_internally(self) -> None:
-        """Answer the client after a fault of this program, and have the balancer forget the request."""
+        """Answer the client after an internal fault, and end the request in the balancer."""
         context = self._context
         log.exception("request failed request=%s", context.handle.log_id)
         await self._balancer_actor.post_event(decision.ClientDisconnected(self.id))
--- a/sageturn/core/shutdown_schedule.py
+++ b/sageturn/core/shutdown_schedule.py
@@ -1,4 +1,4 @@
-"""Computes when the steps of a graceful shutdown are due, so that it is over before the process is killed."""
+"""Computes the times of a graceful shutdown's steps, so that it ends before the process is killed."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 from sageturn.decision import RequestClass
 
-KILL_AFTER_DEADLINE_S = 0.7  # the soonest SIGKILL, after the longest deadline of a request
+KILL_AFTER_DEADLINE_S = 0.7  # minimum time from the longest deadline of a request to SIGKILL
 MAX_DEADLINE_S = 3.0  # a longer deadline delays SIGKILL no further
 EXIT_BEFORE_KILL_S = 0.3
-FORCED_DRAIN_S = 0.5  # between the forced drain and the exit
-MIGRATION_START_S = 0.45  # after the signal
-MIGRATION_TIME_RATIO = 0.735  # of the time until the forced drain; the rest is for retries elsewhere
+FORCED_DRAIN_S = 0.5  # time from the forced drain to the exit
+MIGRATION_START_S = 0.45  # time from the signal to the start of the migration
+MIGRATION_TIME_RATIO = 0.735  # fraction of the time until the forced drain; the rest is for retries elsewhere
 
 
 @dataclass(frozen=True, slots=True)
@@ -20,10 +20,10 @@
     """The steps of a graceful shutdown, in seconds after the signal.
 
     Attributes:
-        migration_start_s: when the migration of established connections begins.
-        migration_duration_s: how long that takes; clients are spread evenly over it.
-        forced_drain_at_s: when the drain is forced.
-        exit_at_s: when the process exits.
+        migration_start_s: time at which the migration of established connections begins.
+        migration_duration_s: duration of the migration, over which clients are spread evenly.
+        forced_drain_at_s: time at which the drain is forced.
+        exit_at_s: time at which the process exits.
     """
 
     migration_start_s: float
@@ -35,7 +35,7 @@
 def plan_shutdown(classes: Iterable[RequestClass]) -> ShutdownSchedule:
     """Return the schedule that the deadlines of ``classes`` allow.
 
-    A class without a deadline counts with the maximum.
+    A class without a deadline counts as having ``MAX_DEADLINE_S``.
     """
     deadlines_ms = (cls.give_up_ms or MAX_DEADLINE_S * 1000.0 for cls in classes)
     deadline_s = max(deadlines_ms, default=0.0) / 1000.0
--- a/sageturn/core/start_times.py
+++ b/sageturn/core/start_times.py
@@ -1,9 +1,9 @@
-"""Converts the times at which endpoints started to the relay's time.
+"""Converts the start times of endpoints to the relay's time.
 
-Discovery gives the start of each endpoint as Unix time. The system's clock may be stepped meanwhile, by an
-hour or more, or may have differed from the endpoints' clocks from the relay's start on; slow start depends on
-how long ago the start really was. A start that discovery did not list before is also known to be no older
-than that earlier word of discovery, whatever its timestamp says.
+Discovery gives the start of each endpoint as Unix time. The system clock may be stepped later, by an hour or
+more, or may differ from the endpoints' clocks from the relay's start on, but slow start depends on the real
+age of the endpoint. A start that discovery lists for the first time can, apart from a delay, be no older than
+the previous list or its latest confirmation, whatever its timestamp says.
 """
 
 from __future__ import annotations
@@ -16,26 +16,27 @@
 from sageturn.core.clock import Clock
 from sageturn.decision import Endpoint, EndpointStatus
 
-MAX_LIST_DELAY_MS = 6000.0  # from an endpoint's start until discovery lists it
-MAX_FORMER_STARTS = 512  # more than the largest release replaces at once
+MAX_LIST_DELAY_MS = 6000.0  # longest time between an endpoint's start and its listing by discovery
+MAX_FORMER_STARTS = 512  # more endpoints than the largest release replaces at once
 
 
 class EndpointStart(NamedTuple):
     """The start of one process of an endpoint."""
 
     endpoint: str
-    listed_ms: float  # Unix time as discovery gave it, which identifies the start
+    listed_ms: float  # Unix time that discovery gave, which identifies the start
 
 
 class StartTimes:
-    """Converts the start times of listed endpoints, each start once: a later step of the clock moves none."""
+    """Converter of start times. Each start is converted once, so a later clock step does not change it."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._by_endpoint: dict[str, EndpointStart] = {}  # as listed now
-        self._relay_ms: dict[EndpointStart, float] = {}  # of these, in the relay's time
-        self._former: OrderedDict[EndpointStart, float] = OrderedDict()  # of those not listed any more
-        self._last_list_ms: float | None = None  # relay's time; None before the first complete list
+        self._listed_starts: dict[str, EndpointStart] = {}  # current starts by endpoint name
+        self._relay_ms: dict[EndpointStart, float] = {}  # listed starts in the relay's time
+        # Starts that are no longer listed, in the relay's time, in the order of their removal.
+        self._former_relay_ms: OrderedDict[EndpointStart, float] = OrderedDict()
+        self._last_list_ms: float | None = None  # relay's time; None before a complete list
 
     def convert(
         self,
@@ -48,15 +49,15 @@
         """Return the endpoints of a list with their start in the relay's time.
 
         Args:
-            endpoints: the list, or its changes.
-            is_full: the list is complete, so that endpoints that it does not name are forgotten.
-            is_current: discovery has just sent it; otherwise its age is not known.
-            confirmed_age_ms: how long ago discovery last confirmed the list before it; None if it did not.
+            endpoints: the complete list, or its changes.
+            is_full: True if the list is complete, so that endpoints that it does not name are removed.
+            is_current: True if discovery has just sent the list; otherwise its age is unknown.
+            confirmed_age_ms: time since discovery last confirmed the previous list; None if it did not.
         """
         self._clock.read_wall_clock()
         now_ms = self._clock.now_ms()
         earliest_ms = self._earliest_new_start_ms(now_ms, confirmed_age_ms)
-        unnamed = set(self._by_endpoint) if is_full else set()
+        unnamed = set(self._listed_starts) if is_full else set()
         converted = []
         for endpoint in endpoints:
             unnamed.discard(endpoint.name)
@@ -68,7 +69,7 @@
         return converted
 
     def _earliest_new_start_ms(self, now_ms: float, confirmed_age_ms: float | None) -> float | None:
-        """Return the moment before which no start that is listed for the first time can have been."""
+        """Return the earliest possible time of a start that is listed for the first time; None if unknown."""
         if self._last_list_ms is None:
             return None
         confirmed_ms = self._last_list_ms
@@ -81,11 +82,11 @@
             self._retire(endpoint.name)
             return endpoint
         start = EndpointStart(endpoint.name, endpoint.started_at_ms)
-        if self._by_endpoint.get(endpoint.name) != start:
+        if self._listed_starts.get(endpoint.name) != start:
             self._retire(endpoint.name)
-            former_ms = self._former.pop(start, None)
+            former_ms = self._former_relay_ms.pop(start, None)
             self._relay_ms[start] = self._to_relay_ms(start, earliest_ms) if former_ms is None else former_ms
-            self._by_endpoint[endpoint.name] = start
+            self._listed_starts[endpoint.name] = start
         relay_ms = self._relay_ms[start]
         return endpoint if relay_ms == start.listed_ms else replace(endpoint, started_at_ms=relay_ms)
 
@@ -97,9 +98,9 @@
         return self._clock.from_wall_ms(start.listed_ms)
 
     def _retire(self, name: str) -> None:
-        """Keep a start that is not listed any more for a while: its endpoint may come back."""
-        start = self._by_endpoint.pop(name, None)
+        """Retain a start that is no longer listed for a while: its endpoint may be listed again."""
+        start = self._listed_starts.pop(name, None)
         if start is not None:
-            self._former[start] = self._relay_ms.pop(start)
-            if len(self._former) > MAX_FORMER_STARTS:
-                self._former.popitem(last=False)
+            self._former_relay_ms[start] = self._relay_ms.pop(start)
+            if len(self._former_relay_ms) > MAX_FORMER_STARTS:
+                self._former_relay_ms.popitem(last=False)
--- a/sageturn/core/tasks.py
+++ b/sageturn/core/tasks.py
@@ -1,4 +1,4 @@
-"""Cancelling tasks reliably, and waiting for a deadline that may move meanwhile or for an event."""
+"""Helpers that cancel tasks reliably, and wait for an event or for a deadline that may move."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 
 async def cancel_and_wait(task: asyncio.Future[Any] | None) -> None:
-    """Cancel and wait until the task has ended: what it holds may only be used again after that.
+    """Cancel the task, if there is one, and wait until it has ended and so released its resources.
 
-    The task's error, if it has one, is retrieved and dropped.
+    The task's exception, if any, is retrieved and dropped.
     """
     if task is None:
         return
@@ -22,14 +22,14 @@
 
 
 async def wait_for_event(event: asyncio.Event, timeout_s: float) -> None:
-    """Return once the event is set, or after ``timeout_s`` seconds."""
+    """Wait until the event is set, but no longer than ``timeout_s`` seconds."""
     with suppress(TimeoutError):
         async with asyncio.timeout(timeout_s):
             await event.wait()
 
 
 async def sleep_until_elapsed(remaining_s: Callable[[float], float]) -> None:
-    """Return once ``remaining_s``, given the loop's time, is 0 or less; it is called after each sleep."""
+    """Sleep until ``remaining_s``, called with the loop's time before each sleep, returns 0 or less."""
     loop = asyncio.get_running_loop()
     while (remaining := remaining_s(loop.time())) > 0:
         await asyncio.sleep(remaining)
--- a/tests/core/test_attempt_guard.py
+++ b/tests/core/test_attempt_guard.py
@@ -1,4 +1,4 @@
-"""The guard of each request: a violated invariant is counted and does not reach an endpoint."""
+"""Tests of the guard of each request: a violation is counted, and nothing is written to an endpoint."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     return AttemptGuard("r1", request_class, max_attempts, DEADLINE_MS, monitor), monitor
 
 
-def test_one_attempt_after_the_other_up_to_the_limit() -> None:
+def test_attempts_are_allowed_one_after_the_other_up_to_the_limit() -> None:
     guard, monitor = make_guard()
     for _ in range(2):
         guard.begin_attempt()
@@ -37,7 +37,7 @@
     assert monitor.violations == {Invariant.ATTEMPT_LIMIT: 1}
 
 
-def test_never_two_attempts_at_once(caplog: pytest.LogCaptureFixture) -> None:
+def test_overlapping_attempts_are_not_allowed(caplog: pytest.LogCaptureFixture) -> None:
     guard, monitor = make_guard()
     guard.begin_attempt()
     guard.begin_attempt()
@@ -52,7 +52,7 @@
     ("effect", "elapsed_ms", "allowed"),
     [("safe", 1500.0, True), ("keyed", 400.0, True), ("keyed", 401.0, False), ("unsafe", 1.0, False)],
 )
-def test_what_may_have_been_executed_is_repeated_only_where_that_is_harmless(
+def test_a_request_that_may_have_been_executed_is_repeated_only_if_that_is_harmless(
     effect: str, elapsed_ms: float, allowed: bool
 ) -> None:
     guard, monitor = make_guard(effect, key_ttl_ms=400.0)
@@ -64,15 +64,15 @@
 def test_late_and_missing_answers_are_counted() -> None:
     guard, monitor = make_guard()
     guard.check_response(DEADLINE_MS + MAX_RESPONSE_DELAY_MS)
-    guard.check_closed(is_answered=True, has_client_left=False)
-    guard.check_closed(is_answered=False, has_client_left=True)
+    guard.check_closed(is_answered=True, has_client_disconnected=False)
+    guard.check_closed(is_answered=False, has_client_disconnected=True)
     assert not monitor.violations
     guard.check_response(DEADLINE_MS + MAX_RESPONSE_DELAY_MS + 1.0)
-    guard.check_closed(is_answered=False, has_client_left=False)
+    guard.check_closed(is_answered=False, has_client_disconnected=False)
     assert monitor.violations == {Invariant.RESPONSE_IN_TIME: 1, Invariant.ANSWERED: 1}
 
 
-async def test_a_balancer_that_repeats_what_may_not_be_repeated_reaches_no_endpoint(
+async def test_a_forbidden_retry_that_the_balancer_places_is_not_written(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     settings = {**SETTINGS, "classes": [{**SETTINGS["classes"][0], "semantics": "unsafe"}]}
@@ -90,7 +90,7 @@
 
         monkeypatch.setattr(actor.balancer, "handle", repeat_once)
         reader, writer = await send_request(relay.listener.address, encode_request_line(300))
-        # The balancer knows nothing of the attempt that it never decided on, and decides nothing more.
+        # The balancer ignores the end of an attempt that it did not place, so the relay answers by itself.
         assert await reader.readline() == b"ERR internal\r\n"
         writer.close()
         assert repeated and len([line for line in endpoint.request_lines if line]) == 1
@@ -99,7 +99,7 @@
         await until(lambda: not relay.request_registry)
 
 
-async def test_counters_and_causes_tell_what_became_of_each_request(
+async def test_counters_and_log_lines_show_the_outcome_of_each_request(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     caplog.set_level(logging.INFO)
--- a/tests/core/test_endpoint_registry.py
+++ b/tests/core/test_endpoint_registry.py
@@ -1,4 +1,4 @@
-"""The endpoint registry keeps what is listed, and does not grow with every release."""
+"""Tests of the endpoint registry: it keeps listed endpoints, and does not grow with every release."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 import pytest
 
-from sageturn.core.endpoint_registry import MAX_GONE_ADDRESSES, EndpointRegistry
+from sageturn.core.endpoint_registry import MAX_REMOVED_ADDRESSES, EndpointRegistry
 from sageturn.core.messages import DiscoveryAddressChanged, EndpointListUpdate, WatchFailed
 from sageturn.core.tasks import cancel_and_wait
 from sageturn.decision import DiscoveryFailure, Endpoint, EndpointListEvent, Event
@@ -14,48 +14,48 @@
 ADDRESS = ("127.0.0.1", 9)
 
 
-def listed(event: Event) -> list[Endpoint]:
-    """Returns the endpoints of a list event."""
+def listed_endpoints(event: Event) -> list[Endpoint]:
+    """Return the endpoints of a list event."""
     assert isinstance(event, EndpointListEvent)
     return list(event.endpoints)
 
 
-async def test_endpoints_that_are_gone_are_forgotten_but_for_the_latest() -> None:
+async def test_only_the_latest_removed_endpoints_are_retained() -> None:
     events: asyncio.Queue[Event] = asyncio.Queue()
     registry = EndpointRegistry(EndpointListUpdate(0, True), events.put)
-    for number in range(3 * MAX_GONE_ADDRESSES):
+    for number in range(3 * MAX_REMOVED_ADDRESSES):
         name = f"s{number}"
         address = ("127.0.0.1", 1 + number)
         registry.apply_update(EndpointListUpdate(1, False, [Endpoint(name)], {name: address}))
         assert registry.is_ready_at(name, address)
         registry.apply_update(EndpointListUpdate(1, False, [Endpoint(name, "gone")]))
         assert not registry.is_ready_at(name, address) and name in registry.addresses
-    assert not registry.states and len(registry.addresses) <= MAX_GONE_ADDRESSES + 1
+    assert not registry.states and len(registry.addresses) <= MAX_REMOVED_ADDRESSES + 1
 
 
-async def test_a_ready_endpoint_without_an_address_is_left_out_and_named(
+async def test_a_ready_endpoint_without_an_address_is_dropped_and_logged(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    # Each request spent all its attempts on it, and no line said why.
+    # Each request used all its attempts on such an endpoint, and no log line explained it.
     events: asyncio.Queue[Event] = asyncio.Queue()
-    known = EndpointListUpdate(1, True, [Endpoint("a"), Endpoint("b")], {"b": ADDRESS})
-    registry = EndpointRegistry(known, events.put)
+    initial_list = EndpointListUpdate(1, True, [Endpoint("a"), Endpoint("b")], {"b": ADDRESS})
+    registry = EndpointRegistry(initial_list, events.put)
     running = asyncio.ensure_future(registry.run())
-    assert [endpoint.name for endpoint in listed(await events.get())] == ["b"]
+    assert [endpoint.name for endpoint in listed_endpoints(await events.get())] == ["b"]
     await registry.on_watch_event(0, EndpointListUpdate(2, False, [Endpoint("b"), Endpoint("c")]))
-    assert [endpoint.name for endpoint in listed(await events.get())] == ["b"]
+    assert [endpoint.name for endpoint in listed_endpoints(await events.get())] == ["b"]
     assert registry.states.keys() == {"b"} and registry.is_ready_at("b", ADDRESS)
     assert [message for message in caplog.messages if "no address" in message] == [
         "endpoint has no address endpoint=a version=1",
         "endpoint has no address endpoint=c version=2",
     ]
     await registry.on_watch_event(0, EndpointListUpdate(3, False, [Endpoint("c")], {"c": ADDRESS}))
-    assert [endpoint.name for endpoint in listed(await events.get())] == ["c"]
+    assert [endpoint.name for endpoint in listed_endpoints(await events.get())] == ["c"]
     await cancel_and_wait(running)
 
 
 class CountingWatcher:
-    """Stands in for discovery's client: every watch that is started gets the next number."""
+    """Fake discovery client that gives every watch the next number."""
 
     def __init__(self) -> None:
         self.started = 0
@@ -65,16 +65,16 @@
         return self.started
 
 
-async def test_a_call_that_is_out_is_not_made_anew_by_a_timer_of_before() -> None:
-    # A reload during an outage calls the new discovery at once; the timer of the last failed call then
-    # broke that call off and made it again, at the end of a queue in which it had already waited.
+async def test_an_open_watch_is_not_replaced_by_a_timer_set_before_it() -> None:
+    # A reload during an outage calls discovery at its new address at once. The timer set after the last
+    # failed call then aborted that call and repeated it, at the end of the queue in which it had waited.
     events: asyncio.Queue[Event] = asyncio.Queue()
     watcher = CountingWatcher()
     registry = EndpointRegistry(EndpointListUpdate(0, True), events.put, watcher)
     running = asyncio.ensure_future(registry.run())
     await registry.post_message(DiscoveryAddressChanged())
     registry.request_watch()
-    await events.get()  # the known list
+    await events.get()  # the initial list
     await registry.on_watch_event(1, EndpointListUpdate(1, True))
     await events.get()
     assert watcher.started == 1
@@ -86,7 +86,7 @@
     await registry.on_watch_event(2, EndpointListUpdate(2, True))
     await events.get()
     assert watcher.started == 2
-    await registry.post_message(DiscoveryAddressChanged())  # the old one is no use any more
+    await registry.post_message(DiscoveryAddressChanged())  # the open watch is obsolete now
     await registry.on_watch_event(2, WatchFailed("replaced", DiscoveryFailure.LOST))
     registry.request_watch()
     await registry.on_watch_event(3, EndpointListUpdate(3, True))
