--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""How Hypothesis, pytest-asyncio and pytest-timeout run in all tests."""
+"""Configures Hypothesis, pytest-asyncio and pytest-timeout for all tests."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from sageturn.core.clock import Clock
 from sageturn.relay import relay as relay_module
 
-# Results are checked, not speed: an example may take over 200 ms while other processes keep the cores busy.
+# Hypothesis's deadline is off: an example may take over 200 ms while other processes keep the cores busy.
 hypothesis_settings.register_profile("sageturn", deadline=None)
 hypothesis_settings.load_profile("sageturn")
 
@@ -23,7 +23,7 @@
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Limit coroutine tests more tightly than others, unless they carry a ``timeout`` mark of their own."""
+    """Set a shorter timeout for coroutine tests that have no ``timeout`` mark of their own."""
     for item in items:
         is_coroutine = isinstance(item, pytest.Function) and inspect.iscoroutinefunction(item.function)
         if is_coroutine and item.get_closest_marker("timeout") is None:
@@ -33,7 +33,7 @@
 def pytest_asyncio_loop_factories(
     item: pytest.Item,
 ) -> dict[str, Callable[[], asyncio.AbstractEventLoop]]:
-    """Run tests that request the fixture ``virtual_time`` on a loop whose clock only its timers move."""
+    """Run tests that request the fixture ``virtual_time`` on a loop whose clock only its timers advance."""
     if "virtual_time" in getattr(item, "fixturenames", ()):
         return {"virtual_time": VirtualTimeLoop}
     return {"default": asyncio.new_event_loop}
@@ -43,10 +43,10 @@
 async def virtual_time(
     request: pytest.FixtureRequest, monkeypatch: pytest.MonkeyPatch
 ) -> AsyncIterator[VirtualTimeLoop]:
-    """The test's event loop, on a virtual clock by which relays that the test starts go as well.
+    """Yield the test's event loop, whose virtual clock is also used by relays that the test starts.
 
-    The test fails if it takes more virtual seconds than its mark ``virtual_time_limit`` allows;
-    ``VIRTUAL_TIME_LIMIT_S`` where it has none.
+    The test fails if it takes more virtual seconds than its mark ``virtual_time_limit`` allows, or more than
+    ``VIRTUAL_TIME_LIMIT_S`` if it has none.
     """
     loop = asyncio.get_running_loop()
     assert isinstance(loop, VirtualTimeLoop)
--- a/tests/core/test_attempt_races.py
+++ b/tests/core/test_attempt_races.py
@@ -1,4 +1,4 @@
-"""Races between an attempt and what ends it: each instant is forced, on loopback sockets."""
+"""Tests of races between an attempt and the event that ends it, each forced on loopback sockets."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 from sageturn.net import closing, connecting, sockets
 from sageturn.relay import Relay
 
-# ---------------------------------------------------------------- just before the first byte is written
+# ---------------------------------------------------------------- events just before the first write
 
 
 def leave_by_fin(client: socket.socket, relay: Relay, name: str) -> None:
@@ -55,7 +55,7 @@
     relay.endpoint_registry.apply_update(EndpointListUpdate(3, False, [Endpoint(name, "draining")]))
 
 
-def endpoint_gone(client: socket.socket, relay: Relay, name: str) -> None:
+def endpoint_removed(client: socket.socket, relay: Relay, name: str) -> None:
     relay.endpoint_registry.apply_update(EndpointListUpdate(3, False, [Endpoint(name, "gone")]))
 
 
@@ -69,9 +69,9 @@
         lifecycle.force_drain()
 
 
-ENDPOINT_CHANGES = (endpoint_drains, endpoint_gone, endpoint_replaced)
-End = Callable[[socket.socket, Relay, str], None]
-BEFORE_WRITING: list[End] = [
+ENDPOINT_CHANGES = (endpoint_drains, endpoint_removed, endpoint_replaced)
+EndEvent = Callable[[socket.socket, Relay, str], None]
+EVENTS_BEFORE_WRITE: list[EndEvent] = [
     leave_by_fin,
     leave_by_reset,
     leave_after_sending,
@@ -80,9 +80,9 @@
 ]
 
 
-async def check_response_after(end: End, client: socket.socket) -> None:
-    """Checks the response to a client that has not left at ``end``, and closes its connection."""
-    if end in ENDPOINT_CHANGES:  # it is served nevertheless, at the other endpoint
+async def check_response_after(end: EndEvent, client: socket.socket) -> None:
+    """Check the response to a client that is still connected after ``end``, and close its connection."""
+    if end in ENDPOINT_CHANGES:  # the request is served at the other endpoint
         client.settimeout(5)
         assert (await asyncio.to_thread(client.recv, 99)) == b"UP r1\r\n"
         client.close()
@@ -91,13 +91,14 @@
         client.close()
 
 
-@pytest.mark.parametrize("end", BEFORE_WRITING, ids=lambda end: end.__name__)
+@pytest.mark.parametrize("end", EVENTS_BEFORE_WRITE, ids=lambda end: end.__name__)
 @pytest.mark.parametrize("attempt", [1, 2])
-async def test_nothing_is_written_once_the_request_has_ended_while_its_connection_came_up(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, end: End, attempt: int
+async def test_nothing_is_written_once_the_request_has_ended_while_its_connection_opens(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, end: EndEvent, attempt: int
 ) -> None:
-    # A client's FIN lay unread while the core was busy, and its line followed it 0.3 s later. The loop does
-    # not turn between the end and the write here, so only a look at that very moment can see it.
+    # A request was written to an endpoint 0.3 s after its client's FIN, which was unread because the event
+    # loop was busy. Here no other task runs between the event and the write, so only a check just before the
+    # write can notice the event.
     async with running_relay(tmp_path, echo_lines, echo_lines) as (relay, endpoints):
         await until(lambda: relay.endpoint_registry.version == 2)
         by_port = {
@@ -105,7 +106,7 @@
         }
         connect, calls, reached = connecting.connect_unreserved, 0, list[FakeEndpoint]()
 
-        async def comes_up(address: Address, timeout_s: float) -> ConnectResult:
+        async def connect_then_end(address: Address, timeout_s: float) -> ConnectResult:
             nonlocal calls
             calls += 1
             if calls < attempt:
@@ -117,7 +118,7 @@
                 end(client, relay, name)
             return sock
 
-        monkeypatch.setattr(frontend_connection, "connect_unreserved", comes_up)
+        monkeypatch.setattr(frontend_connection, "connect_unreserved", connect_then_end)
         records = record_closed_connections(relay, monkeypatch)
         client = socket.create_connection(relay.listener.address)
         client.sendall(encode_request_line())
@@ -132,7 +133,7 @@
             )
 
 
-# ---------------------------------------------------------------- what a forced drain rejects
+# ---------------------------------------------------------------- requests that a forced drain rejects
 
 
 def deployment(effect: str, scope: str) -> dict[str, Any]:
@@ -160,26 +161,26 @@
     is_rejected: bool,
     is_executed: bool,
 ) -> None:
-    # Every request that a forced drain ended was answered BUSY, which says that a retry is harmless.
+    # A forced drain answered every request with BUSY, which promises that a retry is harmless.
     async with running_relay(tmp_path, never_respond, settings=deployment(effect, scope)) as (
         relay,
         (endpoint,),
     ):
         await until(lambda: relay.endpoint_registry.version == 2)
         if not is_executed:
-            held = asyncio.Event()
+            connect_begun = asyncio.Event()
 
-            async def never_up(address: Address, timeout_s: float) -> ConnectResult:
-                held.set()
+            async def never_connect(address: Address, timeout_s: float) -> ConnectResult:
+                connect_begun.set()
                 await asyncio.sleep(3600)
                 return connecting.ConnectFailure.TIMED_OUT
 
-            monkeypatch.setattr(frontend_connection, "connect_unreserved", never_up)
+            monkeypatch.setattr(frontend_connection, "connect_unreserved", never_connect)
         reader, writer = await send_request(relay.listener.address, encode_request_line())
         if is_executed:
             await until(lambda: endpoint.request_lines)
         else:
-            await held.wait()
+            await connect_begun.wait()
         for lifecycle in relay.request_registry:
             lifecycle.force_drain()
         response = await reader.read()
@@ -192,14 +193,15 @@
 async def test_a_malformed_busy_does_not_prove_that_the_request_was_not_executed(
     tmp_path: Path, text: bytes
 ) -> None:
-    # Only a complete BUSY says that it was not executed: after all else an unsafe request is not retried.
-    async def responds_malformed(
+    # Only a complete BUSY means that the request was not executed. After any other answer an unsafe request
+    # must not be retried.
+    async def respond_malformed(
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes
     ) -> None:
         writer.write(text)
 
     unsafe = deployment("unsafe", "all")
-    async with running_relay(tmp_path, responds_malformed, responds_malformed, settings=unsafe) as (
+    async with running_relay(tmp_path, respond_malformed, respond_malformed, settings=unsafe) as (
         relay,
         endpoints,
     ):
@@ -212,11 +214,11 @@
 
 # ---------------------------------------------------------------- when an idempotency key expires
 
-KEY_MS = 5000.0  # of ``deployment``
+KEY_TTL_MS = 5000.0  # same as ``keyTtlMs`` in ``deployment``
 
 
-class BreaksOnce:
-    """Breaks the first attempt after its request was written, and serves every later one."""
+class FailOnceScript:
+    """Endpoint script that closes the first attempt after its request was written, and serves later ones."""
 
     def __init__(self) -> None:
         self.request_lines: list[bytes] = []
@@ -228,65 +230,65 @@
             await echo_lines(reader, writer, line)
 
 
-class LateRetry:
-    """Advances a relay's clock as the second attempt is decided, or once its connection is established."""
+class DelayedRetry:
+    """Second attempt that is delayed by advancing the relay's clock, before or after its connection opens."""
 
     def __init__(
-        self, relay: Relay, monkeypatch: pytest.MonkeyPatch, delayed_at: str, late_ms: float
+        self, relay: Relay, monkeypatch: pytest.MonkeyPatch, delayed_at: str, delay_ms: float
     ) -> None:
         self.attempts = 0
         self.connections = 0
         self._delayed_at = delayed_at
-        self._late_ms = late_ms
+        self._delay_ms = delay_ms
         self._elapsed_ms = 0.0
         self._connect = connecting.connect_unreserved
         clock = relay.balancer_actor.clock
         now_ms = clock.now_ms
         open_upstream = platform_connection.PlatformConnection.open_upstream
 
-        async def open_late(connection: Any, *arguments: Any) -> Any:
+        async def open_delayed(connection: Any, *arguments: Any) -> Any:
             self.attempts += 1
             if self._delayed_at == "decided" and self.attempts == 2:
-                self._elapsed_ms = self._late_ms
+                self._elapsed_ms = self._delay_ms
             return await open_upstream(connection, *arguments)
 
         monkeypatch.setattr(clock, "now_ms", lambda: now_ms() + self._elapsed_ms)
-        monkeypatch.setattr(platform_connection.PlatformConnection, "open_upstream", open_late)
-        monkeypatch.setattr(frontend_connection, "connect_unreserved", self._come_up_late)
+        monkeypatch.setattr(platform_connection.PlatformConnection, "open_upstream", open_delayed)
+        monkeypatch.setattr(frontend_connection, "connect_unreserved", self._connect_delayed)
 
-    async def _come_up_late(self, address: Address, timeout_s: float) -> ConnectResult:
+    async def _connect_delayed(self, address: Address, timeout_s: float) -> ConnectResult:
         self.connections += 1
         sock = await self._connect(address, timeout_s)
         if self.connections == 2:
-            self._elapsed_ms = self._late_ms
+            self._elapsed_ms = self._delay_ms
         return sock
 
 
 @pytest.mark.parametrize(("scope", "expected_prefix"), [("all", b"BUSY"), ("cell", b"ERR ")])
-@pytest.mark.parametrize("late_ms", [KEY_MS - 500.0, KEY_MS + 1.0])
+@pytest.mark.parametrize("delay_ms", [KEY_TTL_MS - 500.0, KEY_TTL_MS + 1.0])
 @pytest.mark.parametrize("delayed_at", ["decided", "came up"])
 async def test_a_retry_is_written_before_its_idempotency_key_expires_or_not_at_all(
     tmp_path: Path,
     monkeypatch: pytest.MonkeyPatch,
     delayed_at: str,
-    late_ms: float,
+    delay_ms: float,
     scope: str,
     expected_prefix: bytes,
 ) -> None:
-    # The module asks for it in time, but a connection may come up 1.5 s later: the line was written whenever
-    # that was, and it is the last byte that counts.
-    endpoint = BreaksOnce()
+    # The balancer decides on the retry in time, but its connection may take 1.5 s longer to open. The line
+    # was written even if the key had expired meanwhile; the time of its last byte counts.
+    endpoint = FailOnceScript()
     settings = deployment("keyed", scope)
     settings["classes"][0].update(aimMs=9000.0, hardLimitMs=9000.0)
     async with running_relay(tmp_path, endpoint, endpoint, settings=settings) as (relay, _):
         await until(lambda: relay.endpoint_registry.version == 2)
-        retry = LateRetry(relay, monkeypatch, delayed_at, late_ms)
+        retry = DelayedRetry(relay, monkeypatch, delayed_at, delay_ms)
         reader, writer = await send_request(relay.listener.address, encode_request_line(9000))
         response = await reader.readline()
-        in_time = late_ms < KEY_MS
+        in_time = delay_ms < KEY_TTL_MS
         assert response[:4] == (b"UP r" if in_time else expected_prefix)
         assert len(endpoint.request_lines) == 1 + in_time
-        # Nor does the module decide on a third, which the same look would hold back again.
+        # The balancer decides on no third attempt, which the same check would block again.
         assert retry.attempts == 2
         assert retry.connections == (2 if in_time or delayed_at == "came up" else 1)
         writer.close()
@@ -296,30 +298,30 @@
 async def test_a_write_that_blocks_ends_as_its_idempotency_key_expires(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    endpoint = BreaksOnce()
+    endpoint = FailOnceScript()
     settings = deployment("keyed", "all")
     settings["classes"][0].update(aimMs=9000.0, hardLimitMs=9000.0, keyTtlMs=300.0)
     async with running_relay(tmp_path, endpoint, endpoint, settings=settings) as (relay, _):
         await until(lambda: relay.endpoint_registry.version == 2)
         send, sent = sockets.send_gathered, 0
 
-        async def stuck(*arguments: Any) -> None:
+        async def block_second_send(*arguments: Any) -> None:
             nonlocal sent
             sent += 1
             if sent == 2:
                 await asyncio.sleep(3600)
             await send(*arguments)
 
-        monkeypatch.setattr(platform_connection, "send_gathered", stuck)
+        monkeypatch.setattr(platform_connection, "send_gathered", block_second_send)
         reader, writer = await send_request(relay.listener.address, encode_request_line(9000))
-        async with asyncio.timeout(4):  # and not the client's 9 s
+        async with asyncio.timeout(4):  # the key expires long before the client's 9 s
             assert (await reader.readline()).startswith(b"BUSY")
         assert sent == 2 and len(endpoint.request_lines) == 1
         writer.close()
         await until(lambda: is_idle(relay))
 
 
-# ---------------------------------------------------------------- a request on an idle client connection
+# ---------------------------------------------------------------- requests on an idle client connection
 
 
 FINAL_LINES = {
@@ -332,7 +334,7 @@
 def send_as_connection_closes(
     client: socket.socket, monkeypatch: pytest.MonkeyPatch, *, after_shutdown: bool
 ) -> None:
-    """Has ``client`` send a request just before, or just after, the relay shuts its connection down."""
+    """Make ``client`` send a request just before, or just after, the relay shuts its connection down."""
     close_gracefully, send_and_close = closing.close_gracefully, closing.send_and_close
 
     def send_line(sock: socket.socket) -> None:
@@ -345,7 +347,7 @@
         await close_gracefully(sock)
 
     def send_and_close_at_once(sock: socket.socket, response: bytes) -> None:
-        if after_shutdown:  # the relay's response goes before its shutdown
+        if after_shutdown:  # the relay's response precedes its shutdown
             sock.send(response)
         send_line(sock)
         send_and_close(sock, b"" if after_shutdown else response)
@@ -365,7 +367,8 @@
 async def test_a_request_that_arrives_as_its_idle_connection_is_closed_is_answered_once_and_not_forwarded(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, end: str, after_shutdown: bool
 ) -> None:
-    # What is read after a shutdown and forwarded is lost, and a close over unread bytes resets the answer.
+    # A request that is read after the shutdown and forwarded would get no response, and closing a socket with
+    # unread bytes sends a reset, which discards the answer.
     monkeypatch.setattr(platform_frontend, "REQUEST_LINE_TIMEOUT_S", 0.1 if end == "out of time" else 5.0)
     async with running_relay(tmp_path, echo_lines) as (relay, (endpoint,)):
         placements = record_placements(relay)
--- a/tests/core/test_client_disconnects.py
+++ b/tests/core/test_client_disconnects.py
@@ -1,4 +1,4 @@
-"""Clients that disconnect before their response: no connection or attempt is begun for them any more."""
+"""Tests of clients that disconnect before their response: no connection or attempt is begun for them."""
 
 from __future__ import annotations
 
@@ -36,11 +36,11 @@
 from sageturn.net import connecting
 from sageturn.net.connecting import ConnectFailure
 
-GONE = (CloseReason.CLIENT_LEFT, CloseReason.CLIENT_RESET)
+DISCONNECT_REASONS = (CloseReason.CLIENT_LEFT, CloseReason.CLIENT_RESET)
 
 
 class ClientThread:
-    """Runs a client on an event loop in another thread: it can act while the relay's loop is blocked."""
+    """Thread with an event loop for a client, which can act while the relay's loop is blocked."""
 
     def __init__(self) -> None:
         self._loop = asyncio.new_event_loop()
@@ -59,9 +59,9 @@
         self._loop.close()
 
 
-# ---------------------------------------------------------------- in the instant before an attempt begins
+# ---------------------------------------------------------------- disconnects just before an attempt begins
 
-LINGER_NONE = struct.pack("ii", 1, 0)
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
 def close(client: socket.socket) -> None:
@@ -73,17 +73,17 @@
 
 
 def reset(client: socket.socket) -> None:
-    client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_NONE)
+    client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
     client.close()
 
 
 def send_and_close(client: socket.socket) -> None:
-    client.sendall(b"M 1\r\n" * 700)  # more than one reading takes, less than a fault
+    client.sendall(b"M 1\r\n" * 700)  # more than one read returns, but too little for a client fault
     client.close()
 
 
 class ConnectCounter:
-    """Counts connections that are begun, and lets the first ones fail."""
+    """Counter of begun connections, of which the first ``failing`` time out."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, failing: int = 0) -> None:
         self.count = 0
@@ -101,7 +101,7 @@
 def act_as_attempt_begins(
     monkeypatch: pytest.MonkeyPatch, connection_class: Any, attempt: int, act: Callable[[], None]
 ) -> None:
-    """Calls ``act`` as the n-th attempt begins: no other task runs before the attempt continues."""
+    """Call ``act`` when the attempt with the number ``attempt`` begins; no other task runs in between."""
     open_upstream, attempts = connection_class.open_upstream, 0
 
     async def act_first(connection: Any, *arguments: Any) -> Any:
@@ -115,7 +115,7 @@
 
 
 def act_before_write(monkeypatch: pytest.MonkeyPatch, act: Callable[[], None]) -> None:
-    """Calls ``act`` just before the last checks that precede the write of a request."""
+    """Call ``act`` just before the last checks that precede the write of a request."""
     check_before_write = PreWriteChecks.check_before_write
 
     def act_first(
@@ -132,10 +132,11 @@
 )
 @pytest.mark.parametrize("attempt", [1, 2])
 @pytest.mark.timeout(30)
-async def test_no_connection_is_begun_for_a_client_that_has_left(
+async def test_no_connection_is_begun_for_a_client_that_has_disconnected(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, leave: Callable[[socket.socket], None], attempt: int
 ) -> None:
-    # Only the write was held back: a connection was opened for it, and took an endpoint's capacity and time.
+    # Only the write was prevented: a connection was still opened for the client, which cost the endpoint
+    # capacity and time.
     async with running_relay(tmp_path, echo_lines, echo_lines) as (relay, endpoints):
         await until(lambda: relay.endpoint_registry.version == 2)
         connects = ConnectCounter(monkeypatch, attempt - 1)
@@ -146,7 +147,7 @@
         await until(lambda: records and not relay.balancer_actor.balancer.requests)
         client.close()
         assert connects.count == attempt - 1 and not any(endpoint.open_connections for endpoint in endpoints)
-        assert records[0].close_reason in GONE
+        assert records[0].close_reason in DISCONNECT_REASONS
 
 
 async def end_stream(client: XmppClient) -> None:
@@ -169,13 +170,14 @@
 @pytest.mark.parametrize("leave", XMPP_LEAVES, ids=lambda leave: leave.__name__)
 @pytest.mark.parametrize("stage", ["first", "further", "bind"])
 @pytest.mark.timeout(30)
-async def test_nothing_is_begun_for_an_xmpp_client_that_has_left_or_ended_its_stream(
+async def test_nothing_is_begun_for_an_xmpp_client_that_has_disconnected_or_ended_its_stream(
     tmp_path: Path,
     monkeypatch: pytest.MonkeyPatch,
     leave: Callable[[XmppClient], Coroutine[Any, Any, None]],
     stage: str,
 ) -> None:
-    # A stream's end lay unread under TLS: only the connection's was looked for, and the bind followed.
+    # Only the end of the TCP connection was checked, not that of the XMPP stream, which was still unread in
+    # the TLS layer. The bind was sent to the endpoint all the same.
     bound: list[str] = []
 
     async def accept(server: XmppServerSession) -> None:
@@ -199,7 +201,7 @@
             await client_thread.run(send_bind(client))
             await until(lambda: records and not relay.balancer_actor.balancer.requests)
             await client_thread.run(abort_connection(client))
-            assert records[0].close_reason in GONE and not records[0].was_established
+            assert records[0].close_reason in DISCONNECT_REASONS and not records[0].was_established
             assert connects.count == (stage != "first")
             assert (
                 sum(len(endpoint.request_lines) for endpoint in endpoints) == (stage == "bind") and not bound
@@ -211,20 +213,20 @@
     await client.writer.drain()
 
 
-# ---------------------------------------------------------------- many at once, on a core that others hold
+# ---------------------------------------------------------------- many disconnects while the loop is blocked
 
-CROWD = 300
-BUSY_S = 0.15  # past the time within which an attempt may still begin
+CLIENT_COUNT = 300
+LOOP_BLOCKED_S = 0.15  # longer than the time within which an attempt may begin after a disconnect
 
 
-@pytest.mark.parametrize("comes_up", [True, False])
+@pytest.mark.parametrize("does_connect", [True, False])
 @pytest.mark.timeout(30)
-async def test_hundreds_that_leave_while_the_core_is_held_cost_no_attempt(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, comes_up: bool
+async def test_hundreds_of_clients_that_disconnect_while_the_loop_is_blocked_cost_no_attempt(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, does_connect: bool
 ) -> None:
-    # In one turn of the loop all connections come up, or fail so that further attempts are due, and all
-    # clients have been gone for longer than an attempt may come after them.
-    tenants = [{"name": "t", "fraction": 1.0, "allowancePerS": 10.0 * CROWD}]
+    # In one iteration of the event loop, all connections open, or fail so that retries are due, and all
+    # clients have been disconnected for longer than the time within which an attempt may still begin.
+    tenants = [{"name": "t", "fraction": 1.0, "allowancePerS": 10.0 * CLIENT_COUNT}]
     settings = {**SETTINGS, "accounts": tenants}
     async with running_relay(tmp_path, never_respond, never_respond, settings=settings) as (relay, endpoints):
         await until(lambda: relay.endpoint_registry.version == 2)
@@ -234,46 +236,48 @@
             nonlocal begun
             begun += 1
             await released.wait()
-            return await connect(address, timeout_s) if comes_up else ConnectFailure.TIMED_OUT
+            return await connect(address, timeout_s) if does_connect else ConnectFailure.TIMED_OUT
 
         monkeypatch.setattr(frontend_connection, "connect_unreserved", connect_when_released)
         records = record_closed_connections(relay, monkeypatch)
         clients = [
-            await send_request(relay.listener.address, encode_request_line(3000)) for _ in range(CROWD)
+            await send_request(relay.listener.address, encode_request_line(3000)) for _ in range(CLIENT_COUNT)
         ]
-        await until(lambda: begun == CROWD)
+        await until(lambda: begun == CLIENT_COUNT)
         released.set()
         for _, writer in clients:
             writer.get_extra_info("socket").shutdown(socket.SHUT_RDWR)
-        time.sleep(BUSY_S)
-        await until(lambda: len(records) == CROWD and not relay.balancer_actor.balancer.requests)
-        assert begun == CROWD and not any(line for endpoint in endpoints for line in endpoint.request_lines)
-        assert {record.close_reason for record in records} <= set(GONE)
+        time.sleep(LOOP_BLOCKED_S)
+        await until(lambda: len(records) == CLIENT_COUNT and not relay.balancer_actor.balancer.requests)
+        assert begun == CLIENT_COUNT and not any(
+            line for endpoint in endpoints for line in endpoint.request_lines
+        )
+        assert {record.close_reason for record in records} <= set(DISCONNECT_REASONS)
         for _, writer in clients:
             writer.close()
 
 
 @pytest.mark.timeout(30)
-async def test_those_who_left_while_they_lay_in_the_backlog_cost_no_attempt(
+async def test_clients_that_disconnect_while_in_the_backlog_cost_no_attempt(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async with running_relay(tmp_path, echo_lines, echo_lines) as (relay, endpoints):
         await until(lambda: relay.endpoint_registry.version == 2)
         connects = ConnectCounter(monkeypatch)
         records = record_closed_connections(relay, monkeypatch)
-        for _ in range(100):  # the loop does not turn here
+        for _ in range(100):  # the event loop does not run here
             client = socket.create_connection(relay.listener.address)
             client.sendall(encode_request_line())
             client.close()
-        time.sleep(BUSY_S)
+        time.sleep(LOOP_BLOCKED_S)
         await until(lambda: len(records) == 100 and not relay.balancer_actor.balancer.requests)
         assert connects.count == 0 and not any(endpoint.open_connections for endpoint in endpoints)
 
 
 @pytest.mark.timeout(30)
-async def test_words_read_in_two_places_stay_in_their_order(tmp_path: Path) -> None:
-    # One reader had read the first and was not yet woken; the look before writing then read the second, and
-    # put it in front.
+async def test_client_lines_read_by_two_tasks_stay_in_order(tmp_path: Path) -> None:
+    # One task had read the first line and was not yet resumed. The check before the write then read the
+    # second line and put it in front of the first.
     async with running_relay(tmp_path, never_respond) as (relay, (endpoint,)):
         loop = asyncio.get_running_loop()
         _reader, writer = await send_request(relay.listener.address, encode_request_line(3000))
@@ -282,8 +286,9 @@
         transport: Any = lifecycle.transport
         seen: asyncio.Future[None] = loop.create_future()
 
-        def each_turn() -> None:
-            # Queued a turn before whatever the poll of this turn wakes, so it runs in between.
+        def poll_each_iteration() -> None:
+            # Queued one iteration before the tasks that this iteration's poll wakes, so it runs between the
+            # read and the resumption of the reader.
             try:
                 transport.client.recv(1, socket.MSG_PEEK)
             except BlockingIOError:
@@ -291,10 +296,10 @@
                 assert transport.poll_client() is None
                 seen.set_result(None)
             else:
-                loop.call_soon(each_turn)
+                loop.call_soon(poll_each_iteration)
 
         writer.write(b"M 1\r\n")
-        loop.call_soon(each_turn)
+        loop.call_soon(poll_each_iteration)
         await seen
         await asyncio.sleep(0)
         await asyncio.sleep(0)
@@ -303,8 +308,8 @@
 
 
 @pytest.mark.timeout(30)
-async def test_an_xmpp_client_that_breaks_its_stream_while_it_waits_hears_why(tmp_path: Path) -> None:
-    # It was taken for one that had left, and its connection closed without a response.
+async def test_an_xmpp_client_that_breaks_its_stream_while_it_waits_is_sent_the_error(tmp_path: Path) -> None:
+    # It was treated as disconnected, and its connection was closed without a response.
     async def read_until_end(server: XmppServerSession) -> None:
         await server.read_rest()
 
--- a/tests/core/test_clock.py
+++ b/tests/core/test_clock.py
@@ -1,4 +1,4 @@
-"""The relay's time across steps of the system's clock."""
+"""Tests of the relay's time across steps of the system clock."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class SteppedClock:
-    """A system clock and a monotonic one; only the first is stepped."""
+    """A relay clock on a fake system clock, which can be stepped, and a fake monotonic clock."""
 
     def __init__(self) -> None:
         self.elapsed_s = 0.0
@@ -28,13 +28,13 @@
         return START_S + self.elapsed_s + self.shift_s
 
     def started(self, age_s: float = 0.0) -> Endpoint:
-        """Returns an endpoint that started ``age_s`` ago by the clock that shows ``now``."""
+        """Return an endpoint that started ``age_s`` ago, with a timestamp by the system clock."""
         return Endpoint("a", "ready", started_at_ms=(self.wall_s() - age_s) * 1000.0)
 
 
 @pytest.mark.parametrize("is_writer_stepped", [True, False])
 @pytest.mark.parametrize("step_s", [-HOUR_S, -5.0, 5.0, HOUR_S])
-def test_a_timestamp_of_after_a_step_stands_for_its_moment_whoever_was_stepped(
+def test_a_timestamp_written_after_a_step_is_converted_exactly_whichever_clock_was_stepped(
     step_s: float, is_writer_stepped: bool
 ) -> None:
     stepped = SteppedClock()
@@ -51,7 +51,7 @@
 
 
 @pytest.mark.parametrize("step_s", [-HOUR_S, -5.0, 5.0, HOUR_S])
-def test_a_timestamp_of_before_a_step_is_never_older_than_its_moment(step_s: float) -> None:
+def test_a_timestamp_written_before_a_step_is_never_converted_to_an_earlier_moment(step_s: float) -> None:
     stepped = SteppedClock()
     before_ms = stepped.wall_s() * 1000.0
     stepped.elapsed_s = 100.0
@@ -61,8 +61,8 @@
     assert START_S * 1000.0 - 1.0 <= converted_ms <= START_S * 1000.0 + max(0.0, -step_s) * 1000.0 + 1.0
 
 
-def test_a_timestamp_that_no_clock_can_have_shown_yet_stands_for_now() -> None:
-    # A relay that starts after a step back is given starts of before it: an hour ahead of its clock.
+def test_a_timestamp_in_the_future_is_converted_to_now() -> None:
+    # A relay that starts after its clock was stepped back gets start times from before the step.
     stepped = SteppedClock()
     future_ms = (stepped.wall_s() + HOUR_S) * 1000.0
     assert stepped.clock.from_wall_ms(future_ms) == stepped.clock.now_ms()
@@ -76,9 +76,9 @@
 
 
 @given(st.integers(0, 1 << 32))
-def test_an_endpoint_is_never_taken_for_older_than_it_is_whatever_the_steps(seed: int) -> None:
-    # Older means a larger part of the load than it bears. It may be taken for younger, up to a moment ago,
-    # where its start was shown twice or machines were not stepped together.
+def test_an_endpoint_never_seems_older_than_it_is_whatever_the_steps(seed: int) -> None:
+    # An endpoint that seems older than it is gets more load than it can bear. It may seem younger, even just
+    # started, if the clock showed its start time twice or the machines were not stepped together.
     rng = random.Random(seed)
     stepped = SteppedClock()
     for _ in range(40):
@@ -96,15 +96,15 @@
         assert converted_ms <= stepped.clock.now_ms()
 
 
-def test_a_start_is_converted_once_and_its_identity_stays() -> None:
+def test_a_start_is_converted_once_and_stays_unchanged() -> None:
     stepped = SteppedClock()
     times = StartTimes(stepped.clock)
     stepped.elapsed_s = 10.0
     endpoint = stepped.started(age_s=5.0)
     (before,) = times.convert([endpoint], is_full=True)
-    assert before is endpoint  # nothing was stepped: as discovery gave it
+    assert before is endpoint  # no clock was stepped, so the endpoint is unchanged
     stepped.shift_s = -HOUR_S
-    stepped.elapsed_s = HOUR_S  # the clock shows for the second time what it showed then
+    stepped.elapsed_s = HOUR_S  # the clock shows the same time again
     assert times.convert([endpoint], is_full=True) == [endpoint]
     restarted = stepped.started(age_s=1.0)
     (converted,) = times.convert([restarted], is_full=False)
@@ -118,7 +118,7 @@
 def test_a_clock_that_is_stepped_for_years_makes_no_endpoint_older_and_takes_no_more_memory(
     seed: int,
 ) -> None:
-    # A bounded history of steps forgot the unstepped time, however long it was.
+    # A bounded history of steps dropped the shift of the unstepped clock, however long that had applied.
     rng = random.Random(seed)
     history = WallClockHistory()
     shift_s = now_s = 0.0
@@ -135,8 +135,8 @@
     assert len(history.ranges) <= MAX_SHIFT_RANGES
 
 
-def test_merged_shifts_leave_an_old_endpoint_its_age() -> None:
-    # Erring towards younger must not go so far that nothing is ever taken for warm.
+def test_an_old_endpoint_keeps_its_age_after_shifts_are_merged() -> None:
+    # Endpoints may seem younger than they are, but not so much that none ever counts as warmed up.
     history = WallClockHistory()
     for step in range(100):
         history.record_reading(0.0, step * 1000.0)
--- a/tests/core/test_close_reasons.py
+++ b/tests/core/test_close_reasons.py
@@ -1,4 +1,4 @@
-"""Every pair of a request's stage and what ends it: one final response, nothing late, nothing left."""
+"""Tests of every pair of a request's stage and the event that ends it: one response, no leftovers."""
 
 from __future__ import annotations
 
@@ -58,7 +58,7 @@
 
 
 class RelayScenario:
-    """A relay between one client and three endpoints that all act alike."""
+    """A relay between one client and three endpoints that all run the same script."""
 
     def __init__(self, relay: Relay, endpoints: list[FakeEndpoint], wait_ms: int = 3000) -> None:
         self.relay = relay
@@ -66,7 +66,7 @@
         self.line = encode_request_line(wait_ms)
         self.client = socket.create_connection(relay.listener.address)
         self.client.setblocking(False)
-        self.resume = asyncio.Event()  # lets what was held at its stage go on
+        self.resume = asyncio.Event()  # lets an endpoint or a connect that waits at its stage continue
         self.reset_endpoint = False
 
     @property
@@ -74,7 +74,7 @@
         return [line for endpoint in self.endpoints for line in endpoint.request_lines if line]
 
     async def read_rest(self) -> bytes:
-        """Returns all that the client still receives; b"reset" is appended on a reset."""
+        """Return all bytes that the client still receives; b"reset" is appended on a reset."""
         loop, received = asyncio.get_running_loop(), b""
         try:
             while more := await asyncio.wait_for(loop.sock_recv(self.client, 1 << 16), 5):
@@ -84,11 +84,11 @@
         return received
 
 
-# ---------------------------------------------------------------- stages: what the endpoints do meanwhile
+# ---------------------------------------------------------------- stages of a request
 
 
-def holding(text: bytes) -> Callable[[list[RelayScenario]], EndpointScript]:
-    """Sends ``text``, then waits for the scenario to end or resume it; then resets or closes."""
+def make_holding_script(text: bytes) -> Callable[[list[RelayScenario]], EndpointScript]:
+    """Return a script that sends ``text``, waits until it is resumed or closed, and then resets or closes."""
 
     def script(scenario: list[RelayScenario]) -> EndpointScript:
         async def act(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes) -> None:
@@ -109,7 +109,7 @@
     return script
 
 
-async def connecting(scenario: RelayScenario, monkeypatch: pytest.MonkeyPatch) -> None:
+async def reach_connecting(scenario: RelayScenario, monkeypatch: pytest.MonkeyPatch) -> None:
     connect, begun = connect_unreserved, asyncio.Event()
 
     async def connect_when_resumed(address: Address, timeout_s: float) -> ConnectResult:
@@ -125,32 +125,32 @@
     await begun.wait()
 
 
-async def written(scenario: RelayScenario, monkeypatch: pytest.MonkeyPatch) -> None:
+async def reach_written(scenario: RelayScenario, monkeypatch: pytest.MonkeyPatch) -> None:
     scenario.client.sendall(scenario.line)
     await until(lambda: scenario.lines)
 
 
-async def established(scenario: RelayScenario, monkeypatch: pytest.MonkeyPatch) -> None:
+async def reach_established(scenario: RelayScenario, monkeypatch: pytest.MonkeyPatch) -> None:
     scenario.client.sendall(scenario.line)
     await until(lambda: any(lifecycle.is_established for lifecycle in scenario.relay.request_registry))
 
 
-async def partial_request_line(scenario: RelayScenario, monkeypatch: pytest.MonkeyPatch) -> None:
+async def reach_partial_request_line(scenario: RelayScenario, monkeypatch: pytest.MonkeyPatch) -> None:
     scenario.client.sendall(scenario.line[:-2])
     await until(lambda: scenario.relay.admission.pending_count)
 
 
 STAGES = {
-    "half a first line": (partial_request_line, holding(b"")),
-    "connecting": (connecting, holding(b"UP r1\r\n")),
-    "written": (written, holding(b"")),
-    "UP half read": (written, holding(b"UP r")),
-    "established": (established, holding(b"UP r1\r\n")),
-    "established, half a line down": (established, holding(b"UP r1\r\nM 1\r\nM 2")),
+    "half a first line": (reach_partial_request_line, make_holding_script(b"")),
+    "connecting": (reach_connecting, make_holding_script(b"UP r1\r\n")),
+    "written": (reach_written, make_holding_script(b"")),
+    "UP half read": (reach_written, make_holding_script(b"UP r")),
+    "established": (reach_established, make_holding_script(b"UP r1\r\n")),
+    "established, half a line down": (reach_established, make_holding_script(b"UP r1\r\nM 1\r\nM 2")),
 }
 
 
-# ---------------------------------------------------------------- what ends it
+# ---------------------------------------------------------------- events that end a request
 
 
 async def client_closes(scenario: RelayScenario) -> None:
@@ -189,8 +189,8 @@
     await asyncio.sleep(0)
 
 
-End = Callable[[RelayScenario], Awaitable[None]]
-ENDS: list[End] = [
+EndEvent = Callable[[RelayScenario], Awaitable[None]]
+END_EVENTS: list[EndEvent] = [
     client_closes,
     client_resets,
     endpoint_closes,
@@ -199,11 +199,11 @@
     graceful_shutdown,
     client_times_out,
 ]
-GONE = (client_closes, client_resets)
+CLIENT_DISCONNECTS = (client_closes, client_resets)
 
 
 async def until_released(relay: Relay, endpoints: list[FakeEndpoint]) -> None:
-    """Returns once the relay holds no request or connection, and no endpoint has a connection open."""
+    """Wait until the relay has no request or connection, and no endpoint has a connection open."""
     balancer = relay.balancer_actor.balancer
     await until(
         lambda: not relay.request_registry and not balancer.requests and not relay.admission.connection_count
@@ -215,12 +215,12 @@
 @pytest.mark.parametrize("effect", DEPLOYMENTS)
 @pytest.mark.parametrize(
     ("stage", "end"),
-    list(itertools.product(STAGES, ENDS)),
+    list(itertools.product(STAGES, END_EVENTS)),
     ids=lambda value: value if isinstance(value, str) else value.__name__,
 )
 @pytest.mark.timeout(15)
 async def test_every_end_at_every_stage_gives_one_response_and_leaves_nothing(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, stage: str, end: End, effect: str
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, stage: str, end: EndEvent, effect: str
 ) -> None:
     reach, act = STAGES[stage]
     scenarios: list[RelayScenario] = []
@@ -237,29 +237,29 @@
         before = len(scenario.lines)
         await end(scenario)
         stays = stage.startswith("established") and end in (all_endpoints_drain, client_times_out)
-        received = b"" if end in GONE or stays else await scenario.read_rest()
+        received = b"" if end in CLIENT_DISCONNECTS or stays else await scenario.read_rest()
         assert not stays or all(lifecycle.is_established for lifecycle in relay.request_registry)
         scenario.client.close()
         scenario.resume.set()
         await until_released(relay, endpoints)
-        # The listener's, and the descriptor that it keeps in reserve.
+        # After a shutdown, the listener's socket and its reserve descriptor are closed as well.
         closed_descriptors = 2 if end is graceful_shutdown else 0
         await until(lambda: len(os.listdir("/proc/self/fd")) <= descriptors - closed_descriptors)
         sent, max_attempts = len(scenario.lines), settings["policyLimits"]["sendCap"]
         assert sent <= max_attempts and sum(endpoint.max_open_connections for endpoint in endpoints) <= max(
             1, sent
         )
-        if end in GONE or end in (all_endpoints_drain, graceful_shutdown):
+        if end in CLIENT_DISCONNECTS or end in (all_endpoints_drain, graceful_shutdown):
             assert len(scenario.lines) == before, "sent on after the end was known"
-        if end not in GONE and not stays:
+        if end not in CLIENT_DISCONNECTS and not stays:
             check_response(stage, end, effect, received, before)
 
 
-def check_response(stage: str, end: End, effect: str, received: bytes, written: int) -> None:
+def check_response(stage: str, end: EndEvent, effect: str, received: bytes, written: int) -> None:
     if stage.startswith("established") or (stage == "connecting" and received.startswith(b"UP")):
         lines = received.removeprefix(b"UP r1\r\n").removeprefix(b"M 1\r\n")
         if end is graceful_shutdown:
-            assert lines == b"MOVE\r\n"  # between two lines: what is half is dropped
+            assert lines == b"MOVE\r\n"  # sent between two lines; an incomplete line is dropped
         elif end is endpoint_resets:
             assert lines == b"reset"
         elif end is endpoint_closes:
@@ -272,14 +272,14 @@
         assert received.startswith(b"BUSY"), "it never ran: nothing stands against another try"
 
 
-# ---------------------------------------------------------------- as the listener closes
+# ---------------------------------------------------------------- requests as the listener closes
 
 
 @pytest.mark.parametrize("sent", [encode_request_line(), b"PING\r\n", encode_request_line()[:9], b""])
 @pytest.mark.timeout(10)
 async def test_a_client_that_connects_as_the_listener_closes_is_answered(tmp_path: Path, sent: bytes) -> None:
-    # The listening socket was closed with a backlog, whose clients were reset without a response. The loop
-    # runs no other task here between the client's connecting and the closing.
+    # The listening socket was closed while connections were in its backlog, and their clients were reset
+    # without a response. Here the event loop runs no other task between the client's connect and the close.
     async with running_relay(tmp_path, echo_lines) as (relay, (endpoint,)):
         relay.request_registry.schedule = ShutdownSchedule(0.0, 0.0, 0.05, 2.0)
         stop_accepting, clients = relay.ingress.stop_accepting, list[socket.socket]()
@@ -305,7 +305,8 @@
 async def test_a_request_that_arrives_after_the_forced_drain_is_answered_and_not_placed(
     tmp_path: Path,
 ) -> None:
-    # It was placed, stood, and was cut off without MOVE: only those connected then had been sent one.
+    # The request was placed and established, and its connection then closed without MOVE, which had been sent
+    # only to connections that existed when the drain was forced.
     async with running_relay(tmp_path, echo_lines) as (relay, (endpoint,)):
         relay.request_registry.schedule = ShutdownSchedule(0.0, 0.0, 0.01, 2.0)
         scenario = RelayScenario(relay, [endpoint])
@@ -328,7 +329,7 @@
         scenario.client.sendall(line[:20])
         await until(lambda: relay.admission.pending_count)
         draining = asyncio.ensure_future(relay.request_registry.drain(relay.ingress))
-        await asyncio.sleep(0.8)  # past the time in which new ones are expected
+        await asyncio.sleep(0.8)  # longer than the time in which new connections are expected
         assert not draining.done()
         scenario.client.sendall(line[20:])
         assert await scenario.read_rest() == b"UP r1\r\nMOVE\r\n"
@@ -338,18 +339,18 @@
 
 @pytest.mark.timeout(10)
 async def test_a_client_evicted_as_its_request_line_completes_is_answered(tmp_path: Path) -> None:
-    # Closed over the unread line, the kernel's reset destroyed the answer.
+    # The socket was closed while the line was unread, so the kernel sent a reset, which discarded the answer.
     async with running_relay(tmp_path, echo_lines) as (relay, _):
         scenario = RelayScenario(relay, [])
         await until(lambda: relay.admission.pending_count)
-        await asyncio.sleep(0.01)  # its reading has begun; whether or not, it is answered
+        await asyncio.sleep(0.01)  # lets the read begin; the client must be answered in either case
         scenario.client.sendall(encode_request_line())
         relay.admission.evict_all_pending()
         assert await scenario.read_rest() == b"BUSY 500\r\n"
         scenario.client.close()
 
 
-# ---------------------------------------------------------------- a MOVE that cannot be written
+# ---------------------------------------------------------------- migration, adoption and internal errors
 
 
 async def flood_client(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes) -> None:
@@ -359,13 +360,13 @@
         await writer.drain()
 
 
-@pytest.mark.parametrize("reads_on", [True, False])
+@pytest.mark.parametrize("resumes_reading", [True, False])
 @pytest.mark.timeout(15)
 async def test_a_move_waits_for_a_client_that_does_not_read_until_the_drain_is_forced(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, reads_on: bool
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, resumes_reading: bool
 ) -> None:
-    # It was given up after 0.7 s and the client cut off without a final response, though its endpoint still
-    # answered.
+    # The relay gave up on MOVE after 0.7 s and closed the connection without it, although the endpoint was
+    # still responsive.
     forwarders: list[LineForwarder] = []
 
     class RecordedForwarder(LineForwarder):
@@ -381,15 +382,15 @@
         scenario.client.sendall(encode_request_line())
         await until(lambda: any(lifecycle.is_established for lifecycle in relay.request_registry))
         (lifecycle,) = relay.request_registry
-        stuck = 0
-        while stuck < 30:  # until for 0.3 s the kernel has had no room for more
+        unwritable_polls = 0
+        while unwritable_polls < 30:  # until the send buffer has been full for 0.3 s
             await asyncio.sleep(0.01)
             writable = not forwarders or select.select([], [forwarders[0].target], [], 0)[1]
-            stuck = 0 if writable else stuck + 1
+            unwritable_polls = 0 if writable else unwritable_polls + 1
         relay.balancer_actor.migrate_connection(lifecycle.id)
         await asyncio.sleep(0.8)
         assert lifecycle.is_established and not ended
-        if not reads_on:
+        if not resumes_reading:
             lifecycle.force_drain()
             await until(lambda: ended)
             assert ended[0].close_reason is not None and ended[0].close_reason.name == "CUT_OFF"
@@ -405,11 +406,11 @@
 async def test_a_forced_drain_rejects_a_connection_that_is_being_adopted(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Nothing of it was sent: ERR said that it may have been.
+    # It was answered ERR, which means that it may have been executed, although nothing had been sent.
     async with running_relay(tmp_path, echo_lines) as (relay, (endpoint,)):
         scenario = RelayScenario(relay, [endpoint])
         scenario.line = encode_request_line(40000, ",at=a")
-        await connecting(scenario, monkeypatch)
+        await reach_connecting(scenario, monkeypatch)
         await graceful_shutdown(scenario)
         assert (await scenario.read_rest()).startswith(b"BUSY") and not any(endpoint.request_lines)
         scenario.client.close()
@@ -419,13 +420,13 @@
 async def test_an_internal_error_is_answered_and_leaves_no_request_behind(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # The client's connection was closed without a response, and the module kept the request for good.
+    # The client's connection was closed without a response, and the request stayed in the balancer forever.
     async with running_relay(tmp_path, echo_lines) as (relay, _):
 
-        async def fails(address: Address, timeout_s: float) -> ConnectResult:
+        async def fail_to_connect(address: Address, timeout_s: float) -> ConnectResult:
             raise ValueError("unforeseen")
 
-        monkeypatch.setattr(frontend_connection, "connect_unreserved", fails)
+        monkeypatch.setattr(frontend_connection, "connect_unreserved", fail_to_connect)
         scenario = RelayScenario(relay, [])
         scenario.client.sendall(scenario.line)
         assert await scenario.read_rest() == b"ERR internal\r\n"
--- a/tests/core/test_load_values.py
+++ b/tests/core/test_load_values.py
@@ -1,4 +1,4 @@
-"""Loads that endpoints report of connections: a value that cannot be right changes nothing."""
+"""Tests of the load that endpoints report of a connection: invalid values are ignored."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
     await reader.read()
 
 
-async def test_a_load_that_is_no_number_never_reaches_the_balancer(
+async def test_an_invalid_load_never_reaches_the_balancer(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # One NaN entered the sum of all loads, every comparison with it failed from then on, and the relay
-    # never again took an endpoint for overloaded.
+    # A single NaN was added to the sum of all loads. Every comparison with the sum was false from then on, so
+    # the relay never again detected that an endpoint was overloaded.
     async with running_relay(tmp_path, report_invalid_loads) as (relay, _):
         reported: list[float] = []
         balancer = relay.balancer_actor.balancer
--- a/tests/core/test_log_ids.py
+++ b/tests/core/test_log_ids.py
@@ -1,4 +1,4 @@
-"""All log lines about a request carry the id by which its client named it."""
+"""Tests that log lines about a request carry the id that its client gave it."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 async def handle_all(balancer_actor: BalancerActor, *events: Event) -> None:
-    """Runs the actor until it has handled ``events``."""
+    """Run the actor until it has handled ``events``."""
     for event in events:
         await balancer_actor.post_event(event)
     running = asyncio.ensure_future(balancer_actor.run())
--- a/tests/core/test_request_lifecycle.py
+++ b/tests/core/test_request_lifecycle.py
@@ -1,4 +1,4 @@
-"""A request's lifecycle against a scripted transport: what must hold for every frontend."""
+"""Tests of a request's lifecycle with a scripted transport: rules that hold for every frontend."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class ScriptedTransport:
-    """Gives each attempt the next of ``attempts``: why it failed, or None where it is established."""
+    """Transport whose attempts end with the next of ``attempts``: a close reason, or None if established."""
 
     def __init__(self, *attempts: CloseReason | None) -> None:
         self.attempts = list(attempts)
@@ -64,7 +64,7 @@
 
 
 async def run_lifecycle(transport: ScriptedTransport, drain: bool = False) -> ConnectionRecord:
-    """Runs one request against a balancer with four endpoints, and checks that it is idle afterwards."""
+    """Run one request with a balancer of four endpoints, and check that it is idle afterwards."""
     settings = Settings(classes=(RequestClass("c", latency_objective_ms=900),), may_cancel=True)
     balancer_actor = BalancerActor(settings, 1, Clock(), lambda: None)
     actor = asyncio.ensure_future(balancer_actor.run())
@@ -99,7 +99,7 @@
 
 
 async def test_a_client_that_disconnects_as_its_attempt_is_established_leaves_no_connection_open() -> None:
-    # Both came in one turn of the loop: the endpoint's connection stayed open, with no client.
+    # Both happened in one iteration of the event loop: the endpoint's connection stayed open with no client.
     transport = ScriptedTransport(None)
     transport.disconnects_during_attempt = True
     record = await run_lifecycle(transport)
@@ -121,7 +121,7 @@
 
 
 def test_the_core_imports_no_protocol() -> None:
-    # The second front rests on it: what the core imports is where a protocol would creep in.
+    # Both frontends use the core, so it must not depend on the protocol of either.
     for file in (PACKAGE / "core").glob("*.py"):
         for node in ast.walk(ast.parse(file.read_text())):
             names = [alias.name for alias in node.names] if isinstance(node, ast.Import) else []
--- a/tests/core/test_start_times.py
+++ b/tests/core/test_start_times.py
@@ -1,4 +1,4 @@
-"""Endpoints that start later than discovery's last word are new, whatever their timestamps say."""
+"""Tests of start times: an endpoint first listed after the last list is new, whatever its timestamp says."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class AheadClock:
-    """The clock of a relay that has been ahead of all other machines since its start."""
+    """Clock and start times of a relay whose system clock has been ahead since its start."""
 
     def __init__(self, ahead_ms: float = HOUR_MS) -> None:
         self.elapsed_ms = 0.0
@@ -29,11 +29,11 @@
         self.times = StartTimes(self.clock)
 
     def started(self, name: str, age_ms: float) -> Endpoint:
-        """Returns an endpoint that started ``age_ms`` ago, stamped by a machine with the right time."""
+        """Return an endpoint that started ``age_ms`` ago, with a timestamp by a correct clock."""
         return Endpoint(name, started_at_ms=NOW_MS + self.elapsed_ms - age_ms)
 
     def age_ms(self, endpoint: Endpoint) -> float:
-        """Returns the age that the relay takes a converted endpoint for."""
+        """Return the age of a converted endpoint by the relay's time."""
         return self.clock.now_ms() - endpoint.started_at_ms
 
 
@@ -43,7 +43,7 @@
 
 
 def test_an_endpoint_that_restarts_is_new_to_a_relay_whose_clock_was_ahead_from_its_start() -> None:
-    # Taken for an hour old, it got no slow start: nine connections in its first second instead of none.
+    # It seemed an hour old and got no slow start: it was sent nine connections in its first second, not none.
     relay = AheadClock()
     list_old_endpoints(relay)
     relay.elapsed_ms = 5000.0 + MAX_LIST_DELAY_MS
@@ -52,7 +52,7 @@
 
 
 def test_an_endpoint_with_a_new_name_is_new_as_well() -> None:
-    # Releases replace endpoints by others of other names.
+    # A release replaces endpoints by others with new names.
     relay = AheadClock()
     list_old_endpoints(relay)
     relay.elapsed_ms = 5000.0
@@ -60,17 +60,17 @@
     assert 0.0 <= relay.age_ms(added) <= 1000.0
 
 
-def test_what_one_start_has_shown_holds_for_the_next_ones() -> None:
+def test_a_clock_difference_found_by_one_start_applies_to_later_ones() -> None:
     relay = AheadClock()
     list_old_endpoints(relay)
     relay.elapsed_ms = 5000.0
     relay.times.convert([relay.started("a", 1000.0)], is_full=False)
-    relay.elapsed_ms += HOUR_MS + 60_000.0  # too long after the last list to show anything by itself
+    relay.elapsed_ms += HOUR_MS + 60_000.0  # too long after the last list to reveal the difference by itself
     (second,) = relay.times.convert([relay.started("b", 1000.0)], is_full=False)
     assert 0.0 <= relay.age_ms(second) <= 6000.0
 
 
-def test_a_restart_after_a_long_quiet_time_counts_from_the_last_sign_of_life_of_the_watch() -> None:
+def test_a_restart_after_a_long_idle_time_is_dated_by_the_last_confirmation_of_the_watch() -> None:
     relay = AheadClock()
     list_old_endpoints(relay)
     relay.elapsed_ms = 3.0 * HOUR_MS
@@ -79,8 +79,8 @@
 
 
 @pytest.mark.parametrize("is_full", [True, False])
-def test_an_endpoint_that_comes_back_unchanged_keeps_its_age(is_full: bool) -> None:
-    # Not listed while its zone was cut off, it is the same process, and warm.
+def test_an_endpoint_that_is_listed_again_unchanged_keeps_its_age(is_full: bool) -> None:
+    # An endpoint that was not listed while its zone was unreachable is the same process, already warmed up.
     relay = AheadClock(0.0)
     cut_off, other = relay.started("a", 24.0 * HOUR_MS), relay.started("b", 24.0 * HOUR_MS)
     relay.times.convert([cut_off, other], is_full=True)
@@ -90,8 +90,8 @@
     assert relay.times.convert([cut_off], is_full=False) == [cut_off]
 
 
-def test_the_first_complete_list_shows_nothing_of_how_old_its_endpoints_are() -> None:
-    # A list of the configuration may be as old as it likes.
+def test_the_first_complete_list_does_not_limit_the_age_of_its_endpoints() -> None:
+    # The list of the configuration may be of any age.
     relay = AheadClock(0.0)
     relay.times.convert([relay.started("a", 24.0 * HOUR_MS)], is_full=True, is_current=False)
     relay.elapsed_ms = 10_000.0
@@ -99,7 +99,7 @@
     assert relay.times.convert(listed, is_full=True) == listed
 
 
-def test_an_endpoint_that_is_listed_late_by_a_right_clock_keeps_its_age() -> None:
+def test_an_endpoint_that_is_listed_with_a_delay_keeps_its_age_if_the_clocks_agree() -> None:
     relay = AheadClock(0.0)
     list_old_endpoints(relay)
     relay.elapsed_ms = 10_000.0
@@ -107,7 +107,7 @@
     assert relay.times.convert([late], is_full=False, confirmed_age_ms=1.0) == [late]
 
 
-def test_starts_of_endpoints_that_are_gone_are_forgotten_but_for_the_latest() -> None:
+def test_only_the_latest_starts_of_removed_endpoints_are_retained() -> None:
     relay = AheadClock(0.0)
     relay.times.convert([], is_full=True)
     first = relay.started("s0", 1000.0)
@@ -116,10 +116,10 @@
         relay.times.convert([relay.started(f"s{number}", 1000.0)], is_full=False)
         relay.times.convert([Endpoint(f"s{number}", "gone")], is_full=False)
     (returned,) = relay.times.convert([first], is_full=False)
-    assert relay.age_ms(returned) < 1000.0  # younger than it is, once it was forgotten
+    assert relay.age_ms(returned) < 1000.0  # seems younger than it is, since its start was dropped
 
 
-async def test_a_watch_says_how_long_ago_it_last_confirmed_the_list() -> None:
+async def test_a_watch_reports_the_time_since_it_last_confirmed_the_list() -> None:
     address: Address = ("127.0.0.1", 9)
     response = encode_watch_response(make_endpoint_list({"a": address}, 1))
     change = encode_watch_response(make_endpoint_list({"a": address}, 2)).split(b"\r\n\r\n", 1)[1]
--- a/tests/support/event_loop.py
+++ b/tests/support/event_loop.py
@@ -1,4 +1,4 @@
-"""Waits for conditions on a test's event loop."""
+"""Helper that waits for a condition on a test's event loop."""
 
 from __future__ import annotations
 
@@ -10,6 +10,6 @@
 
 
 async def until(condition: Callable[[], Any]) -> None:
-    """Returns once ``condition()`` is true."""
+    """Wait until ``condition()`` is true."""
     while not condition():
         await asyncio.sleep(POLL_INTERVAL_S)
--- a/tests/support/failing_calls.py
+++ b/tests/support/failing_calls.py
@@ -1,4 +1,4 @@
-"""Replaces a system call by one that fails temporarily, and then works."""
+"""Replaces a system call by one that fails temporarily and then works again."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 
 class FailingCall:
-    """Replaces a method or function: it raises each of ``errors`` once, in turn, and then works again.
+    """Replacement of a method or function that raises each of ``errors`` once, in turn, and then works again.
 
-    ``errors`` are numbers of ``errno``; it may be endless, as ``itertools.repeat(errno.EIO)`` is.
+    ``errors`` are ``errno`` numbers; the iterable may be infinite, e.g. ``itertools.repeat(errno.EIO)``.
     """
 
     def __init__(self, owner: Any, name: str, errors: Iterable[int]) -> None:
@@ -24,11 +24,11 @@
 
     @property
     def is_failing(self) -> bool:
-        """Returns whether any of the errors has not been raised yet."""
+        """True if any of the errors has not been raised yet."""
         return self._next_error is not None
 
     def install(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        """Replaces the call until ``monkeypatch`` is undone."""
+        """Replace the call until ``monkeypatch`` is undone."""
         real_call = getattr(self._owner, self._name)
 
         def fail_or_call(*arguments: Any, **named: Any) -> Any:
--- a/tests/support/relay_checks.py
+++ b/tests/support/relay_checks.py
@@ -14,7 +14,7 @@
 
 
 def is_balancer_idle(balancer_actor: BalancerActor) -> bool:
-    """Returns whether the balancer has no request, and no endpoint a connection or an attempt in flight."""
+    """Return whether the balancer has no request, and no endpoint a connection or an attempt in flight."""
     balancer = balancer_actor.balancer
     endpoints = balancer.endpoints.values()
     return not balancer.requests and all(
@@ -23,27 +23,27 @@
 
 
 def is_idle(relay: Relay) -> bool:
-    """Returns whether neither the core nor the balancer holds any request."""
+    """Return whether neither the core nor the balancer has any request."""
     actor = relay.balancer_actor
     return not relay.request_registry and not actor.requests and is_balancer_idle(actor)
 
 
 def record_closed_connections(relay: Relay, monkeypatch: pytest.MonkeyPatch) -> list[ConnectionRecord]:
-    """Returns a list to which each connection's record is added, instead of the relay handling it."""
+    """Return a list to which each connection's record is added, instead of the relay handling it."""
     records: list[ConnectionRecord] = []
     monkeypatch.setattr(relay.context, "on_connection_closed", records.append)
     return records
 
 
 class Placement(NamedTuple):
-    """An attempt: the balancer's id of its request, and the endpoint at which it was placed."""
+    """An attempt: the balancer's id of its request, and the endpoint on which it was placed."""
 
     request_id: int
     endpoint: str
 
 
 class PlacementRecorder:
-    """Observes a balancer, and records its placements."""
+    """Observer of a balancer that records its placements."""
 
     def __init__(self) -> None:
         self.placements: list[Placement] = []
@@ -61,14 +61,14 @@
 
 
 def record_placements(relay: Relay) -> list[Placement]:
-    """Returns a list to which every placement by the relay's balancer is added from now on."""
+    """Return a list to which every placement by the relay's balancer is added from now on."""
     recorder = PlacementRecorder()
     relay.balancer_actor.observers.append(recorder)
     return recorder.placements
 
 
 def record_balancer_events(relay: Relay, monkeypatch: pytest.MonkeyPatch) -> list[Event]:
-    """Returns a list to which each event is added just before the relay's balancer handles it."""
+    """Return a list to which each event is added just before the relay's balancer handles it."""
     events: list[Event] = []
     balancer = relay.balancer_actor.balancer
     handle = balancer.handle
