--- a/sageturn/core/handled_signals.py
+++ b/sageturn/core/handled_signals.py
@@ -1,6 +1,7 @@
 """The signals that a relay handles.
 
-The program blocks them in its first statement, so this module must import nothing else of the package.
+The program blocks them before it imports anything else, so this module must not import others of
+the package, which would delay that.
 """
 
 from __future__ import annotations
--- a/tests/core/test_client_disconnects.py
+++ b/tests/core/test_client_disconnects.py
@@ -216,7 +216,7 @@
 # ---------------------------------------------------------------- many disconnects while the loop is blocked
 
 CLIENT_COUNT = 300
-LOOP_BLOCKED_S = 0.15  # longer than the time within which an attempt may begin after a disconnect
+LOOP_BLOCKED_S = 0.15  # longer than the time after a disconnect within which an attempt may begin
 
 
 @pytest.mark.parametrize("does_connect", [True, False])
