--- a/sageturn/core/handled_signals.py
+++ b/sageturn/core/handled_signals.py
@@ -1,4 +1,8 @@
-"""The signals that a relay handles. Loads nothing else: they are blocked by the program's first statement."""
+"""The signals that a relay handles.
+
+The program blocks them before it imports anything else, so this module must not import others of
+the package, which would delay that.
+"""
 
 from __future__ import annotations
 
