--- a/sageturn/decision/actions.py
+++ b/sageturn/decision/actions.py
@@ -1,4 +1,4 @@
-"""The actions that a balancer returns, for its driver to carry out in order.
+"""Actions that a balancer returns; its driver carries them out in order.
 
 Times are milliseconds and end in ``_ms``. ``id`` is the id of the request, as in the events.
 """
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True)
 class PlaceRequest:
-    """Start the next attempt of a request; it times out after ``timeout_ms`` unless it is established."""
+    """Order to start a request's next attempt, which times out after ``timeout_ms`` unless established."""
 
     id: int
     endpoint: str
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True)
 class RejectRequest:
-    """Answer the request finally: rejected, a retry is harmless. ``retry_after_ms`` is 0 without advice."""
+    """Order to reject the request: a retry is harmless. ``retry_after_ms`` is 0 if no time is advised."""
 
     id: int
     retry_after_ms: float = 0.0
@@ -27,14 +27,14 @@
 
 @dataclass(slots=True)
 class FailRequest:
-    """Answer the request finally: failed. It may have been executed, so nothing is promised about a retry."""
+    """Order to fail the request: it may have been executed, so a retry is not known to be harmless."""
 
     id: int
 
 
 @dataclass(slots=True)
 class AbandonAttempt:
-    """Stop waiting for an attempt whose client has disconnected."""
+    """Order to stop waiting for an attempt whose client has disconnected."""
 
     id: int
     attempt: int
@@ -42,14 +42,14 @@
 
 @dataclass(slots=True)
 class MigrateConnection:
-    """Ask the client of an established connection to reconnect; its connection ends then."""
+    """Order to ask the client of an established connection to reconnect, which ends the connection."""
 
     id: int
 
 
 @dataclass(slots=True)
 class SetTimer:
-    """Ask for an event ``TimerFired`` with this tag after ``delay_ms``."""
+    """Order to send an event ``TimerFired`` with this tag after ``delay_ms``."""
 
     delay_ms: float
     tag: str
@@ -57,12 +57,12 @@
 
 @dataclass(slots=True)
 class WatchEndpoints:
-    """Call discovery for the endpoint list and its changes, which come as ``EndpointListEvent``."""
+    """Order to call discovery for the endpoint list and its changes, sent as ``EndpointListEvent``."""
 
 
 @dataclass(slots=True)
 class CheckHealth:
-    """Ask an endpoint for its load report; ``HealthCheckCompleted`` has the outcome."""
+    """Order to ask an endpoint for its load report; ``HealthCheckCompleted`` has the outcome."""
 
     endpoint: str
 
--- a/sageturn/decision/balancer.py
+++ b/sageturn/decision/balancer.py
@@ -1,7 +1,7 @@
-"""The balancer: one relay's decisions, from its own events alone. It has no clock and does no I/O.
+"""The balancer makes one relay's decisions, from that relay's events alone. It has no clock and does no I/O.
 
-Each event goes to a handler here, which asks ``admission`` whether a request is admitted and ``placement``
-for its endpoint, and tells ``fleet`` and ``overload`` what the outcome of an attempt shows about an endpoint.
+Each event is dispatched to a handler. The handlers ask ``admission`` whether a request is admitted and
+``placement`` for its endpoint, and report the outcome of each attempt to ``fleet`` and ``overload``.
 """
 
 from __future__ import annotations
@@ -26,12 +26,12 @@
 from sageturn.decision.state import AttemptState, EndpointState, RequestState
 
 MIN_RETRY_AFTER_MS = 100.0
-REEVALUATION_INTERVAL_MS = 50.0  # of endpoints that are shedding load or ejected
-FIRST_TIMEOUT_RATIO = 0.5  # of the time left, so that a timeout leaves time for a retry
+REEVALUATION_INTERVAL_MS = 50.0  # interval between checks of endpoints that shed load or are ejected
+ATTEMPT_TIMEOUT_RATIO = 0.5  # part of the remaining time that an attempt gets if a retry may follow it
 
 
 class Balancer:
-    """Decides on requests and endpoints: ``handle`` takes one event and returns the actions to carry out."""
+    """Decision maker on requests and endpoints: ``handle`` maps one event to the actions to carry out."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings = settings
@@ -65,7 +65,7 @@
         }
 
     def handle(self, now_ms: float, event: events.Event) -> list[actions.Action]:
-        """Return the actions that an event requires, in order; its time ``now_ms`` never goes back."""
+        """Return the actions that the event requires, in order. ``now_ms`` must never decrease."""
         self._actions = []
         self.reject_cause = None
         self.fleet.now_ms = now_ms
@@ -75,8 +75,8 @@
     def _on_request(self, now_ms: float, event: events.RequestArrived) -> None:
         request_class = self._classes.get(event.class_name) or self.settings.classes[0]
         objective_deadline_ms = min(event.deadline_ms, now_ms + request_class.latency_objective_ms)
-        request = RequestState.of_arrival(event, request_class, objective_deadline_ms)
-        request.endpoint = self.fleet.endpoints.get(event.migrated_from)  # avoided, as after an attempt there
+        request = RequestState.from_arrival(event, request_class, objective_deadline_ms)
+        request.endpoint = self.fleet.endpoints.get(event.migrated_from)  # placement avoids it
         self.reevaluate_endpoints(now_ms)
         self.requests[event.id] = request
         if not event.retried:
@@ -89,7 +89,7 @@
         self._place(now_ms, request)
 
     def reevaluate_endpoints(self, now_ms: float) -> None:
-        """Decide from time to time which endpoints stop shedding load, and readmit ejected ones."""
+        """Update which endpoints shed load and readmit ejected ones, at most once per interval."""
         if now_ms >= self._next_reevaluation_ms:
             self._next_reevaluation_ms = now_ms + REEVALUATION_INTERVAL_MS
             self.fleet.update_weights()
@@ -98,7 +98,7 @@
             self.fleet.readmit_ejected(now_ms)
 
     def _place(self, now_ms: float, request: RequestState) -> None:
-        """Place the next attempt, or end the request: no request is queued."""
+        """Place the next attempt, or end the request if it cannot be placed now: no request is queued."""
         is_late = request.attempts and now_ms >= request.objective_deadline_ms
         is_exhausted = request.attempts >= self.settings.max_attempts
         if request.deadline_ms - now_ms <= 0 or is_exhausted or is_late:
@@ -112,7 +112,7 @@
             return
         timeout_ms = self._attempt_timeout_ms(now_ms, request)
         request.begin_attempt(endpoint, now_ms)
-        self.fleet.rejection_streak.end()
+        self.fleet.rejection_streak.reset()
         self.admission.setup_window.begin_setup()
         self.fleet.count_attempt(endpoint, 1, 1)
         self.fleet.count_connection(request, 1)
@@ -123,15 +123,15 @@
         self._actions.append(actions.PlaceRequest(request.id, endpoint.name, timeout_ms))
 
     def _attempt_timeout_ms(self, now_ms: float, request: RequestState) -> float:
-        """Return the next attempt's timeout: all the time left if no retry could follow it in time."""
+        """Return the next attempt's timeout: all the remaining time if no retry could follow in time."""
         remaining_ms = request.deadline_ms - now_ms
-        timeout_ms = max(remaining_ms * FIRST_TIMEOUT_RATIO, self.settings.connect_timeout_ms)
+        timeout_ms = max(remaining_ms * ATTEMPT_TIMEOUT_RATIO, self.settings.connect_timeout_ms)
         is_unsafe = request.request_class.effect == Effect.UNSAFE
         is_last = is_unsafe or request.attempts + 1 >= self.settings.max_attempts
         return remaining_ms if is_last or now_ms + timeout_ms >= request.objective_deadline_ms else timeout_ms
 
     def _end(self, request: RequestState, retry_after_ms: float, cause: RejectCause) -> None:
-        """Answer the request finally: rejected if a retry is harmless by its class, else failed."""
+        """End the request finally: reject it if a retry is harmless by its class, else fail it."""
         self.reject_cause = cause
         if not request.attempts:
             self.fleet.rejection_streak.record_rejection(self.fleet.now_ms)
@@ -201,7 +201,7 @@
             request.endpoint.forget_connection(request.id)
         elif request.state == AttemptState.IN_FLIGHT and self.settings.may_cancel:
             self._actions.append(actions.AbandonAttempt(request.id, request.attempts - 1))
-        request.is_finished = True  # the outcome of its attempt is still to come
+        request.is_finished = True  # ``AttemptEnded`` of its attempt still follows
 
     def _on_adopted(self, now_ms: float, event: events.ConnectionAdopted) -> None:
         request_class = self._classes.get(event.class_name) or self.settings.classes[0]
--- a/sageturn/decision/eligibility.py
+++ b/sageturn/decision/eligibility.py
@@ -1,4 +1,4 @@
-"""Eligibility: whether an endpoint may be sent the next attempt of a request at all."""
+"""Eligibility: which endpoints may be sent the next attempt of a request, whatever their load."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 
 
 class Eligibility:
-    """Checks bindings, quotas, slow start, and whether a second execution would do harm."""
+    """Checker of bindings, quotas and slow start, and of whether a second execution would do harm."""
 
     def __init__(self, fleet: Fleet) -> None:
         self._fleet = fleet
-        self._is_warm_quota_exhausted = False  # for the request that is being placed
+        self._is_warm_quota_exhausted = False  # valid for the request being placed
 
     def begin_request(self, request: RequestState) -> None:
-        """Evaluate what is the same for all endpoints; called before a request is placed."""
+        """Evaluate the conditions that all endpoints share. Call this before placing a request."""
         fleet = self._fleet
         is_unlimited = fleet.max_connections == float("inf")
         if request.midflow or is_unlimited or fleet.may_exceed_quota():
             self._is_warm_quota_exhausted = False
             return
-        # The part of the quota that is meant for endpoints in slow start is kept for them.
+        # The part of the quota that is meant for endpoints in slow start is reserved for them.
         warming_count = sum(
             endpoint.connections.open_count for endpoint in fleet.ready if endpoint.slow_start
         )
@@ -30,7 +30,7 @@
         self._is_warm_quota_exhausted = warm_count + 1 > warm_bound
 
     def is_eligible(self, request: RequestState, endpoint: EndpointState) -> bool:
-        """Whether the endpoint may be sent the request's next attempt. Load is not considered."""
+        """Return True if the endpoint may be sent the request's next attempt; load is not considered."""
         if request.binding is not None and not request.allows(endpoint):
             return False
         if endpoint.is_at_quota():
@@ -43,7 +43,7 @@
         return request.execution is None or self._may_execute_again(request, endpoint)
 
     def _may_execute_again(self, request: RequestState, endpoint: EndpointState) -> bool:
-        """Whether a second execution is harmless there, after one that may have been the first."""
+        """Return True if another execution at the endpoint is harmless, as an attempt may have executed."""
         request_class = request.request_class
         execution = request.execution
         if execution is None or request_class.effect == Effect.SAFE:
--- a/sageturn/decision/endpoint_pool.py
+++ b/sageturn/decision/endpoint_pool.py
@@ -1,4 +1,4 @@
-"""Pool selection: one endpoint out of a pool, by two random choices or by the lowest score."""
+"""Pool selection: picks one endpoint of a pool, by two random choices or by the lowest score."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from sageturn.decision.fleet import Fleet
 from sageturn.decision.state import EndpointState, RequestState
 
-FULL_ENDPOINT_SCORE = 1e6  # added to a full endpoint's score, so that it loses against any other
-MAX_DRAWS = 8  # to find two eligible endpoints
-CHOICES = 2  # endpoints that are compared
+FULL_ENDPOINT_PENALTY = 1e6  # added to a full endpoint's score, so that any other endpoint wins
+MAX_DRAWS = 8  # largest number of draws to find two eligible endpoints
+CHOICES = 2  # eligible endpoints that are compared
 TIE_WIN_PROBABILITY = 0.5
 
 
 class PoolSelector:
-    """Selects an endpoint for a request. Pools are lists of ready endpoints."""
+    """Selector of an endpoint for a request. Pools are lists of ready endpoints."""
 
     def __init__(self, rng: Random, fleet: Fleet, eligibility: Eligibility, score: EndpointScore) -> None:
         self._rng = rng
@@ -25,10 +25,10 @@
         self._score = score
 
     def select_lighter(self, request: RequestState, pool: list[EndpointState]) -> EndpointState | None:
-        """Return the one with the lower score of the first two eligible endpoints that are drawn at random.
+        """Draw endpoints at random and return the one with the lower score of the first two eligible ones.
 
-        The endpoint of the latest attempt is passed over, unless it is the only one that is ready. Returns
-        None if no eligible endpoint was drawn; there may be one all the same.
+        The endpoint of the latest attempt is skipped, unless it is the only ready one. None means that no
+        eligible endpoint was drawn; the pool may still hold one.
         """
         best: EndpointState | None = None
         best_score = 0.0
@@ -39,7 +39,7 @@
                 continue
             if endpoint is request.endpoint and len(self._fleet.ready) > 1:
                 continue
-            score = self._score.load_score(endpoint) + (FULL_ENDPOINT_SCORE if endpoint.is_full() else 0)
+            score = self._score.load_score(endpoint) + (FULL_ENDPOINT_PENALTY if endpoint.is_full() else 0)
             is_tie_won = best is not None and score == best_score and self._rng.random() < TIE_WIN_PROBABILITY
             if best is None or score < best_score or is_tie_won:
                 best = endpoint
@@ -50,7 +50,7 @@
         return best
 
     def select_from_all(self, request: RequestState) -> EndpointState | None:
-        """Return an eligible endpoint that is not saturated; None if there is none, to fail fast."""
+        """Return an eligible ready endpoint that is not saturated; None if there is none, to fail fast."""
         ready = self._fleet.ready
         now_ms = self._fleet.now_ms
         endpoint = self.select_lighter(request, ready)
@@ -67,7 +67,7 @@
         return endpoint
 
     def _first_eligible(self, request: RequestState) -> EndpointState | None:
-        """Return the first eligible ready endpoint, where few are eligible and none of them was drawn."""
+        """Return the first eligible ready endpoint, or None; used if few are eligible and none was drawn."""
         for endpoint in self._fleet.ready:
             if endpoint is not request.endpoint and self._eligibility.is_eligible(request, endpoint):
                 return endpoint
--- a/sageturn/decision/events.py
+++ b/sageturn/decision/events.py
@@ -1,8 +1,8 @@
-"""The events that a balancer is given, one at a time: by the relay's core, or by a simulator's adapter.
+"""Events that a balancer handles one at a time, sent by the relay's core or by a simulator's adapter.
 
-Times are milliseconds and end in ``_ms``. An instant (``now_ms``, ``deadline_ms``) is read from one clock
-that never goes back; its zero does not matter. Loads are in milliseconds of work a second. A request keeps
-its ``id`` over all its attempts, which are numbered from 0; events of earlier attempts are ignored.
+Times are milliseconds and end in ``_ms``. Instants (``now_ms``, ``deadline_ms``) are read from one monotonic
+clock; its zero does not matter. Loads are in milliseconds of work per second. A request keeps its ``id`` over
+all its attempts, which are numbered from 0; events of earlier attempts are ignored.
 """
 
 from __future__ import annotations
@@ -12,15 +12,15 @@
 
 
 class EndpointStatus(StrEnum):
-    """How an endpoint is listed."""
+    """Status of an endpoint in the list."""
 
     READY = "ready"
-    DRAINING = "draining"  # it takes nothing new
+    DRAINING = "draining"  # the endpoint accepts nothing new
     GONE = "gone"
 
 
 class ListEventKind(StrEnum):
-    """What an endpoint list event holds."""
+    """Content of an endpoint list event."""
 
     STALE = "stale"  # the list that the relay held before it was restarted
     FULL = "full"  # the complete list
@@ -29,17 +29,17 @@
 
 
 class AttemptStatus(StrEnum):
-    """How an attempt or a health check has ended."""
+    """Outcome of an attempt or a health check."""
 
     OK = "ok"
     ERROR = "error"
-    FULL = "full"  # the endpoint takes no more
+    FULL = "full"  # the endpoint accepts no more
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
     CANCELLED = "cancelled"
     MOOT = "moot"  # abandoned before anything was sent
-    REFUSED = "refused"  # health checks only: the endpoint takes none
+    REFUSED = "refused"  # health checks only: the endpoint does not answer them
 
 
 # Statuses of attempts that were certainly not executed.
@@ -47,52 +47,52 @@
 
 
 class MeasurementKind(StrEnum):
-    """What was measured on a connection."""
+    """Quantity that was measured on a connection."""
 
-    LOAD = "load"  # milliseconds of work a second
+    LOAD = "load"  # milliseconds of work per second
     DELAY = "delay"  # milliseconds that a message took
 
 
 @dataclass(slots=True)
 class Endpoint:
-    """One line of the endpoint list. ``state`` is an ``EndpointStatus`` or its value."""
+    """Entry of the endpoint list. ``state`` is an ``EndpointStatus`` or its value."""
 
     name: str
     state: str = EndpointStatus.READY
     zone: str = ""
     cell: int = 0
     started_at_ms: float = 0.0  # 0 if unknown; a different one means a different process
-    share: float = 1.0  # weight against the other endpoints, in any unit
-    kind: str = ""  # of machine; endpoints of one kind are taken to be equally fast
-    factor: float = 1.0  # by which an operator changes its weight
+    share: float = 1.0  # weight relative to the other endpoints, in any unit
+    kind: str = ""  # kind of machine; endpoints of one kind are assumed to be equally fast
+    factor: float = 1.0  # operator's multiplier of its weight
 
 
 class DiscoveryFailure(Enum):
-    """How a call for the list, or the watch that it became, has ended. The cost for discovery differs."""
+    """Failure of a call for the list, or of the watch that it became. Their costs for discovery differ."""
 
     UNREACHED = auto()  # not connected, or refused, reset or rejected at once: it cost nothing
-    OVERLOADED = auto()  # accepted, and failed after waiting in a queue that is too long
-    UNANSWERED = auto()  # accepted, and timed out without an answer
-    UNUSABLE = auto()  # answered, but not by a watch
-    LOST = auto()  # the watch was established, and was ended
-    SILENT = auto()  # the watch was established, and fell silent
+    OVERLOADED = auto()  # accepted, then failed after waiting in a queue that is too long
+    UNANSWERED = auto()  # accepted, then timed out without an answer
+    UNUSABLE = auto()  # answered, but not with a watch
+    LOST = auto()  # the watch was established, then ended
+    SILENT = auto()  # the watch was established, then stopped sending
 
 
 @dataclass(slots=True)
 class EndpointListEvent:
-    """The endpoint list, or changes of it, or the end of the call for it as ``failure`` says."""
+    """The endpoint list, or changes to it, or the failure of the call for it."""
 
     kind: str  # a ``ListEventKind`` or its value
     endpoints: list[Endpoint]
-    failure: DiscoveryFailure = DiscoveryFailure.UNREACHED
+    failure: DiscoveryFailure = DiscoveryFailure.UNREACHED  # applies to events of kind ``FAILED`` only
 
 
 @dataclass(slots=True)
 class RequestArrived:
-    """A client wants a connection by ``deadline_ms``. Exactly one final answer is owed to it.
+    """Request of a client for a connection by ``deadline_ms``. It gets exactly one final response.
 
-    If its connection was migrated just now, ``migrated_from`` names the endpoint that it left, and it should
-    not be migrated again until ``migration_exempt_until_ms``.
+    If the client's connection was just migrated, ``migrated_from`` names the endpoint that it left, and it
+    should not be migrated again until ``migration_exempt_until_ms``.
     """
 
     id: int
@@ -101,19 +101,19 @@
     deadline_ms: float
     group: str = ""
     expected_load: float = 0.0  # 0 if unknown
-    midflow: bool = False  # an established connection is taken over: it is not throttled
-    client: str = ""  # the same after a reconnect
+    midflow: bool = False  # an established connection is taken over, and is not throttled
+    client: str = ""  # identifies the client across reconnects
     returned: bool = False  # the client says that its connection was migrated, or broke
     retried: bool = False  # the client says that this is a retry
     migrated_from: str = ""
     migration_exempt_until_ms: float = 0.0
-    allowed: frozenset[str] | None = None  # endpoints that an operator binds it to; None: any
-    strict: bool = False  # the binding holds for every attempt, not for the first alone
+    allowed: frozenset[str] | None = None  # endpoints that an operator binds it to; None if any
+    strict: bool = False  # the binding applies to every attempt, not only to the first
 
 
 @dataclass(slots=True)
 class ConnectionAdopted:
-    """A connection was established before this balancer started, by its attempt 0."""
+    """Connection that was established before this balancer started, by its attempt 0."""
 
     id: int
     class_name: str
@@ -126,7 +126,7 @@
 
 @dataclass(slots=True)
 class ConnectionEstablished:
-    """An attempt was established, ``took_ms`` after it was sent (0 if that was not measured)."""
+    """Establishment of an attempt, ``took_ms`` after it was sent (0 if that was not measured)."""
 
     id: int
     attempt: int
@@ -136,47 +136,47 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """An attempt ended, before it was established or after."""
+    """End of an attempt, before or after it was established."""
 
     id: int
     attempt: int
     endpoint: str
     status: str  # an ``AttemptStatus`` or its value
-    final: bool  # the request has ended as well; else it is still owed an answer
-    report: dict[str, float] = field(default_factory=dict)  # the endpoint's load report; empty if none came
+    final: bool  # the request has ended as well; else it still needs a response
+    report: dict[str, float] = field(default_factory=dict)  # the endpoint's load report; empty if none
 
 
 @dataclass(slots=True)
 class HealthCheckCompleted:
-    """A health check that an action ``CheckHealth`` asked for has ended."""
+    """End of a health check that an action ``CheckHealth`` requested."""
 
     endpoint: str
-    status: str  # an ``AttemptStatus`` or its value: ok, refused, or any other one if no answer came
-    report: dict[str, float] = field(default_factory=dict)  # empty if no usable one came
+    status: str  # an ``AttemptStatus`` or its value: ok, refused, or any other if it got no answer
+    report: dict[str, float] = field(default_factory=dict)  # empty if there is no usable one
 
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """The client has left and is owed nothing more. ``AttemptEnded`` of its attempt still follows."""
+    """Disconnect of the client, which needs no response. ``AttemptEnded`` of its attempt still follows."""
 
     id: int
 
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer that an action ``SetTimer`` set with this tag is due."""
+    """Expiry of a timer that an action ``SetTimer`` set with this tag."""
 
     tag: str
 
 
 @dataclass(slots=True)
 class MeasurementReported:
-    """Something was measured on an established connection."""
+    """Measurement on an established connection."""
 
     id: int
     attempt: int
     endpoint: str
-    kind: str  # a ``MeasurementKind`` or its value; any other one is a delay
+    kind: str  # a ``MeasurementKind`` or its value; any other value means a delay
     value: float
 
 
--- a/sageturn/decision/fleet.py
+++ b/sageturn/decision/fleet.py
@@ -1,4 +1,4 @@
-"""Decisions about each endpoint by itself: concurrency limit, ejection, weight, quota, slow start."""
+"""Decisions about single endpoints: concurrency limit, ejection, weight, quota and slow start."""
 
 from __future__ import annotations
 
@@ -13,16 +13,17 @@
 from sageturn.decision.settings import Settings
 from sageturn.decision.state import EndpointState
 
-INITIAL_CONCURRENCY_LIMIT = 8  # attempts in flight at an endpoint, at first
-MAX_CONCURRENCY_LIMIT = 32  # beyond it a long quiet time would make the depth meaningless
-MAX_UNKNOWN_ENDPOINTS = 2  # initial limits that endpoints without connections of ours add to the depth
-SCARCE_DEPTH = 0.25  # depth from which on endpoints count as scarce and tenants are throttled
-FAILURES_TO_EJECT = 3  # consecutive ones
-CONNECT_FAILURE_WEIGHT = 2  # failures that a failed connect counts for
+INITIAL_CONCURRENCY_LIMIT = 8  # attempts in flight at one endpoint
+MAX_CONCURRENCY_LIMIT = 32  # higher limits after a long idle time would make the in-flight ratio meaningless
+MAX_UNUSED_ENDPOINTS = 2  # endpoints without own connections that count in the in-flight ratio, at most
+SCARCE_IN_FLIGHT_RATIO = 0.25  # in-flight ratio from which endpoints are scarce and tenants are throttled
+FAILURES_TO_EJECT = 3  # consecutive failures
+CONNECT_FAILURE_WEIGHT = 2  # failures that a failed connect counts as
 EJECTION_MS = 1500.0
-MAX_EJECTION_RATIO = 0.34  # of the endpoints that are listed ready
+MAX_EJECTION_RATIO = 0.34  # largest part of the endpoints listed ready that is ejected at once
 
-# Statuses of attempts that ended before they were established.
+# Statuses of attempts that ended before they were established: those that halve the concurrency limit, and
+# those that count towards ejection.
 LIMIT_HALVING_STATUSES = (
     AttemptStatus.FULL,
     AttemptStatus.CONNECT_FAILED,
@@ -39,7 +40,7 @@
 
 
 class Fleet(EndpointTable):
-    """Extends the endpoint table by the decisions about each endpoint by itself."""
+    """Endpoint table with the decisions about single endpoints."""
 
     def __init__(self, settings: Settings, rng: Random, health_checks: HealthCheckScheduler) -> None:
         super().__init__(settings, rng, INITIAL_CONCURRENCY_LIMIT)
@@ -47,51 +48,51 @@
         self.machine_speeds = quotas.MachineKindSpeeds()
         self.size = FleetSize()
         self.rejection_streak = RejectionStreak()
-        self.total_weight = 1.0  # effective weights of the ready endpoints
+        self.total_weight = 1.0  # sum of the ready endpoints' effective weights
         self.mean_nominal_weight = 1.0
-        self.warm_weight_ratio = 1.0  # of the total weight, what is not in slow start
+        self.warm_weight_ratio = 1.0  # part of the total weight that is not in slow start
         self.quota_connections = sum(tenant.quota_connections for tenant in settings.tenants)
-        self.max_connections = float("inf")  # own connections by the quotas, not rounded
+        self.max_connections = float("inf")  # limit of own connections by the quotas, not rounded
         self.rounding_offset = self.slow_start.rounding_offset(0)
 
     def rebuild(self) -> None:
-        """Rebuild the lists and sums, after a change of the endpoint list or of who is ejected."""
+        """Rebuild the lists and sums after a change of the endpoint list or of the ejected endpoints."""
         self.size.record_list(self.endpoints.values())
         super().rebuild()
 
     def quota_per_endpoint(self) -> float:
-        """Return the connections of all relays that the quotas stand for at a mean endpoint."""
+        """Return the tenants' quotas divided by the fleet's size: connections of all relays per endpoint."""
         return self.quota_connections / self.first_listed_count / self.size.growth_ratio
 
     def sharing_relays(self) -> float:
-        """Return how many relays share what one endpoint can hold: no more than it has connections."""
+        """Return the number of relays that share an endpoint's capacity, at most its quota of connections."""
         if not self.quota_connections or not self.first_listed_count:
             return self.settings.relay_count
         return min(self.settings.relay_count, max(1.0, self.quota_per_endpoint()))
 
     def is_at_quota(self) -> bool:
-        """Whether another connection would exceed this relay's quota, and must not for now."""
-        # Connections on draining endpoints do not count: their clients find room elsewhere.
+        """Return True if another connection would exceed this relay's quota and may not do so now."""
+        # Connections on draining endpoints do not count, so that their clients can be placed elsewhere.
         is_exceeded = self.totals.open_count + 1 > self.max_connections + self.rounding_offset
         return is_exceeded and not self.may_exceed_quota()
 
     def may_exceed_quota(self) -> bool:
-        """Whether the next request is let past this relay's quota, as all have been rejected for long."""
-        return self.rejection_streak.is_overdue(self.now_ms)
+        """Return True if the next request may exceed this relay's quota, after many rejections in a row."""
+        return self.rejection_streak.is_limit_reached(self.now_ms)
 
     def measures_delay(self) -> bool:
-        """Whether connections, or recent load reports, tell how long messages take."""
+        """Return True if connections or recent load reports show how long messages take."""
         return self.settings.reports_delay or self.health_checks.has_recent_reports(self.now_ms)
 
-    def depth(self) -> float:
+    def in_flight_ratio(self) -> float:
         """Return attempts in flight over concurrency limits at the ready endpoints; 1 if none is ready."""
-        unknown_limits = min(self.totals.unknown_limits, MAX_UNKNOWN_ENDPOINTS * INITIAL_CONCURRENCY_LIMIT)
-        limits = self.totals.limits + unknown_limits
+        unused_limits = min(self.totals.unused_limits, MAX_UNUSED_ENDPOINTS * INITIAL_CONCURRENCY_LIMIT)
+        limits = self.totals.limits + unused_limits
         return min(1.0, self.totals.in_flight / limits) if limits else 1.0
 
     def is_scarce(self) -> bool:
-        """Whether endpoints have little room left for new connections."""
-        return self.depth() >= SCARCE_DEPTH
+        """Return True if endpoints have little headroom for new connections."""
+        return self.in_flight_ratio() >= SCARCE_IN_FLIGHT_RATIO
 
     def set_concurrency_limit(self, endpoint: EndpointState, limit: int) -> None:
         """Set the endpoint's concurrency limit, within bounds."""
@@ -99,7 +100,7 @@
         self.update_totals(endpoint)
 
     def record_establishment(self, endpoint: EndpointState, is_in_time: bool) -> None:
-        """Record that an attempt was established; one in time raises the concurrency limit by one."""
+        """Record an established attempt; one that met its objective raises the concurrency limit by one."""
         connections = endpoint.connections
         self.set_concurrency_limit(endpoint, connections.concurrency_limit + is_in_time)
         connections.is_untried = False
@@ -108,7 +109,8 @@
     def record_setup_end(self, endpoint: EndpointState, status: str) -> None:
         """Record that an attempt ended with this status before it was established.
 
-        Success raises the concurrency limit by one, and failure halves it. Failures count to the ejection.
+        Success raises the concurrency limit by one, and ``LIMIT_HALVING_STATUSES`` halve it.
+        ``FAILURE_STATUSES`` count towards ejection.
         """
         limit = endpoint.connections.concurrency_limit
         if status == AttemptStatus.OK:
@@ -121,7 +123,7 @@
             self.record_failure(endpoint, CONNECT_FAILURE_WEIGHT if is_connect_failure else 1)
 
     def record_failure(self, endpoint: EndpointState, weight: int) -> None:
-        """Eject an endpoint for a while after consecutive failures, but never too many endpoints at once."""
+        """Count failures, and eject the endpoint after consecutive ones unless too many are ejected."""
         endpoint.outlier.consecutive_failures += weight
         if endpoint.ready and endpoint.outlier.consecutive_failures >= FAILURES_TO_EJECT:
             listed_count = len(self.ready) + len(self.ejected)
@@ -162,7 +164,7 @@
         self.mean_nominal_weight = nominal_weight / max(1, len(self.ready))
 
     def _update_connection_shares(self) -> None:
-        """Set shares; local endpoints get what the relays of their zone bring with one relay down."""
+        """Set the connection shares; local endpoints serve their zone's relays, sized for one relay down."""
         for endpoint in self.ready:
             endpoint.weights.connection_share = endpoint.weights.effective / self.total_weight
         relay_count = self.settings.relay_count
@@ -189,7 +191,7 @@
             endpoint.quota = bound
 
     def has_slow_start_permit(self, now_ms: float, endpoint: EndpointState) -> bool:
-        """Whether slow start lets us send the endpoint an attempt now. Ends a slow start that is over."""
+        """Return True if slow start permits an attempt at the endpoint now. End a slow start that is over."""
         age_ms = endpoint.age_ms(now_ms)
         if endpoint.slow_start is None or age_ms >= self.settings.slow_start_ms:
             endpoint.slow_start = None
@@ -201,7 +203,7 @@
     def _warm_connections(self, endpoint: EndpointState) -> float:
         """Return the connections of all relays that an endpoint in slow start holds once it is warm.
 
-        It goes by the quotas, which stand for the whole fleet; without quotas by what we hold.
+        It is estimated from the quotas, which cover the whole fleet, else from this relay's connections.
         """
         nominal_weight = endpoint.weights.nominal
         if self.quota_connections:
--- a/sageturn/decision/fleet_size.py
+++ b/sageturn/decision/fleet_size.py
@@ -1,8 +1,8 @@
-"""The size of the fleet that the tenants' quotas stand for, as a relay can tell from its endpoint lists.
+"""Estimate of the size of the fleet that the tenants' quotas cover, from a relay's endpoint lists.
 
-The quotas over the fleet's size tell what one endpoint holds, and so what it may be sent in slow start. A
-relay may have started while a zone was lost, or during a release. Its first list is not the whole fleet then,
-and an endpoint whose part was overestimated would be overloaded by all such relays.
+The quotas divided by the fleet's size give the connections of one endpoint, and so its budget in slow start.
+A relay may have started during the outage of a zone or during a release, when its first list is not the whole
+fleet. All such relays would overestimate an endpoint's part of the quotas and overload it.
 
 The module is pure: it has no clock and does no I/O.
 """
@@ -14,11 +14,11 @@
 from sageturn.decision.events import EndpointStatus
 from sageturn.decision.state import EndpointState
 
-MAX_OVERLAP_RATIO = 1.2  # of a release, which lists new endpoints before the old ones drain, to the fleet
+MAX_OVERLAP_RATIO = 1.2  # largest list over the fleet in a release, where new endpoints overlap old ones
 
 
 class FleetSize:
-    """Estimates the sum of the nominal weights of the fleet's endpoints."""
+    """Estimate of the sum of the nominal weights of the fleet's endpoints."""
 
     def __init__(self) -> None:
         self._first_weight = 0.0  # sum over the first list
@@ -26,18 +26,18 @@
 
     @property
     def nominal_weight(self) -> float:
-        """The sum; 0 before the first list."""
+        """Estimated sum of the nominal weights; 0 before the first list."""
         return self._first_weight * self.growth_ratio
 
     @property
     def growth_ratio(self) -> float:
-        """How many times larger than its first list the fleet has turned out to be, from 1."""
+        """Factor by which the fleet is larger than the first list, at least 1."""
         if self._largest_weight > MAX_OVERLAP_RATIO * self._first_weight > 0.0:
             return self._largest_weight / self._first_weight
         return 1.0
 
     def record_list(self, endpoints: Iterable[EndpointState]) -> None:
-        """Update the sums; called with all endpoints after each change of the list."""
+        """Update the sums. Call this with all endpoints after each change of the list."""
         ready_weight = warming_weight = draining_weight = 0.0
         ready_status, draining_status = EndpointStatus.READY, EndpointStatus.DRAINING
         for endpoint in endpoints:
--- a/sageturn/decision/group_ranking.py
+++ b/sageturn/decision/group_ranking.py
@@ -1,4 +1,4 @@
-"""Group ranking: the endpoints in a group's order of preference, on which all relays agree."""
+"""Group ranking: orders the endpoints by a group's preference, in the same order at all relays."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 from sageturn.decision.rendezvous import rank_endpoints
 from sageturn.decision.state import EndpointState, RequestState
 
-GROUP_PRIOR_SHARE = 0.02  # of all connections, that a group is expected to have
-GROUP_PRIOR_WEIGHT = 10.0  # connections that this expectation counts for, as few of our own show little
-MAX_RANKED_GROUPS = 500  # rankings that are cached
+GROUP_PRIOR_SHARE = 0.02  # expected share of a group in all connections
+GROUP_PRIOR_WEIGHT = 10.0  # connections that this prior counts as, because a relay's own few prove little
+MAX_RANKED_GROUPS = 500  # largest number of cached rankings
 
 
 @dataclass(slots=True)
@@ -20,21 +20,21 @@
     """The ready endpoints in a group's order of preference."""
 
     endpoints: list[EndpointState]
-    home_count: int  # how many of the first are the group's homes
+    home_count: int  # number of leading endpoints that are the group's homes
 
 
 class GroupRanking:
-    """Ranks the ready endpoints for each group by rendezvous hashing.
+    """Ranking of the ready endpoints for each group by rendezvous hashing.
 
-    An endpoint pays for each group of which it holds a connection, so a group stays on its homes: the first
-    endpoints of its ranking, in number by the group's share of all connections.
+    Each group costs an endpoint that holds any of its connections, so a group is kept on its homes: the first
+    endpoints of its ranking, whose number grows with the group's share of all connections.
     """
 
     def __init__(self, fleet: Fleet) -> None:
         self._fleet = fleet
 
     def rank(self, group: str) -> RankedGroup:
-        """Return the group's ranking. Its list of endpoints is cached, and must not be changed."""
+        """Return the group's ranking. Its list of endpoints is cached; only ``prefer`` may change it."""
         fleet = self._fleet
         group_count = fleet.group_counts.get(group, 0) + GROUP_PRIOR_SHARE * GROUP_PRIOR_WEIGHT
         group_share = group_count / (fleet.open_count + GROUP_PRIOR_WEIGHT)
@@ -42,17 +42,18 @@
         return RankedGroup(self._ranked_endpoints(group), home_count)
 
     def prefer(self, ranked: RankedGroup, endpoint: EndpointState) -> None:
-        """Make an endpoint the group's first, until the endpoint list changes."""
+        """Move an endpoint to the front of the group's cached ranking."""
         ranked.endpoints.remove(endpoint)
         ranked.endpoints.insert(0, endpoint)
 
     def spill_candidates(
         self, request: RequestState, ranked: RankedGroup, is_migrated: bool
     ) -> Iterable[EndpointState]:
-        """Return the endpoints beyond the group's homes that its request may spill to, in their order.
+        """Return the endpoints that a request of the group may spill to, in order of preference.
 
-        A migrated request goes first to the endpoints that hold some of its group. While endpoints are scarce
-        the group gets no further endpoint: only those that hold some of it, or its first ones of other zones.
+        A migrated request prefers the endpoints that hold connections of its group, homes included. While
+        endpoints are scarce the group spreads to no further endpoint: only those that hold connections of it
+        and its first ones of other zones are returned, unless the request is ``midflow``.
         """
         fleet = self._fleet
         group = request.group
@@ -72,7 +73,7 @@
         )
 
     def _ranked_endpoints(self, group: str) -> list[EndpointState]:
-        """Return the ready endpoints by the hash of the group, those of the relay's zone first."""
+        """Return the ready endpoints in the group's hash order, those of the relay's zone first."""
         fleet = self._fleet
         ranked = fleet.rankings.get(group)
         if ranked is not None:
--- a/sageturn/decision/health_checks.py
+++ b/sageturn/decision/health_checks.py
@@ -1,4 +1,4 @@
-"""The schedule of health checks, and the verdict on the load reports that they return.
+"""Schedule of health checks, and the verdict on the load reports that they return.
 
 The module is pure: it has no clock and does no I/O, and its randomness is passed in.
 """
@@ -15,36 +15,36 @@
 from sageturn.decision.settings import ReportSource, Settings
 
 SPEND_RATIO = 0.02  # part of each request's value that may be spent on health checks
-CHECK_INTERVAL_MS = 1000.0  # between two checks of one endpoint, which makes a new report about this often
-MIN_FLEET_INTERVAL_MS = 100.0  # between two checks of one endpoint by all relays together
-SCHEDULING_INTERVAL_MS = 250.0  # at which endpoints that are due are looked for
-REPORT_TTL_MS = 5000.0  # after which the last report says nothing about the load any more
-OVERLOADED_UTILIZATION = 0.75  # above it each further connection makes the messages of all late
-RELIEF_UTILIZATION = 0.8  # above it clients are migrated off an endpoint
-TARGET_UTILIZATION = 0.7  # down to which an endpoint is relieved
-RELIEF_INTERVAL_MS = 1000.0  # until a report shows the effect of the last migrations
+CHECK_INTERVAL_MS = 1000.0  # mean interval of checks of an endpoint, which updates its report as often
+MIN_FLEET_INTERVAL_MS = 100.0  # shortest mean interval of checks of one endpoint by all relays together
+SCHEDULING_INTERVAL_MS = 250.0  # interval of the search for endpoints that are due
+REPORT_TTL_MS = 5000.0  # age at which the last report says nothing about the load any more
+OVERLOADED_UTILIZATION = 0.75  # utilization above which a further connection makes all messages late
+RELIEF_UTILIZATION = 0.8  # utilization above which clients are migrated off an endpoint
+TARGET_UTILIZATION = 0.7  # utilization to which an endpoint is relieved
+RELIEF_INTERVAL_MS = 1000.0  # time until a report shows the effect of the last migrations
 TIMER_TAG = "probe"
-LOAD_FIELDS = {UTILIZATION_FIELD, QUEUED_WORK_FIELD, PROCESSOR_FIELD}  # what a verdict goes by
+LOAD_FIELDS = {UTILIZATION_FIELD, QUEUED_WORK_FIELD, PROCESSOR_FIELD}  # fields that a verdict is based on
 
 
 @dataclass(frozen=True, slots=True)
 class LoadVerdict:
-    """The verdict on a load report."""
+    """Verdict on a load report."""
 
     is_overloaded: bool  # the endpoint should be sent nothing more
-    excess_ratio: float  # part of each relay's connections there that should be migrated
+    excess_ratio: float  # part of each relay's connections to it that should be migrated
 
 
 class HealthCheckScheduler:
-    """Schedules one relay's health checks. Times are milliseconds of one clock that never goes back."""
+    """Scheduler of one relay's health checks. Times are milliseconds of one monotonic clock."""
 
     def __init__(self, settings: Settings, max_queue_ms: float, rng: Random) -> None:
-        """Create the schedule. It stays empty where connections measure delays: reports would only cost.
+        """Create the schedule. It stays empty where connections measure delays: reports would only add cost.
 
         Args:
             settings: The balancer's settings.
             max_queue_ms: An endpoint whose work is queued for longer is overloaded.
-            rng: Spreads the checks of relays.
+            rng: The source of the jitter that spreads the checks of relays.
         """
         is_useful = not settings.reports_delay and bool(LOAD_FIELDS & set(settings.report_fields))
         self._is_enabled = is_useful and settings.probes and settings.reports != ReportSource.NONE
@@ -53,14 +53,14 @@
         self._interval_ms = max(CHECK_INTERVAL_MS, MIN_FLEET_INTERVAL_MS * settings.relay_count)
         self._max_queue_ms = max_queue_ms
         self._rng = rng
-        self._credit = 0.0  # checks that requests have paid for
+        self._credit = 0.0  # checks that may be made; each request adds a part of one
         self._max_endpoint_count = 0  # largest number listed so far
-        self._next_check_ms: dict[str, float] = {}  # by endpoint
-        self._next_relief_ms: dict[str, float] = {}  # earliest next migrations, by endpoint
+        self._next_check_ms: dict[str, float] = {}  # next check of each endpoint
+        self._next_relief_ms: dict[str, float] = {}  # earliest next migrations of each endpoint
         self._last_report_ms = -REPORT_TTL_MS
 
     def on_start(self) -> list[actions.Action]:
-        """Return the first timer, as the relay starts with the list that it last held."""
+        """Return the first timer. Call this when the relay starts with the list that it held before."""
         if not self._is_enabled:
             return []
         return [actions.SetTimer(SCHEDULING_INTERVAL_MS * self._rng.random(), TIMER_TAG)]
@@ -70,13 +70,13 @@
 
         Args:
             now_ms: The time of the timer.
-            endpoints: All that are listed ready, ejected or not.
+            endpoints: The names of all endpoints that are listed ready, ejected or not.
         """
         checks = [actions.CheckHealth(name) for name in self.take_due_endpoints(now_ms, endpoints)]
         return [*checks, actions.SetTimer(SCHEDULING_INTERVAL_MS, TIMER_TAG)]
 
     def has_recent_reports(self, now_ms: float) -> bool:
-        """Whether reports have come recently, and take the place of the relay's own estimates."""
+        """Return True if reports are recent enough to replace the relay's own estimates."""
         return now_ms < self._last_report_ms + REPORT_TTL_MS
 
     def record_request(self) -> None:
@@ -84,7 +84,7 @@
         self._credit = min(float(self._max_endpoint_count), self._credit + self._credit_per_request)
 
     def take_due_endpoints(self, now_ms: float, endpoints: Iterable[str]) -> list[str]:
-        """Return the endpoints to check now, the longest due first, as far as the credit goes.
+        """Return the endpoints to check now, the most overdue first, as far as the credit allows.
 
         Each new endpoint adds credit for one check.
         """
--- a/sageturn/decision/jitter.py
+++ b/sageturn/decision/jitter.py
@@ -1,4 +1,4 @@
-"""Jitter, which keeps the relays of a fleet out of step."""
+"""Jitter, which desynchronizes the relays of a fleet."""
 
 from __future__ import annotations
 
--- a/sageturn/decision/load_reports.py
+++ b/sageturn/decision/load_reports.py
@@ -1,4 +1,4 @@
-"""Reading load reports of endpoints. Values that cannot be right are dropped here."""
+"""Parsing of endpoints' load reports. Implausible values are dropped."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from collections.abc import Iterable, Mapping
 from typing import Any
 
-# From the names in a report that is a line of text to the settings' names.
+# Names in a text report, mapped to the settings' names.
 FIELD_ALIASES = {
     "inflight": "active",
     "queue": "waiting",
@@ -17,8 +17,8 @@
     "qps": "rps",
     "eps": "err_rps",
 }
-UTILIZATION_FIELD = "x0"  # 1 where the endpoint is fully used
-QUEUED_WORK_FIELD = "x1"  # seconds
+UTILIZATION_FIELD = "x0"  # utilization of the endpoint; 1 if it is fully used
+QUEUED_WORK_FIELD = "x1"  # queued work in seconds
 PROCESSOR_FIELD = "cpu"  # utilization of the processor
 FIELDS = frozenset(
     {
@@ -34,30 +34,30 @@
 )
 MAX_VALUES = {PROCESSOR_FIELD: 1e3, UTILIZATION_FIELD: 1e3, QUEUED_WORK_FIELD: 3600.0}
 MAX_OTHER_VALUE = 1e7
-MAX_LOAD_US_PER_S = 1e9  # of one connection: a thousand cores
+MAX_LOAD_US_PER_S = 1e9  # load of one connection that uses a thousand cores
 MAX_REPORT_BYTES = 512
 MAX_REPORT_PAIRS = 16
 _PAIR = re.compile(r"([a-z0-9_]{1,32})=(-?[0-9]{1,12}(?:\.[0-9]{1,12})?(?:e[+-]?[0-9]{1,2})?)")
 
 
 def is_usable_load(load_us_per_s: float) -> bool:
-    """Whether a connection's load, in microseconds of work a second, can be right.
+    """Return True if a connection's load, in microseconds of work per second, is plausible.
 
-    A value that is not a number would spoil every sum that it enters, for as long as the relay runs.
+    NaN would corrupt every sum that it is added to, for as long as the relay runs.
     """
     return 0.0 <= load_us_per_s <= MAX_LOAD_US_PER_S
 
 
 def usable_values(values: Mapping[str, Any] | None, dropped: Counter[str] | None = None) -> dict[str, float]:
-    """Return the usable values of a report by the settings' names.
+    """Return the usable values of a report, keyed by the settings' names.
 
     Args:
         values: The report; None if there is none.
-        dropped: Counts the values that are dropped, by reason.
+        dropped: The counter of dropped values by reason, which is updated; None if they are not counted.
     """
     usable: dict[str, float] = {}
-    for word, value in (values or {}).items():
-        name = FIELD_ALIASES.get(word, word)
+    for raw_name, value in (values or {}).items():
+        name = FIELD_ALIASES.get(raw_name, raw_name)
         reason = ""
         if name not in FIELDS:
             reason = "unknown"
@@ -79,8 +79,8 @@
 
     Args:
         text: The report, from a line or a header.
-        allowed: The fields that the settings name; others are dropped.
-        dropped: Counts what is dropped, by reason.
+        allowed: The names of the fields in the settings; other fields are dropped.
+        dropped: The counter of dropped parts by reason, which is updated.
     """
     if not text.strip():
         return {}
@@ -95,6 +95,6 @@
         else:
             values[match[1]] = float(match[2])
     usable = usable_values(values, dropped)
-    allowed_names = {FIELD_ALIASES.get(word, word) for word in allowed}
+    allowed_names = {FIELD_ALIASES.get(raw_name, raw_name) for raw_name in allowed}
     dropped["unknown"] += len(usable.keys() - allowed_names)
     return {name: value for name, value in usable.items() if name in allowed_names}
--- a/sageturn/decision/placement.py
+++ b/sageturn/decision/placement.py
@@ -1,6 +1,7 @@
-"""Placement: the endpoint that the next attempt of a request is sent to.
+"""Placement selects the endpoint for the next attempt of a request.
 
-The pools are tried from the narrowest: the homes of the request's group, the relay's zone, all endpoints.
+Pools are tried from the narrowest to the widest: the homes of the request's group, the relay's zone, and all
+endpoints.
 """
 
 from __future__ import annotations
@@ -16,11 +17,11 @@
 from sageturn.decision.setup_times import SetupTimes
 from sageturn.decision.state import EndpointState, RequestState
 
-MIGRATED_CROWDED_RATIO = 1.0  # instead of CROWDED_RATIO, for a migrated request away from its group
+MIGRATED_CROWDED_RATIO = 1.0  # replaces CROWDED_RATIO if a migrated request leaves its group
 
 
 class Placement:
-    """Selects endpoints: the lighter of two random ones, from the narrowest pool that has room."""
+    """Selector of the less loaded of two random endpoints, from the narrowest pool with headroom."""
 
     def __init__(self, settings: Settings, rng: Random, fleet: Fleet, setup_times: SetupTimes) -> None:
         self._has_groups = settings.groups
@@ -32,7 +33,7 @@
         self._pool = PoolSelector(rng, fleet, self._eligibility, self.score)
 
     def select_endpoint(self, request: RequestState) -> EndpointState | None:
-        """Return the endpoint for the request's next attempt; None if it must not be sent to any now."""
+        """Return the endpoint for the request's next attempt; None if no endpoint may be sent it now."""
         fleet = self._fleet
         self._eligibility.begin_request(request)
         if request.group and self._has_groups:
@@ -41,12 +42,12 @@
                 return endpoint
         if fleet.local and len(fleet.local) < len(fleet.ready):
             endpoint = self._pool.select_lighter(request, fleet.local)
-            if endpoint is not None and self.score.has_room(endpoint):
+            if endpoint is not None and self.score.has_headroom(endpoint):
                 return endpoint
         return self._pool.select_from_all(request)
 
     def _select_for_group(self, request: RequestState) -> EndpointState | None:
-        """Return an endpoint in slow start, else a home of the group with room, else one to spill to."""
+        """Return an endpoint in slow start, else a home with headroom, else a spill candidate, else None."""
         ranked = self.group_ranking.rank(request.group)
         endpoint = self._select_warming(request, ranked)
         if endpoint is not None:
@@ -55,32 +56,36 @@
         if not is_migrated:
             homes = ranked.endpoints[: ranked.home_count]
             endpoint = self._pool.select_lighter(request, homes)
-            if endpoint is not None and self.score.has_room(endpoint):
+            if endpoint is not None and self.score.has_headroom(endpoint):
                 return endpoint
         return self._select_spill(request, ranked, is_migrated)
 
     def _select_warming(self, request: RequestState, ranked: RankedGroup) -> EndpointState | None:
-        """Return the group's first endpoint in slow start, if it holds less than its share of connections.
+        """Return the group's first endpoint in slow start if it holds less than its share, else None.
 
-        A permit of its slow start that is not taken soon expires, so such an endpoint goes first.
+        Such an endpoint is tried first, because its slow-start permits expire if they are not taken soon. A
+        difference of less than one connection to its share is rounded at random.
         """
         warming = (other for other in ranked.endpoints if other.slow_start and other is not request.endpoint)
         endpoint = next(warming, None)
         if endpoint is None:
             return None
         fair_count = endpoint.weights.connection_share * self._fleet.open_count
-        is_due = self._rng.random() < fair_count - endpoint.connections.open_count
-        if is_due and not endpoint.is_full() and self._eligibility.is_eligible(request, endpoint):
+        is_below_share = self._rng.random() < fair_count - endpoint.connections.open_count
+        if is_below_share and not endpoint.is_full() and self._eligibility.is_eligible(request, endpoint):
             return endpoint
         return None
 
     def _select_spill(
         self, request: RequestState, ranked: RankedGroup, is_migrated: bool
     ) -> EndpointState | None:
-        """Return the first candidate with room. New requests of a group follow its migrated ones."""
+        """Return the first spill candidate with headroom, or None.
+
+        An endpoint that takes a migrated request becomes its group's first, so that new requests follow.
+        """
         for endpoint in self.group_ranking.spill_candidates(request, ranked, is_migrated):
-            is_held = request.group in endpoint.connections.group_counts
-            crowded_ratio = MIGRATED_CROWDED_RATIO if is_migrated and not is_held else CROWDED_RATIO
+            holds_group = request.group in endpoint.connections.group_counts
+            crowded_ratio = MIGRATED_CROWDED_RATIO if is_migrated and not holds_group else CROWDED_RATIO
             if endpoint.is_full() or self.score.is_crowded(endpoint, crowded_ratio):
                 continue
             if endpoint is not request.endpoint and self._eligibility.is_eligible(request, endpoint):
--- a/sageturn/decision/quotas.py
+++ b/sageturn/decision/quotas.py
@@ -1,7 +1,7 @@
-"""One relay's quotas of what all relays together may ask of a fleet: set-ups and connections.
+"""One relay's quotas of the set-ups and connections that all relays together may place on a fleet.
 
-What a relay allows itself here, times the number of relays, stays within what the session store and the
-endpoints can serve. The module is pure: it has no clock and does no I/O, and its randomness is passed in.
+A relay's quota, times the number of relays, stays within what the session store and the endpoints can serve.
+The module is pure: it has no clock and does no I/O, and its randomness is passed in.
 """
 
 from __future__ import annotations
@@ -14,22 +14,22 @@
 
 from sageturn.decision.jitter import jitter
 
-FLEET_WINDOW_S = 3.0  # of the tenants' allowances: set-ups of all relays together in flight
-MIN_WINDOW = 0.25  # set-ups; a window below 1 spaces set-ups out by its inverse
+FLEET_WINDOW_S = 3.0  # time for which the tenants' allowances may be in flight as set-ups of all relays
+MIN_WINDOW = 0.25  # smallest window; one below 1 spaces set-ups out by its inverse
 MAX_PAUSE_MS = 1500.0  # longest pause between two set-ups while the window is below 1
-WINDOW_FULL_RETRY_MS = 100.0  # until a set-up in flight is likely to have ended
+WINDOW_FULL_RETRY_MS = 100.0  # time in which a set-up in flight is likely to end
 
-QUOTA_UTILIZATION = 0.68  # part of the tenants' quotas that endpoints are given: beyond it messages are late
-FEW_RELAYS_SLACK = 32.0  # extra quota over the square of the relay count: few relays see each other's load
+QUOTA_UTILIZATION = 0.68  # part of the tenants' quotas that endpoints are given; with more, messages are late
+FEW_RELAYS_SLACK = 32.0  # extra quota, divided by the squared relay count: few relays see each other's load
 ENDPOINT_QUOTA_RATIO = 1.1  # an endpoint's bound over its share of the quotas
 FLEET_SLACK_CONNECTIONS = 2.0  # connections of all relays that an endpoint may hold beyond that bound
 
-COUNT_VARIANCE = 0.12  # variance of endpoints' connection counts against even ones
-KIND_PRIOR_SETUPS = 8.0  # set-ups at the common mean that each kind of machine starts with
+COUNT_VARIANCE = 0.12  # variance of endpoints' connection counts relative to even ones
+KIND_PRIOR_SETUPS = 8.0  # set-ups at the common mean that are assumed of each kind of machine at first
 
 
 class SetupWindow:
-    """Limits the set-ups that a relay has in flight by additive increase and multiplicative decrease.
+    """Limit of the set-ups that a relay has in flight, by additive increase, multiplicative decrease.
 
     The window grows by one with each set-up that is established in time, and halves with each late one.
     """
@@ -40,10 +40,10 @@
         """Create a window of full size.
 
         Args:
-            allowance_per_s: Set-ups that all relays together expect.
+            allowance_per_s: Set-ups per second that all relays together expect.
             relay_count: Relays that share the allowance.
             setup_objective_ms: A set-up that takes longer is late.
-            rng: Spreads the pauses of relays.
+            rng: The source of the jitter that spreads the pauses of relays.
         """
         self._max_size = max(1.0, allowance_per_s * FLEET_WINDOW_S / relay_count)
         self.size = self._max_size
@@ -53,7 +53,7 @@
         self._rng = rng
 
     def begin_setup(self) -> None:
-        """Count a set-up that is sent."""
+        """Count a set-up that is sent as in flight."""
         self.in_flight += 1
 
     def end_setup(self, now_ms: float, took_ms: float, is_served: bool) -> None:
@@ -69,7 +69,7 @@
             self._paused_until_ms = now_ms + pause_ms * jitter(self._rng)
 
     def wait_ms(self, now_ms: float) -> float:
-        """Return 0 if another set-up may start, else the time after which to retry."""
+        """Return 0 if another set-up may start, else the time in ms after which to retry."""
         if now_ms < self._paused_until_ms:
             return self._paused_until_ms - now_ms
         return WINDOW_FULL_RETRY_MS if self.in_flight >= max(1.0, self.size) else 0.0
@@ -77,15 +77,15 @@
 
 @dataclass(slots=True)
 class EndpointWeights:
-    """The weights of an endpoint against the other endpoints. Written by the fleet."""
+    """Weights of an endpoint relative to the other endpoints, updated by ``Fleet``."""
 
-    nominal: float = 1.0  # by the list and by operators
-    effective: float = 1.0  # by the kind of machine and the slow start as well
-    connection_share: float = 0.0  # of all connections of this relay, by weight and zone
+    nominal: float = 1.0  # weight by the list and by operators
+    effective: float = 1.0  # nominal weight adjusted by machine kind and slow start
+    connection_share: float = 0.0  # share of this relay's connections, by weight and zone
 
 
 class WeightedEndpoint(Protocol):
-    """An endpoint as the quotas see it."""
+    """Attributes of an endpoint that the quotas use."""
 
     zone: str
     weights: EndpointWeights
@@ -93,15 +93,15 @@
 
 @dataclass(slots=True, eq=False)
 class QuotaBound:
-    """The connections that one relay may hold at an endpoint, not rounded. Never changed in place."""
+    """Limit of the connections that one relay may hold at an endpoint. Never changed in place."""
 
-    max_connections: float
-    eligible_relays: float  # relays that may hold one there once each has rounded its own part
+    max_connections: float  # not rounded
+    eligible_relays: float  # expected number of relays whose rounded limit allows any connection
 
 
 @dataclass(slots=True)
 class QuotaBounds:
-    """The connections that one relay may hold at all endpoints together, and at each in their order."""
+    """Limits of the connections that one relay may hold at all endpoints, and at each in their order."""
 
     max_connections: float  # not rounded
     by_endpoint: list[QuotaBound]
@@ -114,16 +114,16 @@
     per_endpoint: float,
     relay_count: int,
 ) -> QuotaBounds:
-    """Return the connections that one relay may hold.
+    """Return the limits of the connections that one relay may hold.
 
-    The endpoints of a zone are first for its own relays; what a zone has beyond an even part goes to the
-    relays of zones that have less.
+    The endpoints of a zone serve its own relays first; what a zone has beyond an even part goes to the relays
+    of zones that have less.
 
     Args:
         endpoints: The ready endpoints.
         zones: All zones from which clients come.
         own_zone: The relay's zone; None if crossing zones costs nothing, and all endpoints are shared evenly.
-        per_endpoint: Connections of all relays that the quotas stand for at a mean endpoint.
+        per_endpoint: The tenants' quotas per endpoint of mean weight, over all relays.
         relay_count: Relays that share the quotas.
     """
     zone_weights = dict.fromkeys(zones, 0.0)
@@ -153,7 +153,7 @@
     slack: float,
     relay_count: int,
 ) -> list[QuotaBound]:
-    """Return the bounds where crossing zones costs; ``quota`` is one relay's, ``slack`` at each endpoint."""
+    """Return the bounds if crossing zones has a cost; ``quota`` is one relay's, ``slack`` one endpoint's."""
     zone_count = max(1, len(zone_weights))
     even_weight = (sum(zone_weights.values()) or 1.0) / zone_count
     deficits = {zone: max(0.0, 1.0 - weight / even_weight) for zone, weight in zone_weights.items()}
@@ -175,7 +175,7 @@
 
 
 def count_confidence(even_count: float) -> float:
-    """Return how far a relay's connections at an endpoint show what other relays hold there, from 0 to 1.
+    """Return how well a relay's count at an endpoint predicts those of other relays, from 0 to 1.
 
     Args:
         even_count: Connections that the relay would hold there if they were spread evenly.
@@ -185,7 +185,7 @@
 
 @dataclass(slots=True)
 class RunningMean:
-    """The sum and the number of values, for their mean."""
+    """Sum and number of values, from which their mean is computed."""
 
     total: float = 0.0
     count: float = 0.0
@@ -197,10 +197,10 @@
 
 
 class MachineKindSpeeds:
-    """Estimates how fast each kind of machine is from set-up times, as the list does not tell."""
+    """Estimates of the speed of each kind of machine by set-up times, as the list does not state it."""
 
     def __init__(self) -> None:
-        self.by_kind: dict[str, float] = {}  # relative to the mean
+        self.by_kind: dict[str, float] = {}  # speed relative to the mean
         self._setup_logs_by_kind: dict[str, RunningMean] = {}
         self._all_setup_logs = RunningMean()
 
--- a/sageturn/decision/relief.py
+++ b/sageturn/decision/relief.py
@@ -1,4 +1,4 @@
-"""Relief: which connections are migrated off an endpoint that holds too much."""
+"""Load relief: selects the connections to migrate off an endpoint that holds too much."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 from sageturn.decision.settings import Settings
 from sageturn.decision.state import EndpointState, RequestState
 
-MAX_MIGRATION_COST = 0.1  # part of the goal, above which nothing is migrated
-RELIEF_RATIO = 0.1  # of an endpoint's connections that are migrated at a sign of overload
-RELIEF_RATIO_PER_RELAY = 0.01  # added for each relay, as clients return through relays that saw no sign
-MAX_RELIEF_RATIO = 0.35  # upper bound of the two together
-RELIEF_PER_S = 8.0  # connections of all relays that are migrated off endpoints beyond their quota
+MAX_MIGRATION_COST = 0.1  # cost as a part of the goal, above which nothing is migrated
+RELIEF_RATIO = 0.1  # part of an endpoint's connections that is migrated on an overload signal
+RELIEF_RATIO_PER_RELAY = 0.01  # added per relay, as clients reconnect through relays that saw no signal
+MAX_RELIEF_RATIO = 0.35  # upper bound of the sum of both ratios
+RELIEF_PER_S = 8.0  # connections that all relays together migrate off endpoints over their quota
 MIN_RELIEF_PERIOD_MS = 500.0  # shortest time that all relays take for RELIEF_PER_S migrations
-RELIEF_PERIOD_SPREAD_MS = 1000.0  # uniform jitter on top: the time is 1 s on average
+RELIEF_PERIOD_SPREAD_MS = 1000.0  # uniform jitter added to it, for a mean of 1 s
 
 Migrations = list[actions.Action]
 
 
 class LoadRelief:
-    """Selects the connections to migrate. ``is_allowed`` says whether migrations cost little enough."""
+    """Selector of connections to migrate. ``is_allowed`` is True if migrations cost little enough."""
 
     def __init__(self, settings: Settings, rng: Random, fleet: Fleet) -> None:
         self.is_allowed = settings.migration_cost <= MAX_MIGRATION_COST
@@ -31,8 +31,8 @@
         self._fleet = fleet
         self._next_quota_relief_ms = 0.0
 
-    def relieve_quota(self, now_ms: float, endpoint: EndpointState) -> Migrations:
-        """Return the migration of one client off an endpoint beyond its quota, at the pace of all relays."""
+    def relieve_over_quota(self, now_ms: float, endpoint: EndpointState) -> Migrations:
+        """Return the migration of one client off an endpoint over its quota, rate-limited over all relays."""
         max_connections = endpoint.quota.max_connections + endpoint.rounding_offset
         is_over = endpoint.connections.open_count >= max_connections + 1.0
         if not is_over or not self.is_allowed or now_ms < self._next_quota_relief_ms:
@@ -42,15 +42,15 @@
         return self.relieve(endpoint, 1)
 
     def relieve(self, endpoint: EndpointState, count: int | None = None) -> Migrations:
-        """Return migrations of some clients off the endpoint, and count these as finished.
+        """Return migrations of some clients off the endpoint, and set their requests finished.
 
         Args:
             endpoint: The endpoint to relieve.
-            count: How many clients at most; None for a part of those that it holds.
+            count: Largest number of clients; None for a part of those that it holds.
         """
         candidates = self._migration_candidates(endpoint)
         if count is None:
-            # All relays see the same sign: if each migrated its only connection, the endpoint would be empty.
+            # All relays see the signal: if each migrated its only connection, the endpoint would be empty.
             ratio = min(MAX_RELIEF_RATIO, RELIEF_RATIO + RELIEF_RATIO_PER_RELAY * self._relay_count)
             count = int(len(candidates) * ratio + 1.0 / self._fleet.sharing_relays() + self._rng.random())
         migrated = candidates[:count]
@@ -60,10 +60,11 @@
         return [actions.MigrateConnection(request.id) for request in migrated]
 
     def _migration_candidates(self, endpoint: EndpointState) -> list[RequestState]:
-        """Return the connections that may be migrated, in the order in which they should be.
+        """Return the connections that may be migrated, the preferred ones first.
 
-        The smallest group is first, as its last connection takes the group's cost along. Then come the
-        heaviest, unless endpoints are scarce: a client that is migrated then may find no other endpoint.
+        Members of the smallest group are first, because migrating a group's last connection saves the group's
+        cost. Among groups of one size the heaviest are first, unless endpoints are scarce: a migrated client
+        may then find no other endpoint.
         """
         established = endpoint.connections.established.values()
         group_sizes = Counter(request.group for request in established)
--- a/sageturn/decision/rendezvous.py
+++ b/sageturn/decision/rendezvous.py
@@ -8,13 +8,13 @@
 
 from sageturn.decision.state import EndpointState
 
-HASH_MULTIPLIER = 0x9E3779B1  # mixes the two hashes, as CRC is linear
-HASH_MASK = 0xFFFFFFFF  # hashes are of 32 bits
-UNIFORM_DIVISOR = 0x100000001  # maps a hash plus one to between 0 and 1, both excluded
+HASH_MULTIPLIER = 0x9E3779B1  # mixes the two hashes, because CRC is linear
+HASH_MASK = 0xFFFFFFFF  # hashes have 32 bits
+UNIFORM_DIVISOR = 0x100000001  # maps a hash plus one into the open interval from 0 to 1
 
 
 def rank_endpoints(endpoints: Iterable[EndpointState], key: str) -> list[EndpointState]:
-    """Return the endpoints in order for a key; each is first as often as its part of all weights."""
+    """Return the endpoints ranked for a key; each is first for a share of keys equal to its weight's."""
     key_hash = crc32(key.encode())
 
     def score(endpoint: EndpointState) -> float:
--- a/sageturn/decision/settings.py
+++ b/sageturn/decision/settings.py
@@ -1,6 +1,6 @@
-"""The settings that a balancer is given at its start.
+"""Settings of a balancer, given at its start.
 
-Times are milliseconds and end in ``_ms``, rates are by the second and end in ``_per_s``. The objects check
+Times are milliseconds and end in ``_ms``, rates are per second and end in ``_per_s``. The objects check
 their own values and raise ``InvalidSettingError`` with the name of the field; ``sageturn.config.settings``
 decodes them from the platform's JSON.
 """
@@ -17,15 +17,15 @@
 
 
 class Effect(StrEnum):
-    """The effect of executing a request of a class a second time."""
+    """Effect of executing a request of a class a second time."""
 
-    SAFE = "safe"  # none
-    KEYED = "keyed"  # none while its idempotency key is remembered
-    UNSAFE = "unsafe"  # harm
+    SAFE = "safe"  # no effect
+    KEYED = "keyed"  # no effect while its idempotency key is remembered
+    UNSAFE = "unsafe"  # harmful
 
 
 class KeyScope(StrEnum):
-    """The endpoints among which an idempotency key is recognized."""
+    """Endpoints among which an idempotency key is recognized."""
 
     ALL = "all"
     ZONE = "zone"
@@ -33,27 +33,27 @@
 
 
 class DiscoveryMode(StrEnum):
-    """How a relay gets the endpoint list."""
+    """Source of a relay's endpoint list."""
 
-    PUSH = "push"  # a local agent keeps it
-    ASK = "ask"  # the relay watches it by calls of its own
+    PUSH = "push"  # a local agent maintains it
+    ASK = "ask"  # the relay watches it by its own calls to discovery
 
 
 class WeightMeaning(StrEnum):
-    """The meaning of an endpoint's ``share``."""
+    """Meaning of an endpoint's ``share``."""
 
     NONE = "none"
     NOMINAL = "nominal"  # size
     ROUGH = "rough"  # approximate size
-    LIVE = "live"  # size, lowered by the present load
+    LIVE = "live"  # size, reduced by the present load
 
 
 class ReportSource(StrEnum):
-    """What load reports of endpoints come with."""
+    """Source of the endpoints' load reports."""
 
     NONE = "none"
     PROBE = "probe"  # health checks
-    ANSWERS = "answers"  # health checks and answers to requests
+    ANSWERS = "answers"  # health checks and responses to requests
 
 
 def _require(is_valid: bool, field: str, rule: str) -> None:
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """One class of requests. ``scope`` and ``key_ttl_ms`` matter for keyed classes only.
+    """Class of requests. ``scope`` and ``key_ttl_ms`` apply to keyed classes only.
 
     ``effect`` and ``scope`` are an ``Effect`` and a ``KeyScope``, or their values.
 
@@ -77,12 +77,12 @@
     """
 
     name: str
-    latency_objective_ms: float  # from the request until its connection is established
+    latency_objective_ms: float  # time from the request until its connection is established
     effect: str = Effect.SAFE
     scope: str = KeyScope.ALL
-    key_ttl_ms: float = 0.0  # how long an idempotency key is remembered after the first execution
-    message_latency_objective_ms: float = 0.0  # of a message on an established connection; 0 if none
-    give_up_ms: float = 0.0  # how long a client waits, over all attempts; 0 if not given
+    key_ttl_ms: float = 0.0  # lifetime of an idempotency key from the first execution
+    message_latency_objective_ms: float = 0.0  # one message on an established connection; 0 if none
+    give_up_ms: float = 0.0  # time that a client waits over all attempts; 0 if not given
 
     def __post_init__(self) -> None:
         _require(self.latency_objective_ms > 0, "latency_objective_ms", "must be above 0")
@@ -95,10 +95,10 @@
         )
 
     def is_rejectable(self, may_have_executed: bool) -> bool:
-        """Whether a request may be rejected, which promises that a retry is harmless.
+        """Return True if a request may be rejected, which promises that a retry is harmless.
 
         Args:
-            may_have_executed: An attempt of the request may have been executed.
+            may_have_executed: True if an attempt of the request may have been executed.
         """
         if not may_have_executed or self.effect == Effect.SAFE:
             return True
@@ -107,7 +107,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """One tenant. Its allowance of requests and its quota of connections count over all relays.
+    """Tenant with an allowance of requests and a quota of connections, both over all relays.
 
     Raises:
         InvalidSettingError: A value is negative.
@@ -124,7 +124,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """The settings of a balancer; ``sageturn.config.settings`` holds the platform's names.
+    """Settings of a balancer; ``sageturn.config.settings`` holds the platform's names.
 
     ``discovery``, ``weights`` and ``reports`` are a ``DiscoveryMode``, a ``WeightMeaning`` and a
     ``ReportSource``, or their values.
@@ -140,28 +140,28 @@
     zone: str = ""
     discovery: str = DiscoveryMode.PUSH
     max_attempts: int = 3
-    may_cancel: bool = False  # an attempt may be abandoned once its client has left
+    may_cancel: bool = False  # an attempt may be abandoned once its client has disconnected
     retry_after: bool = True  # a rejection may say when to retry
     max_retry_after_ms: float = 1000.0
     connect_timeout_ms: float = 250.0
     keepalive_ms: float = 10000.0  # endpoints close connections that have been idle for so long
     max_poll_interval_ms: float = 10000.0  # discovery has to be called again within this time
-    cold_overload_multiple: float = 3.0  # of an even fill, that an endpoint in slow start bears in a window
+    cold_overload_multiple: float = 3.0  # multiple of an even fill that slow start allows in a window
     cold_overload_window_ms: float = 2000.0  # length of that window
     initial_capacity_ratio: float = 0.3  # part of its capacity that an endpoint has at its start
-    slow_start_ms: float = 10000.0  # from an endpoint's start until it has its full capacity
+    slow_start_ms: float = 10000.0  # time from an endpoint's start until it has its full capacity
     weights: str = WeightMeaning.NONE
     groups: bool = False  # clients have groups, and each group costs an endpoint that holds any of it
-    cross_zone_cost: float = 0.0  # part of the goal, for a connection to another zone; 0: zones do not matter
-    migration_cost: float = 0.0  # part of the goal, for one migrated connection
+    cross_zone_cost: float = 0.0  # cost of crossing zones, as a part of the goal; 0: zones do not matter
+    migration_cost: float = 0.0  # cost of one migrated connection, as a part of the goal
     reports_delay: bool = True  # connections measure how long messages take
     probes: bool = False  # a relay may send endpoints health checks
-    health_check_cost: float = 0.0  # part of the goal, for one health check a request
+    health_check_cost: float = 0.0  # cost of one health check per request, as a part of the goal
     reports: str = ReportSource.NONE
-    report_fields: tuple[str, ...] = ()  # the values that load reports hold
+    report_fields: tuple[str, ...] = ()  # names of the values that load reports hold
 
     def total_allowance_per_s(self) -> float:
-        """Return the requests a second that all tenants together may send to all relays."""
+        """Return the requests per second that all tenants together may send to all relays."""
         return sum(tenant.allowance_per_s for tenant in self.tenants) or DEFAULT_ALLOWANCE_PER_S
 
     def shortest_message_objective_ms(self, default_ms: float) -> float:
--- a/sageturn/decision/setup_times.py
+++ b/sageturn/decision/setup_times.py
@@ -1,4 +1,4 @@
-"""Set-up times: the speed of kinds of machines, and endpoints that are slower than the others."""
+"""Set-up times: learns the speed of each kind of machine, and which endpoints are slower than others."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 from sageturn.decision.fleet import Fleet
 from sageturn.decision.state import EndpointState, SetupTime
 
-LATEST_SETUP_WEIGHT = 0.5  # of an endpoint's latest set-up in its mean
-COMMON_SETUP_WEIGHT = 0.1  # of the latest set-up in the mean of all endpoints
+LATEST_SETUP_WEIGHT = 0.5  # weight of the latest set-up in an endpoint's mean
+COMMON_SETUP_WEIGHT = 0.1  # weight of the latest set-up in the mean of all endpoints
 LOG_RATIO_DECAY_MS = 9000.0  # time constant of the exponential decay
 
 
 class SetupTimes:
-    """Compares the times that set-ups take at each endpoint."""
+    """Comparison of the set-up times of the endpoints."""
 
     def __init__(self, fleet: Fleet) -> None:
         self._fleet = fleet
         self._common_log_ms = 0.0  # decaying mean of the logarithms of set-up times at all endpoints
 
     def record(self, now_ms: float, endpoint: EndpointState, took_ms: float) -> None:
-        """Learn the speed of the kind of machine and, if no delay is measured, the endpoint's mean."""
+        """Update the speed of the kind of machine and, if no delay is measured, the endpoint's mean."""
         log_ms = log(took_ms)
         self._fleet.machine_speeds.learn(endpoint.kind, log_ms)
         common_log_ms = self._common_log_ms
@@ -34,8 +34,8 @@
     def log_ratio(self, endpoint: EndpointState) -> float:
         """Return the logarithm of the endpoint's set-up time over the common one; 0 if none was measured.
 
-        A ratio, as a slow session store slows down set-ups everywhere. It decays towards 0, as otherwise an
-        endpoint that was slow once would not be tried again.
+        It is a ratio, because a slow session store slows down set-ups everywhere. It decays towards 0, since
+        otherwise an endpoint that was slow once would not be tried again.
         """
         setup_time = endpoint.load.setup_time
         if setup_time is None:
--- a/sageturn/decision/slow_start.py
+++ b/sageturn/decision/slow_start.py
@@ -1,13 +1,13 @@
-"""The pace at which all relays together send attempts to an endpoint in slow start.
+"""Rate limit of the attempts that all relays together send to an endpoint in slow start.
 
-The settings allow an endpoint that has just started N attempts in a window: a multiple of what fills it
-evenly over its warm-up, by the part of its capacity that it has by then. Up to ``2 * sqrt(N) + 2`` attempts
-more are tolerated as chance. Only the sum over all relays counts, so the budget is issued as permits of one
-attempt, each of which belongs to one relay. Relays know the endpoint's start, the settings and their own
-numbers, so they agree on whose permit it is without talking to each other.
+The settings allow an endpoint that has just started N attempts per window: a multiple of the rate that fills
+it evenly over its warm-up, scaled by the part of its capacity that it has by then. Up to ``2 * sqrt(N) + 2``
+further attempts are tolerated as random variation. Only the sum over all relays counts, so the budget is
+issued as permits for one attempt, each of which belongs to one relay. Relays know the endpoint's start, the
+settings and their own numbers, so they agree on the owner of each permit without communicating.
 
-A permit expires when it is not taken in time: else permits of all relays would pile up until a burst takes
-them in one window. The tolerance pays for the time for which permits stay valid.
+A permit that is not taken in time expires, because otherwise the permits of all relays would accumulate until
+a burst takes them in one window. The tolerance covers the time for which permits stay valid.
 
 The module is pure: it has no clock and does no I/O, and its randomness is passed in.
 """
@@ -22,9 +22,9 @@
 from sageturn.decision.settings import Settings
 
 GOLDEN_RATIO = 0.6180339887498949  # the fractional parts of its multiples are spread evenly
-ROUNDING_MARGIN = 2.0  # attempts a window, as permits are whole and relays estimate an endpoint's size
-MAX_STEP_MS = 500.0  # over which the rate of permits is taken to be constant
-RANDOM_PERMIT_DEVIATIONS = 3.0  # standard deviations within the bound where relays do not know their numbers
+ROUNDING_MARGIN = 2.0  # attempts per window not issued: permits are whole, and sizes are estimated
+MAX_STEP_MS = 500.0  # longest step in which the rate of permits is taken as constant
+RANDOM_PERMIT_DEVIATIONS = 3.0  # standard deviations kept unissued if relays do not know their numbers
 MIN_VALIDITY_WINDOWS = 0.25  # a permit is valid for at least this part of a window
 
 
@@ -35,35 +35,35 @@
 
 @dataclass(slots=True)
 class PermitCount:
-    """The permits that one relay was issued for one start of an endpoint."""
+    """Counter of the permits that one relay was issued for one start of an endpoint."""
 
     counted_age_ms: float  # age of the endpoint up to which permits are counted
-    issued: float  # with the fraction of the next one
+    issued: float  # includes the fraction of the next one
     spent: int = 0  # taken by an attempt, or expired
 
 
 @dataclass(slots=True)
 class SlowStartState:
-    """One start of an endpoint, as one relay sees it."""
+    """State of one start of an endpoint at one relay."""
 
     first_seen_age_ms: float  # age of the endpoint when the relay was notified of it
-    rounding_offset: float  # from 0 to 1, rounds the relay's part of what the endpoint can hold
+    rounding_offset: float  # rounds the relay's part of the endpoint's capacity, from 0 to 1
     permits: PermitCount | None = None  # None until the first one is asked for
 
 
 @dataclass(slots=True)
 class PermitRate:
-    """How permits are issued to one relay at one moment."""
+    """Rate and validity of the permits of one relay at one moment."""
 
     per_ms: float
-    validity_ms: float  # after which a permit that is not taken expires
+    validity_ms: float  # time until a permit that is not taken expires
 
 
 class SlowStartBudget:
-    """Issues one relay's permits for endpoints in slow start, by its place among the relays."""
+    """Issuer of one relay's permits for endpoints in slow start, by its index among the relays."""
 
     def __init__(self, settings: Settings, rng: Random) -> None:
-        """Create the budget of relay ``settings.index``; without a valid index ``rng`` stands in for it."""
+        """Create the budget of relay ``settings.index``; without a valid index ``rng`` replaces it."""
         self.overdrawn_permits = 0  # attempts that were sent without a permit, which is a fault
         self._rng = rng
         self._overload_multiple = settings.cold_overload_multiple
@@ -73,10 +73,11 @@
         self._relay_count = settings.relay_count
         is_numbered = settings.index is not None and settings.index < settings.relay_count
         self._index = settings.index if is_numbered else None
-        request_gap_ms = 1000.0 * settings.relay_count / settings.total_allowance_per_s()  # at one relay
+        # Mean time between two requests at one relay.
+        request_gap_ms = 1000.0 * settings.relay_count / settings.total_allowance_per_s()
         # The longer permits are valid, the fewer expire, but the fewer can be issued.
-        self._wanted_validity_ms = sqrt(request_gap_ms * self._window_ms)
-        # A large stride spreads any few neighbouring relays, and those of one zone, as evenly as all.
+        self._target_validity_ms = sqrt(request_gap_ms * self._window_ms)
+        # A large stride spreads neighbouring relays, and the relays of one zone, as evenly as all relays.
         self._stride = max(1, round(self._relay_count * GOLDEN_RATIO))
         while gcd(self._stride, self._relay_count) > 1:
             self._stride += 1
@@ -102,16 +103,16 @@
         if self._index is None:
             margin += RANDOM_PERMIT_DEVIATIONS * sqrt(min(budget, eligible_relays / 4.0))
         attempts = max(1.0, max_attempts_per_window(budget) - margin)
-        # The tolerance beyond the budget first pays for the validity, and only then for a higher rate.
+        # The tolerance beyond the budget is used for the validity first, and only then for a higher rate.
         max_validity_ms = max(MIN_VALIDITY_WINDOWS, attempts / budget - 1.0) * self._window_ms
-        validity_ms = min(self._wanted_validity_ms, max_validity_ms)
+        validity_ms = min(self._target_validity_ms, max_validity_ms)
         per_ms = attempts / (self._window_ms + validity_ms) / max(1.0, eligible_relays)
         return PermitRate(per_ms, validity_ms)
 
     def _issue_permits(
         self, permits: PermitCount, age_ms: float, warm_connections: float, eligible_relays: float
     ) -> None:
-        """Issue permits up to ``age_ms``, in steps: a relay that asks seldom gets as many as others."""
+        """Issue permits up to ``age_ms``, in steps: a relay that seldom asks gets as many as others."""
         while permits.counted_age_ms < age_ms:
             step_ms = min(MAX_STEP_MS, age_ms - permits.counted_age_ms)
             middle_ms = permits.counted_age_ms + step_ms / 2.0
@@ -122,14 +123,14 @@
     def has_permit(
         self, start: SlowStartState, age_ms: float, warm_connections: float, eligible_relays: float
     ) -> bool:
-        """Whether this relay may send the endpoint an attempt now.
+        """Return True if this relay may send the endpoint an attempt now.
 
         Args:
             start: The endpoint's start.
             age_ms: The endpoint's age now.
             warm_connections: Connections of all relays that the endpoint holds once it is warm.
             eligible_relays: Relays that share the permits. If the endpoint can hold fewer connections than
-                there are relays, the permits of those that may not place one there would be lost to all.
+                there are relays, the permits of those that may not place one there would be wasted.
         """
         if start.permits is None:
             start.permits = self._first_permits(start, warm_connections, eligible_relays)
@@ -142,14 +143,14 @@
     def _first_permits(
         self, start: SlowStartState, warm_connections: float, eligible_relays: float
     ) -> PermitCount:
-        """Return the permits until the endpoint was first seen, all of them spent."""
+        """Return the permits issued until the endpoint was first seen, all of them spent."""
         issued = start.rounding_offset
         if self._index is not None:
             # Spread the first permits of neighbouring offsets over the time in which one permit is issued.
             issued = (1.0 - start.rounding_offset) * self._relay_count * GOLDEN_RATIO % 1.0
         permits = PermitCount(0.0, issued)
         self._issue_permits(permits, max(0.0, start.first_seen_age_ms), warm_connections, eligible_relays)
-        # Another relay may have taken the permits from before this one was notified, and have stopped since.
+        # Another relay may have taken the permits issued before this one was notified, and have stopped.
         permits.spent = int(permits.issued)
         return permits
 
--- a/sageturn/decision/state.py
+++ b/sageturn/decision/state.py
@@ -1,4 +1,4 @@
-"""The state that a balancer keeps of each endpoint and each request. It holds no rule and no tuned figure.
+"""State of each endpoint and each request in a balancer, without rules or tuned constants.
 
 Times end in ``_ms`` and are read from the balancer's clock. Connections are those of this relay alone.
 """
@@ -17,7 +17,7 @@
 
 
 class AttemptState(Enum):
-    """How far the latest attempt of a request has come."""
+    """Progress of the latest attempt of a request."""
 
     NONE = auto()  # no attempt has been sent, or the latest one has ended
     IN_FLIGHT = auto()  # sent, and not established yet
@@ -26,19 +26,19 @@
 
 @dataclass(slots=True, eq=False)
 class EndpointConnections:
-    """This relay's attempts and connections at one endpoint. Written by balancer.py and the fleet."""
+    """This relay's attempts and connections at one endpoint, updated by ``Balancer`` and ``Fleet``."""
 
     concurrency_limit: int  # attempts that may be in flight at once
     in_flight: int = 0
-    open_count: int = 0  # in flight or established
-    is_untried: bool = True  # none was established since the endpoint (re)started
-    established: dict[int, RequestState] = field(default_factory=dict)  # by request id
+    open_count: int = 0  # attempts in flight and established connections
+    is_untried: bool = True  # no connection was established since the endpoint (re)started
+    established: dict[int, RequestState] = field(default_factory=dict)  # connections by request id
     group_counts: dict[str, int] = field(default_factory=dict)  # open connections by group
 
 
 @dataclass(slots=True, eq=False)
 class OutlierState:
-    """Outlier detection at one endpoint. Written by fleet.py."""
+    """Outlier detection at one endpoint, updated by ``Fleet``."""
 
     consecutive_failures: int = 0
     ejected_until_ms: float | None = None  # None while it is not ejected
@@ -46,20 +46,20 @@
 
 @dataclass(slots=True, eq=False)
 class OverloadState:
-    """Signs that an endpoint is overloaded, and its learned capacity. Written by overload.py."""
+    """Overload signals of an endpoint and its learned capacity, updated by ``OverloadControl``."""
 
-    is_shedding: bool = False  # overloaded or at its capacity: it is sent nothing
+    is_shedding: bool = False  # overloaded or at its capacity, so it is sent nothing
     overloaded_until_ms: float | None = None  # None before its first overload
     capacity: float = float("inf")  # connections that it was found able to hold
     capacity_updated_ms: float = 0.0
-    capacity_rounding: float = 0.0  # from 0 to 1, drawn each time that the capacity is cut
-    consecutive_resets: int = 0  # of established connections
+    capacity_rounding: float = 0.0  # random offset from 0 to 1, drawn each time that the capacity is cut
+    consecutive_resets: int = 0  # resets of established connections
     last_reset_ms: float = 0.0
 
 
 @dataclass(slots=True)
 class SetupTime:
-    """The decaying mean of the logarithms of an endpoint's set-up times in milliseconds."""
+    """Decaying mean of the logarithms of an endpoint's set-up times in milliseconds."""
 
     log_ms: float
     updated_ms: float
@@ -67,13 +67,13 @@
 
 @dataclass(slots=True, eq=False)
 class LoadEstimate:
-    """Signs of load where nothing reports delays. Written by overload.py and setup_times.py."""
+    """Load signals where no delay is measured, updated by ``OverloadControl`` and ``SetupTimes``."""
 
     reported_load: float = 0.0  # sum over the established connections whose load was reported
     reported_count: int = 0  # number of these connections
-    next_check_ms: float = 0.0  # of its utilization
-    saturated_until_ms: float = 0.0  # it holds more than it can serve
-    deprioritized_until_ms: float = 0.0  # its utilization is high against the others'
+    next_check_ms: float = 0.0  # time of the next check of its utilization
+    saturated_until_ms: float = 0.0  # end of the time for which it holds more than it can serve
+    deprioritized_until_ms: float = 0.0  # end of the time for which its utilization is relatively high
     setup_time: SetupTime | None = None  # None before one was measured
 
     def forget(self, request: RequestState) -> None:
@@ -86,26 +86,26 @@
 
 @dataclass(slots=True)
 class FleetTotals:
-    """Sums over the endpoints that are ready, or the part of one endpoint in these sums."""
+    """Sums over the endpoints that are ready, or the contribution of one endpoint to them."""
 
     in_flight: int = 0
     limits: int = 0
-    unknown_limits: int = 0  # concurrency limits of endpoints on which this relay holds nothing
+    unused_limits: int = 0  # concurrency limits of endpoints on which this relay holds nothing
     open_count: int = 0
 
 
 @dataclass(slots=True, eq=False)
 class EndpointState:
-    """The state of one endpoint: how it is listed, and a part for each concern."""
+    """State of one endpoint: its entry in the list, and one part for each concern."""
 
     name: str
     name_hash: int
     zone: str
     cell: int
-    kind: str  # of machine
-    state: str  # in the list, an ``EndpointStatus``
-    started_at_ms: float | None  # None where the list does not say
-    rounding_offset: float  # from 0 to 1, rounds this relay's part of what the endpoint can hold
+    kind: str  # kind of machine
+    state: str  # status in the list, an ``EndpointStatus``
+    started_at_ms: float | None  # None if the list does not state it
+    rounding_offset: float  # rounds this relay's part of the endpoint's capacity, from 0 to 1
     connections: EndpointConnections
     ready: bool = False  # listed ready and not ejected
     slow_start: SlowStartState | None = None  # None unless it is in slow start
@@ -115,24 +115,24 @@
     load: LoadEstimate = field(default_factory=LoadEstimate)
     weights: EndpointWeights = field(default_factory=EndpointWeights)
     quota: QuotaBound = UNLIMITED
-    counted: FleetTotals = field(default_factory=FleetTotals)  # its part of the fleet's totals
+    contribution: FleetTotals = field(default_factory=FleetTotals)  # contribution to the fleet's totals
 
     def age_ms(self, now_ms: float) -> float:
-        """Return the time since its start; infinite where the list does not say when that was."""
+        """Return the time since its start; infinite if the list does not state it."""
         return float("inf") if self.started_at_ms is None else now_ms - self.started_at_ms
 
     def is_full(self) -> bool:
-        """Whether it may be sent no further attempt for now."""
+        """Return True if it may be sent no further attempt for now."""
         connections = self.connections
         return self.overload.is_shedding or connections.in_flight >= connections.concurrency_limit
 
     def is_at_capacity(self) -> bool:
-        """Whether it holds as many connections as it has been found able to hold."""
+        """Return True if it holds as many connections as it was found able to hold."""
         overload = self.overload
         return self.connections.open_count >= overload.capacity - overload.capacity_rounding
 
     def is_at_quota(self) -> bool:
-        """Whether one more connection would exceed this relay's part of what it can hold."""
+        """Return True if one more connection would exceed this relay's part of its capacity."""
         return self.connections.open_count + 1 > self.quota.max_connections + self.rounding_offset
 
     def forget_connection(self, request_id: int) -> None:
@@ -142,7 +142,7 @@
             self.load.forget(request)
 
     def restart(self, started_at_ms: float) -> None:
-        """Forget what was learned of an earlier process of the same name."""
+        """Reset the state that was learned from an earlier process of the same name."""
         self.started_at_ms = started_at_ms
         self.slow_start = None
         self.connections.is_untried = True
@@ -155,15 +155,15 @@
 
 @dataclass(slots=True)
 class EndpointBinding:
-    """The endpoints that an operator binds a request to."""
+    """Endpoints that an operator binds a request to."""
 
     endpoints: frozenset[str]
-    is_strict: bool  # it holds for every attempt, not for the first alone
+    is_strict: bool  # applies to every attempt, not only to the first
 
 
 @dataclass(slots=True)
 class Execution:
-    """The first attempt of a request that may have been executed."""
+    """First attempt of a request that may have been executed."""
 
     zone: str
     cell: int
@@ -172,29 +172,29 @@
 
 @dataclass(slots=True, eq=False)
 class RequestState:
-    """A request that is not answered yet, or its established connection."""
+    """Request that is not answered yet, or its established connection."""
 
     id: int
     request_class: RequestClass
     tenant: str
     group: str
-    load: float  # of its connection: the last one reported, before that the expected one
-    deadline_ms: float  # its client gives up then
-    objective_deadline_ms: float  # established later, it misses the latency objective
-    midflow: bool = False  # its connection is taken over from another relay: it is not throttled
-    binding: EndpointBinding | None = None  # None: any endpoint
+    load: float  # load of its connection: the last reported one, or else the expected one
+    deadline_ms: float  # time at which its client gives up
+    objective_deadline_ms: float  # latest establishment that meets the latency objective
+    midflow: bool = False  # taken over from another relay, so it is not throttled
+    binding: EndpointBinding | None = None  # None if any endpoint is allowed
     migration_exempt_until_ms: float = 0.0
 
-    endpoint: EndpointState | None = None  # of the latest attempt, or the one that it was migrated from
+    endpoint: EndpointState | None = None  # latest attempt's, or the one that it was migrated from
     state: AttemptState = AttemptState.NONE
     attempts: int = 0
-    sent_ms: float = 0.0  # when the latest attempt was sent
-    is_finished: bool = False  # its client is owed nothing more; only an outcome is still to come
-    reported_load: float | None = None  # by its connection; None before it reported one
+    sent_ms: float = 0.0  # time at which the latest attempt was sent
+    is_finished: bool = False  # its client needs no response; only its attempt's end is outstanding
+    reported_load: float | None = None  # last load that its connection reported; None if none
     execution: Execution | None = None  # None while no attempt may have been executed
 
     def allows(self, endpoint: EndpointState) -> bool:
-        """Whether an operator's binding, if it holds for the next attempt, names the endpoint."""
+        """Return True if an operator's binding allows the endpoint for the next attempt."""
         binding = self.binding
         if binding is None or endpoint.name in binding.endpoints:
             return True
@@ -217,7 +217,7 @@
             self.execution = Execution(endpoint.zone, endpoint.cell, self.sent_ms)
 
     @classmethod
-    def of_arrival(
+    def from_arrival(
         cls, event: RequestArrived, request_class: RequestClass, objective_deadline_ms: float
     ) -> RequestState:
         """Return the state of a client's request of which no attempt was sent yet."""
@@ -235,7 +235,7 @@
         )
 
     @classmethod
-    def of_adopted(
+    def from_adopted(
         cls, event: ConnectionAdopted, request_class: RequestClass, endpoint: EndpointState, now_ms: float
     ) -> RequestState:
         """Return the state of a connection that was established before this balancer started."""
@@ -255,7 +255,7 @@
 
 
 def adjust_count(counts: dict[str, int], key: str, change: int) -> int:
-    """Change the count of a key, which is dropped at 0. Returns the new count."""
+    """Change the count of a key, which is dropped at 0. Return the new count."""
     count = counts.get(key, 0) + change
     if count:
         counts[key] = count
--- a/sageturn/decision/token_bucket.py
+++ b/sageturn/decision/token_bucket.py
@@ -1,4 +1,4 @@
-"""A token bucket whose rate and capacity the caller sets at each refill."""
+"""Token bucket whose rate and capacity the caller sets at each refill."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(slots=True)
 class TokenBucket:
-    """Counts tokens. Times are milliseconds of one clock, rates are tokens a millisecond."""
+    """Counter of tokens. Times are milliseconds of one clock, rates are tokens per millisecond."""
 
     tokens: float
     updated_ms: float = 0.0
@@ -21,7 +21,7 @@
         self.updated_ms = now_ms
 
     def try_take(self) -> bool:
-        """Take one token if there is a whole one. Returns whether it was taken."""
+        """Take one token if there is a whole one. Return True if it was taken."""
         if self.tokens < 1.0:
             return False
         self.tokens -= 1.0
--- a/tests/decision/test_balancer.py
+++ b/tests/decision/test_balancer.py
@@ -333,7 +333,7 @@
     open_on_each(driver, 4)
     for number in range(1, 5):
         driver.handle(MeasurementReported(number, 0, driver.attempts[number][0], "delay", 45.0))
-    assert driver.balancer.fleet.depth() > 0.5
+    assert driver.balancer.fleet.in_flight_ratio() > 0.5
 
 
 def test_a_group_stays_on_few_endpoints_though_few_connections_show_little() -> None:
--- a/tests/decision/test_rejection_streak.py
+++ b/tests/decision/test_rejection_streak.py
@@ -99,11 +99,11 @@
     streak = RejectionStreak()
     for number in range(9):
         streak.record_rejection(number * 1000.0)
-    assert not streak.is_overdue(60_000.0)
-    streak.end()
+    assert not streak.is_limit_reached(60_000.0)
+    streak.reset()
     for number in range(30):
         streak.record_rejection(100_000.0 + number)
-    assert not streak.is_overdue(100_000.0 + MAX_STREAK_MS - 1.0)
-    assert streak.is_overdue(100_000.0 + MAX_STREAK_MS)
-    streak.end()
-    assert not streak.is_overdue(200_000.0)
+    assert not streak.is_limit_reached(100_000.0 + MAX_STREAK_MS - 1.0)
+    assert streak.is_limit_reached(100_000.0 + MAX_STREAK_MS)
+    streak.reset()
+    assert not streak.is_limit_reached(200_000.0)
