--- a/tests/decision/test_balancer.py
+++ b/tests/decision/test_balancer.py
@@ -1,4 +1,4 @@
-"""Depth, curve, buckets, placement and attempts, by events in and actions out."""
+"""Throttling, placement, overload and migration by a balancer, tested by events in and actions out."""
 
 from support.balancer_driver import BalancerDriver
 
@@ -26,22 +26,22 @@
 
 def test_a_loaded_relay_rejects_the_busy_tenant_and_serves_the_other() -> None:
     driver = BalancerDriver()
-    kinds = [type(driver.send_request("t")[0]) for _ in range(60)]
-    assert kinds[0] is PlaceRequest and kinds[-1] is RejectRequest
+    action_types = [type(driver.send_request("t")[0]) for _ in range(60)]
+    assert action_types[0] is PlaceRequest and action_types[-1] is RejectRequest
     assert isinstance(driver.send_request("u")[0], PlaceRequest)
 
 
 def test_a_rejection_says_when_to_retry_only_where_that_is_allowed() -> None:
     driver = BalancerDriver()
-    refusals = [
+    rejections = [
         action for _ in range(60) for action in driver.send_request() if isinstance(action, RejectRequest)
     ]
-    assert refusals and all(0 < action.retry_after_ms <= 1000 for action in refusals)
+    assert rejections and all(0 < action.retry_after_ms <= 1000 for action in rejections)
     driver = BalancerDriver(retry_after=False)
-    refusals = [
+    rejections = [
         action for _ in range(60) for action in driver.send_request() if isinstance(action, RejectRequest)
     ]
-    assert refusals and all(action.retry_after_ms == 0 for action in refusals)
+    assert rejections and all(action.retry_after_ms == 0 for action in rejections)
 
 
 def test_a_retry_goes_elsewhere() -> None:
@@ -69,7 +69,7 @@
     assert driver.end_attempt(1, "error") == [FailRequest(1)]
 
 
-def open_on_each(driver: BalancerDriver, count: int) -> None:
+def establish_connections(driver: BalancerDriver, count: int) -> None:
     for _ in range(count):
         driver.send_request()
         driver.establish(driver.last_id)
@@ -77,9 +77,9 @@
 
 def test_an_overloaded_endpoint_is_sent_nothing_until_its_delays_are_short_again() -> None:
     driver = BalancerDriver([Endpoint("a"), Endpoint("b")])
-    open_on_each(driver, 8)
-    late = next(request_id for request_id in range(1, 9) if driver.attempts[request_id] == ["a"])
-    driver.handle(MeasurementReported(late, 0, "a", "delay", 90.0))
+    establish_connections(driver, 8)
+    slow_id = next(request_id for request_id in range(1, 9) if driver.attempts[request_id] == ["a"])
+    driver.handle(MeasurementReported(slow_id, 0, "a", "delay", 90.0))
     for _ in range(4):
         assert driver.place_request().endpoint == "b"
     driver.now_ms = 5000.0
@@ -88,7 +88,7 @@
 
 def test_requests_are_rejected_while_all_endpoints_are_overloaded() -> None:
     driver = BalancerDriver([Endpoint("a"), Endpoint("b")])
-    open_on_each(driver, 8)
+    establish_connections(driver, 8)
     for name in "ab":
         driver.handle(
             MeasurementReported(
@@ -99,11 +99,11 @@
                 90.0,
             )
         )
-    kinds = [type(driver.send_request()[0]) for _ in range(20)]
-    assert kinds[-1] is RejectRequest
+    action_types = [type(driver.send_request()[0]) for _ in range(20)]
+    assert action_types[-1] is RejectRequest
 
 
-def test_own_zone_first_where_crossing_is_priced_and_spill_when_it_is_full() -> None:
+def test_own_zone_is_preferred_if_crossing_zones_has_a_cost_and_spills_over_when_full() -> None:
     endpoints = [
         Endpoint("a", zone="x"),
         Endpoint("b", zone="x"),
@@ -139,15 +139,15 @@
         driver.send_request(group="big" if number else "lone")
         driver.establish(driver.last_id)
     name = driver.attempts[1][0]
-    (move,) = driver.handle(MeasurementReported(1, 0, name, "delay", 90.0))
-    assert move == MigrateConnection(1)
+    (migration,) = driver.handle(MeasurementReported(1, 0, name, "delay", 90.0))
+    assert migration == MigrateConnection(1)
     assert driver.handle(MeasurementReported(1, 0, name, "delay", 40.0)) == []
 
 
 def test_clients_are_migrated_also_where_all_are_overloaded_but_not_at_a_high_cost() -> None:
-    for price, count in ((1.0, 0), (0.02, 1)):
-        driver = BalancerDriver([Endpoint("a"), Endpoint("b")], migration_cost=price)
-        open_on_each(driver, 8)
+    for migration_cost, count in ((1.0, 0), (0.02, 1)):
+        driver = BalancerDriver([Endpoint("a"), Endpoint("b")], migration_cost=migration_cost)
+        establish_connections(driver, 8)
         request_on = {driver.attempts[request_id][0]: request_id for request_id in range(1, 9)}
         for name in "ab":
             assert (
@@ -177,10 +177,10 @@
         driver.end_attempt(driver.last_id, "ok", final=True)
         if driver.attempts[driver.last_id] == ["new"]:
             times.append(driver.now_ms)
-    # a quarter of the quota fits an endpoint; it starts at a tenth and warms up in 10 s
+    # The endpoint's part is a quarter of the quota; it starts at a tenth of that and warms up in 10 s.
     for start in times:
-        share = 3.0 * 25.0 * (0.1 + 0.9 * (start + 1000 - 49_900) / 10_000) / 2
-        assert 0 < sum(start <= placed_ms < start + 1000 for placed_ms in times) <= share
+        budget = 3.0 * 25.0 * (0.1 + 0.9 * (start + 1000 - 49_900) / 10_000) / 2
+        assert 0 < sum(start <= placed_ms < start + 1000 for placed_ms in times) <= budget
 
 
 def test_a_group_spills_to_the_next_in_its_own_order() -> None:
@@ -193,8 +193,8 @@
         homes.add(driver.place_request(group="g").endpoint)
         driver.establish(driver.last_id)
     for name in sorted(homes):
-        held = next(request_id for request_id in driver.attempts if driver.attempts[request_id] == [name])
-        driver.handle(MeasurementReported(held, 0, name, "delay", 90.0))
+        open_id = next(request_id for request_id in driver.attempts if driver.attempts[request_id] == [name])
+        driver.handle(MeasurementReported(open_id, 0, name, "delay", 90.0))
     spill = set()
     for _ in range(3):
         spill.add(driver.place_request(group="g").endpoint)
@@ -205,10 +205,10 @@
 def test_a_tenant_beyond_its_quota_is_rejected_first_under_load() -> None:
     tenants = (Tenant("t", 5.0, quota_connections=5.0), Tenant("u", 5.0, quota_connections=95.0))
     driver = BalancerDriver(tenants=tenants)
-    open_on_each(driver, 8)
-    assert isinstance(driver.send_request("t")[0], PlaceRequest)  # shallow: nobody is throttled
-    held = next(request_id for request_id in range(1, 9) if driver.attempts[request_id] == ["a"])
-    driver.handle(MeasurementReported(held, 0, "a", "delay", 90.0))
+    establish_connections(driver, 8)
+    assert isinstance(driver.send_request("t")[0], PlaceRequest)  # not loaded yet: nobody is throttled
+    open_id = next(request_id for request_id in range(1, 9) if driver.attempts[request_id] == ["a"])
+    driver.handle(MeasurementReported(open_id, 0, "a", "delay", 90.0))
     driver.handle(
         MeasurementReported(
             next(request_id for request_id in range(1, 9) if driver.attempts[request_id] == ["b"]),
@@ -223,59 +223,67 @@
 
 
 def test_an_ejected_endpoint_is_readmitted_and_ejected_again_by_its_next_failure() -> None:
-    # One whose trial was lost with its client stayed out for good.
+    # Guards against an endpoint that stays ejected because the client of its trial attempt disconnected.
     driver = BalancerDriver([Endpoint(name) for name in "abcd"], may_cancel=True)
     endpoints = driver.balancer.endpoints
     while all(endpoint.ready for endpoint in endpoints.values()):
         driver.send_request()
         driver.end_attempt(driver.last_id, "connect_failed")
         driver.end_attempt(driver.last_id, "connect_failed", final=True)
-    out = next(endpoint for endpoint in endpoints.values() if not endpoint.ready)
+    ejected = next(endpoint for endpoint in endpoints.values() if not endpoint.ready)
     driver.now_ms += 1600.0
     driver.send_request()
-    # Back for all clients at once, a slow endpoint cost the fleet day half of what it kept.
+    # Readmitted for all clients at once, a slow endpoint halved the number of clients kept on a simulated
+    # day.
     assert (
-        out.ready
-        and out.connections.concurrency_limit == 1
+        ejected.ready
+        and ejected.connections.concurrency_limit == 1
         and driver.handle(ClientDisconnected(driver.last_id)) == [AbandonAttempt(driver.last_id, 0)]
     )
     driver.end_attempt(driver.last_id, "cancelled", final=True)
-    while out.ready:
+    while ejected.ready:
         driver.send_request()
-        failed = driver.attempts[driver.last_id][0] == out.name
+        failed = driver.attempts[driver.last_id][0] == ejected.name
         driver.end_attempt(driver.last_id, "connect_failed" if failed else "ok", final=True)
-        assert out.ready != failed
+        assert ejected.ready != failed
 
 
-def strain(driver: BalancerDriver, names: str) -> None:
+def overload_endpoints(driver: BalancerDriver, names: str) -> None:
     for name in names:
-        held = next(request_id for request_id in driver.attempts if driver.attempts[request_id][-1] == name)
-        driver.handle(MeasurementReported(held, 0, name, "delay", 45.0))
+        open_id = next(
+            request_id for request_id in driver.attempts if driver.attempts[request_id][-1] == name
+        )
+        driver.handle(MeasurementReported(open_id, 0, name, "delay", 45.0))
 
 
 def test_a_group_gets_no_further_endpoint_while_endpoints_are_scarce() -> None:
-    # i571616: under load, spill to any endpoint with room made each of them pay for each group.
-    for late in (1, 4):
+    # Under load, spilling to any endpoint with headroom made each endpoint bear the cost of each group (issue
+    # i571616).
+    for overloaded_count in (1, 4):
         driver = BalancerDriver([Endpoint(name) for name in "abcdefghij"], groups=True, relay_count=1)
-        open_on_each(driver, 60)
+        establish_connections(driver, 60)
         driver.send_request(group="g")
         driver.establish(driver.last_id)
         first = driver.attempts[driver.last_id][0]
         ranked = driver.balancer.placement.group_ranking.rank("g")
-        own = [endpoint.name for endpoint in ranked.endpoints[: ranked.home_count]]
-        strain(driver, "".join(own) + "".join(name for name in "abcdefghij" if name not in own)[: late - 1])
+        home_names = [endpoint.name for endpoint in ranked.endpoints[: ranked.home_count]]
+        overload_endpoints(
+            driver,
+            "".join(home_names)
+            + "".join(name for name in "abcdefghij" if name not in home_names)[: overloaded_count - 1],
+        )
         (action,) = driver.send_request(group="g")
-        if late == 1:
-            assert isinstance(action, PlaceRequest) and action.endpoint not in own
+        if overloaded_count == 1:
+            assert isinstance(action, PlaceRequest) and action.endpoint not in home_names
         else:
             assert isinstance(driver.send_request()[0], PlaceRequest)
             assert isinstance(action, RejectRequest) and action.retry_after_ms > 0
             assert isinstance(
                 driver.send_request(group="g", midflow=True)[0], PlaceRequest
-            )  # it stands already: never cut off
-            driver.now_ms += 3000.0  # its home is well again before the others are asked
+            )  # an established connection is never cut off
+            driver.now_ms += 3000.0  # its home has recovered by then
             (action,) = driver.send_request(group="g")
-            assert isinstance(action, PlaceRequest) and action.endpoint in own and first in own
+            assert isinstance(action, PlaceRequest) and action.endpoint in home_names and first in home_names
 
 
 def test_a_group_may_go_to_its_first_endpoints_of_another_zone_while_scarce() -> None:
@@ -283,9 +291,9 @@
         Endpoint(name, zone="y") for name in "fghij"
     ]
     driver = BalancerDriver(endpoints, zone="x", cross_zone_cost=0.1, groups=True, relay_count=1)
-    open_on_each(driver, 60)
+    establish_connections(driver, 60)
     ranked = driver.balancer.placement.group_ranking.rank("g")
-    strain(driver, "abcde")
+    overload_endpoints(driver, "abcde")
     (action,) = driver.send_request(group="g")
     assert isinstance(action, PlaceRequest) and action.endpoint in [
         endpoint.name for endpoint in ranked.endpoints[5 : 5 + ranked.home_count]
@@ -293,34 +301,38 @@
 
 
 def test_the_heaviest_are_migrated_first_unless_endpoints_are_scarce() -> None:
-    # i0ba860: moving the heaviest while nobody had room sent away what was worth most, and it stayed out.
-    for late, heaviest in (("a", True), ("abcd", False)):
+    # While no endpoint had headroom, migrating the heaviest connections lost the most valuable clients for
+    # good (issue i0ba860).
+    for overloaded_names, heaviest in (("a", True), ("abcd", False)):
         driver = BalancerDriver([Endpoint(name) for name in "abcd"], relay_count=1)
         for number in range(40):
             driver.send_request(expected_load=float(number % 20))
             driver.establish(driver.last_id)
-        strain(driver, late[1:])
+        overload_endpoints(driver, overloaded_names[1:])
         on_a = [request_id for request_id in driver.attempts if driver.attempts[request_id] == ["a"]]
-        moves = driver.handle(MeasurementReported(on_a[0], 0, "a", "delay", 90.0))
+        migrations = driver.handle(MeasurementReported(on_a[0], 0, "a", "delay", 90.0))
         order = sorted(on_a, key=lambda request_id: -((request_id - 1) % 20))
-        wanted = order if heaviest else on_a
-        assert moves and moves == [MigrateConnection(request_id) for request_id in wanted[: len(moves)]]
+        expected = order if heaviest else on_a
+        assert migrations and migrations == [
+            MigrateConnection(request_id) for request_id in expected[: len(migrations)]
+        ]
 
 
 def test_many_relays_notified_of_one_overloaded_endpoint_do_not_empty_it() -> None:
-    # A hundred relays that hold one each all get the note; about a third should go.
-    moves = 0
+    # A hundred relays with one connection each all get the delay report; about a third should migrate theirs.
+    migrations = 0
     for seed in range(100):
         driver = BalancerDriver([Endpoint("a")], seed=seed, relay_count=100)
-        open_on_each(driver, 1)
-        moves += len(driver.handle(MeasurementReported(1, 0, "a", "delay", 90.0)))
-    assert 20 <= moves <= 55
+        establish_connections(driver, 1)
+        migrations += len(driver.handle(MeasurementReported(1, 0, "a", "delay", 90.0)))
+    assert 20 <= migrations <= 55
 
 
 def test_an_endpoint_that_breaks_a_new_connection_is_left_alone_for_a_while() -> None:
-    # Endpoints with too much piled up break the newest; who holds nothing there gets no note.
+    # Endpoints with too much queued work reset their newest connections, and a relay without connections
+    # there gets no delay reports.
     driver = BalancerDriver([Endpoint("a"), Endpoint("b")])
-    open_on_each(driver, 1)
+    establish_connections(driver, 1)
     broken = driver.attempts[1][0]
     driver.end_attempt(1, "reset", final=True)
     for _ in range(6):
@@ -328,16 +340,17 @@
 
 
 def test_endpoints_without_connections_do_not_hide_that_the_others_are_full() -> None:
-    # A balancer with four connections among a hundred endpoints: all four late means scarce, not shallow.
+    # A balancer has four connections among a hundred endpoints: if all four are slow, endpoints are scarce.
     driver = BalancerDriver([Endpoint(f"s{number}") for number in range(100)], relay_count=100, groups=True)
-    open_on_each(driver, 4)
+    establish_connections(driver, 4)
     for number in range(1, 5):
         driver.handle(MeasurementReported(number, 0, driver.attempts[number][0], "delay", 45.0))
     assert driver.balancer.fleet.in_flight_ratio() > 0.5
 
 
 def test_a_group_stays_on_few_endpoints_though_few_connections_show_little() -> None:
-    # Two of a balancer's three connections of one group: chance, not two thirds of all connections.
+    # Two of a balancer's three connections in one group are chance, and do not show that the group has two
+    # thirds of all connections.
     driver = BalancerDriver([Endpoint(f"s{number}") for number in range(100)], relay_count=100, groups=True)
     for group in ("g", "g", "h"):
         driver.send_request(group=group)
@@ -349,7 +362,8 @@
 
 
 def test_the_first_attempts_of_many_relays_at_an_endpoint_in_slow_start_are_spread() -> None:
-    # 85 relays each sent an endpoint three seconds old their first connection within one second.
+    # Without spreading, 85 relays each sent a three seconds old endpoint their first connection in one
+    # second.
     sent = 0
     for seed in range(60):
         driver = BalancerDriver(
@@ -363,7 +377,7 @@
 
 
 def test_groups_share_out_over_endpoints_evenly() -> None:
-    # CRC is linear: ranks by it alone made the same few endpoints early homes of many groups.
+    # CRC is linear: ranking by it alone made the same few endpoints the first homes of many groups.
     driver = BalancerDriver([Endpoint(f"backend-{number:x}") for number in range(40)], groups=True)
     first: dict[str, int] = {}
     for number in range(400):
@@ -372,7 +386,7 @@
     assert max(first.values()) <= 30
 
 
-def test_endpoints_of_more_weight_are_home_to_more_groups_and_win_the_pair() -> None:
+def test_endpoints_of_more_weight_are_home_to_more_groups_and_are_preferred_of_two() -> None:
     endpoints = [Endpoint("large", share=4.0), Endpoint("small", share=1.0)]
     driver = BalancerDriver(endpoints, groups=True, weights="rough")
     homes = [
@@ -383,8 +397,8 @@
     assert [driver.place_request(tenant).endpoint for tenant in "tut"] == ["large"] * 3
     driver = BalancerDriver(
         endpoints, weights="live"
-    )  # live shares come late and count load that we know better
-    open_on_each(driver, 10)
+    )  # live weights are outdated, and include load that the relay knows better
+    establish_connections(driver, 10)
     assert {driver.attempts[request_id][0] for request_id in driver.attempts} == {"large", "small"}
 
 
@@ -394,8 +408,8 @@
     for _ in range(120):
         (placement,) = driver.send_request("tu"[driver.last_id % 2])
         assert isinstance(placement, PlaceRequest)
-        took = 10.0 if placement.endpoint.startswith("quick") else 40.0
-        driver.handle(ConnectionEstablished(driver.last_id, 0, placement.endpoint, took))
-        driver.now_ms += 10.0  # sizes are looked at again every 50 ms
+        took_ms = 10.0 if placement.endpoint.startswith("quick") else 40.0
+        driver.handle(ConnectionEstablished(driver.last_id, 0, placement.endpoint, took_ms))
+        driver.now_ms += 10.0  # weights are updated every 50 ms
     quick = sum(driver.attempts[request_id][0].startswith("quick") for request_id in driver.attempts)
     assert quick > 75
--- a/tests/decision/test_balancer_edge_cases.py
+++ b/tests/decision/test_balancer_edge_cases.py
@@ -1,4 +1,4 @@
-"""Edges: rules of effects, list failures, restarts, empty fleets, settings unlike any deployment."""
+"""Edge cases of the balancer: effects, list failures, restarts, empty fleets and unusual settings."""
 
 from typing import Any
 
@@ -29,7 +29,7 @@
 )
 
 
-def keyed(scope: str) -> tuple[RequestClass, ...]:
+def keyed_classes(scope: str) -> tuple[RequestClass, ...]:
     return (RequestClass("c", 500, effect="keyed", scope=scope, key_ttl_ms=300),)
 
 
@@ -41,7 +41,7 @@
     ]
     for scope in ("zone", "cell"):
         for seed in range(6):
-            driver = BalancerDriver(endpoints, seed=seed, classes=keyed(scope))
+            driver = BalancerDriver(endpoints, seed=seed, classes=keyed_classes(scope))
             driver.send_request()
             first = driver.attempts[1][0]
             driver.now_ms = 100.0
@@ -50,7 +50,7 @@
                 assert again == FailRequest(1)
             else:
                 assert isinstance(again, PlaceRequest) and {first, again.endpoint} == {"a", "b"}
-    driver = BalancerDriver(endpoints, classes=keyed("all"))
+    driver = BalancerDriver(endpoints, classes=keyed_classes("all"))
     driver.send_request()
     driver.now_ms = 301.0
     assert isinstance(driver.end_attempt(1, "error")[0], RejectRequest)
@@ -63,16 +63,17 @@
 
 
 def test_the_time_out_of_a_safe_request_leaves_time_for_a_retry() -> None:
-    aim = (RequestClass("c", latency_objective_ms=1800),)
-    assert BalancerDriver(classes=aim).place_request().timeout_ms <= 1000.0
-    # Past its aim a request is not sent again: cut off at half its time, its work at the endpoint was wasted.
+    classes = (RequestClass("c", latency_objective_ms=1800),)
+    assert BalancerDriver(classes=classes).place_request().timeout_ms <= 1000.0
+    # A request is not retried after its objective, so a timeout at half its time would only waste the work
+    # done.
     assert BalancerDriver().place_request().timeout_ms == 2000.0
 
 
 @pytest.mark.parametrize("status", ["error", "timeout", "full", "reset", "connect_failed"])
 def test_failed_set_ups_halve_the_concurrency_limit_and_late_ones_do_not_raise_it(status: str) -> None:
-    # With the session store slow, time-outs and errors left the limits at their top: set-ups were sent three
-    # times faster than the store took them, and all of them failed for as long as clients came again.
+    # With a slow session store, timeouts and errors left the limits at their maximum: set-ups were sent three
+    # times faster than the store processed them, and all of them failed for as long as clients retried.
     driver = BalancerDriver([Endpoint("a")])
     endpoint = driver.balancer.endpoints["a"]
     driver.send_request()
@@ -87,7 +88,8 @@
 
 
 def test_groups_and_zones_draw_connections_only_up_to_a_bound() -> None:
-    # A relay that had just started put 64 connections on the one endpoint of its zone, and none on others.
+    # A relay that had just started placed 64 connections on the only endpoint of its zone, and none on
+    # others.
     endpoints = [Endpoint(name, zone="x" if name == "a" else "y") for name in "abcd"]
     driver = BalancerDriver(endpoints, zone="x", cross_zone_cost=0.1, groups=True, relay_count=2, tenants=())
     for _ in range(40):
@@ -99,7 +101,7 @@
 
 
 def test_an_endpoint_that_resets_connections_has_little_capacity_left() -> None:
-    # A slowed endpoint dropped all it held; 2.5 s later it was filled again, and dropped them all again.
+    # A slow endpoint reset all its connections, was filled again 2.5 s later, and reset them all again.
     driver = BalancerDriver([Endpoint("a"), Endpoint("b")])
     while sum(sent == ["a"] for sent in driver.attempts.values()) < 8:
         driver.send_request()
@@ -125,10 +127,10 @@
     assert isinstance(driver.end_attempt(1, "full")[0], RejectRequest) and len(driver.attempts[1]) == 2
 
 
-def test_nothing_more_after_the_client_left() -> None:
+def test_no_action_follows_once_the_client_has_disconnected() -> None:
     driver = BalancerDriver()
     driver.send_request()
-    assert driver.handle(ClientDisconnected(1)) == []  # no cancel where it is not allowed
+    assert driver.handle(ClientDisconnected(1)) == []  # attempts may not be cancelled by default
     assert driver.end_attempt(1, "error", final=False) == []
     assert not driver.balancer.requests
 
@@ -137,7 +139,7 @@
     assert isinstance(BalancerDriver().send_request(timeout_ms=0)[0], RejectRequest)
 
 
-def test_midflow_passes_without_a_token() -> None:
+def test_a_midflow_request_needs_no_token() -> None:
     driver = BalancerDriver()
     for _ in range(60):
         driver.send_request("t")
@@ -146,11 +148,11 @@
     assert isinstance(driver.send_request("t")[0], RejectRequest)
 
 
-def test_full_endpoints_lose_and_full_outcomes_halve_the_concurrency_limit() -> None:
+def test_full_endpoints_are_avoided_and_full_outcomes_halve_the_concurrency_limit() -> None:
     driver = BalancerDriver([Endpoint("a"), Endpoint("b")])
     driver.send_request()
     full = driver.attempts[1][0]
-    for _ in range(3):  # its limit falls to one, and then it is taken by one pending connection
+    for _ in range(3):  # its limit falls to one, which one pending connection uses up
         driver.end_attempt(driver.last_id, "full", final=True)
         while driver.place_request().endpoint != full:
             pass
@@ -163,11 +165,11 @@
     for _ in range(20):
         driver.send_request()
         driver.establish(driver.last_id)
-    held = [request_id for request_id in driver.attempts if driver.attempts[request_id] == ["a"]]
-    driver.handle(MeasurementReported(held[0], 0, "a", "delay", 90.0))
-    driver.handle(MeasurementReported(held[0], 0, "a", "delay", 5.0))  # well again
+    open_ids = [request_id for request_id in driver.attempts if driver.attempts[request_id] == ["a"]]
+    driver.handle(MeasurementReported(open_ids[0], 0, "a", "delay", 90.0))
+    driver.handle(MeasurementReported(open_ids[0], 0, "a", "delay", 5.0))  # recovered
     for _ in range(4):
-        assert driver.place_request().endpoint == "b"  # but it held more than the room it has now
+        assert driver.place_request().endpoint == "b"  # but it holds more than its reduced capacity
 
 
 def test_the_lone_member_of_a_group_is_migrated_first() -> None:
@@ -178,16 +180,16 @@
 
 
 def test_a_new_endpoint_counts_at_the_others_mean_until_a_connection_is_established() -> None:
-    # Of two endpoints, one holding ten and one new, neither is the lighter: chance decides.
-    got = []
+    # Of two endpoints, one with ten connections and one new, neither counts as less loaded: chance decides.
+    placed_on = []
     for seed in range(30):
         driver = BalancerDriver([Endpoint("a")], seed=seed)
         for _ in range(10):
             driver.send_request()
             driver.establish(driver.last_id)
         driver.update_endpoints([Endpoint("new")], "changes")
-        got.append(driver.place_request().endpoint)
-    assert 5 < got.count("new") < 25
+        placed_on.append(driver.place_request().endpoint)
+    assert 5 < placed_on.count("new") < 25
 
 
 def test_ejection_is_bounded_and_a_restart_ends_it() -> None:
@@ -199,28 +201,28 @@
             if driver.last_id in driver.balancer.requests:
                 driver.end_attempt(driver.last_id, "connect_failed")
     assert len(driver.balancer.fleet.ready) >= 2
-    (out,) = driver.balancer.fleet.ejected
-    driver.update_endpoints([Endpoint(out.name, started_at_ms=driver.now_ms)], "changes")
+    (ejected_endpoint,) = driver.balancer.fleet.ejected
+    driver.update_endpoints([Endpoint(ejected_endpoint.name, started_at_ms=driver.now_ms)], "changes")
     assert not driver.balancer.fleet.ejected
 
 
 def test_the_list_is_watched_at_start_and_again_after_each_failure() -> None:
     driver = BalancerDriver([], discovery="ask", max_poll_interval_ms=9000.0)
-    driver.balancer = Balancer(driver.balancer.settings, 1)  # to which no list has come
+    driver.balancer = Balancer(driver.balancer.settings, 1)  # a balancer that has received no list
     (first,) = driver.update_endpoints([Endpoint("a")], "stale")
     assert isinstance(first, SetTimer) and first.delay_ms <= 130.0
     driver.now_ms += first.delay_ms
     assert driver.handle(TimerFired(first.tag)) == [WatchEndpoints()]
-    waits = []
+    delays_ms = []
     for _ in range(12):
         (timer,) = driver.handle(EndpointListEvent("failed", []))
         assert isinstance(timer, SetTimer)
-        waits.append(timer.delay_ms)
+        delays_ms.append(timer.delay_ms)
         driver.now_ms += timer.delay_ms
         assert driver.handle(TimerFired(timer.tag)) == [WatchEndpoints()]
-    # They had grown up to 4.5 s: what discovery has counts as told 6 s after it is back.
-    assert min(waits) >= 350.0 and max(waits) <= 1050.0 and len(set(waits)) == 12
-    assert isinstance(driver.send_request()[0], PlaceRequest)  # the list held stays in use meanwhile
+    # Delays of up to 4.5 s were too long: a relay must have the list 6 s after discovery has recovered.
+    assert min(delays_ms) >= 350.0 and max(delays_ms) <= 1050.0 and len(set(delays_ms)) == 12
+    assert isinstance(driver.send_request()[0], PlaceRequest)  # the last list stays in use meanwhile
     driver.update_endpoints([Endpoint("a")], "full")
     assert driver.handle(TimerFired("watch")) == []
 
@@ -228,7 +230,7 @@
 def test_the_wait_for_the_next_call_goes_by_what_the_last_one_cost() -> None:
     driver = BalancerDriver([], discovery="ask", max_poll_interval_ms=10000.0, relay_count=200)
 
-    def waits(failure: DiscoveryFailure) -> list[float]:
+    def retry_delays_ms(failure: DiscoveryFailure) -> list[float]:
         delays_ms = []
         for _ in range(6):
             timer = driver.handle(EndpointListEvent("failed", [], failure))[0]
@@ -236,13 +238,13 @@
             delays_ms.append(timer.delay_ms)
         return delays_ms
 
-    assert max(waits(DiscoveryFailure.UNREACHED)) <= 2800.0
-    assert max(waits(DiscoveryFailure.UNANSWERED)) <= 1500.0
-    assert max(waits(DiscoveryFailure.OVERLOADED)) > 20000.0
+    assert max(retry_delays_ms(DiscoveryFailure.UNREACHED)) <= 2800.0
+    assert max(retry_delays_ms(DiscoveryFailure.UNANSWERED)) <= 1500.0
+    assert max(retry_delays_ms(DiscoveryFailure.OVERLOADED)) > 20000.0
     driver.update_endpoints([Endpoint("a")], "full")
-    assert waits(DiscoveryFailure.OVERLOADED)[0] <= 2000.0
-    assert max(waits(DiscoveryFailure.SILENT)) <= 1800.0
-    assert max(waits(DiscoveryFailure.OVERLOADED)) <= 2000.0  # it may be down since that watch ended
+    assert retry_delays_ms(DiscoveryFailure.OVERLOADED)[0] <= 2000.0
+    assert max(retry_delays_ms(DiscoveryFailure.SILENT)) <= 1800.0
+    assert max(retry_delays_ms(DiscoveryFailure.OVERLOADED)) <= 2000.0  # may be down since then
 
 
 def test_no_endpoint_at_all_and_all_gone() -> None:
@@ -266,7 +268,7 @@
     answers = [driver.send_request()[0] for _ in range(300)]
     assert (
         sum(isinstance(answer, PlaceRequest) for answer in answers) <= 8
-    )  # each of four has budget for a pair at most
+    )  # the budget of each of the four endpoints allows two at most
 
 
 def test_events_about_unknown_requests_are_ignored() -> None:
@@ -327,7 +329,7 @@
         ("classes", ()),
     ],
 )
-def test_impossible_settings_name_the_field(field: str, value: Any) -> None:
+def test_invalid_settings_name_the_field(field: str, value: Any) -> None:
     given: dict[str, Any] = {"classes": (RequestClass("c", 500),), field: value}
     with pytest.raises(ValueError, match=field):
         Settings(**given)
@@ -337,7 +339,7 @@
     ("field", "value"),
     [("effect", "odd"), ("scope", "odd"), ("latency_objective_ms", -5.0), ("key_ttl_ms", -1.0)],
 )
-def test_impossible_classes_name_the_field(field: str, value: Any) -> None:
+def test_invalid_classes_name_the_field(field: str, value: Any) -> None:
     given: dict[str, Any] = {"name": "c", "latency_objective_ms": 500.0, field: value}
     with pytest.raises(ValueError, match=field):
         RequestClass(**given)
@@ -368,20 +370,22 @@
 
 
 def test_capacity_is_regained_slowly_by_many_relays_while_endpoints_are_scarce() -> None:
-    # i0e0ee2: fourteen relays gave each late endpoint fourteen connections more a second.
+    # Fourteen relays together gave each slow endpoint fourteen more connections a second (issue i0e0ee2).
     gained = []
-    for relay_count, late in ((12, "a"), (12, "abc"), (1, "abc")):
+    for relay_count, overloaded_names in ((12, "a"), (12, "abc"), (1, "abc")):
         driver = BalancerDriver([Endpoint(name) for name in "abcdefgh"], relay_count=relay_count)
         for _ in range(40):
             driver.send_request()
             driver.establish(driver.last_id)
-        for name in late:
-            held = next(request_id for request_id in driver.attempts if driver.attempts[request_id] == [name])
-            driver.handle(MeasurementReported(held, 0, name, "delay", 40.0))
+        for name in overloaded_names:
+            open_id = next(
+                request_id for request_id in driver.attempts if driver.attempts[request_id] == [name]
+            )
+            driver.handle(MeasurementReported(open_id, 0, name, "delay", 40.0))
         before = driver.balancer.endpoints["a"].overload.capacity
-        driver.now_ms = 2400.0  # closed for 2.5 s, noted well before that
-        held = next(request_id for request_id in driver.attempts if driver.attempts[request_id] == ["a"])
-        driver.handle(MeasurementReported(held, 0, "a", "delay", 5.0))
+        driver.now_ms = 2400.0  # the overload lasts 2.5 s; the next delay is reported before that
+        open_id = next(request_id for request_id in driver.attempts if driver.attempts[request_id] == ["a"])
+        driver.handle(MeasurementReported(open_id, 0, "a", "delay", 5.0))
         driver.now_ms = 3400.0
         driver.balancer.overload.reevaluate(driver.now_ms, driver.balancer.endpoints["a"])
         gained.append(driver.balancer.endpoints["a"].overload.capacity - before)
@@ -398,13 +402,13 @@
         driver.end_attempt(driver.last_id, "ok", final=True)
     driver.update_endpoints([Endpoint("a")])
     for number in range(1200):
-        driver.send_request(group=f"h{number}")  # most are refused: their groups never hold anything
+        driver.send_request(group=f"h{number}")  # most are rejected, so their groups never hold a connection
     balancer = driver.balancer
     assert len(balancer.endpoints) <= 2 and len(balancer.fleet.rankings) <= 500
 
 
 def test_where_no_delay_is_measured_reported_loads_relieve_an_endpoint() -> None:
-    # On sockets no note of delay comes: an overloaded endpoint kept its clients, and got more of them.
+    # On sockets no delay is reported: an overloaded endpoint kept its clients, and was sent more of them.
     driver = BalancerDriver([Endpoint("a"), Endpoint("b")], reports_delay=False, migration_cost=0.02)
     with_delays = BalancerDriver([Endpoint("a"), Endpoint("b")], reports_delay=True, migration_cost=0.02)
     for each in (driver, with_delays):
@@ -416,10 +420,11 @@
         driver.handle(MeasurementReported(request_id, 0, sent[-1], "load", 1.0))
     moved = []
     for request_id in at_a:
-        driver.now_ms += 1100.0  # an endpoint is weighed once a second at most
+        driver.now_ms += 1100.0  # an endpoint's utilization is checked once a second at most
         moved += driver.handle(MeasurementReported(request_id, 0, "a", "load", 300.0))
     assert moved and all(isinstance(action, MigrateConnection) for action in moved)
-    # Heavier, not closed: closed on such signs, four of five endpoints sent all that came to the fifth.
+    # The endpoint is deprioritized, not excluded: excluding four of five endpoints on such signals sent all
+    # requests to the fifth.
     heavy, light = (driver.balancer.endpoints[name] for name in "ab")
     assert (
         driver.now_ms < heavy.load.deprioritized_until_ms
@@ -439,10 +444,10 @@
 
 
 def test_where_no_delay_is_measured_slow_set_ups_deprioritize_an_endpoint() -> None:
-    # An endpoint that was slowed down told nothing: its group's clients were placed there again and again.
+    # An endpoint that was slowed down reported nothing, so its group's clients were placed there repeatedly.
     endpoints = [Endpoint(name, kind="k") for name in "ab"]
-    for tells, closed in ((False, True), (True, False)):
-        driver = BalancerDriver(endpoints, reports_delay=tells)
+    for reports_delay, is_crowded in ((False, True), (True, False)):
+        driver = BalancerDriver(endpoints, reports_delay=reports_delay)
         for _ in range(40):
             driver.send_request()
             driver.handle(ConnectionEstablished(driver.last_id, 0, driver.attempts[driver.last_id][-1], 30.0))
@@ -455,18 +460,18 @@
             driver.handle(ConnectionEstablished(driver.last_id - 3 + index, 0, "a", 210.0))
         slow_endpoint, other_endpoint = (driver.balancer.endpoints[name] for name in "ab")
         score = driver.balancer.placement.score
-        assert slow and score.is_crowded(slow_endpoint) is closed and not score.is_crowded(other_endpoint)
-        assert not slow_endpoint.is_full()  # it fades: an endpoint that was slow is tried again
+        assert slow and score.is_crowded(slow_endpoint) is is_crowded and not score.is_crowded(other_endpoint)
+        assert not slow_endpoint.is_full()  # the signal decays, so that a slow endpoint is tried again
         driver.balancer.fleet.now_ms += 20_000.0
         assert not score.is_crowded(slow_endpoint)
 
 
 def test_a_store_that_slows_all_set_ups_deprioritizes_no_endpoint() -> None:
-    # All endpoints were closed at once for set-ups that took three times the usual everywhere.
+    # All endpoints were excluded at once when set-ups took three times as long as usual everywhere.
     driver = BalancerDriver([Endpoint(name, kind="k") for name in "ab"], reports_delay=False)
-    for took in (30.0,) * 40 + (200.0,) * 40:
+    for took_ms in (30.0,) * 40 + (200.0,) * 40:
         driver.send_request()
-        driver.handle(ConnectionEstablished(driver.last_id, 0, driver.attempts[driver.last_id][-1], took))
+        driver.handle(ConnectionEstablished(driver.last_id, 0, driver.attempts[driver.last_id][-1], took_ms))
         driver.now_ms += 20.0
     assert not any(
         driver.balancer.setup_times.log_ratio(endpoint) > 0.4 for endpoint in driver.balancer.fleet.ready
@@ -474,7 +479,7 @@
 
 
 def test_a_request_fails_fast_while_every_endpoint_is_saturated() -> None:
-    # With three endpoints of five left, all clients were taken in, and nobody's messages came in time.
+    # With three of five endpoints left, all clients were admitted, and all of their messages were late.
     driver = BalancerDriver([Endpoint("a"), Endpoint("b")], reports_delay=False)
     for _ in range(8):
         driver.send_request()
@@ -485,9 +490,9 @@
     for endpoint in driver.balancer.fleet.ready:
         driver.balancer.overload.check_utilization(driver.now_ms + 1100.0, endpoint)
     driver.now_ms += 1101.0
-    (refusal,) = driver.send_request()
-    assert isinstance(refusal, RejectRequest) and refusal.retry_after_ms > 0
-    driver.now_ms += 3000.0  # it is no verdict for good
+    (rejection,) = driver.send_request()
+    assert isinstance(rejection, RejectRequest) and rejection.retry_after_ms > 0
+    driver.now_ms += 3000.0  # saturation expires
     assert isinstance(driver.send_request()[0], PlaceRequest)
 
 
@@ -507,8 +512,9 @@
 
 
 def test_endpoints_that_drain_do_not_count_to_the_fleet_that_the_quotas_are_meant_for() -> None:
-    # A relay that started during a release counted those that left beside their successors: what each
-    # endpoint bears came out a quarter too small, and clients were refused while endpoints stood half empty.
+    # A relay that started during a release counted draining endpoints beside their successors: its estimate
+    # of an endpoint's quota was a quarter too small, and clients were rejected while endpoints were half
+    # empty.
     lines = [Endpoint(f"r{number}") for number in range(8)] + [
         Endpoint(f"d{number}", "draining") for number in range(2)
     ]
@@ -523,29 +529,29 @@
 
 
 def test_a_failed_connect_shows_that_the_list_of_the_start_is_out_of_date() -> None:
-    # Restarted relays had waited up to half of must_ask for their first call: 160 of 386 calls went to
-    # endpoints that were gone by then.
-    waits: list[float] = []
+    # Restarted relays waited up to half of the longest poll interval before their first call to discovery:
+    # 160 of 386 attempts went to endpoints that had been removed by then.
+    delays_ms: list[float] = []
     first_ms = 0.0
     for seed in range(20):
         driver = BalancerDriver([], discovery="ask", max_poll_interval_ms=10000.0, relay_count=200)
-        driver.balancer = Balancer(driver.balancer.settings, seed)  # to which no list has come
+        driver.balancer = Balancer(driver.balancer.settings, seed)  # a balancer that has received no list
         (first,) = driver.update_endpoints([Endpoint(name) for name in "abc"], "stale")
         assert isinstance(first, SetTimer)
         driver.send_request()
-        sooner = [
+        earlier_timers = [
             action for action in driver.end_attempt(1, "connect_failed") if isinstance(action, SetTimer)
         ]
-        assert len(sooner) == 1
-        waits.append(sooner[0].delay_ms)
+        assert len(earlier_timers) == 1
+        delays_ms.append(earlier_timers[0].delay_ms)
         first_ms = first.delay_ms
-    assert max(waits) <= 1800.0
+    assert max(delays_ms) <= 1800.0
     assert not [
         action for action in driver.end_attempt(1, "connect_failed") if isinstance(action, SetTimer)
-    ]  # once
-    driver.now_ms = min(first_ms, waits[-1])
+    ]  # only the first failed connect brings the call forward
+    driver.now_ms = min(first_ms, delays_ms[-1])
     assert driver.handle(TimerFired("watch")) == [WatchEndpoints()]
-    assert driver.handle(TimerFired("watch")) == []  # the first timer: its call is out already
+    assert driver.handle(TimerFired("watch")) == []  # the first timer: its call is in flight already
     (timer,) = driver.update_endpoints([], "failed")
     assert isinstance(timer, SetTimer)
     driver.now_ms += timer.delay_ms
--- a/tests/decision/test_balancer_properties.py
+++ b/tests/decision/test_balancer_properties.py
@@ -1,4 +1,9 @@
-"""Arbitrary legal orders of events against the four rules, and against leaks."""
+"""Property tests: the balancer keeps its rules and leaks no state under any legal order of events.
+
+The rules: each request is answered at once or has one attempt in flight; only a ready endpoint is sent an
+attempt, before the deadline; a request is executed again only where its class allows it; and a rejection
+promises that a retry is harmless.
+"""
 
 from __future__ import annotations
 
@@ -44,7 +49,7 @@
 
 
 class Execution(NamedTuple):
-    """The first attempt of a request that may have been executed."""
+    """First attempt of a request that may have been executed."""
 
     zone: str
     cell: int
@@ -53,13 +58,13 @@
 
 @dataclass
 class ClientRequest:
-    """One request as the world knows it: not answered yet, or with an attempt in flight or established."""
+    """Expected state of one request: not answered yet, or with an attempt in flight or established."""
 
     request_class: RequestClass
     deadline_ms: float
     is_in_flight: bool = False  # an attempt was sent, and has not ended
     is_established: bool = False
-    is_abandoned: bool = False  # its client has left
+    is_abandoned: bool = False  # its client has disconnected
     is_migrated: bool = False
     execution: Execution | None = None
     attempt: int = -1
@@ -67,10 +72,10 @@
     sent_ms: float = 0.0
 
 
-class World:
-    """Feeds a balancer legal events only, and checks each action as it comes."""
+class RuleChecker:
+    """Checker that sends a balancer legal events only, and checks each action that it returns."""
 
-    def __init__(self, seed: int, groups: bool, discovery: str, priced: bool) -> None:
+    def __init__(self, seed: int, groups: bool, discovery: str, has_cross_zone_cost: bool) -> None:
         self.settings = Settings(
             classes=CLASSES,
             tenants=(Tenant("t", 3.0, 20.0), Tenant("u", 3.0, 20.0)),
@@ -80,18 +85,18 @@
             max_attempts=3,
             may_cancel=True,
             groups=groups,
-            cross_zone_cost=0.1 if priced else 0.0,
+            cross_zone_cost=0.1 if has_cross_zone_cost else 0.0,
             weights="rough" if groups else "live",
         )
         self.balancer = Balancer(self.settings, seed)
-        self.now = 0.0
-        self.ids = 0
+        self.now_ms = 0.0
+        self.last_id = 0
         self.endpoints: dict[str, Endpoint] = {}
         self.requests: dict[int, ClientRequest] = {}
         self.timers: list[tuple[float, str]] = []
 
     def handle(self, event: Event) -> None:
-        for action in self.balancer.handle(self.now, event):
+        for action in self.balancer.handle(self.now_ms, event):
             if isinstance(action, PlaceRequest):
                 self.check_placement(action)
             elif isinstance(action, RejectRequest | FailRequest):
@@ -111,19 +116,21 @@
                 self.requests[action.id].is_migrated = True
             elif isinstance(action, SetTimer):
                 assert action.delay_ms >= 0
-                self.timers.append((self.now + action.delay_ms, action.tag))
+                self.timers.append((self.now_ms + action.delay_ms, action.tag))
 
     def check_placement(self, action: PlaceRequest) -> None:
         request = self.requests[action.id]
-        assert not request.is_abandoned and not request.is_in_flight, "one attempt at a time"
-        assert self.endpoints[action.endpoint].state == "ready", "a draining endpoint gets nothing"
-        left_ms = request.deadline_ms - self.now
-        assert self.now < request.deadline_ms and 0 < action.timeout_ms <= left_ms + 1e-6
+        assert not request.is_abandoned and not request.is_in_flight, (
+            "request already has an attempt in flight"
+        )
+        assert self.endpoints[action.endpoint].state == "ready", "an attempt was sent to an unready endpoint"
+        remaining_ms = request.deadline_ms - self.now_ms
+        assert self.now_ms < request.deadline_ms and 0 < action.timeout_ms <= remaining_ms + 1e-6
         request_class = request.request_class
         if request.execution is not None and request_class.effect != "safe":
             zone, cell, sent_ms = request.execution
             endpoint = self.endpoints[action.endpoint]
-            assert request_class.effect == "keyed" and self.now <= sent_ms + request_class.key_ttl_ms
+            assert request_class.effect == "keyed" and self.now_ms <= sent_ms + request_class.key_ttl_ms
             assert request_class.scope == "all" or (zone, cell)[request_class.scope == "cell"] in (
                 endpoint.zone,
                 endpoint.cell,
@@ -131,13 +138,13 @@
         request.is_in_flight = True
         request.endpoint = action.endpoint
         request.attempt += 1
-        request.sent_ms = self.now
+        request.sent_ms = self.now_ms
         assert request.attempt < self.settings.max_attempts
 
     def check_requests(self) -> None:
-        """Rule one: a request is answered at once or has an attempt in flight, which always ends."""
+        """Check that each request is answered at once or has an attempt in flight, which always ends."""
         for request in self.requests.values():
-            assert request.is_in_flight, "a request has no known end"
+            assert request.is_in_flight, "a request was not answered and has no attempt in flight"
 
     def step(self, pick: int, kind: int, arg: int) -> None:
         out = [request_id for request_id, request in self.requests.items() if request.is_in_flight]
@@ -159,14 +166,14 @@
             self.handle(AttemptEnded(10_000_000 + arg, 0, "nobody", "error", False))
 
     def send_request(self, pick: int, arg: int) -> None:
-        self.ids += 1
+        self.last_id += 1
         request_class = CLASSES[arg % len(CLASSES)]
-        deadline_ms = self.now + (1000.0 if pick % 7 else 0.0)
-        self.requests[self.ids] = ClientRequest(request_class, deadline_ms)
+        deadline_ms = self.now_ms + (1000.0 if pick % 7 else 0.0)
+        self.requests[self.last_id] = ClientRequest(request_class, deadline_ms)
         group = "gh"[arg % 2]
         self.handle(
             RequestArrived(
-                self.ids, request_class.name, "tuv"[pick % 3], deadline_ms, group, midflow=not pick
+                self.last_id, request_class.name, "tuv"[pick % 3], deadline_ms, group, midflow=not pick
             )
         )
 
@@ -188,7 +195,7 @@
     def change_endpoint(self, pick: int, arg: int) -> None:
         name = f"s{pick % 7}"
         state = ("ready", "ready", "draining", "gone")[arg % 4]
-        line = Endpoint(name, state, "xy"[pick % 2], pick % 2 * 10 + arg % 3, self.now if arg > 9 else 0.0)
+        line = Endpoint(name, state, "xy"[pick % 2], pick % 2 * 10 + arg % 3, self.now_ms if arg > 9 else 0.0)
         if state != "gone" or name in self.endpoints:
             self.endpoints[name] = line
             self.handle(EndpointListEvent("changes", [line]))
@@ -206,16 +213,16 @@
             del self.requests[request_id]
         self.handle(AttemptEnded(request_id, request.attempt, request.endpoint, status, final))
 
-    def pass_time(self, duration_ms: float) -> None:
-        self.now += duration_ms
-        due = [timer for timer in self.timers if timer[0] <= self.now]
-        self.timers = [timer for timer in self.timers if timer[0] > self.now]
+    def advance_time(self, duration_ms: float) -> None:
+        self.now_ms += duration_ms
+        due = [timer for timer in self.timers if timer[0] <= self.now_ms]
+        self.timers = [timer for timer in self.timers if timer[0] > self.now_ms]
         for _, tag in due:
             self.handle(TimerFired(tag))
         for request_id in [
             request_id
             for request_id, request in self.requests.items()
-            if request.is_in_flight and self.now >= request.deadline_ms
+            if request.is_in_flight and self.now_ms >= request.deadline_ms
         ]:
             self.end(request_id, "timeout")
 
@@ -226,17 +233,17 @@
 @settings(derandomize=True, max_examples=250, deadline=None)
 @given(STEPS, st.integers(0, 9), st.booleans(), st.sampled_from(["push", "ask"]), st.booleans())
 def test_any_legal_order_keeps_the_rules(
-    steps: list[tuple[int, int, int]], seed: int, groups: bool, discovery: str, priced: bool
+    steps: list[tuple[int, int, int]], seed: int, groups: bool, discovery: str, has_cross_zone_cost: bool
 ) -> None:
-    world = World(seed, groups, discovery, priced)
-    world.endpoints = {
+    checker = RuleChecker(seed, groups, discovery, has_cross_zone_cost)
+    checker.endpoints = {
         f"s{number}": Endpoint(f"s{number}", "ready", "xy"[number % 2], number % 2 * 10)
         for number in range(5)
     }
-    world.handle(EndpointListEvent("stale", list(world.endpoints.values())))
+    checker.handle(EndpointListEvent("stale", list(checker.endpoints.values())))
     for number in range(3):
-        world.ids += 1
-        world.requests[world.ids] = ClientRequest(
+        checker.last_id += 1
+        checker.requests[checker.last_id] = ClientRequest(
             CLASSES[0],
             float("inf"),
             is_in_flight=True,
@@ -245,16 +252,16 @@
             attempt=0,
             endpoint=f"s{number}",
         )
-        world.handle(ConnectionAdopted(world.ids, "safe", "t", f"s{number}", "g"))
+        checker.handle(ConnectionAdopted(checker.last_id, "safe", "t", f"s{number}", "g"))
     for pick, kind, arg in steps:
-        world.step(pick, kind, arg)
-        world.check_requests()
-        world.pass_time(float(arg * pick) / 4)
-        world.check_requests()
-    for request_id in list(world.requests):
-        world.end(request_id, "ok")
-    world.handle(EndpointListEvent("full", []))
-    balancer = world.balancer
+        checker.step(pick, kind, arg)
+        checker.check_requests()
+        checker.advance_time(float(arg * pick) / 4)
+        checker.check_requests()
+    for request_id in list(checker.requests):
+        checker.end(request_id, "ok")
+    checker.handle(EndpointListEvent("full", []))
+    balancer = checker.balancer
     assert (
         not balancer.requests
         and not balancer.fleet.group_counts
@@ -286,7 +293,7 @@
 
 
 def events_after(sent: tuple[int, int, str], prefix: str, pick: int, arg: int) -> list[Event]:
-    """What may happen next to an attempt that was sent: its request, its number and its endpoint."""
+    """Return events that may follow an attempt; ``sent`` is its request, its number and its endpoint."""
     request_id, attempt, endpoint = sent
     choices: list[list[Event]] = [
         [
@@ -300,21 +307,21 @@
     return choices[arg % 4]
 
 
-def play(steps: list[tuple[int, int, int]], seed: int, prefix: str) -> list[Any]:
-    """One course of events under names that all begin with the prefix; its actions without the prefix."""
+def actions_under_names(steps: list[tuple[int, int, int]], seed: int, prefix: str) -> list[Any]:
+    """Run events under names that begin with the prefix. Return the actions without the prefix."""
     balancer = balancer_with_names(prefix, seed)
     log: list[Any] = []
     sent: list[tuple[int, int, str]] = []
     attempts: dict[int, int] = {}
     due: list[Event] = [EndpointListEvent("full", [listed(prefix, number) for number in range(6)])]
-    for now, (kind, pick, arg) in enumerate([(0, 0, 0), *steps]):
+    for number, (kind, pick, arg) in enumerate([(0, 0, 0), *steps]):
         if kind % 3 == 0 or not sent:
             cls, tenant = f"{prefix}c{pick % 2}", f"{prefix}t{arg % 3}"
-            due.append(RequestArrived(now + 1, cls, tenant, now * 10.0 + 900.0, prefix + "g"))
+            due.append(RequestArrived(number + 1, cls, tenant, number * 10.0 + 900.0, prefix + "g"))
         else:
             due += events_after(sent[pick % len(sent)], prefix, pick, arg)
         for event in due:
-            for action in balancer.handle(now * 10.0, event):
+            for action in balancer.handle(number * 10.0, event):
                 if isinstance(action, PlaceRequest):
                     attempts[action.id] = attempts.get(action.id, -1) + 1
                     sent.append((action.id, attempts[action.id], action.endpoint))
@@ -326,6 +333,6 @@
 @settings(derandomize=True, max_examples=60, deadline=None)
 @given(STEPS, st.integers(0, 9))
 def test_other_names_give_the_same_decisions(steps: list[tuple[int, int, int]], seed: int) -> None:
-    # Endpoints, zones, classes and tenants under other names. Only a group's home follows from names, by
-    # hash, since that is all that relays have in common; so groups cost nothing here.
-    assert play(steps, seed, "q_") == play(steps, seed, "renamed-")
+    # Endpoints, zones, classes and tenants get other names. Only a group's homes depend on names, through
+    # their hashes, which are all that relays have in common; so groups cost nothing here.
+    assert actions_under_names(steps, seed, "q_") == actions_under_names(steps, seed, "renamed-")
--- a/tests/decision/test_decision_record.py
+++ b/tests/decision/test_decision_record.py
@@ -1,8 +1,8 @@
-"""The decision module's actions on recorded days, against the hashes of the code that was recorded.
+"""The decision module's actions on simulated days, compared with recorded hashes.
 
-A refactoring must leave every hash as it is. A change of behaviour that is meant replaces them by those that
-the failing tests print, and says why. The interpreter's seed for the hashes of strings differs from run to
-run, so each run also checks that the order of sets does not matter.
+A refactoring must leave every hash unchanged. An intended change of behaviour replaces them by those that
+the failing tests print, and gives the reason. The interpreter's seed for the hashes of strings differs from
+run to run, so each run also checks that the order of sets does not matter.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 
 import pytest
 from support.decision_codes import ACTION_CODES, EVENT_CODES, canonical_step, canonical_value
-from support.decision_days import Record, play_day
+from support.decision_days import Record, simulate_day
 from support.decision_variants import VARIANTS, Variant
 
 from sageturn import decision
 
-EVENTS_LEAST = 100_000
+MIN_EVENTS = 100_000
 
 DIGESTS = {
     "lone relay without tenants": "ae83b6f105e2c9273aee3fb708def3045724d4fc3e6d099ac65dc9a0d45e1547",
@@ -45,16 +45,16 @@
 
 
 @cache
-def recorded(variant: Variant) -> Record:
-    return play_day(variant)
+def record_of(variant: Variant) -> Record:
+    return simulate_day(variant)
 
 
 @pytest.mark.parametrize("variant", VARIANTS, ids=lambda variant: variant.name)
 def test_actions_are_those_of_the_recorded_code(variant: Variant) -> None:
-    assert recorded(variant).digest == DIGESTS[variant.name]
+    assert record_of(variant).digest == DIGESTS[variant.name]
 
 
-def test_each_recorded_site_is_played_once() -> None:
+def test_each_recorded_variant_is_simulated_once() -> None:
     assert sorted(variant.name for variant in VARIANTS) == sorted(DIGESTS)
 
 
@@ -62,11 +62,11 @@
     events: Counter[str] = Counter()
     details: Counter[str] = Counter()
     actions: Counter[str] = Counter()
-    for record in map(recorded, VARIANTS):
+    for record in map(record_of, VARIANTS):
         events += record.events
         details += record.details
         actions += record.actions
-    assert events.total() >= EVENTS_LEAST
+    assert events.total() >= MIN_EVENTS
     assert set(events) == set(EVENT_CODES.values())
     assert set(actions) == {code for code, _ in ACTION_CODES.values()}
     assert set(details) >= DETAILS
@@ -80,7 +80,7 @@
         assert sorted(names) == sorted(field.name for field in fields(action))
 
 
-def test_numbers_are_told_apart_down_to_the_ninth_digit() -> None:
+def test_numbers_are_distinguished_down_to_the_ninth_digit() -> None:
     assert canonical_value(123.456789) != canonical_value(123.456788)
     assert canonical_value(123.456789) == canonical_value(123.4567890001)
 
--- a/tests/decision/test_discovery_backoff.py
+++ b/tests/decision/test_discovery_backoff.py
@@ -1,4 +1,4 @@
-"""Calls to discovery: within the deadline from any state, and no more than it can answer in turn."""
+"""Calls to discovery meet the deadline from any state, and do not exceed what discovery can answer."""
 
 from __future__ import annotations
 
@@ -24,13 +24,14 @@
 from sageturn.net import discovery_watch
 
 MAX_POLL_INTERVAL_MS = 10000.0
-QUEUE_TIMEOUT_MS = 3000.0  # discovery fails a call that has waited so long, and works on it all the same
-# So late were calls answered 503 that came while discovery was down, in every run with a herd looked at.
+QUEUE_TIMEOUT_MS = 3000.0  # discovery fails a call that has waited longer, but still processes it
+# Time after which discovery that is down answers calls by 503, in simulations with many relays calling at
+# once.
 DOWN_RESPONSE_MS = 2000.0
 
 
 class HighestRandom(Random):
-    """Draws the highest number below 1 each time, and so the longest delay."""
+    """Random source of the highest number below 1, and so of the longest delay."""
 
     def random(self) -> float:
         return 1.0 - 2.0**-53
@@ -38,7 +39,7 @@
 
 # ---------------------------------------------------------------- one relay: the sum of all fixed times
 
-# What the client has waited itself by the time it reports a failure: docs/design/discovery-calls.md.
+# Time that the client takes to detect each failure: docs/design/discovery-calls.md.
 DETECTION_MS = {
     DiscoveryFailure.UNREACHED: discovery_watch.CONNECT_TIMEOUT_S * 1000.0,
     DiscoveryFailure.OVERLOADED: QUEUE_TIMEOUT_MS,
@@ -47,7 +48,7 @@
     DiscoveryFailure.LOST: 0.0,
     DiscoveryFailure.SILENT: discovery_watch.IDLE_TIMEOUT_S * 1000.0,
 }
-# Of these the detection takes so long that a call may be failed by discovery after the deadline.
+# Failures whose detection takes so long that discovery may fail the next call after the deadline.
 SLOWLY_DETECTED = (DiscoveryFailure.UNANSWERED, DiscoveryFailure.SILENT, DiscoveryFailure.OVERLOADED)
 FAILURES = st.sampled_from(list(DiscoveryFailure))
 
@@ -56,7 +57,7 @@
     assert discovery_watch.CONNECT_TIMEOUT_S == CONNECT_TIMEOUT_MS / 1000.0
     assert discovery_watch.RESPONSE_TIMEOUT_S == RESPONSE_TIMEOUT_MS / 1000.0
     assert discovery_watch.IDLE_TIMEOUT_S == IDLE_TIMEOUT_MS / 1000.0
-    # So that a call which discovery fails is told from one that gets no response.
+    # The client distinguishes a call that discovery fails from one that gets no response.
     assert discovery_watch.RESPONSE_TIMEOUT_S * 1000.0 > QUEUE_TIMEOUT_MS
 
 
@@ -74,8 +75,8 @@
     earlier: list[DiscoveryFailure],
     gap_ms: float,
 ) -> None:
-    # A change counts as known 6 s after discovery had it and could be reached, whatever has failed before.
-    # The delay after a failure was once 5 s in the mean, and up to four times 130 ms for each relay.
+    # A relay must have a change 6 s after discovery had it and could be reached, whatever has failed before.
+    # Delays with a mean of 5 s after a failure, and of up to 4 * 130 ms per relay, were too long.
     fits_queue = relay_count * SLOW_CALL_MS <= QUEUE_TIMEOUT_MS
     for failure in DiscoveryFailure:
         backoff = DiscoveryBackoff(relay_count, max_poll_interval_ms, HighestRandom(), pushed)
@@ -87,7 +88,7 @@
         delay_ms = backoff.retry_delay_ms(now_ms, failure)
         assert DETECTION_MS[failure] + delay_ms + MIN_RESPONSE_TIME_MS <= ENDPOINT_LIST_DEADLINE_MS
         if failure not in SLOWLY_DETECTED:
-            # What waits at discovery by then is answered in time, or not at all.
+            # A call that waits at discovery is then answered in time, or not at all.
             assert delay_ms + QUEUE_TIMEOUT_MS <= ENDPOINT_LIST_DEADLINE_MS
 
 
@@ -95,8 +96,8 @@
 def test_every_relay_calls_in_time_for_a_retry(
     relay_count: int, max_poll_interval_ms: float, seed: int
 ) -> None:
-    # 200 relays once spread their first calls over 26 s. They counted as notified of endpoints that had been
-    # gone for 10 s, and sent them 80 requests.
+    # When 200 relays spread their first calls over 26 s, they sent 80 requests to endpoints that had been
+    # removed for 10 s, of which they count as notified by then.
     backoff = DiscoveryBackoff(relay_count, max_poll_interval_ms, Random(seed))
     half_interval_ms = max_poll_interval_ms / 2
     assert backoff.first_call_delay_ms() <= half_interval_ms
@@ -114,8 +115,8 @@
 def test_watch_that_ended_is_restarted_before_what_it_missed_counts_as_known(
     relay_count: int, max_poll_interval_ms: float, pushed: bool, seed: int
 ) -> None:
-    # Its end once counted as a failed call: at 200 relays the next came 2.5 to 7.5 s later, after 3.2 s of
-    # silence, where what a silent watch misses counts as known after 6 s.
+    # When the end of a watch counted as a failed call, the next call of 200 relays came 2.5 to 7.5 s later,
+    # after 3.2 s of silence. The relay must have the changes that a silent watch missed after 6 s.
     backoff = DiscoveryBackoff(relay_count, max_poll_interval_ms, Random(seed), pushed)
     for failure, max_delay_ms in ((DiscoveryFailure.SILENT, 1800.0), (DiscoveryFailure.LOST, 2800.0)):
         for now_ms in (0.0, max_poll_interval_ms + 1.0, max_poll_interval_ms + 2.0):
@@ -123,14 +124,14 @@
     if pushed:
         delays_ms = [backoff.retry_delay_ms(0.0, failure) for failure in DiscoveryFailure for _ in range(9)]
         assert max(delays_ms) <= 150.0
-    else:  # where watches end again and again, discovery is not hammered
+    else:  # repeated ends of watches do not cause frequent calls
         min_delay_ms = min(350.0, 0.25 * max_poll_interval_ms)
         assert backoff.retry_delay_ms(max_poll_interval_ms + 3.0, DiscoveryFailure.LOST) >= min_delay_ms
         assert backoff.retry_delay_ms(max_poll_interval_ms + 4.0, DiscoveryFailure.SILENT) >= min_delay_ms
 
 
 @pytest.mark.parametrize("failure", list(DiscoveryFailure))
-def test_lone_relay_does_not_hammer_discovery(failure: DiscoveryFailure) -> None:
+def test_a_single_relay_does_not_call_discovery_too_often(failure: DiscoveryFailure) -> None:
     backoff = DiscoveryBackoff(1, MAX_POLL_INTERVAL_MS, Random(5))
     backoff.retry_delay_ms(0.0, failure)
     assert min(backoff.retry_delay_ms(1.0, failure) for _ in range(200)) >= 350.0
@@ -142,7 +143,7 @@
     assert first < second < third
     unreached = [backoff.retry_delay_ms(0.0, DiscoveryFailure.UNREACHED) for _ in range(9)]
     assert max(unreached) <= 2800.0
-    assert backoff.retry_delay_ms(0.0, DiscoveryFailure.OVERLOADED) == first  # that queue is gone by now
+    assert backoff.retry_delay_ms(0.0, DiscoveryFailure.OVERLOADED) == first  # the queue has emptied by then
     assert classify_rejection(999.0) is DiscoveryFailure.UNREACHED
     assert classify_rejection(QUEUE_TIMEOUT_MS) is DiscoveryFailure.OVERLOADED
 
@@ -159,18 +160,24 @@
 
 
 class SimulatedFleet:
-    """Relays that lose their watches as discovery goes down, and call until it has answered each of them.
+    """Relays whose watches end as discovery goes down, and which call until it has answered each of them.
 
-    Discovery, once it is up again, serves calls in turn: it answers those that have waited up to 3 s by then;
-    the others are failed, and cost it as much.
+    Once discovery has recovered it serves calls in order: it answers those that have waited up to 3 s, and
+    fails the others, which take as much of its time.
     """
 
     def __init__(self, relay_count: int, call_ms: float, down_ms: float, outage: str, seed: int) -> None:
-        """``call_ms``: what discovery spends on a call. ``outage``: how it is down, for ``down_ms``:
-
-        it refuses, resets, answers 503 (at once), is cut off (connections never come up), hangs (they do, and
-        nobody answers) or delays (fails calls after 2 s). Or it never is down: all relays start together, are
-        moved to it together, or see their watches fall silent together.
+        """Simulate the outage until all relays are answered.
+
+        Args:
+            relay_count: The number of relays.
+            call_ms: The time that discovery takes to process a call.
+            down_ms: The duration of the outage.
+            outage: Discovery "refuses", "resets", answers "503" (at once), is "cut" off (connections are
+                never established), is "hung" (accepts connections, but does not answer) or "delays" (fails
+                calls after 2 s). With "starts", "moved" and "silent" it is never down: all relays start
+                together, are moved to it together, or their watches stop sending together.
+            seed: The seed of all random numbers.
         """
         rng = Random(f"{seed} {relay_count} {outage}")
         self.backoffs = [
@@ -180,19 +187,19 @@
         self.call_ms = call_ms
         self.outage = outage
         self.up_at_ms = 0.0 if outage in ("starts", "moved", "silent") else down_ms
-        self.idle_at_ms = self.up_at_ms  # when discovery has worked off its queue
+        self.idle_at_ms = self.up_at_ms  # time at which discovery has processed its queue
         self.events: list[tuple[float, int, str, int, Any]] = []
         self.event_count = 0
         self.failed_calls = 0
         self.called_at_ms: list[float] = []
-        self.answered_after_ms: dict[int, float] = {}  # by relay, from when discovery is up again
+        self.answered_after_ms: dict[int, float] = {}  # time from discovery's recovery, by relay
         self.hanging_calls: list[tuple[float, int]] = []
         for relay, backoff in enumerate(self.backoffs):
             if outage == "starts":
                 self.schedule(backoff.first_call_delay_ms(), "call", relay)
             elif outage == "moved":
                 self.schedule(0.0, "call", relay)
-            elif outage in ("cut", "hung", "silent"):  # the last sign of life came up to 2 s before
+            elif outage in ("cut", "hung", "silent"):  # the last line came up to 2 s before
                 noticed_at_ms = IDLE_TIMEOUT_MS - 2000.0 * rng.random()
                 self.schedule(noticed_at_ms, "fail", relay, DiscoveryFailure.SILENT)
             else:
@@ -207,7 +214,7 @@
     def run(self, relay_count: int) -> None:
         while self.events and len(self.answered_after_ms) < relay_count:
             now_ms, _, handler, relay, argument = heapq.heappop(self.events)
-            assert now_ms < self.up_at_ms + 1800000.0, "discovery answers nobody any more"
+            assert now_ms < self.up_at_ms + 1800000.0, "discovery has not answered all relays in half an hour"
             getattr(self, handler)(now_ms, relay, argument)
 
     def schedule(self, at_ms: float, handler: str, relay: int, argument: Any = None) -> None:
@@ -253,13 +260,13 @@
 
     def max_calls_per_second(self) -> int:
         calls_ms = sorted(self.called_at_ms)
-        most = 0
+        max_count = 0
         first = 0
         for last, called_at_ms in enumerate(calls_ms):
             while calls_ms[first] <= called_at_ms - 1000.0:
                 first += 1
-            most = max(most, last - first + 1)
-        return most
+            max_count = max(max_count, last - first + 1)
+        return max_count
 
 
 DOWN_MS = (1000.0, 2000.0, 4000.0, 8000.0, 20000.0, 60000.0)
@@ -282,7 +289,8 @@
 def test_all_are_answered_in_time_where_their_calls_take_four_and_a_half_seconds(
     outage: str, relay_count: int, call_ms: int
 ) -> None:
-    # Refused for a minute, 90% of 200 relays were once late, the last one 115 s after discovery was back.
+    # After a minute of refused calls, 90% of 200 relays once missed the deadline; the last one was answered
+    # 115 s after discovery had recovered.
     assert relay_count * call_ms <= 4500
     for down_ms in DOWN_MS:
         for seed in range(2):
@@ -299,7 +307,7 @@
 def test_all_are_answered_in_time_from_a_late_start_where_their_calls_take_two_seconds(
     outage: str, relay_count: int, call_ms: int
 ) -> None:
-    # After a hang those that wait are in its queue already, and some of them have waited too long by then.
+    # After a hang, the waiting calls are in the queue already, and some of them have waited too long.
     assert relay_count * call_ms <= 2000
     assert_all_are_answered_in_time(relay_count, call_ms, outage)
 
@@ -310,37 +318,37 @@
 def test_discovery_that_delays_calls_while_it_is_down_is_not_taken_to_be_overloaded(
     relay_count: int, call_ms: int
 ) -> None:
-    # It did so on a herd day: 200 relays doubled their delays, and had lists up to 16 s after it was back.
+    # When it was, 200 relays doubled their delays, and some got lists only 16 s after its recovery.
     assert_all_are_answered_in_time(relay_count, call_ms, "delays")
 
 
 @pytest.mark.parametrize("outage", [*FAST_FAILING_OUTAGES, "hung", "delays"])
 @pytest.mark.parametrize(("relay_count", "call_ms"), [(460, 13), (200, 43), (460, 43), (40, 130), (200, 130)])
-def test_where_there_is_no_time_for_all_many_are_early_and_the_last_is_bounded(
+def test_if_there_is_no_time_for_all_many_are_in_time_and_the_last_is_bounded(
     outage: str, relay_count: int, call_ms: int
 ) -> None:
-    # Discovery works on calls that were given up, too: if they came again as fast as ever, it would never
-    # have time for any other.
+    # Discovery also processes calls that were given up: if they were repeated without backoff, it would have
+    # no time for any others.
     work_ms = relay_count * call_ms
     longest_delay_ms = 3.0 * (relay_count * SLOW_CALL_MS - QUEUE_TIMEOUT_MS)
     for down_ms in (1000.0, 8000.0, 60000.0):
         fleet = SimulatedFleet(relay_count, call_ms, down_ms, outage, 1)
         if 21 * relay_count <= 4500 < work_ms and work_ms > 20000 and outage != "starts":
-            # At calls six times slower than were seen, it is taken to be down for a minute.
+            # Calls are six times slower than expected, and discovery is assumed to be down for a minute.
             assert fleet.last_ms <= 31.0 * work_ms
             assert fleet.failed_calls <= 31 * relay_count
             continue
-        fails_fast = outage in FAST_FAILING_OUTAGES
-        assert fleet.last_ms <= 8.0 * work_ms + (0.0 if fails_fast else longest_delay_ms)
+        is_failing_fast = outage in FAST_FAILING_OUTAGES
+        assert fleet.last_ms <= 8.0 * work_ms + (0.0 if is_failing_fast else longest_delay_ms)
         assert fleet.failed_calls <= 6 * relay_count
         assert fleet.max_calls_per_second() <= 10 + 0.75 * relay_count
-        if fails_fast:  # what it can answer from the first call to the first failure
+        if is_failing_fast:  # calls that are answered before the first one fails
             in_time = relay_count - fleet.late_count
             assert in_time >= min(relay_count, 0.95 * QUEUE_TIMEOUT_MS / call_ms)
 
 
 def test_relays_that_start_and_fail_together_leave_discovery_time_to_answer_each() -> None:
-    # It once worked on calls that had been given up: 28 relays called at once, 18 of them in vain for 10 s.
+    # Discovery processed calls that had been given up: of 28 relays that called at once, 18 failed for 10 s.
     for relay_count, call_ms in ((4, 130), (40, 13), (40, 130), (200, 13), (200, 32), (200, 130)):
         for seed in range(3):
             fleet = SimulatedFleet(relay_count, call_ms, 0.0, "starts", seed)
--- a/tests/decision/test_endpoint_watch.py
+++ b/tests/decision/test_endpoint_watch.py
@@ -1,4 +1,4 @@
-"""Calls to discovery keep to their backoff, whatever else has started or failed a watch meanwhile."""
+"""Calls to discovery keep to their backoff, whatever else starts or fails a watch in the meantime."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class DownDiscovery:
-    """A balancer whose every call to discovery fails at once."""
+    """Balancer whose every call to discovery fails at once."""
 
     def __init__(self) -> None:
         settings = Settings(classes=(RequestClass("c", 500),), discovery="ask", relay_count=40)
@@ -44,21 +44,21 @@
 
 
 def calls_while_down(reloads: int) -> list[float]:
-    """When discovery is called; it is moved so many times to another address that is down as well."""
+    """Return the times of calls to discovery, whose address changes ``reloads`` times while it is down."""
     discovery = DownDiscovery()
     discovery.handle(0.0, EndpointListEvent("stale", []))
     reload_ms = [1000.0 * number for number in range(1, reloads + 1)]
     while discovery.timers[0] < DURATION_MS:
         if reload_ms and reload_ms[0] <= discovery.timers[0]:
-            discovery.handle(reload_ms.pop(0), DOWN)  # a reload calls by itself, and that call has failed
+            discovery.handle(reload_ms.pop(0), DOWN)  # a reload makes its own call, which fails
         else:
             discovery.handle(heapq.heappop(discovery.timers), TimerFired(TIMER_TAG))
     return discovery.calls_ms
 
 
 def test_reloads_while_discovery_is_down_do_not_multiply_the_calls() -> None:
-    # Each left a timer more, all of which went on for as long as discovery was down: ten reloads, ten times
-    # the calls.
+    # Each reload left another timer, which was set anew for as long as discovery was down: ten reloads caused
+    # ten times the calls.
     usual = len(calls_while_down(reloads=0))
     assert usual > 40
     assert len(calls_while_down(reloads=10)) <= 1.3 * usual
--- a/tests/decision/test_health_checks.py
+++ b/tests/decision/test_health_checks.py
@@ -1,4 +1,4 @@
-"""Load reports: read strictly, asked for at a pace that the settings pay for, and what they call for."""
+"""Load reports: strict parsing, the rate of health checks within their budget, and the effects of reports."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 )
 from sageturn.decision.load_reports import read_report, usable_values
 
-PROBED: dict[str, Any] = {
+HEALTH_CHECK_SETTINGS: dict[str, Any] = {
     "probes": True,
     "reports": "probe",
     "report_fields": FIELDS,
@@ -47,7 +47,9 @@
 
 
 def make_checks(**change: Any) -> HealthCheckScheduler:
-    settings = decision.Settings(classes=(decision.RequestClass("c", 500),), **{**PROBED, **change})
+    settings = decision.Settings(
+        classes=(decision.RequestClass("c", 500),), **{**HEALTH_CHECK_SETTINGS, **change}
+    )
     return HealthCheckScheduler(settings, 80.0, Random(1))
 
 
@@ -74,7 +76,7 @@
 
 
 @given(st.binary(max_size=700))
-def test_no_bytes_make_a_report_that_is_no_number(text: bytes) -> None:
+def test_arbitrary_bytes_give_only_valid_numbers(text: bytes) -> None:
     found = read_report(text, FIELDS, Counter())
     assert found.keys() <= set(FIELDS) and all(0.0 <= value <= 3600.0 for value in found.values())
     values = {"x0": math.nan, "x1": True, "cpu": "1", "rps": -1, "active": 3}
@@ -85,19 +87,19 @@
 
 
 @given(st.integers(1, 300), st.integers(1, 90), st.floats(0.0001, 0.1), st.integers(0, 40))
-def test_no_more_is_checked_than_is_paid_for_and_than_endpoints_can_bear(
+def test_checks_stay_within_their_budget_and_the_rate_per_endpoint(
     relays: int, endpoints: int, price: float, requests: int
 ) -> None:
     names = [f"s{number}" for number in range(endpoints)]
     checks = make_checks(relay_count=relays, health_check_cost=price)
-    asked: Counter[str] = Counter()
-    for look in range(240):  # a minute
-        if look < requests:
+    check_counts: Counter[str] = Counter()
+    for tick in range(240):  # one minute
+        if tick < requests:
             checks.record_request()
-        asked.update(checks.take_due_endpoints(250.0 * look, names))
-    assert endpoints <= asked.total() <= endpoints + max(1.0, requests * SPEND_RATIO / price) + 1e-6
-    least_ms = 0.75 * max(CHECK_INTERVAL_MS, MIN_FLEET_INTERVAL_MS * relays)
-    assert max(asked.values()) <= 60000.0 / least_ms + 1.0
+        check_counts.update(checks.take_due_endpoints(250.0 * tick, names))
+    assert endpoints <= check_counts.total() <= endpoints + max(1.0, requests * SPEND_RATIO / price) + 1e-6
+    min_interval_ms = 0.75 * max(CHECK_INTERVAL_MS, MIN_FLEET_INTERVAL_MS * relays)
+    assert max(check_counts.values()) <= 60000.0 / min_interval_ms + 1.0
 
 
 def test_an_endpoint_that_takes_no_health_checks_is_not_checked_again_while_listed() -> None:
@@ -108,7 +110,7 @@
     assert checks.take_due_endpoints(5000.0, "ab") == ["b"]
     assert checks.take_due_endpoints(10000.0, "b") == [
         "b"
-    ]  # a has left the list, and is another when it comes again
+    ]  # a was removed, and counts as a new endpoint when it is listed again
     checks.record_request()
     assert sorted(checks.take_due_endpoints(15000.0, "ab")) == ["a", "b"]
 
@@ -117,7 +119,7 @@
 
 
 def report_load(driver: BalancerDriver, endpoint: str, **report: float) -> list[decision.Action]:
-    """A health check of ``endpoint`` came back with ``report``."""
+    """Send the outcome of a health check of ``endpoint`` with ``report``. Return the actions."""
     return driver.handle(decision.HealthCheckCompleted(endpoint, "ok", report))
 
 
@@ -130,7 +132,7 @@
 def test_health_checks_are_made_only_where_they_are_allowed_and_useful() -> None:
     without = {"probes": False}, {"reports": "none"}, {"report_fields": ("rps",)}, {"reports_delay": True}
     for change in ({}, *without):
-        driver = BalancerDriver([], **{**PROBED, **change})
+        driver = BalancerDriver([], **{**HEALTH_CHECK_SETTINGS, **change})
         actions = driver.handle(decision.EndpointListEvent("stale", [decision.Endpoint("a")]))
         timers = [action.tag for action in actions if isinstance(action, decision.SetTimer)]
         assert timers == ([] if change else ["probe"])
@@ -139,21 +141,23 @@
 
 
 def test_an_endpoint_reported_full_is_sent_nothing_and_one_beyond_it_is_relieved_once() -> None:
-    # Without reports an endpoint at its limit showed only once it broke connections off.
+    # Without reports an endpoint at its limit was detected only once it reset connections.
     driver = BalancerDriver(
-        [decision.Endpoint("a"), decision.Endpoint("b")], **PROBED, tenants=(decision.Tenant("t", 90.0),)
+        [decision.Endpoint("a"), decision.Endpoint("b")],
+        **HEALTH_CHECK_SETTINGS,
+        tenants=(decision.Tenant("t", 90.0),),
     )
     establish_connections(driver, 20)
-    there = driver.balancer.endpoints["a"].connections.open_count
+    open_count = driver.balancer.endpoints["a"].connections.open_count
     assert report_load(driver, "a", x0=0.7, x1=0.0) == [] and not driver.balancer.endpoints["a"].is_full()
     report_load(driver, "a", x0=0.78, x1=0.0)
     assert driver.balancer.endpoints["a"].is_full()
-    moves = report_load(driver, "a", x0=1.4, x1=0.4)
-    assert len(moves) in (there // 2, there // 2 + 1) and all(
-        isinstance(action, decision.MigrateConnection) for action in moves
+    migrations = report_load(driver, "a", x0=1.4, x1=0.4)
+    assert len(migrations) in (open_count // 2, open_count // 2 + 1) and all(
+        isinstance(action, decision.MigrateConnection) for action in migrations
     )
     driver.now_ms += 500.0
-    assert report_load(driver, "a", x0=1.4, x1=0.4) == []  # no report tells yet what that did
+    assert report_load(driver, "a", x0=1.4, x1=0.4) == []  # no report shows the effect of the migrations yet
     for _ in range(60):
         driver.now_ms += 1000.0
         assert report_load(driver, "a", x0=0.4, x1=0.0) == []
@@ -162,7 +166,7 @@
 
 
 def test_reports_in_answers_count_and_failed_health_checks_eject_no_endpoint() -> None:
-    settings = {**PROBED, "reports": "answers", "tenants": (decision.Tenant("t", 90.0),)}
+    settings = {**HEALTH_CHECK_SETTINGS, "reports": "answers", "tenants": (decision.Tenant("t", 90.0),)}
     driver = BalancerDriver([decision.Endpoint("a"), decision.Endpoint("b")], **settings)
     driver.send_request()
     name = driver.attempts[1][0]
@@ -174,8 +178,8 @@
     assert driver.balancer.endpoints["a"].ready
 
 
-def test_without_reports_for_a_while_the_relays_own_signs_count_again() -> None:
-    driver = BalancerDriver([decision.Endpoint("a"), decision.Endpoint("b")], **PROBED)
+def test_without_recent_reports_the_relays_own_load_signals_count_again() -> None:
+    driver = BalancerDriver([decision.Endpoint("a"), decision.Endpoint("b")], **HEALTH_CHECK_SETTINGS)
     assert not driver.balancer.fleet.measures_delay()
     report_load(driver, "a", x0=0.2)
     assert driver.balancer.fleet.measures_delay()
@@ -210,17 +214,17 @@
 
     async with running_relay(tmp_path, script) as (relay, _):
         assert relay.health_check_client is not None
-        heard: asyncio.Queue[decision.HealthCheckCompleted] = asyncio.Queue()
-        relay.health_check_client.on_completed = heard.put
-        # The test asks, not the module.
+        completed: asyncio.Queue[decision.HealthCheckCompleted] = asyncio.Queue()
+        relay.health_check_client.on_completed = completed.put
+        # The test starts the checks itself.
         relay.balancer_actor.check_endpoint_health = lambda endpoint: None
         for status, report in outcomes:
             relay.health_check_client.start_check("a")
             relay.health_check_client.start_check("a")  # one at a time
-            assert await heard.get() == decision.HealthCheckCompleted("a", status, report)
+            assert await completed.get() == decision.HealthCheckCompleted("a", status, report)
             while relay.health_check_client.checks_in_flight:
                 await asyncio.sleep(0)
-        assert len(seen) == len(words) and set(seen) == {b"STATS\r\n"} and heard.empty()
+        assert len(seen) == len(words) and set(seen) == {b"STATS\r\n"} and completed.empty()
         assert await exchange_line(relay.listener.address, encode_request_line()) == b"UP r1\r\n"
 
 
@@ -229,14 +233,14 @@
     tmp_path: Path, script: EndpointScript
 ) -> None:
     async with running_relay(tmp_path, echo_lines, script) as (relay, _):
-        assert relay.health_check_client is None  # not allowed by these settings: nothing of it is there
+        assert relay.health_check_client is None  # these settings allow no health checks
         assert await exchange_line(relay.listener.address, encode_request_line()) == b"UP r1\r\n"
 
 
-async def test_a_report_behind_a_final_response_is_no_broken_connection(
+async def test_a_report_after_a_final_response_is_no_broken_connection(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # BYE with a report behind it was taken for the end of a connection that broke.
+    # BYE followed by a report was handled as a broken connection.
     monkeypatch.setitem(SETTINGS, "report", {"source": "answers", "fields": list(FIELDS)})
 
     async with running_relay(tmp_path, respond_with(b"UP r\r\nBYE x0=0.25,util=0.5\r\n")) as (relay, _):
--- a/tests/decision/test_module_size.py
+++ b/tests/decision/test_module_size.py
@@ -1,18 +1,18 @@
-"""Each module that decides stays small enough to be read at night, and all of them are listed."""
+"""Each module with decision rules stays small enough to be read quickly, and all of them are listed."""
 
 import tomllib
 from pathlib import Path
 
 ROOT = Path(__file__).parents[2]
 POLICY_FILES = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
-MAX_POLICY_LINES = 215  # that are not blank, in each of the files: what decides more is split by name
+MAX_POLICY_LINES = 215  # lines that are not blank in each file; a larger module is split
 MAX_COLUMNS = 110
 
-# What may stand beside the files under ``policy``. State and bookkeeping that was part of the module until it
-# was split has a bound of its own, so that nothing that decides grows there unseen.
+# Other files of the package. The state and bookkeeping of the policy files has its own bound, so that
+# decision rules are not added there unnoticed.
 STATE_FILES = {"endpoint_table.py", "rendezvous.py", "state.py", "token_bucket.py"}
 MAX_STATE_LINES = 430
-# Vocabulary, and what stood beside the module before.
+# Interface types, and modules that are independent of the policy files.
 OTHER_FILES = {
     "__init__.py",
     "actions.py",
@@ -30,7 +30,7 @@
 
 
 def count_lines(path: Path) -> int:
-    """Lines that are not blank."""
+    """Return the number of lines that are not blank."""
     return sum(1 for line in path.read_text().splitlines() if line.strip())
 
 
--- a/tests/decision/test_reported_loads.py
+++ b/tests/decision/test_reported_loads.py
@@ -1,4 +1,4 @@
-"""Loads that connections report: whatever they are, the sums fall back to nothing as connections end."""
+"""Loads that connections report: their sums return to zero as connections end, for any loads."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 
 
 def test_a_connection_that_reports_no_load_at_all_is_counted_once_and_only_while_it_is_open() -> None:
-    # Each such report was counted as another connection's, and none was taken back: the endpoint seemed to
-    # hold less than nothing, and got all that came.
+    # Each such report was counted as another connection, and never subtracted: the endpoint appeared to hold
+    # a negative load, and was sent all requests.
     driver = BalancerDriver([Endpoint("a")], reports_delay=False)
     driver.send_request()
     driver.establish(driver.last_id)
--- a/tests/decision/test_simulator_adapter.py
+++ b/tests/decision/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter: replies only on standard output, one plain line on standard error when input is bad."""
+"""The simulator adapter: replies on standard output, and one line on standard error for invalid input."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
     assert actions(link.answer(enlist())) == []
     (relay,) = actions(link.answer(batch(inbound(1))))
     endpoint = relay["Relay"]["backend"]
-    every = (
+    events_of_all_kinds = (
         {"Started": {"opId": 1, "timeTakenMs": 5.0, "n": 0, "backend": endpoint}},
         {"UpdateOf": {"opId": 1, "kind": 1, "n": 0, "backend": endpoint, "value": 900.0}},
         {"UpdateOf": {"opId": 1, "kind": 2, "n": 0, "backend": endpoint, "value": 9.0}},
@@ -65,7 +65,7 @@
         {"ClientLeft": {"opId": 77}},
         returned(1, endpoint, "pass", True),
     )
-    assert actions(link.answer(batch(*every))) == [{"Observe": {"active": True}}]
+    assert actions(link.answer(batch(*events_of_all_kinds))) == [{"Observe": {"active": True}}]
 
 
 @pytest.mark.parametrize("state", ["fault", "no_room", "too_slow", "no_route", "cut", "undone", "stale_send"])
@@ -127,23 +127,24 @@
     assert bad.stderr.count(b"\n") == 1 and b"Traceback" not in bad.stderr
 
 
-def test_a_failed_call_is_classed_by_how_long_it_was_out() -> None:
-    # The wire says only that it failed. One that waited stood in a queue; a watch that ended was had.
-    link, told = SimulatorLink(), list[DiscoveryFailure]()
+def test_a_failed_call_is_classified_by_its_duration() -> None:
+    # The wire states only that a call failed. A call that waited was queued, so discovery is overloaded; a
+    # call that had been answered was a watch.
+    link, failures = SimulatorLink(), list[DiscoveryFailure]()
     link.answer(enlist())
 
-    class Asks:
+    class WatchingBalancer:
         def handle(self, now_ms: float, event: Event) -> list[Action]:
             if isinstance(event, EndpointListEvent):
-                told.append(event.failure)
+                failures.append(event.failure)
                 return [SetTimer(1.0, "watch")]
             return [WatchEndpoints()]
 
-    link.instances[0] = Asks()  # type: ignore[assignment]
+    link.instances[0] = WatchingBalancer()  # type: ignore[assignment]
     wake, failed = {"Wake": {"mark": "watch"}}, {"Fleet": {"mode": "X", "nodesList": None}}
     listed = {"Fleet": {**LIST, "mode": "D"}}
     for event, now in ((wake, 0), (failed, 5), (wake, 100), (failed, 3100), (wake, 4000), (listed, 4100)):
         link.answer(batch(event, now=float(now)))
-    told.pop()  # of the list
+    failures.pop()  # the list's event has a failure as well
     link.answer(batch(failed, now=9000.0))
-    assert told == [DiscoveryFailure.UNREACHED, DiscoveryFailure.OVERLOADED, DiscoveryFailure.LOST]
+    assert failures == [DiscoveryFailure.UNREACHED, DiscoveryFailure.OVERLOADED, DiscoveryFailure.LOST]
--- a/tests/decision/test_slow_start.py
+++ b/tests/decision/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Endpoints in slow start, behind many relays: the attempts that all send them, and what they hold."""
+"""Endpoints in slow start: the attempts that many relays together send them, and their connections."""
 
 from __future__ import annotations
 
@@ -29,45 +29,69 @@
 from sageturn.decision.slow_start import SlowStartBudget
 from sageturn.lab.model.fleet_spec import FleetSpec, relay_settings
 
-WITHIN_MS, WINDOW_MS, COLD_FROM, MULTIPLE = 24_000.0, 3_000.0, 0.2, 4.0
+SLOW_START_MS, WINDOW_MS, INITIAL_CAPACITY_RATIO, OVERLOAD_MULTIPLE = 24_000.0, 3_000.0, 0.2, 4.0
 CLASSES = (RequestClass("one", latency_objective_ms=800.0, give_up_ms=3200.0),)
 
 
-def windows_over(times: list[float], allowed: Callable[[float], float]) -> list[tuple[int, float]]:
-    """Calls and bound of each window that ends with a call and holds more than servers bear for sure.
+def windows_over_budget(times: list[float], budget_at: Callable[[float], float]) -> list[tuple[int, float]]:
+    """Return the number of attempts and the bound of each window that exceeds what an endpoint tolerates.
 
-    ``times``: the server's ages at the calls. ``allowed``: N of a window, by its end.
+    Each window ends with an attempt.
+
+    Args:
+        times: The endpoint's ages at the attempts.
+        budget_at: Returns the budget (N) of the window that ends at an age.
     """
     over, first = [], 0
     for number, at_ms in enumerate(times):
         while times[first] <= at_ms - WINDOW_MS:
             first += 1
-        budget = allowed(at_ms)
+        budget = budget_at(at_ms)
         if number + 1 - first > budget + 2.0 * budget**0.5 + 2.0:
             over.append((number + 1 - first, budget + 2.0 * budget**0.5 + 2.0))
     return over
 
 
-def allowed(age_ms: float, size: float) -> float:
-    """N: calls in the window that ends at that age, by the settings; ``size``: connections of a warm one."""
+def window_budget(age_ms: float, size: float) -> float:
+    """Return the attempts (N) that the settings allow in the window that ends at the age.
+
+    Args:
+        age_ms: The endpoint's age at the end of the window.
+        size: The connections that the endpoint holds once it is warm.
+    """
 
-    def sent(until_ms: float) -> float:
+    def allowed_until(until_ms: float) -> float:
         until_ms = max(0.0, until_ms)
-        part = COLD_FROM * until_ms + (1.0 - COLD_FROM) * until_ms**2 / 2.0 / WITHIN_MS
-        return MULTIPLE * size / WITHIN_MS * part
+        part = (
+            INITIAL_CAPACITY_RATIO * until_ms
+            + (1.0 - INITIAL_CAPACITY_RATIO) * until_ms**2 / 2.0 / SLOW_START_MS
+        )
+        return OVERLOAD_MULTIPLE * size / SLOW_START_MS * part
 
-    return max(sent(age_ms) - sent(age_ms - WINDOW_MS), MULTIPLE * size / WITHIN_MS * COLD_FROM * WINDOW_MS)
+    return max(
+        allowed_until(age_ms) - allowed_until(age_ms - WINDOW_MS),
+        OVERLOAD_MULTIPLE * size / SLOW_START_MS * INITIAL_CAPACITY_RATIO * WINDOW_MS,
+    )
 
 
-class Release:
-    """Six in ten hosts are replaced within 7 s; their clients come again until they stand somewhere."""
+class SimulatedRelease:
+    """Release that replaces six in ten endpoints within 7 s; their clients retry until they are connected."""
 
     def __init__(
-        self, relays: int, hosts: int, each: float, seed: int, numbered: bool = True, zones: str = ""
+        self,
+        relays: int,
+        endpoint_count: int,
+        connections_per_endpoint: float,
+        seed: int,
+        numbered: bool = True,
+        zones: str = "",
     ) -> None:
-        self.rng, self.due = Random(seed), list[tuple[float, int, Callable[[], None]]]()
-        self.now, self.ids, self.refused, self.tries = 0.0, 0, 0, 0
-        total, clients = each * hosts, int(0.5 * each * hosts)
+        self.rng, self.scheduled = Random(seed), list[tuple[float, int, Callable[[], None]]]()
+        self.now_ms, self.last_id, self.rejection_count, self.request_count = 0.0, 0, 0, 0
+        total, clients = (
+            connections_per_endpoint * endpoint_count,
+            int(0.5 * connections_per_endpoint * endpoint_count),
+        )
         allowance = clients / 25.0
         self.relays = []
         for number in range(relays):
@@ -79,10 +103,10 @@
                 zone=zones[number % len(zones)] if zones else "",
                 cross_zone_cost=0.02 if zones else 0.0,
                 max_retry_after_ms=1500.0,
-                cold_overload_multiple=MULTIPLE,
+                cold_overload_multiple=OVERLOAD_MULTIPLE,
                 cold_overload_window_ms=WINDOW_MS,
-                initial_capacity_ratio=COLD_FROM,
-                slow_start_ms=WITHIN_MS,
+                initial_capacity_ratio=INITIAL_CAPACITY_RATIO,
+                slow_start_ms=SLOW_START_MS,
                 reports_delay=False,
                 weights="rough",
             )
@@ -91,95 +115,97 @@
         self.traffic = [self.rng.lognormvariate(0.0, 0.7) for _ in range(relays)]
         self.lines = {
             f"h{number}": Endpoint(f"h{number}", zone=zones[number % len(zones)] if zones else "")
-            for number in range(hosts)
+            for number in range(endpoint_count)
         }
         for relay in self.relays:
             relay.handle(0.0, EndpointListEvent("full", list(self.lines.values())))
-        self.held: dict[str, dict[int, tuple[Balancer, int]]] = {}  # by request: its relay and attempt
+        self.held: dict[str, dict[int, tuple[Balancer, int]]] = {}  # keyed by endpoint and request
         self.sent: dict[str, list[float]] = {}
         for _ in range(clients):
             self.schedule(self.rng.random() * 8000.0, self.connect_client)
         self.run(12_000.0)
 
     def schedule(self, when_ms: float, action: Callable[[], None]) -> None:
-        self.ids += 1
-        heapq.heappush(self.due, (when_ms, self.ids, action))
+        self.last_id += 1
+        heapq.heappush(self.scheduled, (when_ms, self.last_id, action))
 
     def run(self, until_ms: float) -> None:
-        while self.due and self.due[0][0] <= until_ms:
-            self.now, _, action = heapq.heappop(self.due)
+        while self.scheduled and self.scheduled[0][0] <= until_ms:
+            self.now_ms, _, action = heapq.heappop(self.scheduled)
             action()
-        self.now = until_ms
+        self.now_ms = until_ms
 
-    def connect_client(self, tries: int = 0) -> None:
-        self.ids += 1
-        self.tries += 1
-        request = self.ids
+    def connect_client(self, rejections: int = 0) -> None:
+        self.last_id += 1
+        self.request_count += 1
+        request = self.last_id
         relay = self.rng.choices(self.relays, self.traffic)[0]
-        actions = relay.handle(self.now, RequestArrived(request, "one", "t", self.now + 3200.0))
-        self.follow_actions(relay, request, 0, actions, tries)
+        actions = relay.handle(self.now_ms, RequestArrived(request, "one", "t", self.now_ms + 3200.0))
+        self.follow_actions(relay, request, 0, actions, rejections)
 
     def follow_actions(
-        self, relay: Balancer, request: int, attempt: int, actions: list[Any], tries: int
+        self, relay: Balancer, request: int, attempt: int, actions: list[Any], rejections: int
     ) -> None:
         for action in actions:
             if isinstance(action, RejectRequest):
-                self.refused += 1
-                own_ms = (30.0, 30.0, 500.0, 1500.0)[min(tries, 3)]
-                wait_ms = action.retry_after_ms if self.rng.random() < 0.4 else own_ms
-                self.schedule(self.now + wait_ms, lambda: self.connect_client(tries + 1))
+                self.rejection_count += 1
+                own_wait_ms = (30.0, 30.0, 500.0, 1500.0)[min(rejections, 3)]
+                wait_ms = action.retry_after_ms if self.rng.random() < 0.4 else own_wait_ms
+                self.schedule(self.now_ms + wait_ms, lambda: self.connect_client(rejections + 1))
             elif isinstance(action, PlaceRequest):
-                self.set_up(relay, request, attempt, action.endpoint, tries)
+                self.set_up(relay, request, attempt, action.endpoint, rejections)
 
-    def set_up(self, relay: Balancer, request: int, attempt: int, endpoint: str, tries: int) -> None:
-        begun = self.now
-        self.sent.setdefault(endpoint, []).append(self.now)
+    def set_up(self, relay: Balancer, request: int, attempt: int, endpoint: str, rejections: int) -> None:
+        started_ms = self.now_ms
+        self.sent.setdefault(endpoint, []).append(self.now_ms)
 
         def establish() -> None:
-            relay.handle(self.now, ConnectionEstablished(request, attempt, endpoint, self.now - begun))
+            relay.handle(
+                self.now_ms, ConnectionEstablished(request, attempt, endpoint, self.now_ms - started_ms)
+            )
             self.held.setdefault(endpoint, {})[request] = (relay, attempt)
 
-        def fail() -> None:  # what is sent next counts like the first
+        def fail() -> None:  # a retry counts in the budget like the first attempt
             outcome = AttemptEnded(request, attempt, endpoint, "error", False)
-            self.follow_actions(relay, request, attempt + 1, relay.handle(self.now, outcome), tries)
+            self.follow_actions(relay, request, attempt + 1, relay.handle(self.now_ms, outcome), rejections)
 
-        took = 30.0 + 60.0 * self.rng.random()
-        self.schedule(self.now + took, fail if self.rng.random() < 0.05 else establish)
+        took_ms = 30.0 + 60.0 * self.rng.random()
+        self.schedule(self.now_ms + took_ms, fail if self.rng.random() < 0.05 else establish)
 
-    def leave(self, endpoint: str) -> None:
-        """A draining host sends its clients away bit by bit."""
+    def disconnect_clients(self, endpoint: str) -> None:
+        """Disconnect the clients of a draining endpoint over 2 s."""
         for request, (relay, attempt) in self.held.pop(endpoint, {}).items():
 
-            def gone(request: int = request, relay: Balancer = relay, attempt: int = attempt) -> None:
-                relay.handle(self.now, AttemptEnded(request, attempt, endpoint, "cancelled", True))
-                self.schedule(self.now + 100.0 + 700.0 * self.rng.random(), self.connect_client)
+            def disconnect(request: int = request, relay: Balancer = relay, attempt: int = attempt) -> None:
+                relay.handle(self.now_ms, AttemptEnded(request, attempt, endpoint, "cancelled", True))
+                self.schedule(self.now_ms + 100.0 + 700.0 * self.rng.random(), self.connect_client)
 
-            self.schedule(self.now + 2000.0 * self.rng.random(), gone)
+            self.schedule(self.now_ms + 2000.0 * self.rng.random(), disconnect)
 
     def publish(self, lines: list[Endpoint]) -> None:
-        for relay in self.relays:  # each has its own way to the news
+        for relay in self.relays:  # each relay is notified at another time
             self.schedule(
-                self.now + 500.0 * self.rng.random(),
-                lambda relay=relay: relay.handle(self.now, EndpointListEvent("changes", lines)),  # type: ignore[misc]
+                self.now_ms + 500.0 * self.rng.random(),
+                lambda relay=relay: relay.handle(self.now_ms, EndpointListEvent("changes", lines)),  # type: ignore[misc]
             )
 
-    def release(self) -> dict[str, float]:
-        """Returns the starts of the new hosts."""
+    def start_release(self) -> dict[str, float]:
+        """Schedule the release. Return the start times of the new endpoints."""
         old, starts = list(self.lines.values()), dict[str, float]()
         part = int(0.6 * len(old))
         for number in range(part):
-            start = self.now + 7000.0 * number / part
+            start = self.now_ms + 7000.0 * number / part
             starts[f"n{number}"] = start
 
-            def started(number: int = number, start: float = start) -> None:
+            def list_started(number: int = number, start: float = start) -> None:
                 self.publish([Endpoint(f"n{number}", zone=old[number].zone, started_at_ms=start)])
 
-            def drains(number: int = number) -> None:
+            def list_draining(number: int = number) -> None:
                 self.publish([Endpoint(f"h{number}", "draining", zone=old[number].zone)])
-                self.schedule(self.now + 500.0, lambda: self.leave(f"h{number}"))
+                self.schedule(self.now_ms + 500.0, lambda: self.disconnect_clients(f"h{number}"))
 
-            self.schedule(start + 1200.0, started)
-            self.schedule(start + 2500.0, drains)
+            self.schedule(start + 1200.0, list_started)
+            self.schedule(start + 2500.0, list_draining)
         return starts
 
 
@@ -187,51 +213,58 @@
 def test_a_fleet_that_is_replaced_fills_its_new_endpoints_and_floods_none(
     relays: int, hosts: int, zones: str
 ) -> None:
-    # Nine in ten relays could place nobody on a new endpoint, as their parts came to no whole connection, and
-    # the tenth had to wait for its part of the budget like all: 36 endpoints held 14 clients 10 s after
-    # the release began, and seven in ten tries were refused. Warm ones held up to 39 where 33 were meant.
-    each = 40.0
-    fleet = Release(relays, hosts, each, 1, zones=zones)
-    starts = fleet.release()
+    # Nine in ten relays could place no client on a new endpoint, because their quota there was less than one
+    # connection, and the tenth had to wait for its part of the budget: 36 endpoints held 14 clients 10 s
+    # after the start of the release, and seven in ten requests were rejected. Warm ones held up to 39 clients
+    # instead of 33.
+    connections_per_endpoint = 40.0
+    fleet = SimulatedRelease(relays, hosts, connections_per_endpoint, 1, zones=zones)
+    starts = fleet.start_release()
     fleet.run(22_000.0)
     held = {name: len(fleet.held.get(name, {})) for name in (*starts, *fleet.lines)}
     new = [held[name] for name in starts]
-    # By the quotas 14 could be held at each, so long after its start; a tenant's tries are spread unevenly.
+    # The quotas allow 14 connections on each endpoint at that age; requests are spread unevenly over relays.
     assert sum(new) >= 4.0 * len(new) and sum(count > 0 for count in new) >= 0.9 * len(new)
     left = [held[name] for name in list(fleet.lines)[len(new) :]]
     assert max(left) <= 36
     for name, start in starts.items():
         ages = [at_ms - start for at_ms in fleet.sent.get(name, [])]
-        assert not windows_over(ages, lambda age: allowed(age, each))
+        assert not windows_over_budget(ages, lambda age: window_budget(age, connections_per_endpoint))
 
 
 PATTERNS = ("steady", "bursts", "uneven", "late")
 
 
 def request_times(pattern: str, rng: Random, first_ms: float) -> list[float]:
-    """When clients ask one relay, which knows of the server from ``first_ms`` on."""
+    """Return the times of requests to one relay, which is notified of the endpoint at ``first_ms``."""
     if pattern == "steady":
-        return [first_ms + 200.0 * step for step in range(int((WITHIN_MS - first_ms) / 200.0))]
-    if pattern == "bursts":  # at all relays at once, after quiet times
+        return [first_ms + 200.0 * step for step in range(int((SLOW_START_MS - first_ms) / 200.0))]
+    if pattern == "bursts":  # reach all relays at once, after idle times
         return [at_ms + step for at_ms in range(5_000, 24_000, 4_500) for step in range(12)]
     if pattern == "late":
         return [8_000.0 + 200.0 * step for step in range(75)]
     pace = rng.lognormvariate(0.0, 1.2) / 1000.0
     times = [first_ms]
-    while times[-1] < WITHIN_MS:
+    while times[-1] < SLOW_START_MS:
         times.append(times[-1] + rng.expovariate(pace))
     return times
 
 
-def ages_of_calls(
+def ages_of_attempts(
     relays: int, budget: float, pattern: str, seed: int, numbered: bool, differ: float
 ) -> list[float]:
-    """The ages of a server at what all relays send it. ``budget``: N, once it is warm.
-
-    ``differ``: part by which relays' estimates of its size are off, up or down.
+    """Return the ages of an endpoint at the attempts that all relays send it.
+
+    Args:
+        relays: The number of relays.
+        budget: The attempts (N) that a window allows once the endpoint is warm.
+        pattern: The distribution of the requests' times, one of ``PATTERNS``.
+        seed: The seed of all random numbers.
+        numbered: True if relays know their numbers.
+        differ: The largest relative error, up or down, of relays' estimates of the endpoint's size.
     """
     rng = Random(seed)
-    size, sent = budget * WITHIN_MS / MULTIPLE / WINDOW_MS, list[float]()
+    size, sent = budget * SLOW_START_MS / OVERLOAD_MULTIPLE / WINDOW_MS, list[float]()
     allowance = rng.choice((3.0, 20.0, 150.0))
     for number in range(relays):
         quota = size * (1.0 + differ * (2.0 * rng.random() - 1.0))
@@ -240,17 +273,17 @@
             tenants=(Tenant("t", allowance, quota),),
             relay_count=relays,
             index=number if numbered else None,
-            cold_overload_multiple=MULTIPLE,
+            cold_overload_multiple=OVERLOAD_MULTIPLE,
             cold_overload_window_ms=WINDOW_MS,
-            initial_capacity_ratio=COLD_FROM,
-            slow_start_ms=WITHIN_MS,
+            initial_capacity_ratio=INITIAL_CAPACITY_RATIO,
+            slow_start_ms=SLOW_START_MS,
         )
         relay = Balancer(settings, seed * 1000 + number)
-        told = 800.0 + 1500.0 * rng.random() * (1.0 + 4.0 * (rng.random() < 0.1))
-        relay.handle(told, EndpointListEvent("full", [Endpoint("new", started_at_ms=1e-9)]))
-        times = request_times(pattern, rng, told)
+        notified_ms = 800.0 + 1500.0 * rng.random() * (1.0 + 4.0 * (rng.random() < 0.1))
+        relay.handle(notified_ms, EndpointListEvent("full", [Endpoint("new", started_at_ms=1e-9)]))
+        times = request_times(pattern, rng, notified_ms)
         for request, at_ms in enumerate(times):
-            if told <= at_ms < WITHIN_MS:
+            if notified_ms <= at_ms < SLOW_START_MS:
                 for action in relay.handle(at_ms, RequestArrived(request, "one", "t", at_ms + 3200.0)):
                     if isinstance(action, PlaceRequest):
                         sent.append(at_ms)
@@ -264,39 +297,47 @@
 def test_all_relays_together_stay_inside_a_slow_start_budget(
     pattern: str, numbered: bool, differ: float
 ) -> None:
-    # Each of 200 relays had saved up part of a call when a burst came: 35 calls where 18 were borne.
-    size = WITHIN_MS / MULTIPLE / WINDOW_MS
+    # Each of 200 relays had accumulated part of a permit when a burst came: they sent 35 attempts instead of
+    # 18.
+    size = SLOW_START_MS / OVERLOAD_MULTIPLE / WINDOW_MS
     rng = Random(PATTERNS.index(pattern))
     drawn = [(200, 20.0), (30, 60.0), (4, 5.0), (1, 200.0)]
     drawn += [(rng.randint(1, 200), 2.0 * 100.0 ** rng.random()) for _ in range(4)]
     over = []
     for seed, (relays, budget) in enumerate(drawn):
-        ages = ages_of_calls(relays, budget, pattern, seed, numbered, differ)
-        found = windows_over(ages, lambda age: allowed(age, size * budget))  # noqa: B023
+        ages = ages_of_attempts(relays, budget, pattern, seed, numbered, differ)
+        found = windows_over_budget(ages, lambda age: window_budget(age, size * budget))  # noqa: B023
         over += [(relays, budget, *window) for window in found]
     assert not over
 
 
-def calls_after_a_zones_return(kind: str, part_listed: float, each: float) -> dict[str, list[float]]:
-    """Ages, at the calls of all relays, of endpoints that return cold as all others begin to drain.
+def ages_after_a_zones_return(
+    kind: str, part_listed: float, connections_per_endpoint: float
+) -> dict[str, list[float]]:
+    """Return the ages, at the attempts of all relays, of endpoints that return while all others drain.
 
-    The relays have started while a part of the fleet was listed, in a list of that kind.
+    Args:
+        kind: The kind of the list with which the relays have started.
+        part_listed: The part of the fleet that this list has.
+        each: The connections that an endpoint holds once it is warm.
     """
-    relays, hosts = 60, 50
-    found = [Endpoint(f"h{number}") for number in range(int(hosts * part_listed))]
-    returning = [Endpoint(f"h{number}", started_at_ms=5_000.0) for number in range(len(found), hosts)]
+    relays, endpoint_count = 60, 50
+    found = [Endpoint(f"h{number}") for number in range(int(endpoint_count * part_listed))]
+    returning = [
+        Endpoint(f"h{number}", started_at_ms=5_000.0) for number in range(len(found), endpoint_count)
+    ]
     draining = [Endpoint(endpoint.name, "draining") for endpoint in found]
     sent: dict[str, list[float]] = {endpoint.name: [] for endpoint in returning}
     for number in range(relays):
         settings = Settings(
             classes=CLASSES,
-            tenants=(Tenant("t", 40.0, each * hosts),),
+            tenants=(Tenant("t", 40.0, connections_per_endpoint * endpoint_count),),
             relay_count=relays,
             index=number,
-            cold_overload_multiple=MULTIPLE,
+            cold_overload_multiple=OVERLOAD_MULTIPLE,
             cold_overload_window_ms=WINDOW_MS,
-            initial_capacity_ratio=COLD_FROM,
-            slow_start_ms=WITHIN_MS,
+            initial_capacity_ratio=INITIAL_CAPACITY_RATIO,
+            slow_start_ms=SLOW_START_MS,
             reports_delay=False,
         )
         relay = Balancer(settings, number)
@@ -313,21 +354,23 @@
     return sent
 
 
-def test_relays_that_start_while_a_zone_is_lost_do_not_flood_it_when_it_returns() -> None:
-    # They took the endpoints that they found for the whole fleet, which the quotas stand for, and each for
-    # two or three: one that returned cold, as the others drained, got 53 calls where it bore 27.
-    each = 40.0
+def test_relays_that_start_during_a_zone_outage_do_not_flood_the_zone_when_it_returns() -> None:
+    # The relays took the listed endpoints for the whole fleet, and so overestimated each endpoint's part of
+    # the quotas two or three times: one that returned while the others drained got 53 attempts instead of 27.
+    connections_per_endpoint = 40.0
     for kind, part_listed in (("stale", 0.34), ("full", 0.6)):
-        calls = calls_after_a_zones_return(kind, part_listed, each)
+        calls = ages_after_a_zones_return(kind, part_listed, connections_per_endpoint)
         over = {
-            name: windows_over(sorted(ages), lambda age: allowed(age, each)) for name, ages in calls.items()
+            name: windows_over_budget(sorted(ages), lambda age: window_budget(age, connections_per_endpoint))
+            for name, ages in calls.items()
         }
         assert not {name: max(windows) for name, windows in over.items() if windows}, (kind, part_listed)
-        assert sum(map(len, calls.values())) > len(calls) * 20  # and they are warmed
+        assert sum(map(len, calls.values())) > len(calls) * 20  # the returned endpoints get connections
 
 
 def test_a_relay_that_starts_in_a_release_counts_those_that_drain() -> None:
-    # Half of the fleet was draining, and their successors not listed yet: each counted for two.
+    # Half of the fleet was draining and its successors were not listed yet, so each ready endpoint counted
+    # twice.
     listed = [Endpoint(f"w{number}", "ready" if number % 2 else "draining") for number in range(40)]
     new = Endpoint("n", started_at_ms=1_000.0)
 
@@ -337,7 +380,7 @@
             tenants=(Tenant("t", 100.0, 400.0),),
             reports_delay=False,
             index=0,
-            slow_start_ms=WITHIN_MS,
+            slow_start_ms=SLOW_START_MS,
         )
         driver.now_ms = 2_000.0
         driver.update_endpoints(
@@ -356,7 +399,8 @@
 
 
 def test_a_relay_that_started_in_an_outage_holds_no_more_than_the_others_after_it() -> None:
-    # It took a third of the fleet for all of it: once the rest was back, three times its part of the quotas.
+    # The relay took a third of the fleet for all of it: once the rest had returned, its quota was three times
+    # as large as intended.
     def bounds(first_listed: int) -> list[float]:
         fleet = [Endpoint(f"w{number}") for number in range(60)]
         driver = BalancerDriver(
@@ -370,14 +414,14 @@
         balancer = driver.balancer
         return [
             balancer.fleet.max_connections,
-            *(each.quota.max_connections for each in balancer.fleet.ready),
+            *(endpoint.quota.max_connections for endpoint in balancer.fleet.ready),
         ]
 
     assert bounds(20) == pytest.approx(bounds(60)) and bounds(45) == pytest.approx(bounds(60))
 
 
 def test_rounded_parts_of_all_relays_add_up_at_each_endpoint() -> None:
-    # By chance alone endpoints that were meant to hold 33 held 22 to 62.
+    # With random rounding, endpoints that were meant to hold 33 connections held 22 to 62.
     for relays in (7, 40, 200, 220):
         budgets = [
             SlowStartBudget(Settings(CLASSES, relay_count=relays, index=number), Random(number))
@@ -393,8 +437,8 @@
                 assert abs(near - part * len(zone)) <= 1.5
 
 
-def test_connections_on_draining_endpoints_leave_room_for_their_clients_elsewhere() -> None:
-    # A quarter of what relays held stood on draining endpoints, while they rejected these very clients.
+def test_connections_on_draining_endpoints_leave_headroom_for_their_clients_elsewhere() -> None:
+    # A quarter of the relays' connections were on draining endpoints while the relays rejected these clients.
     tenants = (Tenant("t", 13.0, 160.0),)
     driver = BalancerDriver(
         [Endpoint("a"), Endpoint("b")], tenants=tenants, relay_count=20, reports_delay=False, index=10
@@ -412,7 +456,7 @@
 
 
 def test_warm_endpoints_are_not_given_what_is_meant_for_those_in_slow_start() -> None:
-    # Relays filled the warm endpoints with what new ones were to hold, so that these were refused it later.
+    # Relays filled the warm endpoints with the quota of the new ones, which were then not sent any requests.
     tenants = (Tenant("t", 13.0, 1600.0),)
     endpoints = [Endpoint(f"w{number}") for number in range(4)]
     driver = BalancerDriver(
@@ -453,6 +497,6 @@
 
 
 def test_a_relay_number_beyond_the_relay_count_is_ignored() -> None:
-    # Two relays with one number would take the same permits.
+    # Two relays with the same number would take the same permits.
     budgets = [SlowStartBudget(Settings(CLASSES, relay_count=4, index=9), Random(seed)) for seed in range(9)]
     assert len({budget.rounding_offset(1) for budget in budgets}) == 9
--- a/tests/support/balancer_driver.py
+++ b/tests/support/balancer_driver.py
@@ -1,4 +1,4 @@
-"""One balancer with a clock of its own, driven by short methods in place of events."""
+"""Driver of one balancer with a simulated clock, with short methods that send its events."""
 
 from __future__ import annotations
 
@@ -21,14 +21,20 @@
 
 
 class BalancerDriver:
-    """Feeds events to a balancer at ``now_ms`` and keeps what it placed where.
+    """Driver that sends events to a balancer at ``now_ms`` and records its placements.
 
-    Requests are numbered from 1; ``last_id`` is the last one's number, and ``attempts`` has the endpoints
-    of each request's attempts, in their order.
+    Requests are numbered from 1; ``last_id`` is the last one's number, and ``attempts`` holds the endpoints
+    of each request's attempts, in order.
     """
 
     def __init__(self, endpoints: list[Endpoint] | None = None, seed: int = 1, **settings: Any) -> None:
-        """``settings``: fields of `Settings`; a class "c" and tenants "t" and "u" unless they are given."""
+        """Create the balancer and send it the endpoint list.
+
+        Args:
+            endpoints: The list; None for endpoints "a" to "d".
+            seed: The balancer's seed.
+            settings: Fields of `Settings`; the class "c" and the tenants "t" and "u" are the defaults.
+        """
         settings.setdefault("classes", (RequestClass("c", latency_objective_ms=500),))
         settings.setdefault("tenants", (Tenant("t", 5.0), Tenant("u", 5.0)))
         self.balancer = Balancer(Settings(**settings), seed)
@@ -40,7 +46,7 @@
         self.update_endpoints(endpoints)
 
     def handle(self, event: Event) -> list[Action]:
-        """The balancer's actions after ``event``."""
+        """Send ``event``, and return the balancer's actions."""
         actions = self.balancer.handle(self.now_ms, event)
         for action in actions:
             if isinstance(action, PlaceRequest):
@@ -48,13 +54,13 @@
         return actions
 
     def update_endpoints(self, endpoints: list[Endpoint], kind: str = "full") -> list[Action]:
-        """An endpoint list, or changes to it."""
+        """Send an endpoint list, or changes to it."""
         return self.handle(EndpointListEvent(kind, endpoints))
 
     def send_request(
         self, tenant: str = "t", class_name: str = "c", timeout_ms: float = 2000, **more: Any
     ) -> list[Action]:
-        """A new request; ``more``: further fields of `RequestArrived`."""
+        """Send a new request; ``more`` has further fields of `RequestArrived`."""
         self.last_id += 1
         deadline_ms = self.now_ms + timeout_ms
         return self.handle(RequestArrived(self.last_id, class_name, tenant, deadline_ms, **more))
@@ -62,17 +68,17 @@
     def place_request(
         self, tenant: str = "t", class_name: str = "c", timeout_ms: float = 2000, **more: Any
     ) -> PlaceRequest:
-        """A new request that has to be placed at once."""
+        """Send a new request that must be placed at once, and return its placement."""
         first_action = self.send_request(tenant, class_name, timeout_ms, **more)[0]
         assert isinstance(first_action, PlaceRequest)
         return first_action
 
     def establish(self, request_id: int) -> list[Action]:
-        """The request's last attempt comes up."""
+        """Establish the request's latest attempt."""
         attempts = self.attempts[request_id]
         return self.handle(ConnectionEstablished(request_id, len(attempts) - 1, attempts[-1]))
 
     def end_attempt(self, request_id: int, status: str, final: bool = False) -> list[Action]:
-        """The request's last attempt ends; ``final``: so does the request."""
+        """End the request's latest attempt, and the request as well if ``final``."""
         attempts = self.attempts[request_id]
         return self.handle(AttemptEnded(request_id, len(attempts) - 1, attempts[-1], status, final))
--- a/tests/support/decision_codes.py
+++ b/tests/support/decision_codes.py
@@ -1,12 +1,11 @@
-"""The canonical text of the decision module's events and actions.
+"""Canonical text of the decision module's events and actions.
 
-This is the only place of the decision record that names the types and fields of the actions. The short
-codes and the order of the fields stand for them, so that renaming a type or a field changes one line here
-and no recorded hash.
+Only this module of the decision record names the types and fields of the actions. Short codes and the order
+of the fields represent them, so that renaming a type or a field changes one line here and no recorded hash.
 
-Tolerance: numbers are written with 9 significant digits. Differences below that, as mathematical libraries
-of other platforms may show in the last bits of ``exp`` and ``log``, do not change the text, unless a
-comparison in the module turns on them or a value lies right between two roundings.
+Numbers are written with 9 significant digits. Smaller differences, as mathematical libraries of other
+platforms may cause in the last bits of ``exp`` and ``log``, do not change the text, unless they change the
+result of a comparison in the module or of a rounding.
 """
 
 from __future__ import annotations
@@ -29,7 +28,7 @@
     decision.MeasurementReported: "note",
 }
 
-# By type of action: its code, and its fields in the order in which they are written.
+# Code of each type of action, and its fields in the order in which they are written.
 ACTION_CODES: dict[type, tuple[str, tuple[str, ...]]] = {
     decision.PlaceRequest: ("send", ("id", "endpoint", "timeout_ms")),
     decision.RejectRequest: ("refuse", ("id", "retry_after_ms")),
@@ -43,7 +42,7 @@
 
 
 def decode_action(action: decision.Action) -> tuple[str, tuple[Any, ...]]:
-    """The action's code, and its values in their fixed order."""
+    """Return the action's code, and its values in their fixed order."""
     code, fields = ACTION_CODES[type(action)]
     return code, tuple(getattr(action, field) for field in fields)
 
@@ -58,6 +57,6 @@
 
 
 def canonical_step(now_ms: float, event: decision.Event, actions: list[decision.Action]) -> str:
-    """One line: when, what kind of event, and all actions in their order."""
-    answers = " ".join(map(canonical_action, actions))
-    return f"{canonical_value(now_ms)} {EVENT_CODES[type(event)]} -> {answers}\n"
+    """Return one line with the time, the kind of event, and all actions in order."""
+    action_texts = " ".join(map(canonical_action, actions))
+    return f"{canonical_value(now_ms)} {EVENT_CODES[type(event)]} -> {action_texts}\n"
--- a/tests/support/decision_variants.py
+++ b/tests/support/decision_variants.py
@@ -1,4 +1,4 @@
-"""The sites whose days are recorded: each reaches other branches of the decision module."""
+"""Variants of the simulated days that are recorded: each reaches other branches of the decision module."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True)
 class Variant:
-    """A site, its traffic and its faults. ``seed`` drives both the simulation and the balancer."""
+    """Settings, traffic and faults of a simulated day. ``seed`` is for the simulation and the balancer."""
 
     name: str
     seed: int
@@ -34,20 +34,20 @@
     request_gap_ms: float = 60.0  # mean time between two new clients
     session_ms: float = 6000.0  # mean length of a connection
     fleet_change_ms: float = 6000.0  # mean time between two changes of the fleet
-    strained_part: float = 0.15  # of the endpoints, at any time
-    pinned_part: float = 0.0  # of the requests, bound to a few endpoints by an operator
-    private_group_part: float = 0.0  # of the clients, each alone in its group
+    slow_ratio: float = 0.15  # part of the endpoints that is slow at any time
+    bound_ratio: float = 0.0  # part of the requests that an operator binds to a few endpoints
+    private_group_ratio: float = 0.0  # part of the clients that are alone in their groups
     events: int = 13_000
 
 
-def site(name: str, seed: int, settings: dict[str, Any], **more: Any) -> Variant:
+def make_variant(name: str, seed: int, settings: dict[str, Any], **more: Any) -> Variant:
     return Variant(name, seed, Settings(**{"classes": CLASSES, **settings}), **more)
 
 
 ZONES = ("north", "south", "west")
 VARIANTS = (
-    site("lone relay without tenants", 11, {"max_attempts": 2}, endpoints=3, request_gap_ms=100.0),
-    site(
+    make_variant("lone relay without tenants", 11, {"max_attempts": 2}, endpoints=3, request_gap_ms=100.0),
+    make_variant(
         "priced zones, quotas, loads only",
         12,
         {
@@ -64,9 +64,9 @@
         zones=ZONES,
         kinds=("old", "new"),
         shares=(1.0, 2.0),
-        pinned_part=0.05,
+        bound_ratio=0.05,
     ),
-    site(
+    make_variant(
         "many relays, rough weights",
         13,
         {
@@ -83,7 +83,7 @@
         request_gap_ms=150.0,
         fleet_change_ms=1500.0,
     ),
-    site(
+    make_variant(
         "probes at a price, groups in zones",
         14,
         {
@@ -107,7 +107,7 @@
         session_ms=9000.0,
         fleet_change_ms=3000.0,
     ),
-    site(
+    make_variant(
         "groups, delays told, pins",
         15,
         {
@@ -122,9 +122,9 @@
         endpoints=9,
         zones=ZONES,
         request_gap_ms=50.0,
-        pinned_part=0.25,
+        bound_ratio=0.25,
     ),
-    site(
+    make_variant(
         "scarce servers, dear moves",
         16,
         {
@@ -140,9 +140,9 @@
         endpoints=4,
         request_gap_ms=40.0,
         session_ms=3000.0,
-        strained_part=0.4,
+        slow_ratio=0.4,
     ),
-    site(
+    make_variant(
         "few relays, loads, cold budgets",
         17,
         {
@@ -162,7 +162,7 @@
         session_ms=15000.0,
         fleet_change_ms=8000.0,
     ),
-    site(
+    make_variant(
         "probes free, by processor use",
         18,
         {
@@ -178,18 +178,18 @@
         endpoints=7,
         kinds=("a",),
         request_gap_ms=60.0,
-        pinned_part=0.02,
+        bound_ratio=0.02,
     ),
-    site(
+    make_variant(
         "many relays, delays told",
         20,
         {"tenants": tenants(60.0), "relay_count": 60, "index": 17},
         endpoints=6,
         request_gap_ms=80.0,
         session_ms=8000.0,
-        strained_part=0.3,
+        slow_ratio=0.3,
     ),
-    site(
+    make_variant(
         "a calm fleet and many small groups",
         19,
         {"tenants": tenants(200.0), "relay_count": 2, "index": 0, "groups": True},
@@ -197,8 +197,8 @@
         request_gap_ms=15.0,
         session_ms=60_000.0,
         fleet_change_ms=40_000.0,
-        strained_part=0.0,
-        private_group_part=0.8,
+        slow_ratio=0.0,
+        private_group_ratio=0.8,
         events=8_000,
     ),
 )
--- a/tests/support/load_reports.py
+++ b/tests/support/load_reports.py
@@ -1,4 +1,4 @@
-"""An endpoint that answers health checks with load reports."""
+"""Fake endpoint that answers health checks with load reports."""
 
 from __future__ import annotations
 
@@ -10,7 +10,11 @@
 
 
 def answers_health_checks(*answers: bytes) -> tuple[EndpointScript, list[bytes]]:
-    """An endpoint that answers each STATS by the next of ``answers`` and serves clients; its requests."""
+    """Return the script of an endpoint that serves clients and health checks, and the checks received.
+
+    Each STATS line gets the next of ``answers``, which is written in parts that "|" separates. An empty
+    answer aborts the connection.
+    """
     seen: list[bytes] = []
     remaining = list(answers)
 
