--- a/sageturn/decision/admission.py
+++ b/sageturn/decision/admission.py
@@ -30,7 +30,7 @@
         allowance_per_s = settings.total_allowance_per_s()
         # Fair share: one tenant's equal part of all allowances, at one relay.
         fair_per_ms = allowance_per_s / max(1, len(tenants)) / relay_count / 1000.0
-        # The rate is unlimited up to SCARCE_IN_FLIGHT_RATIO, and then falls linearly to 0 at a ratio of 1.
+        # Unlimited below SCARCE_IN_FLIGHT_RATIO; from there it falls linearly to 0 at a ratio of 1.
         self._refill_per_ms = [float("inf")] * (REFILL_TABLE_STEPS + 1)
         for step in range(REFILL_TABLE_STEPS + 1):
             in_flight_ratio = step / REFILL_TABLE_STEPS
--- a/sageturn/decision/eligibility.py
+++ b/sageturn/decision/eligibility.py
@@ -43,7 +43,7 @@
         return request.execution is None or self._may_execute_again(request, endpoint)
 
     def _may_execute_again(self, request: RequestState, endpoint: EndpointState) -> bool:
-        """Return True if another execution at the endpoint is harmless, as an attempt may have executed."""
+        """Return True if the endpoint may execute a request that an earlier attempt may have executed."""
         request_class = request.request_class
         execution = request.execution
         if execution is None or request_class.effect == Effect.SAFE:
--- a/sageturn/decision/endpoint_table.py
+++ b/sageturn/decision/endpoint_table.py
@@ -30,7 +30,7 @@
         self.now_ms = 0.0
         self.endpoints: dict[str, EndpointState] = {}  # listed, or removed but with open connections
         self.ready: list[EndpointState] = []  # listed ready and not ejected
-        self.local: list[EndpointState] = []  # ready ones in our zone; empty if crossing zones is free
+        self.local: list[EndpointState] = []  # ready endpoints in our zone; empty if crossing is free
         self.ejected: list[EndpointState] = []
         self.shedding: dict[str, EndpointState] = {}  # endpoints that are sent nothing
         self.rankings: dict[str, list[EndpointState]] = {}  # cache of the group ranking, by group
--- a/sageturn/decision/events.py
+++ b/sageturn/decision/events.py
@@ -39,7 +39,7 @@
     RESET = "reset"
     CANCELLED = "cancelled"
     MOOT = "moot"  # abandoned before anything was sent
-    REFUSED = "refused"  # health checks only: the endpoint does not answer them
+    REFUSED = "refused"  # health checks only: the endpoint accepts none
 
 
 # Statuses of attempts that were certainly not executed.
--- a/sageturn/decision/quotas.py
+++ b/sageturn/decision/quotas.py
@@ -29,7 +29,7 @@
 
 
 class SetupWindow:
-    """Limit of the set-ups that a relay has in flight, by additive increase, multiplicative decrease.
+    """Limit of the set-ups that a relay has in flight, by additive increase and multiplicative decrease.
 
     The window grows by one with each set-up that is established in time, and halves with each late one.
     """
--- a/sageturn/decision/settings.py
+++ b/sageturn/decision/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a balancer, given at its start.
+"""Settings with which a balancer is started.
 
 Times are milliseconds and end in ``_ms``, rates are per second and end in ``_per_s``. The objects check
 their own values and raise ``InvalidSettingError`` with the name of the field; ``sageturn.config.settings``
@@ -81,7 +81,7 @@
     effect: str = Effect.SAFE
     scope: str = KeyScope.ALL
     key_ttl_ms: float = 0.0  # lifetime of an idempotency key from the first execution
-    message_latency_objective_ms: float = 0.0  # one message on an established connection; 0 if none
+    message_latency_objective_ms: float = 0.0  # objective for messages on a connection; 0 if none
     give_up_ms: float = 0.0  # time that a client waits over all attempts; 0 if not given
 
     def __post_init__(self) -> None:
@@ -170,7 +170,7 @@
         return min((objective_ms for objective_ms in objectives if objective_ms > 0), default=default_ms)
 
     def __post_init__(self) -> None:
-        _require(len(self.classes) > 0, "classes", "at least one is needed")
+        _require(len(self.classes) > 0, "classes", "must have at least one class")
         _require(self.relay_count >= 1, "relay_count", "must be 1 or more")
         _require(self.index is None or self.index >= 0, "index", "must not be negative")
         _require_one_of(DiscoveryMode, self.discovery, "discovery")
--- a/tests/decision/test_quotas.py
+++ b/tests/decision/test_quotas.py
@@ -46,16 +46,16 @@
     endpoints = [make_endpoint(zone, size, 2.0) for zone, size in zones_and_weights]
     zones = sorted({endpoint.zone for endpoint in endpoints})
     relays = relays_per_zone * len(zones)
-    held, total = [0.0] * len(endpoints), 0.0
+    fleet_counts, total = [0.0] * len(endpoints), 0.0
     for zone in zones:
         bounds = quota_bounds(endpoints, zones, zone if has_cross_zone_cost else None, 50.0, relays)
-        held = [
+        fleet_counts = [
             count + relays_per_zone * bound.max_connections
-            for count, bound in zip(held, bounds.by_endpoint, strict=True)
+            for count, bound in zip(fleet_counts, bounds.by_endpoint, strict=True)
         ]
         total += relays_per_zone * bounds.max_connections
     few_relays_slack = 50.0 * FEW_RELAYS_SLACK / relays**2
-    for endpoint, count in zip(endpoints, held, strict=True):
+    for endpoint, count in zip(endpoints, fleet_counts, strict=True):
         assert (
             count
             <= ENDPOINT_QUOTA_RATIO * QUOTA_UTILIZATION * 50.0 * endpoint.weights.effective / 2.0
@@ -115,7 +115,7 @@
             driver.establish(driver.last_id)
     balancer = driver.balancer
     assert 12 <= balancer.fleet.open_count <= 16 and rejected_count >= 44  # 0.7 of the quotas, over 40 relays
-    held = [request_id for request_id, sent in driver.attempts.items() if sent[-1] == "a"]
+    open_ids = [request_id for request_id, sent in driver.attempts.items() if sent[-1] == "a"]
     balancer.endpoints["a"].quota = QuotaBound(
         2.0, balancer.endpoints["a"].quota.eligible_relays
     )  # other endpoints have most of the quota
@@ -124,7 +124,7 @@
         driver.now_ms += 100.0
         migrations += [
             action
-            for action in driver.handle(MeasurementReported(held[-1], 0, "a", "load", 0.0))
+            for action in driver.handle(MeasurementReported(open_ids[-1], 0, "a", "load", 0.0))
             if isinstance(action, MigrateConnection)
         ]
     assert 2 <= len(migrations) <= 8  # each of 40 relays migrates about one in five seconds
--- a/tests/decision/test_rejection_streak.py
+++ b/tests/decision/test_rejection_streak.py
@@ -91,8 +91,8 @@
             relay.send()
             relay.advance(100.0)
     for name, endpoint in relays[0].driver.balancer.endpoints.items():
-        held = sum(relay.driver.balancer.endpoints[name].connections.open_count for relay in relays)
-        assert held <= RELAY_COUNT * endpoint.quota.max_connections + 1.0
+        open_count = sum(relay.driver.balancer.endpoints[name].connections.open_count for relay in relays)
+        assert open_count <= RELAY_COUNT * endpoint.quota.max_connections + 1.0
 
 
 def test_few_rejections_or_a_short_streak_do_not_exceed_the_quota() -> None:
--- a/tests/decision/test_slow_start.py
+++ b/tests/decision/test_slow_start.py
@@ -119,7 +119,7 @@
         }
         for relay in self.relays:
             relay.handle(0.0, EndpointListEvent("full", list(self.lines.values())))
-        self.held: dict[str, dict[int, tuple[Balancer, int]]] = {}  # keyed by endpoint and request
+        self.connections: dict[str, dict[int, tuple[Balancer, int]]] = {}  # keyed by endpoint and request
         self.sent: dict[str, list[float]] = {}
         for _ in range(clients):
             self.schedule(self.rng.random() * 8000.0, self.connect_client)
@@ -163,7 +163,7 @@
             relay.handle(
                 self.now_ms, ConnectionEstablished(request, attempt, endpoint, self.now_ms - started_ms)
             )
-            self.held.setdefault(endpoint, {})[request] = (relay, attempt)
+            self.connections.setdefault(endpoint, {})[request] = (relay, attempt)
 
         def fail() -> None:  # a retry counts in the budget like the first attempt
             outcome = AttemptEnded(request, attempt, endpoint, "error", False)
@@ -174,7 +174,7 @@
 
     def disconnect_clients(self, endpoint: str) -> None:
         """Disconnect the clients of a draining endpoint over 2 s."""
-        for request, (relay, attempt) in self.held.pop(endpoint, {}).items():
+        for request, (relay, attempt) in self.connections.pop(endpoint, {}).items():
 
             def disconnect(request: int = request, relay: Balancer = relay, attempt: int = attempt) -> None:
                 relay.handle(self.now_ms, AttemptEnded(request, attempt, endpoint, "cancelled", True))
@@ -221,12 +221,12 @@
     fleet = SimulatedRelease(relays, hosts, connections_per_endpoint, 1, zones=zones)
     starts = fleet.start_release()
     fleet.run(22_000.0)
-    held = {name: len(fleet.held.get(name, {})) for name in (*starts, *fleet.lines)}
-    new = [held[name] for name in starts]
+    counts = {name: len(fleet.connections.get(name, {})) for name in (*starts, *fleet.lines)}
+    on_new = [counts[name] for name in starts]
     # The quotas allow 14 connections on each endpoint at that age; requests are spread unevenly over relays.
-    assert sum(new) >= 4.0 * len(new) and sum(count > 0 for count in new) >= 0.9 * len(new)
-    left = [held[name] for name in list(fleet.lines)[len(new) :]]
-    assert max(left) <= 36
+    assert sum(on_new) >= 4.0 * len(on_new) and sum(count > 0 for count in on_new) >= 0.9 * len(on_new)
+    on_warm = [counts[name] for name in list(fleet.lines)[len(on_new) :]]
+    assert max(on_warm) <= 36
     for name, start in starts.items():
         ages = [at_ms - start for at_ms in fleet.sent.get(name, [])]
         assert not windows_over_budget(ages, lambda age: window_budget(age, connections_per_endpoint))
@@ -427,14 +427,14 @@
             SlowStartBudget(Settings(CLASSES, relay_count=relays, index=number), Random(number))
             for number in range(relays)
         ]
-        for host in range(20):
-            key = crc32(f"host-{host}".encode())
+        for number in range(20):
+            key = crc32(f"host-{number}".encode())
             for part in (0.03, 0.17, 0.5, 0.9):
-                held = sum(budget.rounding_offset(key) > 1.0 - part for budget in budgets)
-                assert abs(held - part * relays) <= 1.0
-                zone = budgets[host % 4 :: 4] if relays % 4 == 0 else budgets
-                near = sum(budget.rounding_offset(key) > 1.0 - part for budget in zone)
-                assert abs(near - part * len(zone)) <= 1.5
+                rounded_up_count = sum(budget.rounding_offset(key) > 1.0 - part for budget in budgets)
+                assert abs(rounded_up_count - part * relays) <= 1.0
+                zone = budgets[number % 4 :: 4] if relays % 4 == 0 else budgets
+                zone_rounded_up_count = sum(budget.rounding_offset(key) > 1.0 - part for budget in zone)
+                assert abs(zone_rounded_up_count - part * len(zone)) <= 1.5
 
 
 def test_connections_on_draining_endpoints_leave_headroom_for_their_clients_elsewhere() -> None:
@@ -448,8 +448,8 @@
         driver.send_request()
         if driver.last_id in driver.attempts:
             driver.establish(driver.last_id)
-    held = driver.balancer.fleet.open_count
-    assert held >= 6 and isinstance(driver.send_request()[0], RejectRequest)
+    open_count = driver.balancer.fleet.open_count
+    assert open_count >= 6 and isinstance(driver.send_request()[0], RejectRequest)
     driver.update_endpoints([Endpoint("a", "draining"), Endpoint("c")], "changes")
     driver.now_ms += 100.0
     assert driver.place_request().endpoint == "c"
