--- a/sageturn/frontends/__init__.py
+++ b/sageturn/frontends/__init__.py
@@ -1,1 +1,1 @@
-"""Frontends: each translates one client protocol to and from the core's messages and decides nothing."""
+"""Frontends: each translates one client protocol to and from the core's messages, and routes nothing."""
--- a/sageturn/frontends/errors.py
+++ b/sageturn/frontends/errors.py
@@ -1,7 +1,7 @@
-"""The base of the errors that the frontends raise."""
+"""Base class of the errors that the frontends raise."""
 
 from __future__ import annotations
 
 
 class FrontendError(Exception):
-    """A client or an endpoint broke its protocol, or its connection failed."""
+    """Error of a client or an endpoint that broke its protocol, or of a connection that failed."""
--- a/sageturn/frontends/frontend_connection.py
+++ b/sageturn/frontends/frontend_connection.py
@@ -1,4 +1,4 @@
-"""The part of a client's connection that is the same on all frontends: connecting to an endpoint."""
+"""Connects to endpoints, which all frontends do alike."""
 
 from __future__ import annotations
 
@@ -21,7 +21,10 @@
 
 
 class FrontendConnection(ProxyTransport):
-    """A client, and its endpoint once its request is established. Each frontend has a subclass."""
+    """Connection of a client, and of its endpoint once the request is established.
+
+    Each frontend has a subclass.
+    """
 
     def __init__(self, context: RelayContext, client: socket.socket, request: ClientRequest) -> None:
         self._context = context
@@ -33,14 +36,16 @@
     ) -> CloseReason | None:
         """Connect to ``endpoint`` and place the request there within ``timeout_ms``.
 
-        Returns None if the endpoint established the connection; otherwise its socket is closed.
+        Returns None if the endpoint established the connection; otherwise the reason of the failure, with
+        the endpoint's socket closed.
         """
         deadline_s = asyncio.get_running_loop().time() + timeout_ms / 1000.0
         listed_address = self._context.endpoint_registry.addresses.get(endpoint)
         if listed_address is None:
             return CloseReason.NOT_SENT
         is_endpoint_usable: Callable[[], bool] | None = None
-        # A connection that was established before this relay returns to its endpoint, also if that drains.
+        # A connection that was established through an earlier relay process returns to its endpoint, even if
+        # the endpoint is draining.
         if not self.lifecycle.record.request.established_endpoint:
             is_endpoint_usable = partial(
                 self._context.endpoint_registry.is_ready_at, endpoint, listed_address
@@ -65,7 +70,7 @@
                 sock.close()
 
     def _upstream_address(self, listed_address: Address) -> Address:
-        """Return the address to connect to for an endpoint that is listed at ``listed_address``."""
+        """Return the address at which to connect to an endpoint whose list entry has ``listed_address``."""
         return listed_address
 
     @abstractmethod
@@ -75,11 +80,11 @@
         """Send the request on a new connection, and read the endpoint's answer.
 
         Args:
-            sock: connected to the endpoint. Closed by the caller unless this returns None.
+            sock: the socket, connected to the endpoint. The caller closes it unless this returns None.
             deadline_s: the end of the attempt, by the event loop's clock.
-            check_before_write: to be called just before the request's first byte is written. Nothing may be
-                written if it returns a reason, which is the result then.
+            check_before_write: must be called just before the request's first byte is written. If it returns
+                a reason, nothing may be written, and that reason must be returned.
 
         Returns:
-            None if the endpoint established the connection, or else why not.
+            None if the endpoint established the connection, or else the reason of the failure.
         """
--- a/sageturn/frontends/platform/__init__.py
+++ b/sageturn/frontends/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's frontend: lines of text over TCP."""
+"""The frontend for the platform's line protocol: lines of text over TCP."""
--- a/sageturn/frontends/platform/connection.py
+++ b/sageturn/frontends/platform/connection.py
@@ -1,4 +1,4 @@
-"""One client's request: its attempts at endpoints, and its connection once one is established."""
+"""Handles one client's request: its attempts at endpoints, and its connection once it is established."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def encode_final_response(response: FinalResponse) -> bytes:
-    """Return the line that answers a request which is not served."""
+    """Return the response line for a request that was rejected or has failed."""
     if not response.rejected:
         return f"ERR {response.reason}\r\n".encode()
     if response.retry_after_ms >= 1:
@@ -29,31 +29,31 @@
 
 
 async def send_final_response(client: socket.socket, response: FinalResponse) -> None:
-    """Answer ``client`` and close its connection."""
+    """Send ``response`` to ``client``, and close its connection."""
     try:
         await asyncio.get_running_loop().sock_sendall(client, encode_final_response(response))
     except OSError:
-        return  # the client has gone
+        return  # the client has disconnected
     await close_gracefully(client)
 
 
 class PlatformConnection(FrontendConnection):
-    """A client that speaks the platform's line protocol, and its endpoint."""
+    """Connection of a client that speaks the platform's line protocol, and of its endpoint."""
 
     def __init__(
         self, context: RelayContext, client: socket.socket, buffer: bytearray, request_line: RequestLine
     ) -> None:
-        """``buffer`` holds ``request_line`` as it was received."""
+        """Prepare to serve ``request_line``, whose bytes as received are in ``buffer``."""
         super().__init__(context, client, request_line.request)
         self.client = client
         self._buffer = buffer
         self._request_line = request_line
-        self.early_input = b""  # received from the client before it was answered
+        self.early_input = b""  # bytes that the client sent before it was answered
         self._endpoint: socket.socket | None = None
-        self._reply = b""  # the endpoint's first line, and the bytes after it
-        self._replies = EndpointReplyParser(context, self.lifecycle.record)
+        self._endpoint_input = b""  # the endpoint's first line, and the bytes received with it
+        self._reply_parser = EndpointReplyParser(context, self.lifecycle.record)
 
-    # ------------------------------------------------------------ an attempt
+    # ------------------------------------------------------------ attempts
 
     async def _exchange(
         self, sock: socket.socket, deadline_s: float, check_before_write: CheckBeforeWrite
@@ -72,22 +72,28 @@
         return close_reason
 
     async def _send_request(self, sock: socket.socket, deadline_s: float) -> CloseReason | None:
-        """Write the client's request line, with the remaining time in place of its ``d``."""
+        """Send the client's request line, with its field ``d`` set to the remaining time in ms.
+
+        Returns None once the line is sent, or CUT_BEFORE_WRITTEN if the connection failed.
+
+        Raises:
+            TimeoutError: the attempt's deadline has passed, or the idempotency key has expired.
+        """
         loop = asyncio.get_running_loop()
         request_line = self._request_line
         line = memoryview(self._buffer)
-        time_left = b"%d" % max(1, int((deadline_s - loop.time()) * 1000.0))
+        remaining_ms = b"%d" % max(1, int((deadline_s - loop.time()) * 1000.0))
         key_expires_s = loop.time() + self.lifecycle.checks.idempotency_key_remaining_ms() / 1000.0
         try:
             async with asyncio.timeout_at(min(deadline_s, key_expires_s)):
                 parts = (
-                    line[: request_line.wait_start],
-                    time_left,
-                    line[request_line.wait_end : request_line.end],
+                    line[: request_line.timeout_value_start],
+                    remaining_ms,
+                    line[request_line.timeout_value_end : request_line.end],
                 )
                 await send_gathered(sock, parts)
         except TimeoutError:
-            raise  # the kernel may have accepted its last byte in this instant
+            raise  # the kernel may have accepted the last byte just before the timeout
         except OSError:
             return CloseReason.CUT_BEFORE_WRITTEN
         return None
@@ -100,19 +106,23 @@
             return CloseReason.RESET
         if not end:
             return CloseReason.GARBLED if filled == len(buffer) else CloseReason.ENDED
-        close_reason = self._replies.first_reply(buffer, end, filled)
+        close_reason = self._reply_parser.parse_first_reply(buffer, end, filled)
         if close_reason is None:
-            self._reply = bytes(buffer[:filled])
+            self._endpoint_input = bytes(buffer[:filled])
         return close_reason
 
-    # ------------------------------------------------------------ the client, until it is answered
+    # ------------------------------------------------------------ client, until its request is answered
 
     async def wait_client_disconnect(self) -> CloseReason:
-        """Wait until the client has left or broken the protocol; returns which."""
+        """Wait until the client disconnects or breaks the protocol; return which."""
         return await wait_for_close_reason(self.client, self.poll_client)
 
     def poll_client(self) -> CloseReason | None:
-        """Read the bytes that the client has sent, without waiting; returns None while it is connected."""
+        """Read the bytes that the client has sent, without waiting.
+
+        Returns None while the client is connected, or CLIENT_FAULT once it has sent ``MAX_LINE_BYTES`` before
+        it was answered.
+        """
         while len(self.early_input) < MAX_LINE_BYTES:
             try:
                 data = self.client.recv(CLIENT_READ_BYTES)
@@ -126,13 +136,13 @@
         return CloseReason.CLIENT_FAULT
 
     async def send_final_response(self, response: FinalResponse) -> None:
-        """Answer that the request is not served, and close the client's connection."""
+        """Send ``response`` to the client, and close its connection."""
         await send_final_response(self.client, response)
 
-    # ------------------------------------------------------------ once it is established
+    # ------------------------------------------------------------ established connection
 
     async def close_upstream(self) -> None:
-        """Reset an established connection whose client has gone before it was answered."""
+        """Reset an endpoint's established connection whose client disconnected before it was answered."""
         if self._endpoint is not None:
             close_with_reset(self._endpoint)
 
@@ -140,12 +150,14 @@
         """Do nothing: ``relay_traffic`` forwards the endpoint's first line."""
 
     async def relay_traffic(self, stop: asyncio.Event) -> CloseReason:
-        """Forward lines both ways until either side has ended, or ``stop`` asks for a migration."""
+        """Forward lines both ways until either side closes; migrate the client once ``stop`` is set."""
         endpoint = self._endpoint
         assert endpoint is not None
-        relay = LineRelay(self.client, endpoint, self.lifecycle, self._replies, self._reply, self.early_input)
+        relay = LineRelay(
+            self.client, endpoint, self.lifecycle, self._reply_parser, self._endpoint_input, self.early_input
+        )
         # Releases the memory, since many connections are open at once.
         self._buffer = bytearray()
-        self._reply = b""
+        self._endpoint_input = b""
         self.early_input = b""
         return await relay.run(stop)
--- a/sageturn/frontends/platform/errors.py
+++ b/sageturn/frontends/platform/errors.py
@@ -6,13 +6,15 @@
 
 
 class InvalidRequestLineError(FrontendError, ValueError):
-    """A client's first line cannot be forwarded. The client is sent the text, which says why."""
+    """Error in a client's first line, which is not forwarded. The error's text is sent to the client."""
 
 
 class ForwardingError(FrontendError, ConnectionError):
-    """One of the two sockets of a ``LineForwarder`` failed."""
+    """Failure of one of the two sockets of a ``LineForwarder``."""
 
     def __init__(self, *, source_failed: bool) -> None:
-        """``source_failed`` is true for the socket that is read, false for the one that is written."""
-        super().__init__("reading failed" if source_failed else "writing failed")
+        """``source_failed`` is True if reading the source failed, False if writing to the target failed."""
+        super().__init__(
+            "reading from the source failed" if source_failed else "writing to the target failed"
+        )
         self.source_failed = source_failed
--- a/sageturn/frontends/platform/frontend.py
+++ b/sageturn/frontends/platform/frontend.py
@@ -24,7 +24,7 @@
 
 
 class PlatformFrontend:
-    """Serves clients that speak the platform's line protocol."""
+    """Frontend for clients that speak the platform's line protocol."""
 
     rejection = b"BUSY 500\r\n"
 
@@ -33,22 +33,22 @@
         self._classes = frozenset(
             request_class.name for request_class in context.balancer_actor.settings.classes
         )
-        self._ids = RequestIds()
+        self._request_ids = RequestIds()
 
     async def serve(self, sock: socket.socket, pending: PendingConnection) -> None:
-        """Serve one client until its connection has ended. The listener calls it, and closes ``sock``."""
+        """Serve one client until its connection has closed. The listener calls this, and closes ``sock``."""
         buffer = bytearray(MAX_LINE_BYTES)
         try:
             async with pending.time_limit(REQUEST_LINE_TIMEOUT_S):
                 request_line = await self._read_request(sock, buffer)
         except TimeoutError:
-            await self._answer_late(sock, pending)
+            await self._answer_timed_out(sock, pending)
             return
         except InvalidRequestLineError as error:
             await self._answer_invalid(sock, pending, error)
             return
         except OSError:
-            raise  # the connection has failed: nobody is left to answer
+            raise  # the connection has failed, so the client cannot be answered
         except Exception:
             log.exception("request line could not be read peer=%s:%d", *pending.peer)
             await self._answer_invalid(sock, pending, InvalidRequestLineError("internal"))
@@ -61,16 +61,16 @@
             pending.request_id = connection.lifecycle.record.log_id
             await self._context.run_request(connection.lifecycle)
         finally:
-            self._ids.release(request_line.request_id)
+            self._request_ids.release(request_line.request_id)
 
-    async def _answer_late(self, sock: socket.socket, pending: PendingConnection) -> None:
-        """Answer a client whose time is up, or that is evicted.
+    async def _answer_timed_out(self, sock: socket.socket, pending: PendingConnection) -> None:
+        """Answer a client whose request line did not arrive in time, or that is evicted.
 
-        Its line may have become complete in this instant. It was accepted, so it gets an answer.
+        The line may have become complete just before, and every accepted client must be answered.
         """
         log.debug("pending connection ended peer=%s:%d evicted=%s", *pending.peer, pending.evicted)
         if pending.evicted:
-            send_and_close(sock, self.rejection)  # waits for nothing: another connection needs the descriptor
+            send_and_close(sock, self.rejection)  # does not wait: another connection needs the descriptor
             return
         with suppress(OSError):
             send_now(sock, b"ERR no first line in time\r\n")
@@ -91,10 +91,10 @@
                 await close_gracefully(sock)
 
     async def _read_request(self, sock: socket.socket, buffer: bytearray) -> RequestLine | None:
-        """Return the request line, after any number of PINGs; None if the client left without sending one.
+        """Answer any PINGs, and return the request line; None if the client disconnected without one.
 
         Raises:
-            InvalidRequestLineError: the client sent something else.
+            InvalidRequestLineError: the client sent anything else, or a PING during a drain.
             OSError: the connection failed.
         """
         while True:
@@ -104,18 +104,18 @@
                     raise InvalidRequestLineError("no first line")
                 return None
             if filled > end:
-                # A client must wait for its answer before it sends more.
+                # A client must wait for the response before it sends more.
                 raise InvalidRequestLineError("more than one line")
             if buffer[:end] != PING:
                 break
             await self._answer_ping(sock)
         request_line = parse_request_line(buffer, end, self._classes)
-        if not self._ids.claim(request_line.request_id):
+        if not self._request_ids.claim(request_line.request_id):
             raise InvalidRequestLineError("the id is in use")
         return request_line
 
     async def _answer_ping(self, sock: socket.socket) -> None:
-        """Answer PONG as soon as an endpoint is ready; raises InvalidRequestLineError during a drain."""
+        """Send PONG as soon as an endpoint is ready; raise InvalidRequestLineError during a drain."""
         if self._context.request_registry.is_draining:
             raise InvalidRequestLineError("stopping")
         await self._context.endpoint_registry.has_ready_endpoint.wait()
--- a/sageturn/frontends/platform/line_forwarder.py
+++ b/sageturn/frontends/platform/line_forwarder.py
@@ -9,13 +9,14 @@
 from sageturn.frontends.platform.errors import ForwardingError
 
 BUFFER_BYTES = 8192
-MIN_FREE_BUFFER_BYTES = 4096  # beyond the initial data
+MIN_FREE_BUFFER_BYTES = 4096  # capacity left for new data after the initial data
 
 
 class LineForwarder:
-    """Forwards one direction of an established connection.
+    """Forwarder of one direction of an established connection.
 
-    Only complete lines are written, so that the relay can insert a line of its own between any two writes.
+    It writes complete lines, so that the relay can insert a line of its own between two writes. Only a line
+    that is longer than the buffer, or that the source's FIN cuts off, is written in part.
     """
 
     def __init__(
@@ -31,7 +32,7 @@
             source: the socket that is read.
             target: the socket that is written.
             on_lines: called before lines are written, with the buffer and the end of its last complete line.
-            initial_data: was read from ``source`` before, and is forwarded first.
+            initial_data: the bytes that were read from ``source`` before, which are forwarded first.
         """
         self._source = source
         self._target = target
@@ -40,7 +41,7 @@
         self._buffer[: len(initial_data)] = initial_data
         self._filled = len(initial_data)
         self._write_lock = asyncio.Lock()
-        self._between_lines = True
+        self._is_at_line_boundary = True
         self.forwarded_bytes = 0
 
     @property
@@ -49,7 +50,7 @@
         return self._target
 
     async def run(self) -> None:
-        """Return once the source has sent its FIN and all bytes before it are forwarded.
+        """Forward until the source has sent its FIN and all bytes before it are forwarded.
 
         Raises:
             ForwardingError: either socket failed.
@@ -70,15 +71,15 @@
             await self._forward_lines(view, searched_bytes)
 
     async def _forward_lines(self, view: memoryview, searched_bytes: int) -> None:
-        """Write the complete lines in the buffer; none ends in its first ``searched_bytes``."""
+        """Write the complete lines in the buffer, whose first ``searched_bytes`` hold no line feed."""
         end = self._buffer.rfind(b"\n", searched_bytes, self._filled) + 1
         if end:
             self._on_lines(self._buffer, end)
             await self._write(view, end)
         elif self._filled == len(self._buffer):
-            # The line is longer than the buffer, so it is forwarded in pieces.
+            # The line is longer than the buffer, so it is written in pieces.
             await self._write(view, self._filled)
-            self._between_lines = False
+            self._is_at_line_boundary = False
 
     async def _write(self, view: memoryview, size: int) -> None:
         if not size:
@@ -92,17 +93,17 @@
             unsent = self._filled - size
             view[:unsent] = view[size : self._filled]
             self._filled = unsent
-            self._between_lines = True
+            self._is_at_line_boundary = True
 
-    async def send_last(self, line: bytes) -> bool:
-        """Write a line of the relay's own between two others, and let nothing be written after it.
+    async def send_last_line(self, line: bytes) -> bool:
+        """Write ``line``, the relay's own, between two forwarded lines, and block all later writes.
 
-        Waits for as long as the target accepts no bytes; the caller cancels it. Returns False if the target
-        failed, or a line has been written in part.
+        Waits until the target accepts the bytes; the caller limits the wait by cancelling it. Returns False
+        if the target failed, or a forwarded line has been written in part.
         """
-        await self._write_lock.acquire()  # not released once the line has been written
+        await self._write_lock.acquire()  # stays held once the line is written, so that nothing follows it
         try:
-            if self._between_lines:
+            if self._is_at_line_boundary:
                 await asyncio.get_running_loop().sock_sendall(self._target, line)
                 return True
         except OSError:
--- a/sageturn/frontends/platform/line_reader.py
+++ b/sageturn/frontends/platform/line_reader.py
@@ -10,10 +10,12 @@
 
 
 class LineRead(NamedTuple):
-    """The part of a buffer that ``read_line`` has filled.
+    """Extent of the data that ``read_line`` has read into a buffer.
 
-    ``end`` is the position after the first line's line feed; 0 where the peer closed before its line was
-    complete, or the line does not fit the buffer. ``filled`` is the number of bytes that were read.
+    Attributes:
+        end: the length of the first line in bytes, with its line feed; 0 if the peer closed before the line
+            was complete, or the line does not fit the buffer.
+        filled: the number of bytes that were read.
     """
 
     end: int
--- a/sageturn/frontends/platform/load_reporter.py
+++ b/sageturn/frontends/platform/load_reporter.py
@@ -1,4 +1,4 @@
-"""Reports the load values that an endpoint sends between its other lines to the core."""
+"""Reports to the core the load values that an endpoint sends between its other lines."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class LoadReporter:
-    """Queues the values of LOAD lines for the core, so that forwarding the lines does not wait."""
+    """Queue of load values for the core, so that forwarding the LOAD lines does not wait for it."""
 
     def __init__(self, lifecycle: RequestLifecycle) -> None:
         self._lifecycle = lifecycle
@@ -23,15 +23,15 @@
         while start < end:
             line_end = buffer.index(b"\n", start) + 1
             if buffer.startswith(LOAD_PREFIX, start):
-                self._queue(bytes(buffer[start + len(LOAD_PREFIX) : line_end]))
+                self._queue_value(bytes(buffer[start + len(LOAD_PREFIX) : line_end]))
             start = line_end
 
-    def _queue(self, text: bytes) -> None:
+    def _queue_value(self, text: bytes) -> None:
         try:
             value = float(text)
         except ValueError:
             return
-        if not self._loads.full():  # a later value replaces those that are dropped
+        if not self._loads.full():  # a value that is dropped is superseded by a later one
             self._loads.put_nowait(value)
 
     async def run(self) -> None:
--- a/sageturn/frontends/platform/relaying.py
+++ b/sageturn/frontends/platform/relaying.py
@@ -1,4 +1,4 @@
-"""Relays an established connection: forwards lines both ways, and closes both sides when either ends."""
+"""Relays an established connection: forwards lines both ways, and closes both sides when either closes."""
 
 from __future__ import annotations
 
@@ -23,35 +23,35 @@
 
 MOVE = b"MOVE\r\n"
 
-Forwarding = asyncio.Task[None]
+ForwardingTask = asyncio.Task[None]
 
 
 class LineRelay:
-    """Forwards lines both ways between a client and its endpoint, and migrates the client."""
+    """Relay of lines between a client and its endpoint, which can migrate the client."""
 
     def __init__(
         self,
         client: socket.socket,
         endpoint: socket.socket,
         lifecycle: RequestLifecycle,
-        replies: EndpointReplyParser,
+        reply_parser: EndpointReplyParser,
         endpoint_input: bytes,
         client_input: bytes,
     ) -> None:
         """Prepare to relay between two connected sockets.
 
         Args:
-            client: the client's socket; closed by ``run``, like the endpoint's.
-            endpoint: the endpoint's socket.
-            lifecycle: of the request; is given load values and totals.
-            replies: parses the endpoint's last line.
-            endpoint_input: was read from the endpoint before, and is forwarded first.
-            client_input: was read from the client before, and is forwarded first.
+            client: the client's socket, which ``run`` closes.
+            endpoint: the endpoint's socket, which ``run`` closes.
+            lifecycle: the request's lifecycle, to which load values and totals are reported.
+            reply_parser: the parser of the endpoint's last line.
+            endpoint_input: the bytes that were read from the endpoint before, which are forwarded first.
+            client_input: the bytes that were read from the client before, which are forwarded first.
         """
         self._client = client
         self._endpoint = endpoint
         self._lifecycle = lifecycle
-        self._replies = replies
+        self._reply_parser = reply_parser
         self._to_client = LineForwarder(endpoint, client, self._on_endpoint_lines, endpoint_input)
         self._to_endpoint = LineForwarder(client, endpoint, self._on_client_lines, client_input)
         self._idle_timeout = IdleTimeout(
@@ -61,7 +61,7 @@
         self._last_line = b""
 
     async def run(self, stop: asyncio.Event) -> CloseReason:
-        """Forward until either side ends or ``stop`` is set, and close both sockets.
+        """Forward until either side closes, ``stop`` is set or the endpoint times out; close both sockets.
 
         Returns why the connection was closed.
         """
@@ -73,15 +73,15 @@
         try:
             await asyncio.wait((downstream, upstream, stopping, idle), return_when=asyncio.FIRST_COMPLETED)
             migration_reason = CloseReason.MOVED if stopping.done() else CloseReason.MUTE
-            return await self._end(downstream, upstream, migration_reason)
+            return await self._finish_forwarding(downstream, upstream, migration_reason)
         finally:
             for task in (downstream, upstream, stopping, idle, reporting):
                 await cancel_and_wait(task)
             self._record_totals()
             await asyncio.gather(close_gracefully(self._client), close_gracefully(self._endpoint))
 
-    async def _end(
-        self, downstream: Forwarding, upstream: Forwarding, migration_reason: CloseReason
+    async def _finish_forwarding(
+        self, downstream: ForwardingTask, upstream: ForwardingTask, migration_reason: CloseReason
     ) -> CloseReason:
         are_both_open = not downstream.done() and not upstream.done()
         if are_both_open and await self._send_move(downstream, upstream, migration_reason):
@@ -98,26 +98,28 @@
         record.bytes_to_endpoint = self._to_endpoint.forwarded_bytes
         record.endpoint_idle_s = asyncio.get_running_loop().time() - self._idle_timeout.last_endpoint_data_s
 
-    async def _send_move(self, downstream: Forwarding, upstream: Forwarding, reason: CloseReason) -> bool:
-        """Send MOVE, which asks the client to reconnect; returns False if it could not be sent.
+    async def _send_move(
+        self, downstream: ForwardingTask, upstream: ForwardingTask, reason: CloseReason
+    ) -> bool:
+        """Send MOVE, which asks the client to reconnect; return False if it could not be sent.
 
-        Waits for a client that reads nothing until it does or its connection has ended. Where its endpoint is
-        silent, or the drain is forced, it waits for ``MOVE_TIMEOUT_S`` at most.
+        If the client reads nothing, this waits until it does or either side closes. If the endpoint is
+        unresponsive, or the drain is forced, it waits ``MOVE_TIMEOUT_S`` at most.
         """
-        sending = asyncio.ensure_future(self._to_client.send_last(MOVE))
+        sending = asyncio.ensure_future(self._to_client.send_last_line(MOVE))
         drain_forced = asyncio.ensure_future(self._lifecycle.drain_forced.wait())
-        ends = (sending, downstream, upstream)
+        awaited = (sending, downstream, upstream)
         try:
             if reason is CloseReason.MOVED:
-                await asyncio.wait((*ends, drain_forced), return_when=asyncio.FIRST_COMPLETED)
-            if not any(task.done() for task in ends):
-                await asyncio.wait(ends, timeout=MOVE_TIMEOUT_S, return_when=asyncio.FIRST_COMPLETED)
+                await asyncio.wait((*awaited, drain_forced), return_when=asyncio.FIRST_COMPLETED)
+            if not any(task.done() for task in awaited):
+                await asyncio.wait(awaited, timeout=MOVE_TIMEOUT_S, return_when=asyncio.FIRST_COMPLETED)
         finally:
             await cancel_and_wait(drain_forced)
             await cancel_and_wait(sending)
         return not sending.cancelled() and sending.result()
 
-    async def _on_endpoint_ended(self, downstream: Forwarding, upstream: Forwarding) -> CloseReason:
+    async def _on_endpoint_ended(self, downstream: ForwardingTask, upstream: ForwardingTask) -> CloseReason:
         error = downstream.exception()
         if isinstance(error, ForwardingError):
             if error.source_failed:
@@ -127,15 +129,15 @@
             return CloseReason.CLIENT_RESET
         shutdown_write(self._client)
         await asyncio.wait((upstream,), timeout=LAST_LINE_TIMEOUT_S)
-        return self._replies.last_line(self._last_line)
+        return self._reply_parser.parse_last_line(self._last_line)
 
-    async def _on_client_ended(self, upstream: Forwarding, downstream: Forwarding) -> CloseReason:
+    async def _on_client_ended(self, upstream: ForwardingTask, downstream: ForwardingTask) -> CloseReason:
         error = upstream.exception()
         if isinstance(error, ForwardingError):
             if error.source_failed:
                 close_with_reset(self._endpoint)
                 return CloseReason.CLIENT_RESET
-            # Writing failed, so the endpoint has gone; its last lines may still lie unread.
+            # Writing failed, so the endpoint has disconnected; its last lines may still be unread.
             await asyncio.wait((downstream,), timeout=LAST_LINE_TIMEOUT_S)
             if downstream.done():
                 return await self._on_endpoint_ended(downstream, upstream)
--- a/sageturn/frontends/platform/request_line.py
+++ b/sageturn/frontends/platform/request_line.py
@@ -19,25 +19,30 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestLine:
-    """A parsed request line.
-
-    The value of its field ``d``, the time for which the client waits in milliseconds, lies in the receive
-    buffer from ``wait_start`` to ``wait_end``. The line ends at ``end``, after its CRLF.
+    """Parsed request line.
+
+    Attributes:
+        request_id: the id that the client has chosen.
+        request: the request for the core.
+        timeout_value_start: the position in the receive buffer of the value of field ``d``, which is
+            the request's timeout in milliseconds.
+        timeout_value_end: the position after that value.
+        end: the length of the line in bytes, with its CRLF.
     """
 
     request_id: bytes
     request: ClientRequest
-    wait_start: int
-    wait_end: int
+    timeout_value_start: int
+    timeout_value_end: int
     end: int
 
 
 def parse_request_line(buffer: bytearray, end: int, classes: frozenset[str]) -> RequestLine:
-    """Parse the line in ``buffer`` that ends at ``end``, after its CRLF. Only the exact form is accepted.
+    """Parse the line at the start of ``buffer``. Only the exact form is accepted.
 
     Args:
         buffer: begins with the line.
-        end: the length of the line in bytes.
+        end: the length of the line in bytes, with its CRLF.
         classes: the names of the request classes.
 
     Raises:
@@ -66,21 +71,21 @@
         retried=fields.get(b"r") == b"1",
         client_request_id=match[1].decode(),
     )
-    return RequestLine(bytes(match[1]), request, parsed.wait_start, parsed.wait_end, end)
+    return RequestLine(bytes(match[1]), request, parsed.timeout_value_start, parsed.timeout_value_end, end)
 
 
 class _Fields(NamedTuple):
-    """The fields of a request line by name, and the span of the value of ``d`` in the buffer."""
+    """Fields of a request line by name, and the span of the value of ``d`` in the buffer."""
 
     values: dict[bytes, bytes]
-    wait_start: int
-    wait_end: int
+    timeout_value_start: int
+    timeout_value_end: int
 
 
 def _parse_fields(buffer: bytearray, start: int, end: int) -> _Fields:
-    """Parse the list of fields from ``start`` to ``end``; raises InvalidRequestLineError."""
+    """Parse the list of fields from ``start`` to ``end``; raise InvalidRequestLineError if it is invalid."""
     fields: dict[bytes, bytes] = {}
-    wait_start = wait_end = 0
+    timeout_value_start = timeout_value_end = 0
     position = start
     while position <= end:
         field = _FIELD.match(buffer, position, end)
@@ -91,8 +96,8 @@
             raise InvalidRequestLineError("a name stands twice")
         fields[name] = field[2]
         if name == b"d":
-            wait_start, wait_end = field.span(2)
+            timeout_value_start, timeout_value_end = field.span(2)
         position = field.end() + 1
         if position == end:
             raise InvalidRequestLineError("the list ends in a comma")
-    return _Fields(fields, wait_start, wait_end)
+    return _Fields(fields, timeout_value_start, timeout_value_end)
--- a/sageturn/frontends/xmpp/channel.py
+++ b/sageturn/frontends/xmpp/channel.py
@@ -1,4 +1,4 @@
-"""Sends and receives bytes over a socket, plain or under TLS."""
+"""Sends and receives bytes over a socket, with or without TLS."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Channel:
-    """Sends plain bytes. All methods raise OSError if the connection fails."""
+    """Byte channel over a socket, without TLS. All methods raise OSError if the connection fails."""
 
     is_encrypted = False
 
@@ -25,9 +25,9 @@
         return bytes(self._buffer[:size])
 
     def receive_available(self) -> bytes | None:
-        """Return the data that lies unread, without waiting.
+        """Return the data that has arrived, without waiting.
 
-        Returns b"" once the peer has closed, None where there is no data. Must not be called while a task
+        Returns b"" once the peer has closed, or None if there is no data. Must not be called while a task
         waits in ``receive``.
         """
         try:
@@ -40,11 +40,11 @@
         await asyncio.get_running_loop().sock_sendall(self.sock, data)
 
     async def send_close(self) -> None:
-        """Send the message that announces the end, where the layer has one. Plain TCP has none."""
+        """Send the closing message of the security layer. Without TLS there is none."""
 
 
 class TlsChannel(Channel):
-    """Encrypts in memory, with ssl.MemoryBIO on both sides, over the socket calls of ``Channel``.
+    """Byte channel under TLS, which encrypts in memory (``ssl.MemoryBIO``) and inherits the socket calls.
 
     All methods raise ssl.SSLError as well, which is an OSError.
     """
@@ -68,27 +68,29 @@
             try:
                 self._tls.do_handshake()
             except ssl.SSLWantReadError as error:
-                await self._flush()
-                if not await self._fill():
-                    raise ConnectionResetError("ended in the TLS handshake") from error
+                await self._send_encrypted()
+                if not await self._receive_encrypted():
+                    raise ConnectionResetError(
+                        "peer closed the connection during the TLS handshake"
+                    ) from error
             else:
-                await self._flush()
+                await self._send_encrypted()
                 return
 
     async def receive(self) -> bytes:
-        """Wait for decrypted bytes and return all there are; b"" once the peer has closed."""
+        """Wait for decrypted data and return it; b"" once the peer has closed."""
         while True:
             try:
                 return self._tls.read(READ_BYTES)
             except ssl.SSLWantReadError:
-                await self._flush()  # a renewed key is answered from inside read
-                if not await self._fill():
+                await self._send_encrypted()  # ``read`` may produce output, e.g. the answer to a key update
+                if not await self._receive_encrypted():
                     return b""
             except ssl.SSLZeroReturnError:
                 return b""
 
     def receive_available(self) -> bytes | None:
-        """Return decrypted bytes as ``receive`` does, without waiting; None where there are none."""
+        """Return decrypted data as ``receive`` does, without waiting; None if there is none."""
         while True:
             try:
                 return self._tls.read(READ_BYTES)
@@ -103,22 +105,22 @@
     async def send(self, data: bytes) -> None:
         """Encrypt and send all of ``data``."""
         self._tls.write(data)
-        await self._flush()
+        await self._send_encrypted()
 
     async def send_close(self) -> None:
         """Send the close_notify alert."""
-        with suppress(ssl.SSLError):  # the peer's close_notify is not awaited
+        with suppress(ssl.SSLError):  # raised because the peer's close_notify is not awaited
             self._tls.unwrap()
-        await self._flush()
+        await self._send_encrypted()
 
-    async def _fill(self) -> bool:
+    async def _receive_encrypted(self) -> bool:
         data = await super().receive()
         if data:
             self._incoming.write(data)
         return bool(data)
 
-    async def _flush(self) -> None:
-        # Records must leave in the order in which they were encrypted, whoever sent them.
+    async def _send_encrypted(self) -> None:
+        # Records must be sent in the order in which they were encrypted, also those of concurrent tasks.
         async with self._send_lock:
             data = self._outgoing.read()
             if data:
--- a/sageturn/frontends/xmpp/client_login.py
+++ b/sageturn/frontends/xmpp/client_login.py
@@ -1,4 +1,4 @@
-"""Logs clients in, as an XMPP server does: from the stream's header to the bind request."""
+"""Logs clients in, as an XMPP server does: from the stream header to the bind request."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 from sageturn.frontends.xmpp.session import XmppSession
 
 MAX_LOGIN_ATTEMPTS = 3
-PLAIN_FIELD_COUNT = 3  # authorization id, name, password (RFC 4616)
+PLAIN_FIELD_COUNT = 3  # authorization identity, name and password (RFC 4616)
 MAX_RESOURCE_BYTES = 1023  # RFC 7622, section 3.4
 GENERATED_RESOURCE_BYTES = 8
 
 
 @dataclass(frozen=True, slots=True)
 class BindRequest:
-    """An authenticated client's request to bind a resource, which the core places as its request."""
+    """Authenticated client's request to bind a resource, which the core places on an endpoint."""
 
     account: Account
     iq_id: str
@@ -35,7 +35,7 @@
 
 
 class ClientLogin:
-    """Negotiates TLS, authenticates the client, and reads its bind request.
+    """Login of one client: negotiates TLS, authenticates the client, and reads its bind request.
 
     Its methods raise StreamError if the client breaks the protocol or may not connect, and OSError if the
     connection fails.
@@ -56,7 +56,7 @@
             raise StreamError(StreamCondition.UNSUPPORTED_VERSION)
 
     async def run(self) -> BindRequest:
-        """Continue after the first exchange of headers; returns the bind request."""
+        """Continue after the first exchange of headers; return the bind request."""
         if self._options.tls is not None:
             await self._start_tls(self._options.tls)
             await self.exchange_headers()
@@ -114,7 +114,7 @@
             raise SaslError(SaslCondition.MALFORMED_REQUEST) from error
         if authorization_id and authorization_id != f"{name}@{self._options.domain}":
             raise SaslError(SaslCondition.INVALID_AUTHZID)
-        # The iterations of the hash would block the event loop.
+        # The many iterations of the hash would block the event loop.
         account = await asyncio.to_thread(self._accounts.check_password, name, password)
         if account is None:
             raise SaslError(SaslCondition.NOT_AUTHORIZED)
@@ -124,26 +124,26 @@
     async def _log_in_scram(self, auth: Element) -> Account:
         names: list[str] = []
 
-        def look_up(name: str) -> Credentials:
+        def look_up_credentials(name: str) -> Credentials:
             names.append(name)
-            return self._accounts.credentials_of(name)
+            return self._accounts.get_credentials(name)
 
-        server = ScramMechanism(SCRAM_MECHANISM).make_server(look_up)
+        server = ScramMechanism(SCRAM_MECHANISM).make_server(look_up_credentials)
         try:
             server.set_client_first(_decode_base64(auth.text).decode())
-            response = await self._challenge(server.get_server_first())
+            response = await self._exchange_challenge(server.get_server_first())
             server.set_client_final(response)
-            final = server.get_server_final()
+            server_final = server.get_server_final()
         except (ScramException, UnicodeDecodeError) as error:
             raise SaslError(SaslCondition.NOT_AUTHORIZED) from error
         account = self._accounts.find(names[0])
         if account is None:
             raise SaslError(SaslCondition.NOT_AUTHORIZED)
-        encoded = base64.b64encode(final.encode()).decode()
+        encoded = base64.b64encode(server_final.encode()).decode()
         await self._session.send(f"<success xmlns='{SASL_NS}'>{encoded}</success>".encode())
         return account
 
-    async def _challenge(self, text: str) -> str:
+    async def _exchange_challenge(self, text: str) -> str:
         encoded = base64.b64encode(text.encode()).decode()
         await self._session.send(f"<challenge xmlns='{SASL_NS}'>{encoded}</challenge>".encode())
         element = (await self._session.expect_stanza()).element
@@ -169,11 +169,11 @@
 
 
 def _decode_base64(text: str | None) -> bytes:
-    """Decode the text of a SASL element, where a lone ``=`` stands for no data; raises SaslError."""
+    """Decode the text of a SASL element, where a lone ``=`` means no data; raise SaslError if invalid."""
     stripped = (text or "").strip()
     if stripped in ("", "="):
         return b""
     try:
         return base64.b64decode(stripped, validate=True)
-    except ValueError as error:  # binascii.Error, or text with other characters than ASCII
+    except ValueError as error:  # raised for invalid base64, and for text that is not ASCII
         raise SaslError(SaslCondition.INCORRECT_ENCODING) from error
--- a/sageturn/frontends/xmpp/connection.py
+++ b/sageturn/frontends/xmpp/connection.py
@@ -1,4 +1,4 @@
-"""One client's request: its attempts at endpoints, and its session once one is established."""
+"""Handles one client's request: its attempts at endpoints, and its session once it is established."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 from sageturn.net.closing import close_gracefully, close_with_reset
 from sageturn.net.sockets import is_closed_by_peer, wait_for_close_reason
 
-MAX_EARLY_STANZAS = 16  # that a client may send before it is answered
+MAX_EARLY_STANZAS = 16  # a client that sends this many before it is answered is at fault
 
 
 def encode_bind_result(iq_id: str, jid: str) -> bytes:
@@ -34,7 +34,7 @@
 
 
 class XmppConnection(FrontendConnection):
-    """A client's stream, and its endpoint's once the session is established."""
+    """Stream of an XMPP client, and its endpoint's stream once the session is established."""
 
     def __init__(
         self, context: RelayContext, options: XmppOptions, client: XmppSession, bind_request: BindRequest
@@ -54,10 +54,10 @@
         self._bind_request = bind_request
         self._endpoint: XmppSession | None = None
         self._jid = ""
-        self._early_stanzas: list[Stanza] = []  # received from the client before it was answered
+        self._early_stanzas: list[Stanza] = []  # stanzas that the client sent before it was answered
         self._idle_timeout = IdleTimeout(asyncio.get_running_loop().time(), options.idle_timeout_s)
 
-    # ------------------------------------------------------------ an attempt
+    # ------------------------------------------------------------ attempts
 
     def _upstream_address(self, listed_address: Address) -> Address:
         if self._options.endpoint_port:
@@ -83,20 +83,20 @@
         except EndpointLoginRejectedError as rejected:
             return rejected.close_reason
         except OSError:
-            # The request is the bind: before it is written, nothing of the request was sent.
+            # The bind is the request: until it is written, nothing of the request has been sent.
             return (
                 CloseReason.RESET if self.lifecycle.checks.write_started else CloseReason.CUT_BEFORE_WRITTEN
             )
         return None
 
-    # ------------------------------------------------------------ the client, until it is answered
+    # ------------------------------------------------------------ client, until its request is answered
 
     async def wait_client_disconnect(self) -> CloseReason:
-        """Wait until the client has left or broken the protocol; returns which."""
+        """Wait until the client disconnects or breaks the protocol; return which."""
         return await wait_for_close_reason(self._client.channel.sock, self.poll_client)
 
     def poll_client(self) -> CloseReason | None:
-        """Read the stanzas that the client has sent, without waiting; returns None while it is connected.
+        """Read the stanzas that the client has sent, without waiting; return None while it is connected.
 
         A client that closes its stream has cancelled its request, though its connection may stay open.
         """
@@ -113,29 +113,30 @@
                 return CloseReason.CLIENT_LEFT
             if isinstance(event, Stanza):
                 self._early_stanzas.append(event)
-        # Unread bytes beyond that many stanzas, or half a TLS record, must not hide that the client has left.
+        # A FIN may follow bytes that are not parsed: those after the last early stanza, or an incomplete TLS
+        # record. The socket is therefore checked too.
         if ended or is_closed_by_peer(self._client.channel.sock):
             return CloseReason.CLIENT_LEFT
         return CloseReason.CLIENT_FAULT if len(self._early_stanzas) >= MAX_EARLY_STANZAS else None
 
     async def send_final_response(self, response: FinalResponse) -> None:
-        """Answer that the request is not served, and close the client's connection."""
+        """Send ``response`` to the client, and close its connection."""
         await self._client.close(encode_final_response(response))
         await close_gracefully(self._client.channel.sock)
 
-    # ------------------------------------------------------------ once it is established
+    # ------------------------------------------------------------ established session
 
     async def close_upstream(self) -> None:
-        """Reset an established session whose client has gone before it was answered."""
+        """Reset an endpoint's established session whose client disconnected before it was answered."""
         if self._endpoint is not None:
             close_with_reset(self._endpoint.channel.sock)
 
     async def accept_client(self) -> None:
-        """Answer the client that its resource is bound."""
+        """Send the client the result of its bind request."""
         await self._client.send(encode_bind_result(self._bind_request.iq_id, self._jid))
 
     async def relay_traffic(self, stop: asyncio.Event) -> CloseReason:
-        """Forward stanzas both ways until either side has ended, or ``stop`` asks for a migration."""
+        """Forward stanzas both ways until either side closes; migrate the client once ``stop`` is set."""
         endpoint = self._endpoint
         assert endpoint is not None
         early_stanzas = self._early_stanzas
--- a/sageturn/frontends/xmpp/endpoint_login.py
+++ b/sageturn/frontends/xmpp/endpoint_login.py
@@ -1,4 +1,4 @@
-"""Logs in at endpoints, as an XMPP client does: from the stream's header to the bound resource."""
+"""Logs in at endpoints, as an XMPP client does: from the stream header to the bound resource."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 from sageturn.frontends.xmpp.protocol import PLAIN_MECHANISM, IqType
 from sageturn.frontends.xmpp.session import XmppSession
 
-MAX_SCRAM_ITERATIONS = 65536  # the hash runs on the event loop; about 20 ms
+MAX_SCRAM_ITERATIONS = 65536  # the hash blocks the event loop, for about 20 ms at this count
 
 _CLOSE_REASONS_BY_STANZA_ERROR = {
     "resource-constraint": CloseReason.BUSY,
@@ -34,7 +34,7 @@
 
 
 class EndpointLogin:
-    """Logs in at an endpoint on behalf of a client, and binds the client's resource there."""
+    """Login at an endpoint on behalf of a client, up to the bind of the client's resource."""
 
     def __init__(
         self,
@@ -48,8 +48,9 @@
         Args:
             session: a new stream on a connection to the endpoint.
             options: the relay's own account at the endpoint.
-            bind_request: the client's.
-            check_before_write: called just before the bind is written; returns a reason not to write it.
+            bind_request: the client's bind request.
+            check_before_write: called just before the bind is written; returns a reason not to write it, or
+                None.
         """
         self._session = session
         self._options = options
@@ -60,7 +61,8 @@
         """Log in, and return the JID that the endpoint has bound for the client.
 
         Raises:
-            EndpointLoginRejectedError: the endpoint refused the login, or ``check_before_write`` the bind.
+            EndpointLoginRejectedError: the endpoint rejected the login or broke the protocol, or
+                ``check_before_write`` returned a reason.
             OSError: the connection failed.
         """
         try:
@@ -90,7 +92,7 @@
         return element
 
     async def _exchange_headers(self) -> Element:
-        """Return the features that the endpoint offers."""
+        """Exchange stream headers; return the features that the endpoint offers."""
         await self._session.send_header(to=self._options.domain)
         await self._session.expect_header()
         features = await self._read_stanza()
@@ -110,10 +112,11 @@
         return await self._exchange_headers()
 
     async def _authenticate(self, features: Element) -> str:
-        """Log in on behalf of the client if the endpoint allows that, else as the relay itself.
+        """Authenticate with PLAIN if it is offered under TLS, else with SCRAM; return the resource to bind.
 
-        PLAIN carries an identity to act for. The SCRAM library does not, so with it the resource names the
-        client. A password is sent in plain text under TLS only. Returns the resource to bind.
+        PLAIN sends the password unencrypted, so it is used under TLS only. It carries an authorization
+        identity, which names the client. The SCRAM library supports none, so with SCRAM the relay logs in as
+        itself, and the resource names the client.
         """
         mechanisms = {element.text for element in features.iter(f"{{{SASL_NS}}}mechanism")}
         if PLAIN_MECHANISM in mechanisms and self._session.channel.is_encrypted:
@@ -125,8 +128,8 @@
         return f"{self._bind_request.account.name}/{self._bind_request.resource}"
 
     async def _log_in_plain(self) -> None:
-        acts_for = f"{self._bind_request.account.name}@{self._options.domain}"
-        credentials = f"{acts_for}\0{self._options.username}\0{self._options.password}"
+        authorization_id = f"{self._bind_request.account.name}@{self._options.domain}"
+        credentials = f"{authorization_id}\0{self._options.username}\0{self._options.password}"
         await self._send_auth(PLAIN_MECHANISM, credentials)
         if (await self._read_stanza()).tag != f"{{{SASL_NS}}}success":
             raise EndpointLoginRejectedError(CloseReason.ERROR)
--- a/sageturn/frontends/xmpp/errors.py
+++ b/sageturn/frontends/xmpp/errors.py
@@ -1,4 +1,4 @@
-"""Errors of XMPP streams (RFC 6120, 4.9.3): raised, encoded, and mapped from an endpoint's."""
+"""Errors of XMPP streams (RFC 6120, 4.9.3): exceptions, encoders, and close reasons for endpoints' errors."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class StreamError(FrontendError):
-    """A stream cannot go on; ``condition`` is the defined condition that says why."""
+    """Error that ends a stream; ``condition`` is the defined condition for the peer."""
 
     def __init__(self, condition: StreamCondition, text: str = "") -> None:
         super().__init__(f"{condition}: {text}" if text else condition)
@@ -22,7 +22,7 @@
 
 
 class SaslError(FrontendError):
-    """A login attempt failed; ``condition`` is the defined condition that says why."""
+    """Failure of a client's login attempt; ``condition`` is the defined condition for the client."""
 
     def __init__(self, condition: SaslCondition) -> None:
         super().__init__(condition)
@@ -30,30 +30,30 @@
 
 
 class EndpointLoginRejectedError(FrontendError):
-    """The endpoint did not accept the session; ``close_reason`` is the attempt's for the core."""
+    """Failure to establish a session at an endpoint; ``close_reason`` is the result of the attempt."""
 
     def __init__(self, close_reason: CloseReason) -> None:
         super().__init__(close_reason.name)
         self.close_reason = close_reason
 
 
-def encode_stream_error(condition: str, text: str = "", extra: str = "") -> bytes:
-    """Encode a stream error; ``extra`` is an element of an application's own namespace."""
-    described = f"<text xmlns='{STREAM_ERRORS_NS}' xml:lang='en'>{escape(text)}</text>" if text else ""
-    error = f"<{condition} xmlns='{STREAM_ERRORS_NS}'/>{described}{extra}"
+def encode_stream_error(condition: str, text: str = "", application_element: str = "") -> bytes:
+    """Encode a stream error; ``application_element`` is an encoded element of the relay's own namespace."""
+    text_element = f"<text xmlns='{STREAM_ERRORS_NS}' xml:lang='en'>{escape(text)}</text>" if text else ""
+    error = f"<{condition} xmlns='{STREAM_ERRORS_NS}'/>{text_element}{application_element}"
     return f"<stream:error>{error}</stream:error>".encode()
 
 
 def encode_final_response(response: FinalResponse) -> bytes:
     """Encode the stream error that ends a request.
 
-    Its condition tells the client whether it was rejected, and may retry, or its request has failed.
+    Its condition says whether the request was rejected, so that the client may retry it, or has failed.
     """
-    retry = _encode_retry_after(response.retry_after_ms)
+    retry_element = _encode_retry_after(response.retry_after_ms)
     if response.rejected and response.reason == ResponseReason.SHUTDOWN:
-        return encode_stream_error(StreamCondition.SYSTEM_SHUTDOWN, "come again", retry)
+        return encode_stream_error(StreamCondition.SYSTEM_SHUTDOWN, "come again", retry_element)
     if response.rejected:
-        return encode_stream_error(StreamCondition.RESOURCE_CONSTRAINT, "come again later", retry)
+        return encode_stream_error(StreamCondition.RESOURCE_CONSTRAINT, "come again later", retry_element)
     if response.reason == ResponseReason.CLIENT_FAULT:
         return encode_stream_error(StreamCondition.POLICY_VIOLATION, response.reason)
     if response.reason == ResponseReason.INTERNAL:
@@ -68,12 +68,12 @@
 
 
 def encode_move() -> bytes:
-    """Encode the stream error that asks a client to reconnect at once, as its session is migrated."""
+    """Encode the stream error that asks a client to reconnect at once, because its session is migrated."""
     return encode_stream_error(StreamCondition.RESET, "come again", f"<move xmlns='{RELAY_NS}'/>")
 
 
 def stream_error_condition(element: Element) -> str:
-    """Return the defined condition of a stream error that was received."""
+    """Return the defined condition of a received stream error; ``undefined-condition`` if it has none."""
     for child in element:
         namespace, _, name = child.tag[1:].rpartition("}")
         if namespace == STREAM_ERRORS_NS and name != "text":
@@ -81,7 +81,7 @@
     return StreamCondition.UNDEFINED_CONDITION
 
 
-# The close reason by the condition of an endpoint's stream error; a session is established by the bind.
+# Close reasons by the condition of an endpoint's stream error. The bind establishes the session.
 CLOSE_REASONS_BEFORE_BIND: dict[str, CloseReason] = {
     StreamCondition.RESOURCE_CONSTRAINT: CloseReason.BUSY,
     StreamCondition.SYSTEM_SHUTDOWN: CloseReason.BUSY,
--- a/sageturn/frontends/xmpp/frontend.py
+++ b/sageturn/frontends/xmpp/frontend.py
@@ -1,4 +1,4 @@
-"""Logs in each XMPP client that connects, and hands its bind request to the core."""
+"""Authenticates each XMPP client that connects, and hands its bind request to the core."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 log = logging.getLogger(__name__)
 
-HEADER_TIMEOUT_S = 2.0  # from a client's acceptance until its first stream header is complete
+HEADER_TIMEOUT_S = 2.0  # limit from accepting a client until its first stream header is complete
 REJECTION = (
     b"<?xml version='1.0'?>"
     + f"<stream:stream xmlns='{CLIENT_NS}' xmlns:stream='{STREAMS_NS}' version='1.0'>".encode()
@@ -33,18 +33,18 @@
 
 
 class XmppFrontend:
-    """Serves clients that speak XMPP."""
+    """Frontend for clients that speak XMPP."""
 
     rejection = REJECTION
 
     def __init__(self, context: RelayContext, options: XmppOptions, accounts: Accounts) -> None:
         self._context = context
         self._accounts = accounts
-        # Replaced at a reload; clients that are served already keep the old options.
+        # A reload replaces the options; clients that are already being served keep the old ones.
         self.options = options
 
     async def serve(self, sock: socket.socket, pending: PendingConnection) -> None:
-        """Serve one client until its connection has ended. The listener calls it, and closes ``sock``."""
+        """Serve one client until its connection has closed. The listener calls this, and closes ``sock``."""
         options = self.options
         session = XmppSession(Channel(sock))
         error = StreamError(StreamCondition.CONNECTION_TIMEOUT)
@@ -82,6 +82,6 @@
             async with asyncio.timeout(LINGER_S):
                 await session.close_with_error(error, domain)
             if pending.evicted:
-                send_and_close(sock, b"")  # waits for nothing: another connection needs the descriptor
+                send_and_close(sock, b"")  # does not wait: another connection needs the descriptor
             else:
                 await close_gracefully(sock)
--- a/sageturn/frontends/xmpp/namespaces.py
+++ b/sageturn/frontends/xmpp/namespaces.py
@@ -1,4 +1,4 @@
-"""The XML namespaces of XMPP streams, and the relay's own."""
+"""XML namespaces of XMPP streams, and the relay's own namespace."""
 
 from __future__ import annotations
 
--- a/sageturn/frontends/xmpp/protocol.py
+++ b/sageturn/frontends/xmpp/protocol.py
@@ -1,4 +1,4 @@
-"""Words of the XMPP protocol (RFC 6120) that the relay sends or compares."""
+"""Names of mechanisms, conditions and types of XMPP (RFC 6120) that the relay sends or compares."""
 
 from __future__ import annotations
 
--- a/sageturn/frontends/xmpp/relaying.py
+++ b/sageturn/frontends/xmpp/relaying.py
@@ -1,4 +1,4 @@
-"""Relays an established session: forwards stanzas both ways, and closes both streams when either ends."""
+"""Relays an established session: forwards stanzas both ways, and closes both streams when either closes."""
 
 from __future__ import annotations
 
@@ -25,25 +25,25 @@
 from sageturn.frontends.xmpp.stream_parser import Stanza, StreamClosed
 from sageturn.net.closing import close_gracefully, close_with_reset
 
-STANZA_BOUNDARY_TIMEOUT_S = 0.7  # for an incomplete stanza from the endpoint, before a migration
-STANZA_BOUNDARY_POLL_S = 0.01
-MIN_LOCK_TIMEOUT_S = 0.05
-CLOSE_TIMEOUT_S = 0.5  # for reading the other side after one side has ended, and for closing both streams
+STANZA_BOUNDARY_TIMEOUT_S = 0.7  # limit before a migration for the endpoint to complete a stanza
+STANZA_BOUNDARY_POLL_INTERVAL_S = 0.01
+MIN_WRITE_LOCK_TIMEOUT_S = 0.05
+CLOSE_TIMEOUT_S = 0.5  # limit for reading one side after the other has closed, and for closing both streams
 
 
 @dataclass(frozen=True, slots=True)
 class StreamEnd:
-    """Why one direction has ended, and the stream error that the client is to be sent, if any."""
+    """Reason for which forwarding has ended, and the encoded stream error to send to the client, if any."""
 
     close_reason: CloseReason
     error: bytes = b""
 
 
-Forwarding = asyncio.Task[StreamEnd]
+ForwardingTask = asyncio.Task[StreamEnd]
 
 
 class StanzaRelay:
-    """Forwards stanzas both ways between a client and its endpoint, and migrates the client."""
+    """Relay of stanzas between a client and its endpoint, which can migrate the client."""
 
     def __init__(
         self,
@@ -56,11 +56,11 @@
         """Prepare to relay between two established sessions.
 
         Args:
-            client: the client's session; closed by ``run``, like the endpoint's.
-            endpoint: the endpoint's session.
-            lifecycle: of the request; is given load values and totals.
-            idle_timeout: of the endpoint.
-            early_stanzas: were received from the client before, and are forwarded first.
+            client: the client's session, which ``run`` closes.
+            endpoint: the endpoint's session, which ``run`` closes.
+            lifecycle: the request's lifecycle, to which load values and totals are reported.
+            idle_timeout: the idle timeout of the endpoint.
+            early_stanzas: the stanzas that were received from the client before, which are forwarded first.
         """
         self._client = client
         self._endpoint = endpoint
@@ -70,7 +70,7 @@
         self._client_write_lock = asyncio.Lock()
 
     async def run(self, stop: asyncio.Event) -> CloseReason:
-        """Forward until either side ends or ``stop`` is set, and close both sessions.
+        """Forward until either side closes, ``stop`` is set or the endpoint times out; close both sessions.
 
         Returns why the session was closed.
         """
@@ -81,7 +81,7 @@
         try:
             await asyncio.wait((downstream, upstream, stopping, idle), return_when=asyncio.FIRST_COMPLETED)
             migration_reason = CloseReason.MOVED if stopping.done() else CloseReason.MUTE
-            end = await self._end(downstream, upstream, migration_reason)
+            end = await self._finish_forwarding(downstream, upstream, migration_reason)
         finally:
             for task in (downstream, upstream, stopping, idle):
                 await cancel_and_wait(task)
@@ -89,8 +89,8 @@
         await self._close(end)
         return end.close_reason
 
-    async def _end(
-        self, downstream: Forwarding, upstream: Forwarding, migration_reason: CloseReason
+    async def _finish_forwarding(
+        self, downstream: ForwardingTask, upstream: ForwardingTask, migration_reason: CloseReason
     ) -> StreamEnd:
         if downstream.done():
             return downstream.result()
@@ -101,7 +101,7 @@
                 await asyncio.wait((downstream,), timeout=CLOSE_TIMEOUT_S)
             return end
         if not await self._reach_stanza_boundary(downstream):
-            # A stanza has been written in part: nothing can follow it.
+            # A stanza has been written in part, so no stream error can follow it.
             close_with_reset(self._client.channel.sock)
         return StreamEnd(migration_reason, encode_move())
 
@@ -111,15 +111,15 @@
         record.bytes_to_client = self._client.sent_bytes
         record.endpoint_idle_s = asyncio.get_running_loop().time() - self._idle_timeout.last_endpoint_data_s
 
-    async def _reach_stanza_boundary(self, downstream: Forwarding) -> bool:
-        """Wait until no stanza is written in part to the client; returns False if one still is."""
+    async def _reach_stanza_boundary(self, downstream: ForwardingTask) -> bool:
+        """Wait until no stanza is written in part to the client; return False at the deadline."""
         loop = asyncio.get_running_loop()
         deadline_s = loop.time() + STANZA_BOUNDARY_TIMEOUT_S
         while self._endpoint.parser.is_mid_stanza and not downstream.done() and loop.time() < deadline_s:
-            await asyncio.sleep(STANZA_BOUNDARY_POLL_S)
-        # The lock is not released: what the endpoint sends from here on is too late for this client.
+            await asyncio.sleep(STANZA_BOUNDARY_POLL_INTERVAL_S)
+        # The lock is not released, so that no further stanza of the endpoint is forwarded.
         with suppress(TimeoutError):
-            async with asyncio.timeout(max(MIN_LOCK_TIMEOUT_S, deadline_s - loop.time())):
+            async with asyncio.timeout(max(MIN_WRITE_LOCK_TIMEOUT_S, deadline_s - loop.time())):
                 return await self._client_write_lock.acquire()
         return False
 
@@ -203,6 +203,6 @@
 
 
 def _requires_response(stanza: Stanza) -> bool:
-    """Return whether the endpoint must respond: only to an info/query request."""
+    """Return whether the endpoint must respond to ``stanza``, which holds only for info/query requests."""
     element = stanza.element
     return element.tag.endswith("}iq") and element.get("type") in (IqType.GET, IqType.SET)
--- a/sageturn/frontends/xmpp/session.py
+++ b/sageturn/frontends/xmpp/session.py
@@ -1,4 +1,4 @@
-"""An XMPP stream on a channel, in either role: to a client or to an endpoint."""
+"""Sends and receives XMPP streams, both with clients and with endpoints."""
 
 from __future__ import annotations
 
@@ -19,25 +19,26 @@
 )
 
 STREAM_CLOSE = b"</stream:stream>"
-STREAM_ID_BYTES = 8  # random, sent in hexadecimal
-MAX_READ_AVAILABLE_BYTES = 65536  # a peer that floods the relay must not hold up the others
+STREAM_ID_BYTES = 8  # random bytes, sent in hexadecimal
+MAX_READ_AVAILABLE_BYTES = 65536  # a peer that floods the relay must not delay the others
 
 
 class XmppSession:
-    """Sends and receives one connection's stream, which is restarted after TLS and SASL."""
+    """XMPP stream of one connection, which is restarted after TLS and SASL."""
 
     def __init__(self, channel: Channel) -> None:
         self.channel = channel
         self.parser = StreamParser()
         self.sent_bytes = 0
         self._received_bytes = 0
-        self._header_sent = False  # on the current stream
+        self._header_sent = False  # True once the current stream's header is sent
 
     def restart(self, channel: Channel | None = None) -> None:
         """Begin a new stream on the same connection, after TLS on a new ``channel``.
 
         Raises:
-            StreamError: stanzas were sent before the restart. Without TLS, others could have inserted them.
+            StreamError: the peer sent stanzas before the restart. Before TLS, a third party could have
+                injected them.
         """
         if self.parser.events or self.parser.is_mid_stanza:
             raise StreamError(StreamCondition.POLICY_VIOLATION, "sent before the stream was restarted")
@@ -47,7 +48,7 @@
         self._header_sent = False
 
     async def next_event(self) -> StreamEvent | None:
-        """Wait for the next event; None if the connection ended without the stream's close.
+        """Wait for the next event and return it; None if the peer closed the connection but not the stream.
 
         Raises:
             StreamError: the stream is invalid.
@@ -62,9 +63,9 @@
         return self.parser.events.popleft()
 
     def read_available(self) -> bool:
-        """Parse the bytes that lie unread without waiting, ``MAX_READ_AVAILABLE_BYTES`` at most.
+        """Parse the bytes that have arrived, about ``MAX_READ_AVAILABLE_BYTES`` at most, without waiting.
 
-        Returns whether the connection ended. Raises as ``next_event`` does.
+        Returns True if the peer has closed the connection. Raises the same errors as ``next_event``.
         """
         limit = self._received_bytes + MAX_READ_AVAILABLE_BYTES
         while self._received_bytes < limit and (data := self.channel.receive_available()) is not None:
@@ -75,30 +76,32 @@
         return False
 
     async def expect_header(self) -> StreamOpened:
-        """Return the peer's stream header; raises StreamError, or ConnectionResetError at an end."""
+        """Return the peer's stream header; raise StreamError, or ConnectionResetError if the peer closed."""
         event = await self.next_event()
         if event is None:
-            raise ConnectionResetError("ended before the stream opened")
+            raise ConnectionResetError("peer closed the connection before its stream header")
         if not isinstance(event, StreamOpened):
             raise StreamError(StreamCondition.BAD_FORMAT)
         return event
 
     async def expect_stanza(self) -> Stanza:
-        """Return the next stanza; raises StreamError, or ConnectionResetError at an end."""
+        """Return the next stanza; raise StreamError, or ConnectionResetError if the peer closed."""
         event = await self.next_event()
         if event is None or isinstance(event, StreamClosed):
-            raise ConnectionResetError("ended before the session was established")
+            raise ConnectionResetError(
+                "peer closed the connection or stream before the session was established"
+            )
         if not isinstance(event, Stanza):
             raise StreamError(StreamCondition.BAD_FORMAT)
         return event
 
     async def send(self, data: bytes) -> None:
-        """Send ``data``, which is part of the stream; raises OSError if the connection fails."""
+        """Send ``data`` as part of the stream; raise OSError if the connection fails."""
         self.sent_bytes += len(data)
         await self.channel.send(data)
 
     async def send_header(self, **attributes: str) -> None:
-        """Open the relay's side of the stream."""
+        """Open the relay's side of the stream, by a header with ``attributes``."""
         encoded = "".join(f" {name}={quoteattr(value)}" for name, value in attributes.items())
         header = f"<stream:stream xmlns='{CLIENT_NS}' xmlns:stream='{STREAMS_NS}' version='1.0'{encoded}>"
         self._header_sent = True
--- a/sageturn/frontends/xmpp/stream_parser.py
+++ b/sageturn/frontends/xmpp/stream_parser.py
@@ -18,14 +18,14 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamOpened:
-    """The peer's stream header."""
+    """Event of the peer's stream header."""
 
     attributes: dict[str, str] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
 class Stanza:
-    """A complete element of the stream: its bytes and its parsed form."""
+    """Event of a complete element of the stream, with its bytes and its parsed form."""
 
     raw: bytes
     element: Element
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamClosed:
-    """The peer's ``</stream:stream>``."""
+    """Event of the peer's ``</stream:stream>``."""
 
 
 StreamEvent = StreamOpened | Stanza | StreamClosed
@@ -46,13 +46,13 @@
 
 
 class StreamParser:
-    """Parses one stream. A stream that restarts after TLS or SASL needs a new parser."""
+    """Parser of one stream. A stream that restarts after TLS or SASL needs a new parser."""
 
     def __init__(self) -> None:
         parser = expat.ParserCreate("UTF-8", " ")
         set_reparse_deferral = getattr(parser, "SetReparseDeferralEnabled", None)
         if set_reparse_deferral is not None:
-            set_reparse_deferral(False)  # a stanza in small pieces would be delayed
+            set_reparse_deferral(False)  # deferral would delay a stanza that arrives in small pieces
         parser.buffer_text = True
         parser.StartElementHandler = self._on_start
         parser.EndElementHandler = self._on_end
@@ -65,41 +65,41 @@
         parser.CommentHandler = self._on_forbidden
         self._parser = parser
         self._depth = 0
-        # Offsets count from the start of the stream. ``_unconsumed`` holds its bytes from ``_start`` on,
-        # which belong to a stanza that is not yet complete.
+        # Offsets count from the start of the stream. ``_unconsumed`` holds its bytes from the offset
+        # ``_unconsumed_start`` on, which belong to a stanza that is not yet complete.
         self._unconsumed = bytearray()
-        self._start = 0
-        self._received = 0
+        self._unconsumed_start = 0
+        self._received_bytes = 0
         self._stanza_start = 0
-        self._is_empty_element = False  # nothing has come since the last start tag
+        self._is_empty_element = False  # True if nothing has followed the last start tag
         self._builder = TreeBuilder()
         self.events: deque[StreamEvent] = deque()
 
     @property
     def is_mid_stanza(self) -> bool:
-        """Whether a stanza has begun that is not yet complete."""
+        """True if a stanza has begun that is not yet complete."""
         return self._depth > 1
 
     def feed(self, data: bytes | memoryview) -> None:
-        """Parse received bytes and append to ``events``; raises StreamError if the stream is invalid."""
+        """Parse received bytes and append to ``events``; raise StreamError if the stream is invalid."""
         self._unconsumed += data
-        self._received += len(data)
+        self._received_bytes += len(data)
         try:
             self._parser.Parse(bytes(data), False)
         except expat.ExpatError as error:
             if error.code == expat.errors.codes[expat.errors.XML_ERROR_UNBOUND_PREFIX]:
                 raise StreamError(StreamCondition.BAD_NAMESPACE_PREFIX) from error
             raise StreamError(StreamCondition.NOT_WELL_FORMED, expat.ErrorString(error.code)) from error
-        if self._depth <= 1 and (self._depth or self._received <= MAX_HEADER_BYTES):
-            # Between stanzas only an incomplete tag is needed again.
+        if self._depth <= 1 and (self._depth or self._received_bytes <= MAX_HEADER_BYTES):
+            # Between stanzas, only the bytes of an incomplete tag must be retained.
             self._discard(self._parser.CurrentByteIndex if self._depth else 0)
         if len(self._unconsumed) > (MAX_STANZA_BYTES if self._depth else MAX_HEADER_BYTES):
             raise StreamError(StreamCondition.POLICY_VIOLATION, "too large")
 
     def _discard(self, offset: int) -> None:
-        if offset > self._start:
-            del self._unconsumed[: offset - self._start]
-            self._start = offset
+        if offset > self._unconsumed_start:
+            del self._unconsumed[: offset - self._unconsumed_start]
+            self._unconsumed_start = offset
 
     # ------------------------------------------------------------ expat's handlers
 
@@ -111,7 +111,7 @@
             raise StreamError(StreamCondition.UNSUPPORTED_ENCODING)
 
     def _on_namespace(self, prefix: str | None, _uri: str) -> None:
-        # A stanza is forwarded unchanged, so it must not use a prefix that the other stream does not declare.
+        # Stanzas are forwarded unchanged, so they may only use prefixes that the other stream declares too.
         if self._depth == 0 and prefix not in (None, "stream", "xml"):
             raise StreamError(StreamCondition.BAD_NAMESPACE_PREFIX)
 
@@ -142,15 +142,18 @@
         self._is_empty_element = False
 
     def _append_stanza(self) -> None:
-        end = self._find_tag_end(self._parser.CurrentByteIndex - self._start)
-        raw = bytes(self._unconsumed[self._stanza_start - self._start : end])
+        end = self._find_tag_end(self._parser.CurrentByteIndex - self._unconsumed_start)
+        raw = bytes(self._unconsumed[self._stanza_start - self._unconsumed_start : end])
         if len(raw) > MAX_STANZA_BYTES:
             raise StreamError(StreamCondition.POLICY_VIOLATION, "too large")
         self.events.append(Stanza(raw, self._builder.close()))
-        self._discard(self._start + end)
+        self._discard(self._unconsumed_start + end)
 
     def _find_tag_end(self, position: int) -> int:
-        """Return the element's end; expat's position is before an end tag, but after an empty element."""
+        """Return the position in ``_unconsumed`` after the element that has ended.
+
+        ``position`` is expat's: it is before an end tag, but after the tag of an empty element.
+        """
         if self._is_empty_element and self._unconsumed[position - 2 : position] == b"/>":
             return position
         return self._unconsumed.index(b">", position) + 1
