--- a/tests/frontends/test_compatibility_frontends.py
+++ b/tests/frontends/test_compatibility_frontends.py
@@ -1,7 +1,7 @@
-"""What each frontend sends to clients and endpoints stays as revision 6e0cdec sent it, byte for byte.
+"""Each frontend sends to clients and endpoints the same bytes as revision 6e0cdec did.
 
 ``platform.json``, ``xmpp.json`` and ``xmpp-*.transcript`` hold the bytes. A transcript has a line for each
-piece: ``>`` what the relay sent, ``<`` what it was sent.
+write or read: ``>`` marks what the relay sent, ``<`` what it received.
 """
 
 from __future__ import annotations
@@ -50,18 +50,18 @@
 Result = TypeVar("Result")
 
 
-def as_json(recorded: dict[str, bytes]) -> bytes:
-    """Bytes as text of Latin-1, which has one character for each."""
+def encode_recording(recorded: dict[str, bytes]) -> bytes:
+    """Encode bytes as Latin-1 text, which has one character for each byte."""
     lines = {name: data.decode("latin-1") for name, data in recorded.items()}
     return json.dumps(lines, indent=1, sort_keys=True).encode() + b"\n"
 
 
-def from_json(name: str) -> dict[str, bytes]:
+def load_recording(name: str) -> dict[str, bytes]:
     lines = json.loads((FIXTURES / name).read_bytes())
     return {key: text.encode("latin-1") for key, text in lines.items()}
 
 
-ANSWERS = {
+FINAL_RESPONSES = {
     "refused": FinalResponse(rejected=True),
     "refused-with-retry": FinalResponse(rejected=True, retry_after_ms=1234.5),
     "refused-with-short-retry": FinalResponse(rejected=True, retry_after_ms=0.9),
@@ -73,7 +73,7 @@
     "wait": FinalResponse(rejected=False, reason="wait for the answer"),
 }
 
-# ---------------------------------------------------------------- the platform's front
+# ---------------------------------------------------------------- the platform's frontend
 
 FIRST_LINES = {
     "not-open": b"GET / HTTP/1.1\r\n",
@@ -91,8 +91,8 @@
     "too-long": b"x" * 4096,
     "ping-then-bad": b"PING\r\n",
 }
-OPEN = b"OPEN id-1 key-1 c=c,t=t,d=2000,g=x9,extra=y\r\n"
-ENDPOINTS: dict[str, bytes] = {
+OPEN_LINE = b"OPEN id-1 key-1 c=c,t=t,d=2000,g=x9,extra=y\r\n"
+ENDPOINT_OUTPUTS: dict[str, bytes] = {
     "up-and-bye": b"UP r1 host\r\nM 1 abc\r\nLOAD 2.5\r\nBYE\r\n",
     "up-and-move": b"UP r1\r\nMOVE\r\n",
     "up-and-end": b"UP r1\r\nhalf a li",
@@ -108,7 +108,7 @@
 
 
 async def exchange_lines(address: tuple[str, int], *lines: bytes) -> bytes:
-    """Sends lines, each after a response to the one before. Returns all that is received."""
+    """Send ``lines``, each after a response to the one before, and return all that is received."""
     reader, writer = await send_request(address, lines[0])
     received = b""
     for line in lines[1:]:
@@ -119,56 +119,56 @@
     return received
 
 
-async def record_bytes_sent_by(answering: Callable[[socket.socket], Awaitable[None]]) -> bytes:
-    near, far = socket.socketpair()
-    near.setblocking(False)
-    with far:
-        task = asyncio.ensure_future(answering(near))
-        reader, writer = await asyncio.open_connection(sock=far)
+async def record_bytes_sent_by(send_response: Callable[[socket.socket], Awaitable[None]]) -> bytes:
+    relay_socket, client_socket = socket.socketpair()
+    relay_socket.setblocking(False)
+    with client_socket:
+        task = asyncio.ensure_future(send_response(relay_socket))
+        reader, writer = await asyncio.open_connection(sock=client_socket)
         received = await reader.read()
         writer.close()
         await task
         return received
 
 
-async def platform_answers(folder: Path) -> dict[str, bytes]:
+async def record_platform_answers(folder: Path) -> dict[str, bytes]:
     answers = {"turned-away": platform_frontend.PlatformFrontend.rejection}
-    for name, answer in ANSWERS.items():
+    for name, answer in FINAL_RESPONSES.items():
         answers[f"answer.{name}"] = await record_bytes_sent_by(partial(send_final_response, response=answer))
     async with running_relay(folder, never_respond) as (relay, _):
         address = relay.listener.address
         for name, line in FIRST_LINES.items():
-            more = (b"nonsense\r\n",) if line == b"PING\r\n" else ()
-            answers[f"first-line.{name}"] = await exchange_lines(address, line, *more)
+            next_lines = (b"nonsense\r\n",) if line == b"PING\r\n" else ()
+            answers[f"first-line.{name}"] = await exchange_lines(address, line, *next_lines)
         answers["first-line.late"] = await let_request_line_time_out(address)
     return answers
 
 
 class Exchange(NamedTuple):
-    """The data that the client received, and the request line that the endpoint received without its wait."""
+    """Data that the client received, and the request line that the endpoint received, with ``d`` masked."""
 
     received: bytes
     forwarded: bytes
 
 
-async def platform_exchange(folder: Path, script: EndpointScript) -> Exchange:
+async def record_platform_exchange(folder: Path, script: EndpointScript) -> Exchange:
     async with running_relay(folder, script) as (relay, (endpoint,)):
-        received = await exchange_lines(relay.listener.address, OPEN)
+        received = await exchange_lines(relay.listener.address, OPEN_LINE)
         before, _, rest = endpoint.request_lines[0].partition(b"d=")
         digits, comma, after = rest.partition(b",")
         assert digits.isdigit() and 0 < int(digits) <= 2000
         return Exchange(received, before + b"d=#" + comma + after)
 
 
-async def platform_move(folder: Path) -> bytes:
-    """Returns what an established client receives as the relay asks it to reconnect."""
+async def record_platform_move(folder: Path) -> bytes:
+    """Return what an established client receives when the relay migrates it."""
 
     async def stay_open(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes) -> None:
         writer.write(b"UP r1\r\n")
         await reader.read()
 
     async with running_relay(folder, stay_open) as (relay, _):
-        reader, writer = await send_request(relay.listener.address, OPEN)
+        reader, writer = await send_request(relay.listener.address, OPEN_LINE)
         received = await reader.readline()
         (lifecycle,) = relay.request_registry
         relay.balancer_actor.migrate_connection(lifecycle.id)
@@ -180,125 +180,129 @@
 async def send_duplicate_id_and_early_input(folder: Path) -> dict[str, bytes]:
     async with running_relay(folder, never_respond) as (relay, _):
         address = relay.listener.address
-        reader, writer = await send_request(address, OPEN)
+        reader, writer = await send_request(address, OPEN_LINE)
         while not len(relay.request_registry):
             await asyncio.sleep(0)
-        same_id = await exchange_lines(address, OPEN)
+        duplicate_id_response = await exchange_lines(address, OPEN_LINE)
         writer.write(b"M" * 5000)
-        hasty = await reader.read()
+        early_input_response = await reader.read()
         writer.close()
-        return {"first-line.id-in-use": same_id, "exchange.spoke-before-the-answer": hasty}
+        return {
+            "first-line.id-in-use": duplicate_id_response,
+            "exchange.spoke-before-the-answer": early_input_response,
+        }
 
 
 async def run_in_new_folder(scenario: Callable[..., Awaitable[Result]], *arguments: object) -> Result:
-    """Runs ``scenario`` in a new folder. Returns its result."""
+    """Run ``scenario`` in a new folder, and return its result."""
     with tempfile.TemporaryDirectory() as folder:
         return await scenario(Path(folder), *arguments)
 
 
-async def make_platform() -> dict[str, bytes]:
-    recorded = await run_in_new_folder(platform_answers) | await run_in_new_folder(
+async def record_platform() -> dict[str, bytes]:
+    recorded = await run_in_new_folder(record_platform_answers) | await run_in_new_folder(
         send_duplicate_id_and_early_input
     )
-    for name, text in ENDPOINTS.items():
-        exchange = await run_in_new_folder(platform_exchange, respond_with(text))
+    for name, text in ENDPOINT_OUTPUTS.items():
+        exchange = await run_in_new_folder(record_platform_exchange, respond_with(text))
         recorded[f"exchange.{name}"] = exchange.received
         recorded[f"forwarded.{name}"] = exchange.forwarded
-    recorded["exchange.moved"] = await run_in_new_folder(platform_move)
+    recorded["exchange.moved"] = await run_in_new_folder(record_platform_move)
     return recorded
 
 
-# ---------------------------------------------------------------- XMPP: single answers
+# ---------------------------------------------------------------- XMPP: single responses
 
-FAULTS = [
+STREAM_ERRORS = [
     ("connection-timeout", ""),
     ("policy-violation", "too <large> & \"odd\" 'ế'"),
     ("not-well-formed", "mismatched tag"),
 ]
-HEADER = (
+CLIENT_HEADER = (
     b"<?xml version='1.0'?><stream:stream xmlns='jabber:client' "
     b"xmlns:stream='http://etherx.jabber.org/streams' version='1.0' to='guides.example'>"
 )
 BAD_STREAMS = {
-    "not-well-formed": HEADER + b"<a></b>",
-    "unbound-prefix": HEADER + b"<x:a/>",
-    "foreign-prefix": HEADER.replace(b" to=", b" xmlns:q='urn:q' to="),
+    "not-well-formed": CLIENT_HEADER + b"<a></b>",
+    "unbound-prefix": CLIENT_HEADER + b"<x:a/>",
+    "foreign-prefix": CLIENT_HEADER.replace(b" to=", b" xmlns:q='urn:q' to="),
     "wrong-namespace": b"<stream xmlns='urn:other'>",
-    "comment": HEADER + b"<!-- c -->",
-    "doctype": b"<!DOCTYPE a>" + HEADER,
-    "instruction": HEADER + b"<?pi x?>",
+    "comment": CLIENT_HEADER + b"<!-- c -->",
+    "doctype": b"<!DOCTYPE a>" + CLIENT_HEADER,
+    "instruction": CLIENT_HEADER + b"<?pi x?>",
     "encoding": b"<?xml version='1.0' encoding='ISO-8859-1'?>",
-    "text-between": HEADER + b"words",
-    "deep": HEADER + b"<a>" * 70,
-    "large": HEADER + b"<a>" + b"x" * 70000,
+    "text-between": CLIENT_HEADER + b"words",
+    "deep": CLIENT_HEADER + b"<a>" * 70,
+    "large": CLIENT_HEADER + b"<a>" + b"x" * 70000,
     "large-header": b"<stream:stream a='" + b"x" * 5000,
 }
 
 
-def stream_error_of(stream: bytes) -> bytes:
-    """Returns the stream error by which a client's stream is answered."""
+def encode_error_of_stream(stream: bytes) -> bytes:
+    """Return the stream error with which the relay answers an invalid stream."""
     parser = StreamParser()
     try:
         parser.feed(stream)
-    except StreamError as fault:
-        return encode_stream_error(fault.condition, fault.text)
-    raise AssertionError("it was accepted")
+    except StreamError as error:
+        return encode_stream_error(error.condition, error.text)
+    raise AssertionError("the stream was accepted")
 
 
-def stanzas_of(stream: bytes) -> list[bytes]:
+def parse_stanzas(stream: bytes) -> list[bytes]:
     parser = StreamParser()
     for position in range(len(stream)):
         parser.feed(stream[position : position + 1])
-    return [piece.raw for piece in parser.events if hasattr(piece, "raw")]
+    return [event.raw for event in parser.events if hasattr(event, "raw")]
 
 
-def bound_result(sock: Any, iq_id: str, jid: str) -> Awaitable[None]:
+def send_encoded_bind_result(sock: Any, iq_id: str, jid: str) -> Awaitable[None]:
     return XmppSession(sock).send(encode_bind_result(iq_id, jid))
 
 
-async def make_xmpp() -> dict[str, bytes]:
+async def record_xmpp() -> dict[str, bytes]:
     recorded = {"turned-away": REJECTION, "move": encode_move()}
-    recorded |= {f"answer.{name}": encode_final_response(answer) for name, answer in ANSWERS.items()}
-    recorded |= {f"fault.{number}": encode_stream_error(*fault) for number, fault in enumerate(FAULTS)}
-    recorded |= {f"stream.{name}": stream_error_of(stream) for name, stream in BAD_STREAMS.items()}
+    recorded |= {f"answer.{name}": encode_final_response(answer) for name, answer in FINAL_RESPONSES.items()}
+    recorded |= {f"fault.{number}": encode_stream_error(*error) for number, error in enumerate(STREAM_ERRORS)}
+    recorded |= {f"stream.{name}": encode_error_of_stream(stream) for name, stream in BAD_STREAMS.items()}
     channel = ScriptedChannel()
-    await bound_result(channel, "b<1>'", "lan@guides.example/a&b")
+    await send_encoded_bind_result(channel, "b<1>'", "lan@guides.example/a&b")
     recorded["bound"] = channel.sent()
     return recorded
 
 
 # ---------------------------------------------------------------- XMPP: conversations
 
-SASL = b"xmlns='urn:ietf:params:xml:ns:xmpp-sasl'"
-SERVER_HEADER = HEADER.replace(b" to=", b" from=")
+SASL_XMLNS = b"xmlns='urn:ietf:params:xml:ns:xmpp-sasl'"
+SERVER_HEADER = CLIENT_HEADER.replace(b" to=", b" from=")
 ACCOUNT_PASSWORD = "pw"
 SALT = bytes(range(16))
-Line = bytes | Callable[[bytes], bytes]  # sent to the relay; made from what it sent last where necessary
+# Data sent to the relay, or a function that makes it from the data that the relay has just sent.
+ScriptedLine = bytes | Callable[[bytes], bytes]
 
 
 class ScriptedChannel:
-    """Stands in for a socket: hands out the peer's lines in turn, and records both directions."""
+    """Channel without a socket: returns the peer's lines in turn, and records both directions."""
 
-    def __init__(self, *lines: Line, secure: bool = False) -> None:
+    def __init__(self, *lines: ScriptedLine, secure: bool = False) -> None:
         self.is_encrypted, self.sock = secure, None
-        self._lines, self._last = list(lines), b""
-        self.pieces: list[tuple[bytes, bytes]] = []
+        self._lines, self._last_sent = list(lines), b""
+        self.transfers: list[tuple[bytes, bytes]] = []
 
     async def receive(self) -> bytes:
         if not self._lines:
             return b""
         line = self._lines.pop(0)
-        data = line if isinstance(line, bytes) else line(self._last)
-        self.pieces.append((b"<", data))
-        self._last = b""
+        data = line if isinstance(line, bytes) else line(self._last_sent)
+        self.transfers.append((b"<", data))
+        self._last_sent = b""
         return data
 
     def receive_available(self) -> bytes | None:
         return None
 
     async def send(self, data: bytes) -> None:
-        self._last += data
-        self.pieces.append((b">", data))
+        self._last_sent += data
+        self.transfers.append((b">", data))
 
     async def send_close(self) -> None:
         pass
@@ -307,23 +311,25 @@
         self.is_encrypted = True
 
     def sent(self) -> bytes:
-        return b"".join(data for direction, data in self.pieces if direction == b">")
+        return b"".join(data for direction, data in self.transfers if direction == b">")
 
     def transcript(self) -> bytes:
-        return b"".join(direction + b" " + data + b"\n" for direction, data in self.pieces)
+        return b"".join(direction + b" " + data + b"\n" for direction, data in self.transfers)
 
 
-def account_record() -> JsonObject:
-    made = ScramMechanism("SCRAM-SHA-256").make_auth_info(ACCOUNT_PASSWORD, iteration_count=4096, salt=SALT)
-    salt, stored, endpoint, count = made
+def make_fixed_account_record() -> JsonObject:
+    auth_info = ScramMechanism("SCRAM-SHA-256").make_auth_info(
+        ACCOUNT_PASSWORD, iteration_count=4096, salt=SALT
+    )
+    salt, stored_key, server_key, iterations = auth_info
     return {
         "class": "c",
         "tenant": "t",
         "group": "",
         "salt": salt.hex(),
-        "stored_key": stored.hex(),
-        "server_key": endpoint.hex(),
-        "iterations": count,
+        "stored_key": stored_key.hex(),
+        "server_key": server_key.hex(),
+        "iterations": iterations,
     }
 
 
@@ -336,38 +342,38 @@
         yield
 
 
-async def accept_client(channel: ScriptedChannel, tls: bool) -> str:
-    """Accepts a client's stream. Returns a summary of its bind request, or the fault that ended it."""
+async def log_in_client(channel: ScriptedChannel, tls: bool) -> str:
+    """Log a client in. Return a summary of its bind request, or the error that ended its stream."""
     endpoint = EndpointOptions("guides.example", "relay", "relay-pw", None)
     context: Any = object() if tls else None
     options = XmppOptions(("127.0.0.1", 0), "guides.example", context, 2000.0, endpoint, 0)
     session = XmppSession(channel)  # type: ignore[arg-type]
-    accounts = Accounts({ACCOUNT_KEY_PREFIX + "lan": account_record()})
+    accounts = Accounts({ACCOUNT_KEY_PREFIX + "lan": make_fixed_account_record()})
     login = client_login.ClientLogin(session, options, accounts)
-    with mock.patch.object(client_login, "TlsChannel", lambda *words, **more: channel):
+    with mock.patch.object(client_login, "TlsChannel", lambda *args, **kwargs: channel):
         try:
             await login.exchange_headers()
             request = await login.run()
             return f"{request.account.name} {request.iq_id} {request.resource}"
-        except StreamError as fault:
-            await session.close_with_error(fault, options.domain)
-            return str(fault)
+        except StreamError as error:
+            await session.close_with_error(error, options.domain)
+            return str(error)
 
 
-async def dial_endpoint(channel: ScriptedChannel, tls: bool) -> str:
-    """Opens the stream to an endpoint. Returns the bound resource, or the name of the close reason."""
+async def log_in_at_endpoint(channel: ScriptedChannel, tls: bool) -> str:
+    """Log in at an endpoint. Return the bound JID, or the name of the close reason."""
     context: Any = object() if tls else None
     options = EndpointOptions("guides.example", "relay", "relay-pw", context)
-    account = Accounts({ACCOUNT_KEY_PREFIX + "lan": account_record()}).find("lan")
+    account = Accounts({ACCOUNT_KEY_PREFIX + "lan": make_fixed_account_record()}).find("lan")
     assert account is not None
     request = client_login.BindRequest(account, "b1", "desk<1>")
     session = XmppSession(channel)  # type: ignore[arg-type]
     login = endpoint_login.EndpointLogin(session, options, request, lambda: None)
-    with mock.patch.object(endpoint_login, "TlsChannel", lambda *words, **more: channel):
+    with mock.patch.object(endpoint_login, "TlsChannel", lambda *args, **kwargs: channel):
         try:
             return await login.run()
-        except EndpointLoginRejectedError as refusal:
-            return refusal.close_reason.name
+        except EndpointLoginRejectedError as rejection:
+            return rejection.close_reason.name
 
 
 def encode_base64(text: str) -> bytes:
@@ -375,110 +381,137 @@
 
 
 def decode_element(data: bytes) -> str:
-    """Returns the text of the last element in ``data``, decoded from base64."""
+    """Return the text of the last element in ``data``, decoded from base64."""
     return base64.b64decode(data.rpartition(b"</")[0].rpartition(b">")[2]).decode()
 
 
 class ScriptedScram:
-    """A client's, and a server's, side of the exchange, with nonces of its own."""
+    """Client's and server's side of a SCRAM exchange, with fixed nonces."""
 
     def __init__(self) -> None:
-        self.client = ScramClient(["SCRAM-SHA-256"], "lan", ACCOUNT_PASSWORD, c_nonce="client-nonce")
+        self._client_side = ScramClient(["SCRAM-SHA-256"], "lan", ACCOUNT_PASSWORD, c_nonce="client-nonce")
         mechanism = ScramMechanism("SCRAM-SHA-256")
-        info = mechanism.make_auth_info("relay-pw", iteration_count=4096, salt=SALT)
-        self.endpoint = mechanism.make_server(lambda name: info, s_nonce="server-nonce")
+        auth_info = mechanism.make_auth_info("relay-pw", iteration_count=4096, salt=SALT)
+        self._server_side = mechanism.make_server(lambda name: auth_info, s_nonce="server-nonce")
 
     def auth(self, _: bytes) -> bytes:
-        first = encode_base64(self.client.get_client_first())
-        return b"<auth %s mechanism='SCRAM-SHA-256'>%s</auth>" % (SASL, first)
+        first = encode_base64(self._client_side.get_client_first())
+        return b"<auth %s mechanism='SCRAM-SHA-256'>%s</auth>" % (SASL_XMLNS, first)
 
     def response(self, element: bytes) -> bytes:
-        self.client.set_server_first(decode_element(element))
-        return b"<response %s>%s</response>" % (SASL, encode_base64(self.client.get_client_final()))
+        self._client_side.set_server_first(decode_element(element))
+        return b"<response %s>%s</response>" % (
+            SASL_XMLNS,
+            encode_base64(self._client_side.get_client_final()),
+        )
 
     def challenge(self, element: bytes) -> bytes:
-        self.endpoint.set_client_first(decode_element(element))
-        return b"<challenge %s>%s</challenge>" % (SASL, encode_base64(self.endpoint.get_server_first()))
+        self._server_side.set_client_first(decode_element(element))
+        return b"<challenge %s>%s</challenge>" % (
+            SASL_XMLNS,
+            encode_base64(self._server_side.get_server_first()),
+        )
 
     def success(self, element: bytes) -> bytes:
-        self.endpoint.set_client_final(decode_element(element))
-        return b"<success %s>%s</success>" % (SASL, encode_base64(self.endpoint.get_server_final()))
+        self._server_side.set_client_final(decode_element(element))
+        return b"<success %s>%s</success>" % (SASL_XMLNS, encode_base64(self._server_side.get_server_final()))
 
 
 STARTTLS = b"<starttls xmlns='urn:ietf:params:xml:ns:xmpp-tls'/>"
-BIND = b"<bind xmlns='urn:ietf:params:xml:ns:xmpp-bind'>%s</bind>"
-BIND_REQUEST = b"<iq type='set' id='b1'>" + BIND % b"<resource>desk</resource>" + b"</iq>"
-BOUND = b"<iq type='result' id='bind'>" + BIND % b"<jid>lan@guides.example/desk</jid>" + b"</iq>"
+BIND_ELEMENT = b"<bind xmlns='urn:ietf:params:xml:ns:xmpp-bind'>%s</bind>"
+BIND_REQUEST = b"<iq type='set' id='b1'>" + BIND_ELEMENT % b"<resource>desk</resource>" + b"</iq>"
+BIND_RESULT = (
+    b"<iq type='result' id='bind'>" + BIND_ELEMENT % b"<jid>lan@guides.example/desk</jid>" + b"</iq>"
+)
 NO_CAPACITY = b"<iq type='error' id='bind'><error type='wait'><resource-constraint/></error></iq>"
 BUSY_STREAM = encode_stream_error("resource-constraint")
 
 
-def plain(text: str) -> bytes:
-    return b"<auth %s mechanism='PLAIN'>%s</auth>" % (SASL, encode_base64(text))
+def encode_plain_auth(text: str) -> bytes:
+    return b"<auth %s mechanism='PLAIN'>%s</auth>" % (SASL_XMLNS, encode_base64(text))
 
 
-def features(content: bytes) -> bytes:
+def encode_features(content: bytes) -> bytes:
     return SERVER_HEADER + b"<stream:features>" + content + b"</stream:features>"
 
 
-def mechanisms(name: bytes) -> bytes:
-    return features(b"<mechanisms %s><mechanism>%s</mechanism></mechanisms>" % (SASL, name))
+def encode_mechanisms(name: bytes) -> bytes:
+    return encode_features(b"<mechanisms %s><mechanism>%s</mechanism></mechanisms>" % (SASL_XMLNS, name))
 
 
-def client_scripts() -> dict[str, tuple[bool, Sequence[Line]]]:
-    """Returns by name whether TLS is required, and what the client sends."""
+def client_scripts() -> dict[str, tuple[bool, Sequence[ScriptedLine]]]:
+    """Return by name whether TLS is required, and what the client sends."""
     scram = ScriptedScram()
     bind_first_scram = ScriptedScram()
-    wrong = plain("\0lan\0wrong")
+    wrong = encode_plain_auth("\0lan\0wrong")
     return {
-        "scram": (False, [HEADER, scram.auth, scram.response, HEADER, BIND_REQUEST]),
-        "plain-over-tls": (True, [HEADER, STARTTLS, HEADER, plain("\0lan\0pw"), HEADER, BIND_REQUEST]),
-        "no-tls": (True, [HEADER, b"<auth/>"]),
-        "wrong-password": (True, [HEADER, STARTTLS, HEADER, wrong, wrong, wrong]),
+        "scram": (False, [CLIENT_HEADER, scram.auth, scram.response, CLIENT_HEADER, BIND_REQUEST]),
+        "plain-over-tls": (
+            True,
+            [
+                CLIENT_HEADER,
+                STARTTLS,
+                CLIENT_HEADER,
+                encode_plain_auth("\0lan\0pw"),
+                CLIENT_HEADER,
+                BIND_REQUEST,
+            ],
+        ),
+        "no-tls": (True, [CLIENT_HEADER, b"<auth/>"]),
+        "wrong-password": (True, [CLIENT_HEADER, STARTTLS, CLIENT_HEADER, wrong, wrong, wrong]),
         "sasl-failures": (
             True,
             [
-                HEADER,
+                CLIENT_HEADER,
                 STARTTLS,
-                HEADER,
-                plain("x"),
-                plain("who@else\0lan\0pw"),
-                plain("\0lan\0pw")[:-12] + b"</auth>",
+                CLIENT_HEADER,
+                encode_plain_auth("x"),
+                encode_plain_auth("who@else\0lan\0pw"),
+                encode_plain_auth("\0lan\0pw")[:-12] + b"</auth>",
             ],
         ),
         "mechanism": (
             False,
-            [HEADER, plain("\0lan\0pw"), b"<auth %s mechanism='X'>*</auth>" % SASL, b"<message/>"],
+            [
+                CLIENT_HEADER,
+                encode_plain_auth("\0lan\0pw"),
+                b"<auth %s mechanism='X'>*</auth>" % SASL_XMLNS,
+                b"<message/>",
+            ],
         ),
-        "host": (False, [HEADER.replace(b"guides.example", b"other.example")]),
-        "version": (False, [HEADER.replace(b"version='1.0' to", b"version='0.9' to")]),
+        "host": (False, [CLIENT_HEADER.replace(b"guides.example", b"other.example")]),
+        "version": (False, [CLIENT_HEADER.replace(b"version='1.0' to", b"version='0.9' to")]),
         "bind-first": (
             False,
-            [HEADER, bind_first_scram.auth, bind_first_scram.response, HEADER, b"<message/>"],
+            [CLIENT_HEADER, bind_first_scram.auth, bind_first_scram.response, CLIENT_HEADER, b"<message/>"],
         ),
     }
 
 
-def endpoint_scripts() -> dict[str, tuple[bool, Sequence[Line]]]:
-    """Returns by name whether TLS is required, and what the endpoint sends."""
+def endpoint_scripts() -> dict[str, tuple[bool, Sequence[ScriptedLine]]]:
+    """Return by name whether TLS is required, and what the endpoint sends."""
     scram = ScriptedScram()
-    sasl, bind = mechanisms(b"SCRAM-SHA-256"), features(BIND % b"")
-    tls = [features(STARTTLS), b"<proceed xmlns='urn:ietf:params:xml:ns:xmpp-tls'/>", mechanisms(b"PLAIN")]
-    success = b"<success %s/>" % SASL
+    sasl, bind = encode_mechanisms(b"SCRAM-SHA-256"), encode_features(BIND_ELEMENT % b"")
+    tls = [
+        encode_features(STARTTLS),
+        b"<proceed xmlns='urn:ietf:params:xml:ns:xmpp-tls'/>",
+        encode_mechanisms(b"PLAIN"),
+    ]
+    success = b"<success %s/>" % SASL_XMLNS
     return {
-        "scram": (False, [sasl, scram.challenge, scram.success, bind, BOUND]),
-        "plain-over-tls": (True, [*tls, success, bind, BOUND]),
+        "scram": (False, [sasl, scram.challenge, scram.success, bind, BIND_RESULT]),
+        "plain-over-tls": (True, [*tls, success, bind, BIND_RESULT]),
         "no-room": (True, [*tls, success, bind, NO_CAPACITY]),
         "busy": (False, [SERVER_HEADER + BUSY_STREAM]),
         "lost-its-tls": (True, [sasl]),
-        "no-mechanism": (False, [mechanisms(b"X")]),
+        "no-mechanism": (False, [encode_mechanisms(b"X")]),
         "garbled": (False, [SERVER_HEADER + b"</wrong>"]),
     }
 
 
-async def converse(name: str, side: str) -> bytes:
+async def run_conversation(name: str, side: str) -> bytes:
     scripts, run = (
-        (client_scripts(), accept_client) if side == "client" else (endpoint_scripts(), dial_endpoint)
+        (client_scripts(), log_in_client) if side == "client" else (endpoint_scripts(), log_in_at_endpoint)
     )
     tls, lines = scripts[name]
     channel = ScriptedChannel(*lines)
@@ -492,52 +525,57 @@
 
 
 async def produced() -> dict[str, bytes]:
-    files = {"platform.json": as_json(await make_platform()), "xmpp.json": as_json(await make_xmpp())}
+    files = {
+        "platform.json": encode_recording(await record_platform()),
+        "xmpp.json": encode_recording(await record_xmpp()),
+    }
     for side, name in CONVERSATIONS:
-        files[f"xmpp-{side}-{name}.transcript"] = await converse(name, side)
+        files[f"xmpp-{side}-{name}.transcript"] = await run_conversation(name, side)
     return files
 
 
 # ---------------------------------------------------------------- tests
 
 
-def recorded_platform(prefix: str) -> dict[str, bytes]:
-    return {key: data for key, data in from_json("platform.json").items() if key.startswith(prefix)}
+def load_platform_recording(prefix: str) -> dict[str, bytes]:
+    return {key: data for key, data in load_recording("platform.json").items() if key.startswith(prefix)}
 
 
 async def test_the_platform_answers_first_lines_and_refusals_as_it_did() -> None:
-    answers = await run_in_new_folder(platform_answers)
-    assert answers == {key: from_json("platform.json")[key] for key in answers}
-    recorded = {*recorded_platform("first-line"), *recorded_platform("answer")} - {"first-line.id-in-use"}
+    answers = await run_in_new_folder(record_platform_answers)
+    assert answers == {key: load_recording("platform.json")[key] for key in answers}
+    recorded = {*load_platform_recording("first-line"), *load_platform_recording("answer")} - {
+        "first-line.id-in-use"
+    }
     assert set(answers) == recorded | {"turned-away"}
 
 
 async def test_an_id_in_use_and_early_input_are_answered_as_they_were() -> None:
     answers = await run_in_new_folder(send_duplicate_id_and_early_input)
-    assert answers == {key: from_json("platform.json")[key] for key in answers}
+    assert answers == {key: load_recording("platform.json")[key] for key in answers}
 
 
-@pytest.mark.parametrize("name", ENDPOINTS)
+@pytest.mark.parametrize("name", ENDPOINT_OUTPUTS)
 async def test_an_endpoints_answer_is_forwarded_as_it_was(name: str) -> None:
-    recorded = from_json("platform.json")
-    exchange = await run_in_new_folder(platform_exchange, respond_with(ENDPOINTS[name]))
+    recorded = load_recording("platform.json")
+    exchange = await run_in_new_folder(record_platform_exchange, respond_with(ENDPOINT_OUTPUTS[name]))
     assert exchange.received == recorded[f"exchange.{name}"]
     assert exchange.forwarded == recorded[f"forwarded.{name}"]
 
 
-async def test_an_established_client_is_asked_to_move_as_it_was() -> None:
-    assert await run_in_new_folder(platform_move) == from_json("platform.json")["exchange.moved"]
+async def test_established_client_is_migrated_with_the_same_bytes() -> None:
+    assert await run_in_new_folder(record_platform_move) == load_recording("platform.json")["exchange.moved"]
 
 
 async def test_xmpp_answers_and_stream_errors_are_as_they_were() -> None:
-    assert await make_xmpp() == from_json("xmpp.json")
+    assert await record_xmpp() == load_recording("xmpp.json")
 
 
 @pytest.mark.parametrize(("side", "name"), CONVERSATIONS)
 async def test_xmpp_conversations_are_as_they_were(side: str, name: str) -> None:
-    assert await converse(name, side) == (FIXTURES / f"xmpp-{side}-{name}.transcript").read_bytes()
+    assert await run_conversation(name, side) == (FIXTURES / f"xmpp-{side}-{name}.transcript").read_bytes()
 
 
-def test_stanzas_are_passed_on_as_they_stood() -> None:
+def test_stanzas_are_forwarded_byte_for_byte() -> None:
     stanzas = [b"<message  to='a'><body>&lt;\xe1\xba\xbf</body></message>", b"<iq id='1' type='get' />"]
-    assert stanzas_of(HEADER + stanzas[0] + b" \n" + stanzas[1]) == stanzas
+    assert parse_stanzas(CLIENT_HEADER + stanzas[0] + b" \n" + stanzas[1]) == stanzas
--- a/tests/frontends/test_idle_timeout.py
+++ b/tests/frontends/test_idle_timeout.py
@@ -1,4 +1,4 @@
-"""Endpoints that fall silent, break off or dribble: when clients are moved, and how they are answered."""
+"""Endpoints that become unresponsive, disconnect or send slowly: client migration and final responses."""
 
 from __future__ import annotations
 
@@ -28,41 +28,41 @@
     MAX_CLIENT_SILENCE_S,
 )
 
-LAST_DATA_S = 100.0  # when the endpoint sent its last data
+LAST_DATA_S = 100.0  # time of the endpoint's last data
 
 
-def migrated_at(idle_timeout: IdleTimeout, asks: list[float]) -> float:
-    """Returns when the client is migrated if the time limit is waited for as in ``sleep_until_elapsed``."""
-    now, asks = LAST_DATA_S, sorted(asks)
+def find_migration_time_s(idle_timeout: IdleTimeout, request_times_s: list[float]) -> float:
+    """Return when the client is migrated if the timeout is awaited as in ``sleep_until_elapsed``."""
+    now, request_times_s = LAST_DATA_S, sorted(request_times_s)
     while True:
         left = idle_timeout.remaining_s(now)
         if left <= 0:
             return now
         now += left
-        while asks and asks[0] <= now:
-            idle_timeout.on_request_forwarded(asks.pop(0))
+        while request_times_s and request_times_s[0] <= now:
+            idle_timeout.on_request_forwarded(request_times_s.pop(0))
 
 
 @given(st.floats(0.0, CLIENT_LINE_INTERVAL_S), st.floats(0.0, 5.0))
-def test_client_of_a_silent_endpoint_is_migrated_in_time_at_any_phase(
+def test_client_of_an_unresponsive_endpoint_is_migrated_in_time_at_any_phase(
     phase: float, established_for_s: float
 ) -> None:
-    # Seen: silent 10 and silent+term 2, a client whose next line came 1.8 s after the endpoint's last word
-    # was to be moved 5.0 to 5.25 s after that line, and left after 7 s: its request was lost.
+    # The timeout ran from the client's line. A client whose line came 1.8 s after the endpoint's last data
+    # was to be migrated 5.0 to 5.25 s after the line, but left 7 s after the data, and its request was lost.
     idle_timeout = IdleTimeout(LAST_DATA_S - established_for_s, IDLE_TIMEOUT_S, CLIENT_LINE_INTERVAL_S)
     idle_timeout.on_request_forwarded(LAST_DATA_S - established_for_s)
     idle_timeout.on_endpoint_data(LAST_DATA_S)
     lines_s = [LAST_DATA_S + phase + number * CLIENT_LINE_INTERVAL_S for number in range(4)]
-    moved = migrated_at(idle_timeout, lines_s)
+    moved = find_migration_time_s(idle_timeout, lines_s)
     assert LAST_DATA_S + MAX_CLIENT_SILENCE_S - 1.0 < moved <= LAST_DATA_S + MAX_CLIENT_SILENCE_S - 0.5
 
 
-def test_each_line_has_the_full_timeout_and_an_idle_endpoint_is_not_silent() -> None:
+def test_each_line_has_the_full_timeout_and_an_idle_endpoint_does_not_time_out() -> None:
     idle_timeout = IdleTimeout(LAST_DATA_S, 3.0, 2.0)
     for hour in range(1, 4):
-        assert idle_timeout.remaining_s(LAST_DATA_S + 3600.0 * hour) == 3.0  # nothing was asked
+        assert idle_timeout.remaining_s(LAST_DATA_S + 3600.0 * hour) == 3.0  # no request was forwarded
     idle_timeout.on_request_forwarded(LAST_DATA_S + 3600.0)
-    idle_timeout.on_request_forwarded(LAST_DATA_S + 3602.0)  # the oldest counts
+    idle_timeout.on_request_forwarded(LAST_DATA_S + 3602.0)  # the oldest request starts the timeout
     assert idle_timeout.remaining_s(LAST_DATA_S + 3602.5) == 0.5
     idle_timeout.on_endpoint_data(LAST_DATA_S + 3602.5)
     assert idle_timeout.remaining_s(LAST_DATA_S + 3602.5) == 3.0
@@ -70,8 +70,8 @@
     assert idle_timeout.remaining_s(LAST_DATA_S + 3602.5) == 5.0
 
 
-GOOD = b"UP r1 ab\r\n"
-CUT_POSITIONS = (0, 1, 2, 3, 7, len(GOOD) - 1)  # bytes of the answer that come before the endpoint's fate
+UP_LINE = b"UP r1 ab\r\n"
+CUT_POSITIONS = (0, 1, 2, 3, 7, len(UP_LINE) - 1)  # bytes of the answer sent before the endpoint fails
 GARBLED_ANSWERS = (
     b"UP\r\n",
     b"UP \r\n",
@@ -109,26 +109,26 @@
 
 
 async def run_exchange(folder: Path, name: str, script: EndpointScript, served: bool) -> None:
-    """Checks that a client reads one complete response in time where all endpoints run ``script``."""
+    """Check that a client reads one complete response in time if all endpoints run ``script``."""
     (folder / name).mkdir()
     async with running_relay(folder / name, *[script] * 4) as (relay, endpoints):
         loop = asyncio.get_running_loop()
-        began_s = loop.time()
+        started_s = loop.time()
         reader, writer = await send_request(relay.listener.address, encode_request_line(CLIENT_WAIT_MS))
         response = await reader.readline()
-        took_s = loop.time() - began_s
-        assert response == GOOD if served else response in (b"BUSY\r\n", b"ERR unavailable\r\n"), (
+        took_s = loop.time() - started_s
+        assert response == UP_LINE if served else response in (b"BUSY\r\n", b"ERR unavailable\r\n"), (
             name,
             response,
         )
         assert took_s * 1000.0 < CLIENT_WAIT_MS + 66.0, (name, took_s)
         if not served:
-            assert await reader.read() == b"", name  # nothing after the one answer
+            assert await reader.read() == b"", name  # one answer and no further data
             assert 1 <= sum(len(endpoint.request_lines) for endpoint in endpoints) <= 3, name
         writer.close()
         while any(endpoint.open_connections for endpoint in endpoints) or len(
             relay.request_registry
-        ):  # none is left behind
+        ):  # all connections and requests must end
             await asyncio.sleep(0.01)
         assert all(endpoint.max_open_connections <= 1 for endpoint in endpoints)
 
@@ -137,21 +137,25 @@
 async def test_whatever_an_endpoint_does_its_client_receives_one_complete_answer_in_time(
     tmp_path: Path,
 ) -> None:
-    # An UP without a receipt, without its CR, or with bytes that are no text was passed on as a service.
-    # In virtual time: eight relays that start in one process keep a client's line waiting for longer than
-    # the bound, in which no relay can have read it yet.
+    # An UP line without its argument, without its CR or with bytes that are not text was forwarded as if the
+    # connection was established. The test runs in virtual time, since eight relays that start in one process
+    # delay the reading of a client's line by more than the bound.
     exchanges = []
     for cut in CUT_POSITIONS:
         for final_behavior in (never_respond, reset_connection, None):
             ending = final_behavior.__name__ if final_behavior else "ends"
             exchanges.append(
-                run_exchange(tmp_path, f"{cut}-{ending}", respond_then(GOOD[:cut], final_behavior), False)
+                run_exchange(tmp_path, f"{cut}-{ending}", respond_then(UP_LINE[:cut], final_behavior), False)
             )
     for index, text in enumerate(GARBLED_ANSWERS):
         exchanges.append(run_exchange(tmp_path, f"garbled-{index}", respond_then(text, never_respond), False))
-    exchanges.append(run_exchange(tmp_path, "dribbles", respond_then(GOOD, wait_for_client_end, 0.02), True))
-    exchanges.append(run_exchange(tmp_path, "too-late", respond_then(GOOD, wait_for_client_end, 0.2), False))
-    for first in range(0, len(exchanges), 8):  # a few at a time: each relay is a loop's work of its own
+    exchanges.append(
+        run_exchange(tmp_path, "dribbles", respond_then(UP_LINE, wait_for_client_end, 0.02), True)
+    )
+    exchanges.append(
+        run_exchange(tmp_path, "too-late", respond_then(UP_LINE, wait_for_client_end, 0.2), False)
+    )
+    for first in range(0, len(exchanges), 8):  # limits the number of relays that run at once
         await asyncio.gather(*exchanges[first : first + 8])
 
 
@@ -181,16 +185,16 @@
 
 @pytest.mark.parametrize("script", [never_open_stream, stop_after_login, send_half_bind_result])
 @pytest.mark.usefixtures("virtual_time")
-async def test_xmpp_client_of_a_silent_endpoint_gets_one_stanza_in_time(
+async def test_xmpp_client_of_an_unresponsive_endpoint_gets_one_stream_error_in_time(
     tmp_path: Path, script: SessionScript
 ) -> None:
     async with running_xmpp_relay(tmp_path, *[script] * 4, wait_ms=600) as (relay, endpoints):
         client = await XmppClient.connect(xmpp_address(relay))
         await client.login(make_client_tls_context())
-        began_s = asyncio.get_running_loop().time()
+        started_s = asyncio.get_running_loop().time()
         client.send_bind()
         received = await client.read_rest()
-        assert asyncio.get_running_loop().time() - began_s < 0.7
+        assert asyncio.get_running_loop().time() - started_s < 0.7
         assert received.count("<stream:error>") == 1 and "<iq" not in received, received
         assert received.endswith("</stream:error></stream:stream>")
         assert 1 <= sum(len(endpoint.request_lines) for endpoint in endpoints) <= 3
--- a/tests/frontends/test_misbehaving_clients.py
+++ b/tests/frontends/test_misbehaving_clients.py
@@ -1,4 +1,4 @@
-"""Misbehaving clients: each is answered or closed soon, reaches no endpoint, and costs others nothing."""
+"""Misbehaving clients: each is answered or closed soon, reaches no endpoint, and does not affect others."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 async def read_response_code(streams: Streams) -> bytes:
-    """Returns the code of the response, such as BUSY; empty if the connection was closed without one."""
+    """Return the code of the response, such as BUSY; empty if the connection was closed without one."""
     reader, writer = streams
     try:
         return (await asyncio.wait_for(reader.readline(), 3))[:4].strip()
@@ -36,37 +36,39 @@
 
 
 @pytest.mark.parametrize("first_bytes", [b"", b"OPEN id9 k1 c=c", b"PING\r\n", b"PING\r\nOPE"])
-async def test_silent_client_and_incomplete_line_are_answered_in_time(
+async def test_idle_client_and_incomplete_line_are_answered_in_time(
     tmp_path: Path, first_bytes: bytes
 ) -> None:
-    # They were waited for 5 s, and again 5 s after each PING, where 3 s from connecting are allowed.
+    # The time limit was 5 s and restarted at each PING, but an answer is due 3 s after the client connects.
     async with running_relay(tmp_path, echo_lines) as (relay, (endpoint,)):
-        began = asyncio.get_running_loop().time()
+        started_s = asyncio.get_running_loop().time()
         reader, writer = await send_request(relay.listener.address, first_bytes)
         received = await asyncio.wait_for(reader.read(), 3)
         assert received.removeprefix(b"PONG\r\n").startswith(b"ERR")
-        assert asyncio.get_running_loop().time() - began < 2.8 and endpoint.request_lines == []
+        assert asyncio.get_running_loop().time() - started_s < 2.8 and endpoint.request_lines == []
         writer.close()
 
 
-async def test_silent_clients_are_evicted_for_those_with_a_request(tmp_path: Path) -> None:
-    # Nothing bounded them: 2,000 on a day held 330 of 384 descriptors. The oldest go, those who stand stay.
+async def test_idle_clients_are_evicted_for_those_with_a_request(tmp_path: Path) -> None:
+    # Pending connections were not limited: 2,000 in a day held 330 of 384 descriptors. The oldest ones must
+    # be evicted, while established connections stay open.
     async with running_relay(tmp_path, echo_lines) as (relay, _):
         relay.admission.limits = ProcessLimits(sockets=96, memory_mb=192.0)
         reader, writer = await send_request(relay.listener.address, encode_request_line())
         assert await reader.readline() == b"UP r1\r\n"
-        crowd = [await send_request(relay.listener.address, b"") for _ in range(40)]
+        idle_clients = [await send_request(relay.listener.address, b"") for _ in range(40)]
         assert await exchange_line(relay.listener.address, encode_request_line()) == b"UP r1\r\n"
         assert relay.admission.connection_count <= 2 + 16
-        assert await read_response_code(crowd[0]) == b"BUSY"
+        assert await read_response_code(idle_clients[0]) == b"BUSY"
         writer.write(b"M 1\r\n")
         assert await reader.readline() == b"M 1\r\n"
-        for _, each in [*crowd, (reader, writer)]:
+        for _, each in [*idle_clients, (reader, writer)]:
             each.close()
 
 
 async def test_reused_request_id_is_an_error_and_reaches_no_endpoint(tmp_path: Path) -> None:
-    # 303 of these reached endpoints in one day; their ERR took healthy endpoints out of use.
+    # 303 requests with a reused id reached endpoints in one day. The endpoints answered ERR, for which
+    # healthy ones were ejected.
     async with running_relay(tmp_path, echo_lines) as (relay, (endpoint,)):
         line = encode_request_line()
         reader, writer = await send_request(relay.listener.address, line)
@@ -81,7 +83,7 @@
 
 
 async def test_several_lines_at_once_are_an_error(tmp_path: Path) -> None:
-    # The first was placed, and what came behind it went to its endpoint, which can't use it.
+    # The first line was placed, and the others were forwarded to its endpoint, which cannot use them.
     async with running_relay(tmp_path, echo_lines) as (relay, (endpoint,)):
         for lines in (
             encode_request_line() * 300,
@@ -92,8 +94,8 @@
         assert endpoint.request_lines == []
 
 
-async def test_flooding_client_gets_its_error_and_is_not_read_on(tmp_path: Path) -> None:
-    # Read on for half a second at full speed, it took the core that the others need.
+async def test_flooding_client_gets_its_error_and_is_no_longer_read(tmp_path: Path) -> None:
+    # The relay read on at full speed for 0.5 s after its answer, which took CPU time from other connections.
     async with running_relay(tmp_path, echo_lines) as (relay, _):
         reader, writer = await asyncio.open_connection(*relay.listener.address)
         sent = 0
@@ -122,10 +124,10 @@
             await asyncio.sleep(0.01)
 
 
-async def test_a_fault_in_reading_a_request_is_answered(
+async def test_unexpected_exception_in_reading_a_request_is_answered(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # It was logged, and the connection closed without a response.
+    # Such an exception was logged, and the connection was closed without a response.
     def fail(buffer: bytearray, end: int, classes: frozenset[str]) -> RequestLine:
         raise RuntimeError("a fault that no check foresaw")
 
--- a/tests/frontends/test_platform_frontend.py
+++ b/tests/frontends/test_platform_frontend.py
@@ -1,4 +1,4 @@
-"""The platform's frontend: a relay between scripted clients, endpoints and discovery."""
+"""Tests of the platform's frontend: a relay between scripted clients, endpoints and discovery."""
 
 from __future__ import annotations
 
@@ -33,8 +33,8 @@
 
 
 async def test_starting_relay_refuses_connections(tmp_path: Path) -> None:
-    # Fronts send clients to a killed relay once it listens. Where it was not yet reading, their time was up
-    # before the relay believed, and they left unanswered.
+    # Load balancers send clients to a restarted relay as soon as it listens. Before it accepted them, clients
+    # waited in the backlog, which its time limits did not count, so that they left unanswered.
     config = load({"GW_CONFIG": str(write_config(tmp_path, ("127.0.0.1", 9), make_endpoint_list({})))})
     relay = Relay(config)
     with pytest.raises(ConnectionRefusedError):
@@ -46,7 +46,7 @@
 
 
 async def test_request_is_served_and_lines_are_forwarded_unchanged(tmp_path: Path) -> None:
-    # Guards the plain path: UP verbatim, the first line unchanged but for d, lines both ways.
+    # UP and the lines of both sides must be forwarded unchanged, the request line unchanged except for d.
     async with running_relay(tmp_path, echo_lines) as (relay, (endpoint,)):
         reader, writer = await send_request(relay.listener.address, encode_request_line(2000, ",g=x9"))
         assert await reader.readline() == b"UP r1\r\n"
@@ -76,7 +76,7 @@
     ],
 )
 async def test_malformed_first_lines_are_answered_and_never_forwarded(tmp_path: Path, line: bytes) -> None:
-    # A live endpoint answers SYNTAX to such a line and voids the run.
+    # A real endpoint answers SYNTAX to such a line, which makes the whole run invalid.
     async with running_relay(tmp_path, echo_lines) as (relay, (endpoint,)):
         assert (await exchange_line(relay.listener.address, line)).startswith(b"ERR")
         assert endpoint.request_lines == []
@@ -96,7 +96,7 @@
 async def test_at_most_three_attempts_one_at_a_time_and_one_answer(
     tmp_path: Path, bad: EndpointScript
 ) -> None:
-    # Guards the three-attempt limit and the one final answer, whatever the endpoints do.
+    # Guards the limit of three attempts, and that there is one final answer whatever the endpoints do.
     async with running_relay(tmp_path, bad, bad, bad, bad, bad) as (relay, endpoints):
         reader, _ = await send_request(relay.listener.address, encode_request_line())
         answer = await reader.read()
@@ -105,22 +105,22 @@
 
 
 @pytest.mark.usefixtures("virtual_time")
-async def test_a_silent_endpoint_times_out_within_the_clients_wait(tmp_path: Path) -> None:
-    # Guards the deadline: the answer has to travel before the client gives up.
+async def test_attempt_at_an_unresponsive_endpoint_times_out_within_the_clients_wait(tmp_path: Path) -> None:
+    # The answer must arrive at the client before the client gives up.
     async with running_relay(tmp_path, never_respond) as (relay, _):
-        began_s = asyncio.get_running_loop().time()
+        started_s = asyncio.get_running_loop().time()
         assert (await exchange_line(relay.listener.address, encode_request_line(600))).startswith(b"BUSY")
-        assert asyncio.get_running_loop().time() - began_s < 0.65
+        assert asyncio.get_running_loop().time() - started_s < 0.65
 
 
 async def test_refused_connection_is_distinguished_from_a_reset(tmp_path: Path) -> None:
-    # Nobody listens at b: the request is placed elsewhere, and that it never ran is known.
+    # The endpoint's address refuses connections, so the request was not executed and is answered with BUSY.
     async with running_relay(tmp_path, echo_lines) as (relay, (endpoint,)):
-        with socket.socket() as dead:
-            dead.bind(("127.0.0.1", 0))
+        with socket.socket() as refusing_socket:
+            refusing_socket.bind(("127.0.0.1", 0))
             while relay.endpoint_registry.version != 2:
                 await asyncio.sleep(0.01)
-            relay.endpoint_registry.addresses["a"] = dead.getsockname()
+            relay.endpoint_registry.addresses["a"] = refusing_socket.getsockname()
             assert (await exchange_line(relay.listener.address, encode_request_line())).startswith(b"BUSY")
         assert endpoint.request_lines == []
 
@@ -134,15 +134,17 @@
 
 
 async def test_reset_is_forwarded_and_recorded(tmp_path: Path) -> None:
-    # Closing politely after the reset raised on the closed socket, and the module was notified 'cancelled'.
-    async def then_reset(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes) -> None:
+    # A graceful close after the reset raised on the closed socket, and the attempt was reported as cancelled.
+    async def reset_after_first_line(
+        reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes
+    ) -> None:
         writer.write(b"UP r\r\n")
         await reader.readline()
         sock = writer.get_extra_info("socket")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         writer.transport.abort()
 
-    async with running_relay(tmp_path, then_reset) as (relay, _):
+    async with running_relay(tmp_path, reset_after_first_line) as (relay, _):
         ended: asyncio.Queue[str] = asyncio.Queue()
 
         def on_connection_closed(record: ConnectionRecord) -> None:
@@ -159,7 +161,7 @@
 
 
 async def test_connection_established_before_the_run_is_resumed_at_its_endpoint(tmp_path: Path) -> None:
-    # The first landing lost every one of these to a renamed variable.
+    # A renamed variable made all requests with the field ``at`` fail.
     async with running_relay(tmp_path, echo_lines, respond_with(b"UP b\r\n")) as (relay, _):
         assert (
             await exchange_line(relay.listener.address, encode_request_line(4294967, ",at=b")) == b"UP b\r\n"
@@ -170,24 +172,26 @@
 
 
 async def test_ping_is_answered_once_a_list_is_usable(tmp_path: Path) -> None:
-    async with running_relay(tmp_path) as (relay, _):  # no endpoint listed: not ready
+    async with running_relay(tmp_path) as (relay, _):  # no endpoint is listed, so none is ready
         with pytest.raises(TimeoutError):
             await asyncio.wait_for(exchange_line(relay.listener.address, b"PING\r\n"), 0.3)
     async with running_relay(tmp_path, echo_lines) as (relay, _):
         assert await exchange_line(relay.listener.address, b"PING\r\n") == b"PONG\r\n"
 
 
-async def test_client_of_a_silent_endpoint_is_migrated(
+async def test_client_of_an_unresponsive_endpoint_is_migrated(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # An endpoint that vanishes sends nothing: its clients must be migrated before 7 s.
+    # An endpoint that vanished sends nothing, not even a FIN: its clients must be migrated within 7 s.
     monkeypatch.setattr("sageturn.frontends.platform.relaying.IDLE_TIMEOUT_S", 0.3)
 
-    async def deaf(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes) -> None:
+    async def never_answer_lines(
+        reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes
+    ) -> None:
         writer.write(b"UP r\r\n")
         await reader.read()
 
-    async with running_relay(tmp_path, deaf) as (relay, _):
+    async with running_relay(tmp_path, never_answer_lines) as (relay, _):
         reader, writer = await send_request(relay.listener.address, encode_request_line())
         await reader.readline()
         writer.write(b"M 1\r\n")
@@ -196,19 +200,23 @@
 
 
 async def test_drain_answers_and_migrates_all_clients_between_two_lines(tmp_path: Path) -> None:
-    # A planned stop: nobody may be cut off without MOVE, and no line may be torn by it.
-    async def half(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes) -> None:
+    # A graceful shutdown must send each client MOVE, between two lines, before it closes the connection.
+    async def send_incomplete_line(
+        reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes
+    ) -> None:
         writer.write(b"UP r\r\nM 1 whole\r\nM 2 torn")
         await reader.read()
 
-    async with running_relay(tmp_path, half) as (relay, _):
+    async with running_relay(tmp_path, send_incomplete_line) as (relay, _):
         reader, writer = await send_request(relay.listener.address, encode_request_line())
         await reader.readline()
         draining = asyncio.ensure_future(relay.request_registry.drain(relay.ingress))
         await asyncio.sleep(0)
-        late = asyncio.ensure_future(exchange_line(relay.listener.address, encode_request_line()))
+        draining_response = asyncio.ensure_future(
+            exchange_line(relay.listener.address, encode_request_line())
+        )
         assert await reader.read() == b"M 1 whole\r\nMOVE\r\n"
-        assert await late == b"UP r\r\n"
+        assert await draining_response == b"UP r\r\n"
         writer.close()
         await draining
         assert len(relay.request_registry) == 0
@@ -231,10 +239,10 @@
 
 
 def test_invalid_configuration_names_its_key(tmp_path: Path) -> None:
-    good = {"name": "n", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1", "settings": {}}
-    faults: tuple[tuple[dict[str, object], str], ...]
-    faults = (({"listen": "x"}, "listen"), ({"seed": 5}, "seed"), ({}, "settings.classes: is missing"))
-    for change, says_key in faults:
-        (tmp_path / "c").write_text(json.dumps({**good, **change}))
-        with pytest.raises(ConfigError, match=says_key):
+    valid = {"name": "n", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1", "settings": {}}
+    cases: tuple[tuple[dict[str, object], str], ...]
+    cases = (({"listen": "x"}, "listen"), ({"seed": 5}, "seed"), ({}, "settings.classes: is missing"))
+    for change, named_key in cases:
+        (tmp_path / "c").write_text(json.dumps({**valid, **change}))
+        with pytest.raises(ConfigError, match=named_key):
             load({"GW_CONFIG": str(tmp_path / "c")})
--- a/tests/frontends/test_xmpp_frontend.py
+++ b/tests/frontends/test_xmpp_frontend.py
@@ -1,4 +1,4 @@
-"""The XMPP frontend, and the proof that both frontends decide alike."""
+"""Tests of the XMPP frontend, and that both frontends lead to the same placements and responses."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 import pytest
 from support.event_loop import until
-from support.network_fakes import SETTINGS as CONF
+from support.network_fakes import SETTINGS as SETTINGS_JSON
 from support.network_fakes import encode_request_line, send_request
 from support.relay_checks import Placement, record_placements
 from support.xmpp_fakes import (
@@ -42,13 +42,13 @@
 from sageturn.net.admission import ProcessLimits
 from sageturn.relay import Relay
 
-SETTINGS = read_settings(CONF)
-USUAL_ITERATIONS = 65536  # more than any server demands unless it was changed
+SETTINGS = read_settings(SETTINGS_JSON)
+MAX_COMPUTED_ITERATIONS = 65536  # more than a server with default settings demands
 
 
 @pytest.mark.timeout(30)
 async def test_session_is_established_over_tls_and_restarted_streams_are_one_request(tmp_path: Path) -> None:
-    # The stream starts three times, for TLS and SASL; only the bind is a request, and it is placed once.
+    # TLS and SASL restart the stream, so it opens three times. Only the bind is a request, placed once.
     async with running_xmpp_relay(
         tmp_path, lambda server: echo_messages(server, make_server_tls_context()), tls=True
     ) as (relay, _):
@@ -61,7 +61,7 @@
         client.send(message[:20])
         await asyncio.sleep(0.02)
         client.send(message[20:])
-        assert (await client.read_until("<message.*?</message>"))[0] == message  # as it stood on the wire
+        assert (await client.read_until("<message.*?</message>"))[0] == message  # byte for byte
         assert len(placements) == 1
         client.send("</stream:stream>")
         assert (await client.read_rest()).strip() == "</stream:stream>"
@@ -131,10 +131,10 @@
     async with running_xmpp_relay(tmp_path, *[script] * 5, wait_ms=900) as (relay, endpoints):
         client = await XmppClient.connect(xmpp_address(relay))
         await client.login(make_client_tls_context())
-        began = asyncio.get_running_loop().time()
+        started_s = asyncio.get_running_loop().time()
         client.send_bind()
         received = await client.read_rest()
-        assert asyncio.get_running_loop().time() - began < 1.6
+        assert asyncio.get_running_loop().time() - started_s < 1.6
         assert received.count("<stream:error>") == 1 and received.endswith("</stream:stream>")
         assert "resource-constraint" in received
         assert 1 <= sum(len(endpoint.request_lines) for endpoint in endpoints) <= 3
@@ -142,16 +142,16 @@
 
 @pytest.mark.timeout(30)
 async def test_a_drain_finishes_the_stanza_on_the_wire_and_ends_the_stream(tmp_path: Path) -> None:
-    # The stanza is half at the relay when the drain begins: the client must get it whole, or not at all.
-    async def slow_speaker(server: XmppServerSession) -> None:
+    # Half of a stanza is at the relay when the drain begins. The client must get it complete, or not at all.
+    async def send_stanza_slowly(server: XmppServerSession) -> None:
         server.send_bind_result(await server.accept())
         server.send("<message><body>half")
         await server.read_until("<presence/>")
-        await asyncio.sleep(0.6)  # into the drain
+        await asyncio.sleep(0.6)  # the drain begins meanwhile
         server.send(" and half</body></message>")
         await server.read_rest()
 
-    async with running_xmpp_relay(tmp_path, slow_speaker) as (relay, _):
+    async with running_xmpp_relay(tmp_path, send_stanza_slowly) as (relay, _):
         client = await XmppClient.connect(xmpp_address(relay))
         await client.login(make_client_tls_context())
         await client.bind()
@@ -166,13 +166,13 @@
 
 
 @pytest.mark.timeout(30)
-async def test_an_endpoint_that_drains_mid_stanza_leaves_a_clean_stream(tmp_path: Path) -> None:
-    async def dies(server: XmppServerSession) -> None:
+async def test_endpoint_that_disconnects_mid_stanza_leaves_a_well_formed_stream(tmp_path: Path) -> None:
+    async def disconnect_mid_stanza(server: XmppServerSession) -> None:
         server.send_bind_result(await server.accept())
         server.send("<message><body>half")
         await server.writer.drain()
 
-    async with running_xmpp_relay(tmp_path, dies) as (relay, _):
+    async with running_xmpp_relay(tmp_path, disconnect_mid_stanza) as (relay, _):
         client = await XmppClient.connect(xmpp_address(relay))
         await client.login(make_client_tls_context())
         await client.bind()
@@ -180,7 +180,7 @@
         assert received.startswith("<stream:error>") and received.endswith("</stream:stream>")
 
 
-ANSWERS = {
+OUTCOME_BY_RESPONSE = {
     "UP": "served",
     "<jid>": "served",
     "BUSY": "fail-fast",
@@ -191,22 +191,22 @@
 
 
 class FrontendRun(NamedTuple):
-    """The endpoints at which the requests of a run were placed, and their responses."""
+    """Placements of a run's requests, and the outcome of each."""
 
     placements: list[Placement]
-    answers: list[str]
+    outcomes: list[str]
 
 
-async def send_to_both_frontends(folder: Path, frontends: str, acts: list[SessionScript]) -> FrontendRun:
-    """Sends requests one after the other, for ``x`` over XMPP and for ``p`` over the line protocol.
+async def send_to_both_frontends(folder: Path, frontends: str, scripts: list[SessionScript]) -> FrontendRun:
+    """Send one request per letter of ``frontends``: over XMPP for ``x``, over the line protocol for ``p``.
 
-    Clients stay connected until the end, so each placement depends on all before it.
+    Clients stay connected until the end of the run, so that each placement depends on all earlier ones.
     """
     (folder / frontends).mkdir()
-    async with running_xmpp_relay(folder / frontends, *acts) as (relay, _):
+    async with running_xmpp_relay(folder / frontends, *scripts) as (relay, _):
         await until(lambda: relay.endpoint_registry.version == 2)
         placements = record_placements(relay)
-        answers: list[str] = []
+        outcomes: list[str] = []
         clients: list[object] = []
         for frontend in frontends:
             if frontend == "x":
@@ -214,13 +214,13 @@
                 await client.login(make_client_tls_context())
                 client.send_bind()
                 found = await client.read_until("<jid>|<resource-constraint |<remote-connection-failed ")
-                answers.append(ANSWERS[found[0]])
+                outcomes.append(OUTCOME_BY_RESPONSE[found[0]])
                 clients.append(client)
             else:
                 reader, writer = await send_request(relay.listener.address, encode_request_line())
-                answers.append(ANSWERS[(await reader.readline()).split()[0].decode()])
+                outcomes.append(OUTCOME_BY_RESPONSE[(await reader.readline()).split()[0].decode()])
                 clients.append(writer)
-        return FrontendRun(placements, answers)
+        return FrontendRun(placements, outcomes)
 
 
 @pytest.mark.parametrize(
@@ -234,31 +234,31 @@
 async def test_both_frontends_place_and_answer_alike(
     tmp_path: Path, acts: list[SessionScript], expected: set[str]
 ) -> None:
-    # The proof of one core: the same traffic in either protocol, and mixed, gives the same placements
-    # and answers.
+    # Both frontends use one core: the same traffic in either protocol, or mixed, must lead to the same
+    # placements and responses.
     platform, mixed, xmpp = [
         await send_to_both_frontends(tmp_path, frontends, acts)
         for frontends in ("pppppppp", "pxpxxpxp", "xxxxxxxx")
     ]
     assert platform == mixed == xmpp
-    assert len(platform.placements) >= 8 and set(platform.answers) == expected
+    assert len(platform.placements) >= 8 and set(platform.outcomes) == expected
 
 
 def test_invalid_operator_file_names_its_key(tmp_path: Path) -> None:
-    good = json.loads(write_operator_file(tmp_path, True).read_text())
+    valid = json.loads(write_operator_file(tmp_path, True).read_text())
     for change, key in (
         ({"listen": 5}, "operator.xmpp.listen"),
         ({"lisden": 1}, "operator.xmpp.lisden"),
         ({"certificate": "no.pem"}, "operator.xmpp.certificate"),
         ({"endpoint": {"username": "r", "password_file": "gone"}}, "operator.xmpp.endpoint.password_file"),
     ):
-        (tmp_path / "bad.json").write_text(json.dumps({"xmpp": {**good["xmpp"], **change}}))
+        (tmp_path / "bad.json").write_text(json.dumps({"xmpp": {**valid["xmpp"], **change}}))
         with pytest.raises(ConfigError, match=key):
             read_operator_file(tmp_path / "bad.json", SETTINGS)
 
 
 def test_shipped_operator_file_can_be_read(tmp_path: Path) -> None:
-    # It is the only example an operator has: a key renamed in config.py must be renamed there too.
+    # Operators copy this example: a key that the config package renames must be renamed in it too.
     shipped = Path(__file__).parents[2] / "deploy" / "xmpp.json"
     (tmp_path / "deploy").mkdir()
     (tmp_path / "var").mkdir()
@@ -274,41 +274,41 @@
 
 
 @pytest.mark.timeout(30)
-async def test_silent_clients_and_incomplete_headers_are_closed_soon_and_evicted(tmp_path: Path) -> None:
-    # What bad clients do to the platform's front they can do here: the bounds are the listener's, for both.
+async def test_idle_clients_and_incomplete_headers_are_closed_soon_and_evicted(tmp_path: Path) -> None:
+    # Misbehaving clients are limited as on the platform's frontend, since admission is the same for both.
     async with running_xmpp_relay(tmp_path, echo_messages) as (relay, _):
         relay.admission.limits = ProcessLimits(sockets=96, memory_mb=192.0)
-        began = asyncio.get_running_loop().time()
-        half = await XmppClient.connect(xmpp_address(relay))
-        half.send("<?xml version='1.0'?><stream:str")
-        assert "<connection-timeout " in await half.read_rest()
-        assert asyncio.get_running_loop().time() - began < 2.9
-        crowd = [await XmppClient.connect(xmpp_address(relay)) for _ in range(30)]
-        assert "<resource-constraint " in await crowd[0].read_rest()
-        for client in crowd:
+        started_s = asyncio.get_running_loop().time()
+        incomplete = await XmppClient.connect(xmpp_address(relay))
+        incomplete.send("<?xml version='1.0'?><stream:str")
+        assert "<connection-timeout " in await incomplete.read_rest()
+        assert asyncio.get_running_loop().time() - started_s < 2.9
+        idle_clients = [await XmppClient.connect(xmpp_address(relay)) for _ in range(30)]
+        assert "<resource-constraint " in await idle_clients[0].read_rest()
+        for client in idle_clients:
             client.writer.close()
 
 
 @pytest.fixture
 def hashed_iterations(monkeypatch: pytest.MonkeyPatch) -> list[int]:
-    """Returns a list of the iterations of each hash; more than ``USUAL_ITERATIONS`` are not computed."""
+    """Return a list of each hash's iterations; at most ``MAX_COMPUTED_ITERATIONS`` of them are computed."""
     hashed: list[int] = []
     pbkdf2_hmac = hashlib.pbkdf2_hmac
 
     def record(name: str, password: bytes, salt: bytes, iterations: int) -> bytes:
         hashed.append(iterations)
-        return pbkdf2_hmac(name, password, salt, min(iterations, USUAL_ITERATIONS))
+        return pbkdf2_hmac(name, password, salt, min(iterations, MAX_COMPUTED_ITERATIONS))
 
     monkeypatch.setattr(hashlib, "pbkdf2_hmac", record)
     return hashed
 
 
 @pytest.mark.parametrize("count", [2_000_000, 2**31, 10**30])
-async def test_an_endpoint_that_demands_endless_hashing_holds_up_nobody(
+async def test_endpoint_that_demands_too_many_iterations_does_not_block_the_relay(
     tmp_path: Path, hashed_iterations: list[int], count: int
 ) -> None:
-    # The iterations were its choice: a million hold the relay, and all its clients, for 0.3 s, and a number
-    # past 2**31 ended the request as an internal fault, with no second attempt.
+    # The endpoint chose the number of iterations: a million blocked the relay, and all its clients, for
+    # 0.3 s. A number above 2**31 failed the request with an internal error, without a second attempt.
     async with running_xmpp_relay(
         tmp_path, lambda server: server.demand_iterations(count), echo_messages
     ) as (
@@ -319,12 +319,12 @@
             client = await XmppClient.connect(xmpp_address(relay))
             await client.login(make_client_tls_context())
             assert (await client.bind(f"desk{number}")).endswith(f"/desk{number}"), count
-        assert endpoints[0].request_lines  # it was tried
-    assert max(hashed_iterations) <= USUAL_ITERATIONS
+        assert endpoints[0].request_lines  # at least one attempt was made there
+    assert max(hashed_iterations) <= MAX_COMPUTED_ITERATIONS
 
 
 async def open_login(relay: Relay) -> XmppClient:
-    """Connects a client up to the point where only its credentials are missing."""
+    """Connect a client, and negotiate up to the point where the relay expects its credentials."""
     client = await XmppClient.connect(xmpp_address(relay))
     client.send(STREAM_HEADER.format("to"))
     await client.read_until("<starttls.*</stream:features>")
@@ -336,9 +336,9 @@
     return client
 
 
-async def test_credentials_that_nobody_can_have_are_answered_like_wrong_ones(tmp_path: Path) -> None:
-    # Text that is no ASCII, a password with a control character, and an account whose record is damaged
-    # failed in ways that nobody had foreseen: the connection was closed without a stream error.
+async def test_malformed_credentials_and_damaged_accounts_are_answered_with_a_failure(tmp_path: Path) -> None:
+    # Text that is not ASCII, a password with a control character and a damaged account record raised uncaught
+    # exceptions: the connection was closed without a stream error.
     credentials = (
         ("PLAIN", "\u00e9", "incorrect-encoding"),
         ("SCRAM-SHA-256", "\u00e9", "incorrect-encoding"),
@@ -359,7 +359,9 @@
                 client.writer.close()
 
 
-async def test_a_fault_in_a_login_is_answered(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_unexpected_exception_in_a_login_is_answered(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     async def fail(login: ClientLogin) -> None:
         raise RuntimeError("a fault that no check foresaw")
 
--- a/tests/support/xmpp_fakes.py
+++ b/tests/support/xmpp_fakes.py
@@ -29,10 +29,10 @@
 
 
 class XmppStream:
-    """One side of a stream.
+    """One side of a stream on an asyncio connection.
 
     Attributes:
-        unread: the text that was received and that no read has consumed yet.
+        unread: the received text that no read has consumed yet.
     """
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -44,7 +44,7 @@
         self.writer.write(text.encode())
 
     async def read_until(self, pattern: str) -> re.Match[str]:
-        """Reads up to the first match of ``pattern``, consumes it and all before it, and returns it."""
+        """Read up to the first match of ``pattern``, consume it and all before it, and return it."""
         async with asyncio.timeout(5):
             while not (found := re.search(pattern, self.unread, re.S)):
                 data = await self.reader.read(4096)
@@ -54,7 +54,7 @@
         return found
 
     async def read_rest(self) -> str:
-        """Returns all that is received until the connection ends; "[reset]" is appended on a reset."""
+        """Return all that is received until the connection closes; "[reset]" is appended on a reset."""
         async with asyncio.timeout(8):
             try:
                 while data := await self.reader.read(4096):
@@ -64,13 +64,13 @@
         return self.unread
 
     async def start_tls(self, context: ssl.SSLContext, server: bool) -> None:
-        """Upgrades the connection to TLS, by asyncio and so without the relay's own TLS code."""
+        """Upgrade the connection to TLS by asyncio, which shares no code with the relay's TLS channel."""
         host = None if server else "guides.example"
         await self.writer.start_tls(context, server_hostname=host)
 
 
 class XmppClient(XmppStream):
-    """A client of the relay's XMPP frontend."""
+    """Client of the relay's XMPP frontend."""
 
     @classmethod
     async def connect(cls, address: Address) -> XmppClient:
@@ -79,7 +79,7 @@
     async def login(
         self, tls: ssl.SSLContext, name: str = "lan", password: str = "pw", plain: bool = False
     ) -> None:
-        """Starts TLS and authenticates, up to the offer of a bind; by SCRAM, or PLAIN if ``plain``."""
+        """Start TLS and authenticate by SCRAM, or by PLAIN if ``plain``, until the server offers the bind."""
         self.send(STREAM_HEADER.format("to"))
         await self.read_until("<starttls.*</stream:features>")
         self.send(f"<starttls xmlns='{TLS_NAMESPACE}'/>")
@@ -110,20 +110,20 @@
         self.send(f"<iq type='set' id='b1'>{bind}</iq>")
 
     async def bind(self, resource: str = "desk") -> str:
-        """Binds ``resource``. Returns the JID that the server assigned."""
+        """Bind ``resource``, and return the JID that the server has assigned."""
         self.send_bind(resource)
         return (await self.read_until("<iq type='result' id=\"b1\">.*?<jid>(.*?)</jid>.*?</iq>"))[1]
 
 
 SessionScript = Callable[["XmppServerSession"], Awaitable[None]]
-RELAY_INFO = ScramMechanism("SCRAM-SHA-256").make_auth_info("relay-pw", iteration_count=4096)
+RELAY_AUTH_INFO = ScramMechanism("SCRAM-SHA-256").make_auth_info("relay-pw", iteration_count=4096)
 
 
 class XmppServerSession(XmppStream):
-    """One session of an endpoint that speaks XMPP."""
+    """Server side of one session at an endpoint that speaks XMPP."""
 
     async def accept(self, tls: ssl.SSLContext | None = None) -> str:
-        """Authenticates the relay, and reads its bind. Returns the resource that it requested."""
+        """Authenticate the relay, read its bind request, and return the resource that it requests."""
         await self._open_stream(f"<starttls xmlns='{TLS_NAMESPACE}'/>" if tls else self._scram_mechanisms())
         self.authorization_id = ""
         if tls:
@@ -138,7 +138,7 @@
             assert (name, password) == ("relay", "relay-pw")
             self.send(f"<success xmlns='{SASL_NAMESPACE}'/>")
         else:
-            scram = ScramMechanism("SCRAM-SHA-256").make_server(lambda name: RELAY_INFO)
+            scram = ScramMechanism("SCRAM-SHA-256").make_server(lambda name: RELAY_AUTH_INFO)
             scram.set_client_first(decode_base64((await self.read_until("<auth[^>]*>(.*?)</auth>"))[1]))
             self.send(
                 f"<challenge xmlns='{SASL_NAMESPACE}'>{encode_base64(scram.get_server_first())}</challenge>"
@@ -153,9 +153,9 @@
         return (await self.read_until("<iq[^>]*id='bind'>.*<resource>(.*?)</resource>.*?</iq>"))[1]
 
     async def demand_iterations(self, count: int) -> None:
-        """Sends a SCRAM challenge that takes ``count`` rounds of the hash, and reads to the end."""
+        """Send a SCRAM challenge that demands ``count`` iterations, and read until the connection closes."""
         await self._open_stream(self._scram_mechanisms())
-        scram = ScramMechanism("SCRAM-SHA-256").make_server(lambda name: RELAY_INFO)
+        scram = ScramMechanism("SCRAM-SHA-256").make_server(lambda name: RELAY_AUTH_INFO)
         scram.set_client_first(decode_base64((await self.read_until("<auth[^>]*>(.*?)</auth>"))[1]))
         challenge = re.sub(r"i=\d+", f"i={count}", scram.get_server_first())
         self.send(f"<challenge xmlns='{SASL_NAMESPACE}'>{encode_base64(challenge)}</challenge>")
@@ -169,13 +169,13 @@
         self.send(STREAM_HEADER.format("from") + f"<stream:features>{features}</stream:features>")
 
     def send_bind_result(self, resource: str) -> None:
-        """Answers the bind that ``accept`` received."""
+        """Answer the bind request that ``accept`` has read."""
         jid = f"relay@guides.example/{resource}"
         self.send(f"<iq type='result' id='bind'><bind xmlns='{BIND_NAMESPACE}'><jid>{jid}</jid></bind></iq>")
 
 
 async def echo_messages(server: XmppServerSession, tls: ssl.SSLContext | None = None) -> None:
-    """Accepts the session, and sends every message back until the client closes the stream."""
+    """Accept the session, and echo every message until the client closes the stream."""
     server.send_bind_result(await server.accept(tls))
     while True:
         message = await server.read_until("<message.*?</message>|</stream:stream>")
@@ -186,7 +186,7 @@
 
 
 async def reject_session(server: XmppServerSession) -> None:
-    """Answers the bind with the stream error ``resource-constraint``."""
+    """Answer the bind request with the stream error ``resource-constraint``."""
     await server.accept()
     server.send(
         "<stream:error><resource-constraint xmlns='urn:ietf:params:xml:ns:xmpp-streams'/></stream:error>"
--- a/tests/support/xmpp_relay.py
+++ b/tests/support/xmpp_relay.py
@@ -1,4 +1,4 @@
-"""A relay with both frontends between scripted XMPP clients and servers, and its TLS certificates."""
+"""Runs a relay with both frontends between scripted XMPP clients and endpoints, with TLS certificates."""
 
 from __future__ import annotations
 
@@ -29,27 +29,27 @@
 
 
 def make_client_tls_context() -> ssl.SSLContext:
-    """Returns a context that trusts the relay's certificate."""
+    """Return a TLS context for clients that trusts the relay's certificate."""
     context = ssl.create_default_context()
     CERTIFICATE_AUTHORITY.configure_trust(context)
     return context
 
 
 def make_server_tls_context() -> ssl.SSLContext:
-    """Returns a context of an endpoint with the certificate of ``guides.example``."""
+    """Return a TLS context for endpoints with the certificate of ``guides.example``."""
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
     SERVER_CERTIFICATE.configure_cert(context)
     return context
 
 
 def xmpp_address(relay: Relay) -> Address:
-    """Returns the address at which the relay's XMPP frontend listens; fails if it has none."""
+    """Return the address on which the relay's XMPP frontend listens; fail if there is none."""
     assert relay.xmpp_listener is not None
     return relay.xmpp_listener.address
 
 
 def write_operator_file(folder: Path, endpoint_tls: bool, **xmpp_fields: object) -> Path:
-    """Writes an operator's file that switches on XMPP, its certificates, and a store with two accounts."""
+    """Write an operator's file that enables XMPP, its certificates, and a store with two accounts."""
     (folder / "pw").write_text("relay-pw\n")
     SERVER_CERTIFICATE.cert_chain_pems[0].write_to_path(folder / "cert.pem")
     SERVER_CERTIFICATE.private_key_pem.write_to_path(folder / "key.pem")
@@ -74,7 +74,7 @@
 
 
 class XmppEndpoint(FakeEndpoint):
-    """Serves XMPP by ``script``, and the platform's line protocol where the first data is an OPEN."""
+    """Endpoint that serves XMPP by ``script``, and the line protocol to connections that begin with OPEN."""
 
     def __init__(self, script: SessionScript) -> None:
         super().__init__(self._serve_connection)
@@ -112,7 +112,7 @@
 async def running_xmpp_relay(
     folder: Path, *scripts: SessionScript, tls: bool = False, **xmpp_fields: object
 ) -> AsyncIterator[tuple[Relay, list[FakeEndpoint]]]:
-    """Runs a relay with both frontends and one endpoint for each script, named a, b, c in their order."""
+    """Run a relay with both frontends, and an endpoint for each script; the endpoints are named a, b, c."""
     endpoints: list[FakeEndpoint] = [XmppEndpoint(script) for script in scripts]
     async with AsyncExitStack() as stack:
         addresses, discovery = await start_endpoints_and_discovery(stack, endpoints)
