--- a/sageturn/frontends/platform/connection.py
+++ b/sageturn/frontends/platform/connection.py
@@ -149,8 +149,8 @@
     async def accept_client(self) -> None:
         """Do nothing: ``relay_traffic`` forwards the endpoint's first line."""
 
-    async def relay_traffic(self, stop: asyncio.Event) -> CloseReason:
-        """Forward lines both ways until either side closes; migrate the client once ``stop`` is set."""
+    async def relay_traffic(self, drain_requested: asyncio.Event) -> CloseReason:
+        """Forward lines until either side closes; migrate the client once ``drain_requested`` is set."""
         endpoint = self._endpoint
         assert endpoint is not None
         relay = LineRelay(
@@ -160,4 +160,4 @@
         self._buffer = bytearray()
         self._endpoint_input = b""
         self.early_input = b""
-        return await relay.run(stop)
+        return await relay.run(drain_requested)
--- a/sageturn/frontends/platform/relaying.py
+++ b/sageturn/frontends/platform/relaying.py
@@ -60,22 +60,24 @@
         self._load_reporter = LoadReporter(lifecycle)
         self._last_line = b""
 
-    async def run(self, stop: asyncio.Event) -> CloseReason:
-        """Forward until either side closes, ``stop`` is set or the endpoint times out; close both sockets.
+    async def run(self, drain_requested: asyncio.Event) -> CloseReason:
+        """Forward until either side closes, ``drain_requested`` is set or the endpoint times out.
 
-        Returns why the connection was closed.
+        Closes both sockets, and returns why the connection was closed.
         """
         downstream = asyncio.ensure_future(self._to_client.run())
         upstream = asyncio.ensure_future(self._to_endpoint.run())
-        stopping = asyncio.ensure_future(stop.wait())
+        drain_waiter = asyncio.ensure_future(drain_requested.wait())
         idle = asyncio.ensure_future(sleep_until_elapsed(self._idle_timeout.remaining_s))
         reporting = asyncio.ensure_future(self._load_reporter.run())
         try:
-            await asyncio.wait((downstream, upstream, stopping, idle), return_when=asyncio.FIRST_COMPLETED)
-            migration_reason = CloseReason.MOVED if stopping.done() else CloseReason.MUTE
+            await asyncio.wait(
+                (downstream, upstream, drain_waiter, idle), return_when=asyncio.FIRST_COMPLETED
+            )
+            migration_reason = CloseReason.MOVED if drain_waiter.done() else CloseReason.MUTE
             return await self._finish_forwarding(downstream, upstream, migration_reason)
         finally:
-            for task in (downstream, upstream, stopping, idle, reporting):
+            for task in (downstream, upstream, drain_waiter, idle, reporting):
                 await cancel_and_wait(task)
             self._record_totals()
             await asyncio.gather(close_gracefully(self._client), close_gracefully(self._endpoint))
--- a/sageturn/frontends/xmpp/connection.py
+++ b/sageturn/frontends/xmpp/connection.py
@@ -135,11 +135,11 @@
         """Send the client the result of its bind request."""
         await self._client.send(encode_bind_result(self._bind_request.iq_id, self._jid))
 
-    async def relay_traffic(self, stop: asyncio.Event) -> CloseReason:
-        """Forward stanzas both ways until either side closes; migrate the client once ``stop`` is set."""
+    async def relay_traffic(self, drain_requested: asyncio.Event) -> CloseReason:
+        """Forward stanzas until either side closes; migrate the client once ``drain_requested`` is set."""
         endpoint = self._endpoint
         assert endpoint is not None
         early_stanzas = self._early_stanzas
         self._early_stanzas = []
         relay = StanzaRelay(self._client, endpoint, self.lifecycle, self._idle_timeout, early_stanzas)
-        return await relay.run(stop)
+        return await relay.run(drain_requested)
--- a/sageturn/frontends/xmpp/relaying.py
+++ b/sageturn/frontends/xmpp/relaying.py
@@ -69,21 +69,23 @@
         self._early_stanzas = deque(early_stanzas)
         self._client_write_lock = asyncio.Lock()
 
-    async def run(self, stop: asyncio.Event) -> CloseReason:
-        """Forward until either side closes, ``stop`` is set or the endpoint times out; close both sessions.
+    async def run(self, drain_requested: asyncio.Event) -> CloseReason:
+        """Forward until either side closes, ``drain_requested`` is set or the endpoint times out.
 
-        Returns why the session was closed.
+        Closes both sessions, and returns why the session was closed.
         """
         downstream = asyncio.ensure_future(self._forward_to_client())
         upstream = asyncio.ensure_future(self._forward_to_endpoint())
-        stopping = asyncio.ensure_future(stop.wait())
+        drain_waiter = asyncio.ensure_future(drain_requested.wait())
         idle = asyncio.ensure_future(sleep_until_elapsed(self._idle_timeout.remaining_s))
         try:
-            await asyncio.wait((downstream, upstream, stopping, idle), return_when=asyncio.FIRST_COMPLETED)
-            migration_reason = CloseReason.MOVED if stopping.done() else CloseReason.MUTE
+            await asyncio.wait(
+                (downstream, upstream, drain_waiter, idle), return_when=asyncio.FIRST_COMPLETED
+            )
+            migration_reason = CloseReason.MOVED if drain_waiter.done() else CloseReason.MUTE
             end = await self._finish_forwarding(downstream, upstream, migration_reason)
         finally:
-            for task in (downstream, upstream, stopping, idle):
+            for task in (downstream, upstream, drain_waiter, idle):
                 await cancel_and_wait(task)
             self._record_totals()
         await self._close(end)
--- a/sageturn/frontends/xmpp/stream_parser.py
+++ b/sageturn/frontends/xmpp/stream_parser.py
@@ -13,7 +13,7 @@
 
 MAX_STANZA_BYTES = 65536
 MAX_HEADER_BYTES = 4096
-MAX_DEPTH = 64
+MAX_ELEMENT_DEPTH = 64
 
 
 @dataclass(frozen=True, slots=True)
@@ -128,7 +128,7 @@
             self._builder.start(_qualified_name(name), qualified_attributes)
         self._is_empty_element = True
         self._depth += 1
-        if self._depth > MAX_DEPTH:
+        if self._depth > MAX_ELEMENT_DEPTH:
             raise StreamError(StreamCondition.POLICY_VIOLATION, "too deep")
 
     def _on_end(self, name: str) -> None:
