--- a/tests/frontends/test_compatibility_frontends.py
+++ b/tests/frontends/test_compatibility_frontends.py
@@ -318,10 +318,10 @@
 
 
 def make_fixed_account_record() -> JsonObject:
-    auth_info = ScramMechanism("SCRAM-SHA-256").make_auth_info(
+    account_auth_info = ScramMechanism("SCRAM-SHA-256").make_auth_info(
         ACCOUNT_PASSWORD, iteration_count=4096, salt=SALT
     )
-    salt, stored_key, server_key, iterations = auth_info
+    salt, stored_key, server_key, iterations = account_auth_info
     return {
         "class": "c",
         "tenant": "t",
@@ -372,8 +372,8 @@
     with mock.patch.object(endpoint_login, "TlsChannel", lambda *args, **kwargs: channel):
         try:
             return await login.run()
-        except EndpointLoginRejectedError as rejection:
-            return rejection.close_reason.name
+        except EndpointLoginRejectedError as login_error:
+            return login_error.close_reason.name
 
 
 def encode_base64(text: str) -> bytes:
@@ -391,8 +391,8 @@
     def __init__(self) -> None:
         self._client_side = ScramClient(["SCRAM-SHA-256"], "lan", ACCOUNT_PASSWORD, c_nonce="client-nonce")
         mechanism = ScramMechanism("SCRAM-SHA-256")
-        auth_info = mechanism.make_auth_info("relay-pw", iteration_count=4096, salt=SALT)
-        self._server_side = mechanism.make_server(lambda name: auth_info, s_nonce="server-nonce")
+        relay_auth_info = mechanism.make_auth_info("relay-pw", iteration_count=4096, salt=SALT)
+        self._server_side = mechanism.make_server(lambda name: relay_auth_info, s_nonce="server-nonce")
 
     def auth(self, _: bytes) -> bytes:
         first = encode_base64(self._client_side.get_client_first())
