--- a/sageturn/overrides/__init__.py
+++ b/sageturn/overrides/__init__.py
@@ -1,4 +1,4 @@
-"""Operator overrides, each with an expiry: endpoints out of service, weights, sticky routing and holds.
+"""Operator overrides with an expiry: out of service, weight, sticky routing (pin) and rebalancing hold.
 
-Only ``actor`` does I/O and reads a clock; it connects the other modules, which are pure, to a relay.
+Only ``actor`` does I/O and reads a clock. It connects a relay to the other modules, which are pure.
 """
--- a/sageturn/overrides/actor.py
+++ b/sageturn/overrides/actor.py
@@ -1,4 +1,4 @@
-"""Applies a relay's overrides to the endpoint list before the balancer gets it, and to its requests."""
+"""Applies a relay's overrides to its requests, and to the endpoint list before the balancer receives it."""
 
 from __future__ import annotations
 
@@ -23,20 +23,21 @@
 
 log = logging.getLogger(__name__)
 
-MAX_STEP_INTERVAL_S = 0.5  # until a change of the system's clock, which no event reports, is noticed
+# Bounds the delay until a step of the system's clock is noticed: no event reports one.
+MAX_STEP_INTERVAL_S = 0.5
 STATE_REPORT_INTERVAL_S = 2.0
 FULL_LIST_KINDS = frozenset({decision.ListEventKind.FULL, decision.ListEventKind.STALE})
 WARNING_ACTIONS = frozenset({AuditAction.REJECTED, AuditAction.SUSPENDED})
 
 
 class RecordStore(Protocol):
-    """The part of the store that overrides read."""
+    """Read access to the store's records."""
 
     def keys(self, prefix: str = "") -> list[str]:
-        """Returns all keys that begin with the prefix."""
+        """Return all keys that begin with the prefix."""
 
     def get(self, key: str) -> object:
-        """Returns the value under a key, as decoded from JSON; None if there is none."""
+        """Return the value under a key, as decoded from JSON; None if there is none."""
 
 
 def _read_records(store: RecordStore) -> list[OverrideRecord]:
@@ -44,16 +45,16 @@
 
 
 class OverrideActor:
-    """Receives the endpoint list's events in the balancer's place, and forwards them with overrides applied.
+    """Actor between the endpoint registry and the balancer that applies overrides to endpoint list events.
 
     Args:
-        balancer_actor: Where endpoint list events are forwarded to, and whose requests are pinned.
-        options: The operators and limits in force; ``set_options`` replaces them.
-        store: Holds the operations; its owner calls ``on_store_change``.
-        report_state: Receives the relay's state record.
-        on_restrictions_changed: Is called when the endpoints change that are excluded from rebalancing, out
-            of service, or being evacuated.
-        now_ms: The system's clock, in milliseconds of Unix time.
+        balancer_actor: Actor that receives the modified endpoint list events, and whose requests are pinned.
+        options: Accepted operators and safety limits; ``set_options`` replaces them.
+        store: Store of the operations; its owner calls ``on_store_change``.
+        report_state: Callback that receives the relay's state record.
+        on_restrictions_changed: Callback for a change of the endpoints that are excluded from rebalancing,
+            out of service, or being evacuated.
+        now_ms: The system's clock; returns milliseconds of Unix time.
     """
 
     def __init__(
@@ -73,17 +74,18 @@
         self._on_restrictions_changed = on_restrictions_changed
         self._now_ms = now_ms
         self._pending_records: list[OverrideRecord] = []
-        self._pending_endpoints: set[str] = set()  # changed by a reload since the last step
+        self._pending_endpoint_names: set[str] = set()  # endpoints changed by a reload since the last step
         self._wake_up = asyncio.Event()
-        self._state_reported_s = 0.0
-        # Applied before the first endpoint is listed: what has expired by now never takes effect here.
+        self._state_reported_at_s = 0.0
+        # Records are applied before the first endpoint is listed, so that an override that has already
+        # expired never takes effect.
         self.registry.apply_records(_read_records(store), now_ms())
-        self._update_observer()
+        self._update_observer_registration()
 
     # ------------------------------------------------------------ endpoint list
 
     async def post_event(self, event: decision.Event) -> None:
-        """Posts an event of the endpoint registry to the balancer, endpoint lists with overrides applied."""
+        """Post an event of the endpoint registry to the balancer, endpoint lists with overrides applied."""
         if isinstance(event, decision.EndpointListEvent) and event.kind != decision.ListEventKind.FAILED:
             is_full = event.kind in FULL_LIST_KINDS
             endpoints = self.registry.apply_endpoint_list(event.endpoints, is_full, self._read_clock())
@@ -92,22 +94,26 @@
         await self._balancer_actor.post_event(event)
 
     def _read_clock(self) -> float:
-        """Returns milliseconds of Unix time, of which no more have passed than by the relay's own time.
+        """Return Unix time in milliseconds, less any lead of the system's clock over the relay's time.
 
-        A clock that is set forward must end no override before its time, which would be for good.
+        Without this correction a clock that is set forward would expire overrides early, and setting it
+        back would not restore them.
         """
         wall_clock_shift_ms = self._balancer_actor.clock.read_wall_clock()
         self.registry.wall_clock_shift_ms = min(0.0, wall_clock_shift_ms)
         return self._now_ms() - max(0.0, wall_clock_shift_ms)
 
     def is_out_of_service(self, endpoint: str) -> bool:
-        """Whether overrides take an endpoint out of service; asked again before a slow set-up goes on."""
+        """Return whether overrides take an endpoint out of service.
+
+        An attempt that took long to connect checks this before it sends its request.
+        """
         return self.registry.resolver.effect(endpoint).out_of_service
 
     # ------------------------------------------------------------ store
 
     def on_store_change(self, records: Sequence[StoreRecord]) -> None:
-        """Queues a change of the store for the next step; the store calls it for every change."""
+        """Queue a change of the store for the next step; called for every change of the store."""
         changed = [
             OverrideRecord(record.key, record.value)
             for record in records
@@ -118,16 +124,16 @@
             self._wake_up.set()
 
     def set_options(self, options: OverrideOptions, store: RecordStore) -> None:
-        """Applies the options of a reload, and all records anew: their operators may be known now."""
+        """Apply the options of a reload, and all records again: more operators may be accepted now."""
         changed = self.registry.set_options(options, self._read_clock())
-        self._pending_endpoints.update(endpoint.name for endpoint in changed)
+        self._pending_endpoint_names.update(endpoint.name for endpoint in changed)
         self._pending_records += _read_records(store)
         self._wake_up.set()
 
     # ------------------------------------------------------------ actor
 
     async def run(self) -> None:
-        """Steps whenever the store changes, an expiry passes, or a ramp has its next step. Never returns."""
+        """Step at every store change, expiry and step of a recovery ramp; never return."""
         while True:
             await self.step()
             now_ms = self._read_clock()
@@ -138,17 +144,17 @@
             await wait_for_event(self._wake_up, wait_s)
 
     async def step(self) -> None:
-        """Applies pending changes, expires what is over, and posts to the balancer what that changes."""
+        """Apply pending changes, expire overrides, and post the changed endpoints to the balancer."""
         self._wake_up.clear()
         records = self._pending_records
         self._pending_records = []
         try:
             await self._apply_pending(records)
         finally:
-            self._update_observer()
+            self._update_observer_registration()
 
-    def _update_observer(self) -> None:
-        """Observes the balancer only while there is a pin: without one no request is looked at here."""
+    def _update_observer_registration(self) -> None:
+        """Observe the balancer only while there is a pin, so that requests otherwise cost nothing here."""
         is_observing = self in self._balancer_actor.observers
         has_pins = bool(self.registry.resolver.pins)
         if has_pins and not is_observing:
@@ -166,26 +172,28 @@
             latest = {endpoint.name: endpoint for endpoint in endpoints}
             event = decision.EndpointListEvent(decision.ListEventKind.CHANGES, list(latest.values()))
             await self._balancer_actor.post_event(event)
-        audit_events = self.registry.audit.take()
+        audit_events = self.registry.audit.take_events()
         _log_audit_events(audit_events)
         if endpoints or audit_events:
             self._update_restrictions()
         if audit_events or self._is_report_due(now_ms / 1000.0):
-            self._state_reported_s = now_ms / 1000.0
+            self._state_reported_at_s = now_ms / 1000.0
             self._report_state(encode_relay_state(self.registry, now_ms))
 
     def _take_pending_endpoints(self, now_ms: float) -> list[decision.Endpoint]:
-        """Returns the endpoints that a reload changed as they are now, and forgets them.
+        """Return the current state of the endpoints that a reload changed, and clear the pending set.
 
-        Some may have been listed anew, or left the list, since the reload.
+        Discovery may have updated or removed some of them since the reload.
         """
-        names = sorted(self._pending_endpoints & self.registry.resolver.endpoints.keys())
-        self._pending_endpoints = set()
+        names = sorted(self._pending_endpoint_names & self.registry.resolver.endpoints.keys())
+        self._pending_endpoint_names = set()
         return [self.registry.effective_endpoint(name, now_ms) for name in names]
 
     def _is_report_due(self, now_s: float) -> bool:
-        """Whether the report interval has passed, or the clock was set back."""
-        return now_s >= self._state_reported_s + STATE_REPORT_INTERVAL_S or now_s < self._state_reported_s
+        """Return whether the report interval has passed or the clock was set back."""
+        return (
+            now_s >= self._state_reported_at_s + STATE_REPORT_INTERVAL_S or now_s < self._state_reported_at_s
+        )
 
     def _update_restrictions(self) -> None:
         effects = self.registry.resolver.effects.items()
@@ -202,7 +210,7 @@
     # ------------------------------------------------------------ BalancerObserver
 
     def before_event(self, now_ms: float, event: decision.Event) -> None:
-        """Binds a request that a pin selects to the pin's endpoints."""
+        """Restrict a request that pins select to the endpoints of these pins."""
         if not isinstance(event, decision.RequestArrived):
             return
         route = self.registry.resolver.sticky_route(event.class_name, event.tenant, event.group)
@@ -210,10 +218,10 @@
             apply_sticky_route(event, route, self._balancer_actor)
 
     def after_event(self, now_ms: float, event: decision.Event, actions: Sequence[decision.Action]) -> None:
-        """Does nothing: overrides do not depend on the balancer's decisions."""
+        """Do nothing: overrides do not depend on the balancer's decisions."""
 
     def on_migrated_by_others(self, now_ms: float, request_id: int) -> None:
-        """Does nothing: overrides do not depend on migrations."""
+        """Do nothing: overrides do not depend on migrations."""
 
 
 def _log_audit_events(events: Sequence[AuditEvent]) -> None:
--- a/sageturn/overrides/audit.py
+++ b/sageturn/overrides/audit.py
@@ -1,4 +1,4 @@
-"""Collects audit events on overrides and their records, for the log."""
+"""Collects audit events about overrides and their records, for the log."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class AuditAction(StrEnum):
-    """The change of an override; ``REJECTED`` is of a record that is no valid operation."""
+    """Kind of an audit event; ``REJECTED`` concerns a record that is not a valid operation."""
 
     SET = "set"
     EXTENDED = "extended"
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AuditEvent:
-    """One event on one override; ``detail`` says by whom, why, or until when."""
+    """Audit event on one override; ``detail`` gives the operator, the reason or the expiry."""
 
     action: AuditAction
     override_id: str
@@ -31,26 +31,26 @@
 
 
 class AuditTrail:
-    """Collects audit events until the actor takes them."""
+    """Buffer of audit events until the actor logs them."""
 
     def __init__(self) -> None:
         self.events: list[AuditEvent] = []
         self._reported_suspended: dict[str, str] = {}
 
-    def take(self) -> list[AuditEvent]:
-        """Returns the events since the last call, and forgets them."""
+    def take_events(self) -> list[AuditEvent]:
+        """Return the events since the last call, and empty the buffer."""
         events = self.events
         self.events = []
         return events
 
     def record_rejection(self, key: str, override_id: str, reason: str) -> None:
-        """Records that the record under ``key`` is not accepted as an operation."""
+        """Record that the record under ``key`` is rejected as an operation."""
         self._record(AuditAction.REJECTED, override_id, f"{key}: {reason}")
 
     def record_update(self, previous: Override | None, current: Override, now_ms: float) -> None:
-        """Records that operations have set, extended or revoked an override.
+        """Record that operations have set, extended or revoked an override.
 
-        One that had ended before this relay learned of it leaves no event.
+        An override that had already ended when this relay received it causes no event.
         """
         if previous is None and (current.is_revoked or current.has_expired(now_ms)):
             return
@@ -66,15 +66,16 @@
             self._record(AuditAction.EXTENDED, current.id, f"by {current.expiry_set_by} until {expiry}")
 
     def record_expiry(self, override: Override) -> None:
-        """Records that an override's expiry has passed."""
+        """Record that an override's expiry has passed."""
         self._record(AuditAction.EXPIRED, override.id, f"set by {override.created_by}: {override.reason}")
 
     def record_suspensions(self, suspended: Mapping[str, str], active_ids: Container[str]) -> None:
-        """Records which overrides were suspended or resumed since the last call.
+        """Record which overrides were suspended or resumed since the last call.
 
         Args:
-            suspended: By override id, why it is suspended now.
-            active_ids: The overrides that have not ended; one that ended while suspended does not resume.
+            suspended: Reasons of the current suspensions, by override id.
+            active_ids: Ids of the overrides that have not ended. An override that ended while suspended
+                is not recorded as resumed.
         """
         for override_id in suspended.keys() - self._reported_suspended.keys():
             self._record(AuditAction.SUSPENDED, override_id, suspended[override_id])
--- a/sageturn/overrides/effects.py
+++ b/sageturn/overrides/effects.py
@@ -1,10 +1,11 @@
 """Combines the overrides on each endpoint into one effect.
 
-Where several overrides select one endpoint, the effect is the same at every relay in any order:
+Every relay combines several overrides on one endpoint in the same way, whatever their order:
 
-- out of service takes precedence over any weight; connections are migrated off if any of them asks for it;
-- of several weights the smallest applies;
-- the endpoint is excluded from rebalancing if any of them holds it.
+- Out of service takes precedence over any weight. Connections are migrated off the endpoint if any of the
+  overrides requests it.
+- The smallest of several weight factors applies.
+- The endpoint is excluded from rebalancing if any of the overrides is a hold.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OverrideEffect:
-    """The effect of all overrides on one endpoint; ``override_ids`` has those that select it."""
+    """Combined effect of all overrides in force on one endpoint, whose ids are ``override_ids``."""
 
     out_of_service: bool = False
     migrate_connections: bool = False
@@ -30,24 +31,24 @@
 
 NO_EFFECT = OverrideEffect()
 
-# By endpoint, the effect before it changed. Where two changes are merged, the earlier effect is kept.
+# Effects before a change, by endpoint name. Merging two changes keeps the earlier effect.
 EffectChanges = dict[str, OverrideEffect]
 
 
 class EffectTable:
-    """Keeps the effects by endpoint, of the endpoints that any override in force selects."""
+    """Table of the effects by endpoint name, for the endpoints that any override in force selects."""
 
     def __init__(self, selection: SelectionIndex, suspended_ids: Container[str]) -> None:
         self.by_endpoint: dict[str, OverrideEffect] = {}
         self._selection = selection
         self._suspended_ids = suspended_ids
 
-    def forget(self, name: str) -> None:
-        """Drops the effect on an endpoint that has left the list."""
+    def discard(self, name: str) -> None:
+        """Drop the effect on an endpoint that was removed from the list."""
         self.by_endpoint.pop(name, None)
 
     def refresh(self, names: Iterable[str]) -> EffectChanges:
-        """Recomputes the effects on these endpoints; names that are not listed are ignored."""
+        """Recompute the effects on these endpoints, and return the changes; unlisted names are ignored."""
         changes: EffectChanges = {}
         if not self._selection.has_overrides and not self.by_endpoint:
             return changes
@@ -74,7 +75,7 @@
 
 
 def combine_overrides(overrides: Iterable[Override]) -> OverrideEffect:
-    """Returns the effect of these overrides on an endpoint that all of them select."""
+    """Return the combined effect of overrides that all select the same endpoint."""
     out_of_service = False
     migrate_connections = False
     rebalance_excluded = False
--- a/sageturn/overrides/errors.py
+++ b/sageturn/overrides/errors.py
@@ -1,15 +1,15 @@
-"""Errors of the override records that operators write."""
+"""Errors in override records and in operators' public keys."""
 
 from __future__ import annotations
 
 
 class OverrideError(Exception):
-    """Base of all errors that this package raises."""
+    """Base class of all errors that this package raises."""
 
 
 class InvalidOperationError(OverrideError, ValueError):
-    """A record is not a valid operation of an operator; the text names the field or the reason."""
+    """Error in a record that is not a valid operation; the text names the field or the reason."""
 
 
 class InvalidPublicKeyError(OverrideError, ValueError):
-    """A configured operator key is not an Ed25519 public key in base64."""
+    """Error in a configured operator key that is not an Ed25519 public key in base64."""
--- a/sageturn/overrides/operation_codec.py
+++ b/sageturn/overrides/operation_codec.py
@@ -1,6 +1,6 @@
-"""Encodes operations as the JSON objects of the store, and decodes and checks them.
+"""Encodes operations as the JSON objects of the store, and decodes and validates these objects.
 
-This is the only place that knows the names of the JSON keys.
+Only this module names their JSON keys.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 MAX_WEIGHT_FACTOR = 4.0
 MAX_TEXT_LENGTH = 500
 MAX_PINNED_ENDPOINTS = 256
-MAX_INSTANT_MS = 4e12  # of Unix time: the year 2096
+MAX_UNIX_TIME_MS = 4e12  # a date in the year 2096
 MAX_REVISION = 999_999
 _OVERRIDE_ID = re.compile(r"[a-z0-9][a-z0-9-]{0,39}")
 _OPERATOR_NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9_.@-]{0,63}")
@@ -32,7 +32,7 @@
 
 
 def encode_operation(operation: OverrideOperation) -> dict[str, object]:
-    """Returns the JSON object of an operation, without its signature."""
+    """Return the JSON object of an operation, without its signature."""
     encoded: dict[str, object] = {
         "override": operation.override_id,
         "word": operation.type.value,
@@ -52,7 +52,7 @@
 
 
 def _encode_payload(payload: OverridePayload) -> dict[str, object]:
-    encoded: dict[str, object] = {"does": payload.kind.value}  # "kind" is an endpoint's attribute
+    encoded: dict[str, object] = {"does": payload.kind.value}  # the key "kind" selects by endpoint kind
     if payload.selector is not None:
         encoded[payload.selector.attribute.value] = payload.selector.value
     optional: dict[str, object] = {
@@ -74,10 +74,10 @@
 
 
 def decode_operation(encoded: dict[str, object]) -> OverrideOperation:
-    """Reads an object made by ``encode_operation``.
+    """Decode and validate an object made by ``encode_operation``.
 
     Raises:
-        InvalidOperationError: A value is missing or out of range; the text names the value's path.
+        InvalidOperationError: A value is missing or invalid; the text names its path in the object.
     """
     fields = _FieldReader(encoded, "")
     operation_type = _read_operation_type(fields)
@@ -86,7 +86,7 @@
         revision=_read_revision(fields),
         reason=_read_reason(fields),
         override_id=fields.text("override", _OVERRIDE_ID),
-        created_at_ms=fields.number("at_ms", 0, MAX_INSTANT_MS),
+        created_at_ms=fields.number("at_ms", 0, MAX_UNIX_TIME_MS),
         operator=fields.text("operator", _OPERATOR_NAME),
         expires_at_ms=_read_expiry_ms(fields, operation_type),
         payload=_decode_payload(encoded.get("body")) if operation_type is OperationType.SET else None,
@@ -96,7 +96,7 @@
 
 
 class _FieldReader:
-    """Typed access to the values of one object; an error names the value's path."""
+    """Typed reader of the values of one JSON object; its errors name the value's path."""
 
     def __init__(self, values: object, path_prefix: str) -> None:
         if not isinstance(values, dict):
@@ -105,7 +105,7 @@
         self._path_prefix = path_prefix
 
     def text(self, name: str, pattern: re.Pattern[str] | None = None, default: str | None = None) -> str:
-        """Reads a string of at most ``MAX_TEXT_LENGTH`` characters that matches the pattern as a whole."""
+        """Read a string of at most ``MAX_TEXT_LENGTH`` characters that matches the whole pattern."""
         value = self._values.get(name, default)
         if not isinstance(value, str) or len(value) > MAX_TEXT_LENGTH:
             raise self._invalid(name)
@@ -114,23 +114,23 @@
         return value
 
     def number(self, name: str, minimum: float, maximum: float, default: float | None = None) -> float:
-        """Reads a number within both bounds; booleans are no numbers."""
+        """Read a number from ``minimum`` to ``maximum``; a boolean is not a number."""
         value = self._values.get(name, default)
         if not isinstance(value, (int, float)) or isinstance(value, bool):
             raise self._invalid(name)
-        if not minimum <= value <= maximum:  # NaN is refused here, too
+        if not minimum <= value <= maximum:  # also rejects NaN
             raise self._invalid(name)
         return value
 
     def flag(self, name: str) -> bool:
-        """Reads a boolean; false if it is missing."""
+        """Read a boolean; False if it is missing."""
         value = self._values.get(name, False)
         if not isinstance(value, bool):
             raise self._invalid(name)
         return value
 
     def get(self, name: str) -> object:
-        """Returns a value of any type, for the caller to check; None if it is missing."""
+        """Return a value of any type without a check; None if it is missing."""
         return self._values.get(name)
 
     def _invalid(self, name: str) -> InvalidOperationError:
@@ -162,7 +162,7 @@
 def _read_expiry_ms(fields: _FieldReader, operation_type: OperationType) -> float:
     if operation_type is OperationType.REVOKE:
         return 0.0
-    return fields.number("until_ms", 1, MAX_INSTANT_MS)
+    return fields.number("until_ms", 1, MAX_UNIX_TIME_MS)
 
 
 def _decode_payload(encoded: object) -> OverridePayload:
@@ -172,13 +172,15 @@
         kind = OverrideKind(text)
     except ValueError as error:
         raise InvalidOperationError("body.does") from error
-    selected_by = [attribute for attribute in SelectorAttribute if fields.get(attribute.value) is not None]
-    process_started_at_ms = fields.number("this_start_ms", 0, MAX_INSTANT_MS, 0.0)
+    selector_attributes = [
+        attribute for attribute in SelectorAttribute if fields.get(attribute.value) is not None
+    ]
+    process_started_at_ms = fields.number("this_start_ms", 0, MAX_UNIX_TIME_MS, 0.0)
     if kind is OverrideKind.PIN:
-        return _decode_pin(fields, selected_by)
-    if len(selected_by) != 1:
+        return _decode_pin(fields, selector_attributes)
+    if len(selector_attributes) != 1:
         raise InvalidOperationError("body: one of host, zone, kind and cell must be named")
-    attribute = selected_by[0]
+    attribute = selector_attributes[0]
     selector = Selector(attribute, fields.text(attribute.value))
     if process_started_at_ms and attribute is not SelectorAttribute.ENDPOINT:
         raise InvalidOperationError("body.this_start_ms: needs a host")
@@ -194,14 +196,14 @@
     )
 
 
-def _decode_pin(fields: _FieldReader, selected_by: list[SelectorAttribute]) -> OverridePayload:
+def _decode_pin(fields: _FieldReader, selector_attributes: list[SelectorAttribute]) -> OverridePayload:
     endpoints = fields.get("hosts")
     if not isinstance(endpoints, list) or not 0 < len(endpoints) <= MAX_PINNED_ENDPOINTS:
         raise InvalidOperationError("body.hosts")
     if not all(isinstance(name, str) and 0 < len(name) <= MAX_TEXT_LENGTH for name in endpoints):
         raise InvalidOperationError("body.hosts")
-    if selected_by:
-        raise InvalidOperationError(f"body.{selected_by[0]}: a pin names its hosts")
+    if selector_attributes:
+        raise InvalidOperationError(f"body.{selector_attributes[0]}: a pin names its hosts")
     return OverridePayload(
         OverrideKind.PIN,
         endpoints=tuple(endpoints),
--- a/sageturn/overrides/operation_log.py
+++ b/sageturn/overrides/operation_log.py
@@ -1,4 +1,4 @@
-"""Keeps the accepted operations of the store's records by override, and the records that were rejected."""
+"""Keeps the accepted operations by override, and the store's records that were rejected."""
 
 from __future__ import annotations
 
@@ -15,45 +15,46 @@
 
 
 class OverrideRecord(NamedTuple):
-    """A record of the store under ``KEY_PREFIX``; a value of None is a deletion."""
+    """Record of the store under ``KEY_PREFIX``; a value of None is a deletion."""
 
     key: str
-    value: Any  # as decoded from JSON, not checked yet
+    value: Any  # decoded from JSON, not validated yet
 
 
 class OperationLog:
-    """Verifies records and keeps their operations, which are immutable: the first under a key counts."""
+    """Log of verified operations. Operations are immutable: the first record under a key counts."""
 
     def __init__(self, operators: Mapping[str, Ed25519PublicKey], audit: AuditTrail) -> None:
-        self.rejected_records: dict[str, str] = {}  # by store key: why
+        self.rejected_records: dict[str, str] = {}  # reasons, by store key
         self._operators = operators
         self._audit = audit
-        self._operations: dict[str, dict[str, OverrideOperation]] = {}  # by override id, then by store key
+        # Accepted operations by override id, then by store key.
+        self._operations: dict[str, dict[str, OverrideOperation]] = {}
 
     @property
     def override_ids(self) -> Collection[str]:
-        """The ids of all overrides that have had an operation."""
+        """Ids of all overrides that have or had an accepted operation."""
         return self._operations.keys()
 
     def operations_on(self, override_id: str) -> Collection[OverrideOperation]:
-        """Returns the operations on an override, in no particular order."""
+        """Return the operations on an override, in no particular order."""
         return self._operations.get(override_id, {}).values()
 
     def history(self, override_id: str) -> list[OverrideOperation]:
-        """Returns the operations on an override by revision and time."""
+        """Return the operations on an override, ordered by revision and time."""
         return sorted(self.operations_on(override_id), key=lambda operation: operation.rank)
 
     def apply(self, records: Iterable[OverrideRecord]) -> list[str]:
-        """Applies records of the store. Returns the ids of the overrides whose operations have changed."""
-        changed_ids: dict[str, None] = {}  # an ordered set
+        """Apply records of the store, and return the ids of the overrides whose operations have changed."""
+        changed_ids: dict[str, None] = {}  # used as an ordered set
         for key, value in records:
             override_id = key.removeprefix(KEY_PREFIX).partition("/")[0]
-            known = self._operations.get(override_id, {})
-            if value is None:  # deleted as it was rejected, or with the override's history
+            accepted_operations = self._operations.get(override_id, {})
+            if value is None:  # a deleted record was rejected, or its override's history was removed
                 self.rejected_records.pop(key, None)
-                if known.pop(key, None) is not None:
+                if accepted_operations.pop(key, None) is not None:
                     changed_ids[override_id] = None
-            elif key not in known:
+            elif key not in accepted_operations:
                 operation = self._parse_record(key, value, override_id)
                 if operation is not None:
                     self._operations.setdefault(override_id, {})[key] = operation
@@ -61,7 +62,11 @@
         return list(changed_ids)
 
     def set_operators(self, operators: Mapping[str, Ed25519PublicKey]) -> None:
-        """Replaces the operators' public keys by name, and rejects the operations of those that are gone."""
+        """Replace the operators' public keys, and reject the operations of removed operators.
+
+        Args:
+            operators: Public keys by operator name.
+        """
         self._operators = operators
         for override_id, operations in self._operations.items():
             rejected_keys = [
--- a/sageturn/overrides/operations.py
+++ b/sageturn/overrides/operations.py
@@ -1,8 +1,8 @@
-"""The operations that operators write: each is one immutable, signed record of the store.
+"""Operations that operators write; each is an immutable, signed record of the store.
 
-An override is the sum of the operations on it (set, extend, revoke), each under a key of its own in the
-store. Whatever order they arrive in, and on whichever side of a network partition they were written, every
-relay ends with the same set of them and therefore with the same override: no operation overwrites another.
+An override results from all operations on it (set, extend, revoke). Each operation has its own key in the
+store, so none overwrites another. Whatever their order of arrival, and on whichever side of a network
+partition they were written, every relay ends with the same operations and therefore the same override.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class OverrideKind(StrEnum):
-    """The kind of an override; the values are those of the records and of the command line."""
+    """Kind of an override; the values appear in records and on the command line."""
 
     OUT_OF_SERVICE = "out"
     WEIGHT = "weight"
@@ -29,7 +29,7 @@
 
 
 class OperationType(StrEnum):
-    """The type of an operation on an override; the values are those of the records."""
+    """Type of an operation on an override; the values appear in records."""
 
     SET = "set"
     EXTEND = "extend"
@@ -37,7 +37,7 @@
 
 
 class SelectorAttribute(StrEnum):
-    """The attribute of an endpoint that a selector compares; the values are those of the records."""
+    """Endpoint attribute that a selector compares; the values appear in records."""
 
     ENDPOINT = "host"
     ZONE = "zone"
@@ -46,21 +46,22 @@
 
 
 class Selector(NamedTuple):
-    """Selects the endpoints whose attribute has this value, including those that join later.
+    """Selector of all endpoints whose attribute has this value, including those that are listed later.
 
-    A named tuple and not a dataclass: it is the key of the indexes, which are looked up for each endpoint.
+    It is a named tuple, not a dataclass, for faster look-ups: it is the key of indexes that are read for
+    each endpoint.
     """
 
     attribute: SelectorAttribute
     value: str
 
     def matches(self, endpoint: Endpoint) -> bool:
-        """Whether this selector matches the endpoint as it is listed now."""
+        """Return whether this selector matches the endpoint as currently listed."""
         return self in selectors_matching(endpoint)
 
 
 def selectors_matching(endpoint: Endpoint) -> tuple[Selector, ...]:
-    """Returns the selectors that match an endpoint, one for each attribute."""
+    """Return the selectors that match an endpoint, one for each attribute."""
     return (
         Selector(SelectorAttribute.ENDPOINT, endpoint.name),
         Selector(SelectorAttribute.ZONE, endpoint.zone),
@@ -71,37 +72,37 @@
 
 @dataclass(frozen=True, slots=True)
 class OverridePayload:
-    """The effect and the targets of an override. Fields that its kind does not have keep their defaults."""
+    """Effect and targets of an override. Fields that do not apply to its kind keep their defaults."""
 
     kind: OverrideKind
-    selector: Selector | None = None  # all kinds but a pin
-    migrate_connections: bool = False  # out of service: move established connections off, too
-    factor: float = 1.0  # weight
-    endpoints: tuple[str, ...] = ()  # pin: where its traffic goes
-    strict: bool = False  # pin: nowhere else, even if none of its endpoints can take it
-    class_name: str = ""  # pin: class of the traffic; empty: all classes
-    tenant: str = ""  # pin: tenant of the traffic; empty: all tenants
-    group_prefix: str = ""  # pin: groups that begin so; empty: all groups
-    process_started_at_ms: float = 0.0  # only the process that started then; 0: whichever has the name
+    selector: Selector | None = None  # None only for a pin
+    migrate_connections: bool = False  # out of service: also migrate established connections
+    factor: float = 1.0  # weight: multiplier of the endpoint's weight
+    endpoints: tuple[str, ...] = ()  # pin: endpoints that serve the selected requests
+    strict: bool = False  # pin: no other endpoint serves them, even if all of these are unavailable
+    class_name: str = ""  # pin: class of the requests; empty selects all classes
+    tenant: str = ""  # pin: tenant of the requests; empty selects all tenants
+    group_prefix: str = ""  # pin: prefix of the requests' groups; empty selects all groups
+    process_started_at_ms: float = 0.0  # start time of the only process it applies to; 0: any process
 
     @property
     def target_factor(self) -> float:
-        """The weight factor that the override leaves to the endpoints it selects."""
+        """Weight factor that the override sets on the endpoints that it selects; 0 if out of service."""
         return 0.0 if self.kind is OverrideKind.OUT_OF_SERVICE else self.factor
 
     @property
     def reduces_capacity(self) -> bool:
-        """Whether the override takes capacity from any traffic, so that the safety limits apply to it."""
+        """True if the override reduces the capacity of any traffic, so that the safety limits apply to it."""
         if self.kind is OverrideKind.OUT_OF_SERVICE:
             return True
         return (self.kind is OverrideKind.WEIGHT and self.factor < 1.0) or self.strict
 
     def matches_process(self, endpoint: Endpoint) -> bool:
-        """Whether the override is about the process that has the endpoint's name now."""
+        """Return whether the override applies to the process that currently has the endpoint's name."""
         return not self.process_started_at_ms or self.process_started_at_ms == endpoint.started_at_ms
 
     def matches_request(self, class_name: str, tenant: str, group: str) -> bool:
-        """Whether a pin selects a request of this class, tenant and group."""
+        """Return whether a pin selects a request of this class, tenant and group."""
         if self.class_name and self.class_name != class_name:
             return False
         if self.tenant and self.tenant != tenant:
@@ -110,7 +111,7 @@
 
 
 class OperationRank(NamedTuple):
-    """Orders the operations on one override by revision and time; the key breaks ties."""
+    """Sort key of the operations on one override: revision, then time; the store key breaks ties."""
 
     revision: int
     created_at_ms: float
@@ -119,35 +120,35 @@
 
 @dataclass(frozen=True, slots=True)
 class OverrideOperation:
-    """One operation on one override. Instants are milliseconds of Unix time."""
+    """Operation on an override. Times are milliseconds of Unix time."""
 
     override_id: str
     type: OperationType
     revision: int
     created_at_ms: float
-    operator: str  # the name whose key signs the record
+    operator: str  # name of the operator whose key signs the record
     reason: str
-    expires_at_ms: float = 0.0  # set and extend; 0: a revocation, which has none
-    payload: OverridePayload | None = None  # set
-    forced: bool = False  # set: the safety limits do not suspend it
+    expires_at_ms: float = 0.0  # set and extend; 0 for a revocation, which has no expiry
+    payload: OverridePayload | None = None  # set: effect and targets; None for other types
+    forced: bool = False  # set: exempt from suspension by the safety limits
     nonce: str = ""
 
     @property
     def key(self) -> str:
-        """The store key of the operation's record."""
+        """Store key of the operation's record."""
         return f"{KEY_PREFIX}{self.override_id}/{self.revision:06d}-{self.operator}-{self.nonce}"
 
     @property
     def rank(self) -> OperationRank:
-        """The operation's place among those on its override."""
+        """Sort key of the operation among those on its override."""
         return OperationRank(self.revision, self.created_at_ms, self.key)
 
 
 def new_override_id(kind: str) -> str:
-    """Returns a random id such as ``out-5be2a07c`` for an override of this kind."""
+    """Return a random id such as ``out-5be2a07c`` for an override of this kind."""
     return f"{kind}-{secrets.token_hex(ID_RANDOM_BYTES)}"
 
 
 def new_nonce() -> str:
-    """Returns a random nonce: it keeps operations of one operator under one revision apart."""
+    """Return a random nonce; it distinguishes operations of one operator with the same revision."""
     return secrets.token_hex(NONCE_BYTES)
--- a/sageturn/overrides/options.py
+++ b/sageturn/overrides/options.py
@@ -1,4 +1,4 @@
-"""The ``overrides`` section of the operator's file, decoded."""
+"""Options of the ``overrides`` section of the operator's file."""
 
 from __future__ import annotations
 
@@ -18,13 +18,14 @@
 
     min_total_ratio: float = 0.5
     min_zone_ratio: float = 0.34
-    min_pin_ratio: float = 0.1  # of the total: what a strict pin leaves to the traffic it selects
+    min_pin_ratio: float = 0.1  # ratio of the total that a strict pin must leave to the requests it selects
 
 
 @dataclass(frozen=True, slots=True)
 class OverrideOptions:
-    """The operators whose overrides are accepted, and the limits of these overrides."""
+    """Operators whose overrides are accepted, and the limits on these overrides."""
 
     operators: Mapping[str, Ed25519PublicKey] = field(default_factory=dict)  # public keys by operator name
-    max_duration_s: float = DEFAULT_MAX_DURATION_S  # counted anew from each extension
+    # Maximum time from the creation of a set or extend operation to the expiry that it gives.
+    max_duration_s: float = DEFAULT_MAX_DURATION_S
     safety_limits: SafetyLimits = field(default_factory=SafetyLimits)
--- a/sageturn/overrides/recovery_ramp.py
+++ b/sageturn/overrides/recovery_ramp.py
@@ -1,7 +1,8 @@
-"""Returns endpoints to service once an override on them has ended, no faster than in slow start.
+"""Restores the capacity of endpoints after an override on them ends, no faster than slow start does.
 
-An endpoint that was out of service is shown to the balancer as one that has just started, so that its slow
-start applies. One whose weight was reduced regains it as evenly as an endpoint in slow start its capacity.
+An endpoint that was out of service is presented to the balancer as just started, so that slow start applies
+to it. The weight of an endpoint whose weight was reduced grows at the same constant rate as the capacity of
+an endpoint in slow start.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WeightRamp:
-    """A weight factor that grows from one value to another; the pace is the same for all."""
+    """Linear increase of a weight factor to its target; the rate is the same for all endpoints."""
 
     start_factor: float
     started_at_ms: float
@@ -24,23 +25,23 @@
 
 
 class RecoveryRamps:
-    """Keeps the endpoints that return to service or regain weight. Instants are of the relay's time.
+    """Recovery ramps of the endpoints that return to service or regain weight, in the relay's time.
 
     Args:
-        initial_capacity_ratio: Capacity of an endpoint at the beginning of its slow start, from 0 to 1.
-        slow_start_ms: Length of the balancer's slow start.
+        initial_capacity_ratio: Capacity of an endpoint at the start of its slow start, from 0 to 1.
+        slow_start_ms: Duration of the balancer's slow start.
     """
 
     def __init__(self, initial_capacity_ratio: float, slow_start_ms: float) -> None:
         self._slow_start_ms = max(1.0, slow_start_ms)
         self._growth_per_ms = (1.0 - initial_capacity_ratio) / self._slow_start_ms
-        self._returned_at_ms: dict[str, float] = {}  # endpoints that were out of service
+        self._returned_at_ms: dict[str, float] = {}  # return times of endpoints that were out of service
         self._weight_ramps: dict[str, WeightRamp] = {}
 
     def on_effect_changed(
         self, endpoint: str, previous: OverrideEffect, current: OverrideEffect, now_ms: float
     ) -> None:
-        """Starts or cancels the endpoint's ramps after the effect of overrides on it has changed."""
+        """Start or cancel the endpoint's ramps after the effect of overrides on it has changed."""
         if previous.out_of_service and not current.out_of_service:
             self._returned_at_ms[endpoint] = now_ms
         elif current.out_of_service:
@@ -51,16 +52,16 @@
         else:
             self._weight_ramps.pop(endpoint, None)
 
-    def forget(self, endpoint: str) -> None:
-        """Cancels the ramps of an endpoint that has left the list or restarted.
+    def discard(self, endpoint: str) -> None:
+        """Cancel the ramps of an endpoint that was removed from the list or has restarted.
 
-        When it returns, the balancer starts it slowly without a ramp.
+        The balancer itself applies slow start to an endpoint that joins or has restarted.
         """
         self._returned_at_ms.pop(endpoint, None)
         self._weight_ramps.pop(endpoint, None)
 
     def current_factor(self, endpoint: str, effect: OverrideEffect, now_ms: float) -> float:
-        """Returns the weight factor that applies now, on its way to that of the effect."""
+        """Return the weight factor that applies now; during a ramp it is at most the effect's factor."""
         ramp = self._weight_ramps.get(endpoint)
         if ramp is None:
             return effect.factor
@@ -68,9 +69,9 @@
         return min(ramp.target_factor, ramp.start_factor + elapsed_ms * self._growth_per_ms)
 
     def apply(self, endpoint: Endpoint, effect: OverrideEffect, now_ms: float) -> Endpoint:
-        """Returns the endpoint as the balancer is to see it.
+        """Return the endpoint as presented to the balancer.
 
-        A drain or loss that discovery reports takes precedence over overrides.
+        A state other than ready that discovery reports takes precedence over overrides.
         """
         is_drained = effect.out_of_service and endpoint.state == EndpointStatus.READY
         return replace(
@@ -81,7 +82,7 @@
         )
 
     def _slow_start_began_ms(self, endpoint: str, now_ms: float) -> float:
-        """Returns when an endpoint that was out of service returned; 0 once its slow start is over."""
+        """Return the time at which an endpoint returned to service; 0 if not or if its slow start is over."""
         returned_at_ms = self._returned_at_ms.get(endpoint, 0.0)
         if returned_at_ms and now_ms >= returned_at_ms + self._slow_start_ms:
             del self._returned_at_ms[endpoint]
@@ -89,7 +90,7 @@
         return returned_at_ms
 
     def advance(self, now_ms: float) -> list[str]:
-        """Returns the endpoints whose weight grows, and drops the ramps of those that have regained it."""
+        """Return the endpoints whose weight grows, and drop the ramps that have reached their target."""
         endpoints = list(self._weight_ramps)
         for endpoint in endpoints:
             ramp = self._weight_ramps[endpoint]
@@ -99,5 +100,5 @@
         return endpoints
 
     def next_step_ms(self, now_ms: float) -> float | None:
-        """Returns when weights are to be raised next; None if none grows."""
+        """Return the time at which to raise weights next; None if there is no weight ramp."""
         return now_ms + self._slow_start_ms / RAMP_STEPS if self._weight_ramps else None
--- a/sageturn/overrides/registry.py
+++ b/sageturn/overrides/registry.py
@@ -1,4 +1,4 @@
-"""Applies all overrides that a relay knows of to its endpoints; the caller passes the time."""
+"""Applies all overrides in a relay's store to its endpoints; the caller passes the time."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 
 class OverrideRegistry:
-    """Keeps overrides by id up to date with the operations in the store, the endpoint list and the time.
+    """Overrides by id, kept up to date with the operations in the store, the endpoint list and the time.
 
-    Times are milliseconds of Unix time: expiries are instants of it. Time that goes back does not bring back
-    what has expired: it stays expired until a later operation extends it.
+    Times are milliseconds of Unix time, as expiries are. If the clock goes back, an expired override stays
+    expired until a later operation extends it.
 
-    Updates return the endpoints, as the balancer is to see them, that they have changed.
+    Updates return the endpoints that they have changed, as presented to the balancer.
     """
 
     def __init__(self, options: OverrideOptions, initial_capacity_ratio: float, slow_start_ms: float) -> None:
@@ -31,19 +31,20 @@
         self.resolver = OverrideResolver(options.safety_limits)
         self.recovery_ramps = RecoveryRamps(initial_capacity_ratio, slow_start_ms)
         self.overrides: dict[str, Override] = {}
-        self._expired_revisions: dict[str, int] = {}  # by override id: its revision when it expired
-        # What the time passed in is ahead of the relay's time, in which endpoints return. Its owner sets it.
+        self._expired_revisions: dict[str, int] = {}  # revision at which an override expired, by override id
+        # Lead of the times passed in over the relay's time, which recovery ramps use. The owner of the
+        # registry sets it.
         self.wall_clock_shift_ms = 0.0
 
     # ------------------------------------------------------------ operations
 
     def apply_records(self, records: Iterable[OverrideRecord], now_ms: float) -> list[Endpoint]:
-        """Applies records of the store under ``KEY_PREFIX``. Returns the endpoints that this changes."""
+        """Apply records of the store under ``KEY_PREFIX``, and return the changed endpoints."""
         changed_ids = self.operation_log.apply(records)
         return self._apply_changes(self._fold_all(changed_ids, now_ms), now_ms)
 
     def set_options(self, options: OverrideOptions, now_ms: float) -> list[Endpoint]:
-        """Applies new options: operations of removed operators no longer count, new limits hold at once."""
+        """Apply new options: operations of removed operators stop counting, and new limits apply at once."""
         self.options = options
         self.resolver.guard.limits = options.safety_limits
         self.operation_log.set_operators(options.operators)
@@ -57,7 +58,7 @@
         return changes
 
     def _fold(self, override_id: str, now_ms: float) -> EffectChanges:
-        """Recomputes an override from its operations, and puts it into force or takes it out."""
+        """Recompute an override from its operations, and add it to or remove it from the resolver."""
         operations = self.operation_log.operations_on(override_id)
         override = fold_operations(operations, self.options.max_duration_s * 1000.0)
         previous = self.overrides.pop(override_id, None)
@@ -72,14 +73,14 @@
         if override.has_expired(now_ms):
             return self._expire(override)
         if self._expired_revisions.get(override_id) == override.revision:
-            return {}  # the clock was set back: what has expired stays expired
+            return {}  # the clock was set back; an expired override stays expired
         self._expired_revisions.pop(override_id, None)
         return self.resolver.add(override)
 
     # ------------------------------------------------------------ time
 
     def advance_time(self, now_ms: float) -> list[Endpoint]:
-        """Expires what is over by now, and raises the weights that are being regained."""
+        """Expire the overrides whose expiry has passed, and raise the weights in a recovery ramp."""
         changes: EffectChanges = {}
         expired = [override for override in self.resolver.overrides.values() if override.has_expired(now_ms)]
         for override in expired:
@@ -88,7 +89,7 @@
         endpoints = self._apply_changes(changes, now_ms)
         changed = {endpoint.name for endpoint in endpoints}
         ramping = [
-            name for name in self.recovery_ramps.advance(self._relay_ms(now_ms)) if name not in changed
+            name for name in self.recovery_ramps.advance(self._to_relay_ms(now_ms)) if name not in changed
         ]
         return endpoints + [self.effective_endpoint(name, now_ms) for name in ramping]
 
@@ -97,29 +98,32 @@
         return self.resolver.remove(override.id)
 
     def next_change_ms(self, now_ms: float) -> float | None:
-        """Returns the next instant at which the passing of time changes anything; None if none does."""
+        """Return the time of the next expiry or step of a recovery ramp; None if there is neither."""
         instants = (self.resolver.next_expiry_ms(), self.recovery_ramps.next_step_ms(now_ms))
         return min((instant for instant in instants if instant is not None), default=None)
 
     # ------------------------------------------------------------ endpoints
 
     def apply_endpoint_list(self, endpoints: list[Endpoint], is_full: bool, now_ms: float) -> list[Endpoint]:
-        """Applies a full endpoint list, or the endpoints that have changed.
+        """Apply a full endpoint list, or the endpoints that have changed.
 
-        Returns the listed endpoints as the balancer is to see them, and then others that the list has
-        changed.
+        Returns:
+            The given endpoints as presented to the balancer, followed by other endpoints on which the update
+            has changed the effect of overrides.
         """
         for endpoint in endpoints:
             previous = self.resolver.endpoints.get(endpoint.name)
             if previous is not None and previous.started_at_ms != endpoint.started_at_ms:
-                self.recovery_ramps.forget(endpoint.name)
+                self.recovery_ramps.discard(endpoint.name)
         listed_before = set(self.resolver.endpoints)
         changes = self.resolver.apply_endpoint_list(endpoints, is_full)
         for name in listed_before - self.resolver.endpoints.keys():
-            self.recovery_ramps.forget(name)
-        # An endpoint that is new on the list has no past here: nothing ends on it, so it needs no ramp.
-        known_changes = {name: effect for name, effect in changes.items() if name in listed_before}
-        self._apply_changes(known_changes, now_ms)
+            self.recovery_ramps.discard(name)
+        # No override has ended on a newly listed endpoint, so it needs no recovery ramp.
+        changes_on_previously_listed = {
+            name: effect for name, effect in changes.items() if name in listed_before
+        }
+        self._apply_changes(changes_on_previously_listed, now_ms)
         listed = {endpoint.name for endpoint in endpoints}
         effective = [
             self.effective_endpoint(endpoint.name, now_ms)
@@ -130,18 +134,18 @@
         return effective + [self.effective_endpoint(name, now_ms) for name in changes if name not in listed]
 
     def effective_endpoint(self, name: str, now_ms: float) -> Endpoint:
-        """Returns a listed endpoint as the balancer is to see it."""
+        """Return a listed endpoint as presented to the balancer."""
         endpoint = self.resolver.endpoints[name]
-        return self.recovery_ramps.apply(endpoint, self.resolver.effect(name), self._relay_ms(now_ms))
+        return self.recovery_ramps.apply(endpoint, self.resolver.effect(name), self._to_relay_ms(now_ms))
 
-    def _relay_ms(self, now_ms: float) -> float:
-        """Returns the relay's time, which the balancer goes by and no step of the system's clock moves."""
+    def _to_relay_ms(self, now_ms: float) -> float:
+        """Convert to the relay's time, which the balancer uses and which ignores system clock steps."""
         return now_ms - self.wall_clock_shift_ms
 
     def _apply_changes(self, changes: EffectChanges, now_ms: float) -> list[Endpoint]:
         for name, previous in changes.items():
             self.recovery_ramps.on_effect_changed(
-                name, previous, self.resolver.effect(name), self._relay_ms(now_ms)
+                name, previous, self.resolver.effect(name), self._to_relay_ms(now_ms)
             )
         self.audit.record_suspensions(self.resolver.suspended, self.resolver.overrides)
         listed = [name for name in sorted(changes) if name in self.resolver.endpoints]
@@ -150,7 +154,7 @@
     # ------------------------------------------------------------ queries
 
     def status(self, override: Override, now_ms: float) -> OverrideStatus:
-        """Returns the status that this relay reports of an override."""
+        """Return the status of an override that this relay reports."""
         if override.is_revoked:
             return OverrideStatus.REVOKED
         if override.id not in self.resolver.overrides or override.has_expired(now_ms):
--- a/sageturn/overrides/relay_state.py
+++ b/sageturn/overrides/relay_state.py
@@ -1,4 +1,4 @@
-"""The state record ``state/NODE/overrides``, in which a relay reports its overrides to operators."""
+"""State record ``state/NODE/overrides``, in which a relay reports its overrides to operators."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 from sageturn.overrides.options import SafetyLimits
 from sageturn.overrides.registry import OverrideRegistry
 
-MAX_REPORTED_ENDPOINTS = 1000  # a relay of a larger fleet reports only how many there are
+MAX_REPORTED_ENDPOINTS = 1000  # a relay with more endpoints reports only their number
 
 
 @dataclass(frozen=True, slots=True)
 class RelayOverrideState:
-    """The overrides at one relay as it reports them; each mapping is by override id unless said otherwise."""
+    """Overrides of one relay as it reports them; mappings are keyed by override id unless noted."""
 
     statuses: dict[str, str]
     revisions: dict[str, int]
-    suspended: dict[str, str]  # why
-    rejected_records: dict[str, str]  # by store key: why
-    endpoints: dict[str, Endpoint]  # by name, as discovery reports them
+    suspended: dict[str, str]  # reasons
+    rejected_records: dict[str, str]  # reasons, by store key
+    endpoints: dict[str, Endpoint]  # endpoints as discovery reports them, by name
     safety_limits: SafetyLimits
     max_duration_s: float
 
 
 def encode_relay_state(registry: OverrideRegistry, now_ms: float) -> dict[str, object]:
-    """Returns the record's value, in JSON's types."""
+    """Return the record's value as a JSON object."""
     resolver = registry.resolver
     limits = registry.options.safety_limits
     endpoints = resolver.endpoints
@@ -59,7 +59,7 @@
 
 
 def decode_relay_state(encoded: dict[str, Any]) -> RelayOverrideState:
-    """Reads a record that a relay has written."""
+    """Decode a state record that a relay has written."""
     return RelayOverrideState(
         statuses=encoded["overrides"],
         revisions=encoded.get("words", {}),
--- a/sageturn/overrides/resolver.py
+++ b/sageturn/overrides/resolver.py
@@ -2,8 +2,8 @@
 
 ``selection`` finds which override selects which endpoint, ``effects`` combines the overrides on an endpoint,
 ``sticky_routing`` combines the pins on a request, and ``safety_guard`` suspends overrides that would leave
-too little capacity. When endpoints leave later, the newest overrides are suspended first, and they come into
-force again as soon as the limits permit it.
+too little capacity. If the list loses endpoints afterwards, the newest overrides are suspended first. A
+suspended override resumes as soon as the limits permit it.
 """
 
 from __future__ import annotations
@@ -22,13 +22,13 @@
 
 
 class OverrideResolver:
-    """Keeps the effects of the overrides in force on the listed endpoints, change by change.
+    """Effects of the overrides in force on the listed endpoints, updated incrementally.
 
-    Every update returns the endpoints on which the effect has changed.
+    Every update returns the endpoints on which the effect has changed, each with its previous effect.
     """
 
     def __init__(self, safety_limits: SafetyLimits) -> None:
-        self.overrides: dict[str, Override] = {}  # in force or suspended
+        self.overrides: dict[str, Override] = {}  # overrides in force or suspended, by id
         self.pins: dict[str, Override] = {}
         self.guard = SafetyGuard(safety_limits)
         self._selection = SelectionIndex()
@@ -39,33 +39,33 @@
 
     @property
     def endpoints(self) -> dict[str, Endpoint]:
-        """All listed endpoints by name, as discovery reports them."""
+        """Listed endpoints by name, as discovery reports them."""
         return self._selection.endpoints
 
     @property
     def suspended(self) -> dict[str, str]:
-        """The reasons why the safety limits suspend overrides, by override id."""
+        """Reasons why the safety limits suspend overrides, by override id."""
         return self.guard.suspended
 
     @property
     def effects(self) -> dict[str, OverrideEffect]:
-        """The effects by endpoint, of the endpoints that any override in force selects."""
+        """Effects by endpoint name, for the endpoints that any override in force selects."""
         return self._effects.by_endpoint
 
     def effect(self, endpoint: str) -> OverrideEffect:
-        """Returns the effect of all overrides on an endpoint, listed or not."""
+        """Return the effect of all overrides on an endpoint; an unlisted one has no effect."""
         return self._effects.by_endpoint.get(endpoint, NO_EFFECT)
 
     def matching_endpoints(self, override: Override) -> list[str]:
-        """Returns the listed endpoints that an override is about; with none it is dormant."""
+        """Return the names of the listed endpoints that an override applies to; without any it is dormant."""
         return [endpoint.name for endpoint in self._listed_targets(override)]
 
     def next_expiry_ms(self) -> float | None:
-        """Returns the Unix time of the next expiry of an override; None if there is no override."""
+        """Return the Unix time in milliseconds of the next expiry; None if there is no override."""
         return min((override.expires_at_ms for override in self.overrides.values()), default=None)
 
     def sticky_route(self, class_name: str, tenant: str, group: str) -> StickyRoute | None:
-        """Returns where pins bind a request; None when no pin selects it."""
+        """Return the endpoints to which pins bind a request; None if no pin selects it."""
         return combine_pins(
             override.payload
             for override_id, override in self.pins.items()
@@ -76,7 +76,7 @@
     # ------------------------------------------------------------ updates
 
     def add(self, override: Override) -> EffectChanges:
-        """Puts an override into force, or replaces it by its new version."""
+        """Add an override, or replace it by its new version."""
         changes = self.remove(override.id)
         self.overrides[override.id] = override
         is_newest = not self._admission_order or override.admission_rank >= self._admission_order[-1]
@@ -92,7 +92,7 @@
         return self._effects.refresh(self._selection.names_selected_by(override)) | changes
 
     def remove(self, override_id: str) -> EffectChanges:
-        """Takes out an override that has expired or was revoked."""
+        """Remove an override that has expired or was revoked."""
         override = self.overrides.pop(override_id, None)
         if override is None:
             return {}
@@ -102,17 +102,17 @@
         was_suspended = self.suspended.pop(override_id, None) is not None
         selected = self._selection.names_selected_by(override)
         if not was_suspended and override.payload.reduces_capacity:
-            # Another override that reduces the same endpoints was charged only for the capacity that this one
-            # had left them. Now it has to be admitted for all that it takes.
+            # The guard charged another override that reduces the same endpoints only for the capacity that
+            # this one had left. It must be admitted again with its full reduction.
             if self.suspended or any(self._selection.reducing_overrides_on(name) for name in selected):
                 return self._effects.refresh(selected) | self.reevaluate()
-            # Nothing else is affected: only the endpoints that it selected regain capacity.
+            # No other override is affected: only the endpoints that this one selected regain capacity.
             for name in selected:
                 self.guard.restore_weight(self.endpoints[name])
         return self._effects.refresh(selected)
 
     def apply_endpoint_list(self, endpoints: Iterable[Endpoint], is_full: bool) -> EffectChanges:
-        """Applies a full endpoint list, or the endpoints that have changed."""
+        """Apply a full endpoint list, or the endpoints that have changed."""
         updates = list(endpoints)
         if is_full:
             listed = {endpoint.name for endpoint in updates}
@@ -121,15 +121,15 @@
             self._update_endpoint(endpoint)
         present = {endpoint.name for endpoint in updates} & self.endpoints.keys()
         if len(present) > len(self.overrides):
-            # Most endpoints are selected by no override: it is quicker to start from the overrides.
+            # Few endpoints are selected by an override, so refreshing only those is faster.
             present &= self._all_selected_names() | self.effects.keys()
         changes = self._effects.refresh(present)
         if any(override.payload.reduces_capacity for override in self.overrides.values()):
-            changes = self.reevaluate() | changes  # limits may be violated now, or no longer
+            changes = self.reevaluate() | changes  # the update may cause or end a violation of the limits
         return changes
 
     def reevaluate(self) -> EffectChanges:
-        """Admits all overrides anew in their order, and refreshes those whose suspension has changed."""
+        """Admit all overrides again, oldest first, and refresh the effects of those suspended or resumed."""
         suspended_before = dict(self.suspended)
         self.guard.reset()
         for rank in self._admission_order:
@@ -148,14 +148,14 @@
         if previous is not None:
             self.guard.remove_endpoint(previous)
         if endpoint.state == EndpointStatus.GONE:
-            self._effects.forget(endpoint.name)
-            self.guard.forget_factor(endpoint.name)
+            self._effects.discard(endpoint.name)
+            self.guard.discard_factor(endpoint.name)
         else:
             self._selection.add_endpoint(endpoint)
             self.guard.add_endpoint(endpoint)
 
     def _admit(self, override: Override) -> None:
-        """Lets the guard admit or suspend an override that comes after all that were admitted so far."""
+        """Let the guard admit or suspend an override; overrides are passed in order of admission rank."""
         payload = override.payload
         if not payload.reduces_capacity:
             return
@@ -166,7 +166,7 @@
             self.guard.admit_selected(override, targets)
 
     def _listed_targets(self, override: Override) -> list[Endpoint]:
-        """Returns the listed endpoints that a pin names or a selector matches."""
+        """Return the listed endpoints that a pin names or a selector matches."""
         if override.payload.kind is OverrideKind.PIN:
             return self._selection.endpoints_named(override.payload.endpoints)
         return self._selection.endpoints_selected_by(override)
--- a/sageturn/overrides/safety_guard.py
+++ b/sageturn/overrides/safety_guard.py
@@ -1,8 +1,8 @@
 """Suspends overrides that would leave less capacity than the safety limits require.
 
-Overrides are admitted in the order in which they were created. One that would leave less than the minimum of
-the listed capacity, in total, in a zone, or for a pinned class, is suspended unless it was forced. So of two
-that are fine alone but too much together the later one waits, at every relay.
+Overrides are admitted in order of creation. An override that would leave less than the minimum ratio of the
+ready capacity, in total, in a zone, or for the requests of a strict pin, is suspended unless it was forced.
+If two overrides violate a limit only together, every relay therefore suspends the later one.
 """
 
 from __future__ import annotations
@@ -11,47 +11,47 @@
 from sageturn.overrides.model import Override
 from sageturn.overrides.options import SafetyLimits
 
-TOTAL = ""  # the pool of the whole fleet, beside the pool of each zone
-ROUNDING_TOLERANCE = 1e-9  # in shares
+TOTAL_POOL = ""  # pool of the whole fleet; the other pools are the zones
+ROUNDING_TOLERANCE = 1e-9  # slack of limit checks, in units of ``Endpoint.share``
 
 
 def _pools(endpoint: Endpoint) -> tuple[str, ...]:
-    """Returns the capacity pools in which an endpoint counts."""
-    return (TOTAL, endpoint.zone) if endpoint.zone else (TOTAL,)
+    """Return the capacity pools to which an endpoint belongs."""
+    return (TOTAL_POOL, endpoint.zone) if endpoint.zone else (TOTAL_POOL,)
 
 
 class SafetyGuard:
-    """Accounts for the capacity of each pool: what ready endpoints offer, and what overrides leave of it."""
+    """Account of each pool's capacity: the total of its ready endpoints, and the part left by overrides."""
 
     def __init__(self, limits: SafetyLimits) -> None:
         self.limits = limits
-        self.suspended: dict[str, str] = {}  # by override id: why, with figures
-        self.available: dict[str, float] = {}  # by pool
-        self._total: dict[str, float] = {}  # by pool
-        self._factors: dict[str, float] = {}  # by endpoint; absent: 1.0
+        self.suspended: dict[str, str] = {}  # reasons with figures, by override id
+        self.available: dict[str, float] = {}  # capacity left by overrides, by pool
+        self._total: dict[str, float] = {}  # capacity without overrides, by pool
+        self._factors: dict[str, float] = {}  # weight factors by endpoint; 1.0 if absent
 
     # ------------------------------------------------------------ endpoints
 
     def add_endpoint(self, endpoint: Endpoint) -> None:
-        """Counts an endpoint that was listed."""
-        self._count(endpoint, 1)
+        """Add the capacity of a listed endpoint."""
+        self._update_capacity(endpoint, 1)
 
     def remove_endpoint(self, endpoint: Endpoint) -> None:
-        """Stops counting an endpoint that has changed or is gone."""
-        self._count(endpoint, -1)
+        """Subtract the capacity of an endpoint that has changed or was removed from the list."""
+        self._update_capacity(endpoint, -1)
 
-    def forget_factor(self, name: str) -> None:
-        """Drops the factor of an endpoint that has left the list."""
+    def discard_factor(self, name: str) -> None:
+        """Drop the factor of an endpoint that was removed from the list."""
         self._factors.pop(name, None)
 
     def restore_weight(self, endpoint: Endpoint) -> None:
-        """Gives an endpoint its full weight back, on which the last override that reduced it has ended."""
+        """Restore the full weight of an endpoint after the last override that reduced it has ended."""
         previous = self._factors.pop(endpoint.name, 1.0)
         if endpoint.state == EndpointStatus.READY:
             for pool in _pools(endpoint):
                 self.available[pool] += (1.0 - previous) * endpoint.share
 
-    def _count(self, endpoint: Endpoint, sign: int) -> None:
+    def _update_capacity(self, endpoint: Endpoint, sign: int) -> None:
         if endpoint.state != EndpointStatus.READY:
             return
         factor = self._factors.get(endpoint.name, 1.0)
@@ -62,13 +62,13 @@
     # ------------------------------------------------------------ overrides
 
     def reset(self) -> None:
-        """Forgets all admitted and suspended overrides."""
+        """Clear all admitted and suspended overrides."""
         self.suspended.clear()
         self._factors.clear()
         self.available = dict(self._total)
 
     def admit_selected(self, override: Override, endpoints: list[Endpoint]) -> None:
-        """Admits or suspends an override with a selector that comes after all that were admitted so far."""
+        """Admit or suspend an override with a selector; the caller passes overrides in admission order."""
         target_factor = override.payload.target_factor
         reduced = [
             endpoint for endpoint in endpoints if target_factor < self._factors.get(endpoint.name, 1.0)
@@ -85,7 +85,7 @@
             self.available[pool] -= reduction
 
     def admit_pin(self, override: Override, endpoints: list[Endpoint]) -> None:
-        """Suspends a strict pin whose listed endpoints offer too little."""
+        """Suspend a strict pin whose listed endpoints have too little capacity."""
         if override.forced:
             return
         available = sum(
@@ -93,9 +93,9 @@
             for endpoint in endpoints
             if endpoint.state == EndpointStatus.READY
         )
-        total = self._total.get(TOTAL, 0.0)
+        total = self._total.get(TOTAL_POOL, 0.0)
         min_ratio = self.limits.min_pin_ratio
-        # With none of its endpoints available a strict pin stays in force: its traffic may go nowhere else.
+        # A strict pin without any available endpoint stays in force: its requests may use no other endpoint.
         if available > 0 and available < min_ratio * total - ROUNDING_TOLERANCE:
             self.suspended[override.id] = (
                 f"would leave {available:.1f} of {total:.1f} to what it pins, "
@@ -103,7 +103,7 @@
             )
 
     def _reductions(self, endpoints: list[Endpoint], target_factor: float) -> dict[str, float]:
-        """Returns by pool the capacity that is lost when these endpoints get the target factor."""
+        """Return the capacity, by pool, that setting the target factor on these endpoints removes."""
         reductions: dict[str, float] = {}
         for endpoint in endpoints:
             if endpoint.state != EndpointStatus.READY:
@@ -114,16 +114,17 @@
         return reductions
 
     def _violation(self, reductions: dict[str, float]) -> str | None:
-        """Returns which limit these reductions would violate first, with figures; None if none.
+        """Return the reason, with figures, if these reductions would violate a limit; None if they would not.
 
-        A pool that was below its limit before counts too: the override would make it worse.
+        The reason is that of the first pool by name. A pool that is already under its limit counts as a
+        violation too, since the override would reduce it further.
         """
         for pool, reduction in sorted(reductions.items()):
             total = self._total[pool]
             available = self.available[pool] - reduction
             min_ratio = self.limits.min_zone_ratio if pool else self.limits.min_total_ratio
             if available < min_ratio * total - ROUNDING_TOLERANCE:
-                where = f"zone {pool}" if pool else "all"
-                figures = f"would leave {max(0.0, available):.1f} of {total:.1f} in {where}"
+                scope = f"zone {pool}" if pool else "all"
+                figures = f"would leave {max(0.0, available):.1f} of {total:.1f} in {scope}"
                 return f"{figures}, under its floor of {min_ratio:.0%}"
         return None
--- a/sageturn/overrides/selection.py
+++ b/sageturn/overrides/selection.py
@@ -12,10 +12,10 @@
 
 
 class SelectionIndex:
-    """Finds the endpoints that an override selects, and the overrides on an endpoint, without a scan."""
+    """Index of the endpoints that an override selects and of the overrides on an endpoint."""
 
     def __init__(self) -> None:
-        self.endpoints: dict[str, Endpoint] = {}  # all listed endpoints by name, as discovery reports them
+        self.endpoints: dict[str, Endpoint] = {}  # listed endpoints by name, as discovery reports them
         self._selectors_by_endpoint: dict[str, tuple[Selector, ...]] = {}
         self._endpoints_by_selector: dict[Selector, dict[str, Endpoint]] = {}
         self._overrides_by_selector: dict[Selector, dict[str, Override]] = {}
@@ -23,7 +23,7 @@
     # ------------------------------------------------------------ endpoints
 
     def add_endpoint(self, endpoint: Endpoint) -> None:
-        """Adds an endpoint that is not in the index."""
+        """Add an endpoint that is not in the index."""
         selectors = selectors_matching(endpoint)
         self.endpoints[endpoint.name] = endpoint
         self._selectors_by_endpoint[endpoint.name] = selectors
@@ -31,7 +31,7 @@
             self._endpoints_by_selector.setdefault(selector, {})[endpoint.name] = endpoint
 
     def remove_endpoint(self, name: str) -> Endpoint | None:
-        """Removes an endpoint and returns it; None if it is not in the index."""
+        """Remove an endpoint and return it; None if it is not in the index."""
         endpoint = self.endpoints.pop(name, None)
         if endpoint is not None:
             for selector in self._selectors_by_endpoint.pop(name):
@@ -39,11 +39,11 @@
         return endpoint
 
     def endpoints_named(self, names: Iterable[str]) -> list[Endpoint]:
-        """Returns those of the named endpoints that are listed."""
+        """Return those of the named endpoints that are listed."""
         return [self.endpoints[name] for name in names if name in self.endpoints]
 
     def endpoints_selected_by(self, override: Override) -> list[Endpoint]:
-        """Returns the listed endpoints that an override's selector matches; none for a pin."""
+        """Return the listed endpoints that an override's selector matches; an empty list for a pin."""
         payload = override.payload
         if payload.selector is None:
             return []
@@ -51,24 +51,24 @@
         return [endpoint for endpoint in found if payload.matches_process(endpoint)]
 
     def names_selected_by(self, override: Override) -> list[str]:
-        """Returns the names of the listed endpoints that an override's selector matches."""
+        """Return the names of the listed endpoints that an override's selector matches."""
         return [endpoint.name for endpoint in self.endpoints_selected_by(override)]
 
     # ------------------------------------------------------------ overrides
 
     @property
     def has_overrides(self) -> bool:
-        """Whether any override with a selector is in the index."""
+        """True if any override with a selector is in the index."""
         return bool(self._overrides_by_selector)
 
     def add_override(self, override: Override) -> None:
-        """Adds an override; a pin has no selector and is not kept here."""
+        """Add an override; a pin has no selector and is not indexed."""
         selector = override.payload.selector
         if selector is not None:
             self._overrides_by_selector.setdefault(selector, {})[override.id] = override
 
     def remove_override(self, override: Override) -> None:
-        """Removes an override that was added."""
+        """Remove an override that was added."""
         selector = override.payload.selector
         if selector is None:
             return
@@ -78,7 +78,7 @@
             del self._overrides_by_selector[selector]
 
     def overrides_on(self, name: str) -> list[Override]:
-        """Returns all overrides whose selector matches a listed endpoint, the suspended ones too."""
+        """Return all overrides whose selector matches a listed endpoint, including suspended ones."""
         endpoint = self.endpoints[name]
         return [
             override
@@ -88,5 +88,5 @@
         ]
 
     def reducing_overrides_on(self, name: str) -> list[Override]:
-        """Returns the overrides, in force or suspended, that reduce a listed endpoint's capacity."""
+        """Return the overrides, in force or suspended, that reduce a listed endpoint's capacity."""
         return [override for override in self.overrides_on(name) if override.payload.reduces_capacity]
--- a/sageturn/overrides/signing.py
+++ b/sageturn/overrides/signing.py
@@ -1,4 +1,4 @@
-"""Signs the records of operations, and accepts only those that their operator has signed (Ed25519)."""
+"""Signs the records of operations with Ed25519, and verifies that their operator has signed them."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def sign_operation(operation: OverrideOperation, key: Ed25519PrivateKey) -> dict[str, object]:
-    """Returns the record to be stored under ``operation.key``."""
+    """Return the signed record to be stored under ``operation.key``."""
     encoded = encode_operation(operation)
     signature = key.sign(_bytes_to_sign(encoded))
     return {**encoded, "signature": b64encode(signature).decode()}
@@ -25,17 +25,17 @@
 def parse_operation(
     key: str, record: object, operators: Mapping[str, Ed25519PublicKey] | None
 ) -> OverrideOperation:
-    """Decodes the record under ``key`` and verifies its operator's signature.
+    """Decode the record under ``key`` and verify its operator's signature.
 
     Args:
         key: The store key under which the record was found.
         record: The record, as decoded from JSON.
-        operators: The public key of each operator by name. With None only the record's form is checked:
-            the commands show what relays have verified.
+        operators: The public key of each operator by name. If None, only the form of the record is checked:
+            the commands show records that relays have already verified.
 
     Raises:
-        InvalidOperationError: The record is malformed, under another key than its own, or not signed by
-            an operator of ``operators``.
+        InvalidOperationError: The record is malformed, stored under a key other than its own, or not signed
+            by an operator in ``operators``.
     """
     if not isinstance(record, dict):
         raise InvalidOperationError("not an object")
@@ -51,10 +51,10 @@
 
 
 def parse_public_key(text: str) -> Ed25519PublicKey:
-    """Reads a public key: 32 bytes in base64 (RFC 8032, section 5.1.5).
+    """Decode a public key: 32 bytes in base64 (RFC 8032, section 5.1.5).
 
     Raises:
-        InvalidPublicKeyError: The text is not base64, or not of a public key.
+        InvalidPublicKeyError: The text is not base64 or does not encode a public key.
     """
     try:
         return Ed25519PublicKey.from_public_bytes(b64decode(text, validate=True))
--- a/sageturn/overrides/status.py
+++ b/sageturn/overrides/status.py
@@ -1,4 +1,4 @@
-"""The status of an override, as relays report it and commands show it."""
+"""Status of an override, as relays report it and commands show it."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class OverrideStatus(StrEnum):
-    """The status of an override at one relay; the values are those of the relay's state record."""
+    """Status of an override at one relay; the values appear in the relay's state record."""
 
     IN_FORCE = "in force"
     DORMANT = "dormant"  # none of its endpoints is listed
--- a/sageturn/overrides/sticky_routing.py
+++ b/sageturn/overrides/sticky_routing.py
@@ -1,6 +1,7 @@
 """Binds a request that pins select to their endpoints; the balancer chooses among these.
 
-A request goes where all strict pins that select it allow, and among those where the preferred ones do.
+A request is sent to the endpoints that all strict pins on it allow, and if possible to those among them that
+all preferred pins on it allow.
 """
 
 from __future__ import annotations
@@ -18,14 +19,14 @@
 
 @dataclass(frozen=True, slots=True)
 class StickyRoute:
-    """The endpoints to which pins bind a request; None: not bound. An empty set allows no endpoint."""
+    """Endpoints to which pins bind a request; None if it is not bound. An empty set allows no endpoint."""
 
     required: frozenset[str] | None
     preferred: frozenset[str] | None
 
 
 def combine_pins(pins: Iterable[OverridePayload]) -> StickyRoute | None:
-    """Returns where these pins together bind a request that all of them select; None without any."""
+    """Return the route of a request that all of these pins select; None if there are no pins."""
     required: frozenset[str] | None = None
     preferred: frozenset[str] | None = None
     for pin in pins:
@@ -40,9 +41,10 @@
 
 
 def apply_sticky_route(event: RequestArrived, route: StickyRoute, balancer_actor: BalancerActor) -> None:
-    """Restricts the endpoints allowed to a request.
+    """Restrict the endpoints allowed for a request.
 
-    A strict pin holds on every attempt; a preferred one on the first, if any of its endpoints has capacity.
+    A strict pin applies to every attempt. A preferred pin applies to the first attempt, if any of its
+    endpoints has capacity.
     """
     is_strict = route.required is not None
     if route.preferred is not None:
--- a/sageturn/overrides/unix_time.py
+++ b/sageturn/overrides/unix_time.py
@@ -1,4 +1,4 @@
-"""The clock of expiries: relays and commands on different machines share only the system's time."""
+"""Clock for expiries: Unix time is the only clock that relays and commands on different machines share."""
 
 from __future__ import annotations
 
@@ -6,5 +6,5 @@
 
 
 def unix_time_ms() -> float:
-    """Returns the system's time in milliseconds of Unix time."""
+    """Return the system's time in milliseconds of Unix time."""
     return time.time() * 1000.0
