--- a/sageturn/overrides/registry.py
+++ b/sageturn/overrides/registry.py
@@ -99,8 +99,8 @@
 
     def next_change_ms(self, now_ms: float) -> float | None:
         """Return the time of the next expiry or step of a recovery ramp; None if there is neither."""
-        instants = (self.resolver.next_expiry_ms(), self.recovery_ramps.next_step_ms(now_ms))
-        return min((instant for instant in instants if instant is not None), default=None)
+        change_times_ms = (self.resolver.next_expiry_ms(), self.recovery_ramps.next_step_ms(now_ms))
+        return min((time_ms for time_ms in change_times_ms if time_ms is not None), default=None)
 
     # ------------------------------------------------------------ endpoints
 
--- a/tests/overrides/test_operations.py
+++ b/tests/overrides/test_operations.py
@@ -1,4 +1,4 @@
-"""How operations make an override: in any order, within the maximum duration, and only if they are valid."""
+"""Computation of an override from valid operations in any order, within the maximum duration."""
 
 from __future__ import annotations
 
@@ -32,15 +32,15 @@
     driver = RegistryDriver(max_duration_s=7200.0)
     driver.apply(make_operation("o1", make_out_of_service("a"), expires_at_ms=START_MS + 100 * HOUR_MS))
     assert driver.registry.overrides["o1"].expires_at_ms == START_MS + 2 * HOUR_MS
-    in_an_hour = {"created_at_ms": START_MS + HOUR_MS, "expires_at_ms": START_MS + 2.5 * HOUR_MS}
-    driver.apply(make_extension("o1", revision=2, operator="mai", **in_an_hour))
+    extension_times = {"created_at_ms": START_MS + HOUR_MS, "expires_at_ms": START_MS + 2.5 * HOUR_MS}
+    driver.apply(make_extension("o1", revision=2, operator="mai", **extension_times))
     assert driver.registry.overrides["o1"].expiry_set_by == "mai"
     driver.advance_to(START_MS + 2 * HOUR_MS)
     assert driver.state("a") == "draining"
     driver.apply(make_revocation("o1", revision=3, created_at_ms=START_MS + 2 * HOUR_MS))
     assert driver.state("a") == "ready" and driver.status("o1") == "revoked"
-    later = {"created_at_ms": START_MS + 2 * HOUR_MS, "expires_at_ms": START_MS + 3 * HOUR_MS}
-    driver.apply(make_extension("o1", revision=9, nonce="1" * 8, **later))
+    late_extension_times = {"created_at_ms": START_MS + 2 * HOUR_MS, "expires_at_ms": START_MS + 3 * HOUR_MS}
+    driver.apply(make_extension("o1", revision=9, nonce="1" * 8, **late_extension_times))
     assert driver.status("o1") == "revoked", "an extension from the other side of a split revives nothing"
     assert [operation.type for operation in driver.registry.operation_log.history("o1")] == [
         OperationType.SET,
@@ -51,7 +51,7 @@
 
 
 def tampered_records(key: str, value: dict[str, Any]) -> list[OverrideRecord]:
-    """Records that are each in one way not what the operator has signed, or no valid operation."""
+    """Return records that each differ in one way from the signed record, or are not a valid operation."""
     values: list[Any] = [
         {**value, "until_ms": START_MS + 2 * HOUR_MS},
         {**value, "operator": "mai"},
@@ -87,7 +87,8 @@
 
 
 def test_a_rejected_record_that_is_deleted_is_not_reported_any_more() -> None:
-    # The command deletes what a relay rejects; the relay went on reporting it until its restart.
+    # The command deletes records that a relay rejects. The relay must then stop reporting them at once, not
+    # only after a restart.
     key, value = make_signed_record(make_operation("o1", make_out_of_service("a")))
     driver = RegistryDriver()
     driver.apply_records(OverrideRecord(key, {**value, "until_ms": START_MS + 9 * HOUR_MS}))
@@ -121,7 +122,7 @@
 def test_operations_fold_to_the_same_override_in_any_order(
     operations: list[OverrideOperation], shuffler: random.Random
 ) -> None:
-    # Commutative, idempotent and associative: the fold of a set.
+    # The result depends only on the set of operations: folding is commutative, idempotent and associative.
     shuffled = operations + operations[: len(operations) // 2]
     shuffler.shuffle(shuffled)
     assert fold_operations(operations, 1e9) == fold_operations(shuffled, 1e9)
--- a/tests/overrides/test_override_options.py
+++ b/tests/overrides/test_override_options.py
@@ -1,4 +1,4 @@
-"""The ``overrides`` section of the operator's file."""
+"""Validation of the ``overrides`` section of the operator's file."""
 
 from __future__ import annotations
 
--- a/tests/overrides/test_overrides_relay.py
+++ b/tests/overrides/test_overrides_relay.py
@@ -1,4 +1,4 @@
-"""Overrides in running relays: written at any of them, obeyed by all, also after a kill or a reload."""
+"""Overrides in running relays: written at any relay, applied by all, also after a kill or a reload."""
 
 from __future__ import annotations
 
@@ -35,23 +35,23 @@
         relays,
         endpoints,
     ):
-        one, two = relays
-        set_override(one, "o1", make_out_of_service("a"))
-        set_override(two, "o2", make_out_of_service("b"), operator="mai")
+        first_relay, second_relay = relays
+        set_override(first_relay, "o1", make_out_of_service("a"))
+        set_override(second_relay, "o2", make_out_of_service("b"), operator="mai")
         for relay in relays:
             await until(partial(relay.endpoint_registry.is_out_of_service, "a"))
             await until(partial(relay.endpoint_registry.is_out_of_service, "b"))
             assert relay.endpoint_registry.is_out_of_service("a")
             assert (await count_placements(relay, endpoints))[:2] == [0, 0]
-        await until(lambda: reported_revisions(one) == {"o1": 1, "o2": 1})
-        revoke_override(two, "o1")
-        await until(lambda: not one.endpoint_registry.is_out_of_service("a"))
-        addresses = one.endpoint_registry.addresses
-        assert not one.endpoint_registry.is_ready_at("b", addresses["b"])
-        assert one.endpoint_registry.is_ready_at("a", addresses["a"])
+        await until(lambda: reported_revisions(first_relay) == {"o1": 1, "o2": 1})
+        revoke_override(second_relay, "o1")
+        await until(lambda: not first_relay.endpoint_registry.is_out_of_service("a"))
+        addresses = first_relay.endpoint_registry.addresses
+        assert not first_relay.endpoint_registry.is_ready_at("b", addresses["b"])
+        assert first_relay.endpoint_registry.is_ready_at("a", addresses["a"])
 
 
-async def test_a_strict_pin_without_its_endpoint_fails_fast_and_a_preferred_one_goes_elsewhere(
+async def test_a_strict_pin_without_its_endpoint_fails_fast_and_a_preferred_pin_falls_back(
     tmp_path: Path,
 ) -> None:
     async with running_relays_with_overrides(tmp_path, echo_lines, echo_lines, floor_pin=0) as (
@@ -72,11 +72,11 @@
         assert await count_placements(relay, endpoints) == [12, 0]
         revoke_override(relay, "o1")
         await until(lambda: not relay.endpoint_registry.is_out_of_service("b"))
-        # b is in slow start again: most go elsewhere for now
+        # b is in slow start again, so most requests are placed on a
         assert sum(await count_placements(relay, endpoints)) == 12
 
 
-async def test_connections_are_migrated_off_a_cleared_endpoint_by_the_planner(
+async def test_the_planner_migrates_connections_off_an_endpoint_out_of_service(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("sageturn.rebalance.rate_controller.SETTLING_TIME_MS", 0.0)
@@ -103,9 +103,10 @@
         assert rebalancer.options.mode == "off" and rebalancer.counts["moved"] == 6
 
 
-async def test_a_relay_killed_before_it_acted_applies_overrides_from_its_start(tmp_path: Path) -> None:
+async def test_a_relay_killed_before_it_applied_overrides_applies_them_from_its_start(tmp_path: Path) -> None:
     async with running_relays_with_overrides(tmp_path, echo_lines, echo_lines) as ((relay,), _):
-        # It never hears of them: killed between the write and its effect.
+        # Without its callback the actor never sees the records, as if the relay was killed right after the
+        # write.
         relay.store.on_change.remove(override_actor(relay).on_store_change)
         set_override(relay, "o1", make_out_of_service("a"))
         now_ms = unix_time_ms()
@@ -122,30 +123,31 @@
         assert await count_placements(relay, endpoints) == [0, 12]
 
 
-async def test_sighup_takes_an_operators_key_away_and_a_faulty_one_changes_nothing(tmp_path: Path) -> None:
+async def test_a_reload_removes_an_operators_key_and_an_invalid_file_changes_nothing(tmp_path: Path) -> None:
     async with running_relays_with_overrides(tmp_path, echo_lines, echo_lines) as ((relay,), _):
         set_override(relay, "o1", make_out_of_service("a"))
         await until(lambda: relay.endpoint_registry.is_out_of_service("a"))
         file = tmp_path / "r0" / "operator.json"
-        good = json.loads(file.read_text())
-        file.write_text(json.dumps({**good, "overrides": {"operators": {"lan": "short"}}}))
+        valid_content = json.loads(file.read_text())
+        file.write_text(json.dumps({**valid_content, "overrides": {"operators": {"lan": "short"}}}))
         relay.reload_requested.set()
         await until(lambda: not relay.reload_requested.is_set())
         assert relay.endpoint_registry.is_out_of_service("a")
         only_mai = make_overrides_section(operators={"mai": encode_public_key("mai")})
-        file.write_text(json.dumps({**good, "overrides": only_mai}))
+        file.write_text(json.dumps({**valid_content, "overrides": only_mai}))
         relay.reload_requested.set()
         await until(lambda: not relay.endpoint_registry.is_out_of_service("a"))
-        file.write_text(json.dumps(good))
+        file.write_text(json.dumps(valid_content))
         relay.reload_requested.set()
         await until(lambda: relay.endpoint_registry.is_out_of_service("a"))
 
 
-async def test_reloads_in_a_row_and_a_drain_meanwhile_leave_the_balancer_with_the_present_state(
+async def test_consecutive_reloads_and_a_drain_in_between_leave_the_balancer_with_the_current_state(
     tmp_path: Path,
 ) -> None:
-    # The second reload dropped what the first had changed, and what was kept for the next step was by then a
-    # state of before: an endpoint that drained meanwhile was ready again to the balancer.
+    # The second reload must not drop the changes of the first. The next step must post current states, not
+    # those at the time of the reload: otherwise the balancer would again see an endpoint as ready that began
+    # to drain in between.
     async with running_relays_with_overrides(tmp_path, echo_lines, echo_lines) as ((relay,), _):
         actor = override_actor(relay)
         listed_endpoints = relay.balancer_actor.balancer.endpoints
--- a/tests/overrides/test_registry.py
+++ b/tests/overrides/test_registry.py
@@ -1,4 +1,4 @@
-"""The registry on a clock of the test's own: overrides take effect and expire, and endpoints return."""
+"""The registry on a simulated clock: overrides take effect and expire, and endpoints return to service."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from sageturn.overrides.operations import OverrideKind, OverridePayload, Selector, SelectorAttribute
 
 
-def test_out_of_service_takes_effect_and_expires_at_its_instant() -> None:
+def test_out_of_service_takes_effect_and_ends_at_its_expiry() -> None:
     driver = RegistryDriver()
     changed = driver.apply(make_operation("o1", make_out_of_service("a", migrate_connections=True)))
     assert [endpoint.name for endpoint in changed] == ["a"]
@@ -39,13 +39,17 @@
     driver.apply(make_operation("w1", make_weight(SelectorAttribute.ZONE, "z1", 0.25)))
     factors = {name: endpoint.factor for name, endpoint in driver.endpoints.items()}
     assert factors == {"a": 0.25, "b": 0.25, "c": 1.0, "d": 1.0}
-    seen = [0.25]
+    observed_factors = [0.25]
     max_step = 0.88 / SLOW_START_MS * 1000.0
     for second in range(60):
         driver.advance_to(START_MS + HOUR_MS + second * 1000.0)
-        seen.append(driver.endpoints["a"].factor)
-        assert seen[-1] - seen[-2] <= max_step + 1e-9
-    assert seen[-1] == 1.0 and seen == sorted(seen) and driver.registry.next_change_ms(driver.now_ms) is None
+        observed_factors.append(driver.endpoints["a"].factor)
+        assert observed_factors[-1] - observed_factors[-2] <= max_step + 1e-9
+    assert (
+        observed_factors[-1] == 1.0
+        and observed_factors == sorted(observed_factors)
+        and driver.registry.next_change_ms(driver.now_ms) is None
+    )
 
 
 def test_an_endpoint_that_joins_an_overridden_zone_is_selected() -> None:
@@ -54,9 +58,9 @@
     driver.update_list(make_endpoint("e"))
     assert driver.state("e") == "draining"
     driver.apply_list([make_endpoint(name) for name in "abcdefg"])
-    assert driver.draining() == list("cdefg")
+    assert driver.draining_endpoints() == list("cdefg")
     driver.apply_list([make_endpoint(name, zone="z3") for name in "abcdefg"])
-    assert not driver.draining()
+    assert not driver.draining_endpoints()
 
 
 def test_an_endpoint_that_returns_under_its_name_is_selected_again() -> None:
@@ -95,14 +99,14 @@
     assert driver.registry.audit.events == [] and driver.status("o1") == "lapsed"
 
 
-def test_a_clock_set_back_revives_nothing_and_one_set_forward_expires_at_once() -> None:
+def test_a_backward_clock_step_restores_no_override_and_a_forward_step_expires_them() -> None:
     driver = RegistryDriver()
     driver.apply(
         make_operation("o1", make_out_of_service("a")),
         make_operation("o2", make_out_of_service("b"), expires_at_ms=START_MS + 3 * HOUR_MS),
     )
     driver.advance_to(START_MS + 2 * HOUR_MS)
-    driver.advance_to(START_MS)  # stepped back two hours
+    driver.advance_to(START_MS)  # the clock is stepped back two hours
     assert (
         driver.state("a") == "ready" and driver.status("o1") == "lapsed" and driver.state("b") == "draining"
     )
@@ -126,8 +130,8 @@
 
 
 @pytest.mark.parametrize("step_ms", [-HOUR_MS, HOUR_MS])
-def test_an_endpoint_returns_in_slow_start_though_the_clock_was_stepped(step_ms: float) -> None:
-    # The balancer was given the instant of return by the system's clock, which may be an hour off its own.
+def test_an_endpoint_returns_in_slow_start_after_a_clock_step(step_ms: float) -> None:
+    # The balancer must receive the time of return in the relay's time. The system's clock may be an hour off.
     driver = RegistryDriver()
     relay_ms = driver.now_ms
     driver.apply(make_operation("o1", make_out_of_service("a"), expires_at_ms=START_MS + 2 * HOUR_MS))
@@ -149,7 +153,7 @@
     assert 0.1 < driver.endpoints["b"].factor < 0.5
 
 
-def test_a_thousand_overrides_expire_in_one_instant() -> None:
+def test_a_thousand_overrides_expire_at_the_same_time() -> None:
     driver = RegistryDriver("")
     names = [f"h{number}" for number in range(1000)]
     driver.apply_list([make_endpoint(name) for name in names])
--- a/tests/overrides/test_registry_properties.py
+++ b/tests/overrides/test_registry_properties.py
@@ -1,4 +1,4 @@
-"""A registry that is updated change by change equals one that is built anew from all operations."""
+"""A registry that is updated incrementally equals one that is rebuilt from all operations."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class IncrementalRegistry(RuleBasedStateMachine):
-    """A registry that is updated change by change, against one that is built anew from all operations."""
+    """State machine that compares an incrementally updated registry with a rebuilt one."""
 
     @initialize()
     def start(self) -> None:
@@ -76,7 +76,7 @@
             return
         override_id = self.operations[index % len(self.operations)].override_id
         operation = make_revocation(override_id, revision=2, created_at_ms=self.driver.now_ms)
-        if operation.key not in {known.key for known in self.operations}:
+        if operation.key not in {applied.key for applied in self.operations}:
             self.apply(operation)
 
     @rule(name=st.sampled_from("abcdef"), state=st.sampled_from(["ready", "draining", "gone"]))
@@ -97,7 +97,7 @@
         return rebuilt
 
     @invariant()
-    def equals_one_built_anew(self) -> None:
+    def equals_rebuilt_registry(self) -> None:
         if not hasattr(self, "driver"):
             return
         actual, expected = self.driver.resolver, self.rebuild().resolver
--- a/tests/overrides/test_relay_state.py
+++ b/tests/overrides/test_relay_state.py
@@ -1,4 +1,4 @@
-"""The state record in which a relay reports its overrides."""
+"""State record in which a relay reports its overrides."""
 
 from __future__ import annotations
 
--- a/tests/overrides/test_safety_limits.py
+++ b/tests/overrides/test_safety_limits.py
@@ -1,4 +1,4 @@
-"""Overrides that would leave too little capacity are suspended, the newest first, and resumed."""
+"""Overrides that would leave too little capacity are suspended, the newest first, and resume later."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from sageturn.overrides.options import SafetyLimits
 
 HALF_OF_ALL_AND_OF_EACH_ZONE = SafetyLimits(0.5, 0.5, 0.0)
-# Each is fine alone; both together would leave nothing of zone z1.
+# Each is within the limits alone; together they would leave no capacity in zone z1.
 FIRST = make_operation("o1", make_out_of_service("a"))
 SECOND = make_operation("o2", make_out_of_service("b"), created_at_ms=START_MS + 1, operator="mai")
 
@@ -67,8 +67,9 @@
     assert driver.sticky_route("c", "t").preferred == frozenset("a")
 
 
-def test_a_revocation_makes_a_later_override_on_the_same_endpoint_pay_for_itself() -> None:
-    # The later one was admitted at no cost, as the revoked one had taken the endpoint out already.
+def test_a_revocation_readmits_a_later_override_on_the_same_endpoint_at_its_full_reduction() -> None:
+    # The later override was charged no capacity, since the revoked one had already taken the endpoint out of
+    # service. After the revocation it must be admitted again with its full reduction.
     driver = RegistryDriver(safety_limits=SafetyLimits(0.5, 0.4, 0.3))
     driver.apply(make_operation("o1", make_out_of_service("a")))
     driver.apply(make_operation("o2", make_out_of_service("b"), created_at_ms=START_MS + 1, forced=True))
--- a/tests/overrides/test_sticky_routing.py
+++ b/tests/overrides/test_sticky_routing.py
@@ -1,4 +1,4 @@
-"""Pins bind the requests that they select to endpoints."""
+"""Sticky routing: pins bind the requests that they select to endpoints."""
 
 from __future__ import annotations
 
--- a/tests/overrides/test_wall_clock_steps_overrides.py
+++ b/tests/overrides/test_wall_clock_steps_overrides.py
@@ -1,4 +1,4 @@
-"""A wall clock that is set forward on one relay: no override ends there before its time."""
+"""A wall clock that is set forward on one relay: no override expires early there."""
 
 from __future__ import annotations
 
@@ -18,10 +18,11 @@
 STEP_S = 7200.0
 
 
-async def test_a_clock_set_forward_ends_no_override_before_its_time(
+async def test_a_clock_set_forward_expires_no_override_early(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # It ended for good: the endpoint stayed in service though the clock was set right again.
+    # An override that expires early does so for good: its endpoint would stay in service after the clock is
+    # corrected.
     async with running_relays_with_overrides(tmp_path, echo_lines, echo_lines, echo_lines) as ((relay,), _):
         set_override(relay, "o1", make_out_of_service("a"))
         set_override(relay, "o2", make_out_of_service("b"), expires_at_ms=unix_time_ms() + 1500.0)
@@ -30,7 +31,7 @@
             patched.setattr(time, "time", lambda: REAL_TIME() + STEP_S)
             await asyncio.sleep(2 * MAX_STEP_INTERVAL_S)
             assert relay.endpoint_registry.is_out_of_service("a")
-            await until(lambda: not relay.endpoint_registry.is_out_of_service("b"))  # its real time is over
+            await until(lambda: not relay.endpoint_registry.is_out_of_service("b"))  # o2 has really expired
         await asyncio.sleep(2 * MAX_STEP_INTERVAL_S)
         assert relay.endpoint_registry.is_out_of_service("a")
         assert override_actor(relay).registry.overrides.keys() == {"o1", "o2"}
--- a/tests/support/override_records.py
+++ b/tests/support/override_records.py
@@ -29,7 +29,7 @@
     operation_type: OperationType = OperationType.SET,
     **fields: Any,
 ) -> OverrideOperation:
-    """Returns an operation by ``lan`` at ``START_MS`` for one hour, unless ``fields`` say otherwise."""
+    """Return an operation, by default by ``lan`` at ``START_MS`` with an expiry one hour later."""
     defaults = {
         "revision": 1,
         "created_at_ms": START_MS,
@@ -44,36 +44,36 @@
 
 
 def make_extension(override_id: str, **fields: Any) -> OverrideOperation:
-    """Returns an operation that extends an override."""
+    """Return an operation that extends an override."""
     return make_operation(override_id, operation_type=OperationType.EXTEND, **fields)
 
 
 def make_revocation(override_id: str, **fields: Any) -> OverrideOperation:
-    """Returns an operation that revokes an override."""
+    """Return an operation that revokes an override."""
     return make_operation(override_id, operation_type=OperationType.REVOKE, **fields)
 
 
 def make_out_of_service(endpoint: str, **fields: Any) -> OverridePayload:
-    """Returns the payload that takes ``endpoint`` out of service."""
+    """Return the payload that takes ``endpoint`` out of service."""
     selector = Selector(SelectorAttribute.ENDPOINT, endpoint)
     return OverridePayload(OverrideKind.OUT_OF_SERVICE, selector, **fields)
 
 
 def make_zone_out_of_service(zone: str) -> OverridePayload:
-    """Returns the payload that takes all endpoints of ``zone`` out of service."""
+    """Return the payload that takes all endpoints of ``zone`` out of service."""
     return OverridePayload(OverrideKind.OUT_OF_SERVICE, Selector(SelectorAttribute.ZONE, zone))
 
 
 def make_weight(attribute: SelectorAttribute, value: str, factor: float) -> OverridePayload:
-    """Returns the payload that multiplies the weight of the selected endpoints by ``factor``."""
+    """Return the payload that multiplies the weight of the selected endpoints by ``factor``."""
     return OverridePayload(OverrideKind.WEIGHT, Selector(attribute, value), factor=factor)
 
 
 def make_pin(*endpoints: str, **fields: Any) -> OverridePayload:
-    """Returns the payload that pins the requests selected by ``fields`` to ``endpoints``."""
+    """Return the payload that pins the requests selected by ``fields`` to ``endpoints``."""
     return OverridePayload(OverrideKind.PIN, endpoints=endpoints, **fields)
 
 
 def make_signed_record(operation: OverrideOperation) -> OverrideRecord:
-    """Returns the store key and value of an operation, signed by its operator."""
+    """Return the store key and value of an operation, signed by its operator."""
     return OverrideRecord(operation.key, sign_operation(operation, PRIVATE_KEYS[operation.operator]))
--- a/tests/support/override_registry.py
+++ b/tests/support/override_registry.py
@@ -1,4 +1,4 @@
-"""Drives an override registry on a simulated clock."""
+"""Driver of an override registry on a simulated clock."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
 
 
 def make_endpoint(name: str, **fields: Any) -> Endpoint:
-    """Returns an endpoint of kind ``k``; ``a`` and ``b`` are in zone z1, others in z2."""
+    """Return an endpoint of kind ``k``, in zone z1 if it is named ``a`` or ``b``, otherwise in zone z2."""
     return Endpoint(name, **{"zone": "z1" if name < "c" else "z2", "kind": "k", **fields})
 
 
 class RegistryDriver:
-    """Drives a registry on a simulated clock, and keeps the endpoints as the balancer sees them."""
+    """Driver of a registry on a simulated clock; ``endpoints`` are those presented to the balancer."""
 
     def __init__(self, names: str = "abcd", **options: Any) -> None:
         self.registry = make_registry(**options)
@@ -54,12 +54,12 @@
     def rejected_records(self) -> dict[str, str]:
         return self.registry.operation_log.rejected_records
 
-    def observe(self, endpoints: list[Endpoint]) -> list[Endpoint]:
+    def record_endpoints(self, endpoints: list[Endpoint]) -> list[Endpoint]:
         self.endpoints.update({endpoint.name: endpoint for endpoint in endpoints})
         return endpoints
 
     def apply_list(self, endpoints: list[Endpoint], is_full: bool = True) -> None:
-        self.observe(self.registry.apply_endpoint_list(endpoints, is_full, self.now_ms))
+        self.record_endpoints(self.registry.apply_endpoint_list(endpoints, is_full, self.now_ms))
 
     def update_list(self, *endpoints: Endpoint) -> None:
         self.apply_list(list(endpoints), is_full=False)
@@ -68,26 +68,26 @@
         return self.apply_records(*(make_signed_record(operation) for operation in operations))
 
     def apply_records(self, *records: OverrideRecord) -> list[Endpoint]:
-        return self.observe(self.registry.apply_records(records, self.now_ms))
+        return self.record_endpoints(self.registry.apply_records(records, self.now_ms))
 
     def set_options(self, **options: Any) -> list[Endpoint]:
-        return self.observe(self.registry.set_options(make_options(**options), self.now_ms))
+        return self.record_endpoints(self.registry.set_options(make_options(**options), self.now_ms))
 
     def advance_to(self, now_ms: float) -> list[Endpoint]:
         self.now_ms = now_ms
-        return self.observe(self.registry.advance_time(now_ms))
+        return self.record_endpoints(self.registry.advance_time(now_ms))
 
     def state(self, name: str) -> str:
         return self.endpoints[name].state
 
-    def draining(self) -> list[str]:
+    def draining_endpoints(self) -> list[str]:
         return sorted(name for name, endpoint in self.endpoints.items() if endpoint.state == "draining")
 
     def status(self, override_id: str) -> str:
         return self.registry.status(self.registry.overrides[override_id], self.now_ms)
 
     def sticky_route(self, class_name: str, tenant: str, group: str = "") -> StickyRoute:
-        """Returns the route to which pins bind a request; fails if no pin selects it."""
+        """Return the route to which pins bind a request; fail if no pin selects it."""
         route = self.resolver.sticky_route(class_name, tenant, group)
         assert route is not None
         return route
--- a/tests/support/override_relays.py
+++ b/tests/support/override_relays.py
@@ -1,4 +1,4 @@
-"""Running relays with overrides, whose stores are linked, and the endpoints that they share."""
+"""Running relays with overrides, linked stores and common endpoints."""
 
 from __future__ import annotations
 
@@ -32,42 +32,42 @@
 
 
 def replication_address(relay: Relay) -> str:
-    """Returns the address at which the relay's replication listens, ``host:port``; fails if it has none."""
+    """Return the address at which the relay's replication listens, ``host:port``; fail if it has none."""
     assert relay.replication is not None
     return "{}:{}".format(*relay.replication.address)
 
 
 def override_actor(relay: Relay) -> OverrideActor:
-    """Returns the actor that applies overrides in ``relay``; fails if overrides are not configured."""
+    """Return the actor that applies overrides in ``relay``; fail if overrides are not configured."""
     assert relay.overrides is not None
     return relay.overrides
 
 
 def operator_names(relay: Relay) -> Set[str]:
-    """Returns the names of the operators whose overrides ``relay`` is configured to accept."""
+    """Return the names of the operators whose overrides ``relay`` is configured to accept."""
     options = relay.config.operator.overrides
     assert options is not None
     return options.operators.keys()
 
 
 def reported_revisions(relay: Relay) -> dict[str, int] | None:
-    """Returns the revisions of operations that relay n1 has reported as applied, as received by ``relay``.
+    """Return the revisions of overrides that relay n1 has reported, as received by ``relay``.
 
-    Returns None if no report has been received.
+    Return None if no report has been received.
     """
     state: dict[str, Any] = relay.store.get("state/n1/overrides") or {}
     return state.get("words")
 
 
 def unix_time_ms() -> float:
-    """Returns the time of the wall clock."""
+    """Return the wall clock's time in milliseconds of Unix time."""
     return time.time() * 1000.0
 
 
 def make_current_operation(
     override_id: str, payload: OverridePayload | None = None, **fields: Any
 ) -> OverrideOperation:
-    """Returns an operation created now that expires in an hour, unless ``fields`` say otherwise."""
+    """Return an operation that by default is created now and expires in an hour."""
     now_ms = unix_time_ms()
     return make_operation(
         override_id, payload, **{"created_at_ms": now_ms, "expires_at_ms": now_ms + HOUR_MS, **fields}
@@ -75,29 +75,29 @@
 
 
 def put_operation(relay: Relay, operation: OverrideOperation) -> None:
-    """Writes an operation to a relay's store, signed by its operator."""
+    """Write an operation to a relay's store, signed by its operator."""
     relay.store.put(*make_signed_record(operation))
 
 
 def set_override(relay: Relay, override_id: str, payload: OverridePayload, **fields: Any) -> None:
-    """Sets an override at a relay's store, for an hour from now unless ``fields`` say otherwise."""
+    """Set an override in a relay's store; by default it expires in an hour."""
     put_operation(relay, make_current_operation(override_id, payload, **fields))
 
 
 def revoke_override(relay: Relay, override_id: str) -> None:
-    """Revokes at a relay's store an override that is at revision 1."""
+    """Revoke an override at revision 1 in a relay's store."""
     put_operation(relay, make_current_operation(override_id, operation_type=OperationType.REVOKE, revision=2))
 
 
 def encode_public_key(operator: str) -> str:
-    """Returns the operator's public key in base64, as in the operator's file."""
+    """Return the operator's public key in base64, as written in the operator's file."""
     return b64encode(
         PRIVATE_KEYS[operator].public_key().public_bytes(Encoding.Raw, PublicFormat.Raw)
     ).decode()
 
 
 def make_overrides_section(**values: object) -> JsonObject:
-    """Returns the section of the operator's file, without safety limits unless ``values`` set them."""
+    """Return the ``overrides`` section of the operator's file; ``values`` may set safety limits."""
     operators = {name: encode_public_key(name) for name in PRIVATE_KEYS}
     return {"operators": operators, "floor_all": 0, "floor_zone": 0, **values}
 
@@ -106,7 +106,7 @@
 async def running_relays_with_overrides(
     folder: Path, *scripts: EndpointScript, relays: int = 1, **overrides: object
 ) -> AsyncIterator[tuple[list[Relay], list[FakeEndpoint]]]:
-    """Runs relays whose stores are linked, and the endpoints that they share, named a, b, c in order."""
+    """Run relays with linked stores and common endpoints, named a, b, c in order."""
     endpoints = [FakeEndpoint(script) for script in scripts]
     async with AsyncExitStack() as stack:
         addresses, discovery = await start_endpoints_and_discovery(stack, endpoints)
@@ -136,7 +136,7 @@
 async def count_placements(
     relay: Relay, endpoints: list[FakeEndpoint], count: int = 12, extra_parameters: str = ""
 ) -> list[int]:
-    """Sends ``count`` requests to ``relay``. Returns how many of them each endpoint received."""
+    """Send ``count`` requests to ``relay``, and return the number that each endpoint received."""
     before = [len(endpoint.request_lines) for endpoint in endpoints]
     for number in range(count):
         reader, writer = await send_request(
