--- a/sageturn/__init__.py
+++ b/sageturn/__init__.py
@@ -1,4 +1,4 @@
-"""sageturn: the decisions of a balancer for long-lived connections."""
+"""A relay for long-lived connections. This package exports the decision module's types and its balancer."""
 
 from __future__ import annotations
 
@@ -62,9 +62,10 @@
 
 
 def __getattr__(name: str) -> object:
-    """The exports, loaded when the first of them is used.
+    """Return an exported name; the decision module is imported when the first one is used.
 
-    The program must get from its start to its signal handling without loading all that it decides with.
+    Every import of a module of this package runs this file. ``__main__`` has to block signals before it loads
+    the decision module.
     """
     if name not in __all__:
         raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
--- a/sageturn/__main__.py
+++ b/sageturn/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m sageturn``: one relay, in the foreground."""
+"""Runs one relay in the foreground: ``python -m sageturn``."""
 
 from __future__ import annotations
 
@@ -6,8 +6,9 @@
 
 from sageturn.core.handled_signals import HANDLED_SIGNALS
 
-# A reload or a stop may come during the start, and the signals' default action ends the process at once. They
-# are blocked before anything else is loaded, which takes a third of a second, until there are handlers.
+# SIGHUP, SIGTERM or SIGINT may arrive during the start, and their default action ends the process at once.
+# They are blocked before the rest of the program is imported, which takes a third of a second, and until
+# ``Relay.run`` has installed handlers for them.
 signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
 
 import argparse
@@ -26,9 +27,11 @@
 
 
 def main() -> int:
-    """Run one relay until a signal stops it. Returns the exit code: 2 where it could not start."""
+    """Run one relay until a signal stops it. Returns the exit code: 0, or 2 if the relay could not start."""
     parser = argparse.ArgumentParser(prog="sageturn", description="A relay for long-lived connections.")
-    parser.add_argument("--operator", metavar="FILE", help="an operator's file, such as deploy/xmpp.json")
+    parser.add_argument(
+        "--operator", metavar="FILE", help="an operator's configuration file, such as deploy/xmpp.json"
+    )
     options = parser.parse_args()
     try:
         config = load(operator_file=options.operator)
@@ -45,7 +48,7 @@
     except (OSError, LogCorruptedError) as error:
         print(f"sageturn: {error}", file=sys.stderr)
         return 2
-    gc.freeze()  # objects made at the start live on: collections need not traverse them again and again
+    gc.freeze()  # excludes the long-lived objects of the start from every later garbage collection
     uvloop.run(relay.run())
     return 0
 
--- a/sageturn/config/fields.py
+++ b/sageturn/config/fields.py
@@ -10,12 +10,12 @@
 from sageturn.net.json_stream import JsonObject
 
 ValueT = TypeVar("ValueT")
-MAX_NUMBER = 1e9  # above every count and time in a file; keeps integers within what the system takes
+MAX_NUMBER = 1e9  # exceeds every count and time in a file; keeps integers within the range of system calls
 WRONG_TYPE = "has the wrong type"
 
 
 def decode_address(path: str, text: str) -> Address:
-    """Parse the ``HOST:PORT`` that was found at ``path``; raises ConfigError."""
+    """Return the parsed ``HOST:PORT`` at ``path``; raises ConfigError if it is malformed."""
     try:
         return parse_address(text)
     except ValueError as error:
@@ -23,7 +23,7 @@
 
 
 def check_number(path: str, value: object, minimum: float = 0.0, maximum: float = MAX_NUMBER) -> float:
-    """Return the value that was found at ``path``; raises ConfigError unless it is a number in the range."""
+    """Return the value at ``path``; raises ConfigError unless it is a number in the range."""
     if isinstance(value, bool) or not isinstance(value, (int, float)):
         raise ConfigError(path, WRONG_TYPE)
     if not minimum <= value <= maximum:  # also rejects NaN, which Python's JSON decoder accepts
@@ -32,19 +32,19 @@
 
 
 class ConfigSection:
-    """One object of a configuration.
+    """A JSON object of a configuration.
 
-    A method that reads a key raises ConfigError where the value is of another kind than the method's name
-    says, and where the key is absent and ``default`` is None or not a parameter.
+    A method that reads a key raises ConfigError if the value does not have the type that the method returns,
+    or if the key is absent and ``default`` is None or not a parameter.
     """
 
     def __init__(self, values: object, path: str, *, null_is_absent: bool = False) -> None:
-        """Take over a decoded object; raises ConfigError if ``values`` is something else.
+        """Wrap a decoded JSON object; raises ConfigError if ``values`` is anything else.
 
         Args:
-            values: as decoded from JSON.
-            path: of the object within its file, for messages; empty for the whole file.
-            null_is_absent: a key whose value is null counts as absent, in sections within this one too.
+            values: the decoded JSON value.
+            path: the path to the object within its file, for messages; empty for the whole file.
+            null_is_absent: True if a key whose value is null counts as absent, also in nested sections.
         """
         if not isinstance(values, dict):
             raise ConfigError(path or "the top", "must be an object")
@@ -55,15 +55,15 @@
         self._null_is_absent = null_is_absent
 
     def path(self, key: str) -> str:
-        """Return the path to ``key`` from the top of the file, for messages."""
+        """Return the full path to ``key`` within the file, for messages."""
         return f"{self._path}.{key}" if self._path else key
 
     def contains(self, key: str) -> bool:
-        """Return whether the key is present, with whatever value."""
+        """Return whether the key is present, whatever its value."""
         return key in self._values
 
     def reject_unknown_keys(self, *known_keys: str) -> None:
-        """Raise ConfigError for the first key that is not known: a mistyped key must not be ignored."""
+        """Raise ConfigError for the first key not in ``known_keys``: a mistyped key must not be ignored."""
         for key in self._values:
             if key not in known_keys:
                 raise ConfigError(self.path(key), "is unknown")
@@ -73,7 +73,7 @@
         return self._value(key, str, default)
 
     def flag(self, key: str, *, default: bool | None = None) -> bool:
-        """Return true or false."""
+        """Return a boolean."""
         return self._value(key, bool, default)
 
     def number(
@@ -85,7 +85,7 @@
     def integer(
         self, key: str, default: int | None = None, minimum: int = 0, maximum: float = MAX_NUMBER
     ) -> int:
-        """Return a number without a fraction; 3.0 is one, too."""
+        """Return a whole number; a number without a fraction, such as 3.0, is accepted."""
         value = self.number(key, default, minimum, maximum)
         if value != int(value):
             raise ConfigError(self.path(key), "must be a whole number")
@@ -96,7 +96,7 @@
         return self.number(key, default, maximum=1.0)
 
     def one_of(self, key: str, choices: Collection[str], default: str) -> str:
-        """Return a string that is among ``choices``."""
+        """Return a string that must be one of ``choices``."""
         value = self.text(key, default)
         if value not in choices:
             raise ConfigError(self.path(key), f"must be one of {', '.join(choices)}")
@@ -107,11 +107,11 @@
         return decode_address(self.path(key), self.text(key))
 
     def json_object(self, key: str, default: JsonObject | None = None) -> JsonObject:
-        """Return an object whose keys and values the caller checks."""
+        """Return an object whose keys and values the caller validates."""
         return self._value(key, dict, default)
 
     def section(self, key: str) -> ConfigSection:
-        """Return the object at ``key``; an empty one where the key is absent."""
+        """Return the object at ``key``; an empty section if the key is absent."""
         values = self._values.get(key, {})
         return ConfigSection(values, self.path(key), null_is_absent=self._null_is_absent)
 
@@ -122,19 +122,19 @@
         return ConfigArray(items, self.path(key), null_is_absent=self._null_is_absent)
 
     def _value(
-        self, key: str, kind: type[ValueT] | tuple[type[ValueT], ...], default: ValueT | None
+        self, key: str, expected_type: type[ValueT] | tuple[type[ValueT], ...], default: ValueT | None
     ) -> ValueT:
         value: object = self._values.get(key, default)
         if value is None:
             raise ConfigError(self.path(key), "is missing")
-        # Python counts true and false as integers; a configuration does not.
-        if not isinstance(value, kind) or (isinstance(value, bool) and kind is not bool):
+        # In Python a bool is also an int; in a configuration true and false are no numbers.
+        if not isinstance(value, expected_type) or (isinstance(value, bool) and expected_type is not bool):
             raise ConfigError(self.path(key), WRONG_TYPE)
         return value
 
 
 class ConfigArray:
-    """One array of a configuration. Its methods raise ConfigError for an item of another kind."""
+    """A JSON array of a configuration. Its methods raise ConfigError for an item of another type."""
 
     def __init__(self, items: list[object], path: str, *, null_is_absent: bool) -> None:
         """``path`` and ``null_is_absent`` are those of the section that contains the array."""
@@ -144,23 +144,23 @@
 
     @property
     def path(self) -> str:
-        """The path to the array from the top of the file, for messages."""
+        """The full path to the array within the file, for messages."""
         return self._path
 
     def __len__(self) -> int:
         return len(self._items)
 
     def enumerate_items(self) -> Iterator[tuple[str, object]]:
-        """Yield each item with the path to it; the caller checks the item."""
+        """Yield the path to each item, and the item, which the caller validates."""
         for index, item in enumerate(self._items):
             yield f"{self._path}[{index}]", item
 
     def numbers(self) -> list[float]:
-        """Return the items, which are numbers from 0."""
+        """Return the items, which must be numbers that are not negative."""
         return [check_number(path, item) for path, item in self.enumerate_items()]
 
     def names(self, known_names: Collection[str]) -> list[str]:
-        """Return the items, each of which is among ``known_names``."""
+        """Return the items, each of which must be one of ``known_names``."""
         names = []
         for path, item in self.enumerate_items():
             if item not in known_names:
@@ -169,7 +169,7 @@
         return names
 
     def addresses(self) -> list[Address]:
-        """Return the items, which are written ``HOST:PORT``."""
+        """Return the items, which must be strings of the form ``HOST:PORT``."""
         addresses = []
         for path, item in self.enumerate_items():
             if not isinstance(item, str):
@@ -178,7 +178,7 @@
         return addresses
 
     def sections(self) -> list[ConfigSection]:
-        """Return the items, which are objects."""
+        """Return the items, which must be objects."""
         return [
             ConfigSection(item, path, null_is_absent=self._null_is_absent)
             for path, item in self.enumerate_items()
--- a/sageturn/config/files.py
+++ b/sageturn/config/files.py
@@ -1,4 +1,4 @@
-"""Reads the files that a configuration consists of, and those that it names."""
+"""Reads configuration files, and the secret files that they name."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
     """Return the decoded content of the file at ``path``, which messages call ``name``.
 
     Raises:
-        ConfigUnreadableError: the system did not let it be read.
-        ConfigError: it is not JSON.
+        ConfigUnreadableError: the system could not read the file.
+        ConfigError: the file is not JSON.
     """
     try:
         return json.loads(Path(path).read_text(encoding="utf-8"))
@@ -27,11 +27,11 @@
 
 
 def read_secret_file(section: ConfigSection, key: str, folder: Path) -> str:
-    """Return the text of the file that ``key`` names, without white space around it; raises ConfigError.
+    """Return the text of the file that ``key`` names, without surrounding white space; raises ConfigError.
 
-    Secrets are in files of their own, so that the operator's file can be shown to others.
+    Secrets have their own files, so that the operator's file can be shown to others.
     """
-    with file_errors_named(section, key):
+    with convert_file_errors(section, key):
         text = (folder / section.text(key)).read_text(encoding="utf-8").strip()
     if not text:
         raise ConfigError(section.path(key), "is empty")
@@ -39,9 +39,9 @@
 
 
 @contextmanager
-def file_errors_named(section: ConfigSection, key: str) -> Iterator[None]:
-    """Raise ConfigUnreadableError, which names ``key``, in place of errors of the system or of TLS."""
+def convert_file_errors(section: ConfigSection, key: str) -> Iterator[None]:
+    """Convert errors of the system and of TLS to a ConfigUnreadableError that names ``key``."""
     try:
         yield
-    except OSError as error:  # ssl.SSLError is one
+    except OSError as error:  # includes ssl.SSLError
         raise ConfigUnreadableError(section.path(key), str(error.strerror or error), error) from error
--- a/sageturn/config/loader.py
+++ b/sageturn/config/loader.py
@@ -1,4 +1,4 @@
-"""Loads a relay's complete configuration, at its start and again at SIGHUP."""
+"""Loads a relay's complete configuration, at its start and at each SIGHUP."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
     """Read the platform's configuration and, if one is given, the operator's file.
 
     Args:
-        environ: replaces the process's own environment.
-        operator_file: the path of the operator's file; None where there is none.
-        previous: the configuration in force, if this is a reload.
+        environ: the environment variables; None for those of the process.
+        operator_file: the path of the operator's file; None if there is none.
+        previous: the configuration in force, if this is a reload; None at the start.
 
     Raises:
-        ConfigError: a key, a file or a variable cannot be used.
+        ConfigError: a key, a file or an environment variable is missing or invalid.
     """
     config = read_platform_config(os.environ if environ is None else environ, previous)
     if operator_file is None:
--- a/sageturn/config/operator.py
+++ b/sageturn/config/operator.py
@@ -1,4 +1,4 @@
-"""Decodes the operator's file, section by section; a subsystem without a section is off."""
+"""Decodes the operator's file, section by section; a subsystem without a section is disabled."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from sageturn.frontends.xmpp.options import EndpointOptions, XmppOptions
 from sageturn.store.channel import read_secret
 
-if TYPE_CHECKING:  # these subsystems are imported only where their section is on
+if TYPE_CHECKING:  # these subsystems are imported only if the file has their section
     from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PublicKey
 
     from sageturn.overrides.options import OverrideOptions
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorConfig:
-    """The subsystems that an operator's file turns on; None for each that is off."""
+    """Options of the subsystems that an operator's file enables; None for each that is disabled."""
 
     store_path: Path | None = None
     replication: ReplicationOptions | None = None
@@ -42,14 +42,14 @@
 
 
 def read_operator_file(file: Path, settings: decision.Settings) -> OperatorConfig:
-    """Read ``file``; paths in it are relative to its folder.
+    """Read an operator's file; paths in it are relative to its folder.
 
     Args:
-        file: the operator's file.
-        settings: name the classes and tenants that the file may refer to.
+        file: the path of the operator's file.
+        settings: the settings that define the classes and tenants that the file may name.
 
     Raises:
-        ConfigError: a key, or a file that it names, cannot be used.
+        ConfigError: a key, or a file that it names, is missing or invalid.
     """
     top = ConfigSection(read_json_file(str(file), "operator"), "operator")
     top.reject_unknown_keys("store", "xmpp", "flows", "rebalance", "overrides")
@@ -68,7 +68,9 @@
 
 def _check_store(store: ConfigSection) -> None:
     if store.contains("interval_s"):
-        raise ConfigError(store.path("interval_s"), "is gone, as changes go out at once; take it out")
+        raise ConfigError(
+            store.path("interval_s"), "is no longer supported, as changes are sent at once; remove it"
+        )
     store.reject_unknown_keys(
         "path", "listen", "peers", "secret_file", "region", "zone", "octets_per_s", "horizon_s"
     )
@@ -80,7 +82,9 @@
     seeds = tuple(store.array("peers", []).addresses())
     listen = store.address("listen")
     if listen[0] == ANY_ADDRESS:
-        raise ConfigError(store.path("listen"), "must be an address at which others reach this member")
+        raise ConfigError(
+            store.path("listen"), "must be the address at which peers reach this member, not 0.0.0.0"
+        )
     return options.ReplicationOptions(
         listen=listen,
         seeds=seeds,
@@ -137,11 +141,11 @@
     start = section.number("start", defaults.start, minimum=1.01)
     stop = section.number("stop", defaults.stop, minimum=1.0)
     if stop >= start:
-        raise ConfigError(section.path("stop"), f"must be under {section.path('start')}")
+        raise ConfigError(section.path("stop"), f"must be less than {section.path('start')}")
     again_s = section.number("again_s", defaults.again_s, minimum=1.0)
     again_most_s = section.number("again_most_s", max(again_s, defaults.again_most_s))
     if again_most_s < again_s:
-        raise ConfigError(section.path("again_most_s"), f"must not be under {section.path('again_s')}")
+        raise ConfigError(section.path("again_most_s"), f"must not be less than {section.path('again_s')}")
     class_names = [request_class.name for request_class in settings.classes]
     tenant_names = [tenant.name for tenant in settings.tenants]
     default_classes = [name for name in defaults.keep_classes if name in class_names]
@@ -165,14 +169,14 @@
 
 
 def _read_quiet_hours(section: ConfigSection) -> tuple[QuietSpan, ...]:
-    """Return the spans of the UTC day, which are written ``HH:MM-HH:MM`` and must not be empty."""
+    """Return the spans of the UTC day, each written ``HH:MM-HH:MM``; an empty span is rejected."""
     from sageturn.rebalance.options import QuietSpan
 
     spans = []
     for path, text in section.array("quiet_hours", []).enumerate_items():
         match = _TIME_SPAN.fullmatch(text) if isinstance(text, str) else None
         if match is None or match["begin"] == match["end"]:
-            raise ConfigError(path, "must be a span such as 22:00-05:30")
+            raise ConfigError(path, "must be a span of the UTC day, such as 22:00-05:30")
         spans.append(QuietSpan(_minute_of_day(match["begin"]), _minute_of_day(match["end"])))
     return tuple(spans)
 
@@ -198,7 +202,7 @@
 
 
 def _read_public_keys(section: ConfigSection) -> dict[str, Ed25519PublicKey]:
-    """Return the operators' public keys by the operators' names."""
+    """Return the operators' public keys, keyed by operator name."""
     from sageturn.overrides.signing import parse_public_key
 
     keys = {}
@@ -206,5 +210,5 @@
         try:
             keys[name] = parse_public_key(text)
         except (ValueError, TypeError) as error:
-            raise ConfigError(f"{section.path('operators')}.{name}", f"no public key: {error}") from error
+            raise ConfigError(f"{section.path('operators')}.{name}", f"not a public key: {error}") from error
     return keys
--- a/sageturn/config/platform.py
+++ b/sageturn/config/platform.py
@@ -26,7 +26,7 @@
     name: str
     listen: Address
     discovery: Address
-    configured_discovery: str  # as in the file, whatever the environment has; "" if absent
+    configured_discovery: str  # the file's value, even if the environment overrides it; "" if absent
     seed: int
     limits: ProcessLimits
     settings: decision.Settings
@@ -35,7 +35,7 @@
     operator: OperatorConfig = field(default_factory=OperatorConfig)
 
     def keys_needing_restart(self, new: RelayConfig) -> list[str]:
-        """Return the keys that differ in ``new`` and that a running relay does not apply."""
+        """Return the keys that differ in ``new`` and that take effect only after a restart."""
         old_operator = self.operator
         new_operator = new.operator
         old_xmpp_listen = old_operator.xmpp and old_operator.xmpp.listen
@@ -54,7 +54,7 @@
 
 
 def read_platform_config(environ: Mapping[str, str], previous: RelayConfig | None = None) -> RelayConfig:
-    """Read the configuration; ``previous`` is the one in force, if this is a reload. Raises ConfigError."""
+    """Read the configuration; ``previous`` is the one in force, None at the start. Raises ConfigError."""
     if not environ.get("GW_CONFIG"):
         raise ConfigError("GW_CONFIG", "is missing")
     top = ConfigSection(read_json_file(environ["GW_CONFIG"], "GW_CONFIG"), "")
@@ -77,7 +77,7 @@
 
 
 def _read_text(top: ConfigSection, environ: Mapping[str, str], key: str, variable: str) -> str:
-    """Return the text of ``variable``, or of ``key`` where the variable is not set or empty."""
+    """Return the text of ``variable``, or of ``key`` if the variable is unset or empty."""
     return environ.get(variable) or top.text(key)
 
 
@@ -89,10 +89,10 @@
 def _read_discovery(
     top: ConfigSection, environ: Mapping[str, str], configured: str, previous: RelayConfig | None
 ) -> Address:
-    """Return the address of discovery: at the start the environment's, or else the file's.
+    """Return the address of discovery: at the start the environment's, or the file's if that is unset.
 
-    At a reload the file's address is used if it has changed since: it goes before the environment, which
-    nobody can change in a running process.
+    At a reload, an address that has changed in the file overrides the environment, since the environment of a
+    running process cannot be changed.
     """
     if previous is None:
         return _read_address(top, environ, "discovery", "GW_DISCOVERY")
@@ -111,7 +111,7 @@
 
 def _read_settings(top: ConfigSection) -> decision.Settings:
     settings = read_settings(top.json_object("settings"), "settings")
-    # The settings promise reports of delay, which no frontend's protocol can carry.
+    # The settings may announce measurements of message delay, but no frontend's protocol can carry them.
     return replace(settings, reports_delay=False)
 
 
@@ -121,7 +121,7 @@
     known = top.json_object("known")
     try:
         return parse_endpoint_list(known)
-    except ValueError as error:  # InvalidEndpointListError and InvalidAddressError
+    except ValueError as error:  # either InvalidEndpointListError or InvalidAddressError
         raise ConfigError("known", str(error)) from error
 
 
--- a/sageturn/config/settings.py
+++ b/sageturn/config/settings.py
@@ -1,7 +1,7 @@
-"""Decodes the settings, which the simulator's first message and a relay's configuration both contain.
+"""Decodes the settings that the simulator's first message and a relay's configuration both contain.
 
-Only this module maps their keys to the fields of ``decision.Settings``, so that the simulator's adapter and
-the relay cannot differ.
+This is the only module that maps their keys to the fields of ``decision.Settings``, so that the simulator's
+adapter and the relay cannot decode them differently.
 """
 
 from __future__ import annotations
@@ -11,22 +11,22 @@
 from sageturn.config.fields import ConfigSection
 from sageturn.net.json_stream import JsonObject
 
-MIN_POSITIVE = 1e-3  # the minimum of numbers that must be greater than 0
+MIN_POSITIVE = 1e-3  # minimum of numbers that must be greater than 0
 MAX_ATTEMPTS = 1000
 MAX_REPORT_FIELDS = 64
 
 
 def text_or_empty(value: object) -> str:
-    """Return ``value`` if it is a string, else "": sites without such names leave it out or send 0."""
+    """Return ``value`` if it is a string, otherwise ""; settings without such a name omit it or have 0."""
     return value if isinstance(value, str) else ""
 
 
 def read_settings(conf: JsonObject, path: str = "") -> decision.Settings:
-    """Decode the settings; unknown keys are ignored. Over 40 lines, as each key has one.
+    """Decode the settings; unknown keys are ignored. The function is long, as each key takes a line.
 
     Args:
         conf: the decoded object.
-        path: of ``conf`` within its file, for messages.
+        path: the path to ``conf`` within its file, for messages; empty for the whole file.
 
     Raises:
         ConfigError: a key is missing, or its value is out of range.
@@ -37,7 +37,7 @@
     info = top.section("familyInfo")
     prices = top.section("prices")
     report = top.section("report")
-    # Names are compared last: of several faults, the first in the order of decoding is reported.
+    # Names are compared last: of several errors, the first in the order of decoding is reported.
     message_objectives_ms = info.array("messageAimMs", []).numbers()
     quotas = info.array("tenantQuotaConnections", []).numbers()
     classes = _read_classes(top, message_objectives_ms)
@@ -76,7 +76,7 @@
 def _read_classes(
     top: ConfigSection, message_objectives_ms: list[float]
 ) -> tuple[decision.RequestClass, ...]:
-    """Decode the classes; ``message_objectives_ms`` has an item for each, in the same order, or fewer."""
+    """Decode the classes; ``message_objectives_ms`` has an item per class in the same order, or fewer."""
     return tuple(
         _read_class(section, _item_or_zero(message_objectives_ms, index))
         for index, section in enumerate(top.array("classes").sections())
@@ -84,7 +84,7 @@
 
 
 def _read_tenants(top: ConfigSection, quotas: list[float]) -> tuple[decision.Tenant, ...]:
-    """Decode the tenants; ``quotas`` has an item for each, in connections, in the same order, or fewer."""
+    """Decode the tenants; ``quotas`` has an item per tenant, in connections, in the same order, or fewer."""
     return tuple(
         _read_tenant(section, _item_or_zero(quotas, index))
         for index, section in enumerate(top.array("accounts", []).sections())
@@ -94,7 +94,7 @@
 def _check_names_differ(
     top: ConfigSection, classes: tuple[decision.RequestClass, ...], tenants: tuple[decision.Tenant, ...]
 ) -> None:
-    problem = "must be different ones, and at least one class"
+    problem = "names must differ, and there must be at least one class"
     if not classes or len({request_class.name for request_class in classes}) < len(classes):
         raise ConfigError(top.path("classes"), problem)
     if len({tenant.name for tenant in tenants}) < len(tenants):
@@ -129,5 +129,5 @@
     fields = report.array("fields", [])
     names = tuple(name for _, name in fields.enumerate_items() if isinstance(name, str))
     if len(fields) > MAX_REPORT_FIELDS or len(names) < len(fields):
-        raise ConfigError(fields.path, f"must be names, {MAX_REPORT_FIELDS} at most")
+        raise ConfigError(fields.path, f"must be strings, {MAX_REPORT_FIELDS} at most")
     return names
--- a/sageturn/simhost.py
+++ b/sageturn/simhost.py
@@ -1,7 +1,8 @@
-"""Speaks the simulator's wire: one line of JSON in, one line out. It decides nothing itself.
+"""Adapter between a simulator and the balancer: reads lines of JSON, and writes one line for each.
 
-Run as ``python -m sageturn.simhost``. A line holds events for any number of balancer instances; the answer
-holds the actions that the balancers return. Bad input ends the process with one line on standard error.
+Run as ``python -m sageturn.simhost``. An input line contains events for any number of balancer instances, the
+output line the actions that these balancers return; the adapter itself decides nothing. Invalid input ends
+the process with one line on standard error.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 from sageturn.decision.discovery_backoff import classify_rejection
 from sageturn.decision.load_reports import usable_values
 
-# The wire's words on the left, the decision module's on the right.
+# Tables from the values on the wire to those of the decision module.
 ATTEMPT_STATUSES = {
     "pass": AttemptStatus.OK,
     "fault": AttemptStatus.ERROR,
@@ -46,14 +47,14 @@
 
 START_INSTANCE = "Enlist"
 END_INSTANCE = "Teardown"
-IGNORED_EVENTS = ("Whisper",)  # messages between relays, of which the decision module sends none
+IGNORED_EVENTS = ("Whisper",)  # messages between relays, which the decision module does not use
 MICROSECONDS_PER_MILLISECOND = 1000.0
 
-Fields = dict[str, Any]  # of one event or action, as JSON holds them
+Fields = dict[str, Any]  # decoded JSON object with the fields of one event or action
 
 
 class WireError(Exception):
-    """A line cannot be read; the text names the event and the fault."""
+    """Error of a line that cannot be decoded or handled; the text names the event and the fault."""
 
 
 # ---------------------------------------------------------------- decoding
@@ -62,49 +63,50 @@
 Decoded = TypeVar("Decoded")
 
 
-def _decoder(record_type: Callable[..., Decoded], **readers: FieldReader) -> Callable[[Fields], Decoded]:
-    """Returns a function that decodes records of this type; ``readers`` are by the record's attribute."""
-    columns = tuple(readers.items())
+def _make_decoder(record_type: Callable[..., Decoded], **readers: FieldReader) -> Callable[[Fields], Decoded]:
+    """Return a function that decodes a ``record_type``; ``readers`` are keyed by the record's attributes."""
+    attribute_readers = tuple(readers.items())
 
     def decode(fields: Fields) -> Decoded:
-        return record_type(**{attribute: read(fields) for attribute, read in columns})
+        return record_type(**{attribute: read(fields) for attribute, read in attribute_readers})
 
     return decode
 
 
 def _required(key: str) -> FieldReader:
+    """Return a reader of any value, which raises KeyError if the key is missing."""
     return itemgetter(key)
 
 
 def _optional(key: str, default: float = 0.0) -> FieldReader:
-    """Reads a number; ``default`` where it is missing, null or 0."""
+    """Return a reader of a number; ``default`` replaces one that is missing, null or 0."""
     return lambda fields: fields.get(key) or default
 
 
 def _text(key: str) -> FieldReader:
-    """Reads a string; empty where it is missing or no string."""
+    """Return a reader of a string; a missing value, or one of another type, is read as empty."""
     return lambda fields: text_or_empty(fields.get(key))
 
 
 def _flag(key: str) -> FieldReader:
-    """Reads a boolean; false where it is missing."""
+    """Return a reader of a boolean; a missing value is read as False."""
     return lambda fields: bool(fields.get(key))
 
 
-def _word(key: str, terms: Mapping[str, str]) -> FieldReader:
-    """Reads one of the wire's words as the decision module's term."""
-    return lambda fields: terms[fields[key]]
+def _enum_value(key: str, values: Mapping[str, str]) -> FieldReader:
+    """Return a reader of an enumeration's value; ``values`` maps the wire's to the decision module's."""
+    return lambda fields: values[fields[key]]
 
 
 def _report(key: str) -> FieldReader:
-    """Reads a load report; empty where it is missing."""
+    """Return a reader of a load report; a missing one is read as empty."""
     return lambda fields: usable_values(fields.get(key))
 
 
-_decode_endpoint = _decoder(
+_decode_endpoint = _make_decoder(
     decision.Endpoint,
     name=_required("backend"),
-    state=_word("condition", ENDPOINT_STATES),
+    state=_enum_value("condition", ENDPOINT_STATES),
     zone=_text("dc"),
     cell=_optional("cohort", 0),
     started_at_ms=_optional("readyAtMs"),
@@ -122,13 +124,14 @@
     kind = MEASUREMENT_KINDS.get(fields["kind"], "")
     value = fields["value"]
     if kind == MeasurementKind.LOAD:
-        value /= MICROSECONDS_PER_MILLISECOND  # expected loads are in milliseconds a second
+        value /= MICROSECONDS_PER_MILLISECOND  # expected loads are in milliseconds per second
     return decision.MeasurementReported(fields["opId"], fields["n"], fields["backend"], kind, value)
 
 
-# By the event's name on the wire. Fields are read in this order, and the first that is missing is reported.
+# Decoders by the event's name on the wire. They read the fields in the listed order, so that an error names
+# the first missing one.
 DECODERS: dict[str, Callable[[Fields], decision.Event]] = {
-    "Inbound": _decoder(
+    "Inbound": _make_decoder(
         decision.RequestArrived,
         id=_required("opId"),
         class_name=_required("cls"),
@@ -139,7 +142,7 @@
         midflow=_flag("midflow"),
         retried=_flag("isRetry"),
     ),
-    "Inherited": _decoder(
+    "Inherited": _make_decoder(
         decision.ConnectionAdopted,
         id=_required("opId"),
         class_name=_required("cls"),
@@ -148,30 +151,30 @@
         group=_text("room"),
         expected_load=_optional("costMs"),
     ),
-    "Started": _decoder(
+    "Started": _make_decoder(
         decision.ConnectionEstablished,
         id=_required("opId"),
         attempt=_required("n"),
         endpoint=_required("backend"),
         took_ms=_optional("timeTakenMs"),
     ),
-    "Returned": _decoder(
+    "Returned": _make_decoder(
         decision.AttemptEnded,
-        status=_word("stateCode", ATTEMPT_STATUSES),
+        status=_enum_value("stateCode", ATTEMPT_STATUSES),
         id=_required("opId"),
         attempt=_required("n"),
         endpoint=_required("backend"),
         final=_required("terminal"),
         report=_report("report"),
     ),
-    "Checked": _decoder(
+    "Checked": _make_decoder(
         decision.HealthCheckCompleted,
         endpoint=_required("backend"),
-        status=_word("stateCode", ATTEMPT_STATUSES),
+        status=_enum_value("stateCode", ATTEMPT_STATUSES),
         report=_report("report"),
     ),
-    "ClientLeft": _decoder(decision.ClientDisconnected, id=_required("opId")),
-    "Wake": _decoder(decision.TimerFired, tag=_required("mark")),
+    "ClientLeft": _make_decoder(decision.ClientDisconnected, id=_required("opId")),
+    "Wake": _make_decoder(decision.TimerFired, tag=_required("mark")),
     "UpdateOf": _decode_measurement,
     "Fleet": _decode_list,
 }
@@ -181,7 +184,7 @@
 
 
 def encode_action(action: decision.Action) -> dict[str, Fields]:
-    """Returns an action under the wire's name, with its fields in the wire's order."""
+    """Return an action under its name on the wire, with its fields in the wire's order."""
     match action:
         case decision.PlaceRequest():
             return {"Relay": {"opId": action.id, "backend": action.endpoint, "patienceMs": action.timeout_ms}}
@@ -202,31 +205,32 @@
 
 
 class SimulatorLink:
-    """Runs the balancer instances of one process, which share no state."""
+    """The balancer instances of one process, which share no state."""
 
     def __init__(self) -> None:
-        self.instances: dict[int, Balancer] = {}  # by number
-        # By instance: when its unanswered request for the list was sent, in the simulator's time.
+        self.instances: dict[int, Balancer] = {}  # keyed by instance number
+        # Simulated time at which an instance sent its unanswered watch request, keyed by instance number.
         self._watch_requested_ms: dict[int, float] = {}
-        self._decoding = ""  # the event that is being handled, for the text of errors
+        self._current_event = ""  # name of the event that is being handled, for error messages
 
     def answer(self, line: bytes) -> bytes:
-        """Handles a line of events. Returns the line of actions, without its end.
+        """Handle a line of events. Returns the line of actions, without a newline.
 
         Raises:
-            WireError: The line is not JSON, or an event is unknown, incomplete or out of place.
+            WireError: the line is not JSON, or an event is unknown, invalid or for an instance that does not
+                exist.
         """
         try:
             batch = orjson.loads(line)
         except orjson.JSONDecodeError as error:
             raise WireError(f"not JSON: {error}") from error
-        self._decoding = "batch"
+        self._current_event = "batch"
         try:
             groups = self._handle_batch(batch)
         except KeyError as error:
-            raise WireError(f"{self._decoding}: missing or unknown {error}") from error
+            raise WireError(f"{self._current_event}: missing or unknown {error}") from error
         except (TypeError, ValueError, AttributeError) as error:
-            raise WireError(f"{self._decoding}: {error}") from error
+            raise WireError(f"{self._current_event}: {error}") from error
         return orjson.dumps({"groups": groups})
 
     def _handle_batch(self, batch: Fields) -> list[Fields]:
@@ -236,16 +240,16 @@
             number = group["i"]
             actions: list[Fields] = []
             for message in group["events"]:
-                ((self._decoding, fields),) = message.items()
-                if self._decoding == END_INSTANCE:
-                    actions.clear()  # what an instance asked for before it was killed is not done
-                actions += self._handle_message(now_ms, number, self._decoding, fields)
+                ((self._current_event, fields),) = message.items()
+                if self._current_event == END_INSTANCE:
+                    actions.clear()  # actions that the instance returned before it was killed are discarded
+                actions += self._handle_message(now_ms, number, self._current_event, fields)
             if actions:
                 groups.append({"i": number, "actions": actions})
         return groups
 
     def _handle_message(self, now_ms: float, number: int, name: str, fields: Fields) -> list[Fields]:
-        """Starts or ends an instance, or has it handle an event. Returns the encoded actions."""
+        """Start or end an instance, or have it handle an event. Returns the encoded actions."""
         decode = DECODERS.get(name)
         if decode is not None:
             if number not in self.instances:
@@ -271,9 +275,10 @@
         return encoded
 
     def _classify_failure(self, now_ms: float, number: int, event: decision.EndpointListEvent) -> None:
-        """Sets how a watch failed, by the time until it failed: the wire does not say it.
+        """Set the cause of a failed watch, which the wire does not carry.
 
-        A failure without an unanswered request means that an established watch was lost.
+        The cause follows from how long the watch request had waited for its response. A failure while no
+        request is unanswered means that an established watch was lost.
         """
         if event.kind == ListEventKind.STALE:
             return
@@ -286,10 +291,11 @@
 
 
 def main() -> int:
-    """Answers line by line until the input ends.
+    """Answer line by line until the input ends.
 
     Returns:
-        The exit code: 0 at the end of the input, 1 for a closed output, 2 for input that cannot be read.
+        The exit code: 0 at the end of the input, 1 if the output was closed or the process was interrupted,
+        2 for invalid input.
     """
     link = SimulatorLink()
     output = sys.stdout.buffer
