--- a/sageturn/relay/__init__.py
+++ b/sageturn/relay/__init__.py
@@ -1,4 +1,4 @@
-"""The relay as a process: its composition, its lifetime, its reloads and what it reports of itself."""
+"""The relay process: its composition and lifecycle, its reloads, and the reports of its own state."""
 
 from sageturn.relay.relay import Relay
 
--- a/sageturn/relay/closed_connections.py
+++ b/sageturn/relay/closed_connections.py
@@ -11,19 +11,19 @@
 
 log = logging.getLogger(__name__)
 
-NOT_PLACED = "not_placed"  # counted for a request that was never given to an endpoint
+NOT_PLACED = "not_placed"  # reason that is counted for a request that was never placed on an endpoint
 
 
 class ClosedConnections:
-    """Receives the records of closed connections, from every frontend."""
+    """Receiver of the records of closed connections, for all frontends."""
 
     def __init__(self, flow_exporter: FlowExporter | None = None) -> None:
-        """``flow_exporter`` gets each record as a flow, where an operator's file turns flows on."""
-        self.counts: Counter[str] = Counter()  # by the close reason's name in lower case
+        """``flow_exporter`` exports each record as a flow; None if flow export is disabled."""
+        self.counts: Counter[str] = Counter()  # keyed by the close reason's name in lower case
         self._flow_exporter = flow_exporter
 
     def on_connection_closed(self, record: ConnectionRecord) -> None:
-        """Count, export and log the record of a connection that has closed."""
+        """Count, export and log the record of a closed connection."""
         reason = record.close_reason.name.lower() if record.close_reason else NOT_PLACED
         self.counts[reason] += 1
         if self._flow_exporter is not None:
--- a/sageturn/relay/counter_report.py
+++ b/sageturn/relay/counter_report.py
@@ -1,6 +1,6 @@
-"""Writes the relay's counts to the log: at an interval, and once more as it stops.
+"""Logs the relay's counters periodically, and once more when the relay stops.
 
-The platform gives a relay no port for metrics and no disk, so the log is where they are read.
+The platform gives a relay neither a port for metrics nor a disk, so operators read the counters in the log.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 
 
 class CounterReporter:
-    """An actor that logs all counts at an interval. They are totals: a line that is lost costs nothing."""
+    """Actor that logs all counters periodically. They are totals, so a lost line loses no count."""
 
     def __init__(self, balancer_actor: BalancerActor) -> None:
         self._balancer_actor = balancer_actor
 
     async def run(self) -> None:
-        """Report at the interval until cancelled, and then a last time."""
+        """Log the counters at each interval until cancelled, and then once more."""
         try:
             while True:
                 await asyncio.sleep(REPORT_INTERVAL_S)
@@ -32,7 +32,7 @@
             self.report()
 
     def report(self) -> None:
-        """Write one line with all counts."""
+        """Log one line with all counters."""
         counters = self._balancer_actor.counters
         log.info(
             "request counters requests=%d established=%d attempts=%d failed_attempts=%s blocked_sends=%s"
--- a/sageturn/relay/ingress.py
+++ b/sageturn/relay/ingress.py
@@ -14,7 +14,7 @@
 
 
 class RelayIngress(Subsystem):
-    """Opens and closes the listeners; implements the core's ``Ingress``."""
+    """All listeners of the relay; implements the core's ``Ingress``."""
 
     def __init__(self, listeners: Sequence[Listener], admission: AdmissionController) -> None:
         self._listeners = listeners
@@ -26,26 +26,26 @@
             listener.start_listening()
 
     async def reload(self, old: RelayConfig, new: RelayConfig) -> None:
-        """Apply the new limits to new connections."""
+        """Apply the new process limits, which hold for new connections."""
         set_descriptor_limit(new.limits.sockets)
         self._admission.limits = new.limits
 
     async def stop(self) -> None:
-        """Close the listeners and cut off whoever is still connected."""
+        """Close the listeners, and cut off the connections that remain."""
         for listener in self._listeners:
             listener.close()
             await listener.cancel_connections()
 
     def pending_connections(self) -> int:
-        """Return how many accepted connections have made no request yet."""
+        """Return how many accepted connections have sent no request yet."""
         return self._admission.pending_count
 
     def stop_accepting(self) -> None:
-        """Accept nobody any more, and answer all who have made no request."""
+        """Stop accepting after the connections in the backlog, and have all pending connections answered."""
         for listener in self._listeners:
             listener.stop_accepting()
         self._admission.evict_all_pending()
 
     async def wait_closed(self, timeout_s: float) -> None:
-        """Wait until all connections have ended, for ``timeout_s`` seconds at most."""
+        """Wait until all connections have closed, for ``timeout_s`` seconds at most."""
         await asyncio.gather(*(listener.wait_until_idle(timeout_s) for listener in self._listeners))
--- a/sageturn/relay/log_output.py
+++ b/sageturn/relay/log_output.py
@@ -1,4 +1,4 @@
-"""Writes log lines without ever waiting for whoever reads them."""
+"""Writes log lines to standard error, and never blocks on the process that reads them."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 import select
 import sys
 
-WRITABLE_BYTES = select.PIPE_BUF  # a pipe that is writable takes so many without waiting
+MAX_NONBLOCKING_WRITE_BYTES = select.PIPE_BUF  # a pipe that polls as writable takes these without blocking
 NO_WAIT_MS = 0
 
 
 def make_log_handler() -> logging.Handler:
-    """Return the handler for standard error; a null handler where the process has none.
+    """Return the handler for standard error, or a null handler if the process started without one.
 
-    The descriptor's number is then that of another file, perhaps a client's socket.
+    In that case its descriptor number may belong to another file, such as a client's socket.
     """
     if sys.stderr is None:
         return logging.NullHandler()
@@ -22,10 +22,10 @@
 
 
 class NonBlockingLogHandler(logging.Handler):
-    """Writes to a descriptor that others may have stopped to read, such as a pipe to a log collector.
+    """Log handler for a descriptor whose reader may have stalled, such as a pipe to a log collector.
 
-    A line that does not fit now is dropped and counted; the next line that fits follows the count. No error
-    of a write is raised: the log is not worth a connection.
+    A line that cannot be written at once is dropped and counted; the count is logged before the next line
+    that can be written. Write errors are not raised, since a failed log line must not cost a connection.
     """
 
     def __init__(self, descriptor: int) -> None:
@@ -37,7 +37,7 @@
 
     def emit(self, record: logging.LogRecord) -> None:
         """Write one record; called by ``logging``."""
-        if self._dropped_lines and self._write(self._encode(self._dropped_record())):
+        if self._dropped_lines and self._write(self._encode(self._make_drop_notice())):
             self._dropped_lines = 0
         try:
             line = self._encode(record)
@@ -50,19 +50,19 @@
     def _encode(self, record: logging.LogRecord) -> bytes:
         return f"{self.format(record)}\n".encode(errors="backslashreplace")
 
-    def _dropped_record(self) -> logging.LogRecord:
+    def _make_drop_notice(self) -> logging.LogRecord:
         message = "log lines dropped count=%d"
         arguments = (self._dropped_lines,)
         return logging.LogRecord(__name__, logging.WARNING, __file__, 0, message, arguments, None)
 
     def _write(self, data: bytes) -> bool:
-        """Write what fits now. Returns whether that was all of ``data``."""
+        """Write as much of ``data`` as fits now. Returns whether all of it was written."""
         unwritten = memoryview(data)
         try:
             while unwritten:
                 if not self._poll.poll(NO_WAIT_MS):
                     return False
-                unwritten = unwritten[os.write(self._descriptor, unwritten[:WRITABLE_BYTES]) :]
+                unwritten = unwritten[os.write(self._descriptor, unwritten[:MAX_NONBLOCKING_WRITE_BYTES]) :]
         except OSError:
             return False
         return True
--- a/sageturn/relay/operator_control.py
+++ b/sageturn/relay/operator_control.py
@@ -1,6 +1,6 @@
-"""The subsystems by which operators control a relay: overrides, and the rebalancing of connections.
+"""Subsystems through which operators control a relay: overrides, and the rebalancing of connections.
 
-The packages of both are imported only where an operator's file turns them on.
+The packages of both are imported only if the operator's file enables them.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class OverridesSubsystem(Subsystem):
-    """Runs operators' overrides; ``actor`` is None where the operator's file has no such section."""
+    """Subsystem of the overrides' actor; ``actor`` is None if the operator's file disables overrides."""
 
     def __init__(
         self,
@@ -45,7 +45,7 @@
             store.on_change.append(self.actor.on_store_change)
 
     def start(self, actors: ActorSupervisor) -> None:
-        """Start the actor, where overrides are on."""
+        """Start the actor, if overrides are enabled."""
         if self.actor is not None:
             actors.spawn("overrides", self.actor.run())
 
@@ -55,7 +55,7 @@
             self.actor.set_options(new.operator.overrides, self._store)
 
 
-def _is_on(options: RebalanceOptions | None) -> bool:
+def _is_enabled(options: RebalanceOptions | None) -> bool:
     if options is None:
         return False
     from sageturn.rebalance.options import RebalanceMode
@@ -64,9 +64,10 @@
 
 
 class RebalancingSubsystem(Subsystem):
-    """Runs the rebalancer, from when it is first needed on.
+    """Subsystem that creates the rebalancer when it is first needed, and runs it from then on.
 
-    Turned off again, the rebalancer goes on observing, so as to know which connections were migrated.
+    A rebalancer that is turned off again continues to observe, so that it knows which connections were
+    migrated.
     """
 
     def __init__(
@@ -86,7 +87,7 @@
         self._actors: ActorSupervisor | None = None
 
     def start(self, actors: ActorSupervisor) -> None:
-        """Start the rebalancer, where it is needed from the start."""
+        """Start the rebalancer, if it is needed from the start."""
         self._actors = actors
         self.apply_options(self._config.operator.rebalance, actors)
 
@@ -97,31 +98,33 @@
             self.apply_options(new.operator.rebalance, self._actors)
 
     def apply_options(self, options: RebalanceOptions | None, actors: ActorSupervisor) -> None:
-        """Apply the operator's file as it is now. Overrides need a rebalancer, whatever its own mode."""
+        """Apply the current options; None turns rebalancing off. Overrides need a rebalancer in any mode."""
         if self.rebalancer is not None:
             from sageturn.rebalance.options import RebalanceMode
 
             old = self.rebalancer.options
             self.rebalancer.options = options or replace(old, mode=RebalanceMode.OFF)
-        elif self._has_overrides or _is_on(options):
+        elif self._has_overrides or _is_enabled(options):
             from sageturn.rebalance.driver import Rebalancer
             from sageturn.rebalance.options import RebalanceOptions
 
             self.run_rebalancer(self.make_rebalancer(Rebalancer, options or RebalanceOptions()), actors)
 
-    def make_rebalancer(self, kind: type[Rebalancer], options: RebalanceOptions) -> Rebalancer:
-        """Build a rebalancer of this kind; the laboratory passes its own."""
+    def make_rebalancer(self, rebalancer_type: type[Rebalancer], options: RebalanceOptions) -> Rebalancer:
+        """Return a new rebalancer of this class; the laboratory passes a subclass."""
         publish = make_state_publisher(self._store, "rebalance")
-        return kind(self._balancer_actor, self._request_registry, options, self._config.seed, publish)
+        return rebalancer_type(
+            self._balancer_actor, self._request_registry, options, self._config.seed, publish
+        )
 
     def run_rebalancer(self, rebalancer: Rebalancer, actors: ActorSupervisor) -> None:
-        """Put the rebalancer in force and run it as an actor."""
+        """Use this rebalancer from now on, and run it as an actor."""
         self.rebalancer = rebalancer
         rebalancer.restrictions = self._restrictions
         actors.spawn("rebalancer", rebalancer.run())
 
     def set_restrictions(self, restrictions: EndpointRestrictions) -> None:
-        """Take the endpoints that operators restrict; called by the overrides' actor at each change."""
+        """Set the endpoints that operators restrict. Called by the overrides' actor on each change."""
         self._restrictions = restrictions
         if self.rebalancer is not None:
             self.rebalancer.restrictions = restrictions
--- a/sageturn/relay/relay.py
+++ b/sageturn/relay/relay.py
@@ -1,4 +1,4 @@
-"""The composition root: builds the relay's subsystems, and runs them until a signal."""
+"""The composition root: builds the relay's subsystems, and runs them until a signal stops the relay."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 from sageturn.relay.stored_log_level import StoredLogLevel
 from sageturn.relay.subsystem import Subsystem
 from sageturn.relay.subsystems import (
-    Actor,
+    ActorSubsystem,
     DiscoverySubsystem,
     HealthCheckSubsystem,
     ReplicationSubsystem,
@@ -46,16 +46,18 @@
     from sageturn.rebalance.driver import Rebalancer
     from sageturn.store.replication.member import ReplicationMember
 
-START_DELAY_S = 0.001  # the loop turns once before it listens, as a front proxy sends clients at once
+# One iteration of the event loop before the relay listens, in which pending signals are handled: a front
+# proxy sends clients as soon as the relay listens.
+START_DELAY_S = 0.001
 
 
 class Relay:
-    """A relay. Its sockets are bound once it is made; it serves from ``start`` to ``stop``."""
+    """A relay. The constructor binds its sockets; clients are served between ``start`` and ``stop``."""
 
-    rebalancing_type = RebalancingSubsystem  # the laboratory puts another in its place
+    rebalancing_type = RebalancingSubsystem  # overridden by the laboratory
 
     def __init__(self, config: RelayConfig, read_config: ReadConfig | None = None) -> None:
-        """``read_config`` reads the configuration anew, given the one in force."""
+        """``read_config`` rereads the configuration, given the one in force; None disables reloads."""
         self.config = config
         self._actors = ActorSupervisor()
         self.balancer_actor = BalancerActor(
@@ -96,7 +98,7 @@
         log_level.apply()
 
     def _make_endpoint_registry(self) -> EndpointRegistry:
-        """Make the registry; its events pass through the overrides, where there are any, to the balancer."""
+        """Return the registry. Its events pass through the overrides' actor, if any, to the balancer."""
         overrides = self._overrides.actor
         return EndpointRegistry(
             self.config.known_endpoints,
@@ -112,61 +114,61 @@
         return RelayStateReporter(publish, self._collect_state, self._replication.state_interval_s)
 
     def _list_subsystems(self) -> tuple[Subsystem, ...]:
-        """Return all subsystems, in the order in which they start and take a new configuration."""
+        """Return all subsystems, in the order in which they start and reload."""
         subsystems: list[Subsystem] = [
             self._replication,
             self.ingress,
-            Actor("balancer", self.balancer_actor.run),
-            Actor("endpoint_registry", self.endpoint_registry.run),
-            Actor("listener", self.listener.run),
-            Actor("state_reporter", self.state_reporter.run),
-            Actor("counter_reporter", CounterReporter(self.balancer_actor).run),
-            Actor("config_reloader", self._reloader.run),
+            ActorSubsystem("balancer", self.balancer_actor.run),
+            ActorSubsystem("endpoint_registry", self.endpoint_registry.run),
+            ActorSubsystem("listener", self.listener.run),
+            ActorSubsystem("state_reporter", self.state_reporter.run),
+            ActorSubsystem("counter_reporter", CounterReporter(self.balancer_actor).run),
+            ActorSubsystem("config_reloader", self._reloader.run),
             self._overrides,
             self._xmpp,
         ]
         if self.flow_exporter is not None:
-            subsystems.append(Actor("flow_exporter", self.flow_exporter.run))
+            subsystems.append(ActorSubsystem("flow_exporter", self.flow_exporter.run))
         return (*subsystems, self._rebalancing, self._health_checks, self._discovery)
 
-    # ------------------------------------------------------------ its parts, where they are turned on
+    # ------------------------------------------------------------ optional parts
 
     @property
     def overrides(self) -> OverrideActor | None:
-        """The overrides' actor, where the operator's file turns them on."""
+        """The overrides' actor; None if the operator's file disables overrides."""
         return self._overrides.actor
 
     @property
     def rebalancer(self) -> Rebalancer | None:
-        """The rebalancer, once one was needed."""
+        """The rebalancer; None until it is first needed."""
         return self._rebalancing.rebalancer
 
     @property
     def replication(self) -> ReplicationMember | None:
-        """This node's replication member, where there are replicas."""
+        """This node's replication member; None if the store isn't replicated."""
         return self._replication.member
 
     @replication.setter
     def replication(self, member: ReplicationMember) -> None:
-        """Replace the member, before the start only: the laboratory measures other ways to replicate."""
+        """Replace the member before its start: the laboratory measures other replication protocols."""
         self._replication.member = member
 
     @property
     def health_check_client(self) -> HealthCheckClient | None:
-        """The client of health checks, where the settings allow them."""
+        """The client that sends health checks; None if the settings don't allow them."""
         return self._health_checks.client
 
     @property
     def xmpp_listener(self) -> Listener | None:
-        """The XMPP frontend's listener, where it is turned on."""
+        """The XMPP frontend's listener; None if XMPP is disabled."""
         return self._xmpp.listener
 
     @property
     def reload_requested(self) -> asyncio.Event:
-        """Set by SIGHUP; cleared once the reload has begun."""
+        """Event that SIGHUP sets, and that is cleared once the reload has begun."""
         return self._reloader.requested
 
-    # ------------------------------------------------------------ callbacks to parts that are made later
+    # ------------------------------------------------------------ callbacks into parts that are created later
 
     def _request_watch(self) -> None:
         self.endpoint_registry.request_watch()
@@ -186,7 +188,7 @@
             replication=self._replication.state(),
         )
 
-    # ------------------------------------------------------------ lifetime
+    # ------------------------------------------------------------ lifecycle
 
     def start(self) -> None:
         """Open the listeners and start every subsystem; needs a running loop."""
@@ -194,7 +196,7 @@
             subsystem.start(self._actors)
 
     async def apply_config(self, new: RelayConfig) -> None:
-        """Put ``new`` in force. Nothing here can fail half way: all of it was checked when it was read."""
+        """Apply ``new``, which was validated when it was read: no step may fail and leave it half applied."""
         old = self.config
         self.config = new
         for subsystem in self.subsystems:
@@ -202,8 +204,8 @@
         log_config_applied(old, new)
 
     async def stop(self) -> None:
-        """Stop at once: connections that are still established are cut off."""
-        # Those that dial out come first, then the actors, and last what the actors use.
+        """Stop at once, and cut off connections that are still established."""
+        # Subsystems that open outgoing connections stop first, then the actors, then what the actors use.
         for subsystem in (self._discovery, self._health_checks, self._replication):
             await subsystem.stop()
         await self._actors.stop()
@@ -211,9 +213,9 @@
         self.store.close()
 
     async def run(self) -> None:
-        """Serve until SIGTERM or SIGINT, then drain; SIGHUP has the configuration read anew.
+        """Serve until SIGTERM or SIGINT, then drain; SIGHUP reloads the configuration.
 
-        An actor that fails ends the relay as well: its clients are asked to reconnect before its error is
+        The failure of an actor ends the relay too: clients are asked to reconnect before the actor's error is
         raised.
         """
         loop = asyncio.get_running_loop()
@@ -221,11 +223,12 @@
         for shutdown_signal in SHUTDOWN_SIGNALS:
             loop.add_signal_handler(shutdown_signal, shutdown_requested.set)
         loop.add_signal_handler(signal.SIGHUP, self.reload_requested.set)
-        # Signals that were blocked since the start are delivered now.
+        # Signals that arrived while they were blocked, since the start, are delivered now.
         signal.pthread_sigmask(signal.SIG_UNBLOCK, HANDLED_SIGNALS)
         set_descriptor_limit(self.config.limits.sockets)
         await asyncio.sleep(START_DELAY_S)
-        if not shutdown_requested.is_set():  # a signal during the start stops it before it accepts anybody
+        # A signal that arrived during the start stops the relay before it accepts clients.
+        if not shutdown_requested.is_set():
             self.start()
             await self._actors.wait_until_failed_or(shutdown_requested.wait())
             await self.request_registry.drain(self.ingress, self._actors.failed)
--- a/sageturn/relay/state_record.py
+++ b/sageturn/relay/state_record.py
@@ -1,4 +1,4 @@
-"""The record ``state/NODE/relay``, by which operators read at any replica what a relay has done."""
+"""Publishes a relay's state record, ``state/NODE/relay``, which operators can read at any replica."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayState:
-    """The state that one relay reports of itself."""
+    """State that a relay reports about itself."""
 
     established_connections: int
-    closed_connections: Mapping[str, int]  # since the start, by the reason's name in lower case
+    closed_connections: Mapping[str, int]  # counts since the start, keyed by close reason in lower case
     dropped_flows: int
-    invalid_report_values: Mapping[str, int]  # by the load report's field
-    replication: Mapping[str, object] | None  # None where the store isn't replicated
+    invalid_report_values: Mapping[str, int]  # number of invalid values, keyed by the load report's field
+    replication: Mapping[str, object] | None  # None if the store isn't replicated
 
 
 def encode_relay_state(state: RelayState) -> dict[str, object]:
-    """Return the stored form. Other nodes and operators' tools read its keys, which stay as they are."""
+    """Return the stored form, whose keys must not change: other nodes and operators' tools read them."""
     encoded: dict[str, object] = {
         "standing": state.established_connections,
         "ended": dict(state.closed_connections),
@@ -41,9 +41,9 @@
 
 
 def make_state_publisher(store: Store, subsystem: str) -> PublishState:
-    """Return a function that stores a subsystem's state for this node, if it has changed.
+    """Return a function that stores a subsystem's state under this node's name, if it has changed.
 
-    A state that the disk does not take now is left to the next report: it is not worth the relay.
+    A failed write is only logged: the next report makes up for it, and it must not end the relay.
     """
     key = f"state/{store.node}/{subsystem}"
 
@@ -59,7 +59,7 @@
 
 
 class RelayStateReporter:
-    """Publishes the relay's own state at an interval that grows with the number of replicas."""
+    """Actor that publishes the relay's own state, at an interval that grows with the number of replicas."""
 
     def __init__(
         self,
@@ -72,11 +72,11 @@
         self._replication_interval_s = replication_interval_s
 
     def report(self) -> None:
-        """Publish the state as it is now."""
+        """Publish the current state."""
         self._publish(encode_relay_state(self._collect()))
 
     async def run(self) -> None:
-        """Report at the interval until cancelled."""
+        """Publish the state at each interval until cancelled."""
         while True:
             self.report()
             await asyncio.sleep(max(STATE_INTERVAL_S, self._replication_interval_s()))
--- a/sageturn/relay/stored_log_level.py
+++ b/sageturn/relay/stored_log_level.py
@@ -1,4 +1,4 @@
-"""The log level that an operator sets for every node at once, by a key of the store."""
+"""Applies the log level that operators set for all nodes through a key of the store."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 
 class StoredLogLevel:
-    """Applies the stored level at the start and at each change; a value that is no level is passed over."""
+    """The stored log level, applied at the start and on each change; an invalid value is ignored."""
 
     def __init__(self, store: Store) -> None:
         self._store = store
 
     def on_store_change(self, records: list[StoreRecord]) -> None:
-        """Apply the stored level if it is among the records that have changed; called by the store."""
+        """Apply the stored level if its record is among the changed ones. Called by the store."""
         if any(record.key == LOG_LEVEL_KEY for record in records):
             self.apply()
 
--- a/sageturn/relay/subsystem.py
+++ b/sageturn/relay/subsystem.py
@@ -7,13 +7,13 @@
 
 
 class Subsystem:
-    """A part of the relay with a lifetime of its own. Each hook does nothing unless it is overridden."""
+    """A part of the relay with its own lifecycle. Each hook does nothing unless it is overridden."""
 
     def start(self, actors: ActorSupervisor) -> None:
-        """Begin to work; what runs until the relay stops is given to ``actors``."""
+        """Start the subsystem; ``actors`` runs its tasks until the relay stops."""
 
     async def reload(self, old: RelayConfig, new: RelayConfig) -> None:
-        """Take ``new``, which was checked when it was read: nothing here may fail half way."""
+        """Apply ``new``, which was validated when it was read: must not fail and leave it half applied."""
 
     async def stop(self) -> None:
-        """Let go of everything at once; the actors are stopped by their supervisor."""
+        """Release all resources at once. The supervisor stops the actors."""
--- a/sageturn/relay/subsystems.py
+++ b/sageturn/relay/subsystems.py
@@ -1,6 +1,6 @@
-"""The relay's parts as subsystems.
+"""Subsystems for XMPP, discovery, replication and health checks, and for single actors.
 
-Optional parts are imported only where the settings or an operator's file turn them on.
+Optional parts are imported only if the settings or the operator's file enable them.
 """
 
 from __future__ import annotations
@@ -27,11 +27,11 @@
     from sageturn.store.replication.member import ReplicationMember
 
 
-class Actor(Subsystem):
-    """A subsystem that is no more than one actor, from the relay's start to its stop."""
+class ActorSubsystem(Subsystem):
+    """Subsystem of a single actor, which runs from the relay's start to its stop."""
 
     def __init__(self, name: str, run: Callable[[], Coroutine[None, None, None]]) -> None:
-        """``name``: the actor's, for the log."""
+        """``name`` is the name of the actor in the log."""
         self._name = name
         self._run = run
 
@@ -41,7 +41,7 @@
 
 
 class XmppSubsystem(Subsystem):
-    """Runs the XMPP frontend; ``RelayIngress`` opens and closes its listener."""
+    """Subsystem of the XMPP frontend; ``RelayIngress`` opens and closes its listener."""
 
     def __init__(
         self, config: RelayConfig, context: RelayContext, store: Store, admission: AdmissionController
@@ -56,25 +56,25 @@
             )
 
     def start(self, actors: ActorSupervisor) -> None:
-        """Start the listener, where XMPP is turned on."""
+        """Start the listener's actor, if XMPP is enabled."""
         if self.listener is not None:
             actors.spawn("xmpp_listener", self.listener.run())
 
     async def reload(self, old: RelayConfig, new: RelayConfig) -> None:
-        """Apply the new XMPP options, which hold for new clients."""
+        """Apply the new XMPP options to new clients."""
         if self._frontend is not None and new.operator.xmpp is not None:
             self._frontend.options = new.operator.xmpp
 
 
 class DiscoverySubsystem(Subsystem):
-    """Follows discovery's address, and stops the client that watches it for the endpoint registry."""
+    """Subsystem that applies a new address of discovery, and stops the discovery client."""
 
     def __init__(self, client: DiscoveryClient, endpoint_registry: EndpointRegistry) -> None:
         self._client = client
         self._endpoint_registry = endpoint_registry
 
     async def reload(self, old: RelayConfig, new: RelayConfig) -> None:
-        """Watch at the new address, if discovery has another."""
+        """Restart the watch at the new address, if discovery's address has changed."""
         if new.discovery != old.discovery:
             self._client.set_address(new.discovery)
             await self._endpoint_registry.post_message(DiscoveryAddressChanged())
@@ -85,7 +85,7 @@
 
 
 class ReplicationSubsystem(Subsystem):
-    """Runs this node as a member of the store's replicas; ``member`` is None where there are none."""
+    """Subsystem of this node's replication member; ``member`` is None if the store isn't replicated."""
 
     def __init__(self, config: RelayConfig, store: Store, admission: AdmissionController) -> None:
         self.member: ReplicationMember | None = None
@@ -93,31 +93,31 @@
         if options is not None:
             from sageturn.store.replication.member import ReplicationMember
 
-            # Members of one fleet may share a seed, and must not do the same at the same moment.
+            # Members of one fleet may share a seed; the name in it keeps them from acting at the same moment.
             rng = Random(f"{config.seed}/{config.name}")
             self.member = ReplicationMember(store, options, admission, rng)
 
     def start(self, actors: ActorSupervisor) -> None:
-        """Start the member, where there are replicas."""
+        """Start the member, if there is one."""
         if self.member is not None:
             self.member.start()
 
     async def stop(self) -> None:
-        """Stop the member, where there is one."""
+        """Stop the member, if there is one."""
         if self.member is not None:
             await self.member.stop()
 
     def state(self) -> dict[str, object] | None:
-        """Return the member's part of the state record; None where there are no replicas."""
+        """Return the member's part of the state record; None if the store isn't replicated."""
         return None if self.member is None else self.member.state_report()
 
     def state_interval_s(self) -> float:
-        """Return the shortest interval between two states of this member, which grows with their number."""
+        """Return the minimum seconds between two state reports; they grow with the number of members."""
         return 0.0 if self.member is None else self.member.state_report_interval_s
 
 
 class HealthCheckSubsystem(Subsystem):
-    """Checks the health of endpoints; ``client`` is None where the settings don't allow that."""
+    """Subsystem of the health check client; ``client`` is None if the settings don't allow health checks."""
 
     def __init__(self, config: RelayConfig, context: RelayContext) -> None:
         self.client: HealthCheckClient | None = None
@@ -135,11 +135,11 @@
             )
 
     def start_check(self, endpoint: str) -> None:
-        """Send a health check to an endpoint; called by the balancer's actor."""
+        """Send a health check to an endpoint, if allowed. Called by the balancer's actor."""
         if self.client is not None:
             self.client.start_check(endpoint)
 
     async def stop(self) -> None:
-        """Stop all checks, where there are any."""
+        """Stop all health checks, if any."""
         if self.client is not None:
             await self.client.stop()
--- a/sageturn/relay/supervisor.py
+++ b/sageturn/relay/supervisor.py
@@ -1,4 +1,4 @@
-"""Runs the relay's actors, and notices when one of them fails."""
+"""Runs the relay's actors, and detects the failure of one."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class ActorSupervisor:
-    """Owns every long-running task of the relay. A task that ends by an error is a fault of the program."""
+    """Owner of all long-running tasks of the relay. A task that ends with an error is a program fault."""
 
     def __init__(self) -> None:
         self._actors: list[asyncio.Task[None]] = []
@@ -20,10 +20,10 @@
         self.failed = asyncio.Event()  # set once any actor has failed
 
     def spawn(self, name: str, actor_run: Coroutine[None, None, None]) -> None:
-        """Run an actor until ``stop``; its failure must not go unseen, whenever it was spawned.
+        """Run an actor until ``stop``. Its failure is logged and sets ``failed``, whenever it was spawned.
 
         Args:
-            name: the actor's, for the log.
+            name: the name of the actor in the log.
             actor_run: the coroutine that runs the actor until it is cancelled.
         """
         actor = asyncio.create_task(actor_run, name=name)
@@ -39,7 +39,7 @@
         self.failed.set()
 
     async def wait_until_failed_or(self, waiting: Coroutine[None, None, object]) -> None:
-        """Return when ``waiting`` does, or once an actor has failed."""
+        """Wait until ``waiting`` returns or an actor has failed."""
         done = asyncio.ensure_future(waiting)
         failed = asyncio.ensure_future(self.failed.wait())
         try:
