--- a/sageturn/cli/__init__.py
+++ b/sageturn/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The ``sageturn`` command. Nothing that a relay runs imports it."""
+"""The ``sageturn`` command for operators. The relay never imports it."""
--- a/sageturn/cli/connection.py
+++ b/sageturn/cli/connection.py
@@ -19,15 +19,15 @@
 
 @dataclass(frozen=True, slots=True)
 class DaemonConnection:
-    """Where a daemon's store is reached, and with which secret."""
+    """Address of a daemon's store, and the secret that authenticates the connection."""
 
     address: str  # HOST:PORT
-    secret_file: Path  # holds the secret that the replicas share
+    secret_file: Path  # contains the secret that the replicas share
 
     def run(self, action: Callable[[Store], Awaitable[Result]]) -> Result:
-        """Runs an action on a synchronized copy of the daemon's store. Returns the action's result.
+        """Run an action on a synchronized copy of the daemon's store. Returns the action's result.
 
-        The action's writes have reached the daemon when this returns. On a failure the command ends.
+        The action's writes have reached the daemon when this returns. A failure ends the command.
         """
         secret = self._read_secret()
 
--- a/sageturn/cli/exit_codes.py
+++ b/sageturn/cli/exit_codes.py
@@ -1,4 +1,4 @@
-"""The exit codes of all commands, and the way a command ends with one."""
+"""The exit codes of all commands, and the function that ends a command with one."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class ExitCode(IntEnum):
-    """The exit codes that operators' documents list; 0 is success."""
+    """The exit codes that the operators' documentation lists; 0 is success."""
 
     REFUSED = 1
     USAGE = 2
@@ -19,10 +19,10 @@
 
 
 def fail(code: ExitCode, message: str) -> NoReturn:
-    """Ends the command: the message goes to standard error.
+    """End the command, with a message on standard error.
 
     Raises:
-        typer.Exit: Always, with the exit code.
+        typer.Exit: always, with the exit code.
     """
     print(f"sageturn: {message}", file=sys.stderr)
     raise typer.Exit(int(code))
--- a/sageturn/cli/lab.py
+++ b/sageturn/cli/lab.py
@@ -1,7 +1,7 @@
-"""``sageturn lab``: experiments, comparisons and searches in simulated time.
+"""``sageturn lab``: experiments, comparisons and searches in simulated time, and runs of real relays.
 
 The docstrings of the commands and the ``help`` texts are what users read in the command's help.
-A command has a parameter for each of its options, however many these are.
+A command has a parameter for each of its options, so some commands have many.
 """
 
 from __future__ import annotations
@@ -31,15 +31,17 @@
 from sageturn.lab.runner.search import hunt as hunt_scenarios
 from sageturn.lab.runner.search import sweep as sweep_values
 
-app = typer.Typer(no_args_is_help=True, help="Experiments, comparisons and searches in simulated time.")
+app = typer.Typer(
+    no_args_is_help=True, help="Experiments, comparisons and searches, in simulated time or with real relays."
+)
 
-ExperimentFile = Annotated[Path, typer.Argument(help="An experiment, in TOML or JSON.")]
-ResultsFile = Annotated[Path, typer.Argument(help="Results, as `run` wrote them.")]
-ProcessCount = Annotated[int, typer.Option(help="Runs at once.")]
-MetricName = Annotated[str, typer.Option(help="Of each run's metrics.")]
-DEFAULT_PROCESSES = max(1, (os.cpu_count() or 2) - 1)  # one core stays free
-REPORTED_SCENARIOS = 8  # of a hunt
-UNATTENDED_WIDTH = 170  # columns of a table that goes to a file or a pipe
+ExperimentFile = Annotated[Path, typer.Argument(help="File of an experiment, in TOML or JSON.")]
+ResultsFile = Annotated[Path, typer.Argument(help="File of results, written by `run`.")]
+ProcessCount = Annotated[int, typer.Option(help="Number of runs at once.")]
+MetricName = Annotated[str, typer.Option(help="Name of one of the runs' metrics.")]
+DEFAULT_PROCESSES = max(1, (os.cpu_count() or 2) - 1)  # leaves one core free
+MAX_REPORTED_SCENARIOS = 8  # scenarios that a hunt lists
+NON_TERMINAL_WIDTH = 170  # characters per line of a table that is written to a file or a pipe
 
 
 def _read_experiment(file: Path) -> Experiment:
@@ -57,7 +59,7 @@
 
 
 def _find_variant(experiment: Experiment, name: str) -> Variant:
-    """Returns the variant of this name; the first for an empty name."""
+    """Return the variant of this name, or the first if the name is empty."""
     for variant in experiment.variants:
         if not name or variant.name == name:
             return variant
@@ -65,7 +67,7 @@
 
 
 def _find_scenario(experiment: Experiment, name: str) -> Scenario:
-    """Returns the scenario of this name; the first for an empty name."""
+    """Return the scenario of this name, or the first if the name is empty."""
     for scenario in experiment.scenarios:
         if not name or scenario.name == name:
             return scenario
@@ -73,20 +75,20 @@
 
 
 def _print_table(rows: list[list[str]], title: str = "") -> None:
-    """Prints rows of cells; the first has the columns' names."""
+    """Print rows of cells, of which the first has the columns' names."""
     table = Table(*rows[0], title=title or None, box=None)
     for row in rows[1:]:
         table.add_row(*row)
-    Console(width=None if os.isatty(1) else UNATTENDED_WIDTH).print(table)
+    Console(width=None if os.isatty(1) else NON_TERMINAL_WIDTH).print(table)
 
 
 @app.command()
 def run(
     file: ExperimentFile,
-    out: Annotated[Path, typer.Option(help="Where results go; what is there already is not played again.")],
+    out: Annotated[Path, typer.Option(help="File of results; runs that it already has are skipped.")],
     processes: ProcessCount = DEFAULT_PROCESSES,
 ) -> None:
-    """Play an experiment: every scenario, seed and variant."""
+    """Run an experiment: each variant in each scenario, with each seed."""
     experiment = _read_experiment(file)
     with Progress(console=Console(stderr=True)) as progress:
         task = progress.add_task(experiment.name, total=None)
@@ -106,7 +108,7 @@
 def compare(
     results: ResultsFile, first: str, second: str, metric: MetricName = "goal", as_json: AsJson = False
 ) -> None:
-    """The difference that `second` makes against `first`, on the same days, with its interval."""
+    """Compare variant `second` with `first` on the same scenarios and seeds, with a 95% interval."""
     try:
         differences = compare_variants(_read_results(results), first, second, metric)
     except (ValueError, KeyError) as error:
@@ -149,8 +151,10 @@
 @app.command()
 def sweep(
     file: ExperimentFile,
-    knob: Annotated[str, typer.Option(help="connections, room, strength, rebalance.KEY, ...")],
-    values: Annotated[str, typer.Option(help="Numbers with commas between.")],
+    knob: Annotated[
+        str, typer.Option(help="Parameter to vary: connections, room, strength, rebalance.KEY, ...")
+    ],
+    values: Annotated[str, typer.Option(help="Numbers, separated by commas.")],
     scenario: str = "",
     variant: str = "",
     metric: MetricName = "service",
@@ -158,19 +162,21 @@
     processes: ProcessCount = DEFAULT_PROCESSES,
     as_json: AsJson = False,
 ) -> None:
-    """Where a metric breaks as one knob is turned."""
+    """Vary one parameter, and find the value at which a metric crosses a bound."""
     experiment = _read_experiment(file)
-    played = _find_scenario(experiment, scenario)
-    tried = _find_variant(experiment, variant)
+    swept_scenario = _find_scenario(experiment, scenario)
+    swept_variant = _find_variant(experiment, variant)
     try:
         numbers = [float(text) for text in values.split(",")]
-        evaluation = Evaluation(tried, read_policy(tried.policy, Path.cwd()), experiment.seeds, metric)
-        points = sweep_values(played, evaluation, knob, numbers, processes)
+        evaluation = Evaluation(
+            swept_variant, read_policy(swept_variant.policy, Path.cwd()), experiment.seeds, metric
+        )
+        points = sweep_values(swept_scenario, evaluation, knob, numbers, processes)
     except ValueError as error:
         fail(ExitCode.USAGE, str(error))
 
     def measure(value: float) -> float:
-        return sweep_values(played, evaluation, knob, [value], 1)[0].metric
+        return sweep_values(swept_scenario, evaluation, knob, [value], 1)[0].metric
 
     crossing = find_crossing(points, bound, measure)
     if as_json:
@@ -179,7 +185,7 @@
         )
         return
     rows = [[f"{point.value:g}", f"{point.metric:.4f}"] for point in points]
-    _print_table([[knob, metric], *rows], played.name)
+    _print_table([[knob, metric], *rows], swept_scenario.name)
     if crossing is None:
         print(f"{metric} does not cross {bound:g}")
     else:
@@ -189,25 +195,30 @@
 @app.command()
 def hunt(
     file: ExperimentFile,
-    out: Annotated[Path, typer.Option(help="Where the worst day goes, made as small as it goes.")],
+    out: Annotated[Path, typer.Option(help="File of the worst scenario, shrunk as far as possible.")],
     days: int = 40,
     seed: int = 1,
     variant: str = "",
     metric: MetricName = "goal",
     processes: ProcessCount = DEFAULT_PROCESSES,
 ) -> None:
-    """Draw days, find those that hurt most, and shrink the worst to a file of its own."""
+    """Draw random scenarios, list those that lose most, and write the worst, shrunk, to a file."""
     experiment = _read_experiment(file)
-    tried = _find_variant(experiment, variant)
+    searched_variant = _find_variant(experiment, variant)
     scenario = experiment.scenarios[0]
-    evaluation = Evaluation(tried, read_policy(tried.policy, Path.cwd()), (seed,), metric)
+    evaluation = Evaluation(
+        searched_variant, read_policy(searched_variant.policy, Path.cwd()), (seed,), metric
+    )
     calm = Scenario("calm", scenario.size, scenario.seconds)
-    found = hunt_scenarios(calm, evaluation, days, seed, processes, print)
-    worst = found[0].scenario
-    loss = found[0].loss
+    costly_scenarios = hunt_scenarios(calm, evaluation, days, seed, processes, print)
+    worst = costly_scenarios[0].scenario
+    loss = costly_scenarios[0].loss
     why = f"found by hunting {days} days of seed {seed}: loses {loss:.3f} of {metric} against a calm day"
-    write_scenario(out, worst, tried, seed, why)
-    rows = [[f"{each.loss:.3f}", describe(each.scenario)] for each in found[:REPORTED_SCENARIOS]]
+    write_scenario(out, worst, searched_variant, seed, why)
+    rows = [
+        [f"{costly.loss:.3f}", describe(costly.scenario)]
+        for costly in costly_scenarios[:MAX_REPORTED_SCENARIOS]
+    ]
     _print_table([["loss", "day"], *rows])
     print(f"{out}: {describe(worst)}")
 
@@ -215,48 +226,54 @@
 @app.command()
 def report(
     results: ResultsFile,
-    html: Annotated[Path | None, typer.Option(help="Where a page goes.")] = None,
-    markdown: Annotated[Path | None, typer.Option(help="Where Markdown goes; else it is printed.")] = None,
+    html: Annotated[Path | None, typer.Option(help="File of an HTML page.")] = None,
+    markdown: Annotated[
+        Path | None, typer.Option(help="File of Markdown; printed without either option.")
+    ] = None,
 ) -> None:
-    """A page with plots, or Markdown."""
-    from sageturn.lab.reports import report as reports  # matplotlib takes a second to load
+    """Report results as an HTML page with plots, or as Markdown."""
+    from sageturn.lab.reports import report as reports  # imported here, as matplotlib takes a second to load
 
-    found = _read_results(results)
+    recorded_results = _read_results(results)
     if html is not None:
-        html.write_text(reports.page(found), encoding="utf-8")
+        html.write_text(reports.page(recorded_results), encoding="utf-8")
     if markdown is not None:
-        markdown.write_text(reports.markdown(found), encoding="utf-8")
+        markdown.write_text(reports.markdown(recorded_results), encoding="utf-8")
     elif html is None:
-        print(reports.markdown(found))
+        print(reports.markdown(recorded_results))
 
 
 @app.command()
-def repeat(results: ResultsFile, number: Annotated[int, typer.Argument(help="Of the run, from 1.")]) -> None:
-    """Play one run again from its results alone, and say whether it came out the same."""
-    found = _read_results(results)
-    if not 1 <= number <= len(found.runs):
-        fail(ExitCode.NOT_FOUND, f"{number}: there are {len(found.runs)} runs")
-    recorded = found.runs[number - 1]
-    experiment: Experiment = msgspec.convert(found.head["experiment"], Experiment)
+def repeat(
+    results: ResultsFile, number: Annotated[int, typer.Argument(help="Number of the run, from 1.")]
+) -> None:
+    """Repeat one run from its recorded results alone, and print whether the outcome is the same."""
+    recorded_results = _read_results(results)
+    if not 1 <= number <= len(recorded_results.runs):
+        fail(ExitCode.NOT_FOUND, f"{number}: there are {len(recorded_results.runs)} runs")
+    recorded = recorded_results.runs[number - 1]
+    experiment: Experiment = msgspec.convert(recorded_results.head["experiment"], Experiment)
     variant = _find_variant(experiment, recorded["variant"])
     replayed = run_scenario(
         _find_scenario(experiment, recorded["scenario"]),
         recorded["seed"],
         variant,
-        found.head["policies"][variant.name],
+        recorded_results.head["policies"][variant.name],
     )
-    same: dict[str, bool] = {key: replayed[key] == recorded[key] for key in ("metrics", "counts", "series")}
-    print(json.dumps(same))
-    if not all(same.values()):
+    is_same_by_key: dict[str, bool] = {
+        key: replayed[key] == recorded[key] for key in ("metrics", "counts", "series")
+    }
+    print(json.dumps(is_same_by_key))
+    if not all(is_same_by_key.values()):
         raise typer.Exit(int(ExitCode.REFUSED))
 
 
 @app.command()
 def costs(
-    out: Annotated[Path, typer.Option(help="Where lines are added.")],
-    only: Annotated[str, typer.Option(help="Parts, with commas between; else all.")] = "",
+    out: Annotated[Path, typer.Option(help="File to which result lines are appended.")],
+    only: Annotated[str, typer.Option(help="Parts to measure, separated by commas; all if empty.")] = "",
 ) -> None:
-    """What single parts of a relay's control cost by their size, with fits: a minute on one core."""
+    """Measure what parts of a relay's control cost by their size, with fits: a minute on one core."""
     from sageturn.lab.runner.result_file import revision
     from sageturn.lab.scale.costs import PARTS, run_costs
 
@@ -264,23 +281,26 @@
     for name in chosen:
         if name not in (*PARTS, "list_calls"):
             fail(ExitCode.USAGE, f"only: {name} must be one of {', '.join(PARTS)}, list_calls")
-    marked = {"revision": revision(Path.cwd()), "load": round(os.getloadavg()[0], 2)}
+    origin = {"revision": revision(Path.cwd()), "load": round(os.getloadavg()[0], 2)}
     with out.open("a", encoding="utf-8") as lines:
         for line in run_costs(chosen):
-            lines.write(json.dumps({**line, **marked}) + "\n")
+            lines.write(json.dumps({**line, **origin}) + "\n")
             lines.flush()
             print(json.dumps(line))
 
 
 @app.command()
 def scale(
-    file: Annotated[Path, typer.Argument(help="An experiment of scale, in TOML.")],
-    out: Annotated[Path, typer.Option(help="Where results go; what is there already is not played again.")],
-    plot: Annotated[Path | None, typer.Option(help="Where a plot goes, as PNG.")] = None,
-    only: Annotated[str, typer.Option(help="Just this size.")] = "",
+    file: Annotated[Path, typer.Argument(help="File of a scale experiment, in TOML.")],
+    out: Annotated[Path, typer.Option(help="File of results; runs that it already has are skipped.")],
+    plot: Annotated[Path | None, typer.Option(help="File of a plot, as PNG.")] = None,
+    only: Annotated[str, typer.Option(help="Name of the only size to run; all sizes if empty.")] = "",
 ) -> None:
-    """Members beside real relays on loopback: what control costs by members and keys, and in faults."""
-    from sageturn.lab.scale import report as reports  # matplotlib takes a second to load
+    """Run replication members beside real relays on loopback, and measure the cost of control.
+
+    The cost is measured by number of members and of keys, and during faults.
+    """
+    from sageturn.lab.scale import report as reports  # imported here, as matplotlib takes a second to load
     from sageturn.lab.scale.plan import read_scale
     from sageturn.lab.scale.results import run as run_scale
 
@@ -290,7 +310,7 @@
     except (InvalidExperimentError, ValueError) as error:
         fail(ExitCode.USAGE, str(error))
     except KeyboardInterrupt:
-        fail(ExitCode.REFUSED, f"interrupted; {out} has what was played whole")
+        fail(ExitCode.REFUSED, f"interrupted; {out} has the completed runs")
     _print_table(reports.table(results), experiment.name)
     for line in reports.fit_lines(results):
         print(line)
@@ -302,16 +322,20 @@
 
 @app.command()
 def soak(
-    seed: Annotated[int, typer.Option(help="Of the first run.")] = 1,
-    runs: Annotated[int, typer.Option(help="How many runs, of one seed after the other.")] = 1,
-    relays: Annotated[int, typer.Option(help="Relay processes.")] = 16,
-    hosts: Annotated[int, typer.Option(help="Processes of two endpoints each.")] = 12,
-    requests: Annotated[float, typer.Option(help="Requests a second, over all relays.")] = 200.0,
-    storm: Annotated[str, typer.Option(help="Its faults, with commas between; else drawn.")] = "",
-    variants: Annotated[str, typer.Option(help="pushed_lists, health_checks, or both, with a comma.")] = "",
-    keep: Annotated[Path | None, typer.Option(help="Where plans, records and logs are kept.")] = None,
+    seed: Annotated[int, typer.Option(help="Seed of the first run.")] = 1,
+    runs: Annotated[int, typer.Option(help="Number of runs, with consecutive seeds.")] = 1,
+    relays: Annotated[int, typer.Option(help="Number of relay processes.")] = 16,
+    hosts: Annotated[int, typer.Option(help="Number of processes with two endpoints each.")] = 12,
+    requests: Annotated[float, typer.Option(help="Requests per second, over all relays.")] = 200.0,
+    storm: Annotated[str, typer.Option(help="Faults, separated by commas; drawn at random if empty.")] = "",
+    variants: Annotated[
+        str, typer.Option(help="pushed_lists, health_checks, or both, separated by a comma.")
+    ] = "",
+    keep: Annotated[
+        Path | None, typer.Option(help="Folder in which plans, records and logs are kept.")
+    ] = None,
 ) -> None:
-    """Real relays on loopback in overlapping faults, judged by the protocol's rules: 30 s a run."""
+    """Run real relays on loopback under overlapping faults, and check the protocol's rules: 30 s per run."""
     from sageturn.lab.soak.plan import FaultKind, SoakSize, Variant, draw_plan
     from sageturn.lab.soak.report import play_all
 
@@ -321,11 +345,11 @@
     try:
         faults = [FaultKind(name) for name in storm.split(",") if name]
     except ValueError as error:
-        fail(ExitCode.USAGE, f"storm: {error}; there are {', '.join(FaultKind)}")
+        fail(ExitCode.USAGE, f"storm: {error}; must be among {', '.join(FaultKind)}")
     try:
         chosen = [Variant(name) for name in variants.split(",") if name]
     except ValueError as error:
-        fail(ExitCode.USAGE, f"variants: {error}; there are {', '.join(Variant)}")
+        fail(ExitCode.USAGE, f"variants: {error}; must be among {', '.join(Variant)}")
     plans = (draw_plan(number, size, faults, chosen) for number in range(seed, seed + runs))
     if not play_all(plans, keep, lambda text: print(text, flush=True)):
         raise typer.Exit(int(ExitCode.REFUSED))
--- a/sageturn/cli/override.py
+++ b/sageturn/cli/override.py
@@ -1,7 +1,7 @@
-"""``sageturn override``: endpoints out of service, weights, pins and holds, each with an expiry.
+"""``sageturn override``: takes endpoints out of service, and sets weights, pins and holds, until an expiry.
 
 The docstrings of the commands and the ``help`` texts are what operators read in the command's help.
-A command has a parameter for each of its options, however many these are.
+A command has a parameter for each of its options, so some commands have many.
 """
 
 from __future__ import annotations
@@ -43,25 +43,28 @@
 from sageturn.overrides.unix_time import unix_time_ms
 from sageturn.store.store import Store
 
-app = typer.Typer(no_args_is_help=True, help="Overrides by operators, each with an expiry.")
+app = typer.Typer(no_args_is_help=True, help="Overrides that operators set, each with an expiry.")
 
 OperatorOption = Annotated[
-    str, typer.Option("--operator", envvar="SAGETURN_OPERATOR", help="Your name, as the daemons know it.")
+    str,
+    typer.Option("--operator", envvar="SAGETURN_OPERATOR", help="Your name, as configured at the daemons."),
 ]
 KeyFileOption = Annotated[
-    Path, typer.Option("--key-file", envvar="SAGETURN_KEY_FILE", help="Your private key (see `key`).")
+    Path,
+    typer.Option("--key-file", envvar="SAGETURN_KEY_FILE", help="File with your private key (see `key`)."),
 ]
 ExpiryOption = Annotated[
-    str, typer.Option("--for", "--until", help="2h30m from now, or an instant with a zone.")
+    str,
+    typer.Option("--for", "--until", help="Duration from now, such as 2h30m, or a time with a time zone."),
 ]
-ReasonOption = Annotated[str, typer.Option("--why", help="Why; shown to everyone.")]
+ReasonOption = Annotated[str, typer.Option("--why", help="Reason, shown to all operators.")]
 
 
 # ---------------------------------------------------------------- writing
 
 
 @app.command("set")
-def set_override(  # over 40 lines, of which 20 are options
+def set_override(  # longer than 40 lines, as it declares 20 options
     kind: Annotated[str, typer.Argument(metavar="KIND", help="out, weight, pin or hold.")],
     reason: ReasonOption,
     expiry: ExpiryOption,
@@ -69,19 +72,25 @@
     key_file: KeyFileOption,
     connect: Connect,
     secret_file: SecretFile,
-    endpoint: Annotated[str, typer.Option("--host", help="The host meant.")] = "",
-    zone: Annotated[str, typer.Option(help="All hosts of a zone, also those that join it later.")] = "",
-    machine_kind: Annotated[str, typer.Option("--kind", help="All hosts of a kind of machine.")] = "",
+    endpoint: Annotated[str, typer.Option("--host", help="One host.")] = "",
+    zone: Annotated[str, typer.Option(help="All hosts of a zone, including those that join it later.")] = "",
+    machine_kind: Annotated[str, typer.Option("--kind", help="All hosts of a machine kind.")] = "",
     cell: Annotated[str, typer.Option(help="All hosts of a cell.")] = "",
-    factor: Annotated[float, typer.Option(help="weight: above 0, up to 4.")] = 0.0,
-    move_off: Annotated[bool, typer.Option(help="out: move standing connections too, slowly.")] = False,
-    to: Annotated[list[str] | None, typer.Option(help="pin: a host; may be given again.")] = None,
-    strict: Annotated[bool, typer.Option(help="pin: nowhere else, whatever happens.")] = False,
+    factor: Annotated[float, typer.Option(help="weight: factor above 0, up to 4.")] = 0.0,
+    move_off: Annotated[
+        bool, typer.Option(help="out: also migrate established connections, slowly.")
+    ] = False,
+    to: Annotated[list[str] | None, typer.Option(help="pin: a host; may be repeated.")] = None,
+    strict: Annotated[
+        bool, typer.Option(help="pin: use no other hosts, even if none of these is available.")
+    ] = False,
     class_name: Annotated[str, typer.Option("--class", help="pin: traffic of this class.")] = "",
     tenant: Annotated[str, typer.Option(help="pin: traffic of this tenant.")] = "",
-    group: Annotated[str, typer.Option(help="pin: groups that begin so.")] = "",
-    this_start: Annotated[bool, typer.Option(help="Only the process of that name that runs now.")] = False,
-    force: Annotated[str, typer.Option(help="Set it though the guard refuses; say why.")] = "",
+    group: Annotated[str, typer.Option(help="pin: groups whose names begin with this.")] = "",
+    this_start: Annotated[
+        bool, typer.Option(help="Only the process that runs now under the name of the host.")
+    ] = False,
+    force: Annotated[str, typer.Option(help="Reason for setting it although the safety guard refuses.")] = "",
     as_json: AsJson = False,
 ) -> None:
     """Set an override.
@@ -97,7 +106,7 @@
     }
     selector = _parse_selector(override_kind, attributes, pinned_endpoints=to)
     if this_start and not endpoint:
-        fail(ExitCode.USAGE, "--this-start needs --host")
+        fail(ExitCode.USAGE, "--this-start requires --host")
     kind_options: dict[OverrideKind, dict[str, object]] = {
         OverrideKind.WEIGHT: {"--factor": factor},
         OverrideKind.OUT_OF_SERVICE: {"--move-off": move_off},
@@ -106,7 +115,7 @@
     _reject_options_of_other_kinds(override_kind, kind_options)
     key = load_private_key(key_file)
     if override_kind is OverrideKind.WEIGHT and not factor:
-        fail(ExitCode.USAGE, "--factor is needed")
+        fail(ExitCode.USAGE, "--factor is required for weight")
     payload = OverridePayload(
         override_kind,
         selector,
@@ -133,7 +142,7 @@
 def _reject_options_of_other_kinds(
     kind: OverrideKind, kind_options: dict[OverrideKind, dict[str, object]]
 ) -> None:
-    """Ends the command if an option is given that the kind has no use for: it would be ignored."""
+    """End the command if an option is given that this kind does not use, and that would be ignored."""
     for other_kind, options in kind_options.items():
         for name, value in options.items():
             if value and other_kind is not kind:
@@ -143,14 +152,14 @@
 def _parse_selector(
     kind: OverrideKind, options: dict[SelectorAttribute, str], pinned_endpoints: list[str] | None
 ) -> Selector | None:
-    """Returns the selector of the one option that is given; None for a pin, which has ``--to`` instead."""
+    """Return the selector of the one option that is given; None for a pin, which has ``--to`` instead."""
     given = [Selector(attribute, value) for attribute, value in options.items() if value]
     if kind is OverrideKind.PIN:
         if given or not pinned_endpoints:
-            fail(ExitCode.USAGE, "a pin names its hosts with --to")
+            fail(ExitCode.USAGE, "a pin requires its hosts, given with --to")
         return None
     if len(given) != 1:
-        fail(ExitCode.USAGE, "one of --host, --zone, --kind and --cell is needed")
+        fail(ExitCode.USAGE, "exactly one of --host, --zone, --kind and --cell is required")
     return given[0]
 
 
@@ -165,7 +174,7 @@
     secret_file: SecretFile,
     as_json: AsJson = False,
 ) -> None:
-    """Give an override another end, later or sooner."""
+    """Change the expiry of an override to a later or earlier time."""
     extension = OverrideUpdate(override_id, OperationType.EXTEND, operator, reason, expiry)
     _submit(extension, load_private_key(key_file), DaemonConnection(connect, secret_file), as_json)
 
@@ -180,7 +189,7 @@
     secret_file: SecretFile,
     as_json: AsJson = False,
 ) -> None:
-    """End an override now, for good."""
+    """End an override now, permanently."""
     revocation = OverrideUpdate(override_id, OperationType.REVOKE, operator, reason)
     _submit(revocation, load_private_key(key_file), DaemonConnection(connect, secret_file), as_json)
 
@@ -188,7 +197,7 @@
 def _submit(
     change: NewOverride | OverrideUpdate, key: Ed25519PrivateKey, daemon: DaemonConnection, as_json: bool
 ) -> None:
-    """Writes the change, and prints how the relays have answered."""
+    """Submit the change, and print how the relays have answered."""
     print_submission(change.submit(daemon, key), as_json)
 
 
@@ -200,9 +209,11 @@
     connect: Connect,
     secret_file: SecretFile,
     as_json: AsJson = False,
-    include_ended: Annotated[bool, typer.Option("--all", help="Lapsed and revoked ones too.")] = False,
+    include_ended: Annotated[
+        bool, typer.Option("--all", help="Include lapsed and revoked overrides.")
+    ] = False,
 ) -> None:
-    """What is in force, dormant, suspended or about to end, and by whom."""
+    """List the overrides that are in force, dormant, suspended or about to end, and who set them."""
 
     async def read_summaries(store: Store) -> list[OverrideSummary]:
         view = OverrideView(store, unix_time_ms())
@@ -220,7 +231,7 @@
 
 @app.command()
 def show(override_id: str, connect: Connect, secret_file: SecretFile, as_json: AsJson = False) -> None:
-    """One override whole, and what each relay says of it."""
+    """Show all values of an override, and its status at each relay."""
 
     async def read_details(store: Store) -> OverrideDetails:
         view = OverrideView(store, unix_time_ms())
@@ -235,7 +246,7 @@
 
 @app.command()
 def history(override_id: str, connect: Connect, secret_file: SecretFile, as_json: AsJson = False) -> None:
-    """Every word said of an override, by whom and when."""
+    """List all operations on an override, by whom and when."""
 
     async def read_history(store: Store) -> list[HistoryRow]:
         return history_rows(OverrideView(store, unix_time_ms()), override_id)
@@ -256,7 +267,7 @@
     secret_file: SecretFile,
     as_json: AsJson = False,
 ) -> None:
-    """Why a host is treated as it is."""
+    """Explain the state of a host by the overrides that concern it."""
 
     async def read_explanation(store: Store) -> EndpointExplanation:
         return explain_endpoint(OverrideView(store, unix_time_ms()), endpoint)
@@ -272,6 +283,6 @@
 
 
 @app.command("key")
-def create_key(file: Annotated[Path, typer.Argument(help="Where your private key goes.")]) -> None:
-    """Make a key of your own; prints the public one, for the daemons' `overrides.operators`."""
+def create_key(file: Annotated[Path, typer.Argument(help="New file for your private key.")]) -> None:
+    """Create your private key, and print its public key for the daemons' `overrides.operators`."""
     print(create_private_key(file))
--- a/sageturn/cli/override_explanation.py
+++ b/sageturn/cli/override_explanation.py
@@ -1,4 +1,4 @@
-"""Explains which overrides affect an endpoint, and to what effect."""
+"""Explains which overrides concern an endpoint, and their effect on it."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 @dataclass(frozen=True, slots=True)
 class InvolvedOverride:
-    """An override that concerns the endpoint; ``suspended_because`` is empty unless it is suspended."""
+    """An override that concerns the endpoint; ``suspension_reason`` is empty unless it is suspended."""
 
     summary: OverrideSummary
-    suspended_because: str
+    suspension_reason: str
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,11 +32,11 @@
 
     @property
     def effective_state(self) -> str:
-        """The state in which relays treat the endpoint."""
+        """The endpoint's state with the overrides applied."""
         return "out of service" if self.effect.out_of_service else self.listed_state
 
     def to_json(self) -> dict[str, object]:
-        """Returns the object that ``--json`` prints."""
+        """Return the object that ``--json`` prints."""
         return {
             "host": self.endpoint,
             "listed": self.listed_state,
@@ -45,14 +45,14 @@
             "held": self.effect.rebalance_excluded,
             "cleared": self.effect.migrate_connections,
             "overrides": [
-                {**involved.summary.to_json(), "guard": involved.suspended_because}
+                {**involved.summary.to_json(), "guard": involved.suspension_reason}
                 for involved in self.overrides
             ],
         }
 
 
 def explain_endpoint(view: OverrideView, name: str) -> EndpointExplanation:
-    """Resolves the overrides in force, and collects those that concern the endpoint."""
+    """Resolve the overrides in force, and collect those that concern the endpoint."""
     endpoint = view.endpoints().get(name)
     resolver = view.make_resolver()
     involved = [
@@ -65,14 +65,14 @@
 
 
 def _concerns(payload: OverridePayload, name: str, endpoint: Endpoint | None) -> bool:
-    """Whether an override names the endpoint or selects it, be it listed or not."""
+    """Return whether an override names or selects an endpoint; ``endpoint`` is None if it is not listed."""
     if name in payload.endpoints or payload.selector == Selector(SelectorAttribute.ENDPOINT, name):
         return True
     return payload.selector is not None and endpoint is not None and payload.selector.matches(endpoint)
 
 
 def print_explanation(explanation: EndpointExplanation) -> None:
-    """Prints the explanation as text."""
+    """Print the explanation as text."""
     effect = explanation.effect
     print(
         f"{explanation.endpoint}: {explanation.effective_state} "
@@ -85,10 +85,10 @@
     for involved in explanation.overrides:
         summary = involved.summary
         override = summary.override
-        does = describe_payload(override.payload)
-        print(f"  {override.id}: {does}; {summary.status}, ends in {summary.remaining}")
+        description = describe_payload(override.payload)
+        print(f"  {override.id}: {description}; {summary.status}, ends in {summary.remaining}")
         print(f"    by {override.created_by}: {override.reason}")
-        if involved.suspended_because:
-            print(f"    suspended by the guard: {involved.suspended_because}")
+        if involved.suspension_reason:
+            print(f"    suspended by the guard: {involved.suspension_reason}")
     if not explanation.overrides:
         print("  no override touches it")
--- a/sageturn/cli/override_output.py
+++ b/sageturn/cli/override_output.py
@@ -17,20 +17,20 @@
 from sageturn.overrides.model import Override
 from sageturn.overrides.operations import OverrideKind, OverrideOperation, OverridePayload
 
-UNATTENDED_WIDTH = 200  # characters a line, of a table that goes to a file or a pipe
-EXPIRY_EVENT = "lapse"  # in the history, beside the types of operations
+NON_TERMINAL_WIDTH = 200  # characters per line of a table that is written to a file or a pipe
+EXPIRY_EVENT = "lapse"  # event in the history, where the others are types of operations
 
 
 @dataclass(frozen=True, slots=True)
 class OverrideSummary:
-    """One override as the commands show it."""
+    """The values of an override that several commands show."""
 
     override: Override
     status: str
     remaining: str
 
     def to_json(self) -> dict[str, object]:
-        """Returns the object that ``--json`` prints."""
+        """Return the object that ``--json`` prints."""
         override = self.override
         return {
             "id": override.id,
@@ -52,11 +52,11 @@
     """One override, and how each relay treats it."""
 
     summary: OverrideSummary
-    status_by_relay: dict[str, str]  # by node
-    suspended: dict[str, str]  # by node: why the safety limits suspend it there
+    status_by_relay: dict[str, str]  # keyed by node
+    suspended: dict[str, str]  # reason of the suspension by the safety limits, keyed by node
 
     def to_json(self) -> dict[str, object]:
-        """Returns the object that ``--json`` prints."""
+        """Return the object that ``--json`` prints."""
         return {
             **self.summary.to_json(),
             "relays": self.status_by_relay,
@@ -74,10 +74,10 @@
     operator: str = ""
     expires: str = ""
     reason: str = ""
-    rejection: str = ""  # why relays reject the operation
+    rejection: str = ""  # reason for which relays reject the operation
 
     def to_json(self) -> dict[str, object]:
-        """Returns the object that ``--json`` prints, whose keys are the columns of the table."""
+        """Return the object that ``--json`` prints, whose keys are the columns of the table."""
         return {
             "revision": self.revision,
             "word": self.event,
@@ -90,13 +90,13 @@
 
 
 def summarize(view: OverrideView, override: Override) -> OverrideSummary:
-    """Returns the values that every command shows of an override."""
+    """Return the values of an override that several commands show."""
     remaining = format_duration(override.expires_at_ms - view.now_ms)
     return OverrideSummary(override, view.status(override), remaining)
 
 
 def collect_details(view: OverrideView, override: Override) -> OverrideDetails:
-    """Returns an override with the status and the suspension that each relay reports."""
+    """Return an override with the status and the suspension that each relay reports."""
     suspended = {
         node: state.suspended[override.id]
         for node, state in view.states.items()
@@ -106,7 +106,7 @@
 
 
 def describe_payload(payload: OverridePayload) -> str:
-    """Describes what an override does, in a few words."""
+    """Describe the effect of an override in a few words."""
     if payload.kind is OverrideKind.PIN:
         return _describe_pin(payload)
     target = f"{payload.selector.attribute} {payload.selector.value}" if payload.selector else ""
@@ -132,12 +132,12 @@
 
 
 def print_json(value: object) -> None:
-    """Prints a value on one line; text is not escaped to ASCII."""
+    """Print a value on one line; text is not escaped to ASCII."""
     print(json.dumps(value, ensure_ascii=False))
 
 
 def print_submission(result: SubmissionResult, as_json: bool) -> None:
-    """Prints the relays' answers; the command ends with a failure if one rejects the operation."""
+    """Print the relays' answers; end the command with a failure if one rejects the operation."""
     if result.rejection is not None:
         fail(ExitCode.REFUSED, result.rejection)
     operation = result.operation
@@ -156,7 +156,7 @@
 
 
 def print_list(summaries: Iterable[OverrideSummary]) -> None:
-    """Prints a table with a row for each override."""
+    """Print a table with a row for each override."""
     table = Table("id", "does", "status", "ends in", "until", "by", "why", box=None)
     for summary in summaries:
         override = summary.override
@@ -173,13 +173,13 @@
 
 
 def print_details(details: OverrideDetails) -> None:
-    """Prints a line for each value of ``OverrideDetails.to_json``."""
+    """Print a line for each value of ``OverrideDetails.to_json``."""
     for name, value in details.to_json().items():
         print(f"{name:10} {value}")
 
 
 def history_rows(view: OverrideView, override_id: str) -> list[HistoryRow]:
-    """Returns a row for each operation on an override, and one for its expiry."""
+    """Return a row for each operation on an override, and one for its expiry if it has expired."""
     operations = sorted(view.operations.get(override_id, []), key=lambda operation: operation.rank)
     rows = [_history_row(view, operation) for operation in operations]
     override = view.overrides.get(override_id)
@@ -201,7 +201,7 @@
 
 
 def print_history(rows: list[HistoryRow]) -> None:
-    """Prints the rows of ``history_rows``, of which there must be one at least."""
+    """Print the rows of ``history_rows``, of which there must be at least one."""
     table = Table(*rows[0].to_json(), box=None)
     for row in rows:
         table.add_row(*(str(value) for value in row.to_json().values()))
@@ -209,4 +209,4 @@
 
 
 def _print_table(table: Table) -> None:
-    Console(width=None if os.isatty(1) else UNATTENDED_WIDTH).print(table)
+    Console(width=None if os.isatty(1) else NON_TERMINAL_WIDTH).print(table)
--- a/sageturn/cli/override_requests.py
+++ b/sageturn/cli/override_requests.py
@@ -1,4 +1,4 @@
-"""The changes that an operator requests: each is checked against the store and written as an operation."""
+"""Changes that an operator requests: each is checked against the store and written as an operation."""
 
 from __future__ import annotations
 
@@ -31,17 +31,17 @@
 
 @dataclass(frozen=True, slots=True)
 class NewOverride:
-    """An override to be set. ``expiry`` is as the operator wrote it."""
+    """An override to be set; ``expiry`` is the operator's text, not parsed yet."""
 
     payload: OverridePayload
     operator: str
     reason: str
     expiry: str
-    forced_because: str = ""  # why the safety limits do not apply; empty: they do
-    running_endpoint: str = ""  # the override is for the process that runs now under this name
+    force_reason: str = ""  # reason for which the safety limits do not apply; empty if they do
+    running_endpoint: str = ""  # endpoint to whose present process the override is limited
 
     def submit(self, connection: DaemonConnection, key: Ed25519PrivateKey) -> SubmissionResult:
-        """Checks the override against the limits of the relays, and writes it."""
+        """Check the override against the limits of the relays, and write it."""
         now_ms = unix_time_ms()
 
         async def check_and_submit(store: Store) -> SubmissionResult:
@@ -57,11 +57,11 @@
     def _make_operation(self, view: OverrideView) -> OverrideOperation:
         payload = self.payload
         if self.running_endpoint:
-            started_at_ms = self._listed_endpoint(view).started_at_ms
+            started_at_ms = self._get_listed_endpoint(view).started_at_ms
             payload = replace(payload, process_started_at_ms=started_at_ms)
         reason = self.reason
-        if self.forced_because:
-            reason = f"{reason} (forced: {self.forced_because})"
+        if self.force_reason:
+            reason = f"{reason} (forced: {self.force_reason})"
         return OverrideOperation(
             override_id=new_override_id(payload.kind),
             type=OperationType.SET,
@@ -71,23 +71,23 @@
             reason=reason,
             expires_at_ms=parse_expiry(self.expiry, view.now_ms),
             payload=payload,
-            forced=bool(self.forced_because),
+            forced=bool(self.force_reason),
             nonce=new_nonce(),
         )
 
-    def _listed_endpoint(self, view: OverrideView) -> Endpoint:
+    def _get_listed_endpoint(self, view: OverrideView) -> Endpoint:
         endpoint = view.endpoints().get(self.running_endpoint)
         if endpoint is None:
             fail(
                 ExitCode.NOT_FOUND,
-                f"{self.running_endpoint}: no relay lists it, so its start is not known",
+                f"{self.running_endpoint}: no relay lists it, so the start time of its process is unknown",
             )
         return endpoint
 
 
 @dataclass(frozen=True, slots=True)
 class OverrideUpdate:
-    """An extension or revocation; ``expiry`` is as the operator wrote it, and None for a revocation."""
+    """An extension or revocation; ``expiry`` is the operator's text, and None for a revocation."""
 
     override_id: str
     type: OperationType
@@ -96,14 +96,14 @@
     expiry: str | None = None
 
     def submit(self, connection: DaemonConnection, key: Ed25519PrivateKey) -> SubmissionResult:
-        """Checks that the override can be updated, and writes the update."""
+        """Check that the override can be updated, and write the update."""
         now_ms = unix_time_ms()
 
         async def check_and_submit(store: Store) -> SubmissionResult:
             override = OverrideView(store, now_ms).get_override(self.override_id)
             if override.is_revoked:
                 revoked_by = override.revoked_by
-                fail(ExitCode.REFUSED, f"{self.override_id}: was revoked by {revoked_by}, and stays so")
+                fail(ExitCode.REFUSED, f"{self.override_id}: was revoked by {revoked_by}, which is permanent")
             operation = self.make_operation(override.revision + 1, now_ms)
             check_form(operation, key)
             return await submit(store, operation, key)
@@ -111,7 +111,7 @@
         return connection.run(check_and_submit)
 
     def make_operation(self, revision: int, now_ms: float) -> OverrideOperation:
-        """Returns the operation that makes the change. Raises InvalidTimeError for a wrong expiry."""
+        """Return the operation that makes the change. Raises InvalidTimeError for an invalid expiry."""
         return OverrideOperation(
             override_id=self.override_id,
             type=self.type,
--- a/sageturn/cli/override_view.py
+++ b/sageturn/cli/override_view.py
@@ -15,15 +15,15 @@
 from sageturn.store.records import STATE_PREFIX
 from sageturn.store.store import Store
 
-STATE_NAME = "overrides"  # of the state record in which a relay reports its overrides
-EXPIRES_SOON_MS = 15 * 60_000.0  # until an expiry that is shown as soon
+STATE_NAME = "overrides"  # last part of the key of the state record with a relay's overrides
+EXPIRES_SOON_MS = 15 * 60_000.0  # remaining time under which an override is shown as about to end
 EXPIRES_SOON_STATUS = "about to end"
-UNKNOWN_STATUS = "unknown"  # of a relay that does not have the override yet
-NO_RELAY_STATUS = "no relay tells"
+UNKNOWN_STATUS = "unknown"  # status at a relay that does not report the override yet
+NO_RELAY_STATUS = "no relay tells"  # status while no relay reports its overrides
 
 
 def read_relay_states(store: Store) -> dict[str, RelayOverrideState]:
-    """Returns the state that each relay reports of its overrides, by the relay's node name."""
+    """Return the state that each relay reports of its overrides, keyed by the relay's node name."""
     states = {}
     for key in store.keys(STATE_PREFIX):
         node, _, name = key.removeprefix(STATE_PREFIX).partition("/")
@@ -33,21 +33,21 @@
 
 
 def _read_operations(store: Store) -> dict[str, list[OverrideOperation]]:
-    """Returns the operations of the store by override id. Relays alone verify their signatures."""
+    """Return the store's operations by override id. Only relays verify their signatures."""
     operations: dict[str, list[OverrideOperation]] = {}
     for key in store.keys(KEY_PREFIX):
         try:
             operation = parse_operation(key, store.get(key), None)
         except InvalidOperationError:
-            continue  # the relays report that they reject it
+            continue  # relays report its rejection in their state
         operations.setdefault(operation.override_id, []).append(operation)
     return operations
 
 
 class OverrideView:
-    """Shows all overrides as of one instant, from one copy of the store.
+    """All overrides at one instant, read from one copy of the store.
 
-    ``now_ms`` is Unix time in milliseconds.
+    ``now_ms`` is that instant, in milliseconds of Unix time.
     """
 
     def __init__(self, store: Store, now_ms: float) -> None:
@@ -71,32 +71,32 @@
         return overrides
 
     def get_override(self, override_id: str) -> Override:
-        """Returns the override of this id; without one the command ends."""
+        """Return the override with this id; end the command if there is none."""
         if override_id not in self.overrides:
             fail(ExitCode.NOT_FOUND, f"{override_id}: there is no such override")
         return self.overrides[override_id]
 
     def endpoints(self) -> dict[str, Endpoint]:
-        """Returns all endpoints that any relay reports, by name."""
+        """Return all endpoints that any relay reports, by name."""
         return {
             name: endpoint for state in self.states.values() for name, endpoint in state.endpoints.items()
         }
 
     def shortest_max_duration_ms(self) -> float:
-        """Returns how long an override may last at every relay; infinite without a relay."""
+        """Return the longest duration that all relays accept; infinite if no relay reports one."""
         durations_s = [state.max_duration_s for state in self.states.values()]
         return min(durations_s, default=float("inf")) * 1000.0
 
     def status_by_relay(self, override: Override) -> dict[str, str]:
-        """Returns the status that each relay reports of an override, by the relay's node name."""
+        """Return the status that each relay reports of an override, keyed by the relay's node name."""
         return {node: state.statuses.get(override.id, UNKNOWN_STATUS) for node, state in self.states.items()}
 
     def has_expired(self, override: Override) -> bool:
-        """Whether an override has ended by its expiry and not by a revocation."""
+        """Return whether an override has ended by its expiry and not by a revocation."""
         return not override.is_revoked and override.has_expired(self.now_ms)
 
     def status(self, override: Override) -> str:
-        """Returns one status for all relays, or that of each where they differ."""
+        """Return the status that all relays report, or that of each relay if they differ."""
         if override.is_revoked:
             return OverrideStatus.REVOKED.value
         if self.has_expired(override):
@@ -112,7 +112,7 @@
         return EXPIRES_SOON_STATUS if status == OverrideStatus.IN_FORCE and expires_soon else status
 
     def make_resolver(self) -> OverrideResolver:
-        """Returns the overrides in force, resolved with the safety limits of the first relay."""
+        """Return a resolver with the overrides in force, and with the safety limits of the first relay."""
         limits = [state.safety_limits for state in self.states.values()]
         resolver = OverrideResolver(limits[0] if limits else SafetyLimits())
         resolver.apply_endpoint_list(self.endpoints().values(), is_full=True)
--- a/sageturn/cli/override_writes.py
+++ b/sageturn/cli/override_writes.py
@@ -1,4 +1,4 @@
-"""Writes operations for the commands: keys, checks before writing, and the relays' answers."""
+"""Signs and writes operations: operators' keys, checks before a write, and the relays' answers."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 from sageturn.overrides.signing import parse_operation, sign_operation
 from sageturn.store.store import Store
 
-ANSWER_TIMEOUT_S = 5.0  # until every relay reports the operation
+ANSWER_TIMEOUT_S = 5.0  # longest wait for all relays to report the operation
 POLL_INTERVAL_S = 0.02
 PRIVATE_FILE_MODE = 0o600
 
@@ -35,22 +35,22 @@
 
 
 def load_private_key(file: Path) -> Ed25519PrivateKey:
-    """Reads an operator's key; the command ends if it cannot be read."""
+    """Read an operator's private key; end the command if it cannot be read."""
     try:
         key = load_pem_private_key(file.read_bytes(), password=None)
     except (OSError, ValueError, TypeError) as error:
         fail(ExitCode.USAGE, f"{file}: {error}")
     if not isinstance(key, Ed25519PrivateKey):
-        fail(ExitCode.USAGE, f"{file}: no Ed25519 key")
+        fail(ExitCode.USAGE, f"{file}: not an Ed25519 private key")
     return key
 
 
 def create_private_key(file: Path) -> str:
-    """Writes a new key to a file that does not exist yet. Returns the public key in base64."""
+    """Write a new private key to a file, which must not exist yet. Returns the public key in base64."""
     key = Ed25519PrivateKey.generate()
     pem = key.private_bytes(Encoding.PEM, PrivateFormat.PKCS8, NoEncryption())
     try:
-        # Created with its mode, so that nobody else can ever read it; an existing file is not overwritten.
+        # The file is created with its mode, so that no other user can ever read it. An existing file is kept.
         descriptor = os.open(file, os.O_WRONLY | os.O_CREAT | os.O_EXCL, PRIVATE_FILE_MODE)
         with os.fdopen(descriptor, "wb") as output:
             output.write(pem)
@@ -63,7 +63,7 @@
 
 
 def check_form(operation: OverrideOperation, key: Ed25519PrivateKey) -> None:
-    """Ends the command if the relays would find the record invalid."""
+    """End the command if the relays would reject the operation's record as invalid."""
     try:
         parse_operation(operation.key, sign_operation(operation, key), None)
     except InvalidOperationError as error:
@@ -71,21 +71,21 @@
 
 
 def check_duration(view: OverrideView, operation: OverrideOperation) -> None:
-    """Ends the command if any relay would shorten the override."""
+    """End the command if any relay would shorten the override."""
     max_duration_ms = view.shortest_max_duration_ms()
     if operation.expires_at_ms - operation.created_at_ms > max_duration_ms:
-        fail(ExitCode.REFUSED, f"--for: no override lasts longer than {format_duration(max_duration_ms)}")
+        fail(ExitCode.REFUSED, f"--for: an override may last at most {format_duration(max_duration_ms)}")
 
 
 def check_safety_limits(view: OverrideView, operation: OverrideOperation) -> None:
-    """Ends the command if the safety limits would suspend the override."""
+    """End the command if the safety limits would suspend the override."""
     override = fold_operations([operation], float("inf"))
     assert override is not None
     resolver = view.make_resolver()
     resolver.add(override)
     violation = resolver.suspended.get(operation.override_id)
     if violation:
-        fail(ExitCode.REFUSED, f"{violation}; --force REASON sets it all the same")
+        fail(ExitCode.REFUSED, f"{violation}; --force REASON overrides this")
 
 
 # ---------------------------------------------------------------- writing
@@ -93,18 +93,18 @@
 
 @dataclass
 class SubmissionResult:
-    """How the relays have answered an operation."""
+    """The relays' answers to an operation."""
 
     operation: OverrideOperation
-    status_by_relay: dict[str, str] = field(default_factory=dict)  # by node
-    rejection: str | None = None  # which relay rejects the operation, and why
+    status_by_relay: dict[str, str] = field(default_factory=dict)  # keyed by node
+    rejection: str | None = None  # the relay that rejects the operation, and its reason; None if none does
 
 
 async def submit(store: Store, operation: OverrideOperation, key: Ed25519PrivateKey) -> SubmissionResult:
-    """Writes an operation, and waits until every relay that reports its state has applied it.
+    """Write an operation, and wait until every relay that reports its state has applied it.
 
-    Relays that have not answered in time are left out. An operation that any of them rejects is deleted, or
-    it would take effect once the daemons are configured with other operator keys.
+    Relays that do not answer in time are missing from the result. An operation that any relay rejects is
+    deleted, as it would take effect once the daemons are configured with other operator keys.
     """
     relay_count = len(read_relay_states(store))
     store.put(operation.key, sign_operation(operation, key))
@@ -121,7 +121,7 @@
 
 
 def _collect_answers(store: Store, result: SubmissionResult) -> None:
-    """Adds to the result the relays that have applied the operation, or the first that rejects it."""
+    """Add to the result the relays that have applied the operation, or the first that rejects it."""
     operation = result.operation
     for node, state in read_relay_states(store).items():
         reason = state.rejected_records.get(operation.key)
--- a/sageturn/cli/store.py
+++ b/sageturn/cli/store.py
@@ -21,43 +21,43 @@
 from sageturn.store.errors import InvalidRecordError, LogCorruptedError
 from sageturn.store.store import Store
 
-app = typer.Typer(no_args_is_help=True, help="What a daemon's store holds.")
+app = typer.Typer(no_args_is_help=True, help="Read and write a daemon's store.")
 Result = TypeVar("Result")
 KeyArgument = Annotated[str, typer.Argument()]
 
 
 class StoreAccess(Protocol):
-    """Gives access to a store for one action.
+    """Access to a store, which is open only during an action.
 
-    Its methods return the action's result. The command ends with a message if the store cannot be read or
-    written.
+    The methods return the action's result. They end the command with a message if the store cannot be read
+    or written.
     """
 
     def read(self, action: Callable[[Store], Result]) -> Result:
-        """Runs an action that writes nothing."""
+        """Run an action that writes nothing."""
 
     def write(self, action: Callable[[Store], Result]) -> Result:
-        """Runs an action that may write; where there is no store yet, it is created."""
+        """Run an action that may write; a store that does not exist yet is created."""
 
 
 @dataclass(frozen=True, slots=True)
 class LocalStoreAccess:
-    """Opens the log of a daemon that is not running; writes are made under the name of ``node``.
+    """Access to the log of a daemon that is not running; records are written under the node name ``node``.
 
-    A path that was mistyped must not create an empty store in another place.
+    A mistyped path must not create an empty store in another place.
     """
 
     path: Path
     node: str
 
     def read(self, action: Callable[[Store], Result]) -> Result:
-        """Runs the action on a log that exists; ends the command where there is none."""
+        """Run the action on an existing log; end the command if there is none."""
         if not self.path.is_file():
             fail(ExitCode.NOT_FOUND, f"{self.path}: there is no such log")
         return self._run(action)
 
     def write(self, action: Callable[[Store], Result]) -> Result:
-        """Runs the action; creates the log, but no folder for it."""
+        """Run the action; the log is created if necessary, but no folder for it."""
         if not self.path.parent.is_dir():
             fail(ExitCode.NOT_FOUND, f"{self.path.parent}: there is no such folder")
         return self._run(action)
@@ -75,12 +75,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RemoteStoreAccess:
-    """Synchronizes a copy of a running daemon's store for the time of the action."""
+    """Access to a running daemon's store, of which a copy is synchronized during the action."""
 
     connection: DaemonConnection
 
     def read(self, action: Callable[[Store], Result]) -> Result:
-        """Runs the action on a copy of the daemon's store; ends the command where that fails."""
+        """Run the action on a copy of the daemon's store; end the command if that fails."""
 
         async def run_action(store: Store) -> Result:
             return action(store)
@@ -91,11 +91,11 @@
             fail(ExitCode.REFUSED, str(error))
 
     def write(self, action: Callable[[Store], Result]) -> Result:
-        """Runs the action as ``read`` does; what it writes reaches the daemon."""
+        """Run the action as ``read`` does; its writes reach the daemon."""
         return self.read(action)
 
 
-def _access(context: typer.Context) -> StoreAccess:
+def _get_store_access(context: typer.Context) -> StoreAccess:
     access: StoreAccess = context.obj
     return access
 
@@ -104,31 +104,35 @@
 def select_store(
     context: typer.Context,
     path: Annotated[Path | None, typer.Option(help="The log of a daemon that is not running.")] = None,
-    connect: Annotated[str, typer.Option(envvar="SAGETURN_CONNECT", help="A running daemon's store.")] = "",
+    connect: Annotated[
+        str, typer.Option(envvar="SAGETURN_CONNECT", help="Address of a running daemon's store.")
+    ] = "",
     secret_file: Annotated[Path | None, typer.Option(envvar="SAGETURN_SECRET_FILE")] = None,
-    node: Annotated[str, typer.Option(help="The name to write as, with --path.")] = "operator",
+    node: Annotated[
+        str, typer.Option(help="Node name of the records that are written with --path.")
+    ] = "operator",
 ) -> None:
-    """With --path the log is opened directly; with --connect this is a copy for a moment."""
+    """Open a log directly (--path), or synchronize a copy of a daemon's store for the command (--connect)."""
     if path is not None:
         context.obj = LocalStoreAccess(path, node)
     elif connect and secret_file is not None:
         context.obj = RemoteStoreAccess(DaemonConnection(connect, secret_file))
     else:
-        fail(ExitCode.USAGE, "--path, or --connect and --secret-file, are needed")
+        fail(ExitCode.USAGE, "--path, or --connect and --secret-file, are required")
 
 
 @app.command("keys")
 def list_keys(context: typer.Context, prefix: Annotated[str, typer.Argument()] = "") -> None:
-    """The keys that begin so."""
-    print("\n".join(_access(context).read(lambda store: store.keys(prefix))))
+    """List the keys that begin with PREFIX."""
+    print("\n".join(_get_store_access(context).read(lambda store: store.keys(prefix))))
 
 
 @app.command("get")
 def get_value(context: typer.Context, key: KeyArgument) -> None:
-    """A value, as JSON."""
-    value = _access(context).read(lambda store: store.get(key))
+    """Print the value of a key as JSON."""
+    value = _get_store_access(context).read(lambda store: store.get(key))
     if value is None:
-        fail(ExitCode.NOT_FOUND, f"{key}: not there")
+        fail(ExitCode.NOT_FOUND, f"{key}: there is no such key")
     print(json.dumps(value))
 
 
@@ -136,18 +140,18 @@
 def put_value(
     context: typer.Context, key: KeyArgument, value: Annotated[str, typer.Argument(help="JSON")]
 ) -> None:
-    """Set a value."""
+    """Set the value of a key."""
     try:
         decoded = json.loads(value)
     except ValueError as error:
         fail(ExitCode.USAGE, f"value: not JSON: {error}")
-    _access(context).write(lambda store: store.put(key, decoded))
+    _get_store_access(context).write(lambda store: store.put(key, decoded))
 
 
 @app.command("delete")
 def delete_value(context: typer.Context, key: KeyArgument) -> None:
-    """Take a value out."""
-    _access(context).write(lambda store: store.put(key, None))
+    """Delete a key."""
+    _get_store_access(context).write(lambda store: store.put(key, None))
 
 
 @app.command("account")
@@ -158,7 +162,7 @@
     tenant: Annotated[str, typer.Option()],
     group: Annotated[str, typer.Option()] = "",
 ) -> None:
-    """Make an XMPP account; the password is read from standard input."""
+    """Create an XMPP account; the password is read from standard input."""
     password = getpass.getpass() if sys.stdin.isatty() else sys.stdin.readline().rstrip("\n")
     record = make_account_record(password, class_name, tenant, group)
-    _access(context).write(lambda store: store.put(ACCOUNT_KEY_PREFIX + name, record))
+    _get_store_access(context).write(lambda store: store.put(ACCOUNT_KEY_PREFIX + name, record))
