--- a/tests/cli/test_main.py
+++ b/tests/cli/test_main.py
@@ -1,4 +1,4 @@
-"""What the operators' command imports at its start."""
+"""Imports of the operators' command at its start."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def imports_numerical_libraries(*arguments: str) -> bool:
-    """Returns whether the command, run in a process with these arguments, imported numerical libraries."""
+    """Return whether the command, run in a process with these arguments, imported numerical libraries."""
     command = [sys.executable, "-c", PROGRAM, *arguments]
     errors = subprocess.run(command, capture_output=True, text=True, check=True).stderr
     return errors.splitlines()[-1] == "True"
@@ -31,5 +31,5 @@
 
 
 @pytest.mark.parametrize("arguments", [["--help"], ["lab", "--help"]])
-def test_the_laboratory_is_there_where_it_is_asked_for(arguments: list[str]) -> None:
+def test_help_and_the_lab_command_import_the_laboratory(arguments: list[str]) -> None:
     assert imports_numerical_libraries(*arguments)
--- a/tests/cli/test_override_arguments.py
+++ b/tests/cli/test_override_arguments.py
@@ -17,7 +17,7 @@
 
 
 def run_set(tmp_path: Path, *arguments: str) -> tuple[int, str]:
-    """Returns the exit code and what was printed; no relay is needed, as arguments are checked first."""
+    """Return the exit code and the output; no relay is needed, as arguments are checked first."""
     common = ("--for", "1h", "--why", "x", "--operator", "lan", "--key-file", str(tmp_path / "none.pem"))
     daemon = ("--connect", "127.0.0.1:1", "--secret-file", str(tmp_path / "none"))
     result = CliRunner().invoke(APP, ["override", "set", *arguments, *common, *daemon])
@@ -34,16 +34,16 @@
         (("out", "--host", "a", "--tenant", "t"), "--tenant is for pin only"),
     ],
 )
-def test_an_option_that_the_kind_has_no_use_for_is_an_error(
+def test_an_option_that_the_kind_does_not_use_is_an_error(
     tmp_path: Path, arguments: tuple[str, ...], message: str
 ) -> None:
-    # An operator who lowers a weight by ``set out --factor 0.5`` took the host out of service.
+    # ``set out --factor 0.5``, meant to lower a weight, took the host out of service: the factor was ignored.
     exit_code, output = run_set(tmp_path, *arguments)
     assert exit_code == ExitCode.USAGE and message in output
 
 
-def test_an_extension_to_no_time_at_all_is_an_error_of_its_own() -> None:
-    # It was answered with the name of a field of the record.
+def test_an_empty_expiry_of_an_extension_is_reported_as_such() -> None:
+    # The error once named a field of the record instead.
     extension = OverrideUpdate("o1", OperationType.EXTEND, "lan", "x", expiry="")
     with pytest.raises(InvalidTimeError, match="'' is neither a span such as 2h30m nor an instant"):
         extension.make_operation(revision=2, now_ms=0.0)
--- a/tests/cli/test_override_output.py
+++ b/tests/cli/test_override_output.py
@@ -1,4 +1,4 @@
-"""What the override commands print, from a copy of a store."""
+"""Output of the override commands, read from a store."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
 from sageturn.store.store import Store
 
 
-def store_with(*operations: OverrideOperation, now_ms: float = START_MS) -> Store:
-    """Returns a store with these operations, and the state that relay n1 reports at one time."""
+def make_store(*operations: OverrideOperation, now_ms: float = START_MS) -> Store:
+    """Return a store with these operations, and with the state that relay n1 reports at ``now_ms``."""
     driver = RegistryDriver(safety_limits=SafetyLimits(0.5, 0.5, 0.0))
     store = Store("n1")
     for operation in operations:
@@ -41,7 +41,7 @@
 
 def test_the_history_ends_with_the_expiry(capsys: pytest.CaptureFixture[str]) -> None:
     now_ms = START_MS + 3 * HOUR_MS
-    store = store_with(
+    store = make_store(
         make_operation("o1", make_out_of_service("a")),
         make_extension("o1", revision=2, expires_at_ms=START_MS + 2 * HOUR_MS, operator="mai"),
         now_ms=now_ms,
@@ -74,14 +74,14 @@
 
 
 def test_a_revoked_override_does_not_expire_in_its_history() -> None:
-    store = store_with(make_operation("o1", make_out_of_service("a")), make_revocation("o1", revision=2))
+    store = make_store(make_operation("o1", make_out_of_service("a")), make_revocation("o1", revision=2))
     rows = history_rows(OverrideView(store, START_MS + 3 * HOUR_MS), "o1")
     assert [row.event for row in rows] == ["set", "revoke"]
     assert rows[1].expires == ""
 
 
 def test_details_show_the_suspension_at_each_relay(capsys: pytest.CaptureFixture[str]) -> None:
-    store = store_with(
+    store = make_store(
         make_operation("o1", make_out_of_service("a")),
         make_operation("o2", make_out_of_service("b"), created_at_ms=START_MS + 1),
     )
--- a/tests/cli/test_store_command.py
+++ b/tests/cli/test_store_command.py
@@ -14,14 +14,14 @@
 
 
 def run_store(path: Path, *arguments: str) -> tuple[int, str]:
-    """Returns the exit code and what was printed."""
+    """Return the exit code and the output."""
     result = CliRunner().invoke(APP, ["store", "--path", str(path), *arguments])
     return result.exit_code, result.output
 
 
 @pytest.mark.parametrize("arguments", [("keys",), ("get", "config/log_level")])
-def test_reading_a_log_that_is_not_there_is_an_error(tmp_path: Path, arguments: tuple[str, ...]) -> None:
-    # Even ``keys`` created the folder and an empty log, and printed nothing.
+def test_reading_a_missing_log_is_an_error(tmp_path: Path, arguments: tuple[str, ...]) -> None:
+    # Even ``keys`` once created the folder and an empty log, and printed nothing.
     for path in (tmp_path / "mistyped" / "store.log", tmp_path / "store.log"):
         exit_code, output = run_store(path, *arguments)
         assert exit_code == ExitCode.NOT_FOUND and f"{path}: there is no such log" in output
--- a/tests/config/test_compatibility_operators.py
+++ b/tests/config/test_compatibility_operators.py
@@ -1,8 +1,8 @@
-"""Operators' files, and the relay's own configuration, mean what they meant to revision 6e0cdec.
+"""Operators' files, and the relay's own configuration, decode as they did at revision 6e0cdec.
 
-Each file of ``deploy/`` and of the fixtures decodes to the configuration that is committed beside it. The
-names of fields in the committed files are mapped here to those in the program, so that a field may be renamed
-in the program but not in a file.
+Each file of ``deploy/`` and of the fixtures decodes to the configuration that is committed as a fixture. The
+names of fields in the fixtures are mapped here to those in the program, so that a field can be renamed in the
+program, but not in an operator's file.
 """
 
 from __future__ import annotations
@@ -31,11 +31,11 @@
     {"name": "guest-checkin", "aimMs": 300.0, "hardLimitMs": 3000.0, "semantics": "safe"},
     {"name": "c", "aimMs": 500.0},
 ]
-# A key of RFC 8032's first test: 32 bytes in base64.
+# The public key of RFC 8032's first test vector: 32 bytes in base64.
 PUBLIC_KEY = "11qYAYKxCrfVS/7TyWQHOg7hcvPapiMlrwIaaPcHURo="
 SECRETS = {"replica.secret": "a shared secret", "endpoint.password": "relay-pw"}
-# The program's names of fields, by those in the fixtures. A renamed field changes its right side, and nothing
-# else.
+# Names of fields in the program, keyed by their names in the fixtures. If a field of the program is renamed,
+# only the value changes.
 STORE = {
     "listen": "listen",
     "peers": "seeds",
@@ -109,7 +109,7 @@
 LISTED = ("version", "full", "addresses")
 SERVER = ("name", "state", "zone", "kind", "cell", "share", "factor", "started_at_ms")
 
-# Names in the fixtures whose field in the program is called otherwise.
+# Names of fields in the program, keyed by the names in the fixtures that differ from them.
 RENAMED = {
     "balancers": "relay_count",
     "aim_ms": "latency_objective_ms",
@@ -127,7 +127,7 @@
 
 
 def encode_fields(obj: object, names: Sequence[str] | Mapping[str, str]) -> JsonObject:
-    """Returns the fields of ``obj`` by their names in the fixtures."""
+    """Return the fields of ``obj``, keyed by their names in the fixtures."""
     pairs = names.items() if isinstance(names, Mapping) else zip(names, names, strict=True)
     return {
         fixture_name: getattr(obj, RENAMED.get(field_name, field_name)) for fixture_name, field_name in pairs
@@ -141,7 +141,7 @@
 
 
 def encode_operator(operator: OperatorConfig, folder: Path) -> JsonObject:
-    """Returns the decoded file as plain JSON, with the keys that its secrets yield."""
+    """Return the decoded file as plain JSON, with the secrets and public keys in hexadecimal."""
     encoded: JsonObject = dict.fromkeys(("path", "store", "xmpp", "flows", "rebalance", "overrides"))
     if operator.store_path is not None:
         encoded["path"] = str(operator.store_path.relative_to(folder))
@@ -167,7 +167,7 @@
 
 
 def encode_config(config: RelayConfig) -> JsonObject:
-    """Returns the relay's own configuration as plain JSON."""
+    """Return the relay's own configuration as plain JSON."""
     settings, known = config.settings, config.known_endpoints
     parts = {
         "classes": [encode_fields(request_class, CLASS) for request_class in settings.classes],
@@ -184,7 +184,7 @@
 
 
 def read_operator_file(source: Path, folder: Path) -> OperatorConfig:
-    """Reads the file as a relay does at its start, with the files that it names beside it."""
+    """Read the file as a relay does at its start, in a folder with the files that it names."""
     deploy, var = folder / "deploy", folder / "var"
     deploy.mkdir()
     var.mkdir()
@@ -211,7 +211,7 @@
     return json.dumps(decoded, indent=1, sort_keys=True).encode() + b"\n"
 
 
-# Files with every key that there is, and with none but the required ones.
+# Operators' files with all keys, and with only the required ones.
 ALL_KEYS: JsonObject = {
     "store": {
         "path": "store.log",
@@ -369,7 +369,7 @@
 
 
 @pytest.mark.parametrize("section", list(ALL_KEYS))
-def test_unknown_key_is_refused(tmp_path: Path, section: str) -> None:
+def test_unknown_key_is_rejected(tmp_path: Path, section: str) -> None:
     file = tmp_path / "unknown.json"
     file.write_text(json.dumps(ALL_KEYS | {section: ALL_KEYS[section] | {"unheard_of": 1}}))
     with pytest.raises(ConfigError, match="unheard_of"):
--- a/tests/config/test_deployments.py
+++ b/tests/config/test_deployments.py
@@ -1,4 +1,4 @@
-"""Deployments unlike each other: behaviour follows from the settings, and from no name in them."""
+"""Different deployments: behaviour follows from the settings, and does not depend on names in them."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
 
 
 def renamed_and_shuffled(conf: JsonObject, rng: Random) -> tuple[JsonObject, dict[str, str]]:
-    """Returns settings with classes, tenants and zones renamed and reordered, and new names by old."""
+    """Return settings with classes, tenants and zones renamed and reordered, and the new names by the old."""
     conf = copy.deepcopy(conf)
     names = {old: f"z{rng.random()}" for old in ("gate", "deck", "north", "south", "pier", "quay", "isle")}
     aims = dict(zip(("gate", "deck"), conf["familyInfo"]["messageAimMs"], strict=True))
@@ -69,7 +69,7 @@
 
 
 def simulated_actions(balancer: Balancer, names: dict[str, str], seed: int) -> list[Any]:
-    """Returns all actions, in order, on requests, outcomes and load reports drawn by one seed."""
+    """Return all actions, in order, on requests, outcomes and load reports drawn from one seed."""
     rng, done = Random(seed), []
     zones = [names[zone] for zone in ("pier", "quay", "isle")]
     endpoints = [
@@ -122,7 +122,7 @@
 
 
 @pytest.mark.parametrize("attempts", [1, 6])
-async def test_a_third_deployment_is_served_by_its_own_figures(tmp_path: Path, attempts: int) -> None:
+async def test_a_third_deployment_is_served_by_its_own_settings(tmp_path: Path, attempts: int) -> None:
     conf = replace_setting(FERRY_SETTINGS, "policyLimits.sendCap", attempts)
     endpoints = [FakeEndpoint(script) for script in (reset_connection,) * 6]
     async with AsyncExitStack() as stack:
@@ -152,7 +152,7 @@
 
 
 def test_no_request_is_placed_at_an_endpoint_that_is_known_to_drain() -> None:
-    # One deployment allows 500 ms for it, another 250: the balancer needs none of them.
+    # One deployment allows 500 ms to stop sending, another 250 ms: the balancer stops at once.
     for settings in (
         FERRY_SETTINGS,
         replace_setting(FERRY_SETTINGS, "guarantees.stopSendingWithinMs", 500.0),
@@ -179,7 +179,8 @@
 async def test_endpoint_that_drains_while_a_connection_to_it_is_made_gets_no_request(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, resumed: bool
 ) -> None:
-    # A connection may take connectTimeoutMs; its request line once followed whatever was known by then.
+    # A connection may take connectTimeoutMs. Its request line was once sent even if the endpoint had begun to
+    # drain in the meantime.
     async with running_relay(tmp_path, echo_lines, echo_lines) as (relay, endpoints):
         by_port = {
             endpoint.address[1]: (name, endpoint) for name, endpoint in zip("ab", endpoints, strict=True)
@@ -200,7 +201,7 @@
                     await asyncio.sleep(0)
             return sock
 
-        while relay.endpoint_registry.version != 2:  # discovery's own list has come
+        while relay.endpoint_registry.version != 2:  # version 2 is the list that discovery sends
             await asyncio.sleep(0.01)
         monkeypatch.setattr(frontend_connection, "connect_unreserved", connect_while_draining)
         more = ",at=a" if resumed else ""
@@ -211,13 +212,13 @@
         assert len([line for line in first[0].request_lines if line]) == (1 if resumed else 0)
 
 
-# ---------------------------------------------------------------- a planned stop
+# ---------------------------------------------------------------- a graceful shutdown
 
 
 @given(st.lists(st.floats(100.0, 20000.0), min_size=1, max_size=4))
-def test_a_stop_ends_before_the_last_signal_of_any_deployment(waits_ms: list[float]) -> None:
-    # It took 3.4 s everywhere, which only deadlines of 3 s and more allow: the last signal comes 0.7 s after
-    # the longest, and what stands then is lost.
+def test_a_graceful_shutdown_ends_before_sigkill_in_any_deployment(waits_ms: list[float]) -> None:
+    # A shutdown took 3.4 s in every deployment, which is too long if all deadlines are under 3 s: SIGKILL
+    # arrives 0.7 s after the longest deadline, and cuts off all connections that are still open.
     request_class = read_settings(FERRY_SETTINGS).classes[0]
     times = plan_shutdown([replace(request_class, give_up_ms=wait_ms) for wait_ms in waits_ms])
     killed_s = min(3.0, max(waits_ms) / 1000.0) + 0.7
@@ -231,7 +232,7 @@
     )
 
 
-def test_a_stop_of_the_first_deployment_keeps_its_times() -> None:
+def test_the_shutdown_schedule_of_the_first_deployment_stays() -> None:
     request_class = read_settings(FERRY_SETTINGS).classes[0]
     times = plan_shutdown([replace(request_class, give_up_ms=3200.0)])
     assert times.migration_start_s == 0.45 and times.exit_at_s == pytest.approx(3.4)
@@ -241,12 +242,12 @@
 
 
 @given(st.integers(1, 400), st.integers(4, 60))
-def test_few_connections_leave_as_evenly_as_many(count: int, steps: int) -> None:
-    # Seven stood at a relay of the full fleet, and had all been moved 0.3 s into the 1.8 s for it: one at a
-    # step at the least. Their relay was back no sooner, and nobody served them for the time between.
-    pace, left, gone = EvenPacer(), count, 0
+def test_few_connections_are_migrated_as_evenly_as_many(count: int, steps: int) -> None:
+    # At least one connection was migrated at each step, so that a relay with seven had migrated all of them
+    # after 0.3 of 1.8 s. The relay restarted no sooner, and its clients were not served in the meantime.
+    pacer, remaining, migrated = EvenPacer(), count, 0
     for step in range(steps):
-        due = pace.take_due_count(left, float(steps - step))
-        left, gone = left - due, gone + due
-        assert abs(gone - count * (step + 1) / steps) <= 1.0
-    assert left == 0
+        due = pacer.take_due_count(remaining, float(steps - step))
+        remaining, migrated = remaining - due, migrated + due
+        assert abs(migrated - count * (step + 1) / steps) <= 1.0
+    assert remaining == 0
--- a/tests/config/test_fields.py
+++ b/tests/config/test_fields.py
@@ -1,4 +1,4 @@
-"""Typed access to a configuration's objects: what each method takes, and that its error names the key."""
+"""Typed access to a configuration: which values each method accepts, and that its error names the key."""
 
 from __future__ import annotations
 
@@ -93,14 +93,16 @@
         (lambda section: section.section("object").reject_unknown_keys("other"), "object.key: is unknown"),
     ],
 )
-def test_any_other_value_is_refused_by_its_path(read: Callable[[ConfigSection], Any], message: str) -> None:
+def test_any_other_value_is_rejected_with_its_path(
+    read: Callable[[ConfigSection], Any], message: str
+) -> None:
     with pytest.raises(ConfigError) as error:
         read(make_section())
     assert str(error.value) == f"file.section.{message}"
     assert f"{error.value.path}: {error.value.problem}" == str(error.value)
 
 
-def test_null_counts_as_absent_only_where_that_is_asked_for() -> None:
+def test_null_counts_as_absent_only_if_requested() -> None:
     section = make_section(null_is_absent=True)
     assert not section.contains("null")
     assert section.text("null", "other") == "other"
@@ -108,6 +110,6 @@
     assert not nested.contains("null")
 
 
-def test_a_file_that_is_no_object_is_refused() -> None:
+def test_a_file_that_is_no_object_is_rejected() -> None:
     with pytest.raises(ConfigError, match=r"^the top: must be an object$"):
         ConfigSection([], "")
--- a/tests/config/test_loader.py
+++ b/tests/config/test_loader.py
@@ -1,4 +1,4 @@
-"""The platform's configuration: which of environment and file goes first, and what needs a restart."""
+"""The platform's configuration: precedence of environment and file, and keys that need a restart."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def write(folder: Path, **changes: Any) -> dict[str, str]:
-    """Writes a config file with these keys changed. Returns the environment of its relay."""
+    """Write a config file with these keys changed. Returns the environment of its relay."""
     return {"GW_CONFIG": str(write_config(folder, FILE_ADDRESS, **changes))}
 
 
@@ -85,7 +85,7 @@
     ],
 )
 def test_error_in_the_operators_file_names_the_key(tmp_path: Path, content: JsonObject, message: str) -> None:
-    # Fractions were dropped without a word, and a key without its certificate left the clients without TLS.
+    # Fractions were once truncated silently, and a key without its certificate silently disabled TLS.
     operator_file = tmp_path / "operator.json"
     operator_file.write_text(json.dumps(content))
     with pytest.raises(ConfigError) as error:
--- a/tests/config/test_settings.py
+++ b/tests/config/test_settings.py
@@ -1,4 +1,4 @@
-"""The decoder of the settings: what it refuses, and by which key."""
+"""The decoder of the settings: which values it rejects, and which key its errors name."""
 
 from __future__ import annotations
 
@@ -60,14 +60,14 @@
         ("weightKind", 4, "weightKind"),
     ],
 )
-def test_missing_or_invalid_value_is_refused_by_its_key(path: str, value: object, key: str) -> None:
-    # Errors once named a field of the program, or nothing, and infinity was accepted.
+def test_missing_or_invalid_value_is_rejected_with_its_key(path: str, value: object, key: str) -> None:
+    # Errors once named an internal field, or nothing at all, and infinity was accepted.
     with pytest.raises(ConfigError, match=f"settings.*{key}"):
         read_settings(replace_setting(FERRY_SETTINGS, path, value), "settings")
 
 
 def paths_in(value: object, prefix: str = "") -> list[str]:
-    """Returns the paths to all that ``value`` contains."""
+    """Return the paths to all values that are nested in ``value``."""
     if isinstance(value, dict):
         items = list(value.items())
     elif isinstance(value, list):
@@ -87,13 +87,13 @@
         max_size=3,
     )
 )
-def test_invalid_settings_are_accepted_or_refused_but_never_break_the_program(changes: list[Any]) -> None:
+def test_invalid_settings_are_accepted_or_rejected_but_never_break_the_program(changes: list[Any]) -> None:
     conf = FERRY_SETTINGS
     for path, value in changes:
         try:
             conf = replace_setting(conf, path, value)
         except (KeyError, TypeError, IndexError, ValueError):
-            continue  # an earlier change has removed what contained it
+            continue  # an earlier change has removed the enclosing value
     try:
         settings = read_settings(conf, "settings")
     except ConfigError as error:
@@ -102,7 +102,7 @@
         Balancer(settings, 1).handle(0.0, EndpointListEvent("stale", [Endpoint("a")]))
 
 
-def test_invalid_settings_at_sighup_are_refused_and_changed_ones_need_a_restart(tmp_path: Path) -> None:
+def test_invalid_settings_at_sighup_are_rejected_and_changed_ones_need_a_restart(tmp_path: Path) -> None:
     file = write_config(tmp_path, ("127.0.0.1", 9), settings=FERRY_SETTINGS)
     env = {"GW_CONFIG": str(file)}
     before = load(env)
--- a/tests/relay/test_compatibility_states.py
+++ b/tests/relay/test_compatibility_states.py
@@ -1,7 +1,7 @@
-"""The state that each subsystem publishes in the store stays as revision 6e0cdec encoded it, byte for byte.
+"""Each subsystem encodes the state that it publishes in the store byte for byte as revision 6e0cdec did.
 
-A record's bytes are those that go out on a link: its JSON, with its fields in the order in which they are
-encoded. Operators' signed operations, which lie beside the states in the store, are compared here too.
+The compared bytes are those that are sent to other replicas: a record's JSON, with its fields in the order of
+encoding. Operators' signed operations, which the store contains too, are compared as well.
 """
 
 from __future__ import annotations
@@ -58,7 +58,7 @@
 
 
 async def relay_states(folder: Path, operator: dict[str, Any]) -> list[tuple[str, Any]]:
-    """Returns the states of a relay that has not been started, before and after connections have ended."""
+    """Return the states of a relay that was never started, before and after connections have been counted."""
     (folder / "secret").write_text("a shared secret")
     (folder / "operator.json").write_text(json.dumps(operator))
     environment = {"GW_CONFIG": str(write_config(folder, ("127.0.0.1", 9)))}
@@ -101,7 +101,7 @@
 
 
 def record_overload(fleet: RebalanceFleet) -> None:
-    """Records all signs of overload: rejections, resets, failed calls, missing clients, disconnects."""
+    """Record all signals of overload: rejections, resets, failed calls, missing clients, disconnects."""
     detector = fleet.planner.overload_detector
     now_ms = fleet.now_ms
     detector.record_request(now_ms)
@@ -115,7 +115,7 @@
 
 
 def make_rebalance_states() -> bytes:
-    """Returns states of an uneven fleet before, during and after rebalancing, in dry run, off, at faults."""
+    """Return states of an uneven fleet before, during and after rebalancing, in dry run, off, in overload."""
     states = []
     fleet = RebalanceFleet("abcd", {"part_per_min": 0.5, "least_age_s": 2.0})
     for endpoint, groups in (("a", 14), ("b", 6), ("c", 6), ("d", 6)):
@@ -232,7 +232,7 @@
 
 
 async def discard_event(event: Any) -> None:
-    """Stands in for the balancer actor's mailbox."""
+    """Discard an event, in place of the balancer actor's mailbox."""
 
 
 OVERRIDDEN_ENDPOINTS = [
@@ -246,7 +246,7 @@
 def make_override_actor(
     records: dict[str, Any], states: list[tuple[str, Any]], now_ms: Callable[[], float]
 ) -> OverrideActor:
-    """Returns an actor that reads ``records`` and appends its states to ``states``."""
+    """Return an actor that reads ``records`` and appends its states to ``states``."""
     store: Any = SimpleNamespace(keys=lambda prefix="": sorted(records), get=records.get)
     balancer_actor: Any = SimpleNamespace(
         settings=Settings(classes=(RequestClass("c", latency_objective_ms=500),)),
@@ -264,7 +264,7 @@
 
 
 async def override_states(operations: list[tuple[str, Any]]) -> list[tuple[str, Any]]:
-    """Returns the states with the first operations, with one that is rejected, and once some have expired."""
+    """Return the states with these operations, then with a rejected one, then once some have expired."""
     states: list[tuple[str, Any]] = []
     clock = SimpleNamespace(now_ms=NOW_MS)
     overrides = make_override_actor(dict(operations), states, lambda: clock.now_ms)
@@ -294,15 +294,15 @@
 
 
 @pytest.mark.parametrize("name", RELAYS)
-async def test_a_relay_tells_of_itself_as_it_did(name: str) -> None:
+async def test_relay_state_is_encoded_as_recorded(name: str) -> None:
     assert await make_relay_states(name) == (FIXTURES / f"relay-{name}.jsonl").read_bytes()
 
 
-def test_the_planner_tells_its_state_as_it_did() -> None:
+def test_rebalance_state_is_encoded_as_recorded() -> None:
     assert make_rebalance_states() == (FIXTURES / "rebalance.jsonl").read_bytes()
 
 
-def test_operators_words_are_signed_as_they_were_and_those_of_before_are_read() -> None:
+def test_operations_are_signed_as_recorded_and_recorded_ones_are_parsed() -> None:
     assert as_lines(signed_operations()) == (FIXTURES / "override-words.jsonl").read_bytes()
     operators = override_options().operators
     assert [
@@ -310,12 +310,12 @@
     ] == OPERATIONS
 
 
-def test_a_recorded_word_that_was_changed_is_refused() -> None:
+def test_a_recorded_operation_that_was_changed_is_rejected() -> None:
     key, value = recorded("override-words.jsonl")[0]
     with pytest.raises(InvalidOperationError, match="signature"):
         parse_operation(key, {**value, "until_ms": value["until_ms"] + 1.0}, override_options().operators)
 
 
-async def test_overrides_made_of_recorded_words_tell_their_state_as_it_was() -> None:
+async def test_override_state_of_recorded_operations_is_encoded_as_recorded() -> None:
     states = await override_states(recorded("override-words.jsonl"))
     assert as_lines(states) == (FIXTURES / "overrides.jsonl").read_bytes()
--- a/tests/relay/test_full_disk.py
+++ b/tests/relay/test_full_disk.py
@@ -1,4 +1,4 @@
-"""A relay whose store's disk takes nothing for a while goes on serving."""
+"""A relay continues to serve while writes to the disk of its store fail."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 from sageturn.relay import state_record
 
 
-async def test_a_state_report_that_the_disk_does_not_take_costs_no_connection(
+async def test_a_state_report_that_cannot_be_written_closes_no_connection(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # The reporter ended by the error, and the relay with it: all its connections were cut off.
+    # The error once ended the reporter and with it the relay, which cut off all connections.
     monkeypatch.setattr(state_record, "STATE_INTERVAL_S", 0.02)
 
     operator = {"store": {"path": str(tmp_path / "store")}}
--- a/tests/relay/test_program.py
+++ b/tests/relay/test_program.py
@@ -1,4 +1,4 @@
-"""The program in a process of its own, started as the platform starts it, and used over sockets."""
+"""The program in its own process, started as the platform starts it, and tested over sockets."""
 
 from __future__ import annotations
 
@@ -65,7 +65,7 @@
 
 @pytest.mark.timeout(30)
 async def test_sigterm_answers_and_migrates_all_clients_and_exits_with_0(tmp_path: Path) -> None:
-    # Connections that remain when SIGKILL comes, 3.7 s after SIGTERM at the earliest, are lost.
+    # SIGKILL arrives 3.7 s after SIGTERM at the earliest, and cuts off the connections that remain.
     async with running_program(tmp_path) as (process, address):
         clients = [await send_request(address, encode_request_line()) for _ in range(10)]
         for reader, _ in clients:
@@ -75,7 +75,7 @@
         await asyncio.sleep(0.2)
         assert (
             await exchange_line(address, encode_request_line()) == b"UP r1\r\n"
-        )  # new ones keep coming for a while
+        )  # new clients are still served for a while
         for reader, writer in clients:
             assert await asyncio.wait_for(reader.read(), 4) == b"MOVE\r\n"
             writer.close()
@@ -85,7 +85,7 @@
 
 @pytest.mark.timeout(30)
 async def test_every_client_is_answered_when_descriptors_run_out(tmp_path: Path) -> None:
-    # A client left in the backlog has been accepted by the system, and would be lost.
+    # The kernel has accepted the clients in the backlog: one that was left there would get no answer.
     async with running_program(tmp_path, limits={"sockets": 40}) as (process, address):
         clients = [await send_request(address, encode_request_line(3000)) for _ in range(60)]
         answers = [(await asyncio.wait_for(reader.readline(), 5))[:4] for reader, _ in clients]
@@ -98,7 +98,7 @@
 
 
 async def run_until_exit(folder: Path, change: dict[str, Any]) -> tuple[int, str]:
-    """Runs the program with changed configuration keys. Returns its exit code and its output on stderr."""
+    """Run the program with changed configuration keys. Returns its exit code and its output on stderr."""
     file = write_config(folder, ("127.0.0.1", 1), **change)
     process = await asyncio.create_subprocess_exec(
         sys.executable,
@@ -124,11 +124,11 @@
 
 @pytest.mark.timeout(30)
 async def test_sighup_moves_the_watch_and_an_invalid_file_changes_nothing(tmp_path: Path) -> None:
-    # SIGHUP used to end the program (exit 129) and every connection with it. The environment names the old
-    # discovery, as the platform's does: it must not hide the file's new one.
+    # SIGHUP once ended the program (exit code 129) and cut off all connections. The environment names the old
+    # address of discovery, as on the platform, and must not override the new one in the file.
     async with AsyncExitStack() as stack:
-        moved = FakeDiscovery(encode_watch_response(make_endpoint_list({"a": ("127.0.0.1", 9)}, 3)))
-        await stack.enter_async_context(running_server(moved))
+        new_discovery = FakeDiscovery(encode_watch_response(make_endpoint_list({"a": ("127.0.0.1", 9)}, 3)))
+        await stack.enter_async_context(running_server(new_discovery))
         log = stack.enter_context((tmp_path / "log").open("w+"))
         process, address = await stack.enter_async_context(
             running_program(tmp_path, variable_and_key=("GW_DISCOVERY", "discovery"), log=log)
@@ -138,17 +138,17 @@
         reader, writer = await send_request(address, encode_request_line())
         assert await reader.readline() == b"UP r1\r\n"
 
-        new = {**good, "discovery": f"{moved.address[0]}:{moved.address[1]}"}
+        new = {**good, "discovery": f"{new_discovery.address[0]}:{new_discovery.address[1]}"}
         file.write_text(json.dumps({**new, "limits": {"sockets": -1}}))
         process.send_signal(signal.SIGHUP)
         while "limits.sockets" not in (tmp_path / "log").read_text():
             await asyncio.sleep(0.01)
-        assert moved.requests == []  # all of it is checked before anything is applied
+        assert new_discovery.requests == []  # the whole file is validated before any of it is applied
 
         file.write_text(json.dumps(new))
         for _ in range(5):
             process.send_signal(signal.SIGHUP)
-        while not moved.requests:
+        while not new_discovery.requests:
             await asyncio.sleep(0.01)
         writer.write(b"M 1\r\n")
         assert await reader.readline() == b"M 1\r\n" and process.returncode is None
@@ -161,7 +161,7 @@
 
 
 async def test_sigterm_before_the_relay_listens_exits_with_0(tmp_path: Path) -> None:
-    # The signal once ended it with an error. It is pending here before the program has begun.
+    # The signal once ended the program with an error. In this test it is pending before the program starts.
     file = write_config(tmp_path, ("127.0.0.1", 1), make_endpoint_list({}))
     code = (
         "import os, signal, sys; signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGTERM});"
@@ -174,8 +174,8 @@
     assert await asyncio.wait_for(process.wait(), 10) == 0
 
 
-async def test_a_log_that_nobody_reads_holds_up_nobody(tmp_path: Path) -> None:
-    # The pipe's reader had stopped: the relay blocked in the write of a line, and all its clients with it.
+async def test_a_stalled_reader_of_the_log_does_not_block_the_relay(tmp_path: Path) -> None:
+    # The reader of the pipe had stalled: the relay blocked in the write of a log line, and served no client.
     read_end, write_end = os.pipe()
     capacity = fcntl.fcntl(write_end, fcntl.F_GETPIPE_SZ)
     os.write(write_end, b"x" * capacity)
--- a/tests/relay/test_readiness.py
+++ b/tests/relay/test_readiness.py
@@ -1,4 +1,4 @@
-"""Restarted relays are ready soon, whatever discovery does meanwhile: real processes on loopback."""
+"""Restarted relays are ready in time, whatever the state of discovery: real processes on loopback."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 @pytest.mark.timeout(30)
 async def test_relay_that_is_not_ready_counts_as_late() -> None:
-    # Nobody has a list to give it: the measurement has to show that, and not leave it out.
+    # The measurement must count a relay that never becomes ready with the full bound, and not omit it.
     waiting = asyncio.ensure_future(first_pong(("127.0.0.1", 9)))
     await asyncio.sleep(0.05)
     assert not waiting.done()
--- a/tests/relay/test_readme.py
+++ b/tests/relay/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's Python examples run as they stand."""
+"""The README's Python examples run unchanged."""
 
 from pathlib import Path
 
--- a/tests/relay/test_reload.py
+++ b/tests/relay/test_reload.py
@@ -1,4 +1,4 @@
-"""Reloads whose files temporarily cannot be read."""
+"""Reloads of files that temporarily cannot be read, or are invalid."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 async def reload_while_reads_fail(
     folder: Path, monkeypatch: pytest.MonkeyPatch, errors: Iterable[int]
 ) -> int:
-    """Returns the limit in force 30 s after a reload whose first reads failed with ``errors``."""
+    """Return the limit in force 30 s after a reload whose first reads failed with ``errors``."""
     environment = {"GW_CONFIG": str(write_limits(folder, OLD_LIMIT))}
     relay = Relay(load(environment), partial(load, environment, None))
     relay.start()
@@ -47,21 +47,21 @@
 
 @pytest.mark.virtual_time_limit(600)
 @pytest.mark.usefixtures("virtual_time")
-async def test_a_reload_waits_for_files_that_cannot_be_opened_for_a_moment(
+async def test_a_reload_retries_files_that_temporarily_cannot_be_read(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # The request was over with the first failure: the old configuration stayed for good, discovery's old
-    # address with it, though nothing was wrong with the new one.
+    # The first failed read once ended the reload: the old configuration stayed in force for good, with it
+    # discovery's old address, although the new configuration was valid.
     monkeypatch.setattr("sageturn.relay.ingress.set_descriptor_limit", lambda max_descriptors: None)
     reload_with = partial(reload_while_reads_fail, tmp_path, monkeypatch)
     for number in (errno.ENFILE, errno.EMFILE, errno.EIO):
         assert await reload_with(repeat(number, 3)) == NEW_LIMIT, errno.errorcode[number]
         assert await reload_with(repeat(number)) == OLD_LIMIT
-    assert await reload_with([errno.EACCES]) == OLD_LIMIT  # that will not pass by itself
+    assert await reload_with([errno.EACCES]) == OLD_LIMIT  # a permanent error is not retried
 
 
 @pytest.mark.usefixtures("virtual_time")
-async def test_what_is_wrong_in_a_file_is_not_read_again(tmp_path: Path) -> None:
+async def test_an_invalid_file_is_not_read_again(tmp_path: Path) -> None:
     file = write_limits(tmp_path, OLD_LIMIT)
     environment = {"GW_CONFIG": str(file)}
     relay = Relay(load(environment), partial(load, environment, None))
@@ -70,7 +70,7 @@
     file.write_text(json.dumps({**content, "limits": {"sockets": "many"}}))
     relay.reload_requested.set()
     await asyncio.sleep(1.0)
-    write_limits(tmp_path, NEW_LIMIT)  # not asked for yet
+    write_limits(tmp_path, NEW_LIMIT)  # no reload of this file is requested
     await asyncio.sleep(30.0)
     assert relay.config.limits.sockets == OLD_LIMIT
     await relay.stop()
--- a/tests/relay/test_signals_at_start.py
+++ b/tests/relay/test_signals_at_start.py
@@ -1,4 +1,4 @@
-"""Signals that come while the program is still being loaded are held back, not fatal."""
+"""Signals that arrive while the program is being imported are blocked, and do not end it."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 ROOT = Path(__file__).parents[2]
 
-# Stops the program as it imports the first of its libraries, and prints which signals are blocked by then.
+# Ends the program when it imports the first of its libraries, and prints which signals are blocked then.
 PROGRAM = """
 import importlib.abc, os, runpy, signal, sys
 
@@ -32,7 +32,7 @@
 
 
 def test_signals_are_blocked_before_the_program_loads_its_libraries() -> None:
-    # They were blocked a third of a second after the start: a SIGHUP that came sooner ended the process.
+    # Signals were once blocked a third of a second after the start: an earlier SIGHUP ended the process.
     result = subprocess.run(
         [sys.executable, "-c", PROGRAM], capture_output=True, text=True, check=True, timeout=30
     )
@@ -40,7 +40,7 @@
 
 
 def start_deployed_relay(folder: Path) -> subprocess.Popen[bytes]:
-    """Starts a relay by the deploy file's ``run``. Returns it once the shell has become the program."""
+    """Start a relay by the deploy file's ``run``. Returns its process once the shell has become the relay."""
     command = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
     command = command.replace(".venv/bin/python", sys.executable)
     environment = os.environ | {"GW_CONFIG": str(write_config(folder, ("127.0.0.1", 9)))}
@@ -51,7 +51,7 @@
 
 
 def test_a_reload_before_the_programs_first_statement_is_not_fatal(tmp_path: Path) -> None:
-    # The interpreter's own start takes some 0.05 s, in which SIGHUP had its default action.
+    # The interpreter itself takes some 0.05 s to start, during which SIGHUP had its default action.
     process = start_deployed_relay(tmp_path)
     try:
         for _ in range(10):
--- a/tests/relay/test_supervision.py
+++ b/tests/relay/test_supervision.py
@@ -1,4 +1,4 @@
-"""The relay's actors under supervision, and the order in which its subsystems take part."""
+"""Supervision of the relay's actors, the order of its subsystems, and its reports of closed connections."""
 
 from __future__ import annotations
 
@@ -110,10 +110,12 @@
 async def test_a_failed_actor_ends_the_relay_by_a_drain(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, is_stopping: bool
 ) -> None:
-    # It ended at once: every client that was served was cut off without being asked to come again. Nor may it
-    # go on placing requests for a while, as in a planned drain, with a list that nobody keeps up to date. The
-    # same holds if it fails while a planned drain is under way.
-    async def wait_first(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes) -> None:
+    # The relay once ended at once, and cut off established clients without asking them to reconnect. Unlike
+    # in a planned drain, it must not place any more requests, as its endpoint list is no longer updated. The
+    # same applies if an actor fails during a planned drain.
+    async def echo_unless_waiting(
+        reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes
+    ) -> None:
         await (never_respond if b"waits" in line else echo_lines)(reader, writer, line)
 
     is_due = asyncio.Event()
@@ -125,7 +127,7 @@
     monkeypatch.setattr(RelayStateReporter, "run", fail_when_due)
     monkeypatch.setattr(relay_module, "set_descriptor_limit", lambda max_descriptors: None)
     async with AsyncExitStack() as stack:
-        endpoint = FakeEndpoint(wait_first)
+        endpoint = FakeEndpoint(echo_unless_waiting)
         names, discovery = await start_endpoints_and_discovery(stack, [endpoint])
         config_file = write_config(tmp_path, discovery.address, make_endpoint_list(names))
         relay = Relay(load({"GW_CONFIG": str(config_file)}))
--- a/tests/relay/test_wall_clock_steps.py
+++ b/tests/relay/test_wall_clock_steps.py
@@ -1,4 +1,4 @@
-"""A wall clock that is stepped while the relay runs: endpoints are as old as they really are."""
+"""Steps of the wall clock while the relay runs do not change the age of endpoints."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 async def list_new_endpoint(relay: Relay, name: str, age_s: float) -> None:
-    """Lists an endpoint that started ``age_s`` ago, by a clock that was stepped as well."""
+    """List an endpoint that started ``age_s`` ago, by a clock that was stepped as well."""
     registry = relay.endpoint_registry
     started_ms = (time.time() - age_s) * 1000.0
     endpoint = Endpoint(name, "ready", started_at_ms=started_ms)
@@ -47,8 +47,8 @@
 async def test_an_endpoint_started_after_a_step_of_the_wall_clock_is_in_slow_start_for_its_real_time(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Set back by an hour, all that starts counted as warm and got its full share at once; set forward by an
-    # hour, it counted as not yet started and got nothing for that hour.
+    # After a step back by an hour, a new endpoint counted as warm and got its full share at once. After one
+    # forward by an hour, it counted as not yet started and got no request for that hour.
     for step_s in STEPS_S:
         with monkeypatch.context() as patched:
             async with asyncio.timeout(20):
--- a/tests/repository/test_documentation.py
+++ b/tests/repository/test_documentation.py
@@ -1,4 +1,4 @@
-"""Links and file names in the documentation lead somewhere."""
+"""Links, file names and log events in the documentation refer to existing ones."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def tracked_files() -> set[str]:
-    """All files of the checkout that git tracks or would track."""
+    """Return all files of the checkout that git tracks, and the untracked ones that it does not ignore."""
     command = ["git", "ls-files", "--cached", "--others", "--exclude-standard"]
     listed = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=True).stdout
     return {name for name in listed.splitlines() if (ROOT / name).exists()}
@@ -34,9 +34,9 @@
 
 
 def exists(name: str) -> bool:
-    """A file or folder of that path, or one whose path ends so, as pages shorten paths."""
-    wanted = name.rstrip("/")
-    return any(path == wanted or path.endswith("/" + wanted) for path in FILES | FOLDERS)
+    """Return whether a file or folder has this path, or a path that ends with it, as pages shorten paths."""
+    shortened = name.rstrip("/")
+    return any(path == shortened or path.endswith("/" + shortened) for path in FILES | FOLDERS)
 
 
 @pytest.mark.parametrize("page", PAGES, ids=lambda page: str(page.relative_to(ROOT)))
@@ -46,7 +46,7 @@
     assert missing == []
 
 
-# The changelog names files as they were called in the release that it tells of.
+# The changelog names files as they were called in the release that it describes.
 CURRENT_PAGES = [page for page in PAGES if page.name != "CHANGELOG.md"]
 
 
@@ -61,14 +61,14 @@
 
 
 def documented_log_events() -> list[str]:
-    """The events in the first column; `override ...` stands for all that begin with its first word."""
+    """Return the events of the first column; `override ...` means all events with that first word."""
     rows = [line for line in LOG_PAGE.read_text().splitlines() if line.startswith("| `")]
     return [event.removesuffix(" ...") for row in rows for event in LOG_EVENT.findall(row.split("|")[1])]
 
 
 @cache
 def string_literals() -> frozenset[str]:
-    """All string literals of the program."""
+    """Return all string literals of the program."""
     trees = [ast.parse(file.read_text()) for file in (ROOT / "sageturn").rglob("*.py")]
     constants = [node for tree in trees for node in ast.walk(tree) if isinstance(node, ast.Constant)]
     return frozenset(node.value for node in constants if isinstance(node.value, str))
--- a/tests/repository/test_import_layers.py
+++ b/tests/repository/test_import_layers.py
@@ -1,4 +1,4 @@
-"""Packages import downwards only, and the relay never imports the laboratory."""
+"""Packages import only from lower layers, and the relay never imports the laboratory."""
 
 from __future__ import annotations
 
@@ -28,13 +28,13 @@
 
 
 def unit_of(module: str) -> str:
-    """The package or top-level module below ``sageturn`` that a dotted name belongs to."""
+    """Return the package or top-level module of ``sageturn`` to which a dotted name belongs."""
     parts = module.split(".")
     return parts[1] if len(parts) > 1 else ""
 
 
 def imported_modules(file: Path) -> Iterator[str]:
-    """Dotted names that ``file`` imports; a name imported from a package is taken for a module of it."""
+    """Yield the dotted names that ``file`` imports; a name imported from a package counts as its module."""
     for node in ast.walk(ast.parse(file.read_text())):
         if isinstance(node, ast.Import):
             yield from (alias.name for alias in node.names)
@@ -71,17 +71,18 @@
     assert upwards == []
 
 
-# The packages of the laboratory, likewise; its modules beside them are commands, and import them all.
+# The laboratory's packages, from the lowest to the highest. Its top-level modules are commands, which import
+# all of them.
 LAB_LAYERS = ("model", "faults", "runner", "loopback", "reports", "measurements")
 
 
 @pytest.mark.parametrize("package", LAB_LAYERS)
 def test_packages_of_the_laboratory_import_downwards(package: str) -> None:
-    above = LAB_LAYERS[LAB_LAYERS.index(package) + 1 :]
+    higher_packages = LAB_LAYERS[LAB_LAYERS.index(package) + 1 :]
     upwards = [
         (str(file.relative_to(PACKAGE)), name)
         for file in sorted((PACKAGE / "lab" / package).rglob("*.py"))
         for name in imported_modules(file)
-        if name.startswith(tuple(f"sageturn.lab.{other}." for other in above))
+        if name.startswith(tuple(f"sageturn.lab.{other}." for other in higher_packages))
     ]
     assert upwards == []
--- a/tests/support/deployments.py
+++ b/tests/support/deployments.py
@@ -1,4 +1,4 @@
-"""The settings of a deployment unlike those in service, and variants of them."""
+"""The settings of a deployment that is unlike those in service, and variants of these settings."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from sageturn.net.json_stream import JsonObject
 
-# A deployment unlike any in service: three zones, two classes, six attempts, load reports with responses too.
+# Unlike any deployment in service: three zones, two classes, six attempts, load reports also in responses.
 FERRY_SETTINGS: JsonObject = {
     "accounts": [{"name": "north", "allowancePerS": 3.0}, {"name": "south", "allowancePerS": 1.5}],
     "classes": [
@@ -47,7 +47,7 @@
 
 
 def replace_setting(settings: JsonObject, path: str, value: object) -> JsonObject:
-    """Returns a copy with ``value`` at ``path``, such as ``classes.0.name``; ``...`` removes the key."""
+    """Return a copy with ``value`` at ``path``, such as ``classes.0.name``; ``...`` removes the key."""
     settings = copy.deepcopy(settings)
     *parents, last = path.split(".")
     container: Any = settings
--- a/tests/support/disk_faults.py
+++ b/tests/support/disk_faults.py
@@ -14,9 +14,9 @@
 
 @contextmanager
 def limiting_file_growth(path: Path, more_bytes: int) -> Iterator[None]:
-    """Limits the files of this process to ``more_bytes`` beyond the present size of ``path``.
+    """Limit the files of this process to ``more_bytes`` beyond the present size of ``path``.
 
-    The kernel itself cuts the write short, and fails the next one (EFBIG in place of ENOSPC).
+    The kernel itself shortens the write, and fails the next one, with EFBIG instead of ENOSPC.
     """
     limits = resource.getrlimit(resource.RLIMIT_FSIZE)
     resource.setrlimit(resource.RLIMIT_FSIZE, (path.stat().st_size + more_bytes, limits[1]))
@@ -28,7 +28,7 @@
 
 @contextmanager
 def failing_syncs(monkeypatch: pytest.MonkeyPatch) -> Iterator[None]:
-    """Makes every ``fsync`` fail with EIO; what was written before it is in the file nevertheless."""
+    """Make every ``fsync`` fail with EIO; data that was written before it is in the file nevertheless."""
 
     def fail(descriptor: int) -> None:
         raise OSError(errno.EIO, os.strerror(errno.EIO))
