--- a/sageturn/cli/lab.py
+++ b/sageturn/cli/lab.py
@@ -296,7 +296,7 @@
     plot: Annotated[Path | None, typer.Option(help="File of a plot, as PNG.")] = None,
     only: Annotated[str, typer.Option(help="Name of the only size to run; all sizes if empty.")] = "",
 ) -> None:
-    """Run replication members beside real relays on loopback, and measure the cost of control.
+    """Run replication members together with real relays on loopback, and measure the cost of control.
 
     The cost is measured by number of members and of keys, and during faults.
     """
--- a/sageturn/cli/override_writes.py
+++ b/sageturn/cli/override_writes.py
@@ -50,7 +50,8 @@
     key = Ed25519PrivateKey.generate()
     pem = key.private_bytes(Encoding.PEM, PrivateFormat.PKCS8, NoEncryption())
     try:
-        # The file is created with its mode, so that no other user can ever read it. An existing file is kept.
+        # The file is created with its mode, so that no other user can ever read it. An existing
+        # file is not overwritten.
         descriptor = os.open(file, os.O_WRONLY | os.O_CREAT | os.O_EXCL, PRIVATE_FILE_MODE)
         with os.fdopen(descriptor, "wb") as output:
             output.write(pem)
--- a/sageturn/cli/store.py
+++ b/sageturn/cli/store.py
@@ -44,7 +44,7 @@
 class LocalStoreAccess:
     """Access to the log of a daemon that is not running; records are written under the node name ``node``.
 
-    A mistyped path must not create an empty store in another place.
+    A mistyped path must not create an empty store elsewhere.
     """
 
     path: Path
--- a/sageturn/config/fields.py
+++ b/sageturn/config/fields.py
@@ -62,10 +62,10 @@
         """Return whether the key is present, whatever its value."""
         return key in self._values
 
-    def reject_unknown_keys(self, *known_keys: str) -> None:
-        """Raise ConfigError for the first key not in ``known_keys``: a mistyped key must not be ignored."""
+    def reject_unknown_keys(self, *allowed_keys: str) -> None:
+        """Raise ConfigError for the first key not in ``allowed_keys``: a mistyped key must not be ignored."""
         for key in self._values:
-            if key not in known_keys:
+            if key not in allowed_keys:
                 raise ConfigError(self.path(key), "is unknown")
 
     def text(self, key: str, default: str | None = None) -> str:
@@ -127,7 +127,7 @@
         value: object = self._values.get(key, default)
         if value is None:
             raise ConfigError(self.path(key), "is missing")
-        # In Python a bool is also an int; in a configuration true and false are no numbers.
+        # A Python bool is also an int; true and false in a configuration are not numbers.
         if not isinstance(value, expected_type) or (isinstance(value, bool) and expected_type is not bool):
             raise ConfigError(self.path(key), WRONG_TYPE)
         return value
@@ -159,12 +159,12 @@
         """Return the items, which must be numbers that are not negative."""
         return [check_number(path, item) for path, item in self.enumerate_items()]
 
-    def names(self, known_names: Collection[str]) -> list[str]:
-        """Return the items, each of which must be one of ``known_names``."""
+    def names(self, allowed_names: Collection[str]) -> list[str]:
+        """Return the items, each of which must be one of ``allowed_names``."""
         names = []
         for path, item in self.enumerate_items():
-            if item not in known_names:
-                raise ConfigError(path, f"must be one of {', '.join(known_names)}")
+            if item not in allowed_names:
+                raise ConfigError(path, f"must be one of {', '.join(allowed_names)}")
             names.append(str(item))
         return names
 
--- a/sageturn/config/platform.py
+++ b/sageturn/config/platform.py
@@ -30,7 +30,7 @@
     seed: int
     limits: ProcessLimits
     settings: decision.Settings
-    known_endpoints: EndpointListUpdate
+    initial_endpoints: EndpointListUpdate  # list from the key ``known``, used until discovery sends one
     log_level: str = "INFO"
     operator: OperatorConfig = field(default_factory=OperatorConfig)
 
@@ -71,7 +71,7 @@
             memory_mb=limits.number("memory_mb", 192.0, minimum=1),
         ),
         settings=_read_settings(top),
-        known_endpoints=_read_known_endpoints(top),
+        initial_endpoints=_read_initial_endpoints(top),
         log_level=_read_log_level(environ),
     )
 
@@ -115,7 +115,8 @@
     return replace(settings, reports_delay=False)
 
 
-def _read_known_endpoints(top: ConfigSection) -> EndpointListUpdate:
+def _read_initial_endpoints(top: ConfigSection) -> EndpointListUpdate:
+    """Return the endpoint list from the key ``known``; an empty one if the key is absent."""
     if not top.contains("known"):
         return EndpointListUpdate(0, full=True)
     known = top.json_object("known")
--- a/sageturn/relay/relay.py
+++ b/sageturn/relay/relay.py
@@ -101,7 +101,7 @@
         """Return the registry. Its events pass through the overrides' actor, if any, to the balancer."""
         overrides = self._overrides.actor
         return EndpointRegistry(
-            self.config.known_endpoints,
+            self.config.initial_endpoints,
             self.balancer_actor.post_event if overrides is None else overrides.post_event,
             self.discovery,
             pushed=self.config.settings.discovery == DiscoveryMode.PUSH,
--- a/tests/config/test_compatibility_operators.py
+++ b/tests/config/test_compatibility_operators.py
@@ -168,7 +168,7 @@
 
 def encode_config(config: RelayConfig) -> JsonObject:
     """Return the relay's own configuration as plain JSON."""
-    settings, known = config.settings, config.known_endpoints
+    settings, known = config.settings, config.initial_endpoints
     parts = {
         "classes": [encode_fields(request_class, CLASS) for request_class in settings.classes],
         "tenants": [encode_fields(tenant, TENANT) for tenant in settings.tenants],
--- a/tests/config/test_deployments.py
+++ b/tests/config/test_deployments.py
@@ -62,34 +62,36 @@
         rng.shuffle(conf[key])
     conf["familyInfo"]["messageAimMs"] = [aims[request_class["name"]] for request_class in conf["classes"]]
     conf["familyInfo"]["tenantQuotaConnections"] = [quotas[tenant["name"]] for tenant in conf["accounts"]]
-    for part in (*conf["classes"], *conf["accounts"]):
-        part["name"] = names[part["name"]]
+    for named in (*conf["classes"], *conf["accounts"]):
+        named["name"] = names[named["name"]]
     conf["zone"] = names[conf["zone"]]
     return conf, names
 
 
 def simulated_actions(balancer: Balancer, names: dict[str, str], seed: int) -> list[Any]:
     """Return all actions, in order, on requests, outcomes and load reports drawn from one seed."""
-    rng, done = Random(seed), []
+    rng, all_actions = Random(seed), []
     zones = [names[zone] for zone in ("pier", "quay", "isle")]
     endpoints = [
         Endpoint(f"s{index}", zone=zones[index % 3], share=1.0 + index % 2, kind="ab"[index % 2])
         for index in range(9)
     ]
     events: list[Any] = [EndpointListEvent("stale", endpoints), EndpointListEvent("full", endpoints)]
-    ids, now = 0, 0.0
+    request_count, now = 0, 0.0
     while now < 20000.0:
         event = events.pop(0) if events else None
         if event is None and rng.random() < 0.7:
-            ids += 1
-            names_of = names[rng.choice(("gate", "deck"))], names[rng.choice(("north", "south"))]
-            event = RequestArrived(ids, *names_of, now + 900.0, group=f"g{rng.randrange(6)}")
+            request_count += 1
+            class_and_tenant = names[rng.choice(("gate", "deck"))], names[rng.choice(("north", "south"))]
+            event = RequestArrived(
+                request_count, *class_and_tenant, now + 900.0, group=f"g{rng.randrange(6)}"
+            )
         elif event is None:
             event = HealthCheckCompleted(
                 f"s{rng.randrange(9)}", "ok", {"x0": rng.random() * 1.1, "x1": rng.random() / 4}
             )
         actions = balancer.handle(now, event)
-        done += actions
+        all_actions += actions
         for action in actions:
             if isinstance(action, PlaceRequest):
                 attempt = balancer.requests[action.id].attempts - 1
@@ -105,7 +107,7 @@
             elif isinstance(action, SetTimer) and rng.random() < 0.3:
                 events.append(TimerFired(action.tag))
         now += 20.0 * rng.random()
-    return done
+    return all_actions
 
 
 @given(st.integers(0, 10**6), st.booleans())
@@ -114,8 +116,13 @@
 ) -> None:
     conf = replace_setting(FERRY_SETTINGS, "familyInfo.tellsDelay", reports_delay)
     other, names = renamed_and_shuffled(conf, Random(seed))
-    same = simulated_actions(Balancer(read_settings(conf), 5), {name: name for name in names}, seed)
-    assert len(same) > 300 and simulated_actions(Balancer(read_settings(other), 5), names, seed) == same
+    expected_actions = simulated_actions(
+        Balancer(read_settings(conf), 5), {name: name for name in names}, seed
+    )
+    assert (
+        len(expected_actions) > 300
+        and simulated_actions(Balancer(read_settings(other), 5), names, seed) == expected_actions
+    )
 
 
 # ---------------------------------------------------------------- the third deployment on sockets
--- a/tests/relay/test_program.py
+++ b/tests/relay/test_program.py
@@ -36,7 +36,7 @@
     folder: Path,
     variable_and_key: tuple[str, str] | None = None,
     log: Any = asyncio.subprocess.DEVNULL,
-    **more: Any,
+    **config_fields: Any,
 ) -> AsyncIterator[tuple[asyncio.subprocess.Process, Address]]:
     async with AsyncExitStack() as stack:
         endpoint = FakeEndpoint(echo_lines)
@@ -45,7 +45,9 @@
         await stack.enter_async_context(running_server(discovery))
         address = ("127.0.0.1", find_free_port())
         known = make_endpoint_list({"a": endpoint.address})
-        file = write_config(folder, discovery.address, known, listen=f"{address[0]}:{address[1]}", **more)
+        file = write_config(
+            folder, discovery.address, known, listen=f"{address[0]}:{address[1]}", **config_fields
+        )
         environ = {**os.environ, "GW_CONFIG": str(file)}
         if variable_and_key is not None:
             variable, key = variable_and_key
