--- a/sageturn/relay/counter_report.py
+++ b/sageturn/relay/counter_report.py
@@ -17,7 +17,7 @@
 
 
 class CounterReporter:
-    """Actor that logs all counters periodically. They are totals, so a lost line loses no count."""
+    """Actor that logs all counters periodically. They are totals, so a lost log line loses no count."""
 
     def __init__(self, balancer_actor: BalancerActor) -> None:
         self._balancer_actor = balancer_actor
--- a/sageturn/relay/reload.py
+++ b/sageturn/relay/reload.py
@@ -19,7 +19,7 @@
 
 
 class ConfigReloader:
-    """Actor that reloads the configuration on request; requests during a reload are merged into one."""
+    """Actor that reloads the configuration on request; requests during a reload cause one more in total."""
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
         self._apply_config = apply_config
 
     async def run(self) -> None:
-        """Reload on each request until cancelled; requests during a reload are merged into one."""
+        """Reload on each request until cancelled; requests during a reload cause one more in total."""
         while True:
             await self.requested.wait()
             self.requested.clear()
--- a/tests/config/test_deployments.py
+++ b/tests/config/test_deployments.py
@@ -224,7 +224,7 @@
 
 @given(st.lists(st.floats(100.0, 20000.0), min_size=1, max_size=4))
 def test_a_graceful_shutdown_ends_before_sigkill_in_any_deployment(waits_ms: list[float]) -> None:
-    # A shutdown took 3.4 s in every deployment, which is too long if all deadlines are under 3 s: SIGKILL
+    # A shutdown once took 3.4 s in every deployment, too long if all deadlines are under 3 s: SIGKILL
     # arrives 0.7 s after the longest deadline, and cuts off all connections that are still open.
     request_class = read_settings(FERRY_SETTINGS).classes[0]
     times = plan_shutdown([replace(request_class, give_up_ms=wait_ms) for wait_ms in waits_ms])
--- a/tests/relay/test_signals_at_start.py
+++ b/tests/relay/test_signals_at_start.py
@@ -32,7 +32,7 @@
 
 
 def test_signals_are_blocked_before_the_program_loads_its_libraries() -> None:
-    # Signals were once blocked a third of a second after the start: an earlier SIGHUP ended the process.
+    # Signals were once blocked only a third of a second after the start: an earlier SIGHUP ended the process.
     result = subprocess.run(
         [sys.executable, "-c", PROGRAM], capture_output=True, text=True, check=True, timeout=30
     )
--- a/tests/relay/test_supervision.py
+++ b/tests/relay/test_supervision.py
@@ -110,9 +110,9 @@
 async def test_a_failed_actor_ends_the_relay_by_a_drain(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, is_stopping: bool
 ) -> None:
-    # The relay once ended at once, and cut off established clients without asking them to reconnect. Unlike
-    # in a planned drain, it must not place any more requests, as its endpoint list is no longer updated. The
-    # same applies if an actor fails during a planned drain.
+    # The relay once stopped immediately, and cut off established clients without asking them to reconnect.
+    # Unlike in a planned drain, it must not place any more requests, as its endpoint list is no longer
+    # updated. The same applies if an actor fails during a planned drain.
     async def echo_unless_waiting(
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes
     ) -> None:
