--- a/tests/config/test_deployments.py
+++ b/tests/config/test_deployments.py
@@ -1,4 +1,4 @@
-"""Deployments unlike each other: behaviour follows from the settings, and from no name in them."""
+"""Different deployments: behaviour follows from the settings, and does not depend on names in them."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
 
 
 def renamed_and_shuffled(conf: JsonObject, rng: Random) -> tuple[JsonObject, dict[str, str]]:
-    """Returns settings with classes, tenants and zones renamed and reordered, and new names by old."""
+    """Return settings with classes, tenants and zones renamed and reordered, and the new names by the old."""
     conf = copy.deepcopy(conf)
     names = {old: f"z{rng.random()}" for old in ("gate", "deck", "north", "south", "pier", "quay", "isle")}
     aims = dict(zip(("gate", "deck"), conf["familyInfo"]["messageAimMs"], strict=True))
@@ -62,34 +62,36 @@
         rng.shuffle(conf[key])
     conf["familyInfo"]["messageAimMs"] = [aims[request_class["name"]] for request_class in conf["classes"]]
     conf["familyInfo"]["tenantQuotaConnections"] = [quotas[tenant["name"]] for tenant in conf["accounts"]]
-    for part in (*conf["classes"], *conf["accounts"]):
-        part["name"] = names[part["name"]]
+    for named in (*conf["classes"], *conf["accounts"]):
+        named["name"] = names[named["name"]]
     conf["zone"] = names[conf["zone"]]
     return conf, names
 
 
 def simulated_actions(balancer: Balancer, names: dict[str, str], seed: int) -> list[Any]:
-    """Returns all actions, in order, on requests, outcomes and load reports drawn by one seed."""
-    rng, done = Random(seed), []
+    """Return all actions, in order, on requests, outcomes and load reports drawn from one seed."""
+    rng, all_actions = Random(seed), []
     zones = [names[zone] for zone in ("pier", "quay", "isle")]
     endpoints = [
         Endpoint(f"s{index}", zone=zones[index % 3], share=1.0 + index % 2, kind="ab"[index % 2])
         for index in range(9)
     ]
     events: list[Any] = [EndpointListEvent("stale", endpoints), EndpointListEvent("full", endpoints)]
-    ids, now = 0, 0.0
+    request_count, now = 0, 0.0
     while now < 20000.0:
         event = events.pop(0) if events else None
         if event is None and rng.random() < 0.7:
-            ids += 1
-            names_of = names[rng.choice(("gate", "deck"))], names[rng.choice(("north", "south"))]
-            event = RequestArrived(ids, *names_of, now + 900.0, group=f"g{rng.randrange(6)}")
+            request_count += 1
+            class_and_tenant = names[rng.choice(("gate", "deck"))], names[rng.choice(("north", "south"))]
+            event = RequestArrived(
+                request_count, *class_and_tenant, now + 900.0, group=f"g{rng.randrange(6)}"
+            )
         elif event is None:
             event = HealthCheckCompleted(
                 f"s{rng.randrange(9)}", "ok", {"x0": rng.random() * 1.1, "x1": rng.random() / 4}
             )
         actions = balancer.handle(now, event)
-        done += actions
+        all_actions += actions
         for action in actions:
             if isinstance(action, PlaceRequest):
                 attempt = balancer.requests[action.id].attempts - 1
@@ -105,7 +107,7 @@
             elif isinstance(action, SetTimer) and rng.random() < 0.3:
                 events.append(TimerFired(action.tag))
         now += 20.0 * rng.random()
-    return done
+    return all_actions
 
 
 @given(st.integers(0, 10**6), st.booleans())
@@ -114,15 +116,20 @@
 ) -> None:
     conf = replace_setting(FERRY_SETTINGS, "familyInfo.tellsDelay", reports_delay)
     other, names = renamed_and_shuffled(conf, Random(seed))
-    same = simulated_actions(Balancer(read_settings(conf), 5), {name: name for name in names}, seed)
-    assert len(same) > 300 and simulated_actions(Balancer(read_settings(other), 5), names, seed) == same
+    expected_actions = simulated_actions(
+        Balancer(read_settings(conf), 5), {name: name for name in names}, seed
+    )
+    assert (
+        len(expected_actions) > 300
+        and simulated_actions(Balancer(read_settings(other), 5), names, seed) == expected_actions
+    )
 
 
 # ---------------------------------------------------------------- the third deployment on sockets
 
 
 @pytest.mark.parametrize("attempts", [1, 6])
-async def test_a_third_deployment_is_served_by_its_own_figures(tmp_path: Path, attempts: int) -> None:
+async def test_a_third_deployment_is_served_by_its_own_settings(tmp_path: Path, attempts: int) -> None:
     conf = replace_setting(FERRY_SETTINGS, "policyLimits.sendCap", attempts)
     endpoints = [FakeEndpoint(script) for script in (reset_connection,) * 6]
     async with AsyncExitStack() as stack:
@@ -152,7 +159,7 @@
 
 
 def test_no_request_is_placed_at_an_endpoint_that_is_known_to_drain() -> None:
-    # One deployment allows 500 ms for it, another 250: the balancer needs none of them.
+    # One deployment allows 500 ms to stop sending, another 250 ms: the balancer stops at once.
     for settings in (
         FERRY_SETTINGS,
         replace_setting(FERRY_SETTINGS, "guarantees.stopSendingWithinMs", 500.0),
@@ -179,7 +186,8 @@
 async def test_endpoint_that_drains_while_a_connection_to_it_is_made_gets_no_request(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, resumed: bool
 ) -> None:
-    # A connection may take connectTimeoutMs; its request line once followed whatever was known by then.
+    # A connection may take connectTimeoutMs. Its request line was once sent even if the endpoint had begun to
+    # drain in the meantime.
     async with running_relay(tmp_path, echo_lines, echo_lines) as (relay, endpoints):
         by_port = {
             endpoint.address[1]: (name, endpoint) for name, endpoint in zip("ab", endpoints, strict=True)
@@ -200,7 +208,7 @@
                     await asyncio.sleep(0)
             return sock
 
-        while relay.endpoint_registry.version != 2:  # discovery's own list has come
+        while relay.endpoint_registry.version != 2:  # version 2 is the list that discovery sends
             await asyncio.sleep(0.01)
         monkeypatch.setattr(frontend_connection, "connect_unreserved", connect_while_draining)
         more = ",at=a" if resumed else ""
@@ -211,13 +219,13 @@
         assert len([line for line in first[0].request_lines if line]) == (1 if resumed else 0)
 
 
-# ---------------------------------------------------------------- a planned stop
+# ---------------------------------------------------------------- a graceful shutdown
 
 
 @given(st.lists(st.floats(100.0, 20000.0), min_size=1, max_size=4))
-def test_a_stop_ends_before_the_last_signal_of_any_deployment(waits_ms: list[float]) -> None:
-    # It took 3.4 s everywhere, which only deadlines of 3 s and more allow: the last signal comes 0.7 s after
-    # the longest, and what stands then is lost.
+def test_a_graceful_shutdown_ends_before_sigkill_in_any_deployment(waits_ms: list[float]) -> None:
+    # A shutdown once took 3.4 s in every deployment, too long if all deadlines are under 3 s: SIGKILL
+    # arrives 0.7 s after the longest deadline, and cuts off all connections that are still open.
     request_class = read_settings(FERRY_SETTINGS).classes[0]
     times = plan_shutdown([replace(request_class, give_up_ms=wait_ms) for wait_ms in waits_ms])
     killed_s = min(3.0, max(waits_ms) / 1000.0) + 0.7
@@ -231,7 +239,7 @@
     )
 
 
-def test_a_stop_of_the_first_deployment_keeps_its_times() -> None:
+def test_the_shutdown_schedule_of_the_first_deployment_stays() -> None:
     request_class = read_settings(FERRY_SETTINGS).classes[0]
     times = plan_shutdown([replace(request_class, give_up_ms=3200.0)])
     assert times.migration_start_s == 0.45 and times.exit_at_s == pytest.approx(3.4)
@@ -241,12 +249,12 @@
 
 
 @given(st.integers(1, 400), st.integers(4, 60))
-def test_few_connections_leave_as_evenly_as_many(count: int, steps: int) -> None:
-    # Seven stood at a relay of the full fleet, and had all been moved 0.3 s into the 1.8 s for it: one at a
-    # step at the least. Their relay was back no sooner, and nobody served them for the time between.
-    pace, left, gone = EvenPacer(), count, 0
+def test_few_connections_are_migrated_as_evenly_as_many(count: int, steps: int) -> None:
+    # At least one connection was migrated at each step, so that a relay with seven had migrated all of them
+    # after 0.3 of 1.8 s. The relay restarted no sooner, and its clients were not served in the meantime.
+    pacer, remaining, migrated = EvenPacer(), count, 0
     for step in range(steps):
-        due = pace.take_due_count(left, float(steps - step))
-        left, gone = left - due, gone + due
-        assert abs(gone - count * (step + 1) / steps) <= 1.0
-    assert left == 0
+        due = pacer.take_due_count(remaining, float(steps - step))
+        remaining, migrated = remaining - due, migrated + due
+        assert abs(migrated - count * (step + 1) / steps) <= 1.0
+    assert remaining == 0
