--- a/sageturn/rebalance/allocations.py
+++ b/sageturn/rebalance/allocations.py
@@ -1,28 +1,28 @@
-"""Counts and loads of this relay's connections, summed per endpoint and per group at an endpoint."""
+"""Connection counts and loads of this relay, summed per endpoint and per group at an endpoint."""
 
 from __future__ import annotations
 
 
 class LoadTotals:
-    """A number of connections and the load that some of them have reported, in work per second."""
+    """Number of connections in a set, and the sum of the loads reported for them, in work per second."""
 
     __slots__ = ("connection_count", "reported_load", "reporting_count")
 
     def __init__(self) -> None:
         self.connection_count = 0
         self.reported_load = 0.0
-        self.reporting_count = 0  # connections whose load is in ``reported_load``
+        self.reporting_count = 0  # connections that contribute to ``reported_load``
 
     def change_load(self, load_change: float, reporting_change: int) -> None:
-        """Adds to the reported load and to the number of connections that report; both may be negative."""
+        """Add to the reported load and to the number of reporting connections; both may be negative."""
         self.reported_load += load_change
         self.reporting_count += reporting_change
         if not self.reporting_count:
-            self.reported_load = 0.0  # drops what rounding has left over
+            self.reported_load = 0.0  # removes the accumulated rounding error
 
 
 class GroupAllocation(LoadTotals):
-    """A group's connections at one endpoint; the group "" holds those that have none."""
+    """Totals of one group's connections at one endpoint; the group "" is for connections without a group."""
 
     __slots__ = ("endpoint", "first_row", "group")
 
@@ -30,15 +30,15 @@
         super().__init__()
         self.endpoint = endpoint
         self.group = group
-        self.first_row = first_row  # start of the list of its rows in the connection table
+        self.first_row = first_row  # head of the linked list of its rows in the connection table
 
     def load(self, mean_load: float) -> float:
-        """Returns the load in work per second; a connection that has not reported counts as ``mean_load``."""
+        """Return the load in work per second; ``mean_load`` stands in for each load not reported."""
         return self.reported_load + (self.connection_count - self.reporting_count) * mean_load
 
 
 class EndpointTotals(LoadTotals):
-    """This relay's connections at one endpoint."""
+    """Totals of this relay's connections at one endpoint."""
 
     __slots__ = ("groups", "name")
 
@@ -49,24 +49,24 @@
 
     @property
     def group_count(self) -> int:
-        """The number of groups, without that of the connections that have none."""
+        """Number of groups at the endpoint; the group "" does not count."""
         return len(self.groups) - ("" in self.groups)
 
     def load(self, mean_load: float, group_cost: float) -> float:
-        """Returns the load in work per second; each group adds ``group_cost`` mean loads of its own."""
+        """Return the load in work per second; each group costs as much as ``group_cost`` mean connections."""
         unreported = self.connection_count - self.reporting_count + group_cost * self.group_count
         return self.reported_load + unreported * mean_load
 
 
 class AllocationIndex:
-    """Numbers the allocations that exist; a number is reused once its allocation is empty."""
+    """Index of all allocations by number; a number is reused once its allocation has been discarded."""
 
     def __init__(self, no_row: int) -> None:
         self.endpoints: dict[str, EndpointTotals] = {}
-        self.by_group: dict[str, list[GroupAllocation]] = {}  # without the group ""
+        self.by_group: dict[str, list[GroupAllocation]] = {}  # the group "" has no entry
         self._no_row = no_row
         self._allocations: list[GroupAllocation | None] = []
-        self._numbers: dict[tuple[str, str], int] = {}  # by endpoint and group
+        self._numbers: dict[tuple[str, str], int] = {}  # keyed by endpoint and group
         self._free_numbers: list[int] = []
 
     def __getitem__(self, number: int) -> GroupAllocation:
@@ -74,15 +74,15 @@
         assert allocation is not None
         return allocation
 
-    def number_of(self, endpoint: str, group: str) -> int:
-        """Returns the number of the allocation of ``group`` at ``endpoint``; creates it if there is none."""
+    def get_or_create_number(self, endpoint: str, group: str) -> int:
+        """Return the number of the allocation of ``group`` at ``endpoint``; create it if there is none."""
         number = self._numbers.get((endpoint, group))
         if number is None:
-            number = self._numbers[(endpoint, group)] = self._store(self._create(endpoint, group))
+            number = self._numbers[(endpoint, group)] = self._assign_number(self._create(endpoint, group))
         return number
 
     def discard(self, number: int) -> None:
-        """Forgets an allocation that has become empty."""
+        """Remove an allocation that has no connections left."""
         allocation = self[number]
         endpoint = allocation.endpoint
         del endpoint.groups[allocation.group]
@@ -107,7 +107,7 @@
             self.by_group.setdefault(group, []).append(allocation)
         return allocation
 
-    def _store(self, allocation: GroupAllocation) -> int:
+    def _assign_number(self, allocation: GroupAllocation) -> int:
         if self._free_numbers:
             number = self._free_numbers.pop()
             self._allocations[number] = allocation
--- a/sageturn/rebalance/batches.py
+++ b/sageturn/rebalance/batches.py
@@ -1,4 +1,4 @@
-"""Finds what may be migrated off an endpoint at once: a whole group, or one connection without a group."""
+"""Finds the batches that may be migrated off an endpoint: whole groups, and single ungrouped connections."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class BlockReason(StrEnum):
-    """Why a group or connection is not migrated; the values are those of the stored state."""
+    """Reason why a group or connection is not migrated; the values appear in the stored state."""
 
     TOO_LARGE = "too_large"
     EXCLUDED = "kept"
@@ -25,7 +25,7 @@
 
     @property
     def explanation(self) -> str:
-        """The reason in words, for operators."""
+        """Text that explains the reason to operators."""
         return _BLOCK_EXPLANATIONS[self]
 
 
@@ -37,30 +37,30 @@
     BlockReason.NOT_INSPECTED: "not looked at in this tick",
 }
 
-# Reasons that pass with time. Where no block has one of them, balance cannot be reached.
+# These reasons expire with time. If every block has another reason, the fleet cannot be balanced further.
 TEMPORARY_BLOCK_REASONS = frozenset(
     {BlockReason.TOO_YOUNG, BlockReason.RECENTLY_MIGRATED, BlockReason.NOT_INSPECTED}
 )
 
 
 def describe_blocks(block_counts: Counter[BlockReason]) -> str:
-    """Returns what is blocked and why, for operators."""
+    """Return a text for operators: how many groups and connections are blocked, and why."""
     descriptions = (f"{count} {reason.explanation}" for reason, count in block_counts.most_common())
     return "; ".join(descriptions) or "no host has room for more"
 
 
 @dataclass(frozen=True, slots=True)
 class MigrationBatch:
-    """Connections of one endpoint and one group that are migrated together."""
+    """Connections of one group at one endpoint, or a single ungrouped one, that are migrated together."""
 
     request_ids: tuple[int, ...]
     load: float
     is_grouped: bool
-    is_partial: bool  # the group has more connections at this relay
+    is_partial: bool  # True if the group has further connections at this relay
 
     @property
     def description(self) -> str:
-        """The batch in a few words, for operators."""
+        """Short text that describes the batch to operators."""
         if not self.is_grouped:
             return "one connection without a group"
         extent = "the smaller part of a group" if self.is_partial else "a whole group"
@@ -68,36 +68,39 @@
 
 
 class InspectionBudget:
-    """Bounds how many connections are inspected in a tick, however many there are."""
+    """Bound on the number of connections inspected in a tick, which limits the cost of a tick."""
 
-    def __init__(self, connections: int) -> None:
-        self.remaining = connections
+    def __init__(self, connection_count: int) -> None:
+        self.remaining = connection_count
 
-    def try_spend(self, connections: int) -> bool:
-        """Takes so many connections from the budget. Returns False, and takes none, if it has fewer."""
-        if self.remaining < connections:
+    def try_spend(self, connection_count: int) -> bool:
+        """Deduct a number of connections from the budget. Return False, and deduct none, if fewer remain."""
+        if self.remaining < connection_count:
             return False
-        self.remaining -= connections
+        self.remaining -= connection_count
         return True
 
 
 @dataclass(frozen=True, slots=True)
 class EligibilityRules:
-    """Decides which connections may be migrated at one instant."""
+    """Rules that decide which connections may be migrated at a given time."""
 
     now_ms: float
     options: RebalanceOptions
     history: MigrationHistory
-    migrating: set[int]  # request ids that were asked to reconnect already
+    migrating_request_ids: set[int]  # requests whose clients have already been asked to reconnect
 
     def was_migrated_recently(self, connection: ConnectionRow) -> bool:
-        """Whether the connection's client was migrated recently, or is being migrated."""
-        if connection.request_id in self.migrating:
+        """Return True if the connection's client is being migrated, or may not be migrated again yet.
+
+        This includes clients without a key, whose last migration is unknown.
+        """
+        if connection.request_id in self.migrating_request_ids:
             return True
-        return not self.history.may_migrate(connection.client, self.now_ms)
+        return not self.history.may_migrate(connection.client_hash, self.now_ms)
 
     def block_reason(self, connection: ConnectionRow) -> BlockReason | None:
-        """Returns why a connection may not be migrated; None if it may."""
+        """Return why a connection may not be migrated; None if it may."""
         if (
             connection.class_name in self.options.keep_classes
             or connection.tenant in self.options.keep_tenants
@@ -111,15 +114,15 @@
 
 
 class _BatchRank(NamedTuple):
-    """Orders the groups of an endpoint; the lowest rank goes first."""
+    """Sort key of an endpoint's groups; the group with the lowest rank is migrated first."""
 
-    is_largest_part: bool
-    negative_member_load: float  # heavy connections first
+    is_largest_part: bool  # True also for a group that is at one endpoint only
+    negative_member_load: float  # negated, so that heavy connections sort first
     group: str
 
 
 class BatchFinder:
-    """Finds batches for one tick, and counts in ``block_counts`` what is blocked and why."""
+    """Finder of one tick's batches; ``block_counts`` counts the blocked groups and connections by reason."""
 
     def __init__(
         self,
@@ -135,35 +138,35 @@
         self._budget = budget
 
     def find(self, endpoint: EndpointTotals, max_load: float) -> Iterator[MigrationBatch]:
-        """Yields an endpoint's batches of at most ``max_load`` each, in the order in which they are to go.
+        """Yield an endpoint's batches of at most ``max_load`` each, in the order of their migration.
 
-        First the smaller parts of groups that are spread over endpoints, since each endpoint pays a group's
-        cost; then whole groups, those with the heaviest connections first, so that few clients are
-        disturbed; last the connections without a group.
+        The smaller parts of groups that are spread over several endpoints come first, because a group costs
+        extra load at every endpoint where it has connections. Whole groups follow, those with the heaviest
+        connections first, so that few clients are disturbed. Connections without a group come last.
         """
         mean_load = self._connections.mean_load
-        yield from self._group_batches(endpoint, max_load, mean_load)
+        yield from self._find_group_batches(endpoint, max_load, mean_load)
         ungrouped = endpoint.groups.get("")
         if ungrouped is not None:
-            yield from self._single_batches(ungrouped, max_load)
+            yield from self._find_single_batches(ungrouped, max_load)
 
-    def _group_batches(
+    def _find_group_batches(
         self, endpoint: EndpointTotals, max_load: float, mean_load: float
     ) -> Iterator[MigrationBatch]:
         groups = [allocation for allocation in endpoint.groups.values() if allocation.group]
         for allocation in sorted(groups, key=lambda allocation: self._rank(allocation, mean_load)):
             load = allocation.load(mean_load)
-            request_ids = self._eligible_members(allocation, load, max_load)
+            request_ids = self._collect_eligible_members(allocation, load, max_load)
             if isinstance(request_ids, BlockReason):
                 self.block_counts[request_ids] += 1
                 continue
             is_partial = len(self._connections.allocations_by_group[allocation.group]) > 1
             yield MigrationBatch(request_ids, load, is_grouped=True, is_partial=is_partial)
 
-    def _eligible_members(
+    def _collect_eligible_members(
         self, allocation: GroupAllocation, load: float, max_load: float
     ) -> tuple[int, ...] | BlockReason:
-        """Returns all of a group's members at an endpoint, or why they may not be migrated together."""
+        """Return the request ids of a group's members at an endpoint, or why they may not be migrated."""
         if allocation.connection_count > self._max_batch_connections or load > max_load:
             return BlockReason.TOO_LARGE
         if not self._budget.try_spend(allocation.connection_count):
@@ -176,7 +179,7 @@
             request_ids.append(connection.request_id)
         return tuple(request_ids)
 
-    def _single_batches(self, ungrouped: GroupAllocation, max_load: float) -> Iterator[MigrationBatch]:
+    def _find_single_batches(self, ungrouped: GroupAllocation, max_load: float) -> Iterator[MigrationBatch]:
         for connection in list(self._connections.members(ungrouped)):
             if not self._budget.try_spend(1):
                 self.block_counts[BlockReason.NOT_INSPECTED] += 1
--- a/sageturn/rebalance/connection_table.py
+++ b/sageturn/rebalance/connection_table.py
@@ -1,8 +1,8 @@
 """This relay's established connections by endpoint and group, maintained from the balancer's events.
 
-A connection is a row over several arrays, not an object: at 10,000 connections objects with their numbers
-would take three times the memory. The rows of one group at one endpoint form a doubly linked list, so that a
-group's members are found without looking at any other connection.
+The table is columnar: a connection is a row index into several arrays. With 10,000 connections, one object
+per connection would take three times the memory. The rows of one group at one endpoint form a doubly linked
+list, so that a group's members are found without scanning other connections.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class ConnectionLabels(NamedTuple):
-    """The class, tenant and group of a request."""
+    """Class, tenant and group of a request."""
 
     class_name: str
     tenant: str
@@ -25,36 +25,36 @@
 
 
 class ConnectionRow(NamedTuple):
-    """A connection as the table returns it."""
+    """Copy of one row of the table."""
 
     request_id: int
-    client: int  # hash of the client's key; 0: it has none
+    client_hash: int  # hash of the client's key; 0 if the client has none
     class_name: str
     tenant: str
     established_ms: float
 
 
 class ConnectionTable:
-    """This relay's connections and the sums over them.
+    """Table of this relay's connections, with totals per endpoint and group.
 
-    Loads are in work per second, as endpoints report them.
+    Loads are in work per second, as reported by the endpoints.
     """
 
     def __init__(self) -> None:
         self.totals = LoadTotals()
-        self._squared_loads = 0.0  # sum over the reporting connections
+        self._squared_loads = 0.0  # sum of the squared loads of the reporting connections
         self._allocations = AllocationIndex(NO_ROW)
-        self._rows: dict[int, int] = {}  # by request id
+        self._rows: dict[int, int] = {}  # row of each request id
         self._free_rows: list[int] = []
-        self._start_ms: float | None = None  # what the column of instants counts from; None: no row yet
+        self._time_origin_ms: float | None = None  # origin of ``_established_s``; None before the first row
         self._class_tenant_pairs: list[tuple[str, str]] = []
         self._class_tenant_numbers: dict[tuple[str, str], int] = {}
-        # The columns.
-        self._ids = array("Q")
-        self._clients = array("Q")
+        # Columns of the table, indexed by row.
+        self._request_ids = array("Q")
+        self._client_hashes = array("Q")
         self._established_s = array("f")
-        self._loads = array("f")  # 0: not reported
-        self._class_tenants = array("L")  # there are few pairs, and many rows
+        self._loads = array("f")  # 0 if no load has been reported
+        self._class_tenants = array("L")  # indexes into ``_class_tenant_pairs``, which is short
         self._allocation_numbers = array("L")
         self._next_rows = array("l")
         self._previous_rows = array("l")
@@ -67,17 +67,17 @@
 
     @property
     def endpoints(self) -> dict[str, EndpointTotals]:
-        """The totals of each endpoint that has connections, by name."""
+        """Totals of each endpoint that has connections, by name."""
         return self._allocations.endpoints
 
     @property
     def allocations_by_group(self) -> dict[str, list[GroupAllocation]]:
-        """Each group's allocations, one per endpoint where it has connections."""
+        """Allocations of each group, one per endpoint where the group has connections."""
         return self._allocations.by_group
 
     @property
     def mean_load(self) -> float:
-        """The mean reported load of a connection; 1 where none is reported, so that loads are counts."""
+        """Mean reported load of a connection; 1 if none is reported, so that loads are connection counts."""
         totals = self.totals
         if totals.reporting_count and totals.reported_load > 0:
             return totals.reported_load / totals.reporting_count
@@ -85,33 +85,38 @@
 
     @property
     def size_biased_mean_load(self) -> float:
-        """The expected load of a connection that is drawn with a chance proportional to its load."""
+        """Load-weighted mean of the reported loads: sum of squares over sum; 1 if none is reported."""
         reported_load = self.totals.reported_load
         return self._squared_loads / reported_load if reported_load > 0 else 1.0
 
     # ------------------------------------------------------------ changes
 
     def add(
-        self, established_ms: float, request_id: int, endpoint: str, labels: ConnectionLabels, client: int
+        self,
+        established_ms: float,
+        request_id: int,
+        endpoint: str,
+        labels: ConnectionLabels,
+        client_hash: int,
     ) -> None:
-        """Adds a connection whose load is not known yet; it replaces one with the same id."""
+        """Add a connection whose load has not been reported yet; it replaces one with the same id."""
         if request_id in self._rows:
             self.remove(request_id)
-        if self._start_ms is None:
-            self._start_ms = established_ms
+        if self._time_origin_ms is None:
+            self._time_origin_ms = established_ms
         row = self._allocate_row()
-        self._ids[row] = request_id
-        self._clients[row] = client
-        self._established_s[row] = (established_ms - self._start_ms) / 1000.0
+        self._request_ids[row] = request_id
+        self._client_hashes[row] = client_hash
+        self._established_s[row] = (established_ms - self._time_origin_ms) / 1000.0
         self._loads[row] = 0.0
-        self._class_tenants[row] = self._class_tenant_number(labels)
-        number = self._allocations.number_of(endpoint, labels.group)
+        self._class_tenants[row] = self._intern_class_tenant(labels)
+        number = self._allocations.get_or_create_number(endpoint, labels.group)
         self._allocation_numbers[row] = number
         self._link(row, self._allocations[number])
         self._rows[request_id] = row
 
     def remove(self, request_id: int) -> bool:
-        """Removes a connection. Returns whether there was one with this id."""
+        """Remove a connection. Return False if there is none with this id."""
         row = self._rows.pop(request_id, None)
         if row is None:
             return False
@@ -125,7 +130,7 @@
         return True
 
     def set_load(self, request_id: int, load: float) -> None:
-        """Records a reported load; connections that are not in the table are ignored."""
+        """Record a reported load; connections that are not in the table are ignored."""
         row = self._rows.get(request_id)
         if row is not None:
             allocation = self._allocations[self._allocation_numbers[row]]
@@ -134,37 +139,39 @@
     # ------------------------------------------------------------ queries
 
     def members(self, allocation: GroupAllocation) -> Iterator[ConnectionRow]:
-        """Yields the connections of a group at an endpoint, the newest first."""
+        """Yield the connections of a group at an endpoint; the one added last comes first."""
         row = allocation.first_row
-        start_ms = self._start_ms or 0.0
+        time_origin_ms = self._time_origin_ms or 0.0
         while row != NO_ROW:
             class_name, tenant = self._class_tenant_pairs[self._class_tenants[row]]
-            established_ms = start_ms + self._established_s[row] * 1000.0
-            yield ConnectionRow(self._ids[row], self._clients[row], class_name, tenant, established_ms)
+            established_ms = time_origin_ms + self._established_s[row] * 1000.0
+            yield ConnectionRow(
+                self._request_ids[row], self._client_hashes[row], class_name, tenant, established_ms
+            )
             row = self._next_rows[row]
 
     def load_of(self, request_id: int) -> float:
-        """Returns a connection's load, or the mean where it has not been reported."""
+        """Return a connection's reported load; the mean load if none has been reported."""
         return self._loads[self._rows[request_id]] or self.mean_load
 
     def endpoint_of(self, request_id: int) -> str:
-        """Returns the endpoint of a connection that is in the table."""
+        """Return the endpoint of a connection. Raise ``KeyError`` if it is not in the table."""
         number = self._allocation_numbers[self._rows[request_id]]
         return self._allocations[number].endpoint.name
 
-    def client_of(self, request_id: int) -> int:
-        """Returns the hash of a connection's client key; 0 if it has none or is not in the table."""
+    def client_hash_of(self, request_id: int) -> int:
+        """Return the hash of the key of a connection's client; 0 if there is no key or no such connection."""
         row = self._rows.get(request_id)
-        return 0 if row is None else self._clients[row]
+        return 0 if row is None else self._client_hashes[row]
 
     # ------------------------------------------------------------ rows
 
     def _allocate_row(self) -> int:
         if self._free_rows:
             return self._free_rows.pop()
-        row = len(self._ids)
-        self._ids.append(0)
-        self._clients.append(0)
+        row = len(self._request_ids)
+        self._request_ids.append(0)
+        self._client_hashes.append(0)
         self._established_s.append(0.0)
         self._loads.append(0.0)
         self._class_tenants.append(0)
@@ -173,7 +180,7 @@
         self._previous_rows.append(NO_ROW)
         return row
 
-    def _class_tenant_number(self, labels: ConnectionLabels) -> int:
+    def _intern_class_tenant(self, labels: ConnectionLabels) -> int:
         pair = labels.class_name, labels.tenant
         number = self._class_tenant_numbers.get(pair)
         if number is None:
@@ -182,38 +189,39 @@
         return number
 
     def _link(self, row: int, allocation: GroupAllocation) -> None:
-        """Inserts a row at the head of its allocation's list."""
-        following = allocation.first_row
-        self._next_rows[row] = following
+        """Insert a row at the head of its allocation's list."""
+        next_row = allocation.first_row
+        self._next_rows[row] = next_row
         self._previous_rows[row] = NO_ROW
-        if following != NO_ROW:
-            self._previous_rows[following] = row
+        if next_row != NO_ROW:
+            self._previous_rows[next_row] = row
         allocation.first_row = row
         allocation.connection_count += 1
         allocation.endpoint.connection_count += 1
         self.totals.connection_count += 1
 
     def _unlink(self, row: int, allocation: GroupAllocation) -> None:
-        following = self._next_rows[row]
-        previous = self._previous_rows[row]
-        if following != NO_ROW:
-            self._previous_rows[following] = previous
-        if previous != NO_ROW:
-            self._next_rows[previous] = following
+        next_row = self._next_rows[row]
+        previous_row = self._previous_rows[row]
+        if next_row != NO_ROW:
+            self._previous_rows[next_row] = previous_row
+        if previous_row != NO_ROW:
+            self._next_rows[previous_row] = next_row
         else:
-            allocation.first_row = following
+            allocation.first_row = next_row
         allocation.connection_count -= 1
         allocation.endpoint.connection_count -= 1
         self.totals.connection_count -= 1
 
     def _set_row_load(self, row: int, allocation: GroupAllocation, load: float) -> None:
-        old = self._loads[row]
+        old_load = self._loads[row]
         self._loads[row] = load
-        new = self._loads[row]  # as the column rounds it, so that subtracting it later leaves nothing over
-        reporting_change = (new > 0) - (old > 0)
+        # Read back, since the column rounds it: later the same value is subtracted, so that no error remains.
+        new_load = self._loads[row]
+        reporting_change = (new_load > 0) - (old_load > 0)
         for totals in (allocation, allocation.endpoint, self.totals):
-            totals.change_load(new - old, reporting_change)
+            totals.change_load(new_load - old_load, reporting_change)
         if self.totals.reporting_count:
-            self._squared_loads = self._squared_loads + new * new - old * old
+            self._squared_loads = self._squared_loads + new_load * new_load - old_load * old_load
         else:
             self._squared_loads = 0.0
--- a/sageturn/rebalance/decaying_counter.py
+++ b/sageturn/rebalance/decaying_counter.py
@@ -1,4 +1,4 @@
-"""A count of recent events."""
+"""Exponentially decaying count of events."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class DecayingCounter:
-    """A count that decays exponentially: an event ``time_constant_ms`` ago weighs 1/e of a new one."""
+    """Count of events with exponential decay: after ``time_constant_ms`` an event weighs 1/e of a new one."""
 
     __slots__ = ("_time_constant_ms", "_updated_ms", "_value")
 
@@ -16,10 +16,10 @@
         self._updated_ms = 0.0
 
     def add(self, now_ms: float, amount: float = 1.0) -> None:
-        """Counts ``amount`` more events at ``now_ms``."""
+        """Count ``amount`` events at ``now_ms``."""
         self._value = self.value_at(now_ms) + amount
         self._updated_ms = now_ms
 
     def value_at(self, now_ms: float) -> float:
-        """Returns the decayed count at ``now_ms``."""
+        """Return the decayed count at ``now_ms``."""
         return self._value * exp(min(0.0, self._updated_ms - now_ms) / self._time_constant_ms)
--- a/sageturn/rebalance/driver.py
+++ b/sageturn/rebalance/driver.py
@@ -1,4 +1,4 @@
-"""Connects the planner to the relay: observes the balancer, ticks the planner, carries out its plans."""
+"""Connects the planner to the relay: observes the balancer, runs the planner's ticks, executes its plans."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 
 log = logging.getLogger(__name__)
 
-STATE_INTERVAL_MS = 5000.0  # minimum between two publications of the state
+STATE_INTERVAL_MS = 5000.0  # minimum time between two publications of the state
 MS_PER_MINUTE = 60000.0
 
 
 class Rebalancer(RebalancePlanner):
-    """Observes the balancer from its creation on, and asks clients to reconnect from a task of its own.
+    """Planner that runs in a relay: it observes the relay's balancer and asks clients to reconnect.
 
-    The relay sets ``options`` and ``restrictions``, and runs ``run`` as a task. ``publish_state`` is called
-    with the encoded state.
+    The constructor registers it as an observer of the balancer. The relay sets ``options`` and
+    ``restrictions``, and runs ``run`` as a task. ``publish_state`` is called with the encoded state.
     """
 
     def __init__(
@@ -45,7 +45,7 @@
         balancer_actor.observers.append(self)
 
     def _adopt_existing_requests(self) -> None:
-        """Adopts the requests of a relay that runs already; loads are known once they are reported again."""
+        """Track the requests that the relay already has; their loads count once they are reported again."""
         now_ms = self._balancer_actor.clock.now_ms()
         for lifecycle in self._request_registry:
             record = lifecycle.record
@@ -56,10 +56,10 @@
                     now_ms, lifecycle.id, record.endpoint, labels, request.client, record.started_ms
                 )
             elif record.final_response is None:
-                self.tracker.expect(now_ms, lifecycle.id, labels, request.client)
+                self.tracker.track_pending_request(now_ms, lifecycle.id, labels, request.client)
 
     async def run(self) -> None:
-        """Ticks until cancelled. A failure turns rebalancing off and leaves the relay alone."""
+        """Run ticks until cancelled. A failed tick turns rebalancing off; the relay continues without it."""
         while True:
             await asyncio.sleep(self.options.tick_s)
             try:
@@ -69,7 +69,11 @@
                 self.options = replace(self.options, mode=RebalanceMode.OFF)
 
     def step(self) -> MigrationPlan:
-        """Runs one tick: plans, asks clients to reconnect, logs and publishes. Returns the plan."""
+        """Run one tick: plan, ask clients to reconnect, log, publish the state. Return the plan.
+
+        No client is asked if the balancer has removed this observer, which it does after a failure: the
+        planner's view is then out of date.
+        """
         now_ms = self._balancer_actor.clock.now_ms()
         minute = int(now_ms // MS_PER_MINUTE) % MINUTES_PER_DAY
         endpoints = self._balancer_actor.snapshot_endpoints()
@@ -84,7 +88,7 @@
         return plan
 
     def _log_plan(self, plan: MigrationPlan) -> None:
-        """Logs the tick's migrations and their reasons, or why there are none from now on."""
+        """Log the tick's migrations and their reasons, or else a change of phase and its reason."""
         previous = self._previous_plan
         self._previous_plan = plan
         if plan.migrations:
--- a/sageturn/rebalance/evacuation.py
+++ b/sageturn/rebalance/evacuation.py
@@ -1,4 +1,4 @@
-"""Evacuates endpoints that an operator clears: in whatever mode, at the same rate as any migration."""
+"""Evacuates endpoints on an operator's request, in every mode and within the usual migration rate."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def plan_evacuation(context: TickContext) -> MigrationPlan | None:
-    """Returns the migrations off endpoints that are being evacuated; None if none can be made now."""
+    """Return the migrations off endpoints that are being evacuated; None if none can be made now."""
     connections = context.tracker.connections
     own_totals = connections.endpoints
     evacuating = [own_totals[name] for name in sorted(context.restrictions.evacuating) if name in own_totals]
@@ -40,9 +40,10 @@
     rules: EligibilityRules,
     max_batch_connections: int,
 ) -> Iterator[MigrationBatch]:
-    """Yields all that may leave an endpoint, group by group, the larger groups in parts.
+    """Yield all connections that may leave an endpoint, group by group; large groups are split into parts.
 
-    Clients that were migrated recently stay until that time is over; there is no other reason to stay.
+    Only clients that may not be migrated again yet, or that have no key, are skipped; the other rules of
+    eligibility (excluded classes and tenants, age) do not apply to an evacuation.
     """
     mean_load = connections.mean_load
     for group in sorted(endpoint.groups):
--- a/sageturn/rebalance/fleet_utilization.py
+++ b/sageturn/rebalance/fleet_utilization.py
@@ -1,4 +1,4 @@
-"""The utilization of the whole fleet as of the last tick."""
+"""Utilization of the whole fleet as of the last tick."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 
 class FleetUtilization:
-    """The pools of endpoints that are compared with each other, updated at each tick.
+    """Pools of endpoints that are compared with each other, updated at each tick.
 
-    Ratios are utilizations over the mean of their pool.
+    A ratio is an endpoint's utilization divided by the mean of its pool.
     """
 
     def __init__(self, settings: decision.Settings) -> None:
         self.pools: list[PoolUtilization] = []
         self._settings = settings
-        self._zones: set[str] = set()  # of the ready endpoints
+        self._zones: set[str] = set()  # zones of the ready endpoints
 
     def update(self, connections: ConnectionTable, endpoints: Sequence[EndpointSnapshot]) -> bool:
-        """Estimates the pools anew. Returns whether the zones with ready endpoints have changed."""
+        """Estimate all pools again. Return True if the set of zones with ready endpoints has changed."""
         zones = {endpoint.zone for endpoint in endpoints if endpoint.ready}
         have_zones_changed = zones != self._zones
         self._zones = zones
@@ -35,33 +35,33 @@
 
     @property
     def relays_per_zone(self) -> float:
-        """The relays in each zone, if they are spread evenly; 1 at least."""
+        """Relays per zone, at least 1, on the assumption that the relays are spread evenly over the zones."""
         return max(1.0, self._settings.relay_count / max(1, len(self._zones)))
 
     @property
     def max_ratio(self) -> float:
-        """The fullest endpoint's ratio over all pools."""
+        """Highest ratio of an endpoint in any pool."""
         return max((pool.max_ratio for pool in self.pools), default=1.0)
 
     @property
     def min_ratio(self) -> float:
-        """The emptiest endpoint's ratio over all pools."""
+        """Lowest ratio of an endpoint in any pool."""
         return min((pool.min_ratio for pool in self.pools), default=1.0)
 
     @property
     def confidence(self) -> float:
-        """The highest confidence of a pool (``PoolUtilization.confidence``)."""
+        """Highest confidence of any pool (see ``PoolUtilization.confidence``)."""
         return max((pool.confidence for pool in self.pools), default=0.0)
 
     @property
     def description(self) -> str:
-        """The spread in a few words, for operators."""
+        """Short text that describes the imbalance to operators."""
         return f"fullest {self.max_ratio:.2f} and emptiest {self.min_ratio:.2f} of the mean"
 
     def ratios_by_endpoint(self) -> dict[str, float]:
-        """Returns each compared endpoint's ratio, by name."""
+        """Return the ratio of each endpoint that is in a pool, by name."""
         return {endpoint.name: endpoint.ratio for pool in self.pools for endpoint in pool.endpoints}
 
     def is_imbalanced(self, tolerance: float) -> bool:
-        """Whether any pool is imbalanced; ``tolerance`` is the distance allowed over a ratio of 1."""
+        """Return True if any pool is imbalanced; ``tolerance`` is the allowed excess of a ratio over 1."""
         return any(is_imbalanced(pool, tolerance) for pool in self.pools)
--- a/sageturn/rebalance/landing_score.py
+++ b/sageturn/rebalance/landing_score.py
@@ -1,35 +1,38 @@
-"""Scores whether migrated clients land at endpoints that are less utilized than those they left."""
+"""Scores migrations by whether the clients land (are placed) on less utilized endpoints than before."""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 
-SCORE_GAIN = 0.05  # weight of one landing in the mean
-MIN_USEFUL_SCORE = 0.2  # part of useful landings under which migrating pauses
-SCORE_AFTER_PAUSE = 0.5
-MIN_RATIO_GAIN = 0.02  # by which the target's ratio is lower, for a useful landing
+SCORE_SMOOTHING_FACTOR = 0.05  # weight of the newest landing in the moving average
+MIN_USEFUL_SCORE = 0.2  # fraction of useful landings; with a lower one migration pauses
+SCORE_AFTER_PAUSE = 0.5  # allows some landings to be scored before the next pause
+MIN_RATIO_REDUCTION = 0.02  # minimum difference between the source's and the target's ratio
 
 
 def is_useful_landing(source: str, target: str, ratios: Mapping[str, float]) -> bool:
-    """Whether a client has landed at a clearly emptier endpoint, by ratios of utilization over the mean."""
-    return target != source and ratios.get(target, 1.0) < ratios.get(source, 1.0) - MIN_RATIO_GAIN
+    """Return True if the target is clearly less utilized than the source.
+
+    ``ratios`` has each endpoint's utilization divided by the mean; an endpoint that it lacks counts as 1.
+    """
+    return target != source and ratios.get(target, 1.0) < ratios.get(source, 1.0) - MIN_RATIO_REDUCTION
 
 
 class LandingScore:
-    """The part of recent landings that were useful, as a decaying mean."""
+    """Fraction of recent landings that were useful, as an exponential moving average."""
 
     def __init__(self) -> None:
         self.value = 1.0
 
     @property
     def is_too_low(self) -> bool:
-        """Whether the balancer places clients for reasons that the planner does not know."""
+        """True if too few landings are useful: the balancer has other criteria than the planner."""
         return self.value < MIN_USEFUL_SCORE
 
-    def record(self, useful: bool) -> None:
-        """Counts one migrated client that is established again."""
-        self.value += SCORE_GAIN * (useful - self.value)
+    def record(self, is_useful: bool) -> None:
+        """Include the landing of one migrated client that is established again."""
+        self.value += SCORE_SMOOTHING_FACTOR * (is_useful - self.value)
 
-    def resume(self) -> None:
-        """Sets a middling score after a pause, so that migrating is tried again."""
+    def reset_after_pause(self) -> None:
+        """Reset the score after a pause, so that migration is attempted again."""
         self.value = SCORE_AFTER_PAUSE
--- a/sageturn/rebalance/migration_history.py
+++ b/sageturn/rebalance/migration_history.py
@@ -1,4 +1,4 @@
-"""Remembers which clients were migrated, when and off which endpoint, and which are still awaited."""
+"""Records which clients were migrated, when and off which endpoint, and which have yet to reconnect."""
 
 from __future__ import annotations
 
@@ -7,121 +7,128 @@
 
 from sageturn.rebalance.options import RebalanceOptions
 
-NO_CLIENT = 0  # the hash of a connection without a client key
+NO_CLIENT_HASH = 0  # stands for a missing client key
 CLIENT_HASH_BYTES = 8
 MAX_BACKOFF_DOUBLINGS = 20
 
 
-def client_hash(key: str) -> int:
-    """Returns a 64-bit hash of a client's key; ``NO_CLIENT`` for an empty one.
+def hash_client_key(key: str) -> int:
+    """Return a 64-bit hash of a client's key; ``NO_CLIENT_HASH`` for an empty one.
 
-    Two clients that share a hash are at worst both left alone.
+    A collision is harmless: at worst neither of the two clients is migrated.
     """
     if not key:
-        return NO_CLIENT
+        return NO_CLIENT_HASH
     digest = blake2b(key.encode(), digest_size=CLIENT_HASH_BYTES).digest()
     return int.from_bytes(digest, "big") or 1
 
 
 @dataclass(frozen=True, slots=True)
 class MigrationRecord:
-    """A client's last migration. Instants are of the relay's time."""
+    """Last migration of a client. Times are in the relay's time."""
 
     migrated_ms: float
-    source_endpoint: str  # empty where another relay has migrated the client
-    migration_count: int  # recent migrations of this client, this one included
-    excluded_until_ms: float  # not to be migrated again before
+    source_endpoint: str  # empty if the client reported the migration itself, perhaps by another relay
+    migration_count: int  # consecutive recent migrations of this client, including this one
+    excluded_until_ms: float  # earliest time of the next migration
     by_planner: bool
 
 
 class MigrationHistory:
-    """Remembers migrated clients by the hashes of their keys, ``RebalanceOptions.remember`` at most.
+    """Record of at most ``RebalanceOptions.remember`` migrated clients, by the hashes of their keys.
 
-    No client is forgotten early: without capacity for another, the planner migrates nobody.
+    The planner's migrations evict no record: while the history is full, the planner migrates nobody.
     """
 
     def __init__(self, options: RebalanceOptions) -> None:
         self.options = options
-        self._records: dict[int, MigrationRecord] = {}  # in the order of the migrations
-        self._return_deadlines_ms: dict[int, float] = {}  # of clients that are awaited, in the same order
+        self._records: dict[int, MigrationRecord] = {}  # ordered by time of migration
+        # Deadlines of the clients that have yet to reconnect, in the same order.
+        self._return_deadlines_ms: dict[int, float] = {}
 
     def __len__(self) -> int:
         return len(self._records)
 
     @property
     def in_flight_count(self) -> int:
-        """The number of migrated clients that are still awaited."""
+        """Number of migrated clients that have yet to reconnect and are not overdue."""
         return len(self._return_deadlines_ms)
 
-    def is_in_flight(self, client: int) -> bool:
-        """Whether a client was migrated and is still awaited."""
-        return client in self._return_deadlines_ms
+    def is_in_flight(self, client_hash: int) -> bool:
+        """Return True if a client was migrated, has yet to reconnect and is not overdue."""
+        return client_hash in self._return_deadlines_ms
 
-    def may_migrate(self, client: int, now_ms: float) -> bool:
-        """Whether a client may be migrated. One without a key can't be recognised later: it may not."""
-        if client == NO_CLIENT:
+    def may_migrate(self, client_hash: int, now_ms: float) -> bool:
+        """Return True if a client may be migrated. One without a key may not: it can't be recognised."""
+        if client_hash == NO_CLIENT_HASH:
             return False
-        record = self._records.get(client)
+        record = self._records.get(client_hash)
         return record is None or now_ms >= record.excluded_until_ms
 
-    def has_capacity_for(self, clients: int) -> bool:
-        """Whether so many more clients can be remembered."""
-        return len(self._records) + clients <= self.options.remember
+    def has_capacity_for(self, client_count: int) -> bool:
+        """Return True if the history has capacity for this number of additional clients."""
+        return len(self._records) + client_count <= self.options.remember
 
-    def last_migration(self, client: int) -> MigrationRecord | None:
-        """Returns a client's last migration; None if none is remembered."""
-        return self._records.get(client)
+    def last_migration(self, client_hash: int) -> MigrationRecord | None:
+        """Return a client's last migration; None if there is no record of one."""
+        return self._records.get(client_hash)
 
-    def record_migration(self, client: int, source_endpoint: str, now_ms: float, by_planner: bool) -> None:
-        """Records that a client is asked to reconnect, by the planner or by others."""
-        if client == NO_CLIENT:
+    def record_migration(
+        self, client_hash: int, source_endpoint: str, now_ms: float, by_planner: bool
+    ) -> None:
+        """Record that a client is asked to reconnect, by the planner or by the balancer or a drain."""
+        if client_hash == NO_CLIENT_HASH:
             return
-        count = self._next_migration_count(self._records.pop(client, None), now_ms)
+        count = self._next_migration_count(self._records.pop(client_hash, None), now_ms)
         backoff_s = self.options.again_s * 2.0 ** min(count - 1, MAX_BACKOFF_DOUBLINGS)
         excluded_until_ms = now_ms + min(self.options.again_most_s, backoff_s) * 1000.0
         while len(self._records) >= self.options.remember:
-            # Reached only by migrations by others, which are never delayed.
+            # Only migrations by the balancer or a drain get here, since they are never delayed.
             del self._records[next(iter(self._records))]
-        self._records[client] = MigrationRecord(now_ms, source_endpoint, count, excluded_until_ms, by_planner)
-        self._return_deadlines_ms.pop(client, None)  # to the end of the order
-        self._return_deadlines_ms[client] = now_ms + self.options.back_within_s * 1000.0
+        self._records[client_hash] = MigrationRecord(
+            now_ms, source_endpoint, count, excluded_until_ms, by_planner
+        )
+        self._return_deadlines_ms.pop(client_hash, None)  # moves the client to the end of the order
+        self._return_deadlines_ms[client_hash] = now_ms + self.options.back_within_s * 1000.0
 
-    def record_reported_migration(self, client: int, now_ms: float) -> None:
-        """Records a client that reports to have been migrated or disconnected, perhaps by another relay.
+    def record_reported_migration(self, client_hash: int, now_ms: float) -> None:
+        """Record a client that reports that it was migrated or disconnected, perhaps by another relay.
 
-        It is not migrated again for a time, as if this relay had migrated it. Without capacity it is not
-        remembered.
+        The client is not migrated again for ``RebalanceOptions.again_s``, as if this relay had migrated it.
+        If the history is full, nothing is recorded.
         """
-        if client == NO_CLIENT or client in self._records or not self.has_capacity_for(1):
+        if client_hash == NO_CLIENT_HASH or client_hash in self._records or not self.has_capacity_for(1):
             return
         excluded_until_ms = now_ms + self.options.again_s * 1000.0
-        self._records[client] = MigrationRecord(now_ms, "", 1, excluded_until_ms, by_planner=False)
+        self._records[client_hash] = MigrationRecord(now_ms, "", 1, excluded_until_ms, by_planner=False)
 
-    def record_return(self, client: int) -> MigrationRecord | None:
-        """Records that a client is established. Returns its migration; None if it was not awaited."""
-        if self._return_deadlines_ms.pop(client, None) is None:
+    def record_return(self, client_hash: int) -> MigrationRecord | None:
+        """Record that a client is established. Return its migration; None if it was not in flight."""
+        if self._return_deadlines_ms.pop(client_hash, None) is None:
             return None
-        return self._records.get(client)
+        return self._records.get(client_hash)
 
     def expire_in_flight(self, now_ms: float) -> int:
-        """Stops awaiting the clients that have not returned in time. Returns how many they are."""
+        """Stop waiting for the clients that have not reconnected in time. Return their number."""
         overdue = []
-        for client, deadline_ms in self._return_deadlines_ms.items():
+        for client_hash, deadline_ms in self._return_deadlines_ms.items():
             if deadline_ms > now_ms:
                 break
-            overdue.append(client)
-        for client in overdue:
-            del self._return_deadlines_ms[client]
+            overdue.append(client_hash)
+        for client_hash in overdue:
+            del self._return_deadlines_ms[client_hash]
         return len(overdue)
 
     def prune(self, now_ms: float) -> None:
-        """Forgets, once the history is half full, the clients that may be migrated again."""
+        """If the history is at least half full, remove the clients that may be migrated again."""
         if len(self._records) < self.options.remember // 2:
             return
-        expired = [client for client, record in self._records.items() if now_ms >= record.excluded_until_ms]
-        for client in expired:
-            del self._records[client]
-            self._return_deadlines_ms.pop(client, None)
+        expired = [
+            client_hash for client_hash, record in self._records.items() if now_ms >= record.excluded_until_ms
+        ]
+        for client_hash in expired:
+            del self._records[client_hash]
+            self._return_deadlines_ms.pop(client_hash, None)
 
     def _next_migration_count(self, previous: MigrationRecord | None, now_ms: float) -> int:
         max_exclusion_ms = self.options.again_most_s * 1000.0
--- a/sageturn/rebalance/migration_round.py
+++ b/sageturn/rebalance/migration_round.py
@@ -1,4 +1,4 @@
-"""The migrations of one tick, within the fleet's capacity, the rate and the history's capacity."""
+"""Collects one tick's migrations within the limits of fleet capacity, migration rate and history size."""
 
 from __future__ import annotations
 
@@ -12,30 +12,31 @@
 from sageturn.rebalance.plan import Migration
 from sageturn.rebalance.rate_controller import MigrationRateController
 
-MAX_MIGRATION_CAPACITY_RATIO = 0.5  # of the endpoints' capacity for set-ups; new clients need the rest
+# Fraction of the endpoints' set-up capacity that migrations may use; new clients need the rest.
+MAX_MIGRATION_CAPACITY_RATIO = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class MigrationCapacity:
-    """How many set-ups migrated clients may take.
+    """Number of connection set-ups that migrated clients may use.
 
-    A client in flight arrives somewhere soon. One that went to another relay counts until it is no longer
-    awaited, since a client that another relay has migrated may arrive here in its place.
+    A client in flight, one that has yet to reconnect, uses one set-up. If it reconnects to another relay, it
+    counts until its deadline, because a client that another relay migrated may connect here instead.
     """
 
     total: int
-    available: int  # beyond those in flight
+    available: int  # ``total`` less the clients in flight; may be negative
 
     @classmethod
-    def of(cls, endpoints: Sequence[EndpointSnapshot], in_flight_count: int) -> MigrationCapacity:
-        """Returns the capacity that the endpoints have now, with so many clients in flight."""
+    def from_endpoints(cls, endpoints: Sequence[EndpointSnapshot], in_flight_count: int) -> MigrationCapacity:
+        """Return the capacity that the endpoints have now, given the number of clients in flight."""
         setups = sum(endpoint.available_capacity for endpoint in endpoints if endpoint.ready)
         total = int(MAX_MIGRATION_CAPACITY_RATIO * setups)
         return cls(total, total - in_flight_count)
 
 
 class MigrationRound:
-    """Collects a tick's migrations; a dry run takes tokens, but begins no migration."""
+    """Migrations collected in one tick; a dry run consumes tokens, but begins no migration."""
 
     def __init__(
         self,
@@ -53,13 +54,13 @@
         self._dry_run = dry_run
 
     def try_add(self, batch: MigrationBatch, reason: str) -> str | None:
-        """Adds a batch if it may go now. Returns what it has to wait for otherwise, for operators."""
-        waiting_for = self._acquire(batch)
-        if waiting_for is None:
+        """Add a batch if it may be migrated now. Otherwise return why it waits, as a text for operators."""
+        wait_reason = self._try_acquire(batch)
+        if wait_reason is None:
             self._add(batch, reason)
-        return waiting_for
+        return wait_reason
 
-    def _acquire(self, batch: MigrationBatch) -> str | None:
+    def _try_acquire(self, batch: MigrationBatch) -> str | None:
         count = len(batch.request_ids)
         history = self._tracker.history
         if self._available_capacity < count:
--- a/sageturn/rebalance/options.py
+++ b/sageturn/rebalance/options.py
@@ -1,4 +1,4 @@
-"""The operator's settings for rebalancing."""
+"""Operator's settings for rebalancing."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class RebalanceMode(StrEnum):
-    """Whether migrations are planned and made; the values are those of the operator's file."""
+    """Extent to which migrations are planned and carried out; the values appear in the operator's file."""
 
     OFF = "off"
     DRY_RUN = "dry-run"
@@ -20,13 +20,13 @@
 
 
 class QuietSpan(NamedTuple):
-    """A span of the UTC day, in minutes from midnight; one that ends before it begins passes midnight."""
+    """Span of the UTC day, in minutes from midnight; if the end is before the begin, it spans midnight."""
 
     begin_minute: int
-    end_minute: int  # not included
+    end_minute: int  # exclusive
 
     def contains(self, minute: int) -> bool:
-        """Whether ``minute`` of the UTC day is within the span."""
+        """Return True if ``minute`` of the UTC day is within the span."""
         if self.begin_minute <= self.end_minute:
             return self.begin_minute <= minute < self.end_minute
         return minute >= self.begin_minute or minute < self.end_minute
@@ -34,27 +34,28 @@
 
 @dataclass(frozen=True, slots=True)
 class RebalanceOptions:
-    """The section ``rebalance`` of the operator's file; the field names are its keys.
+    """Section ``rebalance`` of the operator's file; the field names are its keys.
 
-    Times are in seconds, and ratios against the mean utilization of the fleet.
+    Times are in seconds. A ratio is an endpoint's utilization divided by the mean. ``start`` and ``stop``
+    also apply to the emptiest endpoint, at twice the distance from 1.
     """
 
-    mode: str = RebalanceMode.OFF  # a ``RebalanceMode``
-    start: float = 1.10  # the fullest endpoint's ratio at which migrating starts
-    stop: float = 1.04  # the fullest endpoint's ratio at which migrating stops
-    part_per_min: float = 0.10  # of a relay's own connections, migrated in a minute at most
-    fleet_per_s: float = 0.0  # migrations per second of all relays together at most; 0: no bound
-    burst: int = 32  # migrations at once at most, and connections of a group that is migrated
+    mode: str = RebalanceMode.OFF  # value of a ``RebalanceMode``
+    start: float = 1.10  # migration starts if the fullest endpoint's ratio exceeds this
+    stop: float = 1.04  # migration stops once the fullest endpoint's ratio is at most this
+    part_per_min: float = 0.10  # maximum fraction of a relay's own connections migrated per minute
+    fleet_per_s: float = 0.0  # maximum migrations per second of all relays together; 0: no limit
+    burst: int = 32  # maximum migrations at once, and maximum connections of a migrated group
     least_age_s: float = 5.0  # younger connections are not migrated
-    again_s: float = 300.0  # minimum time between two migrations of a client, doubled with each
+    again_s: float = 300.0  # minimum time between two migrations of a client, doubled with each migration
     again_most_s: float = 3600.0  # upper bound of the doubled ``again_s``
-    back_within_s: float = 10.0  # a migrated client not back by then is taken for lost or gone elsewhere
+    back_within_s: float = 10.0  # time until a migrated client that has not reconnected is overdue
     keep_classes: frozenset[str] = frozenset({"guest-checkin"})  # never migrated
     keep_tenants: frozenset[str] = frozenset()  # never migrated
-    quiet_hours: tuple[QuietSpan, ...] = ()  # without migrations for the sake of balance
-    tick_s: float = 1.0
-    remember: int = 8192  # migrated clients remembered; while there are so many, nobody is migrated
+    quiet_hours: tuple[QuietSpan, ...] = ()  # no migrations for balance; evacuations continue
+    tick_s: float = 1.0  # interval of the planner's ticks
+    remember: int = 8192  # capacity of the migration history; while it is full, nobody is migrated
 
     def is_quiet_at(self, minute: int) -> bool:
-        """Whether ``minute`` of the UTC day is within quiet hours."""
+        """Return True if ``minute`` of the UTC day is within quiet hours."""
         return any(span.contains(minute) for span in self.quiet_hours)
--- a/sageturn/rebalance/overload_detector.py
+++ b/sageturn/rebalance/overload_detector.py
@@ -10,97 +10,99 @@
 from sageturn.rebalance.decaying_counter import DecayingCounter
 from sageturn.rebalance.overload_signals import OverloadSignal
 
-EVENT_TIME_CONSTANT_MS = 5000.0  # a few round trips of a migration
-RETURN_TIME_CONSTANT_MS = 20000.0  # longer: migrations are rare
+# Time constants of the decaying counters.
+EVENT_TIME_CONSTANT_MS = 5000.0  # spans a few migrations with their reconnections
+RETURN_TIME_CONSTANT_MS = 20000.0  # longer than the other, because migrations are rare
 
 # Thresholds of the signals, on decayed counts of events and their ratios.
-MIN_LATE_SETUPS = 2.0
-MIN_LATE_SETUP_RATIO = 0.1  # of all set-ups
-MIN_REJECTIONS = 0.5  # a single recent one is a signal
+MIN_SLOW_SETUPS = 2.0
+MIN_SLOW_SETUP_RATIO = 0.1  # fraction of all set-ups
+MIN_REJECTIONS = 0.5  # one recent rejection is enough
 MIN_OUTAGE_REJECTIONS = 3.0
-MIN_OUTAGE_REJECTION_RATIO = 0.2  # of all requests
+MIN_OUTAGE_REJECTION_RATIO = 0.2  # fraction of all requests
 MIN_RESETS = 1.5
-MIN_RESET_RATIO = 0.005  # of established connections
+MIN_RESET_RATIO = 0.005  # fraction of the established connections
 MIN_OUTAGE_RESETS = 4.0
-MIN_OUTAGE_RESET_RATIO = 0.03  # of established connections
-MIN_CONNECT_FAILURES = 1.5  # more than one, which an endpoint's regular end may cause
-MIN_EXPECTED_RETURNS = 4.0
-MIN_RETURN_RATIO = 0.5  # of the returns expected
-RETURN_RATIO_GAIN = 0.02  # weight of one client in the learned return ratio
-MIN_LEARNED_RETURN_SHARE = 0.5  # of the return ratio's initial value
+MIN_OUTAGE_RESET_RATIO = 0.03  # fraction of the established connections
+MIN_CONNECT_FAILURES = 1.5  # a regular shutdown of an endpoint may cause one failure
+MIN_EXPECTED_RETURNS = 4.0  # a smaller number says too little for a signal
+MIN_RETURN_RATIO = 0.5  # fraction of the expected returns; with fewer, clients are missing
+RETURN_RATIO_SMOOTHING_FACTOR = 0.02  # weight of one client in the learned return ratio
+MIN_LEARNED_RETURN_SHARE = 0.5  # lower bound, as a fraction of the return ratio's initial value
 
-MAX_DRAIN_SIGNAL_MS = 60000.0  # per endpoint; a longer drain releases its clients slowly
-ENDPOINT_LOSS_SIGNAL_MS = 8000.0  # its clients have reconnected by then
+MAX_DRAIN_SIGNAL_MS = 60000.0  # limit per endpoint; a longer drain releases its clients slowly
+ENDPOINT_LOSS_SIGNAL_MS = 8000.0  # time in which the lost endpoint's clients reconnect
 
 
 class OverloadDetector:
-    """Counts events with decay and reports which signals hold.
+    """Detector of overload signals, based on decaying counts of events.
 
-    ``expected_return_ratio`` is the part of migrated clients that reconnect to this relay; the others reach
-    another relay. It is learned from the returns that are seen.
+    ``expected_return_ratio`` is the expected fraction of migrated clients that reconnect to this relay; the
+    others reconnect to another relay. It is learned from the observed returns.
     """
 
     def __init__(self, expected_return_ratio: float) -> None:
         self.set_expected_return_ratio(expected_return_ratio)
-        self.seen: Counter[OverloadSignal] = Counter()  # evaluations in which each signal held
+        # Number of evaluations in which each signal held.
+        self.signal_counts: Counter[OverloadSignal] = Counter()
         self._requests = DecayingCounter(EVENT_TIME_CONSTANT_MS)
         self._setups = DecayingCounter(EVENT_TIME_CONSTANT_MS)
-        self._late_setups = DecayingCounter(EVENT_TIME_CONSTANT_MS)
+        self._slow_setups = DecayingCounter(EVENT_TIME_CONSTANT_MS)
         self._rejections = DecayingCounter(EVENT_TIME_CONSTANT_MS)
         self._resets = DecayingCounter(EVENT_TIME_CONSTANT_MS)
         self._connect_failures = DecayingCounter(EVENT_TIME_CONSTANT_MS)
         self._returns = DecayingCounter(RETURN_TIME_CONSTANT_MS)
-        self._missing = DecayingCounter(RETURN_TIME_CONSTANT_MS)
+        self._missing_clients = DecayingCounter(RETURN_TIME_CONSTANT_MS)
         self._endpoint_list_failed = False
         self._endpoints: dict[str, EndpointSnapshot] = {}
         self._draining_since_ms: dict[str, float] = {}
-        self._endpoint_lost_ms: float | None = None  # when an endpoint was last lost
+        self._endpoint_lost_ms: float | None = None  # time at which an endpoint was last lost; None: never
 
     def set_expected_return_ratio(self, ratio: float) -> None:
-        """Restarts learning from ``ratio``, the part that returns to this relay by chance alone."""
+        """Restart learning from ``ratio``, the fraction of clients that return to this relay by chance."""
         self.expected_return_ratio = ratio
-        # Bounded below: were it to fall with every outage, the next one would go unnoticed.
+        # Without a lower bound each outage would reduce the ratio, until the next one went undetected.
         self._min_return_ratio = ratio * MIN_LEARNED_RETURN_SHARE
 
     # ------------------------------------------------------------ events
 
     def record_request(self, now_ms: float) -> None:
-        """Counts a client's request for a connection."""
+        """Count a client's request for a connection."""
         self._requests.add(now_ms)
 
-    def record_established(self, now_ms: float, late: bool) -> None:
-        """Counts a connection that was set up; ``late``: beyond its class's latency objective."""
+    def record_established(self, now_ms: float, is_slow: bool) -> None:
+        """Count a connection that was set up; ``is_slow`` if it exceeded its class's latency objective."""
         self._setups.add(now_ms)
-        if late:
-            self._late_setups.add(now_ms)
+        if is_slow:
+            self._slow_setups.add(now_ms)
 
     def record_rejection(self, now_ms: float) -> None:
-        """Counts a request that was rejected or has failed."""
+        """Count a request that was rejected or has failed."""
         self._rejections.add(now_ms)
 
     def record_reset(self, now_ms: float) -> None:
-        """Counts an established connection that its endpoint has reset."""
+        """Count an established connection that its endpoint has reset."""
         self._resets.add(now_ms)
 
     def record_connect_failure(self, now_ms: float) -> None:
-        """Counts an attempt to connect to an endpoint that failed or timed out."""
+        """Count an attempt to connect to an endpoint that failed or timed out."""
         self._connect_failures.add(now_ms)
 
     def record_endpoint_list(self, failed: bool) -> None:
-        """Notes that the endpoint list was updated, or that its watch has failed."""
+        """Record that the endpoint list was updated, or that its watch has failed."""
         self._endpoint_list_failed = failed
 
     def record_return(self, now_ms: float) -> None:
-        """Counts a migrated client that has reconnected to this relay."""
+        """Count a migrated client that has reconnected to this relay."""
         self._returns.add(now_ms)
-        self.expected_return_ratio += RETURN_RATIO_GAIN * (1.0 - self.expected_return_ratio)
+        self.expected_return_ratio += RETURN_RATIO_SMOOTHING_FACTOR * (1.0 - self.expected_return_ratio)
 
-    def record_missing(self, now_ms: float, clients: int) -> None:
-        """Counts migrated clients that have not reconnected to this relay in time."""
-        if not clients:
+    def record_missing(self, now_ms: float, client_count: int) -> None:
+        """Count migrated clients that have not reconnected to this relay in time."""
+        if not client_count:
             return
-        self._missing.add(now_ms, clients)
-        learned = self.expected_return_ratio * (1.0 - RETURN_RATIO_GAIN) ** clients
+        self._missing_clients.add(now_ms, client_count)
+        learned = self.expected_return_ratio * (1.0 - RETURN_RATIO_SMOOTHING_FACTOR) ** client_count
         self.expected_return_ratio = max(self._min_return_ratio, learned)
 
     # ------------------------------------------------------------ evaluation
@@ -112,20 +114,20 @@
         endpoints: Iterable[EndpointSnapshot],
         out_of_service: frozenset[str] = frozenset(),
     ) -> list[OverloadSignal]:
-        """Returns the signals that hold now, in their order of precedence. To be called once a tick.
+        """Return the signals that hold now, in their order of precedence. To be called once a tick.
 
         Args:
             now_ms: The relay's time.
             connections: This relay's connections.
-            endpoints: All endpoints as the balancer sees them.
-            out_of_service: The endpoints that an operator has removed: they look like draining ones, but
-                are no signal.
+            endpoints: Snapshots of all endpoints.
+            out_of_service: The endpoints that an operator has taken out of service: they count as draining
+                in the snapshots, but are no signal.
         """
         self._observe_endpoints(now_ms, connections, endpoints, out_of_service)
         conditions = (
             (OverloadSignal.ENDPOINT_LIST_FAILED, self._endpoint_list_failed),
             (OverloadSignal.ENDPOINT_LOST, self._was_endpoint_lost(now_ms)),
-            (OverloadSignal.ENDPOINT_DRAINING, self._is_draining(now_ms)),
+            (OverloadSignal.ENDPOINT_DRAINING, self._is_any_endpoint_draining(now_ms)),
             (OverloadSignal.REJECTION_OUTAGE, self._is_rejecting_many(now_ms)),
             (
                 OverloadSignal.RESET_OUTAGE,
@@ -138,18 +140,18 @@
                 OverloadSignal.CONNECT_FAILURES,
                 self._connect_failures.value_at(now_ms) >= MIN_CONNECT_FAILURES,
             ),
-            (OverloadSignal.LATE_SETUPS, self._has_late_setups(now_ms)),
+            (OverloadSignal.SLOW_SETUPS, self._has_slow_setups(now_ms)),
             (OverloadSignal.MISSING_CLIENTS, self._are_returns_missing(now_ms)),
         )
         signals = [signal for signal, holds in conditions if holds]
-        self.seen.update(signals)
+        self.signal_counts.update(signals)
         return signals
 
     def _was_endpoint_lost(self, now_ms: float) -> bool:
         lost_ms = self._endpoint_lost_ms
         return lost_ms is not None and now_ms < lost_ms + ENDPOINT_LOSS_SIGNAL_MS
 
-    def _is_draining(self, now_ms: float) -> bool:
+    def _is_any_endpoint_draining(self, now_ms: float) -> bool:
         return any(now_ms < since_ms + MAX_DRAIN_SIGNAL_MS for since_ms in self._draining_since_ms.values())
 
     def _is_rejecting_many(self, now_ms: float) -> bool:
@@ -163,13 +165,13 @@
         established = max(1, len(connections))
         return self._resets.value_at(now_ms) >= max(min_resets, min_ratio * established)
 
-    def _has_late_setups(self, now_ms: float) -> bool:
-        late = self._late_setups.value_at(now_ms)
-        return late >= MIN_LATE_SETUPS and late >= MIN_LATE_SETUP_RATIO * self._setups.value_at(now_ms)
+    def _has_slow_setups(self, now_ms: float) -> bool:
+        slow = self._slow_setups.value_at(now_ms)
+        return slow >= MIN_SLOW_SETUPS and slow >= MIN_SLOW_SETUP_RATIO * self._setups.value_at(now_ms)
 
     def _are_returns_missing(self, now_ms: float) -> bool:
         returned = self._returns.value_at(now_ms)
-        awaited = returned + self._missing.value_at(now_ms)
+        awaited = returned + self._missing_clients.value_at(now_ms)
         if awaited * self.expected_return_ratio < MIN_EXPECTED_RETURNS:
             return False
         return returned < MIN_RETURN_RATIO * self.expected_return_ratio * awaited
@@ -183,7 +185,7 @@
         endpoints: Iterable[EndpointSnapshot],
         out_of_service: frozenset[str],
     ) -> None:
-        """Notes which endpoints were lost since the last tick, and since when each of this relay's drains."""
+        """Record losses since the last tick, and since when endpoints with this relay's connections drain."""
         current = {endpoint.name: endpoint for endpoint in endpoints}
         if any(self._is_lost(previous, current) for previous in self._endpoints.values()):
             self._endpoint_lost_ms = now_ms
@@ -198,7 +200,7 @@
 
     @staticmethod
     def _is_lost(previous: EndpointSnapshot, current: dict[str, EndpointSnapshot]) -> bool:
-        """Whether an endpoint has gone without draining, or has restarted."""
+        """Return True if an endpoint was removed without draining, or has restarted."""
         endpoint = current.get(previous.name)
         if endpoint is None:
             return not previous.draining
--- a/sageturn/rebalance/overload_signals.py
+++ b/sageturn/rebalance/overload_signals.py
@@ -1,4 +1,4 @@
-"""The conditions under which migrating more clients would do harm."""
+"""Overload signals: conditions under which further migrations would do harm."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 class OverloadSignal(StrEnum):
-    """A reason to slow down or stop migrations; the values are the names in the stored state."""
+    """Reason to slow down or stop migrations; the values are the names in the stored state."""
 
-    LATE_SETUPS = "late"
+    SLOW_SETUPS = "late"
     REJECTIONS = "refused"
     RESETS = "reset"
     CONNECT_FAILURES = "unreachable"
@@ -22,12 +22,12 @@
 
     @property
     def explanation(self) -> str:
-        """The signal in words, for operators."""
+        """Text that explains the signal to operators."""
         return _EXPLANATIONS[self]
 
 
 _EXPLANATIONS = {
-    OverloadSignal.LATE_SETUPS: "set-ups take longer than their class wants: moved clients would add to them",
+    OverloadSignal.SLOW_SETUPS: "set-ups take longer than their class wants: moved clients would add to them",
     OverloadSignal.REJECTIONS: "clients fail fast: who is moved now may stay out",
     OverloadSignal.RESETS: "hosts break standing connections: they are beyond what they can do",
     OverloadSignal.CONNECT_FAILURES: "calls to hosts fail: where the moved would land is not sure",
@@ -42,7 +42,7 @@
     OverloadSignal.RESET_OUTAGE: "many connections break: an outage",
 }
 
-# While one of these holds nothing is migrated, and migration starts slowly afterwards.
+# While one of these signals holds, nothing is migrated; migration then resumes at a low rate.
 STOP_SIGNALS = frozenset(
     {
         OverloadSignal.ENDPOINT_LIST_FAILED,
--- a/sageturn/rebalance/plan.py
+++ b/sageturn/rebalance/plan.py
@@ -1,4 +1,4 @@
-"""The plan that the planner makes at each tick."""
+"""Plan that the planner makes at each tick."""
 
 from __future__ import annotations
 
@@ -7,25 +7,25 @@
 
 
 class PlanPhase(StrEnum):
-    """The planner's activity. The values appear in the stored state and in the operators' pages."""
+    """Planner's activity in a tick; the values appear in the stored state and on the operators' pages."""
 
     NOT_PLANNED = ""
-    STOPPING = "stopping"  # the relay itself shuts down
-    EVACUATING = "clearing"  # empties endpoints that an operator clears
+    STOPPING = "stopping"  # the relay shuts down and migrates all clients itself
+    EVACUATING = "clearing"  # migrates everything off endpoints at an operator's request
     OFF = "off"
     QUIET = "quiet"  # quiet hours
     BALANCED = "balanced"
-    HELD = "held"  # an overload signal, or settling after a start
-    UNREACHABLE = "unreachable"  # what is left may not be migrated
-    USELESS = "useless"  # migrated clients land at endpoints that are as full
-    WAITING = "waiting"  # for tokens, capacity, or connections to become old enough
+    HELD = "held"  # stopped by an overload signal, or by the settling time after a start
+    UNREACHABLE = "unreachable"  # imbalanced, but nothing may be migrated, and waiting would not help
+    USELESS = "useless"  # migrated clients are placed on endpoints that are as full
+    WAITING = "waiting"  # waits for tokens, capacity, or connections that become eligible with time
     DRY_RUN = "dry-run"
     BALANCING = "balancing"
 
 
 @dataclass(frozen=True, slots=True)
 class Migration:
-    """A connection whose client is to be asked to reconnect."""
+    """Connection whose client is to be asked to reconnect."""
 
     request_id: int
     reason: str
@@ -33,9 +33,9 @@
 
 @dataclass(frozen=True, slots=True)
 class MigrationPlan:
-    """The migrations of a tick, and an explanation in one line for the operator.
+    """Migrations of one tick, with a one-line explanation for operators.
 
-    ``PlanPhase.DRY_RUN`` is the one phase whose migrations are not to be made.
+    The migrations are to be carried out, except in ``PlanPhase.DRY_RUN``.
     """
 
     migrations: tuple[Migration, ...]
@@ -44,8 +44,8 @@
 
 
 def empty_plan(phase: PlanPhase, explanation: str) -> MigrationPlan:
-    """Returns a plan without migrations."""
+    """Return a plan without migrations."""
     return MigrationPlan((), phase, explanation)
 
 
-NO_PLAN = MigrationPlan((), PlanPhase.NOT_PLANNED, "")  # before the first tick
+NO_PLAN = MigrationPlan((), PlanPhase.NOT_PLANNED, "")  # plan in force until the first tick
--- a/sageturn/rebalance/planner.py
+++ b/sageturn/rebalance/planner.py
@@ -1,7 +1,7 @@
-"""Decides which clients are asked to reconnect. Where they land is decided by the balancer.
+"""Decides which clients are asked to reconnect. The balancer decides where they are placed.
 
-No I/O and no clock: the balancer's own events and actions are passed in, and at each tick the endpoints as
-the balancer sees them. The result is a plan; the same input gives the same plan.
+The module does no I/O and reads no clock. Its input is the balancer's events and actions, and snapshots of
+the endpoints at each tick. Its output is a plan; the same input and seed give the same plans.
 """
 
 from __future__ import annotations
@@ -28,12 +28,12 @@
 from sageturn.rebalance.state import RebalanceState, encode_state
 from sageturn.rebalance.tick_context import TickContext
 
-UNREACHABLE_PAUSE_MS = 30000.0  # what blocks every batch may have changed by then
-USELESS_PAUSE_MS = 60000.0
+UNREACHABLE_PAUSE_MS = 30000.0  # time in which the conditions that block every batch may change
+USELESS_PAUSE_MS = 60000.0  # pause after too many landings that were not useful
 
 
 class RebalancePlanner:
-    """Plans migrations at each tick, from what it observes of the balancer in between.
+    """Planner of migrations, which observes the balancer between its ticks.
 
     It is a ``BalancerObserver``: the balancer's actor calls ``before_event``, ``after_event`` and
     ``on_migrated_by_others``.
@@ -45,16 +45,16 @@
         self.rate_controller = MigrationRateController(options, settings.relay_count, Random(seed))
         self.fleet = FleetUtilization(settings)
         self.restrictions = EndpointRestrictions()
-        self.block_counts: Counter[BlockReason] = Counter()  # as of the last tick that looked for batches
+        self.block_counts: Counter[BlockReason] = Counter()  # counts of the last tick that sought batches
         self._options = options
         self._is_balancing = False
-        self._late_returns = 0  # as of the last tick
+        self._slow_returns = 0  # value of ``RETURNED_SLOWLY`` at the last tick
         self._paused_until_ms = 0.0
         self._pause_plan = NO_PLAN
 
     @property
     def options(self) -> RebalanceOptions:
-        """The operator's settings; new ones apply from the next tick on."""
+        """Operator's settings; new ones apply from the next tick on."""
         return self._options
 
     @options.setter
@@ -62,37 +62,37 @@
         self._options = options
         self.tracker.set_options(options)
         self.rate_controller.options = options
-        self._paused_until_ms = 0.0  # what could not be done may be possible now
+        self._paused_until_ms = 0.0  # new settings may allow what was blocked
 
     @property
     def connections(self) -> ConnectionTable:
-        """This relay's connections."""
+        """Table of this relay's connections."""
         return self.tracker.connections
 
     @property
     def history(self) -> MigrationHistory:
-        """The clients that were migrated."""
+        """Record of the clients that were migrated."""
         return self.tracker.history
 
     @property
     def overload_detector(self) -> OverloadDetector:
-        """The signals that speak against migrating."""
+        """Detector of the signals that slow down or stop migration."""
         return self.tracker.overload_detector
 
     @property
     def counts(self) -> Counter[str]:
-        """The counts since the start, by the names in the stored state (``MigrationCount``)."""
+        """Counts since the start, by the names in the stored state (``MigrationCount``)."""
         return self.tracker.counts
 
     # ------------------------------------------------------------ BalancerObserver
 
     def before_event(self, now_ms: float, event: decision.Event) -> None:
-        """Adds to a request that its client was migrated recently, for the balancer to take into account."""
+        """Add to a request that its client was migrated recently, so that the balancer considers it."""
         if isinstance(event, decision.RequestArrived) and len(self.history):
             hint_recent_migration(event, self.tracker, self.restrictions.rebalance_excluded)
 
     def after_event(self, now_ms: float, event: decision.Event, actions: Sequence[decision.Action]) -> None:
-        """Tracks an event that the balancer has handled, and the balancer's decisions."""
+        """Track an event that the balancer has handled, and the actions that resulted from it."""
         self.tracker.on_event(now_ms, event)
         for action in actions:
             match action:
@@ -102,8 +102,8 @@
                     self.on_migrated_by_others(now_ms, request_id)
 
     def on_migrated_by_others(self, now_ms: float, request_id: int) -> None:
-        """Charges a migration by the balancer or a drain, which is never delayed, to the same budget."""
-        if request_id not in self.tracker.migrating:
+        """Charge the token bucket for a migration by the balancer or a drain, which is never delayed."""
+        if request_id not in self.tracker.migrating_request_ids:
             self.counts[MigrationCount.BY_OTHERS] += 1
             self.rate_controller.charge(1)
             self.tracker.begin_migration(now_ms, request_id, by_planner=False)
@@ -113,19 +113,19 @@
     def tick(
         self, now_ms: float, endpoints: Sequence[EndpointSnapshot], minute: int, stopping: bool = False
     ) -> MigrationPlan:
-        """Decides which connections are migrated now.
+        """Decide which connections are migrated now.
 
         Args:
             now_ms: The relay's time.
-            endpoints: All endpoints as the balancer sees them.
-            minute: The minute of the UTC day, by which quiet hours go.
-            stopping: Whether the relay itself shuts down, and migrates everyone.
+            endpoints: Snapshots of all endpoints.
+            minute: The minute of the UTC day, for quiet hours.
+            stopping: True if the relay shuts down and migrates all clients itself.
         """
         self._update_rate(now_ms, endpoints)
         if self.fleet.update(self.connections, endpoints):
-            # Clients return through their zone's relays: a relay that is alone there sees all of them again.
+            # Clients reconnect through a relay of their zone: all through this one if it is the only one.
             self.overload_detector.set_expected_return_ratio(1.0 / self.fleet.relays_per_zone)
-        self.tracker.ratios = self.fleet.ratios_by_endpoint()
+        self.tracker.utilization_ratios = self.fleet.ratios_by_endpoint()
         if stopping:
             return empty_plan(PlanPhase.STOPPING, "the relay leaves and moves everyone itself")
         context = TickContext(
@@ -141,13 +141,13 @@
         signals = self.overload_detector.evaluate(
             now_ms, self.connections, endpoints, self.restrictions.out_of_service
         )
-        late_returns = self.counts[MigrationCount.RETURNED_LATE]
-        no_late_returns = late_returns == self._late_returns
-        self._late_returns = late_returns
-        self.rate_controller.update(now_ms, len(self.connections), signals, no_late_returns)
+        slow_returns = self.counts[MigrationCount.RETURNED_SLOWLY]
+        no_slow_returns = slow_returns == self._slow_returns
+        self._slow_returns = slow_returns
+        self.rate_controller.update(now_ms, len(self.connections), signals, no_slow_returns)
 
     def _plan_without_migrations(self, now_ms: float, minute: int) -> MigrationPlan | None:
-        """Returns a plan that says why nothing is migrated for balance; None if balancing may go on."""
+        """Return an empty plan that explains why balancing is not due now; None if it is due."""
         if self._options.mode == RebalanceMode.OFF:
             return empty_plan(PlanPhase.OFF, "turned off")
         if self._options.is_quiet_at(minute):
@@ -159,7 +159,7 @@
         if now_ms < self._paused_until_ms:
             return self._pause_plan
         if self.tracker.landing_score.is_too_low:
-            self.tracker.landing_score.resume()
+            self.tracker.landing_score.reset_after_pause()
             plan = empty_plan(PlanPhase.USELESS, "moved clients land where it is as full")
             return self._pause(now_ms + USELESS_PAUSE_MS, plan)
         return None
@@ -170,8 +170,8 @@
         if selection.migrations:
             phase = PlanPhase.DRY_RUN if context.is_dry_run else PlanPhase.BALANCING
             return MigrationPlan(selection.migrations, phase, self.fleet.description)
-        if selection.waiting_for:
-            return empty_plan(PlanPhase.WAITING, selection.waiting_for)
+        if selection.wait_reason:
+            return empty_plan(PlanPhase.WAITING, selection.wait_reason)
         if TEMPORARY_BLOCK_REASONS.isdisjoint(self.block_counts):
             explanation = f"{self.fleet.description}: {describe_blocks(self.block_counts)}"
             plan = empty_plan(PlanPhase.UNREACHABLE, explanation)
@@ -179,13 +179,13 @@
         return empty_plan(PlanPhase.WAITING, describe_blocks(self.block_counts))
 
     def _update_is_balancing(self) -> bool:
-        """Starts above one bound and stops under a lower one, so that chance does not toggle balancing."""
+        """Start balancing over one threshold and stop under a lower one, so that noise does not toggle it."""
         bound = self._options.stop if self._is_balancing else self._options.start
         self._is_balancing = self.fleet.is_imbalanced(bound - 1.0)
         return self._is_balancing
 
     def _pause(self, until_ms: float, plan: MigrationPlan) -> MigrationPlan:
-        """Starts a pause, during which each tick returns this plan again. Returns the plan."""
+        """Start a pause, in which each tick that would balance returns this plan. Return the plan."""
         self._paused_until_ms = until_ms
         self._pause_plan = plan
         return plan
@@ -193,7 +193,7 @@
     # ------------------------------------------------------------ for operators
 
     def state(self, plan: MigrationPlan) -> RebalanceState:
-        """Returns the planner's state after a tick with this plan."""
+        """Return the planner's state after a tick with this plan."""
         return RebalanceState(
             mode=self._options.mode,
             phase=plan.phase,
@@ -208,10 +208,10 @@
             remembered_clients=len(self.history),
             landing_score=self.tracker.landing_score.value,
             counts=self.counts,
-            signal_counts=self.overload_detector.seen,
+            signal_counts=self.overload_detector.signal_counts,
             block_counts=self.block_counts,
         )
 
     def encode_state(self, plan: MigrationPlan) -> dict[str, object]:
-        """Returns the state after a tick with this plan, as it is stored in ``state/NODE/rebalance``."""
+        """Return the state after a tick with this plan, as it is stored in ``state/NODE/rebalance``."""
         return encode_state(self.state(plan))
--- a/sageturn/rebalance/pool_balancer.py
+++ b/sageturn/rebalance/pool_balancer.py
@@ -1,4 +1,4 @@
-"""Chooses donors and receivers in each pool of endpoints, and the batches that go from one to the other."""
+"""Chooses the donors and receivers in each pool of endpoints, and the batches that move between them."""
 
 from __future__ import annotations
 
@@ -19,21 +19,22 @@
     is_imbalanced,
 )
 
-MAX_INSPECTED_CONNECTIONS = 2000  # per tick
-MAX_GAP_CLOSED_BY_BATCH = 0.75  # of the gap between two endpoints' ratios; more could reverse it
+MAX_INSPECTED_CONNECTIONS = 2000  # maximum connections inspected per tick
+# Fraction of the gap between two endpoints' ratios; a larger batch could reverse the order of the two.
+MAX_GAP_CLOSED_BY_BATCH = 0.75
 
 
 @dataclass(frozen=True, slots=True)
 class MigrationSelection:
-    """The migrations of a tick for the sake of balance, and why there are no more."""
+    """Migrations of one tick that improve the balance, and the reasons why there are no more."""
 
     migrations: tuple[Migration, ...]
-    waiting_for: str  # in words for operators; empty if nothing has to wait
+    wait_reason: str  # text for operators; empty if nothing has to wait
     block_counts: Counter[BlockReason]
 
 
 def balance_pools(context: TickContext, pools: Iterable[PoolUtilization]) -> MigrationSelection:
-    """Selects this tick's migrations, from the pool with the fullest endpoint on."""
+    """Select this tick's migrations; the pool with the fullest endpoint comes first."""
     capacity = context.migration_capacity()
     migration_round = context.start_round(capacity, context.is_dry_run)
     connections = context.tracker.connections
@@ -43,21 +44,21 @@
         min(capacity.total, context.options.burst),
         InspectionBudget(MAX_INSPECTED_CONNECTIONS),
     )
-    waiting_for = ""
+    wait_reason = ""
     for pool in sorted(pools, key=lambda pool: -pool.max_ratio):
         balancer = PoolBalancer(
             pool, context.options, context.restrictions.rebalance_excluded, batch_finder, migration_round
         )
-        waiting_for = balancer.plan(connections.endpoints) or waiting_for
+        wait_reason = balancer.plan(connections.endpoints) or wait_reason
     migrations = tuple(migration_round.migrations)
-    return MigrationSelection(migrations, waiting_for, batch_finder.block_counts)
+    return MigrationSelection(migrations, wait_reason, batch_finder.block_counts)
 
 
 class PoolBalancer:
-    """Plans one tick's migrations within a pool.
+    """Planner of one tick's migrations within a pool.
 
-    The ratios are advanced with each batch as if its connections had arrived at the emptiest receiver; where
-    they really go is decided by the balancer.
+    After each batch the ratios are updated on the assumption that its connections move to the emptiest
+    receiver; the actual placement is the balancer's decision.
     """
 
     def __init__(
@@ -77,13 +78,13 @@
         self._receivers = [endpoint for endpoint in pool.endpoints if self._can_receive(endpoint)]
 
     def plan(self, own_totals: Mapping[str, EndpointTotals]) -> str | None:
-        """Adds to the round the batches that may go now.
+        """Add to the round the batches that may be migrated now.
 
         Args:
-            own_totals: This relay's connections by endpoint.
+            own_totals: Totals of this relay's connections, by endpoint.
 
         Returns:
-            What the next batch waits for, in words for operators; None if there is no more to be done.
+            A text for operators that says why the next batch waits; None if no batch waits.
         """
         if not is_imbalanced(self._pool, self._tolerance):
             return None
@@ -96,9 +97,9 @@
             totals = own_totals.get(donor.name)
             if totals is None or donor.name in self._excluded_endpoints:
                 continue
-            waiting_for = self._plan_donor(donor, totals, min_donor_ratio)
-            if waiting_for is not None:
-                return waiting_for
+            wait_reason = self._plan_donor(donor, totals, min_donor_ratio)
+            if wait_reason is not None:
+                return wait_reason
         return None
 
     def _plan_donor(
@@ -107,11 +108,11 @@
         receiver = self._emptiest_receiver()
         for batch in self._batch_finder.find(totals, self._max_batch_load(donor, receiver)):
             if batch.load > self._max_batch_load(donor, receiver):
-                continue  # it would have fitted before the other batches of this tick
+                continue  # the preceding batches of this tick have reduced the limit
             reason = f"{donor.name} at {donor.ratio:.2f} of the mean: {batch.description}"
-            waiting_for = self._round.try_add(batch, reason)
-            if waiting_for is not None:
-                return waiting_for
+            wait_reason = self._round.try_add(batch, reason)
+            if wait_reason is not None:
+                return wait_reason
             self._ratios[donor.name] -= batch.load / donor.fair_load
             self._ratios[receiver.name] += batch.load / receiver.fair_load
             receiver = self._emptiest_receiver()
@@ -125,9 +126,10 @@
         )
 
     def _min_donor_ratio(self) -> float:
-        """Returns the ratio above which endpoints give connections away.
+        """Return the ratio over which an endpoint is a donor.
 
-        Where an endpoint is too empty, and none too full, all above the mean give a little.
+        If the pool is imbalanced only because an endpoint is too empty, all endpoints over the mean are
+        donors.
         """
         upper_bound = 1.0 + self._tolerance
         return upper_bound if self._pool.max_ratio > upper_bound else 1.0
@@ -136,7 +138,7 @@
         return min(self._receivers, key=lambda endpoint: (self._ratios[endpoint.name], endpoint.name))
 
     def _max_batch_load(self, donor: EndpointUtilization, receiver: EndpointUtilization) -> float:
-        """Returns the largest load that brings the two closer and leaves the donor not far under the mean."""
+        """Return the largest load that narrows the gap and leaves the donor not too far under the mean."""
         lower_bound = 1.0 - LOW_SIDE_TOLERANCE_FACTOR * self._tolerance
         gap = self._ratios[donor.name] - self._ratios[receiver.name]
         closing_load = MAX_GAP_CLOSED_BY_BATCH * gap * receiver.fair_load
--- a/sageturn/rebalance/rate_controller.py
+++ b/sageturn/rebalance/rate_controller.py
@@ -1,4 +1,4 @@
-"""Limits the rate of migrations by a token bucket, whose rate rises slowly and is halved at a signal."""
+"""Limits migrations by a token bucket whose rate rises in steps and is halved by an overload signal."""
 
 from __future__ import annotations
 
@@ -7,18 +7,20 @@
 from sageturn.rebalance.options import RebalanceOptions
 from sageturn.rebalance.overload_signals import STOP_SIGNALS, OverloadSignal
 
-INITIAL_RATE_DIVISOR = 8.0  # of the maximum rate, at the start and after each stop
-RATE_STEP_DIVISOR = 16.0  # of the maximum rate, by which the rate is raised
-RATE_STEP_INTERVAL_MS = 5000.0  # between two raises
-RATE_CUT_INTERVAL_MS = 5000.0  # between two cuts, so that the first can take effect
-SETTLING_TIME_MS = 20000.0  # without migrations after the start and after a stop signal
-MIN_RATE_DIVISOR = 64.0  # of the maximum rate; a cut at or under it stops migrations
+# The divisors give rates as fractions of the maximum rate.
+INITIAL_RATE_DIVISOR = 8.0  # upper bound of the rate at the start and after each stop
+RATE_STEP_DIVISOR = 16.0  # amount of one raise
+RATE_STEP_INTERVAL_MS = 5000.0  # minimum time between two raises
+RATE_CUT_INTERVAL_MS = 5000.0  # minimum time between two cuts, so that the first can take effect
+SETTLING_TIME_MS = 20000.0  # pause in migrations at the start and after a stop signal
+MIN_RATE_DIVISOR = 64.0  # lower bound: a cut at or under this rate stops migrations
 
 
 class MigrationRateController:
-    """Grants migrations: over any ``t`` seconds at most ``burst`` and ``t`` times the maximum rate.
+    """Token bucket: in any ``t`` seconds it grants at most ``burst`` plus ``t`` times the maximum rate.
 
-    Migrations by others (the balancer, a drain) are never delayed, only charged: they leave a debt.
+    Migrations by others (the balancer, a drain) are never delayed, only charged: the token count may become
+    negative.
     """
 
     def __init__(self, options: RebalanceOptions, relay_count: int, random: Random) -> None:
@@ -28,38 +30,39 @@
         self.rate = 0.0  # migrations per second
         self.tokens = 0.0
         self.stopped_until_ms: float | None = None  # None before the first update
-        self.last_signal: OverloadSignal | None = None  # None once the rate has risen again
+        self.last_signal: OverloadSignal | None = None  # None after the rate was raised
         self._updated_ms = 0.0
         self._raised_ms = 0.0
         self._cut_ms = 0.0
 
     def max_rate(self, connection_count: int) -> float:
-        """Returns the highest rate in migrations per second, for a relay with so many connections."""
+        """Return the maximum rate in migrations per second, for a relay with this number of connections."""
         max_rate = self.options.part_per_min * connection_count / 60.0
         if self.options.fleet_per_s > 0:
             max_rate = min(max_rate, self.options.fleet_per_s / self._relay_count)
         return max_rate
 
     def is_stopped(self, now_ms: float) -> bool:
-        """Whether nothing may be migrated: after a start or a stop signal, or at a rate that was cut to 0."""
+        """Return True if nothing may be migrated: in the settling time, or while the rate is 0."""
         return self.stopped_until_ms is None or now_ms < self.stopped_until_ms or not self.rate
 
     @property
     def stop_reason(self) -> str:
-        """Why migrations are stopped, in words for operators."""
+        """Text that explains to operators why migrations are stopped."""
         signal = self.last_signal
         return f"{signal.value}: {signal.explanation}" if signal else "settling after a start"
 
     def update(
-        self, now_ms: float, connection_count: int, signals: list[OverloadSignal], no_late_returns: bool
+        self, now_ms: float, connection_count: int, signals: list[OverloadSignal], no_slow_returns: bool
     ) -> None:
-        """Refills the bucket and adjusts the rate. To be called once a tick.
+        """Refill the bucket and adjust the rate. To be called once a tick.
 
         Args:
             now_ms: The relay's time.
             connection_count: This relay's established connections.
             signals: The overload signals that hold, in their order of precedence.
-            no_late_returns: Whether no migrated client has been set up late since the last tick.
+            no_slow_returns: True if no migrated client's set-up has exceeded its class's latency objective
+                since the last tick.
         """
         stopped_until_ms = self.stopped_until_ms
         if stopped_until_ms is None:
@@ -77,26 +80,26 @@
             self.last_signal = signals[0]
             if now_ms >= self._cut_ms + RATE_CUT_INTERVAL_MS:
                 self._cut_rate(now_ms, max_rate)
-        elif no_late_returns and now_ms >= max(self._raised_ms, self._cut_ms) + RATE_STEP_INTERVAL_MS:
+        elif no_slow_returns and now_ms >= max(self._raised_ms, self._cut_ms) + RATE_STEP_INTERVAL_MS:
             self._raise_rate(now_ms, min(max_rate, self.rate + max_rate / RATE_STEP_DIVISOR))
 
-    def try_acquire(self, migrations: int) -> bool:
-        """Takes tokens for so many migrations. Returns False, and takes none, if there are too few."""
-        if self.tokens < migrations:
+    def try_acquire(self, migration_count: int) -> bool:
+        """Take one token per migration. Return False, and take none, if there are too few."""
+        if self.tokens < migration_count:
             return False
-        self.tokens -= migrations
+        self.tokens -= migration_count
         return True
 
-    def charge(self, migrations: int) -> None:
-        """Takes tokens for migrations by others, into debt if need be.
+    def charge(self, migration_count: int) -> None:
+        """Take one token per migration by others, even if the token count becomes negative.
 
-        The debt is a burst at most: a larger one would outlast its cause.
+        The debt is limited to one burst; a larger one would block migrations long after its cause is over.
         """
-        self.tokens = max(-float(self.options.burst), self.tokens - migrations)
+        self.tokens = max(-float(self.options.burst), self.tokens - migration_count)
 
     def _refill(self, now_ms: float, elapsed_ms: float, max_rate: float, may_start: bool) -> None:
         if not self.rate and may_start:
-            # Random, or relays that an outage has stopped together would start again together.
+            # The random factor keeps relays that an outage has stopped together from resuming together.
             initial_rate = max_rate / INITIAL_RATE_DIVISOR * (0.5 + 0.5 * self._random.random())
             self._raise_rate(now_ms, initial_rate)
         self.rate = min(self.rate, max_rate)
@@ -114,7 +117,7 @@
         self.tokens = min(self.tokens, self.tokens / 2.0)
 
     def _stop(self, now_ms: float) -> float:
-        """Stops migrations for the settling time. Returns the instant at which that ends."""
+        """Stop migrations for the settling time. Return the time at which it ends."""
         self.rate = 0.0
         self.tokens = min(0.0, self.tokens)
         self.stopped_until_ms = now_ms + SETTLING_TIME_MS
--- a/sageturn/rebalance/state.py
+++ b/sageturn/rebalance/state.py
@@ -1,4 +1,4 @@
-"""The planner's state as operators read it, and its encoding in the record ``state/NODE/rebalance``."""
+"""Planner's state for operators, and its encoding in the record ``state/NODE/rebalance``."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RebalanceState:
-    """The planner's view and activity after a tick. Ratios are against the mean utilization."""
+    """Planner's state after a tick. A ratio is an endpoint's utilization divided by the mean."""
 
     mode: str
     phase: PlanPhase
@@ -26,13 +26,13 @@
     in_flight_count: int
     remembered_clients: int
     landing_score: float
-    counts: Mapping[str, int]  # since the start, by ``MigrationCount``
-    signal_counts: Mapping[OverloadSignal, int]  # ticks at which each overload signal held
-    block_counts: Mapping[BlockReason, int]  # as of the last tick that looked for batches
+    counts: Mapping[str, int]  # counts since the start, by ``MigrationCount``
+    signal_counts: Mapping[OverloadSignal, int]  # number of ticks at which each overload signal held
+    block_counts: Mapping[BlockReason, int]  # counts of the last tick that sought batches
 
 
 def encode_state(state: RebalanceState) -> dict[str, object]:
-    """Returns the stored record, whose keys are read by operators and by other replicas."""
+    """Return the stored record; operators and other replicas read its keys."""
     return {
         "mode": str(state.mode),
         "phase": state.phase.value,
--- a/sageturn/rebalance/tick_context.py
+++ b/sageturn/rebalance/tick_context.py
@@ -1,4 +1,4 @@
-"""The input of one tick of the planner."""
+"""Input of one tick of the planner."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TickContext:
-    """The instant, the endpoints and settings of a tick, and the planner's parts that it draws on."""
+    """Time, endpoints and settings of a tick, and the components of the planner that the tick uses."""
 
     now_ms: float
     endpoints: Sequence[EndpointSnapshot]
@@ -26,17 +26,19 @@
 
     @property
     def is_dry_run(self) -> bool:
-        """Whether balancing is planned and explained, but not carried out."""
+        """True if balancing is planned and explained, but not carried out."""
         return self.options.mode != RebalanceMode.ON
 
     def migration_capacity(self) -> MigrationCapacity:
-        """Returns the set-ups that migrated clients may take now."""
-        return MigrationCapacity.of(self.endpoints, self.tracker.history.in_flight_count)
+        """Return the number of set-ups that migrated clients may use now."""
+        return MigrationCapacity.from_endpoints(self.endpoints, self.tracker.history.in_flight_count)
 
     def start_round(self, capacity: MigrationCapacity, dry_run: bool) -> MigrationRound:
-        """Returns an empty round of migrations within this capacity."""
+        """Return an empty round of migrations, limited to this capacity."""
         return MigrationRound(self.tracker, self.rate_controller, self.now_ms, capacity.available, dry_run)
 
     def eligibility_rules(self) -> EligibilityRules:
-        """Returns the rules by which connections may be migrated at this instant."""
-        return EligibilityRules(self.now_ms, self.options, self.tracker.history, self.tracker.migrating)
+        """Return the rules that decide which connections may be migrated in this tick."""
+        return EligibilityRules(
+            self.now_ms, self.options, self.tracker.history, self.tracker.migrating_request_ids
+        )
--- a/sageturn/rebalance/utilization.py
+++ b/sageturn/rebalance/utilization.py
@@ -1,9 +1,10 @@
-"""Estimates how evenly the fleet is utilized, as far as one relay can tell.
+"""Estimates each endpoint's utilization relative to the mean, from one relay's connections.
 
-An endpoint's utilization is its load over its size, measured against the mean of the endpoints it is compared
-with. A relay sees only its own connections, a sample of each endpoint's: with few of them chance alone makes
-endpoints look unequal. What the other relays have there is therefore estimated by what is left of the spread
-once that which chance explains is subtracted (empirical Bayes, as in the James-Stein estimator).
+An endpoint's utilization is its load divided by its size; its ratio is the utilization divided by the mean of
+its pool, the endpoints it is compared with. A relay sees only its own connections, which are a sample of all
+connections. In a small sample endpoints look unequal by chance alone. The load from the other relays is
+therefore estimated from the observed spread less the spread that chance explains: empirical Bayes, as in the
+James-Stein estimator.
 """
 
 from __future__ import annotations
@@ -15,42 +16,42 @@
 from sageturn.decision.overload import GROUP_COST
 from sageturn.rebalance.connection_table import ConnectionTable
 
-# How many times as far under the mean an endpoint may be as over it, before that counts as imbalance.
+# An endpoint may be this many times as far under the mean as over it before the pool counts as imbalanced.
 LOW_SIDE_TOLERANCE_FACTOR = 2.0
 MIN_BALANCED_ENDPOINTS = 2
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointUtilization:
-    """One endpoint's utilization against the others of its pool."""
+    """Utilization of one endpoint relative to the mean of its pool."""
 
     name: str
-    load: float  # this relay's, in work per second
-    fair_load: float  # this relay's, if all endpoints were utilized like the mean
-    ratio: float  # estimated utilization over the mean
-    capacity: int  # set-ups that it may be sent now
+    load: float  # load from this relay, in work per second
+    fair_load: float  # load from this relay if it were distributed in proportion to size
+    ratio: float  # estimated utilization divided by the mean
+    capacity: int  # number of set-ups that the endpoint may be sent now
 
 
 @dataclass(frozen=True, slots=True)
 class PoolUtilization:
-    """A set of endpoints that are compared with each other."""
+    """Utilization of a pool, a set of endpoints that are compared with each other."""
 
     endpoints: tuple[EndpointUtilization, ...]
-    confidence: float  # how much of this relay's spread the whole fleet is estimated to have, from 0 to 1
+    confidence: float  # estimated fraction of this relay's spread that the whole fleet has, from 0 to 1
 
     @property
     def max_ratio(self) -> float:
-        """The fullest endpoint's utilization over the mean."""
+        """Highest ratio of an endpoint; 1 for an empty pool."""
         return max((endpoint.ratio for endpoint in self.endpoints), default=1.0)
 
     @property
     def min_ratio(self) -> float:
-        """The emptiest endpoint's utilization over the mean."""
+        """Lowest ratio of an endpoint; 1 for an empty pool."""
         return min((endpoint.ratio for endpoint in self.endpoints), default=1.0)
 
 
 def is_imbalanced(pool: PoolUtilization, tolerance: float) -> bool:
-    """Whether an endpoint's ratio is too far from 1; ``tolerance`` is the distance allowed over it."""
+    """Return True if an endpoint's ratio is too far from 1; ``tolerance`` is the allowed excess over 1."""
     return pool.max_ratio > 1.0 + tolerance or pool.min_ratio < 1.0 - LOW_SIDE_TOLERANCE_FACTOR * tolerance
 
 
@@ -61,15 +62,15 @@
     by_zone: bool,
     grouped: bool,
 ) -> list[PoolUtilization]:
-    """Returns one pool of all ready endpoints, or one per zone.
+    """Return one pool of all ready endpoints, or one per zone.
 
     Args:
         connections: This relay's connections.
-        endpoints: All endpoints as the balancer sees them.
-        relays_per_pool: The relays among which the clients of one pool are spread.
-        by_zone: Whether crossing zones has a cost: there the balancer keeps to its own zone, and endpoints
-            of another zone have less load on purpose.
-        grouped: Whether each group adds a cost of its own at each endpoint.
+        endpoints: Snapshots of all endpoints.
+        relays_per_pool: The number of relays among which the clients of one pool are spread.
+        by_zone: True if each zone is a pool of its own. If crossing zones has a cost, the balancer prefers
+            its own zone, so endpoints of other zones have less load by design.
+        grouped: True if each group adds a cost of its own at each endpoint.
     """
     members_by_zone: dict[str, list[EndpointSnapshot]] = {}
     for endpoint in endpoints:
@@ -113,17 +114,18 @@
 def _confidence(
     connections: ConnectionTable, loads: list[float], fair_loads: list[float], relay_count: float
 ) -> float:
-    """Returns the part of this relay's spread that is expected of the whole fleet.
+    """Return the fraction of this relay's spread that the whole fleet is expected to have.
 
-    Each connection of an endpoint is this relay's with a chance of one in ``relay_count``: the variance of
-    its load there is one connection's weight times the fair load, less the part of the fleet that it sees
-    itself.
+    The spread is the sum of the squared deviations from the fair loads, each divided by its fair load. Each
+    connection of an endpoint belongs to this relay with a probability of 1 / ``relay_count``. The variance
+    of this relay's load at an endpoint is therefore the size-biased mean load of a connection times the fair
+    load, reduced by the fraction of the fleet's connections that belong to this relay.
     """
     spread = sum(
         (load - fair_load) ** 2 / fair_load for load, fair_load in zip(loads, fair_loads, strict=True)
     )
-    unseen_ratio = max(0.0, 1.0 - 1.0 / relay_count)
-    chance_spread = (len(loads) - 1) * connections.size_biased_mean_load * unseen_ratio
-    common_ratio = max(0.0, 1.0 - chance_spread / spread) if spread > 0 else 0.0
-    # This relay's own load, one part in ``relay_count``, counts in full; the others' only by this ratio.
-    return common_ratio + (1.0 - common_ratio) / relay_count
+    unobserved_fraction = max(0.0, 1.0 - 1.0 / relay_count)
+    chance_spread = (len(loads) - 1) * connections.size_biased_mean_load * unobserved_fraction
+    shrinkage_factor = max(0.0, 1.0 - chance_spread / spread) if spread > 0 else 0.0
+    # This relay's own load is 1 / ``relay_count`` of the total and counts in full; the rest is shrunk.
+    return shrinkage_factor + (1.0 - shrinkage_factor) / relay_count
--- a/tests/rebalance/test_planner.py
+++ b/tests/rebalance/test_planner.py
@@ -179,7 +179,7 @@
     missing.clients_return = False
     usual.run(200)
     missing.run(200)
-    assert missing.planner.overload_detector.seen[OverloadSignal.MISSING_CLIENTS] > 0
+    assert missing.planner.overload_detector.signal_counts[OverloadSignal.MISSING_CLIENTS] > 0
     assert len(missing.migrated) < len(usual.migrated)
 
 
@@ -362,7 +362,7 @@
     fleet.step()
     assert not fleet.reconnects, "all have landed"
     for _ in range(40):
-        fleet.planner.tracker.landing_score.record(useful=False)
+        fleet.planner.tracker.landing_score.record(is_useful=False)
     fleet.step()
     count = len(fleet.migrated)
     assert fleet.plan.phase == "useless" and "as full" in fleet.plan.explanation
--- a/tests/rebalance/test_rebalance_relay.py
+++ b/tests/rebalance/test_rebalance_relay.py
@@ -161,7 +161,7 @@
         planner = relay.rebalancer
         assert planner is not None and len(planner.connections) == 1
         (lifecycle,) = relay.request_registry
-        assert planner.connections.client_of(lifecycle.id) != 0
+        assert planner.connections.client_hash_of(lifecycle.id) != 0
         plan = MigrationPlan((Migration(lifecycle.id, "a test"),), PlanPhase.BALANCING, "")
         monkeypatch.setattr(planner, "tick", lambda *_: plan)
         assert "<move xmlns='urn:sageturn:relay:0'" in await client.read_rest()
--- a/tests/relay/test_compatibility_states.py
+++ b/tests/relay/test_compatibility_states.py
@@ -105,7 +105,7 @@
     detector = fleet.planner.overload_detector
     now_ms = fleet.now_ms
     detector.record_request(now_ms)
-    detector.record_established(now_ms, late=True)
+    detector.record_established(now_ms, is_slow=True)
     detector.record_rejection(now_ms)
     detector.record_reset(now_ms)
     detector.record_connect_failure(now_ms)
