--- a/tests/rebalance/test_connection_table.py
+++ b/tests/rebalance/test_connection_table.py
@@ -1,4 +1,4 @@
-"""The table of connections and its sums."""
+"""Tests of the connection table and its totals."""
 
 from __future__ import annotations
 
@@ -28,8 +28,9 @@
     assert table.totals.reported_load == 0.0
 
 
-def test_a_first_connection_at_the_clocks_zero_leaves_the_instants_of_later_ones_alone() -> None:
-    # Instant 0 was taken for no connection yet: the second one moved the first, and a third one the second.
+def test_times_stay_correct_if_the_first_connection_is_established_at_0_ms() -> None:
+    # Guards against treating an origin of 0 ms as an empty table: each added connection then shifted the
+    # times of the earlier ones.
     table = ConnectionTable()
     instants_ms = {1: 0.0, 2: 5000.0, 3: 9000.0}
     for request_id, established_ms in instants_ms.items():
--- a/tests/rebalance/test_migration_history.py
+++ b/tests/rebalance/test_migration_history.py
@@ -1,4 +1,4 @@
-"""The memory of migrated clients."""
+"""Tests of the migration history."""
 
 from __future__ import annotations
 
--- a/tests/rebalance/test_overload_detector.py
+++ b/tests/rebalance/test_overload_detector.py
@@ -1,4 +1,4 @@
-"""Which events count as signals of overload."""
+"""Tests of the overload signals."""
 
 from __future__ import annotations
 
@@ -8,7 +8,8 @@
 
 
 def test_returns_to_other_relays_are_no_signal_where_there_are_many_relays() -> None:
-    # With 50 relays one in 50 returns to this one. A lower bound of a tenth once took that for an outage.
+    # With 50 relays, one in 50 clients returns to this relay. A fixed lower bound of 0.1 on the expected
+    # return ratio would report that as an outage.
     detector = OverloadDetector(1.0 / 50.0)
     table = ConnectionTable()
     now_ms = 0.0
--- a/tests/rebalance/test_planner.py
+++ b/tests/rebalance/test_planner.py
@@ -1,4 +1,4 @@
-"""The rebalancing planner beside the real balancer: what it migrates, and what stops it."""
+"""Tests of the rebalance planner with the real balancer: what it migrates, and what stops it."""
 
 from __future__ import annotations
 
@@ -6,7 +6,13 @@
 from dataclasses import replace
 
 import pytest
-from support.rebalance_fleet import FAST_OPTIONS, START_MS, RebalanceFleet, Reconnect, make_uneven_fleet
+from support.rebalance_fleet import (
+    FAST_OPTIONS,
+    START_MS,
+    PendingReconnect,
+    RebalanceFleet,
+    make_uneven_fleet,
+)
 
 from sageturn import AttemptEnded, Endpoint, EndpointListEvent, MeasurementReported, MigrateConnection
 from sageturn.core.endpoint_snapshot import EndpointRestrictions, snapshot_endpoints
@@ -32,12 +38,14 @@
             assert count == len(members)
         first_ms = first_ms or (fleet.now_ms if plan.migrations else None)
     assert fleet.max_ratio <= 1.15 and fleet.plan.phase == "balanced"
-    assert first_ms is not None and first_ms >= START_MS + 20000.0, "a relay that has just started waits"
+    assert first_ms is not None and first_ms >= START_MS + 20000.0, (
+        "migrations must wait for the settling time after a start"
+    )
     reasons = [migrated.reason for migrated in fleet.migrated]
     assert len(reasons) <= 60 and all(reasons)
     assert all("whole group" in reason or "smaller part" in reason for reason in reasons)
     fleet.run(120)
-    assert len(fleet.migrated) == len(reasons), "balanced, it migrates nobody"
+    assert len(fleet.migrated) == len(reasons), "a balanced fleet must have no more migrations"
 
 
 def test_smaller_parts_of_a_spread_group_go_first() -> None:
@@ -48,11 +56,13 @@
     assert "smaller part" in fleet.migrated[0].reason
     assert fleet.endpoints_of_group("b1") == {"b"}
     fleet.run(2)
-    assert fleet.endpoints_of_group("b1") == {"b"}, "and joins the rest"
+    assert fleet.endpoints_of_group("b1") == {"b"}, (
+        "the migrated members must be placed with the rest of their group"
+    )
 
 
 def run_fleet_of_guests(keep_classes: frozenset[str]) -> RebalanceFleet:
-    """Returns a fleet after 90 s whose one full endpoint has only connections of class guest-checkin."""
+    """Run for 90 s a fleet whose fuller endpoint has only connections of class guest-checkin. Return it."""
     fleet = RebalanceFleet("ab", {**FAST_OPTIONS, "keep_classes": keep_classes})
     fleet.add_connections("a", 40, class_name="guest-checkin")
     fleet.add_connections("b", 5)
@@ -61,9 +71,9 @@
 
 
 def test_excluded_classes_stay() -> None:
-    kept = run_fleet_of_guests(frozenset({"guest-checkin"}))
-    assert kept.migrated == [] and kept.plan.phase == "unreachable"
-    assert "keeps in place" in kept.plan.explanation
+    excluding_fleet = run_fleet_of_guests(frozenset({"guest-checkin"}))
+    assert excluding_fleet.migrated == [] and excluding_fleet.plan.phase == "unreachable"
+    assert "keeps in place" in excluding_fleet.plan.explanation
     assert run_fleet_of_guests(frozenset()).migrated
 
 
@@ -83,7 +93,7 @@
     fleet.add_connections("b", 20, "x")
     fleet.add_connections("c", 20, "y")
     for endpoint in fleet.balancer.endpoints.values():
-        endpoint.connections.concurrency_limit = 16  # as after some set-ups in time
+        endpoint.connections.concurrency_limit = 16  # simulates some set-ups within their objective
     waited = 0
     while not fleet.migrated:
         waited += fleet.step().phase == "waiting"
@@ -92,7 +102,7 @@
     assert len({migrated.at_ms for migrated in fleet.migrated}) == 1
 
 
-def test_a_new_endpoint_receives_its_part_within_its_slow_start() -> None:
+def test_a_new_endpoint_receives_its_share_within_its_slow_start() -> None:
     fleet = RebalanceFleet(
         "abcde",
         {**FAST_OPTIONS, "burst": 8},
@@ -104,13 +114,13 @@
         fleet.add_connections(endpoint, 60)
     new = [Endpoint(name) for name in "abcde"] + [Endpoint("f", started_at_ms=fleet.now_ms)]
     fleet.handle(EndpointListEvent("full", new))
-    window_ms = 3000.0  # over which the intake is bounded
+    window_ms = 3000.0  # time window of the bound on the intake
     intake = []
     start_ms = fleet.now_ms
     for _ in range(300):
-        before = set(fleet.ids_at("f"))
+        before = set(fleet.request_ids_at("f"))
         fleet.step()
-        intake.append((fleet.now_ms, len(set(fleet.ids_at("f")) - before)))
+        intake.append((fleet.now_ms, len(set(fleet.request_ids_at("f")) - before)))
     fair_count = 300 / 6
     for end_ms, _ in intake:
         warmth = min(1.0, (end_ms - start_ms) / 24000.0)
@@ -123,11 +133,11 @@
 def test_an_endpoint_restart_stops_migration_which_resumes_slowly() -> None:
     fleet = make_uneven_fleet()
     fleet.run_until_migrated()
-    for request_id in fleet.ids_at("d"):
+    for request_id in fleet.request_ids_at("d"):
         connection = fleet.connections[request_id]
         fleet.end_connection(request_id, "reset")
         fleet.reconnects.append(
-            Reconnect(fleet.now_ms + 500.0, connection.client, connection.class_name, connection.group)
+            PendingReconnect(fleet.now_ms + 500.0, connection.client, connection.class_name, connection.group)
         )
     restarted = [Endpoint(name, started_at_ms=fleet.now_ms if name == "d" else 0.0) for name in "abcd"]
     fleet.handle(EndpointListEvent("full", restarted))
@@ -147,7 +157,8 @@
     fleet = make_uneven_fleet()
     fleet.run_until_migrated()
     fleet.reconnect_delay_ms = 8000.0
-    for endpoint in fleet.balancer.endpoints.values():  # no set-up is answered, and everyone is rejected
+    # Each endpoint has its concurrency limit of unanswered set-ups in flight, so new clients are rejected.
+    for endpoint in fleet.balancer.endpoints.values():
         endpoint.connections.concurrency_limit = 4
         endpoint.connections.in_flight = 4
         fleet.balancer.fleet.update_totals(endpoint)
@@ -216,27 +227,28 @@
 
 
 def test_chance_imbalance_is_ignored_where_many_relays_share_the_endpoints() -> None:
-    # Of 50 relays each sees a handful on each endpoint: unequal, though the endpoints are equally full.
+    # Each of 50 relays has only a few connections at each endpoint: their counts differ by chance, even if
+    # the endpoints' totals are equal.
     fleet = RebalanceFleet("abcdefgh", FAST_OPTIONS, relay_count=50, groups=False)
     for endpoint, count in zip("abcdefgh", (2, 7, 4, 6, 3, 5, 1, 4), strict=True):
         fleet.add_connections(endpoint, count)
     fleet.run(60)
     assert fleet.migrated == [] and fleet.plan.phase == "balanced"
-    alone = RebalanceFleet("abcdefgh", FAST_OPTIONS, relay_count=1, groups=False)
+    single_relay_fleet = RebalanceFleet("abcdefgh", FAST_OPTIONS, relay_count=1, groups=False)
     for endpoint, count in zip("abcdefgh", (2, 7, 4, 6, 3, 5, 1, 4), strict=True):
-        alone.add_connections(endpoint, count)
-    alone.run(60)
-    assert alone.migrated
+        single_relay_fleet.add_connections(endpoint, count)
+    single_relay_fleet.run(60)
+    assert single_relay_fleet.migrated
 
 
-def test_sizes_and_loads_count_rather_than_connections() -> None:
+def test_balance_is_measured_by_load_and_size_not_by_connection_count() -> None:
     fleet = RebalanceFleet("ab", FAST_OPTIONS, weights="nominal", groups=False)
     fleet.handle(EndpointListEvent("full", [Endpoint("a", share=3.0), Endpoint("b", share=1.0)]))
     fleet.add_connections("a", 30, load=2.0)
     fleet.add_connections("b", 10, load=2.0)
     fleet.run(60)
     assert fleet.migrated == []
-    for request_id in fleet.ids_at("b"):
+    for request_id in fleet.request_ids_at("b"):
         fleet.handle(MeasurementReported(request_id, 0, "b", "load", 6.0))
     fleet.run(90)
     assert fleet.migrated and all("b at" in migrated.reason for migrated in fleet.migrated)
@@ -263,16 +275,16 @@
     fleet.minute = 6 * 60
     fleet.run(60)
     assert fleet.migrated
-    kept = make_uneven_fleet({"keep_tenants": frozenset({"t"})})
-    kept.run(60)
-    assert kept.migrated == []
+    excluding_fleet = make_uneven_fleet({"keep_tenants": frozenset({"t"})})
+    excluding_fleet.run(60)
+    assert excluding_fleet.migrated == []
 
 
 def test_migrations_by_others_are_charged_to_the_same_budget() -> None:
     fleet = make_uneven_fleet()
     fleet.run(40)
     before = fleet.planner.rate_controller.tokens
-    request_ids = fleet.ids_at("b")[:6]
+    request_ids = fleet.request_ids_at("b")[:6]
     for request_id in request_ids:
         fleet.planner.on_migrated_by_others(fleet.now_ms, request_id)
     assert fleet.planner.rate_controller.tokens == pytest.approx(before - 6)
@@ -300,7 +312,7 @@
         assert migrated_ids
 
 
-def test_the_state_says_what_is_done_and_why() -> None:
+def test_the_state_reports_the_activity_and_its_reason() -> None:
     fleet = make_uneven_fleet()
     fleet.run(60)
     state = fleet.planner.encode_state(fleet.plan)
@@ -310,7 +322,7 @@
     assert state["phase"] == fleet.plan.phase and state["why"]
 
 
-def test_an_outcome_of_an_unknown_request_is_ignored() -> None:
+def test_an_ended_attempt_of_an_unknown_request_is_ignored() -> None:
     fleet = make_uneven_fleet()
     fleet.handle(AttemptEnded(99999, 0, "a", "reset", True))
     assert len(fleet.planner.connections) == len(fleet.connections)
@@ -329,7 +341,7 @@
     assert (other.connection_counts()["b"], other.connection_counts()["c"]) == (before["b"], before["c"])
 
 
-def test_a_cleared_endpoint_is_emptied_and_a_large_group_leaves_in_parts() -> None:
+def test_an_evacuated_endpoint_is_emptied_and_a_large_group_is_migrated_in_parts() -> None:
     fleet = RebalanceFleet("abcd", {"mode": "off", "part_per_min": 1.0, "burst": 6})
     fleet.add_connections("a", 20, "whale")
     fleet.add_connections("a", 5, class_name="guest-checkin")
@@ -348,19 +360,19 @@
     fleet.add_connections("b", 4)
     for number in range(30):
         fleet.connect_client(f"back{number}", returned=True)
-    for request_id in fleet.ids_at("b"):
+    for request_id in fleet.request_ids_at("b"):
         fleet.end_connection(request_id)
     fleet.run(80)
     assert fleet.migrated == [] and fleet.plan.phase in ("waiting", "balanced")
     fleet.run(120)
-    assert fleet.migrated, "their time is over"
+    assert fleet.migrated, "the clients must become eligible after again_s"
 
 
-def test_useless_landings_pause_migration_for_a_while() -> None:
+def test_landings_that_are_not_useful_pause_migration() -> None:
     fleet = make_uneven_fleet()
     fleet.run_until_migrated()
     fleet.step()
-    assert not fleet.reconnects, "all have landed"
+    assert not fleet.reconnects, "all migrated clients must have reconnected"
     for _ in range(40):
         fleet.planner.tracker.landing_score.record(is_useful=False)
     fleet.step()
--- a/tests/rebalance/test_planner_properties.py
+++ b/tests/rebalance/test_planner_properties.py
@@ -1,4 +1,4 @@
-"""The planner's bounds under generated sequences of events."""
+"""Property tests of the planner's limits under generated sequences of events."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 )
 
 
-def filled_fleet(burst: int) -> RebalanceFleet:
-    """Returns a settled fleet of 90 connections, in groups and without, that may migrate."""
+def make_settled_fleet(burst: int) -> RebalanceFleet:
+    """Return a fleet of 90 connections, with and without groups, after the planner's settling time."""
     options = {"part_per_min": 1.0, "burst": burst, "again_s": EXCLUSION_S, "least_age_s": 0.0}
     fleet = RebalanceFleet("abcd", options)
     for number in range(30):
@@ -33,8 +33,8 @@
     return fleet
 
 
-def play(fleet: RebalanceFleet, event: str, number: int) -> None:
-    """Applies an event to the fleet; ``number`` selects what it concerns."""
+def apply_event(fleet: RebalanceFleet, event: str, number: int) -> None:
+    """Apply an event to the fleet; ``number`` selects the connection, client or endpoint it concerns."""
     ids = list(fleet.connections)
     match event:
         case "step":
@@ -65,20 +65,20 @@
 def test_bounds_hold_under_any_sequence_of_events(
     events: list[tuple[str, int]], seed: int, burst: int
 ) -> None:
-    fleet = filled_fleet(burst)
+    fleet = make_settled_fleet(burst)
     max_connections = len(fleet.connections)
     for event, number in events:
-        play(fleet, event, number)
+        apply_event(fleet, event, number)
         max_connections = max(max_connections, len(fleet.connections))
 
-    # The budget holds over any span of time.
+    # The rate limit holds over any time span.
     max_rate = fleet.planner.rate_controller.max_rate(max_connections)
     times_ms = [migrated.at_ms for migrated in fleet.migrated]
     for first, begin_ms in enumerate(times_ms):
         for count, end_ms in enumerate(times_ms[first:], start=1):
             assert count <= burst + max_rate * (end_ms - begin_ms) / 1000.0 + 1e-6
 
-    # No client is migrated again within its time, and each migration has a reason.
+    # No client is migrated twice within the exclusion time, and each migration has a reason.
     last_ms: dict[str, float] = {}
     for migrated in fleet.migrated:
         assert migrated.at_ms - last_ms.get(migrated.client, -1e12) >= EXCLUSION_S * 1000.0
--- a/tests/rebalance/test_rebalance_relay.py
+++ b/tests/rebalance/test_rebalance_relay.py
@@ -1,4 +1,4 @@
-"""Rebalancing in a real relay, on both frontends: turned on, turned off, and not loaded at all."""
+"""Tests of rebalancing in a real relay, on both frontends: turned on, turned off, and not imported."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 @pytest.fixture
 def fast_rate(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Raises the migration rate so that a test completes quickly."""
+    """Raise the migration rate so that a test completes quickly."""
     monkeypatch.setattr("sageturn.rebalance.rate_controller.SETTLING_TIME_MS", 0.0)
     monkeypatch.setattr(
         "sageturn.rebalance.rate_controller.MigrationRateController.max_rate", lambda self, own: 400.0
@@ -50,7 +50,7 @@
 
 
 async def stay_connected(relay: Relay, key: str) -> None:
-    """Connects a client to endpoint a, and reconnects it each time it is asked to."""
+    """Connect a client to endpoint a, and reconnect it each time it is asked to."""
     line = encode_request_line(extra_parameters=",at=a", key=key)
     while True:
         reader, writer = await send_request(relay.listener.address, line)
@@ -59,12 +59,12 @@
         writer.close()
         if response != b"MOVE\r\n":
             return
-        line = encode_request_line(key=key)  # it reconnects, as the same client
+        line = encode_request_line(key=key)  # the same key identifies the same client
 
 
 @asynccontextmanager
 async def connected_clients(relay: Relay, count: int) -> AsyncIterator[None]:
-    """Clients that stay connected; the relay drains before they are cancelled."""
+    """Keep clients connected in the context; the relay is set to draining before they are cancelled."""
     clients = [asyncio.ensure_future(stay_connected(relay, f"key{number}")) for number in range(count)]
     try:
         yield
@@ -92,7 +92,9 @@
             (tmp_path / "operator.json").write_text(json.dumps({"rebalance": {"mode": "yes"}}))
             relay.reload_requested.set()
             await until(lambda: not relay.reload_requested.is_set())
-            assert planner.options.mode == "on", "a faulty file leaves what is in force"
+            assert planner.options.mode == "on", (
+                "an invalid operator file must not change the options in force"
+            )
             (tmp_path / "operator.json").write_text("{}")
             relay.reload_requested.set()
             await until(lambda: planner.options.mode == "off")
@@ -100,7 +102,7 @@
 
 
 @pytest.mark.timeout(30)
-async def test_turned_on_by_sighup_it_knows_the_established_connections(tmp_path: Path) -> None:
+async def test_rebalancing_turned_on_by_a_reload_adopts_the_established_connections(tmp_path: Path) -> None:
     async with running_relay(tmp_path, echo_lines) as (relay, _):
         assert relay.rebalancer is None
         clients = [
@@ -146,7 +148,7 @@
 
 
 @pytest.mark.timeout(30)
-async def test_an_xmpp_client_is_asked_in_its_own_protocol(
+async def test_an_xmpp_client_is_asked_to_reconnect_by_an_xmpp_stanza(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async with running_xmpp_relay(
@@ -167,7 +169,7 @@
         assert "<move xmlns='urn:sageturn:relay:0'" in await client.read_rest()
 
 
-def test_it_is_not_imported_while_it_is_off(tmp_path: Path) -> None:
+def test_the_package_is_not_imported_while_rebalancing_is_off(tmp_path: Path) -> None:
     file = write_config(tmp_path, ("127.0.0.1", 1))
     code = (
         "import sys; from sageturn.__main__ import main; from sageturn.config import loader as config; "
@@ -198,14 +200,16 @@
         ({"start": "high"}, "start"),
     ],
 )
-def test_errors_in_its_section_name_their_key(tmp_path: Path, change: dict[str, Any], key: str) -> None:
+def test_an_error_in_the_rebalance_section_names_its_key(
+    tmp_path: Path, change: dict[str, Any], key: str
+) -> None:
     (tmp_path / "operator.json").write_text(json.dumps({"rebalance": change}))
     file = write_config(tmp_path, ("127.0.0.1", 1))
     with pytest.raises(ConfigError, match=f"operator.rebalance.{key}"):
         load({"GW_CONFIG": str(file)}, str(tmp_path / "operator.json"))
 
 
-def test_the_shipped_file_is_valid_and_a_dry_run() -> None:
+def test_the_deployed_file_is_valid_and_selects_a_dry_run() -> None:
     shipped = Path(__file__).parents[2] / "deploy" / "rebalance.json"
     settings = {**SETTINGS, "classes": [{**SETTINGS["classes"][0], "name": "guest-checkin"}]}
     options = read_operator_file(shipped, read_settings(settings)).rebalance
--- a/tests/support/rebalance_fleet.py
+++ b/tests/support/rebalance_fleet.py
@@ -1,4 +1,4 @@
-"""Drives a rebalance planner and a balancer on a simulated clock, with clients that reconnect."""
+"""Simulation of a rebalance planner and a balancer on a simulated clock, with clients that reconnect."""
 
 from __future__ import annotations
 
@@ -29,11 +29,12 @@
     RequestClass("guest-checkin", latency_objective_ms=300),
 )
 START_MS = 1e6
-FAST_OPTIONS = {"part_per_min": 0.5, "least_age_s": 2.0}  # plans complete within few simulated seconds
+# Options with a high migration rate, so that plans complete within few simulated seconds.
+FAST_OPTIONS = {"part_per_min": 0.5, "least_age_s": 2.0}
 
 
 class FleetConnection(NamedTuple):
-    """An established connection of the fleet."""
+    """Established connection of the fleet."""
 
     client: str
     class_name: str
@@ -41,8 +42,8 @@
     endpoint: str
 
 
-class Reconnect(NamedTuple):
-    """A migrated client, and when it reconnects."""
+class PendingReconnect(NamedTuple):
+    """Migrated client that has yet to reconnect, and the time at which it does."""
 
     due_ms: float
     client: str
@@ -51,7 +52,7 @@
 
 
 class MigratedClient(NamedTuple):
-    """A migration that was carried out."""
+    """Migration that was carried out."""
 
     at_ms: float
     client: str
@@ -59,13 +60,13 @@
 
 
 class RebalanceFleet:
-    """Simulates a relay's balancer and planner, its endpoints and its clients.
+    """Simulation of a relay's balancer and planner, its endpoints and its clients.
 
     Attributes:
-        migrated: the migrations that were carried out, in order.
-        reconnects: the migrated clients that have not reconnected yet.
-        clients_return: whether migrated clients reconnect, after ``reconnect_delay_ms``.
-        minute: the minute of the UTC day at which the planner's ticks take place.
+        migrated: The migrations that were carried out, in order.
+        reconnects: The migrated clients that have yet to reconnect.
+        clients_return: True if migrated clients reconnect, after ``reconnect_delay_ms``.
+        minute: The minute of the UTC day that is passed to the planner's ticks.
     """
 
     def __init__(
@@ -78,8 +79,8 @@
         self.balancer = Balancer(self.settings, 1)
         self.planner = RebalancePlanner(self.settings, self.options, 1)
         self.now_ms = START_MS
-        self.connections: dict[int, FleetConnection] = {}  # by request id
-        self.reconnects: list[Reconnect] = []
+        self.connections: dict[int, FleetConnection] = {}  # keyed by request id
+        self.reconnects: list[PendingReconnect] = []
         self.migrated: list[MigratedClient] = []
         self.reconnect_delay_ms = 300.0
         self.setup_time_ms = 20.0
@@ -90,7 +91,7 @@
         self.handle(EndpointListEvent("full", [Endpoint(name) for name in endpoints]))
 
     def handle(self, event: Event) -> list[Action]:
-        """Has the balancer handle ``event``, under the planner's observation."""
+        """Let the balancer handle ``event`` while the planner observes it. Return the balancer's actions."""
         self.planner.before_event(self.now_ms, event)
         actions = self.balancer.handle(self.now_ms, event)
         self.planner.after_event(self.now_ms, event, actions)
@@ -99,7 +100,7 @@
     def add_connections(
         self, endpoint: str, count: int, group: str = "", class_name: str = "c", load: float = 1.0
     ) -> None:
-        """Adds connections of new clients that were established earlier, which the balancer adopts."""
+        """Let the balancer adopt connections of new clients, as if they had been established earlier."""
         for _ in range(count):
             self.last_id += 1
             client = f"k{self.last_id}"
@@ -111,7 +112,7 @@
     def connect_client(
         self, client: str, class_name: str = "c", group: str = "", returned: bool = False
     ) -> str:
-        """Connects a client. Returns the endpoint where it is established; empty if it was rejected."""
+        """Connect a client. Return the endpoint where it is established; empty if it was rejected."""
         self.last_id += 1
         request = RequestArrived(
             self.last_id, class_name, "t", self.now_ms + 2000.0, group, client=client, returned=returned
@@ -129,7 +130,7 @@
         self.handle(AttemptEnded(request_id, 0, endpoint, status, True))
 
     def step(self, seconds: float = 1.0) -> MigrationPlan:
-        """Reconnects the clients that are due, runs a tick of the planner, and carries out its migrations."""
+        """Reconnect the clients that are due, run a tick and carry out its migrations. Return the plan."""
         self.now_ms += seconds * 1000.0
         due = [reconnect for reconnect in self.reconnects if reconnect.due_ms <= self.now_ms]
         self.reconnects = [reconnect for reconnect in self.reconnects if reconnect.due_ms > self.now_ms]
@@ -149,27 +150,27 @@
         self.end_connection(request_id)
         if self.clients_return:
             due_ms = self.now_ms + self.reconnect_delay_ms
-            self.reconnects.append(Reconnect(due_ms, client, class_name, group))
+            self.reconnects.append(PendingReconnect(due_ms, client, class_name, group))
 
     def run(self, seconds: int) -> None:
-        """Steps once for each second."""
+        """Step once for each second."""
         for _ in range(seconds):
             self.step()
 
     def run_until_migrated(self) -> None:
-        """Steps until the first tick that migrates a client."""
+        """Step until the first tick that migrates a client."""
         while not self.migrated:
             self.step()
 
     def connection_counts(self) -> dict[str, int]:
-        """Returns how many connections each endpoint has."""
+        """Return the number of connections at each endpoint."""
         counts = dict.fromkeys(self.balancer.endpoints, 0)
         for connection in self.connections.values():
             counts[connection.endpoint] += 1
         return counts
 
-    def ids_at(self, endpoint: str) -> list[int]:
-        """Returns the request ids of the connections at ``endpoint``."""
+    def request_ids_at(self, endpoint: str) -> list[int]:
+        """Return the request ids of the connections at ``endpoint``."""
         return [
             request_id
             for request_id, connection in self.connections.items()
@@ -177,18 +178,18 @@
         ]
 
     def endpoints_of_group(self, group: str) -> set[str]:
-        """Returns the endpoints at which clients of ``group`` are connected."""
+        """Return the endpoints at which clients of ``group`` are connected."""
         return {connection.endpoint for connection in self.connections.values() if connection.group == group}
 
     @property
     def max_ratio(self) -> float:
-        """The highest connection count of an endpoint, divided by the mean."""
+        """Highest connection count of an endpoint, divided by the mean."""
         counts = self.connection_counts()
         return max(counts.values()) * len(counts) / sum(counts.values())
 
 
 def make_uneven_fleet(options: dict[str, object] | None = None, **settings: object) -> RebalanceFleet:
-    """Returns a fleet of 160 connections in groups of five: 70 at endpoint a, 30 at each other."""
+    """Return a fleet of 160 connections in groups of five: 70 at endpoint a, 30 at each other endpoint."""
     fleet = RebalanceFleet("abcd", {**FAST_OPTIONS, **(options or {})}, **settings)
     for endpoint, group_count in (("a", 14), ("b", 6), ("c", 6), ("d", 6)):
         for number in range(group_count):
