--- a/sageturn/rebalance/evacuation.py
+++ b/sageturn/rebalance/evacuation.py
@@ -14,8 +14,12 @@
 def plan_evacuation(context: TickContext) -> MigrationPlan | None:
     """Return the migrations off endpoints that are being evacuated; None if none can be made now."""
     connections = context.tracker.connections
-    own_totals = connections.endpoints
-    evacuating = [own_totals[name] for name in sorted(context.restrictions.evacuating) if name in own_totals]
+    totals_by_endpoint = connections.endpoints
+    evacuating = [
+        totals_by_endpoint[name]
+        for name in sorted(context.restrictions.evacuating)
+        if name in totals_by_endpoint
+    ]
     if not evacuating or context.rate_controller.is_stopped(context.now_ms):
         return None
     capacity = context.migration_capacity()
--- a/sageturn/rebalance/pool_balancer.py
+++ b/sageturn/rebalance/pool_balancer.py
@@ -77,11 +77,11 @@
         self._ratios = {endpoint.name: endpoint.ratio for endpoint in pool.endpoints}
         self._receivers = [endpoint for endpoint in pool.endpoints if self._can_receive(endpoint)]
 
-    def plan(self, own_totals: Mapping[str, EndpointTotals]) -> str | None:
+    def plan(self, totals_by_endpoint: Mapping[str, EndpointTotals]) -> str | None:
         """Add to the round the batches that may be migrated now.
 
         Args:
-            own_totals: Totals of this relay's connections, by endpoint.
+            totals_by_endpoint: Totals of this relay's connections, by endpoint.
 
         Returns:
             A text for operators that says why the next batch waits; None if no batch waits.
@@ -94,7 +94,7 @@
         for donor in sorted(self._pool.endpoints, key=lambda endpoint: (-endpoint.ratio, endpoint.name)):
             if donor.ratio <= min_donor_ratio:
                 break
-            totals = own_totals.get(donor.name)
+            totals = totals_by_endpoint.get(donor.name)
             if totals is None or donor.name in self._excluded_endpoints:
                 continue
             wait_reason = self._plan_donor(donor, totals, min_donor_ratio)
--- a/sageturn/rebalance/utilization.py
+++ b/sageturn/rebalance/utilization.py
@@ -86,13 +86,13 @@
 def _estimate_pool(
     connections: ConnectionTable, endpoints: list[EndpointSnapshot], relay_count: float, group_cost: float
 ) -> PoolUtilization:
-    loads = [_own_load(connections, endpoint.name, group_cost) for endpoint in endpoints]
+    loads = [_load_from_this_relay(connections, endpoint.name, group_cost) for endpoint in endpoints]
     total_load = sum(loads)
     total_size = sum(endpoint.size for endpoint in endpoints)
     if total_load <= 0 or len(endpoints) < MIN_BALANCED_ENDPOINTS:
         return PoolUtilization((), 0.0)
     fair_loads = [total_load * endpoint.size / total_size for endpoint in endpoints]
-    confidence = _confidence(connections, loads, fair_loads, relay_count)
+    confidence = _estimate_confidence(connections, loads, fair_loads, relay_count)
     utilizations = tuple(
         EndpointUtilization(
             endpoint.name,
@@ -106,12 +106,12 @@
     return PoolUtilization(utilizations, confidence)
 
 
-def _own_load(connections: ConnectionTable, name: str, group_cost: float) -> float:
+def _load_from_this_relay(connections: ConnectionTable, name: str, group_cost: float) -> float:
     totals = connections.endpoints.get(name)
     return totals.load(connections.mean_load, group_cost) if totals is not None else 0.0
 
 
-def _confidence(
+def _estimate_confidence(
     connections: ConnectionTable, loads: list[float], fair_loads: list[float], relay_count: float
 ) -> float:
     """Return the fraction of this relay's spread that the whole fleet is expected to have.
