--- a/tests/store/test_replication_sockets.py
+++ b/tests/store/test_replication_sockets.py
@@ -401,13 +401,13 @@
 @pytest.mark.parametrize(
     ("change", "key"),
     [
-        ({"interval_s": 2.0}, "interval_s: is gone"),
+        ({"interval_s": 2.0}, "interval_s: is no longer supported"),
         ({"octets_per_s": 100}, "octets_per_s"),
         ({"horizon_s": 5}, "horizon_s"),
         ({"region": 5}, "region"),
         ({"zone": None}, "zone"),
         ({"peers": ["x"]}, r"peers\[0\]"),
-        ({"listen": "0.0.0.0:7400"}, "listen: must be an address"),
+        ({"listen": "0.0.0.0:7400"}, "listen: must be the address at which peers reach this member"),
     ],
 )
 def test_an_invalid_setting_of_the_store_is_named(tmp_path: Path, change: dict[str, Any], key: str) -> None:
