--- a/sageturn/store/replication/anti_entropy.py
+++ b/sageturn/store/replication/anti_entropy.py
@@ -26,21 +26,22 @@
 
 MAX_REQUESTED_NODES = 64
 MAX_REQUESTED_KEYS = MAX_REQUESTED_ITEMS
-MAX_LISTED_KEYS = 32  # below a tree node that is answered by its keys
+MAX_LISTED_KEYS = 32  # keys in a subtree that a response lists instead of its children's hashes
 MIN_REPEAT_DELAY_S = 5.0
 MAX_REPEAT_DELAY_S = 300.0
 
 
-class _Awaited(Enum):
-    NOTHING = auto()
+class _ExpectedResponse(Enum):
+    NONE = auto()
     NODES = auto()
     RECORDS = auto()
 
 
 class AntiEntropySync:
-    """The requesting side: finds what the peer holds that this replica lacks.
+    """The requesting side: finds and requests the records that the peer has and this replica lacks.
 
-    One request is open at a time. Times are monotonic seconds. ``rounds`` counts the comparisons started.
+    At most one request is outstanding. Times are monotonic seconds. ``rounds`` is the number of comparisons
+    started.
     """
 
     def __init__(self, records: ReplicatedRecords) -> None:
@@ -48,7 +49,7 @@
         self.rounds = 0
         self._pending_nodes: list[TreeNode] = []
         self._pending_keys: list[str] = []
-        self._awaited = _Awaited.NOTHING
+        self._expected_response = _ExpectedResponse.NONE
         self._requested_nodes: list[TreeNode] = []
         self._requested_keys: list[str] = []
         self._records_applied = 0
@@ -57,15 +58,18 @@
 
     @property
     def is_active(self) -> bool:
-        """Whether a round is under way."""
-        return bool(self._pending_nodes or self._pending_keys) or self._awaited != _Awaited.NOTHING
+        """True if a comparison is in progress."""
+        return (
+            bool(self._pending_nodes or self._pending_keys)
+            or self._expected_response != _ExpectedResponse.NONE
+        )
 
     def may_repeat(self, now: float) -> bool:
-        """Whether a round may be started now for a difference that the change streams left."""
+        """Return whether a comparison may start now to repair what the change streams have missed."""
         return now >= self._repeat_at and not self.is_active
 
     def start(self, priority: PriorityClass) -> None:
-        """Compares the trees of a priority class, from their roots on."""
+        """Start comparing the trees of a priority class, from their roots."""
         if any(node.priority == priority for node in self._pending_nodes):
             return
         self.rounds += 1
@@ -73,29 +77,29 @@
         self._pending_nodes.append(TreeNode(priority, 0, 0))
 
     def next_request(self) -> NodeRequest | RecordRequest | None:
-        """Returns the next request, which then counts as sent; None while there is none to send."""
-        if self._awaited != _Awaited.NOTHING:
+        """Return the next request and count it as sent; None if there is none to send now."""
+        if self._expected_response != _ExpectedResponse.NONE:
             return None
         if self._pending_keys:
             self._requested_keys = self._pending_keys[:MAX_REQUESTED_KEYS]
             self._pending_keys = self._pending_keys[MAX_REQUESTED_KEYS:]
-            self._awaited = _Awaited.RECORDS
+            self._expected_response = _ExpectedResponse.RECORDS
             return RecordRequest(self._requested_keys)
         if self._pending_nodes:
-            # The nodes found last go first: few are then pending at any time.
+            # Depth-first order: requesting the nodes found last first keeps the pending list short.
             self._requested_nodes = self._pending_nodes[-MAX_REQUESTED_NODES:]
             self._pending_nodes = self._pending_nodes[:-MAX_REQUESTED_NODES]
-            self._awaited = _Awaited.NODES
+            self._expected_response = _ExpectedResponse.NODES
             return NodeRequest(self._requested_nodes)
         return None
 
     def on_nodes(self, response: NodeResponse) -> None:
-        """Finds in a response what to request next.
+        """Queue the child nodes and the keys in which a response differs, to be requested next.
 
         Raises:
             SessionRejectedError: The response does not fit the request.
         """
-        self._check_response(_Awaited.NODES, len(self._requested_nodes), response.count)
+        self._check_response(_ExpectedResponse.NODES, len(self._requested_nodes), response.count)
         answered = self._requested_nodes[: response.count]
         missing_keys: list[str] = []
         different_nodes: list[TreeNode] = []
@@ -104,7 +108,7 @@
                 different_nodes += self._different_children(node, content)
             else:
                 missing_keys += [key for key, version in content.items() if self._lacks(key, version)]
-        self._awaited = _Awaited.NOTHING
+        self._expected_response = _ExpectedResponse.NONE
         self._pending_keys += missing_keys
         self._pending_nodes += self._requested_nodes[response.count :] + different_nodes
 
@@ -126,25 +130,25 @@
             return known is None or known.order < offered_order
         return offered.digest > record_digest(known)
 
-    def check_records(self, response: RecordResponse) -> None:
-        """Closes the open request, before the records of the response are applied.
+    def accept_record_response(self, response: RecordResponse) -> None:
+        """Complete the outstanding request, before the records of the response are applied.
 
         Raises:
             SessionRejectedError: The response does not fit the request.
         """
-        self._check_response(_Awaited.RECORDS, len(self._requested_keys), response.count)
+        self._check_response(_ExpectedResponse.RECORDS, len(self._requested_keys), response.count)
         answered = set(self._requested_keys[: response.count])
         if not {record.key for record in response.records} <= answered:
             raise SessionRejectedError("a record that nobody asked for")
-        self._awaited = _Awaited.NOTHING
+        self._expected_response = _ExpectedResponse.NONE
         self._pending_keys += self._requested_keys[response.count :]
 
     def on_records_applied(self, count: int) -> None:
-        """Counts the records of a checked response that were newer than what the store held."""
+        """Count the records of an accepted response that were newer than the store's."""
         self._records_applied += count
 
     def on_finished(self, now: float) -> None:
-        """Schedules the earliest repetition, once no request is left."""
+        """Set the earliest time of the next comparison, once no request is left."""
         if self._records_applied:
             self._repeat_delay_s = MIN_REPEAT_DELAY_S
         else:
@@ -152,13 +156,13 @@
             self._repeat_delay_s = min(MAX_REPEAT_DELAY_S, self._repeat_delay_s * 2)
         self._repeat_at = now + self._repeat_delay_s
 
-    def _check_response(self, kind: _Awaited, requested: int, answered: int) -> None:
-        if self._awaited != kind or not 1 <= answered <= requested:
+    def _check_response(self, kind: _ExpectedResponse, requested: int, answered: int) -> None:
+        if self._expected_response != kind or not 1 <= answered <= requested:
             raise SessionRejectedError("an answer that nobody asked for")
 
 
 class AntiEntropyResponder:
-    """The answering side, which holds one request at most."""
+    """The responding side, which keeps at most one request pending."""
 
     def __init__(self, records: ReplicatedRecords) -> None:
         self._records = records
@@ -166,12 +170,12 @@
 
     @property
     def has_request(self) -> bool:
-        """Whether the peer waits for a response."""
+        """True if the peer waits for a response."""
         return self._request is not None
 
     @property
     def requested_items(self) -> int:
-        """The number of tree nodes or keys in the open request."""
+        """Number of tree nodes or keys in the pending request."""
         match self._request:
             case NodeRequest(nodes):
                 return len(nodes)
@@ -181,17 +185,17 @@
                 return 0
 
     def on_request(self, request: NodeRequest | RecordRequest) -> None:
-        """Keeps a request until it is answered.
+        """Keep a request until it is answered.
 
         Raises:
-            SessionRejectedError: Another request is still open.
+            SessionRejectedError: Another request is still pending.
         """
         if self._request is not None:
             raise SessionRejectedError("asked before the answer")
         self._request = request
 
     def next_response(self, now: float, allowance: SendAllowance) -> NodeResponse | RecordResponse | None:
-        """Returns as much of the response as fits into one chunk; None if nothing may be sent now."""
+        """Return as much of the response as fits into one chunk; None if nothing may be sent now."""
         request = self._request
         if request is None or not allowance.may_send_chunk(now):
             return None
--- a/sageturn/store/replication/anti_entropy_exchange.py
+++ b/sageturn/store/replication/anti_entropy_exchange.py
@@ -1,4 +1,4 @@
-"""Anti-entropy within a replication session: when it is started, and both of its sides."""
+"""Anti-entropy within a replication session: decides when to compare trees, and runs both sides of it."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class AntiEntropyExchange:
-    """Fetches what the peer holds and the change streams did not bring, and answers the peer's requests.
+    """Requester of records that the change streams missed, and responder to the peer's requests.
 
     Times are seconds of the monotonic clock that the caller passes in.
     """
@@ -37,36 +37,36 @@
 
     @property
     def rounds(self) -> int:
-        """How often this side has compared Merkle trees."""
+        """Number of Merkle tree comparisons that this side has started."""
         return self._sync.rounds
 
     @property
     def requested_items(self) -> int:
-        """The number of tree nodes or keys that the peer waits for."""
+        """Number of tree nodes or keys that the peer waits for."""
         return self._responder.requested_items
 
     def start(self, priorities: Iterable[PriorityClass]) -> None:
-        """Compares the Merkle trees of these priority classes."""
+        """Start comparing the Merkle trees of these priority classes."""
         for priority in priorities:
             self._sync.start(priority)
 
     # ------------------------------------------------------------ sending
 
     def next_message(self, now: float) -> NodeRequest | RecordRequest | NodeResponse | RecordResponse | None:
-        """Returns the next request of this side, else the response that the peer waits for, if any."""
+        """Return the next request of this side, else the response that the peer waits for, if any."""
         request = self._sync.next_request()
         if request is not None:
             return request
         return self._responder.next_response(now, self._allowance)
 
     def next_response_at(self, now: float) -> float | None:
-        """Returns when the budget allows the response that the peer waits for; None if it waits for none."""
+        """Return when the budget allows the response that the peer waits for; None if it waits for none."""
         return self._allowance.next_chunk_at(now) if self._responder.has_request else None
 
     # ------------------------------------------------------------ receiving
 
     def on_request(self, kind: MessageKind, body: object) -> None:
-        """Keeps a request of the peer. Raises SessionRejectedError while another one is open."""
+        """Keep a request of the peer for an answer. Raise SessionRejectedError while another is pending."""
         if self._responder.has_request:
             raise SessionRejectedError("asked before the answer")
         if kind == MessageKind.NODE_REQUEST:
@@ -75,16 +75,16 @@
             self._responder.on_request(message_codec.decode_record_request(body))
 
     def on_nodes(self, response: NodeResponse, now: float) -> None:
-        """Handles Merkle tree nodes that were requested. Raises SessionRejectedError for any others."""
+        """Handle Merkle tree nodes that were requested. Raise SessionRejectedError for any others."""
         self._sync.on_nodes(response)
         self._complete_round(now)
 
-    def check_records(self, response: RecordResponse) -> None:
-        """Raises SessionRejectedError for records that were not requested."""
-        self._sync.check_records(response)
+    def accept_record_response(self, response: RecordResponse) -> None:
+        """Complete the outstanding request. Raise SessionRejectedError for records not requested."""
+        self._sync.accept_record_response(response)
 
     def on_records_applied(self, count: int, now: float) -> None:
-        """Handles a checked response, of whose records ``count`` were newer than the store's."""
+        """Handle an accepted response; ``count`` of its records were newer than the store's."""
         self._sync.on_records_applied(count)
         self._complete_round(now)
 
@@ -96,7 +96,7 @@
     # ------------------------------------------------------------ convergence
 
     def on_heartbeat(self, heartbeat: Heartbeat, now: float) -> None:
-        """Starts a round for each class that differs though the change streams have nothing under way."""
+        """Start a comparison of each class that still differs while no changes are in flight."""
         self._convergence.on_heartbeat(heartbeat)
         sender = self._changes.sender
         if sender is None:
@@ -108,5 +108,5 @@
                 self._sync.start(priority)
 
     def take_sync_time(self) -> float | None:
-        """Returns Unix seconds at which both sides held what both now hold; see ``ConvergenceMonitor``."""
+        """Return Unix seconds of a time whose changes both sides now have; see ``ConvergenceMonitor``."""
         return self._convergence.take_sync_time(self._changes.receiver, self._changes.sender)
--- a/sageturn/store/replication/body_fields.py
+++ b/sageturn/store/replication/body_fields.py
@@ -16,7 +16,7 @@
 from sageturn.store.replication.priority import PRIORITY_CLASSES
 
 MALFORMED_BODY_ERRORS = (KeyError, TypeError, ValueError, IndexError, AttributeError)
-MAX_QUOTED_LENGTH = 40  # of a peer's text in a rejection
+MAX_QUOTED_LENGTH = 40  # characters of a peer's text that a rejection quotes
 
 _Item = TypeVar("_Item")
 
@@ -75,7 +75,7 @@
 
 
 def decode_records(body: Any) -> list[StoreRecord]:
-    """Decodes all records of a list, or none. Raises SessionRejectedError for an invalid one."""
+    """Decode all records of a list, or none. Raise SessionRejectedError for an invalid one."""
     try:
         return [
             parse_record(
@@ -88,7 +88,7 @@
 
 
 def acknowledged_positions(body: Any) -> Sequence[AcknowledgedPosition]:
-    """Decodes what a peer has received; each position is decoded once the one before it was applied."""
+    """Decode what a peer has received; each position is decoded once the one before it was applied."""
     return LazySequence(body, _decode_acknowledged_position)
 
 
@@ -99,14 +99,14 @@
 
 
 def by_priority(body: Any) -> tuple[int, ...]:
-    """Decodes one number for each priority class."""
+    """Decode one number for each priority class."""
     if not isinstance(body, list) or len(body) != len(PRIORITY_CLASSES):
         raise SessionRejectedError("not so many lanes")
     return tuple(natural(value) for value in body)
 
 
 def natural(value: Any, minimum: int = 0) -> int:
-    """Returns ``value`` if it is an integer of at least ``minimum``, else raises SessionRejectedError."""
+    """Return ``value`` if it is an integer of at least ``minimum``, else raise SessionRejectedError."""
     if not isinstance(value, int) or isinstance(value, bool) or value < minimum:
         raise SessionRejectedError(f"no count: {str(value)[:MAX_QUOTED_LENGTH]}")
     return value
--- a/sageturn/store/replication/change_exchange.py
+++ b/sageturn/store/replication/change_exchange.py
@@ -20,7 +20,7 @@
 
 
 class ChangeExchange:
-    """This side's position in the peer's changes, and the peer's in this side's.
+    """Receiver of the peer's changes, and sender of this side's.
 
     Times are seconds of the monotonic clock that the caller passes in. ``sender`` is None until the peer
     follows this side.
@@ -35,46 +35,46 @@
 
     @property
     def cursors(self) -> list[Cursor]:
-        """How far this side has followed the peer, by priority class."""
+        """Positions of this side in the peer's change logs, by priority class."""
         return self.receiver.cursors
 
     @property
     def chunks_in_flight(self) -> int:
-        """The number of chunks that were sent and are not acknowledged yet."""
+        """Number of chunks that were sent and are not acknowledged yet."""
         return 0 if self.sender is None else self.sender.chunks_in_flight
 
     @property
     def is_delivered(self) -> bool:
-        """Whether the peer has acknowledged all that this side holds and it lacked."""
+        """True if the peer has acknowledged every change that it needs from this side."""
         return self.sender is not None and self.sender.is_delivered
 
     def is_caught_up(self, hello: Hello) -> bool:
-        """Whether this side has all that the peer had when it sent its hello."""
+        """Return whether this side has all that the peer had when it sent its hello."""
         return self.receiver.is_following and self.receiver.has_all_up_to(hello.heads)
 
     # ------------------------------------------------------------ sending
 
     def follow(self, hello: Hello) -> Follow:
-        """Returns the request for the peer's changes, from where an earlier session has got to."""
+        """Return the request for the peer's changes, starting where an earlier session ended."""
         records = self._records
-        known_cursors = records.followed_cursors.get(hello.incarnation)
-        follow = self.receiver.follow(hello, records.changes, known_cursors)
-        records.followed_cursors.remember(hello.incarnation, self.receiver.cursors)
+        cached_cursors = records.followed_cursors.get(hello.incarnation)
+        follow = self.receiver.follow(hello, records.changes, cached_cursors)
+        records.followed_cursors.cache(hello.incarnation, self.receiver.cursors)
         return follow
 
     def next_acknowledgement(self) -> Acknowledgement | None:
-        """Returns the confirmation of the chunks received since the last one; None if there are none."""
+        """Return the acknowledgement of chunks received since the last one; None if there are none."""
         if not self.receiver.has_unacknowledged_chunks:
             return None
         self.receiver.has_unacknowledged_chunks = False
         return Acknowledgement(self.receiver.acknowledged_positions())
 
     def next_urgent_chunk(self, now: float) -> Chunk | None:
-        """Returns the next live changes of the urgent class, if any may be sent now."""
+        """Return the next chunk of live urgent changes; None if none may be sent now."""
         return None if self.sender is None else self.sender.next_chunk(now, URGENT_LIVE)
 
     def next_deferrable_chunk(self, now: float) -> Chunk | None:
-        """Returns the next changes of all other streams, if any may be sent now."""
+        """Return the next chunk of any other stream; None if none may be sent now."""
         if self.sender is None:
             return None
         for stream in DEFERRABLE_STREAMS:
@@ -84,21 +84,21 @@
         return None
 
     def next_chunk_at(self, now: float) -> float | None:
-        """Returns when a chunk may be sent though nothing happens in the meantime; None for never."""
+        """Return the time at which a chunk may be sent if no other event occurs; None for never."""
         return None if self.sender is None else self.sender.next_chunk_at(now)
 
     def heartbeat_acknowledgements(self) -> list[AcknowledgedPosition] | None:
-        """Returns what a heartbeat confirms to the peer; None while this side follows nothing."""
+        """Return the positions that a heartbeat acknowledges; None until this side follows the peer."""
         return self.receiver.acknowledged_positions() if self.receiver.is_following else None
 
-    def skip_known_changes(self) -> list[SkippedRange] | None:
-        """Returns the live revisions that a heartbeat lets the peer skip; None until it follows this side."""
-        return None if self.sender is None else self.sender.skip_known_changes()
+    def take_skipped_ranges(self) -> list[SkippedRange] | None:
+        """Return the live revisions that a heartbeat lets the peer skip; None until it follows this side."""
+        return None if self.sender is None else self.sender.take_skipped_ranges()
 
     # ------------------------------------------------------------ receiving
 
     def on_follow(self, body: object, peer_incarnation: int) -> None:
-        """Begins to send changes. Raises SessionRejectedError for a second or an impossible request."""
+        """Start sending changes. Raise SessionRejectedError for a second request or an invalid position."""
         if self.sender is not None:
             raise SessionRejectedError("follows twice")
         positions = message_codec.decode_follow(body).positions
@@ -107,7 +107,7 @@
         )
 
     def on_acknowledgement(self, acknowledgement: Acknowledgement) -> None:
-        """Takes the peer's confirmation. Raises SessionRejectedError for what was never sent."""
+        """Apply an acknowledgement. Raise SessionRejectedError if it covers revisions never sent."""
         if self.sender is None:
             raise SessionRejectedError("acknowledged what was never sent")
         self.sender.on_acknowledged(acknowledgement.positions)
--- a/sageturn/store/replication/changes.py
+++ b/sageturn/store/replication/changes.py
@@ -1,4 +1,4 @@
-"""The change logs of a replica: what it holds, in the order in which it came to hold it.
+"""The change logs of a replica: the keys of its records, in the order in which they changed there.
 
 Each priority class has a change log of its own. A change of a key takes the next revision, and the key's
 earlier entry is removed: there is one entry for each key, however often it changes.
@@ -14,7 +14,7 @@
 from sageturn.store.replication.merkle_tree import MerkleTree
 from sageturn.store.replication.priority import PRIORITY_CLASSES, priority_of
 
-MIN_STALE_REVISIONS = 64  # in the order of a change log before it is compacted
+MIN_STALE_REVISIONS = 64  # stale revisions, besides one per entry, before a change log compacts its order
 
 
 class Change(NamedTuple):
@@ -22,28 +22,28 @@
 
     revision: int
     key: str
-    source: int | None  # the incarnation of the peer that sent the change; None if it was made here
+    source: int | None  # incarnation of the peer that sent the change; None for a local change
 
 
 class ChangeLog:
-    """Keeps the latest change of each key, by rising revision."""
+    """Log of the latest change of each key, in ascending order of revision."""
 
     def __init__(self) -> None:
         self.head = 0
         self._entries: dict[int, Change] = {}
         self._revisions: dict[str, int] = {}
-        self._order: list[int] = []  # rising; may name entries that are gone
+        self._order: list[int] = []  # ascending revisions; may include those of removed entries
 
     def __len__(self) -> int:
         return len(self._entries)
 
     @property
     def order_length(self) -> int:
-        """The number of revisions kept for ordered access, stale ones included."""
+        """Number of revisions retained for ordered access, stale ones included."""
         return len(self._order)
 
     def append(self, key: str, source: int | None) -> None:
-        """Gives a change of a key the next revision, which becomes ``head``."""
+        """Append a change of a key under the next revision, which becomes ``head``."""
         self.remove(key)
         self.head += 1
         self._revisions[key] = self.head
@@ -53,13 +53,13 @@
             self._order = list(self._entries)
 
     def remove(self, key: str) -> None:
-        """Drops a key's entry, if there is one."""
+        """Drop a key's entry, if there is one."""
         revision = self._revisions.pop(key, None)
         if revision is not None:
             del self._entries[revision]
 
     def since(self, revision: int) -> Iterator[Change]:
-        """Yields the entries after a revision, rising. The log must not change during the iteration."""
+        """Yield the entries after a revision, ascending. The log must not change during the iteration."""
         order = self._order
         for position in range(bisect_right(order, revision), len(order)):
             change = self._entries.get(order[position])
@@ -68,9 +68,9 @@
 
 
 class ChangeLogSet:
-    """Holds the change logs and Merkle trees of one incarnation of a replica, by priority class.
+    """Change logs and Merkle trees of one incarnation of a replica, by priority class.
 
-    Positions in these logs mean nothing for another incarnation.
+    Revisions of these logs are not valid for another incarnation.
     """
 
     def __init__(self, incarnation: int) -> None:
@@ -79,28 +79,28 @@
         self.trees = [MerkleTree() for _ in PRIORITY_CLASSES]
 
     def add(self, record: StoreRecord, source: int | None = None) -> None:
-        """Records that the replica now holds this version of a record; see ``Change.source``."""
+        """Record that the replica now holds this version of a record; see ``Change.source``."""
         priority = priority_of(record.key)
         self.logs[priority].append(record.key, source)
         self.trees[priority].set(record.key, record_digest(record))
 
     def remove(self, key: str) -> None:
-        """Records that the replica has forgotten a key."""
+        """Record that the replica has forgotten a key."""
         priority = priority_of(key)
         self.logs[priority].remove(key)
         self.trees[priority].set(key, 0)
 
     @property
     def heads(self) -> list[int]:
-        """The last revision of each log."""
+        """Last revision of each log."""
         return [change_log.head for change_log in self.logs]
 
     @property
     def roots(self) -> list[int]:
-        """The root hash of each tree."""
+        """Root hash of each tree."""
         return [tree.root for tree in self.trees]
 
     @property
     def counts(self) -> list[int]:
-        """The number of keys in each log."""
+        """Number of keys in each log."""
         return [len(change_log) for change_log in self.logs]
--- a/sageturn/store/replication/chunk_sender.py
+++ b/sageturn/store/replication/chunk_sender.py
@@ -1,6 +1,6 @@
-"""Sending one follower what changed, in chunks, with a bounded number of them unacknowledged.
+"""Sends changes to one follower in chunks, with a bounded number of chunks in flight.
 
-Nothing is queued: a chunk is made from the change log when it can be sent. A slow follower therefore costs
+Chunks are not queued: each is built from the change log when it can be sent. A slow follower therefore uses
 no memory, and a key that changed twice in the meantime is sent once.
 """
 
@@ -13,7 +13,7 @@
 from sageturn.store.errors import SessionRejectedError
 from sageturn.store.records import StoreRecord
 from sageturn.store.replication.changes import ChangeLogSet
-from sageturn.store.replication.cursor import ChangeStream
+from sageturn.store.replication.cursor import StreamKind
 from sageturn.store.replication.live_chunk_pacer import LiveChunkPacer
 from sageturn.store.replication.message_codec import record_to_wire
 from sageturn.store.replication.messages import (
@@ -28,20 +28,20 @@
 from sageturn.store.replication.wire import encoded_size
 
 MAX_CHUNKS_IN_FLIGHT = 2
-MAX_URGENT_CHUNKS_IN_FLIGHT = 4  # of the live urgent stream, counted apart from all others
+MAX_URGENT_CHUNKS_IN_FLIGHT = 4  # limit for the live urgent stream, counted separately from all others
 
 
-class Stream(NamedTuple):
-    """One range of one change log."""
+class StreamId(NamedTuple):
+    """Identity of a change stream: one range of one change log."""
 
     priority: PriorityClass
-    kind: ChangeStream
+    kind: StreamKind
 
 
-LIVE_STREAMS = {priority: Stream(priority, ChangeStream.LIVE) for priority in PRIORITY_CLASSES}
-BACKLOG_STREAMS = {priority: Stream(priority, ChangeStream.BACKLOG) for priority in PRIORITY_CLASSES}
+LIVE_STREAMS = {priority: StreamId(priority, StreamKind.LIVE) for priority in PRIORITY_CLASSES}
+BACKLOG_STREAMS = {priority: StreamId(priority, StreamKind.BACKLOG) for priority in PRIORITY_CLASSES}
 URGENT_LIVE = LIVE_STREAMS[PriorityClass.URGENT]
-DEFERRABLE_STREAMS = (  # in the order in which they are served
+DEFERRABLE_STREAMS = (  # listed in the order in which they are served
     BACKLOG_STREAMS[PriorityClass.URGENT],
     LIVE_STREAMS[PriorityClass.STATES],
     BACKLOG_STREAMS[PriorityClass.STATES],
@@ -50,10 +50,10 @@
 
 @dataclass(slots=True)
 class SendPosition:
-    """How far a stream of a change log was sent to the follower, in revisions.
+    """Progress of sending a stream to the follower, in revisions.
 
-    The follower was sent all it lacks up to ``sent``, and needs nothing more up to ``scanned``. ``end`` is
-    the last revision of a backlog, None for a live stream.
+    All that the follower needs up to ``sent`` was sent, and it needs nothing between ``sent`` and
+    ``scanned``. ``end`` is the last revision of a backlog, None for a live stream.
     """
 
     sent: int
@@ -63,24 +63,24 @@
 
     @property
     def is_acknowledged_to_end(self) -> bool:
-        """Whether a backlog was received completely; true for a live stream."""
+        """True if the whole backlog was acknowledged; always true for a live stream."""
         return self.end is None or self.acknowledged >= self.end
 
 
 class _ChunkInFlight(NamedTuple):
-    stream: Stream
+    stream: StreamId
     end: int
 
 
 class _ChunkContent(NamedTuple):
-    """The records of a chunk, and the revision at which it ends."""
+    """Records of a chunk, and the revision at which it ends."""
 
     records: list[StoreRecord]
     end: int
 
 
 class ChunkSender:
-    """Sends the changes of this replica to one follower. Times are monotonic seconds."""
+    """Sender of this replica's changes to one follower. Times are monotonic seconds."""
 
     def __init__(
         self,
@@ -90,15 +90,15 @@
         positions: Sequence[FollowPosition],
         opened_at: float,
     ) -> None:
-        """Begins to send from the follower's positions.
+        """Start sending from the follower's positions.
 
         Raises:
-            SessionRejectedError: This replica never gave such a position.
+            SessionRejectedError: A position is not one that this replica has issued.
         """
         self._records = records
         self._allowance = allowance
         self._follower_incarnation = follower_incarnation
-        self._positions: dict[Stream, SendPosition] = {}
+        self._positions: dict[StreamId, SendPosition] = {}
         self._in_flight: list[_ChunkInFlight] = []
         self._live_pacer = LiveChunkPacer(opened_at)
         for priority, position in zip(PRIORITY_CLASSES, positions, strict=True):
@@ -116,20 +116,20 @@
 
     @property
     def chunks_in_flight(self) -> int:
-        """The number of chunks that were sent and are not acknowledged yet."""
+        """Number of chunks that were sent and are not acknowledged yet."""
         return len(self._in_flight)
 
     @property
     def is_delivered(self) -> bool:
-        """Whether the follower has acknowledged all that this replica holds and it lacked."""
+        """True if the follower has acknowledged every change that it needs from this replica."""
         for stream, position in self._positions.items():
-            self._skip_changes_of_follower(stream)
+            self._skip_changes_from_follower(stream)
             if position.scanned < self._end_of(stream) or position.acknowledged < position.sent:
                 return False
         return True
 
     def has_acknowledged(self, heads: Sequence[int]) -> bool:
-        """Whether the follower has all up to these revisions of the live streams, and every backlog."""
+        """Return whether every backlog and the live streams up to these revisions were acknowledged."""
         return all(
             self._positions[LIVE_STREAMS[priority]].acknowledged >= head
             and self._positions[BACKLOG_STREAMS[priority]].is_acknowledged_to_end
@@ -137,29 +137,29 @@
         )
 
     def is_idle(self, priority: PriorityClass, changes: ChangeLogSet) -> bool:
-        """Whether the follower has acknowledged everything in one class."""
+        """Return whether the follower has acknowledged everything in one class."""
         live = self._positions[LIVE_STREAMS[priority]]
         backlog = self._positions[BACKLOG_STREAMS[priority]]
         return live.acknowledged == changes.logs[priority].head and backlog.is_acknowledged_to_end
 
     # ------------------------------------------------------------ sending
 
-    def skip_known_changes(self) -> list[SkippedRange]:
-        """Returns the live revisions after the last chunk of which the follower needs nothing.
+    def take_skipped_ranges(self) -> list[SkippedRange]:
+        """Return, by priority class, the live revisions after the last chunk that the follower may skip.
 
-        They count as sent: a heartbeat has to carry them.
+        They count as sent, so a heartbeat has to carry them.
         """
         skipped = []
         for priority in PRIORITY_CLASSES:
             stream = LIVE_STREAMS[priority]
-            self._skip_changes_of_follower(stream)
+            self._skip_changes_from_follower(stream)
             position = self._positions[stream]
             skipped.append(SkippedRange(position.sent, position.scanned))
             position.sent = max(position.sent, position.scanned)
         return skipped
 
-    def next_chunk(self, now: float, stream: Stream) -> Chunk | None:
-        """Returns the next chunk of a stream, which then counts as sent; None if nothing may be sent now."""
+    def next_chunk(self, now: float, stream: StreamId) -> Chunk | None:
+        """Return the next chunk of a stream and count it as sent; None if none may be sent now."""
         if not self._has_chunk(stream) or not self._may_send(now, stream):
             return None
         position = self._positions[stream]
@@ -168,12 +168,12 @@
         position.scanned = end
         position.sent = end
         self._in_flight.append(_ChunkInFlight(stream, end))
-        if stream.kind == ChangeStream.LIVE:
+        if stream.kind == StreamKind.LIVE:
             self._live_pacer.on_chunk_sent(stream.priority, now)
         return Chunk(stream.priority, stream.kind, start, end, records)
 
     def next_chunk_at(self, now: float) -> float | None:
-        """Returns when a chunk may be sent though nothing happens in the meantime; None for never."""
+        """Return the time at which a chunk may be sent if no other event occurs; None for never."""
         times = []
         if self._has_chunk(URGENT_LIVE):
             allowed_at = self._allowance.next_chunk_at(now, urgent=True)
@@ -184,8 +184,8 @@
                 times.append(max(self._paced_at(stream, now), allowed_at))
         return min(times, default=None)
 
-    def _collect_records(self, stream: Stream) -> _ChunkContent:
-        """Scans the change log for the next chunk of a stream, up to ``MAX_CHUNK_BYTES``."""
+    def _collect_records(self, stream: StreamId) -> _ChunkContent:
+        """Scan the change log for the next chunk of a stream, up to ``MAX_CHUNK_BYTES``."""
         position = self._positions[stream]
         end = self._end_of(stream)
         remaining_bytes = MAX_CHUNK_BYTES
@@ -205,36 +205,36 @@
             position.scanned = change.revision
         return _ChunkContent(records, end)
 
-    def _has_chunk(self, stream: Stream) -> bool:
+    def _has_chunk(self, stream: StreamId) -> bool:
         if self._is_window_full(stream):
             return False
-        self._skip_changes_of_follower(stream)
+        self._skip_changes_from_follower(stream)
         position = self._positions[stream]
         if position.scanned < self._end_of(stream):
             return True
-        # An empty end of the backlog is sent too: the follower then knows that it has everything.
+        # The end of a backlog is sent even without records, to tell the follower that it has them all.
         return position.end is not None and position.sent < position.end
 
-    def _is_window_full(self, stream: Stream) -> bool:
+    def _is_window_full(self, stream: StreamId) -> bool:
         is_urgent_live = stream == URGENT_LIVE
         in_flight = sum((chunk.stream == URGENT_LIVE) == is_urgent_live for chunk in self._in_flight)
         return in_flight >= (MAX_URGENT_CHUNKS_IN_FLIGHT if is_urgent_live else MAX_CHUNKS_IN_FLIGHT)
 
-    def _may_send(self, now: float, stream: Stream) -> bool:
+    def _may_send(self, now: float, stream: StreamId) -> bool:
         if now < self._paced_at(stream, now) and not self._allowance.is_unlimited:
             return False
         return self._allowance.may_send_chunk(now, urgent=stream == URGENT_LIVE)
 
-    def _paced_at(self, stream: Stream, now: float) -> float:
-        """Returns when the stream's pacing allows a chunk; only live streams are paced."""
-        return self._live_pacer.next_chunk_at(stream.priority) if stream.kind == ChangeStream.LIVE else now
+    def _paced_at(self, stream: StreamId, now: float) -> float:
+        """Return when the stream's pacing allows a chunk; only live streams are paced."""
+        return self._live_pacer.next_chunk_at(stream.priority) if stream.kind == StreamKind.LIVE else now
 
-    def _end_of(self, stream: Stream) -> int:
+    def _end_of(self, stream: StreamId) -> int:
         end = self._positions[stream].end
         return self._records.changes.logs[stream.priority].head if end is None else end
 
-    def _skip_changes_of_follower(self, stream: Stream) -> None:
-        """Scans past changes that came from the follower, which need not go back to it."""
+    def _skip_changes_from_follower(self, stream: StreamId) -> None:
+        """Scan past changes that came from the follower, which are not sent back to it."""
         position = self._positions[stream]
         end = self._end_of(stream)
         if position.scanned >= end:
@@ -250,10 +250,10 @@
     # ------------------------------------------------------------ acknowledgements
 
     def on_acknowledged(self, positions: Sequence[AcknowledgedPosition]) -> None:
-        """Takes the follower's confirmation, by priority class.
+        """Apply the follower's acknowledgement, by priority class.
 
         Raises:
-            SessionRejectedError: It confirms what was never sent.
+            SessionRejectedError: It covers revisions that were never sent.
         """
         for priority, acknowledged in zip(PRIORITY_CLASSES, positions, strict=True):
             self._acknowledge(LIVE_STREAMS[priority], acknowledged.live)
@@ -262,7 +262,7 @@
             chunk for chunk in self._in_flight if self._positions[chunk.stream].acknowledged < chunk.end
         ]
 
-    def _acknowledge(self, stream: Stream, revision: int) -> None:
+    def _acknowledge(self, stream: StreamId, revision: int) -> None:
         if revision < 0:
             return  # the follower uses anti-entropy in place of the backlog
         position = self._positions[stream]
--- a/sageturn/store/replication/close_code.py
+++ b/sageturn/store/replication/close_code.py
@@ -11,9 +11,9 @@
     A session that the topology rejects carries the reason of its ``LinkRejected`` instead.
     """
 
-    ORDERLY = "orderly"  # not needed any more
-    REMOVED = "removed"  # one of the two was removed from the cluster
-    AWAY = "away"  # the peer was cut off for longer than deletions are remembered
-    LATER = "later"  # the peer may connect again
+    ORDERLY = "orderly"  # the session is no longer needed
+    REMOVED = "removed"  # one of the two members was removed from the cluster
+    AWAY = "away"  # the peer was out of sync for longer than deletions are remembered
+    LATER = "later"  # the peer may connect again later
     VERSION = "version"  # the peer speaks another protocol version
-    FAULT = "fault"  # a protocol violation, or a peer that fell silent
+    FAULT = "fault"  # a protocol violation, or an unresponsive peer
--- a/sageturn/store/replication/convergence.py
+++ b/sageturn/store/replication/convergence.py
@@ -1,4 +1,4 @@
-"""Convergence: whether the two replicas of a session hold the same, judged from heartbeats."""
+"""Detects from heartbeats whether the two replicas of a session hold the same records."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from sageturn.store.replication.priority import PRIORITY_CLASSES, PriorityClass
 from sageturn.store.replication.replicated_records import ReplicatedRecords
 
-MIN_DIVERGED_HEARTBEATS = 2  # in a row, before anti-entropy is started
+MIN_DIVERGED_HEARTBEATS = 2  # consecutive heartbeats before anti-entropy starts
 
 
 @dataclass(frozen=True, slots=True)
 class _SyncPoint:
-    """The ends of both sides' change logs at a heartbeat."""
+    """Heads of both sides' change logs at a heartbeat."""
 
     peer_heads: Sequence[int]
     own_heads: Sequence[int]
@@ -24,7 +24,7 @@
 
 
 class ConvergenceMonitor:
-    """Detects when a session has brought both sides in sync, and when something was lost on the way."""
+    """Detector of when both sides of a session are in sync, and of changes that the streams have missed."""
 
     def __init__(self, records: ReplicatedRecords) -> None:
         self._records = records
@@ -32,17 +32,17 @@
         self._diverged_heartbeats = dict.fromkeys(PRIORITY_CLASSES, 0)
 
     def on_heartbeat(self, heartbeat: Heartbeat) -> None:
-        """Remembers where both sides are, unless an earlier point is not reached yet."""
+        """Record both sides' heads as the next sync point, unless an earlier one is still pending."""
         if self._sync_point is None:
             self._sync_point = _SyncPoint(
                 heartbeat.heads, self._records.changes.heads, self._records.store.wall_clock()
             )
 
     def take_sync_time(self, receiver: ChunkReceiver, sender: ChunkSender | None) -> float | None:
-        """Returns the Unix seconds of a heartbeat, once each side has what the other had then.
+        """Return the Unix seconds of a heartbeat, once each side has all that the other had then.
 
-        A side that the peer does not follow yet, as while it is being filled, only has to have all itself.
-        None if there is no such heartbeat, or it was returned before.
+        While the peer does not follow this side, as during this side's initial sync, only this side has to
+        have received everything. None if there is no such heartbeat, or it was returned before.
         """
         point = self._sync_point
         if point is None or not receiver.has_all_up_to(point.peer_heads):
@@ -55,7 +55,7 @@
     def has_diverged(
         self, priority: PriorityClass, heartbeat: Heartbeat, receiver: ChunkReceiver, sender: ChunkSender
     ) -> bool:
-        """Whether a class differs at several heartbeats in a row though no changes are under way."""
+        """Return whether a class differs at consecutive heartbeats although no changes are in flight."""
         changes = self._records.changes
         cursor = receiver.cursors[priority]
         has_all = cursor.is_backlog_complete and cursor.live == heartbeat.heads[priority]
@@ -67,5 +67,5 @@
         return self._diverged_heartbeats[priority] >= MIN_DIVERGED_HEARTBEATS
 
     def on_repair_started(self, priority: PriorityClass) -> None:
-        """Restarts the count of a class that anti-entropy compares now."""
+        """Reset the count of diverged heartbeats of a class that anti-entropy now compares."""
         self._diverged_heartbeats[priority] = 0
--- a/sageturn/store/replication/cursor.py
+++ b/sageturn/store/replication/cursor.py
@@ -7,12 +7,12 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-BACKLOG_UNKNOWN = -1  # on the wire too; anti-entropy finds out what is missing
-MAX_REMEMBERED_INCARNATIONS = 2048
+BACKLOG_UNKNOWN = -1  # also sent on the wire; anti-entropy then finds the missing records
+MAX_CACHED_INCARNATIONS = 2048
 
 
-class ChangeStream(IntEnum):
-    """The two ranges of a change log that are sent side by side: before and after the session was opened.
+class StreamKind(IntEnum):
+    """Range of a change log: changes before or after the session was opened, which are sent concurrently.
 
     The values are those of the wire protocol.
     """
@@ -23,9 +23,10 @@
 
 @dataclass(slots=True)
 class Cursor:
-    """A position in a change log: all changes up to ``backlog``, and after ``backlog_end`` up to ``live``.
+    """Position of a follower in a change log.
 
-    ``backlog`` may be ``BACKLOG_UNKNOWN``.
+    All changes up to ``backlog`` were received, and those after ``backlog_end`` up to ``live``. ``backlog``
+    may be ``BACKLOG_UNKNOWN``.
     """
 
     backlog: int
@@ -34,38 +35,38 @@
 
     @property
     def is_backlog_complete(self) -> bool:
-        """Whether nothing before the live changes is missing."""
+        """True if nothing before the live changes is missing."""
         return self.backlog >= self.backlog_end
 
     def has_all_up_to(self, revision: int) -> bool:
-        """Whether every change up to a revision is held."""
+        """Return whether every change up to a revision was received."""
         return self.is_backlog_complete and self.live >= revision
 
 
 class CursorCache:
-    """Caches the cursors of peers' incarnations, for a later session with the same incarnation.
+    """Cache of the cursors of peers' incarnations, for a later session with the same incarnation.
 
-    The least recently used are dropped first.
+    The least recently followed incarnations are evicted first.
     """
 
     def __init__(self) -> None:
         self._cursors: OrderedDict[int, list[Cursor]] = OrderedDict()
 
     def get(self, incarnation: int) -> list[Cursor] | None:
-        """Returns the cursors by priority class; None for an incarnation that is not known."""
+        """Return the cursors by priority class; None for an incarnation that is not cached."""
         return self._cursors.get(incarnation)
 
     def items(self) -> Iterable[tuple[int, list[Cursor]]]:
-        """Returns all incarnations with their cursors."""
+        """Return all incarnations with their cursors."""
         return self._cursors.items()
 
-    def remember(self, incarnation: int, cursors: list[Cursor]) -> None:
-        """Keeps the cursors of a session, which goes on to update them."""
+    def cache(self, incarnation: int, cursors: list[Cursor]) -> None:
+        """Cache the cursors of a session, which continues to update them in place."""
         self._cursors[incarnation] = cursors
         self._cursors.move_to_end(incarnation)
-        if len(self._cursors) > MAX_REMEMBERED_INCARNATIONS:
+        if len(self._cursors) > MAX_CACHED_INCARNATIONS:
             self._cursors.popitem(last=False)
 
     def clear(self) -> None:
-        """Drops all cursors, when this replica begins a new incarnation."""
+        """Drop all cursors, when this replica begins a new incarnation."""
         self._cursors.clear()
--- a/sageturn/store/replication/errors.py
+++ b/sageturn/store/replication/errors.py
@@ -7,7 +7,7 @@
 
 
 class LinkNotEstablishedError(StoreError, ConnectionError):
-    """The handshake of a link failed, and the replica was not notified of the link. The text says why."""
+    """The handshake of a link failed, and the replica was not notified of the link. The message says why."""
 
 
 class LinkNotAdmittedError(SessionRejectedError):
--- a/sageturn/store/replication/hello_exchange.py
+++ b/sageturn/store/replication/hello_exchange.py
@@ -1,11 +1,11 @@
-"""The hello messages of a replication session, by which each side decides whether to talk to the other."""
+"""The exchange of hello messages, by which each side of a session decides whether to accept the other."""
 
 from __future__ import annotations
 
 from sageturn.store.errors import SessionRejectedError
 from sageturn.store.replication import message_codec
 from sageturn.store.replication.messages import Hello
-from sageturn.store.replication.session_host import SessionHost
+from sageturn.store.replication.session_context import SessionContext
 
 
 class HelloExchange:
@@ -14,9 +14,9 @@
     ``peer_hello`` is None until the peer was admitted.
     """
 
-    def __init__(self, host: SessionHost, peer: str, is_dialing: bool) -> None:
+    def __init__(self, context: SessionContext, peer: str, is_dialing: bool) -> None:
         self.peer_hello: Hello | None = None
-        self._host = host
+        self._context = context
         self._peer = peer
         self._is_dialing = is_dialing
         self._is_sent = False
@@ -24,41 +24,41 @@
 
     @property
     def is_complete(self) -> bool:
-        """Whether this side has sent its hello and accepted the peer's."""
+        """True if this side has sent its hello and accepted the peer's."""
         return self._is_sent and self.peer_hello is not None
 
     def claimed_sync(self) -> bool:
-        """Whether this side claims to be recently in sync.
+        """Return whether this side claims to be recently in sync.
 
-        It is decided once: both sides judge by the two hello messages, and must come to the same result.
+        The claim is evaluated once: both sides judge by the two hello messages and must reach one result.
         """
         if self._claimed_sync is None:
-            self._claimed_sync = self._host.sync_status.recently_in_sync
+            self._claimed_sync = self._context.sync_status.recently_in_sync
         return self._claimed_sync
 
     def next_hello(self) -> Hello | None:
-        """Returns this side's hello, which then counts as sent; None if it was sent or the peer is first."""
+        """Return this side's hello and count it as sent; None if it was sent or the peer is to send first."""
         is_turn_of_peer = not self._is_dialing and self.peer_hello is None
         if self._is_sent or is_turn_of_peer:
             return None
         self._is_sent = True
-        host = self._host
-        changes = host.records.changes
+        context = self._context
+        changes = context.records.changes
         return Hello(
-            node=host.store.node,
+            node=context.store.node,
             incarnation=changes.incarnation,
             heads=changes.heads,
             roots=changes.roots,
             counts=changes.counts,
             recently_in_sync=self.claimed_sync(),
-            holds_replicated_records=host.sync_status.holds_replicated_records,
-            tombstone_floor=host.store.replica_state.tombstone_floor,
-            is_ephemeral=host.is_ephemeral,
-            location=host.location,
+            holds_replicated_records=context.sync_status.holds_replicated_records,
+            tombstone_floor=context.store.replica_state.tombstone_floor,
+            is_ephemeral=context.is_ephemeral,
+            location=context.location,
         )
 
     def decode_peer_hello(self, body: object) -> Hello:
-        """Decodes the peer's hello, which is not accepted by that yet.
+        """Decode the peer's hello, without accepting it yet.
 
         Raises:
             SessionRejectedError: It is the second one, malformed, of another protocol version, or names
@@ -72,5 +72,5 @@
         return hello
 
     def on_peer_admitted(self, hello: Hello) -> None:
-        """Keeps the hello of a peer with which the replica allows a session."""
+        """Store the hello of a peer that the replica has admitted."""
         self.peer_hello = hello
--- a/sageturn/store/replication/merkle_tree.py
+++ b/sageturn/store/replication/merkle_tree.py
@@ -1,7 +1,7 @@
 """A Merkle tree over record digests, for finding what two replicas hold differently.
 
-A key's leaf is given by the first bits of its hash. A node's hash is the exclusive or of the digests below
-it, so a change costs the same whatever the number of keys.
+A key's leaf is given by the first bits of its hash. A node's hash is the exclusive or of the digests in
+its subtree, so the cost of a change does not depend on the number of keys.
 """
 
 from __future__ import annotations
@@ -10,18 +10,18 @@
 
 FANOUT_BITS = 4
 FANOUT = 1 << FANOUT_BITS
-DEPTH = 3  # of the leaves, of which there are 4,096
+DEPTH = 3  # depth of the leaves; a tree has 4,096 of them
 _KEY_HASH_BITS = 16
 
 
 def leaf_index(key: str) -> int:
-    """Returns the index of the leaf that holds a key."""
+    """Return the index of the leaf that holds a key."""
     key_hash = blake2b(key.encode(), digest_size=_KEY_HASH_BITS // 8).digest()
     return int.from_bytes(key_hash, "big") >> (_KEY_HASH_BITS - DEPTH * FANOUT_BITS)
 
 
 class MerkleTree:
-    """Holds record digests by key. Nodes are named by depth and index within it; the root is (0, 0)."""
+    """Tree of record digests by key. A node is named by its depth and index within it; the root is (0, 0)."""
 
     def __init__(self) -> None:
         self._hashes = [[0] * FANOUT**depth for depth in range(DEPTH + 1)]
@@ -30,11 +30,11 @@
 
     @property
     def root(self) -> int:
-        """The hash over everything; 0 for an empty tree."""
+        """Hash of the whole tree; 0 if it is empty."""
         return self._hashes[0][0]
 
     def set(self, key: str, digest: int) -> None:
-        """Sets a key's digest; 0 removes the key."""
+        """Set a key's digest; 0 removes the key."""
         index = leaf_index(key)
         leaf = self._leaves.setdefault(index, {})
         previous = leaf.pop(key, 0)
@@ -49,20 +49,20 @@
             index >>= FANOUT_BITS
 
     def hash(self, depth: int, index: int) -> int:
-        """Returns the hash of a node."""
+        """Return the hash of a node."""
         return self._hashes[depth][index]
 
     def count(self, depth: int, index: int) -> int:
-        """Returns the number of keys below a node."""
+        """Return the number of keys in a node's subtree."""
         return self._counts[depth][index]
 
     def children(self, depth: int, index: int) -> list[int]:
-        """Returns the hashes of an inner node's children."""
+        """Return the hashes of an inner node's children."""
         first = index << FANOUT_BITS
         return self._hashes[depth + 1][first : first + FANOUT]
 
     def entries(self, depth: int, index: int) -> dict[str, int]:
-        """Returns the digests of all keys below a node."""
+        """Return the digests of all keys in a node's subtree."""
         shift = (DEPTH - depth) * FANOUT_BITS
         found: dict[str, int] = {}
         for leaf in range(index << shift, (index + 1) << shift):
--- a/sageturn/store/replication/message_codec.py
+++ b/sageturn/store/replication/message_codec.py
@@ -27,7 +27,7 @@
     natural,
 )
 from sageturn.store.replication.close_code import CloseCode
-from sageturn.store.replication.cursor import ChangeStream
+from sageturn.store.replication.cursor import StreamKind
 from sageturn.store.replication.heartbeat_codec import heartbeat_to_wire
 from sageturn.store.replication.location import ReplicaLocation
 from sageturn.store.replication.membership import Member
@@ -54,9 +54,9 @@
 from sageturn.store.replication.priority import PRIORITY_CLASSES
 from sageturn.store.replication.wire import PROTOCOL_VERSION, encode
 
-MAX_DECODED_ALTERNATIVES = 64  # of those that a rejection names
+MAX_DECODED_ALTERNATIVES = 64  # alternatives decoded from one rejection; any more are ignored
 MAX_CLOSE_DETAIL_LENGTH = 500
-PROTOCOL_WITHOUT_HELLO = "1 (whole digests)"
+PROTOCOL_1_LABEL = "1 (whole digests)"
 
 _PRIORITY_BY_INDEX = list(PRIORITY_CLASSES)
 
@@ -65,7 +65,7 @@
 
 
 def encode_message(message: OutgoingMessage) -> bytes:
-    """Returns the payload of a message."""
+    """Return the payload of a message."""
     return encode(_to_wire(message))
 
 
@@ -108,13 +108,13 @@
 
 
 def _version_notice() -> list[dict[str, Any]]:
-    """Returns records of which a replica of protocol 1 logs the bad key, whose text names both versions."""
+    """Return a record with an invalid key that names both versions, which a replica of protocol 1 logs."""
     text = f"state/this link needs protocol {PROTOCOL_VERSION}, this copy speaks 1 (whole digests)"
     return [{"key": text, "value": None, "version": 1, "node": f"protocol {PROTOCOL_VERSION}"}]
 
 
 def record_to_wire(record: StoreRecord) -> list[Any]:
-    """Returns a record as it stands in a message."""
+    """Return the wire form of a record."""
     return [record.key, record.value, record.version, record.node, record.written_ms]
 
 
@@ -164,7 +164,7 @@
 
 
 def parse_kind(name: str) -> MessageKind:
-    """Returns the kind of that name. Raises SessionRejectedError if there is none."""
+    """Return the message kind with a name. Raise SessionRejectedError if there is none."""
     try:
         return MessageKind(name)
     except ValueError as error:
@@ -172,13 +172,13 @@
 
 
 def protocol_mismatch(peer: str, version: Any) -> SessionRejectedError:
-    """Returns the rejection of a peer that speaks another version of the protocol."""
+    """Return the rejection of a peer that speaks another version of the protocol."""
     text = f"{peer} speaks protocol {version}, this copy speaks {PROTOCOL_VERSION}"
     return SessionRejectedError(text, CloseCode.VERSION)
 
 
 def decode_hello(body: Any, peer: str) -> Hello:
-    """Decodes the first message of ``peer``, whom the rejection of another protocol version names."""
+    """Decode the hello of ``peer``, whose name a rejection of another protocol version quotes."""
     if body["protocol"] != PROTOCOL_VERSION:
         raise protocol_mismatch(peer, body["protocol"])
     location = body["member"]
@@ -202,7 +202,7 @@
 
 
 def decode_follow(body: Any) -> Follow:
-    """Decodes a request for changes; each position is decoded once the one before it was checked."""
+    """Decode a request for changes; each position is decoded once the one before it was checked."""
     return Follow(LazySequence(body, _decode_follow_position))
 
 
@@ -216,16 +216,16 @@
 
 
 def decode_chunk(body: Any, is_following: bool) -> Chunk:
-    """Decodes changes, which only a side that follows its peer expects.
+    """Decode changes, which only a side that follows its peer expects.
 
     The records are decoded at their first use.
     """
     priority, stream, start, end, records = body
-    if not is_following or priority not in PRIORITY_CLASSES or stream not in tuple(ChangeStream):
+    if not is_following or priority not in PRIORITY_CLASSES or stream not in tuple(StreamKind):
         raise SessionRejectedError("changes that nobody asked for")
     return Chunk(
         priority=_PRIORITY_BY_INDEX[priority],
-        stream=ChangeStream(stream),
+        stream=StreamKind(stream),
         start=natural(start),
         end=natural(end),
         records=LazyRecords(records),
@@ -233,23 +233,23 @@
 
 
 def decode_acknowledgement(body: Any) -> Acknowledgement:
-    """Decodes a confirmation; each position is decoded once the one before it was applied."""
+    """Decode an acknowledgement; each position is decoded once the one before it was applied."""
     return Acknowledgement(acknowledged_positions(body))
 
 
 def decode_node_request(body: Any) -> NodeRequest:
-    """Decodes a request for Merkle tree nodes."""
+    """Decode a request for Merkle tree nodes."""
     nodes = []
     for priority, depth, position in _requested_items(body):
-        is_known = natural(priority) in PRIORITY_CLASSES and 0 <= natural(depth) <= DEPTH
-        if not is_known or natural(position) >= FANOUT**depth:
+        is_in_tree = natural(priority) in PRIORITY_CLASSES and 0 <= natural(depth) <= DEPTH
+        if not is_in_tree or natural(position) >= FANOUT**depth:
             raise SessionRejectedError("no node of the tree")
         nodes.append(TreeNode(priority, depth, position))
     return NodeRequest(nodes)
 
 
 def decode_record_request(body: Any) -> RecordRequest:
-    """Decodes a request for records."""
+    """Decode a request for records."""
     keys = _requested_items(body)
     if not all(isinstance(key, str) for key in keys):
         raise SessionRejectedError("no key")
@@ -263,7 +263,7 @@
 
 
 def decode_node_response(body: Any) -> NodeResponse:
-    """Decodes Merkle tree nodes; each is decoded once the one before it was compared."""
+    """Decode Merkle tree nodes; each is decoded once the one before it was compared."""
     raw_count, contents = body
     count = natural(raw_count)
     return NodeResponse(count, _LazyNodeContents(contents, count))
@@ -281,20 +281,20 @@
 
 
 def decode_record_response(body: Any) -> RecordResponse:
-    """Decodes records that were requested."""
+    """Decode records that were requested."""
     count, raw_records = body
     records = decode_records(raw_records)
     return RecordResponse(natural(count), records)
 
 
 def decode_bye(body: Any) -> Bye:
-    """Decodes the last message of a peer, without its alternatives."""
+    """Decode the last message of a peer, without its alternatives."""
     detail = str(body[1])[:MAX_CLOSE_DETAIL_LENGTH]
     return Bye(close_code=str(body[0]), detail=detail)
 
 
 def decode_bye_alternatives(bye: Bye, body: Any) -> Bye:
-    """Returns ``bye`` with the alternatives that its body names."""
+    """Return ``bye`` with the alternatives that its body names."""
     alternatives = list(body[2])
     return replace(
         bye,
@@ -304,7 +304,7 @@
 
 
 def _decode_alternatives(body: list[Any]) -> tuple[Member, ...]:
-    """Returns the members that can be read; a peer of another version may name them in another way."""
+    """Return the members that can be decoded; a peer of another version may encode them differently."""
     members = []
     for fields in body:
         try:
--- a/sageturn/store/replication/messages.py
+++ b/sageturn/store/replication/messages.py
@@ -8,20 +8,20 @@
 from typing import NamedTuple
 
 from sageturn.store.records import StoreRecord
-from sageturn.store.replication.cursor import ChangeStream
+from sageturn.store.replication.cursor import StreamKind
 from sageturn.store.replication.location import ReplicaLocation
 from sageturn.store.replication.membership import LinkRejected, Member, RejectReason
 from sageturn.store.replication.priority import PriorityClass
 from sageturn.store.replication.routes import RouteAdvertisement
 
-MAX_ZONES = 64  # in a heartbeat
+MAX_ZONES = 64  # zones in one heartbeat
 MAX_REQUESTED_ITEMS = 200  # tree nodes or keys in one request
 
 
 class MessageKind(StrEnum):
     """The name of a message on the wire: the first key of its JSON object."""
 
-    DIGEST = "digest"  # of protocol 1; always rejected
+    DIGEST = "digest"  # message of protocol 1, which is always rejected
     HELLO = "hello"
     FOLLOW = "follow"
     CHUNK = "changes"
@@ -34,7 +34,7 @@
     BYE = "bye"
 
 
-KINDS_WITHOUT_HELLO = frozenset({MessageKind.DIGEST, MessageKind.HELLO, MessageKind.BYE})
+KINDS_ALLOWED_BEFORE_HELLO = frozenset({MessageKind.DIGEST, MessageKind.HELLO, MessageKind.BYE})
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,7 +56,7 @@
     location: ReplicaLocation | None
 
     def member(self) -> Member | None:
-        """Returns the sender as a member; None for an ephemeral client."""
+        """Return the sender as a member; None for an ephemeral client."""
         return None if self.location is None else self.location.as_member(self.node, self.incarnation)
 
 
@@ -80,7 +80,7 @@
     """The records that changed after revision ``start`` up to ``end``."""
 
     priority: PriorityClass
-    stream: ChangeStream
+    stream: StreamKind
     start: int
     end: int
     records: Sequence[StoreRecord]
@@ -95,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Acknowledgement:
-    """A confirmation of the chunks received, by priority class."""
+    """An acknowledgement of the chunks received, by priority class."""
 
     positions: Sequence[AcknowledgedPosition]
 
@@ -109,7 +109,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """A message at a steady pace, also when nothing changes. Lists have one entry for each priority class."""
+    """A message sent at a fixed interval, even without changes. Lists have one entry per priority class."""
 
     heads: Sequence[int]
     roots: Sequence[int]
@@ -132,7 +132,7 @@
 
 
 class TreeNode(NamedTuple):
-    """The name of a Merkle tree node: ``position`` counts within the depth."""
+    """Identity of a Merkle tree node; ``position`` is its index within the depth."""
 
     priority: int
     depth: int
@@ -141,7 +141,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeRequest:
-    """A request for what is below Merkle tree nodes."""
+    """A request for the contents of Merkle tree nodes."""
 
     nodes: Sequence[TreeNode]
 
@@ -154,7 +154,7 @@
     digest: int
 
 
-NodeContent = list[int] | dict[str, RecordVersion]  # the children's hashes, or all keys below
+NodeContent = list[int] | dict[str, RecordVersion]  # the children's hashes, or all keys in the subtree
 
 
 @dataclass(frozen=True, slots=True)
@@ -174,7 +174,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordResponse:
-    """The answer to the first ``count`` keys of a request, without those that are not held."""
+    """The answer to the first ``count`` keys of a request, without keys that the sender does not hold."""
 
     count: int
     records: Sequence[StoreRecord]
@@ -184,7 +184,7 @@
 class Bye:
     """The last message of a side.
 
-    ``names_alternatives`` is true also if none of the alternatives that a received body names can be read.
+    ``names_alternatives`` is also true if none of the alternatives in a received body can be decoded.
     """
 
     close_code: str
@@ -193,7 +193,7 @@
     names_alternatives: bool = False
 
     def link_rejection(self) -> LinkRejected | None:
-        """Returns the rejection by the peer's topology; None if the session ended for another reason."""
+        """Return the rejection by the peer's topology; None if the session ended for another reason."""
         is_topology_reason = self.close_code in tuple(RejectReason)
         if not self.names_alternatives and not is_topology_reason:
             return None
--- a/sageturn/store/replication/peer_session.py
+++ b/sageturn/store/replication/peer_session.py
@@ -27,18 +27,18 @@
 
     @property
     def peer_recently_in_sync(self) -> bool:
-        """Whether the peer last said that it is recently in sync."""
+        """True if the peer last reported that it is recently in sync."""
 
     @property
     def is_ephemeral(self) -> bool:
-        """Whether one side is an operator's client, to which no rule of membership applies."""
+        """True if one side is an operator's client, to which no rule of membership applies."""
 
     @property
     def closing(self) -> SessionClosing:
-        """Why and by whom the session was closed."""
+        """Close reasons of both sides."""
 
     def close(self, detail: str, code: str = CloseCode.FAULT) -> None:
-        """Closes the session from this side, with a reason that is sent to the peer."""
+        """Close the session from this side, with a reason that is sent to the peer."""
 
     def take_sync_time(self) -> float | None:
-        """Returns Unix seconds at which both sides held what both now hold, once for each; else None."""
+        """Return Unix seconds of a time whose changes both sides now have; None if there is no new one."""
--- a/sageturn/store/replication/priority.py
+++ b/sageturn/store/replication/priority.py
@@ -18,5 +18,5 @@
 
 
 def priority_of(key: str) -> PriorityClass:
-    """Returns the class of a record, by its key."""
+    """Return the class of a record, by its key."""
     return PriorityClass.STATES if key.startswith(STATE_PREFIX) else PriorityClass.URGENT
--- a/sageturn/store/replication/replica.py
+++ b/sageturn/store/replication/replica.py
@@ -1,8 +1,8 @@
 """One replica of the store: its records, its sessions and its links to other members. No I/O, no clock.
 
-What a session receives enters the change logs (``replicated_records``), from which all other sessions send
-it on. This module joins the parts: which sessions may be opened (``session_table``), whether the records are
-known to be complete (``sync_status``), and whom to dial (``topology_links``).
+Records that a session receives enter the change logs (``replicated_records``), from which all other sessions
+forward them. This module connects the parts that decide which sessions may be opened (``session_table``),
+whether the records are known to be complete (``sync_status``), and whom to dial (``topology_links``).
 
 ``now`` is seconds of a monotonic clock that is passed in; ``store.wall_clock`` returns Unix seconds.
 """
@@ -38,15 +38,15 @@
 log = logging.getLogger(__name__)
 
 MAINTENANCE_INTERVAL_S = 5.0
-# Two processes under one name would otherwise supersede each other without end.
+# Without a delay, two processes under one name would supersede each other in an endless loop.
 MIN_SUPERSEDE_DELAY_S = 10.0
 MAX_SUPERSEDE_DELAY_S = 600.0
-SUPERSEDE_INCARNATION_STEP = 1 << 40  # 4.7 hours of the clock in an incarnation
+SUPERSEDE_INCARNATION_STEP = 1 << 40  # equals 4.7 hours of the clock in an incarnation number
 
 
 @dataclass(frozen=True, slots=True)
 class TickResult:
-    """The addresses that a tick of a replica finds to dial, and when to tick again."""
+    """Addresses to dial after a tick, and the time of the next tick."""
 
     addresses_to_dial: Sequence[Address]
     next_tick_at: float  # monotonic seconds
@@ -69,9 +69,9 @@
 
 
 class Replica:
-    """The replica of a member, or without a ``location`` that of an ephemeral client, which is no member.
+    """Replica of a member, or, without a ``location``, of an ephemeral client, which is not a member.
 
-    Without ``make_topology`` nobody is dialed and every member may link.
+    Without ``make_topology`` it dials no member and accepts links from every member.
     """
 
     def __init__(
@@ -106,7 +106,7 @@
         store.on_forgotten.append(self.records.on_store_forgotten)
 
     def close(self) -> None:
-        """Stops following the store's changes."""
+        """Unsubscribe from the store's changes."""
         self.store.on_change.remove(self.records.on_store_changed)
         self.store.on_forgotten.remove(self.records.on_store_forgotten)
 
@@ -114,12 +114,12 @@
 
     @property
     def is_ephemeral(self) -> bool:
-        """Whether the replica belongs to an operator's short-lived client, which is no member."""
+        """True if the replica belongs to an operator's short-lived client, which is no member."""
         return self.location is None
 
     @property
     def sessions(self) -> list[ReplicationSession]:
-        """All sessions, also those that are not established yet."""
+        """All sessions, including those that are not established yet."""
         return self._session_table.sessions
 
     @property
@@ -135,9 +135,9 @@
     # ------------------------------------------------------------ incarnation
 
     def _begin_incarnation(self, step: int = 1) -> None:
-        """Starts new change logs, for which nothing holds that peers remember of the earlier ones."""
+        """Start new change logs, for which the cursors that peers have of the earlier ones are not valid."""
         incarnation = next_incarnation(self.store, self._rng, self.records.changes.incarnation, step)
-        self._is_announced = False  # until the next tick of a replica with a topology
+        self._is_announced = False  # the next tick announces it, if there is a topology
         self.records.begin_incarnation(incarnation)
         if self.location is not None:
             if self._make_topology is not None:
@@ -146,7 +146,7 @@
             self.on_members_changed()
 
     def announce(self) -> None:
-        """Publishes where this member is reached. Raises OSError if the log cannot be written."""
+        """Publish this member's location and incarnation. Raise OSError if the log cannot be written."""
         assert self.location is not None
         key = member_key(self.store.node)
         value = encode_member(self.location, self.records.changes.incarnation)
@@ -155,7 +155,7 @@
         self._is_announced = True
 
     def _start_over(self) -> None:
-        """Drops what came from others, after being out of sync for longer than deletions are remembered."""
+        """Drop the records of others, after being out of sync for longer than deletions are remembered."""
         dropped = self.store.drop_copied()
         log.warning(
             "replica starts over node=%s reason=out_of_sync_beyond_horizon dropped_records=%d",
@@ -169,24 +169,24 @@
     # ------------------------------------------------------------ changes of the records
 
     def on_records_changed(self) -> None:
-        """Handles new versions of records, which sessions may have to send."""
+        """Handle new versions of records, which sessions may have to send."""
         self._wakeups.on_output_pending()
 
     def on_members_changed(self) -> None:
-        """Handles a member that was added, removed, or advertises itself differently."""
+        """Handle a member that was added, removed, or advertises itself differently."""
         if self._links is not None:
             self._links.on_members_changed()
         self._wakeups.on_tick_due()
 
     def on_member_removed(self, node: str) -> None:
-        """Handles the removal of a member, this one included, by an operator."""
+        """Handle the removal of a member, this one included, by an operator."""
         if node == self.store.node:
             self._on_own_removal("config")
         else:
             self._session_table.close_with(node, f"{node} was removed", CloseCode.REMOVED)
 
     def _on_own_removal(self, source: str) -> None:
-        """Clears the time of the last sync, so that this member starts over if it is added again."""
+        """Clear the time of the last sync, so that this member starts over if it is added again."""
         if self.store.replica_state.last_in_sync is not None:
             log.warning("member removed node=%s source=%s", self.store.node, source)
             self.store.set_last_in_sync(None)
@@ -194,22 +194,23 @@
     # ------------------------------------------------------------ sessions
 
     def on_output_pending(self) -> None:
-        """Handles a session that may have something to send."""
+        """Handle a session that may have something to send."""
         self._wakeups.on_output_pending()
 
     def open_session(
         self, peer: str, now: float, dialed_address: Address | None = None
     ) -> ReplicationSession:
-        """Opens a session over a connection that was authenticated as the peer's.
+        """Open a session over a connection that was authenticated as the peer's.
 
-        ``dialed_address`` is None if this side accepted the connection. ``on_session_closed`` has to follow.
+        ``dialed_address`` is None if this side accepted the connection. The caller has to call
+        ``on_session_closed`` when the connection ends.
         """
         session = ReplicationSession(self, peer, now, dialed_address)
         self.sessions.append(session)
         return session
 
     def on_session_closed(self, session: ReplicationSession, now: float) -> None:
-        """Handles the end of a session's connection, whoever closed it."""
+        """Handle the end of a session's connection, whoever closed it."""
         if session not in self.sessions:
             return
         self.sessions.remove(session)
@@ -227,7 +228,7 @@
             self._on_own_removal("peer")
 
     def admit(self, session: PeerSession, hello: Hello, claims_sync: bool, now: float) -> None:
-        """Checks whether a peer's hello allows a session; starts over where this side has to.
+        """Check whether a peer's hello allows a session, and start over if this side has to.
 
         Args:
             session: The session, which is not established yet.
@@ -255,7 +256,7 @@
             self._links.check_admission(hello, now)
 
     def on_session_established(self, session: PeerSession, now: float) -> None:
-        """Handles a session whose peer was admitted."""
+        """Handle a session whose peer was admitted."""
         assert session.peer_hello is not None
         if session.is_ephemeral:
             return
@@ -266,11 +267,11 @@
             self._wakeups.on_tick_due()
 
     def may_follow(self, session: PeerSession) -> bool:
-        """Whether this replica may take records from a session's peer."""
+        """Return whether this replica may take records from a session's peer."""
         return self._session_table.may_follow(session)
 
     def apply_records(self, records: Iterable[StoreRecord], session: PeerSession) -> int:
-        """Merges records that a session received into the store; returns how many were newer.
+        """Merge records that a session received into the store; return how many were newer.
 
         Raises:
             OSError: The log cannot be written.
@@ -282,18 +283,18 @@
         return applied
 
     def on_session_progress(self, session: PeerSession) -> None:
-        """Handles a message after which this replica may be in sync with the peer."""
+        """Handle a message after which this replica may be in sync with the peer."""
         in_sync_at = session.take_sync_time()
         if in_sync_at is None or self.is_ephemeral or session.is_ephemeral:
             return
         if session.peer_recently_in_sync and self.sync_status.on_in_sync(in_sync_at):
-            # What peers that are not in sync still offer may have been deleted meanwhile.
+            # Records that peers which are not in sync still offer may have been deleted in the meantime.
             self._session_table.close_unsynced("in step now: greet again")
 
     # ------------------------------------------------------------ time
 
     def tick(self, now: float) -> TickResult:
-        """Performs due maintenance, closes links that are not needed, and finds whom to dial.
+        """Perform due maintenance, close links that are not needed, and find the addresses to dial.
 
         Raises:
             OSError: The log cannot be written now, and this member could not be announced.
@@ -314,10 +315,9 @@
         return TickResult(addresses, min(self._maintenance_at, self._links.next_wakeup(now)))
 
     def _forget_tombstones(self, now: float) -> None:
-        """Forgets deletions past the horizon, but only while messages from every zone arrive.
+        """Forget deletions past the horizon, but only while messages from every zone arrive.
 
-        Replicas in a zone that is cut off may hold what was deleted, and count as in sync by their own
-        measure.
+        Replicas in a partitioned zone may still hold the deleted records, and consider themselves in sync.
         """
         if not self.records.has_expirable_tombstones():
             return
@@ -326,7 +326,7 @@
             self.records.forget_expired_tombstones()
 
     def _supersede_stale_incarnation(self, now: float) -> None:
-        """Begins a larger incarnation, after an earlier advertisement of this member counted as newer."""
+        """Begin an incarnation with a larger number, after an earlier one of this member counted as newer."""
         self._supersede_at = now + self._supersede_backoff.next_delay_s()
         log.warning("stale incarnation superseded node=%s", self.store.node)
         self._session_table.close_all("a new incarnation", CloseCode.LATER)
--- a/sageturn/store/replication/replicated_records.py
+++ b/sageturn/store/replication/replicated_records.py
@@ -1,8 +1,8 @@
 """The records of one replica, with everything that replication derives from them. No I/O, no clock.
 
-The change logs, the Merkle trees, the tombstones and the member directory follow the store through its
-callbacks. Records have an order, and an older version never replaces a newer one, so changes that go round a
-loop of links stop by themselves.
+Callbacks of the store keep the change logs, the Merkle trees, the tombstones and the member directory up to
+date. The versions of a record are ordered and an older one never replaces a newer one, so a change that is
+forwarded around a cycle of links is not applied again and stops there.
 """
 
 from __future__ import annotations
@@ -19,23 +19,23 @@
 
 
 class RecordObserver(Protocol):
-    """Is notified of changes of the records; implemented by ``replica.Replica``."""
+    """Observer of changes of the records; implemented by ``replica.Replica``."""
 
     def on_records_changed(self) -> None:
-        """Handles new versions of records, which sessions may have to send."""
+        """Handle new versions of records, which sessions may have to send."""
 
     def on_members_changed(self) -> None:
-        """Handles a member that was added, removed, or advertises itself differently."""
+        """Handle a member that was added, removed, or advertises itself differently."""
 
     def on_member_removed(self, node: str) -> None:
-        """Handles the removal of a member, this one included, by an operator."""
+        """Handle the removal of a member, this one included, by an operator."""
 
 
 class ReplicatedRecords:
-    """Keeps the change logs and indexes of one store, and applies what peers send.
+    """Change logs and indexes of one store, into which the records of peers are merged.
 
     ``changes`` is replaced when a new incarnation begins, and ``followed_cursors`` is emptied: positions in
-    the change logs mean nothing for another incarnation.
+    the change logs are not valid for another incarnation.
     """
 
     def __init__(self, store: Store, horizon_s: float, observer: RecordObserver) -> None:
@@ -45,10 +45,10 @@
         self.directory = MemberDirectory()
         self._tombstones = TombstoneTracker(store, horizon_s)
         self._observer = observer
-        self._applied_source: int | None = None  # the incarnation whose records are being applied
+        self._applied_source: int | None = None  # incarnation of the peer whose records are being applied
 
     def begin_incarnation(self, incarnation: int) -> None:
-        """Rebuilds the change logs and all indexes from the store."""
+        """Rebuild the change logs and all indexes from the store."""
         self.changes = ChangeLogSet(incarnation)
         self._tombstones.clear()
         self.directory.reset(self.store)
@@ -60,14 +60,14 @@
         self.followed_cursors.clear()
 
     def apply(self, records: Iterable[StoreRecord], source: int) -> int:
-        """Merges the records of a peer into the store.
+        """Merge the records of a peer into the store.
 
         Args:
-            records: What the peer sent; obsolete deletions and states of removed members are left out.
+            records: Records that the peer sent; obsolete deletions and states of removed members are ignored.
             source: The peer's incarnation, to which these changes are not sent back.
 
         Returns:
-            How many records were newer than the store's.
+            Number of records that were newer than the store's.
 
         Raises:
             OSError: The log cannot be written.
@@ -80,17 +80,17 @@
             self._applied_source = None
 
     def has_expirable_tombstones(self) -> bool:
-        """Whether there are deletions, and this replica was in sync recently enough to forget any."""
+        """Return whether there are deletions, and this replica was in sync recently enough to forget any."""
         return self._tombstones.may_forget()
 
     def forget_expired_tombstones(self) -> None:
-        """Forgets the deletions past the horizon."""
+        """Forget the deletions past the horizon."""
         self._tombstones.forget_expired()
 
     # ------------------------------------------------------------ callbacks of the store
 
     def on_store_changed(self, records: list[StoreRecord]) -> None:
-        """Logs and indexes records that the store has just taken; for ``Store.on_change``."""
+        """Log and index records that the store has just written; a callback for ``Store.on_change``."""
         for record in records:
             self.changes.add(record, self._applied_source)
         for record in records:
@@ -98,7 +98,7 @@
         self._observer.on_records_changed()
 
     def on_store_forgotten(self, keys: list[str]) -> None:
-        """Drops keys that the store has forgotten; for ``Store.on_forgotten``."""
+        """Drop keys that the store has forgotten; a callback for ``Store.on_forgotten``."""
         for key in keys:
             self.changes.remove(key)
             self._tombstones.discard(key)
@@ -130,7 +130,7 @@
         self.store.forget([record.key for record in self.store.records() if record.key.startswith(prefix)])
 
     def _is_obsolete(self, record: StoreRecord) -> bool:
-        is_of_removed = record.node in self.directory.removed and record.node != self.store.node
-        if is_of_removed and record.key.startswith(STATE_PREFIX):
+        is_from_removed_member = record.node in self.directory.removed and record.node != self.store.node
+        if is_from_removed_member and record.key.startswith(STATE_PREFIX):
             return True
         return self._tombstones.is_obsolete(record)
--- a/sageturn/store/replication/session.py
+++ b/sageturn/store/replication/session.py
@@ -1,10 +1,10 @@
-"""One replication session: both directions of the conversation over one connection. No I/O, no clock.
+"""One replication session: both directions of the message exchange over one connection. No I/O, no clock.
 
-Each side follows the other: it says how far it has got in each change log, is sent what changed since in
-bounded chunks, and acknowledges them. Where a side cannot say how far it is with this incarnation of the
-other, it compares Merkle trees and requests what differs, or, nearly empty, takes everything from the start.
+Each side follows the other: it sends its position in each change log, receives the changes since then in
+bounded chunks, and acknowledges them. A side that has no position for this incarnation of the other compares
+Merkle trees and requests the records that differ or, if it has few records itself, fetches the whole log.
 
-This module decides the order of messages and dispatches those received. The state is kept by the parts:
+This module decides the order of messages and dispatches those received. The parts keep the state:
 ``hello_exchange``, ``change_exchange``, ``anti_entropy_exchange``, ``keep_alive`` and ``session_closing``.
 Times are seconds of a monotonic clock that is passed in.
 """
@@ -22,7 +22,7 @@
 from sageturn.store.replication.keep_alive import KeepAlive
 from sageturn.store.replication.membership import Address
 from sageturn.store.replication.messages import (
-    KINDS_WITHOUT_HELLO,
+    KINDS_ALLOWED_BEFORE_HELLO,
     Chunk,
     Follow,
     Hello,
@@ -33,7 +33,7 @@
 )
 from sageturn.store.replication.send_allowance import SendAllowance
 from sageturn.store.replication.session_closing import SessionClosing
-from sageturn.store.replication.session_host import SessionHost
+from sageturn.store.replication.session_context import SessionContext
 from sageturn.store.replication.wire import decode
 
 
@@ -41,23 +41,25 @@
     """One side of a session; its replica opens it once the connection is authenticated.
 
     Args:
-        host: The replica of this side.
+        context: The replica of this side.
         peer: The authenticated name of the other side.
         now: Monotonic seconds.
         dialed_address: The address that this side has dialed; None if it accepted the connection.
     """
 
-    def __init__(self, host: SessionHost, peer: str, now: float, dialed_address: Address | None) -> None:
+    def __init__(
+        self, context: SessionContext, peer: str, now: float, dialed_address: Address | None
+    ) -> None:
         self.peer = peer
         self.dialed_address = dialed_address
         self.peer_recently_in_sync = False
         self.closing = SessionClosing()
         self.keep_alive = KeepAlive(now)
-        self._host = host
-        self._allowance = SendAllowance(host.budget, host.is_ephemeral)
-        self._hellos = HelloExchange(host, peer, is_dialing=dialed_address is not None)
-        self.change_exchange = ChangeExchange(host.records, self._allowance, now)
-        self.anti_entropy = AntiEntropyExchange(host.records, self.change_exchange, self._allowance)
+        self._context = context
+        self._allowance = SendAllowance(context.budget, context.is_ephemeral)
+        self._hellos = HelloExchange(context, peer, is_dialing=dialed_address is not None)
+        self.change_exchange = ChangeExchange(context.records, self._allowance, now)
+        self.anti_entropy = AntiEntropyExchange(context.records, self.change_exchange, self._allowance)
 
     # ------------------------------------------------------------ state
 
@@ -68,32 +70,31 @@
 
     @property
     def is_ephemeral(self) -> bool:
-        """Whether one side is an operator's client, to which no rule of membership applies."""
+        """True if one side is an operator's client, to which no rule of membership applies."""
         hello = self._hellos.peer_hello
-        return self._host.is_ephemeral or (hello is not None and hello.is_ephemeral)
+        return self._context.is_ephemeral or (hello is not None and hello.is_ephemeral)
 
     @property
     def is_caught_up(self) -> bool:
-        """Whether this side has all that the peer had when the session was established."""
+        """True if this side has all that the peer had when the session was established."""
         hello = self._hellos.peer_hello
         return hello is not None and self.change_exchange.is_caught_up(hello)
 
     def take_sync_time(self) -> float | None:
-        """Returns Unix seconds at which both sides held what both now hold, once for each; else None."""
+        """Return Unix seconds of a time whose changes both sides now have; None if there is no new one."""
         return self.anti_entropy.take_sync_time()
 
     def close(self, detail: str, code: str = CloseCode.FAULT) -> None:
-        """Closes the session from this side, with a reason that is sent to the peer; the first one counts."""
+        """Close the session from this side, and send the reason to the peer; only the first one is used."""
         if self.closing.close(detail, code):
-            self._host.on_output_pending()
+            self._context.on_output_pending()
 
     # ------------------------------------------------------------ sending
 
     def next_payload(self, now: float) -> bytes | None:
-        """Returns what is to be sent now.
+        """Return the next payload to send; None if there is none now.
 
-        None means that there is nothing: ask again at ``wake_at``, after a ``receive``, or when the replica
-        has changed.
+        After None, call again at ``wake_at``, after a ``receive``, or when the replica has changed.
         """
         message = self._next_message(now)
         if message is None:
@@ -103,7 +104,7 @@
         return payload
 
     def wake_at(self, now: float) -> float:
-        """Returns when ``next_payload`` may return something though nothing happens in the meantime."""
+        """Return the time at which ``next_payload`` may return a payload if no other event occurs."""
         times = [self.keep_alive.peer_timeout_at]
         if self.peer_hello is not None:
             times.append(self.keep_alive.next_heartbeat_at)
@@ -122,7 +123,7 @@
         hello = self._hellos.peer_hello
         if hello is None or not self._hellos.is_complete:
             return self._next_hello(now)
-        if not self.change_exchange.receiver.is_following and self._host.may_follow(self):
+        if not self.change_exchange.receiver.is_following and self._context.may_follow(self):
             return self._follow(hello)
         if self.keep_alive.is_heartbeat_due(now):
             self.keep_alive.on_heartbeat_sent(now)
@@ -133,8 +134,8 @@
         return self._next_bulk_message(now)
 
     def _check_peer_timeout(self, now: float) -> None:
-        if not self.closing.detail and self.keep_alive.is_peer_silent(now):
-            self.close(f"silent for {self.keep_alive.silence_s(now):.1f} s")
+        if not self.closing.detail and self.keep_alive.is_peer_unresponsive(now):
+            self.close(f"silent for {self.keep_alive.since_received_s(now):.1f} s")
 
     def _next_hello(self, now: float) -> Hello | None:
         hello = self._hellos.next_hello()
@@ -144,26 +145,26 @@
 
     def _follow(self, hello: Hello) -> Follow:
         follow = self.change_exchange.follow(hello)
-        self.anti_entropy.start(self.change_exchange.receiver.classes_of_unknown_backlog)
+        self.anti_entropy.start(self.change_exchange.receiver.classes_with_unknown_backlog)
         return follow
 
     def _make_heartbeat(self, now: float) -> OutgoingHeartbeat:
-        host = self._host
-        changes = host.records.changes
-        topology = None if self.is_ephemeral else host.topology
+        context = self._context
+        changes = context.records.changes
+        topology = None if self.is_ephemeral else context.topology
         return OutgoingHeartbeat(
             heads=changes.heads,
             roots=changes.roots,
-            skipped=self.change_exchange.skip_known_changes(),
+            skipped=self.change_exchange.take_skipped_ranges(),
             acknowledged=self.change_exchange.heartbeat_acknowledgements(),
-            tombstone_floor=host.store.replica_state.tombstone_floor,
-            recently_in_sync=host.sync_status.recently_in_sync,
-            zone_ages=host.zones.ages(now),
+            tombstone_floor=context.store.replica_state.tombstone_floor,
+            recently_in_sync=context.sync_status.recently_in_sync,
+            zone_ages=context.zones.ages(now),
             route=None if topology is None else topology.make_advertisement(self.peer, now),
         )
 
     def _next_bulk_message(self, now: float) -> OutgoingMessage | None:
-        """Returns the next urgent live changes, else the next of anti-entropy, else any other changes."""
+        """Return the next urgent live chunk, else the next anti-entropy message, else any other chunk."""
         message: OutgoingMessage | None = self.change_exchange.next_urgent_chunk(now)
         if message is None:
             message = self.anti_entropy.next_message(now)
@@ -174,18 +175,18 @@
     # ------------------------------------------------------------ receiving
 
     def receive(self, payload: bytes, now: float) -> None:
-        """Handles a payload of the peer.
+        """Handle a payload of the peer.
 
         Raises:
-            SessionRejectedError: Nothing of this payload's records was applied. ``closing.code`` has the
-                reason; the caller closes the session with it and the error's text.
+            SessionRejectedError: No record of this payload was applied. ``closing.code`` has the reason;
+                the caller closes the session with it and the error's text.
             OSError: The log cannot be written.
         """
         message = decode(payload)
         self.keep_alive.on_received(now)
         kind, body = next(iter(message.items()))
         try:
-            if self.peer_hello is None and kind not in KINDS_WITHOUT_HELLO:
+            if self.peer_hello is None and kind not in KINDS_ALLOWED_BEFORE_HELLO:
                 raise SessionRejectedError(f"{kind} before any greeting")
             self._handle(message_codec.parse_kind(kind), body, now)
         except SessionRejectedError as rejection:
@@ -195,21 +196,21 @@
             raise SessionRejectedError(f"not understood: {type(error).__name__} {error}") from error
 
     def _handle(self, kind: MessageKind, body: object, now: float) -> None:
-        """Dispatches a message to the handler of its kind.
+        """Dispatch a message to the handler of its kind.
 
-        Handlers check whether this side expects the kind before they decode the body, so a message out of
-        place is rejected as that, and not for what its body holds.
+        Handlers check whether this side expects the kind before they decode the body, so an unexpected
+        message is rejected as such, and not for the contents of its body.
         """
         match kind:
             case MessageKind.DIGEST:
-                raise message_codec.protocol_mismatch(self.peer, message_codec.PROTOCOL_WITHOUT_HELLO)
+                raise message_codec.protocol_mismatch(self.peer, message_codec.PROTOCOL_1_LABEL)
             case MessageKind.BYE:
                 self.closing.on_bye(body)
             case MessageKind.HELLO:
                 self._on_hello(body, now)
             case _:
                 self._handle_established(kind, body, now)
-                self._host.on_session_progress(self)
+                self._context.on_session_progress(self)
 
     def _handle_established(self, kind: MessageKind, body: object, now: float) -> None:
         changes = self.change_exchange
@@ -232,26 +233,26 @@
 
     def _on_hello(self, body: object, now: float) -> None:
         hello = self._hellos.decode_peer_hello(body)
-        self._host.admit(self, hello, self._hellos.claimed_sync(), now)
+        self._context.admit(self, hello, self._hellos.claimed_sync(), now)
         self._hellos.on_peer_admitted(hello)
         self.peer_recently_in_sync = hello.recently_in_sync
         self._allowance.is_unlimited = self.is_ephemeral
         self.keep_alive.request_heartbeat(now)
-        self._host.on_session_established(self, now)
+        self._context.on_session_established(self, now)
 
     def _on_chunk(self, chunk: Chunk) -> None:
         receiver = self.change_exchange.receiver
         receiver.check_chunk(chunk)
-        self._host.apply_records(chunk.records, self)
+        self._context.apply_records(chunk.records, self)
         receiver.on_chunk_applied(chunk)
 
     def _on_records(self, response: RecordResponse, now: float) -> None:
-        self.anti_entropy.check_records(response)
-        applied = self._host.apply_records(response.records, self)
+        self.anti_entropy.accept_record_response(response)
+        applied = self._context.apply_records(response.records, self)
         self.anti_entropy.on_records_applied(applied, now)
 
     def _on_heartbeat(self, heartbeat: ReceivedHeartbeat, now: float) -> None:
-        """Applies each part before it decodes the next one: a malformed part ends the session there."""
+        """Apply each part before the next one is decoded: a malformed part ends the session at that point."""
         acknowledgement = heartbeat.acknowledgement()
         if acknowledgement is not None:
             self.change_exchange.on_acknowledgement(acknowledgement)
@@ -265,13 +266,13 @@
             self.anti_entropy.on_heartbeat(heartbeat, now)
 
     def _on_member_heartbeat(self, heartbeat: ReceivedHeartbeat, now: float) -> None:
-        """Applies what members tell each other of the cluster; an ephemeral client takes no part in it."""
-        host = self._host
-        host.store.raise_tombstone_floor(heartbeat.tombstone_floor())
+        """Apply the cluster state that members exchange; an ephemeral client ignores it."""
+        context = self._context
+        context.store.raise_tombstone_floor(heartbeat.tombstone_floor())
         for zone, age in heartbeat.zone_ages():
-            host.zones.merge({zone: age}, now)
-        if host.topology is None:
+            context.zones.merge({zone: age}, now)
+        if context.topology is None:
             return
         route = heartbeat.route()
         if route is not None:
-            host.topology.on_advertisement(self.peer, route, now)
+            context.topology.on_advertisement(self.peer, route, now)
--- a/sageturn/store/replication/session_closing.py
+++ b/sageturn/store/replication/session_closing.py
@@ -9,7 +9,7 @@
 from sageturn.store.replication.membership import Member
 from sageturn.store.replication.messages import Bye
 
-NO_DETAIL = "no reason given"  # of a bye with an empty text, which ends the session all the same
+NO_DETAIL = "no reason given"  # detail of a bye with an empty text, which ends the session too
 
 
 class SessionClosing:
@@ -26,17 +26,17 @@
 
     @property
     def was_orderly(self) -> bool:
-        """Whether either side closed the session because it was not needed any more."""
+        """True if either side closed the session because it was not needed any more."""
         own_code = self.code if self.detail else ""
         return CloseCode.ORDERLY in (self.peer_code, own_code)
 
     @property
     def is_output_finished(self) -> bool:
-        """Whether nothing more is sent: the peer has ended the session, or this side's bye is out."""
+        """True if nothing more is sent: the peer has ended the session, or this side's bye was sent."""
         return bool(self.peer_detail) or self.is_bye_sent
 
     def close(self, detail: str, code: str) -> bool:
-        """Records why this side ends the session; returns whether it is the first reason."""
+        """Record why this side ends the session; return whether it is the first reason."""
         if self.detail:
             return False
         self.detail = detail
@@ -44,19 +44,19 @@
         return True
 
     def on_rejection(self, rejection: SessionRejectedError) -> None:
-        """Keeps what the peer is sent once the session is closed with the rejection's text."""
+        """Keep the code and the alternatives that the bye carries once the caller closes the session."""
         if isinstance(rejection, LinkNotAdmittedError):
             self._alternatives = rejection.alternatives
         if rejection.close_code != CloseCode.FAULT:
             self.code = rejection.close_code
 
     def make_bye(self) -> Bye:
-        """Returns this side's last message, which then counts as sent."""
+        """Return this side's last message and count it as sent."""
         self.is_bye_sent = True
         return Bye(self.code, self.detail, self._alternatives)
 
     def on_bye(self, body: object) -> None:
-        """Handles the peer's last message.
+        """Handle the peer's last message.
 
         The session has ended even if the alternatives that the body names are malformed, which raises
         SessionRejectedError or one of ``MALFORMED_BODY_ERRORS``.
@@ -67,7 +67,7 @@
         self.peer_bye = bye
         self.peer_bye = message_codec.decode_bye_alternatives(bye, body)
 
-    def on_connection_lost(self, detail: str) -> None:
-        """Counts the session as ended by the peer, unless either side has already given a reason."""
+    def on_disconnected(self, detail: str) -> None:
+        """Count the session as ended by the peer, unless either side has already given a reason."""
         if not self.detail:
             self.peer_detail = self.peer_detail or detail
--- a/sageturn/store/replication/session_host.py
+++ b/sageturn/store/replication/session_context.py
@@ -17,8 +17,8 @@
 from sageturn.store.store import Store
 
 
-class SessionHost(Protocol):
-    """Gives a session the parts and decisions of its replica; implemented by ``replica.Replica``.
+class SessionContext(Protocol):
+    """Parts and decisions of a replica that its sessions use; implemented by ``replica.Replica``.
 
     Times are monotonic seconds.
     """
@@ -32,17 +32,17 @@
 
     @property
     def is_ephemeral(self) -> bool:
-        """Whether the replica belongs to an operator's short-lived client, which is no member."""
+        """True if the replica belongs to an operator's short-lived client, which is no member."""
 
     @property
     def topology(self) -> Topology | None:
         """The topology of the current incarnation; None if links are not chosen by one."""
 
     def on_output_pending(self) -> None:
-        """Handles a session that may have something to send."""
+        """Handle a session that may have something to send."""
 
     def admit(self, session: PeerSession, hello: Hello, claims_sync: bool, now: float) -> None:
-        """Raises SessionRejectedError if the peer's hello doesn't allow a session.
+        """Raise SessionRejectedError if the peer's hello doesn't allow a session.
 
         Args:
             session: The session, which is not established yet.
@@ -52,16 +52,16 @@
         """
 
     def on_session_established(self, session: PeerSession, now: float) -> None:
-        """Handles a session whose peer was admitted."""
+        """Handle a session whose peer was admitted."""
 
     def on_session_progress(self, session: PeerSession) -> None:
-        """Handles a message after which this replica may be in sync with the peer."""
+        """Handle a message after which this replica may be in sync with the peer."""
 
     def may_follow(self, session: PeerSession) -> bool:
-        """Whether this replica may take records from a session's peer."""
+        """Return whether this replica may take records from a session's peer."""
 
     def apply_records(self, records: Iterable[StoreRecord], session: PeerSession) -> int:
-        """Merges records that a session received into the store; returns how many were newer.
+        """Merge records that a session received into the store; return how many were newer.
 
         Raises:
             OSError: The log cannot be written.
--- a/sageturn/store/replication/session_driver.py
+++ b/sageturn/store/replication/session_driver.py
@@ -1,4 +1,4 @@
-"""The driver of a replication session, which joins it to its authenticated channel and the clock."""
+"""The driver of a replication session, which connects it to its authenticated channel and the clock."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 log = logging.getLogger(__name__)
 
-CLOSE_TIMEOUT_S = 0.5  # for sending the bye
+CLOSE_TIMEOUT_S = 0.5  # time limit for sending the bye
 
 
 class SessionDriver:
-    """Sends a session's payloads, passes it those received, and logs why it ended."""
+    """Driver that sends a session's payloads, passes it those received, and logs why it ended."""
 
     def __init__(
         self, channel: AuthenticatedChannel, session: ReplicationSession, output_pending: asyncio.Event
@@ -31,7 +31,7 @@
         self._output_pending = output_pending
 
     async def run(self) -> None:
-        """Runs the session until either side has ended it.
+        """Run the session until either side has ended it.
 
         An OSError, of the network or of the disk, ends the session; any other exception is raised.
         """
@@ -40,18 +40,18 @@
         try:
             done, _ = await asyncio.wait((sender, receiver), return_when=asyncio.FIRST_COMPLETED)
             for task in done:
-                self._take_failure(task.exception())
+                self._handle_failure(task.exception())
             self._log_end()
         finally:
             await cancel_and_wait(sender)
             await cancel_and_wait(receiver)
 
-    def _take_failure(self, failure: BaseException | None) -> None:
+    def _handle_failure(self, failure: BaseException | None) -> None:
         if failure is None:
             return
         if not isinstance(failure, OSError):
             raise failure
-        self._session.closing.on_connection_lost(str(failure) or "it reads nothing")
+        self._session.closing.on_disconnected(str(failure) or "it reads nothing")
 
     def _log_end(self) -> None:
         closing = self._session.closing
@@ -82,13 +82,13 @@
                         await self._channel.send(payload)
                 return
             else:
-                # A peer that reads nothing counts as gone, like one that sends nothing.
+                # A peer that reads nothing counts as disconnected, like one that sends nothing.
                 async with asyncio.timeout(PEER_TIMEOUT_S):
                     await self._channel.send(payload)
 
-    async def _wait_for_output(self, at_most_s: float) -> None:
+    async def _wait_for_output(self, timeout_s: float) -> None:
         with suppress(TimeoutError):
-            async with asyncio.timeout(max(0.0, at_most_s)):
+            async with asyncio.timeout(max(0.0, timeout_s)):
                 await self._output_pending.wait()
 
     async def _receive(self) -> None:
@@ -100,6 +100,6 @@
                     session.receive(payload, time.monotonic())
             except (SessionRejectedError, HandshakeRejectedError) as error:
                 session.close(str(error), session.closing.code)
-                await asyncio.sleep(CLOSE_TIMEOUT_S)  # the sender meanwhile sends the reason
+                await asyncio.sleep(CLOSE_TIMEOUT_S)  # the sender task sends the bye in the meantime
                 return
             self._output_pending.set()
--- a/sageturn/store/replication/session_table.py
+++ b/sageturn/store/replication/session_table.py
@@ -9,14 +9,14 @@
 from sageturn.store.replication.session import ReplicationSession
 from sageturn.store.replication.sync_status import SyncStatus
 
-_BEING_FILLED = "being filled by a member that is in step"
+_INITIAL_SYNC_DETAIL = "being filled by a member that is in step"
 
 
 class SessionTable:
-    """Keeps all sessions, also those that are not established yet.
+    """Table of all sessions, including those that are not established yet.
 
-    While a replica that is not recently in sync has a session with a peer that is, it takes records from
-    nobody else: what they hold may have been deleted meanwhile.
+    While a replica that is not recently in sync has a session with a peer that is, it accepts records from no
+    other peer: theirs may have been deleted in the meantime.
     """
 
     def __init__(self, node: str, sync_status: SyncStatus) -> None:
@@ -25,7 +25,7 @@
         self.sessions: list[ReplicationSession] = []
 
     def established(self) -> list[ReplicationSession]:
-        """Returns the established sessions with other members."""
+        """Return the established sessions with other members."""
         return [
             session
             for session in self.sessions
@@ -33,84 +33,84 @@
         ]
 
     def is_connected_to(self, peer: str) -> bool:
-        """Whether there is an established session with a peer."""
+        """Return whether there is an established session with a peer."""
         return any(session.peer == peer and session.peer_hello for session in self.sessions)
 
     def may_settle(self) -> bool:
-        """Whether those connected hold the same, and none of them is recently in sync."""
+        """Return whether all connected members hold the same records and none is recently in sync."""
         sessions = self.established()
         return bool(sessions) and all(
             session.is_caught_up and not session.peer_recently_in_sync for session in sessions
         )
 
     def may_follow(self, session: PeerSession) -> bool:
-        """Whether the replica may take records from a session's peer."""
+        """Return whether the replica may take records from a session's peer."""
         if session.is_ephemeral or session.peer_recently_in_sync:
             return True
-        return not self._sync_status.recently_in_sync and not self._is_being_filled()
+        return not self._sync_status.recently_in_sync and not self._has_peer_in_sync()
 
     def check_sync_claims(self, hello: Hello, claims_sync: bool) -> None:
-        """Rejects a peer that holds records of others and is not recently in sync, while this side is.
+        """Reject a peer that holds records of others and is not recently in sync, while this side is.
 
         Args:
             hello: The peer's hello.
             claims_sync: Whether this side claims in its own hello to be recently in sync.
 
         Raises:
-            SessionRejectedError: The peer has to start over, or to wait until this side is filled.
+            SessionRejectedError: The peer has to start over, or to wait for this side's initial sync.
         """
         if hello.recently_in_sync or not hello.holds_replicated_records:
             return
         if claims_sync:
             text = f"{hello.node} was away for longer than deletions are kept: it must start over"
             raise SessionRejectedError(text, CloseCode.AWAY)
-        if self._is_being_filled():
-            raise SessionRejectedError(_BEING_FILLED, CloseCode.LATER)
+        if self._has_peer_in_sync():
+            raise SessionRejectedError(_INITIAL_SYNC_DETAIL, CloseCode.LATER)
 
-    def _is_being_filled(self) -> bool:
+    def _has_peer_in_sync(self) -> bool:
         return any(session.peer_recently_in_sync for session in self.sessions)
 
     # ------------------------------------------------------------ closing
 
     def close_all(self, detail: str, code: CloseCode) -> None:
-        """Closes every session."""
+        """Close every session."""
         for session in self.sessions:
             session.close(detail, code)
 
     def close_with(self, peer: str, detail: str, code: CloseCode) -> None:
-        """Closes every session with a peer, established or not."""
+        """Close every session with a peer, established or not."""
         for session in self.sessions:
             if session.peer == peer:
                 session.close(detail, code)
 
     def close_established_with(self, peer: str, detail: str, code: CloseCode) -> None:
-        """Closes the established sessions with a member."""
+        """Close the established sessions with a member."""
         for session in self.established():
             if session.peer == peer:
                 session.close(detail, code)
 
     def close_unsynced(self, detail: str) -> None:
-        """Closes the sessions with members that are not recently in sync; they may connect again."""
+        """Close the sessions with members that are not recently in sync; they may connect again."""
         for session in self.established():
             if not session.peer_recently_in_sync:
                 session.close(detail, CloseCode.LATER)
 
     def close_conflicting(self, new: PeerSession) -> None:
-        """Closes what a newly established session replaces, or the new one if it is a duplicate."""
-        is_filled_by_new = new.peer_recently_in_sync and not self._sync_status.recently_in_sync
+        """Close the sessions that a newly established one replaces, or the new one if it is a duplicate."""
+        is_initial_sync_from_new = new.peer_recently_in_sync and not self._sync_status.recently_in_sync
         for other in self.established():
             if other is new:
                 continue
             if other.peer == new.peer:
                 self._close_duplicate(other, new)
-            elif is_filled_by_new and not other.peer_recently_in_sync:
-                other.close(_BEING_FILLED, CloseCode.LATER)
+            elif is_initial_sync_from_new and not other.peer_recently_in_sync:
+                other.close(_INITIAL_SYNC_DETAIL, CloseCode.LATER)
 
     def _close_duplicate(self, old: PeerSession, new: PeerSession) -> None:
-        """Closes one of two sessions with a peer.
+        """Close one of two sessions with a peer.
 
-        The one that the smaller node has dialed stays; of two with one dialer, or with two incarnations of
-        the peer, the newer one.
+        The session that the node with the smaller name has dialed is kept. Of two sessions with the same
+        dialer, or with two incarnations of the peer, the newer one is kept.
         """
         assert old.peer_hello is not None and new.peer_hello is not None
         is_same_incarnation = old.peer_hello.incarnation == new.peer_hello.incarnation
--- a/sageturn/store/replication/sync_status.py
+++ b/sageturn/store/replication/sync_status.py
@@ -1,73 +1,75 @@
 """The sync status of a replica: whether its records are known to be complete and current.
 
-A replica is recently in sync if it held all that others did at some time within the horizon, after which
-deletions are forgotten. A replica that is not recently in sync may hold records whose deletion the others
-have forgotten. When it connects to one that is, it therefore drops what it has from others and fetches it
-again; until then no replica that is recently in sync takes records from it.
+The horizon is the time for which deletions are remembered. A replica is recently in sync if at some time
+within the horizon it held all records of the others. A replica that is not recently in sync may hold records
+whose deletion the others have forgotten. When it connects to one that is, it therefore drops the records of
+others and fetches them again; until then no replica that is recently in sync accepts records from it.
 """
 
 from __future__ import annotations
 
 from sageturn.store.store import Store
 
-SETTLING_TIME_S = 60.0  # of agreement, after which replicas count as in sync though none was
+SETTLING_TIME_S = 60.0  # seconds of agreement after which replicas count as in sync though none was
 
 
 class SyncStatus:
-    """Tracks the sync status of one replica."""
+    """Tracker of the sync status of one replica."""
 
     def __init__(self, store: Store, horizon_s: float) -> None:
-        """``horizon_s`` is how long deletions are remembered."""
+        """Read the status from the store; ``horizon_s`` is how long deletions are remembered."""
         self._store = store
         self._horizon_s = horizon_s
         has_records_of_others = any(record.node != store.node for record in store.records())
         self._holds_unverified_records = self.recently_in_sync or has_records_of_others
-        self._filled_since: float | None = None  # Unix seconds of the first record from a peer in sync
+        self._initial_sync_since: float | None = None  # Unix seconds of the first record from a peer in sync
         self._settling_since: float | None = None  # monotonic seconds
 
     @property
     def recently_in_sync(self) -> bool:
-        """Whether this replica was in sync within the horizon."""
+        """True if this replica was in sync within the horizon."""
         last_in_sync = self._store.replica_state.last_in_sync
         return last_in_sync is not None and self._store.wall_clock() - last_in_sync <= self._horizon_s
 
     @property
     def holds_replicated_records(self) -> bool:
-        """Whether it holds records of others that may be deleted elsewhere unless it is recently in sync."""
+        """True if it holds records of others that may be deleted elsewhere unless it is recently in sync."""
         if self._holds_unverified_records:
             return True
-        filled_since = self._filled_since
-        return filled_since is not None and self._store.wall_clock() - filled_since > self._horizon_s
+        initial_sync_since = self._initial_sync_since
+        return (
+            initial_sync_since is not None and self._store.wall_clock() - initial_sync_since > self._horizon_s
+        )
 
     def on_records_applied(self, is_peer_in_sync: bool) -> None:
-        """Handles records of a peer that were merged into the store."""
+        """Handle records of a peer that were merged into the store."""
         if not is_peer_in_sync:
             self._holds_unverified_records = True
-        elif self._filled_since is None:
-            self._filled_since = self._store.wall_clock()
+        elif self._initial_sync_since is None:
+            self._initial_sync_since = self._store.wall_clock()
 
     def on_in_sync(self, at: float) -> bool:
-        """Records that this replica held all that a peer did at ``at``, Unix seconds.
+        """Record that this replica held all that a peer did at ``at``, Unix seconds.
 
         Returns:
-            Whether that completes the filling of a replica that was empty or has started over.
+            True if that completes the initial sync of a replica that was empty or has started over.
         """
         was_in_sync = self.recently_in_sync
         last_in_sync = self._store.replica_state.last_in_sync or 0.0
         self._store.set_last_in_sync(max(at, last_in_sync))
-        is_newly_filled = not was_in_sync and not self.holds_replicated_records
+        is_initial_sync_complete = not was_in_sync and not self.holds_replicated_records
         self._holds_unverified_records = True
-        return is_newly_filled
+        return is_initial_sync_complete
 
     def on_started_over(self) -> None:
-        """Forgets the origin of the records, after all those of others were dropped."""
+        """Reset the status after the records of all others were dropped."""
         self._holds_unverified_records = False
-        self._filled_since = None
+        self._initial_sync_since = None
 
     def update_settling(self, now: float, may_settle: bool) -> None:
-        """Counts the replica as in sync once ``may_settle`` has held for ``SETTLING_TIME_S``.
+        """Count the replica as in sync once ``may_settle`` has held for ``SETTLING_TIME_S``.
 
-        This is for a new cluster, or one that was off as a whole for long: no replica could fill another.
+        This serves a new cluster, or one that was shut down for long: no replica is in sync to start from.
         ``now`` is monotonic seconds.
         """
         if self.recently_in_sync or not may_settle:
--- a/sageturn/store/replication/wire.py
+++ b/sageturn/store/replication/wire.py
@@ -9,9 +9,9 @@
 from sageturn.store.errors import SessionRejectedError
 from sageturn.store.records import MAX_FRAME_BYTES
 
-PROTOCOL_VERSION = 2  # version 1 exchanged complete digests
+PROTOCOL_VERSION = 2  # version 1 exchanged complete digests of all keys
 MIN_COMPRESSED_BYTES = 400
-_COMPRESSED_MARK = b"z"
+_COMPRESSED_PREFIX = b"z"
 _COMPRESSION_LEVEL = 1
 
 
@@ -20,26 +20,26 @@
 
 
 def encoded_size(obj: Any) -> int:
-    """Returns the bytes that a value takes in a payload before compression."""
+    """Return the number of bytes that a value takes in a payload before compression."""
     return len(_dump(obj))
 
 
 def encode(message: dict[str, Any]) -> bytes:
-    """Returns the payload of a message."""
+    """Return the payload of a message."""
     plain = _dump(message).encode()
     if len(plain) < MIN_COMPRESSED_BYTES:
         return plain
-    compressed = _COMPRESSED_MARK + zlib.compress(plain, _COMPRESSION_LEVEL)
+    compressed = _COMPRESSED_PREFIX + zlib.compress(plain, _COMPRESSION_LEVEL)
     return compressed if len(compressed) < len(plain) else plain
 
 
 def decode(payload: bytes) -> dict[str, Any]:
-    """Returns the message of a payload.
+    """Return the message of a payload.
 
     Raises:
         SessionRejectedError: It is no message, or decompresses to more than ``MAX_FRAME_BYTES``.
     """
-    plain = _decompress(payload) if payload.startswith(_COMPRESSED_MARK) else payload
+    plain = _decompress(payload) if payload.startswith(_COMPRESSED_PREFIX) else payload
     if len(plain) > MAX_FRAME_BYTES:
         raise SessionRejectedError("a frame is too large")
     try:
@@ -54,7 +54,7 @@
 def _decompress(payload: bytes) -> bytes:
     decompressor = zlib.decompressobj()
     try:
-        plain = decompressor.decompress(payload[len(_COMPRESSED_MARK) :], MAX_FRAME_BYTES)
+        plain = decompressor.decompress(payload[len(_COMPRESSED_PREFIX) :], MAX_FRAME_BYTES)
     except zlib.error as error:
         raise SessionRejectedError("a frame cannot be unpacked") from error
     if decompressor.unconsumed_tail or not decompressor.eof:
--- a/tests/store/test_compatibility_replication.py
+++ b/tests/store/test_compatibility_replication.py
@@ -110,7 +110,7 @@
         )
 
     def pending_payloads(self, step: int) -> Iterator[bytes]:
-        """Carries out what the scenario has for ``step``, and yields the payloads that are to be sent."""
+        """Carry out what the scenario has for ``step``, and yields the payloads that are to be sent."""
         self.step = step
         if step == CLOSING_STEP and self.name == "b":
             self.session.close("stopping", CloseCode.ORDERLY)
@@ -123,7 +123,7 @@
             yield payload
 
     def receive(self, payload: bytes) -> None:
-        """Passes ``payload`` to the session, and closes the session if it rejects it."""
+        """Pass ``payload`` to the session, and closes the session if it rejects it."""
         try:
             self.session.receive(payload, self.step * STEP_S)
         except SessionRejectedError as rejection:
@@ -134,7 +134,7 @@
 
 
 def run_conversation(scenario: str) -> tuple[list[Frame], dict[str, ClockedReplica]]:
-    """Runs two replicas, one after the other in each step; each receives at once what the other sends."""
+    """Run two replicas, one after the other in each step; each receives at once what the other sends."""
     replicas = {name: ClockedReplica(scenario, name) for name in "ab"}
     frames: list[Frame] = []
     for step in range(STEPS):
@@ -147,7 +147,7 @@
 
 
 def replay(scenario: str, name: str, frames: list[Frame]) -> tuple[list[Frame], ClockedReplica]:
-    """Runs one replica alone, which receives the other's frames as they were recorded."""
+    """Run one replica alone, which receives the other's frames as they were recorded."""
     replica = ClockedReplica(scenario, name)
     sent: list[Frame] = []
     for step in range(STEPS):
@@ -218,7 +218,7 @@
 
 
 async def record_channel() -> dict[str, bytes]:
-    """Returns the bytes that each of two connected replicas sends."""
+    """Return the bytes that each of two connected replicas sends."""
     loop = asyncio.get_running_loop()
     dialler, dialler_far = make_socket_pair()
     answerer, answerer_far = make_socket_pair()
@@ -248,7 +248,7 @@
 
 
 async def replay_channel(dialled: bool, recorded: bytes) -> tuple[list[bytes], bytes]:
-    """Runs a channel against the peer's recorded bytes. Returns the payloads received and the bytes sent."""
+    """Run a channel against the peer's recorded bytes. Return the payloads received and the bytes sent."""
     loop = asyncio.get_running_loop()
     near, far = make_socket_pair()
     try:
@@ -278,7 +278,7 @@
 
 
 def payloads_after(frame: bytes) -> bytes:
-    """Returns the payloads that a replica sends after ``frame`` was the first that it received."""
+    """Return the payloads that a replica sends after ``frame`` was the first that it received."""
     replica = ClockedReplica("guest", "a")
     replica.receive(frame)
     return b"\n".join(replica.pending_payloads(0)) + b"\n"
--- a/tests/store/test_malformed_frames.py
+++ b/tests/store/test_malformed_frames.py
@@ -54,7 +54,7 @@
             receiver.receive(payload, self.now)
 
     def send_unacknowledged_change(self) -> int:
-        """Sends the peer one change that it does not confirm. Returns the change's revision."""
+        """Send the peer one change that it does not confirm. Return the change's revision."""
         self.replica.store.put("config/unacknowledged", 1)
         self.now += HEARTBEAT_INTERVAL_S
         while self.session.next_payload(self.now) is not None:
@@ -75,7 +75,7 @@
         return None if payload is None else decode(payload)
 
     def heartbeat(self, **changed: Any) -> dict[str, Any]:
-        """Returns a heartbeat that the session accepts, except for the fields that are given."""
+        """Return a heartbeat that the session accepts, except for the fields that are given."""
         heads = self.replica.records.changes.heads
         parts: dict[str, Any] = {
             "heads": self.peer.records.changes.heads,
--- a/tests/support/replication_fleet.py
+++ b/tests/support/replication_fleet.py
@@ -59,7 +59,7 @@
         self._orders: dict[tuple[str, str], RecordOrder] = {}  # by replica and key, the last one seen
 
     def on_replica_started(self, name: str) -> None:
-        """Forgets the orders seen at a replica: it may start with older versions than it had."""
+        """Forget the orders seen at a replica: it may start with older versions than it had."""
         self._orders = {key: order for key, order in self._orders.items() if key[0] != name}
 
     def check(self) -> None:
@@ -80,7 +80,7 @@
 
     @staticmethod
     def _check_change_logs(replica: Replica) -> None:
-        """Checks that the change logs and trees contain exactly what the store holds."""
+        """Check that the change logs and trees contain exactly what the store holds."""
         for priority in PRIORITY_CLASSES:
             change_log = replica.records.changes.logs[priority]
             entries = list(change_log.since(0))
@@ -99,7 +99,7 @@
         )
 
     def _check_cursors(self) -> None:
-        """Checks that a replica holds all changes of a peer up to the revision that it has confirmed."""
+        """Check that a replica holds all changes of a peer up to the revision that it has confirmed."""
         leaders = {
             replica.records.changes.incarnation: replica for replica in self._cluster.replicas.values()
         }
@@ -168,7 +168,7 @@
         return self.store(name).put(key, value)
 
     def restart(self, name: str, wiped: bool = False) -> None:
-        """Restarts a replica with the records on its disk, or with none if it was wiped."""
+        """Restart a replica with the records on its disk, or with none if it was wiped."""
         for ends in [ends for ends in self.connections if name in ends]:
             self.disconnect(*ends)
         old = self.store(name)
@@ -189,7 +189,7 @@
         )
 
     def disconnect(self, one: str, other: str) -> None:
-        """Breaks the connection; frames in transit are lost."""
+        """Break the connection; frames in transit are lost."""
         connection = self.connections.pop((one, other), None) or self.connections.pop((other, one), None)
         if connection is not None:
             self.rejections += connection.rejections
@@ -197,26 +197,26 @@
                 self.replicas[name].on_session_closed(session, self.now)
 
     def repeat_last_frame(self, one: str, other: str) -> None:
-        """Delivers the last frame in transit to ``other`` twice, which no authenticated channel allows."""
+        """Deliver the last frame in transit to ``other`` twice, which no authenticated channel allows."""
         connection = self.connections.get((one, other)) or self.connections.get((other, one))
         if connection is not None and connection.queues[other]:
             connection.queues[other].append(connection.queues[other][-1])
 
     def swap_last_frames(self, one: str, other: str) -> None:
-        """Swaps the last two frames in transit to ``other``, which no authenticated channel allows."""
+        """Swap the last two frames in transit to ``other``, which no authenticated channel allows."""
         connection = self.connections.get((one, other)) or self.connections.get((other, one))
         if connection is not None and len(connection.queues[other]) >= 2:
             last = connection.queues[other].pop()
             connection.queues[other].insert(len(connection.queues[other]) - 1, last)
 
     def stop_reading(self, one: str, other: str) -> None:
-        """Has ``other`` read nothing from ``one`` any more."""
+        """Have ``other`` read nothing from ``one`` any more."""
         connection = self.connections.get((one, other)) or self.connections.get((other, one))
         if connection is not None:
             connection.not_reading.add(other)
 
     def step(self) -> bool:
-        """Has one side of one connection send or receive one frame. Returns False if all are idle."""
+        """Have one side of one connection send or receive one frame. Return False if all are idle."""
         sides = [(connection, name) for connection in self.connections.values() for name in connection.ends]
         self.rng.shuffle(sides)
         has_waiting_frames = False
@@ -247,7 +247,7 @@
             self.disconnect(*connection.ends)
 
     def _send_frame(self, connection: SimulatedConnection, name: str) -> bool:
-        """Returns whether a frame was sent, or the connection closed because the peer reads nothing."""
+        """Return whether a frame was sent, or the connection closed because the peer reads nothing."""
         session = connection.sessions[name]
         other = connection.peer_of(name)
         if len(connection.queues[other]) >= MAX_QUEUED_FRAMES:
@@ -266,7 +266,7 @@
         return True
 
     def _finish(self, connection: SimulatedConnection, session: ReplicationSession, other: str) -> None:
-        """Closes a side that has sent its last frame; the other side may never receive that frame."""
+        """Close a side that has sent its last frame; the other side may never receive that frame."""
         is_silent = session.closing.detail.startswith("silent")
         if is_silent or connection.not_reading or self.rng.random() < 0.3:
             self.disconnect(*connection.ends)
@@ -284,7 +284,7 @@
         self.disconnect(*connection.ends)
 
     def run(self, seconds: float, max_steps: int = 1_000_000) -> int:
-        """Steps until so much time has passed; returns how many it took."""
+        """Step until so much time has passed; return how many it took."""
         until = self.now + seconds
         steps = 0
         while steps < max_steps:
@@ -302,7 +302,7 @@
         return steps
 
     def converge(self, seconds: float = 60.0, links: list[tuple[str, str]] | None = None) -> bool:
-        """Connects all replicas, in a ring by default, again after losses. Returns whether they converged."""
+        """Connect all replicas, in a ring by default, again after losses. Return whether they converged."""
         names = sorted(self.replicas)
         ring = links or list(zip(names, names[1:] + names[:1], strict=True))
         until = self.now + seconds
@@ -338,7 +338,7 @@
 
 
 def cluster_in_sync(names: str, seed: int, **more: float) -> SimulatedCluster:
-    """Returns a cluster whose replicas are in sync, linked in a star around the first."""
+    """Return a cluster whose replicas are in sync, linked in a star around the first."""
     cluster = SimulatedCluster(names, seed, **more)
     for name in names:
         cluster.store(name).replica_state_file.state = ReplicaState(cluster.wall(), 0)
