--- a/tests/store/test_compatibility_replication.py
+++ b/tests/store/test_compatibility_replication.py
@@ -1,8 +1,8 @@
-"""The messages between replicas of the store stay as revision 6e0cdec sent them, byte for byte.
+"""Checks that the messages between replicas stay byte for byte as revision 6e0cdec sent them.
 
-A transcript has a line for each frame: the step of the fake clock, who sent it, ``z`` where it was
-compressed or ``-`` where it was not, and its JSON exactly as it stood. Compressed payloads are made
-here from that JSON, so that another release of zlib changes nothing.
+A transcript has a line for each frame: the step of the fake clock, the sender, ``z`` if the frame was
+compressed or ``-`` if it was not, and its JSON exactly as it was sent. The tests compress that JSON
+themselves, so that the result does not depend on the release of zlib.
 """
 
 from __future__ import annotations
@@ -62,7 +62,7 @@
     value: Any
 
 
-# The records that each replica holds at first, by scenario.
+# Initial records of each replica, by scenario.
 INITIAL_RECORDS: dict[str, dict[str, list[tuple[str, Any]]]] = {
     "walk": {
         "a": [(f"config/key-{number}", {"from": "a", "n": number}) for number in range(60)],
@@ -110,7 +110,7 @@
         )
 
     def pending_payloads(self, step: int) -> Iterator[bytes]:
-        """Carry out what the scenario has for ``step``, and yields the payloads that are to be sent."""
+        """Perform the writes and the closing scheduled for ``step``, and yield the payloads to send."""
         self.step = step
         if step == CLOSING_STEP and self.name == "b":
             self.session.close("stopping", CloseCode.ORDERLY)
@@ -123,7 +123,7 @@
             yield payload
 
     def receive(self, payload: bytes) -> None:
-        """Pass ``payload`` to the session, and closes the session if it rejects it."""
+        """Pass ``payload`` to the session, and close the session if it rejects the payload."""
         try:
             self.session.receive(payload, self.step * STEP_S)
         except SessionRejectedError as rejection:
@@ -134,7 +134,7 @@
 
 
 def run_conversation(scenario: str) -> tuple[list[Frame], dict[str, ClockedReplica]]:
-    """Run two replicas, one after the other in each step; each receives at once what the other sends."""
+    """Run two replicas, one after the other in each step; each frame is delivered at once."""
     replicas = {name: ClockedReplica(scenario, name) for name in "ab"}
     frames: list[Frame] = []
     for step in range(STEPS):
@@ -147,7 +147,7 @@
 
 
 def replay(scenario: str, name: str, frames: list[Frame]) -> tuple[list[Frame], ClockedReplica]:
-    """Run one replica alone, which receives the other's frames as they were recorded."""
+    """Run one replica alone against the recorded frames of the other."""
     replica = ClockedReplica(scenario, name)
     sent: list[Frame] = []
     for step in range(STEPS):
@@ -163,21 +163,21 @@
     return sent, replica
 
 
-def pack(plain: bytes) -> bytes:
+def compress_payload(plain: bytes) -> bytes:
     return b"z" + zlib.compress(plain, 1)
 
 
 def encode_transcript_line(frame: Frame) -> bytes:
     step, name, payload = frame
-    packed = payload.startswith(b"z")
-    plain = zlib.decompress(payload[1:]) if packed else payload
-    assert not packed or payload == pack(plain)
-    return b"%d %s %s %s\n" % (step, name.encode(), b"z" if packed else b"-", plain)
+    compression_flag = payload.startswith(b"z")
+    plain = zlib.decompress(payload[1:]) if compression_flag else payload
+    assert not compression_flag or payload == compress_payload(plain)
+    return b"%d %s %s %s\n" % (step, name.encode(), b"z" if compression_flag else b"-", plain)
 
 
 def decode_transcript_line(line: bytes) -> Frame:
-    step, name, packed, plain = line.split(b" ", 3)
-    return Frame(int(step), name.decode(), pack(plain) if packed == b"z" else plain)
+    step, name, compression_flag, plain = line.split(b" ", 3)
+    return Frame(int(step), name.decode(), compress_payload(plain) if compression_flag == b"z" else plain)
 
 
 def read_transcript(scenario: str) -> list[Frame]:
@@ -224,13 +224,13 @@
     answerer, answerer_far = make_socket_pair()
     sent_bytes = {"dialled": bytearray(), "answered": bytearray()}
 
-    async def carry(name: str, source: socket.socket, target: socket.socket) -> None:
+    async def forward_bytes(name: str, source: socket.socket, target: socket.socket) -> None:
         while data := await loop.sock_recv(source, 65536):
             sent_bytes[name] += data
             await loop.sock_sendall(target, data)
 
-    carrying = [loop.create_task(carry("dialled", dialler_far, answerer_far))]
-    carrying.append(loop.create_task(carry("answered", answerer_far, dialler_far)))
+    forwarders = [loop.create_task(forward_bytes("dialled", dialler_far, answerer_far))]
+    forwarders.append(loop.create_task(forward_bytes("answered", answerer_far, dialler_far)))
     with fixed_nonces(*NONCES):
         received_by_dialler, received_by_answerer = await asyncio.gather(
             exchange_payloads(open_channel(dialler, "a"), True),
@@ -238,7 +238,7 @@
         )
     assert received_by_dialler == PAYLOADS
     assert received_by_answerer == PAYLOADS
-    for task in carrying:
+    for task in forwarders:
         task.cancel()
         with suppress(asyncio.CancelledError):
             await task
@@ -261,11 +261,11 @@
         far.close()
 
 
-# ---------------------------------------------------------------- messages by themselves
+# ---------------------------------------------------------------- single messages
 
-BIG = {"changes": [0, 1, 0, 3, [["config/x", {"tổ": "y" * 500}, 1, "a", None]]]}
+LARGE_CHUNK = {"changes": [0, 1, 0, 3, [["config/x", {"tổ": "y" * 500}, 1, "a", None]]]}
 
-# What is received in place of a hello, and is answered by a bye.
+# Frames that are received instead of a hello, and are answered by a bye.
 BAD_FRAMES = {
     "protocol-1": b'{"digest":{}}',
     "protocol-3": b'{"hello":{"protocol":3,"node":"b"}}',
@@ -273,12 +273,12 @@
     "no-json": b"{",
     "no-message": b"[]",
     "no-fields": b'{"hello":{"protocol":2}}',
-    "cut-short": pack(b'{"ack":[]}' * 50)[:-4],
+    "cut-short": compress_payload(b'{"ack":[]}' * 50)[:-4],
 }
 
 
 def payloads_after(frame: bytes) -> bytes:
-    """Return the payloads that a replica sends after ``frame`` was the first that it received."""
+    """Return the payloads that a replica sends if ``frame`` is the first that it receives."""
     replica = ClockedReplica("guest", "a")
     replica.receive(frame)
     return b"\n".join(replica.pending_payloads(0)) + b"\n"
@@ -294,7 +294,7 @@
             files[f"{scenario}.{name}.jsonl"] = "".join(lines).encode()
     sent_bytes = await asyncio.wait_for(record_channel(), CHANNEL_TIMEOUT_S)
     files |= {f"link.{name}.bin": data for name, data in sent_bytes.items()}
-    files["packed.bin"] = encode(BIG)
+    files["packed.bin"] = encode(LARGE_CHUNK)
     return files
 
 
@@ -331,8 +331,8 @@
 
 def test_a_compressed_frame_of_an_earlier_program_is_read_and_compression_is_unchanged() -> None:
     data = (FIXTURES / "packed.bin").read_bytes()
-    assert decode(data) == BIG
-    assert encode(BIG) == pack(json.dumps(BIG, separators=(",", ":")).encode())
+    assert decode(data) == LARGE_CHUNK
+    assert encode(LARGE_CHUNK) == compress_payload(json.dumps(LARGE_CHUNK, separators=(",", ":")).encode())
 
 
 @pytest.mark.timeout(CHANNEL_TIMEOUT_S)
--- a/tests/store/test_malformed_frames.py
+++ b/tests/store/test_malformed_frames.py
@@ -1,4 +1,4 @@
-"""What a replication session does with frames that are malformed, or malformed and out of place."""
+"""Handling of malformed and of unexpected frames by a replication session."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class SessionUnderTest:
-    """Replica b with a session to replica a; ``receive`` does what a driver does with a frame of a."""
+    """Replica b with a session to replica a; ``receive`` handles a frame of a as the session driver does."""
 
     def __init__(self, is_ephemeral: bool = False, steps: int = 12) -> None:
         self.now = 1000.0
@@ -54,7 +54,7 @@
             receiver.receive(payload, self.now)
 
     def send_unacknowledged_change(self) -> int:
-        """Send the peer one change that it does not confirm. Return the change's revision."""
+        """Send the peer one change that it does not acknowledge. Return the change's revision."""
         self.replica.store.put("config/unacknowledged", 1)
         self.now += HEARTBEAT_INTERVAL_S
         while self.session.next_payload(self.now) is not None:
@@ -152,7 +152,7 @@
 
 
 def test_a_bye_with_an_empty_text_ends_the_session_too(established: SessionUnderTest) -> None:
-    # It was not noticed: the link stayed open, and the peer was sent more until it closed.
+    # Such a bye was ignored: the link stayed open, and messages were sent until the peer closed it.
     assert established.receive({"bye": ["orderly", "", []]}) is None
     assert established.session.closing.is_output_finished
     assert established.session.closing.peer_detail == "no reason given"
@@ -178,7 +178,7 @@
 
 
 def test_a_class_number_with_a_fraction_is_a_fault_of_the_peer(established: SessionUnderTest) -> None:
-    # 0.0 passed for class 0, and ended the link by an exception as the answer was made.
+    # 0.0 was accepted as class 0, and an exception while building the response ended the link.
     assert "no count" in str(established.receive({"ask": [[0.0, 0, 0]]}))
     reply = established.reply()
     assert reply is not None and reply["bye"][0] == "fault"
@@ -203,7 +203,7 @@
         {"skipped": [["x"], 5]},
     ],
 )
-def test_what_stands_before_a_malformed_part_of_a_heartbeat_is_applied(
+def test_the_parts_before_a_malformed_part_of_a_heartbeat_are_applied(
     established: SessionUnderTest, changed: dict[str, Any]
 ) -> None:
     established.send_unacknowledged_change()
@@ -284,9 +284,9 @@
 
 @pytest.mark.parametrize("message", [{"ack": 5}, {"changes": [7, 7, "x", "y", 5]}])
 def test_chunks_and_acknowledgements_before_a_follow_are_rejected_as_that(message: dict[str, Any]) -> None:
-    greeted = SessionUnderTest(steps=1)
-    assert greeted.session.peer_hello is not None
-    rejection = greeted.receive(message)
+    session_after_hello = SessionUnderTest(steps=1)
+    assert session_after_hello.session.peer_hello is not None
+    rejection = session_after_hello.receive(message)
     assert str(rejection) in ("acknowledged what was never sent", "changes that nobody asked for")
 
 
--- a/tests/store/test_replication.py
+++ b/tests/store/test_replication.py
@@ -9,7 +9,7 @@
 import pytest
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
-from support.replication_fleet import SimulatedCluster, cluster_in_sync
+from support.replication_fleet import SimulatedCluster, make_synced_cluster
 
 from sageturn.store.errors import InvalidRecordError, SessionRejectedError
 from sageturn.store.records import StoreRecord, parse_record, record_digest, supersedes
@@ -45,19 +45,19 @@
 
 
 def apply_step(cluster: SimulatedCluster, step: tuple[Any, ...]) -> None:
-    what, *words = step
-    if what == "delete":
-        cluster.put(words[0], words[1], None)
-    elif what == "state":
-        cluster.put(words[0], f"state/{words[0]}/x", words[1])
-    elif what == "bulk":
-        for number in range(words[1]):
-            cluster.put(words[0], f"config/bulk/{number}", [words[1]] * 20)
-    elif what == "steps":
-        for _ in range(words[0]):
+    operation, *arguments = step
+    if operation == "delete":
+        cluster.put(arguments[0], arguments[1], None)
+    elif operation == "state":
+        cluster.put(arguments[0], f"state/{arguments[0]}/x", arguments[1])
+    elif operation == "bulk":
+        for number in range(arguments[1]):
+            cluster.put(arguments[0], f"config/bulk/{number}", [arguments[1]] * 20)
+    elif operation == "steps":
+        for _ in range(arguments[0]):
             cluster.step()
     else:
-        getattr(cluster, what)(*words)
+        getattr(cluster, operation)(*arguments)
 
 
 SEEDED = settings(max_examples=200, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck))
@@ -79,7 +79,7 @@
     before = cluster.newest()
     assert cluster.converge()
     cluster.invariants.check()
-    # Nothing that anybody held when the links came up is lost, and nothing else wins.
+    # The newest version of every record at the time of connecting is what all replicas end up with.
     assert cluster.newest() == before
     assert not [text for text in cluster.rejections if text.startswith(("not understood", "unknown"))]
 
@@ -95,12 +95,12 @@
 def test_a_replica_away_beyond_the_horizon_restores_no_deletion_and_loses_no_write_of_its_own(
     seed: int, away_s: float, running: bool, deleted: set[int], written: set[int]
 ) -> None:
-    cluster = cluster_in_sync("abcd", seed, horizon_s=60.0)
+    cluster = make_synced_cluster("abcd", seed, horizon_s=60.0)
     for number in range(10):
         cluster.put("d", f"config/{number}", "old")
         cluster.put("b", f"config/b{number}", "old")
     cluster.run(3.0)
-    assert cluster.equal()
+    assert cluster.is_consistent()
     cluster.disconnect("a", "d")
     for number in deleted:
         cluster.put("c", f"config/{number}", None)
@@ -111,7 +111,7 @@
     cluster.invariants.check()
     if away_s > 70.0:
         assert not any(cluster.store("a").record(f"config/{number}") for number in deleted), (
-            "deletions are forgotten"
+            "deletions were not forgotten"
         )
     if not running:
         cluster.restart("d")
@@ -125,7 +125,7 @@
         ]
         assert all(store.get(f"config/{number}") == "old" for number in set(range(10)) - deleted)
         assert all(store.get(f"config/new/{number}") == number for number in written)
-    # And a key that was deleted and forgotten can be written anew, above all that anyone may remember.
+    # A deleted and forgotten key can be written again, with a version above any that a replica remembers.
     for number in deleted:
         cluster.put("d", f"config/{number}", "again")
     assert cluster.converge(30.0, star)
@@ -133,8 +133,8 @@
 
 
 def test_a_write_that_no_peer_has_received_survives_a_long_absence() -> None:
-    # All that the others had was here when it was written, but they had not got this: that is not in step.
-    cluster = cluster_in_sync("abc", 1, horizon_s=60.0)
+    # A replica that holds all records of the others is not in sync while they lack one of its own.
+    cluster = make_synced_cluster("abc", 1, horizon_s=60.0)
     cluster.stop_reading("b", "a")
     cluster.put("b", "config/x", 1)
     cluster.run(1.6)
@@ -146,8 +146,8 @@
 
 
 def test_a_replica_in_sync_takes_nothing_from_one_that_is_being_filled() -> None:
-    cluster = cluster_in_sync("ab", 1, rate=8192.0)
-    bulk(cluster, "a", 3000)
+    cluster = make_synced_cluster("ab", 1, rate=8192.0)
+    put_shards(cluster, "a", 3000)
     cluster.run(20.0)
     cluster.start("e", Store("e", wall_clock=cluster.wall))
     cluster.put("e", "config/early", 1)
@@ -165,18 +165,18 @@
 
 
 def test_a_new_write_wins_over_a_deletion_that_others_still_remember() -> None:
-    cluster = cluster_in_sync("ab", 1)
+    cluster = make_synced_cluster("ab", 1)
     cluster.put("b", "config/x", 1)
     cluster.put("b", "config/x", None)
     cluster.run(2.0)
-    cluster.store("a").forget(["config/x"])  # its clock is ahead of b's
+    cluster.store("a").forget(["config/x"])  # a forgets it first, as if its clock were ahead of b's
     cluster.put("a", "config/x", "anew")
     cluster.run(2.0)
     assert cluster.store("b").get("config/x") == "anew"
     cluster.put("b", "config/x", None)
     cluster.run(2.0)
     cluster.store("a").forget(["config/x"])
-    cluster.start("c", Store("c", wall_clock=cluster.wall))  # knows of neither, except from a
+    cluster.start("c", Store("c", wall_clock=cluster.wall))  # receives the state of the key from a alone
     cluster.connect("a", "c")
     cluster.run(0.2)
     cluster.put("c", "config/x", "by c")
@@ -185,8 +185,8 @@
 
 
 def test_while_a_zone_is_cut_off_no_deletion_is_forgotten() -> None:
-    # Those in it stay in step with each other, so by their own measure they were never away.
-    cluster = cluster_in_sync("abcd", 1, horizon_s=60.0)
+    # The replicas in the zone stay in sync with each other, so each considers itself in sync throughout.
+    cluster = make_synced_cluster("abcd", 1, horizon_s=60.0)
     for name in "abcd":
         cluster.replicas[name].announce()
     cluster.put("a", "config/x", 1)
@@ -207,8 +207,10 @@
     assert cluster.converge(30.0, links)
     assert cluster.store("d").get("config/x") is None
     cluster.run(100.0)
-    assert all(cluster.store(name).record("config/x") is None for name in "abcd"), "healed, they forget"
-    assert cluster.equal()
+    assert all(cluster.store(name).record("config/x") is None for name in "abcd"), (
+        "deletions were not forgotten after the partition healed"
+    )
+    assert cluster.is_consistent()
 
 
 def test_a_new_cluster_settles_and_an_empty_replica_never_makes_others_drop_records() -> None:
@@ -227,8 +229,8 @@
 
 
 def test_a_replica_of_unknown_age_starts_over_and_an_empty_one_between_passes_nothing_on() -> None:
-    # z holds what a and b have deleted and forgotten; e is new, and linked to z before it is to a.
-    cluster = cluster_in_sync("ab", 1, horizon_s=60.0)
+    # z holds records that a and b have deleted and forgotten; e is new, and connects to z before a.
+    cluster = make_synced_cluster("ab", 1, horizon_s=60.0)
     cluster.start("z", Store("z", wall_clock=cluster.wall))
     cluster.store("z").merge([StoreRecord("config/gone", 1, 1, "y"), StoreRecord("config/kept", 1, 1, "y")])
     cluster.restart("z")
@@ -243,14 +245,14 @@
 
 
 def test_a_removed_member_is_rejected_and_starts_over_once_it_is_added_again() -> None:
-    cluster = cluster_in_sync("abc", 1)
+    cluster = make_synced_cluster("abc", 1)
     cluster.put("c", "state/c/x", 1)
     cluster.put("a", "config/x", 1)
     cluster.run(2.0)
     cluster.put("a", "config/removed/c", {"why": "sold"})
     cluster.run(2.0)
     assert all(cluster.store(name).get("state/c/x") is None for name in "ab")
-    assert ("a", "c") not in cluster.connections and cluster.equal_among("ab")
+    assert ("a", "c") not in cluster.connections and cluster.is_consistent_among("ab")
     cluster.put("a", "config/x", None)
     cluster.put("c", "config/harm", 1)
     cluster.restart("c")
@@ -262,28 +264,30 @@
     cluster.put("b", "config/removed/c", None)
     assert cluster.converge(60.0, [("a", "b"), ("b", "c")])
     assert cluster.store("a").get("config/harm") is None and cluster.store("c").get("config/x") is None
-    assert cluster.store("a").get("state/c/x") == 1, "its own states count again"
+    assert cluster.store("a").get("state/c/x") == 1, (
+        "the state of the member that was added again was not replicated"
+    )
 
 
-# ---------------------------------------------------------------- what it costs
+# ---------------------------------------------------------------- cost of sessions and changes
 
 
-def bulk(cluster: SimulatedCluster, name: str, keys: int) -> None:
+def put_shards(cluster: SimulatedCluster, name: str, keys: int) -> None:
     for number in range(keys):
         cluster.put(name, f"config/shard/{number}", {"host": f"s-{number % 97}", "epoch": number})
 
 
-def linked(keys: int, seed: int = 1) -> SimulatedCluster:
+def make_linked_pair(keys: int, seed: int = 1) -> SimulatedCluster:
     cluster = SimulatedCluster("ab", seed)
-    bulk(cluster, "a", keys)
+    put_shards(cluster, "a", keys)
     assert cluster.converge(120.0, [("a", "b")])
     return cluster
 
 
 @pytest.mark.parametrize("keys", [10, 3000])
 def test_an_idle_session_costs_the_same_whatever_the_number_of_keys(keys: int) -> None:
-    # The exchange of digests cost 15 bytes a key a second for each side.
-    cluster = linked(keys)
+    # Protocol 1 exchanged the digests of all keys, which cost each side 15 bytes per key and second.
+    cluster = make_linked_pair(keys)
     cluster.run(5.0)
     (connection,) = cluster.connections.values()
     sent_bytes, frames = connection.sent_bytes, connection.frames
@@ -293,12 +297,12 @@
 
 
 def test_a_change_costs_itself_and_a_restart_what_differs_whatever_the_number_of_keys() -> None:
-    cluster = linked(3000)
+    cluster = make_linked_pair(3000)
     (connection,) = cluster.connections.values()
     cluster.run(2.0)
     sent_bytes = connection.sent_bytes
     cluster.put("a", "config/shard/7", {"host": "s-1"})
-    while not cluster.equal():
+    while not cluster.is_consistent():
         assert cluster.step() or cluster.run(0.01)
     assert connection.sent_bytes - sent_bytes < 1500
     cluster.restart("b")
@@ -323,7 +327,7 @@
     for number in range(100):
         cluster.put("a", f"config/{number}", random.Random(number).randbytes(30).hex())
     cluster.run(0.3)
-    assert cluster.equal(), "before any repair could have begun"
+    assert cluster.is_consistent(), "the change has not reached all replicas before anti-entropy can start"
     for one, other in chain:
         sent, was = cluster.connections[one, other].sent_bytes_by, before[one, other]
         assert sent[one] - was[one] > 4000 and sent[other] - was[other] < 600
@@ -333,85 +337,89 @@
 
 
 def test_a_snapshot_is_resumed_where_the_connection_broke() -> None:
-    whole = linked(3000)
-    (connection,) = whole.connections.values()
-    once = connection.sent_bytes
+    uninterrupted = make_linked_pair(3000)
+    (connection,) = uninterrupted.connections.values()
+    snapshot_bytes = connection.sent_bytes
     cluster = SimulatedCluster("ab", 2)
-    bulk(cluster, "a", 3000)
+    put_shards(cluster, "a", 3000)
     sent_bytes, disconnects = 0, 0
-    while not cluster.equal():
+    while not cluster.is_consistent():
         cluster.connect("a", "b")
         (connection,) = cluster.connections.values()
         cluster.run(3.0, max_steps=20)
         cluster.invariants.check()
         sent_bytes += connection.sent_bytes
         disconnects += 1
-        assert disconnects < 40, "begun anew each time it would never end"
+        assert disconnects < 40, "a snapshot that restarts after each disconnection never completes"
         cluster.disconnect("a", "b")
-    # A window of parts may be lost with each link.
-    assert disconnects > 4 and sent_bytes < once + disconnects * 4000
+    # Each disconnection may lose one send window of chunks.
+    assert disconnects > 4 and sent_bytes < snapshot_bytes + disconnects * 4000
 
 
 def test_an_urgent_change_goes_ahead_of_a_snapshot_and_within_the_budget() -> None:
     cluster = SimulatedCluster("abc", 1, rate=8192.0)
     rng = random.Random(1)
-    for number in range(2000):  # that does not pack well
+    for number in range(2000):  # random values, which hardly compress
         cluster.put("a", f"config/shard/{number}", rng.randbytes(60).hex())
     cluster.connect("a", "b")
     cluster.run(4.0)
-    assert not cluster.equal_among("ab")
+    assert not cluster.is_consistent_among("ab")
     cluster.put("a", "config/urgent", 1)
-    began = cluster.now
+    started_at = cluster.now
     while cluster.store("b").get("config/urgent") is None:
         cluster.run(0.05)
-    assert cluster.now - began < 0.5 and not cluster.equal_among("ab"), "while the snapshot goes on"
+    assert cluster.now - started_at < 0.5 and not cluster.is_consistent_among("ab"), (
+        "the urgent change was not sent ahead of the snapshot"
+    )
     cluster.invariants.check()
     assert cluster.converge(120.0, [("a", "b"), ("b", "c")])
     cluster.invariants.check()
 
 
 def test_several_changes_of_a_key_are_sent_as_one_and_a_slow_follower_delays_nobody() -> None:
-    cluster = linked(10)
+    cluster = make_linked_pair(10)
     cluster.start("c", Store("c", wall_clock=cluster.wall))
     assert cluster.converge(10.0, [("a", "b"), ("a", "c")])
-    slow = cluster.connections["a", "c"]
-    slow.not_reading.add("c")
-    sent_bytes = slow.sent_bytes
+    slow_connection = cluster.connections["a", "c"]
+    slow_connection.not_reading.add("c")
+    sent_bytes = slow_connection.sent_bytes
     for number in range(500):
         cluster.put("a", "config/x", number)
         cluster.step()
     cluster.run(0.5)
     cluster.invariants.check()
     assert cluster.store("b").get("config/x") == 499 and cluster.store("c").get("config/x") is None
-    assert slow.sent_bytes - sent_bytes < 3000, (
-        "what it has not read is not repeated, and what is older is gone"
+    assert slow_connection.sent_bytes - sent_bytes < 3000, (
+        "chunks that were not read were sent again, or superseded values were sent"
     )
-    slow.not_reading.clear()
+    slow_connection.not_reading.clear()
     assert cluster.converge(5.0, [("a", "b"), ("a", "c")])
 
 
 @SEEDED
 @given(st.lists(st.tuples(st.floats(0, 3), st.integers(0, 20_000), st.booleans()), max_size=60))
 def test_the_budget_holds_over_any_span(steps: list[tuple[float, int, bool]]) -> None:
-    budget, now, taken = ByteBudget(1000.0, 0.0), 0.0, [(0.0, 0)]
+    budget, now, consumed = ByteBudget(1000.0, 0.0), 0.0, [(0.0, 0)]
     for wait, size, urgent in steps:
         now += wait
         if budget.available_bytes(now, urgent) >= size:
             budget.consume(now, size)
-            taken.append((now, size))
+            consumed.append((now, size))
         elif size <= budget.burst:
             available_at = budget.available_at(now, size, urgent)
             assert available_at >= now and budget.available_bytes(available_at, urgent) >= size - 1e-3
             now = available_at
-    for first in range(len(taken)):
-        spent = sum(size for _, size in taken[first:])
-        assert spent <= 1000.0 * (now - taken[first][0]) + budget.burst + budget.debt + 1e-3
+    for first in range(len(consumed)):
+        spent = sum(size for _, size in consumed[first:])
+        assert spent <= 1000.0 * (now - consumed[first][0]) + budget.burst + budget.debt + 1e-3
 
 
 def test_backoff_delays_double_up_to_the_maximum_and_differ() -> None:
     backoff = Backoff(1.0, 8.0, random.Random(1))
     waits = [backoff.next_delay_s() for _ in range(6)]
-    assert all(most / 2 <= wait <= most for wait, most in zip(waits, [1, 2, 4, 8, 8, 8], strict=True))
+    assert all(
+        maximum / 2 <= wait <= maximum for wait, maximum in zip(waits, [1, 2, 4, 8, 8, 8], strict=True)
+    )
     assert len(set(waits)) == 6
     backoff.reset()
     assert backoff.next_delay_s() <= 1.0
@@ -428,10 +436,10 @@
         tree.set(f"k{number}", digest or 0)
         held[f"k{number}"] = digest or 0
     held = {key: digest for key, digest in held.items() if digest}
-    fresh = MerkleTree()
+    rebuilt = MerkleTree()
     for key in sorted(held, reverse=True):
-        fresh.set(key, held[key])
-    assert tree.root == fresh.root and tree.count(0, 0) == len(held) and tree.entries(0, 0) == held
+        rebuilt.set(key, held[key])
+    assert tree.root == rebuilt.root and tree.count(0, 0) == len(held) and tree.entries(0, 0) == held
     for depth in range(DEPTH):
         for index in range(FANOUT**depth if depth < 2 else 8):
             xor = 0
@@ -451,7 +459,7 @@
 
 
 def test_two_records_of_one_version_and_node_are_decided_alike_everywhere() -> None:
-    # A node that was wiped counts its versions anew: (version, node) then stands for two different words.
+    # A wiped node restarts its version numbers, so one (version, node) may have two different values.
     one, two = StoreRecord("config/x", 1, 1, "a"), StoreRecord("config/x", 2, 1, "a")
     assert supersedes(one, two) != supersedes(two, one) and not supersedes(one, one)
     cluster = SimulatedCluster("abc", 1)
@@ -463,20 +471,20 @@
 
 
 def test_a_record_lost_by_a_fault_is_restored_by_anti_entropy() -> None:
-    cluster = linked(200)
+    cluster = make_linked_pair(200)
     cluster.run(2.0)
     store = cluster.store("b")
-    store.forget(["config/shard/7"])  # as a fault of the program or of the memory would
-    assert store.record("config/shard/7") is None and not cluster.equal()
+    store.forget(["config/shard/7"])  # simulates a fault of the program or of the memory
+    assert store.record("config/shard/7") is None and not cluster.is_consistent()
     cluster.run(10.0)
-    assert cluster.equal() and store.get("config/shard/7") is not None
+    assert cluster.is_consistent() and store.get("config/shard/7") is not None
 
 
-# ---------------------------------------------------------------- what is rejected
+# ---------------------------------------------------------------- rejections
 
 
-def pair() -> tuple[SimulatedCluster, ReplicationSession]:
-    cluster = linked(20)
+def make_session() -> tuple[SimulatedCluster, ReplicationSession]:
+    cluster = make_linked_pair(20)
     cluster.run(2.0)
     (connection,) = cluster.connections.values()
     return cluster, connection.sessions["b"]
@@ -499,14 +507,14 @@
 @settings(SEEDED, max_examples=400)
 @given(KINDS, VALUES)
 def test_a_malformed_frame_is_rejected_and_changes_nothing(kind: str, value: Any) -> None:
-    cluster, session = pair()
+    cluster, session = make_session()
     before = cluster.store("b").records(), cursors_of(session)
     try:
         session.receive(encode({kind: value}), cluster.now)
     except SessionRejectedError as rejection:
         assert str(rejection)
     else:
-        assert kind in ("ack", "ask", "get")  # there are sound ones among these
+        assert kind in ("ack", "ask", "get")  # some generated bodies of these kinds are valid
     assert before == (
         cluster.store("b").records(),
         cursors_of(session),
@@ -534,8 +542,8 @@
 @pytest.mark.parametrize(
     ("message", "text"),
     [
-        ({"changes": [0, 0, 21, 22, [["config/q", 1, 1, "a", None]]]}, "out of order"),  # one is left out
-        ({"changes": [0, 0, 19, 21, [["config/q", 1, 1, "a", None]]]}, "out of order"),  # played again
+        ({"changes": [0, 0, 21, 22, [["config/q", 1, 1, "a", None]]]}, "out of order"),  # skips a revision
+        ({"changes": [0, 0, 19, 21, [["config/q", 1, 1, "a", None]]]}, "out of order"),  # replays a revision
         ({"changes": [0, 0, 20, 20, [["config/q", 1, 1, "a", None]]]}, "out of order"),
         ({"changes": [0, 1, 20, 21, [["config/q", 1, 1, "a", None]]]}, "out of order"),
         ({"changes": [1, 0, 0, 1, [["config/q", 1, 1, "a", None]]]}, "wrong lane"),
@@ -550,7 +558,7 @@
     ],
 )
 def test_a_frame_out_of_place_is_rejected_with_a_reason(message: dict[str, Any], text: str) -> None:
-    cluster, session = pair()
+    cluster, session = make_session()
     before = cluster.store("b").records()
     with pytest.raises(SessionRejectedError, match=text):
         session.receive(encode(message), cluster.now)
@@ -561,25 +569,26 @@
 
 def test_a_replica_of_protocol_1_is_rejected_and_both_sides_are_told_both_versions() -> None:
     cluster = SimulatedCluster("a", 1)
-    dialled = cluster.replicas["a"].open_session("old", cluster.now, ("127.0.0.1", 9))
-    greeting = json.loads(dialled.next_payload(cluster.now) or b"")
+    dialing_session = cluster.replicas["a"].open_session("old", cluster.now, ("127.0.0.1", 9))
+    hello_message = json.loads(dialing_session.next_payload(cluster.now) or b"")
     with pytest.raises(InvalidRecordError, match=f"protocol {PROTOCOL_VERSION}, this copy speaks 1"):
-        parse_record(greeting["records"][0])  # as the old one reads it, and what it then logs
-    accepted = cluster.replicas["a"].open_session("old", cluster.now)
-    assert accepted.next_payload(cluster.now) is None, "who accepts waits for the greeting"
+        # A replica of protocol 1 decodes the record like this, and logs the error.
+        parse_record(hello_message["records"][0])
+    accepting_session = cluster.replicas["a"].open_session("old", cluster.now)
+    assert accepting_session.next_payload(cluster.now) is None, "the accepting side has to wait for the hello"
     with pytest.raises(
         SessionRejectedError, match=f"old speaks protocol 1 .*, this copy speaks {PROTOCOL_VERSION}"
     ) as rejection:
-        accepted.receive(b'{"digest":{"config/x":[1,"old"]}}', cluster.now)
-    accepted.close(str(rejection.value), accepted.closing.code)
+        accepting_session.receive(b'{"digest":{"config/x":[1,"old"]}}', cluster.now)
+    accepting_session.close(str(rejection.value), accepting_session.closing.code)
     with pytest.raises(InvalidRecordError, match=f"protocol {PROTOCOL_VERSION}, this copy speaks 1"):
-        parse_record(json.loads(accepted.next_payload(cluster.now) or b"")["records"][0])
-    newer = cluster.replicas["a"].open_session("new", cluster.now)
-    greeting["hello"].update(protocol=3, node="new")
+        parse_record(json.loads(accepting_session.next_payload(cluster.now) or b"")["records"][0])
+    newer_session = cluster.replicas["a"].open_session("new", cluster.now)
+    hello_message["hello"].update(protocol=3, node="new")
     with pytest.raises(
         SessionRejectedError, match=f"new speaks protocol 3, this copy speaks {PROTOCOL_VERSION}"
     ):
-        newer.receive(encode(greeting), cluster.now)
+        newer_session.receive(encode(hello_message), cluster.now)
 
 
 def test_a_record_that_fills_a_chunk_is_sent_alone_and_one_that_is_larger_is_invalid(tmp_path: Any) -> None:
--- a/tests/support/replication_fleet.py
+++ b/tests/support/replication_fleet.py
@@ -22,20 +22,20 @@
 from sageturn.store.replication.session import ReplicationSession
 from sageturn.store.store import Store
 
-MAX_QUEUED_FRAMES = 8  # on one side of a connection, as in the kernel's buffers
+MAX_QUEUED_FRAMES = 8  # frames queued for one side of a connection, as in a socket buffer
 DAY_S = 86400.0
 STARTED_AT_S = 1000.0
-CONTROL_BYTES_PER_S = 12_000.0  # of hellos, heartbeats and acknowledgements, which are always sent
+CONTROL_BYTES_PER_S = 12_000.0  # hellos, heartbeats and acknowledgements, which the budget never delays
 
 
 @dataclass
 class SimulatedConnection:
-    """A connection between two replicas: per side its session, and the frames on their way to it."""
+    """Connection between two replicas: per side its session, and the frames in transit to it."""
 
     ends: tuple[str, str]
     sessions: dict[str, ReplicationSession]
     queues: dict[str, deque[bytes]] = field(default_factory=dict)
-    not_reading: set[str] = field(default_factory=set)  # the sides that read nothing for now
+    not_reading: set[str] = field(default_factory=set)  # sides that currently read nothing
     sent_bytes: int = 0
     sent_bytes_by: dict[str, int] = field(default_factory=dict)
     frames: int = 0
@@ -52,11 +52,11 @@
 
 
 class ClusterInvariants:
-    """Checks what must hold in a cluster after each step of a schedule."""
+    """Checks of the invariants of a cluster, after each step of a schedule."""
 
     def __init__(self, cluster: SimulatedCluster) -> None:
         self._cluster = cluster
-        self._orders: dict[tuple[str, str], RecordOrder] = {}  # by replica and key, the last one seen
+        self._orders: dict[tuple[str, str], RecordOrder] = {}  # last order seen, by replica and key
 
     def on_replica_started(self, name: str) -> None:
         """Forget the orders seen at a replica: it may start with older versions than it had."""
@@ -92,14 +92,14 @@
 
     def _check_budget(self, replica: Replica) -> None:
         budget = replica.budget
-        passed = self._cluster.now - STARTED_AT_S
+        elapsed_s = self._cluster.now - STARTED_AT_S
         assert (
             budget.consumed_bytes
-            <= budget.rate * passed + budget.burst + budget.debt + CONTROL_BYTES_PER_S * (passed + 1)
+            <= budget.rate * elapsed_s + budget.burst + budget.debt + CONTROL_BYTES_PER_S * (elapsed_s + 1)
         )
 
     def _check_cursors(self) -> None:
-        """Check that a replica holds all changes of a peer up to the revision that it has confirmed."""
+        """Check that a replica holds all changes of a peer up to the revision that it has acknowledged."""
         leaders = {
             replica.records.changes.incarnation: replica for replica in self._cluster.replicas.values()
         }
@@ -113,13 +113,13 @@
                         if revision <= cursor.backlog or cursor.backlog_end < revision <= cursor.live:
                             record, held = leader.store.record(key), follower.store.record(key)
                             assert record is not None
-                            # Deleted there, and the deletion forgotten; or a deletion forgotten.
-                            forgotten = (
+                            # A record may be missing if the follower has forgotten a deletion of its key.
+                            is_forgotten = (
                                 held is None
                                 and record.version <= follower.store.replica_state.tombstone_floor
                             )
-                            sound = held is not None and not supersedes(record, held)
-                            assert forgotten or sound, f"{key} at {revision} was skipped"
+                            is_current = held is not None and not supersedes(record, held)
+                            assert is_forgotten or is_current, f"{key} at {revision} was skipped"
 
     @staticmethod
     def _check_memory(session: ReplicationSession) -> None:
@@ -134,7 +134,7 @@
     def __init__(self, names: str, seed: int, rate: float = 27_000.0, horizon_s: float = 7 * DAY_S) -> None:
         self.rng = random.Random(seed)
         self.now = STARTED_AT_S
-        self.began_wall = 1_800_000_000.0
+        self.wall_epoch_s = 1_800_000_000.0
         self.rate = rate
         self.horizon_s = horizon_s
         self.replicas: dict[str, Replica] = {}
@@ -145,15 +145,15 @@
             self.start(name, Store(name, wall_clock=self.wall))
 
     def wall(self) -> float:
-        return self.began_wall + self.now
+        return self.wall_epoch_s + self.now
 
     def start(self, name: str, store: Store) -> None:
-        place = ReplicaLocation(("127.0.0.1", 1 + ord(name[0])), "r", name)
+        location = ReplicaLocation(("127.0.0.1", 1 + ord(name[0])), "r", name)
         self.replicas[name] = Replica(
             store,
             random.Random(self.rng.random()),
             self.now,
-            place,
+            location,
             max_bytes_per_s=self.rate,
             horizon_s=self.horizon_s,
         )
@@ -162,7 +162,7 @@
     def store(self, name: str) -> Store:
         return self.replicas[name].store
 
-    # ------------------------------------------------------------ what a schedule does
+    # ------------------------------------------------------------ operations of a schedule
 
     def put(self, name: str, key: str, value: object) -> StoreRecord:
         return self.store(name).put(key, value)
@@ -197,26 +197,26 @@
                 self.replicas[name].on_session_closed(session, self.now)
 
     def repeat_last_frame(self, one: str, other: str) -> None:
-        """Deliver the last frame in transit to ``other`` twice, which no authenticated channel allows."""
+        """Deliver the last frame in transit to ``other`` twice, which an authenticated channel rejects."""
         connection = self.connections.get((one, other)) or self.connections.get((other, one))
         if connection is not None and connection.queues[other]:
             connection.queues[other].append(connection.queues[other][-1])
 
     def swap_last_frames(self, one: str, other: str) -> None:
-        """Swap the last two frames in transit to ``other``, which no authenticated channel allows."""
+        """Swap the last two frames in transit to ``other``, which an authenticated channel rejects."""
         connection = self.connections.get((one, other)) or self.connections.get((other, one))
         if connection is not None and len(connection.queues[other]) >= 2:
             last = connection.queues[other].pop()
             connection.queues[other].insert(len(connection.queues[other]) - 1, last)
 
     def stop_reading(self, one: str, other: str) -> None:
-        """Have ``other`` read nothing from ``one`` any more."""
+        """Make ``other`` stop reading from ``one``."""
         connection = self.connections.get((one, other)) or self.connections.get((other, one))
         if connection is not None:
             connection.not_reading.add(other)
 
     def step(self) -> bool:
-        """Have one side of one connection send or receive one frame. Return False if all are idle."""
+        """Let one side of one connection send or receive one frame. Return False if all are idle."""
         sides = [(connection, name) for connection in self.connections.values() for name in connection.ends]
         self.rng.shuffle(sides)
         has_waiting_frames = False
@@ -251,11 +251,11 @@
         session = connection.sessions[name]
         other = connection.peer_of(name)
         if len(connection.queues[other]) >= MAX_QUEUED_FRAMES:
-            is_silent = self.now - session.keep_alive.last_received_at >= PEER_TIMEOUT_S
-            is_given_up = session.wake_at(self.now) <= self.now and is_silent
-            if is_given_up:
+            is_unresponsive = self.now - session.keep_alive.last_received_at >= PEER_TIMEOUT_S
+            is_timed_out = session.wake_at(self.now) <= self.now and is_unresponsive
+            if is_timed_out:
                 self.disconnect(*connection.ends)
-            return is_given_up
+            return is_timed_out
         payload = session.next_payload(self.now)
         if payload is None:
             return False
@@ -267,8 +267,8 @@
 
     def _finish(self, connection: SimulatedConnection, session: ReplicationSession, other: str) -> None:
         """Close a side that has sent its last frame; the other side may never receive that frame."""
-        is_silent = session.closing.detail.startswith("silent")
-        if is_silent or connection.not_reading or self.rng.random() < 0.3:
+        is_unresponsive = session.closing.detail.startswith("silent")
+        if is_unresponsive or connection.not_reading or self.rng.random() < 0.3:
             self.disconnect(*connection.ends)
         else:
             self._deliver_remaining(connection, other)
@@ -284,7 +284,7 @@
         self.disconnect(*connection.ends)
 
     def run(self, seconds: float, max_steps: int = 1_000_000) -> int:
-        """Step until so much time has passed; return how many it took."""
+        """Run steps for ``seconds`` of simulated time; return the number of steps."""
         until = self.now + seconds
         steps = 0
         while steps < max_steps:
@@ -297,12 +297,15 @@
                     for connection in self.connections.values()
                     for session in connection.sessions.values()
                 ]
-                wakes = [session.wake_at(self.now) for session in sessions]
-                self.now = min(until, max(self.now + 0.01, min(wakes, default=until)), self.now + 2.0)
+                wake_times = [session.wake_at(self.now) for session in sessions]
+                self.now = min(until, max(self.now + 0.01, min(wake_times, default=until)), self.now + 2.0)
         return steps
 
     def converge(self, seconds: float = 60.0, links: list[tuple[str, str]] | None = None) -> bool:
-        """Connect all replicas, in a ring by default, again after losses. Return whether they converged."""
+        """Keep all replicas connected, in a ring by default, until they converge or ``seconds`` have passed.
+
+        Return whether they converged.
+        """
         names = sorted(self.replicas)
         ring = links or list(zip(names, names[1:] + names[:1], strict=True))
         until = self.now + seconds
@@ -312,7 +315,7 @@
             for ends in ring:
                 self.connect(*ends)
             self.run(0.5)
-            if self.equal() and all(
+            if self.is_consistent() and all(
                 self._is_caught_up(connection) for connection in self.connections.values()
             ):
                 return True
@@ -330,16 +333,16 @@
                     best[record.key] = record
         return best
 
-    def equal(self) -> bool:
-        return self.equal_among(self.replicas)
+    def is_consistent(self) -> bool:
+        return self.is_consistent_among(self.replicas)
 
-    def equal_among(self, names: Iterable[str]) -> bool:
+    def is_consistent_among(self, names: Iterable[str]) -> bool:
         return len({tuple(self.replicas[name].records.changes.roots) for name in names}) == 1
 
 
-def cluster_in_sync(names: str, seed: int, **more: float) -> SimulatedCluster:
+def make_synced_cluster(names: str, seed: int, **options: float) -> SimulatedCluster:
     """Return a cluster whose replicas are in sync, linked in a star around the first."""
-    cluster = SimulatedCluster(names, seed, **more)
+    cluster = SimulatedCluster(names, seed, **options)
     for name in names:
         cluster.store(name).replica_state_file.state = ReplicaState(cluster.wall(), 0)
     for name in names[1:]:
@@ -349,10 +352,10 @@
 
 
 class DialSeeds:
-    """The simplest topology: it dials every seed, and again after each loss."""
+    """Topology that dials every seed, and dials it again after each disconnection."""
 
     membership_status = "member"
-    WAIT_S = 0.05
+    REDIAL_DELAY_S = 0.05
 
     def __init__(self, own: Member, seeds: Sequence[tuple[str, int]] = ()) -> None:
         self._dial_times = dict.fromkeys(seeds, 0.0)
@@ -376,7 +379,7 @@
             self.on_dial_failed(self._dialled.pop(name), now)
 
     def on_dial_failed(self, address: tuple[str, int], now: float) -> None:
-        self._dial_times[address] = now + self.WAIT_S
+        self._dial_times[address] = now + self.REDIAL_DELAY_S
 
     def on_dial_rejected(self, address: tuple[str, int], now: float, rejection: LinkRejected) -> None:
         self.on_dial_failed(address, now)
