--- a/sageturn/lab/scale/__init__.py
+++ b/sageturn/lab/scale/__init__.py
@@ -1,1 +1,1 @@
-"""Scale runs: emulated members beside real relays on loopback, and what their control costs by size."""
+"""Scale runs: emulated members and real relays on loopback, and the cost of their control traffic by size."""
--- a/sageturn/lab/scale/arrivals.py
+++ b/sageturn/lab/scale/arrivals.py
@@ -1,6 +1,7 @@
-"""When changes reached the members: outages, and durations until the last member held each change. Pure.
+"""Outages of members, and durations until the last member held each change.
 
-All times are of the machine's monotonic clock, in seconds; what never arrived takes infinitely long.
+All functions are pure. Times are seconds on the machine's monotonic clock; a change that never arrived has
+an infinite duration.
 """
 
 from __future__ import annotations
@@ -15,13 +16,13 @@
 NEVER_S = math.inf
 MAX_PROPAGATION_S = 4.0
 
-# By member and key: when the member held that change.
+# Time at which a member first held a change, by member name and key.
 ArrivalTimes = dict[str, dict[str, float]]
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """A record that was put at one member while a phase ran."""
+    """A record that was put at one member during a phase."""
 
     key: str
     member: str
@@ -29,36 +30,39 @@
 
 
 class Outages:
-    """Records when members were down, and when each last came back."""
+    """Recorder of the intervals in which members were down, and of each member's last return."""
 
     def __init__(self) -> None:
         self._intervals: dict[str, list[tuple[float, float]]] = {}
         self.returned_s: dict[str, float] = {}
 
     def mark_down(self, names: Iterable[str], now_s: float) -> None:
-        """Counts the members as down from now until ``mark_up``."""
+        """Record that the members are down from ``now_s`` until ``mark_up`` is called for them."""
         for name in names:
             self._intervals.setdefault(name, []).append((now_s, NEVER_S))
 
     def mark_up(self, names: Iterable[str], now_s: float) -> None:
-        """Ends the outages that ``mark_down`` began."""
+        """Record that the members are up again, which ends the outages that ``mark_down`` began."""
         for name in names:
             down_s, _ = self._intervals[name][-1]
             self._intervals[name][-1] = (down_s, now_s)
             self.returned_s[name] = now_s
 
     def is_down(self, name: str, now_s: float) -> bool:
-        """Whether the member is down at this moment."""
+        """Return True if the member is down at ``now_s``."""
         return self.was_down_during(name, now_s, now_s)
 
     def was_down_during(self, name: str, since_s: float, until_s: float) -> bool:
-        """Whether the member was down at any moment from ``since_s`` to ``until_s``."""
+        """Return True if the member was down at any time from ``since_s`` to ``until_s``."""
         return any(down_s <= until_s and up_s > since_s for down_s, up_s in self._intervals.get(name, []))
 
 
 @dataclass(frozen=True, slots=True)
 class PropagationTimes:
-    """The time of each change until the last member that was up for it held it."""
+    """Seconds from each change's put until the last member held it.
+
+    Only members that were up when the change spread are counted.
+    """
 
     everywhere: list[float]
     in_own_region: list[float]
@@ -67,7 +71,10 @@
 def propagation_times(
     changes: Iterable[Change], arrivals: ArrivalTimes, outages: Outages, fleet: Fleet
 ) -> PropagationTimes:
-    """Counts the members that were up from a change's put to ``MAX_PROPAGATION_S`` after it."""
+    """Return how long each change took to reach all members, and all members of its own region.
+
+    A member counts for a change only if it was up from the put until ``MAX_PROPAGATION_S`` later.
+    """
     found = PropagationTimes([], [])
     for change in changes:
         until_s = change.put_s + MAX_PROPAGATION_S
@@ -83,7 +90,10 @@
 def catch_up_times(
     changes: Sequence[Change], arrivals: ArrivalTimes, returned_s: dict[str, float]
 ) -> list[float]:
-    """Returns, for each member that came back, the time until it held all that was put before its return."""
+    """Return the seconds that each returned member took to hold all changes put before its return.
+
+    Members that missed no change are left out.
+    """
     found = []
     for name, back_s in returned_s.items():
         missed = [change.key for change in changes if change.put_s < back_s]
@@ -94,17 +104,17 @@
 
 @dataclass(frozen=True, slots=True)
 class DurationSummary:
-    """Percentiles of some durations, in seconds; they are infinite where that many never ended."""
+    """Percentiles of durations, in seconds; a percentile that falls on one that never ended is infinite."""
 
     count: int
     p50_s: float
     p99_s: float
     max_s: float
-    over_limit_count: int  # of more than MAX_PROPAGATION_S, those that never ended among them
-    never_count: int
+    over_limit_count: int  # durations above MAX_PROPAGATION_S, including infinite ones
+    never_count: int  # infinite durations
 
     def to_line(self) -> Line:
-        """Returns the summary's part of a result line, in which null stands for what never ended."""
+        """Return the summary's part of a result line, where null means an infinite duration."""
         if not self.count:
             return {"n": 0}
         return {
@@ -118,7 +128,7 @@
 
 
 def summarize_durations(durations_s: Sequence[float]) -> DurationSummary:
-    """Sums up the durations; without any, all of the summary's fields are 0."""
+    """Summarize the durations; all fields are 0 if there are none."""
     if not durations_s:
         return DurationSummary(0, 0.0, 0.0, 0.0, 0, 0)
     ordered = sorted(durations_s)
--- a/sageturn/lab/scale/child_process.py
+++ b/sageturn/lab/scale/child_process.py
@@ -1,4 +1,4 @@
-"""One child process of a scale run, seen from the run: its lifetime, its pipe and its use of resources."""
+"""Handle of the run on one of its child processes: lifetime, command pipe and use of resources."""
 
 from __future__ import annotations
 
@@ -26,9 +26,9 @@
 
 
 class ChildProcess:
-    """A child that runs ``sageturn.lab.scale.process``; it ends when its standard input does.
+    """Handle of a child that runs ``sageturn.lab.scale.process`` and exits when its standard input is closed.
 
-    ``job`` is written to a job file in ``folder`` at once; the process is started by ``start``.
+    The constructor writes ``job`` to a job file in ``folder``; ``start`` starts the process.
     """
 
     def __init__(self, job: Job, folder: Path, number: int) -> None:
@@ -43,7 +43,7 @@
 
     @property
     def is_started(self) -> bool:
-        """Whether the child was started; it may have ended since."""
+        """True if the child was started; it may have exited since."""
         return self._child is not None
 
     @property
@@ -54,7 +54,7 @@
     # ------------------------------------------------------------ lifetime
 
     async def start(self) -> None:
-        """Starts the child, without the GW_ variables of this process: they would configure a relay."""
+        """Start the child without this process's GW_ environment variables, which would configure a relay."""
         with self._log_file.open("wb") as log_file:
             env = {name: value for name, value in os.environ.items() if not name.startswith("GW_")}
             self._child = await asyncio.create_subprocess_exec(
@@ -70,11 +70,11 @@
             )
 
     async def wait_until_ready(self) -> None:
-        """Raises ChildFailedError when the process ends before it is ready."""
+        """Wait for the child's ready line. Raise ChildFailedError if the child exits before it."""
         await self._read_answer(Ready)
 
     async def stop(self) -> None:
-        """Closes the child's input, and kills it when it has not ended within the role's timeout."""
+        """Close the child's input, and kill the child if it has not exited within its role's timeout."""
         if self._child is None:
             return
         if self._child.stdin is not None:
@@ -90,7 +90,11 @@
     # ------------------------------------------------------------ commands
 
     async def request(self, command: Command, answer_type: type[Answer]) -> Answer:
-        """Returns the answer. Raises ChildFailedError when the child ends or the command fails."""
+        """Send a command and return its answer.
+
+        Raises:
+            ChildFailedError: The child exited or the command failed.
+        """
         async with self._pipe_lock:
             stdin = self._running_child().stdin
             assert stdin is not None
@@ -104,24 +108,24 @@
         line = await stdout.readline()
         if not line:
             tail = self._log_file.read_text(errors="replace")[-LOG_TAIL_CHARS:]
-            raise ChildFailedError(f"{self.role} process ended: {tail}")
+            raise ChildFailedError(f"{self.role} process exited before it answered; end of its log: {tail}")
         failure = _decode_failure(line)
         if failure is not None:
-            raise ChildFailedError(f"{self.role} process: {failure.error}")
+            raise ChildFailedError(f"{self.role} process failed a command: {failure.error}")
         return msgspec.json.decode(line, type=answer_type)
 
     def _running_child(self) -> asyncio.subprocess.Process:
         assert self._child is not None, "the process has not been started"
         return self._child
 
-    # ------------------------------------------------------------ resources, 0 once the process has ended
+    # ------------------------------------------------------------ resources; 0 if the process has exited
 
     def cpu_s(self) -> float:
-        """Returns the processor time of the main thread since its start; the other one only reads a pipe."""
+        """Return the main thread's processor time since its start; the other thread only reads a pipe."""
         return self._read_schedstat(0)
 
     def run_queue_s(self) -> float:
-        """Returns the time since the start in which the child was ready to run and no core was free."""
+        """Return the seconds since the start in which the main thread was runnable but waited for a core."""
         return self._read_schedstat(1)
 
     def _read_schedstat(self, field: int) -> float:
@@ -131,14 +135,14 @@
         return 0.0
 
     def resident_bytes(self) -> int:
-        """Returns the resident memory."""
+        """Return the resident memory in bytes."""
         with suppress(OSError, IndexError):
             fields = Path(f"/proc/{self.pid}/statm").read_text().split()
             return int(fields[1]) * os.sysconf("SC_PAGESIZE")
         return 0
 
     def disk_bytes_written(self) -> int:
-        """Returns the bytes that the child has caused to be written to the disk since its start."""
+        """Return the bytes that the child has caused to be written to disk since its start."""
         with suppress(OSError):
             for line in Path(f"/proc/{self.pid}/io").read_text().splitlines():
                 if line.startswith("write_bytes"):
@@ -146,14 +150,14 @@
         return 0
 
     def descriptor_count(self) -> int:
-        """Returns the number of open file descriptors."""
+        """Return the number of open file descriptors."""
         with suppress(OSError):
             return len(list(Path(f"/proc/{self.pid}/fd").iterdir()))
         return 0
 
 
 def _decode_failure(line: bytes) -> CommandFailed | None:
-    """Returns the failure that an answer reports; None for the answer to a command that was executed."""
+    """Return the failure that an answer reports; None for the answer to a command that was executed."""
     try:
         return msgspec.json.decode(line, type=CommandFailed)
     except msgspec.ValidationError:
--- a/sageturn/lab/scale/child_protocol.py
+++ b/sageturn/lab/scale/child_protocol.py
@@ -1,7 +1,8 @@
 """Messages between a scale run and its child processes.
 
-The run writes one JSON object a line to a child's standard input, with the command under the key ``do``, and
-reads one JSON line with the answer from its standard output. Encoded names and values are those on the pipe.
+The run writes each command as one line of JSON to the child's standard input; the key ``do`` names the
+command. The child answers with one line of JSON on its standard output. Encoded names and values are those on
+the pipe.
 """
 
 from __future__ import annotations
@@ -12,20 +13,23 @@
 
 
 class Start(Struct, frozen=True, tag_field="do", tag="start", omit_defaults=True):
-    """Starts members, all if ``members`` is empty; ``wipe``: with an empty copy of the store."""
+    """Command to start members, or all if ``members`` is empty; ``wipe`` empties their stores first."""
 
     members: list[str] = []
     wipe: bool = False
 
 
 class Stop(Struct, frozen=True, tag_field="do", tag="stop"):
-    """Stops emulated members as a crash would."""
+    """Command to stop emulated members as a crash would."""
 
     members: list[str]
 
 
 class Put(Struct, frozen=True, tag_field="do", tag="put"):
-    """Puts a record at a member. The answer is the moment before, on the machine's monotonic clock."""
+    """Command to put a record at a member.
+
+    The answer is the time just before the put, in seconds on the machine's monotonic clock.
+    """
 
     member: str
     key: str
@@ -33,15 +37,15 @@
 
 
 class GetArrivals(Struct, frozen=True, tag_field="do", tag="seen"):
-    """Asks for the arrivals of changes; the answer has a MemberArrivals for each member."""
+    """Query for the arrivals of changes; the answer maps member names to MemberArrivals."""
 
 
 class GetStatus(Struct, frozen=True, tag_field="do", tag="told"):
-    """Asks for the ProcessStatus of a process with members."""
+    """Query for the ProcessStatus of a process with members."""
 
 
 class ConfigureLinks(Struct, frozen=True, tag_field="do", tag="change"):
-    """Cuts, heals or sets the loss of the links whose names begin with ``name_prefix``."""
+    """Command to cut, heal or set the loss of all links whose names begin with ``name_prefix``."""
 
     name_prefix: str = field(name="lanes")
     cut: bool | UnsetType = UNSET
@@ -55,39 +59,39 @@
 
 
 class Ready(Struct, frozen=True):
-    """The first line that a child writes."""
+    """First line that a child writes, once it can execute commands."""
 
     pid: int = field(name="ready")
 
 
 class CommandFailed(Struct, frozen=True, forbid_unknown_fields=True):
-    """The answer to a command that failed."""
+    """Answer to a command that failed."""
 
     error: str
 
 
 class MemberArrivals(Struct, frozen=True, array_like=True):
-    """The time at which a member, and its present copy, first held each change, by the change's key."""
+    """Times at which a member, and its present copy of the store, first held each change, by key."""
 
     first_s: dict[str, float]
     present_copy_s: dict[str, float]
 
 
 class MemberStatus(Struct, frozen=True):
-    """The state of one member; times are of the machine's monotonic clock, in seconds."""
+    """State of one member; times are seconds on the machine's monotonic clock."""
 
     store_hash: str = field(name="hash")
     record_count: int = field(name="records")
     running: bool
-    link_count: int | None = field(name="links")  # None where the replication does not count its links
-    listed_s: float | None  # when the last endpoint list arrived
+    link_count: int | None = field(name="links")  # None if the replication does not count its links
+    listed_s: float | None  # arrival of the last endpoint list; None if none has arrived
     list_count: int = field(name="lists")
     failed_list_count: int = field(name="lists_failed")
 
 
 class ProcessStatus(Struct, frozen=True):
-    """The state of a process with members; memory is resident, in bytes."""
+    """State of a process with members; memory is resident memory in bytes."""
 
     members: dict[str, MemberStatus]
-    initial_memory: int = field(name="bare")  # before the first member was made
+    initial_memory: int = field(name="bare")  # memory before the first member was made
     memory: int
--- a/sageturn/lab/scale/cost_measuring.py
+++ b/sageturn/lab/scale/cost_measuring.py
@@ -1,4 +1,4 @@
-"""Helpers of the cost measurements: processor time of a call, and stores of a given size."""
+"""Helpers of the cost measurements: the processor time of a call, and stores of a given size."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def min_cpu_s(call: Callable[[], object], repeats: int = DEFAULT_REPEATS) -> float:
-    """Returns the processor time of the fastest of some calls."""
+    """Run ``call`` ``repeats`` times and return the lowest processor time of a single call, in seconds."""
     durations_s = []
     for _ in range(repeats):
         began_s = time.process_time()
@@ -21,8 +21,8 @@
     return min(durations_s)
 
 
-def make_store(keys: int) -> Store:
-    """Returns a store, in memory, with ``keys`` preloaded records."""
+def make_store(key_count: int) -> Store:
+    """Return an in-memory store with ``key_count`` preloaded records."""
     store = Store("r0001")
-    store.merge(preload(keys))
+    store.merge(preload(key_count))
     return store
--- a/sageturn/lab/scale/costs.py
+++ b/sageturn/lab/scale/costs.py
@@ -1,4 +1,4 @@
-"""Costs of single parts of a relay's control by their size, measured in one process, mostly without sockets.
+"""Costs of single parts of a relay's control plane by size, measured in one process, mostly without sockets.
 
 Each cost is measured at several sizes and fitted; ``docs/CAPACITY.md`` derives the capacity from the fits.
 """
@@ -16,16 +16,16 @@
 from sageturn.lab.scale.relay_costs import decisions, flow_record, list_reading
 from sageturn.lab.scale.store_costs import operator_command, store_digest, store_log, store_memory
 
-KEYS = (1000, 3000, 10_000, 27_000, 60_000, 100_000)
-HOSTS = (90, 300, 1000, 3000, 10_000)
-RELAYS = (50, 115, 230, 460, 920)
+KEY_COUNTS = (1000, 3000, 10_000, 27_000, 60_000, 100_000)
+ENDPOINT_COUNTS = (90, 300, 1000, 3000, 10_000)
+RELAY_COUNTS = (50, 115, 230, 460, 920)
 NAME_LENGTHS = (4, 8, 16, 32)
 DISCOVERY_SERVICE_MS = (2.0, 13.0, 46.0, 130.0)
 LIST_CALLS_SEED = 33
 
 
 class Part(NamedTuple):
-    """A measured part: the cost at a size, the sizes, and the keys of a cost line that are fitted."""
+    """A measured part: the function that measures it at a size, the sizes, and the keys of a line to fit."""
 
     measure: Callable[[int], msgspec.Struct]
     sizes: tuple[int, ...]
@@ -33,18 +33,18 @@
 
 
 PARTS = {
-    "store_memory": Part(store_memory, KEYS, ("octets",)),
-    "store_digest": Part(store_digest, KEYS, ("octets", "write_s", "compare_s")),
-    "store_log": Part(store_log, KEYS, ("octets", "read_s")),
-    "operator_command": Part(operator_command, KEYS[:-1], ("copied_s",)),
-    "list_reading": Part(list_reading, HOSTS, ("octets", "read_s")),
-    "decisions": Part(decisions, HOSTS, ("request_s", "list_s", "change_s")),
+    "store_memory": Part(store_memory, KEY_COUNTS, ("octets",)),
+    "store_digest": Part(store_digest, KEY_COUNTS, ("octets", "write_s", "compare_s")),
+    "store_log": Part(store_log, KEY_COUNTS, ("octets", "read_s")),
+    "operator_command": Part(operator_command, KEY_COUNTS[:-1], ("copied_s",)),
+    "list_reading": Part(list_reading, ENDPOINT_COUNTS, ("octets", "read_s")),
+    "decisions": Part(decisions, ENDPOINT_COUNTS, ("request_s", "list_s", "change_s")),
     "flow_record": Part(flow_record, NAME_LENGTHS, ("octets",)),
 }
 
 
 def run_costs(only: Iterable[str] = ()) -> Iterator[Line]:
-    """Yields a line for each part and size, and its fits after each part; ``only`` names parts, else all."""
+    """Yield each part's lines, one for each size and then its fits. ``only`` names parts; empty means all."""
     chosen = set(only) or {*PARTS, "list_calls"}
     for name in PARTS:
         if name in chosen:
@@ -66,7 +66,7 @@
 def _run_list_calls() -> Iterator[Line]:
     for lost in (True, False):
         for service_ms in DISCOVERY_SERVICE_MS:
-            for relay_count in RELAYS:
+            for relay_count in RELAY_COUNTS:
                 yield {
                     "part": "list_calls",
                     "size": relay_count,
@@ -78,7 +78,7 @@
 
 
 def _fit_sizes(sizes: Iterable[int], values: list[float]) -> Line:
-    """Fits a line through all sizes, and the exponent with which the values grow."""
+    """Fit a straight line and the exponent of a power law to the values at all sizes."""
     numbers = [float(size) for size in sizes]
     line = fit(("1", "n"), [[1.0, size] for size in numbers], values)
     exponent = fit_exponent(numbers, values)
--- a/sageturn/lab/scale/counting.py
+++ b/sageturn/lab/scale/counting.py
@@ -1,7 +1,7 @@
-"""Bytes and messages counted where they pass the socket, by member and by what the socket is for.
+"""Counting of bytes and messages at the socket, by member and by the socket's purpose.
 
-The counts lie in a memory-mapped file, which the run reads at any moment without asking the process that
-counts.
+The counters are in a memory-mapped file, which the run can read at any time without asking the counting
+process.
 """
 
 from __future__ import annotations
@@ -21,17 +21,17 @@
 Parameters = ParamSpec("Parameters")
 Returned = TypeVar("Returned")
 
-# The order of purposes and fields is that of the file's counters.
+# The file's counters have this order of purposes and fields.
 PURPOSES = ("store", "list", "client")
 FIELDS = ("in_octets", "out_octets", "in_messages", "out_messages")
 IN_BYTES, OUT_BYTES, IN_MESSAGES, OUT_MESSAGES = range(len(FIELDS))
 DEFAULT_PURPOSE = PURPOSES.index("client")
 COUNTER_BYTES = 8
-COUNTER_FORMAT: Final = "Q"  # as memoryview.cast names it
+COUNTER_FORMAT: Final = "Q"  # format of memoryview.cast for 8-byte unsigned integers
 COUNTERS_PER_MEMBER = len(PURPOSES) * len(FIELDS)
 NO_MEMBER = -1
 
-# The owner and purpose of sockets: a task passes both on to those that it starts.
+# Owner and purpose of new sockets; a task inherits both from the task that starts it.
 _member: ContextVar[int] = ContextVar("member", default=NO_MEMBER)
 _purpose: ContextVar[int] = ContextVar("purpose", default=DEFAULT_PURPOSE)
 _counters: memoryview | None = None
@@ -40,12 +40,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Counts:
-    """Counters of one member, by purpose and field. A message is a write or read that carried any byte."""
+    """Counters of one member, by purpose and field. A message is a write or read of at least one byte."""
 
     values: dict[str, dict[str, int]]
 
     def since(self, before: Counts) -> Counts:
-        """Returns the difference from ``before``, an earlier state of the same counters."""
+        """Return the increase from ``before``, an earlier reading of the same counters."""
         return Counts(
             {
                 purpose: {field: count - before.values[purpose][field] for field, count in fields.items()}
@@ -54,29 +54,29 @@
         )
 
     def sum(self, field: str, *purposes: str) -> int:
-        """Returns a field's sum over these purposes, or over all if none is given."""
+        """Return a field's sum over the given purposes, or over all purposes if none is given."""
         return sum(self.values[purpose][field] for purpose in purposes or PURPOSES)
 
 
-def create_file(file: Path, members: int) -> None:
-    """Creates a file with all counters at zero."""
-    file.write_bytes(bytes(COUNTER_BYTES * COUNTERS_PER_MEMBER * max(1, members)))
+def create_file(file: Path, member_count: int) -> None:
+    """Create the counters' file for ``member_count`` members, with all counters at 0."""
+    file.write_bytes(bytes(COUNTER_BYTES * COUNTERS_PER_MEMBER * max(1, member_count)))
 
 
-def read_file(file: Path, members: int) -> list[Counts]:
-    """Returns the present counters by member; a process may be counting meanwhile."""
+def read_file(file: Path, member_count: int) -> list[Counts]:
+    """Return the present counters of each member, also while the process that owns the file is counting."""
     counters = memoryview(file.read_bytes()).cast(COUNTER_FORMAT)
-    found = []
-    for member in range(members):
+    counts = []
+    for member in range(member_count):
         start = member * COUNTERS_PER_MEMBER
         row = iter(counters[start : start + COUNTERS_PER_MEMBER])
-        found.append(Counts({purpose: {field: next(row) for field in FIELDS} for purpose in PURPOSES}))
-    return found
+        counts.append(Counts({purpose: {field: next(row) for field in FIELDS} for purpose in PURPOSES}))
+    return counts
 
 
 @contextmanager
-def owned(member: int, purpose: str) -> Iterator[None]:
-    """Has sockets made in the context, also by tasks started there, count for this member and purpose."""
+def socket_owner(member: int, purpose: str) -> Iterator[None]:
+    """Count sockets made in the context, also by tasks started there, for this member and purpose."""
     member_token = _member.set(member)
     purpose_token = _purpose.set(PURPOSES.index(purpose))
     try:
@@ -86,20 +86,20 @@
         _purpose.reset(purpose_token)
 
 
-def owning(
+def with_socket_owner(
     member: int, purpose: str, function: Callable[Parameters, Returned]
 ) -> Callable[Parameters, Returned]:
-    """Returns the function, with its calls inside ``owned``."""
+    """Return ``function`` wrapped so that it runs inside ``socket_owner``."""
 
-    def call_owned(*arguments: Parameters.args, **keywords: Parameters.kwargs) -> Returned:
-        with owned(member, purpose):
+    def call_with_owner(*arguments: Parameters.args, **keywords: Parameters.kwargs) -> Returned:
+        with socket_owner(member, purpose):
             return function(*arguments, **keywords)
 
-    return call_owned
+    return call_with_owner
 
 
 class CountingSocket(socket.socket):
-    """A socket that counts bytes and calls; once installed, ``accept`` makes such sockets too."""
+    """A socket that counts its bytes and messages; after ``install``, ``accept`` makes such sockets too."""
 
     __slots__ = ("_first_counter",)
 
@@ -137,7 +137,7 @@
 
 
 def install(file: Path, routes: dict[Address, Address]) -> None:
-    """Makes every later socket of this process count its traffic and connect by ``routes``."""
+    """Count the traffic of this process's later sockets in ``file``, and route connections by ``routes``."""
     global _counters
     with file.open("r+b") as opened:
         _counters = memoryview(mmap.mmap(opened.fileno(), 0)).cast(COUNTER_FORMAT)
@@ -146,7 +146,7 @@
 
 
 class RoutingLoop(uvloop.Loop):
-    """Connects to a member's own address through the link emulation, from this process's zone."""
+    """Event loop that redirects connections between members to the link emulation by ``_routes``."""
 
     async def sock_connect(self, sock: socket.socket, address: Any) -> None:
         await super().sock_connect(sock, _routes.get(tuple(address), address))
--- a/sageturn/lab/scale/digests.py
+++ b/sageturn/lab/scale/digests.py
@@ -1,7 +1,8 @@
-"""The store's digest replication up to revision 1157f72, kept to measure its successor beside it.
+"""Digest replication of the store as of revision 1157f72, retained as a baseline for its successor.
 
-Both ends of each link send their whole digest at an interval, and send what the other's lacks; new records
-go out at once, over every link. It uses the store's channel and records alone, whatever replicates them now.
+Both ends of each link send their whole digest at an interval, and then the records that the other end lacks;
+new records are sent at once over every link. It depends only on the store's channel and records, not on the
+store's present replication.
 """
 
 from __future__ import annotations
@@ -29,7 +30,7 @@
 
 CONNECT_TIMEOUT_S = 2.0
 HANDSHAKE_TIMEOUT_S = 3.0
-MAX_SILENT_INTERVALS = 4
+RECEIVE_TIMEOUT_INTERVALS = 4
 MIN_RECONNECT_BACKOFF_S = 0.2
 MAX_RECONNECT_BACKOFF_S = 5.0
 MAX_QUEUED_BATCHES = 256
@@ -41,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkOptions:
-    """A member's listening address, the peers that it dials, and the interval between two digests."""
+    """A member's listening address, the peers that it dials, the shared secret, and the digest interval."""
 
     listen: tuple[str, int]
     peers: tuple[tuple[str, int], ...]
@@ -50,10 +51,10 @@
 
 
 class JsonChannel(AuthenticatedChannel):
-    """Frames of one JSON value each, of up to four megabytes."""
+    """Channel whose frames are one JSON value each, of up to ``MAX_FRAME_BYTES``."""
 
     async def send_json(self, message: object) -> None:
-        """Sends a JSON value. Raises OSError when the link is gone."""
+        """Send a JSON value. Raise OSError if the link has ended."""
         payload = json.dumps(message, separators=(",", ":")).encode()
         async with self._write_lock:
             tag = self._frame_tag(self._send_role, self._sent_frames, payload)
@@ -61,7 +62,7 @@
             await send_gathered(self._sock, (len(payload).to_bytes(4, "big"), payload, tag))
 
     async def receive_json(self) -> JsonObject:
-        """Returns the next message. Raises HandshakeRejectedError where a frame's tag does not match."""
+        """Return the next message. Raise HandshakeRejectedError if the frame's tag does not match."""
         payload = await self._read_sized(MAX_FRAME_BYTES)
         if not hmac.compare_digest(
             await self._read(TAG_BYTES), self._frame_tag(self._receive_role, self._received_frames, payload)
@@ -78,14 +79,14 @@
 
 
 def missing_from(store: Store, digest: dict[str, tuple[int, str]]) -> list[StoreRecord]:
-    """Returns the store's records that a copy with this digest lacks, or has in an older version."""
+    """Return the records that a copy with this digest lacks or has in an older version."""
     return [
         record for record in store.records() if record.key not in digest or digest[record.key] < record.order
     ]
 
 
 class DigestReplication:
-    """Links to each peer that is dialled, and those that others dial."""
+    """Replication of a store over links that this member dials and links that it accepts."""
 
     state_report_interval_s = 0.0
 
@@ -100,17 +101,17 @@
         store.on_change.append(self._on_change)
 
     def state_report(self) -> dict[str, object]:
-        """Returns the replication's part of a relay's state record, which is empty."""
+        """Return the replication's part of a relay's state record, which is empty."""
         return {}
 
     def start(self) -> None:
-        """Listens, and dials the peers, until ``stop``."""
+        """Listen and dial the peers until ``stop`` is called."""
         self._listener.start_listening()
         self._tasks = [asyncio.ensure_future(self._listener.run())]
         self._tasks += [asyncio.ensure_future(self._keep_connected(peer)) for peer in self._options.peers]
 
     async def stop(self) -> None:
-        """Ends all links; the replication cannot be started again."""
+        """End all links. The replication cannot be started again."""
         for task in self._tasks:
             await cancel_and_wait(task)
         await self._listener.cancel_connections()
@@ -136,7 +137,7 @@
         await self._run_link(sock, dialled=False, pending=pending)
 
     async def _run_link(self, sock: socket.socket, dialled: bool, pending: PendingConnection | None) -> bool:
-        """Runs a link until it ends. Returns False if it was not established."""
+        """Run a link until it ends. Return False if it was not established."""
         channel = JsonChannel(sock, self._options.secret, self._store.node)
         try:
             async with (
@@ -182,12 +183,12 @@
 
     async def _receive(self, channel: JsonChannel, queue: RecordQueue) -> None:
         while True:
-            async with asyncio.timeout(self._options.interval_s * MAX_SILENT_INTERVALS):
+            async with asyncio.timeout(self._options.interval_s * RECEIVE_TIMEOUT_INTERVALS):
                 message = await channel.receive_json()
             try:
                 self._apply(message, queue)
             except (InvalidRecordError, KeyError, TypeError, ValueError, AttributeError) as error:
-                raise HandshakeRejectedError(f"not understood: {error}") from None
+                raise HandshakeRejectedError(f"invalid replication message: {error}") from None
 
     def _apply(self, message: JsonObject, queue: RecordQueue) -> None:
         if "digest" not in message:
@@ -197,7 +198,7 @@
         missing = missing_from(self._store, digest)
         if missing and not queue.full():
             queue.put_nowait(missing)
-        # That revision also checked here whether both copies were in sync. The result is not used, but the
-        # check over all keys is a part of the measured cost.
-        mine = self._store.digest()
-        all(key in mine and mine[key] >= order for key, order in digest.items())
+        # Revision 1157f72 also checked here whether both copies were in sync. The result is not used, but the
+        # check over all keys is part of the measured cost.
+        own_digest = self._store.digest()
+        all(key in own_digest and own_digest[key] >= order for key, order in digest.items())
--- a/sageturn/lab/scale/environment.py
+++ b/sageturn/lab/scale/environment.py
@@ -1,4 +1,4 @@
-"""The environment of a scale run's members: discovery, a few live hosts, clients of the real relays."""
+"""Environment of a scale run's members: discovery, fake endpoints, and clients of the real relays."""
 
 from __future__ import annotations
 
@@ -17,39 +17,39 @@
 DISCOVERY_CALL_TIMEOUT_S = 3.0
 LINE_INTERVAL_S = 2.0
 RECONNECT_DELAY_S = 0.5
-CLIENT_START_INTERVAL_S = 0.005  # between two clients of one relay
+CLIENT_START_INTERVAL_S = 0.005  # interval between the starts of two clients of one relay
 CLIENT_OPEN_TIMEOUT_S = 3.0
 CLIENT_LINE_TIMEOUT_S = 7.0
-HOST_SOCKET_COUNT = 4  # behind all entries of the list
-HOST_UNIT_US = 1e6
-HOST_KIND = "c2-std"
+LISTENING_ENDPOINT_COUNT = 4  # endpoints that all entries of the list share
+ENDPOINT_WORK_US_PER_LOAD = 1e6
+ENDPOINT_KIND = "c2-std"
 
 
 @dataclass(frozen=True, slots=True)
 class DiscoveryCounts:
-    """Counts of calls at discovery, of those that it failed, and of the bytes that it wrote."""
+    """Counts of calls to discovery, of calls that it rejected as overloaded, and of bytes that it wrote."""
 
     calls: int
     failed: int
     bytes_written: int
 
     def to_line(self) -> Line:
-        """Returns discovery's part of a result line."""
+        """Return discovery's part of a result line."""
         return {"calls": self.calls, "failed": self.failed, "octets": self.bytes_written}
 
 
 @dataclass(frozen=True, slots=True)
 class ClientCounts:
-    """Established connections of clients at present, and counts of events of all clients."""
+    """Number of established client connections, and counts of events over all clients."""
 
     connected: int
     opened: int
     refused: int
-    lines: int  # answered
-    broken: int  # connections that the relay ended
+    lines: int  # lines that were answered
+    broken: int  # established connections that the relay ended
 
     def to_line(self) -> Line:
-        """Returns the clients' part of a result line."""
+        """Return the clients' part of a result line."""
         return {
             "standing": self.connected,
             "opened": self.opened,
@@ -60,7 +60,10 @@
 
 
 class ScaleDiscovery(FakeDiscovery):
-    """Handles calls one after another, each for ``call_s`` seconds; may be down; counts what it writes."""
+    """Fake discovery that handles one call at a time and can be stopped and started again.
+
+    Each call takes ``call_s`` seconds. A call that is not handled within ``DISCOVERY_CALL_TIMEOUT_S`` fails.
+    """
 
     def __init__(self, entries: list[JsonObject], call_s: float) -> None:
         super().__init__(lambda: entries)
@@ -68,29 +71,29 @@
         self.calls = 0
         self.failed = 0
         self.bytes_written = 0
-        self._turn = asyncio.Lock()
+        self._call_lock = asyncio.Lock()
         self._port = 0
 
     async def start(self) -> None:
-        """Starts to listen; after ``stop`` on the same port as before."""
+        """Listen; after ``stop``, on the same port as before."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", self._port, backlog=1024)
         self.address = self._server.sockets[0].getsockname()[:2]
         self._port = self.address[1]
 
     async def stop(self) -> None:
-        """Ends all connections."""
+        """Stop listening and end all connections."""
         await super().stop()
         self._watchers.clear()
 
     def counts(self) -> DiscoveryCounts:
-        """Returns the counts since the construction."""
+        """Return the counts since construction."""
         return DiscoveryCounts(self.calls, self.failed, self.bytes_written)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.calls += 1
         try:
             async with asyncio.timeout(DISCOVERY_CALL_TIMEOUT_S):
-                async with self._turn:
+                async with self._call_lock:
                     if self.call_s:
                         await asyncio.sleep(self.call_s)
         except TimeoutError:
@@ -103,38 +106,38 @@
         await super()._serve(reader, writer)
 
 
-class Hosts:
-    """``count`` entries on the list, behind a few sockets that speak as live hosts do."""
+class FakeEndpoints:
+    """Endpoint list of ``count`` entries, whose addresses are those of a few listening fake endpoints."""
 
     def __init__(self, count: int, zones: list[str]) -> None:
         self.count = count
         self.zones = zones
         models = [
-            EndpointModel(f"m{number}", HOST_KIND, 1.0, 1e6, zones[number % len(zones)])
-            for number in range(HOST_SOCKET_COUNT)
+            EndpointModel(f"m{number}", ENDPOINT_KIND, 1.0, 1e6, zones[number % len(zones)])
+            for number in range(LISTENING_ENDPOINT_COUNT)
         ]
-        self.sockets = [FakeEndpoint(model, HOST_UNIT_US) for model in models]
+        self.listening_endpoints = [FakeEndpoint(model, ENDPOINT_WORK_US_PER_LOAD) for model in models]
 
     async def start(self) -> None:
-        """Starts to listen."""
-        for host in self.sockets:
-            await host.start()
+        """Start listening."""
+        for endpoint in self.listening_endpoints:
+            await endpoint.start()
 
     async def stop(self) -> None:
-        """Stops listening, and ends all connections."""
-        for host in self.sockets:
-            await host.stop()
+        """Stop listening and end all connections."""
+        for endpoint in self.listening_endpoints:
+            await endpoint.stop()
 
     def entries(self) -> list[JsonObject]:
-        """Returns the entries of the endpoint list as discovery writes them."""
+        """Return the entries of the endpoint list as discovery writes them."""
         return [self._entry(number) for number in range(self.count)]
 
     def _entry(self, number: int) -> JsonObject:
         return {
             "id": f"h{number:04d}",
-            "addr": "{}:{}".format(*self.sockets[number % HOST_SOCKET_COUNT].address),
+            "addr": "{}:{}".format(*self.listening_endpoints[number % LISTENING_ENDPOINT_COUNT].address),
             "zone": self.zones[number % len(self.zones)],
-            "kind": HOST_KIND,
+            "kind": ENDPOINT_KIND,
             "cell": 0,
             "state": EndpointStatus.READY,
             "weight": 1.0,
@@ -143,7 +146,7 @@
 
 
 class Clients:
-    """Long-lived clients of the real relays: each sends a line every 2 s and awaits its answer."""
+    """Long-lived clients of the real relays; each sends a line ``LINE_INTERVAL_S`` after the last answer."""
 
     def __init__(self, addresses: list[tuple[str, int]], clients_per_relay: int, seed: int) -> None:
         self._addresses = addresses
@@ -157,21 +160,21 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
-        """Starts all clients, one after another for each relay."""
+        """Start all clients, those of each relay one after another."""
         for address in self._addresses:
             for number in range(self._clients_per_relay):
                 delay_s = number * CLIENT_START_INTERVAL_S
                 self._tasks.append(asyncio.ensure_future(self._keep_connected(address, delay_s)))
 
     async def stop(self) -> None:
-        """Ends all clients."""
+        """End all clients."""
         for task in self._tasks:
             task.cancel()
         if self._tasks:
             await asyncio.wait(self._tasks)
 
     def counts(self) -> ClientCounts:
-        """Returns the present connections, and the counts since the construction."""
+        """Return the number of established connections and the counts since construction."""
         return ClientCounts(self.connected, self.opened, self.refused, self.lines, self.broken)
 
     async def _keep_connected(self, address: tuple[str, int], delay_s: float) -> None:
@@ -182,9 +185,9 @@
             await asyncio.sleep(RECONNECT_DELAY_S)
 
     async def _run_connection(self, address: tuple[str, int]) -> None:
-        """Serves a connection until it ends."""
+        """Open a connection and exchange lines over it until it ends."""
         reader, writer = await asyncio.open_connection(*address)
-        is_up = False
+        is_established = False
         try:
             ident = f"{self._rng.getrandbits(64):016x}"
             writer.write(f"OPEN {ident} {ident} c=c,t=t,d=2000\r\n".encode())
@@ -192,16 +195,16 @@
             if not answer.startswith(b"UP "):
                 self.refused += 1
                 return
-            is_up = True
+            is_established = True
             self.opened += 1
             self.connected += 1
             await self._exchange_lines(reader, writer)
         finally:
-            self.connected -= is_up
+            self.connected -= is_established
             writer.close()
 
     async def _exchange_lines(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Exchanges lines until the relay ends the connection; lines that are no answers are skipped."""
+        """Exchange lines until the relay ends the connection; skip lines that are not answers."""
         while True:
             await asyncio.sleep(LINE_INTERVAL_S)
             writer.write(b"LINE\r\n")
--- a/sageturn/lab/scale/faults.py
+++ b/sageturn/lab/scale/faults.py
@@ -1,4 +1,4 @@
-"""Injects a fault of the experiment file into a running fleet, and records who was down and when."""
+"""Injection of an experiment file's faults into a running fleet."""
 
 from __future__ import annotations
 
@@ -15,11 +15,14 @@
 from sageturn.lab.scale.member_group import MemberGroup
 from sageturn.lab.scale.plan import Fault, FaultKind, ScaleExperiment
 
-ALL_LINKS = ""  # the prefix of every link's name
+ALL_LINKS = ""  # empty prefix, which every link's name begins with
 
 
 class FaultInjector:
-    """Injects the faults of one phase. ``rng`` is the run's: the same seed chooses the same members."""
+    """Injector of one phase's fault, which records the outages of members and of discovery.
+
+    ``rng`` is the run's random generator, so the same seed chooses the same members.
+    """
 
     def __init__(
         self,
@@ -37,15 +40,15 @@
         self._link_processes = link_processes
         self._discovery = discovery
         self.outages = Outages()
-        self.discovery_returned_s: float | None = None
+        self.discovery_returned_s: float | None = None  # None if discovery was not stopped
 
     async def inject(self, fault: Fault) -> None:
-        """Injects a fault. Returns once it is over and all members that were down have been started again."""
+        """Inject a fault. Return once it is over and all stopped members have been started again."""
         match fault.kind:
             case FaultKind.CUT:
                 await self._cut_regions(fault)
             case FaultKind.LOSS:
-                await self._lose_segments(fault)
+                await self._inject_loss(fault)
             case FaultKind.DISCOVERY:
                 await self._stop_discovery(fault)
             case FaultKind.RESTART:
@@ -58,7 +61,7 @@
         await asyncio.sleep(fault.length_s)
         await self._configure_links(ConfigureLinks(BETWEEN_REGIONS, cut=False))
 
-    async def _lose_segments(self, fault: Fault) -> None:
+    async def _inject_loss(self, fault: Fault) -> None:
         await self._configure_links(ConfigureLinks(ALL_LINKS, loss=fault.part))
         await asyncio.sleep(fault.length_s)
         await self._configure_links(ConfigureLinks(ALL_LINKS, loss=self._experiment.links.loss))
@@ -84,7 +87,11 @@
         await self._restart_members(names, fault.wipe)
 
     def _choose_targets(self, fault: Fault) -> list[str]:
-        """Chooses emulated members: a zone, or a part with the first one, the root of configured trees."""
+        """Return the emulated members that a fault kills.
+
+        ``ZONE`` kills those of the last zone. ``KILL`` kills the fault's ratio of them, always with the first
+        one, which is the root of a configured tree if the fleet has no real relays.
+        """
         emulated = self._fleet.emulated_names
         if fault.kind == FaultKind.ZONE:
             last_zone = self._experiment.zones - 1
--- a/sageturn/lab/scale/fit.py
+++ b/sageturn/lab/scale/fit.py
@@ -1,4 +1,4 @@
-"""Linear fits through measured sizes, and estimates of a larger size from them. Pure."""
+"""Linear fits through measured sizes, and estimates for a larger size from them. All functions are pure."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 MIN_SIZES = 4
 MIN_EXPONENT_SIZES = 3
 MIN_R2 = 0.98
-MAX_LINEAR_RESIDUAL = 0.2  # relative, of any size
+MAX_LINEAR_RESIDUAL = 0.2  # largest relative residual at any size
 CONFIDENCE_LEVEL = 0.95
 
 
 class Estimate(NamedTuple):
-    """An estimated value, and the interval at 95% that a measurement of it falls into."""
+    """An estimated value with its prediction interval at 95%."""
 
     value: float
     low: float
@@ -28,28 +28,29 @@
 
 @dataclass(frozen=True, slots=True)
 class Fit:
-    """``y`` as a sum of coefficients times terms; intervals at 95%, from Student's t.
+    """A least-squares fit of ``y`` as a linear combination of terms, with confidence intervals at 95%.
 
-    Each size counts the same, whatever its magnitude: the sum of squared relative residuals is minimal.
+    The intervals come from Student's t. The fit minimizes the squared relative residuals, so each size has
+    the same weight, whatever its magnitude.
     """
 
     terms: tuple[str, ...]
-    values: tuple[float, ...]
+    values: tuple[float, ...]  # coefficients of the terms
     low: tuple[float, ...]
     high: tuple[float, ...]
     r2: float
-    max_residual: float  # relative
+    max_residual: float  # largest relative residual, as an absolute value
     size_count: int
     relative_deviation: float  # standard deviation of one measurement, relative to its value
-    covariance: tuple[tuple[float, ...], ...]
+    covariance: tuple[tuple[float, ...], ...]  # covariance matrix of the coefficients
 
     @property
     def is_linear(self) -> bool:
-        """Whether there are enough sizes, and all are close enough to the line for an estimate."""
+        """True if there are enough sizes and all are close enough to the line for an estimate."""
         return self.size_count >= MIN_SIZES and self.r2 >= MIN_R2 and self.max_residual <= MAX_LINEAR_RESIDUAL
 
     def estimate(self, term_values: Sequence[float]) -> Estimate:
-        """Estimates ``y`` for the values of the terms."""
+        """Return the estimate of ``y`` for the given values of the terms."""
         row = np.array(term_values, dtype=float)
         value = float(row @ np.array(self.values))
         variance = float(row @ np.array(self.covariance) @ row) + (self.relative_deviation * value) ** 2
@@ -57,7 +58,7 @@
         return Estimate(value, value - margin, value + margin)
 
     def to_json(self) -> dict[str, object]:
-        """Returns the fit by the keys of a result line."""
+        """Return the fit under the keys of a result line."""
         return {
             "terms": list(self.terms),
             "values": list(self.values),
@@ -71,7 +72,7 @@
 
 
 def fit(terms: Sequence[str], rows: Sequence[Sequence[float]], results: Sequence[float]) -> Fit:
-    """Fits ``results`` to the terms by least squares of relative residuals.
+    """Fit ``results`` to the terms by least squares of relative residuals.
 
     Args:
         terms: The names of the terms.
@@ -85,13 +86,13 @@
     term_values = np.array(rows, dtype=float)
     measured = np.array(results, dtype=float)
     if len(measured) < len(terms) or term_values.shape != (len(measured), len(terms)):
-        raise FitError(f"{len(measured)} sizes for {len(terms)} terms")
+        raise FitError(f"{len(measured)} sizes are too few to fit {len(terms)} terms")
     if not (measured > 0).all():
-        raise FitError("values must be above 0")
+        raise FitError("measured values must be above 0")
     weighted = term_values / measured[:, None]
     values, _, rank, _ = np.linalg.lstsq(weighted, np.ones(len(measured)), rcond=None)
     if rank < len(terms):
-        raise FitError("the sizes do not tell the terms apart")
+        raise FitError("the terms are linearly dependent over the measured sizes")
     fitted = term_values @ values
     relative = fitted / measured - 1.0
     freedom = len(measured) - len(terms)
@@ -115,7 +116,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Exponent:
-    """The exponent of the growth with the size (1: in proportion), with its interval at 95%."""
+    """Exponent of a power law with its confidence interval at 95%; 1 means proportional growth."""
 
     value: float
     low: float
@@ -123,14 +124,14 @@
 
 
 def fit_exponent(sizes: Sequence[float], results: Sequence[float]) -> Exponent:
-    """Fits the exponent of a power law to the points. Raises FitError for less than three."""
+    """Return the exponent of a power law through the points. Raise FitError for fewer than three points."""
     if len(sizes) < MIN_EXPONENT_SIZES:
-        raise FitError(f"{len(sizes)} sizes tell no exponent with an interval")
+        raise FitError(f"{len(sizes)} sizes are too few for an exponent with a confidence interval")
     line = stats.linregress(np.log(np.array(sizes, float)), np.log(np.array(results, float)))
     margin = _student_t(len(sizes) - 2) * line.stderr
     return Exponent(float(line.slope), float(line.slope - margin), float(line.slope + margin))
 
 
 def _student_t(freedom: int) -> float:
-    """Returns the quantile for the confidence level; infinite without a degree of freedom."""
+    """Return Student's t quantile at the confidence level; infinity if there is no degree of freedom."""
     return float(stats.t.ppf(0.5 + CONFIDENCE_LEVEL / 2.0, freedom)) if freedom > 0 else float("inf")
--- a/sageturn/lab/scale/fleet.py
+++ b/sageturn/lab/scale/fleet.py
@@ -1,4 +1,4 @@
-"""The members of one size: their names, where they are placed, and whom each one dials."""
+"""Members of one size: their names, their zones and regions, and the peers that each one dials."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def link_name(experiment: ScaleExperiment, source_zone: int, target_zone: int) -> str:
-    """Names the link between two zones, ``region:0-2``; both directions have the same name."""
+    """Return the name of the link between two zones, such as ``region:0-2``, the same for both directions."""
     low = min(source_zone, target_zone)
     high = max(source_zone, target_zone)
     if low == high:
@@ -25,7 +25,7 @@
 
 
 def peers_of(size: Size, member: int, zones: int) -> list[int]:
-    """Returns the numbers of the members that ``member`` is configured to dial."""
+    """Return the numbers of the members that the member number ``member`` is configured to dial."""
     if size.topology == Topology.MESH:
         return list(range(member))
     if size.topology == Topology.TREE:
@@ -34,7 +34,7 @@
 
 
 class Fleet:
-    """Members by name. The first ``size.real`` ones are whole relays, the others emulated members."""
+    """The members of one size. The first ``size.real`` ones are whole relays, the others emulated members."""
 
     def __init__(self, experiment: ScaleExperiment, size: Size) -> None:
         self._experiment = experiment
@@ -44,13 +44,13 @@
         self._numbers = {name: number for number, name in enumerate(self.names)}
 
     def is_real(self, member: int) -> bool:
-        """Whether the member of that number is a whole relay."""
+        """Return True if the member with this number is a whole relay."""
         return member < self._real_count
 
     def zone_of(self, name: str) -> int:
-        """Returns the number of a member's zone."""
+        """Return the number of a member's zone."""
         return self._experiment.zone_of(self._numbers[name])
 
     def region_of(self, name: str) -> int:
-        """Returns the number of a member's region."""
+        """Return the number of a member's region."""
         return self._experiment.region_of(self.zone_of(name))
--- a/sageturn/lab/scale/job_files.py
+++ b/sageturn/lab/scale/job_files.py
@@ -11,7 +11,7 @@
 
 
 class Role(StrEnum):
-    """The role of a child process, under the key ``role`` of its job file."""
+    """Role of a child process, the value of the key ``role`` in its job file."""
 
     EMULATED = "hollow"
     REAL = "real"
@@ -19,41 +19,41 @@
 
 
 class MemberJob(Struct, frozen=True):
-    """One member: its name, placement and addresses, and the settings of its balancer."""
+    """Job of one member: its name, location and ports, and the settings of its balancer."""
 
     name: str
     zone: str
     region: str
     port: int
     peers: list[int]  # ports of the members that it dials
-    settings: JsonObject  # by the keys of a relay's settings file
+    settings: JsonObject  # settings under the keys of a relay's settings file
     seed: int
-    row: int = 0  # of its counters within the process's file
+    row: int = 0  # index of its counters in the process's counter file
 
 
 class CommonJob(Struct, frozen=True):
-    """The part of a job that all members of a run share."""
+    """Part of a job that all members of a run share."""
 
-    secret: str  # hexadecimal
-    interval_s: float
+    secret: str  # hexadecimal digits
+    interval_s: float  # interval of the replication's digests
     spread: str
     discovery_port: int = field(name="discovery")
     key_count: int = field(name="keys")
-    state_s: float  # an emulated member's interval of state records; it writes none at 0
+    state_s: float  # interval of an emulated member's state records; 0 means none
 
 
 class EmulatedJob(Struct, frozen=True, tag_field="role", tag=Role.EMULATED.value):
-    """A process of emulated members."""
+    """Job of a process with emulated members."""
 
     role: ClassVar[Role] = Role.EMULATED
     members: list[MemberJob]
     common: CommonJob = field(name="whole")
-    routes: dict[int, int]  # a member's port to that of the link emulation, from this process's zone
+    routes: dict[int, int]  # link emulation's port for this process's zone, by the member's own port
     counts_file: str = field(name="counts")
 
 
 class RelayJob(Struct, frozen=True, tag_field="role", tag=Role.REAL.value):
-    """A process of one whole relay; ``members`` has it alone."""
+    """Job of a process with one whole relay, the only entry of ``members``."""
 
     role: ClassVar[Role] = Role.REAL
     members: list[MemberJob]
@@ -65,7 +65,7 @@
 
 
 class LinkSettings(Struct, frozen=True):
-    """One emulated link; ``loss`` is the probability of each segment's loss."""
+    """Settings of one emulated link; ``loss`` is the probability that a segment is lost."""
 
     name: str
     delay_s: float
@@ -73,7 +73,7 @@
 
 
 class LinkListener(Struct, frozen=True):
-    """A port of the link emulation, and the member's port that it forwards to over a link."""
+    """A port of the link emulation, and the member's port and the link that it forwards to."""
 
     port: int
     member_port: int = field(name="to")
@@ -81,7 +81,7 @@
 
 
 class LinkJob(Struct, frozen=True, tag_field="role", tag=Role.LINKS.value):
-    """A process that emulates all links to one zone's members."""
+    """Job of a process that emulates all links to one zone's members."""
 
     role: ClassVar[Role] = Role.LINKS
     links: list[LinkSettings] = field(name="lanes")
--- a/sageturn/lab/scale/jobs.py
+++ b/sageturn/lab/scale/jobs.py
@@ -1,4 +1,4 @@
-"""The job files of a scale run's child processes: link emulation, emulated members and whole relays."""
+"""Builder of a scale run's child processes (link emulation, emulated members, relays) and their files."""
 
 from __future__ import annotations
 
@@ -39,33 +39,33 @@
 Address = tuple[str, int]
 
 LOOPBACK = "127.0.0.1"
-SECRET = "scale"  # shared by the members of all runs, which listen on loopback alone
+SECRET = "scale"  # replication secret of all runs; members listen on loopback only
 ALLOWANCE_PER_MEMBER_PER_S = 50.0
 
 
 class PortReservations:
-    """Ports that nobody else on this machine is given until ``close``."""
+    """Reservations of ports, which keep other processes from being assigned them until ``close``."""
 
     def __init__(self) -> None:
         self._sockets: list[socket.socket] = []
 
     def reserve(self) -> int:
-        """Reserves a free port on loopback, for a listener that sets SO_REUSEADDR. Returns the port."""
+        """Reserve a free loopback port for a listener that sets SO_REUSEADDR, and return it."""
         sock, port = reserve_port()
         self._sockets.append(sock)
         return port
 
     def close(self) -> None:
-        """Releases all reserved ports."""
+        """Release all reserved ports."""
         for sock in self._sockets:
             sock.close()
 
 
 class JobBuilder:
-    """Makes the child processes of one size, not yet started, with their files in ``folder``.
+    """Builder of the child processes of one size, not yet started, with their files in ``folder``.
 
-    Each pair of a dialling zone and a member has a port of its own at the link emulation, by which that
-    knows the link; ``_routes`` maps, for each zone, a member's port to that one.
+    The link emulation has one port for each pair of a dialling zone and a member, by which it identifies the
+    link; ``_routes`` maps, for each zone, a member's own port to that port.
     """
 
     def __init__(
@@ -80,10 +80,10 @@
         self._processes: list[ChildProcess] = []
         self._member_ports: list[int] = []
         self._routes: list[dict[int, int]] = [{} for _ in range(experiment.zones)]
-        self.relay_addresses: list[Address] = []  # where the whole relays' clients connect
+        self.relay_addresses: list[Address] = []  # addresses at which the whole relays accept clients
 
     def build(self, discovery: Address, zone_names: Sequence[str]) -> list[ChildProcess]:
-        """Builds all child processes; call it once. ``zone_names`` are those of the members' settings."""
+        """Return all child processes; call it once. ``zone_names`` are the zones in members' settings."""
         self._member_ports = [self._ports.reserve() for _ in self._fleet.names]
         self._add_link_jobs()
         common = self._common_job(discovery)
@@ -103,7 +103,7 @@
         self._processes.append(ChildProcess(job, self._folder, len(self._processes)))
 
     def _create_counts_file(self, member_count: int) -> str:
-        """Creates the file with the counters of the process that is added next. Returns its path."""
+        """Create the counter file of the process that is added next, and return its path."""
         counts_file = self._folder / f"counts{len(self._processes)}"
         counting.create_file(counts_file, member_count)
         return str(counts_file)
@@ -111,7 +111,7 @@
     # ------------------------------------------------------------ link emulation
 
     def _add_link_jobs(self) -> None:
-        """Adds a process for each zone, with all links that lead to the zone's members."""
+        """Add one process for each zone, which emulates all links to the zone's members."""
         experiment = self._experiment
         listeners: list[list[LinkListener]] = [[] for _ in range(experiment.zones)]
         for source_zone in range(experiment.zones):
@@ -188,7 +188,7 @@
 
 
 def _write_relay_config(folder: Path, job: MemberJob, port: int, discovery: Address) -> str:
-    """Writes a relay's configuration file. Returns its path."""
+    """Write a relay's configuration file and return its path."""
     config = {
         "name": job.name,
         "listen": f"{LOOPBACK}:{port}",
@@ -203,9 +203,10 @@
 
 
 def _write_operator_config(folder: Path) -> str:
-    """Writes a relay's operator file. Returns its path.
+    """Write a relay's operator file and return its path.
 
-    The file names no peers: the process makes the relay's links, as it makes those of emulated members.
+    The file names no peers, because the child process sets up the relay's replication itself, as it does for
+    emulated members.
     """
     operator_file = folder / "operator.json"
     operator_file.write_text(json.dumps({"store": {"path": "store"}}), encoding="utf-8")
@@ -213,7 +214,7 @@
 
 
 def relay_settings(zone: int, zone_names: Sequence[str], member_count: int) -> JsonObject:
-    """Returns the settings of a member by the keys of a relay's settings file."""
+    """Return a member's settings under the keys of a relay's settings file."""
     allowance_per_s = ALLOWANCE_PER_MEMBER_PER_S * member_count
     return {
         "accounts": [{"name": "t", "fraction": 1.0, "allowancePerS": allowance_per_s}],
--- a/sageturn/lab/scale/link_emulation.py
+++ b/sageturn/lab/scale/link_emulation.py
@@ -1,13 +1,13 @@
 """Link emulation: a TCP forwarder between members that adds delay, loss and cuts.
 
-Members dial each other at addresses that lead here (``counting.RoutingLoop``); each pair of a dialling zone
-and a member has a listener of its own, so the forwarder knows which link a connection is on. TCP runs on
-both sides of it, so nothing is ever lost or out of order: what a network drops shows as time. A segment that
-is lost holds back all that follows it until it is sent again, which a fast retransmission does after a
-round trip where three more segments follow, and a timer does after 200 ms or more, doubling, where not.
-A cut holds everything back without an error; after it what was held arrives at once (a real TCP's timer may
-be late by as long as the cut was). The congestion window, and so a loss's cost in throughput, is not
-emulated.
+``counting.RoutingLoop`` redirects members' connections to the forwarder. Each pair of a dialling zone and a
+member has its own listener, by which the forwarder knows a connection's link. TCP runs on both sides of the
+forwarder, so no data is lost or reordered, and an emulated loss appears as delay. A lost segment delays all
+later data until it is retransmitted: by a fast retransmission after one round trip if at least three segments
+follow, or otherwise by a timer, which starts at 200 ms or more and doubles.
+A cut suspends all data without an error, and delivers it at once when the link heals; a real TCP's
+retransmission timer may add a delay of up to the length of the cut. The congestion window, and so the cost of
+a loss in throughput, is not emulated.
 """
 
 from __future__ import annotations
@@ -24,21 +24,21 @@
 
 SEGMENT_BYTES = 1448
 MIN_RETRANSMISSION_TIMEOUT_S = 0.2
-FAST_RETRANSMIT_SEGMENTS = 3  # later segments whose arrival tells the sender of a loss
+FAST_RETRANSMIT_SEGMENTS = 3  # number of later segments that trigger a fast retransmission
 MAX_LOSSES_PER_SEGMENT = 8
 READ_CHUNK_BYTES = 65536
-MAX_BUFFERED_BYTES = 1 << 20  # in one direction; above that the sender is not read any more
-TIMER_RESOLUTION_S = 0.0005  # a shorter wait is not worth a timer
+MAX_BUFFERED_BYTES = 1 << 20  # limit for one direction; reading from the sender pauses at it
+TIMER_RESOLUTION_S = 0.0005  # shorter waits are skipped
 LISTEN_BACKLOG = 1024
 
 
 @dataclass
 class EmulatedLink:
-    """The link that all connections between two zones share. Pure: time and random numbers are passed in."""
+    """Link that all connections between two zones share. It has no clock or random generator of its own."""
 
     name: str
-    delay_s: float  # one way
-    loss: float = 0.0  # probability of each segment's loss
+    delay_s: float  # one-way delay
+    loss: float = 0.0  # probability that a segment is lost
     is_cut: bool = False
     bytes_forwarded: int = 0
     retransmission_count: int = 0
@@ -48,7 +48,7 @@
         self.healed.set()
 
     def set_cut(self, is_cut: bool) -> None:
-        """Cuts the link, which holds all data back from now on, or heals it."""
+        """Cut the link, which suspends all data, or heal it."""
         self.is_cut = is_cut
         if is_cut:
             self.healed.clear()
@@ -56,12 +56,12 @@
             self.healed.set()
 
     def transit_s(self, byte_count: int, rng: Random) -> float:
-        """Returns the seconds until the last byte of a chunk has arrived, in order."""
+        """Return the seconds that a chunk takes to arrive whole and in order, and count its bytes."""
         self.bytes_forwarded += byte_count
         return self.delay_s + self._retransmission_delay_s(byte_count, rng)
 
     def _retransmission_delay_s(self, byte_count: int, rng: Random) -> float:
-        """Returns the seconds until the chunk's slowest segment has been recovered."""
+        """Return the seconds that random losses add to a chunk; 0 if no segment is lost."""
         slowest_s = 0.0
         if self.loss <= 0.0:
             return slowest_s
@@ -76,7 +76,7 @@
         return slowest_s
 
     def recovery_s(self, losses: int, following_segments: int) -> float:
-        """Returns the seconds that it takes to recover a segment lost so many times in a row."""
+        """Return the seconds to recover a segment that is lost ``losses`` times in a row."""
         round_trip_s = 2.0 * self.delay_s
         timeout_s = max(MIN_RETRANSMISSION_TIMEOUT_S, 2.0 * round_trip_s)
         if following_segments >= FAST_RETRANSMIT_SEGMENTS:
@@ -85,26 +85,26 @@
 
 
 class DelayLine:
-    """One direction of a connection: chunks read, with the times at which they are due at the other side."""
+    """Queue of one direction of a connection: chunks of data, each with the time at which it is due."""
 
     def __init__(self, link: EmulatedLink, rng: Random, now_s: Callable[[], float]) -> None:
         self._link = link
         self._rng = rng
         self._now_s = now_s
         self._last_due_s = 0.0
-        self.waiting: deque[tuple[float, bytes]] = deque()  # with the moment at which each chunk is due
+        self.waiting: deque[tuple[float, bytes]] = deque()  # chunks in order, each with its due time
         self.buffered_bytes = 0
 
     def put(self, data: bytes) -> None:
-        """Queues data; empty data is the end of the stream."""
+        """Queue data; empty data means the end of the stream."""
         transit_s = self._link.transit_s(len(data), self._rng) if data else self._link.delay_s
-        # It is a stream: nothing overtakes.
+        # TCP delivers in order: no chunk is due before an earlier one.
         self._last_due_s = max(self._last_due_s, self._now_s() + transit_s)
         self.waiting.append((self._last_due_s, data))
         self.buffered_bytes += len(data)
 
     def take(self) -> bytes | None:
-        """Removes and returns the chunk that is due by now; None if there is none."""
+        """Remove and return the first chunk if it is due and the link is not cut, else None."""
         if self._link.is_cut or not self.waiting:
             return None
         if self.waiting[0][0] > self._now_s() + TIMER_RESOLUTION_S:
@@ -114,12 +114,12 @@
         return data
 
     def wait_s(self) -> float:
-        """Returns the seconds until the first chunk is due, while the link is not cut."""
+        """Return the seconds until the first queued chunk is due, at least 0; a cut is not considered."""
         return max(0.0, self.waiting[0][0] - self._now_s())
 
 
 class Forwarder:
-    """One listener: each connection is forwarded to ``target`` over ``link``."""
+    """Listener that forwards each connection to ``target`` over ``link``."""
 
     def __init__(self, sock: socket.socket, target: tuple[str, int], link: EmulatedLink, seed: int) -> None:
         self._sock = sock
@@ -129,7 +129,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def run(self) -> None:
-        """Runs until it is cancelled; all connections end with it."""
+        """Accept and forward connections until cancelled; cancellation ends all connections."""
         self._sock.setblocking(False)
         self._sock.listen(LISTEN_BACKLOG)
         loop = asyncio.get_running_loop()
@@ -151,7 +151,7 @@
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         directions: list[asyncio.Task[None]] = []
         try:
-            # One that connects during a cut is accepted by the kernel and gets no answer until it heals.
+            # During a cut the kernel accepts the client, which gets no answer until the link heals.
             await self._link.healed.wait()
             await asyncio.sleep(self._link.delay_s)
             await asyncio.get_running_loop().sock_connect(upstream, self._target)
@@ -170,7 +170,7 @@
 
 
 class _Direction:
-    """Forwards from one socket to the other until the source's end of stream or a reset."""
+    """Forwarder of one direction of a connection, until the source's end of stream or a reset."""
 
     def __init__(self, source: socket.socket, sink: socket.socket, link: EmulatedLink, rng: Random) -> None:
         self._source = source
@@ -203,7 +203,11 @@
                 self._may_read.clear()
 
     async def _wait_for_data(self, reading: asyncio.Task[None]) -> bool:
-        """Returns whether data follows. Raises OSError when the source was reset, which resets the sink."""
+        """Wait for a queued chunk. Return False if reading has ended and the queue is empty.
+
+        Raises:
+            OSError: The source was reset. The forwarder then closes both sockets.
+        """
         while not self._delay_line.waiting:
             self._data_arrived.clear()
             arriving = asyncio.ensure_future(self._data_arrived.wait())
@@ -215,7 +219,7 @@
         return True
 
     async def _write_next(self) -> bool:
-        """Forwards the first chunk once it is due. Returns whether that was the end of the stream."""
+        """Forward the first chunk once it is due. Return True if it was the end of the stream."""
         await self._link.healed.wait()
         wait_s = self._delay_line.wait_s()
         if wait_s > TIMER_RESOLUTION_S:
--- a/sageturn/lab/scale/list_calls.py
+++ b/sageturn/lab/scale/list_calls.py
@@ -1,4 +1,4 @@
-"""Calls of all relays for the endpoint list at once, in simulated time, with the program's own backoff."""
+"""Simulation of all relays calling discovery for the endpoint list at once, with the relay's own backoff."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class _EventKind(Enum):
-    """The kind of an event of the queue."""
+    """Kind of a queued event."""
 
     CALL = auto()
     ANSWER = auto()
@@ -26,7 +26,7 @@
 
 
 class _Event(NamedTuple):
-    """``order`` is unique, and decides between events that are due at the same time."""
+    """A queued event. ``order`` is unique and breaks ties between events that are due at the same time."""
 
     due_ms: float
     order: int
@@ -35,8 +35,11 @@
     call: int
 
 
-class _DiscoveryLoad:
-    """Discovery works on one call after another, also on those that have given up."""
+class _DiscoverySimulation:
+    """Event simulation of relays that call a discovery service.
+
+    Discovery serves one call after another, including calls that the relay has already abandoned.
+    """
 
     def __init__(self, relay_count: int, service_ms: float, seed: int) -> None:
         self._service_ms = service_ms
@@ -46,18 +49,18 @@
         ]
         self._events: list[_Event] = []
         self._event_count = 0
-        self._free_ms = 0.0  # when discovery has worked off all calls so far
+        self._busy_until_ms = 0.0  # time at which discovery has served all calls so far
         self._finished_calls: set[int] = set()
         self.call_times_ms: list[float] = []
-        self.listed_ms: dict[int, float] = {}  # by relay
+        self.listed_ms: dict[int, float] = {}  # time at which each relay received the list
         self.failed_calls = 0
 
     def schedule_call(self, due_ms: float, relay: int) -> None:
-        """Schedules a relay's call for the list."""
+        """Schedule a relay's call for the list."""
         self._schedule(due_ms, _EventKind.CALL, relay, 0)
 
     def run(self) -> None:
-        """Runs the queue until every relay has the list."""
+        """Process events until every relay has the list."""
         while self._events and len(self.listed_ms) < len(self.backoffs):
             event = heapq.heappop(self._events)
             if event.kind is _EventKind.CALL:
@@ -73,9 +76,9 @@
     def _on_call(self, event: _Event) -> None:
         self.call_times_ms.append(event.due_ms)
         call = len(self.call_times_ms)
-        self._free_ms = max(self._free_ms, event.due_ms) + self._service_ms
+        self._busy_until_ms = max(self._busy_until_ms, event.due_ms) + self._service_ms
         self._schedule(event.due_ms + DISCOVERY_CALL_TIMEOUT_MS, _EventKind.FAILURE, event.relay, call)
-        self._schedule(self._free_ms, _EventKind.ANSWER, event.relay, call)
+        self._schedule(self._busy_until_ms, _EventKind.ANSWER, event.relay, call)
 
     def _on_call_finished(self, event: _Event) -> None:
         backoff = self.backoffs[event.relay]
@@ -89,27 +92,27 @@
 
 
 class ListCallTimes(Struct, frozen=True):
-    """The simulated time until relays had the list, and counts of calls; the fields are a cost line's."""
+    """Simulated times until relays had the list, and counts of calls; the fields are keys of a cost line."""
 
     p50_s: float
     p99_s: float
     last_s: float
     calls: int
     failed: int
-    busiest_s: int  # maximum number of calls within a second
+    busiest_s: int  # largest number of calls within one second
 
 
 def list_calls(relay_count: int, service_ms: float, lost: bool, seed: int) -> ListCallTimes:
-    """Has all relays call for the list at once, after their watches broke (``lost``) or after their start."""
-    load = _DiscoveryLoad(relay_count, service_ms, seed)
-    for relay, backoff in enumerate(load.backoffs):
+    """Simulate all relays calling for the list at once, after losing their watches (``lost``) or at start."""
+    simulation = _DiscoverySimulation(relay_count, service_ms, seed)
+    for relay, backoff in enumerate(simulation.backoffs):
         delay_ms = (
             backoff.retry_delay_ms(0.0, DiscoveryFailure.SILENT) if lost else backoff.first_call_delay_ms()
         )
-        load.schedule_call(delay_ms, relay)
-    load.run()
-    times_ms = sorted(load.listed_ms.values())
-    calls_ms = load.call_times_ms
+        simulation.schedule_call(delay_ms, relay)
+    simulation.run()
+    times_ms = sorted(simulation.listed_ms.values())
+    calls_ms = simulation.call_times_ms
     busiest = max(
         sum(since_ms <= call_ms < since_ms + MS_PER_S for call_ms in calls_ms)
         for since_ms in calls_ms[:relay_count]
@@ -119,6 +122,6 @@
         p99_s=times_ms[int(0.99 * (len(times_ms) - 1))] / MS_PER_S,
         last_s=times_ms[-1] / MS_PER_S,
         calls=len(calls_ms),
-        failed=load.failed_calls,
+        failed=simulation.failed_calls,
         busiest_s=busiest,
     )
--- a/sageturn/lab/scale/members.py
+++ b/sageturn/lab/scale/members.py
@@ -1,4 +1,4 @@
-"""Members of a scale run: the control part of a relay, without its clients, many to a process."""
+"""Members of a scale run: emulated members, which are a relay without clients, and whole relays."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from sageturn.core.messages import EndpointListUpdate, WatchFailed
 from sageturn.core.tasks import cancel_and_wait
 from sageturn.lab.scale.child_protocol import MemberStatus
-from sageturn.lab.scale.counting import owned, owning
+from sageturn.lab.scale.counting import socket_owner, with_socket_owner
 from sageturn.lab.scale.digests import DigestReplication, LinkOptions
 from sageturn.lab.scale.errors import UnavailableReplicationError
 from sageturn.lab.scale.job_files import CommonJob, MemberJob
@@ -35,37 +35,38 @@
 
 CHANGE_KEY_PREFIX = "change/"
 PRELOAD_NODE = "r0000"
-PRELOAD_HOST_COUNT = 500
+PRELOAD_ENDPOINT_COUNT = 500
 LOOPBACK = "127.0.0.1"
-ADMISSION_LIMITS = ProcessLimits(20_000, 4096.0)  # above the experiment's own bounds, which apply first
+# These limits are higher than the experiment's bounds, so that those apply first.
+ADMISSION_LIMITS = ProcessLimits(20_000, 4096.0)
 STATE_CONNECTION_COUNT = 50_000  # established connections in an emulated member's state record
-STATE_PHASES = 97  # points of the interval at which members write their first state record
+STATE_PHASES = 97  # number of distinct offsets at which members write their first state record
 
 WatchEvent = EndpointListUpdate | WatchFailed
 
 
 @dataclass(frozen=True, slots=True)
 class Location:
-    """A member's name and where it is placed; the digest replication has no use for it."""
+    """A member's name, zone and region; the digest replication ignores it."""
 
     name: str
     zone: str
     region: str
 
 
-# ---------------------------------------------------------------- replication that is measured
+# ---------------------------------------------------------------- measured replications
 
 
 class Replication(Protocol):
-    """Replication of a store with the copies of other members."""
+    """Interface of a replication between a store and the copies of other members."""
 
     address: tuple[str, int]
 
     def start(self) -> None:
-        """Begins to accept and to dial."""
+        """Start accepting and dialling links."""
 
     async def stop(self) -> None:
-        """Ends all links; the store stays usable."""
+        """End all links; the store stays usable."""
 
 
 def _make_digest_replication(
@@ -77,9 +78,10 @@
 def _make_delta_replication(
     store: Store, options: LinkOptions, admission: AdmissionController, location: Location
 ) -> Replication:
-    """Makes the program's own replication.
+    """Make the replication that relays use.
 
-    Raises UnavailableReplicationError where the measured revision does not have it.
+    Raises:
+        UnavailableReplicationError: The measured revision does not have it.
     """
     try:
         member = import_module("sageturn.store.replication.member")
@@ -87,7 +89,9 @@
             options.listen, options.peers, options.secret, region=location.region, zone=location.zone
         )
     except ImportError as error:
-        raise UnavailableReplicationError("spread: delta is not in this program") from error
+        raise UnavailableReplicationError(
+            "spread: this revision does not have the delta replication"
+        ) from error
     random = Random(f"scale/{location.name}")
     made: Replication = member.ReplicationMember(store, replication_options, admission, random)
     return made
@@ -102,15 +106,16 @@
 def make_replication(
     spread: str, store: Store, options: LinkOptions, admission: AdmissionController, location: Location
 ) -> Replication:
-    """Makes the replication that a size's key ``spread`` names.
+    """Make the replication that a size's key ``spread`` names.
 
-    Raises UnavailableReplicationError where this revision does not have it.
+    Raises:
+        UnavailableReplicationError: This revision does not have it.
     """
     return REPLICATIONS[spread](store, options, admission, location)
 
 
 def link_options(job: MemberJob, common: CommonJob) -> LinkOptions:
-    """Returns the link options from a member's part of a job and the part that all members share."""
+    """Return a member's link options from its own part of a job and the common part."""
     return LinkOptions(
         (LOOPBACK, job.port),
         tuple((LOOPBACK, port) for port in job.peers),
@@ -120,45 +125,47 @@
 
 
 def location_of(job: MemberJob) -> Location:
-    """Returns the location from a member's part of a job."""
+    """Return a member's location from its part of a job."""
     return Location(job.name, job.zone, job.region)
 
 
 # ---------------------------------------------------------------- copies of the store
 
 
-def preload(keys: int) -> list[StoreRecord]:
-    """Returns the records that every copy holds from the start: a shard's placement for each key."""
+def preload(key_count: int) -> list[StoreRecord]:
+    """Return the ``key_count`` records that every copy has at the start, one shard placement each."""
     return [
         StoreRecord(
             f"shards/{number:06d}",
-            {"host": f"h{number % PRELOAD_HOST_COUNT:04d}", "weight": 1.0},
+            {"host": f"h{number % PRELOAD_ENDPOINT_COUNT:04d}", "weight": 1.0},
             1,
             PRELOAD_NODE,
         )
-        for number in range(keys)
+        for number in range(key_count)
     ]
 
 
 def load_records(store: Store, records: list[StoreRecord]) -> None:
-    """Loads records as in a fleet that has been running, whose copies are known to be complete.
+    """Load records as a copy of a running fleet has them, and mark the copy as complete.
 
-    Members of a new fleet would first have to agree on that, and each later one would take all anew.
+    Without the mark, members of a new fleet would first have to agree that their copies are complete, and
+    each member that joins later would copy all records again.
     """
     store.merge(records)
     store.set_last_in_sync(store.wall_clock())
 
 
 def store_hash(store: Store) -> str:
-    """Returns a hash that is equal for equal copies, including the members' own records under ``state/``."""
+    """Return a hash that is equal for equal copies, including the members' own records under ``state/``."""
     orders = sorted((key, order[0], order[1]) for key, order in store.digest().items())
     return hashlib.sha256(json.dumps(orders).encode()).hexdigest()[:16]
 
 
 class ArrivalRecorder:
-    """Records when a copy first held each change, on the monotonic clock, which all processes share.
+    """Recorder of the times at which a copy first held each change, on the machine's monotonic clock.
 
-    ``first_s`` is handed in and outlives a wiped copy; ``present_copy_s`` is this copy's own.
+    ``first_s`` is shared with the recorders of a member's earlier copies; ``present_copy_s`` covers only this
+    copy.
     """
 
     def __init__(self, store: Store, first_s: dict[str, float]) -> None:
@@ -175,17 +182,17 @@
 
 
 class WatchMonitor:
-    """Counts a member's endpoint lists and failed watches, and passes each event on."""
+    """Counter of a member's endpoint lists and failed watches, which forwards each watch event."""
 
     def __init__(self) -> None:
-        self.listed_s: float | None = None  # when the last list arrived, on the monotonic clock
+        self.listed_s: float | None = None  # arrival of the last list, on the monotonic clock
         self.list_count = 0
         self.failure_count = 0
 
     async def forward(
         self, watch: int, event: WatchEvent, handler: Callable[[int, WatchEvent], Awaitable[None]]
     ) -> None:
-        """Counts the event, then awaits ``handler`` with it."""
+        """Count the event, and then pass it to ``handler``."""
         if isinstance(event, EndpointListUpdate):
             self.listed_s = time.monotonic()
             self.list_count += 1
@@ -198,7 +205,7 @@
 
 
 class Member:
-    """The common part of emulated and real members, which their process shows to the run."""
+    """Base class of emulated and real members: the state that their process reports to the run."""
 
     name: str
     store: Store
@@ -208,7 +215,7 @@
     running: bool
 
     def status(self) -> MemberStatus:
-        """Returns the member's part of the answer to the command STATUS."""
+        """Return the member's part of the answer to ``GetStatus``."""
         return MemberStatus(
             store_hash(self.store),
             len(self.store.digest()),
@@ -221,9 +228,9 @@
 
 
 class EmulatedMember(Member):
-    """A relay without a listener for clients.
+    """A relay's control plane without a listener for clients.
 
-    Store, replication, endpoint list, discovery backoff and accounting are put together as in ``Relay``.
+    Store, replication, endpoint list, discovery backoff and accounting are assembled as in ``Relay``.
     """
 
     def __init__(self, job: MemberJob, common: CommonJob, records: list[StoreRecord]) -> None:
@@ -243,13 +250,13 @@
         self.arrivals = ArrivalRecorder(self.store, self._first_arrivals_s)
 
     def start(self, wipe: bool = False) -> None:
-        """Starts the member, again with the copy that it had, or with an empty one (``wipe``)."""
+        """Start the member with the copy that it had, or with an empty one if ``wipe`` is true."""
         if wipe:
             self._make_copy([])
         self.admission = AdmissionController(ADMISSION_LIMITS)
-        with owned(self._job.row, "store"):
+        with socket_owner(self._job.row, "store"):
             self._start_replication()
-        with owned(self._job.row, "list"):
+        with socket_owner(self._job.row, "list"):
             self._start_balancer()
         self.running = True
 
@@ -283,7 +290,7 @@
         await self.watch_monitor.forward(watch, event, self.endpoint_registry.on_watch_event)
 
     async def _write_state(self, interval_s: float) -> None:
-        """Writes state records as ``Relay`` does; each counts more ended connections than the last."""
+        """Write a state record at an interval, as ``Relay`` does; each counts one more ended connection."""
         count = 0
         phase = zlib.crc32(self.name.encode()) % STATE_PHASES
         await asyncio.sleep(interval_s * phase / STATE_PHASES)
@@ -299,7 +306,7 @@
             await asyncio.sleep(max(interval_s, getattr(self.replication, "state_report_interval_s", 0.0)))
 
     async def stop(self) -> None:
-        """Stops the member as a crash would: sockets are closed, nobody is notified."""
+        """Stop the member as a crash would: its sockets close, and no peer is notified."""
         if not self.running:
             return
         self.running = False
@@ -310,7 +317,7 @@
 
 
 class RealMember(Member):
-    """A whole relay, with the replication that is measured in the place of its own."""
+    """A whole relay whose own replication is replaced by the measured one."""
 
     def __init__(self, relay: Relay, job: MemberJob, common: CommonJob) -> None:
         self.name = relay.store.node
@@ -318,13 +325,13 @@
         self.arrivals = ArrivalRecorder(self.store, {})
         self.watch_monitor = WatchMonitor()
         self.running = True
-        with owned(job.row, "store"):
+        with socket_owner(job.row, "store"):
             self.replication = make_replication(
                 common.spread, relay.store, link_options(job, common), relay.admission, location_of(job)
             )
-        relay.replication = self.replication  # type: ignore[assignment]  # the operator's file configures none
-        vars(self.replication)["start"] = owning(job.row, "store", self.replication.start)
-        relay.discovery.start = owning(job.row, "list", relay.discovery.start)  # type: ignore[method-assign]
+        relay.replication = self.replication  # type: ignore[assignment]  # the operator file configures none
+        vars(self.replication)["start"] = with_socket_owner(job.row, "store", self.replication.start)
+        relay.discovery.start = with_socket_owner(job.row, "list", relay.discovery.start)  # type: ignore[method-assign]
         handler = relay.endpoint_registry.on_watch_event
 
         async def on_watch_event(watch: int, event: WatchEvent) -> None:
--- a/sageturn/lab/scale/phases.py
+++ b/sageturn/lab/scale/phases.py
@@ -1,4 +1,4 @@
-"""The measured phases of a run: members at rest, and changes put during a fault or without one."""
+"""Measured phases of a run: an idle phase, and phases in which changes are put, with or without a fault."""
 
 from __future__ import annotations
 
@@ -30,15 +30,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeArrivals:
-    """Durations until members held the changes of a phase; None where a phase has no such durations."""
+    """Durations until members held the changes of a phase; None if the phase has no such durations."""
 
-    everywhere: DurationSummary
-    in_own_region: DurationSummary | None  # while the regions are cut off from each other
-    listed: DurationSummary | None  # from discovery's return until each member had the list
-    catch_up: DurationSummary | None  # from members' return until they held what they had missed
+    everywhere: DurationSummary  # durations until the last member held each change
+    in_own_region: DurationSummary | None  # the same within the put's region; only for a cut between regions
+    listed: DurationSummary | None  # time from discovery's return until each member had the list
+    catch_up: DurationSummary | None  # time from a member's return until it held all changes it missed
 
     def to_line(self) -> Line:
-        """Returns the arrivals' part of a result line."""
+        """Return the arrivals' part of a result line."""
         summaries = {
             "last": self.everywhere,
             "last_on_its_side": self.in_own_region,
@@ -50,13 +50,13 @@
 
 @dataclass(frozen=True, slots=True)
 class PhaseResult:
-    """The use of resources in a phase, and the arrivals of its changes; None in the idle phase."""
+    """Resource usage of a phase, and the arrivals of its changes; ``changes`` is None for the idle phase."""
 
     usage: WindowUsage
     changes: ChangeArrivals | None = None
 
     def to_line(self) -> Line:
-        """Returns the phase's part of a result line."""
+        """Return the phase's part of a result line."""
         line = self.usage.to_line()
         if self.changes is not None:
             line["changes"] = self.changes.to_line()
@@ -64,7 +64,7 @@
 
 
 class PhaseRunner:
-    """Runs one phase after another over the same fleet; changes are numbered through all of them."""
+    """Runner of phases over the same fleet; changes are numbered consecutively over all phases."""
 
     def __init__(
         self,
@@ -84,7 +84,7 @@
         self._change_count = 0
 
     async def run_idle(self) -> PhaseResult:
-        """Measures a window in which nothing is done."""
+        """Measure a window without changes or faults."""
         window = UsageWindow(self._processes)
         try:
             await asyncio.sleep(self._experiment.windows.idle_s)
@@ -93,7 +93,7 @@
         return PhaseResult(window.finish())
 
     async def run_changes(self, fault: Fault | None) -> PhaseResult:
-        """Measures a window in which changes are put at seeded moments, during ``fault`` if there is one."""
+        """Measure a window in which changes are put at seeded random times, during ``fault`` if given."""
         window = UsageWindow(self._processes)
         try:
             arrived = await self._run_changes(fault)
@@ -107,15 +107,15 @@
         offsets_s = sorted(self._rng.uniform(0.0, length_s) for _ in range(windows.changes))
         injector = self._make_injector()
         began_s = time.monotonic()
-        injecting = asyncio.ensure_future(injector.inject(fault)) if fault else None
+        injection = asyncio.ensure_future(injector.inject(fault)) if fault else None
         try:
             changes = await self._put_changes(began_s, offsets_s, injector.outages)
             await _sleep_until(began_s + length_s)
-            if injecting is not None:
-                await injecting
+            if injection is not None:
+                await injection
         finally:
-            if injecting is not None and not injecting.done():
-                injecting.cancel()
+            if injection is not None and not injection.done():
+                injection.cancel()
         await asyncio.sleep(windows.tail_s)
         listed = await self._durations_until_listed(injector.discovery_returned_s)
         return await self._summarize_arrivals(fault, changes, injector.outages, listed)
@@ -128,7 +128,7 @@
     async def _put_changes(
         self, began_s: float, offsets_s: Sequence[float], outages: Outages
     ) -> list[Change]:
-        """Puts each change at a member that is up."""
+        """Put each change at a random member that is up, at its offset from ``began_s``. Return them."""
         changes = []
         for offset_s in offsets_s:
             await _sleep_until(began_s + offset_s)
@@ -142,7 +142,11 @@
         return changes
 
     async def _durations_until_listed(self, since_s: float | None) -> DurationSummary | None:
-        """Returns the seconds from discovery's return until each member had the list; None if it was up."""
+        """Return the seconds from discovery's return until each member had the list.
+
+        Args:
+            since_s: The time of discovery's return; None if discovery was not stopped.
+        """
         if since_s is None:
             return None
         members = await self.members.member_statuses()
--- a/sageturn/lab/scale/plan.py
+++ b/sageturn/lab/scale/plan.py
@@ -1,4 +1,4 @@
-"""Experiments of scale as files: how many members and keys, which links and faults, and what it may cost.
+"""Experiment files of scale runs: members, keys, links, faults, and bounds on the machine's resources.
 
 The classes' field names are the keys of the TOML file.
 """
@@ -23,21 +23,24 @@
 MAX_PROCESSES = 300
 MAX_MINUTES = 60.0
 MAX_DESCRIPTORS_PER_PROCESS = 16000
-MAX_CLIENTS = 4000  # each takes three descriptors in the run's own process
-ENTRY_BYTES = 130  # of a preloaded record in an emulated member's copy; processes share the record itself
-RELAY_RECORD_BYTES = 500  # of a preloaded record in a real relay
-PROCESS_MB = 45.0  # without any members
+MAX_CLIENTS = 4000  # clients over all real relays; each takes three descriptors in the run's own process
+ENTRY_BYTES = 130  # memory of an entry in an emulated copy; copies of a process share the record itself
+RELAY_RECORD_BYTES = 500  # memory of a preloaded record in a real relay
+PROCESS_MB = 45.0  # memory of a process that has no members
 
 
 class Spread(StrEnum):
-    """The replication of the store that a size measures."""
+    """Replication of the store that a size measures."""
 
     DIGEST = "digest"
     DELTA = "delta"
 
 
 class Topology(StrEnum):
-    """The links between members: configured as a mesh or a tree, or chosen by members from seeds."""
+    """Topology of the links between members.
+
+    ``MESH`` and ``TREE`` are configured; with ``SEEDS``, members get a few peers and choose their links.
+    """
 
     MESH = "mesh"
     TREE = "tree"
@@ -45,7 +48,7 @@
 
 
 class FaultKind(StrEnum):
-    """The kind of a ``Fault``, which describes them."""
+    """Kind of a fault; ``Fault`` describes each."""
 
     KILL = "kill"
     ZONE = "zone"
@@ -61,7 +64,7 @@
 
 
 class LinkProfile(Struct, frozen=True, forbid_unknown_fields=True):
-    """One-way delays by class of link, in milliseconds; ``loss`` is a ratio of TCP's segments."""
+    """One-way delays by class of link, in milliseconds; ``loss`` is the ratio of lost TCP segments."""
 
     zone_ms: DelayMs = 0.25
     region_ms: DelayMs = 1.0
@@ -70,11 +73,13 @@
 
 
 class Fault(Struct, frozen=True, forbid_unknown_fields=True):
-    """A fault, injected in a phase of its own in which changes are put.
+    """A fault, which is injected in its own phase while changes are put.
 
-    ``kill``: ``part`` of the members die, and are started again after ``length_s`` (``wipe``: with an empty
-    copy). ``zone``: all members of the last zone do. ``cut``: the regions lose each other. ``loss``: ``part``
-    of all segments. ``restart``: every member in turn, over ``length_s``. ``discovery``: it is down.
+    ``kill``: the ratio ``part`` of emulated members is killed and started again after ``length_s``, with
+    empty copies if ``wipe`` is true. ``zone``: the same for all emulated members of the last zone. ``cut``:
+    all links between regions are cut. ``loss``: the ratio ``part`` of segments is lost on all links.
+    ``restart``: every emulated member is restarted in turn, over ``length_s``. ``discovery``: discovery is
+    down.
     """
 
     kind: str
@@ -84,14 +89,18 @@
     after_s: NotNegative = 8.0
 
     def validate(self) -> None:
-        """Raises InvalidPlanError."""
+        """Check the fault.
+
+        Raises:
+            InvalidPlanError: A value is not allowed; the message begins with its key.
+        """
         _validate_choice("kind", self.kind, FaultKind)
         if self.kind in (FaultKind.KILL, FaultKind.LOSS) and not 0 < self.part < 1:
             raise InvalidPlanError("part: must be above 0 and under 1")
 
 
 class Size(Struct, frozen=True, forbid_unknown_fields=True):
-    """The size of a fleet; ``real`` of its members are whole relays, each in a process of its own."""
+    """Size of a fleet. The first ``real`` members are whole relays, each in its own process."""
 
     name: Name
     members: Annotated[int, Meta(ge=2, le=1000)]
@@ -101,21 +110,21 @@
     topology: str = Topology.MESH.value
     fanout: Annotated[int, Meta(ge=2)] = 8
     per_process: Annotated[int, Meta(ge=1)] = 24
-    clients: Annotated[int, Meta(ge=0, le=4000)] = 0  # connected to each real relay, a line every 2 s
-    state_s: NotNegative = 0.0  # an emulated member's interval of state records; it writes none at 0
+    clients: Annotated[int, Meta(ge=0, le=4000)] = 0  # clients per real relay; each sends a line every 2 s
+    state_s: NotNegative = 0.0  # interval of an emulated member's state records; 0 means none
     faults: tuple[Fault, ...] = ()
-    predict: bool = False  # from the smaller ones, before it is run
+    predict: bool = False  # predicts this size's metrics before its run from the other sizes' results
 
     @property
     def link_count(self) -> int:
-        """Links that members dial, where these are configured by hand."""
+        """Number of configured links in a mesh or a tree; with ``SEEDS``, members choose their links."""
         if self.topology == Topology.MESH:
             return self.members * (self.members - 1) // 2
         return self.members - 1
 
 
 class Windows(Struct, frozen=True, forbid_unknown_fields=True):
-    """Lengths of the measuring windows in seconds; ``changes`` are put within ``changes_s`` of each phase."""
+    """Lengths of a run's windows in seconds, and the number of ``changes`` that are put in each phase."""
 
     settle_s: Positive = 6.0
     idle_s: Positive = 12.0
@@ -126,7 +135,7 @@
 
 
 class Bounds(Struct, frozen=True, forbid_unknown_fields=True):
-    """Limits of a run's memory, processes and minutes; a run that exceeds them is refused or ended."""
+    """Limits of a run's memory, processes and duration; a run that exceeds them is rejected or ended."""
 
     memory_gb: Annotated[float, Meta(gt=0, le=MAX_MEMORY_GB)] = 8.0
     processes: Annotated[int, Meta(ge=3, le=MAX_PROCESSES)] = 64
@@ -134,14 +143,14 @@
 
 
 class Environment(Struct, frozen=True, forbid_unknown_fields=True):
-    """Live hosts on the list, and how long discovery works on a call; it handles one after another."""
+    """Number of listed endpoints, and the time that discovery takes for a call; calls are serialized."""
 
     hosts: Annotated[int, Meta(ge=1, le=5000)] = 90
     call_ms: NotNegative = 0.0
 
 
 class ScaleExperiment(Struct, frozen=True, forbid_unknown_fields=True):
-    """A whole file: its sizes are run one after another, each under every seed."""
+    """A whole experiment file; its sizes are run one after another, each with every seed."""
 
     name: Name
     sizes: Annotated[tuple[Size, ...], Meta(min_length=1)]
@@ -158,9 +167,15 @@
     # ------------------------------------------------------------ validation
 
     def validate(self) -> None:
-        """Raises InvalidPlanError, which names the key."""
+        """Check the experiment.
+
+        Raises:
+            InvalidPlanError: A value is not allowed; the message begins with its key.
+        """
         if self.zones < self.regions:
-            raise InvalidPlanError("zones: each region has at least one")
+            raise InvalidPlanError(
+                "zones: must not be below regions, since each region has at least one zone"
+            )
         names = [size.name for size in self.sizes]
         for number, size in enumerate(self.sizes):
             try:
@@ -170,13 +185,13 @@
 
     def _validate_size(self, size: Size, earlier_names: list[str]) -> None:
         if size.name in earlier_names:
-            raise InvalidPlanError(f"name: {size.name} is there twice")
+            raise InvalidPlanError(f"name: {size.name} is used by an earlier size")
         _validate_choice("spread", size.spread, Spread)
         _validate_choice("topology", size.topology, Topology)
         if size.real > size.members:
             raise InvalidPlanError("real: must not be above members")
         if size.real * size.clients > MAX_CLIENTS:
-            raise InvalidPlanError(f"clients: {MAX_CLIENTS} over all real relays at most")
+            raise InvalidPlanError(f"clients: at most {MAX_CLIENTS} clients are allowed over all real relays")
         for number, fault in enumerate(size.faults):
             try:
                 fault.validate()
@@ -210,38 +225,38 @@
     # ------------------------------------------------------------ placement
 
     def zone_of(self, member: int) -> int:
-        """Returns the zone of a member; members are assigned to the zones in turn."""
+        """Return the zone of a member; members are assigned to the zones in turn."""
         return member % self.zones
 
     def region_of(self, zone: int) -> int:
-        """Returns the region of a zone; of five zones the first three are in the first of two regions."""
+        """Return the region of a zone; of five zones the first three are in the first of two regions."""
         return zone * self.regions // self.zones
 
-    # ------------------------------------------------------------ what a size needs
+    # ------------------------------------------------------------ required resources
 
     def process_count(self, size: Size) -> int:
-        """Counts whole relays, processes of emulated members, and one of link emulation for each zone."""
+        """Return the number of child processes: relays, emulated members and one link emulation per zone."""
         emulated = size.members - size.real
         emulated_by_zone = [len(range(zone, emulated, self.zones)) for zone in range(self.zones)]
         emulated_processes = sum(math.ceil(members / size.per_process) for members in emulated_by_zone)
         return size.real + emulated_processes + self.zones
 
     def estimated_memory_gb(self, size: Size) -> float:
-        """Estimates the memory of processes, copies and real relays' own records before the run."""
+        """Estimate the memory in GB of processes, copies of the store and real relays' own records."""
         process_bytes = self.process_count(size) * PROCESS_MB * BYTES_PER_MB
         copy_bytes = size.members * size.keys * ENTRY_BYTES
         relay_bytes = size.real * size.keys * RELAY_RECORD_BYTES
         return (process_bytes + copy_bytes + relay_bytes) / BYTES_PER_GB
 
     def max_descriptors(self, size: Size) -> int:
-        """Returns the descriptors of the process that needs most of them."""
+        """Return the number of descriptors of the process that needs the most."""
         forwarder = 2 * size.link_count / self.zones + size.members
         members = min(size.per_process, size.members)
         worker = 2 * size.link_count / size.members * members + 3 * size.per_process
         return int(max(forwarder, worker))
 
     def min_duration_s(self, size: Size) -> float:
-        """Sums up the waits that the file lays down; starting and waiting for readiness come on top."""
+        """Return the seconds of all windows and faults in the file, without startup and readiness."""
         windows = self.windows
         faults_s = sum(fault.length_s + fault.after_s + windows.tail_s for fault in size.faults)
         return windows.settle_s + windows.idle_s + windows.changes_s + windows.tail_s + faults_s
@@ -253,7 +268,7 @@
 
 
 def read_scale(file: Path) -> ScaleExperiment:
-    """Reads an experiment in TOML. Raises InvalidExperimentError, which names the file and the key."""
+    """Read an experiment in TOML. Raise InvalidExperimentError, whose message names the file and the key."""
     try:
         data = file.read_bytes()
     except OSError as error:
--- a/sageturn/lab/scale/predictions.py
+++ b/sageturn/lab/scale/predictions.py
@@ -1,4 +1,4 @@
-"""Predictions of the cost of control for each member, from fits through the runs of smaller sizes."""
+"""Predictions of each member's control costs, from fits through the runs of other sizes."""
 
 from __future__ import annotations
 
@@ -10,34 +10,35 @@
 from sageturn.lab.scale.fit import MIN_SIZES, Estimate, Fit, fit
 from sageturn.lab.scale.plan import Size
 
-# What costs may be proportional to: a member's link ends, alone, times the keys, and times the state records
-# that all members write in a second; for a real relay also its clients.
+# Terms that costs may be proportional to. LINK_TERMS are a member's link ends, their product with the number
+# of keys, and their product with the state records that all members write in a second. CLIENT_TERMS are for
+# real relays: a constant and the number of clients.
 LINK_TERMS = ("links", "links*keys", "links*news")
 CLIENT_TERMS = ("1", "clients")
 
 
 @dataclass(frozen=True, slots=True)
-class RunShape:
-    """The size of a run, done or planned, as the terms need it."""
+class RunDimensions:
+    """Dimensions of a completed or planned run, from which the terms are computed."""
 
     members: int
     keys: int
     link_count: float
-    state_interval_s: float  # 0 where members write no state records, as in the experiment file
+    state_interval_s: float  # 0 if members write no state records
     clients_per_relay: int
 
     @classmethod
-    def of_line(cls, line: Line) -> RunShape:
-        """Returns the shape of a completed run."""
+    def of_line(cls, line: Line) -> RunDimensions:
+        """Return the dimensions of a completed run."""
         return cls(line["members"], line["keys"], line["links"], line["state_s"], line["clients_each"])
 
     @classmethod
-    def of_size(cls, size: Size) -> RunShape:
-        """Returns the shape of a planned run."""
+    def of_size(cls, size: Size) -> RunDimensions:
+        """Return the dimensions of a planned run."""
         return cls(size.members, size.keys, size.link_count, size.state_s, size.clients)
 
     def terms(self) -> dict[str, float]:
-        """Returns each term's value, for a member on average."""
+        """Return each term's value for an average member."""
         link_ends = 2.0 * self.link_count / self.members
         state_records_per_s = self.members / self.state_interval_s if self.state_interval_s else 0.0
         return {
@@ -49,22 +50,22 @@
         }
 
 
-# ---------------------------------------------------------------- metrics of a line
+# ---------------------------------------------------------------- metrics of a result line
 
 
 def is_usable(line: Line) -> bool:
-    """Whether a run can be fitted: it was completed, no process was saturated, and it had links."""
+    """Return True if a run can be fitted: it was completed, had links, and was not saturated when idle."""
     return "failed" not in line and not line["phases"]["idle"]["saturated"] and line["links"] > 0
 
 
 def mean_of_members(line: Line, field: str) -> float | None:
-    """Averages a field over emulated and real members, in the idle phase; None where there is none."""
+    """Return a field's mean over all members in the idle phase; None if no member has it."""
     member_counts = {"real": line["real"], "hollow": line["members"] - line["real"]}
     idle = line["phases"]["idle"]
-    parts = [(count, idle[role][field]) for role, count in member_counts.items() if role in idle]
-    if not parts:
+    weighted = [(count, idle[role][field]) for role, count in member_counts.items() if role in idle]
+    if not weighted:
         return None
-    return float(sum(count * value for count, value in parts) / sum(count for count, _ in parts))
+    return float(sum(count * value for count, value in weighted) / sum(count for count, _ in weighted))
 
 
 def _relay_core(line: Line) -> float | None:
@@ -78,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Metric:
-    """A fitted figure: its terms, and how to read it from a usable line; None where a run has none."""
+    """A fitted metric: its terms, and a function that reads it from a usable line; None if it is absent."""
 
     terms: tuple[str, ...]
     read: Callable[[Line], float | None]
@@ -93,7 +94,7 @@
 
 
 def metric_value(line: Line, metric: str) -> float | None:
-    """Reads one of METRICS from a usable line; None where its run has no such figure."""
+    """Return the value of one of METRICS in a usable line; None if the run has no such metric."""
     return METRICS[metric].read(line)
 
 
@@ -101,46 +102,51 @@
 
 
 def fit_runs(lines: Iterable[Line], spread: str) -> dict[str, Fit]:
-    """Fits each metric to all usable sizes of one spread; a metric with too few sizes is left out."""
+    """Return each metric's fit over the usable runs of a spread; metrics with too few sizes are left out."""
     usable = [line for line in lines if is_usable(line) and line["spread"] == spread]
     fits = {}
     for name, metric in METRICS.items():
         measured = [
-            (RunShape.of_line(line).terms(), value) for line in usable if (value := metric.read(line))
+            (RunDimensions.of_line(line).terms(), value) for line in usable if (value := metric.read(line))
         ]
         if not measured:
             continue
         terms = separable_terms([values for values, _ in measured], metric.terms)
         rows = [[values[term] for term in terms] for values, _ in measured]
         if len({tuple(row) for row in rows}) >= MIN_SIZES:
-            with suppress(ValueError):  # FitError, and what numpy raises where it finds no solution
+            with suppress(ValueError):  # FitError, or numpy's LinAlgError if there is no solution
                 fits[name] = fit(terms, rows, [value for _, value in measured])
     return fits
 
 
-def separable_terms(shapes: list[dict[str, float]], terms: tuple[str, ...]) -> list[str]:
-    """Returns the terms whose ratio to the first one varies over these sizes, after the first one itself."""
+def separable_terms(terms_by_size: list[dict[str, float]], terms: tuple[str, ...]) -> list[str]:
+    """Return the first term and all terms whose ratio to it varies over these sizes.
+
+    A fit cannot separate the other terms from the first one.
+    """
     first = terms[0]
     varying = [
-        term for term in terms[1:] if len({round(shape[term] / shape[first], 9) for shape in shapes}) > 1
+        term
+        for term in terms[1:]
+        if len({round(size_terms[term] / size_terms[first], 9) for size_terms in terms_by_size}) > 1
     ]
     return [first, *varying]
 
 
 @dataclass(frozen=True, slots=True)
 class Prediction:
-    """The estimate of a metric before a size was run, and the fit that it comes from."""
+    """The estimate of a metric for a size that has not been run, and the fit that it is based on."""
 
     estimate: Estimate
     fit: Fit
 
     @property
     def value(self) -> float:
-        """The estimated value."""
+        """Estimated value of the metric."""
         return self.estimate.value
 
     def to_line(self) -> Line:
-        """Returns the prediction's part of a result line."""
+        """Return the prediction's part of a result line."""
         return {
             "value": self.estimate.value,
             "low": self.estimate.low,
@@ -150,8 +156,8 @@
 
 
 def predict(lines: Iterable[Line], size: Size) -> dict[str, Prediction]:
-    """Predicts metrics of a size that was not run yet; those that cannot be fitted are left out."""
-    terms = RunShape.of_size(size).terms()
+    """Predict the metrics of a size that has not been run; metrics that cannot be fitted are left out."""
+    terms = RunDimensions.of_size(size).terms()
     predictions = {}
     for metric, fitted in fit_runs(lines, size.spread).items():
         if METRICS[metric].terms == CLIENT_TERMS and not size.clients:
@@ -162,12 +168,12 @@
 
 
 def encode_predictions(predictions: dict[str, Prediction]) -> Line:
-    """Returns the value of a result line's key ``predicted``."""
+    """Return the value of a result line's key ``predicted``."""
     return {metric: prediction.to_line() for metric, prediction in predictions.items()}
 
 
 def compare_predictions(line: Line) -> Line:
-    """Adds to each prediction of a result line what was measured, unless the run failed. Returns the line."""
+    """Add the measured value to each prediction of a result line, unless the run failed. Return the line."""
     for metric, prediction in line.get("predicted", {}).items():
         if "failed" in line:
             continue
--- a/sageturn/lab/scale/process.py
+++ b/sageturn/lab/scale/process.py
@@ -1,7 +1,8 @@
-"""One child process of a scale run: emulated members, a whole relay, or a part of the link emulation.
+"""Main module of a scale run's child process: emulated members, a whole relay, or one zone's link emulation.
 
-Started with the name of a job file. It answers one JSON line on its standard output for each on its
-standard input (``child_protocol``), and ends when that ends, so it outlives no run, however the run ends.
+The only argument is the path of a job file. The process answers each line of JSON on its standard input with
+one on its standard output (``child_protocol``). It exits at the end of its input, so it never outlives the
+run, even if the run is killed.
 """
 
 from __future__ import annotations
@@ -44,27 +45,27 @@
 Handler = Callable[[Command], Awaitable[object]]
 
 
-# ---------------------------------------------------------------- the pipe to the run
+# ---------------------------------------------------------------- command pipe
 
 
-def _read_requests(loop: asyncio.AbstractEventLoop, lines: asyncio.Queue[str]) -> None:
-    """Runs in a thread; the end of the input is an empty line."""
+def _read_commands(loop: asyncio.AbstractEventLoop, lines: asyncio.Queue[str]) -> None:
+    """Queue the lines of standard input from a thread; an empty line means the end of the input."""
     for line in sys.stdin:
         loop.call_soon_threadsafe(lines.put_nowait, line)
     loop.call_soon_threadsafe(lines.put_nowait, "")
 
 
-async def _serve_requests(handler: Handler) -> None:
-    """Answers requests until the input ends."""
+async def _serve_commands(handler: Handler) -> None:
+    """Execute and answer commands until the input ends."""
     lines: asyncio.Queue[str] = asyncio.Queue()
     loop = asyncio.get_running_loop()
-    threading.Thread(target=_read_requests, args=(loop, lines), daemon=True).start()
+    threading.Thread(target=_read_commands, args=(loop, lines), daemon=True).start()
     _answer(Ready(os.getpid()))
     decoder: msgspec.json.Decoder[Command] = msgspec.json.Decoder(Command)
     while line := await lines.get():
         try:
             _answer(await handler(decoder.decode(line)))
-        except Exception as error:  # the run reports it, and ends
+        except Exception as error:  # the run reports the failure and ends
             _answer(CommandFailed(describe_failure(error)))
 
 
@@ -79,24 +80,24 @@
 
 
 class _ChildRole(Protocol):
-    """A child process's part in the run."""
+    """Interface of a child process's role."""
 
     async def handle(self, command: Command) -> object:
-        """Executes a command. Returns the answer; raises UnsupportedCommandError."""
+        """Execute a command and return its answer. Raise UnsupportedCommandError if the role lacks it."""
 
 
 # ---------------------------------------------------------------- members
 
 
 class _MemberProcess:
-    """The commands that processes of emulated members and of whole relays have in common."""
+    """Commands that processes of emulated members and of whole relays have in common."""
 
     def __init__(self, initial_memory: int, members: Sequence[Member]) -> None:
         self._initial_memory = initial_memory
         self._members = {member.name: member for member in members}
 
     async def handle(self, command: Command) -> object:
-        """Executes a command. Returns the answer; raises UnsupportedCommandError."""
+        """Execute a command and return its answer. Raise UnsupportedCommandError if the role lacks it."""
         match command:
             case Put():
                 return self._put(command)
@@ -124,7 +125,7 @@
 
 
 class EmulatedMemberProcess(_MemberProcess):
-    """Runs many emulated members."""
+    """Role of a process that runs emulated members."""
 
     def __init__(self, job: EmulatedJob) -> None:
         gc.collect()
@@ -137,7 +138,7 @@
         super().__init__(initial_memory, list(self._emulated_members.values()))
 
     async def handle(self, command: Command) -> object:
-        """Executes a command. Returns the answer; raises UnsupportedCommandError."""
+        """Execute a command and return its answer. Raise UnsupportedCommandError if the role lacks it."""
         match command:
             case Start():
                 return self._start(command)
@@ -159,10 +160,10 @@
 
 
 class RelayProcess(_MemberProcess):
-    """Runs one whole relay, whose own replication is replaced by the measured one."""
+    """Role of a process that runs one whole relay, whose own replication is replaced by the measured one."""
 
     def __init__(self, job: RelayJob) -> None:
-        # Imported here: no other role needs them.
+        # Other roles do not need these modules, so their processes do not load them.
         from sageturn.config.loader import load
         from sageturn.relay import Relay
 
@@ -177,7 +178,7 @@
         super().__init__(initial_memory, [member])
 
     async def handle(self, command: Command) -> object:
-        """Executes a command. Returns the answer; raises UnsupportedCommandError."""
+        """Execute a command and return its answer. Raise UnsupportedCommandError if the role lacks it."""
         match command:
             case Start():
                 return self._start()
@@ -186,7 +187,7 @@
 
     def _start(self) -> int:
         if self._running is None:
-            with counting.owned(self._row, "client"):
+            with counting.socket_owner(self._row, "client"):
                 self._running = asyncio.ensure_future(self._relay.run())
         return 1
 
@@ -195,7 +196,7 @@
 
 
 class LinkProcess:
-    """The links that lead to one zone's members."""
+    """Role of a process that emulates the links to one zone's members."""
 
     def __init__(self, job: LinkJob) -> None:
         self._links = {link.name: EmulatedLink(link.name, link.delay_s, link.loss) for link in job.links}
@@ -209,7 +210,7 @@
             self._tasks.append(asyncio.ensure_future(forwarder.run()))
 
     async def handle(self, command: Command) -> object:
-        """Executes a command. Returns the answer; raises UnsupportedCommandError."""
+        """Execute a command and return its answer. Raise UnsupportedCommandError if the role lacks it."""
         match command:
             case ConfigureLinks():
                 return self._configure(command)
@@ -235,12 +236,12 @@
 
 
 async def run_job(job: Job) -> None:
-    """Serves the run's requests in the job's role until the input ends."""
-    await _serve_requests(_make_role(job).handle)
+    """Serve the run's commands in the job's role until the input ends."""
+    await _serve_commands(_make_role(job).handle)
 
 
 def main() -> int:
-    """Runs the job file that the command line names. Signals are blocked: the run handles them."""
+    """Run the job file that the command line names, with signals blocked, since the run handles them."""
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGINT, signal.SIGTERM, signal.SIGHUP})
     job: Job = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=Job)
     if not isinstance(job, LinkJob):
--- a/sageturn/lab/scale/relay_costs.py
+++ b/sageturn/lab/scale/relay_costs.py
@@ -1,6 +1,6 @@
-"""Costs of reading the endpoint list, of balancing decisions and of flow records, by their size.
+"""Costs of reading the endpoint list, of balancing decisions and of flow records, by size.
 
-The names of the structures' encoded fields are the keys of a cost line.
+The encoded field names of the structs are the keys of a cost line.
 """
 
 from __future__ import annotations
@@ -27,14 +27,14 @@
 
 
 class ListCost(Struct, frozen=True):
-    """The size of an encoded endpoint list, and the processor time to read it."""
+    """Size of an encoded endpoint list, and the processor time to read it."""
 
     byte_count: int = field(name="octets")
     read_s: float
 
 
 class DecisionCost(Struct, frozen=True):
-    """Processor time of a request, of a full list and of a list's change; and the part of requests placed."""
+    """Processor times of a request, a full list and a list's change, and the ratio of placed requests."""
 
     request_s: float
     list_s: float
@@ -43,14 +43,14 @@
 
 
 class FlowCost(Struct, frozen=True):
-    """The size of an encoded flow record, and the processor time to encode it."""
+    """Size of an encoded flow record, and the processor time to encode it."""
 
     byte_count: int = field(name="octets")
     encode_s: float
 
 
-def endpoint_list(hosts: int) -> JsonObject:
-    """Returns a full endpoint list as discovery writes it."""
+def endpoint_list(endpoint_count: int) -> JsonObject:
+    """Return a full endpoint list of ``endpoint_count`` entries as discovery writes it."""
     return {
         "version": 1,
         "full": True,
@@ -65,19 +65,19 @@
                 "weight": 1.0,
                 "started_ms": 0,
             }
-            for number in range(hosts)
+            for number in range(endpoint_count)
         ],
     }
 
 
-def list_reading(hosts: int) -> ListCost:
-    """Measures the decoding and checking of a full endpoint list."""
-    text = json.dumps(endpoint_list(hosts))
+def list_reading(endpoint_count: int) -> ListCost:
+    """Measure decoding and validating a full endpoint list."""
+    text = json.dumps(endpoint_list(endpoint_count))
     return ListCost(len(text), min_cpu_s(lambda: parse_endpoint_list(json.loads(text))))
 
 
 class _RequestLoad:
-    """Requests one after another at a balancer: each arrives, is connected, and ends well."""
+    """Load of sequential requests on a balancer; each arrives, is connected and ends successfully."""
 
     def __init__(self, balancer: Balancer) -> None:
         self._balancer = balancer
@@ -85,7 +85,7 @@
         self.placed_count = 0
 
     def run_batch(self) -> None:
-        """Plays the next REQUESTS_PER_BATCH requests."""
+        """Run the next REQUESTS_PER_BATCH requests."""
         for _ in range(REQUESTS_PER_BATCH):
             self._run_request(self.request_count)
             self.request_count += 1
@@ -104,8 +104,8 @@
         )
 
 
-def decisions(hosts: int) -> DecisionCost:
-    """Measures a request's three events at the balancer, a full list, and a list's change of one host."""
+def decisions(endpoint_count: int) -> DecisionCost:
+    """Measure the balancer's handling of a request's three events, a full list, and one endpoint's change."""
     settings = decision.Settings(
         classes=(decision.RequestClass("c", latency_objective_ms=500.0),),
         tenants=(decision.Tenant("t", 1e9, 1e9),),
@@ -113,7 +113,7 @@
         discovery="push",
     )
     balancer = Balancer(settings, 1)
-    listed = parse_endpoint_list(endpoint_list(hosts))
+    listed = parse_endpoint_list(endpoint_list(endpoint_count))
     list_s = min_cpu_s(
         lambda: balancer.handle(
             0.0, decision.EndpointListEvent(decision.ListEventKind.FULL, listed.endpoints)
@@ -121,7 +121,7 @@
         repeats=1,
     )
     load = _RequestLoad(balancer)
-    load.run_batch()  # the first one warms up
+    load.run_batch()  # warm-up batch, not measured
     request_s = min_cpu_s(load.run_batch, MEASURED_BATCHES) / REQUESTS_PER_BATCH
     draining = [decision.Endpoint("h00001", decision.EndpointStatus.DRAINING, zone="z1")]
     change_s = min_cpu_s(
@@ -132,7 +132,7 @@
 
 
 def flow_record(name_length: int) -> FlowCost:
-    """Measures the flow record of an ended connection whose class and tenant have names of that length."""
+    """Measure encoding an ended connection's flow record; class and tenant names have ``name_length``."""
     request = ClientRequest("c" * name_length, "t" * name_length, REQUEST_TIMEOUT_MS)
     record = ConnectionRecord(request, 1.0, client_address=("10.0.0.1", 40000))
     record.endpoint = "h"
--- a/sageturn/lab/scale/report.py
+++ b/sageturn/lab/scale/report.py
@@ -1,4 +1,4 @@
-"""Reports of scale runs: a table, fits and a plot."""
+"""Reports of scale runs: a table, the fits, and a plot."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 from sageturn.lab.scale.arrivals import MAX_PROPAGATION_S
 from sageturn.lab.scale.predictions import fit_runs, is_usable, metric_value
 
-MAX_BYTES_PER_S = 27_000.0  # of a relay's control traffic
-MAX_CORE = 0.03  # of a relay's control
+MAX_CONTROL_BYTES_PER_S = 27_000.0  # operators' limit for a relay's control traffic
+MAX_CONTROL_CORE = 0.03  # operators' limit for a relay's control plane, as a ratio of one core
 
-UNMEASURED_S = 30.0  # plotted for changes that some member never held
+NEVER_HELD_PLOT_S = 30.0  # plotted duration of changes that some member never held
 MARKERS = "osd^vx*"
 MAX_FAILURE_CHARS = 60
 
@@ -42,14 +42,14 @@
     "equal",
     "",
 )
-LEADING_COLUMNS = 5  # filled in also for a failed run
+LEADING_COLUMNS = 5  # columns that a failed run fills in as well
 
 
 # ---------------------------------------------------------------- table
 
 
 def table(results: Results) -> list[list[str]]:
-    """Returns the column titles, and a row for each run and phase; a run that failed has one row."""
+    """Return the column titles and a row for each run and phase; a failed run has one row."""
     rows = [list(COLUMNS)]
     for line in results.runs:
         if "failed" in line:
@@ -96,7 +96,7 @@
 
 
 def fit_lines(results: Results) -> list[str]:
-    """Returns each slope with its interval and its R2, and the predictions beside the measurements."""
+    """Return a line for each fit, with its intervals and R2, and one for each prediction."""
     return [*_slope_lines(results), *_prediction_lines(results)]
 
 
@@ -137,24 +137,24 @@
 
 
 def plot(results: Results, file: Path) -> None:
-    """Plots bytes, processor time, and time until the last member holds a change, by members.
+    """Plot bytes, processor time, and the time until the last member holds a change, by number of members.
 
-    There is a line for each number of keys and spread, and one for the operators' allowance.
+    Each pair of a spread and a number of keys has a line, and so does the limit that operators set.
     """
     figure, axes = plt.subplots(1, 3, figsize=(14, 4.2), layout="constrained")
-    sound = [line for line in results.runs if is_usable(line)]
-    series = sorted({(line["spread"], line["keys"]) for line in sound})
+    usable = [line for line in results.runs if is_usable(line)]
+    series = sorted({(line["spread"], line["keys"]) for line in usable})
     for number, (spread, keys) in enumerate(series):
-        lines = [line for line in sound if (line["spread"], line["keys"]) == (spread, keys)]
+        lines = [line for line in usable if (line["spread"], line["keys"]) == (spread, keys)]
         lines.sort(key=lambda line: line["members"])
         label = f"{spread}, {keys:,} keys"
         marker = MARKERS[number % len(MARKERS)]
         _plot_metric(axes[0], lines, "octets", label, marker)
         _plot_metric(axes[1], lines, "core", label, marker)
         _plot_propagation(axes[2], lines, label, marker)
-    sizes = sorted({line["members"] for line in sound})
-    _finish_axis(axes[0], "control, octets a second a member, idle", MAX_BYTES_PER_S, sizes)
-    _finish_axis(axes[1], "control, part of a core, idle", MAX_CORE, sizes)
+    sizes = sorted({line["members"] for line in usable})
+    _finish_axis(axes[0], "control, octets a second a member, idle", MAX_CONTROL_BYTES_PER_S, sizes)
+    _finish_axis(axes[1], "control, part of a core, idle", MAX_CONTROL_CORE, sizes)
     _finish_axis(axes[2], "a change held by the last member, p99, s", MAX_PROPAGATION_S, sizes)
     figure.suptitle(
         f"{results.head['experiment']['name']}, revision {results.head['revision']}; measured "
@@ -179,11 +179,13 @@
     if points:
         axis.plot(*zip(*points, strict=True), marker=marker, label=label)
     for members in (members for members, p99_s in p99_by_size if not p99_s):
-        axis.plot([members], [UNMEASURED_S], marker="x", color="r", label=f"not held at the end: {label}")
+        axis.plot(
+            [members], [NEVER_HELD_PLOT_S], marker="x", color="r", label=f"not held at the end: {label}"
+        )
 
 
-def _finish_axis(axis: Axes, title: str, allowance: float, sizes: Sequence[int]) -> None:
-    axis.axhline(allowance, color="k", linestyle="--", linewidth=1)
+def _finish_axis(axis: Axes, title: str, limit: float, sizes: Sequence[int]) -> None:
+    axis.axhline(limit, color="k", linestyle="--", linewidth=1)
     axis.set(title=title, xscale="log", yscale="log", xlabel="members")
     axis.set_xticks(sizes, [str(members) for members in sizes], fontsize=7)
     axis.minorticks_off()
--- a/sageturn/lab/scale/results.py
+++ b/sageturn/lab/scale/results.py
@@ -1,4 +1,4 @@
-"""Runs an experiment's sizes and seeds, and appends a JSON line for each to the result file."""
+"""Runs of an experiment's sizes and seeds; each appends a JSON line to the result file."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def encode_head(experiment: ScaleExperiment, root: Path) -> Line:
-    """Returns the first line of a result file: the experiment, the revision and the libraries."""
+    """Return the first line of a result file: the experiment, the revision and the libraries."""
     return {
         "experiment": json.loads(msgspec.json.encode(experiment)),
         "policies": {},
@@ -34,14 +34,15 @@
 def run(
     experiment: ScaleExperiment, file: Path, root: Path, report_progress: ProgressReporter, only: str = ""
 ) -> Results:
-    """Runs what the file has no results of yet; ``only`` names one size, and all are run if it is empty.
+    """Run the sizes and seeds that the result file lacks; ``only`` names one size, or is empty for all.
 
-    Raises KeyboardInterrupt when interrupted, after the present run and all its processes have ended.
+    Raises:
+        KeyboardInterrupt: The command was interrupted. The current run and all its processes have ended.
     """
     results = Results(file)
     results.start(encode_head(experiment, root))
     done = results.done()
-    # A size is predicted from the results of others, which are run before it.
+    # Sizes to be predicted are run last, since their predictions need the results of the others.
     for size in sorted(experiment.sizes, key=lambda size: size.predict):
         for seed in experiment.seeds:
             is_done = (size.name, seed, size.spread) in done
@@ -58,7 +59,7 @@
     root: Path,
     report_progress: ProgressReporter,
 ) -> Line:
-    """Runs one size under one seed; predictions are made before the run."""
+    """Predict one size if it asks for it, run it with one seed, and return its result line."""
     predicted = predict(results.runs, size) if size.predict else {}
     if predicted:
         values = ", ".join(f"{metric} {found.value:.4g}" for metric, found in predicted.items())
@@ -79,7 +80,7 @@
 def _run_interruptibly(
     experiment: ScaleExperiment, size: Size, seed: int, report_progress: ProgressReporter
 ) -> Line:
-    """Raises KeyboardInterrupt on SIGINT and SIGTERM, once the run's processes have ended."""
+    """Run one size. Raise KeyboardInterrupt on SIGINT or SIGTERM, once the run's processes have ended."""
 
     async def run_until_signal() -> Line:
         loop = asyncio.get_running_loop()
--- a/sageturn/lab/scale/scale_run.py
+++ b/sageturn/lab/scale/scale_run.py
@@ -1,4 +1,4 @@
-"""Runs one size of an experiment under one seed, and measures it."""
+"""Run of one size of an experiment with one seed, and its measurement."""
 
 from __future__ import annotations
 
@@ -14,7 +14,13 @@
 from sageturn.lab.runner.result_file import Line
 from sageturn.lab.scale.arrivals import DurationSummary
 from sageturn.lab.scale.child_process import ChildProcess
-from sageturn.lab.scale.environment import ClientCounts, Clients, DiscoveryCounts, Hosts, ScaleDiscovery
+from sageturn.lab.scale.environment import (
+    ClientCounts,
+    Clients,
+    DiscoveryCounts,
+    FakeEndpoints,
+    ScaleDiscovery,
+)
 from sageturn.lab.scale.errors import BoundExceededError, describe_failure
 from sageturn.lab.scale.fleet import Fleet
 from sageturn.lab.scale.jobs import JobBuilder, PortReservations
@@ -29,27 +35,27 @@
 
 @dataclass(slots=True)
 class RunResult:
-    """The results of one run, filled in while it proceeds; a part is None until it was measured."""
+    """Results of one run, which are filled in as it proceeds; a result is None until it is measured."""
 
     size: Size
     process_count: int = 0
-    started_s: float = 0.0  # duration of the start of all members
-    linked_s: float | None = None  # until all configured links were up; None where members choose theirs
-    listed: DurationSummary | None = None  # from the start until each member had the endpoint list
+    started_s: float = 0.0  # seconds that starting all members took
+    linked_s: float | None = None  # seconds until all configured links were established; None with SEEDS
+    listed: DurationSummary | None = None  # time from the start until each member had the endpoint list
     link_count: float = 0.0
     memory: MemberMemory | None = None
     phases: dict[str, PhaseResult] = field(default_factory=dict)
     copies: CopyComparison | None = None
     discovery: DiscoveryCounts | None = None
-    host_count: int = 0
-    clients: ClientCounts | None = None  # stays None in a run without clients
+    endpoint_count: int = 0
+    clients: ClientCounts | None = None  # None also in a run without clients
     took_s: float = 0.0
     load_before: float = 0.0
     load_after: float = 0.0
-    peak_memory: int = 0  # bytes, of all child processes together
+    peak_memory: int = 0  # peak resident bytes of all child processes together
 
     def to_line(self) -> Line:
-        """Returns the run's part of its result line. The run must have been completed."""
+        """Return the run's part of its result line. The run must have been completed."""
         assert self.listed is not None
         assert self.memory is not None
         assert self.copies is not None
@@ -70,7 +76,7 @@
             "memory": self.memory.to_line(),
             "phases": {name: phase.to_line() for name, phase in self.phases.items()},
             "equal": self.copies.to_line(),
-            "discovery": {**self.discovery.to_line(), "hosts": self.host_count},
+            "discovery": {**self.discovery.to_line(), "hosts": self.endpoint_count},
             "clients": None if self.clients is None else self.clients.to_line(),
             "took_s": round(self.took_s, 1),
             "load_before": round(self.load_before, 2),
@@ -80,7 +86,7 @@
 
 
 def encode_failed_run(size: Size, error: BaseException) -> Line:
-    """Returns the result line's part for a run that was ended early."""
+    """Return the result line's part for a run that failed."""
     return {
         "members": size.members,
         "keys": size.keys,
@@ -91,7 +97,7 @@
 
 
 class ScaleRun:
-    """A run of one size under one seed. Its files and those of its processes are in ``folder``."""
+    """A run of one size with one seed. Its files and those of its processes are in ``folder``."""
 
     def __init__(self, experiment: ScaleExperiment, size: Size, seed: int, folder: Path) -> None:
         self._experiment = experiment
@@ -101,16 +107,21 @@
         self._fleet = Fleet(experiment, size)
         self._ports = PortReservations()
         self._jobs = JobBuilder(experiment, size, self._rng, folder, self._ports)
-        self._hosts = Hosts(experiment.around.hosts, [f"z{zone}" for zone in range(experiment.zones)])
+        self._endpoints = FakeEndpoints(
+            experiment.around.hosts, [f"z{zone}" for zone in range(experiment.zones)]
+        )
         self._discovery: ScaleDiscovery | None = None
         self._processes: list[ChildProcess] = []
         self._clients: Clients | None = None
         self._result = RunResult(size)
 
     async def run(self) -> Line:
-        """Returns the run's part of its result line; all child processes have ended, also after an error.
+        """Run and return the run's part of its result line. All child processes end, even after an error.
 
-        Raises ScaleRunError, BoundExceededError among them, and TimeoutError where processes start slowly.
+        Raises:
+            ScaleRunError: A process failed, members did not become ready, or a bound was exceeded
+                (BoundExceededError).
+            TimeoutError: Processes were not ready in time.
         """
         began_s = time.monotonic()
         self._result.load_before = os.getloadavg()[0]
@@ -131,7 +142,7 @@
         return self._result.to_line()
 
     async def _watch_bounds(self, began_s: float) -> None:
-        """Runs until it is cancelled. Raises BoundExceededError."""
+        """Check memory and duration until cancelled. Raise BoundExceededError if a bound is exceeded."""
         bounds = self._experiment.bounds
         while True:
             memory = sum(process.resident_bytes() for process in self._processes if process.is_started)
@@ -139,7 +150,7 @@
             if memory > bounds.memory_gb * BYTES_PER_GB:
                 raise BoundExceededError(f"memory_gb: {memory / BYTES_PER_GB:.1f} GB in use")
             if time.monotonic() - began_s > bounds.minutes * S_PER_MINUTE:
-                raise BoundExceededError(f"minutes: over {bounds.minutes:g}")
+                raise BoundExceededError(f"minutes: the run took over {bounds.minutes:g}")
             await asyncio.sleep(BOUNDS_CHECK_INTERVAL_S)
 
     async def _tear_down(self) -> None:
@@ -148,10 +159,10 @@
         await asyncio.gather(*(process.stop() for process in self._processes), return_exceptions=True)
         if self._discovery is not None:
             await self._discovery.stop()
-        await self._hosts.stop()
+        await self._endpoints.stop()
         self._ports.close()
 
-    # ------------------------------------------------------------ from the start to the last phase
+    # ------------------------------------------------------------ measurement
 
     async def _measure(self) -> None:
         discovery = await self._start_environment()
@@ -164,19 +175,19 @@
         result = self._result
         result.copies = await phases.members.compare_copies(self._experiment.interval_s)
         result.discovery = discovery.counts()
-        result.host_count = self._hosts.count
+        result.endpoint_count = self._endpoints.count
         result.clients = self._clients.counts() if self._clients is not None else None
 
     async def _start_environment(self) -> ScaleDiscovery:
-        await self._hosts.start()
+        await self._endpoints.start()
         call_s = self._experiment.around.call_ms / MS_PER_S
-        self._discovery = ScaleDiscovery(self._hosts.entries(), call_s)
+        self._discovery = ScaleDiscovery(self._endpoints.entries(), call_s)
         await self._discovery.start()
         return self._discovery
 
     async def _start_processes(self, discovery: ScaleDiscovery) -> None:
-        """Raises TimeoutError when they are not ready in time."""
-        self._processes = self._jobs.build(discovery.address, self._hosts.zones)
+        """Start all child processes. Raise TimeoutError if they are not ready in time."""
+        self._processes = self._jobs.build(discovery.address, self._endpoints.zones)
         self._result.process_count = len(self._processes)
         async with asyncio.timeout(self._experiment.windows.ready_s):
             for process in self._processes:
@@ -185,7 +196,7 @@
                 await process.wait_until_ready()
 
     async def _start_members(self, phases: PhaseRunner) -> None:
-        """Returns once each member has the endpoint list and all configured links are up."""
+        """Start all members. Return once each has the endpoint list and configured links are established."""
         members = phases.members
         result = self._result
         timeout_s = self._experiment.windows.ready_s
@@ -193,20 +204,23 @@
         await members.start_all()
         result.started_s = time.monotonic() - began_s
         result.listed = await members.wait_until_listed(began_s, timeout_s)
-        if self._size.topology != Topology.SEEDS:  # there members choose their links themselves
+        if self._size.topology != Topology.SEEDS:  # with SEEDS, members choose their links themselves
             result.linked_s = await members.wait_until_linked(self._size.link_count, timeout_s)
 
     async def _start_clients(self) -> None:
-        """Returns once all clients are served or the readiness timeout is over; the line has how many are."""
+        """Start the clients. Return once all are connected or the readiness timeout is over.
+
+        Fewer clients than requested do not fail the run; the result line has their number.
+        """
         addresses = self._jobs.relay_addresses
         if not addresses or not self._size.clients:
             return
         self._clients = Clients(addresses, self._size.clients, self._seed)
         self._clients.start()
-        wanted = self._size.clients * len(addresses)
+        requested = self._size.clients * len(addresses)
         began_s = time.monotonic()
         timeout_s = self._experiment.windows.ready_s
-        while self._clients.connected < wanted and time.monotonic() - began_s < timeout_s:
+        while self._clients.connected < requested and time.monotonic() - began_s < timeout_s:
             await asyncio.sleep(CLIENT_POLL_INTERVAL_S)
 
     async def _run_phases(self, phases: PhaseRunner) -> None:
@@ -223,7 +237,7 @@
 async def run_size(
     experiment: ScaleExperiment, size: Size, seed: int, report_progress: Callable[[str], None]
 ) -> Line:
-    """Runs a size. Returns its part of a result line, also where a bound or a failed process ended it."""
+    """Run a size and return its part of a result line, also if a bound or a failed process ended the run."""
     with TemporaryDirectory(prefix="sageturn-scale-") as folder:
         report_progress(f"{size.name} seed {seed}: {size.members} members, {size.keys} keys, {size.spread}")
         try:
--- a/sageturn/lab/scale/store_costs.py
+++ b/sageturn/lab/scale/store_costs.py
@@ -1,6 +1,6 @@
 """Costs of the store by the number of keys: memory, digests, the log, and an operator's command.
 
-The names of the structures' encoded fields are the keys of a cost line.
+The encoded field names of the structs are the keys of a cost line.
 """
 
 from __future__ import annotations
@@ -38,14 +38,14 @@
 
 
 class MemoryCost(Struct, frozen=True):
-    """The memory of a copy, and the number of records in it."""
+    """Memory of a copy in bytes, and the number of its records."""
 
     byte_count: int = field(name="octets")
     record_count: int = field(name="kept")
 
 
 class DigestCost(Struct, frozen=True):
-    """The size of a digest, the processor time to write and to compare it, and its share of a frame."""
+    """Size of a digest, the processor times to write and compare it, and its ratio to the maximum frame."""
 
     byte_count: int = field(name="octets")
     write_s: float
@@ -54,7 +54,7 @@
 
 
 class LogCost(Struct, frozen=True):
-    """The size of a log, the time to make one change durable, and the processor time to read the log."""
+    """Size of a log, the time to make one change durable, and the processor time to read the log."""
 
     byte_count: int = field(name="octets")
     put_s: float
@@ -62,16 +62,16 @@
 
 
 class CommandCost(Struct, frozen=True):
-    """The time until a command has a complete copy, and until it ends; and the records of the copy."""
+    """Times until a command has a complete copy and until it ends, and the number of the copy's records."""
 
     copied_s: float
     done_s: float
     record_count: int = field(name="kept")
 
 
-def store_memory(keys: int) -> MemoryCost:
-    """Measures the bytes that Python holds for a copy whose records came over a link."""
-    text = json.dumps([record.to_json() for record in preload(keys)])
+def store_memory(key_count: int) -> MemoryCost:
+    """Measure the Python memory of a copy whose records were parsed from JSON, as those of a link are."""
+    text = json.dumps([record.to_json() for record in preload(key_count)])
     gc.collect()
     tracemalloc.start()
     store = Store("r0001")
@@ -82,9 +82,9 @@
     return MemoryCost(byte_count, len(store.keys()))
 
 
-def store_digest(keys: int) -> DigestCost:
-    """Measures an exchange of one digest: one side makes and writes it, the other reads and compares it."""
-    store = make_store(keys)
+def store_digest(key_count: int) -> DigestCost:
+    """Measure the exchange of one digest: one end makes and writes it, the other reads and compares it."""
+    store = make_store(key_count)
     text = json.dumps({"digest": store.digest()}, separators=(",", ":"))
 
     def write() -> None:
@@ -95,8 +95,8 @@
             str(key): (int(order[0]), str(order[1])) for key, order in json.loads(text)["digest"].items()
         }
         missing_from(store, received)
-        own = store.digest()
-        all(key in own and own[key] >= order for key, order in received.items())
+        own_digest = store.digest()
+        all(key in own_digest and own_digest[key] >= order for key, order in received.items())
 
     return DigestCost(
         byte_count=len(text),
@@ -106,12 +106,12 @@
     )
 
 
-def store_log(keys: int) -> LogCost:
-    """Measures the log's size on the disk, its reading at a start, and a durable change."""
+def store_log(key_count: int) -> LogCost:
+    """Measure the log's size on disk, reading it at startup, and a durable change."""
     with TemporaryDirectory(prefix="sageturn-costs-") as folder:
         path = Path(folder) / "log"
         store = Store("r0001", path)
-        store.merge(preload(keys))
+        store.merge(preload(key_count))
         byte_count = path.stat().st_size
         began_s = time.perf_counter()
         for number in range(LOG_PUT_COUNT):
@@ -125,29 +125,29 @@
 # ---------------------------------------------------------------- an operator's command
 
 
-def operator_command(keys: int) -> CommandCost:
-    """Measures ``sageturn store --connect``, which makes a short-lived copy; both sides run here."""
+def operator_command(key_count: int) -> CommandCost:
+    """Measure ``sageturn store --connect``, which makes an ephemeral copy; both ends run in this process."""
     address: Future[Address] = Future()
     finished = threading.Event()
-    thread = threading.Thread(target=asyncio.run, args=(_serve_store(keys, address, finished),))
+    thread = threading.Thread(target=asyncio.run, args=(_serve_store(key_count, address, finished),))
     thread.start()
     try:
         server_address = address.result(SERVER_START_TIMEOUT_S)
         began_s = time.perf_counter()
         copied = asyncio.run(_read_and_write(server_address))
         done_s = time.perf_counter()
-        return CommandCost(copied.moment_s - began_s, done_s - began_s, copied.record_count)
+        return CommandCost(copied.complete_s - began_s, done_s - began_s, copied.record_count)
     finally:
         finished.set()
         thread.join()
 
 
-async def _serve_store(keys: int, address: Future[Address], finished: threading.Event) -> None:
-    """Serves a copy by the program's own replication, which the command uses, until ``finished`` is set."""
+async def _serve_store(key_count: int, address: Future[Address], finished: threading.Event) -> None:
+    """Serve a store over the replication that the command uses until ``finished`` is set."""
     spread = Spread.DELTA if find_spec("sageturn.store.replication") else Spread.DIGEST
     replication = make_replication(
         spread,
-        make_store(keys),
+        make_store(key_count),
         LinkOptions(("127.0.0.1", 0), (), read_secret(SECRET)),
         AdmissionController(ProcessLimits(1024, 1024.0)),
         Location("r0001", "z0", "g0"),
@@ -159,14 +159,14 @@
 
 
 class _CompleteCopy(NamedTuple):
-    """The moment at which a copy was complete, and the number of its records."""
+    """Time at which a copy was complete, and the number of its records."""
 
-    moment_s: float
+    complete_s: float
     record_count: int
 
 
 async def _read_and_write(address: Address) -> _CompleteCopy:
-    """Copies the store at ``address``, and puts a change there."""
+    """Copy the store at ``address`` and put a change there."""
     async with open_ephemeral_client(address, read_secret(SECRET)) as store:
         copied_s = time.perf_counter()
         record_count = len(store.keys("shards/"))
--- a/sageturn/lab/scale/units.py
+++ b/sageturn/lab/scale/units.py
@@ -1,4 +1,4 @@
-"""Factors between units."""
+"""Conversion factors between units."""
 
 from __future__ import annotations
 
--- a/sageturn/lab/scale/usage.py
+++ b/sageturn/lab/scale/usage.py
@@ -1,9 +1,9 @@
-"""What a scale run's processes use in a measuring window, a second and a member.
+"""Resource usage of a scale run's processes in a measurement window, per second and member.
 
-Bytes and messages are counted at each member's sockets (``counting``); processor time comes from the kernel
-(``/proc/PID/schedstat``, nanoseconds of the process's one busy thread). An emulated member's share of its
-process's processor time is an even one; for the busiest member it is the share that its messages have of
-the process's messages.
+Bytes and messages are counted at each member's sockets (``counting``). Processor time comes from the kernel:
+``/proc/PID/schedstat`` of the process's one busy thread, in nanoseconds. The mean over emulated members
+divides a process's processor time evenly. The busiest member's processor time is its share of the process's
+messages times the process's processor time.
 """
 
 from __future__ import annotations
@@ -23,16 +23,16 @@
 from sageturn.lab.scale.counting import Counts
 from sageturn.lab.scale.job_files import LinkJob, Role
 
-MAX_UNSATURATED_CORE = 0.85  # of one process over a window
-MAX_UNSATURATED_CORE_PEAK = 0.95  # of one process within one sample
+MAX_UNSATURATED_CORE = 0.85  # maximum mean use of one process in a window that is not saturated
+MAX_UNSATURATED_CORE_PEAK = 0.95  # the same for the maximum of one process in one sample
 PEAK_SAMPLE_INTERVAL_S = 1.0
 
 CONTROL_PURPOSES = ("store", "list")
-MIN_CPU_S = 1e-9  # keeps a ratio to processor time finite
+MIN_CPU_S = 1e-9  # smallest divisor for a ratio to processor time, which avoids a division by 0
 
 
 class MemberRate(NamedTuple):
-    """A count in a second, on average over members and of the member with the highest."""
+    """Rate per second: the mean over members, and the highest of any member."""
 
     mean: float
     maximum: float
@@ -40,15 +40,15 @@
 
 @dataclass(frozen=True, slots=True)
 class RoleUsage:
-    """The use of the members of one role in a window."""
+    """Resource usage of the members of one role in a window; processor time is in cores."""
 
     mean_core: float
     max_core: float
-    traffic: dict[str, MemberRate]  # by purpose and field of the counters, ``store_in_octets``
-    control_bytes: MemberRate  # both ways, of all CONTROL_PURPOSES
+    traffic: dict[str, MemberRate]  # rates by purpose and field of the counters, such as ``store_in_octets``
+    control_bytes: MemberRate  # bytes in both directions over CONTROL_PURPOSES
 
     def to_line(self) -> dict[str, float]:
-        """Returns the role's part of a result line."""
+        """Return the role's part of a result line."""
         line = {"core": round(self.mean_core, 6), "core_busiest": round(self.max_core, 6)}
         for name, rate in {**self.traffic, "octets": self.control_bytes}.items():
             line[name] = round(rate.mean, 1)
@@ -58,32 +58,32 @@
 
 @dataclass(frozen=True, slots=True)
 class UsageByRole:
-    """The use of the processes with members in a window; ``roles`` has those that have any member."""
+    """Resource usage of the processes with members in a window; ``roles`` omits roles without members."""
 
     took_s: float
-    is_saturated: bool  # some process used more than MAX_UNSATURATED_CORE
+    is_saturated: bool  # True if some process used more than MAX_UNSATURATED_CORE
     roles: dict[Role, RoleUsage]
 
 
 @dataclass(frozen=True, slots=True)
 class WindowUsage:
-    """The use of all processes in a window."""
+    """Resource usage of all processes in a window; processor time is in cores."""
 
     by_role: UsageByRole
-    max_link_core: float
-    run_queue_ratio: float  # time in which processes waited for a core, to the time that they used
-    peak_core: float  # of one process
-    peak_cores: float  # of all processes together
-    relay_disk_bytes: list[int]  # since the start of each real relay
-    relay_descriptors: list[int]
+    max_link_core: float  # mean use of the busiest link emulation process
+    run_queue_ratio: float  # ratio of the time that processes waited for a core to the time that they used
+    peak_core: float  # highest use of one process in a sample
+    peak_cores: float  # highest use of all processes together in a sample
+    relay_disk_bytes: list[int]  # bytes written by each real relay since its start
+    relay_descriptors: list[int]  # open descriptors of each real relay
 
     @property
     def is_saturated(self) -> bool:
-        """Whether some process used so much of a core that the window's figures are distorted."""
+        """True if some process used so much of a core that the window's figures are distorted."""
         return self.by_role.is_saturated or self.peak_core > MAX_UNSATURATED_CORE_PEAK
 
     def to_line(self) -> Line:
-        """Returns the window's part of a result line."""
+        """Return the window's part of a result line."""
         return {
             "took_s": round(self.by_role.took_s, 2),
             "saturated": self.is_saturated,
@@ -98,14 +98,14 @@
 
 
 class PeakUsage:
-    """Measures the maximum use of one process, and of all together, in any sample, in cores."""
+    """Sampler of the highest use of one process, and of all processes together, in cores."""
 
     def __init__(self) -> None:
         self.one_process = 0.0
         self.all_processes = 0.0
 
     async def sample_forever(self, processes: Sequence[ChildProcess]) -> None:
-        """Runs until it is cancelled."""
+        """Sample every ``PEAK_SAMPLE_INTERVAL_S`` until cancelled."""
         before_cpu_s = [process.cpu_s() for process in processes]
         before_s = time.monotonic()
         while True:
@@ -124,16 +124,16 @@
 
 @dataclass(frozen=True, slots=True)
 class UsageSnapshot:
-    """Counters of all processes at one moment, each since the process's start."""
+    """Counters of all processes at one time, each counted since its process's start."""
 
-    counts: list[list[Counts]]  # by process with members, and by member
+    counts: list[list[Counts]]  # one list for each process with members, with one entry for each member
     member_cpu_s: list[float]
     link_cpu_s: list[float]
     run_queue_s: float
 
     @classmethod
     def take(cls, processes: Sequence[ChildProcess]) -> UsageSnapshot:
-        """Reads the counters of all processes now."""
+        """Read the counters of all processes now."""
         counts = []
         member_cpu_s = []
         link_cpu_s = []
@@ -152,7 +152,7 @@
         )
 
     def since(self, before: UsageSnapshot) -> UsageSnapshot:
-        """Returns the use from ``before`` to this snapshot."""
+        """Return the increase of all counters from ``before`` to this snapshot."""
         return UsageSnapshot(
             [
                 [count.since(earlier) for count, earlier in zip(counts, earlier_counts, strict=True)]
@@ -169,7 +169,7 @@
 
 
 class UsageWindow:
-    """Measures from its construction until ``finish``."""
+    """Measurement window, from its construction until ``finish``."""
 
     def __init__(self, processes: Sequence[ChildProcess]) -> None:
         self._processes = processes
@@ -179,11 +179,11 @@
         self._sampling = asyncio.ensure_future(self._peaks.sample_forever(processes))
 
     def close(self) -> None:
-        """Stops sampling. Call it also when the window's work failed."""
+        """Stop sampling. Call it even if the measured work failed."""
         self._sampling.cancel()
 
     def finish(self) -> WindowUsage:
-        """Returns the use from the construction until now."""
+        """Return the resource usage since construction."""
         took_s = time.monotonic() - self._began_s
         used = UsageSnapshot.take(self._processes).since(self._before)
         members = [process for process in self._processes if process.member_names]
@@ -202,13 +202,13 @@
         )
 
 
-# ---------------------------------------------------------------- per role
+# ---------------------------------------------------------------- usage by role
 
 
 def usage_by_role(
     roles: Sequence[str], counts: Sequence[Sequence[Counts]], cpu_s: Sequence[float], took_s: float
 ) -> UsageByRole:
-    """Returns the use of members by role. Pure; each list has one entry for each process."""
+    """Return the usage of members by role. Each sequence has one entry for each process with members."""
     usage = UsageByRole(took_s, any(used_s / took_s > MAX_UNSATURATED_CORE for used_s in cpu_s), {})
     for role in (Role.EMULATED, Role.REAL):
         processes = [
@@ -222,13 +222,13 @@
 
 
 class _ProcessUsage(NamedTuple):
-    """The use of one process: the counts of its members, and its processor time."""
+    """Usage of one process: the counts of its members, and its processor time."""
 
     counts: Sequence[Counts]
     cpu_s: float
 
     def busiest_member_cpu_s(self) -> float:
-        """Returns the process's time times the share of messages that its busiest member has."""
+        """Return the process's processor time times its busiest member's share of control messages."""
         messages = [
             count.sum("in_messages", *CONTROL_PURPOSES) + count.sum("out_messages", *CONTROL_PURPOSES)
             for count in self.counts
--- a/tests/lab/test_scale_counting.py
+++ b/tests/lab/test_scale_counting.py
@@ -12,7 +12,7 @@
 
 from sageturn.lab.scale import counting
 from sageturn.lab.scale.arrivals import summarize_durations
-from sageturn.lab.scale.counting import CountingSocket, Counts, owned
+from sageturn.lab.scale.counting import CountingSocket, Counts, socket_owner
 from sageturn.lab.scale.job_files import Role
 from sageturn.lab.scale.usage import WindowUsage, usage_by_role
 
@@ -25,23 +25,25 @@
     with socket.socket() as listener:
         listener.bind(("127.0.0.1", 0))
         listener.listen()
-        with owned(1, "store"):
-            ours = CountingSocket(socket.AF_INET, socket.SOCK_STREAM)
-        with owned(0, "list"):
+        with socket_owner(1, "store"):
+            counted = CountingSocket(socket.AF_INET, socket.SOCK_STREAM)
+        with socket_owner(0, "list"):
             other = CountingSocket(socket.AF_INET, socket.SOCK_STREAM)
-        stray = CountingSocket(socket.AF_INET, socket.SOCK_STREAM)
-        ours.connect(listener.getsockname())
-        theirs, _ = listener.accept()
-        assert ours.send(b"abc") == 3 and ours.sendmsg((b"de", b"f")) == 3
-        theirs.sendall(bytes(1000))
+        unowned = CountingSocket(socket.AF_INET, socket.SOCK_STREAM)
+        counted.connect(listener.getsockname())
+        accepted, _ = listener.accept()
+        assert counted.send(b"abc") == 3 and counted.sendmsg((b"de", b"f")) == 3
+        accepted.sendall(bytes(1000))
         buffer = bytearray(600)
-        assert ours.recv_into(buffer) == 600 and len(ours.recv(600)) == 400
-        # struct tcp_info: octets that the other side has acknowledged, and octets that came in
-        _, received = struct.unpack_from("QQ", ours.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 160), 120)
-        for sock in (ours, other, stray, theirs):
+        assert counted.recv_into(buffer) == 600 and len(counted.recv(600)) == 400
+        # Fields of struct tcp_info: bytes that the peer has acknowledged, and bytes received.
+        _, received = struct.unpack_from(
+            "QQ", counted.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 160), 120
+        )
+        for sock in (counted, other, unowned, accepted):
             sock.close()
     file.write_bytes(flat.tobytes())
-    nobody, counts = counting.read_file(file, 2)
+    other_counts, counts = counting.read_file(file, 2)
     assert counts.values["store"] == {
         "in_octets": 1000,
         "out_octets": 6,
@@ -49,7 +51,7 @@
         "out_messages": 2,
     }
     assert received == 1000
-    assert counts.sum("in_octets", "list", "client") == 0 and nobody.sum("out_octets") == 0
+    assert counts.sum("in_octets", "list", "client") == 0 and other_counts.sum("out_octets") == 0
     assert counts.since(counts).sum("in_octets") == 0
 
 
@@ -63,21 +65,21 @@
             sock.connect(("127.0.0.1", 9))
             sock.send(b"12345")
 
-    with owned(0, "store"):
+    with socket_owner(0, "store"):
         task = asyncio.ensure_future(dial())
     await task
     counts = counting._counters
     assert counts is not None and sorted(counts.tolist())[-2:] == [1, 5]
 
 
-def counts_of(messages: int, octets: int) -> Counts:
+def make_counts(messages: int, octets: int) -> Counts:
     empty = dict.fromkeys(counting.FIELDS, 0)
     store = {**empty, "in_messages": messages, "in_octets": octets}
     return Counts({purpose: dict(store if purpose == "store" else empty) for purpose in counting.PURPOSES})
 
 
 def test_processor_time_is_divided_evenly_and_by_messages_for_the_busiest() -> None:
-    rows = [[counts_of(10, 100), counts_of(30, 300)], [counts_of(40, 400)]]
+    rows = [[make_counts(10, 100), make_counts(30, 300)], [make_counts(40, 400)]]
     usage = usage_by_role(["hollow", "real"], rows, [0.4, 0.5], 10.0)
     emulated = usage.roles[Role.EMULATED].to_line()
     relay = usage.roles[Role.REAL].to_line()
@@ -88,7 +90,7 @@
 
 
 def make_window_usage(core: float, peak_core: float) -> WindowUsage:
-    counts = [[counts_of(10, 100)]]
+    counts = [[make_counts(10, 100)]]
     return WindowUsage(
         by_role=usage_by_role(["hollow"], counts, [core * 10.0], 10.0),
         max_link_core=0.5,
@@ -125,13 +127,13 @@
     }
 
 
-def test_a_process_saturates_a_window_by_its_mean_or_by_its_peak() -> None:
+def test_a_window_is_saturated_by_the_mean_or_the_peak_of_a_process() -> None:
     assert make_window_usage(core=0.5, peak_core=0.95).to_line()["saturated"] is False
     assert make_window_usage(core=0.5, peak_core=0.96).to_line()["saturated"] is True
     assert make_window_usage(core=0.86, peak_core=0.9).to_line()["saturated"] is True
 
 
-def test_durations_are_encoded_with_those_that_never_arrived() -> None:
+def test_encoded_durations_count_those_that_never_ended() -> None:
     assert summarize_durations([]).to_line() == {"n": 0}
     encoded = summarize_durations([0.1] * 98 + [5.0, float("inf")]).to_line()
     assert (encoded["p50"], encoded["p99"], encoded["worst"]) == (0.1, 5.0, None)
--- a/tests/lab/test_scale_fits.py
+++ b/tests/lab/test_scale_fits.py
@@ -27,8 +27,8 @@
     rows = [[1.0, members] for members in (10.0, 20.0, 40.0, 80.0)]
     line = fit(("1", "n"), rows, [5.0 + 3.0 * members for _, members in rows])
     assert line.values == pytest.approx((5.0, 3.0)) and line.is_linear and line.r2 == pytest.approx(1.0)
-    middle, low, high = line.estimate([1.0, 160.0])
-    assert middle == pytest.approx(485.0) and low == pytest.approx(middle) == high
+    estimated, low, high = line.estimate([1.0, 160.0])
+    assert estimated == pytest.approx(485.0) and low == pytest.approx(estimated) == high
     bent = fit(("1", "n"), rows, [members * members for _, members in rows])
     assert not bent.is_linear and bent.max_residual > 0.2
     _, low, high = bent.estimate([1.0, 160.0])
@@ -40,7 +40,7 @@
     assert not fit(("1", "n"), rows, [2.0 * members for _, members in rows]).is_linear
     again = [*rows, rows[0]]
     assert not fit(("1", "n"), again, [2.0 * members for _, members in again]).is_linear, (
-        "the same size twice is one"
+        "the same size twice counts as one size"
     )
 
 
@@ -53,7 +53,7 @@
         ([[1.0], [1.0]], [1.0, 2.0]),
     ],
 )
-def test_sizes_that_determine_no_slope_are_refused(rows: list[list[float]], values: list[float]) -> None:
+def test_sizes_that_determine_no_fit_are_rejected(rows: list[list[float]], values: list[float]) -> None:
     with pytest.raises(FitError):
         fit(("1", "n"), rows, values)
 
@@ -64,7 +64,7 @@
     st.lists(st.floats(-0.04, 0.04), min_size=6, max_size=6),
     st.integers(0, 5),
 )
-def test_noise_widens_the_interval_and_magnitude_has_no_weight(
+def test_the_interval_covers_noise_and_the_fit_does_not_depend_on_magnitude(
     constant: float, slope: float, noise: list[float], scaled: int
 ) -> None:
     rows = [[1.0, float(members)] for members in (1, 3, 10, 30, 100, 300)]
@@ -73,9 +73,9 @@
     ]
     line = fit(("1", "n"), rows, values)
     assert line.low[1] <= line.values[1] <= line.high[1]
-    times = 10.0**scaled
-    again = fit(("1", "n"), rows, [value * times for value in values])
-    assert again.values[1] == pytest.approx(line.values[1] * times, rel=1e-6)
+    scale = 10.0**scaled
+    again = fit(("1", "n"), rows, [value * scale for value in values])
+    assert again.values[1] == pytest.approx(line.values[1] * scale, rel=1e-6)
     assert again.max_residual == pytest.approx(line.max_residual, rel=1e-6, abs=1e-9)
 
 
@@ -88,7 +88,7 @@
         fit_exponent(sizes[:2], [1.0, 2.0])
 
 
-def run_line(members: int, keys: int, octets: float, **more: object) -> dict[str, object]:
+def make_run_line(members: int, keys: int, octets: float, **more: object) -> dict[str, object]:
     used = {"octets": octets, "octets_most": octets, "core": octets / 1e6, "core_busiest": octets / 1e6}
     phase = {"saturated": False, "hollow": used}
     last = {"last": summarize_durations([0.1, 0.2]).to_line()}
@@ -110,10 +110,10 @@
 
 def test_a_larger_size_is_predicted_from_usable_runs_and_compared_after_its_run() -> None:
     lines = [
-        run_line(members, keys, (members - 1) * (70.0 + 27.0 * keys))
+        make_run_line(members, keys, (members - 1) * (70.0 + 27.0 * keys))
         for members, keys in ((4, 10), (8, 10), (4, 100), (8, 200))
     ]
-    saturated = run_line(16, 1000, 1.0)
+    saturated = make_run_line(16, 1000, 1.0)
     saturated["phases"]["idle"]["saturated"] = True  # type: ignore[index]
     lines += [saturated, {"failed": "minutes", "spread": "digest"}]
     size = Size("m32", 32, keys=100)
@@ -121,9 +121,9 @@
     assert predictions["octets"].value == pytest.approx(31 * (70.0 + 2700.0))
     assert fit_runs(lines, "digest")["octets"].size_count == 4 and fit_runs(lines, "delta") == {}
     predicted = encode_predictions(predictions)
-    came = compare_predictions(run_line(32, 100, 31 * 2770.0 * 3.0, predicted=predicted))
-    assert came["predicted"]["octets"]["inside"] is False
-    assert came["predicted"]["octets"]["ratio"] == pytest.approx(3.0)
+    compared = compare_predictions(make_run_line(32, 100, 31 * 2770.0 * 3.0, predicted=predicted))
+    assert compared["predicted"]["octets"]["inside"] is False
+    assert compared["predicted"]["octets"]["ratio"] == pytest.approx(3.0)
     unmeasured = encode_predictions(predictions)
     failed = compare_predictions({"failed": "memory_gb", "predicted": unmeasured})
     assert failed["predicted"]["octets"].keys() == {"value", "low", "high", "fit"}
@@ -131,15 +131,15 @@
 
 
 def test_terms_that_the_sizes_do_not_separate_are_fitted_as_one() -> None:
-    lines = [run_line(members, 100, (members - 1) * 2700.0) for members in (4, 8, 16, 32)]
+    lines = [make_run_line(members, 100, (members - 1) * 2700.0) for members in (4, 8, 16, 32)]
     assert fit_runs(lines, "digest")["octets"].terms == ("links",)
-    chatty = [
-        run_line(members, 100, (members - 1) * (2700.0 + 190.0 * members / 5.0), state_s=5.0)
+    lines_with_state = [
+        make_run_line(members, 100, (members - 1) * (2700.0 + 190.0 * members / 5.0), state_s=5.0)
         for members in (4, 8, 16, 32)
     ]
-    slope = fit_runs(chatty, "digest")["octets"]
+    slope = fit_runs(lines_with_state, "digest")["octets"]
     assert slope.terms == ("links", "links*news") and slope.values == pytest.approx((2700.0, 190.0))
-    predicted = predict(chatty, Size("m64", 64, keys=100, state_s=5.0))
+    predicted = predict(lines_with_state, Size("m64", 64, keys=100, state_s=5.0))
     assert predicted["octets"].value == pytest.approx(63 * (2700.0 + 190.0 * 64 / 5.0))
 
 
@@ -147,14 +147,14 @@
     lines = []
     for clients in (250, 500, 1000, 2000):
         memory = {"real_mb": [30.0 + 0.04 * clients]}
-        line = run_line(2, 100, 2700.0, real=1, clients_each=clients, memory=memory)
+        line = make_run_line(2, 100, 2700.0, real=1, clients_each=clients, memory=memory)
         idle = line["phases"]["idle"]  # type: ignore[index]
         idle["real"] = {"octets": 3700.0, "core": 0.003 + 6e-5 * clients}
         lines.append(line)
     found = fit_runs(lines, "digest")
     assert found["real_core"].values == pytest.approx((0.003, 6e-5))
     assert found["real_mb"].values == pytest.approx((30.0, 0.04))
-    assert "octets" not in found, "there is one size of links"
+    assert "octets" not in found, "all lines have the same number of links"
     predicted = predict(lines, Size("c4000", 2, real=1, clients=4000))
     assert predicted["real_mb"].value == pytest.approx(190.0)
     assert predict(lines, Size("c0", 2, real=1)) == {}
@@ -165,8 +165,8 @@
     results = Results(tmp_path / "r.jsonl")
     results.start({"experiment": {"name": "x"}, "policies": {}, "revision": "abc"})
     for members, keys in ((4, 10), (8, 10), (4, 100), (8, 200)):
-        results.add(run_line(members, keys, (members - 1) * (70.0 + 27.0 * keys)))
-    results.add({**run_line(99, 5, 1.0), "failed": "Overrun: minutes: over 1"})
+        results.add(make_run_line(members, keys, (members - 1) * (70.0 + 27.0 * keys)))
+    results.add({**make_run_line(99, 5, 1.0), "failed": "Overrun: minutes: over 1"})
     rows = table(results)
     assert len(rows) == 1 + 4 * 2 + 1 and {len(row) for row in rows} == {17}
     assert rows[-1][-1].startswith("Overrun")
--- a/tests/lab/test_scale_plan.py
+++ b/tests/lab/test_scale_plan.py
@@ -1,4 +1,4 @@
-"""Experiment files of scale runs: what is refused, and how an error is reported."""
+"""Experiment files of scale runs: which are rejected, and how an error is reported."""
 
 from __future__ import annotations
 
