--- a/sageturn/lab/scale/fit.py
+++ b/sageturn/lab/scale/fit.py
@@ -86,7 +86,7 @@
     term_values = np.array(rows, dtype=float)
     measured = np.array(results, dtype=float)
     if len(measured) < len(terms) or term_values.shape != (len(measured), len(terms)):
-        raise FitError(f"{len(measured)} sizes are too few to fit {len(terms)} terms")
+        raise FitError(f"{len(measured)} sizes cannot be fitted to {len(terms)} terms")
     if not (measured > 0).all():
         raise FitError("measured values must be above 0")
     weighted = term_values / measured[:, None]
--- a/sageturn/lab/scale/relay_costs.py
+++ b/sageturn/lab/scale/relay_costs.py
@@ -121,7 +121,7 @@
         repeats=1,
     )
     load = _RequestLoad(balancer)
-    load.run_batch()  # warm-up batch, not measured
+    load.run_batch()  # warm-up batch, not timed
     request_s = min_cpu_s(load.run_batch, MEASURED_BATCHES) / REQUESTS_PER_BATCH
     draining = [decision.Endpoint("h00001", decision.EndpointStatus.DRAINING, zone="z1")]
     change_s = min_cpu_s(
@@ -132,7 +132,7 @@
 
 
 def flow_record(name_length: int) -> FlowCost:
-    """Measure encoding an ended connection's flow record; class and tenant names have ``name_length``."""
+    """Measure encoding an ended connection's flow record; class and tenant names are ``name_length`` long."""
     request = ClientRequest("c" * name_length, "t" * name_length, REQUEST_TIMEOUT_MS)
     record = ConnectionRecord(request, 1.0, client_address=("10.0.0.1", 40000))
     record.endpoint = "h"
