--- a/sageturn/cli/lab.py
+++ b/sageturn/cli/lab.py
@@ -134,7 +134,7 @@
 
 
 def _difference_row(difference: Difference) -> list[str]:
-    settled = "settled" if difference.settled else f"{difference.needed_pairs:g} pairs would settle it"
+    settled = "settled" if difference.is_significant else f"{difference.needed_pairs:g} pairs would settle it"
     return [
         difference.scenario or "all",
         str(difference.pairs),
--- a/sageturn/lab/demo.py
+++ b/sageturn/lab/demo.py
@@ -24,8 +24,8 @@
 
 SPEC = FleetSpec(
     relays=1,
-    hosts=6,
-    initial_hosts=4,
+    endpoints=6,
+    initial_endpoints=4,
     connections=400,
     mean_lifetime_s=300.0,
     join_s=8.0,
--- a/sageturn/lab/faults/__init__.py
+++ b/sageturn/lab/faults/__init__.py
@@ -1,1 +1,1 @@
-"""Faults of a simulated day, and their injection into the simulated fleet."""
+"""Faults of a simulated run, and their injection into the simulated fleet."""
--- a/sageturn/lab/loopback/client_connection.py
+++ b/sageturn/lab/loopback/client_connection.py
@@ -1,4 +1,4 @@
-"""One connection of a client on a loopback socket: the request, its answer, messages, and the end."""
+"""Connection of a client on a loopback socket: its request, the response, messages, and the end."""
 
 from __future__ import annotations
 
@@ -12,58 +12,58 @@
 from sageturn.lab.model.sampling import Client, ClientSampler
 
 MESSAGE_INTERVAL_S = 2.0
-INITIAL_CONNECTION_TIMEOUT_MS = 30000  # for all connections from before the run, made at once
+INITIAL_CONNECTION_TIMEOUT_MS = 30000  # timeout of the initial connections, which are made together
 MAX_MESSAGE_US = 60_000_000
 
 
 class ConnectionOwner(Protocol):
-    """The part of a client population that a connection reports to."""
+    """Interface of a client population that a connection uses."""
 
     spec: FleetSpec
     sampler: ClientSampler
 
     def next_request_id(self) -> str:
-        """Returns a new request id."""
+        """Return a new request id."""
 
     def on_established(self, connection: ClientConnection, setup_s: float) -> None:
-        """Called when the connection is established."""
+        """Handle an established connection; ``setup_s`` is the time since the client requested it."""
 
     def on_closed(self, connection: ClientConnection) -> None:
-        """Called when the connection is closed."""
+        """Handle the end of a connection, established or not."""
 
     def count(self, event: ClientEvent) -> None:
-        """Counts an event."""
+        """Count an event."""
 
     def record_message(self, class_index: int, duration_us: int) -> None:
-        """Records the time of a message to its answer."""
+        """Record the time between a message and its answer, in microseconds."""
 
 
 class ClientConnection(LineProtocol):
-    """A connection through a relay; ``initial_host`` is its host if it was established before the run."""
+    """Connection through a relay; ``initial_endpoint`` is the endpoint of one that predates the run."""
 
-    def __init__(self, owner: ConnectionOwner, client: Client, relay: int, initial_host: str) -> None:
+    def __init__(self, owner: ConnectionOwner, client: Client, relay: int, initial_endpoint: str) -> None:
         super().__init__()
         self.client = client
         self.relay = relay
-        self.initial_host = initial_host
-        self.host = ""
+        self.initial_endpoint = initial_endpoint
+        self.endpoint = ""
         self.closed = asyncio.Event()
         self.established = False
         self.migrated = False
-        self.finished = False  # closed by the client itself, at the end of its lifetime
+        self.finished = False  # True if the client closed it at the end of its lifetime
         self.retry_after_s = 0.0
         self._owner = owner
         self._established_s = 0.0
-        self._message_sent_s: float | None = None  # None while no answer is outstanding
+        self._message_sent_s: float | None = None  # None if no answer is outstanding
         self._lifetime_timers: list[asyncio.TimerHandle] = []
         self._message_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Sends the request, and starts its timeout."""
+        """Send the request, and start its timeout."""
         super().connection_made(transport)
         class_spec = self._owner.spec.classes[self.client.class_index]
         timeout_ms = round(class_spec.client_timeout_ms)
-        if self.initial_host:
+        if self.initial_endpoint:
             timeout_ms = INITIAL_CONNECTION_TIMEOUT_MS
         self.write(self._encode_request(class_spec.name, timeout_ms))
         loop = asyncio.get_running_loop()
@@ -77,8 +77,8 @@
             values.append(f"g={client.group}")
         if client.attempts:
             values.append("again=1")
-        if self.initial_host:
-            values.append(f"at={self.initial_host}")
+        if self.initial_endpoint:
+            values.append(f"at={self.initial_endpoint}")
         return f"OPEN {self._owner.next_request_id()} {client.key} {','.join(values)}\r\n".encode()
 
     def _on_timeout(self) -> None:
@@ -87,7 +87,7 @@
             self.abort()
 
     def on_line(self, line: bytes) -> None:
-        """Handles a line of the relay."""
+        """Handle a line from the relay."""
         if self.established:
             self._on_message(line)
         elif line.startswith(b"UP "):
@@ -103,10 +103,10 @@
             self._owner.record_message(self.client.class_index, min(duration_us, MAX_MESSAGE_US))
             self._message_sent_s = None
 
-    def _on_up(self, host: str) -> None:
+    def _on_up(self, endpoint: str) -> None:
         loop = asyncio.get_running_loop()
         self.established = True
-        self.host = host
+        self.endpoint = endpoint
         self._established_s = loop.time()
         assert self.client.waiting_since_s is not None
         self._owner.on_established(self, loop.time() - self.client.waiting_since_s)
@@ -121,7 +121,7 @@
             self.retry_after_s = int(words[1]) / 1000.0
 
     def _send_message(self) -> None:
-        """Sends a message, unless the last one has no answer yet, and schedules the next."""
+        """Send a message unless the previous one is unanswered, and schedule the next."""
         if self._message_sent_s is None:
             self._message_sent_s = time.monotonic()
             self.write(b"M 1\r\n")
@@ -132,7 +132,7 @@
         self.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Stops all timers, and takes the time off the client's lifetime."""
+        """Stop all timers, and subtract the connected time from the client's lifetime."""
         for timer in self._lifetime_timers:
             timer.cancel()
         if self._message_timer is not None:
--- a/sageturn/lab/loopback/fakes.py
+++ b/sageturn/lab/loopback/fakes.py
@@ -1,4 +1,4 @@
-"""Fakes of a relay's environment on loopback sockets: live hosts of the line protocol, and discovery."""
+"""Fakes of a relay's environment on loopback sockets: endpoints with the line protocol, and discovery."""
 
 from __future__ import annotations
 
@@ -23,18 +23,18 @@
 
 
 class LineProtocol(asyncio.Protocol):
-    """A connection that is read line by line; subclasses implement ``on_line``."""
+    """Connection that is read line by line; subclasses implement ``on_line``."""
 
     def __init__(self) -> None:
         self.transport: asyncio.Transport | None = None
         self._partial_line = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keeps the transport."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's own has another base class
+        """Store the transport."""
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's transport is not a subclass
 
     def data_received(self, data: bytes) -> None:
-        """Splits the data into lines; a connection with too long a line is aborted."""
+        """Split the data into lines; abort the connection if a line exceeds ``MAX_LINE_BYTES``."""
         *lines, self._partial_line = (self._partial_line + data).split(b"\n")
         if len(self._partial_line) > MAX_LINE_BYTES:
             self.abort()
@@ -42,28 +42,28 @@
             self.on_line(line.rstrip(b"\r"))
 
     def on_line(self, line: bytes) -> None:
-        """Handles a line, without its end."""
+        """Handle a line, which has no line terminator."""
         raise NotImplementedError
 
     def write(self, data: bytes) -> None:
-        """Sends data, unless the connection is closing."""
+        """Send data, unless the connection is closing."""
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write(data)
 
     def close(self) -> None:
-        """Closes the connection once all data is sent."""
+        """Close the connection once all data is sent."""
         if self.transport is not None:
             self.transport.close()
 
     def abort(self) -> None:
-        """Closes the connection at once."""
+        """Close the connection at once."""
         if self.transport is not None:
             self.transport.abort()
 
 
 @dataclass(frozen=True, slots=True)
 class OpenRequest:
-    """The request line of a client: ``OPEN id key name=value,...``."""
+    """Request line of a client: ``OPEN id key name=value,...``."""
 
     request_id: str
     client_key: str
@@ -71,7 +71,7 @@
 
 
 def parse_open_request(line: bytes) -> OpenRequest | None:
-    """Returns the request in a line; None if it isn't an OPEN line."""
+    """Return the request in a line; None if the line is no valid OPEN request."""
     words = line.decode("ascii", "replace").split(" ")
     if len(words) != OPEN_WORD_COUNT or words[0] != "OPEN":
         return None
@@ -80,10 +80,10 @@
 
 
 class FakeEndpoint:
-    """A live host on a socket of its own, which behaves as its model says.
+    """Endpoint on a listening socket, which behaves according to its model.
 
-    ``setup_requested_s`` has when each new connection asked for its set-up, on the system's monotonic clock,
-    and ``malformed_requests`` counts first lines in a form that no client sends.
+    ``setup_requested_s`` has the times of the latest set-up requests on the system's monotonic clock, and
+    ``malformed_requests`` is the number of first lines that are no valid OPEN request.
     """
 
     def __init__(self, model: EndpointModel, work_us_per_load: float) -> None:
@@ -96,7 +96,7 @@
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listens on a free port."""
+        """Listen on a free port."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
             lambda: _EndpointConnection(self), LOOPBACK, 0, backlog=LISTEN_BACKLOG
@@ -104,16 +104,16 @@
         self.address = self._server.sockets[0].getsockname()[:2]
 
     async def stop(self) -> None:
-        """Stops listening, and aborts all connections."""
+        """Stop listening, and abort all connections."""
         self._abort_all()
 
     def crash(self) -> None:
-        """Stops for good, as a host does that was overloaded while it was cold."""
+        """Mark the model as crashed, stop listening, and abort all connections."""
         self.model.crashed = True
         self._abort_all()
 
     async def drain(self, duration_s: float) -> None:
-        """Rejects new connections, and closes the present ones one after another."""
+        """Reject new connections, and close the existing ones one by one over ``duration_s``."""
         self.model.draining = True
         closing = list(self.connections)
         for connection in closing:
@@ -129,7 +129,7 @@
 
 
 class _EndpointConnection(LineProtocol):
-    """A connection of a relay: an OPEN line, its answer after the set-up, and then an echo of each line."""
+    """Connection of a relay: an OPEN line, the response after the set-up, then an echo of each line."""
 
     def __init__(self, endpoint: FakeEndpoint) -> None:
         super().__init__()
@@ -165,7 +165,7 @@
             return
         self._load = float(request.values.get("h", "0")) / self._endpoint.work_us_per_load
         self._group = request.values.get("g", "")
-        if "at" in request.values:  # it was established before the relay started
+        if "at" in request.values:  # the connection predates the relay
             self._establish()
             return
         self._endpoint.setup_requested_s.append(time.monotonic())
@@ -194,7 +194,10 @@
 
 @dataclass
 class FakeDiscovery:
-    """A discovery service: a full list to each watcher, and then every change; ``entries`` makes the list."""
+    """Discovery service that sends each watcher a full list and then every change.
+
+    ``entries`` returns the entries of the full list.
+    """
 
     entries: Callable[[], list[JsonObject]]
     address: tuple[str, int] = (LOOPBACK, 0)
@@ -203,30 +206,30 @@
     _server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listens on a free port."""
+        """Listen on a free port."""
         self._server = await asyncio.start_server(self._serve, LOOPBACK, 0)
         self.address = self._server.sockets[0].getsockname()[:2]
 
     async def stop(self) -> None:
-        """Stops listening, and closes all watches."""
+        """Stop listening, and close all watches."""
         if self._server is not None:
             self._server.close()
         for writer in list(self._watchers):
             writer.close()
 
     def full_list(self) -> JsonObject:
-        """Returns the full list as it is written to watchers."""
+        """Return the full list in the form that is sent to watchers."""
         return {"version": self.version, "full": True, "servers": self.entries()}
 
     def publish(self, entries: list[JsonObject]) -> None:
-        """Sends changed entries to all watchers."""
+        """Send changed entries to all watchers."""
         self.version += 1
         event = _encode_event({"version": self.version, "full": False, "servers": entries})
         for writer in list(self._watchers):
             writer.write(event)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        # Watches end with the run, and their errors with them.
+        # The end of a run interrupts its watches; the resulting errors are expected.
         with suppress(OSError, asyncio.IncompleteReadError, asyncio.CancelledError):
             await reader.readuntil(b"\r\n\r\n")
             event = _encode_event(self.full_list())
@@ -244,6 +247,6 @@
 
 
 def _encode_event(event: JsonObject) -> bytes:
-    """Encodes one watch event as a JSON line in an HTTP chunk."""
+    """Encode one watch event as a JSON line in an HTTP chunk."""
     line = json.dumps(event).encode() + b"\n"
     return b"%x\r\n%s\r\n" % (len(line), line)
--- a/sageturn/lab/loopback/naive_relay.py
+++ b/sageturn/lab/loopback/naive_relay.py
@@ -1,4 +1,4 @@
-"""A relay for the lab: the real program, with the naive planner in place of the rebalancer's."""
+"""Relay for the lab: the production program with the naive planner instead of the rebalance planner."""
 
 from __future__ import annotations
 
@@ -18,28 +18,28 @@
 
 
 class NaiveRebalancing(RebalancingSubsystem):
-    """Runs the naive planner where the operator's file has rebalancing on, and never changes its options."""
+    """Subsystem that runs the naive planner if the operator file sets rebalancing to on."""
 
     def apply_options(self, options: RebalanceOptions | None, actors: ActorSupervisor) -> None:
-        """Turns the naive planner on; later options are ignored."""
+        """Start the naive planner with the first options whose mode is on; ignore all later ones."""
         if options is not None and options.mode == RebalanceMode.ON and self.rebalancer is None:
             self.run_rebalancer(self.make_rebalancer(NaiveRebalancer, options), actors)
 
 
 class NaiveRelay(Relay):
-    """A relay whose rebalancing is the naive baseline."""
+    """Relay whose rebalancing is the naive baseline."""
 
     rebalancing_type = NaiveRebalancing
 
 
 def main() -> int:
-    """Runs one such relay until it is told to stop. Returns the exit code."""
+    """Run the relay until it is stopped by a signal. Return the exit code."""
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
     parser = argparse.ArgumentParser(prog="sageturn.lab.loopback.naive_relay", description=__doc__)
     parser.add_argument("--operator", metavar="FILE", required=True)
-    settled = load(operator_file=parser.parse_args().operator)
-    logging.basicConfig(level=settled.log_level, format="%(asctime)s %(levelname)s %(name)s: %(message)s")
-    uvloop.run(NaiveRelay(settled).run())
+    config = load(operator_file=parser.parse_args().operator)
+    logging.basicConfig(level=config.log_level, format="%(asctime)s %(levelname)s %(name)s: %(message)s")
+    uvloop.run(NaiveRelay(config).run())
     return 0
 
 
--- a/sageturn/lab/loopback/ports.py
+++ b/sageturn/lab/loopback/ports.py
@@ -1,4 +1,4 @@
-"""Free ports on loopback for relays that a run starts."""
+"""Reservation of free ports on loopback."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 
 class ReservedPort(NamedTuple):
-    """A port that nobody else on this machine is given while the socket is open."""
+    """Port that the system assigns to no other process while ``socket`` is open."""
 
     socket: socket.socket
     port: int
 
 
 def reserve_port() -> ReservedPort:
-    """Reserves a free port; a program that sets SO_REUSEADDR can listen on it meanwhile."""
+    """Reserve a free port; a program that sets SO_REUSEADDR can listen on it."""
     reserved = socket.socket()
     reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     reserved.bind(("127.0.0.1", 0))
--- a/sageturn/lab/loopback/relay_processes.py
+++ b/sageturn/lab/loopback/relay_processes.py
@@ -1,4 +1,4 @@
-"""Relay processes on loopback: their configuration, start, end and published states."""
+"""Relay processes on loopback: their configuration, start, stop and published states."""
 
 from __future__ import annotations
 
@@ -22,20 +22,20 @@
 PONG_TIMEOUT_S = 2.0
 RELAY_LIMITS = {"cores": 1.0, "memory_mb": 1024, "sockets": 16384}
 
-OperatorSections = Callable[[int, Path], JsonObject]  # further sections, by relay and its folder
+OperatorSections = Callable[[int, Path], JsonObject]  # arguments: the relay and its folder
 
 
 @dataclass(frozen=True, slots=True)
 class RelayOptions:
-    """Rebalancing options of all relays; ``sections`` adds to a relay's operator file."""
+    """Rebalancing options of all relays; ``sections`` returns further sections of an operator file."""
 
     planner: PlannerKind
-    rebalance: JsonObject  # by the keys of the operator's file
+    rebalance: JsonObject  # keys of the section ``rebalance`` of the operator file
     sections: OperatorSections | None = None
 
 
 class LoopbackRelays:
-    """The relays of a fleet as processes, each with a folder of its own."""
+    """Processes of a fleet's relays, each with its own folder."""
 
     def __init__(self, spec: FleetSpec, options: RelayOptions, folder: Path) -> None:
         self.processes: list[asyncio.subprocess.Process] = []
@@ -47,7 +47,11 @@
         self.addresses = [("127.0.0.1", port) for _, port in reserved]
 
     async def start(self, discovery: tuple[str, int], endpoint_list: JsonObject) -> None:
-        """Starts all relays with a full endpoint list, and waits until all are ready."""
+        """Start all relays with a full endpoint list in their configuration, and wait until all are ready.
+
+        Raises:
+            TimeoutError: A relay is not ready within ``READY_TIMEOUT_S``.
+        """
         for relay in range(self._spec.relays):
             folder = self._folder_of(relay)
             folder.mkdir()
@@ -60,7 +64,7 @@
                     await asyncio.sleep(READY_POLL_INTERVAL_S)
 
     async def stop(self) -> None:
-        """Kills all relays."""
+        """Kill all relays."""
         for process in self.processes:
             if process.returncode is None:
                 process.kill()
@@ -68,16 +72,16 @@
             await process.wait()
 
     def release_ports(self) -> None:
-        """Releases the relays' ports."""
+        """Close the sockets that reserve the relays' ports."""
         for reserved_socket in self._reserved_sockets:
             reserved_socket.close()
 
     def cpu_seconds(self) -> list[float]:
-        """Returns the processor time of each relay."""
+        """Return the processor time of each relay, in seconds."""
         return [_cpu_s(process.pid) for process in self.processes]
 
     def planner_states(self) -> list[JsonObject]:
-        """Returns the state that each relay's planner has published, from the file of the relay's store."""
+        """Return the latest state that each relay's planner has published in the relay's store file."""
         return [self._planner_state(relay) for relay in range(self._spec.relays)]
 
     def _planner_state(self, relay: int) -> JsonObject:
@@ -108,7 +112,7 @@
     def _write_operator_file(self, relay: int) -> Path:
         folder = self._folder_of(relay)
         sections: JsonObject = {"store": {"path": "store"}}
-        # A relay without a planner has no section at all: its keys are read strictly.
+        # The section is validated strictly, so it is omitted for relays without a planner.
         if self._options.planner is not PlannerKind.OFF:
             sections["rebalance"] = {"mode": RebalanceMode.ON, **self._options.rebalance}
         if self._options.sections is not None:
@@ -136,7 +140,7 @@
 
 
 def _cpu_s(pid: int) -> float:
-    """Returns the user and system time of a process, in seconds."""
+    """Return the user and system time of a process, in seconds."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     user_ticks = int(fields[11])
     system_ticks = int(fields[12])
@@ -144,7 +148,7 @@
 
 
 async def _is_ready(address: tuple[str, int]) -> bool:
-    """Whether a relay answers PING."""
+    """Return True if the relay answers PING."""
     try:
         reader, writer = await asyncio.open_connection(*address)
     except OSError:
--- a/sageturn/lab/measurements/override_propagation.py
+++ b/sageturn/lab/measurements/override_propagation.py
@@ -34,7 +34,7 @@
 from sageturn.store.replication.ephemeral_client import open_ephemeral_client
 from sageturn.store.store import Store
 
-SPEC = FleetSpec(relays=3, hosts=12, initial_hosts=12, connections=600, mean_lifetime_s=6.0)
+SPEC = FleetSpec(relays=3, endpoints=12, initial_endpoints=12, connections=600, mean_lifetime_s=6.0)
 SECRET = "lab"
 GRACE_S = 0.5  # after all relays know of an override, none may place a request at the host
 WARM_UP_S = 3.0
@@ -105,7 +105,7 @@
     deployment: Deployment, store: Store, operator_key: Ed25519PrivateKey, measurements: _Measurements
 ) -> None:
     # The same host in each round: it returns cold, and the others have to be warm.
-    host = deployment.hosts[0]
+    host = deployment.endpoints[0]
     selector = Selector(SelectorAttribute.ENDPOINT, host.model.name)
     operation = set_operation(new_override_id("out"), OverridePayload(OverrideKind.OUT_OF_SERVICE, selector))
     set_s = time.monotonic()
@@ -116,7 +116,7 @@
     await asyncio.sleep(OBSERVATION_S)
     # The relays knew of it some time before ``known_s``: their published states arrive later.
     measurements.placed_late += _requests_since(host, known_s + GRACE_S)
-    measurements.placed += sum(_requests_since(each, set_s) for each in deployment.hosts)
+    measurements.placed += sum(_requests_since(each, set_s) for each in deployment.endpoints)
     revocation = revoke_operation(operation.override_id)
     store.put(revocation.key, sign_operation(revocation, operator_key))
     await _wait_until_known(store, revocation)
--- a/sageturn/lab/measurements/planner_cost.py
+++ b/sageturn/lab/measurements/planner_cost.py
@@ -38,7 +38,7 @@
 
     def __init__(self, connection_count: int) -> None:
         self.connection_count = connection_count
-        self.spec = FleetSpec(hosts=ENDPOINT_COUNT, connections=connection_count)
+        self.spec = FleetSpec(endpoints=ENDPOINT_COUNT, connections=connection_count)
         self.arrivals_per_s = round(self.spec.arrivals_per_s)
         self.tick_s = 0.0
         self.longest_tick_s = 0.0
--- a/sageturn/lab/model/__init__.py
+++ b/sageturn/lab/model/__init__.py
@@ -1,1 +1,1 @@
-"""The simulated fleet: what it consists of, its endpoints, clients and relays in simulated time."""
+"""Model of a simulated fleet: its specification, and its endpoints, clients and relays in simulated time."""
--- a/sageturn/lab/model/client_event.py
+++ b/sageturn/lab/model/client_event.py
@@ -1,4 +1,4 @@
-"""Events at the clients of a run, by the names of counts in result files."""
+"""Events at the clients of a run, whose values are the names of counts in result files."""
 
 from __future__ import annotations
 
@@ -6,31 +6,33 @@
 
 
 class ClientEvent(StrEnum):
-    """An event that a run counts; a simulated run and one on loopback count different ones."""
+    """Event that a run counts; simulated runs and runs on loopback count different ones."""
 
-    CUT = "cut"  # connections that ended without a migration and before their time
+    CUT = "cut"  # connections that ended early and without a migration
     MIGRATED = "moved"
-    CHECK_IN_MIGRATED = "checkin_moved"  # migrations of clients of the class that travels in no group
+    CHECK_IN_MIGRATED = "checkin_moved"  # migrations of clients of the class without groups
 
-    # In a simulated run.
+    # Events of a simulated run.
     REQUESTED = "asked"
     REJECTED = "refused"
-    DROPPED = "dropped"  # connections that their clients ended because of a fault
-    RELIEVED = "relieved"  # migrations by the balancer
-    MIGRATED_AGAIN = "moved_twice"  # of MIGRATED, clients that had been migrated before
+    DROPPED = "dropped"  # connections that their clients closed because of a fault
+    MIGRATED_BY_BALANCER = "relieved"  # migrations by the balancer
+    MIGRATED_AGAIN = "moved_twice"  # events counted in MIGRATED whose client had been migrated before
     GROUPS_MIGRATED = "groups_moved"
-    GROUPS_SPLIT = "groups_split"  # groups of which a plan migrated only a part
+    GROUPS_SPLIT = "groups_split"  # groups that a plan migrated only in part
 
-    # On loopback.
+    # Events of a run on loopback.
     SET_UP = "set_up"
-    BUSY = "busy"  # answers that reject a request
-    ERROR = "error"  # answers that fail a request
+    BUSY = "busy"  # responses that reject a request
+    ERROR = "error"  # responses that fail a request
     UNANSWERED = "unanswered"
     CONNECT_FAILED = "no_connect"
     MIGRATED_REPEATEDLY = "moved_again"
-    LEFT_BEHIND = "left_behind"  # migrations after which members of the client's group stayed
+    LEFT_BEHIND = (
+        "left_behind"  # migrations after which other members of the client's group remained connected
+    )
 
 
-def late_event(class_name: str) -> str:
-    """Names the count of a class's set-ups that took longer than its latency objective."""
+def late_setup_key(class_name: str) -> str:
+    """Return the key of the count of a class's set-ups that exceeded its latency objective."""
     return f"late_{class_name}"
--- a/sageturn/lab/model/event_queue.py
+++ b/sageturn/lab/model/event_queue.py
@@ -1,4 +1,4 @@
-"""Scheduled calls in simulated time."""
+"""Queue of scheduled calls in simulated time."""
 
 from __future__ import annotations
 
@@ -12,30 +12,30 @@
 
 
 class EventQueue:
-    """Calls of handlers, each with one argument, by their times; calls due at once keep their order."""
+    """Priority queue of calls with one argument each; calls with the same time keep their order."""
 
     def __init__(self) -> None:
         self._entries: list[tuple[float, int, Callable[[Any], None], Any]] = []
         self._sequence = 0
 
     def schedule(self, due_s: float, handler: Callable[[Argument], None], argument: Argument) -> None:
-        """Schedules ``handler(argument)``."""
+        """Schedule the call ``handler(argument)`` at ``due_s``."""
         self._sequence += 1
         heapq.heappush(self._entries, (due_s, self._sequence, handler, argument))
 
     def next_due_s(self) -> float:
-        """Returns the time of the next call; ``NEVER_S`` if there is none."""
+        """Return the time of the next call; ``NEVER_S`` if there is none."""
         return self._entries[0][0] if self._entries else NEVER_S
 
     def run_next(self) -> None:
-        """Removes the call that is due next, and makes it."""
+        """Remove the call that is due next, and run it."""
         _, _, handler, argument = heapq.heappop(self._entries)
         handler(argument)
 
     def pending_arguments(self, handler: Callable[[Argument], None]) -> list[Argument]:
-        """Returns the arguments of all scheduled calls of a handler, in an unspecified, repeatable order."""
+        """Return the arguments of a handler's scheduled calls, in an unspecified but reproducible order."""
         return [argument for _, _, scheduled, argument in self._entries if scheduled == handler]
 
     def clear(self) -> None:
-        """Drops all scheduled calls."""
+        """Remove all scheduled calls."""
         self._entries.clear()
--- a/sageturn/lab/model/fleet.py
+++ b/sageturn/lab/model/fleet.py
@@ -1,25 +1,25 @@
-"""The hosts of a fleet, and where its clients are connected at the start of a run."""
+"""Endpoints of a fleet, and the endpoints of its clients at the start of a run."""
 
 from __future__ import annotations
 
 from sageturn import decision
-from sageturn.lab.model.endpoint_model import LONG_AGO_S, EndpointModel
+from sageturn.lab.model.endpoint_model import WARM_STARTED_S, EndpointModel
 from sageturn.lab.model.fleet_spec import FleetSpec
 from sageturn.lab.model.sampling import Client, ClientSampler
 
-SLOTS_PER_SMALLEST_HOST = 4  # larger hosts have more, in proportion to their size
+SLOTS_PER_SMALLEST_ENDPOINT = 4  # slots are proportional to the size of an endpoint
 
 
-def make_hosts(spec: FleetSpec) -> list[EndpointModel]:
-    """Returns the hosts of a fleet by number: the initial ones are warm, the others start at ``join_s``."""
+def make_endpoints(spec: FleetSpec) -> list[EndpointModel]:
+    """Return a fleet's endpoints by number: the initial ones are warm, the others start at ``join_s``."""
     return [
         EndpointModel(
-            spec.host_name(number),
+            spec.endpoint_name(number),
             spec.kind(number),
             spec.size(number),
             spec.capacity(number),
             spec.zone(number),
-            started_s=LONG_AGO_S if number < spec.initial_hosts else spec.join_s,
+            started_s=WARM_STARTED_S if number < spec.initial_endpoints else spec.join_s,
             idle_setup_ms=spec.idle_setup_ms,
             group_cost=spec.group_cost,
             mean_load=spec.mean_load,
@@ -28,47 +28,49 @@
             cold_overload_multiple=spec.cold_overload_multiple,
             overload_window_s=spec.overload_window_s,
         )
-        for number in range(spec.hosts)
+        for number in range(spec.endpoints)
     ]
 
 
 def describe_endpoint(
-    host: EndpointModel, state: decision.EndpointStatus = decision.EndpointStatus.READY
+    endpoint: EndpointModel, state: decision.EndpointStatus = decision.EndpointStatus.READY
 ) -> decision.Endpoint:
-    """Returns the entry of a host on the balancer's endpoint list."""
-    started_ms = host.started_s * 1000.0 if host.started_s > 0 else 0.0
-    return decision.Endpoint(host.name, state, host.zone, 0, started_ms, 1.0, host.kind)
+    """Return an endpoint's entry of the endpoint list in the form that the balancer reads."""
+    started_ms = endpoint.started_s * 1000.0 if endpoint.started_s > 0 else 0.0
+    return decision.Endpoint(endpoint.name, state, endpoint.zone, 0, started_ms, 1.0, endpoint.kind)
 
 
 class InitialPlacement:
-    """Chooses the host of each client that is connected at the start of a run.
+    """Placement of the clients that are connected at the start of a run.
 
-    Clients go to the initial hosts of the relay's zone in proportion to the hosts' sizes; a group stays
-    together.
+    Clients are spread over the initial endpoints of the relay's zone in proportion to the endpoints' sizes;
+    the members of a group share an endpoint.
     """
 
-    def __init__(self, spec: FleetSpec, hosts: list[EndpointModel]) -> None:
+    def __init__(self, spec: FleetSpec, endpoints: list[EndpointModel]) -> None:
         self._spec = spec
-        self._hosts = hosts
+        self._endpoints = endpoints
         self._slots_by_zone: dict[str, list[EndpointModel]] = {}
         self._group = ""
-        self._last_host = ""
+        self._last_endpoint = ""
 
     def place(self, client: Client, zone: str, sampler: ClientSampler) -> str:
-        """Returns the name of the host for the next client of a relay in ``zone``."""
-        if not self._last_host or not client.group or client.group != self._group:
+        """Return the name of the endpoint for the next client of a relay in ``zone``."""
+        if not self._last_endpoint or not client.group or client.group != self._group:
             slots = self._slots_by_zone.get(zone) or self._make_slots(zone)
-            self._last_host = slots[sampler.index_below(len(slots))].name
+            self._last_endpoint = slots[sampler.index_below(len(slots))].name
         self._group = client.group or self._group
-        return self._last_host
+        return self._last_endpoint
 
     def _make_slots(self, zone: str) -> list[EndpointModel]:
-        initial = self._hosts[: self._spec.initial_hosts]
+        initial = self._endpoints[: self._spec.initial_endpoints]
         if len(self._spec.zones) > 1:
-            initial = [host for host in initial if host.zone == zone]
-        smallest = min(host.size for host in initial)
+            initial = [endpoint for endpoint in initial if endpoint.zone == zone]
+        smallest = min(endpoint.size for endpoint in initial)
         slots = [
-            host for host in initial for _ in range(round(SLOTS_PER_SMALLEST_HOST * host.size / smallest))
+            endpoint
+            for endpoint in initial
+            for _ in range(round(SLOTS_PER_SMALLEST_ENDPOINT * endpoint.size / smallest))
         ]
         self._slots_by_zone[zone] = slots
         return slots
--- a/sageturn/lab/model/fleet_spec.py
+++ b/sageturn/lab/model/fleet_spec.py
@@ -1,7 +1,7 @@
-"""The fleet of a lab run: its traffic classes, tenants, hosts and clients, and the settings of its relays.
+"""Fleet of a lab run: its traffic classes, tenants, endpoints, clients, and the settings of its relays.
 
-Loads are in units of the mean connection of the most common class, and times in seconds unless a name says
-otherwise. Hosts and relays are numbered from 0.
+The unit of load is the mean connection of the most common class. Times are in seconds unless a name says
+otherwise. Endpoints and relays are numbered from 0.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 FAST_KIND = "c2-fast"
 STANDARD_KIND = "c2-std"
-TENANT_QUOTA_MULTIPLE = 1.5  # of a tenant's share of the connections
+TENANT_QUOTA_MULTIPLE = 1.5  # tenant's quota over its share of the connections
 POLICY_LIMITS = {
     "sendCap": 3,
     "retryAfter": True,
@@ -26,20 +26,20 @@
 
 @dataclass(frozen=True, slots=True)
 class ClassSpec:
-    """A traffic class. A pair is a range from which each client's value is sampled evenly."""
+    """Traffic class. A pair is a range from which each client's value is sampled uniformly."""
 
     name: str
-    share: float  # of new connections
+    share: float  # fraction of new connections
     load: tuple[float, float]
-    lifetime_factor: tuple[float, float]  # times the fleet's mean lifetime
+    lifetime_factor: tuple[float, float]  # factor on the fleet's mean lifetime
     latency_objective_ms: float
     client_timeout_ms: float
-    priority_weight: float  # of a second of service
-    grouped: bool = True  # whether its clients come in groups that want to share a host
-    message_objective_ms: float = 100.0  # a message should be answered within this
+    priority_weight: float  # weight of a second of service
+    grouped: bool = True  # True if its clients belong to groups that should share an endpoint
+    message_objective_ms: float = 100.0  # response time objective of a message
 
 
-# The classes of guide-live, as its operators describe them. Desks that check guests in travel with no group.
+# The classes of the service guide-live. Its check-in desks belong to no group.
 CLASSES = (
     ClassSpec("departures", 0.39, (1.0, 1.0), (1.0, 1.0), 800.0, 3200.0, 3.0),
     ClassSpec("group-position", 0.32, (2.0, 4.0), (0.3, 1.0), 300.0, 1200.0, 3.0, message_objective_ms=60.0),
@@ -68,28 +68,28 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetSpec:
-    """A fleet and its traffic.
+    """Fleet and its traffic.
 
-    The first ``initial_hosts`` run from the start and hold all connections; the other hosts start, cold, at
-    ``join_s``.
+    The first ``initial_endpoints`` endpoints run from the start and have all connections; the others, the
+    joining endpoints, start cold at ``join_s``.
     """
 
     relays: int = 4
-    hosts: int = 12
-    initial_hosts: int = 9
+    endpoints: int = 12
+    initial_endpoints: int = 9
     zones: tuple[str, ...] = ("hanoi",)
     connections: int = 2000
-    mean_lifetime_s: float = 600.0  # of a connection with a lifetime factor of 1; exponentially distributed
+    mean_lifetime_s: float = 600.0  # lifetime at a factor of 1; exponentially distributed
     group_size: tuple[int, int] = (5, 24)
-    capacity_ratio: float = 3.0  # a host's capacity over its load in a balanced fleet
-    fast_host_ratio: float = 0.6
-    fast_host_size: float = 1.4  # over a standard host
-    group_cost: float = 1.5  # load of a group at a host, in mean connections
-    idle_setup_ms: float = 12.0  # of a connection, at an idle host
-    initial_capacity_ratio: float = 0.12  # of a host that has just started
+    capacity_ratio: float = 3.0  # an endpoint's capacity over its load in a balanced fleet
+    fast_endpoint_ratio: float = 0.6
+    fast_endpoint_size: float = 1.4  # size of a fast endpoint over that of a standard one
+    group_cost: float = 1.5  # load of a group at an endpoint, in mean connections
+    idle_setup_ms: float = 12.0  # set-up time of a connection at an idle endpoint
+    initial_capacity_ratio: float = 0.12  # usable fraction of the capacity right after the start
     warm_up_s: float = 24.0
-    cold_overload_multiple: float = 4.0  # times the pace of its warm-up that a cold host survives
-    overload_window_s: float = 3.0  # over which that pace is measured
+    cold_overload_multiple: float = 4.0  # highest intake of a cold endpoint over its warm-up pace
+    overload_window_s: float = 3.0  # window over which the intake is measured
     join_s: float = 20.0
     reconnect_delay_ms: tuple[float, float] = (100.0, 820.0)
     store_headroom: float = 0.0  # session store's capacity over four times the usual arrivals; 0: no store
@@ -99,7 +99,7 @@
 
     @property
     def arrivals_per_s(self) -> float:
-        """The arrival rate at which the number of connections stays the same."""
+        """Arrival rate that keeps the number of connections constant."""
         mean_factor = sum(
             class_spec.share * (class_spec.lifetime_factor[0] + class_spec.lifetime_factor[1]) / 2.0
             for class_spec in self.classes
@@ -108,42 +108,42 @@
 
     @property
     def mean_load(self) -> float:
-        """The mean load of a new connection."""
+        """Mean load of a new connection."""
         return sum(
             class_spec.share * (class_spec.load[0] + class_spec.load[1]) / 2.0 for class_spec in self.classes
         )
 
     @property
     def work_us_per_load(self) -> float:
-        """Microseconds of work a second for a load of 1; the balancer takes a host's size for its cores."""
-        return 1e6 / (self.capacity_ratio * self.connections * self.mean_load / self.hosts)
+        """Microseconds of work per second for a load of 1; the balancer reads a size as a number of cores."""
+        return 1e6 / (self.capacity_ratio * self.connections * self.mean_load / self.endpoints)
 
-    def kind(self, host: int) -> str:
-        """Returns the hardware kind of a host."""
-        # Fast hosts are evenly spaced, so that initial and late hosts have the same ratio of them.
-        is_fast = int((host + 1) * self.fast_host_ratio) > int(host * self.fast_host_ratio)
+    def kind(self, number: int) -> str:
+        """Return the hardware kind of an endpoint."""
+        # Fast endpoints are evenly spaced, so that initial and joining endpoints have the same ratio of them.
+        is_fast = int((number + 1) * self.fast_endpoint_ratio) > int(number * self.fast_endpoint_ratio)
         return FAST_KIND if is_fast else STANDARD_KIND
 
-    def size(self, host: int) -> float:
-        """Returns the size of a host, scaled so that the mean over the fleet is 1."""
-        mean = self.fast_host_ratio * self.fast_host_size + 1.0 - self.fast_host_ratio
-        return (self.fast_host_size if self.kind(host) == FAST_KIND else 1.0) / mean
+    def size(self, number: int) -> float:
+        """Return the size of an endpoint, scaled so that the mean over the fleet is 1."""
+        mean = self.fast_endpoint_ratio * self.fast_endpoint_size + 1.0 - self.fast_endpoint_ratio
+        return (self.fast_endpoint_size if self.kind(number) == FAST_KIND else 1.0) / mean
 
-    def zone(self, host_or_relay: int) -> str:
-        """Returns the zone of a host or a relay."""
-        return self.zones[host_or_relay % len(self.zones)]
+    def zone(self, endpoint_or_relay: int) -> str:
+        """Return the zone of an endpoint or a relay."""
+        return self.zones[endpoint_or_relay % len(self.zones)]
 
-    def host_name(self, host: int) -> str:
-        """Returns the name of a host on the endpoint list."""
-        return f"h{host:04d}"
+    def endpoint_name(self, number: int) -> str:
+        """Return the name of an endpoint in the endpoint list."""
+        return f"h{number:04d}"
 
-    def capacity(self, host: int) -> float:
-        """Returns the load that a host can carry when it is warm."""
-        return self.capacity_ratio * self.size(host) * self.connections * self.mean_load / self.hosts
+    def capacity(self, number: int) -> float:
+        """Return the load that a warm endpoint can carry."""
+        return self.capacity_ratio * self.size(number) * self.connections * self.mean_load / self.endpoints
 
 
 def relay_settings(spec: FleetSpec, relay: int) -> JsonObject:
-    """Returns the settings of a relay by the keys of the platform's configuration."""
+    """Return the settings of a relay by the keys of the platform's configuration."""
     total = float(spec.connections)
     return {
         "accounts": [
--- a/sageturn/lab/model/naive_planner.py
+++ b/sageturn/lab/model/naive_planner.py
@@ -1,6 +1,6 @@
-"""A simple baseline for the planner: it migrates all excess connections of the fullest endpoint at once.
+"""Baseline planner that migrates all excess connections of the fullest endpoint at once.
 
-It is measured beside the planner, and used nowhere else.
+Measurements compare the rebalance planner with it; nothing else uses it.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 def naive_plan(planner: RebalancePlanner, endpoints: Sequence[EndpointSnapshot]) -> MigrationPlan:
-    """Plans to migrate the newest connections of the fullest endpoint, down to the mean of all endpoints."""
+    """Plan to migrate the newest connections of the fullest endpoint, down to the mean of all endpoints."""
     migrations = tuple(_excess_migrations(planner.connections, endpoints))
     return MigrationPlan(migrations, PlanPhase.BALANCING, "")
 
@@ -48,22 +48,22 @@
 
 
 class NaivePlanner(RebalancePlanner):
-    """The baseline in the planner's place."""
+    """Baseline with the interface of the rebalance planner."""
 
     _planned_ms = 0.0
 
     def tick(
         self, now_ms: float, endpoints: Sequence[EndpointSnapshot], minute: int, stopping: bool = False
     ) -> MigrationPlan:
-        """Plans every ``PLAN_INTERVAL_MS``; quiet hours and signals are ignored."""
+        """Plan once per ``PLAN_INTERVAL_MS``, regardless of quiet hours and overload signals."""
         if now_ms < self._planned_ms + PLAN_INTERVAL_MS:
             return MigrationPlan((), PlanPhase.WAITING, "")
         self._planned_ms = now_ms
         return naive_plan(self, endpoints)
 
     def before_event(self, now_ms: float, event: object) -> None:
-        """Ignores the event: the balancer is not informed of migrations."""
+        """Leave the event unchanged: the balancer is not notified of recent migrations."""
 
 
 class NaiveRebalancer(NaivePlanner, Rebalancer):
-    """The baseline in a relay."""
+    """Baseline planner in a relay."""
--- a/sageturn/lab/model/planner_kind.py
+++ b/sageturn/lab/model/planner_kind.py
@@ -1,4 +1,4 @@
-"""The planners that a run of the laboratory can have, by the names of experiment files and options."""
+"""Planners of a lab run; the values are used in experiment files and command-line options."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 class PlannerKind(StrEnum):
-    """The planner of connections' migration in all relays of a run."""
+    """Planner of connection migrations in all relays of a run."""
 
     OFF = "off"  # no planner
     NAIVE = "naive"  # the baseline of ``naive_planner``
-    ON = "on"  # the program's own
+    ON = "on"  # the rebalance planner of the relay
 
 
 PLANNER_NAMES = tuple(kind.value for kind in PlannerKind)
--- a/sageturn/lab/model/sampling.py
+++ b/sageturn/lab/model/sampling.py
@@ -1,4 +1,4 @@
-"""Sample clients, groups and waiting times: the same fleet and seed give the same clients and arrivals."""
+"""Sampling of clients, groups and delays: the same fleet and seed give the same clients and arrivals."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 @dataclass(slots=True)
 class Client:
-    """A client of the fleet over all of its connections.
+    """Client of the fleet over all of its connections.
 
-    ``class_index`` is an index into the fleet's classes. ``lifetime_s`` is the time for which it still wants
-    to be connected. ``waiting_since_s`` is when it first requested the connection that it is waiting for;
-    None while it is connected or has not requested one yet.
+    ``class_index`` is an index into the fleet's classes. ``lifetime_s`` is the remaining time that it spends
+    connected. ``waiting_since_s`` is the time at which it first requested the connection that it is waiting
+    for; None while it is connected or has not requested one yet.
     """
 
     key: str
@@ -31,17 +31,17 @@
 
 
 class _GroupAndTenant(NamedTuple):
-    """The group of a client, empty for one without a group, and its tenant."""
+    """Group of a client, empty for one without a group, and its tenant."""
 
     group: str
     tenant: str
 
 
 class ClientSampler:
-    """Samples clients of a fleet.
+    """Random generator of a fleet's clients and delays.
 
-    ``stream`` selects an independent random stream of the fleet's seed, as each simulated relay samples
-    its own arrivals. The order of the calls is part of the result: each takes numbers from the same stream.
+    ``stream`` selects an independent random stream of the fleet's seed, since each simulated relay samples
+    its own arrivals. The order of the calls affects the result: all calls draw from the same stream.
     """
 
     def __init__(self, spec: FleetSpec, stream: int = 0) -> None:
@@ -51,7 +51,7 @@
         self._client_count = 0
         self._group = ""
         self._group_tenant = ""
-        self._group_places_left = 0
+        self._group_members_left = 0
         self._group_count = 0
         self._tenants = list(spec.tenants)
         tenant_weights = np.array(list(spec.tenants.values()))
@@ -60,23 +60,23 @@
         self._class_probabilities = class_weights / class_weights.sum()
 
     def uniform(self, low: float, high: float) -> float:
-        """Samples evenly from ``low`` up to ``high``."""
+        """Sample a number uniformly from ``low`` up to ``high``."""
         return float(self._rng.uniform(low, high))
 
     def index_below(self, end: int) -> int:
-        """Samples an integer from 0 up to ``end``, without ``end`` itself."""
+        """Sample an integer from 0 up to but excluding ``end``."""
         return int(self._rng.integers(end))
 
     def interarrival_s(self, arrivals_per_s: float) -> float:
-        """Samples the time to the next arrival of a Poisson process; infinite for a rate of 0."""
+        """Sample the time to the next arrival of a Poisson process; infinite for a rate of 0."""
         return float(self._rng.exponential(1.0 / arrivals_per_s)) if arrivals_per_s > 0 else float("inf")
 
     def reconnect_delay_s(self) -> float:
-        """Samples how long a client waits before it connects again."""
+        """Sample the seconds that a client waits before it reconnects."""
         return self.uniform(*self._spec.reconnect_delay_ms) / 1000.0
 
     def client(self) -> Client:
-        """Samples the next client; clients of a group are sampled one after another."""
+        """Sample the next client; clients of a group are sampled one after another."""
         class_index = int(self._rng.choice(len(self._spec.classes), p=self._class_probabilities))
         class_spec = self._spec.classes[class_index]
         self._client_count += 1
@@ -89,14 +89,14 @@
     def _group_and_tenant(self, class_spec: ClassSpec) -> _GroupAndTenant:
         if not class_spec.grouped:
             return _GroupAndTenant("", self._tenant())
-        if not self._group_places_left:
+        if not self._group_members_left:
             self._start_group()
-        self._group_places_left -= 1
+        self._group_members_left -= 1
         return _GroupAndTenant(self._group, self._group_tenant)
 
     def _start_group(self) -> None:
         smallest, largest = self._spec.group_size
-        self._group_places_left = int(self._rng.integers(smallest, largest + 1))
+        self._group_members_left = int(self._rng.integers(smallest, largest + 1))
         self._group_count += 1
         self._group = f"{self._stream:x}g{self._group_count:x}"
         self._group_tenant = self._tenant()
--- a/sageturn/lab/model/session_store.py
+++ b/sageturn/lab/model/session_store.py
@@ -1,4 +1,4 @@
-"""A model of the session store that each set-up calls."""
+"""Model of the session store that each set-up calls."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 
 
 class SessionStoreModel:
-    """The time of a call as a function of the call rate; a fleet may be without a store."""
+    """Model of the duration of a call as a function of the call rate; a fleet may have no store."""
 
     def __init__(self, spec: FleetSpec) -> None:
-        # At the normal arrival rate a store with a headroom of 1 is at a quarter of its capacity.
+        # At the usual arrival rate a store with a headroom of 1 is at a quarter of its capacity.
         self._capacity_per_s = 4.0 * spec.arrivals_per_s * spec.store_headroom
         self._calls_per_s = 0.0
         self._backlog_s = 0.0
 
     def record_calls(self, count: int, step_s: float) -> None:
-        """Updates the call rate with the number of calls in a step."""
+        """Update the call rate with the number of calls in a step."""
         self._calls_per_s += CALL_RATE_SMOOTHING * (count / step_s - self._calls_per_s)
 
     def advance(self, slowdown: float, step_s: float) -> float:
-        """Starts a step. Returns the time of a call in milliseconds; 0 without a store."""
+        """Start a step. Return the duration of a call in milliseconds; 0 without a store."""
         if self._capacity_per_s <= 0:
             return 0.0
         utilization = self._calls_per_s / (self._capacity_per_s / slowdown)
--- a/sageturn/lab/model/simulated_connections.py
+++ b/sageturn/lab/model/simulated_connections.py
@@ -1,4 +1,4 @@
-"""The clients' requests and connections at a simulated relay."""
+"""Requests and connections of the clients of a simulated relay."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True)
 class PendingRequest:
-    """A request that waits for a connection; ``attempt`` is the number of the next attempt."""
+    """Request that waits for a connection; ``attempt`` is the number of the next attempt."""
 
     client: Client
     attempt: int = 0
@@ -19,17 +19,17 @@
 
 @dataclass(slots=True)
 class EstablishedConnection:
-    """A connection, and the balancer's number of the attempt that established it."""
+    """Established connection; ``attempt`` is the number of the attempt that established it."""
 
     client: Client
-    host: str
+    endpoint: str
     since_s: float
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptSample:
-    """The end of an attempt and the time until then; ``failure`` is None for success."""
+    """Sampled result of an attempt and its duration; ``failure`` is None for a success."""
 
     failure: AttemptStatus | None
     duration_ms: float
@@ -37,17 +37,17 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptOutcome:
-    """The end of an attempt at a host."""
+    """Attempt at an endpoint and its sampled result."""
 
     request_id: int
     attempt: int
-    host: str
+    endpoint: str
     sample: AttemptSample
 
 
 @dataclass(frozen=True, slots=True)
 class GroupMigrations:
-    """Numbers of groups that migrate from a host, and of those that leave some connections there."""
+    """Numbers of groups that migrate from an endpoint, and of those that migrate only in part."""
 
     migrated: int
     split: int
@@ -56,18 +56,18 @@
 def count_group_migrations(
     connections: Mapping[int, EstablishedConnection], migrating: Set[int]
 ) -> GroupMigrations:
-    """Counts the groups of the connections that are about to migrate, by request id.
+    """Count the groups of the connections whose request ids are in ``migrating``.
 
-    They are counted from the connections themselves, and not from what the planner knows of groups.
+    The groups are those of the connections themselves, independently of the planner's own table.
     """
     groups = set()
     for request_id in migrating:
         connection = connections[request_id]
         if connection.client.group:
-            groups.add((connection.host, connection.client.group))
+            groups.add((connection.endpoint, connection.client.group))
     split = set()
     for request_id, connection in connections.items():
-        group = (connection.host, connection.client.group)
+        group = (connection.endpoint, connection.client.group)
         if request_id not in migrating and group in groups:
             split.add(group)
     return GroupMigrations(len(groups), len(split))
--- a/sageturn/lab/model/simulated_relay.py
+++ b/sageturn/lab/model/simulated_relay.py
@@ -1,4 +1,4 @@
-"""One relay in simulated time: the real balancer and the real planner, and clients without sockets."""
+"""Relay in simulated time: the production balancer and planner, with clients that have no sockets."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 from sageturn.rebalance.plan import NO_PLAN, MigrationPlan
 from sageturn.rebalance.planner import RebalancePlanner
 
-PLANNERS = {PlannerKind.OFF: None, PlannerKind.NAIVE: NaivePlanner, PlannerKind.ON: RebalancePlanner}
+PLANNER_TYPES = {PlannerKind.OFF: None, PlannerKind.NAIVE: NaivePlanner, PlannerKind.ON: RebalancePlanner}
 PLANNER_INTERVAL_S = 1.0
-PLANNER_MINUTE = 720  # noon: outside all quiet hours
-# The balancer's seed is made of the fleet's seed, the relay's number and whether it was restarted.
+PLANNER_MINUTE = 720  # minute of the day: noon, outside all quiet hours
+# The balancer's seed combines the fleet's seed, the relay's number and whether it was restarted.
 SEED_STRIDE = 100003
 RESTART_SEED_OFFSET = 7919
 
 
 class SimulatedRelay:
-    """A relay; ``simulation.RelayShard`` steps it.
+    """Simulated relay; ``simulation.RelayShard`` steps it.
 
     ``policy`` is the text of a decision module; empty for that of this revision.
     """
@@ -40,9 +40,9 @@
         self.number = number
         self.settings = read_settings({**relay_settings(spec, number), "discovery": "push"})
         self.sampler = ClientSampler(spec, number + 1)
-        self._policy = load_policy(policy)
-        self._balancer = self._policy(self.settings, spec.seed * SEED_STRIDE + number)
-        planner_type = PLANNERS[planner]
+        self._balancer_type = load_policy(policy)
+        self._balancer = self._balancer_type(self.settings, spec.seed * SEED_STRIDE + number)
+        planner_type = PLANNER_TYPES[planner]
         self._planner = planner_type(self.settings, options, number) if planner_type is not None else None
         self._plan: MigrationPlan = NO_PLAN
         self._clients = SimulatedClients(
@@ -62,21 +62,21 @@
         endpoints: Sequence[decision.Endpoint],
         kind: decision.ListEventKind = decision.ListEventKind.FULL,
     ) -> None:
-        """Takes in a full endpoint list, or with the kind CHANGES the entries that changed."""
+        """Handle a full endpoint list or, with the kind CHANGES, the changed entries."""
         self._endpoints.update({endpoint.name: endpoint for endpoint in endpoints})
         if not self._discovery_failed:
             self._handle_event(decision.EndpointListEvent(kind, list(endpoints)))
 
-    def adopt_connection(self, client: Client, host: str) -> None:
-        """Adds a connection that was established before the relay started."""
-        self._clients.adopt_connection(client, host)
+    def adopt_connection(self, client: Client, endpoint: str) -> None:
+        """Add a connection that was established before the relay started."""
+        self._clients.adopt_connection(client, endpoint)
 
     def schedule_request(self, due_s: float, client: Client) -> None:
-        """Has a client that was connected before, at some relay, request a connection at this one."""
+        """Schedule the request of a client that was connected before, through any relay."""
         self._clients.events.schedule(due_s, self._clients.request_connection, client)
 
     def step(self, until_s: float, conditions: dict[str, EndpointConditions]) -> StepResult:
-        """Runs all that is due before ``until_s``."""
+        """Run all events that are due before ``until_s``. Return the result of the step."""
         clients = self._clients
         clients.conditions = conditions
         if self._killed:
@@ -100,13 +100,13 @@
         return result
 
     def planner_state(self) -> dict[str, object]:
-        """Returns the planner's state as a relay publishes it; empty without a planner."""
+        """Return the planner's state in the form that a relay publishes; empty without a planner."""
         return self._planner.encode_state(self._plan) if self._planner is not None else {}
 
     # ------------------------------------------------------------ instructions
 
-    def follow_instruction(self, instruction: Instruction) -> None:
-        """Carries out one of the instructions of a step, before the step is run."""
+    def execute_instruction(self, instruction: Instruction) -> None:
+        """Execute one of the instructions of a step, before the step is run."""
         match instruction:
             case steps.SetArrivalRate():
                 self._arrival_rate = instruction
@@ -117,11 +117,11 @@
                 self._handle_event(decision.EndpointListEvent(decision.ListEventKind.FAILED, []))
             case steps.RestoreDiscovery():
                 self._restore_discovery()
-            case steps.ResetConnections(hosts):
-                for host in hosts:
-                    self._clients.reset_connections(host)
-            case steps.DrainConnections(hosts, duration_s):
-                self._clients.schedule_drain(hosts, duration_s)
+            case steps.ResetConnections(endpoint_names):
+                for endpoint in endpoint_names:
+                    self._clients.reset_connections(endpoint)
+            case steps.DrainConnections(endpoint_names, duration_s):
+                self._clients.schedule_drain(endpoint_names, duration_s)
             case steps.DropClients(ratio, duration_s):
                 self._clients.schedule_drops(ratio, duration_s)
             case steps.KillRelays(relays):
@@ -142,11 +142,11 @@
         self._handle_event(decision.EndpointListEvent(decision.ListEventKind.FULL, present))
 
     def _restart(self, endpoints: Sequence[decision.Endpoint]) -> None:
-        """Starts without any state, under the same name."""
+        """Start the relay again under the same name, without its previous state."""
         self._killed = False
         self._discovery_failed = False
         seed = self.spec.seed * SEED_STRIDE + self.number + RESTART_SEED_OFFSET
-        self._balancer = self._policy(self.settings, seed)
+        self._balancer = self._balancer_type(self.settings, seed)
         if self._planner is not None:
             self._planner = type(self._planner)(self.settings, self._planner.options, self.number)
         self._next_plan_s = float(int(self._clients.now_s) + 1)
@@ -163,10 +163,10 @@
         if self._planner is not None:
             self._planner.after_event(now_ms, event, actions)
         for action in actions:
-            self._clients.follow_action(action)
+            self._clients.execute_action(action)
 
     def _on_arrival(self) -> None:
-        """Samples a new client, and when the next one arrives."""
+        """Sample a new client and the time of the next arrival; the client requests a connection."""
         usual_per_s = self.spec.arrivals_per_s / self.spec.relays * self._arrival_rate.factor
         largest_tenant, share = next(iter(self.spec.tenants.items()))
         extra = share * (self._arrival_rate.largest_tenant_factor - 1.0)
@@ -175,7 +175,7 @@
         client = self.sampler.client()
         if extra > 0 and self.sampler.uniform(0.0, 1.0 + extra) < extra:
             client.tenant = largest_tenant
-        self._clients.result.wanted_changes.append((client.class_index, client.tenant, 1))
+        self._clients.result.requested_changes.append((client.class_index, client.tenant, 1))
         self._clients.request_connection(client)
 
     def _run_planner(self) -> None:
--- a/sageturn/lab/model/simulation_steps.py
+++ b/sageturn/lab/model/simulation_steps.py
@@ -1,7 +1,7 @@
 """Messages between the simulated relays and their environment in each step.
 
-At the start of a step the relays get the conditions at the hosts, clients that connect again, and
-instructions; at its end each returns a ``StepResult``. All of these pass between processes.
+At the start of a step the relays receive the conditions at the endpoints, clients that reconnect, and
+instructions; at its end each returns a ``StepResult``. All of these are sent between processes.
 """
 
 from __future__ import annotations
@@ -17,17 +17,17 @@
 
 @dataclass(slots=True)
 class EndpointConditions:
-    """The state of a host at the start of a step; a silent one accepts connections and never answers."""
+    """State of an endpoint at the start of a step; attempts at an unresponsive one time out."""
 
     running: bool
     setup_ms: float
     full: bool
-    silent: bool = False
+    unresponsive: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class SetArrivalRate:
-    """New clients arrive at ``factor`` times the usual rate, those of the largest tenant at another again."""
+    """Instruction to multiply the arrival rate, and that of the largest tenant by a further factor."""
 
     factor: float
     largest_tenant_factor: float
@@ -35,39 +35,39 @@
 
 @dataclass(frozen=True, slots=True)
 class UpdateEndpointList:
-    """Discovery reports changed entries."""
+    """Update by discovery with changed entries."""
 
     endpoints: Sequence[decision.Endpoint]
 
 
 @dataclass(frozen=True, slots=True)
 class FailDiscovery:
-    """The discovery watch fails."""
+    """Failure of the discovery watch."""
 
 
 @dataclass(frozen=True, slots=True)
 class RestoreDiscovery:
-    """The discovery watch works again, and begins with a full list."""
+    """Recovery of the discovery watch, which starts with a full list."""
 
 
 @dataclass(frozen=True, slots=True)
 class ResetConnections:
-    """All connections of the named hosts are reset."""
+    """Instruction to reset all connections of the named endpoints."""
 
-    hosts: Sequence[str]
+    endpoint_names: Sequence[str]
 
 
 @dataclass(frozen=True, slots=True)
 class DrainConnections:
-    """The named hosts close their connections, spread over a time."""
+    """Instruction to close the connections of the named endpoints over a period."""
 
-    hosts: Sequence[str]
+    endpoint_names: Sequence[str]
     duration_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class DropClients:
-    """A ratio of the connected clients disconnect, spread over a time, and connect again."""
+    """Instruction to disconnect a fraction of the clients over a period; they reconnect."""
 
     ratio: float
     duration_s: float
@@ -75,14 +75,14 @@
 
 @dataclass(frozen=True, slots=True)
 class KillRelays:
-    """The relays with these numbers are killed."""
+    """Instruction to kill the relays with these numbers."""
 
     relays: Sequence[int]
 
 
 @dataclass(frozen=True, slots=True)
 class RestartRelays:
-    """All killed relays start again, with this endpoint list."""
+    """Instruction to restart all killed relays with this endpoint list."""
 
     endpoints: Sequence[decision.Endpoint]
 
@@ -98,12 +98,12 @@
     | KillRelays
     | RestartRelays
 )
-Reconnects = dict[int, list[tuple[float, Client]]]  # by relay: when each client connects again
+Reconnects = dict[int, list[tuple[float, Client]]]  # time and client of each reconnect, by relay
 
 
 @dataclass(frozen=True, slots=True)
 class StepInput:
-    """Input of the relays of one process for a step that ends at ``until_s``."""
+    """Input of a step, which ends at ``until_s``, for the relays of one process."""
 
     until_s: float
     conditions: dict[str, EndpointConditions]
@@ -115,16 +115,16 @@
 class StepResult:
     """Events of one relay in one step.
 
-    ``intake`` is the number and the total load of the requests for connections, by host. ``wanted_changes``
-    has a class index, a tenant, and 1 for a client that arrived or -1 for one that has finished.
-    ``reconnects`` has the clients that connect again at some relay, and when. ``setups`` has a class index
-    and the milliseconds since the client first asked.
+    ``intake`` has the number and the total load of the connection requests, by endpoint. An entry of
+    ``requested_changes`` has a class index, a tenant, and 1 for a client that arrived or -1 for one that
+    finished. ``reconnects`` has the time and the client of each reconnect, through any relay. ``setups`` has
+    a class index and the milliseconds since the client first requested the connection.
     """
 
     intake: dict[str, tuple[int, float]] = field(default_factory=dict)
     connected: list[tuple[str, Client]] = field(default_factory=list)
     disconnected: list[tuple[str, Client]] = field(default_factory=list)
-    wanted_changes: list[tuple[int, str, int]] = field(default_factory=list)
+    requested_changes: list[tuple[int, str, int]] = field(default_factory=list)
     reconnects: list[tuple[float, Client]] = field(default_factory=list)
     setups: list[tuple[int, float]] = field(default_factory=list)
     counts: Counter[ClientEvent] = field(default_factory=Counter)
--- a/sageturn/lab/model/zone_frontend.py
+++ b/sageturn/lab/model/zone_frontend.py
@@ -1,4 +1,4 @@
-"""The frontend that spreads the clients of each zone over the zone's live relays."""
+"""Frontend that spreads the clients of each zone over the zone's live relays."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class ZoneFrontend:
-    """Chooses relays; a zone's last live relay stays in place when it is killed."""
+    """Table of the live relays by zone; the last live relay of a zone stays listed when it is killed."""
 
     def __init__(self, spec: FleetSpec) -> None:
         self._spec = spec
@@ -18,19 +18,19 @@
             self._live_relays[spec.zone(relay)].append(relay)
 
     def choose_relay(self, zone: str, sampler: ClientSampler) -> int:
-        """Samples a live relay of a zone."""
+        """Sample a live relay of a zone."""
         live = self._live_relays[zone]
         return live[sampler.index_below(len(live))]
 
     def remove_relays(self, relays: Iterable[int]) -> None:
-        """Stops sending clients to these relays; to some of them it may have stopped before."""
+        """Stop sending clients to these relays; some of them may have been removed before."""
         for relay in relays:
             live = self._live_relays[self._spec.zone(relay)]
             if len(live) > 1 and relay in live:
                 live.remove(relay)
 
     def restore_relays(self) -> None:
-        """Starts sending clients to all relays again."""
+        """Resume sending clients to all relays."""
         for relay in range(self._spec.relays):
             live = self._live_relays[self._spec.zone(relay)]
             if relay not in live:
--- a/sageturn/lab/rebalancing.py
+++ b/sageturn/lab/rebalancing.py
@@ -65,7 +65,7 @@
     jobs = [LoopbackJob(spec, planner, options.seconds, not options.quiet) for planner in planners]
     with ProcessPoolExecutor(len(jobs)) as pool:
         rows = dict(zip(options.planners, pool.map(_measure_loopback, jobs), strict=True))
-    title = f"loopback: {spec.relays} relays, {spec.hosts} hosts, {spec.connections} connections"
+    title = f"loopback: {spec.relays} relays, {spec.endpoints} hosts, {spec.connections} connections"
     print_table(title, rows, options.json)
 
 
@@ -98,8 +98,8 @@
     # At the default lifetime, the arrivals of so many connections would take all of the machine's cores.
     return FleetSpec(
         relays=size.relays,
-        hosts=size.endpoints,
-        initial_hosts=size.endpoints * 3 // 4,
+        endpoints=size.endpoints,
+        initial_endpoints=size.endpoints * 3 // 4,
         connections=size.connections,
         mean_lifetime_s=1800.0,
         zones=("hanoi", "hue", "danang", "saigon"),
@@ -112,7 +112,7 @@
     for size in options.sizes:
         spec = spec_of_size(size, options.seed)
         rows = {name: _measure_simulated(spec, PlannerKind(name), options) for name in options.planners}
-        title = f"simulated: {spec.hosts} hosts, {spec.relays} relays, {spec.connections} connections"
+        title = f"simulated: {spec.endpoints} hosts, {spec.relays} relays, {spec.connections} connections"
         print_table(title, rows, options.json)
 
 
--- a/sageturn/lab/reports/compare.py
+++ b/sageturn/lab/reports/compare.py
@@ -1,4 +1,4 @@
-"""Comparisons of two variants: differences over the same days, with confidence intervals."""
+"""Comparisons of two variants: differences over the same scenarios and seeds, with confidence intervals."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 from sageturn.lab.runner.result_file import Results
 
 CONFIDENCE_LEVEL = 0.95
-RESAMPLES = 4000
+BOOTSTRAP_RESAMPLES = 4000
 MIN_BOOTSTRAP_PAIRS = 8
 MIN_PAIRS = 2
 
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """``second`` less ``first`` in one metric, over pairs of runs of the same scenario and seed.
+    """Difference in one metric, ``second`` less ``first``, over pairs of runs of a scenario and seed.
 
     ``low`` and ``high`` are the bounds of the confidence interval. ``needed_pairs`` is the number of
-    pairs with which a difference of this size would be significant; infinite where there is none.
+    pairs with which a difference of this size would be significant; infinite for a difference of 0.
     """
 
     metric: str
-    scenario: str  # empty: over all scenarios
+    scenario: str  # empty for all scenarios
     pairs: int
     first: float
     second: float
@@ -38,20 +38,24 @@
     needed_pairs: float
 
     @property
-    def settled(self) -> bool:
-        """Whether the confidence interval excludes 0."""
+    def is_significant(self) -> bool:
+        """True if the confidence interval excludes 0."""
         return self.low > 0.0 or self.high < 0.0
 
 
 def compare(
     results: Results, first: str, second: str, metric: str, by_scenario: bool = True
 ) -> list[Difference]:
-    """Compares two variants over all scenarios, and then for each. Raises NoCommonRunsError."""
+    """Return the difference over all scenarios, followed by that of each if ``by_scenario`` is set.
+
+    Raises:
+        NoCommonRunsError: The variants have no scenario and seed in common.
+    """
     first_values = results.values(first, metric)
     second_values = results.values(second, metric)
     keys = sorted(first_values.keys() & second_values.keys())
     if not keys:
-        raise NoCommonRunsError(f"no day was played by both {first} and {second}")
+        raise NoCommonRunsError(f"no scenario and seed was run with both {first} and {second}")
     differences = [difference(metric, "", _means_by_seed(keys, first_values, second_values))]
     if by_scenario:
         for scenario in sorted({scenario for scenario, _ in keys}):
@@ -65,7 +69,7 @@
     first_values: dict[tuple[str, int], float],
     second_values: dict[tuple[str, int], float],
 ) -> NDArray[np.float64]:
-    """Returns a row for each seed: the scenarios of one seed are not independent, and make one pair."""
+    """Return a row for each seed: the scenarios of one seed are not independent, so they form one pair."""
     pairs_by_seed: dict[int, list[tuple[float, float]]] = {}
     for key in keys:
         _, seed = key
@@ -74,46 +78,49 @@
 
 
 def difference(metric: str, scenario: str, pairs: NDArray[np.float64]) -> Difference:
-    """Returns the difference over pairs, an array with a row of the first and the second value for each."""
-    gaps = pairs[:, 1] - pairs[:, 0]
-    mean = float(gaps.mean())
-    count = len(gaps)
-    interval = confidence_interval(gaps)
+    """Return the difference over pairs; each row of the array has the first and the second value."""
+    deltas = pairs[:, 1] - pairs[:, 0]
+    mean = float(deltas.mean())
+    count = len(deltas)
+    interval = confidence_interval(deltas)
     first, second = (float(value) for value in pairs.mean(axis=0))
-    needed_pairs = max(_needed_pairs(gaps, mean), float(MIN_PAIRS))
+    needed_pairs = max(_needed_pairs(deltas, mean), float(MIN_PAIRS))
     return Difference(metric, scenario, count, first, second, mean, interval.low, interval.high, needed_pairs)
 
 
-def _needed_pairs(gaps: NDArray[np.float64], mean: float) -> float:
+def _needed_pairs(deltas: NDArray[np.float64], mean: float) -> float:
     if mean == 0.0:
         return inf
-    deviation = float(gaps.std(ddof=1)) if len(gaps) > 1 else 0.0
+    deviation = float(deltas.std(ddof=1)) if len(deltas) > 1 else 0.0
     quantile = stats.norm.ppf(0.5 + CONFIDENCE_LEVEL / 2.0)
     needed: float = ceil((quantile * deviation / mean) ** 2)
     return needed
 
 
 class Interval(NamedTuple):
-    """The bounds of a confidence interval."""
+    """Bounds of a confidence interval."""
 
     low: float
     high: float
 
 
-def confidence_interval(gaps: NDArray[np.float64]) -> Interval:
-    """Returns the interval of the mean, by the bias-corrected and accelerated bootstrap or Student's t."""
-    if len(gaps) < MIN_PAIRS:
+def confidence_interval(deltas: NDArray[np.float64]) -> Interval:
+    """Return the confidence interval of the mean.
+
+    The method is the bias-corrected and accelerated bootstrap; Student's t with few pairs.
+    """
+    if len(deltas) < MIN_PAIRS:
         return Interval(-inf, inf)
-    if np.ptp(gaps) == 0.0:
-        return Interval(float(gaps[0]), float(gaps[0]))
-    if len(gaps) < MIN_BOOTSTRAP_PAIRS:
-        low, high = stats.t.interval(CONFIDENCE_LEVEL, len(gaps) - 1, gaps.mean(), stats.sem(gaps))
+    if np.ptp(deltas) == 0.0:
+        return Interval(float(deltas[0]), float(deltas[0]))
+    if len(deltas) < MIN_BOOTSTRAP_PAIRS:
+        low, high = stats.t.interval(CONFIDENCE_LEVEL, len(deltas) - 1, deltas.mean(), stats.sem(deltas))
         return Interval(float(low), float(high))
     bootstrap = stats.bootstrap(
-        (gaps,),
+        (deltas,),
         np.mean,
         confidence_level=CONFIDENCE_LEVEL,
-        n_resamples=RESAMPLES,
+        n_resamples=BOOTSTRAP_RESAMPLES,
         rng=np.random.default_rng(1),
     )
     bounds = bootstrap.confidence_interval
--- a/sageturn/lab/reports/report.py
+++ b/sageturn/lab/reports/report.py
@@ -1,4 +1,4 @@
-"""Reports of results: one self-contained HTML page, and Markdown."""
+"""Reports of results as a self-contained HTML page or as Markdown."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 def table(results: Results) -> list[list[str]]:
-    """Returns a row for each scenario and variant, with means over the seeds."""
+    """Return a row for each scenario and variant, with means over the seeds."""
     rows = [["scenario", "variant", "seeds", *REPORTED_METRICS]]
     ordered = sorted(results.runs, key=_run_order(results))
     keys = dict.fromkeys((run["scenario"], run["variant"]) for run in ordered)
@@ -61,7 +61,7 @@
 
 
 def differences(results: Results) -> list[list[str]]:
-    """Returns a row for each pair of variants and metric that have runs in common."""
+    """Return a row for each difference in a metric between two variants that have common runs."""
     variants = list(dict.fromkeys(variant["name"] for variant in results.head["experiment"]["variants"]))
     rows = [["metric", "from", "to", "scenario", "pairs", "difference", "95% interval", "settled"]]
     for first, second in combinations(variants, 2):
@@ -75,7 +75,7 @@
 
 
 def _difference_row(difference: Difference, first: str, second: str) -> list[str]:
-    if difference.settled:
+    if difference.is_significant:
         settled = "yes"
     else:
         settled = f"no: {difference.needed_pairs:g} pairs would" if difference.mean else "no"
@@ -92,7 +92,7 @@
 
 
 def markdown(results: Results) -> str:
-    """Returns the report as Markdown."""
+    """Return the report as Markdown."""
     head = results.head
     parts = [
         f"# {head['experiment']['name']}",
@@ -119,7 +119,7 @@
 
 
 def page(results: Results) -> str:
-    """Returns the report as one HTML page, with the plots embedded."""
+    """Return the report as one HTML page, with the plots embedded."""
     head = results.head
     name = html.escape(head["experiment"]["name"])
     parts = [
@@ -156,7 +156,7 @@
 
 
 def plots(scenario: Line, runs: list[Line]) -> list[Figure]:
-    """Makes the figures of one scenario: each variant's run with the first seed, with the faults marked."""
+    """Make the figures of one scenario: each variant's run with the lowest seed, with the faults marked."""
     seed = min(run["seed"] for run in runs)
     first_runs = [run for run in runs if run["seed"] == seed]
     return [
@@ -178,10 +178,10 @@
     classes = len(runs[0]["series"]["set_ups"])
     for run in runs:
         series = run["series"]
-        wanted, served = np.array(series["wanted"]), np.array(series["served"])
-        share = served[:, :classes].sum(axis=1) / np.maximum(wanted[:, :classes].sum(axis=1), 1e-9)
-        seconds = np.arange(1, len(share) + 1)
-        axes[0, 0].plot(seconds, share, label=run["variant"])
+        requested, served = np.array(series["wanted"]), np.array(series["served"])
+        served_ratio = served[:, :classes].sum(axis=1) / np.maximum(requested[:, :classes].sum(axis=1), 1e-9)
+        seconds = np.arange(1, len(served_ratio) + 1)
+        axes[0, 0].plot(seconds, served_ratio, label=run["variant"])
         axes[0, 1].plot(seconds, series["ratio"], label=run["variant"])
         axes[1, 0].plot(seconds, np.diff(series["moved"], prepend=0), label=run["variant"])
         axes[1, 1].plot(seconds, np.diff(series["refused"], prepend=0), label=run["variant"])
@@ -200,9 +200,9 @@
     figure, axes = plt.subplots(1, 2, figsize=(12, 3.2), layout="constrained", width_ratios=(3, 2))
     width = 0.8 / len(runs)
     for index, run in enumerate(runs):
-        wanted, served = np.array(run["series"]["wanted"]), np.array(run["series"]["served"])
-        share = served.sum(axis=0) / np.maximum(wanted.sum(axis=0), 1e-9)
-        axes[0].bar(np.arange(len(names)) + index * width, share, width, label=run["variant"])
+        requested, served = np.array(run["series"]["wanted"]), np.array(run["series"]["served"])
+        served_ratio = served.sum(axis=0) / np.maximum(requested.sum(axis=0), 1e-9)
+        axes[0].bar(np.arange(len(names)) + index * width, served_ratio, width, label=run["variant"])
         p99 = [setups["99.0"] for setups in run["series"]["set_ups"]]
         axes[1].bar(np.arange(len(CLASSES)) + index * width, p99, width)
     axes[0].set_xticks(np.arange(len(names)) + 0.4 - width / 2, names, rotation=35, ha="right", fontsize=8)
--- a/sageturn/lab/runner/__init__.py
+++ b/sageturn/lab/runner/__init__.py
@@ -1,1 +1,1 @@
-"""Runs of the simulation: a day, an experiment over several processes, a search over experiments."""
+"""Runs of the simulation: a single run, experiments over several processes, and searches."""
--- a/sageturn/lab/runner/experiment.py
+++ b/sageturn/lab/runner/experiment.py
@@ -1,6 +1,6 @@
-"""Experiment files: scenarios to simulate, under which seeds, with which variants of the program.
+"""Experiment files: the scenarios to simulate, the seeds, and the variants of the program.
 
-The keys of a file are the fields' names, or what ``name`` of a field says.
+The keys of a file are the names of the fields, or the ``name`` that a field is given.
 """
 
 from __future__ import annotations
@@ -24,18 +24,18 @@
 from sageturn.net.json_stream import JsonObject
 from sageturn.rebalance.options import MODES, RebalanceMode, RebalanceOptions
 
-MIN_INITIAL_HOSTS = 2
+MIN_INITIAL_ENDPOINTS = 2
 
 Positive = Annotated[float, Meta(gt=0)]
 Name = Annotated[str, Meta(pattern=r"^[a-z0-9][a-z0-9_.+-]*$")]
 
 
 class Size(Struct, frozen=True, forbid_unknown_fields=True):
-    """The size of a fleet; defaults are a usual day of ``guide-live``. See ``FleetSpec`` for the fields."""
+    """Size of a fleet; see ``FleetSpec`` for the fields. The defaults are a usual load of ``guide-live``."""
 
     relays: Annotated[int, Meta(ge=1)] = 4
     hosts: Annotated[int, Meta(ge=2)] = 12
-    initial_hosts: int | None = field(default=None, name="early")  # None: all hosts
+    initial_hosts: int | None = field(default=None, name="early")  # None means all endpoints
     zones: tuple[str, ...] = ("hanoi",)
     connections: Annotated[int, Meta(ge=10)] = 1000
     mean_lifetime_s: Positive = field(default=90.0, name="life_s")
@@ -44,14 +44,18 @@
     join_s: float = 20.0
 
     def spec(self, seed: int) -> FleetSpec:
-        """Returns the fleet of this size. Raises InvalidSizeError."""
-        initial_hosts = self.hosts if self.initial_hosts is None else self.initial_hosts
-        if not MIN_INITIAL_HOSTS <= initial_hosts <= self.hosts:
-            raise InvalidSizeError("early: must be from 2 to hosts")
+        """Return the fleet of this size.
+
+        Raises:
+            InvalidSizeError: The number of initial endpoints is out of bounds.
+        """
+        initial_endpoints = self.hosts if self.initial_hosts is None else self.initial_hosts
+        if not MIN_INITIAL_ENDPOINTS <= initial_endpoints <= self.hosts:
+            raise InvalidSizeError("early: must be at least 2 and at most the value of hosts")
         return FleetSpec(
             relays=self.relays,
-            hosts=self.hosts,
-            initial_hosts=initial_hosts,
+            endpoints=self.hosts,
+            initial_endpoints=initial_endpoints,
             zones=self.zones,
             connections=self.connections,
             mean_lifetime_s=self.mean_lifetime_s,
@@ -63,7 +67,7 @@
 
 
 class Scenario(Struct, frozen=True, forbid_unknown_fields=True):
-    """A simulated day of a fleet, with its faults."""
+    """Run of a simulated fleet: its size, its length and its faults."""
 
     name: Name
     size: Size = Size()
@@ -72,11 +76,11 @@
 
 
 class Variant(Struct, frozen=True, forbid_unknown_fields=True):
-    """A decision module and a way of rebalancing, which all relays of a run use.
+    """Decision module and planner that all relays of a run use.
 
-    ``policy`` is empty for the present decision module, a path, or ``git:REVISION``. ``planner``, in
-    the file ``mover``, is a ``PlannerKind``; a plain string, so that an error names the
-    file's value. ``rebalance`` has fields of ``RebalanceOptions``.
+    ``policy`` is empty for the current decision module, a path, or ``git:REVISION``. ``planner``, whose key
+    in the file is ``mover``, is a value of ``PlannerKind``; a plain string, so that an error can name the
+    key. ``rebalance`` has fields of ``RebalanceOptions``.
     """
 
     name: Name
@@ -85,13 +89,18 @@
     rebalance: JsonObject = {}
 
     def options(self) -> RebalanceOptions:
-        """Returns the options of the planner. Raises InvalidVariantError, or TypeError for a value's type."""
+        """Return the options of the planner.
+
+        Raises:
+            InvalidVariantError: The planner, a key or the mode is unknown.
+            TypeError: A value has the wrong type.
+        """
         if self.planner not in PLANNER_NAMES:
             raise InvalidVariantError("mover: must be off, naive or on")
         known = RebalanceOptions.__dataclass_fields__
         for key in self.rebalance:
             if key not in known:
-                raise InvalidVariantError(f"rebalance.{key}: is unknown")
+                raise InvalidVariantError(f"rebalance.{key}: unknown key")
         options = RebalanceOptions(**{"mode": RebalanceMode.ON, **self.rebalance})
         if options.mode not in MODES:
             raise InvalidVariantError("rebalance.mode: must be one of " + ", ".join(MODES))
@@ -99,7 +108,7 @@
 
 
 class Experiment(Struct, frozen=True, forbid_unknown_fields=True):
-    """Every scenario is run with every seed and every variant."""
+    """Scenarios, each of which is run with every seed and every variant."""
 
     name: Name
     scenarios: Annotated[tuple[Scenario, ...], Meta(min_length=1)]
@@ -108,7 +117,11 @@
     why: str = ""
 
     def check(self) -> None:
-        """Raises InvalidExperimentError, with the key, for what the types of the fields allow."""
+        """Check the rules that the types of the fields do not express.
+
+        Raises:
+            InvalidExperimentError: A rule is violated; the message names the key.
+        """
         _reject_duplicates("scenarios", (scenario.name for scenario in self.scenarios))
         _reject_duplicates("variants", (variant.name for variant in self.variants))
         for number, scenario in enumerate(self.scenarios):
@@ -127,12 +140,16 @@
     seen: set[str] = set()
     for number, name in enumerate(names):
         if name in seen:
-            raise InvalidExperimentError(f"{key}[{number}].name: {name} is there twice")
+            raise InvalidExperimentError(f"{key}[{number}].name: {name} is a duplicate")
         seen.add(name)
 
 
 def read_experiment(file: Path) -> Experiment:
-    """Reads TOML or JSON, by the file's ending. Raises InvalidExperimentError."""
+    """Read an experiment file: JSON if its suffix is ``.json``, else TOML.
+
+    Raises:
+        InvalidExperimentError: The file cannot be read, or is invalid; the message names the file.
+    """
     try:
         data = file.read_bytes()
     except OSError as error:
--- a/sageturn/lab/runner/experiment_runner.py
+++ b/sageturn/lab/runner/experiment_runner.py
@@ -1,4 +1,4 @@
-"""Run experiments, over several processes."""
+"""Runner of experiments over several processes."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 from sageturn.lab.runner.result_file import LIBRARIES, Line, Results, library_version, revision
 from sageturn.lab.runner.simulation import RelayVariant, simulate
 
-OnRun = Callable[[Line, int, int], None]  # the run's line, its number and how many there are
+OnRun = Callable[[Line, int, int], None]  # arguments: the run's line, its number, the number of runs
 
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """One run of an experiment."""
+    """Run of an experiment."""
 
     scenario: Scenario
     seed: int
@@ -33,12 +33,12 @@
 
     @property
     def key(self) -> tuple[str, int, str]:
-        """Identifies the run within the experiment."""
+        """Names of the scenario and the variant, and the seed, which identify the run."""
         return self.scenario.name, self.seed, self.variant.name
 
 
 def run_scenario(scenario: Scenario, seed: int, variant: Variant, policy: str, processes: int = 1) -> Line:
-    """Runs a scenario once; the same arguments give the same line, but for the time that it took.
+    """Run a scenario once. Return its line, which is reproducible except for ``took_s``.
 
     ``policy`` is the text of the variant's decision module.
     """
@@ -62,12 +62,12 @@
 
 
 def run_experiment(experiment: Experiment, file: Path, root: Path, processes: int, on_run: OnRun) -> Results:
-    """Runs what is not in the file yet; interrupted at any moment, it continues there the next time."""
+    """Run what the result file lacks; an interrupted experiment continues with the next call."""
     policies = {variant.name: read_policy(variant.policy, root) for variant in experiment.variants}
     results = Results(file)
     results.start(_head(experiment, root, policies))
-    done = results.done()
-    missing = [run for run in _all_runs(experiment) if run.key not in done]
+    completed = results.done()
+    missing = [run for run in _all_runs(experiment) if run.key not in completed]
     with ProcessPoolExecutor(processes, mp_context=get_context("spawn")) as pool:
         futures = [
             pool.submit(run_scenario, run.scenario, run.seed, run.variant, policies[run.variant.name])
@@ -85,7 +85,7 @@
 
 
 def _head(experiment: Experiment, root: Path, policies: dict[str, str]) -> Line:
-    """Returns the head of a result file: the experiment, the policies' texts, the revision, the versions."""
+    """Return the head of a result file: the experiment, the policies' texts, and all versions."""
     return {
         "experiment": json.loads(msgspec.json.encode(experiment)),
         "policies": policies,
@@ -96,7 +96,10 @@
 
 
 def _all_runs(experiment: Experiment) -> Iterator[Run]:
-    """Yields variants of one day next to each other, so that an interrupted experiment has complete pairs."""
+    """Yield all runs; the variants of a scenario and seed are adjacent.
+
+    An interrupted experiment thus has complete pairs to compare.
+    """
     for seed in experiment.seeds:
         for scenario in experiment.scenarios:
             for variant in experiment.variants:
--- a/sageturn/lab/runner/result_file.py
+++ b/sageturn/lab/runner/result_file.py
@@ -1,4 +1,4 @@
-"""Result files: a JSON line with the origin of the results, and one for each run."""
+"""Result files: a JSON line with the origin of the results, followed by one for each run."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 LIBRARIES = ("numpy", "scipy", "hdrhistogram", "msgspec")
 
-Line = dict[str, Any]  # a decoded line of the file
+Line = dict[str, Any]  # decoded line of a result file
 
 
 def library_version(name: str) -> str:
-    """Returns the version of an installed library; empty if it is not installed."""
+    """Return the version of an installed library; empty if it is not installed."""
     try:
         return version(name)
     except PackageNotFoundError:
@@ -25,7 +25,7 @@
 
 
 def revision(root: Path) -> str:
-    """Returns the output of ``git describe`` for a working tree; empty outside of one."""
+    """Return the output of ``git describe`` for a working tree; empty outside of one."""
     described = subprocess.run(
         ["git", "describe", "--always", "--dirty"], cwd=root, capture_output=True, text=True, check=False
     )
@@ -33,7 +33,7 @@
 
 
 class Results:
-    """The results in a file. A line that was cut short, and all that follows it, is left out."""
+    """Results in a file; a truncated or undecodable line and all lines after it are ignored."""
 
     def __init__(self, file: Path) -> None:
         self.file = file
@@ -58,9 +58,10 @@
                 self.runs.append(line)
 
     def start(self, head: Line) -> None:
-        """Begins a new file, or continues one after its complete lines.
+        """Start a new file, or continue one after its complete lines.
 
-        Raises ResultsMismatchError where the file holds another experiment's results.
+        Raises:
+            ResultsMismatchError: The file has results of another experiment or of other policies.
         """
         if not self.head:
             self.file.write_bytes(b"")
@@ -74,7 +75,7 @@
             out.truncate(self._complete_bytes)
 
     def add(self, run: Line) -> None:
-        """Appends a run."""
+        """Append a run to the file, and flush it to disk."""
         self._append(run)
         self.runs.append(run)
 
@@ -85,11 +86,11 @@
             os.fsync(out.fileno())
 
     def done(self) -> set[tuple[str, int, str]]:
-        """Returns the scenario, seed and variant of each run."""
+        """Return the scenario, seed and variant of each run."""
         return {(run["scenario"], run["seed"], run["variant"]) for run in self.runs}
 
     def values(self, variant: str, metric: str) -> dict[tuple[str, int], float]:
-        """Returns a metric of a variant's runs, by scenario and seed."""
+        """Return a metric of a variant's runs, by scenario and seed."""
         return {
             (run["scenario"], run["seed"]): float(run["metrics"][metric])
             for run in self.runs
--- a/sageturn/lab/runner/scenario_shrinking.py
+++ b/sageturn/lab/runner/scenario_shrinking.py
@@ -1,4 +1,4 @@
-"""Shrinking of a scenario with a high loss to fewer, shorter and weaker faults with nearly the same loss."""
+"""Shrinking of a scenario to fewer, shorter and weaker faults that have nearly the same loss."""
 
 from __future__ import annotations
 
@@ -11,13 +11,17 @@
 from sageturn.lab.runner.experiment import Scenario
 
 MAX_RUNS = 40
-MIN_LENGTH_S = 1.0  # of a fault that is still shortened
-MIN_PART = 0.05  # of a fault that is still narrowed
-MIN_STRENGTH = 1.2  # of a fault that is still weakened
+MIN_LENGTH_S = 1.0  # faults shorter than this are not shortened
+MIN_PART = 0.05  # faults with a smaller part are not narrowed
+MIN_STRENGTH = 1.2  # faults with a lower strength are not weakened
 
 
 def replace_fault_field(fault: ScheduledFault, name: str, value: float) -> ScheduledFault:
-    """Returns the fault with one field replaced. Raises InvalidFaultError for a value outside its bounds."""
+    """Return the fault with one field replaced.
+
+    Raises:
+        InvalidFaultError: The value is out of bounds.
+    """
     return replace(fault, **{name: value})  # type: ignore[arg-type]
 
 
@@ -27,7 +31,7 @@
     min_loss: float,
     log: Callable[[str], None],
 ) -> Scenario:
-    """Returns the smallest scenario found that still loses ``min_loss``, after ``MAX_RUNS`` runs at most."""
+    """Return the smallest scenario found in ``MAX_RUNS`` runs with a loss of ``min_loss`` or more."""
     runs = 0
     shrunk = True
     while shrunk and runs < MAX_RUNS:
@@ -45,7 +49,7 @@
 
 
 def _smaller_scenarios(scenario: Scenario) -> list[Scenario]:
-    """Returns the scenarios without one fault, then those with one that is shorter, narrower or weaker."""
+    """Return the scenarios with one fault fewer, then those with one shorter, narrower or weaker."""
     faults = scenario.faults
     found = []
     for index in range(len(faults)):
@@ -69,7 +73,7 @@
 
 
 def describe(scenario: Scenario) -> str:
-    """Describes the faults of a scenario in a line."""
+    """Return a description of the faults of a scenario in one line."""
     return "; ".join(
         f"{fault.kind} from {fault.start_s:g} s for {fault.length_s:g} s, part {fault.part:g}, "
         f"strength {fault.strength:g}"
--- a/sageturn/lab/runner/search.py
+++ b/sageturn/lab/runner/search.py
@@ -1,4 +1,4 @@
-"""Searches for scenarios that a fleet handles badly: sweeps of a parameter, and drawn scenarios."""
+"""Searches for scenarios that a fleet handles badly: sweeps of a parameter, and random scenarios."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from sageturn.lab.runner.experiment_runner import run_scenario
 from sageturn.lab.runner.scenario_shrinking import replace_fault_field, shrink
 
-SIZE_PARAMETERS = {  # keys of a scenario's size, with their fields
+SIZE_PARAMETERS = {  # fields of ``Size`` by their keys
     "connections": "connections",
     "room": "capacity_ratio",
     "store_headroom": "store_headroom",
@@ -30,8 +30,8 @@
 INTEGER_PARAMETERS = ("connections", "hosts", "relays")
 FAULT_PARAMETERS = ("strength", "part", "length_s")
 REBALANCE_PREFIX = "rebalance."
-BISECTIONS = 8  # of the interval in which a metric crosses a bound
-MIN_KEPT_LOSS_RATIO = 0.8  # of the drawn scenario's loss, that a shrunk one must have
+BISECTION_STEPS = 8  # halvings of the interval in which a metric crosses a bound
+MIN_RETAINED_LOSS_RATIO = 0.8  # loss of a shrunk scenario over that of the drawn one
 REPORTED_LOSSES = 5
 MAX_DRAWN_FAULTS = 3
 MAX_FAULT_LENGTH_S = 25.0
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Point:
-    """A value of the swept parameter, and the metric's mean there."""
+    """Value of the swept parameter, and the metric's mean at it."""
 
     value: float
     metric: float
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Evaluation:
-    """A metric of a variant, on average over some seeds; ``policy`` is the text of its decision module."""
+    """Evaluation of a variant by a metric's mean over seeds; ``policy`` is its decision module's text."""
 
     variant: Variant
     policy: str
@@ -59,13 +59,17 @@
     metric: str
 
     def mean(self, scenario: Scenario) -> float:
-        """Runs the scenario under each seed. Returns the metric's mean."""
+        """Run the scenario with each seed. Return the metric's mean."""
         lines = [run_scenario(scenario, seed, self.variant, self.policy) for seed in self.seeds]
         return float(np.mean([line["metrics"][self.metric] for line in lines]))
 
 
 def set_parameter(scenario: Scenario, parameter: str, value: float) -> Scenario:
-    """Returns the scenario with a parameter set. Raises UnknownParameterError."""
+    """Return the scenario with a parameter set; a parameter of the planner leaves it unchanged.
+
+    Raises:
+        UnknownParameterError: The parameter is not one of a size, a fault or the planner.
+    """
     if parameter in SIZE_PARAMETERS:
         field_value = round(value) if parameter in INTEGER_PARAMETERS else value
         size = msgspec.structs.replace(scenario.size, **{SIZE_PARAMETERS[parameter]: field_value})
@@ -89,7 +93,11 @@
 def sweep(
     scenario: Scenario, evaluation: Evaluation, parameter: str, values: list[float], processes: int
 ) -> list[Point]:
-    """Returns the metric's mean at each value of a parameter. Raises UnknownParameterError."""
+    """Return the metric's mean at each value of a parameter.
+
+    Raises:
+        UnknownParameterError: The parameter is not one of a size, a fault or the planner.
+    """
     scenarios = [set_parameter(scenario, parameter, value) for value in values]
     evaluations = [
         replace(evaluation, variant=_set_variant_parameter(evaluation.variant, parameter, value))
@@ -101,9 +109,9 @@
 
 
 def find_crossing(points: list[Point], bound: float, metric_at: Callable[[float], float]) -> float | None:
-    """Returns the value at which the metric crosses a bound, by bisection between two neighbouring points.
+    """Return the value at which the metric crosses a bound, by bisection between two neighbouring points.
 
-    None where no two neighbouring points lie on both sides of the bound.
+    None if no two neighbouring points are on different sides of the bound.
     """
     for low, high in itertools.pairwise(points):
         starts_below = low.metric < bound
@@ -111,7 +119,7 @@
             continue
         left = low.value
         right = high.value
-        for _ in range(BISECTIONS):
+        for _ in range(BISECTION_STEPS):
             middle = (left + right) / 2.0
             if (metric_at(middle) < bound) == starts_below:
                 left = middle
@@ -125,7 +133,7 @@
 
 
 def draw_scenario(rng: np.random.Generator, number: int, size: Size, seconds: float) -> Scenario:
-    """Draws a scenario with one to three faults."""
+    """Draw a scenario with one to three faults."""
     fault_count = int(rng.integers(1, MAX_DRAWN_FAULTS + 1))
     faults = tuple(_draw_fault(rng, seconds) for _ in range(fault_count))
     return Scenario(f"hunted-{number}", size, seconds, faults)
@@ -143,52 +151,52 @@
 
 @dataclass(frozen=True, slots=True)
 class CostlyScenario:
-    """A drawn scenario, and the difference of its metric from that of the calm scenario."""
+    """Drawn scenario, and its loss: the metric of the baseline scenario less its own."""
 
     loss: float
     scenario: Scenario
 
 
 def hunt(
-    calm: Scenario,
+    baseline: Scenario,
     evaluation: Evaluation,
     count: int,
     seed: int,
     processes: int,
     log: Callable[[str], None],
 ) -> list[CostlyScenario]:
-    """Draws scenarios, and orders them by their loss; the first one is shrunk.
+    """Return random scenarios in descending order of their loss; the first one is shrunk.
 
     Args:
-        calm: The scenario without faults, whose size and length the drawn ones have.
-        evaluation: The metric that a scenario's loss is of.
+        baseline: The scenario without faults, which gives the drawn ones their size and length.
+        evaluation: The metric that the loss is measured in, and the variant to run.
         count: The number of scenarios to draw.
-        seed: The seed of the drawing.
-        processes: The number of runs at once.
-        log: Called with lines that report the progress.
+        seed: The seed of the random scenarios.
+        processes: The number of concurrent runs.
+        log: Called with each line of progress.
     """
     rng = np.random.Generator(np.random.PCG64(seed))
-    drawn = [draw_scenario(rng, number, calm.size, calm.seconds) for number in range(count)]
+    drawn = [draw_scenario(rng, number, baseline.size, baseline.seconds) for number in range(count)]
     with ProcessPoolExecutor(processes, mp_context=get_context("spawn")) as pool:
-        calm_value, *values = pool.map(evaluation.mean, [calm, *drawn])
+        baseline_value, *values = pool.map(evaluation.mean, [baseline, *drawn])
 
         def loss_of(scenario: Scenario) -> float:
-            return calm_value - pool.submit(evaluation.mean, scenario).result()
+            return baseline_value - pool.submit(evaluation.mean, scenario).result()
 
         found = [
-            CostlyScenario(calm_value - value, scenario)
+            CostlyScenario(baseline_value - value, scenario)
             for value, scenario in zip(values, drawn, strict=True)
         ]
         found.sort(key=lambda costly: -costly.loss)
         losses = ", ".join(f"{costly.loss:.3f}" for costly in found[:REPORTED_LOSSES])
-        log(f"calm {calm_value:.3f}; the worst lose {losses}")
+        log(f"calm {baseline_value:.3f}; the worst lose {losses}")
         worst = found[0]
-        shrunk = shrink(worst.scenario, loss_of, MIN_KEPT_LOSS_RATIO * worst.loss, log)
+        shrunk = shrink(worst.scenario, loss_of, MIN_RETAINED_LOSS_RATIO * worst.loss, log)
     return [CostlyScenario(worst.loss, shrunk), *found[1:]]
 
 
 def write_scenario(file: Path, scenario: Scenario, variant: Variant, seed: int, why: str) -> None:
-    """Writes an experiment of one scenario, to be kept as a regression test."""
+    """Write an experiment file of one scenario, for use as a regression test."""
     experiment = {
         "name": file.stem.lower().replace(" ", "-"),
         "why": why,
--- a/sageturn/lab/runner/simulation.py
+++ b/sageturn/lab/runner/simulation.py
@@ -1,9 +1,9 @@
-"""Simulates a fleet over several processes; the result does not depend on their number.
+"""Simulation of a fleet over several processes; the result does not depend on their number.
 
-Time advances in steps. Within a step each relay sees the hosts as they were at its start; between two steps
-the environment merges what all relays did: loads, intake, crashes, and the clients that connect again. Relays
-have random streams of their own and are merged in the order of their numbers, so that only the fleet and its
-seed decide what happens.
+Time advances in steps. Within a step each relay sees the state of the endpoints at its start; between two
+steps the environment merges the results of all relays: loads, intake, crashes, and clients that reconnect.
+Each relay has its own random stream, and results are merged in the order of the relays' numbers, so that the
+result depends only on the fleet and its seed.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from typing import Protocol
 
 from sageturn.lab.faults.fault import ScheduledFault
-from sageturn.lab.model.fleet import InitialPlacement, describe_endpoint, make_hosts
+from sageturn.lab.model.fleet import InitialPlacement, describe_endpoint, make_endpoints
 from sageturn.lab.model.fleet_spec import FleetSpec
 from sageturn.lab.model.planner_kind import PlannerKind
 from sageturn.lab.model.simulated_relay import SimulatedRelay
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayVariant:
-    """The planner, its options and the decision module of all relays of a run."""
+    """Planner, its options and decision module of all relays of a run."""
 
     planner: PlannerKind
     options: RebalanceOptions
@@ -43,46 +43,46 @@
 
 
 class RelayShard:
-    """The relays of one process."""
+    """Relays of one process."""
 
     def __init__(self, spec: FleetSpec, numbers: list[int], variant: RelayVariant) -> None:
         self.relays = {
             number: SimulatedRelay(spec, number, variant.planner, variant.options, variant.policy)
             for number in numbers
         }
-        hosts = make_hosts(spec)
-        initial_endpoints = [describe_endpoint(host) for host in hosts[: spec.initial_hosts]]
+        endpoints = make_endpoints(spec)
+        initial_entries = [describe_endpoint(endpoint) for endpoint in endpoints[: spec.initial_endpoints]]
         for number, relay in self.relays.items():
-            relay.update_endpoints(initial_endpoints)
-            placement = InitialPlacement(spec, hosts)
+            relay.update_endpoints(initial_entries)
+            placement = InitialPlacement(spec, endpoints)
             for _ in range(spec.connections // spec.relays):
                 client = relay.sampler.client()
                 relay.adopt_connection(client, placement.place(client, spec.zone(number), relay.sampler))
 
     def step(self, step_input: StepInput) -> StepResults:
-        """Steps all relays, and returns their results."""
+        """Run a step of all relays. Return their results."""
         results = {}
         for number, relay in self.relays.items():
             for instruction in step_input.instructions:
-                relay.follow_instruction(instruction)
+                relay.execute_instruction(instruction)
             for due_s, client in step_input.reconnects.get(number, ()):
                 relay.schedule_request(due_s, client)
             results[number] = relay.step(step_input.until_s, step_input.conditions)
         return results
 
     def planner_states(self) -> PlannerStates:
-        """Returns the planners' states by relay."""
+        """Return the planners' states by relay."""
         return {number: relay.planner_state() for number, relay in self.relays.items()}
 
 
 class RelayExecutor(Protocol):
-    """Steps all relays of a fleet."""
+    """Interface for running the steps of all relays of a fleet."""
 
     def step(self, step_input: StepInput) -> StepResults:
-        """Steps all relays, and returns their results."""
+        """Run a step of all relays. Return their results."""
 
     def planner_states(self) -> PlannerStates:
-        """Returns the planners' states by relay; no step may follow."""
+        """Return the planners' states by relay; ``step`` must not be called afterwards."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -92,13 +92,13 @@
 
 
 class WorkerPool:
-    """Steps the relays in several processes, each with a shard of them."""
+    """Pool of worker processes, each of which runs a shard of the relays."""
 
     def __init__(self, workers: list[_Worker]) -> None:
         self._workers = workers
 
     def step(self, step_input: StepInput) -> StepResults:
-        """Steps all relays, each process with the reconnects of its own relays."""
+        """Run a step of all relays; each process gets only the reconnects of its own relays."""
         for worker in self._workers:
             reconnects = {
                 number: step_input.reconnects[number]
@@ -114,7 +114,7 @@
         return results
 
     def planner_states(self) -> PlannerStates:
-        """Ends the processes. Returns their planners' states by relay."""
+        """End the processes. Return their planners' states by relay."""
         for worker in self._workers:
             worker.pipe.send(None)
         states: PlannerStates = {}
@@ -160,9 +160,9 @@
     processes: int = 1,
     on_second: OnSecond | None = None,
 ) -> SimulationResult:
-    """Simulates ``seconds`` of a fleet with its scheduled faults.
+    """Simulate ``seconds`` of a fleet with its scheduled faults.
 
-    ``on_second`` is called each simulated second.
+    ``on_second`` is called after each simulated second with the time and the result so far.
     """
     environment = SimulatedEnvironment(spec, faults, STEP_S)
     if processes <= 1:
--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -1,4 +1,4 @@
-"""The lab's own parts: its model of a host, simulations, experiments, comparisons and searches."""
+"""Tests of the lab: its model of an endpoint, simulations, experiments, comparisons and searches."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from sageturn.lab.faults.fault import FaultKind, ScheduledFault
 from sageturn.lab.loopback.loopback_runner import deployed
 from sageturn.lab.model.endpoint_model import EndpointModel
-from sageturn.lab.model.fleet import make_hosts
+from sageturn.lab.model.fleet import make_endpoints
 from sageturn.lab.model.fleet_spec import FleetSpec
 from sageturn.lab.model.planner_kind import PlannerKind
 from sageturn.lab.model.policy import POLICY_MODULES, load_policy, read_policy
@@ -31,7 +31,7 @@
 from sageturn.lab.model.zone_frontend import ZoneFrontend
 from sageturn.lab.reports.compare import compare, difference
 from sageturn.lab.reports.report import markdown, page
-from sageturn.lab.runner.environment import ratio_answered_in_time
+from sageturn.lab.runner.environment import answered_in_time_ratios
 from sageturn.lab.runner.experiment import Scenario, Size, read_experiment
 from sageturn.lab.runner.experiment_runner import run_experiment
 from sageturn.lab.runner.result_file import Line, Results
@@ -40,37 +40,39 @@
 from sageturn.lab.runner.simulation import RelayVariant, simulate
 from sageturn.rebalance.options import RebalanceOptions
 
-SMALL = FleetSpec(relays=3, hosts=6, initial_hosts=4, connections=300, mean_lifetime_s=300.0, join_s=5.0)
+SMALL = FleetSpec(
+    relays=3, endpoints=6, initial_endpoints=4, connections=300, mean_lifetime_s=300.0, join_s=5.0
+)
 
 
-def make_host(**fields: float) -> EndpointModel:
+def make_endpoint(**fields: float) -> EndpointModel:
     return EndpointModel("h", "k", 1.0, 100.0, mean_load=1.0, **fields)  # type: ignore[arg-type]
 
 
-def test_a_host_slows_as_it_fills_and_pays_once_for_a_group() -> None:
-    host = make_host()
-    idle_ms = host.setup_time_ms(0.0)
+def test_endpoint_slows_with_load_and_charges_group_cost_once() -> None:
+    endpoint = make_endpoint()
+    idle_ms = endpoint.setup_time_ms(0.0)
     for _ in range(40):
-        host.add_connection(1.0, "")
-    assert host.setup_time_ms(0.0) > 1.5 * idle_ms
+        endpoint.add_connection(1.0, "")
+    assert endpoint.setup_time_ms(0.0) > 1.5 * idle_ms
     for _ in range(4):
-        host.add_connection(1.0, "g")
-    assert host.total_load() == 44.0 + 1.5 and host.group_count == 1
+        endpoint.add_connection(1.0, "g")
+    assert endpoint.total_load() == 44.0 + 1.5 and endpoint.group_count == 1
     for _ in range(4):
-        host.remove_connection(1.0, "g")
-    assert host.total_load() == 40.0
+        endpoint.remove_connection(1.0, "g")
+    assert endpoint.total_load() == 40.0
     for _ in range(60):
-        host.add_connection(1.0, "")
-    assert not host.admit(0.0, 1.0) and not host.crashed
+        endpoint.add_connection(1.0, "")
+    assert not endpoint.admit(0.0, 1.0) and not endpoint.crashed
 
 
-def test_a_cold_host_crashes_when_it_is_sent_too_much_and_only_then() -> None:
-    # 100 over 24 s is its pace; at a start of 12% it may be sent four times 0.5 a second, over 3 s.
-    overloaded, spared = make_host(started_s=0.0), make_host(started_s=0.0)
+def test_cold_endpoint_crashes_only_above_its_intake_bound() -> None:
+    # The warm-up pace at the start is 12% of 100 over 24 s: 0.5/s. The bound is four times that over 3 s.
+    overloaded, paced = make_endpoint(started_s=0.0), make_endpoint(started_s=0.0)
     for number in range(30):
         overloaded.admit(0.1 + number * 0.05, 1.0)
-        spared.admit(0.1 + number * 0.6, 1.0)
-    assert overloaded.crashed and not spared.crashed and spared.peak_intake_ratio < 1.0
+        paced.admit(0.1 + number * 0.6, 1.0)
+    assert overloaded.crashed and not paced.crashed and paced.peak_intake_ratio < 1.0
     assert not overloaded.admit(60.0, 1.0), "it stays down"
 
 
@@ -92,39 +94,43 @@
     assert run(PlannerKind.ON, 1, 60.0, replace(SMALL, seed=2)).imbalance_ratios != one.imbalance_ratios
 
 
-def test_the_planner_balances_a_small_fleet_and_keeps_its_promises() -> None:
+def test_planner_balances_a_small_fleet_without_splitting_groups_or_crashes() -> None:
     unbalanced, balanced = run(PlannerKind.OFF, 1), run(PlannerKind.ON, 1)
     assert sum(balanced.imbalance_ratios[-20:]) < sum(unbalanced.imbalance_ratios[-20:]) - 20 * 0.1
     assert balanced.counts["moved"] > 0 and unbalanced.counts["moved"] == 0
-    assert balanced.counts["groups_split"] == balanced.counts["checkin_moved"] == balanced.crashed_hosts == 0
+    assert (
+        balanced.counts["groups_split"] == balanced.counts["checkin_moved"] == balanced.crashed_endpoints == 0
+    )
     assert balanced.peak_intake_ratio < 1.0
 
 
 @pytest.mark.timeout(40)
-async def test_real_relays_run_between_the_fakes() -> None:
-    spec = FleetSpec(relays=2, hosts=3, initial_hosts=2, connections=60, mean_lifetime_s=20.0, join_s=0.5)
+async def test_real_relays_run_between_fake_endpoints_and_clients() -> None:
+    spec = FleetSpec(
+        relays=2, endpoints=3, initial_endpoints=2, connections=60, mean_lifetime_s=20.0, join_s=0.5
+    )
     async with deployed(spec, PlannerKind.ON, {"tick_s": 0.1}) as deployment:
         result = await deployment.run(2.0)
     counts = result.observations.counts
-    assert result.malformed_requests == 0 and result.crashed_hosts == 0
+    assert result.malformed_requests == 0 and result.crashed_endpoints == 0
     assert counts["set_up"] > 0 and result.samples[-1].established > 30
     assert counts["error"] == counts["unanswered"] == 0
     assert len(result.planner_states) == 2
     assert all(state["mode"] == "on" for state in result.planner_states)
 
 
-# ---------------------------------------------------------------- days, experiments, comparisons
+# ---------------------------------------------------------------- faults, experiments, comparisons
 
 
-def simulate_day(*faults: ScheduledFault, seconds: float = 40.0, seed: int = 1) -> SimulationResult:
+def simulate_small_fleet(*faults: ScheduledFault, seconds: float = 40.0, seed: int = 1) -> SimulationResult:
     spec = Size(connections=300, hosts=6, relays=2, capacity_ratio=2.4).spec(seed)
     variant = RelayVariant(PlannerKind.OFF, RebalanceOptions())
     return simulate(spec, variant, seconds, faults=faults)
 
 
 def test_a_relay_may_be_removed_by_two_faults() -> None:
-    # The second one ended in a ValueError.
-    spec = FleetSpec(relays=6, hosts=6, initial_hosts=4)
+    # Removing the relay a second time raised ValueError.
+    spec = FleetSpec(relays=6, endpoints=6, initial_endpoints=4)
     frontend = ZoneFrontend(spec)
     relay = next(number for number in range(spec.relays) if spec.zone(number) == spec.zone(0))
     for _ in range(2):
@@ -134,24 +140,26 @@
 
 
 def test_faults_that_kill_relays_may_overlap_and_the_relays_return_after_the_last() -> None:
-    # The end of the first one brought all relays back.
+    # The end of the first fault restarted all relays, although the second one was still active.
     faults = [ScheduledFault(FaultKind.RELAYS, start_s, 6.0, part=1.0) for start_s in (5.0, 8.0)]
-    overlapping = simulate_day(*faults)
+    overlapping = simulate_small_fleet(*faults)
     first_alone, both_as_one = (
-        simulate_day(ScheduledFault(FaultKind.RELAYS, 5.0, length_s, part=1.0)) for length_s in (6.0, 9.0)
+        simulate_small_fleet(ScheduledFault(FaultKind.RELAYS, 5.0, length_s, part=1.0))
+        for length_s in (6.0, 9.0)
     )
     down_s = [
-        sum(sum(second) == 0.0 for second in day.served) for day in (first_alone, overlapping, both_as_one)
+        sum(sum(second) == 0.0 for second in result.served)
+        for result in (first_alone, overlapping, both_as_one)
     ]
     assert down_s[0] < down_s[1] == down_s[2]
 
 
 @pytest.mark.parametrize("kind", list(FaultKind))
-def test_each_fault_does_harm_of_its_own_and_is_over(kind: FaultKind) -> None:
-    calm = simulate_day()
-    faulty = simulate_day(ScheduledFault(kind, 10.0, 8.0, 0.5, 4.0))
+def test_each_fault_has_its_own_effect_and_ends(kind: FaultKind) -> None:
+    calm = simulate_small_fleet()
+    faulty = simulate_small_fleet(ScheduledFault(kind, 10.0, 8.0, 0.5, 4.0))
     counts = faulty.counts
-    assert faulty.wanted[4] == calm.wanted[4], "nothing is seen of it before it begins"
+    assert faulty.requested[4] == calm.requested[4], "nothing is seen of it before it begins"
     if kind == "slow":
         assert faulty.service() < calm.service() - 0.02
     elif kind == "store":
@@ -160,7 +168,7 @@
             or counts["refused"] > 0
         )
     elif kind in ("burst", "beyond"):
-        # Four times the arrivals for a fifth of the day, of all clients or of a member with 27% of them.
+        # Arrivals are four times as frequent for a fifth of the run: all of them, or a tenant's 27%.
         assert counts["asked"] > calm.counts["asked"] * (1.3 if kind == "burst" else 1.08)
     elif kind == "reconnect":
         assert counts["dropped"] > 80
@@ -170,21 +178,21 @@
         assert counts["cut"] < 50 and faulty.utilizations[-1].count(-1.0) == 3
     else:
         assert counts["asked"] >= calm.counts["asked"] * 0.9
-    assert sum(faulty.wanted[-1]) > 0.7 * sum(faulty.wanted[5])
+    assert sum(faulty.requested[-1]) > 0.7 * sum(faulty.requested[5])
 
 
 def test_message_times_are_those_of_a_queue() -> None:
-    # M/M/1: a message stays longer than t with the chance exp(-(1 - load) t / service time).
-    spec = FleetSpec(initial_hosts=12, join_s=1e9)
-    host = make_hosts(spec)[0]
-    host.add_connection(host.capacity / 2.0, "")
-    ratios = ratio_answered_in_time(spec.classes, host, 0.0)
+    # M/M/1: a response takes longer than t with the probability exp(-(1 - load) t / service time).
+    spec = FleetSpec(initial_endpoints=12, join_s=1e9)
+    endpoint = make_endpoints(spec)[0]
+    endpoint.add_connection(endpoint.capacity / 2.0, "")
+    ratios = answered_in_time_ratios(spec.classes, endpoint, 0.0)
     objective_ms = spec.classes[1].message_objective_ms
-    assert ratios[1][0] == pytest.approx(1.0 - exp(-0.5 * objective_ms / (6.0 / host.size)))
-    host.add_connection(host.capacity, "")
-    host.update_backlog(0.5, 0.5)
-    assert host.backlog_s == pytest.approx(0.25)
-    assert ratio_answered_in_time(spec.classes, host, 0.5)[1][0] == 0.0
+    assert ratios[1][0] == pytest.approx(1.0 - exp(-0.5 * objective_ms / (6.0 / endpoint.size)))
+    endpoint.add_connection(endpoint.capacity, "")
+    endpoint.update_backlog(0.5, 0.5)
+    assert endpoint.backlog_s == pytest.approx(0.25)
+    assert answered_in_time_ratios(spec.classes, endpoint, 0.5)[1][0] == 0.0
 
 
 EXPERIMENT = """
@@ -239,27 +247,27 @@
     with pytest.raises(KeyboardInterrupt):
         run_experiment(experiment, out, tmp_path, 2, stop)
     kept = out.read_bytes()
-    out.write_bytes(kept + b'{"scenario": "slo')  # and the last line was cut short
+    out.write_bytes(kept + b'{"scenario": "slo')  # the last line is truncated
     results = run_experiment(experiment, out, tmp_path, 2, lambda *_: None)
     assert len(results.runs) == 4 and out.read_bytes().startswith(kept)
     assert len(Results(out).runs) == 4
     same = results.values("present", "goal"), results.values("again", "goal")
     assert same[0] == same[1], "variants meet the same days"
-    (gap, slow) = compare(results, "present", "again", "goal")
-    assert gap.mean == 0.0 and not gap.settled and slow.scenario == "slow"
+    (overall, slow) = compare(results, "present", "again", "goal")
+    assert overall.mean == 0.0 and not overall.is_significant and slow.scenario == "slow"
     assert "| slow | present | 2 |" in markdown(results) and "data:image/png" in page(results)
     other = msgspec.structs.replace(experiment, seeds=(7,))
     with pytest.raises(ResultsMismatchError, match="another experiment"):
         run_experiment(other, out, tmp_path, 1, lambda *_: None)
 
 
-def test_differences_come_with_the_interval_that_chance_leaves() -> None:
+def test_differences_carry_a_confidence_interval() -> None:
     rng = np.random.default_rng(1)
     base = rng.normal(0.5, 0.1, 40)
     clear = difference("m", "", np.column_stack([base, base + 0.02 + rng.normal(0, 0.01, 40)]))
-    assert clear.settled and clear.low < 0.02 < clear.high
+    assert clear.is_significant and clear.low < 0.02 < clear.high
     noise = difference("m", "", np.column_stack([base, base + rng.normal(0, 0.05, 40)]))
-    assert not noise.settled and noise.needed_pairs > 40
+    assert not noise.is_significant and noise.needed_pairs > 40
     few = difference("m", "", np.column_stack([base[:3], base[:3] + np.array([0.01, 0.0, 0.02])]))
     assert few.low < 0.0 < few.high, "three days settle little"
 
@@ -276,7 +284,7 @@
         read_policy("gone.py", tmp_path)
 
 
-def test_a_policy_may_replace_any_of_the_files_that_decide(tmp_path: Path) -> None:
+def test_a_policy_may_replace_any_policy_module(tmp_path: Path) -> None:
     text = Path(fleet.__file__).read_text()
     (tmp_path / "policy").mkdir()
     (tmp_path / "policy" / "fleet.py").write_text(text.replace("EJECTION_MS = 1500.0", "EJECTION_MS = 9.0"))
@@ -295,18 +303,18 @@
     assert sorted(policy) == sorted(f"sageturn/decision/{module}.py" for module in POLICY_MODULES)
 
 
-def test_a_sweep_finds_a_crossing_and_a_hunt_shrinks_scenarios() -> None:
+def test_bisection_finds_a_crossing_and_scenarios_are_shrunk() -> None:
     points = [Point(value, 1.0 - value) for value in (0.0, 0.4, 0.8)]
     crossing = find_crossing(points, 0.5, lambda value: 1.0 - value)
     assert crossing == pytest.approx(0.5, abs=0.01)
     assert find_crossing(points, 2.0, lambda value: 0.0) is None
-    guilty = ScheduledFault("slow", 5.0, 16.0, 0.4, 4.0)
+    costly_fault = ScheduledFault("slow", 5.0, 16.0, 0.4, 4.0)
     whole = Scenario(
-        "d", Size(), 40.0, (ScheduledFault("burst", 1.0, 5.0), guilty, ScheduledFault("flap", 1.0, 5.0))
+        "d", Size(), 40.0, (ScheduledFault("burst", 1.0, 5.0), costly_fault, ScheduledFault("flap", 1.0, 5.0))
     )
 
-    def loss_of(day: Scenario) -> float:
-        return max((fault.length_s / 16.0 for fault in day.faults if fault.kind == "slow"), default=0.0)
+    def loss_of(scenario: Scenario) -> float:
+        return max((fault.length_s / 16.0 for fault in scenario.faults if fault.kind == "slow"), default=0.0)
 
     shrunk = shrink(whole, loss_of, 0.5, lambda line: None)
     (left,) = shrunk.faults
