--- a/sageturn/lab/faults/fault.py
+++ b/sageturn/lab/faults/fault.py
@@ -19,7 +19,7 @@
     BURST = "burst"  # ``strength`` times the usual arrivals
     RECONNECT = "reconnect"  # ``part`` of the clients disconnect and reconnect within the length
     VANISH = "vanish"  # ``part`` of the endpoints become unresponsive, but stay on the endpoint list
-    RESTART = "restart"  # ``part`` of the endpoints stop, and start again under the same names after it
+    RESTART = "restart"  # ``part`` of the endpoints stop, and restart under the same names after the length
     DRAIN = "drain"  # ``part`` of the endpoints drain over the length, and stop at its end
     DISCOVERY = "discovery"  # the discovery watch fails: the endpoint list is not updated
     FLAP = "flap"  # ``part`` of the endpoints leave the endpoint list and return every 2 s
--- a/sageturn/lab/model/client_event.py
+++ b/sageturn/lab/model/client_event.py
@@ -16,7 +16,7 @@
     REQUESTED = "asked"
     REJECTED = "refused"
     DROPPED = "dropped"  # connections that their clients closed because of a fault
-    MIGRATED_BY_BALANCER = "relieved"  # migrations by the balancer
+    MIGRATED_BY_BALANCER = "relieved"
     MIGRATED_AGAIN = "moved_twice"  # events counted in MIGRATED whose client had been migrated before
     GROUPS_MIGRATED = "groups_moved"
     GROUPS_SPLIT = "groups_split"  # groups that a plan migrated only in part
--- a/sageturn/lab/model/fleet_spec.py
+++ b/sageturn/lab/model/fleet_spec.py
@@ -88,7 +88,7 @@
     idle_setup_ms: float = 12.0  # set-up time of a connection at an idle endpoint
     initial_capacity_ratio: float = 0.12  # usable fraction of the capacity right after the start
     warm_up_s: float = 24.0
-    cold_overload_multiple: float = 4.0  # highest intake of a cold endpoint over its warm-up pace
+    cold_overload_multiple: float = 4.0  # highest intake that a cold endpoint survives over its warm-up pace
     overload_window_s: float = 3.0  # window over which the intake is measured
     join_s: float = 20.0
     reconnect_delay_ms: tuple[float, float] = (100.0, 820.0)
