--- a/sageturn/store/__init__.py
+++ b/sageturn/store/__init__.py
@@ -1,9 +1,9 @@
-"""A small replicated store of versioned records: configuration, and what each node reports of itself.
+"""A small replicated store of versioned records: configuration, and the state that each node reports.
 
-Consistency: every node answers reads from its own replica and takes writes at any time, also while it cannot
-reach the others. Records are compared by (version, node) and the larger wins, so once replicas have exchanged
-what they lack, all hold the same, in whatever order it came. Of two writes to one key on two sides of a
-partition the smaller is dropped when the partition heals; a writer that must not lose a write has to read its
-key again after. Keys under ``state/NODE/`` are written by that node alone, so for these no write is ever
-dropped. A write is durable once ``put`` returns.
+Consistency: every node serves reads from its own replica and accepts writes at any time, also while it cannot
+reach the others. Records are compared by (version, node) and the larger one wins, so replicas converge to the
+same records whatever the order in which updates arrive. If both sides of a partition write the same key, the
+write with the smaller (version, node) is dropped when the partition heals; a writer that must not lose a
+write has to read the key again afterwards. Keys under ``state/NODE/`` are written by that node alone, so
+their writes are never dropped. A write is durable once ``put`` returns.
 """
--- a/sageturn/store/errors.py
+++ b/sageturn/store/errors.py
@@ -1,18 +1,18 @@
-"""Errors of the store; all of them are a ``StoreError``."""
+"""Exceptions of the store, all derived from ``StoreError``."""
 
 from __future__ import annotations
 
 
 class StoreError(Exception):
-    """The base of all errors that the store raises itself."""
+    """Base class of all exceptions that the store raises itself."""
 
 
 class InvalidRecordError(StoreError, ValueError):
-    """A record that was read or is to be written is invalid; the text names the field."""
+    """A record that was read or is to be written is invalid; the message names the field."""
 
 
 class LogCorruptedError(StoreError):
-    """The log on disk is damaged in a way that no interrupted write explains."""
+    """The log on disk is damaged in a way that an interrupted write cannot cause."""
 
 
 class LogInUseError(StoreError, BlockingIOError):
@@ -20,7 +20,7 @@
 
 
 class HandshakeRejectedError(StoreError, ConnectionError):
-    """The peer does not hold the shared secret, or a frame was tampered with or is malformed."""
+    """The peer does not hold the shared secret, or one of its frames is malformed or not authentic."""
 
 
 class ChannelClosedError(StoreError, ConnectionResetError):
@@ -28,9 +28,9 @@
 
 
 class SessionRejectedError(StoreError, ValueError):
-    """A protocol violation, or a peer that may not connect: the session has to be closed.
+    """A session that has to be closed, after a protocol violation or because the peer may not connect.
 
-    ``close_code`` is sent to the peer as the reason; the text says what was expected.
+    ``close_code`` and the message are sent to the peer as the close reason.
     """
 
     def __init__(self, message: str, close_code: str = "fault") -> None:
--- a/sageturn/store/log.py
+++ b/sageturn/store/log.py
@@ -1,8 +1,8 @@
 """The append-only log of records on disk.
 
-Each entry is a header (length and checksum of the payload, and a checksum of the header itself) and a
-payload of JSON. Without the header's own checksum a corrupted length would look like an entry whose writing
-was cut short, and all that follows it like a torn tail.
+Each entry consists of a header (length and checksum of the payload, and a checksum of the header itself) and
+a JSON payload. Without the checksum of the header, a corrupted length would look like an incomplete last
+entry, and all entries after it would be dropped as a torn tail.
 """
 
 from __future__ import annotations
@@ -35,36 +35,36 @@
 
 
 class LogContents(NamedTuple):
-    """The records of a log's bytes, and the length of the part that is intact."""
+    """The records decoded from a log, and the length in bytes of its intact part."""
 
     records: list[StoreRecord]
     intact_bytes: int
 
 
-def encode(record: StoreRecord) -> bytes:
-    """Returns one entry of the log."""
+def encode_entry(record: StoreRecord) -> bytes:
+    """Return the record as an entry of the log."""
     payload = json.dumps(record.to_json(), separators=(",", ":"), sort_keys=True).encode()
     header = _HEADER.pack(len(payload), zlib.crc32(payload))
     return header + _HEADER_CHECKSUM.pack(zlib.crc32(header)) + payload
 
 
 def scan(data: bytes) -> LogContents:
-    """Decodes a log's bytes; those past the intact part are a torn tail.
+    """Decode the bytes of a log; bytes after the intact part are a torn tail.
 
     Raises:
-        LogCorruptedError: No interrupted write explains the damage.
+        LogCorruptedError: The log is damaged in a way that an interrupted write cannot cause.
     """
     if not data.startswith(MAGIC):
         if MAGIC.startswith(data):
             return LogContents([], 0)
-        raise LogCorruptedError("this is no log of the store")
+        raise LogCorruptedError("expected a log of the store: the magic number is missing")
     records = []
     offset = len(MAGIC)
-    view = memoryview(data)  # slices without copying the rest of the log for each entry
+    view = memoryview(data)  # its slices do not copy the rest of the log for each entry
     while offset < len(data):
         header = data[offset : offset + _FULL_HEADER_BYTES]
         if len(header) < _FULL_HEADER_BYTES or not any(view[offset:]):
-            break  # cut short, or the file had grown before its bytes were written
+            break  # incomplete header, or zeros: the file was extended before its data reached the disk
         payload_bytes, payload_checksum = _parse_header(header, offset)
         start = offset + _FULL_HEADER_BYTES
         end = start + payload_bytes
@@ -73,19 +73,19 @@
             break
         if zlib.crc32(payload) != payload_checksum:
             if end == len(data):
-                break  # the last entry: its bytes had not all reached the disk
-            raise LogCorruptedError(f"entry at byte {offset}")
+                break  # the last entry was not completely written to the disk
+            raise LogCorruptedError(f"entry at byte {offset}: wrong payload checksum")
         records.append(_parse_payload(payload, offset))
         offset = end
     return LogContents(records, offset)
 
 
 def _parse_header(header: bytes, offset: int) -> _EntryHeader:
-    """Decodes an entry's header. Raises LogCorruptedError if its own checksum is wrong."""
+    """Decode an entry's header. Raise LogCorruptedError if the checksum of the header is wrong."""
     payload_fields = header[: _HEADER.size]
     (header_checksum,) = _HEADER_CHECKSUM.unpack(header[_HEADER.size :])
     if header_checksum != zlib.crc32(payload_fields):
-        raise LogCorruptedError(f"header at byte {offset}")
+        raise LogCorruptedError(f"header at byte {offset}: wrong header checksum")
     return _EntryHeader(*_HEADER.unpack(payload_fields))
 
 
@@ -93,27 +93,29 @@
     try:
         return parse_record(json.loads(payload))
     except (InvalidRecordError, ValueError) as error:
-        raise LogCorruptedError(f"entry at byte {offset}: {error}") from error
+        raise LogCorruptedError(f"entry at byte {offset}: invalid record: {error}") from error
 
 
 class RecordLog:
-    """The log file of one node, open for this process alone.
+    """The log file of one node, locked by this process.
 
-    A write or sync that fails is undone: the bytes that it has left in the file are cut off before anything
-    else is written, or the next entry would follow half of another. While they cannot be cut off, every write
-    fails. The same holds for a torn tail that an earlier process has left, so a log can be opened and read
-    while the disk is full.
+    A failed write or sync is undone: its partial data is truncated before anything else is written, since
+    otherwise the next entry would follow an incomplete one. As long as the truncation fails, every write
+    fails. A torn tail that an earlier process has left is handled in the same way, so a log can be opened and
+    read while the disk is full.
 
-    ``records`` are those read when the log was opened, ``torn_bytes`` the length of its torn tail then, and
-    ``size`` the length of the intact part.
+    Attributes:
+        records: The records that were read when the log was opened.
+        torn_bytes: The length in bytes of the torn tail when the log was opened.
+        size: The length in bytes of the intact part.
     """
 
     def __init__(self, path: Path) -> None:
-        """Opens the log, or creates it with its directory.
+        """Open the log, or creates it with its directory.
 
         Raises:
             LogInUseError: Another process has the log open.
-            LogCorruptedError: No interrupted write explains the damage.
+            LogCorruptedError: The log is damaged in a way that an interrupted write cannot cause.
             OSError: The log cannot be read.
         """
         self._path = path
@@ -132,7 +134,7 @@
         self._prepare_to_append()
 
     def _prepare_to_append(self) -> None:
-        """Cuts off a torn tail, and writes the magic number of an empty log; tried again by ``append``."""
+        """Truncate a torn tail, and write the magic number of an empty log; ``append`` retries on failure."""
         if self.size and not self.torn_bytes:
             self._file.seek(self.size)
             return
@@ -145,19 +147,19 @@
             log.warning("log not writable yet path=%s reason=%s", self._path, error)
 
     def append(self, records: Iterable[StoreRecord]) -> None:
-        """Adds records, durable once this returns.
+        """Append records, which are durable once this returns.
 
         Raises:
-            OSError: The disk cannot be written, and none of the records is in the log.
+            OSError: The log cannot be written, and none of the records is in it.
         """
         if not self._is_directory_synced:
             self._sync_directory()
         if self._has_unfinished_write:
             self._undo_write()
-        self._write(b"".join(map(encode, records)))
+        self._write(b"".join(map(encode_entry, records)))
 
     def _write(self, data: bytes) -> None:
-        """Writes and syncs ``data``, after the file's magic number if the file is empty."""
+        """Write and sync ``data``, preceded by the magic number if the file is empty."""
         self._has_unfinished_write = True
         if not self.size:
             data = MAGIC + data
@@ -168,27 +170,27 @@
                 view = view[written:]
             os.fsync(self._file.fileno())
         except OSError:
-            with suppress(OSError):  # repeated before the next write
+            with suppress(OSError):  # retried before the next write
                 self._undo_write()
             raise
         self._has_unfinished_write = False
         self.size += len(data)
 
     def _undo_write(self) -> None:
-        """Cuts off, durably, what a failed write has left behind the intact part."""
-        self._cut_to_size()
+        """Truncate, durably, what a failed write has left after the intact part."""
+        self._truncate_to_size()
         os.fsync(self._file.fileno())
         self._has_unfinished_write = False
 
-    def _cut_to_size(self) -> None:
+    def _truncate_to_size(self) -> None:
         self._file.truncate(self.size)
         self._file.seek(self.size)
 
     def rewrite(self, records: Iterable[StoreRecord]) -> None:
-        """Replaces the log atomically by one that has only these records.
+        """Replace the log atomically by one that contains only these records.
 
         Raises:
-            OSError: The disk cannot be written, and the old log is intact.
+            OSError: The new log cannot be written, and the old log is intact.
         """
         replacement_path = self._path.with_suffix(".new")
         replacement_path.unlink(missing_ok=True)
@@ -201,18 +203,18 @@
             with suppress(OSError):
                 replacement_path.unlink()
             raise
-        # The old file has no name any more, so this is the log from here on, whatever fails next.
+        # The old file is unlinked, so the new one is the log even if a later step fails.
         old_file, self._file = self._file, replacement._file
         self.size = replacement.size
         self._has_unfinished_write = False
         self._is_directory_synced = False
         with suppress(OSError):
             old_file.close()
-        with suppress(OSError):  # repeated before the next write
+        with suppress(OSError):  # retried before the next write
             self._sync_directory()
 
     def _sync_directory(self) -> None:
-        """Makes the replaced directory entry durable."""
+        """Sync the directory, which makes the replacement of the file durable."""
         directory = os.open(self._path.parent, os.O_RDONLY)
         try:
             os.fsync(directory)
@@ -221,12 +223,12 @@
         self._is_directory_synced = True
 
     def close(self) -> None:
-        """Releases the file."""
+        """Close the file and release its lock."""
         self._file.close()
 
 
 def _open_locked(path: Path) -> BinaryIO:
-    """Opens the file for this process alone. Raises LogInUseError if another one has it open."""
+    """Open the file and lock it. Raise LogInUseError if another process has it locked."""
     file = path.open("r+b" if path.exists() else "w+b", buffering=0)
     try:
         fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
--- a/sageturn/store/records.py
+++ b/sageturn/store/records.py
@@ -10,12 +10,12 @@
 from sageturn.store.errors import InvalidRecordError
 
 MAX_KEY_LENGTH = 256
-MAX_VALUE_BYTES = 256 << 10  # of JSON
-MAX_FRAME_BYTES = 512 << 10  # on a connection; fits the largest record
+MAX_VALUE_BYTES = 256 << 10  # size of the value as JSON
+MAX_FRAME_BYTES = 512 << 10  # size of a frame's payload; the largest record fits
 STATE_PREFIX = "state/"
 _DIGEST_BYTES = 8
 
-RecordOrder = tuple[int, str]  # version and node; of two versions of a record the larger one wins
+RecordOrder = tuple[int, str]  # version and node; the larger of two versions of a record wins
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,11 +24,11 @@
 
     Attributes:
         key: The name of the record.
-        value: A JSON value; None is a deletion, which is kept for a time so that all replicas learn of it.
-        version: The version number, which counts up.
-        node: The writer.
-        written_ms: Unix milliseconds on the writer's clock; None if an earlier version of the program wrote
-            the record.
+        value: A JSON value; None for a tombstone, retained for a time so that it reaches all replicas.
+        version: The version number, which increases with each write.
+        node: The node that wrote the version.
+        written_ms: The time of the write in Unix milliseconds on the writer's clock; None for a record of an
+            earlier program version.
     """
 
     key: str
@@ -39,17 +39,17 @@
 
     @property
     def order(self) -> RecordOrder:
-        """The version's place among all versions of the record."""
+        """The sort key of this version among all versions of the record."""
         return self.version, self.node
 
     def to_json(self) -> dict[str, Any]:
-        """Returns the object that stands in the log, which ``parse_record`` reads."""
+        """Return the JSON object of the record, as stored in the log and decoded by ``parse_record``."""
         obj = {"key": self.key, "value": self.value, "version": self.version, "node": self.node}
         return obj if self.written_ms is None else {**obj, "written_ms": self.written_ms}
 
 
 def record_digest(record: StoreRecord) -> int:
-    """Returns 64 bits, never 0, that identify a version's content without sending it."""
+    """Return a nonzero 64-bit digest that identifies a version and its content."""
     parts = [record.key, record.value, record.version, record.node, record.written_ms]
     text = json.dumps(parts, separators=(",", ":"), sort_keys=True)
     digest = blake2b(text.encode(), digest_size=_DIGEST_BYTES).digest()
@@ -57,9 +57,10 @@
 
 
 def supersedes(new: StoreRecord, known: StoreRecord | None) -> bool:
-    """Whether a version replaces a known one.
+    """Return whether a version replaces the known one; None is no known version.
 
-    Its order decides. A node whose store was wiped may give an order twice: then the digest decides.
+    The larger order wins. A node whose store was wiped can use an order again for other content: then the
+    larger digest wins.
     """
     if known is None:
         return True
@@ -69,7 +70,7 @@
 
 
 def parse_record(obj: object) -> StoreRecord:
-    """Returns the record of a decoded JSON object. Raises InvalidRecordError."""
+    """Return the record of a decoded JSON object. Raise InvalidRecordError if it is malformed."""
     if not isinstance(obj, dict):
         raise InvalidRecordError("not an object")
     key = obj.get("key")
@@ -90,5 +91,5 @@
 
 
 def may_write(node: str, key: str) -> bool:
-    """Whether a node may write a key: its own states, and all keys that are no states."""
+    """Return whether a node may write a key: its own state keys, and all keys that are not state keys."""
     return not key.startswith(STATE_PREFIX) or key.startswith(f"{STATE_PREFIX}{node}/")
--- a/sageturn/store/replica_state.py
+++ b/sageturn/store/replica_state.py
@@ -1,4 +1,4 @@
-"""The small file beside the log: what a replica has to remember apart from its records."""
+"""The state file next to the log: what a replica has to persist besides its records."""
 
 from __future__ import annotations
 
@@ -16,10 +16,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaState:
-    """How far a replica was in sync, and which deletions it has forgotten.
+    """The time at which a replica was last in sync, and its tombstone floor.
 
-    ``last_in_sync`` is Unix seconds, None if the replica is not known to have ever held all that others do.
-    ``tombstone_floor`` is the largest version among the deletions that were forgotten.
+    Attributes:
+        last_in_sync: Unix seconds; None if the replica is not known to have ever held all records of the
+            others.
+        tombstone_floor: The largest version among the tombstones that were discarded.
     """
 
     last_in_sync: float | None = None
@@ -38,7 +40,7 @@
 
 
 def read_replica_state(path: Path) -> ReplicaState:
-    """Reads the file. A missing or damaged one counts as never in sync, which is safe."""
+    """Return the state in the file. A missing or damaged file counts as never in sync, which is safe."""
     try:
         return _decode(path.read_text(encoding="utf-8"))
     except FileNotFoundError:
@@ -49,7 +51,7 @@
 
 
 def write_replica_state(path: Path, state: ReplicaState) -> None:
-    """Replaces the file atomically, durable once this returns. Raises OSError."""
+    """Replace the file atomically, durable once this returns. Raise OSError if it cannot be written."""
     replacement = path.with_name(path.name + ".new")
     with replacement.open("w", encoding="utf-8") as file:
         file.write(_encode(state))
@@ -59,14 +61,14 @@
 
 
 class ReplicaStateFile:
-    """Holds a replica's state, and writes it to the file beside the log.
+    """The state of a replica, persisted in a file next to the log.
 
-    A write that fails is repeated with the next one. Until then a restart reads an older state, which is
-    safe.
+    The next write or ``flush`` replaces a write that failed. Until then a restart reads an older state, which
+    is safe.
     """
 
     def __init__(self, log_path: Path | None) -> None:
-        """Reads the state of the log at ``log_path``; None keeps it in memory only."""
+        """Read the state that belongs to the log at ``log_path``; None keeps the state in memory only."""
         self._log_path = log_path
         self._path = None if log_path is None else log_path.with_name(log_path.name + FILE_SUFFIX)
         self.state = ReplicaState() if self._path is None else read_replica_state(self._path)
@@ -74,9 +76,9 @@
         self._written_last_in_sync = self.state.last_in_sync
 
     def set_last_in_sync(self, at: float | None) -> None:
-        """Sets the Unix seconds until which this replica held all that others did; None for not known.
+        """Set the Unix time at which this replica was last in sync; None if unknown.
 
-        A time shortly after the one in the file is kept in memory only.
+        A time less than ``SYNC_TIME_WRITE_INTERVAL_S`` after the one in the file is held in memory only.
         """
         state = replace(self.state, last_in_sync=at)
         written = self._written_last_in_sync
@@ -87,12 +89,12 @@
             self.state = state
 
     def raise_tombstone_floor(self, floor: int) -> None:
-        """Records that deletions up to version ``floor`` were forgotten, here or by another replica."""
+        """Record that tombstones up to version ``floor`` were discarded, here or by another replica."""
         if floor > self.state.tombstone_floor:
             self._try_to_write(replace(self.state, tombstone_floor=floor))
 
     def write(self, state: ReplicaState) -> None:
-        """Replaces the state, and writes it. Raises OSError if only the memory has it now."""
+        """Replace the state and write it to the file. Raise OSError if only the memory has it."""
         self.state = state
         self._is_unwritten = True
         if self._path is not None:
@@ -100,7 +102,7 @@
         self._is_unwritten = False
 
     def flush(self) -> None:
-        """Writes the state if the last write has failed. Raises OSError if this one fails too."""
+        """Write the state again if the last write failed. Raise OSError if this write fails too."""
         if self._is_unwritten:
             self.write(self.state)
 
--- a/sageturn/store/store.py
+++ b/sageturn/store/store.py
@@ -1,4 +1,4 @@
-"""One node's replica of all records: reads from memory, writes to the log first."""
+"""One node's replica of all records: reads are served from memory, writes go to the log first."""
 
 from __future__ import annotations
 
@@ -28,9 +28,11 @@
 
 
 class Store:
-    """One node's replica of all records; the only writer of its log.
+    """One node's replica of all records, and the only writer of its log.
 
-    ``on_change`` and ``on_forgotten`` are called with each batch of records, or of keys, once it is applied.
+    Attributes:
+        on_change: Callbacks for each batch of records that was applied.
+        on_forgotten: Callbacks for the keys of each batch of records that was dropped without a tombstone.
     """
 
     def __init__(
@@ -40,13 +42,13 @@
         wall_clock: Callable[[], float] = time.time,
         min_compaction_bytes: int = MIN_COMPACTION_BYTES,
     ) -> None:
-        """Opens the store.
+        """Open the store.
 
         Args:
             node: The name under which this replica writes.
-            path: The log; None keeps records in memory only, as where no disk survives a restart.
+            path: The log's file; None keeps the records in memory only.
             wall_clock: Returns Unix seconds.
-            min_compaction_bytes: A smaller log is never compacted.
+            min_compaction_bytes: Minimum size of a log that is compacted.
 
         Raises:
             LogInUseError: Another process has the log open.
@@ -67,33 +69,33 @@
         if record_log.torn_bytes:
             log.warning("torn log tail dropped path=%s bytes=%d", record_log.path, record_log.torn_bytes)
         for record in record_log.take_records():
-            self._keep_newer(record)
+            self._put_if_newer(record)
 
     def close(self) -> None:
-        """Releases the log."""
+        """Close the log and release its lock."""
         if self._log is not None:
             self._log.close()
 
     # ------------------------------------------------------------ reading
 
     def get(self, key: str) -> Any:
-        """Returns the value of a key; None if there is none, or it was deleted."""
+        """Return the value of a key; None if the key is unknown or was deleted."""
         record = self._records.get(key)
         return None if record is None else record.value
 
     def record(self, key: str) -> StoreRecord | None:
-        """Returns the record of a key, also a deleted one as long as the deletion is remembered."""
+        """Return the record of a key, which may be a tombstone; None if there is no record."""
         return self._records.get(key)
 
     def records(self) -> list[StoreRecord]:
-        """Returns all records, deletions included."""
+        """Return all records, tombstones included."""
         return list(self._records.values())
 
     def __len__(self) -> int:
         return len(self._records)
 
     def keys(self, prefix: str = "") -> list[str]:
-        """Returns the keys that have a value, sorted."""
+        """Return the keys that start with ``prefix`` and have a value, sorted."""
         return sorted(
             key
             for key, record in self._records.items()
@@ -101,31 +103,32 @@
         )
 
     def digest(self) -> Digest:
-        """Returns the order of each record's version, which is equal for equal replicas."""
+        """Return the version and node of each record by key; equal replicas have equal digests."""
         return {key: record.order for key, record in self._records.items()}
 
     # ------------------------------------------------------------ writing
 
     def put(self, key: str, value: object) -> StoreRecord:
-        """Writes a value, durable once this returns; None deletes.
+        """Write a value, durable once this returns; None deletes the key. Return the new record.
 
         Raises:
-            InvalidRecordError: The key is empty, too long or another node's, or the value is too large.
+            InvalidRecordError: The key is empty, too long or a state key of another node, or the value is too
+                large.
             OSError: The log cannot be written; the store is unchanged.
         """
         if not key or len(key) > MAX_KEY_LENGTH or not may_write(self.node, key):
-            raise InvalidRecordError(f"key: {key} is not {self.node}'s to write")
+            raise InvalidRecordError(f"key: {key} is empty, too long or not writable by node {self.node}")
         if len(json.dumps(value)) > MAX_VALUE_BYTES:
-            raise InvalidRecordError(f"value: of {key} is larger than {MAX_VALUE_BYTES} octets")
+            raise InvalidRecordError(f"value: the JSON value of {key} is larger than {MAX_VALUE_BYTES} bytes")
         known = self._records.get(key)
-        # Above every deletion that was forgotten: another replica may still remember it, and must not win.
+        # The version exceeds every discarded tombstone: another replica may still have one, and must not win.
         version = known.version + 1 if known else self.replica_state.tombstone_floor + 1
         record = StoreRecord(key, value, version, self.node, int(self.wall_clock() * 1000.0))
         self._apply([record])
         return record
 
     def merge(self, records: Iterable[StoreRecord]) -> int:
-        """Applies those records of another replica that are newer; returns how many were.
+        """Apply the records of another replica that supersede this one's; return their number.
 
         Raises:
             OSError: The log cannot be written; the store is unchanged.
@@ -143,32 +146,33 @@
         if self._log is not None:
             self._log.append(records)
         for record in records:
-            self._keep_newer(record)
-        # The records are written, so observers are notified even if the compaction fails.
+            self._put_if_newer(record)
+        # The records are already durable, so observers are notified even if the compaction fails.
         for on_change in self.on_change:
             on_change(records)
         if self._log is not None and self._log.is_compaction_due:
             self._try_to_compact(self._log)
 
-    def _keep_newer(self, record: StoreRecord) -> None:
+    def _put_if_newer(self, record: StoreRecord) -> None:
         if supersedes(record, self._records.get(record.key)):
             self._records[record.key] = record
 
     # ------------------------------------------------------------ compaction
 
     def compact(self) -> None:
-        """Rewrites the log to the records that are held; does nothing without a log.
+        """Rewrite the log to the current records; do nothing without a log.
 
         Raises:
-            OSError: The log cannot be rewritten now, and is as it was.
+            OSError: The log cannot be rewritten now, and is unchanged.
         """
         if self._log is not None:
-            # Forgotten deletions leave the log here: the floor above their versions has to be on disk first.
+            # Compaction removes discarded tombstones from the log: a floor not below their versions has to be
+            # on disk first.
             self.replica_state_file.flush()
             self._log.compact(self._records.values())
 
     def _try_to_compact(self, record_log: CompactingLog) -> None:
-        """Compacts the log; one that cannot be rewritten now is still intact, and tried again later."""
+        """Compact the log; on failure the log is still intact, and the compaction is retried later."""
         try:
             self.compact()
         except OSError as error:
@@ -178,9 +182,10 @@
     # ------------------------------------------------------------ forgetting
 
     def forget(self, keys: Iterable[str]) -> None:
-        """Drops records without a tombstone: expired deletions, and states of removed members.
+        """Drop records without leaving a tombstone: expired tombstones, and states of removed members.
 
-        They leave the log at its next compaction; a restart before that reads them, and forgets them again.
+        The next compaction removes them from the log; after an earlier restart they are read and dropped
+        again.
         """
         forgotten = [self._records.pop(key) for key in keys if key in self._records]
         self.raise_tombstone_floor(max((record.version for record in forgotten), default=0))
@@ -188,13 +193,13 @@
             self._notify_forgotten([record.key for record in forgotten])
 
     def drop_copied(self) -> int:
-        """Drops what came from other nodes and may have been deleted there, after being long out of sync.
+        """Drop copied records that other nodes may have deleted while this replica was long out of sync.
 
-        This node's own states stay, and what was written since it was last in sync. The old log is kept
-        beside the new one for operators, as ``.dropped-`` and the time.
+        This node's own states are retained, and so are records that were written after it was last in sync.
+        The old log is copied for operators to a file with the suffix ``.dropped-`` and the Unix time.
 
         Returns:
-            How many records were dropped.
+            The number of records that were dropped.
 
         Raises:
             OSError: The backup or the replica's state cannot be written; no record was dropped.
@@ -209,11 +214,11 @@
             del self._records[key]
         self._notify_forgotten(dropped)
         if self._log is not None:
-            self._try_to_compact(self._log)  # a restart before it succeeds drops the same records again
+            self._try_to_compact(self._log)  # if it fails, the next restart drops the same records again
         return len(dropped)
 
     def _survives_drop(self, record: StoreRecord) -> bool:
-        """Whether a record is this node's state, or was written since this replica was last in sync."""
+        """Return whether a record is this node's state, or is newer than the last time in sync."""
         if record.key.startswith(f"{STATE_PREFIX}{self.node}/"):
             return True
         last_in_sync = self.replica_state.last_in_sync
@@ -227,13 +232,13 @@
 
     @property
     def replica_state(self) -> ReplicaState:
-        """How far this replica was in sync, and which deletions it has forgotten."""
+        """The time at which this replica was last in sync, and its tombstone floor."""
         return self.replica_state_file.state
 
     def set_last_in_sync(self, at: float | None) -> None:
-        """Sets the Unix seconds until which this replica held all that others did; None for not known."""
+        """Set the Unix time at which this replica was last in sync; None if unknown."""
         self.replica_state_file.set_last_in_sync(at)
 
     def raise_tombstone_floor(self, floor: int) -> None:
-        """Records that deletions up to version ``floor`` were forgotten, here or by another replica."""
+        """Record that tombstones up to version ``floor`` were discarded, here or by another replica."""
         self.replica_state_file.raise_tombstone_floor(floor)
--- a/tests/store/test_compatibility_store.py
+++ b/tests/store/test_compatibility_store.py
@@ -1,4 +1,4 @@
-"""The store's log and its state file stay as revision 6e0cdec wrote and read them, byte for byte."""
+"""The store's log and state file stay byte for byte compatible with revision 6e0cdec."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
     "why": 'disk "swap"\n',
     "forced": False,
 }
-# What is put, in this order, one second apart; None deletes.
+# The values that are put, in this order, one second apart; None deletes.
 OPERATIONS: list[tuple[str, Any]] = [
     ("config/accounts/lan", ACCOUNT),
     ("config/accounts/mai", {**ACCOUNT, "group": "night"}),
@@ -50,7 +50,7 @@
     ("notes/deleted", {"short": "lived"}),
     ("notes/deleted", None),
 ]
-FROM_OTHERS = [
+RECORDS_OF_OTHERS = [
     StoreRecord("config/log_level", "WARNING", 3, "node-b", written_ms=1),
     StoreRecord("config/accounts/mai", "older", 1, "node-b", written_ms=2),
     StoreRecord("state/node-b/relay", {"standing": 0}, 9, "node-b"),
@@ -66,7 +66,7 @@
     store = open_store(path)
     for key, value in OPERATIONS:
         store.put(key, value)
-    store.merge(FROM_OTHERS)
+    store.merge(RECORDS_OF_OTHERS)
     store.forget(["notes/deleted"])
     store.set_last_in_sync(START_S + 120.5)
     store.close()
@@ -77,7 +77,7 @@
 
 
 def compact(path: Path) -> None:
-    """Compacts the log, as happens once it has grown far beyond what its records need."""
+    """Compact the log, as the store does once the log has grown far beyond its records."""
     store = open_store(path)
     store.compact()
     store.close()
@@ -101,7 +101,7 @@
         return files
 
 
-def committed_copy(folder: Path, name: str) -> Path:
+def copy_fixture(folder: Path, name: str) -> Path:
     path = folder / "store.log"
     shutil.copyfile(FIXTURES / name, path)
     return path
@@ -117,8 +117,8 @@
 
 
 @pytest.mark.parametrize("name", ["store.log", "rewritten.log"])
-def test_a_committed_log_yields_its_records_and_is_left_as_it_is(tmp_path: Path, name: str) -> None:
-    path = committed_copy(tmp_path, name)
+def test_a_committed_log_yields_its_records_and_is_not_modified(tmp_path: Path, name: str) -> None:
+    path = copy_fixture(tmp_path, name)
     store = open_store(path)
     assert records_of(store) == expected_records()
     store.close()
@@ -126,7 +126,7 @@
 
 
 def test_an_opened_log_reads_deletions_and_nested_values(tmp_path: Path) -> None:
-    store = open_store(committed_copy(tmp_path, "store.log"))
+    store = open_store(copy_fixture(tmp_path, "store.log"))
     assert store.get("config/accounts/lan") == ACCOUNT
     assert store.get("overrides/01-west/0001-linh") == OVERRIDE
     assert store.get("config/accounts/mai") is None
--- a/tests/store/test_disk_faults.py
+++ b/tests/store/test_disk_faults.py
@@ -1,4 +1,4 @@
-"""The store on a disk that fails for a while: what was acknowledged is kept, and nothing else."""
+"""The store on a disk that fails temporarily: acknowledged writes survive, and no others."""
 
 from __future__ import annotations
 
@@ -22,22 +22,23 @@
 from sageturn.store.store import Store
 
 
-def fail_to_cut(record_log: RecordLog) -> None:
-    """Stands in for cutting off what a write has left."""
+def fail_to_truncate(record_log: RecordLog) -> None:
+    """Replace ``RecordLog._truncate_to_size`` by a failing truncation."""
     raise OSError(errno.EIO, os.strerror(errno.EIO))
 
 
 def reopened(store: Store, path: Path) -> Store:
-    """Returns the store that a restart reads from the disk."""
+    """Close the store, and return the one that a restart reads from the disk."""
     store.close()
     return Store("n1", path)
 
 
-def test_acknowledged_writes_survive_a_disk_that_fails_for_a_while(
+def test_acknowledged_writes_survive_a_disk_that_fails_temporarily(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # A write that failed half way was left in the middle of the log, which then could not be read any more;
-    # one whose sync failed came back after a restart, in place of the one acknowledged in its stead.
+    # Guards against two failures: an incomplete write that stays in the middle of the log makes it
+    # unreadable, and a write whose sync failed reappears after a restart in place of the write acknowledged
+    # later.
     path = tmp_path / "log"
     store = Store("n1", path)
     store.put("config/0", 0)
@@ -56,13 +57,13 @@
     store.close()
 
 
-def test_nothing_is_written_behind_half_an_entry_that_cannot_be_cut_off_yet(
+def test_nothing_is_written_after_an_incomplete_entry_that_cannot_be_truncated_yet(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     path = tmp_path / "log"
     store = Store("n1", path)
     store.put("config/0", 0)
-    with failing_syncs(monkeypatch):  # the cut needs a sync as well
+    with failing_syncs(monkeypatch):  # the truncation needs a sync too
         for _ in range(2):
             with pytest.raises(OSError, match="Input/output"):
                 store.put("config/1", "never acknowledged")
@@ -81,7 +82,7 @@
     store.put("config/1", 1)
     longer = path.read_bytes()
     store.close()
-    for end in range(len(whole), len(longer)):  # whatever the write had left, if nothing was cut off
+    for end in range(len(whole), len(longer)):  # every possible partial write, not truncated
         path.write_bytes(longer[:end])
         store = Store("n1", path)
         assert store.keys() == ["config/0"]
@@ -89,10 +90,10 @@
 
 
 @pytest.mark.parametrize("fault", ["full", "no sync"])
-def test_a_log_that_cannot_be_rewritten_now_stays_whole_and_is_rewritten_later(
+def test_a_log_that_cannot_be_rewritten_now_stays_intact_and_is_rewritten_later(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, fault: str
 ) -> None:
-    # The write that led to the compaction was reported as failed, and no listener was notified of it.
+    # Guards against a failed compaction that fails the write which triggered it, without notifying listeners.
     path = tmp_path / "log"
     store = Store("n1", path, min_compaction_bytes=2000)
     notified_keys: list[str] = []
@@ -116,7 +117,7 @@
     assert store.get("config/0") == f"{29:0100}"
     for number in range(30):
         store.put("config/0", f"{number + 30:0100}")
-    assert path.stat().st_size < 10000  # rewritten meanwhile
+    assert path.stat().st_size < 10000  # the log was rewritten in the meantime
     store = reopened(store, path)
     assert store.get("config/0") == f"{59:0100}" and store.get("config/1") == 1
     store.close()
@@ -125,7 +126,7 @@
 def test_writes_after_a_rewrite_go_to_the_new_log_though_its_directory_could_not_be_synced(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # They went to the old file, which has no name any more, and were gone after a restart.
+    # Guards against writes to the old file, which is unlinked, so that a restart does not read them.
     path = tmp_path / "log"
     store = Store("n1", path)
     store.put("config/0", 0)
@@ -151,7 +152,7 @@
 def test_deletions_leave_the_log_only_once_the_floor_above_them_is_on_the_disk(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # A later write under the key must win over a replica that still remembers the deletion.
+    # A later write to the key must supersede the tombstone that another replica may still have.
     path = tmp_path / "log"
     store = Store("n1", path)
     store.put("config/0", 0)
@@ -166,16 +167,16 @@
     store.close()
 
 
-def test_a_store_opens_on_a_disk_that_takes_nothing_now_and_writes_once_it_does(
+def test_a_store_opens_on_an_unwritable_disk_and_writes_once_the_disk_is_writable(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # A new log, or one whose torn tail had to go first, kept the relay from starting meanwhile.
-    for name, left_behind in (("new", b""), ("torn", MAGIC[:5]), ("tail", MAGIC + b"\0\0\0")):
+    # Guards against a relay that cannot start because its log is new or has a torn tail to truncate.
+    for name, initial_bytes in (("new", b""), ("torn", MAGIC[:5]), ("tail", MAGIC + b"\0\0\0")):
         path = tmp_path / name
-        if left_behind:
-            path.write_bytes(left_behind)
+        if initial_bytes:
+            path.write_bytes(initial_bytes)
         with monkeypatch.context() as patched, failing_syncs(patched):
-            patched.setattr(RecordLog, "_cut_to_size", fail_to_cut)
+            patched.setattr(RecordLog, "_truncate_to_size", fail_to_truncate)
             store = Store("n1", path)
             with pytest.raises(OSError, match="Input/output"):
                 store.put("config/1", "never acknowledged")
@@ -186,11 +187,11 @@
         store.close()
 
 
-def test_what_is_dropped_is_gone_for_everybody_though_the_log_cannot_be_rewritten(
+def test_listeners_are_notified_of_dropped_records_though_the_log_cannot_be_rewritten(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # It had left the store, but no listener was notified: the next comparison of replicas failed on a missing
-    # record.
+    # Guards against records that leave the store without notification of the listeners, so that the next
+    # comparison of replicas fails on a missing record.
     store = Store("n1", tmp_path / "log", wall_clock=lambda: 2000.0)
     store.put("state/n1/x", 1)
     store.merge([StoreRecord("config/a", 1, 9, "n2", 800_000)])
@@ -207,14 +208,14 @@
     store.put("config/b", 2)
     store = reopened(store, tmp_path / "log")
     assert store.get("config/b") == 2 and store.get("state/n1/x") == 1
-    assert store.replica_state.last_in_sync is None  # so what the log still had of others is dropped again
+    assert store.replica_state.last_in_sync is None  # so copied records left in the log are dropped again
     store.close()
 
 
-def test_a_member_is_announced_once_the_disk_takes_it(
+def test_a_member_is_announced_once_the_disk_is_writable(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # A member whose new incarnation could not be written stayed unknown to the others until the next one.
+    # Guards against a member that stays unknown to the others because one write of its incarnation failed.
     store = Store("n1", tmp_path / "log")
     location = ReplicaLocation(("127.0.0.1", 7400), "r", "a")
     replica = Replica(store, Random(1), 0.0, location, lambda own: Overlay(own, (), Random(2)))
--- a/tests/store/test_import_circles.py
+++ b/tests/store/test_import_circles.py
@@ -1,4 +1,4 @@
-"""The store's modules import each other without a circle, also for types alone."""
+"""The store's modules have no import cycles, not even for types alone."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def imported_names(file: Path) -> set[str]:
-    """Returns all imported names, at any depth and under TYPE_CHECKING, that may be modules."""
+    """Return all imported names that may be modules, at any depth and also under TYPE_CHECKING."""
     names: set[str] = set()
     for node in ast.walk(ast.parse(file.read_text())):
         if isinstance(node, ast.Import):
@@ -26,8 +26,8 @@
     return names
 
 
-def test_no_module_imports_itself_through_others() -> None:
+def test_there_is_no_import_cycle() -> None:
     files = {module_name(file): file for file in PACKAGE.rglob("*.py")}
     assert len(files) > 50
     imports = {name: imported_names(file) & files.keys() for name, file in files.items()}
-    TopologicalSorter(imports).prepare()  # raises CycleError, which names the circle
+    TopologicalSorter(imports).prepare()  # raises CycleError, which names the cycle
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -33,11 +33,11 @@
     store = Store("n1", tmp_path / "log")
     assert store.keys("config/") == ["config/0", "config/1", "config/2"] and store.get("config/2") == {"v": 2}
     with pytest.raises(OSError, match="another process"):
-        Store("n1", tmp_path / "log")  # two writers would tear each other's entries
+        Store("n1", tmp_path / "log")  # two writers would corrupt each other's entries
     store.close()
 
 
-def test_a_torn_tail_is_dropped_wherever_it_was_torn(tmp_path: Path) -> None:
+def test_a_torn_tail_is_dropped_whatever_its_length(tmp_path: Path) -> None:
     whole = write_three_records(tmp_path / "log")
     two = len(whole) - len(whole.split(b'{"key"')[-1]) - 6 - 12
     for end in range(two, len(whole)):
@@ -46,13 +46,13 @@
         assert store.keys() == ["config/0", "config/1"]
         store.put("config/9", 9)
         store.close()
-        again = Store("n1", tmp_path / "log")
-        assert again.get("config/9") == 9
-        again.close()
+        reopened = Store("n1", tmp_path / "log")
+        assert reopened.get("config/9") == 9
+        reopened.close()
 
 
 def test_corruption_elsewhere_is_an_error_and_not_a_shorter_log(tmp_path: Path) -> None:
-    # A corrupted length in the middle looks like a torn tail, and would silently drop all that follows.
+    # A corrupted length in the middle resembles a torn tail, and would silently drop all later entries.
     whole = write_three_records(tmp_path / "log")
     first = whole.index(b'{"key"')
     for position in (0, first - 12, first - 9, first - 1, first + 3):
@@ -80,15 +80,15 @@
     assert len(records) == 300 and end == len(data) and Counting.copied <= 2 * len(data)
 
 
-def test_a_grown_log_is_compacted_to_the_records_held(tmp_path: Path) -> None:
+def test_a_grown_log_is_compacted_to_the_current_records(tmp_path: Path) -> None:
     store = Store("n1", tmp_path / "log", min_compaction_bytes=2000)
     for number in range(100):
         store.put("config/a", number)
     store.put("config/b", 1)
     store.close()
-    again = Store("n1", tmp_path / "log")
-    assert (again.get("config/a"), again.get("config/b")) == (99, 1)
-    again.close()
+    reopened = Store("n1", tmp_path / "log")
+    assert (reopened.get("config/a"), reopened.get("config/b")) == (99, 1)
+    reopened.close()
 
 
 def test_the_last_sync_and_forgotten_deletions_are_known_after_a_restart(tmp_path: Path) -> None:
@@ -100,17 +100,17 @@
     store.put("config/b", 1)
     store.compact()
     store.close()
-    again = Store("n1", tmp_path / "log", wall_clock=lambda: 2000.0)
-    assert (again.replica_state.last_in_sync, again.replica_state.tombstone_floor) == (
+    reopened = Store("n1", tmp_path / "log", wall_clock=lambda: 2000.0)
+    assert (reopened.replica_state.last_in_sync, reopened.replica_state.tombstone_floor) == (
         900.0,
         2,
-    ) and again.record("config/a") is None
-    assert again.put("config/a", 2).version == 3
-    again.merge([StoreRecord("config/c", 1, 9, "n2", 800_000), StoreRecord("state/n1/x", 1, 1, "n1")])
-    assert again.drop_copied() == 1, "what was written here since, and its own states, are kept"
-    again.close()
-    (aside,) = tmp_path.glob("log.dropped-*")
-    assert b"config/c" in aside.read_bytes() and b"config/c" not in (tmp_path / "log").read_bytes()
+    ) and reopened.record("config/a") is None
+    assert reopened.put("config/a", 2).version == 3
+    reopened.merge([StoreRecord("config/c", 1, 9, "n2", 800_000), StoreRecord("state/n1/x", 1, 1, "n1")])
+    assert reopened.drop_copied() == 1, "later writes of this node, and its own states, are retained"
+    reopened.close()
+    (backup,) = tmp_path.glob("log.dropped-*")
+    assert b"config/c" in backup.read_bytes() and b"config/c" not in (tmp_path / "log").read_bytes()
     (tmp_path / "log.standing").write_text("{damaged")
     last = Store("n1", tmp_path / "log")
     assert last.replica_state.last_in_sync is None and last.keys() == ["config/a", "config/b", "state/n1/x"]
@@ -133,7 +133,7 @@
         store.put("state/n2/x", 1)
 
 
-async def until(condition: Callable[[], object]) -> None:
+async def wait_until(condition: Callable[[], object]) -> None:
     async with asyncio.timeout(10):
         while not condition():
             await asyncio.sleep(0.01)
@@ -141,24 +141,24 @@
 
 @pytest.mark.timeout(300)
 async def test_replicas_converge_after_a_partition_and_forward_records() -> None:
-    # b and c write while apart, one key on both sides; a chain of links is enough for all to agree.
+    # b and c write the same key while partitioned; they converge over a chain of links through a.
     store_a, store_b, store_c = Store("a"), Store("b"), Store("c")
     member_a = start_member(store_a)
     member_b = start_member(store_b, member_a.address)
     store_b.put("config/x", "first")
-    await until(lambda: store_a.get("config/x") == "first")
+    await wait_until(lambda: store_a.get("config/x") == "first")
     await member_b.stop()
     store_b.put("config/x", "mine")
     store_c.put("config/x", "theirs")
     store_c.put("config/only-c", 1)
     store_a.put("config/x", None)
     member_b, member_c = start_member(store_b, member_a.address), start_member(store_c, member_a.address)
-    await until(
+    await wait_until(
         lambda: store_a.digest() == store_b.digest() == store_c.digest() and store_a.get("config/only-c") == 1
     )
     assert store_a.get("config/x") == store_b.get("config/x") == store_c.get("config/x") == "mine"
     store_a.put("config/live", 5)
-    await until(lambda: store_c.get("config/live") == 5)
+    await wait_until(lambda: store_c.get("config/live") == 5)
     for member in (member_a, member_b, member_c):
         await member.stop()
 
@@ -169,15 +169,15 @@
 ) -> None:
     store, other_store = Store("a"), Store("b")
     member = start_member(store)
-    stranger = start_member(other_store, member.address, secret=read_secret("another"))
+    unauthorized_member = start_member(other_store, member.address, secret=read_secret("another"))
     other_store.put("config/evil", 1)
     reader, writer = await asyncio.open_connection(*member.address)
     writer.write(b"\x00\x00\x00\x02{}")
-    assert await asyncio.wait_for(reader.read(), 5) is not None  # ended, with nothing of the store
-    await until(lambda: "the secrets differ" in caplog.text)
-    # Its own advertisement, and nothing else.
+    assert await asyncio.wait_for(reader.read(), 5) is not None  # closed without any record of the store
+    await wait_until(lambda: "the secrets differ" in caplog.text)
+    # The store has its own advertisement only.
     assert store.keys() == ["state/a/member"] and member.link_count == 0
-    await stranger.stop()
+    await unauthorized_member.stop()
     await member.stop()
 
     sender_socket, receiver_socket = socket.socketpair()
@@ -191,35 +191,44 @@
     frame = await loop.sock_recv(receiver_socket, 4096)
     await loop.sock_sendall(sender_socket, frame)
     assert await receiver.receive() == b'{"records":[]}'
-    await loop.sock_sendall(sender_socket, frame)  # once more, as somebody who recorded it would send it
+    await loop.sock_sendall(sender_socket, frame)  # replays the recorded frame
     with pytest.raises(HandshakeRejectedError, match="tampered"):
         await receiver.receive()
     sender_socket.close()
     receiver_socket.close()
 
 
-def admin(*words: str, stdin: str = "") -> Result:
-    return CliRunner().invoke(build_app(), ["store", *words], input=stdin)
+def run_store_command(*arguments: str, stdin: str = "") -> Result:
+    return CliRunner().invoke(build_app(), ["store", *arguments], input=stdin)
 
 
 @pytest.mark.timeout(300)
 async def test_an_operator_adds_an_account_offline_and_to_a_running_daemon(tmp_path: Path) -> None:
     path = str(tmp_path / "log")
     account = ("account", "lan", "--class", "c", "--tenant", "t")
-    result = await asyncio.to_thread(admin, "--path", path, *account, stdin="secret word\n")
+    result = await asyncio.to_thread(run_store_command, "--path", path, *account, stdin="secret word\n")
     assert result.exit_code == 0
-    record = json.loads((await asyncio.to_thread(admin, "--path", path, "get", "config/accounts/lan")).output)
-    missing = await asyncio.to_thread(admin, "--path", path, "get", "config/accounts/mai")
+    record = json.loads(
+        (await asyncio.to_thread(run_store_command, "--path", path, "get", "config/accounts/lan")).output
+    )
+    missing = await asyncio.to_thread(run_store_command, "--path", path, "get", "config/accounts/mai")
     assert missing.exit_code == 4
-    without_store = await asyncio.to_thread(admin, "get", "config/accounts/lan")
+    without_store = await asyncio.to_thread(run_store_command, "get", "config/accounts/lan")
     assert without_store.exit_code == 2
     assert record["tenant"] == "t" and "secret word" not in (tmp_path / "log").read_text(errors="replace")
 
     (tmp_path / "secret").write_text("one secret\n")
     store = Store("daemon")
     running = start_member(store)
-    where = ["--connect", "{}:{}".format(*running.address), "--secret-file", str(tmp_path / "secret")]
-    result = await asyncio.to_thread(admin, *where, "put", "config/log_level", '"DEBUG"')
+    connect_options = [
+        "--connect",
+        "{}:{}".format(*running.address),
+        "--secret-file",
+        str(tmp_path / "secret"),
+    ]
+    result = await asyncio.to_thread(
+        run_store_command, *connect_options, "put", "config/log_level", '"DEBUG"'
+    )
     assert result.exit_code == 0
     assert store.get("config/log_level") == "DEBUG"
     await running.stop()
