--- a/sageturn/store/replication/__init__.py
+++ b/sageturn/store/replication/__init__.py
@@ -1,6 +1,7 @@
-"""Replication of the store between members: pure modules, and ``member.py``, which has sockets and a clock.
+"""Replication of the store between members.
 
-``changes`` records what changed since when, ``session`` speaks the protocol over one connection
-(``messages``, ``message_codec``, ``wire``), ``replica`` is one replica with all its sessions, and
-``overlay`` decides which members connect. The design and its reasons: ``docs/design/spread.md``.
+``changes`` is the change log, ``session`` implements the protocol on one connection (``messages``,
+``message_codec``, ``wire``), ``replica`` is one replica with all its sessions, and ``overlay`` decides which
+members link to each other. These modules have no I/O and no clock; ``member`` connects them to sockets and
+the clock. ``docs/design/spread.md`` describes the design and its reasons.
 """
--- a/sageturn/store/replication/ephemeral_client.py
+++ b/sageturn/store/replication/ephemeral_client.py
@@ -1,6 +1,6 @@
-"""An ephemeral client: a short-lived replica of the store, as a command-line tool needs it.
+"""An ephemeral client: a short-lived replica of the store for a command-line tool.
 
-It is no member. It fetches all that a member holds, sends what is written to it, and disconnects.
+It is not a member. It fetches all records of one member, sends the records written to it, and disconnects.
 """
 
 from __future__ import annotations
@@ -35,18 +35,18 @@
 async def open_ephemeral_client(
     peer: Address, secret: bytes, timeout_s: float = DEFAULT_TIMEOUT_S
 ) -> AsyncIterator[Store]:
-    """Provides a store that holds all that a running member has.
+    """Provide a store that holds all records of a running member.
 
-    When the context ends, the member has acknowledged what was written to the store.
+    The context ends once the member has acknowledged the records written to the store.
 
     Args:
         peer: The member's address.
         secret: The key from ``read_secret``.
-        timeout_s: How long to wait while no records arrive.
+        timeout_s: Maximum time to wait without a new record.
 
     Raises:
-        TimeoutError: No member answered, or has acknowledged what was written. The text has the reasons that
-            the member gave.
+        TimeoutError: The member did not answer, or did not acknowledge the written records. The message
+            lists the reasons why links failed.
     """
     client = _EphemeralClient(peer, secret, timeout_s)
     connecting = asyncio.ensure_future(client.keep_connected())
@@ -61,7 +61,7 @@
 
 
 class _EphemeralClient:
-    """The client's store, with a replica that keeps one link to the member."""
+    """The client's store, with a replica that maintains one link to the member."""
 
     def __init__(self, peer: Address, secret: bytes, timeout_s: float) -> None:
         self.store = Store(f"operator-{secrets.token_hex(4)}")
@@ -75,7 +75,7 @@
         self._failures: list[str] = []
 
     async def keep_connected(self) -> None:
-        """Runs links until it is cancelled, and connects again with a backoff whenever one ends."""
+        """Run one link after another, with a backoff between them, until the task is cancelled."""
         backoff = Backoff(MIN_RECONNECT_BACKOFF_S, MAX_RECONNECT_BACKOFF_S, _seeded_random())
         while True:
             sock = await connect(self._peer, CONNECT_TIMEOUT_S)
@@ -92,10 +92,10 @@
             await asyncio.sleep(backoff.next_delay_s())
 
     async def wait_until(self, condition: Callable[[ReplicationSession], bool]) -> None:
-        """Waits until a session fulfils the condition.
+        """Wait until a session fulfils the condition.
 
         Raises:
-            TimeoutError: Nothing has arrived for the timeout.
+            TimeoutError: No new record has arrived within the timeout.
         """
         deadline = time.monotonic() + self._timeout_s
         record_count = len(self.store)
@@ -108,7 +108,7 @@
                 record_count = len(self.store)
 
     async def disconnect(self) -> None:
-        """Closes the session, and waits a moment for that to be sent."""
+        """Close the session, and wait up to ``CLOSE_TIMEOUT_S`` until the close message is sent."""
         for session in self._sessions:
             session.close("done", CloseCode.ORDERLY)
         with suppress(TimeoutError):
@@ -117,7 +117,7 @@
                     await asyncio.sleep(PROGRESS_POLL_INTERVAL_S)
 
     def close(self) -> None:
-        """Detaches the replica from its store."""
+        """Detach the replica from its store."""
         self._replica.close()
 
 
--- a/sageturn/store/replication/heartbeat_codec.py
+++ b/sageturn/store/replication/heartbeat_codec.py
@@ -1,4 +1,4 @@
-"""The encoder and the decoder of heartbeats; ``message_codec`` has those of all other messages."""
+"""The encoder and the decoder of heartbeats; ``message_codec`` handles all other messages."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def heartbeat_to_wire(heartbeat: OutgoingHeartbeat) -> list[Any]:
-    """Returns the body of a heartbeat."""
+    """Return the wire form of a heartbeat's body."""
     return [
         heartbeat.heads,
         heartbeat.roots,
@@ -47,10 +47,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ReceivedHeartbeat(Heartbeat):
-    """A peer's heartbeat, of which each method decodes a part when it is called.
+    """Heartbeat of a peer whose fields are decoded on demand, one by each method.
 
-    A session applies the parts in the order of these methods, and leaves out those that don't concern it: a
-    malformed part, for which a method raises SessionRejectedError, does not undo those before it.
+    A session applies the fields in the order of these methods, and skips those that do not concern it: a
+    malformed field, for which its method raises SessionRejectedError, does not undo those already applied.
     """
 
     recently_in_sync: bool
@@ -61,35 +61,38 @@
     raw_skipped: Any
 
     def acknowledgement(self) -> Acknowledgement | None:
-        """Returns what the peer has received; None if it follows nothing yet."""
+        """Return the positions that the peer has acknowledged; None if it does not follow changes yet."""
         if self.raw_acknowledged is None:
             return None
         return Acknowledgement(acknowledged_positions(self.raw_acknowledged))
 
     def tombstone_floor(self) -> int:
-        """Returns the peer's tombstone floor."""
+        """Return the peer's tombstone floor."""
         return natural(self.raw_tombstone_floor)
 
     def zone_ages(self) -> Iterator[tuple[str, float]]:
-        """Yields the zones with the seconds since the last message that left them."""
+        """Yield each zone with the seconds since the last known message from it was sent."""
         for zone, age in self.raw_zone_ages.items():
             if not isinstance(age, int | float) or isinstance(age, bool) or not 0.0 <= age < MAX_ZONE_AGE_S:
                 raise SessionRejectedError("no age")
             yield zone, age
 
     def route(self) -> RouteAdvertisement | None:
-        """Returns what the peer advertises of the topology's root; None if it has no topology."""
+        """Return the peer's route advertisement; None if it has no topology."""
         return None if self.raw_route is None else _decode_route(self.raw_route)
 
     def skipped(self) -> Sequence[SkippedRange] | None:
-        """Returns live revisions that hold nothing new for this side; None until the peer sends changes."""
+        """Return the live revisions that the peer skips because they hold nothing new for this side.
+
+        None until the peer sends changes.
+        """
         return None if self.raw_skipped is None else LazySequence(self.raw_skipped, _decode_skipped_range)
 
 
 def decode_heartbeat(body: Any) -> ReceivedHeartbeat:
-    """Decodes the parts of a heartbeat that every session needs.
+    """Decode the fields of a heartbeat that every session needs.
 
-    Raises SessionRejectedError, or one of ``MALFORMED_BODY_ERRORS``.
+    Raise SessionRejectedError, or one of ``MALFORMED_BODY_ERRORS``, if the body is malformed.
     """
     heads, roots, skipped, acknowledged, floor, recently_in_sync, zone_ages, route = body
     decoded_heads = by_priority(heads)
--- a/sageturn/store/replication/link_dialer.py
+++ b/sageturn/store/replication/link_dialer.py
@@ -1,4 +1,4 @@
-"""Dials the members that the topology names, and drives the replica's timers."""
+"""Dialing of the members that the topology selects, and scheduling of the replica's ticks."""
 
 from __future__ import annotations
 
@@ -21,17 +21,17 @@
 
 
 class LinkDialer:
-    """Calls the replica's ``tick`` when it is due, and runs a task for each link that this side dials."""
+    """Task that calls the replica's ``tick`` when it is due, and starts a task for each link to dial."""
 
     def __init__(self, replica: Replica, link_runner: LinkRunner, tick_due: asyncio.Event) -> None:
-        """``tick_due`` is the event that the replica's wakeups set."""
+        """Create the dialer; ``tick_due`` is the event that the replica's wakeups set."""
         self._replica = replica
         self._link_runner = link_runner
         self._tick_due = tick_due
         self._dials: set[asyncio.Task[None]] = set()
 
     async def run(self) -> None:
-        """Runs until it is cancelled; the dials in progress then go on until ``cancel_dials``."""
+        """Run until the task is cancelled; dials in progress continue until ``cancel_dials``."""
         while True:
             self._tick_due.clear()
             now = time.monotonic()
@@ -43,7 +43,7 @@
             await wait_for_event(self._tick_due, max(0.0, result.next_tick_at - now))
 
     def _tick(self, now: float) -> TickResult:
-        """Returns what a tick calls for; a tick that fails, as on a full disk, is repeated soon."""
+        """Run one tick and return its result; retry a failed tick, for instance on a full disk, shortly."""
         try:
             return self._replica.tick(now)
         except Exception:
@@ -52,7 +52,7 @@
             return TickResult((), now + FAILED_TICK_RETRY_S)
 
     async def cancel_dials(self) -> None:
-        """Ends the dials in progress, and the links that this side has dialed."""
+        """Cancel the dials in progress, and end the links that this side has dialed."""
         for task in list(self._dials):
             await cancel_and_wait(task)
 
@@ -61,10 +61,10 @@
             sock = await connect(address, CONNECT_TIMEOUT_S)
             if not isinstance(sock, ConnectFailure):
                 await self._run_link(sock, address)
-                return  # the replica has been notified of its end
+                return  # the replica was already notified of the link's end
         except LinkNotEstablishedError:
-            pass  # logged where it was raised
-        except Exception:  # a fault in one link must not end the others
+            pass  # already logged by the link runner
+        except Exception:  # an unexpected error in one link must not end the others
             log.exception("replication link failed peer_address=%s:%d", *address)
         assert self._replica.topology is not None
         self._replica.topology.on_dial_failed(address, time.monotonic())
--- a/sageturn/store/replication/link_pruning.py
+++ b/sageturn/store/replication/link_pruning.py
@@ -1,4 +1,4 @@
-"""Pruning of links that neither side needs. No I/O, no clock."""
+"""Selection of links to close because neither side needs them. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 from sageturn.store.replication.membership import MembershipStatus
 from sageturn.store.replication.overlay_state import OverlayState
 
-REPLACEMENT_SETTLE_S = 3.0  # the minimum uptime of a link that replaces another
-UNKNOWN_PEER_GRACE_S = 10.0  # for a peer that is not in the member table yet
+REPLACEMENT_SETTLE_S = 3.0  # minimum uptime of a link that replaces another
+UNKNOWN_PEER_GRACE_S = 10.0  # uptime of a link before a peer missing in the member table is disconnected
 
 
 class LinkPruner:
-    """Finds the links to close; a link between two members is closed by the side that dialed it."""
+    """Selector of the links to close; a link between two members is closed by the side that dialed it."""
 
     def __init__(self, state: OverlayState) -> None:
         self._state = state
 
     def links_to_close(self, now: float) -> list[str]:
-        """Returns the names of the members whose links should be closed now."""
+        """Return the names of the members whose links should be closed now."""
         state = self._state
         if state.members.status != MembershipStatus.MEMBER:
             return state.links.names()
@@ -33,13 +33,13 @@
             return False
         if link.redundant_since is None:
             link.redundant_since = now
-            # Random, so that two links that are redundant only because of each other don't go together.
+            # The delay is random so that two links that make each other redundant are not closed together.
             link.redundancy_grace_s = state.rng.uniform(REPLACEMENT_SETTLE_S, 2 * REPLACEMENT_SETTLE_S)
             return False
         return now - link.redundant_since >= link.redundancy_grace_s
 
     def _is_redundant(self, name: str, link: Link, now: float) -> bool:
-        """Whether neither side needs the link, and both follow the same root without it."""
+        """Return whether neither side needs the link, and both sides follow the same root without it."""
         links = self._state.links
         routes = self._state.routes
         root_path = routes.root_path(now)
--- a/sageturn/store/replication/link_runner.py
+++ b/sageturn/store/replication/link_runner.py
@@ -23,14 +23,14 @@
 
 
 class OutputSignal:
-    """Wakes the drivers of all links of one replica when sessions may have something to send."""
+    """Signal that wakes the drivers of all links of one replica when sessions may have output."""
 
     def __init__(self) -> None:
         self._events: set[asyncio.Event] = set()
 
     @contextmanager
     def subscribe(self) -> Iterator[asyncio.Event]:
-        """Provides an event that every ``notify`` sets while the context lasts."""
+        """Provide an event that ``notify`` sets as long as the context is open."""
         event = asyncio.Event()
         self._events.add(event)
         try:
@@ -39,16 +39,16 @@
             self._events.discard(event)
 
     def notify(self) -> None:
-        """Sets the events of all subscribers."""
+        """Set the events of all subscribers."""
         for event in self._events:
             event.set()
 
 
 class LinkRunner:
-    """Runs the links of one replica."""
+    """Runner of the links of one replica."""
 
     def __init__(self, replica: Replica, secret: bytes, output_signal: OutputSignal) -> None:
-        """``output_signal`` is the one that the replica's wakeups notify."""
+        """Create the runner; ``output_signal`` is the signal that the replica's wakeups notify."""
         self._replica = replica
         self._secret = secret
         self._output_signal = output_signal
@@ -60,16 +60,16 @@
         pending: PendingConnection | None = None,
         on_session: Callable[[ReplicationSession], None] = lambda _: None,
     ) -> None:
-        """Runs a link until it ends, of which the replica is then notified.
+        """Run a link until it ends, and notify the replica of its end.
 
         Args:
             sock: The connected socket, which the caller closes.
-            dialed: The address that this side has dialed; None for an accepted connection.
-            pending: The accepted connection's admission.
-            on_session: Called with the session once the handshake is done.
+            dialed: The address that this side dialed; None for an accepted connection.
+            pending: The pending connection of an accepted socket, as admitted; None for a dialed one.
+            on_session: Called with the session once the handshake has succeeded.
 
         Raises:
-            LinkNotEstablishedError: The handshake failed, and the replica is not notified.
+            LinkNotEstablishedError: The handshake failed; the replica is not notified.
         """
         peer_address = _peer_address(sock) if dialed is None else dialed
         channel = AuthenticatedChannel(sock, self._secret, self._replica.store.node)
@@ -107,7 +107,7 @@
 
 
 def _peer_address(sock: socket.socket) -> Address | None:
-    """Returns the address of the other end; None if the connection has ended already."""
+    """Return the address of the peer; None if the connection has already ended."""
     try:
         host, port, *_ = sock.getpeername()
     except OSError:
--- a/sageturn/store/replication/location.py
+++ b/sageturn/store/replication/location.py
@@ -1,4 +1,4 @@
-"""The location of a replica: the address at which it is reached, and its zone."""
+"""The location of a replica: its address, region and zone."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def zone_label(region: str, zone: str) -> str:
-    """Returns the name of a zone in heartbeats and state reports."""
+    """Return the label of a zone in heartbeats and state reports."""
     return f"{region}/{zone}"
 
 
@@ -22,9 +22,9 @@
 
     @property
     def zone_label(self) -> str:
-        """The name of the zone in heartbeats and state reports."""
+        """The label of the zone in heartbeats and state reports."""
         return zone_label(self.region, self.zone)
 
     def as_member(self, node: str, incarnation: int) -> Member:
-        """Returns the member of that name at this location."""
+        """Return the member with the name ``node`` at this location."""
         return Member(node, self.address, self.region, self.zone, incarnation)
--- a/sageturn/store/replication/member.py
+++ b/sageturn/store/replication/member.py
@@ -1,7 +1,7 @@
 """A member of the replication group: its replica, its listener and the links to other members.
 
-The decisions are made by pure modules (``replica``, ``session``, ``overlay``). This module joins them to
-sockets, tasks and the clock.
+The protocol and the topology are in modules without I/O (``replica``, ``session``, ``overlay``). This module
+connects them to sockets, tasks and the clock.
 """
 
 from __future__ import annotations
@@ -27,11 +27,11 @@
 from sageturn.store.replication.topology import TopologyFactory
 from sageturn.store.store import Store
 
-NO_REJECTION_RESPONSE = b""  # a connection over the limit is closed without an answer
+NO_REJECTION_RESPONSE = b""  # a connection over the limit is closed without a response
 
 
 class ReplicationMember:
-    """Accepts links of other members and dials those that the topology names.
+    """A running member, which accepts links of other members and dials those that the topology selects.
 
     The relay starts and stops it.
     """
@@ -44,14 +44,14 @@
         rng: Random,
         make_topology: TopologyFactory | None = None,
     ) -> None:
-        """Binds the listener.
+        """Bind the listener.
 
         Args:
             store: The store to replicate.
-            options: From the operator's file.
-            admission: Bounds the connections of the process.
-            rng: Used by the replica and its topology.
-            make_topology: Replaces the overlay.
+            options: The options from section ``store`` of the operator's file.
+            admission: The admission controller, which limits the connections of the process.
+            rng: The source of randomness of the replica and its topology.
+            make_topology: Creates a topology to use instead of the overlay; None for the overlay.
 
         Raises:
             OSError: The address cannot be bound.
@@ -76,11 +76,11 @@
 
     @property
     def link_count(self) -> int:
-        """The number of established links, of members and of ephemeral clients."""
+        """The number of established links, to members and to ephemeral clients."""
         return sum(1 for session in self.replica.sessions if session.peer_hello is not None)
 
     def state_report(self) -> dict[str, object]:
-        """Returns the state that the relay publishes for operators, as it is stored."""
+        """Return the encoded state report that the relay publishes for operators."""
         report = ReplicationStateReport(
             self.link_count,
             self.replica.sync_status.recently_in_sync,
@@ -90,11 +90,11 @@
 
     @property
     def state_report_interval_s(self) -> float:
-        """The seconds that the relay has to wait between two reports."""
+        """The interval in seconds at which the relay publishes state reports."""
         return report_interval_s(len(self.replica.members))
 
     def start(self) -> None:
-        """Begins to accept, to announce this member and to dial; needs a running event loop."""
+        """Start to accept links, announce this member and dial others; requires a running event loop."""
         self.listener.start_listening()
         self._tasks = [
             asyncio.ensure_future(self.listener.run()),
@@ -102,7 +102,7 @@
         ]
 
     async def stop(self) -> None:
-        """Ends all links. The store stays usable."""
+        """Stop the listener and the dialer, and end all links. The store stays usable."""
         for task in self._tasks:
             await cancel_and_wait(task)
         await self._dialer.cancel_dials()
@@ -110,5 +110,5 @@
         self.replica.close()
 
     async def _on_accepted(self, sock: socket.socket, pending: PendingConnection) -> None:
-        with suppress(LinkNotEstablishedError):  # logged where it was raised
+        with suppress(LinkNotEstablishedError):  # already logged by the link runner
             await self._link_runner.run(sock, None, pending)
--- a/sageturn/store/replication/member_directory.py
+++ b/sageturn/store/replication/member_directory.py
@@ -1,4 +1,4 @@
-"""The members as the store's records name them: who is one, and who was removed."""
+"""The membership as stored in records: the advertised members, and those that were removed."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 
 def member_key(node: str) -> str:
-    """Returns the key under which a member advertises itself."""
+    """Return the key of a member's advertisement of itself."""
     return f"{STATE_PREFIX}{node}{MEMBER_SUFFIX}"
 
 
 def is_member_key(key: str) -> bool:
-    """Whether a record is a member's advertisement of itself."""
+    """Return whether the key is that of a member's advertisement of itself."""
     return key.startswith(STATE_PREFIX) and key.endswith(MEMBER_SUFFIX)
 
 
 def encode_member(location: ReplicaLocation, incarnation: int) -> dict[str, object]:
-    """Returns the value of a member's advertisement of itself, as it is stored."""
+    """Return the stored value of a member's advertisement of itself."""
     host, port = location.address
     return {
         "address": f"{host}:{port}",
@@ -33,7 +33,7 @@
 
 
 def decode_member(record: StoreRecord) -> Member | None:
-    """Returns the advertised member; None if the record advertises none, is malformed, or was deleted."""
+    """Return the advertised member; None if the record is no advertisement, malformed or a tombstone."""
     value = record.value
     if record.key != member_key(record.node) or not isinstance(value, dict):
         return None
@@ -46,26 +46,26 @@
 
 
 def stored_incarnation(store: Store) -> int:
-    """Returns the incarnation that this node last advertised; 0 if none is known."""
+    """Return the incarnation that this node last advertised; 0 if there is none."""
     value = store.get(member_key(store.node))
     incarnation = value.get("incarnation", 0) if isinstance(value, dict) else 0
     return incarnation if isinstance(incarnation, int) else 0
 
 
 class MemberDirectory:
-    """Indexes all members by name, this one included, and the names of those that an operator removed."""
+    """Index of all members by name, including this one, and the names that an operator removed."""
 
     def __init__(self) -> None:
         self.members: dict[str, Member] = {}
         self.removed: set[str] = set()
 
     def reset(self, store: Store) -> None:
-        """Forgets all members, before every record of the store is taken in again."""
+        """Clear the members, before all records of the store are applied again by ``update``."""
         self.members.clear()
         self.removed = {key.removeprefix(REMOVED_PREFIX) for key in store.keys(REMOVED_PREFIX)}
 
     def update(self, record: StoreRecord) -> None:
-        """Takes over a member's advertisement of itself."""
+        """Apply the record of a member's advertisement of itself."""
         member = decode_member(record)
         if member is None:
             self.members.pop(record.node, None)
@@ -73,9 +73,9 @@
             self.members[record.node] = member
 
     def active(self) -> list[Member]:
-        """Returns the members that were not removed."""
+        """Return the members that were not removed."""
         return [member for member in self.members.values() if member.name not in self.removed]
 
     def active_zones(self) -> set[str]:
-        """Returns the zones of the members that were not removed, as ``region/zone``."""
+        """Return the zones of the members that were not removed, as ``region/zone``."""
         return {zone_label(member.region, member.zone) for member in self.active()}
--- a/sageturn/store/replication/member_table.py
+++ b/sageturn/store/replication/member_table.py
@@ -1,4 +1,4 @@
-"""The table of members, kept up to date from this member's replica of the store. No I/O, no clock."""
+"""The table of members, updated from this member's replica of the store. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -13,8 +13,10 @@
 class MembershipChanges:
     """The members that an update of the table changed.
 
-    ``updated`` has those that are new, restarted or moved; ``started`` those of them that are new or have a
-    larger incarnation.
+    Attributes:
+        removed: Members that are not listed any more.
+        updated: Members that are new or whose address, location or incarnation changed.
+        started: The updated members that are new or have a larger incarnation.
     """
 
     removed: list[Member] = field(default_factory=list)
@@ -26,7 +28,7 @@
 
 
 class MemberTable:
-    """Holds all other members, and whether this process still counts as one."""
+    """Table of all other members, with the membership status of this process."""
 
     def __init__(self, own: Member, fanout: int) -> None:
         self.own = own
@@ -34,17 +36,17 @@
         self.other_members: dict[str, Member] = {}
         self.names_by_address: dict[Address, str] = {}
         self.parent_candidates = ParentCandidates(own, fanout)
-        self._was_listed = False  # whether any update has named this member
+        self._was_listed = False  # True once an update has listed this member
 
     def __len__(self) -> int:
         return len(self.other_members) + 1
 
     def get(self, name: str) -> Member | None:
-        """Returns the member of that name; None if it is this one or unknown."""
+        """Return the other member of that name; None if it is unknown or this member."""
         return self.other_members.get(name)
 
     def update(self, members: Iterable[Member]) -> MembershipChanges:
-        """Takes the complete membership, without the members that were removed; returns what changed."""
+        """Replace the table by the complete list of members without the removed ones; return the changes."""
         listed = {member.name: member for member in members}
         self._update_status(listed.pop(self.own.name, None))
         changes = MembershipChanges()
@@ -56,7 +58,7 @@
         return changes
 
     def supersede(self) -> None:
-        """Records that a larger incarnation of this member exists."""
+        """Record that a larger incarnation of this member exists."""
         self.status = MembershipStatus.SUPERSEDED
 
     def _update_status(self, own: Member | None) -> None:
@@ -72,7 +74,7 @@
 
     def _put(self, member: Member, changes: MembershipChanges) -> None:
         known = self.other_members.get(member.name)
-        if known is member or known == member:  # mostly the same object, which is cheap to compare
+        if known is member or known == member:  # usually the same object, so the identity check is cheap
             return
         if known is not None:
             self._remove(known)
--- a/sageturn/store/replication/membership.py
+++ b/sageturn/store/replication/membership.py
@@ -1,7 +1,8 @@
 """The types of the replication group's membership. No I/O.
 
-Two processes can claim one name, for instance a restarted one and a copy of it that still runs. The larger
-incarnation wins; the other is a stale incarnation, becomes ``SUPERSEDED`` and takes part in nothing any more.
+Two processes can use one name, for instance a restarted process and a copy of it that still runs. The larger
+incarnation wins; the process of the other, stale incarnation becomes ``SUPERSEDED`` and no longer takes part
+in replication.
 """
 
 from __future__ import annotations
@@ -13,15 +14,15 @@
 
 
 class MembershipStatus(StrEnum):
-    """Whether this process counts as a member."""
+    """The membership status of this process."""
 
     MEMBER = "member"
-    SUPERSEDED = "superseded"  # by a larger incarnation of the same name
-    REMOVED = "removed"  # by an operator
+    SUPERSEDED = "superseded"  # a larger incarnation of the same name exists
+    REMOVED = "removed"  # an operator removed the member
 
 
 class RejectReason(StrEnum):
-    """Why a link is not accepted. The values go over the wire."""
+    """The reason why a link is not accepted. The values go over the wire."""
 
     FULL = "full"
     SAME_NAME = "same name"
@@ -30,9 +31,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """One member of the group, and where it can be dialed.
+    """A member of the replication group, with its address and location.
 
-    Of two with one name the larger incarnation wins.
+    Of two members with the same name, the one with the larger incarnation wins.
     """
 
     name: str
@@ -44,10 +45,11 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkRejected:
-    """The answer to a member whose link is not accepted.
+    """The response to a member whose link is not accepted.
 
-    ``reason`` is a ``RejectReason``, or an unknown one that came over the wire; ``alternatives`` are members
-    to dial instead.
+    Attributes:
+        reason: A ``RejectReason``, or an unknown value that a peer has sent.
+        alternatives: Members to dial instead.
     """
 
     reason: str
--- a/sageturn/store/replication/overlay.py
+++ b/sageturn/store/replication/overlay.py
@@ -1,17 +1,17 @@
-"""The overlay of one member: to whom it links, so that all members form one tree. No I/O, no clock.
+"""The overlay of one member: the links it needs so that all members form one tree. No I/O, no clock.
 
-Every member has a position in one global order (``tree_order``) and keeps one link to a member before it,
-its *uplink*: in its zone as long as a member before it can be reached there, else in another zone of its
-region, else in another region. No cycle can form, only the first of all members has no uplink, and each zone
-and each region is joined to the others by one link. The order needs no agreement: members whose views differ
-only choose differently among the members before them.
+Every member has a position in one global order (``tree_order``) and maintains one link to a member before it,
+its *uplink*: in its zone if a member before it can be reached there, else in another zone of its region, else
+in another region. No cycle can form, only the first of all members has no uplink, and each zone and each
+region is connected to the others by one link. The order needs no agreement: members with different views of
+the membership only choose differently among the members before them.
 
-A member can't tell a dead member from one that only it can't reach, so there can be several trees. The root
-of each advertises itself over all links (``route_table``), and looks for others while it counts fewer members
-than are known (``root_discovery``). A link found that way is kept while it is either side's path to its root.
+A member cannot distinguish a dead member from one that only it cannot reach, so there can be several trees.
+The root of each tree advertises itself over all links (``route_table``), and dials other members while it
+counts fewer members than are known (``root_discovery``). A link established that way is retained as long as
+it is the path to the root of either side.
 
-All times are seconds of a monotonic clock that the caller passes in. ``docs/design/overlay.md`` has the
-reasons.
+All times are monotonic seconds that the caller passes in. ``docs/design/overlay.md`` explains the design.
 """
 
 from __future__ import annotations
@@ -38,24 +38,24 @@
 DEFAULT_FANOUT = 8
 MIN_FANOUT = 2
 MAX_ACCEPTED_LINKS_PER_FANOUT = 4
-MAX_SEEDS_ONLY_START_DELAY_S = 4.0  # spreads the dials of a fleet that starts at once
-MAX_START_JITTER_S = 0.5  # before the search for an uplink
-STABLE_LINK_S = 60.0  # of uptime, after which a link's loss clears its member's earlier failures
+MAX_SEEDS_ONLY_START_DELAY_S = 4.0  # spreads the dials of a fleet whose members start at the same time
+MAX_START_JITTER_S = 0.5  # maximum delay of the first search for an uplink
+STABLE_LINK_S = 60.0  # uptime from which the loss of a link first clears its member's earlier failures
 
 
 class Overlay:
-    """Decides for one member whom to dial and which links to close; takes the events of its links."""
+    """Topology of one member, which decides on link events whom to dial and which links to close."""
 
     def __init__(
         self, own: Member, seeds: Sequence[Address], rng: Random, fanout: int = DEFAULT_FANOUT
     ) -> None:
-        """Starts without members and links.
+        """Create an overlay without members and links.
 
         Args:
             own: This member, in its current incarnation.
-            seeds: Addresses of any members, to dial before the membership is known.
-            rng: The source of all jitter and choices.
-            fanout: How many links a hub accepts on average.
+            seeds: Addresses of any members, which are dialed while the membership is unknown.
+            rng: The source of all jitter and random choices.
+            fanout: Average number of links that a hub accepts.
 
         Raises:
             InvalidFanoutError: The fanout is less than 2.
@@ -70,17 +70,17 @@
         self._upgrade = UplinkUpgrade(self._state)
         self._discovery = RootDiscovery(self._state)
         self._pruner = LinkPruner(self._state)
-        self._started = False
+        self._has_started = False
 
     @property
     def membership_status(self) -> MembershipStatus:
-        """Whether this process counts as a member; if not, it dials nobody and closes all links."""
+        """The membership status; a process that is no member dials nobody and closes all links."""
         return self._state.members.status
 
     # ------------------------------------------------------------ events
 
     def update_members(self, members: Iterable[Member]) -> None:
-        """Takes the complete membership, without the members that were removed."""
+        """Handle an update of the membership; ``members`` are all members but the removed ones."""
         state = self._state
         changes = state.members.update(members)
         if not changes:
@@ -94,7 +94,7 @@
             self._discovery.on_member_started()
 
     def on_link_established(self, name: str, now: float, dialed: Address | None = None) -> None:
-        """Handles a new link to ``name``; ``dialed`` is the address if this side dialed it."""
+        """Handle a new link to ``name``; ``dialed`` is the address if this side dialed, else None."""
         state = self._state
         member = state.members.get(name)
         if dialed is None and member is not None and state.dials.is_in_progress(member.address):
@@ -109,7 +109,7 @@
             state.links.confirm(name)
 
     def on_link_lost(self, name: str, now: float, orderly: bool = False) -> None:
-        """Handles the end of a link; ``orderly`` if either side closed it on purpose."""
+        """Handle the end of a link; ``orderly`` is true if either side closed it intentionally."""
         state = self._state
         if name not in state.links:
             return
@@ -126,13 +126,13 @@
             self._search.schedule(now)
 
     def on_dial_failed(self, address: Address, now: float) -> None:
-        """Handles a dial that got no answer, or whose link ended before it was established."""
+        """Handle a dial without an answer, or whose connection ended before the link was established."""
         if self._state.dials.finish(address):
             self._state.record_failure(address, now)
             self._search.on_dial_failed(now)
 
     def on_dial_rejected(self, address: Address, now: float, rejection: LinkRejected) -> None:
-        """Handles a dial that the member at the other end has answered by a rejection."""
+        """Handle a dial that the member at the address has rejected."""
         state = self._state
         state.dials.finish(address)
         if rejection.reason == RejectReason.SUPERSEDED:
@@ -142,7 +142,7 @@
         self._search.on_dial_failed(now)
 
     def on_advertisement(self, name: str, advertisement: RouteAdvertisement, now: float) -> None:
-        """Handles the advertisement in a heartbeat on the link to ``name``."""
+        """Handle the route advertisement in a heartbeat from ``name``."""
         link = self._state.links.get(name)
         if link is not None:
             self._state.routes.record(link, advertisement, now)
@@ -150,7 +150,7 @@
     # ------------------------------------------------------------ decisions
 
     def check_admission(self, member: Member, now: float) -> LinkRejected | None:
-        """Returns the rejection of a link that ``member`` has dialed; None to accept it."""
+        """Return the rejection of a link that ``member`` dialed; None if the link is accepted."""
         if member.name == self._own.name:
             return self._reject_own_name(member)
         known = self._state.members.get(member.name)
@@ -161,41 +161,47 @@
         return None
 
     def make_advertisement(self, name: str, now: float) -> RouteAdvertisement:
-        """Returns the advertisement for the next heartbeat on the link to ``name``."""
+        """Return the route advertisement for the next heartbeat to ``name``."""
         return self._state.routes.make_advertisement(name, now)
 
     def addresses_to_dial(self, now: float) -> list[Address]:
-        """Returns the addresses to dial now.
+        """Return the addresses to dial now.
 
-        ``on_link_established``, ``on_dial_failed`` or ``on_dial_rejected`` has to follow for each.
+        For each the caller has to call ``on_link_established``, ``on_dial_failed`` or ``on_dial_rejected``.
         """
         if self.membership_status != MembershipStatus.MEMBER:
             return []
-        if not self._started:
+        if not self._has_started:
             self._start(now)
-        for overdue in self._state.dials.timed_out(now):
+        for overdue in self._state.dials.timed_out_addresses(now):
             self.on_dial_failed(overdue, now)
         addresses = []
-        for choose in (self._search.choose, self._upgrade.choose, self._discovery.choose):
-            address = choose(now)
+        for choose_address in (
+            self._search.choose_address,
+            self._upgrade.choose_address,
+            self._discovery.choose_address,
+        ):
+            address = choose_address(now)
             if address is not None:
                 self._state.dials.start(address, now)
                 addresses.append(address)
         return addresses
 
     def links_to_close(self, now: float) -> list[str]:
-        """Returns the names of the members whose links should be closed now."""
+        """Return the names of the members whose links should be closed now."""
         return self._pruner.links_to_close(now)
 
     def next_wakeup(self, now: float) -> float:
-        """Returns when to ask for decisions again at the latest if nothing happens before."""
+        """Return the time at which the caller has to ask for decisions again if no event occurs earlier."""
         sources = (self._upgrade, self._discovery, self._search)
         times = [at for source in sources if (at := source.next_dial_at(now)) is not None]
-        is_pending = bool(times) or self._state.dials.in_progress > 0 or self._state.links.any_redundant
+        is_pending = (
+            bool(times) or self._state.dials.in_progress_count > 0 or self._state.links.has_redundant_link
+        )
         return min([now + (POLL_INTERVAL_S if is_pending else IDLE_POLL_INTERVAL_S), *times])
 
     def _start(self, now: float) -> None:
-        self._started = True
+        self._has_started = True
         self._search.schedule(now + self._rng.uniform(0, MAX_START_JITTER_S))
         if not self._state.members.other_members:
             self._discovery.schedule(now + self._rng.uniform(0, MAX_SEEDS_ONLY_START_DELAY_S))
@@ -207,7 +213,7 @@
         return LinkRejected(RejectReason.SUPERSEDED if is_stale else RejectReason.SAME_NAME)
 
     def _alternatives_for(self, member: Member) -> tuple[Member, ...]:
-        """Returns members for ``member`` to dial instead, of its zone if there are any."""
+        """Return members for ``member`` to dial instead, from its own zone if there are any."""
         members = self._state.members.other_members.values()
         same_zone = [other for other in members if (other.region, other.zone) == (member.region, member.zone)]
         alternatives = [other for other in same_zone or members if other.name != member.name]
--- a/sageturn/store/replication/overlay_state.py
+++ b/sageturn/store/replication/overlay_state.py
@@ -1,4 +1,4 @@
-"""The tables that the parts of the overlay share. No I/O, no clock."""
+"""The tables that the modules of the overlay share. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from sageturn.store.replication.route_table import RouteTable
 from sageturn.store.replication.suspicion import SuspicionTable
 
-POLL_INTERVAL_S = 1.0  # while a dial or a redundant link is pending
+POLL_INTERVAL_S = 1.0  # interval if a dial or the closing of a redundant link is pending
 IDLE_POLL_INTERVAL_S = 5.0
 
 
 class OverlayState:
-    """Holds one member's view of members, links, routes, dials and suspected members."""
+    """Tables of one member: members, links, routes, dials and suspected members."""
 
     def __init__(self, own: Member, seeds: Sequence[Address], rng: Random, fanout: int) -> None:
         self.rng = rng
@@ -29,16 +29,16 @@
 
     @property
     def has_uplink(self) -> bool:
-        """Whether a member before this one in the global order is linked."""
+        """True if a member before this one in the global order is linked."""
         return self.links.uplink() is not None
 
     def invalidate_routes(self) -> None:
-        """Lets the uplink and the path to the root be found anew, after links or members changed."""
+        """Invalidate the cached uplink and path to the root, after links or members changed."""
         self.links.invalidate()
         self.routes.invalidate()
 
     def record_failure(self, address: Address, now: float, link_lost: bool = False) -> None:
-        """Records a failed dial, or the loss of an established link."""
+        """Record a failed dial, or the loss of an established link."""
         self.suspicions.record_failure(address, now, link_lost)
         if len(self.suspicions) > self.dials.max_tracked_addresses:
             self.suspicions.drop_expired(now)
--- a/sageturn/store/replication/replica.py
+++ b/sageturn/store/replication/replica.py
@@ -322,7 +322,7 @@
         if not self.records.has_expirable_tombstones():
             return
         zones = self.records.directory.active_zones()
-        if not self.zones.is_any_silent(zones, now, limit_s=self._horizon_s / 2):
+        if not self.zones.is_any_unresponsive(zones, now, limit_s=self._horizon_s / 2):
             self.records.forget_expired_tombstones()
 
     def _supersede_stale_incarnation(self, now: float) -> None:
--- a/sageturn/store/replication/root_discovery.py
+++ b/sageturn/store/replication/root_discovery.py
@@ -1,8 +1,8 @@
-"""Discovery of members that are linked together under another root. No I/O, no clock.
+"""Discovery of members that belong to the tree of another root. No I/O, no clock.
 
-After a partition, or with links that work for some pairs only, two groups of members can each have a root of
-their own. A root that counts fewer members than are known dials others with a growing backoff; members that
-are no root do so rarely, for the case that the root can reach none of them.
+After a partition, or if only some pairs of members can connect, two groups of members can each have a root of
+their own. A root that counts fewer members than are known dials others with a growing backoff. Members other
+than the root do so rarely, in case the root can reach none of the members of the other tree.
 """
 
 from __future__ import annotations
@@ -13,16 +13,16 @@
 from sageturn.store.replication.overlay_state import POLL_INTERVAL_S, OverlayState
 from sageturn.store.replication.route_table import ROOT_HEARTBEAT_TTL_S
 
-WIDE_SEARCH_PROBABILITY = 0.5  # that a dial may go to any member, not to unlinked ones alone
-INITIAL_INTERVAL_S = 0.25  # between a root's dials; doubles with each dial
+ANY_MEMBER_PROBABILITY = 0.5  # probability of a dial to any unlinked member, not a seed or alternative
+INITIAL_INTERVAL_S = 0.25  # first interval between a root's dials; doubles with each dial
 MAX_INTERVAL_S = 10.0
-MAX_ISOLATED_INTERVAL_S = 2.0  # for a root without any link
-NON_ROOT_INTERVAL_S = 10.0  # the mean interval of a member that is no root, without other members
-NON_ROOT_INTERVAL_PER_MEMBER_S = 6.0  # added to it for each known member
+MAX_ISOLATED_INTERVAL_S = 2.0  # maximum interval of a root without any link
+NON_ROOT_INTERVAL_S = 10.0  # constant part of the mean interval of a member that is not a root
+NON_ROOT_INTERVAL_PER_MEMBER_S = 6.0  # part of that mean interval for each known member
 
 
 class RootDiscovery:
-    """Dials members, seeds and suggested alternatives in turn while others may have another root."""
+    """Schedule of dials to members, seeds and alternatives while other members may have another root."""
 
     def __init__(self, state: OverlayState) -> None:
         self._state = state
@@ -33,25 +33,25 @@
         self._last_dialed_at: dict[Address, float] = {}
 
     def schedule(self, at: float) -> None:
-        """Sets the time of the next dial."""
+        """Set the time of the next dial."""
         self._next_dial_at = at
 
     def on_member_started(self) -> None:
-        """Shortens a root's interval, for a new member or a new incarnation of one."""
+        """Reset a root's interval after the start of a new member or of a new incarnation."""
         self._root_interval_s = INITIAL_INTERVAL_S
 
     def on_uplink_lost(self) -> None:
-        """Starts anew, since this member may have become a root."""
+        """Reset the interval and the schedule, since this member may have become a root."""
         self._root_interval_s = INITIAL_INTERVAL_S
         self._next_dial_at = None
 
     def next_dial_at(self, now: float) -> float | None:
-        """Returns when the next dial is due; None if none is, or it is due now."""
+        """Return the time of the next scheduled dial; None if none is scheduled, or it is due now."""
         at = self._next_dial_at
         return at if at is not None and at > now else None
 
-    def choose(self, now: float) -> Address | None:
-        """Returns the address to dial now; None if there is none."""
+    def choose_address(self, now: float) -> Address | None:
+        """Return the address to dial now; None if there is none."""
         if not self._is_needed(now):
             self._next_dial_at = None
             return None
@@ -63,7 +63,7 @@
             self._next_dial_at = self._first_dial_at(is_root, now)
         if now < self._next_dial_at:
             return None
-        self._next_dial_at = now + self._take_interval_s(is_root)
+        self._next_dial_at = now + self._advance_interval_s(is_root)
         self._dial_count += 1
         return self._choose_target(is_root, now)
 
@@ -86,13 +86,13 @@
         state = self._state
         if not is_root:
             return now + ROOT_HEARTBEAT_TTL_S + self._non_root_interval_s()
-        # The members before it in the global order are tried first, by the search for an uplink.
-        is_search_active = bool(state.dials.in_progress) or state.dials.next_untried(now) is not None
+        # The search for an uplink first dials the members before this one in the global order.
+        is_search_active = bool(state.dials.in_progress_count) or state.dials.next_untried(now) is not None
         delay_s = 2 * POLL_INTERVAL_S if is_search_active else self._root_interval_s
         return now + state.rng.uniform(0.5, 1) * delay_s
 
-    def _take_interval_s(self, is_root: bool) -> float:
-        """Returns the time to the next dial; a root's interval grows."""
+    def _advance_interval_s(self, is_root: bool) -> float:
+        """Return the seconds until the next dial, and double a root's interval up to its maximum."""
         if not is_root:
             return self._non_root_interval_s()
         interval_s = self._root_interval_s
@@ -109,16 +109,16 @@
         predecessors = self._dialable_predecessors(is_root, now)
         targets = self._dialable_seeds_and_alternatives(is_root, now)
         if len(state.links) and self._counts_all_members(now):
-            # All members are linked: only an uplink or members at unknown seeds may be missing.
+            # All known members are linked: only an uplink or members at unknown seeds can be missing.
             is_connected_to_root = state.routes.root_path(now) is not None
             return self._least_recently_dialed(predecessors if is_connected_to_root else targets, now)
         if predecessors and self._dial_count % 2:
             return self._least_recently_dialed(predecessors, now)
-        if not targets or state.rng.random() < WIDE_SEARCH_PROBABILITY:
+        if not targets or state.rng.random() < ANY_MEMBER_PROBABILITY:
             targets = self._dialable_members(is_root, now) or targets
         if not targets and not len(state.links):
-            # Without any link a backoff is not worth waiting for.
-            targets = self._not_being_dialed()
+            # A member without any link ignores the backoffs.
+            targets = self._addresses_not_in_progress()
         return self._least_recently_dialed(targets, now)
 
     def _dialable_predecessors(self, is_root: bool, now: float) -> list[Address]:
@@ -140,14 +140,14 @@
         addresses = [*dials.unknown_seeds, *dials.alternatives]
         return [address for address in addresses if dials.may_dial(address, now, is_root)]
 
-    def _not_being_dialed(self) -> list[Address]:
+    def _addresses_not_in_progress(self) -> list[Address]:
         dials = self._state.dials
         known = self._state.members.names_by_address
         addresses = [*known, *dials.unknown_seeds, *dials.alternatives]
         return [address for address in addresses if not dials.is_in_progress(address)]
 
     def _least_recently_dialed(self, addresses: Sequence[Address], now: float) -> Address | None:
-        """Returns the address whose last dial is the oldest, a random one of several; None without any."""
+        """Return a random one of the least recently dialed addresses; None if ``addresses`` is empty."""
         if not addresses:
             return None
         oldest = min(self._last_dialed_at.get(address, 0.0) for address in addresses)
--- a/sageturn/store/replication/route_table.py
+++ b/sageturn/store/replication/route_table.py
@@ -1,4 +1,4 @@
-"""The path to the root, from the route advertisements on the links. No I/O, no clock."""
+"""The path to the root, determined from the route advertisements on the links. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from sageturn.store.replication.tree_order import rank_of_member
 
 ROOT_HEARTBEAT_INTERVAL_S = 1.0
-ROOT_HEARTBEAT_TTL_S = 5.0  # after which a root without a newer heartbeat counts as dead
+ROOT_HEARTBEAT_TTL_S = 5.0  # maximum age of a root's last heartbeat; an older root counts as dead
 MAX_REMEMBERED_ROOTS = 64
 
 
@@ -22,28 +22,28 @@
 
 
 class RouteTable:
-    """Holds the latest heartbeat of each root, and the link over which the current root is reached."""
+    """Table of the latest heartbeat of each root, with the link over which the current root is reached."""
 
     def __init__(self, own: Member, links: LinkTable) -> None:
         self._own = own
         self._own_rank = rank_of_member(own)
         self._links = links
-        self._heartbeats: dict[int, _RootHeartbeat] = {}  # by the root's rank, the latest changed last
+        self._heartbeats: dict[int, _RootHeartbeat] = {}  # key: root's rank; most recently updated last
         self._root_path: str | None = None
-        self._root_path_at: float | None = None  # the time for which the path was found
+        self._root_path_at: float | None = None  # time for which the path was computed; None if stale
 
     def invalidate(self) -> None:
-        """Lets the path to the root be found anew, after links or members changed."""
+        """Invalidate the cached path to the root, after links or members changed."""
         self._root_path_at = None
 
     def record(self, link: Link, advertisement: RouteAdvertisement, now: float) -> None:
-        """Takes in what the other side of a link has advertised."""
+        """Record an advertisement of the other side of a link."""
         link.advertisement = advertisement
         self.invalidate()
         rank = advertisement.root_rank
         latest = self._heartbeats.get(rank)
         heartbeat_number = (advertisement.root_incarnation, advertisement.sequence)
-        # Advertisements that circulate after a root's death have no new number, and so expire.
+        # Advertisements that circulate after a root's death have no new sequence number, so they expire.
         if latest is None or heartbeat_number > (latest.incarnation, latest.sequence):
             self._heartbeats.pop(rank, None)
             self._heartbeats[rank] = _RootHeartbeat(*heartbeat_number, now)
@@ -51,19 +51,22 @@
                 del self._heartbeats[next(iter(self._heartbeats))]
 
     def root_path(self, now: float) -> str | None:
-        """Returns the member over whose link the root is reached; None if this member is the root."""
+        """Return the name of the member over whose link the root is reached; None on the root itself."""
         if self._root_path_at != now:
             self._root_path = self._find_root_path(now)
             self._root_path_at = now
         return self._root_path
 
     def current_root(self, now: float) -> int:
-        """Returns the rank of the root that this member follows."""
+        """Return the rank of the root that this member follows."""
         advertisement = self._root_path_advertisement(now)
         return self._own_rank if advertisement is None else advertisement.root_rank
 
     def advertised_root(self, link: Link, now: float) -> int | None:
-        """Returns the rank of a live root that the other side reaches without this member, if any."""
+        """Return the rank of a live root that the other side reaches without this member.
+
+        Return None if there is no such root.
+        """
         advertisement = link.advertisement
         if advertisement is None or advertisement.is_root_path:
             return None
@@ -77,7 +80,7 @@
         return advertisement.root_rank
 
     def make_advertisement(self, name: str, now: float) -> RouteAdvertisement:
-        """Returns the advertisement for the next heartbeat on the link to ``name``."""
+        """Return the route advertisement for the next heartbeat to ``name``."""
         root_path = self.root_path(now)
         from_root = self._root_path_advertisement(now)
         if from_root is None or root_path == name:
@@ -97,7 +100,7 @@
         )
 
     def member_count(self, now: float) -> int:
-        """Returns the number of members linked together with this one, by the advertisements."""
+        """Return the number of members in this member's tree, as advertised."""
         from_root = self._root_path_advertisement(now)
         return self._count_subtree(self.root_path(now)) if from_root is None else from_root.member_count
 
@@ -106,7 +109,7 @@
         return None if root_path is None else self._links[root_path].advertisement
 
     def _count_subtree(self, root_path: str | None) -> int:
-        """Returns the number of members that reach the root over this one, itself included."""
+        """Return the number of members that reach the root over this one, including itself."""
         return 1 + sum(
             link.advertisement.member_count
             for name, link in self._links.items()
--- a/sageturn/store/replication/topology.py
+++ b/sageturn/store/replication/topology.py
@@ -10,58 +10,61 @@
 
 
 class Topology(Protocol):
-    """Decides who links to whom; implemented by ``overlay.Overlay``. Times are monotonic seconds."""
+    """Decision module for links to other members, as ``overlay.Overlay``. Times are monotonic seconds."""
 
     @property
     def membership_status(self) -> str:
-        """Whether this process counts as a member; see ``MembershipStatus``."""
+        """The membership status of this process; see ``MembershipStatus``."""
         ...
 
     def update_members(self, members: Iterable[Member]) -> None:
-        """Takes the complete membership, without the members that were removed."""
+        """Handle an update of the membership; ``members`` are all members but the removed ones."""
         ...
 
     def check_admission(self, member: Member, now: float) -> LinkRejected | None:
-        """Returns the rejection of a member that has dialed this one; None if it may have a link."""
+        """Return the rejection of a link that ``member`` dialed; None if the link is accepted."""
         ...
 
     def on_link_established(self, name: str, now: float, dialed: Address | None = None) -> None:
-        """Handles a new link; ``dialed`` is the address if this side has dialed it."""
+        """Handle a new link to ``name``; ``dialed`` is the address if this side dialed, else None."""
         ...
 
     def on_link_lost(self, name: str, now: float, orderly: bool = False) -> None:
-        """Handles the end of the last link to a member; ``orderly`` if one side closed it on purpose."""
+        """Handle the end of the last link to a member.
+
+        ``orderly`` is true if either side closed it intentionally.
+        """
         ...
 
     def on_dial_failed(self, address: Address, now: float) -> None:
-        """Handles a dial that got no answer, or whose link ended before it was established."""
+        """Handle a dial without an answer, or whose connection ended before the link was established."""
         ...
 
     def on_dial_rejected(self, address: Address, now: float, rejection: LinkRejected) -> None:
-        """Handles a dial that the member at the address has answered by a rejection."""
+        """Handle a dial that the member at the address has rejected."""
         ...
 
     def make_advertisement(self, name: str, now: float) -> RouteAdvertisement:
-        """Returns what the next heartbeat to a member says of the root."""
+        """Return the route advertisement for the next heartbeat to ``name``."""
         ...
 
     def on_advertisement(self, name: str, advertisement: RouteAdvertisement, now: float) -> None:
-        """Handles what a member's heartbeat said of the root."""
+        """Handle the route advertisement in a heartbeat from ``name``."""
         ...
 
     def addresses_to_dial(self, now: float) -> Sequence[Address]:
-        """Returns the addresses to dial now.
+        """Return the addresses to dial now.
 
-        ``on_link_established``, ``on_dial_failed`` or ``on_dial_rejected`` has to follow for each.
+        For each the caller has to call ``on_link_established``, ``on_dial_failed`` or ``on_dial_rejected``.
         """
         ...
 
     def links_to_close(self, now: float) -> Sequence[str]:
-        """Returns the names of the members whose links are not needed any more."""
+        """Return the names of the members whose links should be closed now."""
         ...
 
     def next_wakeup(self, now: float) -> float:
-        """Returns when to ask for addresses and links again at the latest."""
+        """Return the time at which the caller has to ask for decisions again if no event occurs earlier."""
         ...
 
 
--- a/sageturn/store/replication/topology_links.py
+++ b/sageturn/store/replication/topology_links.py
@@ -1,4 +1,4 @@
-"""Joins a replica's sessions to the topology that decides which members link to each other."""
+"""Connection of a replica's sessions to the topology that decides which members link to each other."""
 
 from __future__ import annotations
 
@@ -15,9 +15,10 @@
 
 
 class TopologyLinks:
-    """Notifies one incarnation's topology of members and sessions, and carries out what it decides.
+    """Adapter between a replica's sessions and the topology of one incarnation.
 
-    ``now`` is seconds of a monotonic clock that the caller passes in.
+    It notifies the topology of members and sessions, and carries out its decisions. ``now`` is in monotonic
+    seconds.
     """
 
     def __init__(self, topology: Topology, session_table: SessionTable) -> None:
@@ -27,21 +28,21 @@
 
     @property
     def is_superseded(self) -> bool:
-        """Whether another incarnation of this member counts as newer."""
+        """True if a larger incarnation of this member exists."""
         return self.topology.membership_status == MembershipStatus.SUPERSEDED
 
     def on_members_changed(self) -> None:
-        """Lets the next ``update_members`` notify the topology."""
+        """Record that the members changed, so that the next ``update_members`` notifies the topology."""
         self._have_members_changed = True
 
     def update_members(self, directory: MemberDirectory) -> None:
-        """Notifies the topology of the members, if they have changed."""
+        """Notify the topology of the members if they have changed."""
         if self._have_members_changed:
             self._have_members_changed = False
             self.topology.update_members(directory.active())
 
     def check_admission(self, hello: Hello, now: float) -> None:
-        """Raises LinkNotAdmittedError if the topology rejects a member that has dialed this one."""
+        """Raise LinkNotAdmittedError if the topology rejects the link of a member that dialed this one."""
         member = hello.member()
         if member is None:
             return
@@ -50,11 +51,11 @@
             raise LinkNotAdmittedError(rejection)
 
     def on_session_established(self, session: PeerSession, now: float) -> None:
-        """Notifies the topology of a new link."""
+        """Notify the topology of a new link."""
         self.topology.on_link_established(session.peer, now, session.dialed_address)
 
     def on_session_closed(self, session: PeerSession, now: float) -> None:
-        """Notifies the topology of a lost link, or of a dial from which no link came."""
+        """Notify the topology of the end of the last link to a member, or of a dial without a link."""
         if session.peer_hello is not None:
             if not self._session_table.is_connected_to(session.peer):
                 self.topology.on_link_lost(session.peer, now, session.closing.was_orderly)
@@ -70,14 +71,14 @@
             self.topology.on_dial_failed(address, now)
 
     def close_unneeded(self, now: float) -> None:
-        """Closes the sessions with the members whose links the topology does not need any more."""
+        """Close the sessions with the members whose links the topology does not need."""
         for name in self.topology.links_to_close(now):
             self._session_table.close_established_with(name, "not needed any more", CloseCode.ORDERLY)
 
     def addresses_to_dial(self, now: float) -> Sequence[Address]:
-        """Returns the addresses to dial now."""
+        """Return the addresses to dial now."""
         return self.topology.addresses_to_dial(now)
 
     def next_wakeup(self, now: float) -> float:
-        """Returns when to ask the topology again at the latest."""
+        """Return the time at which the topology has to be asked again if no event occurs earlier."""
         return self.topology.next_wakeup(now)
--- a/sageturn/store/replication/tree_order.py
+++ b/sageturn/store/replication/tree_order.py
@@ -1,8 +1,8 @@
 """The global order of members, and each member's preferences for a parent in the tree. No I/O, no clock.
 
 Every member has a position in one order: a hash of its region, its zone and its name. It links to one member
-before it, its *uplink*, so links can't form a cycle. The position doesn't depend on who is known, so members
-whose views differ still agree about which of two comes first.
+before it, its *uplink*, so links cannot form a cycle. The position does not depend on the known members, so
+members with different views of the membership still agree on the order of any two.
 """
 
 from __future__ import annotations
@@ -17,17 +17,17 @@
 
 from sageturn.store.replication.membership import Member
 
-FARTHER_SCOPE_HEAD_SIZE = 4  # members of a farther scope to dial before the rest of a nearer one
+FARTHER_SCOPE_HEAD_SIZE = 4  # number of members of a farther scope to dial before the rest of a nearer one
 MAX_SEARCH_CANDIDATES = 48
-CACHED_RANKS = 1 << 16
-CACHED_WEIGHTS = 1 << 17
+MAX_CACHED_RANKS = 1 << 16
+MAX_CACHED_WEIGHTS = 1 << 17
 
 
 class Scope(IntEnum):
-    """The distance of a member; a nearer scope is preferred."""
+    """Distance class of a member; a nearer scope is preferred."""
 
     ZONE = 0
-    REGION = 1  # another zone of the own region
+    REGION = 1  # another zone of this member's region
     GLOBAL = 2  # another region
 
 
@@ -35,31 +35,31 @@
     return int.from_bytes(blake2b("\0".join(parts).encode(), digest_size=8).digest(), "big")
 
 
-@lru_cache(maxsize=CACHED_RANKS)
+@lru_cache(maxsize=MAX_CACHED_RANKS)
 def rank_of(region: str, zone: str = "", name: str = "") -> int:
-    """Returns a position in the global order: 32 bits of the region, 32 of the zone, 64 of the member."""
+    """Return a position in the global order: 32 bits for the region, 32 for the zone, 64 for the member."""
     region_bits = _hash64(region) >> 32
     zone_bits = _hash64(region, zone) >> 32
     return region_bits << 96 | zone_bits << 64 | _hash64(region, zone, name)
 
 
 def rank_of_member(member: Member) -> int:
-    """Returns the member's position in the global order."""
+    """Return the member's position in the global order."""
     return rank_of(member.region, member.zone, member.name)
 
 
-@lru_cache(maxsize=CACHED_WEIGHTS)
+@lru_cache(maxsize=MAX_CACHED_WEIGHTS)
 def _rendezvous_weight(own: str, other: str) -> int:
     return _hash64(own, other)
 
 
 def preferred_predecessors(ordered: Sequence[str], index: int, fanout: int) -> list[str]:
-    """Returns all names before ``ordered[index]``, in the order in which it prefers them as its parent.
+    """Return all names before ``ordered[index]``, in the order in which it prefers them as its parent.
 
-    The order is cut into levels of 1, fanout, fanout squared and so on. First come the names of the level
-    above, then of the levels above that, then those before it on its own level. Within a level they are
-    sorted by rendezvous hashing, so a change of membership moves few children, and those of a dead hub
-    spread over its level.
+    The order is divided into levels of 1, fanout, fanout squared and so on. The names of the next higher
+    level come first, followed by those of the levels above it, and then by the preceding names of the same
+    level. Within a level names are sorted by rendezvous hashing, so a change of membership moves few
+    children, and the children of a dead hub are spread over its level.
     """
     level_starts = [0]
     while (start := level_starts[-1] * fanout + 1) <= index:
@@ -75,7 +75,7 @@
 
 
 def _interleave(lists: Sequence[Sequence[str]]) -> list[str]:
-    """Returns the first of each list, then the second of each and so on."""
+    """Return the first of each list, then the second of each and so on."""
     return [name for names in zip_longest(*lists) for name in names if name is not None]
 
 
@@ -85,24 +85,24 @@
 
 
 class ParentCandidates:
-    """Orders the members before this one in the global order, by scope and preference."""
+    """The members before this one in the global order, sorted by scope and preference."""
 
     def __init__(self, own: Member, fanout: int) -> None:
         self._own = own
         self._fanout = fanout
         self._rank = rank_of_member(own)
-        self._zones: dict[str, dict[str, list[_RankedName]]] = {}  # by region and zone, by rank
+        self._zones: dict[str, dict[str, list[_RankedName]]] = {}  # keys: region, zone; sorted by rank
         self._preferences: dict[Scope, dict[str, int]] = {}
         self.add(own)
 
     def add(self, member: Member) -> None:
-        """Adds a member, whose name must not be in the order yet."""
+        """Add a member, whose name must not have been added yet."""
         zone = self._zones.setdefault(member.region, {}).setdefault(member.zone, [])
         insort(zone, _RankedName(rank_of_member(member), member.name))
         self._invalidate(member)
 
     def remove(self, member: Member) -> None:
-        """Removes a member that was added."""
+        """Remove a member, which must have been added."""
         zones = self._zones[member.region]
         zones[member.zone].remove(_RankedName(rank_of_member(member), member.name))
         if not zones[member.zone]:
@@ -112,28 +112,28 @@
         self._invalidate(member)
 
     def scope_of(self, member: Member) -> Scope | None:
-        """Returns the scope of a member that comes before this one; None for one that comes after."""
+        """Return the scope of a member before this one in the global order; None for any other member."""
         if rank_of_member(member) >= self._rank:
             return None
         return self._distance(member)
 
     def preferences(self, scope: Scope) -> dict[str, int]:
-        """Returns the names of a scope, the most preferred first, each with its place in that order."""
-        known = self._preferences.get(scope)
-        if known is None:
+        """Return the names of a scope in the order of preference, each with its position in that order."""
+        positions = self._preferences.get(scope)
+        if positions is None:
             names = self._names_by_preference(scope)
-            known = {name: place for place, name in enumerate(names)}
-            self._preferences[scope] = known
-        return known
+            positions = {name: position for position, name in enumerate(names)}
+            self._preferences[scope] = positions
+        return positions
 
     def by_preference(self, nearer_than: int = len(Scope)) -> Iterator[str]:
-        """Yields the names of all scopes nearer than the given one, by preference."""
+        """Yield the names of all scopes nearer than the given one, in the order of preference."""
         return chain.from_iterable(self.preferences(scope) for scope in Scope if scope < nearer_than)
 
     def search_order(self) -> Iterator[str]:
-        """Yields the names in the order in which a member without uplink dials them.
+        """Yield the names in the order in which a member without an uplink dials them.
 
-        Some of each scope come before the rest of any, since a whole zone may be dead.
+        The most preferred names of every scope come before the rest of any, since a whole zone may be dead.
         """
         heads = {
             Scope.ZONE: self._fanout,
--- a/sageturn/store/replication/zone_liveness.py
+++ b/sageturn/store/replication/zone_liveness.py
@@ -1,4 +1,4 @@
-"""The liveness of zones: how long ago each was last heard from, directly or through others."""
+"""The liveness of zones: the time of the last message from each zone, received directly or through others."""
 
 from __future__ import annotations
 
@@ -8,18 +8,19 @@
 
 
 class ZoneLiveness:
-    """Tracks zones by their labels, ``region/zone``. Times are monotonic seconds.
+    """Table of zones by their labels, ``region/zone``. Times are monotonic seconds.
 
-    ``last_heard_at`` has the time at which the last message known to have left a zone was sent.
+    Attributes:
+        last_heard_at: The time at which the last known message from each zone was sent.
     """
 
     def __init__(self, own_zone: str | None) -> None:
-        """``own_zone`` is None for an ephemeral client, which is in no zone."""
+        """Create an empty table; ``own_zone`` is None for an ephemeral client, which is in no zone."""
         self._own_zone = own_zone
         self.last_heard_at: dict[str, float] = {}
 
     def ages(self, now: float) -> dict[str, float]:
-        """Returns the seconds since the last message left each zone, rounded; 0 for this member's own."""
+        """Return the rounded seconds since the last message from each zone; 0 for this member's own zone."""
         last_heard_at = dict(self.last_heard_at)
         if self._own_zone is not None:
             last_heard_at[self._own_zone] = now
@@ -29,7 +30,7 @@
         }
 
     def merge(self, ages: dict[str, float], now: float) -> None:
-        """Takes over what a peer knows better: ``ages`` is seconds by zone."""
+        """Apply the ages in seconds by zone that a peer has sent; the more recent time of a zone wins."""
         for zone, age in ages.items():
             heard_at = now - age
             known_at = self.last_heard_at.get(zone)
@@ -38,10 +39,10 @@
             elif len(self.last_heard_at) < MAX_ZONES:
                 self.last_heard_at[zone] = heard_at
 
-    def is_any_silent(self, zones: Iterable[str], now: float, limit_s: float) -> bool:
-        """Whether one of these zones, other than this member's own, was silent for longer than the limit."""
-        return any(self._is_silent(zone, now, limit_s) for zone in zones if zone != self._own_zone)
+    def is_any_unresponsive(self, zones: Iterable[str], now: float, limit_s: float) -> bool:
+        """Return whether any of the zones, other than this member's own, has sent nothing for ``limit_s``."""
+        return any(self._is_unresponsive(zone, now, limit_s) for zone in zones if zone != self._own_zone)
 
-    def _is_silent(self, zone: str, now: float, limit_s: float) -> bool:
+    def _is_unresponsive(self, zone: str, now: float, limit_s: float) -> bool:
         heard_at = self.last_heard_at.get(zone)
         return heard_at is None or now - heard_at > limit_s
--- a/tests/store/test_overlay.py
+++ b/tests/store/test_overlay.py
@@ -1,4 +1,4 @@
-"""What one member's overlay decides, event by event."""
+"""The decisions of one member's overlay after each event."""
 
 from __future__ import annotations
 
@@ -33,26 +33,26 @@
     overlay.check_admission(newer, 0.0)
 
 
-def test_a_stale_incarnation_learns_of_the_newer_one_and_goes_silent() -> None:
+def test_a_stale_incarnation_learns_of_the_newer_one_and_stops_dialing() -> None:
     own, other = make_members(2)
     newer = Member(own.name, ("10.9.9.9", 1), own.region, own.zone, 2)
-    ways: tuple[Callable[[Overlay, Member, Member], None], ...] = (
+    learning_functions: tuple[Callable[[Overlay, Member, Member], None], ...] = (
         learn_from_store,
         learn_from_rejection,
         learn_from_dialer,
     )
-    for learn in ways:
+    for learn in learning_functions:
         overlay = Overlay(own, [other.address], Random(1))
         overlay.update_members([own, other])
         overlay.on_link_established(other.name, 0.0)
         learn(overlay, newer, other)
         assert overlay.membership_status == MembershipStatus.SUPERSEDED
         assert overlay.addresses_to_dial(99.0) == [] and overlay.links_to_close(0.0) == [other.name]
-        overlay.update_members([own, other])  # an older record changes nothing
+        overlay.update_members([own, other])  # an older record has no effect
         assert overlay.membership_status == MembershipStatus.SUPERSEDED
 
 
-def test_which_links_are_accepted() -> None:
+def test_links_are_accepted_up_to_the_limit_and_from_current_incarnations_of_others() -> None:
     own, other, *rest = make_members(60)
     restarted = Member(other.name, other.address, other.region, other.zone, 5)
     overlay = Overlay(own, [], Random(1), fanout=2)
@@ -62,17 +62,17 @@
     for member in rest[: 4 * 2]:
         assert overlay.check_admission(member, 0.0) is None
         overlay.on_link_established(member.name, 0.0)
-    one_too_many = rest[20]
-    rejection = overlay.check_admission(one_too_many, 0.0)
+    excess_member = rest[20]
+    rejection = overlay.check_admission(excess_member, 0.0)
     assert rejection is not None and rejection.reason == RejectReason.FULL and rejection.alternatives
-    assert {member.zone for member in rejection.alternatives} == {one_too_many.zone}
-    assert one_too_many not in rejection.alternatives
-    assert overlay.check_admission(rest[0], 0.0) is None  # the same member again replaces its own link
+    assert {member.zone for member in rejection.alternatives} == {excess_member.zone}
+    assert excess_member not in rejection.alternatives
+    assert overlay.check_admission(rest[0], 0.0) is None  # a member that is already linked replaces its link
     overlay.on_link_lost(rest[0].name, 0.0)
-    assert overlay.check_admission(one_too_many, 0.0) is None
+    assert overlay.check_admission(excess_member, 0.0) is None
 
 
-def test_the_link_to_a_removed_member_is_closed_at_once_and_to_an_unknown_one_later() -> None:
+def test_the_link_to_a_removed_member_is_closed_at_once_and_to_an_unknown_one_after_a_grace_period() -> None:
     own, other, unknown = make_members(3)
     overlay = Overlay(own, [], Random(1))
     overlay.update_members([own, other])
@@ -86,7 +86,7 @@
     overlay.update_members([])
     status_once_removed = overlay.membership_status
     assert status_once_removed == MembershipStatus.REMOVED and overlay.addresses_to_dial(20.0) == []
-    overlay.update_members([own])  # it was added again
+    overlay.update_members([own])  # the member is listed again
     assert overlay.membership_status == MembershipStatus.MEMBER
 
 
@@ -108,10 +108,10 @@
         now += 0.25
         advertisement = RouteAdvertisement(root, 1, int(now), False, 12)
         overlay.on_advertisement(other, advertisement, now)
-        if now >= 15:  # until then the new link may lead elsewhere
+        if now >= 15:  # an earlier link without advertisement might lead to another root
             overlay.on_advertisement(best, advertisement, now)
         closed = overlay.links_to_close(now)
     assert closed == [other] and 18 <= now <= 22
-    # And never while it is the other side's path to the root.
+    # A link that is the other side's path to the root is never closed.
     overlay.on_advertisement(other, RouteAdvertisement(root, 1, 99, True, 3), now)
     assert overlay.links_to_close(now) == []
--- a/tests/store/test_overlay_network.py
+++ b/tests/store/test_overlay_network.py
@@ -1,4 +1,4 @@
-"""Networks of overlays in simulated time: random faults, and the bounds of ``docs/design/overlay.md``."""
+"""Networks of overlays in simulated time: random faults, and the bounds in ``docs/design/overlay.md``."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 
 from sageturn.store.replication.membership import Address, Member, MembershipStatus, RejectReason
 
-SETTLE_S = 130.0  # so long after the last fault nothing is dialed or closed any more
+SETTLE_S = 130.0  # time after the last fault from which nothing is dialed or closed any more
 
-FLEET_SIZE = 460  # in 2 regions and 5 zones
+FLEET_SIZE = 460  # number of members, spread over 2 regions and 5 zones
 SEED_COUNT = 6
 MAX_ACCEPTED_LINKS = 32
-REPLACED_WITHIN_S = 4.0  # a dead member is replaced within so long, with the silence that shows its death
+REPLACED_WITHIN_S = 4.0  # time limit for the replacement of a dead member, including its detection
 
 
 def started_network(
     members: list[Member], seed: int, fanout: int = 8, settle_s: float = 30.0
 ) -> SimulatedNetwork:
-    """Returns a network at rest whose members started at once, each knowing the complete membership."""
+    """Return a settled network whose members started at the same time with the complete membership."""
     network = SimulatedNetwork(seed, fanout)
     view = {member.name: member for member in members}
     seeds = [member.address for member in members[:SEED_COUNT]]
@@ -47,7 +47,7 @@
 
 
 def is_tree(network: SimulatedNetwork) -> bool:
-    """Returns whether the links form a spanning tree with no avoidable link between zones."""
+    """Return whether the links form a spanning tree with no avoidable link between zones."""
     members = running_members(network)
     return (
         len(network.links) == len(members) - 1
@@ -62,7 +62,7 @@
 
 
 def assert_at_rest(network: SimulatedNetwork, for_s: float = 45.0, ignoring: Iterable[Address] = ()) -> None:
-    """Checks that no member dials or closes a link, except for dials to the ignored addresses."""
+    """Assert that no member dials or closes a link, except for dials to the ignored addresses."""
     dials_before = len(network.record.dials)
     closes_before = len(network.record.closes)
     network.clock.advance(for_s)
@@ -75,7 +75,7 @@
 
 
 def random_pairs(salt: float, share: float) -> Callable[[Member, Member], bool]:
-    """Holds for a share of all pairs of members, whatever their zones."""
+    """Return a predicate that is true for a share of all pairs of members, whatever their zones."""
     chosen: dict[tuple[str, str], bool] = {}
 
     def is_chosen(one: Member, other: Member) -> bool:
@@ -88,7 +88,7 @@
 
 
 class FaultSchedule:
-    """A network of random size, and random faults one after another."""
+    """A network of random size with a sequence of random faults."""
 
     FAULTS = [
         "kill",
@@ -124,7 +124,7 @@
         self.wait_until_linked(10)
 
     def run(self) -> None:
-        """Checks that after each fault all members that can be are linked in time, and finally all are."""
+        """Inject the faults, and assert after each that all members that can be linked are linked in time."""
         for _ in range(self.COUNT):
             self.network.clock.advance(self.rng.choice([0.3, 3, 20]))
             fault = self.rng.choice(self.FAULTS)
@@ -183,7 +183,7 @@
         return [process for process in self.network.processes.values() if not process.is_running]
 
     def recover(self) -> None:
-        """Removes all faults, restarts all members but the removed ones, and checks for a tree at rest."""
+        """Remove all faults, restart all members but the removed ones, and assert a settled tree."""
         network = self.network
         network.heal()
         for process in self.stopped():
@@ -195,7 +195,7 @@
         assert statuses == {MembershipStatus.MEMBER}
         network.clock.advance(SETTLE_S)
         assert is_tree(network), network.describe()
-        # A seed that is no member any more is still tried by the root now and then.
+        # The root still dials a seed that is no longer a member from time to time.
         addresses = {member.address for member in running_members(network)}
         assert_at_rest(network, ignoring=[seed for seed in self.seeds if seed not in addresses])
 
@@ -206,7 +206,7 @@
         FaultSchedule(seed).run()
 
 
-# The bounds of docs/design/overlay.md
+# The bounds in docs/design/overlay.md
 
 
 def test_a_fleet_that_starts_at_once_with_its_store_is_one_tree_within_seconds() -> None:
@@ -234,11 +234,11 @@
     assert len(network.record.dials) <= 6 * len(members)
 
 
-def test_dead_hubs_a_rack_and_a_zone_are_replaced_within_the_time() -> None:
+def test_dead_hubs_a_rack_and_a_zone_are_replaced_within_the_time_limit() -> None:
     network = started_network(make_members(FLEET_SIZE), 4, settle_s=5)
     ordered = in_global_order(running_members(network))
     zone_heads = {(member.region, member.zone): member for member in reversed(ordered)}
-    for member in zone_heads.values():  # those with the most links, one after another
+    for member in zone_heads.values():  # the members with the most links, killed one after another
         network.kill(network.processes[member.address])
         network.wait_until(network.graph.is_connected, REPLACED_WITHIN_S)
     rack = [process for process in network.running() if process.member.zone == "z1"][::4]
@@ -247,7 +247,7 @@
     network.wait_until(network.graph.is_connected, REPLACED_WITHIN_S)
     root = in_global_order(running_members(network))[0]
     zone = [process for process in network.running() if process.member.zone == root.zone]
-    for process in zone:  # all other zones depend on the root's
+    for process in zone:  # all other zones are linked through the root's zone
         network.kill(process)
     assert not network.graph.is_connected()
     network.wait_until(network.graph.is_connected, REPLACED_WITHIN_S)
@@ -267,7 +267,7 @@
     network.wait_until(lambda: network.graph.is_connected(groups=2), REPLACED_WITHIN_S)
     network.clock.advance(60)
     assert len(network.graph.linked_groups()) == 2
-    # A root temporarily has one more link while it searches for others.
+    # A root temporarily has one more link while it dials others.
     network.wait_until(lambda: network.graph.crossings() == (3, 0), 10)
     healed_at = network.clock.now
     dials_before = len(network.record.dials)
@@ -278,15 +278,15 @@
     assert network.record.max_dials_per_second(healed_at) <= 4
 
 
-def test_a_partition_of_an_hour_costs_few_dials_and_its_end_is_noticed() -> None:
+def test_a_partition_of_an_hour_costs_few_dials_and_its_end_is_detected() -> None:
     network = started_network(make_members(12), 6)
     network.partition(lambda one, other: one.region != other.region)
     network.clock.advance(60)
     dials_before = len(network.record.dials)
     network.clock.advance(3600)
-    of_two_roots = 2 * 3600 / 7.5
-    of_the_others = 3600 / 8
-    assert len(network.record.dials) - dials_before <= of_two_roots + of_the_others
+    max_dials_of_two_roots = 2 * 3600 / 7.5
+    max_dials_of_other_members = 3600 / 8
+    assert len(network.record.dials) - dials_before <= max_dials_of_two_roots + max_dials_of_other_members
     network.heal()
     network.wait_until(network.graph.is_connected, 30)
     network.clock.advance(SETTLE_S)
@@ -294,7 +294,7 @@
     assert_at_rest(network)
 
 
-def test_a_flapping_hub_is_soon_left_alone() -> None:
+def test_a_flapping_hub_is_soon_dialed_rarely() -> None:
     network = started_network(make_members(40, 1, 1), 7)
     hub = network.processes[in_global_order(running_members(network))[0].address]
     children = len(hub.links)
@@ -309,13 +309,13 @@
         network.clock.advance(12)
         addresses = [address for _, _, address in network.record.dials[dials_before:]]
         dials_to_hub.append(addresses.count(hub.member.address))
-    assert children >= 8 and max(dials_to_hub) >= 6  # its children do come back to it
-    assert sum(dials_to_hub[4:]) <= rounds, dials_to_hub  # but not for ever
+    assert children >= 8 and max(dials_to_hub) >= 6  # at first its children dial it again
+    assert sum(dials_to_hub[4:]) <= rounds, dials_to_hub  # they stop after a few losses
     network.clock.advance(300)
     assert is_tree(network)
 
 
-def test_of_two_members_with_one_name_the_newer_incarnation_stays() -> None:
+def test_of_two_members_with_the_same_name_the_newer_incarnation_stays() -> None:
     members = make_members(20)
     network = started_network(members, 8)
     old = members[7]
@@ -329,7 +329,7 @@
     network.kill(network.processes[old.address])
     network.clock.advance(SETTLE_S)
     assert is_tree(network)
-    # And a stale incarnation that starts later learns of the newer one at its first dial.
+    # A stale incarnation that starts later learns of the newer one at its first dial.
     stale = Member(old.name, ("10.8.8.9", 7000), old.region, old.zone, 1)
     stale_process = network.start(stale, [members[0].address])
     network.clock.advance(10)
@@ -340,7 +340,7 @@
     assert is_tree(network)
 
 
-def test_a_removed_member_that_comes_back_with_its_old_store_does_no_harm() -> None:
+def test_a_removed_member_that_returns_with_its_old_store_is_not_readmitted() -> None:
     members = make_members(20)
     network = started_network(members, 9)
     removed = network.processes[in_global_order(members)[0].address]  # the root
@@ -365,7 +365,7 @@
     assert_at_rest(network)
 
 
-def test_a_member_rejected_by_a_full_one_is_sent_to_others() -> None:
+def test_a_member_rejected_by_a_full_one_dials_the_suggested_alternatives() -> None:
     members = make_members(60, 1, 2)
     network = SimulatedNetwork(10, fanout=2)
     for member in members:
--- a/tests/store/test_replication_sockets.py
+++ b/tests/store/test_replication_sockets.py
@@ -1,4 +1,4 @@
-"""Replication over real sockets: lost hubs, slow followers, wiped replicas and invalid frames."""
+"""Replication over real sockets: dead hubs, slow followers, wiped replicas and invalid frames."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 SECRET = read_secret("one secret")
 Address = tuple[str, int]
 
-pytestmark = pytest.mark.timeout(300)  # each wait has a limit of its own
+pytestmark = pytest.mark.timeout(300)  # each wait also has its own time limit
 
 
 async def wait_until(condition: Callable[[], Any], within_s: float = 20.0) -> None:
@@ -51,7 +51,7 @@
     dials_only_seeds: bool = True,
     rate: float = 13.5e3,
 ) -> ReplicationMember:
-    """Starts a member; unless ``dials_only_seeds`` the overlay decides which peers it dials."""
+    """Start a member that dials only the seeds, or the peers that the overlay selects."""
     options = ReplicationOptions(("127.0.0.1", 0), seeds, SECRET, "r", zone, rate)
     topology = partial(DialSeeds, seeds=seeds) if dials_only_seeds else None
     member = ReplicationMember(
@@ -67,7 +67,7 @@
 
 @pytest.fixture
 async def members() -> AsyncIterator[list[ReplicationMember]]:
-    """Returns a list for the members that a test starts; they are stopped at its end."""
+    """Yield a list for the members that a test starts, and stop them at its end."""
     started: list[ReplicationMember] = []
     yield started
     for member in started:
@@ -75,15 +75,15 @@
 
 
 async def open_channel(address: Address, name: str = "x") -> tuple[AuthenticatedChannel, socket.socket]:
-    """Opens a connection to a member on which the test sends what no member would."""
+    """Open an authenticated channel to a member, on which the test sends its own frames."""
     sock = await connect(address, 1.0)
     assert not isinstance(sock, ConnectFailure)
-    link = AuthenticatedChannel(sock, SECRET, name)
-    await link.perform_handshake(True)
-    return link, sock
+    channel = AuthenticatedChannel(sock, SECRET, name)
+    await channel.perform_handshake(True)
+    return channel, sock
 
 
-def hello_frame(name: str, **more: Any) -> bytes:
+def hello_frame(name: str, **changed_fields: Any) -> bytes:
     hello = {
         "protocol": 2,
         "node": name,
@@ -97,19 +97,19 @@
         "guest": False,
         "member": ["127.0.0.1", 1, "r", ""],
     }
-    return encode({"hello": {**hello, **more}})
+    return encode({"hello": {**hello, **changed_fields}})
 
 
-async def receive_message(link: AuthenticatedChannel, kind: str) -> Any:
+async def receive_message(channel: AuthenticatedChannel, kind: str) -> Any:
     async with asyncio.timeout(10.0):
         while True:
-            message = decode(await link.receive())
+            message = decode(await channel.receive())
             if kind in message:
                 return message[kind]
 
 
 async def start_fleet(members: list[ReplicationMember], count: int) -> None:
-    """Members that know only the first one, each of which knows all others when this returns."""
+    """Start members that know only the first one, and wait until each knows all others."""
     members.append(start_member("n0", dials_only_seeds=False))
     seed = members[0].address
     members += [start_member(f"n{number}", seed, dials_only_seeds=False) for number in range(1, count)]
@@ -122,7 +122,7 @@
     await start_fleet(members, 6)
     store_of(members[3]).put("config/x", 1)
     await wait_until(lambda: all(store_of(member).get("config/x") == 1 for member in members))
-    # The one with the most links is stopped; nobody has another seed than n0.
+    # The hub is the member with the most links; n0 is the only seed of the others.
     hub = max(members, key=lambda member: member.link_count)
     members.remove(hub)
     await hub.stop()
@@ -132,8 +132,8 @@
     await wait_until(lambda: len({tuple(member.replica.records.changes.roots) for member in members}) == 1)
 
 
-async def test_a_silent_hub_is_detected_and_replaced(members: list[ReplicationMember]) -> None:
-    # As when a machine or a switch is gone: no reset arrives, only the heartbeats are missing.
+async def test_an_unresponsive_hub_is_detected_and_replaced(members: list[ReplicationMember]) -> None:
+    # Simulates the failure of a machine or a switch: no reset arrives, only the heartbeats stop.
     await start_fleet(members, 5)
     hub = max(members, key=lambda member: member.link_count)
     members.remove(hub)
@@ -142,29 +142,29 @@
         session.receive = lambda payload, now: None  # type: ignore[method-assign]
     hub.replica.tick = lambda now: TickResult((), now + 60.0)  # type: ignore[method-assign]
     hub.listener.stop_accepting()
-    began = asyncio.get_running_loop().time()
+    started_at = asyncio.get_running_loop().time()
     writer = members[0]
     store_of(writer).put("config/x", 1)
     await wait_until(lambda: all(store_of(member).get("config/x") == 1 for member in members))
-    assert asyncio.get_running_loop().time() - began < 15.0
+    assert asyncio.get_running_loop().time() - started_at < 15.0
     await hub.stop()
 
 
-async def test_a_follower_that_reads_nothing_delays_nobody_and_is_disconnected(
+async def test_a_follower_that_reads_nothing_delays_no_other_and_is_disconnected(
     members: list[ReplicationMember],
 ) -> None:
     hub = start_member("hub", rate=1e8)
     other = start_member("other", hub.address)
     members += [hub, other]
-    link, sock = await open_channel(hub.address, "slow")
-    await link.send(hello_frame("slow"))
-    await receive_message(link, "hello")
-    await link.send(encode({"follow": [[0, 0, 0], [0, 0, 0]]}))
+    channel, sock = await open_channel(hub.address, "slow")
+    await channel.send(hello_frame("slow"))
+    await receive_message(channel, "hello")
+    await channel.send(encode({"follow": [[0, 0, 0], [0, 0, 0]]}))
     await wait_until(lambda: hub.link_count == 2)
 
     async def send_heartbeats() -> None:
         while True:
-            await link.send(b'{"beat":[[0,0],[0,0],null,null,0,false,{},null]}')
+            await channel.send(b'{"beat":[[0,0],[0,0],null,null,0,false,{},null]}')
             await asyncio.sleep(0.2)
 
     heartbeats = asyncio.ensure_future(send_heartbeats())
@@ -173,7 +173,7 @@
         store_of(hub).put(f"config/{number}", text)
     await wait_until(lambda: len(store_of(other).keys("config/")) == 200)
     (session,) = [session for session in hub.replica.sessions if session.peer == "slow"]
-    assert session.change_exchange.chunks_in_flight <= 6, "the rest is queued nowhere"
+    assert session.change_exchange.chunks_in_flight <= 6, "the other chunks are not queued"
     assert hub.link_count == 2
     heartbeats.cancel()
     await wait_until(lambda: hub.link_count == 1)
@@ -199,7 +199,7 @@
         file.unlink()
     wiped = start_member("w", hub.address, path=tmp_path / "w")
     members.append(wiped)
-    store_of(wiped).put("state/w/x", "new")  # before it has got back its earlier versions
+    store_of(wiped).put("state/w/x", "new")  # written before it has received its earlier versions
     await wait_until(lambda: len(store_of(wiped).keys("config/")) == 500)
     await wait_until(lambda: store_of(wiped).get("state/w/x") == 4)
     store_of(wiped).put("state/w/x", "newer")
@@ -218,15 +218,15 @@
     await other.stop()
     store_of(other).close()
     store_of(hub).put("config/7", "new")
-    taken = hub.replica.budget.consumed_bytes
+    consumed_before = hub.replica.budget.consumed_bytes
     other = start_member("o", hub.address, path=tmp_path / "o")
     members.append(other)
     await wait_until(lambda: store_of(other).get("config/7") == "new")
-    assert hub.replica.budget.consumed_bytes - taken < 6000
+    assert hub.replica.budget.consumed_bytes - consumed_before < 6000
 
 
 def error_of_protocol_1(message: dict[str, Any]) -> str:
-    """Returns what a program of protocol 1 logs about a message that is no digest."""
+    """Return the error that a program of protocol 1 logs for a message that is not a digest."""
     try:
         for obj in message["records"]:
             parse_record(obj)
@@ -236,25 +236,25 @@
 
 
 async def accept_as_protocol_1(listening: socket.socket, name: str) -> dict[str, Any]:
-    """Accepts one link as a member of protocol 1 does; returns the message that it is sent."""
+    """Accept one link as a member of protocol 1 does; return the message that it receives."""
     sock, _ = await asyncio.get_running_loop().sock_accept(listening)
     sock.setblocking(False)
-    link = AuthenticatedChannel(sock, SECRET, name)
-    await link.perform_handshake(False)
-    await link.send(b'{"digest":{}}')
-    message = decode(await link.receive())
+    channel = AuthenticatedChannel(sock, SECRET, name)
+    await channel.perform_handshake(False)
+    await channel.send(b'{"digest":{}}')
+    message = decode(await channel.receive())
     sock.close()
     return message
 
 
-async def test_a_peer_of_protocol_1_and_this_member_both_learn_the_two_versions(
+async def test_a_peer_of_protocol_1_and_this_member_both_report_the_two_versions(
     members: list[ReplicationMember],
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     members.append(start_member("n0"))
-    link, sock = await open_channel(members[0].address, "old")
-    await link.send(b'{"digest":{"config/evil":[1,"old"]}}')
-    answer = decode(await link.receive())
+    channel, sock = await open_channel(members[0].address, "old")
+    await channel.send(b'{"digest":{"config/evil":[1,"old"]}}')
+    answer = decode(await channel.receive())
     assert "needs protocol 2, this copy speaks 1" in error_of_protocol_1(answer)
     await wait_until(lambda: "old speaks protocol 1 (whole digests), this copy speaks 2" in caplog.text)
     sock.close()
@@ -286,12 +286,12 @@
     members.append(start_member("n0"))
     members.append(start_member("n1", members[0].address))
     await wait_until(lambda: len(members[0].replica.members) == 2)
-    link, sock = await open_channel(members[0].address, "x")
-    await link.send(hello_frame("x"))
-    await receive_message(link, "follow")
+    channel, sock = await open_channel(members[0].address, "x")
+    await channel.send(hello_frame("x"))
+    await receive_message(channel, "follow")
     before = store_of(members[0]).digest()
-    await link.send(payload)
-    code, detail, _ = await receive_message(link, "bye")
+    await channel.send(payload)
+    code, detail, _ = await receive_message(channel, "bye")
     assert code == "fault" and reason in detail
     sock.close()
     await wait_until(lambda: members[0].link_count == 1)
@@ -303,9 +303,9 @@
     members: list[ReplicationMember], corruption: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     members.append(start_member("n0"))
-    link, sock = await open_channel(members[0].address, "x")
-    await link.send(hello_frame("x"))
-    await receive_message(link, "follow")
+    channel, sock = await open_channel(members[0].address, "x")
+    await channel.send(hello_frame("x"))
+    await receive_message(channel, "follow")
     payload = b'{"changes":[0,0,0,1,[["config/evil",1,9,"x",null]]]}'
     size = len(payload).to_bytes(4, "big")
     loop = asyncio.get_running_loop()
@@ -317,8 +317,8 @@
     elif corruption == "forged":
         await loop.sock_sendall(sock, size + payload + b"\0" * 32)
     else:
-        link._key = b"other"
-        await link.send(payload)
+        channel._key = b"other"
+        await channel.send(payload)
     await wait_until(lambda: members[0].link_count == 0)
     detail = {"oversized": "a frame is too large", "half": "ended"}.get(
         corruption, "a frame was tampered with"
@@ -340,7 +340,7 @@
         copy.put("config/7", None)
     assert store_of(members[0]).get("config/x") == 1 and store_of(members[0]).get("config/7") is None
     assert not [name for name in members[0].replica.members if name.startswith("operator")], (
-        "and it is no member"
+        "the client is not a member"
     )
     await wait_until(lambda: members[0].link_count == 0)
     with pytest.raises(TimeoutError, match="the secrets differ"):
@@ -349,7 +349,7 @@
 
 
 class CountingProxy:
-    """Forwards connections to one address, and keeps the size of each read."""
+    """TCP proxy to one address that records the size of each read."""
 
     def __init__(self, target: Address) -> None:
         self.received_bytes: list[int] = []
@@ -374,7 +374,7 @@
 
 
 async def mean_read_bytes(keys: int) -> float:
-    """Returns the mean size of a read on an idle link between two members that hold ``keys`` keys."""
+    """Return the mean size of a read on an idle link between two members that hold ``keys`` keys."""
     first = start_member("n0")
     for number in range(keys):
         store_of(first).put(f"config/shard/{number}", {"host": f"s-{number % 97}", "epoch": number})
@@ -393,7 +393,7 @@
 
 
 async def test_an_idle_link_costs_no_more_with_more_keys() -> None:
-    """Counted at the socket, over a number of reads and not over a time."""
+    """The mean is consumed_before over a number of reads, not over a time, at the socket."""
     assert await mean_read_bytes(10) < 600.0
     assert await mean_read_bytes(2000) < 600.0
 
@@ -410,15 +410,22 @@
         ({"listen": "0.0.0.0:7400"}, "listen: must be an address"),
     ],
 )
-def test_an_invalid_setting_of_the_store_is_named(tmp_path: Path, change: dict[str, Any], key: str) -> None:
+def test_an_error_names_the_invalid_setting_of_the_store(
+    tmp_path: Path, change: dict[str, Any], key: str
+) -> None:
     (tmp_path / "secret").write_text("word")
-    good = {"listen": "127.0.0.1:0", "peers": ["127.0.0.1:7401"], "secret_file": "secret", "zone": "hue"}
+    valid_section = {
+        "listen": "127.0.0.1:0",
+        "peers": ["127.0.0.1:7401"],
+        "secret_file": "secret",
+        "zone": "hue",
+    }
     file = tmp_path / "operator.json"
-    file.write_text(json.dumps({"store": good}))
+    file.write_text(json.dumps({"store": valid_section}))
     settings = Settings(classes=(RequestClass("c", 500.0),))
     replication = read_operator_file(file, settings).replication
     assert replication is not None and replication.zone == "hue" and replication.max_bytes_per_s == 13_500.0
-    file.write_text(json.dumps({"store": {**good, **change}}))
+    file.write_text(json.dumps({"store": {**valid_section, **change}}))
     with pytest.raises(ConfigError, match=f"operator.store.{key}"):
         read_operator_file(file, settings)
 
@@ -428,11 +435,11 @@
         "import sys, sageturn.__main__, sageturn.relay\n"
         "assert not [name for name in sys.modules if name.startswith('sageturn.store.replication')]"
     )
-    done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True)
-    assert done.returncode == 0, done.stderr
+    completed = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True)
+    assert completed.returncode == 0, completed.stderr
 
 
-async def test_the_state_report_names_silent_zones(members: list[ReplicationMember]) -> None:
+async def test_the_state_report_lists_unresponsive_zones(members: list[ReplicationMember]) -> None:
     members.append(start_member("n0", zone="a"))
     members.append(start_member("n1", members[0].address, zone="b"))
     await wait_until(lambda: "r/b" in members[0].replica.zones.last_heard_at)
@@ -443,4 +450,4 @@
     state = members[0].state_report()["silent_s"]
     assert isinstance(state, dict) and state["r/b"] == 40 and set(state) == {"r/b", "r/c"}
     json.dumps(members[0].state_report())
-    assert members[0].state_report_interval_s == 0.2, "so 460 members report every 46 s each"
+    assert members[0].state_report_interval_s == 0.2, "460 members each report every 46 s"
--- a/tests/store/test_route_table.py
+++ b/tests/store/test_route_table.py
@@ -1,4 +1,4 @@
-"""Route advertisements: which root is believed, and over which link it is reached."""
+"""Route advertisements: the root that a member follows, and the link over which it reaches the root."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 ROOT, UPLINK, OWN, CHILD = in_global_order(make_members(4, 1, 1))
 
 
-class Routes:
-    """A member linked to its uplink and to a child."""
+class RouteFixture:
+    """The tables of a member that is linked to its uplink and to a child."""
 
     def __init__(self) -> None:
         members = MemberTable(OWN, 8)
@@ -33,7 +33,7 @@
 
 
 def test_without_advertisements_a_member_is_its_own_root() -> None:
-    routes = Routes()
+    routes = RouteFixture()
     assert routes.table.root_path(0.0) is None
     assert routes.table.current_root(0.0) == rank_of_member(OWN)
     assert routes.table.make_advertisement(CHILD.name, 7.5) == RouteAdvertisement(
@@ -42,7 +42,7 @@
 
 
 def test_the_root_is_advertised_to_the_others_and_the_subtree_to_the_root() -> None:
-    routes = Routes()
+    routes = RouteFixture()
     routes.advertise(UPLINK.name, 3, 3.0)
     routes.advertise(CHILD.name, 3, 3.0, is_root_path=True, member_count=2)
     assert routes.table.root_path(3.0) == UPLINK.name
@@ -53,17 +53,17 @@
     assert to_uplink == RouteAdvertisement(rank_of_member(OWN), 1, 3, True, 3)
 
 
-def test_a_root_without_a_newer_heartbeat_is_not_believed_for_long() -> None:
-    routes = Routes()
+def test_a_root_without_a_newer_heartbeat_expires() -> None:
+    routes = RouteFixture()
     routes.advertise(UPLINK.name, 3, 3.0)
-    for second in (4.0, 5.0, 6.0):  # the same heartbeat again and again
+    for second in (4.0, 5.0, 6.0):  # repeats the same heartbeat
         routes.advertise(UPLINK.name, 3, second)
     assert routes.table.root_path(3.0 + ROOT_HEARTBEAT_TTL_S) == UPLINK.name
     assert routes.table.root_path(3.0 + ROOT_HEARTBEAT_TTL_S + 0.01) is None
 
 
-def test_a_link_whose_heartbeats_lag_behind_leads_to_no_root() -> None:
-    routes = Routes()
+def test_a_link_with_outdated_root_heartbeats_is_no_path_to_the_root() -> None:
+    routes = RouteFixture()
     routes.advertise(CHILD.name, 1, 1.0)
     assert routes.table.root_path(1.0) == CHILD.name
     routes.advertise(UPLINK.name, 7, 7.0)
--- a/tests/store/test_suspicion.py
+++ b/tests/store/test_suspicion.py
@@ -1,4 +1,4 @@
-"""Suspected members: how long an address is left alone after failures, lost links and rejections."""
+"""Suspected members: the backoff of an address after failures, lost links and rejections."""
 
 from __future__ import annotations
 
@@ -14,25 +14,27 @@
     MAX_FLAP_BACKOFF_S,
     MAX_REJECTED_BACKOFF_S,
     MAX_RETRY_BACKOFF_S,
+    MAX_URGENT_BACKOFF_S,
     SUSPICION_TTL_S,
-    URGENT_RETRY_S,
     SuspicionTable,
 )
 
 ADDRESS = ("10.0.0.1", 7000)
 
 
-@pytest.mark.parametrize(("failures", "longest_s"), [(1, 1.0), (2, 2.0), (5, 16.0), (9, MAX_RETRY_BACKOFF_S)])
-def test_the_backoff_doubles_with_each_failure_up_to_its_maximum(failures: int, longest_s: float) -> None:
+@pytest.mark.parametrize(
+    ("failures", "max_backoff_s"), [(1, 1.0), (2, 2.0), (5, 16.0), (9, MAX_RETRY_BACKOFF_S)]
+)
+def test_the_backoff_doubles_with_each_failure_up_to_its_maximum(failures: int, max_backoff_s: float) -> None:
     table = SuspicionTable(Random(1))
     for _ in range(failures):
         table.record_failure(ADDRESS, 0.0)
     assert table.has_failed(ADDRESS)
-    assert not table.may_dial(ADDRESS, longest_s / 2 - 0.01)
-    assert table.may_dial(ADDRESS, longest_s)
+    assert not table.may_dial(ADDRESS, max_backoff_s / 2 - 0.01)
+    assert table.may_dial(ADDRESS, max_backoff_s)
 
 
-def test_a_rejection_is_no_failure_but_has_a_backoff_too() -> None:
+def test_a_rejection_is_not_a_failure_but_has_a_backoff() -> None:
     table = SuspicionTable(Random(1))
     for _ in range(20):
         table.record_rejection(ADDRESS, 0.0)
@@ -50,16 +52,16 @@
     assert table.may_dial(ADDRESS, MAX_FLAP_BACKOFF_S)
 
 
-def test_an_urgent_dial_waits_for_less_unless_the_member_is_flapping() -> None:
+def test_an_urgent_dial_has_a_shorter_backoff_unless_the_member_is_flapping() -> None:
     table = SuspicionTable(Random(1))
     for _ in range(10):
         table.record_failure(ADDRESS, 0.0)
-    assert not table.may_dial(ADDRESS, URGENT_RETRY_S)
-    assert not table.may_dial(ADDRESS, URGENT_RETRY_S - 0.01, urgent=True)
-    assert table.may_dial(ADDRESS, URGENT_RETRY_S, urgent=True)
+    assert not table.may_dial(ADDRESS, MAX_URGENT_BACKOFF_S)
+    assert not table.may_dial(ADDRESS, MAX_URGENT_BACKOFF_S - 0.01, urgent=True)
+    assert table.may_dial(ADDRESS, MAX_URGENT_BACKOFF_S, urgent=True)
     for _ in range(FLAP_THRESHOLD):
         table.record_failure(ADDRESS, 0.0, link_lost=True)
-    assert not table.may_dial(ADDRESS, URGENT_RETRY_S, urgent=True)
+    assert not table.may_dial(ADDRESS, MAX_URGENT_BACKOFF_S, urgent=True)
 
 
 def test_suspicions_expire() -> None:
@@ -71,8 +73,8 @@
     assert len(table) == 0 and not table.has_failed(ADDRESS)
 
 
-def test_a_member_whose_suspicion_has_expired_is_untried_at_once() -> None:
-    # It counted as failed once more, in the very call that dropped its suspicion.
+def test_a_member_whose_suspicion_has_expired_counts_as_untried_at_once() -> None:
+    # Guards against an expired member that still counts as failed in the call that drops its suspicion.
     table = SuspicionTable(Random(1))
     table.record_failure(ADDRESS, 0.0)
     members: Any = SimpleNamespace(
--- a/tests/store/test_tree_order.py
+++ b/tests/store/test_tree_order.py
@@ -1,4 +1,4 @@
-"""The global order of members, and whom each prefers as its parent in the tree."""
+"""The global order of members, and each member's preferred parents in the tree."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def level_bounds(index: int, fanout: int) -> tuple[int, int]:
-    """Returns the first index, and the end, of the level above that of ``index``."""
+    """Return the first index and the end of the level above that of ``index``."""
     starts = [(fanout**level - 1) // (fanout - 1) for level in range(MAX_LEVELS)]
     level = next(level for level in itertools.count() if index < starts[level + 1])
     return starts[level - 1], starts[level]
@@ -63,7 +63,7 @@
 
 @settings(max_examples=60)
 @given(members_drawn, st.randoms(use_true_random=False))
-def test_the_preferred_parents_form_one_tree_that_crosses_once_a_zone(
+def test_the_preferred_parents_form_one_tree_with_one_link_into_each_zone(
     members: list[Member], rng: Random
 ) -> None:
     ordered = in_global_order(members)
@@ -71,7 +71,7 @@
     for own in members:
         others = [member for member in members if member is not own]
         candidates = candidates_of(own, rng.sample(others, len(others)))
-        for member in rng.sample(others, len(others) // 3):  # known, removed and known again
+        for member in rng.sample(others, len(others) // 3):  # members that are removed and added again
             candidates.remove(member)
             candidates.add(member)
         preferred = list(candidates.by_preference())
@@ -81,7 +81,7 @@
         assert not predecessors or next(candidates.search_order()) == preferred[0]
         if preferred:
             parents.append((own, next(member for member in members if member.name == preferred[0])))
-    # Each has one link to a member before it, so there is no cycle, and only the first has none: a tree.
+    # Each member but the first has one link to a member before it, so the links form a tree without cycles.
     assert len(parents) == len(members) - 1
     crossing = [
         (child, parent)
@@ -106,7 +106,8 @@
 
 
 def test_a_new_member_changes_few_parents() -> None:
-    # With a heap's parent, (index - 1) // fanout, it changes a tenth of its zone's, and up to 80 of 92.
+    # With the parents of a heap, (index - 1) // fanout, it would change a tenth of the parents in its zone on
+    # average, and up to 80 of 92.
     members = make_members(93, 1, 1)
 
     def parents(some: list[Member], choose: Callable[[list[str], int], str]) -> dict[str, str]:
--- a/tests/support/overlay_simulation.py
+++ b/tests/support/overlay_simulation.py
@@ -1,6 +1,6 @@
-"""A simulated network of members: links with latency, kills, restarts, partitions. It has its own clock.
+"""A simulated network of members with its own clock: links with latency, kills, restarts, partitions.
 
-Nothing in it knows how the overlay decides; it only carries out what each member's overlay says.
+It is independent of the overlay's rules and only carries out the decisions of each member's overlay.
 """
 
 from __future__ import annotations
@@ -16,17 +16,17 @@
 from sageturn.store.replication.routes import RouteAdvertisement
 from sageturn.store.replication.tree_order import rank_of_member
 
-PEER_TIMEOUT_S = 2.0  # a dead machine or a partition is noticed by silence
-CONNECT_TIMEOUT_S = 1.0  # a dial to a dead machine fails after
+PEER_TIMEOUT_S = 2.0  # time after which missing heartbeats reveal a dead machine or a partition
+CONNECT_TIMEOUT_S = 1.0  # time after which a dial to a dead machine fails
 HEARTBEAT_INTERVAL_S = 1.0
-BATCH_INTERVAL_S = 0.2  # membership changes are gathered for so long before they go on
-LATENCY_S = 0.0005  # within a zone
-ZONE_LATENCY_S = 0.002  # between zones of a region
-REGION_LATENCY_S = 0.040
+BATCH_INTERVAL_S = 0.2  # time for which membership changes are batched before they are forwarded
+INTRA_ZONE_LATENCY_S = 0.0005  # latency between members of a zone
+INTER_ZONE_LATENCY_S = 0.002  # latency between zones of a region
+INTER_REGION_LATENCY_S = 0.040  # latency between regions
 
 
 class EventQueue:
-    """The simulation's clock: it runs events in the order of their times, and only they advance it."""
+    """The simulation's clock, which advances by running scheduled events in the order of their times."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -45,7 +45,7 @@
 
 
 class SimulatedMember:
-    """One process of a member: its view of the membership, its links and its overlay."""
+    """A process of a member: its view of the membership, its links and its overlay."""
 
     def __init__(
         self, network: SimulatedNetwork, member: Member, view: dict[str, Member], seeds: list[Address]
@@ -54,7 +54,7 @@
         self.member = member
         self.view = {**view, member.name: member}
         self.seeds = seeds
-        self.removed: dict[str, int] = {}  # by name, the incarnation that was removed
+        self.removed: dict[str, int] = {}  # removed incarnation by member name
         rng = Random(f"{network.seed} {member.name} {member.incarnation}")
         self.overlay = Overlay(member, seeds, rng, network.fanout)
         self.overlay.update_members(self.view.values())
@@ -65,7 +65,7 @@
         self._poll_at = float("inf")
 
     def poll(self) -> None:
-        """Carries out what the overlay decides, and comes again when it says."""
+        """Carry out the overlay's decisions, and schedule the next poll at the time that it returns."""
         network = self.network
         if not self.is_running:
             return
@@ -86,7 +86,7 @@
             self.poll()
 
     def receive_members(self, members: Iterable[Member], removed: dict[str, int]) -> None:
-        """Records arrive; what is new goes on to the others, and the overlay gets the whole membership."""
+        """Apply membership records; forward new ones, and update the overlay with the whole membership."""
         if not self.is_running:
             return
         updated = [member for member in members if self._is_newer(member)]
@@ -126,7 +126,7 @@
 
 
 class SimulatedLink:
-    """A connection between two members, established on each side at its own time."""
+    """A link between two members, which each side establishes at a different time."""
 
     def __init__(self, one: SimulatedMember, other: SimulatedMember, dialer: SimulatedMember) -> None:
         self.ends = (one, other)
@@ -139,7 +139,7 @@
 
 
 class NetworkRecord:
-    """What happened in a network: each entry begins with the time and the member's name."""
+    """Record of the events in a network; each entry begins with the time and the member's name."""
 
     def __init__(self) -> None:
         self.dials: list[tuple[float, str, Address]] = []
@@ -149,13 +149,13 @@
         self.max_links = 0
 
     def count_links(self, process: SimulatedMember) -> None:
-        """Keeps the most links that any member had."""
+        """Update the maximum numbers of links, total and accepted, that any member had."""
         accepted = sum(1 for link in process.links.values() if link.dialer is not process)
         self.max_accepted_links = max(self.max_accepted_links, accepted)
         self.max_links = max(self.max_links, len(process.links))
 
     def max_dials_per_second(self, since: float = 0.0) -> int:
-        """Returns the highest number of dials that any member received within any one second."""
+        """Return the maximum number of dials that any member received within one second."""
         times_by_target: dict[Address, list[float]] = defaultdict(list)
         for at_s, _, address in self.dials:
             if at_s >= since:
@@ -171,13 +171,13 @@
 
 
 class LinkGraph:
-    """Which members of a network are linked together, and which could be."""
+    """The graphs of the members that are linked and of those that could be linked."""
 
     def __init__(self, network: SimulatedNetwork) -> None:
         self._network = network
 
     def linked_groups(self) -> list[set[str]]:
-        """Returns the names of members that are linked together, directly or through others."""
+        """Return groups of names of members that are linked, directly or through others."""
         neighbours: dict[str, set[str]] = {process.member.name: set() for process in self._network.running()}
         for link in self._network.links:
             if all(link.is_established.values()):
@@ -185,7 +185,7 @@
         return _connected_components(neighbours)
 
     def reachable_groups(self) -> list[set[str]]:
-        """Returns the names of members that could be linked: one knows the other and can reach it."""
+        """Return groups of names of members that could be linked: one knows the other and can reach it."""
         neighbours: dict[str, set[str]] = {process.member.name: set() for process in self._network.running()}
         for one, other in itertools.combinations(self._network.running(), 2):
             if (_knows(one, other) or _knows(other, one)) and not self._network.is_partitioned(
@@ -203,7 +203,7 @@
         return len(self.linked_groups()) == groups
 
     def crossings(self) -> tuple[int, int]:
-        """Links between zones, and of these those between regions."""
+        """Return the number of links between zones, and the number of those between regions."""
         pairs = [(link.ends[0].member, link.ends[1].member) for link in self._network.links]
         return (
             sum((one.region, one.zone) != (other.region, other.zone) for one, other in pairs),
@@ -212,24 +212,26 @@
 
 
 class SimulatedNetwork:
-    """The members and the links between them: starts, faults, dials and messages."""
+    """The simulated members and the links between them: starts, faults, dials and messages."""
 
     def __init__(self, seed: int, fanout: int = 8) -> None:
         self.seed = seed
         self.fanout = fanout
         self.clock = EventQueue()
         self.processes: dict[Address, SimulatedMember] = {}
-        self.links: dict[SimulatedLink, None] = {}  # in order, so that a seed gives one run
+        self.links: dict[SimulatedLink, None] = {}  # ordered, so that a run is reproducible by its seed
         self.record = NetworkRecord()
         self.graph = LinkGraph(self)
         self._rng = Random(seed)
         self.is_partitioned: Callable[[Member, Member], bool] = lambda one, other: False
 
     def wait_until(self, condition: Callable[[], bool], within_s: float, step_s: float = 0.1) -> float:
-        """Returns after how many seconds the condition holds; fails the test where it takes too long."""
+        """Advance until the condition holds; return the elapsed seconds, or fail after ``within_s``."""
         start = self.clock.now
         while not condition():
-            assert self.clock.now - start < within_s, f"not within {within_s} s: {self.describe()}"
+            assert self.clock.now - start < within_s, (
+                f"condition not fulfilled within {within_s} s: {self.describe()}"
+            )
             self.clock.advance(step_s)
         return self.clock.now - start
 
@@ -244,7 +246,7 @@
         return process
 
     def kill(self, process: SimulatedMember, machine: bool = True) -> None:
-        """Ends the process; if its machine dies too, its peers notice only that it is silent."""
+        """Kill the process; if its machine dies too, its peers detect this only by missing heartbeats."""
         process.is_running = False
         process.machine_is_up = not machine
         for link in list(process.links.values()):
@@ -262,7 +264,7 @@
         return started
 
     def partition(self, is_partitioned: Callable[[Member, Member], bool]) -> None:
-        """Separates, from now on, pairs of members for which the predicate holds."""
+        """Disconnect all pairs of members for which the predicate holds, until the next partition."""
         self.is_partitioned = is_partitioned
         for link in list(self.links):
             if is_partitioned(link.ends[0].member, link.ends[1].member):
@@ -319,7 +321,7 @@
             if existing.other(target) is dialer and dialed_by_smaller:
                 self.clock.schedule(
                     answer_at, self._fail_dial, dialer, address
-                )  # both dialed: the other's stays
+                )  # both members dialed: the link that the other dialed stays
                 return
             self._discard(existing)
         link = SimulatedLink(dialer, target, dialer)
@@ -331,15 +333,15 @@
 
     def _latency(self, one: SimulatedMember, other: SimulatedMember) -> float:
         if one.member.region != other.member.region:
-            base_s = REGION_LATENCY_S
+            base_s = INTER_REGION_LATENCY_S
         elif one.member.zone != other.member.zone:
-            base_s = ZONE_LATENCY_S
+            base_s = INTER_ZONE_LATENCY_S
         else:
-            base_s = LATENCY_S
+            base_s = INTRA_ZONE_LATENCY_S
         return base_s * self._rng.uniform(1, 1.5)
 
     def _establish(self, link: SimulatedLink, process: SimulatedMember, dialed: Address | None) -> None:
-        """Establishes a link on one side; ``dialed`` is the address if that is the dialer's side."""
+        """Establish a link on one side; ``dialed`` is the address on the dialer's side, else None."""
         if not process.is_running or (link.is_broken and dialed is None):
             return
         other = link.other(process)
@@ -359,7 +361,7 @@
         process.poll()
 
     def _discard(self, link: SimulatedLink) -> None:
-        """Drops one of two links between a pair of members; no overlay is notified."""
+        """Drop one of two links between a pair of members without notifying the overlays."""
         link.is_broken = True
         self.links.pop(link, None)
         for process in link.ends:
@@ -392,7 +394,7 @@
             process.overlay.on_advertisement(sender, advertisement, self.clock.now)
 
     def close_link(self, link: SimulatedLink, closer: SimulatedMember) -> None:
-        """Closes a link in an orderly way, from one side."""
+        """Close a link from one side in an orderly way."""
         link.is_broken = True
         self.links.pop(link, None)
         self._on_link_lost(link, closer, True)
@@ -442,7 +444,7 @@
 
 
 def make_members(count: int, regions: int = 2, zones: int = 5) -> list[Member]:
-    """Members spread over the zones in turn, and the zones over the regions."""
+    """Return members that are distributed round-robin over the zones, and these over the regions."""
     members = []
     for number in range(count):
         zone = number % zones
@@ -456,6 +458,6 @@
 
 
 def tree_crossings(members: Iterable[Member]) -> tuple[int, int]:
-    """Returns how many links of a tree cross zones, and how many cross regions: one less than there are."""
+    """Return the number of links of a tree between zones, and between regions: one fewer than there are."""
     zones = {(member.region, member.zone) for member in members}
     return len(zones) - 1, len({region for region, _ in zones}) - 1
--- a/tests/support/replication_member.py
+++ b/tests/support/replication_member.py
@@ -1,4 +1,4 @@
-"""A running member of the replicated store, on sockets of its own."""
+"""A running member of the replicated store, with its own sockets."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def start_member(store: Store, *peers: tuple[str, int], secret: bytes = SECRET) -> ReplicationMember:
-    """Starts a member that dials only ``peers``; the caller stops it."""
+    """Start a member that dials only ``peers``; the caller stops it."""
     options = ReplicationOptions(("127.0.0.1", 0), peers, secret)
     member = ReplicationMember(
         store,
