--- a/tests/store/test_disk_faults.py
+++ b/tests/store/test_disk_faults.py
@@ -78,12 +78,12 @@
     path = tmp_path / "log"
     store = Store("n1", path)
     store.put("config/0", 0)
-    whole = path.read_bytes()
+    one_entry_log = path.read_bytes()
     store.put("config/1", 1)
-    longer = path.read_bytes()
+    two_entry_log = path.read_bytes()
     store.close()
-    for end in range(len(whole), len(longer)):  # every possible partial write, not truncated
-        path.write_bytes(longer[:end])
+    for end in range(len(one_entry_log), len(two_entry_log)):  # every possible partial write, not truncated
+        path.write_bytes(two_entry_log[:end])
         store = Store("n1", path)
         assert store.keys() == ["config/0"]
         store.close()
@@ -208,7 +208,7 @@
     store.put("config/b", 2)
     store = reopened(store, tmp_path / "log")
     assert store.get("config/b") == 2 and store.get("state/n1/x") == 1
-    assert store.replica_state.last_in_sync is None  # so copied records left in the log are dropped again
+    assert store.replica_state.last_in_sync is None  # the next start drops copied records left in the log
     store.close()
 
 
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -38,10 +38,10 @@
 
 
 def test_a_torn_tail_is_dropped_whatever_its_length(tmp_path: Path) -> None:
-    whole = write_three_records(tmp_path / "log")
-    two = len(whole) - len(whole.split(b'{"key"')[-1]) - 6 - 12
-    for end in range(two, len(whole)):
-        (tmp_path / "log").write_bytes(whole[:end])
+    complete_log = write_three_records(tmp_path / "log")
+    third_entry_offset = len(complete_log) - len(complete_log.split(b'{"key"')[-1]) - 6 - 12
+    for end in range(third_entry_offset, len(complete_log)):
+        (tmp_path / "log").write_bytes(complete_log[:end])
         store = Store("n1", tmp_path / "log")
         assert store.keys() == ["config/0", "config/1"]
         store.put("config/9", 9)
@@ -53,11 +53,11 @@
 
 def test_corruption_elsewhere_is_an_error_and_not_a_shorter_log(tmp_path: Path) -> None:
     # A corrupted length in the middle resembles a torn tail, and would silently drop all later entries.
-    whole = write_three_records(tmp_path / "log")
-    first = whole.index(b'{"key"')
+    complete_log = write_three_records(tmp_path / "log")
+    first = complete_log.index(b'{"key"')
     for position in (0, first - 12, first - 9, first - 1, first + 3):
         (tmp_path / "log").write_bytes(
-            whole[:position] + bytes([whole[position] ^ 0x40]) + whole[position + 1 :]
+            complete_log[:position] + bytes([complete_log[position] ^ 0x40]) + complete_log[position + 1 :]
         )
         with pytest.raises(LogCorruptedError):
             Store("n1", tmp_path / "log")
