--- a/sageturn/store/replication/link_dialer.py
+++ b/sageturn/store/replication/link_dialer.py
@@ -21,7 +21,7 @@
 
 
 class LinkDialer:
-    """Task that calls the replica's ``tick`` when it is due, and starts a task for each link to dial."""
+    """Scheduler of the replica's ticks, which starts a task for each link that this side dials."""
 
     def __init__(self, replica: Replica, link_runner: LinkRunner, tick_due: asyncio.Event) -> None:
         """Create the dialer; ``tick_due`` is the event that the replica's wakeups set."""
--- a/sageturn/store/replication/route_table.py
+++ b/sageturn/store/replication/route_table.py
@@ -10,7 +10,7 @@
 from sageturn.store.replication.tree_order import rank_of_member
 
 ROOT_HEARTBEAT_INTERVAL_S = 1.0
-ROOT_HEARTBEAT_TTL_S = 5.0  # maximum age of a root's last heartbeat; an older root counts as dead
+ROOT_HEARTBEAT_TTL_S = 5.0  # maximum age of a live root's last new heartbeat
 MAX_REMEMBERED_ROOTS = 64
 
 
--- a/sageturn/store/replication/topology.py
+++ b/sageturn/store/replication/topology.py
@@ -10,7 +10,7 @@
 
 
 class Topology(Protocol):
-    """Decision module for links to other members, as ``overlay.Overlay``. Times are monotonic seconds."""
+    """Decisions on links to other members, made by ``overlay.Overlay``. Times are monotonic seconds."""
 
     @property
     def membership_status(self) -> str:
