--- a/sageturn/lab/soak/auditor.py
+++ b/sageturn/lab/soak/auditor.py
@@ -1,4 +1,4 @@
-"""Checks the evidence of a run against the protocol's rules, over all relays together. Pure."""
+"""Auditor of a run's evidence, which checks the protocol's rules across all relays, without side effects."""
 
 from __future__ import annotations
 
@@ -28,19 +28,20 @@
 )
 from sageturn.lab.soak.records import AttemptRecord, ClientEnd, ClientRecord, Evidence, RelayRecord
 
-MEASURING_SLACK_S = 0.15  # for processes that wait for one of the machine's cores
-LIMIT_SLACK_S = 0.05  # added by the protocol to each time limit
-LATE_ANSWER_S = 0.5
-DISCONNECT_GRACE_S = 0.1  # after a client's disconnect, in which an attempt may still begin
-NOTIFICATION_DEADLINE_S = 6.0
-RELOAD_DEADLINE_S = 4.0  # delay of notifications by SIGHUP where lists are pushed
-BAD_CLIENT_S = 3.0
-STOP_S = REQUEST_TIMEOUT_S + 0.7
-SMALL_BUDGET = 30.0  # attempts, below which a budget may be exceeded by three square roots, else by two
+MEASURING_SLACK_S = 0.15  # tolerance for processes that wait for a CPU core
+LIMIT_SLACK_S = 0.05  # tolerance that the protocol adds to each time limit
+ANSWER_GRACE_S = 0.5  # time past a client's wait by which its answer has to arrive
+DISCONNECT_GRACE_S = 0.1  # time past a client's disconnect in which an attempt may still begin
+NOTIFICATION_DEADLINE_S = 6.0  # time from a change to the moment when a relay counts as notified of it
+RELOAD_DEADLINE_S = 4.0  # longest delay that SIGHUP causes to a notification where lists are pushed
+BAD_CLIENT_DEADLINE_S = 3.0  # time in which an invalid request has to be answered or its connection closed
+STOP_DEADLINE_S = REQUEST_TIMEOUT_S + 0.7  # time from SIGTERM to the relay's exit
+# A budget of fewer attempts may be exceeded by three times its square root, a larger one by twice that root.
+SMALL_BUDGET_ATTEMPTS = 30.0
 
 
 class Rule(StrEnum):
-    """A rule that every run has to keep."""
+    """A rule that every run has to obey."""
 
     ANSWERED = "answered"
     ANSWERED_ONCE = "answered_once"
@@ -61,15 +62,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """One broken rule."""
+    """One violation of a rule."""
 
     rule: Rule
-    subject: str  # a request, relay or endpoint
+    subject: str  # name of a request, relay or endpoint
     detail: str
 
 
 class Auditor:
-    """Finds all violations of one run."""
+    """Auditor of one run."""
 
     def __init__(self, plan: SoakPlan, evidence: Evidence) -> None:
         self._plan = plan
@@ -83,8 +84,8 @@
         for attempts in self._attempts.values():
             attempts.sort(key=lambda attempt: attempt.complete_s)
 
-    def violations(self) -> list[Violation]:
-        """Returns all violations, in the order of the rules' checks."""
+    def find_violations(self) -> list[Violation]:
+        """Return all violations, in the order of the checks."""
         found: list[Violation] = []
         for client in self._evidence.clients:
             found += self._check_bad_client(client) if client.is_bad else self._check_client(client)
@@ -102,7 +103,7 @@
     # ------------------------------------------------------------ clients
 
     def _was_killed(self, client: ClientRecord) -> bool:
-        """Whether its relay was killed while the client was connected, and could not answer."""
+        """Return whether the relay was killed before it answered the client or ended the connection."""
         relay = self._relays.get(client.relay_process)
         if relay is None or not relay.killed_s:
             return False
@@ -112,13 +113,13 @@
         if client.end == ClientEnd.REFUSED or not client.sent_s or self._was_killed(client):
             return
         if not client.answer and not client.left_s:
-            yield Violation(Rule.ANSWERED, client.request, f"{client.end} {self._after(client)}")
+            yield Violation(Rule.ANSWERED, client.request, f"{client.end} {self._describe_elapsed(client)}")
             return
-        if not client.answer and client.left_s > client.sent_s + client.wait_s + LATE_ANSWER_S:
+        if not client.answer and client.left_s > client.sent_s + client.wait_s + ANSWER_GRACE_S:
             yield Violation(Rule.ANSWERED, client.request, "nothing came")
             return
         late_s = client.answered_s - client.sent_s - client.wait_s
-        if client.answer and late_s > LATE_ANSWER_S + MEASURING_SLACK_S:
+        if client.answer and late_s > ANSWER_GRACE_S + MEASURING_SLACK_S:
             yield Violation(Rule.IN_TIME, client.request, f"{late_s:.3f} s late: {client.answer}")
         if client.answer and not client.is_established:
             if client.lines_after_answer:
@@ -128,15 +129,15 @@
         elif client.is_established:
             yield from self._check_established(client)
 
-    def _after(self, client: ClientRecord) -> str:
+    def _describe_elapsed(self, client: ClientRecord) -> str:
         return f"{client.ended_s - client.sent_s:.3f} s after it was sent, relay {client.relay}"
 
     def _check_established(self, client: ClientRecord) -> Iterator[Violation]:
         attempts = self._attempts.get(client.request, [])
-        served = [attempt for attempt in attempts if attempt.answer == "UP"]
-        if not served or client.answer != f"UP {client.request}":
+        established = [attempt for attempt in attempts if attempt.answer == "UP"]
+        if not established or client.answer != f"UP {client.request}":
             yield Violation(Rule.ANSWERED_ONCE, client.request, f"no endpoint gave {client.answer!r}")
-        elif client.ended_s and not client.is_moved and not served[-1].is_ended_by_endpoint:
+        elif client.ended_s and not client.is_moved and not established[-1].is_ended_by_endpoint:
             detail = f"{client.end} without MOVE, relay {client.relay}"
             yield Violation(Rule.ENDED_IN_ORDER, client.request, detail)
 
@@ -144,9 +145,9 @@
         if client.end == ClientEnd.REFUSED or not client.sent_s or self._was_killed(client):
             return
         ended_s = client.answered_s or client.ended_s or NEVER_S
-        if client.left_s and client.left_s < client.sent_s + BAD_CLIENT_S:
+        if client.left_s and client.left_s < client.sent_s + BAD_CLIENT_DEADLINE_S:
             return
-        if ended_s > client.sent_s + BAD_CLIENT_S + MEASURING_SLACK_S:
+        if ended_s > client.sent_s + BAD_CLIENT_DEADLINE_S + MEASURING_SLACK_S:
             yield Violation(Rule.BAD_CLIENT_ANSWERED, client.request, f"relay {client.relay}")
 
     # ------------------------------------------------------------ attempts
@@ -202,42 +203,44 @@
                 yield Violation(Rule.DRAIN, attempt.endpoint, detail)
 
     def _latest_notification_s(self, drain_s: float, relay: RelayRecord | None) -> float:
-        """Returns when a relay counts as notified of a drain at the latest, on the monotonic clock.
+        """Return the latest time at which a relay counts as notified of a drain, on the monotonic clock.
 
-        That is 6 s after discovery had the change and could be reached, and after the relay's start.
+        That is 6 s after discovery had the change and was reachable, but at least 6 s after the relay's
+        start.
         """
         if self._plan.is_pushed:
-            return self._latest_pushed_s(drain_s, relay)
-        known_s = drain_s
+            return self._latest_pushed_notification_s(drain_s, relay)
+        available_s = drain_s
         for outage in self._plan.faults_of(FaultKind.DISCOVERY_DOWN):
             if (
-                outage.begin_s <= known_s < outage.end_s
-                or known_s < outage.begin_s < known_s + NOTIFICATION_DEADLINE_S
+                outage.begin_s <= available_s < outage.end_s
+                or available_s < outage.begin_s < available_s + NOTIFICATION_DEADLINE_S
             ):
-                known_s = outage.end_s
-        notified_s = self._plan.started_s + known_s
+                available_s = outage.end_s
+        notified_s = self._plan.started_s + available_s
         return max(notified_s, relay.started_s if relay else 0.0) + NOTIFICATION_DEADLINE_S
 
-    def _latest_pushed_s(self, drain_s: float, relay: RelayRecord | None) -> float:
-        """Returns when a relay counts as notified of a drain at the latest, where lists are pushed.
+    def _latest_pushed_notification_s(self, drain_s: float, relay: RelayRecord | None) -> float:
+        """Return the latest time at which a relay counts as notified of a drain, where lists are pushed.
 
-        That is when its agent has the change, but for outages, silence and reloads of the relay.
+        That is when the relay's agent has the change. It is later if at that time discovery is down, watches
+        are unresponsive or the relay reloads.
         """
-        known_s = drain_s + CHANGE_DELAY_S
+        available_s = drain_s + CHANGE_DELAY_S
         for outage in self._plan.faults_of(FaultKind.DISCOVERY_DOWN):
-            if outage.is_active(known_s):
-                known_s = outage.end_s
-        for silence in self._plan.faults_of(FaultKind.DISCOVERY_SILENT):
-            if silence.begin_s <= known_s < silence.begin_s + NOTIFICATION_DEADLINE_S:
-                known_s = silence.begin_s + NOTIFICATION_DEADLINE_S
+            if outage.is_active(available_s):
+                available_s = outage.end_s
+        for stall in self._plan.faults_of(FaultKind.DISCOVERY_SILENT):
+            if stall.begin_s <= available_s < stall.begin_s + NOTIFICATION_DEADLINE_S:
+                available_s = stall.begin_s + NOTIFICATION_DEADLINE_S
         for reload in self._plan.reloads():
             is_own = relay is not None and reload.target == relay.relay
-            if is_own and reload.begin_s <= known_s < reload.begin_s + RELOAD_DEADLINE_S:
-                known_s = reload.begin_s + RELOAD_DEADLINE_S
-        return max(self._plan.started_s + known_s, relay.started_s if relay else 0.0)
+            if is_own and reload.begin_s <= available_s < reload.begin_s + RELOAD_DEADLINE_S:
+                available_s = reload.begin_s + RELOAD_DEADLINE_S
+        return max(self._plan.started_s + available_s, relay.started_s if relay else 0.0)
 
     def _check_slow_starts(self) -> Iterator[Violation]:
-        """Checks that all relays together stay inside the budget in each window that ends with an attempt."""
+        """Check that all relays together stay within the budget in each window that ends with an attempt."""
         arrivals: dict[tuple[str, float], list[float]] = defaultdict(list)
         for attempt in self._evidence.attempts:
             if attempt.complete_s and attempt.started_at_s > self._plan.started_s:
@@ -256,12 +259,12 @@
                     break
 
     def max_attempts_in_window(self, age_s: float) -> float:
-        """Returns the attempts that the settings allow all relays in the window that ends at that age."""
+        """Return the attempts that all relays together may make in the window that ends at that age."""
         size = self._plan.size
         warm_connections = size.requests_per_s * QUOTA_S / size.endpoints
         capacity = START_CAPACITY + (1.0 - START_CAPACITY) * min(1.0, age_s / WARM_UP_S)
         budget = FALL_MULTIPLE * warm_connections * capacity * SLOW_START_WINDOW_S / WARM_UP_S
-        if budget < SMALL_BUDGET:
+        if budget < SMALL_BUDGET_ATTEMPTS:
             return budget + 3.0 * sqrt(budget) + 3.0
         return budget + 2.0 * sqrt(budget) + 2.0
 
@@ -275,7 +278,10 @@
             yield Violation(Rule.RELAY_EXIT, name, "it did not end")
         elif not record.killed_s and (record.exit_code or not record.terminated_s):
             yield Violation(Rule.RELAY_EXIT, name, f"exit code {record.exit_code}")
-        elif record.terminated_s and record.exited_s > record.terminated_s + STOP_S + MEASURING_SLACK_S:
+        elif (
+            record.terminated_s
+            and record.exited_s > record.terminated_s + STOP_DEADLINE_S + MEASURING_SLACK_S
+        ):
             took_s = record.exited_s - record.terminated_s
             yield Violation(Rule.RELAY_EXIT, name, f"{took_s:.3f} s after SIGTERM")
         for line in record.log_errors:
--- a/sageturn/lab/soak/clients.py
+++ b/sageturn/lab/soak/clients.py
@@ -1,4 +1,4 @@
-"""Clients of the soak test: normal ones, and those that leave early, write slowly, or send no request."""
+"""Clients of the soak test, some of which disconnect early, write in fragments or send invalid requests."""
 
 from __future__ import annotations
 
@@ -14,19 +14,20 @@
 from sageturn.lab.soak.records import ClientEnd, ClientRecord
 from sageturn.lab.soak.relays import SoakRelay
 
-LINE_INTERVAL_S = 0.5  # between two lines on an established connection
-CONNECTION_LIFETIME_S = (0.3, 5.0)
-MAX_PATIENCE_S = 0.15  # of clients that leave early
-EXTRA_WAIT_S = 1.5  # after its timeout, in which a client still reads late answers
-INVALID_ANSWER_S = 3.0  # until an invalid request has to be answered or closed
-BURST_FACTOR = 2.0
+LINE_INTERVAL_S = 0.5  # time between two lines on an established connection
+CONNECTION_LIFETIME_S = (0.3, 5.0)  # minimum and maximum
+MAX_EARLY_WAIT_S = 0.15  # longest wait of clients that disconnect early
+EXTRA_WAIT_S = 1.5  # time past its timeout in which a client still reads late answers
+INVALID_ANSWER_DEADLINE_S = 3.0  # limit for an answer to an invalid request, or its disconnect
+BURST_FACTOR = 2.0  # factor of the request rate during a client burst
+# Ratios of clients that disconnect early or send an invalid request, normally and during CLIENT_FAULTS.
 NORMAL_EARLY_RATIO = 0.03
 FAULTY_EARLY_RATIO = 0.15
 FAULTY_INVALID_RATIO = 0.15
-PIECES_RATIO = 0.1
-RESET_RATIO = 0.5  # of the clients that leave early
-INVALID_RESET_RATIO = 0.3
-PIECE_PAUSE_S = 0.004
+FRAGMENTED_RATIO = 0.1  # ratio of requests that are written in fragments
+RESET_RATIO = 0.5  # ratio of early disconnects that are resets
+INVALID_RESET_RATIO = 0.3  # ratio of invalid requests after which the client resets at once
+MAX_FRAGMENT_PAUSE_S = 0.004  # longest pause between two fragments
 READ_BYTES = 4096
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 INVALID_INPUTS = (
@@ -42,20 +43,24 @@
 
 
 class Connection:
-    """One client's connection, on a plain socket, which still reads the bytes before a reset.
+    """One client's connection, on a plain socket, so that bytes received before a reset can still be read.
 
-    A transport would drop them as soon as a write fails.
+    An asyncio transport would drop them as soon as a write fails.
     """
 
     def __init__(self, sock: socket.socket, record: ClientRecord) -> None:
         self._sock = sock
         self._record = record
-        self._lines: asyncio.Queue[bytes | None] = asyncio.Queue()  # None: the relay has ended it
-        self._reading = asyncio.ensure_future(self._read())
+        self._lines: asyncio.Queue[bytes | None] = asyncio.Queue()  # None: the relay has ended the connection
+        self._read_task = asyncio.ensure_future(self._read())
 
     @classmethod
     async def open(cls, address: tuple[str, int], record: ClientRecord) -> Connection:
-        """Connects a client. Raises OSError."""
+        """Connect a client.
+
+        Raises:
+            OSError: The relay did not accept the connection.
+        """
         sock = socket.socket()
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -84,23 +89,23 @@
         self._lines.put_nowait(None)
 
     def write(self, data: bytes) -> None:
-        """Sends data; an error shows when the connection is read."""
+        """Send data; an error is ignored here, and found when the connection is read."""
         with suppress(OSError):
             self._sock.send(data)
 
     async def read_line(self, timeout_s: float) -> bytes | None:
-        """Returns the next line; None once the relay has ended the connection, b"" after the timeout."""
+        """Return the next line; None once the relay has ended the connection, b"" after the timeout."""
         try:
             async with asyncio.timeout(max(0.0, timeout_s)):
                 return await self._lines.get()
         except TimeoutError:
             return b""
 
-    async def leave(self, *, by_reset: bool) -> None:
-        """Closes the connection from the client's side."""
+    async def disconnect(self, *, by_reset: bool) -> None:
+        """Close the connection from the client's side, by a reset or in order."""
         if not self._record.ended_s:
             self._record.left_s = time.monotonic()
-        await cancel_and_wait(self._reading)
+        await cancel_and_wait(self._read_task)
         if by_reset:
             with suppress(OSError):
                 self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
@@ -108,7 +113,7 @@
 
 
 class ClientPopulation:
-    """All clients of a run; each adds a record to ``records``."""
+    """Generator of all clients of a run; each client adds a record to ``records``."""
 
     def __init__(self, plan: SoakPlan, relays: list[SoakRelay]) -> None:
         self.records: list[ClientRecord] = []
@@ -118,14 +123,14 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def run(self, duration_s: float) -> None:
-        """Starts clients until ``duration_s`` after the run's start. Returns once all have ended."""
+        """Start clients until ``duration_s`` after the run's start; return once all have ended."""
         end_s = self._plan.started_s + duration_s
         while time.monotonic() < end_s:
             factor = BURST_FACTOR if self._is_active(FaultKind.CLIENT_BURST) else 1.0
             await asyncio.sleep(self._rng.expovariate(self._plan.size.requests_per_s * factor))
-            admitted = [relay for relay in self._relays if relay.is_admitted]
-            if admitted:
-                task = asyncio.ensure_future(self._run_client(self._rng.choice(admitted)))
+            relays_in_rotation = [relay for relay in self._relays if relay.is_in_rotation]
+            if relays_in_rotation:
+                task = asyncio.ensure_future(self._run_client(self._rng.choice(relays_in_rotation)))
                 self._tasks.add(task)
                 task.add_done_callback(self._tasks.discard)
         while self._tasks:
@@ -148,36 +153,36 @@
             record.end = ClientEnd.REFUSED
             return
         record.relay_process = relay.record.process
-        is_faulty_time = self._is_active(FaultKind.CLIENT_FAULTS)
-        if is_faulty_time and self._rng.random() < FAULTY_INVALID_RATIO:
-            await self._run_invalid(connection, record)
+        has_client_faults = self._is_active(FaultKind.CLIENT_FAULTS)
+        if has_client_faults and self._rng.random() < FAULTY_INVALID_RATIO:
+            await self._run_invalid_client(connection, record)
             return
         await self._send_request(connection, record)
-        early_ratio = FAULTY_EARLY_RATIO if is_faulty_time else NORMAL_EARLY_RATIO
+        early_ratio = FAULTY_EARLY_RATIO if has_client_faults else NORMAL_EARLY_RATIO
         if self._rng.random() < early_ratio:
-            await self._await_answer(connection, record, self._rng.uniform(0.0, MAX_PATIENCE_S))
-            await connection.leave(by_reset=self._rng.random() < RESET_RATIO)
+            await self._await_answer(connection, record, self._rng.uniform(0.0, MAX_EARLY_WAIT_S))
+            await connection.disconnect(by_reset=self._rng.random() < RESET_RATIO)
             return
         await self._await_answer(connection, record, record.wait_s + EXTRA_WAIT_S)
         if record.is_established:
-            await self._use(connection, record)
+            await self._exchange_lines(connection, record)
             return
         while record.answer and await connection.read_line(1.0):
             record.lines_after_answer += 1
-        await connection.leave(by_reset=False)
+        await connection.disconnect(by_reset=False)
 
     async def _send_request(self, connection: Connection, record: ClientRecord) -> None:
         record.connected_s = time.monotonic()
         wait_ms = round(record.wait_s * 1000.0)
         line = f"OPEN {record.request} k{record.request} c=c,t=t,d={wait_ms}\r\n".encode()
-        if self._rng.random() < PIECES_RATIO:
+        if self._rng.random() < FRAGMENTED_RATIO:
             while len(line) > 1:
                 size = self._rng.randint(1, len(line) - 1)
                 connection.write(line[:size])
                 line = line[size:]
-                await asyncio.sleep(self._rng.uniform(0.0, PIECE_PAUSE_S))
+                await asyncio.sleep(self._rng.uniform(0.0, MAX_FRAGMENT_PAUSE_S))
         connection.write(line)
-        if not record.ended_s:  # a connection that the relay has ended lost a part of the request
+        if not record.ended_s:  # otherwise the relay may not have received the whole request
             record.sent_s = time.monotonic()
 
     async def _await_answer(self, connection: Connection, record: ClientRecord, timeout_s: float) -> None:
@@ -186,8 +191,8 @@
             record.answer = line.decode("latin-1").strip()
             record.answered_s = time.monotonic()
 
-    async def _use(self, connection: Connection, record: ClientRecord) -> None:
-        """Sends lines and reads until the client has finished, or the relay has ended the connection."""
+    async def _exchange_lines(self, connection: Connection, record: ClientRecord) -> None:
+        """Send and read lines until the client's lifetime is over or the relay has ended the connection."""
         done_s = time.monotonic() + self._rng.uniform(*CONNECTION_LIFETIME_S)
         number = 0
         is_ended = False
@@ -203,20 +208,20 @@
                 record.lines_after_answer += bool(line)
                 if line == b"MOVE":
                     record.is_moved = True
-        await connection.leave(by_reset=False)
+        await connection.disconnect(by_reset=False)
 
-    async def _run_invalid(self, connection: Connection, record: ClientRecord) -> None:
+    async def _run_invalid_client(self, connection: Connection, record: ClientRecord) -> None:
         record.is_bad = True
         data = self._rng.choice(INVALID_INPUTS)
         connection.write(data)
         record.sent_s = time.monotonic()
         if self._rng.random() < INVALID_RESET_RATIO:
-            await connection.leave(by_reset=True)
+            await connection.disconnect(by_reset=True)
             return
-        end_s = record.sent_s + INVALID_ANSWER_S + EXTRA_WAIT_S
+        end_s = record.sent_s + INVALID_ANSWER_DEADLINE_S + EXTRA_WAIT_S
         while not record.ended_s and (remaining_s := end_s - time.monotonic()) > 0:
             line = await connection.read_line(remaining_s)
             if line and line != b"PONG" and not record.answer:
                 record.answer = line.decode("latin-1").strip()
                 record.answered_s = time.monotonic()
-        await connection.leave(by_reset=False)
+        await connection.disconnect(by_reset=False)
--- a/sageturn/lab/soak/discovery.py
+++ b/sageturn/lab/soak/discovery.py
@@ -1,6 +1,6 @@
-"""Discovery for the soak test, which fails as the plan says.
+"""Discovery service of the soak test, which fails according to the plan.
 
-Each relay has two addresses of its own, by which the notifications of each relay are recorded.
+Each relay has two addresses of its own, so that its notifications can be attributed to it.
 """
 
 from __future__ import annotations
@@ -19,16 +19,16 @@
 from sageturn.lab.soak.records import EndpointNotification
 from sageturn.net.json_stream import JsonObject
 
-HEARTBEAT_S = 2.0
-PIECE_PAUSE_S = 0.001
-DOWN_WAIT_S = 2.0  # before the error answer to some calls while discovery is down
+HEARTBEAT_INTERVAL_S = 2.0
+FRAGMENT_PAUSE_S = 0.001
+DOWN_DELAY_S = 2.0  # delay of the error answer to some calls while discovery is down
 OK_HEADERS = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 UNAVAILABLE = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """A change of the list: the state of an endpoint's process from then on."""
+    """A change of the endpoint list: the new state of an endpoint's incarnation."""
 
     at_s: float
     incarnation: EndpointIncarnation
@@ -36,7 +36,7 @@
 
 
 def list_changes(plan: SoakPlan) -> list[Change]:
-    """Returns all changes of the run in their order; a crash shows by the successor's start alone."""
+    """Return all changes of the run, ordered by time; a crash is published only by the endpoint's restart."""
     changes = []
     for incarnation in plan.incarnations:
         if incarnation.start_s > 0.0:
@@ -50,22 +50,22 @@
 
 @dataclass(eq=False, slots=True)
 class Watch:
-    """One open watch; ``process`` is the id of the relay's process that opened it."""
+    """One open watch; ``process`` is the process id of the relay that opened it."""
 
     process: int
     writer: asyncio.StreamWriter
-    is_silent: bool = False
+    is_unresponsive: bool = False
     lock: asyncio.Lock = field(default_factory=asyncio.Lock)
 
 
 class SoakDiscovery:
-    """The service; ``process_of`` returns a relay's present process id."""
+    """The discovery service; ``get_process_id`` returns a relay's current process id."""
 
-    def __init__(self, plan: SoakPlan, process_of: Callable[[int], int]) -> None:
+    def __init__(self, plan: SoakPlan, get_process_id: Callable[[int], int]) -> None:
         self.addresses: dict[int, list[tuple[str, int]]] = {}
         self.notifications: list[EndpointNotification] = []
         self._plan = plan
-        self._process_of = process_of
+        self._get_process_id = get_process_id
         self._changes = list_changes(plan)
         self._published_count = 0
         self._watches: set[Watch] = set()
@@ -73,23 +73,23 @@
         self._rng = Random(f"{plan.seed}/discovery")
 
     async def start(self) -> None:
-        """Listens on two free ports for each relay."""
+        """Listen on two free ports for each relay."""
         for relay in range(self._plan.size.relays):
             self.addresses[relay] = []
             for _ in range(2):
-                server = await asyncio.start_server(self._handler(relay), LOOPBACK, 0)
+                server = await asyncio.start_server(self._make_handler(relay), LOOPBACK, 0)
                 self._servers.append(server)
                 self.addresses[relay].append(server.sockets[0].getsockname()[:2])
 
     def stop(self) -> None:
-        """Stops listening, and closes all watches."""
+        """Stop listening, and close all watches."""
         for server in self._servers:
             server.close()
         for watch in list(self._watches):
             watch.writer.close()
 
     def current_list(self) -> JsonObject:
-        """Returns the present full list as it is written."""
+        """Return the current full list as it is encoded."""
         states = {
             incarnation.name: (incarnation, EndpointStatus.READY)
             for incarnation in self._plan.incarnations
@@ -104,11 +104,11 @@
         return {"version": self._published_count + 1, "full": True, "servers": entries}
 
     async def run(self) -> None:
-        """Publishes changes and breaks watches when they are due, until it is cancelled."""
+        """Publish changes, and abort watches or make them unresponsive, at the planned times."""
         faults = self._plan.faults_of(FaultKind.DISCOVERY_DOWN, FaultKind.DISCOVERY_SILENT)
-        due = [(change.at_s, change) for change in self._changes]
-        due += [(fault.begin_s, fault) for fault in faults]  # type: ignore[misc]
-        for at_s, item in sorted(due, key=lambda pair: pair[0]):
+        schedule = [(change.at_s, change) for change in self._changes]
+        schedule += [(fault.begin_s, fault) for fault in faults]  # type: ignore[misc]
+        for at_s, item in sorted(schedule, key=lambda pair: pair[0]):
             await asyncio.sleep(max(0.0, self._plan.started_s + at_s - time.monotonic()))
             if isinstance(item, Change):
                 self._published_count += 1
@@ -119,47 +119,51 @@
                     watch.writer.transport.abort()
             else:
                 for watch in self._watches:
-                    watch.is_silent = True
+                    watch.is_unresponsive = True
 
-    def _handler(self, relay: int) -> Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]:
+    def _make_handler(
+        self, relay: int
+    ) -> Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]:
         async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            # uvloop has a RuntimeError for a connection that has just been closed.
+            # uvloop raises RuntimeError for a connection that has just been closed.
             with suppress(OSError, RuntimeError, asyncio.IncompleteReadError, asyncio.CancelledError):
-                await self._serve(relay, reader, writer)
+                await self._serve_watch(relay, reader, writer)
             writer.close()
 
         return handle
 
-    async def _serve(self, relay: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve_watch(
+        self, relay: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         await reader.readuntil(b"\r\n\r\n")
         if self._is_active(FaultKind.DISCOVERY_DOWN):
-            # An agent on the relay's own machine has no queue.
-            await asyncio.sleep(0.0 if self._plan.is_pushed else self._rng.choice([0.0, DOWN_WAIT_S]))
+            # A local agent rejects a call at once; a remote service may delay it.
+            await asyncio.sleep(0.0 if self._plan.is_pushed else self._rng.choice([0.0, DOWN_DELAY_S]))
             writer.write(UNAVAILABLE)
             return
         writer.write(OK_HEADERS)
-        watch = Watch(self._process_of(relay), writer)
-        listed = self.current_list()
-        await self._write(watch, listed)
-        self._record_list(watch.process, listed)
+        watch = Watch(self._get_process_id(relay), writer)
+        endpoint_list = self.current_list()
+        await self._write(watch, endpoint_list)
+        self._record_list(watch.process, endpoint_list)
         self._watches.add(watch)
-        missed = self._changes[listed["version"] - 1 : self._published_count]
+        missed_changes = self._changes[endpoint_list["version"] - 1 : self._published_count]
         try:
-            for number, change in enumerate(missed, listed["version"] + 1):
+            for number, change in enumerate(missed_changes, endpoint_list["version"] + 1):
                 await self._write_change(watch, change, number)
             while not writer.is_closing():
-                await asyncio.sleep(HEARTBEAT_S)
-                if not watch.is_silent:
+                await asyncio.sleep(HEARTBEAT_INTERVAL_S)
+                if not watch.is_unresponsive:
                     async with watch.lock:
                         writer.write(b"1\r\n\n\r\n")
                         await writer.drain()
         finally:
             self._watches.discard(watch)
 
-    def _record_list(self, process: int, listed: JsonObject) -> None:
-        """Records the notifications that a full list brings: endpoints that it does not name are gone."""
+    def _record_list(self, process: int, endpoint_list: JsonObject) -> None:
+        """Record the notifications that a full list implies: an endpoint missing from it was removed."""
         at_s = time.monotonic() - self._plan.started_s
-        states = {entry["id"]: entry["state"] for entry in listed["servers"]}
+        states = {entry["id"]: entry["state"] for entry in endpoint_list["servers"]}
         for incarnation in self._plan.incarnations:
             if (
                 incarnation.drain_s < at_s
@@ -174,7 +178,7 @@
         )
 
     async def _write_change(self, watch: Watch, change: Change, version: int) -> None:
-        if watch.is_silent:
+        if watch.is_unresponsive:
             return
         entry = self._encode(change.incarnation, change.state)
         with suppress(OSError, RuntimeError):
@@ -182,29 +186,31 @@
             if change.state is not EndpointStatus.READY:
                 self._record(watch.process, change.incarnation)
 
-    async def _write(self, watch: Watch, listed: JsonObject) -> None:
-        in_pieces = self._is_active(FaultKind.DISCOVERY_PIECES)
-        line = json.dumps(listed, indent=1 if in_pieces else None).encode() + b"\n"
+    async def _write(self, watch: Watch, endpoint_list: JsonObject) -> None:
+        is_fragmented = self._is_active(FaultKind.DISCOVERY_PIECES)
+        line = json.dumps(endpoint_list, indent=1 if is_fragmented else None).encode() + b"\n"
         chunk = b"%x\r\n%s\r\n" % (len(line), line)
         async with watch.lock:
-            step = max(1, len(chunk) // self._rng.randint(20, 60)) if in_pieces else len(chunk)
+            step = max(1, len(chunk) // self._rng.randint(20, 60)) if is_fragmented else len(chunk)
             for begin in range(0, len(chunk), step):
                 watch.writer.write(chunk[begin : begin + step])
                 await watch.writer.drain()
-                if in_pieces:
-                    await asyncio.sleep(PIECE_PAUSE_S)
+                if is_fragmented:
+                    await asyncio.sleep(FRAGMENT_PAUSE_S)
 
     def _is_active(self, kind: FaultKind) -> bool:
         at_s = time.monotonic() - self._plan.started_s
         return any(fault.is_active(at_s) for fault in self._plan.faults_of(kind))
 
     def _encode(self, incarnation: EndpointIncarnation, state: EndpointStatus) -> JsonObject:
-        """Returns an entry of the list; the start is by the system's clock as it was then."""
+        """Return an entry of the list; its start is the stepped wall clock's time at that moment."""
         wall_of_start_s = time.time() - time.monotonic() + self._plan.started_s + incarnation.start_s
         return {
             "id": incarnation.name,
             "addr": f"{LOOPBACK}:{incarnation.port}",
             "state": state,
             "weight": 1.0,
-            "started_ms": round((wall_of_start_s + self._plan.wall_shift_s(incarnation.start_s)) * 1000.0),
+            "started_ms": round(
+                (wall_of_start_s + self._plan.wall_clock_offset_s(incarnation.start_s)) * 1000.0
+            ),
         }
--- a/sageturn/lab/soak/endpoint_host.py
+++ b/sageturn/lab/soak/endpoint_host.py
@@ -1,6 +1,6 @@
-"""A process of the soak test that runs endpoints as the plan says, and records the relays' attempts.
+"""Host process of the soak test, which runs several endpoints of the plan and records the relays' attempts.
 
-Started with the plan's file, the host's number and the file to which its records go.
+Its arguments are the plan's file, the host's index and the file for the records.
 """
 
 from __future__ import annotations
@@ -27,12 +27,12 @@
 )
 from sageturn.lab.soak.records import AttemptRecord
 
-SETUP_S = (0.002, 0.03)
-MAX_SLOW_S = 1.0
-EXTRA_TIME_S = 6.0  # after the run, until all connections have ended
-MIGRATION_SPREAD_S = 1.5  # over which a draining endpoint asks its clients to reconnect
+SETUP_RANGE_S = (0.002, 0.03)  # minimum and maximum time from a request to its answer
+MAX_SLOW_SETUP_S = 1.0  # maximum time to the answer in the mode SLOW
+MAX_OVERRUN_S = 6.0  # time past the run's end in which the remaining connections end
+MIGRATION_SPREAD_S = 1.5  # period in which a draining endpoint asks its clients to reconnect
 HEALTH_CHECK = b"STATS"
-LOAD_REPORTS = (
+LOAD_REPORT_ANSWERS = (
     b"PONG x0=0.4,x1=0.01\r\n",
     b"PONG x0=0.9,x1=0.4\r\n",
     b"PONG x0=nan,x1=-1\r\n",
@@ -40,7 +40,7 @@
     b"NO\r\n",
     b"x0=0.5\r\n",
 )
-LOADS = (b"LOAD 2000\r\n", b"LOAD nan\r\n", b"LOAD -1\r\n", b"LOAD 9000\r\n")
+LOAD_LINES = (b"LOAD 2000\r\n", b"LOAD nan\r\n", b"LOAD -1\r\n", b"LOAD 9000\r\n")
 GARBLED_ANSWERS = (
     b"UP\r\n",
     b"UP r1\n",
@@ -59,7 +59,7 @@
     def __init__(
         self,
         incarnation: EndpointIncarnation,
-        modes: list[ScheduledFault],
+        mode_faults: list[ScheduledFault],
         started_s: float,
         rng: Random,
         records: list[AttemptRecord],
@@ -68,43 +68,45 @@
         self.rng = rng
         self.records = records
         self.connections: set[EndpointConnection] = set()
-        self._modes = modes
+        self._mode_faults = mode_faults
         self._started_s = started_s
         self._server: asyncio.Server | None = None
 
     @property
     def started_at_s(self) -> float:
-        """Time of this process's start on the monotonic clock, in seconds."""
+        """Start of this incarnation on the monotonic clock, in seconds."""
         return self._started_s + self.incarnation.start_s
 
     @property
     def is_draining(self) -> bool:
-        """Whether the endpoint's drain has begun."""
+        """True if the endpoint's drain has begun."""
         return time.monotonic() - self._started_s >= self.incarnation.drain_s
 
-    def mode(self) -> EndpointMode | None:
-        """Returns the endpoint's present treatment of new connections; None for the normal one."""
+    def current_mode(self) -> EndpointMode | None:
+        """Return the endpoint's current fault mode; None if it behaves normally."""
         at_s = time.monotonic() - self._started_s
-        for fault in self._modes:
+        for fault in self._mode_faults:
             if fault.is_active(at_s):
                 return EndpointMode(fault.mode)
         return None
 
     async def run(self) -> None:
-        """Serves from the planned start to the planned end."""
+        """Accept connections from the planned start to the planned end."""
         await self._sleep_until(self.incarnation.start_s)
-        listening = socket.socket()
-        listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        listening.bind((LOOPBACK, self.incarnation.port))
+        listening_socket = socket.socket()
+        listening_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        listening_socket.bind((LOOPBACK, self.incarnation.port))
         loop = asyncio.get_running_loop()
-        self._server = await loop.create_server(lambda: EndpointConnection(self), sock=listening, backlog=512)
+        self._server = await loop.create_server(
+            lambda: EndpointConnection(self), sock=listening_socket, backlog=512
+        )
         if self.incarnation.drain_s < NEVER_S:
             await self._sleep_until(self.incarnation.drain_s)
             self._migrate_clients()
-        await self._sleep_until(min(self.incarnation.end_s, DURATION_S + EXTRA_TIME_S))
+        await self._sleep_until(min(self.incarnation.end_s, DURATION_S + MAX_OVERRUN_S))
         self._server.close()
         for connection in list(self.connections):
-            connection.end(by_endpoint=True)
+            connection.record_end(by_endpoint=True)
             connection.abort()
 
     def _migrate_clients(self) -> None:
@@ -117,7 +119,7 @@
 
 
 class EndpointConnection(LineProtocol):
-    """A connection of a relay."""
+    """A relay's connection to an endpoint."""
 
     def __init__(self, endpoint: PlannedEndpoint) -> None:
         super().__init__()
@@ -126,28 +128,28 @@
         endpoint.records.append(self._record)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Adds the connection to the endpoint's."""
+        """Add the connection to the endpoint's connections."""
         super().connection_made(transport)
         self._endpoint.connections.add(self)
 
     def data_received(self, data: bytes) -> None:
-        """Records the time of the first byte."""
+        """Record the time of the first byte, and process the data."""
         self._record.first_byte_s = self._record.first_byte_s or time.monotonic()
         super().data_received(data)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Records the relay's end of the connection."""
+        """Record that the relay ended the connection."""
         self._endpoint.connections.discard(self)
-        self.end(by_endpoint=False)
+        self.record_end(by_endpoint=False)
 
-    def end(self, *, by_endpoint: bool) -> None:
-        """Records the end of the connection, unless one was recorded before."""
+    def record_end(self, *, by_endpoint: bool) -> None:
+        """Record the end of the connection, unless it is already recorded."""
         if not self._record.ended_s:
             self._record.ended_s = time.monotonic()
             self._record.is_ended_by_endpoint = by_endpoint
 
     def on_line(self, line: bytes) -> None:
-        """Handles a health check, the request line, or a later line, which is sent back."""
+        """Handle a health check or the request line; echo any later line."""
         if line == HEALTH_CHECK and not self._record.complete_s:
             self._on_health_check()
             return
@@ -162,11 +164,11 @@
             self._answer_and_close(b"SYNTAX\r\n")
             return
         self._record.request = request.request_id
-        self._respond(self._endpoint.mode())
+        self._respond(self._endpoint.current_mode())
 
     def _on_health_check(self) -> None:
         self._record.is_health_check = True
-        match self._endpoint.mode():
+        match self._endpoint.current_mode():
             case EndpointMode.HANG:
                 pass
             case EndpointMode.RESET:
@@ -174,7 +176,7 @@
             case EndpointMode.GARBLE:
                 self.write(self._endpoint.rng.choice(GARBLED_ANSWERS))
             case _:
-                self.write(self._endpoint.rng.choice(LOAD_REPORTS))
+                self.write(self._endpoint.rng.choice(LOAD_REPORT_ANSWERS))
 
     def _respond(self, mode: EndpointMode | None) -> None:
         rng = self._endpoint.rng
@@ -182,54 +184,60 @@
         if mode is EndpointMode.HANG:
             self._record.is_silent = True
         elif mode is EndpointMode.RESET:
-            self.end(by_endpoint=True)
+            self.record_end(by_endpoint=True)
             self.abort()
         elif mode is EndpointMode.GARBLE:
             self._answer_and_close(rng.choice(GARBLED_ANSWERS))
         elif mode is EndpointMode.BUSY or self._endpoint.is_draining:
             self._answer_and_close(b"BUSY\r\n")
         else:
-            delay_s = rng.uniform(0.0, MAX_SLOW_S) if mode is EndpointMode.SLOW else rng.uniform(*SETUP_S)
+            delay_s = (
+                rng.uniform(0.0, MAX_SLOW_SETUP_S)
+                if mode is EndpointMode.SLOW
+                else rng.uniform(*SETUP_RANGE_S)
+            )
             loop.call_later(delay_s, self._establish)
 
     def _establish(self) -> None:
         if self._record.ended_s:
             return
         self._record.answer = "UP"
-        self.write(b"UP %s\r\n" % self._record.request.encode() + self._endpoint.rng.choice(LOADS))
+        self.write(b"UP %s\r\n" % self._record.request.encode() + self._endpoint.rng.choice(LOAD_LINES))
 
     def _answer_and_close(self, answer: bytes) -> None:
         self._record.answer = repr(answer[:16])
-        self.end(by_endpoint=True)
+        self.record_end(by_endpoint=True)
         self.write(answer)
         self.close()
 
     def migrate(self) -> None:
-        """Asks the client to reconnect, as the endpoint drains, and closes the connection."""
+        """Ask the client to reconnect because the endpoint drains, and close the connection."""
         if self._record.answer == "UP" and not self._record.ended_s:
-            self.end(by_endpoint=True)
+            self.record_end(by_endpoint=True)
             self.write(b"MOVE\r\n")
             self.close()
 
 
 async def run_host(plan: SoakPlan, host: int) -> list[AttemptRecord]:
-    """Runs all endpoints of a host to the end of the plan. Returns the records of attempts."""
+    """Run all endpoints of a host to the end of the plan, and return the records of the attempts."""
     records: list[AttemptRecord] = []
-    places = {incarnation.name: number for number, incarnation in enumerate(plan.incarnations)}
+    incarnation_numbers = {incarnation.name: number for number, incarnation in enumerate(plan.incarnations)}
     running = []
     for incarnation in plan.incarnations:
         if incarnation.host != host:
             continue
-        place = int(incarnation.name.removeprefix("s"))
-        modes = [fault for fault in plan.faults_of(FaultKind.ENDPOINT_MODE) if fault.target == place]
-        rng = Random(f"{plan.seed}/{incarnation.name}/{places[incarnation.name]}")
-        running.append(PlannedEndpoint(incarnation, modes, plan.started_s, rng, records).run())
+        endpoint_index = int(incarnation.name.removeprefix("s"))
+        mode_faults = [
+            fault for fault in plan.faults_of(FaultKind.ENDPOINT_MODE) if fault.target == endpoint_index
+        ]
+        rng = Random(f"{plan.seed}/{incarnation.name}/{incarnation_numbers[incarnation.name]}")
+        running.append(PlannedEndpoint(incarnation, mode_faults, plan.started_s, rng, records).run())
     await asyncio.gather(*running)
     return [record for record in records if not record.is_health_check]
 
 
 def main() -> int:
-    """Runs a host, and writes its records at the end."""
+    """Run a host, and write its records at the end."""
     plan_file, host, records_file = sys.argv[1:]
     plan = msgspec.json.decode(Path(plan_file).read_bytes(), type=SoakPlan)
     records = uvloop.run(run_host(plan, int(host)))
--- a/sageturn/lab/soak/plan.py
+++ b/sageturn/lab/soak/plan.py
@@ -1,4 +1,4 @@
-"""The plan of one run: its endpoints, and its faults with their times, drawn from a seed alone.
+"""Generator of a run's plan: endpoints, and faults with their times, drawn from a seed alone.
 
 Times are seconds after the run's start, on the monotonic clock that all processes of a machine share.
 """
@@ -16,38 +16,39 @@
 
 DURATION_S = 14.0
 ENDPOINTS_PER_HOST = 2
-DRAIN_NOTICE_S = 2.5  # from the beginning of an endpoint's drain to its end
-RESTART_PAUSE_S = 0.8  # between an endpoint's crash and its next start
-HOLD_S = 0.12  # length of a relay's suspension
+DRAIN_NOTICE_S = 2.5  # time between the beginning of an endpoint's drain and its exit
+RESTART_PAUSE_S = 0.8  # time between an endpoint's crash and its next start
+SUSPENSION_S = 0.12  # duration of a relay's suspension by SIGSTOP
 STORM_FAULT_COUNT = 3
-EFFECTS = (Effect.SAFE, Effect.SAFE, Effect.KEYED, Effect.UNSAFE)  # drawn from; half of the plans are safe
+# A plan's request semantics is drawn from these; half of the plans have safe requests.
+EFFECTS = (Effect.SAFE, Effect.SAFE, Effect.KEYED, Effect.UNSAFE)
 HOUR_S = 3600.0
 CLOCK_STEPS_S = (-HOUR_S, -5.0, 5.0, HOUR_S)
-CLOCK_STEPS_PER_RELAY = 3  # while it runs, in a series
-SERIES_SPAN_S = (2.0, 11.0)  # in which series begin
-BEFORE_START_S = -60.0
-NEVER_S = 1e9  # stands for infinity, which JSON does not have
-SLOW_START_WINDOW_S = 2.0  # in which the attempts at an endpoint in slow start are limited
-WARM_UP_S = 5.0  # length of the slow start
-START_CAPACITY = 0.08  # ratio of the capacity at the beginning of the slow start
+CLOCK_STEPS_PER_RELAY = 3  # steps of a series while the relay runs
+SERIES_SPAN_S = (2.0, 11.0)  # earliest and latest begin of a signal series or a clock step
+BEFORE_START_S = -60.0  # time of a clock step that precedes the relay's start
+NEVER_S = 1e9  # substitute for infinity, which JSON cannot encode
+SLOW_START_WINDOW_S = 2.0  # window of the attempt budget of an endpoint in slow start
+WARM_UP_S = 5.0  # duration of the slow start
+START_CAPACITY = 0.08  # fraction of the full capacity at the beginning of the slow start
 FALL_MULTIPLE = 2.0
 DRAIN_GRACE_S = 0.3
 MAX_ATTEMPTS = 3
 REQUEST_TIMEOUT_S = 2.0
 KEY_TTL_S = 1.5
-HEALTH_CHECK_PRICE = 0.01  # of a request
-CHANGE_DELAY_S = 0.2  # between a change of an endpoint and its publication by discovery
-QUOTA_S = 6.0  # the tenant's connection quota over its requests per second
+HEALTH_CHECK_PRICE = 0.01  # cost of a health check, as a fraction of a request's
+CHANGE_DELAY_S = 0.2  # time between a change of an endpoint and its publication by discovery
+QUOTA_S = 6.0  # ratio of the tenant's connection quota to its requests per second
 
 
 class EndpointMode(StrEnum):
     """A faulty treatment of new connections by an endpoint."""
 
-    HANG = "hang"  # takes the request, and answers nothing
-    RESET = "reset"  # resets the connection once it has the request
-    GARBLE = "garble"  # answers what is no answer
+    HANG = "hang"  # reads the request, and never answers
+    RESET = "reset"  # resets the connection once the request is complete
+    GARBLE = "garble"  # sends an invalid answer
     BUSY = "busy"
-    SLOW = "slow"  # answers after up to a second
+    SLOW = "slow"  # delays the answer by up to a second
 
 
 class FaultKind(StrEnum):
@@ -55,15 +56,15 @@
 
     RELAY_RESTART = "relay_restart"  # SIGTERM, and a new process once it has exited
     RELAY_KILL = "relay_kill"  # SIGKILL, and a new process
-    RELAY_RELOAD = "relay_reload"  # SIGHUP, to another discovery
-    RELAY_BAD_RELOAD = "relay_bad_reload"  # SIGHUP, with a file that is no configuration
+    RELAY_RELOAD = "relay_reload"  # SIGHUP, with another discovery address
+    RELAY_BAD_RELOAD = "relay_bad_reload"  # SIGHUP, with an invalid configuration file
     RELAY_HOLD = "relay_hold"  # SIGSTOP and SIGCONT
-    RELAY_DESCRIPTORS = "relay_descriptors"  # its limit of descriptors is lowered
+    RELAY_DESCRIPTORS = "relay_descriptors"  # a lowered limit of open file descriptors
     ACCEPT_ERRORS = "accept_errors"
     CONNECT_ERRORS = "connect_errors"
     SHORT_IO = "short_io"  # reads and writes of a few bytes
     DISK_ERRORS = "disk_errors"
-    CLOCK_STEP = "clock_step"  # the system's clock of all machines
+    CLOCK_STEP = "clock_step"  # a step of the wall clock on all machines
     ENDPOINT_DRAIN = "endpoint_drain"
     ENDPOINT_CRASH = "endpoint_crash"
     ENDPOINT_MODE = "endpoint_mode"
@@ -72,23 +73,24 @@
     DISCOVERY_PIECES = "discovery_pieces"
     CLIENT_BURST = "client_burst"
     CLIENT_FAULTS = "client_faults"
-    RELAY_SIGNALS = "relay_signals"  # several signals shortly after one another
-    RELAY_CLOCK = "relay_clock"  # steps of one relay's clock, the first of them before its start
+    RELAY_SIGNALS = "relay_signals"  # several signals in quick succession
+    RELAY_CLOCK = "relay_clock"  # a step of one relay's wall clock; the first precedes its start
 
 
 class SignalSeries(StrEnum):
-    """Signals that a relay gets shortly after one another."""
+    """Signals that a relay receives in quick succession."""
 
     RELOADS = "reloads"  # SIGHUP, several times
-    RELOAD_AND_STOP = "reload_and_stop"  # SIGHUP, and SIGTERM at once
-    STOP_TWICE = "stop_twice"  # SIGTERM, and again while the relay drains
+    RELOAD_AND_STOP = "reload_and_stop"  # SIGHUP, followed at once by SIGTERM
+    STOP_TWICE = "stop_twice"  # SIGTERM, and a second one while the relay drains
 
 
-# Drawn for every plan beside its storms, by random numbers of their own: seeds keep their storms.
+# Every plan has faults of these kinds in addition to its storms. A separate random generator draws them, so
+# that they do not change the storms of a seed.
 SERIES_KINDS = (FaultKind.RELAY_SIGNALS, FaultKind.RELAY_CLOCK)
 STORM_KINDS = tuple(kind for kind in FaultKind if kind not in SERIES_KINDS)
 
-SHIMS = (
+SHIMMED_FAULT_KINDS = (
     FaultKind.ACCEPT_ERRORS,
     FaultKind.CONNECT_ERRORS,
     FaultKind.SHORT_IO,
@@ -99,7 +101,7 @@
 
 
 class ScheduledFault(msgspec.Struct, frozen=True):
-    """One fault at one place. ``target`` is a relay's or endpoint's number; -1 for all."""
+    """One fault. ``target`` is the index of the affected relay or endpoint; -1 if not limited to one."""
 
     kind: FaultKind = msgspec.field(name="trouble")
     begin_s: float
@@ -109,7 +111,7 @@
     mode: str = ""  # an EndpointMode or a SignalSeries, for ENDPOINT_MODE or RELAY_SIGNALS
 
     def is_active(self, at_s: float) -> bool:
-        """Whether the fault is in effect ``at_s`` seconds after the run's start."""
+        """Return whether the fault is in effect ``at_s`` seconds after the run's start."""
         return self.begin_s <= at_s < self.end_s
 
 
@@ -117,16 +119,16 @@
     """One process of an endpoint, from its start to its end."""
 
     name: str
-    host: int  # the process of the soak in which it runs
+    host: int  # index of the soak's host process that runs the endpoint
     start_s: float
-    drain_s: float  # NEVER_S where it does not drain
-    end_s: float  # NEVER_S where it outlives the run
-    is_crash: bool = False  # it ends without a drain
+    drain_s: float  # begin of the drain; NEVER_S if the endpoint does not drain
+    end_s: float  # NEVER_S if the endpoint outlives the run
+    is_crash: bool = False  # True if the process ends without a drain
     port: int = 0
 
 
 class SoakSize(msgspec.Struct, frozen=True):
-    """The number of processes and the rate of requests of a run."""
+    """Number of processes and rate of requests of a run."""
 
     relays: int = 16
     hosts: int = 12
@@ -134,15 +136,16 @@
 
     @property
     def endpoints(self) -> int:
-        """Number of endpoints listed at any time, without those that are being replaced."""
+        """Number of endpoints in the list, without those that are being replaced."""
         return self.hosts * ENDPOINTS_PER_HOST
 
 
 class Variant(StrEnum):
-    """A change of the default deployment."""
+    """A deviation from the default deployment."""
 
-    PUSHED_LISTS = "pushed_lists"  # by an agent; relays are bound by a change as soon as the agent has it
-    HEALTH_CHECKS = "health_checks"  # relays ask endpoints for load reports
+    # A local agent pushes the lists; a relay has to obey a change as soon as the agent has it.
+    PUSHED_LISTS = "pushed_lists"
+    HEALTH_CHECKS = "health_checks"  # relays request load reports from endpoints
 
 
 class SoakPlan(msgspec.Struct):
@@ -150,33 +153,33 @@
 
     seed: int
     size: SoakSize
-    effect: Effect  # of repeating a request of the only class
+    effect: Effect  # effect of repeating a request of the only class
     variants: tuple[Variant, ...] = ()
-    started_s: float = 0.0  # when the run started, by the monotonic clock
+    started_s: float = 0.0  # start of the run on the monotonic clock
     faults: list[ScheduledFault] = msgspec.field(default_factory=list, name="incidents")
     incarnations: list[EndpointIncarnation] = msgspec.field(default_factory=list, name="lives")
 
     @property
     def is_pushed(self) -> bool:
-        """Whether lists are pushed by an agent of the relay's machine."""
+        """True if an agent on the relay's machine pushes the endpoint lists."""
         return Variant.PUSHED_LISTS in self.variants
 
     def faults_of(self, *kinds: FaultKind) -> list[ScheduledFault]:
-        """Returns the faults of these kinds, in order of time."""
+        """Return the faults of these kinds, ordered by start time."""
         return [fault for fault in self.faults if fault.kind in kinds]
 
     def reloads(self) -> list[ScheduledFault]:
-        """Returns the faults that send a relay SIGHUP with another discovery, in order of time."""
+        """Return the faults that send a relay SIGHUP with another discovery address, by start time."""
         faults = self.faults_of(FaultKind.RELAY_RELOAD, FaultKind.RELAY_SIGNALS)
         return [fault for fault in faults if fault.mode != SignalSeries.STOP_TWICE]
 
-    def wall_shift_s(self, at_s: float) -> float:
-        """Returns by how much the system's clock is ahead ``at_s`` seconds after the run's start."""
+    def wall_clock_offset_s(self, at_s: float) -> float:
+        """Return the seconds by which the wall clock is ahead ``at_s`` seconds after the run's start."""
         return sum(step.value for step in self.faults_of(FaultKind.CLOCK_STEP) if at_s >= step.begin_s)
 
 
 def relay_settings(plan: SoakPlan, relay: int) -> JsonObject:
-    """Returns the settings of a relay by the keys of the platform's configuration."""
+    """Return the settings of a relay, with the keys of the platform's configuration."""
     quota = plan.size.requests_per_s * QUOTA_S
     one_class = {
         "name": "c",
@@ -213,8 +216,8 @@
     }
 
 
-class PlanDrawer:
-    """Draws a plan: two storms of overlapping faults, and a few single ones between them."""
+class PlanGenerator:
+    """Generator of a plan: two storms of overlapping faults, and a few single faults besides."""
 
     def __init__(
         self, seed: int, size: SoakSize, storm: Sequence[FaultKind], variants: Sequence[Variant]
@@ -223,35 +226,35 @@
         self._storm = storm
         effect = self._rng.choice(EFFECTS)
         self._plan = SoakPlan(seed, size, effect, tuple(variants))
-        self._incarnations: dict[int, EndpointIncarnation] = {}  # the latest of each place
-        self._next_number = size.endpoints
+        self._latest_incarnations: dict[int, EndpointIncarnation] = {}  # keys are endpoint indexes
+        self._next_endpoint_number = size.endpoints
 
-    def draw(self) -> SoakPlan:
-        """Draws and returns the plan."""
+    def generate(self) -> SoakPlan:
+        """Return the plan."""
         size = self._plan.size
-        for place in range(size.endpoints):
+        for endpoint_index in range(size.endpoints):
             incarnation = EndpointIncarnation(
-                f"s{place}", place // ENDPOINTS_PER_HOST, -60.0, NEVER_S, NEVER_S
+                f"s{endpoint_index}", endpoint_index // ENDPOINTS_PER_HOST, -60.0, NEVER_S, NEVER_S
             )
-            self._incarnations[place] = incarnation
-        for storm_s in (self._rng.uniform(2.5, 4.0), self._rng.uniform(7.0, 8.5)):
+            self._latest_incarnations[endpoint_index] = incarnation
+        for storm_begin_s in (self._rng.uniform(2.5, 4.0), self._rng.uniform(7.0, 8.5)):
             for kind in self._storm or self._rng.sample(STORM_KINDS, STORM_FAULT_COUNT):
-                self._add(kind, storm_s + self._rng.uniform(0.0, 1.0))
-        self._add(FaultKind.CLIENT_FAULTS, 0.5)
-        self._add(self._rng.choice([FaultKind.ENDPOINT_DRAIN, FaultKind.ENDPOINT_CRASH]), 5.5)
+                self._add_faults(kind, storm_begin_s + self._rng.uniform(0.0, 1.0))
+        self._add_faults(FaultKind.CLIENT_FAULTS, 0.5)
+        self._add_faults(self._rng.choice([FaultKind.ENDPOINT_DRAIN, FaultKind.ENDPOINT_CRASH]), 5.5)
         self._add_series(Random(f"{self._plan.seed}/series"))
-        self._plan.incarnations += self._incarnations.values()
+        self._plan.incarnations += self._latest_incarnations.values()
         self._plan.faults.sort(key=lambda fault: fault.begin_s)
         return self._plan
 
     def _add_series(self, rng: Random) -> None:
-        """Adds series of signals at some relays, and series of clock steps at others."""
+        """Add signal series for some relays, and clock-step series for an independent sample of relays."""
         relays = range(self._plan.size.relays)
         count = max(1, len(relays) // 4)
         for relay in rng.sample(relays, count):
             at_s = rng.uniform(*SERIES_SPAN_S)
             mode = rng.choice(list(SignalSeries)).value
-            self._record(ScheduledFault(FaultKind.RELAY_SIGNALS, at_s, at_s + 1.0, relay, mode=mode))
+            self._append_fault(ScheduledFault(FaultKind.RELAY_SIGNALS, at_s, at_s + 1.0, relay, mode=mode))
         for relay in rng.sample(relays, count):
             instants_s = [
                 BEFORE_START_S,
@@ -259,28 +262,30 @@
             ]
             for at_s in instants_s:
                 step_s = rng.choice(CLOCK_STEPS_S)
-                self._record(ScheduledFault(FaultKind.RELAY_CLOCK, at_s, NEVER_S, relay, step_s))
+                self._append_fault(ScheduledFault(FaultKind.RELAY_CLOCK, at_s, NEVER_S, relay, step_s))
 
-    def _add(self, kind: FaultKind, at_s: float) -> None:
+    def _add_faults(self, kind: FaultKind, at_s: float) -> None:
         rng = self._rng
         size = self._plan.size
         length_s = rng.uniform(0.5, 2.5)
         if kind in SERIES_KINDS:
-            return  # every plan has them
+            return  # _add_series adds them to every plan
         if kind in (FaultKind.ENDPOINT_DRAIN, FaultKind.ENDPOINT_CRASH):
-            for place in rng.sample(range(size.endpoints), max(1, size.endpoints // rng.choice([3, 6]))):
-                self._end_incarnation(place, at_s + rng.uniform(0.0, 0.5), kind)
+            for endpoint_index in rng.sample(
+                range(size.endpoints), max(1, size.endpoints // rng.choice([3, 6]))
+            ):
+                self._end_incarnation(endpoint_index, at_s + rng.uniform(0.0, 0.5), kind)
         elif kind is FaultKind.ENDPOINT_MODE:
-            for place in rng.sample(range(size.endpoints), max(1, size.endpoints // 5)):
+            for endpoint_index in rng.sample(range(size.endpoints), max(1, size.endpoints // 5)):
                 mode = rng.choice(list(EndpointMode)).value
-                self._record(ScheduledFault(kind, at_s, at_s + length_s, place, mode=mode))
+                self._append_fault(ScheduledFault(kind, at_s, at_s + length_s, endpoint_index, mode=mode))
         elif kind is FaultKind.CLOCK_STEP:
             step_s = rng.choice(CLOCK_STEPS_S)
-            self._record(ScheduledFault(kind, at_s, NEVER_S, value=step_s))
+            self._append_fault(ScheduledFault(kind, at_s, NEVER_S, value=step_s))
         elif kind.value.startswith(("relay", "accept", "connect", "short", "disk")):
             self._add_relay_fault(kind, at_s, length_s)
         else:
-            self._record(ScheduledFault(kind, at_s, at_s + length_s))
+            self._append_fault(ScheduledFault(kind, at_s, at_s + length_s))
 
     def _add_relay_fault(self, kind: FaultKind, at_s: float, length_s: float) -> None:
         size = self._plan.size
@@ -288,11 +293,13 @@
         count = max(1, size.relays // (4 if is_process_end else 2))
         for relay in self._rng.sample(range(size.relays), count):
             begin_s = at_s + self._rng.uniform(0.0, 0.6)
-            is_hold = kind is FaultKind.RELAY_HOLD
-            self._record(ScheduledFault(kind, begin_s, begin_s + (HOLD_S if is_hold else length_s), relay))
+            is_suspension = kind is FaultKind.RELAY_HOLD
+            self._append_fault(
+                ScheduledFault(kind, begin_s, begin_s + (SUSPENSION_S if is_suspension else length_s), relay)
+            )
 
-    def _end_incarnation(self, place: int, at_s: float, kind: FaultKind) -> None:
-        incarnation = self._incarnations[place]
+    def _end_incarnation(self, endpoint_index: int, at_s: float, kind: FaultKind) -> None:
+        incarnation = self._latest_incarnations[endpoint_index]
         if incarnation.drain_s < NEVER_S or incarnation.end_s < NEVER_S or at_s < incarnation.start_s + 1.0:
             return
         is_crash = kind is FaultKind.ENDPOINT_CRASH
@@ -303,26 +310,28 @@
                 incarnation.name, incarnation.host, incarnation.start_s, drain_s, end_s, is_crash
             )
         )
-        # A crashed process is started again under its name; a drained one is replaced by another machine.
-        name = incarnation.name if is_crash else f"s{self._next_number}"
-        self._next_number += 1
+        # A crashed endpoint restarts under the same name; a drained one is replaced by a new endpoint.
+        name = incarnation.name if is_crash else f"s{self._next_endpoint_number}"
+        self._next_endpoint_number += 1
         start_s = at_s + RESTART_PAUSE_S * (1.0 if is_crash else self._rng.random())
-        self._incarnations[place] = EndpointIncarnation(name, incarnation.host, start_s, NEVER_S, NEVER_S)
-        self._record(ScheduledFault(kind, at_s, end_s, place))
+        self._latest_incarnations[endpoint_index] = EndpointIncarnation(
+            name, incarnation.host, start_s, NEVER_S, NEVER_S
+        )
+        self._append_fault(ScheduledFault(kind, at_s, end_s, endpoint_index))
 
-    def _record(self, fault: ScheduledFault) -> None:
+    def _append_fault(self, fault: ScheduledFault) -> None:
         self._plan.faults.append(fault)
 
 
 def draw_plan(
     seed: int, size: SoakSize, storm: Sequence[FaultKind] = (), variants: Sequence[Variant] = ()
 ) -> SoakPlan:
-    """Returns the plan of a seed, the same for the same arguments.
+    """Return the plan of a seed; the same arguments give the same plan.
 
     Args:
-        seed: The seed of all that is drawn.
+        seed: The seed of all random draws.
         size: The number of processes and the rate of requests.
-        storm: The faults of each storm; they are drawn where it is empty.
-        variants: Changes of the deployment, which change nothing that is drawn.
+        storm: The fault kinds of each storm; if empty, they are drawn.
+        variants: Deviations from the default deployment; they do not affect the draws.
     """
-    return PlanDrawer(seed, size, storm, variants).draw()
+    return PlanGenerator(seed, size, storm, variants).generate()
--- a/sageturn/lab/soak/records.py
+++ b/sageturn/lab/soak/records.py
@@ -1,7 +1,7 @@
-"""Records of clients, endpoints, relays and discovery: the evidence on which a run is judged.
+"""Records of clients, endpoints, relays and discovery: the evidence that the auditor checks.
 
 The fields' encoded names are the keys of an evidence file. Times are seconds of the monotonic clock, which
-all processes of a machine share; a time of 0 stands for an event that never came.
+all processes of a machine share; a time of 0 means that the event never happened.
 """
 
 from __future__ import annotations
@@ -14,23 +14,23 @@
 
 
 class AttemptRecord(msgspec.Struct):
-    """One connection of a relay at an endpoint."""
+    """One connection of a relay to an endpoint."""
 
     endpoint: str
-    started_at_s: float  # of the endpoint's process
-    request: str = ""  # empty where no complete request came
+    started_at_s: float  # start of the endpoint's process
+    request: str = ""  # id of the request; empty if no complete request arrived
     first_byte_s: float = 0.0
-    complete_s: float = 0.0  # the request's last byte
-    answer: str = ""  # the first line that the endpoint sent
-    ended_s: float = 0.0  # the relay's end, or the endpoint's
+    complete_s: float = 0.0  # arrival of the request's last byte
+    answer: str = ""  # first line that the endpoint sent
+    ended_s: float = 0.0  # end of the connection by the relay or the endpoint
     is_ended_by_endpoint: bool = False
-    is_silent: bool = False  # the endpoint had stopped answering
-    error: str = ""  # a line that no client sends
-    is_health_check: bool = False  # not an attempt: it asked for load reports
+    is_silent: bool = False  # True if the endpoint never answered the request
+    error: str = ""  # request line that no client could have sent
+    is_health_check: bool = False  # True if the connection asked for load reports, and is no attempt
 
 
 class ClientEnd(StrEnum):
-    """The way in which a relay ended a client's connection."""
+    """Way in which a relay ended a client's connection."""
 
     EOF = "eof"
     RESET = "reset"
@@ -42,24 +42,24 @@
 
     request: str
     relay: int
-    relay_process: int  # its process id: relays are restarted
+    relay_process: int  # process id of the relay, which differs after each restart
     wait_s: float
     effect: Effect
     connected_s: float = 0.0
-    client_port: int = 0  # by which the relay's log names the connection
-    sent_s: float = 0.0  # the request's last byte
-    left_s: float = 0.0  # the client closed by itself
+    client_port: int = 0  # port that identifies the connection in the relay's log
+    sent_s: float = 0.0  # time at which the request's last byte was sent
+    left_s: float = 0.0  # time at which the client closed the connection
     answer: str = ""
     answered_s: float = 0.0
     lines_after_answer: int = 0
     is_moved: bool = False
-    ended_s: float = 0.0  # the relay ended the connection
-    end: str = ""  # of ClientEnd; empty where the client closed by itself
-    is_bad: bool = False  # it sent something else than a request
+    ended_s: float = 0.0  # time at which the relay ended the connection
+    end: str = ""  # value of ClientEnd; empty if the client closed the connection
+    is_bad: bool = False  # True if the client sent an invalid request
 
     @property
     def is_established(self) -> bool:
-        """Whether the request was served."""
+        """True if the connection was established."""
         return self.answer.startswith("UP ")
 
 
@@ -70,19 +70,19 @@
     process: int
     started_s: float
     ready_s: float = 0.0
-    killed_s: float = 0.0  # SIGKILL
-    terminated_s: float = 0.0  # SIGTERM
+    killed_s: float = 0.0  # time of SIGKILL
+    terminated_s: float = 0.0  # time of SIGTERM
     exited_s: float = 0.0
     exit_code: int | None = None
-    log_errors: list[str] = msgspec.field(default_factory=list)  # lines of level ERROR, tracebacks
+    log_errors: list[str] = msgspec.field(default_factory=list)  # log lines of level ERROR, and tracebacks
 
 
 class EndpointNotification(msgspec.Struct):
-    """Discovery's notification of one relay process that an endpoint drains or is gone."""
+    """Discovery's notification to one relay process that an endpoint is draining or was removed."""
 
     relay_process: int
     endpoint: str
-    started_at_s: float  # of the endpoint's process
+    started_at_s: float  # start of the endpoint's process
     notified_s: float = msgspec.field(name="told_s")
 
 
--- a/sageturn/lab/soak/report.py
+++ b/sageturn/lab/soak/report.py
@@ -1,4 +1,4 @@
-"""Runs plans one after the other, and prints the figures and violations of each run."""
+"""Runner of a sequence of plans, and text report of the figures and violations of each run."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 from sageturn.lab.soak.records import ClientEnd, Evidence
 from sageturn.lab.soak.soak_run import SoakRun
 
-MAX_SHOWN = 12  # violations of one run
+MAX_SHOWN_VIOLATIONS = 12  # limit for one run
 
 
 def play_all(plans: Iterable[SoakPlan], keep: Path | None, write: Callable[[str], None]) -> bool:
-    """Runs all plans. Returns whether no rule was broken.
+    """Run all plans, and return whether no rule was broken.
 
-    ``keep`` is the folder that gets one folder for each seed; None to keep nothing.
+    ``keep`` is the folder in which each seed's files are retained, in a subfolder; None discards them.
     """
     broken: Counter[str] = Counter()
     for plan in plans:
         with TemporaryDirectory(prefix="sageturn-soak-") as temporary:
             folder = Path(temporary) / "run" if keep is None else keep / f"seed-{plan.seed}"
             run = SoakRun(plan, folder)
-            violations = uvloop.run(run.play())
-        for line in describe(run, violations):
+            violations = uvloop.run(run.execute())
+        for line in describe_run(run, violations):
             write(line)
         broken.update(violation.rule.value for violation in violations)
     write(
@@ -37,26 +37,26 @@
     return not broken
 
 
-def describe(run: SoakRun, violations: list[Violation]) -> list[str]:
-    """Returns the report of one run: its faults, its figures, and the first broken rules."""
+def describe_run(run: SoakRun, violations: list[Violation]) -> list[str]:
+    """Return the report of one run: its faults, its figures and the first violations."""
     plan = run.plan
     faults = Counter(fault.kind.value for fault in plan.faults)
     lines = [
         f"seed {plan.seed} ({', '.join((plan.effect, *plan.variants))}): "
         + ", ".join(f"{name} x{count}" for name, count in sorted(faults.items())),
-        "  " + summarize(run.evidence) + f"; {len(violations)} violations",
+        "  " + summarize_evidence(run.evidence) + f"; {len(violations)} violations",
     ]
     lines += [
         f"  BROKEN {violation.rule.value}: {violation.subject}: {violation.detail}"
-        for violation in violations[:MAX_SHOWN]
+        for violation in violations[:MAX_SHOWN_VIOLATIONS]
     ]
-    if len(violations) > MAX_SHOWN:
-        lines.append(f"  and {len(violations) - MAX_SHOWN} more")
+    if len(violations) > MAX_SHOWN_VIOLATIONS:
+        lines.append(f"  and {len(violations) - MAX_SHOWN_VIOLATIONS} more")
     return lines
 
 
-def summarize(evidence: Evidence) -> str:
-    """Returns the figures of one run."""
+def summarize_evidence(evidence: Evidence) -> str:
+    """Return the figures of one run."""
     clients = [client for client in evidence.clients if not client.is_bad and client.end != ClientEnd.REFUSED]
     established = sum(client.is_established for client in clients)
     rejected = sum(client.answer.startswith("BUSY") for client in clients)
--- a/sageturn/lab/soak/shims.py
+++ b/sageturn/lab/soak/shims.py
@@ -1,6 +1,6 @@
-"""Replaces system calls of a relay with ones that fail or are short, as Linux documents, as the plan says.
+"""Shims for a relay's system calls, which fail or transfer few bytes as Linux documents it.
 
-The relay's sockets are Python's own: replacing their methods reaches every call that the program makes.
+The relay uses Python's own socket class, so that replacing its methods affects every call of the program.
 """
 
 from __future__ import annotations
@@ -19,20 +19,20 @@
 CONNECT_ERRNOS = (errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ENOBUFS, errno.ETIMEDOUT, errno.EHOSTUNREACH)
 SOCKET_ERRNOS = (errno.ENFILE, errno.ENOBUFS)
 DISK_ERRNOS = (errno.ENOSPC, errno.EIO)
-FAILURE_RATIO = 0.4  # of the calls while a fault is in effect
+FAILURE_RATIO = 0.4  # ratio of affected calls while a fault other than DISK_ERRORS is in effect
 MAX_SHORT_BYTES = 9
 CLOCK_KINDS = (FaultKind.CLOCK_STEP, FaultKind.RELAY_CLOCK)
-SOCKET_ARGUMENTS = 4  # of the constructor, with the descriptor of an existing socket as the last
+SOCKET_ARGUMENTS = 4  # number of the constructor's parameters; the last is an existing socket's descriptor
 
 
-def fail(errnos: Sequence[int], rng: Random) -> None:
-    """Raises OSError with one of these numbers."""
+def raise_os_error(errnos: Sequence[int], rng: Random) -> None:
+    """Raise OSError with one of these error numbers, drawn at random."""
     number = rng.choice(errnos)
     raise OSError(number, os.strerror(number))
 
 
 class Shims:
-    """Replaces calls of this process; ``faults`` are the plan's faults of this process."""
+    """Replacements of this process's system calls; ``faults`` are the plan's faults of this process."""
 
     def __init__(self, started_s: float, faults: Sequence[ScheduledFault], rng: Random) -> None:
         self._started_s = started_s
@@ -40,7 +40,7 @@
         self._rng = rng
 
     def install(self) -> None:
-        """Replaces the calls until the process ends."""
+        """Replace the calls for the rest of the process's life."""
         self._replace_accept()
         self._replace_connect()
         self._replace_reads()
@@ -48,7 +48,7 @@
         self._replace_sync()
         self._replace_wall_clock()
 
-    def _is_due(self, kind: FaultKind) -> bool:
+    def _should_inject(self, kind: FaultKind) -> bool:
         return self._is_active(kind) and self._rng.random() < FAILURE_RATIO
 
     def _is_active(self, kind: FaultKind) -> bool:
@@ -59,29 +59,29 @@
         accept = socket.socket.accept
 
         def shimmed(sock: socket.socket) -> tuple[socket.socket, object]:
-            if self._is_due(FaultKind.ACCEPT_ERRORS):
-                fail(ACCEPT_ERRNOS, self._rng)
+            if self._should_inject(FaultKind.ACCEPT_ERRORS):
+                raise_os_error(ACCEPT_ERRNOS, self._rng)
             return accept(sock)
 
-        self._set("accept", shimmed)
+        self._replace_socket_method("accept", shimmed)
 
     def _replace_connect(self) -> None:
         connect = socket.socket.connect
         create = socket.socket.__init__
 
         def shimmed_connect(sock: socket.socket, address: Any) -> None:
-            if self._is_due(FaultKind.CONNECT_ERRORS):
-                fail(CONNECT_ERRNOS, self._rng)
+            if self._should_inject(FaultKind.CONNECT_ERRORS):
+                raise_os_error(CONNECT_ERRNOS, self._rng)
             connect(sock, address)
 
         def shimmed_create(sock: socket.socket, *arguments: Any, **named: Any) -> None:
             is_new = named.get("fileno") is None and len(arguments) < SOCKET_ARGUMENTS
-            if is_new and self._is_due(FaultKind.CONNECT_ERRORS):
-                fail(SOCKET_ERRNOS, self._rng)
+            if is_new and self._should_inject(FaultKind.CONNECT_ERRORS):
+                raise_os_error(SOCKET_ERRNOS, self._rng)
             create(sock, *arguments, **named)
 
-        self._set("connect", shimmed_connect)
-        self._set("__init__", shimmed_create)
+        self._replace_socket_method("connect", shimmed_connect)
+        self._replace_socket_method("__init__", shimmed_create)
 
     def _replace_reads(self) -> None:
         recv = socket.socket.recv
@@ -93,8 +93,8 @@
         def shimmed_recv_into(sock: socket.socket, buffer: Any, size: int = 0, flags: int = 0) -> int:
             return recv_into(sock, buffer, self._shorten(size or len(buffer)), flags)
 
-        self._set("recv", shimmed_recv)
-        self._set("recv_into", shimmed_recv_into)
+        self._replace_socket_method("recv", shimmed_recv)
+        self._replace_socket_method("recv_into", shimmed_recv_into)
 
     def _replace_writes(self) -> None:
         send = socket.socket.send
@@ -108,11 +108,11 @@
             size = self._shorten(len(joined))
             return sendmsg(sock, parts, *more) if size == len(joined) else send(sock, joined[:size])
 
-        self._set("send", shimmed_send)
-        self._set("sendmsg", shimmed_sendmsg)
+        self._replace_socket_method("send", shimmed_send)
+        self._replace_socket_method("sendmsg", shimmed_sendmsg)
 
     def _shorten(self, size: int) -> int:
-        if size > 1 and self._is_due(FaultKind.SHORT_IO):
+        if size > 1 and self._should_inject(FaultKind.SHORT_IO):
             return min(size, self._rng.randint(1, MAX_SHORT_BYTES))
         return size
 
@@ -121,7 +121,7 @@
 
         def shimmed(descriptor: int) -> None:
             if self._is_active(FaultKind.DISK_ERRORS):
-                fail(DISK_ERRNOS, self._rng)
+                raise_os_error(DISK_ERRNOS, self._rng)
             sync(descriptor)
 
         os.fsync = shimmed  # type: ignore[assignment]
@@ -137,5 +137,5 @@
         time.time = shimmed
 
     @staticmethod
-    def _set(name: str, method: Callable[..., Any]) -> None:
+    def _replace_socket_method(name: str, method: Callable[..., Any]) -> None:
         setattr(socket.socket, name, method)
--- a/sageturn/lab/soak/soak_run.py
+++ b/sageturn/lab/soak/soak_run.py
@@ -1,4 +1,4 @@
-"""Runs one plan: starts all processes and clients, injects the faults, and gathers the evidence."""
+"""Run of one plan: starts all processes and clients, injects the faults, and collects the evidence."""
 
 from __future__ import annotations
 
@@ -22,32 +22,32 @@
 from sageturn.store.errors import LogCorruptedError
 from sageturn.store.store import Store
 
-START_TIME_S = 8.0  # for all processes to become ready before the run's start
+START_TIME_S = 8.0  # time in which all processes become ready before the run's start
 TRAFFIC_END_S = DURATION_S - 2.0
-HOST_TIMEOUT_S = 30.0
-MAX_LOG_ERRORS = 20  # of one relay that are reported
-ERROR_MARKS = (" ERROR ", "Traceback ", " CRITICAL ")
-# A plan has invalid configurations, which a relay rejects with an error.
+HOST_TIMEOUT_S = 30.0  # time in which a host process has to exit by itself
+MAX_LOG_ERRORS = 20  # limit of reported log errors of one relay process
+ERROR_MARKERS = (" ERROR ", "Traceback ", " CRITICAL ")
+# Plans include reloads of invalid configurations, which a relay rejects with this error.
 EXPECTED_ERRORS = ("configuration rejected, the old one stays in force",)
 
 
 class SoakRun:
-    """One run of one plan in a folder of its own."""
+    """One run of one plan, in a folder of its own."""
 
     def __init__(self, plan: SoakPlan, folder: Path) -> None:
         self.plan = plan
         self.evidence = Evidence()
         self._folder = folder
         self._plan_file = folder / "plan.json"
-        self._reserved = [
+        self._reserved_ports = [
             reserve_port()
             for _ in {(incarnation.name, incarnation.host) for incarnation in self.plan.incarnations}
         ]
         self._relays: list[SoakRelay] = []
         self._hosts: list[asyncio.subprocess.Process] = []
 
-    async def play(self) -> list[Violation]:
-        """Runs the plan to its end. Returns the violations of the rules; ``evidence`` has the records."""
+    async def execute(self) -> list[Violation]:
+        """Run the plan to its end, and return the violations; ``evidence`` has the records."""
         self._assign_ports()
         self.plan.started_s = time.monotonic() + START_TIME_S
         self._folder.mkdir(parents=True, exist_ok=True)
@@ -61,21 +61,21 @@
         try:
             await discovery.start()
             await self._start_hosts()
-            await self._play_with(discovery)
+            await self._run_with_discovery(discovery)
         finally:
             discovery.stop()
             await self._kill_all()
-        self._gather(discovery)
-        return Auditor(plan, self.evidence).violations() + self._check_stores()
+        self._collect_evidence(discovery)
+        return Auditor(plan, self.evidence).find_violations() + self._check_stores()
 
-    async def _play_with(self, discovery: SoakDiscovery) -> None:
+    async def _run_with_discovery(self, discovery: SoakDiscovery) -> None:
         def write_config(relay: SoakRelay, address: int) -> None:
             relay.write_config(discovery.addresses[relay.number][address], discovery.current_list())
 
         for relay in self._relays:
             write_config(relay, 0)
         await asyncio.gather(*(relay.start() for relay in self._relays))
-        publishing = asyncio.ensure_future(discovery.run())
+        publish_task = asyncio.ensure_future(discovery.run())
         clients = ClientPopulation(self.plan, self._relays)
         self.evidence.clients = clients.records
         await asyncio.sleep(max(0.0, self.plan.started_s - time.monotonic()))
@@ -84,16 +84,16 @@
             await asyncio.gather(clients.run(TRAFFIC_END_S), faults.run())
             await asyncio.gather(*(self._terminate(relay) for relay in self._relays))
         finally:
-            await cancel_and_wait(publishing)
+            await cancel_and_wait(publish_task)
 
     @staticmethod
     async def _terminate(relay: SoakRelay) -> None:
-        with suppress(ProcessLookupError):  # it has ended by itself, which its record shows
+        with suppress(ProcessLookupError):  # the process has exited by itself; its record shows that
             await relay.terminate()
 
     def _assign_ports(self) -> None:
         ports: dict[str, int] = {}
-        unused = [port for _, port in self._reserved]
+        unused = [port for _, port in self._reserved_ports]
         for number, incarnation in enumerate(self.plan.incarnations):
             if incarnation.name not in ports:
                 ports[incarnation.name] = unused.pop()
@@ -120,14 +120,14 @@
                 await process.wait()
         for relay in self._relays:
             if relay.records:
-                relay.record_own_end()
+                relay.record_unsignalled_exit()
             with suppress(ProcessLookupError, IndexError):
                 await relay.kill()
             relay.release_port()
-        for reserved, _ in self._reserved:
+        for reserved, _ in self._reserved_ports:
             reserved.close()
 
-    def _gather(self, discovery: SoakDiscovery) -> None:
+    def _collect_evidence(self, discovery: SoakDiscovery) -> None:
         self.evidence.notifications = discovery.notifications
         for host in range(self.plan.size.hosts):
             data = (self._folder / f"host-{host}.json").read_bytes()
@@ -139,7 +139,7 @@
         (self._folder / "evidence.json").write_bytes(msgspec.json.encode(self.evidence))
 
     def _check_stores(self) -> list[Violation]:
-        """Checks that the log of each store can be read after the run."""
+        """Check that each store's log can be read after the run."""
         violations = []
         for relay in self._relays:
             path = relay.folder / "store"
@@ -155,6 +155,6 @@
 
 def _log_errors(log: Path) -> list[str]:
     lines = log.read_text(errors="replace").splitlines()
-    errors = [line for line in lines if any(mark in line for mark in ERROR_MARKS)]
+    errors = [line for line in lines if any(marker in line for marker in ERROR_MARKERS)]
     errors += [line for line in lines if line.startswith(("Exception", "sageturn:"))]
     return [line for line in errors if not any(text in line for text in EXPECTED_ERRORS)][:MAX_LOG_ERRORS]
--- a/tests/lab/test_soak.py
+++ b/tests/lab/test_soak.py
@@ -66,7 +66,7 @@
             steps.setdefault(fault.target, []).append(fault.begin_s)
         assert len(steps) == SoakSize().relays // 4
         assert all(len(instants) == 4 and min(instants) < 0.0 for instants in steps.values())
-        assert plan.wall_shift_s(1.0) == 0.0 or plan.faults_of(FaultKind.CLOCK_STEP)
+        assert plan.wall_clock_offset_s(1.0) == 0.0 or plan.faults_of(FaultKind.CLOCK_STEP)
 
 
 def test_variants_change_the_deployment_and_nothing_that_is_drawn() -> None:
--- a/tests/lab/test_soak_auditor.py
+++ b/tests/lab/test_soak_auditor.py
@@ -69,7 +69,7 @@
     notifications: list[EndpointNotification] | None = None,
 ) -> set[Rule]:
     evidence = Evidence(clients, attempts, [process or relay()], notifications or [])
-    return {violation.rule for violation in Auditor(make_plan(effect), evidence).violations()}
+    return {violation.rule for violation in Auditor(make_plan(effect), evidence).find_violations()}
 
 
 def test_a_run_that_keeps_the_rules() -> None:
@@ -159,7 +159,7 @@
         begun = attempt(incarnation=DRAINING, first_byte_s=begun_s, complete_s=begun_s, ended_s=begun_s + 1.0)
         served = client(sent_s=begun_s - 0.1, answered_s=begun_s + 0.1, left_s=begun_s + 1.0)
         evidence = Evidence([served], [begun], [relay(**process)])
-        return {violation.rule for violation in Auditor(plan, evidence).violations()}
+        return {violation.rule for violation in Auditor(plan, evidence).find_violations()}
 
     assert rules(101.6) == set()
     assert rules(101.9) == {Rule.DRAIN}
