--- a/sageturn/lab/__init__.py
+++ b/sageturn/lab/__init__.py
@@ -1,1 +1,1 @@
-"""The project's own stand-ins, fleets and measurements. The relay never imports it."""
+"""Laboratory of fakes, simulated fleets, process tests and measurements. The relay never imports it."""
--- a/sageturn/lab/demo.py
+++ b/sageturn/lab/demo.py
@@ -1,7 +1,7 @@
-"""A demonstration: one relay between fakes on loopback, with live figures in the terminal.
+"""Demonstration of one relay between fakes on loopback, with live figures in the terminal.
 
-It needs no configuration. Full hosts are joined by two that have just started, and the relay migrates whole
-groups to them, slowly.
+It needs no configuration. Two endpoints start while the others are full, and the relay gradually migrates
+whole groups to them.
 """
 
 from __future__ import annotations
@@ -31,16 +31,16 @@
     join_s=8.0,
     capacity_ratio=2.5,
 )
-# Faster than an operator would set, for migrations within two minutes.
+# Faster settings than an operator would choose, so that migrations happen within two minutes.
 REBALANCE = {"part_per_min": 0.4, "tick_s": 0.5, "least_age_s": 1.0}
-BAR_WIDTH = 40  # characters, at twice the mean utilization
-HIGH_RATIO = 1.15  # of a host's utilization over the mean
-LOW_RATIO = 0.7
+BAR_WIDTH = 40  # number of characters at twice the mean utilization
+HIGH_RATIO = 1.15  # ratio of an endpoint's utilization to the mean, shown in red if exceeded
+LOW_RATIO = 0.7  # the same, shown in yellow if not reached
 REFRESHES_PER_S = 4
 
 
 def render(sample: FleetSample, deployment: Deployment) -> Group:
-    """Renders the figures of the fleet, and a bar for each host."""
+    """Return the figures of the fleet, and a bar for each endpoint, as rich text."""
     counts = deployment.observations.counts
     summary = (
         f"{sample.elapsed_s:4.0f} s   fullest over mean [bold]{sample.imbalance_ratio:.2f}[/]   "
@@ -48,10 +48,10 @@
         f"guest-checkin moved {counts[ClientEvent.CHECK_IN_MIGRATED]}   refused {counts[ClientEvent.BUSY]}   "
         f"cut off {counts[ClientEvent.CUT]}"
     )
-    return Group(Text.from_markup(summary), _host_table(sample, deployment))
+    return Group(Text.from_markup(summary), _endpoint_table(sample, deployment))
 
 
-def _host_table(sample: FleetSample, deployment: Deployment) -> Table:
+def _endpoint_table(sample: FleetSample, deployment: Deployment) -> Table:
     mean = sum(sample.utilizations.values()) / max(1, len(sample.utilizations))
     table = Table("host", "fill", "", "connections", "groups", box=None)
     for model in deployment.models:
@@ -59,14 +59,14 @@
         if utilization is None:
             table.add_row(model.name, "", "not started", "", "")
             continue
-        bar = _bar(utilization, mean)
+        bar = _utilization_bar(utilization, mean)
         table.add_row(
             model.name, f"{utilization:.0%}", bar, str(model.connection_count), str(model.group_count)
         )
     return table
 
 
-def _bar(utilization: float, mean: float) -> Text:
+def _utilization_bar(utilization: float, mean: float) -> Text:
     style = "green"
     if utilization > HIGH_RATIO * mean:
         style = "red"
@@ -77,22 +77,22 @@
 
 
 async def run_demo(seconds: float, console: Console) -> LoopbackResult:
-    """Runs the fleet, and prints a line a second where the output is no terminal."""
+    """Run the fleet with a live display, or with one printed line a second if there is no terminal."""
     async with deployed(SPEC, PlannerKind.ON, REBALANCE) as deployment:
         if not console.is_terminal:
-            return await deployment.run(seconds, lambda sample, _: console.print(_line(sample)))
+            return await deployment.run(seconds, lambda sample, _: console.print(_progress_line(sample)))
         with Live(console=console, refresh_per_second=REFRESHES_PER_S) as live:
             return await deployment.run(
                 seconds, lambda sample, deployment: live.update(render(sample, deployment))
             )
 
 
-def _line(sample: FleetSample) -> str:
+def _progress_line(sample: FleetSample) -> str:
     return f"{sample.elapsed_s:.0f} s ratio {sample.imbalance_ratio:.2f} moved {sample.migrations}"
 
 
 def main() -> None:
-    """Runs the command."""
+    """Run the command."""
     parser = argparse.ArgumentParser(prog="sageturn.lab.demo", description=__doc__)
     parser.add_argument("--seconds", type=float, default=120.0)
     options = parser.parse_args()
--- a/sageturn/lab/errors.py
+++ b/sageturn/lab/errors.py
@@ -1,10 +1,10 @@
-"""Errors of the lab. Each text names the key or the file, and what was expected of it."""
+"""Errors of the laboratory. Each message names the key or the file, and what was expected of it."""
 
 from __future__ import annotations
 
 
 class LabError(ValueError):
-    """Base of the lab's errors."""
+    """Base class of the laboratory's errors."""
 
 
 class InvalidFaultError(LabError):
@@ -12,15 +12,15 @@
 
 
 class InvalidExperimentError(LabError):
-    """An experiment file can't be used; the text names the file and the key."""
+    """An experiment file is invalid; the message names the file and the key."""
 
 
 class InvalidSizeError(LabError):
-    """A fleet's size contradicts itself; the text begins with the field."""
+    """The numbers of a fleet's size contradict each other; the message begins with the field."""
 
 
 class InvalidVariantError(LabError):
-    """A variant of an experiment has an unknown or invalid option; the text begins with the field."""
+    """A variant of an experiment has an unknown or invalid option; the message begins with the field."""
 
 
 class PolicyNotFoundError(LabError):
--- a/sageturn/lab/measurements/__init__.py
+++ b/sageturn/lab/measurements/__init__.py
@@ -1,1 +1,1 @@
-"""What single mechanisms cost, and how soon they act; the commands beside this package print it."""
+"""Measurements of the cost and delay of single mechanisms, printed by the commands of sageturn.lab."""
--- a/sageturn/lab/measurements/override_cost.py
+++ b/sageturn/lab/measurements/override_cost.py
@@ -1,4 +1,4 @@
-"""Measures the cost that the override actor adds to a request while no override is set."""
+"""Measurement of the cost that the override actor adds to a request while no override is set."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 from sageturn.store.store import Store
 
 REQUEST_COUNT = 20_000
-PAIR_COUNT = 7
+RUN_PAIR_COUNT = 7
 ENDPOINT_COUNT = 20
 GROUP_COUNT = 50
 SETTINGS = decision.Settings(classes=(decision.RequestClass("c", 500.0),), groups=True)
 
 
 def measure_cost() -> Row:
-    """Times requests from arrival to end in the balancer's actor, with the override actor and without."""
+    """Time requests from arrival to end in the balancer's actor, with and without the override actor."""
     pairs = [
         (_request_us(with_override_actor=False), _request_us(with_override_actor=True))
-        for _ in range(PAIR_COUNT)
+        for _ in range(RUN_PAIR_COUNT)
     ]
     without, with_actor = (float(np.median(column)) for column in zip(*pairs, strict=True))
     baseline = [pair[0] for pair in pairs]
@@ -38,11 +38,11 @@
 
 
 def _request_us(with_override_actor: bool) -> float:
-    """Returns the microseconds that a request takes."""
+    """Return the mean microseconds of a request."""
     balancer_actor = BalancerActor(SETTINGS, 1, Clock(), lambda: None)
     if with_override_actor:
         OverrideActor(balancer_actor, OverrideOptions(), Store("lab"), lambda _: None)
-    # The actor has no public way to handle an event in place, without its queue; nor one for its actions.
+    # The actor has no public method that handles an event without its queue, or that exposes its actions.
     handle = balancer_actor._handle
     endpoints = [decision.Endpoint(f"h{number}") for number in range(ENDPOINT_COUNT)]
     handle(decision.EndpointListEvent(decision.ListEventKind.FULL, endpoints))
--- a/sageturn/lab/measurements/override_operations.py
+++ b/sageturn/lab/measurements/override_operations.py
@@ -1,4 +1,4 @@
-"""Operations on overrides as the lab's operator issues them."""
+"""Override operations issued by the laboratory's operator."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 def set_operation(
     override_id: str, payload: OverridePayload, created_at_ms: float | None = None
 ) -> OverrideOperation:
-    """Returns an operation that sets an override for an hour, from now on if no time is given."""
+    """Return an operation that sets an override for an hour; ``created_at_ms`` defaults to now."""
     created_at_ms = time.time() * 1000.0 if created_at_ms is None else created_at_ms
     return OverrideOperation(
         override_id,
@@ -35,7 +35,7 @@
 
 
 def revoke_operation(override_id: str) -> OverrideOperation:
-    """Returns an operation that revokes an override that was set and not changed since."""
+    """Return an operation that revokes an override which has not changed since it was set."""
     return OverrideOperation(
         override_id,
         OperationType.REVOKE,
--- a/sageturn/lab/measurements/override_propagation.py
+++ b/sageturn/lab/measurements/override_propagation.py
@@ -1,4 +1,4 @@
-"""How soon all relays follow an operator's override: real relays on loopback, with linked stores."""
+"""Measurement of the time until all relays apply an override: real relays on loopback, with linked stores."""
 
 from __future__ import annotations
 
@@ -36,7 +36,9 @@
 
 SPEC = FleetSpec(relays=3, hosts=12, initial_hosts=12, connections=600, mean_lifetime_s=6.0)
 SECRET = "lab"
-GRACE_S = 0.5  # after all relays know of an override, none may place a request at the host
+GRACE_S = (
+    0.5  # time past all relays' reports of the override, after which none may place a request on the endpoint
+)
 WARM_UP_S = 3.0
 OBSERVATION_S = 1.5
 ROUND_S = 3.0
@@ -53,7 +55,7 @@
 
 
 async def measure_propagation(rounds: int) -> Row:
-    """Takes a host out of service and back, round after round, under steady load."""
+    """Take an endpoint out of service and back in each round, under steady load, and return the figures."""
     reserved = [reserve_port() for _ in range(SPEC.relays)]
     store_ports = [port for _, port in reserved]
     operator_key = Ed25519PrivateKey.generate()
@@ -87,7 +89,7 @@
 def _operator_sections(
     relay: int, folder: Path, store_ports: list[int], operator_key: Ed25519PrivateKey
 ) -> JsonObject:
-    """Returns the sections of a relay's operator file that link the stores and accept the lab's operator."""
+    """Return the sections of a relay's operator file that link the stores and accept the lab's operator."""
     (folder / "secret").write_text(SECRET)
     public_key = operator_key.public_key().public_bytes(Encoding.Raw, PublicFormat.Raw)
     return {
@@ -104,30 +106,30 @@
 async def _run_round(
     deployment: Deployment, store: Store, operator_key: Ed25519PrivateKey, measurements: _Measurements
 ) -> None:
-    # The same host in each round: it returns cold, and the others have to be warm.
-    host = deployment.hosts[0]
-    selector = Selector(SelectorAttribute.ENDPOINT, host.model.name)
+    # Each round uses the same endpoint: it comes back cold, and the others have to be warm.
+    endpoint = deployment.hosts[0]
+    selector = Selector(SelectorAttribute.ENDPOINT, endpoint.model.name)
     operation = set_operation(new_override_id("out"), OverridePayload(OverrideKind.OUT_OF_SERVICE, selector))
     set_s = time.monotonic()
     store.put(operation.key, sign_operation(operation, operator_key))
-    await _wait_until_known(store, operation)
-    known_s = time.monotonic()
-    measurements.propagation_ms.append((known_s - set_s) * 1000.0)
+    await _wait_until_reported(store, operation)
+    reported_s = time.monotonic()
+    measurements.propagation_ms.append((reported_s - set_s) * 1000.0)
     await asyncio.sleep(OBSERVATION_S)
-    # The relays knew of it some time before ``known_s``: their published states arrive later.
-    measurements.placed_late += _requests_since(host, known_s + GRACE_S)
-    measurements.placed += sum(_requests_since(each, set_s) for each in deployment.hosts)
+    # The relays applied the override some time before ``reported_s``: their published states arrive later.
+    measurements.placed_late += _count_requests_since(endpoint, reported_s + GRACE_S)
+    measurements.placed += sum(_count_requests_since(each, set_s) for each in deployment.hosts)
     revocation = revoke_operation(operation.override_id)
     store.put(revocation.key, sign_operation(revocation, operator_key))
-    await _wait_until_known(store, revocation)
+    await _wait_until_reported(store, revocation)
 
 
-def _requests_since(host: FakeEndpoint, since_s: float) -> int:
-    return sum(requested_s > since_s for requested_s in host.setup_requested_s)
+def _count_requests_since(endpoint: FakeEndpoint, since_s: float) -> int:
+    return sum(requested_s > since_s for requested_s in endpoint.setup_requested_s)
 
 
-async def _wait_until_known(store: Store, operation: OverrideOperation) -> None:
-    """Waits until each relay's published state has the operation's revision."""
+async def _wait_until_reported(store: Store, operation: OverrideOperation) -> None:
+    """Wait until each relay's published state has the operation's revision."""
     async with asyncio.timeout(PROPAGATION_TIMEOUT_S):
         while True:
             states = [store.get(f"state/r{relay}/overrides") for relay in range(SPEC.relays)]
--- a/sageturn/lab/measurements/override_resolution.py
+++ b/sageturn/lab/measurements/override_resolution.py
@@ -1,4 +1,4 @@
-"""What it costs to resolve overrides against an endpoint list: all of them at once, and a single change."""
+"""Measurement of the time to resolve overrides against an endpoint list: all at once, and a single change."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
 ENDPOINT_COUNT = 5000
 OVERRIDE_COUNT = 500
 CELL_COUNT = 50
-CELL_OVERRIDE_INTERVAL = 50  # each such override selects a cell, the others one endpoint
+CELL_OVERRIDE_INTERVAL = 50  # every 50th override selects a cell, the others one endpoint
 REPETITIONS = 10
-CHANGED_INTERVAL = 7  # each such override is changed
+CHANGED_INTERVAL = 7  # every 7th override is changed
 LIMITS = SafetyLimits(0.2, 0.1, 0.0)
 KINDS = (OverrideKind.OUT_OF_SERVICE, OverrideKind.WEIGHT, OverrideKind.HOLD)
 LATEST_MS = 1e12
 
 
 def measure_resolution() -> Row:
-    """Resolves all overrides, and then changes some of them one by one."""
+    """Time the resolution of all overrides, and of changes of some of them one by one."""
     endpoints = _make_endpoints()
     overrides = _make_overrides()
     full_ms: list[float] = []
@@ -38,7 +38,7 @@
         resolver = OverrideResolver(LIMITS)
         full_ms.append(_time_ms(partial(_resolve_all, resolver, overrides, endpoints)))
         for override in overrides[::CHANGED_INTERVAL]:
-            # One expires, and another like it is set: the newest, as one that is set now always is.
+            # Removes one override and adds a copy as the newest, like an override that is set now.
             newer = replace(override, id=f"{override.id}-again", created_at_ms=1000.0 + len(change_ms))
             change_ms.append(_time_ms(partial(resolver.remove, override.id)))
             change_ms.append(_time_ms(partial(resolver.add, newer)))
--- a/sageturn/lab/measurements/planner_cost.py
+++ b/sageturn/lab/measurements/planner_cost.py
@@ -1,4 +1,4 @@
-"""Measures the planner's CPU time and memory in one relay, with as many events as in service."""
+"""Measurement of the planner's CPU time and memory in one relay, at a realistic rate of events."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 DURATION_S = 30
 MINUTE_OF_DAY = 720
 SETUP_TIME_MS = 20.0
-EVENTS_PER_ARRIVAL = 5  # the end of another connection, request, set-up, and two load measurements
+EVENTS_PER_ARRIVAL = 5  # end of another connection, request, establishment, and two load reports
 LOAD_REPORTS_PER_ARRIVAL = 2
 
 
@@ -34,17 +34,17 @@
 
 
 class PlannerCost:
-    """A planner that always has connections to migrate, and the processor time that it has used."""
+    """A planner that always has connections to migrate, and counters of its CPU time."""
 
     def __init__(self, connection_count: int) -> None:
         self.connection_count = connection_count
         self.spec = FleetSpec(hosts=ENDPOINT_COUNT, connections=connection_count)
         self.arrivals_per_s = round(self.spec.arrivals_per_s)
         self.tick_s = 0.0
-        self.longest_tick_s = 0.0
+        self.max_tick_s = 0.0
         self.events_s = 0.0
         self._class_names = [class_spec.name for class_spec in self.spec.classes]
-        self._clients = [_client(number) for number in range(connection_count)]
+        self._clients = [_make_client(number) for number in range(connection_count)]
         self._endpoints = [
             EndpointSnapshot(f"h{number}", 1.0, ready=True, available_capacity=ENDPOINT_CAPACITY)
             for number in range(ENDPOINT_COUNT)
@@ -64,25 +64,25 @@
         self._adopt_connections()
         self.planner_bytes = tracemalloc.get_traced_memory()[0] - before_bytes
         tracemalloc.stop()
-        self.planner.rate_controller.stopped_until_ms = 0.0  # without the settling time of a start
+        self.planner.rate_controller.stopped_until_ms = 0.0  # skips the settling time of a start
 
     def run(self) -> None:
-        """Passes the events of ``DURATION_S`` and ticks once a second, in the planner's own time."""
+        """Pass the events of ``DURATION_S`` to the planner, and tick it once a second, in simulated time."""
         now_ms = 1000.0
         for _ in range(DURATION_S):
-            began_s = time.process_time()
+            started_s = time.process_time()
             for event in self._events_of_a_second(now_ms):
                 self.planner.after_event(now_ms, event, ())
             events_done_s = time.process_time()
             self.planner.tick(now_ms, self._endpoints, MINUTE_OF_DAY)
             tick_s = time.process_time() - events_done_s
-            self.events_s += events_done_s - began_s
+            self.events_s += events_done_s - started_s
             self.tick_s += tick_s
-            self.longest_tick_s = max(self.longest_tick_s, tick_s)
+            self.max_tick_s = max(self.max_tick_s, tick_s)
             now_ms += 1000.0
 
     def row(self) -> Row:
-        """Returns the figures of the run."""
+        """Return the figures of the run."""
         return {
             "connections": self.connection_count,
             "hosts": ENDPOINT_COUNT,
@@ -90,7 +90,7 @@
             "octets a connection": round(self.planner_bytes / self.connection_count),
             "CPU a second": f"{(self.tick_s + self.events_s) / DURATION_S:.3%}",
             "of it the tick": f"{self.tick_s / DURATION_S:.3%}",
-            "longest tick": f"{self.longest_tick_s * 1000.0:.1f} ms",
+            "longest tick": f"{self.max_tick_s * 1000.0:.1f} ms",
             "moves planned": self.planner.counts["moved"],
         }
 
@@ -102,7 +102,7 @@
             self.planner.connections.set_load(request_id, 1.0 + request_id % 3)
 
     def _events_of_a_second(self, now_ms: float) -> Iterator[decision.Event]:
-        """Yields one second's events: equally many connections begin and end; each reports its load twice."""
+        """Yield one second's events: as many connections end as begin; each new one reports load twice."""
         for _ in range(self.arrivals_per_s):
             request_id = self._next_id
             self._next_id += 1
@@ -118,7 +118,7 @@
                 yield decision.MeasurementReported(request_id, 0, client.endpoint, kind, 2.0)
 
 
-def _client(number: int) -> _Client:
-    """Returns a client; the groups are spread so unevenly that there is always something to balance."""
+def _make_client(number: int) -> _Client:
+    """Return a client; the groups are spread so unevenly that the planner always has something to balance."""
     group_number = number // GROUP_SIZE
     return _Client(f"key{number}", f"g{group_number}", f"h{group_number**2 % 977 % ENDPOINT_COUNT}")
--- a/sageturn/lab/overriding.py
+++ b/sageturn/lab/overriding.py
@@ -1,8 +1,8 @@
-"""Measures operators' overrides.
+"""Command for measurements of operators' overrides.
 
-python -m sageturn.lab.overriding obeying       # 3 relays, their stores linked, under steady load
-python -m sageturn.lab.overriding resolution    # 5,000 hosts and 500 overrides
-python -m sageturn.lab.overriding cost          # of a request, with no override set
+python -m sageturn.lab.overriding obeying       # 3 relays with linked stores, under steady load
+python -m sageturn.lab.overriding resolution    # 5,000 endpoints and 500 overrides
+python -m sageturn.lab.overriding cost          # cost of a request while no override is set
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class Measurement(StrEnum):
-    """The measurements, by the names of the command line."""
+    """Measurement, with its name on the command line as the value."""
 
     PROPAGATION = "obeying"
     RESOLUTION = "resolution"
@@ -39,7 +39,7 @@
 
 
 def main() -> None:
-    """Runs one of the measurements, and prints its figures."""
+    """Run one of the measurements, and print its figures."""
     parser = argparse.ArgumentParser(prog="sageturn.lab.overriding", description=__doc__)
     names = [measurement.value for measurement in Measurement]
     parser.add_argument("what", choices=names)
--- a/sageturn/lab/readiness.py
+++ b/sageturn/lab/readiness.py
@@ -1,4 +1,6 @@
-"""How soon a restarted relay answers its first PING: real processes on loopback, whatever discovery does.
+"""Measurement of the time from a relay's restart to its first PONG, with real processes on loopback.
+
+The cases cover discovery that is up, slow, refusing connections or cut off.
 
 python -m sageturn.lab.readiness --starts 20
 """
@@ -26,11 +28,11 @@
 from sageturn.lab.loopback.relay_processes import READY_TIMEOUT_S
 from sageturn.net.json_stream import JsonObject
 
-BOUND_S = 10.0  # in which nine restarts of ten have to be ready
-OPEN_CONNECTIONS = 20  # of the relay at its stop
-SLOW_ANSWER_S = 2.5
+BOUND_S = 10.0  # time in which nine of ten restarted relays have to be ready
+OPEN_CONNECTIONS = 20  # number of the relay's open connections when it is stopped
+SLOW_ANSWER_S = 2.5  # delay of an answer by discovery in the state SLOW
 RETRY_INTERVAL_S = 0.005
-BACKLOG_CONNECTIONS = 4  # enough to fill a backlog of 0
+BACKLOG_CONNECTIONS = 4  # enough connections to fill a backlog of 0
 UNUSED_ADDRESS = "127.0.0.1:9"
 ENTRIES = [{"id": "a", "addr": UNUSED_ADDRESS, "state": "ready"}]
 SETTINGS: JsonObject = {
@@ -43,7 +45,7 @@
 
 
 class DiscoveryState(StrEnum):
-    """The state of discovery while a relay starts."""
+    """State of discovery while a relay starts."""
 
     UP = "up"
     SLOW = "slow"
@@ -57,9 +59,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Case:
-    """A way in which a relay is restarted.
+    """Conditions of a relay's restart.
 
-    ``known`` is whether the relay's configuration has the last endpoint list.
+    ``known`` is True if the relay's configuration includes the last endpoint list.
     """
 
     state: DiscoveryState
@@ -72,8 +74,8 @@
         return f"{self.signal.name}, {self.lists}, discovery {self.state}{known}"
 
 
-def cases() -> list[Case]:
-    """Returns all cases; a relay that knows no list needs discovery to answer before it can be ready."""
+def list_cases() -> list[Case]:
+    """Return all cases; a relay without a list needs an answer from discovery before it can be ready."""
     combinations = product(DiscoveryState, SIGNALS, DiscoveryMode)
     with_list = [Case(state, stop_signal, lists, known=True) for state, stop_signal, lists in combinations]
     without_list = [Case(state, signal.SIGKILL, DiscoveryMode.ASK, known=False) for state in ANSWERING_STATES]
@@ -81,23 +83,23 @@
 
 
 @asynccontextmanager
-async def discovery(state: DiscoveryState) -> AsyncIterator[tuple[str, int]]:
-    """Runs a discovery service in a state. Yields its address; its list names one host."""
+async def running_discovery(state: DiscoveryState) -> AsyncIterator[tuple[str, int]]:
+    """Run a discovery service in a state, whose list has one endpoint, and yield its address."""
     reserved, port = reserve_port()
-    unanswered: list[socket.socket] = []
+    backlog_connections: list[socket.socket] = []
     server: asyncio.Server | None = None
     try:
         if state in ANSWERING_STATES:
             server = await asyncio.start_server(partial(_answer, state), sock=reserved)
         elif state is DiscoveryState.CUT_OFF:
             reserved.listen(0)
-            unanswered += _fill_backlog(port)
+            backlog_connections += _fill_backlog(port)
         yield ("127.0.0.1", port)
     finally:
         if server is not None:
             server.close()
-        for each in (*unanswered, reserved):
-            each.close()
+        for open_socket in (*backlog_connections, reserved):
+            open_socket.close()
 
 
 async def _answer(state: DiscoveryState, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -112,7 +114,7 @@
 
 
 def _fill_backlog(port: int) -> list[socket.socket]:
-    """Connections that nobody accepts, after which the kernel doesn't answer further ones at all."""
+    """Open and return connections that nobody accepts, after which the kernel ignores any further one."""
     connections = []
     for _ in range(BACKLOG_CONNECTIONS):
         connection = socket.socket()
@@ -125,7 +127,7 @@
 def write_config(
     folder: Path, case: Case, listen: tuple[str, int], discovery_address: tuple[str, int]
 ) -> Path:
-    """Writes the configuration of the relay, and returns its file."""
+    """Write the relay's configuration file, and return its path."""
     config: JsonObject = {
         "name": "r0",
         "listen": "{}:{}".format(*listen),
@@ -141,7 +143,7 @@
 
 
 async def first_pong(address: tuple[str, int]) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-    """Sends PING on new connections, as the platform does. Returns the first connection that answers."""
+    """Send PING on new connections, as the platform does, and return the first one that answers."""
     while True:
         with suppress(OSError):
             reader, writer = await asyncio.open_connection(*address)
@@ -152,8 +154,8 @@
         await asyncio.sleep(RETRY_INTERVAL_S)
 
 
-async def start(file: Path) -> asyncio.subprocess.Process:
-    """Starts a relay with a configuration file."""
+async def start_relay(file: Path) -> asyncio.subprocess.Process:
+    """Start a relay with a configuration file."""
     environment = {name: value for name, value in os.environ.items() if not name.startswith("GW_")}
     return await asyncio.create_subprocess_exec(
         sys.executable,
@@ -165,11 +167,11 @@
 
 
 async def measure(case: Case, starts: int, bound_s: float = BOUND_S) -> list[float]:
-    """Returns the seconds from each restart to the first PONG; ``bound_s`` where none had come by then."""
+    """Return the seconds from each restart to the first PONG; ``bound_s`` if none arrived by then."""
     reserved, port = reserve_port()
     address = ("127.0.0.1", port)
     with tempfile.TemporaryDirectory(prefix="sageturn-lab-") as folder:
-        async with discovery(case.state) as discovery_address:
+        async with running_discovery(case.state) as discovery_address:
             file = write_config(Path(folder), case, address, discovery_address)
             durations_s = await _measure_restarts(case, file, address, starts, bound_s)
     reserved.close()
@@ -181,7 +183,7 @@
 ) -> list[float]:
     loop = asyncio.get_running_loop()
     durations_s: list[float] = []
-    process = await start(file)
+    process = await start_relay(file)
     try:
         async with asyncio.timeout(READY_TIMEOUT_S):
             connections = [await first_pong(address) for _ in range(OPEN_CONNECTIONS)]
@@ -189,7 +191,7 @@
             process.send_signal(case.signal)
             await process.wait()
             started_s = loop.time()
-            process = await start(file)
+            process = await start_relay(file)
             with suppress(TimeoutError):
                 async with asyncio.timeout(bound_s):
                     connections.append(await first_pong(address))
@@ -203,25 +205,25 @@
     return durations_s
 
 
-def row(case: Case, durations_s: list[float]) -> str:
-    """Returns the row of a case in the table."""
+def format_row(case: Case, durations_s: list[float]) -> str:
+    """Return the row of a case in the Markdown table."""
     ordered = sorted(durations_s)
     median = ordered[len(ordered) // 2]
     ninth_decile = ordered[(len(ordered) * 9 - 1) // 10]
-    late = sum(duration_s >= BOUND_S for duration_s in ordered)
-    return f"| {case} | {len(ordered)} | {median:.2f} | {ninth_decile:.2f} | {ordered[-1]:.2f} | {late} |"
+    unready = sum(duration_s >= BOUND_S for duration_s in ordered)
+    return f"| {case} | {len(ordered)} | {median:.2f} | {ninth_decile:.2f} | {ordered[-1]:.2f} | {unready} |"
 
 
 async def print_table(starts: int) -> None:
-    """Measures all cases, and prints a Markdown table."""
+    """Measure all cases, and print a Markdown table."""
     print("| restart | starts | median s | nine in ten s | longest s | not ready in 10 s |")
     print("| --- | --- | --- | --- | --- | --- |")
-    for case in cases():
-        print(row(case, await measure(case, starts)), flush=True)
+    for case in list_cases():
+        print(format_row(case, await measure(case, starts)), flush=True)
 
 
 def main() -> None:
-    """Runs the command."""
+    """Run the command."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--starts", type=int, default=10, help="restarts of each case")
     asyncio.run(print_table(parser.parse_args().starts))
--- a/sageturn/lab/rebalancing.py
+++ b/sageturn/lab/rebalancing.py
@@ -1,8 +1,8 @@
-"""Measures rebalancing beside *off* and beside a naive policy.
+"""Command that measures rebalancing in comparison with *off* and with a naive policy.
 
-python -m sageturn.lab.rebalancing loopback     # 4 relays, 12 hosts, 2,000 connections, 6 minutes
-python -m sageturn.lab.rebalancing simulated    # up to 1,000 hosts, 200 relays, a million connections
-python -m sageturn.lab.rebalancing cost         # the driver's CPU and memory at 10,000 connections
+python -m sageturn.lab.rebalancing loopback     # 4 relays, 12 endpoints, 2,000 connections, 6 minutes
+python -m sageturn.lab.rebalancing simulated    # up to 1,000 endpoints, 200 relays, a million connections
+python -m sageturn.lab.rebalancing cost         # CPU time and memory of the planner at 10,000 connections
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoopbackJob:
-    """A run on loopback with one planner; it is passed to a process of its own."""
+    """Run on loopback with one planner, as it is passed to a worker process."""
 
     spec: FleetSpec
     planner: PlannerKind
@@ -59,7 +59,7 @@
 
 
 def measure_loopback(options: argparse.Namespace) -> None:
-    """Runs real relays on loopback: each planner in processes of its own, all at once on the same machine."""
+    """Run real relays on loopback with each planner; all planners run in parallel on the same machine."""
     spec = FleetSpec(connections=options.connections, seed=options.seed)
     planners = [PlannerKind(name) for name in options.planners]
     jobs = [LoopbackJob(spec, planner, options.seconds, not options.quiet) for planner in planners]
@@ -73,8 +73,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FleetSize:
-    """Numbers of relays, hosts and clients of a simulated deployment."""
+class SimulatedFleetSize:
+    """Numbers of endpoints, relays and connections of a simulated fleet."""
 
     endpoints: int
     relays: int
@@ -83,19 +83,19 @@
 
 SMALL = "small"
 FLEET_SIZES = {
-    SMALL: FleetSize(12, 4, 2000),
-    "100": FleetSize(100, 20, 100_000),
-    "300": FleetSize(300, 60, 300_000),
-    "1000": FleetSize(1000, 200, 1_000_000),
+    SMALL: SimulatedFleetSize(12, 4, 2000),
+    "100": SimulatedFleetSize(100, 20, 100_000),
+    "300": SimulatedFleetSize(300, 60, 300_000),
+    "1000": SimulatedFleetSize(1000, 200, 1_000_000),
 }
 
 
 def spec_of_size(name: str, seed: int) -> FleetSpec:
-    """Returns the fleet of a size in ``FLEET_SIZES``; from 100 endpoints on a quarter of them joins later."""
+    """Return the fleet of a size in ``FLEET_SIZES``; a quarter of 100 or more endpoints joins later."""
     if name == SMALL:
         return FleetSpec(seed=seed)
     size = FLEET_SIZES[name]
-    # At the default lifetime, the arrivals of so many connections would take all of the machine's cores.
+    # At the default lifetime, the arrival rate of so many connections would need all of the machine's cores.
     return FleetSpec(
         relays=size.relays,
         hosts=size.endpoints,
@@ -108,7 +108,7 @@
 
 
 def measure_simulated(options: argparse.Namespace) -> None:
-    """Simulates each size with each planner, one after the other."""
+    """Simulate each size with each planner, one after the other."""
     for size in options.sizes:
         spec = spec_of_size(size, options.seed)
         rows = {name: _measure_simulated(spec, PlannerKind(name), options) for name in options.planners}
@@ -117,33 +117,33 @@
 
 
 def _measure_simulated(spec: FleetSpec, planner: PlannerKind, options: argparse.Namespace) -> Row:
-    began_s = time.monotonic()
+    started_s = time.monotonic()
 
-    def on_progress(now_s: float, series: SimulationResult) -> None:
+    def on_progress(now_s: float, result: SimulationResult) -> None:
         if not options.quiet and now_s % SIMULATED_PROGRESS_INTERVAL_S == 0:
-            progress = f"{planner:6} {now_s:4.0f} s  ratio {series.imbalance_ratios[-1]:.2f}"
+            progress = f"{planner:6} {now_s:4.0f} s  ratio {result.imbalance_ratios[-1]:.2f}"
             progress += (
-                f"  moved {series.counts[ClientEvent.MIGRATED]}  after {time.monotonic() - began_s:.0f} s"
+                f"  moved {result.counts[ClientEvent.MIGRATED]}  after {time.monotonic() - started_s:.0f} s"
             )
             print(progress, file=sys.stderr, flush=True)
 
     variant = RelayVariant(planner, RebalanceOptions(mode=RebalanceMode.ON))
-    series = simulate(spec, variant, options.seconds, processes=options.processes, on_second=on_progress)
-    return simulated_row(spec, series, time.monotonic() - began_s)
+    result = simulate(spec, variant, options.seconds, processes=options.processes, on_second=on_progress)
+    return simulated_row(spec, result, time.monotonic() - started_s)
 
 
 # ---------------------------------------------------------------- cost
 
 
 def measure_cost(options: argparse.Namespace) -> None:
-    """Measures the planner's CPU time and memory."""
+    """Measure the planner's CPU time and memory."""
     cost = PlannerCost(options.connections)
     cost.run()
     print_table("cost of the driver in one relay", {"on": cost.row()}, options.json)
 
 
 def main() -> None:
-    """Parses the command line, and runs a command."""
+    """Parse the command line, and run a command."""
     common = argparse.ArgumentParser(add_help=False)
     common.add_argument("--json", action="store_true", help="one line of JSON a table")
     common.add_argument("--quiet", action="store_true", help="no progress")
--- a/sageturn/lab/spreading.py
+++ b/sageturn/lab/spreading.py
@@ -1,10 +1,10 @@
-"""Measures what replication costs on one link, beside the exchange of full digests that came before it.
+"""Command that compares the cost of replication on one link with the former exchange of full digests.
 
     python -m sageturn.lab.spreading                # 100 to 100,000 keys
 
-Two stores replicate on loopback, in one process: bytes are those of the frames with their authentication
-tags, and processor time is that of both sides halved. The former digests are made, encoded, decoded and
-compared as they were, once every 2 s on each side, over the same records in the same run.
+Two stores replicate on loopback, in one process. Bytes are counted in frames with their authentication tags,
+and the CPU time of a side is half of the process's. The former digests are made, encoded, decoded and
+compared as they used to be, once every 2 s on each side, for the same records in the same run.
 """
 
 from __future__ import annotations
@@ -29,46 +29,46 @@
 from sageturn.store.store import Store
 
 DIGEST_INTERVAL_S = 2.0
-DIGEST_TAG_BYTES = 36
+DIGEST_TAG_BYTES = 36  # size of the authentication tag of a former digest
 SECRET = read_secret("lab")
 MAX_BYTES_PER_S = 1e8
 LIMITS = ProcessLimits(64, 192.0)
-HOST_COUNT = 97
+ENDPOINT_COUNT = 97
 CHANGE_COUNT = 20
 POLL_INTERVAL_S = 0.002
 
 
 @dataclass(frozen=True, slots=True)
 class _Cost:
-    """Cost of one side."""
+    """Cost of replication on one side."""
 
     bytes_per_s: float
-    core: float  # of one, from 0 to 1
+    core: float  # CPU load as a fraction of one core, 0 to 1
 
 
 @dataclass(frozen=True, slots=True)
 class _SnapshotCost:
-    """Cost of the first transfer of all records, of both sides together."""
+    """Cost of the initial transfer of all records, for both sides together."""
 
     size_bytes: int
     duration_s: float
     cpu_s: float
 
 
-class _Pair:
-    """Two members that replicate; the second starts empty."""
+class _MemberPair:
+    """Two members that replicate with each other; the second starts empty."""
 
     def __init__(self, key_count: int) -> None:
         self.first = _start_member("one")
         for number in range(key_count):
             self.first.replica.store.put(
-                f"config/shard/{number}", {"host": f"s-{number % HOST_COUNT}", "epoch": number}
+                f"config/shard/{number}", {"host": f"s-{number % ENDPOINT_COUNT}", "epoch": number}
             )
         self.second = _start_member("two", self.first.address)
         self.members = (self.first, self.second)
 
     async def measure_snapshot(self) -> _SnapshotCost:
-        """Measures how long it takes until the second member has all records, and at what cost."""
+        """Measure the bytes, time and CPU time until the second member has all records."""
         await _wait_until(lambda: bool(self.first.link_count and self.second.link_count))
         started_cpu_s = time.process_time()
         duration_s = await _wait_until(
@@ -78,7 +78,7 @@
         return _SnapshotCost(self.first.replica.budget.consumed_bytes, duration_s, cpu_s)
 
     async def measure_idle(self, seconds: float) -> _Cost:
-        """Returns the mean cost of a side while nothing changes."""
+        """Return the mean cost of a side while nothing changes."""
         await _wait_until(
             lambda: all(member.replica.sessions[0].change_exchange.is_delivered for member in self.members)
         )
@@ -93,22 +93,22 @@
         return _Cost(sum(rates) / 2, core)
 
     async def measure_changes(self) -> list[int]:
-        """Returns the bytes that the first member sends for each of some changes."""
+        """Return the bytes that the first member sends for each of ``CHANGE_COUNT`` changes."""
         sizes_bytes = []
         for number in range(CHANGE_COUNT):
             key = f"config/shard/{number}"
             before_bytes = self.first.replica.budget.consumed_bytes
             self.first.replica.store.put(key, {"host": "s-0", "epoch": -number})
-            await _wait_until(partial(self._has_arrived, key, -number))
+            await _wait_until(partial(self._is_replicated, key, -number))
             sizes_bytes.append(self.first.replica.budget.consumed_bytes - before_bytes)
         return sizes_bytes
 
-    def _has_arrived(self, key: str, epoch: int) -> bool:
+    def _is_replicated(self, key: str, epoch: int) -> bool:
         record = self.second.replica.store.get(key) or {}
         return record.get("epoch") == epoch
 
     async def stop(self) -> None:
-        """Stops the second member, and then the first."""
+        """Stop the second member, and then the first."""
         for member in reversed(self.members):
             await member.stop()
 
@@ -121,7 +121,7 @@
 
 
 def _measure_digest(store: Store) -> _Cost:
-    """Returns the cost of the former digests on one side: one sent and one compared in each interval."""
+    """Return the cost of the former digests on one side, which sent one and compared one in each interval."""
     started_cpu_s = time.process_time()
     payload = json.dumps({"digest": store.digest()}, separators=(",", ":")).encode()
     decoded = json.loads(payload)["digest"]
@@ -134,7 +134,7 @@
 
 
 async def _wait_until(condition: Callable[[], bool]) -> float:
-    """Waits until a condition holds. Returns the seconds that it took."""
+    """Wait until a condition holds, and return the seconds that it took."""
     started_s = time.monotonic()
     while not condition():
         await asyncio.sleep(POLL_INTERVAL_S)
@@ -142,7 +142,7 @@
 
 
 async def _measure(key_count: int, seconds: float) -> Row:
-    pair = _Pair(key_count)
+    pair = _MemberPair(key_count)
     snapshot = await pair.measure_snapshot()
     idle = await pair.measure_idle(seconds)
     changes_bytes = await pair.measure_changes()
@@ -161,7 +161,7 @@
 
 
 def main() -> None:
-    """Measures each number of keys, and prints the figures."""
+    """Measure replication with each number of keys, and print the figures."""
     parser = argparse.ArgumentParser(prog="sageturn.lab.spreading", description=__doc__)
     parser.add_argument("--keys", default="100,1000,10000,27000,100000")
     parser.add_argument("--seconds", type=float, default=5.0)
--- a/tests/lab/test_client_disconnect_recorder.py
+++ b/tests/lab/test_client_disconnect_recorder.py
@@ -1,4 +1,4 @@
-"""The relay in the measurement of client disconnects, which replaces functions by their names."""
+"""The recording relay of the experiment on client disconnects replaces functions that exist."""
 
 from __future__ import annotations
 
--- a/tests/lab/test_soak.py
+++ b/tests/lab/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak's plans and shims, and one small run of real processes."""
+"""The soak test's plans and shims, and small runs of real processes."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 ROOT = Path(__file__).parents[2]
 
 SMALL = SoakSize(relays=2, hosts=2, requests_per_s=20.0)
-# Timing on a machine that is busy with other tests is judged by the soak itself, which runs alone.
+# Rules that do not depend on timing: other tests may load the machine, whereas a full soak runs alone.
 TIMELESS_RULES = {
     Rule.ANSWERED_ONCE,
     Rule.ATTEMPT_LIMIT,
@@ -44,7 +44,7 @@
 }
 
 
-def test_a_seed_gives_one_plan_and_troubles_overlap() -> None:
+def test_a_seed_gives_one_plan_with_several_kinds_of_faults() -> None:
     plans = [draw_plan(seed, SoakSize()) for seed in range(50)]
     assert plans == [draw_plan(seed, SoakSize()) for seed in range(50)]
     drawn = {fault.kind for plan in plans for fault in plan.faults}
@@ -69,31 +69,31 @@
         assert plan.wall_clock_offset_s(1.0) == 0.0 or plan.faults_of(FaultKind.CLOCK_STEP)
 
 
-def test_variants_change_the_deployment_and_nothing_that_is_drawn() -> None:
-    usual = draw_plan(7, SoakSize())
-    changed = draw_plan(7, SoakSize(), variants=list(Variant))
-    assert changed == replace(usual, variants=tuple(Variant))
-    settings = [read_settings(relay_settings(plan, 0)) for plan in (usual, changed)]
+def test_variants_change_the_deployment_and_no_random_draws() -> None:
+    default_plan = draw_plan(7, SoakSize())
+    variant_plan = draw_plan(7, SoakSize(), variants=list(Variant))
+    assert variant_plan == replace(default_plan, variants=tuple(Variant))
+    settings = [read_settings(relay_settings(plan, 0)) for plan in (default_plan, variant_plan)]
     assert [each.discovery for each in settings] == ["ask", "push"]
     assert [each.probes for each in settings] == [False, True]
 
 
-def test_the_lives_of_endpoints_follow_one_another_and_are_told_in_order() -> None:
+def test_incarnations_of_an_endpoint_do_not_overlap_and_changes_are_ordered() -> None:
     for seed in range(50):
         plan = draw_plan(seed, SoakSize())
         for incarnation in plan.incarnations:
             assert incarnation.start_s < min(incarnation.drain_s, incarnation.end_s) and not (
                 incarnation.is_crash and incarnation.drain_s < NEVER_S
             )
-        by_name: dict[str, list[float]] = {}
+        ends_by_name: dict[str, list[float]] = {}
         for incarnation in sorted(plan.incarnations, key=lambda each: each.start_s):
-            assert incarnation.start_s >= by_name.get(incarnation.name, [-NEVER_S])[-1]
-            by_name.setdefault(incarnation.name, []).append(incarnation.end_s)
+            assert incarnation.start_s >= ends_by_name.get(incarnation.name, [-NEVER_S])[-1]
+            ends_by_name.setdefault(incarnation.name, []).append(incarnation.end_s)
         changes = list_changes(plan)
         assert changes == sorted(changes, key=lambda change: change.at_s)
 
 
-SHIMMED = """
+SHIM_SCRIPT = """
 import errno, os, socket, sys, time
 from random import Random
 from sageturn.lab.soak.plan import ScheduledFault, FaultKind
@@ -139,21 +139,21 @@
 )
 def test_shims_fail_as_linux_documents(trouble: str, expected: set[str]) -> None:
     result = subprocess.run(
-        [sys.executable, "-c", SHIMMED, trouble], capture_output=True, text=True, check=True, timeout=60
+        [sys.executable, "-c", SHIM_SCRIPT, trouble], capture_output=True, text=True, check=True, timeout=60
     )
     found, _, stepped = result.stdout.strip().rpartition(" ")
     assert expected <= set(ast.literal_eval(found)) and (stepped == "True") == (trouble == "clock_step")
 
 
 def test_relays_are_started_by_the_shell_of_the_deploy_file() -> None:
-    # A reload in the first moments of a process ended it: without the shell nothing ignored the signal yet.
+    # A reload in the first moments of a process terminated it: without the shell, nothing ignored SIGHUP yet.
     run = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
     shell_part = START_SHELL[2].removesuffix(' exec "$@"')
     assert run.startswith(f"{shell_part} exec ")
 
 
 @pytest.mark.parametrize("variants", [[], list(Variant)])
-def test_a_small_run_serves_and_keeps_the_rules(
+def test_a_small_run_serves_requests_and_obeys_the_rules(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, variants: list[Variant]
 ) -> None:
     monkeypatch.setattr(soak_run, "START_TIME_S", 5.0)
--- a/tests/lab/test_soak_auditor.py
+++ b/tests/lab/test_soak_auditor.py
@@ -1,4 +1,4 @@
-"""The soak's auditor finds each kind of broken rule, and nothing in a run that keeps them."""
+"""The soak's auditor finds violations of each rule, and none in a run that obeys them."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     RelayRecord,
 )
 
-STARTED_S = 100.0  # of the run
+STARTED_S = 100.0  # start of the run
 PROCESS = 7
 OLD = EndpointIncarnation("s0", 0, -60.0, NEVER_S, NEVER_S)
 DRAINING = EndpointIncarnation("s1", 0, -60.0, 1.0, 5.0)
@@ -43,13 +43,13 @@
 
 
 def client(request: str = "q1", **fields: Any) -> ClientRecord:
-    """One that was served from 101 s on and left at 104 s, unless ``fields`` say otherwise."""
+    """Return the record of a client served from 101 s to 104 s; ``fields`` override its fields."""
     values = {"sent_s": 101.0, "answer": f"UP {request}", "answered_s": 101.1, "left_s": 104.0}
     return replace(ClientRecord(request, 0, PROCESS, 2.0, Effect.SAFE), **{**values, **fields})
 
 
 def attempt(request: str = "q1", incarnation: EndpointIncarnation = OLD, **fields: Any) -> AttemptRecord:
-    """One that was sent at 101.05 s and answered."""
+    """Return the record of an answered attempt that was sent at 101.05 s; ``fields`` override its fields."""
     values = {"first_byte_s": 101.05, "complete_s": 101.05, "answer": "UP", "ended_s": 104.0}
     record = AttemptRecord(incarnation.name, STARTED_S + incarnation.start_s, request)
     return replace(record, **{**values, **fields})
@@ -72,7 +72,7 @@
     return {violation.rule for violation in Auditor(make_plan(effect), evidence).find_violations()}
 
 
-def test_a_run_that_keeps_the_rules() -> None:
+def test_a_run_that_obeys_the_rules_has_no_violations() -> None:
     retried = attempt(answer="b'BUSY\\r\\n'", first_byte_s=101.01, complete_s=101.01, ended_s=101.02)
     assert broken_rules([client()], [retried, attempt()], effect=Effect.UNSAFE) == set()
 
@@ -93,20 +93,20 @@
         ({"answer": "", "answered_s": 0.0, "is_bad": True, "left_s": 105.0}, Rule.BAD_CLIENT_ANSWERED),
     ],
 )
-def test_what_clients_are_owed(fields: dict[str, Any], rule: Rule) -> None:
+def test_broken_obligations_to_clients_are_found(fields: dict[str, Any], rule: Rule) -> None:
     assert broken_rules([client(**fields)], [attempt()]) == {rule}
 
 
-def test_a_killed_relay_owes_nothing_and_a_moved_client_was_ended_in_order() -> None:
-    lost = client(answer="", answered_s=0.0, left_s=0.0, ended_s=102.0, end="reset")
+def test_a_killed_relay_need_not_answer_and_a_moved_client_was_ended_in_order() -> None:
+    disconnected = client(answer="", answered_s=0.0, left_s=0.0, ended_s=102.0, end="reset")
     killed = relay(killed_s=102.0, terminated_s=0.0, exit_code=-9)
-    assert broken_rules([lost], [], process=killed) == set()
+    assert broken_rules([disconnected], [], process=killed) == set()
     assert broken_rules([client(is_moved=True, **RELAY_ENDED)], [attempt()]) == set()
     by_endpoint = attempt(ended_s=102.0, is_ended_by_endpoint=True)
     assert broken_rules([client(**RELAY_ENDED)], [by_endpoint]) == set()
 
 
-def test_attempts_are_limited_and_one_after_the_other() -> None:
+def test_attempts_are_limited_and_sequential() -> None:
     many = [
         attempt(
             first_byte_s=101.0 + 0.1 * number, complete_s=101.0 + 0.1 * number, ended_s=101.05 + 0.1 * number
@@ -127,32 +127,32 @@
         (Effect.UNSAFE, 101.5, True),
     ],
 )
-def test_what_may_have_run_is_not_repeated(effect: Effect, second_s: float, broken: bool) -> None:
+def test_a_request_that_may_have_run_is_not_repeated(effect: Effect, second_s: float, broken: bool) -> None:
     first = attempt(answer="", ended_s=101.1)
     second = attempt(first_byte_s=second_s, complete_s=second_s)
     found = broken_rules([client()], [first, second], effect=effect)
     assert found == ({Rule.REPEATABLE} if broken else set())
 
 
-def test_nothing_is_begun_for_a_client_that_has_left() -> None:
+def test_no_attempt_begins_after_the_client_has_disconnected() -> None:
     left = client(answer="", answered_s=0.0, left_s=101.2)
     late = attempt(first_byte_s=101.6, complete_s=101.6, answer="", ended_s=101.7)
     assert broken_rules([left], [late]) == {Rule.CLIENT_PRESENT}
     assert broken_rules([left], [replace(late, first_byte_s=101.25, complete_s=101.25)]) == set()
 
 
-def test_nothing_is_sent_past_the_grace_of_a_drain() -> None:
+def test_no_request_is_sent_past_the_grace_of_a_drain() -> None:
     notification = EndpointNotification(PROCESS, "s1", STARTED_S + DRAINING.start_s, 101.3)
     in_time = attempt(incarnation=DRAINING, first_byte_s=101.3 + DRAIN_GRACE_S, complete_s=101.6)
     assert broken_rules([client()], [in_time], notifications=[notification]) == set()
     late = replace(in_time, first_byte_s=101.9, complete_s=101.9)
     assert broken_rules([client()], [late], notifications=[notification]) == {Rule.DRAIN}
-    assert broken_rules([client()], [late]) == set()  # it need not know before 6 s have passed
+    assert broken_rules([client()], [late]) == set()  # a relay counts as notified after 6 s at the latest
     much_later = replace(late, first_byte_s=108.0, complete_s=108.0, ended_s=109.0)
     assert broken_rules([client(sent_s=107.9, answered_s=108.1, left_s=109.0)], [much_later]) == {Rule.DRAIN}
 
 
-def test_a_pushed_list_counts_as_known_at_once_but_for_outages_silence_and_reloads() -> None:
+def test_a_pushed_list_counts_as_received_at_once_except_after_outages_stalls_and_reloads() -> None:
     # The drain begins at 101 s, and the agent has it 0.2 s later.
     def rules(begun_s: float, *faults: ScheduledFault, **process: Any) -> set[Rule]:
         plan = replace(make_plan(), variants=(Variant.PUSHED_LISTS,), faults=list(faults))
@@ -173,7 +173,7 @@
     assert (rules(102.4, started_s=102.0), rules(102.9, started_s=102.0)) == (set(), {Rule.DRAIN})
 
 
-def test_all_relays_together_stay_inside_the_budget_of_an_endpoint_that_starts() -> None:
+def test_all_relays_together_obey_the_budget_of_an_endpoint_in_slow_start() -> None:
     auditor = Auditor(make_plan(), Evidence())
     bound = int(auditor.max_attempts_in_window(1.0))
     many = [
@@ -195,7 +195,7 @@
         ({"log_errors": ["Traceback"]}, Rule.RELAY_LOG),
     ],
 )
-def test_relays_end_in_order_and_log_no_fault(fields: dict[str, Any], rule: Rule) -> None:
+def test_relays_exit_in_order_and_log_no_errors(fields: dict[str, Any], rule: Rule) -> None:
     assert broken_rules([], [], process=relay(**fields)) == {rule}
 
 
