--- a/sageturn/lab/demo.py
+++ b/sageturn/lab/demo.py
@@ -34,8 +34,9 @@
 # Faster settings than an operator would choose, so that migrations happen within two minutes.
 REBALANCE = {"part_per_min": 0.4, "tick_s": 0.5, "least_age_s": 1.0}
 BAR_WIDTH = 40  # number of characters at twice the mean utilization
-HIGH_RATIO = 1.15  # ratio of an endpoint's utilization to the mean, shown in red if exceeded
-LOW_RATIO = 0.7  # the same, shown in yellow if not reached
+# Ratios of an endpoint's utilization to the mean: its bar is red over the high one, yellow under the low one.
+HIGH_RATIO = 1.15
+LOW_RATIO = 0.7
 REFRESHES_PER_S = 4
 
 
--- a/sageturn/lab/measurements/override_propagation.py
+++ b/sageturn/lab/measurements/override_propagation.py
@@ -36,9 +36,8 @@
 
 SPEC = FleetSpec(relays=3, hosts=12, initial_hosts=12, connections=600, mean_lifetime_s=6.0)
 SECRET = "lab"
-GRACE_S = (
-    0.5  # time past all relays' reports of the override, after which none may place a request on the endpoint
-)
+# No relay may place a request on the endpoint later than this after all relays have reported the override.
+GRACE_S = 0.5
 WARM_UP_S = 3.0
 OBSERVATION_S = 1.5
 ROUND_S = 3.0
--- a/sageturn/lab/rebalancing.py
+++ b/sageturn/lab/rebalancing.py
@@ -91,7 +91,7 @@
 
 
 def spec_of_size(name: str, seed: int) -> FleetSpec:
-    """Return the fleet of a size in ``FLEET_SIZES``; a quarter of 100 or more endpoints joins later."""
+    """Return the fleet of a size in ``FLEET_SIZES``; except in the small one, 1/4 of endpoints join later."""
     if name == SMALL:
         return FleetSpec(seed=seed)
     size = FLEET_SIZES[name]
--- a/sageturn/lab/soak/plan.py
+++ b/sageturn/lab/soak/plan.py
@@ -20,19 +20,19 @@
 RESTART_PAUSE_S = 0.8  # time between an endpoint's crash and its next start
 SUSPENSION_S = 0.12  # duration of a relay's suspension by SIGSTOP
 STORM_FAULT_COUNT = 3
-# A plan's request semantics is drawn from these; half of the plans have safe requests.
+# The effect of a repeated request is drawn from these; half of the plans have safe requests.
 EFFECTS = (Effect.SAFE, Effect.SAFE, Effect.KEYED, Effect.UNSAFE)
 HOUR_S = 3600.0
 CLOCK_STEPS_S = (-HOUR_S, -5.0, 5.0, HOUR_S)
 CLOCK_STEPS_PER_RELAY = 3  # steps of a series while the relay runs
-SERIES_SPAN_S = (2.0, 11.0)  # earliest and latest begin of a signal series or a clock step
+SERIES_SPAN_S = (2.0, 11.0)  # earliest and latest start of a signal series or a clock step
 BEFORE_START_S = -60.0  # time of a clock step that precedes the relay's start
 NEVER_S = 1e9  # substitute for infinity, which JSON cannot encode
 SLOW_START_WINDOW_S = 2.0  # window of the attempt budget of an endpoint in slow start
 WARM_UP_S = 5.0  # duration of the slow start
 START_CAPACITY = 0.08  # fraction of the full capacity at the beginning of the slow start
-FALL_MULTIPLE = 2.0
-DRAIN_GRACE_S = 0.3
+FALL_MULTIPLE = 2.0  # factor of the slow start's budget
+DRAIN_GRACE_S = 0.3  # time past a drain's notification in which attempts may still begin
 MAX_ATTEMPTS = 3
 REQUEST_TIMEOUT_S = 2.0
 KEY_TTL_S = 1.5
@@ -42,7 +42,7 @@
 
 
 class EndpointMode(StrEnum):
-    """A faulty treatment of new connections by an endpoint."""
+    """Faulty behaviour of an endpoint towards new connections."""
 
     HANG = "hang"  # reads the request, and never answers
     RESET = "reset"  # resets the connection once the request is complete
@@ -52,7 +52,7 @@
 
 
 class FaultKind(StrEnum):
-    """The kind of a fault."""
+    """Kind of a fault."""
 
     RELAY_RESTART = "relay_restart"  # SIGTERM, and a new process once it has exited
     RELAY_KILL = "relay_kill"  # SIGKILL, and a new process
@@ -121,7 +121,7 @@
     name: str
     host: int  # index of the soak's host process that runs the endpoint
     start_s: float
-    drain_s: float  # begin of the drain; NEVER_S if the endpoint does not drain
+    drain_s: float  # start of the drain; NEVER_S if the endpoint does not drain
     end_s: float  # NEVER_S if the endpoint outlives the run
     is_crash: bool = False  # True if the process ends without a drain
     port: int = 0
--- a/sageturn/lab/soak/soak_run.py
+++ b/sageturn/lab/soak/soak_run.py
@@ -44,7 +44,7 @@
             for _ in {(incarnation.name, incarnation.host) for incarnation in self.plan.incarnations}
         ]
         self._relays: list[SoakRelay] = []
-        self._hosts: list[asyncio.subprocess.Process] = []
+        self._host_processes: list[asyncio.subprocess.Process] = []
 
     async def execute(self) -> list[Violation]:
         """Run the plan to its end, and return the violations; ``evidence`` has the records."""
@@ -60,7 +60,7 @@
         discovery = SoakDiscovery(plan, lambda relay: self._relays[relay].record.process)
         try:
             await discovery.start()
-            await self._start_hosts()
+            await self._start_host_processes()
             await self._run_with_discovery(discovery)
         finally:
             discovery.stop()
@@ -99,7 +99,7 @@
                 ports[incarnation.name] = unused.pop()
             self.plan.incarnations[number] = replace(incarnation, port=ports[incarnation.name])
 
-    async def _start_hosts(self) -> None:
+    async def _start_host_processes(self) -> None:
         for host in range(self.plan.size.hosts):
             process = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -109,10 +109,10 @@
                 str(host),
                 str(self._folder / f"host-{host}.json"),
             )
-            self._hosts.append(process)
+            self._host_processes.append(process)
 
     async def _kill_all(self) -> None:
-        for process in self._hosts:
+        for process in self._host_processes:
             with suppress(TimeoutError):
                 await asyncio.wait_for(process.wait(), HOST_TIMEOUT_S)
             if process.returncode is None:
