--- a/sageturn/core/balancer_actor.py
+++ b/sageturn/core/balancer_actor.py
@@ -79,7 +79,7 @@
         self._reported_overdrawn_permits = 0
         self.check_endpoint_health = check_endpoint_health
 
-    # ------------------------------------------------------------ interface of requests and subsystems
+    # ------------------------------------------------------------ methods called by other subsystems
 
     @property
     def balancer(self) -> Balancer:
--- a/sageturn/core/clock.py
+++ b/sageturn/core/clock.py
@@ -38,7 +38,7 @@
     It reads no clock itself: the readings are passed in. It is unknown whether the clock of the machine that
     wrote a timestamp was stepped as well, and when. A timestamp is therefore converted to the latest moment
     that any shift seen here allows. An endpoint may then seem younger than it is and get less load than it
-    can bear, but it never seems older and gets too much.
+    can bear, but it never seems older, so it is never sent too much.
 
     No observed shift is ever discarded. Memory is bounded by merging the two closest ranges of shifts into
     one that covers both, which can only make the converted moments later.
@@ -141,8 +141,8 @@
     def record_recent_start(self, endpoint: str, wall_ms: float, earliest_ms: float) -> None:
         """Record that a process with the start ``wall_ms`` cannot have started before ``earliest_ms``.
 
-        The clock that wrote the timestamp then differs from the relay's time, and this difference is taken
-        into account for all timestamps from now on.
+        The clock that wrote the timestamp is then known to differ from the relay's time, and this difference
+        is taken into account for all timestamps from now on.
         """
         now_ms = self.now_ms()
         self._history.record_moment(wall_ms, earliest_ms, now_ms)
--- a/sageturn/core/invariants.py
+++ b/sageturn/core/invariants.py
@@ -18,7 +18,7 @@
     SINGLE_ATTEMPT = "single_attempt"  # a request has at most one attempt in flight
     ATTEMPT_LIMIT = "attempt_limit"  # a request has no more attempts than the settings allow
     REPEATABLE = "repeatable"  # a request that may have been executed is repeated only if that is harmless
-    RESPONSE_IN_TIME = "response_in_time"  # the final response is sent before the client ignores it
+    RESPONSE_IN_TIME = "response_in_time"  # the final response is sent before the client counts it as lost
     ANSWERED = "answered"  # a connected client is answered before its connection is closed
     SLOW_START_PERMIT = "slow_start_permit"  # an endpoint in slow start is sent attempts only with a permit
 
--- a/sageturn/core/request_lifecycle.py
+++ b/sageturn/core/request_lifecycle.py
@@ -36,7 +36,7 @@
 
 log = logging.getLogger(__name__)
 
-DECISION_TIMEOUT_S = 0.2  # margin after the deadline; the balancer decides on each event at once
+DECISION_TIMEOUT_S = 0.2  # margin after the request's deadline; the balancer decides on each event at once
 
 
 class RequestLifecycle:
--- a/sageturn/core/start_times.py
+++ b/sageturn/core/start_times.py
@@ -2,8 +2,8 @@
 
 Discovery gives the start of each endpoint as Unix time. The system clock may be stepped later, by an hour or
 more, or may differ from the endpoints' clocks from the relay's start on, but slow start depends on the real
-age of the endpoint. A start that discovery lists for the first time can, apart from a delay, be no older than
-the previous list or its latest confirmation, whatever its timestamp says.
+age of the endpoint. A start that discovery lists for the first time cannot precede the previous list, or
+its latest confirmation, by more than ``MAX_LIST_DELAY_MS``, whatever its timestamp says.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
         self._relay_ms: dict[EndpointStart, float] = {}  # listed starts in the relay's time
         # Starts that are no longer listed, in the relay's time, in the order of their removal.
         self._former_relay_ms: OrderedDict[EndpointStart, float] = OrderedDict()
-        self._last_list_ms: float | None = None  # relay's time; None before a complete list
+        self._last_list_ms: float | None = None  # relay's time; None before the first complete list
 
     def convert(
         self,
--- a/sageturn/decision/balancer.py
+++ b/sageturn/decision/balancer.py
@@ -76,7 +76,7 @@
         request_class = self._classes.get(event.class_name) or self.settings.classes[0]
         objective_deadline_ms = min(event.deadline_ms, now_ms + request_class.latency_objective_ms)
         request = RequestState.from_arrival(event, request_class, objective_deadline_ms)
-        request.endpoint = self.fleet.endpoints.get(event.migrated_from)  # placement avoids the latest
+        request.endpoint = self.fleet.endpoints.get(event.migrated_from)  # placement avoids this endpoint
         self.reevaluate_endpoints(now_ms)
         self.requests[event.id] = request
         if not event.retried:
--- a/sageturn/decision/discovery_backoff.py
+++ b/sageturn/decision/discovery_backoff.py
@@ -92,7 +92,7 @@
             self._max_overloaded_delay_ms = max(
                 self._overloaded_base_ms, LONGEST_TO_MEAN_DELAY * MAX_OVERLOAD_FACTOR * slow_excess_ms
             )
-        self._overload_count = 0  # consecutive overloaded calls, less the other failures since
+        self._overload_count = 0  # overloaded calls since the last list, minus other failures; at least 0
         self._fleet_fits_queue = relay_count * FAST_CALL_MS <= MAX_FLEET_CALLS_MS
         self._assumed_down_until_ms = float("-inf")
         self._watch_lost_at_ms = float("-inf")
--- a/sageturn/decision/endpoint_table.py
+++ b/sageturn/decision/endpoint_table.py
@@ -30,9 +30,10 @@
         self.now_ms = 0.0
         self.endpoints: dict[str, EndpointState] = {}  # listed, or removed but with open connections
         self.ready: list[EndpointState] = []  # listed ready and not ejected
-        self.local: list[EndpointState] = []  # ready endpoints in our zone; empty if crossing is free
+        self.local: list[EndpointState] = []  # ready endpoints in our zone; empty if crossing has no cost
         self.ejected: list[EndpointState] = []
-        self.shedding: dict[str, EndpointState] = {}  # endpoints that are sent nothing
+        # Endpoints that are sent nothing until they are reevaluated.
+        self.shedding: dict[str, EndpointState] = {}
         self.rankings: dict[str, list[EndpointState]] = {}  # cache of the group ranking, by group
         self.own_zone = settings.zone if settings.cross_zone_cost else None
         # All zones ever listed, in order of appearance: their relays bring clients even without endpoints.
--- a/sageturn/decision/fleet.py
+++ b/sageturn/decision/fleet.py
@@ -15,8 +15,8 @@
 
 INITIAL_CONCURRENCY_LIMIT = 8  # attempts in flight at one endpoint
 MAX_CONCURRENCY_LIMIT = 32  # higher limits after a long idle time would make the in-flight ratio meaningless
-MAX_UNUSED_ENDPOINTS = 2  # endpoints without own connections that count in the in-flight ratio, at most
-SCARCE_IN_FLIGHT_RATIO = 0.25  # in-flight ratio from which endpoints are scarce and tenants are throttled
+MAX_UNUSED_ENDPOINTS = 2  # largest number of endpoints without own connections in the in-flight ratio
+SCARCE_IN_FLIGHT_RATIO = 0.25  # lowest in-flight ratio at which endpoints are scarce and tenants throttled
 FAILURES_TO_EJECT = 3  # consecutive failures
 CONNECT_FAILURE_WEIGHT = 2  # failures that a failed connect counts as
 EJECTION_MS = 1500.0
--- a/sageturn/decision/group_ranking.py
+++ b/sageturn/decision/group_ranking.py
@@ -42,7 +42,10 @@
         return RankedGroup(self._ranked_endpoints(group), home_count)
 
     def prefer(self, ranked: RankedGroup, endpoint: EndpointState) -> None:
-        """Move an endpoint to the front of the group's cached ranking."""
+        """Move an endpoint to the front of the group's cached ranking.
+
+        The cache drops the ranking when the endpoint list changes, if not before.
+        """
         ranked.endpoints.remove(endpoint)
         ranked.endpoints.insert(0, endpoint)
 
@@ -51,9 +54,10 @@
     ) -> Iterable[EndpointState]:
         """Return the endpoints that a request of the group may spill to, in order of preference.
 
-        A migrated request prefers the endpoints that hold connections of its group, homes included. While
-        endpoints are scarce the group spreads to no further endpoint: only those that hold connections of it
-        and its first ones of other zones are returned, unless the request is ``midflow``.
+        The group's homes are left out, except for a migrated request, which prefers the endpoints that hold
+        connections of its group. While endpoints are scarce the group spreads to no further endpoint: only
+        those that hold connections of it and its first ones of other zones are returned, unless the request
+        is ``midflow``.
         """
         fleet = self._fleet
         group = request.group
--- a/sageturn/decision/relief.py
+++ b/sageturn/decision/relief.py
@@ -16,7 +16,7 @@
 MAX_RELIEF_RATIO = 0.35  # upper bound of the sum of both ratios
 RELIEF_PER_S = 8.0  # connections that all relays together migrate off endpoints over their quota
 MIN_RELIEF_PERIOD_MS = 500.0  # shortest time that all relays take for RELIEF_PER_S migrations
-RELIEF_PERIOD_SPREAD_MS = 1000.0  # uniform jitter added to it, for a mean of 1 s
+RELIEF_PERIOD_SPREAD_MS = 1000.0  # uniform jitter added to MIN_RELIEF_PERIOD_MS, for a mean of 1 s
 
 Migrations = list[actions.Action]
 
@@ -42,7 +42,7 @@
         return self.relieve(endpoint, 1)
 
     def relieve(self, endpoint: EndpointState, count: int | None = None) -> Migrations:
-        """Return migrations of some clients off the endpoint, and set their requests finished.
+        """Return migrations of some clients off the endpoint, and mark their requests as finished.
 
         Args:
             endpoint: The endpoint to relieve.
--- a/sageturn/decision/rendezvous.py
+++ b/sageturn/decision/rendezvous.py
@@ -14,7 +14,7 @@
 
 
 def rank_endpoints(endpoints: Iterable[EndpointState], key: str) -> list[EndpointState]:
-    """Return the endpoints ranked for a key; each is first for a share of keys equal to its weight's."""
+    """Return the endpoints ranked for a key; each is first for keys in proportion to its weight."""
     key_hash = crc32(key.encode())
 
     def score(endpoint: EndpointState) -> float:
--- a/sageturn/decision/settings.py
+++ b/sageturn/decision/settings.py
@@ -13,7 +13,7 @@
 
 from sageturn.decision.errors import InvalidSettingError
 
-DEFAULT_ALLOWANCE_PER_S = 10.0  # if no tenant has an allowance
+DEFAULT_ALLOWANCE_PER_S = 10.0  # total allowance if no tenant has one
 
 
 class Effect(StrEnum):
--- a/sageturn/decision/slow_start.py
+++ b/sageturn/decision/slow_start.py
@@ -22,9 +22,9 @@
 from sageturn.decision.settings import Settings
 
 GOLDEN_RATIO = 0.6180339887498949  # the fractional parts of its multiples are spread evenly
-ROUNDING_MARGIN = 2.0  # attempts per window not issued: permits are whole, and sizes are estimated
+ROUNDING_MARGIN = 2.0  # attempts per window kept unissued, as permits are whole and sizes are estimated
 MAX_STEP_MS = 500.0  # longest step in which the rate of permits is taken as constant
-RANDOM_PERMIT_DEVIATIONS = 3.0  # standard deviations kept unissued if relays do not know their numbers
+RANDOM_PERMIT_DEVIATIONS = 3.0  # margin in standard deviations if relays do not know their numbers
 MIN_VALIDITY_WINDOWS = 0.25  # a permit is valid for at least this part of a window
 
 
@@ -39,7 +39,7 @@
 
     counted_age_ms: float  # age of the endpoint up to which permits are counted
     issued: float  # includes the fraction of the next one
-    spent: int = 0  # taken by an attempt, or expired
+    spent: int = 0  # permits that were taken by an attempt or have expired
 
 
 @dataclass(slots=True)
@@ -47,7 +47,7 @@
     """State of one start of an endpoint at one relay."""
 
     first_seen_age_ms: float  # age of the endpoint when the relay was notified of it
-    rounding_offset: float  # rounds the relay's part of the endpoint's capacity, from 0 to 1
+    rounding_offset: float  # offset from 0 to 1 that rounds the relay's part of the endpoint's capacity
     permits: PermitCount | None = None  # None until the first one is asked for
 
 
--- a/sageturn/decision/state.py
+++ b/sageturn/decision/state.py
@@ -105,7 +105,7 @@
     kind: str  # kind of machine
     state: str  # status in the list, an ``EndpointStatus``
     started_at_ms: float | None  # None if the list does not state it
-    rounding_offset: float  # rounds this relay's part of the endpoint's capacity, from 0 to 1
+    rounding_offset: float  # offset from 0 to 1 that rounds this relay's part of the endpoint's capacity
     connections: EndpointConnections
     ready: bool = False  # listed ready and not ejected
     slow_start: SlowStartState | None = None  # None unless it is in slow start
--- a/sageturn/net/connection_tasks.py
+++ b/sageturn/net/connection_tasks.py
@@ -76,7 +76,7 @@
     async def reject(self, accepted: AcceptedConnection) -> None:
         """Send the rejection to a client that is not admitted, and close its connection.
 
-        The client's first bytes are read before: unread bytes at the close would cause a reset, which could
+        The client's first bytes are read first: unread bytes at the close would cause a reset, which could
         discard the rejection.
         """
         log.debug("connection rejected peer=%s:%d listener=%s:%d", *accepted.peer, *self._listener)
--- a/sageturn/net/sockets.py
+++ b/sageturn/net/sockets.py
@@ -68,7 +68,7 @@
 
 
 async def send_gathered(sock: socket.socket, parts: Sequence[Buffer]) -> None:
-    """Send all ``parts`` with one system call; bytes that the kernel does not accept follow part by part.
+    """Send all ``parts`` with one system call; the bytes not accepted at once follow part by part.
 
     Raises:
         OSError: the connection failed.
@@ -92,7 +92,7 @@
 
     ``poll`` must not block, and may be called from elsewhere as well. Nothing else may read the socket:
     another reader would store its bytes only when its task resumes, and ``poll`` may have stored later ones
-    before.
+    by then.
     """
     loop = asyncio.get_running_loop()
     close_reason: asyncio.Future[CloseReason] = loop.create_future()
