--- a/tests/core/test_close_reasons.py
+++ b/tests/core/test_close_reasons.py
@@ -383,7 +383,7 @@
         await until(lambda: any(lifecycle.is_established for lifecycle in relay.request_registry))
         (lifecycle,) = relay.request_registry
         unwritable_polls = 0
-        while unwritable_polls < 30:  # until the send buffer has been full for 0.3 s
+        while unwritable_polls < 30:  # the send buffer must have been full for 0.3 s
             await asyncio.sleep(0.01)
             writable = not forwarders or select.select([], [forwarders[0].target], [], 0)[1]
             unwritable_polls = 0 if writable else unwritable_polls + 1
--- a/tests/decision/test_balancer_edge_cases.py
+++ b/tests/decision/test_balancer_edge_cases.py
@@ -244,7 +244,8 @@
     driver.update_endpoints([Endpoint("a")], "full")
     assert retry_delays_ms(DiscoveryFailure.OVERLOADED)[0] <= 2000.0
     assert max(retry_delays_ms(DiscoveryFailure.SILENT)) <= 1800.0
-    assert max(retry_delays_ms(DiscoveryFailure.OVERLOADED)) <= 2000.0  # may be down since then
+    # Discovery may be down, which may have ended that watch.
+    assert max(retry_delays_ms(DiscoveryFailure.OVERLOADED)) <= 2000.0
 
 
 def test_no_endpoint_at_all_and_all_gone() -> None:
@@ -362,10 +363,10 @@
     driver = BalancerDriver([Endpoint("only")], tenants=(Tenant("t", 5.0),), relay_count=1, max_attempts=2)
     assert driver.place_request().endpoint == "only"
     retry = driver.end_attempt(1, "error")[0]
-    assert isinstance(retry, PlaceRequest) and retry.endpoint == "only"  # there is no elsewhere
+    assert isinstance(retry, PlaceRequest) and retry.endpoint == "only"  # no other endpoint is listed
     assert isinstance(driver.end_attempt(1, "error")[0], RejectRequest)
     driver.send_request()
-    assert driver.handle(ClientDisconnected(2)) == []  # nothing may be cancelled
+    assert driver.handle(ClientDisconnected(2)) == []  # attempts may not be cancelled
     assert driver.end_attempt(2, "ok", final=True) == [] and not driver.balancer.requests
 
 
--- a/tests/decision/test_discovery_backoff.py
+++ b/tests/decision/test_discovery_backoff.py
@@ -97,7 +97,7 @@
     relay_count: int, max_poll_interval_ms: float, seed: int
 ) -> None:
     # When 200 relays spread their first calls over 26 s, they sent 80 requests to endpoints that had been
-    # removed for 10 s, of which they count as notified by then.
+    # removed 10 s before. A relay is expected to have been notified of a removal by then.
     backoff = DiscoveryBackoff(relay_count, max_poll_interval_ms, Random(seed))
     half_interval_ms = max_poll_interval_ms / 2
     assert backoff.first_call_delay_ms() <= half_interval_ms
--- a/tests/decision/test_health_checks.py
+++ b/tests/decision/test_health_checks.py
@@ -83,7 +83,7 @@
     assert usable_values(values) == {"active": 3.0}
 
 
-# ---------------------------------------------------------------- when to ask
+# ---------------------------------------------------------------- schedule of health checks
 
 
 @given(st.integers(1, 300), st.integers(1, 90), st.floats(0.0001, 0.1), st.integers(0, 40))
@@ -115,7 +115,7 @@
     assert sorted(checks.take_due_endpoints(15000.0, "ab")) == ["a", "b"]
 
 
-# ---------------------------------------------------------------- what the balancer does with reports
+# ---------------------------------------------------------------- reactions of the balancer to reports
 
 
 def report_load(driver: BalancerDriver, endpoint: str, **report: float) -> list[decision.Action]:
@@ -188,7 +188,7 @@
     assert not driver.balancer.fleet.measures_delay()
 
 
-# ---------------------------------------------------------------- on sockets
+# ---------------------------------------------------------------- health checks over loopback
 
 
 @pytest.mark.parametrize(
@@ -220,7 +220,7 @@
         relay.balancer_actor.check_endpoint_health = lambda endpoint: None
         for status, report in outcomes:
             relay.health_check_client.start_check("a")
-            relay.health_check_client.start_check("a")  # one at a time
+            relay.health_check_client.start_check("a")  # ignored while a check is running
             assert await completed.get() == decision.HealthCheckCompleted("a", status, report)
             while relay.health_check_client.checks_in_flight:
                 await asyncio.sleep(0)
--- a/tests/decision/test_quotas.py
+++ b/tests/decision/test_quotas.py
@@ -114,7 +114,8 @@
         if driver.last_id in driver.attempts:
             driver.establish(driver.last_id)
     balancer = driver.balancer
-    assert 12 <= balancer.fleet.open_count <= 16 and rejected_count >= 44  # 0.7 of the quotas, over 40 relays
+    # Two endpoints have a quota of 400 connections each; 40 relays share 0.7 of the sum.
+    assert 12 <= balancer.fleet.open_count <= 16 and rejected_count >= 44
     open_ids = [request_id for request_id, sent in driver.attempts.items() if sent[-1] == "a"]
     balancer.endpoints["a"].quota = QuotaBound(
         2.0, balancer.endpoints["a"].quota.eligible_relays
--- a/tests/decision/test_slow_start.py
+++ b/tests/decision/test_slow_start.py
@@ -319,7 +319,7 @@
     Args:
         kind: The kind of the list with which the relays have started.
         part_listed: The part of the fleet that this list has.
-        each: The connections that an endpoint holds once it is warm.
+        connections_per_endpoint: The connections that an endpoint holds once it is warm.
     """
     relays, endpoint_count = 60, 50
     found = [Endpoint(f"h{number}") for number in range(int(endpoint_count * part_listed))]
