--- a/sageturn/decision/quotas.py
+++ b/sageturn/decision/quotas.py
@@ -153,7 +153,10 @@
     slack: float,
     relay_count: int,
 ) -> list[QuotaBound]:
-    """Return the bounds if crossing zones has a cost; ``quota`` is one relay's, ``slack`` one endpoint's."""
+    """Return one relay's bounds at each endpoint if crossing zones has a cost.
+
+    ``quota`` is the relay's quota of all connections; ``slack`` is added to its bound at each endpoint.
+    """
     zone_count = max(1, len(zone_weights))
     even_weight = (sum(zone_weights.values()) or 1.0) / zone_count
     deficits = {zone: max(0.0, 1.0 - weight / even_weight) for zone, weight in zone_weights.items()}
