--- a/sageturn/cli/connection.py
+++ b/sageturn/cli/connection.py
@@ -25,7 +25,7 @@
     secret_file: Path  # contains the secret that the replicas share
 
     def run(self, action: Callable[[Store], Awaitable[Result]]) -> Result:
-        """Run an action on a synchronized copy of the daemon's store. Returns the action's result.
+        """Run an action on a synchronized copy of the daemon's store. Return the action's result.
 
         The action's writes have reached the daemon when this returns. A failure ends the command.
         """
--- a/sageturn/cli/override_requests.py
+++ b/sageturn/cli/override_requests.py
@@ -111,7 +111,7 @@
         return connection.run(check_and_submit)
 
     def make_operation(self, revision: int, now_ms: float) -> OverrideOperation:
-        """Return the operation that makes the change. Raises InvalidTimeError for an invalid expiry."""
+        """Return the operation that makes the change. Raise InvalidTimeError for an invalid expiry."""
         return OverrideOperation(
             override_id=self.override_id,
             type=self.type,
--- a/sageturn/cli/override_writes.py
+++ b/sageturn/cli/override_writes.py
@@ -46,7 +46,7 @@
 
 
 def create_private_key(file: Path) -> str:
-    """Write a new private key to a file, which must not exist yet. Returns the public key in base64."""
+    """Write a new private key to a file, which must not exist yet. Return the public key in base64."""
     key = Ed25519PrivateKey.generate()
     pem = key.private_bytes(Encoding.PEM, PrivateFormat.PKCS8, NoEncryption())
     try:
--- a/sageturn/config/fields.py
+++ b/sageturn/config/fields.py
@@ -15,7 +15,7 @@
 
 
 def decode_address(path: str, text: str) -> Address:
-    """Return the parsed ``HOST:PORT`` at ``path``; raises ConfigError if it is malformed."""
+    """Return the parsed ``HOST:PORT`` at ``path``; raise ConfigError if it is malformed."""
     try:
         return parse_address(text)
     except ValueError as error:
@@ -23,7 +23,7 @@
 
 
 def check_number(path: str, value: object, minimum: float = 0.0, maximum: float = MAX_NUMBER) -> float:
-    """Return the value at ``path``; raises ConfigError unless it is a number in the range."""
+    """Return the value at ``path``; raise ConfigError unless it is a number in the range."""
     if isinstance(value, bool) or not isinstance(value, (int, float)):
         raise ConfigError(path, WRONG_TYPE)
     if not minimum <= value <= maximum:  # also rejects NaN, which Python's JSON decoder accepts
@@ -39,7 +39,7 @@
     """
 
     def __init__(self, values: object, path: str, *, null_is_absent: bool = False) -> None:
-        """Wrap a decoded JSON object; raises ConfigError if ``values`` is anything else.
+        """Wrap a decoded JSON object; raise ConfigError if ``values`` is anything else.
 
         Args:
             values: the decoded JSON value.
--- a/sageturn/config/files.py
+++ b/sageturn/config/files.py
@@ -27,7 +27,7 @@
 
 
 def read_secret_file(section: ConfigSection, key: str, folder: Path) -> str:
-    """Return the text of the file that ``key`` names, without surrounding white space; raises ConfigError.
+    """Return the text of the file that ``key`` names, without surrounding white space; raise ConfigError.
 
     Secrets have their own files, so that the operator's file can be shown to others.
     """
--- a/sageturn/config/platform.py
+++ b/sageturn/config/platform.py
@@ -54,7 +54,7 @@
 
 
 def read_platform_config(environ: Mapping[str, str], previous: RelayConfig | None = None) -> RelayConfig:
-    """Read the configuration; ``previous`` is the one in force, None at the start. Raises ConfigError."""
+    """Read the configuration; ``previous`` is the one in force, None at the start. Raise ConfigError."""
     if not environ.get("GW_CONFIG"):
         raise ConfigError("GW_CONFIG", "is missing")
     top = ConfigSection(read_json_file(environ["GW_CONFIG"], "GW_CONFIG"), "")
--- a/sageturn/config/tls.py
+++ b/sageturn/config/tls.py
@@ -11,7 +11,7 @@
 
 
 def read_server_context(xmpp: ConfigSection, folder: Path) -> ssl.SSLContext | None:
-    """Return the context for clients; None if no certificate is configured. Raises ConfigError."""
+    """Return the context for clients; None if no certificate is configured. Raise ConfigError."""
     if not xmpp.contains("certificate"):
         if xmpp.contains("key"):
             raise ConfigError(xmpp.path("key"), f"needs {xmpp.path('certificate')}")
@@ -25,7 +25,7 @@
 
 
 def read_endpoint_context(endpoint: ConfigSection, folder: Path) -> ssl.SSLContext | None:
-    """Return the context for endpoints; None if TLS is disabled for them. Raises ConfigError."""
+    """Return the context for endpoints; None if TLS is disabled for them. Raise ConfigError."""
     if not endpoint.flag("tls", default=True):
         return None
     context = _new_context(endpoint, "ca_file", ssl.PROTOCOL_TLS_CLIENT)
--- a/sageturn/frontends/frontend_connection.py
+++ b/sageturn/frontends/frontend_connection.py
@@ -36,7 +36,7 @@
     ) -> CloseReason | None:
         """Connect to ``endpoint`` and place the request there within ``timeout_ms``.
 
-        Returns None if the endpoint established the connection; otherwise the reason of the failure, with
+        Return None if the endpoint established the connection; otherwise the reason of the failure, with
         the endpoint's socket closed.
         """
         deadline_s = asyncio.get_running_loop().time() + timeout_ms / 1000.0
--- a/sageturn/frontends/platform/connection.py
+++ b/sageturn/frontends/platform/connection.py
@@ -74,7 +74,7 @@
     async def _send_request(self, sock: socket.socket, deadline_s: float) -> CloseReason | None:
         """Send the client's request line, with its field ``d`` set to the remaining time in ms.
 
-        Returns None once the line is sent, or CUT_BEFORE_WRITTEN if the connection failed.
+        Return None once the line is sent, or CUT_BEFORE_WRITTEN if the connection failed.
 
         Raises:
             TimeoutError: the attempt's deadline has passed, or the idempotency key has expired.
@@ -120,7 +120,7 @@
     def poll_client(self) -> CloseReason | None:
         """Read the bytes that the client has sent, without waiting.
 
-        Returns None while the client is connected, or CLIENT_FAULT once it has sent ``MAX_LINE_BYTES`` before
+        Return None while the client is connected, or CLIENT_FAULT once it has sent ``MAX_LINE_BYTES`` before
         it was answered.
         """
         while len(self.early_input) < MAX_LINE_BYTES:
--- a/sageturn/frontends/platform/line_forwarder.py
+++ b/sageturn/frontends/platform/line_forwarder.py
@@ -98,7 +98,7 @@
     async def send_last_line(self, line: bytes) -> bool:
         """Write ``line``, the relay's own, between two forwarded lines, and block all later writes.
 
-        Waits until the target accepts the bytes; the caller limits the wait by cancelling it. Returns False
+        Wait until the target accepts the bytes; the caller limits the wait by cancelling it. Return False
         if the target failed, or a forwarded line has been written in part.
         """
         await self._write_lock.acquire()  # stays held once the line is written, so that nothing follows it
--- a/sageturn/frontends/platform/relaying.py
+++ b/sageturn/frontends/platform/relaying.py
@@ -63,7 +63,7 @@
     async def run(self, drain_requested: asyncio.Event) -> CloseReason:
         """Forward until either side closes, ``drain_requested`` is set or the endpoint times out.
 
-        Closes both sockets, and returns why the connection was closed.
+        Close both sockets, and return why the connection was closed.
         """
         downstream = asyncio.ensure_future(self._to_client.run())
         upstream = asyncio.ensure_future(self._to_endpoint.run())
--- a/sageturn/frontends/platform/timing.py
+++ b/sageturn/frontends/platform/timing.py
@@ -2,9 +2,7 @@
 
 from __future__ import annotations
 
-REQUEST_LINE_TIMEOUT_S = (
-    2.0  # limit from a client's acceptance to its request line; an answer is due within 3 s
-)
+REQUEST_LINE_TIMEOUT_S = 2.0  # limit from accepting a client to its request line; an answer is due in 3 s
 CLIENT_LINE_INTERVAL_S = 2.0  # interval between two lines of a client
 MAX_CLIENT_SILENCE_S = 7.0  # limit from the endpoint's last line to the client's migration
 MIGRATION_MARGIN_S = 0.6  # time for MOVE to be written and to arrive while the CPU is busy
--- a/sageturn/frontends/xmpp/channel.py
+++ b/sageturn/frontends/xmpp/channel.py
@@ -27,8 +27,8 @@
     def receive_available(self) -> bytes | None:
         """Return the data that has arrived, without waiting.
 
-        Returns b"" once the peer has closed, or None if there is no data. Must not be called while a task
-        waits in ``receive``.
+        Return b"" once the peer has closed, or None if there is no data. This must not be called while a
+        task waits in ``receive``.
         """
         try:
             return self.sock.recv(READ_BYTES)
@@ -36,7 +36,7 @@
             return None
 
     async def send(self, data: bytes) -> None:
-        """Send all of ``data``; returns once the kernel has accepted it."""
+        """Send all of ``data``; return once the kernel has accepted it."""
         await asyncio.get_running_loop().sock_sendall(self.sock, data)
 
     async def send_close(self) -> None:
--- a/sageturn/frontends/xmpp/relaying.py
+++ b/sageturn/frontends/xmpp/relaying.py
@@ -72,7 +72,7 @@
     async def run(self, drain_requested: asyncio.Event) -> CloseReason:
         """Forward until either side closes, ``drain_requested`` is set or the endpoint times out.
 
-        Closes both sessions, and returns why the session was closed.
+        Close both sessions, and return why the session was closed.
         """
         downstream = asyncio.ensure_future(self._forward_to_client())
         upstream = asyncio.ensure_future(self._forward_to_endpoint())
--- a/sageturn/frontends/xmpp/session.py
+++ b/sageturn/frontends/xmpp/session.py
@@ -65,7 +65,7 @@
     def read_available(self) -> bool:
         """Parse the bytes that have arrived, about ``MAX_READ_AVAILABLE_BYTES`` at most, without waiting.
 
-        Returns True if the peer has closed the connection. Raises the same errors as ``next_event``.
+        Return True if the peer has closed the connection. Raise the same errors as ``next_event``.
         """
         limit = self._received_bytes + MAX_READ_AVAILABLE_BYTES
         while self._received_bytes < limit and (data := self.channel.receive_available()) is not None:
@@ -112,7 +112,7 @@
         await self.send_header(**{"from": domain, "id": secrets.token_hex(STREAM_ID_BYTES)})
 
     async def close(self, error: bytes = b"", domain: str = "") -> None:
-        """Close the relay's side of the stream, after ``error``; does nothing on a broken connection."""
+        """Close the relay's side of the stream, after ``error``; do nothing on a broken connection."""
         with suppress(OSError, ValueError):  # the socket may have been reset and closed
             if not self._header_sent:
                 await self.send_server_header(domain)
--- a/sageturn/overrides/selection.py
+++ b/sageturn/overrides/selection.py
@@ -12,7 +12,7 @@
 
 
 class SelectionIndex:
-    """Index of the endpoints that an override selects and of the overrides on an endpoint."""
+    """Index that finds an override's endpoints, and an endpoint's overrides, without a scan."""
 
     def __init__(self) -> None:
         self.endpoints: dict[str, Endpoint] = {}  # listed endpoints by name, as discovery reports them
--- a/sageturn/relay/ingress.py
+++ b/sageturn/relay/ingress.py
@@ -41,7 +41,7 @@
         return self._admission.pending_count
 
     def stop_accepting(self) -> None:
-        """Stop accepting after the connections in the backlog, and have all pending connections answered."""
+        """Accept no connections but those in the backlog, and have all pending connections answered."""
         for listener in self._listeners:
             listener.stop_accepting()
         self._admission.evict_all_pending()
--- a/sageturn/relay/log_output.py
+++ b/sageturn/relay/log_output.py
@@ -56,7 +56,7 @@
         return logging.LogRecord(__name__, logging.WARNING, __file__, 0, message, arguments, None)
 
     def _write(self, data: bytes) -> bool:
-        """Write as much of ``data`` as fits now. Returns whether all of it was written."""
+        """Write as much of ``data`` as fits now. Return whether all of it was written."""
         unwritten = memoryview(data)
         try:
             while unwritten:
--- a/sageturn/relay/relay.py
+++ b/sageturn/relay/relay.py
@@ -46,8 +46,8 @@
     from sageturn.rebalance.driver import Rebalancer
     from sageturn.store.replication.member import ReplicationMember
 
-# One iteration of the event loop before the relay listens, in which pending signals are handled: a front
-# proxy sends clients as soon as the relay listens.
+# The delay lets the event loop handle pending signals before the relay listens, since a front proxy sends
+# clients as soon as it does.
 START_DELAY_S = 0.001
 
 
--- a/sageturn/relay/subsystems.py
+++ b/sageturn/relay/subsystems.py
@@ -93,7 +93,8 @@
         if options is not None:
             from sageturn.store.replication.member import ReplicationMember
 
-            # Members of one fleet may share a seed; the name in it keeps them from acting at the same moment.
+            # The members of a fleet may have the same configured seed. With the name added, their random
+            # delays differ, so that they do not act at the same moment.
             rng = Random(f"{config.seed}/{config.name}")
             self.member = ReplicationMember(store, options, admission, rng)
 
--- a/sageturn/store/compacting_log.py
+++ b/sageturn/store/compacting_log.py
@@ -17,7 +17,7 @@
     """A ``RecordLog`` that determines when its compaction is due."""
 
     def __init__(self, path: Path, min_compaction_bytes: int) -> None:
-        """Open the log, or creates it.
+        """Open the log, or create it.
 
         Args:
             path: The log's file.
--- a/sageturn/store/log.py
+++ b/sageturn/store/log.py
@@ -111,7 +111,7 @@
     """
 
     def __init__(self, path: Path) -> None:
-        """Open the log, or creates it with its directory.
+        """Open the log, or create it with its directory.
 
         Raises:
             LogInUseError: Another process has the log open.
--- a/sageturn/store/replication/dial_table.py
+++ b/sageturn/store/replication/dial_table.py
@@ -87,9 +87,10 @@
         return self.may_dial(self._members.other_members[name].address, now, urgent)
 
     def next_untried(self, now: float) -> Address | None:
-        """Return the address of the first member to dial for an uplink that has not failed since its start.
+        """Return the address of the first untried member, in the search order, that may be dialed.
 
-        Return None if there is none.
+        A member is untried if no dial to it has failed and no link to it was lost since its start. Return
+        None if there is none.
         """
         for name in self._members.parent_candidates.search_order():
             address = self._members.other_members[name].address
--- a/sageturn/store/replication/live_chunk_pacer.py
+++ b/sageturn/store/replication/live_chunk_pacer.py
@@ -4,7 +4,7 @@
 
 from sageturn.store.replication.priority import PRIORITY_CLASSES, PriorityClass
 
-LIVE_CHUNK_INTERVAL_S = {PriorityClass.URGENT: 0.05, PriorityClass.STATES: 0.25}  # mean seconds
+LIVE_CHUNK_INTERVAL_S = {PriorityClass.URGENT: 0.05, PriorityClass.STATES: 0.25}  # mean interval
 MAX_LIVE_BURST_CHUNKS = 4
 
 
--- a/sageturn/store/replication/overlay.py
+++ b/sageturn/store/replication/overlay.py
@@ -40,7 +40,7 @@
 MAX_ACCEPTED_LINKS_PER_FANOUT = 4
 MAX_SEEDS_ONLY_START_DELAY_S = 4.0  # spreads the dials of a fleet whose members start at the same time
 MAX_START_JITTER_S = 0.5  # maximum delay of the first search for an uplink
-STABLE_LINK_S = 60.0  # uptime from which the loss of a link first clears its member's earlier failures
+STABLE_LINK_S = 60.0  # minimum uptime of a link whose loss first clears its member's earlier failures
 
 
 class Overlay:
--- a/sageturn/store/replication/root_discovery.py
+++ b/sageturn/store/replication/root_discovery.py
@@ -13,7 +13,7 @@
 from sageturn.store.replication.overlay_state import POLL_INTERVAL_S, OverlayState
 from sageturn.store.replication.route_table import ROOT_HEARTBEAT_TTL_S
 
-ANY_MEMBER_PROBABILITY = 0.5  # probability of a dial to any unlinked member, not a seed or alternative
+ANY_MEMBER_PROBABILITY = 0.5  # probability of dialing any unlinked member instead of seeds or alternatives
 INITIAL_INTERVAL_S = 0.25  # first interval between a root's dials; doubles with each dial
 MAX_INTERVAL_S = 10.0
 MAX_ISOLATED_INTERVAL_S = 2.0  # maximum interval of a root without any link
--- a/sageturn/store/replication/session_table.py
+++ b/sageturn/store/replication/session_table.py
@@ -15,8 +15,8 @@
 class SessionTable:
     """Table of all sessions, including those that are not established yet.
 
-    While a replica that is not recently in sync has a session with a peer that is, it accepts records from no
-    other peer: theirs may have been deleted in the meantime.
+    While a replica that is not recently in sync has a session with a peer that is, it accepts no records from
+    members that are not: such records may have been deleted in the meantime.
     """
 
     def __init__(self, node: str, sync_status: SyncStatus) -> None:
--- a/sageturn/store/replication/sync_status.py
+++ b/sageturn/store/replication/sync_status.py
@@ -69,7 +69,8 @@
     def update_settling(self, now: float, may_settle: bool) -> None:
         """Count the replica as in sync once ``may_settle`` has held for ``SETTLING_TIME_S``.
 
-        This serves a new cluster, or one that was shut down for long: no replica is in sync to copy from.
+        This serves a new cluster, or one that was shut down as a whole for long: no replica is in sync, so
+        none can be copied from.
         ``now`` is monotonic seconds.
         """
         if self.recently_in_sync or not may_settle:
--- a/sageturn/store/store.py
+++ b/sageturn/store/store.py
@@ -46,7 +46,8 @@
 
         Args:
             node: The name under which this replica writes.
-            path: The log's file; None keeps the records in memory only.
+            path: The log's file; None keeps the records in memory only, for a node whose disk does not
+                survive a restart.
             wall_clock: Returns Unix seconds.
             min_compaction_bytes: Minimum size of a log that is compacted.
 
@@ -214,7 +215,8 @@
             del self._records[key]
         self._notify_forgotten(dropped)
         if self._log is not None:
-            self._try_to_compact(self._log)  # if it fails, the next restart drops the same records again
+            # If the compaction fails, the next restart drops the same records again.
+            self._try_to_compact(self._log)
         return len(dropped)
 
     def _survives_drop(self, record: StoreRecord) -> bool:
--- a/tests/rebalance/test_planner.py
+++ b/tests/rebalance/test_planner.py
@@ -157,7 +157,7 @@
     fleet = make_uneven_fleet()
     fleet.run_until_migrated()
     fleet.reconnect_delay_ms = 8000.0
-    # Each endpoint has its concurrency limit of unanswered set-ups in flight, so new clients are rejected.
+    # The unanswered set-ups in flight reach each endpoint's concurrency limit, so new clients are rejected.
     for endpoint in fleet.balancer.endpoints.values():
         endpoint.connections.concurrency_limit = 4
         endpoint.connections.in_flight = 4
--- a/tests/store/test_overlay.py
+++ b/tests/store/test_overlay.py
@@ -108,7 +108,7 @@
         now += 0.25
         advertisement = RouteAdvertisement(root, 1, int(now), False, 12)
         overlay.on_advertisement(other, advertisement, now)
-        if now >= 15:  # an earlier link without advertisement might lead to another root
+        if now >= 15:  # before its first advertisement the new link might lead to another root
             overlay.on_advertisement(best, advertisement, now)
         closed = overlay.links_to_close(now)
     assert closed == [other] and 18 <= now <= 22
--- a/tests/store/test_overlay_network.py
+++ b/tests/store/test_overlay_network.py
@@ -309,8 +309,8 @@
         network.clock.advance(12)
         addresses = [address for _, _, address in network.record.dials[dials_before:]]
         dials_to_hub.append(addresses.count(hub.member.address))
-    assert children >= 8 and max(dials_to_hub) >= 6  # at first its children dial it again
-    assert sum(dials_to_hub[4:]) <= rounds, dials_to_hub  # they stop after a few losses
+    assert children >= 8 and max(dials_to_hub) >= 6  # the hub's children dial it again at first
+    assert sum(dials_to_hub[4:]) <= rounds, dials_to_hub  # children stop dialing it after a few losses
     network.clock.advance(300)
     assert is_tree(network)
 
--- a/tests/store/test_replication.py
+++ b/tests/store/test_replication.py
@@ -79,7 +79,7 @@
     before = cluster.newest()
     assert cluster.converge()
     cluster.invariants.check()
-    # The newest version of every record at the time of connecting is what all replicas end up with.
+    # All replicas converge to the newest version of each record that any of them held before connecting.
     assert cluster.newest() == before
     assert not [text for text in cluster.rejections if text.startswith(("not understood", "unknown"))]
 
--- a/tests/store/test_replication_sockets.py
+++ b/tests/store/test_replication_sockets.py
@@ -393,7 +393,7 @@
 
 
 async def test_an_idle_link_costs_no_more_with_more_keys() -> None:
-    """The mean is consumed_before over a number of reads, not over a time, at the socket."""
+    """The bytes are counted at the socket, as a mean over a number of reads and not over a time."""
     assert await mean_read_bytes(10) < 600.0
     assert await mean_read_bytes(2000) < 600.0
 
--- a/tests/store/test_suspicion.py
+++ b/tests/store/test_suspicion.py
@@ -74,7 +74,7 @@
 
 
 def test_a_member_whose_suspicion_has_expired_counts_as_untried_at_once() -> None:
-    # Guards against an expired member that still counts as failed in the call that drops its suspicion.
+    # Guards against a member that still counts as failed in the very call that drops its expired suspicion.
     table = SuspicionTable(Random(1))
     table.record_failure(ADDRESS, 0.0)
     members: Any = SimpleNamespace(
