--- a/sageturn/frontends/xmpp/relaying.py
+++ b/sageturn/frontends/xmpp/relaying.py
@@ -114,7 +114,10 @@
         record.endpoint_idle_s = asyncio.get_running_loop().time() - self._idle_timeout.last_endpoint_data_s
 
     async def _reach_stanza_boundary(self, downstream: ForwardingTask) -> bool:
-        """Wait until no stanza is written in part to the client; return False at the deadline."""
+        """Wait for an incomplete stanza of the endpoint, and for a write to the client to end.
+
+        Return False if the write does not end in time, so that a stanza is written in part.
+        """
         loop = asyncio.get_running_loop()
         deadline_s = loop.time() + STANZA_BOUNDARY_TIMEOUT_S
         while self._endpoint.parser.is_mid_stanza and not downstream.done() and loop.time() < deadline_s:
--- a/sageturn/overrides/registry.py
+++ b/sageturn/overrides/registry.py
@@ -32,8 +32,8 @@
         self.recovery_ramps = RecoveryRamps(initial_capacity_ratio, slow_start_ms)
         self.overrides: dict[str, Override] = {}
         self._expired_revisions: dict[str, int] = {}  # revision at which an override expired, by override id
-        # Lead of the times passed in over the relay's time, which recovery ramps use. The owner of the
-        # registry sets it.
+        # Lead of the times passed in over the relay's time, which recovery ramps use; negative if they lag.
+        # The owner of the registry sets it.
         self.wall_clock_shift_ms = 0.0
 
     # ------------------------------------------------------------ operations
--- a/sageturn/rebalance/request_hints.py
+++ b/sageturn/rebalance/request_hints.py
@@ -13,7 +13,7 @@
 def hint_recent_migration(
     event: decision.RequestArrived, tracker: EventTracker, rebalance_excluded: frozenset[str]
 ) -> None:
-    """Add to the request of a client that the planner has migrated what the balancer needs to know.
+    """Add hints for the balancer to the request of a client that the planner has migrated.
 
     The balancer then does not migrate the client again for a time. While the client is in flight, the
     balancer also avoids the endpoint that it has left, and those that operators exclude from rebalancing.
--- a/tests/store/test_replication_sockets.py
+++ b/tests/store/test_replication_sockets.py
@@ -51,7 +51,7 @@
     dials_only_seeds: bool = True,
     rate: float = 13.5e3,
 ) -> ReplicationMember:
-    """Start a member that dials only the seeds, or the peers that the overlay selects."""
+    """Start a member that dials its seeds, or without ``dials_only_seeds`` the overlay's choice of peers."""
     options = ReplicationOptions(("127.0.0.1", 0), seeds, SECRET, "r", zone, rate)
     topology = partial(DialSeeds, seeds=seeds) if dials_only_seeds else None
     member = ReplicationMember(
