--- a/experiments/make_compatibility_fixtures.py
+++ b/experiments/make_compatibility_fixtures.py
@@ -29,7 +29,7 @@
         module = importlib.import_module(test_file.stem)
         folder = ROOT / "tests" / "fixtures" / concern
         folder.mkdir(parents=True, exist_ok=True)
-        produced = module.produced()
+        produced = module.produce_fixtures()
         files = asyncio.run(produced) if inspect.iscoroutine(produced) else produced
         for name, data in files.items():
             (folder / name).write_bytes(data)
--- a/sageturn/store/replication/body_fields.py
+++ b/sageturn/store/replication/body_fields.py
@@ -87,7 +87,7 @@
         raise SessionRejectedError(f"no record: {error}") from error
 
 
-def acknowledged_positions(body: Any) -> Sequence[AcknowledgedPosition]:
+def decode_acknowledged_positions(body: Any) -> Sequence[AcknowledgedPosition]:
     """Decode what a peer has received; each position is decoded once the one before it was applied."""
     return LazySequence(body, _decode_acknowledged_position)
 
@@ -95,17 +95,17 @@
 def _decode_acknowledged_position(body: Any) -> AcknowledgedPosition:
     # The range is checked by ``ChunkSender``, which knows what was sent.
     backlog, live = body
-    return AcknowledgedPosition(natural(backlog, BACKLOG_UNKNOWN), natural(live))
+    return AcknowledgedPosition(decode_count(backlog, BACKLOG_UNKNOWN), decode_count(live))
 
 
-def by_priority(body: Any) -> tuple[int, ...]:
+def decode_counts_by_priority(body: Any) -> tuple[int, ...]:
     """Decode one number for each priority class."""
     if not isinstance(body, list) or len(body) != len(PRIORITY_CLASSES):
         raise SessionRejectedError("not so many lanes")
-    return tuple(natural(value) for value in body)
+    return tuple(decode_count(value) for value in body)
 
 
-def natural(value: Any, minimum: int = 0) -> int:
+def decode_count(value: Any, minimum: int = 0) -> int:
     """Return ``value`` if it is an integer of at least ``minimum``, else raise SessionRejectedError."""
     if not isinstance(value, int) or isinstance(value, bool) or value < minimum:
         raise SessionRejectedError(f"no count: {str(value)[:MAX_QUOTED_LENGTH]}")
--- a/sageturn/store/replication/heartbeat_codec.py
+++ b/sageturn/store/replication/heartbeat_codec.py
@@ -7,7 +7,12 @@
 from typing import Any
 
 from sageturn.store.errors import SessionRejectedError
-from sageturn.store.replication.body_fields import LazySequence, acknowledged_positions, by_priority, natural
+from sageturn.store.replication.body_fields import (
+    LazySequence,
+    decode_acknowledged_positions,
+    decode_count,
+    decode_counts_by_priority,
+)
 from sageturn.store.replication.messages import (
     MAX_ZONES,
     Acknowledgement,
@@ -64,11 +69,11 @@
         """Return the positions that the peer has acknowledged; None if it does not follow changes yet."""
         if self.raw_acknowledged is None:
             return None
-        return Acknowledgement(acknowledged_positions(self.raw_acknowledged))
+        return Acknowledgement(decode_acknowledged_positions(self.raw_acknowledged))
 
     def tombstone_floor(self) -> int:
         """Return the peer's tombstone floor."""
-        return natural(self.raw_tombstone_floor)
+        return decode_count(self.raw_tombstone_floor)
 
     def zone_ages(self) -> Iterator[tuple[str, float]]:
         """Yield each zone with the seconds since the last known message from it was sent."""
@@ -95,8 +100,8 @@
     Raise SessionRejectedError, or one of ``MALFORMED_BODY_ERRORS``, if the body is malformed.
     """
     heads, roots, skipped, acknowledged, floor, recently_in_sync, zone_ages, route = body
-    decoded_heads = by_priority(heads)
-    decoded_roots = by_priority(roots)
+    decoded_heads = decode_counts_by_priority(heads)
+    decoded_roots = decode_counts_by_priority(roots)
     if not isinstance(zone_ages, dict) or len(zone_ages) > MAX_ZONES:
         raise SessionRejectedError("too many zones")
     return ReceivedHeartbeat(
@@ -117,13 +122,13 @@
         raise SessionRejectedError("no beacon")
     return RouteAdvertisement(
         root_rank=int(rank, 16),
-        root_incarnation=natural(incarnation),
-        sequence=natural(sequence),
+        root_incarnation=decode_count(incarnation),
+        sequence=decode_count(sequence),
         is_root_path=is_root_path is True,
-        member_count=natural(member_count),
+        member_count=decode_count(member_count),
     )
 
 
 def _decode_skipped_range(body: Any) -> SkippedRange:
     start, end = body
-    return SkippedRange(natural(start), natural(end))
+    return SkippedRange(decode_count(start), decode_count(end))
--- a/sageturn/store/replication/message_codec.py
+++ b/sageturn/store/replication/message_codec.py
@@ -21,10 +21,10 @@
     MAX_QUOTED_LENGTH,
     LazyRecords,
     LazySequence,
-    acknowledged_positions,
-    by_priority,
+    decode_acknowledged_positions,
+    decode_count,
+    decode_counts_by_priority,
     decode_records,
-    natural,
 )
 from sageturn.store.replication.close_code import CloseCode
 from sageturn.store.replication.cursor import StreamKind
@@ -184,13 +184,13 @@
     location = body["member"]
     return Hello(
         node=str(body["node"]),
-        incarnation=natural(body["incarnation"], 1),
-        heads=by_priority(body["heads"]),
-        roots=by_priority(body["roots"]),
-        counts=by_priority(body["counts"]),
+        incarnation=decode_count(body["incarnation"], 1),
+        heads=decode_counts_by_priority(body["heads"]),
+        roots=decode_counts_by_priority(body["roots"]),
+        counts=decode_counts_by_priority(body["counts"]),
         recently_in_sync=body["fresh"] is True,
         holds_replicated_records=body["foreign"] is True,
-        tombstone_floor=natural(body["floor"]),
+        tombstone_floor=decode_count(body["floor"]),
         is_ephemeral=body["guest"] is True,
         location=None if location is None else _decode_location(location),
     )
@@ -198,7 +198,7 @@
 
 def _decode_location(body: Any) -> ReplicaLocation:
     host, port, region, zone = body
-    return ReplicaLocation((str(host), natural(port)), str(region), str(zone))
+    return ReplicaLocation((str(host), decode_count(port)), str(region), str(zone))
 
 
 def decode_follow(body: Any) -> Follow:
@@ -208,11 +208,11 @@
 
 def _decode_follow_position(body: Any) -> FollowPosition:
     raw_backlog, raw_backlog_end, live = body
-    backlog = natural(raw_backlog + 1) - 1
-    backlog_end = natural(raw_backlog_end)
+    backlog = decode_count(raw_backlog + 1) - 1
+    backlog_end = decode_count(raw_backlog_end)
     if backlog > backlog_end:
         raise SessionRejectedError("a cursor that was never given")
-    return FollowPosition(backlog, backlog_end, natural(live))
+    return FollowPosition(backlog, backlog_end, decode_count(live))
 
 
 def decode_chunk(body: Any, is_following: bool) -> Chunk:
@@ -226,23 +226,23 @@
     return Chunk(
         priority=_PRIORITY_BY_INDEX[priority],
         stream=StreamKind(stream),
-        start=natural(start),
-        end=natural(end),
+        start=decode_count(start),
+        end=decode_count(end),
         records=LazyRecords(records),
     )
 
 
 def decode_acknowledgement(body: Any) -> Acknowledgement:
     """Decode an acknowledgement; each position is decoded once the one before it was applied."""
-    return Acknowledgement(acknowledged_positions(body))
+    return Acknowledgement(decode_acknowledged_positions(body))
 
 
 def decode_node_request(body: Any) -> NodeRequest:
     """Decode a request for Merkle tree nodes."""
     nodes = []
     for priority, depth, position in _requested_items(body):
-        is_in_tree = natural(priority) in PRIORITY_CLASSES and 0 <= natural(depth) <= DEPTH
-        if not is_in_tree or natural(position) >= FANOUT**depth:
+        is_in_tree = decode_count(priority) in PRIORITY_CLASSES and 0 <= decode_count(depth) <= DEPTH
+        if not is_in_tree or decode_count(position) >= FANOUT**depth:
             raise SessionRejectedError("no node of the tree")
         nodes.append(TreeNode(priority, depth, position))
     return NodeRequest(nodes)
@@ -265,7 +265,7 @@
 def decode_node_response(body: Any) -> NodeResponse:
     """Decode Merkle tree nodes; each is decoded once the one before it was compared."""
     raw_count, contents = body
-    count = natural(raw_count)
+    count = decode_count(raw_count)
     return NodeResponse(count, _LazyNodeContents(contents, count))
 
 
@@ -273,9 +273,9 @@
     if isinstance(body, list):
         if len(body) != FANOUT:
             raise SessionRejectedError("no node of the tree")
-        return [natural(child) for child in body]
+        return [decode_count(child) for child in body]
     return {
-        str(key): RecordVersion(natural(version, 1), str(node), natural(digest, 1))
+        str(key): RecordVersion(decode_count(version, 1), str(node), decode_count(digest, 1))
         for key, (version, node, digest) in body.items()
     }
 
@@ -284,7 +284,7 @@
     """Decode records that were requested."""
     count, raw_records = body
     records = decode_records(raw_records)
-    return RecordResponse(natural(count), records)
+    return RecordResponse(decode_count(count), records)
 
 
 def decode_bye(body: Any) -> Bye:
@@ -316,5 +316,5 @@
 
 def _decode_member(body: Any) -> Member:
     name, host, port, region, zone, incarnation = body
-    address = str(host), natural(port)
-    return Member(str(name), address, str(region), str(zone), natural(incarnation))
+    address = str(host), decode_count(port)
+    return Member(str(name), address, str(region), str(zone), decode_count(incarnation))
--- a/tests/config/test_compatibility_operators.py
+++ b/tests/config/test_compatibility_operators.py
@@ -339,7 +339,7 @@
 FILES |= {"whole": FIXTURES / "whole.json", "least": FIXTURES / "least.json"}
 
 
-def produced() -> dict[str, bytes]:
+def produce_fixtures() -> dict[str, bytes]:
     inputs = {
         f"{name}.json": to_json_bytes(content)
         for name, content in (("whole", ALL_KEYS), ("least", REQUIRED_KEYS))
--- a/tests/flows/test_compatibility_flows.py
+++ b/tests/flows/test_compatibility_flows.py
@@ -108,7 +108,7 @@
     return "".join(part.hex() + "\n" for part in parts).encode()
 
 
-def produced() -> dict[str, bytes]:
+def produce_fixtures() -> dict[str, bytes]:
     files = {f"{name}.bin": data for name, data in make_messages().items()}
     files["endings.hex"] = hex_lines([to_flow(record).encode() for record in make_ended_records()])
     files["exporter.hex"] = hex_lines(export(make_ended_records(), max_queued_flows=20))
@@ -116,7 +116,7 @@
 
 
 def test_messages_are_the_committed_bytes() -> None:
-    made = produced()
+    made = produce_fixtures()
     assert set(made) == {path.name for path in FIXTURES.iterdir()}
     for name, data in made.items():
         assert data == (FIXTURES / name).read_bytes(), name
--- a/tests/frontends/test_compatibility_frontends.py
+++ b/tests/frontends/test_compatibility_frontends.py
@@ -524,7 +524,7 @@
 CONVERSATIONS += [("endpoint", name) for name in endpoint_scripts()]
 
 
-async def produced() -> dict[str, bytes]:
+async def produce_fixtures() -> dict[str, bytes]:
     files = {
         "platform.json": encode_recording(await record_platform()),
         "xmpp.json": encode_recording(await record_xmpp()),
--- a/tests/relay/test_compatibility_states.py
+++ b/tests/relay/test_compatibility_states.py
@@ -280,7 +280,7 @@
     return states
 
 
-async def produced() -> dict[str, bytes]:
+async def produce_fixtures() -> dict[str, bytes]:
     files = {f"relay-{name}.jsonl": await make_relay_states(name) for name in RELAYS}
     files["rebalance.jsonl"] = make_rebalance_states()
     files["override-words.jsonl"] = as_lines(signed_operations())
--- a/tests/store/test_compatibility_replication.py
+++ b/tests/store/test_compatibility_replication.py
@@ -284,7 +284,7 @@
     return b"\n".join(replica.pending_payloads(0)) + b"\n"
 
 
-async def produced() -> dict[str, bytes]:
+async def produce_fixtures() -> dict[str, bytes]:
     files = {f"refused.{name}.bin": payloads_after(frame) for name, frame in BAD_FRAMES.items()}
     for scenario in INITIAL_RECORDS:
         frames, replicas = run_conversation(scenario)
--- a/tests/store/test_compatibility_store.py
+++ b/tests/store/test_compatibility_store.py
@@ -83,7 +83,7 @@
     store.close()
 
 
-def produced() -> dict[str, bytes]:
+def produce_fixtures() -> dict[str, bytes]:
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "store.log"
         write_operations(path)
@@ -112,7 +112,7 @@
 
 
 def test_the_same_operations_write_the_same_bytes() -> None:
-    for name, data in produced().items():
+    for name, data in produce_fixtures().items():
         assert data == (FIXTURES / name).read_bytes(), name
 
 
