--- a/sageturn/store/replication/chunk_receiver.py
+++ b/sageturn/store/replication/chunk_receiver.py
@@ -68,7 +68,7 @@
         if not self.is_following:
             raise SessionRejectedError("changes that nobody asked for")
         cursor = self.cursors[chunk.priority]
-        is_live = chunk.stream == StreamKind.LIVE
+        is_live = chunk.stream_kind == StreamKind.LIVE
         next_start = cursor.live if is_live else cursor.backlog
         is_past_backlog = not is_live and chunk.end > cursor.backlog_end
         if chunk.start != next_start or chunk.end <= next_start or is_past_backlog:
@@ -81,7 +81,7 @@
     def on_chunk_applied(self, chunk: Chunk) -> None:
         """Advance the cursor over a checked chunk whose records are in the store."""
         cursor = self.cursors[chunk.priority]
-        if chunk.stream == StreamKind.LIVE:
+        if chunk.stream_kind == StreamKind.LIVE:
             cursor.live = chunk.end
         else:
             cursor.backlog = chunk.end
--- a/sageturn/store/replication/chunk_sender.py
+++ b/sageturn/store/replication/chunk_sender.py
@@ -68,7 +68,7 @@
 
 
 class _ChunkInFlight(NamedTuple):
-    stream: StreamId
+    stream_id: StreamId
     end: int
 
 
@@ -217,7 +217,7 @@
 
     def _is_window_full(self, stream: StreamId) -> bool:
         is_urgent_live = stream == URGENT_LIVE
-        in_flight = sum((chunk.stream == URGENT_LIVE) == is_urgent_live for chunk in self._in_flight)
+        in_flight = sum((chunk.stream_id == URGENT_LIVE) == is_urgent_live for chunk in self._in_flight)
         return in_flight >= (MAX_URGENT_CHUNKS_IN_FLIGHT if is_urgent_live else MAX_CHUNKS_IN_FLIGHT)
 
     def _may_send(self, now: float, stream: StreamId) -> bool:
@@ -259,7 +259,7 @@
             self._acknowledge(LIVE_STREAMS[priority], acknowledged.live)
             self._acknowledge(BACKLOG_STREAMS[priority], acknowledged.backlog)
         self._in_flight = [
-            chunk for chunk in self._in_flight if self._positions[chunk.stream].acknowledged < chunk.end
+            chunk for chunk in self._in_flight if self._positions[chunk.stream_id].acknowledged < chunk.end
         ]
 
     def _acknowledge(self, stream: StreamId, revision: int) -> None:
--- a/sageturn/store/replication/ephemeral_client.py
+++ b/sageturn/store/replication/ephemeral_client.py
@@ -20,7 +20,7 @@
 from sageturn.store.replication.link_dialer import CONNECT_TIMEOUT_S
 from sageturn.store.replication.link_runner import LinkRunner, OutputSignal
 from sageturn.store.replication.membership import Address
-from sageturn.store.replication.replica import Replica, ReplicaWakeups
+from sageturn.store.replication.replica import Replica, ReplicaCallbacks
 from sageturn.store.replication.session import ReplicationSession
 from sageturn.store.replication.session_driver import CLOSE_TIMEOUT_S
 from sageturn.store.store import Store
@@ -68,8 +68,8 @@
         self._peer = peer
         self._timeout_s = timeout_s
         output_signal = OutputSignal()
-        wakeups = ReplicaWakeups(on_output_pending=output_signal.notify)
-        self._replica = Replica(self.store, _seeded_random(), time.monotonic(), wakeups=wakeups)
+        callbacks = ReplicaCallbacks(on_output_pending=output_signal.notify)
+        self._replica = Replica(self.store, _seeded_random(), time.monotonic(), callbacks=callbacks)
         self._link_runner = LinkRunner(self._replica, secret, output_signal)
         self._sessions: list[ReplicationSession] = []
         self._failures: list[str] = []
--- a/sageturn/store/replication/hello_exchange.py
+++ b/sageturn/store/replication/hello_exchange.py
@@ -20,21 +20,21 @@
         self._peer = peer
         self._is_dialing = is_dialing
         self._is_sent = False
-        self._claimed_sync: bool | None = None  # None until it is decided
+        self._is_sync_claimed: bool | None = None  # None until it is decided
 
     @property
     def is_complete(self) -> bool:
         """True if this side has sent its hello and accepted the peer's."""
         return self._is_sent and self.peer_hello is not None
 
-    def claimed_sync(self) -> bool:
+    def is_sync_claimed(self) -> bool:
         """Return whether this side claims to be recently in sync.
 
         The claim is evaluated once: both sides judge by the two hello messages and must reach one result.
         """
-        if self._claimed_sync is None:
-            self._claimed_sync = self._context.sync_status.recently_in_sync
-        return self._claimed_sync
+        if self._is_sync_claimed is None:
+            self._is_sync_claimed = self._context.sync_status.recently_in_sync
+        return self._is_sync_claimed
 
     def next_hello(self) -> Hello | None:
         """Return this side's hello and count it as sent; None if it was sent or the peer is to send first."""
@@ -50,7 +50,7 @@
             heads=changes.heads,
             roots=changes.roots,
             counts=changes.counts,
-            recently_in_sync=self.claimed_sync(),
+            recently_in_sync=self.is_sync_claimed(),
             holds_replicated_records=context.sync_status.holds_replicated_records,
             tombstone_floor=context.store.replica_state.tombstone_floor,
             is_ephemeral=context.is_ephemeral,
--- a/sageturn/store/replication/link_dialer.py
+++ b/sageturn/store/replication/link_dialer.py
@@ -24,7 +24,7 @@
     """Scheduler of the replica's ticks, which starts a task for each link that this side dials."""
 
     def __init__(self, replica: Replica, link_runner: LinkRunner, tick_due: asyncio.Event) -> None:
-        """Create the dialer; ``tick_due`` is the event that the replica's wakeups set."""
+        """Create the dialer; ``tick_due`` is the event that the replica's callbacks set."""
         self._replica = replica
         self._link_runner = link_runner
         self._tick_due = tick_due
--- a/sageturn/store/replication/link_runner.py
+++ b/sageturn/store/replication/link_runner.py
@@ -48,7 +48,7 @@
     """Runner of the links of one replica."""
 
     def __init__(self, replica: Replica, secret: bytes, output_signal: OutputSignal) -> None:
-        """Create the runner; ``output_signal`` is the signal that the replica's wakeups notify."""
+        """Create the runner; ``output_signal`` is the signal that the replica's callbacks notify."""
         self._replica = replica
         self._secret = secret
         self._output_signal = output_signal
--- a/sageturn/store/replication/member.py
+++ b/sageturn/store/replication/member.py
@@ -22,7 +22,7 @@
 from sageturn.store.replication.location import ReplicaLocation
 from sageturn.store.replication.options import ReplicationOptions
 from sageturn.store.replication.overlay import Overlay
-from sageturn.store.replication.replica import Replica, ReplicaWakeups
+from sageturn.store.replication.replica import Replica, ReplicaCallbacks
 from sageturn.store.replication.state_report import ReplicationStateReport, report_interval_s
 from sageturn.store.replication.topology import TopologyFactory
 from sageturn.store.store import Store
@@ -68,7 +68,7 @@
             make_topology or partial(Overlay, seeds=options.seeds, rng=rng),
             options.max_bytes_per_s,
             options.horizon_s,
-            ReplicaWakeups(output_signal.notify, tick_due.set),
+            ReplicaCallbacks(output_signal.notify, tick_due.set),
         )
         self._link_runner = LinkRunner(self.replica, options.secret, output_signal)
         self._dialer = LinkDialer(self.replica, self._link_runner, tick_due)
--- a/sageturn/store/replication/message_codec.py
+++ b/sageturn/store/replication/message_codec.py
@@ -96,7 +96,7 @@
 
 
 def _chunk_to_wire(chunk: Chunk) -> list[Any]:
-    return [chunk.priority, chunk.stream, chunk.start, chunk.end, _records_to_wire(chunk.records)]
+    return [chunk.priority, chunk.stream_kind, chunk.start, chunk.end, _records_to_wire(chunk.records)]
 
 
 def _bye_to_wire(bye: Bye) -> list[Any]:
@@ -225,7 +225,7 @@
         raise SessionRejectedError("changes that nobody asked for")
     return Chunk(
         priority=_PRIORITY_BY_INDEX[priority],
-        stream=StreamKind(stream),
+        stream_kind=StreamKind(stream),
         start=decode_count(start),
         end=decode_count(end),
         records=LazyRecords(records),
--- a/sageturn/store/replication/messages.py
+++ b/sageturn/store/replication/messages.py
@@ -80,7 +80,7 @@
     """The records that changed after revision ``start`` up to ``end``."""
 
     priority: PriorityClass
-    stream: StreamKind
+    stream_kind: StreamKind
     start: int
     end: int
     records: Sequence[StoreRecord]
--- a/sageturn/store/replication/overlay.py
+++ b/sageturn/store/replication/overlay.py
@@ -108,7 +108,7 @@
         if member is not None:
             state.links.confirm(name)
 
-    def on_link_lost(self, name: str, now: float, orderly: bool = False) -> None:
+    def on_link_closed(self, name: str, now: float, orderly: bool = False) -> None:
         """Handle the end of a link; ``orderly`` is true if either side closed it intentionally."""
         state = self._state
         if name not in state.links:
--- a/sageturn/store/replication/replica.py
+++ b/sageturn/store/replication/replica.py
@@ -57,8 +57,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ReplicaWakeups:
-    """The callbacks by which a replica wakes its drivers.
+class ReplicaCallbacks:
+    """The callbacks by which a replica notifies the tasks that drive it.
 
     ``on_output_pending`` is called when sessions may have something to send, ``on_tick_due`` when ``tick``
     should be called now.
@@ -83,7 +83,7 @@
         make_topology: TopologyFactory | None = None,
         max_bytes_per_s: float = DEFAULT_MAX_BYTES_PER_S,
         horizon_s: float = DEFAULT_HORIZON_S,
-        wakeups: ReplicaWakeups = ReplicaWakeups(),
+        callbacks: ReplicaCallbacks = ReplicaCallbacks(),
     ) -> None:
         self.store = store
         self.location = location
@@ -91,7 +91,7 @@
         self.sync_status = SyncStatus(store, horizon_s)
         self.records = ReplicatedRecords(store, horizon_s, self)
         self.zones = ZoneLiveness(None if location is None else location.zone_label)
-        self._wakeups = wakeups
+        self._callbacks = callbacks
         self._rng = rng
         self._horizon_s = horizon_s
         self._make_topology = make_topology
@@ -170,13 +170,13 @@
 
     def on_records_changed(self) -> None:
         """Handle new versions of records, which sessions may have to send."""
-        self._wakeups.on_output_pending()
+        self._callbacks.on_output_pending()
 
     def on_members_changed(self) -> None:
         """Handle a member that was added, removed, or advertises itself differently."""
         if self._links is not None:
             self._links.on_members_changed()
-        self._wakeups.on_tick_due()
+        self._callbacks.on_tick_due()
 
     def on_member_removed(self, node: str) -> None:
         """Handle the removal of a member, this one included, by an operator."""
@@ -195,7 +195,7 @@
 
     def on_output_pending(self) -> None:
         """Handle a session that may have something to send."""
-        self._wakeups.on_output_pending()
+        self._callbacks.on_output_pending()
 
     def open_session(
         self, peer: str, now: float, dialed_address: Address | None = None
@@ -214,7 +214,7 @@
         if session not in self.sessions:
             return
         self.sessions.remove(session)
-        self._wakeups.on_tick_due()
+        self._callbacks.on_tick_due()
         if not self.is_ephemeral:
             self._on_peer_closed(session.closing.peer_code)
         if self._links is not None and not session.is_ephemeral:
@@ -264,7 +264,7 @@
         self._session_table.close_conflicting(session)
         if self._links is not None and not session.closing.detail:
             self._links.on_session_established(session, now)
-            self._wakeups.on_tick_due()
+            self._callbacks.on_tick_due()
 
     def may_follow(self, session: PeerSession) -> bool:
         """Return whether this replica may take records from a session's peer."""
@@ -310,7 +310,7 @@
         self._links.update_members(self.records.directory)
         if self._links.is_superseded and now >= self._supersede_at:
             self._supersede_stale_incarnation(now)
-        self._links.close_unneeded(now)
+        self._links.close_unneeded_links(now)
         addresses = self._links.addresses_to_dial(now)
         return TickResult(addresses, min(self._maintenance_at, self._links.next_wakeup(now)))
 
--- a/sageturn/store/replication/session.py
+++ b/sageturn/store/replication/session.py
@@ -233,7 +233,7 @@
 
     def _on_hello(self, body: object, now: float) -> None:
         hello = self._hellos.decode_peer_hello(body)
-        self._context.admit(self, hello, self._hellos.claimed_sync(), now)
+        self._context.admit(self, hello, self._hellos.is_sync_claimed(), now)
         self._hellos.on_peer_admitted(hello)
         self.peer_recently_in_sync = hello.recently_in_sync
         self._allowance.is_unlimited = self.is_ephemeral
--- a/sageturn/store/replication/topology.py
+++ b/sageturn/store/replication/topology.py
@@ -29,7 +29,7 @@
         """Handle a new link to ``name``; ``dialed`` is the address if this side dialed, else None."""
         ...
 
-    def on_link_lost(self, name: str, now: float, orderly: bool = False) -> None:
+    def on_link_closed(self, name: str, now: float, orderly: bool = False) -> None:
         """Handle the end of the last link to a member.
 
         ``orderly`` is true if either side closed it intentionally.
--- a/sageturn/store/replication/topology_links.py
+++ b/sageturn/store/replication/topology_links.py
@@ -58,7 +58,7 @@
         """Notify the topology of the end of the last link to a member, or of a dial without a link."""
         if session.peer_hello is not None:
             if not self._session_table.is_connected_to(session.peer):
-                self.topology.on_link_lost(session.peer, now, session.closing.was_orderly)
+                self.topology.on_link_closed(session.peer, now, session.closing.was_orderly)
         elif session.dialed_address is not None:
             self._report_failed_dial(session.dialed_address, session, now)
 
@@ -70,7 +70,7 @@
         else:
             self.topology.on_dial_failed(address, now)
 
-    def close_unneeded(self, now: float) -> None:
+    def close_unneeded_links(self, now: float) -> None:
         """Close the sessions with the members whose links the topology does not need."""
         for name in self.topology.links_to_close(now):
             self._session_table.close_established_with(name, "not needed any more", CloseCode.ORDERLY)
--- a/tests/store/test_overlay.py
+++ b/tests/store/test_overlay.py
@@ -68,7 +68,7 @@
     assert {member.zone for member in rejection.alternatives} == {excess_member.zone}
     assert excess_member not in rejection.alternatives
     assert overlay.check_admission(rest[0], 0.0) is None  # a member that is already linked replaces its link
-    overlay.on_link_lost(rest[0].name, 0.0)
+    overlay.on_link_closed(rest[0].name, 0.0)
     assert overlay.check_admission(excess_member, 0.0) is None
 
 
@@ -81,7 +81,7 @@
     assert overlay.links_to_close(1.0) == []
     overlay.update_members([own])
     assert overlay.links_to_close(1.0) == [other.name]
-    overlay.on_link_lost(other.name, 1.0, orderly=True)
+    overlay.on_link_closed(other.name, 1.0, orderly=True)
     assert overlay.links_to_close(9.0) == [] and overlay.links_to_close(11.0) == [unknown.name]
     overlay.update_members([])
     status_once_removed = overlay.membership_status
--- a/tests/support/overlay_simulation.py
+++ b/tests/support/overlay_simulation.py
@@ -397,21 +397,21 @@
         """Close a link from one side in an orderly way."""
         link.is_broken = True
         self.links.pop(link, None)
-        self._on_link_lost(link, closer, True)
+        self._on_link_closed(link, closer, True)
         at_s = self.clock.now + self._latency(*link.ends)
-        self.clock.schedule(at_s, self._on_link_lost, link, link.other(closer), True)
+        self.clock.schedule(at_s, self._on_link_closed, link, link.other(closer), True)
 
     def _break_link(self, link: SimulatedLink, noticed_after_s: float) -> None:
         link.is_broken = True
         self.links.pop(link, None)
         for process in link.ends:
-            self.clock.schedule(self.clock.now + noticed_after_s, self._on_link_lost, link, process, False)
+            self.clock.schedule(self.clock.now + noticed_after_s, self._on_link_closed, link, process, False)
 
-    def _on_link_lost(self, link: SimulatedLink, process: SimulatedMember, orderly: bool) -> None:
+    def _on_link_closed(self, link: SimulatedLink, process: SimulatedMember, orderly: bool) -> None:
         name = link.other(process).member.name
         if process.is_running and process.links.get(name) is link:
             del process.links[name]
-            process.overlay.on_link_lost(name, self.clock.now, orderly)
+            process.overlay.on_link_closed(name, self.clock.now, orderly)
             process.poll()
 
     def running(self) -> list[SimulatedMember]:
--- a/tests/support/replication_fleet.py
+++ b/tests/support/replication_fleet.py
@@ -374,7 +374,7 @@
         if dialled is not None:
             self._dialled[name] = dialled
 
-    def on_link_lost(self, name: str, now: float, orderly: bool = False) -> None:
+    def on_link_closed(self, name: str, now: float, orderly: bool = False) -> None:
         if name in self._dialled:
             self.on_dial_failed(self._dialled.pop(name), now)
 
