--- a/sageturn/store/replication/anti_entropy.py
+++ b/sageturn/store/replication/anti_entropy.py
@@ -152,7 +152,7 @@
         if self._records_applied:
             self._repeat_delay_s = MIN_REPEAT_DELAY_S
         else:
-            # The sides may differ only because they forget deletions at different times.
+            # The sides may differ only because they discard tombstones at different times.
             self._repeat_delay_s = min(MAX_REPEAT_DELAY_S, self._repeat_delay_s * 2)
         self._repeat_at = now + self._repeat_delay_s
 
--- a/sageturn/store/replication/changes.py
+++ b/sageturn/store/replication/changes.py
@@ -85,7 +85,7 @@
         self.trees[priority].set(record.key, record_digest(record))
 
     def remove(self, key: str) -> None:
-        """Record that the replica has forgotten a key."""
+        """Record that the replica has discarded the record of a key."""
         priority = priority_of(key)
         self.logs[priority].remove(key)
         self.trees[priority].set(key, 0)
--- a/sageturn/store/replication/close_code.py
+++ b/sageturn/store/replication/close_code.py
@@ -13,7 +13,7 @@
 
     ORDERLY = "orderly"  # the session is no longer needed
     REMOVED = "removed"  # one of the two members was removed from the cluster
-    AWAY = "away"  # the peer was out of sync for longer than deletions are remembered
+    AWAY = "away"  # the peer was out of sync for longer than tombstones are retained
     LATER = "later"  # the peer may connect again later
     VERSION = "version"  # the peer speaks another protocol version
     FAULT = "fault"  # a protocol violation, or an unresponsive peer
--- a/sageturn/store/replication/replica.py
+++ b/sageturn/store/replication/replica.py
@@ -103,12 +103,12 @@
         self._supersede_at = now
         self._begin_incarnation()
         store.on_change.append(self.records.on_store_changed)
-        store.on_forgotten.append(self.records.on_store_forgotten)
+        store.on_discarded.append(self.records.on_records_discarded)
 
     def close(self) -> None:
         """Unsubscribe from the store's changes."""
         self.store.on_change.remove(self.records.on_store_changed)
-        self.store.on_forgotten.remove(self.records.on_store_forgotten)
+        self.store.on_discarded.remove(self.records.on_records_discarded)
 
     # ------------------------------------------------------------ state
 
@@ -155,8 +155,8 @@
         self._is_announced = True
 
     def _start_over(self) -> None:
-        """Drop the records of others, after being out of sync for longer than deletions are remembered."""
-        dropped = self.store.drop_copied()
+        """Drop the records of others, after being out of sync for longer than tombstones are retained."""
+        dropped = self.store.drop_replicated_records()
         log.warning(
             "replica starts over node=%s reason=out_of_sync_beyond_horizon dropped_records=%d",
             self.store.node,
@@ -302,7 +302,7 @@
         if now >= self._maintenance_at:
             self._maintenance_at = now + MAINTENANCE_INTERVAL_S
             self.sync_status.update_settling(now, self._session_table.may_settle())
-            self._forget_tombstones(now)
+            self._discard_tombstones(now)
         if self._links is None:
             return TickResult((), self._maintenance_at)
         if not self._is_announced:
@@ -314,8 +314,8 @@
         addresses = self._links.addresses_to_dial(now)
         return TickResult(addresses, min(self._maintenance_at, self._links.next_wakeup(now)))
 
-    def _forget_tombstones(self, now: float) -> None:
-        """Forget deletions past the horizon, but only while messages from every zone arrive.
+    def _discard_tombstones(self, now: float) -> None:
+        """Discard tombstones older than the horizon, but only while messages from every zone arrive.
 
         Replicas in a partitioned zone may still hold the deleted records, and consider themselves in sync.
         """
@@ -323,7 +323,7 @@
             return
         zones = self.records.directory.active_zones()
         if not self.zones.is_any_unresponsive(zones, now, limit_s=self._horizon_s / 2):
-            self.records.forget_expired_tombstones()
+            self.records.discard_expired_tombstones()
 
     def _supersede_stale_incarnation(self, now: float) -> None:
         """Begin an incarnation with a larger number, after an earlier one of this member counted as newer."""
--- a/sageturn/store/replication/replicated_records.py
+++ b/sageturn/store/replication/replicated_records.py
@@ -53,7 +53,7 @@
         self._tombstones.clear()
         self.directory.reset(self.store)
         for node in self.directory.removed - {self.store.node}:
-            self._forget_states(node)
+            self._discard_states(node)
         for record in self.store.records():
             self.changes.add(record)
             self._index(record)
@@ -80,12 +80,12 @@
             self._applied_source = None
 
     def has_expirable_tombstones(self) -> bool:
-        """Return whether there are deletions, and this replica was in sync recently enough to forget any."""
-        return self._tombstones.may_forget()
+        """Return whether tombstones exist, and this replica was in sync recently enough to discard them."""
+        return self._tombstones.has_expirable()
 
-    def forget_expired_tombstones(self) -> None:
-        """Forget the deletions past the horizon."""
-        self._tombstones.forget_expired()
+    def discard_expired_tombstones(self) -> None:
+        """Discard the tombstones older than the horizon."""
+        self._tombstones.discard_expired()
 
     # ------------------------------------------------------------ callbacks of the store
 
@@ -97,8 +97,8 @@
             self._index(record)
         self._observer.on_records_changed()
 
-    def on_store_forgotten(self, keys: list[str]) -> None:
-        """Drop keys that the store has forgotten; a callback for ``Store.on_forgotten``."""
+    def on_records_discarded(self, keys: list[str]) -> None:
+        """Drop keys whose records the store has discarded; a callback for ``Store.on_discarded``."""
         for key in keys:
             self.changes.remove(key)
             self._tombstones.discard(key)
@@ -122,12 +122,14 @@
         self._observer.on_members_changed()
         if node != self.store.node:
             self.directory.members.pop(node, None)
-            self._forget_states(node)
+            self._discard_states(node)
         self._observer.on_member_removed(node)
 
-    def _forget_states(self, node: str) -> None:
+    def _discard_states(self, node: str) -> None:
         prefix = f"{STATE_PREFIX}{node}/"
-        self.store.forget([record.key for record in self.store.records() if record.key.startswith(prefix)])
+        self.store.discard_records(
+            [record.key for record in self.store.records() if record.key.startswith(prefix)]
+        )
 
     def _is_obsolete(self, record: StoreRecord) -> bool:
         is_from_removed_member = record.node in self.directory.removed and record.node != self.store.node
--- a/sageturn/store/replication/sync_status.py
+++ b/sageturn/store/replication/sync_status.py
@@ -1,8 +1,8 @@
 """The sync status of a replica: whether its records are known to be complete and current.
 
-The horizon is the time for which deletions are remembered. A replica is recently in sync if at some time
+The horizon is the time for which tombstones are retained. A replica is recently in sync if at some time
 within the horizon it held all records of the others. A replica that is not recently in sync may hold records
-whose deletion the others have forgotten. When it connects to one that is, it therefore drops the records of
+whose tombstones the others have discarded. When it connects to one that is, it therefore drops the records of
 others and fetches them again; until then no replica that is recently in sync accepts records from it.
 """
 
@@ -17,7 +17,7 @@
     """Tracker of the sync status of one replica."""
 
     def __init__(self, store: Store, horizon_s: float) -> None:
-        """Read the status from the store; ``horizon_s`` is how long deletions are remembered."""
+        """Read the status from the store; ``horizon_s`` is how long tombstones are retained."""
         self._store = store
         self._horizon_s = horizon_s
         has_records_of_others = any(record.node != store.node for record in store.records())
--- a/sageturn/store/replication/tombstones.py
+++ b/sageturn/store/replication/tombstones.py
@@ -1,4 +1,4 @@
-"""Tombstones: which deletions are remembered, and when each may be forgotten."""
+"""Tombstones: which deletions are tracked, and when the tombstone of each may be discarded."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 class TombstoneTracker:
     """Tracker of the deletions in a store, by the Unix seconds of their writer's clock.
 
-    A deletion without a time, which an earlier version of the program wrote, is never forgotten.
+    A deletion without a time, which an earlier version of the program wrote, is never discarded.
     """
 
     def __init__(self, store: Store, horizon_s: float) -> None:
-        """Start without deletions; ``horizon_s`` is how long they are remembered."""
+        """Start without deletions; ``horizon_s`` is how long tombstones are retained."""
         self._store = store
         self._horizon_s = horizon_s
         self._deleted_at: dict[str, float] = {}
@@ -28,7 +28,7 @@
             self._deleted_at[record.key] = deleted_at
 
     def discard(self, key: str) -> None:
-        """Drop a key that the store has forgotten."""
+        """Drop a key whose record the store has discarded."""
         self._deleted_at.pop(key, None)
 
     def clear(self) -> None:
@@ -42,19 +42,19 @@
             return False
         return self._store.record(record.key) is None
 
-    def may_forget(self) -> bool:
-        """Return whether there are deletions, and this replica was in sync recently enough to forget any."""
+    def has_expirable(self) -> bool:
+        """Return whether tombstones exist, and this replica was in sync recently enough to discard them."""
         last_in_sync = self._store.replica_state.last_in_sync
         if last_in_sync is None or not self._deleted_at:
             return False
         return self._store.wall_clock() - last_in_sync <= self._horizon_s / 2
 
-    def forget_expired(self) -> None:
-        """Forget the deletions past the horizon and its margin."""
+    def discard_expired(self) -> None:
+        """Discard the tombstones older than the horizon and its margin."""
         limit = self._store.wall_clock() - self._horizon_s * (1.0 + HORIZON_MARGIN_RATIO)
         expired = [key for key, deleted_at in self._deleted_at.items() if deleted_at < limit]
         if expired:
-            self._store.forget(expired)
+            self._store.discard_records(expired)
 
 
 def _deletion_time_s(record: StoreRecord) -> float | None:
--- a/sageturn/store/store.py
+++ b/sageturn/store/store.py
@@ -32,7 +32,7 @@
 
     Attributes:
         on_change: Callbacks for each batch of records that was applied.
-        on_forgotten: Callbacks for the keys of each batch of records that was dropped without a tombstone.
+        on_discarded: Callbacks for the keys of each batch of records that was dropped without a tombstone.
     """
 
     def __init__(
@@ -58,7 +58,7 @@
         self.node = node
         self.wall_clock = wall_clock
         self.on_change: list[Callable[[list[StoreRecord]], None]] = []
-        self.on_forgotten: list[Callable[[list[str]], None]] = []
+        self.on_discarded: list[Callable[[list[str]], None]] = []
         self._records: dict[str, StoreRecord] = {}
         self._log = None if path is None else CompactingLog(path, min_compaction_bytes)
         self.replica_state_file = ReplicaStateFile(path)
@@ -179,21 +179,21 @@
             log.warning("log compaction failed path=%s reason=%s", record_log.path, error)
             record_log.postpone_compaction()
 
-    # ------------------------------------------------------------ forgetting
+    # ------------------------------------------------------------ discarding
 
-    def forget(self, keys: Iterable[str]) -> None:
+    def discard_records(self, keys: Iterable[str]) -> None:
         """Drop records without leaving a tombstone: expired tombstones, and states of removed members.
 
         The next compaction removes them from the log; after an earlier restart they are read and dropped
         again.
         """
-        forgotten = [self._records.pop(key) for key in keys if key in self._records]
-        self.raise_tombstone_floor(max((record.version for record in forgotten), default=0))
-        if forgotten:
-            self._notify_forgotten([record.key for record in forgotten])
+        discarded = [self._records.pop(key) for key in keys if key in self._records]
+        self.raise_tombstone_floor(max((record.version for record in discarded), default=0))
+        if discarded:
+            self._notify_discarded([record.key for record in discarded])
 
-    def drop_copied(self) -> int:
-        """Drop copied records that other nodes may have deleted while this replica was long out of sync.
+    def drop_replicated_records(self) -> int:
+        """Drop replicated records that other nodes may have deleted while this replica was long out of sync.
 
         This node's own states are retained, and so are records that were written after it was last in sync.
         The old log is copied for operators to a file with the suffix ``.dropped-`` and the Unix time.
@@ -212,7 +212,7 @@
         self.replica_state_file.write(ReplicaState(None, floor))
         for key in dropped:
             del self._records[key]
-        self._notify_forgotten(dropped)
+        self._notify_discarded(dropped)
         if self._log is not None:
             self._try_to_compact(self._log)  # if it fails, the next restart drops the same records again
         return len(dropped)
@@ -224,9 +224,9 @@
         last_in_sync = self.replica_state.last_in_sync
         return last_in_sync is not None and (record.written_ms or 0) > last_in_sync * 1000.0
 
-    def _notify_forgotten(self, keys: list[str]) -> None:
-        for on_forgotten in self.on_forgotten:
-            on_forgotten(keys)
+    def _notify_discarded(self, keys: list[str]) -> None:
+        for on_discarded in self.on_discarded:
+            on_discarded(keys)
 
     # ------------------------------------------------------------ replica state
 
--- a/tests/store/test_compatibility_store.py
+++ b/tests/store/test_compatibility_store.py
@@ -67,7 +67,7 @@
     for key, value in OPERATIONS:
         store.put(key, value)
     store.merge(RECORDS_OF_OTHERS)
-    store.forget(["notes/deleted"])
+    store.discard_records(["notes/deleted"])
     store.set_last_in_sync(START_S + 120.5)
     store.close()
 
--- a/tests/store/test_disk_faults.py
+++ b/tests/store/test_disk_faults.py
@@ -158,7 +158,7 @@
     store.put("config/0", 0)
     deletion = store.put("config/0", None)
     with failing_syncs(monkeypatch):
-        store.forget(["config/0"])
+        store.discard_records(["config/0"])
         with pytest.raises(OSError, match="Input/output"):
             store.compact()
     store.compact()
@@ -195,16 +195,16 @@
     store = Store("n1", tmp_path / "log", wall_clock=lambda: 2000.0)
     store.put("state/n1/x", 1)
     store.merge([StoreRecord("config/a", 1, 9, "n2", 800_000)])
-    forgotten: list[str] = []
-    store.on_forgotten.append(forgotten.extend)
+    discarded: list[str] = []
+    store.on_discarded.append(discarded.extend)
 
     def fail_to_rewrite(record_log: RecordLog, records: Iterable[StoreRecord]) -> None:
         raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
 
     with monkeypatch.context() as patched:
         patched.setattr(RecordLog, "rewrite", fail_to_rewrite)
-        assert store.drop_copied() == 1
-    assert forgotten == ["config/a"] and store.keys() == ["state/n1/x"]
+        assert store.drop_replicated_records() == 1
+    assert discarded == ["config/a"] and store.keys() == ["state/n1/x"]
     store.put("config/b", 2)
     store = reopened(store, tmp_path / "log")
     assert store.get("config/b") == 2 and store.get("state/n1/x") == 1
--- a/tests/store/test_replication.py
+++ b/tests/store/test_replication.py
@@ -111,7 +111,7 @@
     cluster.invariants.check()
     if away_s > 70.0:
         assert not any(cluster.store("a").record(f"config/{number}") for number in deleted), (
-            "deletions were not forgotten"
+            "tombstones were not discarded"
         )
     if not running:
         cluster.restart("d")
@@ -125,7 +125,7 @@
         ]
         assert all(store.get(f"config/{number}") == "old" for number in set(range(10)) - deleted)
         assert all(store.get(f"config/new/{number}") == number for number in written)
-    # A deleted and forgotten key can be written again, with a version above any that a replica remembers.
+    # A key whose tombstone was discarded can be written again, with a version above any that a replica holds.
     for number in deleted:
         cluster.put("d", f"config/{number}", "again")
     assert cluster.converge(30.0, star)
@@ -164,18 +164,18 @@
     assert cluster.store("b").get("config/early") == 1 and cluster.replicas["e"].sync_status.recently_in_sync
 
 
-def test_a_new_write_wins_over_a_deletion_that_others_still_remember() -> None:
+def test_a_new_write_wins_over_a_tombstone_that_others_still_hold() -> None:
     cluster = make_synced_cluster("ab", 1)
     cluster.put("b", "config/x", 1)
     cluster.put("b", "config/x", None)
     cluster.run(2.0)
-    cluster.store("a").forget(["config/x"])  # a forgets it first, as if its clock were ahead of b's
+    cluster.store("a").discard_records(["config/x"])  # as if the clock of a were ahead of that of b
     cluster.put("a", "config/x", "anew")
     cluster.run(2.0)
     assert cluster.store("b").get("config/x") == "anew"
     cluster.put("b", "config/x", None)
     cluster.run(2.0)
-    cluster.store("a").forget(["config/x"])
+    cluster.store("a").discard_records(["config/x"])
     cluster.start("c", Store("c", wall_clock=cluster.wall))  # receives the state of the key from a alone
     cluster.connect("a", "c")
     cluster.run(0.2)
@@ -184,7 +184,7 @@
     assert cluster.store("b").get("config/x") == "by c"
 
 
-def test_while_a_zone_is_cut_off_no_deletion_is_forgotten() -> None:
+def test_while_a_zone_is_cut_off_no_tombstone_is_discarded() -> None:
     # The replicas in the zone stay in sync with each other, so each considers itself in sync throughout.
     cluster = make_synced_cluster("abcd", 1, horizon_s=60.0)
     for name in "abcd":
@@ -208,7 +208,7 @@
     assert cluster.store("d").get("config/x") is None
     cluster.run(100.0)
     assert all(cluster.store(name).record("config/x") is None for name in "abcd"), (
-        "deletions were not forgotten after the partition healed"
+        "tombstones were not discarded after the partition healed"
     )
     assert cluster.is_consistent()
 
@@ -229,7 +229,7 @@
 
 
 def test_a_replica_of_unknown_age_starts_over_and_an_empty_one_between_passes_nothing_on() -> None:
-    # z holds records that a and b have deleted and forgotten; e is new, and connects to z before a.
+    # z holds records whose tombstones a and b have discarded; e is new, and connects to z before a.
     cluster = make_synced_cluster("ab", 1, horizon_s=60.0)
     cluster.start("z", Store("z", wall_clock=cluster.wall))
     cluster.store("z").merge([StoreRecord("config/gone", 1, 1, "y"), StoreRecord("config/kept", 1, 1, "y")])
@@ -474,7 +474,7 @@
     cluster = make_linked_pair(200)
     cluster.run(2.0)
     store = cluster.store("b")
-    store.forget(["config/shard/7"])  # simulates a fault of the program or of the memory
+    store.discard_records(["config/shard/7"])  # simulates a fault of the program or of the memory
     assert store.record("config/shard/7") is None and not cluster.is_consistent()
     cluster.run(10.0)
     assert cluster.is_consistent() and store.get("config/shard/7") is not None
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -91,12 +91,12 @@
     reopened.close()
 
 
-def test_the_last_sync_and_forgotten_deletions_are_known_after_a_restart(tmp_path: Path) -> None:
+def test_the_last_sync_and_the_tombstone_floor_are_known_after_a_restart(tmp_path: Path) -> None:
     store = Store("n1", tmp_path / "log", wall_clock=lambda: 1000.0)
     store.put("config/a", 1)
     store.put("config/a", None)
     store.set_last_in_sync(900.0)
-    store.forget(["config/a"])
+    store.discard_records(["config/a"])
     store.put("config/b", 1)
     store.compact()
     store.close()
@@ -107,7 +107,9 @@
     ) and reopened.record("config/a") is None
     assert reopened.put("config/a", 2).version == 3
     reopened.merge([StoreRecord("config/c", 1, 9, "n2", 800_000), StoreRecord("state/n1/x", 1, 1, "n1")])
-    assert reopened.drop_copied() == 1, "later writes of this node, and its own states, are retained"
+    assert reopened.drop_replicated_records() == 1, (
+        "later writes of this node, and its own states, are retained"
+    )
     reopened.close()
     (backup,) = tmp_path.glob("log.dropped-*")
     assert b"config/c" in backup.read_bytes() and b"config/c" not in (tmp_path / "log").read_bytes()
--- a/tests/support/replication_fleet.py
+++ b/tests/support/replication_fleet.py
@@ -59,7 +59,7 @@
         self._orders: dict[tuple[str, str], RecordOrder] = {}  # last order seen, by replica and key
 
     def on_replica_started(self, name: str) -> None:
-        """Forget the orders seen at a replica: it may start with older versions than it had."""
+        """Discard the orders seen at a replica: it may start with older versions than it had."""
         self._orders = {key: order for key, order in self._orders.items() if key[0] != name}
 
     def check(self) -> None:
@@ -113,13 +113,13 @@
                         if revision <= cursor.backlog or cursor.backlog_end < revision <= cursor.live:
                             record, held = leader.store.record(key), follower.store.record(key)
                             assert record is not None
-                            # A record may be missing if the follower has forgotten a deletion of its key.
-                            is_forgotten = (
+                            # A record may be missing if the follower has discarded a tombstone of its key.
+                            is_tombstone_discarded = (
                                 held is None
                                 and record.version <= follower.store.replica_state.tombstone_floor
                             )
                             is_current = held is not None and not supersedes(record, held)
-                            assert is_forgotten or is_current, f"{key} at {revision} was skipped"
+                            assert is_tombstone_discarded or is_current, f"{key} at {revision} was skipped"
 
     @staticmethod
     def _check_memory(session: ReplicationSession) -> None:
