--- a/tests/relay/test_full_disk.py
+++ b/tests/relay/test_full_disk.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 import pytest
-from support.disk_faults import failing_syncs
+from support.disk_faults import fail_syncs
 from support.event_loop import until
 from support.network_fakes import echo_lines, encode_request_line, running_relay, send_request
 
@@ -25,7 +25,7 @@
         reader, writer = await send_request(relay.listener.address, encode_request_line())
         assert await reader.readline() == b"UP r1\r\n"
         await until(lambda: (relay.store.get(key) or {}).get("standing") == 1)
-        with failing_syncs(monkeypatch):
+        with fail_syncs(monkeypatch):
             second_reader, second_writer = await send_request(relay.listener.address, encode_request_line())
             assert await second_reader.readline() == b"UP r1\r\n"
             await relay._actors.wait_until_failed_or(asyncio.sleep(0.3))
--- a/tests/store/test_disk_faults.py
+++ b/tests/store/test_disk_faults.py
@@ -11,7 +11,7 @@
 from random import Random
 
 import pytest
-from support.disk_faults import failing_syncs, limiting_file_growth
+from support.disk_faults import fail_syncs, limit_file_growth
 
 from sageturn.store.log import MAGIC, RecordLog
 from sageturn.store.records import StoreRecord
@@ -42,10 +42,10 @@
     path = tmp_path / "log"
     store = Store("n1", path)
     store.put("config/0", 0)
-    with limiting_file_growth(path, more_bytes=20), pytest.raises(OSError, match="File too large"):
+    with limit_file_growth(path, extra_bytes=20), pytest.raises(OSError, match="File too large"):
         store.put("config/1", "never acknowledged")
     store.put("config/2", 2)
-    with failing_syncs(monkeypatch), pytest.raises(OSError, match="Input/output"):
+    with fail_syncs(monkeypatch), pytest.raises(OSError, match="Input/output"):
         store.put("config/3", "zzzz, never acknowledged")
     for number in range(8):
         store.put(f"config/{number + 3}", f"acknowledged {number}")
@@ -63,7 +63,7 @@
     path = tmp_path / "log"
     store = Store("n1", path)
     store.put("config/0", 0)
-    with failing_syncs(monkeypatch):  # the truncation needs a sync too
+    with fail_syncs(monkeypatch):  # the truncation needs a sync too
         for _ in range(2):
             with pytest.raises(OSError, match="Input/output"):
                 store.put("config/1", "never acknowledged")
@@ -102,9 +102,9 @@
 
     def failing_rewrite(log: RecordLog, records: Iterable[StoreRecord]) -> None:
         if fault == "full":
-            with limiting_file_growth(tmp_path / "small", more_bytes=20):
+            with limit_file_growth(tmp_path / "small", extra_bytes=20):
                 rewrite(log, records)
-        with failing_syncs(monkeypatch):
+        with fail_syncs(monkeypatch):
             rewrite(log, records)
 
     (tmp_path / "small").write_bytes(b"")
@@ -157,7 +157,7 @@
     store = Store("n1", path)
     store.put("config/0", 0)
     deletion = store.put("config/0", None)
-    with failing_syncs(monkeypatch):
+    with fail_syncs(monkeypatch):
         store.discard_records(["config/0"])
         with pytest.raises(OSError, match="Input/output"):
             store.compact()
@@ -175,7 +175,7 @@
         path = tmp_path / name
         if initial_bytes:
             path.write_bytes(initial_bytes)
-        with monkeypatch.context() as patched, failing_syncs(patched):
+        with monkeypatch.context() as patched, fail_syncs(patched):
             patched.setattr(RecordLog, "_truncate_to_size", fail_to_truncate)
             store = Store("n1", path)
             with pytest.raises(OSError, match="Input/output"):
@@ -219,7 +219,7 @@
     store = Store("n1", tmp_path / "log")
     location = ReplicaLocation(("127.0.0.1", 7400), "r", "a")
     replica = Replica(store, Random(1), 0.0, location, lambda own: Overlay(own, (), Random(2)))
-    with failing_syncs(monkeypatch), pytest.raises(OSError, match="Input/output"):
+    with fail_syncs(monkeypatch), pytest.raises(OSError, match="Input/output"):
         replica.tick(1.0)
     assert store.get(member_key("n1")) is None
     replica.tick(2.0)
--- a/tests/store/test_malformed_frames.py
+++ b/tests/store/test_malformed_frames.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 import pytest
-from support.replication_fleet import DialSeeds
+from support.replication_fleet import SeedDialer
 
 from sageturn.store.errors import SessionRejectedError
 from sageturn.store.replication.close_code import CloseCode
@@ -41,7 +41,7 @@
         store.put(f"config/{name}", 1)
         store.set_last_in_sync(WALL_CLOCK_S)
         location = None if is_ephemeral else ReplicaLocation(("127.0.0.1", 1), "r", name)
-        return Replica(store, random.Random(name), self.now, location, make_topology=DialSeeds)
+        return Replica(store, random.Random(name), self.now, location, make_topology=SeedDialer)
 
     def _step(self) -> None:
         self.now += STEP_S
--- a/tests/store/test_replication_sockets.py
+++ b/tests/store/test_replication_sockets.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 import pytest
-from support.replication_fleet import DialSeeds
+from support.replication_fleet import SeedDialer
 
 from sageturn.config.errors import ConfigError
 from sageturn.config.operator import read_operator_file
@@ -53,7 +53,7 @@
 ) -> ReplicationMember:
     """Start a member that dials only the seeds, or the peers that the overlay selects."""
     options = ReplicationOptions(("127.0.0.1", 0), seeds, SECRET, "r", zone, rate)
-    topology = partial(DialSeeds, seeds=seeds) if dials_only_seeds else None
+    topology = partial(SeedDialer, seeds=seeds) if dials_only_seeds else None
     member = ReplicationMember(
         Store(name, path), options, AdmissionController(ProcessLimits(64, 64.0)), Random(name), topology
     )
--- a/tests/support/disk_faults.py
+++ b/tests/support/disk_faults.py
@@ -13,13 +13,13 @@
 
 
 @contextmanager
-def limiting_file_growth(path: Path, more_bytes: int) -> Iterator[None]:
-    """Limit the files of this process to ``more_bytes`` beyond the present size of ``path``.
+def limit_file_growth(path: Path, extra_bytes: int) -> Iterator[None]:
+    """Limit the files of this process to ``extra_bytes`` beyond the present size of ``path``.
 
     The kernel itself shortens the write, and fails the next one, with EFBIG instead of ENOSPC.
     """
     limits = resource.getrlimit(resource.RLIMIT_FSIZE)
-    resource.setrlimit(resource.RLIMIT_FSIZE, (path.stat().st_size + more_bytes, limits[1]))
+    resource.setrlimit(resource.RLIMIT_FSIZE, (path.stat().st_size + extra_bytes, limits[1]))
     try:
         yield
     finally:
@@ -27,7 +27,7 @@
 
 
 @contextmanager
-def failing_syncs(monkeypatch: pytest.MonkeyPatch) -> Iterator[None]:
+def fail_syncs(monkeypatch: pytest.MonkeyPatch) -> Iterator[None]:
     """Make every ``fsync`` fail with EIO; data that was written before it is in the file nevertheless."""
 
     def fail(descriptor: int) -> None:
--- a/tests/support/replication_fleet.py
+++ b/tests/support/replication_fleet.py
@@ -351,7 +351,7 @@
     return cluster
 
 
-class DialSeeds:
+class SeedDialer:
     """Topology that dials every seed, and dials it again after each disconnection."""
 
     membership_status = "member"
--- a/tests/support/replication_member.py
+++ b/tests/support/replication_member.py
@@ -5,7 +5,7 @@
 from functools import partial
 from random import Random
 
-from support.replication_fleet import DialSeeds
+from support.replication_fleet import SeedDialer
 
 from sageturn.net.admission import AdmissionController, ProcessLimits
 from sageturn.store.channel import read_secret
@@ -24,7 +24,7 @@
         options,
         AdmissionController(ProcessLimits(64, 64.0)),
         Random(1),
-        partial(DialSeeds, seeds=peers),
+        partial(SeedDialer, seeds=peers),
     )
     member.start()
     return member
