--- a/sageturn/cli/lab.py
+++ b/sageturn/cli/lab.py
@@ -27,8 +27,7 @@
 from sageturn.lab.runner.experiment_runner import run_experiment, run_scenario
 from sageturn.lab.runner.result_file import Line, Results
 from sageturn.lab.runner.scenario_shrinking import describe
-from sageturn.lab.runner.search import Evaluation, find_crossing, write_scenario
-from sageturn.lab.runner.search import hunt as hunt_scenarios
+from sageturn.lab.runner.search import Evaluation, find_costly_scenarios, find_crossing, write_scenario
 from sageturn.lab.runner.search import sweep as sweep_values
 
 app = typer.Typer(
@@ -40,7 +39,7 @@
 ProcessCount = Annotated[int, typer.Option(help="Number of runs at once.")]
 MetricName = Annotated[str, typer.Option(help="Name of one of the runs' metrics.")]
 DEFAULT_PROCESSES = max(1, (os.cpu_count() or 2) - 1)  # leaves one core free
-MAX_REPORTED_SCENARIOS = 8  # scenarios that a hunt lists
+MAX_REPORTED_SCENARIOS = 8  # scenarios that the command ``hunt`` lists
 NON_TERMINAL_WIDTH = 170  # characters per line of a table that is written to a file or a pipe
 
 
@@ -210,7 +209,7 @@
         searched_variant, read_policy(searched_variant.policy, Path.cwd()), (seed,), metric
     )
     calm = Scenario("calm", scenario.size, scenario.seconds)
-    costly_scenarios = hunt_scenarios(calm, evaluation, days, seed, processes, print)
+    costly_scenarios = find_costly_scenarios(calm, evaluation, days, seed, processes, print)
     worst = costly_scenarios[0].scenario
     loss = costly_scenarios[0].loss
     why = f"found by hunting {days} days of seed {seed}: loses {loss:.3f} of {metric} against a calm day"
@@ -275,12 +274,12 @@
 ) -> None:
     """Measure what parts of a relay's control cost by their size, with fits: a minute on one core."""
     from sageturn.lab.runner.result_file import revision
-    from sageturn.lab.scale.costs import PARTS, run_costs
+    from sageturn.lab.scale.costs import COST_MEASUREMENTS, run_costs
 
     chosen = [name for name in only.split(",") if name]
     for name in chosen:
-        if name not in (*PARTS, "list_calls"):
-            fail(ExitCode.USAGE, f"only: {name} must be one of {', '.join(PARTS)}, list_calls")
+        if name not in (*COST_MEASUREMENTS, "list_calls"):
+            fail(ExitCode.USAGE, f"only: {name} must be one of {', '.join(COST_MEASUREMENTS)}, list_calls")
     origin = {"revision": revision(Path.cwd()), "load": round(os.getloadavg()[0], 2)}
     with out.open("a", encoding="utf-8") as lines:
         for line in run_costs(chosen):
--- a/sageturn/lab/model/fleet.py
+++ b/sageturn/lab/model/fleet.py
@@ -32,10 +32,10 @@
     ]
 
 
-def describe_endpoint(
+def make_list_entry(
     endpoint: EndpointModel, state: decision.EndpointStatus = decision.EndpointStatus.READY
 ) -> decision.Endpoint:
-    """Return an endpoint's entry of the endpoint list in the form that the balancer reads."""
+    """Return an endpoint's entry in the endpoint list, in the form that the balancer reads."""
     started_ms = endpoint.started_s * 1000.0 if endpoint.started_s > 0 else 0.0
     return decision.Endpoint(endpoint.name, state, endpoint.zone, 0, started_ms, 1.0, endpoint.kind)
 
--- a/sageturn/lab/model/simulated_endpoints.py
+++ b/sageturn/lab/model/simulated_endpoints.py
@@ -8,7 +8,7 @@
 
 from sageturn import decision
 from sageturn.lab.model.endpoint_model import MAX_UTILIZATION, EndpointModel
-from sageturn.lab.model.fleet import describe_endpoint, make_endpoints
+from sageturn.lab.model.fleet import make_endpoints, make_list_entry
 from sageturn.lab.model.fleet_spec import FleetSpec
 from sageturn.lab.model.simulation_steps import EndpointConditions
 
@@ -79,7 +79,7 @@
         delay_s: float = DISCOVERY_DELAY_S,
     ) -> None:
         """Schedule an update by which discovery reports a state of these endpoints after ``delay_s``."""
-        entries = [describe_endpoint(endpoint, state) for endpoint in endpoints]
+        entries = [make_list_entry(endpoint, state) for endpoint in endpoints]
         self._pending_updates.append((now_s + delay_s, entries))
 
     def take_due_updates(self, now_s: float) -> list[list[decision.Endpoint]]:
@@ -91,7 +91,7 @@
     def full_list(self) -> list[decision.Endpoint]:
         """Return the full endpoint list, as sent to a relay that starts now."""
         return [
-            describe_endpoint(
+            make_list_entry(
                 endpoint,
                 decision.EndpointStatus.DRAINING if endpoint.draining else decision.EndpointStatus.READY,
             )
--- a/sageturn/lab/runner/experiment_runner.py
+++ b/sageturn/lab/runner/experiment_runner.py
@@ -66,7 +66,7 @@
     policies = {variant.name: read_policy(variant.policy, root) for variant in experiment.variants}
     results = Results(file)
     results.start(_head(experiment, root, policies))
-    completed = results.done()
+    completed = results.completed_runs()
     missing = [run for run in _all_runs(experiment) if run.key not in completed]
     with ProcessPoolExecutor(processes, mp_context=get_context("spawn")) as pool:
         futures = [
--- a/sageturn/lab/runner/result_file.py
+++ b/sageturn/lab/runner/result_file.py
@@ -85,7 +85,7 @@
             out.flush()
             os.fsync(out.fileno())
 
-    def done(self) -> set[tuple[str, int, str]]:
+    def completed_runs(self) -> set[tuple[str, int, str]]:
         """Return the scenario, seed and variant of each run."""
         return {(run["scenario"], run["seed"], run["variant"]) for run in self.runs}
 
--- a/sageturn/lab/runner/search.py
+++ b/sageturn/lab/runner/search.py
@@ -157,7 +157,7 @@
     scenario: Scenario
 
 
-def hunt(
+def find_costly_scenarios(
     baseline: Scenario,
     evaluation: Evaluation,
     count: int,
--- a/sageturn/lab/runner/simulation.py
+++ b/sageturn/lab/runner/simulation.py
@@ -16,7 +16,7 @@
 from typing import Protocol
 
 from sageturn.lab.faults.fault import ScheduledFault
-from sageturn.lab.model.fleet import InitialPlacement, describe_endpoint, make_endpoints
+from sageturn.lab.model.fleet import InitialPlacement, make_endpoints, make_list_entry
 from sageturn.lab.model.fleet_spec import FleetSpec
 from sageturn.lab.model.planner_kind import PlannerKind
 from sageturn.lab.model.simulated_relay import SimulatedRelay
@@ -51,7 +51,7 @@
             for number in numbers
         }
         endpoints = make_endpoints(spec)
-        initial_entries = [describe_endpoint(endpoint) for endpoint in endpoints[: spec.initial_endpoints]]
+        initial_entries = [make_list_entry(endpoint) for endpoint in endpoints[: spec.initial_endpoints]]
         for number, relay in self.relays.items():
             relay.update_endpoints(initial_entries)
             placement = InitialPlacement(spec, endpoints)
--- a/sageturn/lab/scale/costs.py
+++ b/sageturn/lab/scale/costs.py
@@ -24,43 +24,46 @@
 LIST_CALLS_SEED = 33
 
 
-class Part(NamedTuple):
-    """A measured part: the function that measures it at a size, the sizes, and the keys of a line to fit."""
+class CostMeasurement(NamedTuple):
+    """Measurement of one cost: the function that measures it at a size, the sizes, and the keys to fit."""
 
     measure: Callable[[int], msgspec.Struct]
     sizes: tuple[int, ...]
     fitted_keys: tuple[str, ...]
 
 
-PARTS = {
-    "store_memory": Part(store_memory, KEY_COUNTS, ("octets",)),
-    "store_digest": Part(store_digest, KEY_COUNTS, ("octets", "write_s", "compare_s")),
-    "store_log": Part(store_log, KEY_COUNTS, ("octets", "read_s")),
-    "operator_command": Part(operator_command, KEY_COUNTS[:-1], ("copied_s",)),
-    "list_reading": Part(list_reading, ENDPOINT_COUNTS, ("octets", "read_s")),
-    "decisions": Part(decisions, ENDPOINT_COUNTS, ("request_s", "list_s", "change_s")),
-    "flow_record": Part(flow_record, NAME_LENGTHS, ("octets",)),
+COST_MEASUREMENTS = {
+    "store_memory": CostMeasurement(store_memory, KEY_COUNTS, ("octets",)),
+    "store_digest": CostMeasurement(store_digest, KEY_COUNTS, ("octets", "write_s", "compare_s")),
+    "store_log": CostMeasurement(store_log, KEY_COUNTS, ("octets", "read_s")),
+    "operator_command": CostMeasurement(operator_command, KEY_COUNTS[:-1], ("copied_s",)),
+    "list_reading": CostMeasurement(list_reading, ENDPOINT_COUNTS, ("octets", "read_s")),
+    "decisions": CostMeasurement(decisions, ENDPOINT_COUNTS, ("request_s", "list_s", "change_s")),
+    "flow_record": CostMeasurement(flow_record, NAME_LENGTHS, ("octets",)),
 }
 
 
 def run_costs(only: Iterable[str] = ()) -> Iterator[Line]:
-    """Yield each part's lines, one for each size and then its fits. ``only`` names parts; empty means all."""
-    chosen = set(only) or {*PARTS, "list_calls"}
-    for name in PARTS:
+    """Yield each measurement's lines: one for each size, then its fits.
+
+    ``only`` has the names of the measurements to run; empty means all.
+    """
+    chosen = set(only) or {*COST_MEASUREMENTS, "list_calls"}
+    for name in COST_MEASUREMENTS:
         if name in chosen:
-            yield from _run_part(name)
+            yield from _run_measurement(name)
     if "list_calls" in chosen:
         yield from _run_list_calls()
 
 
-def _run_part(name: str) -> Iterator[Line]:
-    part = PARTS[name]
+def _run_measurement(name: str) -> Iterator[Line]:
+    measurement = COST_MEASUREMENTS[name]
     lines = []
-    for size in part.sizes:
-        lines.append({"part": name, "size": size, **msgspec.to_builtins(part.measure(size))})
+    for size in measurement.sizes:
+        lines.append({"part": name, "size": size, **msgspec.to_builtins(measurement.measure(size))})
         yield lines[-1]
-    for key in part.fitted_keys:
-        yield {"part": name, "fit": key, **_fit_sizes(part.sizes, [line[key] for line in lines])}
+    for key in measurement.fitted_keys:
+        yield {"part": name, "fit": key, **_fit_sizes(measurement.sizes, [line[key] for line in lines])}
 
 
 def _run_list_calls() -> Iterator[Line]:
--- a/sageturn/lab/scale/members.py
+++ b/sageturn/lab/scale/members.py
@@ -21,7 +21,7 @@
 from sageturn.core.tasks import cancel_and_wait
 from sageturn.lab.scale.child_protocol import MemberStatus
 from sageturn.lab.scale.counting import socket_owner, with_socket_owner
-from sageturn.lab.scale.digests import DigestReplication, LinkOptions
+from sageturn.lab.scale.digest_replication import DigestReplication, LinkOptions
 from sageturn.lab.scale.errors import UnavailableReplicationError
 from sageturn.lab.scale.job_files import CommonJob, MemberJob
 from sageturn.lab.scale.plan import Spread
--- a/sageturn/lab/scale/relay_costs.py
+++ b/sageturn/lab/scale/relay_costs.py
@@ -15,7 +15,7 @@
 from sageturn.core.messages import ClientRequest
 from sageturn.decision.balancer import Balancer
 from sageturn.flows.exporter import to_flow
-from sageturn.lab.scale.cost_measuring import min_cpu_s
+from sageturn.lab.scale.cost_measurement import min_cpu_s
 from sageturn.net.endpoint_list import parse_endpoint_list
 from sageturn.net.json_stream import JsonObject
 
--- a/sageturn/lab/scale/results.py
+++ b/sageturn/lab/scale/results.py
@@ -41,11 +41,11 @@
     """
     results = Results(file)
     results.start(encode_head(experiment, root))
-    done = results.done()
+    completed = results.completed_runs()
     # Sizes to be predicted are run last, since their predictions need the results of the others.
     for size in sorted(experiment.sizes, key=lambda size: size.predict):
         for seed in experiment.seeds:
-            is_done = (size.name, seed, size.spread) in done
+            is_done = (size.name, seed, size.spread) in completed
             if not is_done and only in ("", size.name):
                 results.add(_run_line(experiment, size, seed, results, root, report_progress))
     return results
--- a/sageturn/lab/scale/scale_run.py
+++ b/sageturn/lab/scale/scale_run.py
@@ -204,7 +204,7 @@
         await members.start_all()
         result.started_s = time.monotonic() - began_s
         result.listed = await members.wait_until_listed(began_s, timeout_s)
-        if self._size.topology != Topology.SEEDS:  # with SEEDS, members choose their links themselves
+        if self._size.topology != Topology.SEEDS:  # members choose their links themselves with SEEDS
             result.linked_s = await members.wait_until_linked(self._size.link_count, timeout_s)
 
     async def _start_clients(self) -> None:
--- a/sageturn/lab/scale/store_costs.py
+++ b/sageturn/lab/scale/store_costs.py
@@ -19,8 +19,8 @@
 
 from msgspec import Struct, field
 
-from sageturn.lab.scale.cost_measuring import make_store, min_cpu_s
-from sageturn.lab.scale.digests import MAX_FRAME_BYTES, LinkOptions, missing_from
+from sageturn.lab.scale.cost_measurement import make_store, min_cpu_s
+from sageturn.lab.scale.digest_replication import MAX_FRAME_BYTES, LinkOptions, missing_from
 from sageturn.lab.scale.members import Location, make_replication, preload
 from sageturn.lab.scale.plan import Spread
 from sageturn.net.admission import AdmissionController, ProcessLimits
--- a/sageturn/lab/spreading.py
+++ b/sageturn/lab/spreading.py
@@ -21,7 +21,7 @@
 import uvloop
 
 from sageturn.lab.reports.result_table import Row, print_table
-from sageturn.lab.scale.digests import missing_from
+from sageturn.lab.scale.digest_replication import missing_from
 from sageturn.net.admission import AdmissionController, ProcessLimits
 from sageturn.store.channel import read_secret
 from sageturn.store.replication.member import ReplicationMember
--- a/tests/lab/test_scale_costs.py
+++ b/tests/lab/test_scale_costs.py
@@ -10,7 +10,7 @@
 
 from sageturn.cli.main import build_app
 from sageturn.lab.scale import costs, relay_costs, store_costs
-from sageturn.lab.scale.cost_measuring import make_store
+from sageturn.lab.scale.cost_measurement import make_store
 from sageturn.lab.scale.list_calls import list_calls
 
 
--- a/tests/lab/test_scale_members.py
+++ b/tests/lab/test_scale_members.py
@@ -5,7 +5,7 @@
 import pytest
 
 from sageturn.lab.scale import members
-from sageturn.lab.scale.digests import LinkOptions
+from sageturn.lab.scale.digest_replication import LinkOptions
 from sageturn.lab.scale.members import ArrivalRecorder, Location, make_replication, preload, store_hash
 from sageturn.net.admission import AdmissionController, ProcessLimits
 from sageturn.store.store import Store
