--- a/sageturn/store/replication/chunk_sender.py
+++ b/sageturn/store/replication/chunk_sender.py
@@ -212,7 +212,7 @@
         position = self._positions[stream]
         if position.scanned < self._end_of(stream):
             return True
-        # The end of a backlog is sent even without records, to tell the follower that it has them all.
+        # The end of a backlog is sent even without records, to notify the follower that it has them all.
         return position.end is not None and position.sent < position.end
 
     def _is_window_full(self, stream: StreamId) -> bool:
--- a/sageturn/store/replication/incarnation.py
+++ b/sageturn/store/replication/incarnation.py
@@ -7,7 +7,7 @@
 from sageturn.store.replication.member_directory import stored_incarnation
 from sageturn.store.store import Store
 
-RANDOM_BITS = 16  # low bits that tell apart two incarnations of the same millisecond
+RANDOM_BITS = 16  # low bits that distinguish two incarnations of the same millisecond
 
 
 def next_incarnation(store: Store, rng: Random, previous: int, step: int) -> int:
--- a/sageturn/store/replication/session_table.py
+++ b/sageturn/store/replication/session_table.py
@@ -109,8 +109,8 @@
     def _close_duplicate(self, old: PeerSession, new: PeerSession) -> None:
         """Close one of two sessions with a peer.
 
-        The session that the node with the smaller name has dialed is kept. Of two sessions with the same
-        dialer, or with two incarnations of the peer, the newer one is kept.
+        The session that the node with the smaller name has dialed is retained. Of two sessions with the same
+        dialer, or with two incarnations of the peer, the newer one is retained.
         """
         assert old.peer_hello is not None and new.peer_hello is not None
         is_same_incarnation = old.peer_hello.incarnation == new.peer_hello.incarnation
--- a/tests/store/test_replication.py
+++ b/tests/store/test_replication.py
@@ -169,7 +169,7 @@
     cluster.put("b", "config/x", 1)
     cluster.put("b", "config/x", None)
     cluster.run(2.0)
-    cluster.store("a").discard_records(["config/x"])  # as if the clock of a were ahead of that of b
+    cluster.store("a").discard_records(["config/x"])  # a discards it first, as if its clock were ahead
     cluster.put("a", "config/x", "anew")
     cluster.run(2.0)
     assert cluster.store("b").get("config/x") == "anew"
@@ -567,7 +567,7 @@
     assert not cluster.converge(0.1) or cluster.converge(5.0)
 
 
-def test_a_replica_of_protocol_1_is_rejected_and_both_sides_are_told_both_versions() -> None:
+def test_a_replica_of_protocol_1_is_rejected_and_both_sides_report_both_versions() -> None:
     cluster = SimulatedCluster("a", 1)
     dialing_session = cluster.replicas["a"].open_session("old", cluster.now, ("127.0.0.1", 9))
     hello_message = json.loads(dialing_session.next_payload(cluster.now) or b"")
