--- a/sageturn/store/replication/session_table.py
+++ b/sageturn/store/replication/session_table.py
@@ -15,8 +15,8 @@
 class SessionTable:
     """Table of all sessions, including those that are not established yet.
 
-    While a replica that is not recently in sync has a session with a peer that is, it accepts records from no
-    other peer: theirs may have been deleted in the meantime.
+    While a replica that is not recently in sync has a session with a peer that is, it accepts no records from
+    members that are not: such records may have been deleted in the meantime.
     """
 
     def __init__(self, node: str, sync_status: SyncStatus) -> None:
@@ -109,8 +109,8 @@
     def _close_duplicate(self, old: PeerSession, new: PeerSession) -> None:
         """Close one of two sessions with a peer.
 
-        The session that the node with the smaller name has dialed is kept. Of two sessions with the same
-        dialer, or with two incarnations of the peer, the newer one is kept.
+        The session that the node with the smaller name has dialed is retained. Of two sessions with the same
+        dialer, or with two incarnations of the peer, the newer one is retained.
         """
         assert old.peer_hello is not None and new.peer_hello is not None
         is_same_incarnation = old.peer_hello.incarnation == new.peer_hello.incarnation
--- a/tests/store/test_replication_sockets.py
+++ b/tests/store/test_replication_sockets.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 import pytest
-from support.replication_fleet import DialSeeds
+from support.replication_fleet import SeedDialer
 
 from sageturn.config.errors import ConfigError
 from sageturn.config.operator import read_operator_file
@@ -51,9 +51,9 @@
     dials_only_seeds: bool = True,
     rate: float = 13.5e3,
 ) -> ReplicationMember:
-    """Start a member that dials only the seeds, or the peers that the overlay selects."""
+    """Start a member that dials its seeds, or without ``dials_only_seeds`` the overlay's choice of peers."""
     options = ReplicationOptions(("127.0.0.1", 0), seeds, SECRET, "r", zone, rate)
-    topology = partial(DialSeeds, seeds=seeds) if dials_only_seeds else None
+    topology = partial(SeedDialer, seeds=seeds) if dials_only_seeds else None
     member = ReplicationMember(
         Store(name, path), options, AdmissionController(ProcessLimits(64, 64.0)), Random(name), topology
     )
@@ -393,7 +393,7 @@
 
 
 async def test_an_idle_link_costs_no_more_with_more_keys() -> None:
-    """The mean is consumed_before over a number of reads, not over a time, at the socket."""
+    """The bytes are counted at the socket, as a mean over a number of reads and not over a time."""
     assert await mean_read_bytes(10) < 600.0
     assert await mean_read_bytes(2000) < 600.0
 
