--- a/sageturn/lab/faults/fault_injection.py
+++ b/sageturn/lab/faults/fault_injection.py
@@ -17,7 +17,7 @@
 DRAIN_DISCOVERY_DELAY_S = 0.5
 FLAP_INTERVAL_S = 2.0
 RELAY_SELECTION_STREAM = 8  # random stream of the fleet's seed
-INTERVAL_TOLERANCE = 1e-9  # rounding error of a number of intervals
+INTERVAL_TOLERANCE = 1e-9  # tolerated rounding error of a number of intervals
 
 
 class FaultInjector:
@@ -37,7 +37,7 @@
         self._frontend = frontend
         self._step_s = step_s
         self._affected: dict[int, list[str]] = {}  # names of endpoints, by the index of the fault
-        self._relay_faults: set[int] = set()  # indices of the active ones; relays restart after the last
+        self._relay_faults: set[int] = set()  # indices of active RELAYS faults; relays restart after the last
 
     def advance(self, now_s: float) -> list[Instruction]:
         """Start and end the faults that are due in the step that begins at ``now_s``.
@@ -124,7 +124,8 @@
                 for endpoint in self._endpoints.named(names):
                     endpoint.slowdown /= fault.strength
             case FaultKind.VANISH:
-                # The relays have already reset its connections after a timeout; no other state has changed.
+                # The environment has reset the connections if the fault lasted longer than its timeout. The
+                # other state of the endpoints has not changed.
                 for name in names:
                     self._endpoints.unresponsive_since_s.pop(name, None)
             case FaultKind.RESTART:
--- a/sageturn/lab/loopback/client_population.py
+++ b/sageturn/lab/loopback/client_population.py
@@ -36,9 +36,8 @@
 
     setup_histograms: list[HdrHistogram]
     message_histograms: list[HdrHistogram]
-    counts: Counter[str] = field(
-        default_factory=Counter
-    )  # keys are those of ClientEvent and ``late_setup_key``
+    # Counts of events; the keys are those of ClientEvent and ``late_setup_key``.
+    counts: Counter[str] = field(default_factory=Counter)
     weighted_waiting_s: float = 0.0
     migrations_by_client: Counter[str] = field(default_factory=Counter)
 
--- a/sageturn/lab/loopback/fakes.py
+++ b/sageturn/lab/loopback/fakes.py
@@ -108,7 +108,10 @@
         self._abort_all()
 
     def crash(self) -> None:
-        """Mark the model as crashed, stop listening, and abort all connections."""
+        """Stop for good, like an endpoint that was overloaded while it was cold.
+
+        The model is marked as crashed, and all connections are aborted.
+        """
         self.model.crashed = True
         self._abort_all()
 
--- a/sageturn/lab/model/client_event.py
+++ b/sageturn/lab/model/client_event.py
@@ -28,9 +28,8 @@
     UNANSWERED = "unanswered"
     CONNECT_FAILED = "no_connect"
     MIGRATED_REPEATEDLY = "moved_again"
-    LEFT_BEHIND = (
-        "left_behind"  # migrations after which other members of the client's group remained connected
-    )
+    # Migrations after which other members of the client's group remained connected.
+    LEFT_BEHIND = "left_behind"
 
 
 def late_setup_key(class_name: str) -> str:
--- a/sageturn/lab/model/simulated_clients.py
+++ b/sageturn/lab/model/simulated_clients.py
@@ -217,7 +217,7 @@
                 self.events.schedule(due_s, self._on_dropped, request_id)
 
     def reset_all(self) -> None:
-        """Reset all connections and requests; the clients reconnect through the frontend."""
+        """Reset all connections and requests; the clients reconnect at once through ``ZoneFrontend``."""
         for established in self._established.values():
             client = established.client
             client.lifetime_s -= self.now_s - established.since_s
--- a/sageturn/lab/model/simulation_result.py
+++ b/sageturn/lab/model/simulation_result.py
@@ -35,9 +35,8 @@
     requested: list[list[float]] = field(default_factory=list)
     served: list[list[float]] = field(default_factory=list)
     utilizations: list[list[float]] = field(default_factory=list)
-    counts: Counter[str] = field(
-        default_factory=Counter
-    )  # keys are those of ClientEvent and ``late_setup_key``
+    # Counts of events; the keys are those of ClientEvent and ``late_setup_key``.
+    counts: Counter[str] = field(default_factory=Counter)
     setup_histograms: list[HdrHistogram] = field(default_factory=list)  # one per class
     peak_intake_ratio: float = 0.0  # highest intake of a cold endpoint over the one that crashes it
     crashed_endpoints: int = 0
--- a/sageturn/lab/model/zone_frontend.py
+++ b/sageturn/lab/model/zone_frontend.py
@@ -1,4 +1,4 @@
-"""Frontend that spreads the clients of each zone over the zone's live relays."""
+"""Simulated load balancer of the platform, which spreads each zone's clients over its live relays."""
 
 from __future__ import annotations
 
--- a/sageturn/lab/scale/results.py
+++ b/sageturn/lab/scale/results.py
@@ -59,7 +59,7 @@
     root: Path,
     report_progress: ProgressReporter,
 ) -> Line:
-    """Predict one size if it asks for it, run it with one seed, and return its result line."""
+    """Run one size with one seed, after predicting it if ``predict`` is set; return its result line."""
     predicted = predict(results.runs, size) if size.predict else {}
     if predicted:
         values = ", ".join(f"{metric} {found.value:.4g}" for metric, found in predicted.items())
--- a/sageturn/lab/scale/usage.py
+++ b/sageturn/lab/scale/usage.py
@@ -24,7 +24,7 @@
 from sageturn.lab.scale.job_files import LinkJob, Role
 
 MAX_UNSATURATED_CORE = 0.85  # maximum mean use of one process in a window that is not saturated
-MAX_UNSATURATED_CORE_PEAK = 0.95  # the same for the maximum of one process in one sample
+MAX_UNSATURATED_CORE_PEAK = 0.95  # maximum use of one process in any sample of such a window
 PEAK_SAMPLE_INTERVAL_S = 1.0
 
 CONTROL_PURPOSES = ("store", "list")
--- a/sageturn/lab/soak/records.py
+++ b/sageturn/lab/soak/records.py
@@ -24,7 +24,7 @@
     answer: str = ""  # first line that the endpoint sent
     ended_s: float = 0.0  # end of the connection by the relay or the endpoint
     is_ended_by_endpoint: bool = False
-    is_silent: bool = False  # True if the endpoint never answered the request
+    is_silent: bool = False  # True if the endpoint hangs: it answers neither the request nor later lines
     error: str = ""  # request line that no client could have sent
     is_health_check: bool = False  # True if the connection asked for load reports, and is no attempt
 
--- a/sageturn/lab/soak/relays.py
+++ b/sageturn/lab/soak/relays.py
@@ -27,7 +27,7 @@
 
 READY_TIMEOUT_S = 20.0
 READY_POLL_S = 0.03
-FRONTEND_DELAY_S = 0.3  # time past SIGTERM in which the platform's frontend still sends clients
+FRONTEND_DELAY_S = 0.3  # time past SIGTERM in which the platform's load balancer still sends clients
 KILL_AFTER_S = REQUEST_TIMEOUT_S + 0.7  # shortest time between the platform's SIGTERM and its SIGKILL
 REPEATED_SIGNAL_DELAY_S = 0.4  # time between two SIGTERM
 SERIES_RELOAD_COUNT = 4
@@ -48,7 +48,7 @@
         self.number = number
         self.folder = folder
         self.records: list[RelayRecord] = []
-        self.is_in_rotation = False  # True if clients are sent to the relay, as by the platform's frontend
+        self.is_in_rotation = False  # True if the platform's load balancer would send clients to the relay
         self.lifecycle_lock = asyncio.Lock()  # locked while the process is replaced
         self._plan = plan
         self._plan_file = plan_file
@@ -160,7 +160,7 @@
         self._running_process()[0].send_signal(signal.SIGHUP)
 
     async def suspend(self, duration_s: float) -> None:
-        """Suspend the process for a time."""
+        """Suspend the process for ``duration_s``."""
         process, _ = self._running_process()
         process.send_signal(signal.SIGSTOP)
         await asyncio.sleep(duration_s)
@@ -168,7 +168,7 @@
             process.send_signal(signal.SIGCONT)
 
     async def lower_descriptor_limit(self, duration_s: float) -> None:
-        """Lower the process's descriptor limit to a few more than it has open, for a time."""
+        """Lower the process's descriptor limit to a few more than it has open, for ``duration_s``."""
         process, _ = self._running_process()
         limits = resource.prlimit(process.pid, resource.RLIMIT_NOFILE)
         lowered = max(MIN_DESCRIPTORS, self.count_descriptors() + DESCRIPTOR_HEADROOM)
@@ -199,7 +199,8 @@
 class RelayFaultInjector:
     """Injector of the plan's relay faults.
 
-    ``write_config`` writes a relay's configuration file, with the relay's discovery address of an index.
+    ``write_config`` takes a relay and the index of one of its discovery addresses, and writes the relay's
+    configuration file with that address.
     """
 
     def __init__(
--- a/tests/config/test_loader.py
+++ b/tests/config/test_loader.py
@@ -17,7 +17,7 @@
 
 
 def write(folder: Path, **changes: Any) -> dict[str, str]:
-    """Write a config file with these keys changed. Returns the environment of its relay."""
+    """Write a config file with these keys changed; return the environment of its relay."""
     return {"GW_CONFIG": str(write_config(folder, FILE_ADDRESS, **changes))}
 
 
--- a/tests/frontends/test_platform_frontend.py
+++ b/tests/frontends/test_platform_frontend.py
@@ -1,4 +1,4 @@
-"""Tests of the platform's frontend: a relay between scripted clients, endpoints and discovery."""
+"""Tests of the frontend for the platform's line protocol, with scripted clients, endpoints and discovery."""
 
 from __future__ import annotations
 
--- a/tests/lab/test_client_disconnect_recorder.py
+++ b/tests/lab/test_client_disconnect_recorder.py
@@ -1,4 +1,4 @@
-"""The recording relay of the experiment on client disconnects replaces functions that exist."""
+"""The relay that records client disconnects replaces functions by their names, which must exist."""
 
 from __future__ import annotations
 
--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -73,7 +73,7 @@
         overloaded.admit(0.1 + number * 0.05, 1.0)
         paced.admit(0.1 + number * 0.6, 1.0)
     assert overloaded.crashed and not paced.crashed and paced.peak_intake_ratio < 1.0
-    assert not overloaded.admit(60.0, 1.0), "it stays down"
+    assert not overloaded.admit(60.0, 1.0), "a crashed endpoint accepts no connection"
 
 
 def run(
@@ -159,7 +159,7 @@
     calm = simulate_small_fleet()
     faulty = simulate_small_fleet(ScheduledFault(kind, 10.0, 8.0, 0.5, 4.0))
     counts = faulty.counts
-    assert faulty.requested[4] == calm.requested[4], "nothing is seen of it before it begins"
+    assert faulty.requested[4] == calm.requested[4], "a fault has no effect before its start"
     if kind == "slow":
         assert faulty.service() < calm.service() - 0.02
     elif kind == "store":
@@ -252,7 +252,7 @@
     assert len(results.runs) == 4 and out.read_bytes().startswith(kept)
     assert len(Results(out).runs) == 4
     same = results.values("present", "goal"), results.values("again", "goal")
-    assert same[0] == same[1], "variants meet the same days"
+    assert same[0] == same[1], "equal variants have equal results with the same seeds"
     (overall, slow) = compare(results, "present", "again", "goal")
     assert overall.mean == 0.0 and not overall.is_significant and slow.scenario == "slow"
     assert "| slow | present | 2 |" in markdown(results) and "data:image/png" in page(results)
@@ -269,7 +269,7 @@
     noise = difference("m", "", np.column_stack([base, base + rng.normal(0, 0.05, 40)]))
     assert not noise.is_significant and noise.needed_pairs > 40
     few = difference("m", "", np.column_stack([base[:3], base[:3] + np.array([0.01, 0.0, 0.02])]))
-    assert few.low < 0.0 < few.high, "three days settle little"
+    assert few.low < 0.0 < few.high, "three pairs are too few for a significant difference"
 
 
 def test_a_policy_is_loaded_from_a_file(tmp_path: Path) -> None:
--- a/tests/lab/test_scale_fits.py
+++ b/tests/lab/test_scale_fits.py
@@ -32,7 +32,7 @@
     bent = fit(("1", "n"), rows, [members * members for _, members in rows])
     assert not bent.is_linear and bent.max_residual > 0.2
     _, low, high = bent.estimate([1.0, 160.0])
-    assert high - low > 1000.0, "a bent line has a wide interval"
+    assert high - low > 1000.0, "values that are not linear give a wide interval"
 
 
 def test_three_sizes_are_too_few_for_a_slope_however_straight() -> None:
--- a/tests/relay/test_program.py
+++ b/tests/relay/test_program.py
@@ -75,9 +75,8 @@
         began_s = asyncio.get_running_loop().time()
         process.send_signal(signal.SIGTERM)
         await asyncio.sleep(0.2)
-        assert (
-            await exchange_line(address, encode_request_line()) == b"UP r1\r\n"
-        )  # new clients are still served for a while
+        # New clients are still served for a while.
+        assert await exchange_line(address, encode_request_line()) == b"UP r1\r\n"
         for reader, writer in clients:
             assert await asyncio.wait_for(reader.read(), 4) == b"MOVE\r\n"
             writer.close()
@@ -100,7 +99,7 @@
 
 
 async def run_until_exit(folder: Path, change: dict[str, Any]) -> tuple[int, str]:
-    """Run the program with changed configuration keys. Returns its exit code and its output on stderr."""
+    """Run the program with changed configuration keys; return its exit code and its output on stderr."""
     file = write_config(folder, ("127.0.0.1", 1), **change)
     process = await asyncio.create_subprocess_exec(
         sys.executable,
--- a/tests/relay/test_signals_at_start.py
+++ b/tests/relay/test_signals_at_start.py
@@ -40,7 +40,7 @@
 
 
 def start_deployed_relay(folder: Path) -> subprocess.Popen[bytes]:
-    """Start a relay by the deploy file's ``run``. Returns its process once the shell has become the relay."""
+    """Start a relay by the deploy file's ``run``; return its process once the shell has become the relay."""
     command = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
     command = command.replace(".venv/bin/python", sys.executable)
     environment = os.environ | {"GW_CONFIG": str(write_config(folder, ("127.0.0.1", 9)))}
--- a/tests/support/network_fakes.py
+++ b/tests/support/network_fakes.py
@@ -135,7 +135,8 @@
 class FakeDiscovery:
     """Discovery that answers each watch with the next of ``responses``, and all further ones with the last.
 
-    The connection is closed after the response, unless it is chunked and does not end with ``#``.
+    After a chunked response the connection stays open until the client closes it, unless the response ends
+    with ``#``. After any other response the connection is closed at once.
     """
 
     def __init__(self, *responses: bytes) -> None:
--- a/tests/support/overlay_simulation.py
+++ b/tests/support/overlay_simulation.py
@@ -319,9 +319,8 @@
         if existing is not None:
             dialed_by_smaller = existing.dialer.member.name < dialer.member.name
             if existing.other(target) is dialer and dialed_by_smaller:
-                self.clock.schedule(
-                    answer_at, self._fail_dial, dialer, address
-                )  # both members dialed: the link that the other dialed stays
+                # Both members dialed: the link that the other dialed stays.
+                self.clock.schedule(answer_at, self._fail_dial, dialer, address)
                 return
             self._discard(existing)
         link = SimulatedLink(dialer, target, dialer)
