--- a/sageturn/core/endpoint_registry.py
+++ b/sageturn/core/endpoint_registry.py
@@ -162,7 +162,7 @@
 
     def _drop_removed_endpoints(self) -> None:
         """Drop removed endpoints and their oldest addresses, which would grow in number with each release."""
-        for name in [name for name, state in self.states.items() if state == EndpointStatus.GONE]:
+        for name in [name for name, state in self.states.items() if state == EndpointStatus.REMOVED]:
             del self.states[name]
         if len(self.addresses) > len(self.states) + MAX_REMOVED_ADDRESSES:
             removed = [name for name in self.addresses if name not in self.states]
--- a/sageturn/core/endpoint_snapshot.py
+++ b/sageturn/core/endpoint_snapshot.py
@@ -47,7 +47,9 @@
     else:
         chosen = [endpoints_by_name[name] for name in sorted(names) if name in endpoints_by_name]
     return [
-        _snapshot(balancer, now_ms, endpoint) for endpoint in chosen if endpoint.state != EndpointStatus.GONE
+        _snapshot(balancer, now_ms, endpoint)
+        for endpoint in chosen
+        if endpoint.state != EndpointStatus.REMOVED
     ]
 
 
--- a/sageturn/core/messages.py
+++ b/sageturn/core/messages.py
@@ -19,8 +19,8 @@
     expected_load: float = 0.0  # milliseconds of work per second; 0 if unknown
     established_endpoint: str = ""  # endpoint of this connection before the relay was restarted; empty if new
     client: str = ""  # key of the client, which stays the same when it reconnects
-    returned: bool = False  # the client reports that its previous connection was migrated or broke
-    retried: bool = False  # the client reports that this is a retry
+    is_reconnect: bool = False  # the client reports that its previous connection was migrated or broke
+    is_retry: bool = False  # the client reports that this is a retry
     client_request_id: str = ""  # id by which the request can be traced across relays
 
 
@@ -37,8 +37,8 @@
         request.group,
         request.expected_load,
         client=request.client,
-        returned=request.returned,
-        retried=request.retried,
+        is_reconnect=request.is_reconnect,
+        is_retry=request.is_retry,
     )
 
 
--- a/sageturn/core/request_attempts.py
+++ b/sageturn/core/request_attempts.py
@@ -52,9 +52,9 @@
         timeout_ms = min(instruction.timeout_ms or remaining_ms, remaining_ms)
         close_reason = await self.open_upstream(endpoint, timeout_ms, connect_timeout_ms)
         if close_reason is None:
-            took_ms = context.now_ms() - started_ms
+            duration_ms = context.now_ms() - started_ms
             await context.balancer_actor.post_event(
-                decision.ConnectionEstablished(context.handle.id, attempt, endpoint, took_ms)
+                decision.ConnectionEstablished(context.handle.id, attempt, endpoint, duration_ms)
             )
             await self._established.run(attempt, endpoint)
             return True
--- a/sageturn/core/start_times.py
+++ b/sageturn/core/start_times.py
@@ -78,7 +78,7 @@
         return confirmed_ms - MAX_LIST_DELAY_MS
 
     def _convert(self, endpoint: Endpoint, earliest_ms: float | None) -> Endpoint:
-        if not endpoint.started_at_ms or endpoint.state == EndpointStatus.GONE:
+        if not endpoint.started_at_ms or endpoint.state == EndpointStatus.REMOVED:
             self._retire(endpoint.name)
             return endpoint
         start = EndpointStart(endpoint.name, endpoint.started_at_ms)
--- a/sageturn/decision/balancer.py
+++ b/sageturn/decision/balancer.py
@@ -79,9 +79,9 @@
         request.endpoint = self.fleet.endpoints.get(event.migrated_from)  # placement avoids the latest
         self.reevaluate_endpoints(now_ms)
         self.requests[event.id] = request
-        if not event.retried:
+        if not event.is_retry:
             self._health_checks.record_request()
-        if not event.midflow:
+        if not event.is_takeover:
             wait_ms = self.admission.take_token(now_ms, event.tenant)
             if wait_ms > 0:
                 self._end(request, wait_ms, RejectCause.THROTTLED)
@@ -104,7 +104,7 @@
         if request.deadline_ms - now_ms <= 0 or is_exhausted or is_late:
             self._end(request, 0.0, RejectCause.ATTEMPTS_EXHAUSTED if is_exhausted else RejectCause.LATE)
             return
-        wait_ms = 0.0 if request.midflow else self.admission.setup_wait_ms(now_ms)
+        wait_ms = 0.0 if request.is_takeover else self.admission.setup_wait_ms(now_ms)
         endpoint = None if wait_ms else self.placement.select_endpoint(request)
         if endpoint is None:
             cause = self.admission.setup_wait_cause(wait_ms) if wait_ms else RejectCause.NO_ENDPOINT
@@ -155,8 +155,8 @@
             endpoint.connections.established[request.id] = request
         self.fleet.count_attempt(endpoint, -1, 0)
         self.fleet.record_establishment(endpoint, now_ms <= request.objective_deadline_ms)
-        if event.took_ms > 0 and endpoint.kind and not endpoint.slow_start:
-            self.setup_times.record(now_ms, endpoint, event.took_ms)
+        if event.duration_ms > 0 and endpoint.kind and not endpoint.slow_start:
+            self.setup_times.record(now_ms, endpoint, event.duration_ms)
 
     def _on_attempt_ended(self, now_ms: float, event: events.AttemptEnded) -> None:
         request = self.requests.get(event.id)
--- a/sageturn/decision/eligibility.py
+++ b/sageturn/decision/eligibility.py
@@ -18,7 +18,7 @@
         """Evaluate the conditions that all endpoints share. Call this before placing a request."""
         fleet = self._fleet
         is_unlimited = fleet.max_connections == float("inf")
-        if request.midflow or is_unlimited or fleet.may_exceed_quota():
+        if request.is_takeover or is_unlimited or fleet.may_exceed_quota():
             self._is_warm_quota_exhausted = False
             return
         # The part of the quota that is meant for endpoints in slow start is reserved for them.
--- a/sageturn/decision/endpoint_table.py
+++ b/sageturn/decision/endpoint_table.py
@@ -124,7 +124,7 @@
         """Count a connection that was established before this balancer started, and return its state."""
         endpoint = self.endpoints.get(event.endpoint)
         if endpoint is None:
-            endpoint = self.add_endpoint(events.Endpoint(event.endpoint, EndpointStatus.GONE))
+            endpoint = self.add_endpoint(events.Endpoint(event.endpoint, EndpointStatus.REMOVED))
         request = RequestState.from_adopted(event, request_class, endpoint, self.now_ms)
         endpoint.connections.established[event.id] = request
         endpoint.connections.is_untried = False
@@ -138,7 +138,7 @@
             listed_names = {entry.name for entry in event.endpoints}
             for endpoint in self.endpoints.values():
                 if endpoint.name not in listed_names:
-                    endpoint.state = EndpointStatus.GONE
+                    endpoint.state = EndpointStatus.REMOVED
         if not self.first_listed_count and event.endpoints:
             ready_count = sum(entry.state == EndpointStatus.READY for entry in event.endpoints)
             self.first_listed_count = ready_count or len(event.endpoints)
@@ -156,11 +156,11 @@
             endpoint.rounding_offset = self.slow_start.rounding_offset(endpoint.name_hash)
             if is_stale:  # a restarted relay had tried the endpoints that are not new
                 endpoint.connections.is_untried = age_ms < self.settings.slow_start_ms
-        elif entry.state != EndpointStatus.GONE:
+        elif entry.state != EndpointStatus.REMOVED:
             endpoint.zone = entry.zone
             endpoint.cell = entry.cell
             endpoint.kind = entry.kind
-        endpoint.weights.nominal = (entry.share if self._is_weighted else 1.0) * entry.factor
+        endpoint.weights.nominal = (entry.weight if self._is_weighted else 1.0) * entry.factor
         endpoint.state = entry.state
         if entry.started_at_ms and entry.started_at_ms != endpoint.started_at_ms:
             endpoint.restart(entry.started_at_ms)
@@ -190,9 +190,9 @@
 
     def _remove_unlisted(self) -> None:
         """Delete the endpoints that were removed from the list and hold no connection."""
-        gone_status = EndpointStatus.GONE
+        removed_status = EndpointStatus.REMOVED
         for name, endpoint in list(self.endpoints.items()):
-            if endpoint.state == gone_status and not endpoint.connections.open_count:
+            if endpoint.state == removed_status and not endpoint.connections.open_count:
                 del self.endpoints[name]
                 endpoint.ready = False
                 self.update_totals(endpoint)
--- a/sageturn/decision/events.py
+++ b/sageturn/decision/events.py
@@ -16,7 +16,7 @@
 
     READY = "ready"
     DRAINING = "draining"  # the endpoint accepts nothing new
-    GONE = "gone"
+    REMOVED = "gone"
 
 
 class ListEventKind(StrEnum):
@@ -62,9 +62,9 @@
     zone: str = ""
     cell: int = 0
     started_at_ms: float = 0.0  # 0 if unknown; a different one means a different process
-    share: float = 1.0  # weight relative to the other endpoints, in any unit
+    weight: float = 1.0  # weight relative to the other endpoints, in any unit
     kind: str = ""  # kind of machine; endpoints of one kind are assumed to be equally fast
-    factor: float = 1.0  # operator's multiplier of its weight
+    factor: float = 1.0  # operator's multiplier of ``weight``
 
 
 class DiscoveryFailure(Enum):
@@ -101,10 +101,10 @@
     deadline_ms: float
     group: str = ""
     expected_load: float = 0.0  # 0 if unknown
-    midflow: bool = False  # an established connection is taken over, and is not throttled
+    is_takeover: bool = False  # an established connection is taken over, and is not throttled
     client: str = ""  # identifies the client across reconnects
-    returned: bool = False  # the client says that its connection was migrated, or broke
-    retried: bool = False  # the client says that this is a retry
+    is_reconnect: bool = False  # the client says that its connection was migrated, or broke
+    is_retry: bool = False  # the client says that this is a retry
     migrated_from: str = ""
     migration_exempt_until_ms: float = 0.0
     allowed: frozenset[str] | None = None  # endpoints that an operator binds it to; None if any
@@ -126,12 +126,12 @@
 
 @dataclass(slots=True)
 class ConnectionEstablished:
-    """Establishment of an attempt, ``took_ms`` after it was sent (0 if that was not measured)."""
+    """Establishment of an attempt, ``duration_ms`` after it was sent (0 if that was not measured)."""
 
     id: int
     attempt: int
     endpoint: str
-    took_ms: float = 0.0
+    duration_ms: float = 0.0
 
 
 @dataclass(slots=True)
--- a/sageturn/decision/group_ranking.py
+++ b/sageturn/decision/group_ranking.py
@@ -53,7 +53,7 @@
 
         A migrated request prefers the endpoints that hold connections of its group, homes included. While
         endpoints are scarce the group spreads to no further endpoint: only those that hold connections of it
-        and its first ones of other zones are returned, unless the request is ``midflow``.
+        and its first ones of other zones are returned, unless the request is a takeover.
         """
         fleet = self._fleet
         group = request.group
@@ -63,7 +63,7 @@
             candidates = sorted(
                 ranked.endpoints, key=lambda endpoint: group not in endpoint.connections.group_counts
             )
-        if not fleet.is_scarce() or request.midflow:
+        if not fleet.is_scarce() or request.is_takeover:
             return candidates
         local_count = len(fleet.local or fleet.ready)
         return (
--- a/sageturn/decision/placement.py
+++ b/sageturn/decision/placement.py
@@ -38,7 +38,7 @@
         self._eligibility.begin_request(request)
         if request.group and self._has_groups:
             endpoint = self._select_for_group(request)
-            if endpoint is not None or (fleet.is_scarce() and not request.midflow):
+            if endpoint is not None or (fleet.is_scarce() and not request.is_takeover):
                 return endpoint
         if fleet.local and len(fleet.local) < len(fleet.ready):
             endpoint = self._pool.select_lighter(request, fleet.local)
--- a/sageturn/decision/settings.py
+++ b/sageturn/decision/settings.py
@@ -40,7 +40,7 @@
 
 
 class WeightMeaning(StrEnum):
-    """Meaning of an endpoint's ``share``."""
+    """Meaning of an endpoint's ``weight``."""
 
     NONE = "none"
     NOMINAL = "nominal"  # size
--- a/sageturn/decision/setup_times.py
+++ b/sageturn/decision/setup_times.py
@@ -19,9 +19,9 @@
         self._fleet = fleet
         self._common_log_ms = 0.0  # decaying mean of the logarithms of set-up times at all endpoints
 
-    def record(self, now_ms: float, endpoint: EndpointState, took_ms: float) -> None:
+    def record(self, now_ms: float, endpoint: EndpointState, duration_ms: float) -> None:
         """Update the speed of the kind of machine and, if no delay is measured, the endpoint's mean."""
-        log_ms = log(took_ms)
+        log_ms = log(duration_ms)
         self._fleet.machine_speeds.learn(endpoint.kind, log_ms)
         common_log_ms = self._common_log_ms
         self._common_log_ms += COMMON_SETUP_WEIGHT * (log_ms - common_log_ms) if common_log_ms else log_ms
--- a/sageturn/decision/state.py
+++ b/sageturn/decision/state.py
@@ -181,7 +181,7 @@
     load: float  # load of its connection: the last reported one, or else the expected one
     deadline_ms: float  # time at which its client gives up
     objective_deadline_ms: float  # latest establishment that meets the latency objective
-    midflow: bool = False  # taken over from another relay, so it is not throttled
+    is_takeover: bool = False  # taken over from another relay, so it is not throttled
     binding: EndpointBinding | None = None  # None if any endpoint is allowed
     migration_exempt_until_ms: float = 0.0
 
@@ -229,7 +229,7 @@
             event.expected_load,
             event.deadline_ms,
             objective_deadline_ms,
-            event.midflow,
+            event.is_takeover,
             None if event.allowed is None else EndpointBinding(event.allowed, event.strict),
             event.migration_exempt_until_ms,
         )
--- a/sageturn/frontends/platform/request_line.py
+++ b/sageturn/frontends/platform/request_line.py
@@ -67,8 +67,8 @@
         expected_load=float(expected_load) if _NUMBER.fullmatch(expected_load) else 0.0,
         established_endpoint=fields.get(b"at", b"").decode(),
         client=match[2].decode(),
-        returned=fields.get(b"again") == b"1",
-        retried=fields.get(b"r") == b"1",
+        is_reconnect=fields.get(b"again") == b"1",
+        is_retry=fields.get(b"r") == b"1",
         client_request_id=match[1].decode(),
     )
     return RequestLine(bytes(match[1]), request, parsed.timeout_value_start, parsed.timeout_value_end, end)
--- a/sageturn/lab/faults/fault_injection.py
+++ b/sageturn/lab/faults/fault_injection.py
@@ -97,7 +97,7 @@
 
     def _stop_endpoints(self, names: list[str], now_s: float) -> list[Instruction]:
         self._endpoints.stopped.update(names)
-        self._endpoints.publish(self._endpoints.named(names), now_s, EndpointStatus.GONE)
+        self._endpoints.publish(self._endpoints.named(names), now_s, EndpointStatus.REMOVED)
         return [steps.ResetConnections(names)]
 
     def _drain_endpoints(self, names: list[str], fault: ScheduledFault, now_s: float) -> list[Instruction]:
@@ -155,5 +155,5 @@
         intervals = (now_s - fault.start_s) / FLAP_INTERVAL_S
         if abs(intervals - round(intervals)) >= INTERVAL_TOLERANCE:
             return
-        state = EndpointStatus.GONE if round(intervals) % 2 == 0 else EndpointStatus.READY
+        state = EndpointStatus.REMOVED if round(intervals) % 2 == 0 else EndpointStatus.READY
         self._endpoints.publish(self._endpoints.named(self._affected[index]), now_s, state, delay_s=0.0)
--- a/sageturn/lab/model/simulated_clients.py
+++ b/sageturn/lab/model/simulated_clients.py
@@ -83,7 +83,7 @@
                 self.now_s * 1000.0 + class_spec.client_timeout_ms,
                 client.group,
                 client=client.key,
-                returned=client.attempts > 0,
+                is_reconnect=client.attempts > 0,
             )
         )
 
--- a/sageturn/lab/model/simulated_relay.py
+++ b/sageturn/lab/model/simulated_relay.py
@@ -137,7 +137,7 @@
         present = [
             endpoint
             for endpoint in self._endpoints.values()
-            if endpoint.state != decision.EndpointStatus.GONE
+            if endpoint.state != decision.EndpointStatus.REMOVED
         ]
         self._handle_event(decision.EndpointListEvent(decision.ListEventKind.FULL, present))
 
--- a/sageturn/lab/soak/discovery.py
+++ b/sageturn/lab/soak/discovery.py
@@ -44,7 +44,7 @@
         if incarnation.drain_s < NEVER_S:
             changes.append(Change(incarnation.drain_s + CHANGE_DELAY_S, incarnation, EndpointStatus.DRAINING))
         if incarnation.end_s < NEVER_S and not incarnation.is_crash:
-            changes.append(Change(incarnation.end_s + CHANGE_DELAY_S, incarnation, EndpointStatus.GONE))
+            changes.append(Change(incarnation.end_s + CHANGE_DELAY_S, incarnation, EndpointStatus.REMOVED))
     return sorted(changes, key=lambda change: change.at_s)
 
 
@@ -96,7 +96,7 @@
             if incarnation.start_s <= 0.0
         }
         for change in self._changes[: self._published_count]:
-            if change.state is EndpointStatus.GONE:
+            if change.state is EndpointStatus.REMOVED:
                 states.pop(change.incarnation.name, None)
             else:
                 states[change.incarnation.name] = (change.incarnation, change.state)
@@ -163,7 +163,7 @@
         for incarnation in self._plan.incarnations:
             if (
                 incarnation.drain_s < at_s
-                and states.get(incarnation.name, EndpointStatus.GONE) != EndpointStatus.READY
+                and states.get(incarnation.name, EndpointStatus.REMOVED) != EndpointStatus.READY
             ):
                 self._record(process, incarnation)
 
--- a/sageturn/net/endpoint_list.py
+++ b/sageturn/net/endpoint_list.py
@@ -57,7 +57,7 @@
         zone=_read_text(entry, "zone"),
         cell=int(_read_non_negative(entry, "cell", 0)),
         started_at_ms=_read_non_negative(entry, "started_ms", 0.0),
-        share=_read_non_negative(entry, "weight", 1.0),
+        weight=_read_non_negative(entry, "weight", 1.0),
         kind=_read_text(entry, "kind"),
     )
 
--- a/sageturn/overrides/relay_state.py
+++ b/sageturn/overrides/relay_state.py
@@ -53,7 +53,7 @@
         endpoint.kind,
         endpoint.cell,
         str(endpoint.state),
-        endpoint.share,
+        endpoint.weight,
         endpoint.started_at_ms,
     ]
 
@@ -72,5 +72,5 @@
 
 
 def _decode_endpoint(name: str, values: list[Any]) -> Endpoint:
-    zone, kind, cell, state, share, started_at_ms = values
-    return Endpoint(name, state, zone, cell, started_at_ms, share, kind)
+    zone, kind, cell, state, weight, started_at_ms = values
+    return Endpoint(name, state, zone, cell, started_at_ms, weight, kind)
--- a/sageturn/overrides/resolver.py
+++ b/sageturn/overrides/resolver.py
@@ -116,7 +116,9 @@
         updates = list(endpoints)
         if is_full:
             listed = {endpoint.name for endpoint in updates}
-            updates += [Endpoint(name, EndpointStatus.GONE) for name in self.endpoints if name not in listed]
+            updates += [
+                Endpoint(name, EndpointStatus.REMOVED) for name in self.endpoints if name not in listed
+            ]
         for endpoint in updates:
             self._update_endpoint(endpoint)
         present = {endpoint.name for endpoint in updates} & self.endpoints.keys()
@@ -147,7 +149,7 @@
         previous = self._selection.remove_endpoint(endpoint.name)
         if previous is not None:
             self.guard.remove_endpoint(previous)
-        if endpoint.state == EndpointStatus.GONE:
+        if endpoint.state == EndpointStatus.REMOVED:
             self._effects.discard(endpoint.name)
             self.guard.discard_factor(endpoint.name)
         else:
--- a/sageturn/overrides/safety_guard.py
+++ b/sageturn/overrides/safety_guard.py
@@ -12,7 +12,7 @@
 from sageturn.overrides.options import SafetyLimits
 
 TOTAL_POOL = ""  # pool of the whole fleet; the other pools are the zones
-ROUNDING_TOLERANCE = 1e-9  # slack of limit checks, in units of ``Endpoint.share``
+ROUNDING_TOLERANCE = 1e-9  # slack of limit checks, in units of ``Endpoint.weight``
 
 
 def _pools(endpoint: Endpoint) -> tuple[str, ...]:
@@ -49,15 +49,15 @@
         previous = self._factors.pop(endpoint.name, 1.0)
         if endpoint.state == EndpointStatus.READY:
             for pool in _pools(endpoint):
-                self.available[pool] += (1.0 - previous) * endpoint.share
+                self.available[pool] += (1.0 - previous) * endpoint.weight
 
     def _update_capacity(self, endpoint: Endpoint, sign: int) -> None:
         if endpoint.state != EndpointStatus.READY:
             return
         factor = self._factors.get(endpoint.name, 1.0)
         for pool in _pools(endpoint):
-            self._total[pool] = self._total.get(pool, 0.0) + sign * endpoint.share
-            self.available[pool] = self.available.get(pool, 0.0) + sign * endpoint.share * factor
+            self._total[pool] = self._total.get(pool, 0.0) + sign * endpoint.weight
+            self.available[pool] = self.available.get(pool, 0.0) + sign * endpoint.weight * factor
 
     # ------------------------------------------------------------ overrides
 
@@ -89,7 +89,7 @@
         if override.forced:
             return
         available = sum(
-            endpoint.share * self._factors.get(endpoint.name, 1.0)
+            endpoint.weight * self._factors.get(endpoint.name, 1.0)
             for endpoint in endpoints
             if endpoint.state == EndpointStatus.READY
         )
@@ -110,7 +110,7 @@
                 continue
             factor = self._factors.get(endpoint.name, 1.0)
             for pool in _pools(endpoint):
-                reductions[pool] = reductions.get(pool, 0.0) + (factor - target_factor) * endpoint.share
+                reductions[pool] = reductions.get(pool, 0.0) + (factor - target_factor) * endpoint.weight
         return reductions
 
     def _violation(self, reductions: dict[str, float]) -> str | None:
--- a/sageturn/rebalance/event_tracker.py
+++ b/sageturn/rebalance/event_tracker.py
@@ -121,7 +121,7 @@
         self.overload_detector.record_request(now_ms)
         labels = ConnectionLabels(event.class_name, event.tenant, event.group)
         self.track_pending_request(now_ms, event.id, labels, event.client)
-        self._pending[event.id].reports_migration = event.returned
+        self._pending[event.id].reports_migration = event.is_reconnect
 
     def _on_connection_established(self, now_ms: float, event: decision.ConnectionEstablished) -> None:
         request = self._pending.pop(event.id, None)
--- a/sageturn/simhost.py
+++ b/sageturn/simhost.py
@@ -35,7 +35,7 @@
 ENDPOINT_STATES = {
     "Ready": EndpointStatus.READY,
     "Terminating": EndpointStatus.DRAINING,
-    "Gone": EndpointStatus.GONE,
+    "Gone": EndpointStatus.REMOVED,
 }
 LIST_KINDS = {
     "D": ListEventKind.CHANGES,
@@ -110,7 +110,7 @@
     zone=_text("dc"),
     cell=_optional("cohort", 0),
     started_at_ms=_optional("readyAtMs"),
-    share=_optional("share", 1.0),
+    weight=_optional("share", 1.0),
     kind=_text("kind"),
 )
 
@@ -139,8 +139,8 @@
         deadline_ms=_required("giveUpAtMs"),
         group=_text("room"),
         expected_load=_optional("costMs"),
-        midflow=_flag("midflow"),
-        retried=_flag("isRetry"),
+        is_takeover=_flag("midflow"),
+        is_retry=_flag("isRetry"),
     ),
     "Inherited": _make_decoder(
         decision.ConnectionAdopted,
@@ -156,7 +156,7 @@
         id=_required("opId"),
         attempt=_required("n"),
         endpoint=_required("backend"),
-        took_ms=_optional("timeTakenMs"),
+        duration_ms=_optional("timeTakenMs"),
     ),
     "Returned": _make_decoder(
         decision.AttemptEnded,
--- a/tests/config/test_compatibility_operators.py
+++ b/tests/config/test_compatibility_operators.py
@@ -123,6 +123,7 @@
     "price_cross_zone": "cross_zone_cost",
     "price_move": "migration_cost",
     "price_probe": "health_check_cost",
+    "share": "weight",
 }
 
 
--- a/tests/config/test_deployments.py
+++ b/tests/config/test_deployments.py
@@ -73,7 +73,7 @@
     rng, all_actions = Random(seed), []
     zones = [names[zone] for zone in ("pier", "quay", "isle")]
     endpoints = [
-        Endpoint(f"s{index}", zone=zones[index % 3], share=1.0 + index % 2, kind="ab"[index % 2])
+        Endpoint(f"s{index}", zone=zones[index % 3], weight=1.0 + index % 2, kind="ab"[index % 2])
         for index in range(9)
     ]
     events: list[Any] = [EndpointListEvent("stale", endpoints), EndpointListEvent("full", endpoints)]
--- a/tests/decision/test_balancer.py
+++ b/tests/decision/test_balancer.py
@@ -279,7 +279,7 @@
             assert isinstance(driver.send_request()[0], PlaceRequest)
             assert isinstance(action, RejectRequest) and action.retry_after_ms > 0
             assert isinstance(
-                driver.send_request(group="g", midflow=True)[0], PlaceRequest
+                driver.send_request(group="g", is_takeover=True)[0], PlaceRequest
             )  # an established connection is never cut off
             driver.now_ms += 3000.0  # its home has recovered by then
             (action,) = driver.send_request(group="g")
@@ -387,7 +387,7 @@
 
 
 def test_endpoints_of_more_weight_are_home_to_more_groups_and_are_preferred_of_two() -> None:
-    endpoints = [Endpoint("large", share=4.0), Endpoint("small", share=1.0)]
+    endpoints = [Endpoint("large", weight=4.0), Endpoint("small", weight=1.0)]
     driver = BalancerDriver(endpoints, groups=True, weights="rough")
     homes = [
         driver.balancer.placement.group_ranking.rank(f"room-{number}").endpoints[0].name
--- a/tests/decision/test_balancer_edge_cases.py
+++ b/tests/decision/test_balancer_edge_cases.py
@@ -144,7 +144,7 @@
     for _ in range(60):
         driver.send_request("t")
     assert isinstance(driver.send_request("t")[0], RejectRequest)
-    assert isinstance(driver.send_request("t", midflow=True)[0], PlaceRequest)
+    assert isinstance(driver.send_request("t", is_takeover=True)[0], PlaceRequest)
     assert isinstance(driver.send_request("t")[0], RejectRequest)
 
 
--- a/tests/decision/test_balancer_properties.py
+++ b/tests/decision/test_balancer_properties.py
@@ -173,7 +173,7 @@
         group = "gh"[arg % 2]
         self.handle(
             RequestArrived(
-                self.last_id, request_class.name, "tuv"[pick % 3], deadline_ms, group, midflow=not pick
+                self.last_id, request_class.name, "tuv"[pick % 3], deadline_ms, group, is_takeover=not pick
             )
         )
 
--- a/tests/decision/test_health_checks.py
+++ b/tests/decision/test_health_checks.py
@@ -254,4 +254,4 @@
             await asyncio.sleep(0.01)
         (ended,) = [event for event in handled if isinstance(event, decision.AttemptEnded)]
         assert (ended.status, ended.report) == ("ok", {"x0": 0.25, "cpu": 0.5})
-        assert [event.retried for event in handled if hasattr(event, "retried")] == [True]
+        assert [event.is_retry for event in handled if hasattr(event, "is_retry")] == [True]
--- a/tests/decision/test_quotas.py
+++ b/tests/decision/test_quotas.py
@@ -102,7 +102,7 @@
     # 40 relays placed 70 clients on each of four endpoints while others warmed up, and all messages were
     # late.
     tenants = (Tenant("t", 13.0, 800.0),)
-    endpoints = [Endpoint(name, share=2.0) for name in "ab"]
+    endpoints = [Endpoint(name, weight=2.0) for name in "ab"]
     driver = BalancerDriver(
         endpoints, tenants=tenants, relay_count=40, reports_delay=False, weights="rough", migration_cost=0.02
     )
--- a/tests/rebalance/test_planner.py
+++ b/tests/rebalance/test_planner.py
@@ -243,7 +243,7 @@
 
 def test_balance_is_measured_by_load_and_size_not_by_connection_count() -> None:
     fleet = RebalanceFleet("ab", FAST_OPTIONS, weights="nominal", groups=False)
-    fleet.handle(EndpointListEvent("full", [Endpoint("a", share=3.0), Endpoint("b", share=1.0)]))
+    fleet.handle(EndpointListEvent("full", [Endpoint("a", weight=3.0), Endpoint("b", weight=1.0)]))
     fleet.add_connections("a", 30, load=2.0)
     fleet.add_connections("b", 10, load=2.0)
     fleet.run(60)
@@ -359,7 +359,7 @@
     fleet = RebalanceFleet("ab", {**FAST_OPTIONS, "again_s": 100.0}, groups=False)
     fleet.add_connections("b", 4)
     for number in range(30):
-        fleet.connect_client(f"back{number}", returned=True)
+        fleet.connect_client(f"back{number}", is_reconnect=True)
     for request_id in fleet.request_ids_at("b"):
         fleet.end_connection(request_id)
     fleet.run(80)
--- a/tests/relay/test_compatibility_states.py
+++ b/tests/relay/test_compatibility_states.py
@@ -239,7 +239,7 @@
     Endpoint("a", zone="z1", kind="k1", cell=1),
     Endpoint("b", zone="z1", kind="k2", started_at_ms=5.0),
     Endpoint("c", zone="z2", kind="k2", cell=3),
-    Endpoint("d", zone="z2", share=2.0),
+    Endpoint("d", zone="z2", weight=2.0),
 ]
 
 
--- a/tests/support/decision_days.py
+++ b/tests/support/decision_days.py
@@ -40,7 +40,7 @@
     zone: str
     cell: int
     kind: str
-    share: float
+    weight: float
     started_at_ms: float
     state: str = "ready"
     factor: float = 1.0
@@ -199,7 +199,7 @@
                 endpoint.zone,
                 endpoint.cell,
                 endpoint.started_at_ms,
-                endpoint.share,
+                endpoint.weight,
                 endpoint.kind,
                 endpoint.factor,
             )
@@ -286,7 +286,7 @@
         self._schedule(self._draw_around(self.variant.request_gap_ms), self._new_client)
         self._request_connection(self._new_session())
 
-    def _request_connection(self, session: Session, returned: bool = False) -> None:
+    def _request_connection(self, session: Session, is_reconnect: bool = False) -> None:
         is_bound = self._draw_event(self.variant.bound_ratio)
         allowed = frozenset(self.random.sample(list(self.fleet), 2)) if is_bound else None
         request = decision.RequestArrived(
@@ -296,10 +296,10 @@
             self.now_ms + CLIENT_TIMEOUT_MS,
             group=session.group,
             expected_load=self.random.choice((0.0, 1.0, 5.0)),
-            midflow=self._draw_event(0.1),
+            is_takeover=self._draw_event(0.1),
             client=f"client{session.id}",
-            returned=returned,
-            retried=session.retries > 0,
+            is_reconnect=is_reconnect,
+            is_retry=session.retries > 0,
             migrated_from=session.endpoint if session.is_migrated else "",
             migration_exempt_until_ms=self.now_ms + 5000.0 if session.is_migrated else 0.0,
             allowed=allowed,
@@ -308,7 +308,7 @@
         session.phase = "waiting"
         self._handle(request)
 
-    def _reconnect(self, session: Session, delay_ms: float, returned: bool) -> None:
+    def _reconnect(self, session: Session, delay_ms: float, is_reconnect: bool) -> None:
         """Let the client reconnect after ``delay_ms``, with another request."""
         again = self._new_session()
         again.class_name, again.tenant, again.group = session.class_name, session.tenant, session.group
@@ -317,7 +317,7 @@
             session.is_migrated,
             session.endpoint,
         )
-        self._schedule(delay_ms, lambda: self._request_connection(again, returned))
+        self._schedule(delay_ms, lambda: self._request_connection(again, is_reconnect))
 
     def _finish(self, session: Session) -> None:
         session.phase = "ended"
@@ -371,7 +371,7 @@
             if final:
                 self._finish(session)
             if returns:
-                self._reconnect(session, self._draw_around(100.0), returned=True)
+                self._reconnect(session, self._draw_around(100.0), is_reconnect=True)
             report = self._report(session.endpoint) if self._has_report() else {}
             self._handle(
                 decision.AttemptEnded(session.id, attempt, session.endpoint, status, final, report), status
@@ -397,7 +397,7 @@
         self._finish(session)
         if session.retries < MAX_RETRIES and self._draw_event(RETRY_PROBABILITY):
             session.retries += 1
-            self._reconnect(session, retry_after_ms + self._draw_around(100.0), returned=False)
+            self._reconnect(session, retry_after_ms + self._draw_around(100.0), is_reconnect=False)
 
     def _on_fail(self, request_id: int) -> None:
         if request_id in self.sessions:
--- a/tests/support/rebalance_fleet.py
+++ b/tests/support/rebalance_fleet.py
@@ -110,12 +110,18 @@
                 self.handle(MeasurementReported(self.last_id, 0, endpoint, "load", load))
 
     def connect_client(
-        self, client: str, class_name: str = "c", group: str = "", returned: bool = False
+        self, client: str, class_name: str = "c", group: str = "", is_reconnect: bool = False
     ) -> str:
         """Connect a client. Return the endpoint where it is established; empty if it was rejected."""
         self.last_id += 1
         request = RequestArrived(
-            self.last_id, class_name, "t", self.now_ms + 2000.0, group, client=client, returned=returned
+            self.last_id,
+            class_name,
+            "t",
+            self.now_ms + 2000.0,
+            group,
+            client=client,
+            is_reconnect=is_reconnect,
         )
         (action,) = self.handle(request)
         if not isinstance(action, PlaceRequest):
