--- a/sageturn/core/endpoint_snapshot.py
+++ b/sageturn/core/endpoint_snapshot.py
@@ -77,5 +77,5 @@
         return capacity
     if now_ms < started_at_ms + balancer.settings.slow_start_ms:
         # Slow start permits are issued one at a time.
-        return min(capacity, int(balancer.fleet.has_slow_start_permit(now_ms, endpoint)))
+        return min(capacity, int(balancer.fleet.check_slow_start_permit(now_ms, endpoint)))
     return capacity
--- a/sageturn/decision/balancer.py
+++ b/sageturn/decision/balancer.py
@@ -16,7 +16,7 @@
 from sageturn.decision.events import NOT_EXECUTED_STATUSES, AttemptStatus, ListEventKind, MeasurementKind
 from sageturn.decision.fleet import Fleet
 from sageturn.decision.health_checks import HealthCheckScheduler
-from sageturn.decision.jitter import jitter
+from sageturn.decision.jitter import jitter_factor
 from sageturn.decision.overload import DEFAULT_MESSAGE_OBJECTIVE_MS, OVERLOAD_DELAY_RATIO, OverloadControl
 from sageturn.decision.placement import Placement
 from sageturn.decision.reject_cause import RejectCause
@@ -136,7 +136,7 @@
         if not request.attempts:
             self.fleet.rejection_streak.record_rejection(self.fleet.now_ms)
         if request.request_class.is_rejectable(request.execution is not None):
-            advice_ms = max(MIN_RETRY_AFTER_MS, retry_after_ms) * jitter(self._rng)
+            advice_ms = max(MIN_RETRY_AFTER_MS, retry_after_ms) * jitter_factor(self._rng)
             advice_ms = min(self.settings.max_retry_after_ms, advice_ms)
             is_advised = self.settings.retry_after and retry_after_ms
             self._actions.append(actions.RejectRequest(request.id, advice_ms if is_advised else 0.0))
--- a/sageturn/decision/eligibility.py
+++ b/sageturn/decision/eligibility.py
@@ -36,7 +36,7 @@
         if endpoint.is_at_quota():
             return False
         if endpoint.slow_start:
-            if not self._fleet.has_slow_start_permit(self._fleet.now_ms, endpoint):
+            if not self._fleet.check_slow_start_permit(self._fleet.now_ms, endpoint):
                 return False
         elif self._is_warm_quota_exhausted:
             return False
--- a/sageturn/decision/fleet.py
+++ b/sageturn/decision/fleet.py
@@ -190,7 +190,7 @@
         for endpoint, bound in zip(self.ready, bounds.by_endpoint, strict=True):
             endpoint.quota = bound
 
-    def has_slow_start_permit(self, now_ms: float, endpoint: EndpointState) -> bool:
+    def check_slow_start_permit(self, now_ms: float, endpoint: EndpointState) -> bool:
         """Return True if slow start permits an attempt at the endpoint now. End a slow start that is over."""
         age_ms = endpoint.age_ms(now_ms)
         if endpoint.slow_start is None or age_ms >= self.settings.slow_start_ms:
--- a/sageturn/decision/health_checks.py
+++ b/sageturn/decision/health_checks.py
@@ -10,11 +10,11 @@
 from random import Random
 
 from sageturn.decision import actions
-from sageturn.decision.jitter import jitter
+from sageturn.decision.jitter import jitter_factor
 from sageturn.decision.load_reports import PROCESSOR_FIELD, QUEUED_WORK_FIELD, UTILIZATION_FIELD
 from sageturn.decision.settings import ReportSource, Settings
 
-SPEND_RATIO = 0.02  # part of each request's value that may be spent on health checks
+HEALTH_CHECK_BUDGET_RATIO = 0.02  # part of each request's value that may be spent on health checks
 CHECK_INTERVAL_MS = 1000.0  # mean interval of checks of an endpoint, which updates its report as often
 MIN_FLEET_INTERVAL_MS = 100.0  # shortest mean interval of checks of one endpoint by all relays together
 SCHEDULING_INTERVAL_MS = 250.0  # interval of the search for endpoints that are due
@@ -49,7 +49,7 @@
         is_useful = not settings.reports_delay and bool(LOAD_FIELDS & set(settings.report_fields))
         self._is_enabled = is_useful and settings.probes and settings.reports != ReportSource.NONE
         cost = settings.health_check_cost
-        self._credit_per_request = SPEND_RATIO / cost if cost else float("inf")
+        self._credit_per_request = HEALTH_CHECK_BUDGET_RATIO / cost if cost else float("inf")
         self._interval_ms = max(CHECK_INTERVAL_MS, MIN_FLEET_INTERVAL_MS * settings.relay_count)
         self._max_queue_ms = max_queue_ms
         self._rng = rng
@@ -103,7 +103,7 @@
         names = names[: int(min(self._credit, len(names)))]
         for name in names:
             self._credit -= 1.0
-            next_check_ms[name] = now_ms + self._interval_ms * jitter(self._rng)
+            next_check_ms[name] = now_ms + self._interval_ms * jitter_factor(self._rng)
         return names
 
     def exclude_endpoint(self, endpoint: str) -> None:
--- a/sageturn/decision/jitter.py
+++ b/sageturn/decision/jitter.py
@@ -8,6 +8,6 @@
 SPREAD = 0.5
 
 
-def jitter(rng: Random) -> float:
+def jitter_factor(rng: Random) -> float:
     """Return a random factor, uniform from 0.75 to 1.25."""
     return MIN_FACTOR + SPREAD * rng.random()
--- a/sageturn/decision/load_reports.py
+++ b/sageturn/decision/load_reports.py
@@ -48,7 +48,9 @@
     return 0.0 <= load_us_per_s <= MAX_LOAD_US_PER_S
 
 
-def usable_values(values: Mapping[str, Any] | None, dropped: Counter[str] | None = None) -> dict[str, float]:
+def select_usable_values(
+    values: Mapping[str, Any] | None, dropped: Counter[str] | None = None
+) -> dict[str, float]:
     """Return the usable values of a report, keyed by the settings' names.
 
     Args:
@@ -74,7 +76,7 @@
     return usable
 
 
-def read_report(text: bytes, allowed: Iterable[str], dropped: Counter[str]) -> dict[str, float]:
+def parse_report(text: bytes, allowed: Iterable[str], dropped: Counter[str]) -> dict[str, float]:
     """Return the usable values of a report such as ``inflight=7,queue=2,util=0.61``. Nothing is raised.
 
     Args:
@@ -94,7 +96,7 @@
             dropped["malformed"] += 1
         else:
             values[match[1]] = float(match[2])
-    usable = usable_values(values, dropped)
+    usable = select_usable_values(values, dropped)
     allowed_names = {FIELD_ALIASES.get(raw_name, raw_name) for raw_name in allowed}
     dropped["unknown"] += len(usable.keys() - allowed_names)
     return {name: value for name, value in usable.items() if name in allowed_names}
--- a/sageturn/decision/quotas.py
+++ b/sageturn/decision/quotas.py
@@ -12,7 +12,7 @@
 from random import Random
 from typing import Protocol
 
-from sageturn.decision.jitter import jitter
+from sageturn.decision.jitter import jitter_factor
 
 FLEET_WINDOW_S = 3.0  # time for which the tenants' allowances may be in flight as set-ups of all relays
 MIN_WINDOW = 0.25  # smallest window; one below 1 spaces set-ups out by its inverse
@@ -66,7 +66,7 @@
             self.size = max(MIN_WINDOW, self.size / 2.0)
         if self.size < 1.0:
             pause_ms = min(MAX_PAUSE_MS, took_ms * (1.0 / self.size - 1.0))
-            self._paused_until_ms = now_ms + pause_ms * jitter(self._rng)
+            self._paused_until_ms = now_ms + pause_ms * jitter_factor(self._rng)
 
     def wait_ms(self, now_ms: float) -> float:
         """Return 0 if another set-up may start, else the time in ms after which to retry."""
--- a/sageturn/decision/relief.py
+++ b/sageturn/decision/relief.py
@@ -10,7 +10,7 @@
 from sageturn.decision.settings import Settings
 from sageturn.decision.state import EndpointState, RequestState
 
-MAX_MIGRATION_COST = 0.1  # cost as a part of the goal, above which nothing is migrated
+MAX_MIGRATION_COST = 0.1  # fraction of the service score; at a higher cost nothing is migrated
 RELIEF_RATIO = 0.1  # part of an endpoint's connections that is migrated on an overload signal
 RELIEF_RATIO_PER_RELAY = 0.01  # added per relay, as clients reconnect through relays that saw no signal
 MAX_RELIEF_RATIO = 0.35  # upper bound of the sum of both ratios
--- a/sageturn/decision/settings.py
+++ b/sageturn/decision/settings.py
@@ -152,11 +152,12 @@
     slow_start_ms: float = 10000.0  # time from an endpoint's start until it has its full capacity
     weights: str = WeightMeaning.NONE
     groups: bool = False  # clients have groups, and each group costs an endpoint that holds any of it
-    cross_zone_cost: float = 0.0  # cost of crossing zones, as a part of the goal; 0: zones do not matter
-    migration_cost: float = 0.0  # cost of one migrated connection, as a part of the goal
+    # Costs are fractions of the fleet's service score, from which they are subtracted.
+    cross_zone_cost: float = 0.0  # cost of crossing zones; 0: zones do not matter
+    migration_cost: float = 0.0  # cost of one migrated connection
     reports_delay: bool = True  # connections measure how long messages take
     probes: bool = False  # a relay may send endpoints health checks
-    health_check_cost: float = 0.0  # cost of one health check per request, as a part of the goal
+    health_check_cost: float = 0.0  # cost of one health check per request
     reports: str = ReportSource.NONE
     report_fields: tuple[str, ...] = ()  # names of the values that load reports hold
 
--- a/sageturn/frontends/platform/endpoint_reply.py
+++ b/sageturn/frontends/platform/endpoint_reply.py
@@ -8,7 +8,7 @@
 from sageturn.core.connection_record import ConnectionRecord
 from sageturn.core.context import RelayContext
 from sageturn.decision import ReportSource
-from sageturn.decision.load_reports import MAX_REPORT_BYTES, read_report
+from sageturn.decision.load_reports import MAX_REPORT_BYTES, parse_report
 
 MAX_LAST_LINE_BYTES = MAX_REPORT_BYTES + 16  # maximum length of a reply's code and its load report
 
@@ -58,7 +58,7 @@
         code, *report = line.split(None, 1) or [b""]
         settings = self._context.balancer_actor.settings
         if code in close_reasons and report and settings.reports == ReportSource.ANSWERS:
-            self._record.load_report = read_report(
+            self._record.load_report = parse_report(
                 report[0], settings.report_fields, self._context.invalid_report_values
             )
         return close_reasons.get(code, default)
--- a/sageturn/lab/model/naive_planner.py
+++ b/sageturn/lab/model/naive_planner.py
@@ -44,7 +44,7 @@
 
 def _load(connections: ConnectionTable, name: str) -> float:
     totals = connections.endpoints.get(name)
-    return totals.load(connections.mean_load, group_cost=0.0) if totals is not None else 0.0
+    return totals.estimate_load(connections.mean_load, group_cost=0.0) if totals is not None else 0.0
 
 
 class NaivePlanner(RebalancePlanner):
--- a/sageturn/net/health_check_client.py
+++ b/sageturn/net/health_check_client.py
@@ -15,7 +15,7 @@
 
 from sageturn.core.tasks import cancel_and_wait
 from sageturn.decision import AttemptStatus, HealthCheckCompleted
-from sageturn.decision.load_reports import MAX_REPORT_BYTES, read_report
+from sageturn.decision.load_reports import MAX_REPORT_BYTES, parse_report
 from sageturn.net.addresses import Address
 from sageturn.net.connecting import ConnectFailure, connect_unreserved
 
@@ -127,7 +127,7 @@
             return _Outcome(AttemptStatus.REFUSED)
         if first_word != RESPONSE_REPORT:
             return _Outcome(AttemptStatus.ERROR)
-        return _Outcome(AttemptStatus.OK, read_report(report, self._report_fields, self._invalid_values))
+        return _Outcome(AttemptStatus.OK, parse_report(report, self._report_fields, self._invalid_values))
 
     async def _exchange(self, endpoint: str, sock: socket.socket) -> bytes:
         """Send a request and return the response line without its CRLF.
--- a/sageturn/rebalance/allocations.py
+++ b/sageturn/rebalance/allocations.py
@@ -32,8 +32,8 @@
         self.group = group
         self.first_row = first_row  # head of the linked list of its rows in the connection table
 
-    def load(self, mean_load: float) -> float:
-        """Return the load in work per second; ``mean_load`` stands in for each load not reported."""
+    def estimate_load(self, mean_load: float) -> float:
+        """Estimate the load in work per second; ``mean_load`` stands in for each load not reported."""
         return self.reported_load + (self.connection_count - self.reporting_count) * mean_load
 
 
@@ -52,8 +52,8 @@
         """Number of groups at the endpoint; the group "" does not count."""
         return len(self.groups) - ("" in self.groups)
 
-    def load(self, mean_load: float, group_cost: float) -> float:
-        """Return the load in work per second; each group costs as much as ``group_cost`` mean connections."""
+    def estimate_load(self, mean_load: float, group_cost: float) -> float:
+        """Estimate the load in work per second; each group adds that of ``group_cost`` mean connections."""
         unreported = self.connection_count - self.reporting_count + group_cost * self.group_count
         return self.reported_load + unreported * mean_load
 
--- a/sageturn/rebalance/batches.py
+++ b/sageturn/rebalance/batches.py
@@ -155,7 +155,7 @@
     ) -> Iterator[MigrationBatch]:
         groups = [allocation for allocation in endpoint.groups.values() if allocation.group]
         for allocation in sorted(groups, key=lambda allocation: self._rank(allocation, mean_load)):
-            load = allocation.load(mean_load)
+            load = allocation.estimate_load(mean_load)
             request_ids = self._collect_eligible_members(allocation, load, max_load)
             if isinstance(request_ids, BlockReason):
                 self.block_counts[request_ids] += 1
@@ -197,5 +197,5 @@
         siblings = self._connections.allocations_by_group[allocation.group]
         largest = max(siblings, key=lambda sibling: (sibling.connection_count, sibling.endpoint.name))
         is_smaller_part = len(siblings) > 1 and largest is not allocation
-        mean_member_load = allocation.load(mean_load) / allocation.connection_count
+        mean_member_load = allocation.estimate_load(mean_load) / allocation.connection_count
         return _BatchRank(not is_smaller_part, -mean_member_load, allocation.group)
--- a/sageturn/rebalance/evacuation.py
+++ b/sageturn/rebalance/evacuation.py
@@ -60,6 +60,6 @@
         batch_size = max_batch_connections if group else 1
         for start in range(0, len(request_ids), batch_size):
             batch_ids = tuple(request_ids[start : start + batch_size])
-            load = allocation.load(mean_load) * len(batch_ids) / allocation.connection_count
+            load = allocation.estimate_load(mean_load) * len(batch_ids) / allocation.connection_count
             is_partial = len(batch_ids) < allocation.connection_count
             yield MigrationBatch(batch_ids, load, is_grouped=bool(group), is_partial=is_partial)
--- a/sageturn/rebalance/event_tracker.py
+++ b/sageturn/rebalance/event_tracker.py
@@ -7,9 +7,9 @@
 
 from sageturn import decision
 from sageturn.rebalance.connection_table import ConnectionLabels, ConnectionTable
-from sageturn.rebalance.landing_score import LandingScore, is_useful_landing
 from sageturn.rebalance.migration_counts import MigrationCount
 from sageturn.rebalance.migration_history import MigrationHistory, MigrationRecord, hash_client_key
+from sageturn.rebalance.migration_score import MigrationScore, is_useful_migration
 from sageturn.rebalance.options import RebalanceOptions
 from sageturn.rebalance.overload_detector import OverloadDetector
 
@@ -17,7 +17,7 @@
 
 
 @dataclass(slots=True)
-class PendingRequest:
+class TrackedRequest:
     """Request whose client has no connection and no final response yet."""
 
     arrived_ms: float
@@ -37,7 +37,7 @@
         self.connections = ConnectionTable()
         self.history = MigrationHistory(options)
         self.overload_detector = OverloadDetector(1.0 / settings.relay_count)
-        self.landing_score = LandingScore()
+        self.migration_score = MigrationScore()
         self.counts: Counter[str] = Counter()  # keyed by ``MigrationCount``
         self.utilization_ratios: dict[str, float] = {}
         self.migrating_request_ids: set[int] = set()  # requests whose clients were asked to reconnect
@@ -45,7 +45,7 @@
         self._latency_objectives_ms = {
             request_class.name: request_class.latency_objective_ms for request_class in settings.classes
         }
-        self._pending: dict[int, PendingRequest] = {}
+        self._pending: dict[int, TrackedRequest] = {}
 
     def set_options(self, options: RebalanceOptions) -> None:
         """Apply new settings from the operator's file."""
@@ -84,7 +84,7 @@
         self, now_ms: float, request_id: int, labels: ConnectionLabels, client_key: str
     ) -> None:
         """Start to track a request that has no connection and no final response yet."""
-        self._pending[request_id] = PendingRequest(now_ms, labels, hash_client_key(client_key))
+        self._pending[request_id] = TrackedRequest(now_ms, labels, hash_client_key(client_key))
 
     def adopt(
         self,
@@ -145,9 +145,9 @@
         if not migration.by_planner:
             return
         self.counts[MigrationCount.RETURNED_SLOWLY] += is_slow
-        is_useful = is_useful_landing(migration.source_endpoint, endpoint, self.utilization_ratios)
+        is_useful = is_useful_migration(migration.source_endpoint, endpoint, self.utilization_ratios)
         self.counts[MigrationCount.LANDED_WELL if is_useful else MigrationCount.LANDED_BADLY] += 1
-        self.landing_score.record(is_useful)
+        self.migration_score.record(is_useful)
 
     def _on_attempt_ended(self, now_ms: float, event: decision.AttemptEnded) -> None:
         if self.connections.remove(event.id):
--- a/sageturn/rebalance/landing_score.py
+++ b/sageturn/rebalance/migration_score.py
@@ -1,16 +1,16 @@
-"""Scores migrations by whether the clients land (are placed) on less utilized endpoints than before."""
+"""Scores migrations by whether their clients are placed on less utilized endpoints than before."""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 
-SCORE_SMOOTHING_FACTOR = 0.05  # weight of the newest landing in the moving average
-MIN_USEFUL_SCORE = 0.2  # fraction of useful landings; with a lower one migration pauses
-SCORE_AFTER_PAUSE = 0.5  # allows some landings to be scored before the next pause
+SCORE_SMOOTHING_FACTOR = 0.05  # weight of the newest migration in the moving average
+MIN_USEFUL_SCORE = 0.2  # fraction of useful migrations; at a lower one migration pauses
+SCORE_AFTER_PAUSE = 0.5  # allows some migrations to be scored before the next pause
 MIN_RATIO_REDUCTION = 0.02  # minimum difference between the source's and the target's ratio
 
 
-def is_useful_landing(source: str, target: str, ratios: Mapping[str, float]) -> bool:
+def is_useful_migration(source: str, target: str, ratios: Mapping[str, float]) -> bool:
     """Return True if the target is clearly less utilized than the source.
 
     ``ratios`` has each endpoint's utilization divided by the mean; an endpoint that it lacks counts as 1.
@@ -18,19 +18,19 @@
     return target != source and ratios.get(target, 1.0) < ratios.get(source, 1.0) - MIN_RATIO_REDUCTION
 
 
-class LandingScore:
-    """Fraction of recent landings that were useful, as an exponential moving average."""
+class MigrationScore:
+    """Fraction of recent migrations that were useful, as an exponential moving average."""
 
     def __init__(self) -> None:
         self.value = 1.0
 
     @property
     def is_too_low(self) -> bool:
-        """True if too few landings are useful: the balancer has other criteria than the planner."""
+        """True if too few migrations are useful: the balancer has other criteria than the planner."""
         return self.value < MIN_USEFUL_SCORE
 
     def record(self, is_useful: bool) -> None:
-        """Include the landing of one migrated client that is established again."""
+        """Include one migration, whose client is established again."""
         self.value += SCORE_SMOOTHING_FACTOR * (is_useful - self.value)
 
     def reset_after_pause(self) -> None:
--- a/sageturn/rebalance/planner.py
+++ b/sageturn/rebalance/planner.py
@@ -29,7 +29,7 @@
 from sageturn.rebalance.tick_context import TickContext
 
 UNREACHABLE_PAUSE_MS = 30000.0  # time in which the conditions that block every batch may change
-USELESS_PAUSE_MS = 60000.0  # pause after too many landings that were not useful
+USELESS_PAUSE_MS = 60000.0  # pause after too many migrations that were not useful
 
 
 class RebalancePlanner:
@@ -158,8 +158,8 @@
             return empty_plan(PlanPhase.HELD, self.rate_controller.stop_reason)
         if now_ms < self._paused_until_ms:
             return self._pause_plan
-        if self.tracker.landing_score.is_too_low:
-            self.tracker.landing_score.reset_after_pause()
+        if self.tracker.migration_score.is_too_low:
+            self.tracker.migration_score.reset_after_pause()
             plan = empty_plan(PlanPhase.USELESS, "moved clients land where it is as full")
             return self._pause(now_ms + USELESS_PAUSE_MS, plan)
         return None
@@ -206,7 +206,7 @@
             tokens=self.rate_controller.tokens,
             in_flight_count=self.history.in_flight_count,
             remembered_clients=len(self.history),
-            landing_score=self.tracker.landing_score.value,
+            migration_score=self.tracker.migration_score.value,
             counts=self.counts,
             signal_counts=self.overload_detector.signal_counts,
             block_counts=self.block_counts,
--- a/sageturn/rebalance/state.py
+++ b/sageturn/rebalance/state.py
@@ -25,7 +25,7 @@
     tokens: float
     in_flight_count: int
     remembered_clients: int
-    landing_score: float
+    migration_score: float
     counts: Mapping[str, int]  # counts since the start, by ``MigrationCount``
     signal_counts: Mapping[OverloadSignal, int]  # number of ticks at which each overload signal held
     block_counts: Mapping[BlockReason, int]  # counts of the last tick that sought batches
@@ -45,7 +45,7 @@
         "saved": round(state.tokens, 1),
         "on_way": state.in_flight_count,
         "remembered": state.remembered_clients,
-        "useful": round(state.landing_score, 2),
+        "useful": round(state.migration_score, 2),
         "counts": {str(name): count for name, count in sorted(state.counts.items())},
         "signs": {signal.value: count for signal, count in sorted(state.signal_counts.items())},
         "in_the_way": {reason.value: count for reason, count in state.block_counts.items()},
--- a/sageturn/rebalance/utilization.py
+++ b/sageturn/rebalance/utilization.py
@@ -108,7 +108,7 @@
 
 def _load_from_this_relay(connections: ConnectionTable, name: str, group_cost: float) -> float:
     totals = connections.endpoints.get(name)
-    return totals.load(connections.mean_load, group_cost) if totals is not None else 0.0
+    return totals.estimate_load(connections.mean_load, group_cost) if totals is not None else 0.0
 
 
 def _estimate_confidence(
--- a/sageturn/simhost.py
+++ b/sageturn/simhost.py
@@ -19,7 +19,7 @@
 from sageturn.decision import AttemptStatus, EndpointStatus, ListEventKind, MeasurementKind
 from sageturn.decision.balancer import Balancer
 from sageturn.decision.discovery_backoff import classify_rejection
-from sageturn.decision.load_reports import usable_values
+from sageturn.decision.load_reports import select_usable_values
 
 # Tables from the values on the wire to those of the decision module.
 ATTEMPT_STATUSES = {
@@ -100,7 +100,7 @@
 
 def _report(key: str) -> FieldReader:
     """Return a reader of a load report; a missing one is read as empty."""
-    return lambda fields: usable_values(fields.get(key))
+    return lambda fields: select_usable_values(fields.get(key))
 
 
 _decode_endpoint = _make_decoder(
@@ -213,8 +213,8 @@
         self._watch_requested_ms: dict[int, float] = {}
         self._current_event = ""  # name of the event that is being handled, for error messages
 
-    def answer(self, line: bytes) -> bytes:
-        """Handle a line of events. Returns the line of actions, without a newline.
+    def handle_line(self, line: bytes) -> bytes:
+        """Handle a line of events. Return the line of actions, without a newline.
 
         Raises:
             WireError: the line is not JSON, or an event is unknown, invalid or for an instance that does not
@@ -302,7 +302,7 @@
     try:
         for line in sys.stdin.buffer:
             if line.strip():
-                output.write(link.answer(line) + b"\n")
+                output.write(link.handle_line(line) + b"\n")
                 output.flush()
     except WireError as error:
         print(f"simhost: {error}", file=sys.stderr)
--- a/tests/decision/test_discovery_backoff.py
+++ b/tests/decision/test_discovery_backoff.py
@@ -116,7 +116,8 @@
     relay_count: int, max_poll_interval_ms: float, pushed: bool, seed: int
 ) -> None:
     # When the end of a watch counted as a failed call, the next call of 200 relays came 2.5 to 7.5 s later,
-    # after 3.2 s of silence. The relay must have the changes that a silent watch missed after 6 s.
+    # after the 3.2 s in which the watch had sent nothing. The relay must have the changes that an
+    # unresponsive watch missed after 6 s.
     backoff = DiscoveryBackoff(relay_count, max_poll_interval_ms, Random(seed), pushed)
     for failure, max_delay_ms in ((DiscoveryFailure.SILENT, 1800.0), (DiscoveryFailure.LOST, 2800.0)):
         for now_ms in (0.0, max_poll_interval_ms + 1.0, max_poll_interval_ms + 2.0):
--- a/tests/decision/test_health_checks.py
+++ b/tests/decision/test_health_checks.py
@@ -31,11 +31,11 @@
 from sageturn import decision
 from sageturn.decision.health_checks import (
     CHECK_INTERVAL_MS,
+    HEALTH_CHECK_BUDGET_RATIO,
     MIN_FLEET_INTERVAL_MS,
-    SPEND_RATIO,
     HealthCheckScheduler,
 )
-from sageturn.decision.load_reports import read_report, usable_values
+from sageturn.decision.load_reports import parse_report, select_usable_values
 
 HEALTH_CHECK_SETTINGS: dict[str, Any] = {
     "probes": True,
@@ -72,15 +72,15 @@
 )
 def test_a_report_is_read_strictly(text: bytes, found: dict[str, float], why: dict[str, int]) -> None:
     dropped: Counter[str] = Counter()
-    assert read_report(text, FIELDS, dropped) == found and +dropped == why
+    assert parse_report(text, FIELDS, dropped) == found and +dropped == why
 
 
 @given(st.binary(max_size=700))
 def test_arbitrary_bytes_give_only_valid_numbers(text: bytes) -> None:
-    found = read_report(text, FIELDS, Counter())
+    found = parse_report(text, FIELDS, Counter())
     assert found.keys() <= set(FIELDS) and all(0.0 <= value <= 3600.0 for value in found.values())
     values = {"x0": math.nan, "x1": True, "cpu": "1", "rps": -1, "active": 3}
-    assert usable_values(values) == {"active": 3.0}
+    assert select_usable_values(values) == {"active": 3.0}
 
 
 # ---------------------------------------------------------------- when to ask
@@ -97,7 +97,11 @@
         if tick < requests:
             checks.record_request()
         check_counts.update(checks.take_due_endpoints(250.0 * tick, names))
-    assert endpoints <= check_counts.total() <= endpoints + max(1.0, requests * SPEND_RATIO / price) + 1e-6
+    assert (
+        endpoints
+        <= check_counts.total()
+        <= endpoints + max(1.0, requests * HEALTH_CHECK_BUDGET_RATIO / price) + 1e-6
+    )
     min_interval_ms = 0.75 * max(CHECK_INTERVAL_MS, MIN_FLEET_INTERVAL_MS * relays)
     assert max(check_counts.values()) <= 60000.0 / min_interval_ms + 1.0
 
--- a/tests/decision/test_simulator_adapter.py
+++ b/tests/decision/test_simulator_adapter.py
@@ -51,8 +51,8 @@
 
 def test_a_request_is_relayed_and_every_event_is_taken() -> None:
     link = SimulatorLink()
-    assert actions(link.answer(enlist())) == []
-    (relay,) = actions(link.answer(batch(inbound(1))))
+    assert actions(link.handle_line(enlist())) == []
+    (relay,) = actions(link.handle_line(batch(inbound(1))))
     endpoint = relay["Relay"]["backend"]
     events_of_all_kinds = (
         {"Started": {"opId": 1, "timeTakenMs": 5.0, "n": 0, "backend": endpoint}},
@@ -65,35 +65,35 @@
         {"ClientLeft": {"opId": 77}},
         returned(1, endpoint, "pass", True),
     )
-    assert actions(link.answer(batch(*events_of_all_kinds))) == [{"Observe": {"active": True}}]
+    assert actions(link.handle_line(batch(*events_of_all_kinds))) == [{"Observe": {"active": True}}]
 
 
 @pytest.mark.parametrize("state", ["fault", "no_room", "too_slow", "no_route", "cut", "undone", "stale_send"])
 def test_every_outcome_leads_to_a_retry(state: str) -> None:
     link = SimulatorLink()
-    link.answer(enlist())
-    (relay,) = actions(link.answer(batch(inbound(1))))
-    (again,) = actions(link.answer(batch(returned(1, relay["Relay"]["backend"], state, False))))
+    link.handle_line(enlist())
+    (relay,) = actions(link.handle_line(batch(inbound(1))))
+    (again,) = actions(link.handle_line(batch(returned(1, relay["Relay"]["backend"], state, False))))
     assert again["Relay"]["backend"] != relay["Relay"]["backend"]
 
 
 def test_a_killed_instance_starts_anew_in_the_same_batch() -> None:
     link = SimulatorLink()
-    link.answer(enlist())
-    link.answer(batch(inbound(1)))
+    link.handle_line(enlist())
+    link.handle_line(batch(inbound(1)))
     both = batch({"Teardown": {}}, {"Enlist": {"entropy": 6, "conf": CONF}}, {"Fleet": LIST}, inbound(2))
-    assert [action["Relay"]["opId"] for action in actions(link.answer(both))] == [2]
-    assert actions(link.answer(batch(returned(1, "a", "cut", False)))) == []
+    assert [action["Relay"]["opId"] for action in actions(link.handle_line(both))] == [2]
+    assert actions(link.handle_line(batch(returned(1, "a", "cut", False)))) == []
 
 
 def test_instances_share_nothing() -> None:
     alone, both = SimulatorLink(), SimulatorLink()
-    alone.answer(enlist(3))
+    alone.handle_line(enlist(3))
     for instance in (1, 3):
-        both.answer(enlist(instance))
+        both.handle_line(enlist(instance))
     for number in range(1, 30):
-        both.answer(batch(inbound(number + 100), instance=1))
-        assert both.answer(batch(inbound(number), instance=3)) == alone.answer(
+        both.handle_line(batch(inbound(number + 100), instance=1))
+        assert both.handle_line(batch(inbound(number), instance=3)) == alone.handle_line(
             batch(inbound(number), instance=3)
         )
 
@@ -113,9 +113,9 @@
 )
 def test_bad_input_is_named(line: bytes, says: str) -> None:
     link = SimulatorLink()
-    link.answer(enlist())
+    link.handle_line(enlist())
     with pytest.raises(WireError, match=says):
-        link.answer(line)
+        link.handle_line(line)
 
 
 def test_the_process_ends_plainly() -> None:
@@ -131,7 +131,7 @@
     # The wire states only that a call failed. A call that waited was queued, so discovery is overloaded; a
     # call that had been answered was a watch.
     link, failures = SimulatorLink(), list[DiscoveryFailure]()
-    link.answer(enlist())
+    link.handle_line(enlist())
 
     class WatchingBalancer:
         def handle(self, now_ms: float, event: Event) -> list[Action]:
@@ -144,7 +144,7 @@
     wake, failed = {"Wake": {"mark": "watch"}}, {"Fleet": {"mode": "X", "nodesList": None}}
     listed = {"Fleet": {**LIST, "mode": "D"}}
     for event, now in ((wake, 0), (failed, 5), (wake, 100), (failed, 3100), (wake, 4000), (listed, 4100)):
-        link.answer(batch(event, now=float(now)))
+        link.handle_line(batch(event, now=float(now)))
     failures.pop()  # the list's event has a failure as well
-    link.answer(batch(failed, now=9000.0))
+    link.handle_line(batch(failed, now=9000.0))
     assert failures == [DiscoveryFailure.UNREACHED, DiscoveryFailure.OVERLOADED, DiscoveryFailure.LOST]
--- a/tests/rebalance/test_planner.py
+++ b/tests/rebalance/test_planner.py
@@ -368,13 +368,13 @@
     assert fleet.migrated, "the clients must become eligible after again_s"
 
 
-def test_landings_that_are_not_useful_pause_migration() -> None:
+def test_migrations_that_are_not_useful_pause_balancing() -> None:
     fleet = make_uneven_fleet()
     fleet.run_until_migrated()
     fleet.step()
     assert not fleet.reconnects, "all migrated clients must have reconnected"
     for _ in range(40):
-        fleet.planner.tracker.landing_score.record(is_useful=False)
+        fleet.planner.tracker.migration_score.record(is_useful=False)
     fleet.step()
     count = len(fleet.migrated)
     assert fleet.plan.phase == "useless" and "as full" in fleet.plan.explanation
