--- a/sageturn/core/endpoint_registry.py
+++ b/sageturn/core/endpoint_registry.py
@@ -68,7 +68,7 @@
         post_event: Callable[[decision.Event], Awaitable[None]],
         watcher: DiscoveryWatcher | None = None,
         *,
-        pushed: bool = False,
+        is_list_pushed: bool = False,
         clock: Clock | None = None,
         is_out_of_service: Callable[[str], bool] = never_out_of_service,
     ) -> None:
@@ -78,8 +78,8 @@
             initial_list: list of the configuration, or an empty one.
             post_event: queues an event for the balancer.
             watcher: opens watches; None if updates come by ``apply_update`` only.
-            pushed: discovery pushes changes, so the watch is opened at the start without a request of the
-                balancer.
+            is_list_pushed: True if discovery pushes changes, so that the watch is opened at the start without
+                a request of the balancer.
             clock: the balancer's clock, to whose time start times are converted.
             is_out_of_service: returns whether an operator has taken an endpoint out of service.
         """
@@ -88,7 +88,7 @@
         self._post_event = post_event
         initial_list = drop_unaddressed(initial_list, {})
         self._initial_list = initial_list
-        self._pushed = pushed
+        self._is_list_pushed = is_list_pushed
         self.version = initial_list.version
         self.addresses = dict(initial_list.addresses)
         self.states = {endpoint.name: endpoint.state for endpoint in initial_list.endpoints}
@@ -130,7 +130,7 @@
         self._update_readiness()
         initial_list = self._start_times.convert(self._initial_list.endpoints, is_full=True, is_current=False)
         await self._post_event(decision.EndpointListEvent(ListEventKind.STALE, initial_list))
-        if self._pushed:
+        if self._is_list_pushed:
             self._start_watch()
         while True:
             match await self._mailbox.get():
--- a/sageturn/core/endpoint_snapshot.py
+++ b/sageturn/core/endpoint_snapshot.py
@@ -16,12 +16,12 @@
 
     name: str
     size: float
-    ready: bool  # listed as ready, and not ejected
+    is_ready: bool  # listed as ready, and not ejected
     # Number of attempts that it may be sent before it answers one; 0 while it is full or sheds load.
     available_capacity: int
     zone: str = ""
-    draining: bool = False
-    ejected: bool = False  # listed as ready, but ejected for failures
+    is_draining: bool = False
+    is_ejected: bool = False  # listed as ready, but ejected for failures
     started_ms: float = 0.0
 
 
@@ -57,11 +57,11 @@
     return EndpointSnapshot(
         name=endpoint.name,
         size=endpoint.weights.effective,
-        ready=endpoint.ready,
+        is_ready=endpoint.ready,
         available_capacity=_available_capacity(balancer, now_ms, endpoint),
         zone=endpoint.zone,
-        draining=endpoint.state == EndpointStatus.DRAINING,
-        ejected=endpoint.state == EndpointStatus.READY and not endpoint.ready,
+        is_draining=endpoint.state == EndpointStatus.DRAINING,
+        is_ejected=endpoint.state == EndpointStatus.READY and not endpoint.ready,
         started_ms=endpoint.started_at_ms or 0.0,
     )
 
--- a/sageturn/core/idle_timeout.py
+++ b/sageturn/core/idle_timeout.py
@@ -27,7 +27,7 @@
         self._unanswered_since_s: float | None = None  # when the oldest unanswered line was forwarded
         self.last_endpoint_data_s = now_s
 
-    def on_request_forwarded(self, now_s: float) -> None:
+    def on_client_line_forwarded(self, now_s: float) -> None:
         """Record that a line of the client was forwarded; the oldest unanswered one starts the timeout."""
         if self._unanswered_since_s is None:
             self._unanswered_since_s = now_s
--- a/sageturn/decision/discovery_backoff.py
+++ b/sageturn/decision/discovery_backoff.py
@@ -65,7 +65,7 @@
     """
 
     def __init__(
-        self, relay_count: int, max_poll_interval_ms: float, rng: Random, pushed: bool = False
+        self, relay_count: int, max_poll_interval_ms: float, rng: Random, is_list_pushed: bool = False
     ) -> None:
         """Create the backoff.
 
@@ -73,7 +73,8 @@
             relay_count: Relays that share discovery.
             max_poll_interval_ms: The setting, 0 if it is not given. Delays end within half of it.
             rng: The source of the jitter.
-            pushed: True if lists are pushed to a local agent, which has a current list without a call.
+            is_list_pushed: True if lists are pushed to a local agent, which has the current one without a
+                call.
         """
         self._rng = rng
         self._max_poll_interval_ms = max_poll_interval_ms
@@ -82,7 +83,7 @@
         # Time until an overloaded queue is so short that its calls are answered; negative for few relays.
         typical_excess_ms = relay_count * TYPICAL_CALL_MS - MAX_QUEUE_MS
         slow_excess_ms = relay_count * SLOW_CALL_MS - MAX_QUEUE_MS
-        if pushed:
+        if is_list_pushed:
             self._max_delay_ms = MAX_PUSHED_DELAY_MS
             self._overloaded_base_ms = self._max_delay_ms
             self._max_overloaded_delay_ms = self._max_delay_ms
--- a/sageturn/flows/exporter.py
+++ b/sageturn/flows/exporter.py
@@ -74,7 +74,7 @@
     """Exporter that sends queued flows from a task of its own, so that closing a connection never waits."""
 
     def __init__(self, options: FlowOptions) -> None:
-        self.dropped = 0  # number of flows that were not sent
+        self.dropped_flows = 0  # number of flows that were not sent
         self._options = options
         self._queue: asyncio.Queue[bytes] = asyncio.Queue(options.max_queued_flows)
         self._socket: socket.socket | None = None  # opened when the first message is sent
@@ -87,7 +87,7 @@
         try:
             self._queue.put_nowait(to_flow(record).encode())
         except asyncio.QueueFull:
-            self.dropped += 1
+            self.dropped_flows += 1
 
     async def run(self) -> None:
         """Send queued flows until cancelled; then send the rest and close the socket."""
@@ -109,9 +109,9 @@
         while not self._queue.empty():
             flows = self._take_flows()
             if not self._send(ipfix.encode_flow_set(flows), len(flows)):
-                self.dropped += len(flows)
+                self.dropped_flows += len(flows)
                 break
-        if self.dropped != self._reported_dropped_count:
+        if self.dropped_flows != self._reported_dropped_count:
             self._send_dropped_count()
 
     def close(self) -> None:
@@ -133,8 +133,8 @@
         return True
 
     def _send_dropped_count(self) -> None:
-        if self._send(ipfix.encode_reliability_set(os.getpid(), self.dropped), 1):
-            self._reported_dropped_count = self.dropped
+        if self._send(ipfix.encode_reliability_set(os.getpid(), self.dropped_flows), 1):
+            self._reported_dropped_count = self.dropped_flows
 
     def _take_flows(self) -> list[bytes]:
         """Remove and return as many queued flows as fit in one message."""
--- a/sageturn/frontends/frontend_connection.py
+++ b/sageturn/frontends/frontend_connection.py
@@ -9,9 +9,9 @@
 from functools import partial
 
 from sageturn.core.close_reason import CloseReason
-from sageturn.core.context import RelayContext
 from sageturn.core.messages import ClientRequest
 from sageturn.core.proxy_transport import ProxyTransport
+from sageturn.core.relay_context import RelayContext
 from sageturn.core.request_lifecycle import RequestLifecycle
 from sageturn.net.addresses import Address
 from sageturn.net.connecting import CLOSE_REASON_OF_CONNECT_FAILURE, ConnectFailure, connect_unreserved
--- a/sageturn/frontends/platform/connection.py
+++ b/sageturn/frontends/platform/connection.py
@@ -6,8 +6,8 @@
 import socket
 
 from sageturn.core.close_reason import CloseReason
-from sageturn.core.context import RelayContext
 from sageturn.core.messages import FinalResponse
+from sageturn.core.relay_context import RelayContext
 from sageturn.frontends.frontend_connection import CheckBeforeWrite, FrontendConnection
 from sageturn.frontends.platform.endpoint_reply import EndpointReplyParser
 from sageturn.frontends.platform.line_reader import MAX_LINE_BYTES, read_line
--- a/sageturn/frontends/platform/endpoint_reply.py
+++ b/sageturn/frontends/platform/endpoint_reply.py
@@ -6,7 +6,7 @@
 
 from sageturn.core.close_reason import CloseReason
 from sageturn.core.connection_record import ConnectionRecord
-from sageturn.core.context import RelayContext
+from sageturn.core.relay_context import RelayContext
 from sageturn.decision import ReportSource
 from sageturn.decision.load_reports import MAX_REPORT_BYTES, parse_report
 
--- a/sageturn/frontends/platform/frontend.py
+++ b/sageturn/frontends/platform/frontend.py
@@ -7,7 +7,7 @@
 import socket
 from contextlib import suppress
 
-from sageturn.core.context import RelayContext
+from sageturn.core.relay_context import RelayContext
 from sageturn.frontends.platform.connection import PlatformConnection
 from sageturn.frontends.platform.errors import InvalidRequestLineError
 from sageturn.frontends.platform.line_reader import MAX_LINE_BYTES, read_line
@@ -68,8 +68,8 @@
 
         The line may have become complete just before, and every accepted client must be answered.
         """
-        log.debug("pending connection ended peer=%s:%d evicted=%s", *pending.peer, pending.evicted)
-        if pending.evicted:
+        log.debug("pending connection ended peer=%s:%d evicted=%s", *pending.peer, pending.is_evicted)
+        if pending.is_evicted:
             send_and_close(sock, self.rejection)  # does not wait: another connection needs the descriptor
             return
         with suppress(OSError):
--- a/sageturn/frontends/platform/relaying.py
+++ b/sageturn/frontends/platform/relaying.py
@@ -15,7 +15,7 @@
 from sageturn.frontends.platform.load_reporter import LoadReporter
 from sageturn.frontends.platform.timing import (
     CLIENT_LINE_INTERVAL_S,
-    IDLE_TIMEOUT_S,
+    ENDPOINT_IDLE_TIMEOUT_S,
     LAST_LINE_TIMEOUT_S,
     MOVE_TIMEOUT_S,
 )
@@ -55,7 +55,7 @@
         self._to_client = LineForwarder(endpoint, client, self._on_endpoint_lines, endpoint_input)
         self._to_endpoint = LineForwarder(client, endpoint, self._on_client_lines, client_input)
         self._idle_timeout = IdleTimeout(
-            asyncio.get_running_loop().time(), IDLE_TIMEOUT_S, CLIENT_LINE_INTERVAL_S
+            asyncio.get_running_loop().time(), ENDPOINT_IDLE_TIMEOUT_S, CLIENT_LINE_INTERVAL_S
         )
         self._load_reporter = LoadReporter(lifecycle)
         self._last_line = b""
@@ -156,4 +156,4 @@
         self._last_line = bytes(buffer[start : min(end, start + MAX_LAST_LINE_BYTES)])
 
     def _on_client_lines(self, buffer: bytearray, end: int) -> None:
-        self._idle_timeout.on_request_forwarded(asyncio.get_running_loop().time())
+        self._idle_timeout.on_client_line_forwarded(asyncio.get_running_loop().time())
--- a/sageturn/frontends/xmpp/connection.py
+++ b/sageturn/frontends/xmpp/connection.py
@@ -7,9 +7,9 @@
 from xml.sax.saxutils import escape, quoteattr
 
 from sageturn.core.close_reason import CloseReason
-from sageturn.core.context import RelayContext
 from sageturn.core.idle_timeout import IdleTimeout
 from sageturn.core.messages import ClientRequest, FinalResponse
+from sageturn.core.relay_context import RelayContext
 from sageturn.frontends.frontend_connection import CheckBeforeWrite, FrontendConnection
 from sageturn.frontends.xmpp.channel import Channel
 from sageturn.frontends.xmpp.client_login import BindRequest
--- a/sageturn/frontends/xmpp/frontend.py
+++ b/sageturn/frontends/xmpp/frontend.py
@@ -8,7 +8,7 @@
 import ssl
 from contextlib import suppress
 
-from sageturn.core.context import RelayContext
+from sageturn.core.relay_context import RelayContext
 from sageturn.frontends.xmpp.accounts import Accounts
 from sageturn.frontends.xmpp.channel import Channel
 from sageturn.frontends.xmpp.client_login import ClientLogin
@@ -57,7 +57,7 @@
         except StreamError as stream_error:
             error = stream_error
         except TimeoutError:
-            if pending.evicted:
+            if pending.is_evicted:
                 error = StreamError(StreamCondition.RESOURCE_CONSTRAINT)
         except (OSError, ssl.SSLError) as connection_error:
             log.info("xmpp login failed peer=%s:%d reason=%s", *pending.peer, connection_error)
@@ -81,7 +81,7 @@
         with suppress(TimeoutError):
             async with asyncio.timeout(LINGER_S):
                 await session.close_with_error(error, domain)
-            if pending.evicted:
+            if pending.is_evicted:
                 send_and_close(sock, b"")  # does not wait: another connection needs the descriptor
             else:
                 await close_gracefully(sock)
--- a/sageturn/frontends/xmpp/relaying.py
+++ b/sageturn/frontends/xmpp/relaying.py
@@ -189,7 +189,7 @@
             if not isinstance(event, Stanza):
                 continue
             if _requires_response(event):
-                self._idle_timeout.on_request_forwarded(loop.time())
+                self._idle_timeout.on_client_line_forwarded(loop.time())
             try:
                 await self._endpoint.send(event.raw)
             except OSError:
--- a/sageturn/lab/measurements/planner_cost.py
+++ b/sageturn/lab/measurements/planner_cost.py
@@ -46,7 +46,7 @@
         self._class_names = [class_spec.name for class_spec in self.spec.classes]
         self._clients = [_client(number) for number in range(connection_count)]
         self._endpoints = [
-            EndpointSnapshot(f"h{number}", 1.0, ready=True, available_capacity=ENDPOINT_CAPACITY)
+            EndpointSnapshot(f"h{number}", 1.0, is_ready=True, available_capacity=ENDPOINT_CAPACITY)
             for number in range(ENDPOINT_COUNT)
         ]
         self._next_id = connection_count
--- a/sageturn/lab/model/naive_planner.py
+++ b/sageturn/lab/model/naive_planner.py
@@ -25,7 +25,7 @@
 def _excess_migrations(
     connections: ConnectionTable, endpoints: Sequence[EndpointSnapshot]
 ) -> Iterator[Migration]:
-    ready = [endpoint for endpoint in endpoints if endpoint.ready]
+    ready = [endpoint for endpoint in endpoints if endpoint.is_ready]
     loads = {endpoint.name: _load(connections, endpoint.name) for endpoint in ready}
     total_size = sum(endpoint.size for endpoint in ready)
     if not loads or total_size <= 0:
--- a/sageturn/net/admission.py
+++ b/sageturn/net/admission.py
@@ -50,20 +50,20 @@
         self.peer = peer
         self.listener = listener
         self.request_id = NO_REQUEST_ID  # shown in log lines; the frontend sets it
-        self.evicted = False
+        self.is_evicted = False
 
     def time_limit(self, seconds: float) -> asyncio.Timeout:
         """Return a context that limits the wait for the client to ``seconds`` after its acceptance.
 
         The context raises TimeoutError at that time, or as soon as the connection is evicted.
         """
-        deadline_s = 0.0 if self.evicted else self._accepted_s + seconds
+        deadline_s = 0.0 if self.is_evicted else self._accepted_s + seconds
         self._timeout = asyncio.timeout_at(deadline_s)
         return self._timeout
 
     def evict(self) -> None:
         """End the wait in ``time_limit``. Called by the admission controller."""
-        self.evicted = True
+        self.is_evicted = True
         if self._timeout is not None:
             with suppress(RuntimeError):  # the context was exited, or has just expired
                 self._timeout.reschedule(0.0)
--- a/sageturn/net/health_check_client.py
+++ b/sageturn/net/health_check_client.py
@@ -85,7 +85,7 @@
         task.add_done_callback(lambda _: self._checks.pop(endpoint, None))
 
     @property
-    def checks_in_flight(self) -> int:
+    def in_flight_check_count(self) -> int:
         """Number of endpoints that are being checked."""
         return len(self._checks)
 
--- a/sageturn/rebalance/fleet_utilization.py
+++ b/sageturn/rebalance/fleet_utilization.py
@@ -23,7 +23,7 @@
 
     def update(self, connections: ConnectionTable, endpoints: Sequence[EndpointSnapshot]) -> bool:
         """Estimate all pools again. Return True if the set of zones with ready endpoints has changed."""
-        zones = {endpoint.zone for endpoint in endpoints if endpoint.ready}
+        zones = {endpoint.zone for endpoint in endpoints if endpoint.is_ready}
         have_zones_changed = zones != self._zones
         self._zones = zones
         by_zone = self._settings.cross_zone_cost > 0 and len(zones) > 1
--- a/sageturn/rebalance/migration_round.py
+++ b/sageturn/rebalance/migration_round.py
@@ -30,7 +30,7 @@
     @classmethod
     def from_endpoints(cls, endpoints: Sequence[EndpointSnapshot], in_flight_count: int) -> MigrationCapacity:
         """Return the capacity that the endpoints have now, given the number of clients in flight."""
-        setups = sum(endpoint.available_capacity for endpoint in endpoints if endpoint.ready)
+        setups = sum(endpoint.available_capacity for endpoint in endpoints if endpoint.is_ready)
         total = int(MAX_MIGRATION_CAPACITY_RATIO * setups)
         return cls(total, total - in_flight_count)
 
--- a/sageturn/rebalance/overload_detector.py
+++ b/sageturn/rebalance/overload_detector.py
@@ -133,7 +133,10 @@
                 OverloadSignal.RESET_OUTAGE,
                 self._has_resets(now_ms, connections, MIN_OUTAGE_RESETS, MIN_OUTAGE_RESET_RATIO),
             ),
-            (OverloadSignal.ENDPOINT_EJECTED, any(endpoint.ejected for endpoint in self._endpoints.values())),
+            (
+                OverloadSignal.ENDPOINT_EJECTED,
+                any(endpoint.is_ejected for endpoint in self._endpoints.values()),
+            ),
             (OverloadSignal.REJECTIONS, self._rejections.value_at(now_ms) >= MIN_REJECTIONS),
             (OverloadSignal.RESETS, self._has_resets(now_ms, connections, MIN_RESETS, MIN_RESET_RATIO)),
             (
@@ -190,7 +193,7 @@
         if any(self._is_lost(previous, current) for previous in self._endpoints.values()):
             self._endpoint_lost_ms = now_ms
         for name, endpoint in current.items():
-            if endpoint.draining and name in connections.endpoints and name not in out_of_service:
+            if endpoint.is_draining and name in connections.endpoints and name not in out_of_service:
                 self._draining_since_ms.setdefault(name, now_ms)
             else:
                 self._draining_since_ms.pop(name, None)
@@ -203,5 +206,5 @@
         """Return True if an endpoint was removed without draining, or has restarted."""
         endpoint = current.get(previous.name)
         if endpoint is None:
-            return not previous.draining
+            return not previous.is_draining
         return endpoint.started_ms != previous.started_ms
--- a/sageturn/rebalance/utilization.py
+++ b/sageturn/rebalance/utilization.py
@@ -74,7 +74,7 @@
     """
     members_by_zone: dict[str, list[EndpointSnapshot]] = {}
     for endpoint in endpoints:
-        if endpoint.ready and endpoint.size > 0:
+        if endpoint.is_ready and endpoint.size > 0:
             members_by_zone.setdefault(endpoint.zone if by_zone else "", []).append(endpoint)
     group_cost = GROUP_COST if grouped else 0.0
     return [
--- a/sageturn/relay/relay.py
+++ b/sageturn/relay/relay.py
@@ -9,10 +9,10 @@
 from sageturn.config.platform import RelayConfig
 from sageturn.core.balancer_actor import BalancerActor
 from sageturn.core.clock import Clock
-from sageturn.core.context import RelayContext
 from sageturn.core.endpoint_registry import EndpointRegistry, never_out_of_service
 from sageturn.core.handled_signals import HANDLED_SIGNALS, SHUTDOWN_SIGNALS
 from sageturn.core.messages import EndpointListUpdate, WatchFailed
+from sageturn.core.relay_context import RelayContext
 from sageturn.core.request_registry import RequestRegistry
 from sageturn.core.shutdown_schedule import plan_shutdown
 from sageturn.decision import DiscoveryMode
@@ -104,7 +104,7 @@
             self.config.initial_endpoints,
             self.balancer_actor.post_event if overrides is None else overrides.post_event,
             self.discovery,
-            pushed=self.config.settings.discovery == DiscoveryMode.PUSH,
+            is_list_pushed=self.config.settings.discovery == DiscoveryMode.PUSH,
             clock=self.balancer_actor.clock,
             is_out_of_service=never_out_of_service if overrides is None else overrides.is_out_of_service,
         )
@@ -183,7 +183,7 @@
         return RelayState(
             established_connections=sum(request.is_established for request in self.request_registry),
             closed_connections=self.closed_connections.counts,
-            dropped_flows=self.flow_exporter.dropped if self.flow_exporter else 0,
+            dropped_flows=self.flow_exporter.dropped_flows if self.flow_exporter else 0,
             invalid_report_values=self.context.invalid_report_values,
             replication=self._replication.state(),
         )
--- a/sageturn/relay/subsystems.py
+++ b/sageturn/relay/subsystems.py
@@ -10,9 +10,9 @@
 from typing import TYPE_CHECKING
 
 from sageturn.config.platform import RelayConfig
-from sageturn.core.context import RelayContext
 from sageturn.core.endpoint_registry import EndpointRegistry
 from sageturn.core.messages import DiscoveryAddressChanged
+from sageturn.core.relay_context import RelayContext
 from sageturn.frontends.xmpp.accounts import Accounts
 from sageturn.frontends.xmpp.frontend import XmppFrontend
 from sageturn.net.admission import AdmissionController
--- a/tests/decision/test_balancer_edge_cases.py
+++ b/tests/decision/test_balancer_edge_cases.py
@@ -139,7 +139,7 @@
     assert isinstance(BalancerDriver().send_request(timeout_ms=0)[0], RejectRequest)
 
 
-def test_a_midflow_request_needs_no_token() -> None:
+def test_a_takeover_request_needs_no_token() -> None:
     driver = BalancerDriver()
     for _ in range(60):
         driver.send_request("t")
--- a/tests/decision/test_discovery_backoff.py
+++ b/tests/decision/test_discovery_backoff.py
@@ -71,7 +71,7 @@
 def test_fixed_times_leave_time_for_the_response_from_any_state(
     relay_count: int,
     max_poll_interval_ms: float,
-    pushed: bool,
+    is_list_pushed: bool,
     earlier: list[DiscoveryFailure],
     gap_ms: float,
 ) -> None:
@@ -79,7 +79,7 @@
     # Delays with a mean of 5 s after a failure, and of up to 4 * 130 ms per relay, were too long.
     fits_queue = relay_count * SLOW_CALL_MS <= QUEUE_TIMEOUT_MS
     for failure in DiscoveryFailure:
-        backoff = DiscoveryBackoff(relay_count, max_poll_interval_ms, HighestRandom(), pushed)
+        backoff = DiscoveryBackoff(relay_count, max_poll_interval_ms, HighestRandom(), is_list_pushed)
         now_ms = 0.0
         assert backoff.first_call_delay_ms() + MIN_RESPONSE_TIME_MS <= ENDPOINT_LIST_DEADLINE_MS
         for earlier_failure in earlier:
@@ -113,16 +113,16 @@
 
 @given(st.integers(1, 1000), st.floats(1000.0, 20000.0), st.booleans(), st.integers(0, 999))
 def test_watch_that_ended_is_restarted_before_what_it_missed_counts_as_known(
-    relay_count: int, max_poll_interval_ms: float, pushed: bool, seed: int
+    relay_count: int, max_poll_interval_ms: float, is_list_pushed: bool, seed: int
 ) -> None:
     # When the end of a watch counted as a failed call, the next call of 200 relays came 2.5 to 7.5 s later,
     # after the 3.2 s in which the watch had sent nothing. The relay must have the changes that an
     # unresponsive watch missed after 6 s.
-    backoff = DiscoveryBackoff(relay_count, max_poll_interval_ms, Random(seed), pushed)
+    backoff = DiscoveryBackoff(relay_count, max_poll_interval_ms, Random(seed), is_list_pushed)
     for failure, max_delay_ms in ((DiscoveryFailure.SILENT, 1800.0), (DiscoveryFailure.LOST, 2800.0)):
         for now_ms in (0.0, max_poll_interval_ms + 1.0, max_poll_interval_ms + 2.0):
-            assert backoff.retry_delay_ms(now_ms, failure) <= (150.0 if pushed else max_delay_ms)
-    if pushed:
+            assert backoff.retry_delay_ms(now_ms, failure) <= (150.0 if is_list_pushed else max_delay_ms)
+    if is_list_pushed:
         delays_ms = [backoff.retry_delay_ms(0.0, failure) for failure in DiscoveryFailure for _ in range(9)]
         assert max(delays_ms) <= 150.0
     else:  # repeated ends of watches do not cause frequent calls
--- a/tests/decision/test_health_checks.py
+++ b/tests/decision/test_health_checks.py
@@ -226,7 +226,7 @@
             relay.health_check_client.start_check("a")
             relay.health_check_client.start_check("a")  # one at a time
             assert await completed.get() == decision.HealthCheckCompleted("a", status, report)
-            while relay.health_check_client.checks_in_flight:
+            while relay.health_check_client.in_flight_check_count:
                 await asyncio.sleep(0)
         assert len(seen) == len(words) and set(seen) == {b"STATS\r\n"} and completed.empty()
         assert await exchange_line(relay.listener.address, encode_request_line()) == b"UP r1\r\n"
--- a/tests/flows/test_flow_export.py
+++ b/tests/flows/test_flow_export.py
@@ -112,7 +112,7 @@
         exporter.export(make_record(number))
     exporter.flush()
     collector.read()
-    assert exporter.dropped == 4
+    assert exporter.dropped_flows == 4
     assert [int.from_bytes(record[166]) for record in collector.records if 166 in record] == [4]
 
 
@@ -123,7 +123,7 @@
     for number in range(4):
         exporter.export(make_record(number))
         exporter.flush()
-    assert exporter.dropped >= 1
+    assert exporter.dropped_flows >= 1
 
 
 def test_flows_are_sent_once_there_is_a_route_and_a_socket(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/frontends/test_idle_timeout.py
+++ b/tests/frontends/test_idle_timeout.py
@@ -24,7 +24,7 @@
 from sageturn.core.idle_timeout import IdleTimeout
 from sageturn.frontends.platform.timing import (
     CLIENT_LINE_INTERVAL_S,
-    IDLE_TIMEOUT_S,
+    ENDPOINT_IDLE_TIMEOUT_S,
     MAX_CLIENT_SILENCE_S,
 )
 
@@ -40,7 +40,7 @@
             return now
         now += left
         while request_times_s and request_times_s[0] <= now:
-            idle_timeout.on_request_forwarded(request_times_s.pop(0))
+            idle_timeout.on_client_line_forwarded(request_times_s.pop(0))
 
 
 @given(st.floats(0.0, CLIENT_LINE_INTERVAL_S), st.floats(0.0, 5.0))
@@ -49,8 +49,10 @@
 ) -> None:
     # The timeout ran from the client's line. A client whose line came 1.8 s after the endpoint's last data
     # was to be migrated 5.0 to 5.25 s after the line, but left 7 s after the data, and its request was lost.
-    idle_timeout = IdleTimeout(LAST_DATA_S - established_for_s, IDLE_TIMEOUT_S, CLIENT_LINE_INTERVAL_S)
-    idle_timeout.on_request_forwarded(LAST_DATA_S - established_for_s)
+    idle_timeout = IdleTimeout(
+        LAST_DATA_S - established_for_s, ENDPOINT_IDLE_TIMEOUT_S, CLIENT_LINE_INTERVAL_S
+    )
+    idle_timeout.on_client_line_forwarded(LAST_DATA_S - established_for_s)
     idle_timeout.on_endpoint_data(LAST_DATA_S)
     lines_s = [LAST_DATA_S + phase + number * CLIENT_LINE_INTERVAL_S for number in range(4)]
     moved = find_migration_time_s(idle_timeout, lines_s)
@@ -61,12 +63,12 @@
     idle_timeout = IdleTimeout(LAST_DATA_S, 3.0, 2.0)
     for hour in range(1, 4):
         assert idle_timeout.remaining_s(LAST_DATA_S + 3600.0 * hour) == 3.0  # no request was forwarded
-    idle_timeout.on_request_forwarded(LAST_DATA_S + 3600.0)
-    idle_timeout.on_request_forwarded(LAST_DATA_S + 3602.0)  # the oldest request starts the timeout
+    idle_timeout.on_client_line_forwarded(LAST_DATA_S + 3600.0)
+    idle_timeout.on_client_line_forwarded(LAST_DATA_S + 3602.0)  # the oldest request starts the timeout
     assert idle_timeout.remaining_s(LAST_DATA_S + 3602.5) == 0.5
     idle_timeout.on_endpoint_data(LAST_DATA_S + 3602.5)
     assert idle_timeout.remaining_s(LAST_DATA_S + 3602.5) == 3.0
-    idle_timeout.on_request_forwarded(LAST_DATA_S + 3602.5)
+    idle_timeout.on_client_line_forwarded(LAST_DATA_S + 3602.5)
     assert idle_timeout.remaining_s(LAST_DATA_S + 3602.5) == 5.0
 
 
--- a/tests/frontends/test_platform_frontend.py
+++ b/tests/frontends/test_platform_frontend.py
@@ -183,7 +183,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # An endpoint that vanished sends nothing, not even a FIN: its clients must be migrated within 7 s.
-    monkeypatch.setattr("sageturn.frontends.platform.relaying.IDLE_TIMEOUT_S", 0.3)
+    monkeypatch.setattr("sageturn.frontends.platform.relaying.ENDPOINT_IDLE_TIMEOUT_S", 0.3)
 
     async def never_answer_lines(
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes
--- a/tests/net/test_accept_failures.py
+++ b/tests/net/test_accept_failures.py
@@ -88,7 +88,7 @@
         with suppress(TimeoutError):
             async with pending.time_limit(5.0):
                 await asyncio.get_running_loop().sock_recv(sock, 99)
-        evicted.append(pending.evicted)
+        evicted.append(pending.is_evicted)
 
     listener = Listener(("127.0.0.1", 0), serve, REJECTION, admission)
     listener.start_listening()
--- a/tests/net/test_endpoint_list.py
+++ b/tests/net/test_endpoint_list.py
@@ -191,18 +191,18 @@
     actor.cancel()
 
 
-@pytest.mark.parametrize("pushed", [True, False])
+@pytest.mark.parametrize("is_list_pushed", [True, False])
 @pytest.mark.timeout(5)
-async def test_watch_is_started_at_once_where_lists_are_pushed(pushed: bool) -> None:
+async def test_watch_is_started_at_once_where_lists_are_pushed(is_list_pushed: bool) -> None:
     # With pushed lists the balancer requests no watch, so a real relay kept its first list and missed drains.
     events: asyncio.Queue[EndpointListEvent] = asyncio.Queue()
     known = parse_endpoint_list({"version": 5, "full": True, "servers": [make_entry()]})
     watcher = RecordingWatcher()
-    endpoint_registry = EndpointRegistry(known, events.put, watcher, pushed=pushed)  # type: ignore[arg-type]
+    endpoint_registry = EndpointRegistry(known, events.put, watcher, is_list_pushed=is_list_pushed)  # type: ignore[arg-type]
     actor = asyncio.ensure_future(endpoint_registry.run())
     await events.get()
     await asyncio.sleep(0)
-    assert watcher.started_after == ([5] if pushed else [])
+    assert watcher.started_after == ([5] if is_list_pushed else [])
     await endpoint_registry.on_watch_event(
         len(watcher.started_after), WatchFailed("silent", DiscoveryFailure.SILENT)
     )
--- a/tests/relay/test_compatibility_states.py
+++ b/tests/relay/test_compatibility_states.py
@@ -69,7 +69,7 @@
     relay.closed_connections.counts["not_placed"] += 1
     relay.context.invalid_report_values["queue"] += 2
     if relay.flow_exporter is not None:
-        relay.flow_exporter.dropped = 3
+        relay.flow_exporter.dropped_flows = 3
     if relay.replication is not None:
         relay.replication.replica.zones.merge({"south/s1": 35.0, "south/s2": 1.0}, time.monotonic())
     states.append(report(relay))
