--- a/sageturn/core/pre_write_checks.py
+++ b/sageturn/core/pre_write_checks.py
@@ -74,7 +74,7 @@
     def _find_block(self, is_endpoint_usable: Callable[[], bool] | None) -> BlockedSend | None:
         context = self._context
         if (close_reason := context.client.find_close_reason()) is not None:
-            return BlockedSend(SendBlock.CLIENT_GONE, close_reason)
+            return BlockedSend(SendBlock.CLIENT_DISCONNECTED, close_reason)
         if context.drain_forced.is_set():
             return BlockedSend(SendBlock.SHUTDOWN, CloseReason.NOT_SENT)
         if self.idempotency_key_remaining_ms() < 0:
--- a/sageturn/core/request_counters.py
+++ b/sageturn/core/request_counters.py
@@ -12,7 +12,7 @@
 class SendBlock(StrEnum):
     """Reasons for not writing an attempt that the balancer has placed."""
 
-    CLIENT_GONE = "client_gone"
+    CLIENT_DISCONNECTED = "client_gone"
     SHUTDOWN = "shutdown"
     KEY_EXPIRED = "key_expired"
     DEADLINE_PASSED = "deadline_passed"
--- a/tests/decision/test_balancer_edge_cases.py
+++ b/tests/decision/test_balancer_edge_cases.py
@@ -247,7 +247,7 @@
     assert max(retry_delays_ms(DiscoveryFailure.OVERLOADED)) <= 2000.0  # may be down since then
 
 
-def test_no_endpoint_at_all_and_all_gone() -> None:
+def test_no_endpoint_at_all_and_all_removed() -> None:
     driver = BalancerDriver([])
     assert isinstance(driver.send_request()[0], RejectRequest)
     driver.update_endpoints([Endpoint("a")], "full")
