--- a/sageturn/decision/balancer.py
+++ b/sageturn/decision/balancer.py
@@ -16,7 +16,7 @@
 from sageturn.decision.events import NOT_EXECUTED_STATUSES, AttemptStatus, ListEventKind, MeasurementKind
 from sageturn.decision.fleet import Fleet
 from sageturn.decision.health_checks import HealthCheckScheduler
-from sageturn.decision.jitter import jitter
+from sageturn.decision.jitter import jitter_factor
 from sageturn.decision.overload import DEFAULT_MESSAGE_OBJECTIVE_MS, OVERLOAD_DELAY_RATIO, OverloadControl
 from sageturn.decision.placement import Placement
 from sageturn.decision.reject_cause import RejectCause
@@ -79,9 +79,9 @@
         request.endpoint = self.fleet.endpoints.get(event.migrated_from)  # placement avoids this endpoint
         self.reevaluate_endpoints(now_ms)
         self.requests[event.id] = request
-        if not event.retried:
+        if not event.is_retry:
             self._health_checks.record_request()
-        if not event.midflow:
+        if not event.is_takeover:
             wait_ms = self.admission.take_token(now_ms, event.tenant)
             if wait_ms > 0:
                 self._end(request, wait_ms, RejectCause.THROTTLED)
@@ -104,7 +104,7 @@
         if request.deadline_ms - now_ms <= 0 or is_exhausted or is_late:
             self._end(request, 0.0, RejectCause.ATTEMPTS_EXHAUSTED if is_exhausted else RejectCause.LATE)
             return
-        wait_ms = 0.0 if request.midflow else self.admission.setup_wait_ms(now_ms)
+        wait_ms = 0.0 if request.is_takeover else self.admission.setup_wait_ms(now_ms)
         endpoint = None if wait_ms else self.placement.select_endpoint(request)
         if endpoint is None:
             cause = self.admission.setup_wait_cause(wait_ms) if wait_ms else RejectCause.NO_ENDPOINT
@@ -136,7 +136,7 @@
         if not request.attempts:
             self.fleet.rejection_streak.record_rejection(self.fleet.now_ms)
         if request.request_class.is_rejectable(request.execution is not None):
-            advice_ms = max(MIN_RETRY_AFTER_MS, retry_after_ms) * jitter(self._rng)
+            advice_ms = max(MIN_RETRY_AFTER_MS, retry_after_ms) * jitter_factor(self._rng)
             advice_ms = min(self.settings.max_retry_after_ms, advice_ms)
             is_advised = self.settings.retry_after and retry_after_ms
             self._actions.append(actions.RejectRequest(request.id, advice_ms if is_advised else 0.0))
@@ -155,8 +155,8 @@
             endpoint.connections.established[request.id] = request
         self.fleet.count_attempt(endpoint, -1, 0)
         self.fleet.record_establishment(endpoint, now_ms <= request.objective_deadline_ms)
-        if event.took_ms > 0 and endpoint.kind and not endpoint.slow_start:
-            self.setup_times.record(now_ms, endpoint, event.took_ms)
+        if event.duration_ms > 0 and endpoint.kind and not endpoint.slow_start:
+            self.setup_times.record(now_ms, endpoint, event.duration_ms)
 
     def _on_attempt_ended(self, now_ms: float, event: events.AttemptEnded) -> None:
         request = self.requests.get(event.id)
--- a/sageturn/simhost.py
+++ b/sageturn/simhost.py
@@ -19,7 +19,7 @@
 from sageturn.decision import AttemptStatus, EndpointStatus, ListEventKind, MeasurementKind
 from sageturn.decision.balancer import Balancer
 from sageturn.decision.discovery_backoff import classify_rejection
-from sageturn.decision.load_reports import usable_values
+from sageturn.decision.load_reports import select_usable_values
 
 # Tables from the values on the wire to those of the decision module.
 ATTEMPT_STATUSES = {
@@ -35,7 +35,7 @@
 ENDPOINT_STATES = {
     "Ready": EndpointStatus.READY,
     "Terminating": EndpointStatus.DRAINING,
-    "Gone": EndpointStatus.GONE,
+    "Gone": EndpointStatus.REMOVED,
 }
 LIST_KINDS = {
     "D": ListEventKind.CHANGES,
@@ -100,7 +100,7 @@
 
 def _report(key: str) -> FieldReader:
     """Return a reader of a load report; a missing one is read as empty."""
-    return lambda fields: usable_values(fields.get(key))
+    return lambda fields: select_usable_values(fields.get(key))
 
 
 _decode_endpoint = _make_decoder(
@@ -110,7 +110,7 @@
     zone=_text("dc"),
     cell=_optional("cohort", 0),
     started_at_ms=_optional("readyAtMs"),
-    share=_optional("share", 1.0),
+    weight=_optional("share", 1.0),
     kind=_text("kind"),
 )
 
@@ -139,8 +139,8 @@
         deadline_ms=_required("giveUpAtMs"),
         group=_text("room"),
         expected_load=_optional("costMs"),
-        midflow=_flag("midflow"),
-        retried=_flag("isRetry"),
+        is_takeover=_flag("midflow"),
+        is_retry=_flag("isRetry"),
     ),
     "Inherited": _make_decoder(
         decision.ConnectionAdopted,
@@ -156,7 +156,7 @@
         id=_required("opId"),
         attempt=_required("n"),
         endpoint=_required("backend"),
-        took_ms=_optional("timeTakenMs"),
+        duration_ms=_optional("timeTakenMs"),
     ),
     "Returned": _make_decoder(
         decision.AttemptEnded,
@@ -213,8 +213,8 @@
         self._watch_requested_ms: dict[int, float] = {}
         self._current_event = ""  # name of the event that is being handled, for error messages
 
-    def answer(self, line: bytes) -> bytes:
-        """Handle a line of events. Returns the line of actions, without a newline.
+    def handle_line(self, line: bytes) -> bytes:
+        """Handle a line of events. Return the line of actions, without a newline.
 
         Raises:
             WireError: the line is not JSON, or an event is unknown, invalid or for an instance that does not
@@ -302,7 +302,7 @@
     try:
         for line in sys.stdin.buffer:
             if line.strip():
-                output.write(link.answer(line) + b"\n")
+                output.write(link.handle_line(line) + b"\n")
                 output.flush()
     except WireError as error:
         print(f"simhost: {error}", file=sys.stderr)
--- a/tests/rebalance/test_planner.py
+++ b/tests/rebalance/test_planner.py
@@ -243,7 +243,7 @@
 
 def test_balance_is_measured_by_load_and_size_not_by_connection_count() -> None:
     fleet = RebalanceFleet("ab", FAST_OPTIONS, weights="nominal", groups=False)
-    fleet.handle(EndpointListEvent("full", [Endpoint("a", share=3.0), Endpoint("b", share=1.0)]))
+    fleet.handle(EndpointListEvent("full", [Endpoint("a", weight=3.0), Endpoint("b", weight=1.0)]))
     fleet.add_connections("a", 30, load=2.0)
     fleet.add_connections("b", 10, load=2.0)
     fleet.run(60)
@@ -359,7 +359,7 @@
     fleet = RebalanceFleet("ab", {**FAST_OPTIONS, "again_s": 100.0}, groups=False)
     fleet.add_connections("b", 4)
     for number in range(30):
-        fleet.connect_client(f"back{number}", returned=True)
+        fleet.connect_client(f"back{number}", is_reconnect=True)
     for request_id in fleet.request_ids_at("b"):
         fleet.end_connection(request_id)
     fleet.run(80)
@@ -368,13 +368,13 @@
     assert fleet.migrated, "the clients must become eligible after again_s"
 
 
-def test_landings_that_are_not_useful_pause_migration() -> None:
+def test_migrations_that_are_not_useful_pause_balancing() -> None:
     fleet = make_uneven_fleet()
     fleet.run_until_migrated()
     fleet.step()
     assert not fleet.reconnects, "all migrated clients must have reconnected"
     for _ in range(40):
-        fleet.planner.tracker.landing_score.record(is_useful=False)
+        fleet.planner.tracker.migration_score.record(is_useful=False)
     fleet.step()
     count = len(fleet.migrated)
     assert fleet.plan.phase == "useless" and "as full" in fleet.plan.explanation
