--- a/sageturn/decision/eligibility.py
+++ b/sageturn/decision/eligibility.py
@@ -18,7 +18,7 @@
         """Evaluate the conditions that all endpoints share. Call this before placing a request."""
         fleet = self._fleet
         is_unlimited = fleet.max_connections == float("inf")
-        if request.midflow or is_unlimited or fleet.may_exceed_quota():
+        if request.is_takeover or is_unlimited or fleet.may_exceed_quota():
             self._is_warm_quota_exhausted = False
             return
         # The part of the quota that is meant for endpoints in slow start is reserved for them.
@@ -36,7 +36,7 @@
         if endpoint.is_at_quota():
             return False
         if endpoint.slow_start:
-            if not self._fleet.has_slow_start_permit(self._fleet.now_ms, endpoint):
+            if not self._fleet.check_slow_start_permit(self._fleet.now_ms, endpoint):
                 return False
         elif self._is_warm_quota_exhausted:
             return False
--- a/sageturn/decision/group_ranking.py
+++ b/sageturn/decision/group_ranking.py
@@ -57,7 +57,7 @@
         The group's homes are left out, except for a migrated request, which prefers the endpoints that hold
         connections of its group. While endpoints are scarce the group spreads to no further endpoint: only
         those that hold connections of it and its first ones of other zones are returned, unless the request
-        is ``midflow``.
+        is a takeover.
         """
         fleet = self._fleet
         group = request.group
@@ -67,7 +67,7 @@
             candidates = sorted(
                 ranked.endpoints, key=lambda endpoint: group not in endpoint.connections.group_counts
             )
-        if not fleet.is_scarce() or request.midflow:
+        if not fleet.is_scarce() or request.is_takeover:
             return candidates
         local_count = len(fleet.local or fleet.ready)
         return (
--- a/tests/decision/test_balancer_edge_cases.py
+++ b/tests/decision/test_balancer_edge_cases.py
@@ -139,12 +139,12 @@
     assert isinstance(BalancerDriver().send_request(timeout_ms=0)[0], RejectRequest)
 
 
-def test_a_midflow_request_needs_no_token() -> None:
+def test_a_takeover_request_needs_no_token() -> None:
     driver = BalancerDriver()
     for _ in range(60):
         driver.send_request("t")
     assert isinstance(driver.send_request("t")[0], RejectRequest)
-    assert isinstance(driver.send_request("t", midflow=True)[0], PlaceRequest)
+    assert isinstance(driver.send_request("t", is_takeover=True)[0], PlaceRequest)
     assert isinstance(driver.send_request("t")[0], RejectRequest)
 
 
@@ -248,7 +248,7 @@
     assert max(retry_delays_ms(DiscoveryFailure.OVERLOADED)) <= 2000.0
 
 
-def test_no_endpoint_at_all_and_all_gone() -> None:
+def test_no_endpoint_at_all_and_all_removed() -> None:
     driver = BalancerDriver([])
     assert isinstance(driver.send_request()[0], RejectRequest)
     driver.update_endpoints([Endpoint("a")], "full")
--- a/tests/decision/test_health_checks.py
+++ b/tests/decision/test_health_checks.py
@@ -31,11 +31,11 @@
 from sageturn import decision
 from sageturn.decision.health_checks import (
     CHECK_INTERVAL_MS,
+    HEALTH_CHECK_BUDGET_RATIO,
     MIN_FLEET_INTERVAL_MS,
-    SPEND_RATIO,
     HealthCheckScheduler,
 )
-from sageturn.decision.load_reports import read_report, usable_values
+from sageturn.decision.load_reports import parse_report, select_usable_values
 
 HEALTH_CHECK_SETTINGS: dict[str, Any] = {
     "probes": True,
@@ -72,15 +72,15 @@
 )
 def test_a_report_is_read_strictly(text: bytes, found: dict[str, float], why: dict[str, int]) -> None:
     dropped: Counter[str] = Counter()
-    assert read_report(text, FIELDS, dropped) == found and +dropped == why
+    assert parse_report(text, FIELDS, dropped) == found and +dropped == why
 
 
 @given(st.binary(max_size=700))
 def test_arbitrary_bytes_give_only_valid_numbers(text: bytes) -> None:
-    found = read_report(text, FIELDS, Counter())
+    found = parse_report(text, FIELDS, Counter())
     assert found.keys() <= set(FIELDS) and all(0.0 <= value <= 3600.0 for value in found.values())
     values = {"x0": math.nan, "x1": True, "cpu": "1", "rps": -1, "active": 3}
-    assert usable_values(values) == {"active": 3.0}
+    assert select_usable_values(values) == {"active": 3.0}
 
 
 # ---------------------------------------------------------------- schedule of health checks
@@ -97,7 +97,11 @@
         if tick < requests:
             checks.record_request()
         check_counts.update(checks.take_due_endpoints(250.0 * tick, names))
-    assert endpoints <= check_counts.total() <= endpoints + max(1.0, requests * SPEND_RATIO / price) + 1e-6
+    assert (
+        endpoints
+        <= check_counts.total()
+        <= endpoints + max(1.0, requests * HEALTH_CHECK_BUDGET_RATIO / price) + 1e-6
+    )
     min_interval_ms = 0.75 * max(CHECK_INTERVAL_MS, MIN_FLEET_INTERVAL_MS * relays)
     assert max(check_counts.values()) <= 60000.0 / min_interval_ms + 1.0
 
@@ -222,7 +226,7 @@
             relay.health_check_client.start_check("a")
             relay.health_check_client.start_check("a")  # ignored while a check is running
             assert await completed.get() == decision.HealthCheckCompleted("a", status, report)
-            while relay.health_check_client.checks_in_flight:
+            while relay.health_check_client.in_flight_check_count:
                 await asyncio.sleep(0)
         assert len(seen) == len(words) and set(seen) == {b"STATS\r\n"} and completed.empty()
         assert await exchange_line(relay.listener.address, encode_request_line()) == b"UP r1\r\n"
@@ -254,4 +258,4 @@
             await asyncio.sleep(0.01)
         (ended,) = [event for event in handled if isinstance(event, decision.AttemptEnded)]
         assert (ended.status, ended.report) == ("ok", {"x0": 0.25, "cpu": 0.5})
-        assert [event.retried for event in handled if hasattr(event, "retried")] == [True]
+        assert [event.is_retry for event in handled if hasattr(event, "is_retry")] == [True]
